--- /dev/null
+++ b/choice/recorded_test.go
@@ -0,0 +1,149 @@
+package choice
+
+import (
+	"fmt"
+	"testing"
+
+	"wheatsaddle/internal/testkit/recorded"
+)
+
+// actionWords name the kinds of actions in recordings.
+var actionWords = map[ActionKind]string{Send: "send", Refuse: "refuse", Fail: "fail", Cancel: "cancel", SetTimer: "timer",
+	Subscribe: "subscribe", FetchList: "fetch", Probe: "probe", Tell: "tell", Log: "log"}
+
+// recordStep writes one step of one instance. Texts of log lines are left out.
+func recordStep(script *recorded.Script, instance int, now float64, actions []Action) {
+	fields := []any{instance, now}
+	for _, a := range actions {
+		tag := ""
+		if a.Kind == SetTimer {
+			tag = script.Tag(a.Tag)
+		}
+		fields = append(fields, actionWords[a.Kind], a.ID, a.Node, a.Until, a.By, a.Attempt, a.Wait, tag)
+	}
+	script.Add(fields...)
+}
+
+// recordState writes what an instance shows of its state.
+func recordState(script *recorded.Script, s *Scheduler) {
+	fields := []any{s.Avoided(), s.RequestCount()}
+	for _, one := range s.Standing(1000) {
+		fields = append(fields, one.ID, one.Since, one.Window, one.Queue)
+	}
+	learned := s.Learned()
+	for _, n := range learned.Nodes {
+		fields = append(fields, n.ID, n.Since, n.Window, n.Usual, n.Best, n.Failing, n.Guessed)
+	}
+	for _, c := range learned.Classes {
+		fields = append(fields, c.Name, c.Weight, c.Slope, c.Delay)
+	}
+	script.Add(fields...)
+}
+
+// The decisions under random events are those of the recording.
+func TestRecordedDecisionsUnderRandomEvents(t *testing.T) {
+	for i := range 16 {
+		t.Run(fmt.Sprint(i), func(t *testing.T) {
+			var script recorded.Script
+			steps := 0
+			history := play(t, fuzzSettings(i), int64(100+i), func(s *Scheduler) {
+				if steps++; steps%100 == 50 {
+					recordState(&script, s)
+				}
+			})
+			for step, actions := range history {
+				recordStep(&script, 0, float64(step), actions)
+			}
+			script.Check(t, fmt.Sprintf("events-%02d", i))
+		})
+	}
+}
+
+// recordedSettings are those of the small world with classes of every effect and a retry budget.
+func recordedSettings() Settings {
+	set := worldSettings()
+	set.Classes = append(set.Classes,
+		Class{Name: "keyed", Aim: 300, Deadline: 1500, Worth: 1, Effect: Keyed, Group: GroupShard, Memory: 700},
+		Class{Name: "ordered", Aim: 300, Deadline: 1500, Worth: 1, LateWorth: 0.2, Effect: Unsafe, Ordered: true})
+	set.AskMode, set.OrderPause = true, 80
+	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 3000, 3, 0.2
+	return set
+}
+
+// disturb adds what the world's own days leave out: clients that leave, lists that fail, stalls, new settings, restarts
+// that recall what was learned, and processes that hand over.
+func disturb(w *world) {
+	var each func(every float64, do func(h *worldHost))
+	each = func(every float64, do func(h *worldHost)) {
+		w.after(every*(0.5+w.rng.Float64()), func() {
+			if h := w.hosts[w.rng.Intn(len(w.hosts))]; !h.down {
+				do(h)
+			}
+			each(every, do)
+		})
+	}
+	each(20, func(h *worldHost) {
+		id := fmt.Sprint("q", w.seq-w.rng.Intn(200))
+		if r := w.reqs[id]; r != nil && !r.answered && r.host == h && r.life == h.life {
+			r.answered = true
+			h.step(Event{Kind: Departed, ID: id})
+		}
+	})
+	each(100, func(h *worldHost) { h.step(Event{Kind: ListFailed}) })
+	each(70, func(h *worldHost) { // the whole list again
+		ev := Event{Kind: ListFull}
+		for i := range worldNodes {
+			for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
+				if n, ok := h.held[id]; ok {
+					ev.Nodes = append(ev.Nodes, n)
+				}
+			}
+		}
+		h.step(ev)
+	})
+	each(50, func(h *worldHost) { // it stalls: its timers come late
+		h.lag = 150 + 200*w.rng.Float64()
+		w.after(200, func() { h.lag = 0 })
+	})
+	each(150, func(h *worldHost) {
+		set := w.set
+		set.Classes = append([]Class(nil), set.Classes...)
+		set.Classes[2].Aim = []float64{300, 350}[w.rng.Intn(2)]
+		if err := h.s.Retune(set); err != nil {
+			w.t.Fatal(err)
+		}
+	})
+	each(300, func(h *worldHost) {
+		learned := h.s.Learned()
+		for i := range learned.Nodes {
+			if w.rng.Intn(4) == 0 {
+				learned.Nodes[i].Guessed = learned.Nodes[i].Since
+			}
+		}
+		h.life++
+		h.start()
+		h.s.Recall(learned)
+	})
+	w.after(15e3, func() { w.hosts[3].s.HandOver() })
+}
+
+// The decisions of a small fleet are those of the recording.
+func TestRecordedDecisionsOfAFleet(t *testing.T) {
+	for day, trouble := range worldDays {
+		t.Run(day, func(t *testing.T) {
+			var script recorded.Script
+			steps := 0
+			w := newWorldOf(t, recordedSettings(), 11, nil)
+			w.onStep = func(h *worldHost, actions []Action) {
+				recordStep(&script, h.no, w.now, actions)
+				if steps++; steps%1000 == 0 {
+					recordState(&script, h.s)
+				}
+			}
+			trouble(w)
+			disturb(w)
+			w.run()
+			script.Check(t, "fleet-"+day)
+		})
+	}
+}
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -35,6 +35,8 @@
 	sent  map[string][]flow // by cold node: units within the last TipSpan
 	store map[string]*worldStore
 	ends  map[string]int // by what ended requests
+
+	onStep func(h *worldHost, actions []Action) // nil: nothing looks on
 }
 
 type worldHost struct {
@@ -45,6 +47,7 @@
 	s    *Scheduler
 	held map[string]Node // the list as told
 	told map[string]float64
+	lag  float64 // its timers come later by this
 }
 
 type worldNode struct {
@@ -104,15 +107,20 @@
 	heap.Push(&w.due, worldDue{w.now + wait, w.seq, do})
 }
 
-func newWorld(t *testing.T, seed int64) *world {
-	set := Settings{Hosts: worldHosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
+func worldSettings() Settings {
+	return Settings{Hosts: worldHosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
 		HoldOff: true, MayCancel: true, SecondCopies: true, DrainGrace: 250, AskWithin: 10000, ColdFrom: 0.24, ColdSpan: 17000,
 		TipMultiple: 3, TipSpan: 3000, Shards: worldNodes,
 		Classes: []Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1},
 			{Name: "once", Aim: 500, Deadline: 2000, Worth: 2, LateWorth: 0.1, Effect: Unsafe}},
 		Plans: []Plan{{Name: "open", Rate: 6, Reserve: 6, Weight: 1, Price: 1},
 			{Name: "capped", Rate: 2, Reserve: 1, Weight: 1, Price: 1, Limit: 6, LimitBurst: 36}}}
-	w := &world{t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*worldNode{},
+}
+
+func newWorld(t *testing.T, seed int64) *world { return newWorldOf(t, worldSettings(), seed, nil) }
+
+func newWorldOf(t *testing.T, set Settings, seed int64, onStep func(*worldHost, []Action)) *world {
+	w := &world{onStep: onStep, t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*worldNode{},
 		reqs: map[string]*worldReq{}, sent: map[string][]flow{}, store: map[string]*worldStore{}, ends: map[string]int{}}
 	for i := range worldNodes {
 		n := &worldNode{Node: Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
@@ -162,7 +170,11 @@
 }
 
 func (h *worldHost) step(evs ...Event) {
-	for _, a := range h.s.Step(h.w.now, evs, nil) {
+	actions := h.s.Step(h.w.now, evs, nil)
+	if h.w.onStep != nil {
+		h.w.onStep(h, actions)
+	}
+	for _, a := range actions {
 		h.do(a)
 	}
 }
@@ -184,7 +196,7 @@
 	w := h.w
 	switch a.Kind {
 	case SetTimer:
-		h.later(math.Max(a.Wait, 1), func() (Event, bool) { return Event{Kind: Timer, Tag: a.Tag}, true })
+		h.later(math.Max(a.Wait, 1)+h.lag, func() (Event, bool) { return Event{Kind: Timer, Tag: a.Tag}, true })
 	case Refuse, Fail:
 		w.final(a.ID, []string{Refuse: "refused", Fail: "failed"}[a.Kind])
 	case Send:
@@ -297,7 +309,7 @@
 	if h.down {
 		return // what would come through a dead host is lost to its client
 	}
-	class := w.set.Classes[w.rng.Intn(2)]
+	class := w.set.Classes[w.rng.Intn(len(w.set.Classes))]
 	w.seq++
 	hosts := map[int]bool{}
 	for _, x := range v.hosts {
@@ -368,39 +380,7 @@
 // together no cold node gets more than it bears, no drained one new work after the grace, no
 // limited volume more than its limit, and each request one final answer. Most is served.
 func TestFleetDaysInSmall(t *testing.T) {
-	for name, trouble := range map[string]func(*world){
-		"herd": func(w *world) {
-			w.after(6000, func() {
-				for _, i := range w.rng.Perm(worldHosts)[:worldHosts*7/10] {
-					h := w.hosts[i]
-					h.life, h.down = h.life+1, true // what it held is its clients' to ask for again
-					w.after(500+1000*w.rng.Float64(), h.start)
-				}
-			})
-		},
-		"zone": func(w *world) {
-			w.after(5000, func() {
-				for i := 0; i < worldNodes; i += 3 {
-					n := w.shard[i]
-					w.die(n)
-					w.after(5000, func() { w.back(n) })
-				}
-			})
-		},
-		"join": func(w *world) {
-			for i := range worldNodes * 6 / 10 {
-				old := w.shard[i]
-				w.after(4000+7000*float64(i)/worldNodes/0.6, func() {
-					next := &worldNode{Node: Node{ID: fmt.Sprint("m", i), Shard: i, Weight: 1}, alive: true}
-					w.nodes[next.ID] = next
-					w.back(next)
-					old.State = NodeDraining
-					w.change(old.Node)
-					w.after(1500, func() { old.State = NodeGone; w.die(old); w.change(old.Node) })
-				})
-			}
-		},
-	} {
+	for name, trouble := range worldDays {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 7)
 			trouble(w)
@@ -413,3 +393,37 @@
 		})
 	}
 }
+
+var worldDays = map[string]func(*world){
+	"herd": func(w *world) {
+		w.after(6000, func() {
+			for _, i := range w.rng.Perm(worldHosts)[:worldHosts*7/10] {
+				h := w.hosts[i]
+				h.life, h.down = h.life+1, true // what it held is its clients' to ask for again
+				w.after(500+1000*w.rng.Float64(), h.start)
+			}
+		})
+	},
+	"zone": func(w *world) {
+		w.after(5000, func() {
+			for i := 0; i < worldNodes; i += 3 {
+				n := w.shard[i]
+				w.die(n)
+				w.after(5000, func() { w.back(n) })
+			}
+		})
+	},
+	"join": func(w *world) {
+		for i := range worldNodes * 6 / 10 {
+			old := w.shard[i]
+			w.after(4000+7000*float64(i)/worldNodes/0.6, func() {
+				next := &worldNode{Node: Node{ID: fmt.Sprint("m", i), Shard: i, Weight: 1}, alive: true}
+				w.nodes[next.ID] = next
+				w.back(next)
+				old.State = NodeDraining
+				w.change(old.Node)
+				w.after(1500, func() { old.State = NodeGone; w.die(old); w.change(old.Node) })
+			})
+		}
+	},
+}
