--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 	"os"
 
 	"wheatsaddle/choice"
-	"wheatsaddle/internal/wire"
+	"wheatsaddle/internal/simwire"
 )
 
 const readBuffer = 64 << 10 // bytes; longer lines are read all the same
@@ -50,7 +50,7 @@
 	for {
 		text, err := rd.ReadBytes('\n')
 		if text = bytes.TrimSpace(text); len(text) > 0 {
-			line, derr := wire.Decode(text)
+			line, derr := simwire.Decode(text)
 			if derr != nil {
 				return derr
 			}
@@ -68,7 +68,7 @@
 }
 
 // take applies one line to the batch; the last line of a batch has it answered.
-func (h *host) take(line wire.Line, out io.Writer) error {
+func (h *host) take(line simwire.Line, out io.Writer) error {
 	switch {
 	case !line.Known:
 	case line.Word == "ROUND":
@@ -87,10 +87,10 @@
 	return nil
 }
 
-func (h *host) start(line wire.Line) {
+func (h *host) start(line simwire.Line) {
 	mod, err := choice.New(line.Settings, line.Seed)
 	if err != nil {
-		h.reply = wire.Broken(h.reply, line.Instance, err.Error())
+		h.reply = simwire.Broken(h.reply, line.Instance, err.Error())
 		return
 	}
 	h.running[line.Instance] = mod
@@ -114,7 +114,7 @@
 }
 
 // addEvent adds an event to its instance's job. Where the instance does not run, it is dropped with a warning.
-func (h *host) addEvent(line wire.Line) {
+func (h *host) addEvent(line simwire.Line) {
 	j := h.open[line.Instance]
 	if j == nil {
 		mod := h.running[line.Instance]
@@ -135,7 +135,7 @@
 	for _, j := range h.jobs {
 		h.reply = j.run(h.clock, h.reply)
 	}
-	h.reply = append(h.reply, wire.End...)
+	h.reply = append(h.reply, simwire.End...)
 	if _, err := out.Write(h.reply); err != nil {
 		return err
 	}
@@ -151,12 +151,12 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			res = wire.Broken(reply, j.inst, fmt.Sprint(p))
+			res = simwire.Broken(reply, j.inst, fmt.Sprint(p))
 		}
 	}()
 	res = reply
 	for _, a := range j.mod.Step(clock, j.events, nil) {
-		res = wire.Encode(res, j.inst, a)
+		res = simwire.Encode(res, j.inst, a)
 	}
 	return res
 }
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's JSON lines and the types of
+// Package simwire translates between the simulator's JSON lines and the types of
 // package choice. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/base64"
