--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/procs"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // What the commands have in common: how each begins, where it has the daemon from, and how it reports.
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	daemon, err := procs.Build(c.Context, dir)
+	daemon, err := cluster.Build(c.Context, dir)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -1,6 +1,6 @@
 // Package audit is the auditor of a rehearsal with several processes: from the history of who took,
 // sent, executed, answered and was told what, it says which rules of the platform were broken.
-// It is a pure function; the history is the tests' (internal/lab/procs makes one).
+// It is a pure function; the history is the tests' (internal/testkit/cluster makes one).
 //
 // The rules, each with its name:
 //
--- a/internal/lab/coldstart/real.go
+++ b/internal/lab/coldstart/real.go
@@ -19,10 +19,10 @@
 
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/lab/client"
-	"wheatsaddle/internal/lab/procs"
 	"wheatsaddle/internal/standin/discovery"
 	"wheatsaddle/internal/standin/link"
 	standin "wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // Figures of the run with real processes; those of the nodes and the settings are the virtual world's.
@@ -61,7 +61,7 @@
 	sc     Scenario
 	mode   Mode
 	kept   [][]byte // snapshots of a life before, by host
-	f      *procs.Fleet
+	f      *cluster.Fleet
 	vols   []volume // with their hosts
 	of     [][]int  // volumes of each host
 	start  time.Time
@@ -93,7 +93,7 @@
 	}
 	defer os.RemoveAll(dir)
 	if opt.Daemon == "" {
-		if opt.Daemon, err = procs.Build(ctx, dir); err != nil {
+		if opt.Daemon, err = cluster.Build(ctx, dir); err != nil {
 			return nil, err
 		}
 	}
@@ -192,15 +192,15 @@
 	set := settings(opt.Hosts, opt.Nodes)
 	bears := &standin.Cold{Power: set.ColdFrom, Span: span(set.ColdSpan), Units: set.ColdUnits, Mean: set.MeanUnits, Within: span(set.TipSpan),
 		Back: span(fallFor)}
-	var nodes []procs.Storage
+	var nodes []cluster.Storage
 	for j := range opt.Nodes {
-		nodes = append(nodes, procs.Storage{Name: fmt.Sprint("s", j), Shard: j, Workers: 1, Queue: nodeQueue,
+		nodes = append(nodes, cluster.Storage{Name: fmt.Sprint("s", j), Shard: j, Workers: 1, Queue: nodeQueue,
 			Linked:  sc.Silent > 0 && j%sc.Silent == 0,
 			Service: func(q *fasthttp.Request) time.Duration { return span(standin.Units(q) * 1000 / unitsSec) },
 			Tune:    func(o *standin.Options) { o.Record, o.Cold, o.Saw = false, bears, func(s standin.Saw) { w.saw(j, s) } }})
 	}
 	var err error
-	w.f, err = procs.Start(ctx, procs.Options{Daemon: opt.Daemon, Daemons: opt.Hosts, Nodes: nodes, Settings: realSettings(opt.Hosts, opt.Nodes),
+	w.f, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Hosts, Nodes: nodes, Settings: realSettings(opt.Hosts, opt.Nodes),
 		Seed: uint64(opt.Seed), Known: true, Direct: true, Idle: true, MemoryMB: daemonMB, Env: []string{"GOMAXPROCS=1"},
 		List: discovery.Options{Capacity: opt.Capacity, Patience: time.Second, Queue: int(2*opt.Capacity) + 1},
 		Said: w.said, Args: w.site})
@@ -208,7 +208,7 @@
 }
 
 // site writes a daemon's site file and its snapshot, and gives its arguments.
-func (w *real) site(f *procs.Fleet, i int) []string {
+func (w *real) site(f *cluster.Fleet, i int) []string {
 	if w.mode == Today {
 		return nil
 	}
@@ -226,7 +226,7 @@
 	return []string{"--site", file}
 }
 
-func (w *real) snapshot(f *procs.Fleet, i int) string { return filepath.Join(f.Dir(i), "learned") }
+func (w *real) snapshot(f *cluster.Fleet, i int) string { return filepath.Join(f.Dir(i), "learned") }
 
 // must is for files in a directory that was just made.
 func must(err error) {
@@ -370,7 +370,7 @@
 		if err := sleep(ctx, down); err != nil {
 			return err
 		}
-		if err := w.lists(procs.ListWell); err != nil {
+		if err := w.lists(cluster.ListWell); err != nil {
 			return err
 		}
 		if err := sleep(ctx, w.opt.Window-down); err != nil {
@@ -425,12 +425,12 @@
 		}
 	}
 	if w.sc.ListDown > 0 {
-		return w.lists(procs.ListDown)
+		return w.lists(cluster.ListDown)
 	}
 	return nil
 }
 
-func (w *real) lists(f procs.ListFault) error {
+func (w *real) lists(f cluster.ListFault) error {
 	for i := range w.hosts {
 		if err := w.f.SetList(i, f); err != nil {
 			return err
--- a/internal/lab/costs/costs_test.go
+++ b/internal/lab/costs/costs_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"wheatsaddle/internal/lab/procs"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // Guards the bounds of the estimate at two of the ten seeds, that a seed gives one result, and that a bound
@@ -47,7 +47,7 @@
 	})
 	ctx, stop := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer stop()
-	daemon, err := procs.Build(ctx, t.TempDir())
+	daemon, err := cluster.Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/costs/real_world.go
+++ b/internal/lab/costs/real_world.go
@@ -18,14 +18,14 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/lab/client"
-	"wheatsaddle/internal/lab/procs"
 	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // processWorld is a fleet of daemon processes and simulated storage nodes.
 type processWorld struct {
 	opt               RealOptions
-	fleet             *procs.Fleet
+	fleet             *cluster.Fleet
 	nodes             []server
 	slowed            atomic.Bool    // the slow node has turned slow
 	processPools      []*client.Pool // to each process
@@ -78,14 +78,14 @@
 			return nil, err
 		}
 		w.ownAnswers = append(w.ownAnswers, observer)
-		if peerAddresses[p], err = procs.FreeAddress(); err != nil {
+		if peerAddresses[p], err = cluster.FreeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	var siteErr error
-	w.fleet, err = procs.Start(ctx, procs.Options{Daemon: opt.Daemon, Daemons: opt.Processes, Nodes: nodes, Seed: seed, Admin: true, Direct: true,
+	w.fleet, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Processes, Nodes: nodes, Seed: seed, Admin: true, Direct: true,
 		Settings: daemonSettings(),
-		Args: func(f *procs.Fleet, p int) []string {
+		Args: func(f *cluster.Fleet, p int) []string {
 			file, err := writeSite(f.Dir(p), opt, types, peerAddresses, p)
 			siteErr = errors.Join(siteErr, err)
 			return []string{"--site", file}
@@ -103,12 +103,12 @@
 }
 
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
-func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []procs.Storage, types map[string]string) {
+func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.Storage, types map[string]string) {
 	types = map[string]string{}
 	for n := range w.opt.Groups * perShard {
 		w.nodes = append(w.nodes, server{n % perShard, math.Exp(ownSpread * rng.NormFloat64())})
 		types[nodeName(n)] = kinds[n%perShard].name
-		nodes = append(nodes, procs.Storage{Name: nodeName(n), Shard: n, Workers: workersPerNode, Service: func(q *fasthttp.Request) time.Duration {
+		nodes = append(nodes, cluster.Storage{Name: nodeName(n), Shard: n, Workers: workersPerNode, Service: func(q *fasthttp.Request) time.Duration {
 			units, luck := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
 			return time.Duration(w.drawServiceTime(n, units, luck) * float64(time.Millisecond))
 		}})
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,8 +20,8 @@
 
 	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/example"
-	"wheatsaddle/internal/lab/procs"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // Options are a fleet's.
@@ -40,7 +40,7 @@
 type Fleet struct {
 	Nodes   []*node.Node
 	Targets []string // addresses of the schedulers
-	daemons []*procs.Proc
+	daemons []*cluster.Proc
 	dir     string
 	log     logrus.FieldLogger
 }
@@ -62,11 +62,11 @@
 		return f, err
 	}
 	if opt.Daemon == "" {
-		if opt.Daemon, err = procs.Build(ctx, f.dir); err != nil {
+		if opt.Daemon, err = cluster.Build(ctx, f.dir); err != nil {
 			return f, err
 		}
 	}
-	var endpoints []procs.Entry
+	var endpoints []cluster.Entry
 	for shard := range opt.Shape.Shards {
 		rng := rand.New(rand.NewPCG(opt.Seed, uint64(shard)))
 		draws := make(chan float64, 256)
@@ -93,7 +93,7 @@
 		if err != nil {
 			return f, err
 		}
-		endpoints = append(endpoints, procs.Entry{Name: fmt.Sprint("s-", shard), Address: a.String(), Group: shard,
+		endpoints = append(endpoints, cluster.Entry{Name: fmt.Sprint("s-", shard), Address: a.String(), Group: shard,
 			Status: "active", Weight: 1})
 	}
 	for i := range opt.Schedulers {
@@ -105,12 +105,12 @@
 }
 
 // scheduler starts one daemon. Its discovery is nobody: the list it starts with is what there is.
-func (f *Fleet) scheduler(opt Options, i int, endpoints []procs.Entry) error {
-	listen, err := procs.FreeAddress()
+func (f *Fleet) scheduler(opt Options, i int, endpoints []cluster.Entry) error {
+	listen, err := cluster.FreeAddress()
 	if err != nil {
 		return err
 	}
-	nowhere, err := procs.FreeAddress()
+	nowhere, err := cluster.FreeAddress()
 	if err != nil {
 		return err
 	}
@@ -138,14 +138,14 @@
 	extra := set["extra"].(map[string]any)
 	extra["largest"], extra["slots-total"] = len(s.Units), s.Shards
 	name := fmt.Sprint("n", i)
-	conf := procs.Config{Name: name, Listen: listen, Discovery: nowhere, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Known: endpoints,
+	conf := cluster.Config{Name: name, Listen: listen, Discovery: nowhere, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Known: endpoints,
 		Settings: set,
 	}
 	file := filepath.Join(f.dir, name+".json")
 	if err := conf.Write(file); err != nil {
 		return err
 	}
-	p := procs.NewProc(opt.Daemon, file, filepath.Join(f.dir, name+".log"), name, listen)
+	p := cluster.NewProc(opt.Daemon, file, filepath.Join(f.dir, name+".log"), name, listen)
 	if err := p.Start(); err != nil {
 		return err
 	}
--- a/internal/lab/gathers/gathers_test.go
+++ b/internal/lab/gathers/gathers_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/internal/lab/procs"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // The judge finds what is wrong with an answer and nothing where nothing is.
@@ -133,7 +133,7 @@
 	log.SetOutput(t.Output())
 	w := Defaults()
 	w.Processes, w.Shards, w.Copies, w.Rows.Count = 2, 4, 2, 60
-	daemon, err := procs.Build(ctx, t.TempDir())
+	daemon, err := cluster.Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/gathers/world.go
+++ b/internal/lab/gathers/world.go
@@ -16,9 +16,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/procs"
 	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/cluster"
 )
 
 // World is what a run has.
@@ -59,7 +59,7 @@
 
 // processes is a fleet of the built program.
 type processes struct {
-	*procs.Fleet
+	*cluster.Fleet
 	w      World
 	down   []atomic.Bool
 	killed atomic.Int64
@@ -72,12 +72,12 @@
 	class := func(name string) map[string]any {
 		return map[string]any{"name": name, "goal-time": deadline.Milliseconds() / 2, "deadline": deadline.Milliseconds(), "worth": 2, "late-worth": 1, "repeat": "safe"}
 	}
-	opt := procs.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
+	opt := cluster.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
 		"profiles": []map[string]any{class(listing), class(top), class(page)}}}
 	for j := range w.Shards * w.Copies {
-		opt.Nodes = append(opt.Nodes, procs.Storage{Name: fmt.Sprint("s", j), Shard: j / w.Copies, Service: serviceOf(seed, j), Rows: &w.Rows})
+		opt.Nodes = append(opt.Nodes, cluster.Storage{Name: fmt.Sprint("s", j), Shard: j / w.Copies, Service: serviceOf(seed, j), Rows: &w.Rows})
 	}
-	opt.Args = func(p *procs.Fleet, i int) []string {
+	opt.Args = func(p *cluster.Fleet, i int) []string {
 		f.Fleet = p
 		f.err = errors.Join(f.err, f.tell(i, m, nil))
 		return []string{"--site", f.site(i)}
@@ -85,7 +85,7 @@
 	if m.Tree {
 		opt.Settings["ceilings"] = map[string]any{"peers": true}
 	}
-	fleet, err := procs.Start(ctx, opt)
+	fleet, err := cluster.Start(ctx, opt)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operr/page/main.go
+++ b/internal/operr/page/main.go
@@ -22,7 +22,6 @@
 	_ "wheatsaddle/internal/exclusion/store"
 	_ "wheatsaddle/internal/handover"
 	_ "wheatsaddle/internal/iscsi"
-	_ "wheatsaddle/internal/lab/procs"
 	_ "wheatsaddle/internal/meter"
 	_ "wheatsaddle/internal/observations"
 	_ "wheatsaddle/internal/operator"
@@ -32,6 +31,7 @@
 	_ "wheatsaddle/internal/scatter"
 	_ "wheatsaddle/internal/sock"
 	_ "wheatsaddle/internal/standin/discovery"
+	_ "wheatsaddle/internal/testkit/cluster"
 )
 
 const pageFile = "docs/ops/errors.md"
--- a/internal/lab/procs/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -1,11 +1,11 @@
-// Package procs starts several processes of the built daemon with stand-in nodes, list services and
+// Package cluster starts several processes of the built daemon with stand-in nodes, list services and
 // links between each two parties, on loopback, and ends them all again. Tests wait for conditions
 // and not for time, and end by asking the auditor about what happened.
 //
 // Invariants: after Close no process, goroutine, socket or file of the fleet is left; a process ends
 // with this program, however that ends; every request that a client of the fleet sent is in the
 // history with its end.
-package procs
+package cluster
 
 import (
 	"cmp"
--- a/internal/lab/procs/list.go
+++ b/internal/testkit/cluster/list.go
@@ -1,4 +1,4 @@
-package procs
+package cluster
 
 import (
 	"errors"
