--- a/internal/testkit/cluster/close_test.go
+++ b/internal/testkit/cluster/close_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // crossed is how many requests to a daemon that ends were on their way when it first closed a connection, and
@@ -18,14 +18,14 @@
 			at[t.ID] = t.At
 		}
 	}
-	first := audit.Never
+	first := historycheck.Never
 	for _, a := range h.Answered {
-		if _, ours := at[a.ID]; ours && a.End == audit.Unheard {
+		if _, ours := at[a.ID]; ours && a.End == historycheck.Unheard {
 			first = min(first, a.At)
 		}
 	}
 	for _, a := range h.Answered {
-		if t, ours := at[a.ID]; ours && a.End == audit.Unheard && t < first {
+		if t, ours := at[a.ID]; ours && a.End == historycheck.Unheard && t < first {
 			n++
 		}
 	}
@@ -34,7 +34,7 @@
 
 // departures are the requests whose clients went before a first attempt of them was written, and those of
 // them that were sent on more than 0.3 s later.
-func departures(h audit.History) (waited, sentOn int) {
+func departures(h historycheck.History) (waited, sentOn int) {
 	first := map[string]time.Duration{}
 	for _, s := range h.Sent {
 		if at, ok := first[s.ID]; !ok || s.First < at {
@@ -43,7 +43,7 @@
 	}
 	for _, a := range h.Answered {
 		at, sent := first[a.ID]
-		if a.End != audit.Left || sent && at <= a.At {
+		if a.End != historycheck.Left || sent && at <= a.At {
 			continue
 		}
 		waited++
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 const some = 20 // requests that show that a daemon serves
@@ -21,7 +21,9 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for i := range w.opt.Daemons {
-			if !slices.ContainsFunc(w.h.Told, func(x audit.Told) bool { return x.Scheduler == i && x.Node == "s0" && x.Word == audit.Draining }) {
+			if !slices.ContainsFunc(w.h.Told, func(x historycheck.Told) bool {
+				return x.Scheduler == i && x.Node == "s0" && x.Word == historycheck.Draining
+			}) {
 				return false
 			}
 		}
@@ -59,7 +61,7 @@
 	}
 }
 
-func (w *world) endsOf(e audit.End) (n int) {
+func (w *world) endsOf(e historycheck.End) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.h.Answered {
@@ -138,7 +140,7 @@
 			stop := w.Run(w.ctx, Load{Clients: 2, Gap: time.Millisecond, Ask: func(_, client, n int) Ask {
 				return Ask{Shard: n % 2, Volume: client, Leave: time.Duration(1+n%50) * time.Millisecond}
 			}})
-			w.until("clients leave", func() bool { return w.endsOf(audit.Left) > 100 })
+			w.until("clients leave", func() bool { return w.endsOf(historycheck.Left) > 100 })
 			w.serves(some)
 			stop()
 		}},
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -23,10 +23,10 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/discovery"
 	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 const (
@@ -102,7 +102,7 @@
 	since          []int64            // since_ms of each node
 	status         []discovery.Status // of each node on the list
 	mu             sync.Mutex
-	h              audit.History
+	h              historycheck.History
 	down           map[int]span // of a daemon that is not up: since when, and why
 	load           sync.WaitGroup
 	done           chan struct{}
@@ -309,7 +309,7 @@
 			if err := list.Set(ListDown); err != nil {
 				return err
 			}
-			f.h.Deaf = append(f.h.Deaf, audit.Span{Scheduler: i, From: 0, To: audit.Never, Turned: true})
+			f.h.Deaf = append(f.h.Deaf, historycheck.Span{Scheduler: i, From: 0, To: historycheck.Never, Turned: true})
 		}
 		index := int64(0)
 		if f.opt.Known {
@@ -547,7 +547,7 @@
 		return
 	}
 	delete(f.down, i)
-	one := audit.Span{Scheduler: i, From: s.from, To: f.now()}
+	one := historycheck.Span{Scheduler: i, From: s.from, To: f.now()}
 	if s.kill {
 		f.h.Killed = append(f.h.Killed, one)
 	} else {
@@ -558,7 +558,7 @@
 // Stop stops daemon i by SIGSTOP, until Continue.
 func (f *Fleet) Stop(i int) error {
 	f.mu.Lock()
-	f.h.Paused = append(f.h.Paused, audit.Span{Scheduler: i, From: f.now(), To: audit.Never})
+	f.h.Paused = append(f.h.Paused, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never})
 	f.mu.Unlock()
 	return f.procs[i].Signal(syscall.SIGSTOP)
 }
@@ -569,7 +569,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for k := range f.h.Paused {
-		if s := &f.h.Paused[k]; s.Scheduler == i && s.To == audit.Never {
+		if s := &f.h.Paused[k]; s.Scheduler == i && s.To == historycheck.Never {
 			s.To = f.now()
 		}
 	}
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -19,10 +19,10 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // gathering is a world of three daemons that gather, and three listed shards of two nodes each; a fourth is not listed.
@@ -80,7 +80,7 @@
 }
 
 // gathered is a gathered read of all shards as its client sends it, now.
-func (f *Fleet) gathered(scheduler int, class, plan string, units float64, patience time.Duration, more ...string) (audit.Taken, []byte) {
+func (f *Fleet) gathered(scheduler int, class, plan string, units float64, patience time.Duration, more ...string) (historycheck.Taken, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next++
@@ -88,7 +88,7 @@
 		Units: units, Shard: -1, Hosts: f.opt.Daemons, Deadline: patience}
 	text := bytes.Replace(m.Append(nil), []byte("\r\n\r\n"), []byte("\r\n"+strings.Join(append(more, "X-Gather: all"), "\r\n")+"\r\n\r\n"), 1)
 	now := f.now()
-	return audit.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: units, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
+	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: units, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
 }
 
 // heard is what came back on its connection; code 0: no head of an answer.
@@ -125,7 +125,7 @@
 	code   int
 	rows   []string
 	result gjson.Result
-	end    audit.End
+	end    historycheck.End
 	head   http.Header
 }
 
@@ -150,14 +150,14 @@
 	f.mu.Unlock()
 	r := &read{leave, make(chan answer, 1)}
 	go func() {
-		a := answer{id: id, end: audit.Unheard}
+		a := answer{id: id, end: historycheck.Unheard}
 		defer func() {
 			if ctx.Err() != nil {
-				a.end = audit.Left
+				a.end = historycheck.Left
 			}
 			leave()
 			f.mu.Lock()
-			f.h.Answered = append(f.h.Answered, audit.Answered{ID: id, At: f.now(), End: a.end})
+			f.h.Answered = append(f.h.Answered, historycheck.Answered{ID: id, At: f.now(), End: a.end})
 			f.mu.Unlock()
 			r.done <- a
 		}()
@@ -165,8 +165,8 @@
 		if a.code, a.head, a.result = h.code, h.head, h.result; a.code == 0 {
 			return
 		}
-		if a.end = audit.Whole; h.err != nil {
-			a.end = audit.Cut
+		if a.end = historycheck.Whole; h.err != nil {
+			a.end = historycheck.Cut
 		}
 		if a.code == 200 {
 			a.rows = strings.Fields(string(h.body))
@@ -203,7 +203,7 @@
 		return all
 	}
 	missing, torn := named("missing"), named("cut")
-	if a.code != 200 || a.end != audit.Whole || !a.result.Get("whole").Exists() || a.result.Get("whole").Bool() != (len(missing)+len(torn) == 0) {
+	if a.code != 200 || a.end != historycheck.Whole || !a.result.Get("whole").Exists() || a.result.Get("whole").Bool() != (len(missing)+len(torn) == 0) {
 		g.t.Errorf("%s: code %d, end %d, %s", a.id, a.code, a.end, a.result)
 		return
 	}
@@ -353,7 +353,7 @@
 				g.happens(s, never, 1)
 			}
 			r.leave()
-			if a := g.wait(r); a.end != audit.Left {
+			if a := g.wait(r); a.end != historycheck.Left {
 				t.Errorf("%+v", a)
 			}
 			for _, s := range listed {
@@ -411,7 +411,9 @@
 				g.must(g.Replace(6))
 				for i := range g.opt.Daemons {
 					g.until("it is told", func() bool {
-						return slices.ContainsFunc(g.History().Told, func(x audit.Told) bool { return x.Scheduler == i && x.Node == "s6" && x.Word == audit.Active })
+						return slices.ContainsFunc(g.History().Told, func(x historycheck.Told) bool {
+							return x.Scheduler == i && x.Node == "s6" && x.Word == historycheck.Active
+						})
 					})
 				}
 				var reads []*read
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // History is what has happened so far. An attempt has ended when its node had answered, or when the
 // node or the link before it saw its sender go.
-func (f *Fleet) History() audit.History {
+func (f *Fleet) History() historycheck.History {
 	f.mu.Lock()
 	h := f.h
 	h.Taken, h.Answered, h.Told = slices.Clone(h.Taken), slices.Clone(h.Answered), slices.Clone(h.Told)
@@ -22,7 +22,7 @@
 	h.Stood = slices.Clone(h.Stood)
 	for i := range f.procs {
 		if s, ok := f.down[i]; ok {
-			one := audit.Span{Scheduler: i, From: s.from, To: audit.Never}
+			one := historycheck.Span{Scheduler: i, From: s.from, To: historycheck.Never}
 			if s.kill {
 				h.Killed = append(h.Killed, one)
 			} else {
@@ -33,7 +33,7 @@
 	f.mu.Unlock()
 	at := func(t time.Time) time.Duration {
 		if t.IsZero() {
-			return audit.Never
+			return historycheck.Never
 		}
 		return t.Sub(f.start)
 	}
@@ -54,7 +54,7 @@
 		}
 		name := f.opt.Nodes[j].Name
 		for _, a := range n.Attempts() {
-			s := audit.Sent{ID: a.ID, Node: name, First: at(a.First), Whole: at(a.Whole), Ended: at(a.Ended), Turned: a.Turned}
+			s := historycheck.Sent{ID: a.ID, Node: name, First: at(a.First), Whole: at(a.Whole), Ended: at(a.Ended), Turned: a.Turned}
 			for _, c := range slices.Backward(conns[a.From]) {
 				if c.Opened.After(a.First) {
 					continue
@@ -69,22 +69,22 @@
 			}
 			h.Sent = append(h.Sent, s)
 			if !a.Ran.IsZero() {
-				h.Executed = append(h.Executed, audit.Executed{ID: a.ID, Node: name, At: at(a.Ran)})
+				h.Executed = append(h.Executed, historycheck.Executed{ID: a.ID, Node: name, At: at(a.Ran)})
 			}
 		}
 	}
-	slices.SortStableFunc(h.Sent, func(a, b audit.Sent) int { return cmp.Compare(a.First, b.First) })
+	slices.SortStableFunc(h.Sent, func(a, b historycheck.Sent) int { return cmp.Compare(a.First, b.First) })
 	return h
 }
 
 // partsOf makes the parts of gathered reads, which no client sent, requests of the scheduler that sent them, one for each of
 // their ids (the client's, a slash and more).
-func partsOf(taken []audit.Taken) func(id string, scheduler int, at time.Duration) (audit.Taken, bool) {
-	byID := map[string]audit.Taken{}
+func partsOf(taken []historycheck.Taken) func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
+	byID := map[string]historycheck.Taken{}
 	for _, t := range taken {
 		byID[t.ID] = t
 	}
-	return func(id string, scheduler int, at time.Duration) (audit.Taken, bool) {
+	return func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
 		of, _, part := strings.Cut(id, "/")
 		t, known := byID[of]
 		if _, seen := byID[id]; seen || !part || !known {
@@ -97,7 +97,7 @@
 }
 
 // Rules are the auditor's figures out of the daemons' settings.
-func (f *Fleet) Rules() audit.Rules {
+func (f *Fleet) Rules() historycheck.Rules {
 	set := f.settings
 	section := func(name string) map[string]any { m, _ := set[name].(map[string]any); return m }
 	num := func(m map[string]any, key string) float64 {
@@ -112,15 +112,15 @@
 	span := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	rules, extra := section("rules"), section("extra")
 	second, _ := section("ceilings")["second-copies"].(bool)
-	r := audit.Rules{Unsafe: map[string]bool{}, SecondCopies: second, Grace: span(num(rules, "stop-sending-within")), AskWithin: span(num(rules, "ask-within")),
-		Plans: map[string]audit.Plan{}, MeanUnits: num(extra, "usual-units"), ColdN: num(extra, "young-limit"), ColdFor: span(num(rules, "overload-for")),
+	r := historycheck.Rules{Unsafe: map[string]bool{}, SecondCopies: second, Grace: span(num(rules, "stop-sending-within")), AskWithin: span(num(rules, "ask-within")),
+		Plans: map[string]historycheck.Plan{}, MeanUnits: num(extra, "usual-units"), ColdN: num(extra, "young-limit"), ColdFor: span(num(rules, "overload-for")),
 		CreditShare: num(rules, "tip-multiple") / 2, Slack: slack}
 	for _, p := range entriesOf(set["profiles"]) {
 		r.Unsafe[fmt.Sprint(p["name"])] = p["repeat"] == "unsafe"
 	}
 	for _, p := range entriesOf(set["contracts"]) {
 		if limit := num(p, "cap"); limit > 0 {
-			r.Plans[fmt.Sprint(p["name"])] = audit.Plan{Cap: limit, Burst: num(p, "burst")}
+			r.Plans[fmt.Sprint(p["name"])] = historycheck.Plan{Cap: limit, Burst: num(p, "burst")}
 		}
 	}
 	return r
@@ -131,7 +131,7 @@
 func entriesOf(v any) []map[string]any { l, _ := v.([]map[string]any); return l }
 
 // Audit asks the auditor about what has happened so far.
-func (f *Fleet) Audit() []audit.Violation { return audit.Check(f.Rules(), f.History()) }
+func (f *Fleet) Audit() []historycheck.Violation { return historycheck.Check(f.Rules(), f.History()) }
 
 const stoodLeast, standEvery = 25 * time.Millisecond, 5 * time.Millisecond
 
@@ -151,7 +151,7 @@
 		now := f.now()
 		if now-last > stoodLeast {
 			f.mu.Lock()
-			f.h.Stood = append(f.h.Stood, audit.Span{From: last, To: now})
+			f.h.Stood = append(f.h.Stood, historycheck.Span{From: last, To: now})
 			f.mu.Unlock()
 		}
 		last = now
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 const (
@@ -163,7 +163,7 @@
 				defer w.mu.Unlock()
 				told := map[int]bool{}
 				for _, x := range w.h.Told {
-					if x.Node == "s0" && x.Word == audit.Gone {
+					if x.Node == "s0" && x.Word == historycheck.Gone {
 						told[x.Scheduler] = true
 					}
 				}
--- a/internal/testkit/cluster/list.go
+++ b/internal/testkit/cluster/list.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // Entry is a node as a list has it.
@@ -114,7 +114,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range entries {
-		f.h.Told = append(f.h.Told, audit.Told{Scheduler: i, Node: e.Name, Word: words[e.Status], At: f.now()})
+		f.h.Told = append(f.h.Told, historycheck.Told{Scheduler: i, Node: e.Name, Word: words[e.Status], At: f.now()})
 	}
 }
 
@@ -146,7 +146,7 @@
 
 // chill notes that a node starts cold now, and gives its since_ms: the Unix time.
 func (f *Fleet) markCold(node string) int64 {
-	f.h.Cold = append(f.h.Cold, audit.Change{Node: node, At: f.now()})
+	f.h.Cold = append(f.h.Cold, historycheck.Change{Node: node, At: f.now()})
 	return time.Now().UnixMilli()
 }
 
@@ -154,7 +154,7 @@
 func (f *Fleet) Mark(j int, status string) error {
 	f.mu.Lock()
 	f.status[j] = discovery.Status(status)
-	f.h.Changed = append(f.h.Changed, audit.Change{Node: f.opt.Nodes[j].Name, Word: words[f.status[j]], At: f.now()})
+	f.h.Changed = append(f.h.Changed, historycheck.Change{Node: f.opt.Nodes[j].Name, Word: words[f.status[j]], At: f.now()})
 	f.mu.Unlock()
 	var errs []error
 	for i, l := range f.lists {
@@ -176,10 +176,10 @@
 // SetList switches the fault of daemon i's list.
 func (f *Fleet) SetList(i int, fault ListFault) error {
 	f.mu.Lock()
-	k := slices.IndexFunc(f.h.Deaf, func(s audit.Span) bool { return s.Scheduler == i && s.To == audit.Never })
+	k := slices.IndexFunc(f.h.Deaf, func(s historycheck.Span) bool { return s.Scheduler == i && s.To == historycheck.Never })
 	heard := fault == ListWell || fault == ListMute // by who asks
 	if !heard && k < 0 {
-		f.h.Deaf = append(f.h.Deaf, audit.Span{Scheduler: i, From: f.now(), To: audit.Never, Turned: fault != ListSilent})
+		f.h.Deaf = append(f.h.Deaf, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never, Turned: fault != ListSilent})
 	}
 	if heard && k >= 0 {
 		f.h.Deaf[k].To = f.now()
@@ -188,4 +188,4 @@
 	return f.lists[i].Set(fault)
 }
 
-var words = map[discovery.Status]audit.Word{discovery.Active: audit.Active, discovery.Leaving: audit.Draining, discovery.Left: audit.Gone}
+var words = map[discovery.Status]historycheck.Word{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Gone}
--- a/internal/testkit/cluster/procs_test.go
+++ b/internal/testkit/cluster/procs_test.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 	"go.uber.org/goleak"
 
-	"wheatsaddle/internal/lab/audit"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 var daemon string // built once for all tests
@@ -171,7 +171,7 @@
 	w.until("a first request is served", func() bool { return client.Ask(Ask{}).Code == fasthttp.StatusOK })
 	w.must(w.Kill(0))
 	w.must(w.Restart(w.ctx, 0))
-	if o := client.Ask(Ask{}); o.End != audit.Whole {
+	if o := client.Ask(Ask{}); o.End != historycheck.Whole {
 		t.Errorf("asked of the restarted process: %+v", o)
 	}
 	w.serves(some)
--- a/internal/testkit/cluster/replace_test.go
+++ b/internal/testkit/cluster/replace_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/lab/client"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // What a daemon says as it goes on; a test waits for it.
@@ -131,7 +131,7 @@
 		{fault: "the old one is stopped, then killed", expected: "nobody serves meanwhile, as it would spend its limits when it runs on; then the next one does", run: func(r *replaced) {
 			p := r.next()
 			r.must(r.Stop(0))
-			r.until("nobody serves", func() bool { return r.Ask(Ask{Deadline: 200 * time.Millisecond}).End == audit.Unheard })
+			r.until("nobody serves", func() bool { return r.Ask(Ask{Deadline: 200 * time.Millisecond}).End == historycheck.Unheard })
 			r.silent(p, saysAccepts)
 			r.must(r.now.Signal(syscall.SIGTERM)) // it waits, too
 			r.killed(p)
@@ -180,7 +180,7 @@
 			_, err = nc.Write(text[:half])
 			r.must(err)
 			r.mu.Lock()
-			r.h.Taken = append(r.h.Taken, audit.Taken{ID: m.ID, Class: m.Class, Plan: m.Plan, Volume: m.Volume, Units: 1, At: r.Fleet.now(), GivesUp: r.Fleet.now() + 5*time.Second})
+			r.h.Taken = append(r.h.Taken, historycheck.Taken{ID: m.ID, Class: m.Class, Plan: m.Plan, Volume: m.Volume, Units: 1, At: r.Fleet.now(), GivesUp: r.Fleet.now() + 5*time.Second})
 			r.mu.Unlock()
 			p := r.next()
 			r.must(r.now.Signal(syscall.SIGTERM))
@@ -193,7 +193,7 @@
 				r.t.Errorf("%v, %d, closes: %v", err, a.StatusCode(), a.ConnectionClose())
 			}
 			r.mu.Lock()
-			r.h.Answered = append(r.h.Answered, audit.Answered{ID: m.ID, At: r.Fleet.now(), End: audit.Whole})
+			r.h.Answered = append(r.h.Answered, historycheck.Answered{ID: m.ID, At: r.Fleet.now(), End: historycheck.Whole})
 			r.mu.Unlock()
 			if n, err := nc.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 				r.t.Errorf("%d bytes, %v", n, err)
@@ -217,7 +217,7 @@
 			}
 			r.mu.Lock()
 			for _, id := range ids {
-				r.h.Taken = append(r.h.Taken, audit.Taken{ID: id, Class: "read", Plan: "small", Volume: fmt.Sprintf("%016x", 99), Units: 1, At: r.Fleet.now(), GivesUp: audit.Never})
+				r.h.Taken = append(r.h.Taken, historycheck.Taken{ID: id, Class: "read", Plan: "small", Volume: fmt.Sprintf("%016x", 99), Units: 1, At: r.Fleet.now(), GivesUp: historycheck.Never})
 			}
 			r.mu.Unlock()
 			_, err = nc.Write(text)
@@ -238,7 +238,7 @@
 					after++
 				}
 				r.mu.Lock()
-				r.h.Answered = append(r.h.Answered, audit.Answered{ID: ids[n], At: r.Fleet.now(), End: audit.Whole})
+				r.h.Answered = append(r.h.Answered, historycheck.Answered{ID: ids[n], At: r.Fleet.now(), End: historycheck.Whole})
 				r.mu.Unlock()
 				closed = a.ConnectionClose()
 			}
@@ -247,7 +247,7 @@
 			}
 			r.mu.Lock()
 			for _, id := range ids[n:] {
-				r.h.Answered = append(r.h.Answered, audit.Answered{ID: id, At: r.Fleet.now(), End: audit.Left})
+				r.h.Answered = append(r.h.Answered, historycheck.Answered{ID: id, At: r.Fleet.now(), End: historycheck.Left})
 			}
 			r.mu.Unlock()
 			r.must(r.now.End(r.ctx))
--- a/internal/testkit/cluster/traffic.go
+++ b/internal/testkit/cluster/traffic.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/lab/client"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // Ask is one request of a client. Its ID is the fleet's.
@@ -35,7 +35,7 @@
 // Outcome is how it ended.
 type Outcome struct {
 	ID   string
-	End  audit.End
+	End  historycheck.End
 	Code int
 	None bool // no connection came up: nothing was sent
 	At   time.Duration
@@ -121,7 +121,7 @@
 		}
 		c.nc, c.br = nc, bufio.NewReader(nc)
 	}
-	t := audit.Taken{ID: id, Class: a.Class, Plan: a.Plan, Volume: m.Volume, Units: a.Units, Scheduler: c.to, At: f.now()}
+	t := historycheck.Taken{ID: id, Class: a.Class, Plan: a.Plan, Volume: m.Volume, Units: a.Units, Scheduler: c.to, At: f.now()}
 	t.GivesUp = t.At + a.Deadline
 	f.mu.Lock()
 	f.h.Taken = append(f.h.Taken, t)
@@ -129,8 +129,8 @@
 	end, code, of, after := c.exchange(m, a, time.Now())
 	o := Outcome{ID: id, End: end, Code: code, At: f.now()}
 	f.mu.Lock()
-	f.h.Answered = append(f.h.Answered, audit.Answered{ID: id, At: o.At, End: end, Of: of})
-	if code == fasthttp.StatusOK && end == audit.Whole {
+	f.h.Answered = append(f.h.Answered, historycheck.Answered{ID: id, At: o.At, End: end, Of: of})
+	if code == fasthttp.StatusOK && end == historycheck.Whole {
 		f.ok[c.to]++
 	}
 	f.codes[code]++
@@ -144,31 +144,31 @@
 // patience is how much longer than its deadline a client waits, so that a late answer is seen as one.
 const patience = 500 * time.Millisecond
 
-func (c *Conn) exchange(m client.Message, a Ask, start time.Time) (end audit.End, code int, of string, after time.Duration) {
+func (c *Conn) exchange(m client.Message, a Ask, start time.Time) (end historycheck.End, code int, of string, after time.Duration) {
 	until := start.Add(a.Deadline + patience)
 	if a.Leave > 0 {
 		until = start.Add(a.Leave)
 	}
 	if err := c.nc.SetDeadline(until); err != nil {
 		c.Close()
-		return audit.Unheard, 0, "", 0
+		return historycheck.Unheard, 0, "", 0
 	}
-	gone := func(err error, otherwise audit.End) audit.End {
+	gone := func(err error, otherwise historycheck.End) historycheck.End {
 		c.Close()
 		if a.Leave > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			return audit.Left
+			return historycheck.Left
 		}
 		return otherwise
 	}
 	if _, err := c.nc.Write(m.Append(nil)); err != nil {
-		return gone(err, audit.Unheard), 0, "", 0
+		return gone(err, historycheck.Unheard), 0, "", 0
 	}
 	if _, err := c.br.Peek(1); err != nil {
-		return gone(err, audit.Unheard), 0, "", 0
+		return gone(err, historycheck.Unheard), 0, "", 0
 	}
 	var r fasthttp.Response
 	if err := r.Read(c.br); err != nil {
-		return gone(err, audit.Cut), 0, "", 0
+		return gone(err, historycheck.Cut), 0, "", 0
 	}
 	if r.StatusCode() == fasthttp.StatusOK {
 		of, _, _ = strings.Cut(string(r.Body()), bodyMarker)
@@ -178,12 +178,12 @@
 	}
 	if c.br.Buffered() > 0 { // more than one answer
 		c.Close()
-		return audit.Cut, r.StatusCode(), of, after
+		return historycheck.Cut, r.StatusCode(), of, after
 	}
 	if r.ConnectionClose() {
 		c.Close()
 	}
-	return audit.Whole, r.StatusCode(), of, after
+	return historycheck.Whole, r.StatusCode(), of, after
 }
 
 // Load is traffic at a rate from clients that keep their connections: each of Clients of each
--- a/internal/testkit/cluster/tree_test.go
+++ b/internal/testkit/cluster/tree_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/lab/audit"
 	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/historycheck"
 )
 
 // grove is a fleet whose last daemon hands parts of gathered reads on to the others, each over a link.
@@ -26,8 +26,8 @@
 	root  int
 	links []*link.Link // to peers
 	rows  *node.Rows
-	reads []audit.Taken
-	ends  []audit.Answered
+	reads []historycheck.Taken
+	ends  []historycheck.Answered
 	who   sharing // where they know who is alive
 }
 
@@ -122,11 +122,11 @@
 	f := g.Fleet
 	taken, text := f.gathered(i, class, plan, 1, patience)
 	defer func() {
-		end := audit.Whole
+		end := historycheck.Whole
 		if r.err != nil {
-			end = audit.Cut
+			end = historycheck.Cut
 		}
-		g.reads, g.ends = append(g.reads, taken), append(g.ends, audit.Answered{ID: taken.ID, At: f.now(), End: end})
+		g.reads, g.ends = append(g.reads, taken), append(g.ends, historycheck.Answered{ID: taken.ID, At: f.now(), End: end})
 		r.took = f.now() - taken.At
 	}()
 	nc, err := net.Dial("tcp", f.ClientLink(i).Addr())
@@ -184,7 +184,7 @@
 	seen := map[string]bool{}
 	for _, s := range h.Sent {
 		read, part, ok := strings.Cut(s.ID, "/")
-		k := slices.IndexFunc(g.reads, func(r audit.Taken) bool { return r.ID == read })
+		k := slices.IndexFunc(g.reads, func(r historycheck.Taken) bool { return r.ID == read })
 		if !ok || k < 0 || seen[s.ID] {
 			continue
 		}
@@ -193,12 +193,12 @@
 		if strings.HasPrefix(part, "g") {
 			a.At = max(a.At, t.GivesUp)
 		}
-		t.ID, a.ID, a.End, a.Of = s.ID, s.ID, audit.Whole, ""
+		t.ID, a.ID, a.End, a.Of = s.ID, s.ID, historycheck.Whole, ""
 		t.GivesUp = max(t.GivesUp, a.At)
 		h.Taken, h.Answered = append(h.Taken, t), append(h.Answered, a)
 	}
 	h.Taken, h.Answered = append(h.Taken, g.reads...), append(h.Answered, g.ends...)
-	for i, v := range audit.Check(g.Rules(), h) {
+	for i, v := range historycheck.Check(g.Rules(), h) {
 		if i < 5 {
 			g.t.Error(v)
 		}
--- a/internal/lab/audit/audit.go
+++ b/internal/testkit/historycheck/audit.go
@@ -1,4 +1,4 @@
-// Package audit is the auditor of a rehearsal with several processes: from the history of who took,
+// Package historycheck is the auditor of a rehearsal with several processes: from the history of who took,
 // sent, executed, answered and was told what, it says which rules of the platform were broken.
 // It is a pure function; the history is the tests' (internal/testkit/cluster makes one).
 //
@@ -22,7 +22,7 @@
 //	stray      nothing comes to a node under an id that no client sent
 //
 // Limits of time are Slack longer: what is seen at a node is seen after it was done.
-package audit
+package historycheck
 
 import (
 	"cmp"
--- a/internal/lab/audit/audit_test.go
+++ b/internal/testkit/historycheck/audit_test.go
@@ -1,4 +1,4 @@
-package audit
+package historycheck
 
 import (
 	"fmt"
