--- a/internal/lab/addresses/addresses.go
+++ b/internal/lab/addresses/addresses.go
@@ -29,8 +29,8 @@
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
-	"wheatsaddle/internal/lab/example"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/exampleconfig"
 )
 
 // Options are the experiment's.
@@ -174,7 +174,7 @@
 
 // Settings are the module's in these scenarios: the examples', for one scheduler and two nodes.
 func Settings() choice.Settings {
-	s, err := config.Settings(gjson.ParseBytes(example.Settings))
+	s, err := config.Settings(gjson.ParseBytes(exampleconfig.Settings))
 	if err != nil {
 		panic("the example settings: " + err.Error()) // they are part of the program
 	}
--- a/internal/lab/arrival/shape.go
+++ b/internal/lab/arrival/shape.go
@@ -15,7 +15,7 @@
 	"fmt"
 	"time"
 
-	"wheatsaddle/internal/lab/example"
+	"wheatsaddle/internal/testkit/exampleconfig"
 )
 
 // Shape is the traffic. Times are milliseconds in its JSON.
@@ -78,7 +78,7 @@
 
 // Default is the traffic of the examples, with surges.
 func Default() (s Shape) {
-	d := json.NewDecoder(bytes.NewReader(example.Shape))
+	d := json.NewDecoder(bytes.NewReader(exampleconfig.Shape))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
 		panic("the example shape: " + err.Error()) // it is part of the program
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -19,9 +19,9 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/lab/arrival"
-	"wheatsaddle/internal/lab/example"
 	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/cluster"
+	"wheatsaddle/internal/testkit/exampleconfig"
 )
 
 // Options are a fleet's.
@@ -116,21 +116,21 @@
 	}
 	s := opt.Shape
 	var set map[string]any
-	if err := json.Unmarshal(example.Settings, &set); err != nil {
+	if err := json.Unmarshal(exampleconfig.Settings, &set); err != nil {
 		return err
 	}
 	var profiles, contracts []map[string]any
 	for _, c := range s.Classes {
 		p := map[string]any{"name": c.Name, "goal-time": c.Aim, "deadline": c.Deadline, "worth": c.Worth, "late-worth": c.LateWorth, "repeat": "safe"}
 		if c.Keyed {
-			p["repeat"], p["key-scope"], p["memory-span"] = "keyed", "cell", gjson.GetBytes(example.Settings, "profiles.#.memory-span").Array()[0].Num
+			p["repeat"], p["key-scope"], p["memory-span"] = "keyed", "cell", gjson.GetBytes(exampleconfig.Settings, "profiles.#.memory-span").Array()[0].Num
 		} else if c.Write {
 			p["repeat"] = "unsafe"
 		}
 		profiles = append(profiles, p)
 	}
 	for _, p := range s.Plans {
-		contract, _ := gjson.GetBytes(example.Settings, "contracts.0").Value().(map[string]any)
+		contract, _ := gjson.GetBytes(exampleconfig.Settings, "contracts.0").Value().(map[string]any)
 		contract["name"] = p.Name
 		contracts = append(contracts, contract)
 	}
--- a/internal/lab/example/example.go
+++ b/internal/testkit/exampleconfig/example.go
@@ -1,7 +1,7 @@
-// Package example holds the kit's world as data: the settings that its schedulers run with and the
+// Package exampleconfig holds the kit's world as data: the settings that its schedulers run with and the
 // traffic that is sent where no shape is given. Classes, plans and figures of the kit come from here;
 // they are nobody's. A test keeps their names, and those of known deployments, out of the code.
-package example
+package exampleconfig
 
 import (
 	_ "embed"
--- a/internal/lab/example/example_test.go
+++ b/internal/testkit/exampleconfig/example_test.go
@@ -1,4 +1,4 @@
-package example
+package exampleconfig
 
 import (
 	"encoding/json"
