--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -10,11 +10,11 @@
 	"github.com/urfave/cli/v2"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/lab/fleet"
 	"wheatsaddle/internal/lab/load"
 	"wheatsaddle/internal/pace"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 const (
@@ -45,17 +45,17 @@
 }
 
 // readShape is the shape of traffic that the flags name; without a file the default one with an early surge.
-func readShape(c *cli.Context) (arrival.Shape, error) {
-	s := arrival.Default()
+func readShape(c *cli.Context) (workload.Shape, error) {
+	s := workload.Default()
 	if file := c.String("shape"); file != "" {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return s, fmt.Errorf("shape: %w", err)
 		}
-		if err := config.CheckSchema("shape", arrival.Schema, text); err != nil {
+		if err := config.CheckSchema("shape", workload.Schema, text); err != nil {
 			return s, err
 		}
-		if s, err = arrival.Parse(text); err != nil {
+		if s, err = workload.Parse(text); err != nil {
 			return s, err
 		}
 	} else {
@@ -88,7 +88,7 @@
 		defer own.Close()
 		targets = own.Targets
 	}
-	schedule, err := arrival.New(shape, c.Uint64("seed"), c.Duration("for"))
+	schedule, err := workload.New(shape, c.Uint64("seed"), c.Duration("for"))
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 }
 
 // startFleet starts stand-in nodes and schedulers for the shape.
-func startFleet(c *cli.Context, shape arrival.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
+func startFleet(c *cli.Context, shape workload.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
 	own, err := fleet.Start(c.Context, fleet.Options{
 		Shape:      shape,
 		Schedulers: ownSchedulers,
@@ -134,7 +134,7 @@
 
 // reportLoad prints and writes the result. It stops the own schedulers, whose processor time is known then. The error
 // is a bound where the load generator itself was too slow for the run to be valid.
-func reportLoad(c *cli.Context, res *load.Results, schedule *arrival.Schedule, own *fleet.Fleet) error {
+func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, own *fleet.Fleet) error {
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
 	}
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/operr"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 // The exit codes.
@@ -70,7 +70,7 @@
 		},
 		Commands: []*cli.Command{addressesCommand(), loadCommand(), costCommand(), coldstartCommand(), gatherCommand(),
 			{Name: "shape-schema", Usage: "print the JSON Schema of a shape of traffic", Action: func(c *cli.Context) error {
-				_, err := c.App.Writer.Write(arrival.Schema)
+				_, err := c.App.Writer.Write(workload.Schema)
 				return err
 			}}},
 	}
--- a/internal/lab/addresses/addresses.go
+++ b/internal/lab/addresses/addresses.go
@@ -27,10 +27,10 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/exampleconfig"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 // Options are the experiment's.
@@ -54,7 +54,7 @@
 var Classes = classes()
 
 func classes() (list []Class) {
-	for _, c := range arrival.Default().Classes {
+	for _, c := range workload.Default().Classes {
 		list = append(list, Class{Name: c.Name, Share: c.Share, Aim: span(c.Aim), Deadline: span(c.Deadline), Worth: c.Worth, Keyed: c.Keyed})
 	}
 	return list
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -18,15 +18,15 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/cluster"
 	"wheatsaddle/internal/testkit/exampleconfig"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 // Options are a fleet's.
 type Options struct {
-	Shape      arrival.Shape
+	Shape      workload.Shape
 	Schedulers int
 	Daemon     string        // path of the built daemon; empty: beside this program, or built
 	Service    time.Duration // mean work of a unit at a node
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/standin/server"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 const ms = time.Millisecond
@@ -34,11 +34,11 @@
 }
 
 // play runs a shape against a stand-in on virtual time, over connections in memory.
-func play(t *testing.T, opt server.Options, mode server.Mode, s arrival.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
+func play(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
 	srv.Set(mode)
-	src, err := arrival.New(s, 1, span)
+	src, err := workload.New(s, 1, span)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,10 +61,10 @@
 }
 
 // plain is one class at a constant rate.
-func plain(rate float64) arrival.Shape {
-	s := arrival.Default()
+func plain(rate float64) workload.Shape {
+	s := workload.Default()
 	s.Process, s.Rate, s.Surges = "constant", rate, nil
-	s.Classes = []arrival.Class{{Name: "balance-read", Share: 1, Deadline: 1500, Aim: 250, Worth: 3, LateWorth: 1}}
+	s.Classes = []workload.Class{{Name: "balance-read", Share: 1, Deadline: 1500, Aim: 250, Worth: 3, LateWorth: 1}}
 	return s
 }
 
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		opt := server.Options{Service: 20 * ms, Stall: 200 * ms, Every: 2 * time.Second}
 		s := plain(400)
-		s.Steps = []arrival.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
+		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
 		res, srv := play(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
 		if all.Asked < 7990 || all.Ends[client.Served] != all.Asked || !res.Notes.Judge().Valid {
@@ -137,7 +137,7 @@
 // Two workers' results, sent as JSON and merged, equal one worker's of the union.
 func TestWorkersMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := arrival.Default()
+		s := workload.Default()
 		opt := server.Options{Service: 7 * ms, Stall: 100 * ms, Every: time.Second}
 		one, _ := play(t, opt, server.Answer, s, 5*time.Second, nil)
 		var sum *Results
--- a/internal/lab/load/results.go
+++ b/internal/lab/load/results.go
@@ -9,9 +9,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 // Times is a histogram of microseconds.
@@ -96,7 +96,7 @@
 
 // Results are a run's, or a worker's part of it.
 type Results struct {
-	Shape    arrival.Shape      `json:"shape"`
+	Shape    workload.Shape     `json:"shape"`
 	Took     time.Duration      `json:"took"`
 	Notes    *pace.Notes        `json:"notes"`
 	Classes  map[string]*Part   `json:"classes"`
@@ -106,7 +106,7 @@
 }
 
 // NewResults makes empty ones.
-func NewResults(s arrival.Shape, n *pace.Notes) *Results {
+func NewResults(s workload.Shape, n *pace.Notes) *Results {
 	r := &Results{Shape: s, Notes: n, Classes: map[string]*Part{}, Plans: map[string]*Part{}}
 	for _, c := range s.Classes {
 		r.Classes[c.Name] = newPart(digits)
@@ -118,7 +118,7 @@
 }
 
 // parts are those that a request counts in.
-func (r *Results) parts(q *arrival.Request) [3]*Part {
+func (r *Results) parts(q *workload.Request) [3]*Part {
 	second, class := int(q.At/time.Second), r.Shape.Classes[q.Class].Name
 	for len(r.Seconds) <= second {
 		r.Seconds = append(r.Seconds, map[string]*Part{})
@@ -130,7 +130,7 @@
 }
 
 // keep counts a request that was not sent.
-func (r *Results) keep(q *arrival.Request) {
+func (r *Results) keep(q *workload.Request) {
 	for _, p := range r.parts(q) {
 		p.Asked++
 		p.Kept++
@@ -139,7 +139,7 @@
 }
 
 // take counts a request that has ended.
-func (r *Results) take(q *arrival.Request, a *client.Answer, due, start time.Time, tries int) {
+func (r *Results) take(q *workload.Request, a *client.Answer, due, start time.Time, tries int) {
 	c := &r.Shape.Classes[q.Class]
 	latency := a.Ended.Sub(due)
 	inAim := a.Outcome == client.Served && float64(latency) <= c.Aim*float64(time.Millisecond)
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -14,19 +14,19 @@
 	"sync/atomic"
 	"time"
 
-	"wheatsaddle/internal/lab/arrival"
 	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
+	"wheatsaddle/internal/testkit/workload"
 )
 
 // Source gives arrivals in the order of time.
 type Source interface {
-	Next() (arrival.Request, bool)
+	Next() (workload.Request, bool)
 }
 
 // Options are a run's.
 type Options struct {
-	Shape    arrival.Shape
+	Shape    workload.Shape
 	Source   Source
 	Pools    []*client.Pool // schedulers; a volume's host picks one
 	Run      string         // begins each request's id
@@ -130,7 +130,7 @@
 }
 
 // one plays a request and, where it is refused or reset, its client's one retry.
-func (r *runner) one(q *arrival.Request) {
+func (r *runner) one(q *workload.Request) {
 	m := r.message(q)
 	due := r.start.Add(q.At)
 	pool := r.opt.Pools[(q.Volume+q.Host)%len(r.opt.Pools)]
@@ -160,7 +160,7 @@
 
 // message words a request. A read of a new object goes where its write was put, which only the
 // answer told; if that is not known yet, by its extent.
-func (r *runner) message(q *arrival.Request) *client.Message {
+func (r *runner) message(q *workload.Request) *client.Message {
 	s := &r.opt.Shape
 	c := &s.Classes[q.Class]
 	m := &client.Message{ID: fmt.Sprintf("%s-%d", r.opt.Run, q.Seq), Class: c.Name, Plan: s.Plans[q.Plan].Name,
--- a/internal/lab/arrival/arrival_test.go
+++ b/internal/testkit/workload/arrival_test.go
@@ -1,4 +1,4 @@
-package arrival
+package workload
 
 import (
 	"encoding/json"
--- a/internal/lab/arrival/shape.go
+++ b/internal/testkit/workload/shape.go
@@ -1,4 +1,4 @@
-// Package arrival is the model of the load: when requests are due and what each asks for. It is
+// Package workload is the model of the load: when requests are due and what each asks for. It is
 // pure: a Schedule draws from a seed (PCG), reads no clock and knows no answers, so the same shape
 // and seed give the same requests whatever the server does. Requests are made one by one, as they
 // are asked for.
@@ -6,7 +6,7 @@
 // Invariants: times never fall; a request's every field comes from the seed and the shape; the
 // mean rate over a long span is the integral of the shape's rate; a Schedule's memory does not
 // grow with the requests it has given.
-package arrival
+package workload
 
 import (
 	"bytes"
