--- a/internal/lab/addresses/addresses.go
+++ b/internal/lab/addresses/addresses.go
@@ -27,8 +27,8 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/exampleconfig"
 	"wheatsaddle/internal/testkit/workload"
 )
--- a/internal/lab/coldstart/real.go
+++ b/internal/lab/coldstart/real.go
@@ -18,10 +18,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatsaddle/choice"
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/standin/discovery"
 	"wheatsaddle/internal/standin/link"
 	standin "wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/cluster"
 )
 
--- a/internal/lab/costs/real_requests.go
+++ b/internal/lab/costs/real_requests.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"wheatsaddle/internal/lab/client"
+	"wheatsaddle/internal/testkit/client"
 )
 
 // requestIDFormat carries a request's units and luck in its id, because daemons send their nodes no IO-Info.
--- a/internal/lab/costs/real_world.go
+++ b/internal/lab/costs/real_world.go
@@ -17,8 +17,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/cluster"
 )
 
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/standin/server"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/workload"
 )
 
--- a/internal/lab/load/print.go
+++ b/internal/lab/load/print.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 	"time"
 
-	"wheatsaddle/internal/lab/client"
+	"wheatsaddle/internal/testkit/client"
 )
 
 // Print writes the summary. Its first line says whether the run may be believed.
--- a/internal/lab/load/results.go
+++ b/internal/lab/load/results.go
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/workload"
 )
 
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"wheatsaddle/internal/lab/client"
 	"wheatsaddle/internal/pace"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/workload"
 )
 
--- a/internal/testkit/cluster/replace_test.go
+++ b/internal/testkit/cluster/replace_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/lab/client"
+	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
