--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v2"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/lab/fleet"
 	"wheatsaddle/internal/lab/load"
 	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
+	"wheatsaddle/internal/testkit/fleet"
 	"wheatsaddle/internal/testkit/workload"
 )
 
