--- a/cmd/loadtest/addresses.go
+++ b/cmd/loadtest/addresses.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/addresses"
+	"wheatsaddle/internal/testkit/experiment/addresses"
 )
 
 func addressesCommand() *cli.Command {
