--- a/cmd/loadtest/coldstart.go
+++ b/cmd/loadtest/coldstart.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/coldstart"
+	"wheatsaddle/internal/testkit/experiment/coldstart"
 )
 
 const processesMost = 1000 // in one experiment with processes of the daemon
