--- a/cmd/loadtest/cost.go
+++ b/cmd/loadtest/cost.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/costs"
+	"wheatsaddle/internal/testkit/experiment/costs"
 )
 
 func costCommand() *cli.Command {
