--- a/cmd/loadtest/gather.go
+++ b/cmd/loadtest/gather.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v2"
 
-	"wheatsaddle/internal/lab/gathers"
+	"wheatsaddle/internal/testkit/experiment/gathers"
 )
 
 func gatherCommand() *cli.Command {
