--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -10,9 +10,9 @@
 	"github.com/urfave/cli/v2"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/lab/load"
 	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
+	"wheatsaddle/internal/testkit/experiment/load"
 	"wheatsaddle/internal/testkit/fleet"
 	"wheatsaddle/internal/testkit/workload"
 )
