--- a/cmd/wheatsaddle/large_test.go
+++ b/cmd/wheatsaddle/large_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 const (
--- a/cmd/wheatsaddle/list_test.go
+++ b/cmd/wheatsaddle/list_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 // listGuard is how long a test waits for what has to come before it says that it did not.
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/peers"
 	"wheatsaddle/internal/registry"
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 // quick is a node that serves at once, and notes what is opened or asked ahead of need.
--- a/internal/listclock/reachable_test.go
+++ b/internal/listclock/reachable_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 // response is what a list's service does with the calls that come.
--- a/internal/operr/page/main.go
+++ b/internal/operr/page/main.go
@@ -30,8 +30,8 @@
 	_ "wheatsaddle/internal/replay"
 	_ "wheatsaddle/internal/scatter"
 	_ "wheatsaddle/internal/sock"
-	_ "wheatsaddle/internal/standin/discovery"
 	_ "wheatsaddle/internal/testkit/cluster"
+	_ "wheatsaddle/internal/testkit/fake/discovery"
 )
 
 const pageFile = "docs/ops/errors.md"
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pace_test.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 // testPace is a Pace that the test controls.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/rapidtest"
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/testkit/cluster/list.go
+++ b/internal/testkit/cluster/list.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/internal/standin/discovery"
+	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
