--- a/internal/scatter/tree_ask_test.go
+++ b/internal/scatter/tree_ask_test.go
@@ -20,7 +20,7 @@
 
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/fake/link"
 )
 
 const (
--- a/internal/testkit/cluster/close_test.go
+++ b/internal/testkit/cluster/close_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/fake/link"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/fake/link"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/fake/link"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"wheatsaddle/internal/observations"
-	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/fake/link"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/peers_test.go
@@ -20,7 +20,7 @@
 	"github.com/tidwall/gjson"
 
 	"wheatsaddle/internal/observations"
-	"wheatsaddle/internal/standin/link"
+	"wheatsaddle/internal/testkit/fake/link"
 )
 
 // peerSite are the sections by which a daemon tells the others and serves its counts, and where.
--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -16,9 +16,9 @@
 
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
-	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/internal/testkit/fake/link"
 )
 
 // starting is a world whose daemons have the section start and are not up yet. Nodes 0 and 2, one of each shard, have
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"wheatsaddle/internal/standin/link"
 	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/fake/link"
 )
 
 // change is what happens to the parties at one moment of a run.
