--- a/cmd/wheatsaddle/gathered_test.go
+++ b/cmd/wheatsaddle/gathered_test.go
@@ -17,7 +17,7 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/observations"
-	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 const gatherSite = `{"gather":{"reads_at_once":1,"parts_most":8,"rules":{"classes":{"balance-read":{"order":[{"key":"k","type":"integer"}],
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	standnode "wheatsaddle/internal/standin/node"
+	standnode "wheatsaddle/internal/testkit/fake/node"
 )
 
 // until waits for a condition.
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -22,7 +22,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scatter"
-	storage "wheatsaddle/internal/standin/node"
+	storage "wheatsaddle/internal/testkit/fake/node"
 )
 
 const gatherShards = 4
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -21,7 +21,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
-	storage "wheatsaddle/internal/standin/node"
+	storage "wheatsaddle/internal/testkit/fake/node"
 )
 
 // A request is lost whose attempt begins after its client has gone. Each test holds the attempt, or the core, at the named
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -21,7 +21,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
-	standnode "wheatsaddle/internal/standin/node"
+	standnode "wheatsaddle/internal/testkit/fake/node"
 )
 
 const ms = time.Millisecond
--- a/internal/httpfront/scarce_test.go
+++ b/internal/httpfront/scarce_test.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	capped "wheatsaddle/internal/standin/node"
+	capped "wheatsaddle/internal/testkit/fake/node"
 )
 
 // A node that holds four connections of three schedulers together. One has had a burst, and was refused
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -23,9 +23,9 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -19,9 +19,9 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -16,9 +16,9 @@
 
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // starting is a world whose daemons have the section start and are not up yet. Nodes 0 and 2, one of each shard, have
--- a/internal/testkit/cluster/tree_test.go
+++ b/internal/testkit/cluster/tree_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -27,9 +27,9 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/exampleconfig"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/workload"
 )
 
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -18,11 +18,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatsaddle/choice"
-	standin "wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/cluster"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/fake/link"
+	standin "wheatsaddle/internal/testkit/fake/node"
 )
 
 // Figures of the run with real processes; those of the nodes and the settings are the virtual world's.
--- a/internal/testkit/experiment/coldstart/realreport.go
+++ b/internal/testkit/experiment/coldstart/realreport.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	standin "wheatsaddle/internal/standin/node"
+	standin "wheatsaddle/internal/testkit/fake/node"
 )
 
 // RealRow is one scenario in one mode with processes, seconds and counts. The times until hosts serve count from
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // The classes of reads, and what their rules are. All order by k and keep the highest version.
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // change is what happens to the parties at one moment of a run.
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/cluster"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // The judge finds what is wrong with an answer and nothing where nothing is.
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -19,7 +19,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/internal/standin/node"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // Options are the experiment's.
--- a/internal/testkit/experiment/gathers/world.go
+++ b/internal/testkit/experiment/gathers/world.go
@@ -16,9 +16,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/cluster"
 	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
 )
 
 // World is what a run has.
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -18,9 +18,9 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/node"
 	"wheatsaddle/internal/testkit/cluster"
 	"wheatsaddle/internal/testkit/exampleconfig"
+	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/workload"
 )
 
