--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/refused_test.go
@@ -16,7 +16,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/sock"
-	"wheatsaddle/internal/standin/refuser"
+	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
 // Where every copy past the process is refused, on clients' connections and on nodes': bodies and answers
--- a/internal/meter/refused_test.go
+++ b/internal/meter/refused_test.go
@@ -8,7 +8,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/standin/refuser"
+	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
 // Where copies past the process are refused, a long page of counts comes whole, and none was tried.
--- a/internal/operator/refused_test.go
+++ b/internal/operator/refused_test.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/standin/refuser"
+	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
 // Where copies past the process are refused, the door's answers come whole, and none was tried.
