--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -16,8 +16,8 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/pace"
-	"wheatsaddle/internal/standin/server"
 	"wheatsaddle/internal/testkit/client"
+	"wheatsaddle/internal/testkit/fake/server"
 	"wheatsaddle/internal/testkit/workload"
 )
 
