--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -14,7 +14,7 @@
 
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -23,8 +23,8 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/rapidtest"
 	"wheatsaddle/internal/replay"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -12,7 +12,7 @@
 
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/steps"
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -14,8 +14,8 @@
 	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
-	"wheatsaddle/internal/rapidtest"
 	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/internal/scatter/plan_test.go
+++ b/internal/scatter/plan_test.go
@@ -12,7 +12,7 @@
 
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/rapidtest"
+	"wheatsaddle/internal/testkit/rapidtest"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
