--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v2"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/experiment/load"
 	"wheatsaddle/internal/testkit/fleet"
+	"wheatsaddle/internal/testkit/loadvalidity"
 	"wheatsaddle/internal/testkit/workload"
 )
 
@@ -99,7 +99,7 @@
 		MostOpen: c.Int("open"),
 		Retry:    c.Bool("retry"),
 		Wait:     retryWait,
-		Bounds:   pace.Defaults(),
+		Bounds:   loadvalidity.Defaults(),
 	}
 	for _, address := range targets {
 		pool := &client.Pool{Address: address, Most: c.Int("conns")}
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/fake/server"
+	"wheatsaddle/internal/testkit/loadvalidity"
 	"wheatsaddle/internal/testkit/workload"
 )
 
@@ -47,7 +47,7 @@
 		srv.Go(b)
 		return a, nil
 	}}
-	o := Options{Shape: s, Source: src, Pools: []*client.Pool{pool}, Run: "t", MostOpen: 10000, Bounds: pace.Defaults()}
+	o := Options{Shape: s, Source: src, Pools: []*client.Pool{pool}, Run: "t", MostOpen: 10000, Bounds: loadvalidity.Defaults()}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
+	"wheatsaddle/internal/testkit/loadvalidity"
 	"wheatsaddle/internal/testkit/workload"
 )
 
@@ -96,17 +96,17 @@
 
 // Results are a run's, or a worker's part of it.
 type Results struct {
-	Shape    workload.Shape     `json:"shape"`
-	Took     time.Duration      `json:"took"`
-	Notes    *pace.Notes        `json:"notes"`
-	Classes  map[string]*Part   `json:"classes"`
-	Plans    map[string]*Part   `json:"plans"`
-	Seconds  []map[string]*Part `json:"seconds"` // by class
-	Unplaced uint64             `json:"unplaced"`
+	Shape    workload.Shape      `json:"shape"`
+	Took     time.Duration       `json:"took"`
+	Notes    *loadvalidity.Notes `json:"notes"`
+	Classes  map[string]*Part    `json:"classes"`
+	Plans    map[string]*Part    `json:"plans"`
+	Seconds  []map[string]*Part  `json:"seconds"` // by class
+	Unplaced uint64              `json:"unplaced"`
 }
 
 // NewResults makes empty ones.
-func NewResults(s workload.Shape, n *pace.Notes) *Results {
+func NewResults(s workload.Shape, n *loadvalidity.Notes) *Results {
 	r := &Results{Shape: s, Notes: n, Classes: map[string]*Part{}, Plans: map[string]*Part{}}
 	for _, c := range s.Classes {
 		r.Classes[c.Name] = newPart(digits)
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -1,6 +1,6 @@
 // Package load sends a schedule of requests to schedulers, open loop, and notes what came of each:
 // a late answer delays no later send. Latency counts from when a request was due; the time from
-// its real send is kept beside it. What it notes of its own lateness is judged by internal/pace.
+// its real send is kept beside it. What it notes of its own lateness is judged by internal/testkit/loadvalidity.
 //
 // Invariants: each arrival of the schedule is sent or counted as kept back, by name; a client's
 // retry belongs to its first try, and there is at most one; two workers' results merge to one's.
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"wheatsaddle/internal/pace"
 	"wheatsaddle/internal/testkit/client"
+	"wheatsaddle/internal/testkit/loadvalidity"
 	"wheatsaddle/internal/testkit/workload"
 )
 
@@ -33,7 +33,7 @@
 	MostOpen int            // requests out at once; what is over is kept back and counted
 	Retry    bool           // clients send once more what was refused or reset
 	Wait     time.Duration  // before a retry, where no Retry-After says it
-	Bounds   pace.Bounds
+	Bounds   loadvalidity.Bounds
 	Worker   int // this one of Workers: sends the requests of its number
 	Workers  int
 	Progress func(at time.Duration, sent, open int64) // about each second; nil: none
@@ -68,7 +68,7 @@
 	if len(opt.Pools) == 0 || opt.MostOpen < 1 || opt.Worker < 0 || opt.Worker >= opt.Workers {
 		return nil, fmt.Errorf("load: a scheduler, a bound on open requests and a worker of %d are needed", opt.Workers)
 	}
-	notes, err := pace.New(opt.Bounds)
+	notes, err := loadvalidity.New(opt.Bounds)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
@@ -190,7 +190,7 @@
 // watch ticks and notes when nothing ran: the process was stopped or not scheduled, or the
 // collector held it.
 func (r *runner) watch(ctx context.Context) {
-	w := pace.Watch{Period: watchEvery, Slack: watchSlack}
+	w := loadvalidity.Watch{Period: watchEvery, Slack: watchSlack}
 	var gc debug.GCStats
 	debug.ReadGCStats(&gc)
 	held := gc.PauseTotal
--- a/internal/pace/pace.go
+++ b/internal/testkit/loadvalidity/pace.go
@@ -1,4 +1,4 @@
-// Package pace decides whether a run of load may be believed. It takes what a generator noted of
+// Package loadvalidity decides whether a run of load may be believed. It takes what a generator noted of
 // itself, in time order or not: how late each request was sent, the pauses that a watcher saw, and
 // what a bound kept back. It reads no clock.
 //
@@ -7,7 +7,7 @@
 // limit; merging the notes of two workers gives the verdict of one that did the work of both.
 // Source: coordinated omission, as G. Tene named it: what a generator does not send in time, or at
 // all, is missing from its own figures first.
-package pace
+package loadvalidity
 
 import (
 	"fmt"
--- a/internal/pace/pace_test.go
+++ b/internal/testkit/loadvalidity/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package loadvalidity
 
 import (
 	"encoding/json"
