--- a/internal/repeats/repeats.go
+++ b/internal/testkit/retrydetect/repeats.go
@@ -1,4 +1,4 @@
-// Package repeats decides which recorded request is a client's retry of which earlier one, and in
+// Package retrydetect decides which recorded request is a client's retry of which earlier one, and in
 // a replay whether such a retry is to be sent. It reads no file and no clock: entries come in the
 // order of their times, verdicts go out.
 //
@@ -10,7 +10,7 @@
 //
 // Source: the platform's protocol (X-Retry, Idempotency-Key); the likeness is a guess, and so comes
 // with a confidence and is counted apart.
-package repeats
+package retrydetect
 
 import (
 	"fmt"
--- a/internal/repeats/repeats_test.go
+++ b/internal/testkit/retrydetect/repeats_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrydetect
 
 import (
 	"testing"
