--- a/internal/operr/page/page_test.go
+++ b/internal/operr/page/page_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sourcerules"
+	"wheatsaddle/internal/testkit/sourcelint"
 )
 
 const root = "../../.."
@@ -45,11 +45,11 @@
 
 // A type with a code is on the page: it is registered, and its package is imported here.
 func TestAllTypesAreRegistered(t *testing.T) {
-	files, err := sourcerules.Files(root, ".")
+	files, err := sourcelint.Files(root, ".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	types, err := sourcerules.CodedTypes(files)
+	types, err := sourcelint.CodedTypes(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 func TestNewPackagesGiveNoBareErrors(t *testing.T) {
 	for _, p := range []string{"gather", "internal/scatter", "internal/cost", "internal/observations", "internal/peers", "internal/coldstart",
 		"internal/coldstart/snapshot", "internal/listclock", "internal/meter"} {
-		found, err := sourcerules.BareErrors(filepath.Join(root, p))
+		found, err := sourcelint.BareErrors(filepath.Join(root, p))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,7 +92,7 @@
 			case d.Name() == "lab" || d.Name() == "standin" || d.Name() == "testdata": // not the daemon's
 				return fs.SkipDir
 			}
-			found, err := sourcerules.BareLogs(path)
+			found, err := sourcelint.BareLogs(path)
 			for _, f := range found {
 				t.Error(f)
 			}
--- a/internal/testkit/exampleconfig/example_test.go
+++ b/internal/testkit/exampleconfig/example_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/internal/sourcerules"
+	"wheatsaddle/internal/testkit/sourcelint"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // addVariants adds the names of the variants in deploy/sites: of classes, plans, zones and tiers as whole texts;
 // those of several words, which no sentence has by accident, and the sites' own anywhere.
-func addVariants(t *testing.T, w *sourcerules.Words) {
+func addVariants(t *testing.T, w *sourcelint.Words) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "deploy/sites/*/config.json"))
 	if err != nil || len(paths) < variantsLeast {
@@ -63,13 +63,13 @@
 }
 
 // words are the names of the deployments that are known: of the data file, and of the variants.
-func words(t *testing.T) sourcerules.Words {
+func words(t *testing.T) sourcelint.Words {
 	t.Helper()
 	text, err := os.ReadFile("testdata/words.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w sourcerules.Words
+	var w sourcelint.Words
 	if err := json.Unmarshal(text, &w); err != nil || len(w.Whole) == 0 || len(w.Anywhere) == 0 {
 		t.Fatal(err, w)
 	}
@@ -86,11 +86,11 @@
 		t.Fatalf("%v: a class and a plan less or more than the examples have", names)
 	}
 	w.Whole = append(w.Whole, names...)
-	files, err := sourcerules.Files(root, ".")
+	files, err := sourcelint.Files(root, ".")
 	if err != nil || len(files) < 80 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
-	found, err := sourcerules.Names(files, w)
+	found, err := sourcelint.Names(files, w)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sourcerules/calls.go
+++ b/internal/testkit/sourcelint/calls.go
@@ -1,4 +1,4 @@
-package sourcerules
+package sourcelint
 
 import (
 	"fmt"
--- a/internal/sourcerules/sourcerules.go
+++ b/internal/testkit/sourcelint/sourcerules.go
@@ -1,11 +1,11 @@
-// Package sourcerules reads the program's source for what its compiler does not hold it to: error types
+// Package sourcelint reads the program's source for what its compiler does not hold it to: error types
 // that nobody registered, bare errors that leave a package, and names of one deployment in the code.
 // The tests that ask it are in internal/operr/page and internal/testkit/exampleconfig; the daemon does not
 // depend on it.
 //
 // It reads syntax alone, without types: a bare error is followed through functions and variables of
 // its own package, not through function values, interfaces or other packages.
-package sourcerules
+package sourcelint
 
 import (
 	"fmt"
