--- a/internal/operr/page/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -35,11 +35,11 @@
 	}
 	for _, c := range all {
 		if !strings.Contains(string(got), "| `"+c.Code()+"` |") {
-			t.Errorf("%s lacks the code %s; go run ./internal/operr/page", pageFile, c.Code())
+			t.Errorf("%s lacks the code %s; go run ./internal/testkit/errorpage", pageFile, c.Code())
 		}
 	}
 	if string(got) != want && !t.Failed() {
-		t.Errorf("%s is not what the types say; go run ./internal/operr/page", pageFile)
+		t.Errorf("%s is not what the types say; go run ./internal/testkit/errorpage", pageFile)
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	for name, file := range types {
 		if !known[name] {
-			t.Errorf("%s: %s is not registered with operr.Register, or its package is not imported by internal/operr/page", file, name)
+			t.Errorf("%s: %s is not registered with operr.Register, or its package is not imported by internal/testkit/errorpage", file, name)
 		}
 	}
 }
--- a/internal/testkit/sourcelint/sourcerules.go
+++ b/internal/testkit/sourcelint/sourcerules.go
@@ -1,6 +1,6 @@
 // Package sourcelint reads the program's source for what its compiler does not hold it to: error types
 // that nobody registered, bare errors that leave a package, and names of one deployment in the code.
-// The tests that ask it are in internal/operr/page and internal/testkit/exampleconfig; the daemon does not
+// The tests that ask it are in internal/testkit/errorpage and internal/testkit/exampleconfig; the daemon does not
 // depend on it.
 //
 // It reads syntax alone, without types: a bare error is followed through functions and variables of
