--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,16 +10,16 @@
 	"io"
 	"os"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/simwire"
+	"wheatsaddle/policy"
 )
 
 const readBuffer = 64 << 10 // bytes; longer lines are read all the same
 
 // host holds the running instances, the numbered lists and the current batch.
 type host struct {
-	running map[string]*choice.Scheduler
-	lists   map[int][]choice.Node
+	running map[string]*policy.Scheduler
+	lists   map[int][]policy.Node
 	warn    io.Writer
 
 	clock float64         // of the batch, ms
@@ -31,12 +31,12 @@
 // job is one instance's events of a batch. An instance that is killed and started again in one batch has two jobs.
 type job struct {
 	inst   string
-	mod    *choice.Scheduler // nil: it was killed in this batch
-	events []choice.Event
+	mod    *policy.Scheduler // nil: it was killed in this batch
+	events []policy.Event
 }
 
 func main() {
-	h := &host{running: map[string]*choice.Scheduler{}, lists: map[int][]choice.Node{}, warn: os.Stderr}
+	h := &host{running: map[string]*policy.Scheduler{}, lists: map[int][]policy.Node{}, warn: os.Stderr}
 	if err := h.serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
@@ -88,7 +88,7 @@
 }
 
 func (h *host) start(line simwire.Line) {
-	mod, err := choice.New(line.Settings, line.Seed)
+	mod, err := policy.New(line.Settings, line.Seed)
 	if err != nil {
 		h.reply = simwire.Broken(h.reply, line.Instance, err.Error())
 		return
@@ -97,7 +97,7 @@
 	h.addJob(line.Instance, mod)
 }
 
-func (h *host) addJob(instance string, mod *choice.Scheduler) *job {
+func (h *host) addJob(instance string, mod *policy.Scheduler) *job {
 	j := &job{inst: instance, mod: mod}
 	h.open[instance] = j
 	h.jobs = append(h.jobs, j)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 const up = `["UP","i0",7,{"fleet-size":1,"membership-mode":"push","ceilings":{"max-attempts":3},` +
@@ -18,7 +18,7 @@
 func run(t *testing.T, input string) (out, warn string, err error) {
 	t.Helper()
 	var o, w bytes.Buffer
-	h := &host{running: map[string]*choice.Scheduler{}, lists: map[int][]choice.Node{}, warn: &w}
+	h := &host{running: map[string]*policy.Scheduler{}, lists: map[int][]policy.Node{}, warn: &w}
 	err = h.serve(strings.NewReader(input), &o)
 	return o.String(), w.String(), err
 }
--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -6,12 +6,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/iscsi"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // blockFront is the iSCSI front. It has a core of its own, since its storage targets are no nodes of the platform: a new
@@ -39,7 +39,7 @@
 		return nil, config.Refused(err)
 	}
 	dialer.Report(co.List)
-	co.List(core.News{Kind: choice.ListStale, Nodes: iscsi.Nodes(mapping)})
+	co.List(core.News{Kind: policy.ListStale, Nodes: iscsi.Nodes(mapping)})
 	ln, err := sock.ListenTCP(mapping.Listen)
 	if err != nil {
 		co.Stop()
@@ -76,7 +76,7 @@
 		return
 	}
 	f.dialer.Update(mapping)
-	f.core.List(core.News{Kind: choice.ListFull, Nodes: iscsi.Nodes(mapping)})
+	f.core.List(core.News{Kind: policy.ListFull, Nodes: iscsi.Nodes(mapping)})
 }
 
 // shutdown ends the sessions by the end of ctx.
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -12,10 +12,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/operator"
+	"wheatsaddle/policy"
 )
 
 // From the section of the site's file to the admin endpoint's answer, with the classes, shards and limits of the
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := &config.Config{Settings: choice.Settings{Shards: 2, Classes: []choice.Class{{Name: "read"}},
-		Plans: []choice.Plan{{Name: "gold", Limit: 10, LimitBurst: 1}, {Name: "open"}}}}
+	conf := &config.Config{Settings: policy.Settings{Shards: 2, Classes: []policy.Class{{Name: "read"}},
+		Plans: []policy.Plan{{Name: "gold", Limit: 10, LimitBurst: 1}, {Name: "open"}}}}
 	view := observations.View{Key: observations.Key{Node: "n", Since: 1, Class: "read"}, Shard: 1,
 		Sums: observations.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
 	call := estimates(held.Estimate, conf, func() []observations.View { return []observations.View{view} })
--- a/cmd/wheatsaddle/gathered_test.go
+++ b/cmd/wheatsaddle/gathered_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 const gatherSite = `{"gather":{"reads_at_once":1,"parts_most":8,"rules":{"classes":{"balance-read":{"order":[{"key":"k","type":"integer"}],
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf := &config.Config{Settings: choice.Settings{Shards: 3, Classes: []choice.Class{{Name: "read"}}}}
+	conf := &config.Config{Settings: policy.Settings{Shards: 3, Classes: []policy.Class{{Name: "read"}}}}
 	view := func(shard int, ms float64) observations.View {
 		return observations.View{Key: observations.Key{Node: fmt.Sprint("n", shard), Since: 1, Class: "read"}, Shard: shard, Origins: 2,
 			Sums: observations.Sums{N: 50, X: 50, Y: 50 * ms, XX: 50, XY: 50 * ms, YY: 50 * ms * ms}}
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -9,10 +9,10 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/handover"
 	"wheatsaddle/internal/httpfront"
+	"wheatsaddle/policy"
 )
 
 // Who binds its own socket shares nothing: no gate, no lock, no goroutine. A wait that is long is told with what to do.
@@ -56,7 +56,7 @@
 	}
 	log, _ := logtest.NewNullLogger()
 	s := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
-	s.front = httpfront.NewServer(nil, choice.Settings{}, 4, log)
+	s.front = httpfront.NewServer(nil, policy.Settings{}, 4, log)
 	served := make(chan error, 1)
 	go func() { served <- s.front.Serve(s.acceptGate().Listener(ln), 4) }()
 	nc, err := net.Dial("tcp", ln.Addr().String()) // it waits in the socket
--- a/cmd/wheatsaddle/limits.go
+++ b/cmd/wheatsaddle/limits.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
+	"wheatsaddle/policy"
 )
 
 const mebibyte = 1 << 20 // bytes
@@ -62,7 +62,7 @@
 }
 
 // shortestAim is the shortest latency aim of the classes.
-func shortestAim(set choice.Settings) time.Duration {
+func shortestAim(set policy.Settings) time.Duration {
 	aim := math.Inf(1)
 	for _, class := range set.Classes {
 		aim = min(aim, class.Aim)
@@ -71,10 +71,10 @@
 }
 
 // safeClasses says of each class whether its requests may be repeated freely.
-func safeClasses(set choice.Settings) map[string]bool {
+func safeClasses(set policy.Settings) map[string]bool {
 	safe := map[string]bool{}
 	for _, class := range set.Classes {
-		safe[class.Name] = class.Effect == choice.Safe
+		safe[class.Name] = class.Effect == policy.Safe
 	}
 	return safe
 }
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -17,8 +17,8 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
+	"wheatsaddle/policy"
 )
 
 // TestMain lets the test program stand in for the real one, so that signals and exit codes
@@ -191,7 +191,7 @@
 	log, hook := logtest.NewNullLogger()
 	moved := ""
 	move := func(_ context.Context, address string) bool { moved = address; return true }
-	retune := func(choice.Settings) error { t.Error("retuned by equal settings"); return nil }
+	retune := func(policy.Settings) error { t.Error("retuned by equal settings"); return nil }
 	for _, x := range []struct{ from, to, says string }{
 		{`"sockets":256`, `"sockets":"x"`, "limits.sockets"}, {`"index":1`, `"index":"x"`, "known"}, {`"discovery":"`, `"discovery":7,"was":"`, "discovery"},
 		{`"max-attempts":2`, `"max-attempts":0`, "max-attempts"}, {`}]}}`, `}]}`, "JSON"},
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/meter"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/peers"
+	"wheatsaddle/policy"
 )
 
 // healthWait is how long a gossip round waits for the core's report of its nodes.
@@ -43,12 +43,12 @@
 
 // listedNode is a node of the list, with the hardware type that the site's file gives it.
 type listedNode struct {
-	choice.Node
+	policy.Node
 	hardware string
 }
 
 // mayPeer is an error where the site's file has the section peers and the platform forbids it.
-func mayPeer(at *config.Site, set choice.Settings) error {
+func mayPeer(at *config.Site, set policy.Settings) error {
 	if at.Peers != nil && !set.MayTell {
 		return &peers.Forbidden{}
 	}
@@ -172,26 +172,26 @@
 }
 
 // outcomeOf is what the end of an attempt says of its node; false: nothing, as where it was cancelled.
-func outcomeOf(s choice.Status) (observations.Outcome, bool) {
+func outcomeOf(s policy.Status) (observations.Outcome, bool) {
 	switch s {
-	case choice.OK:
+	case policy.OK:
 		return observations.Served, true
-	case choice.Full:
+	case policy.Full:
 		return observations.TurnedAway, true
-	case choice.TimedOut:
+	case policy.TimedOut:
 		return observations.Late, true
-	case choice.Errored, choice.Reset, choice.NoConn:
+	case policy.Errored, policy.Reset, policy.NoConn:
 		return observations.Failed, true
 	}
 	return 0, false
 }
 
 // observe is what core calls at the end of each attempt; nil: nothing is shared.
-func (f *fleet) observe() func(string, int64, string, float64, float64, choice.Status) {
+func (f *fleet) observe() func(string, int64, string, float64, float64, policy.Status) {
 	if f == nil {
 		return nil
 	}
-	return func(node string, since int64, class string, units, latencyMs float64, status choice.Status) {
+	return func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 		if outcome, ok := outcomeOf(status); ok {
 			f.peers.Observe(node, since, class, units, latencyMs, outcome)
 		}
@@ -205,14 +205,14 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Kind == choice.ListFull || news.Kind == choice.ListStale {
+	if news.Kind == policy.ListFull || news.Kind == policy.ListStale {
 		clear(f.nodes)
 	}
 	if news.Index != 0 {
 		f.listIndex = news.Index
 	}
 	for _, n := range news.Nodes {
-		if n.State == choice.NodeGone {
+		if n.State == policy.NodeGone {
 			delete(f.nodes, n.ID)
 		} else {
 			f.nodes[n.ID] = listedNode{n.Node, f.types.Of(n.ID)}
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -14,13 +14,13 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/meter"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/peers"
+	"wheatsaddle/policy"
 )
 
 // Where the platform forbids it, naming the section is an error: at the check and at the start.
@@ -59,7 +59,7 @@
 		}
 	}
 	var forbidden *peers.Forbidden
-	if err := mayPeer(&config.Site{Peers: &config.SitePeers{}}, choice.Settings{}); !errors.As(err, &forbidden) {
+	if err := mayPeer(&config.Site{Peers: &config.SitePeers{}}, policy.Settings{}); !errors.As(err, &forbidden) {
 		t.Error(err)
 	}
 }
@@ -69,7 +69,7 @@
 
 func (none) Send(*core.Attempt) bool                     { return false }
 func (none) Cancel(*core.Attempt)                        {}
-func (none) Connect(func(choice.Status)) bool            { return false }
+func (none) Connect(func(policy.Status)) bool            { return false }
 func (none) Probe(func(core.Result, time.Duration)) bool { return false }
 func (none) Drain(bool)                                  {}
 func (none) Readdress([]address.Addr)                    {}
@@ -86,7 +86,7 @@
 	}
 	start := func(name string, seeds ...string) *fleet {
 		site.Peers = &config.SitePeers{Listen: "127.0.0.1:0", Seeds: seeds, Every: 20 * time.Millisecond, Burst: 8, State: state}
-		f, err := startFleet(site, &config.Config{Name: name, Settings: choice.Settings{MayTell: true, ColdSpan: 1e9}}, nil, log)
+		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayTell: true, ColdSpan: 1e9}}, nil, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,10 +96,10 @@
 	a := start("a")
 	b := start("b", a.peers.Address())
 	since := time.Now().UnixMilli()
-	news := core.News{Kind: choice.ListFull, Index: 5, Nodes: []core.Node{{Node: choice.Node{ID: "n", Shard: 3, Since: float64(since)}}}}
-	co, err := core.New(core.Options{Settings: choice.Settings{Hosts: 1, MeanUnits: 1, MostUnits: 1, MaxAttempts: 1, ColdUnits: 1, TipSpan: 1, TipMultiple: 1,
-		ColdFrom: 0.5, ColdSpan: 1, Classes: []choice.Class{{Name: "c", Aim: 1, Deadline: 1, Worth: 1}},
-		Plans: []choice.Plan{{Name: "p", Rate: 1, Reserve: 1, Weight: 1, Price: 1}}}, Log: log,
+	news := core.News{Kind: policy.ListFull, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, Since: float64(since)}}}}
+	co, err := core.New(core.Options{Settings: policy.Settings{Hosts: 1, MeanUnits: 1, MostUnits: 1, MaxAttempts: 1, ColdUnits: 1, TipSpan: 1, TipMultiple: 1,
+		ColdFrom: 0.5, ColdSpan: 1, Classes: []policy.Class{{Name: "c", Aim: 1, Deadline: 1, Worth: 1}},
+		Plans: []policy.Plan{{Name: "p", Rate: 1, Reserve: 1, Weight: 1, Price: 1}}}, Log: log,
 		Connect: func(string, []address.Addr) core.Peer { return none{} }})
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	a.setCore(co)
 	a.takeNews(news)
 	tell := a.observe()
-	for _, s := range []choice.Status{choice.OK, choice.Full, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Abandoned} {
+	for _, s := range []policy.Status{policy.OK, policy.Full, policy.TimedOut, policy.Reset, policy.Cancelled, policy.Abandoned} {
 		tell("n", since, "c", 2, 5, s)
 	}
 	var v []observations.View
@@ -140,8 +140,8 @@
 	if !told("observations_origins 1") {
 		t.Error("b does not count a")
 	}
-	b.takeNews(core.News{Kind: choice.ListChange, Index: 7})
-	b.takeNews(core.News{Kind: choice.ListFailed}) // says no version
+	b.takeNews(core.News{Kind: policy.ListChange, Index: 7})
+	b.takeNews(core.News{Kind: policy.ListFailed}) // says no version
 	for end := time.Now().Add(time.Minute); !told("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
 		if time.Sleep(5 * time.Millisecond); time.Now().After(end) {
 			t.Fatal("list versions are not counted")
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -7,16 +7,16 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/operr"
+	"wheatsaddle/policy"
 )
 
 // reload reads the platform's file again. It returns the configuration that applies from now on, and whether the file was
 // accepted. The file is checked whole before any of it applies; a bad one changes nothing. New settings go to retune
 // first, which applies them whole or not at all: nothing else of the file may be refused after that.
 func reload(ctx context.Context, held *config.Config, env func(string) string, move func(context.Context, string) bool,
-	log logrus.FieldLogger, retune func(choice.Settings) error) (*config.Config, bool) {
+	log logrus.FieldLogger, retune func(policy.Settings) error) (*config.Config, bool) {
 	conf, err := readAgain(held, env)
 	if err != nil {
 		log.WithFields(operr.Fields(err)).Error("the configuration stays as it was")
@@ -55,14 +55,14 @@
 	if _, err := knownList(conf); err != nil {
 		return nil, err
 	}
-	if _, err := choice.New(conf.Settings, conf.Seed); err != nil {
+	if _, err := policy.New(conf.Settings, conf.Seed); err != nil {
 		return nil, config.Refused(err)
 	}
 	return conf, nil
 }
 
 // classNames are the names of the classes, for the log.
-func classNames(set choice.Settings) string {
+func classNames(set policy.Settings) string {
 	var all []string
 	for _, class := range set.Classes {
 		all = append(all, class.Name)
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -13,9 +13,9 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // Where the module turns the settings down nothing else of the file counts either.
@@ -42,7 +42,7 @@
 		order string
 	}{{errors.New("no"), "retune "}, {nil, "retune move "}} {
 		order = ""
-		retune := func(set choice.Settings) error { order += "retune "; return x.err }
+		retune := func(set policy.Settings) error { order += "retune "; return x.err }
 		got, taken := reload(context.Background(), held, env, move, log, retune)
 		if order != x.order || taken != (x.err == nil) {
 			t.Errorf("%v: %s, taken %v", x.err, order, taken)
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -14,7 +14,6 @@
 	"github.com/urfave/cli/v2"
 	"golang.org/x/sync/semaphore"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/exclusion"
@@ -25,6 +24,7 @@
 	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/registry"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // listWait is how long readiness waits for discovery's first answer.
@@ -191,9 +191,9 @@
 	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
 	s.fleet.setCore(s.core)
 	if !s.starter.run(s.core) {
-		s.core.List(core.News{Kind: choice.ListStale, Nodes: s.known.Nodes})
+		s.core.List(core.News{Kind: policy.ListStale, Nodes: s.known.Nodes})
 	}
-	s.fleet.takeNews(core.News{Kind: choice.ListStale, Nodes: s.known.Nodes, Index: s.known.Index})
+	s.fleet.takeNews(core.News{Kind: policy.ListStale, Nodes: s.known.Nodes, Index: s.known.Index})
 	s.onClose(s.starter.stop) // before the core's: it asks the core for a last snapshot
 	s.starter.askPeers(s.fleet)
 	return nil
@@ -247,7 +247,7 @@
 		s.core.List(news)
 	}
 	s.fleet.takeNews(news)
-	if news.Kind == choice.ListFull || news.Kind == choice.ListChange {
+	if news.Kind == policy.ListFull || news.Kind == policy.ListChange {
 		s.listed.Store(true)
 	}
 }
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -6,9 +6,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/httpfront"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -27,7 +27,7 @@
 )
 
 // graceOf is the least time from SIGTERM to SIGKILL, by the classes' deadlines.
-func graceOf(set choice.Settings) time.Duration {
+func graceOf(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range set.Classes {
 		longest = max(longest, milliseconds(class.Deadline))
@@ -48,7 +48,7 @@
 }
 
 // newShutdown takes the grace from the settings that count when the signal is taken, which may not be those of the start.
-func newShutdown(sent time.Time, set choice.Settings) *shutdown {
+func newShutdown(sent time.Time, set policy.Settings) *shutdown {
 	return &shutdown{sent: sent, kill: sent.Add(graceOf(set))}
 }
 
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -9,7 +9,6 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
 	"wheatsaddle/internal/config"
@@ -19,6 +18,7 @@
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/registry"
+	"wheatsaddle/policy"
 )
 
 // starter drives the cold start of this process: it feeds events to the state machine coldstart.Start and carries out
@@ -48,8 +48,8 @@
 	mu           sync.Mutex // of all below
 	machine      *coldstart.Start
 	listHeard    bool                          // the list's first news are on their way to the core
-	learned      choice.Learned                // what the snapshot holds of the classes
-	learnedNodes map[string]choice.LearnedNode // the snapshot's, by id; nil: there is no snapshot
+	learned      policy.Learned                // what the snapshot holds of the classes
+	learnedNodes map[string]policy.LearnedNode // the snapshot's, by id; nil: there is no snapshot
 	listedSince  map[string]float64            // a node's start as the list gives it, Unix ms
 	guessedSince float64                       // the start that the known nodes were given, Unix ms
 	timer        *time.Timer                   // of the next Tick; nil: none was asked for yet
@@ -61,10 +61,10 @@
 // startCore is what the starter tells the core: core.Core, or a test's actor.
 type startCore interface {
 	List(core.News)
-	Recall(choice.Learned)
+	Recall(policy.Learned)
 	Preconnect(node string)
 	Probe(node string)
-	Learned() (choice.Learned, bool)
+	Learned() (policy.Learned, bool)
 }
 
 func newStarter(set *config.SiteStart, conf *config.Config, known []core.Node, log logrus.FieldLogger) (*starter, error) {
@@ -106,7 +106,7 @@
 }
 
 // settings are the decisions' settings for a start beside the whole fleet; as given, without the section.
-func (s *starter) settings(set choice.Settings) choice.Settings {
+func (s *starter) settings(set policy.Settings) policy.Settings {
 	if s != nil {
 		set.ColdUnits *= coldstart.ColdShare
 	}
@@ -114,8 +114,8 @@
 }
 
 // retune gives new settings to the core as the first ones were given.
-func (s *starter) retune(co *core.Core) func(choice.Settings) error {
-	return func(set choice.Settings) error { return co.Retune(s.settings(set)) }
+func (s *starter) retune(co *core.Core) func(policy.Settings) error {
+	return func(set policy.Settings) error { return co.Retune(s.settings(set)) }
 }
 
 // gate is what core asks before each attempt; nil without the section.
@@ -132,7 +132,7 @@
 		return false
 	}
 	s.core = co
-	co.List(core.News{Kind: choice.ListStale}) // the decisions' clock ticks from here
+	co.List(core.News{Kind: policy.ListStale}) // the decisions' clock ticks from here
 	begun := coldstart.Begun{HeldList: s.machineNodes(s.knownNodes)}
 	if s.path != "" {
 		snap, err := snapshot.Read(s.path, time.Now())
@@ -173,7 +173,7 @@
 		return 0, false
 	}
 	sync.Writes(s.machine)
-	var recall choice.Learned
+	var recall policy.Learned
 	for _, a := range s.machine.Step(s.now(), e) {
 		switch a := a.(type) {
 		case coldstart.AskList:
@@ -181,7 +181,7 @@
 		case coldstart.UseHeld:
 			s.useKnownNodes()
 		case coldstart.Warm:
-			recall.Nodes = append(recall.Nodes, choice.LearnedNode{ID: a.Node, Since: s.listedSince[a.Node], Guessed: s.guessedSince})
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, Since: s.listedSince[a.Node], Guessed: s.guessedSince})
 		case coldstart.Recall:
 			if n, ok := s.learnedNodes[a.Node]; ok {
 				recall.Nodes = append(recall.Nodes, n)
@@ -213,7 +213,7 @@
 	for i := range guessed {
 		guessed[i].Since = s.guessedSince
 	}
-	s.enqueue(func(c startCore) { c.List(core.News{Kind: choice.ListChange, Nodes: guessed}) })
+	s.enqueue(func(c startCore) { c.List(core.News{Kind: policy.ListChange, Nodes: guessed}) })
 }
 
 // setTimer sets the timer of the next Tick; with s.mu held.
@@ -267,13 +267,13 @@
 }
 
 // Ended implements core.Starting.
-func (s *starter) Ended(node string, status choice.Status) {
+func (s *starter) Ended(node string, status policy.Status) {
 	switch status {
-	case choice.OK:
+	case policy.OK:
 		s.step(coldstart.Answered{Node: node})
-	case choice.Full:
+	case policy.Full:
 		s.step(coldstart.NodeFull{Node: node})
-	case choice.NoConn:
+	case policy.NoConn:
 		s.step(coldstart.ConnectSlow{Node: node})
 	}
 }
@@ -289,7 +289,7 @@
 		s.core.List(news)
 		return true
 	}
-	first := !s.listHeard && (news.Kind == choice.ListFull || news.Kind == choice.ListChange)
+	first := !s.listHeard && (news.Kind == policy.ListFull || news.Kind == policy.ListChange)
 	if first {
 		s.listHeard = true
 		news.Nodes = s.withKnownNodes(news)
@@ -297,7 +297,7 @@
 	delivered := make(chan struct{})
 	s.enqueue(func(c startCore) { c.List(news); sync.Close(delivered) })
 	if first {
-		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == choice.NodeGone })
+		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeGone })
 		for _, n := range present {
 			s.listedSince[n.ID] = n.Since
 		}
@@ -312,7 +312,7 @@
 // has them with a guessed start or not at all.
 func (s *starter) withKnownNodes(news core.News) []core.Node {
 	nodes := slices.Clone(news.Nodes)
-	if news.Kind != choice.ListChange {
+	if news.Kind != policy.ListChange {
 		return nodes
 	}
 	named := map[string]bool{}
@@ -336,7 +336,7 @@
 	first := !s.listHeard && len(s.knownNodes) > 0
 	s.mu.Unlock()
 	if first {
-		s.list(core.News{Kind: choice.ListChange})
+		s.list(core.News{Kind: policy.ListChange})
 	}
 }
 
--- a/cmd/wheatsaddle/start_interleave_test.go
+++ b/cmd/wheatsaddle/start_interleave_test.go
@@ -10,13 +10,13 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/sync"
+	"wheatsaddle/policy"
 )
 
 // actor stands in for the core: one at a time takes what is put, and asks the start about each node.
@@ -42,10 +42,10 @@
 	}
 	c.put(what)
 }
-func (c *actor) Recall(choice.Learned)           { c.put("recall") }
+func (c *actor) Recall(policy.Learned)           { c.put("recall") }
 func (c *actor) Preconnect(string)               { c.put("ahead") }
 func (c *actor) Probe(string)                    { c.put("probe") }
-func (c *actor) Learned() (choice.Learned, bool) { return choice.Learned{}, false }
+func (c *actor) Learned() (policy.Learned, bool) { return policy.Learned{}, false }
 
 func (c *actor) run() {
 	for {
@@ -55,7 +55,7 @@
 		}
 		c.took = append(c.took, what)
 		c.b.Admit("s")
-		c.b.Ended("s", choice.OK)
+		c.b.Ended("s", policy.OK)
 	}
 }
 
@@ -75,9 +75,9 @@
 // is back, once, and stays.
 func TestInterleaveStart(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	conf := &config.Config{Name: "n0", Settings: choice.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000,
-		Classes: []choice.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []choice.Plan{{Name: "basic", Reserve: 1000}}}}
-	node := core.Node{Node: choice.Node{ID: "s", Since: 5, Weight: 1}}
+	conf := &config.Config{Name: "n0", Settings: policy.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000,
+		Classes: []policy.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []policy.Plan{{Name: "basic", Reserve: 1000}}}}
+	node := core.Node{Node: policy.Node{ID: "s", Since: 5, Weight: 1}}
 	held := node
 	held.Zone = "held"
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
@@ -105,7 +105,7 @@
 				{Name: "main", Run: func() {
 					b.step(coldstart.Begun{HeldList: b.machineNodes(b.knownNodes)})
 					sync.Go(b.keepSnapshot)
-					b.list(core.News{Kind: choice.ListFull, Nodes: []core.Node{node}})
+					b.list(core.News{Kind: policy.ListFull, Nodes: []core.Node{node}})
 					if !c.listed {
 						il.Fail("the list's word is not with the core")
 					}
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -11,7 +11,6 @@
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
@@ -21,6 +20,7 @@
 	"wheatsaddle/internal/peers"
 	"wheatsaddle/internal/registry"
 	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/policy"
 )
 
 // quick is a node that serves at once, and notes what is opened or asked ahead of need.
@@ -31,10 +31,10 @@
 }
 
 func (quick) Send(a *core.Attempt) bool {
-	go a.Done(core.Result{Status: choice.OK})
+	go a.Done(core.Result{Status: policy.OK})
 	return true
 }
-func (q quick) Connect(func(choice.Status)) bool { q.ahead <- "connect " + q.id; return true }
+func (q quick) Connect(func(policy.Status)) bool { q.ahead <- "connect " + q.id; return true }
 func (q quick) Probe(func(core.Result, time.Duration)) (taken bool) {
 	q.ahead <- "probe " + q.id
 	return true
@@ -44,11 +44,11 @@
 
 // startConf is a scheduler's alone, and startNode its node.
 func startConf() *config.Config {
-	return &config.Config{Name: "n0", Settings: choice.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000, MayProbe: true,
-		AskMode: true, Classes: []choice.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []choice.Plan{{Name: "basic", Reserve: 1000}}}}
+	return &config.Config{Name: "n0", Settings: policy.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000, MayProbe: true,
+		AskMode: true, Classes: []policy.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []policy.Plan{{Name: "basic", Reserve: 1000}}}}
 }
 
-var startNode = core.Node{Node: choice.Node{ID: "s", Since: 5, Weight: 1}}
+var startNode = core.Node{Node: policy.Node{ID: "s", Since: 5, Weight: 1}}
 
 // begun is a start that runs, with a core whose nodes note what is opened ahead; both end with the test.
 func begun(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, held ...core.Node) (*starter, *core.Core, chan string) {
@@ -73,7 +73,7 @@
 func served(t *testing.T, co *core.Core) {
 	t.Helper()
 	got := make(chan core.Answer, 1)
-	co.Submit(&core.Request{Request: choice.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1},
+	co.Submit(&core.Request{Request: policy.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1},
 		Arrived: time.Now(), Patience: time.Minute, Answer: func(a core.Answer) { got <- a }})
 	if a := <-got; a.Kind != core.Served {
 		t.Fatalf("%+v", a)
@@ -96,7 +96,7 @@
 			if b.ready(true) {
 				t.Error("ready before the list")
 			}
-			if !b.list(core.News{Kind: choice.ListFull, Nodes: []core.Node{startNode}}) || !b.ready(false) {
+			if !b.list(core.News{Kind: policy.ListFull, Nodes: []core.Node{startNode}}) || !b.ready(false) {
 				t.Error("not ready with the list")
 			}
 			do(b, co, ahead)
@@ -183,7 +183,7 @@
 	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
 	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: observations.Defaults()}}
 	join := func(name string, b *starter) *fleet {
-		f, err := startFleet(site, &config.Config{Name: name, Settings: choice.Settings{MayTell: true}}, b, log)
+		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayTell: true}}, b, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,7 +191,7 @@
 		site.Peers.Seeds = append(site.Peers.Seeds, f.peers.Address())
 		return f
 	}
-	list := core.News{Kind: choice.ListFull, Nodes: []core.Node{startNode}}
+	list := core.News{Kind: policy.ListFull, Nodes: []core.Node{startNode}}
 	old, co, _ := begun(t, set, log)
 	old.list(list)
 	served(t, co)
@@ -242,7 +242,7 @@
 		first, last = last, first
 	}
 	node := func(id string, shard int) core.Node {
-		return core.Node{Node: choice.Node{ID: id, Shard: shard, Since: 5, Weight: 1}}
+		return core.Node{Node: policy.Node{ID: id, Shard: shard, Since: 5, Weight: 1}}
 	}
 	if err := snapshot.Write(set.Snapshot, &snapshot.Snapshot{Made: time.Now(), Nodes: []snapshot.NodeState{{ID: first, Since: 5}, {ID: last, Since: 5}}}); err != nil {
 		t.Fatal(err)
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startsnapshot.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/peers"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -19,15 +19,15 @@
 
 // recall keeps what a snapshot holds, and returns its nodes for the state machine.
 func (s *starter) recall(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
-	learned, byID := choice.Learned{}, map[string]choice.LearnedNode{}
+	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
 		nodes = append(nodes, coldstart.Node{ID: n.ID, Since: n.Since})
 		if _, twice := byID[n.ID]; !twice {
-			byID[n.ID] = choice.LearnedNode{ID: n.ID, Since: n.Since, Window: n.Window, Usual: n.Usual, Best: n.Best, Failing: n.Failing}
+			byID[n.ID] = policy.LearnedNode{ID: n.ID, Since: n.Since, Window: n.Window, Usual: n.Usual, Best: n.Best, Failing: n.Failing}
 		}
 	}
 	for _, class := range snap.Classes {
-		learned.Classes = append(learned.Classes, choice.LearnedClass{Name: class.Name, Weight: class.Weight, Slope: class.Slope, Delay: class.Delay})
+		learned.Classes = append(learned.Classes, policy.LearnedClass{Name: class.Name, Weight: class.Weight, Slope: class.Slope, Delay: class.Delay})
 	}
 	s.mu.Lock()
 	s.learned, s.learnedNodes = learned, byID
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,7 +16,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Config is what one scheduler is told at its start.
@@ -28,7 +28,7 @@
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   []byte // the list as last held, in discovery's form
-	Settings                choice.Settings
+	Settings                policy.Settings
 	ConnIdle                float64 // ms after which a node closes an idle connection
 	ConnectTimeout          float64 // ms
 	MaxOpen                 int
@@ -216,8 +216,8 @@
 	return raw
 }
 
-var effects = map[string]choice.Effect{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
-var groups = map[string]choice.Group{"all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupShard}
+var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupShard}
 
 // word finds a key's word in a table.
 func word[T any](r *reader, key, fallback string, table map[string]T) T {
@@ -231,9 +231,9 @@
 }
 
 // Settings reads the settings object of the module.
-func Settings(set gjson.Result) (choice.Settings, error) {
+func Settings(set gjson.Result) (policy.Settings, error) {
 	r := &reader{root: set, prefix: "settings."}
-	s := choice.Settings{
+	s := policy.Settings{
 		Me: int(r.num("me", 0, 0)), Hosts: int(r.num("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
 		AskMode:   r.text("membership-mode", "push") == "ask",
 		MeanUnits: r.num("extra.usual-units", 1, 0), MostUnits: r.num("extra.largest", 0, 0),
@@ -249,17 +249,17 @@
 		BudgetFree: r.num("rules.extra-floor", 0, 0), BudgetSpan: r.num("rules.counted-over", 0, 0),
 	}
 	r.each("profiles", func(p *reader) {
-		c := choice.Class{Name: p.text("name", ""), Aim: p.num("goal-time", 0, 1e-3), AimStretch: p.num("aim-stretch", 0, 0),
+		c := policy.Class{Name: p.text("name", ""), Aim: p.num("goal-time", 0, 1e-3), AimStretch: p.num("aim-stretch", 0, 0),
 			Deadline: p.num("deadline", 0, 1e-3), Worth: p.num("worth", 1, 0), LateWorth: p.num("late-worth", 0, 0),
 			Effect: word(p, "repeat", "", effects), Memory: p.num("memory-span", 0, 0),
 			Ordered: p.flag("by-arrival"), Stream: p.flag("stream")}
-		if c.Effect == choice.Keyed {
+		if c.Effect == policy.Keyed {
 			c.Group = word(p, "key-scope", "", groups)
 		}
 		s.Classes = append(s.Classes, c)
 	})
 	r.each("contracts", func(p *reader) {
-		s.Plans = append(s.Plans, choice.Plan{Name: p.text("name", ""), Rate: p.num("usual-rate", 0, 0),
+		s.Plans = append(s.Plans, policy.Plan{Name: p.text("name", ""), Rate: p.num("usual-rate", 0, 0),
 			Reserve: p.num("reservation", 0, 0), Weight: p.num("shares", 1, 0), Price: p.num("price", 1, 0),
 			Limit: p.num("cap", 0, 0), LimitBurst: p.num("burst", 0, 0)})
 	})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/testkit/rapidtest"
+	"wheatsaddle/policy"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
@@ -34,7 +34,7 @@
 		s.Hosts != 3 || s.Me != 1 || s.ColdSpan != 17000 || s.MaxAttempts != 4 || !s.MayCancel || s.MayProbe {
 		t.Errorf("%+v", c)
 	}
-	if k := s.Classes[1]; k.Effect != choice.Keyed || k.Group != choice.GroupShard || k.Memory != 2500 || s.Plans[0].Limit != 27 {
+	if k := s.Classes[1]; k.Effect != policy.Keyed || k.Group != policy.GroupShard || k.Memory != 2500 || s.Plans[0].Limit != 27 {
 		t.Errorf("%+v", s)
 	}
 	if c, err = Parse([]byte(good), func(k string) string { return map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"}[k] }); err != nil || c.Listen != "127.0.0.1:9" {
@@ -71,8 +71,8 @@
 		t.Fatal(err)
 	}
 	set := c.Settings
-	set.Classes = append(set.Classes, choice.Class{Name: "bulk-export", Aim: 1200, Deadline: 4000})
-	set.Plans = append(set.Plans, choice.Plan{Name: "standard"})
+	set.Classes = append(set.Classes, policy.Class{Name: "bulk-export", Aim: 1200, Deadline: 4000})
+	set.Plans = append(set.Plans, policy.Plan{Name: "standard"})
 	ic, err := LoadISCSI("../../deploy/iscsi.json", set)
 	if err != nil || len(ic.Targets) != 1 || len(ic.Targets[0].Units) != 2 || ic.Targets[0].Units[0].Rules[0].Deadline != 1500 {
 		t.Fatalf("%+v %v", ic, err)
@@ -109,7 +109,7 @@
 		if c, err := Parse(b, none); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Hosts < 1) {
 			rt.Fatalf("%+v", c)
 		}
-		_, _ = ParseISCSI(b, choice.Settings{})
+		_, _ = ParseISCSI(b, policy.Settings{})
 	})
 }
 
--- a/internal/config/deployments_play_test.go
+++ b/internal/config/deployments_play_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -29,18 +29,18 @@
 type player struct {
 	t      *testing.T
 	site   deployment
-	module *choice.Scheduler
+	module *policy.Scheduler
 	now    float64
 	due    playDues
 	seq    int
 	asked  map[string]*playRequest
 	order  []*playRequest
-	nodes  map[string]choice.Node
+	nodes  map[string]policy.Node
 	told   map[string]float64 // when a node was last told to drain
 	takes  []float64          // requests taken
 	extras []float64          // further attempts
 	stores map[string]*playStore
-	acts   []choice.Action // of the last step
+	acts   []policy.Action // of the last step
 	// onSend says how an attempt ends; nil: the test ends it itself.
 	onSend func(r *playRequest, attempt int)
 	seen   playSeen
@@ -73,12 +73,12 @@
 	at     float64
 	by     float64
 	open   bool
-	status choice.Status
+	status policy.Status
 }
 
 // mayHaveRun: it is out, or its end proves nothing.
 func (x *playTry) mayHaveRun() bool {
-	return x.open || !slices.Contains([]choice.Status{choice.Full, choice.NoConn, choice.Abandoned}, x.status)
+	return x.open || !slices.Contains([]policy.Status{policy.Full, policy.NoConn, policy.Abandoned}, x.status)
 }
 
 type playStore struct{ level, at float64 }
@@ -107,31 +107,31 @@
 // newPlayer starts the module with one node for each of some shards, in all zones in turn.
 func newPlayer(t *testing.T, s deployment, shards int) *player {
 	t.Helper()
-	module, err := choice.New(s.conf.Settings, playSeed)
+	module, err := policy.New(s.conf.Settings, playSeed)
 	if err != nil {
 		t.Fatalf("%s: %v", s.name, err)
 	}
-	p := &player{t: t, site: s, module: module, now: playStart, asked: map[string]*playRequest{}, nodes: map[string]choice.Node{},
+	p := &player{t: t, site: s, module: module, now: playStart, asked: map[string]*playRequest{}, nodes: map[string]policy.Node{},
 		told: map[string]float64{}, stores: map[string]*playStore{},
 		seen: playSeen{again: map[string]int{}, refusedInDoubt: map[string]int{}, failedInDoubt: map[string]int{}, pastWindow: map[string]int{}}}
-	var list []choice.Node
+	var list []policy.Node
 	for i := range shards {
-		n := choice.Node{ID: fmt.Sprint("node-", i), Zone: s.told.Zones[i%len(s.told.Zones)], Shard: i, Weight: 1}
+		n := policy.Node{ID: fmt.Sprint("node-", i), Zone: s.told.Zones[i%len(s.told.Zones)], Shard: i, Weight: 1}
 		list = append(list, n)
 		p.nodes[n.ID] = n
 	}
-	p.step(choice.Event{Kind: choice.ListStale, Nodes: list})
-	if asks := slices.ContainsFunc(p.acts, func(a choice.Action) bool { return a.Kind == choice.Subscribe }); asks != (s.told.Mode == "ask") {
+	p.step(policy.Event{Kind: policy.ListStale, Nodes: list})
+	if asks := slices.ContainsFunc(p.acts, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); asks != (s.told.Mode == "ask") {
 		t.Errorf("%s: the list is %sed, and asked for: %v", s.name, s.told.Mode, asks)
 	}
-	p.step(choice.Event{Kind: choice.ListFull, Nodes: list})
+	p.step(policy.Event{Kind: policy.ListFull, Nodes: list})
 	return p
 }
 
 // filled lets the stores of limits fill: at a start they count as empty.
 func (p *player) filled() *player {
 	r := p.ask(p.site.told.Profiles[0], p.site.told.Contracts[len(p.site.told.Contracts)-1], 0, 0)
-	p.end(r, 0, choice.OK)
+	p.end(r, 0, policy.OK)
 	p.run(p.now + playFilled)
 	return p
 }
@@ -152,7 +152,7 @@
 }
 
 // step gives the module events and judges what it does.
-func (p *player) step(events ...choice.Event) {
+func (p *player) step(events ...policy.Event) {
 	p.t.Helper()
 	p.acts = p.module.Step(p.now, events, nil)
 	for _, a := range slices.Clone(p.acts) {
@@ -183,7 +183,7 @@
 	p.takes = append(p.takes, p.now)
 	p.after(left, func() { p.timeOut(r) })
 	p.after(left+p.site.told.Rules.AnswerSlack, func() { p.overdue(r) })
-	p.step(choice.Event{Kind: choice.Arrival, Req: choice.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
+	p.step(policy.Event{Kind: policy.Arrival, Req: policy.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
 		Volume: volume, NotAfter: r.notAfter, Units: r.units, Shard: shard, Hosts: hosts}})
 	return r
 }
@@ -192,7 +192,7 @@
 func (p *player) timeOut(r *playRequest) {
 	for i, x := range r.tries {
 		if x.open {
-			p.end(r, i, choice.TimedOut)
+			p.end(r, i, policy.TimedOut)
 		}
 	}
 }
@@ -207,30 +207,30 @@
 }
 
 // end tells the module how an attempt ended.
-func (p *player) end(r *playRequest, attempt int, status choice.Status) {
+func (p *player) end(r *playRequest, attempt int, status policy.Status) {
 	p.t.Helper()
 	x := r.tries[attempt]
 	if !x.open {
 		return
 	}
 	x.open, x.status = false, status
-	if status == choice.OK && r.final == "" {
+	if status == policy.OK && r.final == "" {
 		r.final, r.finalAt = "served", p.now
 	}
-	p.step(choice.Event{Kind: choice.Outcome, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: p.now - x.at,
+	p.step(policy.Event{Kind: policy.Outcome, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: p.now - x.at,
 		Finished: r.final != ""})
 }
 
 // judge holds one action against the settings.
-func (p *player) judge(a choice.Action) {
+func (p *player) judge(a policy.Action) {
 	p.t.Helper()
 	r := p.asked[a.ID]
 	switch a.Kind {
-	case choice.SetTimer:
-		p.after(a.Wait, func() { p.step(choice.Event{Kind: choice.Timer, Tag: a.Tag}) })
-	case choice.Send:
+	case policy.SetTimer:
+		p.after(a.Wait, func() { p.step(policy.Event{Kind: policy.Timer, Tag: a.Tag}) })
+	case policy.Send:
 		p.judgeSend(r, a)
-	case choice.Refuse:
+	case policy.Refuse:
 		p.judgeFinal(r, "refused")
 		r.wait = a.Wait
 		if most := p.site.told.Ceilings.RetryMost; a.Wait > most || a.Wait > 0 && !p.site.told.Ceilings.RetryAfter {
@@ -242,21 +242,21 @@
 				p.fault("%s (%s) is refused, and may have run", r.id, r.class.Name)
 			}
 		}
-	case choice.Fail:
+	case policy.Fail:
 		p.judgeFinal(r, "failed")
 		if doubt, _ := r.doubt(); doubt {
 			p.seen.failedInDoubt[r.class.Name]++
 		}
-	case choice.Cancel:
+	case policy.Cancel:
 		if !p.site.told.Ceilings.Cancel {
 			p.fault("%s is called off", r.id)
 		}
-		p.after(0, func() { p.end(r, a.Attempt, choice.Cancelled) })
-	case choice.Probe:
+		p.after(0, func() { p.end(r, a.Attempt, policy.Cancelled) })
+	case policy.Probe:
 		if !p.site.told.Ceilings.Probes {
 			p.fault("%s is probed", a.Node)
 		}
-	case choice.Tell:
+	case policy.Tell:
 		if !p.site.told.Ceilings.Peers {
 			p.fault("peers are told")
 		}
@@ -284,7 +284,7 @@
 	return false, nil
 }
 
-func (p *player) judgeSend(r *playRequest, a choice.Action) {
+func (p *player) judgeSend(r *playRequest, a policy.Action) {
 	p.t.Helper()
 	told := p.site.told
 	n := p.nodes[a.Node]
@@ -332,7 +332,7 @@
 }
 
 // judgeRepeat: an attempt after one that may have run goes by the class's effect.
-func (p *player) judgeRepeat(r *playRequest, a choice.Action, first *playTry) {
+func (p *player) judgeRepeat(r *playRequest, a policy.Action, first *playTry) {
 	p.t.Helper()
 	switch r.class.Repeat {
 	case "unsafe":
@@ -410,12 +410,12 @@
 		for _, left := range []float64{c.Deadline, c.Deadline / 2} {
 			p := newPlayer(t, s, 3).filled()
 			r := p.ask(c, plan, 1, left)
-			i := slices.IndexFunc(p.acts, func(a choice.Action) bool { return a.Kind == choice.Send })
+			i := slices.IndexFunc(p.acts, func(a policy.Action) bool { return a.Kind == policy.Send })
 			if len(r.tries) != 1 || p.acts[i].Until != r.notAfter {
 				t.Fatalf("sent %d times, %+v", len(r.tries), p.acts)
 			}
 			p.run(p.now + playAnswer)
-			p.end(r, 0, choice.OK)
+			p.end(r, 0, policy.OK)
 			p.run(r.notAfter + 1)
 			if r.final != "served" || len(r.tries) != 1 {
 				t.Errorf("%s after %d attempts", r.final, len(r.tries))
@@ -447,13 +447,13 @@
 // repeated, and else ends as failed; one that never ran is sent again in any class.
 func TestDeploymentEffects(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c toldClass, plan toldPlan) {
-		for _, status := range []choice.Status{choice.Errored, choice.Reset, choice.Full, choice.NoConn} {
+		for _, status := range []policy.Status{policy.Errored, policy.Reset, policy.Full, policy.NoConn} {
 			p := newPlayer(t, s, 3).filled()
 			r := p.ask(c, plan, 1, 0)
 			p.run(p.now + playAnswer)
 			p.end(r, 0, status)
 			p.run(p.now + min(c.Aim/2, playAgain))
-			proved := status == choice.Full || status == choice.NoConn
+			proved := status == policy.Full || status == policy.NoConn
 			if again := proved || c.Repeat != "unsafe"; again != (len(r.tries) == 2) {
 				t.Fatalf("status %v: sent %d times, then %q", status, len(r.tries), r.final)
 			}
@@ -482,9 +482,9 @@
 func TestDeploymentAttemptsAreCounted(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.told.Profiles {
-			status, least := choice.Full, 2
+			status, least := policy.Full, 2
 			if c.Repeat == "safe" {
-				status, least = choice.Errored, s.told.Ceilings.Attempts
+				status, least = policy.Errored, s.told.Ceilings.Attempts
 			}
 			p := newPlayer(t, s, 2).filled()
 			p.onSend = func(r *playRequest, attempt int) {
@@ -510,7 +510,7 @@
 		rules, c := s.told.Rules, s.told.Profiles[0]
 		p := newPlayer(t, s, 2).filled()
 		p.onSend = func(r *playRequest, attempt int) {
-			p.after(1, func() { p.end(r, attempt, choice.Errored) })
+			p.after(1, func() { p.end(r, attempt, policy.Errored) })
 		}
 		further := 0
 		for range burst {
@@ -559,24 +559,24 @@
 				p := newPlayer(t, s, 2).filled()
 				before := p.ask(patient, last, 0, 0)
 				p.run(p.now + slow*c.Aim)
-				p.end(before, 0, choice.OK)
+				p.end(before, 0, policy.OK)
 				p.run(p.now + faded)
 				r := p.ask(c, last, 1, 0)
 				sent := p.now
 				p.run(sent + late*c.Aim/2)
-				p.end(p.ask(classes[once], last, 1, 0), 0, choice.Errored)
+				p.end(p.ask(classes[once], last, 1, 0), 0, policy.Errored)
 				p.run(sent + late*c.Aim - 1)
 				var others []*playRequest
 				for range room {
 					others = append(others, p.ask(classes[once], last, 1, 0))
 				}
 				p.run(sent + late*c.Aim)
-				p.end(r, 0, choice.Errored)
+				p.end(r, 0, policy.Errored)
 				p.run(sent + x.back*c.Window)
 				if len(r.tries) != 1 || r.final != "" || len(others[room-1].tries) != 1 {
 					t.Fatalf("%s, %s: %d attempts, %q: it does not wait", s.name, c.Name, len(r.tries), r.final)
 				}
-				p.end(others[0], 0, choice.Errored)
+				p.end(others[0], 0, policy.Errored)
 				p.run(p.now + 5*playSweep)
 				if len(r.tries) != x.sent {
 					t.Errorf("%s, %s: sent %d times, want %d: the node had room at %.2f of the window", s.name, c.Name, len(r.tries), x.sent, x.back)
@@ -595,16 +595,16 @@
 }
 
 // hide changes a node's state in the list.
-func (p *player) hide(id string, state choice.NodeState) {
+func (p *player) hide(id string, state policy.NodeState) {
 	p.t.Helper()
 	n := p.nodes[id]
 	n.State = state
 	p.nodes[id] = n
 	delete(p.told, id)
-	if state == choice.NodeDraining || state == choice.NodeGone {
+	if state == policy.NodeDraining || state == policy.NodeGone {
 		p.told[id] = p.now
 	}
-	p.step(choice.Event{Kind: choice.ListChange, Nodes: []choice.Node{n}})
+	p.step(policy.Event{Kind: policy.ListChange, Nodes: []policy.Node{n}})
 }
 
 // A request whose shard nobody holds waits until its class's aim and is refused then, before its client leaves.
@@ -648,7 +648,7 @@
 		for _, plan := range s.told.Contracts {
 			for _, hosts := range []int{1, 2, 3} {
 				p := newPlayer(t, s, 2).filled()
-				p.onSend = func(r *playRequest, attempt int) { p.after(0, func() { p.end(r, attempt, choice.OK) }) }
+				p.onSend = func(r *playRequest, attempt int) { p.after(0, func() { p.end(r, attempt, policy.OK) }) }
 				asks := int(plan.Burst) + playBeyond
 				flood := func() (sent int) {
 					for range asks {
@@ -684,16 +684,16 @@
 	for _, s := range deployments(t) {
 		c := s.told.Profiles[0]
 		p := newPlayer(t, s, 2).filled()
-		p.hide("node-1", choice.NodeOut)
+		p.hide("node-1", policy.NodeOut)
 		var waiting []*playRequest
 		for _, plan := range s.told.Contracts {
 			waiting = append(waiting, p.ask(c, plan, 1, 0))
 		}
-		p.hide("node-1", choice.NodeUp)
+		p.hide("node-1", policy.NodeUp)
 		last := math.Inf(1)
 		sent := 0
 		for _, a := range p.acts {
-			if a.Kind != choice.Send {
+			if a.Kind != policy.Send {
 				continue
 			}
 			price := p.asked[a.ID].plan.Price
@@ -713,7 +713,7 @@
 	for _, s := range deployments(t) {
 		for _, c := range s.told.Profiles {
 			p := newPlayer(t, s, 2).filled()
-			p.hide("node-1", choice.NodeDraining)
+			p.hide("node-1", policy.NodeDraining)
 			for range 50 {
 				p.ask(c, s.told.Contracts[len(s.told.Contracts)-1], 1, 0)
 				p.run(p.now + s.told.Rules.Grace/25) // judgeSend holds each send against the grace
@@ -744,10 +744,10 @@
 				plan := s.told.Contracts[rng.IntN(len(s.told.Contracts))]
 				p.askOf(fmt.Sprint(plan.Name, rng.IntN(4)), 1+rng.IntN(2), c, plan, rng.IntN(5), c.Deadline*(0.3+0.7*rng.Float64()))
 				if rng.IntN(60) == 0 {
-					state := []choice.NodeState{choice.NodeUp, choice.NodeDraining, choice.NodeOut, choice.NodeGone}[rng.IntN(4)]
+					state := []policy.NodeState{policy.NodeUp, policy.NodeDraining, policy.NodeOut, policy.NodeGone}[rng.IntN(4)]
 					id := fmt.Sprint("node-", rng.IntN(5))
 					p.hide(id, state)
-					p.after(rng.Float64()*3000, func() { p.hide(id, choice.NodeUp) })
+					p.after(rng.Float64()*3000, func() { p.hide(id, policy.NodeUp) })
 				}
 			}
 			p.run(p.now + 60e3)
@@ -788,7 +788,7 @@
 // drawEnd decides how and when an attempt ends: mostly soon and well; sometimes never, which ends with its client.
 func (p *player) drawEnd(rng *rand.Rand, r *playRequest, attempt int) {
 	wait := playAnswer * (0.5 + rng.ExpFloat64())
-	status := choice.OK
+	status := policy.OK
 	if attempt > 0 && rng.IntN(4) == 0 {
 		return
 	}
@@ -796,13 +796,13 @@
 	case 0:
 		return
 	case 1:
-		status = choice.Reset
+		status = policy.Reset
 	case 2:
-		status, wait = choice.Errored, rng.Float64()*r.class.Deadline
+		status, wait = policy.Errored, rng.Float64()*r.class.Deadline
 	case 3:
-		status, wait = choice.Full, 1
+		status, wait = policy.Full, 1
 	case 4:
-		status, wait = choice.NoConn, 200*rng.Float64()
+		status, wait = policy.NoConn, 200*rng.Float64()
 	case 5:
 		wait = rng.Float64() * r.class.Aim
 	}
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -157,7 +157,7 @@
 func TestDeploymentSettingsArriveWhereTheyBelong(t *testing.T) {
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
-		want, told := choice.Settings{
+		want, told := policy.Settings{
 			Me: s.told.Me, Hosts: s.told.Hosts, Zone: s.told.MyZone, AskMode: s.told.Mode == "ask",
 			MeanUnits: s.told.Extra.Usual, MostUnits: s.told.Extra.Largest, Shards: s.told.Extra.Shards,
 			ColdUnits: s.told.Extra.Young, MeterSpan: s.told.Extra.Meter, TellsOthers: s.told.Extra.SaysOther,
@@ -173,7 +173,7 @@
 			want.Classes = append(want.Classes, wantedClass(t, c))
 		}
 		for _, p := range told.Contracts {
-			want.Plans = append(want.Plans, choice.Plan{Name: p.Name, Rate: p.Rate, Reserve: p.Reserve,
+			want.Plans = append(want.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Reserve: p.Reserve,
 				Weight: p.Shares, Price: p.Price, Limit: p.Cap, LimitBurst: p.Burst})
 		}
 		if !reflect.DeepEqual(s.conf.Settings, want) {
@@ -186,20 +186,20 @@
 	}
 }
 
-func wantedClass(t *testing.T, c toldClass) choice.Class {
-	want := choice.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth, Memory: c.Window}
+func wantedClass(t *testing.T, c toldClass) policy.Class {
+	want := policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth, Memory: c.Window}
 	switch c.Repeat {
 	case "safe":
 	case "unsafe":
-		want.Effect = choice.Unsafe
+		want.Effect = policy.Unsafe
 	case "keyed":
-		want.Effect = choice.Keyed
+		want.Effect = policy.Keyed
 		switch c.Scope {
 		case "all":
 		case "zone":
-			want.Group = choice.GroupZone
+			want.Group = policy.GroupZone
 		case "cell":
-			want.Group = choice.GroupShard
+			want.Group = policy.GroupShard
 		default:
 			t.Fatalf("class %s: key-scope %q", c.Name, c.Scope)
 		}
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/gather"
+	"wheatsaddle/policy"
 )
 
 // SiteGather is the section gather: reads that span shards, by class.
@@ -75,7 +75,7 @@
 }
 
 // Check holds the section against the configuration: its classes, the largest request and the memory.
-func (g *SiteGather) Check(set choice.Settings, memoryMB int) error {
+func (g *SiteGather) Check(set policy.Settings, memoryMB int) error {
 	known := map[string]bool{}
 	for _, k := range set.Classes {
 		known[k.Name] = true
--- a/internal/config/gather_tree_test.go
+++ b/internal/config/gather_tree_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 func TestGatherTree(t *testing.T) {
@@ -25,7 +25,7 @@
 		x.LeastParts != 8 || x.GroupMost != 16 || x.Copies != 1 || x.Connections != 8 || x.BytesMost != 64<<20 || x.merges() != 3 {
 		t.Errorf("%+v", x)
 	}
-	set := choice.Settings{Classes: []choice.Class{{Name: "c"}}}
+	set := policy.Settings{Classes: []policy.Class{{Name: "c"}}}
 	var key *KeyError
 	if err = s.Gather.Check(set, 256); err != nil { // a read may hold a merge for each group
 		t.Error(err)
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -12,8 +12,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
+	"wheatsaddle/policy"
 )
 
 // ISCSI is the second front's file.
@@ -62,11 +62,11 @@
 	Name, Target string
 	Addresses    []address.Addr
 	Shard        int
-	State        choice.NodeState
+	State        policy.NodeState
 }
 
 // LoadISCSI reads the second front's file against the settings.
-func LoadISCSI(path string, set choice.Settings) (*ISCSI, error) {
+func LoadISCSI(path string, set policy.Settings) (*ISCSI, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &FileError{"iscsi", err}
@@ -86,10 +86,10 @@
 	vendor = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
 )
 
-var storageStates = map[string]choice.NodeState{"active": choice.NodeUp, "leaving": choice.NodeDraining, "left": choice.NodeGone}
+var storageStates = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeGone}
 
 // ParseISCSI reads and checks the second front's configuration.
-func ParseISCSI(text []byte, set choice.Settings) (*ISCSI, error) {
+func ParseISCSI(text []byte, set policy.Settings) (*ISCSI, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, &JSONError{File: "iscsi"}
 	}
@@ -135,7 +135,7 @@
 	return c, r.err
 }
 
-func (r *reader) unit(set choice.Settings, most uint32) Unit {
+func (r *reader) unit(set policy.Settings, most uint32) Unit {
 	u := Unit{LUN: uint16(r.whole("lun", -1, 0, 16383)), StorageLUN: uint16(r.whole("storage_lun", 0, 0, 16383)),
 		Shard: int(r.whole("group", -1, 0, 1e6)), Hosts: int(r.whole("hosts", float64(set.Hosts), 1, 1e6)),
 		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.whole("block_size", 512, 512, 4096)),
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -4,35 +4,35 @@
 	"container/heap"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // execute executes one action of the module.
-func (c *Core) execute(a *choice.Action, now float64) {
+func (c *Core) execute(a *policy.Action, now float64) {
 	switch a.Kind {
-	case choice.Send:
+	case policy.Send:
 		c.send(a, now)
-	case choice.Refuse:
+	case policy.Refuse:
 		c.refuseRequest(a)
-	case choice.Fail:
+	case policy.Fail:
 		c.failRequest(a, now)
-	case choice.Cancel:
+	case policy.Cancel:
 		c.cancelAttempt(a)
-	case choice.SetTimer:
+	case policy.SetTimer:
 		heap.Push(&c.timers, pendingTimer{at: now + a.Wait, tag: a.Tag})
-	case choice.Probe:
+	case policy.Probe:
 		c.probe(a.Node)
-	case choice.Subscribe, choice.FetchList:
+	case policy.Subscribe, policy.FetchList:
 		if c.options.Refetch != nil {
 			c.options.Refetch()
 		}
-	case choice.Log:
+	case policy.Log:
 		c.options.Log.Info(a.Text)
 	}
 }
 
 // refuseRequest answers a request that the module refuses. While the process starts, the start words the wait.
-func (c *Core) refuseRequest(a *choice.Action) {
+func (c *Core) refuseRequest(a *policy.Action) {
 	e := c.requests[a.ID]
 	if e == nil {
 		return
@@ -46,7 +46,7 @@
 }
 
 // failRequest answers a request that the module fails: as out of time where its time is over.
-func (c *Core) failRequest(a *choice.Action, now float64) {
+func (c *Core) failRequest(a *policy.Action, now float64) {
 	e := c.requests[a.ID]
 	if e == nil {
 		return
@@ -60,7 +60,7 @@
 }
 
 // cancelAttempt tells an attempt's peer to give it up; one that never had a peer has ended already.
-func (c *Core) cancelAttempt(a *choice.Action) {
+func (c *Core) cancelAttempt(a *policy.Action) {
 	e := c.requests[a.ID]
 	if e == nil || a.Attempt < 0 || a.Attempt >= len(e.attempts) {
 		return
@@ -78,6 +78,6 @@
 	}
 	p, ok := c.peers[node]
 	if !ok || !p.Probe(answered) {
-		c.events = append(c.events, choice.Event{Kind: choice.Probed, Node: node, Status: choice.NoConn})
+		c.events = append(c.events, policy.Event{Kind: policy.Probed, Node: node, Status: policy.NoConn})
 	}
 }
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/operr"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -127,8 +127,8 @@
 	case m.attempt != nil:
 		c.attemptEnded(m.attempt, m.result, now)
 	case m.probedNode != "":
-		c.events = append(c.events, choice.Event{
-			Kind:    choice.Probed,
+		c.events = append(c.events, policy.Event{
+			Kind:    policy.Probed,
 			Node:    m.probedNode,
 			Status:  m.result.Status,
 			Latency: float64(m.latency.Microseconds()) / 1000,
@@ -154,7 +154,7 @@
 }
 
 // stepAndExecute runs the module and executes its actions; false: it panicked.
-func (c *Core) stepAndExecute(now float64, events []choice.Event) bool {
+func (c *Core) stepAndExecute(now float64, events []policy.Event) bool {
 	if !c.step(now, events) {
 		return false
 	}
@@ -165,7 +165,7 @@
 }
 
 // step runs the module; false: it panicked and was replaced. A fault in a decision must not end the process.
-func (c *Core) step(now float64, events []choice.Event) (ok bool) {
+func (c *Core) step(now float64, events []policy.Event) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.restart(now, p)
@@ -184,9 +184,9 @@
 	}
 	c.timers = c.timers[:0]
 	for id, n := range c.nodes { // the drains' timers are gone with the others
-		c.peers[id].Drain(c.exclusions.View(now, n.Node).State != choice.NodeUp)
+		c.peers[id].Drain(c.exclusions.View(now, n.Node).State != policy.NodeUp)
 	}
-	mod, err := choice.New(c.options.Settings, c.options.Seed+1)
+	mod, err := policy.New(c.options.Settings, c.options.Seed+1)
 	if err != nil {
 		panic(fmt.Sprintf("settings that were good no longer are: %v", err))
 	}
@@ -194,9 +194,9 @@
 	if c.handedOver {
 		mod.HandOver()
 	}
-	stale := choice.Event{Kind: choice.ListStale}
+	stale := policy.Event{Kind: policy.ListStale}
 	for _, n := range c.nodes {
 		stale.Nodes = append(stale.Nodes, c.exclusions.View(now, n.Node))
 	}
-	c.events = []choice.Event{stale}
+	c.events = []policy.Event{stale}
 }
--- a/internal/core/ahead_test.go
+++ b/internal/core/ahead_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // begins is a start that notes what it is told.
 type begins struct {
 	Starting
 	over  bool
-	ended []choice.Status
+	ended []policy.Status
 }
 
 func (b *begins) Over() bool                             { return b.over }
-func (b *begins) Ended(_ string, s choice.Status)        { b.ended = append(b.ended, s) }
+func (b *begins) Ended(_ string, s policy.Status)        { b.ended = append(b.ended, s) }
 func (b *begins) Admit(string) (w time.Duration, r bool) { return }
 
 // Connections ahead and probes go to nodes that may be used, and to no other; that one failed, or found
@@ -25,13 +25,13 @@
 func TestAheadAndProbe(t *testing.T) {
 	r, b := start(t, settings()), &begins{}
 	r.options.Start = b
-	r.list(choice.ListStale, node("up", 0, choice.NodeUp), node("leaves", 0, choice.NodeDraining), node("out", 0, choice.NodeUp),
-		node("gone", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("up", 0, policy.NodeUp), node("leaves", 0, policy.NodeDraining), node("out", 0, policy.NodeUp),
+		node("gone", 0, policy.NodeUp))
 	if _, err := r.Exclude("out"); err != nil {
 		t.Fatal(err)
 	}
 	gone := r.peer("gone")
-	r.list(choice.ListFull, node("up", 0, choice.NodeUp), node("leaves", 0, choice.NodeDraining), node("out", 0, choice.NodeUp))
+	r.list(policy.ListFull, node("up", 0, policy.NodeUp), node("leaves", 0, policy.NodeDraining), node("out", 0, policy.NodeUp))
 	for _, id := range []string{"up", "leaves", "out", "gone", "none"} {
 		r.Preconnect(id)
 		r.Probe(id)
@@ -46,14 +46,14 @@
 	if len(up.ahead) != 1 || len(up.probes) != 1 {
 		t.Fatalf("the node was connected to %d times and probed %d times", len(up.ahead), len(up.probes))
 	}
-	for _, s := range []choice.Status{choice.OK, choice.Abandoned, choice.NoConn} {
+	for _, s := range []policy.Status{policy.OK, policy.Abandoned, policy.NoConn} {
 		up.ahead[0](s)
 		up.probes[0](Result{Status: s}, time.Millisecond)
 	}
-	up.probes[0](Result{Status: choice.Full}, time.Millisecond)
+	up.probes[0](Result{Status: policy.Full}, time.Millisecond)
 	b.over = true
-	up.ahead[0](choice.NoConn)
-	if want := []choice.Status{choice.NoConn, choice.NoConn, choice.Full}; !reflect.DeepEqual(b.ended, want) {
+	up.ahead[0](policy.NoConn)
+	if want := []policy.Status{policy.NoConn, policy.NoConn, policy.Full}; !reflect.DeepEqual(b.ended, want) {
 		t.Errorf("told %v, want %v", b.ended, want)
 	}
 }
@@ -66,15 +66,15 @@
 	ids := []string{"a", "b", "c", "d"}
 	var list []Node
 	for shard, id := range ids {
-		list = append(list, node(id, shard, choice.NodeUp))
+		list = append(list, node(id, shard, policy.NodeUp))
 	}
-	r.list(choice.ListFull, list...)
+	r.list(policy.ListFull, list...)
 	for shard, times := range []int{2, 4, 3, 1} {
 		for i := range times {
 			id, got := fmt.Sprint(ids[shard], i), make(chan Answer, 8)
-			r.Submit(&Request{Request: choice.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Shard: shard},
+			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Shard: shard},
 				Arrived: time.Now(), Patience: time.Minute, Answer: func(a Answer) { got <- a }})
-			(<-r.peer(ids[shard]).sent).Done(Result{Status: choice.OK})
+			(<-r.peer(ids[shard]).sent).Done(Result{Status: policy.OK})
 			one(t, got, Served)
 		}
 	}
@@ -92,7 +92,7 @@
 	if got := order(); got != "cadb" {
 		t.Errorf("%s", got)
 	}
-	r.list(choice.ListFull, list[:2]...)
+	r.list(policy.ListFull, list[:2]...)
 	if r.changeExclusions(func(float64) ([]string, error) { return nil, nil }); len(r.nodeUses) != 2 {
 		t.Errorf("%d nodes are held", len(r.nodeUses))
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/interleave/sync/atomic"
+	"wheatsaddle/policy"
 )
 
 // Attempt is one try of a request at one node: one Send of the module.
@@ -27,7 +27,7 @@
 	done                      func(Result)
 	// endedAt (module's time; 0: not yet) and status are for the log.
 	endedAt float64
-	status  choice.Status
+	status  policy.Status
 	phase   atomic.Int32
 }
 
@@ -45,9 +45,9 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status       choice.Status
+	Status       policy.Status
 	Used, Others float64
-	Load         *choice.Load
+	Load         *policy.Load
 	Payload      any
 	// Bad says that the node rejected the request itself as invalid. That is final: another attempt
 	// would end the same, and it says nothing about the node's health.
@@ -57,7 +57,7 @@
 // Claim claims the attempt for writing: a peer calls it right before the first byte. It returns false where
 // the attempt was overtaken while it waited for a connection or in a mailbox: its request was answered, its
 // client has gone, its repeat window is over, or its draining node takes no more. Nothing of it may be
-// written then, and the peer reports it as choice.Abandoned. Further calls return the same.
+// written then, and the peer reports it as policy.Abandoned. Further calls return the same.
 func (a *Attempt) Claim() bool {
 	if a.expired() || a.Req.gone() {
 		a.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
@@ -90,7 +90,7 @@
 }
 
 // send starts an attempt and hands it to the node's peer. A request that is answered is never sent again.
-func (c *Core) send(a *choice.Action, now float64) {
+func (c *Core) send(a *policy.Action, now float64) {
 	e := c.requests[a.ID]
 	if e == nil {
 		return
@@ -116,7 +116,7 @@
 }
 
 // attempt makes the next attempt of a request.
-func (c *Core) attempt(e *requestState, a *choice.Action, until, now float64) *Attempt {
+func (c *Core) attempt(e *requestState, a *policy.Action, until, now float64) *Attempt {
 	t := NewAttempt(e.request, c.wallTime(until), nil)
 	t.No = len(e.attempts)
 	t.Node = a.Node
@@ -140,12 +140,12 @@
 	e := t.state
 	t.once.Do(func() {}) // its result is told here
 	e.outstanding--
-	status := choice.NoConn
+	status := policy.NoConn
 	if e.answered {
-		status = choice.Abandoned
+		status = policy.Abandoned
 	}
-	c.events = append(c.events, choice.Event{
-		Kind:     choice.Outcome,
+	c.events = append(c.events, policy.Event{
+		Kind:     policy.Outcome,
 		ID:       e.request.ID,
 		Attempt:  t.No,
 		Node:     t.Node,
@@ -158,7 +158,7 @@
 // attemptEnded handles the result of an attempt; the first that was served answers the request.
 func (c *Core) attemptEnded(a *Attempt, r Result, now float64) {
 	e := a.state
-	if r.Status == choice.Abandoned && e.request.gone() {
+	if r.Status == policy.Abandoned && e.request.gone() {
 		c.cancelRequest(e) // else the module would send it again
 	}
 	e.outstanding--
@@ -169,7 +169,7 @@
 	if st := c.starting(); st != nil {
 		st.Ended(a.Node, r.Status)
 	}
-	if r.Status == choice.OK && !e.answered {
+	if r.Status == policy.OK && !e.answered {
 		c.answer(e, Answer{Kind: Served, Payload: r.Payload})
 	} else if r.Bad {
 		c.answer(e, Answer{Kind: Failed, Cause: CauseBad})
@@ -179,8 +179,8 @@
 	if c.requests[e.request.ID] != e {
 		return // from before a restart of the module
 	}
-	c.events = append(c.events, choice.Event{
-		Kind:     choice.Outcome,
+	c.events = append(c.events, policy.Event{
+		Kind:     policy.Outcome,
 		ID:       e.request.ID,
 		Attempt:  a.No,
 		Node:     a.Node,
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // NodesTried lists the nodes that the attempts of a request went to, in order. A later request for the same data names it
@@ -30,20 +30,20 @@
 	if e.answered { // or cancelled
 		return
 	}
-	arrival := choice.Event{Kind: choice.Arrival, Req: e.request.Request}
-	hide, show := choice.Event{Kind: choice.ListChange}, choice.Event{Kind: choice.ListChange}
+	arrival := policy.Event{Kind: policy.Arrival, Req: e.request.Request}
+	hide, show := policy.Event{Kind: policy.ListChange}, policy.Event{Kind: policy.ListChange}
 	for _, id := range c.avoidedNodes(e, now) {
 		n := c.exclusions.View(now, c.nodes[id].Node)
 		show.Nodes = append(show.Nodes, n)
-		n.State = choice.NodeOut
+		n.State = policy.NodeOut
 		hide.Nodes = append(hide.Nodes, n)
 	}
 	if len(hide.Nodes) == 0 {
 		c.events = append(c.events, arrival)
 		return
 	}
-	if c.stepAndExecute(now, []choice.Event{hide, arrival}) {
-		c.stepAndExecute(now, []choice.Event{show})
+	if c.stepAndExecute(now, []policy.Event{hide, arrival}) {
+		c.stepAndExecute(now, []policy.Event{show})
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	var up []string
 	for id, n := range c.nodes {
-		if n.Shard == e.request.Shard && c.exclusions.View(now, n.Node).State == choice.NodeUp {
+		if n.Shard == e.request.Shard && c.exclusions.View(now, n.Node).State == policy.NodeUp {
 			up = append(up, id)
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,4 +1,4 @@
-// Package core runs the decision module (choice.Scheduler) in one actor goroutine. It keeps the open
+// Package core runs the decision module (policy.Scheduler) in one actor goroutine. It keeps the open
 // requests, their attempts and the timers, passes events to the module and executes the module's
 // actions. Each request gets exactly one final answer, also where the module forgets it or panics.
 // The package knows no wire format: fronts submit requests, and peers carry attempts to nodes.
@@ -11,22 +11,22 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/margin"
+	"wheatsaddle/policy"
 )
 
 // Options configure a Core.
 type Options struct {
-	Settings choice.Settings
+	Settings policy.Settings
 	Seed     int64
 	Connect  func(name string, addresses []address.Addr) Peer // called once for each node that joins the list
 	Refetch  func()                                           // called when the module asks for the list; must not block
 	Log      logrus.FieldLogger
 	// Observe is called at the end of each attempt with the node's since_ms as of the send; it must not block.
-	Observe func(node string, since int64, class string, units, latencyMs float64, status choice.Status)
+	Observe func(node string, since int64, class string, units, latencyMs float64, status policy.Status)
 	// Excluded is the book of exclusions that the scheduler's last process kept.
 	Excluded exclusion.State
 	Start    Starting // limits load while the process starts; nil: no limit
@@ -43,9 +43,9 @@
 	origin   time.Time // start of the process; constant, as is originMs
 	originMs float64   // Unix milliseconds at origin
 
-	scheduler *choice.Scheduler
-	events    []choice.Event  // for the module's next step
-	actions   []choice.Action // of the last step
+	scheduler *policy.Scheduler
+	events    []policy.Event  // for the module's next step
+	actions   []policy.Action // of the last step
 	batch     []message       // of the present turn
 	timers    timerHeap
 
@@ -60,7 +60,7 @@
 	listCurrent bool // the last news of the list came by a call or a watch that stands
 	exclusions  *exclusion.Book
 
-	recalled   choice.Learned // for the module, after the next step
+	recalled   policy.Learned // for the module, after the next step
 	handedOver bool           // another process fills the limits' stores; also told to a module that replaces this one
 
 	counts       *Counts // any goroutine reads
@@ -74,7 +74,7 @@
 
 // New checks the settings and starts the actor.
 func New(opt Options) (*Core, error) {
-	mod, err := choice.New(opt.Settings, opt.Seed)
+	mod, err := policy.New(opt.Settings, opt.Seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,17 +9,17 @@
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
+	"wheatsaddle/policy"
 )
 
-func settings() choice.Settings {
-	return choice.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
+func settings() policy.Settings {
+	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
 		DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
-		Classes: []choice.Class{
+		Classes: []policy.Class{
 			{Name: "read", Aim: 60e3, Deadline: 120e3, Worth: 3},
-			{Name: "record", Aim: 60e3, Deadline: 120e3, Worth: 2, Effect: choice.Keyed, Group: choice.GroupShard, Memory: 2500}},
-		Plans: []choice.Plan{{Name: "basic", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}}
+			{Name: "record", Aim: 60e3, Deadline: 120e3, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}}
 }
 
 // fake is a peer that hands its attempts to the test.
@@ -30,7 +30,7 @@
 	full    bool
 	drained bool
 	closed  bool
-	ahead   []func(choice.Status) // the core's actor's, as probes
+	ahead   []func(policy.Status) // the core's actor's, as probes
 	probes  []func(Result, time.Duration)
 	to      [][]address.Addr // changes of its addresses
 }
@@ -56,7 +56,7 @@
 	f.probes = append(f.probes, told)
 	return true
 }
-func (f *fake) Connect(told func(choice.Status)) bool {
+func (f *fake) Connect(told func(policy.Status)) bool {
 	f.ahead = append(f.ahead, told)
 	return true
 }
@@ -81,7 +81,7 @@
 	return f
 }
 
-func start(t *testing.T, set choice.Settings) *rig {
+func start(t *testing.T, set policy.Settings) *rig {
 	t.Helper()
 	r := &rig{t: t}
 	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), Connect: r.connect})
@@ -93,7 +93,7 @@
 	return r
 }
 
-func (r *rig) list(kind choice.EventKind, nodes ...Node) {
+func (r *rig) list(kind policy.EventKind, nodes ...Node) {
 	r.List(News{Kind: kind, Nodes: nodes})
 	r.Open() // has been taken
 }
@@ -106,8 +106,8 @@
 	return f.(*fake)
 }
 
-func node(name string, shard int, state choice.NodeState) Node {
-	return Node{Node: choice.Node{ID: name, Shard: shard, State: state, Weight: 1}, Addresses: addrs("127.0.0.1:1")}
+func node(name string, shard int, state policy.NodeState) Node {
+	return Node{Node: policy.Node{ID: name, Shard: shard, State: state, Weight: 1}, Addresses: addrs("127.0.0.1:1")}
 }
 
 // ask submits a request and returns the channel of all its answers.
@@ -120,7 +120,7 @@
 // made is a request that is not submitted yet.
 func (r *rig) made(id, class string, patience time.Duration) (*Request, chan Answer) {
 	got := make(chan Answer, 8)
-	q := &Request{Request: choice.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
+	q := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
 		Arrived: time.Now(), Patience: patience, Answer: func(a Answer) { got <- a }}
 	return q, got
 }
@@ -145,10 +145,10 @@
 // What a node turns away for what it is, a bad client's request, is not tried again.
 func TestBadIsFinal(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	for _, class := range []string{"read", "record"} {
 		_, got := r.ask(class, class, time.Minute)
-		(<-r.peer("n").sent).Done(Result{Status: choice.Abandoned, Bad: true})
+		(<-r.peer("n").sent).Done(Result{Status: policy.Abandoned, Bad: true})
 		if a := one(t, got, Failed); a.Cause != CauseBad {
 			t.Errorf("%s: %+v", class, a)
 		}
@@ -161,11 +161,11 @@
 
 func TestServedOnce(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	_, got := r.ask("a", "read", time.Minute)
 	a := <-r.peer("n").sent
-	a.Done(Result{Status: choice.OK, Payload: "body"})
-	a.Done(Result{Status: choice.Reset}) // guards against a peer that reports twice
+	a.Done(Result{Status: policy.OK, Payload: "body"})
+	a.Done(Result{Status: policy.Reset}) // guards against a peer that reports twice
 	if x := one(t, got, Served); x.Payload != "body" {
 		t.Errorf("payload %v", x.Payload)
 	}
@@ -179,15 +179,15 @@
 // never to another shard; it ends as failed, not as refused, as a refusal invites a repeat.
 func TestKeyedResetStaysInItsGroup(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 1, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
 	_, got := r.ask("a", "record", time.Minute)
 	first := <-r.peer("n").sent
-	first.Done(Result{Status: choice.Reset})
+	first.Done(Result{Status: policy.Reset})
 	again := <-r.peer("n").sent
-	again.Done(Result{Status: choice.Reset})
+	again.Done(Result{Status: policy.Reset})
 	third := <-r.peer("n").sent
-	third.Done(Result{Status: choice.Reset})
-	(<-r.peer("n").sent).Done(Result{Status: choice.Reset})
+	third.Done(Result{Status: policy.Reset})
+	(<-r.peer("n").sent).Done(Result{Status: policy.Reset})
 	one(t, got, Failed)
 	none(t, r, got)
 	if len(r.peer("m").sent) > 0 {
@@ -202,14 +202,14 @@
 		set := settings()
 		set.Classes[1].Memory = 1000
 		r := start(t, set)
-		r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+		r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 		sent := time.Now()
 		_, got := r.ask("a", "record", time.Minute)
 		first := <-r.peer("n").sent
 		if !first.StartBy.IsZero() {
 			t.Errorf("a first attempt is bound: %v", first.StartBy)
 		}
-		first.Done(Result{Status: choice.Reset})
+		first.Done(Result{Status: policy.Reset})
 		again := <-r.peer("n").sent
 		if again.StartBy.Before(sent.Add(time.Second)) || again.StartBy.After(time.Now().Add(time.Second)) {
 			t.Fatalf("may begin until %v after the request, want 1 s after the first attempt", again.StartBy.Sub(sent))
@@ -218,7 +218,7 @@
 		if !again.Abandoned() || again.Claim() {
 			t.Error("begins although its window is over")
 		}
-		again.Done(Result{Status: choice.Abandoned})
+		again.Done(Result{Status: policy.Abandoned})
 		one(t, got, Failed)
 		none(t, r, got)
 	})
@@ -226,21 +226,21 @@
 
 func TestDepartedCancels(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	q, got := r.ask("a", "read", time.Minute)
 	a := <-r.peer("n").sent
 	r.Cancel(q)
 	if b := <-r.peer("n").cancels; b != a {
 		t.Error("another attempt was cancelled")
 	}
-	a.Done(Result{Status: choice.Cancelled})
+	a.Done(Result{Status: policy.Cancelled})
 	none(t, r, got)
 }
 
 // An id that is open, or a class or plan that no setting names, gets a plain failure.
 func TestBadRequests(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	_, first := r.ask("a", "read", time.Minute)
 	_, got := r.ask("a", "read", time.Minute)
 	if x := one(t, got, Failed); x.Cause != CauseTwice {
@@ -250,7 +250,7 @@
 	if x := one(t, got, Failed); x.Cause != CauseUnknown {
 		t.Errorf("cause %q", x.Cause)
 	}
-	(<-r.peer("n").sent).Done(Result{Status: choice.OK})
+	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, first, Served)
 }
 
@@ -259,7 +259,7 @@
 	r := start(t, settings())
 	got := make(chan Answer, 2)
 	r.post(message{call: func() {
-		q := &Request{Request: choice.Request{ID: "lost"}, Answer: func(a Answer) { got <- a }}
+		q := &Request{Request: policy.Request{ID: "lost"}, Answer: func(a Answer) { got <- a }}
 		e := &requestState{request: q}
 		r.requests["lost"] = e
 		r.timers.Push(pendingTimer{at: 0, guarded: e})
@@ -289,7 +289,7 @@
 // A full mailbox proves that an attempt never ran; the module hears of it and goes on.
 func TestFullMailbox(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	f := r.peer("n")
 	f.mu.Lock()
 	f.full = true
@@ -299,19 +299,19 @@
 	f.mu.Lock()
 	f.full = false
 	f.mu.Unlock()
-	(<-f.sent).Done(Result{Status: choice.OK})
+	(<-f.sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
 }
 
 // A removal may show only as a missing entry of a snapshot, and binds the peer at once.
 func TestMissingEntryDrains(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 1, choice.NodeUp))
-	r.list(choice.ListChange, node("m", 1, choice.NodeDraining))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
+	r.list(policy.ListChange, node("m", 1, policy.NodeDraining))
 	if !r.peer("m").drained || r.peer("n").drained || r.peer("m").closed {
 		t.Error("a change drained the wrong peer")
 	}
-	r.list(choice.ListFull, node("m", 1, choice.NodeUp))
+	r.list(policy.ListFull, node("m", 1, policy.NodeUp))
 	if !r.peer("n").drained || !r.peer("n").closed || r.peer("m").drained {
 		t.Error("a missing entry did not drain its peer")
 	}
@@ -320,16 +320,16 @@
 // A panic in the module fails what is open, and a new module takes over with the list.
 func TestPanicIsSurvived(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	_, got := r.ask("a", "read", time.Minute)
 	<-r.peer("n").sent
 	r.post(message{call: func() {
 		r.scheduler = nil
-		r.events = append(r.events, choice.Event{Kind: choice.Timer, Tag: "tick"})
+		r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
 	}})
 	one(t, got, Failed)
 	_, got = r.ask("b", "read", time.Minute)
-	(<-r.peer("n").sent).Done(Result{Status: choice.OK})
+	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
 }
 
@@ -349,17 +349,17 @@
 // refused, what may have run has failed.
 func TestFinish(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	_, sent := r.ask("a", "record", time.Minute)
 	a := <-r.peer("n").sent
-	r.list(choice.ListChange, node("n", 0, choice.NodeDraining))
+	r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
 	q, waits := r.ask("b", "read", time.Minute)
 	r.Finish()
 	one(t, sent, Failed)
 	if x := one(t, waits, Refused); x.RetryAfter <= 0 {
 		t.Error("does not say when to come back")
 	}
-	a.Done(Result{Status: choice.OK})
+	a.Done(Result{Status: policy.OK})
 	r.Cancel(q)
 	none(t, r, sent)
 	none(t, r, waits)
@@ -372,18 +372,18 @@
 // module hears of the same node.
 func TestReaddressInPlace(t *testing.T) {
 	r := start(t, settings())
-	n := node("a", 0, choice.NodeUp)
-	r.list(choice.ListStale, n)
+	n := node("a", 0, policy.NodeUp)
+	r.list(policy.ListStale, n)
 	p := r.peer("a")
 	_, got := r.ask("1", "read", time.Minute)
 	a := <-p.sent
 	n.Addresses = addrs("unix:/run/a", "127.0.0.1:1")
-	r.list(choice.ListFull, n)
-	r.list(choice.ListChange, n) // nothing new
+	r.list(policy.ListFull, n)
+	r.list(policy.ListChange, n) // nothing new
 	if r.peer("a") != p || p.closed || p.drained || len(p.to) != 1 || len(p.to[0]) != 2 {
 		t.Fatalf("closed %v, drained %v, told %v", p.closed, p.drained, p.to)
 	}
-	a.Done(Result{Status: choice.OK})
+	a.Done(Result{Status: policy.OK})
 	one(t, got, Served)
 }
 
@@ -400,14 +400,14 @@
 		return f.drained
 	}
 	r := start(t, set)
-	r.list(choice.ListStale, node("a", 0, choice.NodeUp), node("b", 1, choice.NodeUp), node("c", 2, choice.NodeUp))
-	r.list(choice.ListChange, node("a", 0, choice.NodeDraining)) // the first word of the watch
-	r.list(choice.ListChange, node("b", 1, choice.NodeDraining))
+	r.list(policy.ListStale, node("a", 0, policy.NodeUp), node("b", 1, policy.NodeUp), node("c", 2, policy.NodeUp))
+	r.list(policy.ListChange, node("a", 0, policy.NodeDraining)) // the first word of the watch
+	r.list(policy.ListChange, node("b", 1, policy.NodeDraining))
 	if !drained(r, "a") || drained(r, "b") {
 		t.Errorf("drained: a %v, b %v", drained(r, "a"), drained(r, "b"))
 	}
-	r.list(choice.ListFailed)
-	r.list(choice.ListChange, node("c", 2, choice.NodeDraining))
+	r.list(policy.ListFailed)
+	r.list(policy.ListChange, node("c", 2, policy.NodeDraining))
 	if !drained(r, "c") {
 		t.Error("the first word after a broken watch is not bound at once")
 	}
@@ -416,8 +416,8 @@
 	}
 	set.DrainGrace = 560
 	r = start(t, set)
-	r.list(choice.ListFull, node("a", 0, choice.NodeUp))
-	r.list(choice.ListChange, node("a", 0, choice.NodeDraining))
+	r.list(policy.ListFull, node("a", 0, policy.NodeUp))
+	r.list(policy.ListChange, node("a", 0, policy.NodeDraining))
 	for !drained(r, "a") {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -6,11 +6,11 @@
 	"testing/synctest"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // longGrace has a node that drains used for 500 ms of the grace; its peer is closed after 700 ms.
-func longGrace() choice.Settings {
+func longGrace() policy.Settings {
 	set := settings()
 	set.DrainGrace = 1000
 	return set
@@ -32,12 +32,12 @@
 func TestDrainBindsWhileTheActorStandsStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, longGrace())
-		r.list(choice.ListFull, node("n", 0, choice.NodeUp))
+		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
 		_, early := r.ask("early", "read", time.Minute)
 		first := <-r.peer("n").sent
 		_, late := r.ask("late", "read", time.Minute)
 		second := <-r.peer("n").sent
-		r.list(choice.ListChange, node("n", 0, choice.NodeDraining))
+		r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
@@ -56,8 +56,8 @@
 		if !r.isDrained("n") {
 			t.Error("the late timer does not close the peer")
 		}
-		second.Done(Result{Status: choice.Abandoned})
-		first.Done(Result{Status: choice.OK})
+		second.Done(Result{Status: policy.Abandoned})
+		first.Done(Result{Status: policy.OK})
 		one(t, early, Served)
 		r.Finish()
 		one(t, late, Failed)
@@ -70,23 +70,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		const step = 100 * time.Millisecond
 		r := start(t, longGrace())
-		up, drains := node("n", 0, choice.NodeUp), node("n", 0, choice.NodeDraining)
-		r.list(choice.ListFull, up)
+		up, drains := node("n", 0, policy.NodeUp), node("n", 0, policy.NodeDraining)
+		r.list(policy.ListFull, up)
 		r.ask("a", "read", time.Minute)
 		waits := <-r.peer("n").sent
-		r.list(choice.ListChange, drains)
+		r.list(policy.ListChange, drains)
 		time.Sleep(step)
-		r.list(choice.ListChange, up)
+		r.list(policy.ListChange, up)
 		time.Sleep(cutoffAfter)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed after its return by the timer of its drain")
 		}
-		r.list(choice.ListChange, drains)
+		r.list(policy.ListChange, drains)
 		time.Sleep(step)
-		r.list(choice.ListChange, up)
+		r.list(policy.ListChange, up)
 		time.Sleep(step)
-		r.list(choice.ListChange, drains)
-		r.list(choice.ListFull, drains) // told again by another watch: the first word counts
+		r.list(policy.ListChange, drains)
+		r.list(policy.ListFull, drains) // told again by another watch: the first word counts
 		time.Sleep(cutoffAfter - step)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed early, by the timer of the drain before")
@@ -99,7 +99,7 @@
 		if !r.isDrained("n") || !waits.Abandoned() {
 			t.Error("its second drain does not close it")
 		}
-		r.list(choice.ListChange, up)
+		r.list(policy.ListChange, up)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("not open after its return")
 		}
@@ -112,28 +112,28 @@
 	for name, then := range map[string]func(r *rig){
 		"out by hand and back": func(r *rig) { r.Exclude("n"); r.Include("n") },
 		"the watch breaks, and another tells it again": func(r *rig) {
-			r.list(choice.ListFailed)
-			r.list(choice.ListFull, node("n", 0, choice.NodeDraining))
+			r.list(policy.ListFailed)
+			r.list(policy.ListFull, node("n", 0, policy.NodeDraining))
 		},
 		"another address": func(r *rig) {
-			n := node("n", 0, choice.NodeDraining)
+			n := node("n", 0, policy.NodeDraining)
 			n.Addresses = addrs("127.0.0.1:2")
-			r.list(choice.ListChange, n)
+			r.list(policy.ListChange, n)
 		},
 		"the module's fault": func(r *rig) {
 			r.post(message{call: func() {
 				r.scheduler = nil
-				r.events = append(r.events, choice.Event{Kind: choice.Timer, Tag: "tick"})
+				r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
 			}})
 			r.Open() // the step that breaks is this turn's
-			r.list(choice.ListFull, node("n", 0, choice.NodeDraining))
+			r.list(policy.ListFull, node("n", 0, policy.NodeDraining))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := start(t, longGrace())
-				r.list(choice.ListFull, node("n", 0, choice.NodeUp))
-				r.list(choice.ListChange, node("n", 0, choice.NodeDraining))
+				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
 				if r.isDrained("n") {
 					t.Fatal("closed at once: nothing is tested")
 				}
@@ -162,7 +162,7 @@
 		set := settings()
 		set.SecondCopies = true
 		r := start(t, set)
-		r.list(choice.ListFull, node("n", 0, choice.NodeUp))
+		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
 		sent := time.Now()
 		_, got := r.ask("a", "record", time.Minute)
 		first := <-r.peer("n").sent
@@ -181,8 +181,8 @@
 		if !first.Abandoned() || first.Claim() {
 			t.Error("begins although the node may have forgotten its copy")
 		}
-		first.Done(Result{Status: choice.Abandoned})
-		copied.Done(Result{Status: choice.OK})
+		first.Done(Result{Status: policy.Abandoned})
+		copied.Done(Result{Status: policy.OK})
 		one(t, got, Served)
 		none(t, r, got)
 	})
@@ -192,7 +192,7 @@
 // there.
 func TestNoFurtherAttemptAtADrainingNode(t *testing.T) {
 	for name, ended := range map[string]func(first *Attempt){
-		"a repeat": func(first *Attempt) { first.Done(Result{Status: choice.Reset}) },
+		"a repeat": func(first *Attempt) { first.Done(Result{Status: policy.Reset}) },
 		"a copy":   func(*Attempt) { time.Sleep(10 * time.Second) }, // silent for long
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -200,10 +200,10 @@
 				set := settings()
 				set.SecondCopies = true
 				r := start(t, set)
-				r.list(choice.ListFull, node("n", 0, choice.NodeUp))
+				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
 				r.ask("a", "record", time.Minute)
 				first := <-r.peer("n").sent
-				r.list(choice.ListChange, node("n", 0, choice.NodeDraining))
+				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
 				ended(first)
 				r.Open()
 				r.Open() // the step of the end has been taken
@@ -219,14 +219,14 @@
 func TestDrainGoesBeforeWhatWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, settings())
-		r.list(choice.ListFull, node("n", 0, choice.NodeUp))
+		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
 		for i := range 2 * batchMost {
 			r.ask(fmt.Sprint("r", i), "read", time.Minute)
 		}
-		r.List(News{Kind: choice.ListChange, Nodes: []Node{node("n", 0, choice.NodeDraining)}})
+		r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		close(free)
 		r.Open()
 		r.Open() // the step of the last batch has been taken
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/exclusion"
+	"wheatsaddle/policy"
 )
 
 // controlWait is how long an operator's call waits for the actor; operators are owed an answer within 1 s.
@@ -79,7 +79,7 @@
 
 // applyExclusions tells the peers and the module of the listed nodes whose view may have changed.
 func (c *Core) applyExclusions(now float64, ids []string) {
-	ev := choice.Event{Kind: choice.ListChange}
+	ev := policy.Event{Kind: policy.ListChange}
 	for _, id := range ids {
 		n, ok := c.nodes[id]
 		if !ok {
@@ -87,7 +87,7 @@
 		}
 		view := c.exclusions.View(now, n.Node)
 		if p := c.peers[id]; p != nil {
-			p.Drain(view.State != choice.NodeUp)
+			p.Drain(view.State != policy.NodeUp)
 		}
 		ev.Nodes = append(ev.Nodes, view)
 	}
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/exclusion"
+	"wheatsaddle/policy"
 )
 
 // From the yes of an exclude nothing new goes to the node, whatever the list says, until one
 // include; then it is used again.
 func TestExcludeBindsUntilInclude(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	if _, err := r.Exclude("x"); !errors.Is(err, exclusion.ErrUnknown) {
 		t.Fatalf("an id never listed: %v", err)
 	}
@@ -25,13 +25,13 @@
 	if !r.peer("n").drained {
 		t.Fatal("the peer does not drain from the yes")
 	}
-	r.list(choice.ListFull, node("n", 0, choice.NodeUp), node("m", 0, choice.NodeUp)) // discovery says up
+	r.list(policy.ListFull, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp)) // discovery says up
 	if !r.peer("n").drained {
 		t.Fatal("a list undid the exclude")
 	}
 	for i := range 20 {
 		_, got := r.ask(string(rune('a'+i)), "read", time.Minute)
-		(<-r.peer("m").sent).Done(Result{Status: choice.OK})
+		(<-r.peer("m").sent).Done(Result{Status: policy.OK})
 		one(t, got, Served)
 	}
 	if len(r.peer("n").sent) > 0 {
@@ -70,7 +70,7 @@
 	}
 	r.Core = c
 	t.Cleanup(c.Stop)
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	if !r.peer("n").drained || r.peer("m").drained {
 		t.Fatal("the kept exclude does not bind at the start")
 	}
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // finishWait is the Retry-After of requests that are refused because the process ends.
@@ -23,7 +23,7 @@
 				end = Answer{Kind: Refused, RetryAfter: finishWait}
 			}
 			c.answer(e, end)
-			c.events = append(c.events, choice.Event{Kind: choice.Departed, ID: e.request.ID})
+			c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
 			c.forgetEnded(e)
 		}
 	}})
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // What comes after Finish, also in the turn that has it, is refused at once and sent nowhere.
 func TestAfterFinishRefused(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	_, open := r.ask("open", "read", time.Minute)
 	<-r.peer("n").sent
 	release := r.hold()
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // hold keeps the actor in a call until the return is called; what comes meanwhile waits in its mailbox.
@@ -24,7 +24,7 @@
 // leaver is a request whose client may go.
 func (r *rig) leaver(id, class string) (q *Request, got chan Answer, gone *atomic.Bool) {
 	got, gone = make(chan Answer, 8), &atomic.Bool{}
-	q = &Request{Request: choice.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
+	q = &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
 		Arrived: time.Now(), Patience: time.Minute, Answer: func(a Answer) { got <- a }, Gone: gone.Load}
 	return q, got, gone
 }
@@ -43,7 +43,7 @@
 func TestGoneBeforeTheCoreHears(t *testing.T) {
 	for _, class := range []string{"read", "record"} {
 		r := start(t, settings())
-		r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+		r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 		q, got, gone := r.leaver("a", class)
 		r.Submit(q)
 		first := <-r.peer("n").sent
@@ -55,7 +55,7 @@
 		if !first.Abandoned() {
 			t.Errorf("%s: it may yet begin", class)
 		}
-		first.Done(Result{Status: choice.Abandoned})
+		first.Done(Result{Status: policy.Abandoned})
 		release()
 		r.Open() // its end has been taken, and is decided before the departure is told
 		r.Cancel(q)
@@ -73,7 +73,7 @@
 // An attempt that began before its client went, and one whose client stays, are not held up.
 func TestGoneAfterBegin(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	q, got, gone := r.leaver("a", "read")
 	r.Submit(q)
 	a := <-r.peer("n").sent
@@ -84,7 +84,7 @@
 	if a.Abandoned() {
 		t.Error("an attempt that is out may not begin")
 	}
-	a.Done(Result{Status: choice.OK})
+	a.Done(Result{Status: policy.OK})
 	one(t, got, Served)
 	r.empty()
 }
@@ -94,7 +94,7 @@
 func TestBurstOfLeavingClients(t *testing.T) {
 	const clients = batchMost
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	release := r.hold()
 	var all []*Request
 	for i := range clients {
@@ -116,7 +116,7 @@
 		if a := <-sent; a.Claim() {
 			t.Errorf("%s begins", a.Req.ID)
 		} else {
-			a.Done(Result{Status: choice.Abandoned})
+			a.Done(Result{Status: policy.Abandoned})
 		}
 	}
 	r.empty()
@@ -125,7 +125,7 @@
 // The going that is taken in the turn of its request's coming: nothing is sent, whether the request follows others or not.
 func TestComesAndGoesInOneTurn(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	release := r.hold()
 	plain, got, _ := r.leaver("a", "read")
 	follows, then, _ := r.leaver("b", "read")
@@ -150,7 +150,7 @@
 // After a standstill one turn takes what came meanwhile and the timers that are due: of a request whose client went, or whose
 // time ended, nothing is sent, whatever makes room for it in that turn; and to a node that drains nothing is.
 func TestNoLateSendAfterAStandstill(t *testing.T) {
-	room := func(r *rig) { r.List(News{Kind: choice.ListChange, Nodes: []Node{node("n", 0, choice.NodeUp)}}) }
+	room := func(r *rig) { r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeUp)}}) }
 	for name, x := range map[string]struct {
 		meanwhile func(r *rig, q *Request)
 		patience  time.Duration
@@ -165,14 +165,14 @@
 		"out of time, gone, and room": {func(r *rig, q *Request) { r.Cancel(q); room(r) }, stood / 2, 0, nil},
 		"room, and it drains": {func(r *rig, q *Request) {
 			room(r)
-			r.List(News{Kind: choice.ListChange, Nodes: []Node{node("n", 0, choice.NodeDraining)}})
+			r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		}, time.Minute, 0, nil},
-		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.List(News{Kind: choice.ListFull}) }, time.Minute, 0, nil},
+		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.List(News{Kind: policy.ListFull}) }, time.Minute, 0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := start(t, settings())
-				r.list(choice.ListStale, node("n", 0, choice.NodeDraining))
+				r.list(policy.ListStale, node("n", 0, policy.NodeDraining))
 				q, got, _ := r.leaver("a", "read")
 				q.Gone, q.Patience = nil, x.patience
 				r.Submit(q)
@@ -198,7 +198,7 @@
 					}
 				}
 				for len(sent) > 0 {
-					(<-sent).Done(Result{Status: choice.OK})
+					(<-sent).Done(Result{Status: policy.OK})
 				}
 				r.Cancel(q)
 				r.Open()
@@ -228,8 +228,8 @@
 					t.Fatalf("the node is used for %v ms and closed after %v: the crossing is not reached", use, later)
 				}
 				r := start(t, set)
-				r.list(choice.ListFull, node("n", 0, choice.NodeUp))
-				r.list(choice.ListChange, node("n", 0, choice.NodeDraining))
+				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
 				release := r.hold()
 				q, _, _ := r.leaver("a", "read")
 				q.Gone = nil
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // After the handover no limit is filled, also not by the module that follows one that panicked: what waits for it is
@@ -17,7 +17,7 @@
 		set.Plans[i].Limit, set.Plans[i].LimitBurst = 1e6, 1e6
 	}
 	r := start(t, set)
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	busy, free := make(chan bool), make(chan bool)
 	r.post(message{call: func() { busy <- true; <-free }})
 	<-busy
@@ -43,7 +43,7 @@
 	refused("a")
 	r.post(message{call: func() {
 		r.scheduler = nil
-		r.events = append(r.events, choice.Event{Kind: choice.Timer, Tag: "tick"})
+		r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
 	}})
 	_, got := r.ask("panics", "read", time.Minute)
 	<-got
--- a/internal/core/late.go
+++ b/internal/core/late.go
@@ -7,16 +7,16 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/operr"
+	"wheatsaddle/policy"
 )
 
 // lateLogEvery is the least interval between log lines about late answers.
 const lateLogEvery = time.Second
 
-var statusWords = map[choice.Status]string{choice.OK: "served", choice.Errored: "error", choice.Full: "full",
-	choice.TimedOut: "timed out", choice.NoConn: "could not connect", choice.Reset: "reset",
-	choice.Cancelled: "cancelled", choice.Abandoned: "moot"}
+var statusWords = map[policy.Status]string{policy.OK: "served", policy.Errored: "error", policy.Full: "full",
+	policy.TimedOut: "timed out", policy.NoConn: "could not connect", policy.Reset: "reset",
+	policy.Cancelled: "cancelled", policy.Abandoned: "moot"}
 
 var kindWords = map[Kind]string{Served: "served", Refused: "refused", Failed: "failed"}
 
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -7,7 +7,7 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // What ends late is told with its id and where it went; what ends in time is not; no more than a
@@ -22,10 +22,10 @@
 		}
 		r.Core = c
 		defer c.Stop()
-		r.list(choice.ListFull, Node{Node: choice.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		r.list(policy.ListFull, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		ask := func(id string) chan Answer {
 			got := make(chan Answer, 1)
-			r.Submit(&Request{Request: choice.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
+			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
 				Arrived: time.Now(), Patience: 500 * time.Millisecond, Answer: func(a Answer) { got <- a }})
 			return got
 		}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Starting limits the load while a process starts, until Over. Its methods are called from several
@@ -19,7 +19,7 @@
 	// RefusalWait returns the wait to be told to the client for a refusal by the module.
 	RefusalWait(node string, wait time.Duration) time.Duration
 	// Ended is called at the end of each attempt.
-	Ended(node string, status choice.Status)
+	Ended(node string, status policy.Status)
 }
 
 // starting returns Options.Start until it is over, then nil.
@@ -59,12 +59,12 @@
 }
 
 // Learned returns what the module has learned, the nodes used most first; false: the actor has ended.
-func (c *Core) Learned() (choice.Learned, bool) {
+func (c *Core) Learned() (policy.Learned, bool) {
 	type node struct {
-		choice.LearnedNode
+		policy.LearnedNode
 		use float64
 	}
-	var l choice.Learned
+	var l policy.Learned
 	var nodes []node
 	done := make(chan struct{})
 	c.post(message{call: func() {
@@ -78,7 +78,7 @@
 	select {
 	case <-done:
 	case <-c.ended:
-		return choice.Learned{}, false
+		return policy.Learned{}, false
 	}
 	slices.SortStableFunc(nodes, func(a, b node) int { return cmp.Compare(b.use, a.use) })
 	for i := range nodes {
@@ -88,7 +88,7 @@
 }
 
 // Recall gives the module what an earlier process learned, after the list updates handed over before.
-func (c *Core) Recall(l choice.Learned) {
+func (c *Core) Recall(l policy.Learned) {
 	c.post(message{call: func() {
 		c.recalled.Nodes = append(c.recalled.Nodes, l.Nodes...)
 		c.recalled.Classes = append(c.recalled.Classes, l.Classes...)
@@ -99,6 +99,6 @@
 func (c *Core) applyRecalled() {
 	if len(c.recalled.Nodes)+len(c.recalled.Classes) > 0 {
 		c.scheduler.Recall(c.recalled)
-		c.recalled = choice.Learned{}
+		c.recalled = policy.Learned{}
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"slices"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -18,7 +18,7 @@
 
 // News is an update of the list. Kind is ListFull, ListStale, ListChange or ListFailed.
 type News struct {
-	Kind  choice.EventKind
+	Kind  policy.EventKind
 	Nodes []Node
 	Index int64 // version of the list after it; 0: unknown
 }
@@ -35,21 +35,21 @@
 // applyNews applies an update of the list to the peers, and then passes it to the module. Both see the nodes as
 // the book of exclusions shows them.
 func (c *Core) applyNews(n *News, now float64) {
-	ev := choice.Event{Kind: n.Kind}
+	ev := policy.Event{Kind: n.Kind}
 	seen := map[string]bool{}
 	for _, x := range n.Nodes {
 		seen[x.ID] = true
 		c.exclusions.Listed(x.ID)
 		view := c.exclusions.View(now, x.Node)
 		ev.Nodes = append(ev.Nodes, view)
-		if x.State == choice.NodeGone {
+		if x.State == policy.NodeGone {
 			c.removeNode(x.ID)
 			continue
 		}
 		c.updateNode(x, view, now)
 	}
-	c.listCurrent = n.Kind == choice.ListFull || n.Kind == choice.ListChange
-	if n.Kind == choice.ListFull || n.Kind == choice.ListStale {
+	c.listCurrent = n.Kind == policy.ListFull || n.Kind == policy.ListChange
+	if n.Kind == policy.ListFull || n.Kind == policy.ListStale {
 		for id := range c.peers {
 			if !seen[id] {
 				c.removeNode(id) // a removal may show only as a missing entry
@@ -61,7 +61,7 @@
 }
 
 // updateNode applies an entry of a node that has not gone: a new node gets a peer, a known one its addresses.
-func (c *Core) updateNode(x Node, view choice.Node, now float64) {
+func (c *Core) updateNode(x Node, view policy.Node, now float64) {
 	p, known := c.peers[x.ID]
 	if !known {
 		p = c.options.Connect(x.ID, x.Addresses)
@@ -77,23 +77,23 @@
 // updateDrain tells the peer of a listed node whether the node drains. A node that begins to drain may be used for a part
 // of the grace period, where the settings say so and the list is current: the module stops by itself then, and the
 // peer is closed a little later, for attempts that are still in a mailbox.
-func (c *Core) updateDrain(p Peer, x Node, view choice.Node, now float64) {
+func (c *Core) updateDrain(p Peer, x Node, view policy.Node, now float64) {
 	was, had := c.nodes[x.ID]
 	use := c.options.Settings.DrainUse()
 	byHand := view != x.Node // the book of exclusions shows it otherwise than the list
-	begins := had && was.State == choice.NodeUp && x.State == choice.NodeDraining
+	begins := had && was.State == policy.NodeUp && x.State == policy.NodeDraining
 	if begins && c.listCurrent && use > 0 && !byHand {
 		end := now + use + drainGuard*(c.options.Settings.DrainGrace-use)
 		c.cutoffs[x.ID].set(c.wallTime(end))
 		heap.Push(&c.timers, pendingTimer{at: end, drainNode: x.ID})
 		return
 	}
-	goesOn := had && was.State == choice.NodeDraining && view.State != choice.NodeUp
+	goesOn := had && was.State == policy.NodeDraining && view.State != policy.NodeUp
 	if goesOn && !byHand {
 		return // its cutoff and its timer remain
 	}
 	c.cutoffs[x.ID].lift()
-	p.Drain(view.State != choice.NodeUp)
+	p.Drain(view.State != policy.NodeUp)
 }
 
 // removeNode removes a node that has left the list; its peer finishes the outstanding attempts.
@@ -115,7 +115,7 @@
 func (c *Core) countNodes(now float64) {
 	skipped := c.scheduler.Avoided()
 	for _, n := range c.nodes {
-		if c.exclusions.View(now, n.Node).State != choice.NodeUp {
+		if c.exclusions.View(now, n.Node).State != policy.NodeUp {
 			skipped++
 		}
 	}
--- a/internal/core/margin_test.go
+++ b/internal/core/margin_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/margin"
+	"wheatsaddle/policy"
 )
 
 // A host whose timers come late gives its requests up so much sooner: with what its answers are then
@@ -14,10 +14,10 @@
 func TestLateTimersWidenTheMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, settings())
-		r.list(choice.ListFull, Node{Node: choice.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		r.list(policy.ListFull, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		ends := func(id string) time.Duration { // of a request that the module leaves to its end
 			got := make(chan time.Duration, 1)
-			q := &Request{Request: choice.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
+			q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
 				Arrived: time.Now(), Patience: 2 * time.Second}
 			q.Answer = func(Answer) { got <- q.Patience - time.Since(q.Arrived) }
 			r.Submit(q)
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Each attempt's end is told once, with the life of the node that it was sent to.
@@ -14,12 +14,12 @@
 		node, class string
 		since       int64
 		units       float64
-		status      choice.Status
+		status      policy.Status
 	}
 	var all []told // the actor's until it has stopped
 	r := &rig{t: t}
 	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), Connect: r.connect,
-		Observe: func(node string, since int64, class string, units, latencyMs float64, status choice.Status) {
+		Observe: func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 			if all = append(all, told{node, class, since, units, status}); latencyMs < 0 {
 				t.Errorf("%v ms", latencyMs)
 			}
@@ -28,19 +28,19 @@
 		t.Fatal(err)
 	}
 	r.Core = c
-	n := node("n", 0, choice.NodeUp)
+	n := node("n", 0, policy.NodeUp)
 	n.Since = 41
-	r.list(choice.ListStale, n)
+	r.list(policy.ListStale, n)
 	_, got := r.ask("a", "read", time.Minute)
 	first := <-r.peer("n").sent
 	n.Since = 42
-	r.list(choice.ListChange, n)
-	first.Done(Result{Status: choice.Reset})
-	(<-r.peer("n").sent).Done(Result{Status: choice.OK})
+	r.list(policy.ListChange, n)
+	first.Done(Result{Status: policy.Reset})
+	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
 	r.Open()
 	c.Stop()
-	if want := []told{{"n", "read", 41, 1, choice.Reset}, {"n", "read", 42, 1, choice.OK}}; !slices.Equal(all, want) {
+	if want := []told{{"n", "read", 41, 1, policy.Reset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
 		t.Errorf("%+v, want %+v", all, want)
 	}
 }
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 func TestPassOver(t *testing.T) {
@@ -41,11 +41,11 @@
 		{name: "one", past: 1, want: "b"},
 		{name: "both: the newest", past: 2, want: "a"},
 		{name: "the other is out by hand", past: 1, want: "a", amid: func(r *rig) { _, _ = r.Exclude("b") }},
-		{name: "the other drains", past: 1, want: "a", amid: func(r *rig) { r.list(choice.ListChange, node("b", 0, choice.NodeDraining)) }},
-		{name: "the list is not heard", past: 1, want: "a", inTurn: true, amid: func(r *rig) { r.list(choice.ListFailed) }},
+		{name: "the other drains", past: 1, want: "a", amid: func(r *rig) { r.list(policy.ListChange, node("b", 0, policy.NodeDraining)) }},
+		{name: "the list is not heard", past: 1, want: "a", inTurn: true, amid: func(r *rig) { r.list(policy.ListFailed) }},
 		{name: "the list is heard", past: 1, want: "b", inTurn: true},
 		{name: "others wait for the shard", past: 1, want: "a", amid: func(r *rig) {
-			r.Submit(&Request{Request: choice.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Hosts: 1},
+			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Hosts: 1},
 				Arrived: time.Now(), Patience: time.Minute, Answer: func(Answer) {}})
 		}},
 	} {
@@ -53,13 +53,13 @@
 			set := settings()
 			set.Plans[0].Reserve = 0 // what has none is refused where no node can take it
 			set.AskMode, set.AskWithin = c.inTurn, 2000
-			set.Plans = append(set.Plans, choice.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, Limit: 1, LimitBurst: 1})
+			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, Limit: 1, LimitBurst: 1})
 			r := start(t, set)
-			r.list(choice.ListFull, node("a", 0, choice.NodeUp), node("b", 0, choice.NodeUp))
+			r.list(policy.ListFull, node("a", 0, policy.NodeUp), node("b", 0, policy.NodeUp))
 			var trails []*NodesTried
 			goes := func(id string, past []*NodesTried) string {
 				got := make(chan Answer, 8)
-				q := &Request{Request: choice.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1}, Tried: &NodesTried{}, Avoid: past,
+				q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1}, Tried: &NodesTried{}, Avoid: past,
 					Arrived: time.Now(), Patience: time.Minute, Answer: func(x Answer) { got <- x }}
 				r.Submit(q)
 				var a *Attempt
@@ -67,7 +67,7 @@
 				case a = <-r.peer("a").sent:
 				case a = <-r.peer("b").sent:
 				}
-				a.Done(Result{Status: choice.OK})
+				a.Done(Result{Status: policy.OK})
 				one(t, got, Served)
 				trails = slices.Insert(trails, 0, q.Tried)
 				return a.Node
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
+	"wheatsaddle/policy"
 )
 
 // Peer carries attempts to one storage node. None of its methods blocks.
@@ -17,7 +17,7 @@
 	Probe(func(Result, time.Duration)) bool
 	// Connect opens one connection ahead of need and calls back from another goroutine: OK, NoConn, or Abandoned where none
 	// is needed (one is free, or the node drains or left) or no descriptor is free. False: it will not call back.
-	Connect(func(choice.Status)) bool
+	Connect(func(policy.Status)) bool
 	// Drain(true) stops new attempts at once, also those in its mailbox; Drain(false) allows them again.
 	Drain(bool)
 	// Readdress replaces the node's addresses; a connection to one that was removed finishes what it carries.
@@ -28,6 +28,6 @@
 
 // Node is a list entry with its addresses, none twice.
 type Node struct {
-	choice.Node
+	policy.Node
 	Addresses []address.Addr
 }
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Preconnect asks a node's peer to open a connection before it is needed. Options.Start is told where that fails, as of
@@ -11,7 +11,7 @@
 func (c *Core) Preconnect(node string) {
 	c.post(message{call: func() {
 		if p := c.usablePeer(node); p != nil {
-			p.Connect(func(s choice.Status) { c.reportUnrequested(node, s) })
+			p.Connect(func(s policy.Status) { c.reportUnrequested(node, s) })
 		}
 	}})
 }
@@ -30,7 +30,7 @@
 
 // usablePeer is the peer of a node that is up and not excluded; nil: there is none.
 func (c *Core) usablePeer(node string) Peer {
-	if n, ok := c.nodes[node]; ok && c.exclusions.View(c.moduleTime(time.Now()), n.Node).State == choice.NodeUp {
+	if n, ok := c.nodes[node]; ok && c.exclusions.View(c.moduleTime(time.Now()), n.Node).State == policy.NodeUp {
 		return c.peers[node]
 	}
 	return nil
@@ -38,8 +38,8 @@
 
 // reportUnrequested tells Options.Start that a node could not be reached or was full. A success is not reported, as
 // no request was served. Any goroutine may call it.
-func (c *Core) reportUnrequested(node string, s choice.Status) {
-	if st := c.starting(); st != nil && (s == choice.NoConn || s == choice.Full) {
+func (c *Core) reportUnrequested(node string, s policy.Status) {
+	if st := c.starting(); st != nil && (s == policy.NoConn || s == policy.Full) {
 		st.Ended(node, s)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Kind is how a request ended.
@@ -41,7 +41,7 @@
 
 // Request is a client's request as a front hands it over.
 type Request struct {
-	choice.Request               // core sets NotAfter
+	policy.Request               // core sets NotAfter
 	Arrived        time.Time     // when its last byte came
 	Patience       time.Duration // how long the client waits after Arrived
 	Payload        any           // opaque to core: the front's own, for the peers
@@ -121,7 +121,7 @@
 		c.deferred = append(c.deferred, e)
 		return
 	}
-	c.events = append(c.events, choice.Event{Kind: choice.Arrival, Req: r.Request})
+	c.events = append(c.events, policy.Event{Kind: policy.Arrival, Req: r.Request})
 }
 
 // causeToFail is why a request cannot be accepted under the current settings; "": it can.
@@ -145,7 +145,7 @@
 	}
 	e.markAnswered() // nobody is left to answer
 	c.counts.progress.Add(-1)
-	c.events = append(c.events, choice.Event{Kind: choice.Departed, ID: e.request.ID})
+	c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
 	c.forgetEnded(e)
 }
 
--- a/internal/core/retuneclock_test.go
+++ b/internal/core/retuneclock_test.go
@@ -5,19 +5,19 @@
 	"testing/synctest"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // What a limit's store gained up to a change is by the old limit, also where the module had no step since it was last used.
 func TestRetuneFillsByTheOldLimitUntilThen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limited := func(limit float64) choice.Settings {
+		limited := func(limit float64) policy.Settings {
 			set := settings()
 			set.Plans[0].Limit, set.Plans[0].LimitBurst = limit, 2*set.MostUnits
 			return set
 		}
 		r := start(t, limited(1))
-		r.list(choice.ListFull, node("n", 0, choice.NodeUp))
+		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
 		ask := func(id string) {
 			q, _ := r.made(id, "read", time.Minute)
 			q.Units = settings().MostUnits
@@ -31,7 +31,7 @@
 		for _, id := range []string{"first", "second"} {
 			ask(id)
 			for len(sent) > 0 {
-				(<-sent).Done(Result{Status: choice.OK})
+				(<-sent).Done(Result{Status: policy.OK})
 				synctest.Wait()
 				answered++
 			}
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -4,22 +4,22 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Settings is one version of the settings. It is immutable: a change makes a new version, and a request names the version
 // that it was decoded under.
 type Settings struct {
 	Version uint64 // 1 at the start, one more with each change
-	choice.Settings
-	classes map[string]choice.Class
-	plans   map[string]choice.Plan
+	policy.Settings
+	classes map[string]policy.Class
+	plans   map[string]policy.Plan
 }
 
 // newSettings makes a version, with copies of the classes and plans.
-func newSettings(version uint64, set choice.Settings) *Settings {
+func newSettings(version uint64, set policy.Settings) *Settings {
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
-	s := &Settings{Version: version, Settings: set, classes: map[string]choice.Class{}, plans: map[string]choice.Plan{}}
+	s := &Settings{Version: version, Settings: set, classes: map[string]policy.Class{}, plans: map[string]policy.Plan{}}
 	for _, k := range set.Classes {
 		s.classes[k.Name] = k
 	}
@@ -30,13 +30,13 @@
 }
 
 // Class returns the class of a name; false: there is none.
-func (s *Settings) Class(name string) (choice.Class, bool) {
+func (s *Settings) Class(name string) (policy.Class, bool) {
 	k, ok := s.classes[name]
 	return k, ok
 }
 
 // knows says whether a request's class and plan exist.
-func (s *Settings) knows(r *choice.Request) bool {
+func (s *Settings) knows(r *policy.Request) bool {
 	_, class := s.classes[r.Class]
 	_, plan := s.plans[r.Plan]
 	return class && plan
@@ -44,7 +44,7 @@
 
 // agrees says whether a request that was decoded under another version means the same under this one: its class, its plan
 // and the bounds it was checked against are equal.
-func (s *Settings) agrees(decoded *Settings, r *choice.Request) bool {
+func (s *Settings) agrees(decoded *Settings, r *policy.Request) bool {
 	return s.classes[r.Class] == decoded.classes[r.Class] && s.plans[r.Plan] == decoded.plans[r.Plan] &&
 		s.MostUnits == decoded.MostUnits && s.Shards == decoded.Shards && s.Hosts == decoded.Hosts
 }
@@ -55,7 +55,7 @@
 // Retune applies new settings to the running module and the core, and publishes them, in one step of the actor. Requests that
 // arrived before are decided by the old version, and keep their class. Where the module rejects the settings nothing
 // changes.
-func (c *Core) Retune(set choice.Settings) error {
+func (c *Core) Retune(set policy.Settings) error {
 	got := make(chan error, 1)
 	c.post(message{call: func() { got <- c.retune(set) }})
 	select {
@@ -67,7 +67,7 @@
 }
 
 // retune applies new settings in the actor.
-func (c *Core) retune(set choice.Settings) error {
+func (c *Core) retune(set policy.Settings) error {
 	now := c.moduleTime(time.Now())
 	c.advance(now)             // earlier arrivals of this turn belong to the old version
 	c.stepAndExecute(now, nil) // without arrivals the module would go by the time of its last step
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -4,32 +4,32 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // changes are settings beside settings(), by what became of class read or plan basic, and whether a request that was
 // decoded under the old ones means the same.
 var changes = []struct {
 	name   string
-	change func(*choice.Settings)
+	change func(*policy.Settings)
 	same   bool
 }{
-	{"reordered", func(s *choice.Settings) { s.Classes[0], s.Classes[1] = s.Classes[1], s.Classes[0] }, true},
-	{"another class added before it", func(s *choice.Settings) {
-		s.Classes = append([]choice.Class{{Name: "new", Aim: 1e3, Deadline: 2e3, Worth: 1}}, s.Classes...)
+	{"reordered", func(s *policy.Settings) { s.Classes[0], s.Classes[1] = s.Classes[1], s.Classes[0] }, true},
+	{"another class added before it", func(s *policy.Settings) {
+		s.Classes = append([]policy.Class{{Name: "new", Aim: 1e3, Deadline: 2e3, Worth: 1}}, s.Classes...)
 	}, true},
-	{"another plan added before it", func(s *choice.Settings) {
-		s.Plans = append([]choice.Plan{{Name: "new", Rate: 1, Limit: 1, LimitBurst: 1}}, s.Plans...)
+	{"another plan added before it", func(s *policy.Settings) {
+		s.Plans = append([]policy.Plan{{Name: "new", Rate: 1, Limit: 1, LimitBurst: 1}}, s.Plans...)
 	}, true},
-	{"class renamed", func(s *choice.Settings) { s.Classes[0].Name = "renamed" }, false},
-	{"class removed", func(s *choice.Settings) { s.Classes = s.Classes[1:] }, false},
-	{"names swapped", func(s *choice.Settings) { s.Classes[0].Name, s.Classes[1].Name = "record", "read" }, false},
-	{"another effect", func(s *choice.Settings) { s.Classes[0].Effect = choice.Unsafe }, false},
-	{"another deadline", func(s *choice.Settings) { s.Classes[0].Deadline = 90e3 }, false},
-	{"plan renamed", func(s *choice.Settings) { s.Plans[0].Name = "renamed" }, false},
-	{"another limit", func(s *choice.Settings) { s.Plans[0].Limit, s.Plans[0].LimitBurst = 5, 5 }, false},
-	{"a smaller largest request", func(s *choice.Settings) { s.MostUnits = 2 }, false},
-	{"fewer processes", func(s *choice.Settings) { s.Hosts = 2 }, false},
+	{"class renamed", func(s *policy.Settings) { s.Classes[0].Name = "renamed" }, false},
+	{"class removed", func(s *policy.Settings) { s.Classes = s.Classes[1:] }, false},
+	{"names swapped", func(s *policy.Settings) { s.Classes[0].Name, s.Classes[1].Name = "record", "read" }, false},
+	{"another effect", func(s *policy.Settings) { s.Classes[0].Effect = policy.Unsafe }, false},
+	{"another deadline", func(s *policy.Settings) { s.Classes[0].Deadline = 90e3 }, false},
+	{"plan renamed", func(s *policy.Settings) { s.Plans[0].Name = "renamed" }, false},
+	{"another limit", func(s *policy.Settings) { s.Plans[0].Limit, s.Plans[0].LimitBurst = 5, 5 }, false},
+	{"a smaller largest request", func(s *policy.Settings) { s.MostUnits = 2 }, false},
+	{"fewer processes", func(s *policy.Settings) { s.Hosts = 2 }, false},
 }
 
 // A request that was decoded before a change of the settings and reaches the module after it goes on where it means the
@@ -38,7 +38,7 @@
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
 			r := start(t, settings())
-			r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+			r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 			decoded, next := r.Settings(), settings()
 			x.change(&next)
 			if err := r.Retune(next); err != nil {
@@ -51,7 +51,7 @@
 			q.Settings = decoded
 			r.Submit(q)
 			if x.same {
-				(<-r.peer("n").sent).Done(Result{Status: choice.OK})
+				(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 				one(t, got, Served)
 				return
 			}
@@ -68,9 +68,9 @@
 // A request that comes before a change in the same turn of the actor is the old settings': the module has it first.
 func TestArrivalBeforeRetuneInOneTurn(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	next := settings()
-	next.Classes[0].Effect = choice.Unsafe
+	next.Classes[0].Effect = policy.Unsafe
 	release := r.hold()
 	_, before := r.ask("before", "read", time.Minute)
 	retuned := make(chan error)
@@ -82,7 +82,7 @@
 	}
 	sent := r.peer("n").sent
 	for range 2 {
-		(<-sent).Done(Result{Status: choice.Reset}) // it may have run
+		(<-sent).Done(Result{Status: policy.Reset}) // it may have run
 	}
 	r.Open() // both ends have been taken, and are decided before the next call
 	r.Open()
@@ -94,14 +94,14 @@
 		t.Errorf("%s goes again, attempt %d", again.Req.ID, again.No)
 	}
 	one(t, after, Failed)
-	again.Done(Result{Status: choice.OK})
+	again.Done(Result{Status: policy.OK})
 	one(t, before, Served)
 }
 
 // Settings that the module turns down change nothing of the core either.
 func TestRetuneRefused(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
 	was, bad := r.Settings(), settings()
 	bad.Classes[0].Name, bad.MaxAttempts = "renamed", -1
 	if err := r.Retune(bad); err == nil {
@@ -111,6 +111,6 @@
 		t.Error("another version counts")
 	}
 	_, got := r.ask("a", "read", time.Minute)
-	(<-r.peer("n").sent).Done(Result{Status: choice.OK})
+	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
 }
--- a/internal/core/shards.go
+++ b/internal/core/shards.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Shards returns, in order, the shards with a node that is up and not excluded; nil once the actor has ended.
@@ -14,7 +14,7 @@
 		var all []int
 		now := c.moduleTime(time.Now())
 		for _, n := range c.nodes {
-			if v := c.exclusions.View(now, n.Node); v.State == choice.NodeUp && n.Shard >= 0 {
+			if v := c.exclusions.View(now, n.Node); v.State == policy.NodeUp && n.Shard >= 0 {
 				all = append(all, n.Shard)
 			}
 		}
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // NodeStanding is this process's window at one listed node and its queue for it.
@@ -16,7 +16,7 @@
 // Standing returns the figures of at most most listed nodes. It waits at most wait for the actor; false: the actor had no
 // time, or has ended.
 func (c *Core) Standing(most int, wait time.Duration) ([]NodeStanding, bool) {
-	got := make(chan []choice.Standing, 1)
+	got := make(chan []policy.Standing, 1)
 	select {
 	case c.control <- message{call: func() { got <- c.scheduler.Standing(most) }}:
 	default: // the actor is far behind: the caller's next round asks again
--- a/internal/core/standing_test.go
+++ b/internal/core/standing_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // How nodes stand comes from the actor; where that has no time, or its calls are too many, nobody waits longer than
 // was said.
 func TestStandingNeverWaitsLong(t *testing.T) {
 	r := start(t, settings())
-	n := node("a", 0, choice.NodeUp)
+	n := node("a", 0, policy.NodeUp)
 	n.Since = 41
-	r.list(choice.ListStale, n, node("b", 1, choice.NodeDraining))
+	r.list(policy.ListStale, n, node("b", 1, policy.NodeDraining))
 	all, ok := r.Standing(8, time.Minute)
 	if !ok || len(all) != 2 || all[0].Node != "a" || all[0].Since != 41 || all[0].Window <= 0 || all[1].Window != 0 {
 		t.Fatalf("%v %+v", ok, all)
--- a/internal/core/telemetry_test.go
+++ b/internal/core/telemetry_test.go
@@ -4,48 +4,48 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // A known mix of outcomes gives exactly its figures: served, refused, failed, retried,
 // abandoned, and ones of a class that no setting names.
 func TestCountsOfAKnownMix(t *testing.T) {
 	r := start(t, settings())
-	r.list(choice.ListStale, node("n", 0, choice.NodeUp), node("m", 1, choice.NodeDraining))
+	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeDraining))
 	f := r.peer("n")
 
 	_, served := r.ask("s", "read", time.Minute) // served at the first attempt
 	a := <-f.sent
 	a.Written()
-	a.Done(Result{Status: choice.OK})
+	a.Done(Result{Status: policy.OK})
 	one(t, served, Served)
 
 	_, again := r.ask("r", "read", time.Minute) // a reset, then served: two tries
 	a = <-f.sent
 	a.Written()
-	a.Done(Result{Status: choice.Reset})
+	a.Done(Result{Status: policy.Reset})
 	a = <-f.sent
 	a.Written()
-	a.Done(Result{Status: choice.OK})
+	a.Done(Result{Status: policy.OK})
 	one(t, again, Served)
 
 	_, bad := r.ask("b", "record", time.Minute) // the node's 400: failed, one try
 	a = <-f.sent
 	a.Written()
-	a.Done(Result{Status: choice.Abandoned, Bad: true})
+	a.Done(Result{Status: policy.Abandoned, Bad: true})
 	one(t, bad, Failed)
 
 	q, gone := r.ask("g", "read", time.Minute) // the client goes: not counted as an answer
 	a = <-f.sent
 	r.Cancel(q)
 	<-f.cancels
-	a.Done(Result{Status: choice.Cancelled}) // never written whole: no try
+	a.Done(Result{Status: policy.Cancelled}) // never written whole: no try
 
 	_, open := r.ask("o", "record", time.Minute) // still out
 	out := <-f.sent
 	out.Written()
 
-	r.Refuse(&Request{Request: choice.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
+	r.Refuse(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
 	_, unknown := r.ask("u", "other", time.Minute) // no setting names it: answered, not counted
 	one(t, unknown, Failed)
 	r.Counts().Loaded(true)
@@ -60,7 +60,7 @@
 	if !same(got, want) {
 		t.Fatalf("figures\n%+v, want\n%+v", got, want)
 	}
-	out.Done(Result{Status: choice.OK})
+	out.Done(Result{Status: policy.OK})
 	one(t, open, Served)
 	none(t, r, gone)
 	r.Open()
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // guardAfter is how long after a request's end its guard timer fails it where the module has not answered it.
@@ -52,7 +52,7 @@
 		case t.guarded != nil:
 			c.giveUp(t.guarded)
 		default:
-			c.events = append(c.events, choice.Event{Kind: choice.Timer, Tag: t.tag})
+			c.events = append(c.events, policy.Event{Kind: policy.Timer, Tag: t.tag})
 		}
 	}
 }
@@ -72,6 +72,6 @@
 		return
 	}
 	c.answer(e, Answer{Kind: Failed, Cause: CauseLate})
-	c.events = append(c.events, choice.Event{Kind: choice.Departed, ID: e.request.ID})
+	c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
 	c.forgetEnded(e)
 }
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -20,7 +20,7 @@
 	"maps"
 	"slices"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Settings bound the book.
@@ -139,12 +139,12 @@
 }
 
 // View is the entry that the module and the peers see of a listed one at now.
-func (b *Book) View(now float64, n choice.Node) choice.Node {
-	if n.State == choice.NodeGone {
+func (b *Book) View(now float64, n policy.Node) policy.Node {
+	if n.State == policy.NodeGone {
 		return n
 	}
 	if _, out := b.excluded[n.ID]; out {
-		n.State = choice.NodeOut
+		n.State = policy.NodeOut
 		return n
 	}
 	if at, ok := b.included[n.ID]; ok && now-at <= b.set.ColdSpan && n.Since < at {
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/testkit/rapidtest"
+	"wheatsaddle/policy"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
@@ -21,8 +21,8 @@
 	return b
 }
 
-func up(id string, since float64) choice.Node {
-	return choice.Node{ID: id, State: choice.NodeUp, Weight: 1, Since: since}
+func up(id string, since float64) policy.Node {
+	return policy.Node{ID: id, State: policy.NodeUp, Weight: 1, Since: since}
 }
 
 // The ordinary way and each hard case, in one script.
@@ -41,14 +41,14 @@
 	if changed, err := b.Exclude(1500, "s-1"); changed || err != nil {
 		t.Fatalf("a repeated exclude changed something: %v %v", changed, err)
 	}
-	if v := b.View(2000, up("s-1", 0)); v.State != choice.NodeOut {
+	if v := b.View(2000, up("s-1", 0)); v.State != policy.NodeOut {
 		t.Fatalf("excluded, listed as up, shown as %v", v.State)
 	}
-	if v := b.View(2000, up("s-2", 0)); v.State != choice.NodeUp {
+	if v := b.View(2000, up("s-2", 0)); v.State != policy.NodeUp {
 		t.Fatalf("another node is shown as %v", v.State)
 	}
 	// Gone stays gone: a node that left is no node to drain.
-	if v := b.View(2000, choice.Node{ID: "s-1", State: choice.NodeGone}); v.State != choice.NodeGone {
+	if v := b.View(2000, policy.Node{ID: "s-1", State: policy.NodeGone}); v.State != policy.NodeGone {
 		t.Fatalf("gone, shown as %v", v.State)
 	}
 	if changed, err := b.Include(5000, "s-2"); changed || err != nil {
@@ -58,7 +58,7 @@
 		t.Fatalf("include: %v %v", changed, err)
 	}
 	v := b.View(7000, up("s-1", 100))
-	if v.State != choice.NodeUp || v.Since != 6000 {
+	if v.State != policy.NodeUp || v.Since != 6000 {
 		t.Fatalf("included, shown as %v since %v; want up since the include", v.State, v.Since)
 	}
 	if v := b.View(7000, up("s-1", 6500)); v.Since != 6500 {
@@ -159,7 +159,7 @@
 				t.Fatal(err)
 			}
 			for _, x := range ids {
-				if v := b.View(now, up(x, 0)); out[x] != (v.State == choice.NodeOut) {
+				if v := b.View(now, up(x, 0)); out[x] != (v.State == policy.NodeOut) {
 					t.Fatalf("%s: out %v, shown %v", x, out[x], v.State)
 				}
 			}
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/ahead_interleave_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // A connection ahead meets an attempt that comes while it is opened, and a drain: both end, nothing is
@@ -29,17 +29,17 @@
 			dials++
 			return dial(ctx, a, wait)
 		}
-		told := make(chan choice.Status, 1)
+		told := make(chan policy.Status, 1)
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.loop},
 				{Name: "core", Run: func() {
-					n.Connect(func(s choice.Status) { sync.Send(told, s) })
+					n.Connect(func(s policy.Status) { sync.Send(told, s) })
 					n.Send(tries[0])
-					if s, _ := sync.Recv(told); s != choice.OK && s != choice.Abandoned {
+					if s, _ := sync.Recv(told); s != policy.OK && s != policy.Abandoned {
 						il.Fail("ahead ended with %v", s)
 					}
-					if s, _ := sync.Recv(all); s != choice.OK && s != choice.NoConn {
+					if s, _ := sync.Recv(all); s != policy.OK && s != policy.NoConn {
 						il.Fail("ended with %v", s)
 					}
 					n.Close()
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	standnode "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 // until waits for a condition.
@@ -22,10 +22,10 @@
 }
 
 // aheadOf asks for a connection ahead and says what came of it.
-func aheadOf(t *testing.T, p core.Peer) choice.Status {
+func aheadOf(t *testing.T, p core.Peer) policy.Status {
 	t.Helper()
-	told := make(chan choice.Status, 2)
-	if !p.Connect(func(s choice.Status) { told <- s }) {
+	told := make(chan policy.Status, 2)
+	if !p.Connect(func(s policy.Status) { told <- s }) {
 		t.Fatal("not taken")
 	}
 	return <-told
@@ -55,7 +55,7 @@
 		t.Run(fmt.Sprint(ports), func(t *testing.T) {
 			n, at, d := newNode(t, ports, nil)
 			p, other := d.Connect("n", at), d.Connect("n", at)
-			want := func(p core.Peer, want choice.Status, accepted int, open int64) {
+			want := func(p core.Peer, want policy.Status, accepted int, open int64) {
 				t.Helper()
 				if got := aheadOf(t, p); got != want {
 					t.Fatalf("ended as %v, want %v", got, want)
@@ -66,24 +66,24 @@
 				}
 			}
 			p.Drain(true)
-			want(p, choice.Abandoned, 0, 0)
+			want(p, policy.Abandoned, 0, 0)
 			p.Drain(false)
-			want(p, choice.OK, 1, 1)
+			want(p, policy.OK, 1, 1)
 			if ports == 1 {
 				until(func() bool { d.idle.mu.Lock(); defer d.idle.mu.Unlock(); return d.idle.list.Len() == 1 })
 			}
-			want(p, choice.Abandoned, 1, 1)
+			want(p, policy.Abandoned, 1, 1)
 			(&routed{t: t, n: n, d: d, p: p}).served(readText)
-			want(p, choice.Abandoned, 1, 1)
+			want(p, policy.Abandoned, 1, 1)
 			d.ConnsMost = 1 // none is to spare, and an idle one does not give way to what nobody needs
-			want(other, choice.Abandoned, 1, 1)
+			want(other, policy.Abandoned, 1, 1)
 			d.ConnsMost = 2
 			for _, a := range at {
 				if err := n.Set(a, standnode.Refused); err != nil {
 					t.Fatal(err)
 				}
 			}
-			want(other, choice.NoConn, 1, 1)
+			want(other, policy.NoConn, 1, 1)
 			p.Close()
 			other.Close()
 			until(func() bool { return d.open.Load() == 0 })
@@ -97,19 +97,19 @@
 	n, at, d := newNode(t, 1, func(*fasthttp.Request) time.Duration { <-let; return 0 })
 	d.Wait = time.Minute // no connect is late
 	p := d.Connect("n", at)
-	told := make(chan choice.Status, 2)
-	p.Connect(func(s choice.Status) { told <- s })
+	told := make(chan policy.Status, 2)
+	p.Connect(func(s policy.Status) { told <- s })
 	_, got, _ := (&routed{t: t, n: n, d: d, p: p}).send(readText, time.Minute)
 	until(func() bool { return n.Counts().Requests == 1 })
-	if s := <-told; s != choice.OK || n.Counts().Conns != 1 {
+	if s := <-told; s != policy.OK || n.Counts().Conns != 1 {
 		t.Errorf("%v, %d connections for one attempt", s, n.Counts().Conns)
 	}
-	if s := aheadOf(t, p); s != choice.OK { // beside the one in use
+	if s := aheadOf(t, p); s != policy.OK { // beside the one in use
 		t.Error(s)
 	}
 	until(func() bool { return n.Counts().Conns == 2 })
 	close(let)
-	if r := <-got; r.Status != choice.OK {
+	if r := <-got; r.Status != policy.OK {
 		t.Error(r.Status)
 	}
 	p.Close()
@@ -122,7 +122,7 @@
 	p := dialer().Connect("n", at(n.ln))
 	got := make(chan core.Result, 1)
 	p.Probe(func(r core.Result, _ time.Duration) { got <- r })
-	if r := <-got; r.Status != choice.Full {
+	if r := <-got; r.Status != policy.Full {
 		t.Errorf("%v", r.Status)
 	}
 	p.Close()
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -15,8 +15,8 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // echo is a storage node that answers each request with its own body, whole.
@@ -54,7 +54,7 @@
 
 // nodesAt lists the front's one node at another place.
 func nodesAt(ln net.Listener) core.News {
-	return core.News{Kind: choice.ListFull, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}}
+	return core.News{Kind: policy.ListFull, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}}
 }
 
 // put is a write of the given body: framed by its length or chunked, perhaps asking to be
--- a/internal/httpfront/bounds.go
+++ b/internal/httpfront/bounds.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // bounds limit what a request may contain under one version of the settings.
@@ -21,13 +21,13 @@
 func newBounds(set *core.Settings) *bounds {
 	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MostUnits, shards: set.Shards, hosts: set.Hosts, patience: patience(set.Settings)}
 	for _, k := range set.Classes {
-		b.keyed[k.Name] = k.Effect == choice.Keyed
+		b.keyed[k.Name] = k.Effect == policy.Keyed
 	}
 	return b
 }
 
 // apply checks a request against the bounds, and lowers its number of hosts to the bound.
-func (b *bounds) apply(r *choice.Request) error {
+func (b *bounds) apply(r *policy.Request) error {
 	if b.units > 0 && r.Units > b.units { // a larger request would block all requests behind it in its queue
 		return malformed("IO-Info: units: over the largest request")
 	}
@@ -41,7 +41,7 @@
 }
 
 // patience is the longest deadline of a class.
-func patience(set choice.Settings) time.Duration {
+func patience(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range set.Classes {
 		longest = max(longest, time.Duration(k.Deadline*float64(time.Millisecond)))
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // What the front checks, how long it writes, and what may be repeated freely go by the settings that the core has then,
@@ -27,7 +27,7 @@
 		t.Errorf("%v to write", w)
 	}
 	next := testModule()
-	next.MostUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, choice.Safe, 120e3
+	next.MostUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Safe, 120e3
 	if err := f.srv.Core.Retune(next); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		safe  bool
 	}{{first.set, "new-record", false}, {f.srv.bounds().set, "new-record", true}, {first.set, "none", false},
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
-		r := &core.Request{Request: choice.Request{Class: x.class}, Settings: x.set}
+		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
 		if d.safe(r) != x.safe {
 			t.Errorf("%s: safe %v", x.class, !x.safe)
 		}
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -17,8 +17,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -157,7 +157,7 @@
 }
 
 // decodeInfo reads IO-Info: volume, units, shard and hosts, in any order.
-func decodeInfo(text string, r *choice.Request) error {
+func decodeInfo(text string, r *policy.Request) error {
 	seen := map[string]bool{}
 	for _, part := range strings.Split(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -248,7 +248,7 @@
 // decodeReply decodes an answer into the result of its attempt. Only a served result keeps rep.
 func decodeReply(m *fasthttp.Response, rep *reply) core.Result {
 	h := &m.Header
-	r := core.Result{Status: choice.Errored, Load: decodeLoad(string(h.Peek("X-Load")))}
+	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(h.Peek("X-Load")))}
 	r.Others, _ = figure(h.Peek("Other-Hosts"))
 	if used, ok := figure(h.Peek("Volume-Load")); ok {
 		r.Used = used + 1
@@ -256,12 +256,12 @@
 	switch code := m.StatusCode(); {
 	case code == fasthttp.StatusOK:
 		rep.limited = string(h.Peek(hdrLimited)) == "1"
-		r.Status, r.Payload = choice.OK, rep
+		r.Status, r.Payload = policy.OK, rep
 		return r
 	case turnedAway(m):
-		r.Status = choice.Full
+		r.Status = policy.Full
 	case code >= 400 && code < 500 && code != fasthttp.StatusRequestTimeout && code != fasthttp.StatusTooManyRequests:
-		r.Status, r.Bad = choice.Abandoned, true
+		r.Status, r.Bad = policy.Abandoned, true
 	}
 	rep.Release()
 	return r
@@ -283,8 +283,8 @@
 }
 
 // decodeLoad reads a load report such as "inflight=7,queue=2,util=0.61".
-func decodeLoad(text string) *choice.Load {
-	l, any := &choice.Load{Inflight: -1, Queue: -1, Util: -1}, false
+func decodeLoad(text string) *policy.Load {
+	l, any := &policy.Load{Inflight: -1, Queue: -1, Util: -1}, false
 	for _, part := range strings.Split(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -9,11 +9,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -157,9 +157,9 @@
 
 // unsentResult is the result of an attempt that was not written, or not to its last byte: Cancelled where its context
 // was cancelled.
-func unsentResult(ctx context.Context, otherwise choice.Status) core.Result {
+func unsentResult(ctx context.Context, otherwise policy.Status) core.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return core.Result{Status: choice.Cancelled}
+		return core.Result{Status: policy.Cancelled}
 	}
 	return core.Result{Status: otherwise}
 }
@@ -168,16 +168,16 @@
 func (c *conn) carryAttempt(j job) (r core.Result, reuse bool) {
 	a := j.attempt
 	if !time.Now().Before(a.Deadline) {
-		return core.Result{Status: choice.Abandoned}, c.socket != nil
+		return core.Result{Status: policy.Abandoned}, c.socket != nil
 	}
 	if err := c.ensureUp(j.ctx); err != nil {
-		return unsentResult(j.ctx, choice.NoConn), false
+		return unsentResult(j.ctx, policy.NoConn), false
 	}
 	if !a.Claim() { // its request was answered meanwhile, or its time is over
-		return core.Result{Status: choice.Abandoned}, j.ctx.Err() == nil
+		return core.Result{Status: policy.Abandoned}, j.ctx.Err() == nil
 	}
 	if c.node.draining.Load() { // the node began to drain while it waited
-		return unsentResult(j.ctx, choice.NoConn), j.ctx.Err() == nil
+		return unsentResult(j.ctx, policy.NoConn), j.ctx.Err() == nil
 	}
 	r, reuse, _ = c.exchange(j)
 	return r, reuse
@@ -188,26 +188,26 @@
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
 	if err := c.ensureUp(ctx); err != nil {
-		return core.Result{Status: choice.NoConn}, false
+		return core.Result{Status: policy.NoConn}, false
 	}
 	unwatch := context.AfterFunc(ctx, func() { c.socket.Close() })
 	c.buffer = append(append(append(c.buffer[:0], "GET /stats HTTP/1.1\r\nHost: "...), c.host...), "\r\n\r\n"...)
 	if _, err := c.socket.Write(c.buffer); err != nil {
 		unwatch()
-		return core.Result{Status: choice.NoConn}, false
+		return core.Result{Status: policy.NoConn}, false
 	}
 	defer c.response.Reset()
 	rep, clean, err := c.readAnswer(ctx)
 	if whole := unwatch(); err != nil || !whole {
-		return core.Result{Status: choice.Reset}, false
+		return core.Result{Status: policy.Reset}, false
 	}
 	rep.Release()
-	r := core.Result{Status: choice.Errored, Load: decodeLoad(string(rep.body))}
+	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(rep.body))}
 	switch {
 	case c.response.StatusCode() == fasthttp.StatusOK:
-		r.Status = choice.OK
+		r.Status = policy.OK
 	case turnedAway(&c.response):
-		r.Status = choice.Full
+		r.Status = policy.Full
 	}
 	return r, clean
 }
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // What crosses on the connections to a node, each with one side held until the other has acted.
@@ -166,7 +166,7 @@
 	t.Helper()
 	a, got := withID(t, id)
 	p.Send(a)
-	if r := <-got; r.Status != choice.OK || string(r.Payload.(*reply).body) != id {
+	if r := <-got; r.Status != policy.OK || string(r.Payload.(*reply).body) != id {
 		t.Fatalf("%s ended as %v", id, r.Status)
 	}
 }
@@ -227,7 +227,7 @@
 				arrived(t, h)
 				close(l.goOn)
 				r := <-got
-				if r.Status != choice.OK || string(r.Payload.(*reply).body) != "second" {
+				if r.Status != policy.OK || string(r.Payload.(*reply).body) != "second" {
 					t.Errorf("ended as %+v", r)
 				}
 				if s.times("second") != 1 || l.dials.Load() != 2 {
@@ -244,11 +244,11 @@
 func TestKeptConnectionSpoiltAndThen(t *testing.T) {
 	for then, x := range map[string]struct {
 		do   func(p core.Peer, a *core.Attempt)
-		want choice.Status
+		want policy.Status
 	}{
-		"cancelled": {func(p core.Peer, a *core.Attempt) { p.Cancel(a) }, choice.Cancelled},
-		"drained":   {func(p core.Peer, a *core.Attempt) { p.Drain(true) }, choice.NoConn},
-		"left":      {func(p core.Peer, a *core.Attempt) { p.Drain(true); p.Close() }, choice.NoConn},
+		"cancelled": {func(p core.Peer, a *core.Attempt) { p.Cancel(a) }, policy.Cancelled},
+		"drained":   {func(p core.Peer, a *core.Attempt) { p.Drain(true) }, policy.NoConn},
+		"left":      {func(p core.Peer, a *core.Attempt) { p.Drain(true); p.Close() }, policy.NoConn},
 	} {
 		for way := range peersOf(nil, nil) {
 			t.Run(then+"/"+way, func(t *testing.T) {
@@ -294,7 +294,7 @@
 			arrived(t, h)
 			p.Readdress(next)
 			close(l.goOn)
-			if r := <-got; r.Status != choice.OK || string(r.Payload.(*reply).body) != "second" || s.times("second") != 1 {
+			if r := <-got; r.Status != policy.OK || string(r.Payload.(*reply).body) != "second" || s.times("second") != 1 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
 			}
 			endsClean(t, d, p, got)
@@ -330,7 +330,7 @@
 			p.Cancel(a)
 			select {
 			case r := <-got:
-				if r.Status != choice.Cancelled {
+				if r.Status != policy.Cancelled {
 					t.Errorf("ended as %+v", r)
 				}
 			case <-time.After(10 * time.Second): // only what the cancel does not end meets it
@@ -360,7 +360,7 @@
 			<-l.at
 			p.Drain(true)
 			close(l.goOn)
-			if r := <-got; r.Status != choice.NoConn || s.times("second") != 0 {
+			if r := <-got; r.Status != policy.NoConn || s.times("second") != 0 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
 			}
 			p.Drain(false)
@@ -370,7 +370,7 @@
 			p.Drain(true) // in a row
 			b, got := withID(t, "fourth")
 			p.Send(b)
-			if r := <-got; r.Status != choice.NoConn || s.times("fourth") != 0 {
+			if r := <-got; r.Status != policy.NoConn || s.times("fourth") != 0 {
 				t.Errorf("drains again: ended as %+v, came %d times", r, s.times("fourth"))
 			}
 			endsClean(t, d, p, got)
@@ -404,7 +404,7 @@
 			for _, got := range ends {
 				select {
 				case r := <-got:
-					if r.Status != choice.NoConn {
+					if r.Status != policy.NoConn {
 						t.Errorf("ended as %+v", r)
 					}
 				case <-time.After(10 * time.Second): // only what the drain does not end meets it
@@ -469,7 +469,7 @@
 			if n, _ := io.Copy(io.Discard, br); n >= int64(size) {
 				t.Errorf("%d bytes came", n)
 			}
-			if r := <-got; r.Status != choice.Abandoned {
+			if r := <-got; r.Status != policy.Abandoned {
 				t.Errorf("ended as %+v", r)
 			}
 			endsClean(t, d, p, got)
@@ -482,8 +482,8 @@
 func TestLongWriteReset(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole bool
-		want  choice.Status
-	}{"a part": {false, choice.NoConn}, "the whole": {true, choice.Reset}} {
+		want  policy.Status
+	}{"a part": {false, policy.NoConn}, "the whole": {true, policy.Reset}} {
 		t.Run(name, func(t *testing.T) {
 			to, accepted := slowReader(t)
 			d := dialer()
@@ -529,23 +529,23 @@
 	for name, x := range map[string]struct {
 		text  string
 		then  int
-		want  choice.Status
+		want  policy.Status
 		again bool
 	}{
-		"no length, stays open":     {edit("Content-Length: 3\r\n", ""), stays, choice.Reset, false},
-		"no length, its end":        {edit("Content-Length: 3\r\n", ""), ends, choice.Reset, false},
-		"no length, a reset":        {edit("Content-Length: 3\r\n", ""), resets, choice.Reset, false},
-		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, choice.Reset, false},
-		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, choice.Reset, false},
-		"close and a length":        {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, choice.OK, false},
-		"half a head, a reset":      {fine[:40], resets, choice.Reset, false},
-		"half a body, a reset":      {fine[:len(fine)-1], resets, choice.Reset, false},
-		"chunks and trailers":       {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, choice.OK, true},
-		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, choice.Reset, false},
-		"chunks, then garbage":      {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, choice.OK, false},
-		"chunks, then an answer":    {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, choice.OK, false},
-		"more than its length":      {fine + "d", stays, choice.OK, false},
-		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, choice.Reset, false},
+		"no length, stays open":     {edit("Content-Length: 3\r\n", ""), stays, policy.Reset, false},
+		"no length, its end":        {edit("Content-Length: 3\r\n", ""), ends, policy.Reset, false},
+		"no length, a reset":        {edit("Content-Length: 3\r\n", ""), resets, policy.Reset, false},
+		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, policy.Reset, false},
+		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.Reset, false},
+		"close and a length":        {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
+		"half a head, a reset":      {fine[:40], resets, policy.Reset, false},
+		"half a body, a reset":      {fine[:len(fine)-1], resets, policy.Reset, false},
+		"chunks and trailers":       {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
+		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, policy.Reset, false},
+		"chunks, then garbage":      {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
+		"chunks, then an answer":    {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
+		"more than its length":      {fine + "d", stays, policy.OK, false},
+		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.Reset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newStandin(t, func(nc net.Conn) bool {
@@ -558,7 +558,7 @@
 			d := dialer()
 			p := d.Connect("n", at(n.ln))
 			r := try(t, p)
-			if r.Status != x.want || r.Status == choice.OK && string(r.Payload.(*reply).body) != "abc" {
+			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abc" {
 				t.Errorf("ended as %+v, want %d", r, x.want)
 			}
 			try(t, p)
@@ -602,7 +602,7 @@
 		text := strings.Replace(good, "Content-Length: 5", "Content-Length: "+strconv.Itoa(size), 1)
 		a, got := attemptOf(t, strings.TrimSuffix(text, "hello")+body, later())
 		p.Send(a)
-		if r := <-got; r.Status != choice.OK {
+		if r := <-got; r.Status != policy.OK {
 			t.Errorf("%d bytes: ended as %+v", size, r)
 		}
 		if came := n.last.Load().Body(); string(came) != body {
@@ -641,7 +641,7 @@
 			<-begun
 			p.Readdress(next)
 			close(goOn)
-			if r := <-got; r.Status != choice.OK || s.times("first") != 1 {
+			if r := <-got; r.Status != policy.OK || s.times("first") != 1 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("first"))
 			}
 			endsClean(t, d, p, got)
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/crowd_test.go
@@ -12,8 +12,8 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // With a request open on each of the connections that it may have, the front answers one more at
@@ -73,7 +73,7 @@
 	t.Cleanup(func() { ln.Close() })
 	log, _ := logtest.NewNullLogger()
 	const conns = 1
-	srv := NewServer(nil, choice.Settings{}, conns, log)
+	srv := NewServer(nil, policy.Settings{}, conns, log)
 	go srv.Serve(ln, conns)
 	var silent []closesClient
 	for range conns + connsOver - 1 {
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // The time that an attempt tells its node is what is left at its first byte, however late its connection came up and
@@ -68,7 +68,7 @@
 			p.Send(core.NewAttempt(&core.Request{Payload: &call{head: []byte("GET /c HTTP/1.1")}}, until, func(r core.Result) { got <- r }))
 		}
 		for _, got := range ends {
-			if r := <-got; r.Status != choice.OK {
+			if r := <-got; r.Status != policy.OK {
 				t.Fatalf("ended as %+v", r)
 			}
 		}
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -6,13 +6,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/mailbox"
 	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // Dialer makes the actors of storage nodes, which share one budget of descriptors.
@@ -46,5 +46,5 @@
 		return d.Safe[r.Class]
 	}
 	k, ok := r.Settings.Class(r.Class)
-	return ok && k.Effect == choice.Safe
+	return ok && k.Effect == policy.Safe
 }
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -18,10 +18,10 @@
 	"github.com/valyala/fasthttp"
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // The core, the module and the node actors under virtual time, on connections in memory, with
@@ -151,14 +151,14 @@
 
 func (c crammed) Send(a *core.Attempt) bool { return c.w.draw() > c.w.faults/10 && c.Peer.Send(a) }
 
-func endsSettings(w *world) choice.Settings {
-	return choice.Settings{Hosts: 3, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxHoldOff: 1000,
+func endsSettings(w *world) policy.Settings {
+	return policy.Settings{Hosts: 3, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxHoldOff: 1000,
 		HoldOff: true, MayCancel: w.upTo(2) == 0, SecondCopies: w.upTo(2) == 0, DrainGrace: 250, AskWithin: 10000,
 		ColdFrom: 0.24, ColdSpan: 17000, TipMultiple: 3, TipSpan: 3000, Shards: 5,
-		Classes: []choice.Class{{Name: "safe", Aim: 200, Deadline: 1500, Worth: 3, LateWorth: 0.1},
-			{Name: "keyed", Aim: 300, Deadline: 2000, Worth: 2, Effect: choice.Keyed, Group: choice.GroupShard, Memory: 2500},
-			{Name: "once", Aim: 300, Deadline: 4000, Worth: 2, Effect: choice.Unsafe}},
-		Plans: []choice.Plan{{Name: "open", Rate: 60, Reserve: 60, Weight: 1, Price: 1},
+		Classes: []policy.Class{{Name: "safe", Aim: 200, Deadline: 1500, Worth: 3, LateWorth: 0.1},
+			{Name: "keyed", Aim: 300, Deadline: 2000, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500},
+			{Name: "once", Aim: 300, Deadline: 4000, Worth: 2, Effect: policy.Unsafe}},
+		Plans: []policy.Plan{{Name: "open", Rate: 60, Reserve: 60, Weight: 1, Price: 1},
 			{Name: "capped", Rate: 20, Reserve: 10, Weight: 1, Price: 1, Limit: 40, LimitBurst: 60}}}
 }
 
@@ -210,28 +210,28 @@
 	var list []core.Node
 	for i := range 6 {
 		a, _ := address.Parse(fmt.Sprintf("10.0.0.%d:1", i+1))
-		n := core.Node{Node: choice.Node{ID: fmt.Sprint("n", i), Shard: i % set.Shards, Weight: 1}, Addresses: []address.Addr{a}}
+		n := core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i % set.Shards, Weight: 1}, Addresses: []address.Addr{a}}
 		list = append(list, n)
 		w.nodes[a] = &worldNode{w: w, silence: w.within(8 * time.Second)}
 	}
-	co.List(core.News{Kind: choice.ListStale, Nodes: list})
+	co.List(core.News{Kind: policy.ListStale, Nodes: list})
 	var all []*ending
 	for i := range 300 {
 		time.Sleep(w.within(30 * time.Millisecond))
 		switch w.upTo(25) {
 		case 0: // a change of the list, or word that there is none
 			n := list[w.upTo(len(list))]
-			n.State = choice.NodeState(w.upTo(3))
-			co.List(core.News{Kind: choice.ListChange, Nodes: []core.Node{n}})
+			n.State = policy.NodeState(w.upTo(3))
+			co.List(core.News{Kind: policy.ListChange, Nodes: []core.Node{n}})
 		case 1:
-			co.List(core.News{Kind: choice.ListFull, Nodes: list[w.upTo(3):]})
+			co.List(core.News{Kind: policy.ListFull, Nodes: list[w.upTo(3):]})
 		case 2:
-			co.List(core.News{Kind: choice.ListFailed})
+			co.List(core.News{Kind: policy.ListFailed})
 		}
 		c := set.Classes[w.upTo(len(set.Classes))]
 		id := fmt.Sprintf("%016x", i)
 		e := &ending{answered: make(chan core.Answer, 2)}
-		e.r = &core.Request{Request: choice.Request{ID: id, Class: c.Name, Plan: set.Plans[w.upTo(2)].Name, Key: id,
+		e.r = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.upTo(2)].Name, Key: id,
 			Volume: fmt.Sprint("v", w.upTo(5)), Units: float64(1 + w.upTo(6)), Shard: w.upTo(set.Shards+1) - 1, Hosts: 1},
 			Arrived: time.Now(), Patience: w.within(time.Duration(c.Deadline) * time.Millisecond),
 			Payload: &call{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
@@ -269,7 +269,7 @@
 	if left := co.Tables(); left != (core.Tables{}) {
 		w.t.Errorf("left behind: %+v", left)
 	}
-	co.List(core.News{Kind: choice.ListFull})
+	co.List(core.News{Kind: policy.ListFull})
 	time.Sleep(time.Minute) // all nodes have left: what they hold closes
 	if open := d.open.Load(); open != 0 || d.idle.list.Len() != 0 {
 		w.t.Errorf("%d connections are counted as open, %d as idle", open, d.idle.list.Len())
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -6,8 +6,8 @@
 	"os"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -41,7 +41,7 @@
 	}
 	r = decodeReply(&c.response, rep)
 	switch {
-	case first && r.Status == choice.Full && !clean: // the node rejected the request and closes the connection
+	case first && r.Status == policy.Full && !clean: // the node rejected the request and closes the connection
 		c.capacity = capacityNone
 	case first:
 		c.capacity = capacityFree
@@ -70,26 +70,26 @@
 // unwritten is the result of an attempt whose last byte was not written: it has not run.
 func (c *conn) unwritten(j job, first bool, err error) core.Result {
 	if j.ctx.Err() == nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		return core.Result{Status: choice.Abandoned} // its repeat window is over; the node is not at fault
+		return core.Result{Status: policy.Abandoned} // its repeat window is over; the node is not at fault
 	}
 	if first && j.ctx.Err() == nil {
 		c.capacity = capacityDoubtful
 	}
-	return unsentResult(j.ctx, choice.NoConn)
+	return unsentResult(j.ctx, policy.NoConn)
 }
 
 // unanswered is the result of an attempt that was written and has no whole answer: it may have run.
 func (c *conn) unanswered(j job, first bool) core.Result {
 	switch {
 	case errors.Is(j.ctx.Err(), context.Canceled):
-		return core.Result{Status: choice.Cancelled}
+		return core.Result{Status: policy.Cancelled}
 	case j.ctx.Err() != nil:
-		return core.Result{Status: choice.TimedOut}
+		return core.Result{Status: policy.TimedOut}
 	}
 	if first && !c.timed.inAnswer { // closed without an answer, perhaps for lack of capacity
 		c.capacity = capacityDoubtful
 	}
-	return core.Result{Status: choice.Reset}
+	return core.Result{Status: policy.Reset}
 }
 
 // write writes the buffer and then rest; an error says that the last byte was not written. A node recognises a repeat
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -17,12 +17,12 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scatter"
 	storage "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 const gatherShards = 4
@@ -50,8 +50,8 @@
 	w := &spread{t: t, rows: &rows, served: make(chan error, 1)}
 	set := testModule()
 	set.MaxAttempts, set.DrainGrace = 3, 250
-	set.Plans = append(set.Plans, choice.Plan{Name: "small", Rate: 10, Reserve: 10, Weight: 1, Price: 1, Limit: 10, LimitBurst: 8})
-	set.Classes = append(set.Classes, choice.Class{Name: "once", Aim: 30e3, Deadline: 60e3, Worth: 3, Effect: choice.Unsafe})
+	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, Reserve: 10, Weight: 1, Price: 1, Limit: 10, LimitBurst: 8})
+	set.Classes = append(set.Classes, policy.Class{Name: "once", Aim: 30e3, Deadline: 60e3, Worth: 3, Effect: policy.Unsafe})
 	for i := range gatherShards {
 		n := storage.New(storage.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
 		a, err := n.Listen("127.0.0.1:0")
@@ -60,7 +60,7 @@
 		}
 		t.Cleanup(n.Close)
 		w.nodes = append(w.nodes, n)
-		w.listed = append(w.listed, core.Node{Node: choice.Node{ID: fmt.Sprint("n", i), Shard: i, State: choice.NodeUp, Weight: 1}, Addresses: []address.Addr{a}})
+		w.listed = append(w.listed, core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i, State: policy.NodeUp, Weight: 1}, Addresses: []address.Addr{a}})
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.core.Stop)
-	w.core.List(core.News{Kind: choice.ListStale, Nodes: w.listed})
+	w.core.List(core.News{Kind: policy.ListStale, Nodes: w.listed})
 	merge, err := gather.ParseRules([]byte(rules))
 	if err != nil {
 		t.Fatal(err)
@@ -417,8 +417,8 @@
 		}
 	}
 	ran := func(i int) int { return w.nodes[i].Counts().Requests }
-	w.listed[1].State = choice.NodeDraining
-	w.core.List(core.News{Kind: choice.ListChange, Nodes: w.listed[1:2]})
+	w.listed[1].State = policy.NodeDraining
+	w.core.List(core.News{Kind: policy.ListChange, Nodes: w.listed[1:2]})
 	if _, err := w.core.Exclude("n2"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -17,11 +17,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
 	storage "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 // A request is lost whose attempt begins after its client has gone. Each test holds the attempt, or the core, at the named
@@ -130,7 +130,7 @@
 // holdCore keeps the core's actor busy until the return is called: what comes meanwhile waits in its mailbox.
 func holdCore(t *testing.T, c *core.Core) (release func()) {
 	held, let := make(chan bool), make(chan bool)
-	c.Submit(&core.Request{Request: choice.Request{Class: "none of the settings"}, Answer: func(core.Answer) { close(held); <-let }})
+	c.Submit(&core.Request{Request: policy.Request{Class: "none of the settings"}, Answer: func(core.Answer) { close(held); <-let }})
 	<-held
 	release = sync.OnceFunc(func() { close(let) })
 	t.Cleanup(release)
@@ -253,11 +253,11 @@
 	eachClient(t, func(t *testing.T, network, ahead string) {
 		for _, heard := range []bool{false, true} {
 			l, _ := newLately(t, network)
-			list := func(state choice.NodeState) {
-				l.srv.Core.List(core.News{Kind: choice.ListChange, Nodes: []core.Node{{
-					Node: choice.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
+			list := func(state policy.NodeState) {
+				l.srv.Core.List(core.News{Kind: policy.ListChange, Nodes: []core.Node{{
+					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
 			}
-			list(choice.NodeDraining)
+			list(policy.NodeDraining)
 			nc := l.dial()
 			ask(nc, 1)
 			io.WriteString(nc, ahead)
@@ -265,13 +265,13 @@
 			release := func() {}
 			if !heard {
 				release = holdCore(t, l.srv.Core)
-				list(choice.NodeUp)
+				list(policy.NodeUp)
 			}
 			nc.Close()
 			allGone(t, l.srv)
 			if heard {
 				l.empty()
-				list(choice.NodeUp)
+				list(policy.NodeUp)
 			}
 			release()
 			l.onlyNext(0)
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -20,11 +20,11 @@
 	"github.com/valyala/fasthttp"
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/replay"
 	"wheatsaddle/internal/testkit/rapidtest"
+	"wheatsaddle/policy"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
@@ -135,18 +135,18 @@
 func TestNodeOutcomes(t *testing.T) {
 	for name, x := range map[string]struct {
 		do   script
-		want choice.Status
+		want policy.Status
 	}{
-		"served":           {say(fine), choice.OK},
-		"error":            {say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), choice.Errored},
-		"full":             {say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), choice.Full},
-		"over":             {say("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), choice.Full},
-		"bad request":      {say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), choice.Abandoned},
-		"too many":         {say("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), choice.Errored},
-		"503 may have run": {say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), choice.Errored},
-		"cut":              {func(net.Conn) bool { return false }, choice.Reset},
-		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, fine[:len(fine)-1]); return false }, choice.Reset},
-		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, choice.Reset},
+		"served":           {say(fine), policy.OK},
+		"error":            {say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"full":             {say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
+		"over":             {say("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
+		"bad request":      {say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
+		"too many":         {say("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"503 may have run": {say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"cut":              {func(net.Conn) bool { return false }, policy.Reset},
+		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, fine[:len(fine)-1]); return false }, policy.Reset},
+		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.Reset},
 	} {
 		n := newStandin(t, x.do)
 		p := dialer().Connect("n", at(n.ln))
@@ -154,7 +154,7 @@
 		if r.Status != x.want || n.requests.Load() != 1 {
 			t.Errorf("%s: status %d, want %d; %d requests came", name, r.Status, x.want, n.requests.Load())
 		}
-		if r.Status == choice.OK && (r.Used != 86 || r.Others != 4 || string(r.Payload.(*reply).body) != "abc") {
+		if r.Status == policy.OK && (r.Used != 86 || r.Others != 4 || string(r.Payload.(*reply).body) != "abc") {
 			t.Errorf("%s: %+v", name, r)
 		}
 		p.Close()
@@ -169,12 +169,12 @@
 	for cut := len(head); cut <= len(whole); cut++ {
 		n := newStandin(t, func(nc net.Conn) bool { io.WriteString(nc, whole[:cut]); return false })
 		p := dialer().Connect("n", at(n.ln))
-		want := choice.Reset
+		want := policy.Reset
 		if cut == len(whole) {
-			want = choice.OK
+			want = policy.OK
 		}
 		r := try(t, p)
-		if r.Status != want || r.Status == choice.OK && string(r.Payload.(*reply).body) != "abcdefg" {
+		if r.Status != want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abcdefg" {
 			t.Errorf("cut behind %q: %+v, want status %d", whole[:cut], r, want)
 		}
 		p.Close()
@@ -188,33 +188,33 @@
 	edit := func(old, new string) string { return strings.Replace(fine, old, new, 1) }
 	for _, x := range []struct {
 		text  string
-		want  choice.Status
+		want  policy.Status
 		again bool // the connection serves the next attempt
 	}{
-		{fine, choice.OK, true},
-		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(fine), choice.OK, true},
-		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + fine, choice.OK, true},
-		{fine + fine, choice.OK, false}, {fine + "\x00noise", choice.OK, false},
-		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + fine, choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 9"), choice.Reset, false}, // the rest never comes
-		{fine[:60], choice.Reset, false}, // nor does the end of the head
-		{edit("Content-Length: 3\r\n", ""), choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: +3"), choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length : 3"), choice.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3221225472"), choice.Reset, false},
-		{edit("Content-Length: 3", "Transfer-Encoding: chunked"), choice.Reset, false},
-		{edit("HTTP/1.1 200 OK", "HTTP/1.1 2x0 OK"), choice.Reset, false}, {edit("HTTP/1.1", "HTTP/7.1"), choice.Reset, false},
-		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), choice.Reset, false}, {"noise" + fine, choice.Reset, false},
-		{edit("Volume-Load: 85", "what"), choice.Reset, false},
-		{edit("Volume-Load: 85", "X: "+strings.Repeat("x", 2*readBufferSize)), choice.Reset, false},
-		{edit("200 OK", "101 Switching Protocols"), choice.Reset, false},
+		{fine, policy.OK, true},
+		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(fine), policy.OK, true},
+		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + fine, policy.OK, true},
+		{fine + fine, policy.OK, false}, {fine + "\x00noise", policy.OK, false},
+		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + fine, policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length: 9"), policy.Reset, false}, // the rest never comes
+		{fine[:60], policy.Reset, false}, // nor does the end of the head
+		{edit("Content-Length: 3\r\n", ""), policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length: +3"), policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length : 3"), policy.Reset, false},
+		{edit("Content-Length: 3", "Content-Length: 3221225472"), policy.Reset, false},
+		{edit("Content-Length: 3", "Transfer-Encoding: chunked"), policy.Reset, false},
+		{edit("HTTP/1.1 200 OK", "HTTP/1.1 2x0 OK"), policy.Reset, false}, {edit("HTTP/1.1", "HTTP/7.1"), policy.Reset, false},
+		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), policy.Reset, false}, {"noise" + fine, policy.Reset, false},
+		{edit("Volume-Load: 85", "what"), policy.Reset, false},
+		{edit("Volume-Load: 85", "X: "+strings.Repeat("x", 2*readBufferSize)), policy.Reset, false},
+		{edit("200 OK", "101 Switching Protocols"), policy.Reset, false},
 	} {
 		n := newStandin(t, say(x.text))
 		p := dialer().Connect("n", at(n.ln))
 		r := try(t, p)
-		if r.Status != x.want || r.Status == choice.OK && string(r.Payload.(*reply).body) != "abc" {
+		if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abc" {
 			t.Errorf("%.90q: %+v, want %d", x.text, r, x.want)
 		}
 		try(t, p)
@@ -235,15 +235,15 @@
 	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, body)
 	for _, x := range []struct {
 		text  string
-		want  choice.Status
+		want  policy.Status
 		whole bool // the relay reads it to its end
 		again bool // its connection carries the next
 	}{
-		{text, choice.OK, true, true},
-		{text[:len(text)-1], choice.OK, false, false},
-		{chunked, choice.OK, true, true},
-		{chunked[:len(chunked)-5], choice.OK, false, false},
-		{strings.Replace(text, "200", "500", 1), choice.Errored, false, false},
+		{text, policy.OK, true, true},
+		{text[:len(text)-1], policy.OK, false, false},
+		{chunked, policy.OK, true, true},
+		{chunked[:len(chunked)-5], policy.OK, false, false},
+		{strings.Replace(text, "200", "500", 1), policy.Errored, false, false},
 	} {
 		n := newStandin(t, say(x.text))
 		p := dialer().Connect("n", at(n.ln))
@@ -313,7 +313,7 @@
 	}
 	<-n.ended // the node has closed it
 	closeAfter <- true
-	if r := try(t, p); r.Status != choice.OK {
+	if r := try(t, p); r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -324,7 +324,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if r := try(t, dialer().Connect("n", at(ln))); r.Status != choice.NoConn {
+	if r := try(t, dialer().Connect("n", at(ln))); r.Status != policy.NoConn {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -334,11 +334,11 @@
 	n := newStandin(t, say(fine))
 	p := dialer().Connect("n", at(n.ln))
 	p.Drain(true)
-	if r := try(t, p); r.Status != choice.NoConn || n.requests.Load() != 0 {
+	if r := try(t, p); r.Status != policy.NoConn || n.requests.Load() != 0 {
 		t.Errorf("status %d, %d came", r.Status, n.requests.Load())
 	}
 	p.Drain(false)
-	if r := try(t, p); r.Status != choice.OK {
+	if r := try(t, p); r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -358,17 +358,17 @@
 	p.Send(a)
 	<-came
 	p.Cancel(a)
-	if r := <-got; r.Status != choice.Cancelled || !<-closed {
+	if r := <-got; r.Status != policy.Cancelled || !<-closed {
 		t.Errorf("cancelled: %+v", r)
 	}
 	a, got = attempt(t, time.Now().Add(200*time.Millisecond))
 	p.Send(a)
-	if r := <-got; r.Status != choice.TimedOut && r.Status != choice.NoConn {
+	if r := <-got; r.Status != policy.TimedOut && r.Status != policy.NoConn {
 		t.Errorf("timed out: %+v", r)
 	}
 	a, got = attempt(t, time.Now().Add(-time.Second))
 	p.Send(a)
-	if r := <-got; r.Status != choice.Abandoned {
+	if r := <-got; r.Status != policy.Abandoned {
 		t.Errorf("too late: %+v", r)
 	}
 }
@@ -382,11 +382,11 @@
 	p := d.Connect("n", at(n.ln))
 	a, got := attempt(t, later())
 	p.Send(a)
-	if r := try(t, p); r.Status != choice.NoConn {
+	if r := try(t, p); r.Status != policy.NoConn {
 		t.Errorf("status %d", r.Status)
 	}
 	close(hold)
-	if r := <-got; r.Status != choice.OK {
+	if r := <-got; r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -401,11 +401,11 @@
 }
 
 // testModule are settings with long times: no test may pass because somebody's ran out.
-func testModule() choice.Settings {
-	return choice.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
-		Classes: []choice.Class{{Name: "balance-read", Aim: 30e3, Deadline: 60e3, Worth: 3},
-			{Name: "new-record", Aim: 30e3, Deadline: 60e3, Worth: 2, Effect: choice.Keyed, Group: choice.GroupShard, Memory: 2500}},
-		Plans: []choice.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}
+func testModule() policy.Settings {
+	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
+		Classes: []policy.Class{{Name: "balance-read", Aim: 30e3, Deadline: 60e3, Worth: 3},
+			{Name: "new-record", Aim: 30e3, Deadline: 60e3, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}
 }
 
 func newFront(t *testing.T, do script) *front {
@@ -426,7 +426,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	c.List(core.News{Kind: choice.ListStale, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
+	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
 	f := &front{standin: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
 	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
@@ -713,7 +713,7 @@
 				}
 			}
 		}
-		_ = decodeInfo(string(noise), &choice.Request{})
+		_ = decodeInfo(string(noise), &policy.Request{})
 		if l := decodeLoad(string(noise)); l != nil && (l.Util < -1 || l.Queue < -1 || l.Inflight < -1) {
 			rt.Fatalf("load %+v", l)
 		}
@@ -769,7 +769,7 @@
 	second, waiting := start()
 	_, beyond := start() // one waits for each in use: this one has its own
 	p.Cancel(second)
-	if r := <-waiting; r.Status != choice.Cancelled {
+	if r := <-waiting; r.Status != policy.Cancelled {
 		t.Errorf("called off while it waits: %+v", r)
 	}
 	_, behind := start()
@@ -778,7 +778,7 @@
 	open <- true
 	open <- true
 	for _, got := range []chan core.Result{first, beyond, behind} {
-		if r := <-got; r.Status != choice.OK {
+		if r := <-got; r.Status != policy.OK {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -790,11 +790,11 @@
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	_, drained := start()
 	p.Drain(true)
-	if r := <-drained; r.Status != choice.NoConn {
+	if r := <-drained; r.Status != policy.NoConn {
 		t.Errorf("waiting while the node began to drain: %+v", r)
 	}
 	open <- true
-	if r := <-out; r.Status != choice.OK {
+	if r := <-out; r.Status != policy.OK {
 		t.Errorf("%+v", r)
 	}
 }
@@ -820,7 +820,7 @@
 	q.Send(b)
 	waitFor(t, func() bool { return n.requests.Load() == 3 })
 	q.Cancel(a) // its connection is closed and never used again
-	if r := <-cut; r.Status != choice.Cancelled {
+	if r := <-cut; r.Status != policy.Cancelled {
 		t.Errorf("%+v", r)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -6,8 +6,8 @@
 	"runtime"
 	"testing"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // More nodes than descriptors: each is served in turn, on the place of the longest idle
@@ -22,7 +22,7 @@
 	}
 	for round := range 3 {
 		for i, p := range peers {
-			if r := try(t, p); r.Status != choice.OK {
+			if r := try(t, p); r.Status != policy.OK {
 				t.Fatalf("round %d, node %d: %v", round, i, r.Status)
 			}
 			if open := d.open.Load(); open > d.ConnsMost {
@@ -54,11 +54,11 @@
 	for n.requests.Load() == 0 {
 		runtime.Gosched()
 	}
-	if r := try(t, other); r.Status != choice.NoConn {
+	if r := try(t, other); r.Status != policy.NoConn {
 		t.Fatalf("%v", r.Status)
 	}
 	one.Cancel(a)
-	if r := <-got; r.Status != choice.Cancelled {
+	if r := <-got; r.Status != policy.Cancelled {
 		t.Fatalf("%v", r.Status)
 	}
 }
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -5,13 +5,13 @@
 	"errors"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/mailbox"
 	"wheatsaddle/internal/pool"
+	"wheatsaddle/policy"
 )
 
 const nodeMailboxSize = 512 // messages; when it is full sends by the core are rejected
@@ -25,7 +25,7 @@
 	opened       *conn // its dial has ended; it failed if broken
 	evicted      *conn // closed, as another node took its descriptor
 	probe        func(core.Result, time.Duration)
-	preconnect   func(choice.Status) // result of a connection that no attempt waits for
+	preconnect   func(policy.Status) // result of a connection that no attempt waits for
 	close        bool
 	path         *pathMessage
 }
@@ -155,7 +155,7 @@
 		n.send(m.send)
 	case m.cancel != nil:
 		if n.waiting.Remove(m.cancel) {
-			sync.Go(func() { m.cancel.Done(core.Result{Status: choice.Cancelled}) })
+			sync.Go(func() { m.cancel.Done(core.Result{Status: policy.Cancelled}) })
 		}
 	case m.returned != nil:
 		n.connReturned(m.returned, m.broken)
@@ -171,7 +171,7 @@
 func (n *node) probe(f func(core.Result, time.Duration)) {
 	c := n.connForProbe()
 	if c == nil {
-		go f(core.Result{Status: choice.NoConn}, 0)
+		go f(core.Result{Status: policy.NoConn}, 0)
 		return
 	}
 	c.jobs <- job{probe: f}
@@ -180,7 +180,7 @@
 // send assigns an attempt an idle connection, or adds it to those that wait.
 func (n *node) send(a *core.Attempt) {
 	if a.Abandoned() {
-		sync.Go(func() { a.Done(core.Result{Status: choice.Abandoned}) })
+		sync.Go(func() { a.Done(core.Result{Status: policy.Abandoned}) })
 		return
 	}
 	if c := n.takeIdle(); c != nil {
@@ -198,7 +198,7 @@
 	n.discount()
 	switch {
 	case cancelled:
-		sync.Go(func() { a.Done(core.Result{Status: choice.Cancelled}) })
+		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })
 	case n.paths != nil:
 		n.paths.handle(nodeMessage{send: a})
 	default:
@@ -214,21 +214,21 @@
 		if !ok {
 			return
 		}
-		sync.Go(func() { a.Done(core.Result{Status: choice.NoConn}) })
+		sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
 	}
 	if n.waiting.Len() == 0 {
 		return
 	}
 	now := time.Since(n.started)
 	for a, ok := n.waiting.Over(now); ok; a, ok = n.waiting.Over(now) {
-		sync.Go(func() { a.Done(core.Result{Status: choice.NoConn}) })
+		sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
 	}
 	for range n.waiting.Open(now, len(n.busy), n.slowDial()) {
 		if n.openConn(now) {
 			continue
 		}
 		if a, ok := n.waiting.NoRoom(now, len(n.busy)); ok {
-			sync.Go(func() { a.Done(core.Result{Status: choice.NoConn}) })
+			sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
 		}
 	}
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -12,7 +12,6 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	il "wheatsaddle/internal/interleave"
@@ -21,6 +20,7 @@
 	"wheatsaddle/internal/mailbox"
 	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // line is a connection whose node answers at once; fd is that of a socket that stands and is quiet.
@@ -195,14 +195,14 @@
 }
 
 // meet is an actor with one connection at most, which the core gives attempts; each result goes to all.
-func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan choice.Status) {
+func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan policy.Status) {
 	d := &Dialer{ConnsMost: 1, ConnIdle: time.Hour, Wait: wait}
 	drains = new(bool)
 	d.dial = func(context.Context, address.Addr, time.Duration) (sock.Stream, address.Why, error) {
 		return &line{fd: fd, drains: drains}, 0, nil
 	}
 	n = actor(d, fd, "a", 0)
-	all = make(chan choice.Status, 2*tries)
+	all = make(chan policy.Status, 2*tries)
 	for range tries {
 		list = append(list, core.NewAttempt(req, later(), func(r core.Result) { sync.Send(all, r.Status) }))
 	}
@@ -240,7 +240,7 @@
 					n.Send(tries[1])
 					n.Cancel(tries[1])
 					for range tries {
-						if s, _ := sync.Recv(all); s != choice.OK && s != choice.NoConn && s != choice.Cancelled {
+						if s, _ := sync.Recv(all); s != policy.OK && s != policy.NoConn && s != policy.Cancelled {
 							il.Fail("ended with %v", s)
 						}
 					}
@@ -270,7 +270,7 @@
 				{Name: "core", Run: func() {
 					for i, try := range tries {
 						n.Send(try)
-						if s, _ := sync.Recv(all); s != choice.OK {
+						if s, _ := sync.Recv(all); s != policy.OK {
 							il.Fail("attempt %d: %v", i, s)
 						}
 					}
@@ -308,7 +308,7 @@
 				{Name: "core", Run: func() {
 					n.Send(tries[0])
 					n.Cancel(tries[0])
-					if s, _ := sync.Recv(all); s != choice.OK && s != choice.Cancelled {
+					if s, _ := sync.Recv(all); s != policy.OK && s != policy.Cancelled {
 						il.Fail("ended with %v", s)
 					}
 					n.Close()
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -124,7 +124,7 @@
 		a, ok := n.waiting.Free()
 		switch {
 		case ok && a.Abandoned():
-			sync.Go(func() { a.Done(core.Result{Status: choice.Abandoned}) })
+			sync.Go(func() { a.Done(core.Result{Status: policy.Abandoned}) })
 			continue
 		case ok:
 			n.assign(a, c)
@@ -155,7 +155,7 @@
 		n.discount()
 		n.recordCapacity(c)
 		if a, ok := n.waiting.Failed(now, c.dialID, len(n.busy)); ok {
-			sync.Go(func() { a.Done(core.Result{Status: choice.NoConn}) })
+			sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
 		}
 	default:
 		took := n.waiting.Up(now, c.dialID)
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -14,10 +14,10 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // ledger is a storage node that counts what it runs by the request's id. Its first connection breaks
@@ -109,14 +109,14 @@
 			}()
 			set := testModule()
 			set.MaxAttempts = 4
-			set.Classes[1].Effect = choice.Unsafe
+			set.Classes[1].Effect = policy.Unsafe
 			log, _ := logtest.NewNullLogger()
 			c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Stop()
-			c.List(core.News{Kind: choice.ListFull, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
+			c.List(core.News{Kind: policy.ListFull, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
 			ask := func(id string) core.Answer {
 				var m fasthttp.Request
 				text := strings.Replace(good, "9b1f03aa5c7e2d41", id, 1)
@@ -177,12 +177,12 @@
 	p := d.Connect("n", at(ln))
 	defer p.Close()
 	p.Send(a)
-	if r := <-got; r.Status != choice.Abandoned {
+	if r := <-got; r.Status != policy.Abandoned {
 		t.Errorf("ended as %v", r.Status)
 	}
 	b, got := attempt(t, later())
 	p.Send(b) // on the connection that came late
-	if r := <-got; r.Status != choice.OK {
+	if r := <-got; r.Status != policy.OK {
 		t.Errorf("the next one ended as %v", r.Status)
 	}
 	if n := l.run(a.Req.ID) - 1; n != 1 {
--- a/internal/httpfront/path.go
+++ b/internal/httpfront/path.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // path is one connection of a node with several addresses, or the dial of one.
@@ -68,7 +68,7 @@
 		}
 		// The actor is told first, so that the module's next send finds the connection free.
 		m := &pathMessage{returned: t, event: e}
-		if j.attempt != nil && r.Status == choice.Full {
+		if j.attempt != nil && r.Status == policy.Full {
 			m.rejected = &r
 		}
 		t.node.mailbox.Must(nodeMessage{path: m})
@@ -90,35 +90,35 @@
 	if j.probe != nil {
 		r, reuse := t.conn.probe()
 		e = address.Event{Kind: address.Answered, Verdict: address.Other, Keep: reuse}
-		if r.Status == choice.NoConn || r.Status == choice.Reset {
+		if r.Status == policy.NoConn || r.Status == policy.Reset {
 			e = address.Event{Kind: address.Broken, Why: address.Reset}
 		}
 		return r, e
 	}
 	switch {
 	case !time.Now().Before(j.attempt.Deadline):
-		return core.Result{Status: choice.Abandoned}, given
+		return core.Result{Status: policy.Abandoned}, given
 	case t.node.draining.Load() || j.ctx.Err() != nil: // the node began to drain while it waited
-		return unsentResult(j.ctx, choice.NoConn), given
+		return unsentResult(j.ctx, policy.NoConn), given
 	case !j.attempt.Claim(): // its request was answered while it waited
-		return core.Result{Status: choice.Abandoned}, given
+		return core.Result{Status: policy.Abandoned}, given
 	}
 	r, reuse, cut := t.exchange(j)
 	switch {
-	case cut && j.ctx.Err() == nil && r.Status != choice.Abandoned:
+	case cut && j.ctx.Err() == nil && r.Status != policy.Abandoned:
 		return r, address.Event{Kind: address.Broken, Why: address.Cut}
-	case cut || r.Status == choice.Cancelled || r.Status == choice.TimedOut:
+	case cut || r.Status == policy.Cancelled || r.Status == policy.TimedOut:
 		return r, given
-	case r.Status == choice.Reset:
+	case r.Status == policy.Reset:
 		return r, address.Event{Kind: address.Broken, Why: address.Reset}
 	}
 	e = address.Event{Kind: address.Answered, Keep: reuse}
 	switch {
 	case t.answeredBy != "" && t.answeredBy != t.node.name:
 		e.Verdict, e.Keep = address.Misdirected, false
-	case r.Status == choice.OK:
+	case r.Status == policy.OK:
 		e.Verdict = address.Served
-	case r.Status == choice.Full:
+	case r.Status == policy.Full:
 		e.Verdict = address.Turned
 	default:
 		e.Verdict = address.Other
--- a/internal/httpfront/paths.go
+++ b/internal/httpfront/paths.go
@@ -9,10 +9,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // Routes is what the nodes with several addresses share: the settings, which may change while they run, and which
@@ -60,7 +60,7 @@
 	req        address.Req
 	attempt    *core.Attempt
 	probe      func(core.Result, time.Duration)
-	preconnect func(choice.Status) // nothing is written: a connection is enough
+	preconnect func(policy.Status) // nothing is written: a connection is enough
 	ctx        context.Context
 	stop       context.CancelFunc
 	stopWatch  func() bool
@@ -159,7 +159,7 @@
 		p.book.Step(address.Event{Kind: address.Failed, Conn: m.failed.id, Why: m.why})
 	case m.expired != nil:
 		if w := m.expired; p.works[w.req] == w && w.path == nil {
-			p.endUnsent(w, unsentResult(w.ctx, choice.NoConn))
+			p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
 			p.book.Step(address.Event{Kind: address.Drop, Req: w.req})
 		}
 	case m.returned != nil:
@@ -174,7 +174,7 @@
 	w := t.work
 	t.work, w.path = nil, nil
 	if p.conns[t.id] != t { // the book has closed the connection, and with it the work
-		p.endUnsent(w, unsentResult(w.ctx, choice.NoConn))
+		p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
 		return
 	}
 	t.cancelRun()
@@ -192,7 +192,7 @@
 	p.removeWork(w)
 	if m.rejected != nil {
 		if m.event.Verdict == address.Misdirected || p.book.Doubted(p.book.Now(), t.id) {
-			m.rejected.Status = choice.Abandoned // another node rejected it: it never ran, and does not show that this node is full
+			m.rejected.Status = policy.Abandoned // another node rejected it: it never ran, and does not show that this node is full
 		}
 		go w.attempt.Done(*m.rejected)
 	}
@@ -286,7 +286,7 @@
 		}
 	case address.Fail:
 		if w := p.works[a.Req]; w != nil {
-			p.endUnsent(w, unsentResult(w.ctx, choice.NoConn))
+			p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
 		}
 	case address.Say:
 		p.log().WithFields(logrus.Fields{"node": p.node.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Why.String()}).
