--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -17,11 +17,11 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/sock"
 	standnode "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 const ms = time.Millisecond
@@ -127,7 +127,7 @@
 func (r *routed) served(text string) address.Addr {
 	r.t.Helper()
 	id, got, _ := r.send(text, time.Minute)
-	if x := <-got; x.Status != choice.OK || string(x.Payload.(*reply).body) != id {
+	if x := <-got; x.Status != policy.OK || string(x.Payload.(*reply).body) != id {
 		r.t.Fatalf("%s: %+v", id, x)
 	}
 	all := r.n.Arrivals(id)
@@ -143,7 +143,7 @@
 	for range 20000 {
 		id, got, _ := r.send(readText, 400*ms) // some are caught on the way
 		x := <-got
-		if x.Status != choice.OK {
+		if x.Status != policy.OK {
 			time.Sleep(ms)
 			continue
 		}
@@ -207,7 +207,7 @@
 			t.Fatalf("%d connections to the hung address", open)
 		}
 	}
-	if x := <-got; x.Status != choice.TimedOut || len(r.n.Arrivals(caught)) != 0 {
+	if x := <-got; x.Status != policy.TimedOut || len(r.n.Arrivals(caught)) != 0 {
 		t.Errorf("caught: %+v, came %v", x, r.n.Arrivals(caught))
 	}
 	r.set(0, standnode.None)
@@ -229,7 +229,7 @@
 		}
 		for i, got := range results {
 			x := <-got
-			if n := len(r.n.Arrivals(ids[i])); n > 1 || r.n.Ran(ids[i]) > 1 || x.Status == choice.OK && n != 1 || len(got) > 0 {
+			if n := len(r.n.Arrivals(ids[i])); n > 1 || r.n.Ran(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
 				t.Errorf("%v: %+v, came %d times", f, x, n)
 			}
 		}
@@ -246,7 +246,7 @@
 	ends := 0
 	for ends < 300 {
 		_, got, _ := r.send(readText, time.Minute)
-		if x := <-got; x.Status == choice.OK {
+		if x := <-got; x.Status == policy.OK {
 			t.Fatal("served by nobody")
 		}
 		ends++
@@ -265,7 +265,7 @@
 	}
 	for range 200 { // while the one trial is out, the others end as never ran, and connect nothing
 		_, got, _ := r.send(recordText, time.Minute)
-		if x := <-got; x.Status != choice.NoConn {
+		if x := <-got; x.Status != policy.NoConn {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -274,7 +274,7 @@
 	}
 	r.gate.Store(nil)
 	close(gate)
-	if x := <-held; x.Status != choice.OK {
+	if x := <-held; x.Status != policy.OK {
 		t.Errorf("the trial: %+v", x)
 	}
 	r.until("its return", func(by address.Addr) bool { return by == r.at[2] })
@@ -299,11 +299,11 @@
 		for r.n.Counts().Turned < 12 && identity == "" || moot == 0 {
 			_, got, _ := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
-			case choice.Full:
+			case policy.Full:
 				full++
-			case choice.Abandoned:
+			case policy.Abandoned:
 				moot++
-			case choice.OK:
+			case policy.OK:
 				if string(x.Payload.(*reply).body) == "" {
 					t.Error("empty")
 				}
@@ -341,7 +341,7 @@
 	}
 	r.p.Drain(true)
 	for _, got := range results {
-		if x := <-got; x.Status != choice.NoConn {
+		if x := <-got; x.Status != policy.NoConn {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -353,7 +353,7 @@
 		time.Sleep(ms) // late winners are closed, or this never ends
 	}
 	_, got, _ := r.send(recordText, time.Minute)
-	if x := <-got; x.Status != choice.NoConn || r.n.Counts().Requests != 0 {
+	if x := <-got; x.Status != policy.NoConn || r.n.Counts().Requests != 0 {
 		t.Errorf("%+v, %d came", x, r.n.Counts().Requests)
 	}
 	r.p.Drain(false)
@@ -374,7 +374,7 @@
 	lack.Store(true)
 	for range 20 {
 		_, got, _ := r.send(recordText, time.Minute)
-		if x := <-got; x.Status != choice.NoConn {
+		if x := <-got; x.Status != policy.NoConn {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -388,7 +388,7 @@
 	<-hold
 	_, caught, _ := r.send(readText, 500*ms)
 	_, got, _ := r.send(recordText, time.Minute)
-	if x := <-got; x.Status != choice.NoConn {
+	if x := <-got; x.Status != policy.NoConn {
 		t.Errorf("%+v", x)
 	}
 	<-caught
@@ -451,7 +451,7 @@
 		t.Errorf("went by %v", by)
 	}
 	release <- true
-	if x := <-first; x.Status != choice.OK {
+	if x := <-first; x.Status != policy.OK {
 		t.Errorf("cut: %+v", x)
 	}
 	one := r.d.Connect("o", r.at[2:])
@@ -470,8 +470,8 @@
 	r := newRouted(t, quick())
 	set := testModule()
 	f, c := r.through(set, 50)
-	list := func(kind choice.EventKind, to ...address.Addr) {
-		c.List(core.News{Kind: kind, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: to}}})
+	list := func(kind policy.EventKind, to ...address.Addr) {
+		c.List(core.News{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
 	}
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
@@ -483,7 +483,7 @@
 			default:
 			}
 			a := r.at
-			list(choice.ListChange, [][]address.Addr{{a[1], a[0], a[2]}, {a[2]}, {a[0], a[1]}, {a[1], a[2]}, a}[i%5]...)
+			list(policy.ListChange, [][]address.Addr{{a[1], a[0], a[2]}, {a[2]}, {a[0], a[1]}, {a[1], a[2]}, a}[i%5]...)
 			time.Sleep(2 * ms)
 		}
 	})
@@ -511,14 +511,14 @@
 }
 
 // through is a whole path to the routed node, by a module of these settings.
-func (r *routed) through(set choice.Settings, conns int) (*front, *core.Core) {
+func (r *routed) through(set policy.Settings, conns int) (*front, *core.Core) {
 	r.t.Helper()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: r.d.Connect, Log: r.d.Log})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(c.Stop)
-	c.List(core.News{Kind: choice.ListStale, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
+	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
@@ -543,7 +543,7 @@
 		set := testModule()
 		set.MaxAttempts = 4
 		set.Classes[1].Deadline, set.Classes[1].Aim = 30e3, 20e3
-		set.Classes = append(set.Classes, choice.Class{Name: "once", Aim: 20e3, Deadline: 30e3, Worth: 1, Effect: choice.Unsafe})
+		set.Classes = append(set.Classes, policy.Class{Name: "once", Aim: 20e3, Deadline: 30e3, Worth: 1, Effect: policy.Unsafe})
 		f, _ := r.through(set, 50)
 		f.send(t, fmt.Sprintf(readText, "warm"))
 		gate := make(chan struct{})
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -4,24 +4,24 @@
 	"context"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // Connect implements core.Peer.
-func (n *node) Connect(f func(choice.Status)) bool { return n.mailbox.Put(nodeMessage{preconnect: f}) }
+func (n *node) Connect(f func(policy.Status)) bool { return n.mailbox.Put(nodeMessage{preconnect: f}) }
 
 // preconnect opens a connection that no attempt waits for yet, where none is idle or being dialled. No idle
 // connection of another node is evicted for it. While it is dialled attempts may wait for it, and after that it
 // is idle like any other.
-func (n *node) preconnect(f func(choice.Status)) {
+func (n *node) preconnect(f func(policy.Status)) {
 	for k := len(n.idle); k > 0 && !sock.Quiet(n.idle[k-1].socket); k = len(n.idle) {
 		n.closeIdle(n.idle[k-1])
 	}
 	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {
-		sync.Go(func() { f(choice.Abandoned) })
+		sync.Go(func() { f(policy.Abandoned) })
 		return
 	}
 	if n.paths != nil {
@@ -30,14 +30,14 @@
 	}
 	c := n.newConn(n.dialer.vacant)
 	if c == nil {
-		sync.Go(func() { f(choice.Abandoned) })
+		sync.Go(func() { f(policy.Abandoned) })
 		return
 	}
 	n.startDial(c, time.Since(n.started), f)
 }
 
 // startDial dials a connection in its own goroutine, and calls f, if not nil, with the result.
-func (n *node) startDial(c *conn, now time.Duration, f func(choice.Status)) {
+func (n *node) startDial(c *conn, now time.Duration, f func(policy.Status)) {
 	c.dialID = n.waiting.Opening(now)
 	sync.Go(func() {
 		err := c.ensureUp(context.Background())
@@ -52,18 +52,18 @@
 }
 
 // dialStatus is the status of a dial.
-func dialStatus(ok bool) choice.Status {
+func dialStatus(ok bool) policy.Status {
 	if ok {
-		return choice.OK
+		return policy.OK
 	}
-	return choice.NoConn
+	return policy.NoConn
 }
 
 // preconnect has the book open a connection for a work that is dropped once the connection is up and idle. The
 // caller has checked that there is none.
-func (p *paths) preconnect(f func(choice.Status)) {
+func (p *paths) preconnect(f func(policy.Status)) {
 	if len(p.works) > 0 || p.node.dialer.open.Load() >= p.node.dialer.ConnsMost { // connections are opened for the works that wait
-		go f(choice.Abandoned)
+		go f(policy.Abandoned)
 		return
 	}
 	w := p.addWork(&work{preconnect: f})
@@ -76,7 +76,7 @@
 	for _, w := range p.works {
 		if w.preconnect != nil { // there is one at most
 			p.removeWork(w)
-			go w.preconnect(choice.OK)
+			go w.preconnect(policy.OK)
 			p.book.Step(address.Event{Kind: address.Drop, Req: w.req})
 		}
 	}
--- a/internal/httpfront/scarce_test.go
+++ b/internal/httpfront/scarce_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	capped "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 // A node that holds four connections of three schedulers together. One has had a burst, and was refused
@@ -47,19 +47,19 @@
 			got = append(got, send(all[0]))
 		}
 		for _, end := range got {
-			if r := <-end; r.Status != choice.OK {
+			if r := <-end; r.Status != policy.OK {
 				refused++
 			}
 		}
 	}
 	for i, p := range all {
 		tries := 0
-		waitFor(t, func() bool { tries++; return (<-send(all[0])).Status == choice.OK && (<-send(p)).Status == choice.OK })
+		waitFor(t, func() bool { tries++; return (<-send(all[0])).Status == policy.OK && (<-send(p)).Status == policy.OK })
 		t.Logf("scheduler %d: tries until it is served: %d", i, tries)
 	}
 	for range 20 {
 		for i, p := range all {
-			if r := <-send(p); r.Status != choice.OK {
+			if r := <-send(p); r.Status != policy.OK {
 				t.Fatalf("scheduler %d: %v", i, r.Status)
 			}
 		}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -13,10 +13,10 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scatter"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // NewServer makes the front; conns caps the clients' connections. Set is for what is answered before its head was read; all
 // else goes by the core's settings as they are then.
-func NewServer(c *core.Core, set choice.Settings, conns int, log logrus.FieldLogger) *Server {
+func NewServer(c *core.Core, set policy.Settings, conns int, log logrus.FieldLogger) *Server {
 	s := &Server{Core: c}
 	s.http = &fasthttp.Server{
 		Handler: s.handle, ErrorHandler: s.reject, Concurrency: 2 * (conns + connsOver), MaxRequestBodySize: bodyLargest, StreamRequestBody: true,
@@ -316,7 +316,7 @@
 	case errors.Is(err, errNoRoom):
 		class, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
 		got := make(chan core.Answer, 1)
-		s.Core.Refuse(&core.Request{Request: choice.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
+		s.Core.Refuse(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
 		write(ctx, <-got)
 	case errors.As(err, &m):
 		ctx.Error(m.What, m.Code)
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/tenants_test.go
@@ -16,8 +16,8 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // tenantsFront is a front with two plans, one of them with a limit that lets nothing through while a test runs, over a node whose answer tells the whole request that it
@@ -34,7 +34,7 @@
 func newTenantsFront(t *testing.T) *tenantsFront {
 	t.Helper()
 	set := testModule()
-	set.Plans = append(set.Plans, choice.Plan{Name: "capped", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1, Limit: 1e-6, LimitBurst: 6})
+	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1, Limit: 1e-6, LimitBurst: 6})
 	log, _ := logtest.NewNullLogger()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	t.Cleanup(func() { node.Close() })
 	go f.serve(node)
-	c.List(core.News{Kind: choice.ListStale, Nodes: []core.Node{{Node: choice.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
+	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/iscsi/command.go
+++ b/internal/iscsi/command.go
@@ -6,9 +6,9 @@
 	"math"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 // task is one SCSI command in progress.
@@ -217,7 +217,7 @@
 		units = math.Min(units, s.target.settings.MostUnits)
 	}
 	k.request = &core.Request{
-		Request: choice.Request{ID: id, Class: k.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
+		Request: policy.Request{ID: id, Class: k.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
 			Units: units, Shard: u.Shard, Hosts: u.Hosts},
 		Arrived: k.receivedAt, Patience: k.deadline,
 		Payload: &transfer{lun: u.StorageLUN, block: k.block, size: k.length, data: k.writeData, key: id},
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -15,12 +15,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -81,18 +81,18 @@
 // Nodes is the list that a configuration gives.
 func Nodes(conf *config.ISCSI) (out []core.Node) {
 	for _, s := range conf.Storage {
-		out = append(out, core.Node{Node: choice.Node{ID: s.Name, Shard: s.Shard, State: s.State, Weight: 1}, Addresses: s.Addresses})
+		out = append(out, core.Node{Node: policy.Node{ID: s.Name, Shard: s.Shard, State: s.State, Weight: 1}, Addresses: s.Addresses})
 	}
 	return out
 }
 
 // Settings are the module's for this front. Where the storage targets do not drop repeats,
 // no keyed class may run twice: a write in doubt must not be sent again.
-func Settings(set choice.Settings, conf *config.ISCSI) choice.Settings {
-	classes := append([]choice.Class(nil), set.Classes...)
+func Settings(set policy.Settings, conf *config.ISCSI) policy.Settings {
+	classes := append([]policy.Class(nil), set.Classes...)
 	for i := range classes {
-		if classes[i].Effect == choice.Keyed && !conf.DropsRepeats {
-			classes[i].Effect = choice.Unsafe
+		if classes[i].Effect == policy.Keyed && !conf.DropsRepeats {
+			classes[i].Effect = policy.Unsafe
 		}
 	}
 	set.Classes, set.MayProbe = classes, false
@@ -188,7 +188,7 @@
 func (p *peer) Probe(func(core.Result, time.Duration)) bool { return false }
 
 // Connect implements core.Peer: a target has one session, which stands or is being opened.
-func (p *peer) Connect(func(choice.Status)) bool { return false }
+func (p *peer) Connect(func(policy.Status)) bool { return false }
 
 // Drain implements core.Peer: it binds at once, also what waits in the mailbox.
 func (p *peer) Drain(on bool) {
@@ -246,9 +246,9 @@
 	case m.send != nil:
 		p.send(m.send)
 	case m.cancel != nil:
-		p.giveUp(m.cancel, choice.Cancelled)
+		p.giveUp(m.cancel, policy.Cancelled)
 	case m.late != nil:
-		p.giveUp(m.late, choice.TimedOut)
+		p.giveUp(m.late, policy.TimedOut)
 	case m.dialed != nil:
 		p.dialing = false
 		if p.portals != nil || m.dialed.at != p.addresses[0] { // it leads to where we no longer go
@@ -316,7 +316,7 @@
 	p.cur = x
 	if p.leaving { // it is back after it had asked us to go: it starts anew, and so cold
 		p.leaving = false
-		p.tell(choice.NodeUp, float64(time.Now().UnixMicro())/1000)
+		p.tell(policy.NodeUp, float64(time.Now().UnixMicro())/1000)
 	}
 }
 
@@ -337,7 +337,7 @@
 	c.timer = time.AfterFunc(time.Until(a.Deadline), func() { p.post(mail{late: a}) })
 	p.byTry[a] = c
 	if len(p.queue) >= queueMost {
-		p.report(c, core.Result{Status: choice.NoConn})
+		p.report(c, core.Result{Status: policy.NoConn})
 		return
 	}
 	p.queue = append(p.queue, c)
@@ -368,7 +368,7 @@
 		case c.try.Claim():
 			p.cur.start(c)
 		default: // its request has been answered while it waited
-			p.report(c, core.Result{Status: choice.Abandoned})
+			p.report(c, core.Result{Status: policy.Abandoned})
 		}
 	}
 	if p.cur != nil {
@@ -378,7 +378,7 @@
 
 func (p *peer) failQueue() {
 	for _, c := range p.queue {
-		p.report(c, core.Result{Status: choice.NoConn})
+		p.report(c, core.Result{Status: policy.NoConn})
 	}
 	p.queue = p.queue[:0]
 }
@@ -448,13 +448,13 @@
 
 // tell passes on what a storage target says of itself, as news of the list. One that the
 // configuration drains or has dropped is not up, whatever it says.
-func (p *peer) tell(state choice.NodeState, since float64) {
+func (p *peer) tell(state policy.NodeState, since float64) {
 	conf, ok := p.d.lookup(p.name)
-	if !ok || state == choice.NodeUp && conf.State != choice.NodeUp {
+	if !ok || state == policy.NodeUp && conf.State != policy.NodeUp {
 		return
 	}
 	if f := p.d.news.Load(); f != nil {
-		n := core.News{Kind: choice.ListChange, Nodes: []core.Node{{Addresses: conf.Addresses, Node: choice.Node{ID: p.name,
+		n := core.News{Kind: policy.ListChange, Nodes: []core.Node{{Addresses: conf.Addresses, Node: policy.Node{ID: p.name,
 			Shard: conf.Shard, State: state, Weight: 1, Since: since}}}}
 		go (*f)(n)
 	}
@@ -462,7 +462,7 @@
 
 // giveUp ends the wait for an attempt. What has been written may still run: its tag stays
 // taken, ABORT TASK is sent, and no answer to it counts any more.
-func (p *peer) giveUp(a *core.Attempt, status choice.Status) {
+func (p *peer) giveUp(a *core.Attempt, status policy.Status) {
 	c := p.byTry[a]
 	if c == nil {
 		return
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -13,10 +13,10 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/replay"
+	"wheatsaddle/policy"
 )
 
 const long = 60e3 // an aim that no test reaches
@@ -167,17 +167,17 @@
 	p.dialer.Report(func(n core.News) { told <- n })
 	conf := *p.target.conf
 	conf.Storage = []config.StorageTarget{conf.Storage[0]}
-	conf.Storage[0].State = choice.NodeDraining
+	conf.Storage[0].State = policy.NodeDraining
 	p.dialer.Update(&conf)
 	pe := &peer{d: p.dialer, name: "st"}
-	pe.tell(choice.NodeUp, 1)
-	pe.tell(choice.NodeDraining, 0)
-	if n := <-told; n.Nodes[0].State != choice.NodeDraining || len(told) > 0 {
+	pe.tell(policy.NodeUp, 1)
+	pe.tell(policy.NodeDraining, 0)
+	if n := <-told; n.Nodes[0].State != policy.NodeDraining || len(told) > 0 {
 		t.Errorf("told %+v", n)
 	}
 	conf.Storage = []config.StorageTarget{{Name: "new", Addresses: conf.Storage[0].Addresses, Target: "iqn.new", Shard: 0}}
 	p.dialer.Update(&conf)
-	p.core.List(core.News{Kind: choice.ListFull, Nodes: Nodes(&conf)})
+	p.core.List(core.News{Kind: policy.ListFull, Nodes: Nodes(&conf)})
 	if e := c.readBlocks(0, 1); e.status != statusGood {
 		t.Errorf("ended %+v", e)
 	}
--- a/internal/iscsi/nexus.go
+++ b/internal/iscsi/nexus.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
+	"wheatsaddle/policy"
 )
 
 // nexus is one session with the storage target by one of its portals: one connection, many
@@ -87,7 +87,7 @@
 	delete(x.p.old, x)
 	for tag, c := range x.byTag {
 		delete(x.byTag, tag)
-		x.p.report(c, core.Result{Status: choice.Reset})
+		x.p.report(c, core.Result{Status: policy.Reset})
 	}
 	x.zombies = 0
 	if x.conn != 0 {
@@ -169,7 +169,7 @@
 	whole := len(b)
 	n, ok := x.write(append(b, more...))
 	if c.written = n >= whole; !c.written {
-		x.p.report(c, core.Result{Status: choice.NoConn})
+		x.p.report(c, core.Result{Status: policy.NoConn})
 	} else {
 		x.byTag[c.itt] = c
 	}
@@ -268,14 +268,14 @@
 	case opAsync:
 		if e := q.bhs[36]; e >= 1 && e <= 3 { // it wants us to log out, or drops the session
 			x.p.leaving = true
-			x.p.tell(choice.NodeDraining, 0)
+			x.p.tell(policy.NodeDraining, 0)
 		}
 	case opReject:
 		if len(q.data) < bhsLen {
 			return fmt.Errorf("%w: reject without a header", errBroken)
 		}
 		if r := x.byTag[be.Uint32(q.data[16:])]; r != nil {
-			x.p.report(r, core.Result{Status: choice.Errored})
+			x.p.report(r, core.Result{Status: policy.Errored})
 			x.over(r)
 		}
 	case opLogoutResp:
@@ -301,8 +301,8 @@
 			raw = q.data[2 : 2+n]
 		}
 	}
-	r := core.Result{Status: choice.Errored}
-	pass := func() { r.Status, r.Payload = choice.OK, &result{status: status, sense: raw, data: c.data} }
+	r := core.Result{Status: policy.Errored}
+	pass := func() { r.Status, r.Payload = policy.OK, &result{status: status, sense: raw, data: c.data} }
 	switch {
 	case q.op() == opSCSIResponse && q.bhs[2] != 0: // the target failed, not the command
 	case status == statusGood:
@@ -314,7 +314,7 @@
 		}
 		pass()
 	case status == statusBusy || status == statusTaskSetFull:
-		r.Status = choice.Full
+		r.Status = policy.Full
 	case status == statusConflict:
 		pass()
 	case status == statusCheckCondition:
@@ -322,7 +322,7 @@
 		case senseIllegalRequest, senseDataProtect:
 			pass() // no other try would end otherwise: the client is told as it is
 		case senseNotReady, senseUnitAttention:
-			r.Status = choice.Full // reported in place of the command, which did not run (SPC-4)
+			r.Status = policy.Full // reported in place of the command, which did not run (SPC-4)
 		}
 	}
 	x.p.report(c, r)
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -12,11 +12,11 @@
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/testkit/rapidtest"
+	"wheatsaddle/policy"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
@@ -451,13 +451,13 @@
 
 const targetName = "iqn.2026-12.fj.lautoka:test"
 
-func testSettings(aim float64) choice.Settings {
-	return choice.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
+func testSettings(aim float64) policy.Settings {
+	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
 		DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
-		Classes: []choice.Class{
+		Classes: []policy.Class{
 			{Name: "balance-read", Aim: aim, Deadline: 2 * aim, Worth: 3},
-			{Name: "new-record", Aim: aim, Deadline: 2 * aim, Worth: 2, Effect: choice.Keyed, Group: choice.GroupShard, Memory: 1e6}},
-		Plans: []choice.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1},
+			{Name: "new-record", Aim: aim, Deadline: 2 * aim, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 1e6}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1},
 			{Name: "capped", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1, Limit: 0.001, LimitBurst: 10}}}
 }
 
@@ -511,7 +511,7 @@
 	}
 	t.Cleanup(co.Stop)
 	d.Report(co.List)
-	co.List(core.News{Kind: choice.ListStale, Nodes: Nodes(conf)})
+	co.List(core.News{Kind: policy.ListStale, Nodes: Nodes(conf)})
 	ln, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/iscsi/target.go
+++ b/internal/iscsi/target.go
@@ -11,11 +11,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -38,7 +38,7 @@
 type Target struct {
 	conf              *config.ISCSI
 	core              *core.Core
-	settings          choice.Settings
+	settings          policy.Settings
 	log               logrus.FieldLogger
 	units             map[string]map[uint16]*unit // by target name and LUN
 	startedAt         int64                       // makes request ids differ from those of earlier processes
@@ -53,7 +53,7 @@
 }
 
 // NewTarget returns a target that serves the configured units and submits to the core.
-func NewTarget(conf *config.ISCSI, c *core.Core, set choice.Settings, log logrus.FieldLogger) *Target {
+func NewTarget(conf *config.ISCSI, c *core.Core, set policy.Settings, log logrus.FieldLogger) *Target {
 	t := &Target{conf: conf, core: c, settings: set, log: log, units: map[string]map[uint16]*unit{},
 		startedAt: time.Now().UnixNano(), sessions: map[*session]bool{}}
 	for _, x := range conf.Targets {
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pace_test.go
@@ -12,10 +12,10 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/policy"
 )
 
 // testPace is a Pace that the test controls.
@@ -81,12 +81,12 @@
 			<-asked
 		}
 	}
-	if n := <-w.news; n.Kind != choice.ListFailed {
+	if n := <-w.news; n.Kind != policy.ListFailed {
 		t.Errorf("%+v", n)
 	}
 	s.Set(discovery.Fault{})
 	p.due <- struct{}{}
-	if n := <-w.news; n.Kind != choice.ListFull || len(p.missed) > 0 {
+	if n := <-w.news; n.Kind != policy.ListFull || len(p.missed) > 0 {
 		t.Errorf("%+v, %d more missed", n, len(p.missed))
 	}
 }
@@ -117,7 +117,7 @@
 			<-quiet
 			continue
 		}
-		if n := <-news; n.Kind != choice.ListFailed || len(quiet) > 0 { // it ended after its two lines
+		if n := <-news; n.Kind != policy.ListFailed || len(quiet) > 0 { // it ended after its two lines
 			t.Errorf("%+v, %d", n, len(quiet))
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -11,9 +11,9 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -28,8 +28,8 @@
 )
 
 // nodeStates are the states by their names in the list.
-var nodeStates = map[string]choice.NodeState{
-	"active": choice.NodeUp, "leaving": choice.NodeDraining, "left": choice.NodeGone,
+var nodeStates = map[string]policy.NodeState{
+	"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeGone,
 }
 
 // List is one decoded message of the list's service: the full list, or a change to it.
@@ -85,8 +85,8 @@
 		return left && since == n.Since
 	})
 	for i, n := range l.Nodes {
-		if had, ok := w.heldNodes[n.ID]; ok && had.State == choice.NodeDraining && had.Since == n.Since {
-			l.Nodes[i].State = choice.NodeDraining
+		if had, ok := w.heldNodes[n.ID]; ok && had.State == policy.NodeDraining && had.Since == n.Since {
+			l.Nodes[i].State = policy.NodeDraining
 		}
 	}
 }
@@ -119,28 +119,28 @@
 // so that a fault in one entry does not remove its node.
 func (w *Watcher) applyList(l List) core.News {
 	w.initHeldNodes()
-	news := core.News{Kind: choice.ListChange, Nodes: l.Nodes}
+	news := core.News{Kind: policy.ListChange, Nodes: l.Nodes}
 	if l.Full {
 		listed := map[string]bool{}
 		for _, n := range l.Nodes {
 			listed[n.ID] = true
 		}
 		if len(l.BadEntries) == 0 {
-			news.Kind = choice.ListFull
+			news.Kind = policy.ListFull
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.heldNodes)) {
 			if listed[id] || l.badNames[id] || l.unnamedBad {
 				continue
 			}
 			if n := w.heldNodes[id]; len(l.BadEntries) > 0 {
-				n.State = choice.NodeGone
+				n.State = policy.NodeGone
 				news.Nodes = append(news.Nodes, n)
 			}
 			w.recordDeparture(id)
 		}
 	}
 	for _, n := range news.Nodes {
-		if n.State == choice.NodeGone {
+		if n.State == policy.NodeGone {
 			w.recordDeparture(n.ID)
 		} else {
 			w.heldNodes[n.ID] = n
@@ -162,11 +162,11 @@
 	if n.State, ok = nodeStates[e.Get("status").String()]; !ok {
 		return n, nil, fmt.Errorf("status: unknown word %.20q", e.Get("status").String())
 	}
-	if n.Addresses, bad, err = decodeAddresses(e); err != nil && n.State != choice.NodeGone {
+	if n.Addresses, bad, err = decodeAddresses(e); err != nil && n.State != policy.NodeGone {
 		return n, bad, err
 	}
 	group := e.Get("group")
-	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && n.State != choice.NodeGone {
+	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && n.State != policy.NodeGone {
 		return n, nil, errors.New("group: missing or not a shard")
 	}
 	since := e.Get("since_ms")
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -11,11 +11,11 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"pgregory.net/rapid"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/rapidtest"
+	"wheatsaddle/policy"
 )
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
@@ -29,7 +29,7 @@
 func TestDecode(t *testing.T) {
 	l, err := Decode([]byte(listText(43, true, sampleEntry)))
 	n := l.Nodes[0]
-	if err != nil || l.Index != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != choice.NodeDraining || n.Weight != 2 ||
+	if err != nil || l.Index != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != policy.NodeDraining || n.Weight != 2 ||
 		n.Since != 1.7e12 || fmt.Sprint(n.Addresses) != "[127.0.0.1:8443]" || n.Zone != "a" {
 		t.Errorf("%+v %v", l, err)
 	}
@@ -66,11 +66,11 @@
 		}
 		gone := ""
 		for _, n := range news.Nodes {
-			if n.State == choice.NodeGone {
+			if n.State == policy.NodeGone {
 				gone += n.ID
 			}
 		}
-		if news.Kind != choice.ListChange || gone != x.gone || len(w.heldNodes) != 3-len(gone) {
+		if news.Kind != policy.ListChange || gone != x.gone || len(w.heldNodes) != 3-len(gone) {
 			t.Errorf("bad %s: %+v, held %v", x.bad, news, w.heldNodes)
 		}
 	}
@@ -131,10 +131,10 @@
 	s, asked := newListService(t, 40)
 	p := startWatcher(t, &Watcher{Address: s.Addr(), Index: 7, Clock: listclock.Settings{Pushed: true}})
 	const every = 100 * time.Millisecond // past it an agent that ended its call is asked again
-	full, change, failed := choice.ListFull, choice.ListChange, choice.ListFailed
+	full, change, failed := policy.ListFull, policy.ListChange, policy.ListFailed
 	for i, x := range []struct {
 		do   func()
-		want choice.EventKind
+		want policy.EventKind
 	}{
 		{func() {}, full}, {func() { s.Put(sampleNode) }, change},
 		{func() { s.Reset() }, failed}, {func() { p.advance(every); s.Put(sampleNode) }, change},
@@ -173,7 +173,7 @@
 	<-news // it speaks
 	later.Say(listText(40, false, sampleEntry))
 	later.Put(sampleNode)
-	if n := <-news; n.Kind != choice.ListChange || n.Nodes[0].State != choice.NodeUp {
+	if n := <-news; n.Kind != policy.ListChange || n.Nodes[0].State != policy.NodeUp {
 		t.Errorf("%+v, want the change of the new watch", n)
 	}
 	if uri := <-asked; uri != watchPath+"?watch=1&after=41" {
@@ -241,7 +241,7 @@
 	s.Refuse()
 	p := startWatcher(t, &Watcher{Address: s.Addr(), Clock: listclock.Settings{Pushed: true}})
 	told := p.news
-	if n := <-told; n.Kind != choice.ListFailed {
+	if n := <-told; n.Kind != policy.ListFailed {
 		t.Errorf("told %+v first", n)
 	}
 	if said := loggedCodes(t, p.hook); !slices.Equal(said, []string{"list-refused"}) {
@@ -249,14 +249,14 @@
 	}
 	s.Up()
 	p.advance(30 * time.Second) // past the wait after a call that was turned away
-	if n := <-told; n.Kind != choice.ListFull || len(n.Nodes) != 1 {
+	if n := <-told; n.Kind != policy.ListFull || len(n.Nodes) != 1 {
 		t.Errorf("told %+v once the list came", n)
 	}
 	s.Say(listText(8, true))
 	leaving := sampleNode
 	leaving.Status = discovery.Leaving
 	s.Put(leaving)
-	if n := <-told; n.Kind != choice.ListChange || n.Nodes[0].State != choice.NodeDraining {
+	if n := <-told; n.Kind != policy.ListChange || n.Nodes[0].State != policy.NodeDraining {
 		t.Errorf("told %+v, want the change after the old list", n)
 	}
 }
--- a/internal/registry/torn_test.go
+++ b/internal/registry/torn_test.go
@@ -18,9 +18,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/listclock"
+	"wheatsaddle/policy"
 )
 
 // testTimeout is how long a test waits for an expected event before it fails.
@@ -118,8 +118,8 @@
 func statesOf(n core.News) string {
 	var all []string
 	for _, x := range n.Nodes {
-		all = append(all, fmt.Sprintf("%s:%v", x.ID, map[choice.NodeState]string{choice.NodeUp: "up", choice.NodeDraining: "draining",
-			choice.NodeGone: "gone"}[x.State]))
+		all = append(all, fmt.Sprintf("%s:%v", x.ID, map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeDraining: "draining",
+			policy.NodeGone: "gone"}[x.State]))
 	}
 	slices.Sort(all)
 	return strings.Join(all, " ")
@@ -237,7 +237,7 @@
 			c.begin(one)
 			receiveWithin(t, "the first list", p.news)
 			torn(c)
-			if n := receiveWithin(t, "the end of the watch", p.news); n.Kind != choice.ListFailed {
+			if n := receiveWithin(t, "the end of the watch", p.news); n.Kind != policy.ListFailed {
 				t.Fatalf("told %+v of a torn line", n)
 			}
 			p.advance(pushedRetryInterval)
@@ -276,7 +276,7 @@
 			}
 			first.lines(listText(2, false, entryText("a", "leaving", 0)))
 			for {
-				if n := receiveWithin(t, "the drain on the watch that was silent", p.news); n.Kind != choice.ListFailed {
+				if n := receiveWithin(t, "the drain on the watch that was silent", p.news); n.Kind != policy.ListFailed {
 					if statesOf(n) != "a:draining" {
 						t.Errorf("told %+v", n)
 					}
@@ -336,7 +336,7 @@
 		s := newScript(t)
 		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Index: known.Index, Known: known.Nodes, Clock: pushedClock})
 		s.call(t, 40).begin(text)
-		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == choice.ListFull) != (want == "a:up") {
+		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == policy.ListFull) != (want == "a:up") {
 			t.Errorf("told %+v, want %s", n, want)
 		}
 	}
@@ -420,7 +420,7 @@
 	p.advance(pushedRetryInterval)
 	s.call(t, 1).begin(listText(2, false, entryText("a", "leaving", 0)))
 	for {
-		if n := receiveWithin(t, "the drain", p.news); n.Kind != choice.ListFailed {
+		if n := receiveWithin(t, "the drain", p.news); n.Kind != policy.ListFailed {
 			if statesOf(n) != "a:draining" {
 				t.Errorf("told %+v", n)
 			}
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -14,13 +14,13 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
+	"wheatsaddle/policy"
 )
 
 // Watcher holds the node list and its watch. Its goroutine alone applies what calls read, so that the list needs no
@@ -140,7 +140,7 @@
 		case listclock.ReportDown:
 			// The clock reports this once for each time the list goes down, not for each failed call.
 			w.Log.WithFields(operr.Fields(cause)).Warn("watch ended, connecting again")
-			w.OnNews(core.News{Kind: choice.ListFailed})
+			w.OnNews(core.News{Kind: policy.ListFailed})
 		case listclock.ReportMissed:
 			w.Pace.Missed()
 		}
--- a/internal/registry/watch_interleave_test.go
+++ b/internal/registry/watch_interleave_test.go
@@ -13,13 +13,13 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/steps"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/listclock"
+	"wheatsaddle/policy"
 )
 
 // interleavedWatcher is a watch with two list services: each call reads the texts of its address, and then stands
@@ -60,7 +60,7 @@
 	if d.ended {
 		il.Fail("told after the watch had ended")
 	}
-	if n.Kind == choice.ListFailed {
+	if n.Kind == policy.ListFailed {
 		return
 	}
 	if n.Nodes[0].Zone == "late" {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -22,8 +22,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -199,7 +199,7 @@
 }
 
 // infoInto takes what a recorded IO-Info header says.
-func (x raw) infoInto(r *choice.Request) error {
+func (x raw) infoInto(r *policy.Request) error {
 	if x.info == "" {
 		return nil
 	}
--- a/internal/scatter/core.go
+++ b/internal/scatter/core.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const pieceMost = 32 << 10 // bytes of a long body that wait for the merge at once
@@ -26,7 +26,7 @@
 // It serves one gathered read. Off may wait for core's mailbox.
 type Core struct {
 	Core     *core.Core
-	Client   choice.Request               // the client's: class, plan, volume and hosts are the parts' too, the key with the part's name
+	Client   policy.Request               // the client's: class, plan, volume and hosts are the parts' too, the key with the part's name
 	Settings *core.Settings               // that the client's was decoded under; nil: those that count when a part comes
 	Units    func(gather.Part) float64    // of a part
 	Payload  func(*core.Request, Ask) any // what the nodes' front sends for it
--- a/internal/scatter/run_test.go
+++ b/internal/scatter/run_test.go
@@ -13,10 +13,10 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"go.uber.org/goleak"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/policy"
 )
 
 const (
@@ -42,21 +42,21 @@
 	go func() {
 		defer s.Cancel(a)
 		if !a.Claim() {
-			a.Done(core.Result{Status: choice.Abandoned})
+			a.Done(core.Result{Status: policy.Abandoned})
 			return
 		}
 		n := s.asked.Add(1)
 		s.open.Add(1)
 		defer s.open.Add(-1)
-		r := core.Result{Status: choice.OK, Payload: body(s.i, shards, each)}
+		r := core.Result{Status: policy.OK, Payload: body(s.i, shards, each)}
 		switch {
 		case s.fault == "full":
-			r = core.Result{Status: choice.Full}
+			r = core.Result{Status: policy.Full}
 		case s.fault == "silent":
 			<-ctx.Done()
-			r = core.Result{Status: choice.Cancelled}
+			r = core.Result{Status: policy.Cancelled}
 		case s.fault == "cut" || s.fault == "cut once" && n == 1:
-			r = core.Result{Status: choice.Reset}
+			r = core.Result{Status: policy.Reset}
 		case s.fault == "late": // the others have all answered
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -75,7 +75,7 @@
 	}
 }
 func (s *shard) Probe(func(core.Result, time.Duration)) bool { return false }
-func (s *shard) Connect(func(choice.Status)) bool            { return false }
+func (s *shard) Connect(func(policy.Status)) bool            { return false }
 func (s *shard) Drain(bool)                                  {}
 func (s *shard) Readdress([]address.Addr)                    {}
 func (s *shard) Close()                                      {}
@@ -95,21 +95,21 @@
 	for i, f := range faults {
 		w.shards = append(w.shards, &shard{i: i, fault: f, life: life, out: map[*core.Attempt]context.CancelFunc{}})
 		w.parts = append(w.parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
-		nodes = append(nodes, core.Node{Node: choice.Node{ID: fmt.Sprint(i), Shard: i, State: choice.NodeUp, Weight: 1}})
+		nodes = append(nodes, core.Node{Node: policy.Node{ID: fmt.Sprint(i), Shard: i, State: policy.NodeUp, Weight: 1}})
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
 	w.c, err = core.New(core.Options{Seed: 7, Log: log,
 		Connect: func(name string, _ []address.Addr) core.Peer { return w.shards[name[0]-'0'] },
-		Settings: choice.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 3, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
+		Settings: policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 3, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
 			DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
-			Classes: []choice.Class{{Name: "read", Aim: 60e3, Deadline: 120e3, Worth: 3}},
-			Plans:   []choice.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}})
+			Classes: []policy.Class{{Name: "read", Aim: 60e3, Deadline: 120e3, Worth: 3}},
+			Plans:   []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.c.List(core.News{Kind: choice.ListStale, Nodes: nodes})
-	w.asker = &Core{Core: w.c, Client: choice.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Hosts: 1},
+	w.c.List(core.News{Kind: policy.ListStale, Nodes: nodes})
+	w.asker = &Core{Core: w.c, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Hosts: 1},
 		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Ask) any { return nil },
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
 	t.Cleanup(func() {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"strconv"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Line is one decoded input line.
@@ -18,10 +18,10 @@
 	Instance string
 	Clock    float64 // ROUND
 	Seed     int64   // UP
-	Settings choice.Settings
-	Event    choice.Event
+	Settings policy.Settings
+	Event    policy.Event
 	ListID   int // LEDGER and REGISTRY
-	Nodes    []choice.Node
+	Nodes    []policy.Node
 	HasList  bool // the event refers to list ListID
 	Known    bool
 }
@@ -83,17 +83,17 @@
 	} `json:"rules"`
 }
 
-var effects = map[string]choice.Effect{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
-var groups = map[string]choice.Group{"all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupShard}
-var statuses = map[string]choice.Status{
-	"completed": choice.OK, "errored": choice.Errored, "saturated": choice.Full, "overdue": choice.TimedOut,
-	"refused_conn": choice.NoConn, "severed": choice.Reset, "recalled": choice.Cancelled, "superseded": choice.Abandoned,
+var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupShard}
+var statuses = map[string]policy.Status{
+	"completed": policy.OK, "errored": policy.Errored, "saturated": policy.Full, "overdue": policy.TimedOut,
+	"refused_conn": policy.NoConn, "severed": policy.Reset, "recalled": policy.Cancelled, "superseded": policy.Abandoned,
 }
-var states = map[string]choice.NodeState{
-	"up": choice.NodeUp, "draining": choice.NodeDraining, "removed": choice.NodeGone,
+var states = map[string]policy.NodeState{
+	"up": policy.NodeUp, "draining": policy.NodeDraining, "removed": policy.NodeGone,
 }
-var listKinds = map[string]choice.EventKind{
-	"diff": choice.ListChange, "snapshot": choice.ListFull, "disk": choice.ListStale, "error": choice.ListFailed,
+var listKinds = map[string]policy.EventKind{
+	"diff": policy.ListChange, "snapshot": policy.ListFull, "disk": policy.ListStale, "error": policy.ListFailed,
 }
 
 // look finds a word in a table, or fails with a message that names it.
@@ -105,12 +105,12 @@
 	return v, nil
 }
 
-func decodeSettings(raw json.RawMessage) (choice.Settings, error) {
+func decodeSettings(raw json.RawMessage) (policy.Settings, error) {
 	var w settings
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return choice.Settings{}, err
+		return policy.Settings{}, err
 	}
-	s := choice.Settings{
+	s := policy.Settings{
 		Me: w.Me, Hosts: w.Fleet, Zone: w.Zone, AskMode: w.Mode == "ask",
 		MeanUnits: w.Extra.Usual, MostUnits: w.Extra.Largest, ColdUnits: w.Extra.Young,
 		MeterSpan: w.Extra.Metering, TellsOthers: w.Extra.SaysOthers,
@@ -128,15 +128,15 @@
 			return s, err
 		}
 		group, err := look(groups, p.KeyScope)
-		if effect == choice.Keyed && err != nil {
+		if effect == policy.Keyed && err != nil {
 			return s, err
 		}
-		s.Classes = append(s.Classes, choice.Class{Name: p.Name, Aim: p.Goal, AimStretch: p.Stretch,
+		s.Classes = append(s.Classes, policy.Class{Name: p.Name, Aim: p.Goal, AimStretch: p.Stretch,
 			Deadline: p.Deadline, Worth: p.Worth, LateWorth: p.LateWorth, Effect: effect, Group: group,
 			Memory: p.Memory, Ordered: p.ByArrival, Stream: p.Stream})
 	}
 	for _, c := range w.Contracts {
-		s.Plans = append(s.Plans, choice.Plan{Name: c.Name, Rate: c.UsualRate, Reserve: c.Reservation,
+		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Rate: c.UsualRate, Reserve: c.Reservation,
 			Weight: c.Shares, Price: c.Price, Limit: c.Cap, LimitBurst: c.Burst})
 	}
 	return s, nil
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func decodeLoad(raw map[string]json.RawMessage) *choice.Load {
+func decodeLoad(raw map[string]json.RawMessage) *policy.Load {
 	if raw == nil {
 		return nil
 	}
@@ -170,7 +170,7 @@
 		}
 		return v
 	}
-	return &choice.Load{Inflight: get("outstanding"), Queue: get("backlog"), Util: get("utilization")}
+	return &policy.Load{Inflight: get("outstanding"), Queue: get("backlog"), Util: get("utilization")}
 }
 
 // Decode reads one line.
@@ -217,7 +217,7 @@
 			return err
 		}
 		for _, e := range entries {
-			var n choice.Node
+			var n policy.Node
 			var kind, state string
 			if err = fields(e, 6, &n.ID, &n.Zone, &kind, &n.Shard, &state, &n.Weight, &n.Since); err != nil {
 				return err
@@ -235,33 +235,33 @@
 			return err
 		}
 		ev.Kind, err = look(listKinds, mode)
-		ln.HasList = ev.Kind != choice.ListFailed
+		ln.HasList = ev.Kind != policy.ListFailed
 		return err
 	case "CALL":
 		r, bits := &ev.Req, 0
-		ev.Kind = choice.Arrival
+		ev.Kind = policy.Arrival
 		err = fields(v, 10, inst, &r.ID, &r.Class, &r.Plan, &r.Key, &r.NotAfter, &r.Volume, &r.Units,
 			&r.Shard, &r.Hosts, &bits)
 		r.Repeat = bits&2 != 0
 		return err
 	case "HEADERS":
-		ev.Kind = choice.FirstByte
+		ev.Kind = policy.FirstByte
 		return fields(v, 5, inst, &ev.ID, &ev.Attempt, &ev.Node, &ev.Latency)
 	case "COMPLETED":
-		ev.Kind = choice.Outcome
+		ev.Kind = policy.Outcome
 		err = fields(v, 7, inst, &ev.ID, &ev.Attempt, &ev.Node, &status, &ev.Latency, &ev.Finished,
 			&ev.Used, &ev.Others, &load)
 	case "DROPPED":
-		ev.Kind = choice.Departed
+		ev.Kind = policy.Departed
 		return fields(v, 2, inst, &ev.ID)
 	case "ALARM":
-		ev.Kind = choice.Timer
+		ev.Kind = policy.Timer
 		return fields(v, 2, inst, &ev.Tag)
 	case "HEALTH":
-		ev.Kind = choice.Probed
+		ev.Kind = policy.Probed
 		err = fields(v, 4, inst, &ev.Node, &status, &ev.Latency, &load)
 	case "INBOX":
-		ev.Kind = choice.Told
+		ev.Kind = policy.Told
 		return fields(v, 3, inst, &ev.From, &ev.Data)
 	default:
 		ln.Known = false
@@ -276,7 +276,7 @@
 }
 
 // Encode appends one action line for an instance.
-func Encode(dst []byte, inst string, a choice.Action) []byte {
+func Encode(dst []byte, inst string, a policy.Action) []byte {
 	line := func(word string, vals ...any) []byte {
 		dst = append(dst, `["`...)
 		dst = append(dst, word...)
@@ -297,25 +297,25 @@
 		return append(dst, "]\n"...)
 	}
 	switch a.Kind {
-	case choice.Send:
+	case policy.Send:
 		return line("PASS_ON", a.ID, a.Node, a.Until)
-	case choice.Refuse:
+	case policy.Refuse:
 		return line("REFUSE", a.ID, a.Wait)
-	case choice.Fail:
+	case policy.Fail:
 		return line("END_FAILED", a.ID)
-	case choice.Cancel:
+	case policy.Cancel:
 		return line("ABANDON", a.ID, a.Attempt)
-	case choice.SetTimer:
+	case policy.SetTimer:
 		return line("SET_TIMER", a.Wait, a.Tag)
-	case choice.Subscribe:
+	case policy.Subscribe:
 		return line("KEEP_INFORMED", true)
-	case choice.FetchList:
+	case policy.FetchList:
 		return line("READ_LIST")
-	case choice.Probe:
+	case policy.Probe:
 		return line("TEST", a.Node)
-	case choice.Tell:
+	case policy.Tell:
 		return line("ANNOUNCE", "all", base64.StdEncoding.EncodeToString(a.Data))
-	case choice.Log:
+	case policy.Log:
 		return line("PRINT", a.Text)
 	}
 	return dst
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 func TestDecode(t *testing.T) {
@@ -26,27 +26,27 @@
 	}
 	ln, err = Decode([]byte(`["COMPLETED","i","r",1,"n","completed",18.5,true,86,3,{"outstanding":4,"new":"x"}]`))
 	ev := ln.Event
-	if err != nil || ev.Attempt != 1 || ev.Status != choice.OK || ev.Used != 86 || ev.Others != 3 ||
+	if err != nil || ev.Attempt != 1 || ev.Status != policy.OK || ev.Used != 86 || ev.Others != 3 ||
 		ev.Load.Inflight != 4 || ev.Load.Queue != -1 {
 		t.Errorf("%+v %v", ev, err)
 	}
 	ln, err = Decode([]byte(`["LEDGER",0,[["a","z","k",3,"draining",1.5,6100.0],["b","z","k",0,"up",1]]]`))
-	if err != nil || len(ln.Nodes) != 2 || ln.Nodes[0].State != choice.NodeDraining || ln.Nodes[0].Since != 6100 {
+	if err != nil || len(ln.Nodes) != 2 || ln.Nodes[0].State != policy.NodeDraining || ln.Nodes[0].Since != 6100 {
 		t.Errorf("%+v %v", ln.Nodes, err)
 	}
 }
 
 func TestEncode(t *testing.T) {
-	for want, a := range map[string]choice.Action{
-		`["PASS_ON","i","r","n",8492.250]`:  {Kind: choice.Send, ID: "r", Node: "n", Until: 8492.25},
-		`["REFUSE","i","r",250.000]`:        {Kind: choice.Refuse, ID: "r", Wait: 250},
-		`["END_FAILED","i","r"]`:            {Kind: choice.Fail, ID: "r"},
-		`["ABANDON","i","r",1]`:             {Kind: choice.Cancel, ID: "r", Attempt: 1},
-		`["SET_TIMER","i",500.000,"sweep"]`: {Kind: choice.SetTimer, Wait: 500, Tag: "sweep"},
-		`["KEEP_INFORMED","i",true]`:        {Kind: choice.Subscribe},
-		`["READ_LIST","i"]`:                 {Kind: choice.FetchList},
-		`["ANNOUNCE","i","all","aGkgNw=="]`: {Kind: choice.Tell, Data: []byte("hi 7")},
-		`["PRINT","i","say \"x\""]`:         {Kind: choice.Log, Text: `say "x"`},
+	for want, a := range map[string]policy.Action{
+		`["PASS_ON","i","r","n",8492.250]`:  {Kind: policy.Send, ID: "r", Node: "n", Until: 8492.25},
+		`["REFUSE","i","r",250.000]`:        {Kind: policy.Refuse, ID: "r", Wait: 250},
+		`["END_FAILED","i","r"]`:            {Kind: policy.Fail, ID: "r"},
+		`["ABANDON","i","r",1]`:             {Kind: policy.Cancel, ID: "r", Attempt: 1},
+		`["SET_TIMER","i",500.000,"sweep"]`: {Kind: policy.SetTimer, Wait: 500, Tag: "sweep"},
+		`["KEEP_INFORMED","i",true]`:        {Kind: policy.Subscribe},
+		`["READ_LIST","i"]`:                 {Kind: policy.FetchList},
+		`["ANNOUNCE","i","all","aGkgNw=="]`: {Kind: policy.Tell, Data: []byte("hi 7")},
+		`["PRINT","i","say \"x\""]`:         {Kind: policy.Log, Text: `say "x"`},
 	} {
 		if got := string(Encode(nil, "i", a)); got != want+"\n" {
 			t.Errorf("got %s want %s", got, want)
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -22,7 +22,6 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
@@ -31,6 +30,7 @@
 	"wheatsaddle/internal/testkit/exampleconfig"
 	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/testkit/workload"
+	"wheatsaddle/policy"
 )
 
 // Options are the experiment's.
@@ -173,7 +173,7 @@
 }
 
 // Settings are the module's in these scenarios: the examples', for one scheduler and two nodes.
-func Settings() choice.Settings {
+func Settings() policy.Settings {
 	s, err := config.Settings(gjson.ParseBytes(exampleconfig.Settings))
 	if err != nil {
 		panic("the example settings: " + err.Error()) // they are part of the program
@@ -221,7 +221,7 @@
 	log.SetLevel(logrus.PanicLevel)
 	safe := map[string]bool{}
 	for _, k := range set.Classes {
-		safe[k.Name] = k.Effect == choice.Safe
+		safe[k.Name] = k.Effect == policy.Safe
 	}
 	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: 400, Safe: safe,
 		Routes: &httpfront.Routes{Seed: seed}}
@@ -229,9 +229,9 @@
 	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), Connect: d.Connect, Log: log}); err != nil {
 		return nil, err
 	}
-	news := core.News{Kind: choice.ListFull}
+	news := core.News{Kind: policy.ListFull}
 	for i, list := range lists {
-		news.Nodes = append(news.Nodes, core.Node{Node: choice.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
+		news.Nodes = append(news.Nodes, core.Node{Node: policy.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
 	}
 	r.core.List(news)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/listclock"
+	"wheatsaddle/policy"
 )
 
 // host is one scheduler: the driver of its decisions, with no rule of its own.
@@ -17,11 +17,11 @@
 	no      int
 	life    int
 	down    bool
-	s       *choice.Scheduler
+	s       *policy.Scheduler
 	begin   *coldstart.Start // nil: as today
 	born    float64
-	held    []choice.Node // the list as last held
-	learned choice.Learned
+	held    []policy.Node // the list as last held
+	learned policy.Learned
 	guess   bool
 	watch   bool             // the list tells of changes
 	clock   *listclock.Clock // as today: when the list is asked for; nil: the watch stands
@@ -35,14 +35,14 @@
 // run is the ordinary life before the cut.
 func (h *host) run() {
 	h.fresh(1)
-	h.step(choice.Event{Kind: choice.ListStale})
+	h.step(policy.Event{Kind: policy.ListStale})
 	h.listed()
 }
 
 func (h *host) fresh(coldShare float64) {
 	set := h.w.set
 	set.Me, set.ColdUnits = h.no, set.ColdUnits*coldShare
-	s, err := choice.New(set, int64(1000*h.life+h.no)+h.w.opt.Seed)
+	s, err := policy.New(set, int64(1000*h.life+h.no)+h.w.opt.Seed)
 	if err != nil {
 		panic(err)
 	}
@@ -66,7 +66,7 @@
 	if h.w.mode == Today {
 		h.fresh(1)
 		h.clock, h.clockAt = listclock.New(listclock.Settings{Pushed: h.w.sc.Pushed, Hosts: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
-		h.step(choice.Event{Kind: choice.ListStale, Nodes: h.held})
+		h.step(policy.Event{Kind: policy.ListStale, Nodes: h.held})
 		h.ask(listclock.Event{Kind: listclock.Started})
 		return
 	}
@@ -79,7 +79,7 @@
 		panic(err)
 	}
 	h.begin, h.wakeAt = b, -1
-	h.step(choice.Event{Kind: choice.ListStale}) // the decisions' clock ticks from here
+	h.step(policy.Event{Kind: policy.ListStale}) // the decisions' clock ticks from here
 	begun := coldstart.Begun{HeldList: h.nodes(h.held)}
 	if h.w.mode == Snapshot {
 		for _, n := range h.learned.Nodes {
@@ -91,7 +91,7 @@
 
 func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func (h *host) nodes(list []choice.Node) (ns []coldstart.Node) {
+func (h *host) nodes(list []policy.Node) (ns []coldstart.Node) {
 	for _, n := range list {
 		ns = append(ns, coldstart.Node{ID: n.ID, Since: n.Since, At: span(n.Since - h.born)})
 	}
@@ -103,7 +103,7 @@
 	if h.begin == nil {
 		return
 	}
-	var recall choice.Learned
+	var recall policy.Learned
 	for _, a := range slices.Clone(h.begin.Step(span(h.w.now-h.born), e)) {
 		switch a := a.(type) {
 		case coldstart.AskList:
@@ -114,11 +114,11 @@
 				guessed[i].Since = h.born
 			}
 			h.guess = true
-			h.step(choice.Event{Kind: choice.ListChange, Nodes: guessed})
+			h.step(policy.Event{Kind: policy.ListChange, Nodes: guessed})
 		case coldstart.Warm:
-			recall.Nodes = append(recall.Nodes, choice.LearnedNode{ID: a.Node, Since: h.w.index[a.Node].Since, Guessed: h.born})
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, Since: h.w.index[a.Node].Since, Guessed: h.born})
 		case coldstart.Recall:
-			i := slices.IndexFunc(h.learned.Nodes, func(n choice.LearnedNode) bool { return n.ID == a.Node })
+			i := slices.IndexFunc(h.learned.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
 			recall.Nodes = append(recall.Nodes, h.learned.Nodes[i])
 		case coldstart.Connect:
 			h.link(h.w.index[a.Node], 0)
@@ -166,44 +166,44 @@
 			h.w.res.broke("a refusal without Retry-After")
 		}
 		h.w.res.Gated++
-		h.w.final(r.req.ID, choice.Full, float64(wait)/float64(time.Millisecond))
+		h.w.final(r.req.ID, policy.Full, float64(wait)/float64(time.Millisecond))
 		return
 	}
-	h.step(choice.Event{Kind: choice.Arrival, Req: r.req})
+	h.step(policy.Event{Kind: policy.Arrival, Req: r.req})
 }
 
-func (h *host) outcome(n *node, status choice.Status, ev choice.Event) {
+func (h *host) outcome(n *node, status policy.Status, ev policy.Event) {
 	switch status {
-	case choice.OK:
+	case policy.OK:
 		h.hear(coldstart.Answered{Node: n.ID})
-	case choice.Full:
+	case policy.Full:
 		h.hear(coldstart.NodeFull{Node: n.ID})
-	case choice.NoConn:
+	case policy.NoConn:
 		h.hear(coldstart.ConnectSlow{Node: n.ID})
 	}
 	h.step(ev)
 }
 
-func (h *host) step(ev choice.Event) {
-	for _, a := range h.s.Step(h.w.now, []choice.Event{ev}, nil) {
+func (h *host) step(ev policy.Event) {
+	for _, a := range h.s.Step(h.w.now, []policy.Event{ev}, nil) {
 		switch a.Kind {
-		case choice.SetTimer:
-			h.later(math.Max(a.Wait, 1), func() { h.step(choice.Event{Kind: choice.Timer, Tag: a.Tag}) })
-		case choice.Refuse:
+		case policy.SetTimer:
+			h.later(math.Max(a.Wait, 1), func() { h.step(policy.Event{Kind: policy.Timer, Tag: a.Tag}) })
+		case policy.Refuse:
 			wait := a.Wait
 			if r := h.w.reqs[a.ID]; r != nil {
 				if worded, longer := h.hear(coldstart.Turned{Node: h.w.nodes[r.req.Shard].ID}); worded {
 					wait = math.Max(wait, float64(longer)/float64(time.Millisecond))
 				}
 			}
-			h.w.final(a.ID, choice.Full, wait)
-		case choice.Fail:
-			h.w.final(a.ID, choice.Errored, 0)
-		case choice.Send:
+			h.w.final(a.ID, policy.Full, wait)
+		case policy.Fail:
+			h.w.final(a.ID, policy.Errored, 0)
+		case policy.Send:
 			h.w.send(h, a)
-		case choice.Cancel: // the node works on
+		case policy.Cancel: // the node works on
 			if r := h.w.reqs[a.ID]; r != nil {
-				h.later(1, func() { r.tries[a.Attempt].end(choice.Cancelled) })
+				h.later(1, func() { r.tries[a.Attempt].end(policy.Cancelled) })
 			}
 		}
 	}
@@ -267,7 +267,7 @@
 		case h.begin != nil:
 			h.hear(coldstart.ListRefused{})
 		default:
-			h.step(choice.Event{Kind: choice.ListFailed})
+			h.step(policy.Event{Kind: policy.ListFailed})
 			h.ask(listclock.Event{Kind: listclock.CallEnded, Call: call})
 		}
 	})
@@ -279,12 +279,12 @@
 	for _, n := range h.w.nodes {
 		h.held = append(h.held, n.Node)
 	}
-	h.step(choice.Event{Kind: choice.ListFull, Nodes: h.held})
+	h.step(policy.Event{Kind: policy.ListFull, Nodes: h.held})
 	h.hear(coldstart.ListSpoke{Nodes: h.nodes(h.held)})
 }
 
 // change is the list's word of one node, some time later.
-func (h *host) change(n choice.Node) {
+func (h *host) change(n policy.Node) {
 	if !h.watch {
 		return
 	}
@@ -295,6 +295,6 @@
 				h.held[i] = n
 			}
 		}
-		h.step(choice.Event{Kind: choice.ListChange, Nodes: []choice.Node{n}})
+		h.step(policy.Event{Kind: policy.ListChange, Nodes: []policy.Node{n}})
 	})
 }
--- a/internal/testkit/experiment/coldstart/lies_test.go
+++ b/internal/testkit/experiment/coldstart/lies_test.go
@@ -5,16 +5,16 @@
 	"slices"
 	"testing"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/coldstart"
+	"wheatsaddle/policy"
 )
 
 // lie has every host believe what it is handed over: of each node of the start that the list will give, that it
 // serves at once and bears as much as any may; and every process say that no node has started anew.
 func (w *world) lie() {
-	lies := choice.Learned{Classes: []choice.LearnedClass{{Name: "safe", Weight: 1, Slope: 1e9}, {Name: "once", Weight: 1, Slope: 1e9}}}
+	lies := policy.Learned{Classes: []policy.LearnedClass{{Name: "safe", Weight: 1, Slope: 1e9}, {Name: "once", Weight: 1, Slope: 1e9}}}
 	for _, n := range w.nodes {
-		lies.Nodes = append(lies.Nodes, choice.LearnedNode{ID: n.ID, Since: n.Since, Window: 32, Usual: 1, Best: 0.01})
+		lies.Nodes = append(lies.Nodes, policy.LearnedNode{ID: n.ID, Since: n.Since, Window: 32, Usual: 1, Best: 0.01})
 	}
 	for _, h := range w.hosts {
 		h.learned = lies
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -17,12 +17,12 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
-	"wheatsaddle/choice"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/cluster"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/fake/link"
 	standin "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/policy"
 )
 
 // Figures of the run with real processes; those of the nodes and the settings are the virtual world's.
@@ -151,7 +151,7 @@
 	var profiles, contracts []map[string]any
 	for _, c := range set.Classes {
 		repeat := "safe"
-		if c.Effect == choice.Unsafe {
+		if c.Effect == policy.Unsafe {
 			repeat = "unsafe"
 		}
 		profiles = append(profiles, map[string]any{"name": c.Name, "goal-time": c.Aim, "deadline": c.Deadline, "worth": c.Worth,
--- a/internal/testkit/experiment/coldstart/world.go
+++ b/internal/testkit/experiment/coldstart/world.go
@@ -11,7 +11,7 @@
 	"math/rand"
 	"slices"
 
-	"wheatsaddle/choice"
+	"wheatsaddle/policy"
 )
 
 // Figures of the world, times in milliseconds.
@@ -34,7 +34,7 @@
 	opt   Options
 	sc    Scenario
 	mode  Mode
-	set   choice.Settings
+	set   policy.Settings
 	rng   *rand.Rand // the world's
 	draw  *rand.Rand // of arrivals: the same whatever the hosts do
 	now   float64
@@ -50,7 +50,7 @@
 }
 
 type node struct {
-	choice.Node
+	policy.Node
 	alive, silent, mute bool
 	life, held          int
 	free                float64
@@ -71,7 +71,7 @@
 type request struct {
 	host     *host
 	life     int
-	req      choice.Request
+	req      policy.Request
 	tries    []*try
 	answered bool
 	first    float64 // the client's first try
@@ -80,7 +80,7 @@
 
 type try struct {
 	over bool
-	end  func(choice.Status)
+	end  func(policy.Status)
 }
 
 type item struct {
@@ -118,13 +118,13 @@
 	return all
 }
 
-func settings(hosts, nodes int) choice.Settings {
-	return choice.Settings{Hosts: hosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
+func settings(hosts, nodes int) policy.Settings {
+	return policy.Settings{Hosts: hosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
 		HoldOff: true, MayCancel: true, SecondCopies: true, DrainGrace: 250, AskWithin: 10000, ColdFrom: 0.24, ColdSpan: 17000,
 		TipMultiple: 3, TipSpan: 3000, Shards: nodes,
-		Classes: []choice.Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1},
-			{Name: "once", Aim: 500, Deadline: 2000, Worth: 2, LateWorth: 0.1, Effect: choice.Unsafe}},
-		Plans: []choice.Plan{{Name: "open", Rate: 6, Reserve: 3, Weight: 1, Price: 1},
+		Classes: []policy.Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1},
+			{Name: "once", Aim: 500, Deadline: 2000, Worth: 2, LateWorth: 0.1, Effect: policy.Unsafe}},
+		Plans: []policy.Plan{{Name: "open", Rate: 6, Reserve: 3, Weight: 1, Price: 1},
 			{Name: "capped", Rate: 2, Reserve: 1, Weight: 1, Price: 1, Limit: 6, LimitBurst: 36}}}
 }
 
@@ -136,7 +136,7 @@
 		w.list.capacity = pushCapacity
 	}
 	for i := range opt.Nodes {
-		n := &node{Node: choice.Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
+		n := &node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
 		w.nodes, w.index[n.ID] = append(w.nodes, n), n
 	}
 	for i := range opt.Hosts * 2 {
@@ -191,7 +191,7 @@
 	n.out = nil
 	w.after(1, func() {
 		for _, t := range out {
-			t.end(choice.Reset)
+			t.end(policy.Reset)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 func (w *world) inWindow() bool { return w.now >= zero && w.now < zero+window }
 
 // send takes an attempt to a node; h is the host's life that sent it.
-func (w *world) send(h *host, a choice.Action) {
+func (w *world) send(h *host, a policy.Action) {
 	r, n := w.reqs[a.ID], w.index[a.Node]
 	if r == nil || r.answered || r.host != h || n == nil || n.Shard != r.req.Shard {
 		w.res.broke("an attempt that must not be")
@@ -228,42 +228,42 @@
 	}
 	no, at, life := len(r.tries), w.now, n.life
 	t := &try{}
-	t.end = func(status choice.Status) {
+	t.end = func(status policy.Status) {
 		if t.over || h.life != r.life {
 			return
 		}
 		t.over = true
 		h.conns[n.Shard].out--
-		if status == choice.OK && !r.answered {
+		if status == policy.OK && !r.answered {
 			w.final(a.ID, status, 0)
 		}
-		h.outcome(n, status, choice.Event{Kind: choice.Outcome, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - at, Finished: r.answered})
+		h.outcome(n, status, policy.Event{Kind: policy.Outcome, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - at, Finished: r.answered})
 	}
 	if r.tries = append(r.tries, t); no == 0 {
 		w.take(r)
 	}
 	h.link(n, 1)
-	w.after(math.Min(a.Until, r.req.NotAfter)-w.now, func() { t.end(choice.TimedOut) })
+	w.after(math.Min(a.Until, r.req.NotAfter)-w.now, func() { t.end(policy.TimedOut) })
 	if n.silent || !n.alive {
 		wait := 1.0
 		if n.silent {
 			wait = connWait
 		}
-		w.after(wait, func() { t.end(choice.NoConn) })
+		w.after(wait, func() { t.end(policy.NoConn) })
 		return
 	}
 	w.count(&n.got, &w.res.Firsts)
 	switch {
 	case n.mute:
 	case n.held >= nodeQueue:
-		w.after(1, func() { t.end(choice.Full) })
+		w.after(1, func() { t.end(policy.Full) })
 	default:
 		n.held++
 		n.free = math.Max(w.now, n.free) + r.req.Units*1000/unitsSec/w.power(n)
 		w.after(n.free-w.now+1, func() {
 			if n.life == life {
 				n.held--
-				t.end(choice.OK)
+				t.end(policy.OK)
 			}
 		})
 		n.out = append(slices.DeleteFunc(n.out, func(t *try) bool { return t.over }), t)
@@ -307,7 +307,7 @@
 }
 
 // final takes a request's end: each has one. A client that was refused comes again when told.
-func (w *world) final(id string, status choice.Status, wait float64) {
+func (w *world) final(id string, status policy.Status, wait float64) {
 	r := w.reqs[id]
 	if r == nil || r.answered {
 		w.res.broke("a second answer")
@@ -318,14 +318,14 @@
 	}
 	r.answered = true
 	switch {
-	case status == choice.OK:
+	case status == policy.OK:
 		if w.inWindow() {
 			w.res.Served++
 		}
 		if h := r.host; w.now >= zero && w.res.served[h.no] == 0 {
 			w.res.served[h.no] = w.now - zero
 		}
-	case status == choice.Full: // refused
+	case status == policy.Full: // refused
 		if w.inWindow() {
 			w.res.Refused++
 		}
@@ -342,7 +342,7 @@
 	w.after(w.draw.ExpFloat64()/rate, w.arrive)
 	v := &w.vols[w.draw.Intn(len(w.vols))]
 	h := w.hosts[v.hosts[w.draw.Intn(len(v.hosts))]]
-	q := choice.Request{Class: w.set.Classes[w.draw.Intn(2)].Name, Plan: v.plan, Volume: v.id, Units: float64(1 + w.draw.Intn(3)),
+	q := policy.Request{Class: w.set.Classes[w.draw.Intn(2)].Name, Plan: v.plan, Volume: v.id, Units: float64(1 + w.draw.Intn(3)),
 		Shard: v.shards[w.draw.Intn(len(v.shards))], Hosts: len(v.hosts)}
 	if w.inWindow() {
 		w.res.Requests++
@@ -351,7 +351,7 @@
 }
 
 // ask is one try of a client; one that finds its host down connects again a little later.
-func (w *world) ask(v *volume, h *host, q choice.Request, first float64) {
+func (w *world) ask(v *volume, h *host, q policy.Request, first float64) {
 	if w.now-first > patience {
 		return
 	}
--- a/choice/choice.go
+++ b/policy/choice.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // The decisions of one host's I/O scheduler. In order: constants, intake, class queues,
 // window, adaptation, entitlement, node health and cold starts, attempts, list.
--- a/choice/handover_test.go
+++ b/policy/handover_test.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"fmt"
--- a/choice/standing.go
+++ b/policy/standing.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // Standing is how one listed node stands with this instance.
 type Standing struct {
--- a/choice/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // What an instance remembers, and the bookkeeping that decides nothing.
 
