--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -7,7 +7,7 @@
 	"github.com/urfave/cli/v2"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/registry"
+	"wheatsaddle/internal/discovery"
 )
 
 // loadConfig reads the file that the command's first argument names, or else what the environment names.
@@ -29,11 +29,11 @@
 }
 
 // knownList decodes the node list of the configuration; it may be empty.
-func knownList(conf *config.Config) (registry.List, error) {
+func knownList(conf *config.Config) (discovery.List, error) {
 	if len(conf.Known) == 0 {
-		return registry.List{}, nil
+		return discovery.List{}, nil
 	}
-	known, err := registry.Decode(conf.Known)
+	known, err := discovery.Decode(conf.Known)
 	if err != nil {
 		return known, fmt.Errorf("known: %w", err)
 	}
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -16,13 +16,13 @@
 
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/operator"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/pool"
-	"wheatsaddle/internal/registry"
 	"wheatsaddle/internal/sock"
 	"wheatsaddle/policy"
 )
@@ -43,7 +43,7 @@
 	closers []func()
 
 	conf   *config.Config // as at the start; reloadOnHangup has the current one
-	known  registry.List  // the configuration's node list, until discovery answers
+	known  discovery.List // the configuration's node list, until discovery answers
 	site   *site
 	blocks *blockFront // nil: no iSCSI front
 
@@ -56,7 +56,7 @@
 	exclusions *exclusionKeeper
 
 	ctx       context.Context // of the goroutines that end with the service
-	watcher   *registry.Watcher
+	watcher   *discovery.Watcher
 	listAsked time.Time   // when the watch began
 	listed    atomic.Bool // discovery has answered
 
@@ -226,7 +226,7 @@
 	s.onClose(cancel)
 	s.ctx = ctx
 	s.listAsked = time.Now()
-	s.watcher = &registry.Watcher{
+	s.watcher = &discovery.Watcher{
 		Address:     s.conf.Discovery,
 		Index:       s.known.Index,
 		Known:       s.known.Nodes,
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -13,11 +13,11 @@
 	"wheatsaddle/internal/coldstart/snapshot"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/registry"
 	"wheatsaddle/policy"
 )
 
@@ -341,17 +341,17 @@
 }
 
 // pace is the pace of the list's watch until the list is heard; nil: the watch has its own.
-func (s *starter) pace() registry.Pace {
+func (s *starter) pace() discovery.Pace {
 	if s == nil || !s.listPriced {
 		return nil
 	}
 	return s
 }
 
-// Due implements registry.Pace.
+// Due implements discovery.Pace.
 func (s *starter) Due() <-chan struct{} { return s.listDue }
 
-// Missed implements registry.Pace.
+// Missed implements discovery.Pace.
 func (s *starter) Missed() { s.step(coldstart.ListRefused{}) }
 
 // ready is whether the state machine said so; without the section, what the caller would say.
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -16,9 +16,9 @@
 	"wheatsaddle/internal/coldstart/snapshot"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/observations"
 	"wheatsaddle/internal/peers"
-	"wheatsaddle/internal/registry"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/policy"
 )
@@ -137,7 +137,7 @@
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
-	w := &registry.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
 		OnNews: func(n core.News) { b.list(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
@@ -169,7 +169,7 @@
 }
 
 type counted struct {
-	registry.Pace
+	discovery.Pace
 	missed *atomic.Int64
 }
 
--- a/internal/registry/registry.go
+++ b/internal/discovery/registry.go
@@ -1,6 +1,6 @@
-// Package registry keeps the node list: it begins with a known list and follows changes through a watch on the
+// Package discovery keeps the node list: it begins with a known list and follows changes through a watch on the
 // list's service. listclock decides when a watch is opened, replaced or closed.
-package registry
+package discovery
 
 import (
 	"errors"
--- a/internal/registry/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"bufio"
--- a/internal/registry/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -1,6 +1,6 @@
 //go:build interleave
 
-package registry
+package discovery
 
 import (
 	"context"
