--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -17,9 +17,9 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/operator"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/pool"
@@ -349,9 +349,9 @@
 }
 
 // listClock is how the list is asked for, by the settings.
-func listClock(conf *config.Config) listclock.Settings {
+func listClock(conf *config.Config) watchtimer.Settings {
 	set := conf.Settings
-	return listclock.Settings{
+	return watchtimer.Settings{
 		Pushed:         !set.AskMode,
 		Hosts:          set.Hosts,
 		StalenessBound: milliseconds(set.AskWithin),
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/listclock"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/policy"
 )
@@ -66,7 +66,7 @@
 func TestPace(t *testing.T) {
 	s, asked := newListService(t, 40)
 	p := testPace{make(chan struct{}), make(chan bool, 100)}
-	w := startWatcher(t, &Watcher{Address: s.Addr(), Pace: p, Clock: listclock.Settings{Hosts: 1000}})
+	w := startWatcher(t, &Watcher{Address: s.Addr(), Pace: p, Clock: watchtimer.Settings{Hosts: 1000}})
 	for i, f := range []discovery.Fault{{Refuse: true}, {Down: true}, {Refuse: true}} {
 		s.Set(f)
 		if len(asked) > 0 {
@@ -74,7 +74,7 @@
 		}
 		p.due <- struct{}{}
 		if f.Down {
-			w.advance(listclock.ResponseTimeout)
+			w.advance(watchtimer.ResponseTimeout)
 		}
 		<-p.missed
 		for len(asked) > 0 {
@@ -111,7 +111,7 @@
 			nc.Close()
 		}()
 		quiet := make(chan bool, 10)
-		w := &Watcher{Address: ln.Addr().String(), Index: 7, OnUnchanged: func() { quiet <- true }, Clock: listclock.Settings{Pushed: true, DrainGrace: time.Minute}}
+		w := &Watcher{Address: ln.Addr().String(), Index: 7, OnUnchanged: func() { quiet <- true }, Clock: watchtimer.Settings{Pushed: true, DrainGrace: time.Minute}}
 		news := startWatcher(t, w).news
 		if want {
 			<-quiet
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/listclock"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/internal/testkit/rapidtest"
 	"wheatsaddle/policy"
@@ -129,7 +129,7 @@
 // bad line, after none of which anything told is lost or told twice.
 func TestWatch(t *testing.T) {
 	s, asked := newListService(t, 40)
-	p := startWatcher(t, &Watcher{Address: s.Addr(), Index: 7, Clock: listclock.Settings{Pushed: true}})
+	p := startWatcher(t, &Watcher{Address: s.Addr(), Index: 7, Clock: watchtimer.Settings{Pushed: true}})
 	const every = 100 * time.Millisecond // past it an agent that ended its call is asked again
 	full, change, failed := policy.ListFull, policy.ListChange, policy.ListFailed
 	for i, x := range []struct {
@@ -138,8 +138,11 @@
 	}{
 		{func() {}, full}, {func() { s.Put(sampleNode) }, change},
 		{func() { s.Reset() }, failed}, {func() { p.advance(every); s.Put(sampleNode) }, change},
-		{func() { s.Set(discovery.Fault{Silent: true, Answers: true}); p.advance(listclock.PushedSilenceTimeout) }, change}, // the first line of a watch opened beside the silent one
-		{func() { s.Say("nonsense"); s.Put(sampleNode) }, failed}, {func() { p.advance(every) }, change},                    // nothing after a bad line is believed on its connection
+		{func() {
+			s.Set(discovery.Fault{Silent: true, Answers: true})
+			p.advance(watchtimer.PushedSilenceTimeout)
+		}, change}, // the first line of a watch opened beside the silent one
+		{func() { s.Say("nonsense"); s.Put(sampleNode) }, failed}, {func() { p.advance(every) }, change}, // nothing after a bad line is believed on its connection
 	} {
 		x.do()
 		if n := <-p.news; n.Kind != x.want {
@@ -163,7 +166,7 @@
 func TestMove(t *testing.T) {
 	old, _ := newListService(t, 40)
 	later, asked := newListService(t, 40)
-	w := &Watcher{Address: old.Addr(), Clock: listclock.Settings{Pushed: true}}
+	w := &Watcher{Address: old.Addr(), Clock: watchtimer.Settings{Pushed: true}}
 	p := startWatcher(t, w)
 	ctx, news := p.ctx, p.news
 	<-news
@@ -239,7 +242,7 @@
 	t.Cleanup(s.Close)
 	s.Put(sampleNode)
 	s.Refuse()
-	p := startWatcher(t, &Watcher{Address: s.Addr(), Clock: listclock.Settings{Pushed: true}})
+	p := startWatcher(t, &Watcher{Address: s.Addr(), Clock: watchtimer.Settings{Pushed: true}})
 	told := p.news
 	if n := <-told; n.Kind != policy.ListFailed {
 		t.Errorf("told %+v first", n)
--- a/internal/discovery/torn_test.go
+++ b/internal/discovery/torn_test.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/listclock"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/policy"
 )
 
@@ -131,7 +131,7 @@
 	return b.String()
 }
 
-var pushedClock = listclock.Settings{Pushed: true, DrainGrace: time.Second}
+var pushedClock = watchtimer.Settings{Pushed: true, DrainGrace: time.Second}
 
 const pushedRetryInterval = 100 * time.Millisecond // of that clock
 
@@ -269,7 +269,7 @@
 			first := s.call(t, 0)
 			first.begin(listText(1, true, entryText("a", "active", 0)))
 			receiveWithin(t, "the first list", p.news)
-			p.advance(listclock.PushedSilenceTimeout)
+			p.advance(watchtimer.PushedSilenceTimeout)
 			for range 3 {
 				answer(s.call(t, 1)) // the crossing: a replacement is out and has said what it says
 				p.advance(pushedRetryInterval)
@@ -407,7 +407,7 @@
 	s.call(t, 0).begin(listText(1, true, entryText("a", "active", 0)))
 	receiveWithin(t, "the first list", p.news)
 	scarce.Store(true)
-	p.advance(listclock.PushedSilenceTimeout) // another call is made beside the silent one
+	p.advance(watchtimer.PushedSilenceTimeout) // another call is made beside the silent one
 	for range 3 {
 		if err := receiveWithin(t, "a call without a descriptor", failed); !errors.Is(err, syscall.EMFILE) {
 			t.Fatalf("the call ended by %v, not for want of a descriptor", err)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
-	"wheatsaddle/internal/listclock"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
 	"wheatsaddle/policy"
@@ -31,7 +31,7 @@
 	Known          []core.Node     // the list known before the first call
 	OnNews         func(core.News) // receives each change and failure of the list
 	Log            logrus.FieldLogger
-	Clock          listclock.Settings
+	Clock          watchtimer.Settings
 	Pace           Pace   // says when a starting process calls; nil: the clock does
 	OnUnchanged    func() // called when a watch reports that nothing followed the held version; may be nil
 	heldNodes      map[string]core.Node
@@ -39,7 +39,7 @@
 	addressChanges chan string
 	received       chan callRead
 	initOnce       sync.Once
-	clock          *listclock.Clock
+	clock          *watchtimer.Clock
 	calls          map[int]context.CancelFunc
 	lastBadListLog atomic.Int64 // elapsed time at which a bad list was last logged; 0: never
 	// elapsed and openWatch stand for the time and the network, so that tests can replace both.
@@ -90,8 +90,8 @@
 	if w.Pace != nil {
 		settings.ExternallyPaced, due = true, w.Pace.Due()
 	}
-	w.clock, w.calls = listclock.New(settings), map[int]context.CancelFunc{}
-	w.stepClock(ctx, listclock.Event{Kind: listclock.Started}, nil)
+	w.clock, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
+	w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
 	for {
 		reset(w.clock.NextTimer())
 		_, address, _, l, _, which := sync.First5(ctx.Done(), w.addressChanges, wake, w.received, due)
@@ -102,14 +102,14 @@
 		case 1:
 			if address != w.Address {
 				w.Address = address
-				w.stepClock(ctx, listclock.Event{Kind: listclock.AddressChanged}, nil)
+				w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
 			}
 		case 2:
-			w.stepClock(ctx, listclock.Event{Kind: listclock.TimerFired}, &SilentError{})
+			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &SilentError{})
 		case 3:
 			w.handleRead(ctx, l)
 		default:
-			w.stepClock(ctx, listclock.Event{Kind: listclock.RequestDue}, nil)
+			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.RequestDue}, nil)
 		}
 	}
 }
@@ -121,27 +121,27 @@
 	case l.err != nil:
 		w.calls[l.call]()
 		delete(w.calls, l.call)
-		w.stepClock(ctx, listclock.Event{Kind: listclock.CallEnded, Call: l.call}, l.err)
+		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.CallEnded, Call: l.call}, l.err)
 	default:
-		w.stepClock(ctx, listclock.Event{Kind: listclock.MessageReceived, Call: l.call}, nil)
+		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.MessageReceived, Call: l.call}, nil)
 		w.handleMessage(l)
 	}
 }
 
 // stepClock gives the clock an event and carries out its actions; cause is logged if the list goes down.
-func (w *Watcher) stepClock(ctx context.Context, e listclock.Event, cause error) {
+func (w *Watcher) stepClock(ctx context.Context, e watchtimer.Event, cause error) {
 	for _, a := range w.clock.Step(w.elapsed(), e) {
 		switch a.Kind {
-		case listclock.OpenCall:
+		case watchtimer.OpenCall:
 			w.startCall(ctx, a.Call)
-		case listclock.CloseCall:
+		case watchtimer.CloseCall:
 			w.calls[a.Call]()
 			delete(w.calls, a.Call)
-		case listclock.ReportDown:
+		case watchtimer.ReportDown:
 			// The clock reports this once for each time the list goes down, not for each failed call.
 			w.Log.WithFields(operr.Fields(cause)).Warn("watch ended, connecting again")
 			w.OnNews(core.News{Kind: policy.ListFailed})
-		case listclock.ReportMissed:
+		case watchtimer.ReportMissed:
 			w.Pace.Missed()
 		}
 	}
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -14,11 +14,11 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery/watchtimer"
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/steps"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/listclock"
 	"wheatsaddle/policy"
 )
 
@@ -49,7 +49,7 @@
 func newInterleavedWatcher(texts map[string][]string, ends bool) *interleavedWatcher {
 	log, _ := logtest.NewNullLogger()
 	d := &interleavedWatcher{texts: texts, ends: ends, wake: make(chan time.Time)}
-	d.w = &Watcher{Address: "old", Log: log, OnNews: d.onNews, Clock: listclock.Settings{Pushed: true}}
+	d.w = &Watcher{Address: "old", Log: log, OnNews: d.onNews, Clock: watchtimer.Settings{Pushed: true}}
 	d.w.elapsed, d.w.openWatch = func() time.Duration { return d.now }, d.call
 	ctx, cancel := steps.Root(context.Background())
 	d.ctx, d.stop = ctx, func() { cancel(); d.stopped = true }
--- a/internal/listclock/listclock.go
+++ b/internal/discovery/watchtimer/listclock.go
@@ -1,4 +1,4 @@
-// Package listclock decides when a scheduler calls for the node list: it records when each call last brought a
+// Package watchtimer decides when a scheduler calls for the node list: it records when each call last brought a
 // message, detects silent calls, opens a replacement beside a silent call, and keeps the staleness bound, the
 // time by which a change in the list must be known. The registry drives it. It does not interpret lists, reads
 // no clock and does no I/O: events and the time come in through Step, and actions go out.
@@ -35,7 +35,7 @@
 //     until its response timeout, so that an agent that answers late is still heard.
 //   - After a change of address, a call at the old address stays valid until one at the new address is answered.
 //   - Each call is opened once and closed or ended once; no event or action names it afterwards.
-package listclock
+package watchtimer
 
 import (
 	"math/rand/v2"
--- a/internal/listclock/timers.go
+++ b/internal/discovery/watchtimer/timers.go
@@ -1,4 +1,4 @@
-package listclock
+package watchtimer
 
 // runTimers does what is due at the current time.
 func (c *Clock) runTimers() {
--- a/internal/listclock/timing.go
+++ b/internal/discovery/watchtimer/timing.go
@@ -1,4 +1,4 @@
-package listclock
+package watchtimer
 
 import "time"
 
--- a/internal/testkit/errorpage/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -71,7 +71,7 @@
 // there yet is passed over.
 func TestNewPackagesGiveNoBareErrors(t *testing.T) {
 	for _, p := range []string{"gather", "internal/scatter", "internal/cost", "internal/observations", "internal/peers", "internal/coldstart",
-		"internal/coldstart/snapshot", "internal/listclock", "internal/meter"} {
+		"internal/coldstart/snapshot", "internal/discovery/watchtimer", "internal/meter"} {
 		found, err := sourcelint.BareErrors(filepath.Join(root, p))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wheatsaddle/internal/coldstart"
-	"wheatsaddle/internal/listclock"
+	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/policy"
 )
 
@@ -23,9 +23,9 @@
 	held    []policy.Node // the list as last held
 	learned policy.Learned
 	guess   bool
-	watch   bool             // the list tells of changes
-	clock   *listclock.Clock // as today: when the list is asked for; nil: the watch stands
-	clockAt time.Duration    // when it is looked at next
+	watch   bool              // the list tells of changes
+	clock   *watchtimer.Clock // as today: when the list is asked for; nil: the watch stands
+	clockAt time.Duration     // when it is looked at next
 	conns   map[int]*conns
 	wakeAt  time.Duration
 }
@@ -65,9 +65,9 @@
 func (h *host) start() {
 	if h.w.mode == Today {
 		h.fresh(1)
-		h.clock, h.clockAt = listclock.New(listclock.Settings{Pushed: h.w.sc.Pushed, Hosts: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
+		h.clock, h.clockAt = watchtimer.New(watchtimer.Settings{Pushed: h.w.sc.Pushed, Hosts: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
 		h.step(policy.Event{Kind: policy.ListStale, Nodes: h.held})
-		h.ask(listclock.Event{Kind: listclock.Started})
+		h.ask(watchtimer.Event{Kind: watchtimer.Started})
 		return
 	}
 	h.fresh(coldstart.ColdShare)
@@ -223,17 +223,17 @@
 }
 
 // ask gives the list's clock an event and makes the calls that it says, until one is answered.
-func (h *host) ask(e listclock.Event) {
+func (h *host) ask(e watchtimer.Event) {
 	if h.clock == nil {
 		return
 	}
 	now := span(h.w.now - h.born)
-	if e.Kind == listclock.TimerFired {
+	if e.Kind == watchtimer.TimerFired {
 		now = max(now, h.clockAt)
 	}
 	h.clockAt = -1
 	for _, a := range h.clock.Step(now, e) {
-		if a.Kind == listclock.OpenCall {
+		if a.Kind == watchtimer.OpenCall {
 			h.callAs(a.Call)
 		}
 	}
@@ -245,7 +245,7 @@
 	life := h.life
 	h.later(max(0, float64(at)/float64(time.Millisecond)-(h.w.now-h.born)), func() {
 		if h.life == life && h.clockAt == at {
-			h.ask(listclock.Event{Kind: listclock.TimerFired}) // its time is the clock's own: no rounding holds it up
+			h.ask(watchtimer.Event{Kind: watchtimer.TimerFired}) // its time is the clock's own: no rounding holds it up
 		}
 	})
 }
@@ -268,7 +268,7 @@
 			h.hear(coldstart.ListRefused{})
 		default:
 			h.step(policy.Event{Kind: policy.ListFailed})
-			h.ask(listclock.Event{Kind: listclock.CallEnded, Call: call})
+			h.ask(watchtimer.Event{Kind: watchtimer.CallEnded, Call: call})
 		}
 	})
 }
