--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -6,7 +6,7 @@
 
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/cost"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operator"
 )
 
@@ -14,7 +14,7 @@
 const estimateLimit = 600 * time.Millisecond
 
 // views returns the merged observations of the nodes, of all processes.
-type views func() []observations.View
+type views func() []nodestats.View
 
 // estimates is the admin endpoint's call for estimates; nil: the site's file has no section estimate. Each call has an
 // estimator of its own: calls share no state with each other or with the data path.
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operator"
 	"wheatsaddle/policy"
 )
@@ -27,9 +27,9 @@
 	}
 	conf := &config.Config{Settings: policy.Settings{Shards: 2, Classes: []policy.Class{{Name: "read"}},
 		Plans: []policy.Plan{{Name: "gold", Limit: 10, LimitBurst: 1}, {Name: "open"}}}}
-	view := observations.View{Key: observations.Key{Node: "n", Since: 1, Class: "read"}, Shard: 1,
-		Sums: observations.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
-	call := estimates(held.Estimate, conf, func() []observations.View { return []observations.View{view} })
+	view := nodestats.View{Key: nodestats.Key{Node: "n", Since: 1, Class: "read"}, Shard: 1,
+		Sums: nodestats.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
+	call := estimates(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	admin := &operator.AdminEndpoint{Estimate: call, Log: log}
--- a/cmd/wheatsaddle/gathered_test.go
+++ b/cmd/wheatsaddle/gathered_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/policy"
 )
@@ -133,16 +133,16 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{Settings: policy.Settings{Shards: 3, Classes: []policy.Class{{Name: "read"}}}}
-	view := func(shard int, ms float64) observations.View {
-		return observations.View{Key: observations.Key{Node: fmt.Sprint("n", shard), Since: 1, Class: "read"}, Shard: shard, Origins: 2,
-			Sums: observations.Sums{N: 50, X: 50, Y: 50 * ms, XX: 50, XY: 50 * ms, YY: 50 * ms * ms}}
+	view := func(shard int, ms float64) nodestats.View {
+		return nodestats.View{Key: nodestats.Key{Node: fmt.Sprint("n", shard), Since: 1, Class: "read"}, Shard: shard, Origins: 2,
+			Sums: nodestats.Sums{N: 50, X: 50, Y: 50 * ms, XX: 50, XY: 50 * ms, YY: 50 * ms * ms}}
 	}
-	known := []observations.View{view(0, 5), view(1, 80), view(2, 10)}
-	x := newExpectation(held.Estimate, conf, func() []observations.View { return known })
+	known := []nodestats.View{view(0, 5), view(1, 80), view(2, 10)}
+	x := newExpectation(held.Estimate, conf, func() []nodestats.View { return known })
 	if got := x.of("read", []int{0, 1, 2}); len(got) != 3 || !(got[1] > got[2] && got[2] > got[0]) {
 		t.Error(got)
 	}
-	if got := newExpectation(held.Estimate, conf, func() []observations.View { return nil }).of("read", []int{0}); got != nil {
+	if got := newExpectation(held.Estimate, conf, func() []nodestats.View { return nil }).of("read", []int{0}); got != nil {
 		t.Error(got)
 	}
 }
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/meter"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/peers"
 	"wheatsaddle/policy"
@@ -36,7 +36,7 @@
 	mu        sync.Mutex // of the fields below, but for reported
 	nodes     map[string]listedNode
 	listIndex int64 // version of the list; 0: there is none yet
-	lists     observations.ListSpread
+	lists     nodestats.ListSpread
 	core      *core.Core                   // nil: it does not run yet
 	reported  map[string]core.NodeStanding // the core's last report, by node; the gossip goroutine's alone
 }
@@ -137,16 +137,16 @@
 		"observations_origins":        func(c peers.Counts) int64 { return c.State.Origins },
 		"observations_cells":          func(c peers.Counts) int64 { return c.State.Held },
 	})
-	gauges(m, f.listSpread, map[string]func(observations.ListSpread) int64{
-		"peers_list_oldest_version":   func(l observations.ListSpread) int64 { return l.Oldest },
-		"peers_list_newest_version":   func(l observations.ListSpread) int64 { return l.Newest },
-		"peers_list_processes":        func(l observations.ListSpread) int64 { return int64(l.Processes) },
-		"peers_list_processes_behind": func(l observations.ListSpread) int64 { return int64(l.Behind) },
+	gauges(m, f.listSpread, map[string]func(nodestats.ListSpread) int64{
+		"peers_list_oldest_version":   func(l nodestats.ListSpread) int64 { return l.Oldest },
+		"peers_list_newest_version":   func(l nodestats.ListSpread) int64 { return l.Newest },
+		"peers_list_processes":        func(l nodestats.ListSpread) int64 { return int64(l.Processes) },
+		"peers_list_processes_behind": func(l nodestats.ListSpread) int64 { return int64(l.Behind) },
 	})
 }
 
 // listSpread is which versions of the list the processes have, as of the last round.
-func (f *fleet) listSpread() observations.ListSpread {
+func (f *fleet) listSpread() nodestats.ListSpread {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lists
@@ -172,16 +172,16 @@
 }
 
 // outcomeOf is what the end of an attempt says of its node; false: nothing, as where it was cancelled.
-func outcomeOf(s policy.Status) (observations.Outcome, bool) {
+func outcomeOf(s policy.Status) (nodestats.Outcome, bool) {
 	switch s {
 	case policy.OK:
-		return observations.Served, true
+		return nodestats.Served, true
 	case policy.Full:
-		return observations.TurnedAway, true
+		return nodestats.TurnedAway, true
 	case policy.TimedOut:
-		return observations.Late, true
+		return nodestats.Late, true
 	case policy.Errored, policy.Reset, policy.NoConn:
-		return observations.Failed, true
+		return nodestats.Failed, true
 	}
 	return 0, false
 }
@@ -231,7 +231,7 @@
 
 // report puts the listed nodes and their health into the shared state, before each round. If the core does not report
 // in time, its last report counts. A report of an earlier run of a node does not count.
-func (f *fleet) report(now time.Duration, state *observations.State) {
+func (f *fleet) report(now time.Duration, state *nodestats.State) {
 	f.starter.peersSaid(now, state)
 	f.mu.Lock()
 	co, group := f.core, f.peers
@@ -247,7 +247,7 @@
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
 		cold := n.Since > 0 && float64(time.Now().UnixMilli())-n.Since < f.coldSpan
-		health := observations.Health{Type: n.hardware, Shard: n.Shard, Cold: cold}
+		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, Cold: cold}
 		if at, ok := f.reported[id]; ok && at.Since >= int64(n.Since) {
 			health.Window, health.Queue = at.Window, at.Queue
 		}
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -18,7 +18,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/meter"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/peers"
 	"wheatsaddle/policy"
 )
@@ -78,7 +78,7 @@
 // What one process sees of a listed node the other has in its views, without what was cancelled.
 func TestFleetTellsAndHears(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	state := observations.Defaults()
+	state := nodestats.Defaults()
 	state.HalfLife, state.Expire = time.Hour, 24*time.Hour // nothing fades while the test runs
 	site, err := config.ParseSite([]byte(`{"estimate":{"types":{"n*":"disk"}}}`))
 	if err != nil {
@@ -112,7 +112,7 @@
 	for _, s := range []policy.Status{policy.OK, policy.Full, policy.TimedOut, policy.Reset, policy.Cancelled, policy.Abandoned} {
 		tell("n", since, "c", 2, 5, s)
 	}
-	var v []observations.View
+	var v []nodestats.View
 	for end := time.Now().Add(time.Minute); len(v) < 2 || v[0].Window == 0; time.Sleep(5 * time.Millisecond) {
 		if v = b.peers.Views(); time.Now().After(end) {
 			t.Fatalf("never heard: %+v", v)
@@ -122,7 +122,7 @@
 	if n := v[0]; n.Type != "disk" || n.Window <= 0 || n.Queue != 0 {
 		t.Errorf("%+v", n)
 	}
-	if c := v[1]; c.Key != (observations.Key{Node: "n", Since: since, Class: "c"}) || c.Shard != 3 || !c.Cold ||
+	if c := v[1]; c.Key != (nodestats.Key{Node: "n", Since: since, Class: "c"}) || c.Shard != 3 || !c.Cold ||
 		!near(c.Sums.N) || !near(c.Turned) || !near(c.Late) || !near(c.Failed) {
 		t.Errorf("%+v", c)
 	}
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/policy"
 )
@@ -363,7 +363,7 @@
 }
 
 // peersSaid tells the state machine the nodes' starts as the other processes observed them.
-func (s *starter) peersSaid(now time.Duration, state *observations.State) {
+func (s *starter) peersSaid(now time.Duration, state *nodestats.State) {
 	if s == nil || s.Over() {
 		return
 	}
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -17,7 +17,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/peers"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/policy"
@@ -181,7 +181,7 @@
 func TestPeerHandsOver(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
-	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: observations.Defaults()}}
+	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
 	join := func(name string, b *starter) *fleet {
 		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayTell: true}}, b, log)
 		if err != nil {
@@ -204,7 +204,7 @@
 	old.finished.Store(true)
 	join("old", old)
 	liar, err := peers.Start(peers.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Every: 20 * time.Millisecond, Burst: 8,
-		State: observations.Defaults(), Log: log, Give: func(peers.Kind) []byte { return []byte("wslearn\x01 but torn") }})
+		State: nodestats.Defaults(), Log: log, Give: func(peers.Kind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -247,12 +247,12 @@
 	if err := snapshot.Write(set.Snapshot, &snapshot.Snapshot{Made: time.Now(), Nodes: []snapshot.NodeState{{ID: first, Since: 5}, {ID: last, Since: 5}}}); err != nil {
 		t.Fatal(err)
 	}
-	s, err := observations.New(observations.Defaults(), "other", 1)
+	s, err := nodestats.New(nodestats.Defaults(), "other", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetNode(0, first, 6, observations.Health{})
-	s.SetNode(0, last, 5, observations.Health{})
+	s.SetNode(0, first, 6, nodestats.Health{})
+	s.SetNode(0, last, 5, nodestats.Health{})
 	b, _, ahead := begun(t, set, log, node("a", 0), node("b", 1))
 	b.peersSaid(0, s)
 	if got := <-ahead; got != "connect "+last {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // SitePeers is the section peers.
@@ -18,18 +18,18 @@
 	Every             time.Duration
 	Burst             int
 	KeyFile           string
-	State             observations.Settings
+	State             nodestats.Settings
 }
 
 func sitePeers(r *reader) (*SitePeers, error) {
-	def := observations.Defaults()
+	def := nodestats.Defaults()
 	num := func(key string, fallback float64) float64 { return r.num("peers."+key, fallback, 0) }
 	span := func(key string, fallback time.Duration) time.Duration {
 		return time.Duration(num(key, float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
 	}
 	p := &SitePeers{Listen: r.text("peers.listen", ""), Advertise: r.text("peers.advertise", ""), Via: map[string]string{},
 		Every: span("every_ms", 500*time.Millisecond), Burst: int(num("burst", 64)), KeyFile: r.text("peers.key_file", "")}
-	p.State = observations.Settings{Origins: int(num("origins", float64(def.Origins))), Nodes: int(num("nodes", float64(def.Nodes))),
+	p.State = nodestats.Settings{Origins: int(num("origins", float64(def.Origins))), Nodes: int(num("nodes", float64(def.Nodes))),
 		Classes: int(num("classes", float64(def.Classes))), Bytes: def.Bytes, HalfLife: span("half_life_ms", def.HalfLife),
 		Expire: span("expire_ms", def.Expire), Clip: num("clip", def.Clip)}
 	if r.err != nil {
--- a/internal/config/peers_test.go
+++ b/internal/config/peers_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 func TestSitePeers(t *testing.T) {
@@ -36,7 +36,7 @@
 		t.Errorf("%+v", told.Peers)
 	}
 	told.Peers.Seeds, told.Peers.Via, plain.Peers.Via = nil, nil, nil
-	if !reflect.DeepEqual(told.Peers, plain.Peers) || plain.Peers.State != observations.Defaults() {
+	if !reflect.DeepEqual(told.Peers, plain.Peers) || plain.Peers.State != nodestats.Defaults() {
 		t.Errorf("the schema's defaults are not those that hold: %+v, %+v", told.Peers, plain.Peers)
 	}
 	for text, want := range map[string]string{
--- a/internal/cost/bench_test.go
+++ b/internal/cost/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 func sixtyFour() []Plan {
@@ -49,7 +49,7 @@
 
 func BenchmarkLearn1024(b *testing.B) {
 	e := learned(b, nil)
-	var views []observations.View
+	var views []nodestats.View
 	for i := range 1024 {
 		views = append(views, told(fmt.Sprintf("n-%04d", i), fmt.Sprint("t", i%3), i/3, 40, 10, uint64(i)))
 	}
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/testkit/rapidtest"
 )
@@ -22,9 +22,9 @@
 const class = "read"
 
 // told is the view of a node after n answers of level ms at 4 units, 1 ms a unit, with half as much scatter.
-func told(node, typ string, shard int, n, level float64, seed uint64) observations.View {
+func told(node, typ string, shard int, n, level float64, seed uint64) nodestats.View {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	v := observations.View{Key: observations.Key{Node: node, Since: 1, Class: class}, Type: typ, Shard: shard, Window: 4, Origins: 3, Age: time.Second}
+	v := nodestats.View{Key: nodestats.Key{Node: node, Since: 1, Class: class}, Type: typ, Shard: shard, Window: 4, Origins: 3, Age: time.Second}
 	for range int(n) {
 		x := 1 + float64(rng.IntN(8))
 		y := (level + x - 4) * math.Exp(0.4*rng.NormFloat64()-0.08)
@@ -33,13 +33,13 @@
 	return v
 }
 
-func add(s *observations.Sums, x, y float64) {
+func add(s *nodestats.Sums, x, y float64) {
 	s.N++
 	s.X, s.Y = s.X+x, s.Y+y
 	s.XX, s.XY, s.YY = s.XX+x*x, s.XY+x*y, s.YY+y*y
 }
 
-func fleet() (views []observations.View) {
+func fleet() (views []nodestats.View) {
 	for i := range 12 {
 		typ := i % 3
 		views = append(views, told(fmt.Sprintf("n-%02d", i), fmt.Sprintf("t%d", typ), i/3, 40, 8*float64(1+typ)*(1+0.05*float64(i%4)), uint64(i)))
@@ -47,7 +47,7 @@
 	return views
 }
 
-func learned(t testing.TB, views []observations.View) *Estimator {
+func learned(t testing.TB, views []nodestats.View) *Estimator {
 	t.Helper()
 	e, err := New(Defaults(class, "write"))
 	if err != nil {
@@ -205,7 +205,7 @@
 // Two nodes with one answer each cannot be told apart; with many they can.
 func TestAlike(t *testing.T) {
 	for n, want := range map[float64]int{3: 1, 4000: 0} {
-		e := learned(t, []observations.View{told("a", "t", 0, n, 10, 1), told("b", "t", 0, n, 12, 2), told("c", "t", 0, n, 11, 2)})
+		e := learned(t, []nodestats.View{told("a", "t", 0, n, 10, 1), told("b", "t", 0, n, 12, 2), told("c", "t", 0, n, 11, 2)})
 		r := rank(t, e, 0, read("a", 0, 4), read("b", 0, 4))
 		if len(r.Plans[0].Alike) != want || n > 1000 && r.Plans[0].Name != "0" {
 			t.Errorf("%g answers: %+v", n, r)
@@ -308,7 +308,7 @@
 func TestAnyStartOfANodeCounts(t *testing.T) {
 	old, now := told("n", "", 0, 40, 50, 1), told("n", "", 0, 40, 5, 2)
 	old.Since, now.Since = -2, -1
-	for _, views := range [][]observations.View{{old, now}, {now, old}} {
+	for _, views := range [][]nodestats.View{{old, now}, {now, old}} {
 		r, err := learned(t, views).Estimate([]Plan{{Name: "a", Root: read("n", 0, 4)}}, 0)
 		if err != nil || r.Views != 1 || r.Dropped != 1 || r.Plans[0].Mean > 20 {
 			t.Errorf("%v %+v", err, r)
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // Estimator holds the lines of the last views.
@@ -28,7 +28,7 @@
 	// ends what takes too long by false.
 	Between func() bool
 
-	take  func(views []observations.View, most int) ([]observations.View, int) // latest; a test breaks these two
+	take  func(views []nodestats.View, most int) ([]nodestats.View, int) // latest; a test breaks these two
 	apart func(a, b *Answer) float64
 
 	stack  []dist
@@ -66,7 +66,7 @@
 }
 
 // Learn takes a snapshot of the views, whole; what it held before is gone.
-func (e *Estimator) Learn(views []observations.View) {
+func (e *Estimator) Learn(views []nodestats.View) {
 	kept, dropped := e.take(views, e.set.Views)
 	e.views, e.dropped = len(kept), dropped
 	names, kinds := map[string]int{}, map[string]int{"": 0}
--- a/internal/cost/laws_test.go
+++ b/internal/cost/laws_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 )
 
@@ -129,7 +129,7 @@
 	}
 }
 
-func scale(s *observations.Sums, f float64) {
+func scale(s *nodestats.Sums, f float64) {
 	s.N, s.X, s.Y, s.XX, s.XY, s.YY = s.N*f, s.X*f, s.Y*f, s.XX*f, s.XY*f, s.YY*f
 }
 
@@ -183,12 +183,12 @@
 }
 
 // wild is a view of any figures.
-func wild(t *rapid.T) observations.View {
+func wild(t *rapid.T) nodestats.View {
 	f := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 1e3), rapid.SampledFrom([]float64{0, 1e-300, 1e12, math.NaN(), math.Inf(1), -1}))
 	i := rapid.IntRange(0, 11).Draw(t, "n")
-	return observations.View{Key: observations.Key{Node: fmt.Sprintf("n-%02d", i), Since: int64(rapid.IntRange(0, 2).Draw(t, "since")), Class: class},
+	return nodestats.View{Key: nodestats.Key{Node: fmt.Sprintf("n-%02d", i), Since: int64(rapid.IntRange(0, 2).Draw(t, "since")), Class: class},
 		Type: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "type"), Shard: i / 3,
-		Sums:   observations.Sums{N: f.Draw(t, "N"), X: f.Draw(t, "X"), Y: f.Draw(t, "Y"), XX: f.Draw(t, "XX"), XY: f.Draw(t, "XY"), YY: f.Draw(t, "YY")},
+		Sums:   nodestats.Sums{N: f.Draw(t, "N"), X: f.Draw(t, "X"), Y: f.Draw(t, "Y"), XX: f.Draw(t, "XX"), XY: f.Draw(t, "XY"), YY: f.Draw(t, "YY")},
 		Turned: f.Draw(t, "turned"), Failed: f.Draw(t, "failed"), Window: f.Draw(t, "window"), Queue: f.Draw(t, "queue"),
 		Origins: rapid.IntRange(-1, 9).Draw(t, "origins"), Age: time.Duration(rapid.Int64().Draw(t, "age"))}
 }
@@ -240,7 +240,7 @@
 		return err
 	}
 	change(e)
-	ask := func(views []observations.View) (Ranking, error) {
+	ask := func(views []nodestats.View) (Ranking, error) {
 		e.Learn(views)
 		return e.Estimate(plans, time.Second)
 	}
@@ -279,7 +279,7 @@
 		complaint string
 	}{
 		"latest: the sort": {func(e *Estimator) {
-			e.take = func(views []observations.View, most int) (kept []observations.View, dropped int) {
+			e.take = func(views []nodestats.View, most int) (kept []nodestats.View, dropped int) {
 				for i := range views {
 					if sound(&views[i]) {
 						kept = append(kept, views[i])
@@ -289,7 +289,7 @@
 			}
 		}, "in another order"},
 		"latest: sound": {func(e *Estimator) {
-			e.take = func(views []observations.View, most int) ([]observations.View, int) {
+			e.take = func(views []nodestats.View, most int) ([]nodestats.View, int) {
 				kept := slices.Clone(views)
 				slices.SortStableFunc(kept, before)
 				return kept, 0
--- a/internal/cost/lines.go
+++ b/internal/cost/lines.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 const (
@@ -162,13 +162,13 @@
 
 // own is a view with its sums about their means.
 type own struct {
-	v             *observations.View
+	v             *nodestats.View
 	typ           int
 	n, x, y       float64
 	sxx, sxy, syy float64
 }
 
-func centred(v *observations.View, typ int) own {
+func centred(v *nodestats.View, typ int) own {
 	s := v.Sums
 	o := own{v: v, typ: typ, n: s.N}
 	if s.N <= 0 {
@@ -344,7 +344,7 @@
 }
 
 // sound says whether a view can be.
-func sound(v *observations.View) bool {
+func sound(v *nodestats.View) bool {
 	s := v.Sums
 	for _, f := range [...]float64{s.N, s.X, s.Y, s.XX, s.XY, s.YY, v.Turned, v.Failed, v.Late, v.Window, v.Queue} {
 		if !finite(f) || f < 0 {
@@ -359,7 +359,7 @@
 
 // before orders views by key, and views of one key by all they hold, so that the order they come
 // in decides nothing: only the last start of a node counts, and of two views of one key the later in this order.
-func before(a, b observations.View) int {
+func before(a, b nodestats.View) int {
 	s, t := a.Sums, b.Sums
 	return cmp.Or(strings.Compare(a.Class, b.Class), strings.Compare(a.Node, b.Node), cmp.Compare(a.Since, b.Since),
 		cmp.Compare(s.N, t.N), cmp.Compare(s.X, t.X), cmp.Compare(s.Y, t.Y), cmp.Compare(s.XX, t.XX), cmp.Compare(s.XY, t.XY),
@@ -369,7 +369,7 @@
 }
 
 // latest keeps, of sound and sorted views, the last of each class and node.
-func latest(views []observations.View, most int) (kept []observations.View, dropped int) {
+func latest(views []nodestats.View, most int) (kept []nodestats.View, dropped int) {
 	for i := range views {
 		if sound(&views[i]) {
 			kept = append(kept, views[i])
--- a/internal/observations/codec.go
+++ b/internal/nodestats/codec.go
@@ -1,4 +1,4 @@
-package observations
+package nodestats
 
 import (
 	"encoding/binary"
--- a/internal/observations/types.go
+++ b/internal/nodestats/types.go
@@ -1,4 +1,4 @@
-// Package observations owns what processes of one fleet share of the nodes behind them: a state that merges. Each
+// Package nodestats owns what processes of one fleet share of the nodes behind them: a state that merges. Each
 // process (origin) has a record of its own, in cells that only it renews; a state is the newest of every
 // origin's record, and views add the origins up. No clock is compared: ages are spans, noted by the
 // receiver. docs/design/observations.md has the sources.
@@ -15,7 +15,7 @@
 //   - origins, nodes, classes and bytes stay within Settings; what is beyond is counted.
 //
 // It does not send, read a clock or lock: internal/peers does.
-package observations
+package nodestats
 
 import (
 	"math"
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
 // Package peers lets processes of one fleet know each other and exchange what they hold of the nodes. It is the
-// driver of internal/observations: hashicorp/memberlist finds the members and carries the messages, all
+// driver of internal/nodestats: hashicorp/memberlist finds the members and carries the messages, all
 // rules of what is shared are in the state. Nothing waits for a peer: an outcome is put into a buffer that
 // is emptied elsewhere, and is counted and left out where the buffer is full.
 //
@@ -26,7 +26,7 @@
 
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
 )
@@ -63,10 +63,10 @@
 	Every       time.Duration     // between rounds
 	Burst       int               // messages to one member in one round
 	Key         []byte            // 16, 24 or 32 bytes: messages are encrypted; nil: they are not
-	State       observations.Settings
+	State       nodestats.Settings
 	Seed        uint64
-	Tell        func(now time.Duration, s *observations.State) // before each round, to say what else is known; may be nil
-	Give        func(Kind) []byte                              // what is handed over to one that asks; empty: nothing; may be nil
+	Tell        func(now time.Duration, s *nodestats.State) // before each round, to say what else is known; may be nil
+	Give        func(Kind) []byte                           // what is handed over to one that asks; empty: nothing; may be nil
 	Log         logrus.FieldLogger
 	Transport   memberlist.NodeAwareTransport // tests: instead of the network
 	Since       func() time.Duration          // tests: the clock; nil: since Start
@@ -74,7 +74,7 @@
 
 // Counts are the driver's figures from its start, and those of the state.
 type Counts struct {
-	State    observations.Counts
+	State    nodestats.Counts
 	Members  int64 // now, this process too
 	Rounds   int64
 	Received int64 // messages and their bytes ...
@@ -93,10 +93,10 @@
 
 // outcome is counted as of when it is drained: Every at most after it was, a small part of a half-life.
 type outcome struct {
-	key    observations.Key
+	key    nodestats.Key
 	units  float64
 	millis float64
-	how    observations.Outcome
+	how    nodestats.Outcome
 }
 
 // members are the library's; a walk of every order has its own.
@@ -129,7 +129,7 @@
 	}
 
 	mu    sync.Mutex // the state and what follows
-	state *observations.State
+	state *nodestats.State
 	turns []string
 	rand  *rand.Rand
 
@@ -142,7 +142,7 @@
 
 // Start listens and looks for the others.
 func Start(opt Options) (*Peers, error) {
-	state, err := observations.New(opt.State, opt.Name, opt.Incarnation)
+	state, err := nodestats.New(opt.State, opt.Name, opt.Incarnation)
 	if err != nil {
 		return nil, err
 	}
@@ -170,7 +170,7 @@
 	return p, nil
 }
 
-func newPeers(opt Options, state *observations.State, size int) *Peers {
+func newPeers(opt Options, state *nodestats.State, size int) *Peers {
 	p := &Peers{opt: opt, state: state, inbox: make(chan []byte, inboxSize), wake: make(chan struct{}, 1),
 		rand: rand.New(rand.NewPCG(opt.Seed, 0x70656572))}
 	p.buffer.in, p.buffer.spare = make([]outcome, 0, size), make([]outcome, 0, size)
@@ -269,7 +269,7 @@
 var _ io.Writer = debugLog{}
 
 // Observe counts the end of one attempt. It never waits for the state or a peer.
-func (p *Peers) Observe(node string, since int64, class string, units, millis float64, how observations.Outcome) {
+func (p *Peers) Observe(node string, since int64, class string, units, millis float64, how nodestats.Outcome) {
 	b := &p.buffer
 	b.Lock()
 	sync.Writes(&b.in)
@@ -277,7 +277,7 @@
 	if n == cap(b.in) {
 		b.lost++
 	} else {
-		b.in = append(b.in, outcome{observations.Key{Node: node, Since: since, Class: class}, units, millis, how})
+		b.in = append(b.in, outcome{nodestats.Key{Node: node, Since: since, Class: class}, units, millis, how})
 		b.all++
 	}
 	b.Unlock()
@@ -303,7 +303,7 @@
 }
 
 // Do gives the state, up to date, to f. It is not for the data path: it waits for merges.
-func (p *Peers) Do(f func(now time.Duration, s *observations.State)) {
+func (p *Peers) Do(f func(now time.Duration, s *nodestats.State)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drain()
@@ -311,8 +311,8 @@
 }
 
 // Views is the state's.
-func (p *Peers) Views() (v []observations.View) {
-	p.Do(func(now time.Duration, s *observations.State) { v = s.Views(now) })
+func (p *Peers) Views() (v []nodestats.View) {
+	p.Do(func(now time.Duration, s *nodestats.State) { v = s.Views(now) })
 	return v
 }
 
@@ -479,7 +479,7 @@
 		p.dropped(err)
 		return
 	}
-	sender, err := observations.Sender(m)
+	sender, err := nodestats.Sender(m)
 	if err != nil {
 		return
 	}
--- a/internal/peers/peers_interleave_test.go
+++ b/internal/peers/peers_interleave_test.go
@@ -17,7 +17,7 @@
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/steps"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // circle is the library's place in a walk: what is sent is there at once.
@@ -39,7 +39,7 @@
 func join(size int, names ...string) map[string]*Peers {
 	c := &circle{each: map[string]*Peers{}}
 	for _, name := range names {
-		state, err := observations.New(observations.Defaults(), name, 1)
+		state, err := nodestats.New(nodestats.Defaults(), name, 1)
 		if err != nil {
 			panic(err)
 		}
@@ -52,10 +52,10 @@
 
 const units, millis = 1, 2
 
-func (p *Peers) one() { p.Observe("s", 1, "read", units, millis, observations.Served) }
+func (p *Peers) one() { p.Observe("s", 1, "read", units, millis, nodestats.Served) }
 
 // seen is how many ends of attempts on a node are in the views; their sums must be of the same ones.
-func seen(views []observations.View, node string) (n int, err error) {
+func seen(views []nodestats.View, node string) (n int, err error) {
 	for _, v := range views {
 		if v.Node != node || v.Class == "" {
 			continue
@@ -91,10 +91,10 @@
 
 // told is what another process tells of a node of its own, in one message.
 func told(node string, n int) []byte {
-	state, _ := observations.New(observations.Defaults(), "other", 1)
-	none, _ := observations.New(observations.Defaults(), "none", 1)
+	state, _ := nodestats.New(nodestats.Defaults(), "other", 1)
+	none, _ := nodestats.New(nodestats.Defaults(), "none", 1)
 	for range n {
-		state.Slot(0, observations.Key{Node: node, Since: 1, Class: "read"}).Record(0, units, millis, observations.Served)
+		state.Slot(0, nodestats.Key{Node: node, Since: 1, Class: "read"}).Record(0, units, millis, nodestats.Served)
 	}
 	list, err := state.Diff(0, none.Digest(0))
 	if err != nil || len(list) != 1 {
@@ -188,7 +188,7 @@
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "read", Run: func() {
-					p.Do(func(time.Duration, *observations.State) { sync.Recv(recorded) })
+					p.Do(func(time.Duration, *nodestats.State) { sync.Recv(recorded) })
 				}},
 				{Name: "record", Run: func() { p.one(); p.one(); sync.Close(recorded) }},
 				{Name: "other", Run: func() { p.one() }},
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // world is what is between processes: datagrams are lost, doubled, reordered and cut by a seed, and
@@ -126,7 +126,7 @@
 		give = c.give(i)
 	}
 	p, err := Start(Options{Give: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.me, Seeds: c.seeds, Every: 20 * time.Millisecond,
-		Burst: 8, State: observations.Defaults(), Seed: uint64(i), Log: quiet(), Transport: f})
+		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: quiet(), Transport: f})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 }
 
 func digest(p *Peers) (d []byte) {
-	p.Do(func(now time.Duration, s *observations.State) { d = s.Digest(now) })
+	p.Do(func(now time.Duration, s *nodestats.State) { d = s.Digest(now) })
 	return d
 }
 
@@ -179,7 +179,7 @@
 	d := digest(peers[0])
 	for _, p := range peers[1:] {
 		ok := false
-		p.Do(func(now time.Duration, s *observations.State) { ok = s.Same(now, d) })
+		p.Do(func(now time.Duration, s *nodestats.State) { ok = s.Same(now, d) })
 		if !ok {
 			return false
 		}
@@ -190,9 +190,9 @@
 func (c *crowd) work(r *rand.Rand, each int) {
 	for i, p := range c.peers {
 		for range each {
-			p.Observe(fmt.Sprint("n", r.IntN(30)), 1, fmt.Sprint("c", r.IntN(3)), r.Float64()*9, r.Float64()*50, observations.Outcome(r.IntN(4)))
+			p.Observe(fmt.Sprint("n", r.IntN(30)), 1, fmt.Sprint("c", r.IntN(3)), r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
-		p.Do(func(now time.Duration, s *observations.State) { s.SetList(now, int64(100+i)) })
+		p.Do(func(now time.Duration, s *nodestats.State) { s.SetList(now, int64(100+i)) })
 	}
 }
 
@@ -218,12 +218,12 @@
 	}
 	c.w.set(false)
 	await(t, "all alike again", func() bool { return same(c.peers...) })
-	one, err := observations.New(observations.Defaults(), "auditor", 1)
+	one, err := nodestats.New(nodestats.Defaults(), "auditor", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range c.peers {
-		p.Do(func(now time.Duration, s *observations.State) {
+		p.Do(func(now time.Duration, s *nodestats.State) {
 			all, err := s.Diff(now, one.Digest(0))
 			if err != nil {
 				t.Fatal(err)
@@ -254,7 +254,7 @@
 // do not come back.
 func TestKilledAndStartedUnderItsName(t *testing.T) {
 	c := gather(t, 3, 0)
-	c.peers[2].Observe("n", 1, "c", 1, 1, observations.Failed)
+	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.Failed)
 	await(t, "all know of it", func() bool { n, _ := served(c.peers[0]); return n > 0.5 && same(c.peers...) })
 	at := c.peers[2].Address()
 	c.peers[2].Kill()
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	c.peers[2] = c.start(2, 2, c.transport(port))
-	c.peers[2].Observe("n", 1, "c", 1, 1, observations.TurnedAway)
+	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.TurnedAway)
 	await(t, "all alike", func() bool {
 		v := c.peers[0].Views()
 		return same(c.peers...) && len(v) == 1 && v[0].Turned > 0.5 && v[0].Failed == 0
@@ -301,13 +301,13 @@
 		return n.State.Unreadable+n.State.LaterVersion+n.Full+n.Unusable >= 300 && n.State.LaterVersion > 0
 	})
 	same := false
-	c.peers[0].Do(func(now time.Duration, s *observations.State) { same = s.Same(now, before) })
+	c.peers[0].Do(func(now time.Duration, s *nodestats.State) { same = s.Same(now, before) })
 	if !same {
 		t.Error("nonsense changed the state")
 	}
-	c.peers[1].Observe("n", 1, "more", 1, 1, observations.Served)
+	c.peers[1].Observe("n", 1, "more", 1, 1, nodestats.Served)
 	await(t, "news still come", func() bool {
-		return slices.ContainsFunc(c.peers[0].Views(), func(v observations.View) bool { return v.Class == "more" })
+		return slices.ContainsFunc(c.peers[0].Views(), func(v nodestats.View) bool { return v.Class == "more" })
 	})
 }
 
@@ -315,15 +315,15 @@
 func TestObservingNeverWaits(t *testing.T) {
 	c := gather(t, 1, 0)
 	p := c.peers[0]
-	p.Do(func(time.Duration, *observations.State) {
+	p.Do(func(time.Duration, *nodestats.State) {
 		for range bufferSize + 10 {
-			p.Observe("n", 1, "c", 1, 1, observations.Served)
+			p.Observe("n", 1, "c", 1, 1, nodestats.Served)
 		}
 	})
 	if n := p.Counts(); n.Lost != 10 || n.Outcomes != bufferSize {
 		t.Errorf("%d lost, %d taken", n.Lost, n.Outcomes)
 	}
-	if n := testing.AllocsPerRun(1000, func() { p.Observe("n", 1, "c", 1, 1, observations.Served) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { p.Observe("n", 1, "c", 1, 1, nodestats.Served) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -334,7 +334,7 @@
 	var ps []*Peers
 	start := func(name, advertise string, seeds []string, via map[string]string) *Peers {
 		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, Via: via,
-			Every: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: observations.Defaults(), Log: quiet()})
+			Every: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,15 +345,15 @@
 	b := start("b", "", []string{"127.0.0.9:9"}, map[string]string{"127.0.0.9:9": a.Address()})
 	defer b.Stop()
 	defer a.Stop()
-	a.Observe("n", 1, "c", 1, 1, observations.Served)
+	a.Observe("n", 1, "c", 1, 1, nodestats.Served)
 	await(t, "the news of a at b", func() bool { n, _ := served(b); return n > 0.5 && same(ps...) })
-	if _, err := Start(Options{Name: "c", Listen: "nowhere", State: observations.Defaults(), Log: quiet()}); err == nil {
+	if _, err := Start(Options{Name: "c", Listen: "nowhere", State: nodestats.Defaults(), Log: quiet()}); err == nil {
 		t.Error("it listens nowhere")
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Every: time.Hour, Burst: 8, State: observations.Defaults(), Log: quiet()})
+	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Every: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -365,7 +365,7 @@
 			p.Views() // drains
 			b.StartTimer()
 		}
-		p.Observe("n", 1, "c", 1, 1, observations.Served)
+		p.Observe("n", 1, "c", 1, 1, nodestats.Served)
 	}
 	if n := p.Counts().Lost; n > 0 {
 		b.Errorf("%d lost", n)
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/testkit/fake/link"
 	"wheatsaddle/internal/testkit/historycheck"
 )
@@ -28,9 +28,9 @@
 	for k := range liars {
 		name := fmt.Sprint("liar", k)
 		s := w.stranger(name, w.everyone()...)
-		mine, err := observations.New(observations.Defaults(), name, 1)
+		mine, err := nodestats.New(nodestats.Defaults(), name, 1)
 		w.must(err)
-		none, err := observations.New(observations.Defaults(), "none", 1)
+		none, err := nodestats.New(nodestats.Defaults(), "none", 1)
 		w.must(err)
 		tick := time.NewTicker(lieMS * time.Millisecond)
 		all.Go(func() {
@@ -42,10 +42,10 @@
 					w.mu.Lock()
 					since := w.since[j]
 					w.mu.Unlock()
-					mine.SetNode(now, n.Name, since, observations.Health{Shard: n.Shard, Window: 1000})
+					mine.SetNode(now, n.Name, since, nodestats.Health{Shard: n.Shard, Window: 1000})
 					for _, class := range []string{"read", "write"} {
 						for range 20 {
-							mine.Slot(now, observations.Key{Node: n.Name, Since: since, Class: class}).Record(now, 1, millis, observations.Served)
+							mine.Slot(now, nodestats.Key{Node: n.Name, Since: since, Class: class}).Record(now, 1, millis, nodestats.Served)
 						}
 					}
 				}
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/peers_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/testkit/fake/link"
 )
 
@@ -178,9 +178,9 @@
 }
 
 // one is a single state with all that was heard.
-func one(t *testing.T, all ...[][]byte) *observations.State {
+func one(t *testing.T, all ...[][]byte) *nodestats.State {
 	t.Helper()
-	s, err := observations.New(observations.Defaults(), "one", 1)
+	s, err := nodestats.New(nodestats.Defaults(), "one", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/cluster/stranger_test.go
+++ b/internal/testkit/cluster/stranger_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // Tags of internal/peers: a digest that asks for one in return, cells, what one that starts asks for (a number, the kind,
@@ -27,7 +27,7 @@
 	list  *memberlist.Memberlist
 	start time.Time
 	mu    sync.Mutex
-	state *observations.State
+	state *nodestats.State
 	holds map[string][]byte // the last digest of each daemon
 	heard [][]byte          // cells, as they came
 	once  sync.Once
@@ -76,7 +76,7 @@
 		f.allowed[w.PeerAddr(i)] = true
 	}
 	s := &stranger{t: w.t, start: time.Now(), holds: map[string][]byte{}, wants: map[string][]byte{}}
-	s.state, err = observations.New(observations.Defaults(), name, 1)
+	s.state, err = nodestats.New(nodestats.Defaults(), name, 1)
 	w.must(err)
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.Delegate, conf.Transport, conf.Logger, conf.EnableCompression = name, s, f, quiet, false
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	if from, err := observations.Sender(m); err == nil {
+	if from, err := nodestats.Sender(m); err == nil {
 		s.holds[from] = m
 	}
 }
@@ -199,7 +199,7 @@
 func (s *stranger) all(t *testing.T) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	none, err := observations.New(observations.Defaults(), "none", 1)
+	none, err := nodestats.New(nodestats.Defaults(), "none", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/cluster/tell_test.go
+++ b/internal/testkit/cluster/tell_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // site puts sections over the site file of a daemon that is about to start.
@@ -34,10 +34,10 @@
 }
 
 // views are the stranger's.
-func (s *stranger) views() map[observations.Key]observations.View {
+func (s *stranger) views() map[nodestats.Key]nodestats.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := map[observations.Key]observations.View{}
+	all := map[nodestats.Key]nodestats.View{}
 	for _, v := range s.state.Views(time.Since(s.start)) {
 		all[v.Key] = v
 	}
@@ -56,7 +56,7 @@
 	w.traffic()
 	w.serves(some)
 	s := w.stranger("s", w.everyone()...)
-	node := func(name string) (v observations.View) {
+	node := func(name string) (v nodestats.View) {
 		w.learn0(s)
 		for k, x := range s.views() {
 			if k.Node == name && k.Class == "" {
--- a/internal/testkit/errorpage/main.go
+++ b/internal/testkit/errorpage/main.go
@@ -24,7 +24,7 @@
 	_ "wheatsaddle/internal/handover"
 	_ "wheatsaddle/internal/iscsi"
 	_ "wheatsaddle/internal/meter"
-	_ "wheatsaddle/internal/observations"
+	_ "wheatsaddle/internal/nodestats"
 	_ "wheatsaddle/internal/operator"
 	_ "wheatsaddle/internal/peers"
 	_ "wheatsaddle/internal/replay"
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -17,7 +17,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/testkit/client"
 	"wheatsaddle/internal/testkit/cluster"
 )
@@ -51,13 +51,13 @@
 
 // answers are the observations of one observer, with one slot for each node.
 type answers struct {
-	state *observations.State
-	slots []*observations.Slot
+	state *nodestats.State
+	slots []*nodestats.Slot
 }
 
 // record adds the time of one answer of node n.
 func (a *answers) record(now time.Duration, n int, units, took float64) {
-	a.slots[n].Record(now, units, took, observations.Served)
+	a.slots[n].Record(now, units, took, nodestats.Served)
 }
 
 // newProcessWorld starts the nodes and the daemons of a seed.
@@ -118,13 +118,13 @@
 
 // newObserver returns the observations of one observer, without any answer yet.
 func (w *processWorld) newObserver(name string, types map[string]string) (a answers, err error) {
-	settings := observations.Defaults()
+	settings := nodestats.Defaults()
 	settings.HalfLife = w.opt.HalfLife
-	a.state, err = observations.New(settings, name, 1)
+	a.state, err = nodestats.New(settings, name, 1)
 	for n := range w.nodes {
 		if err == nil {
-			a.state.SetNode(0, nodeName(n), 1, observations.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
-			a.slots = append(a.slots, a.state.Slot(0, observations.Key{Node: nodeName(n), Since: 1, Class: class}))
+			a.state.SetNode(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
+			a.slots = append(a.slots, a.state.Slot(0, nodestats.Key{Node: nodeName(n), Since: 1, Class: class}))
 		}
 	}
 	return a, err
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"wheatsaddle/internal/cost"
-	"wheatsaddle/internal/observations"
+	"wheatsaddle/internal/nodestats"
 )
 
 // The world, in milliseconds: a node has workers that take steps in turn, and a step's service is its
@@ -66,8 +66,8 @@
 
 // process is one scheduler: what it saw alone, and what it shares with the others, in the daemon's own state.
 type process struct {
-	alone, shared *observations.State
-	slots         [nodeCount][2]*observations.Slot
+	alone, shared *nodestats.State
+	slots         [nodeCount][2]*nodestats.Slot
 }
 
 type world struct {
@@ -85,18 +85,18 @@
 	for i := range w.nodes {
 		w.nodes[i] = node{kind: i % perShard, factor: math.Exp(ownSpread * w.rng.NormFloat64())}
 	}
-	set := observations.Defaults()
+	set := nodestats.Defaults()
 	set.HalfLife, set.Expire = opt.HalfLife, max(set.Expire, opt.HalfLife)
 	for p := range processes {
 		x := &w.processes[p]
-		for i, s := range []**observations.State{&x.alone, &x.shared} {
+		for i, s := range []**nodestats.State{&x.alone, &x.shared} {
 			var err error
-			if *s, err = observations.New(set, fmt.Sprint("p", p), 1); err != nil {
+			if *s, err = nodestats.New(set, fmt.Sprint("p", p), 1); err != nil {
 				return nil, err
 			}
 			for n := range nodeCount {
-				(*s).SetNode(0, nodeName(n), 1, observations.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
-				x.slots[n][i] = (*s).Slot(0, observations.Key{Node: nodeName(n), Since: 1, Class: class})
+				(*s).SetNode(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
+				x.slots[n][i] = (*s).Slot(0, nodestats.Key{Node: nodeName(n), Since: 1, Class: class})
 			}
 		}
 		w.after(w.gap(), func() { w.arrive(p) })
@@ -121,7 +121,7 @@
 }
 
 // give gives b what a holds and b lacks. A failure would be a defect of the state, which has tests of its own.
-func (w *world) give(a, b *observations.State) {
+func (w *world) give(a, b *nodestats.State) {
 	messages, err := a.Diff(w.time(), b.Digest(w.time()))
 	for _, m := range messages {
 		err = errors.Join(err, b.Merge(w.time(), m))
@@ -183,7 +183,7 @@
 	took := w.out(n, units, true)
 	w.after(took, func() {
 		for _, l := range w.processes[p].slots[n] {
-			l.Record(w.time(), units, took, observations.Served)
+			l.Record(w.time(), units, took, nodestats.Served)
 		}
 	})
 }
@@ -191,8 +191,8 @@
 func nodeName(n int) string { return fmt.Sprintf("n-%02d", n) }
 
 // flat is what "fleet mean" knows: each node has the fleet's answers.
-func flat(views []observations.View) []observations.View {
-	var all observations.Sums
+func flat(views []nodestats.View) []nodestats.View {
+	var all nodestats.Sums
 	n := 0.0
 	for _, v := range views {
 		if v.Class != "" {
