--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -14,10 +14,10 @@
 
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/gossip"
 	"wheatsaddle/internal/meter"
 	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/peers"
 	"wheatsaddle/policy"
 )
 
@@ -27,7 +27,7 @@
 // fleet exchanges observations of the nodes with the other scheduler processes. nil: the site's file has no section
 // peers.
 type fleet struct {
-	peers    *peers.Peers
+	peers    *gossip.Peers
 	starter  *starter // nil: the site's file has no section start
 	coldSpan float64  // ms after its start in which a node is cold
 	types    config.NodeTypes
@@ -50,7 +50,7 @@
 // mayPeer is an error where the site's file has the section peers and the platform forbids it.
 func mayPeer(at *config.Site, set policy.Settings) error {
 	if at.Peers != nil && !set.MayTell {
-		return &peers.Forbidden{}
+		return &gossip.Forbidden{}
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	}
 	f.mu.Lock() // a round may call report before f.peers is set
 	defer f.mu.Unlock()
-	f.peers, err = peers.Start(peers.Options{
+	f.peers, err = gossip.Start(gossip.Options{
 		Name:        conf.Name,
 		Incarnation: uint64(time.Now().UnixMilli()),
 		Listen:      set.Listen,
@@ -118,24 +118,24 @@
 	if f == nil {
 		return
 	}
-	gauges(m, f.peers.Counts, map[string]func(peers.Counts) int64{
-		"peers_members":               func(c peers.Counts) int64 { return c.Members },
-		"peers_received_bytes":        func(c peers.Counts) int64 { return c.In },
-		"peers_sent_bytes":            func(c peers.Counts) int64 { return c.Out },
-		"peers_overrun_messages":      func(c peers.Counts) int64 { return c.Full },
-		"peers_outcomes":              func(c peers.Counts) int64 { return c.Outcomes },
-		"peers_outcomes_lost":         func(c peers.Counts) int64 { return c.Lost },
-		"peers_given_snapshots":       func(c peers.Counts) int64 { return c.Given },
-		"peers_taken_snapshots":       func(c peers.Counts) int64 { return c.Taken },
-		"peers_unusable_snapshots":    func(c peers.Counts) int64 { return c.Unusable },
-		"observations_messages":       func(c peers.Counts) int64 { return c.State.Messages },
-		"observations_unreadable":     func(c peers.Counts) int64 { return c.State.Unreadable },
-		"observations_later_versions": func(c peers.Counts) int64 { return c.State.LaterVersion },
-		"observations_older_cells":    func(c peers.Counts) int64 { return c.State.Older },
-		"observations_beyond_bounds":  func(c peers.Counts) int64 { return c.State.Beyond },
-		"observations_refuted":        func(c peers.Counts) int64 { return c.State.Refuted },
-		"observations_origins":        func(c peers.Counts) int64 { return c.State.Origins },
-		"observations_cells":          func(c peers.Counts) int64 { return c.State.Held },
+	gauges(m, f.peers.Counts, map[string]func(gossip.Counts) int64{
+		"peers_members":               func(c gossip.Counts) int64 { return c.Members },
+		"peers_received_bytes":        func(c gossip.Counts) int64 { return c.In },
+		"peers_sent_bytes":            func(c gossip.Counts) int64 { return c.Out },
+		"peers_overrun_messages":      func(c gossip.Counts) int64 { return c.Full },
+		"peers_outcomes":              func(c gossip.Counts) int64 { return c.Outcomes },
+		"peers_outcomes_lost":         func(c gossip.Counts) int64 { return c.Lost },
+		"peers_given_snapshots":       func(c gossip.Counts) int64 { return c.Given },
+		"peers_taken_snapshots":       func(c gossip.Counts) int64 { return c.Taken },
+		"peers_unusable_snapshots":    func(c gossip.Counts) int64 { return c.Unusable },
+		"observations_messages":       func(c gossip.Counts) int64 { return c.State.Messages },
+		"observations_unreadable":     func(c gossip.Counts) int64 { return c.State.Unreadable },
+		"observations_later_versions": func(c gossip.Counts) int64 { return c.State.LaterVersion },
+		"observations_older_cells":    func(c gossip.Counts) int64 { return c.State.Older },
+		"observations_beyond_bounds":  func(c gossip.Counts) int64 { return c.State.Beyond },
+		"observations_refuted":        func(c gossip.Counts) int64 { return c.State.Refuted },
+		"observations_origins":        func(c gossip.Counts) int64 { return c.State.Origins },
+		"observations_cells":          func(c gossip.Counts) int64 { return c.State.Held },
 	})
 	gauges(m, f.listSpread, map[string]func(nodestats.ListSpread) int64{
 		"peers_list_oldest_version":   func(l nodestats.ListSpread) int64 { return l.Oldest },
@@ -159,14 +159,14 @@
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &peers.BadKey{File: file, Err: err}
+		return nil, &gossip.BadKey{File: file, Err: err}
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if n := len(key); err == nil && n != 16 && n != 24 && n != 32 {
 		err = fmt.Errorf("%d bytes", n)
 	}
 	if err != nil {
-		return nil, &peers.BadKey{File: file, Err: err}
+		return nil, &gossip.BadKey{File: file, Err: err}
 	}
 	return key, nil
 }
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -17,9 +17,9 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/gossip"
 	"wheatsaddle/internal/meter"
 	"wheatsaddle/internal/nodestats"
-	"wheatsaddle/internal/peers"
 	"wheatsaddle/policy"
 )
 
@@ -28,7 +28,7 @@
 	file, _ := configure(t, freeAddress(t))
 	at := filepath.Join(t.TempDir(), "site.json")
 	// Sections that ask other processes, and the code of their errors.
-	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&peers.Forbidden{}).Code(),
+	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&gossip.Forbidden{}).Code(),
 		strings.Replace(fmt.Sprintf(gatherSite, ""), `"parts_most":8`, `"parts_most":4,"peers":[{"name":"other","address":"127.0.0.1:1"}]`, 1): (&config.KeyError{}).Code()}
 	write := func(site string) {
 		if err := os.WriteFile(at, []byte(site), 0o600); err != nil {
@@ -58,7 +58,7 @@
 			t.Errorf("allowed: %v %s", err, out)
 		}
 	}
-	var forbidden *peers.Forbidden
+	var forbidden *gossip.Forbidden
 	if err := mayPeer(&config.Site{Peers: &config.SitePeers{}}, policy.Settings{}); !errors.As(err, &forbidden) {
 		t.Error(err)
 	}
@@ -164,7 +164,7 @@
 			t.Fatal(err)
 		}
 		key, err := peerKey(file)
-		var bad *peers.BadKey
+		var bad *gossip.BadKey
 		if good != (err == nil && len(key) == 16) || !good && !errors.As(err, &bad) {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -17,8 +17,8 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
+	"wheatsaddle/internal/gossip"
 	"wheatsaddle/internal/nodestats"
-	"wheatsaddle/internal/peers"
 	"wheatsaddle/internal/testkit/fake/discovery"
 	"wheatsaddle/policy"
 )
@@ -198,13 +198,13 @@
 	for old.snapshot() == nil {
 		runtime.Gosched()
 	}
-	if len(old.give()(peers.Snapshot)) > 0 {
+	if len(old.give()(gossip.Snapshot)) > 0 {
 		t.Error("handed over while it starts")
 	}
 	old.finished.Store(true)
 	join("old", old)
-	liar, err := peers.Start(peers.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Every: 20 * time.Millisecond, Burst: 8,
-		State: nodestats.Defaults(), Log: log, Give: func(peers.Kind) []byte { return []byte("wslearn\x01 but torn") }})
+	liar, err := gossip.Start(gossip.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Every: 20 * time.Millisecond, Burst: 8,
+		State: nodestats.Defaults(), Log: log, Give: func(gossip.Kind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startsnapshot.go
@@ -6,9 +6,9 @@
 
 	"wheatsaddle/internal/coldstart"
 	"wheatsaddle/internal/coldstart/snapshot"
+	"wheatsaddle/internal/gossip"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/peers"
 	"wheatsaddle/policy"
 )
 
@@ -44,7 +44,7 @@
 	s.cancelAsk = cancel
 	go func() {
 		defer cancel()
-		others.peers.Ask(ctx, peers.Snapshot, s.takeSnapshot)
+		others.peers.Ask(ctx, gossip.Snapshot, s.takeSnapshot)
 	}()
 }
 
@@ -60,12 +60,12 @@
 
 // give answers a peer's request for a snapshot, once the start is over: before, this process knows less than
 // others. nil: the section is off.
-func (s *starter) give() func(peers.Kind) []byte {
+func (s *starter) give() func(gossip.Kind) []byte {
 	if s == nil {
 		return nil
 	}
-	return func(kind peers.Kind) []byte {
-		if kind != peers.Snapshot || !s.Over() {
+	return func(kind gossip.Kind) []byte {
+		if kind != gossip.Snapshot || !s.Over() {
 			return nil
 		}
 		snap := s.snapshot()
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,4 +1,4 @@
-// Package peers lets processes of one fleet know each other and exchange what they hold of the nodes. It is the
+// Package gossip lets processes of one fleet know each other and exchange what they hold of the nodes. It is the
 // driver of internal/nodestats: hashicorp/memberlist finds the members and carries the messages, all
 // rules of what is shared are in the state. Nothing waits for a peer: an outcome is put into a buffer that
 // is emptied elsewhere, and is counted and left out where the buffer is full.
@@ -7,7 +7,7 @@
 // the digest lacks, and its own digest for the other direction. What is lost is found by a later round.
 //
 // Off (no Start) there is no goroutine and no socket.
-package peers
+package gossip
 
 import (
 	"context"
--- a/internal/peers/peers_interleave_test.go
+++ b/internal/gossip/peers_interleave_test.go
@@ -1,6 +1,6 @@
 //go:build interleave
 
-package peers
+package gossip
 
 import (
 	"context"
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"fmt"
--- a/internal/nodestats/types.go
+++ b/internal/nodestats/types.go
@@ -14,7 +14,7 @@
 //   - a message that cannot be read, or is of a later version, changes nothing but a count;
 //   - origins, nodes, classes and bytes stay within Settings; what is beyond is counted.
 //
-// It does not send, read a clock or lock: internal/peers does.
+// It does not send, read a clock or lock: internal/gossip does.
 package nodestats
 
 import (
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/peers_test.go
@@ -391,7 +391,7 @@
 	return n
 }
 
-// Without the section a daemon holds no UDP socket and runs no goroutine of internal/peers or the library: its
+// Without the section a daemon holds no UDP socket and runs no goroutine of internal/gossip or the library: its
 // stacks, which SIGQUIT makes it print, have none. The daemons beside it have both.
 func TestPeersOff(t *testing.T) {
 	w := &sharing{}
@@ -417,7 +417,7 @@
 		if !strings.Contains(text, "wheatsaddle/internal/core.") {
 			t.Fatalf("daemon %d has not printed its stacks", i)
 		}
-		for _, part := range []string{"wheatsaddle/internal/peers.", "hashicorp/memberlist."} {
+		for _, part := range []string{"wheatsaddle/internal/gossip.", "hashicorp/memberlist."} {
 			if strings.Contains(text, part) != (i > 0) {
 				t.Errorf("daemon %d, %s: %v", i, part, i == 0)
 			}
--- a/internal/testkit/cluster/stranger_test.go
+++ b/internal/testkit/cluster/stranger_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// Tags of internal/peers: a digest that asks for one in return, cells, what one that starts asks for (a number, the kind,
+// Tags of internal/gossip: a digest that asks for one in return, cells, what one that starts asks for (a number, the kind,
 // its name) and what it is given (the number, a snapshot).
 const tagAsk, tagReply, tagCells, tagWant, tagGive = 'a', 'b', 'c', 'd', 'e'
 
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -105,7 +105,7 @@
 	return w, nil
 }
 
-// round is what internal/peers does: the process asks the next of the others, in a drawn order, and each gives the other
+// round is what internal/gossip does: the process asks the next of the others, in a drawn order, and each gives the other
 // what it lacks.
 func (w *world) round(p int, every float64, turns []int) {
 	if len(turns) == 0 {
