--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gathered.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/meter"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/scatter"
+	"wheatsaddle/internal/scattergather"
 )
 
 // gatherer gives the front its service of gathered reads, and a new one when the site's file or the settings change.
@@ -18,21 +18,21 @@
 	views views           // nil: nothing is shared
 	alive func() []string // names of the processes that are up; nil: nothing is shared
 	log   logrus.FieldLogger
-	reads scatter.Gate  // bounds the gathered reads at once
-	tally scatter.Tally // counts of all trees
+	reads scattergather.Gate  // bounds the gathered reads at once
+	tally scattergather.Tally // counts of all trees
 
-	tree    scatter.Grouper  // nil: this process asks for each part itself
-	treeSet *config.SiteTree // the settings of tree
+	tree    scattergather.Grouper // nil: this process asks for each part itself
+	treeSet *config.SiteTree      // the settings of tree
 }
 
 // gatherRules are the section's rules by class, checked against the configuration.
-func gatherRules(set *config.SiteGather, conf *config.Config) (map[string]scatter.Rules, error) {
+func gatherRules(set *config.SiteGather, conf *config.Config) (map[string]scattergather.Rules, error) {
 	if err := set.Check(conf.Settings, conf.MemoryMB); err != nil {
 		return nil, err
 	}
-	safe, rules := safeClasses(conf.Settings), map[string]scatter.Rules{}
+	safe, rules := safeClasses(conf.Settings), map[string]scattergather.Rules{}
 	for class, merge := range set.Rules {
-		rules[class] = scatter.Rules{
+		rules[class] = scattergather.Rules{
 			Merge:  merge,
 			Share:  set.Share,
 			AtOnce: set.AtOnce,
@@ -60,7 +60,7 @@
 		return err
 	}
 	g.tree, g.treeSet = tree, set.Tree
-	service := &scatter.Service{
+	service := &scattergather.Service{
 		Core:      g.core,
 		Classes:   classes,
 		Shards:    g.core.Shards,
@@ -109,18 +109,18 @@
 // count registers the counts of gathered reads.
 func (g *gatherer) count(m *meter.Meter) {
 	m.Gauge(func() float64 { return float64(g.reads.In()) }, "gather_reads")
-	gauges(m, g.tally.Counts, map[string]func(scatter.TreeCounts) int{
-		"gather_tree_reads":       func(c scatter.TreeCounts) int { return c.Handed },
-		"gather_tree_groups":      func(c scatter.TreeCounts) int { return c.Groups },
-		"gather_tree_taken_over":  func(c scatter.TreeCounts) int { return c.TakenOver },
-		"gather_tree_copies":      func(c scatter.TreeCounts) int { return c.Asked },
-		"gather_tree_own_copies":  func(c scatter.TreeCounts) int { return c.Own },
-		"gather_tree_good_copies": func(c scatter.TreeCounts) int { return c.Good },
-		"gather_tree_rows":        func(c scatter.TreeCounts) int { return c.Rows },
-		"gather_tree_set_aside":   func(c scatter.TreeCounts) int { return c.SetAside },
-		"gather_tree_connections": func(c scatter.TreeCounts) int { return c.Connected },
+	gauges(m, g.tally.Counts, map[string]func(scattergather.TreeCounts) int{
+		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
+		"gather_tree_groups":      func(c scattergather.TreeCounts) int { return c.Groups },
+		"gather_tree_taken_over":  func(c scattergather.TreeCounts) int { return c.TakenOver },
+		"gather_tree_copies":      func(c scattergather.TreeCounts) int { return c.Asked },
+		"gather_tree_own_copies":  func(c scattergather.TreeCounts) int { return c.Own },
+		"gather_tree_good_copies": func(c scattergather.TreeCounts) int { return c.Good },
+		"gather_tree_rows":        func(c scattergather.TreeCounts) int { return c.Rows },
+		"gather_tree_set_aside":   func(c scattergather.TreeCounts) int { return c.SetAside },
+		"gather_tree_connections": func(c scattergather.TreeCounts) int { return c.Connected },
 	})
-	for _, code := range scatter.Codes {
+	for _, code := range scattergather.Codes {
 		m.Gauge(func() float64 { return float64(g.tally.Failures(code)) }, "gather_tree_failures", "code", code)
 	}
 }
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/tree.go
@@ -5,7 +5,7 @@
 
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/scatter"
+	"wheatsaddle/internal/scattergather"
 )
 
 // requestIDMost is the longest request id, in bytes, that a process accepts of its clients; a peer is one.
@@ -13,14 +13,14 @@
 
 // openTree opens the tree of processes that share the parts of a read. The current tree stays, with what it knows of its
 // peers, while the settings stay. nil: the section names no other process, and this one asks for each part itself.
-func (g *gatherer) openTree(set *config.SiteTree, conf *config.Config) (scatter.Grouper, error) {
+func (g *gatherer) openTree(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
 	if err := mayAskPeers(set, conf); err != nil || set == nil {
 		return nil, err
 	}
 	if g.tree != nil && reflect.DeepEqual(g.treeSet, set) {
 		return g.tree, nil
 	}
-	opt := scatter.TreeOptions{
+	opt := scattergather.TreeOptions{
 		Seed:      uint64(conf.Seed),
 		Conns:     set.Connections,
 		BytesMost: set.BytesMost,
@@ -30,7 +30,7 @@
 		Limited:   map[string]bool{},
 		Alive:     g.alive,
 		Tally:     &g.tally,
-		Rules: scatter.TreeRules{
+		Rules: scattergather.TreeRules{
 			LeastParts: set.LeastParts,
 			GroupMost:  set.GroupMost,
 			FanOut:     set.FanOut,
@@ -45,13 +45,13 @@
 	}
 	for _, p := range set.Peers {
 		if p.Name != conf.Name { // one file may serve all processes
-			opt.Peers = append(opt.Peers, scatter.Peer(p))
+			opt.Peers = append(opt.Peers, scattergather.Peer(p))
 		}
 	}
 	if len(opt.Peers) == 0 {
 		return nil, nil
 	}
-	tree, err := scatter.OpenTree(opt) // without reads a tree has no goroutine and no socket: the one before needs no close
+	tree, err := scattergather.OpenTree(opt) // without reads a tree has no goroutine and no socket: the one before needs no close
 	if err != nil {
 		return nil, err
 	}
--- a/gather/doc.go
+++ b/gather/doc.go
@@ -33,6 +33,6 @@
 // the bound that ends a top k early is that of Fagin, Lotem and Naor, "Optimal aggregation algorithms for middleware"
 // (2003).
 //
-// It does not: send, time out, choose replicas or hedge (internal/scatter will), sort parts that are not sorted,
+// It does not: send, time out, choose replicas or hedge (internal/scattergather will), sort parts that are not sorted,
 // or bring together rows whose keys are not neighbours in the order.
 package gather
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/scatter"
+	"wheatsaddle/internal/scattergather"
 	"wheatsaddle/internal/sock"
 )
 
@@ -35,7 +35,7 @@
 )
 
 // Gather takes the service of gathered reads from now on; nil: they are off. Reads under way end as they began.
-func (s *Server) Gather(svc *scatter.Service) { s.gathered.Store(svc) }
+func (s *Server) Gather(svc *scattergather.Service) { s.gathered.Store(svc) }
 
 // GatherPart is what the nodes are sent for a part: the client's read under the part's id, with its shard, units and rows.
 func GatherPart(client, part *core.Request, rows int) any {
@@ -57,38 +57,40 @@
 }
 
 // GatherBody is a node's answer to a part.
-func GatherBody(payload any) scatter.Body {
+func GatherBody(payload any) scattergather.Body {
 	rep := payload.(*reply)
 	if rep.relay == nil {
-		return scatter.Body{Data: rep.body, Limited: rep.limited}
+		return scattergather.Body{Data: rep.body, Limited: rep.limited}
 	}
-	return scatter.Body{Rest: rep.relay, Cut: rep.relay.Cut, Limited: rep.limited}
+	return scattergather.Body{Rest: rep.relay, Cut: rep.relay.Cut, Limited: rep.limited}
 }
 
 // decodeGather reads what a client asks of a gathered read.
-func decodeGather(h *fasthttp.RequestHeader, b *bounds) (q scatter.Query, err error) {
+func decodeGather(h *fasthttp.RequestHeader, b *bounds) (q scattergather.Query, err error) {
 	if !h.IsGet() {
-		return q, &scatter.NotRead{Why: "writes are never gathered"}
+		return q, &scattergather.NotRead{Why: "writes are never gathered"}
 	}
 	if string(h.Protocol()) != "HTTP/1.1" {
-		return q, &scatter.NotRead{Why: "rows need HTTP/1.1"}
+		return q, &scattergather.NotRead{Why: "rows need HTTP/1.1"}
 	}
 	for _, name := range []string{hdrGather, hdrToken, hdrPartial, hdrRows} {
 		if len(h.PeekAll(name)) > 1 {
-			return q, &scatter.NotRead{Why: name + " twice"}
+			return q, &scattergather.NotRead{Why: name + " twice"}
 		}
 	}
 	q.Token, q.Partial = string(h.Peek(hdrToken)), string(h.Peek(hdrPartial)) == "1"
 	if text := string(h.Peek(hdrRows)); q.Partial && text != "" {
 		if q.Rows, err = strconv.Atoi(text); err != nil || q.Rows < 0 {
-			return q, &scatter.NotRead{Why: hdrRows + " is not a number of rows"}
+			return q, &scattergather.NotRead{Why: hdrRows + " is not a number of rows"}
 		}
 	}
 	text := string(h.Peek(hdrGather))
 	if q.All = text == "all"; q.All {
 		return q, nil
 	}
-	bad := func(why string) (scatter.Query, error) { return q, &scatter.ShardsBad{Shards: text, Why: why} }
+	bad := func(why string) (scattergather.Query, error) {
+		return q, &scattergather.ShardsBad{Shards: text, Why: why}
+	}
 	if len(text) > shardsText {
 		return bad("is too long")
 	}
@@ -118,16 +120,16 @@
 
 // gather answers a gathered read. What goes wrong before the first row has a code of its own; after it, the answer is either
 // whole with its result or cut.
-func (s *Server) gather(ctx *fasthttp.RequestCtx, r *core.Request, svc *scatter.Service, b *bounds) {
+func (s *Server) gather(ctx *fasthttp.RequestCtx, r *core.Request, svc *scattergather.Service, b *bounds) {
 	q, err := decodeGather(&ctx.Request.Header, b)
 	if err != nil {
-		writeFinal(ctx, scatter.Final{Kind: scatter.Invalid, Err: err})
+		writeFinal(ctx, scattergather.Final{Kind: scattergather.Invalid, Err: err})
 		return
 	}
 	conn := ctx.Conn().(*sock.Conn)
 	run, leave := context.WithCancel(context.Background())
 	g := &gathering{conn: conn, leave: leave, head: &ctx.Response.Header, late: r.Arrived.Add(r.Patience + writeMargin),
-		pieces: make(chan []byte), took: make(chan struct{}, 1), gone: make(chan struct{}), ended: make(chan scatter.Final, 1), over: make(chan struct{})}
+		pieces: make(chan []byte), took: make(chan struct{}, 1), gone: make(chan struct{}), ended: make(chan scattergather.Final, 1), over: make(chan struct{})}
 	g.left = conn.Watch()
 	r.Gone = g.off
 	go func() {
@@ -138,7 +140,7 @@
 	case g.piece = <-g.pieces:
 		g.open = true
 	case f := <-g.ended:
-		if f.Kind != scatter.Served {
+		if f.Kind != scattergather.Served {
 			_ = g.Close()
 			writeFinal(ctx, f)
 			return
@@ -169,7 +171,7 @@
 	pieces chan []byte
 	took   chan struct{}
 	gone   chan struct{} // closed with the gathering
-	ended  chan scatter.Final
+	ended  chan scattergather.Final
 	over   chan struct{} // closed when the read has returned
 	piece  []byte
 	open   bool // a piece is being taken
@@ -213,7 +215,7 @@
 		case g.piece = <-g.pieces:
 			g.open = true
 		case f := <-g.ended:
-			if f.Kind != scatter.Served && f.Kind != scatter.Short {
+			if f.Kind != scattergather.Served && f.Kind != scattergather.Short {
 				return 0, errShort // not EOF: the server must not end the answer as if it had its result
 			}
 			g.head.Set(hdrResult, string(f.Report(true).JSON()))
@@ -239,24 +241,24 @@
 }
 
 // writeFinal answers a read of which no row went out.
-func writeFinal(ctx *fasthttp.RequestCtx, f scatter.Final) {
+func writeFinal(ctx *fasthttp.RequestCtx, f scattergather.Final) {
 	code := fasthttp.StatusBadGateway
 	switch f.Kind {
-	case scatter.Invalid:
+	case scattergather.Invalid:
 		code = fasthttp.StatusBadRequest
-	case scatter.Refused:
+	case scattergather.Refused:
 		code = fasthttp.StatusServiceUnavailable
 		f.RetryAfter = max(f.RetryAfter, retryLeast)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64))
-	case scatter.Late:
+	case scattergather.Late:
 		code = fasthttp.StatusGatewayTimeout
-	case scatter.Short:
+	case scattergather.Short:
 		for _, p := range f.Result.Parts {
-			var failed *scatter.Failed
+			var failed *scattergather.Failed
 			switch {
 			case errors.As(p.Why, &failed):
 				code = failedAs(core.Cause(failed.Cause))
-			case errors.As(p.Why, new(*scatter.OutOfTime)):
+			case errors.As(p.Why, new(*scattergather.OutOfTime)):
 				code = fasthttp.StatusGatewayTimeout
 			default:
 				continue
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/scatter"
+	"wheatsaddle/internal/scattergather"
 	storage "wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/policy"
 )
@@ -31,7 +31,7 @@
 type spread struct {
 	t       *testing.T
 	srv     *Server
-	svc     *scatter.Service
+	svc     *scattergather.Service
 	core    *core.Core
 	nodes   []*storage.Node
 	listed  []core.Node
@@ -73,11 +73,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := scatter.Rules{Merge: merge, Share: 0.1, AtOnce: 3, Again: 1, Safe: true}
+	one := scattergather.Rules{Merge: merge, Share: 0.1, AtOnce: 3, Again: 1, Safe: true}
 	once := one
 	once.Safe = false
-	w.svc = &scatter.Service{Core: w.core, Classes: map[string]scatter.Rules{"balance-read": one, "once": once}, Shards: w.core.Shards,
-		PartMost: 8 << 20, PartsMost: 16, Reads: &scatter.Gate{}, Payload: GatherPart, Body: GatherBody}
+	w.svc = &scattergather.Service{Core: w.core, Classes: map[string]scattergather.Rules{"balance-read": one, "once": once}, Shards: w.core.Shards,
+		PartMost: 8 << 20, PartsMost: 16, Reads: &scattergather.Gate{}, Payload: GatherPart, Body: GatherBody}
 	w.svc.Reads.Set(2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/scatter"
+	"wheatsaddle/internal/scattergather"
 	"wheatsaddle/internal/sock"
 	"wheatsaddle/policy"
 )
@@ -45,7 +45,7 @@
 	leaves atomic.Bool // each answer closes its connection
 	ends   atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
 
-	gathered atomic.Pointer[scatter.Service] // nil: reads are not gathered
+	gathered atomic.Pointer[scattergather.Service] // nil: reads are not gathered
 }
 
 // NewServer makes the front; conns caps the clients' connections. Set is for what is answered before its head was read; all
--- a/internal/scatter/plan.go
+++ b/internal/scattergather/plan.go
@@ -1,4 +1,4 @@
-// Package scatter asks the parts of a gathered read and ends it with one answer. Gather decides: it knows no wire,
+// Package scattergather asks the parts of a gathered read and ends it with one answer. Gather decides: it knows no wire,
 // clock or goroutine; time goes in, what to ask and what to call off comes out. Run carries it out.
 //
 // Invariants:
@@ -15,7 +15,7 @@
 //	S10 An asking names those of its part that failed, were refused or are out, so that it can pass over the nodes that they went to;
 //	    those that stopped at a limit are not among them.
 //	S9  The final answer comes at the client's deadline at the latest.
-package scatter
+package scattergather
 
 import (
 	"encoding/binary"
--- a/internal/scatter/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -1,6 +1,6 @@
 //go:build interleave
 
-package scatter
+package scattergather
 
 import (
 	"bytes"
--- a/internal/scatter/tree_ask_test.go
+++ b/internal/scattergather/tree_ask_test.go
@@ -1,4 +1,4 @@
-package scatter
+package scattergather
 
 import (
 	"context"
--- a/internal/testkit/errorpage/main.go
+++ b/internal/testkit/errorpage/main.go
@@ -28,7 +28,7 @@
 	_ "wheatsaddle/internal/nodestats"
 	_ "wheatsaddle/internal/operator"
 	_ "wheatsaddle/internal/replay"
-	_ "wheatsaddle/internal/scatter"
+	_ "wheatsaddle/internal/scattergather"
 	_ "wheatsaddle/internal/sock"
 	_ "wheatsaddle/internal/testkit/cluster"
 	_ "wheatsaddle/internal/testkit/fake/discovery"
--- a/internal/testkit/errorpage/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -70,7 +70,7 @@
 // The packages of many processes give no bare errors over their public functions; one that is not
 // there yet is passed over.
 func TestNewPackagesGiveNoBareErrors(t *testing.T) {
-	for _, p := range []string{"gather", "internal/scatter", "internal/cost", "internal/nodestats", "internal/gossip", "internal/coldstart",
+	for _, p := range []string{"gather", "internal/scattergather", "internal/cost", "internal/nodestats", "internal/gossip", "internal/coldstart",
 		"internal/coldstart/snapshot", "internal/discovery/watchtimer", "internal/meter"} {
 		found, err := sourcelint.BareErrors(filepath.Join(root, p))
 		if err != nil {
