--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -4,10 +4,10 @@
 	"runtime"
 	"time"
 
+	"wheatsaddle/internal/admin"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/cost"
 	"wheatsaddle/internal/nodestats"
-	"wheatsaddle/internal/operator"
 )
 
 // estimateLimit is the longest that an estimate computes: the admin endpoint answers within a second.
@@ -18,12 +18,12 @@
 
 // estimates is the admin endpoint's call for estimates; nil: the site's file has no section estimate. Each call has an
 // estimator of its own: calls share no state with each other or with the data path.
-func estimates(set *config.SiteEstimate, conf *config.Config, shared views) *operator.Estimate {
+func estimates(set *config.SiteEstimate, conf *config.Config, shared views) *admin.Estimate {
 	if set == nil {
 		return nil
 	}
 	s := costSettings(set, conf)
-	return operator.NewEstimate(func(body []byte) ([]byte, error) {
+	return admin.NewEstimate(func(body []byte) ([]byte, error) {
 		begin := time.Now()
 		plans, deadline, err := cost.ParsePlans(body)
 		if err != nil {
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -14,13 +14,13 @@
 	"github.com/urfave/cli/v2"
 	"golang.org/x/sync/semaphore"
 
+	"wheatsaddle/internal/admin"
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/operator"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/sock"
@@ -260,7 +260,7 @@
 
 // openAdmin starts the admin endpoint, if the configuration names its address.
 func (s *service) openAdmin() error {
-	admin := &operator.AdminEndpoint{
+	admin := &admin.AdminEndpoint{
 		Estimate: estimates(s.site.held.Estimate, s.conf, s.fleet.views()),
 		Ready:    s.ready,
 		Counts:   s.core.Counts().Read,
@@ -280,7 +280,7 @@
 	return nil
 }
 
-func (s *service) serveAdmin(admin *operator.AdminEndpoint, ln net.Listener) {
+func (s *service) serveAdmin(admin *admin.AdminEndpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
 		ended := &sock.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
--- a/internal/operator/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -1,4 +1,4 @@
-// Package operator is the admin endpoint: a second address, solely for operators, with four
+// Package admin is the admin endpoint: a second address, solely for operators, with four
 // calls (ready, telemetry, exclude, include) and, where it is given one, a fifth (estimate). It decides nothing of the data path; it reads the
 // counts of core and hands excludes and includes to whoever holds them.
 //
@@ -6,7 +6,7 @@
 // for seconds without a whole call. So the endpoint has its own connections, goroutines and caps:
 // at most connsMost open, the oldest closed for a newcomer, each with readFor to bring its call
 // and writeFor to take the answer, and one call a connection.
-package operator
+package admin
 
 import (
 	"encoding/json"
--- a/internal/operator/estimate.go
+++ b/internal/admin/estimate.go
@@ -1,4 +1,4 @@
-package operator
+package admin
 
 import (
 	"encoding/json"
--- a/internal/testkit/errorpage/main.go
+++ b/internal/testkit/errorpage/main.go
@@ -13,6 +13,7 @@
 	// The packages whose errors reach an operator; the test names one that is missing here.
 	_ "wheatsaddle/gather"
 	_ "wheatsaddle/internal/address"
+	_ "wheatsaddle/internal/admin"
 	_ "wheatsaddle/internal/coldstart"
 	_ "wheatsaddle/internal/coldstart/snapshot"
 	_ "wheatsaddle/internal/config"
@@ -26,7 +27,6 @@
 	_ "wheatsaddle/internal/iscsi"
 	_ "wheatsaddle/internal/meter"
 	_ "wheatsaddle/internal/nodestats"
-	_ "wheatsaddle/internal/operator"
 	_ "wheatsaddle/internal/replay"
 	_ "wheatsaddle/internal/scattergather"
 	_ "wheatsaddle/internal/sock"
