--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/gossip"
-	"wheatsaddle/internal/meter"
+	"wheatsaddle/internal/metrics"
 	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/policy"
@@ -114,7 +114,7 @@
 }
 
 // count registers the counts of what is shared.
-func (f *fleet) count(m *meter.Meter) {
+func (f *fleet) count(m *metrics.Meter) {
 	if f == nil {
 		return
 	}
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -18,7 +18,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/gossip"
-	"wheatsaddle/internal/meter"
+	"wheatsaddle/internal/metrics"
 	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/policy"
 )
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := meter.Serve(ln, log)
+	m := metrics.Serve(ln, log)
 	defer m.Close()
 	b.count(m)
 	told := func(lines ...string) bool {
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/iscsi"
-	"wheatsaddle/internal/meter"
+	"wheatsaddle/internal/metrics"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/sock"
 )
@@ -22,8 +22,8 @@
 	file   string
 	held   *config.Site // as last read
 	routes *httpfront.Routes
-	blocks *iscsi.Dialer // nil: no iSCSI front
-	meter  *meter.Meter  // nil: no counts but the admin endpoint's
+	blocks *iscsi.Dialer  // nil: no iSCSI front
+	meter  *metrics.Meter // nil: no counts but the admin endpoint's
 	log    logrus.FieldLogger
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return fmt.Errorf("site: metrics: %w", err)
 	}
-	s.meter = meter.Serve(ln, s.log)
+	s.meter = metrics.Serve(ln, s.log)
 	s.meter.Gauge(func() float64 { return 1 }, "info", "version", version)
 	s.log.WithField("address", ln.Addr().String()).Info("counts are served")
 	return nil
--- a/internal/meter/meter.go
+++ b/internal/metrics/meter.go
@@ -1,4 +1,4 @@
-// Package meter is the registry of the counts that the parts on many processes keep, in the text form
+// Package metrics is the registry of the counts that the parts on many processes keep, in the text form
 // of Prometheus. It is on where the site's file has a section metrics, and is nil else: counters then
 // count for nobody and cost the same, gauges and histograms are not kept, and there is neither a
 // goroutine nor a socket.
@@ -8,7 +8,7 @@
 // is counted in wheatsaddle_meter_left_out and not shown; Close leaves no goroutine behind.
 //
 // It does not hold the operators' telemetry: those counts are core's, and are served by the door.
-package meter
+package metrics
 
 import (
 	"errors"
--- a/internal/meter/refused_test.go
+++ b/internal/metrics/refused_test.go
@@ -1,4 +1,4 @@
-package meter
+package metrics
 
 import (
 	"fmt"
--- a/internal/testkit/errorpage/main.go
+++ b/internal/testkit/errorpage/main.go
@@ -25,7 +25,7 @@
 	_ "wheatsaddle/internal/gossip"
 	_ "wheatsaddle/internal/handover"
 	_ "wheatsaddle/internal/iscsi"
-	_ "wheatsaddle/internal/meter"
+	_ "wheatsaddle/internal/metrics"
 	_ "wheatsaddle/internal/nodestats"
 	_ "wheatsaddle/internal/replay"
 	_ "wheatsaddle/internal/scattergather"
--- a/internal/testkit/errorpage/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -71,7 +71,7 @@
 // there yet is passed over.
 func TestNewPackagesGiveNoBareErrors(t *testing.T) {
 	for _, p := range []string{"gather", "internal/scattergather", "internal/cost", "internal/nodestats", "internal/gossip", "internal/coldstart",
-		"internal/coldstart/snapshot", "internal/discovery/watchtimer", "internal/meter"} {
+		"internal/coldstart/snapshot", "internal/discovery/watchtimer", "internal/metrics"} {
 		found, err := sourcelint.BareErrors(filepath.Join(root, p))
 		if err != nil {
 			t.Fatal(err)
