--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,9 +12,9 @@
 	"github.com/sirupsen/logrus"
 
 	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/deadline"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/interleave/sync/atomic"
-	"wheatsaddle/internal/margin"
 	"wheatsaddle/policy"
 )
 
@@ -65,7 +65,7 @@
 
 	counts       *Counts // any goroutine reads
 	countedAt    float64 // when the nodes that the module avoids were last counted
-	late         margin.Gauge
+	late         deadline.Gauge
 	lateLogged   time.Time // when a late answer was last logged
 	lateUnlogged int       // late answers since then
 
--- a/internal/core/margin_test.go
+++ b/internal/core/margin_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"wheatsaddle/internal/margin"
+	"wheatsaddle/internal/deadline"
 	"wheatsaddle/policy"
 )
 
@@ -23,7 +23,7 @@
 			r.Submit(q)
 			return <-got // nobody answers the attempt
 		}
-		if left := ends("first"); left < margin.Least-10*time.Millisecond || left > margin.Least+10*time.Millisecond {
+		if left := ends("first"); left < deadline.Least-10*time.Millisecond || left > deadline.Least+10*time.Millisecond {
 			t.Errorf("given up %v before the client does", left)
 		}
 		for range 4 { // the actor is held up, as by a processor that is another's
@@ -33,8 +33,8 @@
 		if left := ends("late"); left < 3*20*time.Millisecond {
 			t.Errorf("given up %v before the client does, with timers some 40 ms late", left)
 		}
-		time.Sleep(2*margin.Span + time.Second)
-		if left := ends("after"); left > margin.Least+10*time.Millisecond {
+		time.Sleep(2*deadline.Span + time.Second)
+		if left := ends("after"); left > deadline.Least+10*time.Millisecond {
 			t.Errorf("given up %v before the client does, long after", left)
 		}
 	})
--- a/internal/margin/margin.go
+++ b/internal/deadline/margin.go
@@ -1,4 +1,4 @@
-// Package margin owns how long before its client gives up a request must have ended: the answer has
+// Package deadline owns how long before its client gives up a request must have ended: the answer has
 // still to be written and to travel, and this host's own processor may be late for both. On a small
 // share of a core a timer comes late by many milliseconds; what a constant leaves for the answer is
 // gone by then. So the margin follows how late timers were of late.
@@ -9,7 +9,7 @@
 //   - With no lateness seen for twice Span it is Least again.
 //
 // It knows no clock and does no I/O: the caller gives the time and what it saw.
-package margin
+package deadline
 
 import "time"
 
--- a/internal/margin/margin_test.go
+++ b/internal/deadline/margin_test.go
@@ -1,4 +1,4 @@
-package margin
+package deadline
 
 import (
 	"testing"
--- a/internal/scattergather/service.go
+++ b/internal/scattergather/service.go
@@ -10,7 +10,7 @@
 
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/margin"
+	"wheatsaddle/internal/deadline"
 )
 
 const (
@@ -123,7 +123,7 @@
 				return s.run(ctx, rules, now, until.Sub(now), of, sub, Query{Partial: true, Rows: a.Rows}, write)
 			}})
 	}
-	late := (&margin.Gauge{}).Margin(0, r.Patience) // the client counts from its own send
+	late := (&deadline.Gauge{}).Margin(0, r.Patience) // the client counts from its own send
 	return s.run(ctx, rules, r.Arrived, r.Patience-late, parts, asker, ask, write)
 }
 
