--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/iscsi"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -40,7 +40,7 @@
 	}
 	dialer.Report(co.List)
 	co.List(core.News{Kind: policy.ListStale, Nodes: iscsi.Nodes(mapping)})
-	ln, err := sock.ListenTCP(mapping.Listen)
+	ln, err := transport.ListenTCP(mapping.Listen)
 	if err != nil {
 		co.Stop()
 		return nil, fmt.Errorf("iscsi: listen: %w", err)
@@ -58,7 +58,7 @@
 	}
 	go func() {
 		if err := f.target.Serve(ln); err != nil {
-			log.WithFields(operr.Fields(&sock.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
+			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
 		}
 	}()
 	log.WithFields(logrus.Fields{"listen": mapping.Listen, "targets": len(mapping.Targets), "storage": len(mapping.Storage)}).Info("serving iscsi")
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/handover"
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // handoverTimes are the intervals of a process whose clients' socket was passed to it.
@@ -28,8 +28,8 @@
 // passedSocket drives the handover of a passed clients' socket between processes: it feeds events to the state machine
 // handover.Book and carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
-	gate        *sock.Gate // holds accepts back
-	lock        *sock.Lock // held by the process that accepts
+	gate        *transport.Gate // holds accepts back
+	lock        *transport.Lock // held by the process that accepts
 	machine     *handover.Book
 	core        *core.Core
 	front       *httpfront.Server
@@ -46,8 +46,8 @@
 		return nil
 	}
 	return &passedSocket{
-		gate:        sock.NewGate(),
-		lock:        sock.LockOf(os.TempDir(), ln.Addr()),
+		gate:        transport.NewGate(),
+		lock:        transport.LockOf(os.TempDir(), ln.Addr()),
 		machine:     handover.New(handoverTimes),
 		log:         log,
 		began:       time.Now(),
@@ -57,7 +57,7 @@
 }
 
 // acceptGate holds accepts back; nil: nothing does.
-func (s *passedSocket) acceptGate() *sock.Gate {
+func (s *passedSocket) acceptGate() *transport.Gate {
 	if s == nil {
 		return nil
 	}
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -23,7 +23,7 @@
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/pool"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -84,7 +84,7 @@
 	go s.reloadOnHangup()
 	select {
 	case err := <-s.ended:
-		return &sock.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
+		return &transport.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
 	case <-s.order.asked:
 	}
 	s.shutDown()
@@ -269,7 +269,7 @@
 		Include:  s.exclusions.include,
 	}
 	if s.conf.Operator != "" {
-		ln, err := sock.ListenTCP(s.conf.Operator)
+		ln, err := transport.ListenTCP(s.conf.Operator)
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
@@ -282,7 +282,7 @@
 
 func (s *service) serveAdmin(admin *admin.AdminEndpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
-		ended := &sock.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
+		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
 	}
 }
@@ -363,13 +363,13 @@
 // clientListener is the clients' socket: the platform's, where it passes one, else bound here.
 func clientListener(conf *config.Config, log logrus.FieldLogger) (net.Listener, error) {
 	if conf.Passed == "" {
-		ln, err := sock.ListenTCP(conf.Listen)
+		ln, err := transport.ListenTCP(conf.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 		return ln, nil
 	}
-	ln, err := sock.Passed(conf.Passed)
+	ln, err := transport.Passed(conf.Passed)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -13,7 +13,7 @@
 	"wheatsaddle/internal/iscsi"
 	"wheatsaddle/internal/metrics"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // site is the site's file while the daemon runs: what the installation has beyond the platform. Without the file all of
@@ -47,7 +47,7 @@
 	if set == nil {
 		return nil
 	}
-	ln, err := sock.Listen(set.Address, set.Mode)
+	ln, err := transport.Listen(set.Address, set.Mode)
 	if err != nil {
 		return fmt.Errorf("site: metrics: %w", err)
 	}
@@ -103,10 +103,10 @@
 }
 
 // listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
-func (s *site) listen(front string, first net.Listener, gate *sock.Gate) (net.Listener, error) {
+func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
 	all := []net.Listener{gate.Listener(first)}
 	for i, l := range s.held.Listen[front] {
-		ln, err := sock.Listen(l.Address, l.Mode)
+		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
 			for _, open := range all {
 				open.Close()
@@ -116,5 +116,5 @@
 		s.log.WithFields(logrus.Fields{"front": front, "address": ln.Addr().String()}).Info("listening")
 		all = append(all, gate.Listener(ln))
 	}
-	return sock.Merge(all...), nil
+	return transport.Merge(all...), nil
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,7 +19,7 @@
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -188,7 +188,7 @@
 // runCall opens a connection, requests what followed the version, and reads messages until the connection ends.
 // It sets no read deadline: listclock detects silent calls and cancels the context.
 func (w *Watcher) runCall(ctx context.Context, address string, index int64, put func(callRead)) error {
-	conn, err := sock.DialTCP(ctx, address, dialTimeout)
+	conn, err := transport.DialTCP(ctx, address, dialTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -28,7 +28,7 @@
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/nodestats"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // What is sent: a digest that asks for one in return, one that does not, cells, or what is asked for by
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sock.Plain(nc)
+	return transport.Plain(nc)
 }
 
 func (v *via) WriteTo(b []byte, addr string) (time.Time, error) {
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/ahead_interleave_test.go
@@ -12,7 +12,7 @@
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -25,7 +25,7 @@
 		n, drains, tries, all := meet(fd, a.Req, time.Hour, 1)
 		n.dialer.ConnsMost = 2
 		dials, dial := 0, n.dialer.dial
-		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
+		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
 			dials++
 			return dial(ctx, a, wait)
 		}
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/closes_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 const readyText = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate := sock.NewGate()
+	gate := transport.NewGate()
 	f := newFrontOn(t, gate.Listener(ln), dialer(), say(fine))
 	var swept atomic.Int64
 	f.srv.http.ConnState = func(nc net.Conn, st fasthttp.ConnState) {
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -45,7 +45,7 @@
 	idleElement *list.Element // in the dialer's idle set, whose lock guards it
 	ctx         context.Context
 	stop        context.CancelFunc
-	socket      sock.Stream
+	socket      transport.Stream
 	reader      *bufio.Reader
 	timed       *timedReader
 	buffer      []byte
@@ -113,7 +113,7 @@
 
 // unusable says, right before an attempt is written, whether a used connection has been closed by the node or has
 // unexpected bytes to read: they would pass for the answer to this attempt.
-func (c *conn) unusable() bool { return c.used && !sock.Quiet(c.socket) }
+func (c *conn) unusable() bool { return c.used && !transport.Quiet(c.socket) }
 
 // ensureUp dials where the connection is not up yet, and records what that shows of the node's capacity.
 func (c *conn) ensureUp(ctx context.Context) error {
@@ -122,7 +122,7 @@
 	}
 	why, err := c.connect(ctx)
 	switch {
-	case err == nil && !sock.Quiet(c.socket): // closed before a request was written: nothing has run
+	case err == nil && !transport.Quiet(c.socket): // closed before a request was written: nothing has run
 		c.socket.Close()
 		c.capacity, err = capacityNone, errBadAnswer
 	case err == nil:
@@ -139,7 +139,7 @@
 	d := c.node.dialer
 	dial := d.dial
 	if dial == nil {
-		dial = sock.Dial
+		dial = transport.Dial
 	}
 	nc, why, err := dial(ctx, c.address, d.ConnectTimeout)
 	if err == nil {
@@ -149,7 +149,7 @@
 }
 
 // attach sets the socket of the connection and its readers.
-func (c *conn) attach(nc sock.Stream) {
+func (c *conn) attach(nc transport.Stream) {
 	c.socket = nc
 	c.timed = &timedReader{socket: c.socket}
 	c.reader = bufio.NewReaderSize(c.timed, readBufferSize)
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -17,7 +17,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -26,7 +26,7 @@
 // heldStream is a connection whose looks at its socket, and writes, a test may hold: the actor looks when it chooses the
 // connection, and the connection's goroutine right before it writes.
 type heldStream struct {
-	sock.Stream
+	transport.Stream
 	looks *looks
 }
 
@@ -74,8 +74,8 @@
 func watchedDialer() (*Dialer, *looks) {
 	l := &looks{at: make(chan *heldStream, 1), goOn: make(chan struct{})}
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
-		s, why, err := sock.Dial(ctx, a, wait)
+	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+		s, why, err := transport.Dial(ctx, a, wait)
 		if err != nil {
 			return nil, why, err
 		}
@@ -201,7 +201,7 @@
 // arrived waits until a connection's bytes, or its end, have come.
 func arrived(t *testing.T, h *heldStream) {
 	t.Helper()
-	waitFor(t, func() bool { return !sock.Quiet(h.Stream) })
+	waitFor(t, func() bool { return !transport.Quiet(h.Stream) })
 }
 
 // Between the actor's choice of a kept connection and the first byte of a request, a second answer to the request
@@ -318,7 +318,7 @@
 			p.Send(a)
 			h := <-l.at
 			// The actor reads it next when it has taken the attempt back.
-			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
+			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
 				begun <- true
 				<-goOn
 				return dial(context.Background(), to, wait)
@@ -387,7 +387,7 @@
 			d, l := watchedDialer()
 			d.ConnectTimeout = time.Hour // what ends does so for the drain
 			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
-			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
+			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
 				begun <- true
 				<-goOn // comes up late, whoever has given it up
 				return dial(context.Background(), a, wait)
@@ -572,7 +572,7 @@
 
 // sizes notes how long the writes on a connection are.
 type sizes struct {
-	sock.Stream
+	transport.Stream
 	mu   *sync.Mutex
 	list *[]int
 }
@@ -593,8 +593,8 @@
 		d := dialer()
 		var mu sync.Mutex
 		var list []int
-		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
-			s, why, err := sock.Dial(ctx, a, wait)
+		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+			s, why, err := transport.Dial(ctx, a, wait)
 			return sizes{s, &mu, &list}, why, err
 		}
 		p := d.Connect("n", at(n.ln))
@@ -627,7 +627,7 @@
 			d, _ := watchedDialer()
 			d.ConnectTimeout = time.Hour
 			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
-			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
+			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
 				if to != old[0] {
 					return dial(ctx, to, wait)
 				}
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/crowd_test.go
@@ -12,7 +12,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -66,7 +66,7 @@
 // A connection on which nothing was asked gets no answer, however few the server may have: a request that is on its way would
 // take it for its own.
 func TestSilentConnectionsPastASmallCapGetNoAnswer(t *testing.T) {
-	ln, err := sock.ListenTCP("127.0.0.1:0")
+	ln, err := transport.ListenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -15,7 +15,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -33,7 +33,7 @@
 		told := make(chan int, 2)
 		d := dialer()
 		d.Wait = time.Hour // the second waits for the connection of the first
-		d.dial = func(context.Context, address.Addr, time.Duration) (sock.Stream, address.Why, error) {
+		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) {
 			time.Sleep(late)
 			ours, theirs := net.Pipe()
 			go func() {
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/mailbox"
 	"wheatsaddle/internal/pool"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -27,7 +27,7 @@
 	Log            logrus.FieldLogger // nil: no log
 	open           atomic.Int64       // connections that are open or being opened
 	idle           idleSet
-	dial           func(context.Context, address.Addr, time.Duration) (sock.Stream, address.Why, error) // nil: sock.Dial
+	dial           func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) // nil: transport.Dial
 }
 
 // Connect starts the actor of one storage node.
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -20,7 +20,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -79,7 +79,7 @@
 type quietSocket struct{ fd int }
 
 // dial comes up, fails, or hangs until it is given up.
-func (w *world) dial(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+func (w *world) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 	n := w.nodes[a]
 	draw, wait := w.draw(), w.within(20*time.Millisecond)
 	ctx, stop := context.WithTimeout(ctx, within)
--- a/internal/httpfront/expire_test.go
+++ b/internal/httpfront/expire_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // expiringListener accepts connections whose first read deadline ends at once, with a test's steps on both sides of it.
@@ -90,7 +90,7 @@
 		{"a request after the last look", none, readyText, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			bound, err := sock.ListenTCP("127.0.0.1:0")
+			bound, err := transport.ListenTCP("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,7 +98,7 @@
 			var client net.Conn
 			send := func(server syscall.Conn, text string) {
 				io.WriteString(client, text)
-				for text != none && sock.Quiet(server) {
+				for text != none && transport.Quiet(server) {
 					runtime.Gosched() // until it has come
 				}
 				crossed <- true
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -14,7 +14,7 @@
 
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scattergather"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // The fields of gathered reads: a client's, a part's, and what comes back.
@@ -126,7 +126,7 @@
 		writeFinal(ctx, scattergather.Final{Kind: scattergather.Invalid, Err: err})
 		return
 	}
-	conn := ctx.Conn().(*sock.Conn)
+	conn := ctx.Conn().(*transport.Conn)
 	run, leave := context.WithCancel(context.Background())
 	g := &gathering{conn: conn, leave: leave, head: &ctx.Response.Header, late: r.Arrived.Add(r.Patience + writeMargin),
 		pieces: make(chan []byte), took: make(chan struct{}, 1), gone: make(chan struct{}), ended: make(chan scattergather.Final, 1), over: make(chan struct{})}
@@ -163,7 +163,7 @@
 
 // gathering is a gathered read on its way to its client: Read and Close are the server's goroutine's, write is the read's.
 type gathering struct {
-	conn   *sock.Conn
+	conn   *transport.Conn
 	left   <-chan struct{}
 	leave  context.CancelFunc
 	head   *fasthttp.ResponseHeader
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -19,8 +19,8 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
 	storage "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -63,7 +63,7 @@
 
 // lateStream is a connection to a node.
 type lateStream struct {
-	sock.Stream
+	transport.Stream
 	of     *lately
 	closed chan struct{}
 }
@@ -91,9 +91,9 @@
 	l := &lately{t: t, network: network, dials: newBarrier(), writes: newBarrier(), quiets: newBarrier()}
 	closed := make(chan struct{}, 64)
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		l.dials.pass()
-		nc, why, err := sock.Dial(ctx, a, within)
+		nc, why, err := transport.Dial(ctx, a, within)
 		if err != nil {
 			return nil, why, err
 		}
@@ -339,9 +339,9 @@
 func TestGoneFromAGatheredRead(t *testing.T) {
 	dials := newBarrier()
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		dials.pass()
-		return sock.Dial(ctx, a, within)
+		return transport.Dial(ctx, a, within)
 	}
 	w := newSpreadOn(t, d, wholeRules, storage.Rows{Seed: 3, Count: 10})
 	t.Cleanup(dials.letGo)
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -19,7 +19,7 @@
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/mailbox"
 	"wheatsaddle/internal/pool"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -198,7 +198,7 @@
 func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan policy.Status) {
 	d := &Dialer{ConnsMost: 1, ConnIdle: time.Hour, Wait: wait}
 	drains = new(bool)
-	d.dial = func(context.Context, address.Addr, time.Duration) (sock.Stream, address.Why, error) {
+	d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) {
 		return &line{fd: fd, drains: drains}, 0, nil
 	}
 	n = actor(d, fd, "a", 0)
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/pool"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -179,7 +179,7 @@
 func (n *node) takeIdle() *conn {
 	for len(n.idle) > 0 {
 		c := n.idle[len(n.idle)-1]
-		if sock.Quiet(c.socket) { // the node has neither closed it nor written to it
+		if transport.Quiet(c.socket) { // the node has neither closed it nor written to it
 			n.idle = n.idle[:len(n.idle)-1]
 			if n.dialer.idle.remove(c) {
 				return c
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -16,7 +16,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -170,9 +170,9 @@
 	a, got := attempt(t, later())
 	a.StartBy = time.Now().Add(100 * time.Millisecond)
 	d := dialer()
-	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (sock.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
 		time.Sleep(time.Until(a.StartBy) + time.Millisecond)
-		return sock.Dial(ctx, to, wait)
+		return transport.Dial(ctx, to, wait)
 	}
 	p := d.Connect("n", at(ln))
 	defer p.Close()
--- a/internal/httpfront/paths.go
+++ b/internal/httpfront/paths.go
@@ -11,7 +11,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -47,7 +47,7 @@
 	node        *node
 	routes      *Routes
 	set         *RouteSettings
-	book        *sock.AddressLoop
+	book        *transport.AddressLoop
 	conns       map[address.Conn]*path
 	works       map[address.Req]*work
 	byAttempt   map[*core.Attempt]*work
@@ -84,7 +84,7 @@
 	if err != nil { // the settings were checked when they were read
 		panic("address settings: " + err.Error())
 	}
-	p.book = sock.NewAddressLoop(book, p.execute)
+	p.book = transport.NewAddressLoop(book, p.execute)
 	return p
 }
 
@@ -324,7 +324,7 @@
 	if t == nil || w == nil {
 		panic("the book writes what it has been told is over")
 	}
-	if !t.lastUsed.IsZero() && !sock.Quiet(t.socket) { // the node has closed it or written to it
+	if !t.lastUsed.IsZero() && !transport.Quiet(t.socket) { // the node has closed it or written to it
 		p.closePath(t)
 		p.book.Step(address.Event{Kind: address.Broken, Conn: t.id, Why: address.Unwritten})
 		return
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -19,8 +19,8 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	"wheatsaddle/internal/sock"
 	standnode "wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -326,10 +326,10 @@
 	r := newRouted(t, patient())
 	held := make(chan struct{})
 	var waiting atomic.Int64
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		waiting.Add(1)
 		<-held // it comes up late, whatever happens meanwhile
-		return sock.Dial(context.Background(), a, time.Minute)
+		return transport.Dial(context.Background(), a, time.Minute)
 	}
 	var results []chan core.Result
 	for range 10 {
@@ -365,11 +365,11 @@
 func TestPathsNoDescriptors(t *testing.T) {
 	r := newRouted(t, patient())
 	var lack atomic.Bool
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		if lack.Load() {
-			return nil, sock.DialFailure(syscall.EMFILE, a.Kind()), syscall.EMFILE
+			return nil, transport.DialFailure(syscall.EMFILE, a.Kind()), syscall.EMFILE
 		}
-		return sock.Dial(ctx, a, within)
+		return transport.Dial(ctx, a, within)
 	}
 	lack.Store(true)
 	for range 20 {
@@ -402,11 +402,11 @@
 // A machine without IPv6: said once for all nodes, at no more than info, and the others serve.
 func TestPathsNoIPv6(t *testing.T) {
 	r := newRouted(t, patient())
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		if a.Kind() == address.IPv6 {
-			return nil, sock.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
+			return nil, transport.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
 		}
-		return sock.Dial(ctx, a, within)
+		return transport.Dial(ctx, a, within)
 	}
 	for i := range 3 {
 		p := r.d.Connect(fmt.Sprint("n", i), r.at[1:])
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -6,7 +6,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -17,7 +17,7 @@
 // connection of another node is evicted for it. While it is dialled attempts may wait for it, and after that it
 // is idle like any other.
 func (n *node) preconnect(f func(policy.Status)) {
-	for k := len(n.idle); k > 0 && !sock.Quiet(n.idle[k-1].socket); k = len(n.idle) {
+	for k := len(n.idle); k > 0 && !transport.Quiet(n.idle[k-1].socket); k = len(n.idle) {
 		n.closeIdle(n.idle[k-1])
 	}
 	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {
--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/refused_test.go
@@ -15,8 +15,8 @@
 	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/sock"
 	"wheatsaddle/internal/testkit/fake/refuser"
+	"wheatsaddle/internal/transport"
 )
 
 // Where every copy past the process is refused, on clients' connections and on nodes': bodies and answers
@@ -28,7 +28,7 @@
 	}
 	defer ln.Close()
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (sock.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
 		nc, err := (&net.Dialer{Timeout: within}).DialContext(ctx, "tcp", a.String())
 		if err != nil {
 			return nil, address.Refused, err
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -15,7 +15,7 @@
 
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scattergather"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -36,7 +36,7 @@
 type Server struct {
 	Core    *core.Core
 	http    *fasthttp.Server
-	ln      atomic.Pointer[sock.Listener]
+	ln      atomic.Pointer[transport.Listener]
 	derived atomic.Pointer[bounds] // of the core's settings as last seen
 	// Bodies is the room that request bodies over 64 KiB share while they are held; nil: none
 	// is counted.
@@ -83,7 +83,7 @@
 
 // state tells the listener which connections are between requests.
 func state(nc net.Conn, st fasthttp.ConnState) {
-	c, ok := nc.(*sock.Conn)
+	c, ok := nc.(*transport.Conn)
 	if !ok {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // closeWithin closes the connection of a request that is answered while the rest of it may still come.
 func closeWithin(ctx *fasthttp.RequestCtx) {
-	if c, ok := ctx.Conn().(*sock.Conn); ok {
+	if c, ok := ctx.Conn().(*transport.Conn); ok {
 		c.DiscardInput()
 	}
 	ctx.SetConnectionClose()
@@ -136,7 +136,7 @@
 
 // Serve runs until Shutdown.
 func (s *Server) Serve(ln net.Listener, conns int) error {
-	l := sock.LimitWithOverflow(ln, conns, connsOver)
+	l := transport.LimitWithOverflow(ln, conns, connsOver)
 	s.ln.Store(l)
 	return s.http.Serve(l)
 }
@@ -179,7 +179,7 @@
 
 // parsed tells the connection how much of what was read from it is the request's.
 func parsed(ctx *fasthttp.RequestCtx) {
-	c, ok := ctx.Conn().(*sock.Conn)
+	c, ok := ctx.Conn().(*transport.Conn)
 	if !ok {
 		return
 	}
@@ -191,7 +191,7 @@
 
 // closeBehind closes the connection with the answer, unless a further request was read with this one.
 func closeBehind(ctx *fasthttp.RequestCtx) {
-	if c, ok := ctx.Conn().(*sock.Conn); !ok || !c.HasUnparsed() {
+	if c, ok := ctx.Conn().(*transport.Conn); !ok || !c.HasUnparsed() {
 		ctx.SetConnectionClose()
 	}
 }
@@ -205,7 +205,7 @@
 	if !s.leaves.Load() {
 		return
 	}
-	if c, ok := ctx.Conn().(*sock.Conn); !ok || !c.HasPendingInput() {
+	if c, ok := ctx.Conn().(*transport.Conn); !ok || !c.HasPendingInput() {
 		closeBehind(ctx)
 	}
 }
@@ -289,7 +289,7 @@
 		s.gather(ctx, r, svc, bounds)
 		return
 	}
-	conn := ctx.Conn().(*sock.Conn) // Serve wraps its listener
+	conn := ctx.Conn().(*transport.Conn) // Serve wraps its listener
 	left := conn.Watch()
 	r.Gone = conn.Gone
 	s.Core.Submit(r)
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -19,7 +19,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -408,7 +408,7 @@
 
 // login connects and logs in; why tells of an error what it says of the portal.
 func (p *peer) login(ctx context.Context, to address.Addr) (*link, address.Why, error) {
-	nc, why, err := sock.Dial(ctx, to, p.d.ConnectTimeout)
+	nc, why, err := transport.Dial(ctx, to, p.d.ConnectTimeout)
 	if err != nil {
 		return nil, why, err
 	}
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"wheatsaddle/internal/address"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 // portals is the part of a peer that keeps to its book of addresses. A connection of the book
@@ -18,7 +18,7 @@
 type portals struct {
 	p      *peer
 	set    *address.Settings
-	book   *sock.AddressLoop
+	book   *transport.AddressLoop
 	coming map[address.Conn]context.CancelFunc
 	up     map[address.Conn]*nexus
 	seq    address.Req
@@ -59,7 +59,7 @@
 	if err != nil { // they were checked when they were read
 		panic("address settings: " + err.Error())
 	}
-	o.book = sock.NewAddressLoop(book, o.do)
+	o.book = transport.NewAddressLoop(book, o.do)
 	return o
 }
 
--- a/internal/iscsi/target.go
+++ b/internal/iscsi/target.go
@@ -14,7 +14,7 @@
 	"wheatsaddle/internal/config"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
@@ -67,7 +67,7 @@
 
 // Serve accepts sessions until Shutdown.
 func (t *Target) Serve(ln net.Listener) error {
-	ln = sock.Limit(ln, t.conf.Sessions)
+	ln = transport.Limit(ln, t.conf.Sessions)
 	t.mu.Lock()
 	t.listener = ln
 	t.mu.Unlock()
--- a/internal/scattergather/tree_ask.go
+++ b/internal/scattergather/tree_ask.go
@@ -17,7 +17,7 @@
 	"wheatsaddle/gather"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/sock"
+	"wheatsaddle/internal/transport"
 )
 
 const (
@@ -409,7 +409,7 @@
 		t.count(func(n *TreeCounts) { n.Connected-- })
 		<-t.slots[x.Peer]
 	}()
-	nc, err := sock.DialTCP(ctx, t.addrs[x.Peer], 0) // until the context ends
+	nc, err := transport.DialTCP(ctx, t.addrs[x.Peer], 0) // until the context ends
 	if err != nil {
 		return 0, failed(err.Error())
 	}
--- a/internal/testkit/errorpage/main.go
+++ b/internal/testkit/errorpage/main.go
@@ -29,9 +29,9 @@
 	_ "wheatsaddle/internal/nodestats"
 	_ "wheatsaddle/internal/replay"
 	_ "wheatsaddle/internal/scattergather"
-	_ "wheatsaddle/internal/sock"
 	_ "wheatsaddle/internal/testkit/cluster"
 	_ "wheatsaddle/internal/testkit/fake/discovery"
+	_ "wheatsaddle/internal/transport"
 )
 
 const pageFile = "docs/ops/errors.md"
--- a/internal/testkit/sourcelint/calls_test.go
+++ b/internal/testkit/sourcelint/calls_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if of == "internal/sock" { // what it connects and listens it gives out as plain
+		if of == "internal/transport" { // what it connects and listens it gives out as plain
 			found = slices.DeleteFunc(found, func(s string) bool {
 				return strings.Contains(s, ": Dial") || strings.Contains(s, ": Listen") || strings.HasSuffix(s, ": FileListener")
 			})
--- a/internal/sock/sock.go
+++ b/internal/transport/sock.go
@@ -1,4 +1,4 @@
-// Package sock has the listening and dialled sockets of the HTTP and iSCSI fronts.
+// Package transport has the listening and dialled sockets of the HTTP and iSCSI fronts.
 //
 // Listener wraps a net.Listener with a cap on open connections. It keeps accepting over a lack of
 // descriptors, closes connections on which nothing is being asked when room is needed (evict.go),
@@ -9,7 +9,7 @@
 // Invariant: a request of which a byte was read is handed to the server. A connection that the
 // package closes by itself has had nothing read of a further request; its client sees an
 // end of file or a reset without a response, and may send the request elsewhere.
-package sock
+package transport
 
 import (
 	"errors"
--- a/internal/sock/sock_interleave_test.go
+++ b/internal/transport/sock_interleave_test.go
@@ -1,6 +1,6 @@
 //go:build interleave
 
-package sock
+package transport
 
 import (
 	"errors"
--- a/internal/sock/turn_test.go
+++ b/internal/transport/turn_test.go
@@ -1,4 +1,4 @@
-package sock
+package transport
 
 import (
 	"errors"
