--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -16,13 +16,13 @@
 
 	"wheatsaddle/internal/admin"
 	"wheatsaddle/internal/config"
+	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
 	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/httpfront"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -204,7 +204,7 @@
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
 		ConnsMost:      int64(s.nodeConns),
-		Wait:           pool.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
+		Wait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
 		Safe:           safeClasses(s.conf.Settings),
 		Routes:         s.site.routes,
 		Log:            s.log,
--- a/internal/pool/pool.go
+++ b/internal/connqueue/pool.go
@@ -1,4 +1,4 @@
-// Package pool owns which attempts wait for which connection to their node: one in use that will be
+// Package connqueue owns which attempts wait for which connection to their node: one in use that will be
 // free, or one that is being opened; and when another is opened. A new connection costs the node
 // work and the first request on it time, and where the settings price it, it costs the deployment
 // worth as well: so a short wait for one in use is the cheaper way. And a connection may come up late: so
@@ -17,7 +17,7 @@
 //
 // It knows no clock and does no I/O: the caller gives the time, and asks when to come again. It does
 // not decide how many connections there may be, nor which node a request goes to.
-package pool
+package connqueue
 
 import "time"
 
--- a/internal/pool/scarce_test.go
+++ b/internal/connqueue/scarce_test.go
@@ -1,4 +1,4 @@
-package pool
+package connqueue
 
 import (
 	"testing"
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -7,10 +7,10 @@
 	"github.com/sirupsen/logrus"
 
 	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/mailbox"
-	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -33,7 +33,7 @@
 // Connect starts the actor of one storage node.
 func (d *Dialer) Connect(name string, addresses []address.Addr) core.Peer {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](nodeMailboxSize), busy: map[*core.Attempt]*conn{},
-		waiting: pool.New[*core.Attempt](pool.Settings{Wait: d.Wait, Patience: d.ConnectTimeout}),
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{Wait: d.Wait, Patience: d.ConnectTimeout}),
 		started: time.Now()}
 	n.setAddresses(addresses)
 	go n.run()
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/mailbox"
-	"wheatsaddle/internal/pool"
 	"wheatsaddle/policy"
 )
 
@@ -42,9 +42,9 @@
 	draining  atomic.Bool
 	idle      []*conn // in the order in which they became idle
 	busy      map[*core.Attempt]*conn
-	waiting   *pool.Pool[*core.Attempt] // attempts that wait for a connection
-	scarcity  pool.Scarcity             // whether the node refuses connections for lack of capacity
-	started   time.Time                 // origin of the times given to waiting and scarcity
+	waiting   *connqueue.Pool[*core.Attempt] // attempts that wait for a connection
+	scarcity  connqueue.Scarcity             // whether the node refuses connections for lack of capacity
+	started   time.Time                      // origin of the times given to waiting and scarcity
 	connCount int
 	closing   bool
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	il "wheatsaddle/internal/interleave"
 	"wheatsaddle/internal/interleave/mutant"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/mailbox"
-	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -92,7 +92,7 @@
 // actor is a node without its goroutine, with idle connections.
 func actor(d *Dialer, fd uintptr, name string, idle int) *node {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](8), busy: map[*core.Attempt]*conn{},
-		waiting: pool.New[*core.Attempt](pool.Settings{Wait: d.Wait, Patience: time.Hour}), started: time.Now()}
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{Wait: d.Wait, Patience: time.Hour}), started: time.Now()}
 	for range idle {
 		c := &conn{node: n, jobs: make(chan job, 1)}
 		c.attach(&line{fd: fd})
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// The line before a node's one connection (internal/pool) is its actor's; what meets is the actor's
+// The line before a node's one connection (internal/connqueue) is its actor's; what meets is the actor's
 // mailbox, the connection's goroutine, a cancel and a drain. Every attempt ends, nothing is written
 // after the drain, the connection comes back.
 func TestInterleaveLine(t *testing.T) {
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/interleave/sync"
-	"wheatsaddle/internal/pool"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -172,7 +172,7 @@
 
 // slowDial is how long a dial may take before another is started beside it.
 func (n *node) slowDial() time.Duration {
-	return max(pool.LateLeast, pool.LateTimes*n.dialer.usualDial.best(), n.dialer.Wait)
+	return max(connqueue.LateLeast, connqueue.LateTimes*n.dialer.usualDial.best(), n.dialer.Wait)
 }
 
 // takeIdle takes the last used idle connection that is still open; nil: there is none.
