--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -47,7 +47,7 @@
 
 // withDaemon builds the daemon in a temporary folder, runs a function with its path and removes the folder.
 func withDaemon(c *cli.Context, run func(daemon string) error) error {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "loadtest")
 	if err != nil {
 		return err
 	}
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -31,7 +31,7 @@
 		Name: "load", Usage: "open-loop load against schedulers; without --target on stand-ins and two schedulers of its own",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "`HOST:PORT` of a scheduler; may be given again"},
-			&cli.StringFlag{Name: "shape", Usage: "traffic from the JSON `FILE`; see rehearse shape-schema"},
+			&cli.StringFlag{Name: "shape", Usage: "traffic from the JSON `FILE`; see loadtest shape-schema"},
 			&cli.Float64Flag{Name: "rate", Usage: "requests a second, over the shape's"},
 			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "length"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the schedule"},
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -16,7 +16,7 @@
 //     says so, whatever comes, and what the process learned itself goes before.
 //   - bounds: at most NodesMost nodes are held; what is past them is not opened ahead nor shut.
 //
-// It knows no clock and does no I/O. It does not decide which request goes to which node: choice does,
+// It knows no clock and does no I/O. It does not decide which request goes to which node: policy does,
 // and takes a node of which ColdPart was said as one that has just started.
 package coldstart
 
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package simwire translates between the simulator's JSON lines and the types of
-// package choice. It decides nothing.
+// package policy. It decides nothing.
 package simwire
 
 import (
--- a/internal/testkit/exampleconfig/example.go
+++ b/internal/testkit/exampleconfig/example.go
@@ -14,7 +14,7 @@
 //go:embed settings.json
 var Settings []byte
 
-// Shape is the traffic, in the form of a shape of rehearse load.
+// Shape is the traffic, in the form of a shape of loadtest load.
 //
 //go:embed shape.json
 var Shape []byte
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -136,7 +136,7 @@
 
 // Run plays all scenarios, those of one round at the same time.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "loadtest")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/experiment/coldstart/world.go
+++ b/internal/testkit/experiment/coldstart/world.go
@@ -1,5 +1,5 @@
 // Package coldstart owns an experiment: a fleet of schedulers that starts within a second, in virtual
-// time, each with the real decisions (choice, and internal/coldstart where it is on), against nodes of
+// time, each with the real decisions (policy, and internal/coldstart where it is on), against nodes of
 // which some have restarted too and a list service of fixed capacity. It keeps its own books of what
 // the rules forbid over all hosts together. A seed gives the same run.
 package coldstart
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,6 +1,6 @@
 // Package policy decides, for one host's I/O scheduler, which storage request
 // goes to which node and when, and which is refused. This file is its whole
-// interface; every decision is in choice.go. All times are milliseconds.
+// interface. All times are milliseconds.
 package policy
 
 // Settings is what an instance knows at its start.
