--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -39,7 +39,7 @@
 		return nil, config.Refused(err)
 	}
 	dialer.Report(co.List)
-	co.List(core.News{Kind: policy.ListStale, Nodes: iscsi.Nodes(mapping)})
+	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: iscsi.Nodes(mapping)})
 	ln, err := transport.ListenTCP(mapping.Listen)
 	if err != nil {
 		co.Stop()
@@ -76,7 +76,7 @@
 		return
 	}
 	f.dialer.Update(mapping)
-	f.core.List(core.News{Kind: policy.ListFull, Nodes: iscsi.Nodes(mapping)})
+	f.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
 }
 
 // shutdown ends the sessions by the end of ctx.
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -57,8 +57,8 @@
 	s := cost.Defaults(names...)
 	s.Shards, s.Prices, s.Doubt, s.Limits = conf.Settings.Shards, set.Prices, set.Doubt, map[string]cost.Rate{}
 	for _, p := range conf.Settings.Plans {
-		if p.Limit > 0 {
-			s.Limits[p.Name] = cost.Rate{PerSecond: p.Limit, Burst: p.LimitBurst}
+		if p.RateLimit > 0 {
+			s.Limits[p.Name] = cost.Rate{PerSecond: p.RateLimit, Burst: p.LimitBurst}
 		}
 	}
 	return s
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	conf := &config.Config{Settings: policy.Settings{Shards: 2, Classes: []policy.Class{{Name: "read"}},
-		Plans: []policy.Plan{{Name: "gold", Limit: 10, LimitBurst: 1}, {Name: "open"}}}}
-	view := nodestats.View{Key: nodestats.Key{Node: "n", Since: 1, Class: "read"}, Shard: 1,
+		Plans: []policy.Plan{{Name: "gold", RateLimit: 10, LimitBurst: 1}, {Name: "open"}}}}
+	view := nodestats.View{Key: nodestats.Key{Node: "n", StartTime: 1, Class: "read"}, Shard: 1,
 		Sums: nodestats.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
 	call := estimates(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
 	log := logrus.New()
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -29,7 +29,7 @@
 
 // keptExclusions reads the exclusions that the scheduler's last process stored. A bad file counts as none.
 func keptExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
-	kept := store.In(os.TempDir(), name)
+	kept := store.InFolder(os.TempDir(), name)
 	state, err := kept.Read()
 	if err != nil {
 		log.WithFields(operr.Fields(err)).Warn("the kept exclusions are ignored")
@@ -71,7 +71,7 @@
 		k.log.WithFields(operr.Fields(err)).Warn("exclusions: the file is ignored")
 		return
 	}
-	if err := k.core.LoadExcluded(state); err != nil {
+	if err := k.core.LoadExclusions(state); err != nil {
 		k.log.WithFields(operr.Fields(err)).Warn("exclusions: not taken from the file")
 	}
 }
--- a/cmd/wheatsaddle/gathered_test.go
+++ b/cmd/wheatsaddle/gathered_test.go
@@ -134,7 +134,7 @@
 	}
 	conf := &config.Config{Settings: policy.Settings{Shards: 3, Classes: []policy.Class{{Name: "read"}}}}
 	view := func(shard int, ms float64) nodestats.View {
-		return nodestats.View{Key: nodestats.Key{Node: fmt.Sprint("n", shard), Since: 1, Class: "read"}, Shard: shard, Origins: 2,
+		return nodestats.View{Key: nodestats.Key{Node: fmt.Sprint("n", shard), StartTime: 1, Class: "read"}, Shard: shard, Origins: 2,
 			Sums: nodestats.Sums{N: 50, X: 50, Y: 50 * ms, XX: 50, XY: 50 * ms, YY: 50 * ms * ms}}
 	}
 	known := []nodestats.View{view(0, 5), view(1, 80), view(2, 10)}
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -17,10 +17,10 @@
 
 // handoverTimes are the intervals of a process whose clients' socket was passed to it.
 var handoverTimes = handover.Settings{
-	Try:   5 * time.Millisecond,   // between tries for the lock
-	Sweep: stopPoll,               // between sweeps of the connections
-	Quiet: 500 * time.Millisecond, // idle time after which a sweep closes a connection
-	Tell:  10 * time.Second,       // a wait for the lock that lasts so long is logged, once
+	LockPollInterval: 5 * time.Millisecond,   // between tries for the lock
+	SweepInterval:    stopPoll,               // between sweeps of the connections
+	IdleTimeout:      500 * time.Millisecond, // idle time after which a sweep closes a connection
+	WarnAfter:        10 * time.Second,       // a wait for the lock that lasts so long is logged, once
 }
 
 const moduleWait = 200 * time.Millisecond // for the decision module's confirmation of the handover
@@ -30,7 +30,7 @@
 type passedSocket struct {
 	gate        *transport.Gate // holds accepts back
 	lock        *transport.Lock // held by the process that accepts
-	machine     *handover.Book
+	machine     *handover.Machine
 	core        *core.Core
 	front       *httpfront.Server
 	log         logrus.FieldLogger
@@ -83,16 +83,16 @@
 // loop ends when the state machine does.
 func (s *passedSocket) loop() {
 	defer close(s.done)
-	s.feed(handover.Event{Kind: handover.Begun})
+	s.feed(handover.Event{Kind: handover.Started})
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !s.machine.Ended() {
 		timer.Reset(min(s.machine.Next()-s.now(), time.Hour))
 		select {
 		case by := <-s.termination:
-			s.feed(handover.Event{Kind: handover.Term, By: by})
+			s.feed(handover.Event{Kind: handover.TermReceived, Deadline: by})
 		case <-timer.C:
-			s.feed(handover.Event{Kind: handover.Tick})
+			s.feed(handover.Event{Kind: handover.TimerFired})
 		}
 	}
 }
@@ -110,39 +110,41 @@
 
 // do carries out an action and returns the events that it causes.
 func (s *passedSocket) do(a handover.Action) []handover.Event {
-	event := func(k handover.Kind, n int) []handover.Event { return []handover.Event{{Kind: k, N: n}} }
-	switch a.Do {
-	case handover.Try:
+	event := func(k handover.EventKind, n int) []handover.Event {
+		return []handover.Event{{Kind: k, OpenConnections: n}}
+	}
+	switch a.Kind {
+	case handover.TryLock:
 		had, err := s.lock.Try()
 		switch {
 		case err != nil:
 			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("accepting without a lock")
-			return event(handover.NoLock, 0)
+			return event(handover.LockUnavailable, 0)
 		case !had:
-			return event(handover.Held, 0)
+			return event(handover.LockBusy, 0)
 		}
-		return event(handover.Had, 0)
+		return event(handover.LockAcquired, 0)
 	case handover.Accept:
 		s.log.WithField("lock", s.lock.Path).Info("accepting on the passed socket")
 		s.gate.Open()
-	case handover.Warn:
+	case handover.WarnLongWait:
 		s.log.WithFields(operr.Fields(&handover.WaitsError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("waiting for the passed socket")
-	case handover.TellModule:
+	case handover.NotifyModule:
 		if !s.core.HandOver(moduleWait) {
-			return event(handover.Untold, 0)
+			return event(handover.ModuleBusy, 0)
 		}
-		return event(handover.Told, 0)
-	case handover.ShutDoor:
+		return event(handover.ModuleNotified, 0)
+	case handover.CloseListener:
 		s.front.Leave()
 		s.front.StopAccepting()
-		return event(handover.Shut, 0)
-	case handover.Release:
+		return event(handover.ListenerClosed, 0)
+	case handover.ReleaseLock:
 		s.lock.Release()
 		s.log.Info("stopping: the passed socket is the next process's")
-	case handover.Sweep:
-		s.open = s.front.Sweep(a.Quiet)
-		return event(handover.Open, s.open)
-	case handover.End:
+	case handover.CloseIdle:
+		s.open = s.front.Sweep(a.IdleFor)
+		return event(handover.ConnectionsCounted, s.open)
+	case handover.Finish:
 		s.log.WithField("open", s.open).Info("stopping: made way")
 	}
 	return nil
--- a/cmd/wheatsaddle/limits.go
+++ b/cmd/wheatsaddle/limits.go
@@ -65,7 +65,7 @@
 func shortestAim(set policy.Settings) time.Duration {
 	aim := math.Inf(1)
 	for _, class := range set.Classes {
-		aim = min(aim, class.Aim)
+		aim = min(aim, class.LatencyObjective)
 	}
 	return milliseconds(aim)
 }
@@ -74,7 +74,7 @@
 func safeClasses(set policy.Settings) map[string]bool {
 	safe := map[string]bool{}
 	for _, class := range set.Classes {
-		safe[class.Name] = class.Effect == policy.Safe
+		safe[class.Name] = class.Effect == policy.Idempotent
 	}
 	return safe
 }
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -27,7 +27,7 @@
 // fleet exchanges observations of the nodes with the other scheduler processes. nil: the site's file has no section
 // peers.
 type fleet struct {
-	peers    *gossip.Peers
+	peers    *gossip.Cluster
 	starter  *starter // nil: the site's file has no section start
 	coldSpan float64  // ms after its start in which a node is cold
 	types    config.NodeTypes
@@ -37,8 +37,8 @@
 	nodes     map[string]listedNode
 	listIndex int64 // version of the list; 0: there is none yet
 	lists     nodestats.ListSpread
-	core      *core.Core                   // nil: it does not run yet
-	reported  map[string]core.NodeStanding // the core's last report, by node; the gossip goroutine's alone
+	core      *core.Core                 // nil: it does not run yet
+	reported  map[string]core.NodeStatus // the core's last report, by node; the gossip goroutine's alone
 }
 
 // listedNode is a node of the list, with the hardware type that the site's file gives it.
@@ -49,8 +49,8 @@
 
 // mayPeer is an error where the site's file has the section peers and the platform forbids it.
 func mayPeer(at *config.Site, set policy.Settings) error {
-	if at.Peers != nil && !set.MayTell {
-		return &gossip.Forbidden{}
+	if at.Peers != nil && !set.MayGossip {
+		return &gossip.ForbiddenError{}
 	}
 	return nil
 }
@@ -68,27 +68,27 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{starter: starting, coldSpan: conf.Settings.ColdSpan, nodeMost: set.State.Nodes, nodes: map[string]listedNode{}}
+	f := &fleet{starter: starting, coldSpan: conf.Settings.SlowStartDuration, nodeMost: set.State.MaxNodes, nodes: map[string]listedNode{}}
 	if at.Estimate != nil {
 		f.types = at.Estimate.Types
 	}
 	f.mu.Lock() // a round may call report before f.peers is set
 	defer f.mu.Unlock()
 	f.peers, err = gossip.Start(gossip.Options{
-		Name:        conf.Name,
-		Incarnation: uint64(time.Now().UnixMilli()),
-		Listen:      set.Listen,
-		Advertise:   set.Advertise,
-		Seeds:       set.Seeds,
-		Via:         set.Via,
-		Every:       set.Every,
-		Burst:       set.Burst,
-		Key:         key,
-		State:       set.State,
-		Seed:        uint64(conf.Seed),
-		Log:         log,
-		Tell:        f.report,
-		Give:        starting.give(),
+		Name:             conf.Name,
+		Incarnation:      uint64(time.Now().UnixMilli()),
+		Listen:           set.Listen,
+		Advertise:        set.Advertise,
+		Seeds:            set.Seeds,
+		AddressOverrides: set.Via,
+		Interval:         set.Every,
+		Burst:            set.Burst,
+		Key:              key,
+		State:            set.State,
+		Seed:             uint64(conf.Seed),
+		Log:              log,
+		BeforeRound:      f.report,
+		MakeSnapshot:     starting.give(),
 	})
 	if err != nil {
 		return nil, err
@@ -120,22 +120,22 @@
 	}
 	gauges(m, f.peers.Counts, map[string]func(gossip.Counts) int64{
 		"peers_members":               func(c gossip.Counts) int64 { return c.Members },
-		"peers_received_bytes":        func(c gossip.Counts) int64 { return c.In },
-		"peers_sent_bytes":            func(c gossip.Counts) int64 { return c.Out },
-		"peers_overrun_messages":      func(c gossip.Counts) int64 { return c.Full },
+		"peers_received_bytes":        func(c gossip.Counts) int64 { return c.BytesReceived },
+		"peers_sent_bytes":            func(c gossip.Counts) int64 { return c.BytesSent },
+		"peers_overrun_messages":      func(c gossip.Counts) int64 { return c.QueueOverflows },
 		"peers_outcomes":              func(c gossip.Counts) int64 { return c.Outcomes },
-		"peers_outcomes_lost":         func(c gossip.Counts) int64 { return c.Lost },
-		"peers_given_snapshots":       func(c gossip.Counts) int64 { return c.Given },
-		"peers_taken_snapshots":       func(c gossip.Counts) int64 { return c.Taken },
-		"peers_unusable_snapshots":    func(c gossip.Counts) int64 { return c.Unusable },
+		"peers_outcomes_lost":         func(c gossip.Counts) int64 { return c.DroppedOutcomes },
+		"peers_given_snapshots":       func(c gossip.Counts) int64 { return c.SnapshotsSent },
+		"peers_taken_snapshots":       func(c gossip.Counts) int64 { return c.SnapshotsReceived },
+		"peers_unusable_snapshots":    func(c gossip.Counts) int64 { return c.SnapshotsInvalid },
 		"observations_messages":       func(c gossip.Counts) int64 { return c.State.Messages },
 		"observations_unreadable":     func(c gossip.Counts) int64 { return c.State.Unreadable },
 		"observations_later_versions": func(c gossip.Counts) int64 { return c.State.LaterVersion },
-		"observations_older_cells":    func(c gossip.Counts) int64 { return c.State.Older },
-		"observations_beyond_bounds":  func(c gossip.Counts) int64 { return c.State.Beyond },
-		"observations_refuted":        func(c gossip.Counts) int64 { return c.State.Refuted },
+		"observations_older_cells":    func(c gossip.Counts) int64 { return c.State.OutdatedCells },
+		"observations_beyond_bounds":  func(c gossip.Counts) int64 { return c.State.OverLimit },
+		"observations_refuted":        func(c gossip.Counts) int64 { return c.State.IdentityConflicts },
 		"observations_origins":        func(c gossip.Counts) int64 { return c.State.Origins },
-		"observations_cells":          func(c gossip.Counts) int64 { return c.State.Held },
+		"observations_cells":          func(c gossip.Counts) int64 { return c.State.StoredCells },
 	})
 	gauges(m, f.listSpread, map[string]func(nodestats.ListSpread) int64{
 		"peers_list_oldest_version":   func(l nodestats.ListSpread) int64 { return l.Oldest },
@@ -159,14 +159,14 @@
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &gossip.BadKey{File: file, Err: err}
+		return nil, &gossip.KeyError{File: file, Err: err}
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if n := len(key); err == nil && n != 16 && n != 24 && n != 32 {
 		err = fmt.Errorf("%d bytes", n)
 	}
 	if err != nil {
-		return nil, &gossip.BadKey{File: file, Err: err}
+		return nil, &gossip.KeyError{File: file, Err: err}
 	}
 	return key, nil
 }
@@ -176,11 +176,11 @@
 	switch s {
 	case policy.OK:
 		return nodestats.Served, true
-	case policy.Full:
-		return nodestats.TurnedAway, true
+	case policy.NodeFull:
+		return nodestats.Rejected, true
 	case policy.TimedOut:
-		return nodestats.Late, true
-	case policy.Errored, policy.Reset, policy.NoConn:
+		return nodestats.TimedOut, true
+	case policy.Errored, policy.ConnectionReset, policy.ConnectFailed:
 		return nodestats.Failed, true
 	}
 	return 0, false
@@ -199,20 +199,20 @@
 }
 
 // takeNews keeps the node list for the next round.
-func (f *fleet) takeNews(news core.News) {
+func (f *fleet) takeNews(news core.ListUpdate) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Kind == policy.ListFull || news.Kind == policy.ListStale {
+	if news.Kind == policy.ListReceived || news.Kind == policy.CachedListLoaded {
 		clear(f.nodes)
 	}
 	if news.Index != 0 {
 		f.listIndex = news.Index
 	}
 	for _, n := range news.Nodes {
-		if n.State == policy.NodeGone {
+		if n.State == policy.NodeRemoved {
 			delete(f.nodes, n.ID)
 		} else {
 			f.nodes[n.ID] = listedNode{n.Node, f.types.Of(n.ID)}
@@ -246,12 +246,12 @@
 	f.lists = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
-		cold := n.Since > 0 && float64(time.Now().UnixMilli())-n.Since < f.coldSpan
-		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, Cold: cold}
-		if at, ok := f.reported[id]; ok && at.Since >= int64(n.Since) {
+		cold := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.coldSpan
+		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: cold}
+		if at, ok := f.reported[id]; ok && at.StartTime >= int64(n.StartTime) {
 			health.Window, health.Queue = at.Window, at.Queue
 		}
-		state.SetNode(now, n.ID, int64(n.Since), health)
+		state.SetNode(now, n.ID, int64(n.StartTime), health)
 	}
 }
 
@@ -260,11 +260,11 @@
 	if co == nil {
 		return
 	}
-	all, ok := co.Standing(f.nodeMost, healthWait)
+	all, ok := co.NodeStatuses(f.nodeMost, healthWait)
 	if !ok {
 		return
 	}
-	f.reported = make(map[string]core.NodeStanding, len(all))
+	f.reported = make(map[string]core.NodeStatus, len(all))
 	for _, n := range all {
 		f.reported[n.Node] = n
 	}
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -28,7 +28,7 @@
 	file, _ := configure(t, freeAddress(t))
 	at := filepath.Join(t.TempDir(), "site.json")
 	// Sections that ask other processes, and the code of their errors.
-	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&gossip.Forbidden{}).Code(),
+	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&gossip.ForbiddenError{}).Code(),
 		strings.Replace(fmt.Sprintf(gatherSite, ""), `"parts_most":8`, `"parts_most":4,"peers":[{"name":"other","address":"127.0.0.1:1"}]`, 1): (&config.KeyError{}).Code()}
 	write := func(site string) {
 		if err := os.WriteFile(at, []byte(site), 0o600); err != nil {
@@ -58,7 +58,7 @@
 			t.Errorf("allowed: %v %s", err, out)
 		}
 	}
-	var forbidden *gossip.Forbidden
+	var forbidden *gossip.ForbiddenError
 	if err := mayPeer(&config.Site{Peers: &config.SitePeers{}}, policy.Settings{}); !errors.As(err, &forbidden) {
 		t.Error(err)
 	}
@@ -67,26 +67,26 @@
 // none is a node that nothing is sent to.
 type none struct{}
 
-func (none) Send(*core.Attempt) bool                     { return false }
-func (none) Cancel(*core.Attempt)                        {}
-func (none) Connect(func(policy.Status)) bool            { return false }
-func (none) Probe(func(core.Result, time.Duration)) bool { return false }
-func (none) Drain(bool)                                  {}
-func (none) Readdress([]address.Addr)                    {}
-func (none) Close()                                      {}
+func (none) Send(*core.Attempt) bool                           { return false }
+func (none) Cancel(*core.Attempt)                              {}
+func (none) Connect(func(policy.Status)) bool                  { return false }
+func (none) CheckHealth(func(core.Result, time.Duration)) bool { return false }
+func (none) Drain(bool)                                        {}
+func (none) SetAddresses([]address.Addr)                       {}
+func (none) Close()                                            {}
 
 // What one process sees of a listed node the other has in its views, without what was cancelled.
 func TestFleetTellsAndHears(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	state := nodestats.Defaults()
-	state.HalfLife, state.Expire = time.Hour, 24*time.Hour // nothing fades while the test runs
+	state.HalfLife, state.ExpireAfter = time.Hour, 24*time.Hour // nothing fades while the test runs
 	site, err := config.ParseSite([]byte(`{"estimate":{"types":{"n*":"disk"}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func(name string, seeds ...string) *fleet {
 		site.Peers = &config.SitePeers{Listen: "127.0.0.1:0", Seeds: seeds, Every: 20 * time.Millisecond, Burst: 8, State: state}
-		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayTell: true, ColdSpan: 1e9}}, nil, log)
+		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true, SlowStartDuration: 1e9}}, nil, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,11 +96,11 @@
 	a := start("a")
 	b := start("b", a.peers.Address())
 	since := time.Now().UnixMilli()
-	news := core.News{Kind: policy.ListFull, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, Since: float64(since)}}}}
-	co, err := core.New(core.Options{Settings: policy.Settings{Hosts: 1, MeanUnits: 1, MostUnits: 1, MaxAttempts: 1, ColdUnits: 1, TipSpan: 1, TipMultiple: 1,
-		ColdFrom: 0.5, ColdSpan: 1, Classes: []policy.Class{{Name: "c", Aim: 1, Deadline: 1, Worth: 1}},
-		Plans: []policy.Plan{{Name: "p", Rate: 1, Reserve: 1, Weight: 1, Price: 1}}}, Log: log,
-		Connect: func(string, []address.Addr) core.Peer { return none{} }})
+	news := core.ListUpdate{Kind: policy.ListReceived, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(since)}}}}
+	co, err := core.New(core.Options{Settings: policy.Settings{Schedulers: 1, MeanUnits: 1, MaxUnits: 1, MaxAttempts: 1, SlowStartUnits: 1, OverloadWindow: 1, OverloadMultiple: 1,
+		SlowStartShare: 0.5, SlowStartDuration: 1, Classes: []policy.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, PriorityWeight: 1}},
+		Plans: []policy.Plan{{Name: "p", Rate: 1, ReservedRate: 1, Weight: 1, Price: 1}}}, Log: log,
+		Connect: func(string, []address.Addr) core.NodeClient { return none{} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	a.setCore(co)
 	a.takeNews(news)
 	tell := a.observe()
-	for _, s := range []policy.Status{policy.OK, policy.Full, policy.TimedOut, policy.Reset, policy.Cancelled, policy.Abandoned} {
+	for _, s := range []policy.Status{policy.OK, policy.NodeFull, policy.TimedOut, policy.ConnectionReset, policy.Cancelled, policy.Abandoned} {
 		tell("n", since, "c", 2, 5, s)
 	}
 	var v []nodestats.View
@@ -122,8 +122,8 @@
 	if n := v[0]; n.Type != "disk" || n.Window <= 0 || n.Queue != 0 {
 		t.Errorf("%+v", n)
 	}
-	if c := v[1]; c.Key != (nodestats.Key{Node: "n", Since: since, Class: "c"}) || c.Shard != 3 || !c.Cold ||
-		!near(c.Sums.N) || !near(c.Turned) || !near(c.Late) || !near(c.Failed) {
+	if c := v[1]; c.Key != (nodestats.Key{Node: "n", StartTime: since, Class: "c"}) || c.Shard != 3 || !c.WarmingUp ||
+		!near(c.Sums.N) || !near(c.Rejected) || !near(c.TimedOut) || !near(c.Failed) {
 		t.Errorf("%+v", c)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,8 +140,8 @@
 	if !told("observations_origins 1") {
 		t.Error("b does not count a")
 	}
-	b.takeNews(core.News{Kind: policy.ListChange, Index: 7})
-	b.takeNews(core.News{Kind: policy.ListFailed}) // says no version
+	b.takeNews(core.ListUpdate{Kind: policy.ListChanged, Index: 7})
+	b.takeNews(core.ListUpdate{Kind: policy.ListFailed}) // says no version
 	for end := time.Now().Add(time.Minute); !told("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
 		if time.Sleep(5 * time.Millisecond); time.Now().After(end) {
 			t.Fatal("list versions are not counted")
@@ -152,7 +152,7 @@
 	if off.observe() != nil {
 		t.Error("observing while off")
 	}
-	off.takeNews(core.News{})
+	off.takeNews(core.ListUpdate{})
 	off.setCore(co)
 	off.stop()
 }
@@ -164,7 +164,7 @@
 			t.Fatal(err)
 		}
 		key, err := peerKey(file)
-		var bad *gossip.BadKey
+		var bad *gossip.KeyError
 		if good != (err == nil && len(key) == 16) || !good && !errors.As(err, &bad) {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -79,7 +79,7 @@
 	}{
 		{"name", held.Name, conf.Name}, {"listen", held.Listen, conf.Listen}, {"limits.sockets", held.Sockets, conf.Sockets},
 		{"settings.membership-mode", held.ListMode, conf.ListMode},
-		{"settings.rules.ask-within", held.Settings.AskWithin, conf.Settings.AskWithin}, // the watch of the list keeps the first
+		{"settings.rules.ask-within", held.Settings.PollWithin, conf.Settings.PollWithin}, // the watch of the list keeps the first
 		{"settings.prices.handshake", held.Handshake, conf.Handshake},
 		{"settings.ceilings", []any{held.ConnIdle, held.ConnectTimeout, held.MaxOpen}, []any{conf.ConnIdle, conf.ConnectTimeout, conf.MaxOpen}},
 	} {
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -60,7 +60,7 @@
 func TestReloadKeepsThePartOfTheColdBudget(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := startConf().Settings
-	set.ColdUnits = 100
+	set.SlowStartUnits = 100
 	for _, on := range []bool{false, true} {
 		begin, err := newStarter(&config.SiteStart{On: on, ListMost: 40}, startConf(), nil, log)
 		if err != nil {
@@ -70,9 +70,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := co.Settings().ColdUnits
-		if err := begin.retune(co)(set); err != nil || co.Settings().ColdUnits != before || (before == set.ColdUnits) == on {
-			t.Errorf("section on %v: %v, %v of %v, %v after the reload", on, err, before, set.ColdUnits, co.Settings().ColdUnits)
+		before := co.Settings().SlowStartUnits
+		if err := begin.retune(co)(set); err != nil || co.Settings().SlowStartUnits != before || (before == set.SlowStartUnits) == on {
+			t.Errorf("section on %v: %v, %v of %v, %v after the reload", on, err, before, set.SlowStartUnits, co.Settings().SlowStartUnits)
 		}
 		co.Stop()
 	}
@@ -81,7 +81,7 @@
 // What the list's calls and the connections to nodes go by since the start is named in the log.
 func TestRestartKeys(t *testing.T) {
 	held, next := &config.Config{}, &config.Config{ListMode: "ask", Handshake: 1}
-	next.Settings.AskWithin = 1
+	next.Settings.PollWithin = 1
 	if keys := fmt.Sprint(restartKeys(held, next)); keys != "[settings.membership-mode settings.rules.ask-within settings.prices.handshake]" {
 		t.Error(keys)
 	}
--- a/cmd/wheatsaddle/replay.go
+++ b/cmd/wheatsaddle/replay.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return m, err
 		}
-		m.Classes, m.MostUnits = map[string]time.Duration{}, conf.Settings.MostUnits
+		m.Classes, m.MostUnits = map[string]time.Duration{}, conf.Settings.MaxUnits
 		if len(conf.Settings.Plans) > 0 && m.Plan == "" {
 			m.Plan = conf.Settings.Plans[0].Name
 		}
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -191,9 +191,9 @@
 	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
 	s.fleet.setCore(s.core)
 	if !s.starter.run(s.core) {
-		s.core.List(core.News{Kind: policy.ListStale, Nodes: s.known.Nodes})
+		s.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes})
 	}
-	s.fleet.takeNews(core.News{Kind: policy.ListStale, Nodes: s.known.Nodes, Index: s.known.Index})
+	s.fleet.takeNews(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes, Index: s.known.Index})
 	s.onClose(s.starter.stop) // before the core's: it asks the core for a last snapshot
 	s.starter.askPeers(s.fleet)
 	return nil
@@ -242,12 +242,12 @@
 }
 
 // takeNews passes the watcher's news of the node list on. It returns once the core has them.
-func (s *service) takeNews(news core.News) {
+func (s *service) takeNews(news core.ListUpdate) {
 	if !s.starter.list(news) {
 		s.core.List(news)
 	}
 	s.fleet.takeNews(news)
-	if news.Kind == policy.ListFull || news.Kind == policy.ListChange {
+	if news.Kind == policy.ListReceived || news.Kind == policy.ListChanged {
 		s.listed.Store(true)
 	}
 }
@@ -324,7 +324,7 @@
 		select {
 		case <-s.hangup:
 			next, taken := reload(s.ctx, current, os.Getenv, s.watcher.Move, s.log, retune)
-			s.core.Counts().Loaded(taken)
+			s.core.Counts().CountReload(taken)
 			current = next
 			s.site.reload()
 			s.gathered.reload(s.site.held, current)
@@ -352,9 +352,9 @@
 func listClock(conf *config.Config) watchtimer.Settings {
 	set := conf.Settings
 	return watchtimer.Settings{
-		Pushed:         !set.AskMode,
-		Hosts:          set.Hosts,
-		StalenessBound: milliseconds(set.AskWithin),
+		Pushed:         !set.PollsEndpointList,
+		Hosts:          set.Schedulers,
+		StalenessBound: milliseconds(set.PollWithin),
 		DrainGrace:     milliseconds(set.DrainGrace),
 		Seed:           uint64(conf.Seed),
 	}
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -189,7 +189,7 @@
 	<-node.came
 	for name, c := range map[string]client{"before": waits, "after": rests} {
 		code, text, err := c.answer()
-		if err != nil || code != 502 || text != string(core.CauseGivenUp) {
+		if err != nil || code != 502 || text != string(core.CauseNotServed) {
 			t.Errorf("%s: %v, %d %s", name, err, code, text)
 		}
 		if _, err := c.in.ReadByte(); err != io.EOF {
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -46,7 +46,7 @@
 	wakeAt func(at time.Duration)
 
 	mu           sync.Mutex // of all below
-	machine      *coldstart.Start
+	machine      *coldstart.Startup
 	listHeard    bool                          // the list's first news are on their way to the core
 	learned      policy.Learned                // what the snapshot holds of the classes
 	learnedNodes map[string]policy.LearnedNode // the snapshot's, by id; nil: there is no snapshot
@@ -60,10 +60,10 @@
 
 // startCore is what the starter tells the core: core.Core, or a test's actor.
 type startCore interface {
-	List(core.News)
-	Recall(policy.Learned)
+	List(core.ListUpdate)
+	Restore(policy.Learned)
 	Preconnect(node string)
-	Probe(node string)
+	CheckHealth(node string)
 	Learned() (policy.Learned, bool)
 }
 
@@ -72,18 +72,18 @@
 		return nil, nil
 	}
 	machine, err := coldstart.New(coldstart.Settings{
-		Hosts:      conf.Settings.Hosts,
-		Name:       conf.Name,
-		ListPriced: set.ListPriced,
-		ListMost:   set.ListMost,
-		Told:       milliseconds(conf.Settings.AskWithin),
-		ColdUnits:  conf.Settings.ColdUnits,
-		TipSpan:    milliseconds(conf.Settings.TipSpan),
-		ColdSpan:   milliseconds(conf.Settings.ColdSpan),
-		Aim:        shortestAim(conf.Settings),
-		RetryMost:  milliseconds(conf.Settings.MaxHoldOff),
-		Connects:   set.Ahead,
-		MayProbe:   conf.Settings.MayProbe,
+		Schedulers:            conf.Settings.Schedulers,
+		Name:                  conf.Name,
+		ListCallsPriced:       set.ListPriced,
+		MaxListCallsPerSecond: set.ListMost,
+		StalenessBound:        milliseconds(conf.Settings.PollWithin),
+		SlowStartUnits:        conf.Settings.SlowStartUnits,
+		OverloadWindow:        milliseconds(conf.Settings.OverloadWindow),
+		SlowStartDuration:     milliseconds(conf.Settings.SlowStartDuration),
+		LatencyObjective:      shortestAim(conf.Settings),
+		MaxRetryAfter:         milliseconds(conf.Settings.MaxRetryAfter),
+		Preconnects:           set.Ahead,
+		MayCheckHealth:        conf.Settings.MayCheckHealth,
 	})
 	if err != nil {
 		return nil, err
@@ -108,18 +108,18 @@
 // settings are the decisions' settings for a start beside the whole fleet; as given, without the section.
 func (s *starter) settings(set policy.Settings) policy.Settings {
 	if s != nil {
-		set.ColdUnits *= coldstart.ColdShare
+		set.SlowStartUnits *= coldstart.SlowStartShare
 	}
 	return set
 }
 
 // retune gives new settings to the core as the first ones were given.
 func (s *starter) retune(co *core.Core) func(policy.Settings) error {
-	return func(set policy.Settings) error { return co.Retune(s.settings(set)) }
+	return func(set policy.Settings) error { return co.Reconfigure(s.settings(set)) }
 }
 
 // gate is what core asks before each attempt; nil without the section.
-func (s *starter) gate() core.Starting {
+func (s *starter) gate() core.StartLimiter {
 	if s == nil {
 		return nil
 	}
@@ -132,8 +132,8 @@
 		return false
 	}
 	s.core = co
-	co.List(core.News{Kind: policy.ListStale}) // the decisions' clock ticks from here
-	begun := coldstart.Begun{HeldList: s.machineNodes(s.knownNodes)}
+	co.List(core.ListUpdate{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
+	begun := coldstart.Started{CachedList: s.machineNodes(s.knownNodes)}
 	if s.path != "" {
 		snap, err := snapshot.Read(s.path, time.Now())
 		switch {
@@ -151,16 +151,16 @@
 // machineNodes are nodes of the list as the state machine takes them: a start is a time since began.
 func (s *starter) machineNodes(list []core.Node) (nodes []coldstart.Node) {
 	for _, listed := range list {
-		n := coldstart.Node{ID: listed.ID, Since: listed.Since}
-		if listed.Since > 0 {
-			n.At = time.UnixMilli(int64(listed.Since)).Sub(s.began)
+		n := coldstart.Node{ID: listed.ID, StartTime: listed.StartTime}
+		if listed.StartTime > 0 {
+			n.StartedAt = time.UnixMilli(int64(listed.StartTime)).Sub(s.began)
 		}
 		nodes = append(nodes, n)
 	}
 	return nodes
 }
 
-// step feeds an event to the state machine and carries out its actions. The results are for Asked and RefusalWait.
+// step feeds an event to the state machine and carries out its actions. The results are for Asked and RetryAfter.
 func (s *starter) step(e coldstart.Event) (retry time.Duration, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,32 +176,32 @@
 	var recall policy.Learned
 	for _, a := range s.machine.Step(s.now(), e) {
 		switch a := a.(type) {
-		case coldstart.AskList:
+		case coldstart.RequestList:
 			sync.TrySend(s.listDue, struct{}{}) // a full channel says the same
-		case coldstart.UseHeld:
+		case coldstart.UseCachedList:
 			s.useKnownNodes()
-		case coldstart.Warm:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, Since: s.listedSince[a.Node], Guessed: s.guessedSince})
-		case coldstart.Recall:
+		case coldstart.LiftColdLimit:
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedSince[a.Node], AssumedStart: s.guessedSince})
+		case coldstart.Restore:
 			if n, ok := s.learnedNodes[a.Node]; ok {
 				recall.Nodes = append(recall.Nodes, n)
 			}
 		case coldstart.Connect:
 			s.enqueue(func(c startCore) { c.Preconnect(a.Node) })
-		case coldstart.Probe:
-			s.enqueue(func(c startCore) { c.Probe(a.Node) })
-		case coldstart.Ready:
+		case coldstart.CheckHealth:
+			s.enqueue(func(c startCore) { c.CheckHealth(a.Node) })
+		case coldstart.ReportReady:
 			s.saidReady.Store(true)
-		case coldstart.Refuse:
+		case coldstart.Reject:
 			retry, refused = a.RetryAfter, true
-		case coldstart.WakeAt:
+		case coldstart.SetTimer:
 			s.wakeAt(a.At)
 		}
 	}
 	s.finished.Store(s.machine.Phase() == coldstart.Serving)
 	if len(recall.Nodes) > 0 {
 		recall.Classes = s.learned.Classes
-		s.enqueue(func(c startCore) { c.Recall(recall) })
+		s.enqueue(func(c startCore) { c.Restore(recall) })
 	}
 	return retry, refused
 }
@@ -211,16 +211,16 @@
 	s.guessedSince = float64(time.Now().UnixMilli())
 	guessed := slices.Clone(s.knownNodes)
 	for i := range guessed {
-		guessed[i].Since = s.guessedSince
+		guessed[i].StartTime = s.guessedSince
 	}
-	s.enqueue(func(c startCore) { c.List(core.News{Kind: policy.ListChange, Nodes: guessed}) })
+	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })
 }
 
 // setTimer sets the timer of the next Tick; with s.mu held.
 func (s *starter) setTimer(at time.Duration) {
 	wait := time.Until(s.began.Add(at))
 	if s.timer == nil {
-		s.timer = time.AfterFunc(wait, func() { s.step(coldstart.Tick{}) })
+		s.timer = time.AfterFunc(wait, func() { s.step(coldstart.TimerFired{}) })
 	} else {
 		s.timer.Reset(wait)
 	}
@@ -252,34 +252,34 @@
 	}
 }
 
-// Over says that the start is over: the core need not ask any more.
-func (s *starter) Over() bool { return s.finished.Load() }
+// Done says that the start is over: the core need not ask any more.
+func (s *starter) Done() bool { return s.finished.Load() }
 
 // Admit implements core.Starting.
 func (s *starter) Admit(node string) (time.Duration, bool) {
-	return s.step(coldstart.Asked{Node: node})
+	return s.step(coldstart.RequestArrived{Node: node})
 }
 
-// RefusalWait implements core.Starting.
-func (s *starter) RefusalWait(node string, wait time.Duration) time.Duration {
-	longer, _ := s.step(coldstart.Turned{Node: node})
+// RetryAfter implements core.Starting.
+func (s *starter) RetryAfter(node string, wait time.Duration) time.Duration {
+	longer, _ := s.step(coldstart.RequestRejected{Node: node})
 	return max(wait, longer)
 }
 
-// Ended implements core.Starting.
-func (s *starter) Ended(node string, status policy.Status) {
+// AttemptEnded implements core.Starting.
+func (s *starter) AttemptEnded(node string, status policy.Status) {
 	switch status {
 	case policy.OK:
-		s.step(coldstart.Answered{Node: node})
-	case policy.Full:
+		s.step(coldstart.RequestServed{Node: node})
+	case policy.NodeFull:
 		s.step(coldstart.NodeFull{Node: node})
-	case policy.NoConn:
-		s.step(coldstart.ConnectSlow{Node: node})
+	case policy.ConnectFailed:
+		s.step(coldstart.ConnectFailed{Node: node})
 	}
 }
 
 // list passes news of the node list on, and returns once the core has them; false: the section is off.
-func (s *starter) list(news core.News) bool {
+func (s *starter) list(news core.ListUpdate) bool {
 	if s == nil {
 		return false
 	}
@@ -289,7 +289,7 @@
 		s.core.List(news)
 		return true
 	}
-	first := !s.listHeard && (news.Kind == policy.ListFull || news.Kind == policy.ListChange)
+	first := !s.listHeard && (news.Kind == policy.ListReceived || news.Kind == policy.ListChanged)
 	if first {
 		s.listHeard = true
 		news.Nodes = s.withKnownNodes(news)
@@ -297,11 +297,11 @@
 	delivered := make(chan struct{})
 	s.enqueue(func(c startCore) { c.List(news); sync.Close(delivered) })
 	if first {
-		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeGone })
+		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeRemoved })
 		for _, n := range present {
-			s.listedSince[n.ID] = n.Since
+			s.listedSince[n.ID] = n.StartTime
 		}
-		s.stepLocked(coldstart.ListSpoke{Nodes: s.machineNodes(present)})
+		s.stepLocked(coldstart.ListReceived{Nodes: s.machineNodes(present)})
 	}
 	s.mu.Unlock()
 	sync.Recv(delivered)
@@ -310,9 +310,9 @@
 
 // withKnownNodes are the nodes of the first news. A change adds the known nodes that it does not name: the core
 // has them with a guessed start or not at all.
-func (s *starter) withKnownNodes(news core.News) []core.Node {
+func (s *starter) withKnownNodes(news core.ListUpdate) []core.Node {
 	nodes := slices.Clone(news.Nodes)
-	if news.Kind != policy.ListChange {
+	if news.Kind != policy.ListChanged {
 		return nodes
 	}
 	named := map[string]bool{}
@@ -336,7 +336,7 @@
 	first := !s.listHeard && len(s.knownNodes) > 0
 	s.mu.Unlock()
 	if first {
-		s.list(core.News{Kind: policy.ListChange})
+		s.list(core.ListUpdate{Kind: policy.ListChanged})
 	}
 }
 
@@ -352,7 +352,7 @@
 func (s *starter) Due() <-chan struct{} { return s.listDue }
 
 // Missed implements discovery.Pace.
-func (s *starter) Missed() { s.step(coldstart.ListRefused{}) }
+func (s *starter) Missed() { s.step(coldstart.ListRequestFailed{}) }
 
 // ready is whether the state machine said so; without the section, what the caller would say.
 func (s *starter) ready(without bool) bool {
@@ -364,11 +364,11 @@
 
 // peersSaid tells the state machine the nodes' starts as the other processes observed them.
 func (s *starter) peersSaid(now time.Duration, state *nodestats.State) {
-	if s == nil || s.Over() {
+	if s == nil || s.Done() {
 		return
 	}
 	for _, v := range state.Views(now) {
-		s.step(coldstart.Peer{Node: coldstart.Node{ID: v.Node, Since: float64(v.Since)}})
+		s.step(coldstart.PeerReported{Node: coldstart.Node{ID: v.Node, StartTime: float64(v.StartTime)}})
 	}
 }
 
--- a/cmd/wheatsaddle/start_interleave_test.go
+++ b/cmd/wheatsaddle/start_interleave_test.go
@@ -35,16 +35,16 @@
 	}
 }
 
-func (c *actor) List(n core.News) {
+func (c *actor) List(n core.ListUpdate) {
 	what := "list"
 	if len(n.Nodes) > 0 && n.Nodes[0].Zone == "held" {
 		what = "held"
 	}
 	c.put(what)
 }
-func (c *actor) Recall(policy.Learned)           { c.put("recall") }
+func (c *actor) Restore(policy.Learned)          { c.put("recall") }
 func (c *actor) Preconnect(string)               { c.put("ahead") }
-func (c *actor) Probe(string)                    { c.put("probe") }
+func (c *actor) CheckHealth(string)              { c.put("probe") }
 func (c *actor) Learned() (policy.Learned, bool) { return policy.Learned{}, false }
 
 func (c *actor) run() {
@@ -55,7 +55,7 @@
 		}
 		c.took = append(c.took, what)
 		c.b.Admit("s")
-		c.b.Ended("s", policy.OK)
+		c.b.AttemptEnded("s", policy.OK)
 	}
 }
 
@@ -75,9 +75,9 @@
 // is back, once, and stays.
 func TestInterleaveStart(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	conf := &config.Config{Name: "n0", Settings: policy.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000,
-		Classes: []policy.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []policy.Plan{{Name: "basic", Reserve: 1000}}}}
-	node := core.Node{Node: policy.Node{ID: "s", Since: 5, Weight: 1}}
+	conf := &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000,
+		Classes: []policy.Class{{Name: "read", LatencyObjective: 30000, Deadline: 60000, PriorityWeight: 1}}, Plans: []policy.Plan{{Name: "basic", ReservedRate: 1000}}}}
+	node := core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
 	held := node
 	held.Zone = "held"
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
@@ -100,12 +100,12 @@
 				{Name: "timer", Run: func() {
 					sync.Point("time", "passes")
 					passed = 10 * time.Second
-					b.step(coldstart.Tick{})
+					b.step(coldstart.TimerFired{})
 				}},
 				{Name: "main", Run: func() {
-					b.step(coldstart.Begun{HeldList: b.machineNodes(b.knownNodes)})
+					b.step(coldstart.Started{CachedList: b.machineNodes(b.knownNodes)})
 					sync.Go(b.keepSnapshot)
-					b.list(core.News{Kind: policy.ListFull, Nodes: []core.Node{node}})
+					b.list(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
 					if !c.listed {
 						il.Fail("the list's word is not with the core")
 					}
@@ -124,7 +124,7 @@
 				switch ready := b.ready(false); {
 				case said && !ready:
 					return errors.New("ready was taken back")
-				case ready && b.machine.Phase() < coldstart.Heard && passed == 0:
+				case ready && b.machine.Phase() < coldstart.ListKnown && passed == 0:
 					return errors.New("ready before the list was heard")
 				case ready:
 					said = true
@@ -141,8 +141,8 @@
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "start.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
-		mutant.Mutant{File: "start.go", Old: "	s.enqueue(func(c startCore) { c.List(core.News{Kind: policy.ListChange, Nodes: guessed}) })",
-			New: "	sync.Go(func() { s.core.List(core.News{Kind: policy.ListChange, Nodes: guessed}) })", Want: "the core took "},
+		mutant.Mutant{File: "start.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
+			New: "	sync.Go(func() { s.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })", Want: "the core took "},
 		mutant.Mutant{File: "start.go", Old: "		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n		s.mu.Unlock()\n",
 			New: "		s.mu.Unlock()\n		sync.Writes(&s.toCore)\n		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n", Want: "data race: "},
 		mutant.Mutant{File: "start.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -25,7 +25,7 @@
 
 // quick is a node that serves at once, and notes what is opened or asked ahead of need.
 type quick struct {
-	core.Peer
+	core.NodeClient
 	id    string
 	ahead chan string
 }
@@ -35,7 +35,7 @@
 	return true
 }
 func (q quick) Connect(func(policy.Status)) bool { q.ahead <- "connect " + q.id; return true }
-func (q quick) Probe(func(core.Result, time.Duration)) (taken bool) {
+func (q quick) CheckHealth(func(core.Result, time.Duration)) (taken bool) {
 	q.ahead <- "probe " + q.id
 	return true
 }
@@ -44,11 +44,11 @@
 
 // startConf is a scheduler's alone, and startNode its node.
 func startConf() *config.Config {
-	return &config.Config{Name: "n0", Settings: policy.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 9, MaxHoldOff: 1000, MayProbe: true,
-		AskMode: true, Classes: []policy.Class{{Name: "read", Aim: 30000, Deadline: 60000, Worth: 1}}, Plans: []policy.Plan{{Name: "basic", Reserve: 1000}}}}
+	return &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000, MayCheckHealth: true,
+		PollsEndpointList: true, Classes: []policy.Class{{Name: "read", LatencyObjective: 30000, Deadline: 60000, PriorityWeight: 1}}, Plans: []policy.Plan{{Name: "basic", ReservedRate: 1000}}}}
 }
 
-var startNode = core.Node{Node: policy.Node{ID: "s", Since: 5, Weight: 1}}
+var startNode = core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
 
 // begun is a start that runs, with a core whose nodes note what is opened ahead; both end with the test.
 func begun(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, held ...core.Node) (*starter, *core.Core, chan string) {
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.gate(),
-		Connect: func(id string, _ []address.Addr) core.Peer { return quick{id: id, ahead: ahead} }})
+		Connect: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 func served(t *testing.T, co *core.Core) {
 	t.Helper()
 	got := make(chan core.Answer, 1)
-	co.Submit(&core.Request{Request: policy.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1},
-		Arrived: time.Now(), Patience: time.Minute, Answer: func(a core.Answer) { got <- a }})
+	co.Submit(&core.Request{Request: policy.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1},
+		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a core.Answer) { got <- a }})
 	if a := <-got; a.Kind != core.Served {
 		t.Fatalf("%+v", a)
 	}
@@ -96,7 +96,7 @@
 			if b.ready(true) {
 				t.Error("ready before the list")
 			}
-			if !b.list(core.News{Kind: policy.ListFull, Nodes: []core.Node{startNode}}) || !b.ready(false) {
+			if !b.list(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}) || !b.ready(false) {
 				t.Error("not ready with the list")
 			}
 			do(b, co, ahead)
@@ -138,7 +138,7 @@
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
 	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
-		OnNews: func(n core.News) { b.list(n) }}
+		OnNews: func(n core.ListUpdate) { b.list(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
 	t.Cleanup(func() { <-ended })
@@ -163,7 +163,7 @@
 	served(t, co)
 	for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 	}
-	if l, _ := co.Learned(); l.Nodes[0].Since != startNode.Since {
+	if l, _ := co.Learned(); l.Nodes[0].StartTime != startNode.StartTime {
 		t.Errorf("the node's start is guessed: %+v", l.Nodes)
 	}
 }
@@ -183,7 +183,7 @@
 	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
 	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
 	join := func(name string, b *starter) *fleet {
-		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayTell: true}}, b, log)
+		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, b, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,7 +191,7 @@
 		site.Peers.Seeds = append(site.Peers.Seeds, f.peers.Address())
 		return f
 	}
-	list := core.News{Kind: policy.ListFull, Nodes: []core.Node{startNode}}
+	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}
 	old, co, _ := begun(t, set, log)
 	old.list(list)
 	served(t, co)
@@ -203,8 +203,8 @@
 	}
 	old.finished.Store(true)
 	join("old", old)
-	liar, err := gossip.Start(gossip.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Every: 20 * time.Millisecond, Burst: 8,
-		State: nodestats.Defaults(), Log: log, Give: func(gossip.Kind) []byte { return []byte("wslearn\x01 but torn") }})
+	liar, err := gossip.Start(gossip.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Interval: 20 * time.Millisecond, Burst: 8,
+		State: nodestats.Defaults(), Log: log, MakeSnapshot: func(gossip.Kind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() { // nothing was sent
 		}
 		n := f.peers.Counts()
-		if met = n.Unusable > 0; n.Taken != 1 {
+		if met = n.SnapshotsInvalid > 0; n.SnapshotsReceived != 1 {
 			t.Fatalf("%+v", n)
 		}
 		f.stop()
@@ -242,9 +242,9 @@
 		first, last = last, first
 	}
 	node := func(id string, shard int) core.Node {
-		return core.Node{Node: policy.Node{ID: id, Shard: shard, Since: 5, Weight: 1}}
+		return core.Node{Node: policy.Node{ID: id, Shard: shard, StartTime: 5, Weight: 1}}
 	}
-	if err := snapshot.Write(set.Snapshot, &snapshot.Snapshot{Made: time.Now(), Nodes: []snapshot.NodeState{{ID: first, Since: 5}, {ID: last, Since: 5}}}); err != nil {
+	if err := snapshot.Write(set.Snapshot, &snapshot.Snapshot{Made: time.Now(), Nodes: []snapshot.NodeState{{ID: first, StartTime: 5}, {ID: last, StartTime: 5}}}); err != nil {
 		t.Fatal(err)
 	}
 	s, err := nodestats.New(nodestats.Defaults(), "other", 1)
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startsnapshot.go
@@ -21,9 +21,9 @@
 func (s *starter) recall(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
 	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
-		nodes = append(nodes, coldstart.Node{ID: n.ID, Since: n.Since})
+		nodes = append(nodes, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
 		if _, twice := byID[n.ID]; !twice {
-			byID[n.ID] = policy.LearnedNode{ID: n.ID, Since: n.Since, Window: n.Window, Usual: n.Usual, Best: n.Best, Failing: n.Failing}
+			byID[n.ID] = policy.LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.Window, Latency: n.Latency, BestLatencyPerUnit: n.BestLatencyPerUnit, FailureRate: n.FailureRate}
 		}
 	}
 	for _, class := range snap.Classes {
@@ -44,7 +44,7 @@
 	s.cancelAsk = cancel
 	go func() {
 		defer cancel()
-		others.peers.Ask(ctx, gossip.Snapshot, s.takeSnapshot)
+		others.peers.RequestSnapshot(ctx, gossip.Snapshot, s.takeSnapshot)
 	}()
 }
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	s.step(coldstart.Given{Snapshot: s.recall(snap)})
+	s.step(coldstart.SnapshotReceived{Snapshot: s.recall(snap)})
 	return nil
 }
 
@@ -65,7 +65,7 @@
 		return nil
 	}
 	return func(kind gossip.Kind) []byte {
-		if kind != gossip.Snapshot || !s.Over() {
+		if kind != gossip.Snapshot || !s.Done() {
 			return nil
 		}
 		snap := s.snapshot()
@@ -90,7 +90,7 @@
 	for done := false; !done; {
 		_, _, ticked := sync.Either(ticker.C, s.stopping)
 		done = !ticked
-		if s.Over() {
+		if s.Done() {
 			s.writeSnapshot()
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	snap := &snapshot.Snapshot{Made: time.Now()}
 	for _, n := range learned.Nodes {
-		snap.Nodes = append(snap.Nodes, snapshot.NodeState{ID: n.ID, Since: n.Since, Window: n.Window, Usual: n.Usual, Best: n.Best, Failing: n.Failing})
+		snap.Nodes = append(snap.Nodes, snapshot.NodeState{ID: n.ID, StartTime: n.StartTime, Window: n.Window, Latency: n.Latency, BestLatencyPerUnit: n.BestLatencyPerUnit, FailureRate: n.FailureRate})
 	}
 	for _, class := range learned.Classes {
 		snap.Classes = append(snap.Classes, snapshot.ClassState{Name: class.Name, Weight: class.Weight, Slope: class.Slope, Delay: class.Delay})
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/tree.go
@@ -41,7 +41,7 @@
 		},
 	}
 	for _, p := range conf.Settings.Plans {
-		opt.Limited[p.Name] = p.Limit > 0
+		opt.Limited[p.Name] = p.RateLimit > 0
 	}
 	for _, p := range set.Peers {
 		if p.Name != conf.Name { // one file may serve all processes
@@ -61,7 +61,7 @@
 
 // mayAskPeers is an error where the platform forbids that processes ask each other.
 func mayAskPeers(set *config.SiteTree, conf *config.Config) error {
-	if set != nil && !conf.Settings.MayTell {
+	if set != nil && !conf.Settings.MayGossip {
 		return &config.KeyError{File: "site", Key: "gather.peers", Says: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
 	}
 	return nil
--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// Most is how many addresses one node may have.
-const Most = 16
+// MaxAddresses is how many addresses one node may have.
+const MaxAddresses = 16
 
 // List reads the addresses of one node. One that is bad, in twice (also in another spelling) or
 // beyond Most is left out and named in errs; the others stay, in their order.
@@ -228,8 +228,8 @@
 		a, err := Parse(text)
 		if first, twice := seen[a]; err == nil && twice {
 			err = fmt.Errorf("the same as %q", first)
-		} else if err == nil && len(list) == Most {
-			err = fmt.Errorf("a node has %d addresses at most", Most)
+		} else if err == nil && len(list) == MaxAddresses {
+			err = fmt.Errorf("a node has %d addresses at most", MaxAddresses)
 		}
 		if err != nil {
 			errs = append(errs, &ListError{i, text, err})
--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -94,10 +94,10 @@
 		}
 	}
 	var many []string
-	for i := range Most + 2 {
+	for i := range MaxAddresses + 2 {
 		many = append(many, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
-	if list, errs := List(many); len(list) != Most || len(errs) != 2 {
+	if list, errs := List(many); len(list) != MaxAddresses || len(errs) != 2 {
 		t.Errorf("%d kept, %d named", len(list), len(errs))
 	}
 }
--- a/internal/address/book.go
+++ b/internal/address/book.go
@@ -14,8 +14,8 @@
 //     under trial at most; while all are down the whole node has one.
 //  5. A connection of an address that went from the list carries nothing new, and what it
 //     carries is not cut.
-//  6. The primary goes back to a preferred address at most once in ReturnSpan, and only after
-//     ReturnAfter connections on which an answer came in time.
+//  6. The primary goes back to a preferred address at most once in MinReturnDelay, and only after
+//     MinReturnConns connections on which an answer came in time.
 //  7. A preferred address that answers again becomes primary in the end, as long as work comes.
 //  8. What waits has a connect, a connection in use or a time that will wake it.
 //
@@ -35,8 +35,8 @@
 	safe, named bool
 }
 
-// Book is the state of one node's addresses.
-type Book struct {
+// Selector is the state of one node's addresses.
+type Selector struct {
 	settings        Settings
 	rng             *rand.Rand
 	now             time.Duration
@@ -74,45 +74,45 @@
 }
 
 // New returns the book of a node with no address yet. An error names the setting at fault.
-func New(settings Settings, seed uint64) (*Book, error) {
+func New(settings Settings, seed uint64) (*Selector, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	b := &Book{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x61646472657373)), conns: make([]conn, settings.Conns),
-		nextSilenceCheck: never, maxUnproven: settings.Conns, tokens: float64(settings.Burst), silenceBound: settings.SuspectLeast, returnDelay: settings.ReturnSpan,
+	b := &Selector{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x61646472657373)), conns: make([]conn, settings.MaxConns),
+		nextSilenceCheck: never, maxUnproven: settings.MaxConns, tokens: float64(settings.ConnectBurst), silenceBound: settings.MinSuspectAfter, returnDelay: settings.MinReturnDelay,
 		lastReturn: math.MinInt64 / 2, waiting: make([]waiter, 0, 16)}
-	for i := settings.Conns - 1; i >= 0; i-- {
+	for i := settings.MaxConns - 1; i >= 0; i-- {
 		b.freeSlots = append(b.freeSlots, i)
 	}
 	return b, nil
 }
 
 // Step applies one event that came at now and appends the actions it leads to.
-func (b *Book) Step(now time.Duration, e Event, actions []Action) []Action {
+func (b *Selector) Step(now time.Duration, e Event, actions []Action) []Action {
 	b.now, b.actions, b.newDemand = max(b.now, now), actions, false
 	switch e.Kind {
-	case Want:
+	case RequestQueued:
 		b.enqueue(e)
-	case Drop:
+	case RequestDropped:
 		b.dropRequest(e)
 	case Connected:
 		b.connected(e.Conn)
-	case Failed:
-		b.failed(e.Conn, e.Why)
-	case Answered:
+	case ConnectFailed:
+		b.failed(e.Conn, e.Reason)
+	case ResponseReceived:
 		b.answered(e)
-	case Broken:
+	case ConnBroken:
 		b.broken(e)
-	case Lost:
+	case IdleConnClosed:
 		if c := b.connByID(e.Conn); c != nil && c.phase == idle {
 			b.removeIdle(c)
 			b.releaseConn(c)
 		}
-	case Drain:
-		if b.draining = e.On; e.On {
+	case DrainChanged:
+		if b.draining = e.Draining; e.Draining {
 			b.stopConnecting()
 		}
-	case Closing:
+	case NodeRemoved:
 		b.closing = true
 		b.stopConnecting()
 		for i := range b.conns {
@@ -120,15 +120,15 @@
 				b.closeConn(c)
 			}
 		}
-	case Nudge:
+	case DemandContinued:
 		b.newDemand = true
-	case Heard:
+	case ProgressSeen:
 		if c := b.connByID(e.Conn); c != nil && c.phase == busy {
 			c.since, c.silenceCounted = b.now, false
 			c.entry.heard, c.entry.breaks, c.entry.doubted, c.entry.refuted = b.now, 0, 0, 0
 			b.nextSilenceCheck = min(b.nextSilenceCheck, b.now+b.patience())
 		}
-	case Listed:
+	case AddressesChanged:
 		b.setAddresses(e.Addrs)
 	}
 	b.review()
@@ -143,17 +143,17 @@
 
 // Adjust replaces the settings, which must pass Check, except the numbers of connections and of requests. Decisions
 // from now on follow the new settings.
-func (b *Book) Adjust(settings Settings) {
-	settings.Conns, settings.Requests = b.settings.Conns, b.settings.Requests
+func (b *Selector) Adjust(settings Settings) {
+	settings.MaxConns, settings.MaxWaiting = b.settings.MaxConns, b.settings.MaxWaiting
 	b.settings = settings
-	b.tokens = min(b.tokens, float64(settings.Burst))
-	b.silenceBound = min(max(b.silenceBound, settings.SuspectLeast), settings.SuspectMost)
-	b.returnDelay = min(max(b.returnDelay, settings.ReturnSpan), settings.ReturnMost)
+	b.tokens = min(b.tokens, float64(settings.ConnectBurst))
+	b.silenceBound = min(max(b.silenceBound, settings.MinSuspectAfter), settings.MaxSuspectAfter)
+	b.returnDelay = min(max(b.returnDelay, settings.MinReturnDelay), settings.MaxReturnDelay)
 	b.nextSilenceCheck = 0
 	addrs := make([]Addr, 0, len(b.entries))
 	for _, e := range b.entries {
 		addrs = append(addrs, e.Addr)
-		e.run = min(e.run, settings.ReturnAfter)
+		e.run = min(e.run, settings.MinReturnConns)
 	}
 	held := b.entries
 	b.entries = make([]*entry, 0, len(held))
@@ -163,10 +163,10 @@
 }
 
 // emit appends an action to those of the current step.
-func (b *Book) emit(a Action) { b.actions = append(b.actions, a) }
+func (b *Selector) emit(a Action) { b.actions = append(b.actions, a) }
 
 // Next is the time of the next Tick, or a very late one where nothing depends on time.
-func (b *Book) Next() time.Duration {
+func (b *Selector) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, r := range b.races {
 		next = min(next, r.next)
--- a/internal/address/book_test.go
+++ b/internal/address/book_test.go
@@ -37,7 +37,7 @@
 	}
 	c, _ := r.last(Write)
 	r.now += ms
-	r.answer(c, Served)
+	r.answer(c, VerdictServed)
 	return c
 }
 
@@ -49,7 +49,7 @@
 	r.up(c)
 	_, on := r.last(Write)
 	want(t, "written by", on, unixA)
-	r.answer(c, Served)
+	r.answer(c, VerdictServed)
 	r.want(false)
 	again, _ := r.last(Write)
 	want(t, "the connection again", again, c)
@@ -69,7 +69,7 @@
 	r.wait(ms)
 	b, to := r.last(Connect)
 	want(t, "second", to, six)
-	r.refuse(b, Refused)
+	r.refuse(b, ReasonRefused)
 	c, to := r.last(Connect)
 	want(t, "third, at once", to, four)
 	r.up(c)
@@ -88,7 +88,7 @@
 func TestDelayFollowsConnects(t *testing.T) {
 	for _, x := range []struct{ took, want time.Duration }{{ms / 10, 100 * ms}, {80 * ms, 240 * ms}, {3 * time.Second, 2 * time.Second}} {
 		s := Defaults()
-		s.ReturnAfter = 1
+		s.MinReturnConns = 1
 		r := newRig(s, four)
 		r.want(true)
 		c, _ := r.last(Connect)
@@ -155,16 +155,16 @@
 		s.mode[a] = "refused"
 	}
 	for _, c := range append([]Conn(nil), s.busy...) {
-		s.breaks(c, Reset)
+		s.breaks(c, ReasonReset)
 	}
 	for i := range s.b.conns { // the dead node's connections are found ended
 		if c := &s.b.conns[i]; c.phase == idle {
-			s.do(Event{Kind: Lost, Conn: c.id})
+			s.do(Event{Kind: IdleConnClosed, Conn: c.id})
 		}
 	}
 	s.run(5*time.Second, ms, always)
 	s.must(t)
-	if n := len(s.connects); n > 3*(50+15)+5 { // a walk over three a DownEvery, less the jitter
+	if n := len(s.connects); n > 3*(50+15)+5 { // a walk over three a DownTrialInterval, less the jitter
 		t.Errorf("%d connects in 5 s while all were down", n)
 	}
 	if open := len(s.coming); open > 1 {
@@ -189,7 +189,7 @@
 // it did not last.
 func TestNoFlapping(t *testing.T) {
 	set := Defaults()
-	set.Backoff, set.BackoffMost, set.TrialGap = 20*ms, 20*ms, ms // so that it is the rule of returns that holds
+	set.Backoff, set.MaxBackoff, set.TrialInterval = 20*ms, 20*ms, ms // so that it is the rule of returns that holds
 	s := newSim(set, three...)
 	s.run(time.Second, 10*ms, always)
 	var returns []time.Duration
@@ -197,7 +197,7 @@
 		s.mode[unixA] = []string{"refused", "ok"}[i%2]
 		for j := range s.b.conns {
 			if c := &s.b.conns[j]; i%2 == 0 && c.phase == idle && c.entry.kind == Unix {
-				s.do(Event{Kind: Lost, Conn: c.id})
+				s.do(Event{Kind: IdleConnClosed, Conn: c.id})
 				break
 			}
 		}
@@ -210,7 +210,7 @@
 		}
 	}
 	for i := 1; i < len(returns); i++ {
-		if gap := returns[i] - returns[i-1]; gap < set.ReturnSpan {
+		if gap := returns[i] - returns[i-1]; gap < set.MinReturnDelay {
 			t.Errorf("returns at %v and %v", returns[i-1], returns[i])
 		}
 	}
@@ -231,7 +231,7 @@
 	if tally := s.tally(); tally["turned"] > 100 || tally["served"] < 300 {
 		t.Errorf("%v", tally)
 	}
-	if snap := s.b.Snapshot(nil); snap[0].State != Wrong || snap[1].State != Good {
+	if snap := s.b.Snapshot(nil); snap[0].State != WrongNode || snap[1].State != Healthy {
 		t.Errorf("%+v", snap)
 	}
 	s.mode[unixA] = "ok"
@@ -245,9 +245,9 @@
 	r := newRig(Defaults(), three...)
 	c := r.serveOne()
 	r.want(true)
-	r.answer(c, Misdirected)
+	r.answer(c, VerdictWrongNode)
 	want(t, "closed", r.count(Close), 1)
-	want(t, "state", r.b.Snapshot(nil)[0].State, Wrong)
+	want(t, "state", r.b.Snapshot(nil)[0].State, WrongNode)
 	want(t, "primary", r.b.Primary(), six)
 	r.must(t)
 }
@@ -261,7 +261,7 @@
 	}
 	s.run(3*time.Second, 10*ms, always)
 	for _, x := range s.b.Snapshot(nil) {
-		if x.State == Wrong || x.State == Down {
+		if x.State == WrongNode || x.State == Down {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -317,7 +317,7 @@
 // A preferred address is primary again only after so many good connections, whatever the time.
 func TestReturnsAfterGoodConnections(t *testing.T) {
 	set := Defaults()
-	set.ReturnSpan, set.ReturnMost, set.Backoff, set.BackoffMost, set.ReturnAfter = ms, ms, 20*ms, 20*ms, 5
+	set.MinReturnDelay, set.MaxReturnDelay, set.Backoff, set.MaxBackoff, set.MinReturnConns = ms, ms, 20*ms, 20*ms, 5
 	s := newSim(set, three...)
 	s.mode[unixA] = "refused"
 	s.run(time.Second, 10*ms, always)
@@ -339,7 +339,7 @@
 // good long ago, while it could not be returned to, has to show that it still is.
 func TestAddedAddressEarnsIt(t *testing.T) {
 	set := Defaults()
-	set.ReturnAfter, set.ReturnSpan, set.ReturnMost = 5, 500*ms, time.Minute
+	set.MinReturnConns, set.MinReturnDelay, set.MaxReturnDelay = 5, 500*ms, time.Minute
 	s := newSim(set, four)
 	s.run(time.Second, 10*ms, always)
 	s.list(three...)
@@ -385,7 +385,7 @@
 	r.want(true)
 	c, _ := r.last(Connect)
 	r.up(c)
-	r.breaks(c, Unwritten)
+	r.breaks(c, ReasonUnwritten)
 	_, to := r.last(Connect)
 	want(t, "goes by", to, six)
 	want(t, "state", r.b.Snapshot(nil)[0].State, Suspect)
@@ -415,12 +415,12 @@
 	}
 	want(t, "asked by", r.at[b], six)
 	r.now += 5 * ms
-	r.answer(b, Served)
+	r.answer(b, VerdictServed)
 	r.wait(9 * ms)
-	r.answer(a, Served)
+	r.answer(a, VerdictServed)
 	r.wait(100 * ms)
 	want(t, "primary", r.b.Primary(), unixA)
-	want(t, "state", r.b.Snapshot(nil)[0].State, Good)
+	want(t, "state", r.b.Snapshot(nil)[0].State, Healthy)
 	r.must(t)
 }
 
@@ -430,7 +430,7 @@
 	r := newRig(set, unixA, six)
 	a := r.serveOne()
 	r.want(true)
-	r.answer(a, Misdirected)
+	r.answer(a, VerdictWrongNode)
 	r.serveOne()
 	r.now += time.Minute
 	r.want(true)
@@ -442,8 +442,8 @@
 		t.Fatal("the trial carries nothing")
 	}
 	r.now += 400 * ms
-	r.answer(trial, Served)
-	if x := r.b.Snapshot(nil)[0]; x.State != Wrong || x.Until <= r.now {
+	r.answer(trial, VerdictServed)
+	if x := r.b.Snapshot(nil)[0]; x.State != WrongNode || x.Until <= r.now {
 		t.Errorf("%+v at %v", x, r.now)
 	}
 	r.must(t)
@@ -455,18 +455,18 @@
 	r := newRig(set, unixA, six)
 	a := r.serveOne()
 	r.want(true)
-	r.breaks(a, Reset) // kept: says nothing yet
+	r.breaks(a, ReasonReset) // kept: says nothing yet
 	r.want(true)
 	a, _ = r.last(Connect)
 	r.up(a)
-	r.breaks(a, Reset)
+	r.breaks(a, ReasonReset)
 	want(t, "suspect", r.b.Snapshot(nil)[0].State, Suspect)
 	b := r.serveOne()
-	r.now += set.BackoffMost
+	r.now += set.MaxBackoff
 	q := r.want(false) // by the other one, and a trial is opened beside
 	trial, to := r.last(Connect)
 	want(t, "trial", to, unixA)
-	r.breaks(b, Unwritten)
+	r.breaks(b, ReasonUnwritten)
 	r.up(trial)
 	if r.carries[trial] == q {
 		t.Error("the trial carries what must not be repeated")
@@ -481,7 +481,7 @@
 	a, _ := r.last(Connect)
 	r.wait(250 * ms)
 	b, _ := r.last(Connect)
-	r.do(Event{Kind: Drain, On: true})
+	r.do(Event{Kind: DrainChanged, Draining: true})
 	want(t, "closed", r.count(Close), 2)
 	want(t, "failed", r.failed[q], true)
 	for _, c := range []Conn{a, b} {
@@ -490,10 +490,10 @@
 	}
 	q = r.want(true)
 	want(t, "failed at once", r.failed[q], true)
-	r.do(Event{Kind: Drain})
+	r.do(Event{Kind: DrainChanged})
 	r.want(true)
 	want(t, "after the drain", r.count(Connect), 1)
-	r.do(Event{Kind: Closing})
+	r.do(Event{Kind: NodeRemoved})
 	want(t, "closed", r.count(Close), 1)
 	r.must(t)
 }
@@ -508,9 +508,9 @@
 	r.want(true)
 	b, _ := r.last(Connect)
 	r.up(b)
-	r.answer(b, Served) // a is out, b idles; both by the Unix socket
+	r.answer(b, VerdictServed) // a is out, b idles; both by the Unix socket
 	r.want(true)
-	r.answer(b, Served)
+	r.answer(b, VerdictServed)
 	r.list(six, four)
 	closed, _ := r.last(Close)
 	want(t, "idle ones there end", closed, b)
@@ -520,10 +520,10 @@
 	c, to := r.last(Connect)
 	want(t, "by", to, six)
 	r.up(c)
-	r.answer(a, Served)
+	r.answer(a, VerdictServed)
 	closed, _ = r.last(Close)
 	want(t, "finished, then closed", closed, a)
-	r.answer(c, Served)
+	r.answer(c, VerdictServed)
 	r.list(four, six, unixA) // back, and in another order
 	want(t, "nothing is closed", r.count(Close), 0)
 	want(t, "the primary stays", r.b.Primary(), six)
@@ -540,15 +540,15 @@
 	r := newRig(Defaults(), three...)
 	c := r.serveOne()
 	q := r.want(true)
-	r.breaks(c, Unwritten)
+	r.breaks(c, ReasonUnwritten)
 	d, to := r.last(Connect)
 	want(t, "by a new connection to", to, unixA)
 	r.up(d)
 	w, _ := r.last(Write)
 	want(t, "written", r.carries[w], q)
-	r.answer(w, Served)
+	r.answer(w, VerdictServed)
 	r.want(true)
-	r.breaks(w, Cut)
+	r.breaks(w, ReasonCutOff)
 	want(t, "nothing goes on", len(r.acts), 0)
 	want(t, "one break of a kept connection says nothing", r.b.Primary(), unixA)
 	r.must(t)
@@ -562,7 +562,7 @@
 	a, _ := r.last(Connect)
 	r.wait(250 * ms)
 	b, _ := r.last(Connect)
-	r.refuse(b, NoResource)
+	r.refuse(b, ReasonNoResource)
 	want(t, "no more connects", r.count(Connect), 0)
 	r.wait(10 * time.Second)
 	want(t, "still none", r.count(Connect), 0)
@@ -570,10 +570,10 @@
 	want(t, "written", r.count(Write), 1)
 	q := r.want(true)
 	c, _ := r.last(Connect)
-	r.refuse(c, NoResource)
+	r.refuse(c, ReasonNoResource)
 	want(t, "ended as never ran", r.failed[q], true)
 	for _, x := range r.b.Snapshot(nil) {
-		if x.State != Untried && x.State != Good {
+		if x.State != Untried && x.State != Healthy {
 			t.Errorf("blamed: %+v", x)
 		}
 	}
@@ -585,18 +585,18 @@
 	s := newRig(Defaults(), six, four)
 	s.want(true)
 	a, _ := s.last(Connect)
-	s.refuse(a, NoFamily)
+	s.refuse(a, ReasonNoFamily)
 	_, to := s.last(Connect)
 	want(t, "at once by", to, four)
-	want(t, "state", s.b.Snapshot(nil)[0].State, Absent)
+	want(t, "state", s.b.Snapshot(nil)[0].State, Unsupported)
 	b, _ := s.last(Connect)
 	s.up(b)
-	s.answer(b, Served)
+	s.answer(b, VerdictServed)
 	for range 100 {
 		s.wait(100 * ms)
 		s.want(true)
 		c, _ := s.last(Write)
-		s.answer(c, Served)
+		s.answer(c, VerdictServed)
 	}
 	want(t, "connects", len(s.connects), 2)
 	s.must(t)
@@ -605,7 +605,7 @@
 // Connects are bounded by the burst and the rate; what finds no token waits for one.
 func TestConnectsBounded(t *testing.T) {
 	set := Defaults()
-	set.Burst, set.Rate = 4, 10
+	set.ConnectBurst, set.ConnectRate = 4, 10
 	r := newRig(set, three...)
 	for range 20 {
 		r.want(true)
@@ -629,13 +629,13 @@
 		key string
 		set func(*Settings)
 	}{
-		{"delay_least_ms: 9 is not from 10 to 2000", func(s *Settings) { s.DelayLeast = 9 * ms }},
+		{"delay_least_ms: 9 is not from 10 to 2000", func(s *Settings) { s.MinDelay = 9 * ms }},
 		{"delay_ms", func(s *Settings) { s.Delay = 3 * time.Second }},
 		{"preference", func(s *Settings) { s.Preference = []Kind{Unix, Unix} }},
 		{"preference", func(s *Settings) { s.Preference = nil }},
 		{"jitter", func(s *Settings) { s.Jitter = 1.5 }},
-		{"connects_per_second", func(s *Settings) { s.Rate = 0 }},
-		{"backoff_most_ms", func(s *Settings) { s.BackoffMost = ms }},
+		{"connects_per_second", func(s *Settings) { s.ConnectRate = 0 }},
+		{"backoff_most_ms", func(s *Settings) { s.MaxBackoff = ms }},
 	} {
 		s := Defaults()
 		x.set(&s)
--- a/internal/address/check.go
+++ b/internal/address/check.go
@@ -6,7 +6,7 @@
 )
 
 // Check says which invariant does not hold; it is for tests, after any Step.
-func (b *Book) Check() error {
+func (b *Selector) Check() error {
 	used, coming, unproven, busies := 0, 0, 0, 0
 	reqs := map[Req]bool{}
 	for i := range b.conns {
@@ -48,7 +48,7 @@
 	if used != b.connCount || coming != b.connectingCount || unproven != b.unprovenCount || used+len(b.freeSlots) != len(b.conns) {
 		return fmt.Errorf("counts: %d %d %d %d, kept as %d %d %d", used, coming, unproven, len(b.freeSlots), b.connCount, b.connectingCount, b.unprovenCount)
 	}
-	if b.tokens < -1e-9 || b.tokens > float64(b.settings.Burst) {
+	if b.tokens < -1e-9 || b.tokens > float64(b.settings.ConnectBurst) {
 		return fmt.Errorf("tokens: %v", b.tokens)
 	}
 	for _, w := range b.waiting {
@@ -57,7 +57,7 @@
 		}
 		reqs[w.req] = true
 	}
-	if n := len(b.waiting); n > b.settings.Requests+b.settings.Conns { // what is found unwritten waits again
+	if n := len(b.waiting); n > b.settings.MaxWaiting+b.settings.MaxConns { // what is found unwritten waits again
 		return fmt.Errorf("%d wait", n)
 	} else if n > 0 && (b.draining || b.closing) {
 		return fmt.Errorf("%d wait for a node that goes", n)
@@ -68,7 +68,7 @@
 		return fmt.Errorf("primary %v is not on the list", b.Primary())
 	}
 	for _, e := range b.entries {
-		if e.state != Good && e.state != Untried && !e.proving || e.run > b.settings.ReturnAfter || e.gone {
+		if e.state != Healthy && e.state != Untried && !e.proving || e.run > b.settings.MinReturnConns || e.gone {
 			return fmt.Errorf("%v: %+v", e.Addr, *e)
 		}
 	}
--- a/internal/address/conns.go
+++ b/internal/address/conns.go
@@ -34,7 +34,7 @@
 }
 
 // connByID is the connection with that id, or nil if it is over.
-func (b *Book) connByID(id Conn) *conn {
+func (b *Selector) connByID(id Conn) *conn {
 	if i := int(id&0xffff) - 1; i >= 0 && i < len(b.conns) && b.conns[i].phase != none && b.conns[i].id == id {
 		return &b.conns[i]
 	}
@@ -42,7 +42,7 @@
 }
 
 // startConnect starts a connect. The caller has checked that there is a free slot and a token.
-func (b *Book) startConnect(e *entry, r *race, trial bool) *conn {
+func (b *Selector) startConnect(e *entry, r *race, trial bool) *conn {
 	i := b.freeSlots[len(b.freeSlots)-1]
 	b.freeSlots = b.freeSlots[:len(b.freeSlots)-1]
 	c := &b.conns[i]
@@ -62,7 +62,7 @@
 }
 
 // releaseConn removes a connection and frees its slot. It does not close it.
-func (b *Book) releaseConn(c *conn) {
+func (b *Selector) releaseConn(c *conn) {
 	if c.phase == connecting {
 		b.connectingCount--
 	}
@@ -79,7 +79,7 @@
 }
 
 // closeConn closes a connection and removes it.
-func (b *Book) closeConn(c *conn) {
+func (b *Selector) closeConn(c *conn) {
 	if c.phase == idle {
 		b.removeIdle(c)
 	}
@@ -88,20 +88,20 @@
 }
 
 // removeIdle takes a connection out of its address's idle ones.
-func (b *Book) removeIdle(c *conn) {
+func (b *Selector) removeIdle(c *conn) {
 	if i := slices.Index(c.entry.idle, c); i >= 0 {
 		c.entry.idle = slices.Delete(c.entry.idle, i, i+1)
 	}
 }
 
 // makeIdle adds a connection to its address's idle ones.
-func (b *Book) makeIdle(c *conn) {
+func (b *Selector) makeIdle(c *conn) {
 	c.phase, c.since, c.req = idle, b.now, 0
 	c.entry.idle = append(c.entry.idle, c)
 }
 
 // stopConnecting closes all connections that are connecting, and fails all waiting requests.
-func (b *Book) stopConnecting() {
+func (b *Selector) stopConnecting() {
 	for i := range b.conns {
 		if c := &b.conns[i]; c.phase == connecting {
 			b.closeConn(c)
@@ -112,7 +112,7 @@
 }
 
 // failWaiting fails all waiting requests except the first keep ones.
-func (b *Book) failWaiting(keep int) {
+func (b *Selector) failWaiting(keep int) {
 	for _, w := range b.waiting[min(keep, len(b.waiting)):] {
 		b.emit(Action{Kind: Fail, Req: w.req})
 	}
--- a/internal/address/errors.go
+++ b/internal/address/errors.go
@@ -8,11 +8,11 @@
 
 // SettingError is a setting that is out of bounds.
 type SettingError struct {
-	Key  string
-	Says string
+	Key     string
+	Problem string
 }
 
-func (e *SettingError) Error() string { return e.Key + ": " + e.Says }
+func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
 // Code implements operr.Coded.
 func (e *SettingError) Code() string { return "address-setting" }
--- a/internal/address/events.go
+++ b/internal/address/events.go
@@ -13,38 +13,38 @@
 
 // The kinds of events.
 const (
-	Want      EventKind = iota // Req, Safe, Named: it wants to be written
-	Drop                       // Req, Conn (0: it waits): its owner has given it up
-	Connected                  // Conn
-	Failed                     // Conn, Why: it did not come up
-	Answered                   // Conn, Verdict, Keep: a whole answer has come
-	Broken                     // Conn, Why: it ended while it carried a request
-	Lost                       // Conn: it ended, or the driver ended it, while idle
-	Tick                       // the time of Next has come
-	Drain                      // On
-	Closing                    // the node has left the list
-	Nudge                      // work goes on, though no request comes: what is due may be tried
-	Heard                      // Conn: a sign of life on a connection whose request goes on
-	Listed                     // Addrs: the node's addresses from now on
+	RequestQueued    EventKind = iota // Req, Safe, Named: it wants to be written
+	RequestDropped                    // Req, Conn (0: it waits): its owner has given it up
+	Connected                         // Conn
+	ConnectFailed                     // Conn, Why: it did not come up
+	ResponseReceived                  // Conn, Verdict, Keep: a whole answer has come
+	ConnBroken                        // Conn, Why: it ended while it carried a request
+	IdleConnClosed                    // Conn: it ended, or the driver ended it, while idle
+	TimerFired                        // the time of Next has come
+	DrainChanged                      // On
+	NodeRemoved                       // the node has left the list
+	DemandContinued                   // work goes on, though no request comes: what is due may be tried
+	ProgressSeen                      // Conn: a sign of life on a connection whose request goes on
+	AddressesChanged                  // Addrs: the node's addresses from now on
 )
 
-// Why is how a connection ended.
-type Why uint8
+// Reason is how a connection ended.
+type Reason uint8
 
-// The ways a connection ends. Those up to NoFamily are of connects.
+// The ways a connection ends. Those up to ReasonNoFamily are of connects.
 const (
-	Refused    Why = iota // nobody listens, or no such file
-	TimedOut              // it did not come up in time
-	NoResource            // this program lacks descriptors or ports: the address is not at fault
-	NoFamily              // this machine lacks the address's family
-	Reset                 // it broke after the request, or gave what is no answer
-	Cut                   // it broke before the request's last byte
-	Unwritten             // it was found ended before a byte of the request was written
-	Silent                // nothing was heard in time
-	Slow                  // an answer came too late
-	Outrun                // another address came up first, though it started later
-	TurnedAway            // requests turned away in a row
-	Misled                // it leads to another node
+	ReasonRefused    Reason = iota // nobody listens, or no such file
+	ReasonTimedOut                 // it did not come up in time
+	ReasonNoResource               // this program lacks descriptors or ports: the address is not at fault
+	ReasonNoFamily                 // this machine lacks the address's family
+	ReasonReset                    // it broke after the request, or gave what is no answer
+	ReasonCutOff                   // it broke before the request's last byte
+	ReasonUnwritten                // it was found ended before a byte of the request was written
+	ReasonSilent                   // nothing was heard in time
+	ReasonSlow                     // an answer came too late
+	ReasonOvertaken                // another address came up first, though it started later
+	ReasonRejecting                // requests turned away in a row
+	ReasonWrongNode                // it leads to another node
 	whys
 )
 
@@ -52,7 +52,7 @@
 var whyWords = [whys]string{"refused", "timed out", "no resource", "no family", "reset", "cut", "unwritten", "silent",
 	"slow", "outrun", "turned away", "another node"}
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	if w < whys {
 		return whyWords[w]
 	}
@@ -64,24 +64,24 @@
 
 // The verdicts.
 const (
-	Served      Verdict = iota // the node served it
-	Other                      // it answered otherwise
-	Turned                     // refused without running it
-	Misdirected                // it says that it is another node
+	VerdictServed    Verdict = iota // the node served it
+	VerdictOther                    // it answered otherwise
+	VerdictRejected                 // refused without running it
+	VerdictWrongNode                // it says that it is another node
 )
 
 // Event is one thing that happened.
 type Event struct {
-	Kind    EventKind
-	Conn    Conn
-	Req     Req
-	Why     Why
-	Verdict Verdict
-	Safe    bool // the request's class may be repeated
-	Named   bool // the request names a shard, so that a wrong node turns it away
-	Keep    bool // the connection may carry another request; else the driver has closed it
-	On      bool
-	Addrs   []Addr
+	Kind       EventKind
+	Conn       Conn
+	Req        Req
+	Reason     Reason
+	Verdict    Verdict
+	Idempotent bool // the request's class may be repeated
+	NamesShard bool // the request names a shard, so that a wrong node turns it away
+	KeepAlive  bool // the connection may carry another request; else the driver has closed it
+	Draining   bool
+	Addrs      []Addr
 }
 
 // ActionKind tells which fields of an Action count.
@@ -89,19 +89,19 @@
 
 // The kinds of actions.
 const (
-	Connect ActionKind = iota // Conn, Addr: answer with Connected or Failed
-	Write                     // Conn, Req: answer with Answered, Broken or Drop
-	Close                     // Conn: also one that is coming up; no event follows
-	Fail                      // Req: no connection; it was never written
-	Say                       // Addr, State, Why: for the log
+	Connect  ActionKind = iota // Conn, Addr: answer with Connected or Failed
+	Write                      // Conn, Req: answer with Answered, Broken or Drop
+	Close                      // Conn: also one that is coming up; no event follows
+	Fail                       // Req: no connection; it was never written
+	LogState                   // Addr, State, Why: for the log
 )
 
 // Action is one thing for the driver to do.
 type Action struct {
-	Kind  ActionKind
-	Conn  Conn
-	Req   Req
-	Addr  Addr
-	State State
-	Why   Why
+	Kind   ActionKind
+	Conn   Conn
+	Req    Req
+	Addr   Addr
+	State  State
+	Reason Reason
 }
--- a/internal/address/health.go
+++ b/internal/address/health.go
@@ -11,11 +11,11 @@
 // The states.
 const (
 	Untried State = iota
-	Good
-	Suspect // silent, breaking, or turning all away: it may be the address or the node
-	Down    // its connects fail, or its trial did
-	Wrong   // it leads to another node
-	Absent  // this machine lacks its family
+	Healthy
+	Suspect     // silent, breaking, or turning all away: it may be the address or the node
+	Down        // its connects fail, or its trial did
+	WrongNode   // it leads to another node
+	Unsupported // this machine lacks its family
 	states
 )
 
@@ -32,7 +32,7 @@
 type entry struct {
 	Addr
 	state   State
-	why     Why
+	why     Reason
 	proving bool // good again, but not often enough
 	refuses bool // only new connections fail: what stands may be used
 	gone    bool // off the list
@@ -67,11 +67,11 @@
 	graceLeast   = 10 * time.Millisecond
 )
 
-func (b *Book) rank(e *entry) int {
+func (b *Selector) rank(e *entry) int {
 	switch e.state {
 	case Untried:
 		return rankGood
-	case Good:
+	case Healthy:
 		if e.proving {
 			return rankProving
 		}
@@ -87,11 +87,11 @@
 
 // shut says that connections to the address are of no use.
 func (e *entry) shut() bool {
-	return (e.state == Suspect || e.state == Down || e.state == Wrong) && !e.refuses
+	return (e.state == Suspect || e.state == Down || e.state == WrongNode) && !e.refuses
 }
 
 // best is the rank of the best address.
-func (b *Book) best() int {
+func (b *Selector) best() int {
 	best := rankDown
 	for _, e := range b.entries {
 		best = min(best, b.rank(e))
@@ -100,35 +100,35 @@
 }
 
 // down says that no address is known to be of use.
-func (b *Book) down() bool { return b.best() >= rankOver }
+func (b *Selector) down() bool { return b.best() >= rankOver }
 
 // guarded says that an address takes one connection at a time, for a trial.
-func (b *Book) guarded(e *entry) bool {
+func (b *Selector) guarded(e *entry) bool {
 	r := b.rank(e)
 	return r >= rankOver || r > b.best()
 }
 
-func (b *Book) jitter(d time.Duration) time.Duration {
+func (b *Selector) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(b.settings.Jitter*b.rng.Float64()*float64(d))
 }
 
-func (b *Book) backoff(first time.Duration, fails int) time.Duration {
+func (b *Selector) backoff(first time.Duration, fails int) time.Duration {
 	d := first
 	for range min(fails, backoffSteps) - 1 {
-		d = min(2*d, max(first, b.settings.BackoffMost))
+		d = min(2*d, max(first, b.settings.MaxBackoff))
 	}
 	return b.jitter(d)
 }
 
 // blame takes trouble on an address into its state. What comes from connections that stood
 // before it was suspect counts no more, or one incident would be many.
-func (b *Book) blame(e *entry, why Why, trial bool) {
+func (b *Selector) blame(e *entry, why Reason, trial bool) {
 	if e.gone {
 		return
 	}
 	was := e.state
-	connect := why == Refused || why == TimedOut || why == Outrun || why == NoFamily
-	if (was == Suspect && why != Refused && why != TimedOut || was == Down || was == Wrong) && !trial {
+	connect := why == ReasonRefused || why == ReasonTimedOut || why == ReasonOvertaken || why == ReasonNoFamily
+	if (was == Suspect && why != ReasonRefused && why != ReasonTimedOut || was == Down || was == WrongNode) && !trial {
 		if connect { // a race's last resort, or one that was under way
 			e.until = max(e.until, b.now+b.backoff(b.settings.Backoff, e.fails))
 		}
@@ -138,80 +138,80 @@
 	e.fails++
 	e.run, e.why, e.proving, e.doubted, e.refuted = 0, why, true, 0, 0
 	switch {
-	case why == NoFamily:
-		e.state, e.until = Absent, b.now+b.jitter(b.settings.AbsentFor)
-	case why == Misled:
-		e.state, e.until = Wrong, b.now+b.backoff(b.settings.WrongFor, e.fails)
-	case was == Wrong || why == TurnedAway && was == Suspect:
-		e.until = b.now + b.backoff(b.settings.WrongFor, e.fails)
-	case why == Refused || why == TimedOut || was == Suspect || was == Down:
+	case why == ReasonNoFamily:
+		e.state, e.until = Unsupported, b.now+b.jitter(b.settings.UnsupportedBackoff)
+	case why == ReasonWrongNode:
+		e.state, e.until = WrongNode, b.now+b.backoff(b.settings.WrongNodeBackoff, e.fails)
+	case was == WrongNode || why == ReasonRejecting && was == Suspect:
+		e.until = b.now + b.backoff(b.settings.WrongNodeBackoff, e.fails)
+	case why == ReasonRefused || why == ReasonTimedOut || was == Suspect || was == Down:
 		e.state, e.until = Down, b.now+b.backoff(b.settings.Backoff, e.fails)
 	default:
 		e.state, e.until = Suspect, b.now+b.backoff(b.settings.Backoff, e.fails)
 	}
-	e.refuses = connect && (was == Good || was == Untried || e.refuses)
+	e.refuses = connect && (was == Healthy || was == Untried || e.refuses)
 	if e.shut() && b.rank(e) > b.best() {
 		for len(e.idle) > 0 {
 			b.closeConn(e.idle[len(e.idle)-1])
 		}
 	}
 	if e.state != was {
-		b.emit(Action{Kind: Say, Addr: e.Addr, State: e.state, Why: why})
+		b.emit(Action{Kind: LogState, Addr: e.Addr, State: e.state, Reason: why})
 		b.hurry()
 	}
 	if !wasDown && b.down() {
 		b.maxUnproven = 1
-		b.nextDownTrial = b.now + b.jitter(b.settings.DownEvery)
+		b.nextDownTrial = b.now + b.jitter(b.settings.DownTrialInterval)
 	}
 	b.choose()
 }
 
 // judge takes what an answer says of its address.
-func (b *Book) judge(e *entry, took time.Duration, v Verdict, named, first, trial, told bool) {
+func (b *Selector) judge(e *entry, took time.Duration, v Verdict, named, first, trial, told bool) {
 	e.heard, e.breaks, e.doubted, e.refuted = b.now, 0, 0, 0
 	b.refute(e, b.now-took, took)
 	if e.gone {
 		return
 	}
 	switch {
-	case v == Misdirected:
-		b.blame(e, Misled, true)
+	case v == VerdictWrongNode:
+		b.blame(e, ReasonWrongNode, true)
 		return
-	case v == Served && named:
+	case v == VerdictServed && named:
 		e.turned, e.served = 0, b.now
 		for _, o := range b.entries {
-			if o != e && o.turned >= b.settings.WrongAfter && (o.state == Suspect || o.state == Down) {
-				b.blame(o, Misled, true) // the node serves, and this one turned all away
+			if o != e && o.turned >= b.settings.MaxRejections && (o.state == Suspect || o.state == Down) {
+				b.blame(o, ReasonWrongNode, true) // the node serves, and this one turned all away
 			}
 		}
-	case v == Turned && named:
+	case v == VerdictRejected && named:
 		e.turned++
-		if trial && (e.state == Wrong || e.why == TurnedAway) {
-			b.blame(e, TurnedAway, true)
+		if trial && (e.state == WrongNode || e.why == ReasonRejecting) {
+			b.blame(e, ReasonRejecting, true)
 			return
 		}
-		if e.turned >= b.settings.WrongAfter && b.unserving(e) {
-			b.blame(e, TurnedAway, false)
+		if e.turned >= b.settings.MaxRejections && b.unserving(e) {
+			b.blame(e, ReasonRejecting, false)
 			return
 		}
 	}
 	if took >= b.silenceBound {
 		if trial && !told { // else its silence was blamed already
-			b.blame(e, Slow, true)
+			b.blame(e, ReasonSlow, true)
 		}
 		b.usually(e, took)
 		return
 	}
 	b.usually(e, took)
-	if e.state == Wrong && !(v == Served && named) {
+	if e.state == WrongNode && !(v == VerdictServed && named) {
 		if trial {
-			e.until = b.now + b.jitter(b.settings.TrialGap)
+			e.until = b.now + b.jitter(b.settings.TrialInterval)
 		}
 		return
 	}
-	if v == Turned && (first || e.state != Good) {
+	if v == VerdictRejected && (first || e.state != Healthy) {
 		if trial {
-			e.until = b.now + b.jitter(b.settings.TrialGap)
+			e.until = b.now + b.jitter(b.settings.TrialInterval)
 		}
 		return // it stands, but this is no service
 	}
@@ -220,13 +220,13 @@
 
 // unserving says that a good address has served nothing for longer than a node that is only
 // full would take, and that there is another good one to ask.
-func (b *Book) unserving(e *entry) bool {
-	span := min(b.settings.WrongSpan, max(2*graceLeast, time.Duration(b.settings.SuspectTimes*b.usualAnswerTime)))
+func (b *Selector) unserving(e *entry) bool {
+	span := min(b.settings.RejectionWindow, max(2*graceLeast, time.Duration(b.settings.SuspectLatencyFactor*b.usualAnswerTime)))
 	return b.now-e.served >= span && b.rank(e) == rankGood && b.another(e)
 }
 
 // another says that another address is as good as it was until now.
-func (b *Book) another(e *entry) bool {
+func (b *Selector) another(e *entry) bool {
 	for _, o := range b.entries {
 		if o != e && b.rank(o) == rankGood {
 			return true
@@ -236,28 +236,28 @@
 }
 
 // good takes an answer in time.
-func (b *Book) good(e *entry, first, trial bool) {
+func (b *Selector) good(e *entry, first, trial bool) {
 	wasDown := b.down()
 	switch e.state {
-	case Suspect, Down, Wrong, Absent:
+	case Suspect, Down, WrongNode, Unsupported:
 		if e.state != Suspect && !trial {
 			return // of a connection that stood before; what fails is new ones
 		}
-		e.state, e.refuses, e.proving = Good, false, true
-		b.emit(Action{Kind: Say, Addr: e.Addr, State: Good})
+		e.state, e.refuses, e.proving = Healthy, false, true
+		b.emit(Action{Kind: LogState, Addr: e.Addr, State: Healthy})
 	case Untried:
-		e.state = Good
+		e.state = Healthy
 	}
 	if first {
-		e.run = min(e.run+1, b.settings.ReturnAfter)
+		e.run = min(e.run+1, b.settings.MinReturnConns)
 	}
-	if e.until = b.now + b.jitter(b.settings.TrialGap); e.run >= b.settings.ReturnAfter {
+	if e.until = b.now + b.jitter(b.settings.TrialInterval); e.run >= b.settings.MinReturnConns {
 		e.proving, e.fails = false, 0
 	}
 	if wasDown { // there is no other: it serves from now on
 		e.proving = false
 	}
-	if b.maxUnproven < b.settings.Conns && first { // as many again for each round of first answers
+	if b.maxUnproven < b.settings.MaxConns && first { // as many again for each round of first answers
 		b.maxUnproven++
 	}
 	b.choose()
@@ -265,7 +265,7 @@
 
 // usually takes a time into what is usual, and moves the bound of silence: it follows the best
 // address, so that a slow one does not set its own measure.
-func (b *Book) usually(e *entry, took time.Duration) {
+func (b *Selector) usually(e *entry, took time.Duration) {
 	if e.usual == 0 {
 		e.usual = float64(took)
 	}
@@ -278,7 +278,7 @@
 	}
 	b.usualAnswerTime, b.usualKnown = best, some
 	was := b.silenceBound
-	b.silenceBound = min(max(time.Duration(b.settings.SuspectTimes*best), b.settings.SuspectLeast), b.settings.SuspectMost)
+	b.silenceBound = min(max(time.Duration(b.settings.SuspectLatencyFactor*best), b.settings.MinSuspectAfter), b.settings.MaxSuspectAfter)
 	if b.silenceBound < was {
 		b.nextSilenceCheck = 0
 	}
@@ -286,7 +286,7 @@
 
 // choose sets the primary: away from one that is worse than another at once, back to a preferred
 // one by the rule of returns.
-func (b *Book) choose() {
+func (b *Selector) choose() {
 	was := b.primary
 	if was == nil {
 		for _, e := range b.entries {
@@ -306,9 +306,9 @@
 	}
 	if b.primary != was {
 		if b.now-b.lastReturn < relapseSpans*b.returnDelay {
-			b.returnDelay = min(2*b.returnDelay, b.settings.ReturnMost)
+			b.returnDelay = min(2*b.returnDelay, b.settings.MaxReturnDelay)
 		} else {
-			b.returnDelay = b.settings.ReturnSpan
+			b.returnDelay = b.settings.MinReturnDelay
 		}
 		b.earliestReturn = b.now + b.returnDelay
 		return
@@ -320,7 +320,7 @@
 		if e == was {
 			return
 		}
-		if e.state == Good && !e.proving && e.run >= b.settings.ReturnAfter && b.now-e.heard <= b.settings.ReturnSpan {
+		if e.state == Healthy && !e.proving && e.run >= b.settings.MinReturnConns && b.now-e.heard <= b.settings.MinReturnDelay {
 			b.primary, b.lastReturn, b.earliestReturn = e, b.now, b.now+b.returnDelay
 			return
 		}
@@ -328,7 +328,7 @@
 }
 
 // listen looks for connections that have been silent for too long.
-func (b *Book) listen() {
+func (b *Selector) listen() {
 	b.nextSilenceCheck = never
 	for i := range b.conns {
 		c := &b.conns[i]
@@ -350,21 +350,21 @@
 			continue
 		}
 		c.silenceCounted = true
-		b.blame(c.entry, Silent, c.trial)
+		b.blame(c.entry, ReasonSilent, c.trial)
 	}
 }
 
 // patience is the silence after which another address is asked.
-func (b *Book) patience() time.Duration {
+func (b *Selector) patience() time.Duration {
 	if !b.usualKnown {
 		return b.silenceBound
 	}
-	return max(b.settings.DoubtAfter, time.Duration(b.settings.SuspectTimes*b.usualAnswerTime))
+	return max(b.settings.SecondOpinionAfter, time.Duration(b.settings.SuspectLatencyFactor*b.usualAnswerTime))
 }
 
 // refute takes an answer as word against the addresses in doubt: the node does not pause, or no
 // more. They get twice its time, as theirs may be on their way from the end of a pause.
-func (b *Book) refute(by *entry, since, took time.Duration) {
+func (b *Selector) refute(by *entry, since, took time.Duration) {
 	for _, e := range b.entries {
 		if e != by && e.doubted > 0 && e.doubted <= since && e.refuted == 0 && e.heard < e.doubted {
 			e.refuted = b.now + max(graceLeast, 2*took)
@@ -374,7 +374,7 @@
 }
 
 // review looks for what only time shows: silence, races to be led on, and returns.
-func (b *Book) review() {
+func (b *Selector) review() {
 	if b.now >= b.nextSilenceCheck {
 		b.listen()
 	}
@@ -393,12 +393,12 @@
 }
 
 // tryAgain opens the trial connections that are due, beside the way that requests go now.
-func (b *Book) tryAgain() {
+func (b *Selector) tryAgain() {
 	if b.down() {
 		// The walks of what waits are the trials; with none, a kept connection still serves.
 		if len(b.waiting) == 0 && b.now >= b.nextDownTrial && b.connectingCount == 0 && !b.tryingAny() && len(b.freeSlots) > 0 && b.token() {
 			if e := b.candidate(&race{}); e != nil {
-				b.nextDownTrial = b.now + b.jitter(b.settings.DownEvery)
+				b.nextDownTrial = b.now + b.jitter(b.settings.DownTrialInterval)
 				b.startConnect(e, nil, true)
 			}
 		}
@@ -414,10 +414,10 @@
 		if (!before && !lost) || e.trying != nil || b.now < e.until || len(b.freeSlots) == 0 {
 			continue
 		}
-		if e.state == Good && !e.proving && e.run >= b.settings.ReturnAfter && (b.now < b.earliestReturn || b.now-e.heard < b.settings.ReturnSpan) {
+		if e.state == Healthy && !e.proving && e.run >= b.settings.MinReturnConns && (b.now < b.earliestReturn || b.now-e.heard < b.settings.MinReturnDelay) {
 			continue // it has shown enough
 		}
-		if n := len(e.idle); n > 0 && e.state == Good && e.run >= b.settings.ReturnAfter {
+		if n := len(e.idle); n > 0 && e.state == Healthy && e.run >= b.settings.MinReturnConns {
 			e.trying, e.idle[n-1].trial = e.idle[n-1], true // one that stands will do: it only has to show that it still is
 			e.idle[n-1].since = b.now
 		} else if b.token() {
--- a/internal/address/machine_test.go
+++ b/internal/address/machine_test.go
@@ -47,27 +47,27 @@
 	case "up last":
 		r.up(r.coming[len(r.coming)-1])
 	case "refuse":
-		r.refuse(r.coming[0], Refused)
+		r.refuse(r.coming[0], ReasonRefused)
 	case "refuse last":
-		r.refuse(r.coming[len(r.coming)-1], Refused)
+		r.refuse(r.coming[len(r.coming)-1], ReasonRefused)
 	case "hang":
-		r.refuse(r.coming[0], TimedOut)
+		r.refuse(r.coming[0], ReasonTimedOut)
 	case "no resource":
-		r.refuse(r.coming[0], NoResource)
+		r.refuse(r.coming[0], ReasonNoResource)
 	case "answer":
-		r.answer(r.busy[0], Served)
+		r.answer(r.busy[0], VerdictServed)
 	case "turned":
-		r.answer(r.busy[0], Turned)
+		r.answer(r.busy[0], VerdictRejected)
 	case "reset":
-		r.breaks(r.busy[0], Reset)
+		r.breaks(r.busy[0], ReasonReset)
 	case "unwritten":
-		r.breaks(r.busy[0], Unwritten)
+		r.breaks(r.busy[0], ReasonUnwritten)
 	case "give up":
 		r.giveUp(r.carries[r.busy[0]])
 	case "drain":
-		r.do(Event{Kind: Drain, On: true})
+		r.do(Event{Kind: DrainChanged, Draining: true})
 	case "undrain":
-		r.do(Event{Kind: Drain})
+		r.do(Event{Kind: DrainChanged})
 	case "list":
 		r.list(lists[(int(r.seq)+len(r.moves))%len(lists)]...)
 	}
@@ -78,7 +78,7 @@
 	for i := range r.connects {
 		for j := i; j < len(r.connects); j++ {
 			span := r.connects[j] - r.connects[i]
-			if most := float64(set.Burst) + set.Rate*span.Seconds() + 1e-6; float64(j-i+1) > most {
+			if most := float64(set.ConnectBurst) + set.ConnectRate*span.Seconds() + 1e-6; float64(j-i+1) > most {
 				return fmt.Errorf("%d connects in %v", j-i+1, span)
 			}
 		}
@@ -96,7 +96,7 @@
 		if from, to := rank(m.from), rank(m.to); from < 0 || to < 0 || to > from {
 			continue // a fall
 		}
-		if last >= 0 && m.at-last < set.ReturnSpan {
+		if last >= 0 && m.at-last < set.MinReturnDelay {
 			return fmt.Errorf("moves home at %v and %v", last, m.at)
 		}
 		last = m.at
@@ -106,7 +106,7 @@
 
 func small() Settings {
 	s := Defaults()
-	s.Conns, s.Burst, s.Rate, s.Requests, s.WrongAfter, s.ReturnAfter = 4, 6, 5, 3, 2, 2
+	s.MaxConns, s.ConnectBurst, s.ConnectRate, s.MaxWaiting, s.MaxRejections, s.MinReturnConns = 4, 6, 5, 3, 2, 2
 	return s
 }
 
@@ -302,17 +302,17 @@
 		b.Fatal(err)
 	}
 	list, _ := List(three)
-	acts := book.Step(0, Event{Kind: Listed, Addrs: list}, nil)
-	acts = book.Step(0, Event{Kind: Want, Req: 1, Safe: true, Named: true}, acts[:0])
+	acts := book.Step(0, Event{Kind: AddressesChanged, Addrs: list}, nil)
+	acts = book.Step(0, Event{Kind: RequestQueued, Req: 1, Idempotent: true, NamesShard: true}, acts[:0])
 	c := acts[0].Conn
 	book.Step(0, Event{Kind: Connected, Conn: c}, acts[:0])
-	book.Step(ms, Event{Kind: Answered, Conn: c, Keep: true}, acts[:0])
+	book.Step(ms, Event{Kind: ResponseReceived, Conn: c, KeepAlive: true}, acts[:0])
 	now := ms
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += ms
-		acts = book.Step(now, Event{Kind: Want, Req: Req(i + 2), Safe: true, Named: true}, acts[:0])
-		acts = book.Step(now+ms/2, Event{Kind: Answered, Conn: acts[0].Conn, Keep: true}, acts[:0])
+		acts = book.Step(now, Event{Kind: RequestQueued, Req: Req(i + 2), Idempotent: true, NamesShard: true}, acts[:0])
+		acts = book.Step(now+ms/2, Event{Kind: ResponseReceived, Conn: acts[0].Conn, KeepAlive: true}, acts[:0])
 	}
 }
 
--- a/internal/address/outcomes.go
+++ b/internal/address/outcomes.go
@@ -6,18 +6,18 @@
 )
 
 // enqueue adds a request to those that wait for a connection, or fails it if too many wait.
-func (b *Book) enqueue(e Event) {
-	if len(b.waiting) >= b.settings.Requests {
+func (b *Selector) enqueue(e Event) {
+	if len(b.waiting) >= b.settings.MaxWaiting {
 		b.emit(Action{Kind: Fail, Req: e.Req})
 		return
 	}
 	b.newDemand = true
-	b.waiting = append(b.waiting, waiter{e.Req, e.Safe, e.Named})
+	b.waiting = append(b.waiting, waiter{e.Req, e.Idempotent, e.NamesShard})
 }
 
 // dropRequest removes a request that its owner has given up. If it was written, its connection is closed. A trial
-// that ends this way before it showed anything may be repeated after TrialGap.
-func (b *Book) dropRequest(e Event) {
+// that ends this way before it showed anything may be repeated after TrialInterval.
+func (b *Selector) dropRequest(e Event) {
 	c := b.connByID(e.Conn)
 	if c == nil || c.phase != busy || c.req != e.Req {
 		b.waiting = slices.DeleteFunc(b.waiting, func(w waiter) bool { return w.req == e.Req })
@@ -28,14 +28,14 @@
 	b.closeConn(c)
 	switch {
 	case silent && !silenceCounted:
-		b.blame(addressEntry, Silent, trial)
+		b.blame(addressEntry, ReasonSilent, trial)
 	case trial && !silenceCounted:
-		addressEntry.until = b.now + b.jitter(b.settings.TrialGap)
+		addressEntry.until = b.now + b.jitter(b.settings.TrialInterval)
 	}
 }
 
 // connected handles a connection that came up. It wins its race, and the race's other connections are closed.
-func (b *Book) connected(id Conn) {
+func (b *Selector) connected(id Conn) {
 	c := b.connByID(id)
 	if c == nil || c.phase != connecting {
 		b.emit(Action{Kind: Close, Conn: id}) // its slot was released before
@@ -56,7 +56,7 @@
 				slow, trial, outrun := o.entry, o.trial, o.since < c.since
 				b.closeConn(o)
 				if outrun {
-					b.blame(slow, Outrun, trial)
+					b.blame(slow, ReasonOvertaken, trial)
 				}
 			}
 		}
@@ -67,28 +67,28 @@
 }
 
 // failed handles a connect that did not come up. A lack of local resources is not blamed on the address.
-func (b *Book) failed(id Conn, why Why) {
+func (b *Selector) failed(id Conn, why Reason) {
 	c := b.connByID(id)
 	if c == nil || c.phase != connecting {
 		return
 	}
 	addressEntry, r, trial := c.entry, c.race, c.trial
 	b.releaseConn(c)
-	if why == NoResource {
-		addressEntry.until = max(addressEntry.until, b.now+b.jitter(b.settings.TrialGap))
+	if why == ReasonNoResource {
+		addressEntry.until = max(addressEntry.until, b.now+b.jitter(b.settings.TrialInterval))
 	} else {
 		b.blame(addressEntry, why, trial)
 	}
 	if r != nil {
 		r.live--
-		r.stopped = r.stopped || why == NoResource
+		r.stopped = r.stopped || why == ReasonNoResource
 		r.next = b.now
 		b.advance(r)
 	}
 }
 
 // answered handles a complete answer: it judges the address by it, and keeps or closes the connection.
-func (b *Book) answered(e Event) {
+func (b *Selector) answered(e Event) {
 	c := b.connByID(e.Conn)
 	if c == nil || c.phase != busy {
 		return
@@ -105,7 +105,7 @@
 	}
 	b.judge(addressEntry, took, e.Verdict, c.named, unproven, trial, silenceCounted)
 	switch {
-	case !e.Keep:
+	case !e.KeepAlive:
 		b.releaseConn(c)
 	case addressEntry.gone || b.closing || addressEntry.shut() && b.rank(addressEntry) > b.best():
 		b.closeConn(c)
@@ -116,13 +116,13 @@
 
 // broken handles a connection that ended with a request on it. A request of which nothing was written waits again, at
 // the head; otherwise its owner has been told of the failure.
-func (b *Book) broken(e Event) {
+func (b *Selector) broken(e Event) {
 	c := b.connByID(e.Conn)
 	if c == nil || c.phase != busy {
 		return
 	}
 	addressEntry, unproven, trial := c.entry, c.unproven, c.trial
-	if e.Why == Unwritten {
+	if e.Reason == ReasonUnwritten {
 		b.waiting = slices.Insert(b.waiting, 0, waiter{c.req, c.safe, c.named})
 		b.newDemand = true
 	}
@@ -132,17 +132,17 @@
 	}
 	// A reused connection may break because the peer closed it as idle, so a single break blames nobody.
 	if addressEntry.breaks++; unproven || addressEntry.breaks > 1 {
-		if e.Why != Unwritten || unproven {
-			b.blame(addressEntry, Reset, trial)
+		if e.Reason != ReasonUnwritten || unproven {
+			b.blame(addressEntry, ReasonReset, trial)
 		}
 	} else if trial {
-		addressEntry.until = b.now + b.jitter(b.settings.TrialGap)
+		addressEntry.until = b.now + b.jitter(b.settings.TrialInterval)
 	}
 }
 
 // setAddresses replaces the addresses. Those that remain keep their state; busy connections of those that went finish
 // their requests.
-func (b *Book) setAddresses(addrs []Addr) {
+func (b *Selector) setAddresses(addrs []Addr) {
 	held := map[Addr]*entry{}
 	for _, e := range b.entries {
 		held[e.Addr] = e
--- a/internal/address/race.go
+++ b/internal/address/race.go
@@ -18,15 +18,15 @@
 const never = time.Duration(math.MaxInt64)
 
 // delay is the time from one connect of a race to the next.
-func (b *Book) delay() time.Duration {
+func (b *Selector) delay() time.Duration {
 	if !b.connectMeasured {
 		return b.settings.Delay
 	}
-	return min(max(time.Duration(b.connectMean+4*b.connectDeviation), b.settings.DelayLeast), b.settings.DelayMost)
+	return min(max(time.Duration(b.connectMean+4*b.connectDeviation), b.settings.MinDelay), b.settings.MaxDelay)
 }
 
 // measure takes the time of a connect, smoothed as RFC 6298 section 2 has it.
-func (b *Book) measure(took time.Duration) {
+func (b *Selector) measure(took time.Duration) {
 	x := float64(took)
 	if !b.connectMeasured {
 		b.connectMeasured, b.connectMean, b.connectDeviation = true, x, x/2
@@ -37,23 +37,25 @@
 }
 
 // token says whether a connect may start now.
-func (b *Book) token() bool {
-	b.tokens = min(b.tokens+(b.now-b.tokensFilledAt).Seconds()*b.settings.Rate, float64(b.settings.Burst))
+func (b *Selector) token() bool {
+	b.tokens = min(b.tokens+(b.now-b.tokensFilledAt).Seconds()*b.settings.ConnectRate, float64(b.settings.ConnectBurst))
 	b.tokensFilledAt = b.now
 	return b.tokens >= 1
 }
 
 // room says whether one more connection may be opened. The last is for trials and second
 // opinions: hung ones must not take the place of the one that shows the way out.
-func (b *Book) room(trial bool) bool { return len(b.freeSlots) > 1 || trial && len(b.freeSlots) > 0 }
+func (b *Selector) room(trial bool) bool {
+	return len(b.freeSlots) > 1 || trial && len(b.freeSlots) > 0
+}
 
 // tokenAt is when the next one may, if none may now.
-func (b *Book) tokenAt() time.Duration {
-	return b.now + time.Duration(math.Ceil((1-b.tokens)/b.settings.Rate*1e9))
+func (b *Selector) tokenAt() time.Duration {
+	return b.now + time.Duration(math.Ceil((1-b.tokens)/b.settings.ConnectRate*1e9))
 }
 
 // candidate is the address that a race goes to next, or nil.
-func (b *Book) candidate(r *race) *entry {
+func (b *Selector) candidate(r *race) *entry {
 	var best *entry
 	down := b.down()
 	for _, e := range b.entries {
@@ -78,7 +80,7 @@
 
 // startRace opens the way to one more connection. Where it may not, wait says whether what
 // waits is to wait on.
-func (b *Book) startRace() (started, wait bool) {
+func (b *Selector) startRace() (started, wait bool) {
 	switch {
 	case !b.room(b.down()):
 		return false, b.connectingCount > 0
@@ -88,7 +90,7 @@
 		return false, true
 	}
 	if b.down() {
-		b.nextDownTrial = b.now + b.jitter(b.settings.DownEvery)
+		b.nextDownTrial = b.now + b.jitter(b.settings.DownTrialInterval)
 	}
 	r := &race{}
 	if n := len(b.freeRaces); n > 0 {
@@ -104,7 +106,7 @@
 	return true, true
 }
 
-func (b *Book) tryingAny() bool {
+func (b *Selector) tryingAny() bool {
 	for _, e := range b.entries {
 		if e.trying != nil {
 			return true
@@ -114,7 +116,7 @@
 }
 
 // advance leads a race on: the next connect if it is due, or its end.
-func (b *Book) advance(r *race) {
+func (b *Selector) advance(r *race) {
 	for r.next <= b.now {
 		r.next = never
 		e := b.candidate(r)
@@ -141,7 +143,7 @@
 }
 
 // lose ends a race that brought nothing. One of those that wait ends with it.
-func (b *Book) lose(r *race) {
+func (b *Selector) lose(r *race) {
 	b.endRace(r)
 	if len(b.waiting) > len(b.races) {
 		b.emit(Action{Kind: Fail, Req: b.waiting[0].req})
@@ -150,7 +152,7 @@
 }
 
 // hurry leads on the races that wait for a connect to an address that has since been blamed.
-func (b *Book) hurry() {
+func (b *Selector) hurry() {
 	best := b.best()
 	for _, r := range b.races {
 		hope := false
@@ -164,20 +166,20 @@
 	}
 }
 
-func (b *Book) endRace(r *race) {
+func (b *Selector) endRace(r *race) {
 	if i := slices.Index(b.races, r); i >= 0 {
 		b.races = slices.Delete(b.races, i, i+1)
 		b.freeRaces = append(b.freeRaces, r)
 	}
 }
 
-func (b *Book) dropRaces() {
+func (b *Selector) dropRaces() {
 	b.freeRaces = append(b.freeRaces, b.races...)
 	b.races = b.races[:0]
 }
 
 // serve brings what waits and what is idle together, and opens the way to more.
-func (b *Book) serve() {
+func (b *Selector) serve() {
 	if b.draining || b.closing {
 		b.failWaiting(0)
 		return
@@ -217,7 +219,7 @@
 
 // pick takes an idle connection for a request: of an address under trial, of the primary, of
 // another good one, or of one that only refuses new ones.
-func (b *Book) pick(safe bool) *conn {
+func (b *Selector) pick(safe bool) *conn {
 	if b.primary == nil {
 		return nil
 	}
@@ -232,7 +234,7 @@
 			return c
 		}
 		if b.nextSecondOpinion <= b.now && b.room(true) && b.token() {
-			b.nextSecondOpinion = b.now + b.settings.TrialGap
+			b.nextSecondOpinion = b.now + b.settings.TrialInterval
 			b.startConnect(o, nil, false)
 		}
 	}
@@ -257,7 +259,7 @@
 }
 
 // second is the address to be asked for a second opinion on the primary, one request at a time.
-func (b *Book) second() *entry {
+func (b *Selector) second() *entry {
 	if b.primary.doubted == 0 || b.primary.refuted > 0 {
 		return nil
 	}
@@ -280,7 +282,7 @@
 }
 
 // top takes the connection of an address that was used last.
-func (b *Book) top(e *entry) *conn {
+func (b *Selector) top(e *entry) *conn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		if c := e.idle[i]; c != e.trying {
 			return b.take(e, c)
@@ -289,7 +291,7 @@
 	return nil
 }
 
-func (b *Book) take(e *entry, c *conn) *conn {
+func (b *Selector) take(e *entry, c *conn) *conn {
 	if n := len(e.idle) - 1; n >= 0 && e.idle[n] == c {
 		e.idle = e.idle[:n]
 	} else {
@@ -300,7 +302,7 @@
 
 // home opens a connection to the primary where work goes by kept ones of a less preferred
 // address: one at a time, so that a return is no burst of connects.
-func (b *Book) home(from *entry) {
+func (b *Selector) home(from *entry) {
 	if b.rank(b.primary) != rankGood || b.now < b.nextHomeConnect || !b.room(false) ||
 		slices.Index(b.entries, b.primary) > slices.Index(b.entries, from) {
 		return
@@ -311,12 +313,12 @@
 		}
 	}
 	if b.token() {
-		b.nextHomeConnect = b.now + b.settings.TrialGap
+		b.nextHomeConnect = b.now + b.settings.TrialInterval
 		b.startConnect(b.primary, nil, false)
 	}
 }
 
-func (b *Book) write(c *conn, w waiter) {
+func (b *Selector) write(c *conn, w waiter) {
 	c.phase, c.since, c.req, c.safe, c.named, c.silenceCounted = busy, b.now, w.req, w.safe, w.named, false
 	b.nextSilenceCheck = min(b.nextSilenceCheck, b.now+min(b.silenceBound, b.patience()))
 	b.emit(Action{Kind: Write, Conn: c.id, Req: w.req})
--- a/internal/address/rig_test.go
+++ b/internal/address/rig_test.go
@@ -11,7 +11,7 @@
 // rig drives a book as a driver would, keeps what it said to do, and watches the invariants
 // that only its actions show.
 type rig struct {
-	b        *Book
+	b        *Selector
 	now      time.Duration
 	acts     []Action // of the last step
 	coming   []Conn   // in the order of their connects
@@ -51,7 +51,7 @@
 	if len(errs) > 0 {
 		panic(errs)
 	}
-	r.do(Event{Kind: Listed, Addrs: list})
+	r.do(Event{Kind: AddressesChanged, Addrs: list})
 }
 
 func (r *rig) fault(form string, args ...any) {
@@ -67,9 +67,9 @@
 // do takes an event and carries out what follows.
 func (r *rig) do(e Event) {
 	switch e.Kind {
-	case Drain:
-		r.drained = e.On
-	case Closing:
+	case DrainChanged:
+		r.drained = e.Draining
+	case NodeRemoved:
 		r.closed = true
 	}
 	before := r.b.Primary()
@@ -106,17 +106,17 @@
 			}
 			r.failed[a.Req] = true
 			delete(r.open, a.Req)
-		case Say:
-			r.said = append(r.said, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Why))
+		case LogState:
+			r.said = append(r.said, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
 		}
 	}
-	if to := r.b.Primary(); to != before && e.Kind != Listed {
+	if to := r.b.Primary(); to != before && e.Kind != AddressesChanged {
 		r.moves = append(r.moves, move{r.now, before, to})
 		state := map[Addr]State{}
 		for _, x := range r.b.Snapshot(nil) {
 			state[x.Addr] = x.State
 		}
-		if state[before] <= Good && state[to] > Good {
+		if state[before] <= Healthy && state[to] > Healthy {
 			r.fault("from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
 		}
 	}
@@ -133,7 +133,7 @@
 func (r *rig) want(safe bool) Req {
 	r.seq++
 	r.open[r.seq] = true
-	r.do(Event{Kind: Want, Req: r.seq, Safe: safe, Named: true})
+	r.do(Event{Kind: RequestQueued, Req: r.seq, Idempotent: safe, NamesShard: true})
 	return r.seq
 }
 
@@ -142,25 +142,25 @@
 	r.do(Event{Kind: Connected, Conn: c})
 }
 
-func (r *rig) refuse(c Conn, why Why) {
+func (r *rig) refuse(c Conn, why Reason) {
 	r.forget(c)
-	r.do(Event{Kind: Failed, Conn: c, Why: why})
+	r.do(Event{Kind: ConnectFailed, Conn: c, Reason: why})
 }
 
 func (r *rig) answer(c Conn, v Verdict) {
 	delete(r.open, r.carries[c])
 	r.forget(c)
-	r.do(Event{Kind: Answered, Conn: c, Verdict: v, Keep: true})
+	r.do(Event{Kind: ResponseReceived, Conn: c, Verdict: v, KeepAlive: true})
 }
 
-func (r *rig) breaks(c Conn, why Why) {
-	if q := r.carries[c]; why == Unwritten {
+func (r *rig) breaks(c Conn, why Reason) {
+	if q := r.carries[c]; why == ReasonUnwritten {
 		r.writes[q]--
 	} else {
 		delete(r.open, q)
 	}
 	r.forget(c)
-	r.do(Event{Kind: Broken, Conn: c, Why: why})
+	r.do(Event{Kind: ConnBroken, Conn: c, Reason: why})
 }
 
 // giveUp ends a request as its owner does.
@@ -172,12 +172,12 @@
 		}
 	}
 	delete(r.open, q)
-	r.do(Event{Kind: Drop, Req: q, Conn: on})
+	r.do(Event{Kind: RequestDropped, Req: q, Conn: on})
 }
 
 func (r *rig) wait(d time.Duration) {
 	r.now += d
-	r.do(Event{Kind: Tick})
+	r.do(Event{Kind: TimerFired})
 }
 
 // last is the connection of the last action of a kind, and its address.
@@ -233,9 +233,9 @@
 			s.conns[to]++
 			switch s.mode[to] {
 			case "refused":
-				s.later(0, func() { s.ifComing(c, func() { s.refuse(c, Refused) }) })
+				s.later(0, func() { s.ifComing(c, func() { s.refuse(c, ReasonRefused) }) })
 			case "hang":
-				s.later(250*ms, func() { s.ifComing(c, func() { s.refuse(c, TimedOut) }) })
+				s.later(250*ms, func() { s.ifComing(c, func() { s.refuse(c, ReasonTimedOut) }) })
 			case "late":
 				s.later(150*ms, func() { s.ifComing(c, func() { s.up(c) }) })
 			default:
@@ -255,13 +255,13 @@
 			case "silent":
 				end(1500*ms, "late", func() { s.giveUp(q) })
 			case "reset":
-				end(ms, "reset", func() { s.breaks(c, Reset) })
+				end(ms, "reset", func() { s.breaks(c, ReasonReset) })
 			case "slow":
-				end(400*ms, "served", func() { s.answer(c, Served) })
+				end(400*ms, "served", func() { s.answer(c, VerdictServed) })
 			case "wrong":
-				end(ms, "turned", func() { s.answer(c, Turned) })
+				end(ms, "turned", func() { s.answer(c, VerdictRejected) })
 			default:
-				end(s.took, "served", func() { s.answer(c, Served) })
+				end(s.took, "served", func() { s.answer(c, VerdictServed) })
 			}
 		case Fail:
 			s.done[q] = "failed"
@@ -308,7 +308,7 @@
 			s.want(safe(n))
 			next += every
 		} else {
-			s.do(Event{Kind: Tick})
+			s.do(Event{Kind: TimerFired})
 		}
 		s.obey()
 	}
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -10,53 +10,53 @@
 	Preference []Kind // families, the most wanted first
 
 	// Of a race, after RFC 8305 section 5.
-	Delay      time.Duration // between connects before any was measured
-	DelayLeast time.Duration
-	DelayMost  time.Duration
+	Delay    time.Duration // between connects before any was measured
+	MinDelay time.Duration
+	MaxDelay time.Duration
 
-	Backoff     time.Duration // of the first failure; doubled at each further one
-	BackoffMost time.Duration
-	Jitter      float64       // share of a back-off that is drawn, 0 to 1
-	WrongFor    time.Duration // first back-off of an address that leads to another node
-	AbsentFor   time.Duration // ... of one whose family this machine lacks
-	DownEvery   time.Duration // between walks over the addresses while all are down
+	Backoff            time.Duration // of the first failure; doubled at each further one
+	MaxBackoff         time.Duration
+	Jitter             float64       // share of a back-off that is drawn, 0 to 1
+	WrongNodeBackoff   time.Duration // first back-off of an address that leads to another node
+	UnsupportedBackoff time.Duration // ... of one whose family this machine lacks
+	DownTrialInterval  time.Duration // between walks over the addresses while all are down
 
-	SuspectLeast time.Duration // a request may be unanswered this long before its address is suspect
-	SuspectMost  time.Duration
-	SuspectTimes float64 // ... and this multiple of the usual answer, between the two
-	// DoubtAfter, and that multiple, is the silence after which one request goes by another
+	MinSuspectAfter      time.Duration // a request may be unanswered this long before its address is suspect
+	MaxSuspectAfter      time.Duration
+	SuspectLatencyFactor float64 // ... and this multiple of the usual answer, between the two
+	// SecondOpinionAfter, and that multiple, is the silence after which one request goes by another
 	// address: if that answers while this one stays silent, it is not the node that pauses.
-	DoubtAfter time.Duration
+	SecondOpinionAfter time.Duration
 
-	TrialGap      time.Duration // between trials of an address that shows itself good again
+	TrialInterval time.Duration // between trials of an address that shows itself good again
 	TrialPatience time.Duration // after which a trial takes also work that must not be repeated
 
-	ReturnAfter int           // good connections before a preferred address is primary again
-	ReturnSpan  time.Duration // least time from any change of the primary to such a return
-	ReturnMost  time.Duration // ... which doubles to this while returns do not last
+	MinReturnConns int           // good connections before a preferred address is primary again
+	MinReturnDelay time.Duration // least time from any change of the primary to such a return
+	MaxReturnDelay time.Duration // ... which doubles to this while returns do not last
 
-	WrongAfter int           // requests turned away in a row ...
-	WrongSpan  time.Duration // ... and none served for some answers' time, at most this, make an address suspect
+	MaxRejections   int           // requests turned away in a row ...
+	RejectionWindow time.Duration // ... and none served for some answers' time, at most this, make an address suspect
 
-	Rate  float64 // connects started a second
-	Burst int     // ... and at once
+	ConnectRate  float64 // connects started a second
+	ConnectBurst int     // ... and at once
 
-	Conns    int // connections, with those coming up
-	Requests int // requests that wait
+	MaxConns   int // connections, with those coming up
+	MaxWaiting int // requests that wait
 }
 
 // Defaults are the settings that a file need not name.
 func Defaults() Settings {
 	return Settings{
 		Preference: []Kind{Unix, IPv6, IPv4},
-		Delay:      250 * time.Millisecond, DelayLeast: 100 * time.Millisecond, DelayMost: 2 * time.Second,
-		Backoff: time.Second, BackoffMost: 15 * time.Second, Jitter: 0.3,
-		WrongFor: 5 * time.Second, AbsentFor: time.Minute, DownEvery: 100 * time.Millisecond,
-		SuspectLeast: 200 * time.Millisecond, SuspectMost: time.Second, SuspectTimes: 4, DoubtAfter: 50 * time.Millisecond,
-		TrialGap: 100 * time.Millisecond, TrialPatience: 5 * time.Second,
-		ReturnAfter: 3, ReturnSpan: 2 * time.Second, ReturnMost: time.Minute,
-		WrongAfter: 2, WrongSpan: 100 * time.Millisecond,
-		Rate: 50, Burst: 64, Conns: 64, Requests: 512,
+		Delay:      250 * time.Millisecond, MinDelay: 100 * time.Millisecond, MaxDelay: 2 * time.Second,
+		Backoff: time.Second, MaxBackoff: 15 * time.Second, Jitter: 0.3,
+		WrongNodeBackoff: 5 * time.Second, UnsupportedBackoff: time.Minute, DownTrialInterval: 100 * time.Millisecond,
+		MinSuspectAfter: 200 * time.Millisecond, MaxSuspectAfter: time.Second, SuspectLatencyFactor: 4, SecondOpinionAfter: 50 * time.Millisecond,
+		TrialInterval: 100 * time.Millisecond, TrialPatience: 5 * time.Second,
+		MinReturnConns: 3, MinReturnDelay: 2 * time.Second, MaxReturnDelay: time.Minute,
+		MaxRejections: 2, RejectionWindow: 100 * time.Millisecond,
+		ConnectRate: 50, ConnectBurst: 64, MaxConns: 64, MaxWaiting: 512,
 	}
 }
 
@@ -84,22 +84,22 @@
 		is          time.Duration
 		least, most time.Duration
 	}{
-		{"delay_least_ms", s.DelayLeast, rfcDelayLeast, rfcDelayMost},
-		{"delay_most_ms", s.DelayMost, s.DelayLeast, rfcDelayMost},
-		{"delay_ms", s.Delay, s.DelayLeast, s.DelayMost},
+		{"delay_least_ms", s.MinDelay, rfcDelayLeast, rfcDelayMost},
+		{"delay_most_ms", s.MaxDelay, s.MinDelay, rfcDelayMost},
+		{"delay_ms", s.Delay, s.MinDelay, s.MaxDelay},
 		{"backoff_ms", s.Backoff, time.Millisecond, time.Hour},
-		{"backoff_most_ms", s.BackoffMost, s.Backoff, time.Hour},
-		{"wrong_ms", s.WrongFor, time.Millisecond, time.Hour},
-		{"absent_ms", s.AbsentFor, time.Millisecond, 24 * time.Hour},
-		{"down_every_ms", s.DownEvery, time.Millisecond, time.Minute},
-		{"suspect_least_ms", s.SuspectLeast, time.Millisecond, time.Hour},
-		{"suspect_most_ms", s.SuspectMost, s.SuspectLeast, time.Hour},
-		{"doubt_ms", s.DoubtAfter, time.Millisecond, time.Hour},
-		{"trial_gap_ms", s.TrialGap, time.Millisecond, time.Hour},
+		{"backoff_most_ms", s.MaxBackoff, s.Backoff, time.Hour},
+		{"wrong_ms", s.WrongNodeBackoff, time.Millisecond, time.Hour},
+		{"absent_ms", s.UnsupportedBackoff, time.Millisecond, 24 * time.Hour},
+		{"down_every_ms", s.DownTrialInterval, time.Millisecond, time.Minute},
+		{"suspect_least_ms", s.MinSuspectAfter, time.Millisecond, time.Hour},
+		{"suspect_most_ms", s.MaxSuspectAfter, s.MinSuspectAfter, time.Hour},
+		{"doubt_ms", s.SecondOpinionAfter, time.Millisecond, time.Hour},
+		{"trial_gap_ms", s.TrialInterval, time.Millisecond, time.Hour},
 		{"trial_patience_ms", s.TrialPatience, 0, time.Hour},
-		{"return_span_ms", s.ReturnSpan, time.Millisecond, time.Hour},
-		{"return_most_ms", s.ReturnMost, s.ReturnSpan, 24 * time.Hour},
-		{"wrong_span_ms", s.WrongSpan, 0, time.Hour},
+		{"return_span_ms", s.MinReturnDelay, time.Millisecond, time.Hour},
+		{"return_most_ms", s.MaxReturnDelay, s.MinReturnDelay, 24 * time.Hour},
+		{"wrong_span_ms", s.RejectionWindow, 0, time.Hour},
 	} {
 		if x.is < x.least || x.is > x.most {
 			return &SettingError{x.key, fmt.Sprintf("%d is not from %d to %d", x.is.Milliseconds(), x.least.Milliseconds(), x.most.Milliseconds())}
@@ -109,10 +109,10 @@
 		key             string
 		is, least, most float64
 	}{
-		{"jitter", s.Jitter, 0, 1}, {"suspect_times", s.SuspectTimes, 1, 1000},
-		{"return_after", float64(s.ReturnAfter), 1, 1000}, {"wrong_after", float64(s.WrongAfter), 1, 1000},
-		{"connects_per_second", s.Rate, 0.1, 1e6}, {"connects_at_once", float64(s.Burst), 1, 1e6},
-		{"connections", float64(s.Conns), 2, 4096}, {"requests", float64(s.Requests), 1, 1 << 20},
+		{"jitter", s.Jitter, 0, 1}, {"suspect_times", s.SuspectLatencyFactor, 1, 1000},
+		{"return_after", float64(s.MinReturnConns), 1, 1000}, {"wrong_after", float64(s.MaxRejections), 1, 1000},
+		{"connects_per_second", s.ConnectRate, 0.1, 1e6}, {"connects_at_once", float64(s.ConnectBurst), 1, 1e6},
+		{"connections", float64(s.MaxConns), 2, 4096}, {"requests", float64(s.MaxWaiting), 1, 1 << 20},
 	} {
 		if !(x.is >= x.least && x.is <= x.most) {
 			return &SettingError{x.key, fmt.Sprintf("%v is not from %v to %v", x.is, x.least, x.most)}
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -51,9 +51,9 @@
 	var ready atomic.Bool
 	done := &[]string{}
 	d := &AdminEndpoint{Ready: ready.Load,
-		Counts: func() core.Figures {
-			return core.Figures{Passed: map[string]int64{"balance-read": 812}, Dropped: map[string]int64{"balance-read": 3},
-				BadGateway: map[string]int64{"balance-read": 1}, Tries: map[string]int64{"balance-read": 820}, InProgress: 14, Known: 8, Skipped: 1, Loads: 2, LoadErrors: 1}
+		Counts: func() core.Reading {
+			return core.Reading{Served: map[string]int64{"balance-read": 812}, Rejected: map[string]int64{"balance-read": 3},
+				Failed: map[string]int64{"balance-read": 1}, Attempts: map[string]int64{"balance-read": 820}, InProgress: 14, Nodes: 8, AvoidedNodes: 1, Reloads: 2, ReloadErrors: 1}
 		},
 		Exclude: func(id string) error {
 			if id != "s-1" {
@@ -64,7 +64,7 @@
 		},
 		Include: func(id string) error {
 			if id == "s-busy" {
-				return &core.Busy{}
+				return &core.BusyError{}
 			}
 			*done = append(*done, "include "+id)
 			return nil
--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -34,7 +34,7 @@
 // AdminEndpoint serves the calls. The funcs must answer within a few hundred milliseconds.
 type AdminEndpoint struct {
 	Ready   func() bool
-	Counts  func() core.Figures
+	Counts  func() core.Reading
 	Exclude func(id string) error // nil: done; ErrUnknown: a no of 404; else a no of 503
 	Include func(id string) error
 	Log     logrus.FieldLogger
@@ -154,7 +154,7 @@
 }
 
 // Encode writes the figures in the form DAYS.md gives.
-func Encode(f core.Figures) []byte {
+func Encode(f core.Reading) []byte {
 	text, _ := json.Marshal(struct {
 		Passed     map[string]int64 `json:"passed"`
 		Dropped    map[string]int64 `json:"dropped"`
@@ -165,7 +165,7 @@
 		Skipped    int64            `json:"skipped_storage_nodes"`
 		Loads      int64            `json:"loads"`
 		LoadErrors int64            `json:"load_errors"`
-	}{f.Passed, f.Dropped, f.BadGateway, sum(f.Tries), f.InProgress, f.Known, f.Skipped, f.Loads, f.LoadErrors})
+	}{f.Served, f.Rejected, f.Failed, sum(f.Attempts), f.InProgress, f.Nodes, f.AvoidedNodes, f.Reloads, f.ReloadErrors})
 	return text
 }
 
--- a/internal/admin/refused_test.go
+++ b/internal/admin/refused_test.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &AdminEndpoint{Ready: func() bool { return true }, Counts: func() core.Figures { return core.Figures{} }}
+	d := &AdminEndpoint{Ready: func() bool { return true }, Counts: func() core.Reading { return core.Reading{} }}
 	ended := make(chan error, 1)
 	go func() { ended <- d.Serve(ln) }()
-	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(Encode(core.Figures{}))} {
+	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(Encode(core.Reading{}))} {
 		if code, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+path); err != nil || code != 200 || string(body) != want {
 			t.Errorf("%s: %d %q %v", path, code, body, err)
 		}
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -5,8 +5,8 @@
 //
 // Invariants:
 //   - phases: a phase never goes back.
-//   - ready: said at most once, and by Settings.ReadyMost whatever is heard, where Ticks come.
-//   - refusals: each carries a Retry-After between RetryLeast and RetryMost.
+//   - ready: said at most once, and by Settings.ReadyDeadline whatever is heard, where Ticks come.
+//   - refusals: each carries a Retry-After between MinRetryAfter and MaxRetryAfter.
 //   - parts: the parts of a cold node's budget of all hosts sum to at most the budget.
 //   - list: the first calls of the fleet are spread by name, no second holds over twice the mean; a
 //     call that is turned away is followed by none within half of the gap; none once the list spoke.
@@ -14,10 +14,10 @@
 //   - restarts: nothing that the snapshot has of a node is recalled, unless the list gives the same start.
 //   - peers: what another process says, or hands over, takes no care away: no node is warm before the list
 //     says so, whatever comes, and what the process learned itself goes before.
-//   - bounds: at most NodesMost nodes are held; what is past them is not opened ahead nor shut.
+//   - bounds: at most MaxNodes nodes are held; what is past them is not opened ahead nor shut.
 //
 // It knows no clock and does no I/O. It does not decide which request goes to which node: policy does,
-// and takes a node of which ColdPart was said as one that has just started.
+// and takes a node of which LimitColdNode was said as one that has just started.
 package coldstart
 
 import (
@@ -27,8 +27,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start is one process's start.
-type Start struct {
+// Startup is one process's start.
+type Startup struct {
 	set     Settings
 	rng     *rand.Rand
 	phase   Phase
@@ -66,41 +66,41 @@
 type loss string
 
 // New makes the start of one process.
-func New(set Settings) (*Start, error) {
+func New(set Settings) (*Startup, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	return &Start{set: set, factor: 1, nodes: map[string]*node{},
+	return &Startup{set: set, factor: 1, nodes: map[string]*node{},
 		rng: rand.New(rand.NewPCG(xxhash.Sum64String(set.Name), 0x7374617274))}, nil
 }
 
 // Phase is how far the start has come.
-func (s *Start) Phase() Phase { return s.phase }
+func (s *Startup) Phase() Phase { return s.phase }
 
 // Step takes an event and returns what is to be done. The slice is good until the next call.
-func (s *Start) Step(now time.Duration, e Event) []Action {
+func (s *Startup) Step(now time.Duration, e Event) []Action {
 	s.out = s.out[:0]
 	switch e := e.(type) {
-	case Begun:
+	case Started:
 		s.begin(now, e)
-	case ListSpoke:
+	case ListReceived:
 		s.heard(now, e)
-	case ListRefused:
+	case ListRequestFailed:
 		s.refused(now)
 	case NodeFull:
 		s.shut(now, e.Node)
-	case ConnectSlow:
+	case ConnectFailed:
 		s.shut(now, e.Node)
-	case Answered:
+	case RequestServed:
 		s.answered(e.Node)
-	case Given:
+	case SnapshotReceived:
 		s.given(now, e.Snapshot)
-	case Peer:
+	case PeerReported:
 		s.told(e.Node)
-	case Asked:
+	case RequestArrived:
 		s.admit(now, e.Node)
 		return s.out // nothing is due sooner: no wake
-	case Turned:
+	case RequestRejected:
 		s.turned(now, e.Node)
 		return s.out
 	}
@@ -112,59 +112,59 @@
 	return s.out
 }
 
-func (s *Start) act(a Action) { s.out = append(s.out, a) }
+func (s *Startup) act(a Action) { s.out = append(s.out, a) }
 
-func (s *Start) begin(now time.Duration, e Begun) {
+func (s *Startup) begin(now time.Duration, e Started) {
 	if s.begun {
 		return
 	}
 	s.begun = true
-	s.ask = now + Slot(s.set.Spread(), "list", s.set.Name)
+	s.ask = now + Slot(s.set.ListCallSpread(), "list", s.set.Name)
 	if s.loss == "slots" {
 		s.ask = now
 	}
-	for _, n := range e.HeldList {
-		if len(s.nodes) < s.set.NodesMost {
-			s.nodes[n.ID] = &node{since: n.Since}
+	for _, n := range e.CachedList {
+		if len(s.nodes) < s.set.MaxNodes {
+			s.nodes[n.ID] = &node{since: n.StartTime}
 		}
 	}
 	s.learn(e.Snapshot)
-	if len(e.HeldList) == 0 {
+	if len(e.CachedList) == 0 {
 		return
 	}
-	s.phase, s.heldAt = Held, now
-	if !s.set.ListPriced { // soon heard: nothing is sent before
+	s.phase, s.heldAt = CachedList, now
+	if !s.set.ListCallsPriced { // soon heard: nothing is sent before
 		s.heldAt = now + heldAfter
 	}
-	for _, n := range e.HeldList {
+	for _, n := range e.CachedList {
 		if x := s.nodes[n.ID]; x != nil {
 			x.guessed = true
-			s.act(ColdPart{n.ID, s.part(), s.heldAt})
+			s.act(LimitColdNode{n.ID, s.part(), s.heldAt})
 		}
 	}
 }
 
 // learn notes what a snapshot has. Once the list has spoken, nodes of the same start alone.
-func (s *Start) learn(snapshot []Node) {
+func (s *Startup) learn(snapshot []Node) {
 	for _, n := range snapshot {
 		x := s.nodes[n.ID]
-		if x == nil && s.phase < Heard && len(s.nodes) < s.set.NodesMost {
+		if x == nil && s.phase < ListKnown && len(s.nodes) < s.set.MaxNodes {
 			x = &node{}
 			s.nodes[n.ID] = x
 		}
-		if x == nil || x.learned || s.phase >= Heard && (!x.listed || x.since != n.Since) {
+		if x == nil || x.learned || s.phase >= ListKnown && (!x.listed || x.since != n.StartTime) {
 			continue
 		}
-		x.had, x.learned = n.Since, true
+		x.had, x.learned = n.StartTime, true
 		s.used = append(s.used, n.ID)
-		if s.phase >= Heard {
-			s.act(Recall{n.ID})
+		if s.phase >= ListKnown {
+			s.act(Restore{n.ID})
 		}
 	}
 }
 
 // given takes another process's snapshot, where there is none of the process's own.
-func (s *Start) given(now time.Duration, snapshot []Node) {
+func (s *Startup) given(now time.Duration, snapshot []Node) {
 	if s.begun && s.phase < Serving && len(s.used) == 0 {
 		s.givenAt = now
 		s.learn(snapshot)
@@ -172,20 +172,20 @@
 }
 
 // part is this process's part of what a node bears that has just started.
-func (s *Start) part() float64 {
+func (s *Startup) part() float64 {
 	if s.loss == "parts" {
-		return s.set.ColdUnits / float64(max(s.set.Hosts/2, 1))
+		return s.set.SlowStartUnits / float64(max(s.set.Schedulers/2, 1))
 	}
-	return s.set.ColdUnits / float64(s.set.Hosts)
+	return s.set.SlowStartUnits / float64(s.set.Schedulers)
 }
 
 // heard takes the first full list; later ones are the decisions' own.
-func (s *Start) heard(now time.Duration, e ListSpoke) {
+func (s *Startup) heard(now time.Duration, e ListReceived) {
 	s.calling = false
-	if s.phase >= Heard && s.loss != "phases" {
+	if s.phase >= ListKnown && s.loss != "phases" {
 		return
 	}
-	s.phase, s.heardAt, s.factor, s.until = Heard, now, 1, now+learnFor
+	s.phase, s.heardAt, s.factor, s.until = ListKnown, now, 1, now+learnFor
 	learned := map[string]bool{} // nodes that the list has no longer are not opened ahead
 	for _, id := range s.used {
 		learned[id], s.nodes[id].learned = true, false
@@ -193,55 +193,55 @@
 	for _, n := range e.Nodes {
 		x := s.nodes[n.ID]
 		if x == nil {
-			if len(s.nodes) >= s.set.NodesMost {
+			if len(s.nodes) >= s.set.MaxNodes {
 				continue
 			}
 			x = &node{}
 			s.nodes[n.ID] = x
 		}
-		same := x.had == n.Since || s.loss == "restarts"
+		same := x.had == n.StartTime || s.loss == "restarts"
 		if x.guessed && s.inUse {
-			s.act(Warm{n.ID})
+			s.act(LiftColdLimit{n.ID})
 		}
 		if x.learned = learned[n.ID] && same; x.learned {
-			s.act(Recall{n.ID})
+			s.act(Restore{n.ID})
 		}
-		if n.Since > 0 && now-n.At < s.set.ColdSpan {
-			s.act(ColdPart{n.ID, s.part(), n.At})
-			s.until = max(s.until, min(n.At, now)+s.set.ColdSpan)
+		if n.StartTime > 0 && now-n.StartedAt < s.set.SlowStartDuration {
+			s.act(LimitColdNode{n.ID, s.part(), n.StartedAt})
+			s.until = max(s.until, min(n.StartedAt, now)+s.set.SlowStartDuration)
 		}
-		x.since, x.guessed, x.listed = n.Since, false, true
+		x.since, x.guessed, x.listed = n.StartTime, false, true
 	}
 }
 
 // told takes a peer's word on a node's start while the list has not spoken. Of a later start than what
 // was learned, the node is not opened ahead. That a node has not started anew is the list's to say: a
 // peer that is wrong, or lies, would have a cold one taken for warm.
-func (s *Start) told(n Node) {
+func (s *Startup) told(n Node) {
 	x := s.nodes[n.ID]
-	if x == nil || s.phase >= Heard {
+	if x == nil || s.phase >= ListKnown {
 		return
 	}
-	if n.Since > x.had {
+	if n.StartTime > x.had {
 		x.learned = false
 	}
-	if s.loss == "peers" && x.guessed && s.inUse && x.since == n.Since {
+	if s.loss == "peers" && x.guessed && s.inUse && x.since == n.StartTime {
 		x.guessed = false
-		s.act(Warm{n.ID})
+		s.act(LiftColdLimit{n.ID})
 	}
 }
 
-// refused sets the next call: hosts that are turned away together ask at most ListMost a second.
-func (s *Start) refused(now time.Duration) {
-	if s.phase >= Heard {
+// refused sets the next call: hosts that are turned away together ask at most MaxListCallsPerSecond a second.
+func (s *Startup) refused(now time.Duration) {
+	if s.phase >= ListKnown {
 		return
 	}
 	s.calling = false
 	gap := askGap
-	if s.set.ListPriced {
-		gap = max(s.set.Spread(), askGap) * time.Duration(s.factor)
+	if s.set.ListCallsPriced {
+		gap = max(s.set.ListCallSpread(), askGap) * time.Duration(s.factor)
 		s.factor = min(2*s.factor, growMost)
-		gap = min(gap, s.set.Told)
+		gap = min(gap, s.set.StalenessBound)
 	}
 	s.ask = now + gap/2 + time.Duration(s.rng.Int64N(int64(gap)))
 	if s.loss == "list" {
@@ -250,7 +250,7 @@
 }
 
 // shut keeps requests from a node that was full or slow to connect, a little longer each time.
-func (s *Start) shut(now time.Duration, id string) {
+func (s *Startup) shut(now time.Duration, id string) {
 	x := s.nodes[id]
 	if x == nil || s.phase == Serving {
 		return
@@ -259,40 +259,40 @@
 	x.shut = now + x.gap/2 + time.Duration(s.rng.Int64N(int64(x.gap)))
 }
 
-func (s *Start) answered(id string) {
+func (s *Startup) answered(id string) {
 	if x := s.nodes[id]; x != nil {
 		x.shut, x.gap, x.linked, x.hint = 0, 0, true, x.hint/2
 	}
-	if s.phase == Heard {
+	if s.phase == ListKnown {
 		s.phase = Learning
 	}
 }
 
 // listWait is how long the list may still take, as far as known.
-func (s *Start) listWait(now time.Duration) time.Duration {
+func (s *Startup) listWait(now time.Duration) time.Duration {
 	at := s.ask + usualCall
 	if s.calling {
 		at = now + usualCall
 	}
-	if s.phase == Held {
+	if s.phase == CachedList {
 		at = min(at, s.heldAt)
 	}
 	return max(at-now, 0)
 }
 
 // admit lets a request to the decisions, or turns it away at once.
-func (s *Start) admit(now time.Duration, id string) {
+func (s *Startup) admit(now time.Duration, id string) {
 	if s.phase == Serving || !s.begun {
 		return
 	}
-	if s.phase < Heard && !s.inUse {
-		if wait := s.listWait(now); wait > s.set.Aim/2 {
+	if s.phase < ListKnown && !s.inUse {
+		if wait := s.listWait(now); wait > s.set.LatencyObjective/2 {
 			s.refuse(wait)
 		}
 		return
 	}
 	if x := s.nodes[id]; x != nil && x.shut > now {
-		if wait := x.shut - now; wait > s.set.Aim/2 {
+		if wait := x.shut - now; wait > s.set.LatencyObjective/2 {
 			s.refuse(wait)
 		}
 	}
@@ -300,7 +300,7 @@
 
 // turned words the refusal of a request that the decisions had: they know their queues, not that a
 // node bears next to nothing yet. The longer a node serves none, the later its clients come again.
-func (s *Start) turned(now time.Duration, id string) {
+func (s *Startup) turned(now time.Duration, id string) {
 	if s.phase == Serving {
 		return
 	}
@@ -309,60 +309,60 @@
 		x = &s.any
 	}
 	if now >= x.hintAt {
-		x.hint = min(max(2*x.hint, shutFirst), s.set.RetryMost)
+		x.hint = min(max(2*x.hint, shutFirst), s.set.MaxRetryAfter)
 		x.hintAt = now + x.hint
 	}
 	s.refuse(max(x.hint, shutFirst))
 }
 
 // refuse spreads the return of clients.
-func (s *Start) refuse(wait time.Duration) {
+func (s *Startup) refuse(wait time.Duration) {
 	wait += time.Duration(s.rng.Int64N(int64(wait)/2 + 1))
-	if most := s.set.RetryMost; wait > most && s.loss != "refusals" {
-		wait = max(most-time.Duration(s.rng.Int64N(int64(most)/4+1)), s.set.RetryLeast)
+	if most := s.set.MaxRetryAfter; wait > most && s.loss != "refusals" {
+		wait = max(most-time.Duration(s.rng.Int64N(int64(most)/4+1)), s.set.MinRetryAfter)
 	}
 	if s.loss != "refusals" {
-		wait = max(wait, s.set.RetryLeast)
+		wait = max(wait, s.set.MinRetryAfter)
 	}
-	s.act(Refuse{wait})
+	s.act(Reject{wait})
 }
 
 // move does what is due by time.
-func (s *Start) move(now time.Duration) {
-	if s.phase < Heard && !s.calling && now >= s.ask {
+func (s *Startup) move(now time.Duration) {
+	if s.phase < ListKnown && !s.calling && now >= s.ask {
 		s.calling = true
-		s.act(AskList{})
+		s.act(RequestList{})
 	}
-	if s.phase == Held && !s.inUse && now >= s.heldAt {
+	if s.phase == CachedList && !s.inUse && now >= s.heldAt {
 		s.inUse = true
-		s.act(UseHeld{})
+		s.act(UseCachedList{})
 	}
-	ready := s.phase >= Heard || s.inUse && now >= s.heldAt+readyHeld || now >= s.set.ReadyMost()
+	ready := s.phase >= ListKnown || s.inUse && now >= s.heldAt+readyHeld || now >= s.set.ReadyDeadline()
 	if ready && (!s.ready || s.loss == "ready") {
 		s.ready = true
-		s.act(Ready{})
+		s.act(ReportReady{})
 	}
-	if s.phase >= Heard && s.phase < Serving || s.inUse && s.phase == Held {
+	if s.phase >= ListKnown && s.phase < Serving || s.inUse && s.phase == CachedList {
 		s.link(now)
 	}
-	if s.phase >= Heard && now >= s.until || s.phase == Held && now >= s.heldAt+s.set.ColdSpan+s.set.Told {
+	if s.phase >= ListKnown && now >= s.until || s.phase == CachedList && now >= s.heldAt+s.set.SlowStartDuration+s.set.StalenessBound {
 		s.phase = Serving
 	}
 }
 
 // linkFrom is when a connection to a node is opened ahead: by a slot of its own for each pair.
-func (s *Start) linkFrom(id string) time.Duration {
+func (s *Startup) linkFrom(id string) time.Duration {
 	from := s.heardAt
-	if s.phase == Held {
+	if s.phase == CachedList {
 		from = s.heldAt
 	}
 	return max(from, s.givenAt) + Slot(connectFor, "connect", s.set.Name, id)
 }
 
 // link opens what is due of the connections ahead: to the nodes that the last life used most.
-func (s *Start) link(now time.Duration) {
+func (s *Startup) link(now time.Duration) {
 	for i, id := range s.used {
-		if i >= s.set.Connects {
+		if i >= s.set.Preconnects {
 			break
 		}
 		x := s.nodes[id]
@@ -371,14 +371,14 @@
 		}
 		x.linked = true
 		s.act(Connect{id})
-		if s.set.MayProbe && s.phase >= Heard {
-			s.act(Probe{id})
+		if s.set.MayCheckHealth && s.phase >= ListKnown {
+			s.act(CheckHealth{id})
 		}
 	}
 }
 
 // wake asks for the next Tick.
-func (s *Start) wake(now time.Duration) {
+func (s *Startup) wake(now time.Duration) {
 	if s.phase == Serving {
 		return
 	}
@@ -388,28 +388,28 @@
 			at = min(at, t)
 		}
 	}
-	if s.phase < Heard && !s.calling {
+	if s.phase < ListKnown && !s.calling {
 		soon(s.ask)
 	}
 	if !s.ready {
-		soon(s.set.ReadyMost())
-		if s.phase == Held {
+		soon(s.set.ReadyDeadline())
+		if s.phase == CachedList {
 			soon(s.heldAt + readyHeld)
 		}
 	}
 	switch {
-	case s.phase >= Heard:
+	case s.phase >= ListKnown:
 		soon(s.until)
-	case s.phase == Held:
+	case s.phase == CachedList:
 		soon(s.heldAt)
-		soon(s.heldAt + s.set.ColdSpan + s.set.Told)
+		soon(s.heldAt + s.set.SlowStartDuration + s.set.StalenessBound)
 	}
-	if s.phase >= Heard || s.inUse {
+	if s.phase >= ListKnown || s.inUse {
 		for i, id := range s.used {
-			if x := s.nodes[id]; i < s.set.Connects && !x.linked && x.learned {
+			if x := s.nodes[id]; i < s.set.Preconnects && !x.linked && x.learned {
 				soon(max(x.shut, s.linkFrom(id)))
 			}
 		}
 	}
-	s.act(WakeAt{at})
+	s.act(SetTimer{at})
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -19,26 +19,26 @@
 const ms = time.Millisecond
 
 func set(hosts int, name string, priced bool) Settings {
-	return Settings{Hosts: hosts, Name: name, ListPriced: priced, ListMost: 100, ColdUnits: 39, TipSpan: 3 * time.Second,
-		ColdSpan: 17 * time.Second, Aim: 400 * ms, Connects: 3}
+	return Settings{Schedulers: hosts, Name: name, ListCallsPriced: priced, MaxListCallsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
+		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
-var list = []Node{{ID: "a"}, {ID: "b", Since: 7, At: -time.Hour}, {ID: "c", Since: 9, At: -time.Second}}
+var list = []Node{{ID: "a"}, {ID: "b", StartTime: 7, StartedAt: -time.Hour}, {ID: "c", StartTime: 9, StartedAt: -time.Second}}
 
-// run drives one start by a script of events (nil: time alone), with a Tick where WakeAt asks for one,
+// run drives one start by a script of events (nil: time alone), with a Tick where SetTimer asks for one,
 // and gives back what was done and when.
 type done struct {
 	at time.Duration
 	a  Action
 }
 
-func run(t *testing.T, s *Start, until time.Duration, script map[time.Duration]Event) (all []done) {
+func run(t *testing.T, s *Startup, until time.Duration, script map[time.Duration]Event) (all []done) {
 	t.Helper()
 	wake := time.Duration(-1)
 	for now := time.Duration(0); now <= until; now += 10 * ms {
 		step := func(e Event) {
 			for _, a := range s.Step(now, e) {
-				if w, ok := a.(WakeAt); ok {
+				if w, ok := a.(SetTimer); ok {
 					wake = w.At
 					continue
 				}
@@ -50,7 +50,7 @@
 		}
 		if wake >= 0 && now >= wake {
 			wake = -1
-			step(Tick{})
+			step(TimerFired{})
 		}
 	}
 	return all
@@ -68,21 +68,21 @@
 // The ordinary ways: priced with a held list, pushed with one, and with nothing known.
 func TestWays(t *testing.T) {
 	s, _ := New(set(300, "h", true))
-	all := run(t, s, 25*time.Second, map[time.Duration]Event{0: Begun{list, []Node{{ID: "b", Since: 7}, {ID: "c", Since: 8}}},
-		2500 * ms: ListSpoke{list}, 2600 * ms: Answered{"a"}})
-	if use := find[UseHeld](all); len(use) != 1 || use[0].at != 0 {
+	all := run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{list, []Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}}},
+		2500 * ms: ListReceived{list}, 2600 * ms: RequestServed{"a"}})
+	if use := find[UseCachedList](all); len(use) != 1 || use[0].at != 0 {
 		t.Errorf("held list in use: %v", use)
 	}
-	if r := find[Recall](all); len(r) != 1 || r[0].a.(Recall).Node != "b" {
+	if r := find[Restore](all); len(r) != 1 || r[0].a.(Restore).Node != "b" {
 		t.Errorf("recalled: %v", r)
 	}
-	if w := find[Warm](all); len(w) != 3 {
+	if w := find[LiftColdLimit](all); len(w) != 3 {
 		t.Errorf("warm: %v", w)
 	}
 	if c := find[Connect](all); len(c) == 0 || c[len(c)-1].a.(Connect).Node == "a" {
 		t.Errorf("connects: %v", c)
 	}
-	if ready := find[Ready](all); len(ready) != 1 || ready[0].at != readyHeld || s.Phase() != Serving {
+	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != readyHeld || s.Phase() != Serving {
 		t.Errorf("ready: %v, phase %v", ready, s.Phase())
 	}
 
@@ -90,11 +90,11 @@
 	// and connections are opened ahead from then on. A peer's word of a later start keeps one from it.
 	for at, want := range map[time.Duration]string{500 * ms: "[b]", 3 * time.Second: "[b]"} {
 		s, _ = New(set(300, "h", true))
-		all = run(t, s, 25*time.Second, map[time.Duration]Event{0: Begun{HeldList: list}, at: Given{[]Node{{ID: "b", Since: 7}, {ID: "c", Since: 8}, {ID: "x"}}},
-			600 * ms: Peer{Node{ID: "c", Since: 9}}, 700 * ms: Peer{Node{ID: "a"}}, 2500 * ms: ListSpoke{list}, 4 * time.Second: Given{[]Node{{ID: "a"}}}})
+		all = run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: list}, at: SnapshotReceived{[]Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}, {ID: "x"}}},
+			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{list}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
 		var recalled, opened []string
-		for _, d := range find[Recall](all) {
-			recalled = append(recalled, d.a.(Recall).Node)
+		for _, d := range find[Restore](all) {
+			recalled = append(recalled, d.a.(Restore).Node)
 		}
 		for _, d := range find[Connect](all) {
 			if opened = append(opened, d.a.(Connect).Node); d.at < at {
@@ -104,26 +104,26 @@
 		if fmt.Sprint(recalled) != want || slices.Contains(opened, "c") || !slices.Contains(opened, "b") {
 			t.Errorf("given at %v: recalled %v, opened %v", at, recalled, opened)
 		}
-		if w := find[Warm](all); len(w) != 3 || w[0].at != 2500*ms {
+		if w := find[LiftColdLimit](all); len(w) != 3 || w[0].at != 2500*ms {
 			t.Errorf("warm: %v", w)
 		}
 	}
 
 	s, _ = New(set(300, "h", false)) // pushed: asked at once, nothing is sent before it or a second
-	all = run(t, s, time.Second, map[time.Duration]Event{0: Begun{HeldList: list}, 100 * ms: ListRefused{}, 120 * ms: Asked{"a"}})
-	if ask := find[AskList](all); len(ask) < 2 || ask[0].at != 0 || ask[1].at > 100*ms+askGap*3/2+10*ms {
+	all = run(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: list}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
+	if ask := find[RequestList](all); len(ask) < 2 || ask[0].at != 0 || ask[1].at > 100*ms+askGap*3/2+10*ms {
 		t.Errorf("asked: %v", ask)
 	}
-	if use := find[UseHeld](all); len(use) != 1 || use[0].at != heldAfter || len(find[Refuse](all)) != 1 {
+	if use := find[UseCachedList](all); len(use) != 1 || use[0].at != heldAfter || len(find[Reject](all)) != 1 {
 		t.Errorf("%v", all)
 	}
 
 	s, _ = New(set(300, "h", true))
-	all = run(t, s, 7*time.Second, map[time.Duration]Event{0: Begun{}})
-	if ready := find[Ready](all); len(ready) != 1 || ready[0].at != s.set.ReadyMost() || s.Phase() != Nothing {
+	all = run(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
+	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != s.set.ReadyDeadline() || s.Phase() != NoList {
 		t.Errorf("%v, phase %v", all, s.Phase())
 	}
-	_, err := New(Settings{Hosts: 3, ColdUnits: math.NaN()})
+	_, err := New(Settings{Schedulers: 3, SlowStartUnits: math.NaN()})
 	var c operr.Coded
 	if !errors.As(err, &c) || c.Code() != "coldstart-setting" {
 		t.Error(err)
@@ -140,13 +140,13 @@
 			return err
 		}
 		s.loss = lost
-		span = s.set.Spread()
-		for _, a := range s.Step(0, Begun{HeldList: list}) {
-			if p, ok := a.(ColdPart); ok && p.Node == "a" {
+		span = s.set.ListCallSpread()
+		for _, a := range s.Step(0, Started{CachedList: list}) {
+			if p, ok := a.(LimitColdNode); ok && p.Node == "a" {
 				parts += p.Units
 			}
 		}
-		if s.ask > time.Duration(toldShare*float64(s.set.Told)) {
+		if s.ask > time.Duration(toldShare*float64(s.set.StalenessBound)) {
 			return fmt.Errorf("told: the first call comes after %v", s.ask)
 		}
 		calls[int(s.ask/time.Second)]++
@@ -168,37 +168,37 @@
 	if err != nil {
 		return err
 	}
-	s.loss, s.set.NodesMost = lost, 4
+	s.loss, s.set.MaxNodes = lost, 4
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""})
 	nodes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Node {
 		return Node{ids.Draw(t, "id"), float64(rapid.IntRange(0, 2).Draw(t, "since")), 0}
 	}), 0, 6)
 	now, wake, refusedAt := time.Duration(0), time.Duration(0), time.Duration(-1)
 	snapshot, listed, heard := map[string][]float64{}, map[string]float64{}, false
-	readies, phase := 0, Nothing
+	readies, phase := 0, NoList
 	step := func(e Event) error {
-		_, wasRefused := e.(ListRefused)
+		_, wasRefused := e.(ListRequestFailed)
 		calling := s.calling
 		for _, a := range s.Step(now, e) {
 			switch a := a.(type) {
-			case Ready:
+			case ReportReady:
 				readies++
-			case WakeAt:
+			case SetTimer:
 				wake = a.At
-			case Refuse:
-				if a.RetryAfter < s.set.RetryLeast || a.RetryAfter > s.set.RetryMost {
+			case Reject:
+				if a.RetryAfter < s.set.MinRetryAfter || a.RetryAfter > s.set.MaxRetryAfter {
 					return fmt.Errorf("refusals: Retry-After %v", a.RetryAfter)
 				}
-			case AskList:
+			case RequestList:
 				if heard || refusedAt >= 0 && now < refusedAt+askGap/2 {
 					return fmt.Errorf("list: asked at %v, refused at %v, heard: %v", now, refusedAt, heard)
 				}
-			case Recall:
+			case Restore:
 				if start, ok := listed[a.Node]; !ok || !slices.Contains(snapshot[a.Node], start) {
 					return fmt.Errorf("restarts: recalled %s", a.Node)
 				}
-			case Warm:
-				if _, ok := e.(ListSpoke); !ok {
+			case LiftColdLimit:
+				if _, ok := e.(ListReceived); !ok {
 					return fmt.Errorf("peers: %s is warm by %T", a.Node, e)
 				}
 			}
@@ -207,20 +207,20 @@
 			refusedAt = now
 		}
 		switch {
-		case readies > 1 || readies == 0 && s.begun && now > s.set.ReadyMost():
+		case readies > 1 || readies == 0 && s.begun && now > s.set.ReadyDeadline():
 			return fmt.Errorf("ready: said %d times by %v", readies, now)
 		case s.phase < phase:
 			return fmt.Errorf("phases: from %v to %v", phase, s.phase)
-		case len(s.nodes) > s.set.NodesMost:
+		case len(s.nodes) > s.set.MaxNodes:
 			return fmt.Errorf("bounds: %d nodes", len(s.nodes))
 		}
 		phase = s.phase
 		return nil
 	}
-	begun := Begun{nodes.Draw(t, "held"), nodes.Draw(t, "snapshot")}
+	begun := Started{nodes.Draw(t, "held"), nodes.Draw(t, "snapshot")}
 	knows := func(ns []Node) { // the first of a node counts
 		for _, n := range slices.Backward(ns) {
-			snapshot[n.ID] = []float64{n.Since}
+			snapshot[n.ID] = []float64{n.StartTime}
 		}
 	}
 	knows(begun.Snapshot)
@@ -231,7 +231,7 @@
 		to := now + time.Duration(rapid.IntRange(0, 900).Draw(t, "wait"))*ms
 		for wake > now && wake <= to { // Ticks come when they are asked for
 			now = wake
-			if err := step(Tick{}); err != nil {
+			if err := step(TimerFired{}); err != nil {
 				return err
 			}
 		}
@@ -240,11 +240,11 @@
 		id := ids.Draw(t, "node")
 		switch rapid.IntRange(0, 10).Draw(t, "kind") {
 		case 0:
-			spoke := ListSpoke{nodes.Draw(t, "listed")}
+			spoke := ListReceived{nodes.Draw(t, "listed")}
 			seen := map[string]bool{}
 			spoke.Nodes = slicesDelete(spoke.Nodes, func(n Node) bool { twice := seen[n.ID]; seen[n.ID] = true; return twice })
 			for _, n := range spoke.Nodes {
-				listed[n.ID] = n.Since
+				listed[n.ID] = n.StartTime
 			}
 			if err := step(spoke); err != nil {
 				return err
@@ -252,29 +252,29 @@
 			heard = true
 			continue
 		case 1, 2:
-			e = ListRefused{}
+			e = ListRequestFailed{}
 		case 3:
 			e = NodeFull{id}
 		case 4:
-			e = ConnectSlow{id}
+			e = ConnectFailed{id}
 		case 5:
-			e = Answered{id}
+			e = RequestServed{id}
 		case 6:
-			e = Turned{id}
+			e = RequestRejected{id}
 		case 7:
-			e = Peer{Node{ID: id, Since: float64(rapid.IntRange(0, 2).Draw(t, "told"))}}
+			e = PeerReported{Node{ID: id, StartTime: float64(rapid.IntRange(0, 2).Draw(t, "told"))}}
 		case 8:
-			given := Given{nodes.Draw(t, "given")}
+			given := SnapshotReceived{nodes.Draw(t, "given")}
 			if e = given; len(s.used) == 0 {
 				for _, n := range given.Snapshot { // heard: the one of the list's start counts
-					snapshot[n.ID] = append(snapshot[n.ID], n.Since)
+					snapshot[n.ID] = append(snapshot[n.ID], n.StartTime)
 				}
 				if !heard {
 					knows(given.Snapshot)
 				}
 			}
 		default:
-			e = Asked{id}
+			e = RequestArrived{id}
 		}
 		if err := step(e); err != nil {
 			return err
--- a/internal/coldstart/events.go
+++ b/internal/coldstart/events.go
@@ -7,11 +7,11 @@
 
 // The phases.
 const (
-	Nothing  Phase = iota // nothing is known
-	Held                  // the list as last held: any node may have restarted since
-	Heard                 // the list has spoken
-	Learning              // a node has answered; connections and shut nodes are still rationed
-	Serving               // as ever: this module has no say any more
+	NoList     Phase = iota // nothing is known
+	CachedList              // the list as last held: any node may have restarted since
+	ListKnown               // the list has spoken
+	Learning                // a node has answered; connections and shut nodes are still rationed
+	Serving                 // as ever: this module has no say any more
 )
 
 func (p Phase) String() string {
@@ -21,9 +21,9 @@
 // Node is a node of the list. Since is its start as the list gives it (0: long ago), At the same on
 // the process's clock.
 type Node struct {
-	ID    string
-	Since float64
-	At    time.Duration
+	ID        string
+	StartTime float64
+	StartedAt time.Duration
 }
 
 // Event is one thing that the process hears.
@@ -31,81 +31,81 @@
 
 // The events.
 type (
-	// Begun is the first: the list as last held, and the nodes of the snapshot, the most used first.
-	Begun struct{ HeldList, Snapshot []Node }
-	// ListSpoke is a full list.
-	ListSpoke struct{ Nodes []Node }
-	// ListRefused is a call of the list that was turned away or failed.
-	ListRefused struct{}
+	// Started is the first: the list as last held, and the nodes of the snapshot, the most used first.
+	Started struct{ CachedList, Snapshot []Node }
+	// ListReceived is a full list.
+	ListReceived struct{ Nodes []Node }
+	// ListRequestFailed is a call of the list that was turned away or failed.
+	ListRequestFailed struct{}
 	// NodeFull is a node that turned work away for want of room.
 	NodeFull struct{ Node string }
-	// ConnectSlow is a connect to a node that failed or outlived its time.
-	ConnectSlow struct{ Node string }
-	// Answered is work served by a node.
-	Answered struct{ Node string }
-	// Asked is a client's request: for a node ("" for any, or not known which).
-	Asked struct{ Node string }
-	// Turned is a request that the decisions refuse: Refuse words it.
-	Turned struct{ Node string }
-	// Given is a snapshot that another process has handed over, the most used nodes first.
-	Given struct{ Snapshot []Node }
-	// Peer is what another process says of a node's start.
-	Peer struct{ Node Node }
-	// Tick is time that has passed: what WakeAt asked for.
-	Tick struct{}
+	// ConnectFailed is a connect to a node that failed or outlived its time.
+	ConnectFailed struct{ Node string }
+	// RequestServed is work served by a node.
+	RequestServed struct{ Node string }
+	// RequestArrived is a client's request: for a node ("" for any, or not known which).
+	RequestArrived struct{ Node string }
+	// RequestRejected is a request that the decisions refuse: Refuse words it.
+	RequestRejected struct{ Node string }
+	// SnapshotReceived is a snapshot that another process has handed over, the most used nodes first.
+	SnapshotReceived struct{ Snapshot []Node }
+	// PeerReported is what another process says of a node's start.
+	PeerReported struct{ Node Node }
+	// TimerFired is time that has passed: what SetTimer asked for.
+	TimerFired struct{}
 )
 
-func (Begun) event()       {}
-func (ListSpoke) event()   {}
-func (ListRefused) event() {}
-func (NodeFull) event()    {}
-func (ConnectSlow) event() {}
-func (Answered) event()    {}
-func (Asked) event()       {}
-func (Turned) event()      {}
-func (Given) event()       {}
-func (Peer) event()        {}
-func (Tick) event()        {}
+func (Started) event()           {}
+func (ListReceived) event()      {}
+func (ListRequestFailed) event() {}
+func (NodeFull) event()          {}
+func (ConnectFailed) event()     {}
+func (RequestServed) event()     {}
+func (RequestArrived) event()    {}
+func (RequestRejected) event()   {}
+func (SnapshotReceived) event()  {}
+func (PeerReported) event()      {}
+func (TimerFired) event()        {}
 
 // Action is one thing that the process does.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// AskList calls the list now.
-	AskList struct{}
-	// UseHeld gives the decisions the list as last held, each node as one that started now.
-	UseHeld struct{}
-	// ColdPart is this process's part of what a node bears that may be cold, in units within the
-	// settings' TipSpan, from the start At.
-	ColdPart struct {
-		Node  string
-		Units float64
-		At    time.Duration
+	// RequestList calls the list now.
+	RequestList struct{}
+	// UseCachedList gives the decisions the list as last held, each node as one that started now.
+	UseCachedList struct{}
+	// LimitColdNode is this process's part of what a node bears that may be cold, in units within the
+	// settings' OverloadWindow, from the start At.
+	LimitColdNode struct {
+		Node      string
+		Units     float64
+		StartedAt time.Duration
 	}
-	// Warm takes back what ColdPart assumed: the list's word on the node's start holds.
-	Warm struct{ Node string }
-	// Recall takes what the snapshot has of a node: its start is the same.
-	Recall struct{ Node string }
+	// LiftColdLimit takes back what LimitColdNode assumed: the list's word on the node's start holds.
+	LiftColdLimit struct{ Node string }
+	// Restore takes what the snapshot has of a node: its start is the same.
+	Restore struct{ Node string }
 	// Connect opens one connection ahead of need.
 	Connect struct{ Node string }
-	// Probe asks a node for its load.
-	Probe struct{ Node string }
-	// Ready says that clients may come.
-	Ready struct{}
-	// Refuse turns the request of Asked or Turned away at once.
-	Refuse struct{ RetryAfter time.Duration }
-	// WakeAt asks for a Tick then; the latest counts.
-	WakeAt struct{ At time.Duration }
+	// CheckHealth asks a node for its load.
+	CheckHealth struct{ Node string }
+	// ReportReady says that clients may come.
+	ReportReady struct{}
+	// Reject turns the request of Asked or Turned away at once.
+	Reject struct{ RetryAfter time.Duration }
+	// SetTimer asks for a Tick then; the latest counts.
+	SetTimer struct{ At time.Duration }
 )
 
-func (AskList) action()  {}
-func (UseHeld) action()  {}
-func (ColdPart) action() {}
-func (Warm) action()     {}
-func (Recall) action()   {}
-func (Connect) action()  {}
-func (Probe) action()    {}
-func (Ready) action()    {}
-func (Refuse) action()   {}
-func (WakeAt) action()   {}
+func (RequestList) action()   {}
+func (UseCachedList) action() {}
+func (LimitColdNode) action() {}
+func (LiftColdLimit) action() {}
+func (Restore) action()       {}
+func (Connect) action()       {}
+func (CheckHealth) action()   {}
+func (ReportReady) action()   {}
+func (Reject) action()        {}
+func (SetTimer) action()      {}
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -12,96 +12,96 @@
 
 // Settings is what a start knows before it hears anything.
 type Settings struct {
-	Hosts      int
-	Name       string        // slots come from it
-	ListPriced bool          // calls of the list cost its service: they are spread over the fleet
-	ListMost   float64       // calls a second that all hosts may make, 0: CallsMost
-	Told       time.Duration // what the list says counts as told after this, 0: the protocol's 6 s
-	ColdUnits  float64       // units a node that has just started bears from all hosts within TipSpan
-	TipSpan    time.Duration
-	ColdSpan   time.Duration // after which a node is warm
-	Aim        time.Duration // the tightest: a request may wait this long for the list
-	RetryLeast time.Duration // Retry-After is between these, 0: 50 ms and 1 s
-	RetryMost  time.Duration
-	Connects   int // nodes to which a connection is opened ahead, 0: none
-	MayProbe   bool
-	NodesMost  int // nodes held, 0: 4096
+	Schedulers            int
+	Name                  string        // slots come from it
+	ListCallsPriced       bool          // calls of the list cost its service: they are spread over the fleet
+	MaxListCallsPerSecond float64       // calls a second that all hosts may make, 0: DefaultMaxListCallsPerSecond
+	StalenessBound        time.Duration // what the list says counts as told after this, 0: the protocol's 6 s
+	SlowStartUnits        float64       // units a node that has just started bears from all hosts within OverloadWindow
+	OverloadWindow        time.Duration
+	SlowStartDuration     time.Duration // after which a node is warm
+	LatencyObjective      time.Duration // the tightest: a request may wait this long for the list
+	MinRetryAfter         time.Duration // Retry-After is between these, 0: 50 ms and 1 s
+	MaxRetryAfter         time.Duration
+	Preconnects           int // nodes to which a connection is opened ahead, 0: none
+	MayCheckHealth        bool
+	MaxNodes              int // nodes held, 0: 4096
 }
 
 // Figures.
 const (
-	CallsMost  = 40.0                   // calls of the list a second, where the settings name none
-	told       = 6 * time.Second        // the protocol's
-	toldShare  = 5.0 / 6                // first calls are spread over this part of it, and ready is said then: the rest is for the answer
-	usualCall  = 100 * time.Millisecond // a call of the list takes this long, as a rule
-	heldAfter  = time.Second            // a list that is not priced is waited for this long before the held one serves
-	readyHeld  = time.Second            // with the held list in use ready is said after this
-	askGap     = 300 * time.Millisecond // between calls that are not priced
-	growMost   = 8                      // calls turned away stretch the gap to this multiple at most
-	learnFor   = 3 * time.Second        // learning lasts this long after the list, and while a node is cold
-	connectFor = time.Second            // connections ahead are opened within this
-	shutFirst  = 100 * time.Millisecond // a node that was full or slow rests this long, doubling ...
-	shutMost   = time.Second            // ... to this
-	nodesMost  = 4096
+	DefaultMaxListCallsPerSecond = 40.0                   // calls of the list a second, where the settings name none
+	told                         = 6 * time.Second        // the protocol's
+	toldShare                    = 5.0 / 6                // first calls are spread over this part of it, and ready is said then: the rest is for the answer
+	usualCall                    = 100 * time.Millisecond // a call of the list takes this long, as a rule
+	heldAfter                    = time.Second            // a list that is not priced is waited for this long before the held one serves
+	readyHeld                    = time.Second            // with the held list in use ready is said after this
+	askGap                       = 300 * time.Millisecond // between calls that are not priced
+	growMost                     = 8                      // calls turned away stretch the gap to this multiple at most
+	learnFor                     = 3 * time.Second        // learning lasts this long after the list, and while a node is cold
+	connectFor                   = time.Second            // connections ahead are opened within this
+	shutFirst                    = 100 * time.Millisecond // a node that was full or slow rests this long, doubling ...
+	shutMost                     = time.Second            // ... to this
+	nodesMost                    = 4096
 )
 
-// BadSetting is a setting that cannot be.
-type BadSetting struct {
+// SettingError is a setting that cannot be.
+type SettingError struct {
 	Key   string
 	Value any
 	Want  string
 }
 
-func (e *BadSetting) Error() string {
+func (e *SettingError) Error() string {
 	return fmt.Sprintf("start: %s is %v, and must be %s", e.Key, e.Value, e.Want)
 }
 
 // Code is stable.
-func (e *BadSetting) Code() string { return "coldstart-setting" }
+func (e *SettingError) Code() string { return "coldstart-setting" }
 
 // Advice says what to do.
-func (e *BadSetting) Advice() string {
+func (e *SettingError) Advice() string {
 	return "correct the key in the configuration; until then start without the section start"
 }
 
-func init() { operr.Register(&BadSetting{"hosts", 0, "1 or more"}) }
+func init() { operr.Register(&SettingError{"hosts", 0, "1 or more"}) }
 
 func (s *Settings) check() error {
-	if s.Hosts < 1 {
-		return &BadSetting{"hosts", s.Hosts, "1 or more"}
+	if s.Schedulers < 1 {
+		return &SettingError{"hosts", s.Schedulers, "1 or more"}
 	}
 	for _, k := range []struct {
 		key string
 		v   float64
-	}{{"list_most", s.ListMost}, {"cold_units", s.ColdUnits}, {"told", s.Told.Seconds()}, {"tip_span", s.TipSpan.Seconds()},
-		{"cold_span", s.ColdSpan.Seconds()}, {"aim", s.Aim.Seconds()}, {"connects", float64(s.Connects)},
-		{"retry_least", s.RetryLeast.Seconds()}, {"retry_most", s.RetryMost.Seconds()}, {"nodes_most", float64(s.NodesMost)}} {
+	}{{"list_most", s.MaxListCallsPerSecond}, {"cold_units", s.SlowStartUnits}, {"told", s.StalenessBound.Seconds()}, {"tip_span", s.OverloadWindow.Seconds()},
+		{"cold_span", s.SlowStartDuration.Seconds()}, {"aim", s.LatencyObjective.Seconds()}, {"connects", float64(s.Preconnects)},
+		{"retry_least", s.MinRetryAfter.Seconds()}, {"retry_most", s.MaxRetryAfter.Seconds()}, {"nodes_most", float64(s.MaxNodes)}} {
 		if math.IsNaN(k.v) || math.IsInf(k.v, 0) || k.v < 0 {
-			return &BadSetting{k.key, k.v, "0 or more"}
+			return &SettingError{k.key, k.v, "0 or more"}
 		}
 	}
-	if s.ListMost == 0 {
-		s.ListMost = CallsMost
+	if s.MaxListCallsPerSecond == 0 {
+		s.MaxListCallsPerSecond = DefaultMaxListCallsPerSecond
 	}
-	if s.Told == 0 || s.Told > told {
-		s.Told = told
+	if s.StalenessBound == 0 || s.StalenessBound > told {
+		s.StalenessBound = told
 	}
-	if s.RetryMost == 0 {
-		s.RetryMost = time.Second
+	if s.MaxRetryAfter == 0 {
+		s.MaxRetryAfter = time.Second
 	}
-	if s.RetryLeast == 0 {
-		s.RetryLeast = 50 * time.Millisecond
+	if s.MinRetryAfter == 0 {
+		s.MinRetryAfter = 50 * time.Millisecond
 	}
-	s.RetryLeast = min(s.RetryLeast, s.RetryMost)
-	if s.NodesMost == 0 {
-		s.NodesMost = nodesMost
+	s.MinRetryAfter = min(s.MinRetryAfter, s.MaxRetryAfter)
+	if s.MaxNodes == 0 {
+		s.MaxNodes = nodesMost
 	}
 	return nil
 }
 
-// ColdShare is the part of a cold node's budget that a process uses which starts beside its whole
+// SlowStartShare is the part of a cold node's budget that a process uses which starts beside its whole
 // fleet: turns are drawn, and estimates of who else works with a node are noisy while all are new.
-const ColdShare = 0.8
+const SlowStartShare = 0.8
 
 // Slot is where a name stands in a span, by its hash: even over any set of names.
 func Slot(span time.Duration, parts ...string) time.Duration {
@@ -113,15 +113,17 @@
 	return time.Duration(float64(span) * (float64(d.Sum64()>>11) / (1 << 53)))
 }
 
-// Spread is the span over which the hosts' first calls of the list fall: as long as the service
+// ListCallSpread is the span over which the hosts' first calls of the list fall: as long as the service
 // needs for the whole fleet, within the bound of the list's clock. None, where calls cost nothing.
-func (s *Settings) Spread() time.Duration {
-	if !s.ListPriced {
+func (s *Settings) ListCallSpread() time.Duration {
+	if !s.ListCallsPriced {
 		return 0
 	}
-	need := time.Duration(float64(s.Hosts) / s.ListMost * float64(time.Second))
-	return min(need, time.Duration(toldShare*float64(s.Told)))
+	need := time.Duration(float64(s.Schedulers) / s.MaxListCallsPerSecond * float64(time.Second))
+	return min(need, time.Duration(toldShare*float64(s.StalenessBound)))
 }
 
-// ReadyMost is when ready is said at the latest, whatever is heard.
-func (s *Settings) ReadyMost() time.Duration { return time.Duration(toldShare * float64(s.Told)) }
+// ReadyDeadline is when ready is said at the latest, whatever is heard.
+func (s *Settings) ReadyDeadline() time.Duration {
+	return time.Duration(toldShare * float64(s.StalenessBound))
+}
--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -31,7 +31,7 @@
 // Figures.
 const (
 	Version = 1
-	Most    = 256 << 10 // bytes of the file
+	MaxSize = 256 << 10 // bytes of the file
 	MaxAge  = 5 * time.Minute
 	skew    = 2 * time.Second // a clock may have been set back by this
 )
@@ -51,12 +51,12 @@
 
 // NodeState is what was learned of one life of a node.
 type NodeState struct {
-	ID      string  `json:"id"`
-	Since   float64 `json:"since_ms"`
-	Window  float64 `json:"window"`
-	Usual   float64 `json:"usual_ms"`
-	Best    float64 `json:"best"`
-	Failing float64 `json:"failing"`
+	ID                 string  `json:"id"`
+	StartTime          float64 `json:"since_ms"`
+	Window             float64 `json:"window"`
+	Latency            float64 `json:"usual_ms"`
+	BestLatencyPerUnit float64 `json:"best"`
+	FailureRate        float64 `json:"failing"`
 }
 
 // ClassState is what was learned of one class.
@@ -67,43 +67,47 @@
 	Delay  float64 `json:"delay_ms"`
 }
 
-// Unusable is a snapshot that is there and must not be used.
-type Unusable struct {
-	Path string
-	Why  string // torn, foreign or old
-	Fact string
+// UnusableError is a snapshot that is there and must not be used.
+type UnusableError struct {
+	Path   string
+	Reason string // torn, foreign or old
+	Detail string
 }
 
-func (e *Unusable) Error() string { return fmt.Sprintf("snapshot %s: %s: %s", e.Path, e.Why, e.Fact) }
+func (e *UnusableError) Error() string {
+	return fmt.Sprintf("snapshot %s: %s: %s", e.Path, e.Reason, e.Detail)
+}
 
 // Code is stable.
-func (e *Unusable) Code() string { return "snapshot-" + e.Why }
+func (e *UnusableError) Code() string { return "snapshot-" + e.Reason }
 
 // Advice says what to do.
-func (e *Unusable) Advice() string {
+func (e *UnusableError) Advice() string {
 	return "nothing: the program starts as without a snapshot and writes a new one; if it comes at each start, look at who else writes the file"
 }
 
-// Failed is a snapshot that could not be read or written.
-type Failed struct {
-	Path, Doing string
-	Err         error
+// FileError is a snapshot that could not be read or written.
+type FileError struct {
+	Path, Operation string
+	Err             error
 }
 
-func (e *Failed) Error() string { return fmt.Sprintf("snapshot %s: %s: %v", e.Path, e.Doing, e.Err) }
-func (e *Failed) Unwrap() error { return e.Err }
+func (e *FileError) Error() string {
+	return fmt.Sprintf("snapshot %s: %s: %v", e.Path, e.Operation, e.Err)
+}
+func (e *FileError) Unwrap() error { return e.Err }
 
 // Code is stable.
-func (e *Failed) Code() string { return "snapshot-failed" }
+func (e *FileError) Code() string { return "snapshot-failed" }
 
 // Advice says what to do.
-func (e *Failed) Advice() string {
+func (e *FileError) Advice() string {
 	return "see that the folder of start.snapshot is there, is the program's own and has room; the program runs without"
 }
 
 func init() {
-	operr.Register(&Unusable{"x", "torn", "x"}, &Unusable{"x", "foreign", "x"}, &Unusable{"x", "old", "x"},
-		&Failed{"x", "write", errors.New("x")})
+	operr.Register(&UnusableError{"x", "torn", "x"}, &UnusableError{"x", "foreign", "x"}, &UnusableError{"x", "old", "x"},
+		&FileError{"x", "write", errors.New("x")})
 }
 
 // Encode makes the file's bytes. What does not fit is left out: the least used nodes.
@@ -115,7 +119,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if headSize+len(body) > Most && len(c.Nodes) > 0 {
+		if headSize+len(body) > MaxSize && len(c.Nodes) > 0 {
 			c.Nodes = c.Nodes[:len(c.Nodes)*3/4]
 			continue
 		}
@@ -139,7 +143,7 @@
 		return nil, err
 	}
 	if age := now.Sub(s.Made); age > MaxAge || age < -skew {
-		return nil, &Unusable{path, "old", fmt.Sprintf("made %s before now", age.Round(time.Millisecond))}
+		return nil, &UnusableError{path, "old", fmt.Sprintf("made %s before now", age.Round(time.Millisecond))}
 	}
 	return s, nil
 }
@@ -148,13 +152,13 @@
 // and no clock is compared.
 func Parse(path string, text []byte) (*Snapshot, error) {
 	bad := func(why, form string, args ...any) (*Snapshot, error) {
-		return nil, &Unusable{path, why, fmt.Sprintf(form, args...)}
+		return nil, &UnusableError{path, why, fmt.Sprintf(form, args...)}
 	}
 	n := min(len(text), len(magic))
 	switch {
 	case !bytes.Equal(text[:n], magic[:n]):
 		return bad("foreign", "it does not begin as version %d of this file does", Version)
-	case len(text) < headSize || len(text) > Most:
+	case len(text) < headSize || len(text) > MaxSize:
 		return bad("torn", "%d bytes", len(text))
 	}
 	body := text[headSize:]
@@ -175,15 +179,15 @@
 func Read(path string, now time.Time) (*Snapshot, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &Failed{path, "open", err}
+		return nil, &FileError{path, "open", err}
 	}
 	defer f.Close()
 	if st, err := f.Stat(); err == nil && !st.Mode().IsRegular() {
-		return nil, &Failed{path, "open", fmt.Errorf("not a regular file: %w", fs.ErrInvalid)}
+		return nil, &FileError{path, "open", fmt.Errorf("not a regular file: %w", fs.ErrInvalid)}
 	}
-	text, err := io.ReadAll(io.LimitReader(f, Most+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
-		return nil, &Failed{path, "read", err}
+		return nil, &FileError{path, "read", err}
 	}
 	return Decode(path, text, now)
 }
@@ -191,25 +195,25 @@
 // Write puts the snapshot in the file's place, whole or not at all.
 func Write(path string, s *Snapshot) (err error) {
 	for _, n := range s.Nodes { // JSON has no such numbers
-		if f := n.Window + n.Usual + n.Best + n.Failing + n.Since; math.IsNaN(f) || math.IsInf(f, 0) {
-			return &Failed{path, "encode", fmt.Errorf("node %s: a figure is not a number", n.ID)}
+		if f := n.Window + n.Latency + n.BestLatencyPerUnit + n.FailureRate + n.StartTime; math.IsNaN(f) || math.IsInf(f, 0) {
+			return &FileError{path, "encode", fmt.Errorf("node %s: a figure is not a number", n.ID)}
 		}
 	}
 	text, err := Encode(s)
 	if err != nil {
-		return &Failed{path, "encode", err}
+		return &FileError{path, "encode", err}
 	}
 	// One name: a process that is killed while it writes leaves one behind, and not one at each kill.
 	beside := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	os.Remove(beside)
 	f, err := os.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
-		return &Failed{path, "create", err}
+		return &FileError{path, "create", err}
 	}
 	defer func() {
 		if err != nil {
 			os.Remove(f.Name())
-			err = &Failed{path, "write", err}
+			err = &FileError{path, "write", err}
 		}
 	}()
 	if _, err = f.Write(text); err == nil {
--- a/internal/coldstart/snapshot/snapshot_test.go
+++ b/internal/coldstart/snapshot/snapshot_test.go
@@ -76,12 +76,12 @@
 	if err != nil || len(s.Nodes) < 1000 || s.Nodes[0].ID != "node-0" {
 		t.Fatalf("%v", err)
 	}
-	if st, _ := os.Stat(path); st.Size() > Most {
+	if st, _ := os.Stat(path); st.Size() > MaxSize {
 		t.Errorf("%d bytes", st.Size())
 	}
 	zero := 0.0
 	bad := example(3)
-	bad.Nodes[1].Usual = 1 / zero
+	bad.Nodes[1].Latency = 1 / zero
 	for _, err := range []error{Write(path, bad), Write(filepath.Join(dir, "none", "learned"), example(1)), Write(dir, example(1))} {
 		var c operr.Coded
 		if !errors.As(err, &c) || c.Code() != "snapshot-failed" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -216,8 +216,8 @@
 	return raw
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupShard}
+var effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+var groups = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
 
 // word finds a key's word in a table.
 func word[T any](r *reader, key, fallback string, table map[string]T) T {
@@ -234,34 +234,34 @@
 func Settings(set gjson.Result) (policy.Settings, error) {
 	r := &reader{root: set, prefix: "settings."}
 	s := policy.Settings{
-		Me: int(r.num("me", 0, 0)), Hosts: int(r.num("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
-		AskMode:   r.text("membership-mode", "push") == "ask",
-		MeanUnits: r.num("extra.usual-units", 1, 0), MostUnits: r.num("extra.largest", 0, 0),
-		Shards: int(r.num("extra.slots-total", 0, 0)), ColdUnits: r.num("extra.young-limit", 0, 0), MeterSpan: r.num("extra.metering", 0, 0),
-		TellsOthers: r.flag("extra.says-others"),
-		MaxAttempts: int(r.num("ceilings.max-attempts", 1, 1)), SecondCopies: r.flag("ceilings.second-copies"),
-		MayCancel: r.flag("ceilings.may-cancel"), MayProbe: r.flag("ceilings.probes"), MayTell: r.flag("ceilings.peers"),
-		HoldOff: r.flag("ceilings.retry-after"), MaxHoldOff: r.num("ceilings.max-retry-after", 0, 0),
-		DrainGrace: r.num("rules.stop-sending-within", 0, 0), AskWithin: r.num("rules.ask-within", 0, 0),
-		ColdFrom: r.num("rules.cold-from", 0, 0), ColdSpan: r.num("rules.cold", 0, 0),
-		TipMultiple: r.num("rules.tip-multiple", 0, 0), TipSpan: r.num("rules.overload-for", 0, 0),
-		OrderPause: r.num("rules.order-pause", 0, 0), BudgetShare: r.num("rules.further-ratio", 0, 0),
-		BudgetFree: r.num("rules.extra-floor", 0, 0), BudgetSpan: r.num("rules.counted-over", 0, 0),
+		Instance: int(r.num("me", 0, 0)), Schedulers: int(r.num("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
+		PollsEndpointList: r.text("membership-mode", "push") == "ask",
+		MeanUnits:         r.num("extra.usual-units", 1, 0), MaxUnits: r.num("extra.largest", 0, 0),
+		Shards: int(r.num("extra.slots-total", 0, 0)), SlowStartUnits: r.num("extra.young-limit", 0, 0), UsageMeterPeriod: r.num("extra.metering", 0, 0),
+		ReportsPeerUsage: r.flag("extra.says-others"),
+		MaxAttempts:      int(r.num("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
+		MayCancel: r.flag("ceilings.may-cancel"), MayCheckHealth: r.flag("ceilings.probes"), MayGossip: r.flag("ceilings.peers"),
+		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.num("ceilings.max-retry-after", 0, 0),
+		DrainGrace: r.num("rules.stop-sending-within", 0, 0), PollWithin: r.num("rules.ask-within", 0, 0),
+		SlowStartShare: r.num("rules.cold-from", 0, 0), SlowStartDuration: r.num("rules.cold", 0, 0),
+		OverloadMultiple: r.num("rules.tip-multiple", 0, 0), OverloadWindow: r.num("rules.overload-for", 0, 0),
+		OrderedKeyBackoff: r.num("rules.order-pause", 0, 0), RetryBudgetShare: r.num("rules.further-ratio", 0, 0),
+		RetryBudgetMin: r.num("rules.extra-floor", 0, 0), RetryBudgetWindow: r.num("rules.counted-over", 0, 0),
 	}
 	r.each("profiles", func(p *reader) {
-		c := policy.Class{Name: p.text("name", ""), Aim: p.num("goal-time", 0, 1e-3), AimStretch: p.num("aim-stretch", 0, 0),
-			Deadline: p.num("deadline", 0, 1e-3), Worth: p.num("worth", 1, 0), LateWorth: p.num("late-worth", 0, 0),
-			Effect: word(p, "repeat", "", effects), Memory: p.num("memory-span", 0, 0),
+		c := policy.Class{Name: p.text("name", ""), LatencyObjective: p.num("goal-time", 0, 1e-3), ObjectiveStretch: p.num("aim-stretch", 0, 0),
+			Deadline: p.num("deadline", 0, 1e-3), PriorityWeight: p.num("worth", 1, 0), LatePriorityWeight: p.num("late-worth", 0, 0),
+			Effect: word(p, "repeat", "", effects), DedupWindow: p.num("memory-span", 0, 0),
 			Ordered: p.flag("by-arrival"), Stream: p.flag("stream")}
-		if c.Effect == policy.Keyed {
-			c.Group = word(p, "key-scope", "", groups)
+		if c.Effect == policy.IdempotentByKey {
+			c.DedupScope = word(p, "key-scope", "", groups)
 		}
 		s.Classes = append(s.Classes, c)
 	})
 	r.each("contracts", func(p *reader) {
 		s.Plans = append(s.Plans, policy.Plan{Name: p.text("name", ""), Rate: p.num("usual-rate", 0, 0),
-			Reserve: p.num("reservation", 0, 0), Weight: p.num("shares", 1, 0), Price: p.num("price", 1, 0),
-			Limit: p.num("cap", 0, 0), LimitBurst: p.num("burst", 0, 0)})
+			ReservedRate: p.num("reservation", 0, 0), Weight: p.num("shares", 1, 0), Price: p.num("price", 1, 0),
+			RateLimit: p.num("cap", 0, 0), LimitBurst: p.num("burst", 0, 0)})
 	})
 	return s, r.err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,10 +31,10 @@
 	}
 	s := c.Settings
 	if c.Name != "n3" || c.Sockets != 1024 || c.ConnIdle != 15000 || c.ConnectTimeout != defaultConnectTimeout || c.Seed == 0 ||
-		s.Hosts != 3 || s.Me != 1 || s.ColdSpan != 17000 || s.MaxAttempts != 4 || !s.MayCancel || s.MayProbe {
+		s.Schedulers != 3 || s.Instance != 1 || s.SlowStartDuration != 17000 || s.MaxAttempts != 4 || !s.MayCancel || s.MayCheckHealth {
 		t.Errorf("%+v", c)
 	}
-	if k := s.Classes[1]; k.Effect != policy.Keyed || k.Group != policy.GroupShard || k.Memory != 2500 || s.Plans[0].Limit != 27 {
+	if k := s.Classes[1]; k.Effect != policy.IdempotentByKey || k.DedupScope != policy.DedupShard || k.DedupWindow != 2500 || s.Plans[0].RateLimit != 27 {
 		t.Errorf("%+v", s)
 	}
 	if c, err = Parse([]byte(good), func(k string) string { return map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"}[k] }); err != nil || c.Listen != "127.0.0.1:9" {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	set := c.Settings
-	set.Classes = append(set.Classes, policy.Class{Name: "bulk-export", Aim: 1200, Deadline: 4000})
+	set.Classes = append(set.Classes, policy.Class{Name: "bulk-export", LatencyObjective: 1200, Deadline: 4000})
 	set.Plans = append(set.Plans, policy.Plan{Name: "standard"})
 	ic, err := LoadISCSI("../../deploy/iscsi.json", set)
 	if err != nil || len(ic.Targets) != 1 || len(ic.Targets[0].Units) != 2 || ic.Targets[0].Units[0].Rules[0].Deadline != 1500 {
@@ -106,7 +106,7 @@
 		for range rapid.IntRange(1, 4).Draw(rt, "edits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 		}
-		if c, err := Parse(b, none); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Hosts < 1) {
+		if c, err := Parse(b, none); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Schedulers < 1) {
 			rt.Fatalf("%+v", c)
 		}
 		_, _ = ParseISCSI(b, policy.Settings{})
--- a/internal/config/deployments_play_test.go
+++ b/internal/config/deployments_play_test.go
@@ -78,7 +78,7 @@
 
 // mayHaveRun: it is out, or its end proves nothing.
 func (x *playTry) mayHaveRun() bool {
-	return x.open || !slices.Contains([]policy.Status{policy.Full, policy.NoConn, policy.Abandoned}, x.status)
+	return x.open || !slices.Contains([]policy.Status{policy.NodeFull, policy.ConnectFailed, policy.Abandoned}, x.status)
 }
 
 type playStore struct{ level, at float64 }
@@ -120,11 +120,11 @@
 		list = append(list, n)
 		p.nodes[n.ID] = n
 	}
-	p.step(policy.Event{Kind: policy.ListStale, Nodes: list})
+	p.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: list})
 	if asks := slices.ContainsFunc(p.acts, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); asks != (s.told.Mode == "ask") {
 		t.Errorf("%s: the list is %sed, and asked for: %v", s.name, s.told.Mode, asks)
 	}
-	p.step(policy.Event{Kind: policy.ListFull, Nodes: list})
+	p.step(policy.Event{Kind: policy.ListReceived, Nodes: list})
 	return p
 }
 
@@ -183,8 +183,8 @@
 	p.takes = append(p.takes, p.now)
 	p.after(left, func() { p.timeOut(r) })
 	p.after(left+p.site.told.Rules.AnswerSlack, func() { p.overdue(r) })
-	p.step(policy.Event{Kind: policy.Arrival, Req: policy.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
-		Volume: volume, NotAfter: r.notAfter, Units: r.units, Shard: shard, Hosts: hosts}})
+	p.step(policy.Event{Kind: policy.RequestArrived, Request: policy.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
+		Volume: volume, Deadline: r.notAfter, Units: r.units, Shard: shard, Schedulers: hosts}})
 	return r
 }
 
@@ -217,7 +217,7 @@
 	if status == policy.OK && r.final == "" {
 		r.final, r.finalAt = "served", p.now
 	}
-	p.step(policy.Event{Kind: policy.Outcome, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: p.now - x.at,
+	p.step(policy.Event{Kind: policy.AttemptEnded, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: p.now - x.at,
 		Finished: r.final != ""})
 }
 
@@ -227,10 +227,10 @@
 	r := p.asked[a.ID]
 	switch a.Kind {
 	case policy.SetTimer:
-		p.after(a.Wait, func() { p.step(policy.Event{Kind: policy.Timer, Tag: a.Tag}) })
+		p.after(a.Wait, func() { p.step(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
 	case policy.Send:
 		p.judgeSend(r, a)
-	case policy.Refuse:
+	case policy.Reject:
 		p.judgeFinal(r, "refused")
 		r.wait = a.Wait
 		if most := p.site.told.Ceilings.RetryMost; a.Wait > most || a.Wait > 0 && !p.site.told.Ceilings.RetryAfter {
@@ -252,11 +252,11 @@
 			p.fault("%s is called off", r.id)
 		}
 		p.after(0, func() { p.end(r, a.Attempt, policy.Cancelled) })
-	case policy.Probe:
+	case policy.CheckHealth:
 		if !p.site.told.Ceilings.Probes {
 			p.fault("%s is probed", a.Node)
 		}
-	case policy.Tell:
+	case policy.Gossip:
 		if !p.site.told.Ceilings.Peers {
 			p.fault("peers are told")
 		}
@@ -304,8 +304,8 @@
 	if open > 1 || open == 1 && !told.Ceilings.SecondCopies {
 		p.fault("%s is sent beside %d attempts that are out", r.id, open)
 	}
-	if a.Until > r.notAfter+playLate {
-		p.fault("%s is sent for %.0f ms, its client has %.0f left", r.id, a.Until-p.now, r.notAfter-p.now)
+	if a.Deadline > r.notAfter+playLate {
+		p.fault("%s is sent for %.0f ms, its client has %.0f left", r.id, a.Deadline-p.now, r.notAfter-p.now)
 	}
 	if r.shard >= 0 && n.Shard != r.shard {
 		p.fault("%s of shard %d goes to %s", r.id, r.shard, a.Node)
@@ -325,7 +325,7 @@
 	if open > 0 {
 		p.seen.copies++
 	}
-	r.tries = append(r.tries, &playTry{node: a.Node, at: p.now, by: a.By, open: true})
+	r.tries = append(r.tries, &playTry{node: a.Node, at: p.now, by: a.StartBy, open: true})
 	if attempt := len(r.tries) - 1; p.onSend != nil {
 		p.onSend(r, attempt)
 	}
@@ -346,8 +346,8 @@
 		if p.now > ends+playLate {
 			p.fault("%s (%s) is sent again %.0f ms after its window", r.id, r.class.Name, p.now-ends)
 		}
-		if a.By == 0 || a.By > ends+playLate {
-			p.fault("%s (%s) is sent again and may begin until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.By-playStart, ends-playStart)
+		if a.StartBy == 0 || a.StartBy > ends+playLate {
+			p.fault("%s (%s) is sent again and may begin until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.StartBy-playStart, ends-playStart)
 		}
 	}
 }
@@ -411,7 +411,7 @@
 			p := newPlayer(t, s, 3).filled()
 			r := p.ask(c, plan, 1, left)
 			i := slices.IndexFunc(p.acts, func(a policy.Action) bool { return a.Kind == policy.Send })
-			if len(r.tries) != 1 || p.acts[i].Until != r.notAfter {
+			if len(r.tries) != 1 || p.acts[i].Deadline != r.notAfter {
 				t.Fatalf("sent %d times, %+v", len(r.tries), p.acts)
 			}
 			p.run(p.now + playAnswer)
@@ -447,13 +447,13 @@
 // repeated, and else ends as failed; one that never ran is sent again in any class.
 func TestDeploymentEffects(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c toldClass, plan toldPlan) {
-		for _, status := range []policy.Status{policy.Errored, policy.Reset, policy.Full, policy.NoConn} {
+		for _, status := range []policy.Status{policy.Errored, policy.ConnectionReset, policy.NodeFull, policy.ConnectFailed} {
 			p := newPlayer(t, s, 3).filled()
 			r := p.ask(c, plan, 1, 0)
 			p.run(p.now + playAnswer)
 			p.end(r, 0, status)
 			p.run(p.now + min(c.Aim/2, playAgain))
-			proved := status == policy.Full || status == policy.NoConn
+			proved := status == policy.NodeFull || status == policy.ConnectFailed
 			if again := proved || c.Repeat != "unsafe"; again != (len(r.tries) == 2) {
 				t.Fatalf("status %v: sent %d times, then %q", status, len(r.tries), r.final)
 			}
@@ -482,7 +482,7 @@
 func TestDeploymentAttemptsAreCounted(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.told.Profiles {
-			status, least := policy.Full, 2
+			status, least := policy.NodeFull, 2
 			if c.Repeat == "safe" {
 				status, least = policy.Errored, s.told.Ceilings.Attempts
 			}
@@ -601,10 +601,10 @@
 	n.State = state
 	p.nodes[id] = n
 	delete(p.told, id)
-	if state == policy.NodeDraining || state == policy.NodeGone {
+	if state == policy.NodeDraining || state == policy.NodeRemoved {
 		p.told[id] = p.now
 	}
-	p.step(policy.Event{Kind: policy.ListChange, Nodes: []policy.Node{n}})
+	p.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 }
 
 // A request whose shard nobody holds waits until its class's aim and is refused then, before its client leaves.
@@ -684,7 +684,7 @@
 	for _, s := range deployments(t) {
 		c := s.told.Profiles[0]
 		p := newPlayer(t, s, 2).filled()
-		p.hide("node-1", policy.NodeOut)
+		p.hide("node-1", policy.NodeExcluded)
 		var waiting []*playRequest
 		for _, plan := range s.told.Contracts {
 			waiting = append(waiting, p.ask(c, plan, 1, 0))
@@ -744,7 +744,7 @@
 				plan := s.told.Contracts[rng.IntN(len(s.told.Contracts))]
 				p.askOf(fmt.Sprint(plan.Name, rng.IntN(4)), 1+rng.IntN(2), c, plan, rng.IntN(5), c.Deadline*(0.3+0.7*rng.Float64()))
 				if rng.IntN(60) == 0 {
-					state := []policy.NodeState{policy.NodeUp, policy.NodeDraining, policy.NodeOut, policy.NodeGone}[rng.IntN(4)]
+					state := []policy.NodeState{policy.NodeUp, policy.NodeDraining, policy.NodeExcluded, policy.NodeRemoved}[rng.IntN(4)]
 					id := fmt.Sprint("node-", rng.IntN(5))
 					p.hide(id, state)
 					p.after(rng.Float64()*3000, func() { p.hide(id, policy.NodeUp) })
@@ -796,13 +796,13 @@
 	case 0:
 		return
 	case 1:
-		status = policy.Reset
+		status = policy.ConnectionReset
 	case 2:
 		status, wait = policy.Errored, rng.Float64()*r.class.Deadline
 	case 3:
-		status, wait = policy.Full, 1
+		status, wait = policy.NodeFull, 1
 	case 4:
-		status, wait = policy.NoConn, 200*rng.Float64()
+		status, wait = policy.ConnectFailed, 200*rng.Float64()
 	case 5:
 		wait = rng.Float64() * r.class.Aim
 	}
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -158,23 +158,23 @@
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
 		want, told := policy.Settings{
-			Me: s.told.Me, Hosts: s.told.Hosts, Zone: s.told.MyZone, AskMode: s.told.Mode == "ask",
-			MeanUnits: s.told.Extra.Usual, MostUnits: s.told.Extra.Largest, Shards: s.told.Extra.Shards,
-			ColdUnits: s.told.Extra.Young, MeterSpan: s.told.Extra.Meter, TellsOthers: s.told.Extra.SaysOther,
-			MaxAttempts: s.told.Ceilings.Attempts, SecondCopies: s.told.Ceilings.SecondCopies,
-			MayCancel: s.told.Ceilings.Cancel, MayProbe: s.told.Ceilings.Probes, MayTell: s.told.Ceilings.Peers,
-			HoldOff: s.told.Ceilings.RetryAfter, MaxHoldOff: s.told.Ceilings.RetryMost,
-			DrainGrace: s.told.Rules.Grace, AskWithin: s.told.Rules.AskWithin,
-			ColdFrom: s.told.Rules.ColdFrom, ColdSpan: s.told.Rules.Cold,
-			TipMultiple: s.told.Rules.TipMultiple, TipSpan: s.told.Rules.TipSpan,
-			BudgetShare: s.told.Rules.Ratio, BudgetFree: s.told.Rules.Floor, BudgetSpan: s.told.Rules.Counted,
+			Instance: s.told.Me, Schedulers: s.told.Hosts, Zone: s.told.MyZone, PollsEndpointList: s.told.Mode == "ask",
+			MeanUnits: s.told.Extra.Usual, MaxUnits: s.told.Extra.Largest, Shards: s.told.Extra.Shards,
+			SlowStartUnits: s.told.Extra.Young, UsageMeterPeriod: s.told.Extra.Meter, ReportsPeerUsage: s.told.Extra.SaysOther,
+			MaxAttempts: s.told.Ceilings.Attempts, MayHedge: s.told.Ceilings.SecondCopies,
+			MayCancel: s.told.Ceilings.Cancel, MayCheckHealth: s.told.Ceilings.Probes, MayGossip: s.told.Ceilings.Peers,
+			SendsRetryAfter: s.told.Ceilings.RetryAfter, MaxRetryAfter: s.told.Ceilings.RetryMost,
+			DrainGrace: s.told.Rules.Grace, PollWithin: s.told.Rules.AskWithin,
+			SlowStartShare: s.told.Rules.ColdFrom, SlowStartDuration: s.told.Rules.Cold,
+			OverloadMultiple: s.told.Rules.TipMultiple, OverloadWindow: s.told.Rules.TipSpan,
+			RetryBudgetShare: s.told.Rules.Ratio, RetryBudgetMin: s.told.Rules.Floor, RetryBudgetWindow: s.told.Rules.Counted,
 		}, s.told
 		for _, c := range told.Profiles {
 			want.Classes = append(want.Classes, wantedClass(t, c))
 		}
 		for _, p := range told.Contracts {
-			want.Plans = append(want.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Reserve: p.Reserve,
-				Weight: p.Shares, Price: p.Price, Limit: p.Cap, LimitBurst: p.Burst})
+			want.Plans = append(want.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, ReservedRate: p.Reserve,
+				Weight: p.Shares, Price: p.Price, RateLimit: p.Cap, LimitBurst: p.Burst})
 		}
 		if !reflect.DeepEqual(s.conf.Settings, want) {
 			t.Errorf("%s: read %+v\nwant %+v", s.name, s.conf.Settings, want)
@@ -187,19 +187,19 @@
 }
 
 func wantedClass(t *testing.T, c toldClass) policy.Class {
-	want := policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth, Memory: c.Window}
+	want := policy.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LatePriorityWeight: c.LateWorth, DedupWindow: c.Window}
 	switch c.Repeat {
 	case "safe":
 	case "unsafe":
-		want.Effect = policy.Unsafe
+		want.Effect = policy.NonIdempotent
 	case "keyed":
-		want.Effect = policy.Keyed
+		want.Effect = policy.IdempotentByKey
 		switch c.Scope {
 		case "all":
 		case "zone":
-			want.Group = policy.GroupZone
+			want.DedupScope = policy.DedupZone
 		case "cell":
-			want.Group = policy.GroupShard
+			want.DedupScope = policy.DedupShard
 		default:
 			t.Fatalf("class %s: key-scope %q", c.Name, c.Scope)
 		}
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -97,8 +97,8 @@
 				g.Reads, g.Tree.merges(), r.Memory.Bytes, at, name, g.PartsMost, partMemory, most)}
 		}
 	}
-	if set.MostUnits > 0 && g.Units > set.MostUnits {
-		return &KeyError{File: "site", Key: "gather.part_units", Says: fmt.Sprintf("%v is over the largest request, %v", g.Units, set.MostUnits)}
+	if set.MaxUnits > 0 && g.Units > set.MaxUnits {
+		return &KeyError{File: "site", Key: "gather.part_units", Says: fmt.Sprintf("%v is over the largest request, %v", g.Units, set.MaxUnits)}
 	}
 	return nil
 }
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -86,7 +86,7 @@
 	vendor = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
 )
 
-var storageStates = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeGone}
+var storageStates = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
 
 // ParseISCSI reads and checks the second front's configuration.
 func ParseISCSI(text []byte, set policy.Settings) (*ISCSI, error) {
@@ -137,7 +137,7 @@
 
 func (r *reader) unit(set policy.Settings, most uint32) Unit {
 	u := Unit{LUN: uint16(r.whole("lun", -1, 0, 16383)), StorageLUN: uint16(r.whole("storage_lun", 0, 0, 16383)),
-		Shard: int(r.whole("group", -1, 0, 1e6)), Hosts: int(r.whole("hosts", float64(set.Hosts), 1, 1e6)),
+		Shard: int(r.whole("group", -1, 0, 1e6)), Hosts: int(r.whole("hosts", float64(set.Schedulers), 1, 1e6)),
 		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.whole("block_size", 512, 512, 4096)),
 		MaxTransfer: most, Blocks: uint64(r.whole("blocks", -1, 1, 1e12)), UnitBytes: r.num("unit_bytes", 8192, 512),
 		ReadOnly: r.flag("read_only")}
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -29,9 +29,9 @@
 	}
 	p := &SitePeers{Listen: r.text("peers.listen", ""), Advertise: r.text("peers.advertise", ""), Via: map[string]string{},
 		Every: span("every_ms", 500*time.Millisecond), Burst: int(num("burst", 64)), KeyFile: r.text("peers.key_file", "")}
-	p.State = nodestats.Settings{Origins: int(num("origins", float64(def.Origins))), Nodes: int(num("nodes", float64(def.Nodes))),
-		Classes: int(num("classes", float64(def.Classes))), Bytes: def.Bytes, HalfLife: span("half_life_ms", def.HalfLife),
-		Expire: span("expire_ms", def.Expire), Clip: num("clip", def.Clip)}
+	p.State = nodestats.Settings{MaxOrigins: int(num("origins", float64(def.MaxOrigins))), MaxNodes: int(num("nodes", float64(def.MaxNodes))),
+		MaxClasses: int(num("classes", float64(def.MaxClasses))), MaxMessageBytes: def.MaxMessageBytes, HalfLife: span("half_life_ms", def.HalfLife),
+		ExpireAfter: span("expire_ms", def.ExpireAfter), ClipFactor: num("clip", def.ClipFactor)}
 	if r.err != nil {
 		return nil, r.err
 	}
