--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -213,26 +213,26 @@
 		}
 	}
 	for key, to := range map[string]*time.Duration{
-		"delay_ms": &s.Delay, "delay_least_ms": &s.DelayLeast, "delay_most_ms": &s.DelayMost,
-		"backoff_ms": &s.Backoff, "backoff_most_ms": &s.BackoffMost, "wrong_ms": &s.WrongFor, "absent_ms": &s.AbsentFor,
-		"down_every_ms": &s.DownEvery, "suspect_least_ms": &s.SuspectLeast, "suspect_most_ms": &s.SuspectMost, "doubt_ms": &s.DoubtAfter,
-		"trial_gap_ms": &s.TrialGap, "trial_patience_ms": &s.TrialPatience, "return_span_ms": &s.ReturnSpan,
-		"return_most_ms": &s.ReturnMost, "wrong_span_ms": &s.WrongSpan,
+		"delay_ms": &s.Delay, "delay_least_ms": &s.MinDelay, "delay_most_ms": &s.MaxDelay,
+		"backoff_ms": &s.Backoff, "backoff_most_ms": &s.MaxBackoff, "wrong_ms": &s.WrongNodeBackoff, "absent_ms": &s.UnsupportedBackoff,
+		"down_every_ms": &s.DownTrialInterval, "suspect_least_ms": &s.MinSuspectAfter, "suspect_most_ms": &s.MaxSuspectAfter, "doubt_ms": &s.SecondOpinionAfter,
+		"trial_gap_ms": &s.TrialInterval, "trial_patience_ms": &s.TrialPatience, "return_span_ms": &s.MinReturnDelay,
+		"return_most_ms": &s.MaxReturnDelay, "wrong_span_ms": &s.RejectionWindow,
 	} {
 		span(key, to)
 	}
-	s.Jitter, s.SuspectTimes = r.num("addresses.jitter", s.Jitter, 0), r.num("addresses.suspect_times", s.SuspectTimes, 1)
-	s.ReturnAfter = int(r.num("addresses.return_after", float64(s.ReturnAfter), 1))
-	s.WrongAfter = int(r.num("addresses.wrong_after", float64(s.WrongAfter), 1))
-	s.Rate = r.num("addresses.connects_per_second", s.Rate, 0)
-	s.Burst = int(r.num("addresses.connects_at_once", float64(s.Burst), 1))
+	s.Jitter, s.SuspectLatencyFactor = r.num("addresses.jitter", s.Jitter, 0), r.num("addresses.suspect_times", s.SuspectLatencyFactor, 1)
+	s.MinReturnConns = int(r.num("addresses.return_after", float64(s.MinReturnConns), 1))
+	s.MaxRejections = int(r.num("addresses.wrong_after", float64(s.MaxRejections), 1))
+	s.ConnectRate = r.num("addresses.connects_per_second", s.ConnectRate, 0)
+	s.ConnectBurst = int(r.num("addresses.connects_at_once", float64(s.ConnectBurst), 1))
 	if r.err != nil {
 		return nil, r.err
 	}
 	a := &SiteAddresses{Book: s, Identity: r.text("addresses.identity_header", "")}
 	var bad *address.SettingError
 	if errors.As(s.Check(), &bad) {
-		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Says: bad.Says, Err: bad}
+		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Says: bad.Problem, Err: bad}
 	}
 	return a, nil
 }
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	b := s.Addresses.Book
-	if b.Preference[0] != address.IPv4 || b.Delay != 120*time.Millisecond || b.ReturnAfter != 5 || b.Backoff != address.Defaults().Backoff ||
+	if b.Preference[0] != address.IPv4 || b.Delay != 120*time.Millisecond || b.MinReturnConns != 5 || b.Backoff != address.Defaults().Backoff ||
 		s.Addresses.Identity != "X-Node" {
 		t.Errorf("%+v", s.Addresses)
 	}
--- a/internal/connqueue/pool.go
+++ b/internal/connqueue/pool.go
@@ -21,29 +21,29 @@
 
 import "time"
 
-// Share bounds the wait to this part of an aim, however dear a connection is.
-const Share = 4
+// MaxWaitDivisor bounds the wait to this part of an aim, however dear a connection is.
+const MaxWaitDivisor = 4
 
-// LateTimes the usual time of a connect makes one late, and LateLeast at least.
+// LateFactor the usual time of a connect makes one late, and MinLate at least.
 const (
-	LateTimes = 4
-	LateLeast = 10 * time.Millisecond
+	LateFactor = 4
+	MinLate    = 10 * time.Millisecond
 )
 
-// Wait is how long an attempt may wait for a connection in use: the part of the aim that a new
+// FreeConnWait is how long an attempt may wait for a connection in use: the part of the aim that a new
 // connection's price is of a request's worth. Waiting for the whole aim costs the whole worth.
 func Wait(price float64, aim time.Duration) time.Duration {
-	return max(0, min(time.Duration(price*float64(aim)), aim/Share))
+	return max(0, min(time.Duration(price*float64(aim)), aim/MaxWaitDivisor))
 }
 
 // Settings are a pool's.
 type Settings struct {
-	Wait     time.Duration // for a connection in use, before one is opened
-	Patience time.Duration // for one that is being opened
+	FreeConnWait   time.Duration // for a connection in use, before one is opened
+	ConnectTimeout time.Duration // for one that is being opened
 }
 
-// Pool is the line before one node's connections.
-type Pool[T comparable] struct {
+// Queue is the line before one node's connections.
+type Queue[T comparable] struct {
 	set   Settings
 	line  []waiter[T]
 	opens []opening
@@ -61,16 +61,16 @@
 }
 
 // New makes an empty line.
-func New[T comparable](set Settings) *Pool[T] { return &Pool[T]{set: set} }
+func New[T comparable](set Settings) *Queue[T] { return &Queue[T]{set: set} }
 
-// Want puts an item for which no connection is free into the line.
-func (p *Pool[T]) Want(now time.Duration, item T) {
-	p.line = append(p.line, waiter[T]{item, now + p.set.Wait})
+// Enqueue puts an item for which no connection is free into the line.
+func (p *Queue[T]) Enqueue(now time.Duration, item T) {
+	p.line = append(p.line, waiter[T]{item, now + p.set.FreeConnWait})
 }
 
 // needed is how many connections are to be opened for those that wait, with so many in use: each takes
 // one, and one more may wait for it.
-func (p *Pool[T]) needed(now time.Duration, inUse int) int {
+func (p *Queue[T]) needed(now time.Duration, inUse int) int {
 	due := 0
 	for due < len(p.line) && p.line[due].until <= now {
 		due++
@@ -78,9 +78,9 @@
 	return max(due, (len(p.line)-inUse+1)/2)
 }
 
-// Open says how many connections are to be opened now; late is how long one may take. The caller says
+// ConnectsDue says how many connections are to be opened now; late is how long one may take. The caller says
 // Opening for each.
-func (p *Pool[T]) Open(now time.Duration, inUse int, late time.Duration) int {
+func (p *Queue[T]) ConnectsDue(now time.Duration, inUse int, late time.Duration) int {
 	needed, timely := p.needed(now, inUse), 0
 	for _, o := range p.opens {
 		if now < o.at+late {
@@ -90,15 +90,15 @@
 	return max(0, min(needed-timely, 2*needed-len(p.opens)))
 }
 
-// Opening notes that a connection is being opened, and names it.
-func (p *Pool[T]) Opening(now time.Duration) (id int) {
+// ConnectStarted notes that a connection is being opened, and names it.
+func (p *Queue[T]) ConnectStarted(now time.Duration) (id int) {
 	p.ids++
 	p.opens = append(p.opens, opening{p.ids, now})
 	return p.ids
 }
 
 // took is how long a connection has been opened for; it is no longer.
-func (p *Pool[T]) took(now time.Duration, id int) time.Duration {
+func (p *Queue[T]) took(now time.Duration, id int) time.Duration {
 	for i, o := range p.opens {
 		if o.id == id {
 			p.opens = append(p.opens[:i:i], p.opens[i+1:]...)
@@ -108,12 +108,12 @@
 	return 0
 }
 
-// Up notes that a connection has come up, and says how long it took. It is free: Free gives out
+// ConnectSucceeded notes that a connection has come up, and says how long it took. It is free: Free gives out
 // whose it is.
-func (p *Pool[T]) Up(now time.Duration, id int) time.Duration { return p.took(now, id) }
+func (p *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration { return p.took(now, id) }
 
-// NoRoom gives out the last in the line, if there is no room for the connection that it needs.
-func (p *Pool[T]) NoRoom(now time.Duration, inUse int) (item T, ok bool) {
+// DropLast gives out the last in the line, if there is no room for the connection that it needs.
+func (p *Queue[T]) DropLast(now time.Duration, inUse int) (item T, ok bool) {
 	if p.needed(now, inUse) <= len(p.opens) {
 		return item, false
 	}
@@ -122,18 +122,18 @@
 	return item, true
 }
 
-// Failed notes that a connection did not come up, and gives out the first in the line, if none is
+// ConnectFailed notes that a connection did not come up, and gives out the first in the line, if none is
 // being opened for it.
-func (p *Pool[T]) Failed(now time.Duration, id, inUse int) (item T, ok bool) {
+func (p *Queue[T]) ConnectFailed(now time.Duration, id, inUse int) (item T, ok bool) {
 	p.took(now, id)
 	if p.needed(now, inUse) <= len(p.opens) {
 		return item, false
 	}
-	return p.Free()
+	return p.Pop()
 }
 
-// Free gives out the first in the line: a connection is free.
-func (p *Pool[T]) Free() (item T, ok bool) {
+// Pop gives out the first in the line: a connection is free.
+func (p *Queue[T]) Pop() (item T, ok bool) {
 	if len(p.line) == 0 {
 		return item, false
 	}
@@ -143,7 +143,7 @@
 }
 
 // Remove takes out an item that is given up; false: it does not wait.
-func (p *Pool[T]) Remove(item T) bool {
+func (p *Queue[T]) Remove(item T) bool {
 	for i, w := range p.line {
 		if w.item == item {
 			p.line = append(p.line[:i:i], p.line[i+1:]...)
@@ -153,20 +153,20 @@
 	return false
 }
 
-// Over gives out one that has waited too long: it goes without. It is to be asked until there is none.
-func (p *Pool[T]) Over(now time.Duration) (item T, ok bool) {
-	if len(p.line) == 0 || now < p.line[0].until+p.set.Patience {
+// PopExpired gives out one that has waited too long: it goes without. It is to be asked until there is none.
+func (p *Queue[T]) PopExpired(now time.Duration) (item T, ok bool) {
+	if len(p.line) == 0 || now < p.line[0].until+p.set.ConnectTimeout {
 		return item, false
 	}
-	return p.Free()
+	return p.Pop()
 }
 
 // Next is when to ask Open and Over again.
-func (p *Pool[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
+func (p *Queue[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
 	if len(p.line) == 0 {
 		return 0, false
 	}
-	at = p.line[0].until + p.set.Patience
+	at = p.line[0].until + p.set.ConnectTimeout
 	for _, w := range p.line {
 		if w.until > now {
 			at = min(at, w.until)
@@ -182,4 +182,4 @@
 }
 
 // Len is how many wait.
-func (p *Pool[T]) Len() int { return len(p.line) }
+func (p *Queue[T]) Len() int { return len(p.line) }
--- a/internal/connqueue/pool_test.go
+++ b/internal/connqueue/pool_test.go
@@ -30,7 +30,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		wait := time.Duration(rapid.IntRange(0, 50).Draw(rt, "wait"))
 		patience := time.Duration(rapid.IntRange(20, 60).Draw(rt, "patience"))
-		p := New[int](Settings{Wait: wait, Patience: patience})
+		p := New[int](Settings{FreeConnWait: wait, ConnectTimeout: patience})
 		now, inUse, next := time.Duration(0), 0, 0
 		since, opens := map[int]time.Duration{}, map[int]time.Duration{}
 		var line []int
@@ -61,13 +61,13 @@
 			return max(n, (len(line)-inUse+1)/2)
 		}
 		tend := func() {
-			for out(p.Over(now)) {
+			for out(p.PopExpired(now)) {
 			}
-			for range p.Open(now, inUse, late) {
+			for range p.ConnectsDue(now, inUse, late) {
 				if rapid.IntRange(0, 5).Draw(rt, "room") > 0 {
-					opens[p.Opening(now)] = now
+					opens[p.ConnectStarted(now)] = now
 				} else {
-					if item, ok := p.NoRoom(now, inUse); ok {
+					if item, ok := p.DropLast(now, inUse); ok {
 						if item != line[len(line)-1] {
 							rt.Fatalf("%d goes without, of %v", item, line)
 						}
@@ -80,12 +80,12 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"want": func(rt *rapid.T) {
 				next++
-				p.Want(now, next)
+				p.Enqueue(now, next)
 				line, since[next] = append(line, next), now
 				tend()
 			},
 			"free": func(rt *rapid.T) {
-				if inUse > 0 && !out(p.Free()) {
+				if inUse > 0 && !out(p.Pop()) {
 					inUse--
 				}
 			},
@@ -97,11 +97,11 @@
 			},
 			"up": func(rt *rapid.T) {
 				if id := pick(); id > 0 {
-					if took := p.Up(now, id); took != now-opens[id] {
+					if took := p.ConnectSucceeded(now, id); took != now-opens[id] {
 						rt.Fatalf("took %v", took)
 					}
 					delete(opens, id)
-					if out(p.Free()) {
+					if out(p.Pop()) {
 						inUse++
 					}
 					tend()
@@ -111,7 +111,7 @@
 				if id := pick(); id > 0 {
 					delete(opens, id)
 					covered := due() <= len(opens)
-					if out(p.Failed(now, id, inUse)) == covered && len(line) > 0 {
+					if out(p.ConnectFailed(now, id, inUse)) == covered && len(line) > 0 {
 						rt.Fatalf("covered %v, yet %v", covered, line)
 					}
 					tend()
@@ -155,29 +155,29 @@
 // connection is refused goes without at once.
 func TestLateConnectHasOneBeside(t *testing.T) {
 	const ms = time.Millisecond
-	p := New[string](Settings{Patience: 250 * ms})
-	p.Want(0, "a")
-	if n := p.Open(0, 3, 20*ms); n != 1 {
+	p := New[string](Settings{ConnectTimeout: 250 * ms})
+	p.Enqueue(0, "a")
+	if n := p.ConnectsDue(0, 3, 20*ms); n != 1 {
 		t.Fatalf("%d opened at first", n)
 	}
-	slow := p.Opening(0)
-	if at, ok := p.Next(0, 20*ms); !ok || at != 20*ms || p.Open(at-1, 3, 20*ms) != 0 || p.Open(at, 3, 20*ms) != 1 {
+	slow := p.ConnectStarted(0)
+	if at, ok := p.Next(0, 20*ms); !ok || at != 20*ms || p.ConnectsDue(at-1, 3, 20*ms) != 0 || p.ConnectsDue(at, 3, 20*ms) != 1 {
 		t.Fatalf("none beside a late one, looked at %v", at)
 	}
-	quick := p.Opening(20 * ms)
-	if n := p.Open(60*ms, 3, 20*ms); n != 0 {
+	quick := p.ConnectStarted(20 * ms)
+	if n := p.ConnectsDue(60*ms, 3, 20*ms); n != 0 {
 		t.Fatalf("%d more opened, of two already", n)
 	}
-	if _, ok := p.Failed(70*ms, slow, 3); ok {
+	if _, ok := p.ConnectFailed(70*ms, slow, 3); ok {
 		t.Fatal("given up while another is being opened")
 	}
-	p.Up(80*ms, quick)
-	if a, ok := p.Free(); !ok || a != "a" {
+	p.ConnectSucceeded(80*ms, quick)
+	if a, ok := p.Pop(); !ok || a != "a" {
 		t.Fatal("it did not take the one that came up")
 	}
-	p.Want(90*ms, "b")
-	p.Open(90*ms, 3, 20*ms)
-	if b, ok := p.Failed(91*ms, p.Opening(90*ms), 3); !ok || b != "b" {
+	p.Enqueue(90*ms, "b")
+	p.ConnectsDue(90*ms, 3, 20*ms)
+	if b, ok := p.ConnectFailed(91*ms, p.ConnectStarted(90*ms), 3); !ok || b != "b" {
 		t.Fatal("a refused connection did not end it at once")
 	}
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -12,7 +12,7 @@
 	switch a.Kind {
 	case policy.Send:
 		c.send(a, now)
-	case policy.Refuse:
+	case policy.Reject:
 		c.refuseRequest(a)
 	case policy.Fail:
 		c.failRequest(a, now)
@@ -20,9 +20,9 @@
 		c.cancelAttempt(a)
 	case policy.SetTimer:
 		heap.Push(&c.timers, pendingTimer{at: now + a.Wait, tag: a.Tag})
-	case policy.Probe:
+	case policy.CheckHealth:
 		c.probe(a.Node)
-	case policy.Subscribe, policy.FetchList:
+	case policy.Subscribe, policy.RequestList:
 		if c.options.Refetch != nil {
 			c.options.Refetch()
 		}
@@ -39,9 +39,9 @@
 	}
 	wait := time.Duration(a.Wait * float64(time.Millisecond))
 	if st := c.starting(); st != nil {
-		wait = st.RefusalWait(c.nodeOfShard(e.request.Shard), wait)
+		wait = st.RetryAfter(c.nodeOfShard(e.request.Shard), wait)
 	}
-	c.answer(e, Answer{Kind: Refused, RetryAfter: wait})
+	c.answer(e, Answer{Kind: Rejected, RetryAfter: wait})
 	c.forgetEnded(e)
 }
 
@@ -51,9 +51,9 @@
 	if e == nil {
 		return
 	}
-	cause := CauseGivenUp
-	if now >= e.request.NotAfter {
-		cause = CauseLate
+	cause := CauseNotServed
+	if now >= e.request.Deadline {
+		cause = CauseDeadlineExceeded
 	}
 	c.answer(e, Answer{Kind: Failed, Cause: cause})
 	c.forgetEnded(e)
@@ -77,7 +77,7 @@
 		c.post(message{probedNode: node, result: r, latency: took})
 	}
 	p, ok := c.peers[node]
-	if !ok || !p.Probe(answered) {
-		c.events = append(c.events, policy.Event{Kind: policy.Probed, Node: node, Status: policy.NoConn})
+	if !ok || !p.CheckHealth(answered) {
+		c.events = append(c.events, policy.Event{Kind: policy.HealthCheckEnded, Node: node, Status: policy.ConnectFailed})
 	}
 }
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -24,7 +24,7 @@
 	cancel     *Request
 	attempt    *Attempt
 	result     Result
-	news       *News
+	news       *ListUpdate
 	probedNode string
 	latency    time.Duration
 	call       func()
@@ -55,7 +55,7 @@
 		case <-wake.C:
 		case <-c.stop:
 			for _, e := range c.requests {
-				c.answer(e, Answer{Kind: Failed, Cause: CauseBroken})
+				c.answer(e, Answer{Kind: Failed, Cause: CauseInternal})
 			}
 			return
 		}
@@ -128,7 +128,7 @@
 		c.attemptEnded(m.attempt, m.result, now)
 	case m.probedNode != "":
 		c.events = append(c.events, policy.Event{
-			Kind:    policy.Probed,
+			Kind:    policy.HealthCheckEnded,
 			Node:    m.probedNode,
 			Status:  m.result.Status,
 			Latency: float64(m.latency.Microseconds()) / 1000,
@@ -177,9 +177,9 @@
 
 // restart fails the open requests and replaces the module by a new one, which starts with the present list as a stale one.
 func (c *Core) restart(now float64, p any) {
-	c.options.Log.WithFields(operr.Fields(&Panicked{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("the decisions start anew")
+	c.options.Log.WithFields(operr.Fields(&PanicError{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("the decisions start anew")
 	for id, e := range c.requests {
-		c.answer(e, Answer{Kind: Failed, Cause: CauseBroken})
+		c.answer(e, Answer{Kind: Failed, Cause: CauseInternal})
 		delete(c.requests, id)
 	}
 	c.timers = c.timers[:0]
@@ -194,7 +194,7 @@
 	if c.handedOver {
 		mod.HandOver()
 	}
-	stale := policy.Event{Kind: policy.ListStale}
+	stale := policy.Event{Kind: policy.CachedListLoaded}
 	for _, n := range c.nodes {
 		stale.Nodes = append(stale.Nodes, c.exclusions.View(now, n.Node))
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,8 +10,8 @@
 
 // Attempt is one try of a request at one node: one Send of the module.
 type Attempt struct {
-	Req       *Request
-	No        int // from 0 within the request
+	Request   *Request
+	Number    int // from 0 within the request
 	Node      string
 	Deadline  time.Time
 	StartBy   time.Time // it may not be claimed later; zero: no bound but Deadline
@@ -20,7 +20,7 @@
 	state     *requestState
 	counts    *classCounts // nil: a class that is not counted
 	once      sync.Once
-	peer      Peer
+	peer      NodeClient
 	// drainCutoff is the node's: a draining node takes no new attempt after it. repeatWindow is the request's: no
 	// attempt of it may be claimed once the nodes would not recognise a repeat any more.
 	drainCutoff, repeatWindow *cutoff
@@ -40,18 +40,18 @@
 
 // NewAttempt makes an attempt whose one result goes to done.
 func NewAttempt(r *Request, deadline time.Time, done func(Result)) *Attempt {
-	return &Attempt{Req: r, Deadline: deadline, done: done}
+	return &Attempt{Request: r, Deadline: deadline, done: done}
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Status       policy.Status
-	Used, Others float64
-	Load         *policy.Load
-	Payload      any
-	// Bad says that the node rejected the request itself as invalid. That is final: another attempt
+	Status               policy.Status
+	PlanUsage, PeerUsage float64
+	Load                 *policy.Load
+	Payload              any
+	// InvalidRequest says that the node rejected the request itself as invalid. That is final: another attempt
 	// would end the same, and it says nothing about the node's health.
-	Bad bool
+	InvalidRequest bool
 }
 
 // Claim claims the attempt for writing: a peer calls it right before the first byte. It returns false where
@@ -59,7 +59,7 @@
 // client has gone, its repeat window is over, or its draining node takes no more. Nothing of it may be
 // written then, and the peer reports it as policy.Abandoned. Further calls return the same.
 func (a *Attempt) Claim() bool {
-	if a.expired() || a.Req.gone() {
+	if a.expired() || a.Request.gone() {
 		a.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
 	}
 	return a.phase.CompareAndSwap(phaseWaiting, phaseClaimed) || a.phase.Load() == phaseClaimed
@@ -95,9 +95,9 @@
 	if e == nil {
 		return
 	}
-	until := e.request.NotAfter
-	if a.Until > 0 && a.Until < until {
-		until = a.Until
+	until := e.request.Deadline
+	if a.Deadline > 0 && a.Deadline < until {
+		until = a.Deadline
 	}
 	t := c.attempt(e, a, until, now)
 	e.attempts = append(e.attempts, t)
@@ -118,16 +118,16 @@
 // attempt makes the next attempt of a request.
 func (c *Core) attempt(e *requestState, a *policy.Action, until, now float64) *Attempt {
 	t := NewAttempt(e.request, c.wallTime(until), nil)
-	t.No = len(e.attempts)
+	t.Number = len(e.attempts)
 	t.Node = a.Node
 	t.sentAt = now
-	t.nodeSince = c.nodes[a.Node].Since
+	t.nodeSince = c.nodes[a.Node].StartTime
 	t.state = e
 	t.counts = c.counts.of(e.request.Class)
 	t.drainCutoff = c.cutoffs[a.Node]
 	t.repeatWindow = &e.repeatWindow
-	if a.By > 0 {
-		t.StartBy = c.wallTime(a.By)
+	if a.StartBy > 0 {
+		t.StartBy = c.wallTime(a.StartBy)
 		e.repeatWindow.set(t.StartBy) // also for an earlier attempt that still waits: it would be the repeat then
 	}
 	t.done = func(r Result) { c.post(message{attempt: t, result: r}) }
@@ -140,14 +140,14 @@
 	e := t.state
 	t.once.Do(func() {}) // its result is told here
 	e.outstanding--
-	status := policy.NoConn
+	status := policy.ConnectFailed
 	if e.answered {
 		status = policy.Abandoned
 	}
 	c.events = append(c.events, policy.Event{
-		Kind:     policy.Outcome,
+		Kind:     policy.AttemptEnded,
 		ID:       e.request.ID,
-		Attempt:  t.No,
+		Attempt:  t.Number,
 		Node:     t.Node,
 		Status:   status,
 		Finished: e.answered,
@@ -167,12 +167,12 @@
 		c.options.Observe(a.Node, int64(a.nodeSince), e.request.Class, e.request.Units, now-a.sentAt, r.Status)
 	}
 	if st := c.starting(); st != nil {
-		st.Ended(a.Node, r.Status)
+		st.AttemptEnded(a.Node, r.Status)
 	}
 	if r.Status == policy.OK && !e.answered {
 		c.answer(e, Answer{Kind: Served, Payload: r.Payload})
-	} else if r.Bad {
-		c.answer(e, Answer{Kind: Failed, Cause: CauseBad})
+	} else if r.InvalidRequest {
+		c.answer(e, Answer{Kind: Failed, Cause: CauseInvalidRequest})
 	} else if h, ok := r.Payload.(Releaser); ok {
 		h.Release() // the request is answered already
 	}
@@ -180,16 +180,16 @@
 		return // from before a restart of the module
 	}
 	c.events = append(c.events, policy.Event{
-		Kind:     policy.Outcome,
-		ID:       e.request.ID,
-		Attempt:  a.No,
-		Node:     a.Node,
-		Status:   r.Status,
-		Latency:  now - a.sentAt,
-		Finished: e.answered,
-		Used:     r.Used,
-		Others:   r.Others,
-		Load:     r.Load,
+		Kind:      policy.AttemptEnded,
+		ID:        e.request.ID,
+		Attempt:   a.Number,
+		Node:      a.Node,
+		Status:    r.Status,
+		Latency:   now - a.sentAt,
+		Finished:  e.answered,
+		PlanUsage: r.PlanUsage,
+		PeerUsage: r.PeerUsage,
+		Load:      r.Load,
 	})
 	c.forgetEnded(e)
 }
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -30,12 +30,12 @@
 	if e.answered { // or cancelled
 		return
 	}
-	arrival := policy.Event{Kind: policy.Arrival, Req: e.request.Request}
-	hide, show := policy.Event{Kind: policy.ListChange}, policy.Event{Kind: policy.ListChange}
+	arrival := policy.Event{Kind: policy.RequestArrived, Request: e.request.Request}
+	hide, show := policy.Event{Kind: policy.ListChanged}, policy.Event{Kind: policy.ListChanged}
 	for _, id := range c.avoidedNodes(e, now) {
 		n := c.exclusions.View(now, c.nodes[id].Node)
 		show.Nodes = append(show.Nodes, n)
-		n.State = policy.NodeOut
+		n.State = policy.NodeExcluded
 		hide.Nodes = append(hide.Nodes, n)
 	}
 	if len(hide.Nodes) == 0 {
@@ -51,7 +51,7 @@
 // shard, as the changed view would apply to it too, nor while the list is not current in AskMode, as the module takes any
 // change for an update of the list.
 func (c *Core) avoidedNodes(e *requestState, now float64) []string {
-	if c.options.Settings.AskMode && !c.listCurrent {
+	if c.options.Settings.PollsEndpointList && !c.listCurrent {
 		return nil
 	}
 	for _, x := range c.requests {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,14 +22,14 @@
 type Options struct {
 	Settings policy.Settings
 	Seed     int64
-	Connect  func(name string, addresses []address.Addr) Peer // called once for each node that joins the list
-	Refetch  func()                                           // called when the module asks for the list; must not block
+	Connect  func(name string, addresses []address.Addr) NodeClient // called once for each node that joins the list
+	Refetch  func()                                                 // called when the module asks for the list; must not block
 	Log      logrus.FieldLogger
 	// Observe is called at the end of each attempt with the node's since_ms as of the send; it must not block.
 	Observe func(node string, since int64, class string, units, latencyMs float64, status policy.Status)
 	// Excluded is the book of exclusions that the scheduler's last process kept.
 	Excluded exclusion.State
-	Start    Starting // limits load while the process starts; nil: no limit
+	Start    StartLimiter // limits load while the process starts; nil: no limit
 }
 
 // Core is the actor that runs the module. The fields are the actor's alone unless they say otherwise.
@@ -53,19 +53,19 @@
 	deferred []*requestState          // arrived in this turn, with nodes to avoid
 	finished bool                     // Finish was called: arrivals are refused
 
-	peers       map[string]Peer    // by node of the list, as are nodes, cutoffs and nodeUses
-	nodes       map[string]Node    // as listed, without the exclusions
-	cutoffs     map[string]*cutoff // set while a node drains and is still used
+	peers       map[string]NodeClient // by node of the list, as are nodes, cutoffs and nodeUses
+	nodes       map[string]Node       // as listed, without the exclusions
+	cutoffs     map[string]*cutoff    // set while a node drains and is still used
 	nodeUses    map[string]nodeUse
 	listCurrent bool // the last news of the list came by a call or a watch that stands
-	exclusions  *exclusion.Book
+	exclusions  *exclusion.Set
 
 	recalled   policy.Learned // for the module, after the next step
 	handedOver bool           // another process fills the limits' stores; also told to a module that replaces this one
 
-	counts       *Counts // any goroutine reads
-	countedAt    float64 // when the nodes that the module avoids were last counted
-	late         deadline.Gauge
+	counts       *Counters // any goroutine reads
+	countedAt    float64   // when the nodes that the module avoids were last counted
+	late         deadline.LagGauge
 	lateLogged   time.Time // when a late answer was last logged
 	lateUnlogged int       // late answers since then
 
@@ -93,7 +93,7 @@
 		origin:     now,
 		originMs:   float64(now.UnixMicro()) / 1000,
 		requests:   map[string]*requestState{},
-		peers:      map[string]Peer{},
+		peers:      map[string]NodeClient{},
 		nodes:      map[string]Node{},
 		cutoffs:    map[string]*cutoff{},
 		nodeUses:   map[string]nodeUse{},
@@ -124,8 +124,8 @@
 	return c.origin.Add(c.sinceOrigin(at))
 }
 
-// Counts returns the counters of this core.
-func (c *Core) Counts() *Counts { return c.counts }
+// Counters returns the counters of this core.
+func (c *Core) Counts() *Counters { return c.counts }
 
 // Open returns the number of requests without a final answer; 0 once the actor has ended.
 func (c *Core) Open() int {
@@ -147,14 +147,14 @@
 	}
 }
 
-// Tables counts the entries held for requests: in the core's table, in the module's, and guard timers.
-type Tables struct{ Requests, Module, Guards int }
+// TableSizes counts the entries held for requests: in the core's table, in the module's, and guard timers.
+type TableSizes struct{ Requests, Module, Guards int }
 
-// Tables returns the present sizes: all are 0 once every request has ended and its guard timer has fired.
-func (c *Core) Tables() Tables {
-	got := make(chan Tables, 1)
+// TableSizes returns the present sizes: all are 0 once every request has ended and its guard timer has fired.
+func (c *Core) Tables() TableSizes {
+	got := make(chan TableSizes, 1)
 	c.post(message{call: func() {
-		t := Tables{Requests: len(c.requests), Module: c.scheduler.RequestCount()}
+		t := TableSizes{Requests: len(c.requests), Module: c.scheduler.RequestCount()}
 		for _, d := range c.timers {
 			if d.guarded != nil {
 				t.Guards++
@@ -166,6 +166,6 @@
 	case t := <-got:
 		return t
 	case <-c.ended:
-		return Tables{}
+		return TableSizes{}
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,12 +14,12 @@
 )
 
 func settings() policy.Settings {
-	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
-		DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
+	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 4, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
+		DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
 		Classes: []policy.Class{
-			{Name: "read", Aim: 60e3, Deadline: 120e3, Worth: 3},
-			{Name: "record", Aim: 60e3, Deadline: 120e3, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500}},
-		Plans: []policy.Plan{{Name: "basic", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}}
+			{Name: "read", LatencyObjective: 60e3, Deadline: 120e3, PriorityWeight: 3},
+			{Name: "record", LatencyObjective: 60e3, Deadline: 120e3, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 }
 
 // fake is a peer that hands its attempts to the test.
@@ -52,7 +52,7 @@
 	return !f.full
 }
 func (f *fake) Cancel(a *Attempt) { f.cancels <- a }
-func (f *fake) Probe(told func(Result, time.Duration)) bool {
+func (f *fake) CheckHealth(told func(Result, time.Duration)) bool {
 	f.probes = append(f.probes, told)
 	return true
 }
@@ -60,9 +60,9 @@
 	f.ahead = append(f.ahead, told)
 	return true
 }
-func (f *fake) Drain(on bool)               { f.mu.Lock(); f.drained = on; f.mu.Unlock() }
-func (f *fake) Readdress(to []address.Addr) { f.mu.Lock(); f.to = append(f.to, to); f.mu.Unlock() }
-func (f *fake) Close()                      { f.mu.Lock(); f.closed = true; f.mu.Unlock() }
+func (f *fake) Drain(on bool)                  { f.mu.Lock(); f.drained = on; f.mu.Unlock() }
+func (f *fake) SetAddresses(to []address.Addr) { f.mu.Lock(); f.to = append(f.to, to); f.mu.Unlock() }
+func (f *fake) Close()                         { f.mu.Lock(); f.closed = true; f.mu.Unlock() }
 
 type rig struct {
 	*Core
@@ -75,7 +75,7 @@
 	return log
 }
 
-func (r *rig) connect(name string, _ []address.Addr) Peer {
+func (r *rig) connect(name string, _ []address.Addr) NodeClient {
 	f := &fake{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
 	r.peers.Store(name, f)
 	return f
@@ -94,7 +94,7 @@
 }
 
 func (r *rig) list(kind policy.EventKind, nodes ...Node) {
-	r.List(News{Kind: kind, Nodes: nodes})
+	r.List(ListUpdate{Kind: kind, Nodes: nodes})
 	r.Open() // has been taken
 }
 
@@ -120,12 +120,12 @@
 // made is a request that is not submitted yet.
 func (r *rig) made(id, class string, patience time.Duration) (*Request, chan Answer) {
 	got := make(chan Answer, 8)
-	q := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
-		Arrived: time.Now(), Patience: patience, Answer: func(a Answer) { got <- a }}
+	q := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
+		ReceivedAt: time.Now(), Timeout: patience, Answer: func(a Answer) { got <- a }}
 	return q, got
 }
 
-func one(t *testing.T, got chan Answer, want Kind) Answer {
+func one(t *testing.T, got chan Answer, want AnswerKind) Answer {
 	t.Helper()
 	a := <-got
 	if a.Kind != want {
@@ -145,11 +145,11 @@
 // What a node turns away for what it is, a bad client's request, is not tried again.
 func TestBadIsFinal(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	for _, class := range []string{"read", "record"} {
 		_, got := r.ask(class, class, time.Minute)
-		(<-r.peer("n").sent).Done(Result{Status: policy.Abandoned, Bad: true})
-		if a := one(t, got, Failed); a.Cause != CauseBad {
+		(<-r.peer("n").sent).Done(Result{Status: policy.Abandoned, InvalidRequest: true})
+		if a := one(t, got, Failed); a.Cause != CauseInvalidRequest {
 			t.Errorf("%s: %+v", class, a)
 		}
 		none(t, r, got)
@@ -161,11 +161,11 @@
 
 func TestServedOnce(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	_, got := r.ask("a", "read", time.Minute)
 	a := <-r.peer("n").sent
 	a.Done(Result{Status: policy.OK, Payload: "body"})
-	a.Done(Result{Status: policy.Reset}) // guards against a peer that reports twice
+	a.Done(Result{Status: policy.ConnectionReset}) // guards against a peer that reports twice
 	if x := one(t, got, Served); x.Payload != "body" {
 		t.Errorf("payload %v", x.Payload)
 	}
@@ -179,15 +179,15 @@
 // never to another shard; it ends as failed, not as refused, as a refusal invites a repeat.
 func TestKeyedResetStaysInItsGroup(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
 	_, got := r.ask("a", "record", time.Minute)
 	first := <-r.peer("n").sent
-	first.Done(Result{Status: policy.Reset})
+	first.Done(Result{Status: policy.ConnectionReset})
 	again := <-r.peer("n").sent
-	again.Done(Result{Status: policy.Reset})
+	again.Done(Result{Status: policy.ConnectionReset})
 	third := <-r.peer("n").sent
-	third.Done(Result{Status: policy.Reset})
-	(<-r.peer("n").sent).Done(Result{Status: policy.Reset})
+	third.Done(Result{Status: policy.ConnectionReset})
+	(<-r.peer("n").sent).Done(Result{Status: policy.ConnectionReset})
 	one(t, got, Failed)
 	none(t, r, got)
 	if len(r.peer("m").sent) > 0 {
@@ -200,16 +200,16 @@
 func TestKeyedRepeatBeginsWithinItsWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
-		set.Classes[1].Memory = 1000
+		set.Classes[1].DedupWindow = 1000
 		r := start(t, set)
-		r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+		r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 		sent := time.Now()
 		_, got := r.ask("a", "record", time.Minute)
 		first := <-r.peer("n").sent
 		if !first.StartBy.IsZero() {
 			t.Errorf("a first attempt is bound: %v", first.StartBy)
 		}
-		first.Done(Result{Status: policy.Reset})
+		first.Done(Result{Status: policy.ConnectionReset})
 		again := <-r.peer("n").sent
 		if again.StartBy.Before(sent.Add(time.Second)) || again.StartBy.After(time.Now().Add(time.Second)) {
 			t.Fatalf("may begin until %v after the request, want 1 s after the first attempt", again.StartBy.Sub(sent))
@@ -226,7 +226,7 @@
 
 func TestDepartedCancels(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	q, got := r.ask("a", "read", time.Minute)
 	a := <-r.peer("n").sent
 	r.Cancel(q)
@@ -240,14 +240,14 @@
 // An id that is open, or a class or plan that no setting names, gets a plain failure.
 func TestBadRequests(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	_, first := r.ask("a", "read", time.Minute)
 	_, got := r.ask("a", "read", time.Minute)
-	if x := one(t, got, Failed); x.Cause != CauseTwice {
+	if x := one(t, got, Failed); x.Cause != CauseDuplicateID {
 		t.Errorf("cause %q", x.Cause)
 	}
 	_, got = r.ask("b", "other", time.Minute)
-	if x := one(t, got, Failed); x.Cause != CauseUnknown {
+	if x := one(t, got, Failed); x.Cause != CauseUnknownClass {
 		t.Errorf("cause %q", x.Cause)
 	}
 	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
@@ -264,7 +264,7 @@
 		r.requests["lost"] = e
 		r.timers.Push(pendingTimer{at: 0, guarded: e})
 	}})
-	if a := one(t, got, Failed); a.Cause != CauseLate {
+	if a := one(t, got, Failed); a.Cause != CauseDeadlineExceeded {
 		t.Errorf("cause %q", a.Cause)
 	}
 	if r.Open() != 0 {
@@ -289,7 +289,7 @@
 // A full mailbox proves that an attempt never ran; the module hears of it and goes on.
 func TestFullMailbox(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	f := r.peer("n")
 	f.mu.Lock()
 	f.full = true
@@ -306,12 +306,12 @@
 // A removal may show only as a missing entry of a snapshot, and binds the peer at once.
 func TestMissingEntryDrains(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
-	r.list(policy.ListChange, node("m", 1, policy.NodeDraining))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
+	r.list(policy.ListChanged, node("m", 1, policy.NodeDraining))
 	if !r.peer("m").drained || r.peer("n").drained || r.peer("m").closed {
 		t.Error("a change drained the wrong peer")
 	}
-	r.list(policy.ListFull, node("m", 1, policy.NodeUp))
+	r.list(policy.ListReceived, node("m", 1, policy.NodeUp))
 	if !r.peer("n").drained || !r.peer("n").closed || r.peer("m").drained {
 		t.Error("a missing entry did not drain its peer")
 	}
@@ -320,12 +320,12 @@
 // A panic in the module fails what is open, and a new module takes over with the list.
 func TestPanicIsSurvived(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	_, got := r.ask("a", "read", time.Minute)
 	<-r.peer("n").sent
 	r.post(message{call: func() {
 		r.scheduler = nil
-		r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
+		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}})
 	one(t, got, Failed)
 	_, got = r.ask("b", "read", time.Minute)
@@ -334,7 +334,7 @@
 }
 
 func TestStopFailsWhatIsOpen(t *testing.T) {
-	c, err := New(Options{Settings: settings(), Log: logrus.New(), Connect: func(string, []address.Addr) Peer { return nil }})
+	c, err := New(Options{Settings: settings(), Log: logrus.New(), Connect: func(string, []address.Addr) NodeClient { return nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -349,14 +349,14 @@
 // refused, what may have run has failed.
 func TestFinish(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	_, sent := r.ask("a", "record", time.Minute)
 	a := <-r.peer("n").sent
-	r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
+	r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 	q, waits := r.ask("b", "read", time.Minute)
 	r.Finish()
 	one(t, sent, Failed)
-	if x := one(t, waits, Refused); x.RetryAfter <= 0 {
+	if x := one(t, waits, Rejected); x.RetryAfter <= 0 {
 		t.Error("does not say when to come back")
 	}
 	a.Done(Result{Status: policy.OK})
@@ -373,13 +373,13 @@
 func TestReaddressInPlace(t *testing.T) {
 	r := start(t, settings())
 	n := node("a", 0, policy.NodeUp)
-	r.list(policy.ListStale, n)
+	r.list(policy.CachedListLoaded, n)
 	p := r.peer("a")
 	_, got := r.ask("1", "read", time.Minute)
 	a := <-p.sent
 	n.Addresses = addrs("unix:/run/a", "127.0.0.1:1")
-	r.list(policy.ListFull, n)
-	r.list(policy.ListChange, n) // nothing new
+	r.list(policy.ListReceived, n)
+	r.list(policy.ListChanged, n) // nothing new
 	if r.peer("a") != p || p.closed || p.drained || len(p.to) != 1 || len(p.to[0]) != 2 {
 		t.Fatalf("closed %v, drained %v, told %v", p.closed, p.drained, p.to)
 	}
@@ -400,14 +400,14 @@
 		return f.drained
 	}
 	r := start(t, set)
-	r.list(policy.ListStale, node("a", 0, policy.NodeUp), node("b", 1, policy.NodeUp), node("c", 2, policy.NodeUp))
-	r.list(policy.ListChange, node("a", 0, policy.NodeDraining)) // the first word of the watch
-	r.list(policy.ListChange, node("b", 1, policy.NodeDraining))
+	r.list(policy.CachedListLoaded, node("a", 0, policy.NodeUp), node("b", 1, policy.NodeUp), node("c", 2, policy.NodeUp))
+	r.list(policy.ListChanged, node("a", 0, policy.NodeDraining)) // the first word of the watch
+	r.list(policy.ListChanged, node("b", 1, policy.NodeDraining))
 	if !drained(r, "a") || drained(r, "b") {
 		t.Errorf("drained: a %v, b %v", drained(r, "a"), drained(r, "b"))
 	}
 	r.list(policy.ListFailed)
-	r.list(policy.ListChange, node("c", 2, policy.NodeDraining))
+	r.list(policy.ListChanged, node("c", 2, policy.NodeDraining))
 	if !drained(r, "c") {
 		t.Error("the first word after a broken watch is not bound at once")
 	}
@@ -416,8 +416,8 @@
 	}
 	set.DrainGrace = 560
 	r = start(t, set)
-	r.list(policy.ListFull, node("a", 0, policy.NodeUp))
-	r.list(policy.ListChange, node("a", 0, policy.NodeDraining))
+	r.list(policy.ListReceived, node("a", 0, policy.NodeUp))
+	r.list(policy.ListChanged, node("a", 0, policy.NodeDraining))
 	for !drained(r, "a") {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -32,12 +32,12 @@
 func TestDrainBindsWhileTheActorStandsStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, longGrace())
-		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
 		_, early := r.ask("early", "read", time.Minute)
 		first := <-r.peer("n").sent
 		_, late := r.ask("late", "read", time.Minute)
 		second := <-r.peer("n").sent
-		r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
+		r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
@@ -71,22 +71,22 @@
 		const step = 100 * time.Millisecond
 		r := start(t, longGrace())
 		up, drains := node("n", 0, policy.NodeUp), node("n", 0, policy.NodeDraining)
-		r.list(policy.ListFull, up)
+		r.list(policy.ListReceived, up)
 		r.ask("a", "read", time.Minute)
 		waits := <-r.peer("n").sent
-		r.list(policy.ListChange, drains)
+		r.list(policy.ListChanged, drains)
 		time.Sleep(step)
-		r.list(policy.ListChange, up)
+		r.list(policy.ListChanged, up)
 		time.Sleep(cutoffAfter)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed after its return by the timer of its drain")
 		}
-		r.list(policy.ListChange, drains)
+		r.list(policy.ListChanged, drains)
 		time.Sleep(step)
-		r.list(policy.ListChange, up)
+		r.list(policy.ListChanged, up)
 		time.Sleep(step)
-		r.list(policy.ListChange, drains)
-		r.list(policy.ListFull, drains) // told again by another watch: the first word counts
+		r.list(policy.ListChanged, drains)
+		r.list(policy.ListReceived, drains) // told again by another watch: the first word counts
 		time.Sleep(cutoffAfter - step)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed early, by the timer of the drain before")
@@ -99,7 +99,7 @@
 		if !r.isDrained("n") || !waits.Abandoned() {
 			t.Error("its second drain does not close it")
 		}
-		r.list(policy.ListChange, up)
+		r.list(policy.ListChanged, up)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("not open after its return")
 		}
@@ -113,27 +113,27 @@
 		"out by hand and back": func(r *rig) { r.Exclude("n"); r.Include("n") },
 		"the watch breaks, and another tells it again": func(r *rig) {
 			r.list(policy.ListFailed)
-			r.list(policy.ListFull, node("n", 0, policy.NodeDraining))
+			r.list(policy.ListReceived, node("n", 0, policy.NodeDraining))
 		},
 		"another address": func(r *rig) {
 			n := node("n", 0, policy.NodeDraining)
 			n.Addresses = addrs("127.0.0.1:2")
-			r.list(policy.ListChange, n)
+			r.list(policy.ListChanged, n)
 		},
 		"the module's fault": func(r *rig) {
 			r.post(message{call: func() {
 				r.scheduler = nil
-				r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
+				r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 			}})
 			r.Open() // the step that breaks is this turn's
-			r.list(policy.ListFull, node("n", 0, policy.NodeDraining))
+			r.list(policy.ListReceived, node("n", 0, policy.NodeDraining))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := start(t, longGrace())
-				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
-				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
+				r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
+				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 				if r.isDrained("n") {
 					t.Fatal("closed at once: nothing is tested")
 				}
@@ -160,14 +160,14 @@
 func TestFirstAttemptBeginsWithinItsCopysWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
-		set.SecondCopies = true
+		set.MayHedge = true
 		r := start(t, set)
-		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
 		sent := time.Now()
 		_, got := r.ask("a", "record", time.Minute)
 		first := <-r.peer("n").sent
 		copied := <-r.peer("n").sent // once the node counts as silent
-		if copied.Req != first.Req || copied.StartBy.IsZero() {
+		if copied.Request != first.Request || copied.StartBy.IsZero() {
 			t.Fatalf("sent %+v, want a copy that is bound", copied)
 		}
 		if !copied.Claim() {
@@ -192,18 +192,18 @@
 // there.
 func TestNoFurtherAttemptAtADrainingNode(t *testing.T) {
 	for name, ended := range map[string]func(first *Attempt){
-		"a repeat": func(first *Attempt) { first.Done(Result{Status: policy.Reset}) },
+		"a repeat": func(first *Attempt) { first.Done(Result{Status: policy.ConnectionReset}) },
 		"a copy":   func(*Attempt) { time.Sleep(10 * time.Second) }, // silent for long
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				set := settings()
-				set.SecondCopies = true
+				set.MayHedge = true
 				r := start(t, set)
-				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+				r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
 				r.ask("a", "record", time.Minute)
 				first := <-r.peer("n").sent
-				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
+				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 				ended(first)
 				r.Open()
 				r.Open() // the step of the end has been taken
@@ -219,14 +219,14 @@
 func TestDrainGoesBeforeWhatWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, settings())
-		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
 		for i := range 2 * batchMost {
 			r.ask(fmt.Sprint("r", i), "read", time.Minute)
 		}
-		r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
+		r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		close(free)
 		r.Open()
 		r.Open() // the step of the last batch has been taken
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -33,16 +33,16 @@
 	})
 }
 
-// LoadExcluded replaces the book by the state that another process of the scheduler stored.
-func (c *Core) LoadExcluded(st exclusion.State) error {
+// LoadExclusions replaces the book by the state that another process of the scheduler stored.
+func (c *Core) LoadExclusions(st exclusion.State) error {
 	_, err := c.changeExclusions(func(now float64) ([]string, error) { return c.exclusions.Load(now, st), nil })
 	return err
 }
 
-// Known says whether a node of this id was ever listed.
+// Nodes says whether a node of this id was ever listed.
 func (c *Core) Known(id string) bool {
 	known := false
-	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.Known(id); return nil, nil })
+	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.IsListed(id); return nil, nil })
 	return known
 }
 
@@ -65,21 +65,21 @@
 	select {
 	case c.control <- m:
 	case <-wait.C:
-		return exclusion.State{}, &Busy{controlWait}
+		return exclusion.State{}, &BusyError{controlWait}
 	case <-c.ended:
-		return exclusion.State{}, &Busy{controlWait}
+		return exclusion.State{}, &BusyError{controlWait}
 	}
 	select {
 	case r := <-got:
 		return r.st, r.err
 	case <-c.ended:
-		return exclusion.State{}, &Busy{controlWait}
+		return exclusion.State{}, &BusyError{controlWait}
 	}
 }
 
 // applyExclusions tells the peers and the module of the listed nodes whose view may have changed.
 func (c *Core) applyExclusions(now float64, ids []string) {
-	ev := policy.Event{Kind: policy.ListChange}
+	ev := policy.Event{Kind: policy.ListChanged}
 	for _, id := range ids {
 		n, ok := c.nodes[id]
 		if !ok {
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -13,7 +13,7 @@
 // include; then it is used again.
 func TestExcludeBindsUntilInclude(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	if _, err := r.Exclude("x"); !errors.Is(err, exclusion.ErrUnknown) {
 		t.Fatalf("an id never listed: %v", err)
 	}
@@ -25,7 +25,7 @@
 	if !r.peer("n").drained {
 		t.Fatal("the peer does not drain from the yes")
 	}
-	r.list(policy.ListFull, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp)) // discovery says up
+	r.list(policy.ListReceived, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp)) // discovery says up
 	if !r.peer("n").drained {
 		t.Fatal("a list undid the exclude")
 	}
@@ -37,8 +37,8 @@
 	if len(r.peer("n").sent) > 0 {
 		t.Fatal("sent to an excluded node")
 	}
-	if f := r.Counts().Read(); f.Skipped != 1 || f.Known != 2 {
-		t.Fatalf("skipped %d of %d", f.Skipped, f.Known)
+	if f := r.Counts().Read(); f.AvoidedNodes != 1 || f.Nodes != 2 {
+		t.Fatalf("skipped %d of %d", f.AvoidedNodes, f.Nodes)
 	}
 	st, err = r.Include("n")
 	if err != nil || len(st.Excluded) != 0 || st.Included["n"] == 0 {
@@ -70,7 +70,7 @@
 	}
 	r.Core = c
 	t.Cleanup(c.Stop)
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	if !r.peer("n").drained || r.peer("m").drained {
 		t.Fatal("the kept exclude does not bind at the start")
 	}
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -18,12 +18,12 @@
 			if e.answered {
 				continue
 			}
-			end := Answer{Kind: Failed, Cause: CauseGivenUp}
+			end := Answer{Kind: Failed, Cause: CauseNotServed}
 			if len(e.attempts) == 0 {
-				end = Answer{Kind: Refused, RetryAfter: finishWait}
+				end = Answer{Kind: Rejected, RetryAfter: finishWait}
 			}
 			c.answer(e, end)
-			c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
+			c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 			c.forgetEnded(e)
 		}
 	}})
@@ -42,7 +42,7 @@
 		select {
 		case m := <-c.mailbox:
 			if m.arrival != nil {
-				c.Refuse(m.arrival, finishWait)
+				c.Reject(m.arrival, finishWait)
 			}
 		default:
 			return
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -10,7 +10,7 @@
 // What comes after Finish, also in the turn that has it, is refused at once and sent nowhere.
 func TestAfterFinishRefused(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	_, open := r.ask("open", "read", time.Minute)
 	<-r.peer("n").sent
 	release := r.hold()
@@ -19,10 +19,10 @@
 	_, behind := r.ask("behind", "read", time.Minute)
 	release()
 	one(t, open, Failed)
-	one(t, before, Refused)
-	one(t, behind, Refused)
+	one(t, before, Rejected)
+	one(t, behind, Rejected)
 	_, later := r.ask("later", "read", time.Minute)
-	one(t, later, Refused)
+	one(t, later, Rejected)
 	if n := len(r.peer("n").sent); n > 0 {
 		t.Errorf("%d sent after Finish", n)
 	}
@@ -59,7 +59,7 @@
 		_, got := r.ask("late", "read", time.Minute)
 		select {
 		case a := <-got:
-			if a.Kind != Refused {
+			if a.Kind != Rejected {
 				t.Fatalf("%+v", a)
 			}
 		default:
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -24,8 +24,8 @@
 // leaver is a request whose client may go.
 func (r *rig) leaver(id, class string) (q *Request, got chan Answer, gone *atomic.Bool) {
 	got, gone = make(chan Answer, 8), &atomic.Bool{}
-	q = &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Hosts: 1},
-		Arrived: time.Now(), Patience: time.Minute, Answer: func(a Answer) { got <- a }, Gone: gone.Load}
+	q = &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
+		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a Answer) { got <- a }, ClientDisconnected: gone.Load}
 	return q, got, gone
 }
 
@@ -43,7 +43,7 @@
 func TestGoneBeforeTheCoreHears(t *testing.T) {
 	for _, class := range []string{"read", "record"} {
 		r := start(t, settings())
-		r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+		r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 		q, got, gone := r.leaver("a", class)
 		r.Submit(q)
 		first := <-r.peer("n").sent
@@ -73,7 +73,7 @@
 // An attempt that began before its client went, and one whose client stays, are not held up.
 func TestGoneAfterBegin(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	q, got, gone := r.leaver("a", "read")
 	r.Submit(q)
 	a := <-r.peer("n").sent
@@ -94,7 +94,7 @@
 func TestBurstOfLeavingClients(t *testing.T) {
 	const clients = batchMost
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	release := r.hold()
 	var all []*Request
 	for i := range clients {
@@ -114,7 +114,7 @@
 	}
 	for len(sent) > 0 {
 		if a := <-sent; a.Claim() {
-			t.Errorf("%s begins", a.Req.ID)
+			t.Errorf("%s begins", a.Request.ID)
 		} else {
 			a.Done(Result{Status: policy.Abandoned})
 		}
@@ -125,11 +125,11 @@
 // The going that is taken in the turn of its request's coming: nothing is sent, whether the request follows others or not.
 func TestComesAndGoesInOneTurn(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
 	release := r.hold()
 	plain, got, _ := r.leaver("a", "read")
 	follows, then, _ := r.leaver("b", "read")
-	plain.Gone, follows.Gone = nil, nil
+	plain.ClientDisconnected, follows.ClientDisconnected = nil, nil
 	follows.Avoid = []*NodesTried{{nodes: []string{"n"}}}
 	for _, q := range []*Request{plain, follows} {
 		r.Submit(q)
@@ -150,31 +150,31 @@
 // After a standstill one turn takes what came meanwhile and the timers that are due: of a request whose client went, or whose
 // time ended, nothing is sent, whatever makes room for it in that turn; and to a node that drains nothing is.
 func TestNoLateSendAfterAStandstill(t *testing.T) {
-	room := func(r *rig) { r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeUp)}}) }
+	room := func(r *rig) { r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeUp)}}) }
 	for name, x := range map[string]struct {
 		meanwhile func(r *rig, q *Request)
 		patience  time.Duration
 		want      int // sent in the end
-		kinds     []Kind
+		kinds     []AnswerKind
 	}{
 		"room comes":                  {func(r *rig, q *Request) { room(r) }, time.Minute, 1, nil},
 		"gone, then room":             {func(r *rig, q *Request) { r.Cancel(q); room(r) }, time.Minute, 0, nil},
 		"room, then gone":             {func(r *rig, q *Request) { room(r); r.Cancel(q) }, time.Minute, 0, nil},
-		"out of time, and room":       {func(r *rig, q *Request) { room(r) }, stood - time.Millisecond, 0, []Kind{Refused, Failed}},
-		"long out of time, and room":  {func(r *rig, q *Request) { room(r) }, stood / 2, 0, []Kind{Refused, Failed}},
+		"out of time, and room":       {func(r *rig, q *Request) { room(r) }, stood - time.Millisecond, 0, []AnswerKind{Rejected, Failed}},
+		"long out of time, and room":  {func(r *rig, q *Request) { room(r) }, stood / 2, 0, []AnswerKind{Rejected, Failed}},
 		"out of time, gone, and room": {func(r *rig, q *Request) { r.Cancel(q); room(r) }, stood / 2, 0, nil},
 		"room, and it drains": {func(r *rig, q *Request) {
 			room(r)
-			r.List(News{Kind: policy.ListChange, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
+			r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		}, time.Minute, 0, nil},
-		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.List(News{Kind: policy.ListFull}) }, time.Minute, 0, nil},
+		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.List(ListUpdate{Kind: policy.ListReceived}) }, time.Minute, 0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := start(t, settings())
-				r.list(policy.ListStale, node("n", 0, policy.NodeDraining))
+				r.list(policy.CachedListLoaded, node("n", 0, policy.NodeDraining))
 				q, got, _ := r.leaver("a", "read")
-				q.Gone, q.Patience = nil, x.patience
+				q.ClientDisconnected, q.Timeout = nil, x.patience
 				r.Submit(q)
 				if r.Open() != 1 {
 					t.Fatal("it does not wait: the crossing was not reached")
@@ -223,16 +223,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				set := settings()
 				set.DrainGrace = x.grace
-				use, later := set.DrainUse(), set.DrainUse()+drainGuard*(x.grace-set.DrainUse())
+				use, later := set.DrainingUseDuration(), set.DrainingUseDuration()+drainGuard*(x.grace-set.DrainingUseDuration())
 				if use <= 0 || x.stands < use != (x.sent == 1) || x.stands > later != x.closed {
 					t.Fatalf("the node is used for %v ms and closed after %v: the crossing is not reached", use, later)
 				}
 				r := start(t, set)
-				r.list(policy.ListFull, node("n", 0, policy.NodeUp))
-				r.list(policy.ListChange, node("n", 0, policy.NodeDraining))
+				r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
+				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 				release := r.hold()
 				q, _, _ := r.leaver("a", "read")
-				q.Gone = nil
+				q.ClientDisconnected = nil
 				r.Submit(q)
 				time.Sleep(time.Duration(x.stands) * time.Millisecond)
 				release()
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -14,10 +14,10 @@
 func TestHandOver(t *testing.T) {
 	set := settings()
 	for i := range set.Plans {
-		set.Plans[i].Limit, set.Plans[i].LimitBurst = 1e6, 1e6
+		set.Plans[i].RateLimit, set.Plans[i].LimitBurst = 1e6, 1e6
 	}
 	r := start(t, set)
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	busy, free := make(chan bool), make(chan bool)
 	r.post(message{call: func() { busy <- true; <-free }})
 	<-busy
@@ -33,7 +33,7 @@
 		_, got := r.ask(id, "read", time.Minute)
 		select {
 		case a := <-got:
-			if a.Kind != Refused {
+			if a.Kind != Rejected {
 				t.Errorf("%s: %+v", id, a)
 			}
 		case <-r.peer("n").sent:
@@ -43,7 +43,7 @@
 	refused("a")
 	r.post(message{call: func() {
 		r.scheduler = nil
-		r.events = append(r.events, policy.Event{Kind: policy.Timer, Tag: "tick"})
+		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}})
 	_, got := r.ask("panics", "read", time.Minute)
 	<-got
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -22,11 +22,11 @@
 		}
 		r.Core = c
 		defer c.Stop()
-		r.list(policy.ListFull, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		r.list(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		ask := func(id string) chan Answer {
 			got := make(chan Answer, 1)
-			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
-				Arrived: time.Now(), Patience: 500 * time.Millisecond, Answer: func(a Answer) { got <- a }})
+			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
+				ReceivedAt: time.Now(), Timeout: 500 * time.Millisecond, Answer: func(a Answer) { got <- a }})
 			return got
 		}
 		<-ask("in-time")
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -9,22 +9,22 @@
 	"wheatsaddle/policy"
 )
 
-// Starting limits the load while a process starts, until Over. Its methods are called from several
+// StartLimiter limits the load while a process starts, until Over. Its methods are called from several
 // goroutines and must not block.
-type Starting interface {
-	// Over says whether the start has ended; the other methods are not called after that.
-	Over() bool
+type StartLimiter interface {
+	// Done says whether the start has ended; the other methods are not called after that.
+	Done() bool
 	// Admit decides on an arrival for a node ("" for any): whether it is refused at once, and for how long.
 	Admit(node string) (retry time.Duration, refuse bool)
-	// RefusalWait returns the wait to be told to the client for a refusal by the module.
-	RefusalWait(node string, wait time.Duration) time.Duration
-	// Ended is called at the end of each attempt.
-	Ended(node string, status policy.Status)
+	// RetryAfter returns the wait to be told to the client for a refusal by the module.
+	RetryAfter(node string, wait time.Duration) time.Duration
+	// EndedError is called at the end of each attempt.
+	AttemptEnded(node string, status policy.Status)
 }
 
 // starting returns Options.Start until it is over, then nil.
-func (c *Core) starting() Starting {
-	if s := c.options.Start; s != nil && !s.Over() {
+func (c *Core) starting() StartLimiter {
+	if s := c.options.Start; s != nil && !s.Done() {
 		return s
 	}
 	return nil
@@ -87,8 +87,8 @@
 	return l, true
 }
 
-// Recall gives the module what an earlier process learned, after the list updates handed over before.
-func (c *Core) Recall(l policy.Learned) {
+// Restore gives the module what an earlier process learned, after the list updates handed over before.
+func (c *Core) Restore(l policy.Learned) {
 	c.post(message{call: func() {
 		c.recalled.Nodes = append(c.recalled.Nodes, l.Nodes...)
 		c.recalled.Classes = append(c.recalled.Classes, l.Classes...)
@@ -98,7 +98,7 @@
 // applyRecalled passes on what Recall handed over; it runs after each turn's step, when the module knows the nodes.
 func (c *Core) applyRecalled() {
 	if len(c.recalled.Nodes)+len(c.recalled.Classes) > 0 {
-		c.scheduler.Recall(c.recalled)
+		c.scheduler.Restore(c.recalled)
 		c.recalled = policy.Learned{}
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -16,8 +16,8 @@
 	countEvery = 100
 )
 
-// News is an update of the list. Kind is ListFull, ListStale, ListChange or ListFailed.
-type News struct {
+// ListUpdate is an update of the list. Kind is ListFull, ListStale, ListChange or ListFailed.
+type ListUpdate struct {
 	Kind  policy.EventKind
 	Nodes []Node
 	Index int64 // version of the list after it; 0: unknown
@@ -25,7 +25,7 @@
 
 // List hands over an update of the list. It is handled before all messages in the mailbox, so that none of them
 // is sent to a node that drains by then.
-func (c *Core) List(n News) {
+func (c *Core) List(n ListUpdate) {
 	select {
 	case c.control <- message{news: &n}:
 	case <-c.ended:
@@ -34,22 +34,22 @@
 
 // applyNews applies an update of the list to the peers, and then passes it to the module. Both see the nodes as
 // the book of exclusions shows them.
-func (c *Core) applyNews(n *News, now float64) {
+func (c *Core) applyNews(n *ListUpdate, now float64) {
 	ev := policy.Event{Kind: n.Kind}
 	seen := map[string]bool{}
 	for _, x := range n.Nodes {
 		seen[x.ID] = true
-		c.exclusions.Listed(x.ID)
+		c.exclusions.AddListed(x.ID)
 		view := c.exclusions.View(now, x.Node)
 		ev.Nodes = append(ev.Nodes, view)
-		if x.State == policy.NodeGone {
+		if x.State == policy.NodeRemoved {
 			c.removeNode(x.ID)
 			continue
 		}
 		c.updateNode(x, view, now)
 	}
-	c.listCurrent = n.Kind == policy.ListFull || n.Kind == policy.ListChange
-	if n.Kind == policy.ListFull || n.Kind == policy.ListStale {
+	c.listCurrent = n.Kind == policy.ListReceived || n.Kind == policy.ListChanged
+	if n.Kind == policy.ListReceived || n.Kind == policy.CachedListLoaded {
 		for id := range c.peers {
 			if !seen[id] {
 				c.removeNode(id) // a removal may show only as a missing entry
@@ -68,7 +68,7 @@
 		c.peers[x.ID] = p
 		c.cutoffs[x.ID] = &cutoff{}
 	} else if !slices.Equal(c.nodes[x.ID].Addresses, x.Addresses) {
-		p.Readdress(x.Addresses) // the node stays: its windows and its warmth are the same
+		p.SetAddresses(x.Addresses) // the node stays: its windows and its warmth are the same
 	}
 	c.updateDrain(p, x, view, now)
 	c.nodes[x.ID] = x
@@ -77,9 +77,9 @@
 // updateDrain tells the peer of a listed node whether the node drains. A node that begins to drain may be used for a part
 // of the grace period, where the settings say so and the list is current: the module stops by itself then, and the
 // peer is closed a little later, for attempts that are still in a mailbox.
-func (c *Core) updateDrain(p Peer, x Node, view policy.Node, now float64) {
+func (c *Core) updateDrain(p NodeClient, x Node, view policy.Node, now float64) {
 	was, had := c.nodes[x.ID]
-	use := c.options.Settings.DrainUse()
+	use := c.options.Settings.DrainingUseDuration()
 	byHand := view != x.Node // the book of exclusions shows it otherwise than the list
 	begins := had && was.State == policy.NodeUp && x.State == policy.NodeDraining
 	if begins && c.listCurrent && use > 0 && !byHand {
@@ -113,7 +113,7 @@
 // countNodes updates the counters of listed nodes and of avoided ones: by their state, by an exclusion, or
 // by the module's choice.
 func (c *Core) countNodes(now float64) {
-	skipped := c.scheduler.Avoided()
+	skipped := c.scheduler.AvoidedNodes()
 	for _, n := range c.nodes {
 		if c.exclusions.View(now, n.Node).State != policy.NodeUp {
 			skipped++
--- a/internal/core/margin_test.go
+++ b/internal/core/margin_test.go
@@ -14,16 +14,16 @@
 func TestLateTimersWidenTheMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := start(t, settings())
-		r.list(policy.ListFull, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		r.list(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		ends := func(id string) time.Duration { // of a request that the module leaves to its end
 			got := make(chan time.Duration, 1)
-			q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1, Key: id},
-				Arrived: time.Now(), Patience: 2 * time.Second}
-			q.Answer = func(Answer) { got <- q.Patience - time.Since(q.Arrived) }
+			q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
+				ReceivedAt: time.Now(), Timeout: 2 * time.Second}
+			q.Answer = func(Answer) { got <- q.Timeout - time.Since(q.ReceivedAt) }
 			r.Submit(q)
 			return <-got // nobody answers the attempt
 		}
-		if left := ends("first"); left < deadline.Least-10*time.Millisecond || left > deadline.Least+10*time.Millisecond {
+		if left := ends("first"); left < deadline.MinMargin-10*time.Millisecond || left > deadline.MinMargin+10*time.Millisecond {
 			t.Errorf("given up %v before the client does", left)
 		}
 		for range 4 { // the actor is held up, as by a processor that is another's
@@ -33,8 +33,8 @@
 		if left := ends("late"); left < 3*20*time.Millisecond {
 			t.Errorf("given up %v before the client does, with timers some 40 ms late", left)
 		}
-		time.Sleep(2*deadline.Span + time.Second)
-		if left := ends("after"); left > deadline.Least+10*time.Millisecond {
+		time.Sleep(2*deadline.Window + time.Second)
+		if left := ends("after"); left > deadline.MinMargin+10*time.Millisecond {
 			t.Errorf("given up %v before the client does, long after", left)
 		}
 	})
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -29,18 +29,18 @@
 	}
 	r.Core = c
 	n := node("n", 0, policy.NodeUp)
-	n.Since = 41
-	r.list(policy.ListStale, n)
+	n.StartTime = 41
+	r.list(policy.CachedListLoaded, n)
 	_, got := r.ask("a", "read", time.Minute)
 	first := <-r.peer("n").sent
-	n.Since = 42
-	r.list(policy.ListChange, n)
-	first.Done(Result{Status: policy.Reset})
+	n.StartTime = 42
+	r.list(policy.ListChanged, n)
+	first.Done(Result{Status: policy.ConnectionReset})
 	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
 	r.Open()
 	c.Stop()
-	if want := []told{{"n", "read", 41, 1, policy.Reset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
+	if want := []told{{"n", "read", 41, 1, policy.ConnectionReset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
 		t.Errorf("%+v, want %+v", all, want)
 	}
 }
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -41,26 +41,26 @@
 		{name: "one", past: 1, want: "b"},
 		{name: "both: the newest", past: 2, want: "a"},
 		{name: "the other is out by hand", past: 1, want: "a", amid: func(r *rig) { _, _ = r.Exclude("b") }},
-		{name: "the other drains", past: 1, want: "a", amid: func(r *rig) { r.list(policy.ListChange, node("b", 0, policy.NodeDraining)) }},
+		{name: "the other drains", past: 1, want: "a", amid: func(r *rig) { r.list(policy.ListChanged, node("b", 0, policy.NodeDraining)) }},
 		{name: "the list is not heard", past: 1, want: "a", inTurn: true, amid: func(r *rig) { r.list(policy.ListFailed) }},
 		{name: "the list is heard", past: 1, want: "b", inTurn: true},
 		{name: "others wait for the shard", past: 1, want: "a", amid: func(r *rig) {
-			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Hosts: 1},
-				Arrived: time.Now(), Patience: time.Minute, Answer: func(Answer) {}})
+			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Schedulers: 1},
+				ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(Answer) {}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
-			set.Plans[0].Reserve = 0 // what has none is refused where no node can take it
-			set.AskMode, set.AskWithin = c.inTurn, 2000
-			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, Limit: 1, LimitBurst: 1})
+			set.Plans[0].ReservedRate = 0 // what has none is refused where no node can take it
+			set.PollsEndpointList, set.PollWithin = c.inTurn, 2000
+			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
 			r := start(t, set)
-			r.list(policy.ListFull, node("a", 0, policy.NodeUp), node("b", 0, policy.NodeUp))
+			r.list(policy.ListReceived, node("a", 0, policy.NodeUp), node("b", 0, policy.NodeUp))
 			var trails []*NodesTried
 			goes := func(id string, past []*NodesTried) string {
 				got := make(chan Answer, 8)
-				q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Hosts: 1}, Tried: &NodesTried{}, Avoid: past,
-					Arrived: time.Now(), Patience: time.Minute, Answer: func(x Answer) { got <- x }}
+				q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1}, Tried: &NodesTried{}, Avoid: past,
+					ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(x Answer) { got <- x }}
 				r.Submit(q)
 				var a *Attempt
 				select {
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -7,21 +7,21 @@
 	"wheatsaddle/policy"
 )
 
-// Peer carries attempts to one storage node. None of its methods blocks.
-type Peer interface {
+// NodeClient carries attempts to one storage node. None of its methods blocks.
+type NodeClient interface {
 	// Send takes an attempt, whose Done it will call; false: its mailbox is full and nothing is sent.
 	Send(*Attempt) bool
 	// Cancel ends an attempt that was sent; its Done is called all the same.
 	Cancel(*Attempt)
-	// Probe asks for the node's load and calls back with the result and the time it took; false: it will not.
-	Probe(func(Result, time.Duration)) bool
+	// CheckHealth asks for the node's load and calls back with the result and the time it took; false: it will not.
+	CheckHealth(func(Result, time.Duration)) bool
 	// Connect opens one connection ahead of need and calls back from another goroutine: OK, NoConn, or Abandoned where none
 	// is needed (one is free, or the node drains or left) or no descriptor is free. False: it will not call back.
 	Connect(func(policy.Status)) bool
 	// Drain(true) stops new attempts at once, also those in its mailbox; Drain(false) allows them again.
 	Drain(bool)
-	// Readdress replaces the node's addresses; a connection to one that was removed finishes what it carries.
-	Readdress([]address.Addr)
+	// SetAddresses replaces the node's addresses; a connection to one that was removed finishes what it carries.
+	SetAddresses([]address.Addr)
 	// Close says that the node has left the list: outstanding attempts are finished, then the peer ends.
 	Close()
 }
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -16,11 +16,11 @@
 	}})
 }
 
-// Probe asks a node for its load on behalf of Options.Start; the module gets the answer as if it had asked.
-func (c *Core) Probe(node string) {
+// CheckHealth asks a node for its load on behalf of Options.Start; the module gets the answer as if it had asked.
+func (c *Core) CheckHealth(node string) {
 	c.post(message{call: func() {
 		if p := c.usablePeer(node); p != nil {
-			p.Probe(func(r Result, took time.Duration) {
+			p.CheckHealth(func(r Result, took time.Duration) {
 				c.post(message{probedNode: node, result: r, latency: took})
 				c.reportUnrequested(node, r.Status)
 			})
@@ -29,7 +29,7 @@
 }
 
 // usablePeer is the peer of a node that is up and not excluded; nil: there is none.
-func (c *Core) usablePeer(node string) Peer {
+func (c *Core) usablePeer(node string) NodeClient {
 	if n, ok := c.nodes[node]; ok && c.exclusions.View(c.moduleTime(time.Now()), n.Node).State == policy.NodeUp {
 		return c.peers[node]
 	}
@@ -39,7 +39,7 @@
 // reportUnrequested tells Options.Start that a node could not be reached or was full. A success is not reported, as
 // no request was served. Any goroutine may call it.
 func (c *Core) reportUnrequested(node string, s policy.Status) {
-	if st := c.starting(); st != nil && (s == policy.NoConn || s == policy.Full) {
-		st.Ended(node, s)
+	if st := c.starting(); st != nil && (s == policy.ConnectFailed || s == policy.NodeFull) {
+		st.AttemptEnded(node, s)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,13 +7,13 @@
 	"wheatsaddle/policy"
 )
 
-// Kind is how a request ended.
-type Kind int
+// AnswerKind is how a request ended.
+type AnswerKind int
 
 // The kinds of final answers.
 const (
-	Served Kind = iota
-	Refused
+	Served AnswerKind = iota
+	Rejected
 	Failed
 )
 
@@ -22,18 +22,18 @@
 
 // The causes of failed requests.
 const (
-	CauseGivenUp Cause = "given up"
-	CauseUnknown Cause = "unknown class or plan"
-	CauseChanged Cause = "the settings have changed since it was read"
-	CauseTwice   Cause = "request id in use"
-	CauseLate    Cause = "out of time"
-	CauseBad     Cause = "the storage node cannot use it"
-	CauseBroken  Cause = "internal error"
+	CauseNotServed        Cause = "given up"
+	CauseUnknownClass     Cause = "unknown class or plan"
+	CauseSettingsChanged  Cause = "the settings have changed since it was read"
+	CauseDuplicateID      Cause = "request id in use"
+	CauseDeadlineExceeded Cause = "out of time"
+	CauseInvalidRequest   Cause = "the storage node cannot use it"
+	CauseInternal         Cause = "internal error"
 )
 
 // Answer is a request's one final answer.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Payload    any           // Served: what the node's front made of its answer
 	RetryAfter time.Duration // Refused
 	Cause      Cause         // Failed
@@ -42,20 +42,22 @@
 // Request is a client's request as a front hands it over.
 type Request struct {
 	policy.Request               // core sets NotAfter
-	Arrived        time.Time     // when its last byte came
-	Patience       time.Duration // how long the client waits after Arrived
+	ReceivedAt     time.Time     // when its last byte came
+	Timeout        time.Duration // how long the client waits after Arrived
 	Payload        any           // opaque to core: the front's own, for the peers
 	Answer         func(Answer)  // called exactly once unless the request is cancelled first; must not block
 	Tried          *NodesTried   // filled with the nodes that its attempts go to; nil: not wanted
 	Settings       *Settings     // that it was decoded under; nil: the current ones at its arrival
 	Avoid          []*NodesTried // of earlier requests for the same, the newest first: other nodes are preferred
-	// Gone says whether the client's connection is closed at this instant; nil: not known. It must not block. Attempts
+	// ClientDisconnected says whether the client's connection is closed at this instant; nil: not known. It must not block. Attempts
 	// call it when they are claimed, because a Cancel may still be in the mailbox then.
-	Gone func() bool
+	ClientDisconnected func() bool
 }
 
 // gone says whether the client has gone, also before Cancel is called. Any goroutine may call it.
-func (r *Request) gone() bool { return r != nil && r.Gone != nil && r.Gone() }
+func (r *Request) gone() bool {
+	return r != nil && r.ClientDisconnected != nil && r.ClientDisconnected()
+}
 
 // Releaser is a payload with resources that are to be released where it is not served.
 type Releaser interface{ Release() }
@@ -74,7 +76,7 @@
 	select {
 	case c.mailbox <- message{arrival: r}:
 	default:
-		c.Refuse(r, finishWait)
+		c.Reject(r, finishWait)
 		return
 	}
 	select {
@@ -84,11 +86,11 @@
 	}
 }
 
-// Refuse answers a request as refused without asking the module, and counts it like the module's refusals.
+// Reject answers a request as refused without asking the module, and counts it like the module's refusals.
 // Fronts call it where they lack resources; any goroutine may.
-func (c *Core) Refuse(r *Request, wait time.Duration) {
-	c.counts.ended(r.Class, Refused)
-	r.Answer(Answer{Kind: Refused, RetryAfter: wait})
+func (c *Core) Reject(r *Request, wait time.Duration) {
+	c.counts.ended(r.Class, Rejected)
+	r.Answer(Answer{Kind: Rejected, RetryAfter: wait})
 }
 
 // Cancel ends a request whose client has gone; its Answer may still be called until then. It may wait for the mailbox.
@@ -97,7 +99,7 @@
 // arrive adds a request to the table, unless it can be answered at once.
 func (c *Core) arrive(r *Request, now float64) {
 	if c.finished {
-		c.Refuse(r, finishWait)
+		c.Reject(r, finishWait)
 		return
 	}
 	if cause := c.causeToFail(r); cause != "" {
@@ -107,21 +109,21 @@
 	}
 	if st := c.starting(); st != nil {
 		if retry, refuse := st.Admit(c.nodeOfShard(r.Shard)); refuse {
-			c.Refuse(r, retry)
+			c.Reject(r, retry)
 			return
 		}
 	}
 	c.counts.progress.Add(1)
-	patience := r.Patience - c.late.Margin(c.sinceOrigin(now), r.Patience)
-	r.NotAfter = c.moduleTime(r.Arrived.Add(patience))
+	patience := r.Timeout - c.late.Margin(c.sinceOrigin(now), r.Timeout)
+	r.Deadline = c.moduleTime(r.ReceivedAt.Add(patience))
 	e := &requestState{request: r}
 	c.requests[r.ID] = e
-	heap.Push(&c.timers, pendingTimer{at: r.NotAfter + float64(guardAfter.Milliseconds()), guarded: e})
+	heap.Push(&c.timers, pendingTimer{at: r.Deadline + float64(guardAfter.Milliseconds()), guarded: e})
 	if len(r.Avoid) > 0 {
 		c.deferred = append(c.deferred, e)
 		return
 	}
-	c.events = append(c.events, policy.Event{Kind: policy.Arrival, Req: r.Request})
+	c.events = append(c.events, policy.Event{Kind: policy.RequestArrived, Request: r.Request})
 }
 
 // causeToFail is why a request cannot be accepted under the current settings; "": it can.
@@ -129,11 +131,11 @@
 	set := c.settings.Load()
 	switch {
 	case !set.knows(&r.Request):
-		return CauseUnknown
+		return CauseUnknownClass
 	case r.Settings != nil && r.Settings != set && !set.agrees(r.Settings, &r.Request):
-		return CauseChanged
+		return CauseSettingsChanged
 	case c.requests[r.ID] != nil:
-		return CauseTwice // the table holds one request for an id
+		return CauseDuplicateID // the table holds one request for an id
 	}
 	return ""
 }
@@ -145,7 +147,7 @@
 	}
 	e.markAnswered() // nobody is left to answer
 	c.counts.progress.Add(-1)
-	c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
+	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 	c.forgetEnded(e)
 }
 
--- a/internal/core/retuneclock_test.go
+++ b/internal/core/retuneclock_test.go
@@ -13,14 +13,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		limited := func(limit float64) policy.Settings {
 			set := settings()
-			set.Plans[0].Limit, set.Plans[0].LimitBurst = limit, 2*set.MostUnits
+			set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, 2*set.MaxUnits
 			return set
 		}
 		r := start(t, limited(1))
-		r.list(policy.ListFull, node("n", 0, policy.NodeUp))
+		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
 		ask := func(id string) {
 			q, _ := r.made(id, "read", time.Minute)
-			q.Units = settings().MostUnits
+			q.Units = settings().MaxUnits
 			r.Submit(q)
 			synctest.Wait()
 		}
@@ -40,7 +40,7 @@
 			t.Fatalf("%d sent, want 3 that leave the store empty", answered)
 		}
 		time.Sleep(90 * time.Millisecond) // less than until its next step
-		if err := r.Retune(limited(100)); err != nil {
+		if err := r.Reconfigure(limited(100)); err != nil {
 			t.Fatal(err)
 		}
 		ask("third")
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -46,23 +46,23 @@
 // and the bounds it was checked against are equal.
 func (s *Settings) agrees(decoded *Settings, r *policy.Request) bool {
 	return s.classes[r.Class] == decoded.classes[r.Class] && s.plans[r.Plan] == decoded.plans[r.Plan] &&
-		s.MostUnits == decoded.MostUnits && s.Shards == decoded.Shards && s.Hosts == decoded.Hosts
+		s.MaxUnits == decoded.MaxUnits && s.Shards == decoded.Shards && s.Schedulers == decoded.Schedulers
 }
 
 // Settings returns the current version.
 func (c *Core) Settings() *Settings { return c.settings.Load() }
 
-// Retune applies new settings to the running module and the core, and publishes them, in one step of the actor. Requests that
+// Reconfigure applies new settings to the running module and the core, and publishes them, in one step of the actor. Requests that
 // arrived before are decided by the old version, and keep their class. Where the module rejects the settings nothing
 // changes.
-func (c *Core) Retune(set policy.Settings) error {
+func (c *Core) Reconfigure(set policy.Settings) error {
 	got := make(chan error, 1)
 	c.post(message{call: func() { got <- c.retune(set) }})
 	select {
 	case err := <-got:
 		return err
 	case <-c.ended:
-		return &Ended{}
+		return &EndedError{}
 	}
 }
 
@@ -71,7 +71,7 @@
 	now := c.moduleTime(time.Now())
 	c.advance(now)             // earlier arrivals of this turn belong to the old version
 	c.stepAndExecute(now, nil) // without arrivals the module would go by the time of its last step
-	if err := c.scheduler.Retune(set); err != nil {
+	if err := c.scheduler.Reconfigure(set); err != nil {
 		return err
 	}
 	next := newSettings(c.settings.Load().Version+1, set)
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -16,20 +16,20 @@
 }{
 	{"reordered", func(s *policy.Settings) { s.Classes[0], s.Classes[1] = s.Classes[1], s.Classes[0] }, true},
 	{"another class added before it", func(s *policy.Settings) {
-		s.Classes = append([]policy.Class{{Name: "new", Aim: 1e3, Deadline: 2e3, Worth: 1}}, s.Classes...)
+		s.Classes = append([]policy.Class{{Name: "new", LatencyObjective: 1e3, Deadline: 2e3, PriorityWeight: 1}}, s.Classes...)
 	}, true},
 	{"another plan added before it", func(s *policy.Settings) {
-		s.Plans = append([]policy.Plan{{Name: "new", Rate: 1, Limit: 1, LimitBurst: 1}}, s.Plans...)
+		s.Plans = append([]policy.Plan{{Name: "new", Rate: 1, RateLimit: 1, LimitBurst: 1}}, s.Plans...)
 	}, true},
 	{"class renamed", func(s *policy.Settings) { s.Classes[0].Name = "renamed" }, false},
 	{"class removed", func(s *policy.Settings) { s.Classes = s.Classes[1:] }, false},
 	{"names swapped", func(s *policy.Settings) { s.Classes[0].Name, s.Classes[1].Name = "record", "read" }, false},
-	{"another effect", func(s *policy.Settings) { s.Classes[0].Effect = policy.Unsafe }, false},
+	{"another effect", func(s *policy.Settings) { s.Classes[0].Effect = policy.NonIdempotent }, false},
 	{"another deadline", func(s *policy.Settings) { s.Classes[0].Deadline = 90e3 }, false},
 	{"plan renamed", func(s *policy.Settings) { s.Plans[0].Name = "renamed" }, false},
-	{"another limit", func(s *policy.Settings) { s.Plans[0].Limit, s.Plans[0].LimitBurst = 5, 5 }, false},
-	{"a smaller largest request", func(s *policy.Settings) { s.MostUnits = 2 }, false},
-	{"fewer processes", func(s *policy.Settings) { s.Hosts = 2 }, false},
+	{"another limit", func(s *policy.Settings) { s.Plans[0].RateLimit, s.Plans[0].LimitBurst = 5, 5 }, false},
+	{"a smaller largest request", func(s *policy.Settings) { s.MaxUnits = 2 }, false},
+	{"fewer processes", func(s *policy.Settings) { s.Schedulers = 2 }, false},
 }
 
 // A request that was decoded before a change of the settings and reaches the module after it goes on where it means the
@@ -38,10 +38,10 @@
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
 			r := start(t, settings())
-			r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+			r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 			decoded, next := r.Settings(), settings()
 			x.change(&next)
-			if err := r.Retune(next); err != nil {
+			if err := r.Reconfigure(next); err != nil {
 				t.Fatal(err)
 			}
 			if now := r.Settings(); now == decoded || now.Version != decoded.Version+1 {
@@ -55,7 +55,7 @@
 				one(t, got, Served)
 				return
 			}
-			if a := one(t, got, Failed); a.Cause != CauseChanged && a.Cause != CauseUnknown {
+			if a := one(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
 				t.Errorf("%+v", a)
 			}
 			if n := len(r.peer("n").sent); n > 0 {
@@ -68,9 +68,9 @@
 // A request that comes before a change in the same turn of the actor is the old settings': the module has it first.
 func TestArrivalBeforeRetuneInOneTurn(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	next := settings()
-	next.Classes[0].Effect = policy.Unsafe
+	next.Classes[0].Effect = policy.NonIdempotent
 	release := r.hold()
 	_, before := r.ask("before", "read", time.Minute)
 	retuned := make(chan error)
@@ -82,7 +82,7 @@
 	}
 	sent := r.peer("n").sent
 	for range 2 {
-		(<-sent).Done(Result{Status: policy.Reset}) // it may have run
+		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have run
 	}
 	r.Open() // both ends have been taken, and are decided before the next call
 	r.Open()
@@ -90,8 +90,8 @@
 		t.Fatalf("%d go again, want that which came before the change", len(sent))
 	}
 	again := <-sent // only what was safe goes again
-	if again.Req.ID != "before" || again.No != 1 {
-		t.Errorf("%s goes again, attempt %d", again.Req.ID, again.No)
+	if again.Request.ID != "before" || again.Number != 1 {
+		t.Errorf("%s goes again, attempt %d", again.Request.ID, again.Number)
 	}
 	one(t, after, Failed)
 	again.Done(Result{Status: policy.OK})
@@ -101,10 +101,10 @@
 // Settings that the module turns down change nothing of the core either.
 func TestRetuneRefused(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
 	was, bad := r.Settings(), settings()
 	bad.Classes[0].Name, bad.MaxAttempts = "renamed", -1
-	if err := r.Retune(bad); err == nil {
+	if err := r.Reconfigure(bad); err == nil {
 		t.Fatal("taken")
 	}
 	if r.Settings() != was {
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -6,19 +6,19 @@
 	"wheatsaddle/policy"
 )
 
-// NodeStanding is this process's window at one listed node and its queue for it.
-type NodeStanding struct {
+// NodeStatus is this process's window at one listed node and its queue for it.
+type NodeStatus struct {
 	Node          string
-	Since         int64 // since_ms of the node's start that the figures belong to
+	StartTime     int64 // since_ms of the node's start that the figures belong to
 	Window, Queue float64
 }
 
-// Standing returns the figures of at most most listed nodes. It waits at most wait for the actor; false: the actor had no
+// NodeStatuses returns the figures of at most most listed nodes. It waits at most wait for the actor; false: the actor had no
 // time, or has ended.
-func (c *Core) Standing(most int, wait time.Duration) ([]NodeStanding, bool) {
-	got := make(chan []policy.Standing, 1)
+func (c *Core) NodeStatuses(most int, wait time.Duration) ([]NodeStatus, bool) {
+	got := make(chan []policy.NodeStatus, 1)
 	select {
-	case c.control <- message{call: func() { got <- c.scheduler.Standing(most) }}:
+	case c.control <- message{call: func() { got <- c.scheduler.NodeStatuses(most) }}:
 	default: // the actor is far behind: the caller's next round asks again
 		return nil, false
 	}
@@ -26,9 +26,9 @@
 	defer timer.Stop()
 	select {
 	case all := <-got:
-		out := make([]NodeStanding, len(all))
+		out := make([]NodeStatus, len(all))
 		for i, s := range all {
-			out[i] = NodeStanding{s.ID, int64(s.Since), s.Window, s.Queue}
+			out[i] = NodeStatus{s.ID, int64(s.StartTime), s.Window, s.Queue}
 		}
 		return out, true
 	case <-timer.C:
--- a/internal/core/standing_test.go
+++ b/internal/core/standing_test.go
@@ -12,26 +12,26 @@
 func TestStandingNeverWaitsLong(t *testing.T) {
 	r := start(t, settings())
 	n := node("a", 0, policy.NodeUp)
-	n.Since = 41
-	r.list(policy.ListStale, n, node("b", 1, policy.NodeDraining))
-	all, ok := r.Standing(8, time.Minute)
-	if !ok || len(all) != 2 || all[0].Node != "a" || all[0].Since != 41 || all[0].Window <= 0 || all[1].Window != 0 {
+	n.StartTime = 41
+	r.list(policy.CachedListLoaded, n, node("b", 1, policy.NodeDraining))
+	all, ok := r.NodeStatuses(8, time.Minute)
+	if !ok || len(all) != 2 || all[0].Node != "a" || all[0].StartTime != 41 || all[0].Window <= 0 || all[1].Window != 0 {
 		t.Fatalf("%v %+v", ok, all)
 	}
 	stuck, free := make(chan struct{}), make(chan struct{})
 	r.post(message{call: func() { close(stuck); <-free }})
 	<-stuck
 	for range controlSize + 1 { // the last finds no room, and does not wait at all
-		if _, ok := r.Standing(8, time.Millisecond); ok {
+		if _, ok := r.NodeStatuses(8, time.Millisecond); ok {
 			t.Fatal("an actor that stands still has answered")
 		}
 	}
-	if _, ok := r.Standing(8, time.Hour); ok {
+	if _, ok := r.NodeStatuses(8, time.Hour); ok {
 		t.Fatal("it had no room")
 	}
 	close(free)
 	r.Open()
-	if _, ok := r.Standing(8, time.Minute); !ok {
+	if _, ok := r.NodeStatuses(8, time.Minute); !ok {
 		t.Error("it does not answer again")
 	}
 }
--- a/internal/core/telemetry.go
+++ b/internal/core/telemetry.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// Counts are the counters for operators, from 0 in each process. Each is incremented once, where the
+// Counters are the counters for operators, from 0 in each process. Each is incremented once, where the
 // outcome is decided. They are read without the actor, so that a busy actor delays no reading.
-type Counts struct {
+type Counters struct {
 	mu       sync.RWMutex
 	classes  map[string]*classCounts // every class that the settings ever named
 	progress atomic.Int64            // requests accepted and not yet ended
@@ -23,22 +23,22 @@
 	passed, dropped, badGateway, tries atomic.Int64
 }
 
-// Figures is one reading of the counters.
-type Figures struct {
-	Passed, Dropped, BadGateway, Tries map[string]int64 // by class
-	InProgress, Known, Skipped         int64
-	Loads, LoadErrors                  int64
+// Reading is one reading of the counters.
+type Reading struct {
+	Served, Rejected, Failed, Attempts map[string]int64 // by class
+	InProgress, Nodes, AvoidedNodes    int64
+	Reloads, ReloadErrors              int64
 }
 
 // newCounts makes counters for these classes.
-func newCounts(classes []string) *Counts {
-	c := &Counts{classes: map[string]*classCounts{}}
+func newCounts(classes []string) *Counters {
+	c := &Counters{classes: map[string]*classCounts{}}
 	c.name(classes)
 	return c
 }
 
 // name adds classes; one that the settings no longer name keeps its counts.
-func (c *Counts) name(classes []string) {
+func (c *Counters) name(classes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range classes {
@@ -50,14 +50,14 @@
 
 // of returns a class's counters; nil for a name that no settings had. Such names are not counted, so that
 // clients cannot grow the table.
-func (c *Counts) of(class string) *classCounts {
+func (c *Counters) of(class string) *classCounts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.classes[class]
 }
 
 // ended counts a final answer.
-func (c *Counts) ended(class string, k Kind) {
+func (c *Counters) ended(class string, k AnswerKind) {
 	cc := c.of(class)
 	if cc == nil {
 		return
@@ -65,15 +65,15 @@
 	switch k {
 	case Served:
 		cc.passed.Add(1)
-	case Refused:
+	case Rejected:
 		cc.dropped.Add(1)
 	default:
 		cc.badGateway.Add(1)
 	}
 }
 
-// Loaded counts a settings file read at SIGHUP: accepted, or rejected.
-func (c *Counts) Loaded(taken bool) {
+// CountReload counts a settings file read at SIGHUP: accepted, or rejected.
+func (c *Counters) CountReload(taken bool) {
 	if taken {
 		c.loads.Add(1)
 	} else {
@@ -82,23 +82,23 @@
 }
 
 // Read returns the present figures.
-func (c *Counts) Read() Figures {
-	f := Figures{Passed: map[string]int64{}, Dropped: map[string]int64{}, BadGateway: map[string]int64{},
-		Tries: map[string]int64{}, InProgress: max(0, c.progress.Load()), Known: c.known.Load(),
-		Skipped: c.skipped.Load(), Loads: c.loads.Load(), LoadErrors: c.refused.Load()}
+func (c *Counters) Read() Reading {
+	f := Reading{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
+		Attempts: map[string]int64{}, InProgress: max(0, c.progress.Load()), Nodes: c.known.Load(),
+		AvoidedNodes: c.skipped.Load(), Reloads: c.loads.Load(), ReloadErrors: c.refused.Load()}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for k, cc := range c.classes {
-		f.Passed[k], f.Dropped[k], f.BadGateway[k] = cc.passed.Load(), cc.dropped.Load(), cc.badGateway.Load()
-		f.Tries[k] = cc.tries.Load()
+		f.Served[k], f.Rejected[k], f.Failed[k] = cc.passed.Load(), cc.dropped.Load(), cc.badGateway.Load()
+		f.Attempts[k] = cc.tries.Load()
 	}
 	return f
 }
 
 // Classes returns the names of the counted classes, in order.
-func (f Figures) Classes() []string {
-	names := make([]string, 0, len(f.Passed))
-	for k := range f.Passed {
+func (f Reading) Classes() []string {
+	names := make([]string, 0, len(f.Served))
+	for k := range f.Served {
 		names = append(names, k)
 	}
 	slices.Sort(names)
--- a/internal/core/telemetry_test.go
+++ b/internal/core/telemetry_test.go
@@ -11,7 +11,7 @@
 // abandoned, and ones of a class that no setting names.
 func TestCountsOfAKnownMix(t *testing.T) {
 	r := start(t, settings())
-	r.list(policy.ListStale, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeDraining))
+	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeDraining))
 	f := r.peer("n")
 
 	_, served := r.ask("s", "read", time.Minute) // served at the first attempt
@@ -23,7 +23,7 @@
 	_, again := r.ask("r", "read", time.Minute) // a reset, then served: two tries
 	a = <-f.sent
 	a.Written()
-	a.Done(Result{Status: policy.Reset})
+	a.Done(Result{Status: policy.ConnectionReset})
 	a = <-f.sent
 	a.Written()
 	a.Done(Result{Status: policy.OK})
@@ -32,7 +32,7 @@
 	_, bad := r.ask("b", "record", time.Minute) // the node's 400: failed, one try
 	a = <-f.sent
 	a.Written()
-	a.Done(Result{Status: policy.Abandoned, Bad: true})
+	a.Done(Result{Status: policy.Abandoned, InvalidRequest: true})
 	one(t, bad, Failed)
 
 	q, gone := r.ask("g", "read", time.Minute) // the client goes: not counted as an answer
@@ -45,18 +45,18 @@
 	out := <-f.sent
 	out.Written()
 
-	r.Refuse(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
+	r.Reject(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
 	_, unknown := r.ask("u", "other", time.Minute) // no setting names it: answered, not counted
 	one(t, unknown, Failed)
-	r.Counts().Loaded(true)
-	r.Counts().Loaded(false)
-	r.Counts().Loaded(false)
+	r.Counts().CountReload(true)
+	r.Counts().CountReload(false)
+	r.Counts().CountReload(false)
 	r.Open()
 
 	got := r.Counts().Read()
-	want := Figures{Passed: map[string]int64{"read": 2, "record": 0}, Dropped: map[string]int64{"read": 1, "record": 0},
-		BadGateway: map[string]int64{"read": 0, "record": 1}, Tries: map[string]int64{"read": 3, "record": 2},
-		InProgress: 1, Known: 2, Skipped: 1, Loads: 1, LoadErrors: 2}
+	want := Reading{Served: map[string]int64{"read": 2, "record": 0}, Rejected: map[string]int64{"read": 1, "record": 0},
+		Failed: map[string]int64{"read": 0, "record": 1}, Attempts: map[string]int64{"read": 3, "record": 2},
+		InProgress: 1, Nodes: 2, AvoidedNodes: 1, Reloads: 1, ReloadErrors: 2}
 	if !same(got, want) {
 		t.Fatalf("figures\n%+v, want\n%+v", got, want)
 	}
@@ -64,12 +64,12 @@
 	one(t, open, Served)
 	none(t, r, gone)
 	r.Open()
-	if got := r.Counts().Read(); got.InProgress != 0 || got.Passed["record"] != 1 {
+	if got := r.Counts().Read(); got.InProgress != 0 || got.Served["record"] != 1 {
 		t.Fatalf("after the last answer: %+v", got)
 	}
 }
 
-func same(a, b Figures) bool {
+func same(a, b Reading) bool {
 	eq := func(x, y map[string]int64) bool {
 		if len(x) != len(y) {
 			return false
@@ -81,6 +81,6 @@
 		}
 		return true
 	}
-	return eq(a.Passed, b.Passed) && eq(a.Dropped, b.Dropped) && eq(a.BadGateway, b.BadGateway) && eq(a.Tries, b.Tries) &&
-		a.InProgress == b.InProgress && a.Known == b.Known && a.Skipped == b.Skipped && a.Loads == b.Loads && a.LoadErrors == b.LoadErrors
+	return eq(a.Served, b.Served) && eq(a.Rejected, b.Rejected) && eq(a.Failed, b.Failed) && eq(a.Attempts, b.Attempts) &&
+		a.InProgress == b.InProgress && a.Nodes == b.Nodes && a.AvoidedNodes == b.AvoidedNodes && a.Reloads == b.Reloads && a.ReloadErrors == b.ReloadErrors
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -45,14 +45,14 @@
 func (c *Core) fireTimers(now float64) {
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(pendingTimer)
-		c.late.Saw(c.sinceOrigin(now), c.sinceOrigin(now)-c.sinceOrigin(t.at))
+		c.late.Record(c.sinceOrigin(now), c.sinceOrigin(now)-c.sinceOrigin(t.at))
 		switch {
 		case t.drainNode != "":
 			c.closeDrained(t.drainNode, now)
 		case t.guarded != nil:
 			c.giveUp(t.guarded)
 		default:
-			c.events = append(c.events, policy.Event{Kind: policy.Timer, Tag: t.tag})
+			c.events = append(c.events, policy.Event{Kind: policy.TimerFired, Tag: t.tag})
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	if e.answered {
 		return
 	}
-	c.answer(e, Answer{Kind: Failed, Cause: CauseLate})
-	c.events = append(c.events, policy.Event{Kind: policy.Departed, ID: e.request.ID})
+	c.answer(e, Answer{Kind: Failed, Cause: CauseDeadlineExceeded})
+	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 	c.forgetEnded(e)
 }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -24,7 +24,7 @@
 // told is the view of a node after n answers of level ms at 4 units, 1 ms a unit, with half as much scatter.
 func told(node, typ string, shard int, n, level float64, seed uint64) nodestats.View {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	v := nodestats.View{Key: nodestats.Key{Node: node, Since: 1, Class: class}, Type: typ, Shard: shard, Window: 4, Origins: 3, Age: time.Second}
+	v := nodestats.View{Key: nodestats.Key{Node: node, StartTime: 1, Class: class}, Type: typ, Shard: shard, Window: 4, Origins: 3, Age: time.Second}
 	for range int(n) {
 		x := 1 + float64(rng.IntN(8))
 		y := (level + x - 4) * math.Exp(0.4*rng.NormFloat64()-0.08)
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	views := fleet()
-	views[0].Cold = true
-	views[4].Turned = 40
+	views[0].WarmingUp = true
+	views[4].Rejected = 40
 	views[5].Queue = 8
 	e.Learn(views)
 	plans := []Plan{
@@ -307,7 +307,7 @@
 // A list may say a start before 1970, or none: its views count like others, and the last start counts alone.
 func TestAnyStartOfANodeCounts(t *testing.T) {
 	old, now := told("n", "", 0, 40, 50, 1), told("n", "", 0, 40, 5, 2)
-	old.Since, now.Since = -2, -1
+	old.StartTime, now.StartTime = -2, -1
 	for _, views := range [][]nodestats.View{{old, now}, {now, old}} {
 		r, err := learned(t, views).Estimate([]Plan{{Name: "a", Root: read("n", 0, 4)}}, 0)
 		if err != nil || r.Views != 1 || r.Dropped != 1 || r.Plans[0].Mean > 20 {
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -85,7 +85,7 @@
 	for i := range kept { // in order of class and node: the last to name a type and shard counts
 		v := &kept[i]
 		if p := &e.place[names[v.Node]]; v.Type != "" || p.typ == 0 {
-			*p = place{v.Shard, kinds[v.Type], v.Cold, v.Window, v.Queue}
+			*p = place{v.Shard, kinds[v.Type], v.WarmingUp, v.Window, v.Queue}
 		}
 	}
 	e.work = make([]float64, len(e.types))
--- a/internal/cost/laws_test.go
+++ b/internal/cost/laws_test.go
@@ -186,10 +186,10 @@
 func wild(t *rapid.T) nodestats.View {
 	f := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 1e3), rapid.SampledFrom([]float64{0, 1e-300, 1e12, math.NaN(), math.Inf(1), -1}))
 	i := rapid.IntRange(0, 11).Draw(t, "n")
-	return nodestats.View{Key: nodestats.Key{Node: fmt.Sprintf("n-%02d", i), Since: int64(rapid.IntRange(0, 2).Draw(t, "since")), Class: class},
+	return nodestats.View{Key: nodestats.Key{Node: fmt.Sprintf("n-%02d", i), StartTime: int64(rapid.IntRange(0, 2).Draw(t, "since")), Class: class},
 		Type: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "type"), Shard: i / 3,
-		Sums:   nodestats.Sums{N: f.Draw(t, "N"), X: f.Draw(t, "X"), Y: f.Draw(t, "Y"), XX: f.Draw(t, "XX"), XY: f.Draw(t, "XY"), YY: f.Draw(t, "YY")},
-		Turned: f.Draw(t, "turned"), Failed: f.Draw(t, "failed"), Window: f.Draw(t, "window"), Queue: f.Draw(t, "queue"),
+		Sums:     nodestats.Sums{N: f.Draw(t, "N"), X: f.Draw(t, "X"), Y: f.Draw(t, "Y"), XX: f.Draw(t, "XX"), XY: f.Draw(t, "XY"), YY: f.Draw(t, "YY")},
+		Rejected: f.Draw(t, "turned"), Failed: f.Draw(t, "failed"), Window: f.Draw(t, "window"), Queue: f.Draw(t, "queue"),
 		Origins: rapid.IntRange(-1, 9).Draw(t, "origins"), Age: time.Duration(rapid.Int64().Draw(t, "age"))}
 }
 
--- a/internal/cost/lines.go
+++ b/internal/cost/lines.go
@@ -265,7 +265,7 @@
 		}
 		if v := o.v; v != nil {
 			l.origins, l.age = v.Origins, v.Age
-			l.stand(v.Cold, v.Window, v.Queue)
+			l.stand(v.WarmingUp, v.Window, v.Queue)
 		}
 		return l
 	}
@@ -324,7 +324,7 @@
 		if o.v == nil {
 			return 0, 0
 		}
-		bad := o.v.Turned + o.v.Failed + o.v.Late // none of them is in the sums
+		bad := o.v.Rejected + o.v.Failed + o.v.TimedOut // none of them is in the sums
 		return bad, bad + o.n
 	}
 	bad, all := make([]float64, types), make([]float64, types)
@@ -346,7 +346,7 @@
 // sound says whether a view can be.
 func sound(v *nodestats.View) bool {
 	s := v.Sums
-	for _, f := range [...]float64{s.N, s.X, s.Y, s.XX, s.XY, s.YY, v.Turned, v.Failed, v.Late, v.Window, v.Queue} {
+	for _, f := range [...]float64{s.N, s.X, s.Y, s.XX, s.XY, s.YY, v.Rejected, v.Failed, v.TimedOut, v.Window, v.Queue} {
 		if !finite(f) || f < 0 {
 			return false
 		}
@@ -361,9 +361,9 @@
 // in decides nothing: only the last start of a node counts, and of two views of one key the later in this order.
 func before(a, b nodestats.View) int {
 	s, t := a.Sums, b.Sums
-	return cmp.Or(strings.Compare(a.Class, b.Class), strings.Compare(a.Node, b.Node), cmp.Compare(a.Since, b.Since),
+	return cmp.Or(strings.Compare(a.Class, b.Class), strings.Compare(a.Node, b.Node), cmp.Compare(a.StartTime, b.StartTime),
 		cmp.Compare(s.N, t.N), cmp.Compare(s.X, t.X), cmp.Compare(s.Y, t.Y), cmp.Compare(s.XX, t.XX), cmp.Compare(s.XY, t.XY),
-		cmp.Compare(s.YY, t.YY), cmp.Compare(a.Turned, b.Turned), cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Late, b.Late), cmp.Compare(a.Window, b.Window),
+		cmp.Compare(s.YY, t.YY), cmp.Compare(a.Rejected, b.Rejected), cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.TimedOut, b.TimedOut), cmp.Compare(a.Window, b.Window),
 		cmp.Compare(a.Queue, b.Queue), cmp.Compare(a.Origins, b.Origins), cmp.Compare(a.Age, b.Age), cmp.Compare(a.Shard, b.Shard),
 		strings.Compare(a.Type, b.Type))
 }
@@ -378,13 +378,13 @@
 	slices.SortStableFunc(kept, before)
 	start := map[string]int64{}
 	for _, v := range kept {
-		if at, known := start[v.Node]; !known || v.Since > at {
-			start[v.Node] = v.Since
+		if at, known := start[v.Node]; !known || v.StartTime > at {
+			start[v.Node] = v.StartTime
 		}
 	}
 	n := 0
 	for i := range kept {
-		if kept[i].Since < start[kept[i].Node] {
+		if kept[i].StartTime < start[kept[i].Node] {
 			continue
 		}
 		if i+1 < len(kept) && kept[i].Class == kept[i+1].Class && kept[i].Node == kept[i+1].Node {
--- a/internal/deadline/margin.go
+++ b/internal/deadline/margin.go
@@ -14,44 +14,44 @@
 import "time"
 
 const (
-	// Least is for the way to the client: its figure counts from its own send.
-	Least = 15 * time.Millisecond
-	// Times: the answer is decided on a timer that is late once, and written by a goroutine that
+	// MinMargin is for the way to the client: its figure counts from its own send.
+	MinMargin = 15 * time.Millisecond
+	// LagFactor: the answer is decided on a timer that is late once, and written by a goroutine that
 	// waits its turn again.
-	Times = 3
-	// Share bounds the margin: a host that is later than that serves nobody by giving up sooner.
-	Share = 4
-	// Most is what a longer lateness counts as: it was a standstill, which passes.
-	Most = 100 * time.Millisecond
-	// Span is how long a lateness counts, at least.
-	Span = 5 * time.Second
+	LagFactor = 3
+	// MaxMarginDivisor bounds the margin: a host that is later than that serves nobody by giving up sooner.
+	MaxMarginDivisor = 4
+	// MaxLag is what a longer lateness counts as: it was a standstill, which passes.
+	MaxLag = 100 * time.Millisecond
+	// Window is how long a lateness counts, at least.
+	Window = 5 * time.Second
 )
 
-// Gauge holds the worst lateness of late; the zero value has seen none.
-type Gauge struct {
+// LagGauge holds the worst lateness of late; the zero value has seen none.
+type LagGauge struct {
 	now, last time.Duration // worst of this span and of the one before
 	since     time.Duration // start of this span
 }
 
-func (g *Gauge) turn(at time.Duration) {
-	if at-g.since >= 2*Span {
+func (g *LagGauge) turn(at time.Duration) {
+	if at-g.since >= 2*Window {
 		g.now, g.last, g.since = 0, 0, at
-	} else if at-g.since >= Span {
-		g.now, g.last, g.since = 0, g.now, g.since+Span
+	} else if at-g.since >= Window {
+		g.now, g.last, g.since = 0, g.now, g.since+Window
 	}
 }
 
-// Saw notes that a timer was this late.
-func (g *Gauge) Saw(at, late time.Duration) {
+// Record notes that a timer was this late.
+func (g *LagGauge) Record(at, late time.Duration) {
 	g.turn(at)
-	g.now = max(g.now, min(late, Most))
+	g.now = max(g.now, min(late, MaxLag))
 }
 
 // Margin is that of a request whose client has this much patience.
-func (g *Gauge) Margin(at, patience time.Duration) time.Duration {
+func (g *LagGauge) Margin(at, patience time.Duration) time.Duration {
 	g.turn(at)
-	return min(max(Least, Times*max(g.now, g.last)), max(Least, patience/Share))
+	return min(max(MinMargin, LagFactor*max(g.now, g.last)), max(MinMargin, patience/MaxMarginDivisor))
 }
 
 // Worst is the worst lateness that counts now.
-func (g *Gauge) Worst() time.Duration { return max(g.now, g.last) }
+func (g *LagGauge) Worst() time.Duration { return max(g.now, g.last) }
--- a/internal/deadline/margin_test.go
+++ b/internal/deadline/margin_test.go
@@ -15,7 +15,7 @@
 func TestMargin(t *testing.T) {
 	type seen struct{ at, late time.Duration }
 	rapid.Check(t, func(t *rapid.T) {
-		var g Gauge
+		var g LagGauge
 		var all []seen
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -23,24 +23,24 @@
 			if rapid.Bool().Draw(t, "saw") {
 				s := seen{at, time.Duration(rapid.IntRange(0, 200).Draw(t, "late")) * time.Millisecond}
 				all = append(all, s)
-				g.Saw(s.at, s.late)
+				g.Record(s.at, s.late)
 			}
 			patience := time.Duration(rapid.IntRange(1, 4000).Draw(t, "patience")) * time.Millisecond
 			got := g.Margin(at, patience)
-			if got < Least || got > max(Least, patience/Share) {
+			if got < MinMargin || got > max(MinMargin, patience/MaxMarginDivisor) {
 				t.Fatalf("margin %v of %v", got, patience)
 			}
-			must, may := Least, Least // of what still counts for sure, and of what may count
+			must, may := MinMargin, MinMargin // of what still counts for sure, and of what may count
 			for _, s := range all {
-				s.late = min(s.late, Most)
-				if at-s.at < Span {
-					must = max(must, Times*s.late)
+				s.late = min(s.late, MaxLag)
+				if at-s.at < Window {
+					must = max(must, LagFactor*s.late)
 				}
-				if at-s.at <= 2*Span {
-					may = max(may, Times*s.late)
+				if at-s.at <= 2*Window {
+					may = max(may, LagFactor*s.late)
 				}
 			}
-			if most := max(Least, patience/Share); got < min(must, most) || got > min(may, most) {
+			if most := max(MinMargin, patience/MaxMarginDivisor); got < min(must, most) || got > min(may, most) {
 				t.Fatalf("margin %v, wanted %v to %v of %v", got, must, may, patience)
 			}
 		}
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -31,7 +31,7 @@
 type testWatcher struct {
 	ctx  context.Context
 	stop func() // and wait for its end
-	news chan core.News
+	news chan core.ListUpdate
 	hook *logtest.Hook
 	now  atomic.Int64
 	wake chan time.Time
@@ -39,9 +39,9 @@
 
 // startWatcher runs a watcher until the test ends or stops it.
 func startWatcher(t *testing.T, w *Watcher) *testWatcher {
-	p := &testWatcher{news: make(chan core.News, 100), wake: make(chan time.Time)}
+	p := &testWatcher{news: make(chan core.ListUpdate, 100), wake: make(chan time.Time)}
 	w.Log, p.hook = logtest.NewNullLogger()
-	w.OnNews = func(n core.News) { p.news <- n }
+	w.OnNews = func(n core.ListUpdate) { p.news <- n }
 	w.elapsed = func() time.Duration { return time.Duration(p.now.Load()) }
 	if w.openWatch == nil {
 		w.openWatch = w.runCall
@@ -86,7 +86,7 @@
 	}
 	s.Set(discovery.Fault{})
 	p.due <- struct{}{}
-	if n := <-w.news; n.Kind != policy.ListFull || len(p.missed) > 0 {
+	if n := <-w.news; n.Kind != policy.ListReceived || len(p.missed) > 0 {
 		t.Errorf("%+v, %d more missed", n, len(p.missed))
 	}
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -29,7 +29,7 @@
 
 // nodeStates are the states by their names in the list.
 var nodeStates = map[string]policy.NodeState{
-	"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeGone,
+	"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved,
 }
 
 // List is one decoded message of the list's service: the full list, or a change to it.
@@ -82,10 +82,10 @@
 	w.initHeldNodes()
 	l.Nodes = slices.DeleteFunc(l.Nodes, func(n core.Node) bool {
 		since, left := w.departedSince[n.ID]
-		return left && since == n.Since
+		return left && since == n.StartTime
 	})
 	for i, n := range l.Nodes {
-		if had, ok := w.heldNodes[n.ID]; ok && had.State == policy.NodeDraining && had.Since == n.Since {
+		if had, ok := w.heldNodes[n.ID]; ok && had.State == policy.NodeDraining && had.StartTime == n.StartTime {
 			l.Nodes[i].State = policy.NodeDraining
 		}
 	}
@@ -109,7 +109,7 @@
 		if w.departedSince == nil || len(w.departedSince) >= maxDepartedNodes {
 			w.departedSince = map[string]float64{}
 		}
-		w.departedSince[id] = n.Since
+		w.departedSince[id] = n.StartTime
 		delete(w.heldNodes, id)
 	}
 }
@@ -117,30 +117,30 @@
 // applyList applies a list to the held nodes and returns the news for the core. A full list with a bad entry is
 // passed on as changes: held nodes that it does not name have left, except those that a bad entry may stand for,
 // so that a fault in one entry does not remove its node.
-func (w *Watcher) applyList(l List) core.News {
+func (w *Watcher) applyList(l List) core.ListUpdate {
 	w.initHeldNodes()
-	news := core.News{Kind: policy.ListChange, Nodes: l.Nodes}
+	news := core.ListUpdate{Kind: policy.ListChanged, Nodes: l.Nodes}
 	if l.Full {
 		listed := map[string]bool{}
 		for _, n := range l.Nodes {
 			listed[n.ID] = true
 		}
 		if len(l.BadEntries) == 0 {
-			news.Kind = policy.ListFull
+			news.Kind = policy.ListReceived
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.heldNodes)) {
 			if listed[id] || l.badNames[id] || l.unnamedBad {
 				continue
 			}
 			if n := w.heldNodes[id]; len(l.BadEntries) > 0 {
-				n.State = policy.NodeGone
+				n.State = policy.NodeRemoved
 				news.Nodes = append(news.Nodes, n)
 			}
 			w.recordDeparture(id)
 		}
 	}
 	for _, n := range news.Nodes {
-		if n.State == policy.NodeGone {
+		if n.State == policy.NodeRemoved {
 			w.recordDeparture(n.ID)
 		} else {
 			w.heldNodes[n.ID] = n
@@ -162,18 +162,18 @@
 	if n.State, ok = nodeStates[e.Get("status").String()]; !ok {
 		return n, nil, fmt.Errorf("status: unknown word %.20q", e.Get("status").String())
 	}
-	if n.Addresses, bad, err = decodeAddresses(e); err != nil && n.State != policy.NodeGone {
+	if n.Addresses, bad, err = decodeAddresses(e); err != nil && n.State != policy.NodeRemoved {
 		return n, bad, err
 	}
 	group := e.Get("group")
-	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && n.State != policy.NodeGone {
+	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && n.State != policy.NodeRemoved {
 		return n, nil, errors.New("group: missing or not a shard")
 	}
 	since := e.Get("since_ms")
 	if since.Exists() && since.Type != gjson.Number {
 		return n, nil, errors.New("since_ms: not a number")
 	}
-	n.Shard, n.Zone, n.Since, n.Weight = int(group.Num), e.Get("zone").String(), since.Num, 1
+	n.Shard, n.Zone, n.StartTime, n.Weight = int(group.Num), e.Get("zone").String(), since.Num, 1
 	if w := e.Get("weight"); w.Type == gjson.Number {
 		n.Weight = w.Num
 	}
@@ -207,7 +207,7 @@
 	if one.Type == gjson.String {
 		if a, err := address.Parse(one.Str); err != nil {
 			bad = append(bad, fmt.Errorf("address: %.60q: %w", one.Str, err))
-		} else if !slices.Contains(list, a) && len(list) < address.Most {
+		} else if !slices.Contains(list, a) && len(list) < address.MaxAddresses {
 			list = append(list, a)
 		}
 	}
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -30,7 +30,7 @@
 	l, err := Decode([]byte(listText(43, true, sampleEntry)))
 	n := l.Nodes[0]
 	if err != nil || l.Index != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != policy.NodeDraining || n.Weight != 2 ||
-		n.Since != 1.7e12 || fmt.Sprint(n.Addresses) != "[127.0.0.1:8443]" || n.Zone != "a" {
+		n.StartTime != 1.7e12 || fmt.Sprint(n.Addresses) != "[127.0.0.1:8443]" || n.Zone != "a" {
 		t.Errorf("%+v %v", l, err)
 	}
 	// a bad entry is named and left out
@@ -56,7 +56,7 @@
 	}
 	for _, x := range []struct{ bad, gone string }{{at("b", "odd"), "c"}, {`7`, ""}} {
 		w := &Watcher{}
-		var news core.News
+		var news core.ListUpdate
 		for _, text := range []string{listText(1, true, at("a", "active"), at("b", "active"), at("c", "active")), listText(2, true, at("a", "leaving"), x.bad)} {
 			l, err := Decode([]byte(text))
 			if err != nil {
@@ -66,11 +66,11 @@
 		}
 		gone := ""
 		for _, n := range news.Nodes {
-			if n.State == policy.NodeGone {
+			if n.State == policy.NodeRemoved {
 				gone += n.ID
 			}
 		}
-		if news.Kind != policy.ListChange || gone != x.gone || len(w.heldNodes) != 3-len(gone) {
+		if news.Kind != policy.ListChanged || gone != x.gone || len(w.heldNodes) != 3-len(gone) {
 			t.Errorf("bad %s: %+v, held %v", x.bad, news, w.heldNodes)
 		}
 	}
@@ -131,7 +131,7 @@
 	s, asked := newListService(t, 40)
 	p := startWatcher(t, &Watcher{Address: s.Addr(), Index: 7, Clock: watchtimer.Settings{Pushed: true}})
 	const every = 100 * time.Millisecond // past it an agent that ended its call is asked again
-	full, change, failed := policy.ListFull, policy.ListChange, policy.ListFailed
+	full, change, failed := policy.ListReceived, policy.ListChanged, policy.ListFailed
 	for i, x := range []struct {
 		do   func()
 		want policy.EventKind
@@ -176,7 +176,7 @@
 	<-news // it speaks
 	later.Say(listText(40, false, sampleEntry))
 	later.Put(sampleNode)
-	if n := <-news; n.Kind != policy.ListChange || n.Nodes[0].State != policy.NodeUp {
+	if n := <-news; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeUp {
 		t.Errorf("%+v, want the change of the new watch", n)
 	}
 	if uri := <-asked; uri != watchPath+"?watch=1&after=41" {
@@ -252,14 +252,14 @@
 	}
 	s.Up()
 	p.advance(30 * time.Second) // past the wait after a call that was turned away
-	if n := <-told; n.Kind != policy.ListFull || len(n.Nodes) != 1 {
+	if n := <-told; n.Kind != policy.ListReceived || len(n.Nodes) != 1 {
 		t.Errorf("told %+v once the list came", n)
 	}
 	s.Say(listText(8, true))
 	leaving := sampleNode
 	leaving.Status = discovery.Leaving
 	s.Put(leaving)
-	if n := <-told; n.Kind != policy.ListChange || n.Nodes[0].State != policy.NodeDraining {
+	if n := <-told; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeDraining {
 		t.Errorf("told %+v, want the change after the old list", n)
 	}
 }
--- a/internal/discovery/torn_test.go
+++ b/internal/discovery/torn_test.go
@@ -115,11 +115,11 @@
 }
 
 // statesOf lists the nodes of news with their states.
-func statesOf(n core.News) string {
+func statesOf(n core.ListUpdate) string {
 	var all []string
 	for _, x := range n.Nodes {
 		all = append(all, fmt.Sprintf("%s:%v", x.ID, map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeDraining: "draining",
-			policy.NodeGone: "gone"}[x.State]))
+			policy.NodeRemoved: "gone"}[x.State]))
 	}
 	slices.Sort(all)
 	return strings.Join(all, " ")
@@ -336,7 +336,7 @@
 		s := newScript(t)
 		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Index: known.Index, Known: known.Nodes, Clock: pushedClock})
 		s.call(t, 40).begin(text)
-		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == policy.ListFull) != (want == "a:up") {
+		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == policy.ListReceived) != (want == "a:up") {
 			t.Errorf("told %+v, want %s", n, want)
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -27,9 +27,9 @@
 // lock; listclock decides when a call is opened or closed.
 type Watcher struct {
 	Address        string
-	Index          int64           // version of the held list
-	Known          []core.Node     // the list known before the first call
-	OnNews         func(core.News) // receives each change and failure of the list
+	Index          int64                 // version of the held list
+	Known          []core.Node           // the list known before the first call
+	OnNews         func(core.ListUpdate) // receives each change and failure of the list
 	Log            logrus.FieldLogger
 	Clock          watchtimer.Settings
 	Pace           Pace   // says when a starting process calls; nil: the clock does
@@ -140,7 +140,7 @@
 		case watchtimer.ReportDown:
 			// The clock reports this once for each time the list goes down, not for each failed call.
 			w.Log.WithFields(operr.Fields(cause)).Warn("watch ended, connecting again")
-			w.OnNews(core.News{Kind: policy.ListFailed})
+			w.OnNews(core.ListUpdate{Kind: policy.ListFailed})
 		case watchtimer.ReportMissed:
 			w.Pace.Missed()
 		}
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -56,7 +56,7 @@
 	return d
 }
 
-func (d *interleavedWatcher) onNews(n core.News) {
+func (d *interleavedWatcher) onNews(n core.ListUpdate) {
 	if d.ended {
 		il.Fail("told after the watch had ended")
 	}
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -25,13 +25,13 @@
 
 // Settings bound the book.
 type Settings struct {
-	ListedMost   int     // ids remembered as listed
-	ExcludedMost int     // ids out at once
-	ColdSpan     float64 // ms after an include for which the node may be cold
+	MaxListed         int     // ids remembered as listed
+	MaxExcluded       int     // ids out at once
+	SlowStartDuration float64 // ms after an include for which the node may be cold
 }
 
 // Defaults are the bounds used where the settings give none.
-var Defaults = Settings{ListedMost: 4096, ExcludedMost: 1024, ColdSpan: 20000}
+var Defaults = Settings{MaxListed: 4096, MaxExcluded: 1024, SlowStartDuration: 20000}
 
 // State is what is kept of a book over a process's end: the excluded ids with the time of their
 // exclude, and those included of late with the time of their include.
@@ -40,8 +40,8 @@
 	Included map[string]float64 `json:"included"`
 }
 
-// Book is the set of nodes out by hand.
-type Book struct {
+// Set is the set of nodes out by hand.
+type Set struct {
 	set      Settings
 	listed   map[string]bool
 	order    []string // ids listed, the oldest first
@@ -50,20 +50,20 @@
 }
 
 // New makes an empty book.
-func New(s Settings) (*Book, error) {
+func New(s Settings) (*Set, error) {
 	switch {
-	case s.ListedMost < 1:
-		return nil, &SettingError{"ListedMost", fmt.Sprint(s.ListedMost), "not a positive number"}
-	case s.ExcludedMost < 1:
-		return nil, &SettingError{"ExcludedMost", fmt.Sprint(s.ExcludedMost), "not a positive number"}
-	case s.ColdSpan < 0:
-		return nil, &SettingError{"ColdSpan", fmt.Sprint(s.ColdSpan), "negative"}
-	}
-	return &Book{set: s, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
+	case s.MaxListed < 1:
+		return nil, &SettingError{"ListedMost", fmt.Sprint(s.MaxListed), "not a positive number"}
+	case s.MaxExcluded < 1:
+		return nil, &SettingError{"ExcludedMost", fmt.Sprint(s.MaxExcluded), "not a positive number"}
+	case s.SlowStartDuration < 0:
+		return nil, &SettingError{"ColdSpan", fmt.Sprint(s.SlowStartDuration), "negative"}
+	}
+	return &Set{set: s, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
 }
 
-// Listed remembers ids as listed: an operator may name them from now on.
-func (b *Book) Listed(ids ...string) {
+// AddListed remembers ids as listed: an operator may name them from now on.
+func (b *Set) AddListed(ids ...string) {
 	for _, id := range ids {
 		if !b.listed[id] {
 			b.listed[id] = true
@@ -71,7 +71,7 @@
 		}
 	}
 	// The oldest that are not out go first; an excluded id stays named, as it must be included.
-	for len(b.listed) > b.set.ListedMost {
+	for len(b.listed) > b.set.MaxListed {
 		old := ""
 		for _, id := range b.order {
 			if _, out := b.excluded[id]; !out {
@@ -88,21 +88,21 @@
 	}
 }
 
-// Known says whether an id was ever listed.
-func (b *Book) Known(id string) bool {
+// IsListed says whether an id was ever listed.
+func (b *Set) IsListed(id string) bool {
 	return b.listed[id]
 }
 
 // Exclude takes a node out at now; changed says that it was in.
-func (b *Book) Exclude(now float64, id string) (changed bool, err error) {
-	if !b.Known(id) {
-		return false, &Unknown{id}
+func (b *Set) Exclude(now float64, id string) (changed bool, err error) {
+	if !b.IsListed(id) {
+		return false, &UnknownNodeError{id}
 	}
 	if _, out := b.excluded[id]; out {
 		return false, nil
 	}
-	if len(b.excluded) >= b.set.ExcludedMost {
-		return false, &Full{id, b.set.ExcludedMost}
+	if len(b.excluded) >= b.set.MaxExcluded {
+		return false, &FullError{id, b.set.MaxExcluded}
 	}
 	b.excluded[id] = now
 	delete(b.included, id)
@@ -110,9 +110,9 @@
 }
 
 // Include puts a node back at now; changed says that it was out.
-func (b *Book) Include(now float64, id string) (changed bool, err error) {
-	if !b.Known(id) {
-		return false, &Unknown{id}
+func (b *Set) Include(now float64, id string) (changed bool, err error) {
+	if !b.IsListed(id) {
+		return false, &UnknownNodeError{id}
 	}
 	if _, out := b.excluded[id]; !out {
 		return false, nil
@@ -124,44 +124,44 @@
 }
 
 // Excluded says whether an id is out.
-func (b *Book) Excluded(id string) bool {
+func (b *Set) Excluded(id string) bool {
 	_, out := b.excluded[id]
 	return out
 }
 
 // forget drops the includes that are past the cold span.
-func (b *Book) forget(now float64) {
+func (b *Set) forget(now float64) {
 	for id, at := range b.included {
-		if now-at > b.set.ColdSpan {
+		if now-at > b.set.SlowStartDuration {
 			delete(b.included, id)
 		}
 	}
 }
 
 // View is the entry that the module and the peers see of a listed one at now.
-func (b *Book) View(now float64, n policy.Node) policy.Node {
-	if n.State == policy.NodeGone {
+func (b *Set) View(now float64, n policy.Node) policy.Node {
+	if n.State == policy.NodeRemoved {
 		return n
 	}
 	if _, out := b.excluded[n.ID]; out {
-		n.State = policy.NodeOut
+		n.State = policy.NodeExcluded
 		return n
 	}
-	if at, ok := b.included[n.ID]; ok && now-at <= b.set.ColdSpan && n.Since < at {
-		n.Since = at
+	if at, ok := b.included[n.ID]; ok && now-at <= b.set.SlowStartDuration && n.StartTime < at {
+		n.StartTime = at
 	}
 	return n
 }
 
 // State is what is to be kept at now: includes past the cold span are forgotten.
-func (b *Book) State(now float64) State {
+func (b *Set) State(now float64) State {
 	b.forget(now)
 	return State{Excluded: maps.Clone(b.excluded), Included: maps.Clone(b.included)}
 }
 
 // Load takes a kept state in place of the book's own: that of the scheduler's other process,
 // or of the one before. Its ids count as listed. It returns the ids whose view may change.
-func (b *Book) Load(now float64, s State) (changed []string) {
+func (b *Set) Load(now float64, s State) (changed []string) {
 	for id := range b.excluded {
 		if _, out := s.Excluded[id]; !out {
 			changed = append(changed, id)
@@ -178,8 +178,8 @@
 		}
 	}
 	ids := slices.Sorted(maps.Keys(s.Excluded))
-	if len(ids) > b.set.ExcludedMost {
-		ids = ids[:b.set.ExcludedMost]
+	if len(ids) > b.set.MaxExcluded {
+		ids = ids[:b.set.MaxExcluded]
 	}
 	b.excluded = map[string]float64{}
 	for _, id := range ids {
@@ -187,28 +187,28 @@
 	}
 	b.included = map[string]float64{}
 	for _, id := range slices.Sorted(maps.Keys(s.Included)) {
-		if _, out := b.excluded[id]; !out && now-s.Included[id] <= b.set.ColdSpan && len(b.included) < b.set.ListedMost {
+		if _, out := b.excluded[id]; !out && now-s.Included[id] <= b.set.SlowStartDuration && len(b.included) < b.set.MaxListed {
 			b.included[id] = s.Included[id]
 		}
 	}
-	b.Listed(ids...)
-	b.Listed(slices.Sorted(maps.Keys(b.included))...)
+	b.AddListed(ids...)
+	b.AddListed(slices.Sorted(maps.Keys(b.included))...)
 	slices.Sort(changed)
 	return slices.Compact(changed)
 }
 
 // Check tests the invariants that the state itself can show.
-func (b *Book) Check() error {
+func (b *Set) Check() error {
 	switch {
-	case len(b.excluded) > b.set.ExcludedMost:
-		return fmt.Errorf("%d excluded, the bound is %d", len(b.excluded), b.set.ExcludedMost)
-	case len(b.listed) > max(b.set.ListedMost, len(b.excluded)):
-		return fmt.Errorf("%d listed, the bound is %d", len(b.listed), b.set.ListedMost)
+	case len(b.excluded) > b.set.MaxExcluded:
+		return fmt.Errorf("%d excluded, the bound is %d", len(b.excluded), b.set.MaxExcluded)
+	case len(b.listed) > max(b.set.MaxListed, len(b.excluded)):
+		return fmt.Errorf("%d listed, the bound is %d", len(b.listed), b.set.MaxListed)
 	case len(b.order) != len(b.listed):
 		return fmt.Errorf("%d in the order of listing, %d listed", len(b.order), len(b.listed))
 	}
 	for id := range b.excluded {
-		if !b.Known(id) {
+		if !b.IsListed(id) {
 			return fmt.Errorf("%s is excluded and not known as listed", id)
 		}
 		if _, ok := b.included[id]; ok {
@@ -216,7 +216,7 @@
 		}
 	}
 	for id := range b.included {
-		if !b.Known(id) {
+		if !b.IsListed(id) {
 			return fmt.Errorf("%s is included and not known as listed", id)
 		}
 	}
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func book(t interface{ Fatal(...any) }, s Settings) *Book {
+func book(t interface{ Fatal(...any) }, s Settings) *Set {
 	b, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 }
 
 func up(id string, since float64) policy.Node {
-	return policy.Node{ID: id, State: policy.NodeUp, Weight: 1, Since: since}
+	return policy.Node{ID: id, State: policy.NodeUp, Weight: 1, StartTime: since}
 }
 
 // The ordinary way and each hard case, in one script.
@@ -34,21 +34,21 @@
 	if _, err := b.Include(0, "s-1"); !errors.Is(err, ErrUnknown) {
 		t.Fatalf("an id never listed, put back: %v", err)
 	}
-	b.Listed("s-1", "s-2")
+	b.AddListed("s-1", "s-2")
 	if changed, err := b.Exclude(1000, "s-1"); !changed || err != nil {
 		t.Fatalf("exclude: %v %v", changed, err)
 	}
 	if changed, err := b.Exclude(1500, "s-1"); changed || err != nil {
 		t.Fatalf("a repeated exclude changed something: %v %v", changed, err)
 	}
-	if v := b.View(2000, up("s-1", 0)); v.State != policy.NodeOut {
+	if v := b.View(2000, up("s-1", 0)); v.State != policy.NodeExcluded {
 		t.Fatalf("excluded, listed as up, shown as %v", v.State)
 	}
 	if v := b.View(2000, up("s-2", 0)); v.State != policy.NodeUp {
 		t.Fatalf("another node is shown as %v", v.State)
 	}
 	// Gone stays gone: a node that left is no node to drain.
-	if v := b.View(2000, policy.Node{ID: "s-1", State: policy.NodeGone}); v.State != policy.NodeGone {
+	if v := b.View(2000, policy.Node{ID: "s-1", State: policy.NodeRemoved}); v.State != policy.NodeRemoved {
 		t.Fatalf("gone, shown as %v", v.State)
 	}
 	if changed, err := b.Include(5000, "s-2"); changed || err != nil {
@@ -58,14 +58,14 @@
 		t.Fatalf("include: %v %v", changed, err)
 	}
 	v := b.View(7000, up("s-1", 100))
-	if v.State != policy.NodeUp || v.Since != 6000 {
-		t.Fatalf("included, shown as %v since %v; want up since the include", v.State, v.Since)
+	if v.State != policy.NodeUp || v.StartTime != 6000 {
+		t.Fatalf("included, shown as %v since %v; want up since the include", v.State, v.StartTime)
 	}
-	if v := b.View(7000, up("s-1", 6500)); v.Since != 6500 {
-		t.Fatalf("a start after the include is shown as %v", v.Since)
+	if v := b.View(7000, up("s-1", 6500)); v.StartTime != 6500 {
+		t.Fatalf("a start after the include is shown as %v", v.StartTime)
 	}
-	if v := b.View(6000+Defaults.ColdSpan+1, up("s-1", 100)); v.Since != 100 {
-		t.Fatalf("past the cold span, since %v", v.Since)
+	if v := b.View(6000+Defaults.SlowStartDuration+1, up("s-1", 100)); v.StartTime != 100 {
+		t.Fatalf("past the cold span, since %v", v.StartTime)
 	}
 	if err := b.Check(); err != nil {
 		t.Fatal(err)
@@ -74,18 +74,18 @@
 
 // A no changes nothing: past the bound an exclude is refused, and the book is as it was.
 func TestBounds(t *testing.T) {
-	b := book(t, Settings{ListedMost: 3, ExcludedMost: 2, ColdSpan: 10})
-	b.Listed("a", "b", "c")
+	b := book(t, Settings{MaxListed: 3, MaxExcluded: 2, SlowStartDuration: 10})
+	b.AddListed("a", "b", "c")
 	b.Exclude(0, "a")
 	b.Exclude(0, "b")
 	if _, err := b.Exclude(0, "c"); !errors.Is(err, ErrFull) || b.Excluded("c") {
 		t.Fatalf("past the bound: %v", err)
 	}
-	b.Listed("d", "e", "f")
-	if !b.Known("a") || !b.Known("b") {
+	b.AddListed("d", "e", "f")
+	if !b.IsListed("a") || !b.IsListed("b") {
 		t.Fatal("an excluded id was forgotten as listed: it could never be included")
 	}
-	if b.Known("c") {
+	if b.IsListed("c") {
 		t.Fatal("the oldest id that is not out was kept past the bound")
 	}
 	if err := b.Check(); err != nil {
@@ -96,7 +96,7 @@
 // What is stored and loaded again is the same book; a load says which views may change.
 func TestLoad(t *testing.T) {
 	b := book(t, Defaults)
-	b.Listed("a", "b", "c")
+	b.AddListed("a", "b", "c")
 	b.Exclude(0, "a")
 	b.Exclude(0, "b")
 	b.Include(100, "b")
@@ -105,7 +105,7 @@
 	if changed := c.Load(200, kept); fmt.Sprint(changed) != "[a b]" {
 		t.Fatalf("changed %v", changed)
 	}
-	if !c.Known("a") || !c.Excluded("a") || c.Excluded("b") || c.View(200, up("b", 0)).Since != 100 {
+	if !c.IsListed("a") || !c.Excluded("a") || c.Excluded("b") || c.View(200, up("b", 0)).StartTime != 100 {
 		t.Fatalf("loaded: %+v", c.State(200))
 	}
 	if changed := c.Load(300, kept); len(changed) != 0 {
@@ -119,7 +119,7 @@
 // rapid: random calls and lists, Check and the invariants after each.
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{ListedMost: rapid.IntRange(1, 6).Draw(t, "listed"), ExcludedMost: rapid.IntRange(1, 4).Draw(t, "excluded"), ColdSpan: 50}
+		s := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "excluded"), SlowStartDuration: 50}
 		b := book(t, s)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		out := map[string]bool{} // the model: what is excluded
@@ -129,9 +129,9 @@
 			id := rapid.SampledFrom(ids).Draw(t, fmt.Sprint("id", step))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				b.Listed(id)
+				b.AddListed(id)
 			case 1:
-				known, before := b.Known(id), b.State(now)
+				known, before := b.IsListed(id), b.State(now)
 				_, err := b.Exclude(now, id)
 				switch {
 				case err == nil:
@@ -143,8 +143,8 @@
 				}
 			case 2:
 				if _, err := b.Include(now, id); err == nil {
-					if out[id] && b.View(now, up(id, 0)).Since != now {
-						t.Fatalf("%s included at %v, shown since %v", id, now, b.View(now, up(id, 0)).Since)
+					if out[id] && b.View(now, up(id, 0)).StartTime != now {
+						t.Fatalf("%s included at %v, shown since %v", id, now, b.View(now, up(id, 0)).StartTime)
 					}
 					delete(out, id)
 				}
@@ -159,7 +159,7 @@
 				t.Fatal(err)
 			}
 			for _, x := range ids {
-				if v := b.View(now, up(x, 0)); out[x] != (v.State == policy.NodeOut) {
+				if v := b.View(now, up(x, 0)); out[x] != (v.State == policy.NodeExcluded) {
 					t.Fatalf("%s: out %v, shown %v", x, out[x], v.State)
 				}
 			}
--- a/internal/exclusion/store/errors.go
+++ b/internal/exclusion/store/errors.go
@@ -8,26 +8,26 @@
 )
 
 // ErrForeign is what errors.Is asks for.
-var ErrForeign error = &Foreign{}
+var ErrForeign error = &ForeignFileError{}
 
-// Foreign is a file that is not this scheduler's book; it is left as it is.
-type Foreign struct {
-	Path string
-	Says string
+// ForeignFileError is a file that is not this scheduler's book; it is left as it is.
+type ForeignFileError struct {
+	Path    string
+	Problem string
 }
 
-func (e *Foreign) Error() string {
-	return e.Path + ": " + e.Says + ": not this scheduler's book of exclusions"
+func (e *ForeignFileError) Error() string {
+	return e.Path + ": " + e.Problem + ": not this scheduler's book of exclusions"
 }
 
 // Is makes every Foreign ErrForeign.
-func (e *Foreign) Is(other error) bool { return other == ErrForeign }
+func (e *ForeignFileError) Is(other error) bool { return other == ErrForeign }
 
 // Code implements operr.Coded.
-func (e *Foreign) Code() string { return "store-foreign" }
+func (e *ForeignFileError) Code() string { return "store-foreign" }
 
 // Advice implements operr.Coded.
-func (e *Foreign) Advice() string {
+func (e *ForeignFileError) Advice() string {
 	return "See whose file it is. If it is a torn one of this scheduler, exclude the nodes again by the door: the next change writes it anew."
 }
 
@@ -51,6 +51,6 @@
 }
 
 func init() {
-	operr.Register(&Foreign{"/tmp/wheatsaddle-exclusions.json", "version 2, this program reads 1"},
+	operr.Register(&ForeignFileError{"/tmp/wheatsaddle-exclusions.json", "version 2, this program reads 1"},
 		&FileError{"/tmp/wheatsaddle-exclusions.json", fmt.Errorf("open /tmp/wheatsaddle-exclusions.json: %w", syscall.EACCES)})
 }
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -38,8 +38,8 @@
 	pid  int // 0: the process's
 }
 
-// In is the store of a scheduler in a folder.
-func In(dir, name string) *Store {
+// InFolder is the store of a scheduler in a folder.
+func InFolder(dir, name string) *Store {
 	return &Store{Path: filepath.Join(dir, "wheatsaddle-exclusions.json"), Name: name}
 }
 
@@ -70,24 +70,24 @@
 		return empty, &FileError{s.Path, err}
 	}
 	if len(text) > fileMost {
-		return empty, &Foreign{s.Path, fmt.Sprintf("over %d bytes", fileMost)}
+		return empty, &ForeignFileError{s.Path, fmt.Sprintf("over %d bytes", fileMost)}
 	}
 	var got file
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&got); err != nil {
-		return empty, &Foreign{s.Path, fmt.Sprintf("torn or not JSON (%v)", err)}
+		return empty, &ForeignFileError{s.Path, fmt.Sprintf("torn or not JSON (%v)", err)}
 	}
 	switch {
 	case got.Version != version:
-		return empty, &Foreign{s.Path, fmt.Sprintf("version %d, this program reads %d", got.Version, version)}
+		return empty, &ForeignFileError{s.Path, fmt.Sprintf("version %d, this program reads %d", got.Version, version)}
 	case got.Name != s.Name:
-		return empty, &Foreign{s.Path, fmt.Sprintf("of scheduler %q, this one is %q", got.Name, s.Name)}
+		return empty, &ForeignFileError{s.Path, fmt.Sprintf("of scheduler %q, this one is %q", got.Name, s.Name)}
 	}
 	for what, m := range map[string]map[string]float64{"excluded": got.Excluded, "included": got.Included} {
 		for id, at := range m {
 			if id == "" || math.IsNaN(at) || math.IsInf(at, 0) || at < 0 {
-				return empty, &Foreign{s.Path, fmt.Sprintf("%s: %q at %v", what, id, at)}
+				return empty, &ForeignFileError{s.Path, fmt.Sprintf("%s: %q at %v", what, id, at)}
 			}
 		}
 	}
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -15,7 +15,7 @@
 // change from the file, applies its own and writes.
 func process(dir, id string, at float64, dies int) func() {
 	return func() {
-		s := In(dir, "n3")
+		s := InFolder(dir, "n3")
 		s.pid = int(at)
 		held, err := s.Read() // as it starts, without the lock
 		if err != nil {
@@ -57,7 +57,7 @@
 				killed,
 			},
 			Check: func() error {
-				got, err := In(dir, "n3").Read()
+				got, err := InFolder(dir, "n3").Read()
 				if err != nil || got.Excluded["s-1"] != 1 || got.Excluded["s-2"] != 2 {
 					return fmt.Errorf("kept: %v %v", got.Excluded, err)
 				}
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -10,7 +10,7 @@
 
 func TestKeptOverAProcess(t *testing.T) {
 	dir := t.TempDir()
-	s := In(dir, "n3")
+	s := InFolder(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
 		t.Fatalf("no file: %v %v", got, err)
@@ -19,7 +19,7 @@
 	if err := s.Write(st); err != nil {
 		t.Fatal(err)
 	}
-	next := In(dir, "n3") // the next process
+	next := InFolder(dir, "n3") // the next process
 	got, err = next.Read()
 	if err != nil || got.Excluded["s-1"] != 1000.5 || got.Included["s-2"] != 900 {
 		t.Fatalf("read back %v %v", got, err)
@@ -53,7 +53,7 @@
 		"id":      `{"version":1,"name":"n3","excluded":{"":1},"included":{}}`,
 		"array":   `[1,2]`,
 	} {
-		s := In(t.TempDir(), "n3")
+		s := InFolder(t.TempDir(), "n3")
 		if err := os.WriteFile(s.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -65,12 +65,12 @@
 }
 
 func TestLockOrdersWriters(t *testing.T) {
-	s := In(t.TempDir(), "n3")
+	s := InFolder(t.TempDir(), "n3")
 	unlock, err := s.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := In(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
+	if _, err := InFolder(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
 		t.Fatal("a second writer had the lock")
 	}
 	unlock()
--- a/internal/gossip/hand.go
+++ b/internal/gossip/hand.go
@@ -59,11 +59,11 @@
 	return answer
 }
 
-// Ask has a member hand something over, and says whether it did before the context ended. Members are
+// RequestSnapshot has a member hand something over, and says whether it did before the context ended. Members are
 // asked in a drawn order until one has something that take can use: take's error is counted and the next
 // is asked. What is handed over was made after it was asked for: its age is at most giveWait by this
 // process's clock. One Ask at a time.
-func (p *Peers) Ask(ctx context.Context, kind Kind, take func([]byte) error) bool {
+func (p *Cluster) RequestSnapshot(ctx context.Context, kind Kind, take func([]byte) error) bool {
 	defer p.hand.ask(0)
 	asked := map[string]bool{p.opt.Name: true}
 	for len(asked) <= giveTries {
@@ -105,7 +105,7 @@
 }
 
 // another draws a member that was not asked yet, and a number; nil: there is none.
-func (p *Peers) another(asked map[string]bool) (to *memberlist.Node, number uint64) {
+func (p *Cluster) another(asked map[string]bool) (to *memberlist.Node, number uint64) {
 	left := slices.DeleteFunc(p.list.Members(), func(n *memberlist.Node) bool { return asked[n.Name] })
 	if len(left) == 0 {
 		return nil, 0
@@ -116,7 +116,7 @@
 }
 
 // wanted answers one that asks. What is handed over is made, and sent, beside the rounds.
-func (p *Peers) wanted(m []byte) {
+func (p *Cluster) wanted(m []byte) {
 	if len(m) <= wantHead {
 		p.hand.unusable.Add(1)
 		return
@@ -126,7 +126,7 @@
 		if to.Name != name || name == p.opt.Name {
 			continue
 		}
-		if p.opt.Give == nil { // this process hands nothing over
+		if p.opt.MakeSnapshot == nil { // this process hands nothing over
 			return
 		}
 		if p.wants++; p.wants > wantsMost || !p.hand.begin() {
@@ -137,7 +137,7 @@
 		go func() {
 			defer p.tasks.Done()
 			defer p.hand.end()
-			b := p.opt.Give(kind)
+			b := p.opt.MakeSnapshot(kind)
 			if len(b) > giveMost {
 				b = nil
 			}
--- a/internal/gossip/hand_test.go
+++ b/internal/gossip/hand_test.go
@@ -28,13 +28,13 @@
 	})
 	p := c.peers[0]
 	await(t, "all know each other", func() bool { return p.Counts().Members == 6 && c.peers[4].Counts().Members == 6 })
-	for spoilt := false; !spoilt; spoilt = p.Counts().Unusable > 0 { // until the one with nonsense was asked too
+	for spoilt := false; !spoilt; spoilt = p.Counts().SnapshotsInvalid > 0 { // until the one with nonsense was asked too
 		had := 0
 		await(t, "handed over", func() bool {
 			// Where all of them were asked in vain, as datagrams were lost, it waits for members to come: it is asked anew.
 			ctx, stop := context.WithTimeout(t.Context(), 6*giveWait)
 			defer stop()
-			return p.Ask(ctx, Snapshot, func(b []byte) error {
+			return p.RequestSnapshot(ctx, Snapshot, func(b []byte) error {
 				if !bytes.Equal(b, good) {
 					return errors.New("not what it must be")
 				}
@@ -46,12 +46,12 @@
 			t.Fatalf("taken %d times", had)
 		}
 	}
-	if p.Counts().Taken == 0 || c.peers[4].Counts().Given+c.peers[5].Counts().Given == 0 {
+	if p.Counts().SnapshotsReceived == 0 || c.peers[4].Counts().SnapshotsSent+c.peers[5].Counts().SnapshotsSent == 0 {
 		t.Errorf("%+v", p.Counts())
 	}
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
-	if p.Ask(quick, Snapshot+1, func([]byte) error { return nil }) {
+	if p.RequestSnapshot(quick, Snapshot+1, func([]byte) error { return nil }) {
 		t.Error("of a kind that nobody has")
 	}
 	before := p.Counts()
@@ -61,7 +61,7 @@
 	}
 	(*delegate)(p).NotifyMsg(append([]byte{tagGive}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
 	(*delegate)(p).NotifyMsg(append([]byte{tagGive}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
-	if got := p.Counts().Unusable - before.Unusable; got != 5 || string(<-asked) != "x" {
+	if got := p.Counts().SnapshotsInvalid - before.SnapshotsInvalid; got != 5 || string(<-asked) != "x" {
 		t.Errorf("%d dropped of 5", got)
 	}
 }
@@ -78,7 +78,7 @@
 	for range 10 * givesMost {
 		c.peers[0].send(p.list.LocalNode(), tagWant, append(m, "p0"...))
 	}
-	await(t, "the ones too many were turned away", func() bool { return c.peers[0].Counts().Unusable >= 8*givesMost })
+	await(t, "the ones too many were turned away", func() bool { return c.peers[0].Counts().SnapshotsInvalid >= 8*givesMost })
 	if n := len(made); n > givesMost {
 		t.Errorf("%d at once", n)
 	}
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -54,41 +54,41 @@
 
 // Options say who the process is and where the others are.
 type Options struct {
-	Name        string
-	Incarnation uint64            // of this life: higher than that of the last
-	Listen      string            // IP:port, UDP and TCP
-	Advertise   string            // IP:port that others reach; empty: Listen
-	Seeds       []string          // IP:port of others, as they advertise
-	Via         map[string]string // advertised address to the one that leads there from here
-	Every       time.Duration     // between rounds
-	Burst       int               // messages to one member in one round
-	Key         []byte            // 16, 24 or 32 bytes: messages are encrypted; nil: they are not
-	State       nodestats.Settings
-	Seed        uint64
-	Tell        func(now time.Duration, s *nodestats.State) // before each round, to say what else is known; may be nil
-	Give        func(Kind) []byte                           // what is handed over to one that asks; empty: nothing; may be nil
-	Log         logrus.FieldLogger
-	Transport   memberlist.NodeAwareTransport // tests: instead of the network
-	Since       func() time.Duration          // tests: the clock; nil: since Start
+	Name             string
+	Incarnation      uint64            // of this life: higher than that of the last
+	Listen           string            // IP:port, UDP and TCP
+	Advertise        string            // IP:port that others reach; empty: Listen
+	Seeds            []string          // IP:port of others, as they advertise
+	AddressOverrides map[string]string // advertised address to the one that leads there from here
+	Interval         time.Duration     // between rounds
+	Burst            int               // messages to one member in one round
+	Key              []byte            // 16, 24 or 32 bytes: messages are encrypted; nil: they are not
+	State            nodestats.Settings
+	Seed             uint64
+	BeforeRound      func(now time.Duration, s *nodestats.State) // before each round, to say what else is known; may be nil
+	MakeSnapshot     func(Kind) []byte                           // what is handed over to one that asks; empty: nothing; may be nil
+	Log              logrus.FieldLogger
+	Transport        memberlist.NodeAwareTransport // tests: instead of the network
+	Since            func() time.Duration          // tests: the clock; nil: since Start
 }
 
 // Counts are the driver's figures from its start, and those of the state.
 type Counts struct {
-	State    nodestats.Counts
-	Members  int64 // now, this process too
-	Rounds   int64
-	Received int64 // messages and their bytes ...
-	In       int64
-	Sent     int64
-	Out      int64
-	Unsent   int64 // ... those that the network refused
-	Full     int64 // ... that came while the inbox was full, or were more than one round takes
-	Left     int64 // ... left for a later round
-	Outcomes int64 // taken
-	Lost     int64 // ... and left out: the buffer was full
-	Given    int64 // handed over to others
-	Taken    int64 // handed over by others
-	Unusable int64 // ... and dropped: not asked for, too long, or not readable
+	State             nodestats.Counts
+	Members           int64 // now, this process too
+	Rounds            int64
+	Received          int64 // messages and their bytes ...
+	BytesReceived     int64
+	Sent              int64
+	BytesSent         int64
+	SendErrors        int64 // ... those that the network refused
+	QueueOverflows    int64 // ... that came while the inbox was full, or were more than one round takes
+	Deferred          int64 // ... left for a later round
+	Outcomes          int64 // taken
+	DroppedOutcomes   int64 // ... and left out: the buffer was full
+	SnapshotsSent     int64 // handed over to others
+	SnapshotsReceived int64 // handed over by others
+	SnapshotsInvalid  int64 // ... and dropped: not asked for, too long, or not readable
 }
 
 // outcome is counted as of when it is drained: Every at most after it was, a small part of a half-life.
@@ -111,8 +111,8 @@
 	SendReliable(*memberlist.Node, []byte) error
 }
 
-// Peers is the running driver.
-type Peers struct {
+// Cluster is the running driver.
+type Cluster struct {
 	opt    Options
 	list   members
 	inbox  chan []byte
@@ -141,7 +141,7 @@
 }
 
 // Start listens and looks for the others.
-func Start(opt Options) (*Peers, error) {
+func Start(opt Options) (*Cluster, error) {
 	state, err := nodestats.New(opt.State, opt.Name, opt.Incarnation)
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 	list, err := memberlist.Create(conf)
 	if err != nil {
 		_ = conf.Transport.Shutdown()
-		return nil, &NoListen{Address: opt.Listen, Err: err}
+		return nil, &ListenError{Address: opt.Listen, Err: err}
 	}
 	p.list = list
 	ctx, stop := context.WithCancel(context.Background())
@@ -170,15 +170,15 @@
 	return p, nil
 }
 
-func newPeers(opt Options, state *nodestats.State, size int) *Peers {
-	p := &Peers{opt: opt, state: state, inbox: make(chan []byte, inboxSize), wake: make(chan struct{}, 1),
+func newPeers(opt Options, state *nodestats.State, size int) *Cluster {
+	p := &Cluster{opt: opt, state: state, inbox: make(chan []byte, inboxSize), wake: make(chan struct{}, 1),
 		rand: rand.New(rand.NewPCG(opt.Seed, 0x70656572))}
 	p.buffer.in, p.buffer.spare = make([]outcome, 0, size), make([]outcome, 0, size)
 	return p
 }
 
 // config is the library's.
-func (p *Peers) config() (*memberlist.Config, error) {
+func (p *Cluster) config() (*memberlist.Config, error) {
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.SecretKey, conf.Delegate = p.opt.Name, p.opt.Key, (*delegate)(p)
 	conf.EnableCompression, conf.TCPTimeout, conf.GossipToTheDeadTime = false, tcpWait, deadFor
@@ -188,15 +188,15 @@
 	conf.DNSConfigPath = "/dev/null" // seeds are addresses
 	host, port, err := split(p.opt.Listen)
 	if err != nil {
-		return nil, &NoListen{Address: p.opt.Listen, Err: err}
+		return nil, &ListenError{Address: p.opt.Listen, Err: err}
 	}
 	if p.opt.Advertise == "" && net.ParseIP(host).IsUnspecified() { // the library would start a program to learn which to tell
-		return nil, &NoListen{Address: p.opt.Listen, Err: errNoOne}
+		return nil, &ListenError{Address: p.opt.Listen, Err: errNoOne}
 	}
 	conf.BindAddr, conf.BindPort, conf.AdvertisePort = host, port, port
 	if p.opt.Advertise != "" {
 		if conf.AdvertiseAddr, conf.AdvertisePort, err = split(p.opt.Advertise); err != nil {
-			return nil, &NoListen{Address: p.opt.Advertise, Err: err}
+			return nil, &ListenError{Address: p.opt.Advertise, Err: err}
 		}
 	}
 	if p.opt.Transport != nil {
@@ -205,12 +205,12 @@
 	}
 	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: conf.Logger})
 	if err != nil {
-		return nil, &NoListen{Address: p.opt.Listen, Err: err}
+		return nil, &ListenError{Address: p.opt.Listen, Err: err}
 	}
 	if p.opt.Advertise == "" {
 		conf.BindPort, conf.AdvertisePort = nt.GetAutoBindPort(), nt.GetAutoBindPort()
 	}
-	conf.Transport = &via{nt, p.opt.Via}
+	conf.Transport = &via{nt, p.opt.AddressOverrides}
 	return conf, nil
 }
 
@@ -269,7 +269,7 @@
 var _ io.Writer = debugLog{}
 
 // Observe counts the end of one attempt. It never waits for the state or a peer.
-func (p *Peers) Observe(node string, since int64, class string, units, millis float64, how nodestats.Outcome) {
+func (p *Cluster) Observe(node string, since int64, class string, units, millis float64, how nodestats.Outcome) {
 	b := &p.buffer
 	b.Lock()
 	sync.Writes(&b.in)
@@ -277,7 +277,7 @@
 	if n == cap(b.in) {
 		b.lost++
 	} else {
-		b.in = append(b.in, outcome{nodestats.Key{Node: node, Since: since, Class: class}, units, millis, how})
+		b.in = append(b.in, outcome{nodestats.Key{Node: node, StartTime: since, Class: class}, units, millis, how})
 		b.all++
 	}
 	b.Unlock()
@@ -287,7 +287,7 @@
 }
 
 // drain moves the buffered outcomes into the state; p.mu is held.
-func (p *Peers) drain() {
+func (p *Cluster) drain() {
 	b := &p.buffer
 	b.Lock()
 	sync.Writes(&b.in)
@@ -298,12 +298,12 @@
 	now := p.opt.Since()
 	for i := range got {
 		o := &got[i]
-		p.state.Slot(now, o.key).Record(now, o.units, o.millis, o.how)
+		p.state.Recorder(now, o.key).Record(now, o.units, o.millis, o.how)
 	}
 }
 
-// Do gives the state, up to date, to f. It is not for the data path: it waits for merges.
-func (p *Peers) Do(f func(now time.Duration, s *nodestats.State)) {
+// WithState gives the state, up to date, to f. It is not for the data path: it waits for merges.
+func (p *Cluster) WithState(f func(now time.Duration, s *nodestats.State)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drain()
@@ -311,29 +311,29 @@
 }
 
 // Views is the state's.
-func (p *Peers) Views() (v []nodestats.View) {
-	p.Do(func(now time.Duration, s *nodestats.State) { v = s.Views(now) })
+func (p *Cluster) Views() (v []nodestats.View) {
+	p.WithState(func(now time.Duration, s *nodestats.State) { v = s.Views(now) })
 	return v
 }
 
 // Counts are the figures now.
-func (p *Peers) Counts() Counts {
-	c := Counts{Members: int64(p.list.NumMembers()), Rounds: p.rounds.Load(), Received: p.received.Load(), In: p.in.Load(),
-		Sent: p.sent.Load(), Out: p.out.Load(), Unsent: p.unsent.Load(), Full: p.full.Load(), Left: p.left.Load(),
-		Given: p.hand.given.Load(), Taken: p.hand.taken.Load(), Unusable: p.hand.unusable.Load()}
+func (p *Cluster) Counts() Counts {
+	c := Counts{Members: int64(p.list.NumMembers()), Rounds: p.rounds.Load(), Received: p.received.Load(), BytesReceived: p.in.Load(),
+		Sent: p.sent.Load(), BytesSent: p.out.Load(), SendErrors: p.unsent.Load(), QueueOverflows: p.full.Load(), Deferred: p.left.Load(),
+		SnapshotsSent: p.hand.given.Load(), SnapshotsReceived: p.hand.taken.Load(), SnapshotsInvalid: p.hand.unusable.Load()}
 	p.mu.Lock()
 	sync.Reads(p.state)
 	c.State = p.state.Counts()
 	p.mu.Unlock()
 	p.buffer.Lock()
 	sync.Reads(&p.buffer.in)
-	c.Outcomes, c.Lost = p.buffer.all, p.buffer.lost
+	c.Outcomes, c.DroppedOutcomes = p.buffer.all, p.buffer.lost
 	p.buffer.Unlock()
 	return c
 }
 
 // Members are the names of those that are known to be up, this process too.
-func (p *Peers) Members() []string {
+func (p *Cluster) Members() []string {
 	var names []string
 	for _, n := range p.list.Members() {
 		names = append(names, n.Name)
@@ -342,10 +342,10 @@
 }
 
 // Address is where others reach this process.
-func (p *Peers) Address() string { return p.list.LocalNode().Address() }
+func (p *Cluster) Address() string { return p.list.LocalNode().Address() }
 
 // Stop tells the others and closes everything.
-func (p *Peers) Stop() {
+func (p *Cluster) Stop() {
 	if p.closed.Swap(true) {
 		return
 	}
@@ -354,22 +354,22 @@
 }
 
 // Kill closes everything without a word.
-func (p *Peers) Kill() {
+func (p *Cluster) Kill() {
 	p.closed.Store(true)
 	p.stop()
 	_ = p.list.Shutdown()
 	p.tasks.Wait()
 }
 
-func (p *Peers) run(ctx context.Context) {
+func (p *Cluster) run(ctx context.Context) {
 	defer p.tasks.Done()
-	tick := time.NewTicker(p.opt.Every)
+	tick := time.NewTicker(p.opt.Interval)
 	defer tick.Stop()
 	p.loop(ctx, tick.C)
 }
 
 // loop is run's by a clock that ticks as it is told.
-func (p *Peers) loop(ctx context.Context, tick <-chan time.Time) {
+func (p *Cluster) loop(ctx context.Context, tick <-chan time.Time) {
 	for {
 		switch _, _, m, _, which := sync.First4(tick, p.wake, p.inbox, ctx.Done()); which {
 		case 0:
@@ -387,7 +387,7 @@
 }
 
 // round sends the digest to the next member.
-func (p *Peers) round() {
+func (p *Cluster) round() {
 	p.rounds.Add(1)
 	p.asks, p.messages, p.wants = 0, 0, 0
 	members := map[string]*memberlist.Node{}
@@ -398,8 +398,8 @@
 	}
 	p.mu.Lock()
 	p.drain()
-	if p.opt.Tell != nil {
-		p.opt.Tell(p.opt.Since(), p.state)
+	if p.opt.BeforeRound != nil {
+		p.opt.BeforeRound(p.opt.Since(), p.state)
 	}
 	digest := p.state.Digest(p.opt.Since())
 	var to *memberlist.Node
@@ -421,7 +421,7 @@
 	}
 }
 
-func (p *Peers) send(to *memberlist.Node, tag byte, m []byte) {
+func (p *Cluster) send(to *memberlist.Node, tag byte, m []byte) {
 	b := append([]byte{tag}, m...)
 	var err error
 	if len(b) <= packetMost {
@@ -438,7 +438,7 @@
 }
 
 // message takes what another process sent.
-func (p *Peers) message(b []byte) {
+func (p *Cluster) message(b []byte) {
 	p.received.Add(1)
 	p.in.Add(int64(len(b)))
 	tag, m := b[0], b[1:]
@@ -498,14 +498,14 @@
 }
 
 // dropped tells of a message that the state has refused and counted.
-func (p *Peers) dropped(err error) {
+func (p *Cluster) dropped(err error) {
 	if err != nil {
 		p.opt.Log.WithFields(operr.Fields(err)).Debug("a peer's message")
 	}
 }
 
 // join asks each seed that is no member, until it is one: halves that were apart find each other again.
-func (p *Peers) join(ctx context.Context) {
+func (p *Cluster) join(ctx context.Context) {
 	defer p.tasks.Done()
 	for {
 		held := map[string]bool{}
@@ -526,7 +526,7 @@
 }
 
 // delegate is what the library calls; none of it waits.
-type delegate Peers
+type delegate Cluster
 
 func (d *delegate) NotifyMsg(b []byte) {
 	if len(b) == 0 {
--- a/internal/gossip/peers_interleave_test.go
+++ b/internal/gossip/peers_interleave_test.go
@@ -24,7 +24,7 @@
 type circle struct {
 	members
 	all  []*memberlist.Node
-	each map[string]*Peers
+	each map[string]*Cluster
 }
 
 func (c *circle) Members() []*memberlist.Node { return c.all }
@@ -36,8 +36,8 @@
 func (c *circle) SendReliable(n *memberlist.Node, b []byte) error { return c.SendBestEffort(n, b) }
 
 // join makes processes that know each other; a buffer holds so many outcomes.
-func join(size int, names ...string) map[string]*Peers {
-	c := &circle{each: map[string]*Peers{}}
+func join(size int, names ...string) map[string]*Cluster {
+	c := &circle{each: map[string]*Cluster{}}
 	for _, name := range names {
 		state, err := nodestats.New(nodestats.Defaults(), name, 1)
 		if err != nil {
@@ -52,7 +52,7 @@
 
 const units, millis = 1, 2
 
-func (p *Peers) one() { p.Observe("s", 1, "read", units, millis, nodestats.Served) }
+func (p *Cluster) one() { p.Observe("s", 1, "read", units, millis, nodestats.Served) }
 
 // seen is how many ends of attempts on a node are in the views; their sums must be of the same ones.
 func seen(views []nodestats.View, node string) (n int, err error) {
@@ -70,7 +70,7 @@
 	return n, nil
 }
 
-func (p *Peers) look(node string) int {
+func (p *Cluster) look(node string) int {
 	n, err := seen(p.Views(), node)
 	if err != nil {
 		il.Fail("%v", err)
@@ -94,7 +94,7 @@
 	state, _ := nodestats.New(nodestats.Defaults(), "other", 1)
 	none, _ := nodestats.New(nodestats.Defaults(), "none", 1)
 	for range n {
-		state.Slot(0, nodestats.Key{Node: node, Since: 1, Class: "read"}).Record(0, units, millis, nodestats.Served)
+		state.Recorder(0, nodestats.Key{Node: node, StartTime: 1, Class: "read"}).Record(0, units, millis, nodestats.Served)
 	}
 	list, err := state.Diff(0, none.Digest(0))
 	if err != nil || len(list) != 1 {
@@ -166,10 +166,10 @@
 						}
 						p.Views()
 						n, o, c := p.look("s"), p.look("other's"), p.Counts()
-						if c.Outcomes+c.Lost != 3 || int64(n) != c.Outcomes || x.size > 3 && c.Lost > 0 || o != 5 {
-							return fmt.Errorf("3 recorded, %d in the views, %d lost; of another's 5 %d", n, c.Lost, o)
+						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || x.size > 3 && c.DroppedOutcomes > 0 || o != 5 {
+							return fmt.Errorf("3 recorded, %d in the views, %d lost; of another's 5 %d", n, c.DroppedOutcomes, o)
 						}
-						if c.Lost > 0 {
+						if c.DroppedOutcomes > 0 {
 							return nil
 						}
 						return h.Check(counter)
@@ -188,14 +188,14 @@
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "read", Run: func() {
-					p.Do(func(time.Duration, *nodestats.State) { sync.Recv(recorded) })
+					p.WithState(func(time.Duration, *nodestats.State) { sync.Recv(recorded) })
 				}},
 				{Name: "record", Run: func() { p.one(); p.one(); sync.Close(recorded) }},
 				{Name: "other", Run: func() { p.one() }},
 			},
 			Check: func() error {
-				if c := p.Counts(); c.Outcomes+c.Lost != 3 {
-					return fmt.Errorf("%d of 3 outcomes, %d lost", c.Outcomes, c.Lost)
+				if c := p.Counts(); c.Outcomes+c.DroppedOutcomes != 3 {
+					return fmt.Errorf("%d of 3 outcomes, %d lost", c.Outcomes, c.DroppedOutcomes)
 				}
 				return nil
 			},
@@ -213,7 +213,7 @@
 	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.World {
 		both := join(8, "a", "b")
 		a, b := both["a"], both["b"]
-		take := func(p *Peers, most int) {
+		take := func(p *Cluster, most int) {
 			for range most {
 				if m, _, had := sync.TryRecv(p.inbox); had {
 					p.message(m)
@@ -233,7 +233,7 @@
 			},
 			Check: func() error {
 				for range 3 {
-					for _, p := range []*Peers{a, b} {
+					for _, p := range []*Cluster{a, b} {
 						p.round()
 						for len(a.inbox)+len(b.inbox) > 0 {
 							take(a, 1)
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -100,7 +100,7 @@
 type crowd struct {
 	t     *testing.T
 	w     *world
-	peers []*Peers
+	peers []*Cluster
 	seeds []string
 	give  func(i int) func(Kind) []byte
 }
@@ -120,12 +120,12 @@
 	return &faulty{NetTransport: nt, w: c.w, me: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
 }
 
-func (c *crowd) start(i int, incarnation uint64, f *faulty) *Peers {
+func (c *crowd) start(i int, incarnation uint64, f *faulty) *Cluster {
 	var give func(Kind) []byte
 	if c.give != nil {
 		give = c.give(i)
 	}
-	p, err := Start(Options{Give: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.me, Seeds: c.seeds, Every: 20 * time.Millisecond,
+	p, err := Start(Options{MakeSnapshot: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.me, Seeds: c.seeds, Interval: 20 * time.Millisecond,
 		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: quiet(), Transport: f})
 	if err != nil {
 		c.t.Fatal(err)
@@ -170,16 +170,16 @@
 	await(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
 }
 
-func digest(p *Peers) (d []byte) {
-	p.Do(func(now time.Duration, s *nodestats.State) { d = s.Digest(now) })
+func digest(p *Cluster) (d []byte) {
+	p.WithState(func(now time.Duration, s *nodestats.State) { d = s.Digest(now) })
 	return d
 }
 
-func same(peers ...*Peers) bool {
+func same(peers ...*Cluster) bool {
 	d := digest(peers[0])
 	for _, p := range peers[1:] {
 		ok := false
-		p.Do(func(now time.Duration, s *nodestats.State) { ok = s.Same(now, d) })
+		p.WithState(func(now time.Duration, s *nodestats.State) { ok = s.Same(now, d) })
 		if !ok {
 			return false
 		}
@@ -192,13 +192,13 @@
 		for range each {
 			p.Observe(fmt.Sprint("n", r.IntN(30)), 1, fmt.Sprint("c", r.IntN(3)), r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
-		p.Do(func(now time.Duration, s *nodestats.State) { s.SetList(now, int64(100+i)) })
+		p.WithState(func(now time.Duration, s *nodestats.State) { s.SetList(now, int64(100+i)) })
 	}
 }
 
-func served(p *Peers) (n float64, origins int) {
+func served(p *Cluster) (n float64, origins int) {
 	for _, v := range p.Views() {
-		n, origins = n+v.Sums.N+v.Turned+v.Failed+v.Late, max(origins, v.Origins)
+		n, origins = n+v.Sums.N+v.Rejected+v.Failed+v.TimedOut, max(origins, v.Origins)
 	}
 	return n, origins
 }
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	for _, p := range c.peers {
-		p.Do(func(now time.Duration, s *nodestats.State) {
+		p.WithState(func(now time.Duration, s *nodestats.State) {
 			all, err := s.Diff(now, one.Digest(0))
 			if err != nil {
 				t.Fatal(err)
@@ -263,10 +263,10 @@
 		t.Fatal(err)
 	}
 	c.peers[2] = c.start(2, 2, c.transport(port))
-	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.TurnedAway)
+	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.Rejected)
 	await(t, "all alike", func() bool {
 		v := c.peers[0].Views()
-		return same(c.peers...) && len(v) == 1 && v[0].Turned > 0.5 && v[0].Failed == 0
+		return same(c.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
 	})
 }
 
@@ -298,10 +298,10 @@
 	}
 	await(t, "all of it counted", func() bool {
 		n := c.peers[0].Counts()
-		return n.State.Unreadable+n.State.LaterVersion+n.Full+n.Unusable >= 300 && n.State.LaterVersion > 0
+		return n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid >= 300 && n.State.LaterVersion > 0
 	})
 	same := false
-	c.peers[0].Do(func(now time.Duration, s *nodestats.State) { same = s.Same(now, before) })
+	c.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.Same(now, before) })
 	if !same {
 		t.Error("nonsense changed the state")
 	}
@@ -315,13 +315,13 @@
 func TestObservingNeverWaits(t *testing.T) {
 	c := gather(t, 1, 0)
 	p := c.peers[0]
-	p.Do(func(time.Duration, *nodestats.State) {
+	p.WithState(func(time.Duration, *nodestats.State) {
 		for range bufferSize + 10 {
 			p.Observe("n", 1, "c", 1, 1, nodestats.Served)
 		}
 	})
-	if n := p.Counts(); n.Lost != 10 || n.Outcomes != bufferSize {
-		t.Errorf("%d lost, %d taken", n.Lost, n.Outcomes)
+	if n := p.Counts(); n.DroppedOutcomes != 10 || n.Outcomes != bufferSize {
+		t.Errorf("%d lost, %d taken", n.DroppedOutcomes, n.Outcomes)
 	}
 	if n := testing.AllocsPerRun(1000, func() { p.Observe("n", 1, "c", 1, 1, nodestats.Served) }); n != 0 {
 		t.Errorf("%v allocations", n)
@@ -331,10 +331,10 @@
 // Addresses that only lead there by another way: as with links between processes. Messages are encrypted here.
 func TestAnotherWayToAnAddress(t *testing.T) {
 	defer gone(t)
-	var ps []*Peers
-	start := func(name, advertise string, seeds []string, via map[string]string) *Peers {
-		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, Via: via,
-			Every: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: quiet()})
+	var ps []*Cluster
+	start := func(name, advertise string, seeds []string, via map[string]string) *Cluster {
+		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, AddressOverrides: via,
+			Interval: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -353,7 +353,7 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Every: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()})
+	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -367,7 +367,7 @@
 		}
 		p.Observe("n", 1, "c", 1, 1, nodestats.Served)
 	}
-	if n := p.Counts().Lost; n > 0 {
+	if n := p.Counts().DroppedOutcomes; n > 0 {
 		b.Errorf("%d lost", n)
 	}
 }
--- a/internal/gossip/refused_test.go
+++ b/internal/gossip/refused_test.go
@@ -11,10 +11,10 @@
 // To listen at every address without a word on which the others reach would start a program (ip route):
 // it is an error with a code. Where that word is there, it is none.
 func TestStartsNoProgram(t *testing.T) {
-	opt := Options{Name: "p", Every: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()}
+	opt := Options{Name: "p", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()}
 	for _, opt.Listen = range []string{"0.0.0.0:0", "[::]:0"} {
 		_, err := Start(opt)
-		var no *NoListen
+		var no *ListenError
 		if !errors.As(err, &no) {
 			t.Errorf("%s: %v", opt.Listen, err)
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -28,55 +28,55 @@
 
 // Settings are the book's times.
 type Settings struct {
-	Try   time.Duration // from one look at the lock to the next
-	Sweep time.Duration // from one look at what is open to the next
-	Quiet time.Duration // a connection on which nothing was asked for so long is closed
-	Tell  time.Duration // a wait for the lock that lasts so long is told, once
+	LockPollInterval time.Duration // from one look at the lock to the next
+	SweepInterval    time.Duration // from one look at what is open to the next
+	IdleTimeout      time.Duration // a connection on which nothing was asked for so long is closed
+	WarnAfter        time.Duration // a wait for the lock that lasts so long is told, once
 }
 
-// Kind is what happened.
-type Kind uint8
+// EventKind is what happened.
+type EventKind uint8
 
 // The events. Each but Begun, Tick and Term is what came of an action.
 const (
-	Begun  Kind = iota // the process can serve, and accepts nothing yet
-	Had                // of Try: the lock is this process's
-	Held               // of Try: another has it
-	NoLock             // of Try: there is none to be had
-	Tick               // Next has come
-	Term               // SIGTERM; By is when what is left must close
-	Told               // of TellModule: it has heard
-	Untold             // of TellModule: it had no time
-	Shut               // of ShutDoor: nothing is accepted any more
-	Open               // of Sweep: N connections are open
+	Started            EventKind = iota // the process can serve, and accepts nothing yet
+	LockAcquired                        // of Try: the lock is this process's
+	LockBusy                            // of Try: another has it
+	LockUnavailable                     // of Try: there is none to be had
+	TimerFired                          // Next has come
+	TermReceived                        // SIGTERM; By is when what is left must close
+	ModuleNotified                      // of NotifyModule: it has heard
+	ModuleBusy                          // of NotifyModule: it had no time
+	ListenerClosed                      // of CloseListener: nothing is accepted any more
+	ConnectionsCounted                  // of Sweep: N connections are open
 )
 
 // Event is what happened.
 type Event struct {
-	Kind Kind
-	By   time.Duration
-	N    int
+	Kind            EventKind
+	Deadline        time.Duration
+	OpenConnections int
 }
 
-// Do is what the driver is to do.
-type Do uint8
+// Kind is what the driver is to do.
+type ActionKind uint8
 
 // The actions.
 const (
-	Try        Do = iota // look at the lock, and take it if it is free
-	Accept               // from now on
-	Warn                 // the wait is a long one
-	TellModule           // its limits are filled by another process
-	ShutDoor             // accept no more; what is open stays open, and each answer closes its connection
-	Release              // let the lock go
-	Sweep                // close what has been quiet for Quiet and on which nothing waits
-	End                  // the rest is for the program's end
+	TryLock       ActionKind = iota // look at the lock, and take it if it is free
+	Accept                          // from now on
+	WarnLongWait                    // the wait is a long one
+	NotifyModule                    // its limits are filled by another process
+	CloseListener                   // accept no more; what is open stays open, and each answer closes its connection
+	ReleaseLock                     // let the lock go
+	CloseIdle                       // close what has been quiet for Quiet and on which nothing waits
+	Finish                          // the rest is for the program's end
 )
 
 // Action is what the driver is to do.
 type Action struct {
-	Do    Do
-	Quiet time.Duration
+	Kind    ActionKind
+	IdleFor time.Duration
 }
 
 type phase uint8
@@ -91,8 +91,8 @@
 	gone
 )
 
-// Book is one process's.
-type Book struct {
+// Machine is one process's.
+type Machine struct {
 	set     Settings
 	phase   phase
 	next    time.Duration
@@ -107,76 +107,76 @@
 }
 
 // New makes the book of a process that has accepted nothing.
-func New(s Settings) *Book { return &Book{set: s, next: Never, by: Never} }
+func New(s Settings) *Machine { return &Machine{set: s, next: Never, by: Never} }
 
 // Next is when the book is to have a Tick.
-func (b *Book) Next() time.Duration { return b.next }
+func (b *Machine) Next() time.Duration { return b.next }
 
 // Step takes an event and says what is to be done, in that order.
-func (b *Book) Step(now time.Duration, e Event) (acts []Action) {
-	do := func(all ...Do) {
+func (b *Machine) Step(now time.Duration, e Event) (acts []Action) {
+	do := func(all ...ActionKind) {
 		for _, d := range all {
-			acts = append(acts, Action{Do: d})
+			acts = append(acts, Action{Kind: d})
 		}
 	}
 	sweep := func() {
-		a := Action{Do: Sweep, Quiet: b.set.Quiet}
+		a := Action{Kind: CloseIdle, IdleFor: b.set.IdleTimeout}
 		if b.last = now >= b.by; b.last {
-			a.Quiet = 0
+			a.IdleFor = 0
 		}
 		acts = append(acts, a)
 	}
 	switch {
-	case e.Kind == Begun && b.phase == fresh:
+	case e.Kind == Started && b.phase == fresh:
 		b.phase, b.begun = waiting, now
-		do(Try)
-	case e.Kind == Had:
+		do(TryLock)
+	case e.Kind == LockAcquired:
 		if b.locked = b.phase < emptying; !b.locked { // it came too late: the next one may have it
-			do(Release)
+			do(ReleaseLock)
 		}
 		if b.phase == waiting {
 			b.phase, b.accepts = serving, true
 			do(Accept)
 		}
-	case e.Kind == NoLock && b.phase == waiting:
+	case e.Kind == LockUnavailable && b.phase == waiting:
 		b.phase, b.accepts, b.none = serving, true, true
 		do(Accept)
-	case e.Kind == Held && b.phase == waiting:
-		b.next = now + b.set.Try
-		if !b.warned && now >= b.begun+b.set.Tell {
+	case e.Kind == LockBusy && b.phase == waiting:
+		b.next = now + b.set.LockPollInterval
+		if !b.warned && now >= b.begun+b.set.WarnAfter {
 			b.warned = true
-			do(Warn)
+			do(WarnLongWait)
 		}
-	case e.Kind == Term && b.phase < telling:
-		b.phase, b.by, b.next = telling, e.By, Never
-		do(TellModule)
-	case e.Kind == Told && b.phase == telling:
+	case e.Kind == TermReceived && b.phase < telling:
+		b.phase, b.by, b.next = telling, e.Deadline, Never
+		do(NotifyModule)
+	case e.Kind == ModuleNotified && b.phase == telling:
 		b.told, b.phase = true, shutting
-		do(ShutDoor)
-	case e.Kind == Untold && b.phase == telling:
-		if b.next = min(now+b.set.Sweep, b.by); now >= b.by { // the lock goes with the process
+		do(CloseListener)
+	case e.Kind == ModuleBusy && b.phase == telling:
+		if b.next = min(now+b.set.SweepInterval, b.by); now >= b.by { // the lock goes with the process
 			b.phase, b.next = shutting, Never
-			do(ShutDoor)
+			do(CloseListener)
 		}
-	case e.Kind == Shut && b.phase == shutting:
+	case e.Kind == ListenerClosed && b.phase == shutting:
 		b.phase, b.accepts = emptying, false
 		if b.locked && b.told {
 			b.locked = false
-			do(Release)
+			do(ReleaseLock)
 		}
 		sweep()
-	case e.Kind == Open && b.phase == emptying:
-		if b.next = min(now+b.set.Sweep, max(b.by, now)); e.N == 0 || b.last {
+	case e.Kind == ConnectionsCounted && b.phase == emptying:
+		if b.next = min(now+b.set.SweepInterval, max(b.by, now)); e.OpenConnections == 0 || b.last {
 			b.phase, b.next = gone, Never
-			do(End)
+			do(Finish)
 		}
-	case e.Kind == Tick && now >= b.next:
+	case e.Kind == TimerFired && now >= b.next:
 		b.next = Never // until the action's event
 		switch b.phase {
 		case waiting:
-			do(Try)
+			do(TryLock)
 		case telling:
-			do(TellModule)
+			do(NotifyModule)
 		case emptying:
 			sweep()
 		}
@@ -185,10 +185,10 @@
 }
 
 // Ended says whether the book has nothing more to do.
-func (b *Book) Ended() bool { return b.phase == gone }
+func (b *Machine) Ended() bool { return b.phase == gone }
 
 // Check says which invariant does not hold.
-func (b *Book) Check() error {
+func (b *Machine) Check() error {
 	switch {
 	case b.accepts && !b.locked && !b.none:
 		return fmt.Errorf("turn: accepts without the lock in phase %d", b.phase)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-var times = Settings{Try: 5 * ms, Sweep: 20 * ms, Quiet: 500 * ms, Tell: 1000 * ms}
+var times = Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 500 * ms, WarnAfter: 1000 * ms}
 
 // What goes in, and what comes out, in order.
 func TestScripts(t *testing.T) {
@@ -25,56 +25,56 @@
 		out  []Action
 		next time.Duration
 	}
-	all := func(d ...Do) (acts []Action) {
+	all := func(d ...ActionKind) (acts []Action) {
 		for _, x := range d {
-			acts = append(acts, Action{Do: x})
+			acts = append(acts, Action{Kind: x})
 		}
 		return acts
 	}
-	sweep := Action{Sweep, times.Quiet}
-	term := Event{Kind: Term, By: 900 * ms}
+	sweep := Action{CloseIdle, times.IdleTimeout}
+	term := Event{Kind: TermReceived, Deadline: 900 * ms}
 	for name, script := range map[string][]line{
 		"alone, then the end": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: Had}, all(Accept), Never},
-			{100 * ms, term, all(TellModule), Never}, {101 * ms, Event{Kind: Told}, all(ShutDoor), Never},
-			{102 * ms, Event{Kind: Shut}, append(all(Release), sweep), Never},
-			{103 * ms, Event{Kind: Open, N: 2}, nil, 123 * ms}, {110 * ms, Event{Kind: Tick}, nil, 123 * ms}, {123 * ms, Event{Kind: Tick}, []Action{sweep}, Never},
-			{124 * ms, Event{Kind: Open}, all(End), Never}, {200 * ms, term, nil, Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockAcquired}, all(Accept), Never},
+			{100 * ms, term, all(NotifyModule), Never}, {101 * ms, Event{Kind: ModuleNotified}, all(CloseListener), Never},
+			{102 * ms, Event{Kind: ListenerClosed}, append(all(ReleaseLock), sweep), Never},
+			{103 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 2}, nil, 123 * ms}, {110 * ms, Event{Kind: TimerFired}, nil, 123 * ms}, {123 * ms, Event{Kind: TimerFired}, []Action{sweep}, Never},
+			{124 * ms, Event{Kind: ConnectionsCounted}, all(Finish), Never}, {200 * ms, term, nil, Never},
 		},
 		"beside another, the wait is long": {
-			{50 * ms, Event{Kind: Begun}, all(Try), Never}, {50 * ms, Event{Kind: Begun}, nil, Never}, {50 * ms, Event{Kind: Held}, nil, 55 * ms},
-			{55 * ms, Event{Kind: Tick}, all(Try), Never}, {1000 * ms, Event{Kind: Held}, nil, 1005 * ms}, {1005 * ms, Event{Kind: Tick}, all(Try), Never},
-			{1050 * ms, Event{Kind: Held}, all(Warn), 1055 * ms}, {1055 * ms, Event{Kind: Tick}, all(Try), Never},
-			{1055 * ms, Event{Kind: Held}, nil, 1060 * ms}, {1060 * ms, Event{Kind: Tick}, all(Try), Never}, {1060 * ms, Event{Kind: Had}, all(Accept), Never},
+			{50 * ms, Event{Kind: Started}, all(TryLock), Never}, {50 * ms, Event{Kind: Started}, nil, Never}, {50 * ms, Event{Kind: LockBusy}, nil, 55 * ms},
+			{55 * ms, Event{Kind: TimerFired}, all(TryLock), Never}, {1000 * ms, Event{Kind: LockBusy}, nil, 1005 * ms}, {1005 * ms, Event{Kind: TimerFired}, all(TryLock), Never},
+			{1050 * ms, Event{Kind: LockBusy}, all(WarnLongWait), 1055 * ms}, {1055 * ms, Event{Kind: TimerFired}, all(TryLock), Never},
+			{1055 * ms, Event{Kind: LockBusy}, nil, 1060 * ms}, {1060 * ms, Event{Kind: TimerFired}, all(TryLock), Never}, {1060 * ms, Event{Kind: LockAcquired}, all(Accept), Never},
 		},
 		"no lock, after SIGTERM": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, term, all(TellModule), Never}, {0, Event{Kind: NoLock}, nil, Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, term, all(NotifyModule), Never}, {0, Event{Kind: LockUnavailable}, nil, Never},
 		},
 		"ended while it waits": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: Held}, nil, 5 * ms}, {2 * ms, term, all(TellModule), Never},
-			{2 * ms, Event{Kind: Told}, all(ShutDoor), Never}, {2 * ms, Event{Kind: Shut}, []Action{sweep}, Never}, {2 * ms, Event{Kind: Open}, all(End), Never},
-			{5 * ms, Event{Kind: Tick}, nil, Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockBusy}, nil, 5 * ms}, {2 * ms, term, all(NotifyModule), Never},
+			{2 * ms, Event{Kind: ModuleNotified}, all(CloseListener), Never}, {2 * ms, Event{Kind: ListenerClosed}, []Action{sweep}, Never}, {2 * ms, Event{Kind: ConnectionsCounted}, all(Finish), Never},
+			{5 * ms, Event{Kind: TimerFired}, nil, Never},
 		},
 		"the lock comes after SIGTERM": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, term, all(TellModule), Never}, {0, Event{Kind: Told}, all(ShutDoor), Never},
-			{0, Event{Kind: Shut}, []Action{sweep}, Never}, {0, Event{Kind: Had}, all(Release), Never}, {0, Event{Kind: Open, N: 1}, nil, 20 * ms},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, term, all(NotifyModule), Never}, {0, Event{Kind: ModuleNotified}, all(CloseListener), Never},
+			{0, Event{Kind: ListenerClosed}, []Action{sweep}, Never}, {0, Event{Kind: LockAcquired}, all(ReleaseLock), Never}, {0, Event{Kind: ConnectionsCounted, OpenConnections: 1}, nil, 20 * ms},
 		},
 		"no lock": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: NoLock}, all(Accept), Never}, {0, term, all(TellModule), Never},
-			{0, Event{Kind: Told}, all(ShutDoor), Never}, {0, Event{Kind: Shut}, []Action{sweep}, Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockUnavailable}, all(Accept), Never}, {0, term, all(NotifyModule), Never},
+			{0, Event{Kind: ModuleNotified}, all(CloseListener), Never}, {0, Event{Kind: ListenerClosed}, []Action{sweep}, Never},
 		},
 		"the module has no time, then it has": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: Had}, all(Accept), Never}, {0, term, all(TellModule), Never},
-			{100 * ms, Event{Kind: Untold}, nil, 120 * ms}, {120 * ms, Event{Kind: Tick}, all(TellModule), Never}, {121 * ms, Event{Kind: Told}, all(ShutDoor), Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockAcquired}, all(Accept), Never}, {0, term, all(NotifyModule), Never},
+			{100 * ms, Event{Kind: ModuleBusy}, nil, 120 * ms}, {120 * ms, Event{Kind: TimerFired}, all(NotifyModule), Never}, {121 * ms, Event{Kind: ModuleNotified}, all(CloseListener), Never},
 		},
 		"the module never hears": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: Had}, all(Accept), Never}, {0, term, all(TellModule), Never},
-			{900 * ms, Event{Kind: Untold}, all(ShutDoor), Never}, {900 * ms, Event{Kind: Shut}, []Action{{Do: Sweep}}, Never}, {900 * ms, Event{Kind: Open, N: 3}, all(End), Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockAcquired}, all(Accept), Never}, {0, term, all(NotifyModule), Never},
+			{900 * ms, Event{Kind: ModuleBusy}, all(CloseListener), Never}, {900 * ms, Event{Kind: ListenerClosed}, []Action{{Kind: CloseIdle}}, Never}, {900 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 3}, all(Finish), Never},
 		},
 		"connections in use until the time is up": {
-			{0, Event{Kind: Begun}, all(Try), Never}, {0, Event{Kind: Had}, all(Accept), Never}, {0, term, all(TellModule), Never},
-			{0, Event{Kind: Told}, all(ShutDoor), Never}, {0, Event{Kind: Shut}, append(all(Release), sweep), Never},
-			{890 * ms, Event{Kind: Open, N: 1}, nil, 900 * ms}, {900 * ms, Event{Kind: Tick}, []Action{{Do: Sweep}}, Never}, {900 * ms, Event{Kind: Open, N: 1}, all(End), Never},
+			{0, Event{Kind: Started}, all(TryLock), Never}, {0, Event{Kind: LockAcquired}, all(Accept), Never}, {0, term, all(NotifyModule), Never},
+			{0, Event{Kind: ModuleNotified}, all(CloseListener), Never}, {0, Event{Kind: ListenerClosed}, append(all(ReleaseLock), sweep), Never},
+			{890 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 1}, nil, 900 * ms}, {900 * ms, Event{Kind: TimerFired}, []Action{{Kind: CloseIdle}}, Never}, {900 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 1}, all(Finish), Never},
 		},
 	} {
 		b := New(times)
@@ -84,7 +84,7 @@
 				t.Errorf("%s, line %d: %v, next %v, want %v, %v (%v)", name, i, got, b.Next(), l.out, l.next, b.Check())
 			}
 		}
-		if last := script[len(script)-1].out; b.Ended() != (b.phase == gone) || slices.Equal(last, all(End)) && !b.Ended() {
+		if last := script[len(script)-1].out; b.Ended() != (b.phase == gone) || slices.Equal(last, all(Finish)) && !b.Ended() {
 			t.Errorf("%s: ended %v", name, b.Ended())
 		}
 	}
@@ -94,7 +94,7 @@
 const most = 3
 
 type proc struct {
-	book    Book
+	book    Machine
 	todo    [3]Action
 	n       int
 	up      bool // started, and neither ended nor killed
@@ -125,34 +125,34 @@
 	copy(p.todo[:], p.todo[1:])
 	p.n--
 	p.todo[p.n] = Action{}
-	switch a.Do {
-	case Try:
-		e := Event{Kind: Held}
+	switch a.Kind {
+	case TryLock:
+		e := Event{Kind: LockBusy}
 		if w.owner < 0 {
-			w.owner, e.Kind = int8(i), Had
+			w.owner, e.Kind = int8(i), LockAcquired
 		}
 		w.feed(i, now, e)
 	case Accept:
 		p.accepts, p.fills, p.open = true, true, open
-	case TellModule:
+	case NotifyModule:
 		if lucky {
 			p.fills = false
-			w.feed(i, now, Event{Kind: Told})
+			w.feed(i, now, Event{Kind: ModuleNotified})
 		} else {
-			w.feed(i, now, Event{Kind: Untold})
+			w.feed(i, now, Event{Kind: ModuleBusy})
 		}
-	case ShutDoor:
+	case CloseListener:
 		p.accepts = false
-		w.feed(i, now, Event{Kind: Shut})
-	case Release:
+		w.feed(i, now, Event{Kind: ListenerClosed})
+	case ReleaseLock:
 		if w.owner != int8(i) {
 			return fmt.Errorf("process %d lets go what it has not", i)
 		}
 		w.owner = -1
-	case Sweep:
+	case CloseIdle:
 		p.open = min(p.open, open)
-		w.feed(i, now, Event{Kind: Open, N: p.open})
-	case End:
+		w.feed(i, now, Event{Kind: ConnectionsCounted, OpenConnections: p.open})
+	case Finish:
 		if p.open > 0 && now < p.book.by {
 			return fmt.Errorf("empty: process %d ends with %d connections open before its time", i, p.open)
 		}
@@ -230,8 +230,8 @@
 				p := w.procs[i]
 				if !p.up {
 					if next := w; !p.was && (i == 0 || w.procs[i-1].was) {
-						next.procs[i] = proc{book: *New(Settings{Tell: 1}), up: true, was: true}
-						next.feed(i, now, Event{Kind: Begun})
+						next.procs[i] = proc{book: *New(Settings{WarnAfter: 1}), up: true, was: true}
+						next.feed(i, now, Event{Kind: Started})
 						add(next, nil)
 					}
 					continue
@@ -247,9 +247,9 @@
 						lucky bool
 						open  int
 					}{{true, 0}, {true, 1}, {false, 0}} {
-						next, known := w, w.procs[i].todo[0].Do
+						next, known := w, w.procs[i].todo[0].Kind
 						err := next.carry(i, now, out.lucky, out.open)
-						if known == End {
+						if known == Finish {
 							ended |= 1 << i
 						}
 						add(next, err)
@@ -258,12 +258,12 @@
 				}
 				if p.book.next != Never {
 					next = w
-					next.feed(i, now, Event{Kind: Tick})
+					next.feed(i, now, Event{Kind: TimerFired})
 					add(next, nil)
 				}
 				for _, by := range []time.Duration{now, 1} {
 					next = w
-					next.feed(i, now, Event{Kind: Term, By: by})
+					next.feed(i, now, Event{Kind: TermReceived, Deadline: by})
 					add(next, nil)
 				}
 			}
@@ -300,14 +300,14 @@
 			"start": func(t *rapid.T) {
 				if k := i(); !w.procs[k].up {
 					w.procs[k] = proc{book: *New(times), up: true}
-					w.feed(k, now, Event{Kind: Begun})
+					w.feed(k, now, Event{Kind: Started})
 				}
 			},
 			"kill": func(*rapid.T) { w.end(i()) },
 			"term": func(t *rapid.T) {
 				if k := i(); w.procs[k].up && w.procs[k].book.phase < telling {
 					termed[k] = now + time.Duration(rapid.IntRange(0, 60).Draw(t, "left"))*ms
-					w.feed(k, now, Event{Kind: Term, By: termed[k]})
+					w.feed(k, now, Event{Kind: TermReceived, Deadline: termed[k]})
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -321,7 +321,7 @@
 					}
 					for k := range w.procs {
 						if w.procs[k].up {
-							w.feed(k, now, Event{Kind: Tick})
+							w.feed(k, now, Event{Kind: TimerFired})
 						}
 					}
 					settle()
@@ -329,7 +329,7 @@
 						if p := &w.procs[k]; p.up && p.book.phase >= telling && now > termed[k] {
 							t.Fatalf("empty: process %d is up at %v, its time was %v", k, now, termed[k])
 						}
-						if p := &w.procs[k]; p.up && p.book.phase == waiting && w.owner < 0 && p.book.Next() > now+times.Try {
+						if p := &w.procs[k]; p.up && p.book.phase == waiting && w.owner < 0 && p.book.Next() > now+times.LockPollInterval {
 							t.Fatalf("next: process %d looks again at %v", k, p.book.Next())
 						}
 					}
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/ahead_interleave_test.go
@@ -22,10 +22,10 @@
 	fd := standingSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Req, time.Hour, 1)
+		n, drains, tries, all := meet(fd, a.Request, time.Hour, 1)
 		n.dialer.ConnsMost = 2
 		dials, dial := 0, n.dialer.dial
-		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			dials++
 			return dial(ctx, a, wait)
 		}
@@ -39,7 +39,7 @@
 					if s, _ := sync.Recv(told); s != policy.OK && s != policy.Abandoned {
 						il.Fail("ahead ended with %v", s)
 					}
-					if s, _ := sync.Recv(all); s != policy.OK && s != policy.NoConn {
+					if s, _ := sync.Recv(all); s != policy.OK && s != policy.ConnectFailed {
 						il.Fail("ended with %v", s)
 					}
 					n.Close()
@@ -57,7 +57,7 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "preconnect.go", Old: "	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {\n		sync.Go(func() { f(policy.Abandoned) })\n		return",
 			New: "	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {\n		return", Want: "deadlock"},
-		mutant.Mutant{File: "preconnect.go", Old: "	c.dialID = n.waiting.Opening(now)", New: "	if c.dialID = 0; f == nil {\n		c.dialID = n.waiting.Opening(now)\n	}",
+		mutant.Mutant{File: "preconnect.go", Old: "	c.dialID = n.waiting.ConnectStarted(now)", New: "	if c.dialID = 0; f == nil {\n		c.dialID = n.waiting.ConnectStarted(now)\n	}",
 			Want: "a second connection"},
 	)
 }
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -22,7 +22,7 @@
 }
 
 // aheadOf asks for a connection ahead and says what came of it.
-func aheadOf(t *testing.T, p core.Peer) policy.Status {
+func aheadOf(t *testing.T, p core.NodeClient) policy.Status {
 	t.Helper()
 	told := make(chan policy.Status, 2)
 	if !p.Connect(func(s policy.Status) { told <- s }) {
@@ -55,7 +55,7 @@
 		t.Run(fmt.Sprint(ports), func(t *testing.T) {
 			n, at, d := newNode(t, ports, nil)
 			p, other := d.Connect("n", at), d.Connect("n", at)
-			want := func(p core.Peer, want policy.Status, accepted int, open int64) {
+			want := func(p core.NodeClient, want policy.Status, accepted int, open int64) {
 				t.Helper()
 				if got := aheadOf(t, p); got != want {
 					t.Fatalf("ended as %v, want %v", got, want)
@@ -83,7 +83,7 @@
 					t.Fatal(err)
 				}
 			}
-			want(other, policy.NoConn, 1, 1)
+			want(other, policy.ConnectFailed, 1, 1)
 			p.Close()
 			other.Close()
 			until(func() bool { return d.open.Load() == 0 })
@@ -121,8 +121,8 @@
 	n := newStandin(t, say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	p := dialer().Connect("n", at(n.ln))
 	got := make(chan core.Result, 1)
-	p.Probe(func(r core.Result, _ time.Duration) { got <- r })
-	if r := <-got; r.Status != policy.Full {
+	p.CheckHealth(func(r core.Result, _ time.Duration) { got <- r })
+	if r := <-got; r.Status != policy.NodeFull {
 		t.Errorf("%v", r.Status)
 	}
 	p.Close()
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -55,7 +55,7 @@
 			<-got
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Send(core.NewAttempt(a.Req, time.Now().Add(time.Minute), func(r core.Result) { got <- r }))
+				p.Send(core.NewAttempt(a.Request, time.Now().Add(time.Minute), func(r core.Result) { got <- r }))
 				<-got
 			}
 		})
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -53,8 +53,8 @@
 }
 
 // nodesAt lists the front's one node at another place.
-func nodesAt(ln net.Listener) core.News {
-	return core.News{Kind: policy.ListFull, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}}
+func nodesAt(ln net.Listener) core.ListUpdate {
+	return core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}}
 }
 
 // put is a write of the given body: framed by its length or chunked, perhaps asking to be
--- a/internal/httpfront/bounds.go
+++ b/internal/httpfront/bounds.go
@@ -19,9 +19,9 @@
 
 // newBounds derives the bounds from a version of the settings.
 func newBounds(set *core.Settings) *bounds {
-	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MostUnits, shards: set.Shards, hosts: set.Hosts, patience: patience(set.Settings)}
+	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MaxUnits, shards: set.Shards, hosts: set.Schedulers, patience: patience(set.Settings)}
 	for _, k := range set.Classes {
-		b.keyed[k.Name] = k.Effect == policy.Keyed
+		b.keyed[k.Name] = k.Effect == policy.IdempotentByKey
 	}
 	return b
 }
@@ -35,7 +35,7 @@
 		return malformed("IO-Info: shard: there is none")
 	}
 	if b.hosts > 0 {
-		r.Hosts = min(r.Hosts, b.hosts)
+		r.Schedulers = min(r.Schedulers, b.hosts)
 	}
 	return nil
 }
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -27,8 +27,8 @@
 		t.Errorf("%v to write", w)
 	}
 	next := testModule()
-	next.MostUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Safe, 120e3
-	if err := f.srv.Core.Retune(next); err != nil {
+	next.MaxUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Idempotent, 120e3
+	if err := f.srv.Core.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	if r := f.send(t, good); r.StatusCode() != 400 {
--- a/internal/httpfront/byhand_test.go
+++ b/internal/httpfront/byhand_test.go
@@ -63,7 +63,7 @@
 	rd := bytes.NewReader(nil)
 	br := bufio.NewReader(rd)
 	a, _ := attempt(b, later())
-	made, out, w := a.Req.Payload.(*call), []byte(nil), bufio.NewWriter(io.Discard)
+	made, out, w := a.Request.Payload.(*call), []byte(nil), bufio.NewWriter(io.Discard)
 	var q fasthttp.Request
 	if err := q.Read(bufio.NewReader(strings.NewReader(good))); err != nil {
 		b.Fatal(err)
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -126,8 +126,8 @@
 		return nil, malformed("body: a read has none")
 	}
 	r.ID, r.Class, r.Plan, r.Key = string(id), string(class), string(tier), string(key)
-	r.Patience = time.Duration(patience) * time.Millisecond
-	r.Repeat = string(h.Peek("X-Retry")) == "1"
+	r.Timeout = time.Duration(patience) * time.Millisecond
+	r.ClientRetry = string(h.Peek("X-Retry")) == "1"
 	if err := decodeInfo(string(h.Peek("IO-Info")), &r.Request); err != nil {
 		return nil, err
 	}
@@ -182,8 +182,8 @@
 				err = errors.New("not a shard")
 			}
 		case "hosts":
-			r.Hosts, err = strconv.Atoi(v)
-			if err == nil && (r.Hosts < 1 || r.Hosts > 1e6) {
+			r.Schedulers, err = strconv.Atoi(v)
+			if err == nil && (r.Schedulers < 1 || r.Schedulers > 1e6) {
 				err = errors.New("not a number of hosts")
 			}
 		}
@@ -249,9 +249,9 @@
 func decodeReply(m *fasthttp.Response, rep *reply) core.Result {
 	h := &m.Header
 	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(h.Peek("X-Load")))}
-	r.Others, _ = figure(h.Peek("Other-Hosts"))
+	r.PeerUsage, _ = figure(h.Peek("Other-Hosts"))
 	if used, ok := figure(h.Peek("Volume-Load")); ok {
-		r.Used = used + 1
+		r.PlanUsage = used + 1
 	}
 	switch code := m.StatusCode(); {
 	case code == fasthttp.StatusOK:
@@ -259,9 +259,9 @@
 		r.Status, r.Payload = policy.OK, rep
 		return r
 	case turnedAway(m):
-		r.Status = policy.Full
+		r.Status = policy.NodeFull
 	case code >= 400 && code < 500 && code != fasthttp.StatusRequestTimeout && code != fasthttp.StatusTooManyRequests:
-		r.Status, r.Bad = policy.Abandoned, true
+		r.Status, r.InvalidRequest = policy.Abandoned, true
 	}
 	rep.Release()
 	return r
