--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -126,16 +126,16 @@
 		c.socket.Close()
 		c.capacity, err = capacityNone, errBadAnswer
 	case err == nil:
-	case why == address.Refused && ctx.Err() == nil:
+	case why == address.ReasonRefused && ctx.Err() == nil:
 		c.capacity = capacityNone
-	case why == address.TimedOut:
+	case why == address.ReasonTimedOut:
 		c.capacity = capacityDoubtful
 	}
 	return err
 }
 
 // connect dials the address; why classifies an error.
-func (c *conn) connect(ctx context.Context) (why address.Why, err error) {
+func (c *conn) connect(ctx context.Context) (why address.Reason, err error) {
 	d := c.node.dialer
 	dial := d.dial
 	if dial == nil {
@@ -171,13 +171,13 @@
 		return core.Result{Status: policy.Abandoned}, c.socket != nil
 	}
 	if err := c.ensureUp(j.ctx); err != nil {
-		return unsentResult(j.ctx, policy.NoConn), false
+		return unsentResult(j.ctx, policy.ConnectFailed), false
 	}
 	if !a.Claim() { // its request was answered meanwhile, or its time is over
 		return core.Result{Status: policy.Abandoned}, j.ctx.Err() == nil
 	}
 	if c.node.draining.Load() { // the node began to drain while it waited
-		return unsentResult(j.ctx, policy.NoConn), j.ctx.Err() == nil
+		return unsentResult(j.ctx, policy.ConnectFailed), j.ctx.Err() == nil
 	}
 	r, reuse, _ = c.exchange(j)
 	return r, reuse
@@ -188,18 +188,18 @@
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
 	if err := c.ensureUp(ctx); err != nil {
-		return core.Result{Status: policy.NoConn}, false
+		return core.Result{Status: policy.ConnectFailed}, false
 	}
 	unwatch := context.AfterFunc(ctx, func() { c.socket.Close() })
 	c.buffer = append(append(append(c.buffer[:0], "GET /stats HTTP/1.1\r\nHost: "...), c.host...), "\r\n\r\n"...)
 	if _, err := c.socket.Write(c.buffer); err != nil {
 		unwatch()
-		return core.Result{Status: policy.NoConn}, false
+		return core.Result{Status: policy.ConnectFailed}, false
 	}
 	defer c.response.Reset()
 	rep, clean, err := c.readAnswer(ctx)
 	if whole := unwatch(); err != nil || !whole {
-		return core.Result{Status: policy.Reset}, false
+		return core.Result{Status: policy.ConnectionReset}, false
 	}
 	rep.Release()
 	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(rep.body))}
@@ -207,7 +207,7 @@
 	case c.response.StatusCode() == fasthttp.StatusOK:
 		r.Status = policy.OK
 	case turnedAway(&c.response):
-		r.Status = policy.Full
+		r.Status = policy.NodeFull
 	}
 	return r, clean
 }
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -74,7 +74,7 @@
 func watchedDialer() (*Dialer, *looks) {
 	l := &looks{at: make(chan *heldStream, 1), goOn: make(chan struct{})}
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 		s, why, err := transport.Dial(ctx, a, wait)
 		if err != nil {
 			return nil, why, err
@@ -162,7 +162,7 @@
 	return attemptOf(t, strings.Replace(good, "9b1f03aa5c7e2d41", id, 1), later())
 }
 
-func servedAs(t *testing.T, p core.Peer, id string) {
+func servedAs(t *testing.T, p core.NodeClient, id string) {
 	t.Helper()
 	a, got := withID(t, id)
 	p.Send(a)
@@ -172,7 +172,7 @@
 }
 
 // endsClean checks that a peer, once closed, holds nothing more, and that an attempt ended once.
-func endsClean(t *testing.T, d *Dialer, p core.Peer, ends ...chan core.Result) {
+func endsClean(t *testing.T, d *Dialer, p core.NodeClient, ends ...chan core.Result) {
 	t.Helper()
 	p.Close()
 	waitFor(t, func() bool { return d.open.Load() == 0 })
@@ -184,7 +184,7 @@
 }
 
 // peersOf are the two ways to one node: by its one address, and by a book of them.
-func peersOf(d *Dialer, to []address.Addr) map[string]func() core.Peer {
+func peersOf(d *Dialer, to []address.Addr) map[string]func() core.NodeClient {
 	twice := func() []address.Addr { // an address that is not tried while the first is good
 		other, err := address.Parse("127.0.0.1:1")
 		if err != nil {
@@ -192,9 +192,9 @@
 		}
 		return append(to, other)
 	}
-	return map[string]func() core.Peer{
-		"one address": func() core.Peer { return d.Connect("n", to) },
-		"a book":      func() core.Peer { return d.Connect("n", twice()) },
+	return map[string]func() core.NodeClient{
+		"one address": func() core.NodeClient { return d.Connect("n", to) },
+		"a book":      func() core.NodeClient { return d.Connect("n", twice()) },
 	}
 }
 
@@ -243,12 +243,12 @@
 // never ran where it may not go on, and nothing of it is written.
 func TestKeptConnectionSpoiltAndThen(t *testing.T) {
 	for then, x := range map[string]struct {
-		do   func(p core.Peer, a *core.Attempt)
+		do   func(p core.NodeClient, a *core.Attempt)
 		want policy.Status
 	}{
-		"cancelled": {func(p core.Peer, a *core.Attempt) { p.Cancel(a) }, policy.Cancelled},
-		"drained":   {func(p core.Peer, a *core.Attempt) { p.Drain(true) }, policy.NoConn},
-		"left":      {func(p core.Peer, a *core.Attempt) { p.Drain(true); p.Close() }, policy.NoConn},
+		"cancelled": {func(p core.NodeClient, a *core.Attempt) { p.Cancel(a) }, policy.Cancelled},
+		"drained":   {func(p core.NodeClient, a *core.Attempt) { p.Drain(true) }, policy.ConnectFailed},
+		"left":      {func(p core.NodeClient, a *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
 	} {
 		for way := range peersOf(nil, nil) {
 			t.Run(then+"/"+way, func(t *testing.T) {
@@ -292,7 +292,7 @@
 			h := <-l.at
 			s.speak(answerOf("first"))
 			arrived(t, h)
-			p.Readdress(next)
+			p.SetAddresses(next)
 			close(l.goOn)
 			if r := <-got; r.Status != policy.OK || string(r.Payload.(*reply).body) != "second" || s.times("second") != 1 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
@@ -318,7 +318,7 @@
 			p.Send(a)
 			h := <-l.at
 			// The actor reads it next when it has taken the attempt back.
-			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
 				<-goOn
 				return dial(context.Background(), to, wait)
@@ -360,7 +360,7 @@
 			<-l.at
 			p.Drain(true)
 			close(l.goOn)
-			if r := <-got; r.Status != policy.NoConn || s.times("second") != 0 {
+			if r := <-got; r.Status != policy.ConnectFailed || s.times("second") != 0 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
 			}
 			p.Drain(false)
@@ -370,7 +370,7 @@
 			p.Drain(true) // in a row
 			b, got := withID(t, "fourth")
 			p.Send(b)
-			if r := <-got; r.Status != policy.NoConn || s.times("fourth") != 0 {
+			if r := <-got; r.Status != policy.ConnectFailed || s.times("fourth") != 0 {
 				t.Errorf("drains again: ended as %+v, came %d times", r, s.times("fourth"))
 			}
 			endsClean(t, d, p, got)
@@ -387,7 +387,7 @@
 			d, l := watchedDialer()
 			d.ConnectTimeout = time.Hour // what ends does so for the drain
 			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
-			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
 				<-goOn // comes up late, whoever has given it up
 				return dial(context.Background(), a, wait)
@@ -404,7 +404,7 @@
 			for _, got := range ends {
 				select {
 				case r := <-got:
-					if r.Status != policy.NoConn {
+					if r.Status != policy.ConnectFailed {
 						t.Errorf("ended as %+v", r)
 					}
 				case <-time.After(10 * time.Second): // only what the drain does not end meets it
@@ -427,7 +427,7 @@
 func longWrite(t *testing.T) (*core.Attempt, chan core.Result, int) {
 	const size = 32 << 20
 	a, got := attempt(t, time.Now().Add(8*time.Second))
-	c := a.Req.Payload.(*call)
+	c := a.Request.Payload.(*call)
 	c.body = make([]byte, size)
 	return a, got, size
 }
@@ -483,7 +483,7 @@
 	for name, x := range map[string]struct {
 		whole bool
 		want  policy.Status
-	}{"a part": {false, policy.NoConn}, "the whole": {true, policy.Reset}} {
+	}{"a part": {false, policy.ConnectFailed}, "the whole": {true, policy.ConnectionReset}} {
 		t.Run(name, func(t *testing.T) {
 			to, accepted := slowReader(t)
 			d := dialer()
@@ -532,20 +532,20 @@
 		want  policy.Status
 		again bool
 	}{
-		"no length, stays open":     {edit("Content-Length: 3\r\n", ""), stays, policy.Reset, false},
-		"no length, its end":        {edit("Content-Length: 3\r\n", ""), ends, policy.Reset, false},
-		"no length, a reset":        {edit("Content-Length: 3\r\n", ""), resets, policy.Reset, false},
-		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, policy.Reset, false},
-		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.Reset, false},
+		"no length, stays open":     {edit("Content-Length: 3\r\n", ""), stays, policy.ConnectionReset, false},
+		"no length, its end":        {edit("Content-Length: 3\r\n", ""), ends, policy.ConnectionReset, false},
+		"no length, a reset":        {edit("Content-Length: 3\r\n", ""), resets, policy.ConnectionReset, false},
+		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, policy.ConnectionReset, false},
+		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
 		"close and a length":        {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
-		"half a head, a reset":      {fine[:40], resets, policy.Reset, false},
-		"half a body, a reset":      {fine[:len(fine)-1], resets, policy.Reset, false},
+		"half a head, a reset":      {fine[:40], resets, policy.ConnectionReset, false},
+		"half a body, a reset":      {fine[:len(fine)-1], resets, policy.ConnectionReset, false},
 		"chunks and trailers":       {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
-		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, policy.Reset, false},
+		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
 		"chunks, then garbage":      {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
 		"chunks, then an answer":    {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
 		"more than its length":      {fine + "d", stays, policy.OK, false},
-		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.Reset, false},
+		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.ConnectionReset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newStandin(t, func(nc net.Conn) bool {
@@ -593,7 +593,7 @@
 		d := dialer()
 		var mu sync.Mutex
 		var list []int
-		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			s, why, err := transport.Dial(ctx, a, wait)
 			return sizes{s, &mu, &list}, why, err
 		}
@@ -627,19 +627,19 @@
 			d, _ := watchedDialer()
 			d.ConnectTimeout = time.Hour
 			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
-			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				if to != old[0] {
 					return dial(ctx, to, wait)
 				}
 				begun <- true
 				<-goOn
-				return nil, address.Refused, syscall.ECONNREFUSED
+				return nil, address.ReasonRefused, syscall.ECONNREFUSED
 			}
 			p := peersOf(d, old)[way]()
 			a, got := withID(t, "first")
 			p.Send(a)
 			<-begun
-			p.Readdress(next)
+			p.SetAddresses(next)
 			close(goOn)
 			if r := <-got; r.Status != policy.OK || s.times("first") != 1 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("first"))
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -33,7 +33,7 @@
 		told := make(chan int, 2)
 		d := dialer()
 		d.Wait = time.Hour // the second waits for the connection of the first
-		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) {
+		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
 			time.Sleep(late)
 			ours, theirs := net.Pipe()
 			go func() {
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -27,13 +27,13 @@
 	Log            logrus.FieldLogger // nil: no log
 	open           atomic.Int64       // connections that are open or being opened
 	idle           idleSet
-	dial           func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) // nil: transport.Dial
+	dial           func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) // nil: transport.Dial
 }
 
 // Connect starts the actor of one storage node.
-func (d *Dialer) Connect(name string, addresses []address.Addr) core.Peer {
+func (d *Dialer) Connect(name string, addresses []address.Addr) core.NodeClient {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](nodeMailboxSize), busy: map[*core.Attempt]*conn{},
-		waiting: connqueue.New[*core.Attempt](connqueue.Settings{Wait: d.Wait, Patience: d.ConnectTimeout}),
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.Wait, ConnectTimeout: d.ConnectTimeout}),
 		started: time.Now()}
 	n.setAddresses(addresses)
 	go n.run()
@@ -46,5 +46,5 @@
 		return d.Safe[r.Class]
 	}
 	k, ok := r.Settings.Class(r.Class)
-	return ok && k.Effect == policy.Safe
+	return ok && k.Effect == policy.Idempotent
 }
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -79,21 +79,21 @@
 type quietSocket struct{ fd int }
 
 // dial comes up, fails, or hangs until it is given up.
-func (w *world) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+func (w *world) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 	n := w.nodes[a]
 	draw, wait := w.draw(), w.within(20*time.Millisecond)
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
 	if n.silent() || draw < w.faults/4 { // never comes up
 		<-ctx.Done()
-		return nil, address.TimedOut, ctx.Err()
+		return nil, address.ReasonTimedOut, ctx.Err()
 	}
 	if w.upTo(4) == 0 { // comes up late
 		wait = w.within(240 * time.Millisecond)
 	}
 	time.Sleep(wait)
 	if ctx.Err() != nil || draw < w.faults/2 {
-		return nil, address.Refused, errors.New("refused")
+		return nil, address.ReasonRefused, errors.New("refused")
 	}
 	ours, theirs := net.Pipe()
 	go n.serve(theirs)
@@ -145,21 +145,23 @@
 
 // crammed is a node actor whose mailbox is full now and then.
 type crammed struct {
-	core.Peer
+	core.NodeClient
 	w *world
 }
 
-func (c crammed) Send(a *core.Attempt) bool { return c.w.draw() > c.w.faults/10 && c.Peer.Send(a) }
+func (c crammed) Send(a *core.Attempt) bool {
+	return c.w.draw() > c.w.faults/10 && c.NodeClient.Send(a)
+}
 
 func endsSettings(w *world) policy.Settings {
-	return policy.Settings{Hosts: 3, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxHoldOff: 1000,
-		HoldOff: true, MayCancel: w.upTo(2) == 0, SecondCopies: w.upTo(2) == 0, DrainGrace: 250, AskWithin: 10000,
-		ColdFrom: 0.24, ColdSpan: 17000, TipMultiple: 3, TipSpan: 3000, Shards: 5,
-		Classes: []policy.Class{{Name: "safe", Aim: 200, Deadline: 1500, Worth: 3, LateWorth: 0.1},
-			{Name: "keyed", Aim: 300, Deadline: 2000, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500},
-			{Name: "once", Aim: 300, Deadline: 4000, Worth: 2, Effect: policy.Unsafe}},
-		Plans: []policy.Plan{{Name: "open", Rate: 60, Reserve: 60, Weight: 1, Price: 1},
-			{Name: "capped", Rate: 20, Reserve: 10, Weight: 1, Price: 1, Limit: 40, LimitBurst: 60}}}
+	return policy.Settings{Schedulers: 3, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxRetryAfter: 1000,
+		SendsRetryAfter: true, MayCancel: w.upTo(2) == 0, MayHedge: w.upTo(2) == 0, DrainGrace: 250, PollWithin: 10000,
+		SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: 5,
+		Classes: []policy.Class{{Name: "safe", LatencyObjective: 200, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
+			{Name: "keyed", LatencyObjective: 300, Deadline: 2000, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500},
+			{Name: "once", LatencyObjective: 300, Deadline: 4000, PriorityWeight: 2, Effect: policy.NonIdempotent}},
+		Plans: []policy.Plan{{Name: "open", Rate: 60, ReservedRate: 60, Weight: 1, Price: 1},
+			{Name: "capped", Rate: 20, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 40, LimitBurst: 60}}}
 }
 
 // ending is what became of one request.
@@ -179,7 +181,7 @@
 	quiet = pair
 	defer syscall.Close(pair[0])
 	defer syscall.Close(pair[1])
-	kinds := map[core.Kind]int{}
+	kinds := map[core.AnswerKind]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		faults := rapid.Float64Range(0.2, 1).Draw(rt, "faults")
@@ -189,21 +191,21 @@
 			w.play(kinds)
 		})
 	})
-	for _, k := range []core.Kind{core.Served, core.Refused, core.Failed} {
+	for _, k := range []core.AnswerKind{core.Served, core.Rejected, core.Failed} {
 		if kinds[k] == 0 {
 			t.Errorf("no request ended as %v: the world shows nothing of that", k)
 		}
 	}
 }
 
-func (w *world) play(kinds map[core.Kind]int) {
+func (w *world) play(kinds map[core.AnswerKind]int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: int64(4 + w.upTo(20)),
 		Wait: w.within(30 * time.Millisecond), dial: w.dial}
 	set := endsSettings(w)
 	co, err := core.New(core.Options{Settings: set, Seed: int64(w.upTo(1 << 30)), Log: log,
-		Connect: func(name string, to []address.Addr) core.Peer { return crammed{d.Connect(name, to), w} }})
+		Connect: func(name string, to []address.Addr) core.NodeClient { return crammed{d.Connect(name, to), w} }})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -214,7 +216,7 @@
 		list = append(list, n)
 		w.nodes[a] = &worldNode{w: w, silence: w.within(8 * time.Second)}
 	}
-	co.List(core.News{Kind: policy.ListStale, Nodes: list})
+	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
 	var all []*ending
 	for i := range 300 {
 		time.Sleep(w.within(30 * time.Millisecond))
@@ -222,18 +224,18 @@
 		case 0: // a change of the list, or word that there is none
 			n := list[w.upTo(len(list))]
 			n.State = policy.NodeState(w.upTo(3))
-			co.List(core.News{Kind: policy.ListChange, Nodes: []core.Node{n}})
+			co.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
 		case 1:
-			co.List(core.News{Kind: policy.ListFull, Nodes: list[w.upTo(3):]})
+			co.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.upTo(3):]})
 		case 2:
-			co.List(core.News{Kind: policy.ListFailed})
+			co.List(core.ListUpdate{Kind: policy.ListFailed})
 		}
 		c := set.Classes[w.upTo(len(set.Classes))]
 		id := fmt.Sprintf("%016x", i)
 		e := &ending{answered: make(chan core.Answer, 2)}
 		e.r = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.upTo(2)].Name, Key: id,
-			Volume: fmt.Sprint("v", w.upTo(5)), Units: float64(1 + w.upTo(6)), Shard: w.upTo(set.Shards+1) - 1, Hosts: 1},
-			Arrived: time.Now(), Patience: w.within(time.Duration(c.Deadline) * time.Millisecond),
+			Volume: fmt.Sprint("v", w.upTo(5)), Units: float64(1 + w.upTo(6)), Shard: w.upTo(set.Shards+1) - 1, Schedulers: 1},
+			ReceivedAt: time.Now(), Timeout: w.within(time.Duration(c.Deadline) * time.Millisecond),
 			Payload: &call{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
 			Answer: func(a core.Answer) {
 				if late := time.Since(e.by); late > 0 {
@@ -242,7 +244,7 @@
 				w.over.Store(id, time.Now())
 				e.answered <- a
 			}}
-		e.by = e.r.Arrived.Add(e.r.Patience)
+		e.by = e.r.ReceivedAt.Add(e.r.Timeout)
 		all = append(all, e)
 		co.Submit(e.r)
 		if old := all[w.upTo(len(all))]; w.upTo(12) == 0 && len(old.answered) == 0 && !old.departed {
@@ -266,10 +268,10 @@
 			}
 		}
 	}
-	if left := co.Tables(); left != (core.Tables{}) {
+	if left := co.Tables(); left != (core.TableSizes{}) {
 		w.t.Errorf("left behind: %+v", left)
 	}
-	co.List(core.News{Kind: policy.ListFull})
+	co.List(core.ListUpdate{Kind: policy.ListReceived})
 	time.Sleep(time.Minute) // all nodes have left: what they hold closes
 	if open := d.open.Load(); open != 0 || d.idle.list.Len() != 0 {
 		w.t.Errorf("%d connections are counted as open, %d as idle", open, d.idle.list.Len())
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -41,7 +41,7 @@
 	}
 	r = decodeReply(&c.response, rep)
 	switch {
-	case first && r.Status == policy.Full && !clean: // the node rejected the request and closes the connection
+	case first && r.Status == policy.NodeFull && !clean: // the node rejected the request and closes the connection
 		c.capacity = capacityNone
 	case first:
 		c.capacity = capacityFree
@@ -57,7 +57,7 @@
 
 // writeAttempt encodes and writes an attempt's message.
 func (c *conn) writeAttempt(a *core.Attempt) error {
-	made := a.Req.Payload.(*call)
+	made := a.Request.Payload.(*call)
 	c.buffer = made.encodeHead(c.buffer[:0], c.host, time.Until(a.Deadline))
 	rest := made.body
 	if len(rest) <= bodyMost { // copying a longer one would take part of the time that the message says is left
@@ -75,7 +75,7 @@
 	if first && j.ctx.Err() == nil {
 		c.capacity = capacityDoubtful
 	}
-	return unsentResult(j.ctx, policy.NoConn)
+	return unsentResult(j.ctx, policy.ConnectFailed)
 }
 
 // unanswered is the result of an attempt that was written and has no whole answer: it may have run.
@@ -89,7 +89,7 @@
 	if first && !c.timed.inAnswer { // closed without an answer, perhaps for lack of capacity
 		c.capacity = capacityDoubtful
 	}
-	return core.Result{Status: policy.Reset}
+	return core.Result{Status: policy.ConnectionReset}
 }
 
 // write writes the buffer and then rest; an error says that the last byte was not written. A node recognises a repeat
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -51,7 +51,7 @@
 	c.head = append(append(c.head, "\r\nIO-Info: volume="...), part.Volume...)
 	c.head = strconv.AppendFloat(append(c.head, ",units="...), part.Units, 'g', -1, 64)
 	c.head = strconv.AppendInt(append(c.head, ",shard="...), int64(part.Shard), 10)
-	c.head = strconv.AppendInt(append(c.head, ",hosts="...), int64(part.Hosts), 10)
+	c.head = strconv.AppendInt(append(c.head, ",hosts="...), int64(part.Schedulers), 10)
 	c.head = strconv.AppendInt(append(c.head, "\r\n"+hdrRows+": "...), int64(rows), 10)
 	return c
 }
@@ -128,10 +128,10 @@
 	}
 	conn := ctx.Conn().(*transport.Conn)
 	run, leave := context.WithCancel(context.Background())
-	g := &gathering{conn: conn, leave: leave, head: &ctx.Response.Header, late: r.Arrived.Add(r.Patience + writeMargin),
+	g := &gathering{conn: conn, leave: leave, head: &ctx.Response.Header, late: r.ReceivedAt.Add(r.Timeout + writeMargin),
 		pieces: make(chan []byte), took: make(chan struct{}, 1), gone: make(chan struct{}), ended: make(chan scattergather.Final, 1), over: make(chan struct{})}
 	g.left = conn.Watch()
-	r.Gone = g.off
+	r.ClientDisconnected = g.off
 	go func() {
 		defer close(g.over)
 		g.ended <- svc.Read(run, r, q, g.write)
--- a/internal/httpfront/gathered_peer.go
+++ b/internal/httpfront/gathered_peer.go
@@ -24,6 +24,6 @@
 	info := append([]byte("volume="), client.Volume...)
 	info = strconv.AppendFloat(append(info, ",units="...), client.Units, 'g', -1, 64)
 	info = strconv.AppendInt(append(info, ",shard="...), int64(client.Shard), 10)
-	info = strconv.AppendInt(append(info, ",hosts="...), int64(client.Hosts), 10)
+	info = strconv.AppendInt(append(info, ",hosts="...), int64(client.Schedulers), 10)
 	to.Header.SetBytesV("IO-Info", info)
 }
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -50,8 +50,8 @@
 	w := &spread{t: t, rows: &rows, served: make(chan error, 1)}
 	set := testModule()
 	set.MaxAttempts, set.DrainGrace = 3, 250
-	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, Reserve: 10, Weight: 1, Price: 1, Limit: 10, LimitBurst: 8})
-	set.Classes = append(set.Classes, policy.Class{Name: "once", Aim: 30e3, Deadline: 60e3, Worth: 3, Effect: policy.Unsafe})
+	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
+	set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3, Effect: policy.NonIdempotent})
 	for i := range gatherShards {
 		n := storage.New(storage.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
 		a, err := n.Listen("127.0.0.1:0")
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.core.Stop)
-	w.core.List(core.News{Kind: policy.ListStale, Nodes: w.listed})
+	w.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: w.listed})
 	merge, err := gather.ParseRules([]byte(rules))
 	if err != nil {
 		t.Fatal(err)
@@ -418,7 +418,7 @@
 	}
 	ran := func(i int) int { return w.nodes[i].Counts().Requests }
 	w.listed[1].State = policy.NodeDraining
-	w.core.List(core.News{Kind: policy.ListChange, Nodes: w.listed[1:2]})
+	w.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.listed[1:2]})
 	if _, err := w.core.Exclude("n2"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -91,7 +91,7 @@
 	l := &lately{t: t, network: network, dials: newBarrier(), writes: newBarrier(), quiets: newBarrier()}
 	closed := make(chan struct{}, 64)
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		l.dials.pass()
 		nc, why, err := transport.Dial(ctx, a, within)
 		if err != nil {
@@ -254,7 +254,7 @@
 		for _, heard := range []bool{false, true} {
 			l, _ := newLately(t, network)
 			list := func(state policy.NodeState) {
-				l.srv.Core.List(core.News{Kind: policy.ListChange, Nodes: []core.Node{{
+				l.srv.Core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{
 					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
 			}
 			list(policy.NodeDraining)
@@ -302,7 +302,7 @@
 					nc.Close()
 					allGone(t, l.srv)
 					l.onlyNext(0)
-					if n := l.srv.Core.Counts().Read().BadGateway["new-record"]; n != 0 {
+					if n := l.srv.Core.Counts().Read().Failed["new-record"]; n != 0 {
 						t.Errorf("the core counted %d requests", n)
 					}
 				})
@@ -339,7 +339,7 @@
 func TestGoneFromAGatheredRead(t *testing.T) {
 	dials := newBarrier()
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		dials.pass()
 		return transport.Dial(ctx, a, within)
 	}
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -123,7 +123,7 @@
 
 func later() time.Time { return time.Now().Add(time.Minute) }
 
-func try(t *testing.T, p core.Peer) core.Result {
+func try(t *testing.T, p core.NodeClient) core.Result {
 	t.Helper()
 	a, got := attempt(t, later())
 	if !p.Send(a) {
@@ -139,14 +139,14 @@
 	}{
 		"served":           {say(fine), policy.OK},
 		"error":            {say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"full":             {say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
-		"over":             {say("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.Full},
+		"full":             {say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
+		"over":             {say("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
 		"bad request":      {say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
 		"too many":         {say("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
 		"503 may have run": {say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"cut":              {func(net.Conn) bool { return false }, policy.Reset},
-		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, fine[:len(fine)-1]); return false }, policy.Reset},
-		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.Reset},
+		"cut":              {func(net.Conn) bool { return false }, policy.ConnectionReset},
+		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, fine[:len(fine)-1]); return false }, policy.ConnectionReset},
+		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
 	} {
 		n := newStandin(t, x.do)
 		p := dialer().Connect("n", at(n.ln))
@@ -154,7 +154,7 @@
 		if r.Status != x.want || n.requests.Load() != 1 {
 			t.Errorf("%s: status %d, want %d; %d requests came", name, r.Status, x.want, n.requests.Load())
 		}
-		if r.Status == policy.OK && (r.Used != 86 || r.Others != 4 || string(r.Payload.(*reply).body) != "abc") {
+		if r.Status == policy.OK && (r.PlanUsage != 86 || r.PeerUsage != 4 || string(r.Payload.(*reply).body) != "abc") {
 			t.Errorf("%s: %+v", name, r)
 		}
 		p.Close()
@@ -169,7 +169,7 @@
 	for cut := len(head); cut <= len(whole); cut++ {
 		n := newStandin(t, func(nc net.Conn) bool { io.WriteString(nc, whole[:cut]); return false })
 		p := dialer().Connect("n", at(n.ln))
-		want := policy.Reset
+		want := policy.ConnectionReset
 		if cut == len(whole) {
 			want = policy.OK
 		}
@@ -195,21 +195,21 @@
 		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(fine), policy.OK, true},
 		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + fine, policy.OK, true},
 		{fine + fine, policy.OK, false}, {fine + "\x00noise", policy.OK, false},
-		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + fine, policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 9"), policy.Reset, false}, // the rest never comes
-		{fine[:60], policy.Reset, false}, // nor does the end of the head
-		{edit("Content-Length: 3\r\n", ""), policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: +3"), policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length : 3"), policy.Reset, false},
-		{edit("Content-Length: 3", "Content-Length: 3221225472"), policy.Reset, false},
-		{edit("Content-Length: 3", "Transfer-Encoding: chunked"), policy.Reset, false},
-		{edit("HTTP/1.1 200 OK", "HTTP/1.1 2x0 OK"), policy.Reset, false}, {edit("HTTP/1.1", "HTTP/7.1"), policy.Reset, false},
-		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), policy.Reset, false}, {"noise" + fine, policy.Reset, false},
-		{edit("Volume-Load: 85", "what"), policy.Reset, false},
-		{edit("Volume-Load: 85", "X: "+strings.Repeat("x", 2*readBufferSize)), policy.Reset, false},
-		{edit("200 OK", "101 Switching Protocols"), policy.Reset, false},
+		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + fine, policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length: 9"), policy.ConnectionReset, false}, // the rest never comes
+		{fine[:60], policy.ConnectionReset, false},                                      // nor does the end of the head
+		{edit("Content-Length: 3\r\n", ""), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length: +3"), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length : 3"), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Content-Length: 3221225472"), policy.ConnectionReset, false},
+		{edit("Content-Length: 3", "Transfer-Encoding: chunked"), policy.ConnectionReset, false},
+		{edit("HTTP/1.1 200 OK", "HTTP/1.1 2x0 OK"), policy.ConnectionReset, false}, {edit("HTTP/1.1", "HTTP/7.1"), policy.ConnectionReset, false},
+		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), policy.ConnectionReset, false}, {"noise" + fine, policy.ConnectionReset, false},
+		{edit("Volume-Load: 85", "what"), policy.ConnectionReset, false},
+		{edit("Volume-Load: 85", "X: "+strings.Repeat("x", 2*readBufferSize)), policy.ConnectionReset, false},
+		{edit("200 OK", "101 Switching Protocols"), policy.ConnectionReset, false},
 	} {
 		n := newStandin(t, say(x.text))
 		p := dialer().Connect("n", at(n.ln))
@@ -292,7 +292,7 @@
 		var m fasthttp.Response
 		m.Header.Set("Volume-Load", x.used)
 		m.Header.Set("X-Load", x.load)
-		if r := decodeReply(&m, &reply{}); r.Used != x.want || (r.Load != nil) != x.report {
+		if r := decodeReply(&m, &reply{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
 			t.Errorf("%+v: %+v", x, r)
 		}
 	}
@@ -324,7 +324,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if r := try(t, dialer().Connect("n", at(ln))); r.Status != policy.NoConn {
+	if r := try(t, dialer().Connect("n", at(ln))); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -334,7 +334,7 @@
 	n := newStandin(t, say(fine))
 	p := dialer().Connect("n", at(n.ln))
 	p.Drain(true)
-	if r := try(t, p); r.Status != policy.NoConn || n.requests.Load() != 0 {
+	if r := try(t, p); r.Status != policy.ConnectFailed || n.requests.Load() != 0 {
 		t.Errorf("status %d, %d came", r.Status, n.requests.Load())
 	}
 	p.Drain(false)
@@ -363,7 +363,7 @@
 	}
 	a, got = attempt(t, time.Now().Add(200*time.Millisecond))
 	p.Send(a)
-	if r := <-got; r.Status != policy.TimedOut && r.Status != policy.NoConn {
+	if r := <-got; r.Status != policy.TimedOut && r.Status != policy.ConnectFailed {
 		t.Errorf("timed out: %+v", r)
 	}
 	a, got = attempt(t, time.Now().Add(-time.Second))
@@ -382,7 +382,7 @@
 	p := d.Connect("n", at(n.ln))
 	a, got := attempt(t, later())
 	p.Send(a)
-	if r := try(t, p); r.Status != policy.NoConn {
+	if r := try(t, p); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
 	close(hold)
@@ -402,10 +402,10 @@
 
 // testModule are settings with long times: no test may pass because somebody's ran out.
 func testModule() policy.Settings {
-	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
-		Classes: []policy.Class{{Name: "balance-read", Aim: 30e3, Deadline: 60e3, Worth: 3},
-			{Name: "new-record", Aim: 30e3, Deadline: 60e3, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 2500}},
-		Plans: []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}
+	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
+		Classes: []policy.Class{{Name: "balance-read", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3},
+			{Name: "new-record", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1}}}
 }
 
 func newFront(t *testing.T, do script) *front {
@@ -426,7 +426,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
+	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
 	f := &front{standin: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
 	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
@@ -703,7 +703,7 @@
 		if m.Read(bufio.NewReader(bytes.NewReader(text))) == nil {
 			if r, err := decode(&m, &allKeyed); err == nil {
 				whole = r.Payload.(*call)
-				if !(r.Units > 0) || r.Hosts < 1 || r.Shard < -1 || r.Patience <= 0 || !hex16([]byte(r.Volume)) {
+				if !(r.Units > 0) || r.Schedulers < 1 || r.Shard < -1 || r.Timeout <= 0 || !hex16([]byte(r.Volume)) {
 					rt.Fatalf("taken: %+v", r.Request)
 				}
 				var back fasthttp.Request
@@ -741,7 +741,7 @@
 			t.Fatalf("%s: %d entries, %v", name, len(rec.Entries), err)
 		}
 		for _, e := range rec.Entries {
-			e.Request.Plan, e.Request.Shard, e.Request.Patience = "basic", 0, time.Minute
+			e.Request.Plan, e.Request.Shard, e.Request.Timeout = "basic", 0, time.Minute
 			if r := f.send(t, string(e.HTTP(nil, name+e.Request.ID))); r.StatusCode() != 200 {
 				t.Errorf("%s: line %d: %d %q", name, e.Line, r.StatusCode(), r.Body())
 			}
@@ -790,7 +790,7 @@
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	_, drained := start()
 	p.Drain(true)
-	if r := <-drained; r.Status != policy.NoConn {
+	if r := <-drained; r.Status != policy.ConnectFailed {
 		t.Errorf("waiting while the node began to drain: %+v", r)
 	}
 	open <- true
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -16,7 +16,7 @@
 	n := newStandin(t, say(fine))
 	d := dialer()
 	d.ConnsMost = 3
-	var peers []core.Peer
+	var peers []core.NodeClient
 	for i := range 9 {
 		peers = append(peers, d.Connect(fmt.Sprint("n", i), at(n.ln)))
 	}
@@ -54,7 +54,7 @@
 	for n.requests.Load() == 0 {
 		runtime.Gosched()
 	}
-	if r := try(t, other); r.Status != policy.NoConn {
+	if r := try(t, other); r.Status != policy.ConnectFailed {
 		t.Fatalf("%v", r.Status)
 	}
 	one.Cancel(a)
@@ -75,7 +75,7 @@
 		return m.HeapAlloc + m.StackInuse
 	}
 	before := held()
-	var peers []core.Peer
+	var peers []core.NodeClient
 	for i := range nodes {
 		peers = append(peers, d.Connect(fmt.Sprint("n", i), at(n.ln)))
 	}
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -42,9 +42,9 @@
 	draining  atomic.Bool
 	idle      []*conn // in the order in which they became idle
 	busy      map[*core.Attempt]*conn
-	waiting   *connqueue.Pool[*core.Attempt] // attempts that wait for a connection
-	scarcity  connqueue.Scarcity             // whether the node refuses connections for lack of capacity
-	started   time.Time                      // origin of the times given to waiting and scarcity
+	waiting   *connqueue.Queue[*core.Attempt] // attempts that wait for a connection
+	scarcity  connqueue.IdleLimiter           // whether the node refuses connections for lack of capacity
+	started   time.Time                       // origin of the times given to waiting and scarcity
 	connCount int
 	closing   bool
 }
@@ -55,8 +55,8 @@
 // Cancel implements core.Peer. It may exceed the mailbox's size, as there is at most one for each send.
 func (n *node) Cancel(a *core.Attempt) { n.mailbox.Must(nodeMessage{cancel: a}) }
 
-// Probe implements core.Peer.
-func (n *node) Probe(f func(core.Result, time.Duration)) bool {
+// CheckHealth implements core.Peer.
+func (n *node) CheckHealth(f func(core.Result, time.Duration)) bool {
 	return n.mailbox.Put(nodeMessage{probe: f})
 }
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// Readdress implements core.Peer.
-func (n *node) Readdress(addresses []address.Addr) {
+// SetAddresses implements core.Peer.
+func (n *node) SetAddresses(addresses []address.Addr) {
 	n.mailbox.Must(nodeMessage{path: &pathMessage{addresses: addresses}})
 }
 
@@ -102,7 +102,7 @@
 			n.serveWaiting()
 			n.closeExpiredIdle()
 		case <-wake:
-			n.paths.book.Step(address.Event{Kind: address.Tick})
+			n.paths.book.Step(address.Event{Kind: address.TimerFired})
 		}
 		if n.paths != nil {
 			wake = n.paths.settle()
@@ -171,7 +171,7 @@
 func (n *node) probe(f func(core.Result, time.Duration)) {
 	c := n.connForProbe()
 	if c == nil {
-		go f(core.Result{Status: policy.NoConn}, 0)
+		go f(core.Result{Status: policy.ConnectFailed}, 0)
 		return
 	}
 	c.jobs <- job{probe: f}
@@ -187,7 +187,7 @@
 		n.assign(a, c)
 		return
 	}
-	n.waiting.Want(time.Since(n.started), a) // serveWaiting opens a connection where it has to
+	n.waiting.Enqueue(time.Since(n.started), a) // serveWaiting opens a connection where it has to
 }
 
 // resend sends an attempt by another connection, as nothing of it was written on c.
@@ -210,25 +210,25 @@
 // have waited too long. Where the node drains or has left, all of them end.
 func (n *node) serveWaiting() {
 	for n.draining.Load() || n.closing {
-		a, ok := n.waiting.Free()
+		a, ok := n.waiting.Pop()
 		if !ok {
 			return
 		}
-		sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
+		sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 	}
 	if n.waiting.Len() == 0 {
 		return
 	}
 	now := time.Since(n.started)
-	for a, ok := n.waiting.Over(now); ok; a, ok = n.waiting.Over(now) {
-		sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
+	for a, ok := n.waiting.PopExpired(now); ok; a, ok = n.waiting.PopExpired(now) {
+		sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 	}
-	for range n.waiting.Open(now, len(n.busy), n.slowDial()) {
+	for range n.waiting.ConnectsDue(now, len(n.busy), n.slowDial()) {
 		if n.openConn(now) {
 			continue
 		}
-		if a, ok := n.waiting.NoRoom(now, len(n.busy)); ok {
-			sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
+		if a, ok := n.waiting.DropLast(now, len(n.busy)); ok {
+			sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 		}
 	}
 }
@@ -248,8 +248,8 @@
 		n.closeAllIdle()
 		n.paths = newPaths(n)
 	}
-	n.paths.book.Step(address.Event{Kind: address.Listed, Addrs: list})
-	for a, ok := n.waiting.Free(); ok; a, ok = n.waiting.Free() { // the book decides on them too
+	n.paths.book.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
+	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the book decides on them too
 		n.paths.handle(nodeMessage{send: a})
 	}
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -92,7 +92,7 @@
 // actor is a node without its goroutine, with idle connections.
 func actor(d *Dialer, fd uintptr, name string, idle int) *node {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](8), busy: map[*core.Attempt]*conn{},
-		waiting: connqueue.New[*core.Attempt](connqueue.Settings{Wait: d.Wait, Patience: time.Hour}), started: time.Now()}
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.Wait, ConnectTimeout: time.Hour}), started: time.Now()}
 	for range idle {
 		c := &conn{node: n, jobs: make(chan job, 1)}
 		c.attach(&line{fd: fd})
@@ -198,7 +198,7 @@
 func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan policy.Status) {
 	d := &Dialer{ConnsMost: 1, ConnIdle: time.Hour, Wait: wait}
 	drains = new(bool)
-	d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
 		return &line{fd: fd, drains: drains}, 0, nil
 	}
 	n = actor(d, fd, "a", 0)
@@ -231,7 +231,7 @@
 	fd := standingSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Req, time.Hour, 2)
+		n, drains, tries, all := meet(fd, a.Request, time.Hour, 2)
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.loop},
@@ -240,7 +240,7 @@
 					n.Send(tries[1])
 					n.Cancel(tries[1])
 					for range tries {
-						if s, _ := sync.Recv(all); s != policy.OK && s != policy.NoConn && s != policy.Cancelled {
+						if s, _ := sync.Recv(all); s != policy.OK && s != policy.ConnectFailed && s != policy.Cancelled {
 							il.Fail("ended with %v", s)
 						}
 					}
@@ -263,7 +263,7 @@
 	fd := standingSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{}, func() il.World {
-		n, _, tries, all := meet(fd, a.Req, 0, 2)
+		n, _, tries, all := meet(fd, a.Request, 0, 2)
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.loop},
@@ -293,7 +293,7 @@
 	fd, loud := standingSocket(t), loudSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Req, 0, 1)
+		n, drains, tries, all := meet(fd, a.Request, 0, 1)
 		n.dialer.ConnsMost = 2
 		never := true
 		c := &conn{node: n, jobs: make(chan job, 1), used: true}
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -20,7 +20,7 @@
 
 // idleBounds is how many connections are kept idle, and for how long. Both are less where the node lacks capacity.
 func (n *node) idleBounds() (int, time.Duration) {
-	return n.scarcity.Keep(time.Since(n.started), maxNodeConns, time.Duration(idleShare*float64(n.dialer.ConnIdle)))
+	return n.scarcity.IdleBounds(time.Since(n.started), maxNodeConns, time.Duration(idleShare*float64(n.dialer.ConnIdle)))
 }
 
 // idleLimit is how long a connection is kept idle.
@@ -35,11 +35,11 @@
 	c.capacity = capacityUnknown
 	switch now := time.Since(n.started); {
 	case says == capacityNone:
-		n.scarcity.Refused(now)
+		n.scarcity.ConnectRejected(now)
 	case says == capacityDoubtful || says == capacityFree && c.slowDial:
-		n.scarcity.Late(now)
+		n.scarcity.ConnectLate(now)
 	case says == capacityFree:
-		n.scarcity.Timely(c.dialStarted)
+		n.scarcity.ConnectTimely(c.dialStarted)
 	}
 	n.closeSurplusIdle()
 }
@@ -121,7 +121,7 @@
 // makeAvailable assigns a free connection to the first waiting attempt; where none waits it becomes idle.
 func (n *node) makeAvailable(c *conn) {
 	for {
-		a, ok := n.waiting.Free()
+		a, ok := n.waiting.Pop()
 		switch {
 		case ok && a.Abandoned():
 			sync.Go(func() { a.Done(core.Result{Status: policy.Abandoned}) })
@@ -146,7 +146,7 @@
 	now := time.Since(n.started)
 	switch {
 	case c.address != n.address: // the address was replaced meanwhile: another connection is opened
-		n.waiting.Up(now, c.dialID)
+		n.waiting.ConnectSucceeded(now, c.dialID)
 		n.discount()
 		if !failed {
 			sync.Close(c.jobs)
@@ -154,11 +154,11 @@
 	case failed:
 		n.discount()
 		n.recordCapacity(c)
-		if a, ok := n.waiting.Failed(now, c.dialID, len(n.busy)); ok {
-			sync.Go(func() { a.Done(core.Result{Status: policy.NoConn}) })
+		if a, ok := n.waiting.ConnectFailed(now, c.dialID, len(n.busy)); ok {
+			sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 		}
 	default:
-		took := n.waiting.Up(now, c.dialID)
+		took := n.waiting.ConnectSucceeded(now, c.dialID)
 		n.dialer.usualDial.took(took)
 		c.slowDial = took > n.dialer.ConnectTimeout/2
 		if n.waiting.Len() == 0 && len(n.idle) > 0 {
@@ -172,7 +172,7 @@
 
 // slowDial is how long a dial may take before another is started beside it.
 func (n *node) slowDial() time.Duration {
-	return max(connqueue.LateLeast, connqueue.LateTimes*n.dialer.usualDial.best(), n.dialer.Wait)
+	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.usualDial.best(), n.dialer.Wait)
 }
 
 // takeIdle takes the last used idle connection that is still open; nil: there is none.
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -109,14 +109,14 @@
 			}()
 			set := testModule()
 			set.MaxAttempts = 4
-			set.Classes[1].Effect = policy.Unsafe
+			set.Classes[1].Effect = policy.NonIdempotent
 			log, _ := logtest.NewNullLogger()
 			c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Stop()
-			c.List(core.News{Kind: policy.ListFull, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
+			c.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
 			ask := func(id string) core.Answer {
 				var m fasthttp.Request
 				text := strings.Replace(good, "9b1f03aa5c7e2d41", id, 1)
@@ -128,7 +128,7 @@
 					t.Fatal(err)
 				}
 				got := make(chan core.Answer, 4)
-				r.Arrived, r.Answer = time.Now(), func(a core.Answer) { got <- a }
+				r.ReceivedAt, r.Answer = time.Now(), func(a core.Answer) { got <- a }
 				c.Submit(r)
 				return <-got
 			}
@@ -145,7 +145,7 @@
 			switch {
 			case l.runs["once"] > 1:
 				t.Error(said)
-			case a.Kind == core.Served && l.runs["once"] != 1, a.Kind == core.Refused:
+			case a.Kind == core.Served && l.runs["once"] != 1, a.Kind == core.Rejected:
 				t.Error(said)
 			case !x.perhaps && (a.Kind == core.Served) != x.served:
 				t.Error(said)
@@ -170,7 +170,7 @@
 	a, got := attempt(t, later())
 	a.StartBy = time.Now().Add(100 * time.Millisecond)
 	d := dialer()
-	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 		time.Sleep(time.Until(a.StartBy) + time.Millisecond)
 		return transport.Dial(ctx, to, wait)
 	}
@@ -185,7 +185,7 @@
 	if r := <-got; r.Status != policy.OK {
 		t.Errorf("the next one ended as %v", r.Status)
 	}
-	if n := l.run(a.Req.ID) - 1; n != 1 {
+	if n := l.run(a.Request.ID) - 1; n != 1 {
 		t.Errorf("%d ran, want the next one alone", n)
 	}
 }
--- a/internal/httpfront/path.go
+++ b/internal/httpfront/path.go
@@ -24,7 +24,7 @@
 	addresses []address.Addr // the node's new addresses
 	connected *path          // its dial has succeeded
 	failed    *path          // its dial has failed, for why
-	why       address.Why
+	why       address.Reason
 	expired   *work // its context has ended; it may still wait
 	returned  *path // its work is over; event is the result for the book
 	unsent    *path // found unusable before a byte of its work was written
@@ -58,17 +58,17 @@
 			// A long answer: the connection is the relay's until its last byte has passed.
 			rep.relay.handOut()
 			j.attempt.Done(r)
-			e.Keep = rep.relay.wait() && e.Keep
+			e.KeepAlive = rep.relay.wait() && e.KeepAlive
 			t.node.mailbox.Must(nodeMessage{path: &pathMessage{returned: t, event: e}})
 			rep.relay.connReturned()
-			if !e.Keep {
+			if !e.KeepAlive {
 				return
 			}
 			continue
 		}
 		// The actor is told first, so that the module's next send finds the connection free.
 		m := &pathMessage{returned: t, event: e}
-		if j.attempt != nil && r.Status == policy.Full {
+		if j.attempt != nil && r.Status == policy.NodeFull {
 			m.rejected = &r
 		}
 		t.node.mailbox.Must(nodeMessage{path: m})
@@ -78,7 +78,7 @@
 		case m.rejected == nil:
 			j.attempt.Done(r)
 		}
-		if e.Kind != address.Answered || !e.Keep {
+		if e.Kind != address.ResponseReceived || !e.KeepAlive {
 			return
 		}
 	}
@@ -86,12 +86,12 @@
 
 // serve carries one work, and returns its result and what the book is to learn of the address.
 func (t *path) serve(j job) (r core.Result, e address.Event) {
-	given := address.Event{Kind: address.Drop}
+	given := address.Event{Kind: address.RequestDropped}
 	if j.probe != nil {
 		r, reuse := t.conn.probe()
-		e = address.Event{Kind: address.Answered, Verdict: address.Other, Keep: reuse}
-		if r.Status == policy.NoConn || r.Status == policy.Reset {
-			e = address.Event{Kind: address.Broken, Why: address.Reset}
+		e = address.Event{Kind: address.ResponseReceived, Verdict: address.VerdictOther, KeepAlive: reuse}
+		if r.Status == policy.ConnectFailed || r.Status == policy.ConnectionReset {
+			e = address.Event{Kind: address.ConnBroken, Reason: address.ReasonReset}
 		}
 		return r, e
 	}
@@ -99,29 +99,29 @@
 	case !time.Now().Before(j.attempt.Deadline):
 		return core.Result{Status: policy.Abandoned}, given
 	case t.node.draining.Load() || j.ctx.Err() != nil: // the node began to drain while it waited
-		return unsentResult(j.ctx, policy.NoConn), given
+		return unsentResult(j.ctx, policy.ConnectFailed), given
 	case !j.attempt.Claim(): // its request was answered while it waited
 		return core.Result{Status: policy.Abandoned}, given
 	}
 	r, reuse, cut := t.exchange(j)
 	switch {
 	case cut && j.ctx.Err() == nil && r.Status != policy.Abandoned:
-		return r, address.Event{Kind: address.Broken, Why: address.Cut}
+		return r, address.Event{Kind: address.ConnBroken, Reason: address.ReasonCutOff}
 	case cut || r.Status == policy.Cancelled || r.Status == policy.TimedOut:
 		return r, given
-	case r.Status == policy.Reset:
-		return r, address.Event{Kind: address.Broken, Why: address.Reset}
+	case r.Status == policy.ConnectionReset:
+		return r, address.Event{Kind: address.ConnBroken, Reason: address.ReasonReset}
 	}
-	e = address.Event{Kind: address.Answered, Keep: reuse}
+	e = address.Event{Kind: address.ResponseReceived, KeepAlive: reuse}
 	switch {
 	case t.answeredBy != "" && t.answeredBy != t.node.name:
-		e.Verdict, e.Keep = address.Misdirected, false
+		e.Verdict, e.KeepAlive = address.VerdictWrongNode, false
 	case r.Status == policy.OK:
-		e.Verdict = address.Served
-	case r.Status == policy.Full:
-		e.Verdict = address.Turned
+		e.Verdict = address.VerdictServed
+	case r.Status == policy.NodeFull:
+		e.Verdict = address.VerdictRejected
 	default:
-		e.Verdict = address.Other
+		e.Verdict = address.VerdictOther
 	}
 	return r, e
 }
--- a/internal/httpfront/paths.go
+++ b/internal/httpfront/paths.go
@@ -77,7 +77,7 @@
 	p := &paths{node: n, routes: r, set: r.settings(), conns: map[address.Conn]*path{},
 		works: map[address.Req]*work{}, byAttempt: map[*core.Attempt]*work{}}
 	set := p.set.Book
-	set.Conns, set.Requests = maxNodeConns, nodeMailboxSize
+	set.MaxConns, set.MaxWaiting = maxNodeConns, nodeMailboxSize
 	h := fnv.New64a() // so that each node draws different back-offs
 	h.Write([]byte(n.name))
 	book, err := address.New(set, r.Seed^h.Sum64())
@@ -105,7 +105,7 @@
 		w := p.addWork(&work{attempt: m.send})
 		w.ctx, w.stop = context.WithDeadline(context.Background(), m.send.Deadline)
 		p.byAttempt[m.send] = w
-		p.request(w, p.node.dialer.safe(m.send.Req), m.send.Req.Shard >= 0)
+		p.request(w, p.node.dialer.safe(m.send.Request), m.send.Request.Shard >= 0)
 	case m.probe != nil:
 		w := p.addWork(&work{probe: m.probe})
 		w.ctx, w.stop = context.WithTimeout(context.Background(), probeTimeout)
@@ -132,7 +132,7 @@
 // request asks the book for a connection for a work. safe: it may be repeated freely; named: it names a shard, so that
 // an answer from another node shows as a rejection.
 func (p *paths) request(w *work, safe, named bool) {
-	p.book.Step(address.Event{Kind: address.Want, Req: w.req, Safe: safe, Named: named})
+	p.book.Step(address.Event{Kind: address.RequestQueued, Req: w.req, Idempotent: safe, NamesShard: named})
 	p.watchDeadline(w)
 }
 
@@ -156,11 +156,11 @@
 			p.removePath(m.failed)
 			p.logMissingFamily(m.failed.address, m.why)
 		}
-		p.book.Step(address.Event{Kind: address.Failed, Conn: m.failed.id, Why: m.why})
+		p.book.Step(address.Event{Kind: address.ConnectFailed, Conn: m.failed.id, Reason: m.why})
 	case m.expired != nil:
 		if w := m.expired; p.works[w.req] == w && w.path == nil {
-			p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
-			p.book.Step(address.Event{Kind: address.Drop, Req: w.req})
+			p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
+			p.book.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
 		}
 	case m.returned != nil:
 		p.connReturned(m)
@@ -174,12 +174,12 @@
 	w := t.work
 	t.work, w.path = nil, nil
 	if p.conns[t.id] != t { // the book has closed the connection, and with it the work
-		p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
+		p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
 		return
 	}
 	t.cancelRun()
 	p.removePath(t)
-	p.book.Step(address.Event{Kind: address.Broken, Conn: t.id, Why: address.Unwritten})
+	p.book.Step(address.Event{Kind: address.ConnBroken, Conn: t.id, Reason: address.ReasonUnwritten})
 	p.watchDeadline(w)
 }
 
@@ -191,7 +191,7 @@
 	w.path = nil
 	p.removeWork(w)
 	if m.rejected != nil {
-		if m.event.Verdict == address.Misdirected || p.book.Doubted(p.book.Now(), t.id) {
+		if m.event.Verdict == address.VerdictWrongNode || p.book.MayBeWrongNode(p.book.Now(), t.id) {
 			m.rejected.Status = policy.Abandoned // another node rejected it: it never ran, and does not show that this node is full
 		}
 		go w.attempt.Done(*m.rejected)
@@ -199,7 +199,7 @@
 	if p.conns[t.id] != t {
 		return // the book has closed it
 	}
-	if e := m.event; e.Kind != address.Answered || !e.Keep {
+	if e := m.event; e.Kind != address.ResponseReceived || !e.KeepAlive {
 		t.cancelRun()
 		p.removePath(t)
 	}
@@ -240,8 +240,8 @@
 }
 
 // logMissingFamily logs, once for each address family, that this machine lacks it.
-func (p *paths) logMissingFamily(a address.Addr, why address.Why) {
-	if why == address.NoFamily {
+func (p *paths) logMissingFamily(a address.Addr, why address.Reason) {
+	if why == address.ReasonNoFamily {
 		p.routes.familyMissing[a.Kind()].Do(func() {
 			p.log().WithField("family", a.Kind().String()).Info("this machine has none: such addresses are passed over")
 		})
@@ -253,7 +253,7 @@
 	for _, t := range p.conns {
 		if t.ready && t.work == nil && !t.lastUsed.IsZero() && t.lastUsed.Before(before) {
 			p.closePath(t)
-			p.book.Step(address.Event{Kind: address.Lost, Conn: t.id})
+			p.book.Step(address.Event{Kind: address.IdleConnClosed, Conn: t.id})
 		}
 	}
 }
@@ -264,7 +264,7 @@
 	p.book.Drain(p.node.draining.Load())
 	if p.node.closing && !p.closed {
 		p.closed = true
-		p.book.Step(address.Event{Kind: address.Closing})
+		p.book.Step(address.Event{Kind: address.NodeRemoved})
 	}
 	if s := p.routes.settings(); s != p.set {
 		p.set = s
@@ -286,10 +286,10 @@
 		}
 	case address.Fail:
 		if w := p.works[a.Req]; w != nil {
-			p.endUnsent(w, unsentResult(w.ctx, policy.NoConn))
+			p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
 		}
-	case address.Say:
-		p.log().WithFields(logrus.Fields{"node": p.node.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Why.String()}).
+	case address.LogState:
+		p.log().WithFields(logrus.Fields{"node": p.node.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
 			Info("address")
 	}
 }
@@ -299,7 +299,7 @@
 	t := &path{id: a.Conn, conn: conn{node: p.node, address: a.Addr, host: hostOf(a.Addr, p.node.name), jobs: make(chan job, 1),
 		identity: p.set.Identity}}
 	if !p.node.dialer.place() {
-		p.book.Step(address.Event{Kind: address.Failed, Conn: a.Conn, Why: address.NoResource})
+		p.book.Step(address.Event{Kind: address.ConnectFailed, Conn: a.Conn, Reason: address.ReasonNoResource})
 		return
 	}
 	p.node.connCount++
@@ -326,7 +326,7 @@
 	}
 	if !t.lastUsed.IsZero() && !transport.Quiet(t.socket) { // the node has closed it or written to it
 		p.closePath(t)
-		p.book.Step(address.Event{Kind: address.Broken, Conn: t.id, Why: address.Unwritten})
+		p.book.Step(address.Event{Kind: address.ConnBroken, Conn: t.id, Reason: address.ReasonUnwritten})
 		return
 	}
 	if w.stopWatch != nil {
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -32,7 +32,7 @@
 	n     *standnode.Node
 	at    []address.Addr // as preferred
 	d     *Dialer
-	p     core.Peer
+	p     core.NodeClient
 	hook  *logtest.Hook
 	count atomic.Int64
 	gate  atomic.Pointer[chan struct{}]
@@ -41,17 +41,17 @@
 // patient are settings by which no pause of the machine makes an address suspect.
 func patient() address.Settings {
 	s := quick()
-	s.SuspectLeast, s.SuspectMost, s.DoubtAfter = time.Minute, 2*time.Minute, time.Minute
-	s.Delay, s.DelayLeast, s.DelayMost = 2*time.Second, 2*time.Second, 2*time.Second
+	s.MinSuspectAfter, s.MaxSuspectAfter, s.SecondOpinionAfter = time.Minute, 2*time.Minute, time.Minute
+	s.Delay, s.MinDelay, s.MaxDelay = 2*time.Second, 2*time.Second, 2*time.Second
 	return s
 }
 
 // quick are settings for tests that wait for a suspicion or a back-off.
 func quick() address.Settings {
 	s := address.Defaults()
-	s.SuspectLeast, s.SuspectMost = 150*ms, 600*ms
-	s.Backoff, s.BackoffMost, s.ReturnSpan, s.TrialGap, s.DownEvery = 50*ms, 200*ms, 100*ms, 10*ms, 20*ms
-	s.TrialPatience, s.WrongFor = time.Minute, 100*ms
+	s.MinSuspectAfter, s.MaxSuspectAfter = 150*ms, 600*ms
+	s.Backoff, s.MaxBackoff, s.MinReturnDelay, s.TrialInterval, s.DownTrialInterval = 50*ms, 200*ms, 100*ms, 10*ms, 20*ms
+	s.TrialPatience, s.WrongNodeBackoff = time.Minute, 100*ms
 	return s
 }
 
@@ -265,7 +265,7 @@
 	}
 	for range 200 { // while the one trial is out, the others end as never ran, and connect nothing
 		_, got, _ := r.send(recordText, time.Minute)
-		if x := <-got; x.Status != policy.NoConn {
+		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -299,7 +299,7 @@
 		for r.n.Counts().Turned < 12 && identity == "" || moot == 0 {
 			_, got, _ := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
-			case policy.Full:
+			case policy.NodeFull:
 				full++
 			case policy.Abandoned:
 				moot++
@@ -326,7 +326,7 @@
 	r := newRouted(t, patient())
 	held := make(chan struct{})
 	var waiting atomic.Int64
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		waiting.Add(1)
 		<-held // it comes up late, whatever happens meanwhile
 		return transport.Dial(context.Background(), a, time.Minute)
@@ -341,7 +341,7 @@
 	}
 	r.p.Drain(true)
 	for _, got := range results {
-		if x := <-got; x.Status != policy.NoConn {
+		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -353,7 +353,7 @@
 		time.Sleep(ms) // late winners are closed, or this never ends
 	}
 	_, got, _ := r.send(recordText, time.Minute)
-	if x := <-got; x.Status != policy.NoConn || r.n.Counts().Requests != 0 {
+	if x := <-got; x.Status != policy.ConnectFailed || r.n.Counts().Requests != 0 {
 		t.Errorf("%+v, %d came", x, r.n.Counts().Requests)
 	}
 	r.p.Drain(false)
@@ -365,7 +365,7 @@
 func TestPathsNoDescriptors(t *testing.T) {
 	r := newRouted(t, patient())
 	var lack atomic.Bool
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if lack.Load() {
 			return nil, transport.DialFailure(syscall.EMFILE, a.Kind()), syscall.EMFILE
 		}
@@ -374,7 +374,7 @@
 	lack.Store(true)
 	for range 20 {
 		_, got, _ := r.send(recordText, time.Minute)
-		if x := <-got; x.Status != policy.NoConn {
+		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -388,7 +388,7 @@
 	<-hold
 	_, caught, _ := r.send(readText, 500*ms)
 	_, got, _ := r.send(recordText, time.Minute)
-	if x := <-got; x.Status != policy.NoConn {
+	if x := <-got; x.Status != policy.ConnectFailed {
 		t.Errorf("%+v", x)
 	}
 	<-caught
@@ -402,7 +402,7 @@
 // A machine without IPv6: said once for all nodes, at no more than info, and the others serve.
 func TestPathsNoIPv6(t *testing.T) {
 	r := newRouted(t, patient())
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if a.Kind() == address.IPv6 {
 			return nil, transport.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
 		}
@@ -442,11 +442,11 @@
 	for slow.requests.Load() < 1 {
 		time.Sleep(ms)
 	}
-	r.p.Readdress(r.at)
+	r.p.SetAddresses(r.at)
 	if by := r.served(recordText); by != r.at[0] {
 		t.Errorf("went by %v", by)
 	}
-	r.p.Readdress(r.at[2:])
+	r.p.SetAddresses(r.at[2:])
 	if by := r.served(recordText); by != r.at[2] {
 		t.Errorf("went by %v", by)
 	}
@@ -458,7 +458,7 @@
 	defer one.Close()
 	r.p = one
 	r.served(recordText)
-	one.Readdress(r.at[1:2]) // one for one, without a book
+	one.SetAddresses(r.at[1:2]) // one for one, without a book
 	if by := r.served(recordText); by != r.at[1] {
 		t.Errorf("went by %v", by)
 	}
@@ -471,7 +471,7 @@
 	set := testModule()
 	f, c := r.through(set, 50)
 	list := func(kind policy.EventKind, to ...address.Addr) {
-		c.List(core.News{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
+		c.List(core.ListUpdate{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
 	}
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
@@ -483,7 +483,7 @@
 			default:
 			}
 			a := r.at
-			list(policy.ListChange, [][]address.Addr{{a[1], a[0], a[2]}, {a[2]}, {a[0], a[1]}, {a[1], a[2]}, a}[i%5]...)
+			list(policy.ListChanged, [][]address.Addr{{a[1], a[0], a[2]}, {a[2]}, {a[0], a[1]}, {a[1], a[2]}, a}[i%5]...)
 			time.Sleep(2 * ms)
 		}
 	})
@@ -518,7 +518,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(c.Stop)
-	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
+	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
@@ -542,8 +542,8 @@
 		r := newRouted(t, quick())
 		set := testModule()
 		set.MaxAttempts = 4
-		set.Classes[1].Deadline, set.Classes[1].Aim = 30e3, 20e3
-		set.Classes = append(set.Classes, policy.Class{Name: "once", Aim: 20e3, Deadline: 30e3, Worth: 1, Effect: policy.Unsafe})
+		set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 30e3, 20e3
+		set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 20e3, Deadline: 30e3, PriorityWeight: 1, Effect: policy.NonIdempotent})
 		f, _ := r.through(set, 50)
 		f.send(t, fmt.Sprintf(readText, "warm"))
 		gate := make(chan struct{})
@@ -575,8 +575,8 @@
 func TestPathsColdBudget(t *testing.T) {
 	r := newRouted(t, quick(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
 	set := testModule()
-	set.MaxAttempts, set.ColdUnits, set.TipSpan, set.TipMultiple, set.ColdFrom, set.ColdSpan = 4, 12, 1000, 0, 0.24, 1e6
-	set.Classes[0].Aim, set.Classes[0].Deadline = 40, 900
+	set.MaxAttempts, set.SlowStartUnits, set.OverloadWindow, set.OverloadMultiple, set.SlowStartShare, set.SlowStartDuration = 4, 12, 1000, 0, 0.24, 1e6
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 40, 900
 	f, _ := r.through(set, 400)
 	var wg sync.WaitGroup
 	var n atomic.Int64
@@ -622,7 +622,7 @@
 			}
 		}
 	})
-	if units == 0 || float64(units) > set.ColdUnits+set.MostUnits { // one more at the edge of the second
-		t.Errorf("%d units in the first second of its return, and it bears %v", units, set.ColdUnits)
+	if units == 0 || float64(units) > set.SlowStartUnits+set.MaxUnits { // one more at the edge of the second
+		t.Errorf("%d units in the first second of its return, and it bears %v", units, set.SlowStartUnits)
 	}
 }
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -38,7 +38,7 @@
 
 // startDial dials a connection in its own goroutine, and calls f, if not nil, with the result.
 func (n *node) startDial(c *conn, now time.Duration, f func(policy.Status)) {
-	c.dialID = n.waiting.Opening(now)
+	c.dialID = n.waiting.ConnectStarted(now)
 	sync.Go(func() {
 		err := c.ensureUp(context.Background())
 		n.mailbox.Must(nodeMessage{opened: c, broken: err != nil})
@@ -56,7 +56,7 @@
 	if ok {
 		return policy.OK
 	}
-	return policy.NoConn
+	return policy.ConnectFailed
 }
 
 // preconnect has the book open a connection for a work that is dropped once the connection is up and idle. The
@@ -77,7 +77,7 @@
 		if w.preconnect != nil { // there is one at most
 			p.removeWork(w)
 			go w.preconnect(policy.OK)
-			p.book.Step(address.Event{Kind: address.Drop, Req: w.req})
+			p.book.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
 		}
 	}
 }
--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/refused_test.go
@@ -28,10 +28,10 @@
 	}
 	defer ln.Close()
 	d := dialer()
-	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Why, error) {
+	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		nc, err := (&net.Dialer{Timeout: within}).DialContext(ctx, "tcp", a.String())
 		if err != nil {
-			return nil, address.Refused, err
+			return nil, address.ReasonRefused, err
 		}
 		return ln.Of(nc), 0, nil
 	}
--- a/internal/httpfront/scarce_test.go
+++ b/internal/httpfront/scarce_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []core.Peer
+	var all []core.NodeClient
 	for range 3 {
 		d := dialer()
 		d.ConnIdle = time.Hour // nothing is closed for its age alone
@@ -34,7 +34,7 @@
 		all = append(all, p)
 	}
 	asked := 0
-	send := func(p core.Peer) chan core.Result {
+	send := func(p core.NodeClient) chan core.Result {
 		asked++
 		text := strings.Replace(good, "y=1", "shard=0", 1)
 		a, end := attemptOf(t, strings.Replace(text, "Key: k1", fmt.Sprint("Key: k", asked), 1), later())
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -130,7 +130,7 @@
 
 // turnBack refuses a request that was still arriving when the program ends.
 func (s *Server) turnBack(ctx *fasthttp.RequestCtx) {
-	write(ctx, core.Answer{Kind: core.Refused, RetryAfter: scarceWait})
+	write(ctx, core.Answer{Kind: core.Rejected, RetryAfter: scarceWait})
 	closeWithin(ctx)
 }
 
@@ -258,7 +258,7 @@
 		closeWithin(ctx) // what follows may be the rest of it
 		return
 	}
-	r.Arrived = time.Now()
+	r.ReceivedAt = time.Now()
 	got := make(chan core.Answer, 1)
 	var gone atomic.Bool
 	drop := func() { // of an answer that crosses its client's going
@@ -278,7 +278,7 @@
 	}
 	crowded := s.ln.Load().OverCapacity()
 	if crowded || s.keep.Load() && s.ln.Load().FewIdle() {
-		s.Core.Refuse(r, scarceWait)
+		s.Core.Reject(r, scarceWait)
 		write(ctx, <-got)
 		if crowded {
 			closeBehind(ctx) // its place is another's
@@ -291,7 +291,7 @@
 	}
 	conn := ctx.Conn().(*transport.Conn) // Serve wraps its listener
 	left := conn.Watch()
-	r.Gone = conn.Gone
+	r.ClientDisconnected = conn.Gone
 	s.Core.Submit(r)
 	select {
 	case a := <-got:
@@ -316,7 +316,7 @@
 	case errors.Is(err, errNoRoom):
 		class, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
 		got := make(chan core.Answer, 1)
-		s.Core.Refuse(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
+		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
 		write(ctx, <-got)
 	case errors.As(err, &m):
 		ctx.Error(m.What, m.Code)
@@ -347,7 +347,7 @@
 		out := &stream{rep: rep}
 		out.Reset(rep.body)
 		ctx.Response.SetBodyStream(out, len(rep.body))
-	case core.Refused:
+	case core.Rejected:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		wait := max(a.RetryAfter, retryLeast)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
@@ -360,13 +360,13 @@
 // failedAs is the code of a failed request.
 func failedAs(cause core.Cause) int {
 	switch cause {
-	case core.CauseBad:
+	case core.CauseInvalidRequest:
 		return fasthttp.StatusBadRequest
-	case core.CauseUnknown:
+	case core.CauseUnknownClass:
 		return fasthttp.StatusNotFound
-	case core.CauseTwice:
+	case core.CauseDuplicateID:
 		return fasthttp.StatusConflict
-	case core.CauseLate:
+	case core.CauseDeadlineExceeded:
 		return fasthttp.StatusGatewayTimeout
 	}
 	return fasthttp.StatusBadGateway
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/tenants_test.go
@@ -34,7 +34,7 @@
 func newTenantsFront(t *testing.T) *tenantsFront {
 	t.Helper()
 	set := testModule()
-	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1, Limit: 1e-6, LimitBurst: 6})
+	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 1e-6, LimitBurst: 6})
 	log, _ := logtest.NewNullLogger()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	t.Cleanup(func() { node.Close() })
 	go f.serve(node)
-	c.List(core.News{Kind: policy.ListStale, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
+	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -245,8 +245,8 @@
 	}
 	got := f.core.Counts().Read()
 	for class, want := range passed {
-		if got.Passed[class] != want {
-			t.Errorf("%s: %d counted as served, %d were", class, got.Passed[class], want)
+		if got.Served[class] != want {
+			t.Errorf("%s: %d counted as served, %d were", class, got.Served[class], want)
 		}
 	}
 }
--- a/internal/iscsi/command.go
+++ b/internal/iscsi/command.go
@@ -213,13 +213,13 @@
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s/%d", u.Volume, k.block.lba)
 	units := math.Max(1, math.Ceil(float64(k.length)/u.UnitBytes))
-	if s.target.settings.MostUnits > 0 {
-		units = math.Min(units, s.target.settings.MostUnits)
+	if s.target.settings.MaxUnits > 0 {
+		units = math.Min(units, s.target.settings.MaxUnits)
 	}
 	k.request = &core.Request{
 		Request: policy.Request{ID: id, Class: k.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
-			Units: units, Shard: u.Shard, Hosts: u.Hosts},
-		Arrived: k.receivedAt, Patience: k.deadline,
+			Units: units, Shard: u.Shard, Schedulers: u.Hosts},
+		ReceivedAt: k.receivedAt, Timeout: k.deadline,
 		Payload: &transfer{lun: u.StorageLUN, block: k.block, size: k.length, data: k.writeData, key: id},
 	}
 	k.request.Answer = func(a core.Answer) {
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -43,7 +43,7 @@
 	Log            logrus.FieldLogger
 	mu             sync.Mutex
 	storage        map[string]config.StorageTarget
-	news           atomic.Pointer[func(core.News)]
+	news           atomic.Pointer[func(core.ListUpdate)]
 	book           atomic.Pointer[address.Settings]
 }
 
@@ -76,7 +76,7 @@
 func (d *Dialer) Addresses(set address.Settings) { d.book.Store(&set) }
 
 // Report sets where a storage target's own word that it goes, or is back, is to be told.
-func (d *Dialer) Report(f func(core.News)) { d.news.Store(&f) }
+func (d *Dialer) Report(f func(core.ListUpdate)) { d.news.Store(&f) }
 
 // Nodes is the list that a configuration gives.
 func Nodes(conf *config.ISCSI) (out []core.Node) {
@@ -91,16 +91,16 @@
 func Settings(set policy.Settings, conf *config.ISCSI) policy.Settings {
 	classes := append([]policy.Class(nil), set.Classes...)
 	for i := range classes {
-		if classes[i].Effect == policy.Keyed && !conf.DropsRepeats {
-			classes[i].Effect = policy.Unsafe
+		if classes[i].Effect == policy.IdempotentByKey && !conf.DropsRepeats {
+			classes[i].Effect = policy.NonIdempotent
 		}
 	}
-	set.Classes, set.MayProbe = classes, false
+	set.Classes, set.MayCheckHealth = classes, false
 	return set
 }
 
 // Connect starts the actor of one storage target.
-func (d *Dialer) Connect(name string, addresses []address.Addr) core.Peer {
+func (d *Dialer) Connect(name string, addresses []address.Addr) core.NodeClient {
 	conf, _ := d.lookup(name)
 	p := &peer{d: d, name: name, target: conf.Target, mail: make(chan mail, peerMailbox), done: make(chan struct{}),
 		byTry: map[*core.Attempt]*command{}, old: map[*nexus]bool{}}
@@ -184,8 +184,8 @@
 // Cancel implements core.Peer. With the mailbox full the command runs to its time limit.
 func (p *peer) Cancel(a *core.Attempt) { p.put(mail{cancel: a}) }
 
-// Probe implements core.Peer: these targets report no load.
-func (p *peer) Probe(func(core.Result, time.Duration)) bool { return false }
+// CheckHealth implements core.Peer: these targets report no load.
+func (p *peer) CheckHealth(func(core.Result, time.Duration)) bool { return false }
 
 // Connect implements core.Peer: a target has one session, which stands or is being opened.
 func (p *peer) Connect(func(policy.Status)) bool { return false }
@@ -197,8 +197,8 @@
 	}
 }
 
-// Readdress implements core.Peer: sessions to a portal that went finish their commands.
-func (p *peer) Readdress(addresses []address.Addr) {
+// SetAddresses implements core.Peer: sessions to a portal that went finish their commands.
+func (p *peer) SetAddresses(addresses []address.Addr) {
 	if m := (mail{addresses: addresses}); !p.put(m) {
 		go p.post(m)
 	}
@@ -221,7 +221,7 @@
 		case m := <-p.mail:
 			p.take(m)
 		case <-wake:
-			p.portals.book.Step(address.Event{Kind: address.Tick})
+			p.portals.book.Step(address.Event{Kind: address.TimerFired})
 		case now := <-tick.C:
 			p.tick(now)
 		}
@@ -298,7 +298,7 @@
 		p.portals = newPortals(p)
 		p.retire()
 	}
-	p.portals.book.Step(address.Event{Kind: address.Listed, Addrs: list})
+	p.portals.book.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
 }
 
 // retire lets the session finish what it carries; nothing new goes by it.
@@ -333,11 +333,11 @@
 }
 
 func (p *peer) send(a *core.Attempt) {
-	c := &command{try: a, job: a.Req.Payload.(*transfer)}
+	c := &command{try: a, job: a.Request.Payload.(*transfer)}
 	c.timer = time.AfterFunc(time.Until(a.Deadline), func() { p.post(mail{late: a}) })
 	p.byTry[a] = c
 	if len(p.queue) >= queueMost {
-		p.report(c, core.Result{Status: policy.NoConn})
+		p.report(c, core.Result{Status: policy.ConnectFailed})
 		return
 	}
 	p.queue = append(p.queue, c)
@@ -378,7 +378,7 @@
 
 func (p *peer) failQueue() {
 	for _, c := range p.queue {
-		p.report(c, core.Result{Status: policy.NoConn})
+		p.report(c, core.Result{Status: policy.ConnectFailed})
 	}
 	p.queue = p.queue[:0]
 }
@@ -407,7 +407,7 @@
 }
 
 // login connects and logs in; why tells of an error what it says of the portal.
-func (p *peer) login(ctx context.Context, to address.Addr) (*link, address.Why, error) {
+func (p *peer) login(ctx context.Context, to address.Addr) (*link, address.Reason, error) {
 	nc, why, err := transport.Dial(ctx, to, p.d.ConnectTimeout)
 	if err != nil {
 		return nil, why, err
@@ -428,11 +428,11 @@
 		var no refusedLogin
 		switch {
 		case errors.As(err, &no) && no.status == loginNotFound: // another target's portal
-			why = address.Misled
+			why = address.ReasonWrongNode
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			why = address.TimedOut
+			why = address.ReasonTimedOut
 		default:
-			why = address.Reset
+			why = address.ReasonReset
 		}
 		return nil, why, fmt.Errorf("login: %w", err)
 	}
@@ -454,8 +454,8 @@
 		return
 	}
 	if f := p.d.news.Load(); f != nil {
-		n := core.News{Kind: policy.ListChange, Nodes: []core.Node{{Addresses: conf.Addresses, Node: policy.Node{ID: p.name,
-			Shard: conf.Shard, State: state, Weight: 1, Since: since}}}}
+		n := core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{Addresses: conf.Addresses, Node: policy.Node{ID: p.name,
+			Shard: conf.Shard, State: state, Weight: 1, StartTime: since}}}}
 		go (*f)(n)
 	}
 }
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -163,8 +163,8 @@
 	if e := c.readBlocks(0, 1); e.status != statusGood {
 		t.Fatalf("ended %+v", e)
 	}
-	told := make(chan core.News, 8)
-	p.dialer.Report(func(n core.News) { told <- n })
+	told := make(chan core.ListUpdate, 8)
+	p.dialer.Report(func(n core.ListUpdate) { told <- n })
 	conf := *p.target.conf
 	conf.Storage = []config.StorageTarget{conf.Storage[0]}
 	conf.Storage[0].State = policy.NodeDraining
@@ -177,7 +177,7 @@
 	}
 	conf.Storage = []config.StorageTarget{{Name: "new", Addresses: conf.Storage[0].Addresses, Target: "iqn.new", Shard: 0}}
 	p.dialer.Update(&conf)
-	p.core.List(core.News{Kind: policy.ListFull, Nodes: Nodes(&conf)})
+	p.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
 	if e := c.readBlocks(0, 1); e.status != statusGood {
 		t.Errorf("ended %+v", e)
 	}
--- a/internal/iscsi/nexus.go
+++ b/internal/iscsi/nexus.go
@@ -87,7 +87,7 @@
 	delete(x.p.old, x)
 	for tag, c := range x.byTag {
 		delete(x.byTag, tag)
-		x.p.report(c, core.Result{Status: policy.Reset})
+		x.p.report(c, core.Result{Status: policy.ConnectionReset})
 	}
 	x.zombies = 0
 	if x.conn != 0 {
@@ -169,7 +169,7 @@
 	whole := len(b)
 	n, ok := x.write(append(b, more...))
 	if c.written = n >= whole; !c.written {
-		x.p.report(c, core.Result{Status: policy.NoConn})
+		x.p.report(c, core.Result{Status: policy.ConnectFailed})
 	} else {
 		x.byTag[c.itt] = c
 	}
@@ -314,7 +314,7 @@
 		}
 		pass()
 	case status == statusBusy || status == statusTaskSetFull:
-		r.Status = policy.Full
+		r.Status = policy.NodeFull
 	case status == statusConflict:
 		pass()
 	case status == statusCheckCondition:
@@ -322,7 +322,7 @@
 		case senseIllegalRequest, senseDataProtect:
 			pass() // no other try would end otherwise: the client is told as it is
 		case senseNotReady, senseUnitAttention:
-			r.Status = policy.Full // reported in place of the command, which did not run (SPC-4)
+			r.Status = policy.NodeFull // reported in place of the command, which did not run (SPC-4)
 		}
 	}
 	x.p.report(c, r)
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -30,7 +30,7 @@
 type portalMail struct {
 	conn address.Conn
 	link *link // nil: it failed
-	why  address.Why
+	why  address.Reason
 }
 
 const (
@@ -52,7 +52,7 @@
 	o := &portals{p: p, set: p.d.bookSettings(), coming: map[address.Conn]context.CancelFunc{},
 		up: map[address.Conn]*nexus{}}
 	set := *o.set
-	set.Conns, set.Requests = portalConns, portalRequests
+	set.MaxConns, set.MaxWaiting = portalConns, portalRequests
 	h := fnv.New64a()
 	h.Write([]byte(p.d.Name + p.name))
 	book, err := address.New(set, h.Sum64())
@@ -67,7 +67,7 @@
 // when it may move to another portal.
 func (o *portals) ready() bool {
 	if x := o.p.cur; x != nil && x.busy != 0 {
-		if o.move(); o.wanted == 0 || !o.book.Better(x.link.at) {
+		if o.move(); o.wanted == 0 || !o.book.HasBetter(x.link.at) {
 			return true
 		}
 		return false // another portal's session is on its way
@@ -81,7 +81,7 @@
 	if o.wanted == 0 {
 		o.seq++
 		o.wanted = o.seq
-		o.book.Step(address.Event{Kind: address.Want, Req: o.wanted, Safe: true, Named: true}) // the login names the target
+		o.book.Step(address.Event{Kind: address.RequestQueued, Req: o.wanted, Idempotent: true, NamesShard: true}) // the login names the target
 	}
 }
 
@@ -92,13 +92,13 @@
 	if x == nil || x.busy == 0 || o.p.draining.Load() || o.p.leaving {
 		return
 	}
-	o.book.Step(address.Event{Kind: address.Nudge})
+	o.book.Step(address.Event{Kind: address.DemandContinued})
 	o.move()
 }
 
 // move asks for a session by the primary where the present one is by another.
 func (o *portals) move() {
-	if x := o.p.cur; x != nil && x.busy != 0 && time.Now().After(o.stay) && o.book.Better(x.link.at) {
+	if x := o.p.cur; x != nil && x.busy != 0 && time.Now().After(o.stay) && o.book.HasBetter(x.link.at) {
 		o.want()
 	}
 }
@@ -106,7 +106,7 @@
 // heard tells the book that the session's target answers.
 func (o *portals) heard(x *nexus) {
 	x.spoke = true
-	o.book.Step(address.Event{Kind: address.Heard, Conn: x.conn})
+	o.book.Step(address.Event{Kind: address.ProgressSeen, Conn: x.conn})
 }
 
 // rest ends the book's request: no command is out any more. Where none was answered, all were
@@ -115,9 +115,9 @@
 	q := x.busy
 	x.busy = 0
 	if x.spoke {
-		o.book.Step(address.Event{Kind: address.Answered, Conn: x.conn, Req: q, Verdict: address.Served, Keep: true})
+		o.book.Step(address.Event{Kind: address.ResponseReceived, Conn: x.conn, Req: q, Verdict: address.VerdictServed, KeepAlive: true})
 	} else {
-		o.book.Step(address.Event{Kind: address.Drop, Conn: x.conn, Req: q})
+		o.book.Step(address.Event{Kind: address.RequestDropped, Conn: x.conn, Req: q})
 	}
 }
 
@@ -127,9 +127,9 @@
 	x.conn, x.busy = 0, 0
 	delete(o.up, id)
 	if q != 0 {
-		o.book.Step(address.Event{Kind: address.Broken, Conn: id, Req: q, Why: address.Reset})
+		o.book.Step(address.Event{Kind: address.ConnBroken, Conn: id, Req: q, Reason: address.ReasonReset})
 	} else {
-		o.book.Step(address.Event{Kind: address.Lost, Conn: id})
+		o.book.Step(address.Event{Kind: address.IdleConnClosed, Conn: id})
 	}
 }
 
@@ -157,7 +157,7 @@
 	delete(o.coming, m.conn)
 	if m.link == nil {
 		o.p.redial = time.Now().Add(redialEvery)
-		o.book.Step(address.Event{Kind: address.Failed, Conn: m.conn, Why: m.why})
+		o.book.Step(address.Event{Kind: address.ConnectFailed, Conn: m.conn, Reason: m.why})
 		return
 	}
 	x := newNexus(o.p, m.link)
@@ -216,13 +216,13 @@
 		}
 	case address.Fail:
 		if a.Req == o.wanted {
-			o.wanted, o.stay = 0, time.Now().Add(o.set.TrialGap)
+			o.wanted, o.stay = 0, time.Now().Add(o.set.TrialInterval)
 			if o.p.cur == nil {
 				o.p.failQueue()
 			}
 		}
-	case address.Say:
-		o.p.d.Log.WithFields(logrus.Fields{"node": o.p.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Why.String()}).
+	case address.LogState:
+		o.p.d.Log.WithFields(logrus.Fields{"node": o.p.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
 			Info("address")
 	}
 }
@@ -240,7 +240,7 @@
 		x.conn = 0
 		delete(o.up, id)
 		x.bye()
-		o.book.Step(address.Event{Kind: address.Answered, Conn: id, Req: q, Verdict: address.Served})
+		o.book.Step(address.Event{Kind: address.ResponseReceived, Conn: id, Req: q, Verdict: address.VerdictServed})
 		return
 	}
 	if o.p.cur != x {
--- a/internal/iscsi/response.go
+++ b/internal/iscsi/response.go
@@ -38,7 +38,7 @@
 				moved = uint32(len(r.data))
 			}
 			s.sendResponse(k, r.status, r.sense, r.data, moved, 0)
-		case core.Refused:
+		case core.Rejected:
 			s.refuseTask(k, a.RetryAfter)
 		case core.Failed:
 			s.finishTask(k, statusCheckCondition, failureSense(a.Cause, k.block.write), nil, 0)
@@ -51,11 +51,11 @@
 // may have run gets HARDWARE ERROR, which does not.
 func failureSense(cause core.Cause, write bool) *sense {
 	switch {
-	case cause == core.CauseUnknown:
+	case cause == core.CauseUnknownClass:
 		return &senseNoLUN
 	case write:
 		return &senseWriteInDoubt
-	case cause == core.CauseLate:
+	case cause == core.CauseDeadlineExceeded:
 		return &senseTimeout
 	}
 	return &senseReadLost
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -452,13 +452,13 @@
 const targetName = "iqn.2026-12.fj.lautoka:test"
 
 func testSettings(aim float64) policy.Settings {
-	return policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 4, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
-		DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
+	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 4, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
+		DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
 		Classes: []policy.Class{
-			{Name: "balance-read", Aim: aim, Deadline: 2 * aim, Worth: 3},
-			{Name: "new-record", Aim: aim, Deadline: 2 * aim, Worth: 2, Effect: policy.Keyed, Group: policy.GroupShard, Memory: 1e6}},
-		Plans: []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1},
-			{Name: "capped", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1, Limit: 0.001, LimitBurst: 10}}}
+			{Name: "balance-read", LatencyObjective: aim, Deadline: 2 * aim, PriorityWeight: 3},
+			{Name: "new-record", LatencyObjective: aim, Deadline: 2 * aim, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 1e6}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1},
+			{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 0.001, LimitBurst: 10}}}
 }
 
 // path is the whole way: initiator, target, core and module, initiator, stand-in.
@@ -500,9 +500,9 @@
 	log, _ = logtest.NewNullLogger()
 	d := NewDialer(conf, "iqn.me", 5*time.Second, log)
 	book := address.Defaults() // quick ones, for tests that wait for a back-off
-	book.Backoff, book.BackoffMost, book.ReturnSpan, book.TrialGap, book.DownEvery = 50*time.Millisecond, 200*time.Millisecond,
+	book.Backoff, book.MaxBackoff, book.MinReturnDelay, book.TrialInterval, book.DownTrialInterval = 50*time.Millisecond, 200*time.Millisecond,
 		100*time.Millisecond, 10*time.Millisecond, 20*time.Millisecond
-	book.WrongFor = 50 * time.Millisecond
+	book.WrongNodeBackoff = 50 * time.Millisecond
 	d.Addresses(book)
 	set = Settings(set, conf)
 	co, err := core.New(core.Options{Settings: set, Seed: 1, Connect: d.Connect, Log: log})
@@ -511,7 +511,7 @@
 	}
 	t.Cleanup(co.Stop)
 	d.Report(co.List)
-	co.List(core.News{Kind: policy.ListStale, Nodes: Nodes(conf)})
+	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: Nodes(conf)})
 	ln, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/nodestats/codec.go
+++ b/internal/nodestats/codec.go
@@ -46,15 +46,15 @@
 func open(m []byte, kind byte) (*input, error) {
 	switch {
 	case len(m) < headSize+crcSize || m[0] != 'W' || m[1] != 'O':
-		return nil, &Unreadable{"no frame"}
+		return nil, &DecodeError{"no frame"}
 	case m[2] > version:
-		return nil, &LaterVersion{m[2], version}
+		return nil, &VersionError{m[2], version}
 	case m[2] != version || m[3] != kind:
-		return nil, &Unreadable{"another kind"}
+		return nil, &DecodeError{"another kind"}
 	}
 	end := len(m) - crcSize
 	if binary.LittleEndian.Uint32(m[end:]) != crc32.Checksum(m[:end], castagnoli) {
-		return nil, &Unreadable{"cut or changed on the way"}
+		return nil, &DecodeError{"cut or changed on the way"}
 	}
 	return &input{b: m[headSize:end]}, nil
 }
@@ -181,7 +181,7 @@
 	b = appendName(b, h.Type)
 	b = binary.AppendVarint(b, int64(h.Shard))
 	cold := byte(0)
-	if h.Cold {
+	if h.WarmingUp {
 		cold = 1
 	}
 	return appendFloat(appendFloat(append(b, cold), h.Window), h.Queue)
@@ -189,7 +189,7 @@
 
 func (r *input) health() (since int64, h Health) {
 	since = r.int()
-	h = Health{Type: r.name(), Shard: int(r.int()), Cold: r.byte() != 0}
+	h = Health{Type: r.name(), Shard: int(r.int()), WarmingUp: r.byte() != 0}
 	h.Window, h.Queue = r.float(loadMost), r.float(loadMost)
 	if len(r.b) > 0 {
 		r.fail("more than a node's health")
@@ -254,7 +254,7 @@
 		cells = append(cells, t)
 	}
 	if r.bad != "" {
-		return "", 0, nil, &Unreadable{r.bad}
+		return "", 0, nil, &DecodeError{r.bad}
 	}
 	for i := range cells {
 		cells[i].body = slices.Clone(cells[i].body) // the message is the caller's
@@ -298,7 +298,7 @@
 		all[name] = s
 	}
 	if r.bad != "" {
-		return "", nil, &Unreadable{r.bad}
+		return "", nil, &DecodeError{r.bad}
 	}
 	return sender, all, nil
 }
--- a/internal/nodestats/errors.go
+++ b/internal/nodestats/errors.go
@@ -6,66 +6,68 @@
 	"wheatsaddle/internal/operr"
 )
 
-// BadSetting is a setting out of its range.
-type BadSetting struct {
-	Key                string
-	Value, Least, Most float64
+// SettingError is a setting out of its range.
+type SettingError struct {
+	Key             string
+	Value, Min, Max float64
 }
 
-func (e *BadSetting) Error() string {
-	return fmt.Sprintf("observations: %s: %v is not between %v and %v", e.Key, e.Value, e.Least, e.Most)
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("observations: %s: %v is not between %v and %v", e.Key, e.Value, e.Min, e.Max)
 }
 
 // Code is stable.
-func (e *BadSetting) Code() string { return "observations-setting" }
+func (e *SettingError) Code() string { return "observations-setting" }
 
 // Advice is for the operator.
-func (e *BadSetting) Advice() string { return "set " + e.Key + " in the site's file within the range" }
+func (e *SettingError) Advice() string {
+	return "set " + e.Key + " in the site's file within the range"
+}
 
-// BadName is an origin's name that cannot be one.
-type BadName struct{ Name string }
+// NameError is an origin's name that cannot be one.
+type NameError struct{ Name string }
 
-func (e *BadName) Error() string {
+func (e *NameError) Error() string {
 	return fmt.Sprintf("observations: name %q is empty or over %d bytes", e.Name, nameMost)
 }
 
 // Code is stable.
-func (e *BadName) Code() string { return "observations-name" }
+func (e *NameError) Code() string { return "observations-name" }
 
 // Advice is for the operator.
-func (e *BadName) Advice() string { return "give the process another name in its configuration" }
+func (e *NameError) Advice() string { return "give the process another name in its configuration" }
 
-// Unreadable is a message that was dropped whole.
-type Unreadable struct{ What string }
+// DecodeError is a message that was dropped whole.
+type DecodeError struct{ What string }
 
-func (e *Unreadable) Error() string { return "observations: message dropped: " + e.What }
+func (e *DecodeError) Error() string { return "observations: message dropped: " + e.What }
 
 // Code is stable.
-func (e *Unreadable) Code() string { return "observations-unreadable" }
+func (e *DecodeError) Code() string { return "observations-unreadable" }
 
 // Advice is for the operator.
-func (e *Unreadable) Advice() string {
+func (e *DecodeError) Advice() string {
 	return "nothing was changed by it; if the count keeps growing, see who reaches the port, or give the processes a key (peers.key_file)"
 }
 
-// LaterVersion is a message of a program that is newer than this one.
-type LaterVersion struct{ Version, Known byte }
+// VersionError is a message of a program that is newer than this one.
+type VersionError struct{ Version, Known byte }
 
-func (e *LaterVersion) Error() string {
+func (e *VersionError) Error() string {
 	return fmt.Sprintf("observations: message dropped: of version %d, this program knows %d", e.Version, e.Known)
 }
 
 // Code is stable.
-func (e *LaterVersion) Code() string { return "observations-later-version" }
+func (e *VersionError) Code() string { return "observations-later-version" }
 
 // Advice is for the operator.
-func (e *LaterVersion) Advice() string {
+func (e *VersionError) Advice() string {
 	return "expected while the fleet is upgraded; this process shares nothing with the newer ones until it is upgraded too"
 }
 
 var _ = register()
 
 func register() bool {
-	operr.Register(&BadSetting{}, &BadName{}, &Unreadable{}, &LaterVersion{})
+	operr.Register(&SettingError{}, &NameError{}, &DecodeError{}, &VersionError{})
 	return true
 }
--- a/internal/nodestats/memory_test.go
+++ b/internal/nodestats/memory_test.go
@@ -43,7 +43,7 @@
 				rate = 13
 			}
 			if r.Float64() < rate*step.Seconds() {
-				p.Slot(now, k).Record(now, 1+2*r.Float64(), truth*math.Exp(0.47*r.NormFloat64()-0.11), Served)
+				p.Recorder(now, k).Record(now, 1+2*r.Float64(), truth*math.Exp(0.47*r.NormFloat64()-0.11), Served)
 			}
 			if (now/step)%10 == time.Duration(i) {
 				p.publish(now)
@@ -92,17 +92,17 @@
 			if now >= 30*time.Second {
 				millis, o = of(now - 30*time.Second)
 			}
-			s.Slot(now, Key{"n", 1, "c"}).Record(now, 1, millis, o)
+			s.Recorder(now, Key{"n", 1, "c"}).Record(now, 1, millis, o)
 			s.publish(now)
 		}
 		return s
 	}
 	away := play(3*time.Second, func(now time.Duration) (float64, Outcome) {
-		return 5, []Outcome{Served, TurnedAway}[now/(50*time.Millisecond)%2]
+		return 5, []Outcome{Served, Rejected}[now/(50*time.Millisecond)%2]
 	})
 	v := away.Views(33 * time.Second)[0]
-	if p := v.Turned / (v.Turned + v.Sums.N); p < 0.4 || away.Counts().Anew != 1 {
-		t.Errorf("%.2f turned away, %d times anew", p, away.Counts().Anew)
+	if p := v.Rejected / (v.Rejected + v.Sums.N); p < 0.4 || away.Counts().Resets != 1 {
+		t.Errorf("%.2f turned away, %d times anew", p, away.Counts().Resets)
 	}
 	one := play(3*time.Second, func(now time.Duration) (float64, Outcome) {
 		if now == 0 {
@@ -110,7 +110,7 @@
 		}
 		return 5, Served
 	})
-	if n := one.Counts().Anew; n != 0 {
+	if n := one.Counts().Resets; n != 0 {
 		t.Errorf("anew %d times after one long answer", n)
 	}
 }
@@ -120,7 +120,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7))
 		s, now := state(t, Defaults(), "p", 1, ""), time.Duration(0)
-		l := s.Slot(0, Key{"n", 1, "c"})
+		l := s.Recorder(0, Key{"n", 1, "c"})
 		for range r.IntN(200) {
 			now += time.Duration(r.ExpFloat64() * r.Float64() * float64(20*time.Second))
 			l.Record(now, r.Float64()*9, r.ExpFloat64()*20, Outcome(r.IntN(4)))
--- a/internal/nodestats/own.go
+++ b/internal/nodestats/own.go
@@ -16,12 +16,12 @@
 	told    time.Duration // when health was set
 	isTold  bool
 	dirty   bool // health is to be sent
-	classes []*Slot
+	classes []*Recorder
 }
 
-// Slot is where one class on one node is recorded. It stays the caller's; once the node is another or the
+// Recorder is where one class on one node is recorded. It stays the caller's; once the node is another or the
 // slot was not used for long it finds its place again by itself, or counts what it cannot hold.
-type Slot struct {
+type Recorder struct {
 	s      *State
 	key    Key
 	placed bool
@@ -32,26 +32,26 @@
 	f      figures       // in weights of base
 }
 
-// Slot finds or makes the place of a key. It never is nil: what has no place, by the bounds or as an
+// Recorder finds or makes the place of a key. It never is nil: what has no place, by the bounds or as an
 // earlier life of its node, is counted in Beyond as it is recorded.
-func (s *State) Slot(now time.Duration, k Key) *Slot {
-	if n := s.own[k.Node]; n != nil && n.since == k.Since {
+func (s *State) Recorder(now time.Duration, k Key) *Recorder {
+	if n := s.own[k.Node]; n != nil && n.since == k.StartTime {
 		for _, l := range n.classes {
 			if l.key.Class == k.Class {
 				return l
 			}
 		}
 	}
-	l := &Slot{s: s, key: k}
+	l := &Recorder{s: s, key: k}
 	l.place(now)
 	return l
 }
 
-func (l *Slot) place(now time.Duration) bool {
+func (l *Recorder) place(now time.Duration) bool {
 	if !goodName(l.key.Node) || !goodName(l.key.Class) {
 		return false
 	}
-	n := l.s.node(now, l.key.Node, l.key.Since, false)
+	n := l.s.node(now, l.key.Node, l.key.StartTime, false)
 	if n == nil {
 		return false
 	}
@@ -60,10 +60,10 @@
 			return false // another slot of the same key took it
 		}
 	}
-	if len(n.classes) >= l.s.set.Classes {
+	if len(n.classes) >= l.s.set.MaxClasses {
 		return false
 	}
-	l.placed, l.base, l.last, l.anew, l.f = true, now, now, now, figures{since: l.key.Since}
+	l.placed, l.base, l.last, l.anew, l.f = true, now, now, now, figures{since: l.key.StartTime}
 	n.classes = append(n.classes, l)
 	return true
 }
@@ -73,9 +73,9 @@
 func (s *State) node(now time.Duration, name string, since int64, listed bool) *ownNode {
 	n := s.own[name]
 	switch {
-	case n == nil && len(s.own) >= s.set.Nodes:
+	case n == nil && len(s.own) >= s.set.MaxNodes:
 		s.forget(now)
-		if len(s.own) >= s.set.Nodes {
+		if len(s.own) >= s.set.MaxNodes {
 			return nil
 		}
 		fallthrough
@@ -96,13 +96,13 @@
 }
 
 // Record counts the end of one attempt.
-func (l *Slot) Record(now time.Duration, units, millis float64, o Outcome) {
+func (l *Recorder) Record(now time.Duration, units, millis float64, o Outcome) {
 	if !l.placed && !l.place(now) {
-		l.s.counts.Beyond++
+		l.s.counts.OverLimit++
 		return
 	}
 	if o >= outcomes || o == Served && !(units >= 0 && units <= unitsMax && millis >= 0 && millis <= millisMax) {
-		l.s.counts.Impossible++
+		l.s.counts.Invalid++
 		return
 	}
 	at := max(now, l.last)
@@ -119,13 +119,13 @@
 		f.long.sums.served(w, units, millis)
 		f.short.sums.served(short, units, millis)
 		f.bins[bin(millis)] += short
-	case TurnedAway:
+	case Rejected:
 		f.long.turned += w
 		f.short.turned += short
 	case Failed:
 		f.long.failed += w
 		f.short.failed += short
-	case Late:
+	case TimedOut:
 		f.long.late += w
 		f.short.late += short
 	}
@@ -142,27 +142,27 @@
 	s.YY += wy * y
 }
 
-func (l *Slot) rebase(at time.Duration) {
+func (l *Recorder) rebase(at time.Duration) {
 	l.f.scale(at-l.base, l.s.set.HalfLife)
 	l.base = at
 }
 
 // settle lets the slot begin anew where its memories tell of two nodes: what it saw before a change would only
 // be in the way. Others still know, and say so in their own slots.
-func (l *Slot) settle(now time.Duration) {
+func (l *Recorder) settle(now time.Duration) {
 	if l.s.lost == "anew" || now-l.anew < anewPause*l.s.set.HalfLife {
 		return
 	}
 	f := l.f
 	f.decay(max(now, l.last)-l.base, l.s.set.HalfLife)
 	if f.short.weight() >= anewLeast && apart(&f.short, &f.long, true) > anewApart {
-		l.anew, l.base, l.last, l.f = now, now, max(now, l.last), figures{since: l.key.Since}
-		l.s.counts.Anew++
+		l.anew, l.base, l.last, l.f = now, now, max(now, l.last), figures{since: l.key.StartTime}
+		l.s.counts.Resets++
 	}
 }
 
 // at is what the slot holds at now.
-func (l *Slot) at(now time.Duration) figures {
+func (l *Recorder) at(now time.Duration) figures {
 	f := l.f
 	f.scale(max(now, l.last)-l.base, l.s.set.HalfLife)
 	return f
@@ -172,12 +172,12 @@
 // since starts as unknown.
 func (s *State) SetNode(now time.Duration, node string, since int64, h Health) {
 	if !goodName(node) || h.Type != "" && !goodName(h.Type) || !finite(h.Window) || !finite(h.Queue) {
-		s.counts.Impossible++
+		s.counts.Invalid++
 		return
 	}
 	n := s.node(now, node, since, true)
 	if n == nil {
-		s.counts.Beyond++
+		s.counts.OverLimit++
 		return
 	}
 	h.Window, h.Queue = min(max(h.Window, 0), loadMost), min(max(h.Queue, 0), loadMost)
@@ -187,7 +187,7 @@
 	if near(h.Window, was.Window) && near(h.Queue, was.Queue) {
 		h.Window, h.Queue = was.Window, was.Queue
 	}
-	if !n.isTold || h != was || now-n.told > s.set.Expire/4 {
+	if !n.isTold || h != was || now-n.told > s.set.ExpireAfter/4 {
 		n.dirty = true
 		n.health, n.told, n.isTold = h, now, true
 	}
@@ -198,7 +198,7 @@
 
 // SetList tells which version of the list this process holds.
 func (s *State) SetList(now time.Duration, v int64) {
-	if !s.hasList || v != s.list || now-s.listAt > s.set.Expire/4 {
+	if !s.hasList || v != s.list || now-s.listAt > s.set.ExpireAfter/4 {
 		s.list, s.listAt, s.hasList, s.listDirty = v, now, true, true
 	}
 }
@@ -210,13 +210,13 @@
 		n := s.own[name]
 		slots := n.classes[:0]
 		for _, l := range n.classes {
-			if l.placed = now-l.last < s.set.Expire; l.placed {
+			if l.placed = now-l.last < s.set.ExpireAfter; l.placed {
 				slots = append(slots, l)
 			}
 		}
 		clear(n.classes[len(slots):])
 		n.classes = slots
-		if len(slots) == 0 && (!n.isTold || now-n.told >= s.set.Expire) {
+		if len(slots) == 0 && (!n.isTold || now-n.told >= s.set.ExpireAfter) {
 			delete(s.own, name)
 			continue
 		}
--- a/internal/nodestats/state.go
+++ b/internal/nodestats/state.go
@@ -45,16 +45,16 @@
 // Counts are the figures of a state, from its start.
 type Counts struct {
 	Messages, Bytes          int64 // merged
-	Cells                    int64 // ... and what was new in them
-	Known                    int64 // cells held already
-	Older                    int64 // cells of an older incarnation or sequence, not taken
-	Expired                  int64 // cells too old when they came
+	NewCells                 int64 // ... and what was new in them
+	DuplicateCells           int64 // cells held already
+	OutdatedCells            int64 // cells of an older incarnation or sequence, not taken
+	ExpiredCells             int64 // cells too old when they came
 	Unreadable, LaterVersion int64 // messages dropped
-	Beyond                   int64 // what the bounds left out
-	Anew                     int64 // times that an own slot began anew: its node had changed
-	Impossible               int64 // own figures that cannot be
-	Refuted                  int64 // times that this process's name came with figures of another life
-	Origins, Held            int64 // now: others, and their cells
+	OverLimit                int64 // what the bounds left out
+	Resets                   int64 // times that an own slot began anew: its node had changed
+	Invalid                  int64 // own figures that cannot be
+	IdentityConflicts        int64 // times that this process's name came with figures of another life
+	Origins, StoredCells     int64 // now: others, and their cells
 }
 
 // State is what is known, here and of others. It is not for more than one goroutine.
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	if !goodName(self) {
-		return nil, &BadName{self}
+		return nil, &NameError{self}
 	}
 	return &State{set: set, self: self, incarnation: min(incarnation, versionMost-1), own: map[string]*ownNode{},
 		mine: &origin{cells: map[cellID]*cell{}}, others: map[string]*origin{}}, nil
@@ -101,13 +101,13 @@
 	c := s.counts
 	c.Origins = int64(len(s.others))
 	for _, o := range s.others {
-		c.Held += int64(len(o.cells))
+		c.StoredCells += int64(len(o.cells))
 	}
 	return c
 }
 
 // cellsMost is how many parts a record may have.
-func (s *State) cellsMost() int { return s.set.Nodes*(s.set.Classes+1) + 1 }
+func (s *State) cellsMost() int { return s.set.MaxNodes*(s.set.MaxClasses+1) + 1 }
 
 // publish makes cells of what changed of the own record.
 func (s *State) publish(now time.Duration) {
@@ -144,7 +144,7 @@
 func (s *State) expire(now time.Duration) {
 	drop := func(o *origin) {
 		for id, c := range o.cells {
-			if now-c.born >= s.set.Expire {
+			if now-c.born >= s.set.ExpireAfter {
 				o.floor = max(o.floor, c.seq)
 				delete(o.cells, id)
 			}
@@ -154,7 +154,7 @@
 	s.trim(s.mine)
 	for name, o := range s.others {
 		drop(o)
-		if len(o.cells) == 0 && now-o.heard >= 2*s.set.Expire {
+		if len(o.cells) == 0 && now-o.heard >= 2*s.set.ExpireAfter {
 			delete(s.others, name)
 		}
 	}
@@ -223,7 +223,7 @@
 				ids = append(ids, id)
 			}
 		}
-		out = append(out, o.pack(now, name, ids, s.set.Bytes)...)
+		out = append(out, o.pack(now, name, ids, s.set.MaxMessageBytes)...)
 		s.pause()
 	}
 	return out, nil
@@ -282,7 +282,7 @@
 }
 
 func (s *State) refuse(err error) {
-	if _, later := err.(*LaterVersion); later {
+	if _, later := err.(*VersionError); later {
 		s.counts.LaterVersion++
 	} else {
 		s.counts.Unreadable++
@@ -293,7 +293,7 @@
 // but a count.
 func (s *State) Merge(now time.Duration, message []byte) error {
 	if len(message) > bytesMost {
-		err := &Unreadable{"too long"}
+		err := &DecodeError{"too long"}
 		s.refuse(err)
 		return err
 	}
@@ -310,8 +310,8 @@
 	}
 	fresh := cells[:0]
 	for _, t := range cells {
-		if t.age >= s.set.Expire {
-			s.counts.Expired++
+		if t.age >= s.set.ExpireAfter {
+			s.counts.ExpiredCells++
 			continue
 		}
 		fresh = append(fresh, t)
@@ -321,12 +321,12 @@
 	}
 	o := s.room(now, name, incarnation)
 	if o == nil {
-		s.counts.Beyond++
+		s.counts.OverLimit++
 		return nil
 	}
 	switch {
 	case incarnation < o.incarnation && s.lost != "incarnation":
-		s.counts.Older += int64(len(fresh))
+		s.counts.OutdatedCells += int64(len(fresh))
 		return nil
 	case incarnation != o.incarnation:
 		*o = origin{incarnation: incarnation, cells: map[cellID]*cell{}}
@@ -345,15 +345,15 @@
 	born := now - t.age
 	switch {
 	case c == nil && t.seq <= o.floor && s.lost != "floor", c != nil && t.seq < c.seq && s.lost != "sequence":
-		s.counts.Older++
+		s.counts.OutdatedCells++
 	case c != nil && t.seq == c.seq && bytes.Compare(t.body, c.body) <= 0 && s.lost != "tie":
 		if bytes.Equal(t.body, c.body) {
 			c.born = min(c.born, born)
 		}
-		s.counts.Known++
+		s.counts.DuplicateCells++
 	default:
 		o.cells[t.id] = newCell(t.id, t.seq, born, t.body)
-		s.counts.Cells++
+		s.counts.NewCells++
 	}
 }
 
@@ -371,7 +371,7 @@
 	for _, id := range ids[:over] {
 		delete(o.cells, id)
 	}
-	s.counts.Beyond += int64(over)
+	s.counts.OverLimit += int64(over)
 }
 
 // room finds an origin's record, or makes one. Of more origins than may be held those stay that come
@@ -381,10 +381,10 @@
 	if o != nil {
 		return o
 	}
-	if len(s.others) >= s.set.Origins {
+	if len(s.others) >= s.set.MaxOrigins {
 		s.expire(now)
 	}
-	if len(s.others) >= s.set.Origins && s.lost != "origins" {
+	if len(s.others) >= s.set.MaxOrigins && s.lost != "origins" {
 		last := name
 		for n := range s.others {
 			if rank(last, n) < 0 {
@@ -395,7 +395,7 @@
 			return nil
 		}
 		delete(s.others, last)
-		s.counts.Beyond++
+		s.counts.OverLimit++
 	}
 	o = &origin{incarnation: incarnation, cells: map[cellID]*cell{}, heard: now}
 	s.others[name] = o
@@ -415,20 +415,20 @@
 	}
 	switch {
 	case !foreign && incarnation < s.incarnation:
-		s.counts.Older += int64(len(cells))
+		s.counts.OutdatedCells += int64(len(cells))
 	case !foreign:
-		s.counts.Known += int64(len(cells))
+		s.counts.DuplicateCells += int64(len(cells))
 	case incarnation >= versionMost || s.lost == "refute":
-		s.counts.Refuted++
+		s.counts.IdentityConflicts++
 	default:
-		s.counts.Refuted++
+		s.counts.IdentityConflicts++
 		s.incarnation = incarnation + 1
 	}
 }
 
 // Check says which invariant does not hold.
 func (s *State) Check() error {
-	if len(s.others) > s.set.Origins || len(s.own) > s.set.Nodes || len(s.own) != len(s.ownOrder) {
+	if len(s.others) > s.set.MaxOrigins || len(s.own) > s.set.MaxNodes || len(s.own) != len(s.ownOrder) {
 		return fmt.Errorf("%d origins, %d nodes", len(s.others), len(s.own))
 	}
 	for _, name := range s.names() {
@@ -446,7 +446,7 @@
 		}
 	}
 	for name, n := range s.own {
-		if len(n.classes) > s.set.Classes {
+		if len(n.classes) > s.set.MaxClasses {
 			return fmt.Errorf("%s has %d classes", name, len(n.classes))
 		}
 	}
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -22,8 +22,8 @@
 
 func small() Settings {
 	set := Defaults()
-	set.Origins, set.Nodes, set.Classes = 4, 3, 2
-	set.HalfLife, set.Expire = 30*time.Second, 5*time.Minute
+	set.MaxOrigins, set.MaxNodes, set.MaxClasses = 4, 3, 2
+	set.HalfLife, set.ExpireAfter = 30*time.Second, 5*time.Minute
 	return set
 }
 
@@ -56,7 +56,7 @@
 func record(s *State, r *rand.Rand, now time.Duration, n int) {
 	for range n {
 		k := Key{fmt.Sprintf("n%d", r.IntN(5)), 1 + int64(r.IntN(2)), fmt.Sprintf("c%d", r.IntN(3))}
-		s.Slot(now, k).Record(now, float64(r.IntN(64)), r.ExpFloat64()*20, Outcome(r.IntN(4)))
+		s.Recorder(now, k).Record(now, float64(r.IntN(64)), r.ExpFloat64()*20, Outcome(r.IntN(4)))
 	}
 	s.SetNode(now, fmt.Sprintf("n%d", r.IntN(5)), 1, Health{Type: "hdd", Shard: r.IntN(3), Window: float64(r.IntN(9))})
 	s.SetList(now, int64(r.IntN(4)))
@@ -172,8 +172,8 @@
 		"earlier life": {count(0, forge("p", 2, told{id, 1, 0, figure(10)}), forge("p", 1, told{id, 9, 0, figure(20)})), 10},
 		"earlier":      {count(0, forge("p", 1, told{id, 2, 0, figure(10)}), forge("p", 1, told{id, 1, 0, figure(20)})), 10},
 		"one sequence": {count(0, forge("p", 1, told{id, 1, 0, figure(20)}), forge("p", 1, told{id, 1, 0, figure(10)})), 20},
-		"expired":      {count(set.Expire, forge("p", 1, told{id, 2, 0, figure(10)}), forge("p", 1, told{id, 1, 0, figure(20)})), 0},
-		"too old":      {count(0, forge("p", 1, told{cellID{"m", ""}, 1, 0, Health{}.append(nil, 1)}), forge("q", 1, told{id, 1, set.Expire, figure(20)})), 0},
+		"expired":      {count(set.ExpireAfter, forge("p", 1, told{id, 2, 0, figure(10)}), forge("p", 1, told{id, 1, 0, figure(20)})), 0},
+		"too old":      {count(0, forge("p", 1, told{cellID{"m", ""}, 1, 0, Health{}.append(nil, 1)}), forge("q", 1, told{id, 1, set.ExpireAfter, figure(20)})), 0},
 		"later life":   {count(0, forge("p", 1, told{id, 9, 0, figure(10)}), forge("p", 2, told{id, 1, 0, figure(20)})), 20},
 	} {
 		if c.got != c.want {
@@ -199,14 +199,14 @@
 func bent(t rapid.TB, seed uint64, lost string) error {
 	r := rand.New(rand.NewPCG(seed, 2))
 	set := small()
-	set.Origins = 8
+	set.MaxOrigins = 8
 	s := state(t, set, "me", 1, lost)
 	k := Key{"n0", 1, "c0"}
 	most, total := 0.0, 0.0
 	end := 6 * time.Second // so that memories can differ
 	for i := range 2 + r.IntN(3) {
 		p := state(t, set, fmt.Sprintf("p%d", i), 1, "")
-		slot, n := p.Slot(0, k), 20+r.IntN(200)
+		slot, n := p.Recorder(0, k), 20+r.IntN(200)
 		for j := range n {
 			slot.Record(end*time.Duration(j)/time.Duration(n), 1+r.Float64(), 10+r.Float64(), Served)
 		}
@@ -214,7 +214,7 @@
 		feed(s, end, all(t, p, end)...)
 	}
 	bad := state(t, set, "bad", 1, "")
-	slot := bad.Slot(0, k)
+	slot := bad.Recorder(0, k)
 	for range 1 + r.IntN(3) {
 		scale := math.Pow(10, r.Float64()*10-3)
 		at := time.Duration(r.Int64N(int64(end)))
@@ -229,7 +229,7 @@
 	}
 	v := views[0]
 	p99, _ := Quantile(v.Sketch, 0.99)
-	switch c := set.Clip; {
+	switch c := set.ClipFactor; {
 	case v.Sums.N+v.Failed > total+c*max(most, thin)+1:
 		return fmt.Errorf("weight %v over %v of the honest, each at most %v", v.Sums.N, total, most)
 	case v.Sums.Y/v.Sums.N > 11*c || math.Sqrt(v.Sums.YY/v.Sums.N) > 11*c+1 || v.Sums.X/v.Sums.N > 2*c:
@@ -262,17 +262,17 @@
 func TestItsOwnNameFromOthersMakesALaterLife(t *testing.T) {
 	ask := func(lost string) float64 {
 		before, other := state(t, small(), "p", 9, ""), state(t, small(), "q", 1, "")
-		before.Slot(0, Key{"n", 1, "c"}).Record(0, 1, 1, Failed)
+		before.Recorder(0, Key{"n", 1, "c"}).Record(0, 1, 1, Failed)
 		feed(other, 0, all(t, before, 0)...)
 		now := state(t, small(), "p", 3, lost)
-		now.Slot(0, Key{"n", 1, "c"}).Record(0, 1, 1, TurnedAway)
+		now.Recorder(0, Key{"n", 1, "c"}).Record(0, 1, 1, Rejected)
 		feed(other, 0, all(t, now, 0)...)
 		feed(now, 0, all(t, other, 0)...)
 		feed(other, 0, all(t, now, 0)...)
-		if n := now.Counts().Refuted; n != 1 {
+		if n := now.Counts().IdentityConflicts; n != 1 {
 			t.Errorf("refuted %d times", n)
 		}
-		return other.Views(0)[0].Turned
+		return other.Views(0)[0].Rejected
 	}
 	if ask("") != 1 || ask("refute") != 0 {
 		t.Error("the later life was not taken, or the rule's loss is not noticed")
@@ -284,7 +284,7 @@
 func TestANodeReplacedStartsAsUnknown(t *testing.T) {
 	count := func(lost string) (n float64) {
 		s, p := state(t, small(), "me", 1, lost), state(t, small(), "p", 1, "")
-		old, of := s.Slot(0, Key{"n", 1, "c"}), p.Slot(0, Key{"n", 1, "c"})
+		old, of := s.Recorder(0, Key{"n", 1, "c"}), p.Recorder(0, Key{"n", 1, "c"})
 		old.Record(0, 1, 1, Served)
 		of.Record(0, 1, 1, Served)
 		feed(s, 0, all(t, p, 0)...)
@@ -293,7 +293,7 @@
 		for _, v := range s.Views(0) {
 			n += v.Sums.N
 		}
-		if s.Counts().Beyond != 1 {
+		if s.Counts().OverLimit != 1 {
 			t.Error("what the earlier life still records is not counted")
 		}
 		return n
@@ -311,7 +311,7 @@
 func TestAgesAreTheReceivers(t *testing.T) {
 	set := small()
 	p, q := state(t, set, "p", 1, ""), state(t, set, "q", 1, "")
-	p.Slot(time.Hour, Key{"n", 1, "c"}).Record(time.Hour, 2, 8, Served)
+	p.Recorder(time.Hour, Key{"n", 1, "c"}).Record(time.Hour, 2, 8, Served)
 	relay := state(t, set, "r", 1, "")
 	feed(relay, 0, all(t, p, time.Hour+set.HalfLife)...) // clocks an hour apart
 	feed(q, time.Minute, all(t, relay, set.HalfLife)...)
@@ -319,7 +319,7 @@
 	if want := math.Exp2(-2.0 / longer); math.Abs(v.Sums.N-want) > 1e-6 || math.Abs(v.Sums.XY-16*want) > 1e-4 || v.Age != 2*set.HalfLife-set.HalfLife {
 		t.Errorf("%+v, age %v", v.Sums, v.Age)
 	}
-	if n := len(q.Views(time.Minute + set.Expire)); n != 0 {
+	if n := len(q.Views(time.Minute + set.ExpireAfter)); n != 0 {
 		t.Errorf("%d views after the expiry", n)
 	}
 	if got, ok := Quantile(v.Sketch, 0.5); !ok || math.Abs(got-8) > 8*accuracy {
@@ -338,7 +338,7 @@
 		}
 		feed(q, 0, m...)
 		for _, one := range m {
-			if n++; len(one) > set.Bytes {
+			if n++; len(one) > set.MaxMessageBytes {
 				t.Errorf("a message of %d bytes", len(one))
 			}
 		}
@@ -356,7 +356,7 @@
 	if m := forge(name, versionMost, told{cellID{name, name}, versionMost, 1 << 60, largest.append(nil)}); len(m) > bytesMin {
 		t.Errorf("a cell of %d bytes", len(m))
 	}
-	p.Slot(0, Key{"n0", 1, "c0"}).Record(0, 1, 1, Served)
+	p.Recorder(0, Key{"n0", 1, "c0"}).Record(0, 1, 1, Served)
 	if exchange() != 1 || exchange() != 0 {
 		t.Error("one change is not one message")
 	}
@@ -367,10 +367,10 @@
 func TestLittleMovesAreNoNews(t *testing.T) {
 	p, q := state(t, small(), "p", 1, ""), state(t, small(), "q", 1, "")
 	cells := func(h Health) int64 {
-		before := q.Counts().Cells
+		before := q.Counts().NewCells
 		p.SetNode(0, "n", 1, h)
 		feed(q, 0, all(t, p, 0)...)
-		return q.Counts().Cells - before
+		return q.Counts().NewCells - before
 	}
 	told := int64(0)
 	for i := range 400 { // from 16 to 8 and back, in steps of a fortieth
@@ -413,7 +413,7 @@
 	if got := s.ListSpread(time.Second, []string{"p1", "p2"}); got != (ListSpread{6, 7, 3, 2}) {
 		t.Errorf("without p0: %+v", got)
 	}
-	if got := s.ListSpread(time.Second+set.Expire, []string{"p0", "p1", "p2"}); got != (ListSpread{6, 6, 1, 0}) {
+	if got := s.ListSpread(time.Second+set.ExpireAfter, []string{"p0", "p1", "p2"}); got != (ListSpread{6, 6, 1, 0}) {
 		t.Errorf("expired: %+v", got)
 	}
 }
@@ -424,7 +424,7 @@
 	m = m[:len(m)-crcSize]
 	m[2]++
 	err := s.Merge(0, seal(m))
-	var later *LaterVersion
+	var later *VersionError
 	if !errors.As(err, &later) || s.Counts().LaterVersion != 1 || held(s) != "" {
 		t.Errorf("%v, %+v", err, s.Counts())
 	}
@@ -435,12 +435,12 @@
 
 func TestSettingsNameWhatIsWrong(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"origins": func(s *Settings) { s.Origins = 0 }, "bytes": func(s *Settings) { s.Bytes = 100 },
-		"expire_ms": func(s *Settings) { s.Expire = time.Second }, "clip": func(s *Settings) { s.Clip = math.NaN() },
+		"origins": func(s *Settings) { s.MaxOrigins = 0 }, "bytes": func(s *Settings) { s.MaxMessageBytes = 100 },
+		"expire_ms": func(s *Settings) { s.ExpireAfter = time.Second }, "clip": func(s *Settings) { s.ClipFactor = math.NaN() },
 	} {
 		set := Defaults()
 		spoil(&set)
-		var bad *BadSetting
+		var bad *SettingError
 		if _, err := New(set, "p", 1); !errors.As(err, &bad) || bad.Key != key {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -489,7 +489,7 @@
 
 func BenchmarkRecord(b *testing.B) {
 	s := state(b, Defaults(), "me", 1, "")
-	l, now := s.Slot(0, Key{"n", 1, "c"}), time.Duration(0)
+	l, now := s.Recorder(0, Key{"n", 1, "c"}), time.Duration(0)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 50 * time.Microsecond
@@ -506,7 +506,7 @@
 		p := state(b, set, fmt.Sprintf("p%d", i), 1, "")
 		for n := range 64 {
 			for c := range 4 {
-				l := p.Slot(0, Key{fmt.Sprintf("n%d", n), 1, fmt.Sprintf("c%d", c)})
+				l := p.Recorder(0, Key{fmt.Sprintf("n%d", n), 1, fmt.Sprintf("c%d", c)})
 				for range 50 {
 					l.Record(0, float64(r.IntN(64)), r.ExpFloat64()*20, Served)
 				}
@@ -534,7 +534,7 @@
 
 func TestRecordAllocatesNothing(t *testing.T) {
 	s := state(t, Defaults(), "me", 1, "")
-	l, now := s.Slot(0, Key{"n", 1, "c"}), time.Duration(0)
+	l, now := s.Recorder(0, Key{"n", 1, "c"}), time.Duration(0)
 	if n := testing.AllocsPerRun(1000, func() {
 		now += time.Second
 		l.Record(now, 3, 7, Served)
--- a/internal/nodestats/types.go
+++ b/internal/nodestats/types.go
@@ -27,18 +27,18 @@
 
 // The outcomes.
 const (
-	Served     Outcome = iota // counts in Sums and the sketch
-	TurnedAway                // the node was full
-	Failed                    // an error, a reset, no connection
-	Late                      // out of time
+	Served   Outcome = iota // counts in Sums and the sketch
+	Rejected                // the node was full
+	Failed                  // an error, a reset, no connection
+	TimedOut                // out of time
 	outcomes
 )
 
 // Key names what is measured: a class on one life of a node.
 type Key struct {
-	Node  string
-	Since int64 // since_ms of the node's start, as the list says it
-	Class string
+	Node      string
+	StartTime int64 // since_ms of the node's start, as the list says it
+	Class     string
 }
 
 // Sums are decayed counts that add up: of the requests served, of their units X and their
@@ -57,25 +57,25 @@
 
 // Health is what one process holds of a node.
 type Health struct {
-	Type   string // hardware, as the list or the settings name it; "": unknown
-	Shard  int
-	Cold   bool
-	Window float64 // what the process may have out there
-	Queue  float64 // what waits for it
+	Type      string // hardware, as the list or the settings name it; "": unknown
+	Shard     int
+	WarmingUp bool
+	Window    float64 // what the process may have out there
+	Queue     float64 // what waits for it
 }
 
 // View is what is known of one key over all processes.
 type View struct {
 	Key
-	Type                 string // hardware; "": unknown
-	Shard                int
-	Sums                 Sums    // over origins, each clipped
-	Turned, Failed, Late float64 // decayed counts
-	Cold                 bool
-	Window, Queue        float64       // mean over origins
-	Sketch               []byte        // of latencies in milliseconds, merged; read by Quantile
-	Origins              int           // that told of the key
-	Age                  time.Duration // of the newest
+	Type                       string // hardware; "": unknown
+	Shard                      int
+	Sums                       Sums    // over origins, each clipped
+	Rejected, Failed, TimedOut float64 // decayed counts
+	WarmingUp                  bool
+	Window, Queue              float64       // mean over origins
+	Sketch                     []byte        // of latencies in milliseconds, merged; read by Quantile
+	Origins                    int           // that told of the key
+	Age                        time.Duration // of the newest
 }
 
 // ListVersion is the version of the node list that an origin holds.
@@ -87,19 +87,19 @@
 
 // Settings are the bounds.
 type Settings struct {
-	Origins  int           // other processes held; of more, those of a fixed order stay
-	Nodes    int           // nodes an origin may tell of
-	Classes  int           // classes an origin may tell of, on each
-	Bytes    int           // of one message
-	HalfLife time.Duration // of an observation's weight
-	Expire   time.Duration // what was not told anew for so long goes
-	Clip     float64       // how far over the others one origin may stand, in weight and in value
+	MaxOrigins      int           // other processes held; of more, those of a fixed order stay
+	MaxNodes        int           // nodes an origin may tell of
+	MaxClasses      int           // classes an origin may tell of, on each
+	MaxMessageBytes int           // of one message
+	HalfLife        time.Duration // of an observation's weight
+	ExpireAfter     time.Duration // what was not told anew for so long goes
+	ClipFactor      float64       // how far over the others one origin may stand, in weight and in value
 }
 
 // Defaults are good for some thirty processes.
 func Defaults() Settings {
-	return Settings{Origins: 32, Nodes: 256, Classes: 16, Bytes: 1200,
-		HalfLife: 1500 * time.Millisecond, Expire: 5 * time.Minute, Clip: 2}
+	return Settings{MaxOrigins: 32, MaxNodes: 256, MaxClasses: 16, MaxMessageBytes: 1200,
+		HalfLife: 1500 * time.Millisecond, ExpireAfter: 5 * time.Minute, ClipFactor: 2}
 }
 
 const (
@@ -115,12 +115,12 @@
 		value       float64
 		least, most float64
 	}{
-		{"origins", float64(s.Origins), 1, 1024}, {"nodes", float64(s.Nodes), 1, 65536}, {"classes", float64(s.Classes), 1, 1024},
-		{"bytes", float64(s.Bytes), bytesMin, bytesMost}, {"half_life_ms", ms(s.HalfLife), 1, 1e9},
-		{"expire_ms", ms(s.Expire), ms(s.HalfLife), 1e10}, {"clip", s.Clip, 1, 1e6},
+		{"origins", float64(s.MaxOrigins), 1, 1024}, {"nodes", float64(s.MaxNodes), 1, 65536}, {"classes", float64(s.MaxClasses), 1, 1024},
+		{"bytes", float64(s.MaxMessageBytes), bytesMin, bytesMost}, {"half_life_ms", ms(s.HalfLife), 1, 1e9},
+		{"expire_ms", ms(s.ExpireAfter), ms(s.HalfLife), 1e10}, {"clip", s.ClipFactor, 1, 1e6},
 	} {
 		if !(b.value >= b.least && b.value <= b.most) {
-			return &BadSetting{Key: b.key, Value: b.value, Least: b.least, Most: b.most}
+			return &SettingError{Key: b.key, Value: b.value, Min: b.least, Max: b.most}
 		}
 	}
 	return nil
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -18,7 +18,7 @@
 type row struct {
 	key    Key
 	origin string
-	slot   *Slot // this process's own
+	slot   *Recorder // this process's own
 	body   []byte
 	age    time.Duration // since it was told or renewed
 	old    time.Duration // ... since its weights were 1
@@ -53,7 +53,7 @@
 		for j < len(healths) && healths[j].node == healths[i].node && healths[j].since == healths[i].since {
 			j++
 		}
-		v := joinHealth(healths[i:j], s.set.Clip)
+		v := joinHealth(healths[i:j], s.set.ClipFactor)
 		byNode[v.Key] = v
 		i = j
 	}
@@ -67,8 +67,8 @@
 			j++
 		}
 		v := s.join(rows[i:j])
-		if h, ok := byNode[Key{Node: v.Node, Since: v.Since}]; ok {
-			v.Type, v.Shard, v.Cold, v.Window, v.Queue = h.Type, h.Shard, h.Cold, h.Window, h.Queue
+		if h, ok := byNode[Key{Node: v.Node, StartTime: v.StartTime}]; ok {
+			v.Type, v.Shard, v.WarmingUp, v.Window, v.Queue = h.Type, h.Shard, h.WarmingUp, h.Window, h.Queue
 		}
 		views = append(views, v)
 		i = j
@@ -79,7 +79,7 @@
 }
 
 func (k Key) compare(o Key) int {
-	return cmp.Or(cmp.Compare(k.Node, o.Node), cmp.Compare(k.Since, o.Since), cmp.Compare(k.Class, o.Class))
+	return cmp.Or(cmp.Compare(k.Node, o.Node), cmp.Compare(k.StartTime, o.StartTime), cmp.Compare(k.Class, o.Class))
 }
 
 // rows are all origins' words, sorted.
@@ -129,7 +129,7 @@
 
 func compareHealth(a, b Health) int {
 	cold := func(h Health) int {
-		if h.Cold {
+		if h.WarmingUp {
 			return 1
 		}
 		return 0
@@ -150,7 +150,7 @@
 		rows[i].read(&all[i], s.set.HalfLife)
 		v.Age = min(v.Age, rows[i].age)
 	}
-	long, short := clips(all, s.set.Clip, (*figures).longs), clips(all, s.set.Clip, (*figures).shorts)
+	long, short := clips(all, s.set.ClipFactor, (*figures).longs), clips(all, s.set.ClipFactor, (*figures).shorts)
 	if s.lost == "clip" {
 		for i := range rows {
 			long[i], short[i] = clipping{1, 1, 1}, clipping{1, 1, 1}
@@ -178,7 +178,7 @@
 			}
 		}
 	}
-	v.Sums, v.Turned, v.Failed, v.Late = sum.sums, sum.turned, sum.failed, sum.late
+	v.Sums, v.Rejected, v.Failed, v.TimedOut = sum.sums, sum.turned, sum.failed, sum.late
 	v.Sketch = sketchOf(&counts)
 	return v
 }
@@ -261,7 +261,7 @@
 // joinHealth is one node's health over origins: what most say, and means of the windows and queues, each at most
 // clip times the median.
 func joinHealth(rows []healthRow, clip float64) View {
-	v := View{Key: Key{Node: rows[0].node, Since: rows[0].since}, Origins: len(rows), Age: rows[0].age}
+	v := View{Key: Key{Node: rows[0].node, StartTime: rows[0].since}, Origins: len(rows), Age: rows[0].age}
 	types, shards := map[string]int{}, map[int]int{}
 	cold := 0
 	var windows, queues []float64
@@ -270,13 +270,13 @@
 			types[r.h.Type]++
 		}
 		shards[r.h.Shard]++
-		if r.h.Cold {
+		if r.h.WarmingUp {
 			cold++
 		}
 		windows, queues = append(windows, r.h.Window), append(queues, r.h.Queue)
 		v.Age = min(v.Age, r.age)
 	}
-	v.Type, v.Shard, v.Cold = most(types), most(shards), 2*cold >= len(rows) && cold > 0
+	v.Type, v.Shard, v.WarmingUp = most(types), most(shards), 2*cold >= len(rows) && cold > 0
 	v.Window, v.Queue = clippedMean(windows, clip), clippedMean(queues, clip)
 	return v
 }
@@ -324,7 +324,7 @@
 		if o == nil || name == s.self {
 			continue
 		}
-		if c := o.cells[cellID{}]; c != nil && now-c.born < s.set.Expire {
+		if c := o.cells[cellID{}]; c != nil && now-c.born < s.set.ExpireAfter {
 			held = append(held, (&input{b: c.body}).int())
 		}
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -110,15 +110,15 @@
 	}
 	e.Line = line
 	e.Request.ID = fmt.Sprintf("replay-%d", line)
-	e.Request.Arrived = x.at
+	e.Request.ReceivedAt = x.at
 	r.Entries = append(r.Entries, e)
 }
 
 // order sorts by time, and counts times from the first.
 func (r *Recording) order() *Recording {
-	slices.SortStableFunc(r.Entries, func(a, b Entry) int { return a.Request.Arrived.Compare(b.Request.Arrived) })
+	slices.SortStableFunc(r.Entries, func(a, b Entry) int { return a.Request.ReceivedAt.Compare(b.Request.ReceivedAt) })
 	for i := range r.Entries {
-		r.Entries[i].At = r.Entries[i].Request.Arrived.Sub(r.Entries[0].Request.Arrived)
+		r.Entries[i].At = r.Entries[i].Request.ReceivedAt.Sub(r.Entries[0].Request.ReceivedAt)
 	}
 	return r
 }
@@ -158,27 +158,27 @@
 	if r.Class = m.class(u.Path); r.Class == "" {
 		return e, fmt.Errorf("path %.60q names no class", x.uri)
 	}
-	r.Patience = m.Deadline
+	r.Timeout = m.Deadline
 	if m.Classes != nil {
 		d, ok := m.Classes[r.Class]
 		if !ok {
 			return e, fmt.Errorf("class %.40q is unknown", r.Class)
 		}
-		r.Patience = d
+		r.Timeout = d
 	}
 	if x.deadline != "" {
 		ms, err := strconv.ParseUint(x.deadline, 10, 31)
 		if err != nil || ms == 0 {
 			return e, fmt.Errorf("X-Deadline-Ms %.20q is no time", x.deadline)
 		}
-		r.Patience = time.Duration(ms) * time.Millisecond
+		r.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	e.URI, e.Bytes = u.RequestURI(), x.bytes
 	if rest, found := strings.CutPrefix(e.URI, "/"+r.Class); !found || rest != "" && rest[0] != '/' && rest[0] != '?' {
 		e.URI = "/" + r.Class + e.URI // the class is the first part of the path
 	}
-	r.Plan, r.Key, r.Repeat = cmpOr(x.plan, m.Plan), cmpOr(x.extent, hash(u.Path)), x.retry
-	r.Volume, r.Hosts = hash("volume "+x.owner), max(1, m.Hosts)
+	r.Plan, r.Key, r.ClientRetry = cmpOr(x.plan, m.Plan), cmpOr(x.extent, hash(u.Path)), x.retry
+	r.Volume, r.Schedulers = hash("volume "+x.owner), max(1, m.Hosts)
 	r.Units = math.Max(1, math.Ceil(float64(x.bytes)/math.Max(m.UnitBytes, 1)))
 	if m.MostUnits > 0 {
 		r.Units = math.Min(r.Units, m.MostUnits)
@@ -216,7 +216,7 @@
 		case "shard":
 			r.Shard, err = strconv.Atoi(v)
 		case "hosts":
-			r.Hosts, err = strconv.Atoi(v)
+			r.Schedulers, err = strconv.Atoi(v)
 		}
 		if err != nil {
 			return fmt.Errorf("IO-Info: %s: %v", name, err)
@@ -349,8 +349,8 @@
 	}
 	dst = fmt.Appendf(dst, "%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: %s\r\nTier: %s\r\nCookie: extent=%s\r\n"+
 		"X-Deadline-Ms: %d\r\nIO-Info: volume=%s,units=%s,shard=%d,hosts=%d\r\n", method, e.URI, id, r.Plan, r.Key,
-		r.Patience.Milliseconds(), r.Volume, strconv.FormatFloat(r.Units, 'f', -1, 64), r.Shard, r.Hosts)
-	if r.Repeat {
+		r.Timeout.Milliseconds(), r.Volume, strconv.FormatFloat(r.Units, 'f', -1, 64), r.Shard, r.Schedulers)
+	if r.ClientRetry {
 		dst = append(dst, "X-Retry: 1\r\n"...)
 	}
 	if !e.Write {
@@ -365,8 +365,8 @@
 func (e *Entry) JSON(dst []byte) []byte {
 	r := &e.Request
 	text, err := json.Marshal(map[string]any{"at_ms": e.At.Milliseconds(), "id": r.ID, "write": e.Write, "uri": e.URI, "class": r.Class,
-		"plan": r.Plan, "key": r.Key, "volume": r.Volume, "units": r.Units, "shard": r.Shard, "hosts": r.Hosts,
-		"bytes": e.Bytes, "deadline_ms": r.Patience.Milliseconds(), "retry": r.Repeat})
+		"plan": r.Plan, "key": r.Key, "volume": r.Volume, "units": r.Units, "shard": r.Shard, "hosts": r.Schedulers,
+		"bytes": e.Bytes, "deadline_ms": r.Timeout.Milliseconds(), "retry": r.ClientRetry})
 	if err != nil { // no value here can fail
 		panic(err)
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("%+v", c)
 	}
 	export, record := r.Entries[2], r.Entries[3]
-	if export.URI != "/bulk-export/export/2026?part=1" || export.Request.Units != 6 || export.Request.Patience != 4*time.Second {
+	if export.URI != "/bulk-export/export/2026?part=1" || export.Request.Units != 6 || export.Request.Timeout != 4*time.Second {
 		t.Errorf("%+v", export)
 	}
 	if !record.Write || record.Request.Plan != "basic" || record.Request.Volume == r.Entries[0].Request.Volume {
@@ -68,7 +68,7 @@
 	}
 	q := second.Request
 	if q.Plan != "premium" || q.Key != "7f3a9c21e0b4d655" || q.Volume != "00000003b4d60021" || q.Units != 2 || q.Shard != 5 ||
-		q.Hosts != 3 || q.Patience != 480*time.Millisecond || !second.Write || second.Bytes != 12 {
+		q.Schedulers != 3 || q.Timeout != 480*time.Millisecond || !second.Write || second.Bytes != 12 {
 		t.Errorf("%+v", second)
 	}
 	if text := string(second.HTTP(nil, "id1")); !strings.HasSuffix(text, "\r\n\r\n............") || strings.Contains(text, "secret") {
@@ -107,7 +107,7 @@
 				return
 			}
 			for _, e := range r.Entries {
-				if _, ok := mapping.Classes[e.Request.Class]; !ok || e.Request.Units <= 0 || e.At < 0 || e.Request.Patience <= 0 {
+				if _, ok := mapping.Classes[e.Request.Class]; !ok || e.Request.Units <= 0 || e.At < 0 || e.Request.Timeout <= 0 {
 					rt.Fatalf("%+v", e)
 				}
 			}
--- a/internal/scattergather/core.go
+++ b/internal/scattergather/core.go
@@ -49,7 +49,7 @@
 // Ask implements Asker.
 func (c *Core) Ask(a Ask, until time.Time, to *Sink) {
 	now := time.Now()
-	r := &core.Request{Request: c.Client, Settings: c.Settings, Arrived: now, Patience: until.Sub(now), Gone: c.Gone}
+	r := &core.Request{Request: c.Client, Settings: c.Settings, ReceivedAt: now, Timeout: until.Sub(now), ClientDisconnected: c.Gone}
 	r.ID, r.Shard, r.Units = c.id(a), a.Part.Shard, c.Units(a.Part)
 	if r.Key != "" { // the module knows a repeat by it: parts are not each other's
 		r.Key += "/" + a.Part.ID
@@ -70,10 +70,10 @@
 				to.End(nil, io.ErrUnexpectedEOF)
 			}
 			return
-		case core.Refused:
+		case core.Rejected:
 			to.End(nil, &Refusal{x.RetryAfter})
 		default:
-			to.End(nil, &Failed{a.Part.ID, string(x.Cause), x.Cause == core.CauseGivenUp || x.Cause == core.CauseBroken})
+			to.End(nil, &Failed{a.Part.ID, string(x.Cause), x.Cause == core.CauseNotServed || x.Cause == core.CauseInternal})
 		}
 		c.take(r.ID)
 	}
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -51,12 +51,12 @@
 		r := core.Result{Status: policy.OK, Payload: body(s.i, shards, each)}
 		switch {
 		case s.fault == "full":
-			r = core.Result{Status: policy.Full}
+			r = core.Result{Status: policy.NodeFull}
 		case s.fault == "silent":
 			<-ctx.Done()
 			r = core.Result{Status: policy.Cancelled}
 		case s.fault == "cut" || s.fault == "cut once" && n == 1:
-			r = core.Result{Status: policy.Reset}
+			r = core.Result{Status: policy.ConnectionReset}
 		case s.fault == "late": // the others have all answered
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -74,11 +74,11 @@
 		delete(s.out, a)
 	}
 }
-func (s *shard) Probe(func(core.Result, time.Duration)) bool { return false }
-func (s *shard) Connect(func(policy.Status)) bool            { return false }
-func (s *shard) Drain(bool)                                  {}
-func (s *shard) Readdress([]address.Addr)                    {}
-func (s *shard) Close()                                      {}
+func (s *shard) CheckHealth(func(core.Result, time.Duration)) bool { return false }
+func (s *shard) Connect(func(policy.Status)) bool                  { return false }
+func (s *shard) Drain(bool)                                        {}
+func (s *shard) SetAddresses([]address.Addr)                       {}
+func (s *shard) Close()                                            {}
 
 type world struct {
 	c      *core.Core
@@ -100,16 +100,16 @@
 	log, _ := logtest.NewNullLogger()
 	var err error
 	w.c, err = core.New(core.Options{Seed: 7, Log: log,
-		Connect: func(name string, _ []address.Addr) core.Peer { return w.shards[name[0]-'0'] },
-		Settings: policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 3, MayCancel: true, HoldOff: true, MaxHoldOff: 1000,
-			DrainGrace: 250, ColdUnits: 100, TipSpan: 3000, TipMultiple: 3, ColdFrom: 0.25, ColdSpan: 17000,
-			Classes: []policy.Class{{Name: "read", Aim: 60e3, Deadline: 120e3, Worth: 3}},
-			Plans:   []policy.Plan{{Name: "basic", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}})
+		Connect: func(name string, _ []address.Addr) core.NodeClient { return w.shards[name[0]-'0'] },
+		Settings: policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 3, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
+			DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
+			Classes: []policy.Class{{Name: "read", LatencyObjective: 60e3, Deadline: 120e3, PriorityWeight: 3}},
+			Plans:   []policy.Plan{{Name: "basic", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.c.List(core.News{Kind: policy.ListStale, Nodes: nodes})
-	w.asker = &Core{Core: w.c, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Hosts: 1},
+	w.c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
+	w.asker = &Core{Core: w.c, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
 		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Ask) any { return nil },
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
 	t.Cleanup(func() {
--- a/internal/scattergather/service.go
+++ b/internal/scattergather/service.go
@@ -123,12 +123,12 @@
 				return s.run(ctx, rules, now, until.Sub(now), of, sub, Query{Partial: true, Rows: a.Rows}, write)
 			}})
 	}
-	late := (&deadline.Gauge{}).Margin(0, r.Patience) // the client counts from its own send
-	return s.run(ctx, rules, r.Arrived, r.Patience-late, parts, asker, ask, write)
+	late := (&deadline.LagGauge{}).Margin(0, r.Timeout) // the client counts from its own send
+	return s.run(ctx, rules, r.ReceivedAt, r.Timeout-late, parts, asker, ask, write)
 }
 
 func (s *Service) own(r *core.Request, id string) *Core {
-	c := &Core{Core: s.Core, Client: r.Request, Settings: r.Settings, PartMost: s.PartMost, Body: s.Body, Gone: r.Gone,
+	c := &Core{Core: s.Core, Client: r.Request, Settings: r.Settings, PartMost: s.PartMost, Body: s.Body, Gone: r.ClientDisconnected,
 		Units:   func(gather.Part) float64 { return cmp.Or(s.Units, r.Units) },
 		Payload: func(part *core.Request, a Ask) any { return s.Payload(r, part, a.Rows) }}
 	c.Client.ID = id
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -35,8 +35,8 @@
 }
 
 func client(id string, patience time.Duration) *core.Request {
-	r := &core.Request{Arrived: time.Now(), Patience: patience}
-	r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Hosts, r.Units = id, "read", "basic", "k", "v", 1, 1
+	r := &core.Request{ReceivedAt: time.Now(), Timeout: patience}
+	r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Schedulers, r.Units = id, "read", "basic", "k", "v", 1, 1
 	return r
 }
 
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -83,17 +83,17 @@
 	} `json:"rules"`
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupShard}
+var effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+var groups = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
 var statuses = map[string]policy.Status{
-	"completed": policy.OK, "errored": policy.Errored, "saturated": policy.Full, "overdue": policy.TimedOut,
-	"refused_conn": policy.NoConn, "severed": policy.Reset, "recalled": policy.Cancelled, "superseded": policy.Abandoned,
+	"completed": policy.OK, "errored": policy.Errored, "saturated": policy.NodeFull, "overdue": policy.TimedOut,
+	"refused_conn": policy.ConnectFailed, "severed": policy.ConnectionReset, "recalled": policy.Cancelled, "superseded": policy.Abandoned,
 }
 var states = map[string]policy.NodeState{
-	"up": policy.NodeUp, "draining": policy.NodeDraining, "removed": policy.NodeGone,
+	"up": policy.NodeUp, "draining": policy.NodeDraining, "removed": policy.NodeRemoved,
 }
 var listKinds = map[string]policy.EventKind{
-	"diff": policy.ListChange, "snapshot": policy.ListFull, "disk": policy.ListStale, "error": policy.ListFailed,
+	"diff": policy.ListChanged, "snapshot": policy.ListReceived, "disk": policy.CachedListLoaded, "error": policy.ListFailed,
 }
 
 // look finds a word in a table, or fails with a message that names it.
@@ -111,16 +111,16 @@
 		return policy.Settings{}, err
 	}
 	s := policy.Settings{
-		Me: w.Me, Hosts: w.Fleet, Zone: w.Zone, AskMode: w.Mode == "ask",
-		MeanUnits: w.Extra.Usual, MostUnits: w.Extra.Largest, ColdUnits: w.Extra.Young,
-		MeterSpan: w.Extra.Metering, TellsOthers: w.Extra.SaysOthers,
-		MaxAttempts: w.Ceiling.MaxAttempts, SecondCopies: w.Ceiling.SecondCopies,
-		MayCancel: w.Ceiling.MayCancel, MayProbe: w.Ceiling.Probes, MayTell: w.Ceiling.Peers,
-		HoldOff: w.Ceiling.RetryAfter, MaxHoldOff: w.Ceiling.MaxRetryAfter,
-		DrainGrace: w.Rules.StopSending, AskWithin: w.Rules.AskWithin,
-		ColdFrom: w.Rules.ColdFrom, ColdSpan: w.Rules.Cold,
-		TipMultiple: w.Rules.TipMultiple, TipSpan: w.Rules.Overload, OrderPause: w.Rules.OrderPause,
-		BudgetShare: w.Rules.Further, BudgetFree: w.Rules.ExtraFloor, BudgetSpan: w.Rules.CountedOver,
+		Instance: w.Me, Schedulers: w.Fleet, Zone: w.Zone, PollsEndpointList: w.Mode == "ask",
+		MeanUnits: w.Extra.Usual, MaxUnits: w.Extra.Largest, SlowStartUnits: w.Extra.Young,
+		UsageMeterPeriod: w.Extra.Metering, ReportsPeerUsage: w.Extra.SaysOthers,
+		MaxAttempts: w.Ceiling.MaxAttempts, MayHedge: w.Ceiling.SecondCopies,
+		MayCancel: w.Ceiling.MayCancel, MayCheckHealth: w.Ceiling.Probes, MayGossip: w.Ceiling.Peers,
+		SendsRetryAfter: w.Ceiling.RetryAfter, MaxRetryAfter: w.Ceiling.MaxRetryAfter,
+		DrainGrace: w.Rules.StopSending, PollWithin: w.Rules.AskWithin,
+		SlowStartShare: w.Rules.ColdFrom, SlowStartDuration: w.Rules.Cold,
+		OverloadMultiple: w.Rules.TipMultiple, OverloadWindow: w.Rules.Overload, OrderedKeyBackoff: w.Rules.OrderPause,
+		RetryBudgetShare: w.Rules.Further, RetryBudgetMin: w.Rules.ExtraFloor, RetryBudgetWindow: w.Rules.CountedOver,
 	}
 	for _, p := range w.Profiles {
 		effect, err := look(effects, p.Repeat)
@@ -128,16 +128,16 @@
 			return s, err
 		}
 		group, err := look(groups, p.KeyScope)
-		if effect == policy.Keyed && err != nil {
+		if effect == policy.IdempotentByKey && err != nil {
 			return s, err
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: p.Name, Aim: p.Goal, AimStretch: p.Stretch,
-			Deadline: p.Deadline, Worth: p.Worth, LateWorth: p.LateWorth, Effect: effect, Group: group,
-			Memory: p.Memory, Ordered: p.ByArrival, Stream: p.Stream})
+		s.Classes = append(s.Classes, policy.Class{Name: p.Name, LatencyObjective: p.Goal, ObjectiveStretch: p.Stretch,
+			Deadline: p.Deadline, PriorityWeight: p.Worth, LatePriorityWeight: p.LateWorth, Effect: effect, DedupScope: group,
+			DedupWindow: p.Memory, Ordered: p.ByArrival, Stream: p.Stream})
 	}
 	for _, c := range w.Contracts {
-		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Rate: c.UsualRate, Reserve: c.Reservation,
-			Weight: c.Shares, Price: c.Price, Limit: c.Cap, LimitBurst: c.Burst})
+		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Rate: c.UsualRate, ReservedRate: c.Reservation,
+			Weight: c.Shares, Price: c.Price, RateLimit: c.Cap, LimitBurst: c.Burst})
 	}
 	return s, nil
 }
@@ -219,7 +219,7 @@
 		for _, e := range entries {
 			var n policy.Node
 			var kind, state string
-			if err = fields(e, 6, &n.ID, &n.Zone, &kind, &n.Shard, &state, &n.Weight, &n.Since); err != nil {
+			if err = fields(e, 6, &n.ID, &n.Zone, &kind, &n.Shard, &state, &n.Weight, &n.StartTime); err != nil {
 				return err
 			}
 			if n.State, err = look(states, state); err != nil {
@@ -238,30 +238,30 @@
 		ln.HasList = ev.Kind != policy.ListFailed
 		return err
 	case "CALL":
-		r, bits := &ev.Req, 0
-		ev.Kind = policy.Arrival
-		err = fields(v, 10, inst, &r.ID, &r.Class, &r.Plan, &r.Key, &r.NotAfter, &r.Volume, &r.Units,
-			&r.Shard, &r.Hosts, &bits)
-		r.Repeat = bits&2 != 0
+		r, bits := &ev.Request, 0
+		ev.Kind = policy.RequestArrived
+		err = fields(v, 10, inst, &r.ID, &r.Class, &r.Plan, &r.Key, &r.Deadline, &r.Volume, &r.Units,
+			&r.Shard, &r.Schedulers, &bits)
+		r.ClientRetry = bits&2 != 0
 		return err
 	case "HEADERS":
-		ev.Kind = policy.FirstByte
+		ev.Kind = policy.ResponseStarted
 		return fields(v, 5, inst, &ev.ID, &ev.Attempt, &ev.Node, &ev.Latency)
 	case "COMPLETED":
-		ev.Kind = policy.Outcome
+		ev.Kind = policy.AttemptEnded
 		err = fields(v, 7, inst, &ev.ID, &ev.Attempt, &ev.Node, &status, &ev.Latency, &ev.Finished,
-			&ev.Used, &ev.Others, &load)
+			&ev.PlanUsage, &ev.PeerUsage, &load)
 	case "DROPPED":
-		ev.Kind = policy.Departed
+		ev.Kind = policy.ClientDisconnected
 		return fields(v, 2, inst, &ev.ID)
 	case "ALARM":
-		ev.Kind = policy.Timer
+		ev.Kind = policy.TimerFired
 		return fields(v, 2, inst, &ev.Tag)
 	case "HEALTH":
-		ev.Kind = policy.Probed
+		ev.Kind = policy.HealthCheckEnded
 		err = fields(v, 4, inst, &ev.Node, &status, &ev.Latency, &load)
 	case "INBOX":
-		ev.Kind = policy.Told
+		ev.Kind = policy.GossipReceived
 		return fields(v, 3, inst, &ev.From, &ev.Data)
 	default:
 		ln.Known = false
@@ -298,8 +298,8 @@
 	}
 	switch a.Kind {
 	case policy.Send:
-		return line("PASS_ON", a.ID, a.Node, a.Until)
-	case policy.Refuse:
+		return line("PASS_ON", a.ID, a.Node, a.Deadline)
+	case policy.Reject:
 		return line("REFUSE", a.ID, a.Wait)
 	case policy.Fail:
 		return line("END_FAILED", a.ID)
@@ -309,11 +309,11 @@
 		return line("SET_TIMER", a.Wait, a.Tag)
 	case policy.Subscribe:
 		return line("KEEP_INFORMED", true)
-	case policy.FetchList:
+	case policy.RequestList:
 		return line("READ_LIST")
-	case policy.Probe:
+	case policy.CheckHealth:
 		return line("TEST", a.Node)
-	case policy.Tell:
+	case policy.Gossip:
 		return line("ANNOUNCE", "all", base64.StdEncoding.EncodeToString(a.Data))
 	case policy.Log:
 		return line("PRINT", a.Text)
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -45,7 +45,7 @@
 					mine.SetNode(now, n.Name, since, nodestats.Health{Shard: n.Shard, Window: 1000})
 					for _, class := range []string{"read", "write"} {
 						for range 20 {
-							mine.Slot(now, nodestats.Key{Node: n.Name, Since: since, Class: class}).Record(now, 1, millis, nodestats.Served)
+							mine.Recorder(now, nodestats.Key{Node: n.Name, StartTime: since, Class: class}).Record(now, 1, millis, nodestats.Served)
 						}
 					}
 				}
--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -168,7 +168,7 @@
 func learned(f *Fleet, order ...int) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Made: time.Now()}
 	for _, j := range order {
-		s.Nodes = append(s.Nodes, snapshot.NodeState{ID: f.opt.Nodes[j].Name, Since: float64(f.since[j]), Window: 64, Usual: 2, Best: 1})
+		s.Nodes = append(s.Nodes, snapshot.NodeState{ID: f.opt.Nodes[j].Name, StartTime: float64(f.since[j]), Window: 64, Latency: 2, BestLatencyPerUnit: 1})
 	}
 	return s
 }
@@ -399,7 +399,7 @@
 		}},
 		{fault: "the peer lies of cold nodes", expected: "taken; nobody takes a cold node for a warm one", taken: 1, run: func(s *starting, p *stranger) {
 			lies := learned(s.Fleet, 0, 2, 1, 3) // of the starts that the list will give
-			lies.Nodes = append(lies.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Usual: -1, Best: -1, Failing: -1})
+			lies.Nodes = append(lies.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Latency: -1, BestLatencyPerUnit: -1, FailureRate: -1})
 			lies.Classes = []snapshot.ClassState{{Name: "read", Weight: 1e9, Slope: -1e9, Delay: -1}, {Name: "none"}}
 			p.give(encoded(s.Fleet, lies))
 		}},
--- a/internal/testkit/cluster/stranger_test.go
+++ b/internal/testkit/cluster/stranger_test.go
@@ -171,14 +171,14 @@
 	w.until("all hold the same", func() bool {
 		s.mu.Lock()
 		clear(s.holds)
-		before, digest := s.state.Counts().Cells, s.state.Digest(time.Since(s.start))
+		before, digest := s.state.Counts().NewCells, s.state.Digest(time.Since(s.start))
 		s.mu.Unlock()
 		for _, d := range daemons {
 			s.tell(d, tagAsk, digest)
 		}
 		for end := time.Now().Add(time.Second); ; time.Sleep(5 * time.Millisecond) {
 			s.mu.Lock()
-			same, all := s.state.Counts().Cells == before, true
+			same, all := s.state.Counts().NewCells == before, true
 			for _, d := range daemons {
 				held, ok := s.holds[d]
 				all = all && ok
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -76,7 +76,7 @@
 // keyed class may be repeated.
 var keyMemory = func() (most time.Duration) {
 	for _, k := range Settings().Classes {
-		most = max(most, span(k.Memory))
+		most = max(most, span(k.DedupWindow))
 	}
 	return most
 }()
@@ -221,7 +221,7 @@
 	log.SetLevel(logrus.PanicLevel)
 	safe := map[string]bool{}
 	for _, k := range set.Classes {
-		safe[k.Name] = k.Effect == policy.Safe
+		safe[k.Name] = k.Effect == policy.Idempotent
 	}
 	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: 400, Safe: safe,
 		Routes: &httpfront.Routes{Seed: seed}}
@@ -229,7 +229,7 @@
 	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), Connect: d.Connect, Log: log}); err != nil {
 		return nil, err
 	}
-	news := core.News{Kind: policy.ListFull}
+	news := core.ListUpdate{Kind: policy.ListReceived}
 	for i, list := range lists {
 		news.Nodes = append(news.Nodes, core.Node{Node: policy.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
 	}
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -18,7 +18,7 @@
 	life    int
 	down    bool
 	s       *policy.Scheduler
-	begin   *coldstart.Start // nil: as today
+	begin   *coldstart.Startup // nil: as today
 	born    float64
 	held    []policy.Node // the list as last held
 	learned policy.Learned
@@ -35,13 +35,13 @@
 // run is the ordinary life before the cut.
 func (h *host) run() {
 	h.fresh(1)
-	h.step(policy.Event{Kind: policy.ListStale})
+	h.step(policy.Event{Kind: policy.CachedListLoaded})
 	h.listed()
 }
 
 func (h *host) fresh(coldShare float64) {
 	set := h.w.set
-	set.Me, set.ColdUnits = h.no, set.ColdUnits*coldShare
+	set.Instance, set.SlowStartUnits = h.no, set.SlowStartUnits*coldShare
 	s, err := policy.New(set, int64(1000*h.life+h.no)+h.w.opt.Seed)
 	if err != nil {
 		panic(err)
@@ -66,24 +66,24 @@
 	if h.w.mode == Today {
 		h.fresh(1)
 		h.clock, h.clockAt = watchtimer.New(watchtimer.Settings{Pushed: h.w.sc.Pushed, Hosts: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
-		h.step(policy.Event{Kind: policy.ListStale, Nodes: h.held})
+		h.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: h.held})
 		h.ask(watchtimer.Event{Kind: watchtimer.Started})
 		return
 	}
-	h.fresh(coldstart.ColdShare)
+	h.fresh(coldstart.SlowStartShare)
 	set := h.w.set
-	b, err := coldstart.New(coldstart.Settings{Hosts: set.Hosts, Name: fmt.Sprint("host-", h.no), ListPriced: !h.w.sc.Pushed,
-		ListMost: 0.6 * h.w.opt.Capacity, ColdUnits: set.ColdUnits, TipSpan: span(set.TipSpan), ColdSpan: span(set.ColdSpan),
-		Aim: span(400), RetryMost: span(set.MaxHoldOff), Connects: 8})
+	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListCallsPriced: !h.w.sc.Pushed,
+		MaxListCallsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
+		LatencyObjective: span(400), MaxRetryAfter: span(set.MaxRetryAfter), Preconnects: 8})
 	if err != nil {
 		panic(err)
 	}
 	h.begin, h.wakeAt = b, -1
-	h.step(policy.Event{Kind: policy.ListStale}) // the decisions' clock ticks from here
-	begun := coldstart.Begun{HeldList: h.nodes(h.held)}
+	h.step(policy.Event{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
+	begun := coldstart.Started{CachedList: h.nodes(h.held)}
 	if h.w.mode == Snapshot {
 		for _, n := range h.learned.Nodes {
-			begun.Snapshot = append(begun.Snapshot, coldstart.Node{ID: n.ID, Since: n.Since})
+			begun.Snapshot = append(begun.Snapshot, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
 		}
 	}
 	h.hear(begun)
@@ -93,7 +93,7 @@
 
 func (h *host) nodes(list []policy.Node) (ns []coldstart.Node) {
 	for _, n := range list {
-		ns = append(ns, coldstart.Node{ID: n.ID, Since: n.Since, At: span(n.Since - h.born)})
+		ns = append(ns, coldstart.Node{ID: n.ID, StartTime: n.StartTime, StartedAt: span(n.StartTime - h.born)})
 	}
 	return ns
 }
@@ -106,25 +106,25 @@
 	var recall policy.Learned
 	for _, a := range slices.Clone(h.begin.Step(span(h.w.now-h.born), e)) {
 		switch a := a.(type) {
-		case coldstart.AskList:
+		case coldstart.RequestList:
 			h.call()
-		case coldstart.UseHeld:
+		case coldstart.UseCachedList:
 			guessed := slices.Clone(h.held)
 			for i := range guessed {
-				guessed[i].Since = h.born
+				guessed[i].StartTime = h.born
 			}
 			h.guess = true
-			h.step(policy.Event{Kind: policy.ListChange, Nodes: guessed})
-		case coldstart.Warm:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, Since: h.w.index[a.Node].Since, Guessed: h.born})
-		case coldstart.Recall:
+			h.step(policy.Event{Kind: policy.ListChanged, Nodes: guessed})
+		case coldstart.LiftColdLimit:
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStart: h.born})
+		case coldstart.Restore:
 			i := slices.IndexFunc(h.learned.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
 			recall.Nodes = append(recall.Nodes, h.learned.Nodes[i])
 		case coldstart.Connect:
 			h.link(h.w.index[a.Node], 0)
-		case coldstart.Refuse:
+		case coldstart.Reject:
 			refused, wait = true, a.RetryAfter
-		case coldstart.WakeAt:
+		case coldstart.SetTimer:
 			h.wake(a.At)
 		}
 	}
@@ -132,7 +132,7 @@
 		if h.w.mode == Snapshot {
 			recall.Classes = h.learned.Classes
 		}
-		h.s.Recall(recall)
+		h.s.Restore(recall)
 	}
 	return refused, wait
 }
@@ -145,7 +145,7 @@
 	h.later(float64(at)/float64(time.Millisecond)-(h.w.now-h.born)+0.01, func() {
 		if h.wakeAt == at {
 			h.wakeAt = -1
-			h.hear(coldstart.Tick{})
+			h.hear(coldstart.TimerFired{})
 		}
 	})
 }
@@ -161,25 +161,25 @@
 }
 
 func (h *host) take(r *request) {
-	if refused, wait := h.hear(coldstart.Asked{Node: h.w.nodes[r.req.Shard].ID}); refused {
+	if refused, wait := h.hear(coldstart.RequestArrived{Node: h.w.nodes[r.req.Shard].ID}); refused {
 		if wait <= 0 {
 			h.w.res.broke("a refusal without Retry-After")
 		}
 		h.w.res.Gated++
-		h.w.final(r.req.ID, policy.Full, float64(wait)/float64(time.Millisecond))
+		h.w.final(r.req.ID, policy.NodeFull, float64(wait)/float64(time.Millisecond))
 		return
 	}
-	h.step(policy.Event{Kind: policy.Arrival, Req: r.req})
+	h.step(policy.Event{Kind: policy.RequestArrived, Request: r.req})
 }
 
 func (h *host) outcome(n *node, status policy.Status, ev policy.Event) {
 	switch status {
 	case policy.OK:
-		h.hear(coldstart.Answered{Node: n.ID})
-	case policy.Full:
+		h.hear(coldstart.RequestServed{Node: n.ID})
+	case policy.NodeFull:
 		h.hear(coldstart.NodeFull{Node: n.ID})
-	case policy.NoConn:
-		h.hear(coldstart.ConnectSlow{Node: n.ID})
+	case policy.ConnectFailed:
+		h.hear(coldstart.ConnectFailed{Node: n.ID})
 	}
 	h.step(ev)
 }
@@ -188,15 +188,15 @@
 	for _, a := range h.s.Step(h.w.now, []policy.Event{ev}, nil) {
 		switch a.Kind {
 		case policy.SetTimer:
-			h.later(math.Max(a.Wait, 1), func() { h.step(policy.Event{Kind: policy.Timer, Tag: a.Tag}) })
-		case policy.Refuse:
+			h.later(math.Max(a.Wait, 1), func() { h.step(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
+		case policy.Reject:
 			wait := a.Wait
 			if r := h.w.reqs[a.ID]; r != nil {
-				if worded, longer := h.hear(coldstart.Turned{Node: h.w.nodes[r.req.Shard].ID}); worded {
+				if worded, longer := h.hear(coldstart.RequestRejected{Node: h.w.nodes[r.req.Shard].ID}); worded {
 					wait = math.Max(wait, float64(longer)/float64(time.Millisecond))
 				}
 			}
-			h.w.final(a.ID, policy.Full, wait)
+			h.w.final(a.ID, policy.NodeFull, wait)
 		case policy.Fail:
 			h.w.final(a.ID, policy.Errored, 0)
 		case policy.Send:
@@ -265,7 +265,7 @@
 			h.clock = nil
 			h.listed()
 		case h.begin != nil:
-			h.hear(coldstart.ListRefused{})
+			h.hear(coldstart.ListRequestFailed{})
 		default:
 			h.step(policy.Event{Kind: policy.ListFailed})
 			h.ask(watchtimer.Event{Kind: watchtimer.CallEnded, Call: call})
@@ -279,8 +279,8 @@
 	for _, n := range h.w.nodes {
 		h.held = append(h.held, n.Node)
 	}
-	h.step(policy.Event{Kind: policy.ListFull, Nodes: h.held})
-	h.hear(coldstart.ListSpoke{Nodes: h.nodes(h.held)})
+	h.step(policy.Event{Kind: policy.ListReceived, Nodes: h.held})
+	h.hear(coldstart.ListReceived{Nodes: h.nodes(h.held)})
 }
 
 // change is the list's word of one node, some time later.
@@ -291,10 +291,10 @@
 	h.later(50+250*h.w.rng.Float64(), func() {
 		h.held = slices.Clone(h.held)
 		for i := range h.held {
-			if h.held[i].ID == n.ID && n.Since > h.held[i].Since {
+			if h.held[i].ID == n.ID && n.StartTime > h.held[i].StartTime {
 				h.held[i] = n
 			}
 		}
-		h.step(policy.Event{Kind: policy.ListChange, Nodes: []policy.Node{n}})
+		h.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 	})
 }
--- a/internal/testkit/experiment/coldstart/lies_test.go
+++ b/internal/testkit/experiment/coldstart/lies_test.go
@@ -14,7 +14,7 @@
 func (w *world) lie() {
 	lies := policy.Learned{Classes: []policy.LearnedClass{{Name: "safe", Weight: 1, Slope: 1e9}, {Name: "once", Weight: 1, Slope: 1e9}}}
 	for _, n := range w.nodes {
-		lies.Nodes = append(lies.Nodes, policy.LearnedNode{ID: n.ID, Since: n.Since, Window: 32, Usual: 1, Best: 0.01})
+		lies.Nodes = append(lies.Nodes, policy.LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: 32, Latency: 1, BestLatencyPerUnit: 0.01})
 	}
 	for _, h := range w.hosts {
 		h.learned = lies
@@ -22,10 +22,10 @@
 			continue
 		}
 		for _, n := range h.held {
-			h.hear(coldstart.Peer{Node: coldstart.Node{ID: n.ID, Since: n.Since}})
+			h.hear(coldstart.PeerReported{Node: coldstart.Node{ID: n.ID, StartTime: n.StartTime}})
 		}
 		if h.begin != nil {
-			h.hear(coldstart.Given{Snapshot: h.nodes(h.held)})
+			h.hear(coldstart.SnapshotReceived{Snapshot: h.nodes(h.held)})
 		}
 	}
 	w.after(20, w.lie)
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -151,25 +151,25 @@
 	var profiles, contracts []map[string]any
 	for _, c := range set.Classes {
 		repeat := "safe"
-		if c.Effect == policy.Unsafe {
+		if c.Effect == policy.NonIdempotent {
 			repeat = "unsafe"
 		}
-		profiles = append(profiles, map[string]any{"name": c.Name, "goal-time": c.Aim, "deadline": c.Deadline, "worth": c.Worth,
-			"late-worth": c.LateWorth, "repeat": repeat})
+		profiles = append(profiles, map[string]any{"name": c.Name, "goal-time": c.LatencyObjective, "deadline": c.Deadline, "worth": c.PriorityWeight,
+			"late-worth": c.LatePriorityWeight, "repeat": repeat})
 	}
 	for _, p := range set.Plans {
-		one := map[string]any{"name": p.Name, "usual-rate": p.Rate, "reservation": p.Reserve, "shares": p.Weight, "price": p.Price}
-		if p.Limit > 0 {
-			one["cap"], one["burst"] = p.Limit, p.LimitBurst
+		one := map[string]any{"name": p.Name, "usual-rate": p.Rate, "reservation": p.ReservedRate, "shares": p.Weight, "price": p.Price}
+		if p.RateLimit > 0 {
+			one["cap"], one["burst"] = p.RateLimit, p.LimitBurst
 		}
 		contracts = append(contracts, one)
 	}
 	return map[string]any{"membership-mode": "ask", "profiles": profiles, "contracts": contracts,
-		"ceilings": map[string]any{"max-attempts": set.MaxAttempts, "second-copies": set.SecondCopies, "may-cancel": set.MayCancel,
-			"retry-after": set.HoldOff, "max-retry-after": set.MaxHoldOff},
-		"rules": map[string]any{"stop-sending-within": set.DrainGrace, "ask-within": set.AskWithin, "cold-from": set.ColdFrom,
-			"cold": set.ColdSpan, "tip-multiple": set.TipMultiple, "overload-for": set.TipSpan},
-		"extra": map[string]any{"usual-units": set.MeanUnits, "largest": set.MostUnits, "young-limit": set.ColdUnits, "slots-total": nodes}}
+		"ceilings": map[string]any{"max-attempts": set.MaxAttempts, "second-copies": set.MayHedge, "may-cancel": set.MayCancel,
+			"retry-after": set.SendsRetryAfter, "max-retry-after": set.MaxRetryAfter},
+		"rules": map[string]any{"stop-sending-within": set.DrainGrace, "ask-within": set.PollWithin, "cold-from": set.SlowStartShare,
+			"cold": set.SlowStartDuration, "tip-multiple": set.OverloadMultiple, "overload-for": set.OverloadWindow},
+		"extra": map[string]any{"usual-units": set.MeanUnits, "largest": set.MaxUnits, "young-limit": set.SlowStartUnits, "slots-total": nodes}}
 }
 
 func newReal(ctx context.Context, opt RealOptions, sc Scenario, mode Mode, kept [][]byte) (*real, error) {
@@ -190,7 +190,7 @@
 		w.vols = append(w.vols, v)
 	}
 	set := settings(opt.Hosts, opt.Nodes)
-	bears := &standin.Cold{Power: set.ColdFrom, Span: span(set.ColdSpan), Units: set.ColdUnits, Mean: set.MeanUnits, Within: span(set.TipSpan),
+	bears := &standin.Cold{Power: set.SlowStartShare, Span: span(set.SlowStartDuration), Units: set.SlowStartUnits, Mean: set.MeanUnits, Within: span(set.OverloadWindow),
 		Back: span(fallFor)}
 	var nodes []cluster.Storage
 	for j := range opt.Nodes {
--- a/internal/testkit/experiment/coldstart/world.go
+++ b/internal/testkit/experiment/coldstart/world.go
@@ -119,13 +119,13 @@
 }
 
 func settings(hosts, nodes int) policy.Settings {
-	return policy.Settings{Hosts: hosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
-		HoldOff: true, MayCancel: true, SecondCopies: true, DrainGrace: 250, AskWithin: 10000, ColdFrom: 0.24, ColdSpan: 17000,
-		TipMultiple: 3, TipSpan: 3000, Shards: nodes,
-		Classes: []policy.Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1},
-			{Name: "once", Aim: 500, Deadline: 2000, Worth: 2, LateWorth: 0.1, Effect: policy.Unsafe}},
-		Plans: []policy.Plan{{Name: "open", Rate: 6, Reserve: 3, Weight: 1, Price: 1},
-			{Name: "capped", Rate: 2, Reserve: 1, Weight: 1, Price: 1, Limit: 6, LimitBurst: 36}}}
+	return policy.Settings{Schedulers: hosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
+		OverloadMultiple: 3, OverloadWindow: 3000, Shards: nodes,
+		Classes: []policy.Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1},
+			{Name: "once", LatencyObjective: 500, Deadline: 2000, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: policy.NonIdempotent}},
+		Plans: []policy.Plan{{Name: "open", Rate: 6, ReservedRate: 3, Weight: 1, Price: 1},
+			{Name: "capped", Rate: 2, ReservedRate: 1, Weight: 1, Price: 1, RateLimit: 6, LimitBurst: 36}}}
 }
 
 func newWorld(opt Options, sc Scenario, mode Mode, seed int64) *world {
@@ -191,29 +191,29 @@
 	n.out = nil
 	w.after(1, func() {
 		for _, t := range out {
-			t.end(policy.Reset)
+			t.end(policy.ConnectionReset)
 		}
 	})
 }
 
 // back starts a node anew; the hosts whose watch stands hear of it.
 func (w *world) back(n *node) {
-	n.alive, n.Since, n.sent = true, w.now, nil
+	n.alive, n.StartTime, n.sent = true, w.now, nil
 	for _, h := range w.hosts {
 		h.change(n.Node)
 	}
 }
 
 func (w *world) power(n *node) float64 {
-	if n.Since == 0 {
+	if n.StartTime == 0 {
 		return 1
 	}
-	return math.Min(1, w.set.ColdFrom+(1-w.set.ColdFrom)*(w.now-n.Since)/w.set.ColdSpan)
+	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-n.StartTime)/w.set.SlowStartDuration)
 }
 
 // bears is how many requests of mean work a cold node stands within TipSpan.
 func (w *world) bears(n *node) float64 {
-	allowed := w.set.ColdUnits / w.set.MeanUnits * (1 + (1/w.set.ColdFrom-1)*(w.now-n.Since)/w.set.ColdSpan)
+	allowed := w.set.SlowStartUnits / w.set.MeanUnits * (1 + (1/w.set.SlowStartShare-1)*(w.now-n.StartTime)/w.set.SlowStartDuration)
 	return allowed + 3*math.Sqrt(allowed) + 3
 }
 
@@ -237,26 +237,26 @@
 		if status == policy.OK && !r.answered {
 			w.final(a.ID, status, 0)
 		}
-		h.outcome(n, status, policy.Event{Kind: policy.Outcome, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - at, Finished: r.answered})
+		h.outcome(n, status, policy.Event{Kind: policy.AttemptEnded, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - at, Finished: r.answered})
 	}
 	if r.tries = append(r.tries, t); no == 0 {
 		w.take(r)
 	}
 	h.link(n, 1)
-	w.after(math.Min(a.Until, r.req.NotAfter)-w.now, func() { t.end(policy.TimedOut) })
+	w.after(math.Min(a.Deadline, r.req.Deadline)-w.now, func() { t.end(policy.TimedOut) })
 	if n.silent || !n.alive {
 		wait := 1.0
 		if n.silent {
 			wait = connWait
 		}
-		w.after(wait, func() { t.end(policy.NoConn) })
+		w.after(wait, func() { t.end(policy.ConnectFailed) })
 		return
 	}
 	w.count(&n.got, &w.res.Firsts)
 	switch {
 	case n.mute:
 	case n.held >= nodeQueue:
-		w.after(1, func() { t.end(policy.Full) })
+		w.after(1, func() { t.end(policy.NodeFull) })
 	default:
 		n.held++
 		n.free = math.Max(w.now, n.free) + r.req.Units*1000/unitsSec/w.power(n)
@@ -282,11 +282,11 @@
 
 // tip counts what a cold node got from all hosts; past what it bears it falls.
 func (w *world) tip(n *node, units float64) {
-	if n.Since == 0 || w.now-n.Since > w.set.ColdSpan {
+	if n.StartTime == 0 || w.now-n.StartTime > w.set.SlowStartDuration {
 		return
 	}
 	n.sent = append(n.sent, flow{w.now, units / w.set.MeanUnits})
-	part := sum(&n.sent, w.now-w.set.TipSpan) / w.bears(n)
+	part := sum(&n.sent, w.now-w.set.OverloadWindow) / w.bears(n)
 	w.res.Worst = math.Max(w.res.Worst, part)
 	if part > 1 {
 		w.res.Falls++
@@ -299,7 +299,7 @@
 func (w *world) take(r *request) {
 	if p := w.set.Plans[1]; r.req.Plan == p.Name {
 		v := r.vol
-		v.store = math.Min(v.store+p.Limit*(w.now-v.at)/1000, p.LimitBurst) - r.req.Units
+		v.store = math.Min(v.store+p.RateLimit*(w.now-v.at)/1000, p.LimitBurst) - r.req.Units
 		if v.at = w.now; v.store < -0.1*p.LimitBurst {
 			w.res.broke("a volume past its limit")
 		}
@@ -313,7 +313,7 @@
 		w.res.broke("a second answer")
 		return
 	}
-	if w.now > r.req.NotAfter+8 {
+	if w.now > r.req.Deadline+8 {
 		w.res.broke("a late answer")
 	}
 	r.answered = true
@@ -325,7 +325,7 @@
 		if h := r.host; w.now >= zero && w.res.served[h.no] == 0 {
 			w.res.served[h.no] = w.now - zero
 		}
-	case status == policy.Full: // refused
+	case status == policy.NodeFull: // refused
 		if w.inWindow() {
 			w.res.Refused++
 		}
@@ -343,7 +343,7 @@
 	v := &w.vols[w.draw.Intn(len(w.vols))]
 	h := w.hosts[v.hosts[w.draw.Intn(len(v.hosts))]]
 	q := policy.Request{Class: w.set.Classes[w.draw.Intn(2)].Name, Plan: v.plan, Volume: v.id, Units: float64(1 + w.draw.Intn(3)),
-		Shard: v.shards[w.draw.Intn(len(v.shards))], Hosts: len(v.hosts)}
+		Shard: v.shards[w.draw.Intn(len(v.shards))], Schedulers: len(v.hosts)}
 	if w.inWindow() {
 		w.res.Requests++
 	}
@@ -360,11 +360,11 @@
 		return
 	}
 	w.seq++
-	q.Repeat = q.ID != ""
+	q.ClientRetry = q.ID != ""
 	if q.Key == "" {
 		q.Key = fmt.Sprint("k", w.seq)
 	}
-	q.ID, q.NotAfter = fmt.Sprint("q", w.seq), w.now+2000
+	q.ID, q.Deadline = fmt.Sprint("q", w.seq), w.now+2000
 	r := &request{host: h, life: h.life, req: q, first: first, vol: v}
 	w.reqs[q.ID] = r
 	h.take(r)
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -52,7 +52,7 @@
 // answers are the observations of one observer, with one slot for each node.
 type answers struct {
 	state *nodestats.State
-	slots []*nodestats.Slot
+	slots []*nodestats.Recorder
 }
 
 // record adds the time of one answer of node n.
@@ -124,7 +124,7 @@
 	for n := range w.nodes {
 		if err == nil {
 			a.state.SetNode(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
-			a.slots = append(a.slots, a.state.Slot(0, nodestats.Key{Node: nodeName(n), Since: 1, Class: class}))
+			a.slots = append(a.slots, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
 		}
 	}
 	return a, err
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -67,7 +67,7 @@
 // process is one scheduler: what it saw alone, and what it shares with the others, in the daemon's own state.
 type process struct {
 	alone, shared *nodestats.State
-	slots         [nodeCount][2]*nodestats.Slot
+	slots         [nodeCount][2]*nodestats.Recorder
 }
 
 type world struct {
@@ -86,7 +86,7 @@
 		w.nodes[i] = node{kind: i % perShard, factor: math.Exp(ownSpread * w.rng.NormFloat64())}
 	}
 	set := nodestats.Defaults()
-	set.HalfLife, set.Expire = opt.HalfLife, max(set.Expire, opt.HalfLife)
+	set.HalfLife, set.ExpireAfter = opt.HalfLife, max(set.ExpireAfter, opt.HalfLife)
 	for p := range processes {
 		x := &w.processes[p]
 		for i, s := range []**nodestats.State{&x.alone, &x.shared} {
@@ -96,7 +96,7 @@
 			}
 			for n := range nodeCount {
 				(*s).SetNode(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
-				x.slots[n][i] = (*s).Slot(0, nodestats.Key{Node: nodeName(n), Since: 1, Class: class})
+				x.slots[n][i] = (*s).Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class})
 			}
 		}
 		w.after(w.gap(), func() { w.arrive(p) })
--- a/internal/transport/addressloop.go
+++ b/internal/transport/addressloop.go
@@ -10,7 +10,7 @@
 // AddressLoop runs the state machine address.Book for one goroutine, which alone may use it. It passes
 // events in order, including those that carrying out an action raises, and keeps the book's timer.
 type AddressLoop struct {
-	*address.Book
+	*address.Selector
 	Timer  *time.Timer
 	do     func(address.Action)
 	origin time.Time
@@ -22,8 +22,8 @@
 }
 
 // NewAddressLoop returns a loop for b; do carries out the book's actions.
-func NewAddressLoop(b *address.Book, do func(address.Action)) *AddressLoop {
-	return &AddressLoop{Book: b, Timer: time.NewTimer(time.Hour), do: do, origin: time.Now(), at: math.MaxInt64}
+func NewAddressLoop(b *address.Selector, do func(address.Action)) *AddressLoop {
+	return &AddressLoop{Selector: b, Timer: time.NewTimer(time.Hour), do: do, origin: time.Now(), at: math.MaxInt64}
 }
 
 // Now is the book's time.
@@ -39,10 +39,10 @@
 	for len(l.queue) > 0 {
 		e := l.queue[0]
 		l.queue = l.queue[1:]
-		if e.Kind == address.Tick {
+		if e.Kind == address.TimerFired {
 			l.at = -1 // the timer has run out
 		}
-		l.acts = l.Book.Step(l.Now(), e, l.acts[:0])
+		l.acts = l.Selector.Step(l.Now(), e, l.acts[:0])
 		for _, a := range l.acts {
 			l.do(a)
 		}
@@ -54,7 +54,7 @@
 func (l *AddressLoop) Drain(on bool) {
 	if on != l.drains {
 		l.drains = on
-		l.Step(address.Event{Kind: address.Drain, On: on})
+		l.Step(address.Event{Kind: address.DrainChanged, Draining: on})
 	}
 }
 
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -18,7 +18,7 @@
 }
 
 // Dial connects to one address within the time. An error comes with what it says of the address.
-func Dial(ctx context.Context, a address.Addr, within time.Duration) (Stream, address.Why, error) {
+func Dial(ctx context.Context, a address.Addr, within time.Duration) (Stream, address.Reason, error) {
 	network, to := a.Dial()
 	nc, err := (&net.Dialer{Timeout: within, KeepAlive: -1}).DialContext(ctx, network, to)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	s, err := Plain(nc)
 	if err != nil {
-		return nil, address.Refused, err
+		return nil, address.ReasonRefused, err
 	}
 	return s, 0, nil
 }
@@ -48,24 +48,24 @@
 // DialFailure classifies the error of a connect. EADDRNOTAVAIL and ENETUNREACH come of IPv6 where the machine
 // has none, or no route; of IPv4 the first is a lack of local ports. EAGAIN is a Unix socket
 // whose backlog is full (connect(2)).
-func DialFailure(err error, k address.Kind) address.Why {
+func DialFailure(err error, k address.Kind) address.Reason {
 	var timeout net.Error
 	switch {
 	case isAny(err, resourceErrors):
-		return address.NoResource
+		return address.ReasonNoResource
 	case isAny(err, familyErrors):
-		return address.NoFamily
+		return address.ReasonNoFamily
 	case errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENETUNREACH):
 		if k == address.IPv6 {
-			return address.NoFamily
+			return address.ReasonNoFamily
 		}
 		if errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return address.NoResource
+			return address.ReasonNoResource
 		}
-		return address.Refused
+		return address.ReasonRefused
 	case errors.Is(err, syscall.EAGAIN) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) ||
 		errors.As(err, &timeout) && timeout.Timeout():
-		return address.TimedOut
+		return address.ReasonTimedOut
 	}
-	return address.Refused
+	return address.ReasonRefused
 }
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -147,14 +147,14 @@
 	for _, x := range []struct {
 		err  error
 		kind address.Kind
-		want address.Why
+		want address.Reason
 	}{
-		{syscall.ECONNREFUSED, address.IPv4, address.Refused}, {syscall.ENOENT, address.Unix, address.Refused},
-		{syscall.EACCES, address.Unix, address.Refused}, {syscall.EAGAIN, address.Unix, address.TimedOut},
-		{syscall.EMFILE, address.IPv6, address.NoResource}, {syscall.EADDRNOTAVAIL, address.IPv4, address.NoResource},
-		{syscall.EADDRNOTAVAIL, address.IPv6, address.NoFamily}, {syscall.EAFNOSUPPORT, address.IPv6, address.NoFamily},
-		{syscall.ENETUNREACH, address.IPv6, address.NoFamily}, {syscall.ENETUNREACH, address.IPv4, address.Refused},
-		{os.ErrDeadlineExceeded, address.IPv4, address.TimedOut}, {syscall.ETIMEDOUT, address.IPv4, address.TimedOut},
+		{syscall.ECONNREFUSED, address.IPv4, address.ReasonRefused}, {syscall.ENOENT, address.Unix, address.ReasonRefused},
+		{syscall.EACCES, address.Unix, address.ReasonRefused}, {syscall.EAGAIN, address.Unix, address.ReasonTimedOut},
+		{syscall.EMFILE, address.IPv6, address.ReasonNoResource}, {syscall.EADDRNOTAVAIL, address.IPv4, address.ReasonNoResource},
+		{syscall.EADDRNOTAVAIL, address.IPv6, address.ReasonNoFamily}, {syscall.EAFNOSUPPORT, address.IPv6, address.ReasonNoFamily},
+		{syscall.ENETUNREACH, address.IPv6, address.ReasonNoFamily}, {syscall.ENETUNREACH, address.IPv4, address.ReasonRefused},
+		{os.ErrDeadlineExceeded, address.IPv4, address.ReasonTimedOut}, {syscall.ETIMEDOUT, address.IPv4, address.ReasonTimedOut},
 	} {
 		if got := DialFailure(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", x.err)}, x.kind); got != x.want {
 			t.Errorf("%v %v: %v, want %v", x.kind, x.err, got, x.want)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,7 +8,7 @@
 // sized is an instance whose list holds so many nodes, each with a shard of its own.
 func sized(b testing.TB, nodes int) (*rig, []Node) {
 	set := testSettings()
-	set.Hosts, set.Shards = 1024, nodes
+	set.Schedulers, set.Shards = 1024, nodes
 	r := &rig{}
 	var err error
 	if r.s, err = New(set, 1); err != nil {
@@ -19,7 +19,7 @@
 	for i := range list {
 		list[i] = Node{ID: fmt.Sprintf("s-%04d", i), Shard: i, Weight: 1}
 	}
-	r.step(Event{Kind: ListStale, Nodes: list})
+	r.step(Event{Kind: CachedListLoaded, Nodes: list})
 	return r, list
 }
 
@@ -51,7 +51,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				r.step(Event{Kind: Timer, Tag: "sweep"})
+				r.step(Event{Kind: TimerFired, Tag: "sweep"})
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 			for i := 0; b.Loop(); i++ {
 				x := list[i%n]
 				x.State = NodeState(i / n % 2)
-				r.step(Event{Kind: ListChange, Nodes: []Node{x}})
+				r.step(Event{Kind: ListChanged, Nodes: []Node{x}})
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 	}
 	moved := list[1000]
 	moved.Shard = 3 // its work goes with it
-	r.step(Event{Kind: ListChange, Nodes: []Node{moved}})
+	r.step(Event{Kind: ListChanged, Nodes: []Node{moved}})
 	if len(r.s.busy) != 1 || r.s.busy[0].shard != 3 {
 		t.Fatalf("%d busy lanes, not that of the node that moved", len(r.s.busy))
 	}
--- a/policy/check.go
+++ b/policy/check.go
@@ -13,13 +13,13 @@
 		}
 		return nil
 	}
-	errs := []error{num("Hosts", float64(set.Hosts), 1), num("MaxAttempts", float64(set.MaxAttempts), 1),
-		num("MeanUnits", set.MeanUnits, 0), num("MostUnits", set.MostUnits, 0), num("ColdUnits", set.ColdUnits, 0),
-		num("MeterSpan", set.MeterSpan, 0), num("MaxHoldOff", set.MaxHoldOff, 0),
-		num("DrainGrace", set.DrainGrace, 0), num("AskWithin", set.AskWithin, 0), num("ColdFrom", set.ColdFrom, 0),
-		num("ColdSpan", set.ColdSpan, 0), num("TipMultiple", set.TipMultiple, 0), num("TipSpan", set.TipSpan, 0),
-		num("OrderPause", set.OrderPause, 0), num("BudgetShare", set.BudgetShare, 0),
-		num("BudgetFree", set.BudgetFree, 0), num("BudgetSpan", set.BudgetSpan, 0),
+	errs := []error{num("Hosts", float64(set.Schedulers), 1), num("MaxAttempts", float64(set.MaxAttempts), 1),
+		num("MeanUnits", set.MeanUnits, 0), num("MostUnits", set.MaxUnits, 0), num("ColdUnits", set.SlowStartUnits, 0),
+		num("MeterSpan", set.UsageMeterPeriod, 0), num("MaxHoldOff", set.MaxRetryAfter, 0),
+		num("DrainGrace", set.DrainGrace, 0), num("AskWithin", set.PollWithin, 0), num("ColdFrom", set.SlowStartShare, 0),
+		num("ColdSpan", set.SlowStartDuration, 0), num("TipMultiple", set.OverloadMultiple, 0), num("TipSpan", set.OverloadWindow, 0),
+		num("OrderPause", set.OrderedKeyBackoff, 0), num("BudgetShare", set.RetryBudgetShare, 0),
+		num("BudgetFree", set.RetryBudgetMin, 0), num("BudgetSpan", set.RetryBudgetWindow, 0),
 		num("Classes", float64(len(set.Classes)), 1), num("Plans", float64(len(set.Plans)), 1)}
 	names := map[string]bool{}
 	for _, c := range set.Classes {
@@ -27,17 +27,17 @@
 			errs = append(errs, fmt.Errorf("settings: Classes: name %q is empty or twice there", c.Name))
 		}
 		names["c"+c.Name] = true
-		errs = append(errs, num("Classes.Aim", c.Aim, 1e-3), num("Classes.Deadline", c.Deadline, c.Aim),
-			num("Classes.Worth", c.Worth, 0), num("Classes.Memory", c.Memory, 0))
+		errs = append(errs, num("Classes.Aim", c.LatencyObjective, 1e-3), num("Classes.Deadline", c.Deadline, c.LatencyObjective),
+			num("Classes.Worth", c.PriorityWeight, 0), num("Classes.Memory", c.DedupWindow, 0))
 	}
 	for _, p := range set.Plans {
 		if p.Name == "" || names["p"+p.Name] {
 			errs = append(errs, fmt.Errorf("settings: Plans: name %q is empty or twice there", p.Name))
 		}
 		names["p"+p.Name] = true
-		errs = append(errs, num("Plans.Rate", p.Rate, 0), num("Plans.Reserve", p.Reserve, 0),
-			num("Plans.Weight", p.Weight, 0), num("Plans.Limit", p.Limit, 0), num("Plans.LimitBurst", p.LimitBurst, 0))
-		if p.Limit > 0 && p.LimitBurst <= 0 {
+		errs = append(errs, num("Plans.Rate", p.Rate, 0), num("Plans.Reserve", p.ReservedRate, 0),
+			num("Plans.Weight", p.Weight, 0), num("Plans.Limit", p.RateLimit, 0), num("Plans.LimitBurst", p.LimitBurst, 0))
+		if p.RateLimit > 0 && p.LimitBurst <= 0 {
 			errs = append(errs, fmt.Errorf("settings: Plans.LimitBurst is %v with a limit", p.LimitBurst))
 		}
 	}
