--- a/policy/choice.go
+++ b/policy/choice.go
@@ -96,11 +96,11 @@
 		return nil, err
 	}
 	s := newState(set, seed)
-	s.poolAt, s.nodeHosts = math.Inf(-1), float64(set.Hosts)
+	s.poolAt, s.nodeHosts = math.Inf(-1), float64(set.Schedulers)
 	s.askGap, s.settle = askFirst, adaptTicks*tickSpan
 	for _, c := range s.classes {
 		c.weight = 1 / float64(len(s.classes)) // shares start equal
-		s.meanWorth += c.Worth / float64(len(s.classes))
+		s.meanWorth += c.PriorityWeight / float64(len(s.classes))
 	}
 	return s, nil
 }
@@ -120,21 +120,21 @@
 	for i := range events {
 		ev := &events[i]
 		switch ev.Kind {
-		case Arrival:
-			s.arrive(&ev.Req)
-		case Outcome:
+		case RequestArrived:
+			s.arrive(&ev.Request)
+		case AttemptEnded:
 			s.outcome(ev)
-		case FirstByte:
+		case ResponseStarted:
 			if r := s.reqs[ev.ID]; r != nil {
 				r.streaming = true
 			}
-		case Departed:
+		case ClientDisconnected:
 			if r := s.reqs[ev.ID]; r != nil && !r.done {
 				s.clientLeft(r)
 			}
-		case ListFull, ListStale, ListChange, ListFailed:
+		case ListReceived, CachedListLoaded, ListChanged, ListFailed:
 			s.takeList(ev)
-		case Timer:
+		case TimerFired:
 			switch ev.Tag {
 			case "tick":
 				s.tick()
@@ -169,23 +169,23 @@
 	if s.reqs[q.ID] != nil {
 		return
 	}
-	if s.firstAt = math.Min(s.firstAt, s.now); s.set.BudgetSpan > 0 {
+	if s.firstAt = math.Min(s.firstAt, s.now); s.set.RetryBudgetWindow > 0 {
 		s.takes = append(s.takes, s.now)
 	}
 	c, plan := s.classOf[q.Class], s.planOf[q.Plan]
-	timely, sized := q.NotAfter > s.now+lastMargin, q.Units > 0 && !math.IsInf(q.Units, 0)
+	timely, sized := q.Deadline > s.now+lastMargin, q.Units > 0 && !math.IsInf(q.Units, 0)
 	if c == nil || plan == nil || !timely || !sized {
-		s.emit(Action{Kind: Refuse, ID: q.ID})
+		s.emit(Action{Kind: Reject, ID: q.ID})
 		return
 	}
 	s.seq++
-	r := &request{id: q.ID, class: c, key: q.Key, units: q.Units, notAfter: q.NotAfter, seq: s.seq,
+	r := &request{id: q.ID, class: c, key: q.Key, units: q.Units, notAfter: q.Deadline, seq: s.seq,
 		fresh: q.Shard < 0, from: requestKey{q.Class, q.Volume, q.Key}, most: s.set.MaxAttempts}
-	c.span = math.Min(math.Max(c.span, q.NotAfter-s.now), c.Deadline)
+	c.span = math.Min(math.Max(c.span, q.Deadline-s.now), c.Deadline)
 	r.began = s.firstTry(q, c.span)
 	r.repeat = r.began < s.now && !s.resumed
-	r.aimAt = math.Min(r.began+c.Aim, q.NotAfter-lastMargin)
-	r.vol = s.volume(q.Volume, plan, q.Hosts)
+	r.aimAt = math.Min(r.began+c.LatencyObjective, q.Deadline-lastMargin)
+	r.vol = s.volume(q.Volume, plan, q.Schedulers)
 	if s.entitle(r); r.repeat {
 		r.level += repeatLast
 	}
@@ -209,10 +209,10 @@
 func (s *Scheduler) firstTry(q *Request, span float64) float64 {
 	m, known := s.unserved[requestKey{q.Class, q.Volume, q.Key}]
 	switch {
-	case known && s.now-m.began < s.classOf[q.Class].Deadline && (q.Repeat || q.NotAfter <= m.end+1):
+	case known && s.now-m.began < s.classOf[q.Class].Deadline && (q.ClientRetry || q.Deadline <= m.end+1):
 		return m.began
-	case q.Repeat || q.Key == "" || s.resumed:
-		return math.Min(q.NotAfter-span, s.now)
+	case q.ClientRetry || q.Key == "" || s.resumed:
+		return math.Min(q.Deadline-span, s.now)
 	}
 	return s.now
 }
@@ -220,7 +220,7 @@
 // clientLeft takes a client's departure: work still out is called off, as a node may drop it.
 // A class whose clients lose patience must not look healthy: it counts at the aim.
 func (s *Scheduler) clientLeft(r *request) {
-	s.sample(r, math.Max(0, r.class.Aim-(s.now-r.began)))
+	s.sample(r, math.Max(0, r.class.LatencyObjective-(s.now-r.began)))
 	s.refund(r)
 	for i, t := range r.tries {
 		if age := s.now - t.at; t.open && !r.lost && age > s.expected(t.node) {
@@ -333,7 +333,7 @@
 			wait := math.Max(0, mine-r.units)*sum/c.weight/rate + next
 			early := r.band != bandReserve && s.now+wait+base > r.aimAt
 			late := r.band == bandLate && l.crowded()
-			spent := s.handed && r.vol.plan.Limit > 0 && !r.limitPaid && r.vol.limit < r.units
+			spent := s.handed && r.vol.plan.RateLimit > 0 && !r.limitPaid && r.vol.limit < r.units
 			if early || late || spent || s.now >= r.aimAt || base > s.roomFor(r, heard) ||
 				s.now+leastShare*base > r.aimAt || s.now+sweepSpan > r.notAfter { // its last review
 				s.dequeue(r)
@@ -419,7 +419,7 @@
 	s.forget(forgetSpan)
 	// In the mean, the part of the nodes that a host's reads name is that of hosts a node has.
 	named, all := s.namedShards(s.now - namedSpan)
-	s.nodeHosts = math.Max(1, float64(s.set.Hosts)*named/math.Max(all, 1))
+	s.nodeHosts = math.Max(1, float64(s.set.Schedulers)*named/math.Max(all, 1))
 	if s.now < s.due {
 		return
 	}
@@ -450,7 +450,7 @@
 			c.slope = math.Max(dd/dw, slopeFloor)
 		}
 		c.changed = false
-		if c.delay >= (1+epsilon)*c.Aim && (worst == nil || c.delay/c.Aim > worst.delay/worst.Aim) {
+		if c.delay >= (1+epsilon)*c.LatencyObjective && (worst == nil || c.delay/c.LatencyObjective > worst.delay/worst.LatencyObjective) {
 			worst = c
 		}
 	}
@@ -459,17 +459,17 @@
 	}
 	surplus, total := make([]float64, len(s.classes)), 0.0
 	for i, c := range s.classes {
-		if c.delay > 0 && c.delay <= (1-epsilon)*c.Aim {
-			surplus[i] = (c.Aim - c.delay) / c.slope
+		if c.delay > 0 && c.delay <= (1-epsilon)*c.LatencyObjective {
+			surplus[i] = (c.LatencyObjective - c.delay) / c.slope
 			total += surplus[i]
 		}
 	}
-	need, got := (worst.delay-worst.Aim)/worst.slope, 0.0
+	need, got := (worst.delay-worst.LatencyObjective)/worst.slope, 0.0
 	for i, c := range s.classes {
 		if surplus[i] == 0 {
 			continue
 		}
-		give := math.Min(need*surplus[i]/total, ((1-epsilon)*c.Aim-c.delay)/c.slope)
+		give := math.Min(need*surplus[i]/total, ((1-epsilon)*c.LatencyObjective-c.delay)/c.slope)
 		give = math.Min(beta*give, c.weight-weightFloor)
 		if give > 0 {
 			c.oldW, c.oldD, c.changed = c.weight, c.delay, true
@@ -499,7 +499,7 @@
 		s.volumes[tenant{id, plan.Name}] = v
 		s.known = append(s.known, v)
 		v.hosts = max(hosts, 1)
-		v.store = (plan.Reserve + s.set.MostUnits) / float64(v.hosts)
+		v.store = (plan.ReservedRate + s.set.MaxUnits) / float64(v.hosts)
 	}
 	v.hosts = max(hosts, 1)
 	return v
@@ -509,9 +509,9 @@
 	gone := s.now - v.at
 	v.at = s.now
 	part := 1 / float64(v.hosts)
-	v.store = math.Min(v.store+v.plan.Reserve*part*gone/1000, v.plan.Reserve*part+s.set.MostUnits)
+	v.store = math.Min(v.store+v.plan.ReservedRate*part*gone/1000, v.plan.ReservedRate*part+s.set.MaxUnits)
 	if !s.handed {
-		v.limit = math.Min(v.limit+v.plan.Limit*part*gone/1000, v.plan.LimitBurst*part)
+		v.limit = math.Min(v.limit+v.plan.RateLimit*part*gone/1000, v.plan.LimitBurst*part)
 	}
 	v.level *= math.Exp(-gone / usageSpan)
 }
@@ -603,7 +603,7 @@
 	r := n.out[0]
 	n.out, n.units, r.lost = n.out[1:], n.units-r.units, true
 	r.tries[len(r.tries)-1].lost = true
-	if s.set.SecondCopies && !r.done && !r.streaming && !r.called && !r.queued {
+	if s.set.MayHedge && !r.done && !r.streaming && !r.called && !r.queued {
 		if r.mayRan == nil {
 			r.mayRan, r.mayRanAt = n, r.lastAt()
 		}
@@ -612,7 +612,7 @@
 			return
 		}
 	}
-	if r.class.Effect == Safe && s.set.MayCancel && !r.done && !r.streaming {
+	if r.class.Effect == Idempotent && s.set.MayCancel && !r.done && !r.streaming {
 		s.emit(Action{Kind: Cancel, ID: r.id, Attempt: len(r.tries) - 1})
 	}
 }
@@ -632,27 +632,27 @@
 }
 
 // warmEnough keeps nodes in slow start under what they bear from all hosts, none of which knows what
-// another sends. For each TipSpan a host draws its part of what all cold nodes bear, rounded by chance; what
+// another sends. For each OverloadWindow a host draws its part of what all cold nodes bear, rounded by chance; what
 // is left is lost, or an idle fleet would send all it saved at once. A node gets its own part of it, or
 // one request in turn. An answer in good time and a part of the answers let more go, bounded by what the
 // node serves. Harm: too much goes to one of many cold nodes if all hosts ask for it at once.
 func (s *Scheduler) warmEnough(n *node, units float64) bool {
-	if s.now-n.coldAt > s.set.ColdSpan || s.follows(n) {
+	if s.now-n.coldAt > s.set.SlowStartDuration || s.follows(n) {
 		return true
 	}
 	if s.now >= s.coldDue {
 		s.drawCold(units)
 	}
-	sent, served := sumSince(&n.sent, s.now-s.set.TipSpan), sumSince(&n.served, s.now-s.set.TipSpan)
-	shown, part := coldShare*s.set.TipMultiple*served, s.coldPart(n)
-	slot := s.set.TipSpan * units * s.nodeHosts / s.bears(n, (n.slotFrom+s.now)/2) * (1 - part/s.coldSum)
+	sent, served := sumSince(&n.sent, s.now-s.set.OverloadWindow), sumSince(&n.served, s.now-s.set.OverloadWindow)
+	shown, part := coldShare*s.set.OverloadMultiple*served, s.coldPart(n)
+	slot := s.set.OverloadWindow * units * s.nodeHosts / s.bears(n, (n.slotFrom+s.now)/2) * (1 - part/s.coldSum)
 	return sent+units <= shown || units <= s.coldLeft &&
 		(sent == 0 && s.now-n.slotFrom >= n.slotPart*slot || sent+units <= part+shown)
 }
 
 // follows says that a request may go to a cold node by its last answer alone.
 func (s *Scheduler) follows(n *node) bool {
-	return n.timely && len(n.out) == 0 && s.now-n.heard < s.set.TipSpan
+	return n.timely && len(n.out) == 0 && s.now-n.heard < s.set.OverloadWindow
 }
 
 // drawCold draws the allowance, the first one late where it is below a request: hosts would begin at once.
@@ -660,25 +660,25 @@
 	s.coldSum = s.coldParts()
 	s.coldDue += s.coldWait * math.Max(0, 1-s.coldSum/s.set.MeanUnits) / 2
 	if s.coldWait, s.coldLeft = 0, 0; s.now >= s.coldDue {
-		s.coldDue, s.coldLeft = s.now+s.set.TipSpan, units*math.Floor(s.coldSum/units+s.rng.Float64())
+		s.coldDue, s.coldLeft = s.now+s.set.OverloadWindow, units*math.Floor(s.coldSum/units+s.rng.Float64())
 	}
 }
 
-// coldPart is this host's part of what a cold node bears within TipSpan: of all hosts if its reads of the
+// coldPart is this host's part of what a cold node bears within OverloadWindow: of all hosts if its reads of the
 // shard began within that span, else of its like, as far as known, or of what the shard answered it.
 func (s *Scheduler) coldPart(n *node) float64 {
-	bears, mean, hosts := s.bears(n, s.now), s.set.MeanUnits, float64(s.set.Hosts)
+	bears, mean, hosts := s.bears(n, s.now), s.set.MeanUnits, float64(s.set.Schedulers)
 	slack := math.Sqrt(bears * mean)
 	if hosts < coldFew {
 		slack = coldFewMore * (slack + mean)
 	}
 	part := math.Max(coldFirst*bears/hosts, math.Min((coldFirst*bears+slack)/hosts, mean))
 	l := s.lanes[n.Shard]
-	if l == nil || s.now-l.first < s.set.TipSpan || s.now-l.asked > namedSpan {
+	if l == nil || s.now-l.first < s.set.OverloadWindow || s.now-l.asked > namedSpan {
 		return part
 	}
 	part = math.Max(part, bears/math.Max(s.nodeHosts, hosts/coldPopular))
-	return math.Max(part, coldKnown*s.power(n, s.now)*l.answered(s.now)*s.set.TipSpan/namedSpan)
+	return math.Max(part, coldKnown*s.power(n, s.now)*l.answered(s.now)*s.set.OverloadWindow/namedSpan)
 }
 
 func (s *Scheduler) markCold(n *node, at float64) {
@@ -686,7 +686,7 @@
 	n.slotFrom, n.slotPart = math.Max(at, s.now), s.rng.Float64()
 	n.latency, n.size, n.count = 0, 0, 0
 	if s.now >= s.coldDue {
-		s.coldDue, s.coldWait = s.now, s.rng.Float64()*s.set.TipSpan
+		s.coldDue, s.coldWait = s.now, s.rng.Float64()*s.set.OverloadWindow
 	}
 }
 
@@ -766,7 +766,7 @@
 			return false
 		}
 	}
-	if r.vol.plan.Limit > 0 && !r.limitPaid {
+	if r.vol.plan.RateLimit > 0 && !r.limitPaid {
 		s.refill(r.vol)
 		if r.vol.limit < r.units {
 			return false
@@ -777,25 +777,25 @@
 
 // mayRetry says whether a further attempt is allowed: count, effect and budget.
 func (s *Scheduler) mayRetry(r *request) bool {
-	if copied := r.open == 1 && r.lost && s.set.SecondCopies; r.open > 0 && !copied {
+	if copied := r.open == 1 && r.lost && s.set.MayHedge; r.open > 0 && !copied {
 		return false
 	}
-	if len(r.tries) >= min(r.most, s.set.MaxAttempts) || r.class.Effect == Unsafe && r.mayRan != nil {
+	if len(r.tries) >= min(r.most, s.set.MaxAttempts) || r.class.Effect == NonIdempotent && r.mayRan != nil {
 		return false
 	}
-	if r.class.Effect == Keyed && r.mayRan != nil && s.now >= r.mayRanAt+r.class.Memory {
+	if r.class.Effect == IdempotentByKey && r.mayRan != nil && s.now >= r.mayRanAt+r.class.DedupWindow {
 		return false
 	}
-	if s.set.BudgetSpan <= 0 {
+	if s.set.RetryBudgetWindow <= 0 {
 		return true
 	}
-	for len(s.extras) > 0 && s.extras[0] < s.now-s.set.BudgetSpan {
+	for len(s.extras) > 0 && s.extras[0] < s.now-s.set.RetryBudgetWindow {
 		s.extras = s.extras[1:]
 	}
-	for len(s.takes) > 0 && s.takes[0] <= s.now-s.set.BudgetSpan {
+	for len(s.takes) > 0 && s.takes[0] <= s.now-s.set.RetryBudgetWindow {
 		s.takes = s.takes[1:]
 	}
-	return float64(len(s.extras)+1) <= s.set.BudgetFree+s.set.BudgetShare*float64(len(s.takes))
+	return float64(len(s.extras)+1) <= s.set.RetryBudgetMin+s.set.RetryBudgetShare*float64(len(s.takes))
 }
 
 // route picks the shard queue's node that may take the request now.
@@ -809,9 +809,9 @@
 			n.filled = true
 			continue
 		}
-		if k := r.mayRan; k != nil && r.class.Effect == Keyed {
-			group := r.class.Group
-			if group == GroupZone && k.Zone != n.Zone || group == GroupShard && k.Shard != n.Shard {
+		if k := r.mayRan; k != nil && r.class.Effect == IdempotentByKey {
+			group := r.class.DedupScope
+			if group == DedupZone && k.Zone != n.Zone || group == DedupShard && k.Shard != n.Shard {
 				continue
 			}
 		}
@@ -830,17 +830,17 @@
 // unheard of for long only the pool's is known: what a surge adds shows when its queue is long.
 // So the room there is the smaller. Harm: a fleet at its capacity refuses a little more.
 func (s *Scheduler) roomFor(r *request, heard float64) float64 {
-	step := r.class.weight * float64(len(s.classes)) * math.Sqrt(r.class.Worth/math.Max(s.meanWorth, 1e-9))
+	step := r.class.weight * float64(len(s.classes)) * math.Sqrt(r.class.PriorityWeight/math.Max(s.meanWorth, 1e-9))
 	step = math.Min(math.Max(step, 1/stepMost), stepMost)
 	room := bandRoom[r.band] * s.tightest * step
 	if r.band == bandReserve {
 		return room
 	}
-	return room + math.Min(0, roomBlind*r.class.Aim-room)*(1-math.Exp((heard-s.now)/blindSpan))
+	return room + math.Min(0, roomBlind*r.class.LatencyObjective-room)*(1-math.Exp((heard-s.now)/blindSpan))
 }
 
 func (s *Scheduler) send(r *request, n *node) {
-	if len(r.tries) > 0 && s.set.BudgetSpan > 0 {
+	if len(r.tries) > 0 && s.set.RetryBudgetWindow > 0 {
 		s.extras = append(s.extras, s.now)
 	}
 	if !r.limitPaid {
@@ -848,11 +848,11 @@
 		r.vol.limit -= r.units
 	}
 	by := 0.0 // a repeat may wait for a connection, and nodes know a key for so long
-	if r.class.Effect == Keyed && r.mayRan != nil {
-		by = r.mayRanAt + r.class.Memory
+	if r.class.Effect == IdempotentByKey && r.mayRan != nil {
+		by = r.mayRanAt + r.class.DedupWindow
 	}
 	s.addOut(r, n)
-	s.emit(Action{Kind: Send, ID: r.id, Node: n.ID, Until: r.notAfter, By: by})
+	s.emit(Action{Kind: Send, ID: r.id, Node: n.ID, Deadline: r.notAfter, StartBy: by})
 }
 
 // outcome takes the end of an attempt: what it says of the node, and what the
@@ -871,13 +871,13 @@
 	}
 	n.notBefore = math.Max(n.notBefore, s.now+s.sendGap(n))
 	s.learn(n, r, t, ev)
-	if slices.Contains([]Status{Errored, TimedOut, Reset, Cancelled}, ev.Status) {
+	if slices.Contains([]Status{Errored, TimedOut, ConnectionReset, Cancelled}, ev.Status) {
 		r.mayRan = n
 		if r.mayRanAt == 0 {
 			r.mayRanAt = t.at
 		}
 		if k := s.keys[r.key]; k != nil && r.class.Ordered && ev.Status != Errored {
-			k.rest = math.Max(k.rest, s.now+s.set.OrderPause)
+			k.rest = math.Max(k.rest, s.now+s.set.OrderedKeyBackoff)
 		}
 	}
 	if ev.Finished && !r.done {
@@ -918,18 +918,18 @@
 		s.noteServed(n, r)
 	case Errored:
 		bad, n.heard, n.silent = 1, s.now, false
-	case Full:
+	case NodeFull:
 		n.heard = s.now
 		s.narrow(n)
 		s.backOff(n)
 		return
-	case NoConn:
+	case ConnectFailed:
 		bad = 1
 		s.backOff(n)
 		if s.now-n.heard > coldSuspect {
 			s.markCold(n, s.now)
 		}
-	case TimedOut, Reset:
+	case TimedOut, ConnectionReset:
 		bad = 1
 		if t.lost {
 			return
@@ -943,15 +943,15 @@
 
 // giveUp answers for a request: refused if it never ran or may run again anywhere, else failed.
 func (s *Scheduler) giveUp(r *request, wait float64) {
-	s.sample(r, math.Max(wait, refusedAims*r.class.Aim-(s.now-r.began)))
+	s.sample(r, math.Max(wait, refusedAims*r.class.LatencyObjective-(s.now-r.began)))
 	s.refund(r)
 	s.noteUnserved(r)
-	if r.mayRan == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+	if r.mayRan == nil || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupAll {
 		hold := 0.0
-		if s.set.HoldOff {
-			hold = math.Min(math.Max(wait, sweepSpan), s.set.MaxHoldOff)
+		if s.set.SendsRetryAfter {
+			hold = math.Min(math.Max(wait, sweepSpan), s.set.MaxRetryAfter)
 		}
-		s.emit(Action{Kind: Refuse, ID: r.id, Wait: hold})
+		s.emit(Action{Kind: Reject, ID: r.id, Wait: hold})
 	} else {
 		s.emit(Action{Kind: Fail, ID: r.id})
 	}
@@ -968,7 +968,7 @@
 		return
 	}
 	stood := s.tuned // else the list's word may be old, and the grace over
-	if ev.Kind == ListStale {
+	if ev.Kind == CachedListLoaded {
 		s.emit(Action{Kind: SetTimer, Wait: tickSpan, Tag: "tick"})
 	} else {
 		s.tuned, s.askGap = true, askFirst
@@ -979,8 +979,8 @@
 		s.takeEntry(e, stood)
 	}
 	for _, n := range s.listed {
-		if ev.Kind != ListChange && !seen[n.ID] {
-			n.State = NodeGone
+		if ev.Kind != ListChanged && !seen[n.ID] {
+			n.State = NodeRemoved
 		}
 	}
 	s.rebuildQueues()
@@ -998,11 +998,11 @@
 		n = &node{window: windowStart, coldAt: math.Inf(-1), latencyAt: math.Inf(-1), heard: s.now}
 		n.Node, n.drainAt = e, math.Inf(-1)
 		s.addNode(n)
-		if e.Since > 0 {
-			s.markCold(n, e.Since)
+		if e.StartTime > 0 {
+			s.markCold(n, e.StartTime)
 		}
-	} else if e.Since > n.Since {
-		s.markCold(n, math.Max(e.Since, n.coldAt))
+	} else if e.StartTime > n.StartTime {
+		s.markCold(n, math.Max(e.StartTime, n.coldAt))
 		n.silent, n.notBefore, n.backoff, n.failing = false, 0, 0, 0
 	}
 	if stood && n.State == NodeUp && e.State == NodeDraining {
@@ -1011,9 +1011,9 @@
 	n.Node = e
 }
 
-// DrainUse is how long a node that drains is used after the word of a watch that stands: the one that
+// DrainingUseDuration is how long a node that drains is used after the word of a watch that stands: the one that
 // follows is listed seconds later, and nobody else has its shard. Short graces leave no time for it.
-func (s Settings) DrainUse() float64 {
+func (s Settings) DrainingUseDuration() float64 {
 	return math.Max(0, math.Min(drainShare*s.DrainGrace, s.DrainGrace-drainRest))
 }
 
@@ -1021,13 +1021,13 @@
 // Harm: a node that ends faster than its grace cuts off what was sent last.
 func (s *Scheduler) usable(n *node) bool {
 	return n.State == NodeUp ||
-		n.State == NodeDraining && n.backoff == 0 && s.now-n.drainAt < s.set.DrainUse()
+		n.State == NodeDraining && n.backoff == 0 && s.now-n.drainAt < s.set.DrainingUseDuration()
 }
 
 // ask subscribes to the list, again after a failure, well before we would be deemed told.
 func (s *Scheduler) ask() {
-	if s.set.AskMode && !s.tuned && s.now >= s.asked {
-		s.asked = s.now + math.Max(askMost, s.set.AskWithin/4*(1+s.rng.Float64()))
+	if s.set.PollsEndpointList && !s.tuned && s.now >= s.asked {
+		s.asked = s.now + math.Max(askMost, s.set.PollWithin/4*(1+s.rng.Float64()))
 		s.emit(Action{Kind: Subscribe})
 	}
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -9,12 +9,12 @@
 
 // testSettings has one class of each effect and one plan.
 func testSettings() Settings {
-	return Settings{Hosts: 2, MeanUnits: 2, MostUnits: 8, ColdUnits: 20, MaxAttempts: 3, MaxHoldOff: 1000,
-		HoldOff: true, DrainGrace: 1000, AskWithin: 10000, ColdFrom: 0.2, ColdSpan: 10000, TipMultiple: 3,
-		TipSpan: 2000,
-		Classes: []Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 1},
-			{Name: "once", Aim: 400, Deadline: 2000, Worth: 1, Effect: Unsafe}},
-		Plans: []Plan{{Name: "p", Rate: 10, Reserve: 1000, Weight: 1, Price: 1}}}
+	return Settings{Schedulers: 2, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3, MaxRetryAfter: 1000,
+		SendsRetryAfter: true, DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3,
+		OverloadWindow: 2000,
+		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1},
+			{Name: "once", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: NonIdempotent}},
+		Plans: []Plan{{Name: "p", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1}}}
 }
 
 // rig drives one instance and keeps what it did.
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, s: s, now: 1000}
-	r.step(Event{Kind: ListStale, Nodes: []Node{{ID: "a", Shard: 0}, {ID: "b", Shard: 1}}})
+	r.step(Event{Kind: CachedListLoaded, Nodes: []Node{{ID: "a", Shard: 0}, {ID: "b", Shard: 1}}})
 	return r
 }
 
@@ -46,12 +46,12 @@
 }
 
 func call(id, class string, shard int, notAfter float64) Event {
-	return Event{Kind: Arrival, Req: Request{ID: id, Class: class, Plan: "p", Key: "k" + id, Volume: "v",
-		NotAfter: notAfter, Units: 1, Shard: shard, Hosts: 1}}
+	return Event{Kind: RequestArrived, Request: Request{ID: id, Class: class, Plan: "p", Key: "k" + id, Volume: "v",
+		Deadline: notAfter, Units: 1, Shard: shard, Schedulers: 1}}
 }
 
 func done(id string, attempt int, st Status, finished bool) Event {
-	return Event{Kind: Outcome, ID: id, Attempt: attempt, Status: st, Latency: 20, Finished: finished}
+	return Event{Kind: AttemptEnded, ID: id, Attempt: attempt, Status: st, Latency: 20, Finished: finished}
 }
 
 func count(acts []Action, kind ActionKind) (n int) {
@@ -65,14 +65,14 @@
 
 func TestNewNamesTheBadField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Hosts":            func(s *Settings) { s.Hosts = 0 },
+		"Hosts":            func(s *Settings) { s.Schedulers = 0 },
 		"MeanUnits":        func(s *Settings) { s.MeanUnits = math.NaN() },
-		"TipSpan":          func(s *Settings) { s.TipSpan = math.Inf(1) },
+		"TipSpan":          func(s *Settings) { s.OverloadWindow = math.Inf(1) },
 		"MaxAttempts":      func(s *Settings) { s.MaxAttempts = 0 },
-		"Classes.Aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
+		"Classes.Aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"Classes.Deadline": func(s *Settings) { s.Classes[0].Deadline = 1 },
 		"Classes":          func(s *Settings) { s.Classes = nil },
-		"Plans.LimitBurst": func(s *Settings) { s.Plans[0].Limit = 5 },
+		"Plans.LimitBurst": func(s *Settings) { s.Plans[0].RateLimit = 5 },
 		"Plans":            func(s *Settings) { s.Plans[0].Name = "" },
 	} {
 		set := testSettings()
@@ -87,11 +87,11 @@
 	for name, ev := range map[string]Event{
 		"class":   call("x", "none", 0, 3000),
 		"expired": call("x", "safe", 0, 900),
-		"units":   {Kind: Arrival, Req: Request{ID: "x", Class: "safe", Plan: "p", NotAfter: 3000, Units: math.NaN()}},
-		"plan":    {Kind: Arrival, Req: Request{ID: "x", Class: "safe", Plan: "q", NotAfter: 3000, Units: 1}},
+		"units":   {Kind: RequestArrived, Request: Request{ID: "x", Class: "safe", Plan: "p", Deadline: 3000, Units: math.NaN()}},
+		"plan":    {Kind: RequestArrived, Request: Request{ID: "x", Class: "safe", Plan: "q", Deadline: 3000, Units: 1}},
 	} {
 		r := newRig(t, testSettings())
-		if acts := r.step(ev); count(acts, Refuse) != 1 || count(acts, Send) != 0 {
+		if acts := r.step(ev); count(acts, Reject) != 1 || count(acts, Send) != 0 {
 			t.Errorf("%s: %v", name, acts)
 		}
 	}
@@ -102,7 +102,7 @@
 	r.step(call("x", "safe", 77, 3000))
 	refused := 0
 	for now := 1010.0; now <= 3000; now += 10 {
-		refused += count(r.at(now, Event{Kind: Timer, Tag: "sweep"}), Refuse)
+		refused += count(r.at(now, Event{Kind: TimerFired, Tag: "sweep"}), Reject)
 	}
 	if refused != 1 {
 		t.Errorf("refused %d times", refused)
@@ -113,13 +113,13 @@
 	for _, c := range []struct {
 		status       Status
 		sends, fails int
-	}{{Errored, 0, 1}, {TimedOut, 0, 1}, {Reset, 0, 1}, {Cancelled, 0, 1}, {Full, 1, 0}, {NoConn, 1, 0}} {
+	}{{Errored, 0, 1}, {TimedOut, 0, 1}, {ConnectionReset, 0, 1}, {Cancelled, 0, 1}, {NodeFull, 1, 0}, {ConnectFailed, 1, 0}} {
 		r := newRig(t, testSettings())
 		r.step(call("x", "once", 0, 3000))
 		acts := r.at(1100, done("x", 0, c.status, false))
-		acts = append(acts, r.at(1700, Event{Kind: Timer, Tag: "sweep"})...)
+		acts = append(acts, r.at(1700, Event{Kind: TimerFired, Tag: "sweep"})...)
 		if c.sends == 1 { // past the aim the retry ranks last but must still come
-			acts = append(acts, r.at(1310, Event{Kind: Timer, Tag: "sweep"})...)
+			acts = append(acts, r.at(1310, Event{Kind: TimerFired, Tag: "sweep"})...)
 		}
 		if count(acts, Fail) != c.fails {
 			t.Errorf("status %v: %v", c.status, acts)
@@ -132,26 +132,26 @@
 
 func TestDrainingNodeGetsNothingNew(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.step(Event{Kind: ListChange, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}})
+	r.step(Event{Kind: ListChanged, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}})
 	if acts := r.step(call("x", "safe", 0, 3000)); count(acts, Send) != 0 {
 		t.Errorf("sent to a draining node: %v", acts)
 	}
 	// a replacement on the same shard takes what waits
-	if acts := r.at(1100, Event{Kind: ListChange, Nodes: []Node{{ID: "c", Shard: 0}}}); count(acts, Send) != 1 {
+	if acts := r.at(1100, Event{Kind: ListChanged, Nodes: []Node{{ID: "c", Shard: 0}}}); count(acts, Send) != 1 {
 		t.Errorf("the replacement got nothing: %v", acts)
 	}
 }
 
 func TestBudgetHoldsInItsWindow(t *testing.T) {
 	set := testSettings()
-	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 5000, 1, 0
+	set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetShare = 5000, 1, 0
 	r := newRig(t, set)
 	r.step(call("x", "safe", 0, 3000), call("y", "safe", 0, 3000))
 	acts := r.at(1010, done("x", 0, Errored, false), done("y", 0, Errored, false))
 	for now := 1020.0; now < 3000; now += 10 {
-		acts = append(acts, r.at(now, Event{Kind: Timer, Tag: "sweep"})...)
+		acts = append(acts, r.at(now, Event{Kind: TimerFired, Tag: "sweep"})...)
 	}
-	if count(acts, Send) != 1 || count(acts, Refuse) != 1 {
+	if count(acts, Send) != 1 || count(acts, Reject) != 1 {
 		t.Errorf("budget of one: %v", acts)
 	}
 }
@@ -160,7 +160,7 @@
 func TestDepartedCountsAtItsAge(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
-	r.at(2500, Event{Kind: Departed, ID: "x"})
+	r.at(2500, Event{Kind: ClientDisconnected, ID: "x"})
 	if c := r.s.classOf["safe"]; c.count != 1 || c.sum < 1400 {
 		t.Errorf("%v samples, %v ms", c.count, c.sum)
 	}
@@ -168,26 +168,26 @@
 
 func TestOrderedKeyRunsInTurn(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Ordered, set.OrderPause = true, 100
+	set.Classes[1].Ordered, set.OrderedKeyBackoff = true, 100
 	r := newRig(t, set)
 	x, y := call("x", "once", 0, 3000), call("y", "once", 1, 3000)
-	x.Req.Key, y.Req.Key = "k", "k"
+	x.Request.Key, y.Request.Key = "k", "k"
 	if acts := r.step(x, y); count(acts, Send) != 1 || acts[0].ID != "x" {
 		t.Fatalf("first: %v", acts)
 	}
-	if acts := r.at(1050, done("x", 0, Reset, false)); count(acts, Send) != 0 {
+	if acts := r.at(1050, done("x", 0, ConnectionReset, false)); count(acts, Send) != 0 {
 		t.Errorf("sent within the pause: %v", acts)
 	}
-	if acts := r.at(1160, Event{Kind: Timer, Tag: "sweep"}); count(acts, Send) != 1 {
+	if acts := r.at(1160, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Send) != 1 {
 		t.Errorf("not sent after the pause: %v", acts)
 	}
 }
 
 func TestColdNodeKeepsToItsUnits(t *testing.T) {
 	set := testSettings()
-	set.ColdUnits, set.Hosts = 6, 2
+	set.SlowStartUnits, set.Schedulers = 6, 2
 	r := newRig(t, set)
-	r.step(Event{Kind: ListChange, Nodes: []Node{{ID: "c", Shard: 5, Since: 990}}})
+	r.step(Event{Kind: ListChanged, Nodes: []Node{{ID: "c", Shard: 5, StartTime: 990}}})
 	sent := 0
 	for i := range 20 {
 		sent += count(r.step(call("x"+string(rune('a'+i)), "safe", 5, 3000)), Send)
@@ -222,7 +222,7 @@
 	sends := 0
 	for now := 1100.0; now < 6000; now += 10 {
 		id := fmt.Sprint("q", now)
-		sends += count(r.at(now, call(id, "once", 0, now+2000), Event{Kind: Timer, Tag: "sweep"}), Send)
+		sends += count(r.at(now, call(id, "once", 0, now+2000), Event{Kind: TimerFired, Tag: "sweep"}), Send)
 	}
 	if sends < 2 || sends > 6 {
 		t.Errorf("%d sends to a silent node in 5 s: no trickle", sends)
@@ -264,8 +264,8 @@
 		copies int
 	}{{"safe", 0, 1}, {"safe", 1, 1}, {"keyed", 1, 1}, {"once", 0, 0}} {
 		set := testSettings()
-		set.SecondCopies, set.MayCancel = true, true
-		set.Classes = append(set.Classes, Class{Name: "keyed", Aim: 400, Deadline: 2000, Worth: 1, Effect: Keyed, Group: GroupShard, Memory: 2500})
+		set.MayHedge, set.MayCancel = true, true
+		set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 2500})
 		r := newRig(t, set)
 		r.step(call("slow", x.class, 0, 3000))
 		r.s.nodes["a"].usual, r.s.nodes["a"].latencyAt = 20, r.now
@@ -322,11 +322,11 @@
 func TestCrowdedWindowIsSplitAmongHosts(t *testing.T) {
 	for hosts, least := range map[int]float64{1: 2, 4: 1, 8: 0.5, 256: 4.0 / 256} {
 		set := testSettings()
-		set.Hosts = hosts
+		set.Schedulers = hosts
 		r := newRig(t, set)
 		n := r.s.nodes["a"]
 		for range 40 {
-			r.at(r.now+600, Event{Kind: Timer})
+			r.at(r.now+600, Event{Kind: TimerFired})
 			r.s.answered(n, 900, 2)
 		}
 		if n.window != least {
@@ -336,7 +336,7 @@
 			t.Errorf("%v hosts: rest of %v", hosts, gap)
 		}
 		for range 40 {
-			r.at(r.now+600, Event{Kind: Timer})
+			r.at(r.now+600, Event{Kind: TimerFired})
 			r.s.answered(n, 30, 2)
 		}
 		if n.window < windowLeast {
@@ -353,7 +353,7 @@
 		t.Errorf("weights %v %v", a.weight, b.weight)
 	}
 	// the cap: the donor's predicted delay stays under its aim
-	if got := 40 + (0.5-b.weight)*80; got > (1-epsilon)*b.Aim+1e-9 {
+	if got := 40 + (0.5-b.weight)*80; got > (1-epsilon)*b.LatencyObjective+1e-9 {
 		t.Errorf("donor predicted at %v", got)
 	}
 }
@@ -361,11 +361,11 @@
 // Memory stays bounded: what is long past is dropped.
 func TestForgetsWhatIsLongPast(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Ordered, set.OrderPause = true, 100
+	set.Classes[1].Ordered, set.OrderedKeyBackoff = true, 100
 	r := newRig(t, set)
 	r.step(call("x", "once", 0, 3000))
-	r.at(1020, done("x", 0, Reset, false))
-	r.at(1000+2*forgetSpan, Event{Kind: Timer, Tag: "tick"})
+	r.at(1020, done("x", 0, ConnectionReset, false))
+	r.at(1000+2*forgetSpan, Event{Kind: TimerFired, Tag: "tick"})
 	if len(r.s.volumes)+len(r.s.known)+len(r.s.keys)+len(r.s.reqs)+len(r.s.takes) > 0 {
 		t.Errorf("%d volumes, %d keys, %d requests", len(r.s.volumes), len(r.s.keys), len(r.s.reqs))
 	}
@@ -379,9 +379,9 @@
 		r.at(1020, done("first", 0, OK, true))
 		r.s.nodes["a"].window = window
 		late := call("late", "safe", 0, r.now+500) // 1.5 s old, past its aim of 400 ms
-		late.Req.Repeat = true
+		late.Request.ClientRetry = true
 		acts := r.step(late)
-		if count(acts, Send) != sends || count(acts, Refuse) != 1-sends {
+		if count(acts, Send) != sends || count(acts, Reject) != 1-sends {
 			t.Errorf("window %v: %v", window, acts)
 		}
 	}
@@ -391,7 +391,7 @@
 // gap, and never asked per request.
 func TestAskModeAsksAgainWithGrowingGaps(t *testing.T) {
 	set := testSettings()
-	set.AskMode = true
+	set.PollsEndpointList = true
 	r := newRig(t, set)
 	if count(r.acts, Subscribe) != 1 {
 		t.Fatalf("at the start: %v", r.acts)
@@ -399,7 +399,7 @@
 	asks := func(span float64) (n int) {
 		for end := r.now + span; r.now < end; {
 			n += count(r.at(r.now+100, call(fmt.Sprint("c", r.now), "safe", 0, r.now+900),
-				Event{Kind: Timer, Tag: "tick"}), Subscribe)
+				Event{Kind: TimerFired, Tag: "tick"}), Subscribe)
 		}
 		return n
 	}
@@ -410,13 +410,13 @@
 		for n := 0; n == 0; {
 			n = asks(100)
 		}
-		if gap := r.now - from; gap > set.AskWithin || i == 3 && gap < last {
+		if gap := r.now - from; gap > set.PollWithin || i == 3 && gap < last {
 			t.Errorf("gap %v after %v", gap, last)
 		} else if i == 0 {
 			last = gap
 		}
 	}
-	r.step(Event{Kind: ListChange})
+	r.step(Event{Kind: ListChanged})
 	if n := asks(30000); n != 0 {
 		t.Errorf("asked %d times while subscribed", n)
 	}
@@ -429,7 +429,7 @@
 // A node absent from a full list is gone; one that starts anew is cold.
 func TestFullListDropsAndRestartChills(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.step(Event{Kind: ListFull, Nodes: []Node{{ID: "a", Shard: 0, Since: 990}}})
+	r.step(Event{Kind: ListReceived, Nodes: []Node{{ID: "a", Shard: 0, StartTime: 990}}})
 	if n := r.s.nodes["b"]; n != nil {
 		t.Error("b is still there")
 	}
@@ -445,11 +445,11 @@
 // taken, for the attempt budget, is bounded though no further attempt is made.
 func TestMemoryIsBoundedOverManyReleases(t *testing.T) {
 	set := testSettings()
-	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 5000, 1, 0.1
+	set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetShare = 5000, 1, 0.1
 	r := newRig(t, set)
 	for i := range 3000 {
 		id := fmt.Sprint("r", i)
-		r.at(r.now+500, Event{Kind: Timer, Tag: "tick"}, Event{Kind: ListFull, Nodes: []Node{{ID: id, Shard: 0}}},
+		r.at(r.now+500, Event{Kind: TimerFired, Tag: "tick"}, Event{Kind: ListReceived, Nodes: []Node{{ID: id, Shard: 0}}},
 			call(id, "safe", 0, r.now+2000))
 		r.at(r.now+20, done(id, 0, OK, true))
 	}
@@ -481,20 +481,20 @@
 	r := newRig(t, testSettings())
 	for i := range 8 {
 		id := fmt.Sprint("w", i)
-		r.at(r.now+50, call(id, "once", 0, r.now+2000), Event{Kind: Timer, Tag: "beat"})
+		r.at(r.now+50, call(id, "once", 0, r.now+2000), Event{Kind: TimerFired, Tag: "beat"})
 		r.at(r.now+20, done(id, 0, OK, true))
 	}
 	usual := r.s.expected(r.s.nodes["a"])
-	r.at(r.now+30, call("x", "once", 0, r.now+2000), Event{Kind: Timer, Tag: "beat"})
+	r.at(r.now+30, call("x", "once", 0, r.now+2000), Event{Kind: TimerFired, Tag: "beat"})
 	late := done("x", 0, OK, true)
 	late.Latency = 1500
-	r.at(r.now+1500, Event{Kind: Timer, Tag: "beat"}, late)
+	r.at(r.now+1500, Event{Kind: TimerFired, Tag: "beat"}, late)
 	n := r.s.nodes["a"]
 	if n.silent || r.s.expected(n) > usual {
 		t.Errorf("silent %v, usual %v before, %v after", n.silent, usual, r.s.expected(n))
 	}
 	// the same answer without a stall is a word on the node
-	r.at(r.now+100, Event{Kind: Timer, Tag: "beat"})
+	r.at(r.now+100, Event{Kind: TimerFired, Tag: "beat"})
 	r.step(call("y", "once", 0, r.now+2000))
 	late = done("y", 0, OK, true)
 	late.Latency = 1500
@@ -511,11 +511,11 @@
 	r.step(call("x0", "safe", 0, r.now+100))
 	store, c := v(), r.s.classOf["safe"]
 	for i := 1; i < 8; i++ {
-		r.at(r.now+100, Event{Kind: Departed, ID: fmt.Sprint("x", i-1)})
+		r.at(r.now+100, Event{Kind: ClientDisconnected, ID: fmt.Sprint("x", i-1)})
 		ev := call(fmt.Sprint("x", i), "safe", 0, r.now+100)
-		ev.Req.Key, ev.Req.Repeat = "kx0", true
+		ev.Request.Key, ev.Request.ClientRetry = "kx0", true
 		r.step(ev)
-		if q := r.s.reqs[ev.Req.ID]; q != nil && (!q.repeat || q.began != 1000) {
+		if q := r.s.reqs[ev.Request.ID]; q != nil && (!q.repeat || q.began != 1000) {
 			t.Fatalf("try %d: repeat %v, began %v", i, q.repeat, q.began)
 		}
 	}
@@ -532,7 +532,7 @@
 		limit, counts float64
 	}{{"slow", 0, 0, 1}, {"no node", 7, 0, 0}, {"limit", 0, 1e-3, 0}} {
 		set := testSettings()
-		set.Plans[0].Limit, set.Plans[0].LimitBurst = k.limit, 8
+		set.Plans[0].RateLimit, set.Plans[0].LimitBurst = k.limit, 8
 		r := newRig(t, set)
 		r.step(call("x", "once", k.shard, r.now+2000))
 		r.at(r.now+450, done("x", 0, OK, true))
@@ -551,7 +551,7 @@
 	set.MayCancel = true
 	r := newRig(t, set)
 	r.step(call("x", "once", 0, 3000))
-	if acts := r.at(1100, Event{Kind: Departed, ID: "x"}); count(acts, Cancel) != 1 {
+	if acts := r.at(1100, Event{Kind: ClientDisconnected, ID: "x"}); count(acts, Cancel) != 1 {
 		t.Errorf("%v", acts)
 	}
 }
@@ -569,14 +569,14 @@
 	}
 	slow()
 	r.volume("v").store = -100
-	if acts := r.step(call("share", "safe", 0, r.now+2000)); count(acts, Refuse) != 1 {
+	if acts := r.step(call("share", "safe", 0, r.now+2000)); count(acts, Reject) != 1 {
 		t.Errorf("share work: %v", acts)
 	}
 	r.volume("v").store = 9
 	if acts := r.step(call("reserve", "safe", 0, r.now+2000)); count(acts, Send) != 1 {
 		t.Errorf("reserve work: %v", acts)
 	}
-	r.at(r.now+2*healSpan, Event{Kind: Timer})
+	r.at(r.now+2*healSpan, Event{Kind: TimerFired})
 	if r.s.expected(n) > bandRoom[bandShare]*r.s.tightest {
 		t.Errorf("no way back: %v", r.s.expected(n))
 	}
@@ -590,7 +590,7 @@
 	outs := map[string]bool{}
 	for now := 1010.0; now < 20000; now += 50 {
 		answer = now < 3000 || now > 7000
-		evs := []Event{{Kind: Timer, Tag: "sweep"}}
+		evs := []Event{{Kind: TimerFired, Tag: "sweep"}}
 		for id := range outs {
 			if answer {
 				evs = append(evs, done(id, 0, OK, true))
@@ -619,27 +619,27 @@
 
 // Absurd figures, empty and huge lists, and old peer messages lose no request.
 func TestOddWorldsKeepTheirAnswers(t *testing.T) {
-	huge := Event{Kind: ListFull}
+	huge := Event{Kind: ListReceived}
 	for i := range 4000 {
 		huge.Nodes = append(huge.Nodes, Node{ID: fmt.Sprint("h", i/2), Shard: i % 50}) // each twice
 	}
 	r := newRig(t, testSettings())
-	r.step(Event{Kind: Told, From: -7, Data: []byte("?")}, Event{Kind: Told, From: 1e6})
+	r.step(Event{Kind: GossipReceived, From: -7, Data: []byte("?")}, Event{Kind: GossipReceived, From: 1e6})
 	ends := map[string]int{}
 	note := func(acts []Action) {
 		for _, a := range acts {
-			if a.Kind == Refuse || a.Kind == Fail {
+			if a.Kind == Reject || a.Kind == Fail {
 				ends[a.ID]++
 			}
 		}
 	}
-	for i, list := range []Event{{Kind: ListFull}, huge, {Kind: ListFull}, {Kind: ListFull, Nodes: []Node{{ID: "z", Shard: 3}}}} {
+	for i, list := range []Event{{Kind: ListReceived}, huge, {Kind: ListReceived}, {Kind: ListReceived, Nodes: []Node{{ID: "z", Shard: 3}}}} {
 		for j, hosts := range []int{0, -5, 1 << 30} {
 			ev := call(fmt.Sprint("o", i, j), "once", 90+j, r.now+1500)
-			ev.Req.Hosts = hosts
+			ev.Request.Schedulers = hosts
 			note(r.step(list, ev))
 		}
-		note(r.at(r.now+7000, Event{Kind: Timer, Tag: "tick"})) // seconds without a step
+		note(r.at(r.now+7000, Event{Kind: TimerFired, Tag: "tick"})) // seconds without a step
 	}
 	if len(ends) != 12 {
 		t.Errorf("%d of 12 answered", len(ends))
@@ -673,22 +673,22 @@
 func TestStuckWorkIsCalledOffAtItsAim(t *testing.T) {
 	set := testSettings()
 	set.MayCancel = true
-	for class, end := range map[string]ActionKind{"safe": Refuse, "once": Fail} {
+	for class, end := range map[string]ActionKind{"safe": Reject, "once": Fail} {
 		r := newRig(t, set)
 		r.step(call("x", class, 0, 3000))
 		for r.now < 1390 {
-			if acts := r.at(r.now+10, Event{Kind: Timer, Tag: "sweep"}); count(acts, Cancel) > 0 {
+			if acts := r.at(r.now+10, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) > 0 {
 				t.Fatalf("%s: called off at %v, aim 1400", class, r.now)
 			}
 		}
-		if acts := r.at(1400, Event{Kind: Timer, Tag: "sweep"}); count(acts, Cancel) != 1 {
+		if acts := r.at(1400, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) != 1 {
 			t.Fatalf("%s at the aim: %v", class, acts)
 		}
 		if u := r.s.expected(r.s.nodes["a"]); u < 300 {
 			t.Errorf("%s: usual latency %v after 400 ms without an answer", class, u)
 		}
 		acts := r.at(1402, done("x", 0, Cancelled, false))
-		acts = append(acts, r.at(1412, Event{Kind: Timer, Tag: "sweep"})...)
+		acts = append(acts, r.at(1412, Event{Kind: TimerFired, Tag: "sweep"})...)
 		if count(acts, end) != 1 || count(acts, Send)+count(acts, Cancel) != 0 {
 			t.Errorf("%s after the call off: %v", class, acts)
 		}
@@ -702,7 +702,7 @@
 	r := newRig(t, set)
 	r.step(call("x", "safe", 0, 3000))
 	r.s.pool, r.s.poolAt = 300, r.now
-	if acts := r.at(1401, Event{Kind: Timer, Tag: "sweep"}); count(acts, Cancel) > 0 {
+	if acts := r.at(1401, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) > 0 {
 		t.Errorf("called off: %v", acts)
 	}
 }
@@ -711,7 +711,7 @@
 // and no more; an answer that stays out too long ends that.
 func TestColdNodeFollowsGoodAnswers(t *testing.T) {
 	set := testSettings()
-	set.Hosts = fleetHosts
+	set.Schedulers = fleetHosts
 	r := newRig(t, set)
 	n := r.s.nodes["a"]
 	r.s.markCold(n, r.now)
@@ -728,7 +728,7 @@
 	if acts := r.at(1030, call("z", "safe", 0, 3000)); count(acts, Send) != 0 {
 		t.Errorf("two out at a cold node: %v", acts)
 	}
-	if r.at(1300, Event{Kind: Timer, Tag: "sweep"}); n.timely {
+	if r.at(1300, Event{Kind: TimerFired, Tag: "sweep"}); n.timely {
 		t.Error("still good with an answer out for 280 ms")
 	}
 }
@@ -738,12 +738,12 @@
 func TestColdAllowanceGoesWhereItIsAskedFor(t *testing.T) {
 	const nodes = 200
 	set := testSettings()
-	set.Hosts, set.Shards = fleetHosts, nodes
+	set.Schedulers, set.Shards = fleetHosts, nodes
 	var list []Node
 	for i := range nodes {
-		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1, Since: 1000})
+		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1, StartTime: 1000})
 	}
-	span, now := set.TipSpan, 1000+2*set.TipSpan
+	span, now := set.OverloadWindow, 1000+2*set.OverloadWindow
 	ask := func(s *Scheduler, now float64, shards int) (sent int) {
 		var calls []Event
 		for i := range nodes {
@@ -758,7 +758,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(1000, []Event{{Kind: ListStale, Nodes: list}}, nil)
+			s.Step(1000, []Event{{Kind: CachedListLoaded, Nodes: list}}, nil)
 			n := ask(s, now, shards)
 			if shards == 1 {
 				one += n
@@ -788,7 +788,7 @@
 // A narrowed window rations shares with rests; what is due goes on, two at a time.
 func TestReservesKeepTheLeastWindow(t *testing.T) {
 	set := testSettings()
-	set.Plans[0].Reserve = 100
+	set.Plans[0].ReservedRate = 100
 	r := newRig(t, set)
 	n := r.s.nodes["a"]
 	n.window, n.notBefore = 0.1, r.now+3000
@@ -798,7 +798,7 @@
 	if len(n.out) != 2 {
 		t.Errorf("%d reserve requests out at a resting node", len(n.out))
 	}
-	r.at(1010, done("r0", 0, Full, false)) // a full node has said no: it rests from all
+	r.at(1010, done("r0", 0, NodeFull, false)) // a full node has said no: it rests from all
 	if len(n.out) != 1 {
 		t.Errorf("%d out at a full node", len(n.out))
 	}
@@ -807,47 +807,47 @@
 // Told by a watch that stands that a node drains, a host uses it for a part of the grace while it
 // takes work: nobody else has its shard yet. Not where the word may be old, and not past a "full".
 func TestDrainingNodeIsUsedForPartOfTheGrace(t *testing.T) {
-	drains := Event{Kind: ListChange, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}}
+	drains := Event{Kind: ListChanged, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}}
 	sends := func(r *rig, id string, now float64) int {
 		return count(r.at(now, call(id, "safe", 0, now+2000)), Send)
 	}
 	r := newRig(t, testSettings())
-	r.step(Event{Kind: ListChange}) // the watch stands
+	r.step(Event{Kind: ListChanged}) // the watch stands
 	r.step(drains)
-	if sends(r, "x", 1100) != 1 || sends(r, "y", 1000+r.s.set.DrainUse()) != 0 {
+	if sends(r, "x", 1100) != 1 || sends(r, "y", 1000+r.s.set.DrainingUseDuration()) != 0 {
 		t.Error("within its part of the grace: not sent, or sent past it")
 	}
 	r = newRig(t, testSettings())
-	r.step(Event{Kind: ListChange})
+	r.step(Event{Kind: ListChanged})
 	r.step(drains)
 	r.at(1100, drains) // told again: the grace counts from the first word
-	if sends(r, "x", 1050+r.s.set.DrainUse()) != 0 {
+	if sends(r, "x", 1050+r.s.set.DrainingUseDuration()) != 0 {
 		t.Error("a second word began the grace anew")
 	}
 	r = newRig(t, testSettings())
-	r.step(Event{Kind: ListChange})
+	r.step(Event{Kind: ListChanged})
 	r.step(Event{Kind: ListFailed})
 	r.step(drains)
 	if sends(r, "x", 1010) != 0 {
 		t.Error("sent on the word of a list that may be old")
 	}
 	r = newRig(t, testSettings())
-	r.step(Event{Kind: ListChange})
+	r.step(Event{Kind: ListChanged})
 	r.step(drains)
 	sends(r, "x", 1010)
-	if acts := r.at(1020, done("x", 0, Full, false)); count(acts, Send) != 0 || sends(r, "y", 1200) != 0 {
+	if acts := r.at(1020, done("x", 0, NodeFull, false)); count(acts, Send) != 0 || sends(r, "y", 1200) != 0 {
 		t.Error("sent again to a draining node that takes nothing more")
 	}
 	for _, k := range []struct {
 		name  string
 		grace float64
 		state NodeState
-	}{{"a grace that leaves no time", 250, NodeDraining}, {"out by hand", 1000, NodeOut}} {
+	}{{"a grace that leaves no time", 250, NodeDraining}, {"out by hand", 1000, NodeExcluded}} {
 		set := testSettings()
 		set.DrainGrace = k.grace
 		r = newRig(t, set)
-		r.step(Event{Kind: ListChange})
-		r.step(Event{Kind: ListChange, Nodes: []Node{{ID: "a", Shard: 0, State: k.state}}})
+		r.step(Event{Kind: ListChanged})
+		r.step(Event{Kind: ListChanged, Nodes: []Node{{ID: "a", Shard: 0, State: k.state}}})
 		if sends(r, "x", 1001) != 0 {
 			t.Error("used: " + k.name)
 		}
--- a/policy/coldsum_test.go
+++ b/policy/coldsum_test.go
@@ -21,7 +21,7 @@
 	name      string
 	hosts     int
 	coldUnits float64
-	multiple  float64 // TipMultiple
+	multiple  float64 // OverloadMultiple
 	strength  float64 // of the node, in that of the weakest which the settings allow
 	uneven    bool    // one host has most of the traffic
 	popular   bool    // all hosts work with the cold node, and each with few others
@@ -83,12 +83,12 @@
 )
 
 func newColdWorld(t *testing.T, c coldCase, seed int64) *coldWorld {
-	set := Settings{Hosts: c.hosts, MeanUnits: 2, MostUnits: 6, ColdUnits: c.coldUnits, MaxAttempts: 4, MaxHoldOff: 1000,
-		HoldOff: true, MayCancel: true, SecondCopies: true, DrainGrace: 250, AskWithin: 10000, ColdFrom: 0.24, ColdSpan: 12000,
-		TipMultiple: c.multiple, TipSpan: 3000, Shards: coldShards,
-		Classes: []Class{{Name: "safe", Aim: 250, Deadline: 1500, Worth: 3, LateWorth: 0.1},
-			{Name: "once", Aim: 300, Deadline: 1500, Worth: 2, LateWorth: 0.1, Effect: Unsafe}},
-		Plans: []Plan{{Name: "p", Rate: 10, Reserve: 1000, Weight: 1, Price: 1}}}
+	set := Settings{Schedulers: c.hosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: c.coldUnits, MaxAttempts: 4, MaxRetryAfter: 1000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 12000,
+		OverloadMultiple: c.multiple, OverloadWindow: 3000, Shards: coldShards,
+		Classes: []Class{{Name: "safe", LatencyObjective: 250, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
+			{Name: "once", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
+		Plans: []Plan{{Name: "p", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1}}}
 	w := &coldWorld{coldCase: c, t: t, set: set, rng: rand.New(rand.NewSource(seed)), reqs: map[string]*coldReq{},
 		served: map[int]float64{}, asked: map[int]float64{}, now: 1e6,
 		told: make([]bool, c.hosts), life: make([]int, c.hosts), hosts: make([]*Scheduler, c.hosts)}
@@ -106,14 +106,14 @@
 // start begins a life of a host, which knows the list alone.
 func (w *coldWorld) start(h int) {
 	set := w.set
-	set.Me = h
+	set.Instance = h
 	w.life[h]++
 	s, err := New(set, w.rng.Int63())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.hosts[h] = s
-	w.step(h, Event{Kind: ListStale, Nodes: w.list})
+	w.step(h, Event{Kind: CachedListLoaded, Nodes: w.list})
 }
 
 func (w *coldWorld) step(h int, evs ...Event) {
@@ -124,21 +124,21 @@
 			if a.Tag != "beat" {
 				w.after(math.Max(a.Wait, 1), func() {
 					if w.life[h] == life {
-						w.step(h, Event{Kind: Timer, Tag: a.Tag})
+						w.step(h, Event{Kind: TimerFired, Tag: a.Tag})
 					}
 				})
 			}
-		case Refuse, Fail:
+		case Reject, Fail:
 			r := w.reqs[a.ID]
 			r.ended = true
-			if w.faults && r.cold && !r.again && a.Kind == Refuse {
+			if w.faults && r.cold && !r.again && a.Kind == Reject {
 				w.after(a.Wait, func() { w.arrive(h, 0, r.units, true) })
 			}
 		case Send:
 			w.send(h, a)
 		case Cancel: // the node works on
 			w.outcome(h, life, a.ID, a.Attempt, Cancelled, 1)
-		case Probe:
+		case CheckHealth:
 			w.t.Errorf("host %d probes %s: probes are not in the books", h, a.Node)
 		}
 	}
@@ -157,13 +157,13 @@
 			}
 			r.ended = true
 		}
-		w.step(h, Event{Kind: Outcome, ID: id, Attempt: attempt, Status: status, Latency: w.now - sent, Finished: r.ended})
+		w.step(h, Event{Kind: AttemptEnded, ID: id, Attempt: attempt, Status: status, Latency: w.now - sent, Finished: r.ended})
 	})
 }
 
 // speed is what the node of shard 0 does, units a millisecond.
 func (w *coldWorld) speed() float64 {
-	weakest := w.coldUnits / (w.multiple * w.set.TipSpan * w.set.ColdFrom)
+	weakest := w.coldUnits / (w.multiple * w.set.OverloadWindow * w.set.SlowStartShare)
 	return w.strength * weakest * w.power()
 }
 
@@ -171,7 +171,7 @@
 	if w.since == 0 {
 		return 1
 	}
-	return math.Min(1, w.set.ColdFrom+(1-w.set.ColdFrom)*(w.now-w.since)/w.set.ColdSpan)
+	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-w.since)/w.set.SlowStartDuration)
 }
 
 func (w *coldWorld) send(h int, a Action) {
@@ -183,7 +183,7 @@
 		return
 	}
 	if w.gone || a.Node == "n0" && w.since > 0 && !w.silent {
-		w.outcome(h, life, a.ID, no, NoConn, 1)
+		w.outcome(h, life, a.ID, no, ConnectFailed, 1)
 		return
 	}
 	if w.since > 0 {
@@ -194,7 +194,7 @@
 		chance = w.rng.Float64()
 	}
 	if chance < 0.02 {
-		w.outcome(h, life, a.ID, no, NoConn, 1)
+		w.outcome(h, life, a.ID, no, ConnectFailed, 1)
 		return
 	}
 	k := 0
@@ -202,7 +202,7 @@
 		k = 1
 	}
 	if w.free[k]-w.now > 1500 {
-		w.outcome(h, life, a.ID, no, Full, 1)
+		w.outcome(h, life, a.ID, no, NodeFull, 1)
 		return
 	}
 	w.free[k] = math.Max(w.now, w.free[k]) + r.units*(0.5+w.rng.Float64())*2/w.speed()
@@ -215,13 +215,13 @@
 // count takes a request of a host that was told of the start into the window, also one that does
 // not run in the end.
 func (w *coldWorld) count(units float64, told bool) {
-	if !told || w.now-w.since > w.set.ColdSpan {
+	if !told || w.now-w.since > w.set.SlowStartDuration {
 		return
 	}
 	w.sent = append(w.sent, flow{w.now, units})
 	w.result.sent++
-	sum := sumSince(&w.sent, w.now-w.set.TipSpan) / w.set.MeanUnits
-	n := w.multiple * w.speed() * w.set.TipSpan / w.set.MeanUnits
+	sum := sumSince(&w.sent, w.now-w.set.OverloadWindow) / w.set.MeanUnits
+	n := w.multiple * w.speed() * w.set.OverloadWindow / w.set.MeanUnits
 	bound := n + 2*math.Sqrt(n) + 2
 	if w.coldCase.hosts < 30 {
 		bound = n + 3*math.Sqrt(n) + 3
@@ -233,12 +233,12 @@
 	w.seq++
 	k := w.set.Classes[w.seq%2]
 	id := fmt.Sprint("q", w.seq)
-	w.reqs[id] = &coldReq{host: h, life: w.life[h], aimAt: w.now + k.Aim, units: units, again: again, cold: shard == 0}
+	w.reqs[id] = &coldReq{host: h, life: w.life[h], aimAt: w.now + k.LatencyObjective, units: units, again: again, cold: shard == 0}
 	if shard == 0 && !again {
 		w.asked[int(w.now/1000)] += units
 	}
-	w.step(h, Event{Kind: Arrival, Req: Request{ID: id, Class: k.Name, Plan: "p", Key: id, Volume: fmt.Sprint("v", h%20),
-		NotAfter: w.now + k.Deadline, Units: units, Shard: shard, Hosts: 1}})
+	w.step(h, Event{Kind: RequestArrived, Request: Request{ID: id, Class: k.Name, Plan: "p", Key: id, Volume: fmt.Sprint("v", h%20),
+		Deadline: w.now + k.Deadline, Units: units, Shard: shard, Schedulers: 1}})
 }
 
 // sharer draws a host that works with the cold node.
@@ -254,9 +254,9 @@
 }
 
 func (w *coldWorld) traffic(start float64) {
-	usual := 0.8 * w.strength * w.coldUnits / (w.multiple * w.set.TipSpan * w.set.ColdFrom) / w.set.MeanUnits
+	usual := 0.8 * w.strength * w.coldUnits / (w.multiple * w.set.OverloadWindow * w.set.SlowStartShare) / w.set.MeanUnits
 	rate := usual
-	begun := start + w.set.ColdSpan*0.3
+	begun := start + w.set.SlowStartDuration*0.3
 	switch age := w.now - start; {
 	case w.now > begun && w.now < begun+3000 && w.burst > 0:
 		rate *= w.burst
@@ -296,8 +296,8 @@
 // swap puts the cold node into the place of the warm one.
 func (w *coldWorld) swap() {
 	w.gone, w.since, w.free = false, w.now, [2]float64{}
-	n := Node{ID: "m0", Shard: 0, Weight: 1, Since: w.now}
-	old := Node{ID: "n0", Shard: 0, Weight: 1, State: NodeGone}
+	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: w.now}
+	old := Node{ID: "n0", Shard: 0, Weight: 1, State: NodeRemoved}
 	changes := []Node{old, n}
 	if w.silent {
 		n.ID = "n0"
@@ -306,24 +306,24 @@
 	list := append([]Node{n}, w.list[1:]...)
 	if w.many {
 		for i := range list[1:] {
-			list[1+i].Since = w.now
+			list[1+i].StartTime = w.now
 		}
 		changes = append(changes, list[1:]...)
 	}
 	for h := range w.hosts {
 		most := 2000.0
 		if w.late {
-			most = w.set.ColdSpan / 2
+			most = w.set.SlowStartDuration / 2
 		}
 		w.after(w.rng.Float64()*most, func() {
 			w.told[h] = true
-			w.step(h, Event{Kind: ListChange, Nodes: changes})
+			w.step(h, Event{Kind: ListChanged, Nodes: changes})
 		})
 	}
 	if w.restarts { // all within one span, twice
 		for i, h := range w.rng.Perm(len(w.hosts)) {
 			for _, from := range []float64{2500, 7000} {
-				w.after(from+float64(i)*w.set.TipSpan/float64(len(w.hosts)), func() {
+				w.after(from+float64(i)*w.set.OverloadWindow/float64(len(w.hosts)), func() {
 					w.list, w.told[h] = list, true
 					w.start(h)
 				})
@@ -350,7 +350,7 @@
 		w.swap()
 	})
 	if w.volley {
-		w.after(start+w.set.ColdSpan*0.6-begin, func() {
+		w.after(start+w.set.SlowStartDuration*0.6-begin, func() {
 			for h := range w.hosts {
 				for range 3 {
 					w.arrive(h, 0, w.units(), false)
@@ -358,7 +358,7 @@
 			}
 		})
 	}
-	for end := start + w.set.ColdSpan + 4000; w.due[0].at < end; {
+	for end := start + w.set.SlowStartDuration + 4000; w.due[0].at < end; {
 		d := heap.Pop(&w.due).(worldDue)
 		w.now = d.at
 		d.do()
@@ -370,13 +370,13 @@
 // carry sums what the node carried of what was asked and it could do, and when it first did.
 func (w *coldWorld) carry(start float64) {
 	served, could := 0.0, 0.0
-	w.result.until = (w.set.ColdSpan + 4000) / 1000
-	for sec := int(start / 1000); sec < int((start+w.set.ColdSpan)/1000); sec++ {
+	w.result.until = (w.set.SlowStartDuration + 4000) / 1000
+	for sec := int(start / 1000); sec < int((start+w.set.SlowStartDuration)/1000); sec++ {
 		w.now = float64(sec)*1000 + 500
 		least := math.Min(w.asked[sec], w.speed()*1000)
 		served, could = served+w.served[sec], could+least
 	}
-	for sec := int(start / 1000); sec < int((start+w.set.ColdSpan)/1000)+4; sec++ {
+	for sec := int(start / 1000); sec < int((start+w.set.SlowStartDuration)/1000)+4; sec++ {
 		w.now = float64(sec)*1000 + 500
 		if least := math.Min(w.asked[sec], w.speed()*1000); least > 0 && w.served[sec] >= 0.6*least {
 			w.result.until = math.Max(0, float64(sec)+1-start/1000)
@@ -433,7 +433,7 @@
 }
 
 // Over all hosts together a cold node gets at most N + 2 sqrt(N) + 2 requests of mean work (of fewer
-// than 30 hosts: N + 3 sqrt(N) + 3) within TipSpan, N being TipMultiple times what it can do in that
+// than 30 hosts: N + 3 sqrt(N) + 3) within OverloadWindow, N being OverloadMultiple times what it can do in that
 // time at its age. Every attempt counts, also a second one, a copy, and one that never ran.
 func TestColdNodeSumOverTheFleet(t *testing.T) {
 	var cases []coldCase
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,17 +8,17 @@
 
 // One host, one node, one request in and the action out.
 func Example() {
-	s, err := policy.New(policy.Settings{Hosts: 1, MeanUnits: 2, MostUnits: 8, ColdUnits: 20, MaxAttempts: 3,
-		DrainGrace: 1000, AskWithin: 10000, ColdFrom: 0.2, ColdSpan: 10000, TipMultiple: 3, TipSpan: 2000,
-		Classes: []policy.Class{{Name: "read", Aim: 400, Deadline: 2000, Worth: 1}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 10, Reserve: 5, Weight: 1, Price: 1}}}, 1)
+	s, err := policy.New(policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3,
+		DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3, OverloadWindow: 2000,
+		Classes: []policy.Class{{Name: "read", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1}},
+		Plans:   []policy.Plan{{Name: "basic", Rate: 10, ReservedRate: 5, Weight: 1, Price: 1}}}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	s.Step(0, []policy.Event{{Kind: policy.ListFull, Nodes: []policy.Node{{ID: "node-1", Shard: 0}}}}, nil)
-	actions := s.Step(5, []policy.Event{{Kind: policy.Arrival, Req: policy.Request{ID: "r1", Class: "read",
-		Plan: "basic", Key: "piece", Volume: "vol", NotAfter: 2005, Units: 2, Shard: 0, Hosts: 1}}}, nil)
+	s.Step(0, []policy.Event{{Kind: policy.ListReceived, Nodes: []policy.Node{{ID: "node-1", Shard: 0}}}}, nil)
+	actions := s.Step(5, []policy.Event{{Kind: policy.RequestArrived, Request: policy.Request{ID: "r1", Class: "read",
+		Plan: "basic", Key: "piece", Volume: "vol", Deadline: 2005, Units: 2, Shard: 0, Schedulers: 1}}}, nil)
 	for _, a := range actions {
 		if a.Kind == policy.Send {
 			fmt.Println("send", a.ID, "to", a.Node)
--- a/policy/fewanswers_test.go
+++ b/policy/fewanswers_test.go
@@ -48,8 +48,8 @@
 	for _, a := range f.s.Step(1e6+f.now, evs, nil) {
 		switch r := f.open[a.ID]; a.Kind {
 		case SetTimer:
-			f.after(math.Max(a.Wait, 1), func() { f.step(Event{Kind: Timer, Tag: a.Tag}) })
-		case Refuse, Fail:
+			f.after(math.Max(a.Wait, 1), func() { f.step(Event{Kind: TimerFired, Tag: a.Tag}) })
+		case Reject, Fail:
 			f.end(r, false)
 		case Send:
 			f.send(r, a)
@@ -61,7 +61,7 @@
 
 func (f *fewRun) end(r *fewReq, ok bool) {
 	r.done = true
-	if !ok || f.now > r.began+f.set.Classes[0].Aim {
+	if !ok || f.now > r.began+f.set.Classes[0].LatencyObjective {
 		if r.began >= fewBadFrom && r.began < fewBadFrom+fewBadFor {
 			f.missed++
 		}
@@ -78,10 +78,10 @@
 		if status == OK && !r.done {
 			f.end(r, true)
 		}
-		f.step(Event{Kind: Outcome, ID: a.ID, Attempt: no, Node: a.Node, Status: status, Latency: f.now - sent, Finished: r.done})
+		f.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: a.Node, Status: status, Latency: f.now - sent, Finished: r.done})
 	}
 	r.tries = append(r.tries, end)
-	f.after(a.Until-1e6-f.now, func() { end(TimedOut) })
+	f.after(a.Deadline-1e6-f.now, func() { end(TimedOut) })
 	if f.named || r.req.Shard < 0 {
 		f.count(a.Node == "n0")
 	}
@@ -129,10 +129,10 @@
 // can go to no other; of these nothing is counted but the aims missed.
 func runFew(t *testing.T, mode string, each int, named bool, rate float64, seed int64) *fewRun {
 	w := &world{t: t, rng: rand.New(rand.NewSource(seed))}
-	w.set = Settings{Hosts: 80, MeanUnits: 1, MostUnits: 1, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000, HoldOff: true, MayCancel: true,
-		SecondCopies: true, DrainGrace: 250, ColdFrom: 0.24, ColdSpan: 17000, TipMultiple: 3, TipSpan: 3000, Shards: fewNodes / each,
-		Classes: []Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1}},
-		Plans:   []Plan{{Name: "open", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}}
+	w.set = Settings{Schedulers: 80, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000, SendsRetryAfter: true, MayCancel: true,
+		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: fewNodes / each,
+		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1}},
+		Plans:   []Plan{{Name: "open", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 	s, err := New(w.set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	for i := range fewNodes {
 		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / each, Weight: 1})
 	}
-	f.step(Event{Kind: ListFull, Nodes: list})
+	f.step(Event{Kind: ListReceived, Nodes: list})
 	var arrive func()
 	arrive = func() {
 		w.after(w.rng.ExpFloat64()*1000/rate, arrive)
@@ -152,11 +152,11 @@
 			shard = w.rng.Intn(w.set.Shards)
 		}
 		r := &fewReq{began: w.now, req: Request{ID: fmt.Sprint("q", w.seq), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.seq), Volume: "v",
-			NotAfter: 1e6 + w.now + 2000, Units: 1, Shard: shard, Hosts: 1}}
+			Deadline: 1e6 + w.now + 2000, Units: 1, Shard: shard, Schedulers: 1}}
 		if f.open[r.req.ID] = r; f.isBad() {
 			f.asked++
 		}
-		f.step(Event{Kind: Arrival, Req: r.req})
+		f.step(Event{Kind: RequestArrived, Request: r.req})
 	}
 	w.after(0, arrive)
 	w.run2(fewEnd)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,16 +12,16 @@
 // fleet makes hosts with seeds of their own that all know the same nodes.
 func fleet(t *testing.T, set Settings, nodes []Node) []*rig {
 	t.Helper()
-	set.Hosts = fleetHosts
+	set.Schedulers = fleetHosts
 	var rigs []*rig
 	for i := range fleetHosts {
-		set.Me = i
+		set.Instance = i
 		s, err := New(set, int64(1000+i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &rig{t: t, s: s, now: 1000}
-		r.step(Event{Kind: ListStale, Nodes: nodes})
+		r.step(Event{Kind: CachedListLoaded, Nodes: nodes})
 		rigs = append(rigs, r)
 	}
 	return rigs
@@ -55,8 +55,8 @@
 // it always bears, though it answers nothing yet; once it answers, it gets more.
 func TestColdNodeBearsTheWholeFleet(t *testing.T) {
 	set := testSettings()
-	set.ColdSpan = 18000
-	rigs := fleet(t, set, []Node{{ID: "a", Shard: 0, Since: 990}, {ID: "b", Shard: 1}})
+	set.SlowStartDuration = 18000
+	rigs := fleet(t, set, []Node{{ID: "a", Shard: 0, StartTime: 990}, {ID: "b", Shard: 1}})
 	sent := map[int]float64{} // units by second
 	out := map[string]*rig{}
 	total, perHost := 0.0, 0
@@ -71,8 +71,8 @@
 			for i, r := range rigs {
 				id := fmt.Sprint("q", i, "-", now)
 				ev := call(id, "once", 0, float64(now)+2000)
-				ev.Req.Units = 2
-				for _, a := range r.at(float64(now), ev, Event{Kind: Timer, Tag: "sweep"}) {
+				ev.Request.Units = 2
+				for _, a := range r.at(float64(now), ev, Event{Kind: TimerFired, Tag: "sweep"}) {
 					if a.Kind == Send && a.Node == "a" {
 						sent[now/1000] += 2
 						total += 2
@@ -86,7 +86,7 @@
 	run(1000, 7000, false)
 	for sec := 1; sec < 6; sec++ {
 		// What it bears grows as its capacity is promised to: evenly, from the cold part.
-		bears := set.ColdUnits * (1 + (1/set.ColdFrom-1)*float64(sec)*1000/set.ColdSpan)
+		bears := set.SlowStartUnits * (1 + (1/set.SlowStartShare-1)*float64(sec)*1000/set.SlowStartDuration)
 		if got := sent[sec] + sent[sec+1]; got > 1.8*bears {
 			t.Errorf("%v units in the 2 s from %d s, it bears %v", got, sec, bears)
 		}
@@ -104,20 +104,20 @@
 // Hosts that lose the list together ask again spread out, and none later than allowed.
 func TestHostsThatLoseTheListAskSpreadOut(t *testing.T) {
 	set := testSettings()
-	set.AskMode = true
+	set.PollsEndpointList = true
 	rigs := fleet(t, set, []Node{{ID: "a", Shard: 0}})
 	for _, r := range rigs {
-		r.at(2000, Event{Kind: ListChange})
+		r.at(2000, Event{Kind: ListChanged})
 		r.step(Event{Kind: ListFailed})
 	}
 	bySlot, asked := map[int]int{}, map[int]bool{}
-	for now := 2000; now < 2000+int(set.AskWithin); now += 10 {
+	for now := 2000; now < 2000+int(set.PollWithin); now += 10 {
 		for i, r := range rigs {
 			if asked[i] {
 				continue
 			}
 			if count(r.at(float64(now), call(fmt.Sprint(i, "-", now), "none", 0, float64(now)+900),
-				Event{Kind: Timer, Tag: "tick"}), Subscribe) > 0 {
+				Event{Kind: TimerFired, Tag: "tick"}), Subscribe) > 0 {
 				asked[i] = true
 				bySlot[now/100]++
 			}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -52,18 +52,18 @@
 
 func fuzzSettings(i int) Settings {
 	set := testSettings()
-	set.Classes = append(set.Classes, Class{Name: "keyed", Aim: 300, Deadline: 1500, Worth: 1, Effect: Keyed,
-		Group: Group(i % 3), Memory: 700}, Class{Name: "turns", Aim: 300, Deadline: 1500, Worth: 1, Effect: Unsafe,
-		Ordered: true}, Class{Name: "safeturns", Aim: 300, Deadline: 1500, Worth: 1, Ordered: true})
-	set.Plans = append(set.Plans, Plan{Name: "capped", Rate: 10, Weight: 1, Price: 1, Limit: 20, LimitBurst: 40})
+	set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: IdempotentByKey,
+		DedupScope: DedupScope(i % 3), DedupWindow: 700}, Class{Name: "turns", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: NonIdempotent,
+		Ordered: true}, Class{Name: "safeturns", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Ordered: true})
+	set.Plans = append(set.Plans, Plan{Name: "capped", Rate: 10, Weight: 1, Price: 1, RateLimit: 20, LimitBurst: 40})
 	if i%2 == 1 {
-		set.BudgetSpan, set.BudgetFree, set.BudgetShare = 1500, 1, 0.01
-		set.OrderPause = 80
-		set.AskMode, set.TellsOthers = true, true
+		set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetShare = 1500, 1, 0.01
+		set.OrderedKeyBackoff = 80
+		set.PollsEndpointList, set.ReportsPeerUsage = true, true
 	}
-	set.SecondCopies = i%3 > 0
-	set.MayTell = i%4 == 2
-	set.MeterSpan = float64(i%3) * 500
+	set.MayHedge = i%3 > 0
+	set.MayGossip = i%4 == 2
+	set.UsageMeterPeriod = float64(i%3) * 500
 	return set
 }
 
@@ -85,14 +85,14 @@
 		switch a.Kind {
 		case Send:
 			b.send(a, nodes)
-		case Refuse:
+		case Reject:
 			e := b.reqs[a.ID]
 			b.final(a.ID)
-			lone := e.class == nil || e.class.Effect == Safe || e.class.Effect == Keyed && e.class.Group == GroupAll
+			lone := e.class == nil || e.class.Effect == Idempotent || e.class.Effect == IdempotentByKey && e.class.DedupScope == DedupAll
 			if !lone && len(e.mayRun) > 0 {
 				b.fail("refused %s, which may have run", a.ID)
 			}
-			if a.Wait < 0 || a.Wait > b.set.MaxHoldOff {
+			if a.Wait < 0 || a.Wait > b.set.MaxRetryAfter {
 				b.fail("hold-off %v", a.Wait)
 			}
 		case Fail:
@@ -102,11 +102,11 @@
 				b.fail("timer %v", a.Wait)
 			}
 			b.timers = append(b.timers, timer{b.now + a.Wait, a.Tag})
-		case Tell:
-			if !b.set.MayTell || len(a.Data) > 256 {
+		case Gossip:
+			if !b.set.MayGossip || len(a.Data) > 256 {
 				b.fail("message not allowed")
 			}
-		case Probe, Cancel:
+		case CheckHealth, Cancel:
 			b.fail("probe or cancel where not allowed")
 		}
 	}
@@ -123,32 +123,32 @@
 	if at, ok := b.told[a.Node]; ok && b.now > at+b.set.DrainGrace {
 		b.fail("sent to %s, told bad at %.0f", a.Node, at)
 	}
-	if e.sends >= b.set.MaxAttempts || !b.set.SecondCopies && e.outs > 0 {
+	if e.sends >= b.set.MaxAttempts || !b.set.MayHedge && e.outs > 0 {
 		b.fail("attempt %d of %s with %d out", e.sends, a.ID, e.outs)
 	}
 	for _, f := range e.mayRun {
 		switch {
-		case e.class.Effect == Unsafe:
+		case e.class.Effect == NonIdempotent:
 			b.fail("unsafe %s sent again", a.ID)
-		case e.class.Effect == Keyed && (b.now > f.sent+e.class.Memory ||
-			e.class.Group == GroupZone && f.node.Zone != n.Zone ||
-			e.class.Group == GroupShard && f.node.Shard != n.Shard):
+		case e.class.Effect == IdempotentByKey && (b.now > f.sent+e.class.DedupWindow ||
+			e.class.DedupScope == DedupZone && f.node.Zone != n.Zone ||
+			e.class.DedupScope == DedupShard && f.node.Shard != n.Shard):
 			b.fail("keyed %s sent outside its group or window", a.ID)
 		}
 	}
-	if e.sends > 0 && b.set.BudgetSpan > 0 {
+	if e.sends > 0 && b.set.RetryBudgetWindow > 0 {
 		extra, taken := 1.0, 0.0
 		for _, t := range b.extras {
-			if t >= b.now-b.set.BudgetSpan {
+			if t >= b.now-b.set.RetryBudgetWindow {
 				extra++
 			}
 		}
 		for _, t := range b.takes {
-			if t > b.now-b.set.BudgetSpan {
+			if t > b.now-b.set.RetryBudgetWindow {
 				taken++
 			}
 		}
-		if extra > b.set.BudgetFree+b.set.BudgetShare*taken+1e-9 {
+		if extra > b.set.RetryBudgetMin+b.set.RetryBudgetShare*taken+1e-9 {
 			b.fail("extra attempt %v over the budget", extra)
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	if e.ev.Plan == "capped" && e.sends == 0 {
 		b.spent[e.ev.Volume] += e.ev.Units
-		part := 1 / float64(e.ev.Hosts)
+		part := 1 / float64(e.ev.Schedulers)
 		if b.spent[e.ev.Volume] > part*(40+20*(b.now-b.born)/1000)+1e-6 {
 			b.fail("limit of %s passed: %v", e.ev.Volume, b.spent[e.ev.Volume])
 		}
@@ -196,7 +196,7 @@
 		n := Node{ID: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%2), Shard: i}
 		list, nodes[n.ID] = append(list, n), n
 	}
-	evs := []Event{{Kind: ListStale, Nodes: list}}
+	evs := []Event{{Kind: CachedListLoaded, Nodes: list}}
 	serial := 0
 	for step := range 3000 {
 		b.now += float64(rnd.Intn(6))
@@ -205,7 +205,7 @@
 		}
 		sort.SliceStable(b.timers, func(i, k int) bool { return b.timers[i].at < b.timers[k].at })
 		for len(b.timers) > 0 && b.timers[0].at <= b.now {
-			evs = append(evs, Event{Kind: Timer, Tag: b.timers[0].tag})
+			evs = append(evs, Event{Kind: TimerFired, Tag: b.timers[0].tag})
 			b.timers = b.timers[1:]
 		}
 		keys := make([]string, 0, len(b.open))
@@ -216,7 +216,7 @@
 		for _, k := range keys {
 			f := b.open[k]
 			e := b.reqs[f.id]
-			late := b.now >= e.ev.NotAfter
+			late := b.now >= e.ev.Deadline
 			if !late && rnd.Intn(25) > 0 {
 				continue
 			}
@@ -229,25 +229,25 @@
 			if st == OK && !e.answered && !e.gone {
 				e.answered = true
 			}
-			if st == Errored || st == TimedOut || st == Reset || st == Cancelled {
+			if st == Errored || st == TimedOut || st == ConnectionReset || st == Cancelled {
 				e.mayRun = append(e.mayRun, f)
 				if st != Errored && e.class.Ordered {
-					b.rest[e.ev.Key] = math.Max(b.rest[e.ev.Key], b.now+set.OrderPause)
+					b.rest[e.ev.Key] = math.Max(b.rest[e.ev.Key], b.now+set.OrderedKeyBackoff)
 				}
 			}
-			evs = append(evs, Event{Kind: Outcome, ID: f.id, Attempt: f.attempt, Node: f.node.ID, Status: st,
-				Latency: b.now - f.sent, Finished: e.answered || e.gone, Used: float64(rnd.Intn(400)),
-				Others: float64(rnd.Intn(9) - 1)})
+			evs = append(evs, Event{Kind: AttemptEnded, ID: f.id, Attempt: f.attempt, Node: f.node.ID, Status: st,
+				Latency: b.now - f.sent, Finished: e.answered || e.gone, PlanUsage: float64(rnd.Intn(400)),
+				PeerUsage: float64(rnd.Intn(9) - 1)})
 		}
 		live := b.live[:0]
 		for _, id := range b.live {
 			e := b.reqs[id]
-			if !e.answered && !e.gone && (b.now > e.ev.NotAfter+910 || rnd.Intn(4000) == 0) {
-				if b.now > e.ev.NotAfter+910 {
+			if !e.answered && !e.gone && (b.now > e.ev.Deadline+910 || rnd.Intn(4000) == 0) {
+				if b.now > e.ev.Deadline+910 {
 					b.fail("%s lost: no answer", id)
 				}
 				e.gone = true
-				evs = append(evs, Event{Kind: Departed, ID: id})
+				evs = append(evs, Event{Kind: ClientDisconnected, ID: id})
 			}
 			if !e.answered && !e.gone {
 				live = append(live, id)
@@ -257,10 +257,10 @@
 		for range rnd.Intn(3) {
 			c := &set.Classes[rnd.Intn(len(set.Classes))]
 			q := Request{ID: fmt.Sprint("r", serial), Class: c.Name, Plan: set.Plans[rnd.Intn(2)].Name,
-				Key: fmt.Sprint("k", rnd.Intn(6)), NotAfter: b.now + c.Deadline*(0.3+0.7*rnd.Float64()),
-				Units: float64(1 + rnd.Intn(8)), Shard: rnd.Intn(6) - 1, Hosts: 2}
+				Key: fmt.Sprint("k", rnd.Intn(6)), Deadline: b.now + c.Deadline*(0.3+0.7*rnd.Float64()),
+				Units: float64(1 + rnd.Intn(8)), Shard: rnd.Intn(6) - 1, Schedulers: 2}
 			v := rnd.Intn(4)
-			q.Volume, q.Hosts = fmt.Sprint(q.Plan, v), 1+v%3
+			q.Volume, q.Schedulers = fmt.Sprint(q.Plan, v), 1+v%3
 			serial++
 			b.reqs[q.ID] = &entry{ev: q, class: c}
 			b.takes = append(b.takes, b.now)
@@ -268,14 +268,14 @@
 			if c.Ordered {
 				b.lines[q.Key] = append(b.lines[q.Key], q.ID)
 			}
-			evs = append(evs, Event{Kind: Arrival, Req: q})
+			evs = append(evs, Event{Kind: RequestArrived, Request: q})
 		}
 		if rnd.Intn(60) == 0 {
 			i := rnd.Intn(len(list))
 			n := list[i]
 			n.State = NodeState(rnd.Intn(3))
 			if rnd.Intn(2) == 0 {
-				n.State, n.Since = NodeUp, b.now
+				n.State, n.StartTime = NodeUp, b.now
 			}
 			if n.State == NodeUp {
 				delete(b.told, n.ID)
@@ -283,15 +283,15 @@
 				b.told[n.ID] = b.now
 			}
 			list[i], nodes[n.ID] = n, n
-			evs = append(evs, Event{Kind: ListChange, Nodes: []Node{n}})
+			evs = append(evs, Event{Kind: ListChanged, Nodes: []Node{n}})
 		}
 		if rnd.Intn(100) == 0 {
 			evs = append(evs, Event{Kind: ListFailed})
 		}
 		if rnd.Intn(100) == 0 { // what must be passed over
-			evs = append(evs, Event{Kind: Outcome, ID: "ghost"}, Event{Kind: Departed, ID: "ghost"},
-				Event{Kind: Timer, Tag: "ghost"}, Event{Kind: Told, Data: []byte{1, 2}},
-				Event{Kind: Probed, Node: "ghost"})
+			evs = append(evs, Event{Kind: AttemptEnded, ID: "ghost"}, Event{Kind: ClientDisconnected, ID: "ghost"},
+				Event{Kind: TimerFired, Tag: "ghost"}, Event{Kind: GossipReceived, Data: []byte{1, 2}},
+				Event{Kind: HealthCheckEnded, Node: "ghost"})
 		}
 		before(s)
 		acts := s.Step(b.now, evs, nil)
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -8,7 +8,7 @@
 // limited is a rig whose one plan has a limit: so much a second and at once.
 func limited(t *testing.T, limit, burst float64) *rig {
 	set := testSettings()
-	set.Plans[0].Limit, set.Plans[0].LimitBurst = limit, burst
+	set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, burst
 	return newRig(t, set)
 }
 
@@ -30,18 +30,18 @@
 	if acts := r.step(call("early", "safe", 0, r.now+2000)); sent(acts, "early") {
 		t.Fatal("served from an empty store")
 	}
-	r.at(r.now+200, Event{Kind: Timer, Tag: "sweep"}) // the store is full, less one
+	r.at(r.now+200, Event{Kind: TimerFired, Tag: "sweep"}) // the store is full, less one
 	r.step(done("early", 0, OK, true))
 	wait := call("waits", "safe", 0, r.now+2000)
-	wait.Req.Units = 8 // never
+	wait.Request.Units = 8 // never
 	if acts := r.step(wait); sent(acts, "waits") || refused(acts, "waits") {
 		t.Fatalf("%v", acts)
 	}
 	r.s.HandOver()
-	if acts := r.step(Event{Kind: Timer, Tag: "sweep"}); !refused(acts, "waits") {
+	if acts := r.step(Event{Kind: TimerFired, Tag: "sweep"}); !refused(acts, "waits") {
 		t.Errorf("it waits on: %v", acts)
 	}
-	if err := r.s.Retune(r.s.set); err != nil {
+	if err := r.s.Reconfigure(r.s.set); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
@@ -55,7 +55,7 @@
 		t.Errorf("%d units after the handover, the store had 3", n)
 	}
 	late := call("late", "safe", 0, r.now+2000)
-	late.Req.Volume = "other" // one that is seen after it
+	late.Request.Volume = "other" // one that is seen after it
 	if acts := r.step(late); !refused(acts, "late") {
 		t.Errorf("%v", acts)
 	}
--- a/policy/lastreview_test.go
+++ b/policy/lastreview_test.go
@@ -13,7 +13,7 @@
 		r.step(call("x", "safe", 77, came+left))
 		answered := 0.0
 		for now := came + sweepSpan; answered == 0 && now < came+2*left; now += sweepSpan {
-			if count(r.at(now, Event{Kind: Timer, Tag: "sweep"}), Refuse) > 0 {
+			if count(r.at(now, Event{Kind: TimerFired, Tag: "sweep"}), Reject) > 0 {
 				answered = now
 			}
 		}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -10,15 +10,15 @@
 
 // LearnedNode is what it learned of one life of a node.
 type LearnedNode struct {
-	ID      string
-	Since   float64 // its start, as the list gave it: of another life nothing is recalled
-	Window  float64
-	Usual   float64 // latency
-	Best    float64 // latency per unit
-	Failing float64 // share of attempts that fail
-	// Guessed is the start it was listed with while its own was not known, 0: none. The list's
+	ID                 string
+	StartTime          float64 // its start, as the list gave it: of another life nothing is recalled
+	Window             float64
+	Latency            float64 // latency
+	BestLatencyPerUnit float64 // latency per unit
+	FailureRate        float64 // share of attempts that fail
+	// AssumedStart is the start it was listed with while its own was not known, 0: none. The list's
 	// word takes that cold mark away, also with nothing learned (Window 0).
-	Guessed float64
+	AssumedStart float64
 }
 
 // LearnedClass is the share of one class and how its delay moved with it.
@@ -31,8 +31,8 @@
 func (s *Scheduler) Learned() Learned {
 	var l Learned
 	for _, n := range s.listed {
-		if n.State != NodeGone && !math.IsInf(n.latencyAt, 0) {
-			l.Nodes = append(l.Nodes, LearnedNode{ID: n.ID, Since: n.Since, Window: n.window, Usual: n.usual, Best: n.best, Failing: n.failing})
+		if n.State != NodeRemoved && !math.IsInf(n.latencyAt, 0) {
+			l.Nodes = append(l.Nodes, LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.window, Latency: n.usual, BestLatencyPerUnit: n.best, FailureRate: n.failing})
 		}
 	}
 	for _, c := range s.classes {
@@ -43,42 +43,42 @@
 	return l
 }
 
-// Recall takes what an earlier life learned, where it still holds: a node of the same start, of
+// Restore takes what an earlier life learned, where it still holds: a node of the same start, of
 // which nothing was heard yet, and classes by name. It returns how many nodes were taken.
 // Figures that cannot be are passed over.
-func (s *Scheduler) Recall(l Learned) (taken int) {
+func (s *Scheduler) Restore(l Learned) (taken int) {
 	if math.IsNaN(s.now) {
 		return 0
 	}
 	sum := 0.0
 	for _, k := range l.Nodes {
 		n := s.nodes[k.ID]
-		if n == nil || n.Since != k.Since {
+		if n == nil || n.StartTime != k.StartTime {
 			continue
 		}
-		if k.Guessed != 0 && n.coldAt == k.Guessed {
-			if n.coldAt = n.Since; n.Since <= 0 {
+		if k.AssumedStart != 0 && n.coldAt == k.AssumedStart {
+			if n.coldAt = n.StartTime; n.StartTime <= 0 {
 				n.coldAt = math.Inf(-1)
 			}
 			if math.IsInf(n.latencyAt, 0) { // nothing heard: as a node new to this instance
 				n.window = windowStart
 			}
 		}
-		if !between(k.Window, 1e-9, windowMost) || !between(k.Usual, 1e-9, 1e9) || !math.IsInf(n.latencyAt, 0) {
+		if !between(k.Window, 1e-9, windowMost) || !between(k.Latency, 1e-9, 1e9) || !math.IsInf(n.latencyAt, 0) {
 			continue
 		}
-		n.window = math.Max(k.Window, math.Min(windowFleet/float64(s.set.Hosts), windowLeast))
-		if s.now-n.coldAt <= s.set.ColdSpan {
+		n.window = math.Max(k.Window, math.Min(windowFleet/float64(s.set.Schedulers), windowLeast))
+		if s.now-n.coldAt <= s.set.SlowStartDuration {
 			n.window = math.Min(n.window, windowLeast)
 		}
-		n.usual, n.latencyAt = k.Usual, s.now
-		if between(k.Best, 0, 1e9) {
-			n.best = k.Best
+		n.usual, n.latencyAt = k.Latency, s.now
+		if between(k.BestLatencyPerUnit, 0, 1e9) {
+			n.best = k.BestLatencyPerUnit
 		}
-		if between(k.Failing, 0, 1) {
-			n.failing = k.Failing
+		if between(k.FailureRate, 0, 1) {
+			n.failing = k.FailureRate
 		}
-		sum += k.Usual
+		sum += k.Latency
 		taken++
 	}
 	if taken > 0 && math.IsInf(s.poolAt, 0) {
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -9,8 +9,8 @@
 // goes with the list's word; figures that cannot be change nothing.
 func TestRecall(t *testing.T) {
 	set := testSettings()
-	set.ColdSpan, set.Hosts = 18000, 40
-	list := []Node{{ID: "a", Shard: 0}, {ID: "b", Shard: 1, Since: 990}, {ID: "c", Shard: 2}}
+	set.SlowStartDuration, set.Schedulers = 18000, 40
+	list := []Node{{ID: "a", Shard: 0}, {ID: "b", Shard: 1, StartTime: 990}, {ID: "c", Shard: 2}}
 	make1 := func(guess float64) *rig {
 		s, err := New(set, 3)
 		if err != nil {
@@ -19,9 +19,9 @@
 		r := &rig{t: t, s: s, now: 1000}
 		held := append([]Node(nil), list...)
 		for i := range held {
-			held[i].Since = math.Max(held[i].Since, guess)
+			held[i].StartTime = math.Max(held[i].StartTime, guess)
 		}
-		r.step(Event{Kind: ListStale, Nodes: held})
+		r.step(Event{Kind: CachedListLoaded, Nodes: held})
 		return r
 	}
 	r := make1(0)
@@ -34,16 +34,16 @@
 	}
 
 	next := make1(1000)
-	if next.s.warmEnough(next.s.nodes["a"], set.ColdUnits) {
+	if next.s.warmEnough(next.s.nodes["a"], set.SlowStartUnits) {
 		t.Error("a node of a guessed start counts as warm")
 	}
-	list[1].Since = 1500 // b has started again since
-	next.step(Event{Kind: ListFull, Nodes: list})
+	list[1].StartTime = 1500 // b has started again since
+	next.step(Event{Kind: ListReceived, Nodes: list})
 	for i := range l.Nodes {
-		l.Nodes[i].Guessed = 1000
+		l.Nodes[i].AssumedStart = 1000
 	}
-	l.Nodes = append(l.Nodes, LearnedNode{ID: "c", Window: math.NaN(), Usual: math.Inf(1), Guessed: 1000})
-	if taken := next.s.Recall(l); taken != 1 {
+	l.Nodes = append(l.Nodes, LearnedNode{ID: "c", Window: math.NaN(), Latency: math.Inf(1), AssumedStart: 1000})
+	if taken := next.s.Restore(l); taken != 1 {
 		t.Errorf("%d nodes taken", taken)
 	}
 	a, b, c := next.s.nodes["a"], next.s.nodes["b"], next.s.nodes["c"]
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -11,7 +11,7 @@
 // limitedSettings is testSettings with a plan that has a limit.
 func limitedSettings(limit, burst float64) Settings {
 	set := testSettings()
-	set.Plans[0].Limit, set.Plans[0].LimitBurst = limit, burst
+	set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, burst
 	return set
 }
 
@@ -19,11 +19,11 @@
 func (r *rig) asks(volume string, hosts, units int) (sent int) {
 	for range units {
 		ev := call(fmt.Sprint(volume, r.s.seq, "-", sent), "safe", 0, r.now+2000)
-		ev.Req.Volume, ev.Req.Hosts = volume, hosts
+		ev.Request.Volume, ev.Request.Schedulers = volume, hosts
 		for _, a := range r.step(ev) {
-			if a.Kind == Send && a.ID == ev.Req.ID {
+			if a.Kind == Send && a.ID == ev.Request.ID {
 				sent++
-				r.step(done(ev.Req.ID, 0, OK, true))
+				r.step(done(ev.Request.ID, 0, OK, true))
 			}
 		}
 	}
@@ -55,11 +55,11 @@
 	if n := r.asks("v", 1, 20); n != 12 {
 		t.Fatalf("%d of 12 sent", n)
 	}
-	r.at(r.now+forgetSpan+1, Event{Kind: Timer, Tag: "tick"})
+	r.at(r.now+forgetSpan+1, Event{Kind: TimerFired, Tag: "tick"})
 	if n := r.asks("v", 1, 20); n != 6 {
 		t.Errorf("%d sent, 6 may", n)
 	}
-	r.at(r.now+125e3, Event{Kind: Timer, Tag: "tick"})
+	r.at(r.now+125e3, Event{Kind: TimerFired, Tag: "tick"})
 	if r.volume("v") != nil {
 		t.Error("kept though its store is full again")
 	}
@@ -82,7 +82,7 @@
 				hosts[h] = newRig(t, set)
 			}
 			volume := rapid.SampledFrom([]string{"u", "v", "w"}).Draw(rt, "volume")
-			hosts[h].at(now, Event{Kind: Timer, Tag: "tick"})
+			hosts[h].at(now, Event{Kind: TimerFired, Tag: "tick"})
 			sent := hosts[h].asks(volume, 2, rapid.IntRange(1, 30).Draw(rt, "units"))
 			s := stores[volume]
 			if s == nil {
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -8,8 +8,8 @@
 )
 
 // actionWords name the kinds of actions in recordings.
-var actionWords = map[ActionKind]string{Send: "send", Refuse: "refuse", Fail: "fail", Cancel: "cancel", SetTimer: "timer",
-	Subscribe: "subscribe", FetchList: "fetch", Probe: "probe", Tell: "tell", Log: "log"}
+var actionWords = map[ActionKind]string{Send: "send", Reject: "refuse", Fail: "fail", Cancel: "cancel", SetTimer: "timer",
+	Subscribe: "subscribe", RequestList: "fetch", CheckHealth: "probe", Gossip: "tell", Log: "log"}
 
 // recordStep writes one step of one instance. Texts of log lines are left out.
 func recordStep(script *recorded.Script, instance int, now float64, actions []Action) {
@@ -19,20 +19,20 @@
 		if a.Kind == SetTimer {
 			tag = script.Tag(a.Tag)
 		}
-		fields = append(fields, actionWords[a.Kind], a.ID, a.Node, a.Until, a.By, a.Attempt, a.Wait, tag)
+		fields = append(fields, actionWords[a.Kind], a.ID, a.Node, a.Deadline, a.StartBy, a.Attempt, a.Wait, tag)
 	}
 	script.Add(fields...)
 }
 
 // recordState writes what an instance shows of its state.
 func recordState(script *recorded.Script, s *Scheduler) {
-	fields := []any{s.Avoided(), s.RequestCount()}
-	for _, one := range s.Standing(1000) {
-		fields = append(fields, one.ID, one.Since, one.Window, one.Queue)
+	fields := []any{s.AvoidedNodes(), s.RequestCount()}
+	for _, one := range s.NodeStatuses(1000) {
+		fields = append(fields, one.ID, one.StartTime, one.Window, one.Queue)
 	}
 	learned := s.Learned()
 	for _, n := range learned.Nodes {
-		fields = append(fields, n.ID, n.Since, n.Window, n.Usual, n.Best, n.Failing, n.Guessed)
+		fields = append(fields, n.ID, n.StartTime, n.Window, n.Latency, n.BestLatencyPerUnit, n.FailureRate, n.AssumedStart)
 	}
 	for _, c := range learned.Classes {
 		fields = append(fields, c.Name, c.Weight, c.Slope, c.Delay)
@@ -63,10 +63,10 @@
 func recordedSettings() Settings {
 	set := worldSettings()
 	set.Classes = append(set.Classes,
-		Class{Name: "keyed", Aim: 300, Deadline: 1500, Worth: 1, Effect: Keyed, Group: GroupShard, Memory: 700},
-		Class{Name: "ordered", Aim: 300, Deadline: 1500, Worth: 1, LateWorth: 0.2, Effect: Unsafe, Ordered: true})
-	set.AskMode, set.OrderPause = true, 80
-	set.BudgetSpan, set.BudgetFree, set.BudgetShare = 3000, 3, 0.2
+		Class{Name: "keyed", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 700},
+		Class{Name: "ordered", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, LatePriorityWeight: 0.2, Effect: NonIdempotent, Ordered: true})
+	set.PollsEndpointList, set.OrderedKeyBackoff = true, 80
+	set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetShare = 3000, 3, 0.2
 	return set
 }
 
@@ -86,12 +86,12 @@
 		id := fmt.Sprint("q", w.seq-w.rng.Intn(200))
 		if r := w.reqs[id]; r != nil && !r.answered && r.host == h && r.life == h.life {
 			r.answered = true
-			h.step(Event{Kind: Departed, ID: id})
+			h.step(Event{Kind: ClientDisconnected, ID: id})
 		}
 	})
 	each(100, func(h *worldHost) { h.step(Event{Kind: ListFailed}) })
 	each(70, func(h *worldHost) { // the whole list again
-		ev := Event{Kind: ListFull}
+		ev := Event{Kind: ListReceived}
 		for i := range worldNodes {
 			for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
 				if n, ok := h.held[id]; ok {
@@ -108,8 +108,8 @@
 	each(150, func(h *worldHost) {
 		set := w.set
 		set.Classes = append([]Class(nil), set.Classes...)
-		set.Classes[2].Aim = []float64{300, 350}[w.rng.Intn(2)]
-		if err := h.s.Retune(set); err != nil {
+		set.Classes[2].LatencyObjective = []float64{300, 350}[w.rng.Intn(2)]
+		if err := h.s.Reconfigure(set); err != nil {
 			w.t.Fatal(err)
 		}
 	})
@@ -117,12 +117,12 @@
 		learned := h.s.Learned()
 		for i := range learned.Nodes {
 			if w.rng.Intn(4) == 0 {
-				learned.Nodes[i].Guessed = learned.Nodes[i].Since
+				learned.Nodes[i].AssumedStart = learned.Nodes[i].StartTime
 			}
 		}
 		h.life++
 		h.start()
-		h.s.Recall(learned)
+		h.s.Restore(learned)
 	})
 	w.after(15e3, func() { w.hosts[3].s.HandOver() })
 }
--- a/policy/retune.go
+++ b/policy/retune.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Retune takes new settings into the running instance: bookkeeping, no decision. A class whose
+// Reconfigure takes new settings into the running instance: bookkeeping, no decision. A class whose
 // definition is unchanged keeps its object with its weight and delay; a new or changed class
 // gets an object of its own, and an old one stays with the requests that hold it until none
 // does. A class that vanished takes no new requests. Plans are taken by name; a volume of a
 // vanished plan keeps the plan it had until it is forgotten, or the plan comes back.
-func (s *Scheduler) Retune(set Settings) error {
+func (s *Scheduler) Reconfigure(set Settings) error {
 	if err := check(&set); err != nil {
 		return err
 	}
@@ -61,9 +61,9 @@
 			continue
 		}
 		c.weight = math.Max(c.weight/total, weightFloor)
-		s.meanWorth += c.Worth / n
-		if s.tightest == 0 || c.Aim < s.tightest {
-			s.tightest = c.Aim
+		s.meanWorth += c.PriorityWeight / n
+		if s.tightest == 0 || c.LatencyObjective < s.tightest {
+			s.tightest = c.LatencyObjective
 		}
 	}
 	return nil
@@ -78,7 +78,7 @@
 		planOf[p.Name] = p
 		switch old := s.planOf[p.Name]; {
 		case math.IsInf(s.firstAt, 1): // no store fills yet
-		case old == nil || old.Limit == 0:
+		case old == nil || old.RateLimit == 0:
 			filled[p.Name] = flow{at: s.now}
 		default:
 			filled[p.Name] = flow{s.now, math.Min(s.unspent(old), p.LimitBurst)}
@@ -99,7 +99,7 @@
 	if !ok {
 		from.at = s.firstAt
 	}
-	return math.Min(from.units+plan.Limit*(s.now-from.at)/1000, plan.LimitBurst)
+	return math.Min(from.units+plan.RateLimit*(s.now-from.at)/1000, plan.LimitBurst)
 }
 
 // adopt gives a volume another plan, or another definition of its plan.
@@ -108,11 +108,11 @@
 		v.level = 0 // it counted no more, and must not again for the refill
 	}
 	s.refill(v)
-	if v.plan.Limit == 0 { // its store was not kept
+	if v.plan.RateLimit == 0 { // its store was not kept
 		v.limit = 0
 	}
 	v.plan = plan
-	if plan.Limit > 0 {
+	if plan.RateLimit > 0 {
 		v.limit = math.Min(v.limit, plan.LimitBurst/float64(v.hosts))
 	}
 }
--- a/policy/retune_test.go
+++ b/policy/retune_test.go
@@ -11,7 +11,7 @@
 }
 
 func refused(acts []Action, id string) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Refuse && a.ID == id })
+	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Reject && a.ID == id })
 }
 
 // Classes appear and vanish while requests are under way; those keep their class, and what
@@ -23,10 +23,10 @@
 	}
 	next := testSettings()
 	next.MaxAttempts = 1
-	next.Classes = []Class{{Name: "once", Aim: 400, Deadline: 2000, Worth: 1, Effect: Unsafe},
-		{Name: "fresh", Aim: 300, Deadline: 1500, Worth: 2},
-		{Name: "safe-next", Aim: 400, Deadline: 2000, Worth: 1, Effect: Keyed, Group: GroupShard, Memory: 2500}}
-	if err := r.s.Retune(next); err != nil {
+	next.Classes = []Class{{Name: "once", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: NonIdempotent},
+		{Name: "fresh", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 2},
+		{Name: "safe-next", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 2500}}
+	if err := r.s.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	if got := r.s.Classes(); !slices.Equal(got, []string{"once", "fresh", "safe-next"}) {
@@ -50,7 +50,7 @@
 	// The retired object goes at the next tick once nothing holds it, and the queues are
 	// renumbered.
 	r.now += tickSpan
-	r.step(Event{Kind: Timer, Tag: "tick"})
+	r.step(Event{Kind: TimerFired, Tag: "tick"})
 	for i, c := range r.s.classes {
 		if c.ix != i {
 			t.Fatalf("class %s at %d has ix %d", c.Name, i, c.ix)
@@ -60,8 +60,8 @@
 		t.Fatalf("%d class objects, want the 3 live ones", len(r.s.classes))
 	}
 	bad := next
-	bad.Classes = []Class{{Name: "x", Aim: 400, Deadline: -5, Worth: 1}}
-	if err := r.s.Retune(bad); err == nil || !slices.Equal(r.s.Classes(), []string{"once", "fresh", "safe-next"}) {
+	bad.Classes = []Class{{Name: "x", LatencyObjective: 400, Deadline: -5, PriorityWeight: 1}}
+	if err := r.s.Reconfigure(bad); err == nil || !slices.Equal(r.s.Classes(), []string{"once", "fresh", "safe-next"}) {
 		t.Fatalf("a broken retune: %v, classes %v", err, r.s.Classes())
 	}
 }
@@ -72,14 +72,14 @@
 	r := newRig(t, testSettings())
 	r.step(call("old", "safe", 0, 5000))
 	next := testSettings()
-	next.Classes[0].Effect = Unsafe
-	if err := r.s.Retune(next); err != nil {
+	next.Classes[0].Effect = NonIdempotent
+	if err := r.s.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	if r.s.reqs["old"].class.Effect != Safe {
+	if r.s.reqs["old"].class.Effect != Idempotent {
 		t.Fatal("the request under way took the new effect")
 	}
-	if r.s.classOf["safe"].Effect != Unsafe {
+	if r.s.classOf["safe"].Effect != NonIdempotent {
 		t.Fatal("new requests do not take the new effect")
 	}
 	if len(r.s.classes) != 3 {
@@ -87,7 +87,7 @@
 	}
 	// Reset of the old one: being safe it may go again.
 	r.now += 10
-	if acts := r.step(done("old", 0, Reset, false)); !sent(acts, "old") {
+	if acts := r.step(done("old", 0, ConnectionReset, false)); !sent(acts, "old") {
 		t.Fatalf("the old request lost its class's repeats: %v", acts)
 	}
 }
@@ -95,7 +95,7 @@
 // changed takes settings into the rig's instance.
 func (r *rig) changed(set Settings) {
 	r.t.Helper()
-	if err := r.s.Retune(set); err != nil {
+	if err := r.s.Reconfigure(set); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -234,9 +234,9 @@
 		for i := range 2 { // the first request takes the plan up
 			for k := range 30 {
 				ev := call(fmt.Sprint(i, "-", k), "safe", 0, r.now+100)
-				ev.Req.Plan = "renamed"
+				ev.Request.Plan = "renamed"
 				for _, a := range r.step(ev) {
-					if a.Kind == Send && a.ID == ev.Req.ID {
+					if a.Kind == Send && a.ID == ev.Request.ID {
 						sent++
 						r.step(done(a.ID, 0, OK, true))
 					}
@@ -316,7 +316,7 @@
 		t.Fatal("no sample of the retired class: the crossing was not reached")
 	}
 	r.s.due = r.now
-	r.step(Event{Kind: Timer, Tag: "tick"})
+	r.step(Event{Kind: TimerFired, Tag: "tick"})
 	if retired.delay != 0 || retired.changed {
 		t.Errorf("a retired class has delay %v", retired.delay)
 	}
--- a/policy/standing.go
+++ b/policy/standing.go
@@ -1,26 +1,26 @@
 package policy
 
-// Standing is how one listed node stands with this instance.
-type Standing struct {
-	ID     string
-	Since  float64 // the start that its figures are of
-	Window float64 // what may be out there; 0: nothing new is sent to it
-	Queue  float64 // its part of what waits for its shard
+// NodeStatus is how one listed node stands with this instance.
+type NodeStatus struct {
+	ID        string
+	StartTime float64 // the start that its figures are of
+	Window    float64 // what may be out there; 0: nothing new is sent to it
+	Queue     float64 // its part of what waits for its shard
 }
 
-// Standing tells how nodes stand, in the order of their ids and at most so many. What waits for a shard is
+// NodeStatus tells how nodes stand, in the order of their ids and at most so many. What waits for a shard is
 // shared out over the shard's nodes by their windows, as it will be sent; new objects, which any
 // shard may take, are in no node's part. It decides nothing.
-func (s *Scheduler) Standing(most int) []Standing {
-	all := make([]Standing, 0, max(0, min(most, len(s.listed))))
+func (s *Scheduler) NodeStatuses(most int) []NodeStatus {
+	all := make([]NodeStatus, 0, max(0, min(most, len(s.listed))))
 	for _, n := range s.listed {
 		if len(all) >= most {
 			break
 		}
-		if n.State == NodeGone {
+		if n.State == NodeRemoved {
 			continue
 		}
-		one := Standing{ID: n.ID, Since: n.Since}
+		one := NodeStatus{ID: n.ID, StartTime: n.StartTime}
 		if n.State == NodeUp {
 			one.Window = n.window
 			one.Queue = s.lanes[n.Shard].part(n)
--- a/policy/state.go
+++ b/policy/state.go
@@ -163,7 +163,7 @@
 	timely    bool    // its last answer came in good time, and nothing was sent since
 	coldAt    float64 // start that it may be cold from
 	drainAt   float64 // when this host was told that it drains
-	sent      []flow  // sends and answers within TipSpan
+	sent      []flow  // sends and answers within OverloadWindow
 	served    []flow
 }
 
@@ -252,8 +252,8 @@
 		c := &class{Class: set.Classes[i], ix: i}
 		s.classes = append(s.classes, c)
 		s.classOf[c.Name] = c
-		if s.tightest == 0 || c.Aim < s.tightest {
-			s.tightest = c.Aim
+		if s.tightest == 0 || c.LatencyObjective < s.tightest {
+			s.tightest = c.LatencyObjective
 		}
 	}
 	return s
@@ -278,8 +278,8 @@
 func (s *Scheduler) forget(span float64) {
 	s.compact()
 	old := func(v *volume) bool { // the store of its limit, too, is as it would be of one not seen before
-		filled := v.limit + v.plan.Limit/float64(v.hosts)*(s.now-v.at)/1000
-		return s.now-v.at > span && (v.plan.Limit == 0 || filled >= v.plan.LimitBurst/float64(v.hosts))
+		filled := v.limit + v.plan.RateLimit/float64(v.hosts)*(s.now-v.at)/1000
+		return s.now-v.at > span && (v.plan.RateLimit == 0 || filled >= v.plan.LimitBurst/float64(v.hosts))
 	}
 	s.known = slices.DeleteFunc(s.known, old)
 	for id, v := range s.volumes {
@@ -292,7 +292,7 @@
 			delete(s.unserved, f)
 		}
 	}
-	for len(s.takes) > 0 && s.takes[0] <= s.now-s.set.BudgetSpan {
+	for len(s.takes) > 0 && s.takes[0] <= s.now-s.set.RetryBudgetWindow {
 		s.takes = s.takes[1:]
 	}
 	for key, t := range s.keys {
@@ -353,14 +353,14 @@
 		l.nodes = l.nodes[:0]
 	}
 	s.listed = slices.DeleteFunc(s.listed, func(n *node) bool {
-		if n.State == NodeGone && len(n.out) == 0 {
+		if n.State == NodeRemoved && len(n.out) == 0 {
 			delete(s.nodes, n.ID)
 			return true
 		}
 		return false
 	})
 	for _, n := range s.listed {
-		if n.State != NodeGone {
+		if n.State != NodeRemoved {
 			l := s.queueOf(n.Shard)
 			l.nodes = append(l.nodes, n)
 			if len(n.out) > 0 { // it may have come from another shard
@@ -380,7 +380,7 @@
 
 // addOut counts a request as out at the node.
 func (s *Scheduler) addOut(r *request, n *node) {
-	if s.now-n.coldAt <= s.set.ColdSpan && !s.follows(n) {
+	if s.now-n.coldAt <= s.set.SlowStartDuration && !s.follows(n) {
 		s.coldLeft = math.Max(0, s.coldLeft-r.units)
 	}
 	n.slotFrom, n.slotPart, n.timely = s.now, 0.5+s.rng.Float64(), false
@@ -391,7 +391,7 @@
 	n.peak = max(n.peak, len(n.out))
 	n.units += r.units
 	n.sent = append(n.sent, flow{s.now, r.units})
-	if s.now-n.coldAt > s.set.ColdSpan {
+	if s.now-n.coldAt > s.set.SlowStartDuration {
 		n.sent = n.sent[:0]
 	}
 }
@@ -411,7 +411,7 @@
 
 // hasTimer tells whether a timer is among the events.
 func hasTimer(events []Event, tag string) bool {
-	return slices.ContainsFunc(events, func(ev Event) bool { return ev.Kind == Timer && ev.Tag == tag })
+	return slices.ContainsFunc(events, func(ev Event) bool { return ev.Kind == TimerFired && ev.Tag == tag })
 }
 
 // unplacedNew lists the new objects that found no node, class by class.
@@ -438,19 +438,19 @@
 
 // power is the part of its capacity that a node has at least at a time, by its age.
 func (s *Scheduler) power(n *node, at float64) float64 {
-	from, age := math.Max(s.set.ColdFrom, coldLeast), math.Max(0, at-n.coldAt)/s.set.ColdSpan
+	from, age := math.Max(s.set.SlowStartShare, coldLeast), math.Max(0, at-n.coldAt)/s.set.SlowStartDuration
 	return from + (1-from)*age
 }
 
-// bears is the units that a cold node bears at a time from all hosts within TipSpan, by its age.
+// bears is the units that a cold node bears at a time from all hosts within OverloadWindow, by its age.
 func (s *Scheduler) bears(n *node, at float64) float64 {
-	return s.set.ColdUnits * s.power(n, at) / math.Max(s.set.ColdFrom, coldLeast)
+	return s.set.SlowStartUnits * s.power(n, at) / math.Max(s.set.SlowStartShare, coldLeast)
 }
 
 // coldParts is this host's part of what all nodes in slow start bear.
 func (s *Scheduler) coldParts() (sum float64) {
 	for _, n := range s.listed {
-		if n.State == NodeUp && s.now-n.coldAt <= s.set.ColdSpan {
+		if n.State == NodeUp && s.now-n.coldAt <= s.set.SlowStartDuration {
 			sum += s.coldPart(n)
 		}
 	}
@@ -464,14 +464,14 @@
 		l.served, l.fadedAt = l.answered(s.now)+r.units, s.now
 	}
 	n.served = append(n.served, flow{s.now, r.units})
-	if s.now-n.coldAt > s.set.ColdSpan {
+	if s.now-n.coldAt > s.set.SlowStartDuration {
 		n.served = n.served[:0]
 	}
 }
 
-// Avoided counts the listed nodes that the list gives as up and that this instance keeps work
+// AvoidedNodes counts the listed nodes that the list gives as up and that this instance keeps work
 // from for now: silent ones, and those resting after failures. It decides nothing.
-func (s *Scheduler) Avoided() (n int) {
+func (s *Scheduler) AvoidedNodes() (n int) {
 	for _, x := range s.listed {
 		if x.State == NodeUp && (x.silent || x.window < 1 && len(x.out) == 0 && s.now < x.notBefore) {
 			n++
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -15,10 +15,10 @@
 	const hosts, nodes, servers, meanWork = 150, 75, 2, 120.0
 	const calm, span, end = 5e3, 10e3, 17e3
 	set := testSettings()
-	set.Hosts, set.MeanUnits, set.MostUnits, set.MayCancel, set.Shards, set.MaxAttempts = hosts, 1, 1, true, nodes, 3
-	set.Classes = []Class{{Name: "safe", Aim: 1400, Deadline: 3000, Worth: 3}, {Name: "once", Aim: 1700, Deadline: 3000, Worth: 2, Effect: Unsafe}}
+	set.Schedulers, set.MeanUnits, set.MaxUnits, set.MayCancel, set.Shards, set.MaxAttempts = hosts, 1, 1, true, nodes, 3
+	set.Classes = []Class{{Name: "safe", LatencyObjective: 1400, Deadline: 3000, PriorityWeight: 3}, {Name: "once", LatencyObjective: 1700, Deadline: 3000, PriorityWeight: 2, Effect: NonIdempotent}}
 	full := nodes * servers / meanWork // requests a ms
-	set.Plans = []Plan{{Name: "p", Rate: 1, Reserve: 400 * full / (hosts / 3), Weight: 1, Price: 1}}
+	set.Plans = []Plan{{Name: "p", Rate: 1, ReservedRate: 400 * full / (hosts / 3), Weight: 1, Price: 1}}
 	rng := rand.New(rand.NewSource(seed))
 	var due worldDues
 	now, seq := 0.0, 0
@@ -41,8 +41,8 @@
 		for _, a := range s.Step(now, evs, nil) {
 			switch a.Kind {
 			case SetTimer:
-				after(math.Max(a.Wait, 1), func() { step(s, Event{Kind: Timer, Tag: a.Tag}) })
-			case Refuse, Fail:
+				after(math.Max(a.Wait, 1), func() { step(s, Event{Kind: TimerFired, Tag: a.Tag}) })
+			case Reject, Fail:
 				reqs[a.ID].ended = true
 			case Send:
 				r, no := reqs[a.ID], reqs[a.ID].tries
@@ -64,12 +64,12 @@
 							late++
 						}
 					}
-					step(s, Event{Kind: Outcome, ID: a.ID, Attempt: no, Node: a.Node, Status: OK, Latency: now - sent, Finished: true})
+					step(s, Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: a.Node, Status: OK, Latency: now - sent, Finished: true})
 				})
 			case Cancel:
 				id, no := a.ID, a.Attempt
 				after(1, func() {
-					step(s, Event{Kind: Outcome, ID: id, Attempt: no, Status: Cancelled, Finished: reqs[id].ended})
+					step(s, Event{Kind: AttemptEnded, ID: id, Attempt: no, Status: Cancelled, Finished: reqs[id].ended})
 				})
 			}
 		}
@@ -79,13 +79,13 @@
 		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1})
 	}
 	for i := range hosts {
-		set.Me = i
+		set.Instance = i
 		s, err := New(set, seed*1000+int64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		scheds = append(scheds, s)
-		step(s, Event{Kind: ListStale, Nodes: list})
+		step(s, Event{Kind: CachedListLoaded, Nodes: list})
 	}
 	var arrive func()
 	n := 0
@@ -94,9 +94,9 @@
 		vol, k := rng.Intn(hosts/3), set.Classes[n%2]
 		s := scheds[3*vol+rng.Intn(3)] // each volume comes through three hosts
 		id := fmt.Sprint("q", n)
-		reqs[id] = &one{host: s, aim: k.Aim, begun: now}
-		step(s, Event{Kind: Arrival, Req: Request{ID: id, Class: k.Name, Plan: "p", Key: "k" + id, Volume: fmt.Sprint("v", vol),
-			NotAfter: now + k.Deadline, Units: 1, Shard: rng.Intn(nodes), Hosts: 3}})
+		reqs[id] = &one{host: s, aim: k.LatencyObjective, begun: now}
+		step(s, Event{Kind: RequestArrived, Request: Request{ID: id, Class: k.Name, Plan: "p", Key: "k" + id, Volume: fmt.Sprint("v", vol),
+			Deadline: now + k.Deadline, Units: 1, Shard: rng.Intn(nodes), Schedulers: 3}})
 		rate := 0.5 * full
 		if now > calm && now < calm+span {
 			rate *= times
--- a/policy/tenant_test.go
+++ b/policy/tenant_test.go
@@ -18,11 +18,11 @@
 	}{{"safe", "v", true}, {"safe", "w", false}, {"once", "v", false}} {
 		r := newRig(t, testSettings())
 		first := call("x", "safe", 0, 3000)
-		first.Req.Key = "k"
+		first.Request.Key = "k"
 		r.step(first)
-		r.at(1200, Event{Kind: Departed, ID: "x"})
+		r.at(1200, Event{Kind: ClientDisconnected, ID: "x"})
 		next := call("y", x.class, 0, 3000)
-		next.Req.Key, next.Req.Volume = "k", x.volume
+		next.Request.Key, next.Request.Volume = "k", x.volume
 		if r.step(next); r.s.reqs["y"].repeat != x.repeat {
 			t.Errorf("%s of %s: a repeat: %v", x.class, x.volume, !x.repeat)
 		}
@@ -33,7 +33,7 @@
 func TestVolumeOnTwoPlans(t *testing.T) {
 	const burst = 12
 	set := testSettings()
-	set.Plans = append(set.Plans, Plan{Name: "capped", Rate: 10, Reserve: 1000, Weight: 1, Price: 1, Limit: 4, LimitBurst: burst})
+	set.Plans = append(set.Plans, Plan{Name: "capped", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 4, LimitBurst: burst})
 	r := newRig(t, set)
 	r.step(call("opens", "safe", 0, r.now+2000))
 	r.step(done("opens", 0, OK, true))
@@ -41,10 +41,10 @@
 	asks := func(plan string) (sent int) {
 		for range 2 * burst {
 			ev := call(fmt.Sprint(plan, r.s.seq), "safe", 0, r.now+2000)
-			ev.Req.Plan = plan
+			ev.Request.Plan = plan
 			if count(r.step(ev), Send) == 1 {
 				sent++
-				r.step(done(ev.Req.ID, 0, OK, true))
+				r.step(done(ev.Request.ID, 0, OK, true))
 			}
 		}
 		return sent
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -32,7 +32,7 @@
 	shard []*worldNode // who holds it now; nil: nobody
 	vols  []worldVolume
 	reqs  map[string]*worldReq
-	sent  map[string][]flow // by cold node: units within the last TipSpan
+	sent  map[string][]flow // by cold node: units within the last OverloadWindow
 	store map[string]*worldStore
 	ends  map[string]int // by what ended requests
 
@@ -108,13 +108,13 @@
 }
 
 func worldSettings() Settings {
-	return Settings{Hosts: worldHosts, MeanUnits: 2, MostUnits: 6, ColdUnits: 39, MaxAttempts: 4, MaxHoldOff: 1000,
-		HoldOff: true, MayCancel: true, SecondCopies: true, DrainGrace: 250, AskWithin: 10000, ColdFrom: 0.24, ColdSpan: 17000,
-		TipMultiple: 3, TipSpan: 3000, Shards: worldNodes,
-		Classes: []Class{{Name: "safe", Aim: 400, Deadline: 2000, Worth: 3, LateWorth: 0.1},
-			{Name: "once", Aim: 500, Deadline: 2000, Worth: 2, LateWorth: 0.1, Effect: Unsafe}},
-		Plans: []Plan{{Name: "open", Rate: 6, Reserve: 6, Weight: 1, Price: 1},
-			{Name: "capped", Rate: 2, Reserve: 1, Weight: 1, Price: 1, Limit: 6, LimitBurst: 36}}}
+	return Settings{Schedulers: worldHosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
+		OverloadMultiple: 3, OverloadWindow: 3000, Shards: worldNodes,
+		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1},
+			{Name: "once", LatencyObjective: 500, Deadline: 2000, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
+		Plans: []Plan{{Name: "open", Rate: 6, ReservedRate: 6, Weight: 1, Price: 1},
+			{Name: "capped", Rate: 2, ReservedRate: 1, Weight: 1, Price: 1, RateLimit: 6, LimitBurst: 36}}}
 }
 
 func newWorld(t *testing.T, seed int64) *world { return newWorldOf(t, worldSettings(), seed, nil) }
@@ -151,14 +151,14 @@
 // start begins a life of the host, with nothing but its last list.
 func (h *worldHost) start() {
 	set := h.w.set
-	set.Me = h.no
+	set.Instance = h.no
 	s, err := New(set, int64(1000*h.life+h.no))
 	if err != nil {
 		h.w.t.Fatal(err)
 	}
 	h.s, h.down = s, false
 	h.life++
-	ev := Event{Kind: ListStale}
+	ev := Event{Kind: CachedListLoaded}
 	for i := range worldNodes { // in a fixed order
 		for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
 			if n, ok := h.held[id]; ok {
@@ -196,9 +196,9 @@
 	w := h.w
 	switch a.Kind {
 	case SetTimer:
-		h.later(math.Max(a.Wait, 1)+h.lag, func() (Event, bool) { return Event{Kind: Timer, Tag: a.Tag}, true })
-	case Refuse, Fail:
-		w.final(a.ID, []string{Refuse: "refused", Fail: "failed"}[a.Kind])
+		h.later(math.Max(a.Wait, 1)+h.lag, func() (Event, bool) { return Event{Kind: TimerFired, Tag: a.Tag}, true })
+	case Reject, Fail:
+		w.final(a.ID, []string{Reject: "refused", Fail: "failed"}[a.Kind])
 	case Send:
 		w.send(h, a)
 	case Cancel: // the node works on
@@ -214,8 +214,8 @@
 	if r == nil || r.answered {
 		w.t.Fatalf("at %.0f: a second end for %s: %s", w.now, id, how)
 	}
-	if w.now > r.req.NotAfter+8 {
-		w.t.Errorf("at %.0f: %s ended %.0f ms late", w.now, id, w.now-r.req.NotAfter)
+	if w.now > r.req.Deadline+8 {
+		w.t.Errorf("at %.0f: %s ended %.0f ms late", w.now, id, w.now-r.req.Deadline)
 	}
 	r.answered = true
 	w.ends[how]++
@@ -223,10 +223,10 @@
 
 // power is the share of its full speed that a node has.
 func (w *world) power(n *worldNode) float64 {
-	if n.Since == 0 {
+	if n.StartTime == 0 {
 		return 1
 	}
-	return math.Min(1, w.set.ColdFrom+(1-w.set.ColdFrom)*(w.now-n.Since)/w.set.ColdSpan)
+	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-n.StartTime)/w.set.SlowStartDuration)
 }
 
 // send takes an attempt: the rules are looked at, and the node serves it in turn or does not.
@@ -248,18 +248,18 @@
 		if status == OK && !r.answered {
 			w.final(a.ID, "served")
 		}
-		h.step(Event{Kind: Outcome, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - sent, Finished: r.answered})
+		h.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - sent, Finished: r.answered})
 	}
 	if r.tries = append(r.tries, t); no == 0 {
 		w.take(r)
 	}
-	w.after(math.Min(a.Until, r.req.NotAfter)-w.now, func() { t.end(TimedOut) })
+	w.after(math.Min(a.Deadline, r.req.Deadline)-w.now, func() { t.end(TimedOut) })
 	switch {
 	case !n.alive:
-		w.after(1, func() { t.end(NoConn) })
+		w.after(1, func() { t.end(ConnectFailed) })
 		return
 	case n.State == NodeDraining || n.held >= worldQueue:
-		w.after(1, func() { t.end(Full) })
+		w.after(1, func() { t.end(NodeFull) })
 	default:
 		n.held++
 		n.free = math.Max(w.now, n.free) + r.req.Units*1000/worldUnits/w.power(n)
@@ -277,14 +277,14 @@
 
 // tip counts what a cold node got from all hosts within the span, also what it turned away.
 func (w *world) tip(n *worldNode, units float64) {
-	if n.Since == 0 || w.now-n.Since > w.set.ColdSpan {
+	if n.StartTime == 0 || w.now-n.StartTime > w.set.SlowStartDuration {
 		return
 	}
 	fs := append(w.sent[n.ID], flow{w.now, units})
-	sum := sumSince(&fs, w.now-w.set.TipSpan)
+	sum := sumSince(&fs, w.now-w.set.OverloadWindow)
 	w.sent[n.ID] = fs
-	if bears := w.set.TipMultiple * w.power(n) * worldUnits * w.set.TipSpan / 1000; sum > bears {
-		w.t.Errorf("at %.0f: %s, up for %.0f ms, got %.0f units within %.0f ms; it bears %.0f", w.now, n.ID, w.now-n.Since, sum, w.set.TipSpan, bears)
+	if bears := w.set.OverloadMultiple * w.power(n) * worldUnits * w.set.OverloadWindow / 1000; sum > bears {
+		w.t.Errorf("at %.0f: %s, up for %.0f ms, got %.0f units within %.0f ms; it bears %.0f", w.now, n.ID, w.now-n.StartTime, sum, w.set.OverloadWindow, bears)
 	}
 }
 
@@ -295,7 +295,7 @@
 		return
 	}
 	s := w.store[r.req.Volume]
-	s.units = math.Min(s.units+p.Limit*(w.now-s.at)/1000, p.LimitBurst) - r.req.Units
+	s.units = math.Min(s.units+p.RateLimit*(w.now-s.at)/1000, p.LimitBurst) - r.req.Units
 	s.at = w.now
 	if s.units < -0.1*p.LimitBurst {
 		w.t.Errorf("at %.0f: volume %s is %.1f units past its limit", w.now, r.req.Volume, -s.units)
@@ -316,10 +316,10 @@
 		hosts[x] = true
 	}
 	q := Request{ID: fmt.Sprint("q", w.seq), Class: class.Name, Plan: v.plan, Key: fmt.Sprint("k", w.seq), Volume: v.id,
-		NotAfter: w.now + class.Deadline, Units: float64(1 + w.rng.Intn(3)), Shard: v.shard[w.rng.Intn(len(v.shard))], Hosts: len(hosts)}
+		Deadline: w.now + class.Deadline, Units: float64(1 + w.rng.Intn(3)), Shard: v.shard[w.rng.Intn(len(v.shard))], Schedulers: len(hosts)}
 	r := &worldReq{host: h, life: h.life, req: q}
 	w.reqs[q.ID] = r
-	h.step(Event{Kind: Arrival, Req: q})
+	h.step(Event{Kind: RequestArrived, Request: q})
 	w.after(class.Deadline+9, func() {
 		if !r.answered && h.life == r.life {
 			w.t.Errorf("%s of class %s has no end", q.ID, q.Class)
@@ -332,7 +332,7 @@
 func (w *world) change(n Node) {
 	for _, h := range w.hosts {
 		w.after(300+w.rng.Float64()*2000, func() {
-			if old, ok := h.held[n.ID]; ok && (old.State > n.State && n.Since == old.Since || old.Since > n.Since) {
+			if old, ok := h.held[n.ID]; ok && (old.State > n.State && n.StartTime == old.StartTime || old.StartTime > n.StartTime) {
 				return // older news
 			}
 			h.held[n.ID] = n // also while it is down: its last list is what it starts with
@@ -342,7 +342,7 @@
 				h.told[n.ID] = w.now
 			}
 			if !h.down {
-				h.step(Event{Kind: ListChange, Nodes: []Node{n}})
+				h.step(Event{Kind: ListChanged, Nodes: []Node{n}})
 			}
 		})
 	}
@@ -356,13 +356,13 @@
 	n.out = nil
 	w.after(1, func() {
 		for _, t := range out {
-			t.end(Reset)
+			t.end(ConnectionReset)
 		}
 	})
 }
 
 func (w *world) back(n *worldNode) {
-	n.alive, n.Since = true, w.now
+	n.alive, n.StartTime = true, w.now
 	w.sent[n.ID] = nil
 	w.change(n.Node)
 }
@@ -422,7 +422,7 @@
 				w.back(next)
 				old.State = NodeDraining
 				w.change(old.Node)
-				w.after(1500, func() { old.State = NodeGone; w.die(old); w.change(old.Node) })
+				w.after(1500, func() { old.State = NodeRemoved; w.die(old); w.change(old.Node) })
 			})
 		}
 	},
