--- a/internal/connqueue/pool.go
+++ b/internal/connqueue/pool.go
@@ -30,7 +30,7 @@
 	MinLate    = 10 * time.Millisecond
 )
 
-// FreeConnWait is how long an attempt may wait for a connection in use: the part of the aim that a new
+// Wait is how long an attempt may wait for a connection in use: the part of the aim that a new
 // connection's price is of a request's worth. Waiting for the whole aim costs the whole worth.
 func Wait(price float64, aim time.Duration) time.Duration {
 	return max(0, min(time.Duration(price*float64(aim)), aim/MaxWaitDivisor))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -124,7 +124,7 @@
 	return c.origin.Add(c.sinceOrigin(at))
 }
 
-// Counters returns the counters of this core.
+// Counts returns the counters of this core.
 func (c *Core) Counts() *Counters { return c.counts }
 
 // Open returns the number of requests without a final answer; 0 once the actor has ended.
@@ -150,7 +150,7 @@
 // TableSizes counts the entries held for requests: in the core's table, in the module's, and guard timers.
 type TableSizes struct{ Requests, Module, Guards int }
 
-// TableSizes returns the present sizes: all are 0 once every request has ended and its guard timer has fired.
+// Tables returns the present sizes: all are 0 once every request has ended and its guard timer has fired.
 func (c *Core) Tables() TableSizes {
 	got := make(chan TableSizes, 1)
 	c.post(message{call: func() {
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Nodes says whether a node of this id was ever listed.
+// Known says whether a node of this id was ever listed.
 func (c *Core) Known(id string) bool {
 	known := false
 	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.IsListed(id); return nil, nil })
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -58,7 +58,7 @@
 	OpenConnections int
 }
 
-// Kind is what the driver is to do.
+// ActionKind is what the driver is to do.
 type ActionKind uint8
 
 // The actions.
--- a/policy/standing.go
+++ b/policy/standing.go
@@ -8,7 +8,7 @@
 	Queue     float64 // its part of what waits for its shard
 }
 
-// NodeStatus tells how nodes stand, in the order of their ids and at most so many. What waits for a shard is
+// NodeStatuses tells how nodes stand, in the order of their ids and at most so many. What waits for a shard is
 // shared out over the shard's nodes by their windows, as it will be sent; new objects, which any
 // shard may take, are in no node's part. It decides nothing.
 func (s *Scheduler) NodeStatuses(most int) []NodeStatus {
