--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	daemon, err := cluster.Build(c.Context, dir)
 	if err != nil {
 		return err
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -64,7 +64,8 @@
 	if c.IsSet("rate") {
 		s.Rate = c.Float64("rate")
 	}
-	return s, s.Check()
+	err := s.Check()
+	return s, err
 }
 
 func runLoad(c *cli.Context) error {
@@ -103,7 +104,7 @@
 	}
 	for _, address := range targets {
 		pool := &client.Pool{Address: address, Most: c.Int("conns")}
-		defer pool.Close()
+		defer pool.Close() //nolint:gocritic // all pools are open until the run is over
 		opt.Pools = append(opt.Pools, pool)
 	}
 	log.WithFields(logrus.Fields{"rate": shape.Rate, "for": c.Duration("for"), "seed": c.Uint64("seed")}).Info("sending")
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -26,8 +26,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	os.Exit(run(ctx, os.Args, os.Stdout, os.Stderr))
+	code := run(ctx, os.Args, os.Stdout, os.Stderr)
+	stop()
+	os.Exit(code)
 }
 
 // bound is a bound that was not met, in one line.
--- a/gather/errors.go
+++ b/gather/errors.go
@@ -10,7 +10,11 @@
 type RulesBad struct{ Key, Why string }
 
 func (e *RulesBad) Error() string { return fmt.Sprintf("gather: rules: %s: %s", e.Key, e.Why) }
-func (*RulesBad) Code() string    { return "gather-rules-bad" }
+
+// Code implements operr.Coded.
+func (*RulesBad) Code() string { return "gather-rules-bad" }
+
+// Advice implements operr.Coded.
 func (*RulesBad) Advice() string {
 	return "correct the key that the error names; docs/gather.md has each key with an example"
 }
@@ -19,8 +23,12 @@
 type PartsBad struct{ Part, Why string }
 
 func (e *PartsBad) Error() string { return fmt.Sprintf("gather: part %q: %s", e.Part, e.Why) }
-func (*PartsBad) Code() string    { return "gather-parts-bad" }
-func (*PartsBad) Advice() string  { return "name each part once, or raise memory in the class's rules" }
+
+// Code implements operr.Coded.
+func (*PartsBad) Code() string { return "gather-parts-bad" }
+
+// Advice implements operr.Coded.
+func (*PartsBad) Advice() string { return "name each part once, or raise memory in the class's rules" }
 
 // CopiesOver is a copy of a part over the rules' copies; nothing of it was taken.
 type CopiesOver struct {
@@ -31,7 +39,11 @@
 func (e *CopiesOver) Error() string {
 	return fmt.Sprintf("gather: part %q: more than %d copies", e.Part, e.Limit)
 }
+
+// Code implements operr.Coded.
 func (*CopiesOver) Code() string { return "gather-copies-over" }
+
+// Advice implements operr.Coded.
 func (*CopiesOver) Advice() string {
 	return "send fewer copies of a part, or raise copies in the rules"
 }
@@ -45,7 +57,11 @@
 func (e *Full) Error() string {
 	return fmt.Sprintf("gather: part %q: %d bytes offered, room for %d", e.Part, e.Offered, e.Room)
 }
+
+// Code implements operr.Coded.
 func (*Full) Code() string { return "gather-full" }
+
+// Advice implements operr.Coded.
 func (*Full) Advice() string {
 	return "send no more than Want allows, or raise memory.bytes in the rules"
 }
@@ -60,7 +76,11 @@
 func (e *RecordBad) Error() string {
 	return fmt.Sprintf("gather: part %q: record %d: %s", e.Part, e.Position, e.Why)
 }
+
+// Code implements operr.Coded.
 func (*RecordBad) Code() string { return "gather-record-bad" }
+
+// Advice implements operr.Coded.
 func (*RecordBad) Advice() string {
 	return "look at the record on its shard, or correct the key's type in the rules"
 }
@@ -74,7 +94,11 @@
 func (e *Unsorted) Error() string {
 	return fmt.Sprintf("gather: part %q: record %d is not in the rules' order", e.Part, e.Position)
 }
+
+// Code implements operr.Coded.
 func (*Unsorted) Code() string { return "gather-unsorted" }
+
+// Advice implements operr.Coded.
 func (*Unsorted) Advice() string {
 	return "let the shard sort by the rules' keys; for text, by the same locale and version"
 }
@@ -89,7 +113,11 @@
 func (e *Diverged) Error() string {
 	return fmt.Sprintf("gather: part %q: copy %d differs from the others within the first %d bytes", e.Part, e.Copy, e.At)
 }
+
+// Code implements operr.Coded.
 func (*Diverged) Code() string { return "gather-diverged" }
+
+// Advice implements operr.Coded.
 func (*Diverged) Advice() string {
 	return "compare the replicas of the shard; read again with one of them"
 }
@@ -98,14 +126,22 @@
 type Never struct{ Part string }
 
 func (e *Never) Error() string { return fmt.Sprintf("gather: part %q: given up", e.Part) }
-func (*Never) Code() string    { return "gather-never" }
-func (*Never) Advice() string  { return "look at the shard, or lower complete in the rules" }
+
+// Code implements operr.Coded.
+func (*Never) Code() string { return "gather-never" }
+
+// Advice implements operr.Coded.
+func (*Never) Advice() string { return "look at the shard, or lower complete in the rules" }
 
 // Limited is how a part ends that stopped at the rows it was asked for and may hold more: End(part, copy, &Limited{}).
 type Limited struct{}
 
-func (*Limited) Error() string  { return "gather: the part stopped at the rows it was asked for" }
-func (*Limited) Code() string   { return "gather-limited" }
+func (*Limited) Error() string { return "gather: the part stopped at the rows it was asked for" }
+
+// Code implements operr.Coded.
+func (*Limited) Code() string { return "gather-limited" }
+
+// Advice implements operr.Coded.
 func (*Limited) Advice() string { return "none needed: Want asks for more where more is needed" }
 
 // GroupOver is a group of duplicates that does not fit into memory; the merge ends before it.
@@ -118,7 +154,11 @@
 func (e *GroupOver) Error() string {
 	return fmt.Sprintf("gather: duplicates of %s: %d rows, %d bytes; limits %d, %d", e.Key, e.Rows, e.Bytes, e.RowsLimit, e.BytesLimit)
 }
+
+// Code implements operr.Coded.
 func (*GroupOver) Code() string { return "gather-group-over" }
+
+// Advice implements operr.Coded.
 func (*GroupOver) Advice() string {
 	return "raise memory in the rules, or let fewer rows have the same key"
 }
@@ -129,7 +169,11 @@
 func (e *RowOver) Error() string {
 	return fmt.Sprintf("gather: a row of %d bytes, truncate.bytes is %d", e.Bytes, e.Limit)
 }
-func (*RowOver) Code() string   { return "gather-row-over" }
+
+// Code implements operr.Coded.
+func (*RowOver) Code() string { return "gather-row-over" }
+
+// Advice implements operr.Coded.
 func (*RowOver) Advice() string { return "raise truncate.bytes in the rules" }
 
 // Incomplete is a merge that ended before the row for which too few parts were read.
@@ -138,7 +182,11 @@
 func (e *Incomplete) Error() string {
 	return fmt.Sprintf("gather: %d of %d parts missing or cut, %d needed", e.Lost, e.Parts, e.Need)
 }
+
+// Code implements operr.Coded.
 func (*Incomplete) Code() string { return "gather-incomplete" }
+
+// Advice implements operr.Coded.
 func (*Incomplete) Advice() string {
 	return "go on with the token when the named parts are back, or lower complete in the rules"
 }
@@ -147,8 +195,12 @@
 type TokenBad struct{ Why string }
 
 func (e *TokenBad) Error() string { return "gather: token: " + e.Why }
-func (*TokenBad) Code() string    { return "gather-token-bad" }
-func (*TokenBad) Advice() string  { return "begin again without a token" }
+
+// Code implements operr.Coded.
+func (*TokenBad) Code() string { return "gather-token-bad" }
+
+// Advice implements operr.Coded.
+func (*TokenBad) Advice() string { return "begin again without a token" }
 
 // TokenRules is a token made under other rules.
 type TokenRules struct{ Made, Have string }
@@ -156,7 +208,11 @@
 func (e *TokenRules) Error() string {
 	return fmt.Sprintf("gather: token: made under rules %s, these are %s", e.Made, e.Have)
 }
+
+// Code implements operr.Coded.
 func (*TokenRules) Code() string { return "gather-token-rules" }
+
+// Advice implements operr.Coded.
 func (*TokenRules) Advice() string {
 	return "begin again without a token: the rules have changed since"
 }
--- a/gather/merge.go
+++ b/gather/merge.go
@@ -380,11 +380,12 @@
 	if c < 0 && m.fault != faultUnsorted {
 		return "unsorted"
 	}
-	if c == 0 && s.run == math.MaxUint32-1 {
+	switch {
+	case c == 0 && s.run == math.MaxUint32-1:
 		return "2^32 rows of one key"
-	} else if c == 0 {
+	case c == 0:
 		s.run++
-	} else {
+	default:
 		s.run = 0
 	}
 	s.key, s.spare, s.group = s.spare, s.key, group
--- a/gather/partial.go
+++ b/gather/partial.go
@@ -31,7 +31,11 @@
 func (e *Told) Error() string {
 	return fmt.Sprintf("gather: part %q, by a partial result: %s", e.Part, e.Why)
 }
-func (*Told) Code() string   { return "gather-told" }
+
+// Code implements operr.Coded.
+func (*Told) Code() string { return "gather-told" }
+
+// Advice implements operr.Coded.
 func (*Told) Advice() string { return "look at the part where the partial result was made" }
 
 // AppendPartial is Next for a merge whose result is a part of another: it appends up to rows rows (0: all that may go)
--- a/gather/play_test.go
+++ b/gather/play_test.go
@@ -107,7 +107,7 @@
 			text, done = sub.AppendPartial(text, rng.IntN(4))
 		}
 	}
-	if err = play(sub, rng, own, pull); err != nil {
+	if err := play(sub, rng, own, pull); err != nil {
 		return "", err
 	}
 	if text, done = sub.AppendPartial(text, 0); !done {
--- a/gather/rules.go
+++ b/gather/rules.go
@@ -154,7 +154,7 @@
 		return err
 	}
 	c := jsonschema.NewCompiler()
-	if err = c.AddResource("wheatsaddle:gather", form); err != nil {
+	if err := c.AddResource("wheatsaddle:gather", form); err != nil {
 		return err
 	}
 	s, err := c.Compile("wheatsaddle:gather" + fragment)
--- a/gather/script_test.go
+++ b/gather/script_test.go
@@ -277,7 +277,8 @@
 		}
 		_, _ = m.End("p", 0, nil), m.End("q", 0, nil)
 		rows := drain(m)
-		return m, rows, m.Result()
+		result := m.Result()
+		return m, rows, result
 	}
 	m, rows, res := play(faultNone)
 	if _, _, lost := play(faultGroup); lost.Err != nil {
--- a/gather/world_test.go
+++ b/gather/world_test.go
@@ -47,7 +47,7 @@
 	if r.k != "" {
 		k = fmt.Sprintf(`"k":"the-same-start-%s",`, r.k)
 	}
-	return fmt.Sprintf(`{%s"n":%d,"v":%d,"x":"%s"}`, k, r.n, r.v, r.x)
+	return fmt.Sprintf(`{%s"n":%d,"v":%d,"x":%q}`, k, r.n, r.v, r.x)
 }
 
 type fate struct {
@@ -131,10 +131,10 @@
 	if w.absent1st {
 		absent = "first"
 	}
-	text := fmt.Sprintf(`{"records":{"max_bytes":128},"memory":{"bytes":%d},"order":[{"key":"k","type":"bytes","direction":"%s","absent":"%s"},{"key":"n","type":"integer"}]`, memory, dir, absent)
+	text := fmt.Sprintf(`{"records":{"max_bytes":128},"memory":{"bytes":%d},"order":[{"key":"k","type":"bytes","direction":%q,"absent":%q},{"key":"n","type":"integer"}]`, memory, dir, absent)
 	switch w.keep {
 	case "first", "last":
-		text += fmt.Sprintf(`,"duplicates":{"keep":"%s","by":%d}`, w.keep, w.by)
+		text += fmt.Sprintf(`,"duplicates":{"keep":%q,"by":%d}`, w.keep, w.by)
 	case "highest":
 		text += fmt.Sprintf(`,"duplicates":{"keep":"highest","by":%d,"version":{"key":"v","type":"integer"}}`, w.by)
 	case "agree":
@@ -142,9 +142,9 @@
 	}
 	text += fmt.Sprintf(`,"truncate":{"offset":%d`, w.offset)
 	if w.limit != "" {
-		text += fmt.Sprintf(`,"%s":%d`, w.limit, w.rows)
+		text += fmt.Sprintf(`,%q:%d`, w.limit, w.rows)
 	}
-	text += fmt.Sprintf(`},"complete":{"need":"%s"`, w.need)
+	text += fmt.Sprintf(`},"complete":{"need":%q`, w.need)
 	if w.need == "at-least" {
 		text += fmt.Sprintf(`,"parts":%d`, w.needParts)
 	}
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -133,7 +133,7 @@
 	if s.Work != nil {
 		e.sum = tally{}
 		var d dist
-		e.leaf(s.Work, &trail{}, &d)
+		_ = e.leaf(s.Work, &trail{}, &d)
 		d.variance += d.err * d.err
 		sd := math.Sqrt(d.variance)
 		c := spreadOfSkew(d.third / (d.variance * sd))
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	c := jsonschema.NewCompiler()
-	c.AddResource("wheatsaddle:plans", root)
+	_ = c.AddResource("wheatsaddle:plans", root)
 	schema := c.MustCompile("wheatsaddle:plans")
 	w := `{"work":{"shard":1,"class":"read","units":2}}`
 	deep := strings.Repeat(`{"then":[`, 70) + w + strings.Repeat(`]}`, 70)
--- a/internal/cost/laws_test.go
+++ b/internal/cost/laws_test.go
@@ -279,7 +279,7 @@
 		complaint string
 	}{
 		"latest: the sort": {func(e *Estimator) {
-			e.take = func(views []nodestats.View, most int) (kept []nodestats.View, dropped int) {
+			e.take = func(views []nodestats.View, _ int) (kept []nodestats.View, dropped int) {
 				for i := range views {
 					if sound(&views[i]) {
 						kept = append(kept, views[i])
@@ -289,7 +289,7 @@
 			}
 		}, "in another order"},
 		"latest: sound": {func(e *Estimator) {
-			e.take = func(views []nodestats.View, most int) ([]nodestats.View, int) {
+			e.take = func(views []nodestats.View, _ int) ([]nodestats.View, int) {
 				kept := slices.Clone(views)
 				slices.SortStableFunc(kept, before)
 				return kept, 0
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -237,7 +237,7 @@
 			return threads(2, func(i int) {
 				if i == 0 {
 					mu.Lock()
-					defer mu.Unlock()
+					mu.Unlock() //nolint:staticcheck,gocritic // SA2001, badLock: the empty critical section is the step
 					return
 				}
 				mu.RLock()
@@ -289,7 +289,7 @@
 		}},
 		"no end": {"no end within", func(mended bool) il.World {
 			var x steps.Int64
-			return threads(2, func(i int) {
+			return threads(2, func(int) {
 				for x.Load() == 0 && !mended {
 				}
 			})
--- a/internal/interleave/mutant/mutant.go
+++ b/internal/interleave/mutant/mutant.go
@@ -91,7 +91,7 @@
 		c.Env = append(os.Environ(), insideEnv+"=1", env)
 		out, err := c.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), m.Want) {
-			return "", fmt.Errorf("want %q, got %v\n%s", m.Want, err, out)
+			return "", fmt.Errorf("want %q, got %w\n%s", m.Want, err, out)
 		}
 		return string(out), nil
 	}
--- a/internal/interleave/run.go
+++ b/internal/interleave/run.go
@@ -18,6 +18,7 @@
 // Mode is how a step meets others on the same object.
 type Mode uint8
 
+// The modes.
 const (
 	Write   Mode = iota // commutes with none, orders what is before and after it
 	Read                // commutes with Read and Release; sees what Write and Release left
--- a/internal/interleave/steps/atomic.go
+++ b/internal/interleave/steps/atomic.go
@@ -14,9 +14,16 @@
 // Bool is an atomic.Bool.
 type Bool struct{ v atomic.Bool }
 
-func (x *Bool) Load() bool       { look(x); return x.v.Load() }
-func (x *Bool) Store(v bool)     { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Bool.
+func (x *Bool) Load() bool { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Bool.
+func (x *Bool) Store(v bool) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Bool.
 func (x *Bool) Swap(v bool) bool { alter(x, "swap"); return x.v.Swap(v) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Bool.
 func (x *Bool) CompareAndSwap(old, to bool) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
@@ -25,9 +32,16 @@
 // Pointer is an atomic.Pointer.
 type Pointer[T any] struct{ v atomic.Pointer[T] }
 
-func (x *Pointer[T]) Load() *T     { look(x); return x.v.Load() }
-func (x *Pointer[T]) Store(v *T)   { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Pointer.
+func (x *Pointer[T]) Load() *T { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Pointer.
+func (x *Pointer[T]) Store(v *T) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Pointer.
 func (x *Pointer[T]) Swap(v *T) *T { alter(x, "swap"); return x.v.Swap(v) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Pointer.
 func (x *Pointer[T]) CompareAndSwap(old, to *T) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
@@ -36,10 +50,19 @@
 // Int32 is an atomic.Int32.
 type Int32 struct{ v atomic.Int32 }
 
-func (x *Int32) Load() int32        { look(x); return x.v.Load() }
-func (x *Int32) Store(v int32)      { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Int32.
+func (x *Int32) Load() int32 { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Int32.
+func (x *Int32) Store(v int32) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Int32.
 func (x *Int32) Swap(v int32) int32 { alter(x, "swap"); return x.v.Swap(v) }
-func (x *Int32) Add(d int32) int32  { alter(x, "add"); return x.v.Add(d) }
+
+// Add is a step of the checker, then Add of atomic.Int32.
+func (x *Int32) Add(d int32) int32 { alter(x, "add"); return x.v.Add(d) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Int32.
 func (x *Int32) CompareAndSwap(old, to int32) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
@@ -48,10 +71,19 @@
 // Int64 is an atomic.Int64.
 type Int64 struct{ v atomic.Int64 }
 
-func (x *Int64) Load() int64        { look(x); return x.v.Load() }
-func (x *Int64) Store(v int64)      { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Int64.
+func (x *Int64) Load() int64 { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Int64.
+func (x *Int64) Store(v int64) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Int64.
 func (x *Int64) Swap(v int64) int64 { alter(x, "swap"); return x.v.Swap(v) }
-func (x *Int64) Add(d int64) int64  { alter(x, "add"); return x.v.Add(d) }
+
+// Add is a step of the checker, then Add of atomic.Int64.
+func (x *Int64) Add(d int64) int64 { alter(x, "add"); return x.v.Add(d) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Int64.
 func (x *Int64) CompareAndSwap(old, to int64) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
@@ -60,10 +92,19 @@
 // Uint32 is an atomic.Uint32.
 type Uint32 struct{ v atomic.Uint32 }
 
-func (x *Uint32) Load() uint32         { look(x); return x.v.Load() }
-func (x *Uint32) Store(v uint32)       { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Uint32.
+func (x *Uint32) Load() uint32 { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Uint32.
+func (x *Uint32) Store(v uint32) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Uint32.
 func (x *Uint32) Swap(v uint32) uint32 { alter(x, "swap"); return x.v.Swap(v) }
-func (x *Uint32) Add(d uint32) uint32  { alter(x, "add"); return x.v.Add(d) }
+
+// Add is a step of the checker, then Add of atomic.Uint32.
+func (x *Uint32) Add(d uint32) uint32 { alter(x, "add"); return x.v.Add(d) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Uint32.
 func (x *Uint32) CompareAndSwap(old, to uint32) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
@@ -72,10 +113,19 @@
 // Uint64 is an atomic.Uint64.
 type Uint64 struct{ v atomic.Uint64 }
 
-func (x *Uint64) Load() uint64         { look(x); return x.v.Load() }
-func (x *Uint64) Store(v uint64)       { alter(x, "store"); x.v.Store(v) }
+// Load is a step of the checker, then Load of atomic.Uint64.
+func (x *Uint64) Load() uint64 { look(x); return x.v.Load() }
+
+// Store is a step of the checker, then Store of atomic.Uint64.
+func (x *Uint64) Store(v uint64) { alter(x, "store"); x.v.Store(v) }
+
+// Swap is a step of the checker, then Swap of atomic.Uint64.
 func (x *Uint64) Swap(v uint64) uint64 { alter(x, "swap"); return x.v.Swap(v) }
-func (x *Uint64) Add(d uint64) uint64  { alter(x, "add"); return x.v.Add(d) }
+
+// Add is a step of the checker, then Add of atomic.Uint64.
+func (x *Uint64) Add(d uint64) uint64 { alter(x, "add"); return x.v.Add(d) }
+
+// CompareAndSwap is a step of the checker, then CompareAndSwap of atomic.Uint64.
 func (x *Uint64) CompareAndSwap(old, to uint64) bool {
 	alter(x, "cas")
 	return x.v.CompareAndSwap(old, to)
--- a/internal/interleave/sync/ordinary.go
+++ b/internal/interleave/sync/ordinary.go
@@ -9,10 +9,14 @@
 )
 
 type (
-	Mutex   = sync.Mutex
+	// Mutex is sync.Mutex.
+	Mutex = sync.Mutex
+	// RWMutex is sync.RWMutex.
 	RWMutex = sync.RWMutex
-	Once    = sync.Once
+	// Once is sync.Once.
+	Once = sync.Once
 
+	// WaitGroup is sync.WaitGroup.
 	WaitGroup = sync.WaitGroup // no step under the checker either
 )
 
@@ -26,7 +30,7 @@
 func Writes[T any](*T) {}
 
 // Point is a step on something outside the process: a file, by its path.
-func Point(kind, on string) {}
+func Point(_, _ string) {}
 
 // Send is ch <- v.
 func Send[T any](ch chan<- T, v T) { ch <- v }
@@ -151,4 +155,4 @@
 }
 
 // PauseFor is a wait before trying again; under the checker, for another thread's point.
-func PauseFor(kind, on string, d time.Duration) { time.Sleep(d) }
+func PauseFor(_, _ string, d time.Duration) { time.Sleep(d) }
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -330,7 +330,7 @@
 	c := p.initiator(t)
 	run := func(lun uint16, expected uint32, cdb ...byte) ended {
 		t.Helper()
-		return c.finish(c.start(append(cdb, make([]byte, 16)...)[:16], lun, 0x40, expected, nil), nil)
+		return c.finish(c.start(append(cdb, make([]byte, 16)...)[:16], lun, 0x40, expected), nil)
 	}
 	if e := run(0, 8, scsiReadCapacity10); be.Uint32(e.data) != 4095 || be.Uint32(e.data[4:]) != 512 {
 		t.Errorf("READ CAPACITY(10): %x", e.data)
@@ -360,7 +360,7 @@
 		}
 	}
 	cdb := block{true, 0, 1}.cdb()
-	if e := c.finish(c.start(cdb[:], 3, 0x20, 512, nil), nil); e.key != senseDataProtect {
+	if e := c.finish(c.start(cdb[:], 3, 0x20, 512), nil); e.key != senseDataProtect {
 		t.Errorf("write to a protected unit: %+v", e)
 	}
 	if came, _ := p.counts(); came != 0 {
@@ -385,7 +385,7 @@
 		{stageFull<<2 | stageFull, loginBadRequest, []pair{me, to}},
 		{stageOperational<<2 | stageFull, loginBadRequest, []pair{me, to, {"MaxBurstLength", "none"}}},
 	} {
-		if status, _ := connect(t, p.address).login(x.stages, x.pairs...); status != x.want {
+		if status := connect(t, p.address).login(x.stages, x.pairs...); status != x.want {
 			t.Errorf("%v: status 0x%04x, want 0x%04x", x.pairs, status, x.want)
 		}
 	}
@@ -428,7 +428,7 @@
 		"too long":  {bad(func(q *pdu) { q.data = make([]byte, ourSegment+4) }), rejectInvalid},
 	} {
 		c := p.initiator(t)
-		c.nc.Write(c.out.append(nil, x.pdu))
+		_, _ = c.nc.Write(c.out.append(nil, x.pdu))
 		q, err := c.in.read(c.br)
 		if x.reject == 0 && err == nil || x.reject != 0 && (err != nil || q.op() != opReject || q.bhs[2] != x.reject) {
 			t.Errorf("%s: %v %v", name, q, err)
@@ -452,7 +452,7 @@
 	c = p.initiator(t)
 	c.cmdSN += 100
 	cdb := block{false, 0, 1}.cdb()
-	c.start(cdb[:], 0, 0x40, 512, nil)
+	c.start(cdb[:], 0, 0x40, 512)
 	c.cmdSN -= 101
 	if e := c.readBlocks(0, 1); e.status != statusGood {
 		t.Errorf("ended %+v", e)
@@ -526,7 +526,7 @@
 	p := newPath(t, 1000, false)
 	c := p.initiator(t)
 	cdb := block{false, 0, 1}.cdb()
-	if e := c.finish(c.start(cdb[:], 4, 0x40, 512, nil), nil); e.status != statusBusy {
+	if e := c.finish(c.start(cdb[:], 4, 0x40, 512), nil); e.status != statusBusy {
 		t.Errorf("past its limit: %+v", e)
 	}
 	if e := c.readBlocks(0, 1); e.status != statusGood {
@@ -551,7 +551,7 @@
 		if at < bhsLen {
 			wire = append(wire, make([]byte, 1<<13)...) // the length is what was changed
 		}
-		c.nc.Write(wire)
+		_, _ = c.nc.Write(wire)
 		if r := c.read(); r.op() != opReject {
 			t.Errorf("%v", r)
 		}
@@ -645,7 +645,7 @@
 			if q.op() == opSCSICommand {
 				q.bhs[32] = scsiTestUnitReady // so that none reaches the storage target
 			}
-			c.nc.Write(c.out.append(nil, q))
+			_, _ = c.nc.Write(c.out.append(nil, q))
 		}
 		c.nc.Close()
 	})
@@ -662,7 +662,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	rec, err := replay.Read(in, replay.Mapping{Deadline: time.Minute, UnitBytes: 4096})
 	if err != nil || len(rec.Entries) == 0 {
 		t.Fatal(err)
--- a/internal/iscsi/login.go
+++ b/internal/iscsi/login.go
@@ -121,11 +121,11 @@
 	}
 	var out []pair
 	if s.units == nil && !s.discovery { // the first text names both sides
-		if name, ok := find(pairs, "InitiatorName"); !ok || name == "" {
+		name, ok := find(pairs, "InitiatorName")
+		if !ok || name == "" {
 			return loginMissing, nil
-		} else {
-			s.initiatorName = name
 		}
+		s.initiatorName = name
 		if kind, _ := find(pairs, "SessionType"); kind == "Discovery" {
 			s.discovery = true
 		} else {
@@ -201,7 +201,7 @@
 		if terr != nil {
 			return p, 0, terr
 		}
-		if err = p.adopt(pairs); err != nil {
+		if err := p.adopt(pairs); err != nil {
 			return p, 0, err
 		}
 		if a.final() && a.bhs[1]&3 == stageFull {
--- a/internal/iscsi/response.go
+++ b/internal/iscsi/response.go
@@ -20,7 +20,7 @@
 }
 
 // sendResponses turns the core's answers into responses. Answers to tasks aborted meanwhile are dropped.
-func (s *session) sendResponses() error {
+func (s *session) sendResponses() {
 	s.mu.Lock()
 	answers := s.answers
 	s.answers = nil
@@ -44,7 +44,6 @@
 			s.finishTask(k, statusCheckCondition, failureSense(a.Cause, k.block.write), nil, 0)
 		}
 	}
-	return nil
 }
 
 // failureSense is the sense of a failed request. A read gets ABORTED COMMAND, which invites a retry. A write that
--- a/internal/iscsi/session.go
+++ b/internal/iscsi/session.go
@@ -84,7 +84,7 @@
 			err = s.tick(now)
 		}
 		if err == nil {
-			err = s.sendResponses()
+			s.sendResponses()
 		}
 		if ferr := s.flush(); err == nil {
 			err = ferr
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -119,7 +119,7 @@
 	}
 	p.put32(28, s.expCmdSN)
 	p.put32(32, s.expCmdSN+31)
-	s.conn.Write(framing{}.append(nil, p))
+	_, _ = s.conn.Write(framing{}.append(nil, p))
 }
 
 // leave asks for logout, and returns once the initiator has heard of it.
@@ -137,56 +137,56 @@
 	<-s.pongs
 }
 
-func (in *standin) serve(nc net.Conn) {
-	s := &standSession{standin: in, conn: nc}
+func (s *standin) serve(nc net.Conn) {
+	session := &standSession{standin: s, conn: nc}
 	defer nc.Close()
 	br, frames := bufio.NewReader(nc), framing{most: 8192}
 	p, err := frames.read(br)
-	if err != nil || s.cutting(cutLogin) {
+	if err != nil || session.cutting(cutLogin) {
 		return
 	}
-	s.mu.Lock()
-	s.statSN, s.expCmdSN = p.u32(28), p.u32(24)
-	s.login, _ = decodeText(p.data)
-	s.last = s
-	s.logins++
-	refuse := s.refuse
-	s.mu.Unlock()
+	session.mu.Lock()
+	session.statSN, session.expCmdSN = p.u32(28), p.u32(24)
+	session.login, _ = decodeText(p.data)
+	session.last = session
+	session.logins++
+	refuse := session.refuse
+	session.mu.Unlock()
 	r := newPDU(opLoginResp, p.tag())
-	r.bhs[1], r.bhs[15], r.data = p.bhs[1], 1, encodeText(s.answer)
+	r.bhs[1], r.bhs[15], r.data = p.bhs[1], 1, encodeText(session.answer)
 	be.PutUint16(r.bhs[36:], refuse)
-	s.say(r, true)
+	session.say(r, true)
 	frames.most = 4096
 	for {
 		if p, err = frames.read(br); err != nil || refuse != 0 {
 			return
 		}
 		if !p.immediate() && p.op() != opDataOut {
-			s.mu.Lock()
-			s.expCmdSN++
-			s.mu.Unlock()
+			session.mu.Lock()
+			session.expCmdSN++
+			session.mu.Unlock()
 		}
 		switch p.op() {
 		case opSCSICommand:
-			if !s.command(p, br, frames) {
+			if !session.command(p, br, frames) {
 				return
 			}
 		case opNopOut:
 			if p.tag() == noTag {
-				s.pongs <- struct{}{}
+				session.pongs <- struct{}{}
 			}
 		case opTaskMgmtReq:
-			s.mu.Lock()
-			s.aborts++
-			s.mu.Unlock()
+			session.mu.Lock()
+			session.aborts++
+			session.mu.Unlock()
 			a := newPDU(opTaskMgmtResp, p.tag())
 			a.bhs[1] = flagF
-			s.say(a, true)
+			session.say(a, true)
 		case opLogoutReq:
 			a := newPDU(opLogoutResp, p.tag())
 			a.bhs[1] = flagF
-			s.say(a, true)
-			s.logouts <- struct{}{}
+			session.say(a, true)
+			session.logouts <- struct{}{}
 			return
 		}
 	}
@@ -303,8 +303,8 @@
 		itt: 100, responses: map[uint32]int{}}
 }
 
-// login sends one login request and returns the status and the text of its response.
-func (c *initiator) login(stages byte, pairs ...pair) (uint16, []pair) {
+// login sends one login request and returns the status of its response.
+func (c *initiator) login(stages byte, pairs ...pair) uint16 {
 	c.t.Helper()
 	p := newPDU(opLoginReq, 1)
 	p.bhs[0] |= immediate
@@ -325,7 +325,7 @@
 		c.out = framing{headerDigest: c.p.headerDigest, dataDigest: c.p.dataDigest}
 		c.in.headerDigest, c.in.dataDigest = c.p.headerDigest, c.p.dataDigest
 	}
-	return be.Uint16(r.bhs[36:]), text
+	return be.Uint16(r.bhs[36:])
 }
 
 func (c *initiator) send(p *pdu) {
@@ -361,7 +361,7 @@
 }
 
 // start sends a command without waiting for its end.
-func (c *initiator) start(cdb []byte, lun uint16, flags byte, expected uint32, data []byte) uint32 {
+func (c *initiator) start(cdb []byte, lun uint16, flags byte, expected uint32) uint32 {
 	c.t.Helper()
 	c.itt++
 	p := newPDU(opSCSICommand, c.itt)
@@ -371,7 +371,6 @@
 	p.put32(24, c.cmdSN)
 	c.cmdSN++
 	copy(p.bhs[32:], cdb)
-	p.data = data
 	c.send(p)
 	return c.itt
 }
@@ -440,13 +439,13 @@
 func (c *initiator) startWrite(lba uint64, data []byte) uint32 {
 	c.t.Helper()
 	cdb := block{true, lba, uint32(len(data) / 512)}.cdb()
-	return c.start(cdb[:], 0, 0x20, uint32(len(data)), nil)
+	return c.start(cdb[:], 0, 0x20, uint32(len(data)))
 }
 
 func (c *initiator) readBlocks(lba uint64, blocks uint32) ended {
 	c.t.Helper()
 	cdb := block{false, lba, blocks}.cdb()
-	return c.finish(c.start(cdb[:], 0, 0x40, blocks*512, nil), nil)
+	return c.finish(c.start(cdb[:], 0, 0x40, blocks*512), nil)
 }
 
 const targetName = "iqn.2026-12.fj.lautoka:test"
@@ -518,7 +517,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	p := &path{standin: s, core: co, dialer: d, target: NewTarget(conf, co, set, log), address: ln.Addr().String()}
-	go p.target.Serve(ln)
+	go func() { _ = p.target.Serve(ln) }()
 	return p
 }
 
@@ -552,7 +551,7 @@
 	t.Helper()
 	c := connect(t, p.address)
 	c.isid = isid
-	status, _ := c.login(stageOperational<<2|stageFull, append([]pair{{"InitiatorName", "iqn.client"},
+	status := c.login(stageOperational<<2|stageFull, append([]pair{{"InitiatorName", "iqn.client"},
 		{"TargetName", targetName}, {"MaxRecvDataSegmentLength", "4096"}, {"MaxBurstLength", "16384"}}, more...)...)
 	if status != 0 {
 		t.Fatalf("login status 0x%04x", status)
--- a/internal/iscsi/target.go
+++ b/internal/iscsi/target.go
@@ -75,8 +75,9 @@
 		nc, err := ln.Accept()
 		if err != nil {
 			t.mu.Lock()
-			defer t.mu.Unlock()
-			if t.stopping {
+			stopping := t.stopping
+			t.mu.Unlock()
+			if stopping {
 				return nil
 			}
 			return err
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -219,7 +219,7 @@
 			r.Schedulers, err = strconv.Atoi(v)
 		}
 		if err != nil {
-			return fmt.Errorf("IO-Info: %s: %v", name, err)
+			return fmt.Errorf("IO-Info: %s: %w", name, err)
 		}
 	}
 	return nil
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	r, err := Read(f, mapping)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scattergather/core.go
+++ b/internal/scattergather/core.go
@@ -59,12 +59,13 @@
 		switch x.Kind {
 		case core.Served:
 			b := c.Body(x.Payload)
-			if b.Rest == nil {
+			switch {
+			case b.Rest == nil:
 				c.take(r.ID)
 				to.End(b.Data, b.end())
-			} else if c.streams(r.ID, b.Cut) {
+			case c.streams(r.ID, b.Cut):
 				go c.stream(a, b, to)
-			} else { // it was called off meanwhile
+			default: // it was called off meanwhile
 				b.Cut()
 				go b.Rest.Close()
 				to.End(nil, io.ErrUnexpectedEOF)
--- a/internal/scattergather/plan_test.go
+++ b/internal/scattergather/plan_test.go
@@ -215,10 +215,10 @@
 			} else {
 				ran[o.Part.ID] = true
 			}
-			if end == errCut || o.fate == "refused" {
+			if errors.Is(end, errCut) || o.fate == "refused" {
 				bad[o.Part.ID] = append(bad[o.Part.ID], o.Copy)
 			}
-			if _, ok := end.(*gather.Limited); ok {
+			if atLimit := (*gather.Limited)(nil); errors.As(end, &atLimit) {
 				limited[o.Part.ID]++
 			}
 			g.Ended(now, o.Part.ID, o.Copy, end)
--- a/internal/scattergather/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -117,7 +117,7 @@
 		}, []mutant.Mutant{
 			{File: "run.go", Old: "			p.from.held = p.data\n", New: "			p.from.held = p.data\n			sync.TrySend(p.from.took, struct{}{})\n", Want: "data race: "},
 			{File: "run.go", Old: "make(chan ending, len(g.parts)*(1+max(g.r.Again, copiesMost)+moreMost+refusedMost))", New: "make(chan ending)", Want: "deadlock: "}}},
-		{"leave", 1, 150, 0, false, 1, func(d *walked, leave func()) []il.Thread {
+		{"leave", 1, 150, 0, false, 1, func(_ *walked, leave func()) []il.Thread {
 			return []il.Thread{{Name: "client", Run: leave}}
 		}, []mutant.Mutant{
 			{File: "run.go", Old: "sync.SendOrEither(s.pieces, piece{s, data}, s.off, s.done)", New: "sync.SendOr(s.pieces, piece{s, data}, make(chan int))", Want: "deadlock: "},
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -125,7 +125,7 @@
 func TestServiceRefuses(t *testing.T) {
 	w := start(t, [shards]string{"silent", "silent", "silent", "silent"})
 	s := w.service(t, "", false)
-	none := func([]byte) error { t.Error("a row"); return nil }
+	none := func([]byte) error { t.Error("a row"); return nil } //nolint:unparam // a writer of rows
 	read := func(q Query, class string) Final {
 		r := client("r", 400*time.Millisecond)
 		r.Class = class
--- a/internal/scattergather/tree_ask_test.go
+++ b/internal/scattergather/tree_ask_test.go
@@ -154,7 +154,7 @@
 	return f
 }
 
-func (f *forest) read(ctx context.Context, patience time.Duration, write func([]byte) error) (rows []string, x Final) {
+func (f *forest) read(ctx context.Context, patience time.Duration) (rows []string, x Final) {
 	f.Helper()
 	var mu sync.Mutex
 	var text []byte
@@ -168,9 +168,6 @@
 		mu.Lock()
 		defer mu.Unlock()
 		text = append(text, b...)
-		if write != nil {
-			return write(b)
-		}
 		return nil
 	})
 	if len(text) > 0 {
@@ -256,7 +253,7 @@
 			case strings.HasSuffix(c.name, "silent"):
 				f.tree.opt.Rules.Silent = 2 * time.Second
 			}
-			rows, x := f.read(t.Context(), patience, nil)
+			rows, x := f.read(t.Context(), patience)
 			want := treeFlat(c.missing...)
 			if strings.Contains(c.more, "top") {
 				want = want[:50]
@@ -302,7 +299,7 @@
 				asked[fmt.Sprint("q", i)] = p.asked.Load()
 			}
 			resting := f.tree.Standing()
-			if rows, x = f.read(t.Context(), patience, nil); x.Result.Whole && !slices.Equal(rows, want) { // and the next read goes past them
+			if rows, x = f.read(t.Context(), patience); x.Result.Whole && !slices.Equal(rows, want) { // and the next read goes past them
 				t.Errorf("again: %d rows, %+v", len(rows), x.Result)
 			}
 			for i, s := range resting {
@@ -319,7 +316,7 @@
 	f := plant(t, 1, `,"complete":{"need":"best-effort"}`)
 	f.peers[0].cut = 30000
 	f.peers[0].other = "p2"
-	rows, x := f.read(t.Context(), 10*time.Minute, nil)
+	rows, x := f.read(t.Context(), 10*time.Minute)
 	var named []string
 	for _, p := range x.Result.Parts {
 		if p.Conflict {
@@ -342,7 +339,7 @@
 		no[p.ID] = true
 	}
 	f.own.refuse, f.peers[0].refuse, f.peers[1].refuse = no, no, no
-	rows, x := f.read(t.Context(), 10*time.Minute, nil)
+	rows, x := f.read(t.Context(), 10*time.Minute)
 	if len(rows) > 0 || x.Kind != Refused || x.RetryAfter != time.Hour {
 		t.Errorf("%d rows, %+v", len(rows), x)
 	}
@@ -363,7 +360,7 @@
 		}
 		leave()
 	}()
-	if rows, x := f.read(ctx, time.Minute, nil); x.Kind != Left || len(rows) > 0 {
+	if rows, x := f.read(ctx, time.Minute); x.Kind != Left || len(rows) > 0 {
 		t.Errorf("%+v, %d rows", x, len(rows))
 	}
 	await(t, "all peers' gathers end", func() bool { return !slices.ContainsFunc(f.peers, func(p *grove) bool { return p.open.Load() > 0 }) })
--- a/internal/testkit/cluster/close_test.go
+++ b/internal/testkit/cluster/close_test.go
@@ -70,7 +70,7 @@
 				for crossed := 0; crossed == 0; { // requests are on their way at any time, so a close crosses some
 					stop := w.Run(w.ctx, Load{Clients: 10, Gap: time.Millisecond, Ask: usual})
 					base := w.Served(0)
-					w.until("requests are open there", func() bool { return w.Served(0) > base && w.open(0) > 5 })
+					w.until("requests are open there", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
 					w.must(w.Term(0))
 					told, from := w.Served(0), w.now()
 					w.must(w.Proc(0).End(w.ctx))
@@ -88,7 +88,7 @@
 		{fault: "SIGTERM, answers trickle to clients", expected: "each that was begun ends whole", run: func(w *world) {
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{Trickle: 4000}))
 			stop := w.Run(w.ctx, Load{Clients: 4, Gap: time.Millisecond, Ask: usual})
-			w.until("answers are on their way", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.open(0) > 2 })
+			w.until("answers are on their way", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
 			w.must(w.Term(0))
 			w.must(w.Proc(0).End(w.ctx))
 			stop()
--- a/internal/testkit/cluster/daemon.go
+++ b/internal/testkit/cluster/daemon.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	c := exec.Command(p.daemon, p.args...)
 	c.Env = append(os.Environ(), "ROUTER_CONFIG="+p.config, "TMPDIR="+filepath.Dir(p.config))
 	if p.passed != nil {
@@ -210,7 +210,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return f.Write(p)
 }
 
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -49,10 +49,10 @@
 }
 
 // storage sets a fault of the links from all daemons to node 0, and waits until it has happened on each.
-func (w *world) storage(d link.Direction, f link.Fault, happened func(*link.Link) bool) {
+func (w *world) storage(f link.Fault, happened func(*link.Link) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
-		w.must(w.StorageLink(i, 0).Set(d, f))
+		w.must(w.StorageLink(i, 0).Set(link.Forward, f))
 	}
 	if happened != nil {
 		for i := range w.opt.Daemons {
@@ -115,9 +115,9 @@
 			for i := range w.opt.Daemons {
 				w.StorageLink(i, 0).Reset()
 			}
-			w.storage(link.Forward, link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
+			w.storage(link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
 			w.serves(some)
-			w.storage(link.Forward, link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
+			w.storage(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
 			w.serves(some)
 		}},
 		{fault: "node silent in the middle of answers", expected: "reads served by another, writes answered and not sent again", run: func(w *world) {
@@ -131,9 +131,9 @@
 			w.serves(some)
 		}},
 		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not sent again", run: func(w *world) {
-			w.storage(link.Forward, link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
+			w.storage(link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
 			w.serves(some)
-			w.storage(link.Forward, link.Fault{}, nil)
+			w.storage(link.Fault{}, nil)
 			w.serves(some)
 		}},
 		{fault: "clients gone early", expected: "nothing is sent for them any more; others are served", service: slow, run: func(w *world) {
@@ -145,14 +145,14 @@
 			stop()
 		}},
 		{fault: "one killed with requests open, restarted", expected: "others serve on; it serves again; nothing unsafe runs twice", service: slow, run: func(w *world) {
-			w.until("requests are open there", func() bool { return w.open(0) > 1 })
+			w.until("requests are open there", func() bool { return w.openRequests() > 1 })
 			w.must(w.Kill(0))
 			w.serves(some, 0)
 			w.must(w.Restart(w.ctx, 0))
 			w.serves(some)
 		}},
 		{fault: "SIGTERM under load with open connections", expected: "all that it took is answered, exit 0", service: slow, run: func(w *world) {
-			w.until("requests are open there", func() bool { return w.open(0) > 1 })
+			w.until("requests are open there", func() bool { return w.openRequests() > 1 })
 			w.must(w.Term(0))
 			w.must(w.Proc(0).End(w.ctx))
 			w.serves(some, 0)
@@ -168,9 +168,9 @@
 			w.told()
 		}},
 		{fault: "half-open connections to a node", expected: "reads served by another, writes answered and not sent again", run: func(w *world) {
-			w.storage(link.Forward, link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
+			w.storage(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
 			w.serves(some)
-			w.storage(link.Forward, link.Fault{}, nil)
+			w.storage(link.Fault{}, nil)
 			w.serves(some)
 		}},
 	} {
@@ -192,8 +192,8 @@
 	}
 }
 
-// open is how many requests of a daemon's clients have no end yet.
-func (w *world) open(i int) (n int) {
+// openRequests is how many requests of the first daemon's clients have no end yet.
+func (w *world) openRequests() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ended := map[string]bool{}
@@ -201,7 +201,7 @@
 		ended[a.ID] = true
 	}
 	for _, t := range w.h.Taken {
-		if t.Scheduler == i && !ended[t.ID] {
+		if t.Scheduler == 0 && !ended[t.ID] {
 			n++
 		}
 	}
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -198,19 +198,19 @@
 		f.since = append(f.since, since)
 		f.real, f.status = append(f.real, a.String()), append(f.status, status)
 	}
-	if err = f.connect(); err != nil {
+	if err := f.connect(); err != nil {
 		return f, err
 	}
 	for i := range f.procs {
 		if opt.Idle {
 			return f, nil
 		}
-		if err = f.procs[i].Start(); err != nil {
+		if err := f.procs[i].Start(); err != nil {
 			return f, err
 		}
 	}
 	for i := range f.procs {
-		if err = f.WaitReady(ctx, i); err != nil {
+		if err := f.WaitReady(ctx, i); err != nil {
 			return f, err
 		}
 	}
@@ -385,7 +385,8 @@
 	if change != nil {
 		change(p)
 	}
-	return p, p.Start()
+	err = p.Start()
+	return p, err
 }
 
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -80,15 +80,15 @@
 }
 
 // gathered is a gathered read of all shards as its client sends it, now.
-func (f *Fleet) gathered(scheduler int, class, plan string, units float64, patience time.Duration, more ...string) (historycheck.Taken, []byte) {
+func (f *Fleet) gathered(scheduler int, class, plan string, patience time.Duration) (historycheck.Taken, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next++
 	m := client.Message{ID: fmt.Sprintf("g%06d", f.next), Class: class, Plan: plan, Extent: fmt.Sprintf("%016x", f.next), Volume: fmt.Sprintf("%016x", 99),
-		Units: units, Shard: -1, Hosts: f.opt.Daemons, Deadline: patience}
-	text := bytes.Replace(m.Append(nil), []byte("\r\n\r\n"), []byte("\r\n"+strings.Join(append(more, "X-Gather: all"), "\r\n")+"\r\n\r\n"), 1)
+		Units: 1, Shard: -1, Hosts: f.opt.Daemons, Deadline: patience}
+	text := bytes.Replace(m.Append(nil), []byte("\r\n\r\n"), []byte("\r\nX-Gather: all\r\n\r\n"), 1)
 	now := f.now()
-	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: units, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
+	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
 }
 
 // heard is what came back on its connection; code 0: no head of an answer.
@@ -105,7 +105,7 @@
 		return h
 	}
 	br := bufio.NewReader(nc)
-	res, err := http.ReadResponse(br, nil)
+	res, err := http.ReadResponse(br, nil) //nolint:bodyclose // the connection is the caller's to close
 	if h.err = err; err != nil {
 		return h
 	}
@@ -136,10 +136,10 @@
 }
 
 // ask begins a gathered read of all shards at a daemon.
-func (g *gathering) ask(scheduler int, plan string, units float64, patience time.Duration, more ...string) *read {
+func (g *gathering) ask(scheduler int, plan string, patience time.Duration) *read {
 	g.t.Helper()
 	f := g.Fleet
-	taken, text := f.gathered(scheduler, "read", plan, units, patience, more...)
+	taken, text := f.gathered(scheduler, "read", plan, patience)
 	id := taken.ID
 	nc, err := net.Dial("tcp", f.clients[scheduler].Addr())
 	g.must(err)
@@ -260,19 +260,19 @@
 	}{
 		{fault: "none", expected: "the flat merge, from each daemon", need: all, run: func(g *gathering) {
 			for i := range g.opt.Daemons {
-				g.whole(g.wait(g.ask(i, thePlan, 1, long)), listed...)
+				g.whole(g.wait(g.ask(i, thePlan, long)), listed...)
 			}
 		}},
 		{fault: "a part late", expected: "whole, once it has come", need: all, run: func(g *gathering) {
 			g.fault(node.RowFault{Late: time.Hour}, 1)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(1, late, 1)
 			g.fault(node.RowFault{}, 1)
 			g.whole(g.wait(r), listed...)
 		}},
 		{fault: "a part twice", expected: "a second copy beside the silent first; whole, no row twice", need: all, more: `,"silent_ms":100`, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Stop: time.Hour}, 0)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(0, stopped, 2)
 			g.fault(node.RowFault{}, 0)
 			a := g.wait(r)
@@ -282,7 +282,7 @@
 		}},
 		{fault: "a part cut halfway, each time", expected: "asked again as often as allowed, then named", need: effort, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Cut: true}, 0)
-			a := g.wait(g.ask(0, thePlan, 1, long))
+			a := g.wait(g.ask(0, thePlan, long))
 			g.holds(a, listed...)
 			g.names(a, "cut", "[0]")
 			if n := g.count(0, cut); n != 2 {
@@ -291,7 +291,7 @@
 		}},
 		{fault: "a part cut halfway, once", expected: "the second asking goes on; whole", need: all, more: `,"again":16`, run: func(g *gathering) {
 			g.fault(node.RowFault{Late: time.Hour}, 0)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(0, late, 1)
 			g.must(g.StorageLink(0, 0).Set(link.Backward, link.Fault{ResetAfter: 80 << 10}))
 			g.must(g.StorageLink(0, 1).Set(link.Backward, link.Fault{ResetAfter: 80 << 10}))
@@ -306,7 +306,7 @@
 		}},
 		{fault: "a part never", expected: "named as missing within the client's time", need: effort, run: func(g *gathering) {
 			g.fault(node.RowFault{Late: time.Hour}, 2)
-			a := g.wait(g.ask(0, thePlan, 1, brief))
+			a := g.wait(g.ask(0, thePlan, brief))
 			if g.holds(a, listed...); g.count(2, late) == 0 {
 				t.Error("nobody was late")
 			}
@@ -316,7 +316,7 @@
 			for j := range 6 {
 				g.Node(j).Drain(true)
 			}
-			a := g.wait(g.ask(0, thePlan, 1, long))
+			a := g.wait(g.ask(0, thePlan, long))
 			if a.code != 503 || a.head.Get("Retry-After") == "" || a.result.Get("code").Str != "scatter-refused" {
 				t.Errorf("%d %v %s", a.code, a.head, a.result)
 			}
@@ -326,7 +326,7 @@
 		}},
 		{fault: "a node killed mid-part", expected: "the part is asked of the shard's other node; whole", need: all, more: `,"again":4`, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Stop: time.Hour}, 1)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(1, stopped, 1)
 			dead := 2
 			if g.Node(3).RowCounts("").Stopped > 0 {
@@ -338,17 +338,17 @@
 		}},
 		{fault: "a drain begins mid-gather", expected: "what is out is finished, nothing new goes there; whole", need: all, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Stop: time.Hour}, 1)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(1, stopped, 1)
 			g.must(g.Mark(2, "leaving"))
 			g.serves(some)
 			g.fault(node.RowFault{}, 1)
 			g.whole(g.wait(r), listed...)
-			g.whole(g.wait(g.ask(1, thePlan, 1, long)), listed...)
+			g.whole(g.wait(g.ask(1, thePlan, long)), listed...)
 		}},
 		{fault: "the client leaves mid-gather", expected: "all parts are ended", need: all, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Never: true}, 0, 1, 2)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			for _, s := range listed {
 				g.happens(s, never, 1)
 			}
@@ -363,7 +363,7 @@
 		}},
 		{fault: "SIGTERM mid-gather", expected: "answered whole, exit 0", need: all, run: func(g *gathering) {
 			g.fault(node.RowFault{After: 200, Stop: time.Hour}, 1)
-			r := g.ask(0, thePlan, 1, long)
+			r := g.ask(0, thePlan, long)
 			g.happens(1, stopped, 1)
 			g.must(g.Term(0))
 			g.until("it stops", func() bool { return strings.Contains(g.Proc(0).Log(), "stopping") })
@@ -374,18 +374,18 @@
 			g.must(g.Restart(g.ctx, 0))
 		}},
 		{fault: "the list changes shards", expected: "the next read is of the shards listed then", need: all, run: func(g *gathering) {
-			g.whole(g.wait(g.ask(0, thePlan, 1, long)), listed...)
+			g.whole(g.wait(g.ask(0, thePlan, long)), listed...)
 			g.must(g.Mark(6, "active"))
 			var a answer
 			g.until("the new shard is read", func() bool {
-				a = g.wait(g.ask(0, thePlan, 1, long))
+				a = g.wait(g.ask(0, thePlan, long))
 				return len(a.rows) > 3*rowsEach
 			})
 			g.whole(a, 0, 1, 2, 3)
 			g.must(g.Mark(0, "left"))
 			g.must(g.Mark(1, "left"))
 			g.until("the old shard is not", func() bool {
-				a = g.wait(g.ask(0, thePlan, 1, long))
+				a = g.wait(g.ask(0, thePlan, long))
 				return len(a.rows) == 3*rowsEach && a.result.Get("whole").Bool()
 			})
 			g.whole(a, 1, 2, 3)
@@ -394,7 +394,7 @@
 			missing := 0
 			var reads []*read
 			for n := range 12 { // as many as the daemons gather at once
-				reads = append(reads, g.ask(n%g.opt.Daemons, "small", 1, time.Second))
+				reads = append(reads, g.ask(n%g.opt.Daemons, "small", time.Second))
 			}
 			for _, r := range reads {
 				a := g.wait(r)
@@ -418,7 +418,7 @@
 				}
 				var reads []*read
 				for n := range 8 * g.opt.Daemons { // 13 units are its budget
-					reads = append(reads, g.ask(n%g.opt.Daemons, thePlan, 1, brief))
+					reads = append(reads, g.ask(n%g.opt.Daemons, thePlan, brief))
 				}
 				for _, r := range reads {
 					a := g.wait(r)
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -22,7 +22,7 @@
 // windows open, nothing waits and it serves in so many milliseconds, and that the list is of a far later version.
 func (w *sharing) lie(millis float64) {
 	w.t.Helper()
-	w.links(link.Both, link.Fault{Cut: true}, pairs...)
+	w.links(link.Fault{Cut: true}, pairs...)
 	w.happened(func(c link.Counts) int { return c.Cut }, pairs...)
 	stop, all := make(chan struct{}), &sync.WaitGroup{}
 	for k := range liars {
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/peers_test.go
@@ -154,10 +154,10 @@
 	return gjson.GetBytes(text, "plans.0")
 }
 
-func (w *sharing) links(d link.Direction, f link.Fault, pairs ...[2]int) {
+func (w *sharing) links(f link.Fault, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.must(w.PeerLink(p[0], p[1]).Set(d, f))
+		w.must(w.PeerLink(p[0], p[1]).Set(link.Both, f))
 	}
 }
 
@@ -204,7 +204,7 @@
 	}{
 		{fault: "halves cut apart and joined again", expected: "each its own picture; then one state, that of one merge of both", run: func(w *sharing) {
 			across := pairs[:2]
-			w.links(link.Both, link.Fault{Cut: true}, across...)
+			w.links(link.Fault{Cut: true}, across...)
 			w.happened(func(c link.Counts) int { return c.Cut }, across...)
 			w.counts("peers_members", func(i int, v float64) bool { return i == 0 && v == 1 || i > 0 && v == 2 })
 			w.serves(some)
@@ -218,7 +218,7 @@
 			}
 			a.close()
 			b.close()
-			w.links(link.Both, link.Fault{}, across...)
+			w.links(link.Fault{}, across...)
 			c := w.stranger("c", w.everyone()...)
 			w.learn(c, w.names()...)
 			for _, n := range w.names() {
@@ -259,7 +259,7 @@
 		}},
 		{fault: "messages lost, doubled, reordered, cut, of a later version", expected: "counted, and all alike", run: func(w *sharing) {
 			s := w.stranger("s", w.everyone()...)
-			w.links(link.Both, link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, pairs...)
+			w.links(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, pairs...)
 			w.happened(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, pairs...)
 			w.learn0(s)
 			good := s.all(w.t)[0]
--- a/internal/testkit/cluster/ports_test.go
+++ b/internal/testkit/cluster/ports_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(fd)
+	defer func() { _ = syscall.Close(fd) }()
 	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(a.IP.To4())}); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Error("bound: ", err)
 	}
--- a/internal/testkit/cluster/procs_test.go
+++ b/internal/testkit/cluster/procs_test.go
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		code = 1
 	}
-	os.RemoveAll(dir)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
--- a/internal/testkit/cluster/replace_test.go
+++ b/internal/testkit/cluster/replace_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -195,7 +196,7 @@
 			r.mu.Lock()
 			r.h.Answered = append(r.h.Answered, historycheck.Answered{ID: m.ID, At: r.Fleet.now(), End: historycheck.Whole})
 			r.mu.Unlock()
-			if n, err := nc.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+			if n, err := nc.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 				r.t.Errorf("%d bytes, %v", n, err)
 			}
 			r.must(r.now.End(r.ctx))
--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -173,7 +173,7 @@
 	return s
 }
 
-func encoded(f *Fleet, s *snapshot.Snapshot) []byte {
+func encoded(s *snapshot.Snapshot) []byte {
 	text, err := snapshot.Encode(s)
 	if err != nil {
 		panic(err) // it is this test's own
@@ -186,12 +186,12 @@
 	why  string
 	text func(f *Fleet) []byte
 }{
-	{"torn", func(f *Fleet) []byte { b := encoded(f, learned(f, 0, 1, 2, 3)); return b[:len(b)*2/3] }},
+	{"torn", func(f *Fleet) []byte { b := encoded(learned(f, 0, 1, 2, 3)); return b[:len(b)*2/3] }},
 	{"foreign", func(*Fleet) []byte { return []byte(`{"version":1,"nodes":[]}`) }},
 	{"old", func(f *Fleet) []byte {
 		s := learned(f, 0, 1, 2, 3)
 		s.Made = s.Made.Add(-time.Hour)
-		return encoded(f, s)
+		return encoded(s)
 	}},
 }
 
@@ -311,13 +311,13 @@
 			s.until("one of them serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
 		}},
 		{fault: "a node takes connections and answers none", expected: "ready, and connections ahead to the others, all the same", opt: Options{Known: true},
-			snap: func(f *Fleet, _ int) []byte { return encoded(f, learned(f, 1, 3)) }, ahead: true, before: func(s *starting) { s.must(s.Break(1, node.Hang)) },
+			snap: func(f *Fleet, _ int) []byte { return encoded(learned(f, 1, 3)) }, ahead: true, before: func(s *starting) { s.must(s.Break(1, node.Hang)) },
 			run: func(s *starting) {
 				s.each("it has connections ahead", func(i int) bool { return s.opened(i, 1) > 0 && s.opened(i, 3) > 0 })
 				s.each("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 			}},
 		{fault: "nodes restarted after the snapshot was made", expected: "connections ahead to the others alone; nothing learned of them is used",
-			snap: func(f *Fleet, _ int) []byte { return encoded(f, learned(f, 0, 2, 1, 3)) }, ahead: true, run: func(s *starting) {
+			snap: func(f *Fleet, _ int) []byte { return encoded(learned(f, 0, 2, 1, 3)) }, ahead: true, run: func(s *starting) {
 				s.each("it has connections ahead", func(i int) bool { return s.opened(i, 1) > 0 && s.opened(i, 3) > 0 })
 				soon := 0 // pairs whose turn came before the last of those that were opened
 				for i := range s.opt.Daemons {
@@ -394,14 +394,14 @@
 		{fault: "the peer hands over nonsense, and what nobody asked for", expected: "dropped and counted", unusable: 2, run: func(s *starting, p *stranger) {
 			p.give([]byte("nonsense"))
 			for _, n := range s.names() {
-				p.tell(n, tagGive, append(make([]byte, 8), encoded(s.Fleet, learned(s.Fleet, 0, 1, 2, 3))...))
+				p.tell(n, tagGive, append(make([]byte, 8), encoded(learned(s.Fleet, 0, 1, 2, 3))...))
 			}
 		}},
 		{fault: "the peer lies of cold nodes", expected: "taken; nobody takes a cold node for a warm one", taken: 1, run: func(s *starting, p *stranger) {
 			lies := learned(s.Fleet, 0, 2, 1, 3) // of the starts that the list will give
 			lies.Nodes = append(lies.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Latency: -1, BestLatencyPerUnit: -1, FailureRate: -1})
 			lies.Classes = []snapshot.ClassState{{Name: "read", Weight: 1e9, Slope: -1e9, Delay: -1}, {Name: "none"}}
-			p.give(encoded(s.Fleet, lies))
+			p.give(encoded(lies))
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
--- a/internal/testkit/cluster/tree_test.go
+++ b/internal/testkit/cluster/tree_test.go
@@ -98,7 +98,7 @@
 	for i := range opt.Daemons { // the root last: its peers have the list then
 		g.must(g.Wait(ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
 			if r := g.readAt(i, "read", thePlan, 8*time.Second); r.err != nil || !r.result.Get("whole").Bool() || !g.asked(shards) {
-				return fmt.Errorf("%v, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
+				return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
 			}
 			return nil
 		}))
@@ -120,7 +120,7 @@
 
 func (g *grove) readAt(i int, class, plan string, patience time.Duration) (r gathered) {
 	f := g.Fleet
-	taken, text := f.gathered(i, class, plan, 1, patience)
+	taken, text := f.gathered(i, class, plan, patience)
 	defer func() {
 		end := historycheck.Whole
 		if r.err != nil {
@@ -277,7 +277,7 @@
 	} {
 		t.Run(x.fault, func(t *testing.T) {
 			t.Parallel()
-			treeRow(t, func() {
+			treeRow(func() {
 				long := patience
 				if x.patience > 0 {
 					long = x.patience
@@ -325,7 +325,7 @@
 // Where the processes know who is alive, one that leaves is left out before anybody has asked it, and one that comes is asked.
 func TestTreeOverMembers(t *testing.T) {
 	t.Parallel()
-	treeRow(t, func() {
+	treeRow(func() {
 		const patience = 8 * time.Second
 		g := plantGrove(t, 12, 50, `{"least_parts":4,"rest_ms":60000,"rest_most_ms":60000}`, "", true)
 		members := func(n float64) {
@@ -360,7 +360,7 @@
 	})
 }
 
-func treeRow(t *testing.T, run func()) {
+func treeRow(run func()) {
 	rows <- struct{}{}
 	defer func() { <-rows }()
 	run()
@@ -386,7 +386,7 @@
 // What is not handed on: a class that is not safe to repeat, a plan with a limit, a read of few parts.
 func TestNotHandedOn(t *testing.T) {
 	t.Parallel()
-	treeRow(t, func() {
+	treeRow(func() {
 		g := plantGrove(t, 6, 50, `{"least_parts":4}`, "")
 		for _, c := range []struct {
 			class, plan string
--- a/internal/testkit/exampleconfig/example_test.go
+++ b/internal/testkit/exampleconfig/example_test.go
@@ -22,7 +22,7 @@
 // those of several words, which no sentence has by accident, and the sites' own anywhere.
 func addVariants(t *testing.T, w *sourcelint.Words) {
 	t.Helper()
-	paths, err := filepath.Glob(filepath.Join(root, "deploy/sites/*/config.json"))
+	paths, err := filepath.Glob(filepath.Join(root, "deploy", "sites", "*", "config.json"))
 	if err != nil || len(paths) < variantsLeast {
 		t.Fatalf("%d variants, %v", len(paths), err)
 	}
@@ -51,7 +51,7 @@
 // The deploy file names no deployment either.
 func TestDeployFileNamesNoDeployment(t *testing.T) {
 	w := words(t)
-	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
+	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	faults := append([]node.Fault{node.None}, node.Faults()...)
 	got := map[scenario]*outcome{}
 	for round := range opt.Rounds {
@@ -278,7 +278,7 @@
 	var wg sync.WaitGroup
 	start := time.Now()
 	end := quiet + opt.For
-	on, first := false, 0
+	on := false
 	before, settled := 0, -1
 	for n, at := 0, time.Duration(0); at < end; n++ {
 		at += time.Duration(rng.ExpFloat64() / (opt.Rate * (1 + otherShare)) * float64(time.Second))
@@ -289,7 +289,7 @@
 		case <-time.After(time.Until(due)):
 		}
 		if at >= quiet && !on {
-			on, first = true, n
+			on = true
 			before = r.accepted()
 			if err := r.nodes[0].Set(r.at[0], sc.fault); err != nil {
 				return nil, err
@@ -327,7 +327,7 @@
 	all := r.accepted()
 	o.connects, o.later = all-before, all-max(settled, before)
 	wg.Wait()
-	r.runs(o, first)
+	r.runs(o)
 	return o, nil
 }
 
@@ -350,7 +350,7 @@
 }
 
 // runs counts executions at the node at fault.
-func (r *rig) runs(o *outcome, first int) {
+func (r *rig) runs(o *outcome) {
 	r.nodes[0].Each(func(id string, all []node.Arrival) {
 		at := strings.LastIndexByte(id, '-')
 		t := o.classes[id[:at]]
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -55,8 +55,8 @@
 	return all
 }
 
-// real is one start of a fleet of processes.
-type real struct {
+// realRun is one start of a fleet of processes.
+type realRun struct {
 	opt    RealOptions
 	sc     Scenario
 	mode   Mode
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	if opt.Daemon == "" {
 		if opt.Daemon, err = cluster.Build(ctx, dir); err != nil {
 			return nil, err
@@ -172,8 +172,8 @@
 		"extra": map[string]any{"usual-units": set.MeanUnits, "largest": set.MaxUnits, "young-limit": set.SlowStartUnits, "slots-total": nodes}}
 }
 
-func newReal(ctx context.Context, opt RealOptions, sc Scenario, mode Mode, kept [][]byte) (*real, error) {
-	w := &real{opt: opt, sc: sc, mode: mode, kept: kept, stop: make(chan struct{}), hosts: make([]realHost, opt.Hosts),
+func newReal(ctx context.Context, opt RealOptions, sc Scenario, mode Mode, kept [][]byte) (*realRun, error) {
+	w := &realRun{opt: opt, sc: sc, mode: mode, kept: kept, stop: make(chan struct{}), hosts: make([]realHost, opt.Hosts),
 		nodes: make([]realNode, opt.Nodes), of: make([][]int, opt.Hosts)}
 	draw := rand.New(rand.NewPCG(uint64(opt.Seed), 1))
 	for i := range opt.Hosts * 2 {
@@ -208,7 +208,7 @@
 }
 
 // site writes a daemon's site file and its snapshot, and gives its arguments.
-func (w *real) site(f *cluster.Fleet, i int) []string {
+func (w *realRun) site(f *cluster.Fleet, i int) []string {
 	if w.mode == Today {
 		return nil
 	}
@@ -226,7 +226,7 @@
 	return []string{"--site", file}
 }
 
-func (w *real) snapshot(f *cluster.Fleet, i int) string { return filepath.Join(f.Dir(i), "learned") }
+func (w *realRun) snapshot(f *cluster.Fleet, i int) string { return filepath.Join(f.Dir(i), "learned") }
 
 // must is for files in a directory that was just made.
 func must(err error) {
@@ -236,7 +236,7 @@
 }
 
 // said hears that a process serves its clients' socket.
-func (w *real) said(i int, line []byte) {
+func (w *realRun) said(i int, line []byte) {
 	if !bytes.Contains(line, []byte("msg=serving")) {
 		return
 	}
@@ -248,7 +248,7 @@
 }
 
 // saw counts what a node meets.
-func (w *real) saw(j int, s standin.Saw) {
+func (w *realRun) saw(j int, s standin.Saw) {
 	now := time.Now()
 	w.mu.Lock()
 	n := &w.nodes[j]
@@ -272,7 +272,7 @@
 }
 
 // launch starts a process.
-func (w *real) launch(i int) error {
+func (w *realRun) launch(i int) error {
 	w.mu.Lock()
 	h := &w.hosts[i]
 	h.exec, h.listens, h.down, h.life = time.Now(), time.Time{}, false, h.life+1
@@ -281,7 +281,7 @@
 }
 
 // launchAll starts processes within a span, in an order and at times that the seed gives, and waits until all listen.
-func (w *real) launchAll(ctx context.Context, which []int, within time.Duration) error {
+func (w *realRun) launchAll(ctx context.Context, which []int, within time.Duration) error {
 	draw := rand.New(rand.NewPCG(uint64(w.opt.Seed), 2))
 	begin := time.Now()
 	at := make([]time.Duration, len(which))
@@ -316,7 +316,7 @@
 }
 
 // pick are the hosts for which a condition holds.
-func (w *real) pick(cond func(i int) bool) (all []int) {
+func (w *realRun) pick(cond func(i int) bool) (all []int) {
 	for i := range w.hosts {
 		if cond(i) {
 			all = append(all, i)
@@ -326,7 +326,7 @@
 }
 
 // play is the start of the fleet.
-func (w *real) play(ctx context.Context) error {
+func (w *realRun) play(ctx context.Context) error {
 	stay := w.pick(func(i int) bool { return i%10 >= w.sc.Killed })
 	go0 := w.pick(func(i int) bool { return i%10 < w.sc.Killed })
 	if len(stay) > 0 {
@@ -405,7 +405,7 @@
 }
 
 // fail does what the scenario does to nodes and list.
-func (w *real) fail() error {
+func (w *realRun) fail() error {
 	for j := range w.nodes {
 		if w.sc.ColdNodes > 0 && j%w.sc.ColdNodes == 0 {
 			w.f.Node(j).Chill()
@@ -430,7 +430,7 @@
 	return nil
 }
 
-func (w *real) lists(f cluster.ListFault) error {
+func (w *realRun) lists(f cluster.ListFault) error {
 	for i := range w.hosts {
 		if err := w.f.SetList(i, f); err != nil {
 			return err
@@ -440,7 +440,7 @@
 }
 
 // begin has all figures count from now; the clocks of the processes that stay too.
-func (w *real) begin(stay []int) {
+func (w *realRun) begin(stay []int) {
 	w.f.CallsFrom()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -452,7 +452,7 @@
 	w.row = RealRow{}
 }
 
-func (w *real) allServe(which []int) error {
+func (w *realRun) allServe(which []int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, i := range which {
@@ -464,7 +464,7 @@
 }
 
 // close ends all of it; the clients have ended, or end now.
-func (w *real) close() {
+func (w *realRun) close() {
 	select {
 	case <-w.stop:
 	default:
@@ -505,7 +505,7 @@
 }
 
 // clients ask the hosts at the rate, each by its own clock, whatever comes of it.
-func (w *real) clients(which []int) {
+func (w *realRun) clients(which []int) {
 	for _, i := range which {
 		pool := &client.Pool{Address: w.f.Front(i), Most: clientConns}
 		w.load.Go(func() {
@@ -536,7 +536,7 @@
 }
 
 // ask is one client: it comes again when it is told to, and where nobody listens, for a while.
-func (w *real) ask(pool *client.Pool, i int, m client.Message, id string, jitter float64) {
+func (w *realRun) ask(pool *client.Pool, i int, m client.Message, id string, jitter float64) {
 	first := time.Now()
 	for try := 0; time.Since(first) < span(patience); try++ {
 		m.ID, m.Retry = fmt.Sprint(id, "-", try), try > 0
@@ -562,7 +562,7 @@
 }
 
 // book counts an end, by the clock of its process.
-func (w *real) book(i, life int, a client.Answer) {
+func (w *realRun) book(i, life int, a client.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := &w.hosts[i]
--- a/internal/testkit/experiment/coldstart/realreport.go
+++ b/internal/testkit/experiment/coldstart/realreport.go
@@ -40,7 +40,7 @@
 }
 
 // result makes the figures.
-func (w *real) result() RealRow {
+func (w *realRun) result() RealRow {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.row
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -183,7 +183,7 @@
 }
 
 // close makes the figures; hosts that were not killed count as serving from the start.
-func (r *Result) close(w *world) *Result {
+func (r *Result) close() *Result {
 	all := slices.Clone(r.served)
 	for i := range all {
 		if all[i] == 0 {
--- a/internal/testkit/experiment/coldstart/world.go
+++ b/internal/testkit/experiment/coldstart/world.go
@@ -382,5 +382,5 @@
 		w.now = d.at
 		d.do()
 	}
-	return w.res.close(w)
+	return w.res.close()
 }
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -33,14 +33,14 @@
 }
 
 const (
-	warm     = 10 * time.Second // before the first decision
-	every    = 100.0            // ms between decisions
-	settle   = 5000.0           // ms within which the order must be right again
-	deadline = 150 * time.Millisecond
-	repeats  = 80 // plays of a plan, for its cost in hindsight
-	offered  = 4
-	slowNode = 3 * 2 // of the fastest kind: it has the longest way to the end of the order
-	clear    = 1.25  // an order counts where the nodes differ by so much in truth
+	warm       = 10 * time.Second // before the first decision
+	every      = 100.0            // ms between decisions
+	settle     = 5000.0           // ms within which the order must be right again
+	deadline   = 150 * time.Millisecond
+	repeats    = 80 // plays of a plan, for its cost in hindsight
+	offered    = 4
+	slowNode   = 3 * 2 // of the fastest kind: it has the longest way to the end of the order
+	clearRatio = 1.25  // an order counts where the nodes differ by so much in truth
 )
 
 // The bounds of the issue.
@@ -216,7 +216,7 @@
 		held, _ := e.Node(nodeName(slowNode), class, units)
 		for n := range w.nodes {
 			v, _ := e.Node(nodeName(n), class, units)
-			if truth := w.nodes[n].mean(units); truth*clear < slow && v >= held || truth > clear*slow && v <= held {
+			if truth := w.nodes[n].mean(units); truth*clearRatio < slow && v >= held || truth > clearRatio*slow && v <= held {
 				return true
 			}
 		}
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -32,7 +32,7 @@
 	s := w.slowNode()
 	slow, at := w.meanServiceTime(s, units), held[nodeName(s)]
 	for n := range w.nodes {
-		if truth, v := w.meanServiceTime(n, units), held[nodeName(n)]; truth*clear < slow && v >= at || truth > clear*slow && v <= at {
+		if truth, v := w.meanServiceTime(n, units), held[nodeName(n)]; truth*clearRatio < slow && v >= at || truth > clearRatio*slow && v <= at {
 			return true, nil
 		}
 	}
--- a/internal/testkit/experiment/gathers/client.go
+++ b/internal/testkit/experiment/gathers/client.go
@@ -89,7 +89,8 @@
 		}
 	}
 	if a.code != http.StatusOK {
-		return a, t, a.result(string(text))
+		err := a.result(string(text))
+		return a, t, err
 	}
 	if !errors.Is(err, io.EOF) {
 		text = text[:bytes.LastIndexByte(text, '\n')+1]
@@ -100,7 +101,8 @@
 	if !errors.Is(err, io.EOF) {
 		return a, t, err
 	}
-	return a, t, a.result(resp.Trailer.Get("X-Gather-Result"))
+	err = a.result(resp.Trailer.Get("X-Gather-Result"))
+	return a, t, err
 }
 
 // result reads the trailer.
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -90,13 +90,14 @@
 			if two[i].nodes[j] != x {
 				t.Fatal("another draw")
 			}
-			if x.Late > 0 {
+			switch {
+			case x.Late > 0:
 				f.Late++
-			} else if x.Stop > 0 {
+			case x.Stop > 0:
 				f.Stopped++
-			} else if x.Cut {
+			case x.Cut:
 				f.Cut++
-			} else if x.Never {
+			case x.Never:
 				f.Never++
 			}
 		}
@@ -104,11 +105,12 @@
 			if two[i].links[to] != x {
 				t.Fatal("another draw")
 			}
-			if x.Silent {
+			switch {
+			case x.Silent:
 				f.Silenced++
-			} else if x.ResetAfter > 0 {
+			case x.ResetAfter > 0:
 				f.Reset++
-			} else {
+			default:
 				f.Delayed++
 			}
 		}
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -139,7 +139,7 @@
 }
 
 // take counts a request that has ended.
-func (r *Results) take(q *workload.Request, a *client.Answer, due, start time.Time, tries int) {
+func (r *Results) take(q *workload.Request, a *client.Answer, due time.Time, tries int) {
 	c := &r.Shape.Classes[q.Class]
 	latency := a.Ended.Sub(due)
 	inAim := a.Outcome == client.Served && float64(latency) <= c.Aim*float64(time.Millisecond)
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -154,7 +154,7 @@
 		r.placed.Store(q.Extent, shardOf(a.Body))
 	}
 	r.mu.Lock()
-	r.res.take(q, &a, due, r.start, tries)
+	r.res.take(q, &a, due, tries)
 	r.mu.Unlock()
 }
 
--- a/internal/testkit/fake/discovery/discovery_test.go
+++ b/internal/testkit/fake/discovery/discovery_test.go
@@ -158,7 +158,7 @@
 
 // watch opens one; next reads its next line, passing over empty ones.
 func (r *rig) watch(name string, after int64) (next func() (List, error)) {
-	resp, err := r.open(name, fmt.Sprintf("?watch=1&after=%d", after))
+	resp, err := r.open(name, fmt.Sprintf("?watch=1&after=%d", after)) //nolint:bodyclose // it stays open until the service closes it
 	if err != nil {
 		return func() (List, error) { return List{}, err }
 	}
@@ -182,6 +182,7 @@
 	if err != nil {
 		return l, 0, err
 	}
+	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode == http.StatusOK {
 		err = json.Unmarshal(text, &l)
@@ -279,7 +280,7 @@
 	}
 	for _, f := range []Fault{{Down: true}, {Silent: true}, {Silent: true, Refuse: true}, {Silent: true, Lost: true}, {Silent: true, Answers: true}} {
 		r, x, y := push(t)
-		r.s.Set(f, "x")
+		_ = r.s.Set(f, "x")
 		r.until("silence", "x", func(c Counts) bool { return c.Downs+c.Silences == 1 })
 		lines := r.s.Counts("x").Lines
 		r.s.Put(node("a", Leaving))
@@ -292,12 +293,12 @@
 			go func() { _, _, err := r.get("x", ""); came <- err }()
 			r.until("a call in silence", "x", func(c Counts) bool { return c.Downs+c.Silences == 2 })
 			if f.Lost {
-				r.s.Up("x")
+				_ = r.s.Up("x")
 				r.s.Put(node("b", Leaving))
 				fine(r, y)
 				r.s.Reset("x") // or they would wait for good
 			} else {
-				r.s.Up("x")
+				_ = r.s.Up("x")
 			}
 			if err := <-came; (err != nil) != f.Lost {
 				t.Errorf("%+v: the call in silence ended by %v", f, err)
@@ -306,7 +307,7 @@
 		if n := r.s.Counts("x").Lines; (f.Lost || f.Answers) && n != lines {
 			t.Errorf("%+v: %d lines in silence", f, n-lines)
 		}
-		r.s.Up()
+		_ = r.s.Up()
 		if l, err := x(); !f.Lost {
 			r.want("what was missed", l, err, 4, false, 1)
 		} else if !errors.Is(err, syscall.ECONNRESET) || r.s.Counts("x").Resets != 2 {
@@ -314,7 +315,7 @@
 		}
 	}
 	r, x, y := push(t)
-	r.s.Late(150*time.Millisecond, "x")
+	_ = r.s.Late(150*time.Millisecond, "x")
 	at := time.Now()
 	r.s.Put(node("a", Leaving))
 	fine(r, y)
@@ -323,7 +324,7 @@
 	if time.Since(at) < 150*time.Millisecond || r.s.Counts("x").Lates != 1 || r.s.Counts("y").Lates != 0 {
 		t.Errorf("after %v: %+v", time.Since(at), r.s.Counts("x"))
 	}
-	r.s.Up()
+	_ = r.s.Up()
 
 	r.s.OldList(2, "x")
 	l, err = x()
@@ -347,7 +348,7 @@
 		t.Errorf("cut: %v", err)
 	}
 
-	r.s.Refuse("x")
+	_ = r.s.Refuse("x")
 	if _, status, _ := r.get("x", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("refused: %d", status)
 	}
@@ -369,7 +370,7 @@
 	}
 
 	r = newRig(t, Options{Mode: Poll})
-	r.s.Down("x")
+	_ = r.s.Down("x")
 	if _, _, err = r.get("x", ""); err == nil || r.s.Counts("x").Downs != 1 {
 		t.Errorf("down: %v %+v", err, r.s.Counts("x"))
 	}
@@ -405,7 +406,7 @@
 		if l, _, err := r.get("x", ""); err != nil || l.Index != 4 {
 			t.Errorf("%+v: when it is over: %+v %v", f, l, err)
 		}
-		r.s.Set(Fault{Shut: true})
+		_ = r.s.Set(Fault{Shut: true})
 		if nc, err := net.Dial("tcp", r.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("all are shut, and one is not: %v %v", nc, err)
 		}
@@ -422,7 +423,7 @@
 	r := newRig(t, Options{Mode: Poll, Capacity: 2, Patience: time.Millisecond, Queue: 2})
 	var wg sync.WaitGroup
 	for i := range 8 {
-		wg.Go(func() { r.get(fmt.Sprint(i%2), "") })
+		wg.Go(func() { _, _, _ = r.get(fmt.Sprint(i%2), "") })
 	}
 	wg.Wait()
 	c := r.s.Counts()
@@ -440,7 +441,7 @@
 	}
 	both := []*rig{newRig(t, Options{Mode: Poll, Shared: one}), newRig(t, Options{Mode: Poll, Shared: one})}
 	for i := range 8 {
-		wg.Go(func() { both[i%2].get("x", "") })
+		wg.Go(func() { _, _, _ = both[i%2].get("x", "") })
 	}
 	wg.Wait()
 	a, b := both[0].s.Counts(), both[1].s.Counts()
@@ -455,13 +456,15 @@
 	for i := range 10 {
 		r.s.Put(node(fmt.Sprint(i), Active))
 	}
-	r.get("x", "")
+	_, _, _ = r.get("x", "")
 	if told := r.s.Told("x"); len(told) != 2 || told[1].Entry.Name != "9" || r.s.Counts("x").Forgotten != 8 {
 		t.Errorf("%+v", told)
 	}
-	r.s.AddrFor("y")
+	_, _ = r.s.AddrFor("y")
 	_, many := r.s.AddrFor("z")
-	http.Get("http://" + r.s.Addr() + Path)
+	if resp, err := http.Get("http://" + r.s.Addr() + Path); err == nil {
+		resp.Body.Close()
+	}
 	if names := strings.Join(r.s.Callers(), " "); names != "others x y" || r.s.Counts(Others).Calls != 1 {
 		t.Error(names)
 	}
@@ -470,7 +473,7 @@
 	_, bad := New(Options{Queue: -1})
 	var all []operr.Coded
 	for _, err := range []error{many, closed, bad} {
-		if c, ok := err.(operr.Coded); ok {
+		if c := operr.Coded(nil); errors.As(err, &c) {
 			all = append(all, c)
 		}
 	}
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -271,8 +271,7 @@
 	s.mu.Unlock()
 	for _, c := range list {
 		c.writing.Lock()
-		//lint:ignore SA2001 a writer records what it wrote before it unlocks: nothing is left to do here
-		c.writing.Unlock()
+		c.writing.Unlock() //nolint:staticcheck,gocritic // SA2001, badLock: waits until a writer has recorded what it wrote
 	}
 	return list
 }
--- a/internal/testkit/fake/link/gate.go
+++ b/internal/testkit/fake/link/gate.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	var in error
-	if err = raw.Control(func(fd uintptr) { in = syscall.Listen(int(fd), n) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { in = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
 	return in
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	for sc := bufio.NewScanner(f); sc.Scan(); {
 		w := strings.Fields(sc.Text())
 		if len(w) < 10 || w[column] != text || w[3] != state {
--- a/internal/testkit/fake/link/link_test.go
+++ b/internal/testkit/fake/link/link_test.go
@@ -95,7 +95,7 @@
 	big := bytes.Repeat([]byte("0123456789abcdef"), 4096)
 	whole := func(t *testing.T, p *pair, least time.Duration) {
 		start := time.Now()
-		go p.near.Write(big)
+		go func() { _, _ = p.near.Write(big) }()
 		b := make([]byte, len(big))
 		if _, err := io.ReadFull(p.far, b); err != nil || !bytes.Equal(b, big) {
 			t.Errorf("not whole or not in order: %v", err)
@@ -111,7 +111,7 @@
 		sees  func(*testing.T, *pair)
 	}{
 		{"silent", Fault{Silent: true}, func(c Counts) int { return c.Silenced }, func(t *testing.T, p *pair) {
-			io.WriteString(p.near, "held")
+			_, _ = io.WriteString(p.near, "held")
 			until(t, "nothing was held", func() bool { return p.l.Counts(Forward).Silenced > 0 })
 			passes(t, p.far, p.near, "back") // the other way is open
 			p.set(t, Forward, Fault{})
@@ -126,21 +126,21 @@
 		{"loss", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, p *pair) { whole(t, p, again) }},
 		{"trickle", Fault{Trickle: 500000}, func(c Counts) int { return c.Trickled }, func(t *testing.T, p *pair) { whole(t, p, 100*time.Millisecond) }},
 		{"reset", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, p *pair) {
-			go p.near.Write(big)
+			go func() { _, _ = p.near.Write(big) }()
 			if n, err := io.Copy(io.Discard, p.far); n > 10 || !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("%d bytes, %v", n, err)
 			}
 			until(t, "its sender does not see it", func() bool { _, err := p.near.Write([]byte("x")); return err != nil })
 		}},
 		{"cut one way", Fault{Cut: true}, func(c Counts) int { return c.Cut }, func(t *testing.T, p *pair) {
-			io.WriteString(p.near, "x")
+			_, _ = io.WriteString(p.near, "x")
 			if b, err := io.ReadAll(p.far); len(b) > 0 || err != nil {
 				t.Errorf("%q %v", b, err)
 			}
 			passes(t, p.far, p.near, "back")
 		}},
 		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.Half }, func(t *testing.T, p *pair) {
-			io.WriteString(p.near, "x")
+			_, _ = io.WriteString(p.near, "x")
 			if _, err := io.ReadAll(p.far); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("receiver: %v", err)
 			}
@@ -253,11 +253,11 @@
 		defer l.Close()
 		there, _ := net.ResolveUDPAddr("udp", l.Addr())
 		back, _ := net.ResolveUDPAddr("udp", l.Back())
-		send := func(from *net.UDPConn, to net.Addr, n byte) { from.WriteTo([]byte{n}, to) }
+		send := func(from *net.UDPConn, to net.Addr, n byte) { _, _ = from.WriteTo([]byte{n}, to) }
 		read := func(at *net.UDPConn, from string) byte {
 			t.Helper()
 			x := make([]byte, 8)
-			at.SetReadDeadline(time.Now().Add(patient))
+			_ = at.SetReadDeadline(time.Now().Add(patient))
 			n, sender, err := at.ReadFrom(x)
 			if err != nil || n != 1 || sender.String() != from {
 				t.Fatalf("%d bytes from %v: %v", n, sender, err)
--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -245,7 +245,7 @@
 	for range fillMost {
 		nc, err := net.DialTimeout(network, text, fillWait)
 		if err != nil {
-			return b, nil // full
+			return b, nil //nolint:nilerr // the queue is full, as wanted
 		}
 		b.held = append(b.held, nc)
 	}
--- a/internal/testkit/fake/node/node_test.go
+++ b/internal/testkit/fake/node/node_test.go
@@ -28,7 +28,8 @@
 	fmt.Fprintf(nc, "PUT /new-record/x?shard=%d HTTP/1.1\r\nHost: n\r\nX-Request-Id: %s\r\nIdempotency-Key: %s\r\nX-Deadline-Ms: 1000\r\nContent-Length: 1\r\n\r\nx",
 		shard, id, key)
 	r := &fasthttp.Response{}
-	return r, r.Read(bufio.NewReader(nc))
+	err = r.Read(bufio.NewReader(nc))
+	return r, err
 }
 
 func three(t *testing.T, n *Node) (all []address.Addr) {
--- a/internal/testkit/fake/node/rows.go
+++ b/internal/testkit/fake/node/rows.go
@@ -279,17 +279,17 @@
 		}
 	}
 	w := bufio.NewWriterSize(l.nc, 16<<10)
-	w.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n")
+	_, _ = w.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n")
 	if limited {
-		w.WriteString(headLimited + ": 1\r\n")
+		_, _ = w.WriteString(headLimited + ": 1\r\n")
 	}
 	if h := n.opt.Identity; h != "" && name != "" {
 		fmt.Fprintf(w, "%s: %s\r\n", h, name)
 	}
 	if last {
-		w.WriteString("Connection: close\r\n")
+		_, _ = w.WriteString("Connection: close\r\n")
 	}
-	w.WriteString("\r\n")
+	_, _ = w.WriteString("\r\n")
 	step := n.opt.Rows.Piece
 	if step == 0 {
 		step = 64
@@ -356,7 +356,7 @@
 			time.Sleep(gap)
 		}
 	}
-	w.WriteString("0\r\n\r\n")
+	_, _ = w.WriteString("0\r\n\r\n")
 	if limited { // before the asker can know of it
 		n.count(id, RowCounts{Limited: 1})
 	} else {
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -101,7 +101,8 @@
 			return f, err
 		}
 	}
-	return f, f.ready(ctx)
+	err = f.ready(ctx)
+	return f, err
 }
 
 // scheduler starts one daemon. Its discovery is nobody: the list it starts with is what there is.
--- a/internal/testkit/workload/shape.go
+++ b/internal/testkit/workload/shape.go
@@ -108,7 +108,8 @@
 	if err := d.Decode(&s); err != nil {
 		return s, fmt.Errorf("shape: %w", err)
 	}
-	return s, s.Check()
+	err := s.Check()
+	return s, err
 }
 
 // Check names the first key that is out of bounds.
