--- a/internal/testkit/cluster/procs_test.go
+++ b/internal/testkit/cluster/procs_test.go
@@ -41,6 +41,9 @@
 		code = 1
 	}
 	_ = os.RemoveAll(dir)
+	if previousDir != "" {
+		_ = os.RemoveAll(previousDir)
+	}
 	os.Exit(code)
 }
 
--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -121,8 +121,8 @@
 }
 
 // traffic is as of other worlds, to daemons that listen.
-func (s *starting) traffic(clients int, gap time.Duration) {
-	s.stop = s.Run(s.ctx, Load{Clients: clients, Gap: gap, Ask: usual, Skip: func(i int) bool { return !s.listens(i) }})
+func (s *starting) traffic(gap time.Duration) {
+	s.stop = s.Run(s.ctx, Load{Clients: 3, Gap: gap, Ask: usual, Skip: func(i int) bool { return !s.listens(i) }})
 }
 
 // heavy is more than the nodes can do.
@@ -367,7 +367,7 @@
 			}
 			s.launch(s.everyone()...)
 			if !x.ahead {
-				s.traffic(3, 30*time.Millisecond)
+				s.traffic(30*time.Millisecond)
 			}
 			x.run(s)
 			s.finish()
@@ -428,7 +428,7 @@
 func TestStartsFromOneOfTwo(t *testing.T) {
 	s := starts(t, Options{Known: true}, nil, nil, true)
 	s.launch(s.everyone()...)
-	s.traffic(3, 30*time.Millisecond)
+	s.traffic(30*time.Millisecond)
 	file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
 	s.each("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 	s.kill(0)
@@ -449,7 +449,7 @@
 func (s *starting) finish() {
 	s.t.Helper()
 	if s.stop == nil {
-		s.traffic(3, 30*time.Millisecond)
+		s.traffic(30*time.Millisecond)
 	}
 	s.serves(some)
 	s.each("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
