--- a/internal/testkit/cluster/start_test.go
+++ b/internal/testkit/cluster/start_test.go
@@ -121,8 +121,8 @@
 }
 
 // traffic is as of other worlds, to daemons that listen.
-func (s *starting) traffic(gap time.Duration) {
-	s.stop = s.Run(s.ctx, Load{Clients: 3, Gap: gap, Ask: usual, Skip: func(i int) bool { return !s.listens(i) }})
+func (s *starting) traffic() {
+	s.stop = s.Run(s.ctx, Load{Clients: 3, Gap: 30 * time.Millisecond, Ask: usual, Skip: func(i int) bool { return !s.listens(i) }})
 }
 
 // heavy is more than the nodes can do.
