--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -34,12 +34,12 @@
 	at.blocks = dialer
 	at.apply()
 	set := iscsi.Settings(conf.Settings, mapping)
-	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, Connect: dialer.Connect, Log: log})
+	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.Connect, Log: log})
 	if err != nil {
 		return nil, config.Refused(err)
 	}
-	dialer.Report(co.List)
-	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: iscsi.Nodes(mapping)})
+	dialer.Report(co.UpdateList)
+	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: iscsi.Nodes(mapping)})
 	ln, err := transport.ListenTCP(mapping.Listen)
 	if err != nil {
 		co.Stop()
@@ -76,7 +76,7 @@
 		return
 	}
 	f.dialer.Update(mapping)
-	f.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
+	f.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
 }
 
 // shutdown ends the sessions by the end of ctx.
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -32,7 +32,7 @@
 	call := estimates(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	admin := &admin.AdminEndpoint{Estimate: call, Log: log}
+	admin := &admin.Endpoint{Estimate: call, Log: log}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gathered.go
@@ -107,7 +107,7 @@
 }
 
 // count registers the counts of gathered reads.
-func (g *gatherer) count(m *metrics.Meter) {
+func (g *gatherer) count(m *metrics.Registry) {
 	m.Gauge(func() float64 { return float64(g.reads.In()) }, "gather_reads")
 	gauges(m, g.tally.Counts, map[string]func(scattergather.TreeCounts) int{
 		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -114,7 +114,7 @@
 }
 
 // count registers the counts of what is shared.
-func (f *fleet) count(m *metrics.Meter) {
+func (f *fleet) count(m *metrics.Registry) {
 	if f == nil {
 		return
 	}
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -100,12 +100,12 @@
 	co, err := core.New(core.Options{Settings: policy.Settings{Schedulers: 1, MeanUnits: 1, MaxUnits: 1, MaxAttempts: 1, SlowStartUnits: 1, OverloadWindow: 1, OverloadMultiple: 1,
 		SlowStartShare: 0.5, SlowStartDuration: 1, Classes: []policy.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, PriorityWeight: 1}},
 		Plans: []policy.Plan{{Name: "p", Rate: 1, ReservedRate: 1, Weight: 1, Price: 1}}}, Log: log,
-		Connect: func(string, []address.Addr) core.NodeClient { return none{} }})
+		NewNodeClient: func(string, []address.Addr) core.NodeClient { return none{} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(co.Stop)
-	co.List(news)
+	co.UpdateList(news)
 	a.setCore(co)
 	a.takeNews(news)
 	tell := a.observe()
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -191,9 +191,9 @@
 	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
 	s.fleet.setCore(s.core)
 	if !s.starter.run(s.core) {
-		s.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes})
+		s.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes})
 	}
-	s.fleet.takeNews(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes, Index: s.known.Index})
+	s.fleet.takeNews(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes, Index: s.known.Version})
 	s.onClose(s.starter.stop) // before the core's: it asks the core for a last snapshot
 	s.starter.askPeers(s.fleet)
 	return nil
@@ -210,13 +210,13 @@
 		Log:            s.log,
 	}
 	return core.Options{
-		Settings: s.starter.settings(s.conf.Settings),
-		Seed:     s.conf.Seed,
-		Connect:  dialer.Connect,
-		Log:      s.log,
-		Excluded: excluded,
-		Observe:  s.fleet.observe(),
-		Start:    s.starter.gate(),
+		Settings:       s.starter.settings(s.conf.Settings),
+		Seed:           s.conf.Seed,
+		NewNodeClient:  dialer.Connect,
+		Log:            s.log,
+		Excluded:       excluded,
+		OnAttemptEnded: s.fleet.observe(),
+		StartLimiter:   s.starter.gate(),
 	}
 }
 
@@ -228,12 +228,12 @@
 	s.listAsked = time.Now()
 	s.watcher = &discovery.Watcher{
 		Address:     s.conf.Discovery,
-		Index:       s.known.Index,
-		Known:       s.known.Nodes,
-		OnNews:      s.takeNews,
+		Version:     s.known.Version,
+		CachedNodes: s.known.Nodes,
+		OnUpdate:    s.takeNews,
 		Log:         s.log,
-		Clock:       listClock(s.conf),
-		Pace:        s.starter.pace(),
+		Timer:       listClock(s.conf),
+		Pacer:       s.starter.pace(),
 		OnUnchanged: s.starter.quiet,
 	}
 	go s.watcher.Run(ctx)
@@ -244,7 +244,7 @@
 // takeNews passes the watcher's news of the node list on. It returns once the core has them.
 func (s *service) takeNews(news core.ListUpdate) {
 	if !s.starter.list(news) {
-		s.core.List(news)
+		s.core.UpdateList(news)
 	}
 	s.fleet.takeNews(news)
 	if news.Kind == policy.ListReceived || news.Kind == policy.ListChanged {
@@ -260,10 +260,10 @@
 
 // openAdmin starts the admin endpoint, if the configuration names its address.
 func (s *service) openAdmin() error {
-	admin := &admin.AdminEndpoint{
+	admin := &admin.Endpoint{
 		Estimate: estimates(s.site.held.Estimate, s.conf, s.fleet.views()),
 		Ready:    s.ready,
-		Counts:   s.core.Counts().Read,
+		Counters: s.core.Counters().Snapshot,
 		Log:      s.log,
 		Exclude:  s.exclusions.exclude,
 		Include:  s.exclusions.include,
@@ -280,7 +280,7 @@
 	return nil
 }
 
-func (s *service) serveAdmin(admin *admin.AdminEndpoint, ln net.Listener) {
+func (s *service) serveAdmin(admin *admin.Endpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
 		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
@@ -323,8 +323,8 @@
 	for current := s.conf; ; {
 		select {
 		case <-s.hangup:
-			next, taken := reload(s.ctx, current, os.Getenv, s.watcher.Move, s.log, retune)
-			s.core.Counts().CountReload(taken)
+			next, taken := reload(s.ctx, current, os.Getenv, s.watcher.SetAddress, s.log, retune)
+			s.core.Counters().CountReload(taken)
 			current = next
 			s.site.reload()
 			s.gathered.reload(s.site.held, current)
@@ -353,7 +353,7 @@
 	set := conf.Settings
 	return watchtimer.Settings{
 		Pushed:         !set.PollsEndpointList,
-		Hosts:          set.Schedulers,
+		Schedulers:     set.Schedulers,
 		StalenessBound: milliseconds(set.PollWithin),
 		DrainGrace:     milliseconds(set.DrainGrace),
 		Seed:           uint64(conf.Seed),
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -22,8 +22,8 @@
 	file   string
 	held   *config.Site // as last read
 	routes *httpfront.Routes
-	blocks *iscsi.Dialer  // nil: no iSCSI front
-	meter  *metrics.Meter // nil: no counts but the admin endpoint's
+	blocks *iscsi.Dialer     // nil: no iSCSI front
+	meter  *metrics.Registry // nil: no counts but the admin endpoint's
 	log    logrus.FieldLogger
 }
 
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -60,7 +60,7 @@
 
 // startCore is what the starter tells the core: core.Core, or a test's actor.
 type startCore interface {
-	List(core.ListUpdate)
+	UpdateList(core.ListUpdate)
 	Restore(policy.Learned)
 	Preconnect(node string)
 	CheckHealth(node string)
@@ -132,7 +132,7 @@
 		return false
 	}
 	s.core = co
-	co.List(core.ListUpdate{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
+	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
 	begun := coldstart.Started{CachedList: s.machineNodes(s.knownNodes)}
 	if s.path != "" {
 		snap, err := snapshot.Read(s.path, time.Now())
@@ -213,7 +213,7 @@
 	for i := range guessed {
 		guessed[i].StartTime = s.guessedSince
 	}
-	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })
+	s.enqueue(func(c startCore) { c.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })
 }
 
 // setTimer sets the timer of the next Tick; with s.mu held.
@@ -286,7 +286,7 @@
 	s.mu.Lock()
 	if s.listHeard && !s.sending {
 		s.mu.Unlock()
-		s.core.List(news)
+		s.core.UpdateList(news)
 		return true
 	}
 	first := !s.listHeard && (news.Kind == policy.ListReceived || news.Kind == policy.ListChanged)
@@ -295,7 +295,7 @@
 		news.Nodes = s.withKnownNodes(news)
 	}
 	delivered := make(chan struct{})
-	s.enqueue(func(c startCore) { c.List(news); sync.Close(delivered) })
+	s.enqueue(func(c startCore) { c.UpdateList(news); sync.Close(delivered) })
 	if first {
 		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeRemoved })
 		for _, n := range present {
@@ -341,18 +341,18 @@
 }
 
 // pace is the pace of the list's watch until the list is heard; nil: the watch has its own.
-func (s *starter) pace() discovery.Pace {
+func (s *starter) pace() discovery.StartPacer {
 	if s == nil || !s.listPriced {
 		return nil
 	}
 	return s
 }
 
-// Due implements discovery.Pace.
-func (s *starter) Due() <-chan struct{} { return s.listDue }
+// CallDue implements discovery.Pace.
+func (s *starter) CallDue() <-chan struct{} { return s.listDue }
 
-// Missed implements discovery.Pace.
-func (s *starter) Missed() { s.step(coldstart.ListRequestFailed{}) }
+// CallFailed implements discovery.Pace.
+func (s *starter) CallFailed() { s.step(coldstart.ListRequestFailed{}) }
 
 // ready is whether the state machine said so; without the section, what the caller would say.
 func (s *starter) ready(without bool) bool {
--- a/cmd/wheatsaddle/start_interleave_test.go
+++ b/cmd/wheatsaddle/start_interleave_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (c *actor) List(n core.ListUpdate) {
+func (c *actor) UpdateList(n core.ListUpdate) {
 	what := "list"
 	if len(n.Nodes) > 0 && n.Nodes[0].Zone == "held" {
 		what = "held"
@@ -141,8 +141,8 @@
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "start.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
-		mutant.Mutant{File: "start.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
-			New: "	sync.Go(func() { s.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })", Want: "the core took "},
+		mutant.Mutant{File: "start.go", Old: "	s.enqueue(func(c startCore) { c.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
+			New: "	sync.Go(func() { s.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })", Want: "the core took "},
 		mutant.Mutant{File: "start.go", Old: "		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n		s.mu.Unlock()\n",
 			New: "		s.mu.Unlock()\n		sync.Writes(&s.toCore)\n		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n", Want: "data race: "},
 		mutant.Mutant{File: "start.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.gate(),
-		Connect: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
+	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, StartLimiter: b.gate(),
+		NewNodeClient: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		t.Helper()
 		t.Run("life", func(t *testing.T) {
 			b, co, ahead := begun(t, set, log, startNode)
-			<-b.Due() // the list may be asked for
+			<-b.CallDue() // the list may be asked for
 			if b.ready(true) {
 				t.Error("ready before the list")
 			}
@@ -137,8 +137,8 @@
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
-		OnNews: func(n core.ListUpdate) { b.list(n) }}
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: listClock(startConf()), Pacer: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
+		OnUpdate: func(n core.ListUpdate) { b.list(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
 	t.Cleanup(func() { <-ended })
@@ -169,11 +169,11 @@
 }
 
 type counted struct {
-	discovery.Pace
+	discovery.StartPacer
 	missed *atomic.Int64
 }
 
-func (c counted) Missed() { c.missed.Add(1); c.Pace.Missed() }
+func (c counted) CallFailed() { c.missed.Add(1); c.StartPacer.CallFailed() }
 
 // A process that starts without a snapshot has what another learned, once the list says that the node's
 // start is the same; what cannot be read is counted, and the next is asked. Another that starts hands
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -16,7 +16,7 @@
 )
 
 // open starts a door on loopback with the given calls.
-func open(t *testing.T, d *AdminEndpoint) string {
+func open(t *testing.T, d *Endpoint) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,17 +47,17 @@
 	return resp.StatusCode, string(body)
 }
 
-func door() (*AdminEndpoint, *atomic.Bool, *[]string) {
+func door() (*Endpoint, *atomic.Bool, *[]string) {
 	var ready atomic.Bool
 	done := &[]string{}
-	d := &AdminEndpoint{Ready: ready.Load,
-		Counts: func() core.Reading {
-			return core.Reading{Served: map[string]int64{"balance-read": 812}, Rejected: map[string]int64{"balance-read": 3},
+	d := &Endpoint{Ready: ready.Load,
+		Counters: func() core.CounterSnapshot {
+			return core.CounterSnapshot{Served: map[string]int64{"balance-read": 812}, Rejected: map[string]int64{"balance-read": 3},
 				Failed: map[string]int64{"balance-read": 1}, Attempts: map[string]int64{"balance-read": 820}, InProgress: 14, Nodes: 8, AvoidedNodes: 1, Reloads: 2, ReloadErrors: 1}
 		},
 		Exclude: func(id string) error {
 			if id != "s-1" {
-				return ErrUnknown
+				return ErrUnknownNode
 			}
 			*done = append(*done, "exclude "+id)
 			return nil
--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -31,20 +31,20 @@
 	callMost  = 4 << 10 // bytes of a call's head; calls have no body
 )
 
-// AdminEndpoint serves the calls. The funcs must answer within a few hundred milliseconds.
-type AdminEndpoint struct {
-	Ready   func() bool
-	Counts  func() core.Reading
-	Exclude func(id string) error // nil: done; ErrUnknown: a no of 404; else a no of 503
-	Include func(id string) error
-	Log     logrus.FieldLogger
+// Endpoint serves the calls. The funcs must answer within a few hundred milliseconds.
+type Endpoint struct {
+	Ready    func() bool
+	Counters func() core.CounterSnapshot
+	Exclude  func(id string) error // nil: done; ErrUnknownNode: a no of 404; else a no of 503
+	Include  func(id string) error
+	Log      logrus.FieldLogger
 
 	Estimate *Estimate                       // nil: no such call
 	srv      atomic.Pointer[fasthttp.Server] // Close may come while Serve begins
 }
 
 // Serve answers on ln until Close.
-func (d *AdminEndpoint) Serve(ln net.Listener) error {
+func (d *Endpoint) Serve(ln net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler: d.handle, ErrorHandler: refuse, ReadTimeout: readFor, WriteTimeout: writeFor,
 		IdleTimeout: readFor, MaxRequestsPerConn: 1, ReadBufferSize: callMost, MaxRequestBodySize: d.bodyMost(),
@@ -56,7 +56,7 @@
 }
 
 // Close stops the endpoint; calls under way end.
-func (d *AdminEndpoint) Close() error {
+func (d *Endpoint) Close() error {
 	srv := d.srv.Load()
 	if srv == nil {
 		return nil
@@ -73,7 +73,7 @@
 }
 
 func refuse(ctx *fasthttp.RequestCtx, err error) {
-	no(ctx, fasthttp.StatusBadRequest, "", &Unreadable{err})
+	no(ctx, fasthttp.StatusBadRequest, "", &MalformedRequestError{err})
 }
 
 // no answers with what happened in the first line and, where the error has them, its code and
@@ -84,7 +84,7 @@
 	ctx.SetBodyString(about + operr.Text(err) + "\n")
 }
 
-func (d *AdminEndpoint) handle(ctx *fasthttp.RequestCtx) {
+func (d *Endpoint) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	path, method := string(ctx.Path()), string(ctx.Method())
 	want := map[string]string{"/api/ready": "GET", "/api/telemetry": "GET", "/api/exclude": "PUT", "/api/include": "PUT"}[path]
@@ -93,15 +93,15 @@
 	}
 	switch {
 	case want == "":
-		no(ctx, fasthttp.StatusNotFound, "", &NoCall{path})
+		no(ctx, fasthttp.StatusNotFound, "", &UnknownPathError{path})
 		return
 	case method != want && !(want == "GET" && method == "HEAD"):
 		ctx.Response.Header.Set("Allow", want)
-		no(ctx, fasthttp.StatusMethodNotAllowed, "", &WrongMethod{path, method, want})
+		no(ctx, fasthttp.StatusMethodNotAllowed, "", &MethodError{path, method, want})
 		return
 	}
 	if path != estimatePath && len(ctx.PostBody()) > callMost {
-		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &TooLong{path, callMost})
+		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{path, callMost})
 		return
 	}
 	switch path {
@@ -109,19 +109,19 @@
 		d.Estimate.answer(ctx)
 	case "/api/ready":
 		if !d.Ready() {
-			no(ctx, fasthttp.StatusServiceUnavailable, "", &NotReady{})
+			no(ctx, fasthttp.StatusServiceUnavailable, "", &NotReadyError{})
 			return
 		}
 		ctx.SetContentType("text/plain; charset=utf-8")
 		ctx.SetBodyString("ready\n")
 	case "/api/telemetry":
 		ctx.SetContentType("application/json")
-		ctx.SetBody(Encode(d.Counts()))
+		ctx.SetBody(EncodeTelemetry(d.Counters()))
 	default:
 		args := ctx.QueryArgs()
 		who := args.Peek("who")
 		if n := len(args.PeekMulti("who")); n != 1 || !id(who) {
-			no(ctx, fasthttp.StatusBadRequest, "", &NoID{n})
+			no(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
 			return
 		}
 		do := d.Exclude
@@ -129,7 +129,7 @@
 			do = d.Include
 		}
 		switch err := do(string(who)); {
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrUnknownNode):
 			no(ctx, fasthttp.StatusNotFound, string(who)+": ", err)
 		case err != nil:
 			no(ctx, fasthttp.StatusServiceUnavailable, string(who)+": ", err)
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Encode writes the figures in the form DAYS.md gives.
-func Encode(f core.Reading) []byte {
+// EncodeTelemetry writes the figures in the form DAYS.md gives.
+func EncodeTelemetry(f core.CounterSnapshot) []byte {
 	text, _ := json.Marshal(struct {
 		Passed     map[string]int64 `json:"passed"`
 		Dropped    map[string]int64 `json:"dropped"`
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -7,108 +7,112 @@
 	"wheatsaddle/internal/operr"
 )
 
-// ErrUnknown says that an id was never listed: the call is owed a no, and nothing changes.
-var ErrUnknown = exclusion.ErrUnknown
+// ErrUnknownNode says that an id was never listed: the call is owed a no, and nothing changes.
+var ErrUnknownNode = exclusion.ErrUnknown
 
-// NoCall is a path that the endpoint does not have.
-type NoCall struct{ Path string }
+// UnknownPathError is a path that the endpoint does not have.
+type UnknownPathError struct{ Path string }
 
-func (e *NoCall) Error() string { return "no such call: " + e.Path }
+func (e *UnknownPathError) Error() string { return "no such call: " + e.Path }
 
 // Code implements operr.Coded.
-func (e *NoCall) Code() string { return "operator-call" }
+func (e *UnknownPathError) Code() string { return "operator-call" }
 
 // Advice implements operr.Coded.
-func (e *NoCall) Advice() string {
+func (e *UnknownPathError) Advice() string {
 	return "The calls are /api/ready, /api/telemetry, /api/exclude and /api/include."
 }
 
-// WrongMethod is a call with another method than its own.
-type WrongMethod struct{ Path, Method, Want string }
+// MethodError is a call with another method than its own.
+type MethodError struct{ Path, Method, Allowed string }
 
-func (e *WrongMethod) Error() string { return e.Path + " is called with " + e.Want }
+func (e *MethodError) Error() string { return e.Path + " is called with " + e.Allowed }
 
 // Code implements operr.Coded.
-func (e *WrongMethod) Code() string { return "operator-method" }
+func (e *MethodError) Code() string { return "operator-method" }
 
 // Advice implements operr.Coded.
-func (e *WrongMethod) Advice() string {
-	return "Call it again with " + e.Want + "; nothing was changed."
+func (e *MethodError) Advice() string {
+	return "Call it again with " + e.Allowed + "; nothing was changed."
 }
 
-// TooLong is a call whose body is longer than it may be.
-type TooLong struct {
-	Path string
-	Most int // bytes
+// BodyTooLongError is a call whose body is longer than it may be.
+type BodyTooLongError struct {
+	Path     string
+	MaxBytes int // bytes
 }
 
-func (e *TooLong) Error() string { return fmt.Sprintf("%s: a body of over %d bytes", e.Path, e.Most) }
+func (e *BodyTooLongError) Error() string {
+	return fmt.Sprintf("%s: a body of over %d bytes", e.Path, e.MaxBytes)
+}
 
 // Code implements operr.Coded.
-func (e *TooLong) Code() string { return "operator-body" }
+func (e *BodyTooLongError) Code() string { return "operator-body" }
 
 // Advice implements operr.Coded.
-func (e *TooLong) Advice() string {
+func (e *BodyTooLongError) Advice() string {
 	return "Send no body where the call has none; a question for an estimate may be as long as estimate.bytes_most of the site's file."
 }
 
-// Occupied says that as many estimates as are allowed are being made.
-type Occupied struct{}
+// EstimatesBusyError says that as many estimates as are allowed are being made.
+type EstimatesBusyError struct{}
 
-func (e *Occupied) Error() string { return "other estimates are being made" }
+func (e *EstimatesBusyError) Error() string { return "other estimates are being made" }
 
 // Code implements operr.Coded.
-func (e *Occupied) Code() string { return "operator-occupied" }
+func (e *EstimatesBusyError) Code() string { return "operator-occupied" }
 
 // Advice implements operr.Coded.
-func (e *Occupied) Advice() string {
+func (e *EstimatesBusyError) Advice() string {
 	return "Ask again in a second; estimate.at_once of the site's file says how many are made at a time."
 }
 
-// NotReady says that this process is not ready for clients.
-type NotReady struct{}
+// NotReadyError says that this process is not ready for clients.
+type NotReadyError struct{}
 
-func (e *NotReady) Error() string { return "not ready" }
+func (e *NotReadyError) Error() string { return "not ready" }
 
 // Code implements operr.Coded.
-func (e *NotReady) Code() string { return "operator-not-ready" }
+func (e *NotReadyError) Code() string { return "operator-not-ready" }
 
 // Advice implements operr.Coded.
-func (e *NotReady) Advice() string {
+func (e *NotReadyError) Advice() string {
 	return "Ask again in a second: the process waits for the list, or is stopping. If it stays so, read its log for what it waits for."
 }
 
-// NoID is a call that names no storage node, or several.
-type NoID struct{ Given int }
+// NodeIDError is a call that names no storage node, or several.
+type NodeIDError struct{ Count int }
 
-func (e *NoID) Error() string { return "who: one storage node id is wanted, as in ?who=s-5be2a07c" }
+func (e *NodeIDError) Error() string {
+	return "who: one storage node id is wanted, as in ?who=s-5be2a07c"
+}
 
 // Code implements operr.Coded.
-func (e *NoID) Code() string { return "operator-who" }
+func (e *NodeIDError) Code() string { return "operator-who" }
 
 // Advice implements operr.Coded.
-func (e *NoID) Advice() string {
+func (e *NodeIDError) Advice() string {
 	return "Name one storage node by its id as the list has it, in ?who=; one call a node. Nothing was changed."
 }
 
-// Unreadable is a call that is no HTTP request of the size that calls have.
-type Unreadable struct{ Err error }
+// MalformedRequestError is a call that is no HTTP request of the size that calls have.
+type MalformedRequestError struct{ Err error }
 
-func (e *Unreadable) Error() string { return "the call cannot be read: " + e.Err.Error() }
+func (e *MalformedRequestError) Error() string { return "the call cannot be read: " + e.Err.Error() }
 
 // Unwrap gives the reader's word.
-func (e *Unreadable) Unwrap() error { return e.Err }
+func (e *MalformedRequestError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *Unreadable) Code() string { return "operator-unreadable" }
+func (e *MalformedRequestError) Code() string { return "operator-unreadable" }
 
 // Advice implements operr.Coded.
-func (e *Unreadable) Advice() string {
+func (e *MalformedRequestError) Advice() string {
 	return "Send an HTTP/1.1 request with a head of 4 KiB at most, without a body, within 0.7 s."
 }
 
 func init() {
-	operr.Register(&NoCall{"/api/drain"}, &WrongMethod{"/api/exclude", "GET", "PUT"}, &NotReady{}, &TooLong{"/api/ready", 1024}, &Occupied{}, &NoID{}, &Unreadable{errLong{}})
+	operr.Register(&UnknownPathError{"/api/drain"}, &MethodError{"/api/exclude", "GET", "PUT"}, &NotReadyError{}, &BodyTooLongError{"/api/ready", 1024}, &EstimatesBusyError{}, &NodeIDError{}, &MalformedRequestError{errLong{}})
 }
 
 type errLong struct{}
--- a/internal/admin/estimate.go
+++ b/internal/admin/estimate.go
@@ -26,7 +26,7 @@
 	return &Estimate{do: do, most: most, free: semaphore.NewWeighted(int64(atOnce))}
 }
 
-func (d *AdminEndpoint) bodyMost() int {
+func (d *Endpoint) bodyMost() int {
 	if d.Estimate == nil {
 		return callMost
 	}
@@ -36,12 +36,12 @@
 func (e *Estimate) answer(ctx *fasthttp.RequestCtx) {
 	body := ctx.PostBody()
 	if len(body) > e.most {
-		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &TooLong{estimatePath, e.most})
+		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{estimatePath, e.most})
 		return
 	}
 	if !e.free.TryAcquire(1) {
 		ctx.Response.Header.Set("Retry-After", "1")
-		no(ctx, fasthttp.StatusServiceUnavailable, "", &Occupied{})
+		no(ctx, fasthttp.StatusServiceUnavailable, "", &EstimatesBusyError{})
 		return
 	}
 	defer e.free.Release(1)
--- a/internal/admin/refused_test.go
+++ b/internal/admin/refused_test.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &AdminEndpoint{Ready: func() bool { return true }, Counts: func() core.Reading { return core.Reading{} }}
+	d := &Endpoint{Ready: func() bool { return true }, Counters: func() core.CounterSnapshot { return core.CounterSnapshot{} }}
 	ended := make(chan error, 1)
 	go func() { ended <- d.Serve(ln) }()
-	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(Encode(core.Reading{}))} {
+	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(EncodeTelemetry(core.CounterSnapshot{}))} {
 		if code, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+path); err != nil || code != 200 || string(body) != want {
 			t.Errorf("%s: %d %q %v", path, code, body, err)
 		}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -23,8 +23,8 @@
 	case policy.CheckHealth:
 		c.probe(a.Node)
 	case policy.Subscribe, policy.RequestList:
-		if c.options.Refetch != nil {
-			c.options.Refetch()
+		if c.options.OnListRequested != nil {
+			c.options.OnListRequested()
 		}
 	case policy.Log:
 		c.options.Log.Info(a.Text)
--- a/internal/core/ahead_test.go
+++ b/internal/core/ahead_test.go
@@ -24,7 +24,7 @@
 // the node full, reaches the start for as long as it lasts. That it came up is no service.
 func TestAheadAndProbe(t *testing.T) {
 	r, b := start(t, settings()), &begins{}
-	r.options.Start = b
+	r.options.StartLimiter = b
 	r.list(policy.CachedListLoaded, node("up", 0, policy.NodeUp), node("leaves", 0, policy.NodeDraining), node("out", 0, policy.NodeUp),
 		node("gone", 0, policy.NodeUp))
 	if _, err := r.Exclude("out"); err != nil {
@@ -36,7 +36,7 @@
 		r.Preconnect(id)
 		r.CheckHealth(id)
 	}
-	r.Open() // all was taken
+	r.OpenRequests() // all was taken
 	for id, p := range map[string]*fake{"leaves": r.peer("leaves"), "out": r.peer("out"), "gone": gone} {
 		if len(p.ahead)+len(p.probes) > 0 {
 			t.Errorf("%s was connected to %d times and probed %d times", id, len(p.ahead), len(p.probes))
@@ -62,7 +62,7 @@
 // node that left is forgotten.
 func TestLearnedInOrderOfUse(t *testing.T) {
 	r := start(t, settings())
-	r.options.Start = &begins{over: true}
+	r.options.StartLimiter = &begins{over: true}
 	ids := []string{"a", "b", "c", "d"}
 	var list []Node
 	for shard, id := range ids {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -76,8 +76,8 @@
 	return !a.StartBy.IsZero() && now.After(a.StartBy) || a.drainCutoff.passed(now) || a.repeatWindow.passed(now)
 }
 
-// Written counts the attempt as written: its last byte was handed to the connection.
-func (a *Attempt) Written() {
+// MarkWritten counts the attempt as written: its last byte was handed to the connection.
+func (a *Attempt) MarkWritten() {
 	if a.counts != nil {
 		a.counts.tries.Add(1)
 	}
@@ -102,8 +102,8 @@
 	t := c.attempt(e, a, until, now)
 	e.attempts = append(e.attempts, t)
 	e.outstanding++
-	if e.request.Tried != nil {
-		e.request.Tried.nodes = append(e.request.Tried.nodes, a.Node)
+	if e.request.AttemptedNodes != nil {
+		e.request.AttemptedNodes.nodes = append(e.request.AttemptedNodes.nodes, a.Node)
 	}
 	p, ok := c.peers[a.Node]
 	if ok {
@@ -163,8 +163,8 @@
 	}
 	e.outstanding--
 	a.endedAt, a.status = now, r.Status
-	if c.options.Observe != nil {
-		c.options.Observe(a.Node, int64(a.nodeSince), e.request.Class, e.request.Units, now-a.sentAt, r.Status)
+	if c.options.OnAttemptEnded != nil {
+		c.options.OnAttemptEnded(a.Node, int64(a.nodeSince), e.request.Class, e.request.Units, now-a.sentAt, r.Status)
 	}
 	if st := c.starting(); st != nil {
 		st.AttemptEnded(a.Node, r.Status)
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -6,13 +6,13 @@
 	"wheatsaddle/policy"
 )
 
-// NodesTried lists the nodes that the attempts of a request went to, in order. A later request for the same data names it
+// AttemptedNodes lists the nodes that the attempts of a request went to, in order. A later request for the same data names it
 // in Avoid. Only the actor reads and writes it.
-type NodesTried struct{ nodes []string }
+type AttemptedNodes struct{ nodes []string }
 
 // nodesToAvoid selects from the nodes that are up those that earlier requests went to, the latest first, as long as at
 // least one other remains.
-func nodesToAvoid(past []*NodesTried, up []string) (over []string) {
+func nodesToAvoid(past []*AttemptedNodes, up []string) (over []string) {
 	for _, t := range past {
 		for _, n := range slices.Backward(t.nodes) {
 			if len(over)+1 < len(up) && slices.Contains(up, n) && !slices.Contains(over, n) {
@@ -65,5 +65,5 @@
 			up = append(up, id)
 		}
 	}
-	return nodesToAvoid(e.request.Avoid, up)
+	return nodesToAvoid(e.request.AvoidNodes, up)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,16 +20,16 @@
 
 // Options configure a Core.
 type Options struct {
-	Settings policy.Settings
-	Seed     int64
-	Connect  func(name string, addresses []address.Addr) NodeClient // called once for each node that joins the list
-	Refetch  func()                                                 // called when the module asks for the list; must not block
-	Log      logrus.FieldLogger
-	// Observe is called at the end of each attempt with the node's since_ms as of the send; it must not block.
-	Observe func(node string, since int64, class string, units, latencyMs float64, status policy.Status)
+	Settings        policy.Settings
+	Seed            int64
+	NewNodeClient   func(name string, addresses []address.Addr) NodeClient // called once for each node that joins the list
+	OnListRequested func()                                                 // called when the module asks for the list; must not block
+	Log             logrus.FieldLogger
+	// OnAttemptEnded is called at the end of each attempt with the node's since_ms as of the send; it must not block.
+	OnAttemptEnded func(node string, since int64, class string, units, latencyMs float64, status policy.Status)
 	// Excluded is the book of exclusions that the scheduler's last process kept.
-	Excluded exclusion.State
-	Start    StartLimiter // limits load while the process starts; nil: no limit
+	Excluded     exclusion.State
+	StartLimiter StartLimiter // limits load while the process starts; nil: no limit
 }
 
 // Core is the actor that runs the module. The fields are the actor's alone unless they say otherwise.
@@ -125,10 +125,10 @@
 }
 
 // Counters returns the counters of this core.
-func (c *Core) Counts() *Counters { return c.counts }
+func (c *Core) Counters() *Counters { return c.counts }
 
-// Open returns the number of requests without a final answer; 0 once the actor has ended.
-func (c *Core) Open() int {
+// OpenRequests returns the number of requests without a final answer; 0 once the actor has ended.
+func (c *Core) OpenRequests() int {
 	got := make(chan int, 1)
 	c.post(message{call: func() {
 		open := 0
@@ -151,7 +151,7 @@
 type TableSizes struct{ Requests, Module, Guards int }
 
 // TableSizes returns the present sizes: all are 0 once every request has ended and its guard timer has fired.
-func (c *Core) Tables() TableSizes {
+func (c *Core) TableSizes() TableSizes {
 	got := make(chan TableSizes, 1)
 	c.post(message{call: func() {
 		t := TableSizes{Requests: len(c.requests), Module: c.scheduler.RequestCount()}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -84,7 +84,7 @@
 func start(t *testing.T, set policy.Settings) *rig {
 	t.Helper()
 	r := &rig{t: t}
-	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), Connect: r.connect})
+	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.connect})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +94,8 @@
 }
 
 func (r *rig) list(kind policy.EventKind, nodes ...Node) {
-	r.List(ListUpdate{Kind: kind, Nodes: nodes})
-	r.Open() // has been taken
+	r.UpdateList(ListUpdate{Kind: kind, Nodes: nodes})
+	r.OpenRequests() // has been taken
 }
 
 func (r *rig) peer(name string) *fake {
@@ -136,7 +136,7 @@
 
 func none(t *testing.T, r *rig, got chan Answer) {
 	t.Helper()
-	r.Open()
+	r.OpenRequests()
 	if len(got) > 0 {
 		t.Errorf("a second answer: %+v", <-got)
 	}
@@ -170,7 +170,7 @@
 		t.Errorf("payload %v", x.Payload)
 	}
 	none(t, r, got)
-	if n := r.Open(); n != 0 {
+	if n := r.OpenRequests(); n != 0 {
 		t.Errorf("%d open", n)
 	}
 }
@@ -267,7 +267,7 @@
 	if a := one(t, got, Failed); a.Cause != CauseDeadlineExceeded {
 		t.Errorf("cause %q", a.Cause)
 	}
-	if r.Open() != 0 {
+	if r.OpenRequests() != 0 {
 		t.Error("still open")
 	}
 }
@@ -295,7 +295,7 @@
 	f.full = true
 	f.mu.Unlock()
 	_, got := r.ask("a", "record", time.Minute)
-	r.Open()
+	r.OpenRequests()
 	f.mu.Lock()
 	f.full = false
 	f.mu.Unlock()
@@ -334,13 +334,13 @@
 }
 
 func TestStopFailsWhatIsOpen(t *testing.T) {
-	c, err := New(Options{Settings: settings(), Log: logrus.New(), Connect: func(string, []address.Addr) NodeClient { return nil }})
+	c, err := New(Options{Settings: settings(), Log: logrus.New(), NewNodeClient: func(string, []address.Addr) NodeClient { return nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{Core: c, t: t}
 	_, got := r.ask("a", "read", time.Minute)
-	r.Open()
+	r.OpenRequests()
 	c.Stop()
 	one(t, got, Failed)
 }
@@ -363,7 +363,7 @@
 	r.Cancel(q)
 	none(t, r, sent)
 	none(t, r, waits)
-	if n := r.Open(); n != 0 {
+	if n := r.OpenRequests(); n != 0 {
 		t.Errorf("%d open", n)
 	}
 }
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -20,7 +20,7 @@
 
 // isDrained says whether a peer is closed to new work, once the actor has run the timers that are due.
 func (r *rig) isDrained(name string) bool {
-	r.Open()
+	r.OpenRequests()
 	f := r.peer(name)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +125,7 @@
 				r.scheduler = nil
 				r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 			}})
-			r.Open() // the step that breaks is this turn's
+			r.OpenRequests() // the step that breaks is this turn's
 			r.list(policy.ListReceived, node("n", 0, policy.NodeDraining))
 		},
 	} {
@@ -205,8 +205,8 @@
 				first := <-r.peer("n").sent
 				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
 				ended(first)
-				r.Open()
-				r.Open() // the step of the end has been taken
+				r.OpenRequests()
+				r.OpenRequests() // the step of the end has been taken
 				if n := len(r.peer("n").sent); n != 0 {
 					t.Errorf("%d more were sent", n)
 				}
@@ -226,10 +226,10 @@
 		for i := range 2 * batchMost {
 			r.ask(fmt.Sprint("r", i), "read", time.Minute)
 		}
-		r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
+		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		close(free)
-		r.Open()
-		r.Open() // the step of the last batch has been taken
+		r.OpenRequests()
+		r.OpenRequests() // the step of the last batch has been taken
 		if !r.isDrained("n") {
 			t.Error("the drain was not heard")
 		}
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -40,7 +40,7 @@
 }
 
 // Nodes says whether a node of this id was ever listed.
-func (c *Core) Known(id string) bool {
+func (c *Core) WasListed(id string) bool {
 	known := false
 	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.IsListed(id); return nil, nil })
 	return known
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -37,7 +37,7 @@
 	if len(r.peer("n").sent) > 0 {
 		t.Fatal("sent to an excluded node")
 	}
-	if f := r.Counts().Read(); f.AvoidedNodes != 1 || f.Nodes != 2 {
+	if f := r.Counters().Snapshot(); f.AvoidedNodes != 1 || f.Nodes != 2 {
 		t.Fatalf("skipped %d of %d", f.AvoidedNodes, f.Nodes)
 	}
 	st, err = r.Include("n")
@@ -52,8 +52,8 @@
 	for i := range 40 {
 		r.ask(string(rune('A'+i)), "read", time.Minute)
 	}
-	r.Open()
-	r.Open() // the step that took the first call has ended
+	r.OpenRequests()
+	r.OpenRequests() // the step that took the first call has ended
 	if len(r.peer("n").sent) == 0 {
 		t.Fatalf("an included node got no work; the other has %d", len(r.peer("m").sent))
 	}
@@ -63,7 +63,7 @@
 func TestExcludedAtTheStart(t *testing.T) {
 	set := settings()
 	r := &rig{t: t}
-	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), Connect: r.connect,
+	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.connect,
 		Excluded: exclusion.State{Excluded: map[string]float64{"n": 1}}})
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	if !r.peer("n").drained || r.peer("m").drained {
 		t.Fatal("the kept exclude does not bind at the start")
 	}
-	if !r.Known("n") {
+	if !r.WasListed("n") {
 		t.Fatal("a kept id cannot be included")
 	}
 }
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -26,7 +26,7 @@
 	if n := len(r.peer("n").sent); n > 0 {
 		t.Errorf("%d sent after Finish", n)
 	}
-	if held := r.Tables().Requests; held != 1 { // whose attempt is out
+	if held := r.TableSizes().Requests; held != 1 { // whose attempt is out
 		t.Errorf("%d held", held)
 	}
 }
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -32,8 +32,8 @@
 // empty says that nothing of any request is held but guards, whose time is yet to come.
 func (r *rig) empty() {
 	r.t.Helper()
-	r.Open() // what was told before has been taken, and is decided before the next call
-	if got := r.Tables(); got.Requests != 0 || got.Module != 0 {
+	r.OpenRequests() // what was told before has been taken, and is decided before the next call
+	if got := r.TableSizes(); got.Requests != 0 || got.Module != 0 {
 		r.t.Errorf("held: %+v", got)
 	}
 }
@@ -57,14 +57,14 @@
 		}
 		first.Done(Result{Status: policy.Abandoned})
 		release()
-		r.Open() // its end has been taken, and is decided before the departure is told
+		r.OpenRequests() // its end has been taken, and is decided before the departure is told
 		r.Cancel(q)
 		none(t, r, got)
 		if n := len(r.peer("n").sent); n > 0 {
 			t.Errorf("%s: sent %d times more", class, n)
 		}
 		r.empty()
-		if n := r.Counts().progress.Load(); n != 0 {
+		if n := r.Counters().progress.Load(); n != 0 {
 			t.Errorf("%s: %d count as in progress", class, n)
 		}
 	}
@@ -107,7 +107,7 @@
 		r.Cancel(q)
 	}
 	release()
-	r.Open()
+	r.OpenRequests()
 	sent := r.peer("n").sent
 	if len(sent) == 0 {
 		t.Fatal("none was sent before its going was taken: the crossing was not reached")
@@ -130,7 +130,7 @@
 	plain, got, _ := r.leaver("a", "read")
 	follows, then, _ := r.leaver("b", "read")
 	plain.ClientDisconnected, follows.ClientDisconnected = nil, nil
-	follows.Avoid = []*NodesTried{{nodes: []string{"n"}}}
+	follows.AvoidNodes = []*AttemptedNodes{{nodes: []string{"n"}}}
 	for _, q := range []*Request{plain, follows} {
 		r.Submit(q)
 		r.Cancel(q)
@@ -150,7 +150,9 @@
 // After a standstill one turn takes what came meanwhile and the timers that are due: of a request whose client went, or whose
 // time ended, nothing is sent, whatever makes room for it in that turn; and to a node that drains nothing is.
 func TestNoLateSendAfterAStandstill(t *testing.T) {
-	room := func(r *rig) { r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeUp)}}) }
+	room := func(r *rig) {
+		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeUp)}})
+	}
 	for name, x := range map[string]struct {
 		meanwhile func(r *rig, q *Request)
 		patience  time.Duration
@@ -165,9 +167,9 @@
 		"out of time, gone, and room": {func(r *rig, q *Request) { r.Cancel(q); room(r) }, stood / 2, 0, nil},
 		"room, and it drains": {func(r *rig, q *Request) {
 			room(r)
-			r.List(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
+			r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
 		}, time.Minute, 0, nil},
-		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.List(ListUpdate{Kind: policy.ListReceived}) }, time.Minute, 0, nil},
+		"room, and it leaves": {func(r *rig, q *Request) { room(r); r.UpdateList(ListUpdate{Kind: policy.ListReceived}) }, time.Minute, 0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -176,14 +178,14 @@
 				q, got, _ := r.leaver("a", "read")
 				q.ClientDisconnected, q.Timeout = nil, x.patience
 				r.Submit(q)
-				if r.Open() != 1 {
+				if r.OpenRequests() != 1 {
 					t.Fatal("it does not wait: the crossing was not reached")
 				}
 				release := r.hold()
 				time.Sleep(stood)
 				x.meanwhile(r, q)
 				release()
-				r.Open()
+				r.OpenRequests()
 				synctest.Wait()
 				sent := r.peer("n").sent
 				if len(sent) != x.want {
@@ -201,7 +203,7 @@
 					(<-sent).Done(Result{Status: policy.OK})
 				}
 				r.Cancel(q)
-				r.Open()
+				r.OpenRequests()
 			})
 		})
 	}
@@ -236,7 +238,7 @@
 				r.Submit(q)
 				time.Sleep(time.Duration(x.stands) * time.Millisecond)
 				release()
-				r.Open()
+				r.OpenRequests()
 				synctest.Wait()
 				n := r.peer("n")
 				n.mu.Lock()
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, lines := logtest.NewNullLogger()
 		r := &rig{t: t}
-		c, err := New(Options{Settings: settings(), Seed: 7, Log: log, Connect: r.connect})
+		c, err := New(Options{Settings: settings(), Seed: 7, Log: log, NewNodeClient: r.connect})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 		held("late-1", "late-2", "late-3")
 		time.Sleep(2 * time.Second)
 		held("late-4")
-		r.Open()
+		r.OpenRequests()
 		var told []map[string]any
 		for _, e := range lines.AllEntries() {
 			if e.Message == "a request ended after its client's time" {
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -24,7 +24,7 @@
 
 // starting returns Options.Start until it is over, then nil.
 func (c *Core) starting() StartLimiter {
-	if s := c.options.Start; s != nil && !s.Done() {
+	if s := c.options.StartLimiter; s != nil && !s.Done() {
 		return s
 	}
 	return nil
@@ -53,7 +53,7 @@
 
 // countUse counts an attempt to a listed node; only a process with a Starting stores what it learned.
 func (c *Core) countUse(node string, now float64) {
-	if c.options.Start != nil {
+	if c.options.StartLimiter != nil {
 		c.nodeUses[node] = nodeUse{c.nodeUses[node].decayed(now) + 1, now}
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -23,9 +23,9 @@
 	Index int64 // version of the list after it; 0: unknown
 }
 
-// List hands over an update of the list. It is handled before all messages in the mailbox, so that none of them
+// UpdateList hands over an update of the list. It is handled before all messages in the mailbox, so that none of them
 // is sent to a node that drains by then.
-func (c *Core) List(n ListUpdate) {
+func (c *Core) UpdateList(n ListUpdate) {
 	select {
 	case c.control <- message{news: &n}:
 	case <-c.ended:
@@ -64,7 +64,7 @@
 func (c *Core) updateNode(x Node, view policy.Node, now float64) {
 	p, known := c.peers[x.ID]
 	if !known {
-		p = c.options.Connect(x.ID, x.Addresses)
+		p = c.options.NewNodeClient(x.ID, x.Addresses)
 		c.peers[x.ID] = p
 		c.cutoffs[x.ID] = &cutoff{}
 	} else if !slices.Equal(c.nodes[x.ID].Addresses, x.Addresses) {
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -18,8 +18,8 @@
 	}
 	var all []told // the actor's until it has stopped
 	r := &rig{t: t}
-	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), Connect: r.connect,
-		Observe: func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
+	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), NewNodeClient: r.connect,
+		OnAttemptEnded: func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 			if all = append(all, told{node, class, since, units, status}); latencyMs < 0 {
 				t.Errorf("%v ms", latencyMs)
 			}
@@ -38,7 +38,7 @@
 	first.Done(Result{Status: policy.ConnectionReset})
 	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
 	one(t, got, Served)
-	r.Open()
+	r.OpenRequests()
 	c.Stop()
 	if want := []told{{"n", "read", 41, 1, policy.ConnectionReset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
 		t.Errorf("%+v, want %+v", all, want)
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestPassOver(t *testing.T) {
-	trail := func(nodes ...string) *NodesTried { return &NodesTried{nodes} }
+	trail := func(nodes ...string) *AttemptedNodes { return &AttemptedNodes{nodes} }
 	for _, c := range []struct {
-		past []*NodesTried
+		past []*AttemptedNodes
 		up   []string
 		want string
 	}{
-		{[]*NodesTried{trail("a")}, []string{"a", "b"}, "[a]"},
-		{[]*NodesTried{trail("a")}, []string{"a"}, "[]"},                                             // nobody else has the shard
-		{[]*NodesTried{trail("b"), trail("a")}, []string{"a", "b"}, "[b]"},                           // the newest
-		{[]*NodesTried{trail("a", "b"), trail("c")}, []string{"a", "b", "c"}, "[b a]"},               // the last of its attempts first
-		{[]*NodesTried{trail("x"), trail(), trail("a"), trail("a")}, []string{"a", "b", "c"}, "[a]"}, // one that left, none, twice
+		{[]*AttemptedNodes{trail("a")}, []string{"a", "b"}, "[a]"},
+		{[]*AttemptedNodes{trail("a")}, []string{"a"}, "[]"},                                             // nobody else has the shard
+		{[]*AttemptedNodes{trail("b"), trail("a")}, []string{"a", "b"}, "[b]"},                           // the newest
+		{[]*AttemptedNodes{trail("a", "b"), trail("c")}, []string{"a", "b", "c"}, "[b a]"},               // the last of its attempts first
+		{[]*AttemptedNodes{trail("x"), trail(), trail("a"), trail("a")}, []string{"a", "b", "c"}, "[a]"}, // one that left, none, twice
 	} {
 		if got := fmt.Sprint(nodesToAvoid(c.past, c.up)); got != c.want {
 			t.Errorf("%v of %v: %s, not %s", c.past, c.up, got, c.want)
@@ -56,10 +56,10 @@
 			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
 			r := start(t, set)
 			r.list(policy.ListReceived, node("a", 0, policy.NodeUp), node("b", 0, policy.NodeUp))
-			var trails []*NodesTried
-			goes := func(id string, past []*NodesTried) string {
+			var trails []*AttemptedNodes
+			goes := func(id string, past []*AttemptedNodes) string {
 				got := make(chan Answer, 8)
-				q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1}, Tried: &NodesTried{}, Avoid: past,
+				q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1}, AttemptedNodes: &AttemptedNodes{}, AvoidNodes: past,
 					ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(x Answer) { got <- x }}
 				r.Submit(q)
 				var a *Attempt
@@ -69,7 +69,7 @@
 				}
 				a.Done(Result{Status: policy.OK})
 				one(t, got, Served)
-				trails = slices.Insert(trails, 0, q.Tried)
+				trails = slices.Insert(trails, 0, q.AttemptedNodes)
 				return a.Node
 			}
 			if got := goes("1", nil); got != "a" {
@@ -83,7 +83,7 @@
 			}
 			var away []string
 			_, _ = r.changeExclusions(func(now float64) ([]string, error) {
-				away = r.avoidedNodes(&requestState{request: &Request{Avoid: trails[:c.past]}}, now)
+				away = r.avoidedNodes(&requestState{request: &Request{AvoidNodes: trails[:c.past]}}, now)
 				return nil, nil
 			})
 			if passes := c.past == 2 || c.want == "b"; passes != (len(away) == 1) {
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -15,7 +15,7 @@
 	Cancel(*Attempt)
 	// CheckHealth asks for the node's load and calls back with the result and the time it took; false: it will not.
 	CheckHealth(func(Result, time.Duration)) bool
-	// Connect opens one connection ahead of need and calls back from another goroutine: OK, NoConn, or Abandoned where none
+	// NewNodeClient opens one connection ahead of need and calls back from another goroutine: OK, NoConn, or Abandoned where none
 	// is needed (one is free, or the node drains or left) or no descriptor is free. False: it will not call back.
 	Connect(func(policy.Status)) bool
 	// Drain(true) stops new attempts at once, also those in its mailbox; Drain(false) allows them again.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -41,14 +41,14 @@
 
 // Request is a client's request as a front hands it over.
 type Request struct {
-	policy.Request               // core sets NotAfter
-	ReceivedAt     time.Time     // when its last byte came
-	Timeout        time.Duration // how long the client waits after Arrived
-	Payload        any           // opaque to core: the front's own, for the peers
-	Answer         func(Answer)  // called exactly once unless the request is cancelled first; must not block
-	Tried          *NodesTried   // filled with the nodes that its attempts go to; nil: not wanted
-	Settings       *Settings     // that it was decoded under; nil: the current ones at its arrival
-	Avoid          []*NodesTried // of earlier requests for the same, the newest first: other nodes are preferred
+	policy.Request                   // core sets NotAfter
+	ReceivedAt     time.Time         // when its last byte came
+	Timeout        time.Duration     // how long the client waits after Arrived
+	Payload        any               // opaque to core: the front's own, for the peers
+	Answer         func(Answer)      // called exactly once unless the request is cancelled first; must not block
+	AttemptedNodes *AttemptedNodes   // filled with the nodes that its attempts go to; nil: not wanted
+	Settings       *Settings         // that it was decoded under; nil: the current ones at its arrival
+	AvoidNodes     []*AttemptedNodes // of earlier requests for the same, the newest first: other nodes are preferred
 	// ClientDisconnected says whether the client's connection is closed at this instant; nil: not known. It must not block. Attempts
 	// call it when they are claimed, because a Cancel may still be in the mailbox then.
 	ClientDisconnected func() bool
@@ -119,7 +119,7 @@
 	e := &requestState{request: r}
 	c.requests[r.ID] = e
 	heap.Push(&c.timers, pendingTimer{at: r.Deadline + float64(guardAfter.Milliseconds()), guarded: e})
-	if len(r.Avoid) > 0 {
+	if len(r.AvoidNodes) > 0 {
 		c.deferred = append(c.deferred, e)
 		return
 	}
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -84,8 +84,8 @@
 	for range 2 {
 		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have run
 	}
-	r.Open() // both ends have been taken, and are decided before the next call
-	r.Open()
+	r.OpenRequests() // both ends have been taken, and are decided before the next call
+	r.OpenRequests()
 	if len(sent) != 1 {
 		t.Fatalf("%d go again, want that which came before the change", len(sent))
 	}
--- a/internal/core/standing_test.go
+++ b/internal/core/standing_test.go
@@ -30,7 +30,7 @@
 		t.Fatal("it had no room")
 	}
 	close(free)
-	r.Open()
+	r.OpenRequests()
 	if _, ok := r.NodeStatuses(8, time.Minute); !ok {
 		t.Error("it does not answer again")
 	}
--- a/internal/core/telemetry.go
+++ b/internal/core/telemetry.go
@@ -23,8 +23,8 @@
 	passed, dropped, badGateway, tries atomic.Int64
 }
 
-// Reading is one reading of the counters.
-type Reading struct {
+// CounterSnapshot is one reading of the counters.
+type CounterSnapshot struct {
 	Served, Rejected, Failed, Attempts map[string]int64 // by class
 	InProgress, Nodes, AvoidedNodes    int64
 	Reloads, ReloadErrors              int64
@@ -81,9 +81,9 @@
 	}
 }
 
-// Read returns the present figures.
-func (c *Counters) Read() Reading {
-	f := Reading{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
+// Snapshot returns the present figures.
+func (c *Counters) Snapshot() CounterSnapshot {
+	f := CounterSnapshot{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
 		Attempts: map[string]int64{}, InProgress: max(0, c.progress.Load()), Nodes: c.known.Load(),
 		AvoidedNodes: c.skipped.Load(), Reloads: c.loads.Load(), ReloadErrors: c.refused.Load()}
 	c.mu.RLock()
@@ -96,7 +96,7 @@
 }
 
 // Classes returns the names of the counted classes, in order.
-func (f Reading) Classes() []string {
+func (f CounterSnapshot) Classes() []string {
 	names := make([]string, 0, len(f.Served))
 	for k := range f.Served {
 		names = append(names, k)
--- a/internal/core/telemetry_test.go
+++ b/internal/core/telemetry_test.go
@@ -16,22 +16,22 @@
 
 	_, served := r.ask("s", "read", time.Minute) // served at the first attempt
 	a := <-f.sent
-	a.Written()
+	a.MarkWritten()
 	a.Done(Result{Status: policy.OK})
 	one(t, served, Served)
 
 	_, again := r.ask("r", "read", time.Minute) // a reset, then served: two tries
 	a = <-f.sent
-	a.Written()
+	a.MarkWritten()
 	a.Done(Result{Status: policy.ConnectionReset})
 	a = <-f.sent
-	a.Written()
+	a.MarkWritten()
 	a.Done(Result{Status: policy.OK})
 	one(t, again, Served)
 
 	_, bad := r.ask("b", "record", time.Minute) // the node's 400: failed, one try
 	a = <-f.sent
-	a.Written()
+	a.MarkWritten()
 	a.Done(Result{Status: policy.Abandoned, InvalidRequest: true})
 	one(t, bad, Failed)
 
@@ -43,18 +43,18 @@
 
 	_, open := r.ask("o", "record", time.Minute) // still out
 	out := <-f.sent
-	out.Written()
+	out.MarkWritten()
 
 	r.Reject(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
 	_, unknown := r.ask("u", "other", time.Minute) // no setting names it: answered, not counted
 	one(t, unknown, Failed)
-	r.Counts().CountReload(true)
-	r.Counts().CountReload(false)
-	r.Counts().CountReload(false)
-	r.Open()
+	r.Counters().CountReload(true)
+	r.Counters().CountReload(false)
+	r.Counters().CountReload(false)
+	r.OpenRequests()
 
-	got := r.Counts().Read()
-	want := Reading{Served: map[string]int64{"read": 2, "record": 0}, Rejected: map[string]int64{"read": 1, "record": 0},
+	got := r.Counters().Snapshot()
+	want := CounterSnapshot{Served: map[string]int64{"read": 2, "record": 0}, Rejected: map[string]int64{"read": 1, "record": 0},
 		Failed: map[string]int64{"read": 0, "record": 1}, Attempts: map[string]int64{"read": 3, "record": 2},
 		InProgress: 1, Nodes: 2, AvoidedNodes: 1, Reloads: 1, ReloadErrors: 2}
 	if !same(got, want) {
@@ -63,13 +63,13 @@
 	out.Done(Result{Status: policy.OK})
 	one(t, open, Served)
 	none(t, r, gone)
-	r.Open()
-	if got := r.Counts().Read(); got.InProgress != 0 || got.Served["record"] != 1 {
+	r.OpenRequests()
+	if got := r.Counters().Snapshot(); got.InProgress != 0 || got.Served["record"] != 1 {
 		t.Fatalf("after the last answer: %+v", got)
 	}
 }
 
-func same(a, b Reading) bool {
+func same(a, b CounterSnapshot) bool {
 	eq := func(x, y map[string]int64) bool {
 		if len(x) != len(y) {
 			return false
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,13 +8,13 @@
 )
 
 // MalformedError is a message of the list's service that cannot be read as a whole.
-type MalformedError struct{ Key, Says string }
+type MalformedError struct{ Key, Reason string }
 
 func (e *MalformedError) Error() string {
 	if e.Key == "" {
-		return "list: " + e.Says
+		return "list: " + e.Reason
 	}
-	return "list: " + e.Key + ": " + e.Says
+	return "list: " + e.Key + ": " + e.Reason
 }
 
 // Code implements operr.Coded.
@@ -69,29 +69,29 @@
 	return "Have the address corrected in the list's service; until then the node is reached by its other addresses alone."
 }
 
-// RefusedError is a call for the list that was turned away by word: the service can be overbooked.
-type RefusedError struct{ Status int }
+// CallRejectedError is a call for the list that was turned away by word: the service can be overbooked.
+type CallRejectedError struct{ Status int }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("watch: status %d", e.Status) }
+func (e *CallRejectedError) Error() string { return fmt.Sprintf("watch: status %d", e.Status) }
 
 // Code implements operr.Coded.
-func (e *RefusedError) Code() string { return "list-refused" }
+func (e *CallRejectedError) Code() string { return "list-refused" }
 
 // Advice implements operr.Coded.
-func (e *RefusedError) Advice() string {
+func (e *CallRejectedError) Advice() string {
 	return "See why the list's service turns calls away (its load, the path, its rights); the list as last held counts until it takes one."
 }
 
-// SilentError is a watch that has said nothing for longer than its beats are apart.
-type SilentError struct{}
+// WatchSilentError is a watch that has said nothing for longer than its beats are apart.
+type WatchSilentError struct{}
 
-func (e *SilentError) Error() string { return "watch: silent" }
+func (e *WatchSilentError) Error() string { return "watch: silent" }
 
 // Code implements operr.Coded.
-func (e *SilentError) Code() string { return "list-silent" }
+func (e *WatchSilentError) Code() string { return "list-silent" }
 
 // Advice implements operr.Coded.
-func (e *SilentError) Advice() string {
+func (e *WatchSilentError) Advice() string {
 	return "See whether the list's service runs and what is between it and this host; another call is out beside the silent one, and the list as last held counts."
 }
 
@@ -115,7 +115,7 @@
 }
 
 func init() {
-	operr.Register(&RefusedError{503}, &SilentError{}, &CallError{"127.0.0.1:7000", errors.New("connection refused")})
+	operr.Register(&CallRejectedError{503}, &WatchSilentError{}, &CallError{"127.0.0.1:7000", errors.New("connection refused")})
 	operr.Register(&MalformedError{"index", "missing or not a number"}, &EntryError{3, "s-1", errors.New("name: missing")},
 		&AddressError{3, "s-1", errors.New("addresses.1: not text")})
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -18,14 +18,14 @@
 	"wheatsaddle/policy"
 )
 
-// testPace is a Pace that the test controls.
-type testPace struct {
+// testPacer is a Pace that the test controls.
+type testPacer struct {
 	due    chan struct{}
 	missed chan bool
 }
 
-func (p testPace) Due() <-chan struct{} { return p.due }
-func (p testPace) Missed()              { p.missed <- true }
+func (p testPacer) CallDue() <-chan struct{} { return p.due }
+func (p testPacer) CallFailed()              { p.missed <- true }
 
 // testWatcher is a watcher whose time passes only as the test says, so that no result depends on the machine's speed.
 type testWatcher struct {
@@ -41,7 +41,7 @@
 func startWatcher(t *testing.T, w *Watcher) *testWatcher {
 	p := &testWatcher{news: make(chan core.ListUpdate, 100), wake: make(chan time.Time)}
 	w.Log, p.hook = logtest.NewNullLogger()
-	w.OnNews = func(n core.ListUpdate) { p.news <- n }
+	w.OnUpdate = func(n core.ListUpdate) { p.news <- n }
 	w.elapsed = func() time.Duration { return time.Duration(p.now.Load()) }
 	if w.openWatch == nil {
 		w.openWatch = w.runCall
@@ -65,8 +65,8 @@
 // each call that came to nothing is told to it. Its clock stands, so no call is due for what counts as told.
 func TestPace(t *testing.T) {
 	s, asked := newListService(t, 40)
-	p := testPace{make(chan struct{}), make(chan bool, 100)}
-	w := startWatcher(t, &Watcher{Address: s.Addr(), Pace: p, Clock: watchtimer.Settings{Hosts: 1000}})
+	p := testPacer{make(chan struct{}), make(chan bool, 100)}
+	w := startWatcher(t, &Watcher{Address: s.Addr(), Pacer: p, Timer: watchtimer.Settings{Schedulers: 1000}})
 	for i, f := range []discovery.Fault{{Refuse: true}, {Down: true}, {Refuse: true}} {
 		s.Set(f)
 		if len(asked) > 0 {
@@ -111,7 +111,7 @@
 			nc.Close()
 		}()
 		quiet := make(chan bool, 10)
-		w := &Watcher{Address: ln.Addr().String(), Index: 7, OnUnchanged: func() { quiet <- true }, Clock: watchtimer.Settings{Pushed: true, DrainGrace: time.Minute}}
+		w := &Watcher{Address: ln.Addr().String(), Version: 7, OnUnchanged: func() { quiet <- true }, Timer: watchtimer.Settings{Pushed: true, DrainGrace: time.Minute}}
 		news := startWatcher(t, w).news
 		if want {
 			<-quiet
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -34,7 +34,7 @@
 
 // List is one decoded message of the list's service: the full list, or a change to it.
 type List struct {
-	Index        int64
+	Version      int64
 	Full         bool
 	Nodes        []core.Node
 	BadEntries   []error         // one EntryError for each entry that was left out
@@ -47,7 +47,7 @@
 func Decode(text []byte) (List, error) {
 	l := List{badNames: map[string]bool{}}
 	if !gjson.ValidBytes(text) {
-		return l, &MalformedError{Says: "not valid JSON"}
+		return l, &MalformedError{Reason: "not valid JSON"}
 	}
 	root := gjson.ParseBytes(text)
 	index, entries := root.Get("index"), root.Get("endpoints")
@@ -57,7 +57,7 @@
 	if !entries.IsArray() {
 		return l, &MalformedError{"endpoints", "missing or not a list"}
 	}
-	l.Index, l.Full = index.Int(), root.Get("snapshot").Bool()
+	l.Version, l.Full = index.Int(), root.Get("snapshot").Bool()
 	for i, e := range entries.Array() {
 		n, bad, err := decodeNode(e)
 		if err != nil {
@@ -97,7 +97,7 @@
 		return
 	}
 	w.heldNodes = map[string]core.Node{}
-	for _, n := range w.Known {
+	for _, n := range w.CachedNodes {
 		w.heldNodes[n.ID] = n
 	}
 }
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -29,7 +29,7 @@
 func TestDecode(t *testing.T) {
 	l, err := Decode([]byte(listText(43, true, sampleEntry)))
 	n := l.Nodes[0]
-	if err != nil || l.Index != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != policy.NodeDraining || n.Weight != 2 ||
+	if err != nil || l.Version != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != policy.NodeDraining || n.Weight != 2 ||
 		n.StartTime != 1.7e12 || fmt.Sprint(n.Addresses) != "[127.0.0.1:8443]" || n.Zone != "a" {
 		t.Errorf("%+v %v", l, err)
 	}
@@ -129,7 +129,7 @@
 // bad line, after none of which anything told is lost or told twice.
 func TestWatch(t *testing.T) {
 	s, asked := newListService(t, 40)
-	p := startWatcher(t, &Watcher{Address: s.Addr(), Index: 7, Clock: watchtimer.Settings{Pushed: true}})
+	p := startWatcher(t, &Watcher{Address: s.Addr(), Version: 7, Timer: watchtimer.Settings{Pushed: true}})
 	const every = 100 * time.Millisecond // past it an agent that ended its call is asked again
 	full, change, failed := policy.ListReceived, policy.ListChanged, policy.ListFailed
 	for i, x := range []struct {
@@ -166,11 +166,11 @@
 func TestMove(t *testing.T) {
 	old, _ := newListService(t, 40)
 	later, asked := newListService(t, 40)
-	w := &Watcher{Address: old.Addr(), Clock: watchtimer.Settings{Pushed: true}}
+	w := &Watcher{Address: old.Addr(), Timer: watchtimer.Settings{Pushed: true}}
 	p := startWatcher(t, w)
 	ctx, news := p.ctx, p.news
 	<-news
-	if !w.Move(ctx, "127.0.0.1:1") || !w.Move(ctx, later.Addr()) {
+	if !w.SetAddress(ctx, "127.0.0.1:1") || !w.SetAddress(ctx, later.Addr()) {
 		t.Error("the move was not taken")
 	}
 	<-news // it speaks
@@ -183,10 +183,10 @@
 		t.Errorf("asked %s", uri)
 	}
 	p.stop()
-	if w.Index != 42 || len(w.calls) != 1 || len(news) != 0 {
-		t.Errorf("index %d, %d calls open, %d more news", w.Index, len(w.calls), len(news))
+	if w.Version != 42 || len(w.calls) != 1 || len(news) != 0 {
+		t.Errorf("index %d, %d calls open, %d more news", w.Version, len(w.calls), len(news))
 	}
-	if w.Move(ctx, old.Addr()) {
+	if w.SetAddress(ctx, old.Addr()) {
 		t.Error("a watcher that ended took a move")
 	}
 }
@@ -242,7 +242,7 @@
 	t.Cleanup(s.Close)
 	s.Put(sampleNode)
 	s.Refuse()
-	p := startWatcher(t, &Watcher{Address: s.Addr(), Clock: watchtimer.Settings{Pushed: true}})
+	p := startWatcher(t, &Watcher{Address: s.Addr(), Timer: watchtimer.Settings{Pushed: true}})
 	told := p.news
 	if n := <-told; n.Kind != policy.ListFailed {
 		t.Errorf("told %+v first", n)
--- a/internal/discovery/torn_test.go
+++ b/internal/discovery/torn_test.go
@@ -138,7 +138,7 @@
 // A line is told when it has come, though the line end after its chunk is held back.
 func TestLineIsToldBeforeItsChunkEnds(t *testing.T) {
 	s := newScript(t)
-	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Clock: pushedClock})
+	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
 	c := s.call(t, 0)
 	c.begin()
 	c.write(strings.TrimSuffix(chunk(listText(1, true, entryText("a", "leaving", 0))+"\n"), "\r\n"))
@@ -181,9 +181,9 @@
 			told := make(chan int64, 10)
 			ended := make(chan error)
 			go func() {
-				ended <- w.runCall(context.Background(), w.Address, 0, func(l callRead) {
+				ended <- w.runCall(context.Background(), w.Address, 0, func(l callMessage) {
 					if l.list != nil {
-						told <- l.list.Index
+						told <- l.list.Version
 					}
 				})
 			}()
@@ -232,7 +232,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(t)
-			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Clock: pushedClock})
+			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
 			c := s.call(t, 0)
 			c.begin(one)
 			receiveWithin(t, "the first list", p.news)
@@ -265,7 +265,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(t)
-			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Clock: pushedClock})
+			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
 			first := s.call(t, 0)
 			first.begin(listText(1, true, entryText("a", "active", 0)))
 			receiveWithin(t, "the first list", p.news)
@@ -292,7 +292,7 @@
 // has started anew. What a later line names counts as it says.
 func TestOlderWholeListTakesNoDrainBack(t *testing.T) {
 	s := newScript(t)
-	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Clock: pushedClock})
+	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
 	told := func(what, want string) {
 		t.Helper()
 		if n := receiveWithin(t, what, p.news); statesOf(n) != want {
@@ -334,7 +334,7 @@
 			t.Fatal(err)
 		}
 		s := newScript(t)
-		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Index: known.Index, Known: known.Nodes, Clock: pushedClock})
+		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Version: known.Version, CachedNodes: known.Nodes, Timer: pushedClock})
 		s.call(t, 40).begin(text)
 		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == policy.ListReceived) != (want == "a:up") {
 			t.Errorf("told %+v, want %s", n, want)
@@ -393,8 +393,8 @@
 	defer all.giveBack(t)
 	var scarce atomic.Bool
 	failed := make(chan error, 10)
-	w := &Watcher{Address: s.Addr().String(), Clock: pushedClock}
-	w.openWatch = func(ctx context.Context, address string, index int64, put func(callRead)) error {
+	w := &Watcher{Address: s.Addr().String(), Timer: pushedClock}
+	w.openWatch = func(ctx context.Context, address string, index int64, put func(callMessage)) error {
 		if !scarce.Load() {
 			return w.runCall(ctx, address, index, put)
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -27,34 +27,34 @@
 // lock; listclock decides when a call is opened or closed.
 type Watcher struct {
 	Address        string
-	Index          int64                 // version of the held list
-	Known          []core.Node           // the list known before the first call
-	OnNews         func(core.ListUpdate) // receives each change and failure of the list
+	Version        int64                 // version of the held list
+	CachedNodes    []core.Node           // the list known before the first call
+	OnUpdate       func(core.ListUpdate) // receives each change and failure of the list
 	Log            logrus.FieldLogger
-	Clock          watchtimer.Settings
-	Pace           Pace   // says when a starting process calls; nil: the clock does
-	OnUnchanged    func() // called when a watch reports that nothing followed the held version; may be nil
+	Timer          watchtimer.Settings
+	Pacer          StartPacer // says when a starting process calls; nil: the clock does
+	OnUnchanged    func()     // called when a watch reports that nothing followed the held version; may be nil
 	heldNodes      map[string]core.Node
 	departedSince  map[string]float64 // start times of nodes that left, maxDepartedNodes at most
 	addressChanges chan string
-	received       chan callRead
+	received       chan callMessage
 	initOnce       sync.Once
-	clock          *watchtimer.Clock
+	clock          *watchtimer.Timer
 	calls          map[int]context.CancelFunc
 	lastBadListLog atomic.Int64 // elapsed time at which a bad list was last logged; 0: never
 	// elapsed and openWatch stand for the time and the network, so that tests can replace both.
 	elapsed   func() time.Duration // since the start
-	openWatch func(ctx context.Context, address string, index int64, put func(callRead)) error
+	openWatch func(ctx context.Context, address string, index int64, put func(callMessage)) error
 }
 
-// Pace says when a starting process calls for the list, until the first message. Its methods must not block.
-type Pace interface {
-	Due() <-chan struct{} // call now
-	Missed()              // a call was refused, failed or stayed unanswered
+// Pacer says when a starting process calls for the list, until the first message. Its methods must not block.
+type StartPacer interface {
+	CallDue() <-chan struct{} // call now
+	CallFailed()              // a call was refused, failed or stayed unanswered
 }
 
-// callRead is one message that a call read, or the call's end.
-type callRead struct {
+// callMessage is one message that a call read, or the call's end.
+type callMessage struct {
 	call      int
 	list      *List // nil: a heartbeat, or the end
 	unchanged bool  // a heartbeat before any list: nothing followed the requested version
@@ -63,12 +63,12 @@
 
 // initChannels makes the channels at first use, as Move may come before Run.
 func (w *Watcher) initChannels() {
-	w.initOnce.Do(func() { w.addressChanges, w.received = make(chan string), make(chan callRead, 1) })
+	w.initOnce.Do(func() { w.addressChanges, w.received = make(chan string), make(chan callMessage, 1) })
 }
 
-// Move watches at another address from now on. The current call remains valid until a call at the new address
+// SetAddress watches at another address from now on. The current call remains valid until a call at the new address
 // brings a message or the current one ends. Move returns false if the context ended first.
-func (w *Watcher) Move(ctx context.Context, address string) bool {
+func (w *Watcher) SetAddress(ctx context.Context, address string) bool {
 	w.initChannels()
 	return sync.SendOr(w.addressChanges, address, ctx.Done())
 }
@@ -85,10 +85,10 @@
 // runWithTimer is Run with the caller's timer: reset sets the time at which wake must fire.
 func (w *Watcher) runWithTimer(ctx context.Context, wake <-chan time.Time, reset func(time.Duration)) {
 	w.initChannels()
-	settings := w.Clock
+	settings := w.Timer
 	var due <-chan struct{}
-	if w.Pace != nil {
-		settings.ExternallyPaced, due = true, w.Pace.Due()
+	if w.Pacer != nil {
+		settings.ExternallyPaced, due = true, w.Pacer.CallDue()
 	}
 	w.clock, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
 	w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
@@ -105,7 +105,7 @@
 				w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
 			}
 		case 2:
-			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &SilentError{})
+			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &WatchSilentError{})
 		case 3:
 			w.handleRead(ctx, l)
 		default:
@@ -115,7 +115,7 @@
 }
 
 // handleRead applies a message of a call, or its end. What arrives from a call already closed is ignored.
-func (w *Watcher) handleRead(ctx context.Context, l callRead) {
+func (w *Watcher) handleRead(ctx context.Context, l callMessage) {
 	switch {
 	case w.calls[l.call] == nil: // the call is over
 	case l.err != nil:
@@ -140,39 +140,39 @@
 		case watchtimer.ReportDown:
 			// The clock reports this once for each time the list goes down, not for each failed call.
 			w.Log.WithFields(operr.Fields(cause)).Warn("watch ended, connecting again")
-			w.OnNews(core.ListUpdate{Kind: policy.ListFailed})
+			w.OnUpdate(core.ListUpdate{Kind: policy.ListFailed})
 		case watchtimer.ReportMissed:
-			w.Pace.Missed()
+			w.Pacer.CallFailed()
 		}
 	}
 }
 
 // handleMessage applies a list. An older list than the held one counts only if it is a full one.
-func (w *Watcher) handleMessage(l callRead) {
+func (w *Watcher) handleMessage(l callMessage) {
 	if l.unchanged && w.OnUnchanged != nil {
 		w.OnUnchanged()
 	}
 	// A change older than the held version comes from a source that lags behind the watch it replaces.
-	if l.list == nil || !l.list.Full && l.list.Index < w.Index {
+	if l.list == nil || !l.list.Full && l.list.Version < w.Version {
 		return
 	}
-	if l.list.Full && l.list.Index < w.Index {
+	if l.list.Full && l.list.Version < w.Version {
 		w.keepDrainsAndDepartures(l.list)
 	}
-	sync.Writes(&w.Index)
-	w.Index = l.list.Index
+	sync.Writes(&w.Version)
+	w.Version = l.list.Version
 	news := w.applyList(*l.list)
-	news.Index = w.Index
-	w.OnNews(news)
+	news.Index = w.Version
+	w.OnUpdate(news)
 }
 
 // startCall starts a call at the current address, from the held version.
 func (w *Watcher) startCall(ctx context.Context, call int) {
 	callCtx, stop := sync.WithCancel(ctx)
 	w.calls[call] = stop
-	address, index := w.Address, w.Index
+	address, index := w.Address, w.Version
 	sync.Go(func() {
-		put := func(l callRead) {
+		put := func(l callMessage) {
 			l.call = call
 			sync.SendOr(w.received, l, callCtx.Done())
 		}
@@ -181,13 +181,13 @@
 		if !errors.As(err, &c) {
 			err = &CallError{address, err}
 		}
-		put(callRead{err: err})
+		put(callMessage{err: err})
 	})
 }
 
 // runCall opens a connection, requests what followed the version, and reads messages until the connection ends.
 // It sets no read deadline: listclock detects silent calls and cancels the context.
-func (w *Watcher) runCall(ctx context.Context, address string, index int64, put func(callRead)) error {
+func (w *Watcher) runCall(ctx context.Context, address string, index int64, put func(callMessage)) error {
 	conn, err := transport.DialTCP(ctx, address, dialTimeout)
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 		return err
 	}
 	if head.StatusCode() != fasthttp.StatusOK {
-		return &RefusedError{head.StatusCode()}
+		return &CallRejectedError{head.StatusCode()}
 	}
 	return w.readLines(body(head, reader), put)
 }
@@ -226,7 +226,7 @@
 			return head, nil
 		}
 	}
-	return nil, &MalformedError{Says: "too many interim answers"}
+	return nil, &MalformedError{Reason: "too many interim answers"}
 }
 
 // body is the response's body. Each byte can be read as soon as it has arrived; fasthttp's own stream would hold
@@ -246,7 +246,7 @@
 // list was cut off. A line that cannot be decoded is logged and ends the watch; the held list and its version
 // stay, so that the next call requests what was missed. It is not reported as a message, because listclock would
 // then close other calls that may still be valid.
-func (w *Watcher) readLines(stream io.Reader, put func(callRead)) error {
+func (w *Watcher) readLines(stream io.Reader, put func(callMessage)) error {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	var object []byte
@@ -257,14 +257,14 @@
 		text := bytes.TrimSpace(rawLine)
 		cut := object != nil && (len(text) == 0 || rawLine[0] == '{')
 		if len(text) == 0 && !cut {
-			put(callRead{unchanged: last < 0}) // after a list it is only a heartbeat
+			put(callMessage{unchanged: last < 0}) // after a list it is only a heartbeat
 			continue
 		}
 		if !cut {
 			open := nesting.continues(text)
 			if object != nil || open {
 				if object = append(append(object, text...), '\n'); len(object) > maxLineBytes {
-					return &MalformedError{Says: fmt.Sprintf("over %d bytes", maxLineBytes)}
+					return &MalformedError{Reason: fmt.Sprintf("over %d bytes", maxLineBytes)}
 				}
 				text = object
 			}
@@ -283,12 +283,12 @@
 			return err
 		}
 		w.logBadParts(&l)
-		if l.Index < last { // an older list after a newer one counts as a heartbeat only
-			put(callRead{})
+		if l.Version < last { // an older list after a newer one counts as a heartbeat only
+			put(callMessage{})
 			continue
 		}
-		last = l.Index
-		put(callRead{list: &l})
+		last = l.Version
+		put(callMessage{list: &l})
 	}
 	if err := scanner.Err(); err != nil {
 		return err
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -49,7 +49,7 @@
 func newInterleavedWatcher(texts map[string][]string, ends bool) *interleavedWatcher {
 	log, _ := logtest.NewNullLogger()
 	d := &interleavedWatcher{texts: texts, ends: ends, wake: make(chan time.Time)}
-	d.w = &Watcher{Address: "old", Log: log, OnNews: d.onNews, Clock: watchtimer.Settings{Pushed: true}}
+	d.w = &Watcher{Address: "old", Log: log, OnUpdate: d.onNews, Timer: watchtimer.Settings{Pushed: true}}
 	d.w.elapsed, d.w.openWatch = func() time.Duration { return d.now }, d.call
 	ctx, cancel := steps.Root(context.Background())
 	d.ctx, d.stop = ctx, func() { cancel(); d.stopped = true }
@@ -79,13 +79,13 @@
 }
 
 // call stands in for the network alone: the lines are read by the real code.
-func (d *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callRead)) error {
+func (d *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callMessage)) error {
 	d.open++
 	defer func() { d.open-- }()
 	if address == "old" {
 		d.oldCalls = append(d.oldCalls, ctx)
 	}
-	return d.w.readLines(&scriptedStream{d, ctx, address, d.texts[address]}, func(l callRead) {
+	return d.w.readLines(&scriptedStream{d, ctx, address, d.texts[address]}, func(l callMessage) {
 		if d.stopped && l.list != nil {
 			l.list.Nodes[0].Zone = "late"
 		}
@@ -143,7 +143,7 @@
 		sync.SendOr(d.wake, time.Time{}, d.ctx.Done())
 	}
 	move := func(d *interleavedWatcher) {
-		if !d.w.Move(d.ctx, "new") && d.ctx.Err() == nil {
+		if !d.w.SetAddress(d.ctx, "new") && d.ctx.Err() == nil {
 			il.Fail("the move was not taken")
 		}
 	}
@@ -189,7 +189,7 @@
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "watch", Run: d.run},
-				{Name: "move", Run: func() { d.w.Move(d.ctx, "new") }},
+				{Name: "move", Run: func() { d.w.SetAddress(d.ctx, "new") }},
 			},
 			Always: d.oldCallStaysOpen,
 			Check: func() error {
@@ -203,8 +203,8 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "watch.go", Old: "	case w.calls[l.call] == nil: // the call is over\n	case l.err != nil:",
 			New: "	case l.err != nil && w.calls[l.call] != nil:", Want: "told [2 3 4]"},
-		mutant.Mutant{File: "watch.go", Old: "	address, index := w.Address, w.Index\n	sync.Go(func() {\n",
-			New: "	address := w.Address\n	sync.Go(func() {\n		sync.Reads(&w.Index)\n		index := w.Index\n", Want: "data race: "},
+		mutant.Mutant{File: "watch.go", Old: "	address, index := w.Address, w.Version\n	sync.Go(func() {\n",
+			New: "	address := w.Address\n	sync.Go(func() {\n		sync.Reads(&w.Version)\n		index := w.Version\n", Want: "data race: "},
 		mutant.Mutant{File: "watch.go", Old: "				w.Address = address\n", New: "				w.Address = address\n				w.calls[1]()\n",
 			Want: "the old call was closed before the new one spoke"},
 	)
--- a/internal/discovery/watchtimer/listclock.go
+++ b/internal/discovery/watchtimer/listclock.go
@@ -93,7 +93,7 @@
 // Settings configure a Clock.
 type Settings struct {
 	Pushed          bool          // an agent on this machine serves the list, at once and at no cost
-	Hosts           int           // schedulers that call the same service; 0: only this one
+	Schedulers      int           // schedulers that call the same service; 0: only this one
 	StalenessBound  time.Duration // time by which a change must be known; 0 or longer than the constant: the constant
 	DrainGrace      time.Duration // of the drain rule; 0: not known
 	ExternallyPaced bool          // until the first message the caller says when to call
@@ -147,8 +147,8 @@
 	silent            bool // answered, and past its silence timeout
 }
 
-// Clock is the state of one scheduler's calls for the list.
-type Clock struct {
+// Timer is the state of one scheduler's calls for the list.
+type Timer struct {
 	settings          Settings
 	rng               *rand.Rand
 	now               time.Duration
@@ -165,17 +165,17 @@
 }
 
 // New returns the clock of one scheduler.
-func New(settings Settings) *Clock {
+func New(settings Settings) *Timer {
 	if settings.StalenessBound <= 0 || settings.StalenessBound > StalenessBound {
 		settings.StalenessBound = StalenessBound
 	}
-	settings.Hosts = max(settings.Hosts, 1)
-	return &Clock{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x6c697374)),
+	settings.Schedulers = max(settings.Schedulers, 1)
+	return &Timer{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x6c697374)),
 		nextOpen: never, repeatAt: never, openDeadline: never, backoffFactor: 1}
 }
 
 // Step applies one event that happened at now and returns the actions it leads to.
-func (c *Clock) Step(now time.Duration, e Event) []Action {
+func (c *Timer) Step(now time.Duration, e Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	i := c.callIndex(e.Call)
 	switch e.Kind {
@@ -205,7 +205,7 @@
 }
 
 // NextTimer is the time at which the driver must give TimerFired.
-func (c *Clock) NextTimer() time.Duration {
+func (c *Timer) NextTimer() time.Duration {
 	earliest := c.nextOpen
 	if !c.settings.Pushed {
 		earliest = min(earliest, c.repeatAt)
@@ -228,26 +228,26 @@
 }
 
 // Live reports whether any call, at whichever address, has been answered and is not silent.
-func (c *Clock) Live() bool { return slices.ContainsFunc(c.calls, call.live) }
+func (c *Timer) Live() bool { return slices.ContainsFunc(c.calls, call.live) }
 
 // live reports whether the call has been answered and is not silent.
 func (k call) live() bool { return k.answered && !k.silent }
 
 // currentAddressLive reports whether a call at the current address is live.
-func (c *Clock) currentAddressLive() bool {
+func (c *Timer) currentAddressLive() bool {
 	return slices.ContainsFunc(c.calls, func(k call) bool { return k.addressGeneration == c.addressGeneration && k.live() })
 }
 
 // callIndex is the index of the call with the id, or -1.
-func (c *Clock) callIndex(id int) int {
+func (c *Timer) callIndex(id int) int {
 	return slices.IndexFunc(c.calls, func(k call) bool { return k.id == id })
 }
 
 // emit appends an action to those of the current step.
-func (c *Clock) emit(kind ActionKind, id int) { c.actions = append(c.actions, Action{kind, id}) }
+func (c *Timer) emit(kind ActionKind, id int) { c.actions = append(c.actions, Action{kind, id}) }
 
 // openCall opens a call, and closes another one first if MaxOpenCalls are open.
-func (c *Clock) openCall() {
+func (c *Timer) openCall() {
 	if len(c.calls) >= MaxOpenCalls {
 		c.closeCall(c.callToReplace())
 	}
@@ -265,7 +265,7 @@
 
 // callToReplace is the index of the call to close for a new one: the oldest that is not live, except the oldest
 // unanswered one until its response timeout. A late answer to that one can then still arrive.
-func (c *Clock) callToReplace() int {
+func (c *Timer) callToReplace() int {
 	oldestUnanswered := slices.IndexFunc(c.calls, func(k call) bool { return !k.answered })
 	if oldestUnanswered >= 0 && c.now >= c.calls[oldestUnanswered].openedAt+c.responseTimeout() {
 		oldestUnanswered = -1
@@ -279,13 +279,13 @@
 }
 
 // closeCall closes the call at the index.
-func (c *Clock) closeCall(i int) {
+func (c *Timer) closeCall(i int) {
 	c.emit(CloseCall, c.calls[i].id)
 	c.calls = slices.Delete(c.calls, i, i+1)
 }
 
 // addressChanged closes the unanswered calls, and opens one at the new address beside the answered ones.
-func (c *Clock) addressChanged() {
+func (c *Timer) addressChanged() {
 	c.addressGeneration++
 	for i := len(c.calls) - 1; i >= 0; i-- {
 		if !c.calls[i].answered {
@@ -298,7 +298,7 @@
 
 // messageReceived records a message on a call. A message at the current address closes all other calls; one at an
 // earlier address closes only the older calls at earlier addresses, as those at the new one may still be answered.
-func (c *Clock) messageReceived(i int) {
+func (c *Timer) messageReceived(i int) {
 	k := &c.calls[i]
 	k.answered, k.silent, k.lastMessage, c.lastMessage = true, false, c.now, c.now
 	c.repeatAt = never
@@ -315,7 +315,7 @@
 }
 
 // callEnded removes a call that ended and sets the time of the next one.
-func (c *Clock) callEnded(i int) {
+func (c *Timer) callEnded(i int) {
 	k := c.calls[i]
 	c.calls = slices.Delete(c.calls, i, i+1)
 	if !c.Live() && !c.downReported && (k.live() || len(c.calls) == 0) {
@@ -332,16 +332,16 @@
 }
 
 // callInProgress reports whether a call at the current address is unanswered or live.
-func (c *Clock) callInProgress() bool {
+func (c *Timer) callInProgress() bool {
 	return slices.ContainsFunc(c.calls, func(k call) bool { return k.addressGeneration == c.addressGeneration && (!k.answered || !k.silent) })
 }
 
 // externallyPaced reports whether the caller currently says when to call.
-func (c *Clock) externallyPaced() bool { return c.settings.ExternallyPaced && !c.settings.Pushed }
+func (c *Timer) externallyPaced() bool { return c.settings.ExternallyPaced && !c.settings.Pushed }
 
 // scheduleNextOpen sets the time of the next call after one that failed or ended. Externally paced, the caller is
 // told of the failure and only the deadline is set.
-func (c *Clock) scheduleNextOpen(wait time.Duration) {
+func (c *Timer) scheduleNextOpen(wait time.Duration) {
 	if !c.externallyPaced() {
 		c.nextOpen = c.now + wait
 		return
--- a/internal/discovery/watchtimer/listclock_test.go
+++ b/internal/discovery/watchtimer/listclock_test.go
@@ -221,7 +221,7 @@
 	for _, hosts := range []int{3, 350} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, time.Second} {
 			for name, s := range serviceDays() {
-				c := New(Settings{Pushed: true, Hosts: hosts, DrainGrace: grace, Seed: 7})
+				c := New(Settings{Pushed: true, Schedulers: hosts, DrainGrace: grace, Seed: 7})
 				p := s.play(c, length)
 				if late, at := s.latestDelay(p, grace, length); late > 0 {
 					t.Errorf("%s, %d hosts, grace %v: a drain at %v is heard of %v too late", name, hosts, grace, at, late)
@@ -249,7 +249,7 @@
 // stands still, and where lists are pushed no time without a call on its way.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		set := Settings{Pushed: rapid.Bool().Draw(rt, "pushed"), Hosts: rapid.IntRange(0, 2000).Draw(rt, "hosts"),
+		set := Settings{Pushed: rapid.Bool().Draw(rt, "pushed"), Schedulers: rapid.IntRange(0, 2000).Draw(rt, "hosts"),
 			StalenessBound: time.Duration(rapid.IntRange(0, 12).Draw(rt, "told")) * time.Second,
 			DrainGrace:     time.Duration(rapid.IntRange(0, 2000).Draw(rt, "grace")) * time.Millisecond,
 			LongPollWait:   time.Duration(rapid.SampledFrom([]int{0, 0, 5}).Draw(rt, "wait")) * time.Second, Seed: rapid.Uint64().Draw(rt, "seed")}
@@ -335,7 +335,7 @@
 	calls := 0
 	seconds := map[int]int{}
 	for h := range hosts {
-		c := New(Settings{Hosts: hosts, Seed: uint64(h)})
+		c := New(Settings{Schedulers: hosts, Seed: uint64(h)})
 		c.Step(0, Event{Kind: Started})
 		c.Step(0, Event{Kind: MessageReceived, Call: 1})
 		if refused {
--- a/internal/discovery/watchtimer/paced_test.go
+++ b/internal/discovery/watchtimer/paced_test.go
@@ -27,7 +27,7 @@
 		"pushed: no pace": {set: Settings{Pushed: true}, dead: true, opens: []time.Duration{0}, repeat: [2]time.Duration{0, maxRetryInterval}},
 		"told sooner":     {set: Settings{StalenessBound: 4 * time.Second}, dead: true, opens: []time.Duration{3 * time.Second}, repeat: [2]time.Duration{5 * time.Second, 6 * time.Second}, missed: 1},
 	} {
-		x.set.ExternallyPaced, x.set.Hosts = true, 1000
+		x.set.ExternallyPaced, x.set.Schedulers = true, 1000
 		c := New(x.set)
 		var opens []time.Duration
 		missed := 0
@@ -61,7 +61,7 @@
 			t.Errorf("%s: %d calls came to nothing, told of %d", name, x.missed, missed)
 		}
 	}
-	c := New(Settings{ExternallyPaced: true, Hosts: 80})
+	c := New(Settings{ExternallyPaced: true, Schedulers: 80})
 	c.Step(0, Event{Kind: Started})
 	c.Step(0, Event{Kind: RequestDue})
 	c.Step(0, Event{Kind: MessageReceived, Call: 1})
--- a/internal/discovery/watchtimer/reachable_test.go
+++ b/internal/discovery/watchtimer/reachable_test.go
@@ -111,7 +111,7 @@
 
 // scheduler is one clock and the calls that it has out.
 type scheduler struct {
-	clock  *Clock
+	clock  *Timer
 	calls  map[int]bool
 	watch  map[int]int // of the calls that stand: the place in heard
 	heard  []span
@@ -162,7 +162,7 @@
 func (f *fleet) play(hosts int, set Settings, end time.Duration) {
 	f.calls = map[time.Duration]int{}
 	for i := range hosts {
-		set.Hosts, set.Seed = max(hosts, set.Hosts), uint64(i+1)
+		set.Schedulers, set.Seed = max(hosts, set.Schedulers), uint64(i+1)
 		s := &scheduler{clock: New(set), calls: map[int]bool{}, watch: map[int]int{}, wake: never}
 		f.schedulers = append(f.schedulers, s)
 		f.later(f.begin, func() { f.step(s, Event{Kind: Started}) })
@@ -430,7 +430,7 @@
 	}{{80, 56, 14, 11 * time.Second}, {80, 56, 32, 6 * time.Second}, {350, 245, 140, 6 * time.Second}, {350, 350, 140, 11 * time.Second}} {
 		f := &fleet{weather: weather{answer: 20 * time.Millisecond},
 			queue: discovery.NewQueue(time.Duration(float64(time.Second)/x.capacity), 2*time.Second, 64)}
-		f.play(x.restarted, Settings{Hosts: x.hosts}, 40*time.Second)
+		f.play(x.restarted, Settings{Schedulers: x.hosts}, 40*time.Second)
 		served := 0
 		last := time.Duration(0)
 		for _, s := range f.schedulers {
--- a/internal/discovery/watchtimer/timers.go
+++ b/internal/discovery/watchtimer/timers.go
@@ -1,7 +1,7 @@
 package watchtimer
 
 // runTimers does what is due at the current time.
-func (c *Clock) runTimers() {
+func (c *Timer) runTimers() {
 	for i := range c.calls {
 		if c.calls[i].answered {
 			c.checkSilence(&c.calls[i])
@@ -24,7 +24,7 @@
 
 // checkSilence marks an answered call as silent after its silence timeout, sets the time of its replacement, and
 // reports the list as down when no call has become live within downReportDelay.
-func (c *Clock) checkSilence(k *call) {
+func (c *Timer) checkSilence(k *call) {
 	if !k.silent && c.now >= k.lastMessage+c.silenceTimeout() {
 		k.silent = true
 		if !c.Live() && k.addressGeneration == c.addressGeneration {
@@ -38,7 +38,7 @@
 }
 
 // replaceSilent sets when the replacement of a silent call is opened, and when it is repeated if unanswered.
-func (c *Clock) replaceSilent(k *call) {
+func (c *Timer) replaceSilent(k *call) {
 	c.nextOpen = min(c.nextOpen, c.now)
 	if c.settings.Pushed {
 		return
@@ -50,7 +50,7 @@
 
 // giveUpUnanswered closes the calls past their response timeout. If no other call at the current address is in
 // progress, the next one is drawn from the time that remains until the open deadline.
-func (c *Clock) giveUpUnanswered() {
+func (c *Timer) giveUpUnanswered() {
 	for i := len(c.calls) - 1; i >= 0; i-- {
 		if k := c.calls[i]; k.answered || c.now < k.openedAt+c.responseTimeout() {
 			continue
--- a/internal/discovery/watchtimer/timing.go
+++ b/internal/discovery/watchtimer/timing.go
@@ -3,12 +3,12 @@
 import "time"
 
 // RetryInterval is the time between two calls to an agent that does not answer.
-func (c *Clock) RetryInterval() time.Duration {
+func (c *Timer) RetryInterval() time.Duration {
 	return min(max(c.settings.DrainGrace/drainGraceDivisor, minRetryInterval), maxRetryInterval)
 }
 
 // silentCallBound is the time, counted from a silent call's last message, by which a change it missed must be known.
-func (c *Clock) silentCallBound() time.Duration {
+func (c *Timer) silentCallBound() time.Duration {
 	if c.settings.LongPollWait > 0 {
 		return max(c.settings.StalenessBound, c.settings.LongPollWait+longPollSlack)
 	}
@@ -16,17 +16,17 @@
 }
 
 // answerReserve is the part of the staleness bound kept for the answer to a call.
-func (c *Clock) answerReserve() time.Duration {
+func (c *Timer) answerReserve() time.Duration {
 	return min(maxAnswerReserve, c.settings.StalenessBound/reserveDivisor)
 }
 
 // repeatReserve is the part of the staleness bound kept for the answer to the one repeat.
-func (c *Clock) repeatReserve() time.Duration {
+func (c *Timer) repeatReserve() time.Duration {
 	return min(maxRepeatReserve, c.settings.StalenessBound/reserveDivisor)
 }
 
 // silenceTimeout is how long an answered call may stay without a message.
-func (c *Clock) silenceTimeout() time.Duration {
+func (c *Timer) silenceTimeout() time.Duration {
 	if c.settings.Pushed {
 		return max(HeartbeatInterval, c.settings.LongPollWait) + pushedHeartbeatSlack
 	}
@@ -34,18 +34,18 @@
 }
 
 // responseTimeout is how long a call may stay without its first message.
-func (c *Clock) responseTimeout() time.Duration {
+func (c *Timer) responseTimeout() time.Duration {
 	return min(ResponseTimeout, c.settings.StalenessBound/2) + c.settings.LongPollWait
 }
 
 // randomBetween draws a time evenly from the interval.
-func (c *Clock) randomBetween(from, to time.Duration) time.Duration {
+func (c *Timer) randomBetween(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Float64()*float64(to-from))
 }
 
 // pacedDeadline is when an externally paced clock opens a call without RequestDue. After the first call the time is
 // drawn at random, because a fleet that started at one instant would otherwise repeat its calls at one instant.
-func (c *Clock) pacedDeadline() time.Duration {
+func (c *Timer) pacedDeadline() time.Duration {
 	last := c.lastMessage + c.settings.StalenessBound - c.answerReserve()
 	if c.lastCallID == 0 {
 		return max(last, c.now)
@@ -62,8 +62,8 @@
 // repeat at one instant all calls that ended at one instant. The first wait of a series is drawn from the end of
 // the remaining time: from as much of it as keeps the fleet to FleetCallsPerSecond, so that the service has by
 // then finished with the calls that failed. Later waits are as long as permitted and so keep that spread.
-func (c *Clock) backoff(wasLive bool) time.Duration {
-	mean := max(minBackoff, 2*time.Duration(c.settings.Hosts)*time.Second/FleetCallsPerSecond) * time.Duration(c.backoffFactor)
+func (c *Timer) backoff(wasLive bool) time.Duration {
+	mean := max(minBackoff, 2*time.Duration(c.settings.Schedulers)*time.Second/FleetCallsPerSecond) * time.Duration(c.backoffFactor)
 	low, high := time.Duration((1-jitterFraction)*float64(mean)), time.Duration((1+jitterFraction)*float64(mean))
 	remaining := c.openDeadline - c.now
 	if wasLive {
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -87,7 +87,7 @@
 	f.srv.Bodies = semaphore.NewWeighted(6 << 20) // three at a time
 	f.dialer.ConnIdle = time.Minute
 	nodes := echo(t)
-	f.srv.Core.List(nodesAt(nodes))
+	f.srv.Core.UpdateList(nodesAt(nodes))
 	var mu sync.Mutex
 	counts := map[int]int{}
 	var all sync.WaitGroup
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/closes_test.go
@@ -99,7 +99,7 @@
 		for i := range 50 {
 			io.WriteString(dialFront(t, f.address), numbered(100+i))
 		}
-		waitFor(t, func() bool { return f.srv.Core.Open() == 50 })
+		waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 50 })
 		c := dialFront(t, f.address)
 		io.WriteString(c, together(0, count))
 		for i := range count {
@@ -298,7 +298,7 @@
 		c.Close()
 	}
 	probe()
-	waitFor(t, func() bool { return f.srv.Core.Open() == 0 })
+	waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 0 })
 	served = dialFront(t, f.address)
 	io.WriteString(served, strings.Replace(good, "9b1f", "ffff", 1))
 	served.answered(t, "after the clients that went", 200, false)
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -88,12 +88,12 @@
 	if j.probe != nil {
 		start := time.Now()
 		r, reuse := c.probe()
-		c.node.mailbox.Must(nodeMessage{returned: c, broken: !reuse})
+		c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})
 		j.probe(r, time.Since(start))
 		return reuse
 	}
 	if c.unusable() {
-		c.node.mailbox.Must(nodeMessage{returned: c, broken: true, resend: j.attempt})
+		c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: true, resend: j.attempt})
 		return false
 	}
 	r, reuse := c.carryAttempt(j)
@@ -102,11 +102,11 @@
 		rep.relay.handOut()
 		j.attempt.Done(r)
 		reuse = rep.relay.wait() && reuse
-		c.node.mailbox.Must(nodeMessage{returned: c, broken: !reuse})
+		c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})
 		rep.relay.connReturned()
 		return reuse
 	}
-	c.node.mailbox.Must(nodeMessage{returned: c, broken: !reuse})
+	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})
 	j.attempt.Done(r)
 	return reuse
 }
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/crowd_test.go
@@ -43,7 +43,7 @@
 	for i := range 50 {
 		open = append(open, ask(i))
 	}
-	for f.srv.Core.Open() < 50 {
+	for f.srv.Core.OpenRequests() < 50 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 { // more than are taken past the cap at a time
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -205,7 +205,7 @@
 		Wait: w.within(30 * time.Millisecond), dial: w.dial}
 	set := endsSettings(w)
 	co, err := core.New(core.Options{Settings: set, Seed: int64(w.upTo(1 << 30)), Log: log,
-		Connect: func(name string, to []address.Addr) core.NodeClient { return crammed{d.Connect(name, to), w} }})
+		NewNodeClient: func(name string, to []address.Addr) core.NodeClient { return crammed{d.Connect(name, to), w} }})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 		list = append(list, n)
 		w.nodes[a] = &worldNode{w: w, silence: w.within(8 * time.Second)}
 	}
-	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
+	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
 	var all []*ending
 	for i := range 300 {
 		time.Sleep(w.within(30 * time.Millisecond))
@@ -224,11 +224,11 @@
 		case 0: // a change of the list, or word that there is none
 			n := list[w.upTo(len(list))]
 			n.State = policy.NodeState(w.upTo(3))
-			co.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
+			co.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
 		case 1:
-			co.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.upTo(3):]})
+			co.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.upTo(3):]})
 		case 2:
-			co.List(core.ListUpdate{Kind: policy.ListFailed})
+			co.UpdateList(core.ListUpdate{Kind: policy.ListFailed})
 		}
 		c := set.Classes[w.upTo(len(set.Classes))]
 		id := fmt.Sprintf("%016x", i)
@@ -268,10 +268,10 @@
 			}
 		}
 	}
-	if left := co.Tables(); left != (core.TableSizes{}) {
+	if left := co.TableSizes(); left != (core.TableSizes{}) {
 		w.t.Errorf("left behind: %+v", left)
 	}
-	co.List(core.ListUpdate{Kind: policy.ListReceived})
+	co.UpdateList(core.ListUpdate{Kind: policy.ListReceived})
 	time.Sleep(time.Minute) // all nodes have left: what they hold closes
 	if open := d.open.Load(); open != 0 || d.idle.list.Len() != 0 {
 		w.t.Errorf("%d connections are counted as open, %d as idle", open, d.idle.list.Len())
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -26,7 +26,7 @@
 		unwatch()
 		return c.unwritten(j, first, err), false, true
 	}
-	j.attempt.Written()
+	j.attempt.MarkWritten()
 	if cap(c.buffer) > maxKeptBuffer {
 		c.buffer = nil
 	}
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -64,11 +64,11 @@
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
-	if w.core, err = core.New(core.Options{Settings: set, Seed: 1, Connect: d.Connect, Log: log}); err != nil {
+	if w.core, err = core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.core.Stop)
-	w.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: w.listed})
+	w.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: w.listed})
 	merge, err := gather.ParseRules([]byte(rules))
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 // quiet waits until nothing of any read is left.
 func (w *spread) quiet() {
 	w.t.Helper()
-	waitFor(w.t, func() bool { x := w.core.Tables(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
+	waitFor(w.t, func() bool { x := w.core.TableSizes(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
 }
 
 const (
@@ -418,7 +418,7 @@
 	}
 	ran := func(i int) int { return w.nodes[i].Counts().Requests }
 	w.listed[1].State = policy.NodeDraining
-	w.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.listed[1:2]})
+	w.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.listed[1:2]})
 	if _, err := w.core.Exclude("n2"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -162,7 +162,7 @@
 // empty waits until the core holds nothing of any request but guards, whose time is yet to come.
 func (l *lately) empty() {
 	l.t.Helper()
-	waitFor(l.t, func() bool { x := l.srv.Core.Tables(); return x.Requests == 0 && x.Module == 0 })
+	waitFor(l.t, func() bool { x := l.srv.Core.TableSizes(); return x.Requests == 0 && x.Module == 0 })
 }
 
 // parked waits until an attempt's end has given its connection back since the last call, or the attempt was written after all.
@@ -254,14 +254,14 @@
 		for _, heard := range []bool{false, true} {
 			l, _ := newLately(t, network)
 			list := func(state policy.NodeState) {
-				l.srv.Core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{
+				l.srv.Core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{
 					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
 			}
 			list(policy.NodeDraining)
 			nc := l.dial()
 			ask(nc, 1)
 			io.WriteString(nc, ahead)
-			waitFor(t, func() bool { return l.srv.Core.Open() == 1 })
+			waitFor(t, func() bool { return l.srv.Core.OpenRequests() == 1 })
 			release := func() {}
 			if !heard {
 				release = holdCore(t, l.srv.Core)
@@ -302,7 +302,7 @@
 					nc.Close()
 					allGone(t, l.srv)
 					l.onlyNext(0)
-					if n := l.srv.Core.Counts().Read().Failed["new-record"]; n != 0 {
+					if n := l.srv.Core.Counters().Snapshot().Failed["new-record"]; n != 0 {
 						t.Errorf("the core counted %d requests", n)
 					}
 				})
@@ -322,7 +322,7 @@
 		ask(nc, i)
 		conns = append(conns, nc)
 	}
-	waitFor(t, func() bool { return l.srv.Core.Open() == clients })
+	waitFor(t, func() bool { return l.srv.Core.OpenRequests() == clients })
 	<-l.dials.at
 	release := holdCore(t, l.srv.Core)
 	for _, nc := range conns {
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -421,12 +421,12 @@
 	set := testModule()
 	var log *logrus.Logger
 	log, _ = logtest.NewNullLogger()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: d.Connect, Log: log})
+	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
 	f := &front{standin: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
 	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
--- a/internal/httpfront/idle.go
+++ b/internal/httpfront/idle.go
@@ -49,7 +49,7 @@
 	c.idleElement = nil
 	s.mu.Unlock()
 	c.socket.Close() // its goroutine waits for a job, and ends when its node closes the channel
-	c.node.mailbox.Must(nodeMessage{evicted: c})
+	c.node.mailbox.PutUnbounded(nodeMessage{evicted: c})
 	return true
 }
 
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -38,7 +38,7 @@
 	address   address.Addr // the only one; zero where paths is set
 	host      string
 	paths     *paths // set from the first second address on
-	mailbox   *mailbox.Box[nodeMessage]
+	mailbox   *mailbox.Queue[nodeMessage]
 	draining  atomic.Bool
 	idle      []*conn // in the order in which they became idle
 	busy      map[*core.Attempt]*conn
@@ -53,7 +53,7 @@
 func (n *node) Send(a *core.Attempt) bool { return n.mailbox.Put(nodeMessage{send: a}) }
 
 // Cancel implements core.Peer. It may exceed the mailbox's size, as there is at most one for each send.
-func (n *node) Cancel(a *core.Attempt) { n.mailbox.Must(nodeMessage{cancel: a}) }
+func (n *node) Cancel(a *core.Attempt) { n.mailbox.PutUnbounded(nodeMessage{cancel: a}) }
 
 // CheckHealth implements core.Peer.
 func (n *node) CheckHealth(f func(core.Result, time.Duration)) bool {
@@ -63,17 +63,17 @@
 // Drain implements core.Peer. It takes effect at once, also for attempts in the mailbox.
 func (n *node) Drain(on bool) {
 	if n.draining.Swap(on) != on {
-		n.mailbox.Must(nodeMessage{}) // wakes the actor, which reads draining after each message
+		n.mailbox.PutUnbounded(nodeMessage{}) // wakes the actor, which reads draining after each message
 	}
 }
 
 // SetAddresses implements core.Peer.
 func (n *node) SetAddresses(addresses []address.Addr) {
-	n.mailbox.Must(nodeMessage{path: &pathMessage{addresses: addresses}})
+	n.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{addresses: addresses}})
 }
 
 // Close implements core.Peer.
-func (n *node) Close() { n.mailbox.Must(nodeMessage{close: true}) }
+func (n *node) Close() { n.mailbox.PutUnbounded(nodeMessage{close: true}) }
 
 // run is the actor's loop: it ends once the node is closed, its connections are gone and its mailbox is empty.
 func (n *node) run() {
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -281,8 +281,8 @@
 		}
 	})
 	mutant.Found(t, mutant.Mutant{File: "conn.go",
-		Old:  "	c.node.mailbox.Must(nodeMessage{returned: c, broken: !reuse})\n	j.attempt.Done(r)",
-		New:  "	j.attempt.Done(r)\n	c.node.mailbox.Must(nodeMessage{returned: c, broken: !reuse})",
+		Old:  "	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})\n	j.attempt.Done(r)",
+		New:  "	j.attempt.Done(r)\n	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})",
 		Want: "attempt 1: "})
 }
 
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -111,12 +111,12 @@
 			set.MaxAttempts = 4
 			set.Classes[1].Effect = policy.NonIdempotent
 			log, _ := logtest.NewNullLogger()
-			c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
+			c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Stop()
-			c.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
+			c.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
 			ask := func(id string) core.Answer {
 				var m fasthttp.Request
 				text := strings.Replace(good, "9b1f03aa5c7e2d41", id, 1)
--- a/internal/httpfront/path.go
+++ b/internal/httpfront/path.go
@@ -36,11 +36,11 @@
 func (t *path) run(ctx context.Context) {
 	why, err := t.connect(ctx)
 	if err != nil {
-		t.node.mailbox.Must(nodeMessage{path: &pathMessage{failed: t, why: why}})
+		t.node.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{failed: t, why: why}})
 		return
 	}
 	defer t.socket.Close()
-	t.node.mailbox.Must(nodeMessage{path: &pathMessage{connected: t}})
+	t.node.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{connected: t}})
 	for {
 		var j job
 		select {
@@ -49,7 +49,7 @@
 			return
 		}
 		if j.attempt != nil && t.unusable() {
-			t.node.mailbox.Must(nodeMessage{path: &pathMessage{unsent: t}})
+			t.node.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{unsent: t}})
 			return
 		}
 		start := time.Now()
@@ -59,7 +59,7 @@
 			rep.relay.handOut()
 			j.attempt.Done(r)
 			e.KeepAlive = rep.relay.wait() && e.KeepAlive
-			t.node.mailbox.Must(nodeMessage{path: &pathMessage{returned: t, event: e}})
+			t.node.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{returned: t, event: e}})
 			rep.relay.connReturned()
 			if !e.KeepAlive {
 				return
@@ -71,7 +71,7 @@
 		if j.attempt != nil && r.Status == policy.NodeFull {
 			m.rejected = &r
 		}
-		t.node.mailbox.Must(nodeMessage{path: m})
+		t.node.mailbox.PutUnbounded(nodeMessage{path: m})
 		switch {
 		case j.probe != nil:
 			j.probe(r, time.Since(start))
--- a/internal/httpfront/paths.go
+++ b/internal/httpfront/paths.go
@@ -139,7 +139,7 @@
 // watchDeadline has the actor told when the context of a waiting work ends.
 func (p *paths) watchDeadline(w *work) {
 	if p.works[w.req] == w && w.path == nil {
-		w.stopWatch = context.AfterFunc(w.ctx, func() { p.node.mailbox.Must(nodeMessage{path: &pathMessage{expired: w}}) })
+		w.stopWatch = context.AfterFunc(w.ctx, func() { p.node.mailbox.PutUnbounded(nodeMessage{path: &pathMessage{expired: w}}) })
 	}
 }
 
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -471,7 +471,7 @@
 	set := testModule()
 	f, c := r.through(set, 50)
 	list := func(kind policy.EventKind, to ...address.Addr) {
-		c.List(core.ListUpdate{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
+		c.UpdateList(core.ListUpdate{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
 	}
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
@@ -513,12 +513,12 @@
 // through is a whole path to the routed node, by a module of these settings.
 func (r *routed) through(set policy.Settings, conns int) (*front, *core.Core) {
 	r.t.Helper()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: r.d.Connect, Log: r.d.Log})
+	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: r.d.Connect, Log: r.d.Log})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(c.Stop)
-	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -41,7 +41,7 @@
 	c.dialID = n.waiting.ConnectStarted(now)
 	sync.Go(func() {
 		err := c.ensureUp(context.Background())
-		n.mailbox.Must(nodeMessage{opened: c, broken: err != nil})
+		n.mailbox.PutUnbounded(nodeMessage{opened: c, broken: err != nil})
 		if f != nil {
 			f(dialStatus(err == nil))
 		}
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/tenants_test.go
@@ -36,7 +36,7 @@
 	set := testModule()
 	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 1e-6, LimitBurst: 6})
 	log, _ := logtest.NewNullLogger()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: dialer().Connect, Log: log})
+	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 	t.Cleanup(func() { node.Close() })
 	go f.serve(node)
-	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -243,7 +243,7 @@
 		}
 		f.mu.Unlock()
 	}
-	got := f.core.Counts().Read()
+	got := f.core.Counters().Snapshot()
 	for class, want := range passed {
 		if got.Served[class] != want {
 			t.Errorf("%s: %d counted as served, %d were", class, got.Served[class], want)
@@ -314,7 +314,7 @@
 			other.Write(next.text())
 		}
 		next.check(t, br)
-		waitFor(t, func() bool { return f.core.Open() == 0 })
+		waitFor(t, func() bool { return f.core.OpenRequests() == 0 })
 	}
 }
 
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -177,7 +177,7 @@
 	}
 	conf.Storage = []config.StorageTarget{{Name: "new", Addresses: conf.Storage[0].Addresses, Target: "iqn.new", Shard: 0}}
 	p.dialer.Update(&conf)
-	p.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
+	p.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
 	if e := c.readBlocks(0, 1); e.status != statusGood {
 		t.Errorf("ended %+v", e)
 	}
@@ -283,7 +283,7 @@
 	if e := c.readBlocks(0, 1); e.status != statusGood || old.responses[itt] != 0 {
 		t.Errorf("ended %+v, %d responses in the old session", e, old.responses[itt])
 	}
-	if n := p.core.Open(); n != 0 {
+	if n := p.core.OpenRequests(); n != 0 {
 		t.Errorf("%d requests open", n)
 	}
 }
@@ -485,7 +485,7 @@
 		t.Errorf("%v, %d responses", err, c.responses[itt])
 	}
 	close(p.hold)
-	if n := p.core.Open(); n != 0 {
+	if n := p.core.OpenRequests(); n != 0 {
 		t.Errorf("%d requests open", n)
 	}
 }
--- a/internal/iscsi/portals_test.go
+++ b/internal/iscsi/portals_test.go
@@ -163,7 +163,7 @@
 	d := pathTo(t, 30e3, true, b).target.conf.Storage[0].Addresses
 	conf.Storage[0].Addresses = d
 	p.dialer.Update(&conf)
-	p.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
+	p.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
 	other := p.another(t)
 	for range 5 {
 		if e := other.readBlocks(0, 1); e.status != statusGood {
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -505,13 +505,13 @@
 	book.WrongNodeBackoff = 50 * time.Millisecond
 	d.Addresses(book)
 	set = Settings(set, conf)
-	co, err := core.New(core.Options{Settings: set, Seed: 1, Connect: d.Connect, Log: log})
+	co, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(co.Stop)
-	d.Report(co.List)
-	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: Nodes(conf)})
+	d.Report(co.UpdateList)
+	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: Nodes(conf)})
 	ln, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -5,19 +5,19 @@
 // Invariants:
 //   - What was put is taken once, in the order in which it was put.
 //   - Put never waits, and never leaves more than the bound in the box.
-//   - Must takes what must not be lost past the bound: its callers bound themselves (one message
+//   - PutUnbounded takes what must not be lost past the bound: its callers bound themselves (one message
 //     for each connection).
 //   - Whenever something waits, Wake is ready, or a Take is about to come.
-//   - A box that was emptied holds no more than Kept messages' room.
+//   - A box that was emptied holds no more than maxIdleCapacity messages' room.
 package mailbox
 
 import "wheatsaddle/internal/interleave/sync"
 
-// Kept is how many messages' room an empty box keeps.
-const Kept = 16
+// maxIdleCapacity is how many messages' room an empty box keeps.
+const maxIdleCapacity = 16
 
-// Box is one actor's mailbox; any number put, one takes.
-type Box[T any] struct {
+// Queue is one actor's mailbox; any number put, one takes.
+type Queue[T any] struct {
 	most int
 	mu   sync.Mutex
 	list []T
@@ -25,12 +25,12 @@
 }
 
 // New makes an empty box for so many messages.
-func New[T any](most int) *Box[T] {
-	return &Box[T]{most: most, wake: make(chan struct{}, 1)}
+func New[T any](most int) *Queue[T] {
+	return &Queue[T]{most: most, wake: make(chan struct{}, 1)}
 }
 
 // Put puts a message; false: the box is full, and nothing was put.
-func (b *Box[T]) Put(m T) bool {
+func (b *Queue[T]) Put(m T) bool {
 	b.mu.Lock()
 	if len(b.list) >= b.most {
 		b.mu.Unlock()
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Must puts a message whether or not the box is full: for what must not be lost and is bounded
+// PutUnbounded puts a message whether or not the box is full: for what must not be lost and is bounded
 // elsewhere.
-func (b *Box[T]) Must(m T) {
+func (b *Queue[T]) PutUnbounded(m T) {
 	b.mu.Lock()
 	sync.Writes(&b.list)
 	b.list = append(b.list, m)
@@ -53,14 +53,14 @@
 	b.notify()
 }
 
-func (b *Box[T]) notify() { sync.TrySend(b.wake, struct{}{}) }
+func (b *Queue[T]) notify() { sync.TrySend(b.wake, struct{}{}) }
 
 // Wake is ready when something may wait.
-func (b *Box[T]) Wake() <-chan struct{} { return b.wake }
+func (b *Queue[T]) Wake() <-chan struct{} { return b.wake }
 
 // Take takes all that waits. The list taken last time may be given back to be filled again.
-func (b *Box[T]) Take(last []T) []T {
-	if cap(last) > Kept {
+func (b *Queue[T]) Take(last []T) []T {
+	if cap(last) > maxIdleCapacity {
 		last = nil
 	}
 	clear(last)
@@ -73,7 +73,7 @@
 }
 
 // Len is how many wait.
-func (b *Box[T]) Len() int {
+func (b *Queue[T]) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sync.Reads(&b.list)
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -88,8 +88,8 @@
 		var got []int
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "one", Run: func() { b.Must(1); b.Must(2) }},
-				{Name: "other", Run: func() { b.Must(3) }},
+				{Name: "one", Run: func() { b.PutUnbounded(1); b.PutUnbounded(2) }},
+				{Name: "other", Run: func() { b.PutUnbounded(3) }},
 				{Name: "taker", Run: func() {
 					for len(got) < 3 {
 						sync.Recv(b.Wake())
@@ -108,7 +108,7 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Box[T]) Must(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()\n	b.notify()",
-		New:  "func (b *Box[T]) Must(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()",
+	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()\n	b.notify()",
+		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()",
 		Want: "deadlock: taker at receive"})
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -29,7 +29,7 @@
 				}
 			case 2:
 				next++
-				b.Must(next)
+				b.PutUnbounded(next)
 				model = append(model, next)
 			default:
 				select {
@@ -49,7 +49,7 @@
 					}
 				}
 				model = nil
-				if cap(b.list) > Kept {
+				if cap(b.list) > maxIdleCapacity {
 					t.Fatalf("an empty box keeps room for %d", cap(b.list))
 				}
 			}
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -42,8 +42,8 @@
 // Histogram has buckets in the form of VictoriaMetrics (vmrange).
 type Histogram = metrics.Histogram
 
-// Meter is a registry that is served.
-type Meter struct {
+// Registry is a registry that is served.
+type Registry struct {
 	set   *metrics.Set
 	srv   *http.Server
 	done  chan struct{}
@@ -55,25 +55,25 @@
 }
 
 // Serve answers GET /metrics on a listener until Close. No listener: no meter.
-func Serve(ln net.Listener, log logrus.FieldLogger) *Meter {
+func Serve(ln net.Listener, log logrus.FieldLogger) *Registry {
 	if ln == nil {
 		return nil
 	}
-	m := &Meter{set: metrics.NewSet(), done: make(chan struct{}), names: map[string]bool{}}
+	m := &Registry{set: metrics.NewSet(), done: make(chan struct{}), names: map[string]bool{}}
 	m.set.NewGauge(prefix+"meter_left_out", func() float64 { return float64(m.leftOut.Load()) })
 	m.srv = &http.Server{Handler: m, ReadTimeout: patience, WriteTimeout: patience, MaxHeaderBytes: callMost, ErrorLog: stdlog.New(io.Discard, "", 0)}
 	m.srv.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(m.done)
 		if err := m.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			log.WithFields(operr.Fields(&Ended{ln.Addr().String(), err})).Error("counts are no longer served")
+			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("counts are no longer served")
 		}
 	}()
 	return m
 }
 
 // ServeHTTP implements http.Handler.
-func (m *Meter) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (m *Registry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch {
 	case q.URL.Path != "/metrics" || q.Method != http.MethodGet:
 		http.Error(w, "GET /metrics is the only call", http.StatusNotFound)
@@ -88,7 +88,7 @@
 }
 
 // Close ends the serving; counters still count.
-func (m *Meter) Close() {
+func (m *Registry) Close() {
 	if m != nil {
 		_ = m.srv.Close()
 		<-m.done
@@ -96,7 +96,7 @@
 }
 
 // Counter is the one of a name (without the program's prefix) and labels, given as key and value in turn.
-func (m *Meter) Counter(name string, labels ...string) *Counter {
+func (m *Registry) Counter(name string, labels ...string) *Counter {
 	if series := m.series(name, labels); series != "" {
 		return m.set.GetOrCreateCounter(series)
 	}
@@ -104,7 +104,7 @@
 }
 
 // Histogram is the one of a name and labels; nil-safe to ask for, and of no use where the meter is off.
-func (m *Meter) Histogram(name string, labels ...string) *Histogram {
+func (m *Registry) Histogram(name string, labels ...string) *Histogram {
 	if series := m.series(name, labels); series != "" {
 		return m.set.GetOrCreateHistogram(series)
 	}
@@ -112,7 +112,7 @@
 }
 
 // Gauge shows what f says at each asking; f is called by the server's goroutines.
-func (m *Meter) Gauge(f func() float64, name string, labels ...string) {
+func (m *Registry) Gauge(f func() float64, name string, labels ...string) {
 	if series := m.series(name, labels); series != "" {
 		m.set.GetOrCreateGauge(series, f)
 	}
@@ -121,7 +121,7 @@
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // series is a name with its labels; "": it is not kept.
-func (m *Meter) series(name string, labels []string) string {
+func (m *Registry) series(name string, labels []string) string {
 	if m == nil {
 		return ""
 	}
@@ -146,23 +146,23 @@
 	return series
 }
 
-// Ended says that the counts are no longer served.
-type Ended struct {
+// ServeError says that the counts are no longer served.
+type ServeError struct {
 	Address string
 	Err     error
 }
 
-func (e *Ended) Error() string { return "metrics at " + e.Address + ": " + e.Err.Error() }
+func (e *ServeError) Error() string { return "metrics at " + e.Address + ": " + e.Err.Error() }
 
 // Unwrap gives the system's word.
-func (e *Ended) Unwrap() error { return e.Err }
+func (e *ServeError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *Ended) Code() string { return "meter-ended" }
+func (e *ServeError) Code() string { return "meter-ended" }
 
 // Advice implements operr.Coded.
-func (e *Ended) Advice() string {
+func (e *ServeError) Advice() string {
 	return "Clients are served all the same. Restart the program when that is convenient; the door's telemetry has the main counts."
 }
 
-func init() { operr.Register(&Ended{"127.0.0.1:9464", net.ErrClosed}) }
+func init() { operr.Register(&ServeError{"127.0.0.1:9464", net.ErrClosed}) }
--- a/internal/scattergather/core.go
+++ b/internal/scattergather/core.go
@@ -35,7 +35,7 @@
 	Gone     func() bool                  // says whether the client has gone; nil: that is not known
 	mu       sync.Mutex
 	out      map[string]*asked
-	tried    map[string]*core.NodesTried // of all askings
+	tried    map[string]*core.AttemptedNodes // of all askings
 }
 
 // asked is an asking that is out.
@@ -54,7 +54,7 @@
 	if r.Key != "" { // the module knows a repeat by it: parts are not each other's
 		r.Key += "/" + a.Part.ID
 	}
-	r.Payload, r.Tried = c.Payload(r, a), &core.NodesTried{}
+	r.Payload, r.AttemptedNodes = c.Payload(r, a), &core.AttemptedNodes{}
 	r.Answer = func(x core.Answer) {
 		switch x.Kind {
 		case core.Served:
@@ -79,12 +79,12 @@
 	}
 	c.mu.Lock()
 	if c.out == nil {
-		c.out, c.tried = map[string]*asked{}, map[string]*core.NodesTried{}
+		c.out, c.tried = map[string]*asked{}, map[string]*core.AttemptedNodes{}
 	}
-	c.out[r.ID], c.tried[r.ID] = &asked{req: r}, r.Tried
+	c.out[r.ID], c.tried[r.ID] = &asked{req: r}, r.AttemptedNodes
 	for _, no := range a.Past {
 		if t := c.tried[c.id(Ask{Part: a.Part, Copy: no})]; t != nil {
-			r.Avoid = append(r.Avoid, t)
+			r.AvoidNodes = append(r.AvoidNodes, t)
 		}
 	}
 	c.mu.Unlock()
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -60,7 +60,7 @@
 		case s.fault == "late": // the others have all answered
 			time.Sleep(20 * time.Millisecond)
 		}
-		a.Written()
+		a.MarkWritten()
 		a.Done(r)
 	}()
 	return true
@@ -100,7 +100,7 @@
 	log, _ := logtest.NewNullLogger()
 	var err error
 	w.c, err = core.New(core.Options{Seed: 7, Log: log,
-		Connect: func(name string, _ []address.Addr) core.NodeClient { return w.shards[name[0]-'0'] },
+		NewNodeClient: func(name string, _ []address.Addr) core.NodeClient { return w.shards[name[0]-'0'] },
 		Settings: policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 3, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 			DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
 			Classes: []policy.Class{{Name: "read", LatencyObjective: 60e3, Deadline: 120e3, PriorityWeight: 3}},
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
+	w.c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
 	w.asker = &Core{Core: w.c, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
 		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Ask) any { return nil },
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
@@ -163,7 +163,7 @@
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	await(t, "core holds nothing", func() bool { x := w.c.Tables(); return x.Requests == 0 })
+	await(t, "core holds nothing", func() bool { x := w.c.TableSizes(); return x.Requests == 0 })
 	return rows, f
 }
 
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -117,7 +117,7 @@
 			if c.tree && !slices.Contains(h.asked, "a2") {
 				t.Errorf("asked %v", h.asked)
 			}
-			await(t, "core holds nothing", func() bool { return w.c.Tables().Requests == 0 })
+			await(t, "core holds nothing", func() bool { return w.c.TableSizes().Requests == 0 })
 		})
 	}
 }
@@ -151,7 +151,7 @@
 	if f := read(Query{All: true}, "read"); f.Kind != Refused || f.RetryAfter <= 0 || s.Reads.In() != 1 {
 		t.Errorf("%+v", f)
 	}
-	if n := w.c.Tables().Requests; n != 2 {
+	if n := w.c.TableSizes().Requests; n != 2 {
 		t.Errorf("core holds %d", n)
 	}
 	leave()
@@ -170,7 +170,7 @@
 		if r := f.Report(false); f.Kind != Short || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartLong)) {
 			t.Errorf("long %v: %+v", long, f)
 		}
-		await(t, "core holds nothing", func() bool { return w.c.Tables().Requests == 0 })
+		await(t, "core holds nothing", func() bool { return w.c.TableSizes().Requests == 0 })
 	}
 }
 
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -226,14 +226,14 @@
 	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: 400, Safe: safe,
 		Routes: &httpfront.Routes{Seed: seed}}
 	var err error
-	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), Connect: d.Connect, Log: log}); err != nil {
+	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), NewNodeClient: d.Connect, Log: log}); err != nil {
 		return nil, err
 	}
 	news := core.ListUpdate{Kind: policy.ListReceived}
 	for i, list := range lists {
 		news.Nodes = append(news.Nodes, core.Node{Node: policy.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
 	}
-	r.core.List(news)
+	r.core.UpdateList(news)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -24,7 +24,7 @@
 	learned policy.Learned
 	guess   bool
 	watch   bool              // the list tells of changes
-	clock   *watchtimer.Clock // as today: when the list is asked for; nil: the watch stands
+	clock   *watchtimer.Timer // as today: when the list is asked for; nil: the watch stands
 	clockAt time.Duration     // when it is looked at next
 	conns   map[int]*conns
 	wakeAt  time.Duration
@@ -65,7 +65,7 @@
 func (h *host) start() {
 	if h.w.mode == Today {
 		h.fresh(1)
-		h.clock, h.clockAt = watchtimer.New(watchtimer.Settings{Pushed: h.w.sc.Pushed, Hosts: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
+		h.clock, h.clockAt = watchtimer.New(watchtimer.Settings{Pushed: h.w.sc.Pushed, Schedulers: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
 		h.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: h.held})
 		h.ask(watchtimer.Event{Kind: watchtimer.Started})
 		return
