--- /dev/null
+++ b/internal/config/recorded_test.go
@@ -0,0 +1,173 @@
+package config
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"wheatsaddle/gather"
+	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/testkit/recorded"
+	"wheatsaddle/policy"
+)
+
+// stateWords and the tables below give recordings the files' words for values of enumerations.
+var (
+	stateWords  = map[policy.NodeState]string{policy.NodeUp: "active", policy.NodeDraining: "leaving", policy.NodeRemoved: "left"}
+	effectWords = map[policy.Effect]string{policy.Idempotent: "safe", policy.IdempotentByKey: "keyed", policy.NonIdempotent: "unsafe"}
+	kindWords   = map[address.Kind]string{address.Unix: "unix", address.IPv6: "ipv6", address.IPv4: "ipv4", address.Name: "name"}
+	scopeWords  = map[policy.DedupScope]string{policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupShard: "cell"}
+)
+
+// settingsScript collects the settings of one file as lines of "key value...".
+type settingsScript struct{ recorded.Script }
+
+func (s *settingsScript) addresses(key string, list []address.Addr) {
+	for _, a := range list {
+		s.Add(key, a.String())
+	}
+}
+
+func (s *settingsScript) addressSettings(a *SiteAddresses) {
+	b := a.Book
+	for _, kind := range b.Preference {
+		s.Add("addresses.preference", kindWords[kind])
+	}
+	s.Add("addresses", int64(b.Delay), int64(b.MinDelay), int64(b.MaxDelay), int64(b.Backoff), int64(b.MaxBackoff),
+		int64(b.WrongNodeBackoff), int64(b.UnsupportedBackoff), int64(b.DownTrialInterval), int64(b.MinSuspectAfter),
+		int64(b.MaxSuspectAfter), int64(b.SecondOpinionAfter), int64(b.TrialInterval), int64(b.TrialPatience),
+		int64(b.MinReturnDelay), int64(b.MaxReturnDelay), int64(b.RejectionWindow), b.Jitter, b.SuspectLatencyFactor,
+		b.MinReturnConns, b.MaxRejections, b.ConnectRate, b.ConnectBurst, a.Identity)
+}
+
+func (s *settingsScript) gatherRules(rules map[string]*gather.Rules) {
+	for _, class := range slices.Sorted(maps.Keys(rules)) {
+		s.Add("gather.rules", class, rules[class].Records.MaxBytes, rules[class].Memory.Bytes)
+	}
+}
+
+func (s *settingsScript) site(site *Site) {
+	for _, front := range slices.Sorted(maps.Keys(site.Listen)) {
+		for _, l := range site.Listen[front] {
+			s.Add("listen", front, l.Address.String(), int(l.Mode))
+		}
+	}
+	s.Add("metrics", site.Metrics.Address.String(), int(site.Metrics.Mode))
+	start := site.Start
+	s.Add("start", start.On, start.Snapshot, start.ListPriced, start.ListMost, start.Ahead)
+	s.addressSettings(site.Addresses)
+	e := site.Estimate
+	s.Add("estimate", e.BytesMost, e.AtOnce, e.Prices.Work, e.Prices.End, e.Prices.Late, e.Doubt)
+	for _, node := range []string{"s-1", "s-2", "s-20", "other", ""} {
+		s.Add("estimate.types", node, e.Types.Of(node))
+	}
+	g := site.Gather
+	s.Add("gather", g.Share, g.AtOnce, g.Again, int64(g.Silent), g.PartMost, g.PartsMost, g.Reads, g.Units, fmt.Sprintf("%x", g.TokenKey))
+	s.gatherRules(g.Rules)
+	t := g.Tree
+	s.Add("gather.tree", t.LeastParts, t.GroupMost, t.FanOut, t.Copies, int64(t.Silent), int64(t.Rest), int64(t.RestMost), t.Connections, t.BytesMost)
+	for _, p := range t.Peers {
+		s.Add("gather.peers", p.Name, p.Address)
+	}
+	p := site.Peers
+	s.Add("peers", p.Listen, p.Advertise, int64(p.Every), p.Burst, p.KeyFile)
+	n := p.State
+	s.Add("peers.state", n.MaxOrigins, n.MaxNodes, n.MaxClasses, n.MaxMessageBytes, int64(n.HalfLife), int64(n.ExpireAfter), n.ClipFactor)
+	for _, seed := range p.Seeds {
+		s.Add("peers.seeds", seed)
+	}
+	for _, to := range slices.Sorted(maps.Keys(p.Via)) {
+		s.Add("peers.via", to, p.Via[to])
+	}
+}
+
+func (s *settingsScript) iscsi(f *ISCSI) {
+	s.Add("iscsi", f.Listen, f.Initiator, f.Vendor, f.QueueDepth, f.Sessions, int64(f.MaxTransfer), f.DropsRepeats, f.Login)
+	for _, t := range f.Targets {
+		s.Add("target", t.Name)
+		for _, u := range t.Units {
+			s.Add("unit", int(u.LUN), int(u.StorageLUN), u.Shard, u.Hosts, u.Volume, u.Plan, int64(u.BlockSize), int64(u.MaxTransfer),
+				fmt.Sprint(u.Blocks), u.UnitBytes, u.ReadOnly, u.Vendor)
+			for _, r := range u.Rules {
+				s.Add("rule", r.Write, r.UpTo, r.Class, r.Deadline)
+			}
+		}
+	}
+	for _, t := range f.Storage {
+		s.Add("storage", t.Name, t.Target, t.Shard, stateWords[t.State])
+		s.addresses("storage.addresses", t.Addresses)
+	}
+}
+
+func (s *settingsScript) config(c *Config) {
+	s.Add("config", c.Name, c.Listen, c.Discovery, c.Operator, c.Passed, c.Seed, c.Cores, c.MemoryMB, c.Sockets, string(c.Known))
+	s.Add("ceilings", c.ConnIdle, c.ConnectTimeout, c.MaxOpen, c.Handshake, c.ListMode, c.ListPrice)
+	set := c.Settings
+	s.Add("settings", set.Instance, set.Schedulers, set.Zone, set.PollsEndpointList, set.MeanUnits, set.MaxUnits, set.Shards, set.SlowStartUnits,
+		set.UsageMeterPeriod, set.ReportsPeerUsage, set.MaxAttempts, set.MayHedge, set.MayCancel, set.MayCheckHealth, set.MayGossip,
+		set.SendsRetryAfter, set.MaxRetryAfter, set.DrainGrace, set.PollWithin, set.SlowStartShare, set.SlowStartDuration,
+		set.OverloadMultiple, set.OverloadWindow, set.OrderedKeyBackoff, set.RetryBudgetShare, set.RetryBudgetMin, set.RetryBudgetWindow)
+	for _, k := range set.Classes {
+		s.Add("profiles", k.Name, k.LatencyObjective, k.ObjectiveStretch, k.Deadline, k.PriorityWeight, k.LatePriorityWeight,
+			effectWords[k.Effect], k.DedupWindow, k.Ordered, k.Stream, scopeWords[k.DedupScope])
+	}
+	for _, p := range set.Plans {
+		s.Add("contracts", p.Name, p.Rate, p.ReservedRate, p.Weight, p.Price, p.RateLimit, p.LimitBurst)
+	}
+}
+
+// Files with every section give the recorded settings, and files with none the recorded defaults.
+func TestRecordedSettings(t *testing.T) {
+	read := func(t *testing.T, name string) []byte {
+		t.Helper()
+		text, err := os.ReadFile(filepath.Join("testdata", "recorded-files", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	}
+	noEnv := func(string) string { return "" }
+	parse := func(t *testing.T, name string) *Config {
+		t.Helper()
+		c, err := Parse(read(t, name), noEnv)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	t.Run("config", func(t *testing.T) {
+		var s settingsScript
+		s.config(parse(t, "config.json"))
+		s.Check(t, "config")
+	})
+	t.Run("config defaults", func(t *testing.T) {
+		var s settingsScript
+		s.config(parse(t, "config-least.json"))
+		s.Check(t, "config-defaults")
+	})
+	for _, name := range []string{"site", "site-least"} {
+		t.Run(name, func(t *testing.T) {
+			site, err := ParseSite(read(t, name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			var s settingsScript
+			s.site(site)
+			s.Check(t, name)
+		})
+	}
+	for _, name := range []string{"iscsi", "iscsi-least"} {
+		t.Run(name, func(t *testing.T) {
+			f, err := ParseISCSI(read(t, name+".json"), parse(t, "config.json").Settings)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var s settingsScript
+			s.iscsi(f)
+			s.Check(t, name)
+		})
+	}
+}
