--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -36,7 +36,7 @@
 	set := iscsi.Settings(conf.Settings, mapping)
 	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.Connect, Log: log})
 	if err != nil {
-		return nil, config.Refused(err)
+		return nil, config.Rejected(err)
 	}
 	dialer.Report(co.UpdateList)
 	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: iscsi.Nodes(mapping)})
--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -30,10 +30,10 @@
 
 // knownList decodes the node list of the configuration; it may be empty.
 func knownList(conf *config.Config) (discovery.List, error) {
-	if len(conf.Known) == 0 {
+	if len(conf.CachedList) == 0 {
 		return discovery.List{}, nil
 	}
-	known, err := discovery.Decode(conf.Known)
+	known, err := discovery.Decode(conf.CachedList)
 	if err != nil {
 		return known, fmt.Errorf("known: %w", err)
 	}
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 		return r.JSON()
-	}, set.BytesMost, set.AtOnce)
+	}, set.MaxBytes, set.MaxConcurrent)
 }
 
 // costSettings are the estimator's settings, with the classes, shards and limits of the configuration.
@@ -55,7 +55,7 @@
 		names = append(names, k.Name)
 	}
 	s := cost.Defaults(names...)
-	s.Shards, s.Prices, s.Doubt, s.Limits = conf.Settings.Shards, set.Prices, set.Doubt, map[string]cost.Rate{}
+	s.Shards, s.Prices, s.Doubt, s.Limits = conf.Settings.Shards, set.Prices, set.MinStandardErrors, map[string]cost.Rate{}
 	for _, p := range conf.Settings.Plans {
 		if p.RateLimit > 0 {
 			s.Limits[p.Name] = cost.Rate{PerSecond: p.RateLimit, Burst: p.LimitBurst}
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gathered.go
@@ -34,10 +34,10 @@
 	for class, merge := range set.Rules {
 		rules[class] = scattergather.Rules{
 			Merge:  merge,
-			Share:  set.Share,
-			AtOnce: set.AtOnce,
-			Again:  set.Again,
-			Silent: set.Silent,
+			Share:  set.MergeTimeShare,
+			AtOnce: set.MaxConcurrentParts,
+			Again:  set.MaxRetries,
+			Silent: set.SilenceTimeout,
 			Safe:   safe[class],
 		}
 	}
@@ -65,9 +65,9 @@
 		Classes:   classes,
 		Shards:    g.core.Shards,
 		Tree:      g.tree,
-		Units:     set.Units,
-		PartMost:  set.PartMost,
-		PartsMost: set.PartsMost,
+		Units:     set.PartUnits,
+		PartMost:  set.MaxPartBytes,
+		PartsMost: set.MaxParts,
 		Reads:     &g.reads,
 		TokenKey:  set.TokenKey,
 		Payload:   httpfront.GatherPart,
@@ -76,7 +76,7 @@
 	if at.Estimate != nil && g.views != nil {
 		service.Expect = newExpectation(at.Estimate, conf, g.views).of
 	}
-	g.reads.Set(set.Reads)
+	g.reads.Set(set.MaxConcurrentReads)
 	g.front.Gather(service)
 	return nil
 }
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -42,7 +42,7 @@
 
 // newPassedSocket prepares the handover on the clients' listener.
 func newPassedSocket(conf *config.Config, ln net.Listener, log logrus.FieldLogger) *passedSocket {
-	if conf.Passed == "" {
+	if conf.InheritedSocket == "" {
 		return nil
 	}
 	return &passedSocket{
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -28,7 +28,7 @@
 		t.Fatal("shared without a passed socket")
 	}
 	(*passedSocket)(nil).run(nil, nil)
-	s := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
+	s := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
 	s.do(handover.Action{Kind: handover.WarnLongWait})
 	if e := hook.LastEntry(); e == nil || e.Data["code"] != "handover-waits" || e.Data["advice"] == nil {
 		t.Errorf("%+v", e)
@@ -36,7 +36,7 @@
 	if got := s.do(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
 		t.Errorf("%+v", got)
 	}
-	other := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
+	other := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
 	if got := other.do(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
 		t.Errorf("%+v", got)
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	log, _ := logtest.NewNullLogger()
-	s := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
+	s := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
 	s.front = httpfront.NewServer(nil, policy.Settings{}, 4, log)
 	served := make(chan error, 1)
 	go func() { served <- s.front.Serve(s.acceptGate().Listener(ln), 4) }()
--- a/cmd/wheatsaddle/main.go
+++ b/cmd/wheatsaddle/main.go
@@ -47,7 +47,7 @@
 	schemas := map[string][]byte{"site": config.SiteSchema, "plans": cost.Schema}
 	text, known := schemas[c.String("of")]
 	if !known {
-		return &config.SchemaError{Of: c.String("of")}
+		return &config.SchemaError{Kind: c.String("of")}
 	}
 	_, err := c.App.Writer.Write(text)
 	return err
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -81,7 +81,7 @@
 		Advertise:        set.Advertise,
 		Seeds:            set.Seeds,
 		AddressOverrides: set.Via,
-		Interval:         set.Every,
+		Interval:         set.Interval,
 		Burst:            set.Burst,
 		Key:              key,
 		State:            set.State,
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/peers_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	start := func(name string, seeds ...string) *fleet {
-		site.Peers = &config.SitePeers{Listen: "127.0.0.1:0", Seeds: seeds, Every: 20 * time.Millisecond, Burst: 8, State: state}
+		site.Peers = &config.SitePeers{Listen: "127.0.0.1:0", Seeds: seeds, Interval: 20 * time.Millisecond, Burst: 8, State: state}
 		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true, SlowStartDuration: 1e9}}, nil, log)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -24,7 +24,7 @@
 	}
 	next := *held
 	if !reflect.DeepEqual(held.Settings, conf.Settings) {
-		if err := config.Refused(retune(conf.Settings)); err != nil {
+		if err := config.Rejected(retune(conf.Settings)); err != nil {
 			log.WithFields(operr.Fields(err)).Error("the configuration stays as it was")
 			return held, false
 		}
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if _, err := policy.New(conf.Settings, conf.Seed); err != nil {
-		return nil, config.Refused(err)
+		return nil, config.Rejected(err)
 	}
 	return conf, nil
 }
@@ -80,8 +80,8 @@
 		{"name", held.Name, conf.Name}, {"listen", held.Listen, conf.Listen}, {"limits.sockets", held.Sockets, conf.Sockets},
 		{"settings.membership-mode", held.ListMode, conf.ListMode},
 		{"settings.rules.ask-within", held.Settings.PollWithin, conf.Settings.PollWithin}, // the watch of the list keeps the first
-		{"settings.prices.handshake", held.Handshake, conf.Handshake},
-		{"settings.ceilings", []any{held.ConnIdle, held.ConnectTimeout, held.MaxOpen}, []any{conf.ConnIdle, conf.ConnectTimeout, conf.MaxOpen}},
+		{"settings.prices.handshake", held.HandshakePrice, conf.HandshakePrice},
+		{"settings.ceilings", []any{held.ConnIdle, held.ConnectTimeout, held.MaxOpenRequests}, []any{conf.ConnIdle, conf.ConnectTimeout, conf.MaxOpenRequests}},
 	} {
 		if !reflect.DeepEqual(k.old, k.new) {
 			keys = append(keys, k.name)
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -62,7 +62,7 @@
 	set := startConf().Settings
 	set.SlowStartUnits = 100
 	for _, on := range []bool{false, true} {
-		begin, err := newStarter(&config.SiteStart{On: on, ListMost: 40}, startConf(), nil, log)
+		begin, err := newStarter(&config.SiteStart{Enabled: on, ListCallsPerSecond: 40}, startConf(), nil, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 
 // What the list's calls and the connections to nodes go by since the start is named in the log.
 func TestRestartKeys(t *testing.T) {
-	held, next := &config.Config{}, &config.Config{ListMode: "ask", Handshake: 1}
+	held, next := &config.Config{}, &config.Config{ListMode: "ask", HandshakePrice: 1}
 	next.Settings.PollWithin = 1
 	if keys := fmt.Sprint(restartKeys(held, next)); keys != "[settings.membership-mode settings.rules.ask-within settings.prices.handshake]" {
 		t.Error(keys)
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -185,7 +185,7 @@
 	s.onClose(s.fleet.stop)
 	s.fleet.count(s.site.meter)
 	if s.core, err = core.New(s.coreOptions(excluded)); err != nil {
-		return config.Refused(err)
+		return config.Rejected(err)
 	}
 	s.onClose(s.core.Stop)
 	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
@@ -204,7 +204,7 @@
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
 		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
+		Wait:           connqueue.Wait(s.conf.HandshakePrice, shortestAim(s.conf.Settings)),
 		Safe:           safeClasses(s.conf.Settings),
 		Routes:         s.site.routes,
 		Log:            s.log,
@@ -268,13 +268,13 @@
 		Exclude:  s.exclusions.exclude,
 		Include:  s.exclusions.include,
 	}
-	if s.conf.Operator != "" {
-		ln, err := transport.ListenTCP(s.conf.Operator)
+	if s.conf.AdminListen != "" {
+		ln, err := transport.ListenTCP(s.conf.AdminListen)
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
 		go s.serveAdmin(admin, ln)
-		s.log.WithField("operator", s.conf.Operator).Info("the operators' door is open")
+		s.log.WithField("operator", s.conf.AdminListen).Info("the operators' door is open")
 	}
 	s.onClose(func() { admin.Close() })
 	return nil
@@ -282,7 +282,7 @@
 
 func (s *service) serveAdmin(admin *admin.Endpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
-		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
+		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.AdminListen, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
 	}
 }
@@ -362,17 +362,17 @@
 
 // clientListener is the clients' socket: the platform's, where it passes one, else bound here.
 func clientListener(conf *config.Config, log logrus.FieldLogger) (net.Listener, error) {
-	if conf.Passed == "" {
+	if conf.InheritedSocket == "" {
 		ln, err := transport.ListenTCP(conf.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 		return ln, nil
 	}
-	ln, err := transport.Passed(conf.Passed)
+	ln, err := transport.Passed(conf.InheritedSocket)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	log.WithFields(logrus.Fields{"passed": conf.Passed, "address": ln.Addr().String()}).Info("listening on the passed socket")
+	log.WithFields(logrus.Fields{"passed": conf.InheritedSocket, "address": ln.Addr().String()}).Info("listening on the passed socket")
 	return ln, nil
 }
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -68,21 +68,21 @@
 }
 
 func newStarter(set *config.SiteStart, conf *config.Config, known []core.Node, log logrus.FieldLogger) (*starter, error) {
-	if set == nil || !set.On {
+	if set == nil || !set.Enabled {
 		return nil, nil
 	}
 	machine, err := coldstart.New(coldstart.Settings{
 		Schedulers:            conf.Settings.Schedulers,
 		Name:                  conf.Name,
 		ListCallsPriced:       set.ListPriced,
-		MaxListCallsPerSecond: set.ListMost,
+		MaxListCallsPerSecond: set.ListCallsPerSecond,
 		StalenessBound:        milliseconds(conf.Settings.PollWithin),
 		SlowStartUnits:        conf.Settings.SlowStartUnits,
 		OverloadWindow:        milliseconds(conf.Settings.OverloadWindow),
 		SlowStartDuration:     milliseconds(conf.Settings.SlowStartDuration),
 		LatencyObjective:      shortestAim(conf.Settings),
 		MaxRetryAfter:         milliseconds(conf.Settings.MaxRetryAfter),
-		Preconnects:           set.Ahead,
+		Preconnects:           set.PreconnectNodes,
 		MayCheckHealth:        conf.Settings.MayCheckHealth,
 	})
 	if err != nil {
--- a/cmd/wheatsaddle/start_interleave_test.go
+++ b/cmd/wheatsaddle/start_interleave_test.go
@@ -81,7 +81,7 @@
 	held := node
 	held.Zone = "held"
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		b, err := newStarter(&config.SiteStart{On: true, ListMost: 40}, conf, []core.Node{held}, log)
+		b, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{held}, log)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -84,7 +84,7 @@
 // next start has it again; off, there is none of it.
 func TestStartKeepsWhatItLearned(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListMost: 40, Ahead: 1}
+	set := &config.SiteStart{Enabled: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListCallsPerSecond: 40, PreconnectNodes: 1}
 	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.gate() != nil || b.run(nil) || !b.ready(true) || b.pace() != nil {
 		t.Fatal("without the section there is a start")
 	}
@@ -134,7 +134,7 @@
 	defer s.Close()
 	s.Set(fakediscovery.Fault{Refuse: true})
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
+	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 40}
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
 	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: listClock(startConf()), Pacer: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
@@ -180,8 +180,8 @@
 // nothing over.
 func TestPeerHandsOver(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
-	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
+	set := &config.SiteStart{Enabled: true, ListCallsPerSecond: 40, PreconnectNodes: 1}
+	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Interval: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
 	join := func(name string, b *starter) *fleet {
 		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, b, log)
 		if err != nil {
@@ -235,7 +235,7 @@
 // What the other processes say of a node's start reaches the start: of a later one it is not opened ahead.
 func TestPeersWordOfAStart(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 0.1, Ahead: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
+	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 0.1, PreconnectNodes: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
 	slot := func(id string) time.Duration { return coldstart.Slot(time.Second, "connect", "n0", id) }
 	first, last := "a", "b"
 	if slot(first) > slot(last) {
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/tree.go
@@ -22,8 +22,8 @@
 	}
 	opt := scattergather.TreeOptions{
 		Seed:      uint64(conf.Seed),
-		Conns:     set.Connections,
-		BytesMost: set.BytesMost,
+		Conns:     set.MaxConnsPerPeer,
+		BytesMost: set.MaxGroupBytes,
 		IDMost:    requestIDMost,
 		Log:       g.log,
 		Request:   httpfront.GatherPeer,
@@ -31,13 +31,13 @@
 		Alive:     g.alive,
 		Tally:     &g.tally,
 		Rules: scattergather.TreeRules{
-			LeastParts: set.LeastParts,
-			GroupMost:  set.GroupMost,
+			LeastParts: set.MinParts,
+			GroupMost:  set.MaxGroupParts,
 			FanOut:     set.FanOut,
-			Copies:     set.Copies,
-			Silent:     set.Silent,
-			Rest:       set.Rest,
-			RestMax:    set.RestMost,
+			Copies:     set.MaxPeerAttempts,
+			Silent:     set.SilenceTimeout,
+			Rest:       set.Backoff,
+			RestMax:    set.MaxBackoff,
 		},
 	}
 	for _, p := range conf.Settings.Plans {
@@ -62,7 +62,7 @@
 // mayAskPeers is an error where the platform forbids that processes ask each other.
 func mayAskPeers(set *config.SiteTree, conf *config.Config) error {
 	if set != nil && !conf.Settings.MayGossip {
-		return &config.KeyError{File: "site", Key: "gather.peers", Says: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
+		return &config.KeyError{File: "site", Key: "gather.peers", Problem: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,17 +22,17 @@
 // Config is what one scheduler is told at its start.
 type Config struct {
 	Name, Listen, Discovery string
-	Operator                string // the operators' address; "": none
-	Passed                  string // ROUTER_PASSED_SOCKET: the clients' socket is inherited; "": it is bound
+	AdminListen             string // the operators' address; "": none
+	InheritedSocket         string // ROUTER_PASSED_SOCKET: the clients' socket is inherited; "": it is bound
 	Seed                    int64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   []byte // the list as last held, in discovery's form
+	CachedList              []byte // the list as last held, in discovery's form
 	Settings                policy.Settings
 	ConnIdle                float64 // ms after which a node closes an idle connection
 	ConnectTimeout          float64 // ms
-	MaxOpen                 int
-	Handshake               float64 // price of a new connection, in worths of a request
+	MaxOpenRequests         int
+	HandshakePrice          float64 // price of a new connection, in worths of a request
 	ListMode                string  // push or ask: how the node list comes
 	ListPrice               float64 // of what the list's service sends
 	raw                     []byte  // the file as read
@@ -94,21 +94,21 @@
 	c := &Config{
 		raw:  text,
 		Name: either("name", "ROUTER_NAME"), Listen: either("listen", "ROUTER_LISTEN"),
-		Discovery: either("discovery", "ROUTER_DISCOVERY"), Operator: either("operator", "ROUTER_OPERATOR"),
-		Passed: env("ROUTER_PASSED_SOCKET"),
-		Cores:  r.num("limits.cores", defaultCores, 0.01), MemoryMB: int(r.num("limits.memory_mb", defaultMemoryMB, 16)),
+		Discovery: either("discovery", "ROUTER_DISCOVERY"), AdminListen: either("operator", "ROUTER_OPERATOR"),
+		InheritedSocket: env("ROUTER_PASSED_SOCKET"),
+		Cores:           r.num("limits.cores", defaultCores, 0.01), MemoryMB: int(r.num("limits.memory_mb", defaultMemoryMB, 16)),
 		Sockets: int(r.num("limits.sockets", defaultSockets, 64)),
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		r.not("listen", strconv.Quote(c.Listen), hostPort)
 	}
-	if c.Operator != "" {
-		if _, _, err := net.SplitHostPort(c.Operator); err != nil {
-			r.not("operator", strconv.Quote(c.Operator), hostPort)
+	if c.AdminListen != "" {
+		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
+			r.not("operator", strconv.Quote(c.AdminListen), hostPort)
 		}
 	}
 	if c.Discovery == "" {
-		r.fail(KeyError{Key: "discovery", Want: hostPort, Err: errNoDiscovery})
+		r.fail(KeyError{Key: "discovery", Expected: hostPort, Err: errNoDiscovery})
 	} else if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		r.not("discovery", strconv.Quote(c.Discovery), hostPort)
 	}
@@ -121,13 +121,13 @@
 	}
 	if known := r.root.Get("known"); known.Exists() {
 		if !known.IsObject() {
-			r.fail(KeyError{Key: "known", Want: "an object", Says: "not an object"})
+			r.fail(KeyError{Key: "known", Expected: "an object", Problem: "not an object"})
 		}
-		c.Known = []byte(known.Raw)
+		c.CachedList = []byte(known.Raw)
 	}
 	set := r.root.Get("settings")
 	if !set.IsObject() {
-		r.fail(KeyError{Key: "settings", Want: "an object", Says: "missing or not an object"})
+		r.fail(KeyError{Key: "settings", Expected: "an object", Problem: "missing or not an object"})
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -135,8 +135,8 @@
 	sr := &reader{root: set, prefix: "settings."}
 	c.ConnIdle = sr.num("ceilings.conn-idle", defaultConnIdle, 1)
 	c.ConnectTimeout = sr.num("ceilings.connect-timeout", defaultConnectTimeout, 1)
-	c.MaxOpen = int(sr.num("ceilings.max-open", defaultMaxOpen, 1))
-	c.Handshake = sr.num("prices.handshake", 0, 0)
+	c.MaxOpenRequests = int(sr.num("ceilings.max-open", defaultMaxOpen, 1))
+	c.HandshakePrice = sr.num("prices.handshake", 0, 0)
 	c.ListMode, c.ListPrice = sr.text("membership-mode", "push"), sr.num("prices.membership-mode", 0, 0)
 	if sr.err != nil {
 		return nil, sr.err
@@ -163,7 +163,9 @@
 }
 
 // not keeps a value that is not what it must be.
-func (r *reader) not(key, value, want string) { r.fail(KeyError{Key: key, Value: value, Want: want}) }
+func (r *reader) not(key, value, want string) {
+	r.fail(KeyError{Key: key, Value: value, Expected: want})
+}
 
 func (r *reader) text(key, fallback string) string {
 	v := r.root.Get(key)
@@ -199,7 +201,7 @@
 func (r *reader) each(key string, f func(*reader)) {
 	v := r.root.Get(key)
 	if !v.IsArray() || len(v.Array()) == 0 {
-		r.fail(KeyError{Key: key, Want: "a list that is not empty", Says: "missing, empty or not a list"})
+		r.fail(KeyError{Key: key, Expected: "a list that is not empty", Problem: "missing, empty or not a list"})
 		return
 	}
 	for i, e := range v.Array() {
@@ -225,7 +227,7 @@
 	if !ok {
 		raw := short(r.root.Get(key).Raw)
 		words := strings.Join(slices.Sorted(maps.Keys(table)), ", ")
-		r.fail(KeyError{Key: key, Value: raw, Want: "one of " + words, Says: "unknown word " + raw})
+		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + words, Problem: "unknown word " + raw})
 	}
 	return v
 }
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -180,7 +180,7 @@
 			t.Errorf("%s: read %+v\nwant %+v", s.name, s.conf.Settings, want)
 		}
 		if s.conf.ConnIdle != told.Ceilings.ConnIdle || s.conf.ConnectTimeout != told.Ceilings.Connect ||
-			s.conf.MaxOpen != told.Ceilings.MaxOpen || s.conf.ListMode != told.Mode {
+			s.conf.MaxOpenRequests != told.Ceilings.MaxOpen || s.conf.ListMode != told.Mode {
 			t.Errorf("%s: %+v of %+v", s.name, s.conf, told.Ceilings)
 		}
 	}
@@ -264,7 +264,7 @@
 			if err != nil {
 				t.Fatalf("%s: %s changed: %v", s.name, key, err)
 			}
-			is.raw, is.Known = nil, was.Known
+			is.raw, is.CachedList = nil, was.CachedList
 			if reflect.DeepEqual(*is, was) {
 				unread[key] = true
 			} else {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,16 +8,16 @@
 
 // KeyError is a key of a file whose value is not right.
 type KeyError struct {
-	File  string // configuration, site, iscsi, or a kit's file
-	Key   string
-	Value string // as it is written there; "": none
-	Want  string // what it must be
-	Says  string // the fault as it is worded; "": Value is not Want
-	Err   error  // what was found on reading the value
+	File     string // configuration, site, iscsi, or a kit's file
+	Key      string
+	Value    string // as it is written there; "": none
+	Expected string // what it must be
+	Problem  string // the fault as it is worded; "": Value is not Want
+	Err      error  // what was found on reading the value
 }
 
 func (e *KeyError) Error() string {
-	says := e.Says
+	says := e.Problem
 	switch {
 	case says != "":
 	case e.Err != nil && e.Value != "":
@@ -25,7 +25,7 @@
 	case e.Err != nil:
 		says = e.Err.Error()
 	default:
-		says = e.Value + " is not " + e.Want
+		says = e.Value + " is not " + e.Expected
 	}
 	return e.File + ": " + e.Key + ": " + says
 }
@@ -38,8 +38,8 @@
 
 // Advice implements operr.Coded.
 func (e *KeyError) Advice() string {
-	if e.Want != "" {
-		return fmt.Sprintf("Set %s to %s, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key, e.Want)
+	if e.Expected != "" {
+		return fmt.Sprintf("Set %s to %s, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key, e.Expected)
 	}
 	return fmt.Sprintf("Correct %s as the error says, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key)
 }
@@ -70,11 +70,11 @@
 
 // FileError is a file that cannot be read.
 type FileError struct {
-	Named string // what names it: ROUTER_CONFIG, site, iscsi
-	Err   error
+	Source string // what names it: ROUTER_CONFIG, site, iscsi
+	Err    error
 }
 
-func (e *FileError) Error() string { return e.Named + ": " + e.Err.Error() }
+func (e *FileError) Error() string { return e.Source + ": " + e.Err.Error() }
 
 // Unwrap gives the system's word.
 func (e *FileError) Unwrap() error { return e.Err }
@@ -84,7 +84,7 @@
 
 // Advice implements operr.Coded.
 func (e *FileError) Advice() string {
-	return "See that the path given by " + e.Named + " is right and that the program's user may read the file."
+	return "See that the path given by " + e.Source + " is right and that the program's user may read the file."
 }
 
 // UnsetError is a variable that must be set.
@@ -100,19 +100,19 @@
 	return "Set " + e.Variable + " to the path of the configuration, or name the file to check-config."
 }
 
-// LostKeyError is a key that the configuration had when it was read before, and now lacks.
-type LostKeyError struct {
-	Key  string
-	Says string
+// MissingKeyError is a key that the configuration had when it was read before, and now lacks.
+type MissingKeyError struct {
+	Key     string
+	Problem string
 }
 
-func (e *LostKeyError) Error() string { return "configuration: " + e.Key + ": " + e.Says }
+func (e *MissingKeyError) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
 
 // Code implements operr.Coded.
-func (e *LostKeyError) Code() string { return "config-lost-key" }
+func (e *MissingKeyError) Code() string { return "config-lost-key" }
 
 // Advice implements operr.Coded.
-func (e *LostKeyError) Advice() string {
+func (e *MissingKeyError) Advice() string {
 	return "Put " + e.Key + " back and send SIGHUP; to do without it, restart. Nothing of the file was taken."
 }
 
@@ -130,9 +130,9 @@
 }
 
 // SchemaError is a schema asked for that there is none of.
-type SchemaError struct{ Of string }
+type SchemaError struct{ Kind string }
 
-func (e *SchemaError) Error() string { return fmt.Sprintf("of: %q is neither site nor plans", e.Of) }
+func (e *SchemaError) Error() string { return fmt.Sprintf("of: %q is neither site nor plans", e.Kind) }
 
 // Code implements operr.Coded.
 func (e *SchemaError) Code() string { return "config-schema" }
@@ -142,34 +142,34 @@
 	return "Ask with --of site for the site's file, or with --of plans for what the estimate takes."
 }
 
-// RefusedError is a set of settings that the decisions cannot work with, though each key was read.
-type RefusedError struct{ Err error }
+// RejectedError is a set of settings that the decisions cannot work with, though each key was read.
+type RejectedError struct{ Err error }
 
-func (e *RefusedError) Error() string { return e.Err.Error() }
+func (e *RejectedError) Error() string { return e.Err.Error() }
 
 // Unwrap gives the module's word.
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *RejectedError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *RefusedError) Code() string { return "config-refused" }
+func (e *RejectedError) Code() string { return "config-refused" }
 
 // Advice implements operr.Coded.
-func (e *RefusedError) Advice() string {
+func (e *RejectedError) Advice() string {
 	return "Correct the settings that the error names and send SIGHUP, or start again; settings that ran before still count."
 }
 
-// Refused is err as one of settings that were refused; nil stays nil.
-func Refused(err error) error {
+// Rejected is err as one of settings that were refused; nil stays nil.
+func Rejected(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &RefusedError{Err: err}
+	return &RejectedError{Err: err}
 }
 
 func init() {
 	none := fmt.Errorf("open site.json: no such file or directory")
-	operr.Register(&KeyError{File: "configuration", Key: "limits.sockets", Value: `"x"`, Want: "a number of at least 64"},
-		&JSONError{File: "configuration"}, &FileError{Named: "site", Err: none}, &UnsetError{"ROUTER_CONFIG"},
-		&LostKeyError{"settings.rules", "missing; the configuration before had it"}, &RestartError{"listen"}, &SchemaError{"nodes"},
-		&RefusedError{fmt.Errorf("settings: MaxAttempts is -1")})
+	operr.Register(&KeyError{File: "configuration", Key: "limits.sockets", Value: `"x"`, Expected: "a number of at least 64"},
+		&JSONError{File: "configuration"}, &FileError{Source: "site", Err: none}, &UnsetError{"ROUTER_CONFIG"},
+		&MissingKeyError{"settings.rules", "missing; the configuration before had it"}, &RestartError{"listen"}, &SchemaError{"nodes"},
+		&RejectedError{fmt.Errorf("settings: MaxAttempts is -1")})
 }
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -14,18 +14,18 @@
 
 // SiteGather is the section gather: reads that span shards, by class.
 type SiteGather struct {
-	Rules     map[string]*gather.Rules
-	Share     float64
-	AtOnce    int
-	Again     int
-	Silent    time.Duration
-	PartMost  int
-	PartsMost int
-	Reads     int
-	Units     float64 // of a part; 0: the client's
-	TokenKey  []byte
-	Tree      *SiteTree // nil: parts are not handed on
-	fromFile  bool
+	Rules              map[string]*gather.Rules
+	MergeTimeShare     float64
+	MaxConcurrentParts int
+	MaxRetries         int
+	SilenceTimeout     time.Duration
+	MaxPartBytes       int
+	MaxParts           int
+	MaxConcurrentReads int
+	PartUnits          float64 // of a part; 0: the client's
+	TokenKey           []byte
+	Tree               *SiteTree // nil: parts are not handed on
+	fromFile           bool
 }
 
 const (
@@ -35,9 +35,9 @@
 
 func siteGather(r *reader) (*SiteGather, error) {
 	num := func(key string, fallback float64) float64 { return r.num("gather."+key, fallback, 0) }
-	g := &SiteGather{Share: num("share", 0.1), AtOnce: int(num("at_once", 16)), Again: int(num("again", 1)),
-		Silent: time.Duration(num("silent_ms", 0) * float64(time.Millisecond)), PartMost: int(num("part_bytes_most", 8<<20)),
-		PartsMost: int(num("parts_most", 64)), Reads: int(num("reads_at_once", 4)), Units: num("part_units", 0)}
+	g := &SiteGather{MergeTimeShare: num("share", 0.1), MaxConcurrentParts: int(num("at_once", 16)), MaxRetries: int(num("again", 1)),
+		SilenceTimeout: time.Duration(num("silent_ms", 0) * float64(time.Millisecond)), MaxPartBytes: int(num("part_bytes_most", 8<<20)),
+		MaxParts: int(num("parts_most", 64)), MaxConcurrentReads: int(num("reads_at_once", 4)), PartUnits: num("part_units", 0)}
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -57,7 +57,7 @@
 		if !errors.As(err, &bad) {
 			return nil, &KeyError{File: "site", Key: key, Err: err}
 		}
-		return nil, &KeyError{File: "site", Key: key + "." + bad.Key, Says: bad.Why, Err: bad}
+		return nil, &KeyError{File: "site", Key: key + "." + bad.Key, Problem: bad.Why, Err: bad}
 	}
 	if file := r.text("gather.token_key_file", ""); file != "" {
 		hexed, err := os.ReadFile(file)
@@ -86,19 +86,19 @@
 	}
 	for name, r := range g.Rules {
 		if !known[name] {
-			return &KeyError{File: "site", Key: at + "classes." + name, Says: "the configuration has no such class"}
+			return &KeyError{File: "site", Key: at + "classes." + name, Problem: "the configuration has no such class"}
 		}
-		if why := g.Tree.fits(r, g.PartsMost); why != "" {
-			return &KeyError{File: "site", Key: at + "classes." + name + ".memory.bytes", Says: why}
+		if why := g.Tree.fits(r, g.MaxParts); why != "" {
+			return &KeyError{File: "site", Key: at + "classes." + name + ".memory.bytes", Problem: why}
 		}
-		if most := memoryMB << 20 / gatherMemory; g.Reads*(g.Tree.merges()*r.Memory.Bytes+g.PartsMost*partMemory) > most {
-			return &KeyError{File: "site", Key: "gather.reads_at_once", Says: fmt.Sprintf(
+		if most := memoryMB << 20 / gatherMemory; g.MaxConcurrentReads*(g.Tree.merges()*r.Memory.Bytes+g.MaxParts*partMemory) > most {
+			return &KeyError{File: "site", Key: "gather.reads_at_once", Problem: fmt.Sprintf(
 				"%d reads of %d merges (tree.fan_out and one) of %d bytes (%sclasses.%s.memory.bytes) and %d parts of %d are over the %d bytes kept for them, a quarter of limits.memory_mb",
-				g.Reads, g.Tree.merges(), r.Memory.Bytes, at, name, g.PartsMost, partMemory, most)}
+				g.MaxConcurrentReads, g.Tree.merges(), r.Memory.Bytes, at, name, g.MaxParts, partMemory, most)}
 		}
 	}
-	if set.MaxUnits > 0 && g.Units > set.MaxUnits {
-		return &KeyError{File: "site", Key: "gather.part_units", Says: fmt.Sprintf("%v is over the largest request, %v", g.Units, set.MaxUnits)}
+	if set.MaxUnits > 0 && g.PartUnits > set.MaxUnits {
+		return &KeyError{File: "site", Key: "gather.part_units", Problem: fmt.Sprintf("%v is over the largest request, %v", g.PartUnits, set.MaxUnits)}
 	}
 	return nil
 }
--- a/internal/config/gather_tree.go
+++ b/internal/config/gather_tree.go
@@ -9,11 +9,11 @@
 
 // SiteTree is what the section gather says of peers: parts of a read are handed on to them.
 type SiteTree struct {
-	Peers                                 []GatherPeer
-	LeastParts, GroupMost, FanOut, Copies int
-	Silent, Rest, RestMost                time.Duration
-	Connections                           int
-	BytesMost                             int64
+	Peers                                            []GatherPeer
+	MinParts, MaxGroupParts, FanOut, MaxPeerAttempts int
+	SilenceTimeout, Backoff, MaxBackoff              time.Duration
+	MaxConnsPerPeer                                  int
+	MaxGroupBytes                                    int64
 }
 
 // GatherPeer is another process, at the address that its clients use.
@@ -24,7 +24,7 @@
 	tree, peers := r.root.Get("gather.tree"), r.root.Get("gather.peers").Array()
 	if len(peers) == 0 {
 		if tree.Exists() {
-			return nil, &KeyError{File: "site", Key: "gather.tree", Says: "there are no gather.peers to hand parts on to"}
+			return nil, &KeyError{File: "site", Key: "gather.tree", Problem: "there are no gather.peers to hand parts on to"}
 		}
 		return nil, nil
 	}
@@ -32,24 +32,24 @@
 	span := func(key string, fallback float64) time.Duration {
 		return time.Duration(num(key, fallback, 1) * float64(time.Millisecond))
 	}
-	t := &SiteTree{LeastParts: int(num("least_parts", 8, 4)), GroupMost: int(num("group_parts_most", 16, 2)), FanOut: int(num("fan_out", 3, 1)),
-		Copies: int(num("copies", 1, 1)), Silent: span("silent_ms", 100), Rest: span("rest_ms", 1000), RestMost: span("rest_most_ms", 30000),
-		Connections: int(num("connections", 8, 1)), BytesMost: int64(num("group_bytes_most", 64<<20, 1024))}
+	t := &SiteTree{MinParts: int(num("least_parts", 8, 4)), MaxGroupParts: int(num("group_parts_most", 16, 2)), FanOut: int(num("fan_out", 3, 1)),
+		MaxPeerAttempts: int(num("copies", 1, 1)), SilenceTimeout: span("silent_ms", 100), Backoff: span("rest_ms", 1000), MaxBackoff: span("rest_most_ms", 30000),
+		MaxConnsPerPeer: int(num("connections", 8, 1)), MaxGroupBytes: int64(num("group_bytes_most", 64<<20, 1024))}
 	if r.err != nil {
 		return nil, r.err
 	}
-	if t.RestMost < t.Rest {
-		return nil, &KeyError{File: "site", Key: "gather.tree.rest_most_ms", Says: fmt.Sprintf("%v is under rest_ms, %v", t.RestMost, t.Rest)}
+	if t.MaxBackoff < t.Backoff {
+		return nil, &KeyError{File: "site", Key: "gather.tree.rest_most_ms", Problem: fmt.Sprintf("%v is under rest_ms, %v", t.MaxBackoff, t.Backoff)}
 	}
 	seen := map[string]bool{}
 	for i, e := range peers {
 		p := GatherPeer{e.Get("name").Str, e.Get("address").Str}
 		key := fmt.Sprintf("gather.peers.%d", i)
 		if err := endpoint("address", p.Address); err != nil {
-			return nil, &KeyError{File: "site", Key: key + ".address", Value: p.Address, Want: "IP:port", Err: err}
+			return nil, &KeyError{File: "site", Key: key + ".address", Value: p.Address, Expected: "IP:port", Err: err}
 		}
 		if seen[p.Name] {
-			return nil, &KeyError{File: "site", Key: key + ".name", Says: fmt.Sprintf("%q is named twice", p.Name)}
+			return nil, &KeyError{File: "site", Key: key + ".name", Problem: fmt.Sprintf("%q is named twice", p.Name)}
 		}
 		seen[p.Name] = true
 		t.Peers = append(t.Peers, p)
--- a/internal/config/gather_tree_test.go
+++ b/internal/config/gather_tree_test.go
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	x := s.Gather.Tree
-	if x.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || x.Silent != 70*time.Millisecond || x.Rest != 5*time.Millisecond || x.RestMost != 30*time.Second ||
-		x.LeastParts != 8 || x.GroupMost != 16 || x.Copies != 1 || x.Connections != 8 || x.BytesMost != 64<<20 || x.merges() != 3 {
+	if x.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || x.SilenceTimeout != 70*time.Millisecond || x.Backoff != 5*time.Millisecond || x.MaxBackoff != 30*time.Second ||
+		x.MinParts != 8 || x.MaxGroupParts != 16 || x.MaxPeerAttempts != 1 || x.MaxConnsPerPeer != 8 || x.MaxGroupBytes != 64<<20 || x.merges() != 3 {
 		t.Errorf("%+v", x)
 	}
 	set := policy.Settings{Classes: []policy.Class{{Name: "c"}}}
@@ -33,7 +33,7 @@
 	if err = s.Gather.Check(set, 230); !errors.As(err, &key) || !strings.Contains(err.Error(), "fan_out") {
 		t.Error(err)
 	}
-	s.Gather.PartsMost = 128
+	s.Gather.MaxParts = 128
 	if err = s.Gather.Check(set, 1024); !errors.As(err, &key) || key.Key != "gather.rules.classes.c.memory.bytes" {
 		t.Error(err)
 	}
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -18,16 +18,16 @@
 
 // ISCSI is the second front's file.
 type ISCSI struct {
-	Listen       string
-	Initiator    string // its iSCSI name, before the scheduler's own
-	Vendor       string // T10 vendor of the logical units
-	QueueDepth   int    // commands in the window of a session
-	Sessions     int
-	MaxTransfer  uint32 // bytes of one command
-	DropsRepeats bool   // the storage targets drop a repeat of a write by its key
-	Login        float64
-	Targets      []Target
-	Storage      []StorageTarget
+	Listen             string
+	Initiator          string // its iSCSI name, before the scheduler's own
+	Vendor             string // T10 vendor of the logical units
+	QueueDepth         int    // commands in the window of a session
+	Sessions           int
+	MaxTransfer        uint32 // bytes of one command
+	DeduplicatesWrites bool   // the storage targets drop a repeat of a write by its key
+	LoginTimeout       float64
+	Targets            []Target
+	Storage            []StorageTarget
 }
 
 // Target is one that clients log in to.
@@ -39,7 +39,7 @@
 // Unit is a logical unit and how its commands map to requests.
 type Unit struct {
 	LUN, StorageLUN        uint16
-	Shard, Hosts           int
+	Shard, Schedulers      int
 	Volume, Plan           string
 	BlockSize, MaxTransfer uint32
 	Blocks                 uint64
@@ -52,7 +52,7 @@
 // Rule maps commands of one direction, up to a size, to a class.
 type Rule struct {
 	Write    bool
-	UpTo     float64 // bytes
+	MaxBytes float64 // bytes
 	Class    string
 	Deadline float64 // ms
 }
@@ -96,7 +96,7 @@
 	r := &reader{root: gjson.ParseBytes(text), prefix: "iscsi."}
 	c := &ISCSI{Listen: r.text("listen", "127.0.0.1:3260"), QueueDepth: int(r.whole("queue_depth", 32, 1, 1024)),
 		Sessions: int(r.whole("sessions", 32, 1, 256)), MaxTransfer: uint32(r.whole("max_transfer", 64<<10, 512, 1<<20)),
-		DropsRepeats: r.flag("drops_repeats"), Login: r.num("login_timeout_ms", 5000, 1),
+		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.num("login_timeout_ms", 5000, 1),
 		Initiator: r.text("initiator", defaultInitiator), Vendor: r.text("vendor", defaultVendor)}
 	if !iqn.MatchString(c.Initiator) {
 		r.not("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
@@ -111,7 +111,7 @@
 			Shard: int(s.whole("group", -1, 0, 1e6)), State: word(s, "status", "active", storageStates)}
 		s.unique("name", t.Name, names)
 		if t.Target == "" {
-			s.fail(KeyError{Key: "target", Want: "the storage target's iSCSI name", Says: "missing"})
+			s.fail(KeyError{Key: "target", Expected: "the storage target's iSCSI name", Problem: "missing"})
 		}
 		shards[t.Shard] = true
 		c.Storage = append(c.Storage, t)
@@ -126,7 +126,7 @@
 			x.Vendor = c.Vendor
 			u.unique("lun", fmt.Sprint(x.LUN), luns)
 			if !shards[x.Shard] {
-				u.fail(KeyError{Key: "group", Value: strconv.Itoa(x.Shard), Want: "a group of storage", Says: fmt.Sprintf("no storage target holds group %d", x.Shard)})
+				u.fail(KeyError{Key: "group", Value: strconv.Itoa(x.Shard), Expected: "a group of storage", Problem: fmt.Sprintf("no storage target holds group %d", x.Shard)})
 			}
 			t.Units = append(t.Units, x)
 		})
@@ -137,7 +137,7 @@
 
 func (r *reader) unit(set policy.Settings, most uint32) Unit {
 	u := Unit{LUN: uint16(r.whole("lun", -1, 0, 16383)), StorageLUN: uint16(r.whole("storage_lun", 0, 0, 16383)),
-		Shard: int(r.whole("group", -1, 0, 1e6)), Hosts: int(r.whole("hosts", float64(set.Schedulers), 1, 1e6)),
+		Shard: int(r.whole("group", -1, 0, 1e6)), Schedulers: int(r.whole("hosts", float64(set.Schedulers), 1, 1e6)),
 		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.whole("block_size", 512, 512, 4096)),
 		MaxTransfer: most, Blocks: uint64(r.whole("blocks", -1, 1, 1e12)), UnitBytes: r.num("unit_bytes", 8192, 512),
 		ReadOnly: r.flag("read_only")}
@@ -145,20 +145,20 @@
 		r.not("volume", strconv.Quote(u.Volume), "16 hex digits")
 	}
 	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > most {
-		r.fail(KeyError{Key: "block_size", Value: fmt.Sprint(u.BlockSize), Want: "a power of two up to max_transfer",
-			Says: fmt.Sprintf("%d is no power of two up to max_transfer", u.BlockSize)})
+		r.fail(KeyError{Key: "block_size", Value: fmt.Sprint(u.BlockSize), Expected: "a power of two up to max_transfer",
+			Problem: fmt.Sprintf("%d is no power of two up to max_transfer", u.BlockSize)})
 	}
 	known := false
 	for _, p := range set.Plans {
 		known = known || p.Name == u.Plan
 	}
 	if !known {
-		r.fail(KeyError{Key: "plan", Value: u.Plan, Want: "a plan of the settings", Says: fmt.Sprintf("the settings have no plan %q", u.Plan)})
+		r.fail(KeyError{Key: "plan", Value: u.Plan, Expected: "a plan of the settings", Problem: fmt.Sprintf("the settings have no plan %q", u.Plan)})
 	}
 	covered := map[bool]bool{}
 	r.each("rules", func(s *reader) {
 		rule := Rule{Write: word(s, "command", "", map[string]bool{"read": false, "write": true}),
-			UpTo: s.num("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
+			MaxBytes: s.num("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
 		fallback := 0.0
 		for _, c := range set.Classes {
 			if c.Name == rule.Class {
@@ -166,14 +166,14 @@
 			}
 		}
 		if fallback == 0 {
-			s.fail(KeyError{Key: "class", Value: rule.Class, Want: "a class of the settings", Says: fmt.Sprintf("the settings have no class %q", rule.Class)})
+			s.fail(KeyError{Key: "class", Value: rule.Class, Expected: "a class of the settings", Problem: fmt.Sprintf("the settings have no class %q", rule.Class)})
 		}
 		rule.Deadline = s.num("deadline_ms", fallback, 50)
-		covered[rule.Write] = covered[rule.Write] || rule.UpTo >= float64(most)
+		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(most)
 		u.Rules = append(u.Rules, rule)
 	})
 	if !covered[false] || !covered[true] && !u.ReadOnly {
-		r.fail(KeyError{Key: "rules", Says: "reads and writes of up to max_transfer need a rule each"})
+		r.fail(KeyError{Key: "rules", Problem: "reads and writes of up to max_transfer need a rule each"})
 	}
 	return u
 }
@@ -182,7 +182,7 @@
 	v := r.num(key, fallback, least)
 	if v != math.Trunc(v) || v < least || v > most {
 		want := fmt.Sprintf("a whole number from %v to %v", least, most)
-		r.fail(KeyError{Key: key, Value: short(r.root.Get(key).Raw), Want: want, Says: "missing, or not " + want})
+		r.fail(KeyError{Key: key, Value: short(r.root.Get(key).Raw), Expected: want, Problem: "missing, or not " + want})
 	}
 	return v
 }
@@ -199,11 +199,11 @@
 	var texts []string
 	more := r.root.Get("addresses")
 	if more.Exists() && !more.IsArray() {
-		r.fail(KeyError{Key: "addresses", Want: "a list", Says: "not a list"})
+		r.fail(KeyError{Key: "addresses", Expected: "a list", Problem: "not a list"})
 	}
 	for i, x := range more.Array() {
 		if x.Type != gjson.String {
-			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: short(x.Raw), Want: "text", Says: "not text"})
+			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: short(x.Raw), Expected: "text", Problem: "not text"})
 		}
 		texts = append(texts, x.Str)
 	}
@@ -211,7 +211,7 @@
 	for _, err := range errs {
 		var a *address.ListError
 		if errors.As(err, &a) {
-			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", a.Index), Value: strconv.Quote(a.Text), Want: "host:port or unix:PATH", Err: a.Err})
+			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", a.Index), Value: strconv.Quote(a.Text), Expected: "host:port or unix:PATH", Err: a.Err})
 		}
 	}
 	if one := r.text("address", ""); one != "" || len(texts) == 0 {
@@ -227,7 +227,7 @@
 
 func (r *reader) unique(key, value string, seen map[string]bool) {
 	if value == "" || seen[value] {
-		r.fail(KeyError{Key: key, Value: value, Want: "a name of its own", Says: fmt.Sprintf("%q is empty or twice there", value)})
+		r.fail(KeyError{Key: key, Value: value, Expected: "a name of its own", Problem: fmt.Sprintf("%q is empty or twice there", value)})
 	}
 	seen[value] = true
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -21,13 +21,13 @@
 	switch {
 	case was.IsObject():
 		if !is.IsObject() {
-			return &LostKeyError{path, "missing or not an object"}
+			return &MissingKeyError{path, "missing or not an object"}
 		}
 		var err error
 		was.ForEach(func(k, v gjson.Result) bool {
 			got := is.Get(gjson.Escape(k.String()))
 			if !got.Exists() {
-				err = &LostKeyError{path + "." + k.String(), "missing; the configuration before had it"}
+				err = &MissingKeyError{path + "." + k.String(), "missing; the configuration before had it"}
 				return false
 			}
 			err = missing(path+"."+k.String(), v, got)
@@ -36,13 +36,13 @@
 		return err
 	case was.IsArray():
 		if !is.IsArray() {
-			return &LostKeyError{path, "missing or not a list"}
+			return &MissingKeyError{path, "missing or not a list"}
 		}
 		common := commonKeys(was.Array())
 		for i, e := range is.Array() {
 			for _, k := range common {
 				if !e.Get(gjson.Escape(k)).Exists() {
-					return &LostKeyError{fmt.Sprintf("%s.%d.%s", path, i, k), "missing; every entry before had it"}
+					return &MissingKeyError{fmt.Sprintf("%s.%d.%s", path, i, k), "missing; every entry before had it"}
 				}
 			}
 		}
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -15,7 +15,7 @@
 	Listen, Advertise string
 	Seeds             []string
 	Via               map[string]string
-	Every             time.Duration
+	Interval          time.Duration
 	Burst             int
 	KeyFile           string
 	State             nodestats.Settings
@@ -28,7 +28,7 @@
 		return time.Duration(num(key, float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
 	}
 	p := &SitePeers{Listen: r.text("peers.listen", ""), Advertise: r.text("peers.advertise", ""), Via: map[string]string{},
-		Every: span("every_ms", 500*time.Millisecond), Burst: int(num("burst", 64)), KeyFile: r.text("peers.key_file", "")}
+		Interval: span("every_ms", 500*time.Millisecond), Burst: int(num("burst", 64)), KeyFile: r.text("peers.key_file", "")}
 	p.State = nodestats.Settings{MaxOrigins: int(num("origins", float64(def.MaxOrigins))), MaxNodes: int(num("nodes", float64(def.MaxNodes))),
 		MaxClasses: int(num("classes", float64(def.MaxClasses))), MaxMessageBytes: def.MaxMessageBytes, HalfLife: span("half_life_ms", def.HalfLife),
 		ExpireAfter: span("expire_ms", def.ExpireAfter), ClipFactor: num("clip", def.ClipFactor)}
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -57,23 +57,23 @@
 	}
 	s.Add("metrics", site.Metrics.Address.String(), int(site.Metrics.Mode))
 	start := site.Start
-	s.Add("start", start.On, start.Snapshot, start.ListPriced, start.ListMost, start.Ahead)
+	s.Add("start", start.Enabled, start.Snapshot, start.ListPriced, start.ListCallsPerSecond, start.PreconnectNodes)
 	s.addressSettings(site.Addresses)
 	e := site.Estimate
-	s.Add("estimate", e.BytesMost, e.AtOnce, e.Prices.Work, e.Prices.End, e.Prices.Late, e.Doubt)
+	s.Add("estimate", e.MaxBytes, e.MaxConcurrent, e.Prices.Work, e.Prices.End, e.Prices.Late, e.MinStandardErrors)
 	for _, node := range []string{"s-1", "s-2", "s-20", "other", ""} {
 		s.Add("estimate.types", node, e.Types.Of(node))
 	}
 	g := site.Gather
-	s.Add("gather", g.Share, g.AtOnce, g.Again, int64(g.Silent), g.PartMost, g.PartsMost, g.Reads, g.Units, fmt.Sprintf("%x", g.TokenKey))
+	s.Add("gather", g.MergeTimeShare, g.MaxConcurrentParts, g.MaxRetries, int64(g.SilenceTimeout), g.MaxPartBytes, g.MaxParts, g.MaxConcurrentReads, g.PartUnits, fmt.Sprintf("%x", g.TokenKey))
 	s.gatherRules(g.Rules)
 	t := g.Tree
-	s.Add("gather.tree", t.LeastParts, t.GroupMost, t.FanOut, t.Copies, int64(t.Silent), int64(t.Rest), int64(t.RestMost), t.Connections, t.BytesMost)
+	s.Add("gather.tree", t.MinParts, t.MaxGroupParts, t.FanOut, t.MaxPeerAttempts, int64(t.SilenceTimeout), int64(t.Backoff), int64(t.MaxBackoff), t.MaxConnsPerPeer, t.MaxGroupBytes)
 	for _, p := range t.Peers {
 		s.Add("gather.peers", p.Name, p.Address)
 	}
 	p := site.Peers
-	s.Add("peers", p.Listen, p.Advertise, int64(p.Every), p.Burst, p.KeyFile)
+	s.Add("peers", p.Listen, p.Advertise, int64(p.Interval), p.Burst, p.KeyFile)
 	n := p.State
 	s.Add("peers.state", n.MaxOrigins, n.MaxNodes, n.MaxClasses, n.MaxMessageBytes, int64(n.HalfLife), int64(n.ExpireAfter), n.ClipFactor)
 	for _, seed := range p.Seeds {
@@ -85,14 +85,14 @@
 }
 
 func (s *settingsScript) iscsi(f *ISCSI) {
-	s.Add("iscsi", f.Listen, f.Initiator, f.Vendor, f.QueueDepth, f.Sessions, int64(f.MaxTransfer), f.DropsRepeats, f.Login)
+	s.Add("iscsi", f.Listen, f.Initiator, f.Vendor, f.QueueDepth, f.Sessions, int64(f.MaxTransfer), f.DeduplicatesWrites, f.LoginTimeout)
 	for _, t := range f.Targets {
 		s.Add("target", t.Name)
 		for _, u := range t.Units {
-			s.Add("unit", int(u.LUN), int(u.StorageLUN), u.Shard, u.Hosts, u.Volume, u.Plan, int64(u.BlockSize), int64(u.MaxTransfer),
+			s.Add("unit", int(u.LUN), int(u.StorageLUN), u.Shard, u.Schedulers, u.Volume, u.Plan, int64(u.BlockSize), int64(u.MaxTransfer),
 				fmt.Sprint(u.Blocks), u.UnitBytes, u.ReadOnly, u.Vendor)
 			for _, r := range u.Rules {
-				s.Add("rule", r.Write, r.UpTo, r.Class, r.Deadline)
+				s.Add("rule", r.Write, r.MaxBytes, r.Class, r.Deadline)
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 }
 
 func (s *settingsScript) config(c *Config) {
-	s.Add("config", c.Name, c.Listen, c.Discovery, c.Operator, c.Passed, c.Seed, c.Cores, c.MemoryMB, c.Sockets, string(c.Known))
-	s.Add("ceilings", c.ConnIdle, c.ConnectTimeout, c.MaxOpen, c.Handshake, c.ListMode, c.ListPrice)
+	s.Add("config", c.Name, c.Listen, c.Discovery, c.AdminListen, c.InheritedSocket, c.Seed, c.Cores, c.MemoryMB, c.Sockets, string(c.CachedList))
+	s.Add("ceilings", c.ConnIdle, c.ConnectTimeout, c.MaxOpenRequests, c.HandshakePrice, c.ListMode, c.ListPrice)
 	set := c.Settings
 	s.Add("settings", set.Instance, set.Schedulers, set.Zone, set.PollsEndpointList, set.MeanUnits, set.MaxUnits, set.Shards, set.SlowStartUnits,
 		set.UsageMeterPeriod, set.ReportsPeerUsage, set.MaxAttempts, set.MayHedge, set.MayCancel, set.MayCheckHealth, set.MayGossip,
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -39,11 +39,11 @@
 
 // SiteStart is the section start: how the process starts beside hundreds of others.
 type SiteStart struct {
-	On         bool
-	Snapshot   string  // file of what was learned; empty: none is kept
-	ListPriced bool    // calls of the list cost its service: they are spread over the fleet
-	ListMost   float64 // calls of the list a second that the fleet may make
-	Ahead      int     // nodes to which a connection is opened before it is needed
+	Enabled            bool
+	Snapshot           string  // file of what was learned; empty: none is kept
+	ListPriced         bool    // calls of the list cost its service: they are spread over the fleet
+	ListCallsPerSecond float64 // calls of the list a second that the fleet may make
+	PreconnectNodes    int     // nodes to which a connection is opened before it is needed
 }
 
 // SiteAddresses is the section addresses.
@@ -54,20 +54,20 @@
 
 // SiteEstimate is the section estimate.
 type SiteEstimate struct {
-	BytesMost, AtOnce int
-	Prices            cost.Prices
-	Doubt             float64
-	Types             NodeTypes
+	MaxBytes, MaxConcurrent int
+	Prices                  cost.Prices
+	MinStandardErrors       float64
+	Types                   NodeTypes
 }
 
 func siteEstimate(r *reader) (*SiteEstimate, error) {
 	d := cost.Defaults()
 	types, err := nodeTypes(r)
 	return &SiteEstimate{Types: types,
-		BytesMost: int(r.num("estimate.bytes_most", 262144, 1024)), AtOnce: int(r.num("estimate.at_once", 1, 1)),
+		MaxBytes: int(r.num("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.num("estimate.at_once", 1, 1)),
 		Prices: cost.Prices{Work: r.num("estimate.price_work", d.Prices.Work, 0), End: r.num("estimate.price_end", d.Prices.End, 0),
 			Late: r.num("estimate.price_late", d.Prices.Late, 0)},
-		Doubt: r.num("estimate.doubt", d.Doubt, 0),
+		MinStandardErrors: r.num("estimate.doubt", d.Doubt, 0),
 	}, err
 }
 
@@ -142,9 +142,9 @@
 		}
 	}
 	if v := r.root.Get("start"); v.Exists() {
-		s.Start = &SiteStart{On: !v.Get("on").Exists() || v.Get("on").Bool(), Snapshot: r.text("start.snapshot", ""),
-			ListPriced: v.Get("list_priced").Bool(), ListMost: r.num("start.list_calls_per_second", 40, 0),
-			Ahead: int(r.num("start.connections_ahead", 8, 0))}
+		s.Start = &SiteStart{Enabled: !v.Get("on").Exists() || v.Get("on").Bool(), Snapshot: r.text("start.snapshot", ""),
+			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.num("start.list_calls_per_second", 40, 0),
+			PreconnectNodes: int(r.num("start.connections_ahead", 8, 0))}
 	}
 	seen := map[address.Addr]string{}
 	if e := r.root.Get("metrics"); e.Exists() {
@@ -175,19 +175,19 @@
 	l.Mode = socketMode
 	text := e.Get("address").Str
 	if l.Address, err = address.ParseListen(text); err != nil {
-		return bad(KeyError{Key: ".address", Value: strconv.Quote(text), Want: "IP:port, [IPv6]:port or unix:PATH", Err: err})
+		return bad(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
 	}
 	if first, twice := seen[l.Address]; twice {
-		return bad(KeyError{Key: ".address", Value: text, Want: "an address of its own", Says: fmt.Sprintf("%q: the same as %s", text, first)})
+		return bad(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
 	}
 	seen[l.Address] = key
 	if m := e.Get("mode"); m.Exists() {
 		if l.Address.Path() == "" {
-			return bad(KeyError{Key: ".mode", Value: m.Str, Says: "only a socket file has one"})
+			return bad(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
 		}
 		n, err := strconv.ParseUint(m.Str, 8, 12)
 		if err != nil {
-			return bad(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Want: "octal"})
+			return bad(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Expected: "octal"})
 		}
 		l.Mode = fs.FileMode(n)
 	}
@@ -232,7 +232,7 @@
 	a := &SiteAddresses{Book: s, Identity: r.text("addresses.identity_header", "")}
 	var bad *address.SettingError
 	if errors.As(s.Check(), &bad) {
-		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Says: bad.Problem, Err: bad}
+		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Problem: bad.Problem, Err: bad}
 	}
 	return a, nil
 }
@@ -250,5 +250,5 @@
 	if key == "" {
 		key = "the file"
 	}
-	return &KeyError{File: file, Key: key, Says: v.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
+	return &KeyError{File: file, Key: key, Problem: v.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
 }
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("%+v", l)
 	}
 	s, err = ParseSite([]byte(`{"start":{"snapshot":"/tmp/x","list_priced":true}}`))
-	if err != nil || *s.Start != (SiteStart{On: true, Snapshot: "/tmp/x", ListPriced: true, ListMost: 40, Ahead: 8}) {
+	if err != nil || *s.Start != (SiteStart{Enabled: true, Snapshot: "/tmp/x", ListPriced: true, ListCallsPerSecond: 40, PreconnectNodes: 8}) {
 		t.Errorf("%+v %v", s, err)
 	}
 	if s, err := ParseSite([]byte(`{}`)); err != nil || s.Addresses != nil || s.Start != nil || len(s.Listen) != 0 {
@@ -89,7 +89,7 @@
 	}
 	told, err := ParseSite([]byte(`{"estimate":{` + text[1:] + `}}`))
 	silent, err2 := ParseSite([]byte(`{"estimate":{}}`))
-	if err != nil || err2 != nil || !reflect.DeepEqual(told.Estimate, silent.Estimate) || silent.Estimate.AtOnce != 1 {
+	if err != nil || err2 != nil || !reflect.DeepEqual(told.Estimate, silent.Estimate) || silent.Estimate.MaxConcurrent != 1 {
 		t.Errorf("%v %v %+v %+v", err, err2, told, silent)
 	}
 	if _, err := LoadSite("../../deploy/site.json"); err != nil {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -22,7 +22,7 @@
 
 type typePattern struct{ pattern, kind string }
 
-// Of is a node's type, "": it is not told. A name of its own goes before patterns, a longer pattern before a
+// Kind is a node's type, "": it is not told. A name of its own goes before patterns, a longer pattern before a
 // shorter one, and of two as long the first in byte order.
 func (t NodeTypes) Of(node string) string {
 	if kind, ok := t.names[node]; ok {
@@ -43,9 +43,9 @@
 		key := KeyError{File: "site", Key: "estimate.types." + k.Str}
 		switch _, err := path.Match(k.Str, ""); {
 		case err != nil:
-			key.Value, key.Want = strconv.Quote(k.Str), `a node's name or a pattern with *, ? and [a-z]`
+			key.Value, key.Expected = strconv.Quote(k.Str), `a node's name or a pattern with *, ? and [a-z]`
 		case len(v.Str) > typeMost || !utf8.ValidString(v.Str):
-			key.Value, key.Want = strconv.Quote(v.Str), "a name of at most 64 bytes of UTF-8"
+			key.Value, key.Expected = strconv.Quote(v.Str), "a name of at most 64 bytes of UTF-8"
 		case !strings.ContainsAny(k.Str, `*?[\`):
 			t.names[k.Str] = v.Str
 			return true
--- a/internal/iscsi/command.go
+++ b/internal/iscsi/command.go
@@ -155,7 +155,7 @@
 // ruleFor is the first rule for a transfer of this direction and size, or nil.
 func (u *unit) ruleFor(write bool, size uint64) *config.Rule {
 	for i := range u.Rules {
-		if r := &u.Rules[i]; r.Write == write && float64(size) <= r.UpTo {
+		if r := &u.Rules[i]; r.Write == write && float64(size) <= r.MaxBytes {
 			return r
 		}
 	}
@@ -218,7 +218,7 @@
 	}
 	k.request = &core.Request{
 		Request: policy.Request{ID: id, Class: k.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
-			Units: units, Shard: u.Shard, Schedulers: u.Hosts},
+			Units: units, Shard: u.Shard, Schedulers: u.Schedulers},
 		ReceivedAt: k.receivedAt, Timeout: k.deadline,
 		Payload: &transfer{lun: u.StorageLUN, block: k.block, size: k.length, data: k.writeData, key: id},
 	}
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -49,7 +49,7 @@
 
 // NewDialer knows the storage targets of a configuration.
 func NewDialer(conf *config.ISCSI, name string, connect time.Duration, log logrus.FieldLogger) *Dialer {
-	d := &Dialer{Name: name, ConnectTimeout: connect, DropsRepeats: conf.DropsRepeats, Log: log}
+	d := &Dialer{Name: name, ConnectTimeout: connect, DropsRepeats: conf.DeduplicatesWrites, Log: log}
 	d.Update(conf)
 	return d
 }
@@ -91,7 +91,7 @@
 func Settings(set policy.Settings, conf *config.ISCSI) policy.Settings {
 	classes := append([]policy.Class(nil), set.Classes...)
 	for i := range classes {
-		if classes[i].Effect == policy.IdempotentByKey && !conf.DropsRepeats {
+		if classes[i].Effect == policy.IdempotentByKey && !conf.DeduplicatesWrites {
 			classes[i].Effect = policy.NonIdempotent
 		}
 	}
--- a/internal/iscsi/login.go
+++ b/internal/iscsi/login.go
@@ -36,7 +36,7 @@
 
 // login leads a new connection to the full feature phase.
 func (s *session) login() error {
-	if err := s.conn.SetReadDeadline(time.Now().Add(time.Duration(s.target.conf.Login * float64(time.Millisecond)))); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(time.Duration(s.target.conf.LoginTimeout * float64(time.Millisecond)))); err != nil {
 		return err
 	}
 	var text []byte
