--- a/internal/discovery/watchtimer/paced_test.go
+++ b/internal/discovery/watchtimer/externallypaced_test.go
@@ -8,7 +8,7 @@
 
 // Where another sets the pace a call is out when it says, one that came to nothing is told to it, and
 // without a word from it the call that the bound asks for is made, and no other. It ends with the first word.
-func TestPaced(t *testing.T) {
+func TestExternallyPaced(t *testing.T) {
 	ms := time.Millisecond
 	for name, x := range map[string]struct {
 		set     Settings
--- a/internal/discovery/watchtimer/listclock_test.go
+++ b/internal/discovery/watchtimer/servicedays_test.go
@@ -13,64 +13,64 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// clock is what is under test: the module, or what it took the place of.
-type clock interface {
+// watchTimer is what is under test: the module, or what it took the place of.
+type watchTimer interface {
 	Step(now time.Duration, e Event) []Action
 	NextTimer() time.Duration
 }
 
-// watch is one call as the list's service sees it.
+// watches is one call as the list's service sees it.
 type watch struct {
-	at     time.Duration // it was opened
-	moves  int
-	dead   bool // fell silent: nothing comes on it any more
-	spoken time.Duration
+	openedAt          time.Duration // it was opened
+	addressGeneration int
+	silent            bool // fell silent: nothing comes on it any more
+	lastMessage       time.Duration
 }
 
 // serviceDay is one day of a list's service, in virtual time: when open watches fall silent, when it is
 // down, when the scheduler starts and when it is told of another address.
 type serviceDay struct {
-	silent   time.Duration // all watches that are open fall silent; never: not
-	down, up time.Duration // it says nothing in between
-	pending  bool          // calls that came while it was down are answered at its return
-	move     time.Duration // another address counts from 4 s after it
-	resets   time.Duration // all watches are reset
-	latency  time.Duration
+	silentFrom     time.Duration // all watches that are open fall silent; never: not
+	down, up       time.Duration // it says nothing in between
+	answersPending bool          // calls that came while it was down are answered at its return
+	addressChange  time.Duration // another address counts from 4 s after it
+	resets         time.Duration // all watches are reset
+	latency        time.Duration
 }
 
 const step = 5 * time.Millisecond
 
-// knownBy is when a drain that begins at d must be known, before the grace.
-func (s *serviceDay) knownBy(d time.Duration, c *playResult) time.Duration {
+// notificationDeadline is when a drain that begins at d must be known, before the grace.
+func (s *serviceDay) notificationDeadline(d time.Duration, c *dayResult) time.Duration {
 	at := d
 	if d >= s.down && d < s.up {
 		at = s.up // it learns nothing meanwhile
 	}
-	if s.silent != never && d >= s.silent && d < s.silent+StalenessBound {
+	if s.silentFrom != never && d >= s.silentFrom && d < s.silentFrom+StalenessBound {
 		// An open watch that fell silent misses it. One opened since has it at once, as does who has none.
-		at = max(at, s.silent+StalenessBound)
+		at = max(at, s.silentFrom+StalenessBound)
 	}
 	return at
 }
 
-// playResult is the outcome of a day: when the state of each moment was known to the scheduler.
-type playResult struct {
-	knownAt []time.Duration // by step: the first word that carries what the service had then
-	opens   int
-	maxOpen int // open at once
+// dayResult is the outcome of a day: when the state of each moment was known to the scheduler.
+type dayResult struct {
+	receivedAt []time.Duration // by step: the first word that carries what the service had then
+	opens      int
+	maxOpen    int // open at once
 }
 
-// play runs a clock through the day, and notes for each step of time when a change made then is heard.
-func (s *serviceDay) play(c clock, length time.Duration) *playResult {
-	p := &playResult{knownAt: make([]time.Duration, int(length/step)+1)}
+// run runs a clock through the day, and notes for each step of time when a change made then is heard.
+func (s *serviceDay) run(c watchTimer, length time.Duration) *dayResult {
+	p := &dayResult{receivedAt: make([]time.Duration, int(length/step)+1)}
 	calls := map[int]*watch{}
-	moves, known := 0, -1
+	addressChanges, received := 0, -1
 	do := func(now time.Duration, acts []Action) {
 		for _, a := range acts {
 			switch a.Kind {
 			case OpenCall:
 				p.opens++
-				calls[a.Call] = &watch{at: now, moves: moves, spoken: -1}
+				calls[a.Call] = &watch{openedAt: now, addressGeneration: addressChanges, lastMessage: -1}
 			case CloseCall:
 				delete(calls, a.Call)
 			}
@@ -79,9 +79,9 @@
 	}
 	do(0, c.Step(0, Event{Kind: Started}))
 	for now := time.Duration(0); now < length; now += step {
-		if now == s.silent {
+		if now == s.silentFrom {
 			for _, w := range calls {
-				w.dead = true
+				w.silent = true
 			}
 		}
 		if now == s.resets {
@@ -90,8 +90,8 @@
 				do(now, c.Step(now, Event{Kind: CallEnded, Call: id}))
 			}
 		}
-		if now == s.move {
-			moves++
+		if now == s.addressChange {
+			addressChanges++
 			do(now, c.Step(now, Event{Kind: AddressChanged}))
 		}
 		ids := []int{}
@@ -100,27 +100,27 @@
 		}
 		for _, id := range ids {
 			w := calls[id]
-			old := now >= s.move && w != nil && w.moves == 0
+			old := now >= s.addressChange && w != nil && w.addressGeneration == 0
 			switch {
-			case w == nil || w.dead || now < w.at+s.latency:
+			case w == nil || w.silent || now < w.openedAt+s.latency:
 				continue
 			case now >= s.down && now < s.up:
 				continue
-			case w.spoken < 0 && w.at >= s.down && w.at < s.up && !s.pending:
+			case w.lastMessage < 0 && w.openedAt >= s.down && w.openedAt < s.up && !s.answersPending:
 				continue // never answered
-			case old && now >= s.move+4*time.Second:
-				w.dead = true
+			case old && now >= s.addressChange+4*time.Second:
+				w.silent = true
 				continue
 			}
 			// It has all that the service had a moment ago: changes come at once, else a beat.
-			if known < int(now/step) {
-				for i := known + 1; i <= int(now/step); i++ {
-					p.knownAt[i] = now
+			if received < int(now/step) {
+				for i := received + 1; i <= int(now/step); i++ {
+					p.receivedAt[i] = now
 				}
-				known = int(now / step)
+				received = int(now / step)
 			}
-			if w.spoken < 0 || now-w.spoken >= HeartbeatInterval {
-				w.spoken = now
+			if w.lastMessage < 0 || now-w.lastMessage >= HeartbeatInterval {
+				w.lastMessage = now
 				do(now, c.Step(now, Event{Kind: MessageReceived, Call: id}))
 			}
 		}
@@ -128,16 +128,16 @@
 			do(now, c.Step(now, Event{Kind: TimerFired}))
 		}
 	}
-	for i := known + 1; i < len(p.knownAt); i++ {
-		p.knownAt[i] = length
+	for i := received + 1; i < len(p.receivedAt); i++ {
+		p.receivedAt[i] = length
 	}
 	return p
 }
 
-// latestDelay is how far past knownBy + grace the first message about a drain came, over drains begun at each 50 ms.
-func (s *serviceDay) latestDelay(p *playResult, grace, length time.Duration) (worst, at time.Duration) {
+// latestDelay is how far past notificationDeadline + grace the first message about a drain came, over drains begun at each 50 ms.
+func (s *serviceDay) latestDelay(p *dayResult, grace, length time.Duration) (worst, at time.Duration) {
 	for d := time.Duration(0); d < length-12*time.Second; d += 50 * time.Millisecond {
-		if over := p.knownAt[int(d/step)] - s.knownBy(d, p) - grace; over > worst {
+		if over := p.receivedAt[int(d/step)] - s.notificationDeadline(d, p) - grace; over > worst {
 			worst, at = over, d
 		}
 	}
@@ -147,42 +147,42 @@
 // exponentialBackoff is the scheme this package replaced: silence after 3 s, then a wait that is drawn and grows
 // with the fleet, though the agent's list counts at once.
 type exponentialBackoff struct {
-	hosts, id, factor int
-	call              int
-	heard, next       time.Duration
-	wasAnswered       bool
-	rng               *rand.Rand
+	schedulers, id, factor int
+	call                   int
+	lastReceived, next     time.Duration
+	wasAnswered            bool
+	rng                    *rand.Rand
 }
 
 func (g *exponentialBackoff) NextTimer() time.Duration {
 	if g.call > 0 {
-		return g.heard + 3*time.Second
+		return g.lastReceived + 3*time.Second
 	}
 	return g.next
 }
 
 func (g *exponentialBackoff) Step(now time.Duration, e Event) (acts []Action) {
-	end := false
+	ended := false
 	switch {
 	case e.Kind == MessageReceived && e.Call == g.call:
-		g.heard, g.wasAnswered, g.factor = now, true, 1
+		g.lastReceived, g.wasAnswered, g.factor = now, true, 1
 	case e.Kind == CallEnded && e.Call == g.call:
-		end = true
-	case e.Kind == TimerFired && g.call > 0 && now >= g.heard+3*time.Second:
-		acts, end = append(acts, Action{CloseCall, g.call}), true
+		ended = true
+	case e.Kind == TimerFired && g.call > 0 && now >= g.lastReceived+3*time.Second:
+		acts, ended = append(acts, Action{CloseCall, g.call}), true
 	}
-	if end {
-		most := 15 * time.Second
+	if ended {
+		maxBackoff := 15 * time.Second
 		if g.wasAnswered {
-			most = 3 * time.Second
+			maxBackoff = 3 * time.Second
 		}
-		w := min(max(200*time.Millisecond, time.Duration(g.hosts)*time.Second/40)*time.Duration(g.factor), most)
+		mean := min(max(200*time.Millisecond, time.Duration(g.schedulers)*time.Second/40)*time.Duration(g.factor), maxBackoff)
 		g.call, g.wasAnswered, g.factor = 0, false, min(2*g.factor, 8)
-		g.next = now + w/2 + time.Duration(g.rng.Int64N(int64(w)))
+		g.next = now + mean/2 + time.Duration(g.rng.Int64N(int64(mean)))
 	}
 	if g.call == 0 && (e.Kind == Started || e.Kind == AddressChanged || now >= g.next) {
 		g.id++
-		g.call, g.heard = g.id, now
+		g.call, g.lastReceived = g.id, now
 		acts = append(acts, Action{OpenCall, g.id})
 	}
 	return acts
@@ -190,49 +190,49 @@
 
 // serviceDays are what can happen to an agent's list.
 func serviceDays() map[string]*serviceDay {
-	quiet := func() *serviceDay {
-		return &serviceDay{silent: never, down: never, up: never, move: never, resets: never, latency: step}
+	faultless := func() *serviceDay {
+		return &serviceDay{silentFrom: never, down: never, up: never, addressChange: never, resets: never, latency: step}
 	}
 	all := map[string]*serviceDay{}
 	add := func(name string, f func(*serviceDay)) {
-		s := quiet()
+		s := faultless()
 		f(s)
 		all[name] = s
 	}
-	add("silence", func(s *serviceDay) { s.silent = 2100 * time.Millisecond })
+	add("silence", func(s *serviceDay) { s.silentFrom = 2100 * time.Millisecond })
 	add("two watches reset", func(s *serviceDay) { s.resets = 2 * time.Second })
 	add("start", func(s *serviceDay) {})
 	add("start while down", func(s *serviceDay) { s.down, s.up = 0, 8*time.Second })
 	for _, pending := range []bool{false, true} {
 		add(fmt.Sprint("outage, pending calls answered: ", pending), func(s *serviceDay) {
-			s.down, s.up, s.pending = 3*time.Second, 11*time.Second, pending
+			s.down, s.up, s.answersPending = 3*time.Second, 11*time.Second, pending
 		})
 	}
-	add("SIGHUP", func(s *serviceDay) { s.move = 4 * time.Second })
-	add("SIGHUP in an outage", func(s *serviceDay) { s.move, s.down, s.up = 4*time.Second, 3*time.Second, 9*time.Second })
+	add("SIGHUP", func(s *serviceDay) { s.addressChange = 4 * time.Second })
+	add("SIGHUP in an outage", func(s *serviceDay) { s.addressChange, s.down, s.up = 4*time.Second, 3*time.Second, 9*time.Second })
 	return all
 }
 
 // No drain is heard of later than the rule allows, whenever it begins and whatever happens to the list,
 // at 3 and at 350 hosts. With the waits before, a drain within an outage or a silence is.
-func TestNoSendLaterThanToldAndGrace(t *testing.T) {
+func TestNoDispatchAfterNotificationAndGrace(t *testing.T) {
 	const length = 30 * time.Second
 	broken := map[string]bool{}
-	for _, hosts := range []int{3, 350} {
+	for _, schedulers := range []int{3, 350} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, time.Second} {
 			for name, s := range serviceDays() {
-				c := New(Settings{Pushed: true, Schedulers: hosts, DrainGrace: grace, Seed: 7})
-				p := s.play(c, length)
+				c := New(Settings{Pushed: true, Schedulers: schedulers, DrainGrace: grace, Seed: 7})
+				p := s.run(c, length)
 				if late, at := s.latestDelay(p, grace, length); late > 0 {
-					t.Errorf("%s, %d hosts, grace %v: a drain at %v is heard of %v too late", name, hosts, grace, at, late)
+					t.Errorf("%s, %d hosts, grace %v: a drain at %v is heard of %v too late", name, schedulers, grace, at, late)
 				}
 				if p.maxOpen > MaxOpenCalls {
 					t.Errorf("%s: %d calls open", name, p.maxOpen)
 				}
 				for seed := range uint64(8) {
-					old := s.play(&exponentialBackoff{hosts: hosts, factor: 1, rng: rand.New(rand.NewPCG(seed, 1))}, length)
+					old := s.run(&exponentialBackoff{schedulers: schedulers, factor: 1, rng: rand.New(rand.NewPCG(seed, 1))}, length)
 					if late, _ := s.latestDelay(old, grace, length); late > 0 {
-						broken[fmt.Sprint(name, " ", hosts)] = true
+						broken[fmt.Sprint(name, " ", schedulers)] = true
 					}
 				}
 			}
@@ -321,31 +321,31 @@
 // Where lists are asked for, a watch that falls silent is replaced, and once more, before what it missed counts
 // as told: two calls of each host in 3 s, drawn. After that each host asks at least once in StalenessBound less the
 // answer reserve, whatever becomes of its calls, and a fleet keeps to FleetCallsPerSecond where that leaves it the time.
-func TestAskedKeepsBoundAndSpread(t *testing.T) {
-	for _, refused := range []bool{false, true} {
-		for _, hosts := range []int{4, 80, 350} {
-			playSilentFleet(t, hosts, refused)
+func TestPolledCallsKeepBoundAndSpread(t *testing.T) {
+	for _, rejected := range []bool{false, true} {
+		for _, schedulers := range []int{4, 80, 350} {
+			runSilentFleet(t, schedulers, rejected)
 		}
 	}
 }
 
-// playSilentFleet plays hosts of which nothing is heard again after one word; refused: the watch ends, and each call is
+// runSilentFleet plays hosts of which nothing is heard again after one word; refused: the watch ends, and each call is
 // refused.
-func playSilentFleet(t *testing.T, hosts int, refused bool) {
+func runSilentFleet(t *testing.T, schedulers int, rejected bool) {
 	calls := 0
 	seconds := map[int]int{}
-	for h := range hosts {
-		c := New(Settings{Schedulers: hosts, Seed: uint64(h)})
+	for i := range schedulers {
+		c := New(Settings{Schedulers: schedulers, Seed: uint64(i)})
 		c.Step(0, Event{Kind: Started})
 		c.Step(0, Event{Kind: MessageReceived, Call: 1})
-		if refused {
+		if rejected {
 			c.Step(0, Event{Kind: CallEnded, Call: 1})
 		}
 		opened := []time.Duration{}
 		for c.NextTimer() < time.Minute { // nothing is ever heard again
 			now := c.NextTimer()
 			for _, a := range c.Step(now, Event{Kind: TimerFired}) {
-				if a.Kind == OpenCall && refused {
+				if a.Kind == OpenCall && rejected {
 					c.Step(now, Event{Kind: CallEnded, Call: a.Call})
 				}
 				if a.Kind == OpenCall {
@@ -357,24 +357,24 @@
 				}
 			}
 		}
-		if !refused && (len(opened) < 2 || opened[0] > StalenessBound-maxAnswerReserve || opened[1] > StalenessBound-maxRepeatReserve/2) {
-			t.Fatalf("host %d of %d asked at %v: twice before %v are over", h, hosts, opened, StalenessBound)
+		if !rejected && (len(opened) < 2 || opened[0] > StalenessBound-maxAnswerReserve || opened[1] > StalenessBound-maxRepeatReserve/2) {
+			t.Fatalf("host %d of %d asked at %v: twice before %v are over", i, schedulers, opened, StalenessBound)
 		}
 		for i, at := range opened[1:] {
 			if at-opened[i] > StalenessBound-maxAnswerReserve {
-				t.Fatalf("host %d of %d asked at %v, and then only at %v", h, hosts, opened[i], at)
+				t.Fatalf("host %d of %d asked at %v, and then only at %v", i, schedulers, opened[i], at)
 			}
 		}
 	}
 	// A call that is given up is followed by another at any time that StalenessBound leaves then.
-	least := StalenessBound - maxAnswerReserve - maxAnswerReserve/deadlineJitterDivisor
-	most := max(FleetCallsPerSecond, float64(hosts)/((ResponseTimeout+least)/2).Seconds())
-	if float64(calls) > 30*most {
-		t.Errorf("%d hosts ask %d times in the second half minute of an outage", hosts, calls)
+	minInterval := StalenessBound - maxAnswerReserve - maxAnswerReserve/deadlineJitterDivisor
+	maxCallsPerSecond := max(FleetCallsPerSecond, float64(schedulers)/((ResponseTimeout+minInterval)/2).Seconds())
+	if float64(calls) > 30*maxCallsPerSecond {
+		t.Errorf("%d hosts ask %d times in the second half minute of an outage", schedulers, calls)
 	}
 	for s, n := range seconds {
-		if n > max(5*hosts/4, 2*FleetCallsPerSecond) {
-			t.Errorf("%d hosts ask %d times in second %d", hosts, n, s)
+		if n > max(5*schedulers/4, 2*FleetCallsPerSecond) {
+			t.Errorf("%d hosts ask %d times in second %d", schedulers, n, s)
 		}
 	}
 }
--- a/internal/discovery/watchtimer/timers.go
+++ b/internal/discovery/watchtimer/timers.go
@@ -8,7 +8,7 @@
 		}
 	}
 	if !c.settings.Pushed {
-		c.giveUpUnanswered()
+		c.closeUnanswered()
 	}
 	switch {
 	case c.now >= c.nextOpen:
@@ -48,9 +48,9 @@
 	c.repeatAt = max(c.repeatAt, c.nextOpen+c.repeatReserve()/2)
 }
 
-// giveUpUnanswered closes the calls past their response timeout. If no other call at the current address is in
+// closeUnanswered closes the calls past their response timeout. If no other call at the current address is in
 // progress, the next one is drawn from the time that remains until the open deadline.
-func (c *Timer) giveUpUnanswered() {
+func (c *Timer) closeUnanswered() {
 	for i := len(c.calls) - 1; i >= 0; i-- {
 		if k := c.calls[i]; k.answered || c.now < k.openedAt+c.responseTimeout() {
 			continue
