--- a/internal/discovery/watchtimer/timing.go
+++ b/internal/discovery/watchtimer/timing.go
@@ -15,12 +15,12 @@
 	return c.settings.StalenessBound
 }
 
-// answerReserve is the part of the staleness bound kept for the answer to a call.
+// answerReserve is the part of the staleness bound reserved for the answer to a call.
 func (c *Timer) answerReserve() time.Duration {
 	return min(maxAnswerReserve, c.settings.StalenessBound/reserveDivisor)
 }
 
-// repeatReserve is the part of the staleness bound kept for the answer to the one repeat.
+// repeatReserve is the part of the staleness bound reserved for the answer to the one repeat.
 func (c *Timer) repeatReserve() time.Duration {
 	return min(maxRepeatReserve, c.settings.StalenessBound/reserveDivisor)
 }
@@ -43,7 +43,7 @@
 	return from + time.Duration(c.rng.Float64()*float64(to-from))
 }
 
-// pacedDeadline is when an externally paced clock opens a call without RequestDue. After the first call the time is
+// pacedDeadline is when an externally paced timer opens a call without RequestDue. After the first call the time is
 // drawn at random, because a fleet that started at one instant would otherwise repeat its calls at one instant.
 func (c *Timer) pacedDeadline() time.Duration {
 	last := c.lastMessage + c.settings.StalenessBound - c.answerReserve()
@@ -56,8 +56,8 @@
 	return c.openDeadline
 }
 
-// backoff draws the wait before the next call and doubles the mean for the one after. wasLive says that the call
-// that ended or fell silent had been answered, in which case the staleness bound counts from the last message.
+// backoff draws the wait before the next call and doubles the mean for the one after. wasLive: the call that ended or
+// fell silent had been answered, in which case the staleness bound counts from the last message.
 // A wait that could pass the bound is drawn from the time that remains and not cut to it, because cutting would
 // repeat at one instant all calls that ended at one instant. The first wait of a series is drawn from the end of
 // the remaining time: from as much of it as keeps the fleet to FleetCallsPerSecond, so that the service has by
--- a/internal/discovery/watchtimer/watchtimer.go
+++ b/internal/discovery/watchtimer/watchtimer.go
@@ -1,6 +1,6 @@
 // Package watchtimer decides when a scheduler calls for the node list: it records when each call last brought a
 // message, detects silent calls, opens a replacement beside a silent call, and keeps the staleness bound, the
-// time by which a change in the list must be known. The registry drives it. It does not interpret lists, reads
+// time by which a change in the list must be known. discovery.Watcher drives it. It does not interpret lists, reads
 // no clock and does no I/O: events and the time come in through Step, and actions go out.
 //
 // A call is one watch: it stays open, brings a message at least every HeartbeatInterval, and brings each change.
@@ -16,23 +16,23 @@
 //   - Pushed: with no live call, one is opened at once and then every RetryInterval until one is answered.
 //     The interval neither grows nor varies, because a call to the local agent is free. An unanswered call stays
 //     open until newer calls need its place, because a returning agent may answer calls that waited.
-//   - A refused call counts as a failed call.
+//   - A rejected call counts as a failed call.
 //   - Pulled: a call is given up after ResponseTimeout. Backoff is drawn at random and doubles with each
-//     consecutive failed call, up to MaxBackoffFactor times the first, so that all hosts whose calls fail make at
+//     consecutive failed call, up to MaxBackoffFactor times the first, so that all schedulers whose calls fail make at
 //     most FleetCallsPerSecond calls a second together.
-//   - Pulled: whatever became of a call (refused, failed, given up, unanswered), while no call is live the next
+//   - Pulled: however a call ended (rejected, failed, given up, unanswered), while no call is live the next
 //     one is opened at most StalenessBound less the answer reserve after it. A change that the service could
 //     deliver is therefore known StalenessBound later. This bound takes precedence over FleetCallsPerSecond:
-//     a fleet of more than FleetCallsPerSecond * (StalenessBound - answer reserve) hosts calls more often, each
-//     host about once in that time, spread evenly.
+//     a fleet of more than FleetCallsPerSecond * (StalenessBound - answer reserve) schedulers calls more often, each
+//     scheduler about once in that time, spread evenly.
 //   - Pulled: after a live call ended or fell silent, the next call is open before StalenessBound has passed
 //     since the last message. After a call that fell silent, one repeat is opened beside an unanswered
 //     replacement. Here too the bound takes precedence over the spread of the fleet's calls.
-//   - Externally paced (pulled only): until the first message, the caller says when to call (RequestDue) and is
-//     told of each call that failed (ReportMissed). The staleness bound since the start still holds: a call is
+//   - Externally paced (pulled only): until the first message, the caller decides when to call (RequestDue) and is
+//     notified of each call that failed (ReportMissed). The staleness bound since the start still holds: a call is
 //     opened in time for it without RequestDue, ahead of any other wait.
-//   - At most MaxOpenCalls calls are open. When a new call needs a place, the oldest unanswered call is kept
-//     until its response timeout, so that an agent that answers late is still heard.
+//   - At most MaxOpenCalls calls are open. When a new call needs a place, the oldest unanswered call stays open
+//     until its response timeout, so that the answer of a slow agent still arrives.
 //   - After a change of address, a call at the old address stays valid until one at the new address is answered.
 //   - Each call is opened once and closed or ended once; no event or action names it afterwards.
 package watchtimer
@@ -47,7 +47,7 @@
 	// HeartbeatInterval is the time between two messages of a watch while nothing changes, set by the protocol.
 	HeartbeatInterval = 2 * time.Second
 	// PushedSilenceTimeout is the time without a message after which a pushed call is silent: one heartbeat
-	// interval and the delay that a busy host may add.
+	// interval and the delay that a busy machine may add.
 	PushedSilenceTimeout = HeartbeatInterval + pushedHeartbeatSlack
 	// StalenessBound is the time after which a change in the list must be known, set by the protocol. Settings
 	// may name a shorter one.
@@ -56,7 +56,7 @@
 	MaxOpenCalls = 8
 	// ResponseTimeout is how long a pulled call may stay without its first message.
 	ResponseTimeout = 3 * time.Second
-	// FleetCallsPerSecond is the rate at which all hosts whose calls fail should call together, as far as the
+	// FleetCallsPerSecond is the rate at which all schedulers whose calls fail should call together, as far as the
 	// staleness bound permits. A list of some tens of nodes costs a service milliseconds, so this rate leaves it
 	// capacity for other calls.
 	FleetCallsPerSecond = 40
@@ -68,7 +68,7 @@
 	pulledHeartbeatSlack = time.Second
 	// longPollSlack is how long after its permitted wait a silent long poll must have been replaced.
 	longPollSlack = 2 * time.Second
-	// drainGraceDivisor: a quarter of the drain rule's grace may pass between two calls to the agent. The rest
+	// drainGraceDivisor: a quarter of the drain rule's grace may pass between two calls to the agent. The remainder
 	// is for the answer, its decoding and requests already on their way.
 	drainGraceDivisor = 4
 	minRetryInterval  = 20 * time.Millisecond
@@ -78,13 +78,13 @@
 	minBackoff      = 200 * time.Millisecond
 	// jitterFraction: a backoff is drawn from 1-jitterFraction to 1+jitterFraction times its mean.
 	jitterFraction = 0.5
-	// maxAnswerReserve and maxRepeatReserve are the parts of the staleness bound kept for the answer to a call
+	// maxAnswerReserve and maxRepeatReserve are the parts of the staleness bound reserved for the answer to a call
 	// and to its one repeat. Of a shorter bound each is at most the part given by reserveDivisor.
 	maxAnswerReserve = time.Second
 	maxRepeatReserve = 500 * time.Millisecond
 	reserveDivisor   = 4
 	// deadlineJitterDivisor: the open deadline is drawn from the part of the answer reserve before it that this
-	// divisor gives, so that hosts that called at one instant do not call again at one instant.
+	// divisor gives, so that schedulers that called at one instant do not call again at one instant.
 	deadlineJitterDivisor = 4
 
 	never = time.Duration(1<<63 - 1)
@@ -96,7 +96,7 @@
 	Schedulers      int           // schedulers that call the same service; 0: only this one
 	StalenessBound  time.Duration // time by which a change must be known; 0 or longer than the constant: the constant
 	DrainGrace      time.Duration // of the drain rule; 0: not known
-	ExternallyPaced bool          // until the first message the caller says when to call
+	ExternallyPaced bool          // until the first message the caller decides when to call
 	LongPollWait    time.Duration // a call may stay without a message for this long; 0: it sends heartbeats
 	Seed            uint64
 }
@@ -108,10 +108,10 @@
 const (
 	Started         Kind = iota // the process has started
 	MessageReceived             // a call brought a list or a heartbeat
-	CallEnded                   // a call's connection has ended, never came up, or was refused
+	CallEnded                   // a call's connection has ended, was never established, or the call was rejected
 	AddressChanged              // the list is served at another address from now on
 	TimerFired                  // the time named by NextTimer has come
-	RequestDue                  // ExternallyPaced: the list is to be called for
+	RequestDue                  // ExternallyPaced: the caller asks for a call
 )
 
 // Event is one thing that happened.
@@ -147,7 +147,7 @@
 	silent            bool // answered, and past its silence timeout
 }
 
-// Timer is the state of one scheduler's calls for the list.
+// Timer is the state of one scheduler's calls for the list. It is not safe for concurrent use.
 type Timer struct {
 	settings          Settings
 	rng               *rand.Rand
@@ -164,7 +164,7 @@
 	actions           []Action // of the current step
 }
 
-// New returns the clock of one scheduler.
+// New returns the timer of one scheduler.
 func New(settings Settings) *Timer {
 	if settings.StalenessBound <= 0 || settings.StalenessBound > StalenessBound {
 		settings.StalenessBound = StalenessBound
@@ -336,11 +336,11 @@
 	return slices.ContainsFunc(c.calls, func(k call) bool { return k.addressGeneration == c.addressGeneration && (!k.answered || !k.silent) })
 }
 
-// externallyPaced reports whether the caller currently says when to call.
+// externallyPaced reports whether the caller currently decides when to call.
 func (c *Timer) externallyPaced() bool { return c.settings.ExternallyPaced && !c.settings.Pushed }
 
 // scheduleNextOpen sets the time of the next call after one that failed or ended. Externally paced, the caller is
-// told of the failure and only the deadline is set.
+// notified of the failure and only the deadline is set.
 func (c *Timer) scheduleNextOpen(wait time.Duration) {
 	if !c.externallyPaced() {
 		c.nextOpen = c.now + wait
