--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	for _, bad := range append(known.BadEntries, known.BadAddresses...) {
+	for _, bad := range append(known.InvalidEntries, known.InvalidAddresses...) {
 		return fmt.Errorf("known: %w", bad)
 	}
 	if err = checkSite(flags.String("site"), conf); err != nil {
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -138,10 +138,10 @@
 	if err != nil {
 		s.log.WithFields(operr.Fields(err)).Warn("starting without a known list")
 	}
-	for _, bad := range s.known.BadEntries {
+	for _, bad := range s.known.InvalidEntries {
 		s.log.WithFields(operr.Fields(bad)).Warn("known entry left out")
 	}
-	for _, bad := range s.known.BadAddresses {
+	for _, bad := range s.known.InvalidAddresses {
 		s.log.WithFields(operr.Fields(bad)).Warn("known address left out")
 	}
 	return nil
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -37,8 +37,8 @@
 	for bad, word := range map[string]string{`7`: "object", `{"name":""}`: "name", strings.Replace(sampleEntry, "leaving", "gone", 1): "status",
 		strings.Replace(sampleEntry, "127.0.0.1:8443", "here", 1): "address", strings.Replace(sampleEntry, "3,", `"x",`, 1): "group"} {
 		l, err = Decode([]byte(listText(44, true, bad, sampleEntry)))
-		if err != nil || len(l.Nodes) != 1 || len(l.BadEntries) != 1 || !strings.Contains(l.BadEntries[0].Error(), word) ||
-			!strings.Contains(l.BadEntries[0].Error(), "endpoints.0") {
+		if err != nil || len(l.Nodes) != 1 || len(l.InvalidEntries) != 1 || !strings.Contains(l.InvalidEntries[0].Error(), word) ||
+			!strings.Contains(l.InvalidEntries[0].Error(), "endpoints.0") {
 			t.Errorf("%s: %+v %v", bad, l, err)
 		}
 	}
@@ -50,39 +50,39 @@
 }
 
 // One bad entry of a snapshot takes neither its own node away nor hides another's leaving.
-func TestSnapshotWithBadEntry(t *testing.T) {
+func TestSnapshotWithInvalidEntry(t *testing.T) {
 	at := func(name, status string) string {
 		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","group":0,"status":%q}`, name, status)
 	}
 	for _, x := range []struct{ bad, gone string }{{at("b", "odd"), "c"}, {`7`, ""}} {
 		w := &Watcher{}
-		var news core.ListUpdate
+		var update core.ListUpdate
 		for _, text := range []string{listText(1, true, at("a", "active"), at("b", "active"), at("c", "active")), listText(2, true, at("a", "leaving"), x.bad)} {
 			l, err := Decode([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			news = w.applyList(l)
+			update = w.applyList(l)
 		}
-		gone := ""
-		for _, n := range news.Nodes {
+		removed := ""
+		for _, n := range update.Nodes {
 			if n.State == policy.NodeRemoved {
-				gone += n.ID
+				removed += n.ID
 			}
 		}
-		if news.Kind != policy.ListChanged || gone != x.gone || len(w.heldNodes) != 3-len(gone) {
-			t.Errorf("bad %s: %+v, held %v", x.bad, news, w.heldNodes)
+		if update.Kind != policy.ListChanged || removed != x.gone || len(w.nodes) != 3-len(removed) {
+			t.Errorf("bad %s: %+v, held %v", x.bad, update, w.nodes)
 		}
 	}
 }
 
-func TestDecodeNoise(t *testing.T) {
-	whole := listText(43, true, sampleEntry, sampleEntry)
+func TestDecodeCorruptList(t *testing.T) {
+	complete := listText(43, true, sampleEntry, sampleEntry)
 	rapid.Check(t, func(rt *rapid.T) {
-		if _, err := Decode([]byte(whole[:rapid.IntRange(0, len(whole)-1).Draw(rt, "cut")])); err == nil {
+		if _, err := Decode([]byte(complete[:rapid.IntRange(0, len(complete)-1).Draw(rt, "cut")])); err == nil {
 			rt.Fatal("a cut list passed")
 		}
-		b := []byte(whole)
+		b := []byte(complete)
 		for range rapid.IntRange(1, 5).Draw(rt, "edits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 		}
@@ -98,15 +98,15 @@
 var sampleNode = discovery.Entry{Name: "s-1", Address: "127.0.0.1:8443", Group: 3, Status: discovery.Active, Weight: 2}
 
 // newListService is the stand-in, with one node listed at version index+1, and what was asked of it.
-func newListService(t *testing.T, index int64) (s *discovery.Service, asked chan string) {
-	asked = make(chan string, 100)
-	s, err := discovery.New(discovery.Options{Index: index, Beat: time.Hour, Heard: func(_, uri string) { asked <- uri }})
+func newListService(t *testing.T, index int64) (s *discovery.Service, requests chan string) {
+	requests = make(chan string, 100)
+	s, err := discovery.New(discovery.Options{Index: index, Beat: time.Hour, Heard: func(_, uri string) { requests <- uri }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
 	s.Put(sampleNode)
-	return s, asked
+	return s, requests
 }
 
 // loggedCodes are the codes of what was logged at warn and above; each line has one, and an advice.
@@ -127,8 +127,8 @@
 
 // Guards the list through what can happen to a watch: its end, silence past the beat, and a
 // bad line, after none of which anything told is lost or told twice.
-func TestWatch(t *testing.T) {
-	s, asked := newListService(t, 40)
+func TestWatchSurvivesFaults(t *testing.T) {
+	s, requests := newListService(t, 40)
 	p := startWatcher(t, &Watcher{Address: s.Addr(), Version: 7, Timer: watchtimer.Settings{Pushed: true}})
 	const every = 100 * time.Millisecond // past it an agent that ended its call is asked again
 	full, change, failed := policy.ListReceived, policy.ListChanged, policy.ListFailed
@@ -145,46 +145,46 @@
 		{func() { s.Say("nonsense"); s.Put(sampleNode) }, failed}, {func() { p.advance(every) }, change}, // nothing after a bad line is believed on its connection
 	} {
 		x.do()
-		if n := <-p.news; n.Kind != x.want {
+		if n := <-p.updates; n.Kind != x.want {
 			t.Fatalf("%d: %+v, want kind %v", i, n, x.want)
 		}
 	}
 	for _, want := range []string{"7", "42", "43", "43"} {
-		if uri := <-asked; uri != watchPath+"?watch=1&after="+want {
+		if uri := <-requests; uri != watchPath+"?watch=1&after="+want {
 			t.Errorf("asked %s, want after=%s", uri, want)
 		}
 	}
 	p.stop()
-	said := loggedCodes(t, p.hook)
-	if !slices.Contains(said, "list-malformed") || !slices.Contains(said, "list-call") {
-		t.Errorf("said %v", said)
+	codes := loggedCodes(t, p.hook)
+	if !slices.Contains(codes, "list-malformed") || !slices.Contains(codes, "list-call") {
+		t.Errorf("said %v", codes)
 	}
 }
 
 // Guards the list through a move of discovery: the old watch counts until the new one speaks,
 // an address that does not answer costs nothing, and what lags behind takes nothing back.
-func TestMove(t *testing.T) {
+func TestAddressChange(t *testing.T) {
 	old, _ := newListService(t, 40)
-	later, asked := newListService(t, 40)
+	later, requests := newListService(t, 40)
 	w := &Watcher{Address: old.Addr(), Timer: watchtimer.Settings{Pushed: true}}
 	p := startWatcher(t, w)
-	ctx, news := p.ctx, p.news
-	<-news
+	ctx, updates := p.ctx, p.updates
+	<-updates
 	if !w.SetAddress(ctx, "127.0.0.1:1") || !w.SetAddress(ctx, later.Addr()) {
 		t.Error("the move was not taken")
 	}
-	<-news // it speaks
+	<-updates // it speaks
 	later.Say(listText(40, false, sampleEntry))
 	later.Put(sampleNode)
-	if n := <-news; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeUp {
+	if n := <-updates; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeUp {
 		t.Errorf("%+v, want the change of the new watch", n)
 	}
-	if uri := <-asked; uri != watchPath+"?watch=1&after=41" {
+	if uri := <-requests; uri != watchPath+"?watch=1&after=41" {
 		t.Errorf("asked %s", uri)
 	}
 	p.stop()
-	if w.Version != 42 || len(w.calls) != 1 || len(news) != 0 {
-		t.Errorf("index %d, %d calls open, %d more news", w.Version, len(w.calls), len(news))
+	if w.Version != 42 || len(w.calls) != 1 || len(updates) != 0 {
+		t.Errorf("index %d, %d calls open, %d more news", w.Version, len(w.calls), len(updates))
 	}
 	if w.SetAddress(ctx, old.Addr()) {
 		t.Error("a watcher that ended took a move")
@@ -214,10 +214,10 @@
 		if len(l.Nodes) == 1 {
 			got = fmt.Sprint(l.Nodes[0].Addresses)
 		}
-		for _, e := range l.BadAddresses {
+		for _, e := range l.InvalidAddresses {
 			partly += e.Error() + "\n"
 		}
-		for _, e := range l.BadEntries {
+		for _, e := range l.InvalidEntries {
 			bad += e.Error() + "\n"
 		}
 		if got != x.want || !strings.Contains(bad, x.bad) || (x.bad == "") != (bad == "") || (x.partly == "") != (partly == "") {
@@ -234,7 +234,7 @@
 // A watch that is turned away is opened again. Meanwhile the list that is held stays: it is said once
 // that the watch ended. The list that comes is indented, over several lines; an older one after it on
 // the same watch takes nothing back.
-func TestTurnedAwayWatch(t *testing.T) {
+func TestRejectedWatchIsReopened(t *testing.T) {
 	s, err := discovery.New(discovery.Options{Index: 8, IndentWatch: true})
 	if err != nil {
 		t.Fatal(err)
@@ -243,23 +243,23 @@
 	s.Put(sampleNode)
 	s.Refuse()
 	p := startWatcher(t, &Watcher{Address: s.Addr(), Timer: watchtimer.Settings{Pushed: true}})
-	told := p.news
-	if n := <-told; n.Kind != policy.ListFailed {
+	updates := p.updates
+	if n := <-updates; n.Kind != policy.ListFailed {
 		t.Errorf("told %+v first", n)
 	}
-	if said := loggedCodes(t, p.hook); !slices.Equal(said, []string{"list-refused"}) {
-		t.Errorf("said %v", said)
+	if codes := loggedCodes(t, p.hook); !slices.Equal(codes, []string{"list-refused"}) {
+		t.Errorf("said %v", codes)
 	}
 	s.Up()
 	p.advance(30 * time.Second) // past the wait after a call that was turned away
-	if n := <-told; n.Kind != policy.ListReceived || len(n.Nodes) != 1 {
+	if n := <-updates; n.Kind != policy.ListReceived || len(n.Nodes) != 1 {
 		t.Errorf("told %+v once the list came", n)
 	}
 	s.Say(listText(8, true))
-	leaving := sampleNode
-	leaving.Status = discovery.Leaving
-	s.Put(leaving)
-	if n := <-told; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeDraining {
+	draining := sampleNode
+	draining.Status = discovery.Leaving
+	s.Put(draining)
+	if n := <-updates; n.Kind != policy.ListChanged || n.Nodes[0].State != policy.NodeDraining {
 		t.Errorf("told %+v, want the change after the old list", n)
 	}
 }
--- a/internal/discovery/torn_test.go
+++ b/internal/discovery/torn_test.go
@@ -131,18 +131,18 @@
 	return b.String()
 }
 
-var pushedClock = watchtimer.Settings{Pushed: true, DrainGrace: time.Second}
+var pushedSettings = watchtimer.Settings{Pushed: true, DrainGrace: time.Second}
 
 const pushedRetryInterval = 100 * time.Millisecond // of that clock
 
 // A line is told when it has come, though the line end after its chunk is held back.
-func TestLineIsToldBeforeItsChunkEnds(t *testing.T) {
+func TestLineIsAppliedBeforeItsChunkEnds(t *testing.T) {
 	s := newScript(t)
-	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
+	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
 	c := s.call(t, 0)
 	c.begin()
 	c.write(strings.TrimSuffix(chunk(listText(1, true, entryText("a", "leaving", 0))+"\n"), "\r\n"))
-	if n := receiveWithin(t, "the line", p.news); statesOf(n) != "a:draining" {
+	if n := receiveWithin(t, "the line", p.updates); statesOf(n) != "a:draining" {
 		t.Errorf("told %+v", n)
 	}
 }
@@ -152,7 +152,7 @@
 func TestWatchCutAnywhere(t *testing.T) {
 	lists := []string{listText(1, true, entryText("a", "active", 0)), "", indented(listText(2, false, entryText("a", "leaving", 0))),
 		listText(3, false, entryText("b", "active", 0))}
-	stream, whole := answerHead, []int{}
+	stream, listEnds := answerHead, []int{}
 	for i, l := range lists {
 		if l == "" {
 			stream += chunk("\n")
@@ -168,7 +168,7 @@
 		}
 		stream += chunk(text[:at])
 		last := chunk(text[at:])
-		whole = append(whole, len(stream)+strings.LastIndexByte(last, '}')+1)
+		listEnds = append(listEnds, len(stream)+strings.LastIndexByte(last, '}')+1)
 		stream += last
 	}
 	stream += "0\r\n\r\n"
@@ -177,13 +177,13 @@
 		for cut := range len(stream) + 1 {
 			w := &Watcher{Address: s.Addr().String()}
 			w.elapsed = func() time.Duration { return 0 }
-			w.lastBadListLog.Store(1) // nothing is logged
-			told := make(chan int64, 10)
+			w.lastInvalidListLog.Store(1) // nothing is logged
+			received := make(chan int64, 10)
 			ended := make(chan error)
 			go func() {
 				ended <- w.runCall(context.Background(), w.Address, 0, func(l callMessage) {
 					if l.list != nil {
-						told <- l.list.Version
+						received <- l.list.Version
 					}
 				})
 			}()
@@ -198,16 +198,16 @@
 				t.Fatalf("cut at %d: no error", cut)
 			}
 			want := 0
-			for _, at := range whole {
+			for _, at := range listEnds {
 				if cut >= at {
 					want++
 				}
 			}
-			if len(told) != want {
-				t.Fatalf("cut at %d (reset %v): %d lists told, want %d, after %q", cut, reset, len(told), want, stream[:cut])
+			if len(received) != want {
+				t.Fatalf("cut at %d (reset %v): %d lists told, want %d, after %q", cut, reset, len(received), want, stream[:cut])
 			}
 			for i := range want {
-				if index := <-told; index != int64(i+1) {
+				if index := <-received; index != int64(i+1) {
 					t.Fatalf("cut at %d: version %d told as number %d", cut, index, i+1)
 				}
 			}
@@ -217,9 +217,9 @@
 
 // What was cut in the middle of a line, or of an indented list, is asked for again from the version held; a list
 // that begins after it on the same watch is not taken for its rest.
-func TestTornLineIsAskedForAgain(t *testing.T) {
+func TestTruncatedLineIsRequestedAgain(t *testing.T) {
 	one, two, three := listText(1, true, entryText("a", "active", 0)), listText(2, false, entryText("a", "leaving", 0)), listText(3, false, entryText("b", "active", 0))
-	for name, torn := range map[string]func(*scriptedCall){
+	for name, truncate := range map[string]func(*scriptedCall){
 		"half a line, an end":                func(c *scriptedCall) { c.write(chunk(two[:40])); c.Close() },
 		"half a line, a reset":               func(c *scriptedCall) { c.write(chunk(two[:40])); c.reset() },
 		"half a chunk, an end":               func(c *scriptedCall) { c.write(chunk(two)[:40]); c.Close() },
@@ -232,17 +232,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(t)
-			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
+			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
 			c := s.call(t, 0)
 			c.begin(one)
-			receiveWithin(t, "the first list", p.news)
-			torn(c)
-			if n := receiveWithin(t, "the end of the watch", p.news); n.Kind != policy.ListFailed {
+			receiveWithin(t, "the first list", p.updates)
+			truncate(c)
+			if n := receiveWithin(t, "the end of the watch", p.updates); n.Kind != policy.ListFailed {
 				t.Fatalf("told %+v of a torn line", n)
 			}
 			p.advance(pushedRetryInterval)
 			s.call(t, 1).begin(two)
-			if n := receiveWithin(t, "the drain", p.news); statesOf(n) != "a:draining" {
+			if n := receiveWithin(t, "the drain", p.updates); statesOf(n) != "a:draining" {
 				t.Errorf("told %+v", n)
 			}
 		})
@@ -265,10 +265,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(t)
-			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
+			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
 			first := s.call(t, 0)
 			first.begin(listText(1, true, entryText("a", "active", 0)))
-			receiveWithin(t, "the first list", p.news)
+			receiveWithin(t, "the first list", p.updates)
 			p.advance(watchtimer.PushedSilenceTimeout)
 			for range 3 {
 				answer(s.call(t, 1)) // the crossing: a replacement is out and has said what it says
@@ -276,7 +276,7 @@
 			}
 			first.lines(listText(2, false, entryText("a", "leaving", 0)))
 			for {
-				if n := receiveWithin(t, "the drain on the watch that was silent", p.news); n.Kind != policy.ListFailed {
+				if n := receiveWithin(t, "the drain on the watch that was silent", p.updates); n.Kind != policy.ListFailed {
 					if statesOf(n) != "a:draining" {
 						t.Errorf("told %+v", n)
 					}
@@ -290,53 +290,53 @@
 // A whole list of a version before the one held, from a source that lags or has begun its versions anew, is taken, and
 // so is what comes after it; a drain and a leaving that were told are not taken back by it, unless the node
 // has started anew. What a later line names counts as it says.
-func TestOlderWholeListTakesNoDrainBack(t *testing.T) {
+func TestOlderSnapshotKeepsDrainsAndRemovals(t *testing.T) {
 	s := newScript(t)
-	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedClock})
-	told := func(what, want string) {
+	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
+	expect := func(what, want string) {
 		t.Helper()
-		if n := receiveWithin(t, what, p.news); statesOf(n) != want {
+		if n := receiveWithin(t, what, p.updates); statesOf(n) != want {
 			t.Fatalf("%s: told %q, want %q", what, statesOf(n), want)
 		}
 	}
 	c := s.call(t, 0)
 	c.begin(listText(8, true, entryText("a", "active", 1), entryText("b", "active", 1), entryText("c", "leaving", 1), entryText("d", "active", 1)),
 		listText(9, false, entryText("a", "leaving", 1), entryText("b", "left", 1)))
-	told("the first list", "a:up b:up c:draining d:up")
-	told("the drain", "a:draining b:gone")
+	expect("the first list", "a:up b:up c:draining d:up")
+	expect("the drain", "a:draining b:gone")
 	c.reset()
-	told("the reset", "")
+	expect("the reset", "")
 	p.advance(pushedRetryInterval)
 	c = s.call(t, 9)
 	c.begin(listText(3, true, entryText("a", "active", 1), entryText("b", "active", 1), entryText("c", "active", 2), entryText("d", "active", 1)))
-	told("an older list", "a:draining c:up d:up")
+	expect("an older list", "a:draining c:up d:up")
 	c.lines(listText(4, false, entryText("d", "leaving", 1)))
-	told("what came after it", "d:draining")
+	expect("what came after it", "d:draining")
 	c.lines(listText(5, false, entryText("a", "active", 1)))
-	told("the end of the drain", "a:up")
+	expect("the end of the drain", "a:up")
 	c.reset()
-	told("the reset", "")
+	expect("the reset", "")
 	p.advance(pushedRetryInterval)
 	s.call(t, 5).begin(listText(6, true, entryText("b", "active", 1), entryText("d", "leaving", 1)))
-	told("a later whole list, which lacks nodes", "b:up d:draining")
+	expect("a later whole list, which lacks nodes", "b:up d:draining")
 }
 
 // What left while discovery was down, since the list that was held at the start, is told as gone: by a line, by a whole list that
 // lacks it, and by one with a bad entry beside, which names what is missing.
-func TestKnownNodeThatLeft(t *testing.T) {
+func TestCachedNodeRemovedWhileDown(t *testing.T) {
 	for text, want := range map[string]string{
 		listText(45, false, entryText("b", "left", 0)):                                     "b:gone",
 		listText(45, true, entryText("a", "active", 0)):                                    "a:up",
 		listText(45, true, entryText("a", "active", 0), entryText("c", "no such word", 0)): "a:up b:gone",
 	} {
-		known, err := Decode([]byte(listText(40, true, entryText("a", "active", 0), entryText("b", "active", 0))))
+		cached, err := Decode([]byte(listText(40, true, entryText("a", "active", 0), entryText("b", "active", 0))))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := newScript(t)
-		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Version: known.Version, CachedNodes: known.Nodes, Timer: pushedClock})
+		p := startWatcher(t, &Watcher{Address: s.Addr().String(), Version: cached.Version, CachedNodes: cached.Nodes, Timer: pushedSettings})
 		s.call(t, 40).begin(text)
-		if n := receiveWithin(t, "the list", p.news); statesOf(n) != want || (n.Kind == policy.ListReceived) != (want == "a:up") {
+		if n := receiveWithin(t, "the list", p.updates); statesOf(n) != want || (n.Kind == policy.ListReceived) != (want == "a:up") {
 			t.Errorf("told %+v, want %s", n, want)
 		}
 	}
@@ -344,14 +344,14 @@
 
 // descriptors are all that this process may open, while they are taken.
 type descriptors struct {
-	was  syscall.Rlimit
-	held []*os.File
+	oldLimit syscall.Rlimit
+	files    []*os.File
 }
 
 // take takes them all: what other tests give back meanwhile too.
 func (d *descriptors) take(t *testing.T) {
-	if d.held == nil {
-		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &d.was); err != nil {
+	if d.files == nil {
+		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &d.oldLimit); err != nil {
 			t.Error(err)
 		}
 	}
@@ -364,8 +364,8 @@
 			t.Error(err)
 			return
 		}
-		d.held = append(d.held, f)
-		few := syscall.Rlimit{Cur: uint64(f.Fd()) + 1, Max: d.was.Max}
+		d.files = append(d.files, f)
+		few := syscall.Rlimit{Cur: uint64(f.Fd()) + 1, Max: d.oldLimit.Max}
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &few); err != nil {
 			t.Error(err)
 			return
@@ -373,40 +373,40 @@
 	}
 }
 
-func (d *descriptors) giveBack(t *testing.T) {
-	if d.held == nil {
+func (d *descriptors) release(t *testing.T) {
+	if d.files == nil {
 		return
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &d.was); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &d.oldLimit); err != nil {
 		t.Error(err)
 	}
-	for _, f := range d.held {
+	for _, f := range d.files {
 		f.Close()
 	}
-	d.held = nil
+	d.files = nil
 }
 
 // A call that gets no descriptor is made again as soon as any that failed.
-func TestNoDescriptorForTheWatch(t *testing.T) {
+func TestWatchWithoutFileDescriptors(t *testing.T) {
 	s := newScript(t)
-	var all descriptors
-	defer all.giveBack(t)
-	var scarce atomic.Bool
+	var files descriptors
+	defer files.release(t)
+	var exhausted atomic.Bool
 	failed := make(chan error, 10)
-	w := &Watcher{Address: s.Addr().String(), Timer: pushedClock}
+	w := &Watcher{Address: s.Addr().String(), Timer: pushedSettings}
 	w.openWatch = func(ctx context.Context, address string, index int64, put func(callMessage)) error {
-		if !scarce.Load() {
+		if !exhausted.Load() {
 			return w.runCall(ctx, address, index, put)
 		}
-		all.take(t)
+		files.take(t)
 		err := w.runCall(ctx, address, index, put)
 		failed <- err
 		return err
 	}
 	p := startWatcher(t, w)
 	s.call(t, 0).begin(listText(1, true, entryText("a", "active", 0)))
-	receiveWithin(t, "the first list", p.news)
-	scarce.Store(true)
+	receiveWithin(t, "the first list", p.updates)
+	exhausted.Store(true)
 	p.advance(watchtimer.PushedSilenceTimeout) // another call is made beside the silent one
 	for range 3 {
 		if err := receiveWithin(t, "a call without a descriptor", failed); !errors.Is(err, syscall.EMFILE) {
@@ -415,12 +415,12 @@
 		p.advance(pushedRetryInterval)
 	}
 	receiveWithin(t, "a call without a descriptor", failed)
-	scarce.Store(false)
-	all.giveBack(t)
+	exhausted.Store(false)
+	files.release(t)
 	p.advance(pushedRetryInterval)
 	s.call(t, 1).begin(listText(2, false, entryText("a", "leaving", 0)))
 	for {
-		if n := receiveWithin(t, "the drain", p.news); n.Kind != policy.ListFailed {
+		if n := receiveWithin(t, "the drain", p.updates); n.Kind != policy.ListFailed {
 			if statesOf(n) != "a:draining" {
 				t.Errorf("told %+v", n)
 			}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -26,22 +26,22 @@
 // Watcher holds the node list and its watch. Its goroutine alone applies what calls read, so that the list needs no
 // lock; listclock decides when a call is opened or closed.
 type Watcher struct {
-	Address        string
-	Version        int64                 // version of the held list
-	CachedNodes    []core.Node           // the list known before the first call
-	OnUpdate       func(core.ListUpdate) // receives each change and failure of the list
-	Log            logrus.FieldLogger
-	Timer          watchtimer.Settings
-	Pacer          StartPacer // says when a starting process calls; nil: the clock does
-	OnUnchanged    func()     // called when a watch reports that nothing followed the held version; may be nil
-	heldNodes      map[string]core.Node
-	departedSince  map[string]float64 // start times of nodes that left, maxDepartedNodes at most
-	addressChanges chan string
-	received       chan callMessage
-	initOnce       sync.Once
-	clock          *watchtimer.Timer
-	calls          map[int]context.CancelFunc
-	lastBadListLog atomic.Int64 // elapsed time at which a bad list was last logged; 0: never
+	Address            string
+	Version            int64                 // version of the held list
+	CachedNodes        []core.Node           // the list known before the first call
+	OnUpdate           func(core.ListUpdate) // receives each change and failure of the list
+	Log                logrus.FieldLogger
+	Timer              watchtimer.Settings
+	Pacer              StartPacer // says when a starting process calls; nil: the clock does
+	OnUnchanged        func()     // called when a watch reports that nothing followed the held version; may be nil
+	nodes              map[string]core.Node
+	removedStartTimes  map[string]float64 // start times of nodes that left, maxRemovedNodes at most
+	addressChanges     chan string
+	received           chan callMessage
+	initOnce           sync.Once
+	timer              *watchtimer.Timer
+	calls              map[int]context.CancelFunc
+	lastInvalidListLog atomic.Int64 // elapsed time at which a bad list was last logged; 0: never
 	// elapsed and openWatch stand for the time and the network, so that tests can replace both.
 	elapsed   func() time.Duration // since the start
 	openWatch func(ctx context.Context, address string, index int64, put func(callMessage)) error
@@ -90,10 +90,10 @@
 	if w.Pacer != nil {
 		settings.ExternallyPaced, due = true, w.Pacer.CallDue()
 	}
-	w.clock, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
-	w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
+	w.timer, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
+	w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
 	for {
-		reset(w.clock.NextTimer())
+		reset(w.timer.NextTimer())
 		_, address, _, l, _, which := sync.First5(ctx.Done(), w.addressChanges, wake, w.received, due)
 		if ctx.Err() != nil { // the select may have chosen another ready case; nothing is reported after the stop
 			return
@@ -102,35 +102,35 @@
 		case 1:
 			if address != w.Address {
 				w.Address = address
-				w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
+				w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
 			}
 		case 2:
-			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &WatchSilentError{})
+			w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &WatchSilentError{})
 		case 3:
-			w.handleRead(ctx, l)
+			w.handleCallMessage(ctx, l)
 		default:
-			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.RequestDue}, nil)
+			w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.RequestDue}, nil)
 		}
 	}
 }
 
-// handleRead applies a message of a call, or its end. What arrives from a call already closed is ignored.
-func (w *Watcher) handleRead(ctx context.Context, l callMessage) {
+// handleCallMessage applies a message of a call, or its end. What arrives from a call already closed is ignored.
+func (w *Watcher) handleCallMessage(ctx context.Context, message callMessage) {
 	switch {
-	case w.calls[l.call] == nil: // the call is over
-	case l.err != nil:
-		w.calls[l.call]()
-		delete(w.calls, l.call)
-		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.CallEnded, Call: l.call}, l.err)
+	case w.calls[message.call] == nil: // the call is over
+	case message.err != nil:
+		w.calls[message.call]()
+		delete(w.calls, message.call)
+		w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.CallEnded, Call: message.call}, message.err)
 	default:
-		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.MessageReceived, Call: l.call}, nil)
-		w.handleMessage(l)
+		w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.MessageReceived, Call: message.call}, nil)
+		w.handleMessage(message)
 	}
 }
 
-// stepClock gives the clock an event and carries out its actions; cause is logged if the list goes down.
-func (w *Watcher) stepClock(ctx context.Context, e watchtimer.Event, cause error) {
-	for _, a := range w.clock.Step(w.elapsed(), e) {
+// stepTimer gives the clock an event and carries out its actions; cause is logged if the list goes down.
+func (w *Watcher) stepTimer(ctx context.Context, e watchtimer.Event, cause error) {
+	for _, a := range w.timer.Step(w.elapsed(), e) {
 		switch a.Kind {
 		case watchtimer.OpenCall:
 			w.startCall(ctx, a.Call)
@@ -148,22 +148,22 @@
 }
 
 // handleMessage applies a list. An older list than the held one counts only if it is a full one.
-func (w *Watcher) handleMessage(l callMessage) {
-	if l.unchanged && w.OnUnchanged != nil {
+func (w *Watcher) handleMessage(message callMessage) {
+	if message.unchanged && w.OnUnchanged != nil {
 		w.OnUnchanged()
 	}
 	// A change older than the held version comes from a source that lags behind the watch it replaces.
-	if l.list == nil || !l.list.Full && l.list.Version < w.Version {
+	if message.list == nil || !message.list.Full && message.list.Version < w.Version {
 		return
 	}
-	if l.list.Full && l.list.Version < w.Version {
-		w.keepDrainsAndDepartures(l.list)
+	if message.list.Full && message.list.Version < w.Version {
+		w.preserveDrainsAndRemovals(message.list)
 	}
 	sync.Writes(&w.Version)
-	w.Version = l.list.Version
-	news := w.applyList(*l.list)
-	news.Index = w.Version
-	w.OnUpdate(news)
+	w.Version = message.list.Version
+	update := w.applyList(*message.list)
+	update.Index = w.Version
+	w.OnUpdate(update)
 }
 
 // startCall starts a call at the current address, from the held version.
@@ -250,17 +250,17 @@
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	var object []byte
-	var nesting jsonDepth
-	last := int64(-1)
+	var nesting jsonNesting
+	lastVersion := int64(-1)
 	for scanner.Scan() {
 		rawLine := scanner.Bytes()
 		text := bytes.TrimSpace(rawLine)
-		cut := object != nil && (len(text) == 0 || rawLine[0] == '{')
-		if len(text) == 0 && !cut {
-			put(callMessage{unchanged: last < 0}) // after a list it is only a heartbeat
+		truncated := object != nil && (len(text) == 0 || rawLine[0] == '{')
+		if len(text) == 0 && !truncated {
+			put(callMessage{unchanged: lastVersion < 0}) // after a list it is only a heartbeat
 			continue
 		}
-		if !cut {
+		if !truncated {
 			open := nesting.continues(text)
 			if object != nil || open {
 				if object = append(append(object, text...), '\n'); len(object) > maxLineBytes {
@@ -275,19 +275,19 @@
 			text = object
 		}
 		l, err := Decode(text)
-		object, nesting = nil, jsonDepth{}
+		object, nesting = nil, jsonNesting{}
 		if err != nil {
-			if w.allowBadListLog() {
+			if w.allowInvalidListLog() {
 				w.Log.WithFields(operr.Fields(err)).Warn("bad watch line passed over")
 			}
 			return err
 		}
-		w.logBadParts(&l)
-		if l.Version < last { // an older list after a newer one counts as a heartbeat only
+		w.logInvalidParts(&l)
+		if l.Version < lastVersion { // an older list after a newer one counts as a heartbeat only
 			put(callMessage{})
 			continue
 		}
-		last = l.Version
+		lastVersion = l.Version
 		put(callMessage{list: &l})
 	}
 	if err := scanner.Err(); err != nil {
@@ -296,34 +296,34 @@
 	return io.EOF
 }
 
-// logBadParts logs the entries and addresses that were left out of a list.
-func (w *Watcher) logBadParts(l *List) {
-	if len(l.BadEntries)+len(l.BadAddresses) == 0 || !w.allowBadListLog() {
+// logInvalidParts logs the entries and addresses that were left out of a list.
+func (w *Watcher) logInvalidParts(l *List) {
+	if len(l.InvalidEntries)+len(l.InvalidAddresses) == 0 || !w.allowInvalidListLog() {
 		return
 	}
-	for _, bad := range l.BadEntries {
+	for _, bad := range l.InvalidEntries {
 		w.Log.WithFields(operr.Fields(bad)).Warn("list entry left out")
 	}
-	for _, bad := range l.BadAddresses {
+	for _, bad := range l.InvalidAddresses {
 		w.Log.WithFields(operr.Fields(bad)).Warn("address left out")
 	}
 }
 
-// allowBadListLog limits the log of bad lists to one in badListLogInterval: an agent may be called many times a
+// allowInvalidListLog limits the log of bad lists to one in invalidListLogInterval: an agent may be called many times a
 // second and serve the same bad list each time.
-func (w *Watcher) allowBadListLog() bool {
-	now, last := int64(w.elapsed()), w.lastBadListLog.Load()
-	return (last == 0 || now-last >= int64(badListLogInterval)) && w.lastBadListLog.CompareAndSwap(last, max(now, 1))
+func (w *Watcher) allowInvalidListLog() bool {
+	now, last := int64(w.elapsed()), w.lastInvalidListLog.Load()
+	return (last == 0 || now-last >= int64(invalidListLogInterval)) && w.lastInvalidListLog.CompareAndSwap(last, max(now, 1))
 }
 
-// jsonDepth tracks the nesting of a JSON text that arrives in pieces.
-type jsonDepth struct {
+// jsonNesting tracks the nesting of a JSON text that arrives in pieces.
+type jsonNesting struct {
 	level             int
 	inString, escaped bool
 }
 
 // continues reads a piece and reports whether an object or list is still open at its end.
-func (d *jsonDepth) continues(piece []byte) bool {
+func (d *jsonNesting) continues(piece []byte) bool {
 	for _, b := range piece {
 		switch {
 		case d.escaped:
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -36,8 +36,8 @@
 	open               int // calls
 	stopped            bool
 	ended              bool // the watch has come back
-	told               []int
-	stopAtLast         bool              // stopped when version 4 was told, and not before
+	received           []int
+	stopAtLastVersion  bool              // stopped when version 4 was told, and not before
 	oldCalls           []context.Context // of the calls at the old address
 	newAddressAnswered bool              // the new address has said something
 }
@@ -49,14 +49,14 @@
 func newInterleavedWatcher(texts map[string][]string, ends bool) *interleavedWatcher {
 	log, _ := logtest.NewNullLogger()
 	d := &interleavedWatcher{texts: texts, ends: ends, wake: make(chan time.Time)}
-	d.w = &Watcher{Address: "old", Log: log, OnUpdate: d.onNews, Timer: watchtimer.Settings{Pushed: true}}
+	d.w = &Watcher{Address: "old", Log: log, OnUpdate: d.onUpdate, Timer: watchtimer.Settings{Pushed: true}}
 	d.w.elapsed, d.w.openWatch = func() time.Duration { return d.now }, d.call
 	ctx, cancel := steps.Root(context.Background())
 	d.ctx, d.stop = ctx, func() { cancel(); d.stopped = true }
 	return d
 }
 
-func (d *interleavedWatcher) onNews(n core.ListUpdate) {
+func (d *interleavedWatcher) onUpdate(n core.ListUpdate) {
 	if d.ended {
 		il.Fail("told after the watch had ended")
 	}
@@ -70,10 +70,10 @@
 	if _, err := fmt.Sscanf(n.Nodes[0].ID, "s-%d", &v); err != nil {
 		il.Fail("told %+v", n)
 	}
-	if len(d.told) > 0 && v < d.told[len(d.told)-1] {
-		il.Fail("told version %d after %v", v, d.told)
+	if len(d.received) > 0 && v < d.received[len(d.received)-1] {
+		il.Fail("told version %d after %v", v, d.received)
 	}
-	if d.told = append(d.told, v); v == 4 && d.stopAtLast {
+	if d.received = append(d.received, v); v == 4 && d.stopAtLastVersion {
 		d.stop()
 	}
 }
@@ -116,7 +116,7 @@
 
 // oldCallStaysOpen checks that the old address's call, once heard, stays open until the new one is answered.
 func (d *interleavedWatcher) oldCallStaysOpen() error {
-	if len(d.told) > 0 && len(d.oldCalls) > 0 && d.oldCalls[0].Err() != nil && !d.newAddressAnswered {
+	if len(d.received) > 0 && len(d.oldCalls) > 0 && d.oldCalls[0].Err() != nil && !d.newAddressAnswered {
 		return errors.New("the old call was closed before the new one spoke")
 	}
 	return nil
@@ -137,12 +137,12 @@
 // A watch whose address ends its calls, time that passes, a move, and a stop at any moment: nothing that
 // came after the stop is told, no call is left open, and nobody waits for ever.
 func TestInterleaveWatchStop(t *testing.T) {
-	beat := func(d *interleavedWatcher) {
+	fireTimer := func(d *interleavedWatcher) {
 		sync.Point("time", "passes")
 		d.now = d.due
 		sync.SendOr(d.wake, time.Time{}, d.ctx.Done())
 	}
-	move := func(d *interleavedWatcher) {
+	changeAddress := func(d *interleavedWatcher) {
 		if !d.w.SetAddress(d.ctx, "new") && d.ctx.Err() == nil {
 			il.Fail("the move was not taken")
 		}
@@ -155,11 +155,11 @@
 		texts map[string][]string
 		lost  []mutant.Mutant
 	}{
-		{"ends", beat, true, 0, map[string][]string{"old": {version(1, true)}}, nil},
-		{"silent", beat, false, 1, map[string][]string{"old": {version(1, true)}}, []mutant.Mutant{
+		{"ends", fireTimer, true, 0, map[string][]string{"old": {version(1, true)}}, nil},
+		{"silent", fireTimer, false, 1, map[string][]string{"old": {version(1, true)}}, []mutant.Mutant{
 			{File: "watch.go", Old: "		if ctx.Err() != nil { //", New: "		if which == 0 { //", Want: "told what came after the stop"},
-			{File: "watch.go", Old: "			sync.SendOr(w.received, l, callCtx.Done())", New: "			sync.Send(w.received, l)", Want: "deadlock: watch.1 at send"}}},
-		{"move", move, false, 1, map[string][]string{"new": {version(3, true)}}, []mutant.Mutant{
+			{File: "watch.go", Old: "			sync.SendOr(w.received, message, callCtx.Done())", New: "			sync.Send(w.received, message)", Want: "deadlock: watch.1 at send"}}},
+		{"move", changeAddress, false, 1, map[string][]string{"new": {version(3, true)}}, []mutant.Mutant{
 			{File: "watch.go", Old: "	return sync.SendOr(w.addressChanges, address, ctx.Done())", New: "	sync.Send(w.addressChanges, address)\n	return true",
 				Want: "deadlock: move at send"}}},
 	} {
@@ -182,10 +182,10 @@
 
 // A move while the old address goes on: its call counts until the new one speaks, and then nothing of it is
 // told; nothing of the new one is lost.
-func TestInterleaveWatchMove(t *testing.T) {
+func TestInterleaveAddressChange(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		d := newInterleavedWatcher(map[string][]string{"old": {version(1, true), version(2, false)}, "new": {version(3, true), version(4, false)}}, false)
-		d.stopAtLast = true
+		d.stopAtLastVersion = true
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "watch", Run: d.run},
@@ -193,7 +193,7 @@
 			},
 			Always: d.oldCallStaysOpen,
 			Check: func() error {
-				if got := fmt.Sprint(d.told); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
+				if got := fmt.Sprint(d.received); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
 					return fmt.Errorf("told %s", got)
 				}
 				return d.allCallsClosed()
@@ -201,8 +201,8 @@
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "watch.go", Old: "	case w.calls[l.call] == nil: // the call is over\n	case l.err != nil:",
-			New: "	case l.err != nil && w.calls[l.call] != nil:", Want: "told [2 3 4]"},
+		mutant.Mutant{File: "watch.go", Old: "	case w.calls[message.call] == nil: // the call is over\n	case message.err != nil:",
+			New: "	case message.err != nil && w.calls[message.call] != nil:", Want: "told [2 3 4]"},
 		mutant.Mutant{File: "watch.go", Old: "	address, index := w.Address, w.Version\n	sync.Go(func() {\n",
 			New: "	address := w.Address\n	sync.Go(func() {\n		sync.Reads(&w.Version)\n		index := w.Version\n", Want: "data race: "},
 		mutant.Mutant{File: "watch.go", Old: "				w.Address = address\n", New: "				w.Address = address\n				w.calls[1]()\n",
