--- a/internal/discovery/registry.go
+++ b/internal/discovery/decode.go
@@ -1,13 +1,9 @@
-// Package discovery keeps the node list: it begins with a known list and follows changes through a watch on the
-// list's service. listclock decides when a watch is opened, replaced or closed.
 package discovery
 
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"slices"
-	"time"
 
 	"github.com/tidwall/gjson"
 
@@ -16,18 +12,7 @@
 	"wheatsaddle/policy"
 )
 
-const (
-	watchPath              = "/registry/instances"
-	dialTimeout            = time.Second
-	maxLineBytes           = 4 << 20     // of one list of a watch
-	invalidListLogInterval = time.Second // least time between logs of bad lists
-	maxRemovedNodes        = 4096        // departed nodes whose start times are kept
-
-	maxInterimResponses = 8  // 1xx responses accepted before the final one
-	chunkedLength       = -1 // what a fasthttp head gives as its length for a chunked body
-)
-
-// nodeStates are the states by their names in the list.
+// nodeStates maps the words of the list to states.
 var nodeStates = map[string]policy.NodeState{
 	"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved,
 }
@@ -37,13 +22,13 @@
 	Version           int64
 	Full              bool
 	Nodes             []core.Node
-	InvalidEntries    []error         // one EntryError for each entry that was left out
-	InvalidAddresses  []error         // one AddressError for each address left out of an entry that stays
-	invalidNames      map[string]bool // names of the entries left out, as far as they could be read
-	hasUnnamedInvalid bool            // an entry left out has no readable name
+	InvalidEntries    []error         // one EntryError for each entry that was ignored
+	InvalidAddresses  []error         // one AddressError for each ignored address of a valid entry
+	invalidNames      map[string]bool // names of the ignored entries that could be read
+	hasUnnamedInvalid bool            // an ignored entry has no readable name
 }
 
-// Decode reads one message. A bad entry is left out and recorded in InvalidEntries.
+// Decode reads one message. An invalid entry is ignored and recorded in InvalidEntries.
 func Decode(text []byte) (List, error) {
 	l := List{invalidNames: map[string]bool{}}
 	if !gjson.ValidBytes(text) {
@@ -74,83 +59,7 @@
 	return l, nil
 }
 
-// preserveDrainsAndRemovals adjusts a full list whose version is older than the held one. Either its source lags
-// behind, or the list's service has restarted its versions; no message tells which. The list and what follows it
-// are therefore applied, but a draining node stays draining and a departed node stays away until it has started
-// anew (its start time differs) or a later message names it.
-func (w *Watcher) preserveDrainsAndRemovals(l *List) {
-	w.initNodes()
-	l.Nodes = slices.DeleteFunc(l.Nodes, func(n core.Node) bool {
-		startTime, removed := w.removedStartTimes[n.ID]
-		return removed && startTime == n.StartTime
-	})
-	for i, n := range l.Nodes {
-		if previous, ok := w.nodes[n.ID]; ok && previous.State == policy.NodeDraining && previous.StartTime == n.StartTime {
-			l.Nodes[i].State = policy.NodeDraining
-		}
-	}
-}
-
-// initNodes fills the held nodes from Known at first use.
-func (w *Watcher) initNodes() {
-	if w.nodes != nil {
-		return
-	}
-	w.nodes = map[string]core.Node{}
-	for _, n := range w.CachedNodes {
-		w.nodes[n.ID] = n
-	}
-}
-
-// recordRemoval removes a held node that left and keeps its start time. When maxRemovedNodes are kept, all are
-// dropped first, which bounds the memory.
-func (w *Watcher) recordRemoval(id string) {
-	if n, listed := w.nodes[id]; listed {
-		if w.removedStartTimes == nil || len(w.removedStartTimes) >= maxRemovedNodes {
-			w.removedStartTimes = map[string]float64{}
-		}
-		w.removedStartTimes[id] = n.StartTime
-		delete(w.nodes, id)
-	}
-}
-
-// applyList applies a list to the held nodes and returns the news for the core. A full list with a bad entry is
-// passed on as changes: held nodes that it does not name have left, except those that a bad entry may stand for,
-// so that a fault in one entry does not remove its node.
-func (w *Watcher) applyList(l List) core.ListUpdate {
-	w.initNodes()
-	update := core.ListUpdate{Kind: policy.ListChanged, Nodes: l.Nodes}
-	if l.Full {
-		listed := map[string]bool{}
-		for _, n := range l.Nodes {
-			listed[n.ID] = true
-		}
-		if len(l.InvalidEntries) == 0 {
-			update.Kind = policy.ListReceived
-		}
-		for _, id := range slices.Sorted(maps.Keys(w.nodes)) {
-			if listed[id] || l.invalidNames[id] || l.hasUnnamedInvalid {
-				continue
-			}
-			if n := w.nodes[id]; len(l.InvalidEntries) > 0 {
-				n.State = policy.NodeRemoved
-				update.Nodes = append(update.Nodes, n)
-			}
-			w.recordRemoval(id)
-		}
-	}
-	for _, n := range update.Nodes {
-		if n.State == policy.NodeRemoved {
-			w.recordRemoval(n.ID)
-		} else {
-			w.nodes[n.ID] = n
-			delete(w.removedStartTimes, n.ID)
-		}
-	}
-	return update
-}
-
-// decodeNode reads an entry; bad has an error for each address left out of it.
+// decodeNode reads an entry; invalid has an error for each ignored address.
 func decodeNode(e gjson.Result) (n core.Node, invalid []error, err error) {
 	if !e.IsObject() {
 		return n, nil, errors.New("not an object")
@@ -181,7 +90,7 @@
 }
 
 // decodeAddresses reads "addresses", and adds "address" if it is not among them. The platform's lists have only
-// "address". A bad address is left out and recorded in bad; the entry fails only if no address is left.
+// "address". An invalid address is ignored and recorded in invalid; the entry fails only if no address remains.
 func decodeAddresses(e gjson.Result) (list []address.Addr, invalid []error, err error) {
 	var texts []string
 	single, several := e.Get("address"), e.Get("addresses")
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -7,9 +7,10 @@
 	"wheatsaddle/internal/operr"
 )
 
-// MalformedError is a message of the list's service that cannot be read as a whole.
+// MalformedError reports a message of the list's service that could not be decoded.
 type MalformedError struct{ Key, Reason string }
 
+// Error implements error.
 func (e *MalformedError) Error() string {
 	if e.Key == "" {
 		return "list: " + e.Reason
@@ -22,21 +23,22 @@
 
 // Advice implements operr.Coded.
 func (e *MalformedError) Advice() string {
-	return "See what the list's service sends (or what known of the configuration holds); the list as last held counts until a good one comes."
+	return "See what the list's service sends (or the configuration's key known); the last valid list stays in use."
 }
 
-// EntryError is an entry of the list that is left out; the others count.
+// EntryError reports an entry of the list that was ignored; the others are applied.
 type EntryError struct {
 	Index int
 	Name  string
 	Err   error
 }
 
+// Error implements error.
 func (e *EntryError) Error() string {
 	return fmt.Sprintf("list: endpoints.%d (%.40q): %v", e.Index, e.Name, e.Err)
 }
 
-// Unwrap gives the key and its fault.
+// Unwrap returns the cause.
 func (e *EntryError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -44,21 +46,22 @@
 
 // Advice implements operr.Coded.
 func (e *EntryError) Advice() string {
-	return "Have the entry corrected in the list's service; until then the node counts as it was held, and a new one gets nothing."
+	return "Correct the entry in the list's service; until then its node stays as last listed, and a new node is not used."
 }
 
-// AddressError is an address that is left out of an entry; the entry's others count.
+// AddressError reports an ignored address of an entry; the entry's other addresses are used.
 type AddressError struct {
 	Index int
 	Name  string
 	Err   error
 }
 
+// Error implements error.
 func (e *AddressError) Error() string {
 	return fmt.Sprintf("list: endpoints.%d (%.40q): %v", e.Index, e.Name, e.Err)
 }
 
-// Unwrap gives the address and its fault.
+// Unwrap returns the cause.
 func (e *AddressError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -66,12 +69,13 @@
 
 // Advice implements operr.Coded.
 func (e *AddressError) Advice() string {
-	return "Have the address corrected in the list's service; until then the node is reached by its other addresses alone."
+	return "Correct the address in the list's service; until then only the node's other addresses are used."
 }
 
-// CallRejectedError is a call for the list that was turned away by word: the service can be overbooked.
+// CallRejectedError reports a call for the list that the service answered with an error status.
 type CallRejectedError struct{ Status int }
 
+// Error implements error.
 func (e *CallRejectedError) Error() string { return fmt.Sprintf("watch: status %d", e.Status) }
 
 // Code implements operr.Coded.
@@ -79,12 +83,13 @@
 
 // Advice implements operr.Coded.
 func (e *CallRejectedError) Advice() string {
-	return "See why the list's service turns calls away (its load, the path, its rights); the list as last held counts until it takes one."
+	return "See why the list's service rejects calls (load, path, permissions); the last list stays in use until a call succeeds."
 }
 
-// WatchSilentError is a watch that has said nothing for longer than its beats are apart.
+// WatchSilentError reports that a watch sent no message within its silence timeout.
 type WatchSilentError struct{}
 
+// Error implements error.
 func (e *WatchSilentError) Error() string { return "watch: silent" }
 
 // Code implements operr.Coded.
@@ -92,18 +97,19 @@
 
 // Advice implements operr.Coded.
 func (e *WatchSilentError) Advice() string {
-	return "See whether the list's service runs and what is between it and this host; another call is out beside the silent one, and the list as last held counts."
+	return "See whether the list's service runs and is reachable from this machine; another call is made beside the silent one, and the last list stays in use."
 }
 
-// CallError is a call for the list that never came up, or whose connection ended.
+// CallError reports a call for the list that could not connect, or whose connection ended.
 type CallError struct {
 	Address string
 	Err     error
 }
 
+// Error implements error.
 func (e *CallError) Error() string { return fmt.Sprintf("watch: %s: %v", e.Address, e.Err) }
 
-// Unwrap gives the system's word.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -111,7 +117,7 @@
 
 // Advice implements operr.Coded.
 func (e *CallError) Advice() string {
-	return "See whether the list's service runs at the address and is reached from this host; it is asked again, and the list as last held counts meanwhile."
+	return "See whether the list's service runs at the address and is reachable from this machine; it is called again, and the last list stays in use."
 }
 
 func init() {
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -22,8 +22,8 @@
 	"wheatsaddle/policy"
 )
 
-// interleavedWatcher is a watch with two list services: each call reads the texts of its address, and then stands
-// until it is closed, or ends.
+// interleavedWatcher is a watcher with two list services: each call reads the texts of its address, and then stays
+// open until it is closed, or ends.
 type interleavedWatcher struct {
 	w                  *Watcher
 	ctx                context.Context
@@ -33,13 +33,13 @@
 	wake               chan time.Time
 	now                time.Duration
 	due                time.Duration
-	open               int // calls
+	open               int // number of open calls
 	stopped            bool
-	ended              bool // the watch has come back
+	ended              bool // Run has returned
 	received           []int
-	stopAtLastVersion  bool              // stopped when version 4 was told, and not before
+	stopAtLastVersion  bool              // stop when version 4 was received
 	oldCalls           []context.Context // of the calls at the old address
-	newAddressAnswered bool              // the new address has said something
+	newAddressAnswered bool              // a call at the new address brought a message
 }
 
 func version(n int, full bool) string {
@@ -58,27 +58,27 @@
 
 func (d *interleavedWatcher) onUpdate(n core.ListUpdate) {
 	if d.ended {
-		il.Fail("told after the watch had ended")
+		il.Fail("update after the watcher ended")
 	}
 	if n.Kind == policy.ListFailed {
 		return
 	}
 	if n.Nodes[0].Zone == "late" {
-		il.Fail("told what came after the stop")
+		il.Fail("update with a message from after the stop")
 	}
 	v := 0
 	if _, err := fmt.Sscanf(n.Nodes[0].ID, "s-%d", &v); err != nil {
-		il.Fail("told %+v", n)
+		il.Fail("unexpected update %+v", n)
 	}
 	if len(d.received) > 0 && v < d.received[len(d.received)-1] {
-		il.Fail("told version %d after %v", v, d.received)
+		il.Fail("received version %d after %v", v, d.received)
 	}
 	if d.received = append(d.received, v); v == 4 && d.stopAtLastVersion {
 		d.stop()
 	}
 }
 
-// call stands in for the network alone: the lines are read by the real code.
+// call replaces only the network: readLines of the watcher reads the lines.
 func (d *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callMessage)) error {
 	d.open++
 	defer func() { d.open-- }()
@@ -114,10 +114,10 @@
 	return n, nil
 }
 
-// oldCallStaysOpen checks that the old address's call, once heard, stays open until the new one is answered.
+// oldCallStaysOpen checks that the old address's call, once it brought a list, stays open until the new one is answered.
 func (d *interleavedWatcher) oldCallStaysOpen() error {
 	if len(d.received) > 0 && len(d.oldCalls) > 0 && d.oldCalls[0].Err() != nil && !d.newAddressAnswered {
-		return errors.New("the old call was closed before the new one spoke")
+		return errors.New("the old call was closed before the new one was answered")
 	}
 	return nil
 }
@@ -129,13 +129,13 @@
 
 func (d *interleavedWatcher) allCallsClosed() error {
 	if d.open != 0 {
-		return fmt.Errorf("%d calls are left open", d.open)
+		return fmt.Errorf("%d calls are still open", d.open)
 	}
 	return nil
 }
 
-// A watch whose address ends its calls, time that passes, a move, and a stop at any moment: nothing that
-// came after the stop is told, no call is left open, and nobody waits for ever.
+// With calls that end or fall silent, timer events, an address change and a stop in any order, no message from after
+// the stop is reported, no call stays open, and no goroutine waits forever.
 func TestInterleaveWatchStop(t *testing.T) {
 	fireTimer := func(d *interleavedWatcher) {
 		sync.Point("time", "passes")
@@ -144,27 +144,27 @@
 	}
 	changeAddress := func(d *interleavedWatcher) {
 		if !d.w.SetAddress(d.ctx, "new") && d.ctx.Err() == nil {
-			il.Fail("the move was not taken")
+			il.Fail("the address change was not accepted")
 		}
 	}
 	for _, x := range []struct {
-		name  string
-		run   func(*interleavedWatcher)
-		ends  bool
-		most  int // preemptions
-		texts map[string][]string
-		lost  []mutant.Mutant
+		name        string
+		run         func(*interleavedWatcher)
+		ends        bool
+		preemptions int
+		texts       map[string][]string
+		mutants     []mutant.Mutant
 	}{
 		{"ends", fireTimer, true, 0, map[string][]string{"old": {version(1, true)}}, nil},
 		{"silent", fireTimer, false, 1, map[string][]string{"old": {version(1, true)}}, []mutant.Mutant{
-			{File: "watch.go", Old: "		if ctx.Err() != nil { //", New: "		if which == 0 { //", Want: "told what came after the stop"},
+			{File: "watch.go", Old: "		if ctx.Err() != nil { //", New: "		if which == 0 { //", Want: "update with a message from after the stop"},
 			{File: "watch.go", Old: "			sync.SendOr(w.received, message, callCtx.Done())", New: "			sync.Send(w.received, message)", Want: "deadlock: watch.1 at send"}}},
-		{"move", changeAddress, false, 1, map[string][]string{"new": {version(3, true)}}, []mutant.Mutant{
+		{"change", changeAddress, false, 1, map[string][]string{"new": {version(3, true)}}, []mutant.Mutant{
 			{File: "watch.go", Old: "	return sync.SendOr(w.addressChanges, address, ctx.Done())", New: "	sync.Send(w.addressChanges, address)\n	return true",
-				Want: "deadlock: move at send"}}},
+				Want: "deadlock: change at send"}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			il.Check(t, il.Options{Bounded: true, Preemptions: x.most}, func() il.World {
+			il.Check(t, il.Options{Bounded: true, Preemptions: x.preemptions}, func() il.World {
 				d := newInterleavedWatcher(x.texts, x.ends)
 				return il.World{
 					Threads: []il.Thread{
@@ -175,13 +175,13 @@
 					Check: d.allCallsClosed,
 				}
 			})
-			mutant.Found(t, x.lost...)
+			mutant.Found(t, x.mutants...)
 		})
 	}
 }
 
-// A move while the old address goes on: its call counts until the new one speaks, and then nothing of it is
-// told; nothing of the new one is lost.
+// After an address change the call at the old address is valid until the new one is answered; after that nothing of it
+// is reported, and nothing of the new one is lost.
 func TestInterleaveAddressChange(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		d := newInterleavedWatcher(map[string][]string{"old": {version(1, true), version(2, false)}, "new": {version(3, true), version(4, false)}}, false)
@@ -189,12 +189,12 @@
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "watch", Run: d.run},
-				{Name: "move", Run: func() { d.w.SetAddress(d.ctx, "new") }},
+				{Name: "change", Run: func() { d.w.SetAddress(d.ctx, "new") }},
 			},
 			Always: d.oldCallStaysOpen,
 			Check: func() error {
 				if got := fmt.Sprint(d.received); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
-					return fmt.Errorf("told %s", got)
+					return fmt.Errorf("received %s", got)
 				}
 				return d.allCallsClosed()
 			},
@@ -202,10 +202,10 @@
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "watch.go", Old: "	case w.calls[message.call] == nil: // the call is over\n	case message.err != nil:",
-			New: "	case message.err != nil && w.calls[message.call] != nil:", Want: "told [2 3 4]"},
-		mutant.Mutant{File: "watch.go", Old: "	address, index := w.Address, w.Version\n	sync.Go(func() {\n",
-			New: "	address := w.Address\n	sync.Go(func() {\n		sync.Reads(&w.Version)\n		index := w.Version\n", Want: "data race: "},
+			New: "	case message.err != nil && w.calls[message.call] != nil:", Want: "received [2 3 4]"},
+		mutant.Mutant{File: "watch.go", Old: "	address, version := w.Address, w.Version\n	sync.Go(func() {\n",
+			New: "	address := w.Address\n	sync.Go(func() {\n		sync.Reads(&w.Version)\n		version := w.Version\n", Want: "data race: "},
 		mutant.Mutant{File: "watch.go", Old: "				w.Address = address\n", New: "				w.Address = address\n				w.calls[1]()\n",
-			Want: "the old call was closed before the new one spoke"},
+			Want: "the old call was closed before the new one was answered"},
 	)
 }
