--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -84,7 +84,7 @@
 		}
 		p.advance(pushedRetryInterval)
 	}
-	receiveWithin(t, "a call without a descriptor", failed)
+	_ = receiveWithin(t, "a call without a descriptor", failed)
 	exhausted.Store(false)
 	files.release(t)
 	p.advance(pushedRetryInterval)
