--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -81,7 +81,7 @@
 		Advertise:        set.Advertise,
 		Seeds:            set.Seeds,
 		AddressOverrides: set.Via,
-		Interval:         set.Every,
+		Interval:         set.Interval,
 		Burst:            set.Burst,
 		Key:              key,
 		State:            set.State,
@@ -114,7 +114,7 @@
 }
 
 // count registers the counts of what is shared.
-func (f *fleet) count(m *metrics.Meter) {
+func (f *fleet) count(m *metrics.Registry) {
 	if f == nil {
 		return
 	}
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.gate(),
-		Connect: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
+	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, StartLimiter: b.gate(),
+		NewNodeClient: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 // next start has it again; off, there is none of it.
 func TestStartKeepsWhatItLearned(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListMost: 40, Ahead: 1}
+	set := &config.SiteStart{Enabled: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListCallsPerSecond: 40, PreconnectNodes: 1}
 	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.gate() != nil || b.run(nil) || !b.ready(true) || b.pace() != nil {
 		t.Fatal("without the section there is a start")
 	}
@@ -92,7 +92,7 @@
 		t.Helper()
 		t.Run("life", func(t *testing.T) {
 			b, co, ahead := begun(t, set, log, startNode)
-			<-b.Due() // the list may be asked for
+			<-b.CallDue() // the list may be asked for
 			if b.ready(true) {
 				t.Error("ready before the list")
 			}
@@ -134,11 +134,11 @@
 	defer s.Close()
 	s.Set(fakediscovery.Fault{Refuse: true})
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
+	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 40}
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
-		OnNews: func(n core.ListUpdate) { b.list(n) }}
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: listClock(startConf()), Pacer: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
+		OnUpdate: func(n core.ListUpdate) { b.list(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
 	t.Cleanup(func() { <-ended })
@@ -169,19 +169,19 @@
 }
 
 type counted struct {
-	discovery.Pace
+	discovery.StartPacer
 	missed *atomic.Int64
 }
 
-func (c counted) Missed() { c.missed.Add(1); c.Pace.Missed() }
+func (c counted) CallFailed() { c.missed.Add(1); c.StartPacer.CallFailed() }
 
 // A process that starts without a snapshot has what another learned, once the list says that the node's
 // start is the same; what cannot be read is counted, and the next is asked. Another that starts hands
 // nothing over.
 func TestPeerHandsOver(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
-	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
+	set := &config.SiteStart{Enabled: true, ListCallsPerSecond: 40, PreconnectNodes: 1}
+	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Interval: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
 	join := func(name string, b *starter) *fleet {
 		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, b, log)
 		if err != nil {
@@ -235,7 +235,7 @@
 // What the other processes say of a node's start reaches the start: of a later one it is not opened ahead.
 func TestPeersWordOfAStart(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 0.1, Ahead: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
+	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 0.1, PreconnectNodes: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
 	slot := func(id string) time.Duration { return coldstart.Slot(time.Second, "connect", "n0", id) }
 	first, last := "a", "b"
 	if slot(first) > slot(last) {
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -39,8 +39,8 @@
 	return err
 }
 
-// Known says whether a node of this id was ever listed.
-func (c *Core) Known(id string) bool {
+// WasListed says whether a node of this id was ever listed.
+func (c *Core) WasListed(id string) bool {
 	known := false
 	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.IsListed(id); return nil, nil })
 	return known
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,74 +1,83 @@
+// Package discovery maintains the list of nodes: it begins with a cached list and follows changes through a watch at
+// the list's service. watchtimer decides when a watch is opened, replaced or closed.
+//
+// Invariants:
+//   - Updates are reported by one goroutine, in the order in which they are applied, and none after Run's context ended.
+//   - The version never goes back, except by a full list.
+//   - A full list of an older version ends no drain and restores no removed node unless the node has restarted.
+//   - An invalid entry neither removes its node nor affects the other entries.
+//   - Whenever a call ends, is malformed or falls silent, the next one requests the changes after the current version.
+//
+// It keeps no exclusions and does not connect to nodes.
 package discovery
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"net/http/httputil"
-	"strconv"
 	"time"
 
 	"github.com/sirupsen/logrus"
-	"github.com/valyala/fasthttp"
 
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery/watchtimer"
 	"wheatsaddle/internal/interleave/sync"
 	"wheatsaddle/internal/interleave/sync/atomic"
 	"wheatsaddle/internal/operr"
-	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
 
-// Watcher holds the node list and its watch. Its goroutine alone applies what calls read, so that the list needs no
-// lock; listclock decides when a call is opened or closed.
+// invalidListLogInterval is the minimum time between log lines about invalid lists.
+const invalidListLogInterval = time.Second
+
+// Watcher maintains the list of nodes through a watch. The exported fields are set before Run and not changed after it.
+// The goroutine of Run alone applies what calls read, so that the list needs no lock.
 type Watcher struct {
-	Address        string
-	Index          int64                 // version of the held list
-	Known          []core.Node           // the list known before the first call
-	OnNews         func(core.ListUpdate) // receives each change and failure of the list
-	Log            logrus.FieldLogger
-	Clock          watchtimer.Settings
-	Pace           Pace   // says when a starting process calls; nil: the clock does
-	OnUnchanged    func() // called when a watch reports that nothing followed the held version; may be nil
-	heldNodes      map[string]core.Node
-	departedSince  map[string]float64 // start times of nodes that left, maxDepartedNodes at most
-	addressChanges chan string
-	received       chan callRead
+	Address     string                // host:port of the list's service; Run sets it at an address change
+	Version     int64                 // of the current list
+	CachedNodes []core.Node           // the list before the first call
+	OnUpdate    func(core.ListUpdate) // receives each change and failure of the list; must not block for long
+	Log         logrus.FieldLogger
+	Timer       watchtimer.Settings
+	Pacer       StartPacer // decides when a starting process calls; nil: the timer does
+	OnUnchanged func()     // called when a watch reports that nothing followed the current version; may be nil
+
+	nodes             map[string]core.Node // the current list; nil before its first use
+	removedStartTimes map[string]float64   // start times of removed nodes, at most maxRemovedNodes
+
 	initOnce       sync.Once
-	clock          *watchtimer.Clock
-	calls          map[int]context.CancelFunc
-	lastBadListLog atomic.Int64 // elapsed time at which a bad list was last logged; 0: never
-	// elapsed and openWatch stand for the time and the network, so that tests can replace both.
+	addressChanges chan string
+	received       chan callMessage
+
+	timer              *watchtimer.Timer
+	calls              map[int]context.CancelFunc // open calls, by the timer's number
+	lastInvalidListLog atomic.Int64               // elapsed time of the last log line about an invalid list; 0: none
+
 	elapsed   func() time.Duration // since the start
-	openWatch func(ctx context.Context, address string, index int64, put func(callRead)) error
+	openWatch func(ctx context.Context, address string, version int64, put func(callMessage)) error
 }
 
-// Pace says when a starting process calls for the list, until the first message. Its methods must not block.
-type Pace interface {
-	Due() <-chan struct{} // call now
-	Missed()              // a call was refused, failed or stayed unanswered
+// StartPacer decides when a starting process calls for the list, until the first message. Its methods must not block.
+type StartPacer interface {
+	CallDue() <-chan struct{} // ready when a call is to be made
+	CallFailed()              // a call was rejected, failed or stayed unanswered
 }
 
-// callRead is one message that a call read, or the call's end.
-type callRead struct {
+// callMessage is one message that a call read, or the call's end.
+type callMessage struct {
 	call      int
 	list      *List // nil: a heartbeat, or the end
 	unchanged bool  // a heartbeat before any list: nothing followed the requested version
 	err       error // the call has ended
 }
 
-// initChannels makes the channels at first use, as Move may come before Run.
+// initChannels makes the channels at first use, as SetAddress may be called before Run.
 func (w *Watcher) initChannels() {
-	w.initOnce.Do(func() { w.addressChanges, w.received = make(chan string), make(chan callRead, 1) })
+	w.initOnce.Do(func() { w.addressChanges, w.received = make(chan string), make(chan callMessage, 1) })
 }
 
-// Move watches at another address from now on. The current call remains valid until a call at the new address
+// SetAddress changes the address of the list's service. The current call remains valid until a call at the new address
 // brings a message or the current one ends. Move returns false if the context ended first.
-func (w *Watcher) Move(ctx context.Context, address string) bool {
+func (w *Watcher) SetAddress(ctx context.Context, address string) bool {
 	w.initChannels()
 	return sync.SendOr(w.addressChanges, address, ctx.Done())
 }
@@ -84,53 +93,58 @@
 
 // runWithTimer is Run with the caller's timer: reset sets the time at which wake must fire.
 func (w *Watcher) runWithTimer(ctx context.Context, wake <-chan time.Time, reset func(time.Duration)) {
+	const ( // the order of the arguments of First5; 0 is the stop, 4 the pacer
+		addressChanged  = 1
+		timerFired      = 2
+		messageReceived = 3
+	)
 	w.initChannels()
-	settings := w.Clock
+	settings := w.Timer
 	var due <-chan struct{}
-	if w.Pace != nil {
-		settings.ExternallyPaced, due = true, w.Pace.Due()
+	if w.Pacer != nil {
+		settings.ExternallyPaced, due = true, w.Pacer.CallDue()
 	}
-	w.clock, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
-	w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
+	w.timer, w.calls = watchtimer.New(settings), map[int]context.CancelFunc{}
+	w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.Started}, nil)
 	for {
-		reset(w.clock.NextTimer())
-		_, address, _, l, _, which := sync.First5(ctx.Done(), w.addressChanges, wake, w.received, due)
+		reset(w.timer.NextTimer())
+		_, address, _, message, _, which := sync.First5(ctx.Done(), w.addressChanges, wake, w.received, due)
 		if ctx.Err() != nil { // the select may have chosen another ready case; nothing is reported after the stop
 			return
 		}
 		switch which {
-		case 1:
+		case addressChanged:
 			if address != w.Address {
 				w.Address = address
-				w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
+				w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.AddressChanged}, nil)
 			}
-		case 2:
-			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &SilentError{})
-		case 3:
-			w.handleRead(ctx, l)
+		case timerFired:
+			w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.TimerFired}, &WatchSilentError{})
+		case messageReceived:
+			w.handleCallMessage(ctx, message)
 		default:
-			w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.RequestDue}, nil)
+			w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.RequestDue}, nil)
 		}
 	}
 }
 
-// handleRead applies a message of a call, or its end. What arrives from a call already closed is ignored.
-func (w *Watcher) handleRead(ctx context.Context, l callRead) {
+// handleCallMessage applies a message of a call, or its end. What arrives from a call already closed is ignored.
+func (w *Watcher) handleCallMessage(ctx context.Context, message callMessage) {
 	switch {
-	case w.calls[l.call] == nil: // the call is over
-	case l.err != nil:
-		w.calls[l.call]()
-		delete(w.calls, l.call)
-		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.CallEnded, Call: l.call}, l.err)
+	case w.calls[message.call] == nil: // the call is over
+	case message.err != nil:
+		w.calls[message.call]()
+		delete(w.calls, message.call)
+		w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.CallEnded, Call: message.call}, message.err)
 	default:
-		w.stepClock(ctx, watchtimer.Event{Kind: watchtimer.MessageReceived, Call: l.call}, nil)
-		w.handleMessage(l)
+		w.stepTimer(ctx, watchtimer.Event{Kind: watchtimer.MessageReceived, Call: message.call}, nil)
+		w.handleMessage(message)
 	}
 }
 
-// stepClock gives the clock an event and carries out its actions; cause is logged if the list goes down.
-func (w *Watcher) stepClock(ctx context.Context, e watchtimer.Event, cause error) {
-	for _, a := range w.clock.Step(w.elapsed(), e) {
+// stepTimer gives the timer an event and carries out its actions; cause is logged if the list goes down.
+func (w *Watcher) stepTimer(ctx context.Context, e watchtimer.Event, cause error) {
+	for _, a := range w.timer.Step(w.elapsed(), e) {
 		switch a.Kind {
 		case watchtimer.OpenCall:
 			w.startCall(ctx, a.Call)
@@ -138,205 +152,69 @@
 			w.calls[a.Call]()
 			delete(w.calls, a.Call)
 		case watchtimer.ReportDown:
-			// The clock reports this once for each time the list goes down, not for each failed call.
-			w.Log.WithFields(operr.Fields(cause)).Warn("watch ended, connecting again")
-			w.OnNews(core.ListUpdate{Kind: policy.ListFailed})
+			// The timer reports this once for each time the list goes down, not for each failed call.
+			w.Log.WithFields(operr.Fields(cause)).Warn("endpoint list watch ended, reconnecting")
+			w.OnUpdate(core.ListUpdate{Kind: policy.ListFailed})
 		case watchtimer.ReportMissed:
-			w.Pace.Missed()
+			w.Pacer.CallFailed()
 		}
 	}
 }
 
-// handleMessage applies a list. An older list than the held one counts only if it is a full one.
-func (w *Watcher) handleMessage(l callRead) {
-	if l.unchanged && w.OnUnchanged != nil {
+// handleMessage applies a list. A list older than the current one is applied only if it is a full one.
+func (w *Watcher) handleMessage(message callMessage) {
+	if message.unchanged && w.OnUnchanged != nil {
 		w.OnUnchanged()
 	}
-	// A change older than the held version comes from a source that lags behind the watch it replaces.
-	if l.list == nil || !l.list.Full && l.list.Index < w.Index {
+	// A change older than the current version comes from a source that lags behind the watch it replaces.
+	if message.list == nil || !message.list.Full && message.list.Version < w.Version {
 		return
 	}
-	if l.list.Full && l.list.Index < w.Index {
-		w.keepDrainsAndDepartures(l.list)
+	if message.list.Full && message.list.Version < w.Version {
+		w.preserveDrainsAndRemovals(message.list)
 	}
-	sync.Writes(&w.Index)
-	w.Index = l.list.Index
-	news := w.applyList(*l.list)
-	news.Index = w.Index
-	w.OnNews(news)
+	sync.Writes(&w.Version)
+	w.Version = message.list.Version
+	update := w.applyList(*message.list)
+	update.Index = w.Version
+	w.OnUpdate(update)
 }
 
-// startCall starts a call at the current address, from the held version.
+// startCall starts a call at the current address, from the current version.
 func (w *Watcher) startCall(ctx context.Context, call int) {
 	callCtx, stop := sync.WithCancel(ctx)
 	w.calls[call] = stop
-	address, index := w.Address, w.Index
+	address, version := w.Address, w.Version
 	sync.Go(func() {
-		put := func(l callRead) {
-			l.call = call
-			sync.SendOr(w.received, l, callCtx.Done())
+		put := func(message callMessage) {
+			message.call = call
+			sync.SendOr(w.received, message, callCtx.Done())
 		}
-		err := w.openWatch(callCtx, address, index, put)
+		err := w.openWatch(callCtx, address, version, put)
 		var c operr.Coded
 		if !errors.As(err, &c) {
 			err = &CallError{address, err}
 		}
-		put(callRead{err: err})
+		put(callMessage{err: err})
 	})
 }
 
-// runCall opens a connection, requests what followed the version, and reads messages until the connection ends.
-// It sets no read deadline: listclock detects silent calls and cancels the context.
-func (w *Watcher) runCall(ctx context.Context, address string, index int64, put func(callRead)) error {
-	conn, err := transport.DialTCP(ctx, address, dialTimeout)
-	if err != nil {
-		return err
-	}
-	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	var req fasthttp.Request
-	req.SetRequestURI(watchPath + "?watch=1&after=" + strconv.FormatInt(index, 10))
-	req.Header.SetHost(address)
-	writer := bufio.NewWriter(conn)
-	if err = req.Write(writer); err == nil {
-		err = writer.Flush()
-	}
-	if err != nil {
-		return err
-	}
-	reader := bufio.NewReader(conn)
-	head, err := readHead(reader)
-	if err != nil {
-		return err
-	}
-	if head.StatusCode() != fasthttp.StatusOK {
-		return &RefusedError{head.StatusCode()}
-	}
-	return w.readLines(body(head, reader), put)
-}
-
-// readHead reads the response's head and skips interim (1xx) ones.
-func readHead(br *bufio.Reader) (*fasthttp.ResponseHeader, error) {
-	head := &fasthttp.ResponseHeader{}
-	for range maxInterimResponses {
-		if err := head.Read(br); err != nil {
-			return nil, err
-		}
-		if status := head.StatusCode(); status < 100 || status > 199 {
-			return head, nil
-		}
-	}
-	return nil, &MalformedError{Says: "too many interim answers"}
-}
-
-// body is the response's body. Each byte can be read as soon as it has arrived; fasthttp's own stream would hold
-// back the end of a chunk until the line end after the chunk has arrived as well.
-func body(head *fasthttp.ResponseHeader, br *bufio.Reader) io.Reader {
-	switch length := head.ContentLength(); {
-	case length == chunkedLength:
-		return httputil.NewChunkedReader(br)
-	case length >= 0:
-		return io.LimitReader(br, int64(length))
-	}
-	return br
-}
-
-// readLines reads the messages of a watch. A list may be indented and span several lines: it goes on until its
-// first brace is closed. Within a list no line is empty or begins with a brace, so such a line shows that the
-// list was cut off. A line that cannot be decoded is logged and ends the watch; the held list and its version
-// stay, so that the next call requests what was missed. It is not reported as a message, because listclock would
-// then close other calls that may still be valid.
-func (w *Watcher) readLines(stream io.Reader, put func(callRead)) error {
-	scanner := bufio.NewScanner(stream)
-	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
-	var object []byte
-	var nesting jsonDepth
-	last := int64(-1)
-	for scanner.Scan() {
-		rawLine := scanner.Bytes()
-		text := bytes.TrimSpace(rawLine)
-		cut := object != nil && (len(text) == 0 || rawLine[0] == '{')
-		if len(text) == 0 && !cut {
-			put(callRead{unchanged: last < 0}) // after a list it is only a heartbeat
-			continue
-		}
-		if !cut {
-			open := nesting.continues(text)
-			if object != nil || open {
-				if object = append(append(object, text...), '\n'); len(object) > maxLineBytes {
-					return &MalformedError{Says: fmt.Sprintf("over %d bytes", maxLineBytes)}
-				}
-				text = object
-			}
-			if open {
-				continue
-			}
-		} else {
-			text = object
-		}
-		l, err := Decode(text)
-		object, nesting = nil, jsonDepth{}
-		if err != nil {
-			if w.allowBadListLog() {
-				w.Log.WithFields(operr.Fields(err)).Warn("bad watch line passed over")
-			}
-			return err
-		}
-		w.logBadParts(&l)
-		if l.Index < last { // an older list after a newer one counts as a heartbeat only
-			put(callRead{})
-			continue
-		}
-		last = l.Index
-		put(callRead{list: &l})
-	}
-	if err := scanner.Err(); err != nil {
-		return err
-	}
-	return io.EOF
-}
-
-// logBadParts logs the entries and addresses that were left out of a list.
-func (w *Watcher) logBadParts(l *List) {
-	if len(l.BadEntries)+len(l.BadAddresses) == 0 || !w.allowBadListLog() {
+// logInvalidParts logs the entries and addresses of a list that were ignored.
+func (w *Watcher) logInvalidParts(l *List) {
+	if len(l.InvalidEntries)+len(l.InvalidAddresses) == 0 || !w.allowInvalidListLog() {
 		return
 	}
-	for _, bad := range l.BadEntries {
-		w.Log.WithFields(operr.Fields(bad)).Warn("list entry left out")
+	for _, bad := range l.InvalidEntries {
+		w.Log.WithFields(operr.Fields(bad)).Warn("invalid entry of the endpoint list ignored")
 	}
-	for _, bad := range l.BadAddresses {
-		w.Log.WithFields(operr.Fields(bad)).Warn("address left out")
+	for _, bad := range l.InvalidAddresses {
+		w.Log.WithFields(operr.Fields(bad)).Warn("invalid address of an endpoint ignored")
 	}
 }
 
-// allowBadListLog limits the log of bad lists to one in badListLogInterval: an agent may be called many times a
-// second and serve the same bad list each time.
-func (w *Watcher) allowBadListLog() bool {
-	now, last := int64(w.elapsed()), w.lastBadListLog.Load()
-	return (last == 0 || now-last >= int64(badListLogInterval)) && w.lastBadListLog.CompareAndSwap(last, max(now, 1))
-}
-
-// jsonDepth tracks the nesting of a JSON text that arrives in pieces.
-type jsonDepth struct {
-	level             int
-	inString, escaped bool
-}
-
-// continues reads a piece and reports whether an object or list is still open at its end.
-func (d *jsonDepth) continues(piece []byte) bool {
-	for _, b := range piece {
-		switch {
-		case d.escaped:
-			d.escaped = false
-		case d.inString:
-			d.escaped, d.inString = b == '\\', b != '"'
-		case b == '"':
-			d.inString = true
-		case b == '{' || b == '[':
-			d.level++
-		case b == '}' || b == ']':
-			d.level--
-		}
-	}
-	return d.level > 0
+// allowInvalidListLog limits the log of invalid lists to one in invalidListLogInterval: an agent may be called many times a
+// second and serve the same invalid list each time.
+func (w *Watcher) allowInvalidListLog() bool {
+	now, last := int64(w.elapsed()), w.lastInvalidListLog.Load()
+	return (last == 0 || now-last >= int64(invalidListLogInterval)) && w.lastInvalidListLog.CompareAndSwap(last, max(now, 1))
 }
--- a/internal/discovery/watchtimer/timers.go
+++ b/internal/discovery/watchtimer/timers.go
@@ -1,14 +1,14 @@
 package watchtimer
 
 // runTimers does what is due at the current time.
-func (c *Clock) runTimers() {
+func (c *Timer) runTimers() {
 	for i := range c.calls {
 		if c.calls[i].answered {
 			c.checkSilence(&c.calls[i])
 		}
 	}
 	if !c.settings.Pushed {
-		c.giveUpUnanswered()
+		c.closeUnanswered()
 	}
 	switch {
 	case c.now >= c.nextOpen:
@@ -24,7 +24,7 @@
 
 // checkSilence marks an answered call as silent after its silence timeout, sets the time of its replacement, and
 // reports the list as down when no call has become live within downReportDelay.
-func (c *Clock) checkSilence(k *call) {
+func (c *Timer) checkSilence(k *call) {
 	if !k.silent && c.now >= k.lastMessage+c.silenceTimeout() {
 		k.silent = true
 		if !c.Live() && k.addressGeneration == c.addressGeneration {
@@ -38,7 +38,7 @@
 }
 
 // replaceSilent sets when the replacement of a silent call is opened, and when it is repeated if unanswered.
-func (c *Clock) replaceSilent(k *call) {
+func (c *Timer) replaceSilent(k *call) {
 	c.nextOpen = min(c.nextOpen, c.now)
 	if c.settings.Pushed {
 		return
@@ -48,9 +48,9 @@
 	c.repeatAt = max(c.repeatAt, c.nextOpen+c.repeatReserve()/2)
 }
 
-// giveUpUnanswered closes the calls past their response timeout. If no other call at the current address is in
+// closeUnanswered closes the calls past their response timeout. If no other call at the current address is in
 // progress, the next one is drawn from the time that remains until the open deadline.
-func (c *Clock) giveUpUnanswered() {
+func (c *Timer) closeUnanswered() {
 	for i := len(c.calls) - 1; i >= 0; i-- {
 		if k := c.calls[i]; k.answered || c.now < k.openedAt+c.responseTimeout() {
 			continue
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -89,7 +89,7 @@
 			s := starts(t, Options{Known: true}, nil, nil, true)
 			s.Proc(older).daemon = previous
 			s.launch(s.everyone()...)
-			s.traffic(30*time.Millisecond)
+			s.traffic()
 			file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
 			s.each("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 			s.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
