--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -128,7 +128,7 @@
 		s.log.WithField("lock", s.lock.Path).Info("accepting on the passed socket")
 		s.gate.Open()
 	case handover.WarnLongWait:
-		s.log.WithFields(operr.Fields(&handover.WaitsError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("waiting for the passed socket")
+		s.log.WithFields(operr.Fields(&handover.LongWaitError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("waiting for the passed socket")
 	case handover.NotifyModule:
 		if !s.core.HandOver(moduleWait) {
 			return event(handover.ModuleBusy, 0)
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -204,7 +204,7 @@
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
 		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
+		Wait:           connqueue.MaxFreeConnWait(s.conf.Handshake, shortestAim(s.conf.Settings)),
 		Safe:           safeClasses(s.conf.Settings),
 		Routes:         s.site.routes,
 		Log:            s.log,
--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -220,9 +220,9 @@
 // MaxAddresses is how many addresses one node may have.
 const MaxAddresses = 16
 
-// List reads the addresses of one node. One that is bad, in twice (also in another spelling) or
+// ParseList reads the addresses of one node. One that is bad, in twice (also in another spelling) or
 // beyond Most is left out and named in errs; the others stay, in their order.
-func List(texts []string) (list []Addr, errs []error) {
+func ParseList(texts []string) (list []Addr, errs []error) {
 	seen := map[Addr]string{}
 	for i, text := range texts {
 		a, err := Parse(text)
--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -84,7 +84,7 @@
 
 // One that is bad, or there twice in another spelling, is named, and costs only itself.
 func TestList(t *testing.T) {
-	list, errs := List([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
+	list, errs := ParseList([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
 	if fmt.Sprint(list) != "[127.0.0.1:1 unix:/a]" || len(errs) != 3 {
 		t.Fatalf("%v %v", list, errs)
 	}
@@ -97,13 +97,13 @@
 	for i := range MaxAddresses + 2 {
 		many = append(many, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
-	if list, errs := List(many); len(list) != MaxAddresses || len(errs) != 2 {
+	if list, errs := ParseList(many); len(list) != MaxAddresses || len(errs) != 2 {
 		t.Errorf("%d kept, %d named", len(list), len(errs))
 	}
 }
 
 func TestInterleave(t *testing.T) {
-	list, _ := List([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
+	list, _ := ParseList([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
 	for _, x := range []struct {
 		pref []Kind
 		want string
--- a/internal/address/machine_test.go
+++ b/internal/address/machine_test.go
@@ -301,7 +301,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	list, _ := List(three)
+	list, _ := ParseList(three)
 	acts := book.Step(0, Event{Kind: AddressesChanged, Addrs: list}, nil)
 	acts = book.Step(0, Event{Kind: RequestQueued, Req: 1, Idempotent: true, NamesShard: true}, acts[:0])
 	c := acts[0].Conn
--- a/internal/address/rig_test.go
+++ b/internal/address/rig_test.go
@@ -47,7 +47,7 @@
 }
 
 func (r *rig) list(addrs ...string) {
-	list, errs := List(addrs)
+	list, errs := ParseList(addrs)
 	if len(errs) > 0 {
 		panic(errs)
 	}
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -8,7 +8,7 @@
 )
 
 // ErrUnknown says that an id was never listed: the call is owed a no, and nothing changes.
-var ErrUnknown = exclusion.ErrUnknown
+var ErrUnknown = exclusion.ErrUnknownNode
 
 // NoCall is a path that the endpoint does not have.
 type NoCall struct{ Path string }
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -207,7 +207,7 @@
 		}
 		texts = append(texts, x.Str)
 	}
-	list, errs := address.List(texts)
+	list, errs := address.ParseList(texts)
 	for _, err := range errs {
 		var a *address.ListError
 		if errors.As(err, &a) {
--- a/internal/connqueue/pool.go
+++ b/internal/connqueue/pool.go
@@ -32,7 +32,7 @@
 
 // FreeConnWait is how long an attempt may wait for a connection in use: the part of the aim that a new
 // connection's price is of a request's worth. Waiting for the whole aim costs the whole worth.
-func Wait(price float64, aim time.Duration) time.Duration {
+func MaxFreeConnWait(price float64, aim time.Duration) time.Duration {
 	return max(0, min(time.Duration(price*float64(aim)), aim/MaxWaitDivisor))
 }
 
--- a/internal/connqueue/pool_test.go
+++ b/internal/connqueue/pool_test.go
@@ -18,7 +18,7 @@
 		price float64
 		want  time.Duration
 	}{{0, 0}, {-1, 0}, {0.08, 32 * time.Millisecond}, {0.5, 100 * time.Millisecond}, {7, 100 * time.Millisecond}} {
-		if got := Wait(x.price, 400*time.Millisecond); got != x.want {
+		if got := MaxFreeConnWait(x.price, 400*time.Millisecond); got != x.want {
 			t.Errorf("price %v: %v, want %v", x.price, got, x.want)
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -36,7 +36,7 @@
 }
 
 func addrs(texts ...string) []address.Addr {
-	list, errs := address.List(texts)
+	list, errs := address.ParseList(texts)
 	if len(errs) > 0 {
 		panic(errs)
 	}
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -14,7 +14,7 @@
 func TestExcludeBindsUntilInclude(t *testing.T) {
 	r := start(t, settings())
 	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 0, policy.NodeUp))
-	if _, err := r.Exclude("x"); !errors.Is(err, exclusion.ErrUnknown) {
+	if _, err := r.Exclude("x"); !errors.Is(err, exclusion.ErrUnknownNode) {
 		t.Fatalf("an id never listed: %v", err)
 	}
 	st, err := r.Exclude("n")
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -202,7 +202,7 @@
 		}
 		texts = append(texts, x.Str)
 	}
-	list, errs := address.List(texts)
+	list, errs := address.ParseList(texts)
 	bad = append(bad, errs...)
 	if one.Type == gjson.String {
 		if a, err := address.Parse(one.Str); err != nil {
--- a/internal/exclusion/errors.go
+++ b/internal/exclusion/errors.go
@@ -8,7 +8,7 @@
 
 // What errors.Is asks for; each leaves the book as it was. The book returns them with the facts.
 var (
-	ErrUnknown error = &UnknownNodeError{}
+	ErrUnknownNode error = &UnknownNodeError{}
 	ErrFull    error = &FullError{}
 )
 
@@ -17,8 +17,8 @@
 
 func (e *UnknownNodeError) Error() string { return "no storage node of that id was ever listed" }
 
-// Is makes every Unknown ErrUnknown.
-func (e *UnknownNodeError) Is(other error) bool { return other == ErrUnknown }
+// Is makes every Unknown ErrUnknownNode.
+func (e *UnknownNodeError) Is(other error) bool { return other == ErrUnknownNode }
 
 // Code implements operr.Coded.
 func (e *UnknownNodeError) Code() string { return "exclusion-unknown" }
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -28,10 +28,10 @@
 // The ordinary way and each hard case, in one script.
 func TestScript(t *testing.T) {
 	b := book(t, Defaults)
-	if _, err := b.Exclude(0, "s-1"); !errors.Is(err, ErrUnknown) {
+	if _, err := b.Exclude(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
 		t.Fatalf("an id never listed: %v", err)
 	}
-	if _, err := b.Include(0, "s-1"); !errors.Is(err, ErrUnknown) {
+	if _, err := b.Include(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
 		t.Fatalf("an id never listed, put back: %v", err)
 	}
 	b.AddListed("s-1", "s-2")
@@ -136,9 +136,9 @@
 				switch {
 				case err == nil:
 					out[id] = true
-				case !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrFull):
+				case !errors.Is(err, ErrUnknownNode) && !errors.Is(err, ErrFull):
 					t.Fatalf("exclude: %v", err)
-				case known && errors.Is(err, ErrUnknown), fmt.Sprint(before) != fmt.Sprint(b.State(now)):
+				case known && errors.Is(err, ErrUnknownNode), fmt.Sprint(before) != fmt.Sprint(b.State(now)):
 					t.Fatalf("a no changed the book, or a known id was unknown")
 				}
 			case 2:
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -30,26 +30,26 @@
 		"): until then two processes beside each other both accept, each with its host's whole part of each limit."
 }
 
-// WaitsError is a wait for the clients' socket that lasts long.
-type WaitsError struct {
+// LongWaitError is a wait for the clients' socket that lasts long.
+type LongWaitError struct {
 	Path  string
 	Since time.Duration
 }
 
-func (e *WaitsError) Error() string {
+func (e *LongWaitError) Error() string {
 	return fmt.Sprintf("another process has accepted on the clients' socket for %v; this one waits", e.Since)
 }
 
 // Code implements operr.Coded.
-func (e *WaitsError) Code() string { return "handover-waits" }
+func (e *LongWaitError) Code() string { return "handover-waits" }
 
 // Advice implements operr.Coded.
-func (e *WaitsError) Advice() string {
+func (e *LongWaitError) Advice() string {
 	return "Nothing, while the old process is to serve on. To go over to this one send the old one SIGTERM, and SIGKILL if it does not end in its time; who has " +
 		e.Path + " open (lslocks, fuser) is it."
 }
 
 func init() {
 	operr.Register(&NoLockError{"/tmp/wheatsaddle-accept-127.0.0.1:80.lock", fmt.Errorf("open /tmp/wheatsaddle-accept-127.0.0.1:80.lock: %w", syscall.EROFS)},
-		&WaitsError{"/tmp/wheatsaddle-accept-127.0.0.1:80.lock", 10 * time.Second})
+		&LongWaitError{"/tmp/wheatsaddle-accept-127.0.0.1:80.lock", 10 * time.Second})
 }
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -37,7 +37,7 @@
 		}
 	}()
 	one := at(ln)
-	more, errs := address.List([]string{one[0].String(), "[::1]:1", "unix:/nowhere"})
+	more, errs := address.ParseList([]string{one[0].String(), "[::1]:1", "unix:/nowhere"})
 	if len(errs) > 0 {
 		b.Fatal(errs)
 	}
