--- /dev/null
+++ b/internal/address/recorded_test.go
@@ -0,0 +1,154 @@
+package address
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"wheatsaddle/internal/testkit/recorded"
+)
+
+// recordedActions are the recording's words for the actions.
+var recordedActions = map[ActionKind]string{Connect: "connect", Write: "write", Close: "close", Fail: "fail", LogState: "state"}
+
+// recordedModes are the ways in which an address of the simulated node behaves.
+var recordedModes = []string{"ok", "ok", "ok", "refused", "hang", "silent", "reset", "slow", "wrong", "late"}
+
+// recordedAddresses are those that scripts list.
+var recordedAddresses = []string{"unix:/run/n.sock", "[2001:db8::1]:80", "10.0.0.1:80", "10.0.0.2:80", "node.example:80"}
+
+// recordSettings differ by the number of the script.
+func recordSettings(i int) Settings {
+	s := Defaults()
+	switch i % 4 {
+	case 1:
+		s.MaxConns, s.MaxWaiting, s.ConnectRate, s.ConnectBurst = 4, 8, 10, 2
+	case 2:
+		s.Preference, s.MinReturnDelay, s.MinReturnConns = []Kind{IPv4, Name}, 300*ms, 1
+	case 3:
+		s.MaxConns, s.Jitter, s.Backoff, s.MaxBackoff, s.TrialPatience = 8, 1, 200*ms, time.Second, 100*ms
+	}
+	return s
+}
+
+// The decisions under random faults of the addresses, drains, new addresses and new settings are those of the recording.
+func TestRecordedDecisions(t *testing.T) {
+	for i := range 24 {
+		t.Run(fmt.Sprint(i), func(t *testing.T) {
+			rng := rand.New(rand.NewSource(int64(900 + i)))
+			var script recorded.Script
+			s := newSim(recordSettings(i), recordedAddresses[:2+i%4]...)
+			s.onStep = func(e Event) {
+				fields := []any{int64(s.now), int(e.Kind), int64(s.b.Next()), s.b.Waiting(), s.b.Primary().String()}
+				for _, a := range s.acts {
+					fields = append(fields, recordedActions[a.Kind], uint64(a.Conn), uint64(a.Req), a.Addr.String(), int(a.State), int(a.Reason))
+				}
+				if s.b.Waiting() == 0 && e.Kind == TimerFired {
+					for _, one := range s.b.Snapshot(nil) {
+						fields = append(fields, one.Addr.String(), int(one.State), one.Primary, one.Conns, int64(one.Until), s.b.HasBetter(one.Addr))
+					}
+				}
+				if e.Conn != 0 {
+					fields = append(fields, s.b.MayBeWrongNode(s.now, e.Conn))
+				}
+				script.Add(fields...)
+			}
+			for round := range 60 {
+				for _, addr := range recordedAddresses {
+					if rng.Intn(3) == 0 {
+						s.mode[addr] = recordedModes[rng.Intn(len(recordedModes))]
+					}
+				}
+				if round%10 == 9 {
+					clear(s.mode)
+				}
+				s.took = time.Duration(1+rng.Intn(30)) * ms
+				s.randomChange(rng, i)
+				s.run(time.Duration(200+rng.Intn(1500))*ms, time.Duration(3+rng.Intn(60))*ms, func(n int) bool { return rng.Intn(3) > 0 })
+			}
+			s.do(Event{Kind: NodeRemoved})
+			s.run(2*time.Second, 100*ms, always)
+			if s.err != nil {
+				t.Error(s.err)
+			}
+			script.Check(t, fmt.Sprintf("faults-%02d", i))
+		})
+	}
+}
+
+// randomChange does now and then what an operator, the list or the operating system does.
+func (s *sim) randomChange(rng *rand.Rand, i int) {
+	switch rng.Intn(14) {
+	case 0:
+		s.do(Event{Kind: DrainChanged, Draining: true})
+		s.obey()
+		s.run(300*ms, 50*ms, always)
+		s.do(Event{Kind: DrainChanged})
+	case 1:
+		order := rng.Perm(len(recordedAddresses))[:1+rng.Intn(len(recordedAddresses))]
+		var addrs []string
+		for _, k := range order {
+			addrs = append(addrs, recordedAddresses[k])
+		}
+		s.list(addrs...)
+	case 2:
+		next := recordSettings(rng.Intn(4))
+		s.b.Adjust(next)
+	case 3:
+		s.do(Event{Kind: DemandContinued})
+	case 4:
+		if len(s.busy) > 0 {
+			s.do(Event{Kind: ProgressSeen, Conn: s.busy[rng.Intn(len(s.busy))]})
+		}
+	case 5:
+		if len(s.busy) > 0 {
+			s.breaks(s.busy[rng.Intn(len(s.busy))], []Reason{ReasonUnwritten, ReasonCutOff, ReasonReset}[rng.Intn(3)])
+		}
+	case 6:
+		if len(s.coming) > 0 {
+			s.refuse(s.coming[rng.Intn(len(s.coming))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
+		}
+	case 7:
+		if len(s.busy) > 0 {
+			c := s.busy[rng.Intn(len(s.busy))]
+			s.done[s.carries[c]] = "served"
+			s.answer(c, []Verdict{VerdictServed, VerdictOther, VerdictRejected, VerdictWrongNode}[rng.Intn(4)])
+		}
+	case 8:
+		if rng.Intn(2) == 0 {
+			s.now += 2 * time.Second // a stall
+		}
+		s.wait(ms)
+	case 9: // the owners of some requests give up, at times after a stall
+		s.now += time.Duration(rng.Intn(2)) * 400 * ms
+		for q := s.seq; q > 0 && q+10 > s.seq; q-- {
+			if s.open[q] && rng.Intn(2) == 0 {
+				s.giveUp(q)
+				s.obey()
+			}
+		}
+	case 10:
+		for i := range s.b.conns {
+			if c := &s.b.conns[i]; c.phase == idle && rng.Intn(2) == 0 {
+				s.do(Event{Kind: IdleConnClosed, Conn: c.id})
+			}
+		}
+	case 11:
+		if len(s.busy) > 0 {
+			c := s.busy[rng.Intn(len(s.busy))]
+			delete(s.open, s.carries[c])
+			s.forget(c)
+			s.do(Event{Kind: ResponseReceived, Conn: c, Verdict: VerdictServed})
+		}
+	case 12: // more requests at once than may wait
+		for range 40 {
+			s.want(rng.Intn(2) == 0)
+		}
+	case 13: // events of a connection that there is not
+		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestDropped} {
+			s.do(Event{Kind: kind, Conn: 1<<40 | 1})
+		}
+	}
+	s.obey()
+}
--- a/internal/address/rig_test.go
+++ b/internal/address/rig_test.go
@@ -28,6 +28,7 @@
 	err      error
 	drained  bool
 	closed   bool
+	onStep   func(Event) // after each step, for recordings
 }
 
 type move struct {
@@ -110,6 +111,9 @@
 			r.said = append(r.said, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
 		}
 	}
+	if r.onStep != nil {
+		r.onStep(e)
+	}
 	if to := r.b.Primary(); to != before && e.Kind != AddressesChanged {
 		r.moves = append(r.moves, move{r.now, before, to})
 		state := map[Addr]State{}
--- /dev/null
+++ b/internal/deadline/recorded_test.go
@@ -0,0 +1,31 @@
+package deadline
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+
+	"wheatsaddle/internal/testkit/recorded"
+)
+
+// The margins under random lags are those of the recording.
+func TestRecordedMargins(t *testing.T) {
+	rng := rand.New(rand.NewSource(7))
+	var script recorded.Script
+	var g LagGauge
+	at := time.Duration(0)
+	for range 3000 {
+		at += time.Duration(rng.Intn(900)) * time.Millisecond
+		if rng.Intn(60) == 0 {
+			at += time.Duration(rng.Intn(15000)) * time.Millisecond // a quiet time or a stall
+		}
+		switch rng.Intn(4) {
+		case 0, 1:
+			g.Record(at, time.Duration(rng.Intn(200)-5)*time.Millisecond/time.Duration(1+rng.Intn(20)))
+		case 2:
+			g.Record(at-time.Duration(rng.Intn(100))*time.Millisecond, time.Duration(rng.Intn(30))*time.Millisecond)
+		}
+		script.Add(int64(at), int64(g.Margin(at, time.Duration(1+rng.Intn(1500))*time.Millisecond)), int64(g.Worst()))
+	}
+	script.Check(t, "margins")
+}
--- a/internal/exclusion/errors.go
+++ b/internal/exclusion/errors.go
@@ -9,7 +9,7 @@
 // What errors.Is asks for; each leaves the book as it was. The book returns them with the facts.
 var (
 	ErrUnknownNode error = &UnknownNodeError{}
-	ErrFull    error = &FullError{}
+	ErrFull        error = &FullError{}
 )
 
 // UnknownNodeError is an id that was never listed.
--- /dev/null
+++ b/internal/exclusion/recorded_test.go
@@ -0,0 +1,95 @@
+package exclusion
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand"
+	"slices"
+	"testing"
+
+	"wheatsaddle/internal/testkit/recorded"
+	"wheatsaddle/policy"
+)
+
+// recordedState gives the fields of a state in the order of the ids.
+func recordedState(s State) (fields []any) {
+	for _, ids := range []map[string]float64{s.Excluded, s.Included} {
+		fields = append(fields, len(ids))
+		for _, id := range slices.Sorted(maps.Keys(ids)) {
+			fields = append(fields, id, ids[id])
+		}
+	}
+	return fields
+}
+
+// errorWord is the recording's word for the result of a change.
+func errorWord(err error) string {
+	switch {
+	case err == nil:
+		return "ok"
+	case errors.Is(err, ErrUnknownNode):
+		return "unknown"
+	case errors.Is(err, ErrFull):
+		return "full"
+	}
+	return "other"
+}
+
+// randomState draws a state as another process may have stored it, also beyond the bounds.
+func randomState(rng *rand.Rand, now float64, id func() string) State {
+	s := State{Excluded: map[string]float64{}, Included: map[string]float64{}}
+	for range rng.Intn(7) {
+		s.Excluded[id()] = now - float64(rng.Intn(100))
+	}
+	for range rng.Intn(7) {
+		s.Included[id()] = now - float64(rng.Intn(100))
+	}
+	return s
+}
+
+// The decisions under random calls are those of the recording.
+func TestRecordedDecisions(t *testing.T) {
+	for i := range 12 {
+		t.Run(fmt.Sprint(i), func(t *testing.T) {
+			rng := rand.New(rand.NewSource(int64(70 + i)))
+			var script recorded.Script
+			b := book(t, Settings{MaxListed: 2 + i, MaxExcluded: 1 + i/3, SlowStartDuration: 50})
+			now := 0.0
+			ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
+			id := func() string { return ids[rng.Intn(len(ids))] }
+			var kept State
+			for range 600 {
+				now += 20 * rng.Float64()
+				one := id()
+				fields := []any{now}
+				switch n := rng.Intn(20); {
+				case n < 6:
+					b.AddListed(one, id())
+					fields = append(fields, "list")
+				case n < 11:
+					changed, err := b.Exclude(now, one)
+					fields = append(fields, "exclude", one, changed, errorWord(err))
+				case n < 16:
+					changed, err := b.Include(now, one)
+					fields = append(fields, "include", one, changed, errorWord(err))
+				case n == 16:
+					kept = b.State(now)
+					fields = append(append(fields, "state"), recordedState(kept)...)
+				case n == 17:
+					fields = append(fields, "load", fmt.Sprint(b.Load(now, kept)))
+				case n == 18:
+					fields = append(fields, "load", fmt.Sprint(b.Load(now, randomState(rng, now, id))))
+				}
+				for _, x := range ids {
+					n := policy.Node{ID: x, State: []policy.NodeState{policy.NodeUp, policy.NodeRemoved}[rng.Intn(2)], Weight: 1, StartTime: now - float64(rng.Intn(90))}
+					v := b.View(now, n)
+					word := map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeRemoved: "gone", policy.NodeExcluded: "out"}[v.State]
+					fields = append(fields, b.IsListed(x), b.Excluded(x), word, v.StartTime)
+				}
+				script.Add(fields...)
+			}
+			script.Check(t, fmt.Sprintf("calls-%02d", i))
+		})
+	}
+}
--- /dev/null
+++ b/internal/exclusion/store/recorded_test.go
@@ -0,0 +1,39 @@
+package store
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"wheatsaddle/internal/exclusion"
+)
+
+// storedState is what testdata/wheatsaddle-exclusions.json holds for the scheduler n3.
+func storedState() exclusion.State {
+	return exclusion.State{Excluded: map[string]float64{"s-1": 1764633600000.5, "s-10": 0, "ü<&>": 1e21},
+		Included: map[string]float64{"s-2": 1764633600123, "a": 1e-7}}
+}
+
+// A file of an earlier program is read, and written again to the same bytes.
+func TestStoredFileKeepsItsBytes(t *testing.T) {
+	want, err := os.ReadFile(InFolder("testdata", "n3").Path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := InFolder("testdata", "n3").Read()
+	if err != nil || !reflect.DeepEqual(got, storedState()) {
+		t.Fatalf("read %+v, %v", got, err)
+	}
+	again := InFolder(t.TempDir(), "n3")
+	if err := again.Write(got); err != nil {
+		t.Fatal(err)
+	}
+	if text, err := os.ReadFile(again.Path); err != nil || !bytes.Equal(text, want) {
+		t.Errorf("written again: %q, want %q (%v)", text, want, err)
+	}
+	if filepath.Base(again.Path) != "wheatsaddle-exclusions.json" {
+		t.Errorf("stored as %s", again.Path)
+	}
+}
