--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -29,37 +29,37 @@
 
 // Startup is one process's start.
 type Startup struct {
-	set     Settings
-	rng     *rand.Rand
-	phase   Phase
-	out     []Action
-	nodes   map[string]*node
-	used    []string // nodes of the snapshot, the most used first
-	begun   bool
-	inUse   bool // the held list is in use
-	ready   bool
-	ask     time.Duration // the next call of the list
-	calling bool          // one is under way
-	factor  int
-	heardAt time.Duration
-	heldAt  time.Duration // the held list is in use from here
-	givenAt time.Duration // another process's snapshot came then
-	until   time.Duration // learning ends: no node is cold any more
-	any     node          // stands for requests to any node
-	loss    loss          // of one rule: for tests
+	settings           Settings
+	rng                *rand.Rand
+	phase              Phase
+	actions            []Action
+	nodes              map[string]*node
+	snapshotNodes      []string // nodes of the snapshot, the most used first
+	started            bool
+	usesCachedList     bool // the held list is in use
+	reportedReady      bool
+	nextListRequest    time.Duration // the next call of the list
+	listRequestPending bool          // one is under way
+	listBackoffFactor  int
+	listReceivedAt     time.Duration
+	cachedListUseAt    time.Duration // the held list is in use from here
+	snapshotReceivedAt time.Duration // another process's snapshot came then
+	learningEnds       time.Duration // learning ends: no node is cold any more
+	unknownNode        node          // stands for requests to any node
+	loss               loss          // of one rule: for tests
 }
 
 type node struct {
-	since   float64       // its start as the list gives it, or gave it when it was held
-	had     float64       // ... as the snapshot has it
-	listed  bool          // the list has spoken of it
-	guessed bool          // taken for one that has just started
-	learned bool          // the snapshot has it, of this life as far as known
-	linked  bool          // a connection was opened ahead, or it answered
-	shut    time.Duration // a node that was full or slow to connect rests until then
-	gap     time.Duration
-	hint    time.Duration // Retry-After of what the decisions refuse for it ...
-	hintAt  time.Duration // ... which grows from then on
+	startTime         float64       // its start as the list gives it, or gave it when it was held
+	snapshotStartTime float64       // ... as the snapshot has it
+	listed            bool          // the list has spoken of it
+	assumedCold       bool          // taken for one that has just started
+	restorable        bool          // the snapshot has it, of this life as far as known
+	connected         bool          // a connection was opened ahead, or it answered
+	backoffUntil      time.Duration // a node that was full or slow to connect rests until then
+	backoff           time.Duration
+	retryAfter        time.Duration // Retry-After of what the decisions refuse for it ...
+	retryAfterGrowsAt time.Duration // ... which grows from then on
 }
 
 // loss names a rule that a test takes away.
@@ -70,7 +70,7 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	return &Startup{set: set, factor: 1, nodes: map[string]*node{},
+	return &Startup{settings: set, listBackoffFactor: 1, nodes: map[string]*node{},
 		rng: rand.New(rand.NewPCG(xxhash.Sum64String(set.Name), 0x7374617274))}, nil
 }
 
@@ -79,306 +79,306 @@
 
 // Step takes an event and returns what is to be done. The slice is good until the next call.
 func (s *Startup) Step(now time.Duration, e Event) []Action {
-	s.out = s.out[:0]
+	s.actions = s.actions[:0]
 	switch e := e.(type) {
 	case Started:
-		s.begin(now, e)
+		s.start(now, e)
 	case ListReceived:
-		s.heard(now, e)
+		s.listReceived(now, e)
 	case ListRequestFailed:
-		s.refused(now)
+		s.listRequestFailed(now)
 	case NodeFull:
-		s.shut(now, e.Node)
+		s.backOff(now, e.Node)
 	case ConnectFailed:
-		s.shut(now, e.Node)
+		s.backOff(now, e.Node)
 	case RequestServed:
-		s.answered(e.Node)
+		s.requestServed(e.Node)
 	case SnapshotReceived:
-		s.given(now, e.Snapshot)
+		s.snapshotReceived(now, e.Snapshot)
 	case PeerReported:
-		s.told(e.Node)
+		s.peerReported(e.Node)
 	case RequestArrived:
 		s.admit(now, e.Node)
-		return s.out // nothing is due sooner: no wake
+		return s.actions // nothing is due sooner: no wake
 	case RequestRejected:
-		s.turned(now, e.Node)
-		return s.out
+		s.requestRejected(now, e.Node)
+		return s.actions
 	}
-	if !s.begun {
-		return s.out
+	if !s.started {
+		return s.actions
 	}
-	s.move(now)
-	s.wake(now)
-	return s.out
+	s.advance(now)
+	s.setTimer(now)
+	return s.actions
 }
 
-func (s *Startup) act(a Action) { s.out = append(s.out, a) }
+func (s *Startup) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Startup) begin(now time.Duration, e Started) {
-	if s.begun {
+func (s *Startup) start(now time.Duration, e Started) {
+	if s.started {
 		return
 	}
-	s.begun = true
-	s.ask = now + Slot(s.set.ListCallSpread(), "list", s.set.Name)
+	s.started = true
+	s.nextListRequest = now + Slot(s.settings.ListCallSpread(), "list", s.settings.Name)
 	if s.loss == "slots" {
-		s.ask = now
+		s.nextListRequest = now
 	}
 	for _, n := range e.CachedList {
-		if len(s.nodes) < s.set.MaxNodes {
-			s.nodes[n.ID] = &node{since: n.StartTime}
+		if len(s.nodes) < s.settings.MaxNodes {
+			s.nodes[n.ID] = &node{startTime: n.StartTime}
 		}
 	}
-	s.learn(e.Snapshot)
+	s.applySnapshot(e.Snapshot)
 	if len(e.CachedList) == 0 {
 		return
 	}
-	s.phase, s.heldAt = CachedList, now
-	if !s.set.ListCallsPriced { // soon heard: nothing is sent before
-		s.heldAt = now + heldAfter
+	s.phase, s.cachedListUseAt = CachedList, now
+	if !s.settings.ListCallsPriced { // soon heard: nothing is sent before
+		s.cachedListUseAt = now + cachedListDelay
 	}
 	for _, n := range e.CachedList {
 		if x := s.nodes[n.ID]; x != nil {
-			x.guessed = true
-			s.act(LimitColdNode{n.ID, s.part(), s.heldAt})
+			x.assumedCold = true
+			s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), s.cachedListUseAt})
 		}
 	}
 }
 
-// learn notes what a snapshot has. Once the list has spoken, nodes of the same start alone.
-func (s *Startup) learn(snapshot []Node) {
+// applySnapshot notes what a snapshot has. Once the list has spoken, nodes of the same start alone.
+func (s *Startup) applySnapshot(snapshot []Node) {
 	for _, n := range snapshot {
 		x := s.nodes[n.ID]
-		if x == nil && s.phase < ListKnown && len(s.nodes) < s.set.MaxNodes {
+		if x == nil && s.phase < ListKnown && len(s.nodes) < s.settings.MaxNodes {
 			x = &node{}
 			s.nodes[n.ID] = x
 		}
-		if x == nil || x.learned || s.phase >= ListKnown && (!x.listed || x.since != n.StartTime) {
+		if x == nil || x.restorable || s.phase >= ListKnown && (!x.listed || x.startTime != n.StartTime) {
 			continue
 		}
-		x.had, x.learned = n.StartTime, true
-		s.used = append(s.used, n.ID)
+		x.snapshotStartTime, x.restorable = n.StartTime, true
+		s.snapshotNodes = append(s.snapshotNodes, n.ID)
 		if s.phase >= ListKnown {
-			s.act(Restore{n.ID})
+			s.emit(Restore{n.ID})
 		}
 	}
 }
 
-// given takes another process's snapshot, where there is none of the process's own.
-func (s *Startup) given(now time.Duration, snapshot []Node) {
-	if s.begun && s.phase < Serving && len(s.used) == 0 {
-		s.givenAt = now
-		s.learn(snapshot)
+// snapshotReceived takes another process's snapshot, where there is none of the process's own.
+func (s *Startup) snapshotReceived(now time.Duration, snapshot []Node) {
+	if s.started && s.phase < Serving && len(s.snapshotNodes) == 0 {
+		s.snapshotReceivedAt = now
+		s.applySnapshot(snapshot)
 	}
 }
 
-// part is this process's part of what a node bears that has just started.
-func (s *Startup) part() float64 {
+// coldNodeUnits is this process's part of what a node bears that has just started.
+func (s *Startup) coldNodeUnits() float64 {
 	if s.loss == "parts" {
-		return s.set.SlowStartUnits / float64(max(s.set.Schedulers/2, 1))
+		return s.settings.SlowStartUnits / float64(max(s.settings.Schedulers/2, 1))
 	}
-	return s.set.SlowStartUnits / float64(s.set.Schedulers)
+	return s.settings.SlowStartUnits / float64(s.settings.Schedulers)
 }
 
-// heard takes the first full list; later ones are the decisions' own.
-func (s *Startup) heard(now time.Duration, e ListReceived) {
-	s.calling = false
+// listReceived takes the first full list; later ones are the decisions' own.
+func (s *Startup) listReceived(now time.Duration, e ListReceived) {
+	s.listRequestPending = false
 	if s.phase >= ListKnown && s.loss != "phases" {
 		return
 	}
-	s.phase, s.heardAt, s.factor, s.until = ListKnown, now, 1, now+learnFor
+	s.phase, s.listReceivedAt, s.listBackoffFactor, s.learningEnds = ListKnown, now, 1, now+learningDuration
 	learned := map[string]bool{} // nodes that the list has no longer are not opened ahead
-	for _, id := range s.used {
-		learned[id], s.nodes[id].learned = true, false
+	for _, id := range s.snapshotNodes {
+		learned[id], s.nodes[id].restorable = true, false
 	}
 	for _, n := range e.Nodes {
 		x := s.nodes[n.ID]
 		if x == nil {
-			if len(s.nodes) >= s.set.MaxNodes {
+			if len(s.nodes) >= s.settings.MaxNodes {
 				continue
 			}
 			x = &node{}
 			s.nodes[n.ID] = x
 		}
-		same := x.had == n.StartTime || s.loss == "restarts"
-		if x.guessed && s.inUse {
-			s.act(LiftColdLimit{n.ID})
+		same := x.snapshotStartTime == n.StartTime || s.loss == "restarts"
+		if x.assumedCold && s.usesCachedList {
+			s.emit(LiftColdLimit{n.ID})
 		}
-		if x.learned = learned[n.ID] && same; x.learned {
-			s.act(Restore{n.ID})
+		if x.restorable = learned[n.ID] && same; x.restorable {
+			s.emit(Restore{n.ID})
 		}
-		if n.StartTime > 0 && now-n.StartedAt < s.set.SlowStartDuration {
-			s.act(LimitColdNode{n.ID, s.part(), n.StartedAt})
-			s.until = max(s.until, min(n.StartedAt, now)+s.set.SlowStartDuration)
+		if n.StartTime > 0 && now-n.StartedAt < s.settings.SlowStartDuration {
+			s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), n.StartedAt})
+			s.learningEnds = max(s.learningEnds, min(n.StartedAt, now)+s.settings.SlowStartDuration)
 		}
-		x.since, x.guessed, x.listed = n.StartTime, false, true
+		x.startTime, x.assumedCold, x.listed = n.StartTime, false, true
 	}
 }
 
-// told takes a peer's word on a node's start while the list has not spoken. Of a later start than what
+// maxStalenessBound takes a peer's word on a node's start while the list has not spoken. Of a later start than what
 // was learned, the node is not opened ahead. That a node has not started anew is the list's to say: a
 // peer that is wrong, or lies, would have a cold one taken for warm.
-func (s *Startup) told(n Node) {
+func (s *Startup) peerReported(n Node) {
 	x := s.nodes[n.ID]
 	if x == nil || s.phase >= ListKnown {
 		return
 	}
-	if n.StartTime > x.had {
-		x.learned = false
+	if n.StartTime > x.snapshotStartTime {
+		x.restorable = false
 	}
-	if s.loss == "peers" && x.guessed && s.inUse && x.since == n.StartTime {
-		x.guessed = false
-		s.act(LiftColdLimit{n.ID})
+	if s.loss == "peers" && x.assumedCold && s.usesCachedList && x.startTime == n.StartTime {
+		x.assumedCold = false
+		s.emit(LiftColdLimit{n.ID})
 	}
 }
 
-// refused sets the next call: hosts that are turned away together ask at most MaxListCallsPerSecond a second.
-func (s *Startup) refused(now time.Duration) {
+// listRequestFailed sets the next call: hosts that are turned away together ask at most MaxListCallsPerSecond a second.
+func (s *Startup) listRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
 	}
-	s.calling = false
-	gap := askGap
-	if s.set.ListCallsPriced {
-		gap = max(s.set.ListCallSpread(), askGap) * time.Duration(s.factor)
-		s.factor = min(2*s.factor, growMost)
-		gap = min(gap, s.set.StalenessBound)
+	s.listRequestPending = false
+	gap := listRequestInterval
+	if s.settings.ListCallsPriced {
+		gap = max(s.settings.ListCallSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
+		s.listBackoffFactor = min(2*s.listBackoffFactor, maxListBackoffFactor)
+		gap = min(gap, s.settings.StalenessBound)
 	}
-	s.ask = now + gap/2 + time.Duration(s.rng.Int64N(int64(gap)))
+	s.nextListRequest = now + gap/2 + time.Duration(s.rng.Int64N(int64(gap)))
 	if s.loss == "list" {
-		s.ask = now
+		s.nextListRequest = now
 	}
 }
 
-// shut keeps requests from a node that was full or slow to connect, a little longer each time.
-func (s *Startup) shut(now time.Duration, id string) {
+// backOff keeps requests from a node that was full or slow to connect, a little longer each time.
+func (s *Startup) backOff(now time.Duration, id string) {
 	x := s.nodes[id]
 	if x == nil || s.phase == Serving {
 		return
 	}
-	x.gap = min(max(2*x.gap, shutFirst), shutMost)
-	x.shut = now + x.gap/2 + time.Duration(s.rng.Int64N(int64(x.gap)))
+	x.backoff = min(max(2*x.backoff, minBackoff), maxBackoff)
+	x.backoffUntil = now + x.backoff/2 + time.Duration(s.rng.Int64N(int64(x.backoff)))
 }
 
-func (s *Startup) answered(id string) {
+func (s *Startup) requestServed(id string) {
 	if x := s.nodes[id]; x != nil {
-		x.shut, x.gap, x.linked, x.hint = 0, 0, true, x.hint/2
+		x.backoffUntil, x.backoff, x.connected, x.retryAfter = 0, 0, true, x.retryAfter/2
 	}
 	if s.phase == ListKnown {
 		s.phase = Learning
 	}
 }
 
-// listWait is how long the list may still take, as far as known.
-func (s *Startup) listWait(now time.Duration) time.Duration {
-	at := s.ask + usualCall
-	if s.calling {
-		at = now + usualCall
+// expectedListWait is how long the list may still take, as far as known.
+func (s *Startup) expectedListWait(now time.Duration) time.Duration {
+	at := s.nextListRequest + usualListRequestTime
+	if s.listRequestPending {
+		at = now + usualListRequestTime
 	}
 	if s.phase == CachedList {
-		at = min(at, s.heldAt)
+		at = min(at, s.cachedListUseAt)
 	}
 	return max(at-now, 0)
 }
 
 // admit lets a request to the decisions, or turns it away at once.
 func (s *Startup) admit(now time.Duration, id string) {
-	if s.phase == Serving || !s.begun {
+	if s.phase == Serving || !s.started {
 		return
 	}
-	if s.phase < ListKnown && !s.inUse {
-		if wait := s.listWait(now); wait > s.set.LatencyObjective/2 {
-			s.refuse(wait)
+	if s.phase < ListKnown && !s.usesCachedList {
+		if wait := s.expectedListWait(now); wait > s.settings.LatencyObjective/2 {
+			s.reject(wait)
 		}
 		return
 	}
-	if x := s.nodes[id]; x != nil && x.shut > now {
-		if wait := x.shut - now; wait > s.set.LatencyObjective/2 {
-			s.refuse(wait)
+	if x := s.nodes[id]; x != nil && x.backoffUntil > now {
+		if wait := x.backoffUntil - now; wait > s.settings.LatencyObjective/2 {
+			s.reject(wait)
 		}
 	}
 }
 
-// turned words the refusal of a request that the decisions had: they know their queues, not that a
+// requestRejected words the refusal of a request that the decisions had: they know their queues, not that a
 // node bears next to nothing yet. The longer a node serves none, the later its clients come again.
-func (s *Startup) turned(now time.Duration, id string) {
+func (s *Startup) requestRejected(now time.Duration, id string) {
 	if s.phase == Serving {
 		return
 	}
 	x := s.nodes[id]
 	if x == nil {
-		x = &s.any
+		x = &s.unknownNode
 	}
-	if now >= x.hintAt {
-		x.hint = min(max(2*x.hint, shutFirst), s.set.MaxRetryAfter)
-		x.hintAt = now + x.hint
+	if now >= x.retryAfterGrowsAt {
+		x.retryAfter = min(max(2*x.retryAfter, minBackoff), s.settings.MaxRetryAfter)
+		x.retryAfterGrowsAt = now + x.retryAfter
 	}
-	s.refuse(max(x.hint, shutFirst))
+	s.reject(max(x.retryAfter, minBackoff))
 }
 
-// refuse spreads the return of clients.
-func (s *Startup) refuse(wait time.Duration) {
+// reject spreads the return of clients.
+func (s *Startup) reject(wait time.Duration) {
 	wait += time.Duration(s.rng.Int64N(int64(wait)/2 + 1))
-	if most := s.set.MaxRetryAfter; wait > most && s.loss != "refusals" {
-		wait = max(most-time.Duration(s.rng.Int64N(int64(most)/4+1)), s.set.MinRetryAfter)
+	if most := s.settings.MaxRetryAfter; wait > most && s.loss != "refusals" {
+		wait = max(most-time.Duration(s.rng.Int64N(int64(most)/4+1)), s.settings.MinRetryAfter)
 	}
 	if s.loss != "refusals" {
-		wait = max(wait, s.set.MinRetryAfter)
+		wait = max(wait, s.settings.MinRetryAfter)
 	}
-	s.act(Reject{wait})
+	s.emit(Reject{wait})
 }
 
-// move does what is due by time.
-func (s *Startup) move(now time.Duration) {
-	if s.phase < ListKnown && !s.calling && now >= s.ask {
-		s.calling = true
-		s.act(RequestList{})
+// advance does what is due by time.
+func (s *Startup) advance(now time.Duration) {
+	if s.phase < ListKnown && !s.listRequestPending && now >= s.nextListRequest {
+		s.listRequestPending = true
+		s.emit(RequestList{})
 	}
-	if s.phase == CachedList && !s.inUse && now >= s.heldAt {
-		s.inUse = true
-		s.act(UseCachedList{})
+	if s.phase == CachedList && !s.usesCachedList && now >= s.cachedListUseAt {
+		s.usesCachedList = true
+		s.emit(UseCachedList{})
 	}
-	ready := s.phase >= ListKnown || s.inUse && now >= s.heldAt+readyHeld || now >= s.set.ReadyDeadline()
-	if ready && (!s.ready || s.loss == "ready") {
-		s.ready = true
-		s.act(ReportReady{})
+	ready := s.phase >= ListKnown || s.usesCachedList && now >= s.cachedListUseAt+readyDelay || now >= s.settings.ReadyDeadline()
+	if ready && (!s.reportedReady || s.loss == "ready") {
+		s.reportedReady = true
+		s.emit(ReportReady{})
 	}
-	if s.phase >= ListKnown && s.phase < Serving || s.inUse && s.phase == CachedList {
-		s.link(now)
+	if s.phase >= ListKnown && s.phase < Serving || s.usesCachedList && s.phase == CachedList {
+		s.preconnect(now)
 	}
-	if s.phase >= ListKnown && now >= s.until || s.phase == CachedList && now >= s.heldAt+s.set.SlowStartDuration+s.set.StalenessBound {
+	if s.phase >= ListKnown && now >= s.learningEnds || s.phase == CachedList && now >= s.cachedListUseAt+s.settings.SlowStartDuration+s.settings.StalenessBound {
 		s.phase = Serving
 	}
 }
 
-// linkFrom is when a connection to a node is opened ahead: by a slot of its own for each pair.
-func (s *Startup) linkFrom(id string) time.Duration {
-	from := s.heardAt
+// preconnectDue is when a connection to a node is opened ahead: by a slot of its own for each pair.
+func (s *Startup) preconnectDue(id string) time.Duration {
+	from := s.listReceivedAt
 	if s.phase == CachedList {
-		from = s.heldAt
+		from = s.cachedListUseAt
 	}
-	return max(from, s.givenAt) + Slot(connectFor, "connect", s.set.Name, id)
+	return max(from, s.snapshotReceivedAt) + Slot(preconnectWindow, "connect", s.settings.Name, id)
 }
 
-// link opens what is due of the connections ahead: to the nodes that the last life used most.
-func (s *Startup) link(now time.Duration) {
-	for i, id := range s.used {
-		if i >= s.set.Preconnects {
+// preconnect opens what is due of the connections ahead: to the nodes that the last life used most.
+func (s *Startup) preconnect(now time.Duration) {
+	for i, id := range s.snapshotNodes {
+		if i >= s.settings.Preconnects {
 			break
 		}
 		x := s.nodes[id]
-		if x.linked || now < x.shut || now < s.linkFrom(id) || !x.learned {
+		if x.connected || now < x.backoffUntil || now < s.preconnectDue(id) || !x.restorable {
 			continue
 		}
-		x.linked = true
-		s.act(Connect{id})
-		if s.set.MayCheckHealth && s.phase >= ListKnown {
-			s.act(CheckHealth{id})
+		x.connected = true
+		s.emit(Connect{id})
+		if s.settings.MayCheckHealth && s.phase >= ListKnown {
+			s.emit(CheckHealth{id})
 		}
 	}
 }
 
-// wake asks for the next Tick.
-func (s *Startup) wake(now time.Duration) {
+// setTimer asks for the next Tick.
+func (s *Startup) setTimer(now time.Duration) {
 	if s.phase == Serving {
 		return
 	}
@@ -388,28 +388,28 @@
 			at = min(at, t)
 		}
 	}
-	if s.phase < ListKnown && !s.calling {
-		soon(s.ask)
+	if s.phase < ListKnown && !s.listRequestPending {
+		soon(s.nextListRequest)
 	}
-	if !s.ready {
-		soon(s.set.ReadyDeadline())
+	if !s.reportedReady {
+		soon(s.settings.ReadyDeadline())
 		if s.phase == CachedList {
-			soon(s.heldAt + readyHeld)
+			soon(s.cachedListUseAt + readyDelay)
 		}
 	}
 	switch {
 	case s.phase >= ListKnown:
-		soon(s.until)
+		soon(s.learningEnds)
 	case s.phase == CachedList:
-		soon(s.heldAt)
-		soon(s.heldAt + s.set.SlowStartDuration + s.set.StalenessBound)
+		soon(s.cachedListUseAt)
+		soon(s.cachedListUseAt + s.settings.SlowStartDuration + s.settings.StalenessBound)
 	}
-	if s.phase >= ListKnown || s.inUse {
-		for i, id := range s.used {
-			if x := s.nodes[id]; i < s.set.Preconnects && !x.linked && x.learned {
-				soon(max(x.shut, s.linkFrom(id)))
+	if s.phase >= ListKnown || s.usesCachedList {
+		for i, id := range s.snapshotNodes {
+			if x := s.nodes[id]; i < s.settings.Preconnects && !x.connected && x.restorable {
+				soon(max(x.backoffUntil, s.preconnectDue(id)))
 			}
 		}
 	}
-	s.act(SetTimer{at})
+	s.emit(SetTimer{at})
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -18,12 +18,12 @@
 
 const ms = time.Millisecond
 
-func set(hosts int, name string, priced bool) Settings {
+func testSettings(hosts int, name string, priced bool) Settings {
 	return Settings{Schedulers: hosts, Name: name, ListCallsPriced: priced, MaxListCallsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
 		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
-var list = []Node{{ID: "a"}, {ID: "b", StartTime: 7, StartedAt: -time.Hour}, {ID: "c", StartTime: 9, StartedAt: -time.Second}}
+var testList = []Node{{ID: "a"}, {ID: "b", StartTime: 7, StartedAt: -time.Hour}, {ID: "c", StartTime: 9, StartedAt: -time.Second}}
 
 // run drives one start by a script of events (nil: time alone), with a Tick where SetTimer asks for one,
 // and gives back what was done and when.
@@ -66,10 +66,10 @@
 }
 
 // The ordinary ways: priced with a held list, pushed with one, and with nothing known.
-func TestWays(t *testing.T) {
-	s, _ := New(set(300, "h", true))
-	all := run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{list, []Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}}},
-		2500 * ms: ListReceived{list}, 2600 * ms: RequestServed{"a"}})
+func TestStartWithAndWithoutCachedList(t *testing.T) {
+	s, _ := New(testSettings(300, "h", true))
+	all := run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testList, []Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}}},
+		2500 * ms: ListReceived{testList}, 2600 * ms: RequestServed{"a"}})
 	if use := find[UseCachedList](all); len(use) != 1 || use[0].at != 0 {
 		t.Errorf("held list in use: %v", use)
 	}
@@ -82,16 +82,16 @@
 	if c := find[Connect](all); len(c) == 0 || c[len(c)-1].a.(Connect).Node == "a" {
 		t.Errorf("connects: %v", c)
 	}
-	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != readyHeld || s.Phase() != Serving {
+	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != readyDelay || s.Phase() != Serving {
 		t.Errorf("ready: %v, phase %v", ready, s.Phase())
 	}
 
 	// A snapshot that is handed over: before the list it waits for it, after it what still holds is recalled,
 	// and connections are opened ahead from then on. A peer's word of a later start keeps one from it.
 	for at, want := range map[time.Duration]string{500 * ms: "[b]", 3 * time.Second: "[b]"} {
-		s, _ = New(set(300, "h", true))
-		all = run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: list}, at: SnapshotReceived{[]Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}, {ID: "x"}}},
-			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{list}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
+		s, _ = New(testSettings(300, "h", true))
+		all = run(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, at: SnapshotReceived{[]Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}, {ID: "x"}}},
+			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{testList}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
 		var recalled, opened []string
 		for _, d := range find[Restore](all) {
 			recalled = append(recalled, d.a.(Restore).Node)
@@ -109,18 +109,18 @@
 		}
 	}
 
-	s, _ = New(set(300, "h", false)) // pushed: asked at once, nothing is sent before it or a second
-	all = run(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: list}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
-	if ask := find[RequestList](all); len(ask) < 2 || ask[0].at != 0 || ask[1].at > 100*ms+askGap*3/2+10*ms {
+	s, _ = New(testSettings(300, "h", false)) // pushed: asked at once, nothing is sent before it or a second
+	all = run(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
+	if ask := find[RequestList](all); len(ask) < 2 || ask[0].at != 0 || ask[1].at > 100*ms+listRequestInterval*3/2+10*ms {
 		t.Errorf("asked: %v", ask)
 	}
-	if use := find[UseCachedList](all); len(use) != 1 || use[0].at != heldAfter || len(find[Reject](all)) != 1 {
+	if use := find[UseCachedList](all); len(use) != 1 || use[0].at != cachedListDelay || len(find[Reject](all)) != 1 {
 		t.Errorf("%v", all)
 	}
 
-	s, _ = New(set(300, "h", true))
+	s, _ = New(testSettings(300, "h", true))
 	all = run(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
-	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != s.set.ReadyDeadline() || s.Phase() != NoList {
+	if ready := find[ReportReady](all); len(ready) != 1 || ready[0].at != s.settings.ReadyDeadline() || s.Phase() != NoList {
 		t.Errorf("%v, phase %v", all, s.Phase())
 	}
 	_, err := New(Settings{Schedulers: 3, SlowStartUnits: math.NaN()})
@@ -135,21 +135,21 @@
 	calls, parts := map[int]int{}, 0.0
 	span := time.Duration(0)
 	for i := range hosts {
-		s, err := New(set(hosts, fmt.Sprintf("sched-%03d", i), priced))
+		s, err := New(testSettings(hosts, fmt.Sprintf("sched-%03d", i), priced))
 		if err != nil {
 			return err
 		}
 		s.loss = lost
-		span = s.set.ListCallSpread()
-		for _, a := range s.Step(0, Started{CachedList: list}) {
+		span = s.settings.ListCallSpread()
+		for _, a := range s.Step(0, Started{CachedList: testList}) {
 			if p, ok := a.(LimitColdNode); ok && p.Node == "a" {
 				parts += p.Units
 			}
 		}
-		if s.ask > time.Duration(toldShare*float64(s.set.StalenessBound)) {
-			return fmt.Errorf("told: the first call comes after %v", s.ask)
+		if s.nextListRequest > time.Duration(stalenessBoundShare*float64(s.settings.StalenessBound)) {
+			return fmt.Errorf("told: the first call comes after %v", s.nextListRequest)
 		}
-		calls[int(s.ask/time.Second)]++
+		calls[int(s.nextListRequest/time.Second)]++
 	}
 	if parts > 39*(1+1e-9) {
 		return fmt.Errorf("parts: they sum to %v of 39", parts)
@@ -164,11 +164,11 @@
 
 // follow plays random events and says which invariant broke.
 func follow(t *rapid.T, lost loss) error {
-	s, err := New(set(rapid.IntRange(1, 2000).Draw(t, "hosts"), rapid.String().Draw(t, "name"), rapid.Bool().Draw(t, "priced")))
+	s, err := New(testSettings(rapid.IntRange(1, 2000).Draw(t, "hosts"), rapid.String().Draw(t, "name"), rapid.Bool().Draw(t, "priced")))
 	if err != nil {
 		return err
 	}
-	s.loss, s.set.MaxNodes = lost, 4
+	s.loss, s.settings.MaxNodes = lost, 4
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""})
 	nodes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Node {
 		return Node{ids.Draw(t, "id"), float64(rapid.IntRange(0, 2).Draw(t, "since")), 0}
@@ -178,7 +178,7 @@
 	readies, phase := 0, NoList
 	step := func(e Event) error {
 		_, wasRefused := e.(ListRequestFailed)
-		calling := s.calling
+		calling := s.listRequestPending
 		for _, a := range s.Step(now, e) {
 			switch a := a.(type) {
 			case ReportReady:
@@ -186,11 +186,11 @@
 			case SetTimer:
 				wake = a.At
 			case Reject:
-				if a.RetryAfter < s.set.MinRetryAfter || a.RetryAfter > s.set.MaxRetryAfter {
+				if a.RetryAfter < s.settings.MinRetryAfter || a.RetryAfter > s.settings.MaxRetryAfter {
 					return fmt.Errorf("refusals: Retry-After %v", a.RetryAfter)
 				}
 			case RequestList:
-				if heard || refusedAt >= 0 && now < refusedAt+askGap/2 {
+				if heard || refusedAt >= 0 && now < refusedAt+listRequestInterval/2 {
 					return fmt.Errorf("list: asked at %v, refused at %v, heard: %v", now, refusedAt, heard)
 				}
 			case Restore:
@@ -207,11 +207,11 @@
 			refusedAt = now
 		}
 		switch {
-		case readies > 1 || readies == 0 && s.begun && now > s.set.ReadyDeadline():
+		case readies > 1 || readies == 0 && s.started && now > s.settings.ReadyDeadline():
 			return fmt.Errorf("ready: said %d times by %v", readies, now)
 		case s.phase < phase:
 			return fmt.Errorf("phases: from %v to %v", phase, s.phase)
-		case len(s.nodes) > s.set.MaxNodes:
+		case len(s.nodes) > s.settings.MaxNodes:
 			return fmt.Errorf("bounds: %d nodes", len(s.nodes))
 		}
 		phase = s.phase
@@ -265,7 +265,7 @@
 			e = PeerReported{Node{ID: id, StartTime: float64(rapid.IntRange(0, 2).Draw(t, "told"))}}
 		case 8:
 			given := SnapshotReceived{nodes.Draw(t, "given")}
-			if e = given; len(s.used) == 0 {
+			if e = given; len(s.snapshotNodes) == 0 {
 				for _, n := range given.Snapshot { // heard: the one of the list's start counts
 					snapshot[n.ID] = append(snapshot[n.ID], n.StartTime)
 				}
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -31,18 +31,18 @@
 // Figures.
 const (
 	DefaultMaxListCallsPerSecond = 40.0                   // calls of the list a second, where the settings name none
-	told                         = 6 * time.Second        // the protocol's
-	toldShare                    = 5.0 / 6                // first calls are spread over this part of it, and ready is said then: the rest is for the answer
-	usualCall                    = 100 * time.Millisecond // a call of the list takes this long, as a rule
-	heldAfter                    = time.Second            // a list that is not priced is waited for this long before the held one serves
-	readyHeld                    = time.Second            // with the held list in use ready is said after this
-	askGap                       = 300 * time.Millisecond // between calls that are not priced
-	growMost                     = 8                      // calls turned away stretch the gap to this multiple at most
-	learnFor                     = 3 * time.Second        // learning lasts this long after the list, and while a node is cold
-	connectFor                   = time.Second            // connections ahead are opened within this
-	shutFirst                    = 100 * time.Millisecond // a node that was full or slow rests this long, doubling ...
-	shutMost                     = time.Second            // ... to this
-	nodesMost                    = 4096
+	maxStalenessBound            = 6 * time.Second        // the protocol's
+	stalenessBoundShare          = 5.0 / 6                // first calls are spread over this part of it, and ready is said then: the rest is for the answer
+	usualListRequestTime         = 100 * time.Millisecond // a call of the list takes this long, as a rule
+	cachedListDelay              = time.Second            // a list that is not priced is waited for this long before the held one serves
+	readyDelay                   = time.Second            // with the held list in use ready is said after this
+	listRequestInterval          = 300 * time.Millisecond // between calls that are not priced
+	maxListBackoffFactor         = 8                      // calls turned away stretch the gap to this multiple at most
+	learningDuration             = 3 * time.Second        // learning lasts this long after the list, and while a node is cold
+	preconnectWindow             = time.Second            // connections ahead are opened within this
+	minBackoff                   = 100 * time.Millisecond // a node that was full or slow rests this long, doubling ...
+	maxBackoff                   = time.Second            // ... to this
+	defaultMaxNodes              = 4096
 )
 
 // SettingError is a setting that cannot be.
@@ -83,8 +83,8 @@
 	if s.MaxListCallsPerSecond == 0 {
 		s.MaxListCallsPerSecond = DefaultMaxListCallsPerSecond
 	}
-	if s.StalenessBound == 0 || s.StalenessBound > told {
-		s.StalenessBound = told
+	if s.StalenessBound == 0 || s.StalenessBound > maxStalenessBound {
+		s.StalenessBound = maxStalenessBound
 	}
 	if s.MaxRetryAfter == 0 {
 		s.MaxRetryAfter = time.Second
@@ -94,7 +94,7 @@
 	}
 	s.MinRetryAfter = min(s.MinRetryAfter, s.MaxRetryAfter)
 	if s.MaxNodes == 0 {
-		s.MaxNodes = nodesMost
+		s.MaxNodes = defaultMaxNodes
 	}
 	return nil
 }
@@ -120,10 +120,10 @@
 		return 0
 	}
 	need := time.Duration(float64(s.Schedulers) / s.MaxListCallsPerSecond * float64(time.Second))
-	return min(need, time.Duration(toldShare*float64(s.StalenessBound)))
+	return min(need, time.Duration(stalenessBoundShare*float64(s.StalenessBound)))
 }
 
 // ReadyDeadline is when ready is said at the latest, whatever is heard.
 func (s *Settings) ReadyDeadline() time.Duration {
-	return time.Duration(toldShare * float64(s.StalenessBound))
+	return time.Duration(stalenessBoundShare * float64(s.StalenessBound))
 }
