--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -1,13 +1,13 @@
-// Package snapshot owns the file in which a scheduler keeps what it has learned, for its next start.
+// Package snapshot stores what a scheduler process has learned in a file, for its next start.
 //
 // Invariants:
-//   - The file is whole or not there: it is written beside, synced and renamed.
-//   - What is read carries this package's magic and version, its own length and its checksum (xxhash).
-//     A prefix of a file, and a file with any byte changed, is refused.
-//   - It is bounded: Most bytes, whatever is in it.
-//   - A snapshot older than MaxAge, or of the future, is refused: what it says of nodes is no news.
+//   - The file is complete or absent: it is written under another name, synced and renamed.
+//   - The file begins with this package's magic and version, its own length and its checksum (xxhash). A prefix of a file,
+//     and a file with any byte changed, is rejected.
+//   - The file has at most MaxSize bytes.
+//   - A snapshot older than MaxAge, or of the future, is rejected: what it has of the nodes is out of date.
 //
-// It does not decide what of it still holds: internal/coldstart drops nodes that have restarted.
+// The package does not decide what of a snapshot still holds: internal/coldstart leaves out nodes that have restarted.
 package snapshot
 
 import (
@@ -28,20 +28,26 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Figures.
+// Bounds of a snapshot file.
 const (
 	Version = 1
-	MaxSize = 256 << 10 // bytes of the file
+	MaxSize = 256 << 10 // bytes
 	MaxAge  = 5 * time.Minute
-	skew    = 2 * time.Second // a clock may have been set back by this
 )
 
+// maxClockStep is how far the clock may have been set back since a snapshot was made.
+const maxClockStep = 2 * time.Second
+
 var magic = [8]byte{'w', 's', 'l', 'e', 'a', 'r', 'n', Version}
 
-// The head: magic with the version, the body's length, the checksum of all before it and of the body.
-const headSize = 8 + 4 + 8
+// The header is the magic with the version, the length of the body, and the checksum of both and of the body.
+const (
+	lengthOffset   = 8
+	checksumOffset = lengthOffset + 4
+	headerSize     = checksumOffset + 8
+)
 
-// Snapshot is what was learned.
+// Snapshot is what a process has learned.
 type Snapshot struct {
 	Version int          `json:"version"`
 	Made    time.Time    `json:"made"`
@@ -49,7 +55,7 @@
 	Classes []ClassState `json:"classes"`
 }
 
-// NodeState is what was learned of one life of a node.
+// NodeState is what was learned of a node since its start at StartTime.
 type NodeState struct {
 	ID                 string  `json:"id"`
 	StartTime          float64 `json:"since_ms"`
@@ -59,7 +65,7 @@
 	FailureRate        float64 `json:"failing"`
 }
 
-// ClassState is what was learned of one class.
+// ClassState is what was learned of one class of requests.
 type ClassState struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
@@ -67,7 +73,7 @@
 	Delay  float64 `json:"delay_ms"`
 }
 
-// UnusableError is a snapshot that is there and must not be used.
+// UnusableError reports a snapshot that exists and must not be used.
 type UnusableError struct {
 	Path   string
 	Reason string // torn, foreign or old
@@ -78,15 +84,15 @@
 	return fmt.Sprintf("snapshot %s: %s: %s", e.Path, e.Reason, e.Detail)
 }
 
-// Code is stable.
+// Code implements operr.Coded.
 func (e *UnusableError) Code() string { return "snapshot-" + e.Reason }
 
-// Advice says what to do.
+// Advice implements operr.Coded.
 func (e *UnusableError) Advice() string {
 	return "nothing: the program starts as without a snapshot and writes a new one; if it comes at each start, look at who else writes the file"
 }
 
-// FileError is a snapshot that could not be read or written.
+// FileError reports a snapshot that could not be read or written.
 type FileError struct {
 	Path, Operation string
 	Err             error
@@ -95,12 +101,14 @@
 func (e *FileError) Error() string {
 	return fmt.Sprintf("snapshot %s: %s: %v", e.Path, e.Operation, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Code is stable.
+// Code implements operr.Coded.
 func (e *FileError) Code() string { return "snapshot-failed" }
 
-// Advice says what to do.
+// Advice implements operr.Coded.
 func (e *FileError) Advice() string {
 	return "see that the folder of start.snapshot is there, is the program's own and has room; the program runs without"
 }
@@ -110,7 +118,7 @@
 		&FileError{"x", "write", errors.New("x")})
 }
 
-// Encode makes the file's bytes. What does not fit is left out: the least used nodes.
+// Encode returns the file's bytes. What does not fit is left out: the least used nodes.
 func Encode(s *Snapshot) ([]byte, error) {
 	c := *s
 	c.Version = Version
@@ -119,69 +127,65 @@
 		if err != nil {
 			return nil, err
 		}
-		if headSize+len(body) > MaxSize && len(c.Nodes) > 0 {
+		if headerSize+len(body) > MaxSize && len(c.Nodes) > 0 {
 			c.Nodes = c.Nodes[:len(c.Nodes)*3/4]
 			continue
 		}
-		out := append(make([]byte, 0, headSize+len(body)), magic[:]...)
+		out := append(make([]byte, 0, headerSize+len(body)), magic[:]...)
 		out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
 		return append(binary.BigEndian.AppendUint64(out, checksum(out, body)), body...), nil
 	}
 }
 
-func checksum(head, body []byte) uint64 {
-	d := xxhash.New()
-	d.Write(head)
-	d.Write(body)
-	return d.Sum64()
+func checksum(header, body []byte) uint64 {
+	hash := xxhash.New()
+	_, _ = hash.Write(header) // a hash takes everything
+	_, _ = hash.Write(body)
+	return hash.Sum64()
 }
 
-// Decode reads the file's bytes.
+// Decode reads the file's bytes. The error is an *UnusableError, which names the path.
 func Decode(path string, text []byte, now time.Time) (*Snapshot, error) {
 	s, err := Parse(path, text)
 	if err != nil {
 		return nil, err
 	}
-	if age := now.Sub(s.Made); age > MaxAge || age < -skew {
+	if age := now.Sub(s.Made); age > MaxAge || age < -maxClockStep {
 		return nil, &UnusableError{path, "old", fmt.Sprintf("made %s before now", age.Round(time.Millisecond))}
 	}
 	return s, nil
 }
 
-// Parse reads the bytes of a snapshot whose age is known otherwise: another process made it when asked,
-// and no clock is compared.
+// Parse reads the bytes of a snapshot without a look at its age, for one that another process made on request.
 func Parse(path string, text []byte) (*Snapshot, error) {
-	bad := func(why, form string, args ...any) (*Snapshot, error) {
-		return nil, &UnusableError{path, why, fmt.Sprintf(form, args...)}
-	}
 	n := min(len(text), len(magic))
-	switch {
-	case !bytes.Equal(text[:n], magic[:n]):
-		return bad("foreign", "it does not begin as version %d of this file does", Version)
-	case len(text) < headSize || len(text) > MaxSize:
-		return bad("torn", "%d bytes", len(text))
+	if !bytes.Equal(text[:n], magic[:n]) {
+		return nil, &UnusableError{path, "foreign", fmt.Sprintf("it does not begin as version %d of this file does", Version)}
+	}
+	if len(text) < headerSize || len(text) > MaxSize {
+		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes", len(text))}
 	}
-	body := text[headSize:]
-	if long := binary.BigEndian.Uint32(text[8:]); int64(long) != int64(len(body)) {
-		return bad("torn", "%d bytes of %d", len(body), long)
+	body := text[headerSize:]
+	if length := binary.BigEndian.Uint32(text[lengthOffset:]); int64(length) != int64(len(body)) {
+		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes of %d", len(body), length)}
 	}
-	if binary.BigEndian.Uint64(text[12:]) != checksum(text[:12], body) {
-		return bad("torn", "its checksum is another")
+	if binary.BigEndian.Uint64(text[checksumOffset:]) != checksum(text[:checksumOffset], body) {
+		return nil, &UnusableError{path, "torn", "its checksum is another"}
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal(body, s); err != nil || s.Version != Version {
-		return bad("foreign", "version %d, %v", s.Version, err)
+		return nil, &UnusableError{path, "foreign", fmt.Sprintf("version %d, %v", s.Version, err)}
 	}
 	return s, nil
 }
 
-// Read reads the file; fs.ErrNotExist in the chain where there is none.
+// Read reads the file. Where there is none, the error wraps fs.ErrNotExist.
 func Read(path string, now time.Time) (*Snapshot, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, &FileError{path, "open", err}
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	if st, err := f.Stat(); err == nil && !st.Mode().IsRegular() {
 		return nil, &FileError{path, "open", fmt.Errorf("not a regular file: %w", fs.ErrInvalid)}
 	}
@@ -192,8 +196,8 @@
 	return Decode(path, text, now)
 }
 
-// Write puts the snapshot in the file's place, whole or not at all.
-func Write(path string, s *Snapshot) (err error) {
+// Write replaces the file. If it fails, the old file stays.
+func Write(path string, s *Snapshot) error {
 	for _, n := range s.Nodes { // JSON has no such numbers
 		if f := n.Window + n.Latency + n.BestLatencyPerUnit + n.FailureRate + n.StartTime; math.IsNaN(f) || math.IsInf(f, 0) {
 			return &FileError{path, "encode", fmt.Errorf("node %s: a figure is not a number", n.ID)}
@@ -203,24 +207,28 @@
 	if err != nil {
 		return &FileError{path, "encode", err}
 	}
-	// One name: a process that is killed while it writes leaves one behind, and not one at each kill.
-	beside := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
-	os.Remove(beside)
-	f, err := os.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	// The name is always the same, so that killed processes leave one file at most.
+	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
+	_ = os.Remove(temporary) // what a killed process left; otherwise the open fails
+	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return &FileError{path, "create", err}
 	}
-	defer func() {
-		if err != nil {
-			os.Remove(f.Name())
-			err = &FileError{path, "write", err}
-		}
-	}()
-	if _, err = f.Write(text); err == nil {
+	if err := replace(path, f, text); err != nil {
+		_ = os.Remove(temporary) // the first error counts
+		return &FileError{path, "write", err}
+	}
+	return nil
+}
+
+// replace writes and closes the file, and renames it to path.
+func replace(path string, f *os.File, text []byte) error {
+	_, err := f.Write(text)
+	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
--- a/internal/coldstart/snapshot/snapshot_test.go
+++ b/internal/coldstart/snapshot/snapshot_test.go
@@ -23,8 +23,8 @@
 	return s
 }
 
-// Any prefix and any changed byte is refused, with a code; so is another version, and an old file.
-func TestTornForeignOld(t *testing.T) {
+// Any prefix and any changed byte is rejected, with a code; so is another version, and an old file.
+func TestTornForeignAndOldFilesAreRejected(t *testing.T) {
 	text, err := Encode(example(5))
 	if err != nil {
 		t.Fatal(err)
@@ -32,12 +32,12 @@
 	if s, err := Decode("x", text, made.Add(time.Second)); err != nil || !reflect.DeepEqual(s, example(5)) {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	refused := func(text []byte, now time.Time, what string, codes ...string) {
+	checkRejected := func(text []byte, now time.Time, what string, codes ...string) {
 		t.Helper()
 		_, err := Decode("x", text, now)
 		var c operr.Coded
 		if !errors.As(err, &c) {
-			t.Fatalf("%s: taken (%v)", what, err)
+			t.Fatalf("%s: accepted (%v)", what, err)
 		}
 		for _, code := range codes {
 			if c.Code() == code {
@@ -47,23 +47,23 @@
 		t.Errorf("%s: %s", what, c.Code())
 	}
 	for i := range text {
-		refused(text[:i], made, fmt.Sprint("a prefix of ", i), "snapshot-torn")
+		checkRejected(text[:i], made, fmt.Sprint("a prefix of ", i), "snapshot-torn")
 		for _, flip := range []byte{1, 0x80, 0xff} {
-			bad := append([]byte(nil), text...)
-			bad[i] ^= flip
-			refused(bad, made, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
+			changed := append([]byte(nil), text...)
+			changed[i] ^= flip
+			checkRejected(changed, made, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
 		}
 	}
-	refused(append(text[:len(text):len(text)], 'x'), made, "a byte more", "snapshot-torn")
-	refused(text, made.Add(MaxAge+1), "an old one", "snapshot-old")
-	refused(text, made.Add(-time.Minute), "one of the future", "snapshot-old")
+	checkRejected(append(text[:len(text):len(text)], 'x'), made, "a byte more", "snapshot-torn")
+	checkRejected(text, made.Add(MaxAge+1), "an old one", "snapshot-old")
+	checkRejected(text, made.Add(-time.Minute), "one of the future", "snapshot-old")
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
 	}
 }
 
-// The file is replaced whole: a write that fails leaves the old one and nothing beside it. It is bounded.
-func TestWrite(t *testing.T) {
+// A write that fails leaves the old file and no other. The file's size is bounded.
+func TestFailedWriteKeepsTheOldFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "learned")
 	if _, err := Read(path, made); !errors.Is(err, fs.ErrNotExist) {
@@ -80,9 +80,9 @@
 		t.Errorf("%d bytes", st.Size())
 	}
 	zero := 0.0
-	bad := example(3)
-	bad.Nodes[1].Latency = 1 / zero
-	for _, err := range []error{Write(path, bad), Write(filepath.Join(dir, "none", "learned"), example(1)), Write(dir, example(1))} {
+	infinite := example(3)
+	infinite.Nodes[1].Latency = 1 / zero
+	for _, err := range []error{Write(path, infinite), Write(filepath.Join(dir, "none", "learned"), example(1)), Write(dir, example(1))} {
 		var c operr.Coded
 		if !errors.As(err, &c) || c.Code() != "snapshot-failed" {
 			t.Errorf("%v", err)
