--- a/internal/coldstart/events.go
+++ b/internal/coldstart/events.go
@@ -7,51 +7,51 @@
 
 // The phases.
 const (
-	NoList     Phase = iota // nothing is known
-	CachedList              // the list as last held: any node may have restarted since
-	ListKnown               // the list has spoken
-	Learning                // a node has answered; connections and shut nodes are still rationed
-	Serving                 // as ever: this module has no say any more
+	NoList     Phase = iota // no list is known
+	CachedList              // only the cached list is known: any of its nodes may have restarted since
+	ListKnown               // the list was received
+	Learning                // a node has served a request; nodes may still be cold or backing off
+	Serving                 // the start is over: the package no longer limits anything
 )
 
 func (p Phase) String() string {
-	return [...]string{"nothing", "held", "heard", "learning", "serving"}[p]
+	return [...]string{"no list", "cached list", "list known", "learning", "serving"}[p]
 }
 
-// Node is a node of the list. Since is its start as the list gives it (0: long ago), At the same on
-// the process's clock.
+// Node is an entry of the list. StartTime is the node's start as the list gives it, 0 if it was long ago; StartedAt is the
+// same by the process's clock.
 type Node struct {
 	ID        string
 	StartTime float64
 	StartedAt time.Duration
 }
 
-// Event is one thing that the process hears.
+// Event is something that happened.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Started is the first: the list as last held, and the nodes of the snapshot, the most used first.
+	// Started is the first event. It has the cached list, and the nodes of the snapshot, the most used first.
 	Started struct{ CachedList, Snapshot []Node }
-	// ListReceived is a full list.
+	// ListReceived reports a complete list.
 	ListReceived struct{ Nodes []Node }
-	// ListRequestFailed is a call of the list that was turned away or failed.
+	// ListRequestFailed reports that a list request failed or was rejected.
 	ListRequestFailed struct{}
-	// NodeFull is a node that turned work away for want of room.
+	// NodeFull reports that a node rejected a request for lack of capacity.
 	NodeFull struct{ Node string }
-	// ConnectFailed is a connect to a node that failed or outlived its time.
+	// ConnectFailed reports a connect to a node that failed or timed out.
 	ConnectFailed struct{ Node string }
-	// RequestServed is work served by a node.
+	// RequestServed reports that a node served a request.
 	RequestServed struct{ Node string }
-	// RequestArrived is a client's request: for a node ("" for any, or not known which).
+	// RequestArrived reports a client's request. Node is "" if any node may serve it, or if it is not known which.
 	RequestArrived struct{ Node string }
-	// RequestRejected is a request that the decisions refuse: Refuse words it.
+	// RequestRejected reports that the policy rejected a request. A Reject follows, with the Retry-After to send.
 	RequestRejected struct{ Node string }
-	// SnapshotReceived is a snapshot that another process has handed over, the most used nodes first.
+	// SnapshotReceived is a snapshot that another process handed over, the most used nodes first.
 	SnapshotReceived struct{ Snapshot []Node }
-	// PeerReported is what another process says of a node's start.
+	// PeerReported is a peer's report of a node's start.
 	PeerReported struct{ Node Node }
-	// TimerFired is time that has passed: what SetTimer asked for.
+	// TimerFired reports that the time of the last SetTimer has come.
 	TimerFired struct{}
 )
 
@@ -67,35 +67,35 @@
 func (PeerReported) event()      {}
 func (TimerFired) event()        {}
 
-// Action is one thing that the process does.
+// Action is something for the process to do.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// RequestList calls the list now.
+	// RequestList requests the endpoint list.
 	RequestList struct{}
-	// UseCachedList gives the decisions the list as last held, each node as one that started now.
+	// UseCachedList gives the policy the cached list, with each node as one that starts now.
 	UseCachedList struct{}
-	// LimitColdNode is this process's part of what a node bears that may be cold, in units within the
-	// settings' OverloadWindow, from the start At.
+	// LimitColdNode limits what this process sends to a node that may be cold: to Units within the settings'
+	// OverloadWindow, from StartedAt on until the node is warmed up.
 	LimitColdNode struct {
 		Node      string
 		Units     float64
 		StartedAt time.Duration
 	}
-	// LiftColdLimit takes back what LimitColdNode assumed: the list's word on the node's start holds.
+	// LiftColdLimit removes the limit of a cached node: the start time of the received list counts.
 	LiftColdLimit struct{ Node string }
-	// Restore takes what the snapshot has of a node: its start is the same.
+	// Restore applies what the snapshot has of a node: it has not restarted since.
 	Restore struct{ Node string }
 	// Connect opens one connection ahead of need.
 	Connect struct{ Node string }
-	// CheckHealth asks a node for its load.
+	// CheckHealth sends a node a health check, which returns its load.
 	CheckHealth struct{ Node string }
-	// ReportReady says that clients may come.
+	// ReportReady reports that the process accepts clients.
 	ReportReady struct{}
-	// Reject turns the request of Asked or Turned away at once.
+	// Reject rejects the request of RequestArrived or RequestRejected at once.
 	Reject struct{ RetryAfter time.Duration }
-	// SetTimer asks for a Tick then; the latest counts.
+	// SetTimer requests a TimerFired at a time. It replaces an earlier one.
 	SetTimer struct{ At time.Duration }
 )
 
--- /dev/null
+++ b/internal/coldstart/list.go
@@ -0,0 +1,77 @@
+package coldstart
+
+import "time"
+
+// listReceived applies the first complete list. The policy applies later ones alone.
+func (s *Startup) listReceived(now time.Duration, e ListReceived) {
+	s.listRequestPending = false
+	if s.phase >= ListKnown {
+		return
+	}
+	s.phase, s.listReceivedAt, s.listBackoffFactor, s.learningEnds = ListKnown, now, 1, now+learningDuration
+	inSnapshot := map[string]bool{}
+	for _, id := range s.snapshotNodes { // to nodes that the list lacks no connection is opened ahead
+		inSnapshot[id], s.nodes[id].restorable = true, false
+	}
+	for _, n := range e.Nodes {
+		x := s.nodes[n.ID]
+		if x == nil {
+			if !s.hasCapacity() {
+				continue
+			}
+			x = &node{}
+			s.nodes[n.ID] = x
+		}
+		s.nodeListed(now, x, n, inSnapshot[n.ID])
+	}
+}
+
+// nodeListed applies the list's entry of a node: it alone tells whether the node has restarted.
+func (s *Startup) nodeListed(now time.Duration, x *node, n Node, inSnapshot bool) {
+	sameStart := x.snapshotStartTime == n.StartTime
+	if x.assumedCold && s.usesCachedList {
+		s.emit(LiftColdLimit{n.ID})
+	}
+	x.restorable = inSnapshot && sameStart
+	if x.restorable {
+		s.emit(Restore{n.ID})
+	}
+	if n.StartTime > 0 && now-n.StartedAt < s.settings.SlowStartDuration {
+		s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), n.StartedAt})
+		s.learningEnds = max(s.learningEnds, min(n.StartedAt, now)+s.settings.SlowStartDuration)
+	}
+	x.startTime, x.assumedCold, x.listed = n.StartTime, false, true
+}
+
+// listRequestFailed sets the time of the next list request. Schedulers whose requests fail together send at most
+// MaxListCallsPerSecond requests a second.
+func (s *Startup) listRequestFailed(now time.Duration) {
+	if s.phase >= ListKnown {
+		return
+	}
+	s.listRequestPending = false
+	backoff := listRequestInterval
+	if s.settings.ListCallsPriced {
+		backoff = max(s.settings.ListCallSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
+		s.listBackoffFactor = min(2*s.listBackoffFactor, maxListBackoffFactor)
+		backoff = min(backoff, s.settings.StalenessBound)
+	}
+	s.nextListRequest = now + s.halfToThreeHalves(backoff)
+}
+
+// expectedListWait is how long it may take until requests can be sent by a list, as far as known.
+func (s *Startup) expectedListWait(now time.Duration) time.Duration {
+	at := s.nextListRequest + usualListRequestTime
+	if s.listRequestPending {
+		at = now + usualListRequestTime
+	}
+	if s.phase == CachedList {
+		at = min(at, s.cachedListUseAt)
+	}
+	return max(at-now, 0)
+}
+
+// halfToThreeHalves draws a duration from half of the given one to one and a half times as much.
+func (s *Startup) halfToThreeHalves(d time.Duration) time.Duration {
+	return d/2 + time.Duration(s.rng.Int64N(int64(d)))
+}
--- a/internal/interleave/mutant/mutant.go
+++ b/internal/interleave/mutant/mutant.go
@@ -31,6 +31,8 @@
 	New  string
 	Want string // what the failure says
 	Test string // "": the caller
+	// Sequential says that the test has one goroutine, so that its failure has no schedule: it must fail twice.
+	Sequential bool
 }
 
 var schedule = regexp.MustCompile(`(?m)^\s*schedule: (.*)$`)
@@ -99,6 +101,10 @@
 	if err != nil {
 		return "", err
 	}
+	if m.Sequential {
+		_, err = run(il.ReplayEnv + "=")
+		return "of one goroutine", err
+	}
 	got := schedule.FindStringSubmatch(out)
 	if got == nil {
 		return "", errors.New("no schedule")
