--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -19,21 +19,21 @@
 	IPv6
 	IPv4
 	Name
-	kinds
+	kindCount
 )
 
-var kindWords = [kinds]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
+var kindNames = [kindCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
 
 func (k Kind) String() string {
-	if k < kinds {
-		return kindWords[k]
+	if k < kindCount {
+		return kindNames[k]
 	}
 	return "kind " + strconv.Itoa(int(k))
 }
 
 // ParseKind reads the word of a family: unix, ipv6, ipv4 or name.
 func ParseKind(word string) (Kind, error) {
-	for k, w := range kindWords {
+	for k, w := range kindNames {
 		if w == word {
 			return Kind(k), nil
 		}
@@ -41,8 +41,8 @@
 	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", word)
 }
 
-// pathMost is the longest path of a socket: sun_path of unix(7) holds 108 bytes, the last a NUL.
-const pathMost = 107
+// maxPathLength is the longest path of a socket: sun_path of unix(7) holds 108 bytes, the last a NUL.
+const maxPathLength = 107
 
 // schemeUnix marks the path of a socket, as in unix:/run/x.sock.
 const schemeUnix = "unix:"
@@ -147,18 +147,18 @@
 		return Addr{}, fmt.Errorf("port: not a number from %d to 65535", least)
 	}
 	if strings.ContainsRune(host, ':') || strings.HasPrefix(text, "[") {
-		return parse6(host, uint16(n))
+		return parseIPv6(host, uint16(n))
 	}
 	if ip, err := netip.ParseAddr(host); err == nil {
 		return Addr{kind: IPv4, ip: netip.AddrPortFrom(ip, uint16(n))}, nil
 	}
-	if err := hostName(host); err != nil {
+	if err := checkHostName(host); err != nil {
 		return Addr{}, err
 	}
 	return Addr{kind: Name, text: strings.ToLower(strings.TrimSuffix(host, ".")) + ":" + strconv.FormatUint(n, 10)}, nil
 }
 
-func parse6(host string, port uint16) (Addr, error) {
+func parseIPv6(host string, port uint16) (Addr, error) {
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err != nil || !ip.Is6():
@@ -188,15 +188,15 @@
 	case strings.HasSuffix(file, "/"):
 		return Addr{}, errors.New("path: a folder, not a socket")
 	}
-	if file = path.Clean(file); len(file) > pathMost {
-		return Addr{}, fmt.Errorf("path: %d bytes long, and a socket's has %d at most", len(file), pathMost)
+	if file = path.Clean(file); len(file) > maxPathLength {
+		return Addr{}, fmt.Errorf("path: %d bytes long, and a socket's has %d at most", len(file), maxPathLength)
 	}
 	return Addr{kind: Unix, text: file}, nil
 }
 
-// hostName checks a name as RFC 1123 section 2.1 has it. One of digits and points alone would be
+// checkHostName checks a name as RFC 1123 section 2.1 has it. One of digits and points alone would be
 // a misspelt IPv4 address.
-func hostName(host string) error {
+func checkHostName(host string) error {
 	host = strings.TrimSuffix(host, ".")
 	if len(host) == 0 || len(host) > 253 {
 		return errors.New("host: empty or too long")
@@ -245,14 +245,14 @@
 // address of each in turn, and within a family as listed. Families that the preference does not
 // name come last, in the order of their constants. It returns indices into list.
 func Interleave(list []Addr, preference []Kind) []int {
-	rank := [kinds]int{}
+	rank := [kindCount]int{}
 	for k := range rank {
 		rank[k] = len(preference) + k
 	}
 	for i := len(preference) - 1; i >= 0; i-- {
 		rank[preference[i]] = i
 	}
-	families := make([][]int, len(preference)+int(kinds))
+	families := make([][]int, len(preference)+int(kindCount))
 	for i, a := range list {
 		families[rank[a.kind]] = append(families[rank[a.kind]], i)
 	}
--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -31,8 +31,8 @@
 	{"unix:@x", "", "abstract"},
 	{"unix:/run/", "", "folder"},
 	{"unix:/a\x00b", "", "zero byte"},
-	{"unix:/" + strings.Repeat("x", pathMost-1), "unix:/" + strings.Repeat("x", pathMost-1), ""},
-	{"unix:/" + strings.Repeat("x", pathMost), "", "108 bytes"},
+	{"unix:/" + strings.Repeat("x", maxPathLength-1), "unix:/" + strings.Repeat("x", maxPathLength-1), ""},
+	{"unix:/" + strings.Repeat("x", maxPathLength), "", "108 bytes"},
 	{"/run/x.sock", "", "unix:PATH"},
 	{"localhost:7001", "localhost:7001", ""},
 	{"LocalHost.:7001", "localhost:7001", ""},
@@ -134,7 +134,7 @@
 		}
 		switch network, to := a.Dial(); network {
 		case "unix":
-			if len(to) > pathMost || !strings.HasPrefix(to, "/") {
+			if len(to) > maxPathLength || !strings.HasPrefix(to, "/") {
 				t.Errorf("%q: path %q", text, to)
 			}
 		case "tcp4", "tcp6":
--- a/internal/address/check.go
+++ b/internal/address/check.go
@@ -6,11 +6,11 @@
 )
 
 // Check says which invariant does not hold; it is for tests, after any Step.
-func (b *Selector) Check() error {
+func (s *Selector) Check() error {
 	used, coming, unproven, busies := 0, 0, 0, 0
 	reqs := map[Req]bool{}
-	for i := range b.conns {
-		c := &b.conns[i]
+	for i := range s.conns {
+		c := &s.conns[i]
 		if c.phase == none {
 			continue
 		}
@@ -18,8 +18,8 @@
 		if c.unproven {
 			unproven++
 		}
-		if c.trial != (c.entry.trying == c) {
-			return fmt.Errorf("connection %d: trial %v, and its address tries %v", c.id, c.trial, c.entry.trying)
+		if c.trial != (c.entry.trialConn == c) {
+			return fmt.Errorf("connection %d: trial %v, and its address tries %v", c.id, c.trial, c.entry.trialConn)
 		}
 		if idles := slices.Contains(c.entry.idle, c); idles != (c.phase == idle) {
 			return fmt.Errorf("connection %d: phase %d, idle %v", c.id, c.phase, idles)
@@ -27,10 +27,10 @@
 		switch c.phase {
 		case connecting:
 			coming++
-			if b.draining || b.closing || c.entry.gone {
+			if s.draining || s.closing || c.entry.removed {
 				return fmt.Errorf("connection %d comes up for a node or an address that goes", c.id)
 			}
-			if c.race != nil && !slices.Contains(b.races, c.race) {
+			if c.race != nil && !slices.Contains(s.races, c.race) {
 				return fmt.Errorf("connection %d is of a race that is over", c.id)
 			}
 		case busy:
@@ -40,35 +40,35 @@
 			}
 			reqs[c.req] = true
 		case idle:
-			if c.entry.gone || b.closing {
+			if c.entry.removed || s.closing {
 				return fmt.Errorf("connection %d idles for a node or an address that went", c.id)
 			}
 		}
 	}
-	if used != b.connCount || coming != b.connectingCount || unproven != b.unprovenCount || used+len(b.freeSlots) != len(b.conns) {
-		return fmt.Errorf("counts: %d %d %d %d, kept as %d %d %d", used, coming, unproven, len(b.freeSlots), b.connCount, b.connectingCount, b.unprovenCount)
+	if used != s.connCount || coming != s.connectingCount || unproven != s.unprovenCount || used+len(s.freeSlots) != len(s.conns) {
+		return fmt.Errorf("counts: %d %d %d %d, kept as %d %d %d", used, coming, unproven, len(s.freeSlots), s.connCount, s.connectingCount, s.unprovenCount)
 	}
-	if b.tokens < -1e-9 || b.tokens > float64(b.settings.ConnectBurst) {
-		return fmt.Errorf("tokens: %v", b.tokens)
+	if s.tokens < -1e-9 || s.tokens > float64(s.settings.ConnectBurst) {
+		return fmt.Errorf("tokens: %v", s.tokens)
 	}
-	for _, w := range b.waiting {
+	for _, w := range s.waiting {
 		if reqs[w.req] {
 			return fmt.Errorf("request %d is in twice", w.req)
 		}
 		reqs[w.req] = true
 	}
-	if n := len(b.waiting); n > b.settings.MaxWaiting+b.settings.MaxConns { // what is found unwritten waits again
+	if n := len(s.waiting); n > s.settings.MaxWaiting+s.settings.MaxConns { // what is found unwritten waits again
 		return fmt.Errorf("%d wait", n)
-	} else if n > 0 && (b.draining || b.closing) {
+	} else if n > 0 && (s.draining || s.closing) {
 		return fmt.Errorf("%d wait for a node that goes", n)
-	} else if n > 0 && coming == 0 && busies == 0 && b.Next() == never {
+	} else if n > 0 && coming == 0 && busies == 0 && s.Next() == never {
 		return fmt.Errorf("%d wait, and nothing will wake the book", n)
 	}
-	if (b.primary == nil) != (len(b.entries) == 0) || b.primary != nil && !slices.Contains(b.entries, b.primary) {
-		return fmt.Errorf("primary %v is not on the list", b.Primary())
+	if (s.primary == nil) != (len(s.entries) == 0) || s.primary != nil && !slices.Contains(s.entries, s.primary) {
+		return fmt.Errorf("primary %v is not on the list", s.Primary())
 	}
-	for _, e := range b.entries {
-		if e.state != Healthy && e.state != Untried && !e.proving || e.run > b.settings.MinReturnConns || e.gone {
+	for _, e := range s.entries {
+		if e.state != Healthy && e.state != Untried && !e.onProbation || e.timelyConns > s.settings.MinReturnConns || e.removed {
 			return fmt.Errorf("%v: %+v", e.Addr, *e)
 		}
 	}
--- a/internal/address/events.go
+++ b/internal/address/events.go
@@ -45,16 +45,16 @@
 	ReasonOvertaken                // another address came up first, though it started later
 	ReasonRejecting                // requests turned away in a row
 	ReasonWrongNode                // it leads to another node
-	whys
+	reasonCount
 )
 
-// whyWords are the ways as logs show them.
-var whyWords = [whys]string{"refused", "timed out", "no resource", "no family", "reset", "cut", "unwritten", "silent",
+// reasonNames are the ways as logs show them.
+var reasonNames = [reasonCount]string{"refused", "timed out", "no resource", "no family", "reset", "cut", "unwritten", "silent",
 	"slow", "outrun", "turned away", "another node"}
 
 func (w Reason) String() string {
-	if w < whys {
-		return whyWords[w]
+	if w < reasonCount {
+		return reasonNames[w]
 	}
 	return fmt.Sprint("why ", uint8(w))
 }
--- a/internal/address/machine_test.go
+++ b/internal/address/invariants_test.go
@@ -11,18 +11,18 @@
 )
 
 // moves are what may happen next in a small world, for the machine and the walk alike.
-func (r *rig) options() (out []string) {
+func (r *harness) options() (out []string) {
 	out = append(out, "want", "want unsafe", "short", "long")
-	if len(r.coming) > 0 {
+	if len(r.connecting) > 0 {
 		out = append(out, "up", "refuse", "hang", "no resource")
 	}
-	if len(r.coming) > 1 {
+	if len(r.connecting) > 1 {
 		out = append(out, "up last", "refuse last")
 	}
 	if len(r.busy) > 0 {
 		out = append(out, "answer", "turned", "reset", "unwritten", "give up")
 	}
-	if !r.drained {
+	if !r.draining {
 		out = append(out, "drain")
 	} else {
 		out = append(out, "undrain")
@@ -32,49 +32,49 @@
 
 var lists = [][]string{{unixA, six, four}, {four, unixA}, {six}}
 
-func (r *rig) play(what string) {
+func (r *harness) play(what string) {
 	switch what {
 	case "want":
-		r.want(true)
+		r.queueRequest(true)
 	case "want unsafe":
-		r.want(false)
+		r.queueRequest(false)
 	case "short":
-		r.wait(100 * ms)
+		r.pass(100 * ms)
 	case "long":
-		r.wait(3 * time.Second)
+		r.pass(3 * time.Second)
 	case "up":
-		r.up(r.coming[0])
+		r.connectionUp(r.connecting[0])
 	case "up last":
-		r.up(r.coming[len(r.coming)-1])
+		r.connectionUp(r.connecting[len(r.connecting)-1])
 	case "refuse":
-		r.refuse(r.coming[0], ReasonRefused)
+		r.connectFails(r.connecting[0], ReasonRefused)
 	case "refuse last":
-		r.refuse(r.coming[len(r.coming)-1], ReasonRefused)
+		r.connectFails(r.connecting[len(r.connecting)-1], ReasonRefused)
 	case "hang":
-		r.refuse(r.coming[0], ReasonTimedOut)
+		r.connectFails(r.connecting[0], ReasonTimedOut)
 	case "no resource":
-		r.refuse(r.coming[0], ReasonNoResource)
+		r.connectFails(r.connecting[0], ReasonNoResource)
 	case "answer":
-		r.answer(r.busy[0], VerdictServed)
+		r.respond(r.busy[0], VerdictServed)
 	case "turned":
-		r.answer(r.busy[0], VerdictRejected)
+		r.respond(r.busy[0], VerdictRejected)
 	case "reset":
-		r.breaks(r.busy[0], ReasonReset)
+		r.breakConn(r.busy[0], ReasonReset)
 	case "unwritten":
-		r.breaks(r.busy[0], ReasonUnwritten)
+		r.breakConn(r.busy[0], ReasonUnwritten)
 	case "give up":
-		r.giveUp(r.carries[r.busy[0]])
+		r.giveUp(r.requestOn[r.busy[0]])
 	case "drain":
-		r.do(Event{Kind: DrainChanged, Draining: true})
+		r.step(Event{Kind: DrainChanged, Draining: true})
 	case "undrain":
-		r.do(Event{Kind: DrainChanged})
+		r.step(Event{Kind: DrainChanged})
 	case "list":
-		r.list(lists[(int(r.seq)+len(r.moves))%len(lists)]...)
+		r.setAddresses(lists[(int(r.lastRequest)+len(r.primaryChanges))%len(lists)]...)
 	}
 }
 
 // bounded checks the invariants over time: connects in any span, and returns.
-func (r *rig) bounded(set Settings) error {
+func (r *harness) bounded(set Settings) error {
 	for i := range r.connects {
 		for j := i; j < len(r.connects); j++ {
 			span := r.connects[j] - r.connects[i]
@@ -85,14 +85,14 @@
 	}
 	last := time.Duration(-1)
 	rank := func(a Addr) int {
-		for i, x := range r.b.Snapshot(nil) {
+		for i, x := range r.selector.Snapshot(nil) {
 			if x.Addr == a {
 				return i
 			}
 		}
 		return -1
 	}
-	for _, m := range r.moves {
+	for _, m := range r.primaryChanges {
 		if from, to := rank(m.from), rank(m.to); from < 0 || to < 0 || to > from {
 			continue // a fall
 		}
@@ -114,7 +114,7 @@
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := small()
-		r := newRig(set, three...)
+		r := newHarness(set, three...)
 		fixed := rapid.Bool().Draw(t, "fixed list")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			what := rapid.SampledFrom(r.options()).Draw(t, "what")
@@ -129,13 +129,13 @@
 			t.Fatal(err)
 		}
 		// All that waits comes to an end once its owners give up.
-		for _, q := range slices.Sorted(maps.Keys(r.open)) {
-			if r.open[q] {
+		for _, q := range slices.Sorted(maps.Keys(r.openRequests)) {
+			if r.openRequests[q] {
 				r.giveUp(q)
 			}
 		}
-		if r.err != nil || r.b.Waiting() != 0 || len(r.busy) != 0 {
-			t.Fatal(r.err, r.b.Waiting(), r.busy)
+		if r.err != nil || r.selector.Waiting() != 0 || len(r.busy) != 0 {
+			t.Fatal(r.err, r.selector.Waiting(), r.busy)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 // is primary in the end, and while one is good requests are served.
 func TestNoneStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSim(Defaults(), three...)
+		s := newSimulation(Defaults(), three...)
 		modes := []string{"ok", "refused", "hang", "silent", "reset", "slow", "wrong"}
 		for range rapid.IntRange(1, 6).Draw(t, "spells") {
 			for _, a := range three {
@@ -161,7 +161,7 @@
 		s.run(25*time.Second, 20*ms, mostly) // back-offs run out
 		s.reset()
 		s.run(5*time.Second, 20*ms, mostly)
-		if tally := s.tally(); tally["served"] < 225 { // trials are caught
+		if tally := s.outcomeCounts(); tally["served"] < 225 { // trials are caught
 			t.Fatalf("one address is good: %v", tally)
 		}
 		for _, a := range three {
@@ -171,21 +171,21 @@
 		if s.err != nil {
 			t.Fatal(s.err)
 		}
-		if p := s.b.Primary().String(); p != unixA {
-			t.Fatalf("primary %s: %+v", p, s.b.Snapshot(nil))
+		if p := s.selector.Primary().String(); p != unixA {
+			t.Fatalf("primary %s: %+v", p, s.selector.Snapshot(nil))
 		}
 	})
 }
 
 // clone copies a rig with its book, so that a walk can take each way from one state.
-func (r *rig) clone() *rig {
+func (r *harness) clone() *harness {
 	n := *r
-	n.acts, n.coming, n.busy = nil, slices.Clone(r.coming), slices.Clone(r.busy)
-	n.at, n.carries, n.writes = maps.Clone(r.at), maps.Clone(r.carries), maps.Clone(r.writes)
-	n.failed, n.open = maps.Clone(r.failed), maps.Clone(r.open)
-	n.connects, n.moves, n.said = slices.Clone(r.connects), slices.Clone(r.moves), nil
-	b := *r.b
-	rng := *r.b.rng
+	n.actions, n.connecting, n.busy = nil, slices.Clone(r.connecting), slices.Clone(r.busy)
+	n.addrOf, n.requestOn, n.writes = maps.Clone(r.addrOf), maps.Clone(r.requestOn), maps.Clone(r.writes)
+	n.failed, n.openRequests = maps.Clone(r.failed), maps.Clone(r.openRequests)
+	n.connects, n.primaryChanges, n.logged = slices.Clone(r.connects), slices.Clone(r.primaryChanges), nil
+	b := *r.selector
+	rng := *r.selector.rng
 	b.rng = &rng
 	entries, races := map[*entry]*entry{}, map[*race]*race{}
 	copyOf := func(e *entry) *entry {
@@ -198,7 +198,7 @@
 		}
 		return entries[e]
 	}
-	b.conns = slices.Clone(r.b.conns)
+	b.conns = slices.Clone(r.selector.conns)
 	at := func(c *conn) *conn {
 		if c == nil {
 			return nil
@@ -206,15 +206,15 @@
 		return &b.conns[int(c.id&0xffff)-1]
 	}
 	b.entries = nil
-	for _, e := range r.b.entries {
+	for _, e := range r.selector.entries {
 		b.entries = append(b.entries, copyOf(e))
 	}
 	b.races, b.freeRaces = nil, nil
-	for _, x := range r.b.races {
+	for _, x := range r.selector.races {
 		c := *x
-		c.tried = nil
-		for _, e := range x.tried {
-			c.tried = append(c.tried, copyOf(e))
+		c.attempted = nil
+		for _, e := range x.attempted {
+			c.attempted = append(c.attempted, copyOf(e))
 		}
 		races[x] = &c
 		b.races = append(b.races, &c)
@@ -225,35 +225,35 @@
 		}
 	}
 	for _, e := range entries {
-		e.trying = at(e.trying)
+		e.trialConn = at(e.trialConn)
 		idle := e.idle
 		e.idle = nil
 		for _, c := range idle {
 			e.idle = append(e.idle, at(c))
 		}
 	}
-	b.primary = copyOf(r.b.primary)
-	b.freeSlots, b.waiting = slices.Clone(r.b.freeSlots), slices.Clone(r.b.waiting)
-	n.b = &b
+	b.primary = copyOf(r.selector.primary)
+	b.freeSlots, b.waiting = slices.Clone(r.selector.freeSlots), slices.Clone(r.selector.waiting)
+	n.selector = &b
 	return &n
 }
 
 // sum is what of a state matters to what may follow: times count from now.
-func (r *rig) sum() string {
-	b := r.b
-	s := fmt.Sprint(r.drained, len(b.waiting), b.maxUnproven, int(b.tokens*4), b.Primary(), len(b.races), b.earliestReturn > r.now, b.nextDownTrial > r.now)
+func (r *harness) sum() string {
+	b := r.selector
+	s := fmt.Sprint(r.draining, len(b.waiting), b.maxUnproven, int(b.tokens*4), b.Primary(), len(b.races), b.earliestReturn > r.now, b.nextDownTrial > r.now)
 	for _, e := range b.entries {
-		s += fmt.Sprint("|", e.Addr, e.state, e.proving, e.refuses, len(e.idle), e.fails, e.run, e.turned, e.breaks, e.until > r.now, e.trying != nil)
+		s += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.connectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > r.now, e.trialConn != nil)
 	}
 	for _, x := range b.races {
-		s += fmt.Sprint("/", x.live, len(x.tried), x.stopped, x.next > r.now)
+		s += fmt.Sprint("/", x.connecting, len(x.attempted), x.stopped, x.nextConnect > r.now)
 	}
-	for _, c := range append(slices.Clone(r.coming), r.busy...) {
+	for _, c := range append(slices.Clone(r.connecting), r.busy...) {
 		x := b.connByID(c)
-		s += fmt.Sprint(",", x.entry.Addr, x.phase, x.trial, x.anyRequest, x.unproven, x.silenceCounted, r.now-x.since, x.entry.heard < x.since)
+		s += fmt.Sprint(",", x.entry.Addr, x.phase, x.trial, x.anyRequest, x.unproven, x.silenceCounted, r.now-x.since, x.entry.lastResponse < x.since)
 	}
 	for _, w := range b.waiting {
-		s += fmt.Sprint(w.safe)
+		s += fmt.Sprint(w.idempotent)
 	}
 	return s
 }
@@ -265,10 +265,10 @@
 func TestWalk(t *testing.T) {
 	set := small()
 	seen := map[string]bool{}
-	level := []*rig{newRig(set, three...)}
+	level := []*harness{newHarness(set, three...)}
 	states, steps := 1, 0
 	for depth := range walkDepth {
-		var next []*rig
+		var next []*harness
 		for _, r := range level {
 			for _, what := range r.options() {
 				n := r.clone()
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -38,19 +38,19 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(int64(900 + i)))
 			var script recorded.Script
-			s := newSim(recordSettings(i), recordedAddresses[:2+i%4]...)
+			s := newSimulation(recordSettings(i), recordedAddresses[:2+i%4]...)
 			s.onStep = func(e Event) {
-				fields := []any{int64(s.now), int(e.Kind), int64(s.b.Next()), s.b.Waiting(), s.b.Primary().String()}
-				for _, a := range s.acts {
+				fields := []any{int64(s.now), int(e.Kind), int64(s.selector.Next()), s.selector.Waiting(), s.selector.Primary().String()}
+				for _, a := range s.actions {
 					fields = append(fields, recordedActions[a.Kind], uint64(a.Conn), uint64(a.Req), a.Addr.String(), int(a.State), int(a.Reason))
 				}
-				if s.b.Waiting() == 0 && e.Kind == TimerFired {
-					for _, one := range s.b.Snapshot(nil) {
-						fields = append(fields, one.Addr.String(), int(one.State), one.Primary, one.Conns, int64(one.Until), s.b.HasBetter(one.Addr))
+				if s.selector.Waiting() == 0 && e.Kind == TimerFired {
+					for _, one := range s.selector.Snapshot(nil) {
+						fields = append(fields, one.Addr.String(), int(one.State), one.Primary, one.Conns, int64(one.Until), s.selector.HasBetter(one.Addr))
 					}
 				}
 				if e.Conn != 0 {
-					fields = append(fields, s.b.MayBeWrongNode(s.now, e.Conn))
+					fields = append(fields, s.selector.MayBeWrongNode(s.now, e.Conn))
 				}
 				script.Add(fields...)
 			}
@@ -63,11 +63,11 @@
 				if round%10 == 9 {
 					clear(s.mode)
 				}
-				s.took = time.Duration(1+rng.Intn(30)) * ms
+				s.responseTime = time.Duration(1+rng.Intn(30)) * ms
 				s.randomChange(rng, i)
 				s.run(time.Duration(200+rng.Intn(1500))*ms, time.Duration(3+rng.Intn(60))*ms, func(n int) bool { return rng.Intn(3) > 0 })
 			}
-			s.do(Event{Kind: NodeRemoved})
+			s.step(Event{Kind: NodeRemoved})
 			s.run(2*time.Second, 100*ms, always)
 			if s.err != nil {
 				t.Error(s.err)
@@ -78,77 +78,77 @@
 }
 
 // randomChange does now and then what an operator, the list or the operating system does.
-func (s *sim) randomChange(rng *rand.Rand, i int) {
+func (s *simulation) randomChange(rng *rand.Rand, i int) {
 	switch rng.Intn(14) {
 	case 0:
-		s.do(Event{Kind: DrainChanged, Draining: true})
-		s.obey()
+		s.step(Event{Kind: DrainChanged, Draining: true})
+		s.respondToActions()
 		s.run(300*ms, 50*ms, always)
-		s.do(Event{Kind: DrainChanged})
+		s.step(Event{Kind: DrainChanged})
 	case 1:
 		order := rng.Perm(len(recordedAddresses))[:1+rng.Intn(len(recordedAddresses))]
 		var addrs []string
 		for _, k := range order {
 			addrs = append(addrs, recordedAddresses[k])
 		}
-		s.list(addrs...)
+		s.setAddresses(addrs...)
 	case 2:
 		next := recordSettings(rng.Intn(4))
-		s.b.Adjust(next)
+		s.selector.Adjust(next)
 	case 3:
-		s.do(Event{Kind: DemandContinued})
+		s.step(Event{Kind: DemandContinued})
 	case 4:
 		if len(s.busy) > 0 {
-			s.do(Event{Kind: ProgressSeen, Conn: s.busy[rng.Intn(len(s.busy))]})
+			s.step(Event{Kind: ProgressSeen, Conn: s.busy[rng.Intn(len(s.busy))]})
 		}
 	case 5:
 		if len(s.busy) > 0 {
-			s.breaks(s.busy[rng.Intn(len(s.busy))], []Reason{ReasonUnwritten, ReasonCutOff, ReasonReset}[rng.Intn(3)])
+			s.breakConn(s.busy[rng.Intn(len(s.busy))], []Reason{ReasonUnwritten, ReasonCutOff, ReasonReset}[rng.Intn(3)])
 		}
 	case 6:
-		if len(s.coming) > 0 {
-			s.refuse(s.coming[rng.Intn(len(s.coming))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
+		if len(s.connecting) > 0 {
+			s.connectFails(s.connecting[rng.Intn(len(s.connecting))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
 		}
 	case 7:
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
-			s.done[s.carries[c]] = "served"
-			s.answer(c, []Verdict{VerdictServed, VerdictOther, VerdictRejected, VerdictWrongNode}[rng.Intn(4)])
+			s.outcome[s.requestOn[c]] = "served"
+			s.respond(c, []Verdict{VerdictServed, VerdictOther, VerdictRejected, VerdictWrongNode}[rng.Intn(4)])
 		}
 	case 8:
 		if rng.Intn(2) == 0 {
 			s.now += 2 * time.Second // a stall
 		}
-		s.wait(ms)
+		s.pass(ms)
 	case 9: // the owners of some requests give up, at times after a stall
 		s.now += time.Duration(rng.Intn(2)) * 400 * ms
-		for q := s.seq; q > 0 && q+10 > s.seq; q-- {
-			if s.open[q] && rng.Intn(2) == 0 {
+		for q := s.lastRequest; q > 0 && q+10 > s.lastRequest; q-- {
+			if s.openRequests[q] && rng.Intn(2) == 0 {
 				s.giveUp(q)
-				s.obey()
+				s.respondToActions()
 			}
 		}
 	case 10:
-		for i := range s.b.conns {
-			if c := &s.b.conns[i]; c.phase == idle && rng.Intn(2) == 0 {
-				s.do(Event{Kind: IdleConnClosed, Conn: c.id})
+		for i := range s.selector.conns {
+			if c := &s.selector.conns[i]; c.phase == idle && rng.Intn(2) == 0 {
+				s.step(Event{Kind: IdleConnClosed, Conn: c.id})
 			}
 		}
 	case 11:
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
-			delete(s.open, s.carries[c])
+			delete(s.openRequests, s.requestOn[c])
 			s.forget(c)
-			s.do(Event{Kind: ResponseReceived, Conn: c, Verdict: VerdictServed})
+			s.step(Event{Kind: ResponseReceived, Conn: c, Verdict: VerdictServed})
 		}
 	case 12: // more requests at once than may wait
 		for range 40 {
-			s.want(rng.Intn(2) == 0)
+			s.queueRequest(rng.Intn(2) == 0)
 		}
 	case 13: // events of a connection that there is not
 		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestDropped} {
-			s.do(Event{Kind: kind, Conn: 1<<40 | 1})
+			s.step(Event{Kind: kind, Conn: 1<<40 | 1})
 		}
 	}
-	s.obey()
+	s.respondToActions()
 }
--- a/internal/address/book.go
+++ b/internal/address/selector.go
@@ -31,8 +31,8 @@
 )
 
 type waiter struct {
-	req         Req
-	safe, named bool
+	req                    Req
+	idempotent, namesShard bool
 }
 
 // Selector is the state of one node's addresses.
@@ -61,15 +61,15 @@
 
 	connectMeasured               bool // a connect time was measured
 	connectMean, connectDeviation float64
-	usualAnswerTime               float64       // time of an answer by the best address, in nanoseconds
-	usualKnown                    bool          // usualAnswerTime is set
+	bestUsualResponseTime         float64       // time of an answer by the best address, in nanoseconds
+	usualResponseMeasured         bool          // bestUsualResponseTime is set
 	silenceBound                  time.Duration // time without a sign of life after which an address is suspect
 	nextSilenceCheck              time.Duration // no connection can pass silenceBound before
 	nextDownTrial                 time.Duration // next trial while all addresses are down
 	earliestReturn                time.Duration // no return to a preferred address before
 	returnDelay                   time.Duration // from a change of the primary to a return
 	lastReturn                    time.Duration // time of the last return
-	nextHomeConnect               time.Duration // next connect that moves idle connections to the primary
+	nextReturnConnect             time.Duration // next connect that moves idle connections to the primary
 	nextSecondOpinion             time.Duration // next connect for a second opinion
 }
 
@@ -78,104 +78,104 @@
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	b := &Selector{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x61646472657373)), conns: make([]conn, settings.MaxConns),
+	s := &Selector{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x61646472657373)), conns: make([]conn, settings.MaxConns),
 		nextSilenceCheck: never, maxUnproven: settings.MaxConns, tokens: float64(settings.ConnectBurst), silenceBound: settings.MinSuspectAfter, returnDelay: settings.MinReturnDelay,
 		lastReturn: math.MinInt64 / 2, waiting: make([]waiter, 0, 16)}
 	for i := settings.MaxConns - 1; i >= 0; i-- {
-		b.freeSlots = append(b.freeSlots, i)
+		s.freeSlots = append(s.freeSlots, i)
 	}
-	return b, nil
+	return s, nil
 }
 
 // Step applies one event that came at now and appends the actions it leads to.
-func (b *Selector) Step(now time.Duration, e Event, actions []Action) []Action {
-	b.now, b.actions, b.newDemand = max(b.now, now), actions, false
+func (s *Selector) Step(now time.Duration, e Event, actions []Action) []Action {
+	s.now, s.actions, s.newDemand = max(s.now, now), actions, false
 	switch e.Kind {
 	case RequestQueued:
-		b.enqueue(e)
+		s.enqueue(e)
 	case RequestDropped:
-		b.dropRequest(e)
+		s.dropRequest(e)
 	case Connected:
-		b.connected(e.Conn)
+		s.connected(e.Conn)
 	case ConnectFailed:
-		b.failed(e.Conn, e.Reason)
+		s.connectFailed(e.Conn, e.Reason)
 	case ResponseReceived:
-		b.answered(e)
+		s.responseReceived(e)
 	case ConnBroken:
-		b.broken(e)
+		s.connBroken(e)
 	case IdleConnClosed:
-		if c := b.connByID(e.Conn); c != nil && c.phase == idle {
-			b.removeIdle(c)
-			b.releaseConn(c)
+		if c := s.connByID(e.Conn); c != nil && c.phase == idle {
+			s.removeIdle(c)
+			s.releaseConn(c)
 		}
 	case DrainChanged:
-		if b.draining = e.Draining; e.Draining {
-			b.stopConnecting()
+		if s.draining = e.Draining; e.Draining {
+			s.stopConnecting()
 		}
 	case NodeRemoved:
-		b.closing = true
-		b.stopConnecting()
-		for i := range b.conns {
-			if c := &b.conns[i]; c.phase == idle {
-				b.closeConn(c)
+		s.closing = true
+		s.stopConnecting()
+		for i := range s.conns {
+			if c := &s.conns[i]; c.phase == idle {
+				s.closeConn(c)
 			}
 		}
 	case DemandContinued:
-		b.newDemand = true
+		s.newDemand = true
 	case ProgressSeen:
-		if c := b.connByID(e.Conn); c != nil && c.phase == busy {
-			c.since, c.silenceCounted = b.now, false
-			c.entry.heard, c.entry.breaks, c.entry.doubted, c.entry.refuted = b.now, 0, 0, 0
-			b.nextSilenceCheck = min(b.nextSilenceCheck, b.now+b.patience())
+		if c := s.connByID(e.Conn); c != nil && c.phase == busy {
+			c.since, c.silenceCounted = s.now, false
+			c.entry.lastResponse, c.entry.breaksInRow, c.entry.doubtedSince, c.entry.suspectAt = s.now, 0, 0, 0
+			s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+s.secondOpinionDelay())
 		}
 	case AddressesChanged:
-		b.setAddresses(e.Addrs)
+		s.setAddresses(e.Addrs)
 	}
-	b.review()
-	b.serve()
-	if b.newDemand && !b.draining && !b.closing && b.primary != nil {
-		b.tryAgain()
+	s.applyTime()
+	s.assignWaiting()
+	if s.newDemand && !s.draining && !s.closing && s.primary != nil {
+		s.startTrials()
 	}
-	out := b.actions
-	b.actions = nil
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
 // Adjust replaces the settings, which must pass Check, except the numbers of connections and of requests. Decisions
 // from now on follow the new settings.
-func (b *Selector) Adjust(settings Settings) {
-	settings.MaxConns, settings.MaxWaiting = b.settings.MaxConns, b.settings.MaxWaiting
-	b.settings = settings
-	b.tokens = min(b.tokens, float64(settings.ConnectBurst))
-	b.silenceBound = min(max(b.silenceBound, settings.MinSuspectAfter), settings.MaxSuspectAfter)
-	b.returnDelay = min(max(b.returnDelay, settings.MinReturnDelay), settings.MaxReturnDelay)
-	b.nextSilenceCheck = 0
-	addrs := make([]Addr, 0, len(b.entries))
-	for _, e := range b.entries {
+func (s *Selector) Adjust(settings Settings) {
+	settings.MaxConns, settings.MaxWaiting = s.settings.MaxConns, s.settings.MaxWaiting
+	s.settings = settings
+	s.tokens = min(s.tokens, float64(settings.ConnectBurst))
+	s.silenceBound = min(max(s.silenceBound, settings.MinSuspectAfter), settings.MaxSuspectAfter)
+	s.returnDelay = min(max(s.returnDelay, settings.MinReturnDelay), settings.MaxReturnDelay)
+	s.nextSilenceCheck = 0
+	addrs := make([]Addr, 0, len(s.entries))
+	for _, e := range s.entries {
 		addrs = append(addrs, e.Addr)
-		e.run = min(e.run, settings.MinReturnConns)
+		e.timelyConns = min(e.timelyConns, settings.MinReturnConns)
 	}
-	held := b.entries
-	b.entries = make([]*entry, 0, len(held))
+	held := s.entries
+	s.entries = make([]*entry, 0, len(held))
 	for _, i := range Interleave(addrs, settings.Preference) {
-		b.entries = append(b.entries, held[i])
+		s.entries = append(s.entries, held[i])
 	}
 }
 
 // emit appends an action to those of the current step.
-func (b *Selector) emit(a Action) { b.actions = append(b.actions, a) }
+func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
 
 // Next is the time of the next Tick, or a very late one where nothing depends on time.
-func (b *Selector) Next() time.Duration {
+func (s *Selector) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	for _, r := range b.races {
-		next = min(next, r.next)
+	for _, r := range s.races {
+		next = min(next, r.nextConnect)
 	}
-	next = min(next, b.nextSilenceCheck)
-	if len(b.waiting) > 0 {
-		for _, e := range b.entries {
-			if c := e.trying; c != nil && c.phase == idle {
-				next = min(next, c.since+b.settings.TrialPatience)
+	next = min(next, s.nextSilenceCheck)
+	if len(s.waiting) > 0 {
+		for _, e := range s.entries {
+			if c := e.trialConn; c != nil && c.phase == idle {
+				next = min(next, c.since+s.settings.TrialPatience)
 			}
 		}
 	}
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -63,18 +63,18 @@
 // The bounds of RFC 8305 section 5 for the delay between connects: "MUST NOT be less than 10
 // milliseconds", at most 2 s recommended.
 const (
-	rfcDelayLeast = 10 * time.Millisecond
-	rfcDelayMost  = 2 * time.Second
+	rfcMinDelay = 10 * time.Millisecond
+	rfcMaxDelay = 2 * time.Second
 )
 
 // Check names the first key that is out of bounds.
 func (s *Settings) Check() error {
-	seen := [kinds]bool{}
+	seen := [kindCount]bool{}
 	if len(s.Preference) == 0 {
 		return &SettingError{"preference", "names no family"}
 	}
 	for _, k := range s.Preference {
-		if k >= kinds || seen[k] {
+		if k >= kindCount || seen[k] {
 			return &SettingError{"preference", fmt.Sprintf("%v is unknown or there twice", k)}
 		}
 		seen[k] = true
@@ -84,8 +84,8 @@
 		is          time.Duration
 		least, most time.Duration
 	}{
-		{"delay_least_ms", s.MinDelay, rfcDelayLeast, rfcDelayMost},
-		{"delay_most_ms", s.MaxDelay, s.MinDelay, rfcDelayMost},
+		{"delay_least_ms", s.MinDelay, rfcMinDelay, rfcMaxDelay},
+		{"delay_most_ms", s.MaxDelay, s.MinDelay, rfcMaxDelay},
 		{"delay_ms", s.Delay, s.MinDelay, s.MaxDelay},
 		{"backoff_ms", s.Backoff, time.Millisecond, time.Hour},
 		{"backoff_most_ms", s.MaxBackoff, s.Backoff, time.Hour},
