--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -31,14 +31,14 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// ParseKind reads the word of a family: unix, ipv6, ipv4 or name.
-func ParseKind(word string) (Kind, error) {
-	for k, w := range kindNames {
-		if w == word {
+// ParseKind reads the name of a family: unix, ipv6, ipv4 or name.
+func ParseKind(name string) (Kind, error) {
+	for k, known := range kindNames {
+		if known == name {
 			return Kind(k), nil
 		}
 	}
-	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", word)
+	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", name)
 }
 
 // maxPathLength is the longest path of a socket: sun_path of unix(7) holds 108 bytes, the last a NUL.
@@ -47,7 +47,7 @@
 // schemeUnix marks the path of a socket, as in unix:/run/x.sock.
 const schemeUnix = "unix:"
 
-// Addr is a parsed address in its one spelling: two that mean the same are equal with ==.
+// Addr is a parsed address in canonical form: two that mean the same are equal with ==.
 type Addr struct {
 	kind Kind
 	ip   netip.AddrPort
@@ -57,10 +57,10 @@
 // Kind is the family.
 func (a Addr) Kind() Kind { return a.kind }
 
-// IsZero says that it is no address.
+// IsZero reports whether it is no address.
 func (a Addr) IsZero() bool { return a == Addr{} }
 
-// String is the one spelling, which Parse reads again.
+// String is the canonical spelling, which Parse reads again.
 func (a Addr) String() string {
 	switch {
 	case a.IsZero():
@@ -73,7 +73,7 @@
 	return a.ip.String()
 }
 
-// Dial gives the network and the address as package net wants them.
+// Dial returns the network and the address for package net.
 func (a Addr) Dial() (network, address string) {
 	switch a.kind {
 	case Unix:
@@ -96,7 +96,7 @@
 
 // Parse reads the address of a node to connect to: host:port with an IPv4 address, an IPv6
 // address in brackets (a zone only where it is link-local) or a host name, or unix:PATH with an
-// absolute path. The error says what is wrong with it and does not repeat it.
+// absolute path. The error says what is wrong, without the text.
 func Parse(text string) (Addr, error) {
 	a, err := parse(text, 1)
 	if err != nil {
@@ -113,8 +113,7 @@
 	return a, nil
 }
 
-// ParseListen reads an address to listen on: as Parse does, and also hosts that stand for all
-// of this machine's and the port 0, but no name.
+// ParseListen reads an address to listen on. Unlike Parse, it accepts unspecified hosts and the port 0, and no host names.
 func ParseListen(text string) (Addr, error) {
 	if strings.HasPrefix(text, ":") {
 		text = "[::]" + text
@@ -131,7 +130,7 @@
 	return a, nil
 }
 
-func parse(text string, least uint64) (Addr, error) {
+func parse(text string, minPort uint64) (Addr, error) {
 	if file, ok := strings.CutPrefix(text, schemeUnix); ok {
 		return parseUnix(file)
 	}
@@ -143,8 +142,8 @@
 		return Addr{}, errors.New("neither host:port nor unix:PATH")
 	}
 	n, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || n < least {
-		return Addr{}, fmt.Errorf("port: not a number from %d to 65535", least)
+	if err != nil || n < minPort {
+		return Addr{}, fmt.Errorf("port: not a number from %d to 65535", minPort)
 	}
 	if strings.ContainsRune(host, ':') || strings.HasPrefix(text, "[") {
 		return parseIPv6(host, uint16(n))
@@ -194,8 +193,7 @@
 	return Addr{kind: Unix, text: file}, nil
 }
 
-// checkHostName checks a name as RFC 1123 section 2.1 has it. One of digits and points alone would be
-// a misspelt IPv4 address.
+// checkHostName checks a host name by RFC 1123 section 2.1. One of digits and dots alone is a misspelt IPv4 address.
 func checkHostName(host string) error {
 	host = strings.TrimSuffix(host, ".")
 	if len(host) == 0 || len(host) > 253 {
@@ -220,8 +218,8 @@
 // MaxAddresses is how many addresses one node may have.
 const MaxAddresses = 16
 
-// ParseList reads the addresses of one node. One that is bad, in twice (also in another spelling) or
-// beyond Most is left out and named in errs; the others stay, in their order.
+// ParseList reads the addresses of one node. One that is invalid, listed twice (also in another spelling) or beyond
+// MaxAddresses is left out and has a *ListError in errs. The others keep their order.
 func ParseList(texts []string) (list []Addr, errs []error) {
 	seen := map[Addr]string{}
 	for i, text := range texts {
@@ -242,7 +240,7 @@
 }
 
 // Interleave puts addresses in the order of RFC 8305 section 4: the families by preference, one
-// address of each in turn, and within a family as listed. Families that the preference does not
+// address of each alternately, and within a family as listed. Families that the preference does not
 // name come last, in the order of their constants. It returns indices into list.
 func Interleave(list []Addr, preference []Kind) []int {
 	rank := [kindCount]int{}
@@ -257,10 +255,10 @@
 		families[rank[a.kind]] = append(families[rank[a.kind]], i)
 	}
 	var order []int
-	for turn := 0; len(order) < len(list); turn++ {
+	for round := 0; len(order) < len(list); round++ {
 		for _, f := range families {
-			if turn < len(f) {
-				order = append(order, f[turn])
+			if round < len(f) {
+				order = append(order, f[round])
 			}
 		}
 	}
--- a/internal/address/check.go
+++ b/internal/address/check.go
@@ -1,71 +1,96 @@
 package address
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 )
 
-// Check says which invariant does not hold; it is for tests, after any Step.
+// connTotals count connections by their phases.
+type connTotals struct {
+	conns, connecting, unproven, busy int
+	requests                          map[Req]bool // on busy connections
+}
+
+// Check returns which invariant does not hold. It is for tests, after any Step.
 func (s *Selector) Check() error {
-	used, coming, unproven, busies := 0, 0, 0, 0
-	reqs := map[Req]bool{}
+	totals := connTotals{requests: map[Req]bool{}}
 	for i := range s.conns {
-		c := &s.conns[i]
-		if c.phase == none {
-			continue
+		if c := &s.conns[i]; c.phase != none {
+			if err := s.checkConn(c, &totals); err != nil {
+				return fmt.Errorf("connection %d: %w", c.id, err)
+			}
 		}
-		used++
-		if c.unproven {
-			unproven++
+	}
+	if totals.conns != s.connCount || totals.connecting != s.connectingCount || totals.unproven != s.unprovenCount || totals.conns+len(s.freeSlots) != len(s.conns) {
+		return fmt.Errorf("counts: %+v, %d free slots; stored as %d, %d, %d", totals, len(s.freeSlots), s.connCount, s.connectingCount, s.unprovenCount)
+	}
+	if s.connectTokens < -1e-9 || s.connectTokens > float64(s.settings.ConnectBurst) {
+		return fmt.Errorf("tokens: %v", s.connectTokens)
+	}
+	if err := s.checkWaiting(totals); err != nil {
+		return err
+	}
+	return s.checkEntries()
+}
+
+// checkConn checks a connection and adds it to the totals.
+func (s *Selector) checkConn(c *conn, totals *connTotals) error {
+	totals.conns++
+	if c.unproven {
+		totals.unproven++
+	}
+	if c.trial != (c.entry.trialConn == c) {
+		return fmt.Errorf("trial %v, and the trial connection of its address is %v", c.trial, c.entry.trialConn)
+	}
+	if listed := slices.Contains(c.entry.idle, c); listed != (c.phase == idle) {
+		return fmt.Errorf("phase %d, among the idle ones: %v", c.phase, listed)
+	}
+	switch c.phase {
+	case connecting:
+		totals.connecting++
+		if s.draining || s.closing || c.entry.removed {
+			return errors.New("connecting, though its node drains or its address was removed")
 		}
-		if c.trial != (c.entry.trialConn == c) {
-			return fmt.Errorf("connection %d: trial %v, and its address tries %v", c.id, c.trial, c.entry.trialConn)
+		if c.race != nil && !slices.Contains(s.races, c.race) {
+			return errors.New("connecting for a race that is over")
 		}
-		if idles := slices.Contains(c.entry.idle, c); idles != (c.phase == idle) {
-			return fmt.Errorf("connection %d: phase %d, idle %v", c.id, c.phase, idles)
+	case busy:
+		totals.busy++
+		if c.req == 0 || totals.requests[c.req] {
+			return fmt.Errorf("request %d is on no or on two connections", c.req)
 		}
-		switch c.phase {
-		case connecting:
-			coming++
-			if s.draining || s.closing || c.entry.removed {
-				return fmt.Errorf("connection %d comes up for a node or an address that goes", c.id)
-			}
-			if c.race != nil && !slices.Contains(s.races, c.race) {
-				return fmt.Errorf("connection %d is of a race that is over", c.id)
-			}
-		case busy:
-			busies++
-			if c.req == 0 || reqs[c.req] {
-				return fmt.Errorf("connection %d: request %d on none or two", c.id, c.req)
-			}
-			reqs[c.req] = true
-		case idle:
-			if c.entry.removed || s.closing {
-				return fmt.Errorf("connection %d idles for a node or an address that went", c.id)
-			}
+		totals.requests[c.req] = true
+	case idle:
+		if c.entry.removed || s.closing {
+			return errors.New("idle, though its node or address was removed")
 		}
 	}
-	if used != s.connCount || coming != s.connectingCount || unproven != s.unprovenCount || used+len(s.freeSlots) != len(s.conns) {
-		return fmt.Errorf("counts: %d %d %d %d, kept as %d %d %d", used, coming, unproven, len(s.freeSlots), s.connCount, s.connectingCount, s.unprovenCount)
-	}
-	if s.tokens < -1e-9 || s.tokens > float64(s.settings.ConnectBurst) {
-		return fmt.Errorf("tokens: %v", s.tokens)
-	}
+	return nil
+}
+
+func (s *Selector) checkWaiting(totals connTotals) error {
 	for _, w := range s.waiting {
-		if reqs[w.req] {
-			return fmt.Errorf("request %d is in twice", w.req)
+		if totals.requests[w.req] {
+			return fmt.Errorf("request %d waits twice, or is written", w.req)
 		}
-		reqs[w.req] = true
+		totals.requests[w.req] = true
 	}
-	if n := len(s.waiting); n > s.settings.MaxWaiting+s.settings.MaxConns { // what is found unwritten waits again
-		return fmt.Errorf("%d wait", n)
-	} else if n > 0 && (s.draining || s.closing) {
-		return fmt.Errorf("%d wait for a node that goes", n)
-	} else if n > 0 && coming == 0 && busies == 0 && s.Next() == never {
-		return fmt.Errorf("%d wait, and nothing will wake the book", n)
+	n := len(s.waiting)
+	switch {
+	case n > s.settings.MaxWaiting+s.settings.MaxConns: // requests found unwritten wait again
+		return fmt.Errorf("%d requests wait", n)
+	case n > 0 && (s.draining || s.closing):
+		return fmt.Errorf("%d requests wait for a node that drains or was removed", n)
+	case n > 0 && totals.connecting == 0 && totals.busy == 0 && s.Next() == never:
+		return fmt.Errorf("%d requests wait, and nothing will wake them", n)
 	}
+	return nil
+}
+
+func (s *Selector) checkEntries() error {
 	if (s.primary == nil) != (len(s.entries) == 0) || s.primary != nil && !slices.Contains(s.entries, s.primary) {
-		return fmt.Errorf("primary %v is not on the list", s.Primary())
+		return fmt.Errorf("primary %v is not listed", s.Primary())
 	}
 	for _, e := range s.entries {
 		if e.state != Healthy && e.state != Untried && !e.onProbation || e.timelyConns > s.settings.MinReturnConns || e.removed {
--- a/internal/address/conns.go
+++ b/internal/address/conns.go
@@ -21,10 +21,10 @@
 	id             Conn
 	entry          *entry
 	phase          phase
-	trial          bool          // the only connection by which an address is tried again
+	trial          bool          // the connection by which its address is tried again
 	anyRequest     bool          // a trial that any request may carry
-	unproven       bool          // without an answer yet
-	silenceCounted bool          // its address has been blamed for its silence
+	unproven       bool          // without a response yet
+	silenceCounted bool          // its silence was recorded as a fault
 	idempotent     bool          // the request on it may be repeated
 	namesShard     bool          // the request on it names a shard
 	req            Req           // while busy
@@ -42,7 +42,7 @@
 }
 
 // startConnect starts a connect. The caller has checked that there is a free slot and a token.
-func (s *Selector) startConnect(e *entry, r *race, trial bool) *conn {
+func (s *Selector) startConnect(e *entry, r *race, trial bool) {
 	i := s.freeSlots[len(s.freeSlots)-1]
 	s.freeSlots = s.freeSlots[:len(s.freeSlots)-1]
 	c := &s.conns[i]
@@ -51,14 +51,13 @@
 	s.connCount++
 	s.connectingCount++
 	s.unprovenCount++
-	s.tokens--
+	s.connectTokens--
 	e.conns++
 	e.lastConnect = s.now
 	if trial {
 		e.trialConn = c
 	}
 	s.emit(Action{Kind: Connect, Conn: c.id, Addr: e.Addr})
-	return c
 }
 
 // releaseConn removes a connection and frees its slot. It does not close it.
--- a/internal/address/errors.go
+++ b/internal/address/errors.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// SettingError is a setting that is out of bounds.
+// SettingError reports a setting that is out of its bounds.
 type SettingError struct {
 	Key     string
 	Problem string
@@ -22,7 +22,7 @@
 	return "Correct " + e.Key + " in the section addresses of the site's file; wheatsaddle schema prints the bounds."
 }
 
-// ListError is one address of a node's list that is left out; the others count.
+// ListError reports an address that is left out of a node's list. The others are used.
 type ListError struct {
 	Index int
 	Text  string
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("addresses.%d (%.60q): %v", e.Index, e.Text, e.Err)
 }
 
-// Unwrap gives what was found on reading it.
+// Unwrap returns the cause.
 func (e *ListError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
--- /dev/null
+++ b/internal/address/faults.go
@@ -0,0 +1,90 @@
+package address
+
+import "time"
+
+const (
+	maxBackoffSteps = 20
+	minGrace        = 10 * time.Millisecond // for a response that may be on its way
+)
+
+// isConnectFault reports whether a fault is of a connect, not of a connection.
+func isConnectFault(reason Reason) bool {
+	return reason == ReasonRefused || reason == ReasonTimedOut || reason == ReasonOvertaken || reason == ReasonNoFamily
+}
+
+// recordFault applies a fault to the state of an address. Faults of connections that were opened before the address was
+// suspect have no effect, since one incident would count as many.
+func (s *Selector) recordFault(e *entry, reason Reason, trial bool) {
+	if e.removed {
+		return
+	}
+	was := e.state
+	if !trial && isRepeatedFault(was, reason) {
+		if isConnectFault(reason) { // of a race without a better address, or one that had started before
+			e.backoffUntil = max(e.backoffUntil, s.now+s.backoff(s.settings.Backoff, e.failures))
+		}
+		return
+	}
+	wasDown := s.allDown()
+	e.failures++
+	e.timelyConns, e.reason, e.onProbation, e.doubtedSince, e.suspectAt = 0, reason, true, 0, 0
+	s.setFaultState(e, reason)
+	e.connectsFail = isConnectFault(reason) && (was == Healthy || was == Untried || e.connectsFail)
+	if e.unusable() && s.rank(e) > s.bestRank() {
+		for len(e.idle) > 0 {
+			s.closeConn(e.idle[len(e.idle)-1])
+		}
+	}
+	if e.state != was {
+		s.emit(Action{Kind: LogState, Addr: e.Addr, State: e.state, Reason: reason})
+		s.hastenRaces()
+	}
+	if !wasDown && s.allDown() {
+		s.maxUnproven = 1
+		s.nextDownTrial = s.now + s.jitter(s.settings.DownTrialInterval)
+	}
+	s.choosePrimary()
+}
+
+// isRepeatedFault reports whether a fault tells nothing new of an address in this state. A suspect address goes down by a
+// failed connect.
+func isRepeatedFault(state State, reason Reason) bool {
+	return state == Suspect && reason != ReasonRefused && reason != ReasonTimedOut || state == Down || state == WrongNode
+}
+
+// setFaultState sets the state and the backoff after a fault.
+func (s *Selector) setFaultState(e *entry, reason Reason) {
+	switch was := e.state; {
+	case reason == ReasonNoFamily:
+		e.state, e.backoffUntil = Unsupported, s.now+s.jitter(s.settings.UnsupportedBackoff)
+	case reason == ReasonWrongNode:
+		e.state, e.backoffUntil = WrongNode, s.now+s.backoff(s.settings.WrongNodeBackoff, e.failures)
+	case was == WrongNode || reason == ReasonRejecting && was == Suspect:
+		e.backoffUntil = s.now + s.backoff(s.settings.WrongNodeBackoff, e.failures)
+	case reason == ReasonRefused || reason == ReasonTimedOut || was == Suspect || was == Down:
+		e.state, e.backoffUntil = Down, s.now+s.backoff(s.settings.Backoff, e.failures)
+	default:
+		e.state, e.backoffUntil = Suspect, s.now+s.backoff(s.settings.Backoff, e.failures)
+	}
+}
+
+// servesNothing reports whether a healthy address has served nothing for longer than a node that is only full would take, while
+// another healthy address can be used.
+func (s *Selector) servesNothing(e *entry) bool {
+	span := min(s.settings.RejectionWindow, max(2*minGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
+	return s.now-e.lastServed >= span && s.rank(e) == rankGood && s.hasAlternative(e)
+}
+
+// jitter takes a random part off a duration, of at most the share that the settings give.
+func (s *Selector) jitter(d time.Duration) time.Duration {
+	return d - time.Duration(s.settings.Jitter*s.rng.Float64()*float64(d))
+}
+
+// backoff is the backoff after a number of failures in a row, with jitter.
+func (s *Selector) backoff(first time.Duration, failures int) time.Duration {
+	d := first
+	for range min(failures, maxBackoffSteps) - 1 {
+		d = min(2*d, max(first, s.settings.MaxBackoff))
+	}
+	return s.jitter(d)
+}
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -241,7 +241,7 @@
 // sum is what of a state matters to what may follow: times count from now.
 func (r *harness) sum() string {
 	b := r.selector
-	s := fmt.Sprint(r.draining, len(b.waiting), b.maxUnproven, int(b.tokens*4), b.Primary(), len(b.races), b.earliestReturn > r.now, b.nextDownTrial > r.now)
+	s := fmt.Sprint(r.draining, len(b.waiting), b.maxUnproven, int(b.connectTokens*4), b.Primary(), len(b.races), b.earliestReturn > r.now, b.nextDownTrial > r.now)
 	for _, e := range b.entries {
 		s += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.connectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > r.now, e.trialConn != nil)
 	}
--- a/internal/address/outcomes.go
+++ b/internal/address/outcomes.go
@@ -16,7 +16,7 @@
 }
 
 // dropRequest removes a request that its owner has given up. If it was written, its connection is closed. A trial
-// that ends this way before it showed anything may be repeated after TrialInterval.
+// that ends this way without a result may be repeated after TrialInterval.
 func (s *Selector) dropRequest(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy || c.req != e.Req {
@@ -43,7 +43,7 @@
 	}
 	s.recordConnectTime(s.now - c.since)
 	if r := c.race; r != nil {
-		if !c.trial && c.entry.unusable() && s.rank(c.entry) > s.bestRank() { // the address was blamed while it connected
+		if !c.trial && c.entry.unusable() && s.rank(c.entry) > s.bestRank() { // the address had a fault while it connected
 			s.closeConn(c)
 			r.connecting--
 			r.nextConnect = s.now
@@ -53,10 +53,10 @@
 		c.anyRequest = c.trial // the race had no other address left, so any request may use it
 		for i := range s.conns {
 			if o := &s.conns[i]; o.phase == connecting && o.race == r {
-				slow, trial, outrun := o.entry, o.trial, o.since < c.since
+				slower, trial, overtaken := o.entry, o.trial, o.since < c.since
 				s.closeConn(o)
-				if outrun {
-					s.recordFault(slow, ReasonOvertaken, trial)
+				if overtaken {
+					s.recordFault(slower, ReasonOvertaken, trial)
 				}
 			}
 		}
@@ -66,7 +66,7 @@
 	s.makeIdle(c)
 }
 
-// connectFailed handles a connect that did not come up. A lack of local resources is not blamed on the address.
+// connectFailed handles a connect that did not come up. A lack of local resources is no fault of the address.
 func (s *Selector) connectFailed(id Conn, reason Reason) {
 	c := s.connByID(id)
 	if c == nil || c.phase != connecting {
@@ -87,14 +87,14 @@
 	}
 }
 
-// responseReceived handles a complete answer: it judges the address by it, and keeps or closes the connection.
+// responseReceived handles a complete response: it applies it to the address, and keeps or closes the connection.
 func (s *Selector) responseReceived(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
 		return
 	}
-	addressEntry, took := c.entry, s.now-c.since
-	unproven, trial, silenceCounted := c.unproven, c.trial, c.silenceCounted
+	addressEntry := c.entry
+	r := response{verdict: e.Verdict, took: s.now - c.since, namesShard: c.namesShard, first: c.unproven, trial: c.trial, silenceCounted: c.silenceCounted}
 	if c.unproven {
 		c.unproven = false
 		s.unprovenCount--
@@ -103,7 +103,7 @@
 	if addressEntry.trialConn == c {
 		addressEntry.trialConn = nil
 	}
-	s.recordResponse(addressEntry, took, e.Verdict, c.namesShard, unproven, trial, silenceCounted)
+	s.recordResponse(addressEntry, r)
 	switch {
 	case !e.KeepAlive:
 		s.releaseConn(c)
@@ -115,7 +115,7 @@
 }
 
 // connBroken handles a connection that ended with a request on it. A request of which nothing was written waits again, at
-// the head; otherwise its owner has been told of the failure.
+// the head; otherwise the driver has reported the failure to its owner.
 func (s *Selector) connBroken(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
@@ -130,7 +130,7 @@
 	if addressEntry.removed {
 		return
 	}
-	// A reused connection may break because the peer closed it as idle, so a single break blames nobody.
+	// A reused connection may break because the peer closed it as idle, so a single break is no fault.
 	if addressEntry.breaksInRow++; unproven || addressEntry.breaksInRow > 1 {
 		if e.Reason != ReasonUnwritten || unproven {
 			s.recordFault(addressEntry, ReasonReset, trial)
@@ -140,24 +140,54 @@
 	}
 }
 
-// setAddresses replaces the addresses. Those that remain keep their state; busy connections of those that went finish
-// their requests.
+// idleConnClosed removes an idle connection that ended.
+func (s *Selector) idleConnClosed(id Conn) {
+	if c := s.connByID(id); c != nil && c.phase == idle {
+		s.removeIdle(c)
+		s.releaseConn(c)
+	}
+}
+
+// progressSeen handles a sign of life on a connection whose request goes on.
+func (s *Selector) progressSeen(id Conn) {
+	c := s.connByID(id)
+	if c == nil || c.phase != busy {
+		return
+	}
+	c.since, c.silenceCounted = s.now, false
+	c.entry.lastResponse, c.entry.breaksInRow, c.entry.doubtedSince, c.entry.suspectAt = s.now, 0, 0, 0
+	s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+s.secondOpinionDelay())
+}
+
+// nodeRemoved closes all idle and connecting connections. Busy ones finish their requests.
+func (s *Selector) nodeRemoved() {
+	s.closing = true
+	s.stopConnecting()
+	for i := range s.conns {
+		if c := &s.conns[i]; c.phase == idle {
+			s.closeConn(c)
+		}
+	}
+}
+
+// setAddresses replaces the addresses. Those that remain keep their state; busy connections of removed ones finish their
+// requests.
 func (s *Selector) setAddresses(addrs []Addr) {
-	held := map[Addr]*entry{}
+	old := map[Addr]*entry{}
 	for _, e := range s.entries {
-		held[e.Addr] = e
+		old[e.Addr] = e
 	}
 	next := make([]*entry, 0, len(addrs))
 	for _, i := range Interleave(addrs, s.settings.Preference) {
-		e := held[addrs[i]]
+		e := old[addrs[i]]
 		if e == nil {
 			e = &entry{Addr: addrs[i], lastResponse: math.MinInt64 / 2, lastConnect: math.MinInt64 / 2}
 		}
-		delete(held, addrs[i])
+		delete(old, addrs[i])
 		next = append(next, e)
 	}
 	s.entries = next
-	for _, e := range held {
+	for _, e := range old {
 		e.removed = true
 	}
 	for i := range s.conns { // in the order of the slots, so that the same events give the same actions
--- /dev/null
+++ b/internal/address/responses.go
@@ -0,0 +1,118 @@
+package address
+
+import "time"
+
+const usualResponseGain = 0.1 // weight of one response in the usual response time
+
+// response is a complete response, and what the connection was used for.
+type response struct {
+	verdict        Verdict
+	took           time.Duration
+	namesShard     bool // the request names a shard
+	first          bool // on its connection
+	trial          bool
+	silenceCounted bool // the silence before it was recorded as a fault
+}
+
+// servedShard reports whether the response shows that the address leads to the right node.
+func (r response) servedShard() bool { return r.verdict == VerdictServed && r.namesShard }
+
+// recordResponse applies a response to the state of its address.
+func (s *Selector) recordResponse(e *entry, r response) {
+	e.lastResponse, e.breaksInRow, e.doubtedSince, e.suspectAt = s.now, 0, 0, 0
+	s.endDoubts(e, s.now-r.took, r.took)
+	if e.removed || s.recordVerdict(e, r) {
+		return
+	}
+	if r.took >= s.silenceBound {
+		if r.trial && !r.silenceCounted {
+			s.recordFault(e, ReasonSlow, true)
+		}
+		s.updateUsualResponseTime(e, r.took)
+		return
+	}
+	s.updateUsualResponseTime(e, r.took)
+	if e.state == WrongNode && !r.servedShard() || r.verdict == VerdictRejected && (r.first || e.state != Healthy) {
+		if r.trial { // it responds, but this does not show that it serves
+			e.backoffUntil = s.now + s.jitter(s.settings.TrialInterval)
+		}
+		return
+	}
+	s.recordTimelyResponse(e, r.first, r.trial)
+}
+
+// recordVerdict applies the verdict of a response. It reports whether the verdict is a fault of the address.
+func (s *Selector) recordVerdict(e *entry, r response) (fault bool) {
+	switch {
+	case r.verdict == VerdictWrongNode:
+		s.recordFault(e, ReasonWrongNode, true)
+		return true
+	case r.servedShard():
+		e.rejectionsInRow, e.lastServed = 0, s.now
+		for _, o := range s.entries { // the node serves, so an address that rejects all leads elsewhere
+			if o != e && o.rejectionsInRow >= s.settings.MaxRejections && (o.state == Suspect || o.state == Down) {
+				s.recordFault(o, ReasonWrongNode, true)
+			}
+		}
+	case r.verdict == VerdictRejected && r.namesShard:
+		e.rejectionsInRow++
+		if r.trial && (e.state == WrongNode || e.reason == ReasonRejecting) {
+			s.recordFault(e, ReasonRejecting, true)
+			return true
+		}
+		if e.rejectionsInRow >= s.settings.MaxRejections && s.servesNothing(e) {
+			s.recordFault(e, ReasonRejecting, false)
+			return true
+		}
+	}
+	return false
+}
+
+// recordTimelyResponse applies a response that came in time and shows that the address serves.
+func (s *Selector) recordTimelyResponse(e *entry, first, trial bool) {
+	wasDown := s.allDown()
+	switch e.state {
+	case Suspect, Down, WrongNode, Unsupported:
+		if e.state != Suspect && !trial {
+			return // of an earlier connection: it is new ones that fail
+		}
+		e.state, e.connectsFail, e.onProbation = Healthy, false, true
+		s.emit(Action{Kind: LogState, Addr: e.Addr, State: Healthy})
+	case Untried:
+		e.state = Healthy
+	}
+	if first {
+		e.timelyConns = min(e.timelyConns+1, s.settings.MinReturnConns)
+	}
+	if e.backoffUntil = s.now + s.jitter(s.settings.TrialInterval); e.timelyConns >= s.settings.MinReturnConns {
+		e.onProbation, e.failures = false, 0
+	}
+	if wasDown { // no other address could serve
+		e.onProbation = false
+	}
+	if s.maxUnproven < s.settings.MaxConns && first { // doubles with each round of first responses
+		s.maxUnproven++
+	}
+	s.choosePrimary()
+}
+
+// updateUsualResponseTime smooths the response time of an address and updates silenceBound. The bound follows the fastest
+// address, so that a slow one does not raise its own bound.
+func (s *Selector) updateUsualResponseTime(e *entry, took time.Duration) {
+	if e.usualResponseTime == 0 {
+		e.usualResponseTime = float64(took)
+	}
+	e.usualResponseTime += usualResponseGain * (float64(took) - e.usualResponseTime)
+	best, measured := 0.0, false
+	for _, o := range s.entries {
+		if o.usualResponseTime > 0 && (!measured || o.usualResponseTime < best) {
+			best, measured = o.usualResponseTime, true
+		}
+	}
+	s.bestUsualResponseTime, s.usualResponseMeasured = best, measured
+	was := s.silenceBound
+	s.silenceBound = min(max(time.Duration(s.settings.SuspectLatencyFactor*best), s.settings.MinSuspectAfter), s.settings.MaxSuspectAfter)
+	if s.silenceBound < was {
+		s.nextSilenceCheck = 0
+	}
+}
--- a/internal/address/selector.go
+++ b/internal/address/selector.go
@@ -1,27 +1,25 @@
-// Package address decides by which of a storage node's addresses a request goes: which
-// connection it is written on, where the next one is opened, which address is tried again and
-// when. A Book is the state of one node. It opens no socket and reads no clock: events and the
-// time come in by Step, actions go out, and the driver around it does what they say.
+// Package address decides by which of a storage node's addresses a request goes: on which connection it is written, where
+// the next connection is opened, which address is tried again and when. A Selector is the state of one node. It has no
+// sockets and no clock: events and the time come in by Step, actions go out, and the driver around it carries them out.
 //
-// Invariants, as Check and the tests word them:
+// Invariants:
 //
-//  1. A request is written on one connection at most, and a connection carries one at most. Only
-//     a connection that the driver found ended before a byte was written gives its request back.
-//  2. Nothing is written and nothing connected while the node drains or has left the list;
-//     connections that come up then are closed.
-//  3. The connects started in any span are at most the burst and the rate times the span.
-//  4. While there is a better address, one that failed, is suspect or wrong has one connection
-//     under trial at most; while all are down the whole node has one.
-//  5. A connection of an address that went from the list carries nothing new, and what it
-//     carries is not cut.
-//  6. The primary goes back to a preferred address at most once in MinReturnDelay, and only after
-//     MinReturnConns connections on which an answer came in time.
-//  7. A preferred address that answers again becomes primary in the end, as long as work comes.
-//  8. What waits has a connect, a connection in use or a time that will wake it.
+//  1. A request is written on one connection at most, and a connection carries one at most. Only a connection that the
+//     driver found ended before a byte was written gives its request back.
+//  2. While the node drains, or after it has left the list, nothing is written and no connect starts. Connections that are
+//     established then are closed.
+//  3. The connects started in any duration are at most the burst plus the rate times the duration.
+//  4. While there is a better address, one that is down, suspect or leads to another node has one connection at most, for a
+//     trial. While all are down, the whole node has one.
+//  5. A connection of an address that was removed from the list carries no new request. The request on it is not cut off.
+//  6. The primary returns to a preferred address at most once in MinReturnDelay, and only after MinReturnConns connections
+//     whose first response came in time.
+//  7. A preferred address that responds again becomes the primary in the end, as long as requests come.
+//  8. While a request waits, a connect is under way, a connection is in use, or a timer is set.
 //
-// Source: RFC 8305 (Happy Eyeballs v2) sections 4 and 5 for the order and the stagger, RFC 6298
-// section 2 for the smoothed connect time, and the circuit breaker's half-open state for trials.
-// It sends no health calls, resolves no names and never repeats a request.
+// Source: RFC 8305 (Happy Eyeballs v2) sections 4 and 5 for the order and the stagger, RFC 6298 section 2 for the smoothed
+// connect time, and the circuit breaker's half-open state for trials. The package sends no health checks, resolves no names
+// and never repeats a request.
 package address
 
 import (
@@ -30,66 +28,92 @@
 	"time"
 )
 
+// waiter is a request that waits for a connection.
 type waiter struct {
-	req                    Req
-	idempotent, namesShard bool
+	req        Req
+	idempotent bool
+	namesShard bool
 }
 
-// Selector is the state of one node's addresses.
+// Selector is the state of one node's addresses. It must be used by one goroutine at a time.
 type Selector struct {
-	settings        Settings
-	rng             *rand.Rand
-	now             time.Duration
-	actions         []Action
+	settings  Settings
+	rng       *rand.Rand
+	now       time.Duration
+	actions   []Action // of the current step
+	newDemand bool     // in the current step, so that trials may start
+	draining  bool
+	closing   bool // the node has left the list
+
 	entries         []*entry // in the order of preference
-	primary         *entry
+	primary         *entry   // nil: there is no address
 	conns           []conn
-	freeSlots       []int
-	connCount       int // connections, including those that are connecting
-	connectingCount int // connections that are connecting
-	unprovenCount   int // connections without an answer yet
+	freeSlots       []int // of conns
+	connCount       int   // connections, including those that are connecting
+	connectingCount int
+	unprovenCount   int // connections without a response yet
 	maxUnproven     int // bound of unprovenCount
 	waiting         []waiter
 	races           []*race
-	freeRaces       []*race
-	draining        bool
-	closing         bool
-	newDemand       bool // a request came in this step
+	freeRaces       []*race // for reuse
+
+	connectTokens         float64 // connects that may start now
+	connectTokensFilledAt time.Duration
+	connectMeasured       bool    // a connect time was measured
+	connectMean           float64 // smoothed connect time, in nanoseconds
+	connectDeviation      float64 // its smoothed deviation, in nanoseconds
 
-	tokens         float64 // connects that may start now
-	tokensFilledAt time.Duration
+	usualResponseMeasured bool
+	bestUsualResponseTime float64       // of the fastest address, in nanoseconds
+	silenceBound          time.Duration // time without a sign of life after which an address is suspect
+	nextSilenceCheck      time.Duration // before it, no connection can have been silent for too long
 
-	connectMeasured               bool // a connect time was measured
-	connectMean, connectDeviation float64
-	bestUsualResponseTime         float64       // time of an answer by the best address, in nanoseconds
-	usualResponseMeasured         bool          // bestUsualResponseTime is set
-	silenceBound                  time.Duration // time without a sign of life after which an address is suspect
-	nextSilenceCheck              time.Duration // no connection can pass silenceBound before
-	nextDownTrial                 time.Duration // next trial while all addresses are down
-	earliestReturn                time.Duration // no return to a preferred address before
-	returnDelay                   time.Duration // from a change of the primary to a return
-	lastReturn                    time.Duration // time of the last return
-	nextReturnConnect             time.Duration // next connect that moves idle connections to the primary
-	nextSecondOpinion             time.Duration // next connect for a second opinion
+	nextDownTrial     time.Duration // next trial while all addresses are down
+	nextReturnConnect time.Duration // next connect that takes requests from idle connections back to the primary
+	nextSecondOpinion time.Duration // next connect for a second opinion
+	earliestReturn    time.Duration // of the primary to a preferred address
+	returnDelay       time.Duration // from a change of the primary to a return
+	lastReturn        time.Duration
 }
 
-// New returns the book of a node with no address yet. An error names the setting at fault.
+// New returns the state of a node without an address. An error is a *SettingError.
 func New(settings Settings, seed uint64) (*Selector, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	s := &Selector{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x61646472657373)), conns: make([]conn, settings.MaxConns),
-		nextSilenceCheck: never, maxUnproven: settings.MaxConns, tokens: float64(settings.ConnectBurst), silenceBound: settings.MinSuspectAfter, returnDelay: settings.MinReturnDelay,
-		lastReturn: math.MinInt64 / 2, waiting: make([]waiter, 0, 16)}
+	s := &Selector{
+		settings:         settings,
+		rng:              rand.New(rand.NewPCG(seed, 0x61646472657373)),
+		conns:            make([]conn, settings.MaxConns),
+		maxUnproven:      settings.MaxConns,
+		waiting:          make([]waiter, 0, 16),
+		connectTokens:    float64(settings.ConnectBurst),
+		silenceBound:     settings.MinSuspectAfter,
+		nextSilenceCheck: never,
+		returnDelay:      settings.MinReturnDelay,
+		lastReturn:       math.MinInt64 / 2,
+	}
 	for i := settings.MaxConns - 1; i >= 0; i-- {
 		s.freeSlots = append(s.freeSlots, i)
 	}
 	return s, nil
 }
 
-// Step applies one event that came at now and appends the actions it leads to.
+// Step applies one event that happened at now, and appends the actions that follow from it.
 func (s *Selector) Step(now time.Duration, e Event, actions []Action) []Action {
 	s.now, s.actions, s.newDemand = max(s.now, now), actions, false
+	s.apply(e)
+	s.applyTime()
+	s.assignWaiting()
+	if s.newDemand && !s.draining && !s.closing && s.primary != nil {
+		s.startTrials()
+	}
+	out := s.actions
+	s.actions = nil
+	return out
+}
+
+func (s *Selector) apply(e Event) {
 	switch e.Kind {
 	case RequestQueued:
 		s.enqueue(e)
@@ -104,49 +128,28 @@
 	case ConnBroken:
 		s.connBroken(e)
 	case IdleConnClosed:
-		if c := s.connByID(e.Conn); c != nil && c.phase == idle {
-			s.removeIdle(c)
-			s.releaseConn(c)
-		}
+		s.idleConnClosed(e.Conn)
 	case DrainChanged:
-		if s.draining = e.Draining; e.Draining {
+		s.draining = e.Draining
+		if s.draining {
 			s.stopConnecting()
 		}
 	case NodeRemoved:
-		s.closing = true
-		s.stopConnecting()
-		for i := range s.conns {
-			if c := &s.conns[i]; c.phase == idle {
-				s.closeConn(c)
-			}
-		}
+		s.nodeRemoved()
 	case DemandContinued:
 		s.newDemand = true
 	case ProgressSeen:
-		if c := s.connByID(e.Conn); c != nil && c.phase == busy {
-			c.since, c.silenceCounted = s.now, false
-			c.entry.lastResponse, c.entry.breaksInRow, c.entry.doubtedSince, c.entry.suspectAt = s.now, 0, 0, 0
-			s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+s.secondOpinionDelay())
-		}
+		s.progressSeen(e.Conn)
 	case AddressesChanged:
 		s.setAddresses(e.Addrs)
 	}
-	s.applyTime()
-	s.assignWaiting()
-	if s.newDemand && !s.draining && !s.closing && s.primary != nil {
-		s.startTrials()
-	}
-	out := s.actions
-	s.actions = nil
-	return out
 }
 
-// Adjust replaces the settings, which must pass Check, except the numbers of connections and of requests. Decisions
-// from now on follow the new settings.
+// Adjust replaces the settings, which must pass Check. The bounds of connections and of waiting requests stay.
 func (s *Selector) Adjust(settings Settings) {
 	settings.MaxConns, settings.MaxWaiting = s.settings.MaxConns, s.settings.MaxWaiting
 	s.settings = settings
-	s.tokens = min(s.tokens, float64(settings.ConnectBurst))
+	s.connectTokens = min(s.connectTokens, float64(settings.ConnectBurst))
 	s.silenceBound = min(max(s.silenceBound, settings.MinSuspectAfter), settings.MaxSuspectAfter)
 	s.returnDelay = min(max(s.returnDelay, settings.MinReturnDelay), settings.MaxReturnDelay)
 	s.nextSilenceCheck = 0
@@ -155,19 +158,19 @@
 		addrs = append(addrs, e.Addr)
 		e.timelyConns = min(e.timelyConns, settings.MinReturnConns)
 	}
-	held := s.entries
-	s.entries = make([]*entry, 0, len(held))
+	old := s.entries
+	s.entries = make([]*entry, 0, len(old))
 	for _, i := range Interleave(addrs, settings.Preference) {
-		s.entries = append(s.entries, held[i])
+		s.entries = append(s.entries, old[i])
 	}
 }
 
 // emit appends an action to those of the current step.
 func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Next is the time of the next Tick, or a very late one where nothing depends on time.
+// Next is when a TimerFired is due, or the largest time.Duration if nothing depends on time.
 func (s *Selector) Next() time.Duration {
-	next := time.Duration(math.MaxInt64)
+	next := never
 	for _, r := range s.races {
 		next = min(next, r.nextConnect)
 	}
@@ -181,3 +184,22 @@
 	}
 	return next
 }
+
+// applyTime does what is due by time: silent connections, the next connects of races, and returns of the primary.
+func (s *Selector) applyTime() {
+	if s.now >= s.nextSilenceCheck {
+		s.checkSilence()
+	}
+	for i := 0; i < len(s.races); i++ {
+		r := s.races[i]
+		if r.connecting == 0 && r.nextConnect == never {
+			r.nextConnect = s.now // it waited for a connect that is over
+		}
+		n := len(s.races)
+		s.advance(r)
+		i -= n - len(s.races)
+	}
+	if s.primary != nil && s.now >= s.earliestReturn {
+		s.choosePrimary()
+	}
+}
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -5,47 +5,50 @@
 	"time"
 )
 
-// Settings steer a Book. The words in the errors are the keys of the file that gives them.
+// Settings are those of a Selector. Errors name the keys of the file from which they are read.
 type Settings struct {
-	Preference []Kind // families, the most wanted first
+	Preference []Kind // families, the most preferred first
 
-	// Of a race, after RFC 8305 section 5.
-	Delay    time.Duration // between connects before any was measured
+	// Staggered connects of a race (RFC 8305 section 5).
+	Delay    time.Duration // from one connect to the next while no connect time is known
 	MinDelay time.Duration
 	MaxDelay time.Duration
 
-	Backoff            time.Duration // of the first failure; doubled at each further one
+	// Backoff of addresses with faults.
+	Backoff            time.Duration // after the first failure; it doubles with each further one
 	MaxBackoff         time.Duration
-	Jitter             float64       // share of a back-off that is drawn, 0 to 1
-	WrongNodeBackoff   time.Duration // first back-off of an address that leads to another node
-	UnsupportedBackoff time.Duration // ... of one whose family this machine lacks
-	DownTrialInterval  time.Duration // between walks over the addresses while all are down
+	Jitter             float64       // random share of a backoff, from 0 to 1
+	WrongNodeBackoff   time.Duration // the first of an address that leads to another node
+	UnsupportedBackoff time.Duration // of an address whose family this machine lacks
+	DownTrialInterval  time.Duration // between races or trials while all addresses are down
 
-	MinSuspectAfter      time.Duration // a request may be unanswered this long before its address is suspect
+	// Silence. The bound is SuspectLatencyFactor times the usual response time, within MinSuspectAfter and MaxSuspectAfter.
+	MinSuspectAfter      time.Duration
 	MaxSuspectAfter      time.Duration
-	SuspectLatencyFactor float64 // ... and this multiple of the usual answer, between the two
-	// SecondOpinionAfter, and that multiple, is the silence after which one request goes by another
-	// address: if that answers while this one stays silent, it is not the node that pauses.
+	SuspectLatencyFactor float64
+	// SecondOpinionAfter is the silence, or SuspectLatencyFactor times the usual response time if that is longer, after which
+	// one request goes by another address. If that responds while this one stays silent, the node does not pause.
 	SecondOpinionAfter time.Duration
 
-	TrialInterval time.Duration // between trials of an address that shows itself good again
-	TrialPatience time.Duration // after which a trial takes also work that must not be repeated
+	TrialInterval time.Duration // between trials of an address that responds again
+	TrialPatience time.Duration // after which a trial connection also carries requests that are not idempotent
 
-	MinReturnConns int           // good connections before a preferred address is primary again
-	MinReturnDelay time.Duration // least time from any change of the primary to such a return
-	MaxReturnDelay time.Duration // ... which doubles to this while returns do not last
+	MinReturnConns int           // timely connections until a preferred address is the primary again
+	MinReturnDelay time.Duration // from any change of the primary to such a return
+	MaxReturnDelay time.Duration // the delay doubles up to this while returns do not last
 
-	MaxRejections   int           // requests turned away in a row ...
-	RejectionWindow time.Duration // ... and none served for some answers' time, at most this, make an address suspect
+	// Rejections. MaxRejections in a row, and no request served within RejectionWindow, make an address suspect.
+	MaxRejections   int
+	RejectionWindow time.Duration
 
-	ConnectRate  float64 // connects started a second
-	ConnectBurst int     // ... and at once
+	ConnectRate  float64 // connects a second
+	ConnectBurst int     // connects at once
 
-	MaxConns   int // connections, with those coming up
+	MaxConns   int // connections, including those that are connecting
 	MaxWaiting int // requests that wait
 }
 
-// Defaults are the settings that a file need not name.
+// Defaults are the settings used where the file gives none.
 func Defaults() Settings {
 	return Settings{
 		Preference: []Kind{Unix, IPv6, IPv4},
@@ -67,8 +70,18 @@
 	rfcMaxDelay = 2 * time.Second
 )
 
-// Check names the first key that is out of bounds.
+// Check returns a *SettingError for the first setting that is out of its bounds.
 func (s *Settings) Check() error {
+	if err := s.checkPreference(); err != nil {
+		return err
+	}
+	if err := s.checkDurations(); err != nil {
+		return err
+	}
+	return s.checkNumbers()
+}
+
+func (s *Settings) checkPreference() error {
 	seen := [kindCount]bool{}
 	if len(s.Preference) == 0 {
 		return &SettingError{"preference", "names no family"}
@@ -79,10 +92,14 @@
 		}
 		seen[k] = true
 	}
+	return nil
+}
+
+func (s *Settings) checkDurations() error {
 	for _, x := range []struct {
-		key         string
-		is          time.Duration
-		least, most time.Duration
+		key      string
+		value    time.Duration
+		min, max time.Duration
 	}{
 		{"delay_least_ms", s.MinDelay, rfcMinDelay, rfcMaxDelay},
 		{"delay_most_ms", s.MaxDelay, s.MinDelay, rfcMaxDelay},
@@ -101,21 +118,25 @@
 		{"return_most_ms", s.MaxReturnDelay, s.MinReturnDelay, 24 * time.Hour},
 		{"wrong_span_ms", s.RejectionWindow, 0, time.Hour},
 	} {
-		if x.is < x.least || x.is > x.most {
-			return &SettingError{x.key, fmt.Sprintf("%d is not from %d to %d", x.is.Milliseconds(), x.least.Milliseconds(), x.most.Milliseconds())}
+		if x.value < x.min || x.value > x.max {
+			return &SettingError{x.key, fmt.Sprintf("%d is not from %d to %d", x.value.Milliseconds(), x.min.Milliseconds(), x.max.Milliseconds())}
 		}
 	}
+	return nil
+}
+
+func (s *Settings) checkNumbers() error {
 	for _, x := range []struct {
 		key             string
-		is, least, most float64
+		value, min, max float64
 	}{
 		{"jitter", s.Jitter, 0, 1}, {"suspect_times", s.SuspectLatencyFactor, 1, 1000},
 		{"return_after", float64(s.MinReturnConns), 1, 1000}, {"wrong_after", float64(s.MaxRejections), 1, 1000},
 		{"connects_per_second", s.ConnectRate, 0.1, 1e6}, {"connects_at_once", float64(s.ConnectBurst), 1, 1e6},
 		{"connections", float64(s.MaxConns), 2, 4096}, {"requests", float64(s.MaxWaiting), 1, 1 << 20},
 	} {
-		if !(x.is >= x.least && x.is <= x.most) {
-			return &SettingError{x.key, fmt.Sprintf("%v is not from %v to %v", x.is, x.least, x.most)}
+		if !(x.value >= x.min && x.value <= x.max) {
+			return &SettingError{x.key, fmt.Sprintf("%v is not from %v to %v", x.value, x.min, x.max)}
 		}
 	}
 	return nil
