--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -8,7 +8,7 @@
 )
 
 // ErrUnknownNode says that an id was never listed: the call is owed a no, and nothing changes.
-var ErrUnknownNode = exclusion.ErrUnknown
+var ErrUnknownNode = exclusion.ErrUnknownNode
 
 // UnknownPathError is a path that the endpoint does not have.
 type UnknownPathError struct{ Path string }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -111,7 +111,7 @@
 		}
 		texts = append(texts, x.Str)
 	}
-	list, errs := address.List(texts)
+	list, errs := address.ParseList(texts)
 	invalid = append(invalid, errs...)
 	if single.Type == gjson.String {
 		if a, err := address.Parse(single.Str); err != nil {
