--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -241,7 +241,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.listIndex != 0 {
-		state.SetList(now, f.listIndex)
+		state.SetListVersion(now, f.listIndex)
 	}
 	f.lists = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
@@ -251,7 +251,7 @@
 		if at, ok := f.reported[id]; ok && at.StartTime >= int64(n.StartTime) {
 			health.Window, health.Queue = at.Window, at.Queue
 		}
-		state.SetNode(now, n.ID, int64(n.StartTime), health)
+		state.SetNodeHealth(now, n.ID, int64(n.StartTime), health)
 	}
 }
 
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/start_test.go
@@ -198,13 +198,13 @@
 	for old.snapshot() == nil {
 		runtime.Gosched()
 	}
-	if len(old.give()(gossip.Snapshot)) > 0 {
+	if len(old.give()(gossip.LearnedSnapshot)) > 0 {
 		t.Error("handed over while it starts")
 	}
 	old.finished.Store(true)
 	join("old", old)
 	liar, err := gossip.Start(gossip.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Interval: 20 * time.Millisecond, Burst: 8,
-		State: nodestats.Defaults(), Log: log, MakeSnapshot: func(gossip.Kind) []byte { return []byte("wslearn\x01 but torn") }})
+		State: nodestats.Defaults(), Log: log, MakeSnapshot: func(gossip.SnapshotKind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,8 +251,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetNode(0, first, 6, nodestats.Health{})
-	s.SetNode(0, last, 5, nodestats.Health{})
+	s.SetNodeHealth(0, first, 6, nodestats.Health{})
+	s.SetNodeHealth(0, last, 5, nodestats.Health{})
 	b, _, ahead := begun(t, set, log, node("a", 0), node("b", 1))
 	b.peersSaid(0, s)
 	if got := <-ahead; got != "connect "+last {
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startsnapshot.go
@@ -44,7 +44,7 @@
 	s.cancelAsk = cancel
 	go func() {
 		defer cancel()
-		others.peers.RequestSnapshot(ctx, gossip.Snapshot, s.takeSnapshot)
+		others.peers.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.takeSnapshot)
 	}()
 }
 
@@ -60,12 +60,12 @@
 
 // give answers a peer's request for a snapshot, once the start is over: before, this process knows less than
 // others. nil: the section is off.
-func (s *starter) give() func(gossip.Kind) []byte {
+func (s *starter) give() func(gossip.SnapshotKind) []byte {
 	if s == nil {
 		return nil
 	}
-	return func(kind gossip.Kind) []byte {
-		if kind != gossip.Snapshot || !s.Done() {
+	return func(kind gossip.SnapshotKind) []byte {
+		if kind != gossip.LearnedSnapshot || !s.Done() {
 			return nil
 		}
 		snap := s.snapshot()
--- a/internal/gossip/hand.go
+++ b/internal/gossip/hand.go
@@ -11,11 +11,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Kind is what one process hands over to another that starts.
-type Kind byte
+// SnapshotKind is what one process hands over to another that starts.
+type SnapshotKind byte
 
-// Snapshot is what was learned of the nodes, in the form of internal/coldstart/snapshot.
-const Snapshot Kind = 1
+// LearnedSnapshot is what was learned of the nodes, in the form of internal/coldstart/snapshot.
+const LearnedSnapshot SnapshotKind = 1
 
 const (
 	giveMost  = 256 << 10             // bytes of what is handed over
@@ -63,7 +63,7 @@
 // asked in a drawn order until one has something that take can use: take's error is counted and the next
 // is asked. What is handed over was made after it was asked for: its age is at most giveWait by this
 // process's clock. One Ask at a time.
-func (p *Cluster) RequestSnapshot(ctx context.Context, kind Kind, take func([]byte) error) bool {
+func (p *Cluster) RequestSnapshot(ctx context.Context, kind SnapshotKind, take func([]byte) error) bool {
 	defer p.hand.ask(0)
 	asked := map[string]bool{p.opt.Name: true}
 	for len(asked) <= giveTries {
@@ -121,7 +121,7 @@
 		p.hand.unusable.Add(1)
 		return
 	}
-	number, kind, name := m[:8], Kind(m[8]), string(m[wantHead:])
+	number, kind, name := m[:8], SnapshotKind(m[8]), string(m[wantHead:])
 	for _, to := range p.list.Members() {
 		if to.Name != name || name == p.opt.Name {
 			continue
--- a/internal/gossip/hand_test.go
+++ b/internal/gossip/hand_test.go
@@ -13,10 +13,10 @@
 // nothing, and one gives what cannot be used or is too long. What nobody asked for is dropped and counted.
 func TestHandOver(t *testing.T) {
 	good := bytes.Repeat([]byte("learned "), 20<<10) // 160 KiB: by a connection of its own
-	c := giving(t, 6, 0.1, func(i int) func(Kind) []byte {
-		return func(k Kind) []byte {
+	c := giving(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
+		return func(k SnapshotKind) []byte {
 			switch {
-			case k != Snapshot || i == 1:
+			case k != LearnedSnapshot || i == 1:
 				return nil
 			case i == 2:
 				return []byte("nonsense")
@@ -34,7 +34,7 @@
 			// Where all of them were asked in vain, as datagrams were lost, it waits for members to come: it is asked anew.
 			ctx, stop := context.WithTimeout(t.Context(), 6*giveWait)
 			defer stop()
-			return p.RequestSnapshot(ctx, Snapshot, func(b []byte) error {
+			return p.RequestSnapshot(ctx, LearnedSnapshot, func(b []byte) error {
 				if !bytes.Equal(b, good) {
 					return errors.New("not what it must be")
 				}
@@ -51,7 +51,7 @@
 	}
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
-	if p.RequestSnapshot(quick, Snapshot+1, func([]byte) error { return nil }) {
+	if p.RequestSnapshot(quick, LearnedSnapshot+1, func([]byte) error { return nil }) {
 		t.Error("of a kind that nobody has")
 	}
 	before := p.Counts()
@@ -69,12 +69,12 @@
 // Who asks often is told that there is nothing: what a process hands over costs it work.
 func TestHandsOverSoMuch(t *testing.T) {
 	let, made := make(chan bool), make(chan bool, 100)
-	c := giving(t, 2, 0, func(int) func(Kind) []byte {
-		return func(Kind) []byte { made <- true; <-let; return []byte("x") }
+	c := giving(t, 2, 0, func(int) func(SnapshotKind) []byte {
+		return func(SnapshotKind) []byte { made <- true; <-let; return []byte("x") }
 	})
 	p := c.peers[1]
 	await(t, "both know each other", func() bool { return p.Counts().Members == 2 && c.peers[0].Counts().Members == 2 })
-	m := append(binary.BigEndian.AppendUint64(nil, 5), byte(Snapshot))
+	m := append(binary.BigEndian.AppendUint64(nil, 5), byte(LearnedSnapshot))
 	for range 10 * givesMost {
 		c.peers[0].send(p.list.LocalNode(), tagWant, append(m, "p0"...))
 	}
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -102,7 +102,7 @@
 	w     *world
 	peers []*Cluster
 	seeds []string
-	give  func(i int) func(Kind) []byte
+	give  func(i int) func(SnapshotKind) []byte
 }
 
 func quiet() logrus.FieldLogger {
@@ -121,7 +121,7 @@
 }
 
 func (c *crowd) start(i int, incarnation uint64, f *faulty) *Cluster {
-	var give func(Kind) []byte
+	var give func(SnapshotKind) []byte
 	if c.give != nil {
 		give = c.give(i)
 	}
@@ -135,7 +135,7 @@
 
 func gather(t *testing.T, n int, share float64) *crowd { return giving(t, n, share, nil) }
 
-func giving(t *testing.T, n int, share float64, give func(i int) func(Kind) []byte) *crowd {
+func giving(t *testing.T, n int, share float64, give func(i int) func(SnapshotKind) []byte) *crowd {
 	c := &crowd{t: t, give: give, w: &world{rand: rand.New(rand.NewPCG(20261201, uint64(n))), share: share, half: map[string]int{}}}
 	var ways []*faulty
 	for i := range n {
@@ -179,7 +179,7 @@
 	d := digest(peers[0])
 	for _, p := range peers[1:] {
 		ok := false
-		p.WithState(func(now time.Duration, s *nodestats.State) { ok = s.Same(now, d) })
+		p.WithState(func(now time.Duration, s *nodestats.State) { ok = s.MatchesDigest(now, d) })
 		if !ok {
 			return false
 		}
@@ -192,7 +192,7 @@
 		for range each {
 			p.Observe(fmt.Sprint("n", r.IntN(30)), 1, fmt.Sprint("c", r.IntN(3)), r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
-		p.WithState(func(now time.Duration, s *nodestats.State) { s.SetList(now, int64(100+i)) })
+		p.WithState(func(now time.Duration, s *nodestats.State) { s.SetListVersion(now, int64(100+i)) })
 	}
 }
 
@@ -235,10 +235,10 @@
 			}
 		})
 	}
-	if !one.Same(0, digest(c.peers[0])) {
+	if !one.MatchesDigest(0, digest(c.peers[0])) {
 		t.Error("not the state of one merge of all")
 	}
-	if n := len(one.Lists(0)); n != 6 {
+	if n := len(one.ListVersions(0)); n != 6 {
 		t.Errorf("%d processes told their list's version", n)
 	}
 	w := c.w
@@ -301,7 +301,7 @@
 		return n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid >= 300 && n.State.LaterVersion > 0
 	})
 	same := false
-	c.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.Same(now, before) })
+	c.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.MatchesDigest(now, before) })
 	if !same {
 		t.Error("nonsense changed the state")
 	}
--- a/internal/nodestats/codec.go
+++ b/internal/nodestats/codec.go
@@ -303,8 +303,8 @@
 	return sender, all, nil
 }
 
-// Sender is the process that made a digest.
-func Sender(digest []byte) (string, error) {
+// DigestSender is the process that made a digest.
+func DigestSender(digest []byte) (string, error) {
 	s, _, err := decodeDigest(digest)
 	return s, err
 }
--- a/internal/nodestats/own.go
+++ b/internal/nodestats/own.go
@@ -168,9 +168,9 @@
 	return f
 }
 
-// SetNode is the list's word of a node, and this process's own view of it. A node that is told with another
+// SetNodeHealth is the list's word of a node, and this process's own view of it. A node that is told with another
 // since starts as unknown.
-func (s *State) SetNode(now time.Duration, node string, since int64, h Health) {
+func (s *State) SetNodeHealth(now time.Duration, node string, since int64, h Health) {
 	if !goodName(node) || h.Type != "" && !goodName(h.Type) || !finite(h.Window) || !finite(h.Queue) {
 		s.counts.Invalid++
 		return
@@ -196,8 +196,8 @@
 // near says that a load is what was told of it, within an eighth or half of one.
 func near(a, b float64) bool { return math.Abs(a-b) <= max(max(a, b)/8, 0.5) && (a == 0) == (b == 0) }
 
-// SetList tells which version of the list this process holds.
-func (s *State) SetList(now time.Duration, v int64) {
+// SetListVersion tells which version of the list this process holds.
+func (s *State) SetListVersion(now time.Duration, v int64) {
 	if !s.hasList || v != s.list || now-s.listAt > s.set.ExpireAfter/4 {
 		s.list, s.listAt, s.hasList, s.listDirty = v, now, true, true
 	}
--- a/internal/nodestats/sketch.go
+++ b/internal/nodestats/sketch.go
@@ -84,8 +84,8 @@
 	return v[0], true
 }
 
-// SketchOf makes a sketch of latencies, for tests of what reads views.
-func SketchOf(millis ...float64) []byte {
+// NewSketch makes a sketch of latencies, for tests of what reads views.
+func NewSketch(millis ...float64) []byte {
 	var counts [bins]float64
 	for _, m := range millis {
 		counts[bin(m)]++
--- a/internal/nodestats/state.go
+++ b/internal/nodestats/state.go
@@ -229,8 +229,8 @@
 	return out, nil
 }
 
-// Same says that the maker of a digest holds what this process holds, ages apart.
-func (s *State) Same(now time.Duration, digest []byte) bool {
+// MatchesDigest says that the maker of a digest holds what this process holds, ages apart.
+func (s *State) MatchesDigest(now time.Duration, digest []byte) bool {
 	_, theirs, err := decodeDigest(digest)
 	if err != nil {
 		return false
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -58,8 +58,8 @@
 		k := Key{fmt.Sprintf("n%d", r.IntN(5)), 1 + int64(r.IntN(2)), fmt.Sprintf("c%d", r.IntN(3))}
 		s.Recorder(now, k).Record(now, float64(r.IntN(64)), r.ExpFloat64()*20, Outcome(r.IntN(4)))
 	}
-	s.SetNode(now, fmt.Sprintf("n%d", r.IntN(5)), 1, Health{Type: "hdd", Shard: r.IntN(3), Window: float64(r.IntN(9))})
-	s.SetList(now, int64(r.IntN(4)))
+	s.SetNodeHealth(now, fmt.Sprintf("n%d", r.IntN(5)), 1, Health{Type: "hdd", Shard: r.IntN(3), Window: float64(r.IntN(9))})
+	s.SetListVersion(now, int64(r.IntN(4)))
 }
 
 // history is messages of several processes over some time, some of two lives: 6 names for a bound of 4.
@@ -288,7 +288,7 @@
 		old.Record(0, 1, 1, Served)
 		of.Record(0, 1, 1, Served)
 		feed(s, 0, all(t, p, 0)...)
-		s.SetNode(0, "n", 2, Health{Type: "ssd"})
+		s.SetNodeHealth(0, "n", 2, Health{Type: "ssd"})
 		old.Record(0, 1, 1, Served)
 		for _, v := range s.Views(0) {
 			n += v.Sums.N
@@ -368,7 +368,7 @@
 	p, q := state(t, small(), "p", 1, ""), state(t, small(), "q", 1, "")
 	cells := func(h Health) int64 {
 		before := q.Counts().NewCells
-		p.SetNode(0, "n", 1, h)
+		p.SetNodeHealth(0, "n", 1, h)
 		feed(q, 0, all(t, p, 0)...)
 		return q.Counts().NewCells - before
 	}
@@ -396,20 +396,20 @@
 	var messages [][]byte
 	for i := range 3 {
 		p := state(t, set, fmt.Sprint("p", i), 1, "")
-		p.SetList(0, 4)
+		p.SetListVersion(0, 4)
 		messages = append(messages, all(t, p, 0)...)
-		p.SetList(time.Second, int64(5+i))
+		p.SetListVersion(time.Second, int64(5+i))
 		messages = append(messages, all(t, p, time.Second)...)
 	}
 	slices.Reverse(messages)
 	feed(s, time.Second, messages...)
-	if got := fmt.Sprint(s.Lists(time.Second)); got != "[{p0 5 0s} {p1 6 0s} {p2 7 0s}]" {
+	if got := fmt.Sprint(s.ListVersions(time.Second)); got != "[{p0 5 0s} {p1 6 0s} {p2 7 0s}]" {
 		t.Error(got)
 	}
 	if got := s.ListSpread(time.Second, []string{"me", "p0", "p1", "p2", "p9"}); got != (ListSpread{5, 7, 3, 2}) {
 		t.Errorf("%+v", got)
 	}
-	s.SetList(time.Second, 6)
+	s.SetListVersion(time.Second, 6)
 	if got := s.ListSpread(time.Second, []string{"p1", "p2"}); got != (ListSpread{6, 7, 3, 2}) {
 		t.Errorf("without p0: %+v", got)
 	}
@@ -467,7 +467,7 @@
 		before, views := held(s), fmt.Sprint(s.Views(now))
 		for _, m := range [][]byte{m, seal(slices.Clone(m)), seal(append(begin(kindCells), m...)), seal(append(begin(kindDigest), m...))} {
 			if _, err := s.Diff(now, m); err == nil {
-				if _, err := Sender(m); err != nil {
+				if _, err := DigestSender(m); err != nil {
 					t.Error(err)
 				}
 			}
@@ -511,7 +511,7 @@
 					l.Record(0, float64(r.IntN(64)), r.ExpFloat64()*20, Served)
 				}
 			}
-			p.SetNode(0, fmt.Sprintf("n%d", n), 1, Health{})
+			p.SetNodeHealth(0, fmt.Sprintf("n%d", n), 1, Health{})
 		}
 		messages = append(messages, all(b, p, 0)...)
 	}
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -340,8 +340,8 @@
 	return all
 }
 
-// Lists are the versions of the node list that origins hold, by origin; this process's own too.
-func (s *State) Lists(now time.Duration) []ListVersion {
+// ListVersions are the versions of the node list that origins hold, by origin; this process's own too.
+func (s *State) ListVersions(now time.Duration) []ListVersion {
 	s.expire(now)
 	var out []ListVersion
 	for _, name := range s.names() {
--- a/internal/testkit/cluster/lies_test.go
+++ b/internal/testkit/cluster/lies_test.go
@@ -37,12 +37,12 @@
 			defer tick.Stop()
 			for {
 				now := time.Since(s.start)
-				mine.SetList(now, lieList)
+				mine.SetListVersion(now, lieList)
 				for j, n := range w.opt.Nodes {
 					w.mu.Lock()
 					since := w.since[j]
 					w.mu.Unlock()
-					mine.SetNode(now, n.Name, since, nodestats.Health{Shard: n.Shard, Window: 1000})
+					mine.SetNodeHealth(now, n.Name, since, nodestats.Health{Shard: n.Shard, Window: 1000})
 					for _, class := range []string{"read", "write"} {
 						for range 20 {
 							mine.Recorder(now, nodestats.Key{Node: n.Name, StartTime: since, Class: class}).Record(now, 1, millis, nodestats.Served)
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/peers_test.go
@@ -213,7 +213,7 @@
 			w.learn(a, "n0")
 			w.learn(b, "n1", "n2")
 			both := one(w.t, a.all(w.t), b.all(w.t))
-			if both.Same(0, a.holds["n0"]) || both.Same(0, b.holds["n1"]) {
+			if both.MatchesDigest(0, a.holds["n0"]) || both.MatchesDigest(0, b.holds["n1"]) {
 				w.t.Error("the halves were not apart")
 			}
 			a.close()
@@ -222,7 +222,7 @@
 			c := w.stranger("c", w.everyone()...)
 			w.learn(c, w.names()...)
 			for _, n := range w.names() {
-				if !both.Same(0, c.holds[n]) {
+				if !both.MatchesDigest(0, c.holds[n]) {
 					w.t.Errorf("%s does not hold one merge of both halves", n)
 				}
 			}
--- a/internal/testkit/cluster/stranger_test.go
+++ b/internal/testkit/cluster/stranger_test.go
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	if from, err := nodestats.Sender(m); err == nil {
+	if from, err := nodestats.DigestSender(m); err == nil {
 		s.holds[from] = m
 	}
 }
@@ -182,7 +182,7 @@
 			for _, d := range daemons {
 				held, ok := s.holds[d]
 				all = all && ok
-				same = same && ok && s.state.Same(time.Since(s.start), held)
+				same = same && ok && s.state.MatchesDigest(time.Since(s.start), held)
 			}
 			s.mu.Unlock()
 			if all {
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -123,7 +123,7 @@
 	a.state, err = nodestats.New(settings, name, 1)
 	for n := range w.nodes {
 		if err == nil {
-			a.state.SetNode(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
+			a.state.SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
 			a.slots = append(a.slots, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
 		}
 	}
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -95,7 +95,7 @@
 				return nil, err
 			}
 			for n := range nodeCount {
-				(*s).SetNode(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
+				(*s).SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
 				x.slots[n][i] = (*s).Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class})
 			}
 		}
