--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -66,7 +66,7 @@
 	State            nodestats.Settings
 	Seed             uint64
 	BeforeRound      func(now time.Duration, s *nodestats.State) // before each round, to say what else is known; may be nil
-	MakeSnapshot     func(SnapshotKind) []byte                           // what is handed over to one that asks; empty: nothing; may be nil
+	MakeSnapshot     func(SnapshotKind) []byte                   // what is handed over to one that asks; empty: nothing; may be nil
 	Log              logrus.FieldLogger
 	Transport        memberlist.NodeAwareTransport // tests: instead of the network
 	Since            func() time.Duration          // tests: the clock; nil: since Start
--- /dev/null
+++ b/internal/gossip/recorded_test.go
@@ -0,0 +1,220 @@
+package gossip
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"wheatsaddle/internal/nodestats"
+	_ "wheatsaddle/internal/testkit/recorded" // defines the flag -record
+)
+
+// recordedLinks are two processes that reach each other at once; each message that one sends is kept, by its kind.
+type recordedLinks struct {
+	members
+	nodes    []*memberlist.Node
+	clusters map[string]*Cluster
+	sent     map[string][][]byte
+}
+
+// recordedKinds name the kinds of messages by their first byte.
+var recordedKinds = map[byte]string{'a': "digest", 'b': "digest-reply", 'c': "cells", 'd': "snapshot-request", 'e': "snapshot-reply"}
+
+func (l *recordedLinks) Members() []*memberlist.Node {
+	return append([]*memberlist.Node(nil), l.nodes...)
+}
+
+func (l *recordedLinks) NumMembers() int { return len(l.nodes) }
+
+func (l *recordedLinks) SendBestEffort(to *memberlist.Node, b []byte) error {
+	if len(b) > 1300 {
+		return errors.New("too long for a datagram")
+	}
+	return l.SendReliable(to, b)
+}
+
+func (l *recordedLinks) SendReliable(to *memberlist.Node, b []byte) error {
+	kind, ok := recordedKinds[b[0]]
+	if !ok {
+		return fmt.Errorf("a message of an unknown kind %d", b[0])
+	}
+	l.sent[kind] = append(l.sent[kind], bytes.Clone(b))
+	if kind == "snapshot-reply" {
+		(*delegate)(l.clusters[to.Name]).NotifyMsg(b)
+	} else {
+		l.clusters[to.Name].message(b)
+	}
+	return nil
+}
+
+func newRecordedLinks(t *testing.T, names ...string) *recordedLinks {
+	l := &recordedLinks{clusters: map[string]*Cluster{}, sent: map[string][][]byte{}}
+	for i, name := range names {
+		l.add(t, i, name)
+	}
+	return l
+}
+
+func (l *recordedLinks) add(t *testing.T, i int, name string) *Cluster {
+	t.Helper()
+	state, err := nodestats.New(nodestats.Defaults(), name, uint64(7+i))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := newPeers(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: quiet(),
+		MakeSnapshot: func(kind SnapshotKind) []byte { return fmt.Appendf(nil, "snapshot of %s, kind %d", name, kind) }}, state, bufferSize)
+	p.list = l
+	l.clusters[name], l.nodes = p, append(l.nodes, &memberlist.Node{Name: name})
+	return p
+}
+
+// fill gives a process outcomes, health and a list version, from a seed.
+func fill(p *Cluster, seed uint64) {
+	r := rand.New(rand.NewPCG(seed, 12))
+	for range 600 {
+		p.Observe(fmt.Sprint("n", r.IntN(4)), 1700000000000, fmt.Sprint("c", r.IntN(2)), float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
+	}
+	p.WithState(func(now time.Duration, s *nodestats.State) {
+		for i := range 5 {
+			s.SetNodeHealth(now, fmt.Sprint("n", i), 1700000000000, nodestats.Health{Type: "hdd", Shard: i % 2, WarmingUp: i == 1, Window: 4 * r.Float64(), Queue: float64(i)})
+		}
+		s.SetListVersion(now, int64(40+seed))
+	})
+}
+
+// play has the two processes exchange each kind of message.
+func (l *recordedLinks) play(t *testing.T) {
+	a, b := l.clusters["a"], l.clusters["b"]
+	fill(a, 1)
+	fill(b, 2)
+	for range 2 {
+		a.round()
+		b.round()
+	}
+	if !a.RequestSnapshot(context.Background(), LearnedSnapshot, func(text []byte) error {
+		if string(text) != "snapshot of b, kind 1" {
+			t.Errorf("snapshot %q", text)
+		}
+		return nil
+	}) {
+		t.Error("no snapshot was received")
+	}
+	b.tasks.Wait()
+	if !same(a, b) {
+		t.Error("the two processes hold different states")
+	}
+}
+
+func readMessages(t *testing.T, kind string) (messages [][]byte) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "messages", kind+".hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Fields(string(text)) {
+		m, err := hex.DecodeString(line)
+		if err != nil {
+			t.Fatal(err)
+		}
+		messages = append(messages, m)
+	}
+	return messages
+}
+
+func writeMessages(t *testing.T, kind string, messages [][]byte) {
+	t.Helper()
+	var text strings.Builder
+	for _, m := range messages {
+		fmt.Fprintf(&text, "%x\n", m)
+	}
+	path := filepath.Join("testdata", "messages", kind+".hex")
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Messages of each kind are written as the bytes of the recording.
+func TestSentMessagesAreThoseOfTheRecording(t *testing.T) {
+	l := newRecordedLinks(t, "a", "b")
+	l.play(t)
+	record := flag.Lookup("record").Value.String() == "true"
+	for _, kind := range recordedKinds {
+		if len(l.sent[kind]) == 0 {
+			t.Errorf("no %s was sent", kind)
+		}
+		if record {
+			writeMessages(t, kind, l.sent[kind])
+			continue
+		}
+		want := readMessages(t, kind)
+		if len(want) != len(l.sent[kind]) {
+			t.Errorf("%d messages of kind %s, the recording has %d", len(l.sent[kind]), kind, len(want))
+			continue
+		}
+		for i, m := range l.sent[kind] {
+			if !bytes.Equal(m, want[i]) {
+				t.Errorf("%s %d: sent\n%x\nrecorded\n%x", kind, i, m, want[i])
+			}
+		}
+	}
+}
+
+// A process that knows nothing reads the recorded messages of each kind, and answers those that ask.
+func TestRecordedMessagesAreRead(t *testing.T) {
+	l := newRecordedLinks(t, "a", "b")
+	l.play(t)
+	c := l.add(t, 3, "c")
+	for _, m := range readMessages(t, "cells") {
+		c.asks, c.messages = 0, 0
+		c.message(m)
+	}
+	n := c.Counts()
+	if n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows > 0 || n.State.Messages != int64(len(readMessages(t, "cells"))) {
+		t.Errorf("cells: %+v", n)
+	}
+	if !same(l.clusters["a"], c) {
+		t.Error("the recorded cells do not make the state of their senders")
+	}
+	for kind, answers := range map[string]string{"digest": "digest-reply", "digest-reply": "", "snapshot-request": "snapshot-reply"} {
+		for i, m := range readMessages(t, kind) {
+			clear(l.sent)
+			c.asks, c.messages, c.wants = 0, 0, 0
+			c.message(m)
+			c.tasks.Wait()
+			if got := len(l.sent[answers]); answers != "" && got != 1 {
+				t.Errorf("%s %d: %d messages of kind %s", kind, i, got, answers)
+			}
+		}
+	}
+	for _, m := range readMessages(t, "snapshot-reply") {
+		answer := c.hand.ask(numberOf(m))
+		(*delegate)(c).NotifyMsg(m)
+		if got := string(<-answer); got != "snapshot of b, kind 1" {
+			t.Errorf("snapshot %q", got)
+		}
+	}
+	if n := c.Counts(); n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid > 1 {
+		t.Errorf("%+v", n)
+	}
+}
+
+func numberOf(reply []byte) (number uint64) {
+	for _, b := range reply[1:9] {
+		number = number<<8 | uint64(b)
+	}
+	return number
+}
