--- a/internal/nodestats/codec.go
+++ b/internal/nodestats/codec.go
@@ -11,22 +11,24 @@
 
 // A message is: "WO", version, kind, what the kind says, and a CRC-32C of all before it.
 const (
-	version     = 2 // 1 had one memory
-	kindCells   = 1 // origin, incarnation, then cells of it to the end
-	kindDigest  = 2 // sender, then origins with the hash of each bucket
-	headSize    = 4
-	crcSize     = 4
-	spread      = 16      // buckets of an origin's cells in a digest
-	countScale  = 64      // a bucket's count is told in such parts
-	versionMost = 1 << 62 // of an incarnation or sequence: one can always go over it
-	sumMost     = 1e36
+	formatVersion = 2 // 1 had one memory
+	kindCells     = 1 // origin, incarnation, then cells of it to the end
+	kindDigest    = 2 // sender, then origins with the hash of each bucket
+	headerSize    = 4
+	crcSize       = 4
+	digestBuckets = 16      // buckets of an origin's cells in a digest
+	countScale    = 64      // a bucket's count is told in such parts
+	maxSequence   = 1 << 62 // of an incarnation or sequence: one can always go over it
+	maxSum        = 1e36
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func begin(kind byte) []byte { return append(make([]byte, 0, bytesMin), 'W', 'O', version, kind) }
+func beginMessage(kind byte) []byte {
+	return append(make([]byte, 0, minMessageLimit), 'W', 'O', formatVersion, kind)
+}
 
-func seal(b []byte) []byte {
+func sealMessage(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
@@ -36,37 +38,37 @@
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(f))
 }
 
-// input reads a message; after the first thing that does not fit bad stays set and all reads are zero.
-type input struct {
-	b   []byte
-	bad string
+// decoder reads a message; after the first thing that does not fit bad stays set and all reads are zero.
+type decoder struct {
+	b       []byte
+	problem string
 }
 
-// open checks a message's frame.
-func open(m []byte, kind byte) (*input, error) {
+// openMessage checks a message's frame.
+func openMessage(m []byte, kind byte) (*decoder, error) {
 	switch {
-	case len(m) < headSize+crcSize || m[0] != 'W' || m[1] != 'O':
+	case len(m) < headerSize+crcSize || m[0] != 'W' || m[1] != 'O':
 		return nil, &DecodeError{"no frame"}
-	case m[2] > version:
-		return nil, &VersionError{m[2], version}
-	case m[2] != version || m[3] != kind:
+	case m[2] > formatVersion:
+		return nil, &VersionError{m[2], formatVersion}
+	case m[2] != formatVersion || m[3] != kind:
 		return nil, &DecodeError{"another kind"}
 	}
 	end := len(m) - crcSize
 	if binary.LittleEndian.Uint32(m[end:]) != crc32.Checksum(m[:end], castagnoli) {
 		return nil, &DecodeError{"cut or changed on the way"}
 	}
-	return &input{b: m[headSize:end]}, nil
+	return &decoder{b: m[headerSize:end]}, nil
 }
 
-func (r *input) fail(what string) {
-	if r.bad == "" {
-		r.bad = what
+func (r *decoder) fail(what string) {
+	if r.problem == "" {
+		r.problem = what
 	}
 	r.b = nil
 }
 
-func (r *input) take(n int) []byte {
+func (r *decoder) take(n int) []byte {
 	if n < 0 || n > len(r.b) {
 		r.fail("too short")
 		return nil
@@ -76,7 +78,7 @@
 	return b
 }
 
-func (r *input) uint(most uint64) uint64 {
+func (r *decoder) uint(most uint64) uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 || v > most {
 		r.fail("a number too large or cut")
@@ -86,7 +88,7 @@
 	return v
 }
 
-func (r *input) int() int64 {
+func (r *decoder) int() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
 		r.fail("a number too large or cut")
@@ -96,25 +98,25 @@
 	return v
 }
 
-func (r *input) byte() byte {
+func (r *decoder) byte() byte {
 	if b := r.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *input) name() string {
+func (r *decoder) name() string {
 	s := string(r.take(int(r.byte())))
-	if !goodName(s) && s != "" {
+	if !validName(s) && s != "" {
 		r.fail("a name that is none")
 	}
 	return s
 }
 
-func goodName(s string) bool { return s != "" && len(s) <= nameMost && utf8.ValidString(s) }
+func validName(s string) bool { return s != "" && len(s) <= maxNameBytes && utf8.ValidString(s) }
 
 // float is a finite number from 0 to most.
-func (r *input) float(most float64) float64 {
+func (r *decoder) float(most float64) float64 {
 	b := r.take(8)
 	if b == nil {
 		return 0
@@ -127,10 +129,10 @@
 	return f
 }
 
-func (f *figures) append(b []byte) []byte {
-	b = binary.AppendVarint(b, f.since)
-	for _, m := range [...]*memory{&f.long, &f.short} {
-		for _, v := range m.all() {
+func (f *classStats) append(b []byte) []byte {
+	b = binary.AppendVarint(b, f.startTime)
+	for _, m := range [...]*decayedCounts{&f.long, &f.short} {
+		for _, v := range m.fields() {
 			b = appendFloat(b, *v)
 		}
 	}
@@ -145,23 +147,23 @@
 	return b
 }
 
-// fits says that sums can be those of some observations, rounding apart.
-func (s Sums) fits() bool {
+// plausible says that sums can be those of some observations, rounding apart.
+func (s Sums) plausible() bool {
 	const slack = 1 + 1e-6
 	return s.X*s.X <= s.N*s.XX*slack && s.Y*s.Y <= s.N*s.YY*slack && s.XY*s.XY <= s.XX*s.YY*slack
 }
 
-func (r *input) figures(f *figures) {
-	*f = figures{since: r.int()}
-	for _, m := range [...]*memory{&f.long, &f.short} {
-		for _, v := range m.all() {
-			*v = r.float(sumMost)
+func (r *decoder) classStats(f *classStats) {
+	*f = classStats{startTime: r.int()}
+	for _, m := range [...]*decayedCounts{&f.long, &f.short} {
+		for _, v := range m.fields() {
+			*v = r.float(maxSum)
 		}
 	}
 	at, all := 0, 0.0
 	for first := true; len(r.b) > 0; first = false {
-		step := r.uint(bins - 1)
-		if step == 0 && !first || at+int(step) >= bins {
+		step := r.uint(numBins - 1)
+		if step == 0 && !first || at+int(step) >= numBins {
 			r.fail("buckets out of order")
 			return
 		}
@@ -169,12 +171,12 @@
 		f.bins[at] = float64(r.uint(1<<34)) / countScale
 		all += f.bins[at]
 	}
-	if !f.long.sums.fits() || !f.short.sums.fits() || !f.short.within(&f.long) || all > f.short.sums.N*1.01+2 {
+	if !f.long.sums.plausible() || !f.short.sums.plausible() || !f.short.isPartOf(&f.long) || all > f.short.sums.N*1.01+2 {
 		r.fail("sums that no observations have")
 	}
 }
 
-const loadMost = 1e9
+const maxLoad = 1e9
 
 func (h Health) append(b []byte, since int64) []byte {
 	b = binary.AppendVarint(b, since)
@@ -187,10 +189,10 @@
 	return appendFloat(appendFloat(append(b, cold), h.Window), h.Queue)
 }
 
-func (r *input) health() (since int64, h Health) {
+func (r *decoder) health() (since int64, h Health) {
 	since = r.int()
 	h = Health{Type: r.name(), Shard: int(r.int()), WarmingUp: r.byte() != 0}
-	h.Window, h.Queue = r.float(loadMost), r.float(loadMost)
+	h.Window, h.Queue = r.float(maxLoad), r.float(maxLoad)
 	if len(r.b) > 0 {
 		r.fail("more than a node's health")
 	}
@@ -199,7 +201,7 @@
 
 // check says whether a cell's body is one.
 func (id cellID) check(body []byte) string {
-	r := &input{b: body}
+	r := &decoder{b: body}
 	switch {
 	case id.node == "" && id.class == "":
 		if r.int(); len(r.b) > 0 {
@@ -210,21 +212,21 @@
 	case id.class == "":
 		r.health()
 	default:
-		var f figures
-		r.figures(&f)
+		var f classStats
+		r.classStats(&f)
 	}
-	return r.bad
+	return r.problem
 }
 
-// told is one cell in a message.
-type told struct {
+// healthSetAt is one cell in a message.
+type wireCell struct {
 	id   cellID
 	seq  uint64
 	age  time.Duration
 	body []byte
 }
 
-func (t *told) append(b []byte) []byte {
+func (t *wireCell) append(b []byte) []byte {
 	b = binary.AppendUvarint(b, t.seq)
 	b = binary.AppendUvarint(b, uint64((max(t.age, 0)+time.Millisecond-1)/time.Millisecond))
 	b = appendName(appendName(b, t.id.node), t.id.class)
@@ -232,29 +234,29 @@
 }
 
 // decodeCells reads a whole message or nothing of it.
-func decodeCells(m []byte) (origin string, incarnation uint64, cells []told, err error) {
-	r, err := open(m, kindCells)
+func decodeCells(m []byte) (origin string, incarnation uint64, cells []wireCell, err error) {
+	r, err := openMessage(m, kindCells)
 	if err != nil {
 		return "", 0, nil, err
 	}
-	origin, incarnation = r.name(), r.uint(versionMost)
+	origin, incarnation = r.name(), r.uint(maxSequence)
 	if origin == "" {
 		r.fail("no origin")
 	}
 	for len(r.b) > 0 {
-		t := told{seq: r.uint(versionMost), age: time.Duration(r.uint(1<<40)) * time.Millisecond}
+		t := wireCell{seq: r.uint(maxSequence), age: time.Duration(r.uint(1<<40)) * time.Millisecond}
 		t.id = cellID{r.name(), r.name()}
-		t.body = r.take(int(r.uint(bytesMost)))
-		if r.bad == "" {
-			r.bad = t.id.check(t.body)
+		t.body = r.take(int(r.uint(maxMessageBytes)))
+		if r.problem == "" {
+			r.problem = t.id.check(t.body)
 		}
-		if r.bad != "" {
+		if r.problem != "" {
 			break
 		}
 		cells = append(cells, t)
 	}
-	if r.bad != "" {
-		return "", 0, nil, &DecodeError{r.bad}
+	if r.problem != "" {
+		return "", 0, nil, &DecodeError{r.problem}
 	}
 	for i := range cells {
 		cells[i].body = slices.Clone(cells[i].body) // the message is the caller's
@@ -262,13 +264,13 @@
 	return origin, incarnation, cells, nil
 }
 
-// summary is what a digest says of one origin.
-type summary struct {
+// originSummary is what a digest says of one origin.
+type originSummary struct {
 	incarnation uint64
-	buckets     [spread]uint32
+	buckets     [digestBuckets]uint32
 }
 
-func (s *summary) append(b []byte, name string) []byte {
+func (s *originSummary) append(b []byte, name string) []byte {
 	b = binary.AppendUvarint(appendName(b, name), s.incarnation)
 	for _, v := range s.buckets {
 		b = binary.LittleEndian.AppendUint32(b, v)
@@ -276,18 +278,18 @@
 	return b
 }
 
-func decodeDigest(m []byte) (sender string, all map[string]summary, err error) {
-	r, err := open(m, kindDigest)
+func decodeDigest(m []byte) (sender string, all map[string]originSummary, err error) {
+	r, err := openMessage(m, kindDigest)
 	if err != nil {
 		return "", nil, err
 	}
-	sender, all = r.name(), map[string]summary{}
+	sender, all = r.name(), map[string]originSummary{}
 	if sender == "" {
 		r.fail("no sender")
 	}
 	for len(r.b) > 0 {
-		name, s := r.name(), summary{incarnation: r.uint(versionMost)}
-		if b := r.take(4 * spread); b != nil {
+		name, s := r.name(), originSummary{incarnation: r.uint(maxSequence)}
+		if b := r.take(4 * digestBuckets); b != nil {
 			for i := range s.buckets {
 				s.buckets[i] = binary.LittleEndian.Uint32(b[4*i:])
 			}
@@ -297,8 +299,8 @@
 		}
 		all[name] = s
 	}
-	if r.bad != "" {
-		return "", nil, &DecodeError{r.bad}
+	if r.problem != "" {
+		return "", nil, &DecodeError{r.problem}
 	}
 	return sender, all, nil
 }
--- a/internal/nodestats/errors.go
+++ b/internal/nodestats/errors.go
@@ -28,7 +28,7 @@
 type NameError struct{ Name string }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("observations: name %q is empty or over %d bytes", e.Name, nameMost)
+	return fmt.Sprintf("observations: name %q is empty or over %d bytes", e.Name, maxNameBytes)
 }
 
 // Code is stable.
--- a/internal/nodestats/memory_test.go
+++ b/internal/nodestats/memory_test.go
@@ -46,7 +46,7 @@
 				p.Recorder(now, k).Record(now, 1+2*r.Float64(), truth*math.Exp(0.47*r.NormFloat64()-0.11), Served)
 			}
 			if (now/step)%10 == time.Duration(i) {
-				p.publish(now)
+				p.publishChanges(now)
 			}
 		}
 		if now == change+5*time.Second {
@@ -93,7 +93,7 @@
 				millis, o = of(now - 30*time.Second)
 			}
 			s.Recorder(now, Key{"n", 1, "c"}).Record(now, 1, millis, o)
-			s.publish(now)
+			s.publishChanges(now)
 		}
 		return s
 	}
@@ -125,7 +125,7 @@
 			now += time.Duration(r.ExpFloat64() * r.Float64() * float64(20*time.Second))
 			l.Record(now, r.Float64()*9, r.ExpFloat64()*20, Outcome(r.IntN(4)))
 			if r.IntN(4) == 0 {
-				s.publish(now)
+				s.publishChanges(now)
 			}
 		}
 		me := state(t, Defaults(), "me", 1, "")
@@ -135,9 +135,9 @@
 			}
 		}
 	})
-	f := figures{long: memory{sums: Sums{10, 10, 10, 10, 10, 10}}, short: memory{sums: Sums{11, 11, 11, 11, 11, 11}}}
+	f := classStats{long: decayedCounts{sums: Sums{10, 10, 10, 10, 10, 10}}, short: decayedCounts{sums: Sums{11, 11, 11, 11, 11, 11}}}
 	s := state(t, Defaults(), "me", 1, "")
-	if err := s.Merge(0, forge("p", 1, told{cellID{"n", "c"}, 1, 0, f.append(nil)})); err == nil || s.Counts().Unreadable != 1 {
+	if err := s.Merge(0, forge("p", 1, wireCell{cellID{"n", "c"}, 1, 0, f.append(nil)})); err == nil || s.Counts().Unreadable != 1 {
 		t.Error("a short memory of more than the long one was taken")
 	}
 }
--- a/internal/nodestats/sketch.go
+++ b/internal/nodestats/sketch.go
@@ -10,17 +10,17 @@
 // allocate; the library's mapping says which bucket a value is in, and its sketch is what a View
 // holds.
 const (
-	accuracy  = 0.05 // of a quantile, relative
-	bins      = 128
-	millisMin = 0.05 // the first bucket; the last is at about 18 s
-	millisMax = 1e7  // a longer time is not one
-	unitsMax  = 1e9
-	evenCount = 1e6
+	accuracy     = 0.05 // of a quantile, relative
+	numBins      = 128
+	minLatencyMs = 0.05 // the first bucket; the last is at about 18 s
+	maxLatencyMs = 1e7  // a longer time is not one
+	maxUnits     = 1e9
+	rankedCount  = 1e6
 )
 
 var (
-	buckets = mustMapping()
-	first   = buckets.Index(millisMin)
+	binMapping = mustMapping()
+	firstBin   = binMapping.Index(minLatencyMs)
 )
 
 func mustMapping() *mapping.LogarithmicMapping {
@@ -31,21 +31,21 @@
 	return m
 }
 
-func bin(millis float64) int {
-	if millis <= millisMin {
+func binOf(millis float64) int {
+	if millis <= minLatencyMs {
 		return 0
 	}
-	return min(max(buckets.Index(millis)-first, 0), bins-1)
+	return min(max(binMapping.Index(millis)-firstBin, 0), numBins-1)
 }
 
-func newStore() store.Store { return store.NewCollapsingLowestDenseStore(bins) }
+func newStore() store.Store { return store.NewCollapsingLowestDenseStore(numBins) }
 
 // sketchOf is the library's encoded sketch of bucket counts; nil: nothing was counted.
-func sketchOf(counts *[bins]float64) []byte {
-	s := ddsketch.NewDDSketchFromStoreProvider(buckets, newStore)
+func sketchOf(counts *[numBins]float64) []byte {
+	s := ddsketch.NewDDSketchFromStoreProvider(binMapping, newStore)
 	for i, n := range counts {
 		if n > 0 {
-			s.GetPositiveValueStore().AddWithCount(first+i, n)
+			s.GetPositiveValueStore().AddWithCount(firstBin+i, n)
 		}
 	}
 	if s.IsEmpty() {
@@ -63,12 +63,12 @@
 	if len(sketch) == 0 {
 		return nil, false
 	}
-	s, err := ddsketch.DecodeDDSketch(sketch, newStore, buckets)
+	s, err := ddsketch.DecodeDDSketch(sketch, newStore, binMapping)
 	if err != nil {
 		return nil, false
 	}
 	// The library ranks among count-1 others; decayed counts are often under 1.
-	if n := s.GetCount(); !(n > 0) || s.Reweight(evenCount/n) != nil {
+	if n := s.GetCount(); !(n > 0) || s.Reweight(rankedCount/n) != nil {
 		return nil, false
 	}
 	v, err := s.GetValuesAtQuantiles(qs)
@@ -86,9 +86,9 @@
 
 // NewSketch makes a sketch of latencies, for tests of what reads views.
 func NewSketch(millis ...float64) []byte {
-	var counts [bins]float64
+	var counts [numBins]float64
 	for _, m := range millis {
-		counts[bin(m)]++
+		counts[binOf(m)]++
 	}
 	return sketchOf(&counts)
 }
--- a/internal/nodestats/state.go
+++ b/internal/nodestats/state.go
@@ -20,26 +20,26 @@
 }
 
 type cell struct {
-	seq  uint64
-	born time.Duration // on this process's clock
-	body []byte
-	hash uint64 // of id, sequence and body
-	in   int    // bucket of a digest
+	seq       uint64
+	createdAt time.Duration // on this process's clock
+	body      []byte
+	hash      uint64 // of id, sequence and body
+	bucket    int    // bucket of a digest
 }
 
 func newCell(id cellID, seq uint64, born time.Duration, body []byte) *cell {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%q %q %d ", id.node, id.class, seq)
 	_, _ = h.Write(body)
-	return &cell{seq: seq, born: born, body: body, hash: h.Sum64(), in: id.bucket()}
+	return &cell{seq: seq, createdAt: born, body: body, hash: h.Sum64(), bucket: id.bucket()}
 }
 
 // origin is one process's record.
 type origin struct {
-	incarnation uint64
-	cells       map[cellID]*cell
-	floor       uint64 // no cell up to this sequence is taken any more: later ones have expired
-	heard       time.Duration
+	incarnation  uint64
+	cells        map[cellID]*cell
+	expiredSeq   uint64 // no cell up to this sequence is taken any more: later ones have expired
+	lastReceived time.Duration
 }
 
 // Counts are the figures of a state, from its start.
@@ -60,21 +60,21 @@
 // State is what is known, here and of others. It is not for more than one goroutine.
 type State struct {
 	Yield       func() // called between the pieces of long work; nil: it is done at once
-	set         Settings
+	settings    Settings
 	self        string
 	incarnation uint64
-	seq         uint64
-	own         map[string]*ownNode
-	ownOrder    []string
-	list        int64
-	listAt      time.Duration
+	lastSeq     uint64
+	localNodes  map[string]*localNode
+	localOrder  []string
+	listVersion int64
+	listSetAt   time.Duration
 	hasList     bool
 	listDirty   bool
-	mine        *origin // what was told of the own record
-	others      map[string]*origin
+	local       *origin // what was told of the own record
+	remote      map[string]*origin
 	counts      Counts
-	read        []figures // room for one key's origins
-	lost        string    // tests only: the rule that is left out
+	readBuffer  []classStats // room for one key's origins
+	lost        string       // tests only: the rule that is left out
 }
 
 // New makes an empty state of the process self. Of two lives of one process the later has the higher
@@ -83,14 +83,14 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	if !goodName(self) {
+	if !validName(self) {
 		return nil, &NameError{self}
 	}
-	return &State{set: set, self: self, incarnation: min(incarnation, versionMost-1), own: map[string]*ownNode{},
-		mine: &origin{cells: map[cellID]*cell{}}, others: map[string]*origin{}}, nil
+	return &State{settings: set, self: self, incarnation: min(incarnation, maxSequence-1), localNodes: map[string]*localNode{},
+		local: &origin{cells: map[cellID]*cell{}}, remote: map[string]*origin{}}, nil
 }
 
-func (s *State) pause() {
+func (s *State) yield() {
 	if s.Yield != nil {
 		s.Yield()
 	}
@@ -99,82 +99,82 @@
 // Counts are the figures now.
 func (s *State) Counts() Counts {
 	c := s.counts
-	c.Origins = int64(len(s.others))
-	for _, o := range s.others {
+	c.Origins = int64(len(s.remote))
+	for _, o := range s.remote {
 		c.StoredCells += int64(len(o.cells))
 	}
 	return c
 }
 
-// cellsMost is how many parts a record may have.
-func (s *State) cellsMost() int { return s.set.MaxNodes*(s.set.MaxClasses+1) + 1 }
+// maxCells is how many parts a record may have.
+func (s *State) maxCells() int { return s.settings.MaxNodes*(s.settings.MaxClasses+1) + 1 }
 
-// publish makes cells of what changed of the own record.
-func (s *State) publish(now time.Duration) {
-	s.forget(now)
-	s.mine.incarnation, s.mine.heard = s.incarnation, now
+// publishChanges makes cells of what changed of the own record.
+func (s *State) publishChanges(now time.Duration) {
+	s.expireLocal(now)
+	s.local.incarnation, s.local.lastReceived = s.incarnation, now
 	put := func(id cellID, body []byte) {
-		s.seq++
-		s.mine.cells[id] = newCell(id, s.seq, now, body)
+		s.lastSeq++
+		s.local.cells[id] = newCell(id, s.lastSeq, now, body)
 	}
 	if s.listDirty {
-		put(cellID{}, binary.AppendVarint(nil, s.list))
+		put(cellID{}, binary.AppendVarint(nil, s.listVersion))
 		s.listDirty = false
 	}
-	for _, name := range s.ownOrder {
-		n := s.own[name]
-		if n.dirty {
-			put(cellID{name, ""}, n.health.append(nil, n.since))
-			n.dirty = false
+	for _, name := range s.localOrder {
+		n := s.localNodes[name]
+		if n.healthChanged {
+			put(cellID{name, ""}, n.health.append(nil, n.startTime))
+			n.healthChanged = false
 		}
-		for _, l := range n.classes {
-			if l.dirty {
-				l.settle(now)
-				f := l.at(now)
+		for _, l := range n.recorders {
+			if l.changed {
+				l.resetIfChanged(now)
+				f := l.statsAt(now)
 				put(cellID{name, l.key.Class}, f.append(nil))
-				l.dirty = false
+				l.changed = false
 			}
 		}
 	}
-	s.expire(now)
+	s.expireCells(now)
 }
 
-// expire drops what is too old, and remembers up to which sequence, so that a late copy of something
+// expireCells drops what is too old, and remembers up to which sequence, so that a late copy of something
 // earlier is not taken for news.
-func (s *State) expire(now time.Duration) {
+func (s *State) expireCells(now time.Duration) {
 	drop := func(o *origin) {
 		for id, c := range o.cells {
-			if now-c.born >= s.set.ExpireAfter {
-				o.floor = max(o.floor, c.seq)
+			if now-c.createdAt >= s.settings.ExpireAfter {
+				o.expiredSeq = max(o.expiredSeq, c.seq)
 				delete(o.cells, id)
 			}
 		}
 	}
-	drop(s.mine)
-	s.trim(s.mine)
-	for name, o := range s.others {
+	drop(s.local)
+	s.evictOldest(s.local)
+	for name, o := range s.remote {
 		drop(o)
-		if len(o.cells) == 0 && now-o.heard >= 2*s.set.ExpireAfter {
-			delete(s.others, name)
+		if len(o.cells) == 0 && now-o.lastReceived >= 2*s.settings.ExpireAfter {
+			delete(s.remote, name)
 		}
 	}
 }
 
 // Digest is what is held, by origin, in one message.
 func (s *State) Digest(now time.Duration) []byte {
-	s.publish(now)
-	b := appendName(begin(kindDigest), s.self)
-	for _, name := range s.names() {
+	s.publishChanges(now)
+	b := appendName(beginMessage(kindDigest), s.self)
+	for _, name := range s.originNames() {
 		sum := s.origin(name).summary()
 		b = sum.append(b, name)
 	}
-	return seal(b)
+	return sealMessage(b)
 }
 
-// names are the origins held, this process too, in order.
-func (s *State) names() []string {
-	names := append(make([]string, 0, len(s.others)+1), s.self)
-	for name := range s.others {
+// originNames are the origins held, this process too, in order.
+func (s *State) originNames() []string {
+	names := append(make([]string, 0, len(s.remote)+1), s.self)
+	for name := range s.remote {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -183,19 +183,19 @@
 
 func (s *State) origin(name string) *origin {
 	if name == s.self {
-		return s.mine
+		return s.local
 	}
-	return s.others[name]
+	return s.remote[name]
 }
 
 func (id cellID) bucket() int {
-	return int((xxhash.Sum64String(id.node) + xxhash.Sum64String(id.class)) % spread)
+	return int((xxhash.Sum64String(id.node) + xxhash.Sum64String(id.class)) % digestBuckets)
 }
 
-func (o *origin) summary() summary {
-	sum := summary{incarnation: o.incarnation}
+func (o *origin) summary() originSummary {
+	sum := originSummary{incarnation: o.incarnation}
 	for _, c := range o.cells {
-		sum.buckets[c.in] ^= uint32(c.hash)
+		sum.buckets[c.bucket] ^= uint32(c.hash)
 	}
 	return sum
 }
@@ -205,12 +205,12 @@
 func (s *State) Diff(now time.Duration, digest []byte) ([][]byte, error) {
 	_, theirs, err := decodeDigest(digest)
 	if err != nil {
-		s.refuse(err)
+		s.countRejected(err)
 		return nil, err
 	}
-	s.publish(now)
+	s.publishChanges(now)
 	var out [][]byte
-	for _, name := range s.names() {
+	for _, name := range s.originNames() {
 		o := s.origin(name)
 		t, known := theirs[name]
 		if known && t.incarnation > o.incarnation {
@@ -219,12 +219,12 @@
 		ours, whole := o.summary(), !known || t.incarnation < o.incarnation
 		var ids []cellID
 		for id, c := range o.cells {
-			if whole || ours.buckets[c.in] != t.buckets[c.in] {
+			if whole || ours.buckets[c.bucket] != t.buckets[c.bucket] {
 				ids = append(ids, id)
 			}
 		}
-		out = append(out, o.pack(now, name, ids, s.set.MaxMessageBytes)...)
-		s.pause()
+		out = append(out, o.encodeCells(now, name, ids, s.settings.MaxMessageBytes)...)
+		s.yield()
 	}
 	return out, nil
 }
@@ -235,9 +235,9 @@
 	if err != nil {
 		return false
 	}
-	s.publish(now)
-	nothing := [spread]uint32{}
-	for _, name := range s.names() {
+	s.publishChanges(now)
+	nothing := [digestBuckets]uint32{}
+	for _, name := range s.originNames() {
 		t, known := theirs[name]
 		delete(theirs, name)
 		ours := s.origin(name).summary()
@@ -253,35 +253,35 @@
 	return true
 }
 
-// pack writes cells of one origin into messages.
-func (o *origin) pack(now time.Duration, name string, ids []cellID, most int) [][]byte {
-	slices.SortFunc(ids, func(a, b cellID) int { return -o.order(a, b) })
+// encodeCells writes cells of one origin into messages.
+func (o *origin) encodeCells(now time.Duration, name string, ids []cellID, most int) [][]byte {
+	slices.SortFunc(ids, func(a, b cellID) int { return -o.compareCells(a, b) })
 	var out [][]byte
 	var b, entry []byte
 	for _, id := range ids {
 		c := o.cells[id]
-		t := told{id: id, seq: c.seq, age: now - c.born, body: c.body}
+		t := wireCell{id: id, seq: c.seq, age: now - c.createdAt, body: c.body}
 		entry = t.append(entry[:0])
 		if b != nil && len(b)+len(entry)+crcSize > most {
-			out, b = append(out, seal(b)), nil
+			out, b = append(out, sealMessage(b)), nil
 		}
 		if b == nil {
-			b = binary.AppendUvarint(appendName(begin(kindCells), name), o.incarnation)
+			b = binary.AppendUvarint(appendName(beginMessage(kindCells), name), o.incarnation)
 		}
 		b = append(b, entry...)
 	}
 	if b != nil {
-		out = append(out, seal(b))
+		out = append(out, sealMessage(b))
 	}
 	return out
 }
 
-// order sorts a record's cells: by sequence, then by name.
-func (o *origin) order(a, b cellID) int {
+// compareCells sorts a record's cells: by sequence, then by name.
+func (o *origin) compareCells(a, b cellID) int {
 	return cmp.Or(cmp.Compare(o.cells[a].seq, o.cells[b].seq), a.compare(b))
 }
 
-func (s *State) refuse(err error) {
+func (s *State) countRejected(err error) {
 	if _, later := err.(*VersionError); later {
 		s.counts.LaterVersion++
 	} else {
@@ -292,25 +292,25 @@
 // Merge takes a message of Diff, in any order and as often as it comes. One that cannot be read changes nothing
 // but a count.
 func (s *State) Merge(now time.Duration, message []byte) error {
-	if len(message) > bytesMost {
+	if len(message) > maxMessageBytes {
 		err := &DecodeError{"too long"}
-		s.refuse(err)
+		s.countRejected(err)
 		return err
 	}
 	name, incarnation, cells, err := decodeCells(message)
 	if err != nil {
-		s.refuse(err)
+		s.countRejected(err)
 		return err
 	}
 	s.counts.Messages++
 	s.counts.Bytes += int64(len(message))
 	if name == s.self {
-		s.heardSelf(incarnation, cells)
+		s.mergeOwnName(incarnation, cells)
 		return nil
 	}
 	fresh := cells[:0]
 	for _, t := range cells {
-		if t.age >= s.set.ExpireAfter {
+		if t.age >= s.settings.ExpireAfter {
 			s.counts.ExpiredCells++
 			continue
 		}
@@ -319,7 +319,7 @@
 	if len(fresh) == 0 {
 		return nil
 	}
-	o := s.room(now, name, incarnation)
+	o := s.originFor(now, name, incarnation)
 	if o == nil {
 		s.counts.OverLimit++
 		return nil
@@ -331,24 +331,24 @@
 	case incarnation != o.incarnation:
 		*o = origin{incarnation: incarnation, cells: map[cellID]*cell{}}
 	}
-	o.heard = now
+	o.lastReceived = now
 	for _, t := range fresh {
-		s.take(o, &t, now)
+		s.mergeCell(o, &t, now)
 	}
-	s.trim(o)
+	s.evictOldest(o)
 	return nil
 }
 
-// take joins one cell: the higher sequence stays; of one sequence the greater body and the greater age.
-func (s *State) take(o *origin, t *told, now time.Duration) {
+// mergeCell joins one cell: the higher sequence stays; of one sequence the greater body and the greater age.
+func (s *State) mergeCell(o *origin, t *wireCell, now time.Duration) {
 	c := o.cells[t.id]
 	born := now - t.age
 	switch {
-	case c == nil && t.seq <= o.floor && s.lost != "floor", c != nil && t.seq < c.seq && s.lost != "sequence":
+	case c == nil && t.seq <= o.expiredSeq && s.lost != "floor", c != nil && t.seq < c.seq && s.lost != "sequence":
 		s.counts.OutdatedCells++
 	case c != nil && t.seq == c.seq && bytes.Compare(t.body, c.body) <= 0 && s.lost != "tie":
 		if bytes.Equal(t.body, c.body) {
-			c.born = min(c.born, born)
+			c.createdAt = min(c.createdAt, born)
 		}
 		s.counts.DuplicateCells++
 	default:
@@ -357,9 +357,9 @@
 	}
 }
 
-// trim keeps the newest cells of a record, as many as it may have.
-func (s *State) trim(o *origin) {
-	over := len(o.cells) - s.cellsMost()
+// evictOldest keeps the newest cells of a record, as many as it may have.
+func (s *State) evictOldest(o *origin) {
+	over := len(o.cells) - s.maxCells()
 	if over <= 0 || s.lost == "cells" {
 		return
 	}
@@ -367,58 +367,58 @@
 	for id := range o.cells {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, o.order)
+	slices.SortFunc(ids, o.compareCells)
 	for _, id := range ids[:over] {
 		delete(o.cells, id)
 	}
 	s.counts.OverLimit += int64(over)
 }
 
-// room finds an origin's record, or makes one. Of more origins than may be held those stay that come
+// originFor finds an origin's record, or makes one. Of more origins than may be held those stay that come
 // first in an order of their names alone: so the same ones stay in whatever order they come.
-func (s *State) room(now time.Duration, name string, incarnation uint64) *origin {
-	o := s.others[name]
+func (s *State) originFor(now time.Duration, name string, incarnation uint64) *origin {
+	o := s.remote[name]
 	if o != nil {
 		return o
 	}
-	if len(s.others) >= s.set.MaxOrigins {
-		s.expire(now)
+	if len(s.remote) >= s.settings.MaxOrigins {
+		s.expireCells(now)
 	}
-	if len(s.others) >= s.set.MaxOrigins && s.lost != "origins" {
+	if len(s.remote) >= s.settings.MaxOrigins && s.lost != "origins" {
 		last := name
-		for n := range s.others {
-			if rank(last, n) < 0 {
+		for n := range s.remote {
+			if compareRank(last, n) < 0 {
 				last = n
 			}
 		}
 		if last == name {
 			return nil
 		}
-		delete(s.others, last)
+		delete(s.remote, last)
 		s.counts.OverLimit++
 	}
-	o = &origin{incarnation: incarnation, cells: map[cellID]*cell{}, heard: now}
-	s.others[name] = o
+	o = &origin{incarnation: incarnation, cells: map[cellID]*cell{}, lastReceived: now}
+	s.remote[name] = o
 	return o
 }
 
-func rank(a, b string) int {
+func compareRank(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
 
-// heardSelf is this process's own name from others. Its earlier lives count as older; figures that it never
+// mergeOwnName is this process's own name from others. Its earlier lives count as older; figures that it never
 // told under a life it might have make it begin a later one, which every holder takes over them.
-func (s *State) heardSelf(incarnation uint64, cells []told) {
+func (s *State) mergeOwnName(incarnation uint64, cells []wireCell) {
 	foreign := incarnation > s.incarnation
 	for _, t := range cells {
-		foreign = foreign || incarnation == s.incarnation && t.seq > s.seq
+		foreign = foreign || incarnation == s.incarnation && t.seq > s.lastSeq
 	}
 	switch {
 	case !foreign && incarnation < s.incarnation:
 		s.counts.OutdatedCells += int64(len(cells))
 	case !foreign:
 		s.counts.DuplicateCells += int64(len(cells))
-	case incarnation >= versionMost || s.lost == "refute":
+	case incarnation >= maxSequence || s.lost == "refute":
 		s.counts.IdentityConflicts++
 	default:
 		s.counts.IdentityConflicts++
@@ -428,26 +428,26 @@
 
 // Check says which invariant does not hold.
 func (s *State) Check() error {
-	if len(s.others) > s.set.MaxOrigins || len(s.own) > s.set.MaxNodes || len(s.own) != len(s.ownOrder) {
-		return fmt.Errorf("%d origins, %d nodes", len(s.others), len(s.own))
+	if len(s.remote) > s.settings.MaxOrigins || len(s.localNodes) > s.settings.MaxNodes || len(s.localNodes) != len(s.localOrder) {
+		return fmt.Errorf("%d origins, %d nodes", len(s.remote), len(s.localNodes))
 	}
-	for _, name := range s.names() {
+	for _, name := range s.originNames() {
 		o := s.origin(name)
-		if len(o.cells) > s.cellsMost() {
+		if len(o.cells) > s.maxCells() {
 			return fmt.Errorf("%s has %d cells", name, len(o.cells))
 		}
 		for id, c := range o.cells {
 			if what := id.check(c.body); what != "" {
 				return fmt.Errorf("%s %v: %s", name, id, what)
 			}
-			if name == s.self && c.seq > s.seq {
-				return fmt.Errorf("own cell %v is of sequence %d, past %d", id, c.seq, s.seq)
+			if name == s.self && c.seq > s.lastSeq {
+				return fmt.Errorf("own cell %v is of sequence %d, past %d", id, c.seq, s.lastSeq)
 			}
 		}
 	}
-	for name, n := range s.own {
-		if len(n.classes) > s.set.MaxClasses {
-			return fmt.Errorf("%s has %d classes", name, len(n.classes))
+	for name, n := range s.localNodes {
+		if len(n.recorders) > s.settings.MaxClasses {
+			return fmt.Errorf("%s has %d classes", name, len(n.recorders))
 		}
 	}
 	return nil
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -36,9 +36,9 @@
 	return s
 }
 
-// all are the messages that hold the whole of a state.
+// fields are the messages that hold the whole of a state.
 func all(t rapid.TB, s *State, now time.Duration) [][]byte {
-	nobody := seal(appendName(begin(kindDigest), "nobody"))
+	nobody := sealMessage(appendName(beginMessage(kindDigest), "nobody"))
 	m, err := s.Diff(now, nobody)
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 // held is what a state holds of others, ages apart.
 func held(s *State) string {
 	var b bytes.Buffer
-	for _, name := range s.names() {
+	for _, name := range s.originNames() {
 		if o := s.origin(name); name != s.self {
 			sum := s.origin(name).summary()
 			fmt.Fprintln(&b, name, o.incarnation, len(o.cells), sum.buckets)
@@ -142,19 +142,19 @@
 }
 
 // forge makes a message of cells with given versions.
-func forge(name string, incarnation uint64, cells ...told) []byte {
-	b := binary.AppendUvarint(appendName(begin(kindCells), name), incarnation)
+func forge(name string, incarnation uint64, cells ...wireCell) []byte {
+	b := binary.AppendUvarint(appendName(beginMessage(kindCells), name), incarnation)
 	for _, c := range cells {
 		b = c.append(b)
 	}
-	return seal(b)
+	return sealMessage(b)
 }
 
 // oldOverNew gives old news after new: of an earlier life, of an earlier sequence, two bodies of one
 // sequence, and a late copy of something whose successor has expired.
 func oldOverNew(t rapid.TB, lost string) error {
 	figure := func(n float64) []byte {
-		f := figures{long: memory{sums: Sums{n, n, n, n, n, n}}}
+		f := classStats{long: decayedCounts{sums: Sums{n, n, n, n, n, n}}}
 		return f.append(nil)
 	}
 	id, set := cellID{"n", "c"}, small()
@@ -169,12 +169,12 @@
 		return 0
 	}
 	for what, c := range map[string]struct{ got, want float64 }{
-		"earlier life": {count(0, forge("p", 2, told{id, 1, 0, figure(10)}), forge("p", 1, told{id, 9, 0, figure(20)})), 10},
-		"earlier":      {count(0, forge("p", 1, told{id, 2, 0, figure(10)}), forge("p", 1, told{id, 1, 0, figure(20)})), 10},
-		"one sequence": {count(0, forge("p", 1, told{id, 1, 0, figure(20)}), forge("p", 1, told{id, 1, 0, figure(10)})), 20},
-		"expired":      {count(set.ExpireAfter, forge("p", 1, told{id, 2, 0, figure(10)}), forge("p", 1, told{id, 1, 0, figure(20)})), 0},
-		"too old":      {count(0, forge("p", 1, told{cellID{"m", ""}, 1, 0, Health{}.append(nil, 1)}), forge("q", 1, told{id, 1, set.ExpireAfter, figure(20)})), 0},
-		"later life":   {count(0, forge("p", 1, told{id, 9, 0, figure(10)}), forge("p", 2, told{id, 1, 0, figure(20)})), 20},
+		"earlier life": {count(0, forge("p", 2, wireCell{id, 1, 0, figure(10)}), forge("p", 1, wireCell{id, 9, 0, figure(20)})), 10},
+		"earlier":      {count(0, forge("p", 1, wireCell{id, 2, 0, figure(10)}), forge("p", 1, wireCell{id, 1, 0, figure(20)})), 10},
+		"one sequence": {count(0, forge("p", 1, wireCell{id, 1, 0, figure(20)}), forge("p", 1, wireCell{id, 1, 0, figure(10)})), 20},
+		"expired":      {count(set.ExpireAfter, forge("p", 1, wireCell{id, 2, 0, figure(10)}), forge("p", 1, wireCell{id, 1, 0, figure(20)})), 0},
+		"too old":      {count(0, forge("p", 1, wireCell{cellID{"m", ""}, 1, 0, Health{}.append(nil, 1)}), forge("q", 1, wireCell{id, 1, set.ExpireAfter, figure(20)})), 0},
+		"later life":   {count(0, forge("p", 1, wireCell{id, 9, 0, figure(10)}), forge("p", 2, wireCell{id, 1, 0, figure(20)})), 20},
 	} {
 		if c.got != c.want {
 			return fmt.Errorf("%s: %v, want %v", what, c.got, c.want)
@@ -219,7 +219,7 @@
 		scale := math.Pow(10, r.Float64()*10-3)
 		at := time.Duration(r.Int64N(int64(end)))
 		for range 1 + r.IntN(3000) {
-			slot.Record(at, r.Float64()*scale, min(r.Float64()*scale, millisMax), []Outcome{Served, Served, Failed}[r.IntN(3)])
+			slot.Record(at, r.Float64()*scale, min(r.Float64()*scale, maxLatencyMs), []Outcome{Served, Served, Failed}[r.IntN(3)])
 		}
 	}
 	feed(s, end, all(t, bad, end)...)
@@ -230,13 +230,13 @@
 	v := views[0]
 	p99, _ := Quantile(v.Sketch, 0.99)
 	switch c := set.ClipFactor; {
-	case v.Sums.N+v.Failed > total+c*max(most, thin)+1:
+	case v.Sums.N+v.Failed > total+c*max(most, minReferenceWeight)+1:
 		return fmt.Errorf("weight %v over %v of the honest, each at most %v", v.Sums.N, total, most)
 	case v.Sums.Y/v.Sums.N > 11*c || math.Sqrt(v.Sums.YY/v.Sums.N) > 11*c+1 || v.Sums.X/v.Sums.N > 2*c:
 		return fmt.Errorf("bent to %+v", v.Sums)
 	case p99 > 11*c*25: // a bucket of a bad one's spread: root mean square, not the largest
 		return fmt.Errorf("99th percentile %v", p99)
-	case !v.Sums.fits():
+	case !v.Sums.plausible():
 		return fmt.Errorf("sums of no observations: %+v", v.Sums)
 	}
 	return nil
@@ -316,7 +316,7 @@
 	feed(relay, 0, all(t, p, time.Hour+set.HalfLife)...) // clocks an hour apart
 	feed(q, time.Minute, all(t, relay, set.HalfLife)...)
 	v := q.Views(time.Minute)[0]
-	if want := math.Exp2(-2.0 / longer); math.Abs(v.Sums.N-want) > 1e-6 || math.Abs(v.Sums.XY-16*want) > 1e-4 || v.Age != 2*set.HalfLife-set.HalfLife {
+	if want := math.Exp2(-2.0 / longHalfLives); math.Abs(v.Sums.N-want) > 1e-6 || math.Abs(v.Sums.XY-16*want) > 1e-4 || v.Age != 2*set.HalfLife-set.HalfLife {
 		t.Errorf("%+v, age %v", v.Sums, v.Age)
 	}
 	if n := len(q.Views(time.Minute + set.ExpireAfter)); n != 0 {
@@ -347,13 +347,13 @@
 	if exchange() == 0 || exchange() != 0 {
 		t.Error("nothing was sent at first, or something that is held")
 	}
-	huge := memory{sums: Sums{1e30, 1e30, 1e30, 1e30, 1e30, 1e30}}
-	largest := figures{since: math.MinInt64, long: huge, short: huge}
+	huge := decayedCounts{sums: Sums{1e30, 1e30, 1e30, 1e30, 1e30, 1e30}}
+	largest := classStats{startTime: math.MinInt64, long: huge, short: huge}
 	for i := range largest.bins {
 		largest.bins[i] = 1e12
 	}
-	name := strings.Repeat("n", nameMost)
-	if m := forge(name, versionMost, told{cellID{name, name}, versionMost, 1 << 60, largest.append(nil)}); len(m) > bytesMin {
+	name := strings.Repeat("n", maxNameBytes)
+	if m := forge(name, maxSequence, wireCell{cellID{name, name}, maxSequence, 1 << 60, largest.append(nil)}); len(m) > minMessageLimit {
 		t.Errorf("a cell of %d bytes", len(m))
 	}
 	p.Recorder(0, Key{"n0", 1, "c0"}).Record(0, 1, 1, Served)
@@ -420,10 +420,10 @@
 
 func TestALaterVersionIsCountedAndDropped(t *testing.T) {
 	s := state(t, small(), "me", 1, "")
-	m := forge("p", 1, told{cellID{}, 1, 0, []byte{2}})
+	m := forge("p", 1, wireCell{cellID{}, 1, 0, []byte{2}})
 	m = m[:len(m)-crcSize]
 	m[2]++
-	err := s.Merge(0, seal(m))
+	err := s.Merge(0, sealMessage(m))
 	var later *VersionError
 	if !errors.As(err, &later) || s.Counts().LaterVersion != 1 || held(s) != "" {
 		t.Errorf("%v, %+v", err, s.Counts())
@@ -465,7 +465,7 @@
 		s := state(t, small(), "me", 1, "")
 		feed(s, now, messages...)
 		before, views := held(s), fmt.Sprint(s.Views(now))
-		for _, m := range [][]byte{m, seal(slices.Clone(m)), seal(append(begin(kindCells), m...)), seal(append(begin(kindDigest), m...))} {
+		for _, m := range [][]byte{m, sealMessage(slices.Clone(m)), sealMessage(append(beginMessage(kindCells), m...)), sealMessage(append(beginMessage(kindDigest), m...))} {
 			if _, err := s.Diff(now, m); err == nil {
 				if _, err := DigestSender(m); err != nil {
 					t.Error(err)
--- a/internal/nodestats/types.go
+++ b/internal/nodestats/types.go
@@ -31,7 +31,7 @@
 	Rejected                // the node was full
 	Failed                  // an error, a reset, no connection
 	TimedOut                // out of time
-	outcomes
+	numOutcomes
 )
 
 // Key names what is measured: a class on one life of a node.
@@ -103,9 +103,9 @@
 }
 
 const (
-	nameMost  = 64 // bytes of a name
-	bytesMost = 1 << 16
-	bytesMin  = 1200
+	maxNameBytes    = 64 // bytes of a name
+	maxMessageBytes = 1 << 16
+	minMessageLimit = 1200
 )
 
 // Check names the setting that is wrong.
@@ -116,8 +116,8 @@
 		least, most float64
 	}{
 		{"origins", float64(s.MaxOrigins), 1, 1024}, {"nodes", float64(s.MaxNodes), 1, 65536}, {"classes", float64(s.MaxClasses), 1, 1024},
-		{"bytes", float64(s.MaxMessageBytes), bytesMin, bytesMost}, {"half_life_ms", ms(s.HalfLife), 1, 1e9},
-		{"expire_ms", ms(s.ExpireAfter), ms(s.HalfLife), 1e10}, {"clip", s.ClipFactor, 1, 1e6},
+		{"bytes", float64(s.MaxMessageBytes), minMessageLimit, maxMessageBytes}, {"half_life_ms", toMilliseconds(s.HalfLife), 1, 1e9},
+		{"expire_ms", toMilliseconds(s.ExpireAfter), toMilliseconds(s.HalfLife), 1e10}, {"clip", s.ClipFactor, 1, 1e6},
 	} {
 		if !(b.value >= b.least && b.value <= b.most) {
 			return &SettingError{Key: b.key, Value: b.value, Min: b.least, Max: b.most}
@@ -126,6 +126,6 @@
 	return nil
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func finite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -9,51 +9,51 @@
 
 // Below so much weight a median of weights says nothing of who is loud.
 const (
-	thin      = 16
-	majority  = 3 // origins from which on a majority can be told from one that is wrong
-	voteLeast = 1 // weight from which on an origin has a voice
+	minReferenceWeight = 16
+	minOriginsToClip   = 3 // origins from which on a majority can be told from one that is wrong
+	minVoteWeight      = 1 // weight from which on an origin has a voice
 )
 
-// row is one origin's word on one key, not yet read: figures are large.
-type row struct {
-	key    Key
-	origin string
-	slot   *Recorder // this process's own
-	body   []byte
-	age    time.Duration // since it was told or renewed
-	old    time.Duration // ... since its weights were 1
-	short  float64       // what is left of them, once it is read
+// classRow is one origin's word on one key, not yet read: figures are large.
+type classRow struct {
+	key        Key
+	origin     string
+	recorder   *Recorder // this process's own
+	body       []byte
+	age        time.Duration // since it was told or renewed
+	decayAge   time.Duration // ... since its weights were 1
+	shortDecay float64       // what is left of them, once it is read
 }
 
-func (w *row) read(f *figures, halfLife time.Duration) {
-	if w.slot != nil {
-		*f = w.slot.f
+func (w *classRow) read(f *classStats, halfLife time.Duration) {
+	if w.recorder != nil {
+		*f = w.recorder.stats
 	} else {
-		(&input{b: w.body}).figures(f)
+		(&decoder{b: w.body}).classStats(f)
 	}
-	w.short = f.decay(w.old, halfLife)
+	w.shortDecay = f.decay(w.decayAge, halfLife)
 }
 
 type healthRow struct {
-	node  string
-	since int64
-	h     Health
-	age   time.Duration
+	node      string
+	startTime int64
+	health    Health
+	age       time.Duration
 }
 
 // Views are all keys, sorted, as all origins together see them. A node's own row has no class and no sums. Of
 // a node that this process knows only the present life is in it.
 func (s *State) Views(now time.Duration) []View {
-	s.forget(now)
-	s.expire(now)
-	rows, healths := s.rows(now)
+	s.expireLocal(now)
+	s.expireCells(now)
+	rows, healths := s.collectRows(now)
 	byNode := map[Key]View{}
 	for i := 0; i < len(healths); {
 		j := i + 1
-		for j < len(healths) && healths[j].node == healths[i].node && healths[j].since == healths[i].since {
+		for j < len(healths) && healths[j].node == healths[i].node && healths[j].startTime == healths[i].startTime {
 			j++
 		}
-		v := joinHealth(healths[i:j], s.set.ClipFactor)
+		v := mergeHealth(healths[i:j], s.settings.ClipFactor)
 		byNode[v.Key] = v
 		i = j
 	}
@@ -66,13 +66,13 @@
 		for j < len(rows) && rows[j].key == rows[i].key {
 			j++
 		}
-		v := s.join(rows[i:j])
+		v := s.mergeClass(rows[i:j])
 		if h, ok := byNode[Key{Node: v.Node, StartTime: v.StartTime}]; ok {
 			v.Type, v.Shard, v.WarmingUp, v.Window, v.Queue = h.Type, h.Shard, h.WarmingUp, h.Window, h.Queue
 		}
 		views = append(views, v)
 		i = j
-		s.pause()
+		s.yield()
 	}
 	slices.SortFunc(views, func(a, b View) int { return a.Key.compare(b.Key) })
 	return views
@@ -82,47 +82,47 @@
 	return cmp.Or(cmp.Compare(k.Node, o.Node), cmp.Compare(k.StartTime, o.StartTime), cmp.Compare(k.Class, o.Class))
 }
 
-// rows are all origins' words, sorted.
-func (s *State) rows(now time.Duration) ([]row, []healthRow) {
-	var rows []row
+// collectRows are all origins' words, sorted.
+func (s *State) collectRows(now time.Duration) ([]classRow, []healthRow) {
+	var rows []classRow
 	var healths []healthRow
-	for _, name := range s.ownOrder {
-		n := s.own[name]
-		if n.isTold {
-			healths = append(healths, healthRow{name, n.since, n.health, now - n.told})
+	for _, name := range s.localOrder {
+		n := s.localNodes[name]
+		if n.hasHealth {
+			healths = append(healths, healthRow{name, n.startTime, n.health, now - n.healthSetAt})
 		}
-		for _, l := range n.classes {
-			if l.last > l.base || l.f.long.weight() > 0 {
-				rows = append(rows, row{key: Key{name, n.since, l.key.Class}, origin: s.self, slot: l, age: now - l.last,
-					old: max(now, l.last) - l.base})
+		for _, l := range n.recorders {
+			if l.lastRecorded > l.weightBase || l.stats.long.weight() > 0 {
+				rows = append(rows, classRow{key: Key{name, n.startTime, l.key.Class}, origin: s.self, recorder: l, age: now - l.lastRecorded,
+					decayAge: max(now, l.lastRecorded) - l.weightBase})
 			}
 		}
 	}
-	for _, name := range s.names() {
+	for _, name := range s.originNames() {
 		if name == s.self {
 			continue
 		}
-		s.pause()
-		for id, c := range s.others[name].cells {
+		s.yield()
+		for id, c := range s.remote[name].cells {
 			if id.node == "" {
 				continue
 			}
-			r, age := &input{b: c.body}, max(now-c.born, 0)
+			r, age := &decoder{b: c.body}, max(now-c.createdAt, 0)
 			since := r.int()
-			if n := s.own[id.node]; n != nil && n.since != since && s.lost != "since" {
+			if n := s.localNodes[id.node]; n != nil && n.startTime != since && s.lost != "since" {
 				continue
 			}
 			if id.class == "" {
-				_, h := (&input{b: c.body}).health()
+				_, h := (&decoder{b: c.body}).health()
 				healths = append(healths, healthRow{id.node, since, h, age})
 				continue
 			}
-			rows = append(rows, row{key: Key{id.node, since, id.class}, origin: name, body: c.body, age: age, old: age})
+			rows = append(rows, classRow{key: Key{id.node, since, id.class}, origin: name, body: c.body, age: age, decayAge: age})
 		}
 	}
-	slices.SortFunc(rows, func(a, b row) int { return cmp.Or(a.key.compare(b.key), cmp.Compare(a.origin, b.origin)) })
+	slices.SortFunc(rows, func(a, b classRow) int { return cmp.Or(a.key.compare(b.key), cmp.Compare(a.origin, b.origin)) })
 	slices.SortFunc(healths, func(a, b healthRow) int {
-		return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.since, b.since), compareHealth(a.h, b.h), cmp.Compare(a.age, b.age))
+		return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.startTime, b.startTime), compareHealth(a.health, b.health), cmp.Compare(a.age, b.age))
 	})
 	return rows, healths
 }
@@ -138,79 +138,79 @@
 		cmp.Compare(a.Window, b.Window), cmp.Compare(a.Queue, b.Queue))
 }
 
-// join sums the origins of one key, each clipped. Of each the long memory counts, unless it tells of another node
+// mergeClass sums the origins of one key, each clipped. Of each the long memory counts, unless it tells of another node
 // than all saw lately: then the short one does.
-func (s *State) join(rows []row) View {
+func (s *State) mergeClass(rows []classRow) View {
 	v := View{Key: rows[0].key, Origins: len(rows), Age: rows[0].age}
-	for len(s.read) < len(rows) {
-		s.read = append(s.read, figures{})
+	for len(s.readBuffer) < len(rows) {
+		s.readBuffer = append(s.readBuffer, classStats{})
 	}
-	all := s.read[:len(rows)]
+	all := s.readBuffer[:len(rows)]
 	for i := range rows {
-		rows[i].read(&all[i], s.set.HalfLife)
+		rows[i].read(&all[i], s.settings.HalfLife)
 		v.Age = min(v.Age, rows[i].age)
 	}
-	long, short := clips(all, s.set.ClipFactor, (*figures).longs), clips(all, s.set.ClipFactor, (*figures).shorts)
+	long, short := clipAll(all, s.settings.ClipFactor, (*classStats).longTerm), clipAll(all, s.settings.ClipFactor, (*classStats).shortTerm)
 	if s.lost == "clip" {
 		for i := range rows {
-			long[i], short[i] = clipping{1, 1, 1}, clipping{1, 1, 1}
+			long[i], short[i] = clipFactors{1, 1, 1}, clipFactors{1, 1, 1}
 		}
 	}
-	var lately, sum memory
+	var lately, sum decayedCounts
 	for i := range all {
 		lately.add(all[i].short.clipped(short[i]))
 	}
-	var counts [bins]float64
+	var counts [numBins]float64
 	for i := range rows {
 		f, c := &all[i], short[i]
 		m := f.long.clipped(long[i])
-		if s.lost != "lately" && apart(&m, &lately, false) > stillApart {
+		if s.lost != "lately" && deviation(&m, &lately, false) > maxLongTermDeviation {
 			m = f.short.clipped(c)
 		}
 		sum.add(m)
 		shift := 0
-		if c.y != 1 {
-			shift = int(math.Round(math.Log(c.y) / math.Log(buckets.LowerBound(1)/buckets.LowerBound(0))))
+		if c.times != 1 {
+			shift = int(math.Round(math.Log(c.times) / math.Log(binMapping.LowerBound(1)/binMapping.LowerBound(0))))
 		}
 		for b, n := range f.bins {
 			if n > 0 {
-				counts[min(max(b+shift, 0), bins-1)] += n * rows[i].short * c.n
+				counts[min(max(b+shift, 0), numBins-1)] += n * rows[i].shortDecay * c.weight
 			}
 		}
 	}
-	v.Sums, v.Rejected, v.Failed, v.TimedOut = sum.sums, sum.turned, sum.failed, sum.late
+	v.Sums, v.Rejected, v.Failed, v.TimedOut = sum.sums, sum.rejected, sum.failed, sum.timedOut
 	v.Sketch = sketchOf(&counts)
 	return v
 }
 
-func (f *figures) longs() *memory  { return &f.long }
-func (f *figures) shorts() *memory { return &f.short }
+func (f *classStats) longTerm() *decayedCounts  { return &f.long }
+func (f *classStats) shortTerm() *decayedCounts { return &f.short }
 
-// clipping is what one origin's weight, units and times are multiplied with.
-type clipping struct{ n, x, y float64 }
+// clipFactors is what one origin's weight, units and times are multiplied with.
+type clipFactors struct{ weight, units, times float64 }
 
-// clips finds who stands out. From three origins on, one counts for at most clip times the median weight, and the
+// clipAll finds who stands out. From three origins on, one counts for at most clip times the median weight, and the
 // root mean square of its units and of its times is brought within clip of the median over origins, in which
 // no voice is louder than the median weight.
-func clips(rows []figures, clip float64, of func(*figures) *memory) []clipping {
-	out := make([]clipping, len(rows))
+func clipAll(rows []classStats, clip float64, of func(*classStats) *decayedCounts) []clipFactors {
+	out := make([]clipFactors, len(rows))
 	var weights []float64
 	for i := range rows {
-		out[i] = clipping{1, 1, 1}
-		if w := of(&rows[i]).weight(); w >= voteLeast {
+		out[i] = clipFactors{1, 1, 1}
+		if w := of(&rows[i]).weight(); w >= minVoteWeight {
 			weights = append(weights, w)
 		}
 	}
-	if len(weights) < majority {
+	if len(weights) < minOriginsToClip {
 		return out
 	}
 	slices.Sort(weights)
-	ref := max(weights[(len(weights)-1)/2], thin)
+	ref := max(weights[(len(weights)-1)/2], minReferenceWeight)
 	var xs, ys []vote
 	for i := range rows {
 		m := of(&rows[i])
-		out[i].n = min(1, clip*ref/max(m.weight(), 1e-9))
-		if m.weight() >= voteLeast && m.sums.N > 0 {
+		out[i].weight = min(1, clip*ref/max(m.weight(), 1e-9))
+		if m.weight() >= minVoteWeight && m.sums.N > 0 {
 			n := min(m.sums.N, ref)
 			xs = append(xs, vote{rms(m.sums.XX, m.sums.N), n})
 			ys = append(ys, vote{rms(m.sums.YY, m.sums.N), n})
@@ -219,8 +219,8 @@
 	x, y := median(xs), median(ys)
 	for i := range rows {
 		if m := of(&rows[i]); m.sums.N > 0 {
-			out[i].x = within(rms(m.sums.XX, m.sums.N), x, clip)
-			out[i].y = within(rms(m.sums.YY, m.sums.N), y, clip)
+			out[i].units = clipFactor(rms(m.sums.XX, m.sums.N), x, clip)
+			out[i].times = clipFactor(rms(m.sums.YY, m.sums.N), y, clip)
 		}
 	}
 	return out
@@ -245,8 +245,8 @@
 	return 0
 }
 
-// within is the factor that brings v to at most clip times away from m.
-func within(v, m, clip float64) float64 {
+// clipFactor is the factor that brings v to at most clip times away from m.
+func clipFactor(v, m, clip float64) float64 {
 	switch {
 	case v <= 0 || m <= 0:
 		return 1
@@ -258,31 +258,31 @@
 	return 1
 }
 
-// joinHealth is one node's health over origins: what most say, and means of the windows and queues, each at most
+// mergeHealth is one node's health over origins: what most say, and means of the windows and queues, each at most
 // clip times the median.
-func joinHealth(rows []healthRow, clip float64) View {
-	v := View{Key: Key{Node: rows[0].node, StartTime: rows[0].since}, Origins: len(rows), Age: rows[0].age}
+func mergeHealth(rows []healthRow, clip float64) View {
+	v := View{Key: Key{Node: rows[0].node, StartTime: rows[0].startTime}, Origins: len(rows), Age: rows[0].age}
 	types, shards := map[string]int{}, map[int]int{}
 	cold := 0
 	var windows, queues []float64
 	for _, r := range rows {
-		if r.h.Type != "" {
-			types[r.h.Type]++
+		if r.health.Type != "" {
+			types[r.health.Type]++
 		}
-		shards[r.h.Shard]++
-		if r.h.WarmingUp {
+		shards[r.health.Shard]++
+		if r.health.WarmingUp {
 			cold++
 		}
-		windows, queues = append(windows, r.h.Window), append(queues, r.h.Queue)
+		windows, queues = append(windows, r.health.Window), append(queues, r.health.Queue)
 		v.Age = min(v.Age, r.age)
 	}
-	v.Type, v.Shard, v.WarmingUp = most(types), most(shards), 2*cold >= len(rows) && cold > 0
+	v.Type, v.Shard, v.WarmingUp = mostCommon(types), mostCommon(shards), 2*cold >= len(rows) && cold > 0
 	v.Window, v.Queue = clippedMean(windows, clip), clippedMean(queues, clip)
 	return v
 }
 
-// most is what was named most often; of several the smallest.
-func most[K cmp.Ordered](votes map[K]int) (best K) {
+// mostCommon is what was named most often; of several the smallest.
+func mostCommon[K cmp.Ordered](votes map[K]int) (best K) {
 	n := 0
 	for k, c := range votes {
 		if c > n || c == n && k < best {
@@ -295,7 +295,7 @@
 func clippedMean(v []float64, clip float64) float64 {
 	slices.Sort(v)
 	top := math.Inf(1)
-	if len(v) >= majority {
+	if len(v) >= minOriginsToClip {
 		top = clip * max(v[(len(v)-1)/2], 1)
 	}
 	sum := 0.0
@@ -317,15 +317,15 @@
 func (s *State) ListSpread(now time.Duration, there []string) (all ListSpread) {
 	var held []int64
 	if s.hasList {
-		held = append(held, s.list)
+		held = append(held, s.listVersion)
 	}
 	for _, name := range there {
-		o := s.others[name]
+		o := s.remote[name]
 		if o == nil || name == s.self {
 			continue
 		}
-		if c := o.cells[cellID{}]; c != nil && now-c.born < s.set.ExpireAfter {
-			held = append(held, (&input{b: c.body}).int())
+		if c := o.cells[cellID{}]; c != nil && now-c.createdAt < s.settings.ExpireAfter {
+			held = append(held, (&decoder{b: c.body}).int())
 		}
 	}
 	if len(held) == 0 {
@@ -342,15 +342,15 @@
 
 // ListVersions are the versions of the node list that origins hold, by origin; this process's own too.
 func (s *State) ListVersions(now time.Duration) []ListVersion {
-	s.expire(now)
+	s.expireCells(now)
 	var out []ListVersion
-	for _, name := range s.names() {
+	for _, name := range s.originNames() {
 		if name == s.self {
 			if s.hasList {
-				out = append(out, ListVersion{name, s.list, now - s.listAt})
+				out = append(out, ListVersion{name, s.listVersion, now - s.listSetAt})
 			}
-		} else if c := s.others[name].cells[cellID{}]; c != nil {
-			out = append(out, ListVersion{name, (&input{b: c.body}).int(), now - c.born})
+		} else if c := s.remote[name].cells[cellID{}]; c != nil {
+			out = append(out, ListVersion{name, (&decoder{b: c.body}).int(), now - c.createdAt})
 		}
 	}
 	return out
