--- a/internal/nodestats/decay.go
+++ b/internal/nodestats/decay.go
@@ -5,138 +5,146 @@
 	"time"
 )
 
-// A slot remembers twice: the long memory forgets longer times more slowly. Long is steady, short is soon right
-// after a change; which of them counts is decided by a comparison of the two, in own.go for one process's
-// own slot, and in views.go for each origin beside what all saw lately.
+// Each class on a node has two sets of decayed statistics. The long-term one is steady; the short-term one is right soon
+// after a change. A comparison of the two decides which counts: for this process's own observations in recorder.go, and
+// for each origin against the recent observations of all in views.go.
 const (
-	longHalfLives        = 4 // half-lives of the short memory in one of the long; Record takes weights to that power
-	resetMinWeight       = 8 // answers in the short memory below which a slot is not compared with itself
-	resetDeviation       = 4 // standard errors between its memories past which a slot begins anew
-	resetInterval        = 2 // half-lives between two beginnings
-	maxLongTermDeviation = 2 // standard errors from what all saw lately past which an origin's long memory does not count
-	minWeight            = 1e-9
+	longHalfLives        = 4    // short-term half-lives in one long-term half-life
+	resetMinWeight       = 8    // short-term outcomes below which a recorder is not reset
+	resetDeviation       = 4    // standard errors between short-term and long-term statistics above which a recorder is reset
+	resetInterval        = 2    // half-lives between resets of a recorder, at least
+	maxLongTermDeviation = 2    // standard errors from all recent observations above which an origin's long-term statistics do not count
+	minWeight            = 1e-9 // weight that counts as none
 )
 
-// decayedCounts is what was seen, weighted by one half-life.
+// decayedCounts are outcomes weighted by one half-life.
 type decayedCounts struct {
 	sums                       Sums
 	rejected, failed, timedOut float64
 }
 
-func (m *decayedCounts) unserved() float64 { return m.rejected + m.failed + m.timedOut }
-func (m *decayedCounts) weight() float64   { return m.sums.N + m.unserved() }
+func (d *decayedCounts) unserved() float64 { return d.rejected + d.failed + d.timedOut }
+func (d *decayedCounts) weight() float64   { return d.sums.N + d.unserved() }
 
-func (m *decayedCounts) scale(w float64) {
-	m.sums = m.sums.Scale(w, 1, 1)
-	m.rejected *= w
-	m.failed *= w
-	m.timedOut *= w
+func (d *decayedCounts) scale(w float64) {
+	d.sums = d.sums.Scale(w, 1, 1)
+	d.rejected *= w
+	d.failed *= w
+	d.timedOut *= w
 }
 
-// clipped is m as it counts in a view.
-func (m *decayedCounts) clipped(c clipFactors) decayedCounts {
-	return decayedCounts{m.sums.Scale(c.weight, c.units, c.times), m.rejected * c.weight, m.failed * c.weight, m.timedOut * c.weight}
+// clipped returns the counts as they enter a view.
+func (d *decayedCounts) clipped(c clipFactors) decayedCounts {
+	return decayedCounts{d.sums.Scale(c.weight, c.units, c.times), d.rejected * c.weight, d.failed * c.weight, d.timedOut * c.weight}
 }
 
-func (m *decayedCounts) add(o decayedCounts) {
-	m.sums = m.sums.Add(o.sums)
-	m.rejected += o.rejected
-	m.failed += o.failed
-	m.timedOut += o.timedOut
+func (d *decayedCounts) add(o decayedCounts) {
+	d.sums = d.sums.Add(o.sums)
+	d.rejected += o.rejected
+	d.failed += o.failed
+	d.timedOut += o.timedOut
 }
 
-// fields are its figures, in the order of a message.
-func (m *decayedCounts) fields() [9]*float64 {
-	return [...]*float64{&m.sums.N, &m.sums.X, &m.sums.Y, &m.sums.XX, &m.sums.XY, &m.sums.YY, &m.rejected, &m.failed, &m.timedOut}
+// fields returns the values in the order of a message.
+func (d *decayedCounts) fields() [9]*float64 {
+	return [...]*float64{&d.sums.N, &d.sums.X, &d.sums.Y, &d.sums.XX, &d.sums.XY, &d.sums.YY, &d.rejected, &d.failed, &d.timedOut}
 }
 
-// clipFactor says that m can be the short memory where o is the long one, rounding apart: no answer weighs more in it.
-func (m *decayedCounts) isPartOf(o *decayedCounts) bool {
-	mine, others := m.fields(), o.fields()
-	for i := range mine {
-		if *mine[i] > *others[i]*(1+1e-6)+1e-9 {
+// isPartOf reports whether d can be the short-term counts beside the long-term counts of the same outcomes: no outcome
+// weighs more in them, apart from rounding.
+func (d *decayedCounts) isPartOf(long *decayedCounts) bool {
+	part, total := d.fields(), long.fields()
+	for i := range part {
+		if *part[i] > *total[i]*(1+1e-6)+1e-9 {
 			return false
 		}
 	}
 	return true
 }
 
-// digestBuckets is a memory's times about a line of the given slope: where it stands at no units, and its variance.
-func (m *decayedCounts) aroundLine(slope float64) (level, variance float64) {
-	s := &m.sums
+// aroundLine returns the level, at no units, of a line of the given slope through the service times, and the times'
+// variance around it.
+func (d *decayedCounts) aroundLine(slope float64) (level, variance float64) {
+	s := &d.sums
 	x, y := s.X/s.N, s.Y/s.N
 	sxx, sxy, syy := max(s.XX-s.X*x, 0), s.XY-s.X*y, max(s.YY-s.Y*y, 0)
 	return y - slope*x, max(syy-2*slope*sxy+slope*slope*sxx, 0) / s.N
 }
 
-// slope is that of the times over the units within each of two memories.
+// slope is the pooled slope of service times over units within each of two sets, from 0 to the lower mean per unit.
 func slope(a, b *decayedCounts) float64 {
-	sxx, sxy, most := 0.0, 0.0, math.Inf(1)
-	for _, m := range [...]*decayedCounts{a, b} {
-		s := &m.sums
+	sxx, sxy, maxSlope := 0.0, 0.0, math.Inf(1)
+	for _, d := range [...]*decayedCounts{a, b} {
+		s := &d.sums
 		if s.N <= minWeight || s.X <= 0 {
 			return 0
 		}
 		sxx += max(s.XX-s.X*s.X/s.N, 0)
 		sxy += s.XY - s.X*s.Y/s.N
-		most = min(most, s.Y/s.X)
+		maxSlope = min(maxSlope, s.Y/s.X)
 	}
 	if sxx <= minWeight {
 		return 0
 	}
-	return min(max(sxy/sxx, 0), most)
+	return min(max(sxy/sxx, 0), maxSlope)
 }
 
-// deviation is how many standard errors lie between two memories: in the times of the served, and in the share of
-// those that were not. The first may be a part of the second, else they are of other answers; a weighted mean
-// of N stands on 2 N answers. The larger of the two variances counts, so that neither one long answer nor the
-// smaller scatter of a faster node makes a difference.
-func deviation(a, b *decayedCounts, part bool) float64 {
+// deviation is the number of standard errors between two sets: in the service times, or in the share of outcomes that
+// were not served, whichever is larger. With isPart the first is a part of the second, else they are of different
+// outcomes. The larger variance of the two counts, so that neither one long service time nor the smaller variance of a
+// faster node makes a difference.
+func deviation(a, b *decayedCounts, isPart bool) float64 {
 	z := 0.0
 	if a.sums.N > minWeight && b.sums.N > minWeight {
 		k := slope(a, b)
-		la, va := a.aroundLine(k)
-		lb, vb := b.aroundLine(k)
-		z = standardErrors(la-lb, max(va, vb), a.sums.N, b.sums.N, part)
+		levelA, varianceA := a.aroundLine(k)
+		levelB, varianceB := b.aroundLine(k)
+		z = standardErrors(levelA-levelB, max(varianceA, varianceB), a.sums.N, b.sums.N, isPart)
 	}
 	if na, nb := a.weight(), b.weight(); na > minWeight && nb > minWeight {
 		p := (a.unserved() + b.unserved() + 1) / (na + nb + 2)
-		z = max(z, standardErrors(a.unserved()/na-b.unserved()/nb, p*(1-p), na, nb, part))
+		z = max(z, standardErrors(a.unserved()/na-b.unserved()/nb, p*(1-p), na, nb, isPart))
 	}
 	return z
 }
 
-func standardErrors(d, variance, na, nb float64, part bool) float64 {
-	if d == 0 {
+// standardErrors is a difference of two weighted means in standard errors. A decayed mean of weight n rests on about 2n
+// outcomes.
+func standardErrors(difference, variance, na, nb float64, isPart bool) float64 {
+	if difference == 0 {
 		return 0
 	}
 	n := 1/na + 1/nb
-	if part {
+	if isPart {
 		n = max(1/na-1/nb, 0)
 	}
-	return math.Abs(d) / math.Sqrt(max(variance*n/2, 1e-18*d*d))
+	return math.Abs(difference) / math.Sqrt(max(variance*n/2, 1e-18*difference*difference))
 }
 
-// classStats are what one origin says of one class on one node.
+// classStats are what one origin reports of one class on one run of a node.
 type classStats struct {
 	startTime   int64
 	long, short decayedCounts
-	bins        [numBins]float64 // of the short memory
+	bins        [numBins]float64 // latency counts, with short-term weights
 }
 
-// decay lets time pass over all but the buckets, and gives what is left of the short memory's weight.
-func (f *classStats) decay(age, halfLife time.Duration) float64 {
+func (c *classStats) longTerm() *decayedCounts  { return &c.long }
+func (c *classStats) shortTerm() *decayedCounts { return &c.short }
+
+// decay ages all but the bins, and returns the factor that the short-term weights, also those of the bins, decay by.
+func (c *classStats) decay(age, halfLife time.Duration) float64 {
 	w := decay(age, halfLife*longHalfLives)
-	short := w * w * w * w
-	f.long.scale(w)
-	f.short.scale(short)
+	short := w * w * w * w // w to the power of longHalfLives
+	c.long.scale(w)
+	c.short.scale(short)
 	return short
 }
 
-func (f *classStats) scale(age, halfLife time.Duration) {
-	w := f.decay(age, halfLife)
-	for i := range f.bins {
-		f.bins[i] *= w
+// scale ages all values.
+func (c *classStats) scale(age, halfLife time.Duration) {
+	w := c.decay(age, halfLife)
+	for i := range c.bins {
+		c.bins[i] *= w
 	}
 }
 
--- a/internal/nodestats/errors.go
+++ b/internal/nodestats/errors.go
@@ -6,61 +6,61 @@
 	"wheatsaddle/internal/operr"
 )
 
-// SettingError is a setting out of its range.
+// SettingError reports a setting out of its range.
 type SettingError struct {
 	Key             string
 	Value, Min, Max float64
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("observations: %s: %v is not between %v and %v", e.Key, e.Value, e.Min, e.Max)
+	return fmt.Sprintf("node statistics: %s: %v is not between %v and %v", e.Key, e.Value, e.Min, e.Max)
 }
 
-// Code is stable.
+// Code returns the stable identifier.
 func (e *SettingError) Code() string { return "observations-setting" }
 
-// Advice is for the operator.
+// Advice tells the operator what to do.
 func (e *SettingError) Advice() string {
 	return "set " + e.Key + " in the site's file within the range"
 }
 
-// NameError is an origin's name that cannot be one.
+// NameError reports a process name that is empty, too long or not UTF-8.
 type NameError struct{ Name string }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("observations: name %q is empty or over %d bytes", e.Name, maxNameBytes)
+	return fmt.Sprintf("node statistics: name %q is empty, over %d bytes or not UTF-8", e.Name, maxNameBytes)
 }
 
-// Code is stable.
+// Code returns the stable identifier.
 func (e *NameError) Code() string { return "observations-name" }
 
-// Advice is for the operator.
+// Advice tells the operator what to do.
 func (e *NameError) Advice() string { return "give the process another name in its configuration" }
 
-// DecodeError is a message that was dropped whole.
-type DecodeError struct{ What string }
+// DecodeError reports a message that could not be decoded and was dropped.
+type DecodeError struct{ Problem string }
 
-func (e *DecodeError) Error() string { return "observations: message dropped: " + e.What }
+func (e *DecodeError) Error() string { return "node statistics: message dropped: " + e.Problem }
 
-// Code is stable.
+// Code returns the stable identifier.
 func (e *DecodeError) Code() string { return "observations-unreadable" }
 
-// Advice is for the operator.
+// Advice tells the operator what to do.
 func (e *DecodeError) Advice() string {
-	return "nothing was changed by it; if the count keeps growing, see who reaches the port, or give the processes a key (peers.key_file)"
+	return "the message changed nothing; if the count keeps growing, find out who sends to the port, or give the processes a key (peers.key_file)"
 }
 
-// VersionError is a message of a program that is newer than this one.
-type VersionError struct{ Version, Known byte }
+// VersionError reports a message from a newer version of the program, which was dropped.
+type VersionError struct{ Version, Supported byte }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("observations: message dropped: of version %d, this program knows %d", e.Version, e.Known)
+	return fmt.Sprintf("node statistics: message dropped: its version is %d, this program supports %d", e.Version, e.Supported)
 }
 
-// Code is stable.
+// Code returns the stable identifier.
 func (e *VersionError) Code() string { return "observations-later-version" }
 
-// Advice is for the operator.
+// Advice tells the operator what to do.
 func (e *VersionError) Advice() string {
 	return "expected while the fleet is upgraded; this process shares nothing with the newer ones until it is upgraded too"
 }
--- a/internal/nodestats/sketch.go
+++ b/internal/nodestats/sketch.go
@@ -6,16 +6,15 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// A slot keeps the counts of DDSketch's own buckets in an array, because the library's store may
-// allocate; the library's mapping says which bucket a value is in, and its sketch is what a View
-// holds.
+// A recorder keeps the counts of DDSketch's bins in an array, because the library's store may allocate. The library's
+// mapping gives a value's bin, and its encoded sketch is what a View holds.
 const (
-	accuracy     = 0.05 // of a quantile, relative
+	accuracy     = 0.05 // relative, of a quantile
 	numBins      = 128
-	minLatencyMs = 0.05 // the first bucket; the last is at about 18 s
-	maxLatencyMs = 1e7  // a longer time is not one
-	maxUnits     = 1e9
-	rankedCount  = 1e6
+	minLatencyMs = 0.05 // in the first bin; the last one is at about 18 s
+	maxLatencyMs = 1e7  // a longer time is invalid
+	maxUnits     = 1e9  // more work of one request is invalid
+	rankedCount  = 1e6  // to which a sketch's count is scaled for ranks
 )
 
 var (
@@ -40,7 +39,7 @@
 
 func newStore() store.Store { return store.NewCollapsingLowestDenseStore(numBins) }
 
-// sketchOf is the library's encoded sketch of bucket counts; nil: nothing was counted.
+// sketchOf encodes bin counts as the library's sketch; nil: all are zero.
 func sketchOf(counts *[numBins]float64) []byte {
 	s := ddsketch.NewDDSketchFromStoreProvider(binMapping, newStore)
 	for i, n := range counts {
@@ -56,9 +55,8 @@
 	return b
 }
 
-// Quantiles are the latencies in milliseconds, within 5%, below which the shares qs of the requests
-// of a View's sketch were served. It is for sketches that this package made; of any other, and of none
-// at all, false.
+// Quantiles returns the latencies in milliseconds, within 5%, below which the shares qs of the requests of a View's
+// sketch were served; false: the sketch is empty or not one of this package.
 func Quantiles(sketch []byte, qs ...float64) ([]float64, bool) {
 	if len(sketch) == 0 {
 		return nil, false
@@ -67,7 +65,7 @@
 	if err != nil {
 		return nil, false
 	}
-	// The library ranks among count-1 others; decayed counts are often under 1.
+	// The library's ranks need a count well over 1; decayed counts are often lower.
 	if n := s.GetCount(); !(n > 0) || s.Reweight(rankedCount/n) != nil {
 		return nil, false
 	}
@@ -75,7 +73,7 @@
 	return v, err == nil
 }
 
-// Quantile is one of Quantiles.
+// Quantile returns one of the Quantiles.
 func Quantile(sketch []byte, q float64) (float64, bool) {
 	v, ok := Quantiles(sketch, q)
 	if !ok {
@@ -84,7 +82,7 @@
 	return v[0], true
 }
 
-// NewSketch makes a sketch of latencies, for tests of what reads views.
+// NewSketch returns the sketch of latencies of weight 1.
 func NewSketch(millis ...float64) []byte {
 	var counts [numBins]float64
 	for _, m := range millis {
--- a/internal/nodestats/types.go
+++ b/internal/nodestats/types.go
@@ -1,20 +1,19 @@
-// Package nodestats owns what processes of one fleet share of the nodes behind them: a state that merges. Each
-// process (origin) has a record of its own, in cells that only it renews; a state is the newest of every
-// origin's record, and views add the origins up. No clock is compared: ages are spans, noted by the
-// receiver. docs/design/observations.md has the sources.
+// Package nodestats holds what the scheduler processes of one fleet observe of the storage nodes behind them, as a
+// state that merges. Each process (origin) has a record made of cells that only it renews. A state holds the newest
+// cells of every origin, and its views add the origins up. Clocks are never compared: ages are durations, counted by
+// the receiver. docs/design/observations.md names the sources.
 //
 // Invariants:
-//   - merging is commutative, associative and idempotent, also at the bounds: any order, tree and
-//     number of merges of the same messages gives the same state, ages apart;
-//   - an older incarnation or sequence never goes over a newer one, nor comes back once that has expired;
-//   - one origin has at most Clip times the weight and the values of the median in a view, where three
-//     or more tell of a key;
-//   - a node that is replaced under its name starts as unknown;
-//   - a process whose name comes with figures of another life begins a later one;
-//   - a message that cannot be read, or is of a later version, changes nothing but a count;
-//   - origins, nodes, classes and bytes stay within Settings; what is beyond is counted.
+//   - Merging is commutative, associative and idempotent, also at the bounds: any order, tree and number of merges of
+//     the same messages gives the same state, apart from ages.
+//   - An older incarnation or sequence never replaces a newer one, and does not come back once the newer has expired.
+//   - Where at least three origins report a key, none has over ClipFactor times the median's weight or values in a view.
+//   - A node that is replaced under its name starts as unknown.
+//   - A process that receives cells of its own name from another incarnation starts a later incarnation.
+//   - A message that cannot be decoded, or is of a later version, changes nothing but a count.
+//   - Origins, nodes, classes and message bytes stay within Settings; what exceeds them is counted.
 //
-// It does not send, read a clock or lock: internal/gossip does.
+// The package does not send, read a clock or lock: package gossip does.
 package nodestats
 
 import (
@@ -22,105 +21,108 @@
 	"time"
 )
 
-// Outcome is how an attempt ended, as far as a node's picture needs it.
+// Outcome is how an attempt ended, as far as it says something of the node.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Served   Outcome = iota // counts in Sums and the sketch
+	Served   Outcome = iota // counts in Sums and in the sketch
 	Rejected                // the node was full
-	Failed                  // an error, a reset, no connection
-	TimedOut                // out of time
+	Failed                  // an error, a reset, or no connection
+	TimedOut                // no answer by the deadline
 	numOutcomes
 )
 
-// Key names what is measured: a class on one life of a node.
+// Key names what is measured: a class of requests on one run of a node.
 type Key struct {
 	Node      string
-	StartTime int64 // since_ms of the node's start, as the list says it
+	StartTime int64 // of the node's run, Unix ms, as in the endpoint list
 	Class     string
 }
 
-// Sums are decayed counts that add up: of the requests served, of their units X and their
-// service times Y in milliseconds.
+// Sums are decayed sums over served requests, which add up over origins: the number N, the work units X and the
+// service times Y in milliseconds, with their squares and products.
 type Sums struct{ N, X, Y, XX, XY, YY float64 }
 
-// Add is both together.
+// Add returns the sums over the requests of both.
 func (s Sums) Add(o Sums) Sums {
 	return Sums{s.N + o.N, s.X + o.X, s.Y + o.Y, s.XX + o.XX, s.XY + o.XY, s.YY + o.YY}
 }
 
-// Scale is s with weight times n, units times x and milliseconds times y.
+// Scale returns s with each weight multiplied by n, each request's units by x and its milliseconds by y.
 func (s Sums) Scale(n, x, y float64) Sums {
 	return Sums{s.N * n, s.X * n * x, s.Y * n * y, s.XX * n * x * x, s.XY * n * x * y, s.YY * n * y * y}
 }
 
-// Health is what one process holds of a node.
+// Health is one process's view of a node.
 type Health struct {
-	Type      string // hardware, as the list or the settings name it; "": unknown
+	Type      string // hardware type from the endpoint list or the settings; empty: unknown
 	Shard     int
 	WarmingUp bool
-	Window    float64 // what the process may have out there
-	Queue     float64 // what waits for it
+	Window    float64 // requests that the process may have in flight
+	Queue     float64 // requests that wait for the node
 }
 
-// View is what is known of one key over all processes.
+// View is what all processes together know of one key.
 type View struct {
 	Key
-	Type                       string // hardware; "": unknown
+	Type                       string // hardware type; empty: unknown
 	Shard                      int
 	Sums                       Sums    // over origins, each clipped
 	Rejected, Failed, TimedOut float64 // decayed counts
 	WarmingUp                  bool
-	Window, Queue              float64       // mean over origins
-	Sketch                     []byte        // of latencies in milliseconds, merged; read by Quantile
-	Origins                    int           // that told of the key
-	Age                        time.Duration // of the newest
+	Window, Queue              float64       // means over origins
+	Sketch                     []byte        // merged sketch of latencies in milliseconds; read by Quantile
+	Origins                    int           // number of origins that report the key
+	Age                        time.Duration // of the newest report
 }
 
-// ListVersion is the version of the node list that an origin holds.
+// ListVersion is the version of the endpoint list that an origin holds.
 type ListVersion struct {
 	Origin  string
 	Version int64
 	Age     time.Duration
 }
 
-// Settings are the bounds.
+// Settings are the bounds of a state.
 type Settings struct {
-	MaxOrigins      int           // other processes held; of more, those of a fixed order stay
-	MaxNodes        int           // nodes an origin may tell of
-	MaxClasses      int           // classes an origin may tell of, on each
+	MaxOrigins      int           // other processes held; which ones stay depends on their names alone
+	MaxNodes        int           // nodes that an origin reports
+	MaxClasses      int           // classes that an origin reports on each node
 	MaxMessageBytes int           // of one message
 	HalfLife        time.Duration // of an observation's weight
-	ExpireAfter     time.Duration // what was not told anew for so long goes
-	ClipFactor      float64       // how far over the others one origin may stand, in weight and in value
+	ExpireAfter     time.Duration // age at which a cell that was not renewed is dropped
+	ClipFactor      float64       // how far one origin's weight and values may exceed the median
 }
 
-// Defaults are good for some thirty processes.
+// Defaults returns settings for about thirty processes.
 func Defaults() Settings {
 	return Settings{MaxOrigins: 32, MaxNodes: 256, MaxClasses: 16, MaxMessageBytes: 1200,
 		HalfLife: 1500 * time.Millisecond, ExpireAfter: 5 * time.Minute, ClipFactor: 2}
 }
 
 const (
-	maxNameBytes    = 64 // bytes of a name
-	maxMessageBytes = 1 << 16
-	minMessageLimit = 1200
+	maxNameBytes    = 64      // of a name
+	maxMessageBytes = 1 << 16 // of a message that is decoded
+	minMessageLimit = 1200    // bytes: the least value of MaxMessageBytes; the largest cell fits
 )
 
-// Check names the setting that is wrong.
+// Check returns a SettingError for the first setting out of its range.
 func (s Settings) Check() error {
 	for _, b := range []struct {
-		key         string
-		value       float64
-		least, most float64
+		key             string
+		value, min, max float64
 	}{
-		{"origins", float64(s.MaxOrigins), 1, 1024}, {"nodes", float64(s.MaxNodes), 1, 65536}, {"classes", float64(s.MaxClasses), 1, 1024},
-		{"bytes", float64(s.MaxMessageBytes), minMessageLimit, maxMessageBytes}, {"half_life_ms", toMilliseconds(s.HalfLife), 1, 1e9},
-		{"expire_ms", toMilliseconds(s.ExpireAfter), toMilliseconds(s.HalfLife), 1e10}, {"clip", s.ClipFactor, 1, 1e6},
+		{"origins", float64(s.MaxOrigins), 1, 1024},
+		{"nodes", float64(s.MaxNodes), 1, 65536},
+		{"classes", float64(s.MaxClasses), 1, 1024},
+		{"bytes", float64(s.MaxMessageBytes), minMessageLimit, maxMessageBytes},
+		{"half_life_ms", toMilliseconds(s.HalfLife), 1, 1e9},
+		{"expire_ms", toMilliseconds(s.ExpireAfter), toMilliseconds(s.HalfLife), 1e10},
+		{"clip", s.ClipFactor, 1, 1e6},
 	} {
-		if !(b.value >= b.least && b.value <= b.most) {
-			return &SettingError{Key: b.key, Value: b.value, Min: b.least, Max: b.most}
+		if !(b.value >= b.min && b.value <= b.max) { // also true for NaN
+			return &SettingError{Key: b.key, Value: b.value, Min: b.min, Max: b.max}
 		}
 	}
 	return nil
