--- a/internal/nodestats/cellcodec.go
+++ b/internal/nodestats/cellcodec.go
@@ -75,6 +75,7 @@
 	case id.node == "":
 		d.fail("a class has no node")
 	case id.class == "":
+		d.int() // the start time
 		d.health()
 	default:
 		var stats classStats
@@ -83,8 +84,9 @@
 	return d.problem
 }
 
-func (h Health) append(b []byte, startTime int64) []byte {
-	b = binary.AppendVarint(b, startTime)
+// encode returns the body of a cell of a node's health.
+func (h Health) encode(startTime int64) []byte {
+	b := binary.AppendVarint(nil, startTime)
 	b = appendName(b, h.Type)
 	b = binary.AppendVarint(b, int64(h.Shard))
 	warmingUp := byte(0)
@@ -94,18 +96,19 @@
 	return appendFloat(appendFloat(append(b, warmingUp), h.Window), h.Queue)
 }
 
-func (d *decoder) health() (startTime int64, h Health) {
-	startTime = d.int()
-	h = Health{Type: d.name(), Shard: int(d.int()), WarmingUp: d.byte() != 0}
+// health decodes a node's health, which follows its start time.
+func (d *decoder) health() Health {
+	h := Health{Type: d.name(), Shard: int(d.int()), WarmingUp: d.byte() != 0}
 	h.Window, h.Queue = d.float(maxLoad), d.float(maxLoad)
 	if len(d.rest) > 0 {
 		d.fail("a node's health is too long")
 	}
-	return startTime, h
+	return h
 }
 
-func (c *classStats) append(b []byte) []byte {
-	b = binary.AppendVarint(b, c.startTime)
+// encode returns the body of a cell of a class.
+func (c *classStats) encode() []byte {
+	b := binary.AppendVarint(nil, c.startTime)
 	for _, d := range [...]*decayedCounts{&c.long, &c.short} {
 		for _, v := range d.fields() {
 			b = appendFloat(b, *v)
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -152,7 +152,7 @@
 	})
 	stats := classStats{long: decayedCounts{sums: Sums{10, 10, 10, 10, 10, 10}}, short: decayedCounts{sums: Sums{11, 11, 11, 11, 11, 11}}}
 	s := newState(t, Defaults(), "me", 1)
-	if err := s.Merge(0, encodeMessage("p", 1, wireCell{cellID{"n", "c"}, 1, 0, stats.append(nil)})); err == nil || s.Counts().Unreadable != 1 {
+	if err := s.Merge(0, encodeMessage("p", 1, wireCell{cellID{"n", "c"}, 1, 0, stats.encode()})); err == nil || s.Counts().Unreadable != 1 {
 		t.Error("more short-term than long-term statistics were accepted")
 	}
 }
--- a/internal/nodestats/digest_test.go
+++ b/internal/nodestats/digest_test.go
@@ -40,7 +40,7 @@
 		largest.bins[i] = 1e12
 	}
 	name := strings.Repeat("n", maxNameBytes)
-	if m := encodeMessage(name, maxSequence, wireCell{cellID{name, name}, maxSequence, 1 << 60, largest.append(nil)}); len(m) > minMessageLimit {
+	if m := encodeMessage(name, maxSequence, wireCell{cellID{name, name}, maxSequence, 1 << 60, largest.encode()}); len(m) > minMessageLimit {
 		t.Errorf("a cell of %d bytes", len(m))
 	}
 }
--- a/internal/nodestats/local.go
+++ b/internal/nodestats/local.go
@@ -126,14 +126,14 @@
 	for _, name := range s.localOrder {
 		n := s.localNodes[name]
 		if n.healthChanged {
-			s.publish(now, cellID{node: name}, n.health.append(nil, n.startTime))
+			s.publish(now, cellID{node: name}, n.health.encode(n.startTime))
 			n.healthChanged = false
 		}
 		for _, r := range n.recorders {
 			if r.changed {
 				r.resetIfChanged(now)
 				stats := r.statsAt(now)
-				s.publish(now, cellID{name, r.key.Class}, stats.append(nil))
+				s.publish(now, cellID{name, r.key.Class}, stats.encode())
 				r.changed = false
 			}
 		}
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -65,7 +65,7 @@
 func mergeOutdated(t *testing.T) error {
 	body := func(n float64) []byte {
 		stats := classStats{long: decayedCounts{sums: Sums{n, n, n, n, n, n}}}
-		return stats.append(nil)
+		return stats.encode()
 	}
 	id, set := cellID{"n", "c"}, smallSettings()
 	message := func(incarnation, seq uint64, n float64) []byte {
@@ -81,7 +81,7 @@
 		{"earlier sequence", 0, message(1, 2, 10), message(1, 1, 20), 10},
 		{"same sequence", 0, message(1, 1, 20), message(1, 1, 10), 20},
 		{"expired successor", set.ExpireAfter, message(1, 2, 10), message(1, 1, 20), 0},
-		{"too old on arrival", 0, encodeMessage("p", 1, wireCell{cellID{"m", ""}, 1, 0, Health{}.append(nil, 1)}),
+		{"too old on arrival", 0, encodeMessage("p", 1, wireCell{cellID{"m", ""}, 1, 0, Health{}.encode(1)}),
 			encodeMessage("q", 1, wireCell{id, 1, set.ExpireAfter, body(20)}), 0},
 		{"later incarnation", 0, message(1, 9, 10), message(2, 1, 20), 20},
 	} {
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -94,13 +94,13 @@
 				continue
 			}
 			age := max(now-c.createdAt, 0)
-			startTime := (&decoder{rest: c.body}).int()
+			body := &decoder{rest: c.body}
+			startTime := body.int()
 			if n := s.localNodes[id.node]; n != nil && n.startTime != startTime {
 				continue
 			}
 			if id.class == "" {
-				_, health := (&decoder{rest: c.body}).health()
-				healths = append(healths, healthRow{id.node, startTime, health, age})
+				healths = append(healths, healthRow{id.node, startTime, body.health(), age})
 				continue
 			}
 			rows = append(rows, classRow{key: Key{id.node, startTime, id.class}, origin: name, body: c.body, age: age, decayAge: age})
