--- a/internal/gossip/peers_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -114,16 +114,16 @@
 		lost []mutant.Mutant
 	}{
 		{"room", 8, []mutant.Mutant{
-			{File: "peers.go", Old: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	p.drain()\n	f(", New: "	p.drain()\n	f(", Want: "data race: "},
-			{File: "peers.go", Old: "	b.Lock()\n	sync.Writes(&b.in)\n	got := b.in\n	b.in, b.spare = b.spare[:0], got\n	b.Unlock()\n",
+			{File: "cluster.go", Old: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	p.drain()\n	f(", New: "	p.drain()\n	f(", Want: "data race: "},
+			{File: "cluster.go", Old: "	b.Lock()\n	sync.Writes(&b.in)\n	got := b.in\n	b.in, b.spare = b.spare[:0], got\n	b.Unlock()\n",
 				New: "	sync.Writes(&b.in)\n	got := b.in\n	b.in, b.spare = b.spare[:0], got\n", Want: "data race: "},
-			{File: "peers.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.spare = got\n", Want: "3 recorded, "},
-			{File: "peers.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.Unlock()\n	b.Lock()\n	b.in, b.spare = b.spare[:0], got\n",
+			{File: "cluster.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.spare = got\n", Want: "3 recorded, "},
+			{File: "cluster.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.Unlock()\n	b.Lock()\n	b.in, b.spare = b.spare[:0], got\n",
 				Want: "3 recorded, "},
-			{File: "peers.go", Old: "	p.drain()\n	f(p.opt.Since(), p.state)", New: "	f(p.opt.Since(), p.state)\n	p.drain()", Want: "not linearizable"}}},
+			{File: "cluster.go", Old: "	p.drain()\n	f(p.opt.Since(), p.state)", New: "	f(p.opt.Since(), p.state)\n	p.drain()", Want: "not linearizable"}}},
 		{"full", 2, []mutant.Mutant{
-			{File: "peers.go", Old: "			p.mu.Lock()\n			p.drain()\n			p.mu.Unlock()", New: "			p.drain()", Want: "data race: "},
-			{File: "peers.go", Old: "		b.lost++\n", New: "", Want: "3 recorded, "}}},
+			{File: "cluster.go", Old: "			p.mu.Lock()\n			p.drain()\n			p.mu.Unlock()", New: "			p.drain()", Want: "data race: "},
+			{File: "cluster.go", Old: "		b.lost++\n", New: "", Want: "3 recorded, "}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
@@ -202,7 +202,7 @@
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "peers.go", Old: "	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half", New: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half",
+		mutant.Mutant{File: "cluster.go", Old: "	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half", New: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half",
 			Want: "deadlock: "},
 	)
 }
@@ -248,6 +248,6 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "peers.go", Old: "		err := p.state.Merge(now, m)\n		p.mu.Unlock()\n",
+	mutant.Found(t, mutant.Mutant{File: "cluster.go", Old: "		err := p.state.Merge(now, m)\n		p.mu.Unlock()\n",
 		New: "		p.mu.Unlock()\n		sync.Writes(p.state)\n		err := p.state.Merge(now, m)\n", Want: "data race: "})
 }
