--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -193,7 +193,7 @@
 	}
 	return func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 		if outcome, ok := outcomeOf(status); ok {
-			f.peers.Observe(node, since, class, units, latencyMs, outcome)
+			f.peers.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
 		}
 	}
 }
--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// circle is the library's place in a walk: what is sent is there at once.
+// circle stands for memberlist: a message arrives as soon as it is sent.
 type circle struct {
 	members
 	all  []*memberlist.Node
@@ -35,7 +35,7 @@
 }
 func (c *circle) SendReliable(n *memberlist.Node, b []byte) error { return c.SendBestEffort(n, b) }
 
-// join makes processes that know each other; a buffer holds so many outcomes.
+// join returns processes that are members of each other; a buffer holds size outcomes.
 func join(size int, names ...string) map[string]*Cluster {
 	c := &circle{each: map[string]*Cluster{}}
 	for _, name := range names {
@@ -43,8 +43,8 @@
 		if err != nil {
 			panic(err)
 		}
-		p := newPeers(Options{Name: name, Burst: 8, Since: func() time.Duration { return time.Second }}, state, size)
-		p.inbox, p.list = make(chan []byte, 8), c
+		p := newCluster(Options{Name: name, Burst: 8, Since: func() time.Duration { return time.Second }}, state, size)
+		p.inbox, p.members = make(chan []byte, 8), c
 		c.each[name], c.all = p, append(c.all, &memberlist.Node{Name: name})
 	}
 	return c.each
@@ -52,9 +52,11 @@
 
 const units, millis = 1, 2
 
-func (p *Cluster) one() { p.Observe("s", 1, "read", units, millis, nodestats.Served) }
+func (p *Cluster) one() {
+	p.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
+}
 
-// seen is how many ends of attempts on a node are in the views; their sums must be of the same ones.
+// seen returns how many outcomes of a node are in the views; their sums must be consistent.
 func seen(views []nodestats.View, node string) (n int, err error) {
 	for _, v := range views {
 		if v.Node != node || v.Class == "" {
@@ -70,15 +72,15 @@
 	return n, nil
 }
 
-func (p *Cluster) look(node string) int {
-	n, err := seen(p.Views(), node)
+func (c *Cluster) look(node string) int {
+	n, err := seen(c.Views(), node)
 	if err != nil {
 		il.Fail("%v", err)
 	}
 	return n
 }
 
-// counter is what recording and reading are, one call at a time.
+// counter is the sequential model of recording and reading.
 var counter = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -89,8 +91,8 @@
 	},
 }
 
-// told is what another process tells of a node of its own, in one message.
-func told(node string, n int) []byte {
+// cellsOf returns one message of cells by which another process reports n outcomes of a node.
+func cellsOf(node string, n int) []byte {
 	state, _ := nodestats.New(nodestats.Defaults(), "other", 1)
 	none, _ := nodestats.New(nodestats.Defaults(), "none", 1)
 	for range n {
@@ -98,32 +100,32 @@
 	}
 	list, err := state.Diff(0, none.Digest(0))
 	if err != nil || len(list) != 1 {
-		panic(fmt.Errorf("%d messages, %v", len(list), err))
+		panic(fmt.Sprintf("%d messages, %v", len(list), err))
 	}
-	return append([]byte{tagCells}, list[0]...)
+	return append([]byte{messageCells}, list[0]...)
 }
 
-// The data path records, a reader asks for the views, another process tells the same twice, and the
-// process has its round: what was recorded is there when it was recorded, once, with whole sums; what does
-// not fit into the buffer is counted.
+// The data path records, a reader asks for the views, another process sends the same message twice, and the process has its
+// round: outcomes are in the views as soon as they are recorded, once, with consistent sums; what exceeds the buffer is
+// counted.
 func TestInterleaveObserve(t *testing.T) {
-	message := told("other's", 5)
+	message := cellsOf("other's", 5)
 	for _, x := range []struct {
-		name string
-		size int
-		lost []mutant.Mutant
+		name    string
+		size    int
+		mutants []mutant.Mutant
 	}{
-		{"room", 8, []mutant.Mutant{
-			{File: "cluster.go", Old: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	p.drain()\n	f(", New: "	p.drain()\n	f(", Want: "data race: "},
-			{File: "cluster.go", Old: "	b.Lock()\n	sync.Writes(&b.in)\n	got := b.in\n	b.in, b.spare = b.spare[:0], got\n	b.Unlock()\n",
-				New: "	sync.Writes(&b.in)\n	got := b.in\n	b.in, b.spare = b.spare[:0], got\n", Want: "data race: "},
-			{File: "cluster.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.spare = got\n", Want: "3 recorded, "},
-			{File: "cluster.go", Old: "	b.in, b.spare = b.spare[:0], got\n", New: "	b.Unlock()\n	b.Lock()\n	b.in, b.spare = b.spare[:0], got\n",
+		{"buffer not full", 8, []mutant.Mutant{
+			{File: "cluster.go", Old: "	c.mu.Lock()\n	defer c.mu.Unlock()\n	c.drain()\n	f(", New: "	c.drain()\n	f(", Want: "data race: "},
+			{File: "buffer.go", Old: "	b.Lock()\n	sync.Writes(&b.pending)\n	drained := b.pending\n	b.pending, b.spare = b.spare[:0], drained\n	b.Unlock()\n",
+				New: "	sync.Writes(&b.pending)\n	drained := b.pending\n	b.pending, b.spare = b.spare[:0], drained\n", Want: "data race: "},
+			{File: "buffer.go", Old: "	b.pending, b.spare = b.spare[:0], drained\n", New: "	b.spare = drained\n", Want: "3 recorded, "},
+			{File: "buffer.go", Old: "	b.pending, b.spare = b.spare[:0], drained\n", New: "	b.Unlock()\n	b.Lock()\n	b.pending, b.spare = b.spare[:0], drained\n",
 				Want: "3 recorded, "},
-			{File: "cluster.go", Old: "	p.drain()\n	f(p.opt.Since(), p.state)", New: "	f(p.opt.Since(), p.state)\n	p.drain()", Want: "not linearizable"}}},
-		{"full", 2, []mutant.Mutant{
-			{File: "cluster.go", Old: "			p.mu.Lock()\n			p.drain()\n			p.mu.Unlock()", New: "			p.drain()", Want: "data race: "},
-			{File: "cluster.go", Old: "		b.lost++\n", New: "", Want: "3 recorded, "}}},
+			{File: "cluster.go", Old: "	c.drain()\n	f(c.options.Since(), c.state)", New: "	f(c.options.Since(), c.state)\n	c.drain()", Want: "not linearizable"}}},
+		{"buffer full", 2, []mutant.Mutant{
+			{File: "rounds.go", Old: "			c.mu.Lock()\n			c.drain()\n			c.mu.Unlock()", New: "			c.drain()", Want: "data race: "},
+			{File: "buffer.go", Old: "		b.dropped++\n", New: "", Want: "3 recorded, "}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
@@ -162,12 +164,12 @@
 					},
 					Check: func() error {
 						for len(p.inbox) > 0 {
-							p.message(<-p.inbox)
+							p.handle(<-p.inbox)
 						}
 						p.Views()
 						n, o, c := p.look("s"), p.look("other's"), p.Counts()
 						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || x.size > 3 && c.DroppedOutcomes > 0 || o != 5 {
-							return fmt.Errorf("3 recorded, %d in the views, %d lost; of another's 5 %d", n, c.DroppedOutcomes, o)
+							return fmt.Errorf("3 recorded, %d in the views, %d dropped; of another's 5 %d", n, c.DroppedOutcomes, o)
 						}
 						if c.DroppedOutcomes > 0 {
 							return nil
@@ -176,12 +178,12 @@
 					},
 				}
 			})
-			mutant.Found(t, x.lost...)
+			mutant.Found(t, x.mutants...)
 		})
 	}
 }
 
-// Recording goes on while somebody holds the state, for as long as that takes.
+// Recording continues while another goroutine uses the state, for as long as that takes.
 func TestInterleaveObserveNeverWaits(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		p, recorded := join(2, "here")["here"], make(chan struct{})
@@ -195,20 +197,18 @@
 			},
 			Check: func() error {
 				if c := p.Counts(); c.Outcomes+c.DroppedOutcomes != 3 {
-					return fmt.Errorf("%d of 3 outcomes, %d lost", c.Outcomes, c.DroppedOutcomes)
+					return fmt.Errorf("%d of 3 outcomes, %d dropped", c.Outcomes, c.DroppedOutcomes)
 				}
 				return nil
 			},
 		}
 	})
-	mutant.Found(t,
-		mutant.Mutant{File: "cluster.go", Old: "	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half", New: "	p.mu.Lock()\n	defer p.mu.Unlock()\n	b := &p.buffer\n	b.Lock()\n	sync.Writes(&b.in)\n	n, half",
-			Want: "deadlock: "},
-	)
+	mutant.Found(t, mutant.Mutant{File: "buffer.go", Old: "	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half",
+		New: "	c.mu.Lock()\n	defer c.mu.Unlock()\n	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half", Want: "deadlock: "})
 }
 
-// Two processes record, and tell each other, each with one round and what comes of it, in any order. After
-// some more rounds both have all, once.
+// Two processes record and exchange, each with one round and the messages that follow, in any order. After more rounds
+// both hold all outcomes, once.
 func TestInterleaveRounds(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.World {
 		both := join(8, "a", "b")
@@ -216,7 +216,7 @@
 		take := func(p *Cluster, most int) {
 			for range most {
 				if m, _, had := sync.TryRecv(p.inbox); had {
-					p.message(m)
+					p.handle(m)
 				}
 			}
 		}
@@ -248,6 +248,6 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "cluster.go", Old: "		err := p.state.Merge(now, m)\n		p.mu.Unlock()\n",
-		New: "		p.mu.Unlock()\n		sync.Writes(p.state)\n		err := p.state.Merge(now, m)\n", Want: "data race: "})
+	mutant.Found(t, mutant.Mutant{File: "rounds.go", Old: "	err := c.state.Merge(c.options.Since(), message)\n	c.mu.Unlock()\n",
+		New: "	c.mu.Unlock()\n	sync.Writes(c.state)\n	err := c.state.Merge(c.options.Since(), message)\n", Want: "data race: "})
 }
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -18,53 +18,53 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// world is what is between processes: datagrams are lost, doubled, reordered and cut by a seed, and
-// halves can be apart.
-type world struct {
+// faultyNetwork is the network between processes: datagrams are lost, duplicated, reordered and truncated by a seed, and the
+// two partitions can be separated.
+type faultyNetwork struct {
 	mu                         sync.Mutex
 	rand                       *rand.Rand
-	share                      float64 // of each fault
-	half                       map[string]int
-	apart                      bool
-	lost, doubled, late, cut   int
-	refused, datagrams, dialed int
+	share                      float64 // of each kind of fault
+	partition                       map[string]int
+	partitioned                      bool
+	lost, duplicated, delayed, truncated   int
+	blocked, datagrams, dialed int
 }
 
-// faulty is one process's way into the world.
-type faulty struct {
+// faultyTransport is one process's transport on a faultyNetwork.
+type faultyTransport struct {
 	*memberlist.NetTransport
-	w    *world
-	me   string
-	held []func()
+	network    *faultyNetwork
+	address   string
+	delayed []func()
 }
 
-func (f *faulty) WriteTo(b []byte, addr string) (time.Time, error) {
+func (f *faultyTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return f.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (f *faulty) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	f.w.mu.Lock()
-	defer f.w.mu.Unlock()
-	f.w.datagrams++
+func (f *faultyTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	f.network.mu.Lock()
+	defer f.network.mu.Unlock()
+	f.network.datagrams++
 	b = slices.Clone(b)
 	send := func() { _, _ = f.NetTransport.WriteToAddress(b, a) }
-	before := f.held
-	f.held = nil
-	switch d := f.w.rand.Float64() / max(f.w.share, 1e-9); {
-	case f.w.apart && f.w.half[f.me] != f.w.half[a.Addr]:
-		f.w.refused++
+	before := f.delayed
+	f.delayed = nil
+	switch d := f.network.rand.Float64() / max(f.network.share, 1e-9); {
+	case f.network.partitioned && f.network.partition[f.address] != f.network.partition[a.Addr]:
+		f.network.blocked++
 	case d < 1:
-		f.w.lost++
+		f.network.lost++
 	case d < 2:
-		f.w.doubled++
+		f.network.duplicated++
 		send()
 		send()
 	case d < 3:
-		f.w.late++
-		f.held = append(f.held, send)
+		f.network.delayed++
+		f.delayed = append(f.delayed, send)
 	case d < 4:
-		f.w.cut++
-		b = b[:1+f.w.rand.IntN(len(b))]
+		f.network.truncated++
+		b = b[:1+f.network.rand.IntN(len(b))]
 		send()
 	default:
 		send()
@@ -75,73 +75,73 @@
 	return time.Now(), nil
 }
 
-func (f *faulty) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
+func (f *faultyTransport) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
 	return f.DialAddressTimeout(memberlist.Address{Addr: addr}, wait)
 }
 
-func (f *faulty) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
-	f.w.mu.Lock()
-	f.w.dialed++
-	away := f.w.apart && f.w.half[f.me] != f.w.half[a.Addr]
-	f.w.mu.Unlock()
+func (f *faultyTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
+	f.network.mu.Lock()
+	f.network.dialed++
+	away := f.network.partitioned && f.network.partition[f.address] != f.network.partition[a.Addr]
+	f.network.mu.Unlock()
 	if away {
-		return nil, fmt.Errorf("%s is apart", a.Addr)
+		return nil, fmt.Errorf("%s is in the other partition", a.Addr)
 	}
 	return f.NetTransport.DialAddressTimeout(a, wait)
 }
 
-func (w *world) set(apart bool) {
+func (w *faultyNetwork) set(apart bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.apart = apart
+	w.partitioned = apart
 }
 
-// crowd is some processes; the first half of them is one half.
-type crowd struct {
+// testFleet is some processes; the first half of them is one partition.
+type testFleet struct {
 	t     *testing.T
-	w     *world
+	network     *faultyNetwork
 	peers []*Cluster
 	seeds []string
-	give  func(i int) func(SnapshotKind) []byte
+	makeSnapshot  func(i int) func(SnapshotKind) []byte
 }
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-func (c *crowd) transport(port int) *faulty {
+func (c *testFleet) transport(port int) *faultyTransport {
 	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, BindPort: port,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return &faulty{NetTransport: nt, w: c.w, me: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
+	return &faultyTransport{NetTransport: nt, network: c.network, address: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
 }
 
-func (c *crowd) start(i int, incarnation uint64, f *faulty) *Cluster {
+func (c *testFleet) start(i int, incarnation uint64, f *faultyTransport) *Cluster {
 	var give func(SnapshotKind) []byte
-	if c.give != nil {
-		give = c.give(i)
+	if c.makeSnapshot != nil {
+		give = c.makeSnapshot(i)
 	}
-	p, err := Start(Options{MakeSnapshot: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.me, Seeds: c.seeds, Interval: 20 * time.Millisecond,
-		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: quiet(), Transport: f})
+	p, err := Start(Options{MakeSnapshot: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.address, Seeds: c.seeds, Interval: 20 * time.Millisecond,
+		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: discardLog(), Transport: f})
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return p
 }
 
-func gather(t *testing.T, n int, share float64) *crowd { return giving(t, n, share, nil) }
+func startFleet(t *testing.T, n int, share float64) *testFleet { return startFleetWith(t, n, share, nil) }
 
-func giving(t *testing.T, n int, share float64, give func(i int) func(SnapshotKind) []byte) *crowd {
-	c := &crowd{t: t, give: give, w: &world{rand: rand.New(rand.NewPCG(20261201, uint64(n))), share: share, half: map[string]int{}}}
-	var ways []*faulty
+func startFleetWith(t *testing.T, n int, share float64, give func(i int) func(SnapshotKind) []byte) *testFleet {
+	c := &testFleet{t: t, makeSnapshot: give, network: &faultyNetwork{rand: rand.New(rand.NewPCG(20261201, uint64(n))), share: share, partition: map[string]int{}}}
+	var ways []*faultyTransport
 	for i := range n {
 		f := c.transport(0)
-		c.w.half[f.me] = 2 * i / n
-		ways, c.seeds = append(ways, f), append(c.seeds, f.me)
+		c.network.partition[f.address] = 2 * i / n
+		ways, c.seeds = append(ways, f), append(c.seeds, f.address)
 	}
 	for i, f := range ways {
 		c.peers = append(c.peers, c.start(i, 1, f))
@@ -150,23 +150,23 @@
 		for _, p := range c.peers {
 			p.Stop()
 		}
-		gone(t)
+		awaitNoGoroutines(t)
 	})
 	return c
 }
 
-// await waits for a condition; only a hang ends it otherwise.
+// await waits for a condition and fails the test after a minute.
 func await(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("not within a minute: " + what)
 		}
 	}
 }
 
-// gone waits for the goroutines: a probe of the library's may still wait for its answer.
-func gone(t *testing.T) {
+// awaitNoGoroutines waits for goroutines to end: a probe of memberlist may still wait for its reply.
+func awaitNoGoroutines(t *testing.T) {
 	await(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
 }
 
@@ -175,7 +175,7 @@
 	return d
 }
 
-func same(peers ...*Cluster) bool {
+func sameStates(peers ...*Cluster) bool {
 	d := digest(peers[0])
 	for _, p := range peers[1:] {
 		ok := false
@@ -187,37 +187,38 @@
 	return true
 }
 
-func (c *crowd) work(r *rand.Rand, each int) {
+func (c *testFleet) observe(r *rand.Rand, each int) {
 	for i, p := range c.peers {
 		for range each {
-			p.Observe(fmt.Sprint("n", r.IntN(30)), 1, fmt.Sprint("c", r.IntN(3)), r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
+			p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(30)), StartTime: 1, Class: fmt.Sprint("c", r.IntN(3))}, r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
 		p.WithState(func(now time.Duration, s *nodestats.State) { s.SetListVersion(now, int64(100+i)) })
 	}
 }
 
-func served(p *Cluster) (n float64, origins int) {
+// totalWeight is the weight of all outcomes in a process's views.
+func totalWeight(p *Cluster) (n float64) {
 	for _, v := range p.Views() {
-		n, origins = n+v.Sums.N+v.Rejected+v.Failed+v.TimedOut, max(origins, v.Origins)
+		n += v.Sums.N + v.Rejected + v.Failed + v.TimedOut
 	}
-	return n, origins
+	return n
 }
 
-// Two halves cut apart, each with its own work, joined again under loss, doubling, reordering and cut messages:
-// all end with the same state, that of one merge of all.
-func TestHalvesJoinAgainWithOneState(t *testing.T) {
-	c := gather(t, 6, 0.08)
+// Two partitions, each with observations of its own, rejoin while datagrams are lost, duplicated, reordered and truncated:
+// all processes end with the same state, that of one merge of everything.
+func TestPartitionsConvergeAfterTheyRejoin(t *testing.T) {
+	c := startFleet(t, 6, 0.08)
 	r := rand.New(rand.NewPCG(1, 1))
-	c.work(r, 50)
-	await(t, "all alike", func() bool { return same(c.peers...) })
-	c.w.set(true)
-	c.work(r, 50)
-	await(t, "each half alike", func() bool { return same(c.peers[:3]...) && same(c.peers[3:]...) })
-	if same(c.peers[0], c.peers[5]) {
-		t.Error("the halves were not apart")
+	c.observe(r, 50)
+	await(t, "equal states", func() bool { return sameStates(c.peers...) })
+	c.network.set(true)
+	c.observe(r, 50)
+	await(t, "equal states in each partition", func() bool { return sameStates(c.peers[:3]...) && sameStates(c.peers[3:]...) })
+	if sameStates(c.peers[0], c.peers[5]) {
+		t.Error("the partitions were not separated")
 	}
-	c.w.set(false)
-	await(t, "all alike again", func() bool { return same(c.peers...) })
+	c.network.set(false)
+	await(t, "equal states after rejoining", func() bool { return sameStates(c.peers...) })
 	one, err := nodestats.New(nodestats.Defaults(), "auditor", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -236,50 +237,49 @@
 		})
 	}
 	if !one.MatchesDigest(0, digest(c.peers[0])) {
-		t.Error("not the state of one merge of all")
+		t.Error("the state differs from one merge of everything")
 	}
 	if n := len(one.ListVersions(0)); n != 6 {
-		t.Errorf("%d processes told their list's version", n)
+		t.Errorf("%d processes reported their list version", n)
 	}
-	w := c.w
+	w := c.network
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lost == 0 || w.doubled == 0 || w.late == 0 || w.cut == 0 || w.refused == 0 {
-		t.Errorf("a fault did not happen: %+v", w)
+	if w.lost == 0 || w.duplicated == 0 || w.delayed == 0 || w.truncated == 0 || w.blocked == 0 {
+		t.Errorf("a kind of fault did not occur: %+v", w)
 	}
-	t.Logf("%d datagrams: %d lost, %d doubled, %d late, %d cut, %d between the halves", w.datagrams, w.lost, w.doubled, w.late, w.cut, w.refused)
+	t.Logf("%d datagrams: %d lost, %d duplicated, %d delayed, %d truncated, %d blocked between the partitions", w.datagrams, w.lost, w.duplicated, w.delayed, w.truncated, w.blocked)
 }
 
-// A process that is killed and starts under its name: all end with its later life alone, and its figures of before
-// do not come back.
-func TestKilledAndStartedUnderItsName(t *testing.T) {
-	c := gather(t, 3, 0)
-	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.Failed)
-	await(t, "all know of it", func() bool { n, _ := served(c.peers[0]); return n > 0.5 && same(c.peers...) })
+// After a process was killed and restarted under its name, all processes hold its later incarnation alone.
+func TestRestartUnderTheSameNameReplacesItsState(t *testing.T) {
+	c := startFleet(t, 3, 0)
+	c.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Failed)
+	await(t, "the outcome at all processes", func() bool { return totalWeight(c.peers[0]) > 0.5 && sameStates(c.peers...) })
 	at := c.peers[2].Address()
 	c.peers[2].Kill()
-	_, port, err := split(at)
+	_, port, err := splitAddress(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.peers[2] = c.start(2, 2, c.transport(port))
-	c.peers[2].Observe("n", 1, "c", 1, 1, nodestats.Rejected)
-	await(t, "all alike", func() bool {
+	c.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Rejected)
+	await(t, "equal states", func() bool {
 		v := c.peers[0].Views()
-		return same(c.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
+		return sameStates(c.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
 	})
 }
 
-// A process that sends nonsense: all of it is counted and changes nothing, and the others go on. What it sends
-// of a later version is counted apart.
-func TestNonsenseChangesNothing(t *testing.T) {
-	c := gather(t, 3, 0)
-	c.work(rand.New(rand.NewPCG(2, 2)), 20)
-	await(t, "all alike", func() bool { return same(c.peers...) && c.peers[0].list.NumMembers() == 3 })
+// A process that sends invalid messages: all are counted and change nothing, those of a later version separately, and the
+// others continue to exchange.
+func TestInvalidMessagesChangeNothing(t *testing.T) {
+	c := startFleet(t, 3, 0)
+	c.observe(rand.New(rand.NewPCG(2, 2)), 20)
+	await(t, "equal states", func() bool { return sameStates(c.peers...) && c.peers[0].members.NumMembers() == 3 })
 	before := digest(c.peers[0])
 	r := rand.New(rand.NewPCG(3, 3))
 	var to *memberlist.Node
-	for _, n := range c.peers[2].list.Members() {
+	for _, n := range c.peers[2].members.Members() {
 		if n.Name == "p0" {
 			to = n
 		}
@@ -290,51 +290,51 @@
 			b[j] = byte(r.Uint32())
 		}
 		if i%3 > 0 {
-			b = append([]byte{byte(tagAsk + i%3), 'W', 'O', byte(2 + i%2)}, b...)
+			b = append([]byte{byte(messageDigest + i%3), 'W', 'O', byte(2 + i%2)}, b...)
 		}
-		if err := c.peers[2].list.SendReliable(to, b); err != nil {
+		if err := c.peers[2].members.SendReliable(to, b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	await(t, "all of it counted", func() bool {
+	await(t, "all messages are counted", func() bool {
 		n := c.peers[0].Counts()
 		return n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid >= 300 && n.State.LaterVersion > 0
 	})
 	same := false
 	c.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.MatchesDigest(now, before) })
 	if !same {
-		t.Error("nonsense changed the state")
+		t.Error("an invalid message changed the state")
 	}
-	c.peers[1].Observe("n", 1, "more", 1, 1, nodestats.Served)
-	await(t, "news still come", func() bool {
+	c.peers[1].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "more"}, 1, 1, nodestats.Served)
+	await(t, "a new class arrives", func() bool {
 		return slices.ContainsFunc(c.peers[0].Views(), func(v nodestats.View) bool { return v.Class == "more" })
 	})
 }
 
-// Observing never waits: with the state held by another and the buffer full, outcomes are counted as lost.
-func TestObservingNeverWaits(t *testing.T) {
-	c := gather(t, 1, 0)
+// While the state is in use and the buffer is full, outcomes are counted as dropped.
+func TestObserveNeverWaits(t *testing.T) {
+	c := startFleet(t, 1, 0)
 	p := c.peers[0]
 	p.WithState(func(time.Duration, *nodestats.State) {
 		for range bufferSize + 10 {
-			p.Observe("n", 1, "c", 1, 1, nodestats.Served)
+			p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
 		}
 	})
 	if n := p.Counts(); n.DroppedOutcomes != 10 || n.Outcomes != bufferSize {
-		t.Errorf("%d lost, %d taken", n.DroppedOutcomes, n.Outcomes)
+		t.Errorf("%d dropped, %d recorded", n.DroppedOutcomes, n.Outcomes)
 	}
-	if n := testing.AllocsPerRun(1000, func() { p.Observe("n", 1, "c", 1, 1, nodestats.Served) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// Addresses that only lead there by another way: as with links between processes. Messages are encrypted here.
-func TestAnotherWayToAnAddress(t *testing.T) {
-	defer gone(t)
+// Advertised addresses that only an override reaches. Messages are encrypted here.
+func TestAddressOverrides(t *testing.T) {
+	defer awaitNoGoroutines(t)
 	var ps []*Cluster
 	start := func(name, advertise string, seeds []string, via map[string]string) *Cluster {
 		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, AddressOverrides: via,
-			Interval: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: quiet()})
+			Interval: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: discardLog()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,15 +345,15 @@
 	b := start("b", "", []string{"127.0.0.9:9"}, map[string]string{"127.0.0.9:9": a.Address()})
 	defer b.Stop()
 	defer a.Stop()
-	a.Observe("n", 1, "c", 1, 1, nodestats.Served)
-	await(t, "the news of a at b", func() bool { n, _ := served(b); return n > 0.5 && same(ps...) })
-	if _, err := Start(Options{Name: "c", Listen: "nowhere", State: nodestats.Defaults(), Log: quiet()}); err == nil {
-		t.Error("it listens nowhere")
+	a.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
+	await(t, "the outcome of a at b", func() bool { return totalWeight(b) > 0.5 && sameStates(ps...) })
+	if _, err := Start(Options{Name: "c", Listen: "nowhere", State: nodestats.Defaults(), Log: discardLog()}); err == nil {
+		t.Error("started with an invalid address")
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()})
+	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: discardLog()})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -365,7 +365,7 @@
 			p.Views() // drains
 			b.StartTimer()
 		}
-		p.Observe("n", 1, "c", 1, 1, nodestats.Served)
+		p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
 	}
 	if n := p.Counts().DroppedOutcomes; n > 0 {
 		b.Errorf("%d lost", n)
--- a/internal/gossip/listen_test.go
+++ b/internal/gossip/listen_test.go
@@ -8,10 +8,10 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// To listen at every address without a word on which the others reach would start a program (ip route):
-// it is an error with a code. Where that word is there, it is none.
-func TestStartsNoProgram(t *testing.T) {
-	opt := Options{Name: "p", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: quiet()}
+// For an unspecified address without one to advertise, memberlist would start a program (ip route): it is an error. With
+// an advertised address it is none.
+func TestUnspecifiedAddressNeedsAdvertise(t *testing.T) {
+	opt := Options{Name: "p", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: discardLog()}
 	for _, opt.Listen = range []string{"0.0.0.0:0", "[::]:0"} {
 		_, err := Start(opt)
 		var no *ListenError
--- a/internal/gossip/recorded_test.go
+++ b/internal/gossip/recorded_test.go
@@ -53,7 +53,7 @@
 	if kind == "snapshot-reply" {
 		(*delegate)(l.clusters[to.Name]).NotifyMsg(b)
 	} else {
-		l.clusters[to.Name].message(b)
+		l.clusters[to.Name].handle(b)
 	}
 	return nil
 }
@@ -72,9 +72,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPeers(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: quiet(),
+	p := newCluster(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: discardLog(),
 		MakeSnapshot: func(kind SnapshotKind) []byte { return fmt.Appendf(nil, "snapshot of %s, kind %d", name, kind) }}, state, bufferSize)
-	p.list = l
+	p.members = l
 	l.clusters[name], l.nodes = p, append(l.nodes, &memberlist.Node{Name: name})
 	return p
 }
@@ -83,7 +83,7 @@
 func fill(p *Cluster, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 12))
 	for range 600 {
-		p.Observe(fmt.Sprint("n", r.IntN(4)), 1700000000000, fmt.Sprint("c", r.IntN(2)), float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
+		p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(4)), StartTime: 1700000000000, Class: fmt.Sprint("c", r.IntN(2))}, float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
 	}
 	p.WithState(func(now time.Duration, s *nodestats.State) {
 		for i := range 5 {
@@ -111,7 +111,7 @@
 		t.Error("no snapshot was received")
 	}
 	b.tasks.Wait()
-	if !same(a, b) {
+	if !sameStates(a, b) {
 		t.Error("the two processes hold different states")
 	}
 }
@@ -179,21 +179,21 @@
 	l.play(t)
 	c := l.add(t, 3, "c")
 	for _, m := range readMessages(t, "cells") {
-		c.asks, c.messages = 0, 0
-		c.message(m)
+		c.thisRound = roundLoad{}
+		c.handle(m)
 	}
 	n := c.Counts()
 	if n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows > 0 || n.State.Messages != int64(len(readMessages(t, "cells"))) {
 		t.Errorf("cells: %+v", n)
 	}
-	if !same(l.clusters["a"], c) {
+	if !sameStates(l.clusters["a"], c) {
 		t.Error("the recorded cells do not make the state of their senders")
 	}
 	for kind, answers := range map[string]string{"digest": "digest-reply", "digest-reply": "", "snapshot-request": "snapshot-reply"} {
 		for i, m := range readMessages(t, kind) {
 			clear(l.sent)
-			c.asks, c.messages, c.wants = 0, 0, 0
-			c.message(m)
+			c.thisRound = roundLoad{}
+			c.handle(m)
 			c.tasks.Wait()
 			if got := len(l.sent[answers]); answers != "" && got != 1 {
 				t.Errorf("%s %d: %d messages of kind %s", kind, i, got, answers)
@@ -201,7 +201,7 @@
 		}
 	}
 	for _, m := range readMessages(t, "snapshot-reply") {
-		answer := c.hand.ask(numberOf(m))
+		answer := c.snapshots.expect(numberOf(m))
 		(*delegate)(c).NotifyMsg(m)
 		if got := string(<-answer); got != "snapshot of b, kind 1" {
 			t.Errorf("snapshot %q", got)
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -11,158 +11,187 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// SnapshotKind is what one process hands over to another that starts.
+// SnapshotKind is the kind of a snapshot that one process sends to another that starts.
 type SnapshotKind byte
 
-// LearnedSnapshot is what was learned of the nodes, in the form of internal/coldstart/snapshot.
+// LearnedSnapshot is what a process has learned of the nodes, in the format of internal/coldstart/snapshot.
 const LearnedSnapshot SnapshotKind = 1
 
 const (
-	giveMost  = 256 << 10             // bytes of what is handed over
-	giveWait  = time.Second           // for one member's answer
-	giveTries = 8                     // members asked, one after the other
-	giveLook  = 50 * time.Millisecond // between looks for a member
-	wantsMost = 4                     // that ask, answered in a round
-	givesMost = 2                     // handed over at once; who asks beside them is told that there is nothing
-	wantHead  = 9                     // a drawn number, the kind; the name of who asks follows
+	maxSnapshotBytes         = 256 << 10
+	snapshotTimeout          = time.Second           // for one member's reply
+	maxSnapshotAttempts      = 8                     // members asked, one after the other
+	memberPollInterval       = 50 * time.Millisecond // while there is no member to ask
+	maxSnapshotRequestsRound = 4                     // requests answered in a round
+	maxSnapshotSends         = 2                     // snapshots made and sent at once; other requests get an empty reply
+
+	// A request is a random number and the kind, then the sender's name. A reply is the number, then the snapshot.
+	requestNumberBytes = 8
+	requestHeaderBytes = requestNumberBytes + 1
 )
 
-// handOver is one question at a time, and the answers to those of others.
-type handOver struct {
-	mu       sync.Mutex
-	asked    uint64        // the number that an answer must have; 0: none is awaited
-	answer   chan<- []byte // of room for one
-	giving   int
-	given    atomic.Int64
-	taken    atomic.Int64
-	unusable atomic.Int64
+// snapshotTransfer is one request of this process, and its replies to the requests of others.
+type snapshotTransfer struct {
+	mu       sync.Mutex    // guards the fields up to sending
+	expected uint64        // number that a reply must have; 0: none is expected
+	reply    chan<- []byte // has capacity for one
+	sending  int           // snapshots being made or sent
+
+	sent     atomic.Int64
+	received atomic.Int64
+	invalid  atomic.Int64
 }
 
-// came takes an answer. It is dropped and counted unless it is the one that is waited for.
-func (h *handOver) came(m []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(m) < 8 || len(m) > 8+giveMost || h.asked == 0 || binary.BigEndian.Uint64(m) != h.asked {
-		h.unusable.Add(1)
+// receive handles a reply. One that is not expected is dropped and counted.
+func (s *snapshotTransfer) receive(m []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	tooLong := len(m) > requestNumberBytes+maxSnapshotBytes
+	if len(m) < requestNumberBytes || tooLong || s.expected == 0 || binary.BigEndian.Uint64(m) != s.expected {
+		s.invalid.Add(1)
 		return
 	}
-	h.answer <- slices.Clone(m[8:])
-	h.asked = 0
+	s.reply <- slices.Clone(m[requestNumberBytes:])
+	s.expected = 0
+}
+
+// expect returns the channel of the reply with the number; 0: no reply is expected from now on.
+func (s *snapshotTransfer) expect(number uint64) <-chan []byte {
+	reply := make(chan []byte, 1)
+	s.mu.Lock()
+	s.expected, s.reply = number, reply
+	s.mu.Unlock()
+	return reply
+}
+
+// beginSend reports whether another snapshot may be made and sent; endSend must follow.
+func (s *snapshotTransfer) beginSend() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.sending >= maxSnapshotSends {
+		return false
+	}
+	s.sending++
+	return true
 }
 
-// ask awaits an answer from now on; 0: none is awaited any more.
-func (h *handOver) ask(number uint64) <-chan []byte {
-	answer := make(chan []byte, 1)
-	h.mu.Lock()
-	h.asked, h.answer = number, answer
-	h.mu.Unlock()
-	return answer
+func (s *snapshotTransfer) endSend() {
+	s.mu.Lock()
+	s.sending--
+	s.mu.Unlock()
 }
 
-// RequestSnapshot has a member hand something over, and says whether it did before the context ended. Members are
-// asked in a drawn order until one has something that take can use: take's error is counted and the next
-// is asked. What is handed over was made after it was asked for: its age is at most giveWait by this
-// process's clock. One Ask at a time.
-func (p *Cluster) RequestSnapshot(ctx context.Context, kind SnapshotKind, take func([]byte) error) bool {
-	defer p.hand.ask(0)
-	asked := map[string]bool{p.opt.Name: true}
-	for len(asked) <= giveTries {
-		to, number := p.another(asked)
+// RequestSnapshot asks members for a snapshot, in random order, until accept returns no error for one; it reports
+// whether that happened before ctx ended. The snapshot was made after the request: it is at most snapshotTimeout old.
+// Only one call at a time is allowed.
+func (c *Cluster) RequestSnapshot(ctx context.Context, kind SnapshotKind, accept func([]byte) error) bool {
+	defer c.snapshots.expect(0)
+	asked := map[string]bool{c.options.Name: true}
+	for len(asked) <= maxSnapshotAttempts {
+		to, number := c.memberNotAsked(asked)
 		if to == nil {
 			select {
-			case <-time.After(giveLook):
+			case <-time.After(memberPollInterval):
 				continue
 			case <-ctx.Done():
 				return false
 			}
 		}
 		asked[to.Name] = true
-		answer := p.hand.ask(number)
-		m := binary.BigEndian.AppendUint64(make([]byte, 0, wantHead+len(p.opt.Name)), number)
-		p.send(to, tagWant, append(append(m, byte(kind)), p.opt.Name...))
-		wait := time.NewTimer(giveWait)
-		select {
-		case got := <-answer:
-			if len(got) == 0 {
-				break // it has nothing
-			}
-			if err := take(got); err != nil {
-				p.hand.unusable.Add(1)
-				p.dropped(err)
-				break
-			}
-			p.hand.taken.Add(1)
-			wait.Stop()
-			return true
-		case <-wait.C:
-		case <-ctx.Done():
-			wait.Stop()
+		reply := c.requestFrom(ctx, to, kind, number)
+		if ctx.Err() != nil && reply == nil {
 			return false
 		}
-		wait.Stop()
+		if len(reply) > 0 && c.acceptSnapshot(reply, accept) {
+			return true
+		}
 	}
 	return false
 }
 
-// another draws a member that was not asked yet, and a number; nil: there is none.
-func (p *Cluster) another(asked map[string]bool) (to *memberlist.Node, number uint64) {
-	left := slices.DeleteFunc(p.list.Members(), func(n *memberlist.Node) bool { return asked[n.Name] })
-	if len(left) == 0 {
+// requestFrom returns a member's reply; nil: there was none in time.
+func (c *Cluster) requestFrom(ctx context.Context, to *memberlist.Node, kind SnapshotKind, number uint64) []byte {
+	reply := c.snapshots.expect(number)
+	request := binary.BigEndian.AppendUint64(make([]byte, 0, requestHeaderBytes+len(c.options.Name)), number)
+	request = append(append(request, byte(kind)), c.options.Name...)
+	c.send(to, messageSnapshotRequest, request)
+	timeout := time.NewTimer(snapshotTimeout)
+	defer timeout.Stop()
+	select {
+	case snapshot := <-reply:
+		return snapshot
+	case <-timeout.C:
+	case <-ctx.Done():
+	}
+	return nil
+}
+
+func (c *Cluster) acceptSnapshot(snapshot []byte, accept func([]byte) error) bool {
+	if err := accept(snapshot); err != nil {
+		c.snapshots.invalid.Add(1)
+		c.logDropped(err)
+		return false
+	}
+	c.snapshots.received.Add(1)
+	return true
+}
+
+// memberNotAsked draws a member that was not asked yet, and a number that is not 0; nil: there is no such member.
+func (c *Cluster) memberNotAsked(asked map[string]bool) (to *memberlist.Node, number uint64) {
+	remaining := slices.DeleteFunc(c.members.Members(), func(n *memberlist.Node) bool { return asked[n.Name] })
+	if len(remaining) == 0 {
 		return nil, 0
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return left[p.rand.IntN(len(left))], p.rand.Uint64() | 1
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return remaining[c.rand.IntN(len(remaining))], c.rand.Uint64() | 1
 }
 
-// wanted answers one that asks. What is handed over is made, and sent, beside the rounds.
-func (p *Cluster) wanted(m []byte) {
-	if len(m) <= wantHead {
-		p.hand.unusable.Add(1)
+// answerSnapshotRequest replies to a request. The snapshot is made and sent by a goroutine of its own.
+func (c *Cluster) answerSnapshotRequest(m []byte) {
+	if len(m) <= requestHeaderBytes {
+		c.snapshots.invalid.Add(1)
 		return
 	}
-	number, kind, name := m[:8], SnapshotKind(m[8]), string(m[wantHead:])
-	for _, to := range p.list.Members() {
-		if to.Name != name || name == p.opt.Name {
-			continue
-		}
-		if p.opt.MakeSnapshot == nil { // this process hands nothing over
-			return
-		}
-		if p.wants++; p.wants > wantsMost || !p.hand.begin() {
-			p.send(to, tagGive, number)
-			return
-		}
-		p.tasks.Add(1)
-		go func() {
-			defer p.tasks.Done()
-			defer p.hand.end()
-			b := p.opt.MakeSnapshot(kind)
-			if len(b) > giveMost {
-				b = nil
-			}
-			if len(b) > 0 {
-				p.hand.given.Add(1)
-			}
-			p.send(to, tagGive, append(slices.Clone(number), b...))
-		}()
+	number, kind, name := m[:requestNumberBytes], SnapshotKind(m[requestNumberBytes]), string(m[requestHeaderBytes:])
+	to := c.otherMember(name)
+	if to == nil {
+		c.snapshots.invalid.Add(1)
 		return
 	}
-	p.hand.unusable.Add(1) // of nobody
+	if c.options.MakeSnapshot == nil {
+		return
+	}
+	c.thisRound.snapshotRequests++
+	if c.thisRound.snapshotRequests > maxSnapshotRequestsRound || !c.snapshots.beginSend() {
+		c.send(to, messageSnapshotReply, number)
+		return
+	}
+	c.tasks.Add(1)
+	go func() {
+		defer c.tasks.Done()
+		defer c.snapshots.endSend()
+		c.sendSnapshot(to, number, kind)
+	}()
 }
 
-func (h *handOver) begin() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.giving >= givesMost {
-		return false
+// otherMember returns the member with the name; nil: there is none, or it is this process.
+func (c *Cluster) otherMember(name string) *memberlist.Node {
+	for _, n := range c.members.Members() {
+		if n.Name == name && name != c.options.Name {
+			return n
+		}
 	}
-	h.giving++
-	return true
+	return nil
 }
 
-func (h *handOver) end() {
-	h.mu.Lock()
-	h.giving--
-	h.mu.Unlock()
+func (c *Cluster) sendSnapshot(to *memberlist.Node, number []byte, kind SnapshotKind) {
+	snapshot := c.options.MakeSnapshot(kind)
+	if len(snapshot) > maxSnapshotBytes {
+		snapshot = nil
+	}
+	if len(snapshot) > 0 {
+		c.snapshots.sent.Add(1)
+	}
+	c.send(to, messageSnapshotReply, append(slices.Clone(number), snapshot...))
 }
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// One that starts has what another hands over, also where datagrams are lost, doubled and cut, some have
-// nothing, and one gives what cannot be used or is too long. What nobody asked for is dropped and counted.
-func TestHandOver(t *testing.T) {
+// A process gets a snapshot also while datagrams are lost, duplicated and truncated, some members have none, one sends an
+// invalid one and one an overlong one. A reply that is not expected is dropped and counted.
+func TestRequestSnapshot(t *testing.T) {
 	good := bytes.Repeat([]byte("learned "), 20<<10) // 160 KiB: by a connection of its own
-	c := giving(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
+	c := startFleetWith(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
 		return func(k SnapshotKind) []byte {
 			switch {
 			case k != LearnedSnapshot || i == 1:
 				return nil
 			case i == 2:
-				return []byte("nonsense")
+				return []byte("invalid")
 			case i == 3:
-				return make([]byte, giveMost+1)
+				return make([]byte, maxSnapshotBytes+1)
 			}
 			return good
 		}
 	})
 	p := c.peers[0]
-	await(t, "all know each other", func() bool { return p.Counts().Members == 6 && c.peers[4].Counts().Members == 6 })
-	for spoilt := false; !spoilt; spoilt = p.Counts().SnapshotsInvalid > 0 { // until the one with nonsense was asked too
+	await(t, "all are members", func() bool { return p.Counts().Members == 6 && c.peers[4].Counts().Members == 6 })
+	for spoilt := false; !spoilt; spoilt = p.Counts().SnapshotsInvalid > 0 { // until the member with an invalid snapshot was asked too
 		had := 0
-		await(t, "handed over", func() bool {
-			// Where all of them were asked in vain, as datagrams were lost, it waits for members to come: it is asked anew.
-			ctx, stop := context.WithTimeout(t.Context(), 6*giveWait)
+		await(t, "a snapshot is received", func() bool {
+			// If datagrams to all members were lost, it waits for new members: it is called again.
+			ctx, stop := context.WithTimeout(t.Context(), 6*snapshotTimeout)
 			defer stop()
 			return p.RequestSnapshot(ctx, LearnedSnapshot, func(b []byte) error {
 				if !bytes.Equal(b, good) {
-					return errors.New("not what it must be")
+					return errors.New("another snapshot")
 				}
 				had++
 				return nil
 			})
 		})
 		if had != 1 {
-			t.Fatalf("taken %d times", had)
+			t.Fatalf("accepted %d times", had)
 		}
 	}
 	if p.Counts().SnapshotsReceived == 0 || c.peers[4].Counts().SnapshotsSent+c.peers[5].Counts().SnapshotsSent == 0 {
@@ -52,35 +52,35 @@
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
 	if p.RequestSnapshot(quick, LearnedSnapshot+1, func([]byte) error { return nil }) {
-		t.Error("of a kind that nobody has")
+		t.Error("a snapshot of an unknown kind")
 	}
 	before := p.Counts()
-	asked := p.hand.ask(7)
-	for _, m := range [][]byte{nil, make([]byte, 8), binary.BigEndian.AppendUint64(nil, 9), append(binary.BigEndian.AppendUint64(nil, 7), make([]byte, giveMost+1)...)} {
-		(*delegate)(p).NotifyMsg(append([]byte{tagGive}, m...))
+	asked := p.snapshots.expect(7)
+	for _, m := range [][]byte{nil, make([]byte, 8), binary.BigEndian.AppendUint64(nil, 9), append(binary.BigEndian.AppendUint64(nil, 7), make([]byte, maxSnapshotBytes+1)...)} {
+		(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, m...))
 	}
-	(*delegate)(p).NotifyMsg(append([]byte{tagGive}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
-	(*delegate)(p).NotifyMsg(append([]byte{tagGive}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
+	(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
+	(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
 	if got := p.Counts().SnapshotsInvalid - before.SnapshotsInvalid; got != 5 || string(<-asked) != "x" {
 		t.Errorf("%d dropped of 5", got)
 	}
 }
 
-// Who asks often is told that there is nothing: what a process hands over costs it work.
-func TestHandsOverSoMuch(t *testing.T) {
+// Snapshots take time to make: requests above a limit get an empty reply.
+func TestSnapshotSendsAreLimited(t *testing.T) {
 	let, made := make(chan bool), make(chan bool, 100)
-	c := giving(t, 2, 0, func(int) func(SnapshotKind) []byte {
+	c := startFleetWith(t, 2, 0, func(int) func(SnapshotKind) []byte {
 		return func(SnapshotKind) []byte { made <- true; <-let; return []byte("x") }
 	})
 	p := c.peers[1]
-	await(t, "both know each other", func() bool { return p.Counts().Members == 2 && c.peers[0].Counts().Members == 2 })
+	await(t, "both are members", func() bool { return p.Counts().Members == 2 && c.peers[0].Counts().Members == 2 })
 	m := append(binary.BigEndian.AppendUint64(nil, 5), byte(LearnedSnapshot))
-	for range 10 * givesMost {
-		c.peers[0].send(p.list.LocalNode(), tagWant, append(m, "p0"...))
+	for range 10 * maxSnapshotSends {
+		c.peers[0].send(p.members.LocalNode(), messageSnapshotRequest, append(m, "p0"...))
 	}
-	await(t, "the ones too many were turned away", func() bool { return c.peers[0].Counts().SnapshotsInvalid >= 8*givesMost })
-	if n := len(made); n > givesMost {
-		t.Errorf("%d at once", n)
+	await(t, "the excess requests got an empty reply", func() bool { return c.peers[0].Counts().SnapshotsInvalid >= 8*maxSnapshotSends })
+	if n := len(made); n > maxSnapshotSends {
+		t.Errorf("%d snapshots made at once", n)
 	}
 	close(let)
 }
