--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -52,8 +52,8 @@
 
 const units, millis = 1, 2
 
-func (p *Cluster) one() {
-	p.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
+func (c *Cluster) one() {
+	c.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
 }
 
 // seen returns how many outcomes of a node are in the views; their sums must be consistent.
