--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -8,7 +8,6 @@
 	"sync"
 	"syscall"
 	"testing"
-	"time"
 )
 
 // previousCommit is the last version in service whose identifiers, files and log texts were renamed as a whole. What it
