--- a/policy/check.go
+++ b/policy/check.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// check names the first settings field that cannot be.
-func check(set *Settings) error {
+// checkSettings names the first settings field that cannot be.
+func checkSettings(set *Settings) error {
 	num := func(name string, v, least float64) error {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < least {
 			return fmt.Errorf("settings: %s is %v", name, v)
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -161,8 +161,8 @@
 	r := newRig(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
 	r.at(2500, Event{Kind: ClientDisconnected, ID: "x"})
-	if c := r.s.classOf["safe"]; c.count != 1 || c.sum < 1400 {
-		t.Errorf("%v samples, %v ms", c.count, c.sum)
+	if c := r.s.classByName["safe"]; c.sampleCount != 1 || c.sampleSum < 1400 {
+		t.Errorf("%v samples, %v ms", c.sampleCount, c.sampleSum)
 	}
 }
 
@@ -204,7 +204,7 @@
 		r.at(r.now+20, call(id, "once", 0, r.now+2000))
 		r.at(r.now+1, done(id, 0, Errored, false))
 	}
-	if w := r.s.nodes["a"].window; w > windowStart {
+	if w := r.s.nodeByID["a"].window; w > initialWindow {
 		t.Errorf("window %v after errors alone", w)
 	}
 }
@@ -227,15 +227,15 @@
 	if sends < 2 || sends > 6 {
 		t.Errorf("%d sends to a silent node in 5 s: no trickle", sends)
 	}
-	n := r.s.nodes["a"]
-	if len(n.out) == 0 {
+	n := r.s.nodeByID["a"]
+	if len(n.inFlight) == 0 {
 		t.Fatal("nothing out to be answered")
 	}
-	r.step(done(n.out[0].id, 0, OK, true))
+	r.step(done(n.inFlight[0].id, 0, OK, true))
 	if n.silent {
 		t.Error("still silent after an answer")
 	}
-	if n.coldAt != r.now {
+	if n.startedAt != r.now {
 		t.Error("back from long silence, yet not taken for cold")
 	}
 }
@@ -249,8 +249,8 @@
 		r.at(r.now+30, call(id, "once", 0, r.now+2000))
 		r.at(r.now+10, done(id, 0, OK, true))
 	}
-	if n := r.s.nodes["a"]; len(n.out) != 0 || n.units != 0 {
-		t.Errorf("%d out, %v units", len(n.out), n.units)
+	if n := r.s.nodeByID["a"]; len(n.inFlight) != 0 || n.inFlightUnits != 0 {
+		t.Errorf("%d out, %v units", len(n.inFlight), n.inFlightUnits)
 	}
 }
 
@@ -268,7 +268,7 @@
 		set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 2500})
 		r := newRig(t, set)
 		r.step(call("slow", x.class, 0, 3000))
-		r.s.nodes["a"].usual, r.s.nodes["a"].latencyAt = 20, r.now
+		r.s.nodeByID["a"].typicalLatency, r.s.nodeByID["a"].latencyLearnedAt = 20, r.now
 		copies := func(acts []Action) (n int) {
 			for _, a := range acts {
 				if a.ID == "slow" && a.Kind == Send && a.Node == "a" {
@@ -291,29 +291,29 @@
 		if sent != x.copies {
 			t.Errorf("%s: %d copies", x.class, sent)
 		}
-		usual := r.s.nodes["a"].usual
+		usual := r.s.nodeByID["a"].typicalLatency
 		ev := done("slow", x.answer, OK, true)
 		ev.Latency = 160
 		r.at(1160, ev)
-		if x.answer == 0 && r.s.nodes["a"].usual != usual {
-			t.Errorf("%s: the node's usual latency went from %v to %v", x.class, usual, r.s.nodes["a"].usual)
+		if x.answer == 0 && r.s.nodeByID["a"].typicalLatency != usual {
+			t.Errorf("%s: the node's usual latency went from %v to %v", x.class, usual, r.s.nodeByID["a"].typicalLatency)
 		}
 		if x.copies > 0 {
 			r.at(1170, done("slow", 1-x.answer, Abandoned, true))
 		}
-		if len(r.s.reqs) != 0 || r.s.waiting != 0 || len(r.s.nodes["a"].out) != 0 {
-			t.Errorf("%s: %d requests, %d waiting, %d out", x.class, len(r.s.reqs), r.s.waiting, len(r.s.nodes["a"].out))
+		if len(r.s.requests) != 0 || r.s.waitingCount != 0 || len(r.s.nodeByID["a"].inFlight) != 0 {
+			t.Errorf("%s: %d requests, %d waiting, %d out", x.class, len(r.s.requests), r.s.waitingCount, len(r.s.nodeByID["a"].inFlight))
 		}
 	}
 }
 
 func TestEarlyRefusalCountsWithTheWaitItWasSpared(t *testing.T) {
 	r := newRig(t, testSettings())
-	c := r.s.classOf["safe"]
-	q := &request{id: "x", class: c, vol: r.s.volume("v", r.s.planOf["p"], 1), began: r.now, due: bandShare}
-	r.s.giveUp(q, 900)
-	if c.sum != 900 {
-		t.Errorf("sample %v", c.sum)
+	c := r.s.classByName["safe"]
+	q := &request{id: "x", class: c, volume: r.s.volume("v", r.s.planByName["p"], 1), startedAt: r.now, chargedBand: bandFairShare}
+	r.s.rejectOrFail(q, 900)
+	if c.sampleSum != 900 {
+		t.Errorf("sample %v", c.sampleSum)
 	}
 }
 
@@ -324,22 +324,22 @@
 		set := testSettings()
 		set.Schedulers = hosts
 		r := newRig(t, set)
-		n := r.s.nodes["a"]
+		n := r.s.nodeByID["a"]
 		for range 40 {
 			r.at(r.now+600, Event{Kind: TimerFired})
-			r.s.answered(n, 900, 2)
+			r.s.recordLatency(n, 900, 2)
 		}
 		if n.window != least {
 			t.Errorf("%v hosts: window %v, want %v", hosts, n.window, least)
 		}
-		if gap := r.s.sendGap(n); gap > 1.5*sendGapMost {
+		if gap := r.s.sendGap(n); gap > 1.5*maxSendGapMs {
 			t.Errorf("%v hosts: rest of %v", hosts, gap)
 		}
 		for range 40 {
 			r.at(r.now+600, Event{Kind: TimerFired})
-			r.s.answered(n, 30, 2)
+			r.s.recordLatency(n, 30, 2)
 		}
-		if n.window < windowLeast {
+		if n.window < minWindow {
 			t.Errorf("%v hosts: no way back, window %v", hosts, n.window)
 		}
 	}
@@ -348,7 +348,7 @@
 func TestAdaptationMovesWeightToTheWorstClass(t *testing.T) {
 	r := newRig(t, testSettings())
 	a, b := r.s.classes[0], r.s.classes[1]
-	a.sum, a.count, b.sum, b.count = 800, 1, 40, 1
+	a.sampleSum, a.sampleCount, b.sampleSum, b.sampleCount = 800, 1, 40, 1
 	if !r.s.adapt() || a.weight <= 0.5 || math.Abs(a.weight+b.weight-1) > 1e-9 {
 		t.Errorf("weights %v %v", a.weight, b.weight)
 	}
@@ -365,19 +365,19 @@
 	r := newRig(t, set)
 	r.step(call("x", "once", 0, 3000))
 	r.at(1020, done("x", 0, ConnectionReset, false))
-	r.at(1000+2*forgetSpan, Event{Kind: TimerFired, Tag: "tick"})
-	if len(r.s.volumes)+len(r.s.known)+len(r.s.keys)+len(r.s.reqs)+len(r.s.takes) > 0 {
-		t.Errorf("%d volumes, %d keys, %d requests", len(r.s.volumes), len(r.s.keys), len(r.s.reqs))
+	r.at(1000+2*idleEvictionMs, Event{Kind: TimerFired, Tag: "tick"})
+	if len(r.s.volumes)+len(r.s.volumeOrder)+len(r.s.orderedKeys)+len(r.s.requests)+len(r.s.arrivalTimes) > 0 {
+		t.Errorf("%d volumes, %d keys, %d requests", len(r.s.volumes), len(r.s.orderedKeys), len(r.s.requests))
 	}
 }
 
 // Late work must not take a crowded node from other hosts' work in time.
 func TestLateWorkKeepsOffACrowdedNode(t *testing.T) {
-	for window, sends := range map[float64]int{windowStart: 1, windowLeast / 2: 0} {
+	for window, sends := range map[float64]int{initialWindow: 1, minWindow / 2: 0} {
 		r := newRig(t, testSettings())
 		r.step(call("first", "safe", 0, 3000)) // shows the class's span
 		r.at(1020, done("first", 0, OK, true))
-		r.s.nodes["a"].window = window
+		r.s.nodeByID["a"].window = window
 		late := call("late", "safe", 0, r.now+500) // 1.5 s old, past its aim of 400 ms
 		late.Request.ClientRetry = true
 		acts := r.step(late)
@@ -421,7 +421,7 @@
 		t.Errorf("asked %d times while subscribed", n)
 	}
 	r.step(Event{Kind: ListFailed}) // the subscription broke
-	if n := asks(2 * askMost); n == 0 {
+	if n := asks(2 * maxPollBackoffMs); n == 0 {
 		t.Error("never asked again")
 	}
 }
@@ -430,11 +430,11 @@
 func TestFullListDropsAndRestartChills(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.step(Event{Kind: ListReceived, Nodes: []Node{{ID: "a", Shard: 0, StartTime: 990}}})
-	if n := r.s.nodes["b"]; n != nil {
+	if n := r.s.nodeByID["b"]; n != nil {
 		t.Error("b is still there")
 	}
-	if n := r.s.nodes["a"]; n.coldAt != 990 || n.window != windowLeast {
-		t.Errorf("a restarted at %v with window %v", n.coldAt, n.window)
+	if n := r.s.nodeByID["a"]; n.startedAt != 990 || n.window != minWindow {
+		t.Errorf("a restarted at %v with window %v", n.startedAt, n.window)
 	}
 	if acts := r.step(call("x", "safe", 1, 3000)); count(acts, Send) != 0 {
 		t.Errorf("sent to a node that is gone: %v", acts)
@@ -453,8 +453,8 @@
 			call(id, "safe", 0, r.now+2000))
 		r.at(r.now+20, done(id, 0, OK, true))
 	}
-	if len(r.s.nodes) > 2 || len(r.s.listed) > 2 || len(r.s.takes) > 20 || len(r.s.unserved) > 20 {
-		t.Errorf("%d nodes, %d listed, %d takes, %d unserved", len(r.s.nodes), len(r.s.listed), len(r.s.takes),
+	if len(r.s.nodeByID) > 2 || len(r.s.listedNodes) > 2 || len(r.s.arrivalTimes) > 20 || len(r.s.unserved) > 20 {
+		t.Errorf("%d nodes, %d listed, %d takes, %d unserved", len(r.s.nodeByID), len(r.s.listedNodes), len(r.s.arrivalTimes),
 			len(r.s.unserved))
 	}
 }
@@ -464,15 +464,15 @@
 	r := newRig(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
 	v := r.volume("v")
-	v.store = 0
+	v.reservedTokens = 0
 	r.step(call("y", "safe", 1, 3000))
-	v.store = 0
-	if q := r.s.reqs["y"]; q.due != bandShare {
-		t.Fatalf("due %v", q.due)
+	v.reservedTokens = 0
+	if q := r.s.requests["y"]; q.chargedBand != bandFairShare {
+		t.Fatalf("due %v", q.chargedBand)
 	}
-	r.s.refund(r.s.reqs["y"])
-	if v.store != 0 || v.level != 0 {
-		t.Errorf("reserve %v, level %v", v.store, v.level)
+	r.s.refund(r.s.requests["y"])
+	if v.reservedTokens != 0 || v.usageLevel != 0 {
+		t.Errorf("reserve %v, level %v", v.reservedTokens, v.usageLevel)
 	}
 }
 
@@ -484,14 +484,14 @@
 		r.at(r.now+50, call(id, "once", 0, r.now+2000), Event{Kind: TimerFired, Tag: "beat"})
 		r.at(r.now+20, done(id, 0, OK, true))
 	}
-	usual := r.s.expected(r.s.nodes["a"])
+	usual := r.s.expectedLatency(r.s.nodeByID["a"])
 	r.at(r.now+30, call("x", "once", 0, r.now+2000), Event{Kind: TimerFired, Tag: "beat"})
 	late := done("x", 0, OK, true)
 	late.Latency = 1500
 	r.at(r.now+1500, Event{Kind: TimerFired, Tag: "beat"}, late)
-	n := r.s.nodes["a"]
-	if n.silent || r.s.expected(n) > usual {
-		t.Errorf("silent %v, usual %v before, %v after", n.silent, usual, r.s.expected(n))
+	n := r.s.nodeByID["a"]
+	if n.silent || r.s.expectedLatency(n) > usual {
+		t.Errorf("silent %v, usual %v before, %v after", n.silent, usual, r.s.expectedLatency(n))
 	}
 	// the same answer without a stall is a word on the node
 	r.at(r.now+100, Event{Kind: TimerFired, Tag: "beat"})
@@ -499,28 +499,28 @@
 	late = done("y", 0, OK, true)
 	late.Latency = 1500
 	r.at(r.now+100, late)
-	if r.s.expected(n) <= usual {
-		t.Errorf("a slow answer changed nothing: %v", r.s.expected(n))
+	if r.s.expectedLatency(n) <= usual {
+		t.Errorf("a slow answer changed nothing: %v", r.s.expectedLatency(n))
 	}
 }
 
 // A client's tries are one request: they charge once, count once, and go after others.
 func TestRepeatsAreOneRequest(t *testing.T) {
 	r := newRig(t, testSettings())
-	v := func() float64 { return r.volume("v").store }
+	v := func() float64 { return r.volume("v").reservedTokens }
 	r.step(call("x0", "safe", 0, r.now+100))
-	store, c := v(), r.s.classOf["safe"]
+	store, c := v(), r.s.classByName["safe"]
 	for i := 1; i < 8; i++ {
 		r.at(r.now+100, Event{Kind: ClientDisconnected, ID: fmt.Sprint("x", i-1)})
 		ev := call(fmt.Sprint("x", i), "safe", 0, r.now+100)
 		ev.Request.Key, ev.Request.ClientRetry = "kx0", true
 		r.step(ev)
-		if q := r.s.reqs[ev.Request.ID]; q != nil && (!q.repeat || q.began != 1000) {
-			t.Fatalf("try %d: repeat %v, began %v", i, q.repeat, q.began)
+		if q := r.s.requests[ev.Request.ID]; q != nil && (!q.isClientRetry || q.startedAt != 1000) {
+			t.Fatalf("try %d: repeat %v, began %v", i, q.isClientRetry, q.startedAt)
 		}
 	}
-	if v() < store-1e-9 || c.count != 1 {
-		t.Errorf("store %v then %v, %v samples", store, v(), c.count)
+	if v() < store-1e-9 || c.sampleCount != 1 {
+		t.Errorf("store %v then %v, %v samples", store, v(), c.sampleCount)
 	}
 }
 
@@ -536,10 +536,10 @@
 		r := newRig(t, set)
 		r.step(call("x", "once", k.shard, r.now+2000))
 		r.at(r.now+450, done("x", 0, OK, true))
-		if c := r.s.classOf["once"]; c.count != k.counts {
-			t.Errorf("%s: %v samples", k.name, c.count)
+		if c := r.s.classByName["once"]; c.sampleCount != k.counts {
+			t.Errorf("%s: %v samples", k.name, c.sampleCount)
 		}
-		if len(r.s.reqs) != 0 {
+		if len(r.s.requests) != 0 {
 			t.Errorf("%s: not answered", k.name)
 		}
 	}
@@ -560,25 +560,25 @@
 // node showed heals with time.
 func TestBandsLeaveASlowNode(t *testing.T) {
 	r := newRig(t, testSettings())
-	n := r.s.nodes["a"]
+	n := r.s.nodeByID["a"]
 	slow := func() {
 		r.step(call("s", "once", 0, r.now+2000))
 		ev := done("s", 0, OK, true)
-		ev.Latency = 0.7 * r.s.tightest
+		ev.Latency = 0.7 * r.s.minObjective
 		r.at(r.now+1, ev)
 	}
 	slow()
-	r.volume("v").store = -100
+	r.volume("v").reservedTokens = -100
 	if acts := r.step(call("share", "safe", 0, r.now+2000)); count(acts, Reject) != 1 {
 		t.Errorf("share work: %v", acts)
 	}
-	r.volume("v").store = 9
+	r.volume("v").reservedTokens = 9
 	if acts := r.step(call("reserve", "safe", 0, r.now+2000)); count(acts, Send) != 1 {
 		t.Errorf("reserve work: %v", acts)
 	}
-	r.at(r.now+2*healSpan, Event{Kind: TimerFired})
-	if r.s.expected(n) > bandRoom[bandShare]*r.s.tightest {
-		t.Errorf("no way back: %v", r.s.expected(n))
+	r.at(r.now+2*latencyDecayMs, Event{Kind: TimerFired})
+	if r.s.expectedLatency(n) > bandLatencyLimit[bandFairShare]*r.s.minObjective {
+		t.Errorf("no way back: %v", r.s.expectedLatency(n))
 	}
 }
 
@@ -612,8 +612,8 @@
 	if served < 100 {
 		t.Errorf("%d served in the 13 s after the nodes are back", served)
 	}
-	if n := r.s.nodes["a"]; n.silent || math.IsInf(n.coldAt, -1) {
-		t.Errorf("silent %v, cold at %v", n.silent, n.coldAt)
+	if n := r.s.nodeByID["a"]; n.silent || math.IsInf(n.startedAt, -1) {
+		t.Errorf("silent %v, cold at %v", n.silent, n.startedAt)
 	}
 }
 
@@ -655,16 +655,16 @@
 // place at a slow node for longer: else new objects crowd out reads that have one node.
 func TestRoomsFollowTheClassWeights(t *testing.T) {
 	r := newRig(t, testSettings())
-	a, b := r.s.classOf["safe"], r.s.classOf["once"]
-	v := r.s.volume("v", r.s.planOf["p"], 1)
+	a, b := r.s.classByName["safe"], r.s.classByName["once"]
+	v := r.s.volume("v", r.s.planByName["p"], 1)
 	for i := range 4 {
-		r.s.giveUp(&request{id: fmt.Sprint("x", i), class: a, vol: v, began: r.now, due: bandShare}, 0)
+		r.s.rejectOrFail(&request{id: fmt.Sprint("x", i), class: a, volume: v, startedAt: r.now, chargedBand: bandFairShare}, 0)
 	}
-	b.sum, b.count = 100, 2
+	b.sampleSum, b.sampleCount = 100, 2
 	r.s.adapt()
-	qa, qb := &request{class: a, band: bandShare}, &request{class: b, band: bandShare}
-	if r.s.roomFor(qa, r.s.now) <= r.s.roomFor(qb, r.s.now) {
-		t.Errorf("rooms %v and %v at weights %v and %v", r.s.roomFor(qa, r.s.now), r.s.roomFor(qb, r.s.now), a.weight, b.weight)
+	qa, qb := &request{class: a, band: bandFairShare}, &request{class: b, band: bandFairShare}
+	if r.s.latencyLimit(qa, r.s.now) <= r.s.latencyLimit(qb, r.s.now) {
+		t.Errorf("rooms %v and %v at weights %v and %v", r.s.latencyLimit(qa, r.s.now), r.s.latencyLimit(qb, r.s.now), a.weight, b.weight)
 	}
 }
 
@@ -684,7 +684,7 @@
 		if acts := r.at(1400, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) != 1 {
 			t.Fatalf("%s at the aim: %v", class, acts)
 		}
-		if u := r.s.expected(r.s.nodes["a"]); u < 300 {
+		if u := r.s.expectedLatency(r.s.nodeByID["a"]); u < 300 {
 			t.Errorf("%s: usual latency %v after 400 ms without an answer", class, u)
 		}
 		acts := r.at(1402, done("x", 0, Cancelled, false))
@@ -701,7 +701,7 @@
 	set.MayCancel = true
 	r := newRig(t, set)
 	r.step(call("x", "safe", 0, 3000))
-	r.s.pool, r.s.poolAt = 300, r.now
+	r.s.poolLatency, r.s.poolLatencyAt = 300, r.now
 	if acts := r.at(1401, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) > 0 {
 		t.Errorf("called off: %v", acts)
 	}
@@ -713,9 +713,9 @@
 	set := testSettings()
 	set.Schedulers = fleetHosts
 	r := newRig(t, set)
-	n := r.s.nodes["a"]
-	r.s.markCold(n, r.now)
-	r.s.coldDue, r.s.coldLeft = r.now+10e3, 1 // an allowance for one request, none in the next span
+	n := r.s.nodeByID["a"]
+	r.s.beginSlowStart(n, r.now)
+	r.s.slowStartDueAt, r.s.slowStartLeft = r.now+10e3, 1 // an allowance for one request, none in the next span
 	if acts := r.step(call("x", "safe", 0, 3000)); count(acts, Send) != 1 {
 		t.Fatalf("no first turn: %v", acts)
 	}
@@ -728,7 +728,7 @@
 	if acts := r.at(1030, call("z", "safe", 0, 3000)); count(acts, Send) != 0 {
 		t.Errorf("two out at a cold node: %v", acts)
 	}
-	if r.at(1300, Event{Kind: TimerFired, Tag: "sweep"}); n.timely {
+	if r.at(1300, Event{Kind: TimerFired, Tag: "sweep"}); n.lastAnswerTimely {
 		t.Error("still good with an answer out for 280 ms")
 	}
 }
@@ -765,7 +765,7 @@
 				continue
 			}
 			all += n
-			part := s.coldPart(s.nodes["n0"])
+			part := s.slowStartShare(s.nodeByID["n0"])
 			if most := nodes * part; float64(n) > most+1 {
 				t.Errorf("%d sent at once, %.1f may be after an idle time", n, most)
 			}
@@ -790,17 +790,17 @@
 	set := testSettings()
 	set.Plans[0].ReservedRate = 100
 	r := newRig(t, set)
-	n := r.s.nodes["a"]
-	n.window, n.notBefore = 0.1, r.now+3000
+	n := r.s.nodeByID["a"]
+	n.window, n.nextSendAt = 0.1, r.now+3000
 	for i := range 3 {
 		r.step(call(fmt.Sprint("r", i), "safe", 0, 3000))
 	}
-	if len(n.out) != 2 {
-		t.Errorf("%d reserve requests out at a resting node", len(n.out))
+	if len(n.inFlight) != 2 {
+		t.Errorf("%d reserve requests out at a resting node", len(n.inFlight))
 	}
 	r.at(1010, done("r0", 0, NodeFull, false)) // a full node has said no: it rests from all
-	if len(n.out) != 1 {
-		t.Errorf("%d out at a full node", len(n.out))
+	if len(n.inFlight) != 1 {
+		t.Errorf("%d out at a full node", len(n.inFlight))
 	}
 }
 
@@ -814,14 +814,14 @@
 	r := newRig(t, testSettings())
 	r.step(Event{Kind: ListChanged}) // the watch stands
 	r.step(drains)
-	if sends(r, "x", 1100) != 1 || sends(r, "y", 1000+r.s.set.DrainingUseDuration()) != 0 {
+	if sends(r, "x", 1100) != 1 || sends(r, "y", 1000+r.s.settings.DrainingUseDuration()) != 0 {
 		t.Error("within its part of the grace: not sent, or sent past it")
 	}
 	r = newRig(t, testSettings())
 	r.step(Event{Kind: ListChanged})
 	r.step(drains)
 	r.at(1100, drains) // told again: the grace counts from the first word
-	if sends(r, "x", 1050+r.s.set.DrainingUseDuration()) != 0 {
+	if sends(r, "x", 1050+r.s.settings.DrainingUseDuration()) != 0 {
 		t.Error("a second word began the grace anew")
 	}
 	r = newRig(t, testSettings())
--- a/policy/coldsum_test.go
+++ b/policy/coldsum_test.go
@@ -62,7 +62,7 @@
 	list   []Node
 	free   [2]float64
 	reqs   map[string]*coldReq
-	sent   []flow // at the cold node
+	sent   []timedUnits // at the cold node
 	served map[int]float64
 	asked  map[int]float64
 	result coldResult
@@ -212,15 +212,15 @@
 	w.outcome(h, life, a.ID, no, OK, w.free[k]-w.now+1)
 }
 
-// count takes a request of a host that was told of the start into the window, also one that does
+// epochAnswers takes a request of a host that was told of the start into the window, also one that does
 // not run in the end.
 func (w *coldWorld) count(units float64, told bool) {
 	if !told || w.now-w.since > w.set.SlowStartDuration {
 		return
 	}
-	w.sent = append(w.sent, flow{w.now, units})
+	w.sent = append(w.sent, timedUnits{w.now, units})
 	w.result.sent++
-	sum := sumSince(&w.sent, w.now-w.set.OverloadWindow) / w.set.MeanUnits
+	sum := sumUnitsSince(&w.sent, w.now-w.set.OverloadWindow) / w.set.MeanUnits
 	n := w.multiple * w.speed() * w.set.OverloadWindow / w.set.MeanUnits
 	bound := n + 2*math.Sqrt(n) + 2
 	if w.coldCase.hosts < 30 {
@@ -269,7 +269,7 @@
 	w.after(w.rng.ExpFloat64()/rate, func() { w.traffic(start) })
 }
 
-// units draws the size of a request; the mean is the settings' own.
+// inFlightUnits draws the size of a request; the mean is the settings' own.
 func (w *coldWorld) units() float64 {
 	switch {
 	case !w.large:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -138,7 +138,7 @@
 func TestHostsAdaptOutOfStep(t *testing.T) {
 	slots := map[int]int{}
 	for _, r := range fleet(t, testSettings(), []Node{{ID: "a", Shard: 0}}) {
-		slots[int(r.s.due)/100]++
+		slots[int(r.s.nextAdaptAt)/100]++
 	}
 	for slot, n := range slots {
 		if n > fleetHosts/4 {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -309,7 +309,7 @@
 	for i := range 16 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			one, two := play(t, fuzzSettings(i), int64(i+1), func(*Scheduler) {}), play(t, fuzzSettings(i), int64(i+1), func(s *Scheduler) {
-				for _, l := range s.order { // the lanes that are passed over would have done nothing
+				for _, l := range s.shardQueues { // the lanes that are passed over would have done nothing
 					s.markBusy(l)
 				}
 			})
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -41,7 +41,7 @@
 	if acts := r.step(Event{Kind: TimerFired, Tag: "sweep"}); !refused(acts, "waits") {
 		t.Errorf("it waits on: %v", acts)
 	}
-	if err := r.s.Reconfigure(r.s.set); err != nil {
+	if err := r.s.Reconfigure(r.s.settings); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -30,13 +30,13 @@
 // Learned tells what this instance learned: of the nodes that it heard, in the order of their ids.
 func (s *Scheduler) Learned() Learned {
 	var l Learned
-	for _, n := range s.listed {
-		if n.State != NodeRemoved && !math.IsInf(n.latencyAt, 0) {
-			l.Nodes = append(l.Nodes, LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.window, Latency: n.usual, BestLatencyPerUnit: n.best, FailureRate: n.failing})
+	for _, n := range s.listedNodes {
+		if n.State != NodeRemoved && !math.IsInf(n.latencyLearnedAt, 0) {
+			l.Nodes = append(l.Nodes, LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.window, Latency: n.typicalLatency, BestLatencyPerUnit: n.bestLatencyPerUnit, FailureRate: n.failureRate})
 		}
 	}
 	for _, c := range s.classes {
-		if s.classOf[c.Name] == c {
+		if s.classByName[c.Name] == c {
 			l.Classes = append(l.Classes, LearnedClass{c.Name, c.weight, c.slope, c.delay})
 		}
 	}
@@ -52,62 +52,62 @@
 	}
 	sum := 0.0
 	for _, k := range l.Nodes {
-		n := s.nodes[k.ID]
+		n := s.nodeByID[k.ID]
 		if n == nil || n.StartTime != k.StartTime {
 			continue
 		}
-		if k.AssumedStart != 0 && n.coldAt == k.AssumedStart {
-			if n.coldAt = n.StartTime; n.StartTime <= 0 {
-				n.coldAt = math.Inf(-1)
+		if k.AssumedStart != 0 && n.startedAt == k.AssumedStart {
+			if n.startedAt = n.StartTime; n.StartTime <= 0 {
+				n.startedAt = math.Inf(-1)
 			}
-			if math.IsInf(n.latencyAt, 0) { // nothing heard: as a node new to this instance
-				n.window = windowStart
+			if math.IsInf(n.latencyLearnedAt, 0) { // nothing heard: as a node new to this instance
+				n.window = initialWindow
 			}
 		}
-		if !between(k.Window, 1e-9, windowMost) || !between(k.Latency, 1e-9, 1e9) || !math.IsInf(n.latencyAt, 0) {
+		if !between(k.Window, 1e-9, maxWindow) || !between(k.Latency, 1e-9, 1e9) || !math.IsInf(n.latencyLearnedAt, 0) {
 			continue
 		}
-		n.window = math.Max(k.Window, math.Min(windowFleet/float64(s.set.Schedulers), windowLeast))
-		if s.now-n.coldAt <= s.set.SlowStartDuration {
-			n.window = math.Min(n.window, windowLeast)
+		n.window = math.Max(k.Window, math.Min(minFleetWindow/float64(s.settings.Schedulers), minWindow))
+		if s.now-n.startedAt <= s.settings.SlowStartDuration {
+			n.window = math.Min(n.window, minWindow)
 		}
-		n.usual, n.latencyAt = k.Latency, s.now
+		n.typicalLatency, n.latencyLearnedAt = k.Latency, s.now
 		if between(k.BestLatencyPerUnit, 0, 1e9) {
-			n.best = k.BestLatencyPerUnit
+			n.bestLatencyPerUnit = k.BestLatencyPerUnit
 		}
 		if between(k.FailureRate, 0, 1) {
-			n.failing = k.FailureRate
+			n.failureRate = k.FailureRate
 		}
 		sum += k.Latency
 		taken++
 	}
-	if taken > 0 && math.IsInf(s.poolAt, 0) {
-		s.pool, s.poolAt = sum/float64(taken), s.now
+	if taken > 0 && math.IsInf(s.poolLatencyAt, 0) {
+		s.poolLatency, s.poolLatencyAt = sum/float64(taken), s.now
 	}
-	s.recallClasses(l.Classes)
+	s.restoreClasses(l.Classes)
 	return taken
 }
 
-func (s *Scheduler) recallClasses(ks []LearnedClass) {
+func (s *Scheduler) restoreClasses(ks []LearnedClass) {
 	for _, k := range ks {
-		c := s.classOf[k.Name]
-		if c == nil || c.delay != 0 || !between(k.Weight, weightFloor, 1) || !between(k.Delay, 0, c.Deadline) {
+		c := s.classByName[k.Name]
+		if c == nil || c.delay != 0 || !between(k.Weight, minClassWeight, 1) || !between(k.Delay, 0, c.Deadline) {
 			continue
 		}
 		c.weight, c.delay = k.Weight, k.Delay
-		if between(k.Slope, slopeFloor, 1e9) {
+		if between(k.Slope, minSlope, 1e9) {
 			c.slope = k.Slope
 		}
 	}
 	total := 0.0
 	for _, c := range s.classes {
-		if s.classOf[c.Name] == c {
+		if s.classByName[c.Name] == c {
 			total += c.weight
 		}
 	}
 	for _, c := range s.classes {
-		if s.classOf[c.Name] == c {
-			c.weight = math.Max(c.weight/total, weightFloor)
+		if s.classByName[c.Name] == c {
+			c.weight = math.Max(c.weight/total, minClassWeight)
 		}
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -25,8 +25,8 @@
 		return r
 	}
 	r := make1(0)
-	r.s.nodes["a"].window, r.s.nodes["a"].usual, r.s.nodes["a"].latencyAt = 9, 33, 999
-	r.s.nodes["b"].window, r.s.nodes["b"].usual, r.s.nodes["b"].latencyAt = 7, 44, 999
+	r.s.nodeByID["a"].window, r.s.nodeByID["a"].typicalLatency, r.s.nodeByID["a"].latencyLearnedAt = 9, 33, 999
+	r.s.nodeByID["b"].window, r.s.nodeByID["b"].typicalLatency, r.s.nodeByID["b"].latencyLearnedAt = 7, 44, 999
 	r.s.classes[0].weight, r.s.classes[0].delay, r.s.classes[0].slope = 0.6, 20, 5
 	l := r.s.Learned()
 	if len(l.Nodes) != 2 || l.Nodes[0].Window != 9 || len(l.Classes) != len(set.Classes) {
@@ -34,7 +34,7 @@
 	}
 
 	next := make1(1000)
-	if next.s.warmEnough(next.s.nodes["a"], set.SlowStartUnits) {
+	if next.s.slowStartAllows(next.s.nodeByID["a"], set.SlowStartUnits) {
 		t.Error("a node of a guessed start counts as warm")
 	}
 	list[1].StartTime = 1500 // b has started again since
@@ -46,14 +46,14 @@
 	if taken := next.s.Restore(l); taken != 1 {
 		t.Errorf("%d nodes taken", taken)
 	}
-	a, b, c := next.s.nodes["a"], next.s.nodes["b"], next.s.nodes["c"]
-	if a.window != 9 || a.usual != 33 || !math.IsInf(a.coldAt, -1) {
+	a, b, c := next.s.nodeByID["a"], next.s.nodeByID["b"], next.s.nodeByID["c"]
+	if a.window != 9 || a.typicalLatency != 33 || !math.IsInf(a.startedAt, -1) {
 		t.Errorf("a: %+v", a)
 	}
-	if b.window > windowLeast || !math.IsInf(b.latencyAt, -1) || b.coldAt != 1500 {
+	if b.window > minWindow || !math.IsInf(b.latencyLearnedAt, -1) || b.startedAt != 1500 {
 		t.Errorf("b kept what was learned of its last life: %+v", b)
 	}
-	if c.window != windowStart || !math.IsInf(c.coldAt, -1) {
+	if c.window != initialWindow || !math.IsInf(c.startedAt, -1) {
 		t.Errorf("c: %+v", c)
 	}
 	sum := 0.0
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -18,7 +18,7 @@
 // asks sends units of a volume, one request each, and says how many went out at once.
 func (r *rig) asks(volume string, hosts, units int) (sent int) {
 	for range units {
-		ev := call(fmt.Sprint(volume, r.s.seq, "-", sent), "safe", 0, r.now+2000)
+		ev := call(fmt.Sprint(volume, r.s.lastSequence, "-", sent), "safe", 0, r.now+2000)
 		ev.Request.Volume, ev.Request.Schedulers = volume, hosts
 		for _, a := range r.step(ev) {
 			if a.Kind == Send && a.ID == ev.Request.ID {
@@ -55,7 +55,7 @@
 	if n := r.asks("v", 1, 20); n != 12 {
 		t.Fatalf("%d of 12 sent", n)
 	}
-	r.at(r.now+forgetSpan+1, Event{Kind: TimerFired, Tag: "tick"})
+	r.at(r.now+idleEvictionMs+1, Event{Kind: TimerFired, Tag: "tick"})
 	if n := r.asks("v", 1, 20); n != 6 {
 		t.Errorf("%d sent, 6 may", n)
 	}
--- a/policy/retune_test.go
+++ b/policy/retune_test.go
@@ -49,11 +49,11 @@
 	}
 	// The retired object goes at the next tick once nothing holds it, and the queues are
 	// renumbered.
-	r.now += tickSpan
+	r.now += tickIntervalMs
 	r.step(Event{Kind: TimerFired, Tag: "tick"})
 	for i, c := range r.s.classes {
-		if c.ix != i {
-			t.Fatalf("class %s at %d has ix %d", c.Name, i, c.ix)
+		if c.index != i {
+			t.Fatalf("class %s at %d has ix %d", c.Name, i, c.index)
 		}
 	}
 	if len(r.s.classes) != 3 {
@@ -76,10 +76,10 @@
 	if err := r.s.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	if r.s.reqs["old"].class.Effect != Idempotent {
+	if r.s.requests["old"].class.Effect != Idempotent {
 		t.Fatal("the request under way took the new effect")
 	}
-	if r.s.classOf["safe"].Effect != NonIdempotent {
+	if r.s.classByName["safe"].Effect != NonIdempotent {
 		t.Fatal("new requests do not take the new effect")
 	}
 	if len(r.s.classes) != 3 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// changed takes settings into the rig's instance.
+// weightChanged takes settings into the rig's instance.
 func (r *rig) changed(set Settings) {
 	r.t.Helper()
 	if err := r.s.Reconfigure(set); err != nil {
@@ -171,12 +171,12 @@
 func TestRetuneBringsNoUseBack(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.asks("v", 1, 1)
-	v := r.s.volumes[tenant{"v", "p"}]
-	v.level = 1
-	r.at(r.now + usageSpan)
+	v := r.s.volumes[volumeKey{"v", "p"}]
+	v.usageLevel = 1
+	r.at(r.now + usageWindowMs)
 	r.changed(testSettings())
-	if v.level > 0 && r.s.now-v.at < usageSpan {
-		t.Errorf("use %v counts", v.level)
+	if v.usageLevel > 0 && r.s.now-v.refilledAt < usageWindowMs {
+		t.Errorf("use %v counts", v.usageLevel)
 	}
 }
 
@@ -309,18 +309,18 @@
 	next := testSettings()
 	next.Classes[0].Name = "renamed"
 	r.changed(next)
-	retired := r.s.reqs["old"].class
+	retired := r.s.requests["old"].class
 	r.now += 1900 // far past its aim
 	r.step(done("old", 0, OK, true))
-	if retired.count == 0 {
+	if retired.sampleCount == 0 {
 		t.Fatal("no sample of the retired class: the crossing was not reached")
 	}
-	r.s.due = r.now
+	r.s.nextAdaptAt = r.now
 	r.step(Event{Kind: TimerFired, Tag: "tick"})
-	if retired.delay != 0 || retired.changed {
+	if retired.delay != 0 || retired.weightChanged {
 		t.Errorf("a retired class has delay %v", retired.delay)
 	}
-	if total := r.s.classOf["renamed"].weight + r.s.classOf["once"].weight; total < 0.999 {
+	if total := r.s.classByName["renamed"].weight + r.s.classByName["once"].weight; total < 0.999 {
 		t.Errorf("the classes that take requests have %v of the weight", total)
 	}
 }
--- a/policy/standing.go
+++ b/policy/standing.go
@@ -12,8 +12,8 @@
 // shared out over the shard's nodes by their windows, as it will be sent; new objects, which any
 // shard may take, are in no node's part. It decides nothing.
 func (s *Scheduler) NodeStatuses(most int) []NodeStatus {
-	all := make([]NodeStatus, 0, max(0, min(most, len(s.listed))))
-	for _, n := range s.listed {
+	all := make([]NodeStatus, 0, max(0, min(most, len(s.listedNodes))))
+	for _, n := range s.listedNodes {
 		if len(all) >= most {
 			break
 		}
@@ -23,17 +23,17 @@
 		one := NodeStatus{ID: n.ID, StartTime: n.StartTime}
 		if n.State == NodeUp {
 			one.Window = n.window
-			one.Queue = s.lanes[n.Shard].part(n)
+			one.Queue = s.queueByShard[n.Shard].waitingFor(n)
 		}
 		all = append(all, one)
 	}
 	return all
 }
 
-// part is what of a shard queue's line is for one of its nodes.
-func (l *shardQueue) part(n *node) float64 {
+// waitingFor is what of a shard queue's line is for one of its nodes.
+func (l *shardQueue) waitingFor(n *node) float64 {
 	waits, windows, up := 0, 0.0, 0
-	for _, q := range l.queues {
+	for _, q := range l.byClass {
 		waits += len(q)
 	}
 	if waits == 0 {
--- a/policy/tenant_test.go
+++ b/policy/tenant_test.go
@@ -7,7 +7,7 @@
 
 // volume is what is kept of a volume on the first plan; nil: nothing.
 func (r *rig) volume(id string) *volume {
-	return r.s.volumes[tenant{id, r.s.set.Plans[0].Name}]
+	return r.s.volumes[volumeKey{id, r.s.settings.Plans[0].Name}]
 }
 
 // A request is the repeat of one of its own volume and class alone.
@@ -23,7 +23,7 @@
 		r.at(1200, Event{Kind: ClientDisconnected, ID: "x"})
 		next := call("y", x.class, 0, 3000)
 		next.Request.Key, next.Request.Volume = "k", x.volume
-		if r.step(next); r.s.reqs["y"].repeat != x.repeat {
+		if r.step(next); r.s.requests["y"].isClientRetry != x.repeat {
 			t.Errorf("%s of %s: a repeat: %v", x.class, x.volume, !x.repeat)
 		}
 	}
@@ -40,7 +40,7 @@
 	r.at(r.now + 60e3) // the capped store is full
 	asks := func(plan string) (sent int) {
 		for range 2 * burst {
-			ev := call(fmt.Sprint(plan, r.s.seq), "safe", 0, r.now+2000)
+			ev := call(fmt.Sprint(plan, r.s.lastSequence), "safe", 0, r.now+2000)
 			ev.Request.Plan = plan
 			if count(r.step(ev), Send) == 1 {
 				sent++
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -32,7 +32,7 @@
 	shard []*worldNode // who holds it now; nil: nobody
 	vols  []worldVolume
 	reqs  map[string]*worldReq
-	sent  map[string][]flow // by cold node: units within the last OverloadWindow
+	sent  map[string][]timedUnits // by cold node: units within the last OverloadWindow
 	store map[string]*worldStore
 	ends  map[string]int // by what ended requests
 
@@ -121,7 +121,7 @@
 
 func newWorldOf(t *testing.T, set Settings, seed int64, onStep func(*worldHost, []Action)) *world {
 	w := &world{onStep: onStep, t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*worldNode{},
-		reqs: map[string]*worldReq{}, sent: map[string][]flow{}, store: map[string]*worldStore{}, ends: map[string]int{}}
+		reqs: map[string]*worldReq{}, sent: map[string][]timedUnits{}, store: map[string]*worldStore{}, ends: map[string]int{}}
 	for i := range worldNodes {
 		n := &worldNode{Node: Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
 		w.nodes[n.ID] = n
@@ -221,7 +221,7 @@
 	w.ends[how]++
 }
 
-// power is the share of its full speed that a node has.
+// warmShare is the share of its full speed that a node has.
 func (w *world) power(n *worldNode) float64 {
 	if n.StartTime == 0 {
 		return 1
@@ -280,8 +280,8 @@
 	if n.StartTime == 0 || w.now-n.StartTime > w.set.SlowStartDuration {
 		return
 	}
-	fs := append(w.sent[n.ID], flow{w.now, units})
-	sum := sumSince(&fs, w.now-w.set.OverloadWindow)
+	fs := append(w.sent[n.ID], timedUnits{w.now, units})
+	sum := sumUnitsSince(&fs, w.now-w.set.OverloadWindow)
 	w.sent[n.ID] = fs
 	if bears := w.set.OverloadMultiple * w.power(n) * worldUnits * w.set.OverloadWindow / 1000; sum > bears {
 		w.t.Errorf("at %.0f: %s, up for %.0f ms, got %.0f units within %.0f ms; it bears %.0f", w.now, n.ID, w.now-n.StartTime, sum, w.set.OverloadWindow, bears)
