--- a/policy/retune.go
+++ b/policy/reconfigure.go
@@ -69,54 +69,6 @@
 	return nil
 }
 
-// replacePlans takes new plans. What the stores of limits hold is carried over: they have filled by the old plan until now, and
-// fill by the new one from now on, so that no change gives units that neither plan does.
-func (s *Scheduler) replacePlans(plans []Plan) {
-	planOf, filled := map[string]*Plan{}, map[string]timedUnits{}
-	for i := range plans {
-		p := &plans[i]
-		planOf[p.Name] = p
-		switch old := s.planByName[p.Name]; {
-		case math.IsInf(s.firstRequestAt, 1): // no store fills yet
-		case old == nil || old.RateLimit == 0:
-			filled[p.Name] = timedUnits{at: s.now}
-		default:
-			filled[p.Name] = timedUnits{s.now, math.Min(s.unusedLimitTokens(old), p.LimitBurst)}
-		}
-	}
-	s.planByName, s.limitCarryover = planOf, filled
-	for _, v := range s.volumes {
-		if p := s.planByName[v.plan.Name]; p != nil {
-			s.changePlan(v, p)
-		}
-	}
-}
-
-// unusedLimitTokens is what the limit of a volume holds, over all hosts, that this instance has not heard of: since the first
-// request of all, or the last change of its plan, only this host has drawn on its part, and not for this volume.
-func (s *Scheduler) unusedLimitTokens(plan *Plan) float64 {
-	from, ok := s.limitCarryover[plan.Name]
-	if !ok {
-		from.at = s.firstRequestAt
-	}
-	return math.Min(from.units+plan.RateLimit*(s.now-from.at)/1000, plan.LimitBurst)
-}
-
-// changePlan gives a volume another plan, or another definition of its plan.
-func (s *Scheduler) changePlan(v *volume, plan *Plan) {
-	if s.now-v.refilledAt >= usageWindowMs {
-		v.usageLevel = 0 // it counted no more, and must not again for the refill
-	}
-	s.refill(v)
-	if v.plan.RateLimit == 0 { // its store was not kept
-		v.limitTokens = 0
-	}
-	v.plan = plan
-	if plan.RateLimit > 0 {
-		v.limitTokens = math.Min(v.limitTokens, plan.LimitBurst/float64(v.schedulers))
-	}
-}
-
 // replaceClasses makes the classes those given, in that order, and moves each shard queue's queues with
 // them.
 func (s *Scheduler) replaceClasses(classes []*class) {
@@ -175,9 +127,3 @@
 		s.retiredClasses = len(kept) - len(s.classByName)
 	}
 }
-
-// HandOver tells the instance that another process of its host serves from now on, with stores of
-// limits that start empty. This one's are no longer refilled; what they hold may be spent, and a request
-// that would wait for more is refused: its client finds it at the other process. Together the two
-// never hold more than one instance would.
-func (s *Scheduler) HandOver() { s.handedOver = true }
