--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,130 +5,145 @@
 	"slices"
 )
 
-// ready says whether the rules let a request go out now.
+// retryBudget bounds retries and hedges to a share of the requests of a time window.
+type retryBudget struct {
+	requestTimes []float64
+	retryTimes   []float64
+}
+
+func (b *retryBudget) noteRequest(now float64) { b.requestTimes = append(b.requestTimes, now) }
+
+func (b *retryBudget) noteRetry(now float64) { b.retryTimes = append(b.retryTimes, now) }
+
+// expireRequests drops the requests that are as old as the window.
+func (b *retryBudget) expireRequests(now, window float64) {
+	for len(b.requestTimes) > 0 && b.requestTimes[0] <= now-window {
+		b.requestTimes = b.requestTimes[1:]
+	}
+}
+
+// allows reports whether one more retry fits the budget of the settings.
+func (b *retryBudget) allows(now float64, set *Settings) bool {
+	for len(b.retryTimes) > 0 && b.retryTimes[0] < now-set.RetryBudgetWindow {
+		b.retryTimes = b.retryTimes[1:]
+	}
+	b.expireRequests(now, set.RetryBudgetWindow)
+	return float64(len(b.retryTimes)+1) <= set.RetryBudgetMin+set.RetryBudgetShare*float64(len(b.requestTimes))
+}
+
+// ready reports whether a request may be sent now: its ordered key, rate limit and attempts allow it.
 func (s *Scheduler) ready(r *request) bool {
 	if r.class.Ordered && r.key != "" {
-		t := s.orderedKeys[r.key]
-		if t.waiting[0] != r || s.now < t.backoffUntil {
+		key := s.orderedKeys[r.key]
+		if key.waiting[0] != r || s.now < key.backoffUntil {
 			return false
 		}
 	}
 	if r.volume.plan.RateLimit > 0 && !r.limitCharged {
 		s.refill(r.volume)
-		if r.volume.limitTokens < r.units {
+		if r.volume.limit.tokens < r.units {
 			return false
 		}
 	}
 	return len(r.attempts) == 0 || s.mayRetry(r)
 }
 
-// mayRetry says whether a further attempt is allowed: count, effect and budget.
+// mayRetry reports whether a further attempt is allowed by count, effect and budget.
 func (s *Scheduler) mayRetry(r *request) bool {
-	if copied := r.openAttempts == 1 && r.attemptLost && s.settings.MayHedge; r.openAttempts > 0 && !copied {
+	isHedge := r.openAttempts == 1 && r.attemptLost && s.settings.MayHedge
+	if r.openAttempts > 0 && !isHedge {
 		return false
 	}
-	if len(r.attempts) >= min(r.maxAttempts, s.settings.MaxAttempts) || r.class.Effect == NonIdempotent && r.mayHaveRunOn != nil {
+	if len(r.attempts) >= min(r.maxAttempts, s.settings.MaxAttempts) {
 		return false
 	}
-	if r.class.Effect == IdempotentByKey && r.mayHaveRunOn != nil && s.now >= r.mayHaveRunSince+r.class.DedupWindow {
-		return false
-	}
-	if s.settings.RetryBudgetWindow <= 0 {
-		return true
-	}
-	for len(s.retryTimes) > 0 && s.retryTimes[0] < s.now-s.settings.RetryBudgetWindow {
-		s.retryTimes = s.retryTimes[1:]
-	}
-	for len(s.arrivalTimes) > 0 && s.arrivalTimes[0] <= s.now-s.settings.RetryBudgetWindow {
-		s.arrivalTimes = s.arrivalTimes[1:]
+	if r.mayHaveRunOn != nil {
+		if r.class.Effect == NonIdempotent {
+			return false
+		}
+		if r.class.Effect == IdempotentByKey && s.now >= r.mayHaveRunSince+r.class.DedupWindow {
+			return false
+		}
 	}
-	return float64(len(s.retryTimes)+1) <= s.settings.RetryBudgetMin+s.settings.RetryBudgetShare*float64(len(s.arrivalTimes))
+	return s.settings.RetryBudgetWindow <= 0 || s.retries.allows(s.now, &s.settings)
 }
 
+// send sends a request to a node.
 func (s *Scheduler) send(r *request, n *node) {
 	if len(r.attempts) > 0 && s.settings.RetryBudgetWindow > 0 {
-		s.retryTimes = append(s.retryTimes, s.now)
+		s.retries.noteRetry(s.now)
 	}
 	if !r.limitCharged {
 		r.limitCharged = true
-		r.volume.limitTokens -= r.units
+		r.volume.limit.tokens -= r.units
 	}
-	by := 0.0 // a repeat may wait for a connection, and nodes know a key for so long
+	startBy := 0.0 // a retry may wait for a connection, and nodes remember a key only for the window
 	if r.class.Effect == IdempotentByKey && r.mayHaveRunOn != nil {
-		by = r.mayHaveRunSince + r.class.DedupWindow
+		startBy = r.mayHaveRunSince + r.class.DedupWindow
 	}
-	s.addOut(r, n)
-	s.emit(Action{Kind: Send, ID: r.id, Node: n.ID, Deadline: r.deadline, StartBy: by})
+	s.addInFlight(r, n)
+	s.emit(Action{Kind: Send, ID: r.id, Node: n.ID, Deadline: r.deadline, StartBy: startBy})
 }
 
-// attemptEnded takes the end of an attempt: what it says of the node, and what the
-// request may still do.
+// attemptEnded takes the end of an attempt: what it tells of the node, and what follows for the
+// request.
 func (s *Scheduler) attemptEnded(ev *Event) {
 	r := s.requests[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
 	}
-	t := &r.attempts[ev.Attempt]
-	t.open = false
+	a := &r.attempts[ev.Attempt]
+	a.open = false
 	r.openAttempts--
-	n := t.node
-	if !t.lost {
-		n.removeOut(r)
+	n := a.node
+	if !a.lost {
+		n.removeInFlight(r)
 	}
 	n.nextSendAt = math.Max(n.nextSendAt, s.now+s.sendGap(n))
-	s.learnFromOutcome(n, r, t, ev)
-	if slices.Contains([]Status{Errored, TimedOut, ConnectionReset, Cancelled}, ev.Status) {
-		r.mayHaveRunOn = n
-		if r.mayHaveRunSince == 0 {
-			r.mayHaveRunSince = t.sentAt
-		}
-		if k := s.orderedKeys[r.key]; k != nil && r.class.Ordered && ev.Status != Errored {
-			k.backoffUntil = math.Max(k.backoffUntil, s.now+s.settings.OrderedKeyBackoff)
-		}
-	}
+	s.learnFromOutcome(r, a, ev)
+	s.noteMayHaveRun(r, a, ev.Status)
 	if ev.Finished && !r.done {
-		if ev.Status != OK {
-			s.refund(r)
-			s.rememberUnserved(r)
-		}
-		r.isClientRetry = r.isClientRetry && ev.Status != OK // served: its whole age counts
-		s.sampleDelay(r, 0)
+		s.settle(r, ev.Status)
 	}
 	if r.done || ev.Finished {
 		s.finish(r)
 		return
 	}
-	switch {
-	case r.openAttempts > 0 || r.queued: // a copy is out or waits
-	case !r.attemptCancelled && !r.streaming && s.now+math.Max(s.expectedLatency(n), deadlineMarginMs) < r.deadline && s.mayRetry(r):
-		s.enqueue(r) // it can meet its end, and the rules allow it
-	default:
-		s.rejectOrFail(r, 0)
+	if r.openAttempts == 0 && !r.queued { // otherwise a hedge is in flight or waits
+		s.retryOrGiveUp(r, n)
 	}
 }
 
-// addOut counts a request as out at the node.
-func (s *Scheduler) addOut(r *request, n *node) {
-	if s.now-n.startedAt <= s.settings.SlowStartDuration && !s.mayFollowAnswer(n) {
-		s.slowStartLeft = math.Max(0, s.slowStartLeft-r.units)
-	}
-	n.slotStartAt, n.slotFactor, n.lastAnswerTimely = s.now, 0.5+s.rng.Float64(), false
-	r.attempts = append(r.attempts, attempt{n, s.now, true, false})
-	r.openAttempts++
-	r.attemptCancelled, r.attemptLost, r.nodeAnswersAtSend, r.inFlightAtSend = false, false, n.answerCount, float64(len(n.inFlight))
-	n.inFlight = append(n.inFlight, r)
-	n.peakInFlight = max(n.peakInFlight, len(n.inFlight))
-	n.inFlightUnits += r.units
-	n.recentSent = append(n.recentSent, timedUnits{s.now, r.units})
-	if s.now-n.startedAt > s.settings.SlowStartDuration {
-		n.recentSent = n.recentSent[:0]
+// noteMayHaveRun remembers an attempt that may have run though its answer does not tell.
+func (s *Scheduler) noteMayHaveRun(r *request, a *attempt, status Status) {
+	if !slices.Contains([]Status{Errored, TimedOut, ConnectionReset, Cancelled}, status) {
+		return
+	}
+	r.mayHaveRunOn = a.node
+	if r.mayHaveRunSince == 0 {
+		r.mayHaveRunSince = a.sentAt
+	}
+	if key := s.orderedKeys[r.key]; key != nil && r.class.Ordered && status != Errored {
+		key.backoffUntil = math.Max(key.backoffUntil, s.now+s.settings.OrderedKeyBackoff)
 	}
 }
 
-// removeOut counts a request as no longer out at the node.
-func (n *node) removeOut(r *request) {
-	if at := slices.Index(n.inFlight, r); at >= 0 {
-		n.inFlight = slices.Delete(n.inFlight, at, at+1)
-		n.inFlightUnits -= r.units
+// settle accounts for a request whose client got its answer.
+func (s *Scheduler) settle(r *request, status Status) {
+	if status != OK {
+		s.refund(r)
+		s.rememberUnserved(r)
+	}
+	r.isClientRetry = r.isClientRetry && status != OK // a served retry counts with its whole age
+	s.sampleDelay(r, 0)
+}
+
+// retryOrGiveUp queues a request again if the rules allow it and its deadline can be met.
+func (s *Scheduler) retryOrGiveUp(r *request, n *node) {
+	hasTime := s.now+math.Max(s.expectedLatency(n), deadlineMarginMs) < r.deadline
+	if !r.attemptCancelled && !r.streaming && hasTime && s.mayRetry(r) {
+		s.enqueue(r)
+		return
 	}
+	s.rejectOrFail(r, 0)
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -204,7 +204,7 @@
 		r.at(r.now+20, call(id, "once", 0, r.now+2000))
 		r.at(r.now+1, done(id, 0, Errored, false))
 	}
-	if w := r.s.nodeByID["a"].window; w > initialWindow {
+	if w := r.s.nodeByID["a"].window.size; w > initialWindow {
 		t.Errorf("window %v after errors alone", w)
 	}
 }
@@ -235,7 +235,7 @@
 	if n.silent {
 		t.Error("still silent after an answer")
 	}
-	if n.startedAt != r.now {
+	if n.slowStart.startedAt != r.now {
 		t.Error("back from long silence, yet not taken for cold")
 	}
 }
@@ -268,7 +268,7 @@
 		set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 2500})
 		r := newRig(t, set)
 		r.step(call("slow", x.class, 0, 3000))
-		r.s.nodeByID["a"].typicalLatency, r.s.nodeByID["a"].latencyLearnedAt = 20, r.now
+		r.s.nodeByID["a"].latency.ms, r.s.nodeByID["a"].latency.learnedAt = 20, r.now
 		copies := func(acts []Action) (n int) {
 			for _, a := range acts {
 				if a.ID == "slow" && a.Kind == Send && a.Node == "a" {
@@ -291,12 +291,12 @@
 		if sent != x.copies {
 			t.Errorf("%s: %d copies", x.class, sent)
 		}
-		usual := r.s.nodeByID["a"].typicalLatency
+		usual := r.s.nodeByID["a"].latency.ms
 		ev := done("slow", x.answer, OK, true)
 		ev.Latency = 160
 		r.at(1160, ev)
-		if x.answer == 0 && r.s.nodeByID["a"].typicalLatency != usual {
-			t.Errorf("%s: the node's usual latency went from %v to %v", x.class, usual, r.s.nodeByID["a"].typicalLatency)
+		if x.answer == 0 && r.s.nodeByID["a"].latency.ms != usual {
+			t.Errorf("%s: the node's usual latency went from %v to %v", x.class, usual, r.s.nodeByID["a"].latency.ms)
 		}
 		if x.copies > 0 {
 			r.at(1170, done("slow", 1-x.answer, Abandoned, true))
@@ -329,8 +329,8 @@
 			r.at(r.now+600, Event{Kind: TimerFired})
 			r.s.recordLatency(n, 900, 2)
 		}
-		if n.window != least {
-			t.Errorf("%v hosts: window %v, want %v", hosts, n.window, least)
+		if n.window.size != least {
+			t.Errorf("%v hosts: window %v, want %v", hosts, n.window.size, least)
 		}
 		if gap := r.s.sendGap(n); gap > 1.5*maxSendGapMs {
 			t.Errorf("%v hosts: rest of %v", hosts, gap)
@@ -339,8 +339,8 @@
 			r.at(r.now+600, Event{Kind: TimerFired})
 			r.s.recordLatency(n, 30, 2)
 		}
-		if n.window < minWindow {
-			t.Errorf("%v hosts: no way back, window %v", hosts, n.window)
+		if n.window.size < minWindow {
+			t.Errorf("%v hosts: no way back, window %v", hosts, n.window.size)
 		}
 	}
 }
@@ -366,7 +366,7 @@
 	r.step(call("x", "once", 0, 3000))
 	r.at(1020, done("x", 0, ConnectionReset, false))
 	r.at(1000+2*idleEvictionMs, Event{Kind: TimerFired, Tag: "tick"})
-	if len(r.s.volumes)+len(r.s.volumeOrder)+len(r.s.orderedKeys)+len(r.s.requests)+len(r.s.arrivalTimes) > 0 {
+	if len(r.s.volumes)+len(r.s.volumeOrder)+len(r.s.orderedKeys)+len(r.s.requests)+len(r.s.retries.requestTimes) > 0 {
 		t.Errorf("%d volumes, %d keys, %d requests", len(r.s.volumes), len(r.s.orderedKeys), len(r.s.requests))
 	}
 }
@@ -377,7 +377,7 @@
 		r := newRig(t, testSettings())
 		r.step(call("first", "safe", 0, 3000)) // shows the class's span
 		r.at(1020, done("first", 0, OK, true))
-		r.s.nodeByID["a"].window = window
+		r.s.nodeByID["a"].window.size = window
 		late := call("late", "safe", 0, r.now+500) // 1.5 s old, past its aim of 400 ms
 		late.Request.ClientRetry = true
 		acts := r.step(late)
@@ -433,8 +433,8 @@
 	if n := r.s.nodeByID["b"]; n != nil {
 		t.Error("b is still there")
 	}
-	if n := r.s.nodeByID["a"]; n.startedAt != 990 || n.window != minWindow {
-		t.Errorf("a restarted at %v with window %v", n.startedAt, n.window)
+	if n := r.s.nodeByID["a"]; n.slowStart.startedAt != 990 || n.window.size != minWindow {
+		t.Errorf("a restarted at %v with window %v", n.slowStart.startedAt, n.window.size)
 	}
 	if acts := r.step(call("x", "safe", 1, 3000)); count(acts, Send) != 0 {
 		t.Errorf("sent to a node that is gone: %v", acts)
@@ -453,8 +453,8 @@
 			call(id, "safe", 0, r.now+2000))
 		r.at(r.now+20, done(id, 0, OK, true))
 	}
-	if len(r.s.nodeByID) > 2 || len(r.s.listedNodes) > 2 || len(r.s.arrivalTimes) > 20 || len(r.s.unserved) > 20 {
-		t.Errorf("%d nodes, %d listed, %d takes, %d unserved", len(r.s.nodeByID), len(r.s.listedNodes), len(r.s.arrivalTimes),
+	if len(r.s.nodeByID) > 2 || len(r.s.listedNodes) > 2 || len(r.s.retries.requestTimes) > 20 || len(r.s.unserved) > 20 {
+		t.Errorf("%d nodes, %d listed, %d takes, %d unserved", len(r.s.nodeByID), len(r.s.listedNodes), len(r.s.retries.requestTimes),
 			len(r.s.unserved))
 	}
 }
@@ -464,15 +464,15 @@
 	r := newRig(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
 	v := r.volume("v")
-	v.reservedTokens = 0
+	v.reserved.tokens = 0
 	r.step(call("y", "safe", 1, 3000))
-	v.reservedTokens = 0
+	v.reserved.tokens = 0
 	if q := r.s.requests["y"]; q.chargedBand != bandFairShare {
 		t.Fatalf("due %v", q.chargedBand)
 	}
 	r.s.refund(r.s.requests["y"])
-	if v.reservedTokens != 0 || v.usageLevel != 0 {
-		t.Errorf("reserve %v, level %v", v.reservedTokens, v.usageLevel)
+	if v.reserved.tokens != 0 || v.usageLevel != 0 {
+		t.Errorf("reserve %v, level %v", v.reserved.tokens, v.usageLevel)
 	}
 }
 
@@ -507,7 +507,7 @@
 // A client's tries are one request: they charge once, count once, and go after others.
 func TestRepeatsAreOneRequest(t *testing.T) {
 	r := newRig(t, testSettings())
-	v := func() float64 { return r.volume("v").reservedTokens }
+	v := func() float64 { return r.volume("v").reserved.tokens }
 	r.step(call("x0", "safe", 0, r.now+100))
 	store, c := v(), r.s.classByName["safe"]
 	for i := 1; i < 8; i++ {
@@ -568,11 +568,11 @@
 		r.at(r.now+1, ev)
 	}
 	slow()
-	r.volume("v").reservedTokens = -100
+	r.volume("v").reserved.tokens = -100
 	if acts := r.step(call("share", "safe", 0, r.now+2000)); count(acts, Reject) != 1 {
 		t.Errorf("share work: %v", acts)
 	}
-	r.volume("v").reservedTokens = 9
+	r.volume("v").reserved.tokens = 9
 	if acts := r.step(call("reserve", "safe", 0, r.now+2000)); count(acts, Send) != 1 {
 		t.Errorf("reserve work: %v", acts)
 	}
@@ -612,8 +612,8 @@
 	if served < 100 {
 		t.Errorf("%d served in the 13 s after the nodes are back", served)
 	}
-	if n := r.s.nodeByID["a"]; n.silent || math.IsInf(n.startedAt, -1) {
-		t.Errorf("silent %v, cold at %v", n.silent, n.startedAt)
+	if n := r.s.nodeByID["a"]; n.silent || math.IsInf(n.slowStart.startedAt, -1) {
+		t.Errorf("silent %v, cold at %v", n.silent, n.slowStart.startedAt)
 	}
 }
 
@@ -701,7 +701,7 @@
 	set.MayCancel = true
 	r := newRig(t, set)
 	r.step(call("x", "safe", 0, 3000))
-	r.s.poolLatency, r.s.poolLatencyAt = 300, r.now
+	r.s.poolLatency.ms, r.s.poolLatency.learnedAt = 300, r.now
 	if acts := r.at(1401, Event{Kind: TimerFired, Tag: "sweep"}); count(acts, Cancel) > 0 {
 		t.Errorf("called off: %v", acts)
 	}
@@ -715,7 +715,7 @@
 	r := newRig(t, set)
 	n := r.s.nodeByID["a"]
 	r.s.beginSlowStart(n, r.now)
-	r.s.slowStartDueAt, r.s.slowStartLeft = r.now+10e3, 1 // an allowance for one request, none in the next span
+	r.s.slowStart.dueAt, r.s.slowStart.left = r.now+10e3, 1 // an allowance for one request, none in the next span
 	if acts := r.step(call("x", "safe", 0, 3000)); count(acts, Send) != 1 {
 		t.Fatalf("no first turn: %v", acts)
 	}
@@ -728,7 +728,7 @@
 	if acts := r.at(1030, call("z", "safe", 0, 3000)); count(acts, Send) != 0 {
 		t.Errorf("two out at a cold node: %v", acts)
 	}
-	if r.at(1300, Event{Kind: TimerFired, Tag: "sweep"}); n.lastAnswerTimely {
+	if r.at(1300, Event{Kind: TimerFired, Tag: "sweep"}); n.slowStart.answeredInTime {
 		t.Error("still good with an answer out for 280 ms")
 	}
 }
@@ -791,7 +791,7 @@
 	set.Plans[0].ReservedRate = 100
 	r := newRig(t, set)
 	n := r.s.nodeByID["a"]
-	n.window, n.nextSendAt = 0.1, r.now+3000
+	n.window.size, n.nextSendAt = 0.1, r.now+3000
 	for i := range 3 {
 		r.step(call(fmt.Sprint("r", i), "safe", 0, 3000))
 	}
--- a/policy/coldsum_test.go
+++ b/policy/coldsum_test.go
@@ -212,7 +212,7 @@
 	w.outcome(h, life, a.ID, no, OK, w.free[k]-w.now+1)
 }
 
-// epochAnswers takes a request of a host that was told of the start into the window, also one that does
+// count takes a request of a host that was told of the start into the window, also one that does
 // not run in the end.
 func (w *coldWorld) count(units float64, told bool) {
 	if !told || w.now-w.since > w.set.SlowStartDuration {
@@ -269,7 +269,7 @@
 	w.after(w.rng.ExpFloat64()/rate, func() { w.traffic(start) })
 }
 
-// inFlightUnits draws the size of a request; the mean is the settings' own.
+// units draws the size of a request; the mean is the settings' own.
 func (w *coldWorld) units() float64 {
 	switch {
 	case !w.large:
--- /dev/null
+++ b/policy/doc.go
@@ -0,0 +1,25 @@
+// Package policy decides, for one scheduler process, which storage request goes to which node and
+// when, and which request is rejected.
+//
+// A Scheduler receives events through Step and returns actions. It has no goroutine, lock, clock,
+// socket or file: the caller passes the time, in milliseconds, and random numbers come from the
+// seed. The same settings, seed and events give the same actions. Callers must not use one
+// Scheduler from several goroutines at once.
+//
+// Invariants:
+//   - Every admitted request ends in exactly one of: an attempt that finished it, Reject, Fail, or
+//     the disconnection of its client.
+//   - A non-idempotent request is not sent again once an attempt of it may have run. A request
+//     that is idempotent by key is sent again only within the deduplication scope and window.
+//   - Attempts never exceed MaxAttempts or the retry budget.
+//   - The requests in flight at one node stay within its concurrency window.
+//   - Requests with one ordered key have at most one of them being attempted.
+//   - Volumes, keys and unserved requests that are idle are evicted, so memory stays bounded.
+//
+// Class weights, slopes, surplus and donations follow "An Observation-based Approach Towards
+// Self-managing Web Servers", section 4.2; see the design page. Health, retries, slow start,
+// quotas and the endpoint list are additions of this package.
+//
+// The package does not open connections, measure time, parse settings or exchange messages with
+// other schedulers: its drivers do.
+package policy
--- a/policy/fewanswers_test.go
+++ b/policy/fewanswers_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// epochAnswers takes an attempt. The bad node is gone by once at most one of 32 goes there; its fair share is 4.
+// count takes an attempt. The bad node is gone by once at most one of 32 goes there; its fair share is 4.
 func (f *fewRun) count(bad bool) {
 	f.recent = append(f.recent, bad)
 	if len(f.recent) > 32 {
--- a/policy/health.go
+++ b/policy/health.go
@@ -2,59 +2,77 @@
 
 import "math"
 
-// learnFromOutcome takes what an outcome says of the node's health.
-func (s *Scheduler) learnFromOutcome(n *node, r *request, t *attempt, ev *Event) {
-	bad := 0.0
+const (
+	minBackoffMs    = 50.0  // first backoff from a node that took no work, doubling
+	maxBackoffMs    = 500.0 // up to this, so that its recovery is noticed soon
+	failureRateGain = 0.1   // weight of one outcome in the failure rate
+)
+
+// learnFromOutcome takes what the end of an attempt tells of the node's health.
+func (s *Scheduler) learnFromOutcome(r *request, a *attempt, ev *Event) {
+	n := a.node
 	switch ev.Status {
 	case OK:
-		if n.silent && s.now-n.silentSince > restartSuspectMs ||
-			ev.Latency > restartSuspectMs && s.now-n.lastHeardAt > restartSuspectMs {
-			s.beginSlowStart(n, s.now)
-		}
-		n.silent = false
-		n.lastHeardAt, n.backoff, n.lastAnswerTimely = s.now, 0, ev.Latency < nodeLatencyShare*s.minObjective
-		if !t.lost { // it told of its own fate, not of the node's
-			s.recordLatency(n, ev.Latency, r.units)
-		}
-		s.recordServed(n, r)
+		s.learnFromAnswer(r, a, ev.Latency)
+		n.noteOutcome(0)
 	case Errored:
-		bad, n.lastHeardAt, n.silent = 1, s.now, false
+		n.lastHeardAt, n.silent = s.now, false
+		n.noteOutcome(1)
 	case NodeFull:
 		n.lastHeardAt = s.now
 		s.narrow(n)
 		s.backOffNode(n)
-		return
 	case ConnectFailed:
-		bad = 1
 		s.backOffNode(n)
 		if s.now-n.lastHeardAt > restartSuspectMs {
 			s.beginSlowStart(n, s.now)
 		}
+		n.noteOutcome(1)
 	case TimedOut, ConnectionReset:
-		bad = 1
-		if t.lost {
-			return
+		if !a.lost {
+			s.recordLatency(n, ev.Latency, r.units)
+			n.noteOutcome(1)
 		}
-		s.recordLatency(n, ev.Latency, r.units)
-	default:
-		return
+	case Cancelled, Abandoned: // these tell nothing of the node
 	}
-	n.failureRate += failureRateGain * (bad - n.failureRate)
 }
 
-// backOffNode rests a node that took no work, a little longer each time.
+// learnFromAnswer takes a served attempt. The first answer after a long silence may come from a node
+// that restarted. The latency of an attempt that was written off tells of that attempt alone.
+func (s *Scheduler) learnFromAnswer(r *request, a *attempt, latency float64) {
+	n := a.node
+	if n.silent && s.now-n.silentSince > restartSuspectMs ||
+		latency > restartSuspectMs && s.now-n.lastHeardAt > restartSuspectMs {
+		s.beginSlowStart(n, s.now)
+	}
+	n.silent, n.lastHeardAt, n.backoff = false, s.now, 0
+	n.slowStart.answeredInTime = latency < nodeLatencyShare*s.minObjective
+	if !a.lost {
+		s.recordLatency(n, latency, r.units)
+	}
+	s.recordServed(n, r)
+}
+
+// noteOutcome takes an outcome, 1 for a failure, into the smoothed failure rate.
+func (n *node) noteOutcome(failure float64) {
+	n.failureRate += failureRateGain * (failure - n.failureRate)
+}
+
+// backOffNode backs off from a node that took no work, longer each time and randomized.
 func (s *Scheduler) backOffNode(n *node) {
 	n.backoff = math.Min(math.Max(2*n.backoff, minBackoffMs), maxBackoffMs)
-	n.nextSendAt, n.window = s.now+n.backoff*(0.5+s.rng.Float64()), math.Min(minWindow, n.window)
+	n.nextSendAt = s.now + n.backoff*(0.5+s.rng.Float64())
+	n.window.limitTo(minWindow)
 }
 
-// AvoidedNodes counts the listed nodes that the list gives as up and that this instance keeps work
-// from for now: silent ones, and those resting after failures. It decides nothing.
-func (s *Scheduler) AvoidedNodes() (n int) {
-	for _, x := range s.listedNodes {
-		if x.State == NodeUp && (x.silent || x.window < 1 && len(x.inFlight) == 0 && s.now < x.nextSendAt) {
-			n++
+// AvoidedNodes counts the nodes that the list gives as up and that this instance sends nothing to for
+// now: silent ones, and those it backs off from. It decides nothing.
+func (s *Scheduler) AvoidedNodes() (count int) {
+	for _, n := range s.listedNodes {
+		isResting := n.window.isFractional() && len(n.inFlight) == 0 && s.now < n.nextSendAt
+		if n.State == NodeUp && (n.silent || isResting) {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,17 +2,44 @@
 
 import "math"
 
-// learnLatency takes a latency into the node's usual and the pool's; the older those, the more.
-func (s *Scheduler) learnLatency(n *node, latency float64) {
-	part := func(at float64) float64 { return math.Max(minLatencyGain, 1-math.Exp((at-s.now)/latencyFreshMs)) }
-	n.typicalLatency = s.expectedLatency(n) + part(n.latencyLearnedAt)*(latency-s.expectedLatency(n))
-	s.poolLatency += part(s.poolLatencyAt) * (latency - s.poolLatency)
-	n.latencyLearnedAt, s.poolLatencyAt = s.now, s.now
+const (
+	latencyDecayMs = 2e3 // what a node showed decays to the pool's latency over this time
+	latencyFreshMs = 2e3 // an estimate of this age yields most of its weight to a new sample
+	minLatencyGain = 0.1 // least weight of one sample
+	minLatencyMs   = 1.0
+)
+
+// latencyEstimator is a smoothed latency. The older the estimate, the more a new sample counts.
+type latencyEstimator struct {
+	ms        float64
+	learnedAt float64 // negative infinity: nothing was learned
+}
+
+// known reports whether the estimator has seen a sample.
+func (e *latencyEstimator) known() bool { return !math.IsInf(e.learnedAt, 0) }
+
+// set replaces the estimate.
+func (e *latencyEstimator) set(ms, now float64) { e.ms, e.learnedAt = ms, now }
+
+// learn moves the estimate from a base value towards a sample.
+func (e *latencyEstimator) learn(base, sample, now float64) {
+	gain := math.Max(minLatencyGain, 1-math.Exp((e.learnedAt-now)/latencyFreshMs))
+	e.set(base+gain*(sample-base), now)
+}
+
+// decayed is the estimate after it decayed towards a rest value.
+func (e *latencyEstimator) decayed(rest, now float64) float64 {
+	return rest + (e.ms-rest)*math.Exp((e.learnedAt-now)/latencyDecayMs)
+}
+
+// learnLatency takes a latency into the estimates of the node and of the pool of all nodes.
+func (s *Scheduler) learnLatency(n *node, sample float64) {
+	n.latency.learn(s.expectedLatency(n), sample, s.now)
+	s.poolLatency.learn(s.poolLatency.ms, sample, s.now)
 }
 
-// expectedLatency is a node's latency as far as known: what it showed, healing with age towards
-// that of all the nodes this host hears from, and that towards nothing.
+// expectedLatency is a node's latency as far as known: its own estimate decays towards that of all
+// nodes this scheduler hears from, and that decays towards zero.
 func (s *Scheduler) expectedLatency(n *node) float64 {
-	pool := s.poolLatency * math.Exp((s.poolLatencyAt-s.now)/latencyDecayMs)
-	return math.Max(pool+(n.typicalLatency-pool)*math.Exp((n.latencyLearnedAt-s.now)/latencyDecayMs), 1)
+	return math.Max(n.latency.decayed(s.poolLatency.decayed(0, s.now), s.now), minLatencyMs)
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -25,8 +25,8 @@
 		return r
 	}
 	r := make1(0)
-	r.s.nodeByID["a"].window, r.s.nodeByID["a"].typicalLatency, r.s.nodeByID["a"].latencyLearnedAt = 9, 33, 999
-	r.s.nodeByID["b"].window, r.s.nodeByID["b"].typicalLatency, r.s.nodeByID["b"].latencyLearnedAt = 7, 44, 999
+	r.s.nodeByID["a"].window.size, r.s.nodeByID["a"].latency.ms, r.s.nodeByID["a"].latency.learnedAt = 9, 33, 999
+	r.s.nodeByID["b"].window.size, r.s.nodeByID["b"].latency.ms, r.s.nodeByID["b"].latency.learnedAt = 7, 44, 999
 	r.s.classes[0].weight, r.s.classes[0].delay, r.s.classes[0].slope = 0.6, 20, 5
 	l := r.s.Learned()
 	if len(l.Nodes) != 2 || l.Nodes[0].Window != 9 || len(l.Classes) != len(set.Classes) {
@@ -47,13 +47,13 @@
 		t.Errorf("%d nodes taken", taken)
 	}
 	a, b, c := next.s.nodeByID["a"], next.s.nodeByID["b"], next.s.nodeByID["c"]
-	if a.window != 9 || a.typicalLatency != 33 || !math.IsInf(a.startedAt, -1) {
+	if a.window.size != 9 || a.latency.ms != 33 || !math.IsInf(a.slowStart.startedAt, -1) {
 		t.Errorf("a: %+v", a)
 	}
-	if b.window > minWindow || !math.IsInf(b.latencyLearnedAt, -1) || b.startedAt != 1500 {
+	if b.window.size > minWindow || !math.IsInf(b.latency.learnedAt, -1) || b.slowStart.startedAt != 1500 {
 		t.Errorf("b kept what was learned of its last life: %+v", b)
 	}
-	if c.window != initialWindow || !math.IsInf(c.startedAt, -1) {
+	if c.window.size != initialWindow || !math.IsInf(c.slowStart.startedAt, -1) {
 		t.Errorf("c: %+v", c)
 	}
 	sum := 0.0
--- a/policy/node.go
+++ b/policy/node.go
@@ -1,31 +1,63 @@
 package policy
 
+import (
+	"math"
+	"slices"
+)
+
+// node is what this scheduler knows of one listed node.
 type node struct {
 	Node
-	window             float64
-	inFlight           []*request // in order of sending
-	inFlightUnits      float64    // out
-	typicalLatency     float64    // latency, as of late
-	latencyLearnedAt   float64    // when that was last learnt
-	nextSendAt         float64    // no sends before
-	peakInFlight       int        // most out in this window epoch
-	epochStartAt       float64    // start of it
-	epochLatency       float64    // of this window epoch
-	epochUnits         float64
-	epochAnswers       int
-	bestLatencyPerUnit float64
-	windowFilled       bool
-	failureRate        float64 // share of attempts that fail
-	lastHeardAt        float64 // last word of any kind from it
-	silent             bool
-	silentSince        float64 // since when
-	answerCount        float64 // since it is known
-	backoff            float64
-	slotStartAt        float64      // in slow start: its slot is counted from here ...
-	slotFactor         float64      // ... and comes after this part of the time that a slot of each host takes
-	lastAnswerTimely   bool         // its last answer came in good time, and nothing was sent since
-	startedAt          float64      // start that it may be cold from
-	drainingSince      float64      // when this host was told that it drains
-	recentSent         []timedUnits // sends and answers within OverloadWindow
-	recentServed       []timedUnits
+	window        concurrencyWindow
+	latency       latencyEstimator
+	slowStart     nodeSlowStart
+	inFlight      []*request // in order of sending
+	inFlightUnits float64
+	nextSendAt    float64 // earliest time of the next send
+	backoff       float64 // last backoff; 0: not backing off
+	failureRate   float64 // share of attempts that fail, smoothed
+	lastHeardAt   float64 // last answer or rejection
+	silent        bool    // work is in flight and nothing was heard for long
+	silentSince   float64
+	answerCount   float64 // since the node is known
+	drainingSince float64 // when a standing watch reported that it drains
+}
+
+// newNode makes the state of a node that nothing is known of.
+func newNode(entry Node, now float64) *node {
+	return &node{
+		Node:          entry,
+		window:        concurrencyWindow{size: initialWindow},
+		latency:       latencyEstimator{learnedAt: math.Inf(-1)},
+		slowStart:     nodeSlowStart{startedAt: math.Inf(-1)},
+		lastHeardAt:   now,
+		drainingSince: math.Inf(-1),
+	}
+}
+
+// removeInFlight counts a request as no longer in flight at the node.
+func (n *node) removeInFlight(r *request) {
+	if at := slices.Index(n.inFlight, r); at >= 0 {
+		n.inFlight = slices.Delete(n.inFlight, at, at+1)
+		n.inFlightUnits -= r.units
+	}
+}
+
+// addInFlight counts a request as in flight at the node.
+func (s *Scheduler) addInFlight(r *request, n *node) {
+	if s.inSlowStart(n) && !s.mayFollowAnswer(n) {
+		s.slowStart.spend(r.units)
+	}
+	n.slowStart.slotStartAt, n.slowStart.slotFactor, n.slowStart.answeredInTime = s.now, 0.5+s.rng.Float64(), false
+	r.attempts = append(r.attempts, attempt{node: n, sentAt: s.now, open: true})
+	r.openAttempts++
+	r.attemptCancelled, r.attemptLost = false, false
+	r.nodeAnswersAtSend, r.inFlightAtSend = n.answerCount, float64(len(n.inFlight))
+	n.inFlight = append(n.inFlight, r)
+	n.window.peakInFlight = max(n.window.peakInFlight, len(n.inFlight))
+	n.inFlightUnits += r.units
+	n.slowStart.recentSent = append(n.slowStart.recentSent, timedUnits{s.now, r.units})
+	if !s.inSlowStart(n) {
+		n.slowStart.recentSent = n.slowStart.recentSent[:0]
+	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,100 +2,147 @@
 
 import "math"
 
-// volume tracks what a volume is due through this host.
+const (
+	usageWindowMs     = 1000.0 // use beyond the reserved rate decays over this time
+	clientRetryLevel  = 1e9    // added to the usage level of a client's retries: they go after others
+	maxFairUsageRatio = 2.0    // use past this multiple of the mean volume's is burst
+	minPlanWeight     = 1e-9
+)
+
+// tokenBucket holds units that may be used. It may be overdrawn.
+type tokenBucket struct{ tokens float64 }
+
+func (b *tokenBucket) add(units, capacity float64) { b.tokens = math.Min(b.tokens+units, capacity) }
+
+// volume tracks the quota of a volume on a plan at this scheduler.
 type volume struct {
-	plan           *Plan
-	schedulers     int
-	reservedTokens float64 // reserve, units
-	limitTokens    float64 // limit, units
-	refilledAt     float64
-	usageLevel     float64 // use beyond the reserve, units over usageWindowMs
+	plan       *Plan
+	schedulers int         // through which its requests come; each has an equal share of the quota
+	reserved   tokenBucket // of the reserved rate
+	limit      tokenBucket // of the rate limit
+	refilledAt float64
+	usageLevel float64 // use beyond the reserved rate, units over usageWindowMs
 }
 
-// volumeKey is a volume on a plan: a volume that is asked for on another plan has that plan's figures, and none of the first's.
+// volumeKey identifies a volume on a plan. A volume that is named with another plan has that plan's
+// quota, and none of the first's.
 type volumeKey struct{ volume, plan string }
 
-func (s *Scheduler) volume(id string, plan *Plan, hosts int) *volume {
-	v := s.volumes[volumeKey{id, plan.Name}]
+// volume finds or makes the state of a volume on a plan. A restarted scheduler cannot know what it
+// used: the rate limit's bucket counts as empty at the first request of all. Since then only this
+// scheduler has used its share, and not for this volume.
+func (s *Scheduler) volume(id string, plan *Plan, schedulers int) *volume {
+	schedulers = max(schedulers, 1)
+	key := volumeKey{id, plan.Name}
+	v := s.volumes[key]
 	if v == nil {
-		// A restarted host cannot know what it spent: the limit's store was empty at its first
-		// request of all. Since then only this host has drawn on its part, and not for this volume.
 		v = &volume{plan: plan, refilledAt: s.now}
 		if !s.handedOver {
-			v.limitTokens = s.unusedLimitTokens(plan) / float64(max(hosts, 1))
+			v.limit.tokens = s.unusedLimitTokens(plan) / float64(schedulers)
 		}
-		s.volumes[volumeKey{id, plan.Name}] = v
+		v.reserved.tokens = (plan.ReservedRate + s.settings.MaxUnits) / float64(schedulers)
+		s.volumes[key] = v
 		s.volumeOrder = append(s.volumeOrder, v)
-		v.schedulers = max(hosts, 1)
-		v.reservedTokens = (plan.ReservedRate + s.settings.MaxUnits) / float64(v.schedulers)
 	}
-	v.schedulers = max(hosts, 1)
+	v.schedulers = schedulers
 	return v
 }
 
+// refill brings the buckets and the usage of a volume up to date.
 func (s *Scheduler) refill(v *volume) {
-	gone := s.now - v.refilledAt
+	elapsed := s.now - v.refilledAt
 	v.refilledAt = s.now
-	part := 1 / float64(v.schedulers)
-	v.reservedTokens = math.Min(v.reservedTokens+v.plan.ReservedRate*part*gone/1000, v.plan.ReservedRate*part+s.settings.MaxUnits)
+	share := 1 / float64(v.schedulers)
+	v.reserved.add(v.plan.ReservedRate*share*elapsed/1000, v.plan.ReservedRate*share+s.settings.MaxUnits)
 	if !s.handedOver {
-		v.limitTokens = math.Min(v.limitTokens+v.plan.RateLimit*part*gone/1000, v.plan.LimitBurst*part)
+		v.limit.add(v.plan.RateLimit*share*elapsed/1000, v.plan.LimitBurst*share)
 	}
-	v.usageLevel *= math.Exp(-gone / usageWindowMs)
+	v.usageLevel *= math.Exp(-elapsed / usageWindowMs)
+}
+
+// isLimitFull reports whether the rate limit's bucket is as that of a volume not seen before.
+func (v *volume) isLimitFull(now float64) bool {
+	filled := v.limit.tokens + v.plan.RateLimit/float64(v.schedulers)*(now-v.refilledAt)/1000
+	return v.plan.RateLimit == 0 || filled >= v.plan.LimitBurst/float64(v.schedulers)
+}
+
+// fairWeight is the volume's weight at this scheduler.
+func (v *volume) fairWeight() float64 {
+	return math.Max(v.plan.Weight, minPlanWeight) / float64(v.schedulers)
 }
 
-// chargeQuota ranks a request on arrival, as worth is due by second of arrival.
+// chargeQuota ranks a request on arrival by the quota of its volume, and charges it.
 func (s *Scheduler) chargeQuota(r *request) {
 	v := r.volume
 	s.refill(v)
-	if v.reservedTokens >= r.units {
-		v.reservedTokens -= r.units
+	if v.reserved.tokens >= r.units {
+		v.reserved.tokens -= r.units
 		r.band, r.chargedBand = bandReserved, bandReserved
 		return
 	}
-	sum, n := 0.0, 1e-9
-	for _, o := range s.volumeOrder {
-		if o.usageLevel > 0 && s.now-o.refilledAt < usageWindowMs {
-			sum, n = sum+o.usageLevel/o.fairWeight(), n+1
+	sum, count := 0.0, 1e-9
+	for _, other := range s.volumeOrder {
+		if other.usageLevel > 0 && s.now-other.refilledAt < usageWindowMs {
+			sum, count = sum+other.usageLevel/other.fairWeight(), count+1
 		}
 	}
 	r.band, r.usageLevel = bandBurst, v.usageLevel/v.fairWeight()
-	if r.usageLevel <= maxFairUsageRatio*sum/n || v.usageLevel < r.units {
+	if r.usageLevel <= maxFairUsageRatio*sum/count || v.usageLevel < r.units {
 		v.usageLevel += r.units
 		r.band = bandFairShare
 	}
 	r.chargedBand = r.band
 }
 
-// fairWeight is the volume's weight at this host.
-func (v *volume) fairWeight() float64 { return math.Max(v.plan.Weight, 1e-9) / float64(v.schedulers) }
-
-// refund gives back what a request that was not served had been charged.
+// refund returns what a request that was not served had been charged.
 func (s *Scheduler) refund(r *request) {
 	switch r.chargedBand {
 	case bandReserved:
-		r.volume.reservedTokens += r.units
+		r.volume.reserved.tokens += r.units
 	case bandFairShare:
 		r.volume.usageLevel = math.Max(0, r.volume.usageLevel-r.units)
 	}
 }
 
-// replacePlans takes new plans. What the stores of limits hold is carried over: they have filled by the old plan until now, and
-// fill by the new one from now on, so that no change gives units that neither plan does.
+// lacksTokensForever reports whether the rate limit's bucket has too little for a request and is no
+// longer refilled.
+func (s *Scheduler) lacksTokensForever(r *request) bool {
+	return s.handedOver && r.volume.plan.RateLimit > 0 && !r.limitCharged && r.volume.limit.tokens < r.units
+}
+
+// HandOver tells the instance that another process of the same instance serves from now on, with
+// empty buckets of rate limits. This one's are no longer refilled: what they hold may be used, and a
+// request that would wait for more is rejected, as its client finds the other process. Together the
+// two never hold more tokens than one instance would.
+func (s *Scheduler) HandOver() { s.handedOver = true }
+
+// unusedLimitTokens is what the rate limit of a volume unknown to this instance holds, over all
+// schedulers, since the first request of all or the last change of its plan.
+func (s *Scheduler) unusedLimitTokens(plan *Plan) float64 {
+	from, ok := s.limitCarryover[plan.Name]
+	if !ok {
+		from.at = s.firstRequestAt
+	}
+	return math.Min(from.units+plan.RateLimit*(s.now-from.at)/1000, plan.LimitBurst)
+}
+
+// replacePlans takes new plans. The buckets of rate limits keep what they hold: they were filled by
+// the old plan until now, and are filled by the new one from now on, so that no change gives tokens
+// that neither plan does.
 func (s *Scheduler) replacePlans(plans []Plan) {
-	planOf, filled := map[string]*Plan{}, map[string]timedUnits{}
+	planByName, carryover := map[string]*Plan{}, map[string]timedUnits{}
 	for i := range plans {
 		p := &plans[i]
-		planOf[p.Name] = p
+		planByName[p.Name] = p
 		switch old := s.planByName[p.Name]; {
-		case math.IsInf(s.firstRequestAt, 1): // no store fills yet
+		case math.IsInf(s.firstRequestAt, 1): // no bucket is filled yet
 		case old == nil || old.RateLimit == 0:
-			filled[p.Name] = timedUnits{at: s.now}
+			carryover[p.Name] = timedUnits{at: s.now}
 		default:
-			filled[p.Name] = timedUnits{s.now, math.Min(s.unusedLimitTokens(old), p.LimitBurst)}
+			carryover[p.Name] = timedUnits{s.now, math.Min(s.unusedLimitTokens(old), p.LimitBurst)}
 		}
 	}
-	s.planByName, s.limitCarryover = planOf, filled
+	s.planByName, s.limitCarryover = planByName, carryover
 	for _, v := range s.volumes {
 		if p := s.planByName[v.plan.Name]; p != nil {
 			s.changePlan(v, p)
@@ -103,33 +150,17 @@
 	}
 }
 
-// unusedLimitTokens is what the limit of a volume holds, over all hosts, that this instance has not heard of: since the first
-// request of all, or the last change of its plan, only this host has drawn on its part, and not for this volume.
-func (s *Scheduler) unusedLimitTokens(plan *Plan) float64 {
-	from, ok := s.limitCarryover[plan.Name]
-	if !ok {
-		from.at = s.firstRequestAt
-	}
-	return math.Min(from.units+plan.RateLimit*(s.now-from.at)/1000, plan.LimitBurst)
-}
-
-// changePlan gives a volume another plan, or another definition of its plan.
+// changePlan gives a volume another definition of its plan.
 func (s *Scheduler) changePlan(v *volume, plan *Plan) {
 	if s.now-v.refilledAt >= usageWindowMs {
-		v.usageLevel = 0 // it counted no more, and must not again for the refill
+		v.usageLevel = 0 // it no longer counted, and must not count again because of the refill
 	}
 	s.refill(v)
-	if v.plan.RateLimit == 0 { // its store was not kept
-		v.limitTokens = 0
+	if v.plan.RateLimit == 0 { // its bucket was not kept
+		v.limit.tokens = 0
 	}
 	v.plan = plan
 	if plan.RateLimit > 0 {
-		v.limitTokens = math.Min(v.limitTokens, plan.LimitBurst/float64(v.schedulers))
+		v.limit.tokens = math.Min(v.limit.tokens, plan.LimitBurst/float64(v.schedulers))
 	}
 }
-
-// HandOver tells the instance that another process of its host serves from now on, with stores of
-// limits that start empty. This one's are no longer refilled; what they hold may be spent, and a request
-// that would wait for more is refused: its client finds it at the other process. Together the two
-// never hold more than one instance would.
-func (s *Scheduler) HandOver() { s.handedOver = true }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,125 +5,149 @@
 	"slices"
 )
 
-// Reconfigure takes new settings into the running instance: bookkeeping, no decision. A class whose
-// definition is unchanged keeps its object with its weight and delay; a new or changed class
-// gets an object of its own, and an old one stays with the requests that hold it until none
-// does. A class that vanished takes no new requests. Plans are taken by name; a volume of a
-// vanished plan keeps the plan it had until it is forgotten, or the plan comes back.
+// Reconfigure takes new settings into the running instance. A class whose definition is unchanged
+// keeps its weight and delay. A new or changed class starts with the mean weight; the old definition
+// is retired: it takes no new requests and stays with those that hold it. Plans are taken by name; a
+// volume of a plan that vanished keeps it until the volume is evicted or the plan comes back.
 func (s *Scheduler) Reconfigure(set Settings) error {
 	if err := checkSettings(&set); err != nil {
 		return err
 	}
 	s.replacePlans(set.Plans)
 	s.settings = set
+	added := s.matchClasses(set.Classes)
+	kept := append(s.keptClasses(), added...)
+	s.replaceClasses(kept)
+	s.normalizeWeights(added, float64(len(set.Classes)))
+	return nil
+}
+
+// matchClasses makes classByName that of the new definitions, and returns the classes it had to make.
+func (s *Scheduler) matchClasses(definitions []Class) (added []*class) {
+	matched := map[*class]bool{}
+	s.classByName = map[string]*class{}
+	for _, definition := range definitions {
+		i := slices.IndexFunc(s.classes, func(c *class) bool { return c.Class == definition && !matched[c] })
+		var c *class
+		if i >= 0 {
+			c = s.classes[i]
+		} else {
+			c = &class{Class: definition}
+			added = append(added, c)
+		}
+		s.classByName[definition.Name], matched[c] = c, true
+	}
+	return added
+}
+
+// isLive reports whether a class takes new requests.
+func (s *Scheduler) isLive(c *class) bool { return s.classByName[c.Name] == c }
+
+// keptClasses are the live classes and the retired ones that a request holds. The retired ones lose
+// their delay, so that they ask for no weight.
+func (s *Scheduler) keptClasses() []*class {
 	held := map[*class]bool{}
 	for _, r := range s.requests {
 		held[r.class] = true
 	}
-	live := map[*class]bool{}
-	s.classByName = map[string]*class{}
-	var fresh []*class
-	for _, k := range set.Classes {
-		i := slices.IndexFunc(s.classes, func(c *class) bool { return c.Class == k && !live[c] })
-		if i < 0 {
-			c := &class{Class: k}
-			fresh = append(fresh, c)
-			s.classByName[k.Name], live[c] = c, true
+	kept := make([]*class, 0, len(s.classes))
+	for _, c := range s.classes {
+		if s.isLive(c) {
+			kept = append(kept, c)
 			continue
 		}
-		s.classByName[k.Name], live[s.classes[i]] = s.classes[i], true
-	}
-	// The old objects that no request holds go; those held stay, as retired: their delay no
-	// longer asks for weight.
-	kept := slices.DeleteFunc(slices.Clone(s.classes), func(c *class) bool { return !live[c] && !held[c] })
-	for _, c := range kept {
-		if !live[c] {
-			c.delay, c.sampleSum, c.sampleCount, c.weightChanged = 0, 0, 0, false
+		c.dropDelay()
+		if held[c] {
+			kept = append(kept, c)
 		}
 	}
-	kept = append(kept, fresh...)
-	s.replaceClasses(kept)
-	s.retiredClasses = len(kept) - len(live)
-	// Shares: a new class starts at the mean of the live ones, and the live ones sum to one.
-	n := float64(len(set.Classes))
-	total := 0.0
-	for _, c := range kept {
-		if live[c] {
-			if slices.Contains(fresh, c) {
-				c.weight = 1 / n
-			}
-			total += c.weight
-		}
+	return kept
+}
+
+// dropRetiredClasses drops the retired classes that no request holds any more.
+func (s *Scheduler) dropRetiredClasses() {
+	if s.retiredClasses == 0 {
+		return
 	}
-	s.meanPriorityWeight, s.minObjective = 0, 0
-	for _, c := range kept {
-		if !live[c] {
-			continue
-		}
-		c.weight = math.Max(c.weight/total, minClassWeight)
-		s.meanPriorityWeight += c.PriorityWeight / n
-		if s.minObjective == 0 || c.LatencyObjective < s.minObjective {
-			s.minObjective = c.LatencyObjective
-		}
+	if kept := s.keptClasses(); len(kept) < len(s.classes) {
+		s.replaceClasses(kept)
 	}
-	return nil
 }
 
-// replaceClasses makes the classes those given, in that order, and moves each shard queue's queues with
-// them.
+// replaceClasses makes the classes those given, in that order, and moves the class queues of each
+// shard with them.
 func (s *Scheduler) replaceClasses(classes []*class) {
-	old := make([]int, len(classes))
+	const isNew = -1
+	oldIndex := make([]int, len(classes))
 	for i, c := range classes {
-		old[i] = -1
+		oldIndex[i] = isNew
 		if slices.Contains(s.classes, c) {
-			old[i] = c.index
+			oldIndex[i] = c.index
 		}
 	}
-	for _, l := range s.queueByShard {
-		queues, finish := make([][]*request, len(classes)), make([]float64, len(classes))
-		for i := range classes {
-			if o := old[i]; o >= 0 {
-				queues[i], finish[i] = l.byClass[o], l.nextStart[o]
-			} else {
-				finish[i] = l.virtualTime
+	for _, q := range s.queueByShard {
+		byClass, nextStart := make([][]*request, len(classes)), make([]float64, len(classes))
+		for i, old := range oldIndex {
+			if old == isNew {
+				nextStart[i] = q.virtualTime
+				continue
 			}
+			byClass[i], nextStart[i] = q.byClass[old], q.nextStart[old]
 		}
-		l.byClass, l.nextStart = queues, finish
+		q.byClass, q.nextStart = byClass, nextStart
 	}
 	for i, c := range classes {
 		c.index = i
 	}
 	s.classes = classes
+	s.retiredClasses = len(classes) - len(s.classByName)
 }
 
-// Classes names the classes that take new requests.
-func (s *Scheduler) Classes() []string {
-	names := make([]string, 0, len(s.classByName))
-	for _, c := range s.classes {
-		if s.classByName[c.Name] == c {
-			names = append(names, c.Name)
-		}
+// normalizeWeights gives added classes the mean weight, and scales the live ones to a sum of one.
+func (s *Scheduler) normalizeWeights(added []*class, count float64) {
+	for _, c := range added {
+		c.weight = 1 / count
 	}
-	return names
+	s.scaleLiveWeights()
+	s.summarizeClasses(count)
 }
 
-// dropRetiredClasses drops the retired classes that no request holds any more.
-func (s *Scheduler) dropRetiredClasses() {
-	if s.retiredClasses == 0 {
-		return
+// scaleLiveWeights scales the weights of the live classes to a sum of one.
+func (s *Scheduler) scaleLiveWeights() {
+	total := 0.0
+	for _, c := range s.classes {
+		if s.isLive(c) {
+			total += c.weight
+		}
 	}
-	for _, c := range s.classes { // what ends of a retired class asks for no weight
-		if s.classByName[c.Name] != c {
-			c.delay, c.sampleSum, c.sampleCount, c.weightChanged = 0, 0, 0, false
+	for _, c := range s.classes {
+		if s.isLive(c) {
+			c.weight = math.Max(c.weight/total, minClassWeight)
 		}
 	}
-	held := map[*class]bool{}
-	for _, r := range s.requests {
-		held[r.class] = true
+}
+
+// summarizeClasses takes the mean priority weight and the tightest objective of the live classes.
+func (s *Scheduler) summarizeClasses(count float64) {
+	s.meanPriorityWeight, s.minObjective = 0, 0
+	for _, c := range s.classes {
+		if !s.isLive(c) {
+			continue
+		}
+		s.meanPriorityWeight += c.PriorityWeight / count
+		if s.minObjective == 0 || c.LatencyObjective < s.minObjective {
+			s.minObjective = c.LatencyObjective
+		}
 	}
-	kept := slices.DeleteFunc(slices.Clone(s.classes), func(c *class) bool { return s.classByName[c.Name] != c && !held[c] })
-	if len(kept) < len(s.classes) {
-		s.replaceClasses(kept)
-		s.retiredClasses = len(kept) - len(s.classByName)
+}
+
+// Classes names the classes that take new requests.
+func (s *Scheduler) Classes() []string {
+	names := make([]string, 0, len(s.classByName))
+	for _, c := range s.classes {
+		if s.isLive(c) {
+			names = append(names, c.Name)
+		}
 	}
+	return names
 }
--- a/policy/retune_test.go
+++ b/policy/retune_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// weightChanged takes settings into the rig's instance.
+// changed takes settings into the rig's instance.
 func (r *rig) changed(set Settings) {
 	r.t.Helper()
 	if err := r.s.Reconfigure(set); err != nil {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,49 +5,90 @@
 	"math"
 )
 
-// checkSettings names the first settings field that cannot be.
+// settingsCheck collects the first settings field that cannot be. Its texts name the fields by the
+// words of the settings, which are an interface of their own.
+type settingsCheck struct{ err error }
+
+func (c *settingsCheck) fail(format string, args ...any) {
+	if c.err == nil {
+		c.err = fmt.Errorf(format, args...)
+	}
+}
+
+// atLeast requires a finite number of at least a bound.
+func (c *settingsCheck) atLeast(field string, value, low float64) {
+	if math.IsNaN(value) || math.IsInf(value, 0) || value < low {
+		c.fail("settings: %s is %v", field, value)
+	}
+}
+
+// unique requires a name that is not empty and not in the set, and adds it.
+func (c *settingsCheck) unique(field, name string, names map[string]bool) {
+	if name == "" || names[name] {
+		c.fail("settings: %s: name %q is empty or twice there", field, name)
+	}
+	names[name] = true
+}
+
+// checkSettings names the first settings field that cannot be, and sets the default of MeanUnits.
 func checkSettings(set *Settings) error {
-	num := func(name string, v, least float64) error {
-		if math.IsNaN(v) || math.IsInf(v, 0) || v < least {
-			return fmt.Errorf("settings: %s is %v", name, v)
-		}
-		return nil
-	}
-	errs := []error{num("Hosts", float64(set.Schedulers), 1), num("MaxAttempts", float64(set.MaxAttempts), 1),
-		num("MeanUnits", set.MeanUnits, 0), num("MostUnits", set.MaxUnits, 0), num("ColdUnits", set.SlowStartUnits, 0),
-		num("MeterSpan", set.UsageMeterPeriod, 0), num("MaxHoldOff", set.MaxRetryAfter, 0),
-		num("DrainGrace", set.DrainGrace, 0), num("AskWithin", set.PollWithin, 0), num("ColdFrom", set.SlowStartShare, 0),
-		num("ColdSpan", set.SlowStartDuration, 0), num("TipMultiple", set.OverloadMultiple, 0), num("TipSpan", set.OverloadWindow, 0),
-		num("OrderPause", set.OrderedKeyBackoff, 0), num("BudgetShare", set.RetryBudgetShare, 0),
-		num("BudgetFree", set.RetryBudgetMin, 0), num("BudgetSpan", set.RetryBudgetWindow, 0),
-		num("Classes", float64(len(set.Classes)), 1), num("Plans", float64(len(set.Plans)), 1)}
+	var c settingsCheck
+	c.checkNumbers(set)
 	names := map[string]bool{}
-	for _, c := range set.Classes {
-		if c.Name == "" || names["c"+c.Name] {
-			errs = append(errs, fmt.Errorf("settings: Classes: name %q is empty or twice there", c.Name))
-		}
-		names["c"+c.Name] = true
-		errs = append(errs, num("Classes.Aim", c.LatencyObjective, 1e-3), num("Classes.Deadline", c.Deadline, c.LatencyObjective),
-			num("Classes.Worth", c.PriorityWeight, 0), num("Classes.Memory", c.DedupWindow, 0))
-	}
-	for _, p := range set.Plans {
-		if p.Name == "" || names["p"+p.Name] {
-			errs = append(errs, fmt.Errorf("settings: Plans: name %q is empty or twice there", p.Name))
-		}
-		names["p"+p.Name] = true
-		errs = append(errs, num("Plans.Rate", p.Rate, 0), num("Plans.Reserve", p.ReservedRate, 0),
-			num("Plans.Weight", p.Weight, 0), num("Plans.Limit", p.RateLimit, 0), num("Plans.LimitBurst", p.LimitBurst, 0))
-		if p.RateLimit > 0 && p.LimitBurst <= 0 {
-			errs = append(errs, fmt.Errorf("settings: Plans.LimitBurst is %v with a limit", p.LimitBurst))
-		}
-	}
-	for _, err := range errs {
-		if err != nil {
-			return err
-		}
+	for i := range set.Classes {
+		c.unique("Classes", set.Classes[i].Name, names)
+		c.checkClass(&set.Classes[i])
+	}
+	clear(names)
+	for i := range set.Plans {
+		c.unique("Plans", set.Plans[i].Name, names)
+		c.checkPlan(&set.Plans[i])
+	}
+	if c.err != nil {
+		return c.err
 	}
 	if set.MeanUnits == 0 {
 		set.MeanUnits = 1
 	}
 	return nil
 }
+
+func (c *settingsCheck) checkNumbers(set *Settings) {
+	c.atLeast("Hosts", float64(set.Schedulers), 1)
+	c.atLeast("MaxAttempts", float64(set.MaxAttempts), 1)
+	c.atLeast("MeanUnits", set.MeanUnits, 0)
+	c.atLeast("MostUnits", set.MaxUnits, 0)
+	c.atLeast("ColdUnits", set.SlowStartUnits, 0)
+	c.atLeast("MeterSpan", set.UsageMeterPeriod, 0)
+	c.atLeast("MaxHoldOff", set.MaxRetryAfter, 0)
+	c.atLeast("DrainGrace", set.DrainGrace, 0)
+	c.atLeast("AskWithin", set.PollWithin, 0)
+	c.atLeast("ColdFrom", set.SlowStartShare, 0)
+	c.atLeast("ColdSpan", set.SlowStartDuration, 0)
+	c.atLeast("TipMultiple", set.OverloadMultiple, 0)
+	c.atLeast("TipSpan", set.OverloadWindow, 0)
+	c.atLeast("OrderPause", set.OrderedKeyBackoff, 0)
+	c.atLeast("BudgetShare", set.RetryBudgetShare, 0)
+	c.atLeast("BudgetFree", set.RetryBudgetMin, 0)
+	c.atLeast("BudgetSpan", set.RetryBudgetWindow, 0)
+	c.atLeast("Classes", float64(len(set.Classes)), 1)
+	c.atLeast("Plans", float64(len(set.Plans)), 1)
+}
+
+func (c *settingsCheck) checkClass(class *Class) {
+	c.atLeast("Classes.Aim", class.LatencyObjective, 1e-3)
+	c.atLeast("Classes.Deadline", class.Deadline, class.LatencyObjective)
+	c.atLeast("Classes.Worth", class.PriorityWeight, 0)
+	c.atLeast("Classes.Memory", class.DedupWindow, 0)
+}
+
+func (c *settingsCheck) checkPlan(plan *Plan) {
+	c.atLeast("Plans.Rate", plan.Rate, 0)
+	c.atLeast("Plans.Reserve", plan.ReservedRate, 0)
+	c.atLeast("Plans.Weight", plan.Weight, 0)
+	c.atLeast("Plans.Limit", plan.RateLimit, 0)
+	c.atLeast("Plans.LimitBurst", plan.LimitBurst, 0)
+	if plan.RateLimit > 0 && plan.LimitBurst <= 0 {
+		c.fail("settings: Plans.LimitBurst is %v with a limit", plan.LimitBurst)
+	}
+}
--- a/policy/stall.go
+++ b/policy/stall.go
@@ -1,79 +1,123 @@
 package policy
 
-import (
-	"fmt"
-	"math"
+import "math"
+
+const (
+	maxTimerLagMs          = 100.0  // a heartbeat that is later than this shows a stall of this scheduler
+	minSilenceMs           = 1200.0 // a node with work in flight is silent after this time without an answer
+	silenceLatencyMultiple = 6.0    // or after this multiple of its expected latency, if longer
+	minNodeStallMs         = 300.0  // a node this quiet is stalled: no slope is refitted across it
+	minOvertakingAnswers   = 3.0    // answers to later attempts after which an attempt may be lost
+	lostLatencyMultiple    = 4.0    // and it is in flight for this multiple of the expected latency
+	minLostAgeMs           = 50.0   // and for at least this long
+	stuckLatencyMultiple   = 2.0    // an attempt past its objective is stuck after this multiple of the pool's latency
 )
 
-// detectStall notes a stall of this host itself, by a timer far past due: what comes now waited
-// here, so its times are no samples, silence counts anew, and arrivals are as old as the
-// time left says. It covers a clock that leaps. Harm: a late caller costs samples.
+// stallDetector notices, by late heartbeats, that this scheduler itself was stalled.
+type stallDetector struct {
+	heartbeatDueAt float64
+	resumed        bool // this step is the first one after a stall
+	lastEndAt      float64
+}
+
+// detectStall notices a stall of this scheduler by a timer far past due. What arrives in this step
+// waited here: its times are no samples, silence counts from now, and the age of a request follows
+// from the time it has left. This covers a clock that jumps.
+// Trade-off: a driver that calls late costs samples.
 func (s *Scheduler) detectStall(events []Event) {
-	if s.resumedFromStall = timerFired(events, "beat") && s.now-s.heartbeatDueAt > maxTimerLagMs; s.resumedFromStall {
-		s.logText(fmt.Sprintf("stood still for %.0f ms", s.now-s.heartbeatDueAt))
-		s.lastStallEndAt = s.now
+	lag := s.now - s.stall.heartbeatDueAt
+	s.stall.resumed = timerFired(events, heartbeatTimer) && lag > maxTimerLagMs
+	if s.stall.resumed {
+		s.logf("scheduler was stalled for %.0f ms", lag)
+		s.stall.lastEndAt = s.now
 	}
 }
 
-// checkInFlight notes silence, stalls and lost attempts by what is out and for how long. One that
-// many later ones overtook is lost (a dropped message, a stuck worker): it gives its place
-// back, is no word on the node's speed, and goes again where its class allows. Harm: very
-// large work at a node that serves out of turn, hence the age as well.
-func (s *Scheduler) checkInFlight(l *shardQueue) {
-	for _, n := range l.nodes {
-		for len(n.inFlight) > 0 {
-			r := n.inFlight[0]
-			age := s.now - r.lastAt()
-			usual := s.expectedLatency(n) * math.Max(1, r.units/s.settings.MeanUnits)
-			if n.overtakenBy(r) < minOvertakingAnswers || age < math.Max(minLostAgeMs, lostLatencyMultiple*usual) {
-				break
-			}
-			s.writeOffOldest(n)
-		}
+// checkInFlight looks for lost, stuck and silent attempts at the nodes of a shard.
+func (s *Scheduler) checkInFlight(q *shardQueue) {
+	for _, n := range q.nodes {
+		s.writeOffOvertaken(n)
 		if len(n.inFlight) == 0 {
 			continue
 		}
-		for _, r := range n.inFlight {
-			age := s.now - r.lastAt()
-			stuck := s.now >= r.objectiveAt && age > stuckLatencyMultiple*s.poolLatency && !r.attemptCancelled
-			if stuck && s.settings.MayCancel && !r.done && !r.streaming {
-				r.attemptCancelled = true
-				s.recordLatency(n, age, r.units)
-				s.emit(Action{Kind: Cancel, ID: r.id, Attempt: len(r.attempts) - 1})
-			}
+		s.cancelStuck(n)
+		s.detectSilence(n)
+	}
+}
+
+// writeOffOvertaken writes off attempts that many later ones overtook, as a message was dropped or
+// a worker is stuck. Their place in the window is free again, they tell nothing of the node's
+// latency, and they are hedged where their class allows it. Large work at a node that answers out
+// of order looks alike, so an attempt must be old as well.
+func (s *Scheduler) writeOffOvertaken(n *node) {
+	for len(n.inFlight) > 0 {
+		r := n.inFlight[0]
+		age := s.now - r.lastSentAt()
+		expected := s.expectedLatency(n) * math.Max(1, r.units/s.settings.MeanUnits)
+		if n.overtakenBy(r) < minOvertakingAnswers || age < math.Max(minLostAgeMs, lostLatencyMultiple*expected) {
+			return
 		}
-		quiet := s.now - max(n.lastHeardAt, n.inFlight[0].lastAt(), s.lastStallEndAt)
-		s.stallSeen = s.stallSeen || quiet > minNodeStallMs
-		if quiet > math.Max(minSilenceMs, silenceLatencyMultiple*s.expectedLatency(n)) {
-			if !n.silent {
-				s.logText(fmt.Sprintf("node %s silent for %.0f ms: trickle", n.ID, quiet))
-				n.silentSince = s.now - quiet
-			}
-			n.silent, n.window = true, math.Min(minWindow, n.window)
-			for len(n.inFlight) > 0 { // or they would hold the trickle until their clients leave
-				s.writeOffOldest(n)
-			}
+		s.writeOffOldest(n)
+	}
+}
+
+// cancelStuck cancels attempts past their objective that are in flight for longer than is usual.
+func (s *Scheduler) cancelStuck(n *node) {
+	if !s.settings.MayCancel {
+		return
+	}
+	for _, r := range n.inFlight {
+		age := s.now - r.lastSentAt()
+		isStuck := s.now >= r.objectiveAt && age > stuckLatencyMultiple*s.poolLatency.ms && !r.attemptCancelled
+		if !isStuck || r.done || r.streaming {
+			continue
 		}
+		r.attemptCancelled = true
+		s.recordLatency(n, age, r.units)
+		s.emit(Action{Kind: Cancel, ID: r.id, Attempt: len(r.attempts) - 1})
+	}
+}
+
+// detectSilence notices that a node with work in flight is stalled or silent. All attempts at a
+// silent node are written off: they would hold its only place until their clients disconnect.
+func (s *Scheduler) detectSilence(n *node) {
+	quiet := s.now - max(n.lastHeardAt, n.inFlight[0].lastSentAt(), s.stall.lastEndAt)
+	s.nodeStalled = s.nodeStalled || quiet > minNodeStallMs
+	if quiet <= math.Max(minSilenceMs, silenceLatencyMultiple*s.expectedLatency(n)) {
+		return
+	}
+	if !n.silent {
+		s.logf("node %s silent for %.0f ms: one request at a time", n.ID, quiet)
+		n.silentSince = s.now - quiet
+	}
+	n.silent = true
+	n.window.limitTo(minWindow)
+	for len(n.inFlight) > 0 {
+		s.writeOffOldest(n)
 	}
 }
 
-// writeOffOldest writes off the oldest attempt out at a node. Where copies are allowed another goes out
-// beside it, as an answer to either serves: a connection may have fallen silent, and its time
-// limit is past any aim. The copy is bound as if the first had run. Harm: large work twice.
+// writeOffOldest writes off the oldest attempt in flight at a node. Where hedging is allowed another
+// attempt goes out beside it, and either answer serves: a connection may have fallen silent, and
+// its time-out is past any objective. The hedge is restricted as if the first attempt had run.
+// Trade-off: large work may run twice.
 func (s *Scheduler) writeOffOldest(n *node) {
 	r := n.inFlight[0]
 	n.inFlight, n.inFlightUnits, r.attemptLost = n.inFlight[1:], n.inFlightUnits-r.units, true
 	r.attempts[len(r.attempts)-1].lost = true
-	if s.settings.MayHedge && !r.done && !r.streaming && !r.attemptCancelled && !r.queued {
+	if r.done || r.streaming {
+		return
+	}
+	if s.settings.MayHedge && !r.attemptCancelled && !r.queued {
 		if r.mayHaveRunOn == nil {
-			r.mayHaveRunOn, r.mayHaveRunSince = n, r.lastAt()
+			r.mayHaveRunOn, r.mayHaveRunSince = n, r.lastSentAt()
 		}
 		if s.mayRetry(r) {
 			s.enqueue(r)
 			return
 		}
 	}
-	if r.class.Effect == Idempotent && s.settings.MayCancel && !r.done && !r.streaming {
+	if r.class.Effect == Idempotent && s.settings.MayCancel {
 		s.emit(Action{Kind: Cancel, ID: r.id, Attempt: len(r.attempts) - 1})
 	}
 }
--- a/policy/standing_test.go
+++ b/policy/standing_test.go
@@ -19,7 +19,7 @@
 		r.step(Event{Kind: RequestArrived, Request: Request{ID: fmt.Sprint("q", i), Class: testSettings().Classes[0].Name, Plan: testSettings().Plans[0].Name,
 			Volume: "v", Units: 1, Schedulers: 1, Deadline: 1e9}})
 	}
-	s.nodeByID["a"].window, s.nodeByID["b"].window, s.nodeByID["e"].State = 30, 10, NodeRemoved
+	s.nodeByID["a"].window.size, s.nodeByID["b"].window.size, s.nodeByID["e"].State = 30, 10, NodeRemoved
 	waits := 0
 	for _, q := range s.queueByShard[0].byClass {
 		waits += len(q)
@@ -35,7 +35,7 @@
 	if c.Window != 0 || c.Queue != 0 || d.Window <= 0 || d.Queue != 0 {
 		t.Errorf("%+v %+v", c, d)
 	}
-	s.nodeByID["a"].window, s.nodeByID["b"].window = 0, 0
+	s.nodeByID["a"].window.size, s.nodeByID["b"].window.size = 0, 0
 	if all = s.NodeStatuses(2); len(all) != 2 || all[0].Queue != float64(waits)/2 {
 		t.Errorf("without windows: %+v", all)
 	}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -221,7 +221,7 @@
 	w.ends[how]++
 }
 
-// warmShare is the share of its full speed that a node has.
+// power is the share of its full speed that a node has.
 func (w *world) power(n *worldNode) float64 {
 	if n.StartTime == 0 {
 		return 1
