--- a/policy/fewanswers_test.go
+++ b/policy/failingnode_test.go
@@ -11,22 +11,22 @@
 
 // One host of little traffic beside a node that turns bad: how many answers it takes until the host goes by
 // that node, and what the node still gets. Pure calls, virtual time, seeds. docs/incidents/fewanswers.md
-// has the table (go test -v -run TestFewAnswers).
+// has the table (go test -v -run TestFailingNodeIsAvoidedWithFewAnswers).
 
 const (
-	fewNodes   = 8
-	fewService = 60.0
-	fewBadFrom = 20e3
-	fewBadFor  = 20e3
-	fewEnd     = 60e3
+	fewNodes      = 8
+	fewService    = 60.0
+	failingFromMs = 20e3
+	failingForMs  = 20e3
+	fewEnd        = 60e3
 )
 
-type fewRun struct {
-	*world // its clock and queue of what is due
-	s      *Scheduler
-	mode   string
-	named  bool
-	open   map[string]*fewReq
+type failingNodeRun struct {
+	*simulation // its clock and queue of what is due
+	s           *Scheduler
+	mode        string
+	named       bool
+	open        map[string]*failingNodeRequest
 	// At the bad node: attempts while it was bad, and of those before it had its last regular one; the
 	// time of that; all attempts and requests meanwhile, and those not served in their aim; time of return.
 	bad, until, all, asked, missed int
@@ -35,16 +35,18 @@
 	recent                         []bool // whether each of the last attempts went to the bad node
 }
 
-type fewReq struct {
+type failingNodeRequest struct {
 	req   Request
 	began float64
 	tries []func(Status)
 	done  bool
 }
 
-func (f *fewRun) isBad() bool { return f.now >= fewBadFrom && f.now < fewBadFrom+fewBadFor }
+func (f *failingNodeRun) isBad() bool {
+	return f.now >= failingFromMs && f.now < failingFromMs+failingForMs
+}
 
-func (f *fewRun) step(evs ...Event) {
+func (f *failingNodeRun) step(evs ...Event) {
 	for _, a := range f.s.Step(1e6+f.now, evs, nil) {
 		switch r := f.open[a.ID]; a.Kind {
 		case SetTimer:
@@ -59,16 +61,16 @@
 	}
 }
 
-func (f *fewRun) end(r *fewReq, ok bool) {
+func (f *failingNodeRun) end(r *failingNodeRequest, ok bool) {
 	r.done = true
 	if !ok || f.now > r.began+f.set.Classes[0].LatencyObjective {
-		if r.began >= fewBadFrom && r.began < fewBadFrom+fewBadFor {
+		if r.began >= failingFromMs && r.began < failingFromMs+failingForMs {
 			f.missed++
 		}
 	}
 }
 
-func (f *fewRun) send(r *fewReq, a Action) {
+func (f *failingNodeRun) send(r *failingNodeRequest, a Action) {
 	no, sent, over := len(r.tries), f.now, false
 	end := func(status Status) {
 		if over {
@@ -99,7 +101,7 @@
 }
 
 // count takes an attempt. The bad node is gone by once at most one of 32 goes there; its fair share is 4.
-func (f *fewRun) count(bad bool) {
+func (f *failingNodeRun) count(bad bool) {
 	f.recent = append(f.recent, bad)
 	if len(f.recent) > 32 {
 		f.recent = f.recent[1:]
@@ -117,18 +119,18 @@
 		if bad {
 			f.bad++
 			if regular {
-				f.until, f.settled = f.bad, f.now-fewBadFrom
+				f.until, f.settled = f.bad, f.now-failingFromMs
 			}
 		}
-	case f.now >= fewBadFrom+fewBadFor && regular && bad && f.back == 0:
-		f.back = f.now - fewBadFrom - fewBadFor
+	case f.now >= failingFromMs+failingForMs && regular && bad && f.back == 0:
+		f.back = f.now - failingFromMs - failingForMs
 	}
 }
 
-// runFew plays one seed with so many nodes a shard. With one alone half of the requests name their shard, and
+// runFailingNode plays one seed with so many nodes a shard. With one alone half of the requests name their shard, and
 // can go to no other; of these nothing is counted but the aims missed.
-func runFew(t *testing.T, mode string, each int, named bool, rate float64, seed int64) *fewRun {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed))}
+func runFailingNode(t *testing.T, mode string, each int, named bool, rate float64, seed int64) *failingNodeRun {
+	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed))}
 	w.set = Settings{Schedulers: 80, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000, SendsRetryAfter: true, MayCancel: true,
 		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: fewNodes / each,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1}},
@@ -137,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fewRun{world: w, s: s, mode: mode, named: named, open: map[string]*fewReq{}, back: 0}
+	f := &failingNodeRun{simulation: w, s: s, mode: mode, named: named, open: map[string]*failingNodeRequest{}, back: 0}
 	var list []Node
 	for i := range fewNodes {
 		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / each, Weight: 1})
@@ -151,7 +153,7 @@
 		if named || each == 1 && w.rng.Intn(2) == 0 {
 			shard = w.rng.Intn(w.set.Shards)
 		}
-		r := &fewReq{began: w.now, req: Request{ID: fmt.Sprint("q", w.seq), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.seq), Volume: "v",
+		r := &failingNodeRequest{began: w.now, req: Request{ID: fmt.Sprint("q", w.seq), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.seq), Volume: "v",
 			Deadline: 1e6 + w.now + 2000, Units: 1, Shard: shard, Schedulers: 1}}
 		if f.open[r.req.ID] = r; f.isBad() {
 			f.asked++
@@ -159,20 +161,20 @@
 		f.step(Event{Kind: RequestArrived, Request: r.req})
 	}
 	w.after(0, arrive)
-	w.run2(fewEnd)
+	w.runUntil(fewEnd)
 	return f
 }
 
-// run2 runs until a time.
-func (w *world) run2(end float64) {
+// runUntil runs until a time.
+func (w *simulation) runUntil(end float64) {
 	for w.due[0].at < end {
-		d := heap.Pop(&w.due).(worldDue)
+		d := heap.Pop(&w.due).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
 }
 
-func TestFewAnswers(t *testing.T) {
+func TestFailingNodeIsAvoidedWithFewAnswers(t *testing.T) {
 	const seeds = 20
 	median := func(v []float64) float64 { slices.Sort(v); return v[len(v)/2] }
 	for _, kind := range []struct {
@@ -187,12 +189,12 @@
 			for _, rate := range []float64{2, 5, 20} {
 				var until, settled, share, missed, back []float64
 				for seed := range int64(seeds) {
-					f := runFew(t, mode, kind.each, kind.named, rate, seed)
+					f := runFailingNode(t, mode, kind.each, kind.named, rate, seed)
 					until, settled = append(until, float64(f.until)), append(settled, f.settled/1000)
 					share = append(share, float64(f.bad)/float64(f.all)*fewNodes*100)
 					missed = append(missed, float64(f.missed)/float64(f.asked)*100)
 					if f.back == 0 {
-						f.back = fewEnd - fewBadFrom - fewBadFor
+						f.back = fewEnd - failingFromMs - failingForMs
 					}
 					back = append(back, f.back/1000)
 				}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,32 +9,14 @@
 
 const fleetHosts = 290
 
-// fleet makes hosts with seeds of their own that all know the same nodes.
-func fleet(t *testing.T, set Settings, nodes []Node) []*rig {
-	t.Helper()
-	set.Schedulers = fleetHosts
-	var rigs []*rig
-	for i := range fleetHosts {
-		set.Instance = i
-		s, err := New(set, int64(1000+i))
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := &rig{t: t, s: s, now: 1000}
-		r.step(Event{Kind: CachedListLoaded, Nodes: nodes})
-		rigs = append(rigs, r)
-	}
-	return rigs
-}
-
 // Hosts that know nothing yet must not all send their new objects to one node.
-func TestNewObjectsSpreadOverTheNodes(t *testing.T) {
+func TestNewObjectsSpreadOverTheNodesOfAFleet(t *testing.T) {
 	var nodes []Node
 	for i := range 40 {
 		nodes = append(nodes, Node{ID: fmt.Sprint("n", i), Shard: i})
 	}
 	met := map[string]int{}
-	for _, r := range fleet(t, testSettings(), nodes) {
+	for _, r := range newFleet(t, testSettings(), nodes) {
 		for _, a := range r.step(call("x", "once", -1, 3000)) {
 			if a.Kind == Send {
 				met[a.Node]++
@@ -53,12 +35,12 @@
 
 // All hosts with work for one node that has just come up: together they stay under what
 // it always bears, though it answers nothing yet; once it answers, it gets more.
-func TestColdNodeBearsTheWholeFleet(t *testing.T) {
+func TestNodeInSlowStartBearsTheWholeFleet(t *testing.T) {
 	set := testSettings()
 	set.SlowStartDuration = 18000
-	rigs := fleet(t, set, []Node{{ID: "a", Shard: 0, StartTime: 990}, {ID: "b", Shard: 1}})
+	rigs := newFleet(t, set, []Node{{ID: "a", Shard: 0, StartTime: 990}, {ID: "b", Shard: 1}})
 	sent := map[int]float64{} // units by second
-	out := map[string]*rig{}
+	out := map[string]*harness{}
 	total, perHost := 0.0, 0
 	run := func(from, to int, answers bool) {
 		for now := from; now < to; now += 100 {
@@ -72,7 +54,7 @@
 				id := fmt.Sprint("q", i, "-", now)
 				ev := call(id, "once", 0, float64(now)+2000)
 				ev.Request.Units = 2
-				for _, a := range r.at(float64(now), ev, Event{Kind: TimerFired, Tag: "sweep"}) {
+				for _, a := range r.at(float64(now), ev, Event{Kind: TimerFired, Tag: sweepTimer}) {
 					if a.Kind == Send && a.Node == "a" {
 						sent[now/1000] += 2
 						total += 2
@@ -102,10 +84,10 @@
 }
 
 // Hosts that lose the list together ask again spread out, and none later than allowed.
-func TestHostsThatLoseTheListAskSpreadOut(t *testing.T) {
+func TestPollsOfAFleetAreSpread(t *testing.T) {
 	set := testSettings()
 	set.PollsEndpointList = true
-	rigs := fleet(t, set, []Node{{ID: "a", Shard: 0}})
+	rigs := newFleet(t, set, []Node{{ID: "a", Shard: 0}})
 	for _, r := range rigs {
 		r.at(2000, Event{Kind: ListChanged})
 		r.step(Event{Kind: ListFailed})
@@ -116,8 +98,8 @@
 			if asked[i] {
 				continue
 			}
-			if count(r.at(float64(now), call(fmt.Sprint(i, "-", now), "none", 0, float64(now)+900),
-				Event{Kind: TimerFired, Tag: "tick"}), Subscribe) > 0 {
+			if countActions(r.at(float64(now), call(fmt.Sprint(i, "-", now), "none", 0, float64(now)+900),
+				Event{Kind: TimerFired, Tag: tickTimer}), Subscribe) > 0 {
 				asked[i] = true
 				bySlot[now/100]++
 			}
@@ -135,9 +117,9 @@
 
 // Hosts that start together move their weights at times of their own: in step they would all give
 // at once, and the delays at the nodes they share would answer to all of it.
-func TestHostsAdaptOutOfStep(t *testing.T) {
+func TestAdaptationsOfAFleetAreSpread(t *testing.T) {
 	slots := map[int]int{}
-	for _, r := range fleet(t, testSettings(), []Node{{ID: "a", Shard: 0}}) {
+	for _, r := range newFleet(t, testSettings(), []Node{{ID: "a", Shard: 0}}) {
 		slots[int(r.s.nextAdaptAt)/100]++
 	}
 	for slot, n := range slots {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -5,40 +5,33 @@
 	"testing"
 )
 
-// limited is a rig whose one plan has a limit: so much a second and at once.
-func limited(t *testing.T, limit, burst float64) *rig {
-	set := testSettings()
-	set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, burst
-	return newRig(t, set)
-}
-
 // After the handover a limit's store is spent and no longer refilled, a request that waits for more is refused, and what
 // has no limit is served on. Retune changes nothing of it.
-func TestHandOverSpendsNoMore(t *testing.T) {
-	r := limited(t, 20, 4)
+func TestHandOverAddsNoTokens(t *testing.T) {
+	r := newLimitedHarness(t, 20, 4)
 	served := func(i int) bool {
 		id := fmt.Sprint("x", i)
 		acts := r.step(call(id, "safe", 0, r.now+2000))
-		out := sent(acts, id)
+		out := wasSent(acts, id)
 		if out {
 			r.at(r.now+1, done(id, 0, OK, true))
-		} else if !refused(acts, id) {
+		} else if !wasRejected(acts, id) {
 			t.Fatalf("%s waits: %v", id, acts)
 		}
 		return out
 	}
-	if acts := r.step(call("early", "safe", 0, r.now+2000)); sent(acts, "early") {
+	if acts := r.step(call("early", "safe", 0, r.now+2000)); wasSent(acts, "early") {
 		t.Fatal("served from an empty store")
 	}
-	r.at(r.now+200, Event{Kind: TimerFired, Tag: "sweep"}) // the store is full, less one
+	r.at(r.now+200, Event{Kind: TimerFired, Tag: sweepTimer}) // the store is full, less one
 	r.step(done("early", 0, OK, true))
 	wait := call("waits", "safe", 0, r.now+2000)
 	wait.Request.Units = 8 // never
-	if acts := r.step(wait); sent(acts, "waits") || refused(acts, "waits") {
+	if acts := r.step(wait); wasSent(acts, "waits") || wasRejected(acts, "waits") {
 		t.Fatalf("%v", acts)
 	}
 	r.s.HandOver()
-	if acts := r.step(Event{Kind: TimerFired, Tag: "sweep"}); !refused(acts, "waits") {
+	if acts := r.step(Event{Kind: TimerFired, Tag: sweepTimer}); !wasRejected(acts, "waits") {
 		t.Errorf("it waits on: %v", acts)
 	}
 	if err := r.s.Reconfigure(r.s.settings); err != nil {
@@ -56,12 +49,12 @@
 	}
 	late := call("late", "safe", 0, r.now+2000)
 	late.Request.Volume = "other" // one that is seen after it
-	if acts := r.step(late); !refused(acts, "late") {
+	if acts := r.step(late); !wasRejected(acts, "late") {
 		t.Errorf("%v", acts)
 	}
-	free := limited(t, 0, 0)
+	free := newLimitedHarness(t, 0, 0)
 	free.s.HandOver()
-	if acts := free.step(call("free", "safe", 0, free.now+2000)); !sent(acts, "free") {
+	if acts := free.step(call("free", "safe", 0, free.now+2000)); !wasSent(acts, "free") {
 		t.Errorf("no limit, and not sent: %v", acts)
 	}
 }
@@ -69,14 +62,14 @@
 // Two instances of one host, the second from the first's handover on: together they draw no more than one does.
 func TestHandOverKeepsTheLimit(t *testing.T) {
 	const rate, burst = 20.0, 10.0
-	first, second := limited(t, rate, burst), limited(t, rate, burst)
+	first, second := newLimitedHarness(t, rate, burst), newLimitedHarness(t, rate, burst)
 	drawn, from := 0.0, first.now
 	for i := range 4000 {
 		now := from + float64(i)
 		if i == 2000 {
 			first.s.HandOver()
 		}
-		for k, r := range []*rig{first, second} {
+		for k, r := range []*harness{first, second} {
 			if k == 1 && i < 2000 {
 				continue
 			}
--- a/policy/health.go
+++ b/policy/health.go
@@ -62,7 +62,7 @@
 func (s *Scheduler) backOffNode(n *node) {
 	n.backoff = math.Min(math.Max(2*n.backoff, minBackoffMs), maxBackoffMs)
 	n.nextSendAt = s.now + n.backoff*(0.5+s.rng.Float64())
-	n.window.limitTo(minWindow)
+	n.window.lowerToMin()
 }
 
 // AvoidedNodes counts the nodes that the list gives as up and that this instance sends nothing to for
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -93,7 +93,7 @@
 	}
 	n.window.size = math.Max(learned.Window, math.Min(minFleetWindow/float64(s.settings.Schedulers), minWindow))
 	if s.inSlowStart(n) {
-		n.window.limitTo(minWindow)
+		n.window.lowerToMin()
 	}
 	n.latency.set(learned.Latency, s.now)
 	if between(learned.BestLatencyPerUnit, 0, maxLearnedFigure) {
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -7,16 +7,16 @@
 
 // What one life learned is taken by the next for nodes of the same start alone; a guessed cold mark
 // goes with the list's word; figures that cannot be change nothing.
-func TestRecall(t *testing.T) {
+func TestRestoreTakesWhatStillHolds(t *testing.T) {
 	set := testSettings()
 	set.SlowStartDuration, set.Schedulers = 18000, 40
 	list := []Node{{ID: "a", Shard: 0}, {ID: "b", Shard: 1, StartTime: 990}, {ID: "c", Shard: 2}}
-	make1 := func(guess float64) *rig {
+	make1 := func(guess float64) *harness {
 		s, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, s: s, now: 1000}
+		r := &harness{t: t, s: s, now: 1000}
 		held := append([]Node(nil), list...)
 		for i := range held {
 			held[i].StartTime = math.Max(held[i].StartTime, guess)
--- a/policy/fuzz_test.go
+++ b/policy/randomevents_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// book is the outside bookkeeping of what the rules forbid.
-type book struct {
+// ruleChecker is the outside bookkeeping of what the rules forbid.
+type ruleChecker struct {
 	t       *testing.T
 	set     Settings
 	now     float64
-	reqs    map[string]*entry
-	open    map[string]*flight
+	reqs    map[string]*trackedRequest
+	open    map[string]*trackedAttempt
 	told    map[string]float64 // when a node was told to drain or to be gone
 	takes   []float64
 	extras  []float64
@@ -23,29 +23,29 @@
 	spent   map[string]float64 // limited units sent since start, by volume
 	born    float64
 	lines   map[string][]string
-	timers  []timer
+	timers  []dueTimer
 	live    []string // unanswered, in order of arrival
 	history [][]Action
 }
 
-type entry struct {
+type trackedRequest struct {
 	ev       Request
 	class    *Class
 	sends    int
 	outs     int
 	answered bool
 	gone     bool
-	mayRun   []*flight
+	mayRun   []*trackedAttempt
 }
 
-type flight struct {
+type trackedAttempt struct {
 	id      string
 	attempt int
 	node    Node
 	sent    float64
 }
 
-type timer struct {
+type dueTimer struct {
 	at  float64
 	tag string
 }
@@ -67,12 +67,12 @@
 	return set
 }
 
-func (b *book) fail(format string, args ...any) {
+func (b *ruleChecker) fail(format string, args ...any) {
 	b.t.Helper()
 	b.t.Fatalf("at %.0f: %s", b.now, fmt.Sprintf(format, args...))
 }
 
-func (b *book) final(id string) {
+func (b *ruleChecker) answered(id string) {
 	e := b.reqs[id]
 	if e == nil || e.answered {
 		b.fail("second or unasked answer for %s", id)
@@ -80,14 +80,14 @@
 	e.answered = true
 }
 
-func (b *book) check(acts []Action, nodes map[string]Node) {
+func (b *ruleChecker) check(acts []Action, nodes map[string]Node) {
 	for _, a := range acts {
 		switch a.Kind {
 		case Send:
 			b.send(a, nodes)
 		case Reject:
 			e := b.reqs[a.ID]
-			b.final(a.ID)
+			b.answered(a.ID)
 			lone := e.class == nil || e.class.Effect == Idempotent || e.class.Effect == IdempotentByKey && e.class.DedupScope == DedupAll
 			if !lone && len(e.mayRun) > 0 {
 				b.fail("refused %s, which may have run", a.ID)
@@ -96,12 +96,12 @@
 				b.fail("hold-off %v", a.Wait)
 			}
 		case Fail:
-			b.final(a.ID)
+			b.answered(a.ID)
 		case SetTimer:
 			if a.Wait <= 0 {
 				b.fail("timer %v", a.Wait)
 			}
-			b.timers = append(b.timers, timer{b.now + a.Wait, a.Tag})
+			b.timers = append(b.timers, dueTimer{b.now + a.Wait, a.Tag})
 		case Gossip:
 			if !b.set.MayGossip || len(a.Data) > 256 {
 				b.fail("message not allowed")
@@ -112,7 +112,7 @@
 	}
 }
 
-func (b *book) send(a Action, nodes map[string]Node) {
+func (b *ruleChecker) send(a Action, nodes map[string]Node) {
 	e, n := b.reqs[a.ID], nodes[a.Node]
 	if e == nil || e.answered || e.gone {
 		b.fail("sent %s after its end", a.ID)
@@ -175,19 +175,19 @@
 			b.fail("limit of %s passed: %v", e.ev.Volume, b.spent[e.ev.Volume])
 		}
 	}
-	b.open[fmt.Sprint(a.ID, "#", e.sends)] = &flight{a.ID, e.sends, n, b.now}
+	b.open[fmt.Sprint(a.ID, "#", e.sends)] = &trackedAttempt{a.ID, e.sends, n, b.now}
 	e.sends++
 	e.outs++
 }
 
-// play drives random legal events and returns all actions; before comes before each step.
-func play(t *testing.T, set Settings, seed int64, before func(*Scheduler)) [][]Action {
+// playRandomEvents drives random legal events and returns all actions; before comes before each step.
+func playRandomEvents(t *testing.T, set Settings, seed int64, before func(*Scheduler)) [][]Action {
 	rnd := rand.New(rand.NewSource(seed))
 	s, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &book{t: t, set: set, now: 5000, born: 5000, reqs: map[string]*entry{}, open: map[string]*flight{},
+	b := &ruleChecker{t: t, set: set, now: 5000, born: 5000, reqs: map[string]*trackedRequest{}, open: map[string]*trackedAttempt{},
 		told: map[string]float64{}, rest: map[string]float64{}, spent: map[string]float64{},
 		lines: map[string][]string{}}
 	nodes := map[string]Node{}
@@ -262,7 +262,7 @@
 			v := rnd.Intn(4)
 			q.Volume, q.Schedulers = fmt.Sprint(q.Plan, v), 1+v%3
 			serial++
-			b.reqs[q.ID] = &entry{ev: q, class: c}
+			b.reqs[q.ID] = &trackedRequest{ev: q, class: c}
 			b.takes = append(b.takes, b.now)
 			b.live = append(b.live, q.ID)
 			if c.Ordered {
@@ -308,7 +308,7 @@
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for i := range 16 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			one, two := play(t, fuzzSettings(i), int64(i+1), func(*Scheduler) {}), play(t, fuzzSettings(i), int64(i+1), func(s *Scheduler) {
+			one, two := playRandomEvents(t, fuzzSettings(i), int64(i+1), func(*Scheduler) {}), playRandomEvents(t, fuzzSettings(i), int64(i+1), func(s *Scheduler) {
 				for _, l := range s.shardQueues { // the lanes that are passed over would have done nothing
 					s.markBusy(l)
 				}
--- a/policy/retune_test.go
+++ b/policy/reconfigure_test.go
@@ -6,19 +6,11 @@
 	"testing"
 )
 
-func sent(acts []Action, id string) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Send && a.ID == id })
-}
-
-func refused(acts []Action, id string) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Reject && a.ID == id })
-}
-
 // Classes appear and vanish while requests are under way; those keep their class, and what
 // comes after goes by the new settings.
-func TestRetuneWhileUnderWay(t *testing.T) {
-	r := newRig(t, testSettings())
-	if acts := r.step(call("old", "safe", 0, 5000)); !sent(acts, "old") {
+func TestReconfigureWithRequestsInFlight(t *testing.T) {
+	r := newHarness(t, testSettings())
+	if acts := r.step(call("old", "safe", 0, 5000)); !wasSent(acts, "old") {
 		t.Fatalf("not sent: %v", acts)
 	}
 	next := testSettings()
@@ -37,20 +29,20 @@
 	// under the old ones... and the module's own count now says one: it ends.
 	r.now += 10
 	acts := r.step(done("old", 0, OK, true))
-	if count(acts, Send) != 0 {
+	if countActions(acts, Send) != 0 {
 		t.Fatalf("sent again after being served: %v", acts)
 	}
 	r.now += 10
-	if acts := r.step(call("new", "safe", 0, r.now+3000)); !refused(acts, "new") {
+	if acts := r.step(call("new", "safe", 0, r.now+3000)); !wasRejected(acts, "new") {
 		t.Fatalf("a vanished class was taken: %v", acts)
 	}
-	if acts := r.step(call("f", "fresh", 0, r.now+3000)); !sent(acts, "f") {
+	if acts := r.step(call("f", "fresh", 0, r.now+3000)); !wasSent(acts, "f") {
 		t.Fatalf("a new class was not sent: %v", acts)
 	}
 	// The retired object goes at the next tick once nothing holds it, and the queues are
 	// renumbered.
 	r.now += tickIntervalMs
-	r.step(Event{Kind: TimerFired, Tag: "tick"})
+	r.step(Event{Kind: TimerFired, Tag: tickTimer})
 	for i, c := range r.s.classes {
 		if c.index != i {
 			t.Fatalf("class %s at %d has ix %d", c.Name, i, c.index)
@@ -68,8 +60,8 @@
 
 // A class that changes its effect gets an object of its own: the request under way keeps the
 // old effect, a new one has the new.
-func TestRetuneStricterEffect(t *testing.T) {
-	r := newRig(t, testSettings())
+func TestReconfigureToAStricterEffect(t *testing.T) {
+	r := newHarness(t, testSettings())
 	r.step(call("old", "safe", 0, 5000))
 	next := testSettings()
 	next.Classes[0].Effect = NonIdempotent
@@ -87,22 +79,14 @@
 	}
 	// Reset of the old one: being safe it may go again.
 	r.now += 10
-	if acts := r.step(done("old", 0, ConnectionReset, false)); !sent(acts, "old") {
+	if acts := r.step(done("old", 0, ConnectionReset, false)); !wasSent(acts, "old") {
 		t.Fatalf("the old request lost its class's repeats: %v", acts)
 	}
 }
 
-// changed takes settings into the rig's instance.
-func (r *rig) changed(set Settings) {
-	r.t.Helper()
-	if err := r.s.Reconfigure(set); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
 // A change of a plan's limit carries the stores over: of a volume that is known, and of one that is not. It fills by the
 // old plan until the change and by the new one from then on, and holds no more than the new one allows.
-func TestRetuneCarriesLimits(t *testing.T) {
+func TestReconfigureKeepsTokensOfLimits(t *testing.T) {
 	for _, x := range []struct {
 		what       string
 		old, next  [2]float64 // limit, burst; 0: none
@@ -116,23 +100,23 @@
 		{"given to a plan without", [2]float64{}, [2]float64{4, 12}, 20, 4, 4},
 		{"taken away", [2]float64{4, 12}, [2]float64{}, 12, 30, 30},
 	} {
-		r := newRig(t, limitedSettings(x.old[0], x.old[1]))
-		r.asks("known", 1, 0)
-		r.asks("other", 1, 1) // the host's first request
+		r := newHarness(t, limitedSettings(x.old[0], x.old[1]))
+		r.countSent("known", 1, 0)
+		r.countSent("other", 1, 1) // the host's first request
 		r.at(r.now + 4000)
-		if n := r.asks("known", 1, x.spent); n != x.spent {
+		if n := r.countSent("known", 1, x.spent); n != x.spent {
 			t.Fatalf("%s: %d sent before, %d may", x.what, n, x.spent)
 		}
 		if x.spent == 0 {
-			r.asks("known", 1, 1) // so that it is known
+			r.countSent("known", 1, 1) // so that it is known
 			r.at(r.now + 250)
 		}
 		r.changed(limitedSettings(x.next[0], x.next[1]))
 		r.at(r.now + 1000)
-		if n := r.asks("known", 1, 30); n != x.known {
+		if n := r.countSent("known", 1, 30); n != x.known {
 			t.Errorf("%s: %d sent of the known volume, %d may", x.what, n, x.known)
 		}
-		if n := r.asks("new", 1, 30); n != x.new {
+		if n := r.countSent("new", 1, 30); n != x.new {
 			t.Errorf("%s: %d sent of a new volume, %d may", x.what, n, x.new)
 		}
 	}
@@ -140,37 +124,37 @@
 
 // Time that passed before a change counts at the old limit, and an instance that has handed over holds no more than the new
 // plan allows either.
-func TestRetuneCountsTheTimeBefore(t *testing.T) {
+func TestReconfigureCountsTheTimeBeforeIt(t *testing.T) {
 	for _, x := range []struct {
 		what   string
 		handed bool
 		next   [2]float64
 		wants  int
 	}{{"raised", false, [2]float64{10, 40}, 18}, {"lowered, handed over", true, [2]float64{1, 3}, 3}} {
-		r := newRig(t, limitedSettings(4, 12))
-		r.asks("other", 1, 1)
+		r := newHarness(t, limitedSettings(4, 12))
+		r.countSent("other", 1, 1)
 		r.at(r.now + 60e3)
-		r.asks("v", 1, 11)
+		r.countSent("v", 1, 11)
 		if !x.handed {
-			r.asks("v", 1, 1)
+			r.countSent("v", 1, 1)
 		}
 		r.at(r.now + 2000)
 		if x.handed {
-			r.asks("v", 1, 1) // its store has filled until then
+			r.countSent("v", 1, 1) // its store has filled until then
 			r.s.HandOver()
 		}
 		r.changed(limitedSettings(x.next[0], x.next[1]))
 		r.at(r.now + 1000)
-		if n := r.asks("v", 1, 30); n != x.wants {
+		if n := r.countSent("v", 1, 30); n != x.wants {
 			t.Errorf("%s: %d sent, %d may", x.what, n, x.wants)
 		}
 	}
 }
 
 // The use of a volume that no longer counts does not count again for a change.
-func TestRetuneBringsNoUseBack(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.asks("v", 1, 1)
+func TestReconfigureRestoresNoOldUsage(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.countSent("v", 1, 1)
 	v := r.s.volumes[volumeKey{"v", "p"}]
 	v.usageLevel = 1
 	r.at(r.now + usageWindowMs)
@@ -182,20 +166,20 @@
 
 // Changes there and back, however often, give no unit that the plan with the larger limit does not: neither to a volume that is
 // known nor to one that is not, whether time passes between the changes or not.
-func TestRetuneMintsNothing(t *testing.T) {
+func TestReconfigureAddsNoTokens(t *testing.T) {
 	for _, x := range []struct {
 		between        [2]float64 // limit, burst; 0: none
 		known, unheard int        // units that 0.2 s under each of the two limits allow
 	}{{[2]float64{}, 0, 0}, {[2]float64{4, 40}, 1, 12}, {[2]float64{2, 3}, 1, 3}, {[2]float64{10, 40}, 2, 12}} {
 		for _, apart := range []float64{0, 10} { // ms between two changes
-			r := newRig(t, limitedSettings(4, 12))
-			r.asks("other", 1, 1)
+			r := newHarness(t, limitedSettings(4, 12))
+			r.countSent("other", 1, 1)
 			r.at(r.now + 60e3)
 			asked, known := 30, 0
 			if apart > 0 { // what is not sent waits, and would go as the store fills
 				asked, known = 12, x.known
 			}
-			if n := r.asks("v", 1, asked); n != 12 {
+			if n := r.countSent("v", 1, asked); n != 12 {
 				t.Fatalf("%d sent, 12 may", n)
 			}
 			for range 20 {
@@ -205,10 +189,10 @@
 				r.at(r.now + apart)
 			}
 			r.changed(limitedSettings(50, 200))
-			if n := r.asks("v", 1, 30); n != known {
+			if n := r.countSent("v", 1, 30); n != known {
 				t.Errorf("limit %v between, %v ms apart: %d sent of the known volume, %d may", x.between[0], apart, n, known)
 			}
-			if n := r.asks("unheard", 1, 30); n != x.unheard {
+			if n := r.countSent("unheard", 1, 30); n != x.unheard {
 				t.Errorf("limit %v between, %v ms apart: %d sent of a new volume, %d may", x.between[0], apart, n, x.unheard)
 			}
 		}
@@ -217,15 +201,15 @@
 
 // A volume whose plan was renamed or removed goes by the plan that its requests name from then on, with what its store held:
 // not by one that no settings know any more.
-func TestRetuneVanishedPlan(t *testing.T) {
+func TestReconfigureWithoutAPlanInUse(t *testing.T) {
 	for _, x := range []struct {
 		limit, burst float64
 		wants        int // a second after the change
 	}{{4, 12, 4}, {10, 12, 10}, {0, 0, 30}} {
-		r := newRig(t, limitedSettings(4, 12))
-		r.asks("other", 1, 1)
+		r := newHarness(t, limitedSettings(4, 12))
+		r.countSent("other", 1, 1)
 		r.at(r.now + 60e3)
-		r.asks("v", 1, 12) // spent
+		r.countSent("v", 1, 12) // spent
 		next := limitedSettings(x.limit, x.burst)
 		next.Plans = []Plan{{Name: "else", Rate: 1}, next.Plans[0]}
 		next.Plans[1].Name = "renamed"
@@ -260,39 +244,39 @@
 }
 
 // A plan that vanishes and comes back has its volumes go by its new definition, with what their stores held.
-func TestRetunePlanComesBack(t *testing.T) {
-	r := newRig(t, limitedSettings(4, 12))
-	r.asks("other", 1, 1)
+func TestReconfigureWithAPlanThatComesBack(t *testing.T) {
+	r := newHarness(t, limitedSettings(4, 12))
+	r.countSent("other", 1, 1)
 	r.at(r.now + 60e3)
-	r.asks("v", 1, 12) // spent
+	r.countSent("v", 1, 12) // spent
 	without := testSettings()
 	without.Plans[0].Name = "else"
 	r.changed(without)
 	r.changed(limitedSettings(10, 40))
-	if n := r.asks("v", 1, 1); n != 0 {
+	if n := r.countSent("v", 1, 1); n != 0 {
 		t.Error("sent with an empty store")
 	}
 	r.at(r.now + 1000)
-	if n := r.asks("v", 1, 30); n != 10 {
+	if n := r.countSent("v", 1, 30); n != 10 {
 		t.Errorf("%d sent, 10 may", n)
 	}
 }
 
 // A request under way has no more attempts than the settings allowed when it came, nor than they allow now.
-func TestRetuneAttempts(t *testing.T) {
+func TestReconfigureOfMaxAttempts(t *testing.T) {
 	for _, x := range []struct{ old, next, wants int }{{3, 1, 1}, {1, 3, 1}, {2, 3, 2}} {
 		set := testSettings()
 		set.MaxAttempts = x.old
-		r := newRig(t, set)
+		r := newHarness(t, set)
 		tries := 0
-		if sent(r.step(call("a", "safe", 0, 5000)), "a") {
+		if wasSent(r.step(call("a", "safe", 0, 5000)), "a") {
 			tries++
 		}
 		set.MaxAttempts = x.next
 		r.changed(set)
 		for i := range 5 {
 			r.now++
-			if sent(r.step(done("a", i, Errored, false)), "a") {
+			if wasSent(r.step(done("a", i, Errored, false)), "a") {
 				tries++
 			}
 		}
@@ -303,8 +287,8 @@
 }
 
 // What ends of a class that was retired does not make it borrow from those that take requests.
-func TestRetuneRetiredBorrowsNothing(t *testing.T) {
-	r := newRig(t, testSettings())
+func TestRetiredClassBorrowsNoWeight(t *testing.T) {
+	r := newHarness(t, testSettings())
 	r.step(call("old", "safe", 0, 50e3), call("holds", "safe", 0, 50e3))
 	next := testSettings()
 	next.Classes[0].Name = "renamed"
@@ -316,7 +300,7 @@
 		t.Fatal("no sample of the retired class: the crossing was not reached")
 	}
 	r.s.nextAdaptAt = r.now
-	r.step(Event{Kind: TimerFired, Tag: "tick"})
+	r.step(Event{Kind: TimerFired, Tag: tickTimer})
 	if retired.delay != 0 || retired.weightChanged {
 		t.Errorf("a retired class has delay %v", retired.delay)
 	}
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -46,7 +46,7 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			var script recorded.Script
 			steps := 0
-			history := play(t, fuzzSettings(i), int64(100+i), func(s *Scheduler) {
+			history := playRandomEvents(t, fuzzSettings(i), int64(100+i), func(s *Scheduler) {
 				if steps++; steps%100 == 50 {
 					recordState(&script, s)
 				}
@@ -61,7 +61,7 @@
 
 // recordedSettings are those of the small world with classes of every effect and a retry budget.
 func recordedSettings() Settings {
-	set := worldSettings()
+	set := simulationSettings()
 	set.Classes = append(set.Classes,
 		Class{Name: "keyed", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: DedupShard, DedupWindow: 700},
 		Class{Name: "ordered", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, LatePriorityWeight: 0.2, Effect: NonIdempotent, Ordered: true})
@@ -70,11 +70,11 @@
 	return set
 }
 
-// disturb adds what the world's own days leave out: clients that leave, lists that fail, stalls, new settings, restarts
+// addFaults adds what the world's own days leave out: clients that leave, lists that fail, stalls, new settings, restarts
 // that recall what was learned, and processes that hand over.
-func disturb(w *world) {
-	var each func(every float64, do func(h *worldHost))
-	each = func(every float64, do func(h *worldHost)) {
+func addFaults(w *simulation) {
+	var each func(every float64, do func(h *simulatedScheduler))
+	each = func(every float64, do func(h *simulatedScheduler)) {
 		w.after(every*(0.5+w.rng.Float64()), func() {
 			if h := w.hosts[w.rng.Intn(len(w.hosts))]; !h.down {
 				do(h)
@@ -82,17 +82,17 @@
 			each(every, do)
 		})
 	}
-	each(20, func(h *worldHost) {
+	each(20, func(h *simulatedScheduler) {
 		id := fmt.Sprint("q", w.seq-w.rng.Intn(200))
 		if r := w.reqs[id]; r != nil && !r.answered && r.host == h && r.life == h.life {
 			r.answered = true
 			h.step(Event{Kind: ClientDisconnected, ID: id})
 		}
 	})
-	each(100, func(h *worldHost) { h.step(Event{Kind: ListFailed}) })
-	each(70, func(h *worldHost) { // the whole list again
+	each(100, func(h *simulatedScheduler) { h.step(Event{Kind: ListFailed}) })
+	each(70, func(h *simulatedScheduler) { // the whole list again
 		ev := Event{Kind: ListReceived}
-		for i := range worldNodes {
+		for i := range simulatedNodes {
 			for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
 				if n, ok := h.held[id]; ok {
 					ev.Nodes = append(ev.Nodes, n)
@@ -101,11 +101,11 @@
 		}
 		h.step(ev)
 	})
-	each(50, func(h *worldHost) { // it stalls: its timers come late
+	each(50, func(h *simulatedScheduler) { // it stalls: its timers come late
 		h.lag = 150 + 200*w.rng.Float64()
 		w.after(200, func() { h.lag = 0 })
 	})
-	each(150, func(h *worldHost) {
+	each(150, func(h *simulatedScheduler) {
 		set := w.set
 		set.Classes = append([]Class(nil), set.Classes...)
 		set.Classes[2].LatencyObjective = []float64{300, 350}[w.rng.Intn(2)]
@@ -113,7 +113,7 @@
 			w.t.Fatal(err)
 		}
 	})
-	each(300, func(h *worldHost) {
+	each(300, func(h *simulatedScheduler) {
 		learned := h.s.Learned()
 		for i := range learned.Nodes {
 			if w.rng.Intn(4) == 0 {
@@ -129,19 +129,19 @@
 
 // The decisions of a small fleet are those of the recording.
 func TestRecordedDecisionsOfAFleet(t *testing.T) {
-	for day, trouble := range worldDays {
+	for day, trouble := range simulationDays {
 		t.Run(day, func(t *testing.T) {
 			var script recorded.Script
 			steps := 0
-			w := newWorldOf(t, recordedSettings(), 11, nil)
-			w.onStep = func(h *worldHost, actions []Action) {
+			w := newSimulationOf(t, recordedSettings(), 11, nil)
+			w.onStep = func(h *simulatedScheduler, actions []Action) {
 				recordStep(&script, h.no, w.now, actions)
 				if steps++; steps%1000 == 0 {
 					recordState(&script, h.s)
 				}
 			}
 			trouble(w)
-			disturb(w)
+			addFaults(w)
 			w.run()
 			script.Check(t, "fleet-"+day)
 		})
--- a/policy/world_test.go
+++ b/policy/simulation_test.go
@@ -12,35 +12,35 @@
 // of what the rules forbid over all hosts together.
 
 const (
-	worldHosts = 80
-	worldNodes = 60
-	worldUnits = 60.0 // units a second that a warm node serves
-	worldQueue = 40   // requests a node holds
-	worldSpan  = 20e3
-	worldRate  = 1400.0 // requests a second: more than a cold node bears
+	simulatedSchedulers = 80
+	simulatedNodes      = 60
+	warmUnitsPerSecond  = 60.0 // units a second that a warm node serves
+	maxNodeQueue        = 40   // requests a node holds
+	simulationMs        = 20e3
+	requestsPerSecond   = 1400.0 // requests a second: more than a cold node bears
 )
 
-type world struct {
+type simulation struct {
 	t     *testing.T
 	set   Settings
 	rng   *rand.Rand
 	now   float64
-	due   worldDues
+	due   eventQueue
 	seq   int
-	hosts []*worldHost
-	nodes map[string]*worldNode
-	shard []*worldNode // who holds it now; nil: nobody
-	vols  []worldVolume
-	reqs  map[string]*worldReq
+	hosts []*simulatedScheduler
+	nodes map[string]*simulatedNode
+	shard []*simulatedNode // who holds it now; nil: nobody
+	vols  []simulatedVolume
+	reqs  map[string]*simulatedRequest
 	sent  map[string][]timedUnits // by cold node: units within the last OverloadWindow
-	store map[string]*worldStore
+	store map[string]*simulatedBucket
 	ends  map[string]int // by what ended requests
 
-	onStep func(h *worldHost, actions []Action) // nil: nothing looks on
+	onStep func(h *simulatedScheduler, actions []Action) // nil: nothing looks on
 }
 
-type worldHost struct {
-	w    *world
+type simulatedScheduler struct {
+	w    *simulation
 	no   int
 	life int
 	down bool
@@ -50,94 +50,96 @@
 	lag  float64 // its timers come later by this
 }
 
-type worldNode struct {
+type simulatedNode struct {
 	Node
 	alive bool
 	life  int
 	held  int
-	out   []*worldTry // since its start
-	free  float64     // when its line is through
+	out   []*simulatedAttempt // since its start
+	free  float64             // when its line is through
 }
 
-type worldVolume struct {
+type simulatedVolume struct {
 	id    string
 	plan  string
 	hosts []int
 	shard []int
 }
 
-type worldReq struct {
-	host     *worldHost
+type simulatedRequest struct {
+	host     *simulatedScheduler
 	life     int
 	req      Request
-	tries    []*worldTry
+	tries    []*simulatedAttempt
 	answered bool
 }
 
-type worldTry struct {
+type simulatedAttempt struct {
 	over bool // its outcome was told
 	end  func(Status)
 }
 
-type worldStore struct{ units, at float64 }
+type simulatedBucket struct{ units, at float64 }
 
-type worldDue struct {
+type simulatedEvent struct {
 	at  float64
 	seq int
 	do  func()
 }
 
-type worldDues []worldDue
+type eventQueue []simulatedEvent
 
-func (d worldDues) Len() int { return len(d) }
-func (d worldDues) Less(i, j int) bool {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
 }
-func (d worldDues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *worldDues) Push(x any)   { *d = append(*d, x.(worldDue)) }
-func (d *worldDues) Pop() any {
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(simulatedEvent)) }
+func (d *eventQueue) Pop() any {
 	old := *d
 	x := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return x
 }
 
-func (w *world) after(wait float64, do func()) {
+func (w *simulation) after(wait float64, do func()) {
 	w.seq++
-	heap.Push(&w.due, worldDue{w.now + wait, w.seq, do})
+	heap.Push(&w.due, simulatedEvent{w.now + wait, w.seq, do})
 }
 
-func worldSettings() Settings {
-	return Settings{Schedulers: worldHosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
+func simulationSettings() Settings {
+	return Settings{Schedulers: simulatedSchedulers, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
 		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
-		OverloadMultiple: 3, OverloadWindow: 3000, Shards: worldNodes,
+		OverloadMultiple: 3, OverloadWindow: 3000, Shards: simulatedNodes,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 500, Deadline: 2000, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
 		Plans: []Plan{{Name: "open", Rate: 6, ReservedRate: 6, Weight: 1, Price: 1},
 			{Name: "capped", Rate: 2, ReservedRate: 1, Weight: 1, Price: 1, RateLimit: 6, LimitBurst: 36}}}
 }
 
-func newWorld(t *testing.T, seed int64) *world { return newWorldOf(t, worldSettings(), seed, nil) }
+func newSimulation(t *testing.T, seed int64) *simulation {
+	return newSimulationOf(t, simulationSettings(), seed, nil)
+}
 
-func newWorldOf(t *testing.T, set Settings, seed int64, onStep func(*worldHost, []Action)) *world {
-	w := &world{onStep: onStep, t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*worldNode{},
-		reqs: map[string]*worldReq{}, sent: map[string][]timedUnits{}, store: map[string]*worldStore{}, ends: map[string]int{}}
-	for i := range worldNodes {
-		n := &worldNode{Node: Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
+func newSimulationOf(t *testing.T, set Settings, seed int64, onStep func(*simulatedScheduler, []Action)) *simulation {
+	w := &simulation{onStep: onStep, t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*simulatedNode{},
+		reqs: map[string]*simulatedRequest{}, sent: map[string][]timedUnits{}, store: map[string]*simulatedBucket{}, ends: map[string]int{}}
+	for i := range simulatedNodes {
+		n := &simulatedNode{Node: Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
 		w.nodes[n.ID] = n
 		w.shard = append(w.shard, n)
 	}
-	for i := range 6 * worldNodes {
-		v := worldVolume{id: fmt.Sprint("v", i), plan: []string{"open", "open", "capped"}[i%3]}
+	for i := range 6 * simulatedNodes {
+		v := simulatedVolume{id: fmt.Sprint("v", i), plan: []string{"open", "open", "capped"}[i%3]}
 		for range 1 + w.rng.Intn(3) {
-			v.hosts = append(v.hosts, w.rng.Intn(worldHosts))
-			v.shard = append(v.shard, w.rng.Intn(worldNodes))
+			v.hosts = append(v.hosts, w.rng.Intn(simulatedSchedulers))
+			v.shard = append(v.shard, w.rng.Intn(simulatedNodes))
 		}
 		w.vols = append(w.vols, v)
-		w.store[v.id] = &worldStore{units: set.Plans[1].LimitBurst, at: w.now}
+		w.store[v.id] = &simulatedBucket{units: set.Plans[1].LimitBurst, at: w.now}
 	}
-	for i := range worldHosts {
-		h := &worldHost{w: w, no: i, held: map[string]Node{}, told: map[string]float64{}}
+	for i := range simulatedSchedulers {
+		h := &simulatedScheduler{w: w, no: i, held: map[string]Node{}, told: map[string]float64{}}
 		for id, n := range w.nodes {
 			h.held[id] = n.Node
 		}
@@ -149,7 +151,7 @@
 }
 
 // start begins a life of the host, with nothing but its last list.
-func (h *worldHost) start() {
+func (h *simulatedScheduler) start() {
 	set := h.w.set
 	set.Instance = h.no
 	s, err := New(set, int64(1000*h.life+h.no))
@@ -159,7 +161,7 @@
 	h.s, h.down = s, false
 	h.life++
 	ev := Event{Kind: CachedListLoaded}
-	for i := range worldNodes { // in a fixed order
+	for i := range simulatedNodes { // in a fixed order
 		for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
 			if n, ok := h.held[id]; ok {
 				ev.Nodes = append(ev.Nodes, n)
@@ -169,7 +171,7 @@
 	h.step(ev)
 }
 
-func (h *worldHost) step(evs ...Event) {
+func (h *simulatedScheduler) step(evs ...Event) {
 	actions := h.s.Step(h.w.now, evs, nil)
 	if h.w.onStep != nil {
 		h.w.onStep(h, actions)
@@ -180,7 +182,7 @@
 }
 
 // later gives the host an event of its present life.
-func (h *worldHost) later(wait float64, ev func() (Event, bool)) {
+func (h *simulatedScheduler) later(wait float64, ev func() (Event, bool)) {
 	life := h.life
 	h.w.after(wait, func() {
 		if h.life != life {
@@ -192,7 +194,7 @@
 	})
 }
 
-func (h *worldHost) do(a Action) {
+func (h *simulatedScheduler) do(a Action) {
 	w := h.w
 	switch a.Kind {
 	case SetTimer:
@@ -208,8 +210,8 @@
 	}
 }
 
-// final takes a request's end; each has one.
-func (w *world) final(id, how string) {
+// answered takes a request's end; each has one.
+func (w *simulation) final(id, how string) {
 	r := w.reqs[id]
 	if r == nil || r.answered {
 		w.t.Fatalf("at %.0f: a second end for %s: %s", w.now, id, how)
@@ -222,7 +224,7 @@
 }
 
 // power is the share of its full speed that a node has.
-func (w *world) power(n *worldNode) float64 {
+func (w *simulation) power(n *simulatedNode) float64 {
 	if n.StartTime == 0 {
 		return 1
 	}
@@ -230,7 +232,7 @@
 }
 
 // send takes an attempt: the rules are looked at, and the node serves it in turn or does not.
-func (w *world) send(h *worldHost, a Action) {
+func (w *simulation) send(h *simulatedScheduler, a Action) {
 	r, n := w.reqs[a.ID], w.nodes[a.Node]
 	if r == nil || r.answered || r.host != h || n == nil || n.Shard != r.req.Shard {
 		w.t.Fatalf("at %.0f: sent %s to %s", w.now, a.ID, a.Node)
@@ -239,7 +241,7 @@
 		w.t.Errorf("at %.0f: sent to %s, told %.0f ms ago that it drains", w.now, n.ID, w.now-at)
 	}
 	no, sent, life := len(r.tries), w.now, n.life
-	t := &worldTry{}
+	t := &simulatedAttempt{}
 	t.end = func(status Status) {
 		if t.over || h.life != r.life {
 			return
@@ -251,18 +253,18 @@
 		h.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - sent, Finished: r.answered})
 	}
 	if r.tries = append(r.tries, t); no == 0 {
-		w.take(r)
+		w.checkRateLimit(r)
 	}
 	w.after(math.Min(a.Deadline, r.req.Deadline)-w.now, func() { t.end(TimedOut) })
 	switch {
 	case !n.alive:
 		w.after(1, func() { t.end(ConnectFailed) })
 		return
-	case n.State == NodeDraining || n.held >= worldQueue:
+	case n.State == NodeDraining || n.held >= maxNodeQueue:
 		w.after(1, func() { t.end(NodeFull) })
 	default:
 		n.held++
-		n.free = math.Max(w.now, n.free) + r.req.Units*1000/worldUnits/w.power(n)
+		n.free = math.Max(w.now, n.free) + r.req.Units*1000/warmUnitsPerSecond/w.power(n)
 		w.after(n.free-w.now+1, func() {
 			if n.life != life {
 				return
@@ -272,24 +274,25 @@
 		})
 		n.out = append(n.out, t)
 	}
-	w.tip(n, r.req.Units)
+	w.checkOverload(n, r.req.Units)
 }
 
-// tip counts what a cold node got from all hosts within the span, also what it turned away.
-func (w *world) tip(n *worldNode, units float64) {
+// checkOverload counts what a cold node got from all hosts within the span, also what it turned away.
+func (w *simulation) checkOverload(n *simulatedNode, units float64) {
 	if n.StartTime == 0 || w.now-n.StartTime > w.set.SlowStartDuration {
 		return
 	}
-	fs := append(w.sent[n.ID], timedUnits{w.now, units})
-	sum := sumUnitsSince(&fs, w.now-w.set.OverloadWindow)
-	w.sent[n.ID] = fs
-	if bears := w.set.OverloadMultiple * w.power(n) * worldUnits * w.set.OverloadWindow / 1000; sum > bears {
+	w.sent[n.ID] = append(w.sent[n.ID], timedUnits{w.now, units})
+	recent := w.sent[n.ID]
+	sum := sumUnitsSince(&recent, w.now-w.set.OverloadWindow)
+	w.sent[n.ID] = recent
+	if bears := w.set.OverloadMultiple * w.power(n) * warmUnitsPerSecond * w.set.OverloadWindow / 1000; sum > bears {
 		w.t.Errorf("at %.0f: %s, up for %.0f ms, got %.0f units within %.0f ms; it bears %.0f", w.now, n.ID, w.now-n.StartTime, sum, w.set.OverloadWindow, bears)
 	}
 }
 
-// take counts a limited volume's first sends over all hosts.
-func (w *world) take(r *worldReq) {
+// checkRateLimit counts a limited volume's first sends over all hosts.
+func (w *simulation) checkRateLimit(r *simulatedRequest) {
 	p := w.set.Plans[1]
 	if r.req.Plan != p.Name {
 		return
@@ -302,8 +305,8 @@
 	}
 }
 
-func (w *world) arrive() {
-	w.after(w.rng.ExpFloat64()*1000/worldRate, w.arrive)
+func (w *simulation) arrive() {
+	w.after(w.rng.ExpFloat64()*1000/requestsPerSecond, w.arrive)
 	v := w.vols[int(float64(len(w.vols))*w.rng.Float64()*w.rng.Float64())] // some ask for much more
 	h := w.hosts[v.hosts[w.rng.Intn(len(v.hosts))]]
 	if h.down {
@@ -317,7 +320,7 @@
 	}
 	q := Request{ID: fmt.Sprint("q", w.seq), Class: class.Name, Plan: v.plan, Key: fmt.Sprint("k", w.seq), Volume: v.id,
 		Deadline: w.now + class.Deadline, Units: float64(1 + w.rng.Intn(3)), Shard: v.shard[w.rng.Intn(len(v.shard))], Schedulers: len(hosts)}
-	r := &worldReq{host: h, life: h.life, req: q}
+	r := &simulatedRequest{host: h, life: h.life, req: q}
 	w.reqs[q.ID] = r
 	h.step(Event{Kind: RequestArrived, Request: q})
 	w.after(class.Deadline+9, func() {
@@ -328,8 +331,8 @@
 	})
 }
 
-// change makes the list say something new of a node; each host hears of it in its own time.
-func (w *world) change(n Node) {
+// announce makes the list say something new of a node; each host hears of it in its own time.
+func (w *simulation) announce(n Node) {
 	for _, h := range w.hosts {
 		w.after(300+w.rng.Float64()*2000, func() {
 			if old, ok := h.held[n.ID]; ok && (old.State > n.State && n.StartTime == old.StartTime || old.StartTime > n.StartTime) {
@@ -348,8 +351,8 @@
 	}
 }
 
-// die ends a node's process; back starts it again, cold.
-func (w *world) die(n *worldNode) {
+// stopNode ends a node's process; back starts it again, cold.
+func (w *simulation) stopNode(n *simulatedNode) {
 	n.alive, n.held, n.free = false, 0, 0
 	n.life++
 	out := n.out
@@ -361,69 +364,16 @@
 	})
 }
 
-func (w *world) back(n *worldNode) {
+func (w *simulation) startNode(n *simulatedNode) {
 	n.alive, n.StartTime = true, w.now
 	w.sent[n.ID] = nil
-	w.change(n.Node)
+	w.announce(n.Node)
 }
 
-func (w *world) run() {
-	for end := w.now + worldSpan; w.due[0].at < end; {
-		d := heap.Pop(&w.due).(worldDue)
+func (w *simulation) run() {
+	for end := w.now + simulationMs; w.due[0].at < end; {
+		d := heap.Pop(&w.due).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
 }
-
-// The fleet's three days in small: seven in ten hosts are killed at once and come back, a third of
-// the nodes is lost and returns cold, and six in ten nodes are replaced within 7 s. Over all hosts
-// together no cold node gets more than it bears, no drained one new work after the grace, no
-// limited volume more than its limit, and each request one final answer. Most is served.
-func TestFleetDaysInSmall(t *testing.T) {
-	for name, trouble := range worldDays {
-		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 7)
-			trouble(w)
-			w.run()
-			all := w.ends["served"] + w.ends["refused"] + w.ends["failed"]
-			t.Logf("%d requests: %v", all, w.ends)
-			if w.ends["served"] < all/2 {
-				t.Errorf("of %d requests %d were served", all, w.ends["served"])
-			}
-		})
-	}
-}
-
-var worldDays = map[string]func(*world){
-	"herd": func(w *world) {
-		w.after(6000, func() {
-			for _, i := range w.rng.Perm(worldHosts)[:worldHosts*7/10] {
-				h := w.hosts[i]
-				h.life, h.down = h.life+1, true // what it held is its clients' to ask for again
-				w.after(500+1000*w.rng.Float64(), h.start)
-			}
-		})
-	},
-	"zone": func(w *world) {
-		w.after(5000, func() {
-			for i := 0; i < worldNodes; i += 3 {
-				n := w.shard[i]
-				w.die(n)
-				w.after(5000, func() { w.back(n) })
-			}
-		})
-	},
-	"join": func(w *world) {
-		for i := range worldNodes * 6 / 10 {
-			old := w.shard[i]
-			w.after(4000+7000*float64(i)/worldNodes/0.6, func() {
-				next := &worldNode{Node: Node{ID: fmt.Sprint("m", i), Shard: i, Weight: 1}, alive: true}
-				w.nodes[next.ID] = next
-				w.back(next)
-				old.State = NodeDraining
-				w.change(old.Node)
-				w.after(1500, func() { old.State = NodeRemoved; w.die(old); w.change(old.Node) })
-			})
-		}
-	},
-}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -136,7 +136,7 @@
 
 // beginSlowStart marks a node as warming up from a time.
 func (s *Scheduler) beginSlowStart(n *node, startedAt float64) {
-	n.window.limitTo(minWindow)
+	n.window.lowerToMin()
 	n.window.epoch = windowEpoch{startAt: n.window.epoch.startAt}
 	n.slowStart.startedAt, n.slowStart.answeredInTime = startedAt, false
 	n.slowStart.slotStartAt, n.slowStart.slotFactor = math.Max(startedAt, s.now), s.rng.Float64()
--- a/policy/coldsum_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -6,18 +6,15 @@
 	"fmt"
 	"math"
 	"math/rand"
-	"runtime"
-	"sync"
-	"sync/atomic"
 	"testing"
 )
 
 // Tests of a cold node's budget over all hosts together, none of which knows what another sends.
 
-var coldSeeds = flag.Int("coldseeds", 1, "seeds of each fleet in TestColdNodeSumOverTheFleet")
+var slowStartSeeds = flag.Int("coldseeds", 1, "seeds of each fleet in TestColdNodeSumOverTheFleet")
 
-// coldCase is one fleet whose shard 0 loses its node and gets a cold one in its place.
-type coldCase struct {
+// slowStartCase is one fleet whose shard 0 loses its node and gets a cold one in its place.
+type slowStartCase struct {
 	name      string
 	hosts     int
 	coldUnits float64
@@ -38,22 +35,22 @@
 	silent    bool    // the node falls silent and returns under its id, the list says so late
 }
 
-// coldResult is what came to the cold node, and what it carried.
-type coldResult struct {
+// slowStartResult is what came to the cold node, and what it carried.
+type slowStartResult struct {
 	load    float64 // most within a window, as a part of the bound
 	sent    int     // requests that came to it
 	carried float64 // units served in time, as a part of what was asked and it could do
 	until   float64 // seconds until it first carried six tenths of that for a second
 }
 
-type coldWorld struct {
-	coldCase
+type slowStartSimulation struct {
+	slowStartCase
 	t      *testing.T
 	set    Settings
 	rng    *rand.Rand
 	now    float64
 	seq    int
-	due    worldDues
+	due    eventQueue
 	hosts  []*Scheduler
 	told   []bool
 	life   []int
@@ -61,14 +58,14 @@
 	gone   bool
 	list   []Node
 	free   [2]float64
-	reqs   map[string]*coldReq
+	reqs   map[string]*slowStartRequest
 	sent   []timedUnits // at the cold node
 	served map[int]float64
 	asked  map[int]float64
-	result coldResult
+	result slowStartResult
 }
 
-type coldReq struct {
+type slowStartRequest struct {
 	host, life, tries int
 	aimAt, units      float64
 	cold              bool // asks for the cold node's shard
@@ -77,34 +74,34 @@
 }
 
 const (
-	coldWarmSpan = 10e3   // the warm node serves
-	coldGap      = 2000.0 // nobody serves
-	coldShards   = 40
+	warmPhaseMs     = 10e3   // the warm node serves
+	outageMs        = 2000.0 // nobody serves
+	slowStartShards = 40
 )
 
-func newColdWorld(t *testing.T, c coldCase, seed int64) *coldWorld {
+func newSlowStartSimulation(t *testing.T, c slowStartCase, seed int64) *slowStartSimulation {
 	set := Settings{Schedulers: c.hosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: c.coldUnits, MaxAttempts: 4, MaxRetryAfter: 1000,
 		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 12000,
-		OverloadMultiple: c.multiple, OverloadWindow: 3000, Shards: coldShards,
+		OverloadMultiple: c.multiple, OverloadWindow: 3000, Shards: slowStartShards,
 		Classes: []Class{{Name: "safe", LatencyObjective: 250, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
 		Plans: []Plan{{Name: "p", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1}}}
-	w := &coldWorld{coldCase: c, t: t, set: set, rng: rand.New(rand.NewSource(seed)), reqs: map[string]*coldReq{},
+	w := &slowStartSimulation{slowStartCase: c, t: t, set: set, rng: rand.New(rand.NewSource(seed)), reqs: map[string]*slowStartRequest{},
 		served: map[int]float64{}, asked: map[int]float64{}, now: 1e6,
 		told: make([]bool, c.hosts), life: make([]int, c.hosts), hosts: make([]*Scheduler, c.hosts)}
-	for i := range coldShards {
+	for i := range slowStartShards {
 		w.list = append(w.list, Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1})
 	}
 	return w
 }
 
-func (w *coldWorld) after(wait float64, do func()) {
+func (w *slowStartSimulation) after(wait float64, do func()) {
 	w.seq++
-	heap.Push(&w.due, worldDue{w.now + wait, w.seq, do})
+	heap.Push(&w.due, simulatedEvent{w.now + wait, w.seq, do})
 }
 
 // start begins a life of a host, which knows the list alone.
-func (w *coldWorld) start(h int) {
+func (w *slowStartSimulation) start(h int) {
 	set := w.set
 	set.Instance = h
 	w.life[h]++
@@ -116,12 +113,12 @@
 	w.step(h, Event{Kind: CachedListLoaded, Nodes: w.list})
 }
 
-func (w *coldWorld) step(h int, evs ...Event) {
+func (w *slowStartSimulation) step(h int, evs ...Event) {
 	life := w.life[h]
 	for _, a := range w.hosts[h].Step(w.now, evs, nil) {
 		switch a.Kind {
 		case SetTimer:
-			if a.Tag != "beat" {
+			if a.Tag != heartbeatTimer {
 				w.after(math.Max(a.Wait, 1), func() {
 					if w.life[h] == life {
 						w.step(h, Event{Kind: TimerFired, Tag: a.Tag})
@@ -144,7 +141,7 @@
 	}
 }
 
-func (w *coldWorld) outcome(h, life int, id string, attempt int, status Status, wait float64) {
+func (w *slowStartSimulation) outcome(h, life int, id string, attempt int, status Status, wait float64) {
 	sent := w.now
 	w.after(wait, func() {
 		r := w.reqs[id]
@@ -162,19 +159,19 @@
 }
 
 // speed is what the node of shard 0 does, units a millisecond.
-func (w *coldWorld) speed() float64 {
+func (w *slowStartSimulation) speed() float64 {
 	weakest := w.coldUnits / (w.multiple * w.set.OverloadWindow * w.set.SlowStartShare)
 	return w.strength * weakest * w.power()
 }
 
-func (w *coldWorld) power() float64 {
+func (w *slowStartSimulation) power() float64 {
 	if w.since == 0 {
 		return 1
 	}
 	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-w.since)/w.set.SlowStartDuration)
 }
 
-func (w *coldWorld) send(h int, a Action) {
+func (w *slowStartSimulation) send(h int, a Action) {
 	r, life := w.reqs[a.ID], w.life[h]
 	no := r.tries
 	r.tries++
@@ -214,7 +211,7 @@
 
 // count takes a request of a host that was told of the start into the window, also one that does
 // not run in the end.
-func (w *coldWorld) count(units float64, told bool) {
+func (w *slowStartSimulation) count(units float64, told bool) {
 	if !told || w.now-w.since > w.set.SlowStartDuration {
 		return
 	}
@@ -223,17 +220,17 @@
 	sum := sumUnitsSince(&w.sent, w.now-w.set.OverloadWindow) / w.set.MeanUnits
 	n := w.multiple * w.speed() * w.set.OverloadWindow / w.set.MeanUnits
 	bound := n + 2*math.Sqrt(n) + 2
-	if w.coldCase.hosts < 30 {
+	if w.slowStartCase.hosts < 30 {
 		bound = n + 3*math.Sqrt(n) + 3
 	}
 	w.result.load = math.Max(w.result.load, sum/bound)
 }
 
-func (w *coldWorld) arrive(h, shard int, units float64, again bool) {
+func (w *slowStartSimulation) arrive(h, shard int, units float64, again bool) {
 	w.seq++
 	k := w.set.Classes[w.seq%2]
 	id := fmt.Sprint("q", w.seq)
-	w.reqs[id] = &coldReq{host: h, life: w.life[h], aimAt: w.now + k.LatencyObjective, units: units, again: again, cold: shard == 0}
+	w.reqs[id] = &slowStartRequest{host: h, life: w.life[h], aimAt: w.now + k.LatencyObjective, units: units, again: again, cold: shard == 0}
 	if shard == 0 && !again {
 		w.asked[int(w.now/1000)] += units
 	}
@@ -242,8 +239,8 @@
 }
 
 // sharer draws a host that works with the cold node.
-func (w *coldWorld) sharer() int {
-	n := w.coldCase.hosts
+func (w *slowStartSimulation) sharer() int {
+	n := w.slowStartCase.hosts
 	switch {
 	case w.uneven && w.rng.Float64() < 0.8:
 		return 0
@@ -253,16 +250,16 @@
 	return w.rng.Intn(max(1, min(n, n/6+2))) // a part of a large fleet
 }
 
-func (w *coldWorld) traffic(start float64) {
+func (w *slowStartSimulation) traffic(start float64) {
 	usual := 0.8 * w.strength * w.coldUnits / (w.multiple * w.set.OverloadWindow * w.set.SlowStartShare) / w.set.MeanUnits
 	rate := usual
 	begun := start + w.set.SlowStartDuration*0.3
 	switch age := w.now - start; {
 	case w.now > begun && w.now < begun+3000 && w.burst > 0:
 		rate *= w.burst
-	case w.overload > 0 && age > -coldGap:
+	case w.overload > 0 && age > -outageMs:
 		rate *= w.overload
-	case w.idle && age > -coldGap:
+	case w.idle && age > -outageMs:
 		rate /= 100
 	}
 	w.arrive(w.sharer(), 0, w.units(), false)
@@ -270,7 +267,7 @@
 }
 
 // units draws the size of a request; the mean is the settings' own.
-func (w *coldWorld) units() float64 {
+func (w *slowStartSimulation) units() float64 {
 	switch {
 	case !w.large:
 		return float64(1 + w.rng.Intn(3))
@@ -281,20 +278,20 @@
 }
 
 // others names other shards, so that the hosts learn how many they work with.
-func (w *coldWorld) others(h int) {
-	few := coldShards / 6
+func (w *slowStartSimulation) others(h int) {
+	few := slowStartShards / 6
 	if w.popular {
 		few = 1
 	}
 	if w.many {
-		few = coldShards - 1
+		few = slowStartShards - 1
 	}
-	w.arrive(h, 1+(h+w.rng.Intn(few))%(coldShards-1), 1, false)
+	w.arrive(h, 1+(h+w.rng.Intn(few))%(slowStartShards-1), 1, false)
 	w.after(w.rng.ExpFloat64()*8000/float64(few), func() { w.others(h) })
 }
 
 // swap puts the cold node into the place of the warm one.
-func (w *coldWorld) swap() {
+func (w *slowStartSimulation) swap() {
 	w.gone, w.since, w.free = false, w.now, [2]float64{}
 	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: w.now}
 	old := Node{ID: "n0", Shard: 0, Weight: 1, State: NodeRemoved}
@@ -332,16 +329,16 @@
 	}
 }
 
-func (w *coldWorld) run() coldResult {
+func (w *slowStartSimulation) run() slowStartResult {
 	begin := w.now
-	start := begin + coldWarmSpan + coldGap
+	start := begin + warmPhaseMs + outageMs
 	for h := range w.hosts {
 		w.start(h)
 		w.after(w.rng.Float64()*8000, func() { w.others(h) })
 	}
 	w.after(0, func() { w.traffic(start) })
-	w.after(coldWarmSpan, func() { w.gone = true })
-	w.after(coldWarmSpan+coldGap, func() {
+	w.after(warmPhaseMs, func() { w.gone = true })
+	w.after(warmPhaseMs+outageMs, func() {
 		if w.forget {
 			for h := range w.hosts {
 				w.start(h)
@@ -359,7 +356,7 @@
 		})
 	}
 	for end := start + w.set.SlowStartDuration + 4000; w.due[0].at < end; {
-		d := heap.Pop(&w.due).(worldDue)
+		d := heap.Pop(&w.due).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
@@ -368,7 +365,7 @@
 }
 
 // carry sums what the node carried of what was asked and it could do, and when it first did.
-func (w *coldWorld) carry(start float64) {
+func (w *slowStartSimulation) carry(start float64) {
 	served, could := 0.0, 0.0
 	w.result.until = (w.set.SlowStartDuration + 4000) / 1000
 	for sec := int(start / 1000); sec < int((start+w.set.SlowStartDuration)/1000); sec++ {
@@ -390,7 +387,7 @@
 // they are, and how strong the node is: as weak as the settings allow, or as common ones are.
 var coldSettings = []struct{ units, multiple, strength float64 }{{7, 3, 2}, {27, 2, 1}, {39, 3, 3}, {200, 2, 1}, {300, 2.5, 1}, {400, 3, 2}}
 
-var coldCases = []coldCase{
+var coldCases = []slowStartCase{
 	{name: "even"},
 	{name: "uneven", uneven: true},
 	{name: "popular", popular: true},
@@ -415,77 +412,3 @@
 	{name: "many, all start", many: true, popular: true, forget: true, overload: 3},
 	{name: "many, restarts", many: true, popular: true, restarts: true, faults: true, overload: 3},
 }
-
-// coldRuns plays cases side by side, a seed each, and gives the results in the same order.
-func coldRuns(t *testing.T, cases []coldCase, seed func(i int) int64) []coldResult {
-	results := make([]coldResult, len(cases))
-	var next atomic.Int64
-	var all sync.WaitGroup
-	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
-			for i := int(next.Add(1)) - 1; i < len(cases); i = int(next.Add(1)) - 1 {
-				results[i] = newColdWorld(t, cases[i], seed(i)).run()
-			}
-		})
-	}
-	all.Wait()
-	return results
-}
-
-// Over all hosts together a cold node gets at most N + 2 sqrt(N) + 2 requests of mean work (of fewer
-// than 30 hosts: N + 3 sqrt(N) + 3) within OverloadWindow, N being OverloadMultiple times what it can do in that
-// time at its age. Every attempt counts, also a second one, a copy, and one that never ran.
-func TestColdNodeSumOverTheFleet(t *testing.T) {
-	var cases []coldCase
-	for _, hosts := range []int{1, 4, 20, 30, 300} {
-		for i, c := range coldCases {
-			for k, set := range coldSettings {
-				c.hosts, c.coldUnits, c.multiple, c.strength = hosts, set.units, set.multiple, set.strength
-				if *coldSeeds == 1 && (i+hosts+k)%len(coldSettings) != 0 {
-					continue // each case with one of the settings
-				}
-				for range *coldSeeds {
-					cases = append(cases, c)
-				}
-			}
-		}
-	}
-	worst, sent := 0.0, 0
-	for i, r := range coldRuns(t, cases, func(i int) int64 { return int64(i%*coldSeeds) + 1 }) {
-		sent += r.sent
-		worst = math.Max(worst, r.load)
-		if r.load > 1 {
-			t.Errorf("seed %d of %+v: %.2f of what the node bears", i%*coldSeeds+1, cases[i], r.load)
-		}
-	}
-	if sent == 0 {
-		t.Error("nothing came to a cold node")
-	}
-	t.Logf("%d cold nodes, %d requests; the most was %.2f of what a node bears", len(cases), sent, worst)
-}
-
-// A cold node soon carries its share of what is asked, however many hosts ask.
-func TestColdNodeCarriesItsShare(t *testing.T) {
-	const seeds = 4
-	var cases []coldCase
-	for _, hosts := range []int{1, 4, 20, 30, 300} {
-		for _, set := range coldSettings[2:] {
-			for _, c := range coldCases[:2] {
-				c.hosts, c.coldUnits, c.multiple, c.strength = hosts, set.units, set.multiple, set.strength
-				cases = append(cases, c, c, c, c)
-			}
-		}
-	}
-	results := coldRuns(t, cases, func(i int) int64 { return int64(i%seeds) + 1 })
-	for i := 0; i < len(cases); i += seeds {
-		carried, until := 0.0, 0.0
-		for _, r := range results[i : i+seeds] {
-			carried, until = carried+r.carried/seeds, until+r.until/seeds
-		}
-		c := cases[i]
-		t.Logf("| %d | %.0f units, x%.1f, %.0f | %s | %.2f | %.1f s |", c.hosts, c.coldUnits, c.multiple, c.strength, c.name, carried, until)
-		if carried < 0.4 || until > 10 {
-			t.Errorf("%+v: carried %.2f, its share first after %.1f s", c, carried, until)
-		}
-	}
-}
--- a/policy/stall.go
+++ b/policy/stall.go
@@ -91,7 +91,7 @@
 		n.silentSince = s.now - quiet
 	}
 	n.silent = true
-	n.window.limitTo(minWindow)
+	n.window.lowerToMin()
 	for len(n.inFlight) > 0 {
 		s.writeOffOldest(n)
 	}
--- a/policy/standing_test.go
+++ b/policy/status_test.go
@@ -8,12 +8,12 @@
 
 // A node's window and its part of its shard's line, by windows; nothing of one that drains or has gone; no more
 // than asked for. The parts of a line add up to it.
-func TestStanding(t *testing.T) {
+func TestNodeStatuses(t *testing.T) {
 	s, err := New(testSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, s: s, now: 1000}
+	r := &harness{t: t, s: s, now: 1000}
 	r.step(Event{Kind: CachedListLoaded, Nodes: []Node{{ID: "a", StartTime: 7}, {ID: "b"}, {ID: "c", State: NodeDraining}, {ID: "d", Shard: 1}, {ID: "e", Shard: 2}}})
 	for i := range 400 {
 		r.step(Event{Kind: RequestArrived, Request: Request{ID: fmt.Sprint("q", i), Class: testSettings().Classes[0].Name, Plan: testSettings().Plans[0].Name,
@@ -41,7 +41,7 @@
 	}
 }
 
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkNodeStatuses(b *testing.B) {
 	s, err := New(testSettings(), 3)
 	if err != nil {
 		b.Fatal(err)
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// surge plays a fleet of hosts that each hear little of any node: a calm time, then so many times
+// runSurge plays a fleet of hosts that each hear little of any node: a calm time, then so many times
 // as much for a while. The nodes serve two at once, in turn, and work on what was called off. It gives
 // the shares of what the nodes could do in the surge that were answered in time, and late.
-func surge(t *testing.T, seed int64, times float64) (timely, late float64) {
+func runSurge(t *testing.T, seed int64, times float64) (timely, late float64) {
 	const hosts, nodes, servers, meanWork = 150, 75, 2, 120.0
 	const calm, span, end = 5e3, 10e3, 17e3
 	set := testSettings()
@@ -20,11 +20,11 @@
 	full := nodes * servers / meanWork // requests a ms
 	set.Plans = []Plan{{Name: "p", Rate: 1, ReservedRate: 400 * full / (hosts / 3), Weight: 1, Price: 1}}
 	rng := rand.New(rand.NewSource(seed))
-	var due worldDues
+	var due eventQueue
 	now, seq := 0.0, 0
 	after := func(wait float64, do func()) {
 		seq++
-		heap.Push(&due, worldDue{now + wait, seq, do})
+		heap.Push(&due, simulatedEvent{now + wait, seq, do})
 	}
 	free := make([][servers]float64, nodes)
 	type one struct {
@@ -48,7 +48,9 @@
 				r, no := reqs[a.ID], reqs[a.ID].tries
 				r.tries++
 				var at int
-				fmt.Sscanf(a.Node, "n%d", &at)
+				if _, err := fmt.Sscanf(a.Node, "n%d", &at); err != nil {
+					t.Fatal(err)
+				}
 				k := 0
 				if free[at][1] < free[at][0] {
 					k = 1
@@ -105,7 +107,7 @@
 	}
 	after(0, arrive)
 	for len(due) > 0 && due[0].at < end {
-		d := heap.Pop(&due).(worldDue)
+		d := heap.Pop(&due).(simulatedEvent)
 		now = d.at
 		d.do()
 	}
@@ -114,9 +116,9 @@
 
 // Where each host hears of a node less often than its line grows, the line must not become as long as the
 // requests' aims: in a surge the nodes then work for clients that have gone. At their capacity they are still used.
-func TestSurgeOverSparseHosts(t *testing.T) {
+func TestSurgeOverSparseSchedulers(t *testing.T) {
 	for _, c := range []struct{ times, timely, late float64 }{{2, 0.80, 0.01}, {4, 0.70, 0.20}} {
-		if timely, late := surge(t, 1, c.times); timely < c.timely || late > c.late {
+		if timely, late := runSurge(t, 1, c.times); timely < c.timely || late > c.late {
 			t.Errorf("%.0f times the calm load: %.3f in time, %.3f late of what the nodes can do; want %.2f and %.2f", c.times, timely, late, c.timely, c.late)
 		}
 	}
--- a/policy/window.go
+++ b/policy/window.go
@@ -35,8 +35,8 @@
 	answers int
 }
 
-// limitTo lowers the window to a size.
-func (w *concurrencyWindow) limitTo(size float64) { w.size = math.Min(size, w.size) }
+// lowerToMin lowers the window to the minimum; a smaller one stays.
+func (w *concurrencyWindow) lowerToMin() { w.size = math.Min(minWindow, w.size) }
 
 // isFractional reports whether the window stands for a rate.
 func (w *concurrencyWindow) isFractional() bool { return w.size < 1 }
