--- a/policy/standing_test.go
+++ b/policy/status_test.go
@@ -8,20 +8,20 @@
 
 // A node's window and its part of its shard's line, by windows; nothing of one that drains or has gone; no more
 // than asked for. The parts of a line add up to it.
-func TestStanding(t *testing.T) {
+func TestNodeStatuses(t *testing.T) {
 	s, err := New(testSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, s: s, now: 1000}
+	r := &harness{t: t, s: s, now: 1000}
 	r.step(Event{Kind: CachedListLoaded, Nodes: []Node{{ID: "a", StartTime: 7}, {ID: "b"}, {ID: "c", State: NodeDraining}, {ID: "d", Shard: 1}, {ID: "e", Shard: 2}}})
 	for i := range 400 {
 		r.step(Event{Kind: RequestArrived, Request: Request{ID: fmt.Sprint("q", i), Class: testSettings().Classes[0].Name, Plan: testSettings().Plans[0].Name,
 			Volume: "v", Units: 1, Schedulers: 1, Deadline: 1e9}})
 	}
-	s.nodes["a"].window, s.nodes["b"].window, s.nodes["e"].State = 30, 10, NodeRemoved
+	s.nodeByID["a"].window.size, s.nodeByID["b"].window.size, s.nodeByID["e"].State = 30, 10, NodeRemoved
 	waits := 0
-	for _, q := range s.lanes[0].queues {
+	for _, q := range s.queueByShard[0].byClass {
 		waits += len(q)
 	}
 	all := s.NodeStatuses(9)
@@ -35,13 +35,13 @@
 	if c.Window != 0 || c.Queue != 0 || d.Window <= 0 || d.Queue != 0 {
 		t.Errorf("%+v %+v", c, d)
 	}
-	s.nodes["a"].window, s.nodes["b"].window = 0, 0
+	s.nodeByID["a"].window.size, s.nodeByID["b"].window.size = 0, 0
 	if all = s.NodeStatuses(2); len(all) != 2 || all[0].Queue != float64(waits)/2 {
 		t.Errorf("without windows: %+v", all)
 	}
 }
 
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkNodeStatuses(b *testing.B) {
 	s, err := New(testSettings(), 3)
 	if err != nil {
 		b.Fatal(err)
