--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -82,32 +82,32 @@
 type phase uint8
 
 const (
-	fresh phase = iota
-	waiting
+	notStarted phase = iota
+	waitingForLock
 	serving
-	telling
-	shutting
-	emptying
-	gone
+	notifyingModule
+	closingListener
+	draining
+	finished
 )
 
 // Machine is one process's.
 type Machine struct {
-	set     Settings
-	phase   phase
-	next    time.Duration
-	begun   time.Duration
-	by      time.Duration
-	locked  bool // the lock is this process's
-	none    bool // there is no lock
-	accepts bool
-	told    bool // the module has heard
-	warned  bool
-	last    bool // the last sweep
+	settings        Settings
+	phase           phase
+	next            time.Duration
+	startedAt       time.Duration
+	deadline        time.Duration
+	hasLock         bool // the lock is this process's
+	lockUnavailable bool // there is no lock
+	accepting       bool
+	moduleNotified  bool // the module has heard
+	warnedLongWait  bool
+	lastSweep       bool // the last sweep
 }
 
 // New makes the book of a process that has accepted nothing.
-func New(s Settings) *Machine { return &Machine{set: s, next: Never, by: Never} }
+func New(s Settings) *Machine { return &Machine{settings: s, next: Never, deadline: Never} }
 
 // Next is when the book is to have a Tick.
 func (b *Machine) Next() time.Duration { return b.next }
@@ -120,64 +120,64 @@
 		}
 	}
 	sweep := func() {
-		a := Action{Kind: CloseIdle, IdleFor: b.set.IdleTimeout}
-		if b.last = now >= b.by; b.last {
+		a := Action{Kind: CloseIdle, IdleFor: b.settings.IdleTimeout}
+		if b.lastSweep = now >= b.deadline; b.lastSweep {
 			a.IdleFor = 0
 		}
 		acts = append(acts, a)
 	}
 	switch {
-	case e.Kind == Started && b.phase == fresh:
-		b.phase, b.begun = waiting, now
+	case e.Kind == Started && b.phase == notStarted:
+		b.phase, b.startedAt = waitingForLock, now
 		do(TryLock)
 	case e.Kind == LockAcquired:
-		if b.locked = b.phase < emptying; !b.locked { // it came too late: the next one may have it
+		if b.hasLock = b.phase < draining; !b.hasLock { // it came too late: the next one may have it
 			do(ReleaseLock)
 		}
-		if b.phase == waiting {
-			b.phase, b.accepts = serving, true
+		if b.phase == waitingForLock {
+			b.phase, b.accepting = serving, true
 			do(Accept)
 		}
-	case e.Kind == LockUnavailable && b.phase == waiting:
-		b.phase, b.accepts, b.none = serving, true, true
+	case e.Kind == LockUnavailable && b.phase == waitingForLock:
+		b.phase, b.accepting, b.lockUnavailable = serving, true, true
 		do(Accept)
-	case e.Kind == LockBusy && b.phase == waiting:
-		b.next = now + b.set.LockPollInterval
-		if !b.warned && now >= b.begun+b.set.WarnAfter {
-			b.warned = true
+	case e.Kind == LockBusy && b.phase == waitingForLock:
+		b.next = now + b.settings.LockPollInterval
+		if !b.warnedLongWait && now >= b.startedAt+b.settings.WarnAfter {
+			b.warnedLongWait = true
 			do(WarnLongWait)
 		}
-	case e.Kind == TermReceived && b.phase < telling:
-		b.phase, b.by, b.next = telling, e.Deadline, Never
+	case e.Kind == TermReceived && b.phase < notifyingModule:
+		b.phase, b.deadline, b.next = notifyingModule, e.Deadline, Never
 		do(NotifyModule)
-	case e.Kind == ModuleNotified && b.phase == telling:
-		b.told, b.phase = true, shutting
+	case e.Kind == ModuleNotified && b.phase == notifyingModule:
+		b.moduleNotified, b.phase = true, closingListener
 		do(CloseListener)
-	case e.Kind == ModuleBusy && b.phase == telling:
-		if b.next = min(now+b.set.SweepInterval, b.by); now >= b.by { // the lock goes with the process
-			b.phase, b.next = shutting, Never
+	case e.Kind == ModuleBusy && b.phase == notifyingModule:
+		if b.next = min(now+b.settings.SweepInterval, b.deadline); now >= b.deadline { // the lock goes with the process
+			b.phase, b.next = closingListener, Never
 			do(CloseListener)
 		}
-	case e.Kind == ListenerClosed && b.phase == shutting:
-		b.phase, b.accepts = emptying, false
-		if b.locked && b.told {
-			b.locked = false
+	case e.Kind == ListenerClosed && b.phase == closingListener:
+		b.phase, b.accepting = draining, false
+		if b.hasLock && b.moduleNotified {
+			b.hasLock = false
 			do(ReleaseLock)
 		}
 		sweep()
-	case e.Kind == ConnectionsCounted && b.phase == emptying:
-		if b.next = min(now+b.set.SweepInterval, max(b.by, now)); e.OpenConnections == 0 || b.last {
-			b.phase, b.next = gone, Never
+	case e.Kind == ConnectionsCounted && b.phase == draining:
+		if b.next = min(now+b.settings.SweepInterval, max(b.deadline, now)); e.OpenConnections == 0 || b.lastSweep {
+			b.phase, b.next = finished, Never
 			do(Finish)
 		}
 	case e.Kind == TimerFired && now >= b.next:
 		b.next = Never // until the action's event
 		switch b.phase {
-		case waiting:
+		case waitingForLock:
 			do(TryLock)
-		case telling:
+		case notifyingModule:
 			do(NotifyModule)
-		case emptying:
+		case draining:
 			sweep()
 		}
 	}
@@ -185,18 +185,18 @@
 }
 
 // Ended says whether the book has nothing more to do.
-func (b *Machine) Ended() bool { return b.phase == gone }
+func (b *Machine) Ended() bool { return b.phase == finished }
 
 // Check says which invariant does not hold.
 func (b *Machine) Check() error {
 	switch {
-	case b.accepts && !b.locked && !b.none:
+	case b.accepting && !b.hasLock && !b.lockUnavailable:
 		return fmt.Errorf("turn: accepts without the lock in phase %d", b.phase)
-	case b.phase >= emptying && b.locked && b.told:
+	case b.phase >= draining && b.hasLock && b.moduleNotified:
 		return fmt.Errorf("next: the lock is kept in phase %d", b.phase)
-	case b.phase >= emptying && b.accepts:
+	case b.phase >= draining && b.accepting:
 		return fmt.Errorf("once: accepts in phase %d", b.phase)
-	case b.phase == gone && b.next != Never:
+	case b.phase == finished && b.next != Never:
 		return fmt.Errorf("empty: awaits %v and is gone", b.next)
 	}
 	return nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,10 +15,10 @@
 
 const ms = time.Millisecond
 
-var times = Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 500 * ms, WarnAfter: 1000 * ms}
+var testSettings = Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 500 * ms, WarnAfter: 1000 * ms}
 
 // What goes in, and what comes out, in order.
-func TestScripts(t *testing.T) {
+func TestActionsAndTimers(t *testing.T) {
 	type line struct {
 		at   time.Duration
 		in   Event
@@ -31,7 +31,7 @@
 		}
 		return acts
 	}
-	sweep := Action{CloseIdle, times.IdleTimeout}
+	sweep := Action{CloseIdle, testSettings.IdleTimeout}
 	term := Event{Kind: TermReceived, Deadline: 900 * ms}
 	for name, script := range map[string][]line{
 		"alone, then the end": {
@@ -77,84 +77,84 @@
 			{890 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 1}, nil, 900 * ms}, {900 * ms, Event{Kind: TimerFired}, []Action{{Kind: CloseIdle}}, Never}, {900 * ms, Event{Kind: ConnectionsCounted, OpenConnections: 1}, all(Finish), Never},
 		},
 	} {
-		b := New(times)
+		b := New(testSettings)
 		for i, l := range script {
 			got := b.Step(l.at, l.in)
 			if !slices.Equal(got, l.out) || b.Next() != l.next || b.Check() != nil {
 				t.Errorf("%s, line %d: %v, next %v, want %v, %v (%v)", name, i, got, b.Next(), l.out, l.next, b.Check())
 			}
 		}
-		if last := script[len(script)-1].out; b.Ended() != (b.phase == gone) || slices.Equal(last, all(Finish)) && !b.Ended() {
+		if last := script[len(script)-1].out; b.Ended() != (b.phase == finished) || slices.Equal(last, all(Finish)) && !b.Ended() {
 			t.Errorf("%s: ended %v", name, b.Ended())
 		}
 	}
 }
 
 // A world of processes with one lock: what each driver still has to do, in every order.
-const most = 3
+const maxProcesses = 3
 
-type proc struct {
-	book    Machine
-	todo    [3]Action
-	n       int
-	up      bool // started, and neither ended nor killed
-	was     bool // started once
-	fills   bool // its module fills limits, and it has accepted
-	accepts bool
-	open    int // connections
+type process struct {
+	machine      Machine
+	pending      [3]Action
+	pendingCount int
+	running      bool // started, and neither ended nor killed
+	started      bool // started once
+	fillsLimits  bool // its module fills limits, and it has accepted
+	accepting    bool
+	openConns    int // connections
 }
 
-type planet struct {
-	procs [most]proc
-	owner int8 // of the lock; -1: nobody
+type simulation struct {
+	processes [maxProcesses]process
+	lockOwner int8 // of the lock; -1: nobody
 }
 
-// feed gives process i an event.
-func (w *planet) feed(i int, now time.Duration, e Event) {
-	p := &w.procs[i]
-	for _, a := range p.book.Step(now, e) {
-		p.todo[p.n] = a
-		p.n++
+// step gives process i an event.
+func (w *simulation) step(i int, now time.Duration, e Event) {
+	p := &w.processes[i]
+	for _, a := range p.machine.Step(now, e) {
+		p.pending[p.pendingCount] = a
+		p.pendingCount++
 	}
 }
 
-// carry does process i's first action; lucky and open are what the outside decides.
-func (w *planet) carry(i int, now time.Duration, lucky bool, open int) error {
-	p := &w.procs[i]
-	a := p.todo[0]
-	copy(p.todo[:], p.todo[1:])
-	p.n--
-	p.todo[p.n] = Action{}
+// perform does process i's first action; lucky and open are what the outside decides.
+func (w *simulation) perform(i int, now time.Duration, lucky bool, open int) error {
+	p := &w.processes[i]
+	a := p.pending[0]
+	copy(p.pending[:], p.pending[1:])
+	p.pendingCount--
+	p.pending[p.pendingCount] = Action{}
 	switch a.Kind {
 	case TryLock:
 		e := Event{Kind: LockBusy}
-		if w.owner < 0 {
-			w.owner, e.Kind = int8(i), LockAcquired
+		if w.lockOwner < 0 {
+			w.lockOwner, e.Kind = int8(i), LockAcquired
 		}
-		w.feed(i, now, e)
+		w.step(i, now, e)
 	case Accept:
-		p.accepts, p.fills, p.open = true, true, open
+		p.accepting, p.fillsLimits, p.openConns = true, true, open
 	case NotifyModule:
 		if lucky {
-			p.fills = false
-			w.feed(i, now, Event{Kind: ModuleNotified})
+			p.fillsLimits = false
+			w.step(i, now, Event{Kind: ModuleNotified})
 		} else {
-			w.feed(i, now, Event{Kind: ModuleBusy})
+			w.step(i, now, Event{Kind: ModuleBusy})
 		}
 	case CloseListener:
-		p.accepts = false
-		w.feed(i, now, Event{Kind: ListenerClosed})
+		p.accepting = false
+		w.step(i, now, Event{Kind: ListenerClosed})
 	case ReleaseLock:
-		if w.owner != int8(i) {
+		if w.lockOwner != int8(i) {
 			return fmt.Errorf("process %d lets go what it has not", i)
 		}
-		w.owner = -1
+		w.lockOwner = -1
 	case CloseIdle:
-		p.open = min(p.open, open)
-		w.feed(i, now, Event{Kind: ConnectionsCounted, OpenConnections: p.open})
+		p.openConns = min(p.openConns, open)
+		w.step(i, now, Event{Kind: ConnectionsCounted, OpenConnections: p.openConns})
 	case Finish:
-		if p.open > 0 && now < p.book.by {
-			return fmt.Errorf("empty: process %d ends with %d connections open before its time", i, p.open)
+		if p.openConns > 0 && now < p.machine.deadline {
+			return fmt.Errorf("empty: process %d ends with %d connections open before its time", i, p.openConns)
 		}
 		w.end(i)
 	}
@@ -162,30 +162,30 @@
 }
 
 // end is the process's end: the kernel lets the lock go, and whatever it held of it.
-func (w *planet) end(i int) {
-	if w.owner == int8(i) {
-		w.owner = -1
+func (w *simulation) end(i int) {
+	if w.lockOwner == int8(i) {
+		w.lockOwner = -1
 	}
-	w.procs[i] = proc{was: true, book: w.procs[i].book}
+	w.processes[i] = process{started: true, machine: w.processes[i].machine}
 }
 
-func (w *planet) check() error {
+func (w *simulation) check() error {
 	fills := 0
-	for i := range w.procs {
-		p := &w.procs[i]
-		if !p.up {
+	for i := range w.processes {
+		p := &w.processes[i]
+		if !p.running {
 			continue
 		}
-		if err := p.book.Check(); err != nil {
+		if err := p.machine.Check(); err != nil {
 			return fmt.Errorf("process %d: %w", i, err)
 		}
-		if p.accepts && w.owner != int8(i) {
-			return fmt.Errorf("turn: process %d accepts, the lock is %d's", i, w.owner)
+		if p.accepting && w.lockOwner != int8(i) {
+			return fmt.Errorf("turn: process %d accepts, the lock is %d's", i, w.lockOwner)
 		}
-		if p.accepts && p.book.phase > shutting {
+		if p.accepting && p.machine.phase > closingListener {
 			return fmt.Errorf("once: process %d", i)
 		}
-		if p.fills {
+		if p.fillsLimits {
 			fills++
 		}
 	}
@@ -193,9 +193,9 @@
 		return fmt.Errorf("one: %d processes fill limits", fills)
 	}
 	// Nobody is stuck: who has nothing to do, and has not ended, awaits a time, a signal, or accepts.
-	for i := range w.procs {
-		if p := &w.procs[i]; p.up && p.n == 0 && p.book.next == Never && !p.accepts && p.book.phase != fresh {
-			return fmt.Errorf("next: process %d stands still in phase %d", i, p.book.phase)
+	for i := range w.processes {
+		if p := &w.processes[i]; p.running && p.pendingCount == 0 && p.machine.next == Never && !p.accepting && p.machine.phase != notStarted {
+			return fmt.Errorf("next: process %d stands still in phase %d", i, p.machine.phase)
 		}
 	}
 	return nil
@@ -203,18 +203,18 @@
 
 // Every order of starts, signals, kills and steps of up to three processes, each started once. Stopped processes are the
 // orders in which one does nothing for long.
-func TestEveryOrder(t *testing.T) {
+func TestInvariantsInEveryOrder(t *testing.T) {
 	const now = 0 // times are equal: every wait may be over at once, or never
 	for _, n := range []int{2, 3} {
-		seen := map[planet]bool{}
-		first := planet{owner: -1}
-		line := []planet{first}
+		seen := map[simulation]bool{}
+		first := simulation{lockOwner: -1}
+		line := []simulation{first}
 		seen[first] = true
 		served, ended := 0, 0
 		for len(line) > 0 {
 			w := line[len(line)-1]
 			line = line[:len(line)-1]
-			add := func(next planet, err error) {
+			add := func(next simulation, err error) {
 				if err == nil {
 					err = next.check()
 				}
@@ -227,28 +227,28 @@
 				}
 			}
 			for i := range n {
-				p := w.procs[i]
-				if !p.up {
-					if next := w; !p.was && (i == 0 || w.procs[i-1].was) {
-						next.procs[i] = proc{book: *New(Settings{WarnAfter: 1}), up: true, was: true}
-						next.feed(i, now, Event{Kind: Started})
+				p := w.processes[i]
+				if !p.running {
+					if next := w; !p.started && (i == 0 || w.processes[i-1].started) {
+						next.processes[i] = process{machine: *New(Settings{WarnAfter: 1}), running: true, started: true}
+						next.step(i, now, Event{Kind: Started})
 						add(next, nil)
 					}
 					continue
 				}
-				if p.accepts {
+				if p.accepting {
 					served |= 1 << i
 				}
 				next := w
 				next.end(i) // kill -9
 				add(next, nil)
-				if p.n > 0 {
+				if p.pendingCount > 0 {
 					for _, out := range []struct {
 						lucky bool
 						open  int
 					}{{true, 0}, {true, 1}, {false, 0}} {
-						next, known := w, w.procs[i].todo[0].Kind
-						err := next.carry(i, now, out.lucky, out.open)
+						next, known := w, w.processes[i].pending[0].Kind
+						err := next.perform(i, now, out.lucky, out.open)
 						if known == Finish {
 							ended |= 1 << i
 						}
@@ -256,14 +256,14 @@
 					}
 					continue
 				}
-				if p.book.next != Never {
+				if p.machine.next != Never {
 					next = w
-					next.feed(i, now, Event{Kind: TimerFired})
+					next.step(i, now, Event{Kind: TimerFired})
 					add(next, nil)
 				}
 				for _, by := range []time.Duration{now, 1} {
 					next = w
-					next.feed(i, now, Event{Kind: TermReceived, Deadline: by})
+					next.step(i, now, Event{Kind: TermReceived, Deadline: by})
 					add(next, nil)
 				}
 			}
@@ -276,15 +276,15 @@
 }
 
 // The same with times: a process whose lock came free has it within Try, one after SIGTERM is gone by its time.
-func TestAnyOrder(t *testing.T) {
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, now := planet{owner: -1}, time.Duration(0)
-		var termed [most]time.Duration
-		i := func() int { return rapid.IntRange(0, most-1).Draw(t, "process") }
+		w, now := simulation{lockOwner: -1}, time.Duration(0)
+		var termed [maxProcesses]time.Duration
+		i := func() int { return rapid.IntRange(0, maxProcesses-1).Draw(t, "process") }
 		settle := func() {
-			for k := range w.procs {
-				for w.procs[k].up && w.procs[k].n > 0 {
-					if err := w.carry(k, now, rapid.Bool().Draw(t, "heard"), rapid.IntRange(0, 2).Draw(t, "open")); err != nil {
+			for k := range w.processes {
+				for w.processes[k].running && w.processes[k].pendingCount > 0 {
+					if err := w.perform(k, now, rapid.Bool().Draw(t, "heard"), rapid.IntRange(0, 2).Draw(t, "open")); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -298,39 +298,39 @@
 				}
 			},
 			"start": func(t *rapid.T) {
-				if k := i(); !w.procs[k].up {
-					w.procs[k] = proc{book: *New(times), up: true}
-					w.feed(k, now, Event{Kind: Started})
+				if k := i(); !w.processes[k].running {
+					w.processes[k] = process{machine: *New(testSettings), running: true}
+					w.step(k, now, Event{Kind: Started})
 				}
 			},
 			"kill": func(*rapid.T) { w.end(i()) },
 			"term": func(t *rapid.T) {
-				if k := i(); w.procs[k].up && w.procs[k].book.phase < telling {
+				if k := i(); w.processes[k].running && w.processes[k].machine.phase < notifyingModule {
 					termed[k] = now + time.Duration(rapid.IntRange(0, 60).Draw(t, "left"))*ms
-					w.feed(k, now, Event{Kind: TermReceived, Deadline: termed[k]})
+					w.step(k, now, Event{Kind: TermReceived, Deadline: termed[k]})
 				}
 			},
 			"time": func(t *rapid.T) {
 				span := time.Duration(rapid.IntRange(1, 100).Draw(t, "ms")) * ms
 				for end := now + span; now < end; { // from one awaited time to the next
 					now = end
-					for k := range w.procs {
-						if w.procs[k].up {
-							now = min(now, max(w.procs[k].book.Next(), now-span))
+					for k := range w.processes {
+						if w.processes[k].running {
+							now = min(now, max(w.processes[k].machine.Next(), now-span))
 						}
 					}
-					for k := range w.procs {
-						if w.procs[k].up {
-							w.feed(k, now, Event{Kind: TimerFired})
+					for k := range w.processes {
+						if w.processes[k].running {
+							w.step(k, now, Event{Kind: TimerFired})
 						}
 					}
 					settle()
-					for k := range w.procs {
-						if p := &w.procs[k]; p.up && p.book.phase >= telling && now > termed[k] {
+					for k := range w.processes {
+						if p := &w.processes[k]; p.running && p.machine.phase >= notifyingModule && now > termed[k] {
 							t.Fatalf("empty: process %d is up at %v, its time was %v", k, now, termed[k])
 						}
-						if p := &w.procs[k]; p.up && p.book.phase == waiting && w.owner < 0 && p.book.Next() > now+times.LockPollInterval {
-							t.Fatalf("next: process %d looks again at %v", k, p.book.Next())
+						if p := &w.processes[k]; p.running && p.machine.phase == waitingForLock && w.lockOwner < 0 && p.machine.Next() > now+testSettings.LockPollInterval {
+							t.Fatalf("next: process %d looks again at %v", k, p.machine.Next())
 						}
 					}
 				}
