--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// NoLockError is a lock that cannot be had: the process accepts without one.
+// NoLockError reports that no lock is available: the process accepts without one.
 type NoLockError struct {
 	Path string
 	Err  error
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("no lock for the clients' socket: %v", e.Err)
 }
 
-// Unwrap gives the system's word.
+// Unwrap returns the operating system's error.
 func (e *NoLockError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -30,7 +30,7 @@
 		"): until then two processes beside each other both accept, each with its host's whole part of each limit."
 }
 
-// LongWaitError is a wait for the clients' socket that lasts long.
+// LongWaitError reports a long wait for the clients' socket.
 type LongWaitError struct {
 	Path  string
 	Since time.Duration
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,20 +1,21 @@
-// Package handover decides when a process may accept on a clients' socket that it shares with others of its
-// scheduler, and how it goes: at SIGTERM the one that accepts makes way for the next, and is gone once it is empty.
-// It is the book of one process. It has no I/O, clock, goroutine or lock of its own; the driver carries its actions out
-// and tells it what came of them, one event for each.
+// Package handover decides when a process may accept on a clients' socket that it shares with other processes of its
+// scheduler, and how it shuts down: after SIGTERM, the accepting process makes way for the next one, and ends when its
+// connections are closed. A Machine is the state of one process. The package has no I/O, clock, goroutine or lock of its
+// own. The driver carries the actions out and reports the result of each as one event.
 //
-// Invariants, in the words of the tests:
+// Invariants:
 //
-//	turn     a process accepts only while it has the lock, or where no lock can be had at all
-//	one      of all processes on one lock one at most fills limits: from its first accept until its module was told
-//	told     the lock is let go once the module was told that it hands over and nothing accepts any more
-//	once     nothing is accepted after SIGTERM that was not accepted before
-//	empty    a process goes when no connection is open, or when its time is up and those on which nothing waits were
-//	         closed; connections in use, and those asked on a moment ago, are not closed before
-//	next     a process that waits has the lock soon after nobody else has it
+//   - A process accepts only while it has the lock, or if no lock is available at all.
+//   - Of all processes that share a lock, at most one fills limits: from its first accept until its module was notified of
+//     the handover.
+//   - The lock is released once the module was notified and nothing is accepted any more.
+//   - Nothing is accepted after SIGTERM that was not accepted before.
+//   - A process ends when no connection is open, or at its deadline after the idle ones were closed. Connections with a
+//     request, or with one less than IdleTimeout ago, are not closed before the deadline.
+//   - A process that waits for the lock gets it soon after no other process has it.
 //
-// What it does not do: it asks nobody whether a successor waits, and takes the lock from nobody. A process that stands
-// still keeps its turn, as it would spend its limits when it runs on; the kernel lets the lock of a dead one go.
+// The package does not ask whether a successor waits, and takes the lock from no process. A stalled process keeps the lock,
+// since it would fill its limits once it continues. The kernel releases the lock of a process that has ended.
 package handover
 
 import (
@@ -26,54 +27,54 @@
 // Never is the time of what is not awaited.
 const Never = time.Duration(math.MaxInt64)
 
-// Settings are the book's times.
+// Settings are the intervals of a Machine.
 type Settings struct {
-	LockPollInterval time.Duration // from one look at the lock to the next
-	SweepInterval    time.Duration // from one look at what is open to the next
-	IdleTimeout      time.Duration // a connection on which nothing was asked for so long is closed
-	WarnAfter        time.Duration // a wait for the lock that lasts so long is told, once
+	LockPollInterval time.Duration // between attempts to take the lock
+	SweepInterval    time.Duration // between sweeps of the open connections
+	IdleTimeout      time.Duration // after which a connection without a request is closed
+	WarnAfter        time.Duration // a wait for the lock longer than this is reported, once
 }
 
 // EventKind is what happened.
 type EventKind uint8
 
-// The events. Each but Begun, Tick and Term is what came of an action.
+// The events. Each but Started, TimerFired and TermReceived is the result of an action.
 const (
 	Started            EventKind = iota // the process can serve, and accepts nothing yet
-	LockAcquired                        // of Try: the lock is this process's
-	LockBusy                            // of Try: another has it
-	LockUnavailable                     // of Try: there is none to be had
-	TimerFired                          // Next has come
-	TermReceived                        // SIGTERM; By is when what is left must close
-	ModuleNotified                      // of NotifyModule: it has heard
-	ModuleBusy                          // of NotifyModule: it had no time
+	LockAcquired                        // of TryLock
+	LockBusy                            // of TryLock: another process has the lock
+	LockUnavailable                     // of TryLock: there is no lock
+	TimerFired                          // the time of Next has come
+	TermReceived                        // SIGTERM: Deadline is when the remaining connections are closed
+	ModuleNotified                      // of NotifyModule
+	ModuleBusy                          // of NotifyModule: the module has not confirmed in time
 	ListenerClosed                      // of CloseListener: nothing is accepted any more
-	ConnectionsCounted                  // of Sweep: N connections are open
+	ConnectionsCounted                  // of CloseIdle: OpenConnections are left
 )
 
-// Event is what happened.
+// Event is something that happened.
 type Event struct {
 	Kind            EventKind
 	Deadline        time.Duration
 	OpenConnections int
 }
 
-// Kind is what the driver is to do.
+// ActionKind is what the driver is to do.
 type ActionKind uint8
 
 // The actions.
 const (
-	TryLock       ActionKind = iota // look at the lock, and take it if it is free
+	TryLock       ActionKind = iota // take the lock if it is free
 	Accept                          // from now on
-	WarnLongWait                    // the wait is a long one
-	NotifyModule                    // its limits are filled by another process
-	CloseListener                   // accept no more; what is open stays open, and each answer closes its connection
-	ReleaseLock                     // let the lock go
-	CloseIdle                       // close what has been quiet for Quiet and on which nothing waits
-	Finish                          // the rest is for the program's end
+	WarnLongWait                    // report a long wait for the lock
+	NotifyModule                    // notify the module that another process fills its limits
+	CloseListener                   // accept no more; open connections stay, each until its next response
+	ReleaseLock
+	CloseIdle // close the connections without a request for IdleFor
+	Finish    // end the process
 )
 
-// Action is what the driver is to do.
+// Action is something for the driver to do.
 type Action struct {
 	Kind    ActionKind
 	IdleFor time.Duration
@@ -81,6 +82,7 @@
 
 type phase uint8
 
+// The phases, in their order.
 const (
 	notStarted phase = iota
 	waitingForLock
@@ -91,113 +93,197 @@
 	finished
 )
 
-// Machine is one process's.
+// Machine is the state of one process. It must be used by one goroutine at a time.
 type Machine struct {
 	settings        Settings
 	phase           phase
-	next            time.Duration
+	next            time.Duration // of the next TimerFired
 	startedAt       time.Duration
-	deadline        time.Duration
-	hasLock         bool // the lock is this process's
-	lockUnavailable bool // there is no lock
+	deadline        time.Duration // of the shutdown
+	hasLock         bool
+	lockUnavailable bool
 	accepting       bool
-	moduleNotified  bool // the module has heard
+	moduleNotified  bool
 	warnedLongWait  bool
-	lastSweep       bool // the last sweep
+	lastSweep       bool // the last CloseIdle was at the deadline
 }
 
-// New makes the book of a process that has accepted nothing.
+// New returns the state of a process that has accepted nothing.
 func New(s Settings) *Machine { return &Machine{settings: s, next: Never, deadline: Never} }
 
-// Next is when the book is to have a Tick.
-func (b *Machine) Next() time.Duration { return b.next }
+// Next is when a TimerFired is due.
+func (m *Machine) Next() time.Duration { return m.next }
 
-// Step takes an event and says what is to be done, in that order.
-func (b *Machine) Step(now time.Duration, e Event) (acts []Action) {
-	do := func(all ...ActionKind) {
-		for _, d := range all {
-			acts = append(acts, Action{Kind: d})
-		}
+// Step applies an event and returns what is to be done, in that order. Events that do not fit the phase have no effect.
+func (m *Machine) Step(now time.Duration, e Event) []Action {
+	switch e.Kind {
+	case Started:
+		return m.start(now)
+	case LockAcquired:
+		return m.lockAcquired()
+	case LockBusy:
+		return m.lockBusy(now)
+	case LockUnavailable:
+		return m.noLock()
+	case TimerFired:
+		return m.timerFired(now)
+	case TermReceived:
+		return m.termReceived(e.Deadline)
+	case ModuleNotified:
+		return m.moduleConfirmed()
+	case ModuleBusy:
+		return m.moduleBusy(now)
+	case ListenerClosed:
+		return m.listenerClosed(now)
+	case ConnectionsCounted:
+		return m.connectionsCounted(now, e.OpenConnections)
 	}
-	sweep := func() {
-		a := Action{Kind: CloseIdle, IdleFor: b.settings.IdleTimeout}
-		if b.lastSweep = now >= b.deadline; b.lastSweep {
-			a.IdleFor = 0
-		}
-		acts = append(acts, a)
+	return nil
+}
+
+// do returns actions of the given kinds.
+func do(kinds ...ActionKind) (actions []Action) {
+	for _, kind := range kinds {
+		actions = append(actions, Action{Kind: kind})
 	}
+	return actions
+}
+
+func (m *Machine) start(now time.Duration) []Action {
+	if m.phase != notStarted {
+		return nil
+	}
+	m.phase, m.startedAt = waitingForLock, now
+	return do(TryLock)
+}
+
+func (m *Machine) lockAcquired() []Action {
+	if m.phase >= draining { // too late: the next process may have it
+		m.hasLock = false
+		return do(ReleaseLock)
+	}
+	m.hasLock = true
+	if m.phase != waitingForLock {
+		return nil
+	}
+	m.phase, m.accepting = serving, true
+	return do(Accept)
+}
+
+func (m *Machine) noLock() []Action {
+	if m.phase != waitingForLock {
+		return nil
+	}
+	m.phase, m.accepting, m.lockUnavailable = serving, true, true
+	return do(Accept)
+}
+
+func (m *Machine) lockBusy(now time.Duration) []Action {
+	if m.phase != waitingForLock {
+		return nil
+	}
+	m.next = now + m.settings.LockPollInterval
+	if m.warnedLongWait || now < m.startedAt+m.settings.WarnAfter {
+		return nil
+	}
+	m.warnedLongWait = true
+	return do(WarnLongWait)
+}
+
+func (m *Machine) termReceived(deadline time.Duration) []Action {
+	if m.phase >= notifyingModule {
+		return nil
+	}
+	m.phase, m.deadline, m.next = notifyingModule, deadline, Never
+	return do(NotifyModule)
+}
+
+func (m *Machine) moduleConfirmed() []Action {
+	if m.phase != notifyingModule {
+		return nil
+	}
+	m.moduleNotified, m.phase = true, closingListener
+	return do(CloseListener)
+}
+
+// moduleBusy retries until the deadline. Then the listener is closed all the same, and the lock is kept until the process
+// ends.
+func (m *Machine) moduleBusy(now time.Duration) []Action {
+	if m.phase != notifyingModule {
+		return nil
+	}
+	if now >= m.deadline {
+		m.phase, m.next = closingListener, Never
+		return do(CloseListener)
+	}
+	m.next = min(now+m.settings.SweepInterval, m.deadline)
+	return nil
+}
+
+func (m *Machine) listenerClosed(now time.Duration) []Action {
+	if m.phase != closingListener {
+		return nil
+	}
+	m.phase, m.accepting = draining, false
+	var actions []Action
+	if m.hasLock && m.moduleNotified {
+		m.hasLock = false
+		actions = do(ReleaseLock)
+	}
+	return append(actions, m.sweep(now))
+}
+
+func (m *Machine) connectionsCounted(now time.Duration, open int) []Action {
+	if m.phase != draining {
+		return nil
+	}
+	if open == 0 || m.lastSweep {
+		m.phase, m.next = finished, Never
+		return do(Finish)
+	}
+	m.next = min(now+m.settings.SweepInterval, max(m.deadline, now))
+	return nil
+}
+
+func (m *Machine) timerFired(now time.Duration) []Action {
+	if now < m.next {
+		return nil
+	}
+	m.next = Never // until the result of the action
+	switch m.phase {
+	case waitingForLock:
+		return do(TryLock)
+	case notifyingModule:
+		return do(NotifyModule)
+	case draining:
+		return []Action{m.sweep(now)}
+	}
+	return nil
+}
+
+// sweep closes the idle connections, at the deadline also those that had a request a moment ago.
+func (m *Machine) sweep(now time.Duration) Action {
+	m.lastSweep = now >= m.deadline
+	if m.lastSweep {
+		return Action{Kind: CloseIdle}
+	}
+	return Action{Kind: CloseIdle, IdleFor: m.settings.IdleTimeout}
+}
+
+// Ended reports whether nothing is left to do.
+func (m *Machine) Ended() bool { return m.phase == finished }
+
+// Check returns which invariant does not hold. It is for tests, after any Step.
+func (m *Machine) Check() error {
 	switch {
-	case e.Kind == Started && b.phase == notStarted:
-		b.phase, b.startedAt = waitingForLock, now
-		do(TryLock)
-	case e.Kind == LockAcquired:
-		if b.hasLock = b.phase < draining; !b.hasLock { // it came too late: the next one may have it
-			do(ReleaseLock)
-		}
-		if b.phase == waitingForLock {
-			b.phase, b.accepting = serving, true
-			do(Accept)
-		}
-	case e.Kind == LockUnavailable && b.phase == waitingForLock:
-		b.phase, b.accepting, b.lockUnavailable = serving, true, true
-		do(Accept)
-	case e.Kind == LockBusy && b.phase == waitingForLock:
-		b.next = now + b.settings.LockPollInterval
-		if !b.warnedLongWait && now >= b.startedAt+b.settings.WarnAfter {
-			b.warnedLongWait = true
-			do(WarnLongWait)
-		}
-	case e.Kind == TermReceived && b.phase < notifyingModule:
-		b.phase, b.deadline, b.next = notifyingModule, e.Deadline, Never
-		do(NotifyModule)
-	case e.Kind == ModuleNotified && b.phase == notifyingModule:
-		b.moduleNotified, b.phase = true, closingListener
-		do(CloseListener)
-	case e.Kind == ModuleBusy && b.phase == notifyingModule:
-		if b.next = min(now+b.settings.SweepInterval, b.deadline); now >= b.deadline { // the lock goes with the process
-			b.phase, b.next = closingListener, Never
-			do(CloseListener)
-		}
-	case e.Kind == ListenerClosed && b.phase == closingListener:
-		b.phase, b.accepting = draining, false
-		if b.hasLock && b.moduleNotified {
-			b.hasLock = false
-			do(ReleaseLock)
-		}
-		sweep()
-	case e.Kind == ConnectionsCounted && b.phase == draining:
-		if b.next = min(now+b.settings.SweepInterval, max(b.deadline, now)); e.OpenConnections == 0 || b.lastSweep {
-			b.phase, b.next = finished, Never
-			do(Finish)
-		}
-	case e.Kind == TimerFired && now >= b.next:
-		b.next = Never // until the action's event
-		switch b.phase {
-		case waitingForLock:
-			do(TryLock)
-		case notifyingModule:
-			do(NotifyModule)
-		case draining:
-			sweep()
-		}
-	}
-	return acts
-}
-
-// Ended says whether the book has nothing more to do.
-func (b *Machine) Ended() bool { return b.phase == finished }
-
-// Check says which invariant does not hold.
-func (b *Machine) Check() error {
-	switch {
-	case b.accepting && !b.hasLock && !b.lockUnavailable:
-		return fmt.Errorf("turn: accepts without the lock in phase %d", b.phase)
-	case b.phase >= draining && b.hasLock && b.moduleNotified:
-		return fmt.Errorf("next: the lock is kept in phase %d", b.phase)
-	case b.phase >= draining && b.accepting:
-		return fmt.Errorf("once: accepts in phase %d", b.phase)
-	case b.phase == finished && b.next != Never:
-		return fmt.Errorf("empty: awaits %v and is gone", b.next)
+	case m.accepting && !m.hasLock && !m.lockUnavailable:
+		return fmt.Errorf("accepts without the lock in phase %d", m.phase)
+	case m.phase >= draining && m.hasLock && m.moduleNotified:
+		return fmt.Errorf("still has the lock in phase %d", m.phase)
+	case m.phase >= draining && m.accepting:
+		return fmt.Errorf("accepts in phase %d", m.phase)
+	case m.phase == finished && m.next != Never:
+		return fmt.Errorf("has finished, and a timer is set at %v", m.next)
 	}
 	return nil
 }
