--- a/internal/connqueue/scarce.go
+++ b/internal/connqueue/idlelimiter.go
@@ -26,40 +26,40 @@
 //
 // It knows no clock and does no I/O, as Pool. It decides nothing of connections in use.
 type IdleLimiter struct {
-	until, span time.Duration
-	last        time.Duration // late one
-	row         int
+	limitedUntil, limitDuration time.Duration
+	lastLateConnect             time.Duration // late one
+	lateInRow                   int
 }
 
 // ConnectRejected notes that the node turned a new connection away.
 func (s *IdleLimiter) ConnectRejected(now time.Duration) {
-	s.row = 0
-	if s.span > 0 && now < s.until+s.span {
-		s.span = min(2*s.span, MaxLimitDuration)
+	s.lateInRow = 0
+	if s.limitDuration > 0 && now < s.limitedUntil+s.limitDuration {
+		s.limitDuration = min(2*s.limitDuration, MaxLimitDuration)
 	} else {
-		s.span = MinLimitDuration
+		s.limitDuration = MinLimitDuration
 	}
-	s.until = now + s.span
+	s.limitedUntil = now + s.limitDuration
 }
 
 // ConnectLate notes that one came up late, or never.
 func (s *IdleLimiter) ConnectLate(now time.Duration) {
-	s.last = now
-	if s.row++; s.row >= MaxLateConnects {
+	s.lastLateConnect = now
+	if s.lateInRow++; s.lateInRow >= MaxLateConnects {
 		s.ConnectRejected(now)
 	}
 }
 
 // ConnectTimely notes that one which was begun then came up in time: it says nothing of what came after.
 func (s *IdleLimiter) ConnectTimely(begun time.Duration) {
-	if begun >= s.last {
-		s.row = 0
+	if begun >= s.lastLateConnect {
+		s.lateInRow = 0
 	}
 }
 
 // IdleBounds is how many idle connections may be kept and for how long, where so many for so long are kept else.
 func (s *IdleLimiter) IdleBounds(now time.Duration, usual int, most time.Duration) (int, time.Duration) {
-	if now >= s.until {
+	if now >= s.limitedUntil {
 		return usual, most
 	}
 	return min(usual, LimitedIdleConns), min(most, LimitedIdleTimeout)
--- a/internal/connqueue/scarce_test.go
+++ b/internal/connqueue/idlelimiter_test.go
@@ -8,7 +8,7 @@
 )
 
 // A script of signs, and what is kept after each.
-func TestScarcity(t *testing.T) {
+func TestIdleBoundsAfterSigns(t *testing.T) {
 	const ms, sec = time.Millisecond, time.Second
 	for name, x := range map[string]struct {
 		signs  string // r refused, l late, t timely, b timely and begun before, each a tenth of a second after the other
@@ -49,7 +49,7 @@
 }
 
 // The invariants of the page, over any signs.
-func TestScarcityHolds(t *testing.T) {
+func TestIdleLimiterKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s IdleLimiter
 		now, last, row, signs := time.Duration(0), time.Duration(0), 0, 0
--- a/internal/connqueue/pool.go
+++ b/internal/connqueue/queue.go
@@ -44,65 +44,65 @@
 
 // Queue is the line before one node's connections.
 type Queue[T comparable] struct {
-	set   Settings
-	line  []waiter[T]
-	opens []opening
-	ids   int
+	settings        Settings
+	waiters         []waiter[T]
+	pendingConnects []pendingConnect
+	lastID          int
 }
 
 type waiter[T comparable] struct {
-	item  T
-	until time.Duration // when one is opened for it
+	item         T
+	connectDueAt time.Duration // when one is opened for it
 }
 
-type opening struct {
-	id int
-	at time.Duration
+type pendingConnect struct {
+	id        int
+	startedAt time.Duration
 }
 
 // New makes an empty line.
-func New[T comparable](set Settings) *Queue[T] { return &Queue[T]{set: set} }
+func New[T comparable](set Settings) *Queue[T] { return &Queue[T]{settings: set} }
 
 // Enqueue puts an item for which no connection is free into the line.
 func (p *Queue[T]) Enqueue(now time.Duration, item T) {
-	p.line = append(p.line, waiter[T]{item, now + p.set.FreeConnWait})
+	p.waiters = append(p.waiters, waiter[T]{item, now + p.settings.FreeConnWait})
 }
 
 // needed is how many connections are to be opened for those that wait, with so many in use: each takes
 // one, and one more may wait for it.
 func (p *Queue[T]) needed(now time.Duration, inUse int) int {
 	due := 0
-	for due < len(p.line) && p.line[due].until <= now {
+	for due < len(p.waiters) && p.waiters[due].connectDueAt <= now {
 		due++
 	}
-	return max(due, (len(p.line)-inUse+1)/2)
+	return max(due, (len(p.waiters)-inUse+1)/2)
 }
 
 // ConnectsDue says how many connections are to be opened now; late is how long one may take. The caller says
 // Opening for each.
 func (p *Queue[T]) ConnectsDue(now time.Duration, inUse int, late time.Duration) int {
 	needed, timely := p.needed(now, inUse), 0
-	for _, o := range p.opens {
-		if now < o.at+late {
+	for _, o := range p.pendingConnects {
+		if now < o.startedAt+late {
 			timely++
 		}
 	}
-	return max(0, min(needed-timely, 2*needed-len(p.opens)))
+	return max(0, min(needed-timely, 2*needed-len(p.pendingConnects)))
 }
 
 // ConnectStarted notes that a connection is being opened, and names it.
 func (p *Queue[T]) ConnectStarted(now time.Duration) (id int) {
-	p.ids++
-	p.opens = append(p.opens, opening{p.ids, now})
-	return p.ids
+	p.lastID++
+	p.pendingConnects = append(p.pendingConnects, pendingConnect{p.lastID, now})
+	return p.lastID
 }
 
-// took is how long a connection has been opened for; it is no longer.
-func (p *Queue[T]) took(now time.Duration, id int) time.Duration {
-	for i, o := range p.opens {
+// removePending is how long a connection has been opened for; it is no longer.
+func (p *Queue[T]) removePending(now time.Duration, id int) time.Duration {
+	for i, o := range p.pendingConnects {
 		if o.id == id {
-			p.opens = append(p.opens[:i:i], p.opens[i+1:]...)
-			return now - o.at
+			p.pendingConnects = append(p.pendingConnects[:i:i], p.pendingConnects[i+1:]...)
+			return now - o.startedAt
 		}
 	}
 	return 0
@@ -110,23 +110,25 @@
 
 // ConnectSucceeded notes that a connection has come up, and says how long it took. It is free: Free gives out
 // whose it is.
-func (p *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration { return p.took(now, id) }
+func (p *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration {
+	return p.removePending(now, id)
+}
 
 // DropLast gives out the last in the line, if there is no room for the connection that it needs.
 func (p *Queue[T]) DropLast(now time.Duration, inUse int) (item T, ok bool) {
-	if p.needed(now, inUse) <= len(p.opens) {
+	if p.needed(now, inUse) <= len(p.pendingConnects) {
 		return item, false
 	}
-	item = p.line[len(p.line)-1].item
-	p.line = p.line[:len(p.line)-1]
+	item = p.waiters[len(p.waiters)-1].item
+	p.waiters = p.waiters[:len(p.waiters)-1]
 	return item, true
 }
 
 // ConnectFailed notes that a connection did not come up, and gives out the first in the line, if none is
 // being opened for it.
 func (p *Queue[T]) ConnectFailed(now time.Duration, id, inUse int) (item T, ok bool) {
-	p.took(now, id)
-	if p.needed(now, inUse) <= len(p.opens) {
+	p.removePending(now, id)
+	if p.needed(now, inUse) <= len(p.pendingConnects) {
 		return item, false
 	}
 	return p.Pop()
@@ -134,19 +136,19 @@
 
 // Pop gives out the first in the line: a connection is free.
 func (p *Queue[T]) Pop() (item T, ok bool) {
-	if len(p.line) == 0 {
+	if len(p.waiters) == 0 {
 		return item, false
 	}
-	item = p.line[0].item
-	p.line = p.line[1:]
+	item = p.waiters[0].item
+	p.waiters = p.waiters[1:]
 	return item, true
 }
 
 // Remove takes out an item that is given up; false: it does not wait.
 func (p *Queue[T]) Remove(item T) bool {
-	for i, w := range p.line {
+	for i, w := range p.waiters {
 		if w.item == item {
-			p.line = append(p.line[:i:i], p.line[i+1:]...)
+			p.waiters = append(p.waiters[:i:i], p.waiters[i+1:]...)
 			return true
 		}
 	}
@@ -155,7 +157,7 @@
 
 // PopExpired gives out one that has waited too long: it goes without. It is to be asked until there is none.
 func (p *Queue[T]) PopExpired(now time.Duration) (item T, ok bool) {
-	if len(p.line) == 0 || now < p.line[0].until+p.set.ConnectTimeout {
+	if len(p.waiters) == 0 || now < p.waiters[0].connectDueAt+p.settings.ConnectTimeout {
 		return item, false
 	}
 	return p.Pop()
@@ -163,18 +165,18 @@
 
 // Next is when to ask Open and Over again.
 func (p *Queue[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
-	if len(p.line) == 0 {
+	if len(p.waiters) == 0 {
 		return 0, false
 	}
-	at = p.line[0].until + p.set.ConnectTimeout
-	for _, w := range p.line {
-		if w.until > now {
-			at = min(at, w.until)
+	at = p.waiters[0].connectDueAt + p.settings.ConnectTimeout
+	for _, w := range p.waiters {
+		if w.connectDueAt > now {
+			at = min(at, w.connectDueAt)
 			break
 		}
 	}
-	for _, o := range p.opens {
-		if next := o.at + late; next > now {
+	for _, o := range p.pendingConnects {
+		if next := o.startedAt + late; next > now {
 			at = min(at, next)
 		}
 	}
@@ -182,4 +184,4 @@
 }
 
 // Len is how many wait.
-func (p *Queue[T]) Len() int { return len(p.line) }
+func (p *Queue[T]) Len() int { return len(p.waiters) }
--- a/internal/connqueue/pool_test.go
+++ b/internal/connqueue/queue_test.go
@@ -13,7 +13,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 // The wait is in step with the price, none without one, and bounded.
-func TestWait(t *testing.T) {
+func TestMaxFreeConnWaitFollowsThePrice(t *testing.T) {
 	for _, x := range []struct {
 		price float64
 		want  time.Duration
@@ -25,7 +25,7 @@
 }
 
 // A model of the line: who waits, since when, and what is being opened. All invariants of the package's page.
-func TestLine(t *testing.T) {
+func TestQueueKeepsItsInvariants(t *testing.T) {
 	const late = 15
 	rapid.Check(t, func(rt *rapid.T) {
 		wait := time.Duration(rapid.IntRange(0, 50).Draw(rt, "wait"))
@@ -45,7 +45,7 @@
 			return ok
 		}
 		pick := func() int {
-			for id := 1; id <= p.ids; id++ {
+			for id := 1; id <= p.lastID; id++ {
 				if _, ok := opens[id]; ok && rapid.Bool().Draw(rt, "this") {
 					return id
 				}
@@ -138,8 +138,8 @@
 				tend()
 			},
 			"": func(rt *rapid.T) {
-				if p.Len() != len(line) || len(p.opens) != len(opens) {
-					rt.Fatalf("%d wait and %d are being opened, want %v and %v", p.Len(), len(p.opens), line, opens)
+				if p.Len() != len(line) || len(p.pendingConnects) != len(opens) {
+					rt.Fatalf("%d wait and %d are being opened, want %v and %v", p.Len(), len(p.pendingConnects), line, opens)
 				}
 				for _, item := range line {
 					if now >= since[item]+wait+patience && now > since[item] {
--- a/internal/deadline/margin.go
+++ b/internal/deadline/deadline.go
@@ -29,29 +29,29 @@
 
 // LagGauge holds the worst lateness of late; the zero value has seen none.
 type LagGauge struct {
-	now, last time.Duration // worst of this span and of the one before
-	since     time.Duration // start of this span
+	currentWorst, previousWorst time.Duration // worst of this span and of the one before
+	windowStart                 time.Duration // start of this span
 }
 
-func (g *LagGauge) turn(at time.Duration) {
-	if at-g.since >= 2*Window {
-		g.now, g.last, g.since = 0, 0, at
-	} else if at-g.since >= Window {
-		g.now, g.last, g.since = 0, g.now, g.since+Window
+func (g *LagGauge) advance(at time.Duration) {
+	if at-g.windowStart >= 2*Window {
+		g.currentWorst, g.previousWorst, g.windowStart = 0, 0, at
+	} else if at-g.windowStart >= Window {
+		g.currentWorst, g.previousWorst, g.windowStart = 0, g.currentWorst, g.windowStart+Window
 	}
 }
 
 // Record notes that a timer was this late.
 func (g *LagGauge) Record(at, late time.Duration) {
-	g.turn(at)
-	g.now = max(g.now, min(late, MaxLag))
+	g.advance(at)
+	g.currentWorst = max(g.currentWorst, min(late, MaxLag))
 }
 
 // Margin is that of a request whose client has this much patience.
 func (g *LagGauge) Margin(at, patience time.Duration) time.Duration {
-	g.turn(at)
-	return min(max(MinMargin, LagFactor*max(g.now, g.last)), max(MinMargin, patience/MaxMarginDivisor))
+	g.advance(at)
+	return min(max(MinMargin, LagFactor*max(g.currentWorst, g.previousWorst)), max(MinMargin, patience/MaxMarginDivisor))
 }
 
 // Worst is the worst lateness that counts now.
-func (g *LagGauge) Worst() time.Duration { return max(g.now, g.last) }
+func (g *LagGauge) Worst() time.Duration { return max(g.currentWorst, g.previousWorst) }
--- a/internal/deadline/margin_test.go
+++ b/internal/deadline/deadline_test.go
@@ -12,7 +12,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 // The invariants of the package comment, against a plain list of all that was seen.
-func TestMargin(t *testing.T) {
+func TestMarginCoversRecentLags(t *testing.T) {
 	type seen struct{ at, late time.Duration }
 	rapid.Check(t, func(t *rapid.T) {
 		var g LagGauge
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -42,11 +42,11 @@
 
 // Set is the set of nodes out by hand.
 type Set struct {
-	set      Settings
-	listed   map[string]bool
-	order    []string // ids listed, the oldest first
-	excluded map[string]float64
-	included map[string]float64
+	settings    Settings
+	listed      map[string]bool
+	listedOrder []string // ids listed, the oldest first
+	excluded    map[string]float64
+	included    map[string]float64
 }
 
 // New makes an empty book.
@@ -59,7 +59,7 @@
 	case s.SlowStartDuration < 0:
 		return nil, &SettingError{"ColdSpan", fmt.Sprint(s.SlowStartDuration), "negative"}
 	}
-	return &Set{set: s, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
+	return &Set{settings: s, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
 }
 
 // AddListed remembers ids as listed: an operator may name them from now on.
@@ -67,13 +67,13 @@
 	for _, id := range ids {
 		if !b.listed[id] {
 			b.listed[id] = true
-			b.order = append(b.order, id)
+			b.listedOrder = append(b.listedOrder, id)
 		}
 	}
 	// The oldest that are not out go first; an excluded id stays named, as it must be included.
-	for len(b.listed) > b.set.MaxListed {
+	for len(b.listed) > b.settings.MaxListed {
 		old := ""
-		for _, id := range b.order {
+		for _, id := range b.listedOrder {
 			if _, out := b.excluded[id]; !out {
 				old = id
 				break
@@ -82,7 +82,7 @@
 		if old == "" {
 			break
 		}
-		b.order = slices.DeleteFunc(b.order, func(id string) bool { return id == old })
+		b.listedOrder = slices.DeleteFunc(b.listedOrder, func(id string) bool { return id == old })
 		delete(b.listed, old)
 		delete(b.included, old)
 	}
@@ -101,8 +101,8 @@
 	if _, out := b.excluded[id]; out {
 		return false, nil
 	}
-	if len(b.excluded) >= b.set.MaxExcluded {
-		return false, &FullError{id, b.set.MaxExcluded}
+	if len(b.excluded) >= b.settings.MaxExcluded {
+		return false, &FullError{id, b.settings.MaxExcluded}
 	}
 	b.excluded[id] = now
 	delete(b.included, id)
@@ -119,7 +119,7 @@
 	}
 	delete(b.excluded, id)
 	b.included[id] = now
-	b.forget(now)
+	b.dropExpiredIncludes(now)
 	return true, nil
 }
 
@@ -129,10 +129,10 @@
 	return out
 }
 
-// forget drops the includes that are past the cold span.
-func (b *Set) forget(now float64) {
+// dropExpiredIncludes drops the includes that are past the cold span.
+func (b *Set) dropExpiredIncludes(now float64) {
 	for id, at := range b.included {
-		if now-at > b.set.SlowStartDuration {
+		if now-at > b.settings.SlowStartDuration {
 			delete(b.included, id)
 		}
 	}
@@ -147,7 +147,7 @@
 		n.State = policy.NodeExcluded
 		return n
 	}
-	if at, ok := b.included[n.ID]; ok && now-at <= b.set.SlowStartDuration && n.StartTime < at {
+	if at, ok := b.included[n.ID]; ok && now-at <= b.settings.SlowStartDuration && n.StartTime < at {
 		n.StartTime = at
 	}
 	return n
@@ -155,7 +155,7 @@
 
 // State is what is to be kept at now: includes past the cold span are forgotten.
 func (b *Set) State(now float64) State {
-	b.forget(now)
+	b.dropExpiredIncludes(now)
 	return State{Excluded: maps.Clone(b.excluded), Included: maps.Clone(b.included)}
 }
 
@@ -178,8 +178,8 @@
 		}
 	}
 	ids := slices.Sorted(maps.Keys(s.Excluded))
-	if len(ids) > b.set.MaxExcluded {
-		ids = ids[:b.set.MaxExcluded]
+	if len(ids) > b.settings.MaxExcluded {
+		ids = ids[:b.settings.MaxExcluded]
 	}
 	b.excluded = map[string]float64{}
 	for _, id := range ids {
@@ -187,7 +187,7 @@
 	}
 	b.included = map[string]float64{}
 	for _, id := range slices.Sorted(maps.Keys(s.Included)) {
-		if _, out := b.excluded[id]; !out && now-s.Included[id] <= b.set.SlowStartDuration && len(b.included) < b.set.MaxListed {
+		if _, out := b.excluded[id]; !out && now-s.Included[id] <= b.settings.SlowStartDuration && len(b.included) < b.settings.MaxListed {
 			b.included[id] = s.Included[id]
 		}
 	}
@@ -200,12 +200,12 @@
 // Check tests the invariants that the state itself can show.
 func (b *Set) Check() error {
 	switch {
-	case len(b.excluded) > b.set.MaxExcluded:
-		return fmt.Errorf("%d excluded, the bound is %d", len(b.excluded), b.set.MaxExcluded)
-	case len(b.listed) > max(b.set.MaxListed, len(b.excluded)):
-		return fmt.Errorf("%d listed, the bound is %d", len(b.listed), b.set.MaxListed)
-	case len(b.order) != len(b.listed):
-		return fmt.Errorf("%d in the order of listing, %d listed", len(b.order), len(b.listed))
+	case len(b.excluded) > b.settings.MaxExcluded:
+		return fmt.Errorf("%d excluded, the bound is %d", len(b.excluded), b.settings.MaxExcluded)
+	case len(b.listed) > max(b.settings.MaxListed, len(b.excluded)):
+		return fmt.Errorf("%d listed, the bound is %d", len(b.listed), b.settings.MaxListed)
+	case len(b.listedOrder) != len(b.listed):
+		return fmt.Errorf("%d in the order of listing, %d listed", len(b.listedOrder), len(b.listed))
 	}
 	for id := range b.excluded {
 		if !b.IsListed(id) {
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func book(t interface{ Fatal(...any) }, s Settings) *Set {
+func newSet(t interface{ Fatal(...any) }, s Settings) *Set {
 	b, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +26,8 @@
 }
 
 // The ordinary way and each hard case, in one script.
-func TestScript(t *testing.T) {
-	b := book(t, Defaults)
+func TestExcludeAndInclude(t *testing.T) {
+	b := newSet(t, Defaults)
 	if _, err := b.Exclude(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
 		t.Fatalf("an id never listed: %v", err)
 	}
@@ -73,8 +73,8 @@
 }
 
 // A no changes nothing: past the bound an exclude is refused, and the book is as it was.
-func TestBounds(t *testing.T) {
-	b := book(t, Settings{MaxListed: 3, MaxExcluded: 2, SlowStartDuration: 10})
+func TestExcludePastTheBoundChangesNothing(t *testing.T) {
+	b := newSet(t, Settings{MaxListed: 3, MaxExcluded: 2, SlowStartDuration: 10})
 	b.AddListed("a", "b", "c")
 	b.Exclude(0, "a")
 	b.Exclude(0, "b")
@@ -94,14 +94,14 @@
 }
 
 // What is stored and loaded again is the same book; a load says which views may change.
-func TestLoad(t *testing.T) {
-	b := book(t, Defaults)
+func TestLoadRestoresTheStoredState(t *testing.T) {
+	b := newSet(t, Defaults)
 	b.AddListed("a", "b", "c")
 	b.Exclude(0, "a")
 	b.Exclude(0, "b")
 	b.Include(100, "b")
 	kept := b.State(150)
-	c := book(t, Defaults)
+	c := newSet(t, Defaults)
 	if changed := c.Load(200, kept); fmt.Sprint(changed) != "[a b]" {
 		t.Fatalf("changed %v", changed)
 	}
@@ -117,10 +117,10 @@
 }
 
 // rapid: random calls and lists, Check and the invariants after each.
-func TestMachine(t *testing.T) {
+func TestInvariantsUnderRandomCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "excluded"), SlowStartDuration: 50}
-		b := book(t, s)
+		b := newSet(t, s)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		out := map[string]bool{} // the model: what is excluded
 		now := 0.0
@@ -149,7 +149,7 @@
 					delete(out, id)
 				}
 			case 3:
-				c := book(t, s)
+				c := newSet(t, s)
 				c.Load(now, b.State(now))
 				if fmt.Sprint(c.State(now)) != fmt.Sprint(b.State(now)) {
 					t.Fatalf("stored %v, loaded %v", b.State(now), c.State(now))
--- a/internal/exclusion/recorded_test.go
+++ b/internal/exclusion/recorded_test.go
@@ -54,7 +54,7 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(int64(70 + i)))
 			var script recorded.Script
-			b := book(t, Settings{MaxListed: 2 + i, MaxExcluded: 1 + i/3, SlowStartDuration: 50})
+			b := newSet(t, Settings{MaxListed: 2 + i, MaxExcluded: 1 + i/3, SlowStartDuration: 50})
 			now := 0.0
 			ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 			id := func() string { return ids[rng.Intn(len(ids))] }
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	version   = 1
-	fileMost  = 1 << 20
-	lockPoll  = 2 * time.Millisecond
-	lockTries = 150 // 300 ms
+	version          = 1
+	maxFileSize      = 1 << 20
+	lockPollInterval = 2 * time.Millisecond
+	maxLockAttempts  = 150 // 300 ms
 )
 
 // Store is the file of one scheduler's book.
 type Store struct {
-	Path string
-	Name string // the scheduler's name, the same in all its processes
-	seen fs.FileInfo
-	pid  int // 0: the process's
+	Path     string
+	Name     string // the scheduler's name, the same in all its processes
+	lastSeen fs.FileInfo
+	pid      int // 0: the process's
 }
 
 // InFolder is the store of a scheduler in a folder.
@@ -62,15 +62,15 @@
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err == nil {
-		s.seen = info
+		s.lastSeen = info
 	}
 	sync.Point("read", s.Path)
-	text, err := io.ReadAll(io.LimitReader(f, fileMost+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileSize+1))
 	if err != nil {
 		return empty, &FileError{s.Path, err}
 	}
-	if len(text) > fileMost {
-		return empty, &ForeignFileError{s.Path, fmt.Sprintf("over %d bytes", fileMost)}
+	if len(text) > maxFileSize {
+		return empty, &ForeignFileError{s.Path, fmt.Sprintf("over %d bytes", maxFileSize)}
 	}
 	var got file
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -130,7 +130,7 @@
 	}
 	sync.Point("stat", s.Path)
 	if info, err := os.Stat(s.Path); err == nil {
-		s.seen = info
+		s.lastSeen = info
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 	if err != nil {
 		return false
 	}
-	return s.seen == nil || !os.SameFile(info, s.seen) || !info.ModTime().Equal(s.seen.ModTime()) || info.Size() != s.seen.Size()
+	return s.lastSeen == nil || !os.SameFile(info, s.lastSeen) || !info.ModTime().Equal(s.lastSeen.ModTime()) || info.Size() != s.lastSeen.Size()
 }
 
 // Lock takes the writers' lock, waiting a little for another process; the func gives it back.
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, &FileError{s.Path, err}
 	}
-	for left := lockTries; ; left-- {
+	for left := maxLockAttempts; ; left-- {
 		sync.Point("flock", s.Path+".lock")
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
@@ -165,6 +165,6 @@
 			f.Close()
 			return nil, &FileError{s.Path, fmt.Errorf("%s.lock: %w", s.Path, err)}
 		}
-		sync.PauseFor("unlock", s.Path+".lock", lockPoll)
+		sync.PauseFor("unlock", s.Path+".lock", lockPollInterval)
 	}
 }
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -68,7 +68,7 @@
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "kept: "},
-		mutant.Mutant{File: "store.go", Old: "	return s.seen == nil || !os.SameFile", New: "	if s.seen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "kept: "},
+		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "kept: "},
 		mutant.Mutant{File: "store.go", Old: "	beside := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	beside := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
 	)
 }
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/internal/exclusion"
 )
 
-func TestKeptOverAProcess(t *testing.T) {
+func TestNextProcessReadsTheState(t *testing.T) {
 	dir := t.TempDir()
 	s := InFolder(dir, "n3")
 	got, err := s.Read()
@@ -42,7 +42,7 @@
 }
 
 // Guards against a torn, foreign or spoilt file: it is ignored with a reason, never taken.
-func TestBadFilesAreIgnored(t *testing.T) {
+func TestInvalidFilesAreIgnored(t *testing.T) {
 	for name, text := range map[string]string{
 		"torn":    `{"version":1,"name":"n3","excluded":{"s-1":10`,
 		"empty":   ``,
