--- a/internal/exclusion/errors.go
+++ b/internal/exclusion/errors.go
@@ -6,18 +6,18 @@
 	"wheatsaddle/internal/operr"
 )
 
-// What errors.Is asks for; each leaves the book as it was. The book returns them with the facts.
+// Values for errors.Is. The errors that calls return have the details. The set is unchanged by a call that fails.
 var (
 	ErrUnknownNode error = &UnknownNodeError{}
 	ErrFull        error = &FullError{}
 )
 
-// UnknownNodeError is an id that was never listed.
+// UnknownNodeError reports a node that is not known as listed.
 type UnknownNodeError struct{ ID string }
 
 func (e *UnknownNodeError) Error() string { return "no storage node of that id was ever listed" }
 
-// Is makes every Unknown ErrUnknownNode.
+// Is reports whether the other error is ErrUnknownNode.
 func (e *UnknownNodeError) Is(other error) bool { return other == ErrUnknownNode }
 
 // Code implements operr.Coded.
@@ -25,10 +25,10 @@
 
 // Advice implements operr.Coded.
 func (e *UnknownNodeError) Advice() string {
-	return "Take the id from the list's service as it is written there; after a restart wait until the list was heard. Nothing was changed."
+	return "Use the id exactly as the list's service gives it; after a restart, wait until the list was received. Nothing was changed."
 }
 
-// FullError is an exclude beyond the bound.
+// FullError reports an exclude beyond the bound.
 type FullError struct {
 	ID  string
 	Max int
@@ -36,7 +36,7 @@
 
 func (e *FullError) Error() string { return "too many storage nodes are excluded" }
 
-// Is makes every Full ErrFull.
+// Is reports whether the other error is ErrFull.
 func (e *FullError) Is(other error) bool { return other == ErrFull }
 
 // Code implements operr.Coded.
@@ -44,10 +44,10 @@
 
 // Advice implements operr.Coded.
 func (e *FullError) Advice() string {
-	return "Include nodes that may serve again, or take nodes that are gone for good off the list. Nothing was changed."
+	return "Include nodes that may serve again, or remove from the list the nodes that will not return. Nothing was changed."
 }
 
-// SettingError is a bound of the book that is none.
+// SettingError reports a bound that is out of range.
 type SettingError struct{ Key, Value, Want string }
 
 func (e *SettingError) Error() string {
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -1,18 +1,18 @@
-// Package exclusion decides which storage nodes are out by an operator's hand: it turns each
-// listed entry into the one that the module and the peers see. It does no I/O and reads no
-// clock; times are the module's milliseconds, which are Unix milliseconds.
+// Package exclusion holds which storage nodes an operator has excluded, and turns each entry of the endpoint list into the
+// one that the decision module and the peers see. It has no I/O and no clock. Times are those of the module: Unix
+// milliseconds.
 //
-// Invariants, as the tests word them:
-//  1. An excluded id is never shown as up, whatever the list says, until it is included.
-//  2. A no changes nothing: an id never listed, or an exclude past the bound.
-//  3. Excluding twice is excluding once; one include ends it.
-//  4. An included node is shown as started no earlier than its include, for as long as it may
-//     be cold.
-//  5. Every container is bounded: ids listed, excluded and included.
-//  6. What is stored and loaded again is the same book.
+// Invariants:
 //
-// It does not decide what a draining node is spared: that is the rule on drains, kept by the
-// peers and the module for every node that the view shows as draining.
+//  1. An excluded node is never shown as up, whatever the list has, until it is included.
+//  2. A rejected call has no effect: one for a node that was never listed, or an exclude beyond the bound.
+//  3. Excluding a node twice is the same as once, and one include ends it.
+//  4. A node that was included is shown as started no earlier than its include, for as long as it may be cold.
+//  5. Every container is bounded: the listed, the excluded and the included nodes.
+//  6. A state that is stored and loaded again is the same.
+//
+// The package does not decide how a draining node is treated: the peers and the module apply the same rule to every node
+// that is shown as draining or excluded.
 package exclusion
 
 import (
@@ -23,200 +23,201 @@
 	"wheatsaddle/policy"
 )
 
-// Settings bound the book.
+// Settings are the bounds of a Set.
 type Settings struct {
 	MaxListed         int     // ids remembered as listed
-	MaxExcluded       int     // ids out at once
-	SlowStartDuration float64 // ms after an include for which the node may be cold
+	MaxExcluded       int     // nodes excluded at the same time
+	SlowStartDuration float64 // milliseconds after an include during which the node may be cold
 }
 
 // Defaults are the bounds used where the settings give none.
 var Defaults = Settings{MaxListed: 4096, MaxExcluded: 1024, SlowStartDuration: 20000}
 
-// State is what is kept of a book over a process's end: the excluded ids with the time of their
-// exclude, and those included of late with the time of their include.
+// State is the stored part of a Set: the excluded nodes with the time of their exclude, and the nodes included within the
+// slow start with the time of their include.
 type State struct {
 	Excluded map[string]float64 `json:"excluded"`
 	Included map[string]float64 `json:"included"`
 }
 
-// Set is the set of nodes out by hand.
+// Set is the set of excluded nodes of one scheduler. It must be used by one goroutine at a time.
 type Set struct {
 	settings    Settings
 	listed      map[string]bool
-	listedOrder []string // ids listed, the oldest first
-	excluded    map[string]float64
-	included    map[string]float64
+	listedOrder []string           // ids in listed, the oldest first
+	excluded    map[string]float64 // times of the excludes
+	included    map[string]float64 // times of the includes within the slow start
 }
 
-// New makes an empty book.
-func New(s Settings) (*Set, error) {
+// New returns an empty set. An error is a *SettingError.
+func New(set Settings) (*Set, error) {
 	switch {
-	case s.MaxListed < 1:
-		return nil, &SettingError{"ListedMost", fmt.Sprint(s.MaxListed), "not a positive number"}
-	case s.MaxExcluded < 1:
-		return nil, &SettingError{"ExcludedMost", fmt.Sprint(s.MaxExcluded), "not a positive number"}
-	case s.SlowStartDuration < 0:
-		return nil, &SettingError{"ColdSpan", fmt.Sprint(s.SlowStartDuration), "negative"}
-	}
-	return &Set{settings: s, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
+	case set.MaxListed < 1:
+		return nil, &SettingError{"ListedMost", fmt.Sprint(set.MaxListed), "not a positive number"}
+	case set.MaxExcluded < 1:
+		return nil, &SettingError{"ExcludedMost", fmt.Sprint(set.MaxExcluded), "not a positive number"}
+	case set.SlowStartDuration < 0:
+		return nil, &SettingError{"ColdSpan", fmt.Sprint(set.SlowStartDuration), "negative"}
+	}
+	return &Set{settings: set, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
 }
 
-// AddListed remembers ids as listed: an operator may name them from now on.
-func (b *Set) AddListed(ids ...string) {
+// AddListed notes nodes as listed, so that an operator may name them. Beyond the bound, the oldest that are not excluded are
+// dropped. An excluded node stays, so that it can be included.
+func (s *Set) AddListed(ids ...string) {
 	for _, id := range ids {
-		if !b.listed[id] {
-			b.listed[id] = true
-			b.listedOrder = append(b.listedOrder, id)
+		if !s.listed[id] {
+			s.listed[id] = true
+			s.listedOrder = append(s.listedOrder, id)
 		}
 	}
-	// The oldest that are not out go first; an excluded id stays named, as it must be included.
-	for len(b.listed) > b.settings.MaxListed {
-		old := ""
-		for _, id := range b.listedOrder {
-			if _, out := b.excluded[id]; !out {
-				old = id
-				break
-			}
-		}
-		if old == "" {
+	for len(s.listed) > s.settings.MaxListed {
+		i := slices.IndexFunc(s.listedOrder, func(id string) bool { return !s.Excluded(id) })
+		if i < 0 {
 			break
 		}
-		b.listedOrder = slices.DeleteFunc(b.listedOrder, func(id string) bool { return id == old })
-		delete(b.listed, old)
-		delete(b.included, old)
+		id := s.listedOrder[i]
+		s.listedOrder = slices.Delete(s.listedOrder, i, i+1)
+		delete(s.listed, id)
+		delete(s.included, id)
 	}
 }
 
-// IsListed says whether an id was ever listed.
-func (b *Set) IsListed(id string) bool {
-	return b.listed[id]
+// IsListed reports whether a node is known as listed.
+func (s *Set) IsListed(id string) bool {
+	return s.listed[id]
 }
 
-// Exclude takes a node out at now; changed says that it was in.
-func (b *Set) Exclude(now float64, id string) (changed bool, err error) {
-	if !b.IsListed(id) {
+// Exclude excludes a node at now, and reports whether it was not excluded before. An error is an *UnknownNodeError or a
+// *FullError.
+func (s *Set) Exclude(now float64, id string) (changed bool, err error) {
+	if !s.IsListed(id) {
 		return false, &UnknownNodeError{id}
 	}
-	if _, out := b.excluded[id]; out {
+	if s.Excluded(id) {
 		return false, nil
 	}
-	if len(b.excluded) >= b.settings.MaxExcluded {
-		return false, &FullError{id, b.settings.MaxExcluded}
+	if len(s.excluded) >= s.settings.MaxExcluded {
+		return false, &FullError{id, s.settings.MaxExcluded}
 	}
-	b.excluded[id] = now
-	delete(b.included, id)
+	s.excluded[id] = now
+	delete(s.included, id)
 	return true, nil
 }
 
-// Include puts a node back at now; changed says that it was out.
-func (b *Set) Include(now float64, id string) (changed bool, err error) {
-	if !b.IsListed(id) {
+// Include ends the exclude of a node at now, and reports whether it was excluded. An error is an *UnknownNodeError.
+func (s *Set) Include(now float64, id string) (changed bool, err error) {
+	if !s.IsListed(id) {
 		return false, &UnknownNodeError{id}
 	}
-	if _, out := b.excluded[id]; !out {
+	if !s.Excluded(id) {
 		return false, nil
 	}
-	delete(b.excluded, id)
-	b.included[id] = now
-	b.dropExpiredIncludes(now)
+	delete(s.excluded, id)
+	s.included[id] = now
+	s.dropExpiredIncludes(now)
 	return true, nil
 }
 
-// Excluded says whether an id is out.
-func (b *Set) Excluded(id string) bool {
-	_, out := b.excluded[id]
+// Excluded reports whether a node is excluded.
+func (s *Set) Excluded(id string) bool {
+	_, out := s.excluded[id]
 	return out
 }
 
-// dropExpiredIncludes drops the includes that are past the cold span.
-func (b *Set) dropExpiredIncludes(now float64) {
-	for id, at := range b.included {
-		if now-at > b.settings.SlowStartDuration {
-			delete(b.included, id)
+// dropExpiredIncludes drops the includes whose slow start has ended.
+func (s *Set) dropExpiredIncludes(now float64) {
+	for id, at := range s.included {
+		if now-at > s.settings.SlowStartDuration {
+			delete(s.included, id)
 		}
 	}
 }
 
-// View is the entry that the module and the peers see of a listed one at now.
-func (b *Set) View(now float64, n policy.Node) policy.Node {
+// View returns the entry that the module and the peers see at now for an entry of the list.
+func (s *Set) View(now float64, n policy.Node) policy.Node {
 	if n.State == policy.NodeRemoved {
 		return n
 	}
-	if _, out := b.excluded[n.ID]; out {
+	if s.Excluded(n.ID) {
 		n.State = policy.NodeExcluded
 		return n
 	}
-	if at, ok := b.included[n.ID]; ok && now-at <= b.settings.SlowStartDuration && n.StartTime < at {
+	if at, ok := s.included[n.ID]; ok && now-at <= s.settings.SlowStartDuration && n.StartTime < at {
 		n.StartTime = at
 	}
 	return n
 }
 
-// State is what is to be kept at now: includes past the cold span are forgotten.
-func (b *Set) State(now float64) State {
-	b.dropExpiredIncludes(now)
-	return State{Excluded: maps.Clone(b.excluded), Included: maps.Clone(b.included)}
+// State returns the state to be stored at now.
+func (s *Set) State(now float64) State {
+	s.dropExpiredIncludes(now)
+	return State{Excluded: maps.Clone(s.excluded), Included: maps.Clone(s.included)}
 }
 
-// Load takes a kept state in place of the book's own: that of the scheduler's other process,
-// or of the one before. Its ids count as listed. It returns the ids whose view may change.
-func (b *Set) Load(now float64, s State) (changed []string) {
-	for id := range b.excluded {
-		if _, out := s.Excluded[id]; !out {
-			changed = append(changed, id)
+// Load replaces the state by a stored one, of this scheduler's other process or of the one before. Its nodes count as listed.
+// It returns the nodes whose View may change, sorted.
+func (s *Set) Load(now float64, state State) (changed []string) {
+	changed = s.differences(state)
+	excluded := slices.Sorted(maps.Keys(state.Excluded))
+	excluded = excluded[:min(len(excluded), s.settings.MaxExcluded)]
+	s.excluded = map[string]float64{}
+	for _, id := range excluded {
+		s.excluded[id] = state.Excluded[id]
+	}
+	s.included = map[string]float64{}
+	for _, id := range slices.Sorted(maps.Keys(state.Included)) {
+		inSlowStart := now-state.Included[id] <= s.settings.SlowStartDuration
+		if !s.Excluded(id) && inSlowStart && len(s.included) < s.settings.MaxListed {
+			s.included[id] = state.Included[id]
 		}
 	}
-	for id := range s.Excluded {
-		if _, out := b.excluded[id]; !out {
-			changed = append(changed, id)
+	s.AddListed(excluded...)
+	s.AddListed(slices.Sorted(maps.Keys(s.included))...)
+	return changed
+}
+
+// differences returns the nodes of which a state differs from the present one, sorted.
+func (s *Set) differences(state State) (ids []string) {
+	for id := range s.excluded {
+		if _, excluded := state.Excluded[id]; !excluded {
+			ids = append(ids, id)
 		}
 	}
-	for id, at := range s.Included {
-		if b.included[id] != at {
-			changed = append(changed, id)
+	for id := range state.Excluded {
+		if !s.Excluded(id) {
+			ids = append(ids, id)
 		}
 	}
-	ids := slices.Sorted(maps.Keys(s.Excluded))
-	if len(ids) > b.settings.MaxExcluded {
-		ids = ids[:b.settings.MaxExcluded]
-	}
-	b.excluded = map[string]float64{}
-	for _, id := range ids {
-		b.excluded[id] = s.Excluded[id]
-	}
-	b.included = map[string]float64{}
-	for _, id := range slices.Sorted(maps.Keys(s.Included)) {
-		if _, out := b.excluded[id]; !out && now-s.Included[id] <= b.settings.SlowStartDuration && len(b.included) < b.settings.MaxListed {
-			b.included[id] = s.Included[id]
+	for id, at := range state.Included {
+		if s.included[id] != at {
+			ids = append(ids, id)
 		}
 	}
-	b.AddListed(ids...)
-	b.AddListed(slices.Sorted(maps.Keys(b.included))...)
-	slices.Sort(changed)
-	return slices.Compact(changed)
+	slices.Sort(ids)
+	return slices.Compact(ids)
 }
 
-// Check tests the invariants that the state itself can show.
-func (b *Set) Check() error {
+// Check returns which invariant the state violates. It is for tests.
+func (s *Set) Check() error {
 	switch {
-	case len(b.excluded) > b.settings.MaxExcluded:
-		return fmt.Errorf("%d excluded, the bound is %d", len(b.excluded), b.settings.MaxExcluded)
-	case len(b.listed) > max(b.settings.MaxListed, len(b.excluded)):
-		return fmt.Errorf("%d listed, the bound is %d", len(b.listed), b.settings.MaxListed)
-	case len(b.listedOrder) != len(b.listed):
-		return fmt.Errorf("%d in the order of listing, %d listed", len(b.listedOrder), len(b.listed))
-	}
-	for id := range b.excluded {
-		if !b.IsListed(id) {
+	case len(s.excluded) > s.settings.MaxExcluded:
+		return fmt.Errorf("%d excluded, the bound is %d", len(s.excluded), s.settings.MaxExcluded)
+	case len(s.listed) > max(s.settings.MaxListed, len(s.excluded)):
+		return fmt.Errorf("%d listed, the bound is %d", len(s.listed), s.settings.MaxListed)
+	case len(s.listedOrder) != len(s.listed):
+		return fmt.Errorf("%d in the order of the list, %d listed", len(s.listedOrder), len(s.listed))
+	}
+	for id := range s.excluded {
+		if !s.IsListed(id) {
 			return fmt.Errorf("%s is excluded and not known as listed", id)
 		}
-		if _, ok := b.included[id]; ok {
+		if _, ok := s.included[id]; ok {
 			return fmt.Errorf("%s is excluded and included", id)
 		}
 	}
-	for id := range b.included {
-		if !b.IsListed(id) {
+	for id := range s.included {
+		if !s.IsListed(id) {
 			return fmt.Errorf("%s is included and not known as listed", id)
 		}
 	}
--- a/internal/exclusion/recorded_test.go
+++ b/internal/exclusion/recorded_test.go
@@ -23,8 +23,8 @@
 	return fields
 }
 
-// errorWord is the recording's word for the result of a change.
-func errorWord(err error) string {
+// resultWord is the recording's word for the result of a change.
+func resultWord(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -58,7 +58,7 @@
 			now := 0.0
 			ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 			id := func() string { return ids[rng.Intn(len(ids))] }
-			var kept State
+			var stored State
 			for range 600 {
 				now += 20 * rng.Float64()
 				one := id()
@@ -69,15 +69,15 @@
 					fields = append(fields, "list")
 				case n < 11:
 					changed, err := b.Exclude(now, one)
-					fields = append(fields, "exclude", one, changed, errorWord(err))
+					fields = append(fields, "exclude", one, changed, resultWord(err))
 				case n < 16:
 					changed, err := b.Include(now, one)
-					fields = append(fields, "include", one, changed, errorWord(err))
+					fields = append(fields, "include", one, changed, resultWord(err))
 				case n == 16:
-					kept = b.State(now)
-					fields = append(append(fields, "state"), recordedState(kept)...)
+					stored = b.State(now)
+					fields = append(append(fields, "state"), recordedState(stored)...)
 				case n == 17:
-					fields = append(fields, "load", fmt.Sprint(b.Load(now, kept)))
+					fields = append(fields, "load", fmt.Sprint(b.Load(now, stored)))
 				case n == 18:
 					fields = append(fields, "load", fmt.Sprint(b.Load(now, randomState(rng, now, id))))
 				}
--- a/internal/exclusion/store/errors.go
+++ b/internal/exclusion/store/errors.go
@@ -7,10 +7,10 @@
 	"wheatsaddle/internal/operr"
 )
 
-// ErrForeign is what errors.Is asks for.
+// ErrForeign is a value for errors.Is. The errors that calls return have the details.
 var ErrForeign error = &ForeignFileError{}
 
-// ForeignFileError is a file that is not this scheduler's book; it is left as it is.
+// ForeignFileError reports a file that does not hold this scheduler's excludes. The file is not changed.
 type ForeignFileError struct {
 	Path    string
 	Problem string
@@ -20,7 +20,7 @@
 	return e.Path + ": " + e.Problem + ": not this scheduler's book of exclusions"
 }
 
-// Is makes every Foreign ErrForeign.
+// Is reports whether the other error is ErrForeign.
 func (e *ForeignFileError) Is(other error) bool { return other == ErrForeign }
 
 // Code implements operr.Coded.
@@ -28,10 +28,10 @@
 
 // Advice implements operr.Coded.
 func (e *ForeignFileError) Advice() string {
-	return "See whose file it is. If it is a torn one of this scheduler, exclude the nodes again by the door: the next change writes it anew."
+	return "Find out which program writes the file. If it is a damaged one of this scheduler, exclude the nodes again by the admin endpoint: the next change replaces it."
 }
 
-// FileError is a file that cannot be read, written or locked.
+// FileError reports a file that cannot be read, written or locked.
 type FileError struct {
 	Path string
 	Err  error
@@ -39,7 +39,7 @@
 
 func (e *FileError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the system's word.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -47,7 +47,7 @@
 
 // Advice implements operr.Coded.
 func (e *FileError) Advice() string {
-	return "See that " + e.Path + " can be written by the program's user and that the disk has room; until then excludes end with this process."
+	return "Make sure that " + e.Path + " can be written by the program's user and that the disk has space; until then excludes end with this process."
 }
 
 func init() {
--- a/internal/exclusion/store/recorded_test.go
+++ b/internal/exclusion/store/recorded_test.go
@@ -26,14 +26,14 @@
 	if err != nil || !reflect.DeepEqual(got, storedState()) {
 		t.Fatalf("read %+v, %v", got, err)
 	}
-	again := InFolder(t.TempDir(), "n3")
-	if err := again.Write(got); err != nil {
+	rewritten := InFolder(t.TempDir(), "n3")
+	if err := rewritten.Write(got); err != nil {
 		t.Fatal(err)
 	}
-	if text, err := os.ReadFile(again.Path); err != nil || !bytes.Equal(text, want) {
+	if text, err := os.ReadFile(rewritten.Path); err != nil || !bytes.Equal(text, want) {
 		t.Errorf("written again: %q, want %q (%v)", text, want, err)
 	}
-	if filepath.Base(again.Path) != "wheatsaddle-exclusions.json" {
-		t.Errorf("stored as %s", again.Path)
+	if filepath.Base(rewritten.Path) != "wheatsaddle-exclusions.json" {
+		t.Errorf("stored as %s", rewritten.Path)
 	}
 }
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -11,13 +11,13 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// process changes the book as cmd/wheatsaddle's keeper does: under the lock it takes the other's
-// change from the file, applies its own and writes.
+// process changes the stored state as the daemon does: under the lock it reads the other process's change, applies its own
+// and writes.
 func process(dir, id string, at float64, dies int) func() {
 	return func() {
 		s := InFolder(dir, "n3")
 		s.pid = int(at)
-		held, err := s.Read() // as it starts, without the lock
+		state, err := s.Read() // as it starts, without the lock
 		if err != nil {
 			il.Fail("%s: at its start: %v", id, err)
 		}
@@ -27,22 +27,22 @@
 		}
 		defer unlock()
 		if s.Changed() {
-			if held, err = s.Read(); err != nil {
+			if state, err = s.Read(); err != nil {
 				il.Fail("%s: %v", id, err)
 			}
 		}
-		held.Excluded[id] = at
+		state.Excluded[id] = at
 		if il.Choose(dies) == 1 {
-			return // it is killed before it writes: the lock goes with it
+			return // it is killed before it writes, which releases the lock
 		}
-		if err := s.Write(held); err != nil {
+		if err := s.Write(state); err != nil {
 			il.Fail("%s: %v", id, err)
 		}
 	}
 }
 
-// A handover: the old process and the new one exclude a node each, and a third reads as it starts.
-// Both excludes are kept, no file is ever torn, and one that is killed holds nobody up.
+// In a handover the old process and the new one exclude a node each, and a third one reads as it starts. Both excludes are
+// stored, no file is ever incomplete, and a killed process delays no other.
 func TestInterleaveHandover(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		dir, err := os.MkdirTemp("", "handover")
@@ -58,17 +58,24 @@
 			},
 			Check: func() error {
 				got, err := InFolder(dir, "n3").Read()
-				if err != nil || got.Excluded["s-1"] != 1 || got.Excluded["s-2"] != 2 {
-					return fmt.Errorf("kept: %v %v", got.Excluded, err)
+				if err != nil {
+					return fmt.Errorf("stored: %w", err)
+				}
+				if got.Excluded["s-1"] != 1 || got.Excluded["s-2"] != 2 {
+					return fmt.Errorf("stored: %v", got.Excluded)
 				}
 				return nil
 			},
-			End: func() { os.RemoveAll(dir) },
+			End: func() {
+				if err := os.RemoveAll(dir); err != nil {
+					t.Error(err)
+				}
+			},
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "kept: "},
-		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "kept: "},
-		mutant.Mutant{File: "store.go", Old: "	beside := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	beside := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
+		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "stored: "},
+		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "stored: "},
+		mutant.Mutant{File: "store.go", Old: "	temporary := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	temporary := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
 	)
 }
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -13,7 +13,7 @@
 	s := InFolder(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
-		t.Fatalf("no file: %v %v", got, err)
+		t.Fatalf("without a file: %v %v", got, err)
 	}
 	st := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
 	if err := s.Write(st); err != nil {
@@ -36,12 +36,12 @@
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if e.Name() != "wheatsaddle-exclusions.json" {
-			t.Errorf("left beside: %s", e.Name())
+			t.Errorf("left behind: %s", e.Name())
 		}
 	}
 }
 
-// Guards against a torn, foreign or spoilt file: it is ignored with a reason, never taken.
+// A damaged file, or one of another scheduler, is ignored with a reason.
 func TestInvalidFilesAreIgnored(t *testing.T) {
 	for name, text := range map[string]string{
 		"torn":    `{"version":1,"name":"n3","excluded":{"s-1":10`,
@@ -71,12 +71,12 @@
 		t.Fatal(err)
 	}
 	if _, err := InFolder(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
-		t.Fatal("a second writer had the lock")
+		t.Fatal("two writers have the lock")
 	}
 	unlock()
-	again, err := s.Lock()
+	unlock, err = s.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again()
+	unlock()
 }
