--- a/internal/connqueue/idlelimiter.go
+++ b/internal/connqueue/idlelimiter.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// Figures of scarcity.
+// Bounds of the limits on idle connections.
 const (
-	MinLimitDuration   = 2 * time.Second        // after a first sign
-	MaxLimitDuration   = 16 * time.Second       // after many
-	LimitedIdleTimeout = 500 * time.Millisecond // the longest that a connection is kept idle meanwhile
-	LimitedIdleConns   = 1                      // idle connections meanwhile
-	MaxLateConnects    = 3                      // connects in a row that come late, or never, are a sign
+	MinLimitDuration   = 2 * time.Second // after the first sign
+	MaxLimitDuration   = 16 * time.Second
+	LimitedIdleTimeout = 500 * time.Millisecond // of an idle connection while the limit lasts
+	LimitedIdleConns   = 1                      // idle connections while the limit lasts
+	MaxLateConnects    = 3                      // late or failed connects in a row that are a sign
 )
 
-// IdleLimiter owns how many idle connections are kept to one node, and for how long. A node holds only so many
-// of all schedulers together, and no setting tells how many: one that turns away a new connection has
-// no room, and what this scheduler holds idle there another may need. So it gives that back, and keeps
-// little there for a while.
+// IdleLimiter limits how many idle connections to one node are kept, and for how long. A node accepts a bounded number of
+// connections from all schedulers together, and no setting gives the number. When it rejects a new connection, another
+// scheduler may need one that this scheduler keeps idle, so for a while nearly all of them are closed.
 //
 // Invariants:
-//   - Without a sign nothing is given back.
-//   - A refusal is a sign; so are MaxLateConnects late connects, with none begun and in time between. Fewer are not: a
-//     network loses a packet now and then, and new connections would be the dearer for it.
-//   - After a sign the node is scarce for MinLimitDuration, twice as long with each that comes while it is
-//     scarce or as long again after, MaxLimitDuration at most; then all is as it was before.
-//   - Never less than LimitedIdleConns are kept for what comes next, and each for LimitedIdleTimeout.
+//   - Without a sign there is no limit.
+//   - A rejected connection is a sign, and so are MaxLateConnects late connects with no timely connect started in between.
+//     Fewer are none, since a network loses a packet now and then.
+//   - After a sign, the limit lasts for MinLimitDuration. Each sign while it lasts, or within the same duration after it,
+//     doubles the duration, up to MaxLimitDuration.
+//   - LimitedIdleConns connections may always be kept idle, each for LimitedIdleTimeout.
 //
-// It knows no clock and does no I/O, as Pool. It decides nothing of connections in use.
+// It has no clock and no I/O, and decides nothing about connections in use. It must be used by one goroutine at a time.
 type IdleLimiter struct {
-	limitedUntil, limitDuration time.Duration
-	lastLateConnect             time.Duration // late one
-	lateInRow                   int
+	limitedUntil    time.Duration
+	limitDuration   time.Duration // 0: there was no sign yet
+	lastLateConnect time.Duration
+	lateInRow       int
 }
 
-// ConnectRejected notes that the node turned a new connection away.
-func (s *IdleLimiter) ConnectRejected(now time.Duration) {
-	s.lateInRow = 0
-	if s.limitDuration > 0 && now < s.limitedUntil+s.limitDuration {
-		s.limitDuration = min(2*s.limitDuration, MaxLimitDuration)
+// ConnectRejected notes that the node rejected a new connection.
+func (l *IdleLimiter) ConnectRejected(now time.Duration) {
+	l.lateInRow = 0
+	if l.limitDuration > 0 && now < l.limitedUntil+l.limitDuration {
+		l.limitDuration = min(2*l.limitDuration, MaxLimitDuration)
 	} else {
-		s.limitDuration = MinLimitDuration
+		l.limitDuration = MinLimitDuration
 	}
-	s.limitedUntil = now + s.limitDuration
+	l.limitedUntil = now + l.limitDuration
 }
 
-// ConnectLate notes that one came up late, or never.
-func (s *IdleLimiter) ConnectLate(now time.Duration) {
-	s.lastLateConnect = now
-	if s.lateInRow++; s.lateInRow >= MaxLateConnects {
-		s.ConnectRejected(now)
+// ConnectLate notes that a connect was late, or failed.
+func (l *IdleLimiter) ConnectLate(now time.Duration) {
+	l.lastLateConnect = now
+	l.lateInRow++
+	if l.lateInRow >= MaxLateConnects {
+		l.ConnectRejected(now)
 	}
 }
 
-// ConnectTimely notes that one which was begun then came up in time: it says nothing of what came after.
-func (s *IdleLimiter) ConnectTimely(begun time.Duration) {
-	if begun >= s.lastLateConnect {
-		s.lateInRow = 0
+// ConnectTimely notes that a connect started at startedAt succeeded in time. It has no effect if a late connect was noted
+// since it started.
+func (l *IdleLimiter) ConnectTimely(startedAt time.Duration) {
+	if startedAt >= l.lastLateConnect {
+		l.lateInRow = 0
 	}
 }
 
-// IdleBounds is how many idle connections may be kept and for how long, where so many for so long are kept else.
-func (s *IdleLimiter) IdleBounds(now time.Duration, usual int, most time.Duration) (int, time.Duration) {
-	if now >= s.limitedUntil {
-		return usual, most
+// IdleBounds returns how many idle connections may be kept and for how long. The arguments are the bounds without a limit.
+func (l *IdleLimiter) IdleBounds(now time.Duration, usualConns int, usualTimeout time.Duration) (conns int, timeout time.Duration) {
+	if now >= l.limitedUntil {
+		return usualConns, usualTimeout
 	}
-	return min(usual, LimitedIdleConns), min(most, LimitedIdleTimeout)
+	return min(usualConns, LimitedIdleConns), min(usualTimeout, LimitedIdleTimeout)
 }
--- a/internal/connqueue/idlelimiter_test.go
+++ b/internal/connqueue/idlelimiter_test.go
@@ -7,16 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// A script of signs, and what is kept after each.
 func TestIdleBoundsAfterSigns(t *testing.T) {
 	const ms, sec = time.Millisecond, time.Second
 	for name, x := range map[string]struct {
-		signs  string // r refused, l late, t timely, b timely and begun before, each a tenth of a second after the other
-		scarce time.Duration
+		signs   string // every 100 ms: r rejected, l late, t timely, b timely but started before the last
+		limited time.Duration
 	}{
-		"none": {"", 0}, "timely": {"tttt", 0}, "one refusal": {"r", 2 * sec}, "two late": {"ll", 0}, "three late": {"lll", 2 * sec},
-		"late, but one in time": {"lltll", 0}, "late, one in time begun before": {"llbl", 2 * sec}, "a refusal and two late": {"rll", 2*sec - 200*ms},
-		"two refusals": {"rr", 4 * sec}, "five": {"rrrrr", 16 * sec}, "timely after": {"rtt", 2*sec - 200*ms},
+		"none": {"", 0}, "timely": {"tttt", 0}, "one rejection": {"r", 2 * sec}, "two late": {"ll", 0}, "three late": {"lll", 2 * sec},
+		"late, but one timely": {"lltll", 0}, "late, one timely started before": {"llbl", 2 * sec}, "a rejection and two late": {"rll", 2*sec - 200*ms},
+		"two rejections": {"rr", 4 * sec}, "five": {"rrrrr", 16 * sec}, "timely after": {"rtt", 2*sec - 200*ms},
 	} {
 		var s IdleLimiter
 		now := time.Duration(0)
@@ -30,31 +29,30 @@
 			case 't':
 				s.ConnectTimely(now)
 			case 'b':
-				s.ConnectTimely(now - 150*ms) // begun before the last
+				s.ConnectTimely(now - 150*ms) // started before the last
 			}
 		}
-		if n, _ := s.IdleBounds(now+x.scarce, 9, 9*sec); n != 9 {
-			t.Errorf("%s: scarce for longer than %v", name, x.scarce)
+		if n, _ := s.IdleBounds(now+x.limited, 9, 9*sec); n != 9 {
+			t.Errorf("%s: limited for longer than %v", name, x.limited)
 		}
-		if n, span := s.IdleBounds(now+x.scarce-1, 9, 9*sec); x.scarce > 0 && (n != LimitedIdleConns || span != LimitedIdleTimeout) {
-			t.Errorf("%s: %d for %v", name, n, span)
+		if n, timeout := s.IdleBounds(now+x.limited-1, 9, 9*sec); x.limited > 0 && (n != LimitedIdleConns || timeout != LimitedIdleTimeout) {
+			t.Errorf("%s: %d for %v", name, n, timeout)
 		}
 	}
 	var s IdleLimiter
 	s.ConnectRejected(0)
-	s.ConnectRejected(5 * sec) // one sign long after another is a first again
+	s.ConnectRejected(5 * sec) // a sign long after another counts as the first
 	if n, _ := s.IdleBounds(7*sec, 9, 9*sec); n != 9 {
-		t.Error("as long as after a second sign")
+		t.Error("limited as after a second sign")
 	}
 }
 
-// The invariants of the page, over any signs.
 func TestIdleLimiterKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s IdleLimiter
 		now, last, row, signs := time.Duration(0), time.Duration(0), 0, 0
 		rt.Repeat(map[string]func(*rapid.T){
-			"refused": func(*rapid.T) { s.ConnectRejected(now); last, row, signs = now, 0, signs+1 },
+			"rejected": func(*rapid.T) { s.ConnectRejected(now); last, row, signs = now, 0, signs+1 },
 			"late": func(*rapid.T) {
 				s.ConnectLate(now)
 				if row++; row == MaxLateConnects {
@@ -65,14 +63,14 @@
 			"pass":   func(rt *rapid.T) { now += time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond },
 			"": func(rt *rapid.T) {
 				usual := rapid.IntRange(1, 64).Draw(rt, "usual")
-				n, span := s.IdleBounds(now, usual, time.Minute)
+				n, timeout := s.IdleBounds(now, usual, time.Minute)
 				switch {
 				case signs == 0 || now >= last+MaxLimitDuration:
-					if n != usual || span != time.Minute {
-						rt.Fatalf("given back %v after the last sign: %d of %d, %v", now-last, n, usual, span)
+					if n != usual || timeout != time.Minute {
+						rt.Fatalf("limited %v after the last sign: %d of %d, %v", now-last, n, usual, timeout)
 					}
-				case now < last+MinLimitDuration && (n != LimitedIdleConns || span != LimitedIdleTimeout), n < LimitedIdleConns, span < LimitedIdleTimeout:
-					rt.Fatalf("%v after the last sign: %d for %v", now-last, n, span)
+				case now < last+MinLimitDuration && (n != LimitedIdleConns || timeout != LimitedIdleTimeout), n < LimitedIdleConns, timeout < LimitedIdleTimeout:
+					rt.Fatalf("%v after the last sign: %d for %v", now-last, n, timeout)
 				}
 			},
 		})
--- a/internal/connqueue/queue.go
+++ b/internal/connqueue/queue.go
@@ -1,58 +1,55 @@
-// Package connqueue owns which attempts wait for which connection to their node: one in use that will be
-// free, or one that is being opened; and when another is opened. A new connection costs the node
-// work and the first request on it time, and where the settings price it, it costs the deployment
-// worth as well: so a short wait for one in use is the cheaper way. And a connection may come up late: so
-// no attempt is bound to the one opened for it, it takes what comes first, and past a late one another
-// is opened.
+// Package connqueue decides which attempts wait for which connection to their node, and when another connection is opened.
+// A new connection costs the node work and the first request on it time; where the settings price it, it also costs
+// priority weight. A short wait for a connection in use is then cheaper. Since a connect may be late, no attempt is bound to
+// the connect started for it: it takes the first free connection, and another connect starts beside a late one.
 //
 // Invariants:
-//   - Nobody waits for one in use alone longer than Wait, nor where Wait is zero: then one is being
-//     opened for it.
-//   - At most one waits for each connection in use, or about to be, without one being opened: the next
-//     is not free sooner than in two turns.
-//   - Who came first goes first; each that waits is given out exactly once, or removed.
-//   - For each for which one is to be opened, at most two are: the second once the first is late.
-//   - Nobody waits longer than Wait and Patience. One whose connection failed is given out as one
-//     without, unless another is being opened for it.
+//   - No attempt waits longer than FreeConnWait without a connect started for it; if FreeConnWait is zero, none waits so.
+//   - At most one attempt waits for each connection that is in use or connecting, without a connect of its own: the next
+//     one would wait for two requests.
+//   - Attempts leave the queue in the order of their arrival, each exactly once, unless DropLast or Remove takes them.
+//   - For each attempt that needs a connect, at most two are pending: the second once the first is late.
+//   - No attempt waits longer than FreeConnWait and ConnectTimeout together. One whose connect failed leaves the queue
+//     without a connection, unless another connect is pending for it.
 //
-// It knows no clock and does no I/O: the caller gives the time, and asks when to come again. It does
-// not decide how many connections there may be, nor which node a request goes to.
+// The package has no clock and no I/O: the caller gives the time, and Next says when to call again. It decides neither how
+// many connections there may be nor to which node a request goes.
 package connqueue
 
 import "time"
 
-// MaxWaitDivisor bounds the wait to this part of an aim, however dear a connection is.
+// MaxWaitDivisor bounds the wait for a connection in use to this part of the latency objective, whatever the price.
 const MaxWaitDivisor = 4
 
-// LateFactor the usual time of a connect makes one late, and MinLate at least.
+// A connect is late after LateFactor times the usual connect time, and after MinLate at least.
 const (
 	LateFactor = 4
 	MinLate    = 10 * time.Millisecond
 )
 
-// FreeConnWait is how long an attempt may wait for a connection in use: the part of the aim that a new
-// connection's price is of a request's worth. Waiting for the whole aim costs the whole worth.
-func MaxFreeConnWait(price float64, aim time.Duration) time.Duration {
-	return max(0, min(time.Duration(price*float64(aim)), aim/MaxWaitDivisor))
+// MaxFreeConnWait is how long an attempt may wait for a connection in use: the same part of the latency objective as the
+// price of a new connection is of a request's priority weight, since a wait of the whole objective costs the whole weight.
+func MaxFreeConnWait(price float64, latencyObjective time.Duration) time.Duration {
+	return max(0, min(time.Duration(price*float64(latencyObjective)), latencyObjective/MaxWaitDivisor))
 }
 
-// Settings are a pool's.
+// Settings are the bounds of the waits in a Queue.
 type Settings struct {
-	FreeConnWait   time.Duration // for a connection in use, before one is opened
-	ConnectTimeout time.Duration // for one that is being opened
+	FreeConnWait   time.Duration // for a connection in use, before a connect starts
+	ConnectTimeout time.Duration // for a pending connect
 }
 
-// Queue is the line before one node's connections.
+// Queue holds the attempts that wait for a connection to one node. It must be used by one goroutine at a time.
 type Queue[T comparable] struct {
 	settings        Settings
-	waiters         []waiter[T]
+	waiters         []waiter[T] // in the order of their arrival
 	pendingConnects []pendingConnect
 	lastID          int
 }
 
 type waiter[T comparable] struct {
 	item         T
-	connectDueAt time.Duration // when one is opened for it
+	connectDueAt time.Duration // when a connect is needed for it
 }
 
 type pendingConnect struct {
@@ -60,128 +57,128 @@
 	startedAt time.Duration
 }
 
-// New makes an empty line.
+// New returns an empty queue.
 func New[T comparable](set Settings) *Queue[T] { return &Queue[T]{settings: set} }
 
-// Enqueue puts an item for which no connection is free into the line.
-func (p *Queue[T]) Enqueue(now time.Duration, item T) {
-	p.waiters = append(p.waiters, waiter[T]{item, now + p.settings.FreeConnWait})
+// Enqueue adds an attempt for which no connection is free.
+func (q *Queue[T]) Enqueue(now time.Duration, item T) {
+	q.waiters = append(q.waiters, waiter[T]{item, now + q.settings.FreeConnWait})
 }
 
-// needed is how many connections are to be opened for those that wait, with so many in use: each takes
-// one, and one more may wait for it.
-func (p *Queue[T]) needed(now time.Duration, inUse int) int {
+// neededConnects is how many connects the waiting attempts need. Each connect serves the attempt it is for and one more,
+// which waits for its connection as others do for those in use.
+func (q *Queue[T]) neededConnects(now time.Duration, inUse int) int {
 	due := 0
-	for due < len(p.waiters) && p.waiters[due].connectDueAt <= now {
+	for due < len(q.waiters) && q.waiters[due].connectDueAt <= now {
 		due++
 	}
-	return max(due, (len(p.waiters)-inUse+1)/2)
+	return max(due, (len(q.waiters)-inUse+1)/2)
 }
 
-// ConnectsDue says how many connections are to be opened now; late is how long one may take. The caller says
-// Opening for each.
-func (p *Queue[T]) ConnectsDue(now time.Duration, inUse int, late time.Duration) int {
-	needed, timely := p.needed(now, inUse), 0
-	for _, o := range p.pendingConnects {
-		if now < o.startedAt+late {
+// ConnectsDue returns how many connects are to start now, where inUse connections are in use and a connect is late after the
+// duration late. The caller calls ConnectStarted or DropLast for each.
+func (q *Queue[T]) ConnectsDue(now time.Duration, inUse int, late time.Duration) int {
+	needed, timely := q.neededConnects(now, inUse), 0
+	for _, connect := range q.pendingConnects {
+		if now < connect.startedAt+late {
 			timely++
 		}
 	}
-	return max(0, min(needed-timely, 2*needed-len(p.pendingConnects)))
+	return max(0, min(needed-timely, 2*needed-len(q.pendingConnects)))
 }
 
-// ConnectStarted notes that a connection is being opened, and names it.
-func (p *Queue[T]) ConnectStarted(now time.Duration) (id int) {
-	p.lastID++
-	p.pendingConnects = append(p.pendingConnects, pendingConnect{p.lastID, now})
-	return p.lastID
+// ConnectStarted notes that a connect has started, and returns its id.
+func (q *Queue[T]) ConnectStarted(now time.Duration) (id int) {
+	q.lastID++
+	q.pendingConnects = append(q.pendingConnects, pendingConnect{q.lastID, now})
+	return q.lastID
 }
 
-// removePending is how long a connection has been opened for; it is no longer.
-func (p *Queue[T]) removePending(now time.Duration, id int) time.Duration {
-	for i, o := range p.pendingConnects {
-		if o.id == id {
-			p.pendingConnects = append(p.pendingConnects[:i:i], p.pendingConnects[i+1:]...)
-			return now - o.startedAt
+// removePending removes a pending connect and returns how long it has taken.
+func (q *Queue[T]) removePending(now time.Duration, id int) time.Duration {
+	for i, connect := range q.pendingConnects {
+		if connect.id == id {
+			q.pendingConnects = append(q.pendingConnects[:i:i], q.pendingConnects[i+1:]...)
+			return now - connect.startedAt
 		}
 	}
 	return 0
 }
 
-// ConnectSucceeded notes that a connection has come up, and says how long it took. It is free: Free gives out
-// whose it is.
-func (p *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration {
-	return p.removePending(now, id)
+// ConnectSucceeded notes that a connect has succeeded, and returns how long it took. The connection is free: Pop returns the
+// attempt that takes it.
+func (q *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration {
+	return q.removePending(now, id)
 }
 
-// DropLast gives out the last in the line, if there is no room for the connection that it needs.
-func (p *Queue[T]) DropLast(now time.Duration, inUse int) (item T, ok bool) {
-	if p.needed(now, inUse) <= len(p.pendingConnects) {
+// DropLast removes and returns the last attempt, if a connect that it needs cannot be started.
+func (q *Queue[T]) DropLast(now time.Duration, inUse int) (item T, ok bool) {
+	if q.neededConnects(now, inUse) <= len(q.pendingConnects) {
 		return item, false
 	}
-	item = p.waiters[len(p.waiters)-1].item
-	p.waiters = p.waiters[:len(p.waiters)-1]
+	item = q.waiters[len(q.waiters)-1].item
+	q.waiters = q.waiters[:len(q.waiters)-1]
 	return item, true
 }
 
-// ConnectFailed notes that a connection did not come up, and gives out the first in the line, if none is
-// being opened for it.
-func (p *Queue[T]) ConnectFailed(now time.Duration, id, inUse int) (item T, ok bool) {
-	p.removePending(now, id)
-	if p.needed(now, inUse) <= len(p.pendingConnects) {
+// ConnectFailed notes that a connect has failed. It removes and returns the first attempt, if no other connect is pending
+// for it.
+func (q *Queue[T]) ConnectFailed(now time.Duration, id, inUse int) (item T, ok bool) {
+	q.removePending(now, id)
+	if q.neededConnects(now, inUse) <= len(q.pendingConnects) {
 		return item, false
 	}
-	return p.Pop()
+	return q.Pop()
 }
 
-// Pop gives out the first in the line: a connection is free.
-func (p *Queue[T]) Pop() (item T, ok bool) {
-	if len(p.waiters) == 0 {
+// Pop removes and returns the first attempt, for a connection that is free.
+func (q *Queue[T]) Pop() (item T, ok bool) {
+	if len(q.waiters) == 0 {
 		return item, false
 	}
-	item = p.waiters[0].item
-	p.waiters = p.waiters[1:]
+	item = q.waiters[0].item
+	q.waiters = q.waiters[1:]
 	return item, true
 }
 
-// Remove takes out an item that is given up; false: it does not wait.
-func (p *Queue[T]) Remove(item T) bool {
-	for i, w := range p.waiters {
+// Remove removes an attempt that is cancelled, and reports whether it was waiting.
+func (q *Queue[T]) Remove(item T) bool {
+	for i, w := range q.waiters {
 		if w.item == item {
-			p.waiters = append(p.waiters[:i:i], p.waiters[i+1:]...)
+			q.waiters = append(q.waiters[:i:i], q.waiters[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// PopExpired gives out one that has waited too long: it goes without. It is to be asked until there is none.
-func (p *Queue[T]) PopExpired(now time.Duration) (item T, ok bool) {
-	if len(p.waiters) == 0 || now < p.waiters[0].connectDueAt+p.settings.ConnectTimeout {
+// PopExpired removes and returns an attempt that has waited for too long. The caller repeats it until there is none.
+func (q *Queue[T]) PopExpired(now time.Duration) (item T, ok bool) {
+	if len(q.waiters) == 0 || now < q.waiters[0].connectDueAt+q.settings.ConnectTimeout {
 		return item, false
 	}
-	return p.Pop()
+	return q.Pop()
 }
 
-// Next is when to ask Open and Over again.
-func (p *Queue[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
-	if len(p.waiters) == 0 {
+// Next is when PopExpired and ConnectsDue are to be called again; false if no attempt waits.
+func (q *Queue[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
+	if len(q.waiters) == 0 {
 		return 0, false
 	}
-	at = p.waiters[0].connectDueAt + p.settings.ConnectTimeout
-	for _, w := range p.waiters {
+	at = q.waiters[0].connectDueAt + q.settings.ConnectTimeout
+	for _, w := range q.waiters {
 		if w.connectDueAt > now {
 			at = min(at, w.connectDueAt)
 			break
 		}
 	}
-	for _, o := range p.pendingConnects {
-		if next := o.startedAt + late; next > now {
-			at = min(at, next)
+	for _, connect := range q.pendingConnects {
+		if lateAt := connect.startedAt + late; lateAt > now {
+			at = min(at, lateAt)
 		}
 	}
 	return max(at, now), true
 }
 
-// Len is how many wait.
-func (p *Queue[T]) Len() int { return len(p.waiters) }
+// Len is the number of waiting attempts.
+func (q *Queue[T]) Len() int { return len(q.waiters) }
--- a/internal/connqueue/queue_test.go
+++ b/internal/connqueue/queue_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The wait is in step with the price, none without one, and bounded.
+// The wait is proportional to the price, and bounded.
 func TestMaxFreeConnWaitFollowsThePrice(t *testing.T) {
 	for _, x := range []struct {
 		price float64
@@ -24,160 +24,211 @@
 	}
 }
 
-// A model of the line: who waits, since when, and what is being opened. All invariants of the package's page.
-func TestQueueKeepsItsInvariants(t *testing.T) {
-	const late = 15
-	rapid.Check(t, func(rt *rapid.T) {
-		wait := time.Duration(rapid.IntRange(0, 50).Draw(rt, "wait"))
-		patience := time.Duration(rapid.IntRange(20, 60).Draw(rt, "patience"))
-		p := New[int](Settings{FreeConnWait: wait, ConnectTimeout: patience})
-		now, inUse, next := time.Duration(0), 0, 0
-		since, opens := map[int]time.Duration{}, map[int]time.Duration{}
-		var line []int
-		out := func(item int, ok bool) bool {
-			if ok && (len(line) == 0 || line[0] != item) {
-				rt.Fatalf("%d given out of turn; the line is %v", item, line)
-			}
-			if ok {
-				line = line[1:]
-				delete(since, item)
-			}
-			return ok
+// queueModel is a Queue, and what its state must be.
+type queueModel struct {
+	queue    *Queue[int]
+	settings Settings
+	now      time.Duration
+	inUse    int
+	lastItem int
+	waiting  []int
+	queuedAt map[int]time.Duration // by item
+	pending  map[int]time.Duration // start times of connects by id
+}
+
+// testLate is when a connect of queueModel is late.
+const testLate = 15
+
+// remove checks that an item which left the queue was the first, and removes it.
+func (m *queueModel) remove(t *rapid.T, item int, ok bool) bool {
+	if ok && (len(m.waiting) == 0 || m.waiting[0] != item) {
+		t.Fatalf("%d left the queue out of order; waiting are %v", item, m.waiting)
+	}
+	if ok {
+		m.waiting = m.waiting[1:]
+		delete(m.queuedAt, item)
+	}
+	return ok
+}
+
+func (m *queueModel) popExpired(t *rapid.T) bool {
+	item, ok := m.queue.PopExpired(m.now)
+	return m.remove(t, item, ok)
+}
+
+func (m *queueModel) pop(t *rapid.T) bool {
+	item, ok := m.queue.Pop()
+	return m.remove(t, item, ok)
+}
+
+func (m *queueModel) fail(t *rapid.T, id int) bool {
+	item, ok := m.queue.ConnectFailed(m.now, id, m.inUse)
+	return m.remove(t, item, ok)
+}
+
+// drawPending draws the id of a pending connect, or 0.
+func (m *queueModel) drawPending(t *rapid.T) int {
+	for id := 1; id <= m.queue.lastID; id++ {
+		if _, ok := m.pending[id]; ok && rapid.Bool().Draw(t, "this") {
+			return id
 		}
-		pick := func() int {
-			for id := 1; id <= p.lastID; id++ {
-				if _, ok := opens[id]; ok && rapid.Bool().Draw(rt, "this") {
-					return id
-				}
-			}
-			return 0
+	}
+	return 0
+}
+
+func (m *queueModel) neededConnects() (n int) {
+	for _, item := range m.waiting {
+		if m.now >= m.queuedAt[item]+m.settings.FreeConnWait {
+			n++
 		}
-		due := func() (n int) {
-			for _, item := range line {
-				if now >= since[item]+wait {
-					n++
-				}
-			}
-			return max(n, (len(line)-inUse+1)/2)
+	}
+	return max(n, (len(m.waiting)-m.inUse+1)/2)
+}
+
+// startConnects does what is due, as a driver does after each change.
+func (m *queueModel) startConnects(t *rapid.T) {
+	for m.popExpired(t) {
+	}
+	for range m.queue.ConnectsDue(m.now, m.inUse, testLate) {
+		if rapid.IntRange(0, 5).Draw(t, "capacity") > 0 {
+			m.pending[m.queue.ConnectStarted(m.now)] = m.now
+			continue
 		}
-		tend := func() {
-			for out(p.PopExpired(now)) {
-			}
-			for range p.ConnectsDue(now, inUse, late) {
-				if rapid.IntRange(0, 5).Draw(rt, "room") > 0 {
-					opens[p.ConnectStarted(now)] = now
-				} else {
-					if item, ok := p.DropLast(now, inUse); ok {
-						if item != line[len(line)-1] {
-							rt.Fatalf("%d goes without, of %v", item, line)
-						}
-						line = line[:len(line)-1]
-						delete(since, item)
-					}
-				}
-			}
+		item, ok := m.queue.DropLast(m.now, m.inUse)
+		if !ok {
+			continue
 		}
-		rt.Repeat(map[string]func(*rapid.T){
-			"want": func(rt *rapid.T) {
-				next++
-				p.Enqueue(now, next)
-				line, since[next] = append(line, next), now
-				tend()
-			},
-			"free": func(rt *rapid.T) {
-				if inUse > 0 && !out(p.Pop()) {
-					inUse--
-				}
-			},
-			"broken": func(*rapid.T) {
-				if inUse > 0 {
-					inUse--
-				}
-				tend()
-			},
-			"up": func(rt *rapid.T) {
-				if id := pick(); id > 0 {
-					if took := p.ConnectSucceeded(now, id); took != now-opens[id] {
-						rt.Fatalf("took %v", took)
-					}
-					delete(opens, id)
-					if out(p.Pop()) {
-						inUse++
-					}
-					tend()
-				}
-			},
-			"failed": func(rt *rapid.T) {
-				if id := pick(); id > 0 {
-					delete(opens, id)
-					covered := due() <= len(opens)
-					if out(p.ConnectFailed(now, id, inUse)) == covered && len(line) > 0 {
-						rt.Fatalf("covered %v, yet %v", covered, line)
-					}
-					tend()
-				}
-			},
-			"remove": func(rt *rapid.T) {
-				if next == 0 {
-					return
-				}
-				item := rapid.IntRange(1, next).Draw(rt, "item")
-				_, held := since[item]
-				if p.Remove(item) != held {
-					rt.Fatalf("remove %d: held %v", item, held)
-				}
-				delete(since, item)
-				line = slices.DeleteFunc(line, func(x int) bool { return x == item })
-			},
-			"pass": func(rt *rapid.T) {
-				at, ok := p.Next(now, late)
-				now += time.Duration(rapid.IntRange(0, 60).Draw(rt, "ms"))
-				if ok {
-					now = min(now, max(at, now-60))
+		last := len(m.waiting) - 1
+		if item != m.waiting[last] {
+			t.Fatalf("%d was dropped, of %v", item, m.waiting)
+		}
+		m.waiting = m.waiting[:last]
+		delete(m.queuedAt, item)
+	}
+}
+
+func (m *queueModel) enqueue(t *rapid.T) {
+	m.lastItem++
+	m.queue.Enqueue(m.now, m.lastItem)
+	m.waiting, m.queuedAt[m.lastItem] = append(m.waiting, m.lastItem), m.now
+	m.startConnects(t)
+}
+
+func (m *queueModel) connectSucceeded(t *rapid.T) {
+	id := m.drawPending(t)
+	if id == 0 {
+		return
+	}
+	if took := m.queue.ConnectSucceeded(m.now, id); took != m.now-m.pending[id] {
+		t.Fatalf("took %v", took)
+	}
+	delete(m.pending, id)
+	if m.pop(t) {
+		m.inUse++
+	}
+	m.startConnects(t)
+}
+
+func (m *queueModel) connectFailed(t *rapid.T) {
+	id := m.drawPending(t)
+	if id == 0 {
+		return
+	}
+	delete(m.pending, id)
+	covered := m.neededConnects() <= len(m.pending)
+	if m.fail(t, id) == covered && len(m.waiting) > 0 {
+		t.Fatalf("other connects are pending: %v, waiting are %v", covered, m.waiting)
+	}
+	m.startConnects(t)
+}
+
+func (m *queueModel) cancel(t *rapid.T) {
+	if m.lastItem == 0 {
+		return
+	}
+	item := rapid.IntRange(1, m.lastItem).Draw(t, "item")
+	_, waits := m.queuedAt[item]
+	if m.queue.Remove(item) != waits {
+		t.Fatalf("remove %d: it waits: %v", item, waits)
+	}
+	delete(m.queuedAt, item)
+	m.waiting = slices.DeleteFunc(m.waiting, func(x int) bool { return x == item })
+}
+
+func (m *queueModel) pass(t *rapid.T) {
+	at, ok := m.queue.Next(m.now, testLate)
+	m.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms"))
+	if ok {
+		m.now = min(m.now, max(at, m.now-60))
+	}
+	m.startConnects(t)
+}
+
+func (m *queueModel) check(t *rapid.T) {
+	if m.queue.Len() != len(m.waiting) || len(m.queue.pendingConnects) != len(m.pending) {
+		t.Fatalf("%d wait and %d connects are pending, want %v and %v", m.queue.Len(), len(m.queue.pendingConnects), m.waiting, m.pending)
+	}
+	for _, item := range m.waiting {
+		if m.now >= m.queuedAt[item]+m.settings.FreeConnWait+m.settings.ConnectTimeout && m.now > m.queuedAt[item] {
+			t.Fatalf("%d waits since %v, it is %v", item, m.queuedAt[item], m.now)
+		}
+	}
+}
+
+func TestQueueKeepsItsInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := queueModel{queuedAt: map[int]time.Duration{}, pending: map[int]time.Duration{}}
+		m.settings.FreeConnWait = time.Duration(rapid.IntRange(0, 50).Draw(t, "wait"))
+		m.settings.ConnectTimeout = time.Duration(rapid.IntRange(20, 60).Draw(t, "connect timeout"))
+		m.queue = New[int](m.settings)
+		t.Repeat(map[string]func(*rapid.T){
+			"enqueue": m.enqueue,
+			"free": func(t *rapid.T) {
+				if m.inUse > 0 && !m.pop(t) {
+					m.inUse--
 				}
-				tend()
 			},
-			"": func(rt *rapid.T) {
-				if p.Len() != len(line) || len(p.pendingConnects) != len(opens) {
-					rt.Fatalf("%d wait and %d are being opened, want %v and %v", p.Len(), len(p.pendingConnects), line, opens)
-				}
-				for _, item := range line {
-					if now >= since[item]+wait+patience && now > since[item] {
-						rt.Fatalf("%d waits since %v, it is %v", item, since[item], now)
-					}
+			"broken": func(t *rapid.T) {
+				if m.inUse > 0 {
+					m.inUse--
 				}
+				m.startConnects(t)
 			},
+			"connect succeeded": m.connectSucceeded,
+			"connect failed":    m.connectFailed,
+			"cancel":            m.cancel,
+			"pass":              m.pass,
+			"":                  m.check,
 		})
 	})
 }
 
-// An attempt whose connection comes up late takes another's, opened beside it; one whose only
-// connection is refused goes without at once.
-func TestLateConnectHasOneBeside(t *testing.T) {
+// An attempt whose connect is late takes the connection of another connect. One whose only connect fails leaves the queue.
+func TestAnotherConnectStartsBesideALateOne(t *testing.T) {
 	const ms = time.Millisecond
-	p := New[string](Settings{ConnectTimeout: 250 * ms})
-	p.Enqueue(0, "a")
-	if n := p.ConnectsDue(0, 3, 20*ms); n != 1 {
-		t.Fatalf("%d opened at first", n)
-	}
-	slow := p.ConnectStarted(0)
-	if at, ok := p.Next(0, 20*ms); !ok || at != 20*ms || p.ConnectsDue(at-1, 3, 20*ms) != 0 || p.ConnectsDue(at, 3, 20*ms) != 1 {
-		t.Fatalf("none beside a late one, looked at %v", at)
-	}
-	quick := p.ConnectStarted(20 * ms)
-	if n := p.ConnectsDue(60*ms, 3, 20*ms); n != 0 {
-		t.Fatalf("%d more opened, of two already", n)
-	}
-	if _, ok := p.ConnectFailed(70*ms, slow, 3); ok {
-		t.Fatal("given up while another is being opened")
-	}
-	p.ConnectSucceeded(80*ms, quick)
-	if a, ok := p.Pop(); !ok || a != "a" {
-		t.Fatal("it did not take the one that came up")
-	}
-	p.Enqueue(90*ms, "b")
-	p.ConnectsDue(90*ms, 3, 20*ms)
-	if b, ok := p.ConnectFailed(91*ms, p.ConnectStarted(90*ms), 3); !ok || b != "b" {
-		t.Fatal("a refused connection did not end it at once")
+	q := New[string](Settings{ConnectTimeout: 250 * ms})
+	q.Enqueue(0, "a")
+	if n := q.ConnectsDue(0, 3, 20*ms); n != 1 {
+		t.Fatalf("%d connects at first", n)
+	}
+	slow := q.ConnectStarted(0)
+	if at, ok := q.Next(0, 20*ms); !ok || at != 20*ms || q.ConnectsDue(at-1, 3, 20*ms) != 0 || q.ConnectsDue(at, 3, 20*ms) != 1 {
+		t.Fatalf("no connect beside a late one, next at %v", at)
+	}
+	quick := q.ConnectStarted(20 * ms)
+	if n := q.ConnectsDue(60*ms, 3, 20*ms); n != 0 {
+		t.Fatalf("%d more connects, with two pending", n)
+	}
+	if _, ok := q.ConnectFailed(70*ms, slow, 3); ok {
+		t.Fatal("left the queue while another connect is pending")
+	}
+	q.ConnectSucceeded(80*ms, quick)
+	if a, ok := q.Pop(); !ok || a != "a" {
+		t.Fatal("the attempt did not take the connection")
+	}
+	q.Enqueue(90*ms, "b")
+	q.ConnectsDue(90*ms, 3, 20*ms)
+	if b, ok := q.ConnectFailed(91*ms, q.ConnectStarted(90*ms), 3); !ok || b != "b" {
+		t.Fatal("the attempt stays after its only connect failed")
 	}
 }
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,57 +1,60 @@
-// Package deadline owns how long before its client gives up a request must have ended: the answer has
-// still to be written and to travel, and this host's own processor may be late for both. On a small
-// share of a core a timer comes late by many milliseconds; what a constant leaves for the answer is
-// gone by then. So the margin follows how late timers were of late.
+// Package deadline decides how long before its client gives up a request must have ended: the answer has still to be written
+// and to reach the client, and this process may be late for both. On a small share of a processor, timers are late by many
+// milliseconds, so the margin follows the recent timer lag.
 //
 // Invariants:
-//   - The margin is never under Least, nor over the part Share of the client's patience.
-//   - It covers Times the worst lateness of the last Span to twice Span.
-//   - With no lateness seen for twice Span it is Least again.
+//   - The margin is at least MinMargin, and beyond it at most the part 1/MaxMarginDivisor of the client's timeout.
+//   - Within these bounds it is at least LagFactor times any lag of the last Window, where a lag counts as MaxLag at most.
+//   - No lag counts for longer than twice Window.
 //
-// It knows no clock and does no I/O: the caller gives the time and what it saw.
+// The package has no clock and no I/O: the caller gives the time and the lags.
 package deadline
 
 import "time"
 
 const (
-	// MinMargin is for the way to the client: its figure counts from its own send.
+	// MinMargin is for the way to the client, whose timeout starts when it sends the request.
 	MinMargin = 15 * time.Millisecond
-	// LagFactor: the answer is decided on a timer that is late once, and written by a goroutine that
-	// waits its turn again.
+	// LagFactor is how many times the worst lag fits into the margin: the timer that ends the request may be late, and so may
+	// the goroutine that writes the answer.
 	LagFactor = 3
-	// MaxMarginDivisor bounds the margin: a host that is later than that serves nobody by giving up sooner.
+	// MaxMarginDivisor bounds the margin to a part of the client's timeout: a process that is later serves no more requests by
+	// ending them earlier.
 	MaxMarginDivisor = 4
-	// MaxLag is what a longer lateness counts as: it was a standstill, which passes.
+	// MaxLag is what a longer lag counts as: it was a stall, which is over.
 	MaxLag = 100 * time.Millisecond
-	// Window is how long a lateness counts, at least.
+	// Window is how long a lag counts at least.
 	Window = 5 * time.Second
 )
 
-// LagGauge holds the worst lateness of late; the zero value has seen none.
+// LagGauge holds the worst recent timer lag. The zero value has none. It must be used by one goroutine at a time.
 type LagGauge struct {
-	currentWorst, previousWorst time.Duration // worst of this span and of the one before
-	windowStart                 time.Duration // start of this span
+	currentWorst  time.Duration // of the window that started at windowStart
+	previousWorst time.Duration // of the window before
+	windowStart   time.Duration
 }
 
-func (g *LagGauge) advance(at time.Duration) {
-	if at-g.windowStart >= 2*Window {
-		g.currentWorst, g.previousWorst, g.windowStart = 0, 0, at
-	} else if at-g.windowStart >= Window {
+// advance starts a new window if the current one has ended.
+func (g *LagGauge) advance(now time.Duration) {
+	switch elapsed := now - g.windowStart; {
+	case elapsed >= 2*Window:
+		g.currentWorst, g.previousWorst, g.windowStart = 0, 0, now
+	case elapsed >= Window:
 		g.currentWorst, g.previousWorst, g.windowStart = 0, g.currentWorst, g.windowStart+Window
 	}
 }
 
-// Record notes that a timer was this late.
-func (g *LagGauge) Record(at, late time.Duration) {
-	g.advance(at)
-	g.currentWorst = max(g.currentWorst, min(late, MaxLag))
+// Record notes the lag of a timer.
+func (g *LagGauge) Record(now, lag time.Duration) {
+	g.advance(now)
+	g.currentWorst = max(g.currentWorst, min(lag, MaxLag))
 }
 
-// Margin is that of a request whose client has this much patience.
-func (g *LagGauge) Margin(at, patience time.Duration) time.Duration {
-	g.advance(at)
-	return min(max(MinMargin, LagFactor*max(g.currentWorst, g.previousWorst)), max(MinMargin, patience/MaxMarginDivisor))
+// Margin returns the margin of a request whose client waits for this long.
+func (g *LagGauge) Margin(now, clientTimeout time.Duration) time.Duration {
+	g.advance(now)
+	return min(max(MinMargin, LagFactor*g.Worst()), max(MinMargin, clientTimeout/MaxMarginDivisor))
 }
 
-// Worst is the worst lateness that counts now.
+// Worst returns the worst lag that counts, as of the last call of Record or Margin.
 func (g *LagGauge) Worst() time.Duration { return max(g.currentWorst, g.previousWorst) }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -11,37 +11,37 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The invariants of the package comment, against a plain list of all that was seen.
+// The margin is compared with the list of all recorded lags.
 func TestMarginCoversRecentLags(t *testing.T) {
-	type seen struct{ at, late time.Duration }
+	type sample struct{ at, lag time.Duration }
 	rapid.Check(t, func(t *rapid.T) {
 		var g LagGauge
-		var all []seen
-		at := time.Duration(0)
+		var samples []sample
+		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			at += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
-			if rapid.Bool().Draw(t, "saw") {
-				s := seen{at, time.Duration(rapid.IntRange(0, 200).Draw(t, "late")) * time.Millisecond}
-				all = append(all, s)
-				g.Record(s.at, s.late)
+			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
+			if rapid.Bool().Draw(t, "record") {
+				lag := time.Duration(rapid.IntRange(0, 200).Draw(t, "lag")) * time.Millisecond
+				samples = append(samples, sample{now, min(lag, MaxLag)})
+				g.Record(now, lag)
 			}
-			patience := time.Duration(rapid.IntRange(1, 4000).Draw(t, "patience")) * time.Millisecond
-			got := g.Margin(at, patience)
-			if got < MinMargin || got > max(MinMargin, patience/MaxMarginDivisor) {
-				t.Fatalf("margin %v of %v", got, patience)
+			timeout := time.Duration(rapid.IntRange(1, 4000).Draw(t, "client timeout")) * time.Millisecond
+			got := g.Margin(now, timeout)
+			bound := max(MinMargin, timeout/MaxMarginDivisor)
+			if got < MinMargin || got > bound {
+				t.Fatalf("margin %v of %v", got, timeout)
 			}
-			must, may := MinMargin, MinMargin // of what still counts for sure, and of what may count
-			for _, s := range all {
-				s.late = min(s.late, MaxLag)
-				if at-s.at < Window {
-					must = max(must, LagFactor*s.late)
+			least, most := MinMargin, MinMargin // by the lags that must count, and by those that may
+			for _, s := range samples {
+				if now-s.at < Window {
+					least = max(least, LagFactor*s.lag)
 				}
-				if at-s.at <= 2*Window {
-					may = max(may, LagFactor*s.late)
+				if now-s.at <= 2*Window {
+					most = max(most, LagFactor*s.lag)
 				}
 			}
-			if most := max(MinMargin, patience/MaxMarginDivisor); got < min(must, most) || got > min(may, most) {
-				t.Fatalf("margin %v, wanted %v to %v of %v", got, must, may, patience)
+			if got < min(least, bound) || got > min(most, bound) {
+				t.Fatalf("margin %v, want %v to %v of %v", got, least, most, timeout)
 			}
 		}
 	})
