--- a/internal/address/errors.go
+++ b/internal/address/errors.go
@@ -41,7 +41,7 @@
 
 // Advice implements operr.Coded.
 func (e *ListError) Advice() string {
-	return "Have the list name the address as host:port, [IPv6]:port or unix:PATH, once; the node's other addresses are used until then."
+	return "Correct the address in the list: host:port, [IPv6]:port or unix:PATH, each once. Until then the node's other addresses are used."
 }
 
 func init() {
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -73,7 +73,7 @@
 
 // Advice implements operr.Coded.
 func (e *SettingError) Advice() string {
-	return "correct the key in the configuration; until then start without the section start"
+	return "Correct the key in the section start of the configuration; until then, start without that section."
 }
 
 func init() { operr.Register(&SettingError{"hosts", 0, "1 or more"}) }
--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -89,7 +89,7 @@
 
 // Advice implements operr.Coded.
 func (e *UnusableError) Advice() string {
-	return "nothing: the program starts as without a snapshot and writes a new one; if it comes at each start, look at who else writes the file"
+	return "Nothing: the program starts without the snapshot and writes a new one. If this occurs at each start, find out which other program writes the file."
 }
 
 // FileError reports a snapshot that could not be read or written.
@@ -110,7 +110,7 @@
 
 // Advice implements operr.Coded.
 func (e *FileError) Advice() string {
-	return "see that the folder of start.snapshot is there, is the program's own and has room; the program runs without"
+	return "Make sure that the directory of start.snapshot exists, belongs to the program's user and has space; the program runs without the snapshot."
 }
 
 func init() {
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -26,8 +26,8 @@
 
 // Advice implements operr.Coded.
 func (e *NoLockError) Advice() string {
-	return "Give the program a $TMPDIR that its user may write, the same for all processes of the scheduler (" + e.Path +
-		"): until then two processes beside each other both accept, each with its host's whole part of each limit."
+	return "Set $TMPDIR to a directory that the program's user may write, the same for all processes of the scheduler (" + e.Path +
+		"). Until then, two processes at the same time both accept, each with the scheduler's whole quota of each limit."
 }
 
 // LongWaitError reports a long wait for the clients' socket.
@@ -45,8 +45,8 @@
 
 // Advice implements operr.Coded.
 func (e *LongWaitError) Advice() string {
-	return "Nothing, while the old process is to serve on. To go over to this one send the old one SIGTERM, and SIGKILL if it does not end in its time; who has " +
-		e.Path + " open (lslocks, fuser) is it."
+	return "Nothing, if the other process is to continue to serve. To replace it by this one, send it SIGTERM, and SIGKILL if it does not end in time; it is the one that has " +
+		e.Path + " open (see lslocks or fuser)."
 }
 
 func init() {
