--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -5,7 +5,7 @@
 //
 // Invariants:
 //   - The phase never goes back.
-//   - Ready is reported at most once, and by Settings.ReadyDeadline whatever is received, as long as timers fire.
+//   - Ready is reported at most once, and by Settings.ReadyDeadline at the latest, as long as timers fire.
 //   - Each rejection carries a Retry-After between MinRetryAfter and MaxRetryAfter.
 //   - The shares of a cold node's budget of all schedulers sum to at most the budget.
 //   - The first list requests of the fleet are spread by name: no second holds over twice the mean. After a request that
@@ -13,7 +13,7 @@
 //   - The first list request is sent before the staleness bound ends, even where the fleet needs longer to spread.
 //   - Nothing that the snapshot has of a node is restored unless the first received list gives the same start time. (Later
 //     lists are the policy's alone, which compares the start time again.)
-//   - Peers lift no limit: no node counts as warmed up before the list says so, whatever a peer reports or hands over. The
+//   - Peers lift no limit: no node counts as warmed up before the list is received, even if a peer reports so or hands over a snapshot. The
 //     process's own snapshot takes precedence over one that is handed over.
 //   - At most MaxNodes nodes are held. To further ones no connection is opened ahead, and they are never backing off.
 //
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -139,7 +139,7 @@
 	return min(need, s.ReadyDeadline())
 }
 
-// ReadyDeadline is when ready is reported at the latest, whatever is received.
+// ReadyDeadline is when ready is reported at the latest, even if nothing was received.
 func (s *Settings) ReadyDeadline() time.Duration {
 	return time.Duration(stalenessBoundShare * float64(s.StalenessBound))
 }
--- a/internal/connqueue/queue.go
+++ b/internal/connqueue/queue.go
@@ -18,7 +18,7 @@
 
 import "time"
 
-// MaxWaitDivisor bounds the wait for a connection in use to this part of the latency objective, whatever the price.
+// MaxWaitDivisor bounds the wait for a connection in use to this part of the latency objective.
 const MaxWaitDivisor = 4
 
 // A connect is late after LateFactor times the usual connect time, and after MinLate at least.
--- a/internal/connqueue/recorded_test.go
+++ b/internal/connqueue/recorded_test.go
@@ -10,78 +10,99 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
+// queueScript plays random events on a queue and records the results.
+type queueScript struct {
+	queue   *Queue[int]
+	rng     *rand.Rand
+	now     time.Duration
+	late    time.Duration
+	inUse   int
+	items   int
+	pending []int // ids of connects
+	fields  []any // of the current step
+}
+
+func (s *queueScript) result(word string, item int, ok bool) bool {
+	s.fields = append(s.fields, word, item, ok)
+	return ok
+}
+
+func (s *queueScript) takePending() int {
+	i := s.rng.Intn(len(s.pending))
+	id := s.pending[i]
+	s.pending = slices.Delete(s.pending, i, i+1)
+	return id
+}
+
+// event plays one random event.
+func (s *queueScript) event() {
+	switch n := s.rng.Intn(10); {
+	case n < 4:
+		s.items++
+		s.queue.Enqueue(s.now, s.items)
+		s.fields = append(s.fields, "enqueue", s.items)
+	case n == 4 && s.inUse > 0:
+		item, ok := s.queue.Pop()
+		if !s.result("pop", item, ok) {
+			s.inUse--
+		}
+	case n == 5 && len(s.pending) > 0:
+		s.fields = append(s.fields, int64(s.queue.ConnectSucceeded(s.now, s.takePending())))
+		item, ok := s.queue.Pop()
+		if s.result("up", item, ok) {
+			s.inUse++
+		}
+	case n == 6 && len(s.pending) > 0:
+		item, ok := s.queue.ConnectFailed(s.now, s.takePending(), s.inUse)
+		s.result("failed", item, ok)
+	case n == 7 && s.items > 0:
+		item := 1 + max(0, s.items-s.rng.Intn(12)-1)
+		s.fields = append(s.fields, "remove", item, s.queue.Remove(item))
+	case n == 8 && s.inUse > 0:
+		s.inUse--
+		s.fields = append(s.fields, "broken")
+	}
+}
+
+// startConnects does what is due after an event.
+func (s *queueScript) startConnects() {
+	for {
+		item, ok := s.queue.PopExpired(s.now)
+		if !s.result("expired", item, ok) {
+			break
+		}
+	}
+	due := s.queue.ConnectsDue(s.now, s.inUse, s.late)
+	s.fields = append(s.fields, due)
+	for range due {
+		if s.rng.Intn(6) > 0 {
+			id := s.queue.ConnectStarted(s.now)
+			s.pending = append(s.pending, id)
+			s.fields = append(s.fields, "started", id)
+		} else {
+			item, ok := s.queue.DropLast(s.now, s.inUse)
+			s.result("dropped", item, ok)
+		}
+	}
+}
+
 // The decisions of a queue under random events are those of the recording.
 func TestRecordedDecisionsOfAQueue(t *testing.T) {
 	const ms = time.Millisecond
 	for i := range 12 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			rng := rand.New(rand.NewSource(int64(40 + i)))
 			var script recorded.Script
-			q := New[int](Settings{FreeConnWait: time.Duration(i%4*15) * ms, ConnectTimeout: time.Duration(40+20*(i%3)) * ms})
-			now, late, inUse, items := time.Duration(0), time.Duration(10+5*(i%2))*ms, 0, 0
-			var opening []int
+			s := queueScript{rng: rand.New(rand.NewSource(int64(40 + i))), late: time.Duration(10+5*(i%2)) * ms}
+			s.queue = New[int](Settings{FreeConnWait: time.Duration(i%4*15) * ms, ConnectTimeout: time.Duration(40+20*(i%3)) * ms})
 			for range 1500 {
-				fields := []any{int64(now)}
-				result := func(word string, item int, ok bool) bool {
-					fields = append(fields, word, item, ok)
-					return ok
-				}
-				takeOpening := func() int {
-					at := rng.Intn(len(opening))
-					id := opening[at]
-					opening = slices.Delete(opening, at, at+1)
-					return id
-				}
-				switch n := rng.Intn(10); {
-				case n < 4:
-					items++
-					q.Enqueue(now, items)
-					fields = append(fields, "enqueue", items)
-				case n == 4 && inUse > 0:
-					item, ok := q.Pop()
-					if !result("pop", item, ok) {
-						inUse--
-					}
-				case n == 5 && len(opening) > 0:
-					fields = append(fields, int64(q.ConnectSucceeded(now, takeOpening())))
-					item, ok := q.Pop()
-					if result("up", item, ok) {
-						inUse++
-					}
-				case n == 6 && len(opening) > 0:
-					item, ok := q.ConnectFailed(now, takeOpening(), inUse)
-					result("failed", item, ok)
-				case n == 7 && items > 0:
-					item := 1 + max(0, items-rng.Intn(12)-1)
-					fields = append(fields, "remove", item, q.Remove(item))
-				case n == 8 && inUse > 0:
-					inUse--
-					fields = append(fields, "broken")
-				}
-				for {
-					item, ok := q.PopExpired(now)
-					if !result("expired", item, ok) {
-						break
-					}
-				}
-				due := q.ConnectsDue(now, inUse, late)
-				fields = append(fields, due)
-				for range due {
-					if rng.Intn(6) > 0 {
-						id := q.ConnectStarted(now)
-						opening = append(opening, id)
-						fields = append(fields, "started", id)
-					} else {
-						item, ok := q.DropLast(now, inUse)
-						result("dropped", item, ok)
-					}
-				}
-				at, ok := q.Next(now, late)
-				fields = append(fields, int64(at), ok, q.Len())
-				script.Add(fields...)
-				now += time.Duration(rng.Intn(15)) * ms
-				if rng.Intn(100) == 0 {
-					now += 200 * ms // a stall
+				s.fields = []any{int64(s.now)}
+				s.event()
+				s.startConnects()
+				at, ok := s.queue.Next(s.now, s.late)
+				script.Add(append(s.fields, int64(at), ok, s.queue.Len())...)
+				s.now += time.Duration(s.rng.Intn(15)) * ms
+				if s.rng.Intn(100) == 0 {
+					s.now += 200 * ms // a stall
 				}
 			}
 			script.Check(t, fmt.Sprintf("queue-%02d", i))
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -4,7 +4,7 @@
 //
 // Invariants:
 //
-//  1. An excluded node is never shown as up, whatever the list has, until it is included.
+//  1. An excluded node is never shown as up until it is included, even if the list has it as up.
 //  2. A rejected call has no effect: one for a node that was never listed, or an exclude beyond the bound.
 //  3. Excluding a node twice is the same as once, and one include ends it.
 //  4. A node that was included is shown as started no earlier than its include, for as long as it may be cold.
