--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -73,7 +73,7 @@
 
 // Advice implements operr.Coded.
 func (e *SettingError) Advice() string {
-	return "correct the key in the configuration; until then start without the section start"
+	return "Correct the key in the section start of the configuration; until then, start without that section."
 }
 
 func init() { operr.Register(&SettingError{"hosts", 0, "1 or more"}) }
@@ -139,7 +139,7 @@
 	return min(need, s.ReadyDeadline())
 }
 
-// ReadyDeadline is when ready is reported at the latest, whatever is received.
+// ReadyDeadline is when ready is reported at the latest, even if nothing was received.
 func (s *Settings) ReadyDeadline() time.Duration {
 	return time.Duration(stalenessBoundShare * float64(s.StalenessBound))
 }
--- /dev/null
+++ b/internal/connqueue/idlelimiter_test.go
@@ -0,0 +1,78 @@
+package connqueue
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func TestIdleBoundsAfterSigns(t *testing.T) {
+	const ms, sec = time.Millisecond, time.Second
+	for name, x := range map[string]struct {
+		signs   string // every 100 ms: r rejected, l late, t timely, b timely but started before the last
+		limited time.Duration
+	}{
+		"none": {"", 0}, "timely": {"tttt", 0}, "one rejection": {"r", 2 * sec}, "two late": {"ll", 0}, "three late": {"lll", 2 * sec},
+		"late, but one timely": {"lltll", 0}, "late, one timely started before": {"llbl", 2 * sec}, "a rejection and two late": {"rll", 2*sec - 200*ms},
+		"two rejections": {"rr", 4 * sec}, "five": {"rrrrr", 16 * sec}, "timely after": {"rtt", 2*sec - 200*ms},
+	} {
+		var s IdleLimiter
+		now := time.Duration(0)
+		for i, c := range x.signs {
+			now = time.Duration(i) * 100 * ms
+			switch c {
+			case 'r':
+				s.ConnectRejected(now)
+			case 'l':
+				s.ConnectLate(now)
+			case 't':
+				s.ConnectTimely(now)
+			case 'b':
+				s.ConnectTimely(now - 150*ms) // started before the last
+			}
+		}
+		if n, _ := s.IdleBounds(now+x.limited, 9, 9*sec); n != 9 {
+			t.Errorf("%s: limited for longer than %v", name, x.limited)
+		}
+		if n, timeout := s.IdleBounds(now+x.limited-1, 9, 9*sec); x.limited > 0 && (n != LimitedIdleConns || timeout != LimitedIdleTimeout) {
+			t.Errorf("%s: %d for %v", name, n, timeout)
+		}
+	}
+	var s IdleLimiter
+	s.ConnectRejected(0)
+	s.ConnectRejected(5 * sec) // a sign long after another counts as the first
+	if n, _ := s.IdleBounds(7*sec, 9, 9*sec); n != 9 {
+		t.Error("limited as after a second sign")
+	}
+}
+
+func TestIdleLimiterKeepsItsInvariants(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		var s IdleLimiter
+		now, last, row, signs := time.Duration(0), time.Duration(0), 0, 0
+		rt.Repeat(map[string]func(*rapid.T){
+			"rejected": func(*rapid.T) { s.ConnectRejected(now); last, row, signs = now, 0, signs+1 },
+			"late": func(*rapid.T) {
+				s.ConnectLate(now)
+				if row++; row == MaxLateConnects {
+					last, row, signs = now, 0, signs+1
+				}
+			},
+			"timely": func(*rapid.T) { s.ConnectTimely(now); row = 0 },
+			"pass":   func(rt *rapid.T) { now += time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond },
+			"": func(rt *rapid.T) {
+				usual := rapid.IntRange(1, 64).Draw(rt, "usual")
+				n, timeout := s.IdleBounds(now, usual, time.Minute)
+				switch {
+				case signs == 0 || now >= last+MaxLimitDuration:
+					if n != usual || timeout != time.Minute {
+						rt.Fatalf("limited %v after the last sign: %d of %d, %v", now-last, n, usual, timeout)
+					}
+				case now < last+MinLimitDuration && (n != LimitedIdleConns || timeout != LimitedIdleTimeout), n < LimitedIdleConns, timeout < LimitedIdleTimeout:
+					rt.Fatalf("%v after the last sign: %d for %v", now-last, n, timeout)
+				}
+			},
+		})
+	})
+}
--- /dev/null
+++ b/internal/deadline/deadline_test.go
@@ -0,0 +1,48 @@
+package deadline
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"wheatsaddle/internal/testkit/rapidtest"
+)
+
+func TestMain(m *testing.M) { rapidtest.Main(m) }
+
+// The margin is compared with the list of all recorded lags.
+func TestMarginCoversRecentLags(t *testing.T) {
+	type sample struct{ at, lag time.Duration }
+	rapid.Check(t, func(t *rapid.T) {
+		var g LagGauge
+		var samples []sample
+		now := time.Duration(0)
+		for range rapid.IntRange(1, 100).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
+			if rapid.Bool().Draw(t, "record") {
+				lag := time.Duration(rapid.IntRange(0, 200).Draw(t, "lag")) * time.Millisecond
+				samples = append(samples, sample{now, min(lag, MaxLag)})
+				g.Record(now, lag)
+			}
+			timeout := time.Duration(rapid.IntRange(1, 4000).Draw(t, "client timeout")) * time.Millisecond
+			got := g.Margin(now, timeout)
+			bound := max(MinMargin, timeout/MaxMarginDivisor)
+			if got < MinMargin || got > bound {
+				t.Fatalf("margin %v of %v", got, timeout)
+			}
+			least, most := MinMargin, MinMargin // by the lags that must count, and by those that may
+			for _, s := range samples {
+				if now-s.at < Window {
+					least = max(least, LagFactor*s.lag)
+				}
+				if now-s.at <= 2*Window {
+					most = max(most, LagFactor*s.lag)
+				}
+			}
+			if got < min(least, bound) || got > min(most, bound) {
+				t.Fatalf("margin %v, want %v to %v of %v", got, least, most, timeout)
+			}
+		}
+	})
+}
