--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs many instances of the decision module on the
-// simulator's wire: batches on standard input, replies on standard output.
+// Command simhost runs many instances of the decision module for the simulator: it reads batches of
+// events on standard input and writes the actions on standard output. Warnings go to standard
+// error. A malformed line ends it with exit code 1; an instance that fails is reported as broken.
 package main
 
 import (
@@ -14,149 +15,164 @@
 	"wheatsaddle/policy"
 )
 
-const readBuffer = 64 << 10 // bytes; longer lines are read all the same
+const readBufferBytes = 64 << 10 // longer lines are read as well
 
-// host holds the running instances, the numbered lists and the current batch.
-type host struct {
-	running map[string]*policy.Scheduler
-	lists   map[int][]policy.Node
-	warn    io.Writer
+func main() {
+	if err := newServer(os.Stderr).serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "simhost:", err)
+		os.Exit(1)
+	}
+}
 
-	clock float64         // of the batch, ms
-	jobs  []*job          // of the batch, in the order in which their instances were first named
+// server holds the running instances, the numbered node lists and the current batch.
+type server struct {
+	running  map[string]*policy.Scheduler
+	lists    map[int][]policy.Node
+	warnings io.Writer
+	batch    batch
+}
+
+// batch collects the events of each instance until the simulator hands over.
+type batch struct {
+	clock float64         // ms
+	jobs  []*job          // in the order in which their instances were first named
 	open  map[string]*job // of jobs, by instance
-	reply []byte          // to the batch
+	reply []byte
 }
 
-// job is one instance's events of a batch. An instance that is killed and started again in one batch has two jobs.
+// job is one instance's events of a batch. An instance that is killed and started again within one
+// batch has two jobs.
 type job struct {
-	inst   string
-	mod    *policy.Scheduler // nil: it was killed in this batch
-	events []policy.Event
+	instance  string
+	scheduler *policy.Scheduler // nil: it was killed within this batch
+	events    []policy.Event
 }
 
-func main() {
-	h := &host{running: map[string]*policy.Scheduler{}, lists: map[int][]policy.Node{}, warn: os.Stderr}
-	if err := h.serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
-		os.Exit(1)
+func newServer(warnings io.Writer) *server {
+	return &server{
+		running:  map[string]*policy.Scheduler{},
+		lists:    map[int][]policy.Node{},
+		warnings: warnings,
+		batch:    batch{open: map[string]*job{}},
 	}
 }
 
-// serve answers batches until the input ends; a malformed line is an error.
-func (h *host) serve(in io.Reader, out io.Writer) error {
-	rd := bufio.NewReaderSize(in, readBuffer)
-	h.open = map[string]*job{}
+// serve answers batches until the input ends. A malformed line is an error.
+func (s *server) serve(in io.Reader, out io.Writer) error {
+	reader := bufio.NewReaderSize(in, readBufferBytes)
 	for {
-		text, err := rd.ReadBytes('\n')
+		text, readErr := reader.ReadBytes('\n')
 		if text = bytes.TrimSpace(text); len(text) > 0 {
-			line, derr := simwire.Decode(text)
-			if derr != nil {
-				return derr
-			}
-			if terr := h.take(line, out); terr != nil {
-				return terr
+			if err := s.handleLine(text, out); err != nil {
+				return err
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if errors.Is(readErr, io.EOF) {
 			return nil
 		}
-		if err != nil {
-			return err
+		if readErr != nil {
+			return readErr
 		}
 	}
 }
 
-// take applies one line to the batch; the last line of a batch has it answered.
-func (h *host) take(line simwire.Line, out io.Writer) error {
-	switch {
-	case !line.Known:
-	case line.Word == "ROUND":
-		h.clock = line.Clock
-	case line.Word == "LEDGER":
-		h.lists[line.ListID] = line.Nodes
-	case line.Word == "UP":
-		h.start(line)
-	case line.Word == "CRASH_NOW":
-		h.kill(line.Instance)
-	case line.Word == "OVER_TO_YOU":
-		return h.answer(out)
-	default:
-		h.addEvent(line)
+// handleLine applies one line to the batch. The last line of a batch has it answered.
+func (s *server) handleLine(text []byte, out io.Writer) error {
+	line, err := simwire.Decode(text)
+	if err != nil {
+		return err
+	}
+	switch line.Kind {
+	case simwire.UnknownLine:
+	case simwire.BatchStart:
+		s.batch.clock = line.Clock
+	case simwire.NodeList:
+		s.lists[line.ListID] = line.Nodes
+	case simwire.InstanceStart:
+		s.start(line)
+	case simwire.InstanceKill:
+		s.kill(line.Instance)
+	case simwire.InstanceEvent:
+		s.addEvent(line)
+	case simwire.BatchEnd:
+		return s.answer(out)
 	}
 	return nil
 }
 
-func (h *host) start(line simwire.Line) {
-	mod, err := policy.New(line.Settings, line.Seed)
+func (s *server) start(line simwire.Line) {
+	scheduler, err := policy.New(line.Settings, line.Seed)
 	if err != nil {
-		h.reply = simwire.Broken(h.reply, line.Instance, err.Error())
+		s.batch.reply = simwire.EncodeBroken(s.batch.reply, line.Instance, err.Error())
 		return
 	}
-	h.running[line.Instance] = mod
-	h.addJob(line.Instance, mod)
-}
-
-func (h *host) addJob(instance string, mod *policy.Scheduler) *job {
-	j := &job{inst: instance, mod: mod}
-	h.open[instance] = j
-	h.jobs = append(h.jobs, j)
-	return j
+	s.running[line.Instance] = scheduler
+	s.batch.addJob(line.Instance, scheduler)
 }
 
 // kill ends an instance, and drops what it has not answered yet.
-func (h *host) kill(instance string) {
-	delete(h.running, instance)
-	if j := h.open[instance]; j != nil {
-		j.mod = nil
-		delete(h.open, instance)
+func (s *server) kill(instance string) {
+	delete(s.running, instance)
+	if j := s.batch.open[instance]; j != nil {
+		j.scheduler = nil
+		delete(s.batch.open, instance)
 	}
 }
 
-// addEvent adds an event to its instance's job. Where the instance does not run, it is dropped with a warning.
-func (h *host) addEvent(line simwire.Line) {
-	j := h.open[line.Instance]
+// addEvent adds an event to its instance's job. If the instance does not run, the event is dropped
+// with a warning.
+func (s *server) addEvent(line simwire.Line) {
+	j := s.batch.open[line.Instance]
 	if j == nil {
-		mod := h.running[line.Instance]
-		if mod == nil {
-			fmt.Fprintf(h.warn, "simhost: %s for %q, which is not running: dropped\n", line.Word, line.Instance)
+		scheduler := s.running[line.Instance]
+		if scheduler == nil {
+			fmt.Fprintf(s.warnings, "simhost: %s for %q, which is not running: dropped\n", line.Word, line.Instance)
 			return
 		}
-		j = h.addJob(line.Instance, mod)
+		j = s.batch.addJob(line.Instance, scheduler)
 	}
 	if line.HasList {
-		line.Event.Nodes = h.lists[line.ListID]
+		line.Event.Nodes = s.lists[line.ListID]
 	}
 	j.events = append(j.events, line.Event)
 }
 
 // answer runs the batch's jobs, writes the reply and begins the next batch.
-func (h *host) answer(out io.Writer) error {
-	for _, j := range h.jobs {
-		h.reply = j.run(h.clock, h.reply)
+func (s *server) answer(out io.Writer) error {
+	b := &s.batch
+	for _, j := range b.jobs {
+		b.reply = j.run(b.clock, b.reply)
 	}
-	h.reply = append(h.reply, simwire.End...)
-	if _, err := out.Write(h.reply); err != nil {
+	b.reply = append(b.reply, simwire.End...)
+	if _, err := out.Write(b.reply); err != nil {
 		return err
 	}
-	h.jobs, h.reply = h.jobs[:0], h.reply[:0]
-	clear(h.open)
+	b.jobs, b.reply = b.jobs[:0], b.reply[:0]
+	clear(b.open)
 	return nil
 }
 
-// run steps the module and appends its actions to the reply. A panic in it becomes BROKEN.
+func (b *batch) addJob(instance string, scheduler *policy.Scheduler) *job {
+	j := &job{instance: instance, scheduler: scheduler}
+	b.open[instance] = j
+	b.jobs = append(b.jobs, j)
+	return j
+}
+
+// run steps the scheduler and appends its actions to the reply. If the scheduler panics, its instance
+// is reported as broken instead.
 func (j *job) run(clock float64, reply []byte) (res []byte) {
-	if j.mod == nil {
+	if j.scheduler == nil {
 		return reply
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			res = simwire.Broken(reply, j.inst, fmt.Sprint(p))
+			res = simwire.EncodeBroken(reply, j.instance, fmt.Sprint(p))
 		}
 	}()
 	res = reply
-	for _, a := range j.mod.Step(clock, j.events, nil) {
-		res = simwire.Encode(res, j.inst, a)
+	for _, a := range j.scheduler.Step(clock, j.events, nil) {
+		res = simwire.Encode(res, j.instance, a)
 	}
 	return res
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"strings"
 	"testing"
-
-	"wheatsaddle/policy"
 )
 
 const up = `["UP","i0",7,{"fleet-size":1,"membership-mode":"push","ceilings":{"max-attempts":3},` +
@@ -18,8 +16,8 @@
 func run(t *testing.T, input string) (out, warn string, err error) {
 	t.Helper()
 	var o, w bytes.Buffer
-	h := &host{running: map[string]*policy.Scheduler{}, lists: map[int][]policy.Node{}, warn: &w}
-	err = h.serve(strings.NewReader(input), &o)
+	s := newServer(&w)
+	err = s.serve(strings.NewReader(input), &o)
 	return o.String(), w.String(), err
 }
 
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -16,23 +16,23 @@
 			t.Errorf("%s: error %v", text, err)
 		}
 	}
-	if ln, err := Decode([]byte(`["NEWS","i",5]`)); err != nil || ln.Known {
-		t.Errorf("an unknown event: %v %v", ln, err)
+	if line, err := Decode([]byte(`["NEWS","i",5]`)); err != nil || line.Kind != UnknownLine {
+		t.Errorf("an unknown word: %v %v", line, err)
 	}
-	ln, err := Decode([]byte(`["CALL","i","t/a","read","basic","91f0",8652.25,"2b8e",2,0,3,3]`))
-	r := ln.Event.Request
+	line, err := Decode([]byte(`["CALL","i","t/a","read","basic","91f0",8652.25,"2b8e",2,0,3,3]`))
+	r := line.Event.Request
 	if err != nil || r.ID != "t/a" || r.Deadline != 8652.25 || r.Units != 2 || r.Schedulers != 3 || !r.ClientRetry {
 		t.Errorf("%+v %v", r, err)
 	}
-	ln, err = Decode([]byte(`["COMPLETED","i","r",1,"n","completed",18.5,true,86,3,{"outstanding":4,"new":"x"}]`))
-	ev := ln.Event
+	line, err = Decode([]byte(`["COMPLETED","i","r",1,"n","completed",18.5,true,86,3,{"outstanding":4,"new":"x"}]`))
+	ev := line.Event
 	if err != nil || ev.Attempt != 1 || ev.Status != policy.OK || ev.PlanUsage != 86 || ev.PeerUsage != 3 ||
 		ev.Load.Inflight != 4 || ev.Load.Queue != -1 {
 		t.Errorf("%+v %v", ev, err)
 	}
-	ln, err = Decode([]byte(`["LEDGER",0,[["a","z","k",3,"draining",1.5,6100.0],["b","z","k",0,"up",1]]]`))
-	if err != nil || len(ln.Nodes) != 2 || ln.Nodes[0].State != policy.NodeDraining || ln.Nodes[0].StartTime != 6100 {
-		t.Errorf("%+v %v", ln.Nodes, err)
+	line, err = Decode([]byte(`["LEDGER",0,[["a","z","k",3,"draining",1.5,6100.0],["b","z","k",0,"up",1]]]`))
+	if err != nil || len(line.Nodes) != 2 || line.Nodes[0].State != policy.NodeDraining || line.Nodes[0].StartTime != 6100 {
+		t.Errorf("%+v %v", line.Nodes, err)
 	}
 }
 
@@ -53,3 +53,19 @@
 		}
 	}
 }
+
+func TestDecodeErrorsNameThePlace(t *testing.T) {
+	for text, want := range map[string]string{
+		`["UP","i",1,{"ceilings":{"max-attempts":"3"}}]`: "UP: json: cannot unmarshal string into Go struct field .ceilings.max-attempts of type int",
+		`["UP","i",1,{"profiles":[{"repeat":"odd"}]}]`:   `UP: unknown word "odd"`,
+		`["UP","i",1]`:                   "UP: 2 values, want 3",
+		`["REGISTRY","i","odd",1,0]`:     `REGISTRY: unknown word "odd"`,
+		`["DROPPED","i",5]`:              "DROPPED: value 2: json: cannot unmarshal number into Go value of type string",
+		`["HEALTH","i","n","odd",1]`:     `HEALTH: unknown word "odd"`,
+		`["LEDGER",0,[["n","z","k",0]]]`: "LEDGER: 4 values, want 6",
+	} {
+		if _, err := Decode([]byte(text)); err == nil || err.Error() != want {
+			t.Errorf("%s: error %q, want %q", text, err, want)
+		}
+	}
+}
