--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -28,7 +28,7 @@
 		refused += countActions(r.at(now, Event{Kind: TimerFired, Tag: sweepTimer}), Reject)
 	}
 	if refused != 1 {
-		t.Errorf("refused %d times", refused)
+		t.Errorf("rejected %d times", refused)
 	}
 }
 
@@ -39,7 +39,7 @@
 	for phase := 0.0; phase < sweepIntervalMs; phase += step {
 		r := newHarness(t, testSettings())
 		came := r.now
-		left := 200 + phase // under the aim
+		left := 200 + phase // under the objective
 		r.step(call("x", "safe", 77, came+left))
 		answered := 0.0
 		for now := came + sweepIntervalMs; answered == 0 && now < came+2*left; now += sweepIntervalMs {
@@ -63,7 +63,7 @@
 	}
 }
 
-// A departed client's work is called off, where that is allowed.
+// A disconnected client's work is cancelled, where that is allowed.
 func TestAttemptOfDisconnectedClientIsCancelled(t *testing.T) {
 	set := testSettings()
 	set.MayCancel = true
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -14,7 +14,7 @@
 		r.step(call("x", "once", 0, 3000))
 		acts := r.at(1100, done("x", 0, c.status, false))
 		acts = append(acts, r.at(1700, Event{Kind: TimerFired, Tag: sweepTimer})...)
-		if c.sends == 1 { // past the aim the retry ranks last but must still come
+		if c.sends == 1 { // past the objective the retry ranks last but must still come
 			acts = append(acts, r.at(1310, Event{Kind: TimerFired, Tag: sweepTimer})...)
 		}
 		if countActions(acts, Fail) != c.fails {
@@ -87,11 +87,11 @@
 			r.at(1000+float64(i)*40, call(id, "safe", 0, 3000))
 			sent += copies(r.at(1020+float64(i)*40, done(id, 0, OK, true)))
 			if i < 2 && sent > 0 {
-				t.Errorf("%s: a copy after %d later answers", x.class, i+1)
+				t.Errorf("%s: a hedge after %d later answers", x.class, i+1)
 			}
 		}
 		if sent != x.copies {
-			t.Errorf("%s: %d copies", x.class, sent)
+			t.Errorf("%s: %d hedges", x.class, sent)
 		}
 		usual := r.s.nodeByID["a"].latency.ms
 		ev := done("slow", x.answer, OK, true)
@@ -108,3 +108,26 @@
 		}
 	}
 }
+
+func TestRetryStaysInTheDeduplicationScope(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		scope DedupScope
+		sends int
+	}{{"every node", DedupAll, 1}, {"one zone", DedupZone, 0}, {"one shard", DedupShard, 1}} {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 400, Deadline: 2000,
+				PriorityWeight: 1, Effect: IdempotentByKey, DedupScope: c.scope, DedupWindow: 1000})
+			r := newHarness(t, set)
+			r.step(Event{Kind: ListReceived, Nodes: []Node{{ID: "a", Zone: "z0"}}})
+			if acts := r.step(call("x", "keyed", 0, 3000)); !wasSent(acts, "x") {
+				t.Fatalf("not sent: %v", acts)
+			}
+			r.step(Event{Kind: ListReceived, Nodes: []Node{{ID: "b", Zone: "z1"}}})
+			if acts := r.at(1020, done("x", 0, ConnectionReset, false)); countActions(acts, Send) != c.sends {
+				t.Errorf("%d retries in the other zone, want %d: %v", countActions(acts, Send), c.sends, acts)
+			}
+		})
+	}
+}
--- a/policy/classweights_test.go
+++ b/policy/classweights_test.go
@@ -12,7 +12,7 @@
 	if !r.s.adapt() || a.weight <= 0.5 || math.Abs(a.weight+b.weight-1) > 1e-9 {
 		t.Errorf("weights %v %v", a.weight, b.weight)
 	}
-	// the cap: the donor's predicted delay stays under its aim
+	// the cap: the donor's predicted delay stays under its objective
 	if got := 40 + (0.5-b.weight)*80; got > (1-epsilon)*b.LatencyObjective+1e-9 {
 		t.Errorf("donor predicted at %v", got)
 	}
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Told by a watch that stands that a node drains, a host uses it for a part of the grace while it
+// Told by a watch that stands that a node drains, a scheduler uses it for a part of the grace while it
 // takes work: nobody else has its shard yet. Not where the word may be old, and not past a "full".
 func TestDrainingNodeIsUsedForPartOfItsGrace(t *testing.T) {
 	drains := Event{Kind: ListChanged, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/policy"
 )
 
-// One host, one node, one request in and the action out.
+// One scheduler, one node, one request in and the action out.
 func Example() {
 	s, err := policy.New(policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3,
 		DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3, OverloadWindow: 2000,
--- a/policy/failingnode_test.go
+++ b/policy/failingnode_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// One host of little traffic beside a node that turns bad: how many answers it takes until the host goes by
+// One scheduler of little traffic beside a node that turns bad: how many answers it takes until the scheduler goes by
 // that node, and what the node still gets. Pure calls, virtual time, seeds. docs/incidents/fewanswers.md
 // has the table (go test -v -run TestFailingNodeIsAvoidedWithFewAnswers).
 
@@ -28,7 +28,7 @@
 	named       bool
 	open        map[string]*failingNodeRequest
 	// At the bad node: attempts while it was bad, and of those before it had its last regular one; the
-	// time of that; all attempts and requests meanwhile, and those not served in their aim; time of return.
+	// time of that; all attempts and requests meanwhile, and those not served in their objective; time of return.
 	bad, until, all, asked, missed int
 	settled                        float64
 	back                           float64
@@ -128,7 +128,7 @@
 }
 
 // runFailingNode plays one seed with so many nodes a shard. With one alone half of the requests name their shard, and
-// can go to no other; of these nothing is counted but the aims missed.
+// can go to no other; of these nothing is counted but the objectives missed.
 func runFailingNode(t *testing.T, mode string, each int, named bool, rate float64, seed int64) *failingNodeRun {
 	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed))}
 	w.set = Settings{Schedulers: 80, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000, SendsRetryAfter: true, MayCancel: true,
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Tests of many independent hosts, as the largest deployments have.
+// Tests of many independent schedulers, as the largest deployments have.
 
 const fleetHosts = 290
 
-// Hosts that know nothing yet must not all send their new objects to one node.
+// Schedulers that know nothing yet must not all send their new objects to one node.
 func TestNewObjectsSpreadOverTheNodesOfAFleet(t *testing.T) {
 	var nodes []Node
 	for i := range 40 {
@@ -25,7 +25,7 @@
 	}
 	for id, n := range met {
 		if n > 5*fleetHosts/len(nodes) {
-			t.Errorf("%d of %d hosts chose node %s", n, fleetHosts, id)
+			t.Errorf("%d of %d schedulers chose node %s", n, fleetHosts, id)
 		}
 	}
 	if len(met) < len(nodes)/2 {
@@ -33,7 +33,7 @@
 	}
 }
 
-// All hosts with work for one node that has just come up: together they stay under what
+// All schedulers with work for one node that has just come up: together they stay under what
 // it always bears, though it answers nothing yet; once it answers, it gets more.
 func TestNodeInSlowStartBearsTheWholeFleet(t *testing.T) {
 	set := testSettings()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Hosts that lose the list together ask again spread out, and none later than allowed.
+// Schedulers that lose the list together ask again spread out, and none later than allowed.
 func TestPollsOfAFleetAreSpread(t *testing.T) {
 	set := testSettings()
 	set.PollsEndpointList = true
@@ -115,7 +115,7 @@
 	}
 }
 
-// Hosts that start together move their weights at times of their own: in step they would all give
+// Schedulers that start together move their weights at times of their own: in step they would all give
 // at once, and the delays at the nodes they share would answer to all of it.
 func TestAdaptationsOfAFleetAreSpread(t *testing.T) {
 	slots := map[int]int{}
@@ -124,7 +124,7 @@
 	}
 	for slot, n := range slots {
 		if n > fleetHosts/4 {
-			t.Errorf("%d of %d hosts adapt within the same 100 ms (%d)", n, fleetHosts, slot)
+			t.Errorf("%d of %d schedulers adapt within the same 100 ms (%d)", n, fleetHosts, slot)
 		}
 	}
 }
--- a/policy/fleetdays_test.go
+++ b/policy/fleetdays_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// The fleet's three days in small: seven in ten hosts are killed at once and come back, a third of
-// the nodes is lost and returns cold, and six in ten nodes are replaced within 7 s. Over all hosts
-// together no cold node gets more than it bears, no drained one new work after the grace, no
+// The fleet's three days in small: seven in ten schedulers are killed at once and come back, a third of
+// the nodes is lost and returns cold, and six in ten nodes are replaced within 7 s. Over all schedulers
+// together no node in slow start gets more than it bears, no drained one new work after the grace, no
 // limited volume more than its limit, and each request one final answer. Most is served.
 func TestFleetKeepsTheRulesOnDaysWithFaults(t *testing.T) {
 	for name, trouble := range simulationDays {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// After the handover a limit's store is spent and no longer refilled, a request that waits for more is refused, and what
-// has no limit is served on. Retune changes nothing of it.
+// After the handover a limit's store is spent and no longer refilled, a request that waits for more is rejected, and what
+// has no limit is served on. Reconfigure changes nothing of it.
 func TestHandOverAddsNoTokens(t *testing.T) {
 	r := newLimitedHarness(t, 20, 4)
 	served := func(i int) bool {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Two instances of one host, the second from the first's handover on: together they draw no more than one does.
+// Two instances of one scheduler, the second from the first's handover on: together they draw no more than one does.
 func TestHandOverKeepsTheLimit(t *testing.T) {
 	const rate, burst = 20.0, 10.0
 	first, second := newLimitedHarness(t, rate, burst), newLimitedHarness(t, rate, burst)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -75,7 +75,7 @@
 	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Reject && a.ID == id })
 }
 
-// newFleet makes hosts with seeds of their own that all know the same nodes.
+// newFleet makes schedulers with seeds of their own that all know the same nodes.
 func newFleet(t *testing.T, set Settings, nodes []Node) []*harness {
 	t.Helper()
 	set.Schedulers = fleetHosts
@@ -111,7 +111,7 @@
 	return r, list
 }
 
-// newLimitedHarness is a rig whose one plan has a limit: so much a second and at once.
+// newLimitedHarness is a harness whose one plan has a limit: so much a second and at once.
 func newLimitedHarness(t *testing.T, limit, burst float64) *harness {
 	set := testSettings()
 	set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, burst
@@ -140,7 +140,7 @@
 	return sent
 }
 
-// changed takes settings into the rig's instance.
+// changed takes settings into the harness's instance.
 func (r *harness) changed(set Settings) {
 	r.t.Helper()
 	if err := r.s.Reconfigure(set); err != nil {
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("a: %+v", a)
 	}
 	if b.window.size > minWindow || !math.IsInf(b.latency.learnedAt, -1) || b.slowStart.startedAt != 1500 {
-		t.Errorf("b kept what was learned of its last life: %+v", b)
+		t.Errorf("b kept what was learned of its last incarnation: %+v", b)
 	}
 	if c.window.size != initialWindow || !math.IsInf(c.slowStart.startedAt, -1) {
 		t.Errorf("c: %+v", c)
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Late work must not take a crowded node from other hosts' work in time.
+// Late work must not take a crowded node from other schedulers' work in time.
 func TestLateRequestAvoidsAnOverloadedNode(t *testing.T) {
 	for window, sends := range map[float64]int{initialWindow: 1, minWindow / 2: 0} {
 		r := newHarness(t, testSettings())
@@ -47,7 +47,7 @@
 	}
 }
 
-// What is refused at no age counts past its aim, and a class with more weight keeps its
+// What is rejected at no age counts past its objective, and a class with more weight keeps its
 // place at a slow node for longer: else new objects crowd out reads that have one node.
 func TestLatencyLimitFollowsTheClassWeight(t *testing.T) {
 	r := newHarness(t, testSettings())
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -55,11 +55,11 @@
 	}
 }
 
-// A volume's store counts from the host's first request of all, not from the volume's own.
+// A volume's store counts from the scheduler's first request of all, not from the volume's own.
 func TestRateLimitFillsFromTheFirstRequest(t *testing.T) {
 	for _, k := range []struct {
 		name         string
-		after        float64 // ms since the host's first request
+		after        float64 // ms since the scheduler's first request
 		hosts, wants int
 	}{{"at once", 0, 1, 0}, {"a second later", 1000, 1, 4}, {"part of two", 1000, 2, 2}, {"full", 60e3, 1, 12}, {"part of a full one", 60e3, 2, 6}} {
 		r := newHarness(t, limitedSettings(4, 12))
@@ -90,7 +90,7 @@
 	}
 }
 
-// Over any two hosts and their restarts, a volume draws no more than one store that was full at first.
+// Over any two schedulers and their restarts, a volume draws no more than one store that was full at first.
 func TestRateLimitHoldsOverSchedulersAndRestarts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.Float64Range(0.2, 20).Draw(rt, "limit")
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -90,7 +90,7 @@
 	for _, x := range []struct {
 		what       string
 		old, next  [2]float64 // limit, burst; 0: none
-		spent      int        // of the known volume, 4 s after the host's first request
+		spent      int        // of the known volume, 4 s after the scheduler's first request
 		known, new int        // units that a second after the change allows
 	}{
 		{"unchanged", [2]float64{4, 12}, [2]float64{4, 12}, 12, 4, 12},
@@ -294,7 +294,7 @@
 	next.Classes[0].Name = "renamed"
 	r.changed(next)
 	retired := r.s.requests["old"].class
-	r.now += 1900 // far past its aim
+	r.now += 1900 // far past its objective
 	r.step(done("old", 0, OK, true))
 	if retired.sampleCount == 0 {
 		t.Fatal("no sample of the retired class: the crossing was not reached")
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordedSettings are those of the small world with classes of every effect and a retry budget.
+// recordedSettings are those of the small simulation with classes of every effect and a retry budget.
 func recordedSettings() Settings {
 	set := simulationSettings()
 	set.Classes = append(set.Classes,
@@ -70,7 +70,7 @@
 	return set
 }
 
-// addFaults adds what the world's own days leave out: clients that leave, lists that fail, stalls, new settings, restarts
+// addFaults adds what the simulation's own days leave out: clients that disconnect, lists that fail, stalls, new settings, restarts
 // that recall what was learned, and processes that hand over.
 func addFaults(w *simulation) {
 	var each func(every float64, do func(h *simulatedScheduler))
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -41,18 +41,18 @@
 	r, list := newSizedHarness(t, 1024)
 	r.step(call("a", "safe", 7, r.now+1500), call("b", "safe", 1000, r.now+1500))
 	if len(r.s.busyQueues) != 2 {
-		t.Fatalf("%d busy lanes with two requests out", len(r.s.busyQueues))
+		t.Fatalf("%d busy queues with two requests out", len(r.s.busyQueues))
 	}
 	r.now += 20
 	r.step(done("a", 0, OK, true))
 	if len(r.s.busyQueues) != 1 || r.s.busyQueues[0].shard != 1000 {
-		t.Fatalf("%d busy lanes with one request out", len(r.s.busyQueues))
+		t.Fatalf("%d busy queues with one request out", len(r.s.busyQueues))
 	}
 	moved := list[1000]
 	moved.Shard = 3 // its work goes with it
 	r.step(Event{Kind: ListChanged, Nodes: []Node{moved}})
 	if len(r.s.busyQueues) != 1 || r.s.busyQueues[0].shard != 3 {
-		t.Fatalf("%d busy lanes, not that of the node that moved", len(r.s.busyQueues))
+		t.Fatalf("%d busy queues, not that of the node that moved", len(r.s.busyQueues))
 	}
 	r.now += 20
 	if r.step(done("b", 0, OK, true)); len(r.s.busyQueues) != 0 {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A small world of many hosts and nodes: pure calls, virtual time, a seed. It keeps its own books
-// of what the rules forbid over all hosts together.
+// A small simulation of many schedulers and nodes: pure calls, virtual time, a seed. It keeps its own books
+// of what the rules forbid over all schedulers together.
 
 const (
 	simulatedSchedulers = 80
@@ -17,7 +17,7 @@
 	warmUnitsPerSecond  = 60.0 // units a second that a warm node serves
 	maxNodeQueue        = 40   // requests a node holds
 	simulationMs        = 20e3
-	requestsPerSecond   = 1400.0 // requests a second: more than a cold node bears
+	requestsPerSecond   = 1400.0 // requests a second: more than a node in slow start bears
 )
 
 type simulation struct {
@@ -32,7 +32,7 @@
 	shard []*simulatedNode // who holds it now; nil: nobody
 	vols  []simulatedVolume
 	reqs  map[string]*simulatedRequest
-	sent  map[string][]timedUnits // by cold node: units within the last OverloadWindow
+	sent  map[string][]timedUnits // by node in slow start: units within the last OverloadWindow
 	store map[string]*simulatedBucket
 	ends  map[string]int // by what ended requests
 
@@ -150,7 +150,7 @@
 	return w
 }
 
-// start begins a life of the host, with nothing but its last list.
+// start begins a life of the scheduler, with nothing but its last list.
 func (h *simulatedScheduler) start() {
 	set := h.w.set
 	set.Instance = h.no
@@ -181,7 +181,7 @@
 	}
 }
 
-// later gives the host an event of its present life.
+// later gives the scheduler an event of its present life.
 func (h *simulatedScheduler) later(wait float64, ev func() (Event, bool)) {
 	life := h.life
 	h.w.after(wait, func() {
@@ -277,7 +277,7 @@
 	w.checkOverload(n, r.req.Units)
 }
 
-// checkOverload counts what a cold node got from all hosts within the span, also what it turned away.
+// checkOverload counts what a node in slow start got from all schedulers within the span, also what it rejected.
 func (w *simulation) checkOverload(n *simulatedNode, units float64) {
 	if n.StartTime == 0 || w.now-n.StartTime > w.set.SlowStartDuration {
 		return
@@ -291,7 +291,7 @@
 	}
 }
 
-// checkRateLimit counts a limited volume's first sends over all hosts.
+// checkRateLimit counts a limited volume's first sends over all schedulers.
 func (w *simulation) checkRateLimit(r *simulatedRequest) {
 	p := w.set.Plans[1]
 	if r.req.Plan != p.Name {
@@ -310,7 +310,7 @@
 	v := w.vols[int(float64(len(w.vols))*w.rng.Float64()*w.rng.Float64())] // some ask for much more
 	h := w.hosts[v.hosts[w.rng.Intn(len(v.hosts))]]
 	if h.down {
-		return // what would come through a dead host is lost to its client
+		return // what would come through a dead scheduler is lost to its client
 	}
 	class := w.set.Classes[w.rng.Intn(len(w.set.Classes))]
 	w.seq++
@@ -331,7 +331,7 @@
 	})
 }
 
-// announce makes the list say something new of a node; each host hears of it in its own time.
+// announce makes the list say something new of a node; each scheduler hears of it in its own time.
 func (w *simulation) announce(n Node) {
 	for _, h := range w.hosts {
 		w.after(300+w.rng.Float64()*2000, func() {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -15,11 +15,11 @@
 		sent += countActions(r.step(call("x"+string(rune('a'+i)), "safe", 5, 3000)), Send)
 	}
 	if sent == 0 || sent > 3 {
-		t.Errorf("%d units to a cold node with a part of 3", sent)
+		t.Errorf("%d units to a node in slow start with a part of 3", sent)
 	}
 }
 
-// A host whose last answer from a cold node came in good time keeps one request out there,
+// A scheduler whose last answer from a node in slow start came in time keeps one request out there,
 // and no more; an answer that stays out too long ends that.
 func TestSlowStartFollowsAnswersInTime(t *testing.T) {
 	set := testSettings()
@@ -38,15 +38,15 @@
 		t.Errorf("nothing sent after a good answer: %v", acts)
 	}
 	if acts := r.at(1030, call("z", "safe", 0, 3000)); countActions(acts, Send) != 0 {
-		t.Errorf("two out at a cold node: %v", acts)
+		t.Errorf("two out at a node in slow start: %v", acts)
 	}
 	if r.at(1300, Event{Kind: TimerFired, Tag: sweepTimer}); n.slowStart.answeredInTime {
 		t.Error("still good with an answer out for 280 ms")
 	}
 }
 
-// What all cold nodes bear from a host goes to those that it is asked for, one request to each: parts of a request would
-// else leave a fleet's cold nodes idle, each of which a host reads seldom. Nothing is saved for later.
+// What all nodes in slow start bear from a scheduler goes to those that it is asked for, one request to each: parts of a request would
+// else leave a fleet's nodes in slow start idle, each of which a scheduler reads seldom. Nothing is saved for later.
 func TestSlowStartAllowanceGoesToTheNodesAskedFor(t *testing.T) {
 	const nodes = 200
 	set := testSettings()
@@ -90,7 +90,7 @@
 		}
 	}
 	if one > 20 {
-		t.Errorf("%d sent to one node by 20 hosts", one)
+		t.Errorf("%d sent to one node by 20 schedulers", one)
 	}
 	if all < 10*one || one == 0 {
 		t.Errorf("%d sent to %d nodes, %d to one", all, nodes, one)
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -24,9 +24,9 @@
 	return results
 }
 
-// Over all hosts together a cold node gets at most N + 2 sqrt(N) + 2 requests of mean work (of fewer
-// than 30 hosts: N + 3 sqrt(N) + 3) within OverloadWindow, N being OverloadMultiple times what it can do in that
-// time at its age. Every attempt counts, also a second one, a copy, and one that never ran.
+// Over all schedulers together a node in slow start gets at most N + 2 sqrt(N) + 2 requests of mean work (of fewer
+// than 30 schedulers: N + 3 sqrt(N) + 3) within OverloadWindow, N being OverloadMultiple times what it can do in that
+// time at its age. Every attempt counts, also a second one, a hedge, and one that never ran.
 func TestSlowStartLimitsTheWholeFleet(t *testing.T) {
 	var cases []slowStartCase
 	for _, hosts := range []int{1, 4, 20, 30, 300} {
@@ -51,12 +51,12 @@
 		}
 	}
 	if sent == 0 {
-		t.Error("nothing came to a cold node")
+		t.Error("nothing came to a node in slow start")
 	}
-	t.Logf("%d cold nodes, %d requests; the most was %.2f of what a node bears", len(cases), sent, worst)
+	t.Logf("%d nodes in slow start, %d requests; the most was %.2f of what a node bears", len(cases), sent, worst)
 }
 
-// A cold node soon carries its share of what is asked, however many hosts ask.
+// A node in slow start soon carries its share of what is asked, however many schedulers ask.
 func TestNodeInSlowStartCarriesItsShare(t *testing.T) {
 	const seeds = 4
 	var cases []slowStartCase
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Tests of a cold node's budget over all hosts together, none of which knows what another sends.
+// Tests of a node in slow start's budget over all schedulers together, none of which knows what another sends.
 
 var slowStartSeeds = flag.Int("coldseeds", 1, "seeds of each fleet in TestColdNodeSumOverTheFleet")
 
@@ -20,22 +20,22 @@
 	coldUnits float64
 	multiple  float64 // OverloadMultiple
 	strength  float64 // of the node, in that of the weakest which the settings allow
-	uneven    bool    // one host has most of the traffic
-	popular   bool    // all hosts work with the cold node, and each with few others
-	idle      bool    // no traffic on the cold node until the burst
+	uneven    bool    // one scheduler has most of the traffic
+	popular   bool    // all schedulers work with the node in slow start, and each with few others
+	idle      bool    // no traffic on the node in slow start until the burst
 	burst     float64 // times the usual traffic
-	overload  float64 // times the usual traffic from the cold node's start on
-	volley    bool    // every host asks at once, in the middle of the cold span
-	restarts  bool    // the hosts restart, one after another, all within the cold span
-	forget    bool    // the hosts start when the node does: no host knows anything
-	faults    bool    // lost answers, refused connections, copies, clients that come again
+	overload  float64 // times the usual traffic from the node in slow start's start on
+	volley    bool    // every scheduler asks at once, in the middle of the cold span
+	restarts  bool    // the schedulers restart, one after another, all within the cold span
+	forget    bool    // the schedulers start when the node does: no scheduler knows anything
+	faults    bool    // lost answers, failed connects, hedges, clients that come again
 	large     bool    // one request in five is six times the others
 	late      bool    // the list's word takes up to half of the cold span
-	many      bool    // the nodes of all other shards start with it, and each host reads all shards
+	many      bool    // the nodes of all other shards start with it, and each scheduler reads all shards
 	silent    bool    // the node falls silent and returns under its id, the list says so late
 }
 
-// slowStartResult is what came to the cold node, and what it carried.
+// slowStartResult is what came to the node in slow start, and what it carried.
 type slowStartResult struct {
 	load    float64 // most within a window, as a part of the bound
 	sent    int     // requests that came to it
@@ -54,12 +54,12 @@
 	hosts  []*Scheduler
 	told   []bool
 	life   []int
-	since  float64 // start of the cold node; 0: the warm one serves
+	since  float64 // start of the node in slow start; 0: the warm one serves
 	gone   bool
 	list   []Node
 	free   [2]float64
 	reqs   map[string]*slowStartRequest
-	sent   []timedUnits // at the cold node
+	sent   []timedUnits // at the node in slow start
 	served map[int]float64
 	asked  map[int]float64
 	result slowStartResult
@@ -68,7 +68,7 @@
 type slowStartRequest struct {
 	host, life, tries int
 	aimAt, units      float64
-	cold              bool // asks for the cold node's shard
+	cold              bool // asks for the node in slow start's shard
 	ended             bool
 	again             bool
 }
@@ -100,7 +100,7 @@
 	heap.Push(&w.due, simulatedEvent{w.now + wait, w.seq, do})
 }
 
-// start begins a life of a host, which knows the list alone.
+// start begins a life of a scheduler, which knows the list alone.
 func (w *slowStartSimulation) start(h int) {
 	set := w.set
 	set.Instance = h
@@ -136,7 +136,7 @@
 		case Cancel: // the node works on
 			w.outcome(h, life, a.ID, a.Attempt, Cancelled, 1)
 		case CheckHealth:
-			w.t.Errorf("host %d probes %s: probes are not in the books", h, a.Node)
+			w.t.Errorf("scheduler %d probes %s: probes are not in the books", h, a.Node)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 	w.outcome(h, life, a.ID, no, OK, w.free[k]-w.now+1)
 }
 
-// count takes a request of a host that was told of the start into the window, also one that does
+// count takes a request of a scheduler that was told of the start into the window, also one that does
 // not run in the end.
 func (w *slowStartSimulation) count(units float64, told bool) {
 	if !told || w.now-w.since > w.set.SlowStartDuration {
@@ -238,7 +238,7 @@
 		Deadline: w.now + k.Deadline, Units: units, Shard: shard, Schedulers: 1}})
 }
 
-// sharer draws a host that works with the cold node.
+// sharer draws a scheduler that works with the node in slow start.
 func (w *slowStartSimulation) sharer() int {
 	n := w.slowStartCase.hosts
 	switch {
@@ -277,7 +277,7 @@
 	return 1
 }
 
-// others names other shards, so that the hosts learn how many they work with.
+// others names other shards, so that the schedulers learn how many they work with.
 func (w *slowStartSimulation) others(h int) {
 	few := slowStartShards / 6
 	if w.popular {
@@ -290,7 +290,7 @@
 	w.after(w.rng.ExpFloat64()*8000/float64(few), func() { w.others(h) })
 }
 
-// swap puts the cold node into the place of the warm one.
+// swap puts the node in slow start into the place of the warm one.
 func (w *slowStartSimulation) swap() {
 	w.gone, w.since, w.free = false, w.now, [2]float64{}
 	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: w.now}
--- a/policy/stall_test.go
+++ b/policy/stall_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A host that stood still takes neither the wait for slowness nor the node for silent.
+// A scheduler that stood still takes neither the wait for slowness nor the node for silent.
 func TestOwnStallIsNoSampleOfTheNodes(t *testing.T) {
 	r := newHarness(t, testSettings())
 	for i := range 8 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A node that stands still holds one request of each of many hosts: what is stuck past its
-// aim is called off and answered at once, refused or failed by what its class allows; it counts.
+// A node that stands still holds one request of each of many schedulers: what is stuck past its
+// objective is cancelled and answered at once, rejected or failed by what its class allows; it counts.
 func TestStuckAttemptIsCancelledAtItsObjective(t *testing.T) {
 	set := testSettings()
 	set.MayCancel = true
@@ -89,11 +89,11 @@
 		r.step(call("x", class, 0, 3000))
 		for r.now < 1390 {
 			if acts := r.at(r.now+10, Event{Kind: TimerFired, Tag: sweepTimer}); countActions(acts, Cancel) > 0 {
-				t.Fatalf("%s: called off at %v, aim 1400", class, r.now)
+				t.Fatalf("%s: cancelled at %v, objective 1400", class, r.now)
 			}
 		}
 		if acts := r.at(1400, Event{Kind: TimerFired, Tag: sweepTimer}); countActions(acts, Cancel) != 1 {
-			t.Fatalf("%s at the aim: %v", class, acts)
+			t.Fatalf("%s at the objective: %v", class, acts)
 		}
 		if u := r.s.expectedLatency(r.s.nodeByID["a"]); u < 300 {
 			t.Errorf("%s: usual latency %v after 400 ms without an answer", class, u)
@@ -101,7 +101,7 @@
 		acts := r.at(1402, done("x", 0, Cancelled, false))
 		acts = append(acts, r.at(1412, Event{Kind: TimerFired, Tag: sweepTimer})...)
 		if countActions(acts, end) != 1 || countActions(acts, Send)+countActions(acts, Cancel) != 0 {
-			t.Errorf("%s after the call off: %v", class, acts)
+			t.Errorf("%s after the cancellation: %v", class, acts)
 		}
 	}
 }
@@ -114,12 +114,12 @@
 	r.step(call("x", "safe", 0, 3000))
 	r.s.poolLatency.ms, r.s.poolLatency.learnedAt = 300, r.now
 	if acts := r.at(1401, Event{Kind: TimerFired, Tag: sweepTimer}); countActions(acts, Cancel) > 0 {
-		t.Errorf("called off: %v", acts)
+		t.Errorf("cancelled: %v", acts)
 	}
 }
 
 // Nodes that vanish together and come back: no request is lost, the first answer after
-// long silence finds a cold node, and work flows again within seconds.
+// long silence finds a node in slow start, and work flows again within seconds.
 func TestServiceRecoversAfterAllNodesRestart(t *testing.T) {
 	r := newHarness(t, testSettings())
 	served := 0
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// runSurge plays a fleet of hosts that each hear little of any node: a calm time, then so many times
-// as much for a while. The nodes serve two at once, in turn, and work on what was called off. It gives
+// runSurge plays a fleet of schedulers that each hear little of any node: a calm time, then so many times
+// as much for a while. The nodes serve two at once, in turn, and work on what was cancelled. It gives
 // the shares of what the nodes could do in the surge that were answered in time, and late.
 func runSurge(t *testing.T, seed int64, times float64) (timely, late float64) {
 	const hosts, nodes, servers, meanWork = 150, 75, 2, 120.0
@@ -94,7 +94,7 @@
 	arrive = func() {
 		n++
 		vol, k := rng.Intn(hosts/3), set.Classes[n%2]
-		s := scheds[3*vol+rng.Intn(3)] // each volume comes through three hosts
+		s := scheds[3*vol+rng.Intn(3)] // each volume comes through three schedulers
 		id := fmt.Sprint("q", n)
 		reqs[id] = &one{host: s, aim: k.LatencyObjective, begun: now}
 		step(s, Event{Kind: RequestArrived, Request: Request{ID: id, Class: k.Name, Plan: "p", Key: "k" + id, Volume: fmt.Sprint("v", vol),
@@ -114,8 +114,8 @@
 	return timely / (span * full), late / (span * full)
 }
 
-// Where each host hears of a node less often than its line grows, the line must not become as long as the
-// requests' aims: in a surge the nodes then work for clients that have gone. At their capacity they are still used.
+// Where each scheduler hears of a node less often than its line grows, the line must not become as long as the
+// requests' objectives: in a surge the nodes then work for clients that have disconnected. At their capacity they are still used.
 func TestSurgeOverSparseSchedulers(t *testing.T) {
 	for _, c := range []struct{ times, timely, late float64 }{{2, 0.80, 0.01}, {4, 0.70, 0.20}} {
 		if timely, late := runSurge(t, 1, c.times); timely < c.timely || late > c.late {
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// A crowded node takes a host's window below two, and a fleet of many hosts further;
-// a host that hears little of the node acts by time, from what it had out.
+// A crowded node takes a scheduler's window below two, and a fleet of many schedulers further;
+// a scheduler that hears little of the node acts by time, from what it had out.
 func TestOverloadedWindowIsDividedAmongSchedulers(t *testing.T) {
 	for hosts, least := range map[int]float64{1: 2, 4: 1, 8: 0.5, 256: 4.0 / 256} {
 		set := testSettings()
@@ -30,17 +30,17 @@
 			r.s.recordLatency(n, 900, 2)
 		}
 		if n.window.size != least {
-			t.Errorf("%v hosts: window %v, want %v", hosts, n.window.size, least)
+			t.Errorf("%v schedulers: window %v, want %v", hosts, n.window.size, least)
 		}
 		if gap := r.s.sendGap(n); gap > 1.5*maxSendGapMs {
-			t.Errorf("%v hosts: rest of %v", hosts, gap)
+			t.Errorf("%v schedulers: rest of %v", hosts, gap)
 		}
 		for range 40 {
 			r.at(r.now+600, Event{Kind: TimerFired})
 			r.s.recordLatency(n, 30, 2)
 		}
 		if n.window.size < minWindow {
-			t.Errorf("%v hosts: no way back, window %v", hosts, n.window.size)
+			t.Errorf("%v schedulers: no way back, window %v", hosts, n.window.size)
 		}
 	}
 }
