--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -13,15 +13,15 @@
 	case policy.Send:
 		c.send(a, now)
 	case policy.Reject:
-		c.refuseRequest(a)
+		c.rejectRequest(a)
 	case policy.Fail:
 		c.failRequest(a, now)
 	case policy.Cancel:
 		c.cancelAttempt(a)
 	case policy.SetTimer:
-		heap.Push(&c.timers, pendingTimer{at: now + a.Wait, tag: a.Tag})
+		heap.Push(&c.timers, pendingTimer{atMs: now + a.Wait, tag: a.Tag})
 	case policy.CheckHealth:
-		c.probe(a.Node)
+		c.checkHealth(a.Node)
 	case policy.Subscribe, policy.RequestList:
 		if c.options.OnListRequested != nil {
 			c.options.OnListRequested()
@@ -31,14 +31,14 @@
 	}
 }
 
-// refuseRequest answers a request that the module refuses. While the process starts, the start words the wait.
-func (c *Core) refuseRequest(a *policy.Action) {
+// rejectRequest answers a request that the module refuses. While the process starts, the start words the wait.
+func (c *Core) rejectRequest(a *policy.Action) {
 	e := c.requests[a.ID]
 	if e == nil {
 		return
 	}
 	wait := time.Duration(a.Wait * float64(time.Millisecond))
-	if st := c.starting(); st != nil {
+	if st := c.startLimiter(); st != nil {
 		wait = st.RetryAfter(c.nodeOfShard(e.request.Shard), wait)
 	}
 	c.answer(e, Answer{Kind: Rejected, RetryAfter: wait})
@@ -71,8 +71,8 @@
 	}
 }
 
-// probe asks a node for its load; where nothing can be sent the module hears so in the next step.
-func (c *Core) probe(node string) {
+// checkHealth asks a node for its load; where nothing can be sent the module hears so in the next step.
+func (c *Core) checkHealth(node string) {
 	answered := func(r Result, took time.Duration) {
 		c.post(message{probedNode: node, result: r, latency: took})
 	}
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -12,10 +12,10 @@
 const (
 	mailboxSize = 4096      // messages; when it is full arrivals are refused
 	controlSize = 64        // news of the list and operators' calls
-	batchMost   = 1024      // messages handled in one turn
+	maxBatch    = 1024      // messages handled in one turn
 	idleWait    = time.Hour // while no timer is set
-	// timerRound is added to a timer's time, which is rounded: otherwise the loop would spin for the last microsecond.
-	timerRound = 2 * time.Microsecond
+	// timerRounding is added to a timer's time, which is rounded: otherwise the loop would spin for the last microsecond.
+	timerRounding = 2 * time.Microsecond
 )
 
 // message is one message to the actor; the fields of one kind are set.
@@ -45,7 +45,7 @@
 	defer close(c.ended)
 	wake := time.NewTimer(0)
 	for {
-		wake.Reset(c.untilNext())
+		wake.Reset(c.idleDuration())
 		c.batch = c.batch[:0]
 		select {
 		case m := <-c.control:
@@ -59,27 +59,27 @@
 			}
 			return
 		}
-		c.gather()
-		c.turn(c.moduleTime(time.Now()))
+		c.collectBatch()
+		c.iterate(c.moduleTime(time.Now()))
 	}
 }
 
-// untilNext is how long the loop may wait for a message: until the first timer, and not at all while events are left for
+// idleDuration is how long the loop may wait for a message: until the first timer, and not at all while events are left for
 // the module.
-func (c *Core) untilNext() time.Duration {
+func (c *Core) idleDuration() time.Duration {
 	if len(c.events) > 0 {
 		return 0
 	}
 	if len(c.timers) == 0 {
 		return idleWait
 	}
-	at := c.wallTime(c.timers[0].at).Add(timerRound)
+	at := c.wallTime(c.timers[0].atMs).Add(timerRounding)
 	return max(0, time.Until(at))
 }
 
-// gather adds the messages that wait to the batch, those of control first, up to batchMost.
-func (c *Core) gather() {
-	for len(c.batch) < batchMost {
+// collectBatch adds the messages that wait to the batch, those of control first, up to maxBatch.
+func (c *Core) collectBatch() {
+	for len(c.batch) < maxBatch {
 		select {
 		case m := <-c.control:
 			c.batch = append(c.batch, m)
@@ -95,21 +95,21 @@
 	}
 }
 
-// turn handles one batch in one step of the module. News of the list come first, so that nothing in the batch is decided by an
+// iterate handles one batch in one step of the module. News of the list come first, so that nothing in the batch is decided by an
 // older list; the due timers fire after the messages, so that results that have come count before a timeout.
-func (c *Core) turn(now float64) {
-	defer c.applyRecalled()
+func (c *Core) iterate(now float64) {
+	defer c.applyPendingRestore()
 	for _, m := range c.batch {
 		if m.news != nil {
-			c.applyNews(m.news, now)
+			c.applyListUpdate(m.news, now)
 		}
 	}
 	for _, m := range c.batch {
 		c.handle(m, now)
 	}
 	c.fireTimers(now)
-	if now-c.countedAt >= countEvery {
-		c.countedAt = now
+	if now-c.lastCountMs >= countInterval {
+		c.lastCountMs = now
 		c.countNodes(now)
 	}
 	c.advance(now)
@@ -119,7 +119,7 @@
 func (c *Core) handle(m message, now float64) {
 	switch {
 	case m.arrival != nil:
-		c.arrive(m.arrival, now)
+		c.admit(m.arrival, now)
 	case m.cancel != nil:
 		if e := c.requests[m.cancel.ID]; e != nil && e.request == m.cancel {
 			c.cancelRequest(e)
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, e := range c.deferred {
-		c.arriveAvoiding(e, now)
+		c.admitAvoiding(e, now)
 	}
 	c.deferred = c.deferred[:0]
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,25 +10,25 @@
 
 // Attempt is one try of a request at one node: one Send of the module.
 type Attempt struct {
-	Request   *Request
-	Number    int // from 0 within the request
-	Node      string
-	Deadline  time.Time
-	StartBy   time.Time // it may not be claimed later; zero: no bound but Deadline
-	sentAt    float64   // module's time
-	nodeSince float64   // since_ms of the node at the send
-	state     *requestState
-	counts    *classCounts // nil: a class that is not counted
-	once      sync.Once
-	peer      NodeClient
+	Request       *Request
+	Number        int // from 0 within the request
+	Node          string
+	Deadline      time.Time
+	StartBy       time.Time // it may not be claimed later; zero: no bound but Deadline
+	sentAtMs      float64   // module's time
+	nodeStartTime float64   // since_ms of the node at the send
+	state         *requestState
+	counts        *classCounts // nil: a class that is not counted
+	reportOnce    sync.Once
+	peer          NodeClient
 	// drainCutoff is the node's: a draining node takes no new attempt after it. repeatWindow is the request's: no
 	// attempt of it may be claimed once the nodes would not recognise a repeat any more.
 	drainCutoff, repeatWindow *cutoff
 	done                      func(Result)
-	// endedAt (module's time; 0: not yet) and status are for the log.
-	endedAt float64
-	status  policy.Status
-	phase   atomic.Int32
+	// endedAtMs (module's time; 0: not yet) and status are for the log.
+	endedAtMs float64
+	status    policy.Status
+	phase     atomic.Int32
 }
 
 // An attempt's phases. It leaves phaseWaiting once, either way: that decides between its write and its request's end.
@@ -59,7 +59,7 @@
 // client has gone, its repeat window is over, or its draining node takes no more. Nothing of it may be
 // written then, and the peer reports it as policy.Abandoned. Further calls return the same.
 func (a *Attempt) Claim() bool {
-	if a.expired() || a.Request.gone() {
+	if a.expired() || a.Request.clientDisconnected() {
 		a.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
 	}
 	return a.phase.CompareAndSwap(phaseWaiting, phaseClaimed) || a.phase.Load() == phaseClaimed
@@ -79,14 +79,14 @@
 // MarkWritten counts the attempt as written: its last byte was handed to the connection.
 func (a *Attempt) MarkWritten() {
 	if a.counts != nil {
-		a.counts.tries.Add(1)
+		a.counts.attempts.Add(1)
 	}
 }
 
 // Done reports the attempt's result; only the first report counts. It may wait for the core's mailbox, so
 // it must not be called in the core's actor or from a Peer method.
 func (a *Attempt) Done(r Result) {
-	a.once.Do(func() { a.done(r) })
+	a.reportOnce.Do(func() { a.done(r) })
 }
 
 // send starts an attempt and hands it to the node's peer. A request that is answered is never sent again.
@@ -108,10 +108,10 @@
 	p, ok := c.peers[a.Node]
 	if ok {
 		t.peer = p
-		c.countUse(a.Node, now)
+		c.recordUse(a.Node, now)
 	}
 	if !ok || e.answered || !p.Send(t) {
-		c.unsent(t)
+		c.failUnsent(t)
 	}
 }
 
@@ -120,10 +120,10 @@
 	t := NewAttempt(e.request, c.wallTime(until), nil)
 	t.Number = len(e.attempts)
 	t.Node = a.Node
-	t.sentAt = now
-	t.nodeSince = c.nodes[a.Node].StartTime
+	t.sentAtMs = now
+	t.nodeStartTime = c.nodes[a.Node].StartTime
 	t.state = e
-	t.counts = c.counts.of(e.request.Class)
+	t.counts = c.counters.of(e.request.Class)
 	t.drainCutoff = c.cutoffs[a.Node]
 	t.repeatWindow = &e.repeatWindow
 	if a.StartBy > 0 {
@@ -134,11 +134,11 @@
 	return t
 }
 
-// unsent ends an attempt that no peer took. The module hears of it in the next step, not through the mailbox: the
+// failUnsent ends an attempt that no peer took. The module hears of it in the next step, not through the mailbox: the
 // actor must not wait for its own mailbox.
-func (c *Core) unsent(t *Attempt) {
+func (c *Core) failUnsent(t *Attempt) {
 	e := t.state
-	t.once.Do(func() {}) // its result is told here
+	t.reportOnce.Do(func() {}) // its result is told here
 	e.outstanding--
 	status := policy.ConnectFailed
 	if e.answered {
@@ -158,15 +158,15 @@
 // attemptEnded handles the result of an attempt; the first that was served answers the request.
 func (c *Core) attemptEnded(a *Attempt, r Result, now float64) {
 	e := a.state
-	if r.Status == policy.Abandoned && e.request.gone() {
+	if r.Status == policy.Abandoned && e.request.clientDisconnected() {
 		c.cancelRequest(e) // else the module would send it again
 	}
 	e.outstanding--
-	a.endedAt, a.status = now, r.Status
+	a.endedAtMs, a.status = now, r.Status
 	if c.options.OnAttemptEnded != nil {
-		c.options.OnAttemptEnded(a.Node, int64(a.nodeSince), e.request.Class, e.request.Units, now-a.sentAt, r.Status)
+		c.options.OnAttemptEnded(a.Node, int64(a.nodeStartTime), e.request.Class, e.request.Units, now-a.sentAtMs, r.Status)
 	}
-	if st := c.starting(); st != nil {
+	if st := c.startLimiter(); st != nil {
 		st.AttemptEnded(a.Node, r.Status)
 	}
 	if r.Status == policy.OK && !e.answered {
@@ -185,7 +185,7 @@
 		Attempt:   a.Number,
 		Node:      a.Node,
 		Status:    r.Status,
-		Latency:   now - a.sentAt,
+		Latency:   now - a.sentAtMs,
 		Finished:  e.answered,
 		PlanUsage: r.PlanUsage,
 		PeerUsage: r.PeerUsage,
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -12,27 +12,27 @@
 
 // nodesToAvoid selects from the nodes that are up those that earlier requests went to, the latest first, as long as at
 // least one other remains.
-func nodesToAvoid(past []*AttemptedNodes, up []string) (over []string) {
-	for _, t := range past {
+func nodesToAvoid(earlier []*AttemptedNodes, up []string) (avoided []string) {
+	for _, t := range earlier {
 		for _, n := range slices.Backward(t.nodes) {
-			if len(over)+1 < len(up) && slices.Contains(up, n) && !slices.Contains(over, n) {
-				over = append(over, n)
+			if len(avoided)+1 < len(up) && slices.Contains(up, n) && !slices.Contains(avoided, n) {
+				avoided = append(avoided, n)
 			}
 		}
 	}
-	return over
+	return avoided
 }
 
-// arriveAvoiding passes the module an arrival with nodes to avoid: for the step of the arrival the module sees them as
+// admitAvoiding passes the module an arrival with nodes to avoid: for the step of the arrival the module sees them as
 // excluded. Windows, cold budgets and limits apply as to any request. Where no other node has room the request waits, and
 // may go to an avoided node later.
-func (c *Core) arriveAvoiding(e *requestState, now float64) {
+func (c *Core) admitAvoiding(e *requestState, now float64) {
 	if e.answered { // or cancelled
 		return
 	}
 	arrival := policy.Event{Kind: policy.RequestArrived, Request: e.request.Request}
 	hide, show := policy.Event{Kind: policy.ListChanged}, policy.Event{Kind: policy.ListChanged}
-	for _, id := range c.avoidedNodes(e, now) {
+	for _, id := range c.nodesAvoidedBy(e, now) {
 		n := c.exclusions.View(now, c.nodes[id].Node)
 		show.Nodes = append(show.Nodes, n)
 		n.State = policy.NodeExcluded
@@ -47,10 +47,10 @@
 	}
 }
 
-// avoidedNodes are the nodes that a request avoids when it arrives. There are none while another request waits for the
+// nodesAvoidedBy are the nodes that a request avoids when it arrives. There are none while another request waits for the
 // shard, as the changed view would apply to it too, nor while the list is not current in AskMode, as the module takes any
 // change for an update of the list.
-func (c *Core) avoidedNodes(e *requestState, now float64) []string {
+func (c *Core) nodesAvoidedBy(e *requestState, now float64) []string {
 	if c.options.Settings.PollsEndpointList && !c.listCurrent {
 		return nil
 	}
--- a/internal/core/pass_test.go
+++ b/internal/core/avoid_test.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/policy"
 )
 
-func TestPassOver(t *testing.T) {
+func TestNodesToAvoid(t *testing.T) {
 	trail := func(nodes ...string) *AttemptedNodes { return &AttemptedNodes{nodes} }
 	for _, c := range []struct {
 		past []*AttemptedNodes
@@ -29,10 +29,10 @@
 }
 
 // A request that follows others goes to another node of the shard, and only it does: the module's view is the list's again.
-func TestARequestPassesOverNodes(t *testing.T) {
+func TestRequestAvoidsNodes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		amid   func(*rig)
+		amid   func(*fixture)
 		past   int // requests before it that it names
 		want   string
 		inTurn bool // the list must be asked for
@@ -40,11 +40,11 @@
 		{name: "none named", want: "a"},
 		{name: "one", past: 1, want: "b"},
 		{name: "both: the newest", past: 2, want: "a"},
-		{name: "the other is out by hand", past: 1, want: "a", amid: func(r *rig) { _, _ = r.Exclude("b") }},
-		{name: "the other drains", past: 1, want: "a", amid: func(r *rig) { r.list(policy.ListChanged, node("b", 0, policy.NodeDraining)) }},
-		{name: "the list is not heard", past: 1, want: "a", inTurn: true, amid: func(r *rig) { r.list(policy.ListFailed) }},
+		{name: "the other is out by hand", past: 1, want: "a", amid: func(r *fixture) { _, _ = r.Exclude("b") }},
+		{name: "the other drains", past: 1, want: "a", amid: func(r *fixture) { r.updateList(policy.ListChanged, newNode("b", 0, policy.NodeDraining)) }},
+		{name: "the list is not heard", past: 1, want: "a", inTurn: true, amid: func(r *fixture) { r.updateList(policy.ListFailed) }},
 		{name: "the list is heard", past: 1, want: "b", inTurn: true},
-		{name: "others wait for the shard", past: 1, want: "a", amid: func(r *rig) {
+		{name: "others wait for the shard", past: 1, want: "a", amid: func(r *fixture) {
 			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Schedulers: 1},
 				ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(Answer) {}})
 		}},
@@ -54,8 +54,8 @@
 			set.Plans[0].ReservedRate = 0 // what has none is refused where no node can take it
 			set.PollsEndpointList, set.PollWithin = c.inTurn, 2000
 			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
-			r := start(t, set)
-			r.list(policy.ListReceived, node("a", 0, policy.NodeUp), node("b", 0, policy.NodeUp))
+			r := startCore(t, set)
+			r.updateList(policy.ListReceived, newNode("a", 0, policy.NodeUp), newNode("b", 0, policy.NodeUp))
 			var trails []*AttemptedNodes
 			goes := func(id string, past []*AttemptedNodes) string {
 				got := make(chan Answer, 8)
@@ -64,11 +64,11 @@
 				r.Submit(q)
 				var a *Attempt
 				select {
-				case a = <-r.peer("a").sent:
-				case a = <-r.peer("b").sent:
+				case a = <-r.node("a").sent:
+				case a = <-r.node("b").sent:
 				}
 				a.Done(Result{Status: policy.OK})
-				one(t, got, Served)
+				expectAnswer(t, got, Served)
 				trails = slices.Insert(trails, 0, q.AttemptedNodes)
 				return a.Node
 			}
@@ -83,7 +83,7 @@
 			}
 			var away []string
 			_, _ = r.changeExclusions(func(now float64) ([]string, error) {
-				away = r.avoidedNodes(&requestState{request: &Request{AvoidNodes: trails[:c.past]}}, now)
+				away = r.nodesAvoidedBy(&requestState{request: &Request{AvoidNodes: trails[:c.past]}}, now)
 				return nil, nil
 			})
 			if passes := c.past == 2 || c.want == "b"; passes != (len(away) == 1) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -49,9 +49,9 @@
 	batch     []message       // of the present turn
 	timers    timerHeap
 
-	requests map[string]*requestState // by id: not answered, or with attempts outstanding
-	deferred []*requestState          // arrived in this turn, with nodes to avoid
-	finished bool                     // Finish was called: arrivals are refused
+	requests        map[string]*requestState // by id: not answered, or with attempts outstanding
+	deferred        []*requestState          // arrived in this turn, with nodes to avoid
+	rejectsArrivals bool                     // Finish was called: arrivals are refused
 
 	peers       map[string]NodeClient // by node of the list, as are nodes, cutoffs and nodeUses
 	nodes       map[string]Node       // as listed, without the exclusions
@@ -60,14 +60,14 @@
 	listCurrent bool // the last news of the list came by a call or a watch that stands
 	exclusions  *exclusion.Set
 
-	recalled   policy.Learned // for the module, after the next step
-	handedOver bool           // another process fills the limits' stores; also told to a module that replaces this one
+	pendingRestore policy.Learned // for the module, after the next step
+	handedOver     bool           // another process fills the limits' stores; also told to a module that replaces this one
 
-	counts       *Counters // any goroutine reads
-	countedAt    float64   // when the nodes that the module avoids were last counted
-	late         deadline.LagGauge
-	lateLogged   time.Time // when a late answer was last logged
-	lateUnlogged int       // late answers since then
+	counters           *Counters // any goroutine reads
+	lastCountMs        float64   // when the nodes that the module avoids were last counted
+	timerLag           deadline.LagGauge
+	lastLateLog        time.Time // when a late answer was last logged
+	suppressedLateLogs int       // late answers since then
 
 	settings atomic.Pointer[Settings] // any goroutine reads
 }
@@ -102,7 +102,7 @@
 	book.Load(c.moduleTime(now), opt.Excluded)
 	first := newSettings(1, opt.Settings)
 	c.settings.Store(first)
-	c.counts = newCounts(first.names())
+	c.counters = newCounters(first.names())
 	go c.run()
 	return c, nil
 }
@@ -125,7 +125,7 @@
 }
 
 // Counters returns the counters of this core.
-func (c *Core) Counters() *Counters { return c.counts }
+func (c *Core) Counters() *Counters { return c.counters }
 
 // OpenRequests returns the number of requests without a final answer; 0 once the actor has ended.
 func (c *Core) OpenRequests() int {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -22,17 +22,17 @@
 		Plans: []policy.Plan{{Name: "basic", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 }
 
-// fake is a peer that hands its attempts to the test.
-type fake struct {
-	mu      sync.Mutex
-	sent    chan *Attempt
-	cancels chan *Attempt
-	full    bool
-	drained bool
-	closed  bool
-	ahead   []func(policy.Status) // the core's actor's, as probes
-	probes  []func(Result, time.Duration)
-	to      [][]address.Addr // changes of its addresses
+// fakeNode is a peer that hands its attempts to the test.
+type fakeNode struct {
+	mu             sync.Mutex
+	sent           chan *Attempt
+	cancels        chan *Attempt
+	mailboxFull    bool
+	drained        bool
+	closed         bool
+	connects       []func(policy.Status) // the core's actor's, as probes
+	healthChecks   []func(Result, time.Duration)
+	addressChanges [][]address.Addr // changes of its addresses
 }
 
 func addrs(texts ...string) []address.Addr {
@@ -43,28 +43,32 @@
 	return list
 }
 
-func (f *fake) Send(a *Attempt) bool {
+func (f *fakeNode) Send(a *Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.full {
+	if !f.mailboxFull {
 		f.sent <- a
 	}
-	return !f.full
+	return !f.mailboxFull
 }
-func (f *fake) Cancel(a *Attempt) { f.cancels <- a }
-func (f *fake) CheckHealth(told func(Result, time.Duration)) bool {
-	f.probes = append(f.probes, told)
+func (f *fakeNode) Cancel(a *Attempt) { f.cancels <- a }
+func (f *fakeNode) CheckHealth(told func(Result, time.Duration)) bool {
+	f.healthChecks = append(f.healthChecks, told)
 	return true
 }
-func (f *fake) Connect(told func(policy.Status)) bool {
-	f.ahead = append(f.ahead, told)
+func (f *fakeNode) Connect(told func(policy.Status)) bool {
+	f.connects = append(f.connects, told)
 	return true
 }
-func (f *fake) Drain(on bool)                  { f.mu.Lock(); f.drained = on; f.mu.Unlock() }
-func (f *fake) SetAddresses(to []address.Addr) { f.mu.Lock(); f.to = append(f.to, to); f.mu.Unlock() }
-func (f *fake) Close()                         { f.mu.Lock(); f.closed = true; f.mu.Unlock() }
+func (f *fakeNode) Drain(on bool) { f.mu.Lock(); f.drained = on; f.mu.Unlock() }
+func (f *fakeNode) SetAddresses(to []address.Addr) {
+	f.mu.Lock()
+	f.addressChanges = append(f.addressChanges, to)
+	f.mu.Unlock()
+}
+func (f *fakeNode) Close() { f.mu.Lock(); f.closed = true; f.mu.Unlock() }
 
-type rig struct {
+type fixture struct {
 	*Core
 	t     *testing.T
 	peers sync.Map
@@ -75,16 +79,16 @@
 	return log
 }
 
-func (r *rig) connect(name string, _ []address.Addr) NodeClient {
-	f := &fake{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
+func (r *fixture) newNodeClient(name string, _ []address.Addr) NodeClient {
+	f := &fakeNode{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
 	r.peers.Store(name, f)
 	return f
 }
 
-func start(t *testing.T, set policy.Settings) *rig {
+func startCore(t *testing.T, set policy.Settings) *fixture {
 	t.Helper()
-	r := &rig{t: t}
-	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.connect})
+	r := &fixture{t: t}
+	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,39 +97,39 @@
 	return r
 }
 
-func (r *rig) list(kind policy.EventKind, nodes ...Node) {
+func (r *fixture) updateList(kind policy.EventKind, nodes ...Node) {
 	r.UpdateList(ListUpdate{Kind: kind, Nodes: nodes})
 	r.OpenRequests() // has been taken
 }
 
-func (r *rig) peer(name string) *fake {
+func (r *fixture) node(name string) *fakeNode {
 	f, ok := r.peers.Load(name)
 	if !ok {
 		r.t.Fatalf("no peer %s", name)
 	}
-	return f.(*fake)
+	return f.(*fakeNode)
 }
 
-func node(name string, shard int, state policy.NodeState) Node {
+func newNode(name string, shard int, state policy.NodeState) Node {
 	return Node{Node: policy.Node{ID: name, Shard: shard, State: state, Weight: 1}, Addresses: addrs("127.0.0.1:1")}
 }
 
-// ask submits a request and returns the channel of all its answers.
-func (r *rig) ask(id, class string, patience time.Duration) (*Request, chan Answer) {
-	q, got := r.made(id, class, patience)
+// submit submits a request and returns the channel of all its answers.
+func (r *fixture) submit(id, class string, patience time.Duration) (*Request, chan Answer) {
+	q, got := r.newRequest(id, class, patience)
 	r.Submit(q)
 	return q, got
 }
 
-// made is a request that is not submitted yet.
-func (r *rig) made(id, class string, patience time.Duration) (*Request, chan Answer) {
+// newRequest is a request that is not submitted yet.
+func (r *fixture) newRequest(id, class string, patience time.Duration) (*Request, chan Answer) {
 	got := make(chan Answer, 8)
 	q := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
 		ReceivedAt: time.Now(), Timeout: patience, Answer: func(a Answer) { got <- a }}
 	return q, got
 }
 
-func one(t *testing.T, got chan Answer, want AnswerKind) Answer {
+func expectAnswer(t *testing.T, got chan Answer, want AnswerKind) Answer {
 	t.Helper()
 	a := <-got
 	if a.Kind != want {
@@ -134,7 +138,7 @@
 	return a
 }
 
-func none(t *testing.T, r *rig, got chan Answer) {
+func expectNoAnswer(t *testing.T, r *fixture, got chan Answer) {
 	t.Helper()
 	r.OpenRequests()
 	if len(got) > 0 {
@@ -143,33 +147,33 @@
 }
 
 // What a node turns away for what it is, a bad client's request, is not tried again.
-func TestBadIsFinal(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+func TestInvalidRequestIsNotRetried(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	for _, class := range []string{"read", "record"} {
-		_, got := r.ask(class, class, time.Minute)
-		(<-r.peer("n").sent).Done(Result{Status: policy.Abandoned, InvalidRequest: true})
-		if a := one(t, got, Failed); a.Cause != CauseInvalidRequest {
+		_, got := r.submit(class, class, time.Minute)
+		(<-r.node("n").sent).Done(Result{Status: policy.Abandoned, InvalidRequest: true})
+		if a := expectAnswer(t, got, Failed); a.Cause != CauseInvalidRequest {
 			t.Errorf("%s: %+v", class, a)
 		}
-		none(t, r, got)
-		if len(r.peer("n").sent) > 0 {
+		expectNoAnswer(t, r, got)
+		if len(r.node("n").sent) > 0 {
 			t.Errorf("%s: sent again", class)
 		}
 	}
 }
 
-func TestServedOnce(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	_, got := r.ask("a", "read", time.Minute)
-	a := <-r.peer("n").sent
+func TestSecondResultIsIgnored(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	_, got := r.submit("a", "read", time.Minute)
+	a := <-r.node("n").sent
 	a.Done(Result{Status: policy.OK, Payload: "body"})
 	a.Done(Result{Status: policy.ConnectionReset}) // guards against a peer that reports twice
-	if x := one(t, got, Served); x.Payload != "body" {
+	if x := expectAnswer(t, got, Served); x.Payload != "body" {
 		t.Errorf("payload %v", x.Payload)
 	}
-	none(t, r, got)
+	expectNoAnswer(t, r, got)
 	if n := r.OpenRequests(); n != 0 {
 		t.Errorf("%d open", n)
 	}
@@ -177,40 +181,40 @@
 
 // A write that may have run is not sent again once its group's memory could have ended, and
 // never to another shard; it ends as failed, not as refused, as a refusal invites a repeat.
-func TestKeyedResetStaysInItsGroup(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
-	_, got := r.ask("a", "record", time.Minute)
-	first := <-r.peer("n").sent
+func TestIdempotentByKeyRetryStaysInItsShard(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeUp))
+	_, got := r.submit("a", "record", time.Minute)
+	first := <-r.node("n").sent
 	first.Done(Result{Status: policy.ConnectionReset})
-	again := <-r.peer("n").sent
+	again := <-r.node("n").sent
 	again.Done(Result{Status: policy.ConnectionReset})
-	third := <-r.peer("n").sent
+	third := <-r.node("n").sent
 	third.Done(Result{Status: policy.ConnectionReset})
-	(<-r.peer("n").sent).Done(Result{Status: policy.ConnectionReset})
-	one(t, got, Failed)
-	none(t, r, got)
-	if len(r.peer("m").sent) > 0 {
+	(<-r.node("n").sent).Done(Result{Status: policy.ConnectionReset})
+	expectAnswer(t, got, Failed)
+	expectNoAnswer(t, r, got)
+	if len(r.node("m").sent) > 0 {
 		t.Error("sent to another shard")
 	}
 }
 
 // A repeat that waits for a connection until its group has forgotten the key does not begin any more: the
 // decision to send it came in time, its first byte would not.
-func TestKeyedRepeatBeginsWithinItsWindow(t *testing.T) {
+func TestIdempotentByKeyRetryStartsWithinDedupWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
 		set.Classes[1].DedupWindow = 1000
-		r := start(t, set)
-		r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+		r := startCore(t, set)
+		r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 		sent := time.Now()
-		_, got := r.ask("a", "record", time.Minute)
-		first := <-r.peer("n").sent
+		_, got := r.submit("a", "record", time.Minute)
+		first := <-r.node("n").sent
 		if !first.StartBy.IsZero() {
 			t.Errorf("a first attempt is bound: %v", first.StartBy)
 		}
 		first.Done(Result{Status: policy.ConnectionReset})
-		again := <-r.peer("n").sent
+		again := <-r.node("n").sent
 		if again.StartBy.Before(sent.Add(time.Second)) || again.StartBy.After(time.Now().Add(time.Second)) {
 			t.Fatalf("may begin until %v after the request, want 1 s after the first attempt", again.StartBy.Sub(sent))
 		}
@@ -219,52 +223,52 @@
 			t.Error("begins although its window is over")
 		}
 		again.Done(Result{Status: policy.Abandoned})
-		one(t, got, Failed)
-		none(t, r, got)
+		expectAnswer(t, got, Failed)
+		expectNoAnswer(t, r, got)
 	})
 }
 
-func TestDepartedCancels(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	q, got := r.ask("a", "read", time.Minute)
-	a := <-r.peer("n").sent
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	q, got := r.submit("a", "read", time.Minute)
+	a := <-r.node("n").sent
 	r.Cancel(q)
-	if b := <-r.peer("n").cancels; b != a {
+	if b := <-r.node("n").cancels; b != a {
 		t.Error("another attempt was cancelled")
 	}
 	a.Done(Result{Status: policy.Cancelled})
-	none(t, r, got)
+	expectNoAnswer(t, r, got)
 }
 
 // An id that is open, or a class or plan that no setting names, gets a plain failure.
-func TestBadRequests(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	_, first := r.ask("a", "read", time.Minute)
-	_, got := r.ask("a", "read", time.Minute)
-	if x := one(t, got, Failed); x.Cause != CauseDuplicateID {
+func TestDuplicateIDAndUnknownClassFail(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	_, first := r.submit("a", "read", time.Minute)
+	_, got := r.submit("a", "read", time.Minute)
+	if x := expectAnswer(t, got, Failed); x.Cause != CauseDuplicateID {
 		t.Errorf("cause %q", x.Cause)
 	}
-	_, got = r.ask("b", "other", time.Minute)
-	if x := one(t, got, Failed); x.Cause != CauseUnknownClass {
+	_, got = r.submit("b", "other", time.Minute)
+	if x := expectAnswer(t, got, Failed); x.Cause != CauseUnknownClass {
 		t.Errorf("cause %q", x.Cause)
 	}
-	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-	one(t, first, Served)
+	(<-r.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, first, Served)
 }
 
 // The guard behind the module: a request that it has forgotten gets its answer all the same.
-func TestGuardAnswers(t *testing.T) {
-	r := start(t, settings())
+func TestGuardTimerAnswersLostRequest(t *testing.T) {
+	r := startCore(t, settings())
 	got := make(chan Answer, 2)
 	r.post(message{call: func() {
 		q := &Request{Request: policy.Request{ID: "lost"}, Answer: func(a Answer) { got <- a }}
 		e := &requestState{request: q}
 		r.requests["lost"] = e
-		r.timers.Push(pendingTimer{at: 0, guarded: e})
+		r.timers.Push(pendingTimer{atMs: 0, guarded: e})
 	}})
-	if a := one(t, got, Failed); a.Cause != CauseDeadlineExceeded {
+	if a := expectAnswer(t, got, Failed); a.Cause != CauseDeadlineExceeded {
 		t.Errorf("cause %q", a.Cause)
 	}
 	if r.OpenRequests() != 0 {
@@ -274,8 +278,8 @@
 
 // The module's clock is the Unix time of the start moved on by the monotonic clock: a list's
 // since_ms stands on it as it is, also that of a node that started before this program.
-func TestClock(t *testing.T) {
-	r := start(t, settings())
+func TestModuleTime(t *testing.T) {
+	r := startCore(t, settings())
 	now := time.Now()
 	at := r.moduleTime(now)
 	if off := at - float64(now.UnixMilli()); off < -1000 || off > 1000 {
@@ -287,82 +291,82 @@
 }
 
 // A full mailbox proves that an attempt never ran; the module hears of it and goes on.
-func TestFullMailbox(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	f := r.peer("n")
+func TestFullNodeMailboxIsRetried(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	f := r.node("n")
 	f.mu.Lock()
-	f.full = true
+	f.mailboxFull = true
 	f.mu.Unlock()
-	_, got := r.ask("a", "record", time.Minute)
+	_, got := r.submit("a", "record", time.Minute)
 	r.OpenRequests()
 	f.mu.Lock()
-	f.full = false
+	f.mailboxFull = false
 	f.mu.Unlock()
 	(<-f.sent).Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	expectAnswer(t, got, Served)
 }
 
 // A removal may show only as a missing entry of a snapshot, and binds the peer at once.
-func TestMissingEntryDrains(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp), node("m", 1, policy.NodeUp))
-	r.list(policy.ListChanged, node("m", 1, policy.NodeDraining))
-	if !r.peer("m").drained || r.peer("n").drained || r.peer("m").closed {
+func TestNodeMissingFromListIsDrained(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeUp))
+	r.updateList(policy.ListChanged, newNode("m", 1, policy.NodeDraining))
+	if !r.node("m").drained || r.node("n").drained || r.node("m").closed {
 		t.Error("a change drained the wrong peer")
 	}
-	r.list(policy.ListReceived, node("m", 1, policy.NodeUp))
-	if !r.peer("n").drained || !r.peer("n").closed || r.peer("m").drained {
+	r.updateList(policy.ListReceived, newNode("m", 1, policy.NodeUp))
+	if !r.node("n").drained || !r.node("n").closed || r.node("m").drained {
 		t.Error("a missing entry did not drain its peer")
 	}
 }
 
 // A panic in the module fails what is open, and a new module takes over with the list.
-func TestPanicIsSurvived(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	_, got := r.ask("a", "read", time.Minute)
-	<-r.peer("n").sent
+func TestPanicReplacesModule(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	_, got := r.submit("a", "read", time.Minute)
+	<-r.node("n").sent
 	r.post(message{call: func() {
 		r.scheduler = nil
 		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}})
-	one(t, got, Failed)
-	_, got = r.ask("b", "read", time.Minute)
-	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	expectAnswer(t, got, Failed)
+	_, got = r.submit("b", "read", time.Minute)
+	(<-r.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, got, Served)
 }
 
-func TestStopFailsWhatIsOpen(t *testing.T) {
+func TestStopFailsOpenRequests(t *testing.T) {
 	c, err := New(Options{Settings: settings(), Log: logrus.New(), NewNodeClient: func(string, []address.Addr) NodeClient { return nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Core: c, t: t}
-	_, got := r.ask("a", "read", time.Minute)
+	r := &fixture{Core: c, t: t}
+	_, got := r.submit("a", "read", time.Minute)
 	r.OpenRequests()
 	c.Stop()
-	one(t, got, Failed)
+	expectAnswer(t, got, Failed)
 }
 
 // Before the program is killed each open request gets its one answer: what was never sent is
 // refused, what may have run has failed.
 func TestFinish(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	_, sent := r.ask("a", "record", time.Minute)
-	a := <-r.peer("n").sent
-	r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
-	q, waits := r.ask("b", "read", time.Minute)
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	_, sent := r.submit("a", "record", time.Minute)
+	a := <-r.node("n").sent
+	r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
+	q, waits := r.submit("b", "read", time.Minute)
 	r.Finish()
-	one(t, sent, Failed)
-	if x := one(t, waits, Rejected); x.RetryAfter <= 0 {
+	expectAnswer(t, sent, Failed)
+	if x := expectAnswer(t, waits, Rejected); x.RetryAfter <= 0 {
 		t.Error("does not say when to come back")
 	}
 	a.Done(Result{Status: policy.OK})
 	r.Cancel(q)
-	none(t, r, sent)
-	none(t, r, waits)
+	expectNoAnswer(t, r, sent)
+	expectNoAnswer(t, r, waits)
 	if n := r.OpenRequests(); n != 0 {
 		t.Errorf("%d open", n)
 	}
@@ -370,44 +374,44 @@
 
 // A change of addresses is news for the peer, not another peer: what is out stays out, and the
 // module hears of the same node.
-func TestReaddressInPlace(t *testing.T) {
-	r := start(t, settings())
-	n := node("a", 0, policy.NodeUp)
-	r.list(policy.CachedListLoaded, n)
-	p := r.peer("a")
-	_, got := r.ask("1", "read", time.Minute)
+func TestAddressChangeKeepsNodeClient(t *testing.T) {
+	r := startCore(t, settings())
+	n := newNode("a", 0, policy.NodeUp)
+	r.updateList(policy.CachedListLoaded, n)
+	p := r.node("a")
+	_, got := r.submit("1", "read", time.Minute)
 	a := <-p.sent
 	n.Addresses = addrs("unix:/run/a", "127.0.0.1:1")
-	r.list(policy.ListReceived, n)
-	r.list(policy.ListChanged, n) // nothing new
-	if r.peer("a") != p || p.closed || p.drained || len(p.to) != 1 || len(p.to[0]) != 2 {
-		t.Fatalf("closed %v, drained %v, told %v", p.closed, p.drained, p.to)
+	r.updateList(policy.ListReceived, n)
+	r.updateList(policy.ListChanged, n) // nothing new
+	if r.node("a") != p || p.closed || p.drained || len(p.addressChanges) != 1 || len(p.addressChanges[0]) != 2 {
+		t.Fatalf("closed %v, drained %v, told %v", p.closed, p.drained, p.addressChanges)
 	}
 	a.Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	expectAnswer(t, got, Served)
 }
 
 // A node that a standing watch tells to drain stays open to the module for a part of the grace, and its
 // peer is closed to new work before the grace is over. By hand, by a list that may be old, and after
 // the module's fault it is closed at once.
-func TestDrainBindsWithinTheGrace(t *testing.T) {
+func TestDrainClosesNodeWithinGrace(t *testing.T) {
 	set := settings()
 	set.DrainGrace = 60e3
-	drained := func(r *rig, name string) bool {
-		f := r.peer(name)
+	drained := func(r *fixture, name string) bool {
+		f := r.node(name)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.drained
 	}
-	r := start(t, set)
-	r.list(policy.CachedListLoaded, node("a", 0, policy.NodeUp), node("b", 1, policy.NodeUp), node("c", 2, policy.NodeUp))
-	r.list(policy.ListChanged, node("a", 0, policy.NodeDraining)) // the first word of the watch
-	r.list(policy.ListChanged, node("b", 1, policy.NodeDraining))
+	r := startCore(t, set)
+	r.updateList(policy.CachedListLoaded, newNode("a", 0, policy.NodeUp), newNode("b", 1, policy.NodeUp), newNode("c", 2, policy.NodeUp))
+	r.updateList(policy.ListChanged, newNode("a", 0, policy.NodeDraining)) // the first word of the watch
+	r.updateList(policy.ListChanged, newNode("b", 1, policy.NodeDraining))
 	if !drained(r, "a") || drained(r, "b") {
 		t.Errorf("drained: a %v, b %v", drained(r, "a"), drained(r, "b"))
 	}
-	r.list(policy.ListFailed)
-	r.list(policy.ListChanged, node("c", 2, policy.NodeDraining))
+	r.updateList(policy.ListFailed)
+	r.updateList(policy.ListChanged, newNode("c", 2, policy.NodeDraining))
 	if !drained(r, "c") {
 		t.Error("the first word after a broken watch is not bound at once")
 	}
@@ -415,9 +419,9 @@
 		t.Errorf("by hand: %v, drained %v", err, drained(r, "b"))
 	}
 	set.DrainGrace = 560
-	r = start(t, set)
-	r.list(policy.ListReceived, node("a", 0, policy.NodeUp))
-	r.list(policy.ListChanged, node("a", 0, policy.NodeDraining))
+	r = startCore(t, set)
+	r.updateList(policy.ListReceived, newNode("a", 0, policy.NodeUp))
+	r.updateList(policy.ListChanged, newNode("a", 0, policy.NodeDraining))
 	for !drained(r, "a") {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/core/telemetry.go
+++ b/internal/core/counters.go
@@ -9,18 +9,18 @@
 // Counters are the counters for operators, from 0 in each process. Each is incremented once, where the
 // outcome is decided. They are read without the actor, so that a busy actor delays no reading.
 type Counters struct {
-	mu       sync.RWMutex
-	classes  map[string]*classCounts // every class that the settings ever named
-	progress atomic.Int64            // requests accepted and not yet ended
-	known    atomic.Int64            // nodes in the list
-	skipped  atomic.Int64            // of these, the avoided ones
-	loads    atomic.Int64            // settings files accepted at SIGHUP
-	refused  atomic.Int64            // settings files rejected at SIGHUP
+	mu           sync.RWMutex
+	classes      map[string]*classCounts // every class that the settings ever named
+	inProgress   atomic.Int64            // requests accepted and not yet ended
+	nodes        atomic.Int64            // nodes in the list
+	avoidedNodes atomic.Int64            // of these, the avoided ones
+	reloads      atomic.Int64            // settings files accepted at SIGHUP
+	reloadErrors atomic.Int64            // settings files rejected at SIGHUP
 }
 
 // classCounts are the counters of one class: answers by kind, and attempts written.
 type classCounts struct {
-	passed, dropped, badGateway, tries atomic.Int64
+	served, rejected, failed, attempts atomic.Int64
 }
 
 // CounterSnapshot is one reading of the counters.
@@ -30,15 +30,15 @@
 	Reloads, ReloadErrors              int64
 }
 
-// newCounts makes counters for these classes.
-func newCounts(classes []string) *Counters {
+// newCounters makes counters for these classes.
+func newCounters(classes []string) *Counters {
 	c := &Counters{classes: map[string]*classCounts{}}
-	c.name(classes)
+	c.addClasses(classes)
 	return c
 }
 
-// name adds classes; one that the settings no longer name keeps its counts.
-func (c *Counters) name(classes []string) {
+// addClasses adds classes; one that the settings no longer name keeps its counts.
+func (c *Counters) addClasses(classes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range classes {
@@ -64,33 +64,33 @@
 	}
 	switch k {
 	case Served:
-		cc.passed.Add(1)
+		cc.served.Add(1)
 	case Rejected:
-		cc.dropped.Add(1)
+		cc.rejected.Add(1)
 	default:
-		cc.badGateway.Add(1)
+		cc.failed.Add(1)
 	}
 }
 
 // CountReload counts a settings file read at SIGHUP: accepted, or rejected.
-func (c *Counters) CountReload(taken bool) {
-	if taken {
-		c.loads.Add(1)
+func (c *Counters) CountReload(accepted bool) {
+	if accepted {
+		c.reloads.Add(1)
 	} else {
-		c.refused.Add(1)
+		c.reloadErrors.Add(1)
 	}
 }
 
 // Snapshot returns the present figures.
 func (c *Counters) Snapshot() CounterSnapshot {
 	f := CounterSnapshot{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
-		Attempts: map[string]int64{}, InProgress: max(0, c.progress.Load()), Nodes: c.known.Load(),
-		AvoidedNodes: c.skipped.Load(), Reloads: c.loads.Load(), ReloadErrors: c.refused.Load()}
+		Attempts: map[string]int64{}, InProgress: max(0, c.inProgress.Load()), Nodes: c.nodes.Load(),
+		AvoidedNodes: c.avoidedNodes.Load(), Reloads: c.reloads.Load(), ReloadErrors: c.reloadErrors.Load()}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for k, cc := range c.classes {
-		f.Served[k], f.Rejected[k], f.Failed[k] = cc.passed.Load(), cc.dropped.Load(), cc.badGateway.Load()
-		f.Attempts[k] = cc.tries.Load()
+		f.Served[k], f.Rejected[k], f.Failed[k] = cc.served.Load(), cc.rejected.Load(), cc.failed.Load()
+		f.Attempts[k] = cc.attempts.Load()
 	}
 	return f
 }
--- a/internal/core/cutoff.go
+++ b/internal/core/cutoff.go
@@ -14,10 +14,10 @@
 // set sets or moves the cutoff.
 func (c *cutoff) set(at time.Time) { c.at.Store(&at) }
 
-// lift removes the cutoff.
-func (c *cutoff) lift() { c.at.Store(nil) }
+// clear removes the cutoff.
+func (c *cutoff) clear() { c.at.Store(nil) }
 
-// passed says whether the cutoff is at or before now.
+// served says whether the cutoff is at or before now.
 func (c *cutoff) passed(now time.Time) bool {
 	if c == nil {
 		return false
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -9,8 +9,8 @@
 	"wheatsaddle/policy"
 )
 
-// longGrace has a node that drains used for 500 ms of the grace; its peer is closed after 700 ms.
-func longGrace() policy.Settings {
+// longGraceSettings has a node that drains used for 500 ms of the grace; its peer is closed after 700 ms.
+func longGraceSettings() policy.Settings {
 	set := settings()
 	set.DrainGrace = 1000
 	return set
@@ -19,9 +19,9 @@
 const cutoffAfter = 700 * time.Millisecond
 
 // isDrained says whether a peer is closed to new work, once the actor has run the timers that are due.
-func (r *rig) isDrained(name string) bool {
+func (r *fixture) isDrained(name string) bool {
 	r.OpenRequests()
-	f := r.peer(name)
+	f := r.node(name)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.drained
@@ -29,15 +29,15 @@
 
 // An attempt that waits for its connection while its node drains does not begin past the cutoff, also where the
 // actor stands still and its timer cannot close the peer; one that comes in time does.
-func TestDrainBindsWhileTheActorStandsStill(t *testing.T) {
+func TestDrainCutoffHoldsWhileActorIsStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start(t, longGrace())
-		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
-		_, early := r.ask("early", "read", time.Minute)
-		first := <-r.peer("n").sent
-		_, late := r.ask("late", "read", time.Minute)
-		second := <-r.peer("n").sent
-		r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
+		r := startCore(t, longGraceSettings())
+		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+		_, early := r.submit("early", "read", time.Minute)
+		first := <-r.node("n").sent
+		_, late := r.submit("late", "read", time.Minute)
+		second := <-r.node("n").sent
+		r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
@@ -49,7 +49,7 @@
 		if !second.Abandoned() || second.Claim() {
 			t.Error("begins at a draining node past the cutoff")
 		}
-		if f := r.peer("n"); f.drained {
+		if f := r.node("n"); f.drained {
 			t.Error("the peer was closed all the same: the actor did not stand still")
 		}
 		close(free)
@@ -58,35 +58,35 @@
 		}
 		second.Done(Result{Status: policy.Abandoned})
 		first.Done(Result{Status: policy.OK})
-		one(t, early, Served)
+		expectAnswer(t, early, Served)
 		r.Finish()
-		one(t, late, Failed)
+		expectAnswer(t, late, Failed)
 	})
 }
 
 // A node that drains, returns and drains again: the timer of its first drain neither closes its peer early nor
 // after its return, and the second's does. What was sent before goes out while it is up.
-func TestDrainsInARow(t *testing.T) {
+func TestRepeatedDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const step = 100 * time.Millisecond
-		r := start(t, longGrace())
-		up, drains := node("n", 0, policy.NodeUp), node("n", 0, policy.NodeDraining)
-		r.list(policy.ListReceived, up)
-		r.ask("a", "read", time.Minute)
-		waits := <-r.peer("n").sent
-		r.list(policy.ListChanged, drains)
+		r := startCore(t, longGraceSettings())
+		up, drains := newNode("n", 0, policy.NodeUp), newNode("n", 0, policy.NodeDraining)
+		r.updateList(policy.ListReceived, up)
+		r.submit("a", "read", time.Minute)
+		waits := <-r.node("n").sent
+		r.updateList(policy.ListChanged, drains)
 		time.Sleep(step)
-		r.list(policy.ListChanged, up)
+		r.updateList(policy.ListChanged, up)
 		time.Sleep(cutoffAfter)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed after its return by the timer of its drain")
 		}
-		r.list(policy.ListChanged, drains)
+		r.updateList(policy.ListChanged, drains)
 		time.Sleep(step)
-		r.list(policy.ListChanged, up)
+		r.updateList(policy.ListChanged, up)
 		time.Sleep(step)
-		r.list(policy.ListChanged, drains)
-		r.list(policy.ListReceived, drains) // told again by another watch: the first word counts
+		r.updateList(policy.ListChanged, drains)
+		r.updateList(policy.ListReceived, drains) // told again by another watch: the first word counts
 		time.Sleep(cutoffAfter - step)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("closed early, by the timer of the drain before")
@@ -99,7 +99,7 @@
 		if !r.isDrained("n") || !waits.Abandoned() {
 			t.Error("its second drain does not close it")
 		}
-		r.list(policy.ListChanged, up)
+		r.updateList(policy.ListChanged, up)
 		if r.isDrained("n") || waits.Abandoned() {
 			t.Error("not open after its return")
 		}
@@ -108,32 +108,32 @@
 
 // A drain that is heard, and then: out by hand and back, a broken watch, the module's fault. Each closes the peer
 // at once or at the cutoff, and none opens it again while the node drains.
-func TestDrainStaysClosed(t *testing.T) {
-	for name, then := range map[string]func(r *rig){
-		"out by hand and back": func(r *rig) { r.Exclude("n"); r.Include("n") },
-		"the watch breaks, and another tells it again": func(r *rig) {
-			r.list(policy.ListFailed)
-			r.list(policy.ListReceived, node("n", 0, policy.NodeDraining))
+func TestDrainingNodeStaysClosed(t *testing.T) {
+	for name, then := range map[string]func(r *fixture){
+		"out by hand and back": func(r *fixture) { r.Exclude("n"); r.Include("n") },
+		"the watch breaks, and another tells it again": func(r *fixture) {
+			r.updateList(policy.ListFailed)
+			r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
 		},
-		"another address": func(r *rig) {
-			n := node("n", 0, policy.NodeDraining)
+		"another address": func(r *fixture) {
+			n := newNode("n", 0, policy.NodeDraining)
 			n.Addresses = addrs("127.0.0.1:2")
-			r.list(policy.ListChanged, n)
+			r.updateList(policy.ListChanged, n)
 		},
-		"the module's fault": func(r *rig) {
+		"the module's fault": func(r *fixture) {
 			r.post(message{call: func() {
 				r.scheduler = nil
 				r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 			}})
 			r.OpenRequests() // the step that breaks is this turn's
-			r.list(policy.ListReceived, node("n", 0, policy.NodeDraining))
+			r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := start(t, longGrace())
-				r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
-				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
+				r := startCore(t, longGraceSettings())
+				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+				r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 				if r.isDrained("n") {
 					t.Fatal("closed at once: nothing is tested")
 				}
@@ -157,16 +157,16 @@
 
 // The first attempt of a keyed request still waits for its connection when a copy of it goes out: it does not begin
 // after the time in which the node would know it for the copy's repeat.
-func TestFirstAttemptBeginsWithinItsCopysWindow(t *testing.T) {
+func TestFirstAttemptStartsWithinHedgeWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
 		set.MayHedge = true
-		r := start(t, set)
-		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
+		r := startCore(t, set)
+		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		sent := time.Now()
-		_, got := r.ask("a", "record", time.Minute)
-		first := <-r.peer("n").sent
-		copied := <-r.peer("n").sent // once the node counts as silent
+		_, got := r.submit("a", "record", time.Minute)
+		first := <-r.node("n").sent
+		copied := <-r.node("n").sent // once the node counts as silent
 		if copied.Request != first.Request || copied.StartBy.IsZero() {
 			t.Fatalf("sent %+v, want a copy that is bound", copied)
 		}
@@ -183,14 +183,14 @@
 		}
 		first.Done(Result{Status: policy.Abandoned})
 		copied.Done(Result{Status: policy.OK})
-		one(t, got, Served)
-		none(t, r, got)
+		expectAnswer(t, got, Served)
+		expectNoAnswer(t, r, got)
 	})
 }
 
 // A request whose attempt ends in doubt, or is overtaken by time, once its node drains: neither a repeat nor a copy goes
 // there.
-func TestNoFurtherAttemptAtADrainingNode(t *testing.T) {
+func TestNoRetryOrHedgeAtDrainingNode(t *testing.T) {
 	for name, ended := range map[string]func(first *Attempt){
 		"a repeat": func(first *Attempt) { first.Done(Result{Status: policy.ConnectionReset}) },
 		"a copy":   func(*Attempt) { time.Sleep(10 * time.Second) }, // silent for long
@@ -199,15 +199,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				set := settings()
 				set.MayHedge = true
-				r := start(t, set)
-				r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
-				r.ask("a", "record", time.Minute)
-				first := <-r.peer("n").sent
-				r.list(policy.ListChanged, node("n", 0, policy.NodeDraining))
+				r := startCore(t, set)
+				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+				r.submit("a", "record", time.Minute)
+				first := <-r.node("n").sent
+				r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 				ended(first)
 				r.OpenRequests()
 				r.OpenRequests() // the step of the end has been taken
-				if n := len(r.peer("n").sent); n != 0 {
+				if n := len(r.node("n").sent); n != 0 {
 					t.Errorf("%d more were sent", n)
 				}
 			})
@@ -216,24 +216,24 @@
 }
 
 // A drain that is heard while more waits for the actor than it takes at once: nothing of that is sent to the node.
-func TestDrainGoesBeforeWhatWaits(t *testing.T) {
+func TestDrainIsAppliedBeforeWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start(t, settings())
-		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
+		r := startCore(t, settings())
+		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		stuck, free := make(chan struct{}), make(chan struct{})
 		r.post(message{call: func() { close(stuck); <-free }})
 		<-stuck
-		for i := range 2 * batchMost {
-			r.ask(fmt.Sprint("r", i), "read", time.Minute)
+		for i := range 2 * maxBatch {
+			r.submit(fmt.Sprint("r", i), "read", time.Minute)
 		}
-		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{node("n", 0, policy.NodeDraining)}})
+		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{newNode("n", 0, policy.NodeDraining)}})
 		close(free)
 		r.OpenRequests()
 		r.OpenRequests() // the step of the last batch has been taken
 		if !r.isDrained("n") {
 			t.Error("the drain was not heard")
 		}
-		if n := len(r.peer("n").sent); n != 0 {
+		if n := len(r.node("n").sent); n != 0 {
 			t.Errorf("%d were sent to it", n)
 		}
 	})
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -12,11 +12,11 @@
 
 // Exclude excludes a node by hand: after the return no new attempt is written to it, whatever the list
 // says, until Include. It returns the book's state, which the caller stores.
-func (c *Core) Exclude(id string) (exclusion.State, error) {
+func (c *Core) Exclude(node string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
-		changed, err := c.exclusions.Exclude(now, id)
+		changed, err := c.exclusions.Exclude(now, node)
 		if changed {
-			return []string{id}, err
+			return []string{node}, err
 		}
 		return nil, err
 	})
@@ -41,9 +41,9 @@
 
 // Nodes says whether a node of this id was ever listed.
 func (c *Core) WasListed(id string) bool {
-	known := false
-	c.changeExclusions(func(float64) ([]string, error) { known = c.exclusions.IsListed(id); return nil, nil })
-	return known
+	listed := false
+	c.changeExclusions(func(float64) ([]string, error) { listed = c.exclusions.IsListed(id); return nil, nil })
+	return listed
 }
 
 // changeExclusions runs a change of the book in the actor, applies it to the peers and the module, and returns the
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -6,21 +6,21 @@
 	"wheatsaddle/policy"
 )
 
-// finishWait is the Retry-After of requests that are refused because the process ends.
-const finishWait = 100 * time.Millisecond
+// rejectionRetryAfter is the Retry-After of requests that are refused because the process ends.
+const rejectionRetryAfter = 100 * time.Millisecond
 
 // Finish answers all open requests, because the process is about to be killed, and refuses all later arrivals. Requests
 // that were never sent are refused, as they may safely be repeated; the others fail.
 func (c *Core) Finish() {
 	c.post(message{call: func() {
-		c.finished = true
+		c.rejectsArrivals = true
 		for _, e := range c.requests {
 			if e.answered {
 				continue
 			}
 			end := Answer{Kind: Failed, Cause: CauseNotServed}
 			if len(e.attempts) == 0 {
-				end = Answer{Kind: Rejected, RetryAfter: finishWait}
+				end = Answer{Kind: Rejected, RetryAfter: rejectionRetryAfter}
 			}
 			c.answer(e, end)
 			c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
@@ -33,16 +33,16 @@
 func (c *Core) Stop() {
 	close(c.stop)
 	<-c.ended
-	c.refuseLeft()
+	c.rejectRemaining()
 }
 
-// refuseLeft refuses the arrivals left in the mailbox after the actor has ended. Any goroutine may call it.
-func (c *Core) refuseLeft() {
+// rejectRemaining refuses the arrivals left in the mailbox after the actor has ended. Any goroutine may call it.
+func (c *Core) rejectRemaining() {
 	for {
 		select {
 		case m := <-c.mailbox:
 			if m.arrival != nil {
-				c.Reject(m.arrival, finishWait)
+				c.Reject(m.arrival, rejectionRetryAfter)
 			}
 		default:
 			return
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -8,22 +8,22 @@
 )
 
 // What comes after Finish, also in the turn that has it, is refused at once and sent nowhere.
-func TestAfterFinishRefused(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	_, open := r.ask("open", "read", time.Minute)
-	<-r.peer("n").sent
-	release := r.hold()
-	_, before := r.ask("before", "read", time.Minute)
+func TestArrivalsAfterFinishAreRejected(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	_, open := r.submit("open", "read", time.Minute)
+	<-r.node("n").sent
+	release := r.blockActor()
+	_, before := r.submit("before", "read", time.Minute)
 	r.Finish()
-	_, behind := r.ask("behind", "read", time.Minute)
+	_, behind := r.submit("behind", "read", time.Minute)
 	release()
-	one(t, open, Failed)
-	one(t, before, Rejected)
-	one(t, behind, Rejected)
-	_, later := r.ask("later", "read", time.Minute)
-	one(t, later, Rejected)
-	if n := len(r.peer("n").sent); n > 0 {
+	expectAnswer(t, open, Failed)
+	expectAnswer(t, before, Rejected)
+	expectAnswer(t, behind, Rejected)
+	_, later := r.submit("later", "read", time.Minute)
+	expectAnswer(t, later, Rejected)
+	if n := len(r.node("n").sent); n > 0 {
 		t.Errorf("%d sent after Finish", n)
 	}
 	if held := r.TableSizes().Requests; held != 1 { // whose attempt is out
@@ -33,21 +33,21 @@
 
 // Every request that is handed over gets its answer, also one that waits in the mailbox of an actor that ends, or
 // comes after its end.
-func TestStopAnswersAll(t *testing.T) {
+func TestStopAnswersAllRequests(t *testing.T) {
 	c, err := New(Options{Settings: settings(), Log: nullLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Core: c, t: t}
-	release := r.hold()
+	r := &fixture{Core: c, t: t}
+	release := r.blockActor()
 	waits := make([]chan Answer, 8)
 	for i := range waits {
-		_, waits[i] = r.ask("waits", "read", time.Minute)
+		_, waits[i] = r.submit("waits", "read", time.Minute)
 	}
 	close(c.stop)
 	release()
 	<-c.ended
-	c.refuseLeft() // as Stop does
+	c.rejectRemaining() // as Stop does
 	for i, got := range waits {
 		select {
 		case <-got:
@@ -56,7 +56,7 @@
 		}
 	}
 	for range 2 * mailboxSize { // also past what a mailbox holds
-		_, got := r.ask("late", "read", time.Minute)
+		_, got := r.submit("late", "read", time.Minute)
 		select {
 		case a := <-got:
 			if a.Kind != Rejected {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -4,14 +4,14 @@
 
 // HandOver tells the module that another process of this scheduler has taken over and fills the limits' stores. It waits
 // at most wait for the actor; false: the module may not have been told, and the caller is to try again.
-func (c *Core) HandOver(wait time.Duration) bool {
-	heard := make(chan struct{})
+func (c *Core) HandOver(timeout time.Duration) bool {
+	done := make(chan struct{})
 	m := message{call: func() {
 		c.handedOver = true
 		c.scheduler.HandOver()
-		close(heard)
+		close(done)
 	}}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case c.control <- m: // handled before the mailbox
@@ -21,7 +21,7 @@
 		return false
 	}
 	select {
-	case <-heard:
+	case <-done:
 		return true
 	case <-c.ended:
 		return true
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -11,13 +11,13 @@
 
 // After the handover no limit is filled, also not by the module that follows one that panicked: what waits for it is
 // refused. An actor that has no time is to be told again, one that has ended fills nothing.
-func TestHandOver(t *testing.T) {
+func TestHandOverStopsFillingQuotas(t *testing.T) {
 	set := settings()
 	for i := range set.Plans {
 		set.Plans[i].RateLimit, set.Plans[i].LimitBurst = 1e6, 1e6
 	}
-	r := start(t, set)
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+	r := startCore(t, set)
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	busy, free := make(chan bool), make(chan bool)
 	r.post(message{call: func() { busy <- true; <-free }})
 	<-busy
@@ -30,13 +30,13 @@
 	}
 	refused := func(id string) {
 		t.Helper()
-		_, got := r.ask(id, "read", time.Minute)
+		_, got := r.submit(id, "read", time.Minute)
 		select {
 		case a := <-got:
 			if a.Kind != Rejected {
 				t.Errorf("%s: %+v", id, a)
 			}
-		case <-r.peer("n").sent:
+		case <-r.node("n").sent:
 			t.Errorf("%s is sent", id)
 		}
 	}
@@ -45,12 +45,12 @@
 		r.scheduler = nil
 		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}})
-	_, got := r.ask("panics", "read", time.Minute)
+	_, got := r.submit("panics", "read", time.Minute)
 	<-got
 	refused("b")
 }
 
-func TestHandOverAfterTheEnd(t *testing.T) {
+func TestHandOverAfterStop(t *testing.T) {
 	c, err := New(Options{Settings: settings(), Log: logrus.New()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -22,8 +22,8 @@
 	AttemptEnded(node string, status policy.Status)
 }
 
-// starting returns Options.Start until it is over, then nil.
-func (c *Core) starting() StartLimiter {
+// startLimiter returns Options.Start until it is over, then nil.
+func (c *Core) startLimiter() StartLimiter {
 	if s := c.options.StartLimiter; s != nil && !s.Done() {
 		return s
 	}
@@ -46,13 +46,13 @@
 // nodeUse is an exponentially decayed count of a node's attempts, as of the time at.
 type nodeUse struct{ n, at float64 }
 
-const useHalf = 30e3 // half-life of an attempt's weight, in ms
+const useHalfLife = 30e3 // half-life of an attempt's weight, in ms
 
 // decayed is the count at now.
-func (u nodeUse) decayed(now float64) float64 { return u.n * math.Exp2((u.at-now)/useHalf) }
+func (u nodeUse) decayed(now float64) float64 { return u.n * math.Exp2((u.at-now)/useHalfLife) }
 
-// countUse counts an attempt to a listed node; only a process with a Starting stores what it learned.
-func (c *Core) countUse(node string, now float64) {
+// recordUse counts an attempt to a listed node; only a process with a Starting stores what it learned.
+func (c *Core) recordUse(node string, now float64) {
 	if c.options.StartLimiter != nil {
 		c.nodeUses[node] = nodeUse{c.nodeUses[node].decayed(now) + 1, now}
 	}
@@ -60,18 +60,18 @@
 
 // Learned returns what the module has learned, the nodes used most first; false: the actor has ended.
 func (c *Core) Learned() (policy.Learned, bool) {
-	type node struct {
+	type newNode struct {
 		policy.LearnedNode
 		use float64
 	}
 	var l policy.Learned
-	var nodes []node
+	var nodes []newNode
 	done := make(chan struct{})
 	c.post(message{call: func() {
 		l = c.scheduler.Learned()
 		now := c.moduleTime(time.Now())
 		for _, n := range l.Nodes {
-			nodes = append(nodes, node{n, c.nodeUses[n.ID].decayed(now)})
+			nodes = append(nodes, newNode{n, c.nodeUses[n.ID].decayed(now)})
 		}
 		close(done)
 	}})
@@ -80,7 +80,7 @@
 	case <-c.ended:
 		return policy.Learned{}, false
 	}
-	slices.SortStableFunc(nodes, func(a, b node) int { return cmp.Compare(b.use, a.use) })
+	slices.SortStableFunc(nodes, func(a, b newNode) int { return cmp.Compare(b.use, a.use) })
 	for i := range nodes {
 		l.Nodes[i] = nodes[i].LearnedNode
 	}
@@ -90,15 +90,15 @@
 // Restore gives the module what an earlier process learned, after the list updates handed over before.
 func (c *Core) Restore(l policy.Learned) {
 	c.post(message{call: func() {
-		c.recalled.Nodes = append(c.recalled.Nodes, l.Nodes...)
-		c.recalled.Classes = append(c.recalled.Classes, l.Classes...)
+		c.pendingRestore.Nodes = append(c.pendingRestore.Nodes, l.Nodes...)
+		c.pendingRestore.Classes = append(c.pendingRestore.Classes, l.Classes...)
 	}})
 }
 
-// applyRecalled passes on what Recall handed over; it runs after each turn's step, when the module knows the nodes.
-func (c *Core) applyRecalled() {
-	if len(c.recalled.Nodes)+len(c.recalled.Classes) > 0 {
-		c.scheduler.Restore(c.recalled)
-		c.recalled = policy.Learned{}
+// applyPendingRestore passes on what Recall handed over; it runs after each turn's step, when the module knows the nodes.
+func (c *Core) applyPendingRestore() {
+	if len(c.pendingRestore.Nodes)+len(c.pendingRestore.Classes) > 0 {
+		c.scheduler.Restore(c.pendingRestore)
+		c.pendingRestore = policy.Learned{}
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -11,9 +11,9 @@
 	// drainGuard is the share of the grace period left after the module's use of a draining node at which the
 	// node's peer is closed to new attempts, whatever the module decides.
 	drainGuard = 0.4
-	// countEvery is the interval in ms at which the nodes that the module avoids are counted: telemetry may
+	// countInterval is the interval in ms at which the nodes that the module avoids are counted: telemetry may
 	// lag by 0.5 s.
-	countEvery = 100
+	countInterval = 100
 )
 
 // ListUpdate is an update of the list. Kind is ListFull, ListStale, ListChange or ListFailed.
@@ -32,9 +32,9 @@
 	}
 }
 
-// applyNews applies an update of the list to the peers, and then passes it to the module. Both see the nodes as
+// applyListUpdate applies an update of the list to the peers, and then passes it to the module. Both see the nodes as
 // the book of exclusions shows them.
-func (c *Core) applyNews(n *ListUpdate, now float64) {
+func (c *Core) applyListUpdate(n *ListUpdate, now float64) {
 	ev := policy.Event{Kind: n.Kind}
 	seen := map[string]bool{}
 	for _, x := range n.Nodes {
@@ -62,8 +62,8 @@
 
 // updateNode applies an entry of a node that has not gone: a new node gets a peer, a known one its addresses.
 func (c *Core) updateNode(x Node, view policy.Node, now float64) {
-	p, known := c.peers[x.ID]
-	if !known {
+	p, listed := c.peers[x.ID]
+	if !listed {
 		p = c.options.NewNodeClient(x.ID, x.Addresses)
 		c.peers[x.ID] = p
 		c.cutoffs[x.ID] = &cutoff{}
@@ -78,21 +78,21 @@
 // of the grace period, where the settings say so and the list is current: the module stops by itself then, and the
 // peer is closed a little later, for attempts that are still in a mailbox.
 func (c *Core) updateDrain(p NodeClient, x Node, view policy.Node, now float64) {
-	was, had := c.nodes[x.ID]
+	previous, listed := c.nodes[x.ID]
 	use := c.options.Settings.DrainingUseDuration()
-	byHand := view != x.Node // the book of exclusions shows it otherwise than the list
-	begins := had && was.State == policy.NodeUp && x.State == policy.NodeDraining
-	if begins && c.listCurrent && use > 0 && !byHand {
+	excluded := view != x.Node // the book of exclusions shows it otherwise than the list
+	begins := listed && previous.State == policy.NodeUp && x.State == policy.NodeDraining
+	if begins && c.listCurrent && use > 0 && !excluded {
 		end := now + use + drainGuard*(c.options.Settings.DrainGrace-use)
 		c.cutoffs[x.ID].set(c.wallTime(end))
-		heap.Push(&c.timers, pendingTimer{at: end, drainNode: x.ID})
+		heap.Push(&c.timers, pendingTimer{atMs: end, drainNode: x.ID})
 		return
 	}
-	goesOn := had && was.State == policy.NodeDraining && view.State != policy.NodeUp
-	if goesOn && !byHand {
+	goesOn := listed && previous.State == policy.NodeDraining && view.State != policy.NodeUp
+	if goesOn && !excluded {
 		return // its cutoff and its timer remain
 	}
-	c.cutoffs[x.ID].lift()
+	c.cutoffs[x.ID].clear()
 	p.Drain(view.State != policy.NodeUp)
 }
 
@@ -113,12 +113,12 @@
 // countNodes updates the counters of listed nodes and of avoided ones: by their state, by an exclusion, or
 // by the module's choice.
 func (c *Core) countNodes(now float64) {
-	skipped := c.scheduler.AvoidedNodes()
+	avoided := c.scheduler.AvoidedNodes()
 	for _, n := range c.nodes {
 		if c.exclusions.View(now, n.Node).State != policy.NodeUp {
-			skipped++
+			avoided++
 		}
 	}
-	c.counts.known.Store(int64(len(c.nodes)))
-	c.counts.skipped.Store(int64(skipped))
+	c.counters.nodes.Store(int64(len(c.nodes)))
+	c.counters.avoidedNodes.Store(int64(avoided))
 }
--- a/internal/core/standing.go
+++ b/internal/core/nodestatus.go
@@ -15,14 +15,14 @@
 
 // NodeStatuses returns the figures of at most most listed nodes. It waits at most wait for the actor; false: the actor had no
 // time, or has ended.
-func (c *Core) NodeStatuses(most int, wait time.Duration) ([]NodeStatus, bool) {
+func (c *Core) NodeStatuses(maxNodes int, timeout time.Duration) ([]NodeStatus, bool) {
 	got := make(chan []policy.NodeStatus, 1)
 	select {
-	case c.control <- message{call: func() { got <- c.scheduler.NodeStatuses(most) }}:
+	case c.control <- message{call: func() { got <- c.scheduler.NodeStatuses(maxNodes) }}:
 	default: // the actor is far behind: the caller's next round asks again
 		return nil, false
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case all := <-got:
--- a/internal/core/standing_test.go
+++ b/internal/core/nodestatus_test.go
@@ -9,11 +9,11 @@
 
 // How nodes stand comes from the actor; where that has no time, or its calls are too many, nobody waits longer than
 // was said.
-func TestStandingNeverWaitsLong(t *testing.T) {
-	r := start(t, settings())
-	n := node("a", 0, policy.NodeUp)
+func TestNodeStatusesTimesOut(t *testing.T) {
+	r := startCore(t, settings())
+	n := newNode("a", 0, policy.NodeUp)
 	n.StartTime = 41
-	r.list(policy.CachedListLoaded, n, node("b", 1, policy.NodeDraining))
+	r.updateList(policy.CachedListLoaded, n, newNode("b", 1, policy.NodeDraining))
 	all, ok := r.NodeStatuses(8, time.Minute)
 	if !ok || len(all) != 2 || all[0].Node != "a" || all[0].StartTime != 41 || all[0].Window <= 0 || all[1].Window != 0 {
 		t.Fatalf("%v %+v", ok, all)
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -9,18 +9,18 @@
 )
 
 // Each attempt's end is told once, with the life of the node that it was sent to.
-func TestObserveTellsEachAttempt(t *testing.T) {
-	type told struct {
+func TestEachAttemptIsObserved(t *testing.T) {
+	type observation struct {
 		node, class string
 		since       int64
 		units       float64
 		status      policy.Status
 	}
-	var all []told // the actor's until it has stopped
-	r := &rig{t: t}
-	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), NewNodeClient: r.connect,
+	var all []observation // the actor's until it has stopped
+	r := &fixture{t: t}
+	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient,
 		OnAttemptEnded: func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
-			if all = append(all, told{node, class, since, units, status}); latencyMs < 0 {
+			if all = append(all, observation{node, class, since, units, status}); latencyMs < 0 {
 				t.Errorf("%v ms", latencyMs)
 			}
 		}})
@@ -28,19 +28,19 @@
 		t.Fatal(err)
 	}
 	r.Core = c
-	n := node("n", 0, policy.NodeUp)
+	n := newNode("n", 0, policy.NodeUp)
 	n.StartTime = 41
-	r.list(policy.CachedListLoaded, n)
-	_, got := r.ask("a", "read", time.Minute)
-	first := <-r.peer("n").sent
+	r.updateList(policy.CachedListLoaded, n)
+	_, got := r.submit("a", "read", time.Minute)
+	first := <-r.node("n").sent
 	n.StartTime = 42
-	r.list(policy.ListChanged, n)
+	r.updateList(policy.ListChanged, n)
 	first.Done(Result{Status: policy.ConnectionReset})
-	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	(<-r.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, got, Served)
 	r.OpenRequests()
 	c.Stop()
-	if want := []told{{"n", "read", 41, 1, policy.ConnectionReset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
+	if want := []observation{{"n", "read", 41, 1, policy.ConnectionReset}, {"n", "read", 42, 1, policy.OK}}; !slices.Equal(all, want) {
 		t.Errorf("%+v, want %+v", all, want)
 	}
 }
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -39,7 +39,7 @@
 // reportUnrequested tells Options.Start that a node could not be reached or was full. A success is not reported, as
 // no request was served. Any goroutine may call it.
 func (c *Core) reportUnrequested(node string, s policy.Status) {
-	if st := c.starting(); st != nil && (s == policy.ConnectFailed || s == policy.NodeFull) {
+	if st := c.startLimiter(); st != nil && (s == policy.ConnectFailed || s == policy.NodeFull) {
 		st.AttemptEnded(node, s)
 	}
 }
--- a/internal/core/retuneclock_test.go
+++ b/internal/core/reconfigure_test.go
@@ -9,22 +9,22 @@
 )
 
 // What a limit's store gained up to a change is by the old limit, also where the module had no step since it was last used.
-func TestRetuneFillsByTheOldLimitUntilThen(t *testing.T) {
+func TestReconfigureFillsByOldLimitUntilChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limited := func(limit float64) policy.Settings {
 			set := settings()
 			set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, 2*set.MaxUnits
 			return set
 		}
-		r := start(t, limited(1))
-		r.list(policy.ListReceived, node("n", 0, policy.NodeUp))
+		r := startCore(t, limited(1))
+		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		ask := func(id string) {
-			q, _ := r.made(id, "read", time.Minute)
+			q, _ := r.newRequest(id, "read", time.Minute)
 			q.Units = settings().MaxUnits
 			r.Submit(q)
 			synctest.Wait()
 		}
-		sent := r.peer("n").sent
+		sent := r.node("n").sent
 		ask("opening")          // the store is empty until the first request of all
 		time.Sleep(time.Minute) // a multiple of the time between two of the module's own steps
 		answered := 0
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -54,8 +54,8 @@
 	ClientDisconnected func() bool
 }
 
-// gone says whether the client has gone, also before Cancel is called. Any goroutine may call it.
-func (r *Request) gone() bool {
+// clientDisconnected says whether the client has gone, also before Cancel is called. Any goroutine may call it.
+func (r *Request) clientDisconnected() bool {
 	return r != nil && r.ClientDisconnected != nil && r.ClientDisconnected()
 }
 
@@ -76,12 +76,12 @@
 	select {
 	case c.mailbox <- message{arrival: r}:
 	default:
-		c.Reject(r, finishWait)
+		c.Reject(r, rejectionRetryAfter)
 		return
 	}
 	select {
 	case <-c.ended:
-		c.refuseLeft() // the actor may have ended without taking it
+		c.rejectRemaining() // the actor may have ended without taking it
 	default:
 	}
 }
@@ -89,36 +89,36 @@
 // Reject answers a request as refused without asking the module, and counts it like the module's refusals.
 // Fronts call it where they lack resources; any goroutine may.
 func (c *Core) Reject(r *Request, wait time.Duration) {
-	c.counts.ended(r.Class, Rejected)
+	c.counters.ended(r.Class, Rejected)
 	r.Answer(Answer{Kind: Rejected, RetryAfter: wait})
 }
 
 // Cancel ends a request whose client has gone; its Answer may still be called until then. It may wait for the mailbox.
 func (c *Core) Cancel(r *Request) { c.post(message{cancel: r}) }
 
-// arrive adds a request to the table, unless it can be answered at once.
-func (c *Core) arrive(r *Request, now float64) {
-	if c.finished {
-		c.Reject(r, finishWait)
+// admit adds a request to the table, unless it can be answered at once.
+func (c *Core) admit(r *Request, now float64) {
+	if c.rejectsArrivals {
+		c.Reject(r, rejectionRetryAfter)
 		return
 	}
-	if cause := c.causeToFail(r); cause != "" {
-		c.counts.ended(r.Class, Failed)
+	if cause := c.failureCause(r); cause != "" {
+		c.counters.ended(r.Class, Failed)
 		r.Answer(Answer{Kind: Failed, Cause: cause})
 		return
 	}
-	if st := c.starting(); st != nil {
+	if st := c.startLimiter(); st != nil {
 		if retry, refuse := st.Admit(c.nodeOfShard(r.Shard)); refuse {
 			c.Reject(r, retry)
 			return
 		}
 	}
-	c.counts.progress.Add(1)
-	patience := r.Timeout - c.late.Margin(c.sinceOrigin(now), r.Timeout)
-	r.Deadline = c.moduleTime(r.ReceivedAt.Add(patience))
+	c.counters.inProgress.Add(1)
+	timeout := r.Timeout - c.timerLag.Margin(c.sinceOrigin(now), r.Timeout)
+	r.Deadline = c.moduleTime(r.ReceivedAt.Add(timeout))
 	e := &requestState{request: r}
 	c.requests[r.ID] = e
-	heap.Push(&c.timers, pendingTimer{at: r.Deadline + float64(guardAfter.Milliseconds()), guarded: e})
+	heap.Push(&c.timers, pendingTimer{atMs: r.Deadline + float64(guardDelay.Milliseconds()), guarded: e})
 	if len(r.AvoidNodes) > 0 {
 		c.deferred = append(c.deferred, e)
 		return
@@ -126,8 +126,8 @@
 	c.events = append(c.events, policy.Event{Kind: policy.RequestArrived, Request: r.Request})
 }
 
-// causeToFail is why a request cannot be accepted under the current settings; "": it can.
-func (c *Core) causeToFail(r *Request) Cause {
+// failureCause is why a request cannot be accepted under the current settings; "": it can.
+func (c *Core) failureCause(r *Request) Cause {
 	set := c.settings.Load()
 	switch {
 	case !set.knows(&r.Request):
@@ -146,7 +146,7 @@
 		return
 	}
 	e.markAnswered() // nobody is left to answer
-	c.counts.progress.Add(-1)
+	c.counters.inProgress.Add(-1)
 	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 	c.forgetEnded(e)
 }
@@ -157,8 +157,8 @@
 		return
 	}
 	e.markAnswered()
-	c.counts.progress.Add(-1)
-	c.counts.ended(e.request.Class, a.Kind)
+	c.counters.inProgress.Add(-1)
+	c.counters.ended(e.request.Class, a.Kind)
 	e.request.Answer(a)
 	c.logLate(e, a, time.Now())
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -57,7 +57,7 @@
 // changes.
 func (c *Core) Reconfigure(set policy.Settings) error {
 	got := make(chan error, 1)
-	c.post(message{call: func() { got <- c.retune(set) }})
+	c.post(message{call: func() { got <- c.reconfigure(set) }})
 	select {
 	case err := <-got:
 		return err
@@ -66,8 +66,8 @@
 	}
 }
 
-// retune applies new settings in the actor.
-func (c *Core) retune(set policy.Settings) error {
+// reconfigure applies new settings in the actor.
+func (c *Core) reconfigure(set policy.Settings) error {
 	now := c.moduleTime(time.Now())
 	c.advance(now)             // earlier arrivals of this turn belong to the old version
 	c.stepAndExecute(now, nil) // without arrivals the module would go by the time of its last step
@@ -76,7 +76,7 @@
 	}
 	next := newSettings(c.settings.Load().Version+1, set)
 	c.options.Settings = next.Settings
-	c.counts.name(next.names())
+	c.counters.addClasses(next.names())
 	c.settings.Store(next)
 	return nil
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -34,11 +34,11 @@
 
 // A request that was decoded before a change of the settings and reaches the module after it goes on where it means the
 // same under both, and has failed at once where it does not. It is never judged by what only its name shares.
-func TestDecodedUnderOldSettings(t *testing.T) {
+func TestRequestDecodedUnderOldSettings(t *testing.T) {
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
-			r := start(t, settings())
-			r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+			r := startCore(t, settings())
+			r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 			decoded, next := r.Settings(), settings()
 			x.change(&next)
 			if err := r.Reconfigure(next); err != nil {
@@ -47,18 +47,18 @@
 			if now := r.Settings(); now == decoded || now.Version != decoded.Version+1 {
 				t.Fatalf("version %d after %d", now.Version, decoded.Version)
 			}
-			q, got := r.made("a", "read", time.Minute)
+			q, got := r.newRequest("a", "read", time.Minute)
 			q.Settings = decoded
 			r.Submit(q)
 			if x.same {
-				(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-				one(t, got, Served)
+				(<-r.node("n").sent).Done(Result{Status: policy.OK})
+				expectAnswer(t, got, Served)
 				return
 			}
-			if a := one(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
+			if a := expectAnswer(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
 				t.Errorf("%+v", a)
 			}
-			if n := len(r.peer("n").sent); n > 0 {
+			if n := len(r.node("n").sent); n > 0 {
 				t.Errorf("%d sent", n)
 			}
 		})
@@ -66,21 +66,21 @@
 }
 
 // A request that comes before a change in the same turn of the actor is the old settings': the module has it first.
-func TestArrivalBeforeRetuneInOneTurn(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+func TestArrivalBeforeReconfigureInOneIteration(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	next := settings()
 	next.Classes[0].Effect = policy.NonIdempotent
-	release := r.hold()
-	_, before := r.ask("before", "read", time.Minute)
+	release := r.blockActor()
+	_, before := r.submit("before", "read", time.Minute)
 	retuned := make(chan error)
-	r.post(message{call: func() { go func(err error) { retuned <- err }(r.retune(next)) }})
-	_, after := r.ask("after", "read", time.Minute)
+	r.post(message{call: func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }})
+	_, after := r.submit("after", "read", time.Minute)
 	release()
 	if err := <-retuned; err != nil {
 		t.Fatal(err)
 	}
-	sent := r.peer("n").sent
+	sent := r.node("n").sent
 	for range 2 {
 		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have run
 	}
@@ -93,15 +93,15 @@
 	if again.Request.ID != "before" || again.Number != 1 {
 		t.Errorf("%s goes again, attempt %d", again.Request.ID, again.Number)
 	}
-	one(t, after, Failed)
+	expectAnswer(t, after, Failed)
 	again.Done(Result{Status: policy.OK})
-	one(t, before, Served)
+	expectAnswer(t, before, Served)
 }
 
 // Settings that the module turns down change nothing of the core either.
-func TestRetuneRefused(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+func TestRejectedSettingsChangeNothing(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	was, bad := r.Settings(), settings()
 	bad.Classes[0].Name, bad.MaxAttempts = "renamed", -1
 	if err := r.Reconfigure(bad); err == nil {
@@ -110,7 +110,7 @@
 	if r.Settings() != was {
 		t.Error("another version counts")
 	}
-	_, got := r.ask("a", "read", time.Minute)
-	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	_, got := r.submit("a", "read", time.Minute)
+	(<-r.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, got, Served)
 }
--- a/internal/core/margin_test.go
+++ b/internal/core/timerlag_test.go
@@ -11,10 +11,10 @@
 
 // A host whose timers come late gives its requests up so much sooner: with what its answers are then
 // late by, they still reach their clients in time.
-func TestLateTimersWidenTheMargin(t *testing.T) {
+func TestTimerLagWidensMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start(t, settings())
-		r.list(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		r := startCore(t, settings())
+		r.updateList(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		ends := func(id string) time.Duration { // of a request that the module leaves to its end
 			got := make(chan time.Duration, 1)
 			q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,12 +7,12 @@
 	"wheatsaddle/policy"
 )
 
-// guardAfter is how long after a request's end its guard timer fails it where the module has not answered it.
-const guardAfter = 5 * time.Millisecond
+// guardDelay is how long after a request's end its guard timer fails it where the module has not answered it.
+const guardDelay = 5 * time.Millisecond
 
 // pendingTimer is one timer: of the module (tag), of a request's guard, or of a node's cutoff.
 type pendingTimer struct {
-	at        float64
+	atMs      float64
 	tag       string
 	guarded   *requestState
 	drainNode string // its peer is closed to new attempts where its cutoff has passed
@@ -25,7 +25,7 @@
 func (d timerHeap) Len() int { return len(d) }
 
 // Less implements heap.Interface.
-func (d timerHeap) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d timerHeap) Less(i, j int) bool { return d[i].atMs < d[j].atMs }
 
 // Swap implements heap.Interface.
 func (d timerHeap) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
@@ -43,14 +43,14 @@
 
 // fireTimers fires the timers that are due, in the order of their times.
 func (c *Core) fireTimers(now float64) {
-	for len(c.timers) > 0 && c.timers[0].at <= now {
+	for len(c.timers) > 0 && c.timers[0].atMs <= now {
 		t := heap.Pop(&c.timers).(pendingTimer)
-		c.late.Record(c.sinceOrigin(now), c.sinceOrigin(now)-c.sinceOrigin(t.at))
+		c.timerLag.Record(c.sinceOrigin(now), c.sinceOrigin(now)-c.sinceOrigin(t.atMs))
 		switch {
 		case t.drainNode != "":
 			c.closeDrained(t.drainNode, now)
 		case t.guarded != nil:
-			c.giveUp(t.guarded)
+			c.failOverdue(t.guarded)
 		default:
 			c.events = append(c.events, policy.Event{Kind: policy.TimerFired, Tag: t.tag})
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// giveUp fails a request that the module has not answered in time, so that the client still gets its answer.
-func (c *Core) giveUp(e *requestState) {
+// failOverdue fails a request that the module has not answered in time, so that the client still gets its answer.
+func (c *Core) failOverdue(e *requestState) {
 	if e.answered {
 		return
 	}
