--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -74,7 +74,7 @@
 // checkHealth asks a node for its load; where nothing can be sent the module hears so in the next step.
 func (c *Core) checkHealth(node string) {
 	answered := func(r Result, took time.Duration) {
-		c.post(message{probedNode: node, result: r, latency: took})
+		c.post(healthCheckResult{node, r, took})
 	}
 	p, ok := c.peers[node]
 	if !ok || !p.CheckHealth(answered) {
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -10,26 +10,14 @@
 )
 
 const (
-	mailboxSize = 4096      // messages; when it is full arrivals are refused
-	controlSize = 64        // news of the list and operators' calls
-	maxBatch    = 1024      // messages handled in one turn
-	idleWait    = time.Hour // while no timer is set
-	// timerRounding is added to a timer's time, which is rounded: otherwise the loop would spin for the last microsecond.
+	mailboxSize = 4096      // messages; arrivals at a full mailbox are rejected
+	controlSize = 64        // updates of the list and calls of operators
+	maxBatch    = 1024      // messages handled in one iteration
+	idleWait    = time.Hour // maximum wait while no timer is set
+	// timerRounding is added to a timer's time, which is rounded to microseconds, so that it is past when the loop wakes.
 	timerRounding = 2 * time.Microsecond
 )
 
-// message is one message to the actor; the fields of one kind are set.
-type message struct {
-	arrival    *Request
-	cancel     *Request
-	attempt    *Attempt
-	result     Result
-	news       *ListUpdate
-	probedNode string
-	latency    time.Duration
-	call       func()
-}
-
 // post sends a message to the actor, and waits while the mailbox is full; after the actor's end it is dropped. It must not
 // be called in the actor.
 func (c *Core) post(m message) {
@@ -39,8 +27,8 @@
 	}
 }
 
-// run is the actor's loop: it waits for a message or a timer, gathers the messages that are there, and handles them in one
-// turn. At the end it fails the open requests.
+// run is the actor's loop: it waits for a message or a timer, collects the messages that wait, and handles them in one
+// iteration. At the end it fails the open requests.
 func (c *Core) run() {
 	defer close(c.ended)
 	wake := time.NewTimer(0)
@@ -64,8 +52,8 @@
 	}
 }
 
-// idleDuration is how long the loop may wait for a message: until the first timer, and not at all while events are left for
-// the module.
+// idleDuration is how long the loop may wait for a message: until the first timer, and not at all while events wait for the
+// module.
 func (c *Core) idleDuration() time.Duration {
 	if len(c.events) > 0 {
 		return 0
@@ -95,17 +83,17 @@
 	}
 }
 
-// iterate handles one batch in one step of the module. News of the list come first, so that nothing in the batch is decided by an
-// older list; the due timers fire after the messages, so that results that have come count before a timeout.
+// iterate handles one batch in one step of the module. Updates of the list come first, so that nothing in the batch is decided
+// by an older list; the due timers fire after the messages, so that results that have arrived precede a timeout.
 func (c *Core) iterate(now float64) {
 	defer c.applyPendingRestore()
 	for _, m := range c.batch {
-		if m.news != nil {
-			c.applyListUpdate(m.news, now)
+		if m, ok := m.(listUpdated); ok {
+			c.applyListUpdate(m.update, now)
 		}
 	}
 	for _, m := range c.batch {
-		c.handle(m, now)
+		m.handle(c, now)
 	}
 	c.fireTimers(now)
 	if now-c.lastCountMs >= countInterval {
@@ -115,31 +103,7 @@
 	c.advance(now)
 }
 
-// handle handles one message, except news of the list, which turn has applied before.
-func (c *Core) handle(m message, now float64) {
-	switch {
-	case m.arrival != nil:
-		c.admit(m.arrival, now)
-	case m.cancel != nil:
-		if e := c.requests[m.cancel.ID]; e != nil && e.request == m.cancel {
-			c.cancelRequest(e)
-		}
-	case m.attempt != nil:
-		c.attemptEnded(m.attempt, m.result, now)
-	case m.probedNode != "":
-		c.events = append(c.events, policy.Event{
-			Kind:    policy.HealthCheckEnded,
-			Node:    m.probedNode,
-			Status:  m.result.Status,
-			Latency: float64(m.latency.Microseconds()) / 1000,
-			Load:    m.result.Load,
-		})
-	case m.call != nil:
-		m.call()
-	}
-}
-
-// advance runs the module on the events gathered so far, then on the deferred arrivals.
+// advance runs the module on the events collected so far, then on the deferred arrivals.
 func (c *Core) advance(now float64) {
 	if events := c.events; len(events) > 0 {
 		c.events = nil
@@ -175,20 +139,20 @@
 	return true
 }
 
-// restart fails the open requests and replaces the module by a new one, which starts with the present list as a stale one.
+// restart fails the open requests and replaces the module by a new one, which starts with the current list as a cached one.
 func (c *Core) restart(now float64, p any) {
-	c.options.Log.WithFields(operr.Fields(&PanicError{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("the decisions start anew")
+	c.options.Log.WithFields(operr.Fields(&PanicError{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("decision module panicked, replaced by a new one")
 	for id, e := range c.requests {
 		c.answer(e, Answer{Kind: Failed, Cause: CauseInternal})
 		delete(c.requests, id)
 	}
 	c.timers = c.timers[:0]
-	for id, n := range c.nodes { // the drains' timers are gone with the others
+	for id, n := range c.nodes { // the timers of draining nodes were dropped with the others
 		c.peers[id].Drain(c.exclusions.View(now, n.Node).State != policy.NodeUp)
 	}
 	mod, err := policy.New(c.options.Settings, c.options.Seed+1)
 	if err != nil {
-		panic(fmt.Sprintf("settings that were good no longer are: %v", err))
+		panic(fmt.Sprintf("settings that were valid are rejected: %v", err))
 	}
 	c.scheduler = mod
 	if c.handedOver {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -130,7 +130,7 @@
 		t.StartBy = c.wallTime(a.StartBy)
 		e.repeatWindow.set(t.StartBy) // also for an earlier attempt that still waits: it would be the repeat then
 	}
-	t.done = func(r Result) { c.post(message{attempt: t, result: r}) }
+	t.done = func(r Result) { c.post(attemptResult{t, r}) }
 	return t
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -262,12 +262,12 @@
 func TestGuardTimerAnswersLostRequest(t *testing.T) {
 	r := startCore(t, settings())
 	got := make(chan Answer, 2)
-	r.post(message{call: func() {
+	r.post(call(func() {
 		q := &Request{Request: policy.Request{ID: "lost"}, Answer: func(a Answer) { got <- a }}
 		e := &requestState{request: q}
 		r.requests["lost"] = e
 		r.timers.Push(pendingTimer{atMs: 0, guarded: e})
-	}})
+	}))
 	if a := expectAnswer(t, got, Failed); a.Cause != CauseDeadlineExceeded {
 		t.Errorf("cause %q", a.Cause)
 	}
@@ -327,10 +327,10 @@
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, got := r.submit("a", "read", time.Minute)
 	<-r.node("n").sent
-	r.post(message{call: func() {
+	r.post(call(func() {
 		r.scheduler = nil
 		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
-	}})
+	}))
 	expectAnswer(t, got, Failed)
 	_, got = r.submit("b", "read", time.Minute)
 	(<-r.node("n").sent).Done(Result{Status: policy.OK})
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -39,7 +39,7 @@
 		second := <-r.node("n").sent
 		r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 		stuck, free := make(chan struct{}), make(chan struct{})
-		r.post(message{call: func() { close(stuck); <-free }})
+		r.post(call(func() { close(stuck); <-free }))
 		<-stuck
 		time.Sleep(cutoffAfter - time.Millisecond)
 		if first.Abandoned() || !first.Claim() {
@@ -121,10 +121,10 @@
 			r.updateList(policy.ListChanged, n)
 		},
 		"the module's fault": func(r *fixture) {
-			r.post(message{call: func() {
+			r.post(call(func() {
 				r.scheduler = nil
 				r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
-			}})
+			}))
 			r.OpenRequests() // the step that breaks is this turn's
 			r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
 		},
@@ -221,7 +221,7 @@
 		r := startCore(t, settings())
 		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		stuck, free := make(chan struct{}), make(chan struct{})
-		r.post(message{call: func() { close(stuck); <-free }})
+		r.post(call(func() { close(stuck); <-free }))
 		<-stuck
 		for i := range 2 * maxBatch {
 			r.submit(fmt.Sprint("r", i), "read", time.Minute)
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -14,7 +14,7 @@
 // blockActor keeps the actor in a call until the return is called; what comes meanwhile waits in its mailbox.
 func (r *fixture) blockActor() (release func()) {
 	blocked, unblock := make(chan bool), make(chan bool)
-	r.post(message{call: func() { close(blocked); <-unblock }})
+	r.post(call(func() { close(blocked); <-unblock }))
 	<-blocked
 	release = sync.OnceFunc(func() { close(unblock) })
 	r.t.Cleanup(release)
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -54,12 +54,12 @@
 		err error
 	}
 	got := make(chan reply, 1)
-	m := message{call: func() {
+	m := call(func() {
 		now := c.moduleTime(time.Now())
 		ids, err := change(now)
 		c.applyExclusions(now, ids)
 		got <- reply{c.exclusions.State(now), err}
-	}}
+	})
 	wait := time.NewTimer(controlWait)
 	defer wait.Stop()
 	select {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -6,11 +6,11 @@
 // at most wait for the actor; false: the module may not have been told, and the caller is to try again.
 func (c *Core) HandOver(timeout time.Duration) bool {
 	done := make(chan struct{})
-	m := message{call: func() {
+	m := call(func() {
 		c.handedOver = true
 		c.scheduler.HandOver()
 		close(done)
-	}}
+	})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -19,7 +19,7 @@
 	r := startCore(t, set)
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	busy, free := make(chan bool), make(chan bool)
-	r.post(message{call: func() { busy <- true; <-free }})
+	r.post(call(func() { busy <- true; <-free }))
 	<-busy
 	if r.HandOver(time.Millisecond) {
 		t.Error("heard by an actor that has no time")
@@ -41,10 +41,10 @@
 		}
 	}
 	refused("a")
-	r.post(message{call: func() {
+	r.post(call(func() {
 		r.scheduler = nil
 		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
-	}})
+	}))
 	_, got := r.submit("panics", "read", time.Minute)
 	<-got
 	refused("b")
--- a/internal/core/lateanswer_test.go
+++ b/internal/core/lateanswer_test.go
@@ -36,7 +36,7 @@
 				all = append(all, ask(id))
 			}
 			time.Sleep(100 * time.Millisecond)
-			r.post(message{call: func() { time.Sleep(time.Second) }}) // the actor stands still past their time
+			r.post(call(func() { time.Sleep(time.Second) })) // the actor stands still past their time
 			for _, got := range all {
 				<-got
 			}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -27,7 +27,7 @@
 // is sent to a node that drains by then.
 func (c *Core) UpdateList(n ListUpdate) {
 	select {
-	case c.control <- message{news: &n}:
+	case c.control <- listUpdated{&n}:
 	case <-c.ended:
 	}
 }
--- /dev/null
+++ b/internal/core/message.go
@@ -0,0 +1,75 @@
+package core
+
+import (
+	"time"
+
+	"wheatsaddle/policy"
+)
+
+// message is one message to the actor. handle runs in the actor.
+type message interface {
+	handle(c *Core, now float64)
+}
+
+// requestArrived hands over a request.
+type requestArrived struct{ request *Request }
+
+func (m requestArrived) handle(c *Core, now float64) { c.admit(m.request, now) }
+
+// requestCancelled ends a request whose client has disconnected.
+type requestCancelled struct{ request *Request }
+
+func (m requestCancelled) handle(c *Core, _ float64) {
+	if e := c.requests[m.request.ID]; e != nil && e.request == m.request {
+		c.cancelRequest(e)
+	}
+}
+
+// attemptResult is the result of an attempt.
+type attemptResult struct {
+	attempt *Attempt
+	result  Result
+}
+
+func (m attemptResult) handle(c *Core, now float64) { c.attemptEnded(m.attempt, m.result, now) }
+
+// healthCheckResult is the result of a node's health check.
+type healthCheckResult struct {
+	node    string
+	result  Result
+	latency time.Duration
+}
+
+func (m healthCheckResult) handle(c *Core, _ float64) {
+	c.events = append(c.events, policy.Event{
+		Kind:    policy.HealthCheckEnded,
+		Node:    m.node,
+		Status:  m.result.Status,
+		Latency: float64(m.latency.Microseconds()) / 1000,
+		Load:    m.result.Load,
+	})
+}
+
+// listUpdated is an update of the list. iterate applies it before it handles the other messages of its batch.
+type listUpdated struct{ update *ListUpdate }
+
+func (listUpdated) handle(*Core, float64) {}
+
+// call runs a function in the actor.
+type call func()
+
+func (f call) handle(*Core, float64) { f() }
+
+// ask runs a function in the actor and returns its result; false: the actor has ended. It may wait for the mailbox and
+// must not be called in the actor.
+func ask[T any](c *Core, f func() T) (T, bool) {
+	got := make(chan T, 1)
+	c.post(call(func() { got <- f() }))
+	select {
+	case result := <-got:
+		return result, true
+	case <-c.ended:
+		var none T
+		return none, false
+	}
+}
--- a/internal/core/nodestatus.go
+++ b/internal/core/nodestatus.go
@@ -18,7 +18,7 @@
 func (c *Core) NodeStatuses(maxNodes int, timeout time.Duration) ([]NodeStatus, bool) {
 	got := make(chan []policy.NodeStatus, 1)
 	select {
-	case c.control <- message{call: func() { got <- c.scheduler.NodeStatuses(maxNodes) }}:
+	case c.control <- call(func() { got <- c.scheduler.NodeStatuses(maxNodes) }):
 	default: // the actor is far behind: the caller's next round asks again
 		return nil, false
 	}
--- a/internal/core/nodestatus_test.go
+++ b/internal/core/nodestatus_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("%v %+v", ok, all)
 	}
 	stuck, free := make(chan struct{}), make(chan struct{})
-	r.post(message{call: func() { close(stuck); <-free }})
+	r.post(call(func() { close(stuck); <-free }))
 	<-stuck
 	for range controlSize + 1 { // the last finds no room, and does not wait at all
 		if _, ok := r.NodeStatuses(8, time.Millisecond); ok {
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -9,23 +9,23 @@
 // Preconnect asks a node's peer to open a connection before it is needed. Options.Start is told where that fails, as of
 // an attempt.
 func (c *Core) Preconnect(node string) {
-	c.post(message{call: func() {
+	c.post(call(func() {
 		if p := c.usablePeer(node); p != nil {
 			p.Connect(func(s policy.Status) { c.reportUnrequested(node, s) })
 		}
-	}})
+	}))
 }
 
 // CheckHealth asks a node for its load on behalf of Options.Start; the module gets the answer as if it had asked.
 func (c *Core) CheckHealth(node string) {
-	c.post(message{call: func() {
+	c.post(call(func() {
 		if p := c.usablePeer(node); p != nil {
 			p.CheckHealth(func(r Result, took time.Duration) {
-				c.post(message{probedNode: node, result: r, latency: took})
+				c.post(healthCheckResult{node, r, took})
 				c.reportUnrequested(node, r.Status)
 			})
 		}
-	}})
+	}))
 }
 
 // usablePeer is the peer of a node that is up and not excluded; nil: there is none.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/policy"
 )
 
-// AnswerKind is how a request ended.
+// AnswerKind is the outcome of a request.
 type AnswerKind int
 
 // The kinds of final answers.
@@ -17,7 +17,7 @@
 	Failed
 )
 
-// Cause is why a request failed, in words that a client may read. A front may map it to its own codes.
+// Cause is the reason of a failure, in words that a client may read. A front may map it to its own codes.
 type Cause string
 
 // The causes of failed requests.
@@ -34,47 +34,47 @@
 // Answer is a request's one final answer.
 type Answer struct {
 	Kind       AnswerKind
-	Payload    any           // Served: what the node's front made of its answer
-	RetryAfter time.Duration // Refused
+	Payload    any           // Served: the payload of the attempt's result
+	RetryAfter time.Duration // Rejected
 	Cause      Cause         // Failed
 }
 
 // Request is a client's request as a front hands it over.
 type Request struct {
-	policy.Request                   // core sets NotAfter
-	ReceivedAt     time.Time         // when its last byte came
-	Timeout        time.Duration     // how long the client waits after Arrived
+	policy.Request                   // core sets Deadline
+	ReceivedAt     time.Time         // when its last byte arrived
+	Timeout        time.Duration     // how long the client waits after ReceivedAt
 	Payload        any               // opaque to core: the front's own, for the peers
 	Answer         func(Answer)      // called exactly once unless the request is cancelled first; must not block
 	AttemptedNodes *AttemptedNodes   // filled with the nodes that its attempts go to; nil: not wanted
-	Settings       *Settings         // that it was decoded under; nil: the current ones at its arrival
-	AvoidNodes     []*AttemptedNodes // of earlier requests for the same, the newest first: other nodes are preferred
-	// ClientDisconnected says whether the client's connection is closed at this instant; nil: not known. It must not block. Attempts
-	// call it when they are claimed, because a Cancel may still be in the mailbox then.
+	Settings       *Settings         // version it was decoded under; nil: the current one at its arrival
+	AvoidNodes     []*AttemptedNodes // of earlier requests for the same data, the newest first: other nodes are preferred
+	// ClientDisconnected reports whether the client's connection is closed now; nil: unknown. It must not block.
+	// Attempts call it when they are claimed, because a Cancel may still be in the mailbox then.
 	ClientDisconnected func() bool
 }
 
-// clientDisconnected says whether the client has gone, also before Cancel is called. Any goroutine may call it.
+// clientDisconnected reports whether the client has disconnected, also before Cancel is called. Any goroutine may call it.
 func (r *Request) clientDisconnected() bool {
 	return r != nil && r.ClientDisconnected != nil && r.ClientDisconnected()
 }
 
-// Releaser is a payload with resources that are to be released where it is not served.
+// Releaser is a payload with resources that must be released if it is not served.
 type Releaser interface{ Release() }
 
 // requestState is a request in the core's table, until it is answered and none of its attempts is outstanding.
 type requestState struct {
 	request      *Request
 	attempts     []*Attempt
-	outstanding  int // attempts whose result has not come
+	outstanding  int // attempts without a result
 	answered     bool
-	repeatWindow cutoff // for all its attempts, once one is a repeat that the nodes recognise only until then
+	repeatWindow cutoff // for all its attempts, once one is a retry that the nodes deduplicate only until then
 }
 
-// Submit hands over a request without waiting. It is refused at once where the mailbox is full or the actor has ended.
+// Submit hands over a request without waiting. It is rejected at once if the mailbox is full or the actor has ended.
 func (c *Core) Submit(r *Request) {
 	select {
-	case c.mailbox <- message{arrival: r}:
+	case c.mailbox <- requestArrived{r}:
 	default:
 		c.Reject(r, rejectionRetryAfter)
 		return
@@ -86,15 +86,16 @@
 	}
 }
 
-// Reject answers a request as refused without asking the module, and counts it like the module's refusals.
-// Fronts call it where they lack resources; any goroutine may.
+// Reject answers a request as rejected without the module, and counts it like the module's rejections. Fronts call it
+// when they lack resources; any goroutine may call it.
 func (c *Core) Reject(r *Request, wait time.Duration) {
 	c.counters.ended(r.Class, Rejected)
 	r.Answer(Answer{Kind: Rejected, RetryAfter: wait})
 }
 
-// Cancel ends a request whose client has gone; its Answer may still be called until then. It may wait for the mailbox.
-func (c *Core) Cancel(r *Request) { c.post(message{cancel: r}) }
+// Cancel ends a request whose client has disconnected. Its Answer may still be called until the actor has handled
+// this. It may wait for the mailbox.
+func (c *Core) Cancel(r *Request) { c.post(requestCancelled{r}) }
 
 // admit adds a request to the table, unless it can be answered at once.
 func (c *Core) admit(r *Request, now float64) {
@@ -126,7 +127,7 @@
 	c.events = append(c.events, policy.Event{Kind: policy.RequestArrived, Request: r.Request})
 }
 
-// failureCause is why a request cannot be accepted under the current settings; "": it can.
+// failureCause returns why a request cannot be accepted under the current settings; "": it can.
 func (c *Core) failureCause(r *Request) Cause {
 	set := c.settings.Load()
 	switch {
@@ -140,18 +141,32 @@
 	return ""
 }
 
-// cancelRequest ends a request whose client has gone.
+// cancelRequest ends a request whose client has disconnected; it gets no answer.
 func (c *Core) cancelRequest(e *requestState) {
 	if e.answered {
 		return
 	}
-	e.markAnswered() // nobody is left to answer
+	e.markAnswered()
 	c.counters.inProgress.Add(-1)
+	c.dropFromModule(e)
+}
+
+// abort answers a request that the module still has, and ends it there.
+func (c *Core) abort(e *requestState, a Answer) {
+	if e.answered {
+		return
+	}
+	c.answer(e, a)
+	c.dropFromModule(e)
+}
+
+// dropFromModule tells the module that nobody waits for an answered request.
+func (c *Core) dropFromModule(e *requestState) {
 	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 	c.forgetEnded(e)
 }
 
-// answer gives a request its final answer; where it has one already, nothing happens.
+// answer gives a request its final answer; a second one is ignored.
 func (c *Core) answer(e *requestState, a Answer) {
 	if e.answered {
 		return
@@ -163,8 +178,8 @@
 	c.logLate(e, a, time.Now())
 }
 
-// markAnswered marks a request as answered and abandons its attempts that are not claimed yet: one may
-// still wait for a connection after another was served or the time is over, and must not be written.
+// markAnswered marks a request as answered and abandons its attempts that are not claimed yet. One may still wait for
+// a connection after another was served or the deadline has passed, and must not be written.
 func (e *requestState) markAnswered() {
 	e.answered = true
 	for _, t := range e.attempts {
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -35,15 +35,15 @@
 	return k, ok
 }
 
-// knows says whether a request's class and plan exist.
+// knows reports whether a request's class and plan exist.
 func (s *Settings) knows(r *policy.Request) bool {
 	_, class := s.classes[r.Class]
 	_, plan := s.plans[r.Plan]
 	return class && plan
 }
 
-// agrees says whether a request that was decoded under another version means the same under this one: its class, its plan
-// and the bounds it was checked against are equal.
+// agrees reports whether a request that was decoded under another version means the same under this one: its class, its
+// plan and the bounds it was checked against are equal.
 func (s *Settings) agrees(decoded *Settings, r *policy.Request) bool {
 	return s.classes[r.Class] == decoded.classes[r.Class] && s.plans[r.Plan] == decoded.plans[r.Plan] &&
 		s.MaxUnits == decoded.MaxUnits && s.Shards == decoded.Shards && s.Schedulers == decoded.Schedulers
@@ -53,24 +53,21 @@
 func (c *Core) Settings() *Settings { return c.settings.Load() }
 
 // Reconfigure applies new settings to the running module and the core, and publishes them, in one step of the actor. Requests that
-// arrived before are decided by the old version, and keep their class. Where the module rejects the settings nothing
-// changes.
+// arrived before are decided by the old version and keep their class. If the module rejects the settings, nothing
+// changes. It waits for the actor.
 func (c *Core) Reconfigure(set policy.Settings) error {
-	got := make(chan error, 1)
-	c.post(message{call: func() { got <- c.reconfigure(set) }})
-	select {
-	case err := <-got:
-		return err
-	case <-c.ended:
+	err, ok := ask(c, func() error { return c.reconfigure(set) })
+	if !ok {
 		return &EndedError{}
 	}
+	return err
 }
 
 // reconfigure applies new settings in the actor.
 func (c *Core) reconfigure(set policy.Settings) error {
 	now := c.moduleTime(time.Now())
-	c.advance(now)             // earlier arrivals of this turn belong to the old version
-	c.stepAndExecute(now, nil) // without arrivals the module would go by the time of its last step
+	c.advance(now)             // earlier arrivals of this iteration belong to the old version
+	c.stepAndExecute(now, nil) // without arrivals the module's time is that of its last step
 	if err := c.scheduler.Reconfigure(set); err != nil {
 		return err
 	}
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -74,7 +74,7 @@
 	release := r.blockActor()
 	_, before := r.submit("before", "read", time.Minute)
 	retuned := make(chan error)
-	r.post(message{call: func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }})
+	r.post(call(func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }))
 	_, after := r.submit("after", "read", time.Minute)
 	release()
 	if err := <-retuned; err != nil {
--- a/internal/core/timerlag_test.go
+++ b/internal/core/timerlag_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("given up %v before the client does", left)
 		}
 		for range 4 { // the actor is held up, as by a processor that is another's
-			r.post(message{call: func() { time.Sleep(40 * time.Millisecond) }})
+			r.post(call(func() { time.Sleep(40 * time.Millisecond) }))
 			time.Sleep(200 * time.Millisecond)
 		}
 		if left := ends("late"); left < 3*20*time.Millisecond {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/policy"
 )
 
-// guardDelay is how long after a request's end its guard timer fails it where the module has not answered it.
+// guardDelay is how long after a request's deadline its guard timer fails it if the module has not answered it.
 const guardDelay = 5 * time.Millisecond
 
 // pendingTimer is one timer: of the module (tag), of a request's guard, or of a node's cutoff.
@@ -15,7 +15,7 @@
 	atMs      float64
 	tag       string
 	guarded   *requestState
-	drainNode string // its peer is closed to new attempts where its cutoff has passed
+	drainNode string // its client is closed to new attempts if its cutoff has passed
 }
 
 // timerHeap implements heap.Interface: the earliest timer first.
@@ -57,8 +57,8 @@
 	}
 }
 
-// closeDrained closes a node's peer to new attempts where its cutoff has passed. The timer may be of an earlier drain, since
-// when the node has returned: so the cutoff decides, not the timer.
+// closeDrained closes a node's client to new attempts if its cutoff has passed. The timer may belong to an earlier drain
+// from which the node has returned, so the cutoff decides and not the timer.
 func (c *Core) closeDrained(node string, now float64) {
 	p := c.peers[node]
 	if p != nil && c.cutoffs[node].passed(c.wallTime(now)) {
@@ -68,10 +68,5 @@
 
 // failOverdue fails a request that the module has not answered in time, so that the client still gets its answer.
 func (c *Core) failOverdue(e *requestState) {
-	if e.answered {
-		return
-	}
-	c.answer(e, Answer{Kind: Failed, Cause: CauseDeadlineExceeded})
-	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
-	c.forgetEnded(e)
+	c.abort(e, Answer{Kind: Failed, Cause: CauseDeadlineExceeded})
 }
