--- a/cmd/wheatsaddle/large_test.go
+++ b/cmd/wheatsaddle/large_test.go
@@ -149,7 +149,7 @@
 	if err := c.Wait(); err != nil {
 		t.Errorf("%v\n%s", err, log.String())
 	}
-	if n := strings.Count(log.String(), "list entry left out"); n != 2 {
+	if n := strings.Count(log.String(), "invalid entry of the endpoint list ignored"); n != 2 {
 		t.Errorf("%d entries were named as left out, want 2:\n%s", n, log.String())
 	}
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// rejectRequest answers a request that the module refuses. While the process starts, the start words the wait.
+// rejectRequest answers a request that the module rejects. While the process starts, the StartLimiter sets Retry-After.
 func (c *Core) rejectRequest(a *policy.Action) {
 	e := c.requests[a.ID]
 	if e == nil {
@@ -45,7 +45,7 @@
 	c.forgetEnded(e)
 }
 
-// failRequest answers a request that the module fails: as out of time where its time is over.
+// failRequest answers a request that the module fails; past its deadline the cause is CauseDeadlineExceeded.
 func (c *Core) failRequest(a *policy.Action, now float64) {
 	e := c.requests[a.ID]
 	if e == nil {
@@ -59,7 +59,7 @@
 	c.forgetEnded(e)
 }
 
-// cancelAttempt tells an attempt's peer to give it up; one that never had a peer has ended already.
+// cancelAttempt cancels an attempt at its node client; an attempt without one has ended already.
 func (c *Core) cancelAttempt(a *policy.Action) {
 	e := c.requests[a.ID]
 	if e == nil || a.Attempt < 0 || a.Attempt >= len(e.attempts) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// checkHealth asks a node for its load; where nothing can be sent the module hears so in the next step.
+// checkHealth checks a node's health. If nothing can be sent, the next step reports that to the module.
 func (c *Core) checkHealth(node string) {
 	answered := func(r Result, took time.Duration) {
 		c.post(healthCheckResult{node, r, took})
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,30 +8,30 @@
 	"wheatsaddle/policy"
 )
 
-// Attempt is one try of a request at one node: one Send of the module.
+// Attempt is one attempt of a request at one node.
 type Attempt struct {
 	Request       *Request
 	Number        int // from 0 within the request
 	Node          string
 	Deadline      time.Time
-	StartBy       time.Time // it may not be claimed later; zero: no bound but Deadline
-	sentAtMs      float64   // module's time
-	nodeStartTime float64   // since_ms of the node at the send
+	StartBy       time.Time // latest time of its claim; zero: no bound but Deadline
+	sentAtMs      float64   // time of the module
+	nodeStartTime float64   // start time that the node had at the dispatch
 	state         *requestState
 	counts        *classCounts // nil: a class that is not counted
 	reportOnce    sync.Once
 	peer          NodeClient
-	// drainCutoff is the node's: a draining node takes no new attempt after it. repeatWindow is the request's: no
-	// attempt of it may be claimed once the nodes would not recognise a repeat any more.
+	// drainCutoff belongs to the node: a draining node accepts no new attempt after it. repeatWindow belongs to the
+	// request: none of its attempts may be claimed once the nodes would no longer deduplicate a retry.
 	drainCutoff, repeatWindow *cutoff
 	done                      func(Result)
-	// endedAtMs (module's time; 0: not yet) and status are for the log.
+	// endedAtMs (time of the module; 0: not yet) and status are for the log.
 	endedAtMs float64
 	status    policy.Status
 	phase     atomic.Int32
 }
 
-// An attempt's phases. It leaves phaseWaiting once, either way: that decides between its write and its request's end.
+// An attempt's phases. It leaves phaseWaiting once. That decides between its write and the end of its request.
 const (
 	phaseWaiting int32 = iota
 	phaseClaimed
@@ -43,21 +43,21 @@
 	return &Attempt{Request: r, Deadline: deadline, done: done}
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Status               policy.Status
 	PlanUsage, PeerUsage float64
 	Load                 *policy.Load
 	Payload              any
-	// InvalidRequest says that the node rejected the request itself as invalid. That is final: another attempt
-	// would end the same, and it says nothing about the node's health.
+	// InvalidRequest reports that the node rejected the request itself as invalid. That is final: another attempt
+	// would end the same, and it does not count against the node's health.
 	InvalidRequest bool
 }
 
-// Claim claims the attempt for writing: a peer calls it right before the first byte. It returns false where
-// the attempt was overtaken while it waited for a connection or in a mailbox: its request was answered, its
-// client has gone, its repeat window is over, or its draining node takes no more. Nothing of it may be
-// written then, and the peer reports it as policy.Abandoned. Further calls return the same.
+// Claim claims the attempt for writing; a node client calls it right before the first byte. It returns false if, while
+// the attempt waited for a connection or in a mailbox, its request was answered, its client disconnected, its
+// deduplication window ended, or the cutoff of its draining node passed. Nothing of it may be written then, and the
+// node client reports it as policy.Abandoned. Further calls return the same.
 func (a *Attempt) Claim() bool {
 	if a.expired() || a.Request.clientDisconnected() {
 		a.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
@@ -65,12 +65,12 @@
 	return a.phase.CompareAndSwap(phaseWaiting, phaseClaimed) || a.phase.Load() == phaseClaimed
 }
 
-// Abandoned says whether the attempt can no longer be claimed, so that no connection need be opened for it.
+// Abandoned reports whether the attempt can no longer be claimed, so that no connection need be opened for it.
 func (a *Attempt) Abandoned() bool {
 	return a.phase.Load() == phaseAbandoned || a.phase.Load() == phaseWaiting && a.expired()
 }
 
-// expired says whether a time bound of the claim has passed.
+// expired reports whether a time bound of the claim has passed.
 func (a *Attempt) expired() bool {
 	now := time.Now()
 	return !a.StartBy.IsZero() && now.After(a.StartBy) || a.drainCutoff.passed(now) || a.repeatWindow.passed(now)
@@ -84,12 +84,12 @@
 }
 
 // Done reports the attempt's result; only the first report counts. It may wait for the core's mailbox, so
-// it must not be called in the core's actor or from a Peer method.
+// it must not be called in the core's actor or from a NodeClient method.
 func (a *Attempt) Done(r Result) {
 	a.reportOnce.Do(func() { a.done(r) })
 }
 
-// send starts an attempt and hands it to the node's peer. A request that is answered is never sent again.
+// send starts an attempt and hands it to the node's client. A request that is answered is not dispatched again.
 func (c *Core) send(a *policy.Action, now float64) {
 	e := c.requests[a.ID]
 	if e == nil {
@@ -128,17 +128,17 @@
 	t.repeatWindow = &e.repeatWindow
 	if a.StartBy > 0 {
 		t.StartBy = c.wallTime(a.StartBy)
-		e.repeatWindow.set(t.StartBy) // also for an earlier attempt that still waits: it would be the repeat then
+		e.repeatWindow.set(t.StartBy) // also for an earlier attempt that still waits, which would be the retry then
 	}
 	t.done = func(r Result) { c.post(attemptResult{t, r}) }
 	return t
 }
 
-// failUnsent ends an attempt that no peer took. The module hears of it in the next step, not through the mailbox: the
-// actor must not wait for its own mailbox.
+// failUnsent ends an attempt that no node client accepted. The next step reports it to the module, and not a message,
+// because the actor must not wait for its own mailbox.
 func (c *Core) failUnsent(t *Attempt) {
 	e := t.state
-	t.reportOnce.Do(func() {}) // its result is told here
+	t.reportOnce.Do(func() {}) // its result is reported here
 	e.outstanding--
 	status := policy.ConnectFailed
 	if e.answered {
@@ -155,11 +155,11 @@
 	c.forgetEnded(e)
 }
 
-// attemptEnded handles the result of an attempt; the first that was served answers the request.
+// attemptEnded handles the result of an attempt; the first served one answers the request.
 func (c *Core) attemptEnded(a *Attempt, r Result, now float64) {
 	e := a.state
 	if r.Status == policy.Abandoned && e.request.clientDisconnected() {
-		c.cancelRequest(e) // else the module would send it again
+		c.cancelRequest(e) // otherwise the module would dispatch it again
 	}
 	e.outstanding--
 	a.endedAtMs, a.status = now, r.Status
@@ -173,11 +173,11 @@
 		c.answer(e, Answer{Kind: Served, Payload: r.Payload})
 	} else if r.InvalidRequest {
 		c.answer(e, Answer{Kind: Failed, Cause: CauseInvalidRequest})
-	} else if h, ok := r.Payload.(Releaser); ok {
-		h.Release() // the request is answered already
+	} else if payload, ok := r.Payload.(Releaser); ok {
+		payload.Release() // the request is answered already
 	}
 	if c.requests[e.request.ID] != e {
-		return // from before a restart of the module
+		return // its request is from before a restart of the module
 	}
 	c.events = append(c.events, policy.Event{
 		Kind:      policy.AttemptEnded,
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -7,11 +7,11 @@
 )
 
 // AttemptedNodes lists the nodes that the attempts of a request went to, in order. A later request for the same data names it
-// in Avoid. Only the actor reads and writes it.
+// in AvoidNodes. Only the actor reads and writes it.
 type AttemptedNodes struct{ nodes []string }
 
-// nodesToAvoid selects from the nodes that are up those that earlier requests went to, the latest first, as long as at
-// least one other remains.
+// nodesToAvoid selects from the nodes that are up those of earlier requests, the latest first, as long as at least one
+// other remains.
 func nodesToAvoid(earlier []*AttemptedNodes, up []string) (avoided []string) {
 	for _, t := range earlier {
 		for _, n := range slices.Backward(t.nodes) {
@@ -24,8 +24,8 @@
 }
 
 // admitAvoiding passes the module an arrival with nodes to avoid: for the step of the arrival the module sees them as
-// excluded. Windows, cold budgets and limits apply as to any request. Where no other node has room the request waits, and
-// may go to an avoided node later.
+// excluded. Windows, slow start and limits apply as to any request. If no other node has capacity the request waits,
+// and may be dispatched to an avoided node later.
 func (c *Core) admitAvoiding(e *requestState, now float64) {
 	if e.answered { // or cancelled
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// nodesAvoidedBy are the nodes that a request avoids when it arrives. There are none while another request waits for the
-// shard, as the changed view would apply to it too, nor while the list is not current in AskMode, as the module takes any
+// nodesAvoidedBy returns the nodes that a request avoids when it arrives. There are none while another request waits for
+// the shard, as the changed view would apply to it too, nor while a polled list is not current, as the module takes any
 // change for an update of the list.
 func (c *Core) nodesAvoidedBy(e *requestState, now float64) []string {
 	if c.options.Settings.PollsEndpointList && !c.listCurrent {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -25,9 +25,10 @@
 
 // CounterSnapshot is one reading of the counters.
 type CounterSnapshot struct {
-	Served, Rejected, Failed, Attempts map[string]int64 // by class
-	InProgress, Nodes, AvoidedNodes    int64
-	Reloads, ReloadErrors              int64
+	Served, Rejected, Failed, Attempts map[string]int64 // answers by kind and attempts written, by class
+	InProgress                         int64            // requests accepted and not yet ended
+	Nodes, AvoidedNodes                int64            // nodes in the list, and of these the avoided ones
+	Reloads, ReloadErrors              int64            // settings files accepted and rejected at SIGHUP
 }
 
 // newCounters makes counters for these classes.
@@ -48,7 +49,7 @@
 	}
 }
 
-// of returns a class's counters; nil for a name that no settings had. Such names are not counted, so that
+// of returns a class's counters; nil for a name that no settings ever had. Such names are not counted, so that
 // clients cannot grow the table.
 func (c *Counters) of(class string) *classCounts {
 	c.mu.RLock()
--- a/internal/core/cutoff.go
+++ b/internal/core/cutoff.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/interleave/sync/atomic"
 )
 
-// cutoff is a time after which none of the attempts that share it may be claimed. The actor sets it, and peers
+// cutoff is a time after which none of the attempts that share it may be claimed. The actor sets it, and node clients
 // read it right before an attempt's first byte, so that it holds also while the actor is late, for instance after
 // the process was suspended. Nil and the zero value set no bound.
 type cutoff struct{ at atomic.Pointer[time.Time] }
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -159,11 +159,11 @@
 		want      int // sent in the end
 		kinds     []AnswerKind
 	}{
-		"room comes":                  {func(r *fixture, q *Request) { room(r) }, time.Minute, 1, nil},
+		"room comes":                  {func(r *fixture, _ *Request) { room(r) }, time.Minute, 1, nil},
 		"gone, then room":             {func(r *fixture, q *Request) { r.Cancel(q); room(r) }, time.Minute, 0, nil},
 		"room, then gone":             {func(r *fixture, q *Request) { room(r); r.Cancel(q) }, time.Minute, 0, nil},
-		"out of time, and room":       {func(r *fixture, q *Request) { room(r) }, stallDuration - time.Millisecond, 0, []AnswerKind{Rejected, Failed}},
-		"long out of time, and room":  {func(r *fixture, q *Request) { room(r) }, stallDuration / 2, 0, []AnswerKind{Rejected, Failed}},
+		"out of time, and room":       {func(r *fixture, _ *Request) { room(r) }, stallDuration - time.Millisecond, 0, []AnswerKind{Rejected, Failed}},
+		"long out of time, and room":  {func(r *fixture, _ *Request) { room(r) }, stallDuration / 2, 0, []AnswerKind{Rejected, Failed}},
 		"out of time, gone, and room": {func(r *fixture, q *Request) { r.Cancel(q); room(r) }, stallDuration / 2, 0, nil},
 		"room, and it drains": {func(r *fixture, q *Request) {
 			room(r)
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -7,11 +7,11 @@
 	"wheatsaddle/policy"
 )
 
-// controlWait is how long an operator's call waits for the actor; operators are owed an answer within 1 s.
+// controlWait is how long an operator's call waits for the actor; the admin endpoint answers within 1 s.
 const controlWait = 500 * time.Millisecond
 
-// Exclude excludes a node by hand: after the return no new attempt is written to it, whatever the list
-// says, until Include. It returns the book's state, which the caller stores.
+// Exclude excludes a node: after it returns no new attempt is written to the node, whatever its state in the list,
+// until Include. It returns the state of all exclusions, which the caller stores.
 func (c *Core) Exclude(node string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
 		changed, err := c.exclusions.Exclude(now, node)
@@ -22,7 +22,7 @@
 	})
 }
 
-// Include ends an exclusion; the module treats the node as one that may be cold.
+// Include ends an exclusion; the module lets the node warm up.
 func (c *Core) Include(id string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
 		changed, err := c.exclusions.Include(now, id)
@@ -33,21 +33,22 @@
 	})
 }
 
-// LoadExclusions replaces the book by the state that another process of the scheduler stored.
+// LoadExclusions replaces the exclusions by the state that another process of the scheduler stored.
 func (c *Core) LoadExclusions(st exclusion.State) error {
 	_, err := c.changeExclusions(func(now float64) ([]string, error) { return c.exclusions.Load(now, st), nil })
 	return err
 }
 
-// Nodes says whether a node of this id was ever listed.
+// WasListed reports whether a node of this id was ever listed; false also if the actor is busy.
 func (c *Core) WasListed(id string) bool {
 	listed := false
-	c.changeExclusions(func(float64) ([]string, error) { listed = c.exclusions.IsListed(id); return nil, nil })
+	// An error leaves the result false.
+	_, _ = c.changeExclusions(func(float64) ([]string, error) { listed = c.exclusions.IsListed(id); return nil, nil })
 	return listed
 }
 
-// changeExclusions runs a change of the book in the actor, applies it to the peers and the module, and returns the
-// new state. change returns the ids of the nodes that it affects.
+// changeExclusions runs a change of the exclusions in the actor, applies it to the node clients and the module, and returns
+// the new state. change returns the ids of the nodes that it affects.
 func (c *Core) changeExclusions(change func(now float64) ([]string, error)) (exclusion.State, error) {
 	type reply struct {
 		st  exclusion.State
@@ -77,7 +78,7 @@
 	}
 }
 
-// applyExclusions tells the peers and the module of the listed nodes whose view may have changed.
+// applyExclusions updates the node clients and the module about the listed nodes whose view may have changed.
 func (c *Core) applyExclusions(now float64, ids []string) {
 	ev := policy.Event{Kind: policy.ListChanged}
 	for _, id := range ids {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HandOver tells the module that another process of this scheduler has taken over and fills the limits' stores. It waits
-// at most wait for the actor; false: the module may not have been told, and the caller is to try again.
+// HandOver notifies the module that another process of this scheduler has taken over and fills the token buckets. It
+// waits at most timeout for the actor; false: the module may not have been notified, and the caller should try again.
 func (c *Core) HandOver(timeout time.Duration) bool {
 	done := make(chan struct{})
 	m := call(func() {
@@ -16,7 +16,7 @@
 	select {
 	case c.control <- m: // handled before the mailbox
 	case <-c.ended:
-		return true // the module fills no store any more
+		return true // the module fills no token bucket any more
 	case <-timer.C:
 		return false
 	}
--- a/internal/core/lateanswer_test.go
+++ b/internal/core/lateanswer_test.go
@@ -47,12 +47,12 @@
 		r.OpenRequests()
 		var logged []map[string]any
 		for _, e := range lines.AllEntries() {
-			if e.Message == "a request ended after its client's time" {
+			if e.Message == "request answered after its client's deadline" {
 				logged = append(logged, e.Data)
 			}
 		}
-		if len(logged) != 2 || logged[1]["id"] != "late-4" || logged[1]["others"] != 2 || logged[0]["class"] != "read" ||
-			logged[0]["late_ms"].(int64) < 500 || logged[0]["attempts"] == "" || logged[0]["timer_late_ms"].(int64) < 50 {
+		if len(logged) != 2 || logged[1]["id"] != "late-4" || logged[1]["suppressed"] != 2 || logged[0]["class"] != "read" ||
+			logged[0]["late_ms"].(int64) < 500 || logged[0]["attempts"] == "" || logged[0]["timer_lag_ms"].(int64) < 50 {
 			t.Errorf("%v", logged)
 		}
 	})
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -9,14 +9,14 @@
 
 const (
 	// drainGuard is the share of the grace period left after the module's use of a draining node at which the
-	// node's peer is closed to new attempts, whatever the module decides.
+	// node's client is closed to new attempts, independent of the module.
 	drainGuard = 0.4
-	// countInterval is the interval in ms at which the nodes that the module avoids are counted: telemetry may
-	// lag by 0.5 s.
+	// countInterval is the interval in ms at which the nodes that the module avoids are counted; telemetry may lag by
+	// 0.5 s.
 	countInterval = 100
 )
 
-// ListUpdate is an update of the list. Kind is ListFull, ListStale, ListChange or ListFailed.
+// ListUpdate is an update of the list. Kind is policy.ListReceived, CachedListLoaded, ListChanged or ListFailed.
 type ListUpdate struct {
 	Kind  policy.EventKind
 	Nodes []Node
@@ -24,7 +24,7 @@
 }
 
 // UpdateList hands over an update of the list. It is handled before all messages in the mailbox, so that none of them
-// is sent to a node that drains by then.
+// is dispatched to a node that drains by then. It may wait for the actor.
 func (c *Core) UpdateList(n ListUpdate) {
 	select {
 	case c.control <- listUpdated{&n}:
@@ -32,8 +32,8 @@
 	}
 }
 
-// applyListUpdate applies an update of the list to the peers, and then passes it to the module. Both see the nodes as
-// the book of exclusions shows them.
+// applyListUpdate applies an update of the list to the node clients, and then passes it to the module. Both see the
+// nodes with the exclusions applied.
 func (c *Core) applyListUpdate(n *ListUpdate, now float64) {
 	ev := policy.Event{Kind: n.Kind}
 	seen := map[string]bool{}
@@ -60,7 +60,7 @@
 	c.countNodes(now)
 }
 
-// updateNode applies an entry of a node that has not gone: a new node gets a peer, a known one its addresses.
+// updateNode applies an entry of a node that is not removed: a new node gets a client, a listed one its addresses.
 func (c *Core) updateNode(x Node, view policy.Node, now float64) {
 	p, listed := c.peers[x.ID]
 	if !listed {
@@ -68,19 +68,19 @@
 		c.peers[x.ID] = p
 		c.cutoffs[x.ID] = &cutoff{}
 	} else if !slices.Equal(c.nodes[x.ID].Addresses, x.Addresses) {
-		p.SetAddresses(x.Addresses) // the node stays: its windows and its warmth are the same
+		p.SetAddresses(x.Addresses) // the node stays, with its window and slow start
 	}
 	c.updateDrain(p, x, view, now)
 	c.nodes[x.ID] = x
 }
 
-// updateDrain tells the peer of a listed node whether the node drains. A node that begins to drain may be used for a part
-// of the grace period, where the settings say so and the list is current: the module stops by itself then, and the
-// peer is closed a little later, for attempts that are still in a mailbox.
+// updateDrain closes or opens the client of a listed node. A node that begins to drain may be used for a part of the grace
+// period if the settings permit it and the list is current: the module stops by itself then, and the client is closed
+// a little later, because of attempts that are still in a mailbox.
 func (c *Core) updateDrain(p NodeClient, x Node, view policy.Node, now float64) {
 	previous, listed := c.nodes[x.ID]
 	use := c.options.Settings.DrainingUseDuration()
-	excluded := view != x.Node // the book of exclusions shows it otherwise than the list
+	excluded := view != x.Node // an exclusion changes its state
 	begins := listed && previous.State == policy.NodeUp && x.State == policy.NodeDraining
 	if begins && c.listCurrent && use > 0 && !excluded {
 		end := now + use + drainGuard*(c.options.Settings.DrainGrace-use)
@@ -96,7 +96,7 @@
 	p.Drain(view.State != policy.NodeUp)
 }
 
-// removeNode removes a node that has left the list; its peer finishes the outstanding attempts.
+// removeNode removes a node that has left the list; its client finishes the outstanding attempts.
 func (c *Core) removeNode(id string) {
 	p, ok := c.peers[id]
 	if !ok {
@@ -111,7 +111,7 @@
 }
 
 // countNodes updates the counters of listed nodes and of avoided ones: by their state, by an exclusion, or
-// by the module's choice.
+// by the module's decision.
 func (c *Core) countNodes(now float64) {
 	avoided := c.scheduler.AvoidedNodes()
 	for _, n := range c.nodes {
--- a/internal/core/nodestatus.go
+++ b/internal/core/nodestatus.go
@@ -6,20 +6,20 @@
 	"wheatsaddle/policy"
 )
 
-// NodeStatus is this process's window at one listed node and its queue for it.
+// NodeStatus is this process's concurrency window at one listed node and its queue for it.
 type NodeStatus struct {
 	Node          string
-	StartTime     int64 // since_ms of the node's start that the figures belong to
+	StartTime     int64 // start time of the node, in Unix ms, that the figures belong to
 	Window, Queue float64
 }
 
-// NodeStatuses returns the figures of at most most listed nodes. It waits at most wait for the actor; false: the actor had no
-// time, or has ended.
+// NodeStatuses returns the figures of at most maxNodes listed nodes. It waits at most timeout for the actor; false: the
+// actor was busy, or has ended.
 func (c *Core) NodeStatuses(maxNodes int, timeout time.Duration) ([]NodeStatus, bool) {
 	got := make(chan []policy.NodeStatus, 1)
 	select {
 	case c.control <- call(func() { got <- c.scheduler.NodeStatuses(maxNodes) }):
-	default: // the actor is far behind: the caller's next round asks again
+	default: // the actor is far behind
 		return nil, false
 	}
 	timer := time.NewTimer(timeout)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -160,7 +160,7 @@
 	c.dropFromModule(e)
 }
 
-// dropFromModule tells the module that nobody waits for an answered request.
+// dropFromModule ends an answered request in the module.
 func (c *Core) dropFromModule(e *requestState) {
 	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
 	c.forgetEnded(e)
