--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/policy"
 )
 
-// blockActor keeps the actor in a call until the return is called; what comes meanwhile waits in its mailbox.
+// blockActor blocks the actor until release is called; messages wait in its mailbox meanwhile.
 func (r *fixture) blockActor() (release func()) {
 	blocked, unblock := make(chan bool), make(chan bool)
 	r.post(call(func() { close(blocked); <-unblock }))
@@ -21,76 +21,76 @@
 	return release
 }
 
-// newDisconnectingRequest is a request whose client may go.
-func (r *fixture) newDisconnectingRequest(id, class string) (q *Request, got chan Answer, gone *atomic.Bool) {
-	got, gone = make(chan Answer, 8), &atomic.Bool{}
+// newDisconnectingRequest makes a request whose client can disconnect.
+func (r *fixture) newDisconnectingRequest(id, class string) (q *Request, got chan Answer, disconnected *atomic.Bool) {
+	got, disconnected = make(chan Answer, 8), &atomic.Bool{}
 	q = &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
-		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a Answer) { got <- a }, ClientDisconnected: gone.Load}
-	return q, got, gone
+		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a Answer) { got <- a }, ClientDisconnected: disconnected.Load}
+	return q, got, disconnected
 }
 
-// checkTablesEmpty says that nothing of any request is held but guards, whose time is yet to come.
+// checkTablesEmpty checks that no entries of requests remain, except guard timers, which fire later.
 func (r *fixture) checkTablesEmpty() {
 	r.t.Helper()
-	r.OpenRequests() // what was told before has been taken, and is decided before the next call
+	r.OpenRequests() // the messages before have been handled, and are decided before the next call
 	if got := r.TableSizes(); got.Requests != 0 || got.Module != 0 {
-		r.t.Errorf("held: %+v", got)
+		r.t.Errorf("table sizes: %+v", got)
 	}
 }
 
-// An attempt that waits with its node does not begin once its client has gone, though the core has not heard of that; the
-// request ends with it, and nothing of it is sent again.
+// An attempt that waits at its node client cannot be claimed once its client has disconnected, before the core has
+// handled the Cancel. The request ends with it, and is not dispatched again.
 func TestDisconnectBeforeCancelArrives(t *testing.T) {
 	for _, class := range []string{"read", "record"} {
 		r := startCore(t, settings())
 		r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-		q, got, gone := r.newDisconnectingRequest("a", class)
+		q, got, disconnected := r.newDisconnectingRequest("a", class)
 		r.Submit(q)
 		first := <-r.node("n").sent
 		release := r.blockActor()
-		gone.Store(true)
+		disconnected.Store(true)
 		if first.Claim() {
-			t.Fatalf("%s: it begins although its client has gone", class)
+			t.Fatalf("%s: claimed although its client has disconnected", class)
 		}
 		if !first.Abandoned() {
-			t.Errorf("%s: it may yet begin", class)
+			t.Errorf("%s: not abandoned", class)
 		}
 		first.Done(Result{Status: policy.Abandoned})
 		release()
-		r.OpenRequests() // its end has been taken, and is decided before the departure is told
+		r.OpenRequests() // its result has been handled, and is decided before the Cancel
 		r.Cancel(q)
 		expectNoAnswer(t, r, got)
 		if n := len(r.node("n").sent); n > 0 {
-			t.Errorf("%s: sent %d times more", class, n)
+			t.Errorf("%s: dispatched %d times more", class, n)
 		}
 		r.checkTablesEmpty()
 		if n := r.Counters().inProgress.Load(); n != 0 {
-			t.Errorf("%s: %d count as in progress", class, n)
+			t.Errorf("%s: %d in progress", class, n)
 		}
 	}
 }
 
-// An attempt that began before its client went, and one whose client stays, are not held up.
+// A disconnect after the claim does not abandon the attempt.
 func TestDisconnectAfterClaim(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	q, got, gone := r.newDisconnectingRequest("a", "read")
+	q, got, disconnected := r.newDisconnectingRequest("a", "read")
 	r.Submit(q)
 	a := <-r.node("n").sent
 	if !a.Claim() {
-		t.Fatal("it does not begin")
+		t.Fatal("not claimed")
 	}
-	gone.Store(true)
+	disconnected.Store(true)
 	if a.Abandoned() {
-		t.Error("an attempt that is out may not begin")
+		t.Error("a claimed attempt is abandoned")
 	}
 	a.Done(Result{Status: policy.OK})
 	expectAnswer(t, got, Served)
 	r.checkTablesEmpty()
 }
 
-// Hundreds come and go while the core is busy, more than it takes in one turn: in whichever turn each going is taken, none of
-// their attempts begins.
+// More clients connect and disconnect while the core is busy than one iteration handles: none of their attempts can be
+// claimed, in whichever iteration its Cancel is handled.
 func TestBurstOfDisconnects(t *testing.T) {
 	const clients = maxBatch
 	r := startCore(t, settings())
@@ -98,10 +98,10 @@
 	release := r.blockActor()
 	var all []*Request
 	for i := range clients {
-		q, _, gone := r.newDisconnectingRequest(fmt.Sprint(i), "read")
+		q, _, disconnected := r.newDisconnectingRequest(fmt.Sprint(i), "read")
 		r.Submit(q)
 		all = append(all, q)
-		gone.Store(true)
+		disconnected.Store(true)
 	}
 	for _, q := range all {
 		r.Cancel(q)
@@ -110,11 +110,11 @@
 	r.OpenRequests()
 	sent := r.node("n").sent
 	if len(sent) == 0 {
-		t.Fatal("none was sent before its going was taken: the crossing was not reached")
+		t.Fatal("none was dispatched before its Cancel was handled: the order under test was not reached")
 	}
 	for len(sent) > 0 {
 		if a := <-sent; a.Claim() {
-			t.Errorf("%s begins", a.Request.ID)
+			t.Errorf("%s was claimed", a.Request.ID)
 		} else {
 			a.Done(Result{Status: policy.Abandoned})
 		}
@@ -122,64 +122,73 @@
 	r.checkTablesEmpty()
 }
 
-// The going that is taken in the turn of its request's coming: nothing is sent, whether the request follows others or not.
+// A request whose Cancel is handled in the same iteration is not dispatched, with and without nodes to avoid.
 func TestArrivalAndCancelInOneIteration(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp))
 	release := r.blockActor()
 	plain, got, _ := r.newDisconnectingRequest("a", "read")
-	follows, then, _ := r.newDisconnectingRequest("b", "read")
-	plain.ClientDisconnected, follows.ClientDisconnected = nil, nil
-	follows.AvoidNodes = []*AttemptedNodes{{nodes: []string{"n"}}}
-	for _, q := range []*Request{plain, follows} {
+	avoiding, gotAvoiding, _ := r.newDisconnectingRequest("b", "read")
+	plain.ClientDisconnected, avoiding.ClientDisconnected = nil, nil
+	avoiding.AvoidNodes = []*AttemptedNodes{{nodes: []string{"n"}}}
+	for _, q := range []*Request{plain, avoiding} {
 		r.Submit(q)
 		r.Cancel(q)
 	}
 	release()
 	expectNoAnswer(t, r, got)
-	expectNoAnswer(t, r, then)
+	expectNoAnswer(t, r, gotAvoiding)
 	if n := len(r.node("n").sent) + len(r.node("m").sent); n > 0 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("%d were dispatched", n)
 	}
 	r.checkTablesEmpty()
 }
 
-// stallDuration is how long a process stands still.
+// stallDuration is how long a process is stalled.
 const stallDuration = 300 * time.Millisecond
 
-// After a standstill one turn takes what came meanwhile and the timers that are due: of a request whose client went, or whose
-// time ended, nothing is sent, whatever makes room for it in that turn; and to a node that drains nothing is.
-func TestNoLateDispatchAfterStall(t *testing.T) {
-	room := func(r *fixture) {
+// stallCase is what arrives while a process is stalled, and what must follow.
+type stallCase struct {
+	meanwhile func(r *fixture, q *Request)
+	timeout   time.Duration
+	want      int // dispatched attempts
+	kinds     []AnswerKind
+}
+
+// stallCases are the scenarios of TestNoLateDispatchAfterStall, by name.
+func stallCases() map[string]stallCase {
+	addCapacity := func(r *fixture) {
 		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{newNode("n", 0, policy.NodeUp)}})
 	}
-	for name, x := range map[string]struct {
-		meanwhile func(r *fixture, q *Request)
-		patience  time.Duration
-		want      int // sent in the end
-		kinds     []AnswerKind
-	}{
-		"room comes":                  {func(r *fixture, _ *Request) { room(r) }, time.Minute, 1, nil},
-		"gone, then room":             {func(r *fixture, q *Request) { r.Cancel(q); room(r) }, time.Minute, 0, nil},
-		"room, then gone":             {func(r *fixture, q *Request) { room(r); r.Cancel(q) }, time.Minute, 0, nil},
-		"out of time, and room":       {func(r *fixture, _ *Request) { room(r) }, stallDuration - time.Millisecond, 0, []AnswerKind{Rejected, Failed}},
-		"long out of time, and room":  {func(r *fixture, _ *Request) { room(r) }, stallDuration / 2, 0, []AnswerKind{Rejected, Failed}},
-		"out of time, gone, and room": {func(r *fixture, q *Request) { r.Cancel(q); room(r) }, stallDuration / 2, 0, nil},
-		"room, and it drains": {func(r *fixture, q *Request) {
-			room(r)
+	return map[string]stallCase{
+		"capacity arrives":                           {func(r *fixture, _ *Request) { addCapacity(r) }, time.Minute, 1, nil},
+		"disconnect, then capacity":                  {func(r *fixture, q *Request) { r.Cancel(q); addCapacity(r) }, time.Minute, 0, nil},
+		"capacity, then disconnect":                  {func(r *fixture, q *Request) { addCapacity(r); r.Cancel(q) }, time.Minute, 0, nil},
+		"deadline passed, then capacity":             {func(r *fixture, _ *Request) { addCapacity(r) }, stallDuration - time.Millisecond, 0, []AnswerKind{Rejected, Failed}},
+		"deadline long passed, then capacity":        {func(r *fixture, _ *Request) { addCapacity(r) }, stallDuration / 2, 0, []AnswerKind{Rejected, Failed}},
+		"deadline passed, disconnect, then capacity": {func(r *fixture, q *Request) { r.Cancel(q); addCapacity(r) }, stallDuration / 2, 0, nil},
+		"capacity, then the node drains": {func(r *fixture, _ *Request) {
+			addCapacity(r)
 			r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{newNode("n", 0, policy.NodeDraining)}})
 		}, time.Minute, 0, nil},
-		"room, and it leaves": {func(r *fixture, q *Request) { room(r); r.UpdateList(ListUpdate{Kind: policy.ListReceived}) }, time.Minute, 0, nil},
-	} {
+		"capacity, then the node is removed": {func(r *fixture, _ *Request) { addCapacity(r); r.UpdateList(ListUpdate{Kind: policy.ListReceived}) }, time.Minute, 0, nil},
+	}
+}
+
+// After a stall one iteration handles the messages that arrived meanwhile and the timers that are due. A request whose
+// client disconnected or whose deadline passed is not dispatched in it, although capacity arrives in the same iteration,
+// and nothing is dispatched to a draining node.
+func TestNoLateDispatchAfterStall(t *testing.T) {
+	for name, x := range stallCases() {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := startCore(t, settings())
 				r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeDraining))
 				q, got, _ := r.newDisconnectingRequest("a", "read")
-				q.ClientDisconnected, q.Timeout = nil, x.patience
+				q.ClientDisconnected, q.Timeout = nil, x.timeout
 				r.Submit(q)
 				if r.OpenRequests() != 1 {
-					t.Fatal("it does not wait: the crossing was not reached")
+					t.Fatal("the request does not wait: the order under test was not reached")
 				}
 				release := r.blockActor()
 				time.Sleep(stallDuration)
@@ -189,7 +198,7 @@
 				synctest.Wait()
 				sent := r.node("n").sent
 				if len(sent) != x.want {
-					t.Errorf("%d were sent, want %d", len(sent), x.want)
+					t.Errorf("%d were dispatched, want %d", len(sent), x.want)
 				}
 				if len(got) != len(x.kinds[:min(1, len(x.kinds))]) {
 					t.Errorf("%d answers", len(got))
@@ -209,25 +218,26 @@
 	}
 }
 
-// A node that a standing watch tells to drain is used for a part of the grace. A process that stands still past that part sends
-// nothing to it when it wakes, and past the next its peer is closed in that turn, before anything is sent.
+// A node that an open watch reports as draining is used for a part of the grace. A process that is stalled past that part
+// dispatches nothing to it afterwards. Past the cutoff the node client is closed in the first iteration, before any
+// dispatch.
 func TestDrainingUseEndsDuringStall(t *testing.T) {
 	for name, x := range map[string]struct {
-		grace, stands float64 // ms
-		sent          int
-		closed        bool
+		grace, stall float64 // ms
+		sent         int
+		closed       bool
 	}{
-		"within the part":         {60e3, 300, 1, false},
-		"past the part":           {2e3, 1200, 0, false},
-		"past the peer's closing": {2e3, 1600, 0, true},
+		"within the part": {60e3, 300, 1, false},
+		"past the part":   {2e3, 1200, 0, false},
+		"past the cutoff": {2e3, 1600, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				set := settings()
 				set.DrainGrace = x.grace
 				use, later := set.DrainingUseDuration(), set.DrainingUseDuration()+drainGuard*(x.grace-set.DrainingUseDuration())
-				if use <= 0 || x.stands < use != (x.sent == 1) || x.stands > later != x.closed {
-					t.Fatalf("the node is used for %v ms and closed after %v: the crossing is not reached", use, later)
+				if use <= 0 || x.stall < use != (x.sent == 1) || x.stall > later != x.closed {
+					t.Fatalf("the node is used for %v ms and closed after %v: the order under test is not reached", use, later)
 				}
 				r := startCore(t, set)
 				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
@@ -236,7 +246,7 @@
 				q, _, _ := r.newDisconnectingRequest("a", "read")
 				q.ClientDisconnected = nil
 				r.Submit(q)
-				time.Sleep(time.Duration(x.stands) * time.Millisecond)
+				time.Sleep(time.Duration(x.stall) * time.Millisecond)
 				release()
 				r.OpenRequests()
 				synctest.Wait()
@@ -244,7 +254,7 @@
 				n.mu.Lock()
 				defer n.mu.Unlock()
 				if len(n.sent) != x.sent || n.drained != x.closed {
-					t.Errorf("%d were sent, closed %v", len(n.sent), n.drained)
+					t.Errorf("%d were dispatched, closed %v", len(n.sent), n.drained)
 				}
 			})
 		})
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -3,14 +3,13 @@
 import (
 	"errors"
 	"testing"
-	"time"
 
 	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/policy"
 )
 
-// From the yes of an exclude nothing new goes to the node, whatever the list says, until one
-// include; then it is used again.
+// From the return of Exclude nothing is dispatched to the node, also if the list has it as up, until one Include; then
+// it is used again.
 func TestExclusionHoldsUntilInclude(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp))
@@ -21,24 +20,24 @@
 	if err != nil || len(st.Excluded) != 1 {
 		t.Fatalf("exclude: %v %v", st, err)
 	}
-	r.Exclude("n") // a repeat is one
+	_, _ = r.Exclude("n") // has no further effect
 	if !r.node("n").drained {
-		t.Fatal("the peer does not drain from the yes")
+		t.Fatal("the node client does not drain when Exclude returns")
 	}
-	r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp)) // discovery says up
+	r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp)) // the list has it as up
 	if !r.node("n").drained {
-		t.Fatal("a list undid the exclude")
+		t.Fatal("a list undid the exclusion")
 	}
 	for i := range 20 {
-		_, got := r.submit(string(rune('a'+i)), "read", time.Minute)
+		_, got := r.submit(string(rune('a'+i)), "read")
 		(<-r.node("m").sent).Done(Result{Status: policy.OK})
 		expectAnswer(t, got, Served)
 	}
 	if len(r.node("n").sent) > 0 {
-		t.Fatal("sent to an excluded node")
+		t.Fatal("dispatched to an excluded node")
 	}
 	if f := r.Counters().Snapshot(); f.AvoidedNodes != 1 || f.Nodes != 2 {
-		t.Fatalf("skipped %d of %d", f.AvoidedNodes, f.Nodes)
+		t.Fatalf("avoided %d of %d", f.AvoidedNodes, f.Nodes)
 	}
 	st, err = r.Include("n")
 	if err != nil || len(st.Excluded) != 0 || st.Included["n"] == 0 {
@@ -47,19 +46,18 @@
 	if r.node("n").drained {
 		t.Fatal("still drained after the include")
 	}
-	// The node comes back cold and is used again: with more work than one node's window, both
-	// nodes get some.
+	// The node warms up and is used again: with more requests than one node's window, both nodes get some.
 	for i := range 40 {
-		r.submit(string(rune('A'+i)), "read", time.Minute)
+		r.submit(string(rune('A'+i)), "read")
 	}
 	r.OpenRequests()
-	r.OpenRequests() // the step that took the first call has ended
+	r.OpenRequests() // the step of the first call has run
 	if len(r.node("n").sent) == 0 {
 		t.Fatalf("an included node got no work; the other has %d", len(r.node("m").sent))
 	}
 }
 
-// The book that a process before left binds from the start, before any list.
+// Exclusions that an earlier process stored apply from the start, before any list.
 func TestStoredExclusionAppliesAtStart(t *testing.T) {
 	set := settings()
 	r := &fixture{t: t}
@@ -72,9 +70,9 @@
 	t.Cleanup(c.Stop)
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp))
 	if !r.node("n").drained || r.node("m").drained {
-		t.Fatal("the kept exclude does not bind at the start")
+		t.Fatal("the stored exclusion does not apply at the start")
 	}
 	if !r.WasListed("n") {
-		t.Fatal("a kept id cannot be included")
+		t.Fatal("a stored id counts as never listed")
 	}
 }
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -2,37 +2,36 @@
 
 import (
 	"testing"
-	"time"
 
 	"wheatsaddle/policy"
 )
 
-// What comes after Finish, also in the turn that has it, is refused at once and sent nowhere.
+// Requests after Finish, also in the same iteration, are rejected at once and not dispatched.
 func TestArrivalsAfterFinishAreRejected(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	_, open := r.submit("open", "read", time.Minute)
+	_, open := r.submit("open", "read")
 	<-r.node("n").sent
 	release := r.blockActor()
-	_, before := r.submit("before", "read", time.Minute)
+	_, before := r.submit("before", "read")
 	r.Finish()
-	_, behind := r.submit("behind", "read", time.Minute)
+	_, behind := r.submit("behind", "read")
 	release()
 	expectAnswer(t, open, Failed)
 	expectAnswer(t, before, Rejected)
 	expectAnswer(t, behind, Rejected)
-	_, later := r.submit("later", "read", time.Minute)
+	_, later := r.submit("later", "read")
 	expectAnswer(t, later, Rejected)
 	if n := len(r.node("n").sent); n > 0 {
-		t.Errorf("%d sent after Finish", n)
+		t.Errorf("%d dispatched after Finish", n)
 	}
-	if held := r.TableSizes().Requests; held != 1 { // whose attempt is out
-		t.Errorf("%d held", held)
+	if open := r.TableSizes().Requests; open != 1 { // the one with an outstanding attempt
+		t.Errorf("%d requests in the table", open)
 	}
 }
 
-// Every request that is handed over gets its answer, also one that waits in the mailbox of an actor that ends, or
-// comes after its end.
+// Every submitted request gets its answer, also one that waits in the mailbox of an actor that ends, or one that arrives
+// after its end.
 func TestStopAnswersAllRequests(t *testing.T) {
 	c, err := New(Options{Settings: settings(), Log: nullLog()})
 	if err != nil {
@@ -42,7 +41,7 @@
 	release := r.blockActor()
 	waits := make([]chan Answer, 8)
 	for i := range waits {
-		_, waits[i] = r.submit("waits", "read", time.Minute)
+		_, waits[i] = r.submit("waits", "read")
 	}
 	close(c.stop)
 	release()
@@ -55,8 +54,8 @@
 			t.Errorf("request %d has no answer", i)
 		}
 	}
-	for range 2 * mailboxSize { // also past what a mailbox holds
-		_, got := r.submit("late", "read", time.Minute)
+	for range 2 * mailboxSize { // also beyond the capacity of the mailbox
+		_, got := r.submit("late", "read")
 		select {
 		case a := <-got:
 			if a.Kind != Rejected {
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -9,8 +9,8 @@
 	"wheatsaddle/policy"
 )
 
-// After the handover no limit is filled, also not by the module that follows one that panicked: what waits for it is
-// refused. An actor that has no time is to be told again, one that has ended fills nothing.
+// After the handover no token bucket is filled, also not by a module that replaces one that panicked: requests that wait
+// for one are rejected. HandOver reports that a busy actor was not notified, so that the caller tries again.
 func TestHandOverStopsFillingQuotas(t *testing.T) {
 	set := settings()
 	for i := range set.Plans {
@@ -22,32 +22,32 @@
 	r.post(call(func() { busy <- true; <-free }))
 	<-busy
 	if r.HandOver(time.Millisecond) {
-		t.Error("heard by an actor that has no time")
+		t.Error("reported as notified while the actor is busy")
 	}
 	close(free)
 	if !r.HandOver(time.Minute) {
-		t.Error("not heard")
+		t.Error("not notified")
 	}
-	refused := func(id string) {
+	expectRejected := func(id string) {
 		t.Helper()
-		_, got := r.submit(id, "read", time.Minute)
+		_, got := r.submit(id, "read")
 		select {
 		case a := <-got:
 			if a.Kind != Rejected {
 				t.Errorf("%s: %+v", id, a)
 			}
 		case <-r.node("n").sent:
-			t.Errorf("%s is sent", id)
+			t.Errorf("%s is dispatched", id)
 		}
 	}
-	refused("a")
+	expectRejected("a")
 	r.post(call(func() {
 		r.scheduler = nil
 		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}))
-	_, got := r.submit("panics", "read", time.Minute)
+	_, got := r.submit("panics", "read")
 	<-got
-	refused("b")
+	expectRejected("b")
 }
 
 func TestHandOverAfterStop(t *testing.T) {
@@ -56,9 +56,9 @@
 		t.Fatal(err)
 	}
 	c.Stop()
-	for range 2 * controlSize { // also once its mailbox is full
+	for range 2 * controlSize { // also once its channel is full
 		if !c.HandOver(time.Minute) {
-			t.Fatal("an actor that has ended is asked on")
+			t.Fatal("not notified, although the actor has ended")
 		}
 	}
 }
--- a/internal/core/lateanswer_test.go
+++ b/internal/core/lateanswer_test.go
@@ -10,8 +10,7 @@
 	"wheatsaddle/policy"
 )
 
-// What ends late is told with its id and where it went; what ends in time is not; no more than a
-// line a second.
+// A late answer is logged with its id and attempts, at most one a second; an answer in time is not.
 func TestLateAnswersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, lines := logtest.NewNullLogger()
@@ -23,20 +22,20 @@
 		r.Core = c
 		defer c.Stop()
 		r.updateList(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
-		ask := func(id string) chan Answer {
+		submit := func(id string) chan Answer {
 			got := make(chan Answer, 1)
 			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
 				ReceivedAt: time.Now(), Timeout: 500 * time.Millisecond, Answer: func(a Answer) { got <- a }})
 			return got
 		}
-		<-ask("in-time")
+		<-submit("in-time")
 		stall := func(ids ...string) {
 			var all []chan Answer
 			for _, id := range ids {
-				all = append(all, ask(id))
+				all = append(all, submit(id))
 			}
 			time.Sleep(100 * time.Millisecond)
-			r.post(call(func() { time.Sleep(time.Second) })) // the actor stands still past their time
+			r.post(call(func() { time.Sleep(time.Second) })) // the actor is stalled past their deadlines
 			for _, got := range all {
 				<-got
 			}
--- a/internal/core/nodestatus_test.go
+++ b/internal/core/nodestatus_test.go
@@ -7,8 +7,7 @@
 	"wheatsaddle/policy"
 )
 
-// How nodes stand comes from the actor; where that has no time, or its calls are too many, nobody waits longer than
-// was said.
+// NodeStatuses waits for a busy actor no longer than its timeout, and not at all if too many calls wait.
 func TestNodeStatusesTimesOut(t *testing.T) {
 	r := startCore(t, settings())
 	n := newNode("a", 0, policy.NodeUp)
@@ -18,20 +17,20 @@
 	if !ok || len(all) != 2 || all[0].Node != "a" || all[0].StartTime != 41 || all[0].Window <= 0 || all[1].Window != 0 {
 		t.Fatalf("%v %+v", ok, all)
 	}
-	stuck, free := make(chan struct{}), make(chan struct{})
-	r.post(call(func() { close(stuck); <-free }))
-	<-stuck
-	for range controlSize + 1 { // the last finds no room, and does not wait at all
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	r.post(call(func() { close(blocked); <-unblock }))
+	<-blocked
+	for range controlSize + 1 { // the last finds the channel full, and does not wait
 		if _, ok := r.NodeStatuses(8, time.Millisecond); ok {
-			t.Fatal("an actor that stands still has answered")
+			t.Fatal("a blocked actor has answered")
 		}
 	}
 	if _, ok := r.NodeStatuses(8, time.Hour); ok {
-		t.Fatal("it had no room")
+		t.Fatal("a call beyond the channel's capacity succeeded")
 	}
-	close(free)
+	close(unblock)
 	r.OpenRequests()
 	if _, ok := r.NodeStatuses(8, time.Minute); !ok {
-		t.Error("it does not answer again")
+		t.Error("no result after the actor was unblocked")
 	}
 }
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -3,12 +3,11 @@
 import (
 	"slices"
 	"testing"
-	"time"
 
 	"wheatsaddle/policy"
 )
 
-// Each attempt's end is told once, with the life of the node that it was sent to.
+// Each attempt's end is reported once, with the start time of the node that it was dispatched to.
 func TestEachAttemptIsObserved(t *testing.T) {
 	type observation struct {
 		node, class string
@@ -31,7 +30,7 @@
 	n := newNode("n", 0, policy.NodeUp)
 	n.StartTime = 41
 	r.updateList(policy.CachedListLoaded, n)
-	_, got := r.submit("a", "read", time.Minute)
+	_, got := r.submit("a", "read")
 	first := <-r.node("n").sent
 	n.StartTime = 42
 	r.updateList(policy.ListChanged, n)
--- a/internal/core/preconnect_test.go
+++ b/internal/core/preconnect_test.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/policy"
 )
 
-// recordingLimiter is a start that notes what it is told.
+// recordingLimiter is a StartLimiter that records the ends of attempts.
 type recordingLimiter struct {
 	StartLimiter
 	done  bool
@@ -20,31 +20,31 @@
 func (b *recordingLimiter) AttemptEnded(_ string, s policy.Status) { b.ended = append(b.ended, s) }
 func (b *recordingLimiter) Admit(string) (w time.Duration, r bool) { return }
 
-// Connections ahead and probes go to nodes that may be used, and to no other; that one failed, or found
-// the node full, reaches the start for as long as it lasts. That it came up is no service.
+// Preconnects and health checks go only to nodes that are up and not excluded. A failure or a full node is reported to
+// the StartLimiter until it is done; a success is not.
 func TestPreconnectAndHealthCheck(t *testing.T) {
 	r, b := startCore(t, settings()), &recordingLimiter{}
 	r.options.StartLimiter = b
-	r.updateList(policy.CachedListLoaded, newNode("up", 0, policy.NodeUp), newNode("leaves", 0, policy.NodeDraining), newNode("out", 0, policy.NodeUp),
-		newNode("gone", 0, policy.NodeUp))
-	if _, err := r.Exclude("out"); err != nil {
+	r.updateList(policy.CachedListLoaded, newNode("up", 0, policy.NodeUp), newNode("draining", 0, policy.NodeDraining), newNode("excluded", 0, policy.NodeUp),
+		newNode("removed", 0, policy.NodeUp))
+	if _, err := r.Exclude("excluded"); err != nil {
 		t.Fatal(err)
 	}
-	removed := r.node("gone")
-	r.updateList(policy.ListReceived, newNode("up", 0, policy.NodeUp), newNode("leaves", 0, policy.NodeDraining), newNode("out", 0, policy.NodeUp))
-	for _, id := range []string{"up", "leaves", "out", "gone", "none"} {
+	removed := r.node("removed")
+	r.updateList(policy.ListReceived, newNode("up", 0, policy.NodeUp), newNode("draining", 0, policy.NodeDraining), newNode("excluded", 0, policy.NodeUp))
+	for _, id := range []string{"up", "draining", "excluded", "removed", "none"} {
 		r.Preconnect(id)
 		r.CheckHealth(id)
 	}
-	r.OpenRequests() // all was taken
-	for id, p := range map[string]*fakeNode{"leaves": r.node("leaves"), "out": r.node("out"), "gone": removed} {
+	r.OpenRequests() // the messages have been handled
+	for id, p := range map[string]*fakeNode{"draining": r.node("draining"), "excluded": r.node("excluded"), "removed": removed} {
 		if len(p.connects)+len(p.healthChecks) > 0 {
-			t.Errorf("%s was connected to %d times and probed %d times", id, len(p.connects), len(p.healthChecks))
+			t.Errorf("%s: %d connects, %d health checks", id, len(p.connects), len(p.healthChecks))
 		}
 	}
 	up := r.node("up")
 	if len(up.connects) != 1 || len(up.healthChecks) != 1 {
-		t.Fatalf("the node was connected to %d times and probed %d times", len(up.connects), len(up.healthChecks))
+		t.Fatalf("%d connects, %d health checks, want one each", len(up.connects), len(up.healthChecks))
 	}
 	for _, s := range []policy.Status{policy.OK, policy.Abandoned, policy.ConnectFailed} {
 		up.connects[0](s)
@@ -54,12 +54,11 @@
 	b.done = true
 	up.connects[0](policy.ConnectFailed)
 	if want := []policy.Status{policy.ConnectFailed, policy.ConnectFailed, policy.NodeFull}; !reflect.DeepEqual(b.ended, want) {
-		t.Errorf("told %v, want %v", b.ended, want)
+		t.Errorf("reported %v, want %v", b.ended, want)
 	}
 }
 
-// What was learned comes with the nodes used most first; what was used long ago counts for less, and a
-// node that left is forgotten.
+// Learned lists the most used nodes first. An earlier use counts for less, and a removed node has none.
 func TestLearnedIsOrderedByUse(t *testing.T) {
 	r := startCore(t, settings())
 	r.options.StartLimiter = &recordingLimiter{done: true}
@@ -88,7 +87,7 @@
 	if got := order(); got != "bcad" {
 		t.Errorf("%s", got)
 	}
-	r.changeExclusions(func(now float64) ([]string, error) {
+	_, _ = r.changeExclusions(func(now float64) ([]string, error) {
 		r.nodeUses["b"] = nodeUse{4, now - 4*useHalfLife}
 		return nil, nil
 	})
@@ -96,7 +95,7 @@
 		t.Errorf("%s", got)
 	}
 	r.updateList(policy.ListReceived, list[:2]...)
-	if r.changeExclusions(func(float64) ([]string, error) { return nil, nil }); len(r.nodeUses) != 2 {
-		t.Errorf("%d nodes are held", len(r.nodeUses))
+	if r.OpenRequests(); len(r.nodeUses) != 2 {
+		t.Errorf("uses of %d nodes, want 2", len(r.nodeUses))
 	}
 }
--- a/internal/core/reconfigure_test.go
+++ b/internal/core/reconfigure_test.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/policy"
 )
 
-// What a limit's store gained up to a change is by the old limit, also where the module had no step since it was last used.
+// Up to a change of the settings a token bucket fills by the old limit, also if the module had no step since its last use.
 func TestReconfigureFillsByOldLimitUntilChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limited := func(limit float64) policy.Settings {
@@ -18,18 +18,18 @@
 		}
 		r := startCore(t, limited(1))
 		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
-		ask := func(id string) {
+		submit := func(id string) {
 			q, _ := r.newRequest(id, "read", time.Minute)
 			q.Units = settings().MaxUnits
 			r.Submit(q)
 			synctest.Wait()
 		}
 		sent := r.node("n").sent
-		ask("opening")          // the store is empty until the first request of all
+		submit("opening")       // the bucket is empty until the first request
 		time.Sleep(time.Minute) // a multiple of the time between two of the module's own steps
 		answered := 0
 		for _, id := range []string{"first", "second"} {
-			ask(id)
+			submit(id)
 			for len(sent) > 0 {
 				(<-sent).Done(Result{Status: policy.OK})
 				synctest.Wait()
@@ -37,19 +37,19 @@
 			}
 		}
 		if answered != 3 {
-			t.Fatalf("%d sent, want 3 that leave the store empty", answered)
+			t.Fatalf("%d dispatched, want 3 that empty the bucket", answered)
 		}
 		time.Sleep(90 * time.Millisecond) // less than until its next step
 		if err := r.Reconfigure(limited(100)); err != nil {
 			t.Fatal(err)
 		}
-		ask("third")
+		submit("third")
 		if len(sent) > 0 {
-			t.Error("sent: the time before the change was filled by the new limit")
+			t.Error("dispatched: the bucket was filled by the new limit for the time before the change")
 		}
 		time.Sleep(100 * time.Millisecond)
 		if len(sent) != 1 {
-			t.Error("not sent, though the new limit has filled the store since")
+			t.Error("not dispatched, although the new limit has filled the bucket since")
 		}
 	})
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -7,8 +7,8 @@
 	"wheatsaddle/policy"
 )
 
-// changes are settings beside settings(), by what became of class read or plan basic, and whether a request that was
-// decoded under the old ones means the same.
+// changes are changes of settings(), and whether a request of class read and plan basic that was decoded before means the
+// same afterwards.
 var changes = []struct {
 	name   string
 	change func(*policy.Settings)
@@ -32,8 +32,8 @@
 	{"fewer processes", func(s *policy.Settings) { s.Schedulers = 2 }, false},
 }
 
-// A request that was decoded before a change of the settings and reaches the module after it goes on where it means the
-// same under both, and has failed at once where it does not. It is never judged by what only its name shares.
+// A request that was decoded before a change of the settings and arrives after it is served if it means the same under
+// both, and fails at once if not.
 func TestRequestDecodedUnderOldSettings(t *testing.T) {
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
@@ -65,52 +65,52 @@
 	}
 }
 
-// A request that comes before a change in the same turn of the actor is the old settings': the module has it first.
+// A request that arrives before a change in the same iteration is decided by the old settings.
 func TestArrivalBeforeReconfigureInOneIteration(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	next := settings()
 	next.Classes[0].Effect = policy.NonIdempotent
 	release := r.blockActor()
-	_, before := r.submit("before", "read", time.Minute)
+	_, before := r.submit("before", "read")
 	retuned := make(chan error)
 	r.post(call(func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }))
-	_, after := r.submit("after", "read", time.Minute)
+	_, after := r.submit("after", "read")
 	release()
 	if err := <-retuned; err != nil {
 		t.Fatal(err)
 	}
 	sent := r.node("n").sent
 	for range 2 {
-		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have run
+		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have been executed
 	}
-	r.OpenRequests() // both ends have been taken, and are decided before the next call
+	r.OpenRequests() // both results have been handled, and are decided before the next call
 	r.OpenRequests()
 	if len(sent) != 1 {
-		t.Fatalf("%d go again, want that which came before the change", len(sent))
+		t.Fatalf("%d are retried, want the one from before the change", len(sent))
 	}
-	again := <-sent // only what was safe goes again
-	if again.Request.ID != "before" || again.Number != 1 {
-		t.Errorf("%s goes again, attempt %d", again.Request.ID, again.Number)
+	retry := <-sent // only the idempotent one is retried
+	if retry.Request.ID != "before" || retry.Number != 1 {
+		t.Errorf("%s is retried, attempt %d", retry.Request.ID, retry.Number)
 	}
 	expectAnswer(t, after, Failed)
-	again.Done(Result{Status: policy.OK})
+	retry.Done(Result{Status: policy.OK})
 	expectAnswer(t, before, Served)
 }
 
-// Settings that the module turns down change nothing of the core either.
+// Settings that the module rejects change nothing in the core either.
 func TestRejectedSettingsChangeNothing(t *testing.T) {
 	r := startCore(t, settings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	was, bad := r.Settings(), settings()
-	bad.Classes[0].Name, bad.MaxAttempts = "renamed", -1
-	if err := r.Reconfigure(bad); err == nil {
-		t.Fatal("taken")
+	before, invalid := r.Settings(), settings()
+	invalid.Classes[0].Name, invalid.MaxAttempts = "renamed", -1
+	if err := r.Reconfigure(invalid); err == nil {
+		t.Fatal("accepted")
 	}
-	if r.Settings() != was {
-		t.Error("another version counts")
+	if r.Settings() != before {
+		t.Error("the version has changed")
 	}
-	_, got := r.submit("a", "read", time.Minute)
+	_, got := r.submit("a", "read")
 	(<-r.node("n").sent).Done(Result{Status: policy.OK})
 	expectAnswer(t, got, Served)
 }
