--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -11,7 +11,7 @@
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return "scheduler did not accept the call in time; nothing was changed"
+	return "the scheduler's actor did not take the call in time; nothing was changed"
 }
 
 // Code implements operr.Coded.
@@ -19,7 +19,7 @@
 
 // Advice implements operr.Coded.
 func (e *BusyError) Advice() string {
-	return "Call again in a second. If it persists, the process has too little processor time or is stopping: see its log and limits.cores."
+	return "Call again in a second. If it stays so, the process has too little processor time or is stopping: see its log and limits.cores."
 }
 
 // EndedError reports that the actor has ended; the process is stopping.
