--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -15,8 +15,8 @@
 	"wheatsaddle/internal/core"
 )
 
-// open starts a door on loopback with the given calls.
-func open(t *testing.T, d *Endpoint) string {
+// serve starts a door on loopback with the given calls.
+func serve(t *testing.T, d *Endpoint) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func door() (*Endpoint, *atomic.Bool, *[]string) {
+func newTestEndpoint() (*Endpoint, *atomic.Bool, *[]string) {
 	var ready atomic.Bool
 	done := &[]string{}
 	d := &Endpoint{Ready: ready.Load,
@@ -72,9 +72,9 @@
 	return d, &ready, done
 }
 
-func TestCalls(t *testing.T) {
-	d, ready, done := door()
-	at := open(t, d)
+func TestPathsAndMethods(t *testing.T) {
+	d, ready, done := newTestEndpoint()
+	at := serve(t, d)
 	if code, _ := call(t, at, "GET", "/api/ready"); code != 503 {
 		t.Fatalf("ready before the process serves: %d", code)
 	}
@@ -117,17 +117,17 @@
 
 // Guards against callers that hold connections without a whole call: a real call beside them
 // is answered.
-func TestSlowCallersDoNotHoldTheDoor(t *testing.T) {
-	d, ready, _ := door()
+func TestSlowClientsDoNotBlockOthers(t *testing.T) {
+	d, ready, _ := newTestEndpoint()
 	ready.Store(true)
-	at := open(t, d)
+	at := serve(t, d)
 	var slow []net.Conn
 	defer func() {
 		for _, nc := range slow {
 			nc.Close()
 		}
 	}()
-	for range 3 * connsMost {
+	for range 3 * maxConns {
 		nc, err := net.Dial("tcp", at)
 		if err != nil {
 			t.Fatal(err)
@@ -144,13 +144,13 @@
 
 // Guards the cap: a newcomer at the cap closes the oldest connection, so slow callers hold
 // no more than the cap of descriptors.
-func TestCapClosesTheOldest(t *testing.T) {
+func TestConnLimitClosesOldest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p := capped(ln, 4)
+	p := limitConns(ln, 4)
 	var dialed, accepted []net.Conn
 	for range 10 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -4,8 +4,8 @@
 //
 // Every answer is due within a second under any load, beside callers that hold a connection
 // for seconds without a whole call. So the endpoint has its own connections, goroutines and caps:
-// at most connsMost open, the oldest closed for a newcomer, each with readFor to bring its call
-// and writeFor to take the answer, and one call a connection.
+// at most maxConns open, the oldest closed for a newcomer, each with readTimeout to bring its call
+// and writeTimeout to take the answer, and one call a connection.
 package admin
 
 import (
@@ -25,10 +25,10 @@
 )
 
 const (
-	connsMost = 32
-	readFor   = 700 * time.Millisecond
-	writeFor  = 300 * time.Millisecond
-	callMost  = 4 << 10 // bytes of a call's head; calls have no body
+	maxConns     = 32
+	readTimeout  = 700 * time.Millisecond
+	writeTimeout = 300 * time.Millisecond
+	maxHeadBytes = 4 << 10 // bytes of a call's head; calls have no body
 )
 
 // Endpoint serves the calls. The funcs must answer within a few hundred milliseconds.
@@ -40,45 +40,45 @@
 	Log      logrus.FieldLogger
 
 	Estimate *Estimate                       // nil: no such call
-	srv      atomic.Pointer[fasthttp.Server] // Close may come while Serve begins
+	server   atomic.Pointer[fasthttp.Server] // Close may come while Serve begins
 }
 
 // Serve answers on ln until Close.
 func (d *Endpoint) Serve(ln net.Listener) error {
-	srv := &fasthttp.Server{
-		Handler: d.handle, ErrorHandler: refuse, ReadTimeout: readFor, WriteTimeout: writeFor,
-		IdleTimeout: readFor, MaxRequestsPerConn: 1, ReadBufferSize: callMost, MaxRequestBodySize: d.bodyMost(),
+	server := &fasthttp.Server{
+		Handler: d.handle, ErrorHandler: rejectMalformed, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		IdleTimeout: readTimeout, MaxRequestsPerConn: 1, ReadBufferSize: maxHeadBytes, MaxRequestBodySize: d.maxBodyBytes(),
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true,
-		DisableKeepalive: true, Logger: quiet{d.Log},
+		DisableKeepalive: true, Logger: debugLogger{d.Log},
 	}
-	d.srv.Store(srv)
-	return srv.Serve(capped(ln, connsMost))
+	d.server.Store(server)
+	return server.Serve(limitConns(ln, maxConns))
 }
 
 // Close stops the endpoint; calls under way end.
 func (d *Endpoint) Close() error {
-	srv := d.srv.Load()
-	if srv == nil {
+	server := d.server.Load()
+	if server == nil {
 		return nil
 	}
-	return srv.Shutdown()
+	return server.Shutdown()
 }
 
-type quiet struct{ log logrus.FieldLogger }
+type debugLogger struct{ log logrus.FieldLogger }
 
-func (q quiet) Printf(form string, args ...any) {
+func (q debugLogger) Printf(form string, args ...any) {
 	if q.log != nil {
 		q.log.Debugf(form, args...)
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, err error) {
-	no(ctx, fasthttp.StatusBadRequest, "", &MalformedRequestError{err})
+func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
+	writeError(ctx, fasthttp.StatusBadRequest, "", &MalformedRequestError{err})
 }
 
-// no answers with what happened in the first line and, where the error has them, its code and
+// writeError answers with what happened in the first line and, where the error has them, its code and
 // advice in a line each.
-func no(ctx *fasthttp.RequestCtx, status int, about string, err error) {
+func writeError(ctx *fasthttp.RequestCtx, status int, about string, err error) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.SetBodyString(about + operr.Text(err) + "\n")
@@ -93,23 +93,23 @@
 	}
 	switch {
 	case want == "":
-		no(ctx, fasthttp.StatusNotFound, "", &UnknownPathError{path})
+		writeError(ctx, fasthttp.StatusNotFound, "", &UnknownPathError{path})
 		return
 	case method != want && !(want == "GET" && method == "HEAD"):
 		ctx.Response.Header.Set("Allow", want)
-		no(ctx, fasthttp.StatusMethodNotAllowed, "", &MethodError{path, method, want})
+		writeError(ctx, fasthttp.StatusMethodNotAllowed, "", &MethodError{path, method, want})
 		return
 	}
-	if path != estimatePath && len(ctx.PostBody()) > callMost {
-		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{path, callMost})
+	if path != estimatePath && len(ctx.PostBody()) > maxHeadBytes {
+		writeError(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{path, maxHeadBytes})
 		return
 	}
 	switch path {
 	case estimatePath:
-		d.Estimate.answer(ctx)
+		d.Estimate.serve(ctx)
 	case "/api/ready":
 		if !d.Ready() {
-			no(ctx, fasthttp.StatusServiceUnavailable, "", &NotReadyError{})
+			writeError(ctx, fasthttp.StatusServiceUnavailable, "", &NotReadyError{})
 			return
 		}
 		ctx.SetContentType("text/plain; charset=utf-8")
@@ -120,8 +120,8 @@
 	default:
 		args := ctx.QueryArgs()
 		who := args.Peek("who")
-		if n := len(args.PeekMulti("who")); n != 1 || !id(who) {
-			no(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
+		if n := len(args.PeekMulti("who")); n != 1 || !isNodeID(who) {
+			writeError(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
 			return
 		}
 		do := d.Exclude
@@ -130,9 +130,9 @@
 		}
 		switch err := do(string(who)); {
 		case errors.Is(err, ErrUnknownNode):
-			no(ctx, fasthttp.StatusNotFound, string(who)+": ", err)
+			writeError(ctx, fasthttp.StatusNotFound, string(who)+": ", err)
 		case err != nil:
-			no(ctx, fasthttp.StatusServiceUnavailable, string(who)+": ", err)
+			writeError(ctx, fasthttp.StatusServiceUnavailable, string(who)+": ", err)
 		default:
 			ctx.SetContentType("text/plain; charset=utf-8")
 			ctx.SetBodyString("done\n")
@@ -140,8 +140,8 @@
 	}
 }
 
-// id says whether a text may be a storage node's name.
-func id(v []byte) bool {
+// isNodeID says whether a text may be a storage node's name.
+func isNodeID(v []byte) bool {
 	if len(v) == 0 || len(v) > 256 {
 		return false
 	}
@@ -154,7 +154,7 @@
 }
 
 // EncodeTelemetry writes the figures in the form DAYS.md gives.
-func EncodeTelemetry(f core.CounterSnapshot) []byte {
+func EncodeTelemetry(s core.CounterSnapshot) []byte {
 	text, _ := json.Marshal(struct {
 		Passed     map[string]int64 `json:"passed"`
 		Dropped    map[string]int64 `json:"dropped"`
@@ -165,37 +165,39 @@
 		Skipped    int64            `json:"skipped_storage_nodes"`
 		Loads      int64            `json:"loads"`
 		LoadErrors int64            `json:"load_errors"`
-	}{f.Served, f.Rejected, f.Failed, sum(f.Attempts), f.InProgress, f.Nodes, f.AvoidedNodes, f.Reloads, f.ReloadErrors})
+	}{s.Served, s.Rejected, s.Failed, sum(s.Attempts), s.InProgress, s.Nodes, s.AvoidedNodes, s.Reloads, s.ReloadErrors})
 	return text
 }
 
-// pool keeps at most most connections open: a newcomer at the cap closes the oldest, which a
+// limitedListener keeps at most most connections open: a newcomer at the cap closes the oldest, which a
 // caller that never finishes its call holds longest.
-type pool struct {
+type limitedListener struct {
 	net.Listener
-	most int
+	max  int
 	mu   sync.Mutex
-	open []*held
+	open []*limitedConn
 }
 
-type held struct {
+type limitedConn struct {
 	net.Conn
-	from *pool
-	once sync.Once
+	listener  *limitedListener
+	closeOnce sync.Once
 }
 
-func capped(ln net.Listener, most int) *pool { return &pool{Listener: ln, most: most} }
+func limitConns(ln net.Listener, most int) *limitedListener {
+	return &limitedListener{Listener: ln, max: most}
+}
 
 // Accept implements net.Listener.
-func (c *pool) Accept() (net.Conn, error) {
+func (c *limitedListener) Accept() (net.Conn, error) {
 	nc, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	h := &held{Conn: nc, from: c}
+	h := &limitedConn{Conn: nc, listener: c}
 	c.mu.Lock()
-	var oldest *held
-	if len(c.open) >= c.most {
+	var oldest *limitedConn
+	if len(c.open) >= c.max {
 		oldest = c.open[0]
 	}
 	c.open = append(c.open, h)
@@ -207,11 +209,11 @@
 }
 
 // Close implements net.Conn.
-func (h *held) Close() error {
-	h.once.Do(func() {
-		h.from.mu.Lock()
-		h.from.open = slices.DeleteFunc(h.from.open, func(o *held) bool { return o == h })
-		h.from.mu.Unlock()
+func (h *limitedConn) Close() error {
+	h.closeOnce.Do(func() {
+		h.listener.mu.Lock()
+		h.listener.open = slices.DeleteFunc(h.listener.open, func(o *limitedConn) bool { return o == h })
+		h.listener.mu.Unlock()
 	})
 	return h.Conn.Close()
 }
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -112,9 +112,9 @@
 }
 
 func init() {
-	operr.Register(&UnknownPathError{"/api/drain"}, &MethodError{"/api/exclude", "GET", "PUT"}, &NotReadyError{}, &BodyTooLongError{"/api/ready", 1024}, &EstimatesBusyError{}, &NodeIDError{}, &MalformedRequestError{errLong{}})
+	operr.Register(&UnknownPathError{"/api/drain"}, &MethodError{"/api/exclude", "GET", "PUT"}, &NotReadyError{}, &BodyTooLongError{"/api/ready", 1024}, &EstimatesBusyError{}, &NodeIDError{}, &MalformedRequestError{smallBufferError{}})
 }
 
-type errLong struct{}
+type smallBufferError struct{}
 
-func (errLong) Error() string { return "small read buffer" }
+func (smallBufferError) Error() string { return "small read buffer" }
--- a/internal/admin/estimate.go
+++ b/internal/admin/estimate.go
@@ -15,37 +15,37 @@
 // Estimate is the call POST /api/estimate: the estimate of plans. Each is work, so few are made at once and
 // one more is turned away; it is never waited for.
 type Estimate struct {
-	do   func(body []byte) ([]byte, error)
-	most int // bytes of a question
-	free *semaphore.Weighted
+	estimate func(body []byte) ([]byte, error)
+	maxBytes int // bytes of a question
+	slots    *semaphore.Weighted
 }
 
 // NewEstimate makes the call of a func that turns a question's text into an answer's, for questions of up
 // to most bytes, atOnce at a time. An error of the func is the asker's fault.
-func NewEstimate(do func(body []byte) ([]byte, error), most, atOnce int) *Estimate {
-	return &Estimate{do: do, most: most, free: semaphore.NewWeighted(int64(atOnce))}
+func NewEstimate(estimate func(body []byte) ([]byte, error), maxBytes, maxConcurrent int) *Estimate {
+	return &Estimate{estimate: estimate, maxBytes: maxBytes, slots: semaphore.NewWeighted(int64(maxConcurrent))}
 }
 
-func (d *Endpoint) bodyMost() int {
+func (d *Endpoint) maxBodyBytes() int {
 	if d.Estimate == nil {
-		return callMost
+		return maxHeadBytes
 	}
-	return max(callMost, d.Estimate.most)
+	return max(maxHeadBytes, d.Estimate.maxBytes)
 }
 
-func (e *Estimate) answer(ctx *fasthttp.RequestCtx) {
+func (e *Estimate) serve(ctx *fasthttp.RequestCtx) {
 	body := ctx.PostBody()
-	if len(body) > e.most {
-		no(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{estimatePath, e.most})
+	if len(body) > e.maxBytes {
+		writeError(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{estimatePath, e.maxBytes})
 		return
 	}
-	if !e.free.TryAcquire(1) {
+	if !e.slots.TryAcquire(1) {
 		ctx.Response.Header.Set("Retry-After", "1")
-		no(ctx, fasthttp.StatusServiceUnavailable, "", &EstimatesBusyError{})
+		writeError(ctx, fasthttp.StatusServiceUnavailable, "", &EstimatesBusyError{})
 		return
 	}
-	defer e.free.Release(1)
-	text, err := e.do(body)
+	defer e.slots.Release(1)
+	text, err := e.estimate(body)
 	ctx.SetContentType("application/json")
 	if err == nil {
 		ctx.SetBody(text)
--- a/internal/admin/estimate_test.go
+++ b/internal/admin/estimate_test.go
@@ -33,12 +33,12 @@
 // The call is there only where it is given; one more than allowed at once is turned away and holds no other
 // call up; a long question and a faulty one are a no with the reason.
 func TestEstimateCall(t *testing.T) {
-	d, ready, _ := door()
+	d, ready, _ := newTestEndpoint()
 	ready.Store(true)
-	if code, _ := post(t, open(t, d), "{}"); code != 404 {
+	if code, _ := post(t, serve(t, d), "{}"); code != 404 {
 		t.Errorf("without the section: %d", code)
 	}
-	d, ready, _ = door()
+	d, ready, _ = newTestEndpoint()
 	ready.Store(true)
 	entered, leave := make(chan struct{}), make(chan struct{})
 	d.Estimate = NewEstimate(func(body []byte) ([]byte, error) {
@@ -51,7 +51,7 @@
 		}
 		return body, nil
 	}, 5000, 1)
-	at := open(t, d)
+	at := serve(t, d)
 	done := make(chan int)
 	go func() {
 		code, _ := post(t, at, "wait")
--- a/internal/admin/recorded_test.go
+++ b/internal/admin/recorded_test.go
@@ -42,7 +42,7 @@
 func TestRecordedResponses(t *testing.T) {
 	var script recorded.Script
 	for _, withEstimate := range []bool{false, true} {
-		d, ready, _ := door()
+		d, ready, _ := newTestEndpoint()
 		if withEstimate {
 			d.Estimate = NewEstimate(func(body []byte) ([]byte, error) {
 				switch string(body) {
@@ -54,7 +54,7 @@
 				return []byte(`{"ok":true}`), nil
 			}, 64, 1)
 		}
-		address := open(t, d)
+		address := serve(t, d)
 		record := func(text string) {
 			t.Helper()
 			resp, body := rawCall(t, address, text)
@@ -81,11 +81,11 @@
 			record(call("POST", "/api/estimate", body))
 		}
 		if withEstimate {
-			if !d.Estimate.free.TryAcquire(1) {
+			if !d.Estimate.slots.TryAcquire(1) {
 				t.Fatal("an estimate is still being made")
 			}
 			record(call("POST", "/api/estimate", "good"))
-			d.Estimate.free.Release(1)
+			d.Estimate.slots.Release(1)
 		}
 		record("nonsense\r\n\r\n")
 		record("GET /" + strings.Repeat("x", 5000) + " HTTP/1.1\r\n\r\n")
--- a/internal/admin/refused_test.go
+++ b/internal/admin/refused_test.go
@@ -10,7 +10,7 @@
 )
 
 // Where copies past the process are refused, the door's answers come whole, and none was tried.
-func TestRefusedCopies(t *testing.T) {
+func TestResponsesWithoutZeroCopy(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -18,26 +18,26 @@
 
 // Queue is one actor's mailbox; any number put, one takes.
 type Queue[T any] struct {
-	most int
-	mu   sync.Mutex
-	list []T
-	wake chan struct{}
+	max      int
+	mu       sync.Mutex
+	messages []T
+	wake     chan struct{}
 }
 
 // New makes an empty box for so many messages.
-func New[T any](most int) *Queue[T] {
-	return &Queue[T]{most: most, wake: make(chan struct{}, 1)}
+func New[T any](max int) *Queue[T] {
+	return &Queue[T]{max: max, wake: make(chan struct{}, 1)}
 }
 
 // Put puts a message; false: the box is full, and nothing was put.
 func (b *Queue[T]) Put(m T) bool {
 	b.mu.Lock()
-	if len(b.list) >= b.most {
+	if len(b.messages) >= b.max {
 		b.mu.Unlock()
 		return false
 	}
-	sync.Writes(&b.list)
-	b.list = append(b.list, m)
+	sync.Writes(&b.messages)
+	b.messages = append(b.messages, m)
 	b.mu.Unlock()
 	b.notify()
 	return true
@@ -47,8 +47,8 @@
 // elsewhere.
 func (b *Queue[T]) PutUnbounded(m T) {
 	b.mu.Lock()
-	sync.Writes(&b.list)
-	b.list = append(b.list, m)
+	sync.Writes(&b.messages)
+	b.messages = append(b.messages, m)
 	b.mu.Unlock()
 	b.notify()
 }
@@ -66,9 +66,9 @@
 	clear(last)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sync.Writes(&b.list)
-	got := b.list
-	b.list = last[:0]
+	sync.Writes(&b.messages)
+	got := b.messages
+	b.messages = last[:0]
 	return got
 }
 
@@ -76,6 +76,6 @@
 func (b *Queue[T]) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sync.Reads(&b.list)
-	return len(b.list)
+	sync.Reads(&b.messages)
+	return len(b.messages)
 }
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-const most = 2
+const testMax = 2
 
 // model is the box as one call at a time has it: a number is put, 0 takes.
 var model = porcupine.Model{
@@ -29,9 +29,9 @@
 		case in < 0: // must
 			return true, append(slices.Clip(held), in)
 		case output.(bool):
-			return len(held) < most, append(slices.Clip(held), in)
+			return len(held) < testMax, append(slices.Clip(held), in)
 		}
-		return len(held) >= most, held
+		return len(held) >= testMax, held
 	},
 	Equal: func(a, b any) bool { return slices.Equal(a.([]int), b.([]int)) },
 }
@@ -39,7 +39,7 @@
 // Two put, one must, one takes what Wake tells it of: every order.
 func TestInterleaveBox(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		b := New[int](most)
+		b := New[int](testMax)
 		var h history.History
 		want, got := 0, 0
 		put := func(client, n int) func() {
@@ -60,8 +60,8 @@
 				}},
 			},
 			Always: func() error {
-				if len(b.list) > most {
-					return fmt.Errorf("%d wait, the bound is %d", len(b.list), most)
+				if len(b.messages) > testMax {
+					return fmt.Errorf("%d wait, the bound is %d", len(b.messages), testMax)
 				}
 				return nil
 			},
@@ -76,7 +76,7 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "mailbox.go", Old: "		return false\n	}\n", New: "		return false\n	}\n	b.mu.Unlock()\n	b.mu.Lock()\n",
 			Want: "the bound is 2"},
-		mutant.Mutant{File: "mailbox.go", Old: "	b.mu.Lock()\n	defer b.mu.Unlock()\n	sync.Writes(&b.list)", New: "	sync.Writes(&b.list)",
+		mutant.Mutant{File: "mailbox.go", Old: "	b.mu.Lock()\n	defer b.mu.Unlock()\n	sync.Writes(&b.messages)", New: "	sync.Writes(&b.messages)",
 			Want: "data race: "},
 	)
 }
@@ -84,7 +84,7 @@
 // Nobody sleeps on a message: the taker waits on Wake alone until it has all, as an actor does.
 func TestInterleaveWake(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		b := New[int](most)
+		b := New[int](testMax)
 		var got []int
 		return il.World{
 			Threads: []il.Thread{
@@ -108,7 +108,7 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()\n	b.notify()",
-		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()",
+	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()\n	b.notify()",
+		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()",
 		Want: "deadlock: taker at receive"})
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -12,7 +12,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 // The box against a plain list: order, bound, wake and the room it keeps.
-func TestBox(t *testing.T) {
+func TestQueueAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 40).Draw(t, "most")
 		b := New[int](most)
@@ -49,8 +49,8 @@
 					}
 				}
 				model = nil
-				if cap(b.list) > maxIdleCapacity {
-					t.Fatalf("an empty box keeps room for %d", cap(b.list))
+				if cap(b.messages) > maxIdleCapacity {
+					t.Fatalf("an empty box keeps room for %d", cap(b.messages))
 				}
 			}
 			if b.Len() != len(model) {
@@ -61,7 +61,7 @@
 }
 
 // Many put at once; the taker waits on Wake alone and gets everything.
-func TestNothingIsMissed(t *testing.T) {
+func TestConcurrentPutsAreAllTaken(t *testing.T) {
 	const putters, each = 8, 2000
 	b := New[int](1 << 20)
 	var wg sync.WaitGroup
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -4,7 +4,7 @@
 // goroutine nor a socket.
 //
 // Invariants, as the test words them: a nil Meter may be used in every way; one name and its labels are
-// one series, however often it is asked for; there are seriesMost series at most, and what comes after
+// one series, however often it is asked for; there are maxSeries series at most, and what comes after
 // is counted in wheatsaddle_meter_left_out and not shown; Close leaves no goroutine behind.
 //
 // It does not hold the operators' telemetry: those counts are core's, and are served by the door.
@@ -29,11 +29,11 @@
 )
 
 const (
-	prefix     = "wheatsaddle_"
-	seriesMost = 4096
-	askers     = 8 // at once
-	patience   = time.Second
-	callMost   = 4 << 10 // bytes
+	prefix                = "wheatsaddle_"
+	maxSeries             = 4096
+	maxConcurrentRequests = 8 // at once
+	requestTimeout        = time.Second
+	maxHeaderBytes        = 4 << 10 // bytes
 )
 
 // Counter only rises; its methods may be called by all goroutines.
@@ -44,14 +44,14 @@
 
 // Registry is a registry that is served.
 type Registry struct {
-	set   *metrics.Set
-	srv   *http.Server
-	done  chan struct{}
-	asked atomic.Int64 // calls under way
-
-	mu      sync.Mutex
-	names   map[string]bool
-	leftOut atomic.Int64
+	set            *metrics.Set
+	server         *http.Server
+	done           chan struct{}
+	activeRequests atomic.Int64 // calls under way
+
+	mu            sync.Mutex
+	names         map[string]bool
+	droppedSeries atomic.Int64
 }
 
 // Serve answers GET /metrics on a listener until Close. No listener: no meter.
@@ -60,12 +60,12 @@
 		return nil
 	}
 	m := &Registry{set: metrics.NewSet(), done: make(chan struct{}), names: map[string]bool{}}
-	m.set.NewGauge(prefix+"meter_left_out", func() float64 { return float64(m.leftOut.Load()) })
-	m.srv = &http.Server{Handler: m, ReadTimeout: patience, WriteTimeout: patience, MaxHeaderBytes: callMost, ErrorLog: stdlog.New(io.Discard, "", 0)}
-	m.srv.SetKeepAlivesEnabled(false)
+	m.set.NewGauge(prefix+"meter_left_out", func() float64 { return float64(m.droppedSeries.Load()) })
+	m.server = &http.Server{Handler: m, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0)}
+	m.server.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(m.done)
-		if err := m.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("counts are no longer served")
 		}
 	}()
@@ -77,11 +77,11 @@
 	switch {
 	case q.URL.Path != "/metrics" || q.Method != http.MethodGet:
 		http.Error(w, "GET /metrics is the only call", http.StatusNotFound)
-	case m.asked.Add(1) > askers:
-		m.asked.Add(-1)
+	case m.activeRequests.Add(1) > maxConcurrentRequests:
+		m.activeRequests.Add(-1)
 		http.Error(w, "others ask", http.StatusServiceUnavailable)
 	default:
-		defer m.asked.Add(-1)
+		defer m.activeRequests.Add(-1)
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		m.set.WritePrometheus(w)
 	}
@@ -90,14 +90,14 @@
 // Close ends the serving; counters still count.
 func (m *Registry) Close() {
 	if m != nil {
-		_ = m.srv.Close()
+		_ = m.server.Close()
 		<-m.done
 	}
 }
 
 // Counter is the one of a name (without the program's prefix) and labels, given as key and value in turn.
 func (m *Registry) Counter(name string, labels ...string) *Counter {
-	if series := m.series(name, labels); series != "" {
+	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateCounter(series)
 	}
 	return &Counter{}
@@ -105,7 +105,7 @@
 
 // Histogram is the one of a name and labels; nil-safe to ask for, and of no use where the meter is off.
 func (m *Registry) Histogram(name string, labels ...string) *Histogram {
-	if series := m.series(name, labels); series != "" {
+	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateHistogram(series)
 	}
 	return &Histogram{}
@@ -113,22 +113,22 @@
 
 // Gauge shows what f says at each asking; f is called by the server's goroutines.
 func (m *Registry) Gauge(f func() float64, name string, labels ...string) {
-	if series := m.series(name, labels); series != "" {
+	if series := m.seriesName(name, labels); series != "" {
 		m.set.GetOrCreateGauge(series, f)
 	}
 }
 
-var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// series is a name with its labels; "": it is not kept.
-func (m *Registry) series(name string, labels []string) string {
+// seriesName is a name with its labels; "": it is not kept.
+func (m *Registry) seriesName(name string, labels []string) string {
 	if m == nil {
 		return ""
 	}
 	var b strings.Builder
 	b.WriteString(prefix + name)
 	for i := 0; i+1 < len(labels); i += 2 {
-		fmt.Fprintf(&b, `%s%s="%s"`, map[bool]string{true: "{", false: ","}[i == 0], labels[i], escape.Replace(labels[i+1]))
+		fmt.Fprintf(&b, `%s%s="%s"`, map[bool]string{true: "{", false: ","}[i == 0], labels[i], labelEscaper.Replace(labels[i+1]))
 	}
 	if len(labels) > 1 {
 		b.WriteByte('}')
@@ -137,8 +137,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.names[series] {
-		if len(m.names) >= seriesMost {
-			m.leftOut.Add(1)
+		if len(m.names) >= maxSeries {
+			m.droppedSeries.Add(1)
 			return ""
 		}
 		m.names[series] = true
--- a/internal/metrics/meter_test.go
+++ b/internal/metrics/meter_test.go
@@ -14,7 +14,7 @@
 
 // Off it can be used in every way and has no goroutine; on it serves each series once, holds its bound,
 // and is gone after Close.
-func TestMeter(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	log, hook := logtest.NewNullLogger()
 	off := Serve(nil, log)
@@ -44,7 +44,7 @@
 	m.Counter("merges_total", "rule", `a"b\`, "end", "cut").Add(2)
 	m.Gauge(func() float64 { return 7 }, "peers")
 	m.Histogram("wait_seconds").Update(0.5)
-	for i := range seriesMost {
+	for i := range maxSeries {
 		m.Counter("many_total", "n", fmt.Sprint(i)).Inc()
 	}
 	code, text := ask("/metrics")
@@ -54,7 +54,7 @@
 			t.Errorf("%d, no %s in %.600s", code, line, text)
 		}
 	}
-	if n := strings.Count(text, "wheatsaddle_many_total{"); code != 200 || n != seriesMost-3 {
+	if n := strings.Count(text, "wheatsaddle_many_total{"); code != 200 || n != maxSeries-3 {
 		t.Errorf("%d, %d series", code, n)
 	}
 	if code, _ := ask("/"); code != 404 {
--- a/internal/metrics/refused_test.go
+++ b/internal/metrics/refused_test.go
@@ -12,7 +12,7 @@
 )
 
 // Where copies past the process are refused, a long page of counts comes whole, and none was tried.
-func TestRefusedCopies(t *testing.T) {
+func TestResponseWithoutZeroCopy(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -71,14 +71,14 @@
 	return all
 }
 
-var form = regexp.MustCompile(`^[a-z][a-z0-9]*(-[a-z0-9]+)+$`)
+var codePattern = regexp.MustCompile(`^[a-z][a-z0-9]*(-[a-z0-9]+)+$`)
 
 // Check says what is wrong with a list of error types: a code of another form or used twice, or no advice.
 func Check(all []Coded) error {
 	seen := map[string]bool{}
 	for _, c := range all {
 		switch {
-		case !form.MatchString(c.Code()):
+		case !codePattern.MatchString(c.Code()):
 			return fmt.Errorf("%T: code %q is not words joined by hyphens", c, c.Code())
 		case seen[c.Code()]:
 			return fmt.Errorf("%T: code %q is used twice", c, c.Code())
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-type full struct{ code, advice string }
+type codedError struct{ code, advice string }
 
-func (f *full) Error() string  { return "full" }
-func (f *full) Code() string   { return f.code }
-func (f *full) Advice() string { return f.advice }
+func (f *codedError) Error() string  { return "full" }
+func (f *codedError) Code() string   { return f.code }
+func (f *codedError) Advice() string { return f.advice }
 
 func TestFieldsFindTheCodeInAChain(t *testing.T) {
-	f := Fields(fmt.Errorf("put: %w", &full{"box-full", "wait"}))
+	f := Fields(fmt.Errorf("put: %w", &codedError{"box-full", "wait"}))
 	if f["code"] != "box-full" || f["advice"] != "wait" {
 		t.Errorf("%v", f)
 	}
-	if text := Text(fmt.Errorf("put: %w", &full{"box-full", "wait"})); text != "put: full\ncode: box-full\nadvice: wait" || Text(errors.New("plain")) != "plain" {
+	if text := Text(fmt.Errorf("put: %w", &codedError{"box-full", "wait"})); text != "put: full\ncode: box-full\nadvice: wait" || Text(errors.New("plain")) != "plain" {
 		t.Errorf("%q", text)
 	}
 	if f = Fields(errors.New("plain")); f["code"] != nil || f["error"] == nil {
@@ -26,12 +26,12 @@
 }
 
 func TestCheck(t *testing.T) {
-	for _, all := range [][]Coded{{&full{"Box", "x"}}, {&full{"box-full", ""}}, {&full{"box-full", "x"}, &full{"box-full", "y"}}} {
+	for _, all := range [][]Coded{{&codedError{"Box", "x"}}, {&codedError{"box-full", ""}}, {&codedError{"box-full", "x"}, &codedError{"box-full", "y"}}} {
 		if Check(all) == nil {
 			t.Errorf("%v passed", all[0].Code())
 		}
 	}
-	if err := Check([]Coded{&full{"box-full", "x"}, &full{"box-old", "y"}}); err != nil {
+	if err := Check([]Coded{&codedError{"box-full", "x"}, &codedError{"box-old", "y"}}); err != nil {
 		t.Error(err)
 	}
 }
