--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -1,19 +1,17 @@
-// Package admin is the admin endpoint: a second address, solely for operators, with four
-// calls (ready, telemetry, exclude, include) and, where it is given one, a fifth (estimate). It decides nothing of the data path; it reads the
-// counts of core and hands excludes and includes to whoever holds them.
+// Package admin is the admin endpoint: an HTTP server for operators on an address of its own, with the calls ready,
+// telemetry, exclude and include and, if it is configured, estimate. It holds no state of the data path: it reads the
+// counters of core and passes exclusions on.
 //
-// Every answer is due within a second under any load, beside callers that hold a connection
-// for seconds without a whole call. So the endpoint has its own connections, goroutines and caps:
-// at most maxConns open, the oldest closed for a newcomer, each with readTimeout to bring its call
-// and writeTimeout to take the answer, and one call a connection.
+// Invariants:
+//   - Each response is due within a second under any load, also beside clients that hold connections without a complete
+//     request. So the endpoint has its own connections and goroutines: at most maxConns connections, of which the oldest
+//     is closed for a new one, readTimeout for a request, writeTimeout for a response, and one request a connection.
+//   - A rejected call changes nothing, and its response has the reason and, where there are any, a code and advice.
 package admin
 
 import (
-	"encoding/json"
 	"errors"
 	"net"
-	"slices"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -28,199 +26,164 @@
 	maxConns     = 32
 	readTimeout  = 700 * time.Millisecond
 	writeTimeout = 300 * time.Millisecond
-	maxHeadBytes = 4 << 10 // bytes of a call's head; calls have no body
+	maxHeadBytes = 4 << 10
+	maxIDBytes   = 256 // of a node's id
 )
 
-// Endpoint serves the calls. The funcs must answer within a few hundred milliseconds.
+// The paths of the calls.
+const (
+	readyPath     = "/api/ready"
+	telemetryPath = "/api/telemetry"
+	excludePath   = "/api/exclude"
+	includePath   = "/api/include"
+	estimatePath  = "/api/estimate"
+)
+
+const textPlain = "text/plain; charset=utf-8"
+
+// Endpoint serves the calls. Its fields are set before Serve. The functions are called by several goroutines and must
+// return within a few hundred milliseconds.
 type Endpoint struct {
 	Ready    func() bool
 	Counters func() core.CounterSnapshot
-	Exclude  func(id string) error // nil: done; ErrUnknownNode: a no of 404; else a no of 503
-	Include  func(id string) error
-	Log      logrus.FieldLogger
+	Exclude  func(id string) error // ErrUnknownNode is answered with 404, other errors with 503
+	Include  func(id string) error // as Exclude
+	Log      logrus.FieldLogger    // nil: nothing is logged
+	Estimate *Estimate             // nil: there is no such call
 
-	Estimate *Estimate                       // nil: no such call
-	server   atomic.Pointer[fasthttp.Server] // Close may come while Serve begins
+	server atomic.Pointer[fasthttp.Server] // Close may be called while Serve begins
 }
 
 // Serve answers on ln until Close.
-func (d *Endpoint) Serve(ln net.Listener) error {
+func (e *Endpoint) Serve(ln net.Listener) error {
 	server := &fasthttp.Server{
-		Handler: d.handle, ErrorHandler: rejectMalformed, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
-		IdleTimeout: readTimeout, MaxRequestsPerConn: 1, ReadBufferSize: maxHeadBytes, MaxRequestBodySize: d.maxBodyBytes(),
+		Handler: e.handle, ErrorHandler: rejectMalformed, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		IdleTimeout: readTimeout, MaxRequestsPerConn: 1, ReadBufferSize: maxHeadBytes, MaxRequestBodySize: e.maxBodyBytes(),
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true,
-		DisableKeepalive: true, Logger: debugLogger{d.Log},
+		DisableKeepalive: true, Logger: debugLogger{e.Log},
 	}
-	d.server.Store(server)
+	e.server.Store(server)
 	return server.Serve(limitConns(ln, maxConns))
 }
 
-// Close stops the endpoint; calls under way end.
-func (d *Endpoint) Close() error {
-	server := d.server.Load()
+// Close stops the endpoint and waits for the calls in progress.
+func (e *Endpoint) Close() error {
+	server := e.server.Load()
 	if server == nil {
 		return nil
 	}
 	return server.Shutdown()
 }
 
+// debugLogger logs the server's messages at debug.
 type debugLogger struct{ log logrus.FieldLogger }
 
-func (q debugLogger) Printf(form string, args ...any) {
-	if q.log != nil {
-		q.log.Debugf(form, args...)
+// Printf implements fasthttp.Logger.
+func (l debugLogger) Printf(format string, args ...any) {
+	if l.log != nil {
+		l.log.Debugf(format, args...)
 	}
 }
 
+// rejectMalformed answers a request that could not be read.
 func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
 	writeError(ctx, fasthttp.StatusBadRequest, "", &MalformedRequestError{err})
 }
 
-// writeError answers with what happened in the first line and, where the error has them, its code and
-// advice in a line each.
-func writeError(ctx *fasthttp.RequestCtx, status int, about string, err error) {
+// writeError answers with the error's text in the first line, after the prefix, and its code and advice, if it has them,
+// in a line each.
+func writeError(ctx *fasthttp.RequestCtx, status int, prefix string, err error) {
 	ctx.SetStatusCode(status)
-	ctx.SetContentType("text/plain; charset=utf-8")
-	ctx.SetBodyString(about + operr.Text(err) + "\n")
+	ctx.SetContentType(textPlain)
+	ctx.SetBodyString(prefix + operr.Text(err) + "\n")
 }
 
-func (d *Endpoint) handle(ctx *fasthttp.RequestCtx) {
+// allowedMethod returns the method of a path; "": there is no such call.
+func (e *Endpoint) allowedMethod(path string) string {
+	switch path {
+	case readyPath, telemetryPath:
+		return fasthttp.MethodGet
+	case excludePath, includePath:
+		return fasthttp.MethodPut
+	case estimatePath:
+		if e.Estimate != nil {
+			return fasthttp.MethodPost
+		}
+	}
+	return ""
+}
+
+// handle checks the path, the method and the length of a request and passes it to its call.
+func (e *Endpoint) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	path, method := string(ctx.Path()), string(ctx.Method())
-	want := map[string]string{"/api/ready": "GET", "/api/telemetry": "GET", "/api/exclude": "PUT", "/api/include": "PUT"}[path]
-	if path == estimatePath && d.Estimate != nil {
-		want = "POST"
-	}
+	allowed := e.allowedMethod(path)
+	isHead := allowed == fasthttp.MethodGet && method == fasthttp.MethodHead
 	switch {
-	case want == "":
+	case allowed == "":
 		writeError(ctx, fasthttp.StatusNotFound, "", &UnknownPathError{path})
 		return
-	case method != want && !(want == "GET" && method == "HEAD"):
-		ctx.Response.Header.Set("Allow", want)
-		writeError(ctx, fasthttp.StatusMethodNotAllowed, "", &MethodError{path, method, want})
+	case method != allowed && !isHead:
+		ctx.Response.Header.Set(fasthttp.HeaderAllow, allowed)
+		writeError(ctx, fasthttp.StatusMethodNotAllowed, "", &MethodError{path, method, allowed})
 		return
-	}
-	if path != estimatePath && len(ctx.PostBody()) > maxHeadBytes {
+	case path != estimatePath && len(ctx.PostBody()) > maxHeadBytes:
 		writeError(ctx, fasthttp.StatusRequestEntityTooLarge, "", &BodyTooLongError{path, maxHeadBytes})
 		return
 	}
 	switch path {
 	case estimatePath:
-		d.Estimate.serve(ctx)
-	case "/api/ready":
-		if !d.Ready() {
-			writeError(ctx, fasthttp.StatusServiceUnavailable, "", &NotReadyError{})
-			return
-		}
-		ctx.SetContentType("text/plain; charset=utf-8")
-		ctx.SetBodyString("ready\n")
-	case "/api/telemetry":
+		e.Estimate.serve(ctx)
+	case readyPath:
+		e.serveReady(ctx)
+	case telemetryPath:
 		ctx.SetContentType("application/json")
-		ctx.SetBody(EncodeTelemetry(d.Counters()))
-	default:
-		args := ctx.QueryArgs()
-		who := args.Peek("who")
-		if n := len(args.PeekMulti("who")); n != 1 || !isNodeID(who) {
-			writeError(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
-			return
-		}
-		do := d.Exclude
-		if path == "/api/include" {
-			do = d.Include
-		}
-		switch err := do(string(who)); {
-		case errors.Is(err, ErrUnknownNode):
-			writeError(ctx, fasthttp.StatusNotFound, string(who)+": ", err)
-		case err != nil:
-			writeError(ctx, fasthttp.StatusServiceUnavailable, string(who)+": ", err)
-		default:
-			ctx.SetContentType("text/plain; charset=utf-8")
-			ctx.SetBodyString("done\n")
-		}
+		ctx.SetBody(EncodeTelemetry(e.Counters()))
+	case excludePath:
+		changeNode(ctx, e.Exclude)
+	case includePath:
+		changeNode(ctx, e.Include)
 	}
 }
 
-// isNodeID says whether a text may be a storage node's name.
-func isNodeID(v []byte) bool {
-	if len(v) == 0 || len(v) > 256 {
-		return false
-	}
-	for _, b := range v {
-		if b <= ' ' || b >= 0x7f {
-			return false
-		}
+// serveReady answers whether the process is ready for clients.
+func (e *Endpoint) serveReady(ctx *fasthttp.RequestCtx) {
+	if !e.Ready() {
+		writeError(ctx, fasthttp.StatusServiceUnavailable, "", &NotReadyError{})
+		return
 	}
-	return true
-}
-
-// EncodeTelemetry writes the figures in the form DAYS.md gives.
-func EncodeTelemetry(s core.CounterSnapshot) []byte {
-	text, _ := json.Marshal(struct {
-		Passed     map[string]int64 `json:"passed"`
-		Dropped    map[string]int64 `json:"dropped"`
-		BadGateway map[string]int64 `json:"bad_gateway"`
-		Tries      int64            `json:"upstream_tries"`
-		InProgress int64            `json:"in_progress"`
-		Known      int64            `json:"known_storage_nodes"`
-		Skipped    int64            `json:"skipped_storage_nodes"`
-		Loads      int64            `json:"loads"`
-		LoadErrors int64            `json:"load_errors"`
-	}{s.Served, s.Rejected, s.Failed, sum(s.Attempts), s.InProgress, s.Nodes, s.AvoidedNodes, s.Reloads, s.ReloadErrors})
-	return text
-}
-
-// limitedListener keeps at most most connections open: a newcomer at the cap closes the oldest, which a
-// caller that never finishes its call holds longest.
-type limitedListener struct {
-	net.Listener
-	max  int
-	mu   sync.Mutex
-	open []*limitedConn
+	ctx.SetContentType(textPlain)
+	ctx.SetBodyString("ready\n")
 }
 
-type limitedConn struct {
-	net.Conn
-	listener  *limitedListener
-	closeOnce sync.Once
-}
-
-func limitConns(ln net.Listener, most int) *limitedListener {
-	return &limitedListener{Listener: ln, max: most}
-}
-
-// Accept implements net.Listener.
-func (c *limitedListener) Accept() (net.Conn, error) {
-	nc, err := c.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	h := &limitedConn{Conn: nc, listener: c}
-	c.mu.Lock()
-	var oldest *limitedConn
-	if len(c.open) >= c.max {
-		oldest = c.open[0]
+// changeNode excludes or includes the node that the argument "who" names.
+func changeNode(ctx *fasthttp.RequestCtx, change func(id string) error) {
+	args := ctx.QueryArgs()
+	id := args.Peek("who")
+	if n := len(args.PeekMulti("who")); n != 1 || !isNodeID(id) {
+		writeError(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
+		return
 	}
-	c.open = append(c.open, h)
-	c.mu.Unlock()
-	if oldest != nil {
-		oldest.Close()
+	switch err := change(string(id)); {
+	case errors.Is(err, ErrUnknownNode):
+		writeError(ctx, fasthttp.StatusNotFound, string(id)+": ", err)
+	case err != nil:
+		writeError(ctx, fasthttp.StatusServiceUnavailable, string(id)+": ", err)
+	default:
+		ctx.SetContentType(textPlain)
+		ctx.SetBodyString("done\n")
 	}
-	return h, nil
 }
 
-// Close implements net.Conn.
-func (h *limitedConn) Close() error {
-	h.closeOnce.Do(func() {
-		h.listener.mu.Lock()
-		h.listener.open = slices.DeleteFunc(h.listener.open, func(o *limitedConn) bool { return o == h })
-		h.listener.mu.Unlock()
-	})
-	return h.Conn.Close()
-}
-
-func sum(m map[string]int64) (n int64) {
-	for _, v := range m {
-		n += v
+// isNodeID reports whether a text can be a node's id: printable ASCII without spaces.
+func isNodeID(text []byte) bool {
+	if len(text) == 0 || len(text) > maxIDBytes {
+		return false
 	}
-	return n
+	for _, b := range text {
+		if b <= ' ' || b >= 0x7f {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/admin/door_test.go
+++ b/internal/admin/endpoint_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -15,38 +16,57 @@
 	"wheatsaddle/internal/core"
 )
 
-// serve starts a door on loopback with the given calls.
+// serve starts an endpoint on loopback and returns its address.
 func serve(t *testing.T, d *Endpoint) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go d.Serve(ln)
-	t.Cleanup(func() { d.Close() })
+	go func() { _ = d.Serve(ln) }()
+	t.Cleanup(func() { _ = d.Close() })
 	return ln.Addr().String()
 }
 
 // call makes one call on a connection of its own and returns the status and the body.
-func call(t *testing.T, at, method, path string) (int, string) {
+func call(t *testing.T, address, method, path string) (int, string) {
 	t.Helper()
-	nc, err := net.DialTimeout("tcp", at, time.Second)
+	r := rawCall(t, address, method+" "+path+" HTTP/1.1\r\nHost: op\r\n\r\n")
+	return r.status, r.body
+}
+
+// response is the response to one call.
+type response struct {
+	status int
+	header http.Header
+	body   string
+}
+
+// rawCall writes a call's bytes on a connection of its own and returns the response.
+func rawCall(t *testing.T, address, text string) response {
+	t.Helper()
+	nc, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := io.WriteString(nc, method+" "+path+" HTTP/1.1\r\nHost: op\r\n\r\n"); err != nil {
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	_, _ = io.WriteString(nc, text) // a rejected request may be closed before its end
+	r, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		t.Fatalf("%s %s: %v", method, path, err)
+		t.Fatalf("%.60q: %v", text, err)
 	}
-	body, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(body)
+	defer func() { _ = r.Body.Close() }()
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		t.Fatalf("%.60q: %v", text, err)
+	}
+	return response{r.StatusCode, r.Header, string(body)}
 }
 
+// newTestEndpoint makes an endpoint with the node s-1, the switch of its readiness, and its record of changes.
 func newTestEndpoint() (*Endpoint, *atomic.Bool, *[]string) {
 	var ready atomic.Bool
 	done := &[]string{}
@@ -95,9 +115,9 @@
 	}{
 		{"PUT", "/api/exclude?who=s-1", 200},
 		{"PUT", "/api/exclude?who=s-9", 404},     // never listed
-		{"PUT", "/api/exclude", 400},             // no who
-		{"PUT", "/api/exclude?who=", 400},        // an empty one
-		{"PUT", "/api/exclude?who=a&who=b", 400}, // two
+		{"PUT", "/api/exclude", 400},             // no argument
+		{"PUT", "/api/exclude?who=", 400},        // an empty id
+		{"PUT", "/api/exclude?who=a&who=b", 400}, // two ids
 		{"GET", "/api/exclude?who=s-1", 405},
 		{"PUT", "/api/ready", 405},
 		{"GET", "/api/nothing", 404},
@@ -107,7 +127,7 @@
 		code, body := call(t, at, c.method, c.path)
 		lines := strings.Split(strings.TrimSpace(body), "\n")
 		if code != c.code || code != 200 && (lines[0] == "" || len(lines) != 3 || !strings.HasPrefix(lines[1], "code: ") || !strings.HasPrefix(lines[2], "advice: ")) {
-			t.Errorf("%s %s: %d %q, want %d with a reason, a code and an advice", c.method, c.path, code, body, c.code)
+			t.Errorf("%s %s: %d %q, want %d with a reason, a code and advice", c.method, c.path, code, body, c.code)
 		}
 	}
 	if strings.Join(*done, ",") != "exclude s-1,include s-1" {
@@ -115,8 +135,7 @@
 	}
 }
 
-// Guards against callers that hold connections without a whole call: a real call beside them
-// is answered.
+// A call is answered beside clients that hold connections without a complete request.
 func TestSlowClientsDoNotBlockOthers(t *testing.T) {
 	d, ready, _ := newTestEndpoint()
 	ready.Store(true)
@@ -124,7 +143,7 @@
 	var slow []net.Conn
 	defer func() {
 		for _, nc := range slow {
-			nc.Close()
+			_ = nc.Close()
 		}
 	}()
 	for range 3 * maxConns {
@@ -132,24 +151,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(nc, "GET /api/ready HTTP/1.1\r\nHo")
+		_, _ = io.WriteString(nc, "GET /api/ready HTTP/1.1\r\nHo")
 		slow = append(slow, nc)
 	}
 	for range 5 {
 		if code, _ := call(t, at, "GET", "/api/ready"); code != 200 {
-			t.Fatalf("ready beside slow callers: %d", code)
+			t.Fatalf("ready beside slow clients: %d", code)
 		}
 	}
 }
 
-// Guards the cap: a newcomer at the cap closes the oldest connection, so slow callers hold
-// no more than the cap of descriptors.
+// A connection beyond the limit closes the oldest one, so that slow clients hold no more descriptors than the limit.
 func TestConnLimitClosesOldest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	p := limitConns(ln, 4)
 	var dialed, accepted []net.Conn
 	for range 10 {
@@ -166,23 +184,25 @@
 	}
 	defer func() {
 		for _, nc := range append(dialed, accepted...) {
-			nc.Close()
+			_ = nc.Close()
 		}
 	}()
 	p.mu.Lock()
 	open := len(p.open)
 	p.mu.Unlock()
 	if open != 4 {
-		t.Fatalf("%d open, the cap is 4", open)
+		t.Fatalf("%d open, the limit is 4", open)
 	}
 	for i, nc := range dialed {
-		wait := 5 * time.Second // the kernel has the FIN of a closed one at once
+		wait := 5 * time.Second // the FIN of a closed connection has arrived already
 		if i >= 6 {
 			wait = 50 * time.Millisecond
 		}
-		nc.SetReadDeadline(time.Now().Add(wait))
+		if err := nc.SetReadDeadline(time.Now().Add(wait)); err != nil {
+			t.Fatal(err)
+		}
 		_, err := nc.Read(make([]byte, 1))
-		if closed := err == io.EOF; closed != (i < 6) {
+		if closed := errors.Is(err, io.EOF); closed != (i < 6) {
 			t.Fatalf("connection %d: read %v; the first six are to be closed, the last four open", i, err)
 		}
 	}
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -7,12 +7,13 @@
 	"wheatsaddle/internal/operr"
 )
 
-// ErrUnknownNode says that an id was never listed: the call is owed a no, and nothing changes.
+// ErrUnknownNode reports that a node's id was never listed.
 var ErrUnknownNode = exclusion.ErrUnknown
 
-// UnknownPathError is a path that the endpoint does not have.
+// UnknownPathError reports a path without a call.
 type UnknownPathError struct{ Path string }
 
+// Error implements error.
 func (e *UnknownPathError) Error() string { return "no such call: " + e.Path }
 
 // Code implements operr.Coded.
@@ -23,9 +24,10 @@
 	return "The calls are /api/ready, /api/telemetry, /api/exclude and /api/include."
 }
 
-// MethodError is a call with another method than its own.
+// MethodError reports a call with a method that its path does not allow.
 type MethodError struct{ Path, Method, Allowed string }
 
+// Error implements error.
 func (e *MethodError) Error() string { return e.Path + " is called with " + e.Allowed }
 
 // Code implements operr.Coded.
@@ -36,12 +38,13 @@
 	return "Call it again with " + e.Allowed + "; nothing was changed."
 }
 
-// BodyTooLongError is a call whose body is longer than it may be.
+// BodyTooLongError reports a request whose body exceeds the limit of its call.
 type BodyTooLongError struct {
 	Path     string
-	MaxBytes int // bytes
+	MaxBytes int
 }
 
+// Error implements error.
 func (e *BodyTooLongError) Error() string {
 	return fmt.Sprintf("%s: a body of over %d bytes", e.Path, e.MaxBytes)
 }
@@ -54,9 +57,10 @@
 	return "Send no body where the call has none; a question for an estimate may be as long as estimate.bytes_most of the site's file."
 }
 
-// EstimatesBusyError says that as many estimates as are allowed are being made.
+// EstimatesBusyError reports that the maximum number of estimates is in progress.
 type EstimatesBusyError struct{}
 
+// Error implements error.
 func (e *EstimatesBusyError) Error() string { return "other estimates are being made" }
 
 // Code implements operr.Coded.
@@ -67,9 +71,10 @@
 	return "Ask again in a second; estimate.at_once of the site's file says how many are made at a time."
 }
 
-// NotReadyError says that this process is not ready for clients.
+// NotReadyError reports that this process is not ready for clients.
 type NotReadyError struct{}
 
+// Error implements error.
 func (e *NotReadyError) Error() string { return "not ready" }
 
 // Code implements operr.Coded.
@@ -80,9 +85,10 @@
 	return "Ask again in a second: the process waits for the list, or is stopping. If it stays so, read its log for what it waits for."
 }
 
-// NodeIDError is a call that names no storage node, or several.
+// NodeIDError reports a call that does not name exactly one node by a valid id.
 type NodeIDError struct{ Count int }
 
+// Error implements error.
 func (e *NodeIDError) Error() string {
 	return "who: one storage node id is wanted, as in ?who=s-5be2a07c"
 }
@@ -95,12 +101,13 @@
 	return "Name one storage node by its id as the list has it, in ?who=; one call a node. Nothing was changed."
 }
 
-// MalformedRequestError is a call that is no HTTP request of the size that calls have.
+// MalformedRequestError reports a request that could not be read, or whose head is too long.
 type MalformedRequestError struct{ Err error }
 
+// Error implements error.
 func (e *MalformedRequestError) Error() string { return "the call cannot be read: " + e.Err.Error() }
 
-// Unwrap gives the reader's word.
+// Unwrap returns the cause.
 func (e *MalformedRequestError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -115,6 +122,7 @@
 	operr.Register(&UnknownPathError{"/api/drain"}, &MethodError{"/api/exclude", "GET", "PUT"}, &NotReadyError{}, &BodyTooLongError{"/api/ready", 1024}, &EstimatesBusyError{}, &NodeIDError{}, &MalformedRequestError{smallBufferError{}})
 }
 
+// smallBufferError is the example of a cause in the page of errors.
 type smallBufferError struct{}
 
 func (smallBufferError) Error() string { return "small read buffer" }
--- a/internal/admin/estimate.go
+++ b/internal/admin/estimate.go
@@ -10,29 +10,29 @@
 	"wheatsaddle/internal/operr"
 )
 
-const estimatePath = "/api/estimate"
-
-// Estimate is the call POST /api/estimate: the estimate of plans. Each is work, so few are made at once and
-// one more is turned away; it is never waited for.
+// Estimate is the call POST /api/estimate, which estimates plans. An estimate takes processor time, so few are made at
+// once; one more is rejected at once.
 type Estimate struct {
 	estimate func(body []byte) ([]byte, error)
-	maxBytes int // bytes of a question
+	maxBytes int // of a request's body
 	slots    *semaphore.Weighted
 }
 
-// NewEstimate makes the call of a func that turns a question's text into an answer's, for questions of up
-// to most bytes, atOnce at a time. An error of the func is the asker's fault.
+// NewEstimate makes the call from a function that turns the body of a request into that of the response, for bodies of up
+// to maxBytes and maxConcurrent requests at once. An error of the function is answered with 400.
 func NewEstimate(estimate func(body []byte) ([]byte, error), maxBytes, maxConcurrent int) *Estimate {
 	return &Estimate{estimate: estimate, maxBytes: maxBytes, slots: semaphore.NewWeighted(int64(maxConcurrent))}
 }
 
-func (d *Endpoint) maxBodyBytes() int {
-	if d.Estimate == nil {
+// maxBodyBytes returns the limit of the server for a request's body.
+func (e *Endpoint) maxBodyBytes() int {
+	if e.Estimate == nil {
 		return maxHeadBytes
 	}
-	return max(maxHeadBytes, d.Estimate.maxBytes)
+	return max(maxHeadBytes, e.Estimate.maxBytes)
 }
 
+// serve answers one request.
 func (e *Estimate) serve(ctx *fasthttp.RequestCtx) {
 	body := ctx.PostBody()
 	if len(body) > e.maxBytes {
@@ -40,17 +40,22 @@
 		return
 	}
 	if !e.slots.TryAcquire(1) {
-		ctx.Response.Header.Set("Retry-After", "1")
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 		writeError(ctx, fasthttp.StatusServiceUnavailable, "", &EstimatesBusyError{})
 		return
 	}
 	defer e.slots.Release(1)
-	text, err := e.estimate(body)
+	response, err := e.estimate(body)
 	ctx.SetContentType("application/json")
-	if err == nil {
-		ctx.SetBody(text)
-		return
+	if err != nil {
+		ctx.SetStatusCode(fasthttp.StatusBadRequest)
+		response = encodeError(err)
 	}
+	ctx.SetBody(response)
+}
+
+// encodeError encodes an error with its code and advice, if it has them.
+func encodeError(err error) []byte {
 	fault := struct {
 		Error  string `json:"error"`
 		Code   string `json:"code,omitempty"`
@@ -60,7 +65,6 @@
 	if errors.As(err, &coded) {
 		fault.Code, fault.Advice = coded.Code(), coded.Advice()
 	}
-	text, _ = json.Marshal(fault)
-	ctx.SetStatusCode(fasthttp.StatusBadRequest)
-	ctx.SetBody(text)
+	text, _ := json.Marshal(fault) // strings always encode
+	return text
 }
--- a/internal/admin/estimate_test.go
+++ b/internal/admin/estimate_test.go
@@ -1,42 +1,26 @@
 package admin
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"strings"
 	"testing"
-	"time"
 )
 
-// post makes one POST /api/estimate.
-func post(t *testing.T, at, body string) (int, string) {
+// post makes one POST /api/estimate and returns the status and the body.
+func post(t *testing.T, address, body string) (int, string) {
 	t.Helper()
-	nc, err := net.DialTimeout("tcp", at, time.Second)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(nc, "POST /api/estimate HTTP/1.1\r\nHost: op\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	text, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text)
+	r := rawCall(t, address, fmt.Sprintf("POST /api/estimate HTTP/1.1\r\nHost: op\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	return r.status, r.body
 }
 
-// The call is there only where it is given; one more than allowed at once is turned away and holds no other
-// call up; a long question and a faulty one are a no with the reason.
+// The call exists only if it is configured. One request more than allowed at once is rejected and delays no other call;
+// a long body and an invalid one are rejected with the reason.
 func TestEstimateCall(t *testing.T) {
 	d, ready, _ := newTestEndpoint()
 	ready.Store(true)
 	if code, _ := post(t, serve(t, d), "{}"); code != 404 {
-		t.Errorf("without the section: %d", code)
+		t.Errorf("not configured: %d", code)
 	}
 	d, ready, _ = newTestEndpoint()
 	ready.Store(true)
--- a/internal/admin/refused_test.go
+++ b/internal/admin/zerocopy_test.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
-// Where copies past the process are refused, the door's answers come whole, and none was tried.
+// The endpoint's responses are complete on connections where splice and sendfile fail, and it calls neither.
 func TestResponsesWithoutZeroCopy(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
@@ -27,6 +27,6 @@
 		t.Error(err)
 	}
 	if n := ln.Count(); n > 0 {
-		t.Errorf("%d copies were tried", n)
+		t.Errorf("%d calls of splice or sendfile", n)
 	}
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,35 +1,34 @@
-// Package mailbox is the queue of an actor: bounded, and taking memory by what waits in it. A
-// scheduler has an actor for each node of a list of some hundreds, of which most are idle at any
-// time: a buffered channel would hold room for its bound at each of them.
+// Package mailbox is the bounded queue of an actor, with memory for the waiting messages only. A scheduler has an actor for
+// each of some hundreds of nodes, of which most are idle: a buffered channel would hold memory for its bound at each.
 //
 // Invariants:
-//   - What was put is taken once, in the order in which it was put.
-//   - Put never waits, and never leaves more than the bound in the box.
-//   - PutUnbounded takes what must not be lost past the bound: its callers bound themselves (one message
-//     for each connection).
-//   - Whenever something waits, Wake is ready, or a Take is about to come.
-//   - A box that was emptied holds no more than maxIdleCapacity messages' room.
+//   - Each message is taken once, in the order in which the messages were put.
+//   - Put never waits, and leaves no more messages than the bound in the queue.
+//   - PutUnbounded accepts messages beyond the bound. Its callers bound themselves, for example to one message for each
+//     connection.
+//   - While a message waits, Wake is ready or a Take is about to be called.
+//   - An emptied queue has capacity for at most maxIdleCapacity messages.
 package mailbox
 
 import "wheatsaddle/internal/interleave/sync"
 
-// maxIdleCapacity is how many messages' room an empty box keeps.
+// maxIdleCapacity is the number of messages for which an empty queue keeps memory.
 const maxIdleCapacity = 16
 
-// Queue is one actor's mailbox; any number put, one takes.
+// Queue is one actor's mailbox: any goroutine puts, one takes.
 type Queue[T any] struct {
 	max      int
-	mu       sync.Mutex
+	mu       sync.Mutex // guards messages
 	messages []T
 	wake     chan struct{}
 }
 
-// New makes an empty box for so many messages.
-func New[T any](max int) *Queue[T] {
-	return &Queue[T]{max: max, wake: make(chan struct{}, 1)}
+// New makes an empty queue for at most maxMessages messages.
+func New[T any](maxMessages int) *Queue[T] {
+	return &Queue[T]{max: maxMessages, wake: make(chan struct{}, 1)}
 }
 
-// Put puts a message; false: the box is full, and nothing was put.
+// Put adds a message; false: the queue is full, and nothing was added.
 func (b *Queue[T]) Put(m T) bool {
 	b.mu.Lock()
 	if len(b.messages) >= b.max {
@@ -43,8 +42,7 @@
 	return true
 }
 
-// PutUnbounded puts a message whether or not the box is full: for what must not be lost and is bounded
-// elsewhere.
+// PutUnbounded adds a message also to a full queue, for messages that must not be lost and are bounded by their callers.
 func (b *Queue[T]) PutUnbounded(m T) {
 	b.mu.Lock()
 	sync.Writes(&b.messages)
@@ -53,12 +51,13 @@
 	b.notify()
 }
 
+// notify makes Wake ready.
 func (b *Queue[T]) notify() { sync.TrySend(b.wake, struct{}{}) }
 
-// Wake is ready when something may wait.
+// Wake is ready when a message may wait.
 func (b *Queue[T]) Wake() <-chan struct{} { return b.wake }
 
-// Take takes all that waits. The list taken last time may be given back to be filled again.
+// Take takes all waiting messages. The slice that it returned before may be passed back for reuse.
 func (b *Queue[T]) Take(last []T) []T {
 	if cap(last) > maxIdleCapacity {
 		last = nil
@@ -72,7 +71,7 @@
 	return got
 }
 
-// Len is how many wait.
+// Len returns the number of waiting messages.
 func (b *Queue[T]) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -18,26 +18,26 @@
 
 const testMax = 2
 
-// model is the box as one call at a time has it: a number is put, 0 takes.
+// model is the sequential queue: a positive number is a Put, a negative one a PutUnbounded, 0 a Take.
 var model = porcupine.Model{
 	Init: func() any { return []int(nil) },
 	Step: func(state, input, output any) (bool, any) {
-		held, in := state.([]int), input.(int)
+		queued, in := state.([]int), input.(int)
 		switch {
 		case in == 0:
-			return slices.Equal(output.([]int), held), []int(nil)
-		case in < 0: // must
-			return true, append(slices.Clip(held), in)
+			return slices.Equal(output.([]int), queued), []int(nil)
+		case in < 0: // PutUnbounded
+			return true, append(slices.Clip(queued), in)
 		case output.(bool):
-			return len(held) < testMax, append(slices.Clip(held), in)
+			return len(queued) < testMax, append(slices.Clip(queued), in)
 		}
-		return len(held) >= testMax, held
+		return len(queued) >= testMax, queued
 	},
 	Equal: func(a, b any) bool { return slices.Equal(a.([]int), b.([]int)) },
 }
 
-// Two put, one must, one takes what Wake tells it of: every order.
-func TestInterleaveBox(t *testing.T) {
+// Two threads put, one puts beyond the bound, one takes: in every order the calls are linearizable.
+func TestInterleaveQueue(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		b := New[int](testMax)
 		var h history.History
@@ -81,7 +81,7 @@
 	)
 }
 
-// Nobody sleeps on a message: the taker waits on Wake alone until it has all, as an actor does.
+// No message is left while the taker waits on Wake alone, as an actor does.
 func TestInterleaveWake(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		b := New[int](testMax)
@@ -102,7 +102,7 @@
 					return fmt.Errorf("took %v", got)
 				}
 				if b.Len() != 0 {
-					return errors.New("something is left")
+					return errors.New("messages are left")
 				}
 				return nil
 			},
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -11,19 +11,19 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The box against a plain list: order, bound, wake and the room it keeps.
+// The queue behaves like a slice: order, bound, wake, and the capacity of an empty queue.
 func TestQueueAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 40).Draw(t, "most")
-		b := New[int](most)
+		maxMessages := rapid.IntRange(1, 40).Draw(t, "maxMessages")
+		b := New[int](maxMessages)
 		var model, buf []int
 		next := 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0, 1:
 				next++
-				if ok := b.Put(next); ok != (len(model) < most) {
-					t.Fatalf("put %v with %d of %d", ok, len(model), most)
+				if ok := b.Put(next); ok != (len(model) < maxMessages) {
+					t.Fatalf("put %v with %d of %d", ok, len(model), maxMessages)
 				} else if ok {
 					model = append(model, next)
 				}
@@ -36,7 +36,7 @@
 				case <-b.Wake():
 				default:
 					if len(model) > 0 {
-						t.Fatal("something waits and nobody is woken")
+						t.Fatal("messages wait and Wake is not ready")
 					}
 				}
 				buf = b.Take(buf)
@@ -50,7 +50,7 @@
 				}
 				model = nil
 				if cap(b.messages) > maxIdleCapacity {
-					t.Fatalf("an empty box keeps room for %d", cap(b.messages))
+					t.Fatalf("an empty queue has capacity for %d", cap(b.messages))
 				}
 			}
 			if b.Len() != len(model) {
@@ -60,8 +60,8 @@
 	})
 }
 
-// Many put at once; the taker waits on Wake alone and gets everything.
-func TestConcurrentPutsAreAllTaken(t *testing.T) {
+// Many goroutines put at once; the taker waits only on Wake and gets every message.
+func TestConcurrentPutsAreAllTaken(*testing.T) {
 	const putters, each = 8, 2000
 	b := New[int](1 << 20)
 	var wg sync.WaitGroup
--- a/internal/metrics/meter.go
+++ b/internal/metrics/registry.go
@@ -1,13 +1,14 @@
-// Package metrics is the registry of the counts that the parts on many processes keep, in the text form
-// of Prometheus. It is on where the site's file has a section metrics, and is nil else: counters then
-// count for nobody and cost the same, gauges and histograms are not kept, and there is neither a
-// goroutine nor a socket.
+// Package metrics is a registry of counters, gauges and histograms, served at GET /metrics in the text format of
+// Prometheus. It is on if the site's file has a section metrics. Otherwise the registry is nil: counters can be used at the
+// same cost, gauges and histograms are not registered, and there is neither a goroutine nor a socket.
 //
-// Invariants, as the test words them: a nil Meter may be used in every way; one name and its labels are
-// one series, however often it is asked for; there are maxSeries series at most, and what comes after
-// is counted in wheatsaddle_meter_left_out and not shown; Close leaves no goroutine behind.
+// Invariants:
+//   - A nil Registry can be used in every way.
+//   - A name with its labels is one series, however often it is requested.
+//   - There are at most maxSeries series. Further ones are counted in wheatsaddle_meter_left_out and not served.
+//   - Close leaves no goroutine behind.
 //
-// It does not hold the operators' telemetry: those counts are core's, and are served by the door.
+// The telemetry of the admin endpoint is not part of it: those counters belong to core.
 package metrics
 
 import (
@@ -31,30 +32,30 @@
 const (
 	prefix                = "wheatsaddle_"
 	maxSeries             = 4096
-	maxConcurrentRequests = 8 // at once
+	maxConcurrentRequests = 8
 	requestTimeout        = time.Second
-	maxHeaderBytes        = 4 << 10 // bytes
+	maxHeaderBytes        = 4 << 10
 )
 
-// Counter only rises; its methods may be called by all goroutines.
+// Counter is a counter that only rises. Any goroutine may call its methods.
 type Counter = metrics.Counter
 
-// Histogram has buckets in the form of VictoriaMetrics (vmrange).
+// Histogram is a histogram with buckets in the format of VictoriaMetrics (vmrange). Any goroutine may call its methods.
 type Histogram = metrics.Histogram
 
-// Registry is a registry that is served.
+// Registry is a registry of metrics that is served over HTTP. Any goroutine may call its methods.
 type Registry struct {
 	set            *metrics.Set
 	server         *http.Server
 	done           chan struct{}
-	activeRequests atomic.Int64 // calls under way
+	activeRequests atomic.Int64
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards names
 	names         map[string]bool
 	droppedSeries atomic.Int64
 }
 
-// Serve answers GET /metrics on a listener until Close. No listener: no meter.
+// Serve answers GET /metrics on a listener until Close. Without a listener it returns a nil Registry.
 func Serve(ln net.Listener, log logrus.FieldLogger) *Registry {
 	if ln == nil {
 		return nil
@@ -66,7 +67,7 @@
 	go func() {
 		defer close(m.done)
 		if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("counts are no longer served")
+			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("metrics server ended")
 		}
 	}()
 	return m
@@ -87,7 +88,7 @@
 	}
 }
 
-// Close ends the serving; counters still count.
+// Close stops the server and waits for its end; counters can still be used.
 func (m *Registry) Close() {
 	if m != nil {
 		_ = m.server.Close()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Counter is the one of a name (without the program's prefix) and labels, given as key and value in turn.
+// Counter returns the counter of a name, without the program's prefix, and labels, given as alternating keys and values.
 func (m *Registry) Counter(name string, labels ...string) *Counter {
 	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateCounter(series)
@@ -103,7 +104,7 @@
 	return &Counter{}
 }
 
-// Histogram is the one of a name and labels; nil-safe to ask for, and of no use where the meter is off.
+// Histogram returns the histogram of a name and labels. That of a nil Registry is not served.
 func (m *Registry) Histogram(name string, labels ...string) *Histogram {
 	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateHistogram(series)
@@ -111,24 +112,27 @@
 	return &Histogram{}
 }
 
-// Gauge shows what f says at each asking; f is called by the server's goroutines.
+// Gauge registers a gauge whose value is that of f at each request; f is called by the server's goroutines.
 func (m *Registry) Gauge(f func() float64, name string, labels ...string) {
 	if series := m.seriesName(name, labels); series != "" {
 		m.set.GetOrCreateGauge(series, f)
 	}
 }
 
+// labelEscaper escapes the value of a label.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// seriesName is a name with its labels; "": it is not kept.
+// seriesName returns a name with its labels; "": the series is not served.
 func (m *Registry) seriesName(name string, labels []string) string {
 	if m == nil {
 		return ""
 	}
 	var b strings.Builder
 	b.WriteString(prefix + name)
+	separator := "{"
 	for i := 0; i+1 < len(labels); i += 2 {
-		fmt.Fprintf(&b, `%s%s="%s"`, map[bool]string{true: "{", false: ","}[i == 0], labels[i], labelEscaper.Replace(labels[i+1]))
+		fmt.Fprintf(&b, `%s%s="%s"`, separator, labels[i], labelEscaper.Replace(labels[i+1]))
+		separator = ","
 	}
 	if len(labels) > 1 {
 		b.WriteByte('}')
@@ -146,15 +150,16 @@
 	return series
 }
 
-// ServeError says that the counts are no longer served.
+// ServeError reports that the metrics are no longer served.
 type ServeError struct {
 	Address string
 	Err     error
 }
 
+// Error implements error.
 func (e *ServeError) Error() string { return "metrics at " + e.Address + ": " + e.Err.Error() }
 
-// Unwrap gives the system's word.
+// Unwrap returns the cause.
 func (e *ServeError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -162,7 +167,7 @@
 
 // Advice implements operr.Coded.
 func (e *ServeError) Advice() string {
-	return "Clients are served all the same. Restart the program when that is convenient; the door's telemetry has the main counts."
+	return "Clients are still served. Restart the program when convenient; the telemetry of the admin endpoint has the main counters."
 }
 
 func init() { operr.Register(&ServeError{"127.0.0.1:9464", net.ErrClosed}) }
--- a/internal/metrics/meter_test.go
+++ b/internal/metrics/registry_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/goleak"
 )
 
-// Off it can be used in every way and has no goroutine; on it serves each series once, holds its bound,
-// and is gone after Close.
+// A nil Registry can be used in every way and has no goroutine. One that is on serves each series once, keeps its bound,
+// and ends at Close.
 func TestRegistry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	log, hook := logtest.NewNullLogger()
@@ -29,17 +29,6 @@
 		t.Fatal(err)
 	}
 	m := Serve(ln, log)
-	ask := func(path string) (int, string) {
-		t.Helper()
-		c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		r, err := c.Get("http://" + ln.Addr().String() + path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer r.Body.Close()
-		body, _ := io.ReadAll(r.Body)
-		return r.StatusCode, string(body)
-	}
 	m.Counter("merges_total", "rule", `a"b\`, "end", "cut").Inc()
 	m.Counter("merges_total", "rule", `a"b\`, "end", "cut").Add(2)
 	m.Gauge(func() float64 { return 7 }, "peers")
@@ -47,7 +36,7 @@
 	for i := range maxSeries {
 		m.Counter("many_total", "n", fmt.Sprint(i)).Inc()
 	}
-	code, text := ask("/metrics")
+	code, text := get(t, ln.Addr().String(), "/metrics")
 	for _, line := range []string{`wheatsaddle_merges_total{rule="a\"b\\",end="cut"} 3`, "wheatsaddle_peers 7", "wheatsaddle_wait_seconds_count 1",
 		"wheatsaddle_meter_left_out 3"} {
 		if !strings.Contains(text, line+"\n") {
@@ -57,15 +46,31 @@
 	if n := strings.Count(text, "wheatsaddle_many_total{"); code != 200 || n != maxSeries-3 {
 		t.Errorf("%d, %d series", code, n)
 	}
-	if code, _ := ask("/"); code != 404 {
+	if code, _ := get(t, ln.Addr().String(), "/"); code != 404 {
 		t.Errorf("another path: %d", code)
 	}
 	m.Close()
 	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		nc.Close()
-		t.Error("it listens after Close")
+		t.Error("still listening after Close")
 	}
 	if len(hook.AllEntries()) != 0 {
 		t.Errorf("%v", hook.LastEntry())
 	}
 }
+
+// get requests a path on a connection of its own and returns the status and the body.
+func get(t *testing.T, address, path string) (int, string) {
+	t.Helper()
+	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	r, err := c.Get("http://" + address + path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = r.Body.Close() }()
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r.StatusCode, string(body)
+}
--- a/internal/metrics/refused_test.go
+++ b/internal/metrics/zerocopy_test.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
-// Where copies past the process are refused, a long page of counts comes whole, and none was tried.
+// A long response is complete on connections where splice and sendfile fail, and neither is called.
 func TestResponseWithoutZeroCopy(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
@@ -29,6 +29,6 @@
 		t.Errorf("%d of %d series, %v", n, series, err)
 	}
 	if n := ln.Count(); n > 0 {
-		t.Errorf("%d copies were tried", n)
+		t.Errorf("%d calls of splice or sendfile", n)
 	}
 }
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,9 +1,7 @@
-// Package operr owns what an error that reaches an operator carries: a stable code and what an
-// operator can do now. A package's errors are types of its own with the facts as fields; this
-// one only names what they have in common, and finds it in a chain of wrapped errors.
+// Package operr defines what an error that reaches an operator carries: a stable code and advice. Errors are types of their
+// own packages with the facts as fields; this package finds them in a chain of wrapped errors, logs and registers them.
 //
-// Invariants: a code is stable, in lower case with hyphens, and begins with its package's name; no
-// advice is empty (Check).
+// Invariants (Check): a code is stable, unique, in lower case with hyphens; no advice is empty.
 package operr
 
 import (
@@ -11,19 +9,20 @@
 	"fmt"
 	"regexp"
 	"slices"
+	"strings"
 	"sync"
 
 	"github.com/sirupsen/logrus"
 )
 
-// Coded is an error with a stable code and an advice.
+// Coded is an error with a stable code and advice.
 type Coded interface {
 	error
 	Code() string   // e.g. "list-silent"
 	Advice() string // what an operator can do now
 }
 
-// Fields are the log fields of an error: its text, and code and advice where it has them.
+// Fields returns the log fields of an error: its text, and its code and advice if it has them.
 func Fields(err error) logrus.Fields {
 	f := logrus.Fields{logrus.ErrorKey: err}
 	var c Coded
@@ -33,7 +32,7 @@
 	return f
 }
 
-// Text is an error for a reader: its text, and code and advice in a line each where it has them.
+// Text returns an error's text, followed by its code and advice, if it has them, in a line each.
 func Text(err error) string {
 	var c Coded
 	if errors.As(err, &c) {
@@ -43,37 +42,29 @@
 }
 
 var (
-	mu         sync.Mutex
+	mu         sync.Mutex // guards registered
 	registered []Coded
 )
 
-// Register lists examples of a package's error types, one each, for the page of errors.
+// Register adds one example of each error type of a package, for the page of errors. Packages call it in init.
 func Register(examples ...Coded) {
 	mu.Lock()
 	defer mu.Unlock()
 	registered = append(registered, examples...)
 }
 
-// All are the registered examples by code.
+// All returns the registered examples, ordered by code.
 func All() []Coded {
 	mu.Lock()
 	defer mu.Unlock()
 	all := slices.Clone(registered)
-	slices.SortFunc(all, func(a, b Coded) int {
-		switch {
-		case a.Code() < b.Code():
-			return -1
-		case a.Code() > b.Code():
-			return 1
-		}
-		return 0
-	})
+	slices.SortFunc(all, func(a, b Coded) int { return strings.Compare(a.Code(), b.Code()) })
 	return all
 }
 
 var codePattern = regexp.MustCompile(`^[a-z][a-z0-9]*(-[a-z0-9]+)+$`)
 
-// Check says what is wrong with a list of error types: a code of another form or used twice, or no advice.
+// Check returns an error if a code in the list has another form or is used twice, or an advice is empty.
 func Check(all []Coded) error {
 	seen := map[string]bool{}
 	for _, c := range all {
