--- a/internal/admin/refused_test.go
+++ b/internal/admin/zerocopy_test.go
@@ -9,8 +9,8 @@
 	"wheatsaddle/internal/testkit/fake/refuser"
 )
 
-// Where copies past the process are refused, the door's answers come whole, and none was tried.
-func TestRefusedCopies(t *testing.T) {
+// The endpoint's responses are complete on connections where splice and sendfile fail, and it calls neither.
+func TestResponsesWithoutZeroCopy(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -27,6 +27,6 @@
 		t.Error(err)
 	}
 	if n := ln.Count(); n > 0 {
-		t.Errorf("%d copies were tried", n)
+		t.Errorf("%d calls of splice or sendfile", n)
 	}
 }
--- a/internal/core/cutoff.go
+++ b/internal/core/cutoff.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/interleave/sync/atomic"
 )
 
-// cutoff is a time after which none of the attempts that share it may be claimed. The actor sets it, and peers
+// cutoff is a time after which none of the attempts that share it may be claimed. The actor sets it, and node clients
 // read it right before an attempt's first byte, so that it holds also while the actor is late, for instance after
 // the process was suspended. Nil and the zero value set no bound.
 type cutoff struct{ at atomic.Pointer[time.Time] }
@@ -14,10 +14,10 @@
 // set sets or moves the cutoff.
 func (c *cutoff) set(at time.Time) { c.at.Store(&at) }
 
-// lift removes the cutoff.
-func (c *cutoff) lift() { c.at.Store(nil) }
+// clear removes the cutoff.
+func (c *cutoff) clear() { c.at.Store(nil) }
 
-// passed says whether the cutoff is at or before now.
+// served says whether the cutoff is at or before now.
 func (c *cutoff) passed(now time.Time) bool {
 	if c == nil {
 		return false
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -7,8 +7,8 @@
 	"wheatsaddle/policy"
 )
 
-// changes are settings beside settings(), by what became of class read or plan basic, and whether a request that was
-// decoded under the old ones means the same.
+// changes are changes of settings(), and whether a request of class read and plan basic that was decoded before means the
+// same afterwards.
 var changes = []struct {
 	name   string
 	change func(*policy.Settings)
@@ -32,13 +32,13 @@
 	{"fewer processes", func(s *policy.Settings) { s.Schedulers = 2 }, false},
 }
 
-// A request that was decoded before a change of the settings and reaches the module after it goes on where it means the
-// same under both, and has failed at once where it does not. It is never judged by what only its name shares.
-func TestDecodedUnderOldSettings(t *testing.T) {
+// A request that was decoded before a change of the settings and arrives after it is served if it means the same under
+// both, and fails at once if not.
+func TestRequestDecodedUnderOldSettings(t *testing.T) {
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
-			r := start(t, settings())
-			r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+			r := startCore(t, settings())
+			r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 			decoded, next := r.Settings(), settings()
 			x.change(&next)
 			if err := r.Reconfigure(next); err != nil {
@@ -47,70 +47,70 @@
 			if now := r.Settings(); now == decoded || now.Version != decoded.Version+1 {
 				t.Fatalf("version %d after %d", now.Version, decoded.Version)
 			}
-			q, got := r.made("a", "read", time.Minute)
+			q, got := r.newRequest("a", "read", time.Minute)
 			q.Settings = decoded
 			r.Submit(q)
 			if x.same {
-				(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-				one(t, got, Served)
+				(<-r.node("n").sent).Done(Result{Status: policy.OK})
+				expectAnswer(t, got, Served)
 				return
 			}
-			if a := one(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
+			if a := expectAnswer(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
 				t.Errorf("%+v", a)
 			}
-			if n := len(r.peer("n").sent); n > 0 {
+			if n := len(r.node("n").sent); n > 0 {
 				t.Errorf("%d sent", n)
 			}
 		})
 	}
 }
 
-// A request that comes before a change in the same turn of the actor is the old settings': the module has it first.
-func TestArrivalBeforeRetuneInOneTurn(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
+// A request that arrives before a change in the same iteration is decided by the old settings.
+func TestArrivalBeforeReconfigureInOneIteration(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	next := settings()
 	next.Classes[0].Effect = policy.NonIdempotent
-	release := r.hold()
-	_, before := r.ask("before", "read", time.Minute)
+	release := r.blockActor()
+	_, before := r.submit("before", "read")
 	retuned := make(chan error)
-	r.post(message{call: func() { go func(err error) { retuned <- err }(r.retune(next)) }})
-	_, after := r.ask("after", "read", time.Minute)
+	r.post(call(func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }))
+	_, after := r.submit("after", "read")
 	release()
 	if err := <-retuned; err != nil {
 		t.Fatal(err)
 	}
-	sent := r.peer("n").sent
+	sent := r.node("n").sent
 	for range 2 {
-		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have run
+		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have been executed
 	}
-	r.OpenRequests() // both ends have been taken, and are decided before the next call
+	r.OpenRequests() // both results have been handled, and are decided before the next call
 	r.OpenRequests()
 	if len(sent) != 1 {
-		t.Fatalf("%d go again, want that which came before the change", len(sent))
+		t.Fatalf("%d are retried, want the one from before the change", len(sent))
 	}
-	again := <-sent // only what was safe goes again
-	if again.Request.ID != "before" || again.Number != 1 {
-		t.Errorf("%s goes again, attempt %d", again.Request.ID, again.Number)
+	retry := <-sent // only the idempotent one is retried
+	if retry.Request.ID != "before" || retry.Number != 1 {
+		t.Errorf("%s is retried, attempt %d", retry.Request.ID, retry.Number)
 	}
-	one(t, after, Failed)
-	again.Done(Result{Status: policy.OK})
-	one(t, before, Served)
+	expectAnswer(t, after, Failed)
+	retry.Done(Result{Status: policy.OK})
+	expectAnswer(t, before, Served)
 }
 
-// Settings that the module turns down change nothing of the core either.
-func TestRetuneRefused(t *testing.T) {
-	r := start(t, settings())
-	r.list(policy.CachedListLoaded, node("n", 0, policy.NodeUp))
-	was, bad := r.Settings(), settings()
-	bad.Classes[0].Name, bad.MaxAttempts = "renamed", -1
-	if err := r.Reconfigure(bad); err == nil {
-		t.Fatal("taken")
+// Settings that the module rejects change nothing in the core either.
+func TestRejectedSettingsChangeNothing(t *testing.T) {
+	r := startCore(t, settings())
+	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	before, invalid := r.Settings(), settings()
+	invalid.Classes[0].Name, invalid.MaxAttempts = "renamed", -1
+	if err := r.Reconfigure(invalid); err == nil {
+		t.Fatal("accepted")
 	}
-	if r.Settings() != was {
-		t.Error("another version counts")
+	if r.Settings() != before {
+		t.Error("the version has changed")
 	}
-	_, got := r.ask("a", "read", time.Minute)
-	(<-r.peer("n").sent).Done(Result{Status: policy.OK})
-	one(t, got, Served)
+	_, got := r.submit("a", "read")
+	(<-r.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, got, Served)
 }
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -16,30 +16,30 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-const most = 2
+const testMax = 2
 
-// model is the box as one call at a time has it: a number is put, 0 takes.
+// model is the sequential queue: a positive number is a Put, a negative one a PutUnbounded, 0 a Take.
 var model = porcupine.Model{
 	Init: func() any { return []int(nil) },
 	Step: func(state, input, output any) (bool, any) {
-		held, in := state.([]int), input.(int)
+		queued, in := state.([]int), input.(int)
 		switch {
 		case in == 0:
-			return slices.Equal(output.([]int), held), []int(nil)
-		case in < 0: // must
-			return true, append(slices.Clip(held), in)
+			return slices.Equal(output.([]int), queued), []int(nil)
+		case in < 0: // PutUnbounded
+			return true, append(slices.Clip(queued), in)
 		case output.(bool):
-			return len(held) < most, append(slices.Clip(held), in)
+			return len(queued) < testMax, append(slices.Clip(queued), in)
 		}
-		return len(held) >= most, held
+		return len(queued) >= testMax, queued
 	},
 	Equal: func(a, b any) bool { return slices.Equal(a.([]int), b.([]int)) },
 }
 
-// Two put, one must, one takes what Wake tells it of: every order.
-func TestInterleaveBox(t *testing.T) {
+// Two threads put, one puts beyond the bound, one takes: in every order the calls are linearizable.
+func TestInterleaveQueue(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		b := New[int](most)
+		b := New[int](testMax)
 		var h history.History
 		want, got := 0, 0
 		put := func(client, n int) func() {
@@ -60,8 +60,8 @@
 				}},
 			},
 			Always: func() error {
-				if len(b.list) > most {
-					return fmt.Errorf("%d wait, the bound is %d", len(b.list), most)
+				if len(b.messages) > testMax {
+					return fmt.Errorf("%d wait, the bound is %d", len(b.messages), testMax)
 				}
 				return nil
 			},
@@ -76,15 +76,15 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "mailbox.go", Old: "		return false\n	}\n", New: "		return false\n	}\n	b.mu.Unlock()\n	b.mu.Lock()\n",
 			Want: "the bound is 2"},
-		mutant.Mutant{File: "mailbox.go", Old: "	b.mu.Lock()\n	defer b.mu.Unlock()\n	sync.Writes(&b.list)", New: "	sync.Writes(&b.list)",
+		mutant.Mutant{File: "mailbox.go", Old: "	b.mu.Lock()\n	defer b.mu.Unlock()\n	sync.Writes(&b.messages)", New: "	sync.Writes(&b.messages)",
 			Want: "data race: "},
 	)
 }
 
-// Nobody sleeps on a message: the taker waits on Wake alone until it has all, as an actor does.
+// No message is left while the taker waits on Wake alone, as an actor does.
 func TestInterleaveWake(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		b := New[int](most)
+		b := New[int](testMax)
 		var got []int
 		return il.World{
 			Threads: []il.Thread{
@@ -102,13 +102,13 @@
 					return fmt.Errorf("took %v", got)
 				}
 				if b.Len() != 0 {
-					return errors.New("something is left")
+					return errors.New("messages are left")
 				}
 				return nil
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()\n	b.notify()",
-		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.list)\n	b.list = append(b.list, m)\n	b.mu.Unlock()",
+	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()\n	b.notify()",
+		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()",
 		Want: "deadlock: taker at receive"})
 }
