--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -58,10 +58,10 @@
 	}
 	go func() {
 		if err := f.target.Serve(ln); err != nil {
-			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
+			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iSCSI front failed")
 		}
 	}()
-	log.WithFields(logrus.Fields{"listen": mapping.Listen, "targets": len(mapping.Targets), "storage": len(mapping.Storage)}).Info("serving iscsi")
+	log.WithFields(logrus.Fields{"address": mapping.Listen, "targets": len(mapping.Targets), "storage_targets": len(mapping.Storage)}).Info("serving iSCSI")
 	return f, nil
 }
 
@@ -72,7 +72,7 @@
 	}
 	mapping, err := config.LoadISCSI(f.file, conf.Settings)
 	if err != nil {
-		log.WithFields(operr.Fields(err)).Warn("the storage targets stay as they are")
+		log.WithFields(operr.Fields(err)).Warn("reload of the iSCSI file failed, the previous storage targets remain in effect")
 		return
 	}
 	f.dialer.Update(mapping)
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -32,9 +32,9 @@
 	kept := store.InFolder(os.TempDir(), name)
 	state, err := kept.Read()
 	if err != nil {
-		log.WithFields(operr.Fields(err)).Warn("the kept exclusions are ignored")
+		log.WithFields(operr.Fields(err)).Warn("stored exclusions not readable, starting without them")
 	} else if len(state.Excluded) > 0 {
-		log.WithField("excluded", len(state.Excluded)).Info("storage nodes excluded by hand, as kept")
+		log.WithField("nodes", len(state.Excluded)).Info("stored exclusions restored")
 	}
 	return kept, state
 }
@@ -46,7 +46,7 @@
 	defer k.mu.Unlock()
 	unlock, err := k.store.Lock()
 	if err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: the lock of the file is not had; the book of this process counts")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions file not locked, using the exclusions of this process")
 	} else {
 		defer unlock()
 		k.sync()
@@ -56,7 +56,7 @@
 		return err
 	}
 	if err := k.store.Write(state); err != nil {
-		k.log.WithFields(operr.Fields(err)).Error("exclusions: not kept for the next process")
+		k.log.WithFields(operr.Fields(err)).Error("exclusions not stored")
 	}
 	return nil
 }
@@ -68,11 +68,11 @@
 	}
 	state, err := k.store.Read()
 	if err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: the file is ignored")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions file not readable, ignored")
 		return
 	}
 	if err := k.core.LoadExclusions(state); err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: not taken from the file")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions of the file not applied")
 	}
 }
 
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gathered.go
@@ -84,7 +84,7 @@
 // reload applies a section that was read again. A bad one is logged, and the one before stays.
 func (g *gatherer) reload(at *config.Site, conf *config.Config) {
 	if err := g.apply(at, conf); err != nil {
-		g.log.WithFields(operr.Fields(err)).Error("reads are gathered as before")
+		g.log.WithFields(operr.Fields(err)).Error("reload of section gather failed, the previous one remains in effect")
 	}
 }
 
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -118,17 +118,17 @@
 		had, err := s.lock.Try()
 		switch {
 		case err != nil:
-			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("accepting without a lock")
+			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("passed socket not locked, accepting connections without the lock")
 			return event(handover.LockUnavailable, 0)
 		case !had:
 			return event(handover.LockBusy, 0)
 		}
 		return event(handover.LockAcquired, 0)
 	case handover.Accept:
-		s.log.WithField("lock", s.lock.Path).Info("accepting on the passed socket")
+		s.log.WithField("lock", s.lock.Path).Info("accepting connections on the passed socket")
 		s.gate.Open()
 	case handover.WarnLongWait:
-		s.log.WithFields(operr.Fields(&handover.WaitsError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("waiting for the passed socket")
+		s.log.WithFields(operr.Fields(&handover.WaitsError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("still waiting for the lock of the passed socket")
 	case handover.NotifyModule:
 		if !s.core.HandOver(moduleWait) {
 			return event(handover.ModuleBusy, 0)
@@ -140,12 +140,12 @@
 		return event(handover.ListenerClosed, 0)
 	case handover.ReleaseLock:
 		s.lock.Release()
-		s.log.Info("stopping: the passed socket is the next process's")
+		s.log.Info("passed socket released to the next process")
 	case handover.CloseIdle:
 		s.open = s.front.Sweep(a.IdleFor)
 		return event(handover.ConnectionsCounted, s.open)
 	case handover.Finish:
-		s.log.WithField("open", s.open).Info("stopping: made way")
+		s.log.WithField("open_connections", s.open).Info("handover complete")
 	}
 	return nil
 }
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/peers.go
@@ -57,7 +57,7 @@
 
 func startFleet(at *config.Site, conf *config.Config, starting *starter, log logrus.FieldLogger) (*fleet, error) {
 	if err := mayPeer(at, conf.Settings); err != nil {
-		log.WithFields(operr.Fields(err)).Error("peers are off")
+		log.WithFields(operr.Fields(err)).Error("gossip is not allowed by the platform")
 		return nil, err
 	}
 	set := at.Peers
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"peers": f.peers.Address(), "seeds": len(set.Seeds)}).Info("telling the other processes")
+	log.WithFields(logrus.Fields{"address": f.peers.Address(), "seeds": len(set.Seeds)}).Info("gossip listening")
 	return f, nil
 }
 
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -19,27 +19,27 @@
 	log logrus.FieldLogger, retune func(policy.Settings) error) (*config.Config, bool) {
 	conf, err := readAgain(held, env)
 	if err != nil {
-		log.WithFields(operr.Fields(err)).Error("the configuration stays as it was")
+		log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
 		return held, false
 	}
 	next := *held
 	if !reflect.DeepEqual(held.Settings, conf.Settings) {
 		if err := config.Refused(retune(conf.Settings)); err != nil {
-			log.WithFields(operr.Fields(err)).Error("the configuration stays as it was")
+			log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
 			return held, false
 		}
 		next.Settings = conf.Settings
-		log.WithFields(logrus.Fields{"classes": classNames(conf.Settings), "max_attempts": conf.Settings.MaxAttempts}).Info("settings taken")
+		log.WithFields(logrus.Fields{"classes": classNames(conf.Settings), "max_attempts": conf.Settings.MaxAttempts}).Info("settings applied")
 	}
 	if changed := strings.Join(restartKeys(held, conf), " "); changed != "" {
-		log.WithFields(operr.Fields(&config.RestartError{Keys: changed})).WithField("keys", changed).Warn("changed, and need a restart")
+		log.WithFields(operr.Fields(&config.RestartError{Keys: changed})).WithField("keys", changed).Warn("changed keys need a restart")
 	}
 	next.Discovery, next.Cores, next.MemoryMB = conf.Discovery, conf.Cores, conf.MemoryMB
 	if !move(ctx, next.Discovery) { // the service ends
 		return &next, true
 	}
 	applyLimits(&next)
-	log.WithFields(logrus.Fields{"discovery": next.Discovery, "cores": next.Cores, "memory_mb": next.MemoryMB}).Info("configuration read again")
+	log.WithFields(logrus.Fields{"discovery": next.Discovery, "cores": next.Cores, "memory_mb": next.MemoryMB}).Info("configuration reloaded")
 	return &next, true
 }
 
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -136,13 +136,13 @@
 	}
 	s.known, err = knownList(s.conf)
 	if err != nil {
-		s.log.WithFields(operr.Fields(err)).Warn("starting without a known list")
+		s.log.WithFields(operr.Fields(err)).Warn("cached endpoint list not readable, starting without it")
 	}
 	for _, bad := range s.known.BadEntries {
-		s.log.WithFields(operr.Fields(bad)).Warn("known entry left out")
+		s.log.WithFields(operr.Fields(bad)).Warn("entry of the cached endpoint list ignored")
 	}
 	for _, bad := range s.known.BadAddresses {
-		s.log.WithFields(operr.Fields(bad)).Warn("known address left out")
+		s.log.WithFields(operr.Fields(bad)).Warn("address of the cached endpoint list ignored")
 	}
 	return nil
 }
@@ -274,7 +274,7 @@
 			return fmt.Errorf("operator: %w", err)
 		}
 		go s.serveAdmin(admin, ln)
-		s.log.WithField("operator", s.conf.Operator).Info("the operators' door is open")
+		s.log.WithField("address", s.conf.Operator).Info("admin endpoint listening")
 	}
 	s.onClose(func() { admin.Close() })
 	return nil
@@ -282,8 +282,8 @@
 
 func (s *service) serveAdmin(admin *admin.AdminEndpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
-		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
-		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
+		ended := &transport.EndedError{Front: "admin endpoint", Address: s.conf.Operator, Err: err}
+		s.log.WithFields(operr.Fields(ended)).Error("admin endpoint failed")
 	}
 }
 
@@ -307,10 +307,10 @@
 	s.serving.Store(true)
 	s.log.WithFields(logrus.Fields{
 		"name":       s.conf.Name,
-		"listen":     s.conf.Listen,
+		"address":    s.conf.Listen,
 		"nodes":      len(s.known.Nodes),
 		"version":    version,
-		"list":       s.conf.ListMode,
+		"list_mode":  s.conf.ListMode,
 		"list_price": s.conf.ListPrice,
 	}).Info("serving")
 	return nil
@@ -373,6 +373,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	log.WithFields(logrus.Fields{"passed": conf.Passed, "address": ln.Addr().String()}).Info("listening on the passed socket")
+	log.WithFields(logrus.Fields{"socket": conf.Passed, "address": ln.Addr().String()}).Info("listening on the passed socket")
 	return ln, nil
 }
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -53,7 +53,7 @@
 }
 
 func (s *shutdown) run() {
-	s.log.WithField("grace", s.kill.Sub(s.sent)).Info("stopping")
+	s.log.WithField("grace_ms", s.kill.Sub(s.sent).Milliseconds()).Info("stopping")
 	go s.fleet.stop() // beside the rest: it takes time that the end does not have
 	s.accept()
 	end, stop := context.WithDeadline(context.Background(), s.kill.Add(-exitMargin))
@@ -75,7 +75,7 @@
 	if s.socket != nil {
 		return
 	}
-	s.log.Info("stopping: accepting a little longer")
+	s.log.WithField("duration_ms", acceptFor.Milliseconds()).Info("stopping: still accepting connections")
 	time.Sleep(time.Until(s.sent.Add(newcomersFor)))
 	s.front.KeepFree()
 	time.Sleep(time.Until(s.sent.Add(acceptFor)))
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -53,7 +53,7 @@
 	}
 	s.meter = metrics.Serve(ln, s.log)
 	s.meter.Gauge(func() float64 { return 1 }, "info", "version", version)
-	s.log.WithField("address", ln.Addr().String()).Info("counts are served")
+	s.log.WithField("address", ln.Addr().String()).Info("metrics endpoint listening")
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	}
 	next, err := config.LoadSite(s.file)
 	if err != nil {
-		s.log.WithFields(operr.Fields(err)).Error("the site's file counts as it was")
+		s.log.WithFields(operr.Fields(err)).Error("reload of the site's file failed, the previous one remains in effect")
 		return
 	}
 	changed := keepUntilRestart(&next.Listen, s.held.Listen, "listen", nil)
@@ -95,11 +95,11 @@
 	changed = keepUntilRestart(&next.Estimate, s.held.Estimate, "estimate", changed)
 	changed = keepUntilRestart(&next.Start, s.held.Start, "start", changed)
 	for _, key := range changed {
-		s.log.WithFields(operr.Fields(&config.RestartError{Keys: key})).WithField("keys", key).Warn("changed, and need a restart")
+		s.log.WithFields(operr.Fields(&config.RestartError{Keys: key})).WithField("keys", key).Warn("changed keys need a restart")
 	}
 	s.held = next
 	s.apply()
-	s.log.Info("site's file read again")
+	s.log.Info("site's file reloaded")
 }
 
 // listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/start.go
@@ -140,7 +140,7 @@
 		case err == nil:
 			begun.Snapshot = s.recall(snap)
 		case !errors.Is(err, fs.ErrNotExist):
-			s.log.WithFields(operr.Fields(err)).Warn("starting without a snapshot")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot not readable, starting without it")
 		}
 	}
 	s.step(begun)
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startsnapshot.go
@@ -74,7 +74,7 @@
 		}
 		text, err := snapshot.Encode(snap)
 		if err != nil {
-			s.log.WithFields(operr.Fields(err)).Warn("no snapshot was handed over")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot for a peer not encoded")
 			return nil
 		}
 		return text
@@ -102,7 +102,7 @@
 	}
 	if snap := s.snapshot(); snap != nil {
 		if err := snapshot.Write(s.path, snap); err != nil {
-			s.log.WithFields(operr.Fields(err)).Warn("no snapshot was written")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot not written")
 		}
 	}
 }
--- a/cmd/wheatsaddle/termination.go
+++ b/cmd/wheatsaddle/termination.go
@@ -72,7 +72,7 @@
 			case <-signals:
 				now := time.Now()
 				t.sent = gauge.sent(now)
-				log.WithField("sent_before", now.Sub(t.sent).Round(time.Millisecond)).Info("told to end")
+				log.WithField("delay_ms", now.Sub(t.sent).Round(time.Millisecond).Milliseconds()).Info("termination signal received")
 				return
 			}
 		}
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/tree.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.log.WithField("peers", len(opt.Peers)).Info("parts of gathered reads are handed on")
+	g.log.WithField("peers", len(opt.Peers)).Info("parts of gathered reads are delegated to peers")
 	return tree, nil
 }
 
