--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -13,13 +13,13 @@
 // loadConfig reads the file that the command's first argument names, or else what the environment names.
 func loadConfig(flags *cli.Context) (*config.Config, error) {
 	if file := flags.Args().First(); file != "" {
-		return config.Load(environmentOf("ROUTER_CONFIG", file))
+		return config.Load(singleVariableEnv("ROUTER_CONFIG", file))
 	}
 	return config.Load(os.Getenv)
 }
 
-// environmentOf is an environment that has one variable.
-func environmentOf(name, value string) func(string) string {
+// singleVariableEnv is an environment that has one variable.
+func singleVariableEnv(name, value string) func(string) string {
 	return func(key string) string {
 		if key == name {
 			return value
@@ -28,8 +28,8 @@
 	}
 }
 
-// knownList decodes the node list of the configuration; it may be empty.
-func knownList(conf *config.Config) (discovery.List, error) {
+// decodeCachedList decodes the node list of the configuration; it may be empty.
+func decodeCachedList(conf *config.Config) (discovery.List, error) {
 	if len(conf.Known) == 0 {
 		return discovery.List{}, nil
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	known, err := knownList(conf)
+	known, err := decodeCachedList(conf)
 	if err != nil {
 		return err
 	}
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	if err = mayPeer(at, conf.Settings); err != nil {
+	if err = checkPeers(at, conf.Settings); err != nil {
 		return err
 	}
-	return mayGather(at, conf)
+	return checkGather(at, conf)
 }
--- a/cmd/wheatsaddle/daemon_test.go
+++ b/cmd/wheatsaddle/daemon_test.go
@@ -26,7 +26,7 @@
 	file, listen string
 	admin        string // address of the admin endpoint
 	mu           sync.Mutex
-	said         []string
+	lines        []string
 	more         chan struct{} // something was said
 	ended        chan struct{} // it says no more
 }
@@ -97,7 +97,7 @@
 		defer close(d.ended)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			d.mu.Lock()
-			d.said = append(d.said, lines.Text())
+			d.lines = append(d.lines, lines.Text())
 			d.mu.Unlock()
 			select {
 			case d.more <- struct{}{}:
@@ -111,11 +111,11 @@
 func (d *daemon) up() {
 	d.t.Helper()
 	d.start()
-	d.says("msg=serving", 1)
+	d.awaitLog("msg=serving", 1)
 }
 
-// says waits until so many lines have a text, and returns the last of them.
-func (d *daemon) says(what string, times int) string {
+// awaitLog waits until so many lines have a text, and returns the last of them.
+func (d *daemon) awaitLog(what string, times int) string {
 	d.t.Helper()
 	for ended := false; ; {
 		n, last := d.count(what)
@@ -123,7 +123,7 @@
 			return last
 		}
 		if ended {
-			d.t.Fatalf("it ended and never said: %s\n%s", what, strings.Join(d.said, "\n"))
+			d.t.Fatalf("it ended and never said: %s\n%s", what, strings.Join(d.lines, "\n"))
 		}
 		select {
 		case <-d.more:
@@ -136,7 +136,7 @@
 func (d *daemon) count(what string) (n int, last string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, line := range d.said {
+	for _, line := range d.lines {
 		if strings.Contains(line, what) {
 			n, last = n+1, line
 		}
@@ -154,7 +154,7 @@
 	d.t.Helper()
 	<-d.ended
 	if err := d.cmd.Wait(); err != nil {
-		d.t.Errorf("%v\n%s", err, strings.Join(d.said, "\n"))
+		d.t.Errorf("%v\n%s", err, strings.Join(d.lines, "\n"))
 	}
 }
 
@@ -193,8 +193,8 @@
 	return r.StatusCode(), string(r.Body()), err
 }
 
-// ask sends a request and reads its answer.
-func (d *daemon) ask(c client, text string, code int) {
+// request sends a request and reads its answer.
+func (d *daemon) request(c client, text string, code int) {
 	d.t.Helper()
 	_, err := io.WriteString(c, text)
 	d.must(err)
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -13,12 +13,12 @@
 // estimateLimit is the longest that an estimate computes: the admin endpoint answers within a second.
 const estimateLimit = 600 * time.Millisecond
 
-// views returns the merged observations of the nodes, of all processes.
-type views func() []nodestats.View
+// viewSource returns the merged observations of the nodes, of all processes.
+type viewSource func() []nodestats.View
 
 // estimates is the admin endpoint's call for estimates; nil: the site's file has no section estimate. Each call has an
 // estimator of its own: calls share no state with each other or with the data path.
-func estimates(set *config.SiteEstimate, conf *config.Config, shared views) *admin.Estimate {
+func estimates(set *config.SiteEstimate, conf *config.Config, shared viewSource) *admin.Estimate {
 	if set == nil {
 		return nil
 	}
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -20,7 +20,7 @@
 
 // From the section of the site's file to the admin endpoint's answer, with the classes, shards and limits of the
 // configuration: an estimate, an unknown class, and no call without the section.
-func TestEstimateAtTheDoor(t *testing.T) {
+func TestEstimateAtTheAdminEndpoint(t *testing.T) {
 	held, err := config.ParseSite([]byte(`{"estimate":{"price_late":2}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -27,8 +27,8 @@
 	log   logrus.FieldLogger
 }
 
-// keptExclusions reads the exclusions that the scheduler's last process stored. A bad file counts as none.
-func keptExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
+// loadExclusions reads the exclusions that the scheduler's last process stored. A bad file counts as none.
+func loadExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
 	kept := store.InFolder(os.TempDir(), name)
 	state, err := kept.Read()
 	if err != nil {
--- a/cmd/wheatsaddle/expectation.go
+++ b/cmd/wheatsaddle/expectation.go
@@ -14,7 +14,7 @@
 // expectation is how long a part of a gathered read is expected to take at each shard, by the estimator. Each class is
 // estimated at most once in an expectationLifetime.
 type expectation struct {
-	views views
+	views viewSource
 	set   cost.Settings
 	units float64 // work of one part
 
@@ -23,11 +23,11 @@
 }
 
 type classExpectation struct {
-	made  time.Time
-	takes map[int]float64 // milliseconds, by shard
+	made       time.Time
+	expectedMs map[int]float64 // milliseconds, by shard
 }
 
-func newExpectation(est *config.SiteEstimate, conf *config.Config, shared views) *expectation {
+func newExpectation(est *config.SiteEstimate, conf *config.Config, shared viewSource) *expectation {
 	return &expectation{
 		views:   shared,
 		set:     costSettings(est, conf),
@@ -45,12 +45,12 @@
 		current = classExpectation{time.Now(), x.estimate(class)}
 		x.byClass[class] = current
 	}
-	if len(current.takes) == 0 {
+	if len(current.expectedMs) == 0 {
 		return nil
 	}
 	expected := make([]float64, len(shards))
 	for i, shard := range shards {
-		expected[i] = current.takes[shard]
+		expected[i] = current.expectedMs[shard]
 	}
 	return expected
 }
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -21,24 +21,24 @@
 	"wheatsaddle/policy"
 )
 
-// healthWait is how long a gossip round waits for the core's report of its nodes.
-const healthWait = 20 * time.Millisecond
+// statusTimeout is how long a gossip round waits for the core's report of its nodes.
+const statusTimeout = 20 * time.Millisecond
 
 // fleet exchanges observations of the nodes with the other scheduler processes. nil: the site's file has no section
 // peers.
 type fleet struct {
-	peers    *gossip.Cluster
-	starter  *starter // nil: the site's file has no section start
-	coldSpan float64  // ms after its start in which a node is cold
-	types    config.NodeTypes
-	nodeMost int // nodes that are reported
+	cluster     *gossip.Cluster
+	starter     *starter // nil: the site's file has no section start
+	slowStartMs float64  // ms after its start in which a node is cold
+	types       config.NodeTypes
+	maxNodes    int // nodes that are reported
 
 	mu        sync.Mutex // of the fields below, but for reported
 	nodes     map[string]listedNode
 	listIndex int64 // version of the list; 0: there is none yet
-	lists     nodestats.ListSpread
+	versions  nodestats.ListSpread
 	core      *core.Core                 // nil: it does not run yet
-	reported  map[string]core.NodeStatus // the core's last report, by node; the gossip goroutine's alone
+	statuses  map[string]core.NodeStatus // the core's last report, by node; the gossip goroutine's alone
 }
 
 // listedNode is a node of the list, with the hardware type that the site's file gives it.
@@ -47,8 +47,8 @@
 	hardware string
 }
 
-// mayPeer is an error where the site's file has the section peers and the platform forbids it.
-func mayPeer(at *config.Site, set policy.Settings) error {
+// checkPeers is an error where the site's file has the section peers and the platform forbids it.
+func checkPeers(at *config.Site, set policy.Settings) error {
 	if at.Peers != nil && !set.MayGossip {
 		return &gossip.ForbiddenError{}
 	}
@@ -56,7 +56,7 @@
 }
 
 func startFleet(at *config.Site, conf *config.Config, starting *starter, log logrus.FieldLogger) (*fleet, error) {
-	if err := mayPeer(at, conf.Settings); err != nil {
+	if err := checkPeers(at, conf.Settings); err != nil {
 		log.WithFields(operr.Fields(err)).Error("gossip is not allowed by the platform")
 		return nil, err
 	}
@@ -68,13 +68,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{starter: starting, coldSpan: conf.Settings.SlowStartDuration, nodeMost: set.State.MaxNodes, nodes: map[string]listedNode{}}
+	f := &fleet{starter: starting, slowStartMs: conf.Settings.SlowStartDuration, maxNodes: set.State.MaxNodes, nodes: map[string]listedNode{}}
 	if at.Estimate != nil {
 		f.types = at.Estimate.Types
 	}
 	f.mu.Lock() // a round may call report before f.peers is set
 	defer f.mu.Unlock()
-	f.peers, err = gossip.Start(gossip.Options{
+	f.cluster, err = gossip.Start(gossip.Options{
 		Name:             conf.Name,
 		Incarnation:      uint64(time.Now().UnixMilli()),
 		Listen:           set.Listen,
@@ -87,22 +87,22 @@
 		State:            set.State,
 		Seed:             uint64(conf.Seed),
 		Log:              log,
-		BeforeRound:      f.report,
-		MakeSnapshot:     starting.give(),
+		BeforeRound:      f.addReports,
+		MakeSnapshot:     starting.snapshotProvider(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"address": f.peers.Address(), "seeds": len(set.Seeds)}).Info("gossip listening")
+	log.WithFields(logrus.Fields{"address": f.cluster.Address(), "seeds": len(set.Seeds)}).Info("gossip listening")
 	return f, nil
 }
 
-// views are the merged observations of the nodes; nil: nothing is shared.
-func (f *fleet) views() views {
+// viewSource are the merged observations of the nodes; nil: nothing is shared.
+func (f *fleet) views() viewSource {
 	if f == nil {
 		return nil
 	}
-	return f.peers.Views
+	return f.cluster.Views
 }
 
 // members are the names of the processes that are known to be up; nil: nothing is shared.
@@ -110,15 +110,15 @@
 	if f == nil {
 		return nil
 	}
-	return f.peers.Members
+	return f.cluster.Members
 }
 
-// count registers the counts of what is shared.
-func (f *fleet) count(m *metrics.Meter) {
+// registerMetrics registers the counts of what is shared.
+func (f *fleet) registerMetrics(m *metrics.Meter) {
 	if f == nil {
 		return
 	}
-	gauges(m, f.peers.Counts, map[string]func(gossip.Counts) int64{
+	gauges(m, f.cluster.Counts, map[string]func(gossip.Counts) int64{
 		"peers_members":               func(c gossip.Counts) int64 { return c.Members },
 		"peers_received_bytes":        func(c gossip.Counts) int64 { return c.BytesReceived },
 		"peers_sent_bytes":            func(c gossip.Counts) int64 { return c.BytesSent },
@@ -149,7 +149,7 @@
 func (f *fleet) listSpread() nodestats.ListSpread {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lists
+	return f.versions
 }
 
 // peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. No file: no key.
@@ -186,20 +186,20 @@
 	return 0, false
 }
 
-// observe is what core calls at the end of each attempt; nil: nothing is shared.
-func (f *fleet) observe() func(string, int64, string, float64, float64, policy.Status) {
+// observer is what core calls at the end of each attempt; nil: nothing is shared.
+func (f *fleet) observer() func(string, int64, string, float64, float64, policy.Status) {
 	if f == nil {
 		return nil
 	}
 	return func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 		if outcome, ok := outcomeOf(status); ok {
-			f.peers.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
+			f.cluster.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
 		}
 	}
 }
 
-// takeNews keeps the node list for the next round.
-func (f *fleet) takeNews(news core.ListUpdate) {
+// updateList keeps the node list for the next round.
+func (f *fleet) updateList(news core.ListUpdate) {
 	if f == nil {
 		return
 	}
@@ -229,49 +229,49 @@
 	}
 }
 
-// report puts the listed nodes and their health into the shared state, before each round. If the core does not report
+// addReports puts the listed nodes and their health into the shared state, before each round. If the core does not report
 // in time, its last report counts. A report of an earlier run of a node does not count.
-func (f *fleet) report(now time.Duration, state *nodestats.State) {
-	f.starter.peersSaid(now, state)
+func (f *fleet) addReports(now time.Duration, state *nodestats.State) {
+	f.starter.addPeerReports(now, state)
 	f.mu.Lock()
-	co, group := f.core, f.peers
+	co, group := f.core, f.cluster
 	f.mu.Unlock()
-	f.askCore(co)
+	f.refreshStatuses(co)
 	members := group.Members()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.listIndex != 0 {
 		state.SetListVersion(now, f.listIndex)
 	}
-	f.lists = state.ListSpread(now, members)
+	f.versions = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
-		cold := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.coldSpan
+		cold := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.slowStartMs
 		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: cold}
-		if at, ok := f.reported[id]; ok && at.StartTime >= int64(n.StartTime) {
+		if at, ok := f.statuses[id]; ok && at.StartTime >= int64(n.StartTime) {
 			health.Window, health.Queue = at.Window, at.Queue
 		}
 		state.SetNodeHealth(now, n.ID, int64(n.StartTime), health)
 	}
 }
 
-// askCore renews the core's report of the nodes.
-func (f *fleet) askCore(co *core.Core) {
+// refreshStatuses renews the core's report of the nodes.
+func (f *fleet) refreshStatuses(co *core.Core) {
 	if co == nil {
 		return
 	}
-	all, ok := co.NodeStatuses(f.nodeMost, healthWait)
+	all, ok := co.NodeStatuses(f.maxNodes, statusTimeout)
 	if !ok {
 		return
 	}
-	f.reported = make(map[string]core.NodeStatus, len(all))
+	f.statuses = make(map[string]core.NodeStatus, len(all))
 	for _, n := range all {
-		f.reported[n.Node] = n
+		f.statuses[n.Node] = n
 	}
 }
 
 func (f *fleet) stop() {
 	if f != nil {
-		f.peers.Stop()
+		f.cluster.Stop()
 	}
 }
--- a/cmd/wheatsaddle/peers_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	var forbidden *gossip.ForbiddenError
-	if err := mayPeer(&config.Site{Peers: &config.SitePeers{}}, policy.Settings{}); !errors.As(err, &forbidden) {
+	if err := checkPeers(&config.Site{Peers: &config.SitePeers{}}, policy.Settings{}); !errors.As(err, &forbidden) {
 		t.Error(err)
 	}
 }
@@ -76,7 +76,7 @@
 func (none) Close()                                            {}
 
 // What one process sees of a listed node the other has in its views, without what was cancelled.
-func TestFleetTellsAndHears(t *testing.T) {
+func TestFleetExchangesObservations(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	state := nodestats.Defaults()
 	state.HalfLife, state.ExpireAfter = time.Hour, 24*time.Hour // nothing fades while the test runs
@@ -94,7 +94,7 @@
 		return f
 	}
 	a := start("a")
-	b := start("b", a.peers.Address())
+	b := start("b", a.cluster.Address())
 	since := time.Now().UnixMilli()
 	news := core.ListUpdate{Kind: policy.ListReceived, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(since)}}}}
 	co, err := core.New(core.Options{Settings: policy.Settings{Schedulers: 1, MeanUnits: 1, MaxUnits: 1, MaxAttempts: 1, SlowStartUnits: 1, OverloadWindow: 1, OverloadMultiple: 1,
@@ -107,14 +107,14 @@
 	t.Cleanup(co.Stop)
 	co.List(news)
 	a.setCore(co)
-	a.takeNews(news)
-	tell := a.observe()
+	a.updateList(news)
+	tell := a.observer()
 	for _, s := range []policy.Status{policy.OK, policy.NodeFull, policy.TimedOut, policy.ConnectionReset, policy.Cancelled, policy.Abandoned} {
 		tell("n", since, "c", 2, 5, s)
 	}
 	var v []nodestats.View
 	for end := time.Now().Add(time.Minute); len(v) < 2 || v[0].Window == 0; time.Sleep(5 * time.Millisecond) {
-		if v = b.peers.Views(); time.Now().After(end) {
+		if v = b.cluster.Views(); time.Now().After(end) {
 			t.Fatalf("never heard: %+v", v)
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	m := metrics.Serve(ln, log)
 	defer m.Close()
-	b.count(m)
+	b.registerMetrics(m)
 	told := func(lines ...string) bool {
 		_, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+"/metrics")
 		return err == nil && !slices.ContainsFunc(lines, func(l string) bool { return !strings.Contains(string(body), "wheatsaddle_"+l+"\n") })
@@ -140,19 +140,19 @@
 	if !told("observations_origins 1") {
 		t.Error("b does not count a")
 	}
-	b.takeNews(core.ListUpdate{Kind: policy.ListChanged, Index: 7})
-	b.takeNews(core.ListUpdate{Kind: policy.ListFailed}) // says no version
+	b.updateList(core.ListUpdate{Kind: policy.ListChanged, Index: 7})
+	b.updateList(core.ListUpdate{Kind: policy.ListFailed}) // says no version
 	for end := time.Now().Add(time.Minute); !told("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
 		if time.Sleep(5 * time.Millisecond); time.Now().After(end) {
 			t.Fatal("list versions are not counted")
 		}
 	}
 	var off *fleet
-	off.count(m)
-	if off.observe() != nil {
+	off.registerMetrics(m)
+	if off.observer() != nil {
 		t.Error("observing while off")
 	}
-	off.takeNews(core.ListUpdate{})
+	off.updateList(core.ListUpdate{})
 	off.setCore(co)
 	off.stop()
 }
--- a/cmd/wheatsaddle/flood_test.go
+++ b/cmd/wheatsaddle/flood_test.go
@@ -60,7 +60,7 @@
 		d.dial()
 	}
 	const probe = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	d.ask(d.dial(), probe, 200)
+	d.request(d.dial(), probe, 200)
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	if err != nil || len(open) < floodSockets/4 {
 		t.Fatalf("the clients do not fill their part of the descriptors: %d open, %v", len(open), err)
@@ -68,13 +68,13 @@
 	if len(open) > floodSockets*3/4 {
 		t.Errorf("%d of %d descriptors are open: none are left for discovery and nodes", len(open), floodSockets)
 	}
-	d.ask(d.dial(), read, 200)
+	d.request(d.dial(), read, 200)
 	listOf(t, service, next.address)
 	for i := 0; len(next.came) == 0; i++ {
-		d.ask(d.dial(), strings.Replace(read, "r1", fmt.Sprint("r", 2+i), 1), 200)
+		d.request(d.dial(), strings.Replace(read, "r1", fmt.Sprint("r", 2+i), 1), 200)
 		if len(known.came) == cap(known.came) {
 			<-known.came
 		}
 	}
-	d.ask(d.dial(), probe, 200)
+	d.request(d.dial(), probe, 200)
 }
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gather.go
@@ -13,16 +13,16 @@
 
 // gatherer gives the front its service of gathered reads, and a new one when the site's file or the settings change.
 type gatherer struct {
-	core  *core.Core
-	front *httpfront.Server
-	views views           // nil: nothing is shared
-	alive func() []string // names of the processes that are up; nil: nothing is shared
-	log   logrus.FieldLogger
-	reads scattergather.Gate  // bounds the gathered reads at once
-	tally scattergather.Tally // counts of all trees
+	core    *core.Core
+	front   *httpfront.Server
+	views   viewSource      // nil: nothing is shared
+	members func() []string // names of the processes that are up; nil: nothing is shared
+	log     logrus.FieldLogger
+	reads   scattergather.Gate  // bounds the gathered reads at once
+	tally   scattergather.Tally // counts of all trees
 
-	tree    scattergather.Grouper // nil: this process asks for each part itself
-	treeSet *config.SiteTree      // the settings of tree
+	tree         scattergather.Grouper // nil: this process asks for each part itself
+	treeSettings *config.SiteTree      // the settings of tree
 }
 
 // gatherRules are the section's rules by class, checked against the configuration.
@@ -30,7 +30,7 @@
 	if err := set.Check(conf.Settings, conf.MemoryMB); err != nil {
 		return nil, err
 	}
-	safe, rules := safeClasses(conf.Settings), map[string]scattergather.Rules{}
+	safe, rules := idempotentClasses(conf.Settings), map[string]scattergather.Rules{}
 	for class, merge := range set.Rules {
 		rules[class] = scattergather.Rules{
 			Merge:  merge,
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	g.tree, g.treeSet = tree, set.Tree
+	g.tree, g.treeSettings = tree, set.Tree
 	service := &scattergather.Service{
 		Core:      g.core,
 		Classes:   classes,
@@ -88,12 +88,12 @@
 	}
 }
 
-// mayGather is what is wrong with the section, for check-config.
-func mayGather(at *config.Site, conf *config.Config) error {
+// checkGather is what is wrong with the section, for check-config.
+func checkGather(at *config.Site, conf *config.Config) error {
 	if at.Gather == nil {
 		return nil
 	}
-	if err := mayAskPeers(at.Gather.Tree, conf); err != nil {
+	if err := checkGatherPeers(at.Gather.Tree, conf); err != nil {
 		return err
 	}
 	_, err := gatherRules(at.Gather, conf)
@@ -101,13 +101,13 @@
 }
 
 func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, others *fleet) (*gatherer, error) {
-	g := &gatherer{core: co, front: front, views: others.views(), alive: others.members(), log: at.log}
-	g.count(at.meter)
-	return g, g.apply(at.held, conf)
+	g := &gatherer{core: co, front: front, views: others.views(), members: others.members(), log: at.log}
+	g.registerMetrics(at.meter)
+	return g, g.apply(at.current, conf)
 }
 
-// count registers the counts of gathered reads.
-func (g *gatherer) count(m *metrics.Meter) {
+// registerMetrics registers the counts of gathered reads.
+func (g *gatherer) registerMetrics(m *metrics.Meter) {
 	m.Gauge(func() float64 { return float64(g.reads.In()) }, "gather_reads")
 	gauges(m, g.tally.Counts, map[string]func(scattergather.TreeCounts) int{
 		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/gathertree.go
@@ -8,27 +8,27 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// requestIDMost is the longest request id, in bytes, that a process accepts of its clients; a peer is one.
-const requestIDMost = 128
+// maxRequestIDBytes is the longest request id, in bytes, that a process accepts of its clients; a peer is one.
+const maxRequestIDBytes = 128
 
 // openTree opens the tree of processes that share the parts of a read. The current tree stays, with what it knows of its
 // peers, while the settings stay. nil: the section names no other process, and this one asks for each part itself.
 func (g *gatherer) openTree(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
-	if err := mayAskPeers(set, conf); err != nil || set == nil {
+	if err := checkGatherPeers(set, conf); err != nil || set == nil {
 		return nil, err
 	}
-	if g.tree != nil && reflect.DeepEqual(g.treeSet, set) {
+	if g.tree != nil && reflect.DeepEqual(g.treeSettings, set) {
 		return g.tree, nil
 	}
 	opt := scattergather.TreeOptions{
 		Seed:      uint64(conf.Seed),
 		Conns:     set.Connections,
 		BytesMost: set.BytesMost,
-		IDMost:    requestIDMost,
+		IDMost:    maxRequestIDBytes,
 		Log:       g.log,
 		Request:   httpfront.GatherPeer,
 		Limited:   map[string]bool{},
-		Alive:     g.alive,
+		Alive:     g.members,
 		Tally:     &g.tally,
 		Rules: scattergather.TreeRules{
 			LeastParts: set.LeastParts,
@@ -59,8 +59,8 @@
 	return tree, nil
 }
 
-// mayAskPeers is an error where the platform forbids that processes ask each other.
-func mayAskPeers(set *config.SiteTree, conf *config.Config) error {
+// checkGatherPeers is an error where the platform forbids that processes ask each other.
+func checkGatherPeers(set *config.SiteTree, conf *config.Config) error {
 	if set != nil && !conf.Settings.MayGossip {
 		return &config.KeyError{File: "site", Key: "gather.peers", Says: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
 	}
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -18,26 +18,26 @@
 // handoverTimes are the intervals of a process whose clients' socket was passed to it.
 var handoverTimes = handover.Settings{
 	LockPollInterval: 5 * time.Millisecond,   // between tries for the lock
-	SweepInterval:    stopPoll,               // between sweeps of the connections
+	SweepInterval:    connectionPollInterval, // between sweeps of the connections
 	IdleTimeout:      500 * time.Millisecond, // idle time after which a sweep closes a connection
 	WarnAfter:        10 * time.Second,       // a wait for the lock that lasts so long is logged, once
 }
 
-const moduleWait = 200 * time.Millisecond // for the decision module's confirmation of the handover
+const notifyTimeout = 200 * time.Millisecond // for the decision module's confirmation of the handover
 
 // passedSocket drives the handover of a passed clients' socket between processes: it feeds events to the state machine
 // handover.Book and carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
-	gate        *transport.Gate // holds accepts back
-	lock        *transport.Lock // held by the process that accepts
-	machine     *handover.Machine
-	core        *core.Core
-	front       *httpfront.Server
-	log         logrus.FieldLogger
-	began       time.Time
-	open        int                // connections at the last sweep
-	termination chan time.Duration // the time by which this process must be done, since began
-	done        chan struct{}
+	gate            *transport.Gate // holds accepts back
+	lock            *transport.Lock // held by the process that accepts
+	machine         *handover.Machine
+	core            *core.Core
+	front           *httpfront.Server
+	log             logrus.FieldLogger
+	startedAt       time.Time
+	openConnections int                // connections at the last sweep
+	termination     chan time.Duration // the time by which this process must be done, since began
+	done            chan struct{}
 }
 
 // newPassedSocket prepares the handover on the clients' listener.
@@ -50,7 +50,7 @@
 		lock:        transport.LockOf(os.TempDir(), ln.Addr()),
 		machine:     handover.New(handoverTimes),
 		log:         log,
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		termination: make(chan time.Duration),
 		done:        make(chan struct{}),
 	}
@@ -72,10 +72,10 @@
 	}
 }
 
-// leave hands the socket to the next process, and returns when no connection is left or the time has come.
-func (s *passedSocket) leave(by time.Time) {
+// handOver hands the socket to the next process, and returns when no connection is left or the time has come.
+func (s *passedSocket) handOver(by time.Time) {
 	if s != nil {
-		s.termination <- by.Sub(s.began)
+		s.termination <- by.Sub(s.startedAt)
 		<-s.done
 	}
 }
@@ -97,19 +97,19 @@
 	}
 }
 
-func (s *passedSocket) now() time.Duration { return time.Since(s.began) }
+func (s *passedSocket) now() time.Duration { return time.Since(s.startedAt) }
 
 // feed gives the state machine an event, and then those that its actions cause.
 func (s *passedSocket) feed(e handover.Event) {
 	for events := []handover.Event{e}; len(events) > 0; events = events[1:] {
 		for _, a := range s.machine.Step(s.now(), events[0]) {
-			events = append(events, s.do(a)...)
+			events = append(events, s.carryOut(a)...)
 		}
 	}
 }
 
-// do carries out an action and returns the events that it causes.
-func (s *passedSocket) do(a handover.Action) []handover.Event {
+// carryOut carries out an action and returns the events that it causes.
+func (s *passedSocket) carryOut(a handover.Action) []handover.Event {
 	event := func(k handover.EventKind, n int) []handover.Event {
 		return []handover.Event{{Kind: k, OpenConnections: n}}
 	}
@@ -130,7 +130,7 @@
 	case handover.WarnLongWait:
 		s.log.WithFields(operr.Fields(&handover.WaitsError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("still waiting for the lock of the passed socket")
 	case handover.NotifyModule:
-		if !s.core.HandOver(moduleWait) {
+		if !s.core.HandOver(notifyTimeout) {
 			return event(handover.ModuleBusy, 0)
 		}
 		return event(handover.ModuleNotified, 0)
@@ -142,10 +142,10 @@
 		s.lock.Release()
 		s.log.Info("passed socket released to the next process")
 	case handover.CloseIdle:
-		s.open = s.front.Sweep(a.IdleFor)
-		return event(handover.ConnectionsCounted, s.open)
+		s.openConnections = s.front.Sweep(a.IdleFor)
+		return event(handover.ConnectionsCounted, s.openConnections)
 	case handover.Finish:
-		s.log.WithField("open_connections", s.open).Info("handover complete")
+		s.log.WithField("open_connections", s.openConnections).Info("handover complete")
 	}
 	return nil
 }
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -29,22 +29,22 @@
 	}
 	(*passedSocket)(nil).run(nil, nil)
 	s := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
-	s.do(handover.Action{Kind: handover.WarnLongWait})
+	s.carryOut(handover.Action{Kind: handover.WarnLongWait})
 	if e := hook.LastEntry(); e == nil || e.Data["code"] != "handover-waits" || e.Data["advice"] == nil {
 		t.Errorf("%+v", e)
 	}
-	if got := s.do(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
+	if got := s.carryOut(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
 		t.Errorf("%+v", got)
 	}
 	other := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
-	if got := other.do(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
+	if got := other.carryOut(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
 		t.Errorf("%+v", got)
 	}
-	s.do(handover.Action{Kind: handover.ReleaseLock})
-	if got := other.do(handover.Action{Kind: handover.TryLock}); got[0].Kind != handover.LockAcquired {
+	s.carryOut(handover.Action{Kind: handover.ReleaseLock})
+	if got := other.carryOut(handover.Action{Kind: handover.TryLock}); got[0].Kind != handover.LockAcquired {
 		t.Errorf("%+v", got)
 	}
-	other.do(handover.Action{Kind: handover.ReleaseLock})
+	other.carryOut(handover.Action{Kind: handover.ReleaseLock})
 }
 
 // Nothing is accepted before the turn, and nothing after SIGTERM; what is open is answered, and closes with it.
@@ -67,13 +67,13 @@
 	br := bufio.NewReader(nc)
 	for _, closes := range []bool{false, true} {
 		if closes {
-			s.do(handover.Action{Kind: handover.CloseListener})
+			s.carryOut(handover.Action{Kind: handover.CloseListener})
 			if late, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 				late.Close()
 				t.Error("it accepts on")
 			}
 		} else {
-			s.do(handover.Action{Kind: handover.Accept})
+			s.carryOut(handover.Action{Kind: handover.Accept})
 		}
 		fmt.Fprint(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		var r fasthttp.Response
--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -14,9 +14,9 @@
 	"wheatsaddle/policy"
 )
 
-// blockFront is the iSCSI front. It has a core of its own, since its storage targets are no nodes of the platform: a new
+// iscsiFront is the iSCSI front. It has a core of its own, since its storage targets are no nodes of the platform: a new
 // object of the platform must never be placed on one. nil: the front is off.
-type blockFront struct {
+type iscsiFront struct {
 	file    string
 	dialer  *iscsi.Dialer
 	core    *core.Core
@@ -24,14 +24,14 @@
 	sockets int // most descriptors that it holds
 }
 
-// startBlocks reads the mapping file and serves the iSCSI front.
-func startBlocks(file string, conf *config.Config, at *site, log logrus.FieldLogger) (*blockFront, error) {
+// startISCSI reads the mapping file and serves the iSCSI front.
+func startISCSI(file string, conf *config.Config, at *site, log logrus.FieldLogger) (*iscsiFront, error) {
 	mapping, err := config.LoadISCSI(file, conf.Settings)
 	if err != nil {
 		return nil, err
 	}
 	dialer := iscsi.NewDialer(mapping, mapping.Initiator+conf.Name, milliseconds(conf.ConnectTimeout), log)
-	at.blocks = dialer
+	at.iscsi = dialer
 	at.apply()
 	set := iscsi.Settings(conf.Settings, mapping)
 	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, Connect: dialer.Connect, Log: log})
@@ -49,7 +49,7 @@
 		co.Stop()
 		return nil, err
 	}
-	f := &blockFront{
+	f := &iscsiFront{
 		file:    file,
 		dialer:  dialer,
 		core:    co,
@@ -66,7 +66,7 @@
 }
 
 // reload reads the storage targets again. A target that is not listed any more gets no new request.
-func (f *blockFront) reload(conf *config.Config, log logrus.FieldLogger) {
+func (f *iscsiFront) reload(conf *config.Config, log logrus.FieldLogger) {
 	if f == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 }
 
 // shutdown ends the sessions by the end of ctx.
-func (f *blockFront) shutdown(ctx context.Context) {
+func (f *iscsiFront) shutdown(ctx context.Context) {
 	if f != nil {
 		f.target.Shutdown(ctx)
 	}
--- a/cmd/wheatsaddle/limits.go
+++ b/cmd/wheatsaddle/limits.go
@@ -61,8 +61,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// shortestAim is the shortest latency aim of the classes.
-func shortestAim(set policy.Settings) time.Duration {
+// minLatencyObjective is the shortest latency aim of the classes.
+func minLatencyObjective(set policy.Settings) time.Duration {
 	aim := math.Inf(1)
 	for _, class := range set.Classes {
 		aim = min(aim, class.LatencyObjective)
@@ -70,8 +70,8 @@
 	return milliseconds(aim)
 }
 
-// safeClasses says of each class whether its requests may be repeated freely.
-func safeClasses(set policy.Settings) map[string]bool {
+// idempotentClasses says of each class whether its requests may be repeated freely.
+func idempotentClasses(set policy.Settings) map[string]bool {
 	safe := map[string]bool{}
 	for _, class := range set.Classes {
 		safe[class.Name] = class.Effect == policy.Idempotent
--- a/cmd/wheatsaddle/list_test.go
+++ b/cmd/wheatsaddle/list_test.go
@@ -74,7 +74,7 @@
 
 // A process gets ready with discovery refusing connections, turning calls away, resetting them, silent, or sending a
 // torn list: with the section start and without, with a list held and without, pushed and asked. The bound in time is
-// that of coldstart's Settings.ReadyMost and of listWait, which are under 6 s.
+// that of coldstart's Settings.ReadyMost and of maxListWait, which are under 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	faults := map[string]discovery.Fault{"down": {Shut: true}, "refusing": {Refuse: true}, "reset": {Reset: true}, "silent": {Silent: true},
 		"down agent": {Down: true}}
--- a/cmd/wheatsaddle/ready_test.go
+++ b/cmd/wheatsaddle/ready_test.go
@@ -66,8 +66,8 @@
 				}
 			}
 			client := d.dial()
-			d.ask(client, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
-			d.ask(client, read, 200)
+			d.request(client, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+			d.request(client, read, 200)
 		})
 	}
 }
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -17,7 +17,7 @@
 // first, which applies them whole or not at all: nothing else of the file may be refused after that.
 func reload(ctx context.Context, held *config.Config, env func(string) string, move func(context.Context, string) bool,
 	log logrus.FieldLogger, retune func(policy.Settings) error) (*config.Config, bool) {
-	conf, err := readAgain(held, env)
+	conf, err := rereadConfig(held, env)
 	if err != nil {
 		log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
 		return held, false
@@ -43,8 +43,8 @@
 	return &next, true
 }
 
-// readAgain reads and checks the platform's file as a whole.
-func readAgain(held *config.Config, env func(string) string) (*config.Config, error) {
+// rereadConfig reads and checks the platform's file as a whole.
+func rereadConfig(held *config.Config, env func(string) string) (*config.Config, error) {
 	conf, err := config.Reload(env)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	if err := config.Missing(held, conf); err != nil {
 		return nil, err
 	}
-	if _, err := knownList(conf); err != nil {
+	if _, err := decodeCachedList(conf); err != nil {
 		return nil, err
 	}
 	if _, err := policy.New(conf.Settings, conf.Seed); err != nil {
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -19,9 +19,9 @@
 )
 
 // Where the module turns the settings down nothing else of the file counts either.
-func TestReloadRefusedByTheModule(t *testing.T) {
+func TestReloadRejectedByThePolicy(t *testing.T) {
 	file, _ := configure(t, "127.0.0.1:1")
-	env := environmentOf("ROUTER_CONFIG", file)
+	env := singleVariableEnv("ROUTER_CONFIG", file)
 	held, err := config.Load(env)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		before := co.Settings().SlowStartUnits
-		if err := begin.retune(co)(set); err != nil || co.Settings().SlowStartUnits != before || (before == set.SlowStartUnits) == on {
+		if err := begin.reconfigure(co)(set); err != nil || co.Settings().SlowStartUnits != before || (before == set.SlowStartUnits) == on {
 			t.Errorf("section on %v: %v, %v of %v, %v after the reload", on, err, before, set.SlowStartUnits, co.Settings().SlowStartUnits)
 		}
 		co.Stop()
@@ -120,19 +120,19 @@
 			<-node.came
 			d.edit(x.pairs...)
 			d.signal(syscall.SIGHUP)
-			d.says("configuration reloaded", 1)
+			d.awaitLog("configuration reloaded", 1)
 			close(node.release)
 			if code, text, err := c.answer(); err != nil || code != 200 || text != "ok" {
 				t.Errorf("%v, %d %s", err, code, text)
 			}
-			d.ask(d.dial(), strings.Replace(read, "r1", "r2", 1), x.after)
+			d.request(d.dial(), strings.Replace(read, "r1", "r2", 1), x.after)
 		})
 	}
 }
 
 // SIGHUP three times at once, while the first reads the file: it is read once more, and not by two at a time. A file that is torn,
 // cannot be read or has bad settings beside another address of discovery changes nothing, and counts as an error.
-func TestReloadAtOnceAndBad(t *testing.T) {
+func TestConcurrentAndInvalidReloads(t *testing.T) {
 	moved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -161,11 +161,11 @@
 	bad = strings.Replace(bad, `"discovery":"`, fmt.Sprintf(`"discovery":%q,"was":"`, moved.Addr()), 1)
 	d.write(bad)
 	d.signal(syscall.SIGHUP)
-	d.says("reload of the configuration failed", 1)
+	d.awaitLog("reload of the configuration failed", 1)
 	loads(0, 1)
 	d.must(os.Remove(d.file))
 	d.signal(syscall.SIGHUP)
-	d.says("reload of the configuration failed", 2)
+	d.awaitLog("reload of the configuration failed", 2)
 	loads(0, 2)
 	d.write(good)
 	d.pipe()
@@ -178,12 +178,12 @@
 	_, err = io.WriteString(first, good)
 	d.must(err)
 	d.must(first.Close())
-	d.says("configuration reloaded", 1)
+	d.awaitLog("configuration reloaded", 1)
 	second := d.reads()
 	_, err = io.WriteString(second, good[:len(good)/2])
 	d.must(err)
 	d.must(second.Close())
-	d.says("reload of the configuration failed", 3)
+	d.awaitLog("reload of the configuration failed", 3)
 	loads(1, 3)
 	if len(came) > 0 {
 		t.Error("discovery moved by a file that was not taken")
@@ -209,12 +209,12 @@
 	_, err := io.WriteString(file, good)
 	d.must(err)
 	d.must(file.Close())
-	d.says("msg=serving", 1)
+	d.awaitLog("msg=serving", 1)
 	again := d.reads()
 	_, err = io.WriteString(again, strings.Replace(good, `"memory_mb":192`, `"memory_mb":128`, 1))
 	d.must(err)
 	d.must(again.Close())
-	if line := d.says("configuration reloaded", 1); !strings.Contains(line, "memory_mb=128") {
+	if line := d.awaitLog("configuration reloaded", 1); !strings.Contains(line, "memory_mb=128") {
 		t.Error(line)
 	}
 	d.signal(syscall.SIGTERM)
--- a/cmd/wheatsaddle/replay.go
+++ b/cmd/wheatsaddle/replay.go
@@ -13,7 +13,7 @@
 	"wheatsaddle/internal/replay"
 )
 
-const badLinesShown = 20 // in the report
+const maxErrorsShown = 20 // in the report
 
 func replayCommand() *cli.Command {
 	return &cli.Command{
@@ -79,7 +79,7 @@
 		m.Prefixes[prefix] = class
 	}
 	if file := c.String("config"); file != "" {
-		conf, err := config.Load(environmentOf("ROUTER_CONFIG", file))
+		conf, err := config.Load(singleVariableEnv("ROUTER_CONFIG", file))
 		if err != nil {
 			return m, err
 		}
@@ -94,7 +94,7 @@
 	return m, nil
 }
 
-// report goes to standard error, so that requests can go to standard output.
+// addReports goes to standard error, so that requests can go to standard output.
 func report(c *cli.Context, r *replay.Recording) {
 	out := c.App.ErrWriter
 	classes, span := r.Classes()
@@ -104,8 +104,8 @@
 		fmt.Fprintf(out, "%-20s %8d %8d %8.2f %8.0f %10d %10d\n", k.Name, k.Count, k.Writes, k.Rate, k.Units, k.MeanBytes, k.MostBytes)
 	}
 	for i, b := range r.Bad {
-		if i == badLinesShown {
-			fmt.Fprintf(out, "and %d more\n", len(r.Bad)-badLinesShown)
+		if i == maxErrorsShown {
+			fmt.Fprintf(out, "and %d more\n", len(r.Bad)-maxErrorsShown)
 			break
 		}
 		fmt.Fprintln(out, b.Error())
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -27,8 +27,8 @@
 	"wheatsaddle/policy"
 )
 
-// listWait is how long readiness waits for discovery's first answer.
-const listWait = time.Second
+// maxListWait is how long readiness waits for discovery's first answer.
+const maxListWait = time.Second
 
 // service is one run of the daemon, from its arguments to its exit.
 //
@@ -36,16 +36,16 @@
 // listed and serving change. What a step acquires it registers with onClose; close releases it in
 // reverse order on every way out.
 type service struct {
-	flags   *cli.Context
-	log     logrus.FieldLogger
-	hangup  chan os.Signal // SIGHUP: the files are read again
-	order   *termination   // SIGTERM, interrupt
-	closers []func()
+	flags       *cli.Context
+	log         logrus.FieldLogger
+	hangup      chan os.Signal // SIGHUP: the files are read again
+	termination *termination   // SIGTERM, interrupt
+	closers     []func()
 
-	conf   *config.Config // as at the start; reloadOnHangup has the current one
-	known  discovery.List // the configuration's node list, until discovery answers
-	site   *site
-	blocks *blockFront // nil: no iSCSI front
+	conf       *config.Config // as at the start; reloadOnHangup has the current one
+	cachedList discovery.List // the configuration's node list, until discovery answers
+	site       *site
+	iscsi      *iscsiFront // nil: no iSCSI front
 
 	clientConns int // most connections of clients
 	nodeConns   int // most connections to storage nodes
@@ -55,16 +55,16 @@
 	core       *core.Core
 	exclusions *exclusionKeeper
 
-	ctx       context.Context // of the goroutines that end with the service
-	watcher   *discovery.Watcher
-	listAsked time.Time   // when the watch began
-	listed    atomic.Bool // discovery has answered
+	ctx          context.Context // of the goroutines that end with the service
+	watcher      *discovery.Watcher
+	watchStarted time.Time   // when the watch began
+	listReceived atomic.Bool // discovery has answered
 
-	front    *httpfront.Server
-	socket   *passedSocket // nil: the clients' socket was bound by this process
-	gathered *gatherer
-	ended    chan error  // the front's, if it ends by itself
-	serving  atomic.Bool // the clients' listener is served
+	front      *httpfront.Server
+	socket     *passedSocket // nil: the clients' socket was bound by this process
+	gather     *gatherer
+	frontEnded chan error  // the front's, if it ends by itself
+	serving    atomic.Bool // the clients' listener is served
 }
 
 // serve is the command serve: it returns nil once the daemon has shut down by a signal.
@@ -74,7 +74,7 @@
 	if err := s.start(); err != nil {
 		return err
 	}
-	if s.order.came() { // no client's connection was accepted
+	if s.termination.wasReceived() { // no client's connection was accepted
 		s.log.Info("stopped before serving")
 		return nil
 	}
@@ -83,11 +83,11 @@
 	}
 	go s.reloadOnHangup()
 	select {
-	case err := <-s.ended:
+	case err := <-s.frontEnded:
 		return &transport.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
-	case <-s.order.asked:
+	case <-s.termination.received:
 	}
-	s.shutDown()
+	s.terminate()
 	return nil
 }
 
@@ -95,11 +95,11 @@
 func newService(flags *cli.Context) *service {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
-	s := &service{flags: flags, log: log, hangup: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	s := &service{flags: flags, log: log, hangup: make(chan os.Signal, 1), frontEnded: make(chan error, 1)}
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(s.hangup, syscall.SIGHUP)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
-	s.order = awaitTermination(terminate, time.Now(), log)
+	s.termination = awaitTermination(terminate, time.Now(), log)
 	return s
 }
 
@@ -117,7 +117,7 @@
 	for _, step := range []func() error{
 		s.readConfig,
 		s.openSite,
-		s.startBlocks,
+		s.startISCSI,
 		s.startCore,
 		s.watchList,
 		s.openAdmin,
@@ -134,14 +134,14 @@
 	if s.conf, err = loadConfig(s.flags); err != nil {
 		return err
 	}
-	s.known, err = knownList(s.conf)
+	s.cachedList, err = decodeCachedList(s.conf)
 	if err != nil {
 		s.log.WithFields(operr.Fields(err)).Warn("cached endpoint list not readable, starting without it")
 	}
-	for _, bad := range s.known.BadEntries {
+	for _, bad := range s.cachedList.BadEntries {
 		s.log.WithFields(operr.Fields(bad)).Warn("entry of the cached endpoint list ignored")
 	}
-	for _, bad := range s.known.BadAddresses {
+	for _, bad := range s.cachedList.BadAddresses {
 		s.log.WithFields(operr.Fields(bad)).Warn("address of the cached endpoint list ignored")
 	}
 	return nil
@@ -157,16 +157,16 @@
 	return nil
 }
 
-// startBlocks starts the iSCSI front, if its file is named, and divides the other descriptors between clients and nodes.
-func (s *service) startBlocks() (err error) {
+// startISCSI starts the iSCSI front, if its file is named, and divides the other descriptors between clients and nodes.
+func (s *service) startISCSI() (err error) {
 	all := descriptorLimit(s.conf.Sockets)
 	unreserved := max(all-reservedDescriptors, 2)
 	if file := s.flags.String("iscsi"); file != "" {
-		if s.blocks, err = startBlocks(file, s.conf, s.site, s.log); err != nil {
+		if s.iscsi, err = startISCSI(file, s.conf, s.site, s.log); err != nil {
 			return err
 		}
-		s.onClose(s.blocks.core.Stop)
-		unreserved -= s.blocks.sockets
+		s.onClose(s.iscsi.core.Stop)
+		unreserved -= s.iscsi.sockets
 	}
 	s.clientConns = clientConns(unreserved, all)
 	s.nodeConns = max(1, unreserved-s.clientConns)
@@ -175,15 +175,15 @@
 
 // startCore starts the core with what it asks and reports to, and gives it the known list.
 func (s *service) startCore() (err error) {
-	kept, excluded := keptExclusions(s.conf.Name, s.log)
-	if s.starter, err = newStarter(s.site.held.Start, s.conf, s.known.Nodes, s.log); err != nil {
+	kept, excluded := loadExclusions(s.conf.Name, s.log)
+	if s.starter, err = newStarter(s.site.current.Start, s.conf, s.cachedList.Nodes, s.log); err != nil {
 		return err
 	}
-	if s.fleet, err = startFleet(s.site.held, s.conf, s.starter, s.log); err != nil {
+	if s.fleet, err = startFleet(s.site.current, s.conf, s.starter, s.log); err != nil {
 		return err
 	}
 	s.onClose(s.fleet.stop)
-	s.fleet.count(s.site.meter)
+	s.fleet.registerMetrics(s.site.meter)
 	if s.core, err = core.New(s.coreOptions(excluded)); err != nil {
 		return config.Refused(err)
 	}
@@ -191,11 +191,11 @@
 	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
 	s.fleet.setCore(s.core)
 	if !s.starter.run(s.core) {
-		s.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes})
+		s.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes})
 	}
-	s.fleet.takeNews(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes, Index: s.known.Index})
+	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Index: s.cachedList.Index})
 	s.onClose(s.starter.stop) // before the core's: it asks the core for a last snapshot
-	s.starter.askPeers(s.fleet)
+	s.starter.requestSnapshot(s.fleet)
 	return nil
 }
 
@@ -204,8 +204,8 @@
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
 		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
-		Safe:           safeClasses(s.conf.Settings),
+		Wait:           connqueue.Wait(s.conf.Handshake, minLatencyObjective(s.conf.Settings)),
+		Safe:           idempotentClasses(s.conf.Settings),
 		Routes:         s.site.routes,
 		Log:            s.log,
 	}
@@ -215,8 +215,8 @@
 		Connect:  dialer.Connect,
 		Log:      s.log,
 		Excluded: excluded,
-		Observe:  s.fleet.observe(),
-		Start:    s.starter.gate(),
+		Observe:  s.fleet.observer(),
+		Start:    s.starter.limiter(),
 	}
 }
 
@@ -225,43 +225,43 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.onClose(cancel)
 	s.ctx = ctx
-	s.listAsked = time.Now()
+	s.watchStarted = time.Now()
 	s.watcher = &discovery.Watcher{
 		Address:     s.conf.Discovery,
-		Index:       s.known.Index,
-		Known:       s.known.Nodes,
-		OnNews:      s.takeNews,
+		Index:       s.cachedList.Index,
+		Known:       s.cachedList.Nodes,
+		OnNews:      s.updateList,
 		Log:         s.log,
-		Clock:       listClock(s.conf),
-		Pace:        s.starter.pace(),
-		OnUnchanged: s.starter.quiet,
+		Clock:       watchTimerSettings(s.conf),
+		Pace:        s.starter.watchPace(),
+		OnUnchanged: s.starter.listUnchanged,
 	}
 	go s.watcher.Run(ctx)
 	go s.exclusions.watch(ctx)
 	return nil
 }
 
-// takeNews passes the watcher's news of the node list on. It returns once the core has them.
-func (s *service) takeNews(news core.ListUpdate) {
-	if !s.starter.list(news) {
+// updateList passes the watcher's news of the node list on. It returns once the core has them.
+func (s *service) updateList(news core.ListUpdate) {
+	if !s.starter.updateList(news) {
 		s.core.List(news)
 	}
-	s.fleet.takeNews(news)
+	s.fleet.updateList(news)
 	if news.Kind == policy.ListReceived || news.Kind == policy.ListChanged {
-		s.listed.Store(true)
+		s.listReceived.Store(true)
 	}
 }
 
-// ready is the readiness probe: the clients' socket is served, and discovery has answered or was waited for
+// isReady is the readiness probe: the clients' socket is served, and discovery has answered or was waited for
 // long enough. With the section start the starter decides instead of the second condition.
 func (s *service) ready() bool {
-	return s.serving.Load() && s.starter.ready(s.listed.Load() || time.Since(s.listAsked) > listWait)
+	return s.serving.Load() && s.starter.isReady(s.listReceived.Load() || time.Since(s.watchStarted) > maxListWait)
 }
 
 // openAdmin starts the admin endpoint, if the configuration names its address.
 func (s *service) openAdmin() error {
 	admin := &admin.AdminEndpoint{
-		Estimate: estimates(s.site.held.Estimate, s.conf, s.fleet.views()),
+		Estimate: estimates(s.site.current.Estimate, s.conf, s.fleet.views()),
 		Ready:    s.ready,
 		Counts:   s.core.Counts().Read,
 		Log:      s.log,
@@ -287,7 +287,7 @@
 	}
 }
 
-// open serves the clients' socket.
+// openConnections serves the clients' socket.
 func (s *service) open() error {
 	ln, err := clientListener(s.conf, s.log)
 	if err != nil {
@@ -299,16 +299,16 @@
 	}
 	s.front = httpfront.NewServer(s.core, s.conf.Settings, s.clientConns, s.log)
 	s.front.Bodies = semaphore.NewWeighted(bodyMemory(s.conf))
-	if s.gathered, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
+	if s.gather, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
 		return err
 	}
-	go func() { s.ended <- s.front.Serve(ln, s.clientConns) }()
+	go func() { s.frontEnded <- s.front.Serve(ln, s.clientConns) }()
 	s.socket.run(s.core, s.front)
 	s.serving.Store(true)
 	s.log.WithFields(logrus.Fields{
 		"name":       s.conf.Name,
 		"address":    s.conf.Listen,
-		"nodes":      len(s.known.Nodes),
+		"nodes":      len(s.cachedList.Nodes),
 		"version":    version,
 		"list_mode":  s.conf.ListMode,
 		"list_price": s.conf.ListPrice,
@@ -319,7 +319,7 @@
 // reloadOnHangup reads the files again at each SIGHUP until the service ends. It goes on during the shutdown: open
 // requests still need the node list.
 func (s *service) reloadOnHangup() {
-	retune := s.starter.retune(s.core)
+	retune := s.starter.reconfigure(s.core)
 	for current := s.conf; ; {
 		select {
 		case <-s.hangup:
@@ -327,29 +327,29 @@
 			s.core.Counts().CountReload(taken)
 			current = next
 			s.site.reload()
-			s.gathered.reload(s.site.held, current)
-			s.blocks.reload(s.conf, s.log)
+			s.gather.reload(s.site.current, current)
+			s.iscsi.reload(s.conf, s.log)
 		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// shutDown goes from the signal to the last answer. The process is not ready any more: another is to serve.
-func (s *service) shutDown() {
+// terminate goes from the signal to the last answer. The process is not ready any more: another is to serve.
+func (s *service) terminate() {
 	s.serving.Store(false)
-	stop := newShutdown(s.order.sent, s.core.Settings().Settings)
+	stop := newShutdown(s.termination.sentAt, s.core.Settings().Settings)
 	stop.core = s.core
 	stop.front = s.front
-	stop.blocks = s.blocks
+	stop.iscsi = s.iscsi
 	stop.socket = s.socket
 	stop.fleet = s.fleet
 	stop.log = s.log
 	stop.run()
 }
 
-// listClock is how the list is asked for, by the settings.
-func listClock(conf *config.Config) watchtimer.Settings {
+// watchTimerSettings is how the list is asked for, by the settings.
+func watchTimerSettings(conf *config.Config) watchtimer.Settings {
 	set := conf.Settings
 	return watchtimer.Settings{
 		Pushed:         !set.PollsEndpointList,
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -16,7 +16,7 @@
 )
 
 // When a signal was sent, by when the process ran. Times are in ms.
-func TestStallGauge(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	origin := time.Now()
 	at := func(ms int) time.Time { return origin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, x := range []struct {
@@ -32,36 +32,36 @@
 		{"it stood still again at once", []int{100, 900, 1300}, 1301, 100},
 		{"it stood still again later", []int{100, 900, 1000, 1400}, 1401, 1000},
 	} {
-		g := stallGauge{beat: origin}
+		g := stallDetector{lastHeartbeat: origin}
 		for _, ms := range x.ran {
-			g.ran(at(ms))
+			g.heartbeat(at(ms))
 		}
-		if got := g.sent(at(x.came)); !got.Equal(at(x.sent)) {
+		if got := g.signalSentAt(at(x.came)); !got.Equal(at(x.sent)) {
 			t.Errorf("%s: sent at %v, want %d ms", x.what, got.Sub(origin), x.sent)
 		}
 	}
 }
 
 // A process that stood still before its goroutine for the signal first ran was told to end then, too.
-func TestToldToEndBeforeTheFirstBeat(t *testing.T) {
+func TestTerminationBeforeTheFirstHeartbeat(t *testing.T) {
 	signals := make(chan os.Signal, 1)
 	signals <- syscall.SIGTERM
 	log, _ := logtest.NewNullLogger()
 	started := time.Now().Add(-time.Second)
 	order := awaitTermination(signals, started, log)
-	<-order.asked
-	if !order.sent.Equal(started) {
-		t.Errorf("sent %v after the start, a stall covers all of that", order.sent.Sub(started))
+	<-order.received
+	if !order.sentAt.Equal(started) {
+		t.Errorf("sent %v after the start, a stall covers all of that", order.sentAt.Sub(started))
 	}
 }
 
 // A process that is told to end while it stands still ends by the time of the signal, not by the time at which it runs
 // again: SIGKILL comes by the former.
-func TestToldToEndWhileStopped(t *testing.T) {
+func TestTerminationWhileStopped(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	d.up()
 	idle := d.dial()
-	d.ask(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+	d.request(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	d.signal(syscall.SIGSTOP)
 	d.status(`^State:\sT`)
 	d.signal(syscall.SIGTERM)
@@ -71,7 +71,7 @@
 	}
 	stood := time.Since(sent)
 	d.signal(syscall.SIGCONT)
-	line := d.says("termination signal received", 1)
+	line := d.awaitLog("termination signal received", 1)
 	var before time.Duration
 	if m := regexp.MustCompile(`delay_ms=(\d+)`).FindStringSubmatch(line); m != nil {
 		before, _ = time.ParseDuration(m[1] + "ms")
@@ -86,14 +86,14 @@
 }
 
 // SIGTERM while the configuration is being read: the program ends with exit 0 and has let nobody in.
-func TestToldToEndDuringStart(t *testing.T) {
+func TestTerminationDuringStart(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	text := d.text()
 	d.pipe()
 	d.start()
 	file := d.reads()
 	d.signal(syscall.SIGTERM)
-	d.says("termination signal received", 1)
+	d.awaitLog("termination signal received", 1)
 	_, err := io.WriteString(file, text)
 	d.must(err)
 	d.must(file.Close())
@@ -104,7 +104,7 @@
 }
 
 // SIGTERM, and again, while a reload is under way: the program serves on and ends with exit 0 beside it.
-func TestToldToEndDuringReload(t *testing.T) {
+func TestTerminationDuringReload(t *testing.T) {
 	node := storageNode(t)
 	close(node.release)
 	d := daemonOf(t, conf{node: node.address, deadline: 2000})
@@ -115,12 +115,12 @@
 	file := d.reads()
 	defer file.Close()
 	d.signal(syscall.SIGTERM)
-	d.says("msg=stopping ", 1)
+	d.awaitLog("msg=stopping ", 1)
 	for range 3 {
 		d.signal(syscall.SIGTERM)
 		d.status(`^ShdPnd:\s0+$`)
 	}
-	d.ask(c, read, 200)
+	d.request(c, read, 200)
 	c.Close()
 	d.exits()
 }
@@ -133,7 +133,7 @@
 	d.up()
 	put := strings.Replace(read, "GET", "PUT", 1)
 	fresh, rests, head, body, chunks := d.dial(), d.dial(), d.dial(), d.dial(), d.dial()
-	d.ask(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+	d.request(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	for c, text := range map[client]string{
 		head:   read[:len(read)/2],
 		body:   strings.Replace(put, "\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nhalf", 1),
@@ -143,7 +143,7 @@
 		d.must(err)
 	}
 	d.signal(syscall.SIGTERM)
-	d.says("msg=stopping ", 1)
+	d.awaitLog("msg=stopping ", 1)
 	d.signal(syscall.SIGTERM)
 	for name, c := range map[string]client{"fresh": fresh, "rests": rests} {
 		if _, err := c.in.ReadByte(); err != io.EOF {
@@ -174,7 +174,7 @@
 	d.edit([2]string{`"repeat":"safe"`, `"repeat":"unsafe"`}) // else it is called off and tried again
 	d.up()
 	waits, rests := d.dial(), d.dial()
-	d.ask(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+	d.request(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	_, err := io.WriteString(waits, read)
 	d.must(err)
 	<-node.came
@@ -204,9 +204,9 @@
 	d.up()
 	d.edit([2]string{`"deadline":300`, `"deadline":1100`})
 	d.signal(syscall.SIGHUP)
-	d.says("configuration reloaded", 1)
+	d.awaitLog("configuration reloaded", 1)
 	d.signal(syscall.SIGTERM)
-	if line := d.says("msg=stopping ", 1); !strings.HasSuffix(line, " grace_ms=1800") {
+	if line := d.awaitLog("msg=stopping ", 1); !strings.HasSuffix(line, " grace_ms=1800") {
 		t.Error(line)
 	}
 	d.exits()
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -19,16 +19,16 @@
 // site is the site's file while the daemon runs: what the installation has beyond the platform. Without the file all of
 // it is off.
 type site struct {
-	file   string
-	held   *config.Site // as last read
-	routes *httpfront.Routes
-	blocks *iscsi.Dialer  // nil: no iSCSI front
-	meter  *metrics.Meter // nil: no counts but the admin endpoint's
-	log    logrus.FieldLogger
+	file    string
+	current *config.Site // as last read
+	routes  *httpfront.Routes
+	iscsi   *iscsi.Dialer  // nil: no iSCSI front
+	meter   *metrics.Meter // nil: no counts but the admin endpoint's
+	log     logrus.FieldLogger
 }
 
 func openSite(c *cli.Context, seed int64, log logrus.FieldLogger) (*site, error) {
-	s := &site{file: c.String("site"), held: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
+	s := &site{file: c.String("site"), current: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
 	if s.file == "" {
 		return s, nil
 	}
@@ -36,14 +36,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s.held = held
+	s.current = held
 	s.apply()
 	return s, s.serveMetrics()
 }
 
 // serveMetrics serves the section metrics. Other parts register their counts at s.meter, which may be nil.
 func (s *site) serveMetrics() error {
-	set := s.held.Metrics
+	set := s.current.Metrics
 	if set == nil {
 		return nil
 	}
@@ -59,13 +59,13 @@
 
 // apply sets the nodes' address rules of the file as read.
 func (s *site) apply() {
-	set := s.held.Addresses
+	set := s.current.Addresses
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
 	s.routes.Set(httpfront.RouteSettings{Book: set.Book, Identity: set.Identity})
-	if s.blocks != nil {
-		s.blocks.Addresses(set.Book)
+	if s.iscsi != nil {
+		s.iscsi.Addresses(set.Book)
 	}
 }
 
@@ -89,15 +89,15 @@
 		s.log.WithFields(operr.Fields(err)).Error("reload of the site's file failed, the previous one remains in effect")
 		return
 	}
-	changed := keepUntilRestart(&next.Listen, s.held.Listen, "listen", nil)
-	changed = keepUntilRestart(&next.Metrics, s.held.Metrics, "metrics", changed)
-	changed = keepUntilRestart(&next.Peers, s.held.Peers, "peers", changed)
-	changed = keepUntilRestart(&next.Estimate, s.held.Estimate, "estimate", changed)
-	changed = keepUntilRestart(&next.Start, s.held.Start, "start", changed)
+	changed := keepUntilRestart(&next.Listen, s.current.Listen, "listen", nil)
+	changed = keepUntilRestart(&next.Metrics, s.current.Metrics, "metrics", changed)
+	changed = keepUntilRestart(&next.Peers, s.current.Peers, "peers", changed)
+	changed = keepUntilRestart(&next.Estimate, s.current.Estimate, "estimate", changed)
+	changed = keepUntilRestart(&next.Start, s.current.Start, "start", changed)
 	for _, key := range changed {
 		s.log.WithFields(operr.Fields(&config.RestartError{Keys: key})).WithField("keys", key).Warn("changed keys need a restart")
 	}
-	s.held = next
+	s.current = next
 	s.apply()
 	s.log.Info("site's file reloaded")
 }
@@ -105,7 +105,7 @@
 // listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
 func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
 	all := []net.Listener{gate.Listener(first)}
-	for i, l := range s.held.Listen[front] {
+	for i, l := range s.current.Listen[front] {
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
 			for _, open := range all {
--- a/cmd/wheatsaddle/start.go
+++ b/cmd/wheatsaddle/starter.go
@@ -28,34 +28,34 @@
 // actor calls in here. Messages to the core keep the order in which they were decided: one goroutine
 // sends them, and ends when none is left.
 type starter struct {
-	core       startCore
-	log        logrus.FieldLogger
-	path       string // of the snapshot; "": none is kept
-	listPriced bool
-	knownNodes []core.Node // of the configuration's list
-	began      time.Time
-	listDue    chan struct{}      // discovery is to be asked
-	stopping   chan struct{}      // closed by stop
-	written    chan struct{}      // closed after the last snapshot
-	finished   atomic.Bool        // the start is over
-	saidReady  atomic.Bool        // the state machine said Ready
-	cancelAsk  context.CancelFunc // of the request for a peer's snapshot; nil: none was made
+	core          startCore
+	log           logrus.FieldLogger
+	path          string // of the snapshot; "": none is kept
+	listPriced    bool
+	cachedNodes   []core.Node // of the configuration's list
+	startedAt     time.Time
+	listDue       chan struct{}      // discovery is to be asked
+	stopping      chan struct{}      // closed by stop
+	snapshotsDone chan struct{}      // closed after the last snapshot
+	finished      atomic.Bool        // the start is over
+	reportedReady atomic.Bool        // the state machine said Ready
+	cancelRequest context.CancelFunc // of the request for a peer's snapshot; nil: none was made
 
 	// The clock, which a test may replace.
 	now    func() time.Duration // since began
 	wakeAt func(at time.Duration)
 
-	mu           sync.Mutex // of all below
-	machine      *coldstart.Startup
-	listHeard    bool                          // the list's first news are on their way to the core
-	learned      policy.Learned                // what the snapshot holds of the classes
-	learnedNodes map[string]policy.LearnedNode // the snapshot's, by id; nil: there is no snapshot
-	listedSince  map[string]float64            // a node's start as the list gives it, Unix ms
-	guessedSince float64                       // the start that the known nodes were given, Unix ms
-	timer        *time.Timer                   // of the next Tick; nil: none was asked for yet
-	stopped      bool
-	toCore       []func(startCore) // messages not sent yet; bounded by what one start decides
-	sending      bool              // a goroutine runs send
+	mu               sync.Mutex // of all below
+	machine          *coldstart.Startup
+	listReceived     bool                          // the list's first news are on their way to the core
+	learned          policy.Learned                // what the snapshot holds of the classes
+	learnedNodes     map[string]policy.LearnedNode // the snapshot's, by id; nil: there is no snapshot
+	listedStartTimes map[string]float64            // a node's start as the list gives it, Unix ms
+	assumedStart     float64                       // the start that the known nodes were given, Unix ms
+	timer            *time.Timer                   // of the next Tick; nil: none was asked for yet
+	stopped          bool
+	queue            []func(startCore) // messages not sent yet; bounded by what one start decides
+	sending          bool              // a goroutine runs send
 }
 
 // startCore is what the starter tells the core: core.Core, or a test's actor.
@@ -80,7 +80,7 @@
 		SlowStartUnits:        conf.Settings.SlowStartUnits,
 		OverloadWindow:        milliseconds(conf.Settings.OverloadWindow),
 		SlowStartDuration:     milliseconds(conf.Settings.SlowStartDuration),
-		LatencyObjective:      shortestAim(conf.Settings),
+		LatencyObjective:      minLatencyObjective(conf.Settings),
 		MaxRetryAfter:         milliseconds(conf.Settings.MaxRetryAfter),
 		Preconnects:           set.Ahead,
 		MayCheckHealth:        conf.Settings.MayCheckHealth,
@@ -89,18 +89,18 @@
 		return nil, err
 	}
 	s := &starter{
-		log:         log,
-		path:        set.Snapshot,
-		listPriced:  set.ListPriced,
-		knownNodes:  known,
-		began:       time.Now(),
-		listDue:     make(chan struct{}, 1),
-		stopping:    make(chan struct{}),
-		written:     make(chan struct{}),
-		machine:     machine,
-		listedSince: map[string]float64{},
-	}
-	s.now = func() time.Duration { return time.Since(s.began) }
+		log:              log,
+		path:             set.Snapshot,
+		listPriced:       set.ListPriced,
+		cachedNodes:      known,
+		startedAt:        time.Now(),
+		listDue:          make(chan struct{}, 1),
+		stopping:         make(chan struct{}),
+		snapshotsDone:    make(chan struct{}),
+		machine:          machine,
+		listedStartTimes: map[string]float64{},
+	}
+	s.now = func() time.Duration { return time.Since(s.startedAt) }
 	s.wakeAt = s.setTimer
 	return s, nil
 }
@@ -113,13 +113,13 @@
 	return set
 }
 
-// retune gives new settings to the core as the first ones were given.
-func (s *starter) retune(co *core.Core) func(policy.Settings) error {
+// reconfigure gives new settings to the core as the first ones were given.
+func (s *starter) reconfigure(co *core.Core) func(policy.Settings) error {
 	return func(set policy.Settings) error { return co.Reconfigure(s.settings(set)) }
 }
 
-// gate is what core asks before each attempt; nil without the section.
-func (s *starter) gate() core.StartLimiter {
+// limiter is what core asks before each attempt; nil without the section.
+func (s *starter) limiter() core.StartLimiter {
 	if s == nil {
 		return nil
 	}
@@ -133,18 +133,18 @@
 	}
 	s.core = co
 	co.List(core.ListUpdate{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
-	begun := coldstart.Started{CachedList: s.machineNodes(s.knownNodes)}
+	begun := coldstart.Started{CachedList: s.machineNodes(s.cachedNodes)}
 	if s.path != "" {
 		snap, err := snapshot.Read(s.path, time.Now())
 		switch {
 		case err == nil:
-			begun.Snapshot = s.recall(snap)
+			begun.Snapshot = s.loadSnapshot(snap)
 		case !errors.Is(err, fs.ErrNotExist):
 			s.log.WithFields(operr.Fields(err)).Warn("snapshot not readable, starting without it")
 		}
 	}
 	s.step(begun)
-	sync.Go(s.keepSnapshot)
+	sync.Go(s.writeSnapshots)
 	return true
 }
 
@@ -153,7 +153,7 @@
 	for _, listed := range list {
 		n := coldstart.Node{ID: listed.ID, StartTime: listed.StartTime}
 		if listed.StartTime > 0 {
-			n.StartedAt = time.UnixMilli(int64(listed.StartTime)).Sub(s.began)
+			n.StartedAt = time.UnixMilli(int64(listed.StartTime)).Sub(s.startedAt)
 		}
 		nodes = append(nodes, n)
 	}
@@ -179,9 +179,9 @@
 		case coldstart.RequestList:
 			sync.TrySend(s.listDue, struct{}{}) // a full channel says the same
 		case coldstart.UseCachedList:
-			s.useKnownNodes()
+			s.useCachedNodes()
 		case coldstart.LiftColdLimit:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedSince[a.Node], AssumedStart: s.guessedSince})
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedStartTimes[a.Node], AssumedStart: s.assumedStart})
 		case coldstart.Restore:
 			if n, ok := s.learnedNodes[a.Node]; ok {
 				recall.Nodes = append(recall.Nodes, n)
@@ -191,7 +191,7 @@
 		case coldstart.CheckHealth:
 			s.enqueue(func(c startCore) { c.CheckHealth(a.Node) })
 		case coldstart.ReportReady:
-			s.saidReady.Store(true)
+			s.reportedReady.Store(true)
 		case coldstart.Reject:
 			retry, refused = a.RetryAfter, true
 		case coldstart.SetTimer:
@@ -206,19 +206,19 @@
 	return retry, refused
 }
 
-// useKnownNodes gives the core the known nodes as if each had just started; with s.mu held.
-func (s *starter) useKnownNodes() {
-	s.guessedSince = float64(time.Now().UnixMilli())
-	guessed := slices.Clone(s.knownNodes)
+// useCachedNodes gives the core the known nodes as if each had just started; with s.mu held.
+func (s *starter) useCachedNodes() {
+	s.assumedStart = float64(time.Now().UnixMilli())
+	guessed := slices.Clone(s.cachedNodes)
 	for i := range guessed {
-		guessed[i].StartTime = s.guessedSince
+		guessed[i].StartTime = s.assumedStart
 	}
 	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })
 }
 
 // setTimer sets the timer of the next Tick; with s.mu held.
 func (s *starter) setTimer(at time.Duration) {
-	wait := time.Until(s.began.Add(at))
+	wait := time.Until(s.startedAt.Add(at))
 	if s.timer == nil {
 		s.timer = time.AfterFunc(wait, func() { s.step(coldstart.TimerFired{}) })
 	} else {
@@ -228,8 +228,8 @@
 
 // enqueue appends a message to the core; with s.mu held.
 func (s *starter) enqueue(message func(startCore)) {
-	sync.Writes(&s.toCore)
-	if s.toCore = append(s.toCore, message); !s.sending {
+	sync.Writes(&s.queue)
+	if s.queue = append(s.queue, message); !s.sending {
 		s.sending = true
 		sync.Go(s.send)
 	}
@@ -239,14 +239,14 @@
 func (s *starter) send() {
 	for {
 		s.mu.Lock()
-		sync.Writes(&s.toCore)
-		if len(s.toCore) == 0 {
-			s.toCore, s.sending = nil, false
+		sync.Writes(&s.queue)
+		if len(s.queue) == 0 {
+			s.queue, s.sending = nil, false
 			s.mu.Unlock()
 			return
 		}
-		message := s.toCore[0]
-		s.toCore = s.toCore[1:]
+		message := s.queue[0]
+		s.queue = s.queue[1:]
 		s.mu.Unlock()
 		message(s.core)
 	}
@@ -278,28 +278,28 @@
 	}
 }
 
-// list passes news of the node list on, and returns once the core has them; false: the section is off.
-func (s *starter) list(news core.ListUpdate) bool {
+// updateList passes news of the node list on, and returns once the core has them; false: the section is off.
+func (s *starter) updateList(news core.ListUpdate) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
-	if s.listHeard && !s.sending {
+	if s.listReceived && !s.sending {
 		s.mu.Unlock()
 		s.core.List(news)
 		return true
 	}
-	first := !s.listHeard && (news.Kind == policy.ListReceived || news.Kind == policy.ListChanged)
+	first := !s.listReceived && (news.Kind == policy.ListReceived || news.Kind == policy.ListChanged)
 	if first {
-		s.listHeard = true
-		news.Nodes = s.withKnownNodes(news)
+		s.listReceived = true
+		news.Nodes = s.withCachedNodes(news)
 	}
 	delivered := make(chan struct{})
 	s.enqueue(func(c startCore) { c.List(news); sync.Close(delivered) })
 	if first {
 		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeRemoved })
 		for _, n := range present {
-			s.listedSince[n.ID] = n.StartTime
+			s.listedStartTimes[n.ID] = n.StartTime
 		}
 		s.stepLocked(coldstart.ListReceived{Nodes: s.machineNodes(present)})
 	}
@@ -308,9 +308,9 @@
 	return true
 }
 
-// withKnownNodes are the nodes of the first news. A change adds the known nodes that it does not name: the core
+// withCachedNodes are the nodes of the first news. A change adds the known nodes that it does not name: the core
 // has them with a guessed start or not at all.
-func (s *starter) withKnownNodes(news core.ListUpdate) []core.Node {
+func (s *starter) withCachedNodes(news core.ListUpdate) []core.Node {
 	nodes := slices.Clone(news.Nodes)
 	if news.Kind != policy.ListChanged {
 		return nodes
@@ -319,7 +319,7 @@
 	for _, n := range nodes {
 		named[n.ID] = true
 	}
-	for _, n := range s.knownNodes {
+	for _, n := range s.cachedNodes {
 		if !named[n.ID] {
 			nodes = append(nodes, n)
 		}
@@ -327,21 +327,21 @@
 	return nodes
 }
 
-// quiet takes it that discovery has no change since the known list: as first news, that list is confirmed.
-func (s *starter) quiet() {
+// listUnchanged takes it that discovery has no change since the known list: as first news, that list is confirmed.
+func (s *starter) listUnchanged() {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
-	first := !s.listHeard && len(s.knownNodes) > 0
+	first := !s.listReceived && len(s.cachedNodes) > 0
 	s.mu.Unlock()
 	if first {
-		s.list(core.ListUpdate{Kind: policy.ListChanged})
+		s.updateList(core.ListUpdate{Kind: policy.ListChanged})
 	}
 }
 
-// pace is the pace of the list's watch until the list is heard; nil: the watch has its own.
-func (s *starter) pace() discovery.Pace {
+// watchPace is the pace of the list's watch until the list is heard; nil: the watch has its own.
+func (s *starter) watchPace() discovery.Pace {
 	if s == nil || !s.listPriced {
 		return nil
 	}
@@ -354,16 +354,16 @@
 // Missed implements discovery.Pace.
 func (s *starter) Missed() { s.step(coldstart.ListRequestFailed{}) }
 
-// ready is whether the state machine said so; without the section, what the caller would say.
-func (s *starter) ready(without bool) bool {
+// isReady is whether the state machine said so; without the section, what the caller would say.
+func (s *starter) isReady(without bool) bool {
 	if s == nil {
 		return without
 	}
-	return s.saidReady.Load()
+	return s.reportedReady.Load()
 }
 
-// peersSaid tells the state machine the nodes' starts as the other processes observed them.
-func (s *starter) peersSaid(now time.Duration, state *nodestats.State) {
+// addPeerReports tells the state machine the nodes' starts as the other processes observed them.
+func (s *starter) addPeerReports(now time.Duration, state *nodestats.State) {
 	if s == nil || s.Done() {
 		return
 	}
@@ -378,10 +378,10 @@
 		return
 	}
 	sync.Close(s.stopping)
-	if s.cancelAsk != nil {
-		s.cancelAsk()
+	if s.cancelRequest != nil {
+		s.cancelRequest()
 	}
-	sync.Recv(s.written)
+	sync.Recv(s.snapshotsDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true // a Tick that waits for s.mu does nothing any more
--- a/cmd/wheatsaddle/start_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -103,13 +103,13 @@
 					b.step(coldstart.TimerFired{})
 				}},
 				{Name: "main", Run: func() {
-					b.step(coldstart.Started{CachedList: b.machineNodes(b.knownNodes)})
-					sync.Go(b.keepSnapshot)
-					b.list(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
+					b.step(coldstart.Started{CachedList: b.machineNodes(b.cachedNodes)})
+					sync.Go(b.writeSnapshots)
+					b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
 					if !c.listed {
 						il.Fail("the list's word is not with the core")
 					}
-					if !b.ready(false) {
+					if !b.isReady(false) {
 						il.Fail("the list is back, and ready is not said")
 					}
 					b.stop()
@@ -121,7 +121,7 @@
 				if h, l := c.at("held"), c.at("list"); l >= 0 && h > l {
 					return fmt.Errorf("the core took %v", c.took)
 				}
-				switch ready := b.ready(false); {
+				switch ready := b.isReady(false); {
 				case said && !ready:
 					return errors.New("ready was taken back")
 				case ready && b.machine.Phase() < coldstart.ListKnown && passed == 0:
@@ -132,22 +132,22 @@
 				return nil
 			},
 			Check: func() error {
-				if b.sending || len(b.toCore) > 0 {
-					return fmt.Errorf("%d are not sent", len(b.toCore))
+				if b.sending || len(b.queue) > 0 {
+					return fmt.Errorf("%d are not sent", len(b.queue))
 				}
 				return nil
 			},
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "start.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
-		mutant.Mutant{File: "start.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
+		mutant.Mutant{File: "starter.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
+		mutant.Mutant{File: "starter.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
 			New: "	sync.Go(func() { s.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })", Want: "the core took "},
-		mutant.Mutant{File: "start.go", Old: "		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n		s.mu.Unlock()\n",
-			New: "		s.mu.Unlock()\n		sync.Writes(&s.toCore)\n		message := s.toCore[0]\n		s.toCore = s.toCore[1:]\n", Want: "data race: "},
-		mutant.Mutant{File: "start.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
-		mutant.Mutant{File: "start.go", Old: "			s.saidReady.Store(true)", New: "			sync.Go(func() { s.saidReady.Store(true) })", Want: "the list is back, and ready is not said"},
-		mutant.Mutant{File: "start.go", Old: "	s.finished.Store(s.machine.Phase() == coldstart.Serving)", New: "	s.saidReady.Store(true)\n	s.finished.Store(s.machine.Phase() == coldstart.Serving)",
+		mutant.Mutant{File: "starter.go", Old: "		message := s.queue[0]\n		s.queue = s.queue[1:]\n		s.mu.Unlock()\n",
+			New: "		s.mu.Unlock()\n		sync.Writes(&s.queue)\n		message := s.queue[0]\n		s.queue = s.queue[1:]\n", Want: "data race: "},
+		mutant.Mutant{File: "starter.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
+		mutant.Mutant{File: "starter.go", Old: "			s.reportedReady.Store(true)", New: "			sync.Go(func() { s.reportedReady.Store(true) })", Want: "the list is back, and ready is not said"},
+		mutant.Mutant{File: "starter.go", Old: "	s.finished.Store(s.machine.Phase() == coldstart.Serving)", New: "	s.reportedReady.Store(true)\n	s.finished.Store(s.machine.Phase() == coldstart.Serving)",
 			Want: "ready before the list was heard"},
 	)
 }
--- a/cmd/wheatsaddle/start_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.gate(),
+	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.limiter(),
 		Connect: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
 	if err != nil {
 		t.Fatal(err)
@@ -82,10 +82,10 @@
 
 // A start with the section on asks the list, serves what it has heard, keeps what it learned, and the
 // next start has it again; off, there is none of it.
-func TestStartKeepsWhatItLearned(t *testing.T) {
+func TestStartRestoresTheSnapshot(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListMost: 40, Ahead: 1}
-	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.gate() != nil || b.run(nil) || !b.ready(true) || b.pace() != nil {
+	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPace() != nil {
 		t.Fatal("without the section there is a start")
 	}
 	life := func(do func(*starter, *core.Core, chan string)) {
@@ -93,10 +93,10 @@
 		t.Run("life", func(t *testing.T) {
 			b, co, ahead := begun(t, set, log, startNode)
 			<-b.Due() // the list may be asked for
-			if b.ready(true) {
+			if b.isReady(true) {
 				t.Error("ready before the list")
 			}
-			if !b.list(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}) || !b.ready(false) {
+			if !b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}) || !b.isReady(false) {
 				t.Error("not ready with the list")
 			}
 			do(b, co, ahead)
@@ -137,27 +137,27 @@
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
 	b, co, _ := begun(t, set, log)
 	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: listClock(startConf()), Pace: counted{b.pace(), &missed}, OnUnchanged: b.quiet,
-		OnNews: func(n core.ListUpdate) { b.list(n) }}
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: watchTimerSettings(startConf()), Pace: counted{b.watchPace(), &missed}, OnUnchanged: b.listUnchanged,
+		OnNews: func(n core.ListUpdate) { b.updateList(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
 	t.Cleanup(func() { <-ended })
 	for missed.Load() < 2 { // less than a second apart, where the clock alone would wait for longer
 		runtime.Gosched()
 	}
-	b.quiet()
-	if b.ready(true) {
+	b.listUnchanged()
+	if b.isReady(true) {
 		t.Error("ready with no list")
 	}
 	s.Put(fakediscovery.Entry{Name: "s", Address: "127.0.0.1:1", Status: fakediscovery.Active, Weight: 1})
 	s.Set(fakediscovery.Fault{})
-	for !b.ready(false) {
+	for !b.isReady(false) {
 		runtime.Gosched()
 	}
 	served(t, co)
 
 	next, co, _ := begun(t, set, log, startNode)
-	if next.quiet(); !next.ready(false) {
+	if next.listUnchanged(); !next.isReady(false) {
 		t.Error("the list held does not hold")
 	}
 	served(t, co)
@@ -178,7 +178,7 @@
 // A process that starts without a snapshot has what another learned, once the list says that the node's
 // start is the same; what cannot be read is counted, and the next is asked. Another that starts hands
 // nothing over.
-func TestPeerHandsOver(t *testing.T) {
+func TestSnapshotFromAPeer(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
 	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Every: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
@@ -188,17 +188,17 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(f.stop)
-		site.Peers.Seeds = append(site.Peers.Seeds, f.peers.Address())
+		site.Peers.Seeds = append(site.Peers.Seeds, f.cluster.Address())
 		return f
 	}
 	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}
 	old, co, _ := begun(t, set, log)
-	old.list(list)
+	old.updateList(list)
 	served(t, co)
 	for old.snapshot() == nil {
 		runtime.Gosched()
 	}
-	if len(old.give()(gossip.LearnedSnapshot)) > 0 {
+	if len(old.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
 		t.Error("handed over while it starts")
 	}
 	old.finished.Store(true)
@@ -213,17 +213,17 @@
 	for life, met := 0, false; !met; life++ { // until one of them asked the liar first
 		b, co, ahead := begun(t, set, log)
 		f := join(fmt.Sprint("new-", life), b)
-		for f.peers.Counts().Members < 3 {
+		for f.cluster.Counts().Members < 3 {
 			runtime.Gosched()
 		}
-		b.askPeers(f)
-		b.list(list)
+		b.requestSnapshot(f)
+		b.updateList(list)
 		if s := <-ahead; s != "connect s" {
 			t.Errorf("ahead of need: %s", s)
 		}
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() { // nothing was sent
 		}
-		n := f.peers.Counts()
+		n := f.cluster.Counts()
 		if met = n.SnapshotsInvalid > 0; n.SnapshotsReceived != 1 {
 			t.Fatalf("%+v", n)
 		}
@@ -233,7 +233,7 @@
 }
 
 // What the other processes say of a node's start reaches the start: of a later one it is not opened ahead.
-func TestPeersWordOfAStart(t *testing.T) {
+func TestNodeStartsReportedByPeers(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 0.1, Ahead: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
 	slot := func(id string) time.Duration { return coldstart.Slot(time.Second, "connect", "n0", id) }
@@ -254,7 +254,7 @@
 	s.SetNodeHealth(0, first, 6, nodestats.Health{})
 	s.SetNodeHealth(0, last, 5, nodestats.Health{})
 	b, _, ahead := begun(t, set, log, node("a", 0), node("b", 1))
-	b.peersSaid(0, s)
+	b.addPeerReports(0, s)
 	if got := <-ahead; got != "connect "+last {
 		t.Errorf("ahead of need: %s, want %s alone", got, last)
 	}
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startersnapshot.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	snapshotInterval = 5 * time.Second  // between snapshots; one more is written at the stop
-	askPeersFor      = 10 * time.Second // longest request for a peer's snapshot
+	snapshotInterval       = 5 * time.Second  // between snapshots; one more is written at the stop
+	snapshotRequestTimeout = 10 * time.Second // longest request for a peer's snapshot
 )
 
-// recall keeps what a snapshot holds, and returns its nodes for the state machine.
-func (s *starter) recall(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
+// loadSnapshot keeps what a snapshot holds, and returns its nodes for the state machine.
+func (s *starter) loadSnapshot(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
 	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
 		nodes = append(nodes, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
@@ -35,32 +35,32 @@
 	return nodes
 }
 
-// askPeers requests a snapshot from the other processes, where this one has none.
-func (s *starter) askPeers(others *fleet) {
+// requestSnapshot requests a snapshot from the other processes, where this one has none.
+func (s *starter) requestSnapshot(others *fleet) {
 	if s == nil || others == nil || s.learnedNodes != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askPeersFor)
-	s.cancelAsk = cancel
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotRequestTimeout)
+	s.cancelRequest = cancel
 	go func() {
 		defer cancel()
-		others.peers.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.takeSnapshot)
+		others.cluster.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.acceptSnapshot)
 	}()
 }
 
-// takeSnapshot takes a peer's snapshot; an error: it cannot be read.
-func (s *starter) takeSnapshot(text []byte) error {
+// acceptSnapshot takes a peer's snapshot; an error: it cannot be read.
+func (s *starter) acceptSnapshot(text []byte) error {
 	snap, err := snapshot.Parse("of a peer", text)
 	if err != nil {
 		return err
 	}
-	s.step(coldstart.SnapshotReceived{Snapshot: s.recall(snap)})
+	s.step(coldstart.SnapshotReceived{Snapshot: s.loadSnapshot(snap)})
 	return nil
 }
 
-// give answers a peer's request for a snapshot, once the start is over: before, this process knows less than
+// snapshotProvider answers a peer's request for a snapshot, once the start is over: before, this process knows less than
 // others. nil: the section is off.
-func (s *starter) give() func(gossip.SnapshotKind) []byte {
+func (s *starter) snapshotProvider() func(gossip.SnapshotKind) []byte {
 	if s == nil {
 		return nil
 	}
@@ -81,10 +81,10 @@
 	}
 }
 
-// keepSnapshot writes the snapshot at each interval and at the stop, but not before the start is over: until then
+// writeSnapshots writes the snapshot at each interval and at the stop, but not before the start is over: until then
 // the file holds more.
-func (s *starter) keepSnapshot() {
-	defer sync.Close(s.written)
+func (s *starter) writeSnapshots() {
+	defer sync.Close(s.snapshotsDone)
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	for done := false; !done; {
--- a/cmd/wheatsaddle/termination.go
+++ b/cmd/wheatsaddle/termination.go
@@ -14,44 +14,44 @@
 	heartbeatSlack = 25 * time.Millisecond
 )
 
-// stallGauge tells when a signal was sent, at the earliest. The system delivers no signal to a stalled process (stopped,
+// stallDetector tells when a signal was sent, at the earliest. The system delivers no signal to a stalled process (stopped,
 // or without a processor): one that arrives right after a stall may have been sent at its start.
 //
 // It reads no clock: the caller passes the time.
-type stallGauge struct {
-	beat          time.Time // when the process last noted that it runs
-	stalled, woke time.Time // start and end of the last stall
+type stallDetector struct {
+	lastHeartbeat        time.Time // when the process last noted that it runs
+	stallStart, stallEnd time.Time // start and end of the last stall
 }
 
-// ran notes that the process runs; it is called each heartbeatInterval.
-func (g *stallGauge) ran(now time.Time) {
-	if now.Sub(g.beat) > heartbeatInterval+heartbeatSlack {
-		if !g.justWoke(g.beat) { // two stalls in a row count as one
-			g.stalled = g.beat
+// heartbeat notes that the process runs; it is called each heartbeatInterval.
+func (g *stallDetector) heartbeat(now time.Time) {
+	if now.Sub(g.lastHeartbeat) > heartbeatInterval+heartbeatSlack {
+		if !g.isRightAfterStall(g.lastHeartbeat) { // two stalls in a row count as one
+			g.stallStart = g.lastHeartbeat
 		}
-		g.woke = now
+		g.stallEnd = now
 	}
-	g.beat = now
+	g.lastHeartbeat = now
 }
 
-// justWoke says whether a stall ended within a heartbeatInterval before at.
-func (g *stallGauge) justWoke(at time.Time) bool {
-	return !g.woke.IsZero() && at.Sub(g.woke) < heartbeatInterval
+// isRightAfterStall says whether a stall ended within a heartbeatInterval before at.
+func (g *stallDetector) isRightAfterStall(at time.Time) bool {
+	return !g.stallEnd.IsZero() && at.Sub(g.stallEnd) < heartbeatInterval
 }
 
-// sent is the earliest time at which a signal that arrives now was sent.
-func (g *stallGauge) sent(now time.Time) time.Time {
-	g.ran(now)
-	if g.justWoke(now) {
-		return g.stalled
+// signalSentAt is the earliest time at which a signal that arrives now was sent.
+func (g *stallDetector) signalSentAt(now time.Time) time.Time {
+	g.heartbeat(now)
+	if g.isRightAfterStall(now) {
+		return g.stallStart
 	}
 	return now
 }
 
 // termination is the signal to end, noted when it arrives whatever the process does then.
 type termination struct {
-	asked chan struct{} // closed when the signal has arrived
-	sent  time.Time     // at the earliest; valid once asked is closed
+	received chan struct{} // closed when the signal has arrived
+	sentAt   time.Time     // at the earliest; valid once asked is closed
 }
 
 // awaitTermination notes the first of the signals. Further ones have no effect, and must not end the process: they stay in
@@ -59,20 +59,20 @@
 //
 // Stalls count from started on, not from when the goroutine first runs: one may come before.
 func awaitTermination(signals <-chan os.Signal, started time.Time, log logrus.FieldLogger) *termination {
-	t := &termination{asked: make(chan struct{})}
-	gauge := stallGauge{beat: started}
+	t := &termination{received: make(chan struct{})}
+	gauge := stallDetector{lastHeartbeat: started}
 	go func() {
-		defer close(t.asked)
+		defer close(t.received)
 		beat := time.NewTicker(heartbeatInterval)
 		defer beat.Stop()
 		for {
 			select {
 			case <-beat.C:
-				gauge.ran(time.Now())
+				gauge.heartbeat(time.Now())
 			case <-signals:
 				now := time.Now()
-				t.sent = gauge.sent(now)
-				log.WithField("delay_ms", now.Sub(t.sent).Round(time.Millisecond).Milliseconds()).Info("termination signal received")
+				t.sentAt = gauge.signalSentAt(now)
+				log.WithField("delay_ms", now.Sub(t.sentAt).Round(time.Millisecond).Milliseconds()).Info("termination signal received")
 				return
 			}
 		}
@@ -80,10 +80,10 @@
 	return t
 }
 
-// came says whether the signal has arrived.
-func (t *termination) came() bool {
+// wasReceived says whether the signal has arrived.
+func (t *termination) wasReceived() bool {
 	select {
-	case <-t.asked:
+	case <-t.received:
 		return true
 	default:
 		return false
