--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -12,44 +12,59 @@
 	"wheatsaddle/policy"
 )
 
-// reload reads the platform's file again. It returns the configuration that applies from now on, and whether the file was
-// accepted. The file is checked whole before any of it applies; a bad one changes nothing. New settings go to retune
-// first, which applies them whole or not at all: nothing else of the file may be refused after that.
-func reload(ctx context.Context, held *config.Config, env func(string) string, move func(context.Context, string) bool,
-	log logrus.FieldLogger, retune func(policy.Settings) error) (*config.Config, bool) {
-	conf, err := rereadConfig(held, env)
-	if err != nil {
-		log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
-		return held, false
+// reloader applies a changed configuration file to the running daemon.
+type reloader struct {
+	env         func(string) string
+	move        func(ctx context.Context, discovery string) bool // directs the watch; false: ctx has ended
+	reconfigure func(policy.Settings) error                      // applies all settings or none
+	log         logrus.FieldLogger
+}
+
+// reload reads the configuration again. It returns the configuration that applies from now on, and whether the file was
+// accepted. The file is checked as a whole before any of it applies; an invalid one changes nothing. New settings
+// are applied first: nothing else of the file can be rejected after that.
+func (r *reloader) reload(ctx context.Context, current *config.Config) (*config.Config, bool) {
+	loaded, err := rereadConfig(current, r.env)
+	next := *current
+	if err == nil {
+		err = r.applySettings(&next, loaded)
 	}
-	next := *held
-	if !reflect.DeepEqual(held.Settings, conf.Settings) {
-		if err := config.Refused(retune(conf.Settings)); err != nil {
-			log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
-			return held, false
-		}
-		next.Settings = conf.Settings
-		log.WithFields(logrus.Fields{"classes": classNames(conf.Settings), "max_attempts": conf.Settings.MaxAttempts}).Info("settings applied")
+	if err != nil {
+		r.log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
+		return current, false
 	}
-	if changed := strings.Join(restartKeys(held, conf), " "); changed != "" {
-		log.WithFields(operr.Fields(&config.RestartError{Keys: changed})).WithField("keys", changed).Warn("changed keys need a restart")
+	if changed := strings.Join(restartKeys(current, loaded), " "); changed != "" {
+		r.log.WithFields(operr.Fields(&config.RestartError{Keys: changed})).WithField("keys", changed).Warn("changed keys need a restart")
 	}
-	next.Discovery, next.Cores, next.MemoryMB = conf.Discovery, conf.Cores, conf.MemoryMB
-	if !move(ctx, next.Discovery) { // the service ends
+	next.Discovery, next.Cores, next.MemoryMB = loaded.Discovery, loaded.Cores, loaded.MemoryMB
+	if !r.move(ctx, next.Discovery) { // the service ends
 		return &next, true
 	}
 	applyLimits(&next)
-	log.WithFields(logrus.Fields{"discovery": next.Discovery, "cores": next.Cores, "memory_mb": next.MemoryMB}).Info("configuration reloaded")
+	r.log.WithFields(logrus.Fields{"discovery": next.Discovery, "cores": next.Cores, "memory_mb": next.MemoryMB}).Info("configuration reloaded")
 	return &next, true
 }
 
-// rereadConfig reads and checks the platform's file as a whole.
-func rereadConfig(held *config.Config, env func(string) string) (*config.Config, error) {
+// applySettings applies the settings if they have changed, and notes them in next.
+func (r *reloader) applySettings(next, loaded *config.Config) error {
+	if reflect.DeepEqual(next.Settings, loaded.Settings) {
+		return nil
+	}
+	if err := config.Refused(r.reconfigure(loaded.Settings)); err != nil {
+		return err
+	}
+	next.Settings = loaded.Settings
+	r.log.WithFields(logrus.Fields{"classes": classNames(loaded.Settings), "max_attempts": loaded.Settings.MaxAttempts}).Info("settings applied")
+	return nil
+}
+
+// rereadConfig reads the configuration and checks it as a whole.
+func rereadConfig(current *config.Config, env func(string) string) (*config.Config, error) {
 	conf, err := config.Reload(env)
 	if err != nil {
 		return nil, err
 	}
-	if err := config.Missing(held, conf); err != nil {
+	if err := config.Missing(current, conf); err != nil {
 		return nil, err
 	}
 	if _, err := decodeCachedList(conf); err != nil {
@@ -70,21 +85,23 @@
 	return strings.Join(all, " ")
 }
 
-// restartKeys names the changed keys that only a restart applies. The seed and the known list count at the start alone and
-// are left out.
-func restartKeys(held, conf *config.Config) (keys []string) {
-	for _, k := range []struct {
+// restartKeys names the changed keys that only a restart applies. The seed and the cached endpoint list count only at the
+// start and are left out.
+func restartKeys(current, loaded *config.Config) (keys []string) {
+	for _, key := range []struct {
 		name     string
 		old, new any
 	}{
-		{"name", held.Name, conf.Name}, {"listen", held.Listen, conf.Listen}, {"limits.sockets", held.Sockets, conf.Sockets},
-		{"settings.membership-mode", held.ListMode, conf.ListMode},
-		{"settings.rules.ask-within", held.Settings.PollWithin, conf.Settings.PollWithin}, // the watch of the list keeps the first
-		{"settings.prices.handshake", held.Handshake, conf.Handshake},
-		{"settings.ceilings", []any{held.ConnIdle, held.ConnectTimeout, held.MaxOpen}, []any{conf.ConnIdle, conf.ConnectTimeout, conf.MaxOpen}},
+		{"name", current.Name, loaded.Name},
+		{"listen", current.Listen, loaded.Listen},
+		{"limits.sockets", current.Sockets, loaded.Sockets},
+		{"settings.membership-mode", current.ListMode, loaded.ListMode},
+		{"settings.rules.ask-within", current.Settings.PollWithin, loaded.Settings.PollWithin}, // the watch keeps its first value
+		{"settings.prices.handshake", current.Handshake, loaded.Handshake},
+		{"settings.ceilings", []any{current.ConnIdle, current.ConnectTimeout, current.MaxOpen}, []any{loaded.ConnIdle, loaded.ConnectTimeout, loaded.MaxOpen}},
 	} {
-		if !reflect.DeepEqual(k.old, k.new) {
-			keys = append(keys, k.name)
+		if !reflect.DeepEqual(key.old, key.new) {
+			keys = append(keys, key.name)
 		}
 	}
 	return keys
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// After SIGTERM.
-	minAcceptDuration  = 200 * time.Millisecond // clients may still open connections, at the least
-	maxAcceptDuration  = 450 * time.Millisecond // ... and at the most
-	killDelay          = 700 * time.Millisecond // SIGKILL comes, with the longest deadline added
-	maxCountedDeadline = 3 * time.Second        // that deadline counts as this at the most
+	// Times after SIGTERM.
+	minAcceptDuration  = 200 * time.Millisecond // clients may still open connections, at least
+	maxAcceptDuration  = 450 * time.Millisecond // clients may still open connections, at most
+	killDelay          = 700 * time.Millisecond // until SIGKILL, to which the longest deadline is added
+	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
 
-	// Before SIGKILL.
+	// Times before SIGKILL.
 	closeMargin  = 400 * time.Millisecond // connections close between requests
-	answerMargin = 200 * time.Millisecond // open requests are answered
+	answerMargin = 200 * time.Millisecond // open requests get their final answers
 	exitMargin   = 100 * time.Millisecond // the process exits
 
-	connectionPollInterval = 20 * time.Millisecond // between looks at the open connections
+	connectionPollInterval = 20 * time.Millisecond // between checks of the open connections
 )
 
-// gracePeriod is the least time from SIGTERM to SIGKILL, by the classes' deadlines.
+// gracePeriod is the least time from SIGTERM to SIGKILL, which follows from the deadlines of the classes.
 func gracePeriod(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range set.Classes {
@@ -35,10 +35,10 @@
 	return min(longest, maxCountedDeadline) + killDelay
 }
 
-// shutdown takes the process from SIGTERM to its exit: accept, serve, drain, finish. All times count from the signal.
+// shutdown takes the process from SIGTERM to its exit, in the steps of run. All times count from the signal.
 type shutdown struct {
-	signalSentAt time.Time // the signal, at the earliest
-	killAt       time.Time // SIGKILL, at the earliest
+	signalSentAt time.Time // at the earliest
+	killAt       time.Time // when SIGKILL comes, at the earliest
 	core         *core.Core
 	front        *httpfront.Server
 	iscsi        *iscsiFront
@@ -47,14 +47,14 @@
 	log          logrus.FieldLogger
 }
 
-// newShutdown takes the grace from the settings that count when the signal is taken, which may not be those of the start.
-func newShutdown(sent time.Time, set policy.Settings) *shutdown {
-	return &shutdown{signalSentAt: sent, killAt: sent.Add(gracePeriod(set))}
+// newShutdown computes the grace period from the settings at the signal, which may not be those of the start.
+func newShutdown(signalSentAt time.Time, set policy.Settings) *shutdown {
+	return &shutdown{signalSentAt: signalSentAt, killAt: signalSentAt.Add(gracePeriod(set))}
 }
 
 func (s *shutdown) run() {
 	s.log.WithField("grace_ms", s.killAt.Sub(s.signalSentAt).Milliseconds()).Info("stopping")
-	go s.fleet.stop() // beside the rest: it takes time that the end does not have
+	go s.fleet.stop() // in parallel: it may take longer than the end of the shutdown has
 	s.acceptLonger()
 	end, stop := context.WithDeadline(context.Background(), s.killAt.Add(-exitMargin))
 	defer stop()
@@ -70,7 +70,8 @@
 	s.log.Info("stopped")
 }
 
-// acceptLonger accepts connections a little longer. A passed socket is the next process's at once.
+// acceptLonger still accepts connections for a while, since clients learn of the shutdown late. A passed socket is released
+// to the next process at once.
 func (s *shutdown) acceptLonger() {
 	if s.socket != nil {
 		return
@@ -81,7 +82,7 @@
 	time.Sleep(time.Until(s.signalSentAt.Add(maxAcceptDuration)))
 }
 
-// serve serves on the open connections: clients use them while they are open, and until the process is back nobody
+// serve serves the open connections: clients use them while they are open, and until another process has started nobody
 // else serves these clients.
 func (s *shutdown) serve() {
 	s.socket.handOver(s.killAt.Add(-closeMargin))
@@ -94,7 +95,7 @@
 	s.pollUntil(answerMargin, s.closeIdle)
 }
 
-// finish answers the open requests, refuses new ones, and waits until the answers are written.
+// finish answers the open requests, rejects new ones, and waits until the answers are written.
 func (s *shutdown) finish() {
 	if s.closeIdle() == 0 {
 		return
@@ -106,12 +107,12 @@
 	})
 }
 
-// closeIdle closes the connections between requests, and returns how many are open.
+// closeIdle closes the connections without a request, and returns how many remain open.
 func (s *shutdown) closeIdle() int { return s.front.Sweep(0) }
 
-// pollUntil polls until no connection is open or SIGKILL is as near as before. It polls once at least.
-func (s *shutdown) pollUntil(before time.Duration, open func() int) {
-	for open() > 0 && time.Until(s.killAt) > before {
+// pollUntil polls until no connection is open or the time to SIGKILL is at most margin. It polls at least once.
+func (s *shutdown) pollUntil(margin time.Duration, openConnections func() int) {
+	for openConnections() > 0 && time.Until(s.killAt) > margin {
 		time.Sleep(connectionPollInterval)
 	}
 }
--- /dev/null
+++ b/cmd/wheatsaddle/startup.go
@@ -0,0 +1,233 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sync/semaphore"
+
+	"wheatsaddle/internal/admin"
+	"wheatsaddle/internal/config"
+	"wheatsaddle/internal/connqueue"
+	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/discovery"
+	"wheatsaddle/internal/discovery/watchtimer"
+	"wheatsaddle/internal/exclusion"
+	"wheatsaddle/internal/httpfront"
+	"wheatsaddle/internal/operr"
+	"wheatsaddle/internal/transport"
+	"wheatsaddle/policy"
+)
+
+// readConfig loads the configuration. An invalid cached list does not prevent the start: discovery sends another.
+func (s *service) readConfig() (err error) {
+	if s.conf, err = loadConfig(s.flags); err != nil {
+		return err
+	}
+	s.cachedList, err = decodeCachedList(s.conf)
+	if err != nil {
+		s.log.WithFields(operr.Fields(err)).Warn("cached endpoint list not readable, starting without it")
+	}
+	for _, invalid := range s.cachedList.BadEntries {
+		s.log.WithFields(operr.Fields(invalid)).Warn("entry of the cached endpoint list ignored")
+	}
+	for _, invalid := range s.cachedList.BadAddresses {
+		s.log.WithFields(operr.Fields(invalid)).Warn("address of the cached endpoint list ignored")
+	}
+	return nil
+}
+
+// openSite reads the site's file, serves its metrics and applies the runtime's limits.
+func (s *service) openSite() (err error) {
+	if s.site, err = openSite(s.flags, s.conf.Seed, s.log); err != nil {
+		return err
+	}
+	s.onClose(func() { s.site.meter.Close() })
+	applyLimits(s.conf)
+	return nil
+}
+
+// startISCSI starts the iSCSI front, if its file is named, and divides the other descriptors between clients and nodes.
+func (s *service) startISCSI() (err error) {
+	all := descriptorLimit(s.conf.Sockets)
+	unreserved := max(all-reservedDescriptors, 2)
+	if file := s.flags.String("iscsi"); file != "" {
+		if s.iscsi, err = startISCSI(file, s.conf, s.site, s.log); err != nil {
+			return err
+		}
+		s.onClose(s.iscsi.core.Stop)
+		unreserved -= s.iscsi.sockets
+	}
+	s.clientConns = clientConns(unreserved, all)
+	s.nodeConns = max(1, unreserved-s.clientConns)
+	return nil
+}
+
+// startCore starts the core with what it calls and reports to, and passes it the cached list.
+func (s *service) startCore() (err error) {
+	exclusions, excluded := loadExclusions(s.conf.Name, s.log)
+	if s.starter, err = newStarter(s.site.current.Start, s.conf, s.cachedList.Nodes, s.log); err != nil {
+		return err
+	}
+	if s.fleet, err = startFleet(s.site.current, s.conf, s.starter, s.log); err != nil {
+		return err
+	}
+	s.onClose(s.fleet.stop)
+	s.fleet.registerMetrics(s.site.meter)
+	if s.core, err = core.New(s.coreOptions(excluded)); err != nil {
+		return config.Refused(err)
+	}
+	s.onClose(s.core.Stop)
+	s.exclusions = &exclusionKeeper{store: exclusions, core: s.core, log: s.log}
+	s.fleet.setCore(s.core)
+	if !s.starter.run(s.core) {
+		s.core.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes})
+	}
+	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Index: s.cachedList.Index})
+	s.onClose(s.starter.stop) // before the core stops: the last snapshot is the core's
+	s.starter.requestSnapshot(s.fleet)
+	return nil
+}
+
+func (s *service) coreOptions(excluded exclusion.State) core.Options {
+	dialer := &httpfront.Dialer{
+		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
+		ConnIdle:       milliseconds(s.conf.ConnIdle),
+		ConnsMost:      int64(s.nodeConns),
+		Wait:           connqueue.Wait(s.conf.Handshake, minLatencyObjective(s.conf.Settings)),
+		Safe:           idempotentClasses(s.conf.Settings),
+		Routes:         s.site.routes,
+		Log:            s.log,
+	}
+	return core.Options{
+		Settings: s.starter.settings(s.conf.Settings),
+		Seed:     s.conf.Seed,
+		Connect:  dialer.Connect,
+		Log:      s.log,
+		Excluded: excluded,
+		Observe:  s.fleet.observer(),
+		Start:    s.starter.limiter(),
+	}
+}
+
+// watchList starts the watches of the endpoint list and of the exclusions file. Both end before the core does.
+func (s *service) watchList() error {
+	ctx, cancel := context.WithCancel(context.Background())
+	s.onClose(cancel)
+	s.ctx = ctx
+	s.watchStarted = time.Now()
+	s.watcher = &discovery.Watcher{
+		Address:     s.conf.Discovery,
+		Index:       s.cachedList.Index,
+		Known:       s.cachedList.Nodes,
+		OnNews:      s.updateList,
+		Log:         s.log,
+		Clock:       watchTimerSettings(s.conf),
+		Pace:        s.starter.watchPace(),
+		OnUnchanged: s.starter.listUnchanged,
+	}
+	go s.watcher.Run(ctx)
+	go s.exclusions.watch(ctx)
+	return nil
+}
+
+// updateList passes an update of the endpoint list on. It returns when the core has it.
+func (s *service) updateList(update core.ListUpdate) {
+	if !s.starter.updateList(update) {
+		s.core.List(update)
+	}
+	s.fleet.updateList(update)
+	if update.Kind == policy.ListReceived || update.Kind == policy.ListChanged {
+		s.listReceived.Store(true)
+	}
+}
+
+// openAdmin starts the admin endpoint, if the configuration names its address.
+func (s *service) openAdmin() error {
+	endpoint := &admin.AdminEndpoint{
+		Estimate: estimates(s.site.current.Estimate, s.conf, s.fleet.views()),
+		Ready:    s.ready,
+		Counts:   s.core.Counts().Read,
+		Log:      s.log,
+		Exclude:  s.exclusions.exclude,
+		Include:  s.exclusions.include,
+	}
+	if s.conf.Operator != "" {
+		ln, err := transport.ListenTCP(s.conf.Operator)
+		if err != nil {
+			return fmt.Errorf("operator: %w", err)
+		}
+		go s.serveAdmin(endpoint, ln)
+		s.log.WithField("address", s.conf.Operator).Info("admin endpoint listening")
+	}
+	s.onClose(func() { _ = endpoint.Close() }) // nothing is left to do about its error
+	return nil
+}
+
+func (s *service) serveAdmin(endpoint *admin.AdminEndpoint, ln net.Listener) {
+	if err := endpoint.Serve(ln); err != nil {
+		ended := &transport.EndedError{Front: "admin endpoint", Address: s.conf.Operator, Err: err}
+		s.log.WithFields(operr.Fields(ended)).Error("admin endpoint failed")
+	}
+}
+
+// open serves the clients' socket.
+func (s *service) open() error {
+	ln, err := clientListener(s.conf, s.log)
+	if err != nil {
+		return err
+	}
+	s.socket = newPassedSocket(s.conf, ln, s.log)
+	if ln, err = s.site.listen("http", ln, s.socket.acceptGate()); err != nil {
+		return err
+	}
+	s.front = httpfront.NewServer(s.core, s.conf.Settings, s.clientConns, s.log)
+	s.front.Bodies = semaphore.NewWeighted(bodyMemory(s.conf))
+	if s.gather, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
+		return err
+	}
+	go func() { s.frontEnded <- s.front.Serve(ln, s.clientConns) }()
+	s.socket.run(s.core, s.front)
+	s.serving.Store(true)
+	s.log.WithFields(logrus.Fields{
+		"name":       s.conf.Name,
+		"address":    s.conf.Listen,
+		"nodes":      len(s.cachedList.Nodes),
+		"version":    version,
+		"list_mode":  s.conf.ListMode,
+		"list_price": s.conf.ListPrice,
+	}).Info("serving")
+	return nil
+}
+
+// watchTimerSettings are the times at which the endpoint list is requested.
+func watchTimerSettings(conf *config.Config) watchtimer.Settings {
+	set := conf.Settings
+	return watchtimer.Settings{
+		Pushed:         !set.PollsEndpointList,
+		Hosts:          set.Schedulers,
+		StalenessBound: milliseconds(set.PollWithin),
+		DrainGrace:     milliseconds(set.DrainGrace),
+		Seed:           uint64(conf.Seed),
+	}
+}
+
+// clientListener returns the clients' socket: the platform's if it passes one, else one that is bound here.
+func clientListener(conf *config.Config, log logrus.FieldLogger) (net.Listener, error) {
+	if conf.Passed == "" {
+		ln, err := transport.ListenTCP(conf.Listen)
+		if err != nil {
+			return nil, fmt.Errorf("listen: %w", err)
+		}
+		return ln, nil
+	}
+	ln, err := transport.Passed(conf.Passed)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	log.WithFields(logrus.Fields{"socket": conf.Passed, "address": ln.Addr().String()}).Info("listening on the passed socket")
+	return ln, nil
+}
--- a/cmd/wheatsaddle/termination.go
+++ b/cmd/wheatsaddle/termination.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	// heartbeatInterval is how often the process notes that it runs, until the termination signal.
+	// heartbeatInterval is the time between heartbeats, until the termination signal.
 	heartbeatInterval = 100 * time.Millisecond
-	// heartbeatSlack is how late a heartbeat may be before the process counts as having been stalled.
+	// heartbeatSlack is the lag of a heartbeat from which on the process counts as having been stalled.
 	heartbeatSlack = 25 * time.Millisecond
 )
 
-// stallDetector tells when a signal was sent, at the earliest. The system delivers no signal to a stalled process (stopped,
-// or without a processor): one that arrives right after a stall may have been sent at its start.
+// stallDetector computes the earliest time at which a signal was sent. The system delivers no signal to a stalled process
+// (stopped, or without a processor): one that arrives right after a stall may have been sent at its start.
 //
 // It reads no clock: the caller passes the time.
 type stallDetector struct {
-	lastHeartbeat        time.Time // when the process last noted that it runs
-	stallStart, stallEnd time.Time // start and end of the last stall
+	lastHeartbeat        time.Time
+	stallStart, stallEnd time.Time // of the last stall
 }
 
 // heartbeat notes that the process runs; it is called each heartbeatInterval.
-func (g *stallDetector) heartbeat(now time.Time) {
-	if now.Sub(g.lastHeartbeat) > heartbeatInterval+heartbeatSlack {
-		if !g.isRightAfterStall(g.lastHeartbeat) { // two stalls in a row count as one
-			g.stallStart = g.lastHeartbeat
+func (d *stallDetector) heartbeat(now time.Time) {
+	if now.Sub(d.lastHeartbeat) > heartbeatInterval+heartbeatSlack {
+		if !d.isRightAfterStall(d.lastHeartbeat) { // two stalls in a row count as one
+			d.stallStart = d.lastHeartbeat
 		}
-		g.stallEnd = now
+		d.stallEnd = now
 	}
-	g.lastHeartbeat = now
+	d.lastHeartbeat = now
 }
 
-// isRightAfterStall says whether a stall ended within a heartbeatInterval before at.
-func (g *stallDetector) isRightAfterStall(at time.Time) bool {
-	return !g.stallEnd.IsZero() && at.Sub(g.stallEnd) < heartbeatInterval
+// isRightAfterStall reports whether a stall ended within a heartbeatInterval before at.
+func (d *stallDetector) isRightAfterStall(at time.Time) bool {
+	return !d.stallEnd.IsZero() && at.Sub(d.stallEnd) < heartbeatInterval
 }
 
-// signalSentAt is the earliest time at which a signal that arrives now was sent.
-func (g *stallDetector) signalSentAt(now time.Time) time.Time {
-	g.heartbeat(now)
-	if g.isRightAfterStall(now) {
-		return g.stallStart
+// signalSentAt returns the earliest time at which a signal that arrives now was sent.
+func (d *stallDetector) signalSentAt(now time.Time) time.Time {
+	d.heartbeat(now)
+	if d.isRightAfterStall(now) {
+		return d.stallStart
 	}
 	return now
 }
 
-// termination is the signal to end, noted when it arrives whatever the process does then.
+// termination is the signal to terminate, noted when it arrives whatever the process does then.
 type termination struct {
-	received chan struct{} // closed when the signal has arrived
-	sentAt   time.Time     // at the earliest; valid once asked is closed
+	received chan struct{} // closed when the signal arrives
+	sentAt   time.Time     // at the earliest; valid once received is closed
 }
 
 // awaitTermination notes the first of the signals. Further ones have no effect, and must not end the process: they stay in
 // the channel or are dropped.
 //
-// Stalls count from started on, not from when the goroutine first runs: one may come before.
-func awaitTermination(signals <-chan os.Signal, started time.Time, log logrus.FieldLogger) *termination {
+// Stalls count from startedAt, not from when the goroutine first runs: the process may stall before that.
+func awaitTermination(signals <-chan os.Signal, startedAt time.Time, log logrus.FieldLogger) *termination {
 	t := &termination{received: make(chan struct{})}
-	gauge := stallDetector{lastHeartbeat: started}
+	stalls := stallDetector{lastHeartbeat: startedAt}
 	go func() {
 		defer close(t.received)
-		beat := time.NewTicker(heartbeatInterval)
-		defer beat.Stop()
+		ticker := time.NewTicker(heartbeatInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-beat.C:
-				gauge.heartbeat(time.Now())
+			case <-ticker.C:
+				stalls.heartbeat(time.Now())
 			case <-signals:
 				now := time.Now()
-				t.sentAt = gauge.signalSentAt(now)
+				t.sentAt = stalls.signalSentAt(now)
 				log.WithField("delay_ms", now.Sub(t.sentAt).Round(time.Millisecond).Milliseconds()).Info("termination signal received")
 				return
 			}
@@ -80,7 +80,7 @@
 	return t
 }
 
-// wasReceived says whether the signal has arrived.
+// wasReceived reports whether the signal has arrived.
 func (t *termination) wasReceived() bool {
 	select {
 	case <-t.received:
