--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/internal/discovery"
 )
 
-// loadConfig reads the file that the command's first argument names, or else what the environment names.
+// loadConfig reads the file that is the command's first argument, or else the one that the environment names.
 func loadConfig(flags *cli.Context) (*config.Config, error) {
 	if file := flags.Args().First(); file != "" {
 		return config.Load(singleVariableEnv("ROUTER_CONFIG", file))
@@ -18,7 +18,7 @@
 	return config.Load(os.Getenv)
 }
 
-// singleVariableEnv is an environment that has one variable.
+// singleVariableEnv is an environment with one variable.
 func singleVariableEnv(name, value string) func(string) string {
 	return func(key string) string {
 		if key == name {
@@ -28,45 +28,45 @@
 	}
 }
 
-// decodeCachedList decodes the node list of the configuration; it may be empty.
+// decodeCachedList decodes the endpoint list of the configuration, which may be empty.
 func decodeCachedList(conf *config.Config) (discovery.List, error) {
 	if len(conf.Known) == 0 {
 		return discovery.List{}, nil
 	}
-	known, err := discovery.Decode(conf.Known)
+	list, err := discovery.Decode(conf.Known)
 	if err != nil {
-		return known, fmt.Errorf("known: %w", err)
+		return list, fmt.Errorf("known: %w", err)
 	}
-	return known, nil
+	return list, nil
 }
 
-// checkConfig is the command check-config: it reads all files that serve would read and returns the first fault.
+// checkConfig is the command check-config: it reads all files that serve would read and returns the first error.
 func checkConfig(flags *cli.Context) error {
 	conf, err := loadConfig(flags)
 	if err != nil {
 		return err
 	}
-	known, err := decodeCachedList(conf)
+	cachedList, err := decodeCachedList(conf)
 	if err != nil {
 		return err
 	}
-	for _, bad := range append(known.BadEntries, known.BadAddresses...) {
-		return fmt.Errorf("known: %w", bad)
+	for _, invalid := range append(cachedList.BadEntries, cachedList.BadAddresses...) {
+		return fmt.Errorf("known: %w", invalid)
 	}
-	if err = checkSite(flags.String("site"), conf); err != nil {
+	if err := checkSite(flags.String("site"), conf); err != nil {
 		return err
 	}
 	if file := flags.String("iscsi"); file != "" {
-		if _, err = config.LoadISCSI(file, conf.Settings); err != nil {
+		if _, err := config.LoadISCSI(file, conf.Settings); err != nil {
 			return err
 		}
 	}
 	_, err = fmt.Fprintf(flags.App.Writer, "good: %d classes, %d plans, %d known nodes\n",
-		len(conf.Settings.Classes), len(conf.Settings.Plans), len(known.Nodes))
+		len(conf.Settings.Classes), len(conf.Settings.Plans), len(cachedList.Nodes))
 	return err
 }
 
-// checkSite reads the site's file, if one is named, and holds it against the configuration.
+// checkSite reads the site's file, if one is named, and checks it against the configuration.
 func checkSite(file string, conf *config.Config) error {
 	if file == "" {
 		return nil
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if err = checkPeers(at, conf.Settings); err != nil {
+	if err := checkPeers(at, conf.Settings); err != nil {
 		return err
 	}
 	return checkGather(at, conf)
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -10,14 +10,14 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// estimateLimit is the longest that an estimate computes: the admin endpoint answers within a second.
+// estimateLimit is the longest computation of an estimate: the admin endpoint answers within a second.
 const estimateLimit = 600 * time.Millisecond
 
-// viewSource returns the merged observations of the nodes, of all processes.
+// viewSource returns the merged node statistics of all processes.
 type viewSource func() []nodestats.View
 
-// estimates is the admin endpoint's call for estimates; nil: the site's file has no section estimate. Each call has an
-// estimator of its own: calls share no state with each other or with the data path.
+// estimates is the admin endpoint's handler of estimates; nil: the site's file has no section estimate. Each call has its own
+// estimator: calls share no state with each other or with the data path.
 func estimates(set *config.SiteEstimate, conf *config.Config, shared viewSource) *admin.Estimate {
 	if set == nil {
 		return nil
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -14,33 +14,33 @@
 	"wheatsaddle/internal/operr"
 )
 
-// exclusionPoll is the interval at which the exclusions' file in $TMPDIR is read for another process's change. A drain must
-// take effect within 250 ms.
+// exclusionPoll is the interval at which the exclusions file in $TMPDIR is checked for changes by other processes. A drain
+// must take effect within 250 ms.
 const exclusionPoll = 100 * time.Millisecond
 
-// exclusionKeeper keeps core's exclusions in step with their file, which all processes of the scheduler share.
-// It has no rule of its own.
+// exclusionKeeper synchronizes the exclusions of the core with their file, which all processes of the scheduler share. It
+// has no rule of its own.
 type exclusionKeeper struct {
-	mu    sync.Mutex // one change or reading at a time in this process; the file's lock orders processes
+	mu    sync.Mutex // one change or read at a time in this process; the file's lock orders processes
 	store *store.Store
 	core  *core.Core
 	log   logrus.FieldLogger
 }
 
-// loadExclusions reads the exclusions that the scheduler's last process stored. A bad file counts as none.
+// loadExclusions reads the exclusions that the last process of the scheduler stored. An unreadable file counts as empty.
 func loadExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
-	kept := store.InFolder(os.TempDir(), name)
-	state, err := kept.Read()
+	exclusions := store.InFolder(os.TempDir(), name)
+	state, err := exclusions.Read()
 	if err != nil {
 		log.WithFields(operr.Fields(err)).Warn("stored exclusions not readable, starting without them")
 	} else if len(state.Excluded) > 0 {
 		log.WithField("nodes", len(state.Excluded)).Info("stored exclusions restored")
 	}
-	return kept, state
+	return exclusions, state
 }
 
-// change runs an operator's call under the file's lock: the file is read, the call applied to core, the result written back.
-// Without the lock the exclusions of this process count.
+// change runs an operator's call under the file's lock: it reads the file, applies the call to the core and writes the result
+// back. Without the lock the exclusions of this process count.
 func (k *exclusionKeeper) change(id string, call func(string) (exclusion.State, error)) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/cmd/wheatsaddle/expectation.go
+++ b/cmd/wheatsaddle/expectation.go
@@ -9,10 +9,10 @@
 	"wheatsaddle/internal/cost"
 )
 
-const expectationLifetime = time.Second // an estimate is asked for again after this
+const expectationLifetime = time.Second // after which an estimate is computed again
 
-// expectation is how long a part of a gathered read is expected to take at each shard, by the estimator. Each class is
-// estimated at most once in an expectationLifetime.
+// expectation estimates how long a part of a gathered read takes at each shard. Each class is estimated at most once in an
+// expectationLifetime.
 type expectation struct {
 	views viewSource
 	set   cost.Settings
@@ -24,7 +24,7 @@
 
 type classExpectation struct {
 	made       time.Time
-	expectedMs map[int]float64 // milliseconds, by shard
+	expectedMs map[int]float64 // by shard
 }
 
 func newExpectation(est *config.SiteEstimate, conf *config.Config, shared viewSource) *expectation {
@@ -36,7 +36,8 @@
 	}
 }
 
-// of implements scatter.Service's Expect: milliseconds for each of the shards; nil where nothing is known.
+// of returns the expected milliseconds for each of the shards; nil: nothing is known. It is the Expect of a
+// scattergather.Service.
 func (x *expectation) of(class string, shards []int) []float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -55,7 +56,7 @@
 	return expected
 }
 
-// estimate is how long a read of each shard takes that the processes have observed; nil: there is no estimate.
+// estimate returns the expected milliseconds of a read by shard, from observed nodes; nil: there is no estimate.
 func (x *expectation) estimate(class string) map[int]float64 {
 	estimator, err := cost.New(x.set)
 	if err != nil {
@@ -63,8 +64,8 @@
 	}
 	observed := x.views()
 	estimator.Learn(observed)
-	takes, planned := map[int]float64{}, map[int]bool{}
-	var plans []cost.Plan // one a shard, named by its number
+	expectedMs, planned := map[int]float64{}, map[int]bool{}
+	var plans []cost.Plan // one for each shard, named by its number
 	for _, v := range observed {
 		if v.Shard < 0 || planned[v.Shard] || len(plans) == cost.PlansMost {
 			continue
@@ -80,8 +81,8 @@
 	for _, p := range result.Plans {
 		var shard int
 		if _, err := fmt.Sscan(p.Name, &shard); err == nil {
-			takes[shard] = p.P90
+			expectedMs[shard] = p.P90
 		}
 	}
-	return takes
+	return expectedMs
 }
--- a/cmd/wheatsaddle/fleet.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -21,33 +21,32 @@
 	"wheatsaddle/policy"
 )
 
-// statusTimeout is how long a gossip round waits for the core's report of its nodes.
+// statusTimeout is how long a gossip round waits for the node statuses of the core.
 const statusTimeout = 20 * time.Millisecond
 
-// fleet exchanges observations of the nodes with the other scheduler processes. nil: the site's file has no section
-// peers.
+// fleet exchanges node statistics with the other scheduler processes. nil: the site's file has no section peers.
 type fleet struct {
 	cluster     *gossip.Cluster
 	starter     *starter // nil: the site's file has no section start
-	slowStartMs float64  // ms after its start in which a node is cold
+	slowStartMs float64  // after its start, in which a node warms up
 	types       config.NodeTypes
-	maxNodes    int // nodes that are reported
+	maxNodes    int // whose statuses are requested
 
-	mu        sync.Mutex // of the fields below, but for reported
+	mu        sync.Mutex // guards the fields up to core
 	nodes     map[string]listedNode
-	listIndex int64 // version of the list; 0: there is none yet
+	listIndex int64 // version of the list; 0: none yet
 	versions  nodestats.ListSpread
-	core      *core.Core                 // nil: it does not run yet
-	statuses  map[string]core.NodeStatus // the core's last report, by node; the gossip goroutine's alone
+	core      *core.Core                 // nil: not started yet
+	statuses  map[string]core.NodeStatus // of the core, by node; used by the goroutine of the rounds alone
 }
 
-// listedNode is a node of the list, with the hardware type that the site's file gives it.
+// listedNode is a node of the endpoint list, with the hardware type that the site's file gives it.
 type listedNode struct {
 	policy.Node
 	hardware string
 }
 
-// checkPeers is an error where the site's file has the section peers and the platform forbids it.
+// checkPeers returns an error if the site's file has the section peers and the platform forbids it.
 func checkPeers(at *config.Site, set policy.Settings) error {
 	if at.Peers != nil && !set.MayGossip {
 		return &gossip.ForbiddenError{}
@@ -72,7 +71,7 @@
 	if at.Estimate != nil {
 		f.types = at.Estimate.Types
 	}
-	f.mu.Lock() // a round may call report before f.peers is set
+	f.mu.Lock() // a round may call addReports before f.cluster is set
 	defer f.mu.Unlock()
 	f.cluster, err = gossip.Start(gossip.Options{
 		Name:             conf.Name,
@@ -97,7 +96,7 @@
 	return f, nil
 }
 
-// viewSource are the merged observations of the nodes; nil: nothing is shared.
+// views returns the source of merged node statistics; nil: nothing is shared.
 func (f *fleet) views() viewSource {
 	if f == nil {
 		return nil
@@ -105,7 +104,7 @@
 	return f.cluster.Views
 }
 
-// members are the names of the processes that are known to be up; nil: nothing is shared.
+// members returns the source of the names of the processes that are known to be up; nil: nothing is shared.
 func (f *fleet) members() func() []string {
 	if f == nil {
 		return nil
@@ -113,7 +112,7 @@
 	return f.cluster.Members
 }
 
-// registerMetrics registers the counts of what is shared.
+// registerMetrics registers the counts of the gossip.
 func (f *fleet) registerMetrics(m *metrics.Meter) {
 	if f == nil {
 		return
@@ -145,14 +144,14 @@
 	})
 }
 
-// listSpread is which versions of the list the processes have, as of the last round.
+// listSpread is how the list versions of the processes differed in the last round.
 func (f *fleet) listSpread() nodestats.ListSpread {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.versions
 }
 
-// peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. No file: no key.
+// peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. Without a file there is no key.
 func peerKey(file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
@@ -171,7 +170,7 @@
 	return key, nil
 }
 
-// outcomeOf is what the end of an attempt says of its node; false: nothing, as where it was cancelled.
+// outcomeOf maps the status of an attempt to its outcome at the node; false: it has none, as when it was cancelled.
 func outcomeOf(s policy.Status) (nodestats.Outcome, bool) {
 	switch s {
 	case policy.OK:
@@ -186,7 +185,7 @@
 	return 0, false
 }
 
-// observer is what core calls at the end of each attempt; nil: nothing is shared.
+// observer is what the core calls at the end of each attempt; nil: nothing is shared.
 func (f *fleet) observer() func(string, int64, string, float64, float64, policy.Status) {
 	if f == nil {
 		return nil
@@ -198,20 +197,20 @@
 	}
 }
 
-// updateList keeps the node list for the next round.
-func (f *fleet) updateList(news core.ListUpdate) {
+// updateList stores an update of the endpoint list for the next round.
+func (f *fleet) updateList(update core.ListUpdate) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Kind == policy.ListReceived || news.Kind == policy.CachedListLoaded {
+	if update.Kind == policy.ListReceived || update.Kind == policy.CachedListLoaded {
 		clear(f.nodes)
 	}
-	if news.Index != 0 {
-		f.listIndex = news.Index
+	if update.Index != 0 {
+		f.listIndex = update.Index
 	}
-	for _, n := range news.Nodes {
+	for _, n := range update.Nodes {
 		if n.State == policy.NodeRemoved {
 			delete(f.nodes, n.ID)
 		} else {
@@ -220,7 +219,7 @@
 	}
 }
 
-// setCore sets the core, whose reports of the nodes are shared from then on.
+// setCore sets the core whose node statuses are shared from then on.
 func (f *fleet) setCore(co *core.Core) {
 	if f != nil {
 		f.mu.Lock()
@@ -229,15 +228,15 @@
 	}
 }
 
-// addReports puts the listed nodes and their health into the shared state, before each round. If the core does not report
-// in time, its last report counts. A report of an earlier run of a node does not count.
+// addReports adds the listed nodes and their health to the shared state, before each round. If the core does not answer in
+// time, its last statuses count. A status of an earlier run of a node does not count.
 func (f *fleet) addReports(now time.Duration, state *nodestats.State) {
 	f.starter.addPeerReports(now, state)
 	f.mu.Lock()
-	co, group := f.core, f.cluster
+	co, cluster := f.core, f.cluster
 	f.mu.Unlock()
 	f.refreshStatuses(co)
-	members := group.Members()
+	members := cluster.Members()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.listIndex != 0 {
@@ -246,16 +245,16 @@
 	f.versions = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
-		cold := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.slowStartMs
-		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: cold}
-		if at, ok := f.statuses[id]; ok && at.StartTime >= int64(n.StartTime) {
-			health.Window, health.Queue = at.Window, at.Queue
+		warmingUp := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.slowStartMs
+		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: warmingUp}
+		if status, ok := f.statuses[id]; ok && status.StartTime >= int64(n.StartTime) {
+			health.Window, health.Queue = status.Window, status.Queue
 		}
 		state.SetNodeHealth(now, n.ID, int64(n.StartTime), health)
 	}
 }
 
-// refreshStatuses renews the core's report of the nodes.
+// refreshStatuses requests the node statuses of the core.
 func (f *fleet) refreshStatuses(co *core.Core) {
 	if co == nil {
 		return
--- a/cmd/wheatsaddle/gather.go
+++ b/cmd/wheatsaddle/gather.go
@@ -11,21 +11,21 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// gatherer gives the front its service of gathered reads, and a new one when the site's file or the settings change.
+// gatherer sets the front's service of gathered reads, and a new one when the site's file or the settings change.
 type gatherer struct {
 	core    *core.Core
 	front   *httpfront.Server
 	views   viewSource      // nil: nothing is shared
 	members func() []string // names of the processes that are up; nil: nothing is shared
 	log     logrus.FieldLogger
-	reads   scattergather.Gate  // bounds the gathered reads at once
+	reads   scattergather.Gate  // limits concurrent gathered reads
 	tally   scattergather.Tally // counts of all trees
 
-	tree         scattergather.Grouper // nil: this process asks for each part itself
+	tree         scattergather.Grouper // nil: this process requests each part itself
 	treeSettings *config.SiteTree      // the settings of tree
 }
 
-// gatherRules are the section's rules by class, checked against the configuration.
+// gatherRules returns the section's rules by class, checked against the configuration.
 func gatherRules(set *config.SiteGather, conf *config.Config) (map[string]scattergather.Rules, error) {
 	if err := set.Check(conf.Settings, conf.MemoryMB); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return rules, nil
 }
 
-// apply turns gathered reads on as the section says, or off without it. An error changes nothing.
+// apply turns gathered reads on according to the section, or off without it. An error changes nothing.
 func (g *gatherer) apply(at *config.Site, conf *config.Config) error {
 	set := at.Gather
 	if set == nil {
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// reload applies a section that was read again. A bad one is logged, and the one before stays.
+// reload applies a section that was read again. If it is invalid, the error is logged and the previous one remains.
 func (g *gatherer) reload(at *config.Site, conf *config.Config) {
 	if err := g.apply(at, conf); err != nil {
 		g.log.WithFields(operr.Fields(err)).Error("reload of section gather failed, the previous one remains in effect")
 	}
 }
 
-// checkGather is what is wrong with the section, for check-config.
+// checkGather returns an error if the section is invalid, for check-config.
 func checkGather(at *config.Site, conf *config.Config) error {
 	if at.Gather == nil {
 		return nil
@@ -100,10 +100,13 @@
 	return err
 }
 
-func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, others *fleet) (*gatherer, error) {
-	g := &gatherer{core: co, front: front, views: others.views(), members: others.members(), log: at.log}
+func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, peers *fleet) (*gatherer, error) {
+	g := &gatherer{core: co, front: front, views: peers.views(), members: peers.members(), log: at.log}
 	g.registerMetrics(at.meter)
-	return g, g.apply(at.current, conf)
+	if err := g.apply(at.current, conf); err != nil {
+		return nil, err
+	}
+	return g, nil
 }
 
 // registerMetrics registers the counts of gathered reads.
--- a/cmd/wheatsaddle/gathertree.go
+++ b/cmd/wheatsaddle/gathertree.go
@@ -8,11 +8,11 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// maxRequestIDBytes is the longest request id, in bytes, that a process accepts of its clients; a peer is one.
+// maxRequestIDBytes is the longest request id that a process accepts of its clients, of which a peer is one.
 const maxRequestIDBytes = 128
 
-// openTree opens the tree of processes that share the parts of a read. The current tree stays, with what it knows of its
-// peers, while the settings stay. nil: the section names no other process, and this one asks for each part itself.
+// openTree opens the tree of processes that share the parts of a read. While its settings are unchanged, the current tree
+// stays with its state of the peers. nil: the section names no other process, and this one requests each part itself.
 func (g *gatherer) openTree(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
 	if err := checkGatherPeers(set, conf); err != nil || set == nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	if len(opt.Peers) == 0 {
 		return nil, nil
 	}
-	tree, err := scattergather.OpenTree(opt) // without reads a tree has no goroutine and no socket: the one before needs no close
+	tree, err := scattergather.OpenTree(opt) // a tree without reads has no goroutine and no socket: the previous one needs no close
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return tree, nil
 }
 
-// checkGatherPeers is an error where the platform forbids that processes ask each other.
+// checkGatherPeers returns an error if the platform forbids requests between processes.
 func checkGatherPeers(set *config.SiteTree, conf *config.Config) error {
 	if set != nil && !conf.Settings.MayGossip {
 		return &config.KeyError{File: "site", Key: "gather.peers", Says: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -17,16 +17,16 @@
 
 // handoverTimes are the intervals of a process whose clients' socket was passed to it.
 var handoverTimes = handover.Settings{
-	LockPollInterval: 5 * time.Millisecond,   // between tries for the lock
+	LockPollInterval: 5 * time.Millisecond,   // between attempts to lock
 	SweepInterval:    connectionPollInterval, // between sweeps of the connections
-	IdleTimeout:      500 * time.Millisecond, // idle time after which a sweep closes a connection
-	WarnAfter:        10 * time.Second,       // a wait for the lock that lasts so long is logged, once
+	IdleTimeout:      500 * time.Millisecond, // after which a sweep closes a connection
+	WarnAfter:        10 * time.Second,       // of waiting for the lock; logged once
 }
 
-const notifyTimeout = 200 * time.Millisecond // for the decision module's confirmation of the handover
+const notifyTimeout = 200 * time.Millisecond // for the policy's confirmation of the handover
 
-// passedSocket drives the handover of a passed clients' socket between processes: it feeds events to the state machine
-// handover.Book and carries out its actions. It has no rule of its own. nil: this process has bound the socket.
+// passedSocket drives the handover of a passed clients' socket between processes: it feeds events to handover.Machine and
+// carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
 	gate            *transport.Gate // holds accepts back
 	lock            *transport.Lock // held by the process that accepts
@@ -36,7 +36,7 @@
 	log             logrus.FieldLogger
 	startedAt       time.Time
 	openConnections int                // connections at the last sweep
-	termination     chan time.Duration // the time by which this process must be done, since began
+	termination     chan time.Duration // the deadline of the handover, since startedAt
 	done            chan struct{}
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// acceptGate holds accepts back; nil: nothing does.
+// acceptGate returns the gate that holds accepts back; nil: there is none.
 func (s *passedSocket) acceptGate() *transport.Gate {
 	if s == nil {
 		return nil
@@ -72,15 +72,15 @@
 	}
 }
 
-// handOver hands the socket to the next process, and returns when no connection is left or the time has come.
-func (s *passedSocket) handOver(by time.Time) {
+// handOver hands the socket to the next process. It returns when no connection is open or the deadline has come.
+func (s *passedSocket) handOver(deadline time.Time) {
 	if s != nil {
-		s.termination <- by.Sub(s.startedAt)
+		s.termination <- deadline.Sub(s.startedAt)
 		<-s.done
 	}
 }
 
-// loop ends when the state machine does.
+// loop feeds the state machine until it has ended.
 func (s *passedSocket) loop() {
 	defer close(s.done)
 	s.feed(handover.Event{Kind: handover.Started})
@@ -89,8 +89,8 @@
 	for !s.machine.Ended() {
 		timer.Reset(min(s.machine.Next()-s.now(), time.Hour))
 		select {
-		case by := <-s.termination:
-			s.feed(handover.Event{Kind: handover.TermReceived, Deadline: by})
+		case deadline := <-s.termination:
+			s.feed(handover.Event{Kind: handover.TermReceived, Deadline: deadline})
 		case <-timer.C:
 			s.feed(handover.Event{Kind: handover.TimerFired})
 		}
@@ -115,12 +115,12 @@
 	}
 	switch a.Kind {
 	case handover.TryLock:
-		had, err := s.lock.Try()
+		acquired, err := s.lock.Try()
 		switch {
 		case err != nil:
 			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("passed socket not locked, accepting connections without the lock")
 			return event(handover.LockUnavailable, 0)
-		case !had:
+		case !acquired:
 			return event(handover.LockBusy, 0)
 		}
 		return event(handover.LockAcquired, 0)
--- a/cmd/wheatsaddle/iscsi.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -14,14 +14,14 @@
 	"wheatsaddle/policy"
 )
 
-// iscsiFront is the iSCSI front. It has a core of its own, since its storage targets are no nodes of the platform: a new
+// iscsiFront is the iSCSI front. It has a core of its own, since its storage targets are not nodes of the platform: a new
 // object of the platform must never be placed on one. nil: the front is off.
 type iscsiFront struct {
 	file    string
 	dialer  *iscsi.Dialer
 	core    *core.Core
 	target  *iscsi.Target
-	sockets int // most descriptors that it holds
+	sockets int // maximum number of descriptors in use
 }
 
 // startISCSI reads the mapping file and serves the iSCSI front.
@@ -65,7 +65,7 @@
 	return f, nil
 }
 
-// reload reads the storage targets again. A target that is not listed any more gets no new request.
+// reload reads the storage targets again. A target that is not listed any more gets no new requests.
 func (f *iscsiFront) reload(conf *config.Config, log logrus.FieldLogger) {
 	if f == nil {
 		return
@@ -79,7 +79,7 @@
 	f.core.List(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
 }
 
-// shutdown ends the sessions by the end of ctx.
+// shutdown ends the sessions; it returns at the end of ctx at the latest.
 func (f *iscsiFront) shutdown(ctx context.Context) {
 	if f != nil {
 		f.target.Shutdown(ctx)
--- a/cmd/wheatsaddle/limits.go
+++ b/cmd/wheatsaddle/limits.go
@@ -17,14 +17,14 @@
 	reservedDescriptors = 32 // for the listeners, discovery and the runtime
 
 	// Parts of the descriptors that are not reserved.
-	clientDescriptorShare = 0.5 // for clients' connections; nodes have the rest
-	nodeDescriptorDivisor = 4   // nodes have at least one part in so many
+	clientDescriptorShare = 0.5 // for clients' connections; the others are for nodes
+	nodeDescriptorDivisor = 4   // nodes have at least this fraction
 
-	// Clients' connections with open requests hold at most one part in so many of all descriptors.
+	// Clients' connections with open requests hold at most this fraction of all descriptors.
 	openRequestDivisor = 3
 
-	bodyMemoryDivisor = 4   // bodies over 64 KiB have one part in so many of the memory
-	memoryLimitShare  = 0.6 // of the platform's memory limit, past which the garbage collector works harder
+	bodyMemoryDivisor = 4   // fraction of the memory for bodies over 64 KiB
+	memoryLimitShare  = 0.6 // of the platform's memory limit: the soft limit of the garbage collector
 )
 
 // applyLimits sets the runtime's number of threads and its soft memory limit.
@@ -47,34 +47,34 @@
 	return configured
 }
 
-// clientConns is how many of the unreserved descriptors are for clients: half, and at least what clients with
-// open requests may hold, as long as a quarter stays for the nodes.
+// clientConns is the number of unreserved descriptors for clients: half, and at least what clients with open requests may
+// hold, as long as a quarter remains for the nodes.
 func clientConns(unreserved, all int) int {
 	share := int(clientDescriptorShare * float64(unreserved))
 	openRequests := all/openRequestDivisor + 1
-	most := unreserved * (nodeDescriptorDivisor - 1) / nodeDescriptorDivisor
-	return max(1, min(max(share, openRequests), most))
+	limit := unreserved * (nodeDescriptorDivisor - 1) / nodeDescriptorDivisor
+	return max(1, min(max(share, openRequests), limit))
 }
 
-// milliseconds is a setting in milliseconds as a duration.
+// milliseconds converts a setting in milliseconds.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// minLatencyObjective is the shortest latency aim of the classes.
+// minLatencyObjective is the shortest latency objective of the classes.
 func minLatencyObjective(set policy.Settings) time.Duration {
-	aim := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, class := range set.Classes {
-		aim = min(aim, class.LatencyObjective)
+		shortest = min(shortest, class.LatencyObjective)
 	}
-	return milliseconds(aim)
+	return milliseconds(shortest)
 }
 
-// idempotentClasses says of each class whether its requests may be repeated freely.
+// idempotentClasses returns, by class, whether its requests are idempotent.
 func idempotentClasses(set policy.Settings) map[string]bool {
-	safe := map[string]bool{}
+	idempotent := map[string]bool{}
 	for _, class := range set.Classes {
-		safe[class.Name] = class.Effect == policy.Idempotent
+		idempotent[class.Name] = class.Effect == policy.Idempotent
 	}
-	return safe
+	return idempotent
 }
--- a/cmd/wheatsaddle/replay.go
+++ b/cmd/wheatsaddle/replay.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return fmt.Errorf("replay: %w", err)
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }() // it was only read
 	recording, err := replay.Read(in, mapping)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return writeRequests(c, recording, form)
 }
 
-// replayMapping is how recorded requests become the core's, by the flags and the configuration that they name.
+// replayMapping returns how recorded requests map to classes, keys and deadlines, from the flags and the configuration.
 func replayMapping(c *cli.Context) (replay.Mapping, error) {
 	m := replay.Mapping{
 		Plan:      c.String("plan"),
@@ -94,25 +94,25 @@
 	return m, nil
 }
 
-// addReports goes to standard error, so that requests can go to standard output.
+// report writes to standard error, so that requests can be written to standard output.
 func report(c *cli.Context, r *replay.Recording) {
 	out := c.App.ErrWriter
-	classes, span := r.Classes()
-	fmt.Fprintf(out, "%d requests in %v, %d bad lines\n", len(r.Entries), span, len(r.Bad))
+	classes, duration := r.Classes()
+	fmt.Fprintf(out, "%d requests in %v, %d bad lines\n", len(r.Entries), duration, len(r.Bad))
 	fmt.Fprintf(out, "%-20s %8s %8s %8s %8s %10s %10s\n", "class", "count", "writes", "per s", "units", "mean bytes", "most bytes")
 	for _, k := range classes {
 		fmt.Fprintf(out, "%-20s %8d %8d %8.2f %8.0f %10d %10d\n", k.Name, k.Count, k.Writes, k.Rate, k.Units, k.MeanBytes, k.MostBytes)
 	}
-	for i, b := range r.Bad {
+	for i, invalid := range r.Bad {
 		if i == maxErrorsShown {
 			fmt.Fprintf(out, "and %d more\n", len(r.Bad)-maxErrorsShown)
 			break
 		}
-		fmt.Fprintln(out, b.Error())
+		fmt.Fprintln(out, invalid.Error())
 	}
 }
 
-// writeRequests writes the requests to the file that the flag out names; without it, to none.
+// writeRequests writes the requests to the file of the flag out; without it, it writes none.
 func writeRequests(c *cli.Context, r *replay.Recording, form string) (err error) {
 	name := c.String("out")
 	if name == "" {
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -16,14 +16,13 @@
 	"wheatsaddle/internal/transport"
 )
 
-// site is the site's file while the daemon runs: what the installation has beyond the platform. Without the file all of
-// it is off.
+// site holds the site's file: the features that the installation adds to the platform. Without the file all are off.
 type site struct {
 	file    string
-	current *config.Site // as last read
+	current *config.Site // as of the last valid read
 	routes  *httpfront.Routes
 	iscsi   *iscsi.Dialer  // nil: no iSCSI front
-	meter   *metrics.Meter // nil: no counts but the admin endpoint's
+	meter   *metrics.Meter // nil: only the admin endpoint has counts
 	log     logrus.FieldLogger
 }
 
@@ -32,13 +31,16 @@
 	if s.file == "" {
 		return s, nil
 	}
-	held, err := config.LoadSite(s.file)
+	current, err := config.LoadSite(s.file)
 	if err != nil {
 		return nil, err
 	}
-	s.current = held
+	s.current = current
 	s.apply()
-	return s, s.serveMetrics()
+	if err := s.serveMetrics(); err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
 // serveMetrics serves the section metrics. Other parts register their counts at s.meter, which may be nil.
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// apply sets the nodes' address rules of the file as read.
+// apply applies the address rules of the nodes.
 func (s *site) apply() {
 	set := s.current.Addresses
 	if set == nil {
@@ -69,17 +71,17 @@
 	}
 }
 
-// keepUntilRestart restores the value of a section that only a restart applies, and adds its key to changed if the file has
-// another value.
-func keepUntilRestart[T any](next *T, held T, key string, changed []string) []string {
-	if !reflect.DeepEqual(*next, held) {
+// keepUntilRestart restores the value of a section that only a restart applies. If the file has another value, it adds the
+// section's key to changed.
+func keepUntilRestart[T any](next *T, current T, key string, changed []string) []string {
+	if !reflect.DeepEqual(*next, current) {
 		changed = append(changed, key)
 	}
-	*next = held
+	*next = current
 	return changed
 }
 
-// reload reads the file again and checks it whole before any of it applies. A bad file changes nothing.
+// reload reads the file again and checks it as a whole before any of it applies. An invalid file changes nothing.
 func (s *site) reload() {
 	if s.file == "" {
 		return
@@ -102,14 +104,14 @@
 	s.log.Info("site's file reloaded")
 }
 
-// listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
+// listen merges a front's first listener with those for its further addresses, all behind the gate if there is one.
 func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
 	all := []net.Listener{gate.Listener(first)}
 	for i, l := range s.current.Listen[front] {
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
 			for _, open := range all {
-				open.Close()
+				_ = open.Close() // the error of the listen is the cause
 			}
 			return nil, fmt.Errorf("site: listen.%s.%d: %w", front, i, err)
 		}
--- a/cmd/wheatsaddle/starter.go
+++ b/cmd/wheatsaddle/starter.go
@@ -21,44 +21,44 @@
 	"wheatsaddle/policy"
 )
 
-// starter drives the cold start of this process: it feeds events to the state machine coldstart.Start and carries out
-// its actions. It has no rule of its own. nil: the site's file has no section start.
+// starter drives the cold start of this process: it feeds events to coldstart.Startup and carries out its actions. It has
+// no rule of its own. nil: the site's file has no section start.
 //
-// One mutex guards the state machine and all that belongs to it. It is never held during a wait, since the core's
-// actor calls in here. Messages to the core keep the order in which they were decided: one goroutine
-// sends them, and ends when none is left.
+// One mutex guards the state machine and its context. It is never held during a wait, since the core's actor calls in
+// here. Messages to the core keep the order in which they were decided: one goroutine sends them, and ends when none is
+// left.
 type starter struct {
 	core          startCore
 	log           logrus.FieldLogger
-	path          string // of the snapshot; "": none is kept
+	path          string // of the snapshot; empty: none is stored
 	listPriced    bool
-	cachedNodes   []core.Node // of the configuration's list
+	cachedNodes   []core.Node // of the configuration's endpoint list
 	startedAt     time.Time
-	listDue       chan struct{}      // discovery is to be asked
+	listDue       chan struct{}      // the endpoint list is to be requested
 	stopping      chan struct{}      // closed by stop
 	snapshotsDone chan struct{}      // closed after the last snapshot
-	finished      atomic.Bool        // the start is over
-	reportedReady atomic.Bool        // the state machine said Ready
+	finished      atomic.Bool        // the cold start is over
+	reportedReady atomic.Bool        // the state machine has reported that it is ready
 	cancelRequest context.CancelFunc // of the request for a peer's snapshot; nil: none was made
 
-	// The clock, which a test may replace.
-	now    func() time.Duration // since began
+	// The clock.
+	now    func() time.Duration // since startedAt
 	wakeAt func(at time.Duration)
 
-	mu               sync.Mutex // of all below
+	mu               sync.Mutex // guards the fields below
 	machine          *coldstart.Startup
-	listReceived     bool                          // the list's first news are on their way to the core
-	learned          policy.Learned                // what the snapshot holds of the classes
-	learnedNodes     map[string]policy.LearnedNode // the snapshot's, by id; nil: there is no snapshot
-	listedStartTimes map[string]float64            // a node's start as the list gives it, Unix ms
-	assumedStart     float64                       // the start that the known nodes were given, Unix ms
-	timer            *time.Timer                   // of the next Tick; nil: none was asked for yet
+	listReceived     bool                          // the first update of the list is in the queue or at the core
+	learned          policy.Learned                // of the snapshot's classes
+	learnedNodes     map[string]policy.LearnedNode // of the snapshot, by id; nil: there is no snapshot
+	listedStartTimes map[string]float64            // of nodes, as in the list, Unix ms
+	assumedStart     float64                       // of the cached nodes, Unix ms
+	timer            *time.Timer                   // of the next TimerFired event; nil: none yet
 	stopped          bool
-	queue            []func(startCore) // messages not sent yet; bounded by what one start decides
+	queue            []func(startCore) // messages to the core, bounded by the decisions of one start
 	sending          bool              // a goroutine runs send
 }
 
-// startCore is what the starter tells the core: core.Core, or a test's actor.
+// startCore are the methods of core.Core that a starter uses.
 type startCore interface {
 	List(core.ListUpdate)
 	Restore(policy.Learned)
@@ -67,7 +67,7 @@
 	Learned() (policy.Learned, bool)
 }
 
-func newStarter(set *config.SiteStart, conf *config.Config, known []core.Node, log logrus.FieldLogger) (*starter, error) {
+func newStarter(set *config.SiteStart, conf *config.Config, cachedNodes []core.Node, log logrus.FieldLogger) (*starter, error) {
 	if set == nil || !set.On {
 		return nil, nil
 	}
@@ -92,7 +92,7 @@
 		log:              log,
 		path:             set.Snapshot,
 		listPriced:       set.ListPriced,
-		cachedNodes:      known,
+		cachedNodes:      cachedNodes,
 		startedAt:        time.Now(),
 		listDue:          make(chan struct{}, 1),
 		stopping:         make(chan struct{}),
@@ -105,7 +105,7 @@
 	return s, nil
 }
 
-// settings are the decisions' settings for a start beside the whole fleet; as given, without the section.
+// settings reduces the slow start of nodes while the whole fleet starts; without the section it returns set.
 func (s *starter) settings(set policy.Settings) policy.Settings {
 	if s != nil {
 		set.SlowStartUnits *= coldstart.SlowStartShare
@@ -113,12 +113,12 @@
 	return set
 }
 
-// reconfigure gives new settings to the core as the first ones were given.
+// reconfigure returns the function that applies new settings to the core, reduced as the first ones were.
 func (s *starter) reconfigure(co *core.Core) func(policy.Settings) error {
 	return func(set policy.Settings) error { return co.Reconfigure(s.settings(set)) }
 }
 
-// limiter is what core asks before each attempt; nil without the section.
+// limiter is what the core asks before each attempt; nil without the section.
 func (s *starter) limiter() core.StartLimiter {
 	if s == nil {
 		return nil
@@ -126,29 +126,29 @@
 	return s
 }
 
-// run begins the start; false: the section is off.
+// run begins the cold start; false: the section is off.
 func (s *starter) run(co *core.Core) bool {
 	if s == nil {
 		return false
 	}
 	s.core = co
-	co.List(core.ListUpdate{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
-	begun := coldstart.Started{CachedList: s.machineNodes(s.cachedNodes)}
+	co.List(core.ListUpdate{Kind: policy.CachedListLoaded}) // starts the clock of the policy
+	started := coldstart.Started{CachedList: s.machineNodes(s.cachedNodes)}
 	if s.path != "" {
 		snap, err := snapshot.Read(s.path, time.Now())
 		switch {
 		case err == nil:
-			begun.Snapshot = s.loadSnapshot(snap)
+			started.Snapshot = s.loadSnapshot(snap)
 		case !errors.Is(err, fs.ErrNotExist):
 			s.log.WithFields(operr.Fields(err)).Warn("snapshot not readable, starting without it")
 		}
 	}
-	s.step(begun)
+	s.step(started)
 	sync.Go(s.writeSnapshots)
 	return true
 }
 
-// machineNodes are nodes of the list as the state machine takes them: a start is a time since began.
+// machineNodes converts listed nodes for the state machine, whose times count from startedAt.
 func (s *starter) machineNodes(list []core.Node) (nodes []coldstart.Node) {
 	for _, listed := range list {
 		n := coldstart.Node{ID: listed.ID, StartTime: listed.StartTime}
@@ -160,31 +160,32 @@
 	return nodes
 }
 
-// step feeds an event to the state machine and carries out its actions. The results are for Asked and RetryAfter.
-func (s *starter) step(e coldstart.Event) (retry time.Duration, refused bool) {
+// step feeds an event to the state machine and carries out its actions. The results answer a request: whether it is
+// rejected, and its Retry-After.
+func (s *starter) step(e coldstart.Event) (retryAfter time.Duration, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stepLocked(e)
 }
 
-// stepLocked is step with s.mu held.
-func (s *starter) stepLocked(e coldstart.Event) (retry time.Duration, refused bool) {
+// stepLocked is step for a caller that holds s.mu.
+func (s *starter) stepLocked(e coldstart.Event) (retryAfter time.Duration, rejected bool) {
 	if s.stopped {
 		return 0, false
 	}
 	sync.Writes(s.machine)
-	var recall policy.Learned
+	var restored policy.Learned
 	for _, a := range s.machine.Step(s.now(), e) {
 		switch a := a.(type) {
 		case coldstart.RequestList:
-			sync.TrySend(s.listDue, struct{}{}) // a full channel says the same
+			sync.TrySend(s.listDue, struct{}{}) // a full channel has the same effect
 		case coldstart.UseCachedList:
 			s.useCachedNodes()
 		case coldstart.LiftColdLimit:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedStartTimes[a.Node], AssumedStart: s.assumedStart})
+			restored.Nodes = append(restored.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedStartTimes[a.Node], AssumedStart: s.assumedStart})
 		case coldstart.Restore:
 			if n, ok := s.learnedNodes[a.Node]; ok {
-				recall.Nodes = append(recall.Nodes, n)
+				restored.Nodes = append(restored.Nodes, n)
 			}
 		case coldstart.Connect:
 			s.enqueue(func(c startCore) { c.Preconnect(a.Node) })
@@ -193,30 +194,30 @@
 		case coldstart.ReportReady:
 			s.reportedReady.Store(true)
 		case coldstart.Reject:
-			retry, refused = a.RetryAfter, true
+			retryAfter, rejected = a.RetryAfter, true
 		case coldstart.SetTimer:
 			s.wakeAt(a.At)
 		}
 	}
 	s.finished.Store(s.machine.Phase() == coldstart.Serving)
-	if len(recall.Nodes) > 0 {
-		recall.Classes = s.learned.Classes
-		s.enqueue(func(c startCore) { c.Restore(recall) })
+	if len(restored.Nodes) > 0 {
+		restored.Classes = s.learned.Classes
+		s.enqueue(func(c startCore) { c.Restore(restored) })
 	}
-	return retry, refused
+	return retryAfter, rejected
 }
 
-// useCachedNodes gives the core the known nodes as if each had just started; with s.mu held.
+// useCachedNodes passes the cached nodes to the core as if each had just started. The caller holds s.mu.
 func (s *starter) useCachedNodes() {
 	s.assumedStart = float64(time.Now().UnixMilli())
-	guessed := slices.Clone(s.cachedNodes)
-	for i := range guessed {
-		guessed[i].StartTime = s.assumedStart
+	nodes := slices.Clone(s.cachedNodes)
+	for i := range nodes {
+		nodes[i].StartTime = s.assumedStart
 	}
-	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })
+	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })
 }
 
-// setTimer sets the timer of the next Tick; with s.mu held.
+// setTimer sets the timer of the next TimerFired event. The caller holds s.mu.
 func (s *starter) setTimer(at time.Duration) {
 	wait := time.Until(s.startedAt.Add(at))
 	if s.timer == nil {
@@ -226,7 +227,7 @@
 	}
 }
 
-// enqueue appends a message to the core; with s.mu held.
+// enqueue appends a message to the core. The caller holds s.mu.
 func (s *starter) enqueue(message func(startCore)) {
 	sync.Writes(&s.queue)
 	if s.queue = append(s.queue, message); !s.sending {
@@ -252,21 +253,21 @@
 	}
 }
 
-// Done says that the start is over: the core need not ask any more.
+// Done reports that the cold start is over and the core need not ask any more.
 func (s *starter) Done() bool { return s.finished.Load() }
 
-// Admit implements core.Starting.
+// Admit implements core.StartLimiter.
 func (s *starter) Admit(node string) (time.Duration, bool) {
 	return s.step(coldstart.RequestArrived{Node: node})
 }
 
-// RetryAfter implements core.Starting.
+// RetryAfter implements core.StartLimiter.
 func (s *starter) RetryAfter(node string, wait time.Duration) time.Duration {
 	longer, _ := s.step(coldstart.RequestRejected{Node: node})
 	return max(wait, longer)
 }
 
-// AttemptEnded implements core.Starting.
+// AttemptEnded implements core.StartLimiter.
 func (s *starter) AttemptEnded(node string, status policy.Status) {
 	switch status {
 	case policy.OK:
@@ -278,26 +279,26 @@
 	}
 }
 
-// updateList passes news of the node list on, and returns once the core has them; false: the section is off.
-func (s *starter) updateList(news core.ListUpdate) bool {
+// updateList passes an update of the endpoint list on, and returns when the core has it; false: the section is off.
+func (s *starter) updateList(update core.ListUpdate) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	if s.listReceived && !s.sending {
 		s.mu.Unlock()
-		s.core.List(news)
+		s.core.List(update)
 		return true
 	}
-	first := !s.listReceived && (news.Kind == policy.ListReceived || news.Kind == policy.ListChanged)
+	first := !s.listReceived && (update.Kind == policy.ListReceived || update.Kind == policy.ListChanged)
 	if first {
 		s.listReceived = true
-		news.Nodes = s.withCachedNodes(news)
+		update.Nodes = s.withCachedNodes(update)
 	}
 	delivered := make(chan struct{})
-	s.enqueue(func(c startCore) { c.List(news); sync.Close(delivered) })
+	s.enqueue(func(c startCore) { c.List(update); sync.Close(delivered) })
 	if first {
-		present := slices.DeleteFunc(slices.Clone(news.Nodes), func(n core.Node) bool { return n.State == policy.NodeRemoved })
+		present := slices.DeleteFunc(slices.Clone(update.Nodes), func(n core.Node) bool { return n.State == policy.NodeRemoved })
 		for _, n := range present {
 			s.listedStartTimes[n.ID] = n.StartTime
 		}
@@ -308,11 +309,11 @@
 	return true
 }
 
-// withCachedNodes are the nodes of the first news. A change adds the known nodes that it does not name: the core
-// has them with a guessed start or not at all.
-func (s *starter) withCachedNodes(news core.ListUpdate) []core.Node {
-	nodes := slices.Clone(news.Nodes)
-	if news.Kind != policy.ListChanged {
+// withCachedNodes returns the nodes of the first update. A change also gets the cached nodes that it does not name: the
+// core has them with an assumed start time or not at all.
+func (s *starter) withCachedNodes(update core.ListUpdate) []core.Node {
+	nodes := slices.Clone(update.Nodes)
+	if update.Kind != policy.ListChanged {
 		return nodes
 	}
 	named := map[string]bool{}
@@ -327,7 +328,7 @@
 	return nodes
 }
 
-// listUnchanged takes it that discovery has no change since the known list: as first news, that list is confirmed.
+// listUnchanged handles that discovery has no change since the cached list, which is then confirmed as the first update.
 func (s *starter) listUnchanged() {
 	if s == nil {
 		return
@@ -340,7 +341,7 @@
 	}
 }
 
-// watchPace is the pace of the list's watch until the list is heard; nil: the watch has its own.
+// watchPace is the pace of the watch until the first update; nil: the watch has its own.
 func (s *starter) watchPace() discovery.Pace {
 	if s == nil || !s.listPriced {
 		return nil
@@ -354,15 +355,15 @@
 // Missed implements discovery.Pace.
 func (s *starter) Missed() { s.step(coldstart.ListRequestFailed{}) }
 
-// isReady is whether the state machine said so; without the section, what the caller would say.
-func (s *starter) isReady(without bool) bool {
+// isReady reports whether the state machine is ready; without the section it returns withoutSection.
+func (s *starter) isReady(withoutSection bool) bool {
 	if s == nil {
-		return without
+		return withoutSection
 	}
 	return s.reportedReady.Load()
 }
 
-// addPeerReports tells the state machine the nodes' starts as the other processes observed them.
+// addPeerReports passes the start times of nodes that other processes observed to the state machine.
 func (s *starter) addPeerReports(now time.Duration, state *nodestats.State) {
 	if s == nil || s.Done() {
 		return
@@ -384,7 +385,7 @@
 	sync.Recv(s.snapshotsDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopped = true // a Tick that waits for s.mu does nothing any more
+	s.stopped = true // an event that waits for s.mu has no effect
 	if s.timer != nil {
 		s.timer.Stop()
 	}
--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -141,8 +141,8 @@
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "starter.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
-		mutant.Mutant{File: "starter.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })",
-			New: "	sync.Go(func() { s.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: guessed}) })", Want: "the core took "},
+		mutant.Mutant{File: "starter.go", Old: "	s.enqueue(func(c startCore) { c.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })",
+			New: "	sync.Go(func() { s.core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })", Want: "the core took "},
 		mutant.Mutant{File: "starter.go", Old: "		message := s.queue[0]\n		s.queue = s.queue[1:]\n		s.mu.Unlock()\n",
 			New: "		s.mu.Unlock()\n		sync.Writes(&s.queue)\n		message := s.queue[0]\n		s.queue = s.queue[1:]\n", Want: "data race: "},
 		mutant.Mutant{File: "starter.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
--- a/cmd/wheatsaddle/startersnapshot.go
+++ b/cmd/wheatsaddle/startersnapshot.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	snapshotInterval       = 5 * time.Second  // between snapshots; one more is written at the stop
-	snapshotRequestTimeout = 10 * time.Second // longest request for a peer's snapshot
+	snapshotInterval       = 5 * time.Second  // between snapshots; another is written at the stop
+	snapshotRequestTimeout = 10 * time.Second // for a peer's snapshot
 )
 
-// loadSnapshot keeps what a snapshot holds, and returns its nodes for the state machine.
+// loadSnapshot stores a snapshot's contents, and returns its nodes for the state machine.
 func (s *starter) loadSnapshot(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
 	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
@@ -35,20 +35,20 @@
 	return nodes
 }
 
-// requestSnapshot requests a snapshot from the other processes, where this one has none.
-func (s *starter) requestSnapshot(others *fleet) {
-	if s == nil || others == nil || s.learnedNodes != nil {
+// requestSnapshot requests a snapshot from the other processes if this one has none.
+func (s *starter) requestSnapshot(peers *fleet) {
+	if s == nil || peers == nil || s.learnedNodes != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotRequestTimeout)
 	s.cancelRequest = cancel
 	go func() {
 		defer cancel()
-		others.cluster.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.acceptSnapshot)
+		peers.cluster.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.acceptSnapshot)
 	}()
 }
 
-// acceptSnapshot takes a peer's snapshot; an error: it cannot be read.
+// acceptSnapshot uses a peer's snapshot, or returns an error if it is not readable.
 func (s *starter) acceptSnapshot(text []byte) error {
 	snap, err := snapshot.Parse("of a peer", text)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// snapshotProvider answers a peer's request for a snapshot, once the start is over: before, this process knows less than
-// others. nil: the section is off.
+// snapshotProvider returns the function that answers a peer's request for a snapshot once the cold start is over: before,
+// this process knows less than others. nil: the section is off.
 func (s *starter) snapshotProvider() func(gossip.SnapshotKind) []byte {
 	if s == nil {
 		return nil
@@ -81,7 +81,7 @@
 	}
 }
 
-// writeSnapshots writes the snapshot at each interval and at the stop, but not before the start is over: until then
+// writeSnapshots writes the snapshot at each interval and at the stop, but not before the cold start is over: until then
 // the file holds more.
 func (s *starter) writeSnapshots() {
 	defer sync.Close(s.snapshotsDone)
@@ -107,7 +107,7 @@
 	}
 }
 
-// snapshot is what the core has learned by now; nil: nothing.
+// snapshot returns what the core has learned; nil: nothing.
 func (s *starter) snapshot() *snapshot.Snapshot {
 	learned, ok := s.core.Learned()
 	if !ok || len(learned.Nodes) == 0 {
