--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -14,39 +14,39 @@
 	"wheatsaddle/internal/operr"
 )
 
-// exclusionPoll is the interval at which the exclusions' file in $TMPDIR is read for another process's change. A drain must
-// take effect within 250 ms.
+// exclusionPoll is the interval at which the exclusions file in $TMPDIR is checked for changes by other processes. A drain
+// must take effect within 250 ms.
 const exclusionPoll = 100 * time.Millisecond
 
-// exclusionKeeper keeps core's exclusions in step with their file, which all processes of the scheduler share.
-// It has no rule of its own.
+// exclusionKeeper synchronizes the exclusions of the core with their file, which all processes of the scheduler share. It
+// has no rule of its own.
 type exclusionKeeper struct {
-	mu    sync.Mutex // one change or reading at a time in this process; the file's lock orders processes
+	mu    sync.Mutex // one change or read at a time in this process; the file's lock orders processes
 	store *store.Store
 	core  *core.Core
 	log   logrus.FieldLogger
 }
 
-// keptExclusions reads the exclusions that the scheduler's last process stored. A bad file counts as none.
-func keptExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
-	kept := store.InFolder(os.TempDir(), name)
-	state, err := kept.Read()
+// loadExclusions reads the exclusions that the last process of the scheduler stored. An unreadable file counts as empty.
+func loadExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
+	exclusions := store.InFolder(os.TempDir(), name)
+	state, err := exclusions.Read()
 	if err != nil {
-		log.WithFields(operr.Fields(err)).Warn("the kept exclusions are ignored")
+		log.WithFields(operr.Fields(err)).Warn("stored exclusions not readable, starting without them")
 	} else if len(state.Excluded) > 0 {
-		log.WithField("excluded", len(state.Excluded)).Info("storage nodes excluded by hand, as kept")
+		log.WithField("nodes", len(state.Excluded)).Info("stored exclusions restored")
 	}
-	return kept, state
+	return exclusions, state
 }
 
-// change runs an operator's call under the file's lock: the file is read, the call applied to core, the result written back.
-// Without the lock the exclusions of this process count.
+// change runs an operator's call under the file's lock: it reads the file, applies the call to the core and writes the result
+// back. Without the lock the exclusions of this process count.
 func (k *exclusionKeeper) change(id string, call func(string) (exclusion.State, error)) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	unlock, err := k.store.Lock()
 	if err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: the lock of the file is not had; the book of this process counts")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions file not locked, using the exclusions of this process")
 	} else {
 		defer unlock()
 		k.sync()
@@ -56,7 +56,7 @@
 		return err
 	}
 	if err := k.store.Write(state); err != nil {
-		k.log.WithFields(operr.Fields(err)).Error("exclusions: not kept for the next process")
+		k.log.WithFields(operr.Fields(err)).Error("exclusions not stored")
 	}
 	return nil
 }
@@ -68,11 +68,11 @@
 	}
 	state, err := k.store.Read()
 	if err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: the file is ignored")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions file not readable, ignored")
 		return
 	}
 	if err := k.core.LoadExclusions(state); err != nil {
-		k.log.WithFields(operr.Fields(err)).Warn("exclusions: not taken from the file")
+		k.log.WithFields(operr.Fields(err)).Warn("exclusions of the file not applied")
 	}
 }
 
--- a/cmd/wheatsaddle/peers.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -21,34 +21,33 @@
 	"wheatsaddle/policy"
 )
 
-// healthWait is how long a gossip round waits for the core's report of its nodes.
-const healthWait = 20 * time.Millisecond
+// statusTimeout is how long a gossip round waits for the node statuses of the core.
+const statusTimeout = 20 * time.Millisecond
 
-// fleet exchanges observations of the nodes with the other scheduler processes. nil: the site's file has no section
-// peers.
+// fleet exchanges node statistics with the other scheduler processes. nil: the site's file has no section peers.
 type fleet struct {
-	peers    *gossip.Cluster
-	starter  *starter // nil: the site's file has no section start
-	coldSpan float64  // ms after its start in which a node is cold
-	types    config.NodeTypes
-	nodeMost int // nodes that are reported
+	cluster     *gossip.Cluster
+	starter     *starter // nil: the site's file has no section start
+	slowStartMs float64  // after its start, in which a node warms up
+	types       config.NodeTypes
+	maxNodes    int // whose statuses are requested
 
-	mu        sync.Mutex // of the fields below, but for reported
+	mu        sync.Mutex // guards the fields up to core
 	nodes     map[string]listedNode
-	listIndex int64 // version of the list; 0: there is none yet
-	lists     nodestats.ListSpread
-	core      *core.Core                 // nil: it does not run yet
-	reported  map[string]core.NodeStatus // the core's last report, by node; the gossip goroutine's alone
+	listIndex int64 // version of the list; 0: none yet
+	versions  nodestats.ListSpread
+	core      *core.Core                 // nil: not started yet
+	statuses  map[string]core.NodeStatus // of the core, by node; used by the goroutine of the rounds alone
 }
 
-// listedNode is a node of the list, with the hardware type that the site's file gives it.
+// listedNode is a node of the endpoint list, with the hardware type that the site's file gives it.
 type listedNode struct {
 	policy.Node
 	hardware string
 }
 
-// mayPeer is an error where the site's file has the section peers and the platform forbids it.
-func mayPeer(at *config.Site, set policy.Settings) error {
+// checkPeers returns an error if the site's file has the section peers and the platform forbids it.
+func checkPeers(at *config.Site, set policy.Settings) error {
 	if at.Peers != nil && !set.MayGossip {
 		return &gossip.ForbiddenError{}
 	}
@@ -56,8 +55,8 @@
 }
 
 func startFleet(at *config.Site, conf *config.Config, starting *starter, log logrus.FieldLogger) (*fleet, error) {
-	if err := mayPeer(at, conf.Settings); err != nil {
-		log.WithFields(operr.Fields(err)).Error("peers are off")
+	if err := checkPeers(at, conf.Settings); err != nil {
+		log.WithFields(operr.Fields(err)).Error("gossip is not allowed by the platform")
 		return nil, err
 	}
 	set := at.Peers
@@ -68,13 +67,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{starter: starting, coldSpan: conf.Settings.SlowStartDuration, nodeMost: set.State.MaxNodes, nodes: map[string]listedNode{}}
+	f := &fleet{starter: starting, slowStartMs: conf.Settings.SlowStartDuration, maxNodes: set.State.MaxNodes, nodes: map[string]listedNode{}}
 	if at.Estimate != nil {
 		f.types = at.Estimate.Types
 	}
-	f.mu.Lock() // a round may call report before f.peers is set
+	f.mu.Lock() // a round may call addReports before f.cluster is set
 	defer f.mu.Unlock()
-	f.peers, err = gossip.Start(gossip.Options{
+	f.cluster, err = gossip.Start(gossip.Options{
 		Name:             conf.Name,
 		Incarnation:      uint64(time.Now().UnixMilli()),
 		Listen:           set.Listen,
@@ -87,38 +86,38 @@
 		State:            set.State,
 		Seed:             uint64(conf.Seed),
 		Log:              log,
-		BeforeRound:      f.report,
-		MakeSnapshot:     starting.give(),
+		BeforeRound:      f.addReports,
+		MakeSnapshot:     starting.snapshotProvider(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"peers": f.peers.Address(), "seeds": len(set.Seeds)}).Info("telling the other processes")
+	log.WithFields(logrus.Fields{"address": f.cluster.Address(), "seeds": len(set.Seeds)}).Info("gossip listening")
 	return f, nil
 }
 
-// views are the merged observations of the nodes; nil: nothing is shared.
-func (f *fleet) views() views {
+// views returns the source of merged node statistics; nil: nothing is shared.
+func (f *fleet) views() viewSource {
 	if f == nil {
 		return nil
 	}
-	return f.peers.Views
+	return f.cluster.Views
 }
 
-// members are the names of the processes that are known to be up; nil: nothing is shared.
+// members returns the source of the names of the processes that are known to be up; nil: nothing is shared.
 func (f *fleet) members() func() []string {
 	if f == nil {
 		return nil
 	}
-	return f.peers.Members
+	return f.cluster.Members
 }
 
-// count registers the counts of what is shared.
-func (f *fleet) count(m *metrics.Registry) {
+// registerMetrics registers the counts of the gossip.
+func (f *fleet) registerMetrics(m *metrics.Registry) {
 	if f == nil {
 		return
 	}
-	gauges(m, f.peers.Counts, map[string]func(gossip.Counts) int64{
+	gauges(m, f.cluster.Counts, map[string]func(gossip.Counts) int64{
 		"peers_members":               func(c gossip.Counts) int64 { return c.Members },
 		"peers_received_bytes":        func(c gossip.Counts) int64 { return c.BytesReceived },
 		"peers_sent_bytes":            func(c gossip.Counts) int64 { return c.BytesSent },
@@ -145,14 +144,14 @@
 	})
 }
 
-// listSpread is which versions of the list the processes have, as of the last round.
+// listSpread is how the list versions of the processes differed in the last round.
 func (f *fleet) listSpread() nodestats.ListSpread {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lists
+	return f.versions
 }
 
-// peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. No file: no key.
+// peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. Without a file there is no key.
 func peerKey(file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
@@ -171,7 +170,7 @@
 	return key, nil
 }
 
-// outcomeOf is what the end of an attempt says of its node; false: nothing, as where it was cancelled.
+// outcomeOf maps the status of an attempt to its outcome at the node; false: it has none, as when it was cancelled.
 func outcomeOf(s policy.Status) (nodestats.Outcome, bool) {
 	switch s {
 	case policy.OK:
@@ -186,32 +185,32 @@
 	return 0, false
 }
 
-// observe is what core calls at the end of each attempt; nil: nothing is shared.
-func (f *fleet) observe() func(string, int64, string, float64, float64, policy.Status) {
+// observer is what the core calls at the end of each attempt; nil: nothing is shared.
+func (f *fleet) observer() func(string, int64, string, float64, float64, policy.Status) {
 	if f == nil {
 		return nil
 	}
 	return func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 		if outcome, ok := outcomeOf(status); ok {
-			f.peers.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
+			f.cluster.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
 		}
 	}
 }
 
-// takeNews keeps the node list for the next round.
-func (f *fleet) takeNews(news core.ListUpdate) {
+// updateList stores an update of the endpoint list for the next round.
+func (f *fleet) updateList(update core.ListUpdate) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Kind == policy.ListReceived || news.Kind == policy.CachedListLoaded {
+	if update.Kind == policy.ListReceived || update.Kind == policy.CachedListLoaded {
 		clear(f.nodes)
 	}
-	if news.Index != 0 {
-		f.listIndex = news.Index
+	if update.Index != 0 {
+		f.listIndex = update.Index
 	}
-	for _, n := range news.Nodes {
+	for _, n := range update.Nodes {
 		if n.State == policy.NodeRemoved {
 			delete(f.nodes, n.ID)
 		} else {
@@ -220,7 +219,7 @@
 	}
 }
 
-// setCore sets the core, whose reports of the nodes are shared from then on.
+// setCore sets the core whose node statuses are shared from then on.
 func (f *fleet) setCore(co *core.Core) {
 	if f != nil {
 		f.mu.Lock()
@@ -229,49 +228,49 @@
 	}
 }
 
-// report puts the listed nodes and their health into the shared state, before each round. If the core does not report
-// in time, its last report counts. A report of an earlier run of a node does not count.
-func (f *fleet) report(now time.Duration, state *nodestats.State) {
-	f.starter.peersSaid(now, state)
+// addReports adds the listed nodes and their health to the shared state, before each round. If the core does not answer in
+// time, its last statuses count. A status of an earlier run of a node does not count.
+func (f *fleet) addReports(now time.Duration, state *nodestats.State) {
+	f.starter.addPeerReports(now, state)
 	f.mu.Lock()
-	co, group := f.core, f.peers
+	co, cluster := f.core, f.cluster
 	f.mu.Unlock()
-	f.askCore(co)
-	members := group.Members()
+	f.refreshStatuses(co)
+	members := cluster.Members()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.listIndex != 0 {
 		state.SetListVersion(now, f.listIndex)
 	}
-	f.lists = state.ListSpread(now, members)
+	f.versions = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
-		cold := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.coldSpan
-		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: cold}
-		if at, ok := f.reported[id]; ok && at.StartTime >= int64(n.StartTime) {
-			health.Window, health.Queue = at.Window, at.Queue
+		warmingUp := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.slowStartMs
+		health := nodestats.Health{Type: n.hardware, Shard: n.Shard, WarmingUp: warmingUp}
+		if status, ok := f.statuses[id]; ok && status.StartTime >= int64(n.StartTime) {
+			health.Window, health.Queue = status.Window, status.Queue
 		}
 		state.SetNodeHealth(now, n.ID, int64(n.StartTime), health)
 	}
 }
 
-// askCore renews the core's report of the nodes.
-func (f *fleet) askCore(co *core.Core) {
+// refreshStatuses requests the node statuses of the core.
+func (f *fleet) refreshStatuses(co *core.Core) {
 	if co == nil {
 		return
 	}
-	all, ok := co.NodeStatuses(f.nodeMost, healthWait)
+	all, ok := co.NodeStatuses(f.maxNodes, statusTimeout)
 	if !ok {
 		return
 	}
-	f.reported = make(map[string]core.NodeStatus, len(all))
+	f.statuses = make(map[string]core.NodeStatus, len(all))
 	for _, n := range all {
-		f.reported[n.Node] = n
+		f.statuses[n.Node] = n
 	}
 }
 
 func (f *fleet) stop() {
 	if f != nil {
-		f.peers.Stop()
+		f.cluster.Stop()
 	}
 }
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gather.go
@@ -11,26 +11,26 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// gatherer gives the front its service of gathered reads, and a new one when the site's file or the settings change.
+// gatherer sets the front's service of gathered reads, and a new one when the site's file or the settings change.
 type gatherer struct {
-	core  *core.Core
-	front *httpfront.Server
-	views views           // nil: nothing is shared
-	alive func() []string // names of the processes that are up; nil: nothing is shared
-	log   logrus.FieldLogger
-	reads scattergather.Gate  // bounds the gathered reads at once
-	tally scattergather.Tally // counts of all trees
+	core    *core.Core
+	front   *httpfront.Server
+	views   viewSource      // nil: nothing is shared
+	members func() []string // names of the processes that are up; nil: nothing is shared
+	log     logrus.FieldLogger
+	reads   scattergather.Gate  // limits concurrent gathered reads
+	tally   scattergather.Tally // counts of all trees
 
-	tree    scattergather.Grouper // nil: this process asks for each part itself
-	treeSet *config.SiteTree      // the settings of tree
+	tree         scattergather.Grouper // nil: this process requests each part itself
+	treeSettings *config.SiteTree      // the settings of tree
 }
 
-// gatherRules are the section's rules by class, checked against the configuration.
+// gatherRules returns the section's rules by class, checked against the configuration.
 func gatherRules(set *config.SiteGather, conf *config.Config) (map[string]scattergather.Rules, error) {
 	if err := set.Check(conf.Settings, conf.MemoryMB); err != nil {
 		return nil, err
 	}
-	safe, rules := safeClasses(conf.Settings), map[string]scattergather.Rules{}
+	safe, rules := idempotentClasses(conf.Settings), map[string]scattergather.Rules{}
 	for class, merge := range set.Rules {
 		rules[class] = scattergather.Rules{
 			Merge:  merge,
@@ -44,7 +44,7 @@
 	return rules, nil
 }
 
-// apply turns gathered reads on as the section says, or off without it. An error changes nothing.
+// apply turns gathered reads on according to the section, or off without it. An error changes nothing.
 func (g *gatherer) apply(at *config.Site, conf *config.Config) error {
 	set := at.Gather
 	if set == nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	g.tree, g.treeSet = tree, set.Tree
+	g.tree, g.treeSettings = tree, set.Tree
 	service := &scattergather.Service{
 		Core:      g.core,
 		Classes:   classes,
@@ -81,33 +81,36 @@
 	return nil
 }
 
-// reload applies a section that was read again. A bad one is logged, and the one before stays.
+// reload applies a section that was read again. If it is invalid, the error is logged and the previous one remains.
 func (g *gatherer) reload(at *config.Site, conf *config.Config) {
 	if err := g.apply(at, conf); err != nil {
-		g.log.WithFields(operr.Fields(err)).Error("reads are gathered as before")
+		g.log.WithFields(operr.Fields(err)).Error("reload of section gather failed, the previous one remains in effect")
 	}
 }
 
-// mayGather is what is wrong with the section, for check-config.
-func mayGather(at *config.Site, conf *config.Config) error {
+// checkGather returns an error if the section is invalid, for check-config.
+func checkGather(at *config.Site, conf *config.Config) error {
 	if at.Gather == nil {
 		return nil
 	}
-	if err := mayAskPeers(at.Gather.Tree, conf); err != nil {
+	if err := checkGatherPeers(at.Gather.Tree, conf); err != nil {
 		return err
 	}
 	_, err := gatherRules(at.Gather, conf)
 	return err
 }
 
-func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, others *fleet) (*gatherer, error) {
-	g := &gatherer{core: co, front: front, views: others.views(), alive: others.members(), log: at.log}
-	g.count(at.meter)
-	return g, g.apply(at.held, conf)
+func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, peers *fleet) (*gatherer, error) {
+	g := &gatherer{core: co, front: front, views: peers.views(), members: peers.members(), log: at.log}
+	g.registerMetrics(at.meter)
+	if err := g.apply(at.current, conf); err != nil {
+		return nil, err
+	}
+	return g, nil
 }
 
-// count registers the counts of gathered reads.
-func (g *gatherer) count(m *metrics.Registry) {
+// registerMetrics registers the counts of gathered reads.
+func (g *gatherer) registerMetrics(m *metrics.Registry) {
 	m.Gauge(func() float64 { return float64(g.reads.In()) }, "gather_reads")
 	gauges(m, g.tally.Counts, map[string]func(scattergather.TreeCounts) int{
 		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -17,27 +17,27 @@
 
 // handoverTimes are the intervals of a process whose clients' socket was passed to it.
 var handoverTimes = handover.Settings{
-	LockPollInterval: 5 * time.Millisecond,   // between tries for the lock
-	SweepInterval:    stopPoll,               // between sweeps of the connections
-	IdleTimeout:      500 * time.Millisecond, // idle time after which a sweep closes a connection
-	WarnAfter:        10 * time.Second,       // a wait for the lock that lasts so long is logged, once
+	LockPollInterval: 5 * time.Millisecond,   // between attempts to lock
+	SweepInterval:    connectionPollInterval, // between sweeps of the connections
+	IdleTimeout:      500 * time.Millisecond, // after which a sweep closes a connection
+	WarnAfter:        10 * time.Second,       // of waiting for the lock; logged once
 }
 
-const moduleWait = 200 * time.Millisecond // for the decision module's confirmation of the handover
+const notifyTimeout = 200 * time.Millisecond // for the policy's confirmation of the handover
 
-// passedSocket drives the handover of a passed clients' socket between processes: it feeds events to the state machine
-// handover.Book and carries out its actions. It has no rule of its own. nil: this process has bound the socket.
+// passedSocket drives the handover of a passed clients' socket between processes: it feeds events to handover.Machine and
+// carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
-	gate        *transport.Gate // holds accepts back
-	lock        *transport.Lock // held by the process that accepts
-	machine     *handover.Machine
-	core        *core.Core
-	front       *httpfront.Server
-	log         logrus.FieldLogger
-	began       time.Time
-	open        int                // connections at the last sweep
-	termination chan time.Duration // the time by which this process must be done, since began
-	done        chan struct{}
+	gate            *transport.Gate // holds accepts back
+	lock            *transport.Lock // held by the process that accepts
+	machine         *handover.Machine
+	core            *core.Core
+	front           *httpfront.Server
+	log             logrus.FieldLogger
+	startedAt       time.Time
+	openConnections int                // connections at the last sweep
+	termination     chan time.Duration // the deadline of the handover, since startedAt
+	done            chan struct{}
 }
 
 // newPassedSocket prepares the handover on the clients' listener.
@@ -50,13 +50,13 @@
 		lock:        transport.LockOf(os.TempDir(), ln.Addr()),
 		machine:     handover.New(handoverTimes),
 		log:         log,
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		termination: make(chan time.Duration),
 		done:        make(chan struct{}),
 	}
 }
 
-// acceptGate holds accepts back; nil: nothing does.
+// acceptGate returns the gate that holds accepts back; nil: there is none.
 func (s *passedSocket) acceptGate() *transport.Gate {
 	if s == nil {
 		return nil
@@ -72,15 +72,15 @@
 	}
 }
 
-// leave hands the socket to the next process, and returns when no connection is left or the time has come.
-func (s *passedSocket) leave(by time.Time) {
+// handOver hands the socket to the next process. It returns when no connection is open or the deadline has come.
+func (s *passedSocket) handOver(deadline time.Time) {
 	if s != nil {
-		s.termination <- by.Sub(s.began)
+		s.termination <- deadline.Sub(s.startedAt)
 		<-s.done
 	}
 }
 
-// loop ends when the state machine does.
+// loop feeds the state machine until it has ended.
 func (s *passedSocket) loop() {
 	defer close(s.done)
 	s.feed(handover.Event{Kind: handover.Started})
@@ -89,48 +89,48 @@
 	for !s.machine.Ended() {
 		timer.Reset(min(s.machine.Next()-s.now(), time.Hour))
 		select {
-		case by := <-s.termination:
-			s.feed(handover.Event{Kind: handover.TermReceived, Deadline: by})
+		case deadline := <-s.termination:
+			s.feed(handover.Event{Kind: handover.TermReceived, Deadline: deadline})
 		case <-timer.C:
 			s.feed(handover.Event{Kind: handover.TimerFired})
 		}
 	}
 }
 
-func (s *passedSocket) now() time.Duration { return time.Since(s.began) }
+func (s *passedSocket) now() time.Duration { return time.Since(s.startedAt) }
 
 // feed gives the state machine an event, and then those that its actions cause.
 func (s *passedSocket) feed(e handover.Event) {
 	for events := []handover.Event{e}; len(events) > 0; events = events[1:] {
 		for _, a := range s.machine.Step(s.now(), events[0]) {
-			events = append(events, s.do(a)...)
+			events = append(events, s.carryOut(a)...)
 		}
 	}
 }
 
-// do carries out an action and returns the events that it causes.
-func (s *passedSocket) do(a handover.Action) []handover.Event {
+// carryOut carries out an action and returns the events that it causes.
+func (s *passedSocket) carryOut(a handover.Action) []handover.Event {
 	event := func(k handover.EventKind, n int) []handover.Event {
 		return []handover.Event{{Kind: k, OpenConnections: n}}
 	}
 	switch a.Kind {
 	case handover.TryLock:
-		had, err := s.lock.Try()
+		acquired, err := s.lock.Try()
 		switch {
 		case err != nil:
-			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("accepting without a lock")
+			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("passed socket not locked, accepting connections without the lock")
 			return event(handover.LockUnavailable, 0)
-		case !had:
+		case !acquired:
 			return event(handover.LockBusy, 0)
 		}
 		return event(handover.LockAcquired, 0)
 	case handover.Accept:
-		s.log.WithField("lock", s.lock.Path).Info("accepting on the passed socket")
+		s.log.WithField("lock", s.lock.Path).Info("accepting connections on the passed socket")
 		s.gate.Open()
 	case handover.WarnLongWait:
-		s.log.WithFields(operr.Fields(&handover.LongWaitError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("waiting for the passed socket")
+		s.log.WithFields(operr.Fields(&handover.LongWaitError{Path: s.lock.Path, Since: s.now().Round(time.Second)})).Warn("still waiting for the lock of the passed socket")
 	case handover.NotifyModule:
-		if !s.core.HandOver(moduleWait) {
+		if !s.core.HandOver(notifyTimeout) {
 			return event(handover.ModuleBusy, 0)
 		}
 		return event(handover.ModuleNotified, 0)
@@ -140,12 +140,12 @@
 		return event(handover.ListenerClosed, 0)
 	case handover.ReleaseLock:
 		s.lock.Release()
-		s.log.Info("stopping: the passed socket is the next process's")
+		s.log.Info("passed socket released to the next process")
 	case handover.CloseIdle:
-		s.open = s.front.Sweep(a.IdleFor)
-		return event(handover.ConnectionsCounted, s.open)
+		s.openConnections = s.front.Sweep(a.IdleFor)
+		return event(handover.ConnectionsCounted, s.openConnections)
 	case handover.Finish:
-		s.log.WithField("open", s.open).Info("stopping: made way")
+		s.log.WithField("open_connections", s.openConnections).Info("handover complete")
 	}
 	return nil
 }
--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -14,24 +14,24 @@
 	"wheatsaddle/policy"
 )
 
-// blockFront is the iSCSI front. It has a core of its own, since its storage targets are no nodes of the platform: a new
+// iscsiFront is the iSCSI front. It has a core of its own, since its storage targets are not nodes of the platform: a new
 // object of the platform must never be placed on one. nil: the front is off.
-type blockFront struct {
+type iscsiFront struct {
 	file    string
 	dialer  *iscsi.Dialer
 	core    *core.Core
 	target  *iscsi.Target
-	sockets int // most descriptors that it holds
+	sockets int // maximum number of descriptors in use
 }
 
-// startBlocks reads the mapping file and serves the iSCSI front.
-func startBlocks(file string, conf *config.Config, at *site, log logrus.FieldLogger) (*blockFront, error) {
+// startISCSI reads the mapping file and serves the iSCSI front.
+func startISCSI(file string, conf *config.Config, at *site, log logrus.FieldLogger) (*iscsiFront, error) {
 	mapping, err := config.LoadISCSI(file, conf.Settings)
 	if err != nil {
 		return nil, err
 	}
 	dialer := iscsi.NewDialer(mapping, mapping.Initiator+conf.Name, milliseconds(conf.ConnectTimeout), log)
-	at.blocks = dialer
+	at.iscsi = dialer
 	at.apply()
 	set := iscsi.Settings(conf.Settings, mapping)
 	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.Connect, Log: log})
@@ -49,7 +49,7 @@
 		co.Stop()
 		return nil, err
 	}
-	f := &blockFront{
+	f := &iscsiFront{
 		file:    file,
 		dialer:  dialer,
 		core:    co,
@@ -58,29 +58,29 @@
 	}
 	go func() {
 		if err := f.target.Serve(ln); err != nil {
-			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
+			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iSCSI front failed")
 		}
 	}()
-	log.WithFields(logrus.Fields{"listen": mapping.Listen, "targets": len(mapping.Targets), "storage": len(mapping.Storage)}).Info("serving iscsi")
+	log.WithFields(logrus.Fields{"address": mapping.Listen, "targets": len(mapping.Targets), "storage_targets": len(mapping.Storage)}).Info("serving iSCSI")
 	return f, nil
 }
 
-// reload reads the storage targets again. A target that is not listed any more gets no new request.
-func (f *blockFront) reload(conf *config.Config, log logrus.FieldLogger) {
+// reload reads the storage targets again. A target that is not listed any more gets no new requests.
+func (f *iscsiFront) reload(conf *config.Config, log logrus.FieldLogger) {
 	if f == nil {
 		return
 	}
 	mapping, err := config.LoadISCSI(f.file, conf.Settings)
 	if err != nil {
-		log.WithFields(operr.Fields(err)).Warn("the storage targets stay as they are")
+		log.WithFields(operr.Fields(err)).Warn("reload of the iSCSI file failed, the previous storage targets remain in effect")
 		return
 	}
 	f.dialer.Update(mapping)
 	f.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
 }
 
-// shutdown ends the sessions by the end of ctx.
-func (f *blockFront) shutdown(ctx context.Context) {
+// shutdown ends the sessions; it returns at the end of ctx at the latest.
+func (f *iscsiFront) shutdown(ctx context.Context) {
 	if f != nil {
 		f.target.Shutdown(ctx)
 	}
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"net"
 	"os"
 	"os/signal"
 	"sync/atomic"
@@ -12,69 +10,62 @@
 
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v2"
-	"golang.org/x/sync/semaphore"
 
-	"wheatsaddle/internal/admin"
 	"wheatsaddle/internal/config"
-	"wheatsaddle/internal/connqueue"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/discovery"
-	"wheatsaddle/internal/discovery/watchtimer"
-	"wheatsaddle/internal/exclusion"
 	"wheatsaddle/internal/httpfront"
-	"wheatsaddle/internal/operr"
 	"wheatsaddle/internal/transport"
-	"wheatsaddle/policy"
 )
 
-// listWait is how long readiness waits for discovery's first answer.
-const listWait = time.Second
+// maxListWait is how long readiness waits for the first answer of discovery.
+const maxListWait = time.Second
 
 // service is one run of the daemon, from its arguments to its exit.
 //
-// The steps of start and open fill the fields from top to bottom, each from those above it. After that only
-// listed and serving change. What a step acquires it registers with onClose; close releases it in
-// reverse order on every way out.
+// The steps of start, and then open, set the fields from top to bottom, each from those above it. Afterwards only
+// listReceived and serving change. What a step acquires it registers with onClose; close releases it in reverse order on
+// every return of serve.
 type service struct {
-	flags   *cli.Context
-	log     logrus.FieldLogger
-	hangup  chan os.Signal // SIGHUP: the files are read again
-	order   *termination   // SIGTERM, interrupt
-	closers []func()
+	flags       *cli.Context
+	log         logrus.FieldLogger
+	hangup      chan os.Signal // SIGHUP: the files are reloaded
+	termination *termination   // SIGTERM or interrupt
+	closers     []func()
 
-	conf   *config.Config // as at the start; reloadOnHangup has the current one
-	known  discovery.List // the configuration's node list, until discovery answers
-	site   *site
-	blocks *blockFront // nil: no iSCSI front
+	conf       *config.Config // as at the start; reloadOnHangup has the current one
+	cachedList discovery.List // the configuration's endpoint list, until discovery answers
+	site       *site
+	iscsi      *iscsiFront // nil: no iSCSI front
 
-	clientConns int // most connections of clients
-	nodeConns   int // most connections to storage nodes
+	clientConns int // maximum number of clients' connections
+	nodeConns   int // maximum number of connections to storage nodes
 
 	starter    *starter // nil: the site's file has no section start
 	fleet      *fleet   // nil: the site's file has no section peers
 	core       *core.Core
 	exclusions *exclusionKeeper
 
-	ctx       context.Context // of the goroutines that end with the service
-	watcher   *discovery.Watcher
-	listAsked time.Time   // when the watch began
-	listed    atomic.Bool // discovery has answered
+	ctx          context.Context // of the goroutines that end with the service
+	watcher      *discovery.Watcher
+	watchStarted time.Time
+	listReceived atomic.Bool // discovery has answered
 
-	front    *httpfront.Server
-	socket   *passedSocket // nil: the clients' socket was bound by this process
-	gathered *gatherer
-	ended    chan error  // the front's, if it ends by itself
-	serving  atomic.Bool // the clients' listener is served
+	front      *httpfront.Server
+	socket     *passedSocket // nil: the clients' socket was bound by this process
+	gather     *gatherer
+	frontEnded chan error  // receives the front's error if it ends by itself
+	serving    atomic.Bool // the clients' listener is served
 }
 
-// serve is the command serve: it returns nil once the daemon has shut down by a signal.
+// serve is the command serve. It returns nil after a shutdown by a signal.
 func serve(flags *cli.Context) error {
 	s := newService(flags)
 	defer s.close()
 	if err := s.start(); err != nil {
 		return err
 	}
-	if s.order.came() { // no client's connection was accepted
+	if s.termination.wasReceived() { // no connection of a client was accepted
 		s.log.Info("stopped before serving")
 		return nil
 	}
@@ -83,23 +74,23 @@
 	}
 	go s.reloadOnHangup()
 	select {
-	case err := <-s.ended:
+	case err := <-s.frontEnded:
 		return &transport.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
-	case <-s.order.asked:
+	case <-s.termination.received:
 	}
-	s.shutDown()
+	s.terminate()
 	return nil
 }
 
-// newService takes the signals before anything else: a SIGHUP without a handler ends the program.
+// newService handles the signals before anything else: a SIGHUP without a handler would end the program.
 func newService(flags *cli.Context) *service {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
-	s := &service{flags: flags, log: log, hangup: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	s := &service{flags: flags, log: log, hangup: make(chan os.Signal, 1), frontEnded: make(chan error, 1)}
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(s.hangup, syscall.SIGHUP)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
-	s.order = awaitTermination(terminate, time.Now(), log)
+	s.termination = awaitTermination(terminate, time.Now(), log)
 	return s
 }
 
@@ -112,12 +103,12 @@
 	}
 }
 
-// start does all that comes before the clients' socket: files, core, discovery, the admin endpoint.
+// start does everything that precedes the clients' socket.
 func (s *service) start() error {
 	for _, step := range []func() error{
 		s.readConfig,
 		s.openSite,
-		s.startBlocks,
+		s.startISCSI,
 		s.startCore,
 		s.watchList,
 		s.openAdmin,
@@ -129,250 +120,46 @@
 	return nil
 }
 
-// readConfig loads the configuration. A bad known list is no reason to stay down: discovery brings another.
-func (s *service) readConfig() (err error) {
-	if s.conf, err = loadConfig(s.flags); err != nil {
-		return err
-	}
-	s.known, err = knownList(s.conf)
-	if err != nil {
-		s.log.WithFields(operr.Fields(err)).Warn("starting without a known list")
-	}
-	for _, bad := range s.known.InvalidEntries {
-		s.log.WithFields(operr.Fields(bad)).Warn("known entry left out")
-	}
-	for _, bad := range s.known.InvalidAddresses {
-		s.log.WithFields(operr.Fields(bad)).Warn("known address left out")
-	}
-	return nil
-}
-
-// openSite reads the site's file, serves its metrics and applies the runtime's limits.
-func (s *service) openSite() (err error) {
-	if s.site, err = openSite(s.flags, s.conf.Seed, s.log); err != nil {
-		return err
-	}
-	s.onClose(func() { s.site.meter.Close() })
-	applyLimits(s.conf)
-	return nil
-}
-
-// startBlocks starts the iSCSI front, if its file is named, and divides the other descriptors between clients and nodes.
-func (s *service) startBlocks() (err error) {
-	all := descriptorLimit(s.conf.Sockets)
-	unreserved := max(all-reservedDescriptors, 2)
-	if file := s.flags.String("iscsi"); file != "" {
-		if s.blocks, err = startBlocks(file, s.conf, s.site, s.log); err != nil {
-			return err
-		}
-		s.onClose(s.blocks.core.Stop)
-		unreserved -= s.blocks.sockets
-	}
-	s.clientConns = clientConns(unreserved, all)
-	s.nodeConns = max(1, unreserved-s.clientConns)
-	return nil
-}
-
-// startCore starts the core with what it asks and reports to, and gives it the known list.
-func (s *service) startCore() (err error) {
-	kept, excluded := keptExclusions(s.conf.Name, s.log)
-	if s.starter, err = newStarter(s.site.held.Start, s.conf, s.known.Nodes, s.log); err != nil {
-		return err
-	}
-	if s.fleet, err = startFleet(s.site.held, s.conf, s.starter, s.log); err != nil {
-		return err
-	}
-	s.onClose(s.fleet.stop)
-	s.fleet.count(s.site.meter)
-	if s.core, err = core.New(s.coreOptions(excluded)); err != nil {
-		return config.Rejected(err)
-	}
-	s.onClose(s.core.Stop)
-	s.exclusions = &exclusionKeeper{store: kept, core: s.core, log: s.log}
-	s.fleet.setCore(s.core)
-	if !s.starter.run(s.core) {
-		s.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes})
-	}
-	s.fleet.takeNews(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.known.Nodes, Index: s.known.Version})
-	s.onClose(s.starter.stop) // before the core's: it asks the core for a last snapshot
-	s.starter.askPeers(s.fleet)
-	return nil
-}
-
-func (s *service) coreOptions(excluded exclusion.State) core.Options {
-	dialer := &httpfront.Dialer{
-		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
-		ConnIdle:       milliseconds(s.conf.ConnIdle),
-		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.MaxFreeConnWait(s.conf.HandshakePrice, shortestAim(s.conf.Settings)),
-		Safe:           safeClasses(s.conf.Settings),
-		Routes:         s.site.routes,
-		Log:            s.log,
-	}
-	return core.Options{
-		Settings:       s.starter.settings(s.conf.Settings),
-		Seed:           s.conf.Seed,
-		NewNodeClient:  dialer.Connect,
-		Log:            s.log,
-		Excluded:       excluded,
-		OnAttemptEnded: s.fleet.observe(),
-		StartLimiter:   s.starter.gate(),
-	}
-}
-
-// watchList starts the watch of the node list and that of the exclusions' file. Both end before the core does.
-func (s *service) watchList() error {
-	ctx, cancel := context.WithCancel(context.Background())
-	s.onClose(cancel)
-	s.ctx = ctx
-	s.listAsked = time.Now()
-	s.watcher = &discovery.Watcher{
-		Address:     s.conf.Discovery,
-		Version:     s.known.Version,
-		CachedNodes: s.known.Nodes,
-		OnUpdate:    s.takeNews,
-		Log:         s.log,
-		Timer:       listClock(s.conf),
-		Pacer:       s.starter.pace(),
-		OnUnchanged: s.starter.quiet,
-	}
-	go s.watcher.Run(ctx)
-	go s.exclusions.watch(ctx)
-	return nil
-}
-
-// takeNews passes the watcher's news of the node list on. It returns once the core has them.
-func (s *service) takeNews(news core.ListUpdate) {
-	if !s.starter.list(news) {
-		s.core.UpdateList(news)
-	}
-	s.fleet.takeNews(news)
-	if news.Kind == policy.ListReceived || news.Kind == policy.ListChanged {
-		s.listed.Store(true)
-	}
-}
-
-// ready is the readiness probe: the clients' socket is served, and discovery has answered or was waited for
-// long enough. With the section start the starter decides instead of the second condition.
+// ready is the readiness probe: the clients' socket is served, and discovery has answered or maxListWait has passed. With
+// the section start of the site's file, the starter decides instead of the second condition.
 func (s *service) ready() bool {
-	return s.serving.Load() && s.starter.ready(s.listed.Load() || time.Since(s.listAsked) > listWait)
+	return s.serving.Load() && s.starter.isReady(s.listReceived.Load() || time.Since(s.watchStarted) > maxListWait)
 }
 
-// openAdmin starts the admin endpoint, if the configuration names its address.
-func (s *service) openAdmin() error {
-	admin := &admin.Endpoint{
-		Estimate: estimates(s.site.held.Estimate, s.conf, s.fleet.views()),
-		Ready:    s.ready,
-		Counters: s.core.Counters().Snapshot,
-		Log:      s.log,
-		Exclude:  s.exclusions.exclude,
-		Include:  s.exclusions.include,
-	}
-	if s.conf.AdminListen != "" {
-		ln, err := transport.ListenTCP(s.conf.AdminListen)
-		if err != nil {
-			return fmt.Errorf("operator: %w", err)
-		}
-		go s.serveAdmin(admin, ln)
-		s.log.WithField("operator", s.conf.AdminListen).Info("the operators' door is open")
-	}
-	s.onClose(func() { admin.Close() })
-	return nil
-}
-
-func (s *service) serveAdmin(admin *admin.Endpoint, ln net.Listener) {
-	if err := admin.Serve(ln); err != nil {
-		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.AdminListen, Err: err}
-		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
-	}
-}
-
-// open serves the clients' socket.
-func (s *service) open() error {
-	ln, err := clientListener(s.conf, s.log)
-	if err != nil {
-		return err
-	}
-	s.socket = newPassedSocket(s.conf, ln, s.log)
-	if ln, err = s.site.listen("http", ln, s.socket.acceptGate()); err != nil {
-		return err
-	}
-	s.front = httpfront.NewServer(s.core, s.conf.Settings, s.clientConns, s.log)
-	s.front.Bodies = semaphore.NewWeighted(bodyMemory(s.conf))
-	if s.gathered, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
-		return err
-	}
-	go func() { s.ended <- s.front.Serve(ln, s.clientConns) }()
-	s.socket.run(s.core, s.front)
-	s.serving.Store(true)
-	s.log.WithFields(logrus.Fields{
-		"name":       s.conf.Name,
-		"listen":     s.conf.Listen,
-		"nodes":      len(s.known.Nodes),
-		"version":    version,
-		"list":       s.conf.ListMode,
-		"list_price": s.conf.ListPrice,
-	}).Info("serving")
-	return nil
-}
-
-// reloadOnHangup reads the files again at each SIGHUP until the service ends. It goes on during the shutdown: open
-// requests still need the node list.
+// reloadOnHangup reloads the files at each SIGHUP until the service ends. It continues during the shutdown: open requests
+// still need the endpoint list.
 func (s *service) reloadOnHangup() {
-	retune := s.starter.retune(s.core)
+	configuration := &reloader{
+		env:         os.Getenv,
+		move:        s.watcher.SetAddress,
+		reconfigure: s.starter.reconfigure(s.core),
+		log:         s.log,
+	}
 	for current := s.conf; ; {
 		select {
 		case <-s.hangup:
-			next, taken := reload(s.ctx, current, os.Getenv, s.watcher.SetAddress, s.log, retune)
-			s.core.Counters().CountReload(taken)
+			next, accepted := configuration.reload(s.ctx, current)
+			s.core.Counters().CountReload(accepted)
 			current = next
 			s.site.reload()
-			s.gathered.reload(s.site.held, current)
-			s.blocks.reload(s.conf, s.log)
+			s.gather.reload(s.site.current, current)
+			s.iscsi.reload(s.conf, s.log)
 		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// shutDown goes from the signal to the last answer. The process is not ready any more: another is to serve.
-func (s *service) shutDown() {
+// terminate shuts the service down, from the signal to the last answer. The process is not ready from now on, so that
+// clients go to another one.
+func (s *service) terminate() {
 	s.serving.Store(false)
-	stop := newShutdown(s.order.sent, s.core.Settings().Settings)
-	stop.core = s.core
-	stop.front = s.front
-	stop.blocks = s.blocks
-	stop.socket = s.socket
-	stop.fleet = s.fleet
-	stop.log = s.log
-	stop.run()
-}
-
-// listClock is how the list is asked for, by the settings.
-func listClock(conf *config.Config) watchtimer.Settings {
-	set := conf.Settings
-	return watchtimer.Settings{
-		Pushed:         !set.PollsEndpointList,
-		Schedulers:     set.Schedulers,
-		StalenessBound: milliseconds(set.PollWithin),
-		DrainGrace:     milliseconds(set.DrainGrace),
-		Seed:           uint64(conf.Seed),
-	}
-}
-
-// clientListener is the clients' socket: the platform's, where it passes one, else bound here.
-func clientListener(conf *config.Config, log logrus.FieldLogger) (net.Listener, error) {
-	if conf.InheritedSocket == "" {
-		ln, err := transport.ListenTCP(conf.Listen)
-		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
-		}
-		return ln, nil
-	}
-	ln, err := transport.Passed(conf.InheritedSocket)
-	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	log.WithFields(logrus.Fields{"passed": conf.InheritedSocket, "address": ln.Addr().String()}).Info("listening on the passed socket")
-	return ln, nil
+	shutdown := newShutdown(s.termination.sentAt, s.core.Settings().Settings)
+	shutdown.core = s.core
+	shutdown.front = s.front
+	shutdown.iscsi = s.iscsi
+	shutdown.socket = s.socket
+	shutdown.fleet = s.fleet
+	shutdown.log = s.log
+	shutdown.run()
 }
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -16,34 +16,36 @@
 	"wheatsaddle/internal/transport"
 )
 
-// site is the site's file while the daemon runs: what the installation has beyond the platform. Without the file all of
-// it is off.
+// site holds the site's file: the features that the installation adds to the platform. Without the file all are off.
 type site struct {
-	file   string
-	held   *config.Site // as last read
-	routes *httpfront.Routes
-	blocks *iscsi.Dialer     // nil: no iSCSI front
-	meter  *metrics.Registry // nil: no counts but the admin endpoint's
-	log    logrus.FieldLogger
+	file    string
+	current *config.Site // as of the last valid read
+	routes  *httpfront.Routes
+	iscsi   *iscsi.Dialer     // nil: no iSCSI front
+	meter   *metrics.Registry // nil: only the admin endpoint has counts
+	log     logrus.FieldLogger
 }
 
 func openSite(c *cli.Context, seed int64, log logrus.FieldLogger) (*site, error) {
-	s := &site{file: c.String("site"), held: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
+	s := &site{file: c.String("site"), current: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
 	if s.file == "" {
 		return s, nil
 	}
-	held, err := config.LoadSite(s.file)
+	current, err := config.LoadSite(s.file)
 	if err != nil {
 		return nil, err
 	}
-	s.held = held
+	s.current = current
 	s.apply()
-	return s, s.serveMetrics()
+	if err := s.serveMetrics(); err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
 // serveMetrics serves the section metrics. Other parts register their counts at s.meter, which may be nil.
 func (s *site) serveMetrics() error {
-	set := s.held.Metrics
+	set := s.current.Metrics
 	if set == nil {
 		return nil
 	}
@@ -53,63 +55,63 @@
 	}
 	s.meter = metrics.Serve(ln, s.log)
 	s.meter.Gauge(func() float64 { return 1 }, "info", "version", version)
-	s.log.WithField("address", ln.Addr().String()).Info("counts are served")
+	s.log.WithField("address", ln.Addr().String()).Info("metrics endpoint listening")
 	return nil
 }
 
-// apply sets the nodes' address rules of the file as read.
+// apply applies the address rules of the nodes.
 func (s *site) apply() {
-	set := s.held.Addresses
+	set := s.current.Addresses
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
 	s.routes.Set(httpfront.RouteSettings{Book: set.Book, Identity: set.Identity})
-	if s.blocks != nil {
-		s.blocks.Addresses(set.Book)
+	if s.iscsi != nil {
+		s.iscsi.Addresses(set.Book)
 	}
 }
 
-// keepUntilRestart restores the value of a section that only a restart applies, and adds its key to changed if the file has
-// another value.
-func keepUntilRestart[T any](next *T, held T, key string, changed []string) []string {
-	if !reflect.DeepEqual(*next, held) {
+// keepUntilRestart restores the value of a section that only a restart applies. If the file has another value, it adds the
+// section's key to changed.
+func keepUntilRestart[T any](next *T, current T, key string, changed []string) []string {
+	if !reflect.DeepEqual(*next, current) {
 		changed = append(changed, key)
 	}
-	*next = held
+	*next = current
 	return changed
 }
 
-// reload reads the file again and checks it whole before any of it applies. A bad file changes nothing.
+// reload reads the file again and checks it as a whole before any of it applies. An invalid file changes nothing.
 func (s *site) reload() {
 	if s.file == "" {
 		return
 	}
 	next, err := config.LoadSite(s.file)
 	if err != nil {
-		s.log.WithFields(operr.Fields(err)).Error("the site's file counts as it was")
+		s.log.WithFields(operr.Fields(err)).Error("reload of the site's file failed, the previous one remains in effect")
 		return
 	}
-	changed := keepUntilRestart(&next.Listen, s.held.Listen, "listen", nil)
-	changed = keepUntilRestart(&next.Metrics, s.held.Metrics, "metrics", changed)
-	changed = keepUntilRestart(&next.Peers, s.held.Peers, "peers", changed)
-	changed = keepUntilRestart(&next.Estimate, s.held.Estimate, "estimate", changed)
-	changed = keepUntilRestart(&next.Start, s.held.Start, "start", changed)
+	changed := keepUntilRestart(&next.Listen, s.current.Listen, "listen", nil)
+	changed = keepUntilRestart(&next.Metrics, s.current.Metrics, "metrics", changed)
+	changed = keepUntilRestart(&next.Peers, s.current.Peers, "peers", changed)
+	changed = keepUntilRestart(&next.Estimate, s.current.Estimate, "estimate", changed)
+	changed = keepUntilRestart(&next.Start, s.current.Start, "start", changed)
 	for _, key := range changed {
-		s.log.WithFields(operr.Fields(&config.RestartError{Keys: key})).WithField("keys", key).Warn("changed, and need a restart")
+		s.log.WithFields(operr.Fields(&config.RestartError{Keys: key})).WithField("keys", key).Warn("changed keys need a restart")
 	}
-	s.held = next
+	s.current = next
 	s.apply()
-	s.log.Info("site's file read again")
+	s.log.Info("site's file reloaded")
 }
 
-// listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
+// listen merges a front's first listener with those for its further addresses, all behind the gate if there is one.
 func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
 	all := []net.Listener{gate.Listener(first)}
-	for i, l := range s.held.Listen[front] {
+	for i, l := range s.current.Listen[front] {
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
 			for _, open := range all {
-				open.Close()
+				_ = open.Close() // the error of the listen is the cause
 			}
 			return nil, fmt.Errorf("site: listen.%s.%d: %w", front, i, err)
 		}
--- a/cmd/wheatsaddle/startsnapshot.go
+++ b/cmd/wheatsaddle/startersnapshot.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	snapshotInterval = 5 * time.Second  // between snapshots; one more is written at the stop
-	askPeersFor      = 10 * time.Second // longest request for a peer's snapshot
+	snapshotInterval       = 5 * time.Second  // between snapshots; another is written at the stop
+	snapshotRequestTimeout = 10 * time.Second // for a peer's snapshot
 )
 
-// recall keeps what a snapshot holds, and returns its nodes for the state machine.
-func (s *starter) recall(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
+// loadSnapshot stores a snapshot's contents, and returns its nodes for the state machine.
+func (s *starter) loadSnapshot(snap *snapshot.Snapshot) (nodes []coldstart.Node) {
 	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
 		nodes = append(nodes, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
@@ -35,32 +35,32 @@
 	return nodes
 }
 
-// askPeers requests a snapshot from the other processes, where this one has none.
-func (s *starter) askPeers(others *fleet) {
-	if s == nil || others == nil || s.learnedNodes != nil {
+// requestSnapshot requests a snapshot from the other processes if this one has none.
+func (s *starter) requestSnapshot(peers *fleet) {
+	if s == nil || peers == nil || s.learnedNodes != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askPeersFor)
-	s.cancelAsk = cancel
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotRequestTimeout)
+	s.cancelRequest = cancel
 	go func() {
 		defer cancel()
-		others.peers.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.takeSnapshot)
+		peers.cluster.RequestSnapshot(ctx, gossip.LearnedSnapshot, s.acceptSnapshot)
 	}()
 }
 
-// takeSnapshot takes a peer's snapshot; an error: it cannot be read.
-func (s *starter) takeSnapshot(text []byte) error {
+// acceptSnapshot uses a peer's snapshot, or returns an error if it is not readable.
+func (s *starter) acceptSnapshot(text []byte) error {
 	snap, err := snapshot.Parse("of a peer", text)
 	if err != nil {
 		return err
 	}
-	s.step(coldstart.SnapshotReceived{Snapshot: s.recall(snap)})
+	s.step(coldstart.SnapshotReceived{Snapshot: s.loadSnapshot(snap)})
 	return nil
 }
 
-// give answers a peer's request for a snapshot, once the start is over: before, this process knows less than
-// others. nil: the section is off.
-func (s *starter) give() func(gossip.SnapshotKind) []byte {
+// snapshotProvider returns the function that answers a peer's request for a snapshot once the cold start is over: before,
+// this process knows less than others. nil: the section is off.
+func (s *starter) snapshotProvider() func(gossip.SnapshotKind) []byte {
 	if s == nil {
 		return nil
 	}
@@ -74,17 +74,17 @@
 		}
 		text, err := snapshot.Encode(snap)
 		if err != nil {
-			s.log.WithFields(operr.Fields(err)).Warn("no snapshot was handed over")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot for a peer not encoded")
 			return nil
 		}
 		return text
 	}
 }
 
-// keepSnapshot writes the snapshot at each interval and at the stop, but not before the start is over: until then
+// writeSnapshots writes the snapshot at each interval and at the stop, but not before the cold start is over: until then
 // the file holds more.
-func (s *starter) keepSnapshot() {
-	defer sync.Close(s.written)
+func (s *starter) writeSnapshots() {
+	defer sync.Close(s.snapshotsDone)
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	for done := false; !done; {
@@ -102,12 +102,12 @@
 	}
 	if snap := s.snapshot(); snap != nil {
 		if err := snapshot.Write(s.path, snap); err != nil {
-			s.log.WithFields(operr.Fields(err)).Warn("no snapshot was written")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot not written")
 		}
 	}
 }
 
-// snapshot is what the core has learned by now; nil: nothing.
+// snapshot returns what the core has learned; nil: nothing.
 func (s *starter) snapshot() *snapshot.Snapshot {
 	learned, ok := s.core.Learned()
 	if !ok || len(learned.Nodes) == 0 {
