--- a/cmd/wheatsaddle/blocks.go
+++ b/cmd/wheatsaddle/blocks.go
@@ -58,7 +58,7 @@
 	}
 	go func() {
 		if err := f.target.Serve(ln); err != nil {
-			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
+			log.WithFields(operr.Fields(&transport.ListenerEndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iscsi front ended")
 		}
 	}()
 	log.WithFields(logrus.Fields{"listen": mapping.Listen, "targets": len(mapping.Targets), "storage": len(mapping.Storage)}).Info("serving iscsi")
--- a/cmd/wheatsaddle/gathered.go
+++ b/cmd/wheatsaddle/gathered.go
@@ -48,7 +48,7 @@
 func (g *gatherer) apply(at *config.Site, conf *config.Config) error {
 	set := at.Gather
 	if set == nil {
-		g.front.Gather(nil)
+		g.front.SetScatterGather(nil)
 		return nil
 	}
 	classes, err := gatherRules(set, conf)
@@ -70,14 +70,14 @@
 		PartsMost: set.PartsMost,
 		Reads:     &g.reads,
 		TokenKey:  set.TokenKey,
-		Payload:   httpfront.GatherPart,
-		Body:      httpfront.GatherBody,
+		Payload:   httpfront.PartPayload,
+		Body:      httpfront.PartBody,
 	}
 	if at.Estimate != nil && g.views != nil {
 		service.Expect = newExpectation(at.Estimate, conf, g.views).of
 	}
 	g.reads.Set(set.Reads)
-	g.front.Gather(service)
+	g.front.SetScatterGather(service)
 	return nil
 }
 
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -28,8 +28,8 @@
 // passedSocket drives the handover of a passed clients' socket between processes: it feeds events to the state machine
 // handover.Book and carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
-	gate        *transport.Gate // holds accepts back
-	lock        *transport.Lock // held by the process that accepts
+	gate        *transport.AcceptGate // holds accepts back
+	lock        *transport.AcceptLock // held by the process that accepts
 	machine     *handover.Machine
 	core        *core.Core
 	front       *httpfront.Server
@@ -46,8 +46,8 @@
 		return nil
 	}
 	return &passedSocket{
-		gate:        transport.NewGate(),
-		lock:        transport.LockOf(os.TempDir(), ln.Addr()),
+		gate:        transport.NewAcceptGate(),
+		lock:        transport.NewAcceptLock(os.TempDir(), ln.Addr()),
 		machine:     handover.New(handoverTimes),
 		log:         log,
 		began:       time.Now(),
@@ -57,7 +57,7 @@
 }
 
 // acceptGate holds accepts back; nil: nothing does.
-func (s *passedSocket) acceptGate() *transport.Gate {
+func (s *passedSocket) acceptGate() *transport.AcceptGate {
 	if s == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	}
 	switch a.Kind {
 	case handover.TryLock:
-		had, err := s.lock.Try()
+		had, err := s.lock.TryLock()
 		switch {
 		case err != nil:
 			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("accepting without a lock")
@@ -135,14 +135,14 @@
 		}
 		return event(handover.ModuleNotified, 0)
 	case handover.CloseListener:
-		s.front.Leave()
+		s.front.CloseAfterResponses()
 		s.front.StopAccepting()
 		return event(handover.ListenerClosed, 0)
 	case handover.ReleaseLock:
-		s.lock.Release()
+		s.lock.Unlock()
 		s.log.Info("stopping: the passed socket is the next process's")
 	case handover.CloseIdle:
-		s.open = s.front.Sweep(a.IdleFor)
+		s.open = s.front.CloseIdle(a.IdleFor)
 		return event(handover.ConnectionsCounted, s.open)
 	case handover.Finish:
 		s.log.WithField("open", s.open).Info("stopping: made way")
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -58,7 +58,7 @@
 	s := newPassedSocket(&config.Config{Passed: "3"}, ln, log)
 	s.front = httpfront.NewServer(nil, policy.Settings{}, 4, log)
 	served := make(chan error, 1)
-	go func() { served <- s.front.Serve(s.acceptGate().Listener(ln), 4) }()
+	go func() { served <- s.front.Serve(s.acceptGate().Wrap(ln), 4) }()
 	nc, err := net.Dial("tcp", ln.Addr().String()) // it waits in the socket
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -84,7 +84,7 @@
 	go s.reloadOnHangup()
 	select {
 	case err := <-s.ended:
-		return &transport.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
+		return &transport.ListenerEndedError{Front: "http", Address: s.conf.Listen, Err: err}
 	case <-s.order.asked:
 	}
 	s.shutDown()
@@ -203,10 +203,10 @@
 	dialer := &httpfront.Dialer{
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
-		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
-		Safe:           safeClasses(s.conf.Settings),
-		Routes:         s.site.routes,
+		MaxConns:      int64(s.nodeConns),
+		FreeConnWait:           connqueue.Wait(s.conf.Handshake, shortestAim(s.conf.Settings)),
+		Idempotent:           safeClasses(s.conf.Settings),
+		Addresses:         s.site.routes,
 		Log:            s.log,
 	}
 	return core.Options{
@@ -282,7 +282,7 @@
 
 func (s *service) serveAdmin(admin *admin.AdminEndpoint, ln net.Listener) {
 	if err := admin.Serve(ln); err != nil {
-		ended := &transport.EndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
+		ended := &transport.ListenerEndedError{Front: "operators' door", Address: s.conf.Operator, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("the operators' door has closed")
 	}
 }
@@ -298,7 +298,7 @@
 		return err
 	}
 	s.front = httpfront.NewServer(s.core, s.conf.Settings, s.clientConns, s.log)
-	s.front.Bodies = semaphore.NewWeighted(bodyMemory(s.conf))
+	s.front.BodyMemory = semaphore.NewWeighted(bodyMemory(s.conf))
 	if s.gathered, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
 		return err
 	}
@@ -369,7 +369,7 @@
 		}
 		return ln, nil
 	}
-	ln, err := transport.Passed(conf.Passed)
+	ln, err := transport.ListenInherited(conf.Passed)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -77,7 +77,7 @@
 	}
 	s.log.Info("stopping: accepting a little longer")
 	time.Sleep(time.Until(s.sent.Add(newcomersFor)))
-	s.front.KeepFree()
+	s.front.ReserveIdleConns()
 	time.Sleep(time.Until(s.sent.Add(acceptFor)))
 }
 
@@ -90,7 +90,7 @@
 
 // drain closes each connection with its next answer, and those without a request at once.
 func (s *shutdown) drain() {
-	s.front.Leave()
+	s.front.CloseAfterResponses()
 	s.until(answerMargin, s.sweep)
 }
 
@@ -101,13 +101,13 @@
 	}
 	s.core.Finish()
 	s.until(exitMargin, func() int {
-		s.front.Interrupt()
+		s.front.RejectIncoming()
 		return s.sweep()
 	})
 }
 
 // sweep closes the connections between requests, and returns how many are open.
-func (s *shutdown) sweep() int { return s.front.Sweep(0) }
+func (s *shutdown) sweep() int { return s.front.CloseIdle(0) }
 
 // until polls until no connection is open or SIGKILL is as near as before. It polls once at least.
 func (s *shutdown) until(before time.Duration, open func() int) {
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -21,14 +21,14 @@
 type site struct {
 	file   string
 	held   *config.Site // as last read
-	routes *httpfront.Routes
+	routes *httpfront.AddressConfig
 	blocks *iscsi.Dialer  // nil: no iSCSI front
 	meter  *metrics.Meter // nil: no counts but the admin endpoint's
 	log    logrus.FieldLogger
 }
 
 func openSite(c *cli.Context, seed int64, log logrus.FieldLogger) (*site, error) {
-	s := &site{file: c.String("site"), held: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
+	s := &site{file: c.String("site"), held: &config.Site{}, log: log, routes: &httpfront.AddressConfig{Seed: uint64(seed)}}
 	if s.file == "" {
 		return s, nil
 	}
@@ -63,7 +63,7 @@
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
-	s.routes.Set(httpfront.RouteSettings{Book: set.Book, Identity: set.Identity})
+	s.routes.Set(httpfront.AddressSettings{Selector: set.Book, IdentityHeader: set.Identity})
 	if s.blocks != nil {
 		s.blocks.Addresses(set.Book)
 	}
@@ -103,8 +103,8 @@
 }
 
 // listen merges a front's first listener with those for its further addresses, all behind the gate, if there is one.
-func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
-	all := []net.Listener{gate.Listener(first)}
+func (s *site) listen(front string, first net.Listener, gate *transport.AcceptGate) (net.Listener, error) {
+	all := []net.Listener{gate.Wrap(first)}
 	for i, l := range s.held.Listen[front] {
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
@@ -114,7 +114,7 @@
 			return nil, fmt.Errorf("site: listen.%s.%d: %w", front, i, err)
 		}
 		s.log.WithFields(logrus.Fields{"front": front, "address": ln.Addr().String()}).Info("listening")
-		all = append(all, gate.Listener(ln))
+		all = append(all, gate.Wrap(ln))
 	}
 	return transport.Merge(all...), nil
 }
--- a/cmd/wheatsaddle/tree.go
+++ b/cmd/wheatsaddle/tree.go
@@ -26,7 +26,7 @@
 		BytesMost: set.BytesMost,
 		IDMost:    requestIDMost,
 		Log:       g.log,
-		Request:   httpfront.GatherPeer,
+		Request:   httpfront.EncodePeerRequest,
 		Limited:   map[string]bool{},
 		Alive:     g.alive,
 		Tally:     &g.tally,
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return transport.Plain(nc)
+	return transport.DisableSplice(nc)
 }
 
 func (v *via) WriteTo(b []byte, addr string) (time.Time, error) {
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/ahead_interleave_test.go
@@ -23,7 +23,7 @@
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		n, drains, tries, all := meet(fd, a.Request, time.Hour, 1)
-		n.dialer.ConnsMost = 2
+		n.dialer.MaxConns = 2
 		dials, dial := 0, n.dialer.dial
 		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			dials++
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -43,7 +43,7 @@
 		at = append(at, a)
 	}
 	d = dialer()
-	d.ConnsMost, d.ConnectTimeout = 2, 300*ms
+	d.MaxConns, d.ConnectTimeout = 2, 300*ms
 	return n, at, d
 }
 
@@ -75,9 +75,9 @@
 			want(p, policy.Abandoned, 1, 1)
 			(&routed{t: t, n: n, d: d, p: p}).served(readText)
 			want(p, policy.Abandoned, 1, 1)
-			d.ConnsMost = 1 // none is to spare, and an idle one does not give way to what nobody needs
+			d.MaxConns = 1 // none is to spare, and an idle one does not give way to what nobody needs
 			want(other, policy.Abandoned, 1, 1)
-			d.ConnsMost = 2
+			d.MaxConns = 2
 			for _, a := range at {
 				if err := n.Set(a, standnode.Refused); err != nil {
 					t.Fatal(err)
@@ -95,7 +95,7 @@
 func TestAheadIsTheLines(t *testing.T) {
 	let := make(chan bool)
 	n, at, d := newNode(t, 1, func(*fasthttp.Request) time.Duration { <-let; return 0 })
-	d.Wait = time.Minute // no connect is late
+	d.FreeConnWait = time.Minute // no connect is late
 	p := d.Connect("n", at)
 	told := make(chan policy.Status, 2)
 	p.Connect(func(s policy.Status) { told <- s })
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -44,10 +44,10 @@
 	for _, list := range [][]address.Addr{one, more} {
 		b.Run(fmt.Sprintf("addresses=%d", len(list)), func(b *testing.B) {
 			d := dialer()
-			d.Routes = &Routes{}
+			d.Addresses = &AddressConfig{}
 			set := address.Defaults()
 			set.Preference = []address.Kind{address.IPv4}
-			d.Routes.Set(RouteSettings{Book: set})
+			d.Addresses.Set(AddressSettings{Selector: set})
 			p := d.Connect("n", list)
 			defer p.Close()
 			a, got := attempt(b, later())
--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -73,7 +73,7 @@
 	h := held{free: memory.release}
 	switch {
 	case size > bodyLargest:
-		return h, &Malformed{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
+		return h, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	case size > 0:
 		if err := memory.grow(int64(size)); err != nil {
 			return h, err
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if len(body)+bodyReadSize > bodyLargest+1 {
-		return nil, &Malformed{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
+		return nil, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	}
 	grown := make([]byte, len(body), max(2*cap(body), len(body)+bodyReadSize))
 	copy(grown, body)
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -84,7 +84,7 @@
 func TestLongBodiesUnderARoom(t *testing.T) {
 	const size, writes = 2 << 20, 12
 	f := newFront(t, say(fine))
-	f.srv.Bodies = semaphore.NewWeighted(6 << 20) // three at a time
+	f.srv.BodyMemory = semaphore.NewWeighted(6 << 20) // three at a time
 	f.dialer.ConnIdle = time.Minute
 	nodes := echo(t)
 	f.srv.Core.List(nodesAt(nodes))
@@ -149,7 +149,7 @@
 	if counts[200] == 0 {
 		t.Fatalf("none served: %v", counts)
 	}
-	if !f.srv.Bodies.TryAcquire(6 << 20) {
+	if !f.srv.BodyMemory.TryAcquire(6 << 20) {
 		t.Fatal("the room is not all free once every write has its answer")
 	}
 	t.Logf("answers: %v", counts)
@@ -159,7 +159,7 @@
 // end, past the time a whole request once had; one that stands still within its body is cut off.
 func TestSlowBodies(t *testing.T) {
 	f := newFront(t, say(fine))
-	f.srv.Bodies = semaphore.NewWeighted(1 << 20)
+	f.srv.BodyMemory = semaphore.NewWeighted(1 << 20)
 	body := bytes.Repeat([]byte("x"), 200<<10)
 	head, framed := put(1, body, false, false)
 	nc, err := net.Dial("tcp", f.address)
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -40,7 +40,7 @@
 	if w := f.srv.times(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
 		t.Errorf("%v to write", w)
 	}
-	d := &Dialer{Safe: map[string]bool{"balance-read": true}}
+	d := &Dialer{Idempotent: map[string]bool{"balance-read": true}}
 	for _, x := range []struct {
 		set   *core.Settings
 		class string
@@ -48,7 +48,7 @@
 	}{{first.set, "new-record", false}, {f.srv.bounds().set, "new-record", true}, {first.set, "none", false},
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
 		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
-		if d.safe(r) != x.safe {
+		if d.idempotent(r) != x.safe {
 			t.Errorf("%s: safe %v", x.class, !x.safe)
 		}
 	}
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/closes_test.go
@@ -87,7 +87,7 @@
 	t.Run("leaves", func(t *testing.T) {
 		f := newFront(t, say(fine))
 		c := dialFront(t, f.address)
-		f.srv.Leave()
+		f.srv.CloseAfterResponses()
 		io.WriteString(c, together(0, count))
 		for i := range count {
 			c.answered(t, fmt.Sprint("request ", i), 200, i == count-1)
@@ -115,13 +115,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate := transport.NewGate()
-	f := newFrontOn(t, gate.Listener(ln), dialer(), say(fine))
+	gate := transport.NewAcceptGate()
+	f := newFrontOn(t, gate.Wrap(ln), dialer(), say(fine))
 	var swept atomic.Int64
 	f.srv.http.ConnState = func(nc net.Conn, st fasthttp.ConnState) {
 		state(nc, st)
 		if st == fasthttp.StateIdle {
-			f.srv.Sweep(0)
+			f.srv.CloseIdle(0)
 			swept.Add(1)
 		}
 	}
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -36,18 +36,18 @@
 	body []byte
 }
 
-// Malformed names what is wrong with a request.
-type Malformed struct {
-	Code int
-	What string
+// MalformedError names what is wrong with a request.
+type MalformedError struct {
+	Status  int
+	Problem string
 }
 
 // Error implements error.
-func (m *Malformed) Error() string { return m.What }
+func (m *MalformedError) Error() string { return m.Problem }
 
 // malformed is a Malformed with status 400.
 func malformed(form string, args ...any) error {
-	return &Malformed{fasthttp.StatusBadRequest, fmt.Sprintf(form, args...)}
+	return &MalformedError{fasthttp.StatusBadRequest, fmt.Sprintf(form, args...)}
 }
 
 // token says whether a header value may go on in a header without harm.
@@ -93,7 +93,7 @@
 		return nil, malformed("%v", err)
 	}
 	if !h.IsGet() && !h.IsPut() {
-		return nil, &Malformed{fasthttp.StatusMethodNotAllowed, "method is neither GET nor PUT"}
+		return nil, &MalformedError{fasthttp.StatusMethodNotAllowed, "method is neither GET nor PUT"}
 	}
 	id := h.Peek("X-Request-Id")
 	if !token(id, idMost) {
@@ -120,7 +120,7 @@
 		return nil, malformed("X-Deadline-Ms: missing or not a number of milliseconds")
 	}
 	if len(body) > bodyLargest {
-		return nil, &Malformed{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
+		return nil, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	}
 	if h.IsGet() && (len(body) > 0 || framing.chunked) {
 		return nil, malformed("body: a read has none")
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -113,7 +113,7 @@
 
 // unusable says, right before an attempt is written, whether a used connection has been closed by the node or has
 // unexpected bytes to read: they would pass for the answer to this attempt.
-func (c *conn) unusable() bool { return c.used && !transport.Quiet(c.socket) }
+func (c *conn) unusable() bool { return c.used && !transport.IsReusable(c.socket) }
 
 // ensureUp dials where the connection is not up yet, and records what that shows of the node's capacity.
 func (c *conn) ensureUp(ctx context.Context) error {
@@ -122,7 +122,7 @@
 	}
 	why, err := c.connect(ctx)
 	switch {
-	case err == nil && !transport.Quiet(c.socket): // closed before a request was written: nothing has run
+	case err == nil && !transport.IsReusable(c.socket): // closed before a request was written: nothing has run
 		c.socket.Close()
 		c.capacity, err = capacityNone, errBadAnswer
 	case err == nil:
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -201,7 +201,7 @@
 // arrived waits until a connection's bytes, or its end, have come.
 func arrived(t *testing.T, h *heldStream) {
 	t.Helper()
-	waitFor(t, func() bool { return !transport.Quiet(h.Stream) })
+	waitFor(t, func() bool { return !transport.IsReusable(h.Stream) })
 }
 
 // Between the actor's choice of a kept connection and the first byte of a request, a second answer to the request
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		told := make(chan int, 2)
 		d := dialer()
-		d.Wait = time.Hour // the second waits for the connection of the first
+		d.FreeConnWait = time.Hour // the second waits for the connection of the first
 		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
 			time.Sleep(late)
 			ours, theirs := net.Pipe()
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -19,11 +19,11 @@
 type Dialer struct {
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
-	ConnsMost      int64              // open connections over all nodes
-	Wait           time.Duration      // how long an attempt waits for a connection in use before another is opened
+	MaxConns       int64              // open connections over all nodes
+	FreeConnWait   time.Duration      // how long an attempt waits for a connection in use before another is opened
 	usualDial      dialTime           // duration of a connect
-	Safe           map[string]bool    // classes that may be repeated freely; for requests without Settings
-	Routes         *Routes            // for nodes with several addresses; nil: the defaults
+	Idempotent     map[string]bool    // classes that may be repeated freely; for requests without Settings
+	Addresses      *AddressConfig     // for nodes with several addresses; nil: the defaults
 	Log            logrus.FieldLogger // nil: no log
 	open           atomic.Int64       // connections that are open or being opened
 	idle           idleSet
@@ -33,17 +33,17 @@
 // Connect starts the actor of one storage node.
 func (d *Dialer) Connect(name string, addresses []address.Addr) core.NodeClient {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](nodeMailboxSize), busy: map[*core.Attempt]*conn{},
-		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.Wait, ConnectTimeout: d.ConnectTimeout}),
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.FreeConnWait, ConnectTimeout: d.ConnectTimeout}),
 		started: time.Now()}
 	n.setAddresses(addresses)
 	go n.run()
 	return n
 }
 
-// safe says whether a request may be repeated freely, according to the settings it was decoded under.
-func (d *Dialer) safe(r *core.Request) bool {
+// idempotent says whether a request may be repeated freely, according to the settings it was decoded under.
+func (d *Dialer) idempotent(r *core.Request) bool {
 	if r.Settings == nil {
-		return d.Safe[r.Class]
+		return d.Idempotent[r.Class]
 	}
 	k, ok := r.Settings.Class(r.Class)
 	return ok && k.Effect == policy.Idempotent
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -201,8 +201,8 @@
 func (w *world) play(kinds map[core.AnswerKind]int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: int64(4 + w.upTo(20)),
-		Wait: w.within(30 * time.Millisecond), dial: w.dial}
+	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: int64(4 + w.upTo(20)),
+		FreeConnWait: w.within(30 * time.Millisecond), dial: w.dial}
 	set := endsSettings(w)
 	co, err := core.New(core.Options{Settings: set, Seed: int64(w.upTo(1 << 30)), Log: log,
 		Connect: func(name string, to []address.Addr) core.NodeClient { return crammed{d.Connect(name, to), w} }})
--- a/internal/httpfront/expire_test.go
+++ b/internal/httpfront/expire_test.go
@@ -98,7 +98,7 @@
 			var client net.Conn
 			send := func(server syscall.Conn, text string) {
 				io.WriteString(client, text)
-				for text != none && transport.Quiet(server) {
+				for text != none && transport.IsReusable(server) {
 					runtime.Gosched() // until it has come
 				}
 				crossed <- true
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -34,11 +34,11 @@
 	errShort = errors.New("gathered: it ended without its result")
 )
 
-// Gather takes the service of gathered reads from now on; nil: they are off. Reads under way end as they began.
-func (s *Server) Gather(svc *scattergather.Service) { s.gathered.Store(svc) }
+// SetScatterGather takes the service of gathered reads from now on; nil: they are off. Reads under way end as they began.
+func (s *Server) SetScatterGather(svc *scattergather.Service) { s.gathered.Store(svc) }
 
-// GatherPart is what the nodes are sent for a part: the client's read under the part's id, with its shard, units and rows.
-func GatherPart(client, part *core.Request, rows int) any {
+// PartPayload is what the nodes are sent for a part: the client's read under the part's id, with its shard, units and rows.
+func PartPayload(client, part *core.Request, rows int) any {
 	head := client.Payload.(*call).head
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	_, key, keyed := bytes.Cut(rest, []byte("\r\nIdempotency-Key: "))
@@ -56,8 +56,8 @@
 	return c
 }
 
-// GatherBody is a node's answer to a part.
-func GatherBody(payload any) scattergather.Body {
+// PartBody is a node's answer to a part.
+func PartBody(payload any) scattergather.Body {
 	rep := payload.(*reply)
 	if rep.relay == nil {
 		return scattergather.Body{Data: rep.body, Limited: rep.limited}
@@ -184,7 +184,7 @@
 	case <-g.gone:
 		return true
 	default:
-		return g.conn.Gone()
+		return g.conn.PeerClosed()
 	}
 }
 
--- a/internal/httpfront/gathered_peer.go
+++ b/internal/httpfront/gathered_peer.go
@@ -9,9 +9,9 @@
 	"wheatsaddle/internal/core"
 )
 
-// GatherPeer makes a client's gathered read one to another process, as the client would have sent it there: all but the id,
+// EncodePeerRequest makes a client's gathered read one to another process, as the client would have sent it there: all but the id,
 // the deadline and the fields of the gather.
-func GatherPeer(client *core.Request, to *fasthttp.Request) {
+func EncodePeerRequest(client *core.Request, to *fasthttp.Request) {
 	line, rest, _ := bytes.Cut(client.Payload.(*call).head, []byte("\r\n"))
 	uri := bytes.Split(line, []byte(" "))[1]
 	to.Header.SetMethod(fasthttp.MethodGet)
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -77,7 +77,7 @@
 	once := one
 	once.Safe = false
 	w.svc = &scattergather.Service{Core: w.core, Classes: map[string]scattergather.Rules{"balance-read": one, "once": once}, Shards: w.core.Shards,
-		PartMost: 8 << 20, PartsMost: 16, Reads: &scattergather.Gate{}, Payload: GatherPart, Body: GatherBody}
+		PartMost: 8 << 20, PartsMost: 16, Reads: &scattergather.Gate{}, Payload: PartPayload, Body: PartBody}
 	w.svc.Reads.Set(2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	w.address = ln.Addr().String()
 	w.srv = NewServer(w.core, set, 50, log)
-	w.srv.Gather(w.svc)
+	w.srv.SetScatterGather(w.svc)
 	go func() { w.served <- w.srv.Serve(ln, 50) }()
 	t.Cleanup(func() { ln.Close() })
 	return w
@@ -197,7 +197,7 @@
 	}
 	w.quiet()
 	// Without the section the fields mean nothing: the request is one of its shard.
-	w.srv.Gather(nil)
+	w.srv.SetScatterGather(nil)
 	nc2 := w.dial()
 	w.ask(nc2, "GET", "balance-read/x?shard=-1", "basic", time.Minute, all)
 	if g := take(t, bufio.NewReader(nc2)); g.code != 200 || len(g.rows) != 1 || len(g.head["Trailer"]) > 0 {
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -96,7 +96,7 @@
 }
 
 func dialer() *Dialer {
-	return &Dialer{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, ConnsMost: 100}
+	return &Dialer{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, MaxConns: 100}
 }
 
 // attempt makes an attempt and the channel of its results.
@@ -378,7 +378,7 @@
 	hold := make(chan bool)
 	n := newStandin(t, func(nc net.Conn) bool { <-hold; io.WriteString(nc, fine); return true })
 	d := dialer()
-	d.ConnsMost = 1
+	d.MaxConns = 1
 	p := d.Connect("n", at(n.ln))
 	a, got := attempt(t, later())
 	p.Send(a)
@@ -661,7 +661,7 @@
 	for f.srv.ln.Load() == nil || f.srv.ln.Load().OpenCount() < len(conns) {
 		runtime.Gosched()
 	}
-	f.srv.KeepFree()
+	f.srv.ReserveIdleConns()
 	ask := func(i int) { io.WriteString(conns[i], strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1)) }
 	ask(0)
 	<-came
@@ -758,7 +758,7 @@
 	open := make(chan bool)
 	n := newStandin(t, func(nc net.Conn) bool { <-open; _, err := io.WriteString(nc, fine); return err == nil })
 	d := dialer()
-	d.Wait = time.Hour
+	d.FreeConnWait = time.Hour
 	p := d.Connect("n", at(n.ln))
 	start := func() (*core.Attempt, chan core.Result) {
 		a, got := attempt(t, later())
@@ -805,14 +805,14 @@
 	block := make(chan bool)
 	n := newStandin(t, func(nc net.Conn) bool { return <-block })
 	d := dialer()
-	d.Wait = time.Millisecond
+	d.FreeConnWait = time.Millisecond
 	p := d.Connect("n", at(n.ln))
 	for range 2 {
 		a, _ := attempt(t, later())
 		p.Send(a)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 2 })
-	d.Wait = time.Hour
+	d.FreeConnWait = time.Hour
 	q := d.Connect("m", at(n.ln))
 	a, cut := attempt(t, later())
 	q.Send(a)
--- a/internal/httpfront/idle.go
+++ b/internal/httpfront/idle.go
@@ -59,7 +59,7 @@
 // vacant takes a free place; false: there is none. A caller that finds none is not counted even for a moment, as
 // another caller might then be refused a place that is free.
 func (d *Dialer) vacant() bool {
-	for n := d.open.Load(); n < d.ConnsMost; n = d.open.Load() {
+	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {
 		if d.open.CompareAndSwap(n, n+1) {
 			return true
 		}
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -15,7 +15,7 @@
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	n := newStandin(t, say(fine))
 	d := dialer()
-	d.ConnsMost = 3
+	d.MaxConns = 3
 	var peers []core.NodeClient
 	for i := range 9 {
 		peers = append(peers, d.Connect(fmt.Sprint("n", i), at(n.ln)))
@@ -25,8 +25,8 @@
 			if r := try(t, p); r.Status != policy.OK {
 				t.Fatalf("round %d, node %d: %v", round, i, r.Status)
 			}
-			if open := d.open.Load(); open > d.ConnsMost {
-				t.Fatalf("%d are open of %d", open, d.ConnsMost)
+			if open := d.open.Load(); open > d.MaxConns {
+				t.Fatalf("%d are open of %d", open, d.MaxConns)
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 func TestUsedConnectionsDoNotGiveWay(t *testing.T) {
 	n := newStandin(t, func(script net.Conn) bool { return true }) // takes requests and says nothing
 	d := dialer()
-	d.ConnsMost = 1
+	d.MaxConns = 1
 	one, other := d.Connect("one", at(n.ln)), d.Connect("other", at(n.ln))
 	a, got := attempt(t, later())
 	if !one.Send(a) {
--- a/internal/httpfront/leave_test.go
+++ b/internal/httpfront/leave_test.go
@@ -56,10 +56,10 @@
 	<-came
 	io.WriteString(ahead, strings.Replace(good, "9b1f", "0002", 1))
 	<-came
-	f.srv.Leave()
+	f.srv.CloseAfterResponses()
 	io.WriteString(ahead, ready)
 	f.srv.StopAccepting()
-	if n := f.srv.Sweep(time.Hour); n != 4 {
+	if n := f.srv.CloseIdle(time.Hour); n != 4 {
 		t.Errorf("%d are open", n)
 	}
 	close(hold)
@@ -68,13 +68,13 @@
 	answered("the further one", ahead, true)
 	io.WriteString(idle, ready)
 	answered("idle", idle, true)
-	for f.srv.Sweep(0) > 0 { // its answer was read before the server called it idle
+	for f.srv.CloseIdle(0) > 0 { // its answer was read before the server called it idle
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := quiet.ReadByte(); err != io.EOF {
 		t.Error(err)
 	}
-	if n := (&Server{}).Sweep(0); n != 0 {
+	if n := (&Server{}).CloseIdle(0); n != 0 {
 		t.Error("a server that does not serve has open ones")
 	}
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -92,7 +92,7 @@
 // actor is a node without its goroutine, with idle connections.
 func actor(d *Dialer, fd uintptr, name string, idle int) *node {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](8), busy: map[*core.Attempt]*conn{},
-		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.Wait, ConnectTimeout: time.Hour}), started: time.Now()}
+		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.FreeConnWait, ConnectTimeout: time.Hour}), started: time.Now()}
 	for range idle {
 		c := &conn{node: n, jobs: make(chan job, 1)}
 		c.attach(&line{fd: fd})
@@ -116,7 +116,7 @@
 func TestInterleaveIdle(t *testing.T) {
 	fd := standingSocket(t)
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		d := &Dialer{ConnsMost: 2, ConnIdle: time.Hour}
+		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
 		nodes := []*node{actor(d, fd, "a", 1), actor(d, fd, "b", 1), actor(d, fd, "c", 0), actor(d, fd, "d", 0)}
 		var used []*conn
 		w := il.World{}
@@ -150,8 +150,8 @@
 			for _, n := range nodes {
 				sum += int64(n.connCount)
 			}
-			if open := d.open.Load(); sum != open || sum > d.ConnsMost {
-				return fmt.Errorf("%d connections, %d counted, %d may be", sum, open, d.ConnsMost)
+			if open := d.open.Load(); sum != open || sum > d.MaxConns {
+				return fmt.Errorf("%d connections, %d counted, %d may be", sum, open, d.MaxConns)
 			}
 			return nil
 		}
@@ -170,7 +170,7 @@
 // A place that is given back is had: of two that ask, one after it came free, exactly one has it.
 func TestInterleavePlace(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		d := &Dialer{ConnsMost: 1}
+		d := &Dialer{MaxConns: 1}
 		d.open.Store(1)
 		n, had := &node{dialer: d}, 0
 		ask := func() {
@@ -190,13 +190,13 @@
 	})
 	loop := "	for n := d.open.Load(); n < d.ConnsMost; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
 	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // as it was before this test
-		New:  "	if d.open.Add(1) <= d.ConnsMost {\n		return true\n	}\n	d.open.Add(-1)\n",
+		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
 		Want: "0 of two have the one place"})
 }
 
 // meet is an actor with one connection at most, which the core gives attempts; each result goes to all.
 func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan policy.Status) {
-	d := &Dialer{ConnsMost: 1, ConnIdle: time.Hour, Wait: wait}
+	d := &Dialer{MaxConns: 1, ConnIdle: time.Hour, FreeConnWait: wait}
 	drains = new(bool)
 	d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
 		return &line{fd: fd, drains: drains}, 0, nil
@@ -294,7 +294,7 @@
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		n, drains, tries, all := meet(fd, a.Request, 0, 1)
-		n.dialer.ConnsMost = 2
+		n.dialer.MaxConns = 2
 		never := true
 		c := &conn{node: n, jobs: make(chan job, 1), used: true}
 		c.attach(&line{fd: fd, loud: loud, drains: &never}) // a write on it fails
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -172,14 +172,14 @@
 
 // slowDial is how long a dial may take before another is started beside it.
 func (n *node) slowDial() time.Duration {
-	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.usualDial.best(), n.dialer.Wait)
+	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.usualDial.best(), n.dialer.FreeConnWait)
 }
 
 // takeIdle takes the last used idle connection that is still open; nil: there is none.
 func (n *node) takeIdle() *conn {
 	for len(n.idle) > 0 {
 		c := n.idle[len(n.idle)-1]
-		if transport.Quiet(c.socket) { // the node has neither closed it nor written to it
+		if transport.IsReusable(c.socket) { // the node has neither closed it nor written to it
 			n.idle = n.idle[:len(n.idle)-1]
 			if n.dialer.idle.remove(c) {
 				return c
--- a/internal/httpfront/paths.go
+++ b/internal/httpfront/paths.go
@@ -15,29 +15,29 @@
 	"wheatsaddle/policy"
 )
 
-// Routes is what the nodes with several addresses share: the settings, which may change while they run, and which
+// Addresses is what the nodes with several addresses share: the settings, which may change while they run, and which
 // log lines have been written.
-type Routes struct {
+type AddressConfig struct {
 	Seed          uint64
-	set           atomic.Pointer[RouteSettings]
+	set           atomic.Pointer[AddressSettings]
 	familyMissing [8]sync.Once // by family: the log line that this machine lacks it
 }
 
-// RouteSettings are the settings of the books, and the header field in which nodes name themselves; "": none.
-type RouteSettings struct {
-	Book     address.Settings
-	Identity string
+// AddressSettings are the settings of the books, and the header field in which nodes name themselves; "": none.
+type AddressSettings struct {
+	Selector       address.Settings
+	IdentityHeader string
 }
 
 // Set changes the settings, also of nodes that are connected.
-func (r *Routes) Set(s RouteSettings) { r.set.Store(&s) }
+func (r *AddressConfig) Set(s AddressSettings) { r.set.Store(&s) }
 
 // settings returns the present settings, or the defaults before Set.
-func (r *Routes) settings() *RouteSettings {
+func (r *AddressConfig) settings() *AddressSettings {
 	if s := r.set.Load(); s != nil {
 		return s
 	}
-	r.set.CompareAndSwap(nil, &RouteSettings{Book: address.Defaults()})
+	r.set.CompareAndSwap(nil, &AddressSettings{Selector: address.Defaults()})
 	return r.set.Load()
 }
 
@@ -45,8 +45,8 @@
 // paths executes the book's actions and reports the events to it, and has no rules of its own.
 type paths struct {
 	node        *node
-	routes      *Routes
-	set         *RouteSettings
+	routes      *AddressConfig
+	set         *AddressSettings
 	book        *transport.AddressLoop
 	conns       map[address.Conn]*path
 	works       map[address.Req]*work
@@ -70,13 +70,13 @@
 
 // newPaths makes the paths of a node, with an empty book.
 func newPaths(n *node) *paths {
-	r := n.dialer.Routes
+	r := n.dialer.Addresses
 	if r == nil {
-		r = &Routes{}
+		r = &AddressConfig{}
 	}
 	p := &paths{node: n, routes: r, set: r.settings(), conns: map[address.Conn]*path{},
 		works: map[address.Req]*work{}, byAttempt: map[*core.Attempt]*work{}}
-	set := p.set.Book
+	set := p.set.Selector
 	set.MaxConns, set.MaxWaiting = maxNodeConns, nodeMailboxSize
 	h := fnv.New64a() // so that each node draws different back-offs
 	h.Write([]byte(n.name))
@@ -105,7 +105,7 @@
 		w := p.addWork(&work{attempt: m.send})
 		w.ctx, w.stop = context.WithDeadline(context.Background(), m.send.Deadline)
 		p.byAttempt[m.send] = w
-		p.request(w, p.node.dialer.safe(m.send.Request), m.send.Request.Shard >= 0)
+		p.request(w, p.node.dialer.idempotent(m.send.Request), m.send.Request.Shard >= 0)
 	case m.probe != nil:
 		w := p.addWork(&work{probe: m.probe})
 		w.ctx, w.stop = context.WithTimeout(context.Background(), probeTimeout)
@@ -261,16 +261,16 @@
 // settle reports a drain, the node's leaving and new settings to the book, and returns the channel of its timer. It
 // is called after each message.
 func (p *paths) settle() <-chan time.Time {
-	p.book.Drain(p.node.draining.Load())
+	p.book.SetDraining(p.node.draining.Load())
 	if p.node.closing && !p.closed {
 		p.closed = true
 		p.book.Step(address.Event{Kind: address.NodeRemoved})
 	}
 	if s := p.routes.settings(); s != p.set {
 		p.set = s
-		p.book.Adjust(s.Book)
+		p.book.Adjust(s.Selector)
 	}
-	return p.book.Settle()
+	return p.book.ArmTimer()
 }
 
 // execute executes one action of the book.
@@ -297,7 +297,7 @@
 // connect starts a connection that the book wants.
 func (p *paths) connect(a address.Action) {
 	t := &path{id: a.Conn, conn: conn{node: p.node, address: a.Addr, host: hostOf(a.Addr, p.node.name), jobs: make(chan job, 1),
-		identity: p.set.Identity}}
+		identity: p.set.IdentityHeader}}
 	if !p.node.dialer.place() {
 		p.book.Step(address.Event{Kind: address.ConnectFailed, Conn: a.Conn, Reason: address.ReasonNoResource})
 		return
@@ -324,7 +324,7 @@
 	if t == nil || w == nil {
 		panic("the book writes what it has been told is over")
 	}
-	if !t.lastUsed.IsZero() && !transport.Quiet(t.socket) { // the node has closed it or written to it
+	if !t.lastUsed.IsZero() && !transport.IsReusable(t.socket) { // the node has closed it or written to it
 		p.closePath(t)
 		p.book.Step(address.Event{Kind: address.ConnBroken, Conn: t.id, Reason: address.ReasonUnwritten})
 		return
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -80,12 +80,12 @@
 	}
 	r.d = dialer()
 	r.d.ConnectTimeout = time.Minute // no verdict is of the machine's speed
-	r.d.Safe = map[string]bool{"balance-read": true}
+	r.d.Idempotent = map[string]bool{"balance-read": true}
 	var log *logrus.Logger
 	log, r.hook = logtest.NewNullLogger()
 	r.d.Log = log
-	r.d.Routes = &Routes{Seed: 1}
-	r.d.Routes.Set(RouteSettings{Book: set})
+	r.d.Addresses = &AddressConfig{Seed: 1}
+	r.d.Addresses.Set(AddressSettings{Selector: set})
 	r.p = r.d.Connect("n", r.at)
 	t.Cleanup(r.p.Close)
 	return r
@@ -289,7 +289,7 @@
 func TestPathsOtherNode(t *testing.T) {
 	for _, identity := range []string{"", "X-Node"} {
 		r := newRouted(t, quick())
-		r.d.Routes.Set(RouteSettings{Book: quick(), Identity: identity})
+		r.d.Addresses.Set(AddressSettings{Selector: quick(), IdentityHeader: identity})
 		r.served(readText)
 		r.p.Drain(false)
 		r.set(0, standnode.Refused)
@@ -382,7 +382,7 @@
 	if by := r.served(recordText); by != r.at[0] {
 		t.Errorf("went by %v", by)
 	}
-	r.d.ConnsMost = 1 // and the scheduler's own bound is no different
+	r.d.MaxConns = 1 // and the scheduler's own bound is no different
 	hold := make(chan bool)
 	go func() { r.set(0, standnode.Hang); close(hold) }()
 	<-hold
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -17,7 +17,7 @@
 // connection of another node is evicted for it. While it is dialled attempts may wait for it, and after that it
 // is idle like any other.
 func (n *node) preconnect(f func(policy.Status)) {
-	for k := len(n.idle); k > 0 && !transport.Quiet(n.idle[k-1].socket); k = len(n.idle) {
+	for k := len(n.idle); k > 0 && !transport.IsReusable(n.idle[k-1].socket); k = len(n.idle) {
 		n.closeIdle(n.idle[k-1])
 	}
 	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {
@@ -62,7 +62,7 @@
 // preconnect has the book open a connection for a work that is dropped once the connection is up and idle. The
 // caller has checked that there is none.
 func (p *paths) preconnect(f func(policy.Status)) {
-	if len(p.works) > 0 || p.node.dialer.open.Load() >= p.node.dialer.ConnsMost { // connections are opened for the works that wait
+	if len(p.works) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the works that wait
 		go f(policy.Abandoned)
 		return
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -38,12 +38,12 @@
 	http    *fasthttp.Server
 	ln      atomic.Pointer[transport.Listener]
 	derived atomic.Pointer[bounds] // of the core's settings as last seen
-	// Bodies is the room that request bodies over 64 KiB share while they are held; nil: none
+	// BodyMemory is the room that request bodies over 64 KiB share while they are held; nil: none
 	// is counted.
-	Bodies *semaphore.Weighted
-	keep   atomic.Bool // some connections free
-	leaves atomic.Bool // each answer closes its connection
-	ends   atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
+	BodyMemory *semaphore.Weighted
+	keep       atomic.Bool // some connections free
+	leaves     atomic.Bool // each answer closes its connection
+	ends       atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
 
 	gathered atomic.Pointer[scattergather.Service] // nil: reads are not gathered
 }
@@ -152,25 +152,25 @@
 	return l.OpenCount()
 }
 
-// KeepFree refuses from now on what would take the last free connections: clients open no more
+// ReserveIdleConns refuses from now on what would take the last free connections: clients open no more
 // to a program that stops, and one that finds all of its in use takes it for gone.
-func (s *Server) KeepFree() { s.keep.Store(true) }
+func (s *Server) ReserveIdleConns() { s.keep.Store(true) }
 
-// Leave closes each connection with its next answer: another process takes the clients' new ones. One on which a
+// CloseAfterResponses closes each connection with its next answer: another process takes the clients' new ones. One on which a
 // further request waits already is answered first, as closing over unread bytes would reset it.
-func (s *Server) Leave() { s.leaves.Store(true) }
+func (s *Server) CloseAfterResponses() { s.leaves.Store(true) }
 
-// Sweep closes the connections that were quiet for so long, and returns how many are open.
-func (s *Server) Sweep(quiet time.Duration) int {
+// CloseIdle closes the connections that were quiet for so long, and returns how many are open.
+func (s *Server) CloseIdle(quiet time.Duration) int {
 	if l := s.ln.Load(); l != nil {
-		return l.Sweep(quiet)
+		return l.CloseIdle(quiet)
 	}
 	return 0
 }
 
-// Interrupt refuses what is still arriving: the program is about to be killed, and a request must not be read to its end
+// RejectIncoming refuses what is still arriving: the program is about to be killed, and a request must not be read to its end
 // by a process that can't answer it any more. It may be called again.
-func (s *Server) Interrupt() {
+func (s *Server) RejectIncoming() {
 	s.ends.Store(true)
 	if l := s.ln.Load(); l != nil {
 		l.InterruptReads()
@@ -217,7 +217,7 @@
 		s.ends.Store(true)
 		l.StopAccepting()
 		l.Close()
-		for l.Sweep(0) > 0 && pause(ctx, sweepEvery) { // the server's own shutdown drops what comes as it closes an idle one
+		for l.CloseIdle(0) > 0 && pause(ctx, sweepEvery) { // the server's own shutdown drops what comes as it closes an idle one
 		}
 	}
 	return s.http.ShutdownWithContext(ctx)
@@ -240,7 +240,7 @@
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
 	}
-	body, err := readBody(ctx, s.Bodies)
+	body, err := readBody(ctx, s.BodyMemory)
 	if err != nil {
 		s.unread(ctx, err)
 		return
@@ -250,9 +250,9 @@
 	r, err := decodeWith(&ctx.Request, body.body, bounds)
 	if err != nil {
 		code := fasthttp.StatusBadRequest
-		var m *Malformed
+		var m *MalformedError
 		if errors.As(err, &m) {
-			code = m.Code
+			code = m.Status
 		}
 		ctx.Error(err.Error(), code)
 		closeWithin(ctx) // what follows may be the rest of it
@@ -291,7 +291,7 @@
 	}
 	conn := ctx.Conn().(*transport.Conn) // Serve wraps its listener
 	left := conn.Watch()
-	r.ClientDisconnected = conn.Gone
+	r.ClientDisconnected = conn.PeerClosed
 	s.Core.Submit(r)
 	select {
 	case a := <-got:
@@ -311,7 +311,7 @@
 // connection closes.
 func (s *Server) unread(ctx *fasthttp.RequestCtx, err error) {
 	closeWithin(ctx)
-	var m *Malformed
+	var m *MalformedError
 	switch {
 	case errors.Is(err, errNoRoom):
 		class, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
@@ -319,7 +319,7 @@
 		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
 		write(ctx, <-got)
 	case errors.As(err, &m):
-		ctx.Error(m.What, m.Code)
+		ctx.Error(m.Problem, m.Status)
 	case errors.Is(err, errStill) && s.ends.Load():
 		s.turnBack(ctx)
 	case errors.Is(err, errStill):
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -171,13 +171,13 @@
 
 // settle tells the book of a drain and of new settings, and sets the timer.
 func (o *portals) settle() <-chan time.Time {
-	o.book.Drain(o.p.draining.Load())
+	o.book.SetDraining(o.p.draining.Load())
 	if s := o.p.d.bookSettings(); s != o.set {
 		o.set = s
 		o.book.Adjust(*s)
 	}
 	o.move()
-	return o.book.Settle()
+	return o.book.ArmTimer()
 }
 
 func (o *portals) do(a address.Action) {
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -223,8 +223,8 @@
 	for _, k := range set.Classes {
 		safe[k.Name] = k.Effect == policy.Idempotent
 	}
-	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, ConnsMost: 400, Safe: safe,
-		Routes: &httpfront.Routes{Seed: seed}}
+	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 400, Idempotent: safe,
+		Addresses: &httpfront.AddressConfig{Seed: seed}}
 	var err error
 	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), Connect: d.Connect, Log: log}); err != nil {
 		return nil, err
--- a/internal/transport/addressloop.go
+++ b/internal/transport/addressloop.go
@@ -11,19 +11,19 @@
 // events in order, including those that carrying out an action raises, and keeps the book's timer.
 type AddressLoop struct {
 	*address.Selector
-	Timer  *time.Timer
-	do     func(address.Action)
-	origin time.Time
-	acts   []address.Action
-	queue  []address.Event
-	active bool
-	drains bool
-	at     time.Duration // what the timer is set to
+	Timer    *time.Timer
+	execute  func(address.Action)
+	origin   time.Time
+	actions  []address.Action
+	queue    []address.Event
+	stepping bool
+	draining bool
+	timerAt  time.Duration // what the timer is set to
 }
 
 // NewAddressLoop returns a loop for b; do carries out the book's actions.
-func NewAddressLoop(b *address.Selector, do func(address.Action)) *AddressLoop {
-	return &AddressLoop{Selector: b, Timer: time.NewTimer(time.Hour), do: do, origin: time.Now(), at: math.MaxInt64}
+func NewAddressLoop(selector *address.Selector, execute func(address.Action)) *AddressLoop {
+	return &AddressLoop{Selector: selector, Timer: time.NewTimer(time.Hour), execute: execute, origin: time.Now(), timerAt: math.MaxInt64}
 }
 
 // Now is the book's time.
@@ -32,36 +32,36 @@
 // Step passes an event to the book and carries out the resulting actions. Called from an action, it queues the event.
 func (l *AddressLoop) Step(e address.Event) {
 	l.queue = append(l.queue, e)
-	if l.active {
+	if l.stepping {
 		return
 	}
-	l.active = true
+	l.stepping = true
 	for len(l.queue) > 0 {
 		e := l.queue[0]
 		l.queue = l.queue[1:]
 		if e.Kind == address.TimerFired {
-			l.at = -1 // the timer has run out
+			l.timerAt = -1 // the timer has run out
 		}
-		l.acts = l.Selector.Step(l.Now(), e, l.acts[:0])
-		for _, a := range l.acts {
-			l.do(a)
+		l.actions = l.Selector.Step(l.Now(), e, l.actions[:0])
+		for _, a := range l.actions {
+			l.execute(a)
 		}
 	}
-	l.queue, l.active = l.queue[:0], false
+	l.queue, l.stepping = l.queue[:0], false
 }
 
-// Drain passes on whether the node drains, if that has changed.
-func (l *AddressLoop) Drain(on bool) {
-	if on != l.drains {
-		l.drains = on
+// SetDraining passes on whether the node drains, if that has changed.
+func (l *AddressLoop) SetDraining(on bool) {
+	if on != l.draining {
+		l.draining = on
 		l.Step(address.Event{Kind: address.DrainChanged, Draining: on})
 	}
 }
 
-// Settle sets the timer to the book's next deadline and returns its channel. Call it at the end of each turn.
-func (l *AddressLoop) Settle() <-chan time.Time {
-	if next := l.Next(); next != l.at {
-		l.at = next
+// ArmTimer sets the timer to the book's next deadline and returns its channel. Call it at the end of each turn.
+func (l *AddressLoop) ArmTimer() <-chan time.Time {
+	if next := l.Next(); next != l.timerAt {
+		l.timerAt = next
 		l.Timer.Reset(min(time.Until(l.origin.Add(min(next, 1<<60))), time.Hour))
 	}
 	return l.Timer.C
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -22,12 +22,12 @@
 // idle and has no input. The server's goroutine reads; Gone, HasPendingInput and Close may be called from any goroutine.
 type Conn struct {
 	net.Conn
-	from       *Listener
+	listener   *Listener
 	index      int // in Listener.open; guarded by Listener.mu
 	phase      atomic.Int32
 	phaseStart atomic.Int64 // start of a fresh or idle phase
 	watchDone  chan struct{}
-	ahead      readAhead
+	readAhead  readAheadBuffer
 
 	firstReadMu sync.Mutex // makes reading a request's first bytes, and markClosing's look and change of phase, atomic
 
@@ -70,7 +70,7 @@
 
 // HasUnparsed reports whether more bytes were read than CountParsed has been told of. They may be a further request, so the
 // server must not close the connection with the current response.
-func (c *Conn) HasUnparsed() bool { return c.read > c.parsed || c.ahead.held.Load() > 0 }
+func (c *Conn) HasUnparsed() bool { return c.read > c.parsed || c.readAhead.size.Load() > 0 }
 
 func (c *Conn) markActive() bool {
 	for {
@@ -141,7 +141,7 @@
 // Close implements net.Conn. After a response it ends the sending side and waits for the peer's close in the background, if
 // the listener has a linger time.
 func (c *Conn) Close() error {
-	if c.from.linger > 0 && c.phase.CompareAndSwap(active, lingering) && c.shutWrite() {
+	if c.listener.linger > 0 && c.phase.CompareAndSwap(active, lingering) && c.closeWrite() {
 		sync.Go(c.linger)
 		return nil
 	}
@@ -150,6 +150,6 @@
 
 // closeSocket closes the socket at once.
 func (c *Conn) closeSocket() error {
-	c.from.drop(c)
+	c.listener.drop(c)
 	return c.Conn.Close()
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, DialFailure(err, a.Kind()), err
 	}
-	s, err := Plain(nc)
+	s, err := DisableSplice(nc)
 	if err != nil {
 		return nil, address.ReasonRefused, err
 	}
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -19,8 +19,8 @@
 
 var errQueueEmpty = errors.New("no connection waits")
 
-// queue is that of a listening socket which is this process's alone: what waits in it is reset when the socket closes.
-type queue interface {
+// acceptQueue is that of a listening socket which is this process's alone: what waits in it is reset when the socket closes.
+type acceptQueue interface {
 	// acceptNow accepts one connection that waits; errQueueEmpty: none does.
 	acceptNow() (net.Conn, error)
 	// acceptWithoutWait is acceptNow of what waits at this instant.
@@ -30,13 +30,13 @@
 }
 
 // acceptQueueOf is the queue of a listener; nil: others accept from it too, or it is not known.
-func acceptQueueOf(ln net.Listener) queue {
+func acceptQueueOf(ln net.Listener) acceptQueue {
 	switch l := ln.(type) {
-	case plainListener:
+	case noSpliceListener:
 		if s := l.socket(); s != nil {
 			return socketQueue{s, l}
 		}
-	case *merged:
+	case *mergedListener:
 		return l
 	}
 	return nil
@@ -49,7 +49,7 @@
 		return
 	}
 	q.wake() // Accept gives out what is accepted here
-	for begun := time.Now(); time.Since(begun) < l.drainLimit; {
+	for started := time.Now(); time.Since(started) < l.drainLimit; {
 		nc, err := l.acceptWithin(q)
 		switch {
 		case err == nil:
@@ -59,17 +59,17 @@
 			}
 		case !isTransient(err):
 			return
-		case sync.Pause(l.done, acceptPause):
+		case sync.Pause(l.done, acceptBackoff):
 			return
 		}
 	}
 }
 
 // acceptWithin accepts one connection that waits, if the cap has room for it or can get it.
-func (l *Listener) acceptWithin(q queue) (net.Conn, error) {
+func (l *Listener) acceptWithin(q acceptQueue) (net.Conn, error) {
 	if l.atCapacity() {
-		l.evictForRoom(time.Now())
-		l.endLingering()
+		l.evictForCapacity(time.Now())
+		l.closeLingering()
 	}
 	if l.atCapacity() {
 		return nil, syscall.EMFILE
@@ -95,12 +95,12 @@
 }
 
 // socket is the listening socket behind a listener; nil: others accept from it too.
-func (l plainListener) socket() socketListener {
+func (l noSpliceListener) socket() socketListener {
 	inner := l.Listener
 	if f, ok := inner.(*fileListener); ok {
 		inner = f.Listener
 	}
-	if _, shared := inner.(*passed); shared {
+	if _, shared := inner.(*inheritedListener); shared {
 		return nil
 	}
 	s, _ := inner.(socketListener)
@@ -109,7 +109,7 @@
 
 type socketQueue struct {
 	socketListener
-	from plainListener
+	from noSpliceListener
 }
 
 func (q socketQueue) wake() { _ = q.SetDeadline(time.Unix(1, 0)) }
@@ -167,37 +167,37 @@
 	return n > 0
 }
 
-func (m *merged) wake() {
-	for _, l := range m.all {
+func (m *mergedListener) wake() {
+	for _, l := range m.listeners {
 		if q := acceptQueueOf(l); q != nil {
 			q.wake()
 		}
 	}
 	go func() {
-		m.own.Wait()
-		close(m.ended)
+		m.exclusive.Wait()
+		close(m.drained)
 	}()
 }
 
 // acceptNow asks each listener, and each once more without a wait: while it waited for one, a connection may have come
 // to those before.
-func (m *merged) acceptNow() (net.Conn, error) {
-	if nc := m.acceptedAhead(); nc != nil {
+func (m *mergedListener) acceptNow() (net.Conn, error) {
+	if nc := m.nextAccepted(); nc != nil {
 		return nc, nil
 	}
-	if nc, err := m.acceptFromAny(queue.acceptNow); err != errQueueEmpty {
+	if nc, err := m.acceptFromAny(acceptQueue.acceptNow); err != errQueueEmpty {
 		return nc, err
 	}
 	return m.acceptWithoutWait()
 }
 
-func (m *merged) acceptWithoutWait() (net.Conn, error) {
-	return m.acceptFromAny(queue.acceptWithoutWait)
+func (m *mergedListener) acceptWithoutWait() (net.Conn, error) {
+	return m.acceptFromAny(acceptQueue.acceptWithoutWait)
 }
 
 // acceptFromAny is the first accept that gives a connection or an error.
-func (m *merged) acceptFromAny(accept func(queue) (net.Conn, error)) (net.Conn, error) {
-	for _, l := range m.all {
+func (m *mergedListener) acceptFromAny(accept func(acceptQueue) (net.Conn, error)) (net.Conn, error) {
+	for _, l := range m.listeners {
 		q := acceptQueueOf(l)
 		if q == nil {
 			continue
@@ -209,15 +209,15 @@
 	return nil, errQueueEmpty
 }
 
-// acceptedAhead is a connection that one of the listeners accepted before it was woken; nil: there is none.
-func (m *merged) acceptedAhead() net.Conn {
+// nextAccepted is a connection that one of the listeners accepted before it was woken; nil: there is none.
+func (m *mergedListener) nextAccepted() net.Conn {
 	for {
 		select {
-		case a := <-m.got:
-			if a.nc != nil {
-				return a.nc
+		case a := <-m.accepted:
+			if a.conn != nil {
+				return a.conn
 			}
-		case <-m.ended:
+		case <-m.drained:
 			return nil
 		}
 	}
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	if _, ok := nc.(*plain); !ok {
+	if _, ok := nc.(*noSpliceConn); !ok {
 		t.Errorf("a %T", nc)
 	}
 }
@@ -146,7 +146,7 @@
 
 // An Accept of several listeners does not wait for those that were woken.
 func TestWokenListenersEndAccept(t *testing.T) {
-	m := Merge(mustListen(t), mustListen(t)).(*merged)
+	m := Merge(mustListen(t), mustListen(t)).(*mergedListener)
 	defer m.Close()
 	m.wake()
 	if _, err := m.acceptNow(); err != errQueueEmpty { // it has taken what the two said at their end
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := Passed(strconv.Itoa(own))
+	ln, err := ListenInherited(strconv.Itoa(own))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,11 +228,11 @@
 func TestStopAcceptingLooksAgainAtTheDeadline(t *testing.T) {
 	for _, merges := range []bool{false, true} {
 		to := mustListen(t)
-		ln := &lateListener{TCPListener: to.(plainListener).Listener.(*net.TCPListener)}
-		all := plainListener{ln}
+		ln := &lateListener{TCPListener: to.(noSpliceListener).Listener.(*net.TCPListener)}
+		all := noSpliceListener{ln}
 		l := limit(all, 100)
 		if merges {
-			ln.TCPListener = mustListen(t).(plainListener).Listener.(*net.TCPListener)
+			ln.TCPListener = mustListen(t).(noSpliceListener).Listener.(*net.TCPListener)
 			ln.skip = 1
 			l = limit(Merge(to, all), 100)
 		}
--- a/internal/transport/evict.go
+++ b/internal/transport/evict.go
@@ -50,7 +50,7 @@
 
 // candidates returns what may be evicted, in order, the number of connections that have had a request, and whether another
 // connection has no room.
-func (l *Listener) candidates(now time.Time) (may []candidate, asked int, full bool) {
+func (l *Listener) candidates(now time.Time) (may []candidate, requested int, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sync.Reads(&l.open)
@@ -61,41 +61,41 @@
 			may = append(may, candidate{c, rank, age})
 		}
 		if p := c.phase.Load(); p == active || p == idle {
-			asked++
+			requested++
 		}
 	}
-	return may, asked, full
+	return may, requested, full
 }
 
-// evictForRoom closes the longest idle connections while more than idleEvictShare of the capacity have had a request. At
+// evictForCapacity closes the longest idle connections while more than idleEvictShare of the capacity have had a request. At
 // the capacity, or without a free descriptor, it closes one more: first long silent ones, then idle ones, then any
 // evictable one.
-func (l *Listener) evictForRoom(now time.Time) {
-	may, asked, full := l.candidates(now)
-	spare := asked - int(idleEvictShare*float64(l.capacity))
-	if spare <= 0 && !full {
+func (l *Listener) evictForCapacity(now time.Time) {
+	may, requested, full := l.candidates(now)
+	surplus := requested - int(idleEvictShare*float64(l.capacity))
+	if surplus <= 0 && !full {
 		return
 	}
 	slices.SortFunc(may, func(a, b candidate) int { return cmp.Or(b.rank-a.rank, cmp.Compare(b.age, a.age)) })
 	for _, m := range may {
-		if wanted := m.rank == rankIdle && spare > 0; (wanted || full) && m.conn.evict() {
+		if overShare := m.rank == rankIdle && surplus > 0; (overShare || full) && m.conn.evict() {
 			full = false
 			if m.rank == rankIdle {
-				spare--
+				surplus--
 			}
 		}
 	}
 }
 
-// Sweep closes the connections that have been fresh or idle for at least quiet and have no input to read. It returns the
+// CloseIdle closes the connections that have been fresh or idle for at least quiet and have no input to read. It returns the
 // number of connections that stay open.
-func (l *Listener) Sweep(quiet time.Duration) int {
+func (l *Listener) CloseIdle(minIdle time.Duration) int {
 	now := time.Now()
 	var may []*Conn
 	l.mu.Lock()
 	sync.Reads(&l.open)
 	for _, c := range l.open {
-		if p := c.phase.Load(); (p == fresh || p == idle) && now.Sub(time.Unix(0, c.phaseStart.Load())) >= quiet {
+		if p := c.phase.Load(); (p == fresh || p == idle) && now.Sub(time.Unix(0, c.phaseStart.Load())) >= minIdle {
 			may = append(may, c)
 		}
 	}
@@ -116,7 +116,7 @@
 			return
 		case now := <-tick.C:
 			if !l.stopped.Load() {
-				l.evictForRoom(now)
+				l.evictForCapacity(now)
 			}
 		}
 	}
--- a/internal/transport/firstread.go
+++ b/internal/transport/firstread.go
@@ -12,7 +12,7 @@
 func (c *Conn) readBuffered(p []byte) int {
 	c.firstReadMu.Lock()
 	defer c.firstReadMu.Unlock()
-	n := c.ahead.take(p)
+	n := c.readAhead.take(p)
 	if n > 0 {
 		c.markActive()
 	}
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	lingerTimeout = 500 * time.Millisecond  // for the other side's close
-	discardPause  = 2500 * time.Millisecond // ... and for more of a request that has had its answer
-	discardLimit  = 4 << 20                 // bytes of it
-	discardBuffer = 16 << 10
+	lingerTimeout      = 500 * time.Millisecond  // for the other side's close
+	discardReadTimeout = 2500 * time.Millisecond // ... and for more of a request that has had its answer
+	discardLimit       = 4 << 20                 // bytes of it
+	discardBufferSize  = 16 << 10
 )
 
 // DiscardInput marks the remaining input as the rest of a request that is answered early. Close then reads and discards it
 // for a while, as a client may read the response only after it has sent the whole request.
 func (c *Conn) DiscardInput() { c.discardInput = true }
 
-// shutWrite ends the sending behind what was written; false: the socket cannot do that any more.
-func (c *Conn) shutWrite() bool {
+// closeWrite ends the sending behind what was written; false: the socket cannot do that any more.
+func (c *Conn) closeWrite() bool {
 	raw := c.raw()
 	if raw == nil {
 		return false
@@ -38,38 +38,38 @@
 func (c *Conn) linger() {
 	defer c.closeSocket()
 	raw := c.raw()
-	if raw == nil || c.Conn.SetReadDeadline(time.Now().Add(c.from.linger)) != nil {
+	if raw == nil || c.Conn.SetReadDeadline(time.Now().Add(c.listener.linger)) != nil {
 		return
 	}
-	left := discardLimit
+	remaining := discardLimit
 	_ = raw.Read(func(fd uintptr) bool {
 		if c.discardInput {
-			_ = c.Conn.SetReadDeadline(time.Now().Add(discardPause))
-			if !discard(fd, &left) {
+			_ = c.Conn.SetReadDeadline(time.Now().Add(discardReadTimeout))
+			if !discard(fd, &remaining) {
 				return true
 			}
 		}
 		s := inspect(fd)
-		gone, _ := peerGone(fd)
-		return s == socketClosed || s == socketReadable && gone
+		closed, _ := tcpPeerClosed(fd)
+		return s == socketClosed || s == socketReadable && closed
 	})
 }
 
 // discard reads what has come; false: it is too much.
-func discard(fd uintptr, left *int) bool {
-	var b [discardBuffer]byte
-	for *left > 0 {
+func discard(fd uintptr, remaining *int) bool {
+	var b [discardBufferSize]byte
+	for *remaining > 0 {
 		n, err := readAvailable(fd, b[:])
 		if err != nil || n == 0 {
 			return true
 		}
-		*left -= n
+		*remaining -= n
 	}
 	return false
 }
 
-// endLingering closes the connections that linger, for whoever needs their places.
-func (l *Listener) endLingering() {
+// closeLingering closes the connections that linger, for whoever needs their places.
+func (l *Listener) closeLingering() {
 	var all []*Conn
 	l.mu.Lock()
 	sync.Reads(&l.open)
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -27,9 +27,9 @@
 		if err != nil {
 			return nil, listenError(to, err)
 		}
-		return plainListener{ln}, nil
+		return noSpliceListener{ln}, nil
 	}
-	lock, err := holdLock(path + ".lock")
+	lock, err := lockSocketFile(path + ".lock")
 	if err != nil {
 		return nil, listenError(path, fmt.Errorf("%s: %w", path, err))
 	}
@@ -39,19 +39,19 @@
 		return nil, listenError(path, err)
 	}
 	l.lock = lock
-	return plainListener{l}, nil
+	return noSpliceListener{l}, nil
 }
 
-// holdLock takes the lock of a socket file for as long as it is open. It orders those that find
+// lockSocketFile takes the lock of a socket file for as long as it is open. It orders those that find
 // the same dead file; a lock's file is left, as one that is removed could be held twice.
-func holdLock(path string) (*os.File, error) {
+func lockSocketFile(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
-		return nil, &InUse{Address: strings.TrimSuffix(path, ".lock")}
+		return nil, &InUseError{Address: strings.TrimSuffix(path, ".lock")}
 	}
 	return f, nil
 }
@@ -59,50 +59,50 @@
 // fileListener removes its file when it is closed, if it is still its own.
 type fileListener struct {
 	net.Listener
-	path string
-	made fs.FileInfo
-	lock *os.File
-	once sync.Once
+	path      string
+	fileInfo  fs.FileInfo
+	lock      *os.File
+	closeOnce sync.Once
 }
 
 // listenFile makes the socket beside its place, sets the mode and moves it there: a connect
 // finds the old file or the new one, never one with another mode.
 func listenFile(path string, mode fs.FileMode) (*fileListener, error) {
-	if err := dead(path); err != nil {
+	if err := checkReplaceable(path); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	beside := path + "~"
-	if len(beside) > 107 { // sun_path of unix(7), less its NUL
+	temporary := path + "~"
+	if len(temporary) > 107 { // sun_path of unix(7), less its NUL
 		return nil, fmt.Errorf("%s: %d bytes long, and a listener's has 106 at most", path, len(path))
 	}
-	if err := os.Remove(beside); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: beside, Net: "unix"})
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	undo := func(err error) (*fileListener, error) {
+	fail := func(err error) (*fileListener, error) {
 		ln.Close()
-		os.Remove(beside)
+		os.Remove(temporary)
 		return nil, err
 	}
-	if err := os.Chmod(beside, mode); err != nil {
-		return undo(err)
+	if err := os.Chmod(temporary, mode); err != nil {
+		return fail(err)
 	}
-	made, err := os.Lstat(beside)
+	fileInfo, err := os.Lstat(temporary)
 	if err != nil {
-		return undo(err)
+		return fail(err)
 	}
-	if err := os.Rename(beside, path); err != nil {
-		return undo(err)
+	if err := os.Rename(temporary, path); err != nil {
+		return fail(err)
 	}
-	return &fileListener{Listener: ln, path: path, made: made}, nil
+	return &fileListener{Listener: ln, path: path, fileInfo: fileInfo}, nil
 }
 
-// dead says why the file of a socket may not be replaced; nil: there is none, or nobody answers.
-func dead(path string) error {
+// checkReplaceable says why the file of a socket may not be replaced; nil: there is none, or nobody answers.
+func checkReplaceable(path string) error {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -116,10 +116,10 @@
 	nc, err := net.DialTimeout("unix", path, probeTimeout)
 	if err == nil {
 		nc.Close()
-		return &InUse{Address: path}
+		return &InUseError{Address: path}
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) { // a full backlog, or no permission: not known to be dead
-		return &InUse{path, fmt.Errorf("somebody listens there, or so it seems: %w", err)}
+		return &InUseError{path, fmt.Errorf("somebody listens there, or so it seems: %w", err)}
 	}
 	return nil
 }
@@ -127,8 +127,8 @@
 // Close implements net.Listener.
 func (l *fileListener) Close() error {
 	err := l.Listener.Close()
-	l.once.Do(func() {
-		if now, serr := os.Lstat(l.path); serr == nil && os.SameFile(now, l.made) {
+	l.closeOnce.Do(func() {
+		if now, serr := os.Lstat(l.path); serr == nil && os.SameFile(now, l.fileInfo) {
 			os.Remove(l.path)
 		}
 		if l.lock != nil {
@@ -138,20 +138,20 @@
 	return err
 }
 
-// merged accepts from several listeners as one.
-type merged struct {
+// mergedListener accepts from several listeners as one.
+type mergedListener struct {
 	net.Listener // the first, whose address it has
-	all          []net.Listener
-	got          chan accepted
+	listeners    []net.Listener
+	accepted     chan acceptResult
 	done         chan struct{}
-	once         sync.Once
-	own          sync.WaitGroup // of those whose queue is this process's alone
-	ended        chan struct{}  // closed when none of them accepts any more
+	closeOnce    sync.Once
+	exclusive    sync.WaitGroup // of those whose queue is this process's alone
+	drained      chan struct{}  // closed when none of them accepts any more
 }
 
-type accepted struct {
-	nc  net.Conn
-	err error
+type acceptResult struct {
+	conn net.Conn
+	err  error
 }
 
 // Merge makes one listener of several. Each has one accepted connection ahead at most, so what
@@ -160,24 +160,24 @@
 	if len(all) == 1 {
 		return all[0]
 	}
-	m := &merged{Listener: all[0], all: all, got: make(chan accepted), done: make(chan struct{}), ended: make(chan struct{})}
+	m := &mergedListener{Listener: all[0], listeners: all, accepted: make(chan acceptResult), done: make(chan struct{}), drained: make(chan struct{})}
 	for _, l := range all {
 		if acceptQueueOf(l) != nil {
-			m.own.Add(1)
+			m.exclusive.Add(1)
 		}
 		go m.serve(l)
 	}
 	return m
 }
 
-func (m *merged) serve(l net.Listener) {
+func (m *mergedListener) serve(l net.Listener) {
 	if acceptQueueOf(l) != nil {
-		defer m.own.Done()
+		defer m.exclusive.Done()
 	}
 	for {
 		nc, err := l.Accept()
 		select {
-		case m.got <- accepted{nc, err}:
+		case m.accepted <- acceptResult{nc, err}:
 		case <-m.done:
 			if nc != nil {
 				nc.Close()
@@ -191,11 +191,11 @@
 }
 
 // Accept implements net.Listener.
-func (m *merged) Accept() (net.Conn, error) {
+func (m *mergedListener) Accept() (net.Conn, error) {
 	select {
-	case a := <-m.got:
-		return a.nc, a.err
-	case <-m.ended:
+	case a := <-m.accepted:
+		return a.conn, a.err
+	case <-m.drained:
 		return nil, errQueueEmpty // what was accepted is given out by acceptNow
 	case <-m.done:
 		return nil, net.ErrClosed
@@ -203,10 +203,10 @@
 }
 
 // Close implements net.Listener.
-func (m *merged) Close() error {
-	m.once.Do(func() { close(m.done) })
+func (m *mergedListener) Close() error {
+	m.closeOnce.Do(func() { close(m.done) })
 	var errs []error
-	for _, l := range m.all {
+	for _, l := range m.listeners {
 		errs = append(errs, l.Close())
 	}
 	return errors.Join(errs...)
--- a/internal/transport/passed_test.go
+++ b/internal/transport/passed_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	passed, err := Passed(strconv.Itoa(int(f.Fd())))
+	passed, err := ListenInherited(strconv.Itoa(int(f.Fd())))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 	defer r.Close()
 	defer w.Close()
-	if _, err := Passed(strconv.Itoa(int(r.Fd()))); err == nil {
+	if _, err := ListenInherited(strconv.Itoa(int(r.Fd()))); err == nil {
 		t.Fatal("a pipe was taken for a listening socket")
 	}
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -66,10 +66,10 @@
 		t.Fatal(err)
 	}
 	defer uf.Close()
-	if _, err := Passed(strconv.Itoa(int(uf.Fd()))); err == nil {
+	if _, err := ListenInherited(strconv.Itoa(int(uf.Fd()))); err == nil {
 		t.Fatal("a UDP socket was taken for a listening socket")
 	}
-	if _, err := Passed("-1"); err == nil {
+	if _, err := ListenInherited("-1"); err == nil {
 		t.Fatal("descriptor -1 was taken")
 	}
 }
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	passed, err := Passed(strconv.Itoa(other))
+	passed, err := ListenInherited(strconv.Itoa(other))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/plain_test.go
+++ b/internal/transport/plain_test.go
@@ -53,7 +53,7 @@
 		"Listen":         free,
 		"Listen, a file": func() (net.Listener, error) { return Listen(unixAddr(t, filepath.Join(t.TempDir(), "s")), 0o600) },
 		"ListenTCP":      func() (net.Listener, error) { return ListenTCP("127.0.0.1:0") },
-		"Passed":         func() (net.Listener, error) { return Passed(strconv.Itoa(int(held.Fd()))) },
+		"Passed":         func() (net.Listener, error) { return ListenInherited(strconv.Itoa(int(held.Fd()))) },
 		"the clients'": func() (net.Listener, error) {
 			ln, err := ListenTCP("127.0.0.1:0")
 			return limit(ln, 10), err
@@ -66,7 +66,7 @@
 			}
 			defer ln.Close()
 			var to address.Addr
-			if file, ok := ln.(plainListener); ok && ln.Addr().Network() == "unix" { // moved to its place once it was bound
+			if file, ok := ln.(noSpliceListener); ok && ln.Addr().Network() == "unix" { // moved to its place once it was bound
 				to = unixAddr(t, file.Listener.(*fileListener).path)
 			} else if to, err = address.Parse(ln.Addr().String()); err != nil {
 				t.Fatal(err)
--- a/internal/transport/sock.go
+++ b/internal/transport/sock.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	acceptPause = 5 * time.Millisecond
-	// FewIdle is true below fewIdleMost free connections, or below one in fewIdleShare of the open ones if that is less.
-	fewIdleMost, fewIdleShare = 3, 3
+	acceptBackoff = 5 * time.Millisecond
+	// FewIdle is true below maxFewIdle free connections, or below one in fewIdleDivisor of the open ones if that is less.
+	maxFewIdle, fewIdleDivisor = 3, 3
 )
 
 // transientErrors are the accept errors that pass with time.
@@ -36,14 +36,14 @@
 // such as a lack of descriptors, because servers stop at the first error of Accept.
 type Listener struct {
 	net.Listener
-	capacity int
-	overflow int // connections accepted past the capacity, whose requests are refused
-	mu       sync.Mutex
-	open     []*Conn // unordered; Conn.index is a connection's position
-	done     chan struct{}
-	once     sync.Once
-	stopped  atomic.Bool // StopAccepting or Close was called
-	drained  chan *Conn  // what drainQueue accepted, for Accept to return
+	capacity  int
+	overflow  int // connections accepted past the capacity, whose requests are refused
+	mu        sync.Mutex
+	open      []*Conn // unordered; Conn.index is a connection's position
+	done      chan struct{}
+	closeOnce sync.Once
+	stopped   atomic.Bool // StopAccepting or Close was called
+	drained   chan *Conn  // what drainQueue accepted, for Accept to return
 
 	linger       time.Duration // how long Close waits for the peer's close after a response; 0: it does not wait
 	drainLimit   time.Duration // upper bound on the time that StopAccepting spends on the queue
@@ -74,7 +74,7 @@
 
 // Close implements net.Listener.
 func (l *Listener) Close() error {
-	l.once.Do(func() { sync.Close(l.done) })
+	l.closeOnce.Do(func() { sync.Close(l.done) })
 	if l.stopped.Swap(true) {
 		return nil
 	}
@@ -98,9 +98,9 @@
 		if l.stopped.Load() {
 			return l.acceptDrained()
 		}
-		l.evictForRoom(time.Now())
+		l.evictForCapacity(time.Now())
 		if l.atCapacity() {
-			l.endLingering()
+			l.closeLingering()
 		}
 		if !l.atCapacity() {
 			nc, err := l.Listener.Accept()
@@ -112,7 +112,7 @@
 				return nil, err
 			}
 		}
-		if sync.Pause(l.done, acceptPause) {
+		if sync.Pause(l.done, acceptBackoff) {
 			return nil, net.ErrClosed
 		}
 	}
@@ -129,7 +129,7 @@
 
 // track wraps an accepted connection and counts it as open.
 func (l *Listener) track(nc net.Conn) *Conn {
-	c := &Conn{Conn: nc, from: l}
+	c := &Conn{Conn: nc, listener: l}
 	c.phaseStart.Store(time.Now().UnixNano())
 	l.add(c)
 	return c
@@ -184,7 +184,7 @@
 			free++
 		}
 	}
-	return free < min(fewIdleMost, len(l.open)/fewIdleShare)
+	return free < min(maxFewIdle, len(l.open)/fewIdleDivisor)
 }
 
 // OverCapacity reports whether more connections than the capacity have a request, so that the server should refuse one.
--- a/internal/transport/sock_interleave_test.go
+++ b/internal/transport/sock_interleave_test.go
@@ -107,7 +107,7 @@
 					}
 					conns = append(conns, nc.(*Conn))
 				}},
-				{Name: "tend", Run: func() { l.evictForRoom(time.Now()) }},
+				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Always: func() error {
 				if served && c.Conn.(*wire).closed {
@@ -221,7 +221,7 @@
 						c.Close()
 					}
 				}},
-				{Name: "tend", Run: func() { l.evictForRoom(time.Now()) }},
+				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Check: func() error {
 				read := inspect(uintptr(w.mine)) != socketReadable
--- a/internal/transport/sock_test.go
+++ b/internal/transport/sock_test.go
@@ -46,7 +46,7 @@
 	out.Close()
 	<-left
 	in.Unwatch()
-	if Quiet(in.Conn.(*net.TCPConn)) {
+	if IsReusable(in.Conn.(*net.TCPConn)) {
 		t.Error("a closed connection is quiet")
 	}
 }
@@ -108,15 +108,15 @@
 	}
 	gone := func(c *Conn) bool { return c.phase.Load() == closing }
 	now := time.Now()
-	if l.evictForRoom(now.Add(-time.Hour)); gone(silent) || gone(between) {
+	if l.evictForCapacity(now.Add(-time.Hour)); gone(silent) || gone(between) {
 		t.Error("closed at once")
 	}
 	between.phaseStart.Store(now.Add(time.Hour).UnixNano()) // as if it had only now been used
-	if l.evictForRoom(now.Add(time.Second)); !gone(silent) || gone(between) {
+	if l.evictForCapacity(now.Add(time.Second)); !gone(silent) || gone(between) {
 		t.Error("at the cap the silent one was not the one to go")
 	}
 	between.phaseStart.Store(now.UnixNano())
-	if l.evictForRoom(now.Add(time.Second)); !gone(between) {
+	if l.evictForCapacity(now.Add(time.Second)); !gone(between) {
 		t.Error("three have asked of a cap of five, and the idle one stays")
 	}
 	for _, c := range []*Conn{silent, between} {
@@ -124,7 +124,7 @@
 			t.Error("a closed connection was read")
 		}
 	}
-	l.evictForRoom(now.Add(time.Hour))
+	l.evictForCapacity(now.Add(time.Hour))
 	b := make([]byte, 3)
 	if n, err := asked.Read(b); err != nil || string(b[:n]) != "GET" || gone(begun) || gone(other) {
 		t.Errorf("a connection with a request was closed: %q %v", b[:n], err)
@@ -169,28 +169,28 @@
 // A sweep closes what was quiet for so long, and neither what is in use nor what has just been asked on.
 func TestSweep(t *testing.T) {
 	l, in, out := pair(t, 10)
-	if n := l.Sweep(time.Hour); n != 1 || in.HasPendingInput() {
+	if n := l.CloseIdle(time.Hour); n != 1 || in.HasPendingInput() {
 		t.Errorf("%d open", n)
 	}
 	io.WriteString(out, "x")
 	for !in.HasPendingInput() {
 		runtime.Gosched()
 	}
-	if n := l.Sweep(0); n != 1 {
+	if n := l.CloseIdle(0); n != 1 {
 		t.Errorf("closed over unread bytes: %d open", n)
 	}
 	b := make([]byte, 1)
 	if _, err := in.Read(b); err != nil {
 		t.Fatal(err)
 	}
-	if n := l.Sweep(0); n != 1 {
+	if n := l.CloseIdle(0); n != 1 {
 		t.Errorf("closed in use: %d open", n)
 	}
 	in.SetIdle(true)
-	if n := l.Sweep(time.Hour); n != 1 {
+	if n := l.CloseIdle(time.Hour); n != 1 {
 		t.Errorf("closed too soon: %d open", n)
 	}
-	if n := l.Sweep(0); n != 0 {
+	if n := l.CloseIdle(0); n != 0 {
 		t.Errorf("%d open", n)
 	}
 	if _, err := out.Read(b); err != io.EOF {
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -25,20 +25,20 @@
 	return socketReadable
 }
 
-// Quiet says whether an idle connection still stands and holds nothing to read.
-func Quiet(c syscall.Conn) bool {
+// IsReusable says whether an idle connection still stands and holds nothing to read.
+func IsReusable(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
-	err = raw.Control(func(fd uintptr) { quiet = inspect(fd) == socketEmpty })
-	return err == nil && quiet
+	reusable := false
+	err = raw.Control(func(fd uintptr) { reusable = inspect(fd) == socketEmpty })
+	return err == nil && reusable
 }
 
 // pendingInput peeks whether something waits to be read.
 func (c *Conn) pendingInput() (s socketState) {
-	if c.ahead.held.Load() > 0 {
+	if c.readAhead.size.Load() > 0 {
 		return socketReadable
 	}
 	s = socketEmpty
--- a/internal/transport/turn_test.go
+++ b/internal/transport/turn_test.go
@@ -15,11 +15,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if (*Gate)(nil).Listener(ln) != ln {
+	if (*AcceptGate)(nil).Wrap(ln) != ln {
 		t.Error("no gate, and another listener")
 	}
-	g := NewGate()
-	at := g.Listener(ln)
+	g := NewAcceptGate()
+	at := g.Wrap(ln)
 	got := make(chan error, 2)
 	accept := func() {
 		nc, err := at.Accept()
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = NewGate().Listener(other)
+	at = NewAcceptGate().Wrap(other)
 	go accept()
 	at.Close()
 	if err := <-got; !errors.Is(err, net.ErrClosed) {
@@ -64,34 +64,36 @@
 // where its file is left, and one whose file was cleared away under it is no lock.
 func TestLockInTurn(t *testing.T) {
 	dir := t.TempDir()
-	at := func(port int) *Lock { return LockOf(dir, &net.TCPAddr{IP: net.ParseIP("::1"), Port: port}) }
+	at := func(port int) *AcceptLock {
+		return NewAcceptLock(dir, &net.TCPAddr{IP: net.ParseIP("::1"), Port: port})
+	}
 	a, b, other := at(80), at(80), at(81)
-	try := func(what string, l *Lock, want bool) {
+	try := func(what string, l *AcceptLock, want bool) {
 		t.Helper()
-		if had, err := l.Try(); had != want || err != nil {
+		if had, err := l.TryLock(); had != want || err != nil {
 			t.Fatalf("%s: %v %v", what, had, err)
 		}
 	}
 	try("the first", a, true)
 	try("the second", b, false)
 	try("of another address", other, true)
-	a.Release()
-	a.Release()
+	a.Unlock()
+	a.Unlock()
 	try("the second, at last", b, true)
 	c := at(80)
 	try("a third", c, false)
 	if err := os.Remove(b.Path); err != nil {
 		t.Fatal(err)
 	}
-	b.Release()
+	b.Unlock()
 	try("a file that is gone", c, false)
 	try("anew", c, true)
 	try("who comes then", at(80), false)
 	if filepath.Dir(c.Path) != dir {
 		t.Error(c.Path)
 	}
-	for _, bad := range []*Lock{LockOf(filepath.Join(dir, "none"), &net.TCPAddr{Port: 80}), {Path: dir}} {
-		if had, err := bad.Try(); had || err == nil {
+	for _, bad := range []*AcceptLock{NewAcceptLock(filepath.Join(dir, "none"), &net.TCPAddr{Port: 80}), {Path: dir}} {
+		if had, err := bad.TryLock(); had || err == nil {
 			t.Errorf("%s: %v %v", bad.Path, had, err)
 		}
 	}
@@ -99,7 +101,7 @@
 	if err := os.Symlink(c.Path, link); err != nil {
 		t.Fatal(err)
 	}
-	if had, err := (&Lock{Path: link}).Try(); had || err == nil {
+	if had, err := (&AcceptLock{Path: link}).TryLock(); had || err == nil {
 		t.Errorf("another's link was followed: %v %v", had, err)
 	}
 }
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -19,26 +19,26 @@
 // Watch returns a channel that closes when the other side has gone. What is sent ahead stays to be read. Nothing may
 // read from the connection until Unwatch, and no read deadline holds until then.
 func (c *Conn) Watch() <-chan struct{} {
-	left, ended := make(chan struct{}), make(chan struct{})
+	peerClosed, ended := make(chan struct{}), make(chan struct{})
 	c.watchDone = ended
 	_ = c.SetReadDeadline(time.Time{}) // that of the request just read would end the watch
-	c.ahead.watch(true)
+	c.readAhead.watch(true)
 	go func() {
 		defer close(ended)
 		raw := c.raw()
 		if raw == nil {
 			return
 		}
-		gone := false
+		closed := false
 		err := raw.Read(func(fd uintptr) bool {
-			gone = c.ahead.look(fd)
-			return gone
+			closed = c.readAhead.peerClosed(fd)
+			return closed
 		})
-		if err == nil && gone {
-			close(left)
+		if err == nil && closed {
+			close(peerClosed)
 		}
 	}()
-	return left
+	return peerClosed
 }
 
 // Unwatch ends the watch, so that the connection may be read again.
@@ -49,48 +49,48 @@
 	_ = c.SetReadDeadline(time.Unix(1, 0))
 	<-c.watchDone
 	c.watchDone = nil
-	c.ahead.watch(false)
+	c.readAhead.watch(false)
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-// Gone says whether the other side has gone, or the connection is closed. It pendingInput the system, so it is true from the
+// PeerClosed says whether the other side has gone, or the connection is closed. It asks the system, so it is true from the
 // instant at which the system has the close, however late the watch and its channel run. It may be called from any
 // goroutine.
-func (c *Conn) Gone() (gone bool) {
+func (c *Conn) PeerClosed() (closed bool) {
 	raw := c.raw()
 	if raw == nil {
 		return false
 	}
-	err := raw.Control(func(fd uintptr) { gone = c.ahead.look(fd) })
-	return gone || err != nil
+	err := raw.Control(func(fd uintptr) { closed = c.readAhead.peerClosed(fd) })
+	return closed || err != nil
 }
 
 // next reads what was read ahead, and then from the connection.
 func (c *Conn) next(p []byte) (int, error) {
-	if n := c.ahead.take(p); n > 0 {
+	if n := c.readAhead.take(p); n > 0 {
 		return n, nil
 	}
 	return c.Conn.Read(p)
 }
 
-// readAhead holds what was taken from a watched connection to see what comes behind it.
-type readAhead struct {
+// readAheadBuffer holds what was taken from a watched connection to see what comes behind it.
+type readAheadBuffer struct {
 	mu      sync.Mutex
 	watched bool // nothing else reads
 	bytes   []byte
-	held    atomic.Int32 // len(bytes)
+	size    atomic.Int32 // len(bytes)
 }
 
-func (a *readAhead) watch(on bool) {
+func (a *readAheadBuffer) watch(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	sync.Writes(&a.watched)
 	a.watched = on
 }
 
-// look says whether the other side has gone, also behind bytes that wait. Where the system does not say that, the bytes
+// peerClosed says whether the other side has gone, also behind bytes that wait. Where the system does not say that, the bytes
 // are read ahead while the connection is watched: their end shows it, and wakes the watch as any system does.
-func (a *readAhead) look(fd uintptr) bool {
+func (a *readAheadBuffer) peerClosed(fd uintptr) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch inspect(fd) {
@@ -99,19 +99,19 @@
 	case socketClosed:
 		return true
 	}
-	if gone, told := peerGone(fd); told {
-		return gone
+	if closed, known := tcpPeerClosed(fd); known {
+		return closed
 	}
 	sync.Reads(&a.watched)
 	return a.watched && a.fill(fd)
 }
 
 // fill reads ahead up to the bound; true: to the end.
-func (a *readAhead) fill(fd uintptr) bool {
+func (a *readAheadBuffer) fill(fd uintptr) bool {
 	for len(a.bytes) < readAheadLimit {
 		a.bytes = slices.Grow(a.bytes, readAheadStep)
-		room := a.bytes[len(a.bytes):min(cap(a.bytes), readAheadLimit)]
-		n, _, err := syscall.Recvfrom(int(fd), room, syscall.MSG_DONTWAIT)
+		free := a.bytes[len(a.bytes):min(cap(a.bytes), readAheadLimit)]
+		n, _, err := syscall.Recvfrom(int(fd), free, syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 			continue
@@ -121,14 +121,14 @@
 			return true
 		}
 		a.bytes = a.bytes[:len(a.bytes)+n]
-		a.held.Store(int32(len(a.bytes)))
+		a.size.Store(int32(len(a.bytes)))
 	}
 	return false
 }
 
 // take gives what is held, from its start.
-func (a *readAhead) take(p []byte) int {
-	if a.held.Load() == 0 {
+func (a *readAheadBuffer) take(p []byte) int {
+	if a.size.Load() == 0 {
 		return 0
 	}
 	a.mu.Lock()
@@ -137,7 +137,7 @@
 	if a.bytes = a.bytes[n:]; len(a.bytes) == 0 {
 		a.bytes = nil
 	}
-	a.held.Store(int32(len(a.bytes)))
+	a.size.Store(int32(len(a.bytes)))
 	return n
 }
 
@@ -148,8 +148,8 @@
 	tcpCloseWait   = 8 // the other side has ended its sending
 )
 
-// peerGone says whether the other side has gone behind bytes that wait; told is false where the system does not say.
-func peerGone(fd uintptr) (gone, told bool) {
+// tcpPeerClosed says whether the other side has gone behind bytes that wait; told is false where the system does not say.
+func tcpPeerClosed(fd uintptr) (closed, known bool) {
 	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
 		return false, false
--- a/internal/transport/watch_test.go
+++ b/internal/transport/watch_test.go
@@ -127,7 +127,7 @@
 					t.Fatal(err)
 				}
 				comes(t, "the going", left)
-				if !in.Gone() {
+				if !in.PeerClosed() {
 					t.Error("it has not gone")
 				}
 				in.Unwatch()
@@ -148,8 +148,8 @@
 		go out.Write(text)
 		for range 3 { // watched again, it goes on where it stopped
 			in.Watch()
-			seen(t, "what is read ahead", func() bool { return int(in.ahead.held.Load()) == min(size, readAheadLimit) })
-			if in.Gone() {
+			seen(t, "what is read ahead", func() bool { return int(in.readAhead.size.Load()) == min(size, readAheadLimit) })
+			if in.PeerClosed() {
 				t.Fatal("gone before it went")
 			}
 			in.Unwatch()
@@ -160,7 +160,7 @@
 		if want := append(text, "more"...); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("of %d and 4 bytes %d were read as sent: %v", size, len(got), err)
 		}
-		if in.ahead.held.Load() != 0 || in.ahead.bytes != nil {
+		if in.readAhead.size.Load() != 0 || in.readAhead.bytes != nil {
 			t.Error("what was read is held")
 		}
 	}
@@ -173,17 +173,17 @@
 	in.markActive()
 	in.Watch()
 	io.WriteString(out, "x")
-	seen(t, "what is read ahead", func() bool { return in.ahead.held.Load() == 1 })
+	seen(t, "what is read ahead", func() bool { return in.readAhead.size.Load() == 1 })
 	in.Unwatch()
 	in.SetIdle(true)
-	if n := l.Sweep(0); n != 1 || !in.HasPendingInput() {
+	if n := l.CloseIdle(0); n != 1 || !in.HasPendingInput() {
 		t.Errorf("closed over what was read ahead: %d open, asked %v", n, in.HasPendingInput())
 	}
 	if _, err := in.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	in.SetIdle(true)
-	if n := l.Sweep(0); n != 0 || in.HasPendingInput() {
+	if n := l.CloseIdle(0); n != 0 || in.HasPendingInput() {
 		t.Errorf("%d open, asked %v", n, in.HasPendingInput())
 	}
 }
@@ -224,11 +224,11 @@
 			left := in.Watch() // held: it takes no look
 			io.WriteString(out, ahead)
 			seen(t, ahead, func() bool { return ahead == "" || in.pendingInput() == socketReadable })
-			if in.Gone() {
+			if in.PeerClosed() {
 				t.Fatalf("%s, %q: gone before it went", network, ahead)
 			}
 			out.Close()
-			seen(t, network+", the going behind "+strconv.Quote(ahead), in.Gone)
+			seen(t, network+", the going behind "+strconv.Quote(ahead), in.PeerClosed)
 			if len(spy.looks) > 0 {
 				t.Fatal("the watch ran: the crossing was not reached")
 			}
@@ -236,7 +236,7 @@
 			comes(t, "the going", left)
 			in.Unwatch()
 			in.Close()
-			if !in.Gone() {
+			if !in.PeerClosed() {
 				t.Error("a connection that is closed stands")
 			}
 		}
