--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -90,12 +90,12 @@
 
 // Connections queued when StopAccepting is called are served, with free capacity and with a capacity of one.
 func TestStopAcceptingServesQueue(t *testing.T) {
-	const waits = 20
-	for _, most := range []int{100, 1} {
+	const queued = 20
+	for _, capacity := range []int{100, 1} {
 		ln := mustListen(t)
-		l := limit(ln, most)
+		l := limit(ln, capacity)
 		l.linger, l.drainLimit = time.Hour, time.Hour
-		clients := waitInQueue(t, "tcp", ln.Addr().String(), waits)
+		clients := waitInQueue(t, "tcp", ln.Addr().String(), queued)
 		stopped := make(chan bool)
 		go func() {
 			l.StopAccepting()
@@ -120,15 +120,15 @@
 
 // Queued connections of merged listeners are served while an Accept waits; each listener may have accepted one already.
 func TestStopAcceptingServesSeveralQueues(t *testing.T) {
-	four := mustListen(t)
+	tcp := mustListen(t)
 	path := filepath.Join(t.TempDir(), "s")
 	file, err := Listen(unixAddr(t, path), 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limit(Merge(four, file), 100)
+	l := limit(Merge(tcp, file), 100)
 	l.drainLimit = time.Hour
-	clients := waitInQueue(t, "tcp", four.Addr().String(), 5)
+	clients := waitInQueue(t, "tcp", tcp.Addr().String(), 5)
 	others := waitInQueue(t, "unix", path, 5)
 	stopped := make(chan bool)
 	go func() {
@@ -140,7 +140,9 @@
 	allAnswered(t, clients)
 	allAnswered(t, others)
 	_ = l.Close()
-	_ = <-ended // the listener is closed
+	if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
 }
 
 // Accept of a merged listener does not wait for listeners that were woken.
@@ -186,7 +188,9 @@
 	ended := answerAll(next)
 	allAnswered(t, clients)
 	_ = next.Close()
-	_ = <-ended // the listener is closed
+	if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
 	_ = l.Close()
 }
 
@@ -260,6 +264,8 @@
 			allAnswered(t, []net.Conn{client})
 		}
 		_ = l.Close()
-		_ = <-ended // the listener is closed
+		if err := <-ended; !errors.Is(err, net.ErrClosed) {
+			t.Error(err)
+		}
 	}
 }
--- a/internal/transport/expire_test.go
+++ b/internal/transport/expire_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("%+v", r)
 	}
 	in.SetReadDeadline(time.Time{})
-	go io.WriteString(theirs, "request")
+	go func() { _, _ = io.WriteString(theirs, "request") }()
 	if r := <-readOnce(in); !errors.Is(r.err, net.ErrClosed) {
 		t.Errorf("a later read gave %+v", r)
 	}
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -88,7 +88,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(mine)
+	if err := os.Remove(mine); err != nil {
+		t.Fatal(err)
+	}
 	if err := os.WriteFile(mine, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/listener_interleave_test.go
+++ b/internal/transport/listener_interleave_test.go
@@ -21,7 +21,7 @@
 	closed bool
 }
 
-func (w *wire) Read(p []byte) (int, error) {
+func (w *wire) Read([]byte) (int, error) {
 	if w.closed {
 		return 0, net.ErrClosed
 	}
@@ -47,8 +47,8 @@
 
 func (b *backlog) Close() error { b.closed = true; return nil }
 
-// book is a listener with connections in it, between requests for an hour.
-func book(most, held, waiting int) (*Listener, []*Conn) {
+// openListener returns a listener with connections in it, between requests for an hour.
+func openListener(most, held, waiting int) (*Listener, []*Conn) {
 	l := limit(&backlog{left: waiting + held}, most)
 	var conns []*Conn
 	for range held {
@@ -67,15 +67,16 @@
 	return l, conns
 }
 
-// whole is the book's invariant: within the cap, every connection at its place and open.
-func whole(l *Listener) error {
+// checkOpen is the invariant of the open connections: within the cap, every connection at its place and open.
+func checkOpen(l *Listener) error {
 	if len(l.open) > l.capacity+l.overflow {
 		return fmt.Errorf("%d are open, the cap is %d", len(l.open), l.capacity)
 	}
 	return nil
 }
 
-func settled(l *Listener, conns ...*Conn) error {
+// checkSettled reports a connection at a wrong index of the open ones, or a closed one among them.
+func checkSettled(l *Listener) error {
 	for i, c := range l.open {
 		if c.index != i {
 			return fmt.Errorf("the connection at %d believes to be at %d", i, c.index)
@@ -84,14 +85,14 @@
 			return errors.New("a closed connection counts as open")
 		}
 	}
-	return whole(l)
+	return checkOpen(l)
 }
 
 // At the capacity: one new connection, the periodic eviction, and a request on one of the idle connections.
 // A connection of which request bytes were read is never evicted.
 func TestInterleaveEviction(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := book(2, 2, 1)
+		l, conns := openListener(2, 2, 1)
 		c, served := conns[0], false
 		return il.World{
 			Threads: []il.Thread{
@@ -113,9 +114,9 @@
 				if served && c.Conn.(*wire).closed {
 					return errors.New("a connection with a request was shed")
 				}
-				return whole(l)
+				return checkOpen(l)
 			},
-			Check: func() error { return settled(l) },
+			Check: func() error { return checkSettled(l) },
 		}
 	})
 	mutant.Found(t,
@@ -130,11 +131,11 @@
 // A connection is closed twice, by its server and by eviction, while others are accepted and counted and the listener closes.
 func TestInterleaveOpenConns(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := book(3, 2, 1)
+		l, conns := openListener(3, 2, 1)
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "server", Run: func() { _ = conns[0].Close() }},
-				{Name: "other", Run: func() { conns[1].evict(); conns[0].Close() }},
+				{Name: "other", Run: func() { conns[1].evict(); _ = conns[0].Close() }},
 				{Name: "accept", Run: func() {
 					if nc, err := l.Accept(); err == nil {
 						_ = nc.Close()
@@ -142,14 +143,14 @@
 						il.Fail("accept: %v", err)
 					}
 				}},
-				{Name: "end", Run: func() { l.Close(); l.StopAccepting() }},
+				{Name: "end", Run: func() { _ = l.Close(); l.StopAccepting() }},
 			},
-			Always: func() error { return whole(l) },
+			Always: func() error { return checkOpen(l) },
 			Check: func() error {
 				if !l.Listener.(*backlog).closed || len(l.open) != 0 {
 					return fmt.Errorf("%d stay open", len(l.open))
 				}
-				return settled(l)
+				return checkSettled(l)
 			},
 		}
 	})
@@ -238,7 +239,7 @@
 				}
 				return nil
 			},
-			End: func() { syscall.Close(pair[0]); syscall.Close(pair[1]) },
+			End: func() { _ = syscall.Close(pair[0]); _ = syscall.Close(pair[1]) },
 		}
 	})
 	for _, end := range []string{"served", "closed unread"} {
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -35,7 +35,7 @@
 	in.Watch()
 	in.Unwatch() // ends with nothing to read
 	in.Watch()
-	io.WriteString(out, "hello") // sent ahead: neither taken nor a going
+	_, _ = io.WriteString(out, "hello") // neither read nor a close of the peer
 	in.Unwatch()
 	b := make([]byte, 5)
 	if _, err := io.ReadFull(in, b); err != nil || string(b) != "hello" {
@@ -83,9 +83,9 @@
 // Only connections without a request are evicted, silent ones before idle ones. When many have had a request, idle ones are
 // evicted also below the capacity, as their clients may be at a limit of their own.
 func TestEvictionOrder(t *testing.T) {
-	l, asked, out := pair(t, 5)
+	l, active, out := pair(t, 5)
 	_, _ = io.WriteString(out, "GET")
-	conns := []*Conn{asked}
+	conns := []*Conn{active}
 	for range 4 {
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -98,25 +98,25 @@
 		}
 		conns = append(conns, in.(*Conn))
 	}
-	begun, other, between, silent := conns[1], conns[2], conns[3], conns[4]
-	begun.markActive()
+	requesting, other, between, silent := conns[1], conns[2], conns[3], conns[4]
+	requesting.markActive()
 	other.markActive()
 	between.markActive()
 	between.SetIdle(true)
-	for asked.pendingInput() != socketReadable {
+	for active.pendingInput() != socketReadable {
 		runtime.Gosched() // until the bytes have come
 	}
-	gone := func(c *Conn) bool { return c.phase.Load() == closing }
+	evicted := func(c *Conn) bool { return c.phase.Load() == closing }
 	now := time.Now()
-	if l.evictForCapacity(now.Add(-time.Hour)); gone(silent) || gone(between) {
+	if l.evictForCapacity(now.Add(-time.Hour)); evicted(silent) || evicted(between) {
 		t.Error("closed at once")
 	}
 	between.phaseStart.Store(now.Add(time.Hour).UnixNano()) // as if it had only now been used
-	if l.evictForCapacity(now.Add(time.Second)); !gone(silent) || gone(between) {
+	if l.evictForCapacity(now.Add(time.Second)); !evicted(silent) || evicted(between) {
 		t.Error("at the cap the silent one was not the one to go")
 	}
 	between.phaseStart.Store(now.UnixNano())
-	if l.evictForCapacity(now.Add(time.Second)); !gone(between) {
+	if l.evictForCapacity(now.Add(time.Second)); !evicted(between) {
 		t.Error("three have asked of a cap of five, and the idle one stays")
 	}
 	for _, c := range []*Conn{silent, between} {
@@ -126,11 +126,11 @@
 	}
 	l.evictForCapacity(now.Add(time.Hour))
 	b := make([]byte, 3)
-	if n, err := asked.Read(b); err != nil || string(b[:n]) != "GET" || gone(begun) || gone(other) {
+	if n, err := active.Read(b); err != nil || string(b[:n]) != "GET" || evicted(requesting) || evicted(other) {
 		t.Errorf("a connection with a request was closed: %q %v", b[:n], err)
 	}
 	// A byte that comes while its connection is shed is not taken; a shed loses to one that came before.
-	if begun.evict() || between.markActive() {
+	if requesting.evict() || between.markActive() {
 		t.Error("roused and shed at once")
 	}
 }
--- a/internal/transport/nosplice_test.go
+++ b/internal/transport/nosplice_test.go
@@ -70,7 +70,7 @@
 			} else if to, err = address.Parse(ln.Addr().String()); err != nil {
 				t.Fatal(err)
 			}
-			ours, theirs := both(t, ln, to)
+			ours, theirs := connPair(t, ln, to)
 			for _, nc := range []net.Conn{ours, theirs} {
 				if _, ok := nc.(io.ReaderFrom); ok {
 					t.Errorf("%T takes a copy", nc)
@@ -93,7 +93,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				go func() { io.Copy(x[0], f); f.Close() }()
+				go func() { _, _ = io.Copy(x[0], f); _ = f.Close() }()
 				got := make([]byte, len(text))
 				if _, err := io.ReadFull(x[1], got); err != nil || !bytes.Equal(got, text) {
 					t.Errorf("a file came otherwise: %v", err)
@@ -103,8 +103,8 @@
 	}
 }
 
-// both are the ends of a connection to a listener, until the test ends.
-func both(t *testing.T, ln net.Listener, to address.Addr) (ours Stream, theirs net.Conn) {
+// connPair are the ends of a connection to a listener, until the test ends.
+func connPair(t *testing.T, ln net.Listener, to address.Addr) (ours Stream, theirs net.Conn) {
 	t.Helper()
 	ours, _, err := Dial(context.Background(), to, time.Minute)
 	if err != nil {
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, theirs := both(t, ln, to)
+	ours, theirs := connPair(t, ln, to)
 	for _, s := range []Stream{ours, theirs.(Stream)} {
 		raw, err := s.SyscallConn()
 		if err != nil {
