--- a/cmd/wheatsaddle/gathertree.go
+++ b/cmd/wheatsaddle/gathertree.go
@@ -26,7 +26,7 @@
 		BytesMost: set.MaxGroupBytes,
 		IDMost:    maxRequestIDBytes,
 		Log:       g.log,
-		Request:   httpfront.GatherPeer,
+		Request:   httpfront.EncodePeerRequest,
 		Limited:   map[string]bool{},
 		Alive:     g.members,
 		Tally:     &g.tally,
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -28,8 +28,8 @@
 // passedSocket drives the handover of a passed clients' socket between processes: it feeds events to handover.Machine and
 // carries out its actions. It has no rule of its own. nil: this process has bound the socket.
 type passedSocket struct {
-	gate            *transport.Gate // holds accepts back
-	lock            *transport.Lock // held by the process that accepts
+	gate            *transport.AcceptGate // holds accepts back
+	lock            *transport.AcceptLock // held by the process that accepts
 	machine         *handover.Machine
 	core            *core.Core
 	front           *httpfront.Server
@@ -46,8 +46,8 @@
 		return nil
 	}
 	return &passedSocket{
-		gate:        transport.NewGate(),
-		lock:        transport.LockOf(os.TempDir(), ln.Addr()),
+		gate:        transport.NewAcceptGate(),
+		lock:        transport.NewAcceptLock(os.TempDir(), ln.Addr()),
 		machine:     handover.New(handoverTimes),
 		log:         log,
 		startedAt:   time.Now(),
@@ -57,7 +57,7 @@
 }
 
 // acceptGate returns the gate that holds accepts back; nil: there is none.
-func (s *passedSocket) acceptGate() *transport.Gate {
+func (s *passedSocket) acceptGate() *transport.AcceptGate {
 	if s == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	}
 	switch a.Kind {
 	case handover.TryLock:
-		acquired, err := s.lock.Try()
+		acquired, err := s.lock.TryLock()
 		switch {
 		case err != nil:
 			s.log.WithFields(operr.Fields(&handover.NoLockError{Path: s.lock.Path, Err: err})).Error("passed socket not locked, accepting connections without the lock")
@@ -135,14 +135,14 @@
 		}
 		return event(handover.ModuleNotified, 0)
 	case handover.CloseListener:
-		s.front.Leave()
+		s.front.CloseAfterResponses()
 		s.front.StopAccepting()
 		return event(handover.ListenerClosed, 0)
 	case handover.ReleaseLock:
-		s.lock.Release()
+		s.lock.Unlock()
 		s.log.Info("passed socket released to the next process")
 	case handover.CloseIdle:
-		s.openConnections = s.front.Sweep(a.IdleFor)
+		s.openConnections = s.front.CloseIdle(a.IdleFor)
 		return event(handover.ConnectionsCounted, s.openConnections)
 	case handover.Finish:
 		s.log.WithField("open_connections", s.openConnections).Info("handover complete")
--- a/cmd/wheatsaddle/iscsi.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -58,7 +58,7 @@
 	}
 	go func() {
 		if err := f.target.Serve(ln); err != nil {
-			log.WithFields(operr.Fields(&transport.EndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iSCSI front failed")
+			log.WithFields(operr.Fields(&transport.ListenerEndedError{Front: "iscsi", Address: mapping.Listen, Err: err})).Error("iSCSI front failed")
 		}
 	}()
 	log.WithFields(logrus.Fields{"address": mapping.Listen, "targets": len(mapping.Targets), "storage_targets": len(mapping.Storage)}).Info("serving iSCSI")
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -75,7 +75,7 @@
 	go s.reloadOnHangup()
 	select {
 	case err := <-s.frontEnded:
-		return &transport.EndedError{Front: "http", Address: s.conf.Listen, Err: err}
+		return &transport.ListenerEndedError{Front: "http", Address: s.conf.Listen, Err: err}
 	case <-s.termination.received:
 	}
 	s.terminate()
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -78,7 +78,7 @@
 	}
 	s.log.WithField("duration_ms", maxAcceptDuration.Milliseconds()).Info("stopping: still accepting connections")
 	time.Sleep(time.Until(s.signalSentAt.Add(minAcceptDuration)))
-	s.front.KeepFree()
+	s.front.ReserveIdleConns()
 	time.Sleep(time.Until(s.signalSentAt.Add(maxAcceptDuration)))
 }
 
@@ -91,7 +91,7 @@
 
 // drain closes each connection with its next answer, and those without a request at once.
 func (s *shutdown) drain() {
-	s.front.Leave()
+	s.front.CloseAfterResponses()
 	s.pollUntil(answerMargin, s.closeIdle)
 }
 
@@ -102,13 +102,13 @@
 	}
 	s.core.Finish()
 	s.pollUntil(exitMargin, func() int {
-		s.front.Interrupt()
+		s.front.RejectIncoming()
 		return s.closeIdle()
 	})
 }
 
 // closeIdle closes the connections without a request, and returns how many remain open.
-func (s *shutdown) closeIdle() int { return s.front.Sweep(0) }
+func (s *shutdown) closeIdle() int { return s.front.CloseIdle(0) }
 
 // pollUntil polls until no connection is open or the time to SIGKILL is at most margin. It polls at least once.
 func (s *shutdown) pollUntil(margin time.Duration, openConnections func() int) {
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -20,14 +20,14 @@
 type site struct {
 	file    string
 	current *config.Site // as of the last valid read
-	routes  *httpfront.Routes
+	routes  *httpfront.AddressConfig
 	iscsi   *iscsi.Dialer     // nil: no iSCSI front
 	meter   *metrics.Registry // nil: only the admin endpoint has counts
 	log     logrus.FieldLogger
 }
 
 func openSite(c *cli.Context, seed int64, log logrus.FieldLogger) (*site, error) {
-	s := &site{file: c.String("site"), current: &config.Site{}, log: log, routes: &httpfront.Routes{Seed: uint64(seed)}}
+	s := &site{file: c.String("site"), current: &config.Site{}, log: log, routes: &httpfront.AddressConfig{Seed: uint64(seed)}}
 	if s.file == "" {
 		return s, nil
 	}
@@ -65,7 +65,7 @@
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
-	s.routes.Set(httpfront.RouteSettings{Book: set.Book, Identity: set.Identity})
+	s.routes.Set(httpfront.AddressSettings{Selector: set.Book, IdentityHeader: set.Identity})
 	if s.iscsi != nil {
 		s.iscsi.Addresses(set.Book)
 	}
@@ -105,8 +105,8 @@
 }
 
 // listen merges a front's first listener with those for its further addresses, all behind the gate if there is one.
-func (s *site) listen(front string, first net.Listener, gate *transport.Gate) (net.Listener, error) {
-	all := []net.Listener{gate.Listener(first)}
+func (s *site) listen(front string, first net.Listener, gate *transport.AcceptGate) (net.Listener, error) {
+	all := []net.Listener{gate.Wrap(first)}
 	for i, l := range s.current.Listen[front] {
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
@@ -116,7 +116,7 @@
 			return nil, fmt.Errorf("site: listen.%s.%d: %w", front, i, err)
 		}
 		s.log.WithFields(logrus.Fields{"front": front, "address": ln.Addr().String()}).Info("listening")
-		all = append(all, gate.Listener(ln))
+		all = append(all, gate.Wrap(ln))
 	}
 	return transport.Merge(all...), nil
 }
--- a/cmd/wheatsaddle/startup.go
+++ b/cmd/wheatsaddle/startup.go
@@ -96,10 +96,10 @@
 	dialer := &httpfront.Dialer{
 		ConnectTimeout: milliseconds(s.conf.ConnectTimeout),
 		ConnIdle:       milliseconds(s.conf.ConnIdle),
-		ConnsMost:      int64(s.nodeConns),
-		Wait:           connqueue.MaxFreeConnWait(s.conf.HandshakePrice, minLatencyObjective(s.conf.Settings)),
-		Safe:           idempotentClasses(s.conf.Settings),
-		Routes:         s.site.routes,
+		MaxConns:       int64(s.nodeConns),
+		FreeConnWait:   connqueue.MaxFreeConnWait(s.conf.HandshakePrice, minLatencyObjective(s.conf.Settings)),
+		Idempotent:     idempotentClasses(s.conf.Settings),
+		Addresses:      s.site.routes,
 		Log:            s.log,
 	}
 	return core.Options{
@@ -169,7 +169,7 @@
 
 func (s *service) serveAdmin(endpoint *admin.Endpoint, ln net.Listener) {
 	if err := endpoint.Serve(ln); err != nil {
-		ended := &transport.EndedError{Front: "admin endpoint", Address: s.conf.AdminListen, Err: err}
+		ended := &transport.ListenerEndedError{Front: "admin endpoint", Address: s.conf.AdminListen, Err: err}
 		s.log.WithFields(operr.Fields(ended)).Error("admin endpoint failed")
 	}
 }
@@ -185,7 +185,7 @@
 		return err
 	}
 	s.front = httpfront.NewServer(s.core, s.conf.Settings, s.clientConns, s.log)
-	s.front.Bodies = semaphore.NewWeighted(bodyMemory(s.conf))
+	s.front.BodyMemory = semaphore.NewWeighted(bodyMemory(s.conf))
 	if s.gather, err = startGather(s.site, s.conf, s.core, s.front, s.fleet); err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 		}
 		return ln, nil
 	}
-	ln, err := transport.Passed(conf.InheritedSocket)
+	ln, err := transport.ListenInherited(conf.InheritedSocket)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return transport.Plain(nc)
+	return transport.DisableSplice(nc)
 }
 
 func (t *overridingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -3,43 +3,42 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"syscall"
 
 	"wheatsaddle/internal/operr"
 )
 
-// ErrInUse is what errors.Is asks for.
-var ErrInUse error = &InUse{}
+// ErrInUse matches each InUseError by errors.Is.
+var ErrInUse error = &InUseError{}
 
-// InUse says that somebody answers, or is about to, where the program was to listen.
-type InUse struct {
+// InUseError reports that another process listens, or is about to, at the address.
+type InUseError struct {
 	Address string
-	Err     error // the system's word; nil: a live socket file or its lock
+	Err     error // cause from the system; nil: the socket file or its lock is in use
 }
 
-func (e *InUse) Error() string {
+func (e *InUseError) Error() string {
 	if e.Err != nil {
 		return e.Err.Error()
 	}
 	return "somebody listens there"
 }
 
-// Is makes every InUse ErrInUse.
-func (e *InUse) Is(other error) bool { return other == ErrInUse }
+// Is matches ErrInUse.
+func (e *InUseError) Is(other error) bool { return other == ErrInUse }
 
-// Unwrap gives the system's word.
-func (e *InUse) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e *InUseError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *InUse) Code() string { return "sock-in-use" }
+func (e *InUseError) Code() string { return "sock-in-use" }
 
 // Advice implements operr.Coded.
-func (e *InUse) Advice() string {
+func (e *InUseError) Advice() string {
 	return "Find who listens at " + e.Address + " (ss -xltnp) and end it, or give this program another address; an earlier process of it may still be stopping."
 }
 
-// ListenError is an address at which the system does not let the program listen.
+// ListenError reports that the system does not let the program listen at the address.
 type ListenError struct {
 	Address string
 	Err     error
@@ -47,7 +46,7 @@
 
 func (e *ListenError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the system's word.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -58,17 +57,17 @@
 	return "See that " + e.Address + " is an address of this machine, or a path whose folder the program's user may write and that no other file has."
 }
 
-// PassedError is an inherited descriptor that is no listening TCP socket.
-type PassedError struct {
-	Name string // as the variable has it
-	Says string
-	Err  error
+// InheritedSocketError reports an inherited descriptor that is no listening TCP socket.
+type InheritedSocketError struct {
+	Name    string // value of the environment variable
+	Problem string
+	Err     error
 }
 
-func (e *PassedError) Error() string {
-	text := fmt.Sprintf("passed socket %q: %s", e.Name, e.Says)
+func (e *InheritedSocketError) Error() string {
+	text := fmt.Sprintf("passed socket %q: %s", e.Name, e.Problem)
 	switch {
-	case e.Err != nil && e.Says == "":
+	case e.Err != nil && e.Problem == "":
 		text += e.Err.Error()
 	case e.Err != nil:
 		text += ": " + e.Err.Error()
@@ -76,59 +75,52 @@
 	return text
 }
 
-// Unwrap gives the system's word.
-func (e *PassedError) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e *InheritedSocketError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *PassedError) Code() string { return "sock-passed" }
+func (e *InheritedSocketError) Code() string { return "sock-passed" }
 
 // Advice implements operr.Coded.
-func (e *PassedError) Advice() string {
+func (e *InheritedSocketError) Advice() string {
 	return "Have the platform pass a listening TCP socket at the descriptor that ROUTER_PASSED_SOCKET names, or unset it: the program then binds listen itself."
 }
 
-// EndedError is a listener that has closed while it was to go on, or did not close well.
-type EndedError struct {
+// ListenerEndedError reports that a listener ended unexpectedly, or that its close failed.
+type ListenerEndedError struct {
 	Front   string
 	Address string
 	Err     error
 }
 
-func (e *EndedError) Error() string { return fmt.Sprintf("%s at %s: %v", e.Front, e.Address, e.Err) }
+func (e *ListenerEndedError) Error() string {
+	return fmt.Sprintf("%s at %s: %v", e.Front, e.Address, e.Err)
+}
 
-// Unwrap gives the system's word.
-func (e *EndedError) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e *ListenerEndedError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *EndedError) Code() string { return "sock-ended" }
+func (e *ListenerEndedError) Code() string { return "sock-ended" }
 
 // Advice implements operr.Coded.
-func (e *EndedError) Advice() string {
+func (e *ListenerEndedError) Advice() string {
 	return "Nothing is accepted at " + e.Address + " any more: start the program again, and see its descriptors and memory if it comes again."
 }
 
-// ListenTCP listens on host:port.
-func ListenTCP(address string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, listenError(address, err)
-	}
-	return plainListener{ln}, nil
-}
-
-// listenError is the system's word on a listen, with its code.
+// listenError wraps the error of a listen in a type with a code.
 func listenError(address string, err error) error {
 	var c operr.Coded
 	switch {
 	case errors.As(err, &c):
 		return err
 	case errors.Is(err, syscall.EADDRINUSE):
-		return &InUse{address, err}
+		return &InUseError{address, err}
 	}
 	return &ListenError{address, err}
 }
 
 func init() {
-	operr.Register(&InUse{Address: "127.0.0.1:80"}, &ListenError{"/run/c.sock", errors.New("/run/c.sock: is there and is no socket")},
-		&PassedError{Name: "4", Says: "descriptor 4 is no stream socket"}, &EndedError{"http", "127.0.0.1:80", errors.New("accept: too many open files")})
+	operr.Register(&InUseError{Address: "127.0.0.1:80"}, &ListenError{"/run/c.sock", errors.New("/run/c.sock: is there and is no socket")},
+		&InheritedSocketError{Name: "4", Problem: "descriptor 4 is no stream socket"}, &ListenerEndedError{"http", "127.0.0.1:80", errors.New("accept: too many open files")})
 }
--- /dev/null
+++ b/internal/transport/inherited.go
@@ -0,0 +1,64 @@
+package transport
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+)
+
+// DefaultInheritedDescriptor is the descriptor of an inherited listening socket if the environment variable does not name
+// another.
+const DefaultInheritedDescriptor = 3
+
+// ListenInherited returns a listener on a socket that the process inherited. name is the value of the environment variable: a
+// descriptor's number, or anything else for DefaultInheritedDescriptor. The descriptor must be a TCP socket; the listener uses
+// a copy of it. An error is an InheritedSocketError.
+func ListenInherited(name string) (net.Listener, error) {
+	fd := DefaultInheritedDescriptor
+	if n, err := strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(name), "fd:")); err == nil {
+		fd = n
+	}
+	if fd < 0 {
+		return nil, &InheritedSocketError{Name: name, Problem: "no descriptor"}
+	}
+	kind, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_TYPE)
+	if err != nil {
+		return nil, &InheritedSocketError{name, fmt.Sprintf("descriptor %d", fd), err}
+	}
+	if kind != syscall.SOCK_STREAM {
+		return nil, &InheritedSocketError{Name: name, Problem: fmt.Sprintf("descriptor %d is no stream socket", fd)}
+	}
+	// A socket that is only bound starts to listen.
+	if listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listening != 1 {
+		if err := syscall.Listen(fd, syscall.SOMAXCONN); err != nil {
+			return nil, &InheritedSocketError{name, fmt.Sprintf("descriptor %d does not listen", fd), err}
+		}
+	}
+	f := os.NewFile(uintptr(fd), "passed socket")
+	defer func() { _ = f.Close() }() // the listener has a copy
+	ln, err := net.FileListener(f)
+	if err != nil {
+		return nil, &InheritedSocketError{Name: name, Err: err}
+	}
+	tcp, ok := ln.(*net.TCPListener)
+	if !ok {
+		_ = ln.Close() // it is not used
+		return nil, &InheritedSocketError{Name: name, Problem: fmt.Sprintf("descriptor %d is no TCP socket", fd)}
+	}
+	return noSpliceListener{&inheritedListener{tcp}}, nil
+}
+
+// inheritedListener is a listener whose socket other processes hold too. They share its O_NONBLOCK flag, and another process
+// may have cleared it (os.File.Fd does). Accept sets it again, because a blocking accept would not end with Close.
+type inheritedListener struct{ *net.TCPListener }
+
+// Accept implements net.Listener.
+func (p *inheritedListener) Accept() (net.Conn, error) {
+	if raw, err := p.SyscallConn(); err == nil {
+		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
+	}
+	return p.TCPListener.Accept()
+}
--- a/internal/transport/socket.go
+++ b/internal/transport/inspect.go
@@ -5,14 +5,16 @@
 	"syscall"
 )
 
+// socketState is what a peek at a socket shows.
 type socketState int
 
 const (
 	socketEmpty    socketState = iota // nothing to read
-	socketReadable                    // bytes wait
-	socketClosed
+	socketReadable                    // bytes to read
+	socketClosed                      // end of file or an error
 )
 
+// inspect peeks at a socket without blocking.
 func inspect(fd uintptr) socketState {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -25,20 +27,20 @@
 	return socketReadable
 }
 
-// Quiet says whether an idle connection still stands and holds nothing to read.
-func Quiet(c syscall.Conn) bool {
+// IsReusable reports whether an idle connection is still open and has no input.
+func IsReusable(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
-	err = raw.Control(func(fd uintptr) { quiet = inspect(fd) == socketEmpty })
-	return err == nil && quiet
+	reusable := false
+	err = raw.Control(func(fd uintptr) { reusable = inspect(fd) == socketEmpty })
+	return err == nil && reusable
 }
 
-// pendingInput peeks whether something waits to be read.
+// pendingInput peeks at the connection's input, including what was read ahead.
 func (c *Conn) pendingInput() (s socketState) {
-	if c.ahead.held.Load() > 0 {
+	if c.readAhead.size.Load() > 0 {
 		return socketReadable
 	}
 	s = socketEmpty
@@ -48,11 +50,11 @@
 	return s
 }
 
-// readAvailable reads what has come.
+// readAvailable reads without blocking; syscall.EAGAIN means that there is no input.
 func readAvailable(fd uintptr, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), p)
-		if err == syscall.EINTR {
+		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
 		return max(n, 0), err
--- a/internal/transport/sock_interleave_test.go
+++ b/internal/transport/listener_interleave_test.go
@@ -15,13 +15,13 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// wire is a connection on which a request has come; it keeps whether it is closed.
+// wire is a connection with a request; it records whether it was closed.
 type wire struct {
 	net.Conn
 	closed bool
 }
 
-func (w *wire) Read(p []byte) (int, error) {
+func (w *wire) Read([]byte) (int, error) {
 	if w.closed {
 		return 0, net.ErrClosed
 	}
@@ -30,7 +30,7 @@
 
 func (w *wire) Close() error { w.closed = true; return nil }
 
-// backlog is a listener of so many connections that wait.
+// backlog is a listener with a number of queued connections.
 type backlog struct {
 	net.Listener
 	left   int
@@ -47,8 +47,8 @@
 
 func (b *backlog) Close() error { b.closed = true; return nil }
 
-// book is a listener with connections in it, between requests for an hour.
-func book(most, held, waiting int) (*Listener, []*Conn) {
+// openListener returns a listener with connections in it, between requests for an hour.
+func openListener(most, held, waiting int) (*Listener, []*Conn) {
 	l := limit(&backlog{left: waiting + held}, most)
 	var conns []*Conn
 	for range held {
@@ -67,15 +67,16 @@
 	return l, conns
 }
 
-// whole is the book's invariant: within the cap, every connection at its place and open.
-func whole(l *Listener) error {
+// checkOpen is the invariant of the open connections: within the cap, every connection at its place and open.
+func checkOpen(l *Listener) error {
 	if len(l.open) > l.capacity+l.overflow {
 		return fmt.Errorf("%d are open, the cap is %d", len(l.open), l.capacity)
 	}
 	return nil
 }
 
-func settled(l *Listener, conns ...*Conn) error {
+// checkSettled reports a connection at a wrong index of the open ones, or a closed one among them.
+func checkSettled(l *Listener) error {
 	for i, c := range l.open {
 		if c.index != i {
 			return fmt.Errorf("the connection at %d believes to be at %d", i, c.index)
@@ -84,14 +85,14 @@
 			return errors.New("a closed connection counts as open")
 		}
 	}
-	return whole(l)
+	return checkOpen(l)
 }
 
-// At the cap: one newcomer, the shedding on the clock, and a request on one of the idle connections.
-// A request whose bytes were taken is never on a connection that was shed.
-func TestInterleaveShed(t *testing.T) {
+// At the capacity: one new connection, the periodic eviction, and a request on one of the idle connections.
+// A connection of which request bytes were read is never evicted.
+func TestInterleaveEviction(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := book(2, 2, 1)
+		l, conns := openListener(2, 2, 1)
 		c, served := conns[0], false
 		return il.World{
 			Threads: []il.Thread{
@@ -107,15 +108,15 @@
 					}
 					conns = append(conns, nc.(*Conn))
 				}},
-				{Name: "tend", Run: func() { l.evictForRoom(time.Now()) }},
+				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Always: func() error {
 				if served && c.Conn.(*wire).closed {
 					return errors.New("a connection with a request was shed")
 				}
-				return whole(l)
+				return checkOpen(l)
 			},
-			Check: func() error { return settled(l) },
+			Check: func() error { return checkSettled(l) },
 		}
 	})
 	mutant.Found(t,
@@ -123,38 +124,37 @@
 			Want: "a connection with a request was shed"},
 		mutant.Mutant{File: "conn.go", Old: "return c.phase.CompareAndSwap(p, closing)", New: "return c.phase.Swap(closing) != closing",
 			Want: "a connection with a request was shed"},
-		mutant.Mutant{File: "sock.go", Old: "		if !l.atCapacity() {", New: "		if true {", Want: "the cap is 2"},
+		mutant.Mutant{File: "listener.go", Old: "		if !l.atCapacity() {", New: "		if true {", Want: "the cap is 2"},
 	)
 }
 
-// The book itself: a connection is closed twice, by its server and by the shedding, while others come
-// and are counted; and the listener closes over a newcomer.
-func TestInterleaveBook(t *testing.T) {
+// A connection is closed twice, by its server and by eviction, while others are accepted and counted and the listener closes.
+func TestInterleaveOpenConns(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := book(3, 2, 1)
+		l, conns := openListener(3, 2, 1)
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "server", Run: func() { conns[0].Close() }},
-				{Name: "other", Run: func() { conns[1].evict(); conns[0].Close() }},
+				{Name: "server", Run: func() { _ = conns[0].Close() }},
+				{Name: "other", Run: func() { conns[1].evict(); _ = conns[0].Close() }},
 				{Name: "accept", Run: func() {
 					if nc, err := l.Accept(); err == nil {
-						nc.Close()
+						_ = nc.Close()
 					} else if !errors.Is(err, net.ErrClosed) {
 						il.Fail("accept: %v", err)
 					}
 				}},
-				{Name: "end", Run: func() { l.Close(); l.StopAccepting() }},
+				{Name: "end", Run: func() { _ = l.Close(); l.StopAccepting() }},
 			},
-			Always: func() error { return whole(l) },
+			Always: func() error { return checkOpen(l) },
 			Check: func() error {
 				if !l.Listener.(*backlog).closed || len(l.open) != 0 {
 					return fmt.Errorf("%d stay open", len(l.open))
 				}
-				return settled(l)
+				return checkSettled(l)
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "sock.go", Old: "func (l *Listener) drop(c *Conn) {\n	l.mu.Lock()\n	defer l.mu.Unlock()\n", New: "func (l *Listener) drop(c *Conn) {\n",
+	mutant.Found(t, mutant.Mutant{File: "listener.go", Old: "func (l *Listener) drop(c *Conn) {\n	l.mu.Lock()\n	defer l.mu.Unlock()\n", New: "func (l *Listener) drop(c *Conn) {\n",
 		Want: "data race: "})
 }
 
@@ -196,8 +196,8 @@
 	}
 }
 
-// A request that comes at any moment of the shedding is either not read, or its connection stays open.
-func TestInterleaveRequestOrShed(t *testing.T) {
+// A request that arrives at any moment of an eviction is either not read, or its connection stays open.
+func TestInterleaveRequestOrEviction(t *testing.T) {
 	ends := map[string]int{}
 	il.Check(t, il.Options{}, func() il.World {
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
@@ -218,10 +218,10 @@
 						if !errors.Is(err, net.ErrClosed) {
 							il.Fail("a connection that sent nothing may be answered: %v", err)
 						}
-						c.Close()
+						_ = c.Close()
 					}
 				}},
-				{Name: "tend", Run: func() { l.evictForRoom(time.Now()) }},
+				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Check: func() error {
 				read := inspect(uintptr(w.mine)) != socketReadable
@@ -239,7 +239,7 @@
 				}
 				return nil
 			},
-			End: func() { syscall.Close(pair[0]); syscall.Close(pair[1]) },
+			End: func() { _ = syscall.Close(pair[0]); _ = syscall.Close(pair[1]) },
 		}
 	})
 	for _, end := range []string{"served", "closed unread"} {
