--- a/policy/failingnode_test.go
+++ b/policy/failingnode_test.go
@@ -21,12 +21,19 @@
 	fewEnd        = 60e3
 )
 
+// failingNodeCase is one way in which a node fails, and the traffic of the scheduler.
+type failingNodeCase struct {
+	mode          string // how the node fails
+	nodesPerShard int
+	named         bool    // requests name their shard
+	rate          float64 // requests a second
+}
+
 type failingNodeRun struct {
 	*simulation // its clock and queue of what is due
 	s           *Scheduler
-	mode        string
-	named       bool
-	open        map[string]*failingNodeRequest
+	failingNodeCase
+	open map[string]*failingNodeRequest
 	// At the bad node: attempts while it was bad, and of those before it had its last regular one; the
 	// time of that; all attempts and requests meanwhile, and those not served in their objective; time of return.
 	bad, until, all, asked, missed int
@@ -129,28 +136,28 @@
 
 // runFailingNode plays one seed with so many nodes a shard. With one alone half of the requests name their shard, and
 // can go to no other; of these nothing is counted but the objectives missed.
-func runFailingNode(t *testing.T, mode string, each int, named bool, rate float64, seed int64) *failingNodeRun {
+func runFailingNode(t *testing.T, c failingNodeCase, seed int64) *failingNodeRun {
 	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed))}
 	w.set = Settings{Schedulers: 80, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000, SendsRetryAfter: true, MayCancel: true,
-		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: fewNodes / each,
+		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: fewNodes / c.nodesPerShard,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1}},
 		Plans:   []Plan{{Name: "open", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 	s, err := New(w.set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &failingNodeRun{simulation: w, s: s, mode: mode, named: named, open: map[string]*failingNodeRequest{}, back: 0}
+	f := &failingNodeRun{simulation: w, s: s, failingNodeCase: c, open: map[string]*failingNodeRequest{}}
 	var list []Node
 	for i := range fewNodes {
-		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / each, Weight: 1})
+		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / c.nodesPerShard, Weight: 1})
 	}
 	f.step(Event{Kind: ListReceived, Nodes: list})
 	var arrive func()
 	arrive = func() {
-		w.after(w.rng.ExpFloat64()*1000/rate, arrive)
+		w.after(w.rng.ExpFloat64()*1000/c.rate, arrive)
 		w.seq++
 		shard := -1
-		if named || each == 1 && w.rng.Intn(2) == 0 {
+		if c.named || c.nodesPerShard == 1 && w.rng.Intn(2) == 0 {
 			shard = w.rng.Intn(w.set.Shards)
 		}
 		r := &failingNodeRequest{began: w.now, req: Request{ID: fmt.Sprint("q", w.seq), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.seq), Volume: "v",
@@ -189,7 +196,7 @@
 			for _, rate := range []float64{2, 5, 20} {
 				var until, settled, share, missed, back []float64
 				for seed := range int64(seeds) {
-					f := runFailingNode(t, mode, kind.each, kind.named, rate, seed)
+					f := runFailingNode(t, failingNodeCase{mode, kind.each, kind.named, rate}, seed)
 					until, settled = append(until, float64(f.until)), append(settled, f.settled/1000)
 					share = append(share, float64(f.bad)/float64(f.all)*fewNodes*100)
 					missed = append(missed, float64(f.missed)/float64(f.asked)*100)
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -134,18 +134,26 @@
 		case Send:
 			w.send(h, a)
 		case Cancel: // the node works on
-			w.outcome(h, life, a.ID, a.Attempt, Cancelled, 1)
+			w.endAttempt(slowStartAttempt{h, life, a.ID, a.Attempt}, Cancelled, 1)
 		case CheckHealth:
 			w.t.Errorf("scheduler %d probes %s: probes are not in the books", h, a.Node)
 		}
 	}
 }
 
-func (w *slowStartSimulation) outcome(h, life int, id string, attempt int, status Status, wait float64) {
-	sent := w.now
+// slowStartAttempt is one attempt of a request, by one process of a scheduler.
+type slowStartAttempt struct {
+	scheduler, incarnation int
+	id                     string
+	number                 int
+}
+
+// endAttempt ends an attempt after a wait, unless the scheduler has restarted since.
+func (w *slowStartSimulation) endAttempt(a slowStartAttempt, status Status, wait float64) {
+	sentAt := w.now
 	w.after(wait, func() {
-		r := w.reqs[id]
-		if w.life[h] != life {
+		r := w.reqs[a.id]
+		if w.life[a.scheduler] != a.incarnation {
 			return
 		}
 		if status == OK {
@@ -154,7 +162,7 @@
 			}
 			r.ended = true
 		}
-		w.step(h, Event{Kind: AttemptEnded, ID: id, Attempt: attempt, Status: status, Latency: w.now - sent, Finished: r.ended})
+		w.step(a.scheduler, Event{Kind: AttemptEnded, ID: a.id, Attempt: a.number, Status: status, Latency: w.now - sentAt, Finished: r.ended})
 	})
 }
 
@@ -176,11 +184,11 @@
 	no := r.tries
 	r.tries++
 	if a.Node != "n0" && a.Node != "m0" {
-		w.outcome(h, life, a.ID, no, OK, 5)
+		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, 5)
 		return
 	}
 	if w.gone || a.Node == "n0" && w.since > 0 && !w.silent {
-		w.outcome(h, life, a.ID, no, ConnectFailed, 1)
+		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, ConnectFailed, 1)
 		return
 	}
 	if w.since > 0 {
@@ -191,7 +199,7 @@
 		chance = w.rng.Float64()
 	}
 	if chance < 0.02 {
-		w.outcome(h, life, a.ID, no, ConnectFailed, 1)
+		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, ConnectFailed, 1)
 		return
 	}
 	k := 0
@@ -199,14 +207,14 @@
 		k = 1
 	}
 	if w.free[k]-w.now > 1500 {
-		w.outcome(h, life, a.ID, no, NodeFull, 1)
+		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, NodeFull, 1)
 		return
 	}
 	w.free[k] = math.Max(w.now, w.free[k]) + r.units*(0.5+w.rng.Float64())*2/w.speed()
 	if chance < 0.05 {
 		return // its answer is lost
 	}
-	w.outcome(h, life, a.ID, no, OK, w.free[k]-w.now+1)
+	w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, w.free[k]-w.now+1)
 }
 
 // count takes a request of a scheduler that was told of the start into the window, also one that does
