--- a/policy/admission.go
+++ b/policy/admission.go
@@ -96,16 +96,16 @@
 // queueOutlook is what a request that waits for a shard can expect.
 type queueOutlook struct {
 	serviceEstimate
-	hasNode     bool    // a node may be used and is not silent
-	learnedAt   float64 // newest latency of its nodes
-	totalWeight float64 // of the classes that wait
+	hasNode          bool    // a node may be used and is not silent
+	latencyLearnedAt float64 // newest latency of its nodes
+	totalWeight      float64 // of the classes that wait
 }
 
 func (s *Scheduler) outlook(q *shardQueue) queueOutlook {
-	o := queueOutlook{serviceEstimate: s.estimateService(q), learnedAt: math.Inf(-1)}
+	o := queueOutlook{serviceEstimate: s.estimateService(q), latencyLearnedAt: math.Inf(-1)}
 	o.hasNode = slices.ContainsFunc(q.nodes, func(n *node) bool { return s.usable(n) && !n.silent })
 	for _, n := range q.nodes {
-		o.learnedAt = math.Max(o.learnedAt, n.latency.learnedAt)
+		o.latencyLearnedAt = math.Max(o.latencyLearnedAt, n.latency.learnedAt)
 	}
 	for i, waiting := range q.byClass {
 		if len(waiting) > 0 {
@@ -124,7 +124,7 @@
 			unitsAhead += r.units
 			r.waitedForAdmission = r.waitedForAdmission || !o.hasNode || !s.ready(r)
 			wait := math.Max(0, unitsAhead-r.units)*o.totalWeight/c.weight/o.unitsPerMs + o.nextFreeMs
-			if !s.isHopeless(r, &o, wait) {
+			if !s.shouldShed(r, &o, wait) {
 				continue
 			}
 			s.dequeue(r)
@@ -136,12 +136,12 @@
 	}
 }
 
-// isHopeless reports whether a waiting request should be given up, after an estimated wait.
-func (s *Scheduler) isHopeless(r *request, o *queueOutlook, wait float64) bool {
+// shouldShed reports whether a waiting request should be given up, after an estimated wait.
+func (s *Scheduler) shouldShed(r *request, o *queueOutlook, wait float64) bool {
 	isLast := s.now+sweepIntervalMs > r.deadline // its last review
 	wouldBeLate := r.band != bandReserved && s.now+wait+o.latencyMs > r.objectiveAt
 	isLateAtOverload := r.band == bandLate && r.queue.overloaded()
-	isTooSlow := o.latencyMs > s.latencyLimit(r, o.learnedAt) || s.now+minLatencyShareLeft*o.latencyMs > r.objectiveAt
+	isTooSlow := o.latencyMs > s.latencyLimit(r, o.latencyLearnedAt) || s.now+minLatencyShareLeft*o.latencyMs > r.objectiveAt
 	return isLast || wouldBeLate || isLateAtOverload || isTooSlow || s.now >= r.objectiveAt || s.lacksTokensForever(r)
 }
 
@@ -150,7 +150,7 @@
 	s.sampleDelay(r, math.Max(wait, rejectedDelayObjectives*r.class.LatencyObjective-(s.now-r.startedAt)))
 	s.refund(r)
 	s.rememberUnserved(r)
-	if r.mayRunAgainAnywhere() {
+	if r.mayRetryAnywhere() {
 		s.emit(Action{Kind: Reject, ID: r.id, Wait: s.retryAfter(wait)})
 	} else {
 		s.emit(Action{Kind: Fail, ID: r.id})
@@ -165,7 +165,7 @@
 	return math.Min(math.Max(wait, sweepIntervalMs), s.settings.MaxRetryAfter)
 }
 
-func (r *request) mayRunAgainAnywhere() bool {
+func (r *request) mayRetryAnywhere() bool {
 	return r.mayHaveRunOn == nil || r.class.Effect == Idempotent ||
 		r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupAll
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -110,7 +110,7 @@
 		return
 	}
 	if r.openAttempts == 0 && !r.queued { // otherwise a hedge is in flight or waits
-		s.retryOrGiveUp(r, n)
+		s.retryOrReject(r, n)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// settle accounts for a request whose client got its answer.
+// settle accounts for a request whose client received its response.
 func (s *Scheduler) settle(r *request, status Status) {
 	if status != OK {
 		s.refund(r)
@@ -138,8 +138,8 @@
 	s.sampleDelay(r, 0)
 }
 
-// retryOrGiveUp queues a request again if the rules allow it and its deadline can be met.
-func (s *Scheduler) retryOrGiveUp(r *request, n *node) {
+// retryOrReject queues a request again if the rules allow it and its deadline can be met.
+func (s *Scheduler) retryOrReject(r *request, n *node) {
 	hasTime := s.now+math.Max(s.expectedLatency(n), deadlineMarginMs) < r.deadline
 	if !r.attemptCancelled && !r.streaming && hasTime && s.mayRetry(r) {
 		s.enqueue(r)
--- a/policy/classweights.go
+++ b/policy/classweights.go
@@ -120,8 +120,8 @@
 
 // donation is what the class gives of an amount asked: its predicted delay stays within the objective.
 func (c *class) donation(asked float64) float64 {
-	give := math.Min(asked, ((1-epsilon)*c.LatencyObjective-c.delay)/c.slope)
-	return math.Min(beta*give, c.weight-minClassWeight)
+	amount := math.Min(asked, ((1-epsilon)*c.LatencyObjective-c.delay)/c.slope)
+	return math.Min(beta*amount, c.weight-minClassWeight)
 }
 
 // commit changes the weight, and keeps what it was for the next refit of the slope.
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Told by a watch that stands that a node drains, a scheduler uses it for a part of the grace while it
-// takes work: nobody else has its shard yet. Not where the word may be old, and not past a "full".
+// When a standing watch reports that a node drains, a scheduler uses it for a part of the grace while it
+// takes work, as no other node has its shard yet: not where the report may be old, nor after a rejection.
 func TestDrainingNodeIsUsedForPartOfItsGrace(t *testing.T) {
 	drains := Event{Kind: ListChanged, Nodes: []Node{{ID: "a", Shard: 0, State: NodeDraining}}}
 	sends := func(r *harness, id string, now float64) int {
@@ -33,16 +33,16 @@
 	r = newHarness(t, testSettings())
 	r.step(Event{Kind: ListChanged})
 	r.step(drains)
-	r.at(1100, drains) // told again: the grace counts from the first word
+	r.at(1100, drains) // reported again: the grace counts from the first report
 	if sends(r, "x", 1050+r.s.settings.DrainingUseDuration()) != 0 {
-		t.Error("a second word began the grace anew")
+		t.Error("a second report restarted the grace")
 	}
 	r = newHarness(t, testSettings())
 	r.step(Event{Kind: ListChanged})
 	r.step(Event{Kind: ListFailed})
 	r.step(drains)
 	if sends(r, "x", 1010) != 0 {
-		t.Error("sent on the word of a list that may be old")
+		t.Error("sent though the list may be old")
 	}
 	r = newHarness(t, testSettings())
 	r.step(Event{Kind: ListChanged})
@@ -73,8 +73,8 @@
 	set := testSettings()
 	set.PollsEndpointList = true
 	r := newHarness(t, set)
-	if countActions(r.acts, Subscribe) != 1 {
-		t.Fatalf("at the start: %v", r.acts)
+	if countActions(r.actions, Subscribe) != 1 {
+		t.Fatalf("at the start: %v", r.actions)
 	}
 	asks := func(span float64) (n int) {
 		for end := r.now + span; r.now < end; {
--- a/policy/failingnode_test.go
+++ b/policy/failingnode_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// One scheduler of little traffic beside a node that turns bad: how many answers it takes until the scheduler goes by
-// that node, and what the node still gets. Pure calls, virtual time, seeds. docs/incidents/fewanswers.md
+// One scheduler with little traffic and a node that begins to fail: how many answers it takes until the scheduler
+// avoids that node, and what the node still gets. Pure calls, virtual time, seeds. docs/incidents/fewanswers.md
 // has the table (go test -v -run TestFailingNodeIsAvoidedWithFewAnswers).
 
 const (
-	fewNodes      = 8
-	fewService    = 60.0
-	failingFromMs = 20e3
-	failingForMs  = 20e3
-	fewEnd        = 60e3
+	failingNodeCount     = 8
+	failingNodeServiceMs = 60.0
+	failingFromMs        = 20e3
+	failingForMs         = 20e3
+	failingNodeEndMs     = 60e3
 )
 
 // failingNodeCase is one way in which a node fails, and the traffic of the scheduler.
@@ -34,22 +34,24 @@
 	s           *Scheduler
 	failingNodeCase
 	open map[string]*failingNodeRequest
-	// At the bad node: attempts while it was bad, and of those before it had its last regular one; the
-	// time of that; all attempts and requests meanwhile, and those not served in their objective; time of return.
-	bad, until, all, asked, missed int
-	settled                        float64
-	back                           float64
-	recent                         []bool // whether each of the last attempts went to the bad node
+	// Of the time in which the node fails:
+	failedAttempts       int     // at the failing node
+	attemptsUntilAvoided int     // of those, up to the last one before it is avoided
+	avoidedAfter         float64 // time of that one, ms
+	attempts, requests   int     // at all nodes
+	missed               int     // requests that were not served within their objective
+	recoveredAfter       float64 // time from the node's recovery to its first regular attempt, ms
+	recent               []bool  // whether each of the last attempts went to the bad node
 }
 
 type failingNodeRequest struct {
-	req   Request
-	began float64
-	tries []func(Status)
-	done  bool
+	req       Request
+	arrivedAt float64
+	attempts  []func(Status)
+	done      bool
 }
 
-func (f *failingNodeRun) isBad() bool {
+func (f *failingNodeRun) isFailing() bool {
 	return f.now >= failingFromMs && f.now < failingFromMs+failingForMs
 }
 
@@ -63,22 +65,22 @@
 		case Send:
 			f.send(r, a)
 		case Cancel:
-			f.after(1, func() { r.tries[a.Attempt](Cancelled) })
+			f.after(1, func() { r.attempts[a.Attempt](Cancelled) })
 		}
 	}
 }
 
 func (f *failingNodeRun) end(r *failingNodeRequest, ok bool) {
 	r.done = true
-	if !ok || f.now > r.began+f.set.Classes[0].LatencyObjective {
-		if r.began >= failingFromMs && r.began < failingFromMs+failingForMs {
+	if !ok || f.now > r.arrivedAt+f.set.Classes[0].LatencyObjective {
+		if r.arrivedAt >= failingFromMs && r.arrivedAt < failingFromMs+failingForMs {
 			f.missed++
 		}
 	}
 }
 
 func (f *failingNodeRun) send(r *failingNodeRequest, a Action) {
-	no, sent, over := len(r.tries), f.now, false
+	no, sent, over := len(r.attempts), f.now, false
 	end := func(status Status) {
 		if over {
 			return
@@ -89,13 +91,13 @@
 		}
 		f.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: a.Node, Status: status, Latency: f.now - sent, Finished: r.done})
 	}
-	r.tries = append(r.tries, end)
+	r.attempts = append(r.attempts, end)
 	f.after(a.Deadline-1e6-f.now, func() { end(TimedOut) })
 	if f.named || r.req.Shard < 0 {
 		f.count(a.Node == "n0")
 	}
-	wait := fewService * (0.5 + f.rng.ExpFloat64()/2)
-	if a.Node != "n0" || !f.isBad() {
+	wait := failingNodeServiceMs * (0.5 + f.rng.ExpFloat64()/2)
+	if a.Node != "n0" || !f.isFailing() {
 		f.after(wait, func() { end(OK) })
 		return
 	}
@@ -107,7 +109,7 @@
 	}
 }
 
-// count takes an attempt. The bad node is gone by once at most one of 32 goes there; its fair share is 4.
+// count counts an attempt. The failing node is avoided once at most one of 32 attempts goes there; its fair share is 4.
 func (f *failingNodeRun) count(bad bool) {
 	f.recent = append(f.recent, bad)
 	if len(f.recent) > 32 {
@@ -121,16 +123,16 @@
 	}
 	regular := n > 1 // fair: 4 of 32
 	switch {
-	case f.isBad():
-		f.all++
+	case f.isFailing():
+		f.attempts++
 		if bad {
-			f.bad++
+			f.failedAttempts++
 			if regular {
-				f.until, f.settled = f.bad, f.now-failingFromMs
+				f.attemptsUntilAvoided, f.avoidedAfter = f.failedAttempts, f.now-failingFromMs
 			}
 		}
-	case f.now >= failingFromMs+failingForMs && regular && bad && f.back == 0:
-		f.back = f.now - failingFromMs - failingForMs
+	case f.now >= failingFromMs+failingForMs && regular && bad && f.recoveredAfter == 0:
+		f.recoveredAfter = f.now - failingFromMs - failingForMs
 	}
 }
 
@@ -139,7 +141,7 @@
 func runFailingNode(t *testing.T, c failingNodeCase, seed int64) *failingNodeRun {
 	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed))}
 	w.set = Settings{Schedulers: 80, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000, SendsRetryAfter: true, MayCancel: true,
-		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: fewNodes / c.nodesPerShard,
+		MayHedge: true, DrainGrace: 250, SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: failingNodeCount / c.nodesPerShard,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1}},
 		Plans:   []Plan{{Name: "open", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 	s, err := New(w.set, seed)
@@ -148,34 +150,34 @@
 	}
 	f := &failingNodeRun{simulation: w, s: s, failingNodeCase: c, open: map[string]*failingNodeRequest{}}
 	var list []Node
-	for i := range fewNodes {
+	for i := range failingNodeCount {
 		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / c.nodesPerShard, Weight: 1})
 	}
 	f.step(Event{Kind: ListReceived, Nodes: list})
 	var arrive func()
 	arrive = func() {
 		w.after(w.rng.ExpFloat64()*1000/c.rate, arrive)
-		w.seq++
+		w.sequence++
 		shard := -1
 		if c.named || c.nodesPerShard == 1 && w.rng.Intn(2) == 0 {
 			shard = w.rng.Intn(w.set.Shards)
 		}
-		r := &failingNodeRequest{began: w.now, req: Request{ID: fmt.Sprint("q", w.seq), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.seq), Volume: "v",
+		r := &failingNodeRequest{arrivedAt: w.now, req: Request{ID: fmt.Sprint("q", w.sequence), Class: "safe", Plan: "open", Key: fmt.Sprint("k", w.sequence), Volume: "v",
 			Deadline: 1e6 + w.now + 2000, Units: 1, Shard: shard, Schedulers: 1}}
-		if f.open[r.req.ID] = r; f.isBad() {
-			f.asked++
+		if f.open[r.req.ID] = r; f.isFailing() {
+			f.requests++
 		}
 		f.step(Event{Kind: RequestArrived, Request: r.req})
 	}
 	w.after(0, arrive)
-	w.runUntil(fewEnd)
+	w.runUntil(failingNodeEndMs)
 	return f
 }
 
 // runUntil runs until a time.
 func (w *simulation) runUntil(end float64) {
-	for w.due[0].at < end {
-		d := heap.Pop(&w.due).(simulatedEvent)
+	for w.events[0].at < end {
+		d := heap.Pop(&w.events).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
@@ -197,13 +199,13 @@
 				var until, settled, share, missed, back []float64
 				for seed := range int64(seeds) {
 					f := runFailingNode(t, failingNodeCase{mode, kind.each, kind.named, rate}, seed)
-					until, settled = append(until, float64(f.until)), append(settled, f.settled/1000)
-					share = append(share, float64(f.bad)/float64(f.all)*fewNodes*100)
-					missed = append(missed, float64(f.missed)/float64(f.asked)*100)
-					if f.back == 0 {
-						f.back = fewEnd - failingFromMs - failingForMs
+					until, settled = append(until, float64(f.attemptsUntilAvoided)), append(settled, f.avoidedAfter/1000)
+					share = append(share, float64(f.failedAttempts)/float64(f.attempts)*failingNodeCount*100)
+					missed = append(missed, float64(f.missed)/float64(f.requests)*100)
+					if f.recoveredAfter == 0 {
+						f.recoveredAfter = failingNodeEndMs - failingFromMs - failingForMs
 					}
-					back = append(back, f.back/1000)
+					back = append(back, f.recoveredAfter/1000)
 				}
 				t.Logf("| %s | %s | %.0f | %.0f | %.1f | %.0f%% | %.1f%% | %.1f |", kind.name, mode, rate, median(until), median(settled), median(share),
 					median(missed), median(back))
--- a/policy/fleetdays_test.go
+++ b/policy/fleetdays_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The fleet's three days in small: seven in ten schedulers are killed at once and come back, a third of
+// Three days of a fleet, in small: seven in ten schedulers are killed at once and restart, a third of
 // the nodes is lost and returns cold, and six in ten nodes are replaced within 7 s. Over all schedulers
 // together no node in slow start gets more than it bears, no drained one new work after the grace, no
 // limited volume more than its limit, and each request one final answer. Most is served.
@@ -28,8 +28,8 @@
 	"herd": func(w *simulation) {
 		w.after(6000, func() {
 			for _, i := range w.rng.Perm(simulatedSchedulers)[:simulatedSchedulers*7/10] {
-				h := w.hosts[i]
-				h.life, h.down = h.life+1, true // what it held is its clients' to ask for again
+				h := w.schedulers[i]
+				h.incarnation, h.down = h.incarnation+1, true // what it held is its clients' to ask for again
 				w.after(500+1000*w.rng.Float64(), h.start)
 			}
 		})
--- a/policy/health.go
+++ b/policy/health.go
@@ -16,15 +16,15 @@
 		s.learnFromAnswer(r, a, ev.Latency)
 		n.noteOutcome(0)
 	case Errored:
-		n.lastHeardAt, n.silent = s.now, false
+		n.lastReceivedAt, n.silent = s.now, false
 		n.noteOutcome(1)
 	case NodeFull:
-		n.lastHeardAt = s.now
+		n.lastReceivedAt = s.now
 		s.narrow(n)
 		s.backOffNode(n)
 	case ConnectFailed:
 		s.backOffNode(n)
-		if s.now-n.lastHeardAt > restartSuspectMs {
+		if s.now-n.lastReceivedAt > restartSuspectMs {
 			s.beginSlowStart(n, s.now)
 		}
 		n.noteOutcome(1)
@@ -42,10 +42,10 @@
 func (s *Scheduler) learnFromAnswer(r *request, a *attempt, latency float64) {
 	n := a.node
 	if n.silent && s.now-n.silentSince > restartSuspectMs ||
-		latency > restartSuspectMs && s.now-n.lastHeardAt > restartSuspectMs {
+		latency > restartSuspectMs && s.now-n.lastReceivedAt > restartSuspectMs {
 		s.beginSlowStart(n, s.now)
 	}
-	n.silent, n.lastHeardAt, n.backoff = false, s.now, 0
+	n.silent, n.lastReceivedAt, n.backoff = false, s.now, 0
 	n.slowStart.answeredInTime = latency < nodeLatencyShare*s.minObjective
 	if !a.lost {
 		s.recordLatency(n, latency, r.units)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -18,10 +18,10 @@
 
 // harness drives one instance and keeps what it did.
 type harness struct {
-	t    *testing.T
-	s    *Scheduler
-	now  float64
-	acts []Action
+	t       *testing.T
+	s       *Scheduler
+	now     float64
+	actions []Action
 }
 
 func newHarness(t *testing.T, set Settings) *harness {
@@ -35,8 +35,8 @@
 }
 
 func (r *harness) step(evs ...Event) []Action {
-	r.acts = r.s.Step(r.now, evs, nil)
-	return r.acts
+	r.actions = r.s.Step(r.now, evs, nil)
+	return r.actions
 }
 
 func (r *harness) at(now float64, evs ...Event) []Action {
@@ -140,8 +140,8 @@
 	return sent
 }
 
-// changed takes settings into the harness's instance.
-func (r *harness) changed(set Settings) {
+// reconfigure takes settings into the harness's instance.
+func (r *harness) reconfigure(set Settings) {
 	r.t.Helper()
 	if err := r.s.Reconfigure(set); err != nil {
 		r.t.Fatal(err)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -104,7 +104,7 @@
 	for i := range 16 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			isFirst := true
-			playRandomEvents(t, fuzzSettings(i), int64(200+i), func(s *Scheduler) {
+			playRandomEvents(t, randomEventSettings(i), int64(200+i), func(s *Scheduler) {
 				if isFirst {
 					isFirst = false
 					return
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -29,11 +29,11 @@
 
 const maxLearnedFigure = 1e9 // of latencies and slopes; a larger one cannot be
 
-// Learned returns what this instance learned: of the nodes it heard from, in the order of their ids.
+// Learned returns what this instance learned: of the nodes that answered it, in the order of their ids.
 func (s *Scheduler) Learned() Learned {
 	var l Learned
 	for _, n := range s.listedNodes {
-		if n.State != NodeRemoved && n.latency.known() {
+		if n.State != NodeRemoved && n.latency.hasSample() {
 			l.Nodes = append(l.Nodes, LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.window.size,
 				Latency: n.latency.ms, BestLatencyPerUnit: n.window.bestLatencyPerUnit, FailureRate: n.failureRate})
 		}
@@ -47,7 +47,7 @@
 }
 
 // Restore takes what an earlier process learned, where it still holds: nodes of the same incarnation
-// of which nothing was heard yet, and classes by name. Figures that cannot be are ignored. It
+// that have not answered this one yet, and classes by name. Figures that cannot be are ignored. It
 // returns how many nodes were restored. Before the first step it does nothing.
 func (s *Scheduler) Restore(l Learned) (restored int) {
 	if math.IsNaN(s.now) {
@@ -65,7 +65,7 @@
 			restored++
 		}
 	}
-	if restored > 0 && !s.poolLatency.known() {
+	if restored > 0 && !s.poolLatency.hasSample() {
 		s.poolLatency.set(sum/float64(restored), s.now)
 	}
 	s.restoreClasses(l.Classes)
@@ -81,14 +81,14 @@
 	if n.StartTime <= 0 {
 		n.slowStart.startedAt = math.Inf(-1)
 	}
-	if !n.latency.known() { // nothing was heard: as a node new to this instance
+	if !n.latency.hasSample() { // as a node new to this instance
 		n.window.size = initialWindow
 	}
 }
 
 func (s *Scheduler) restoreNode(n *node, learned LearnedNode) bool {
 	isValid := between(learned.Window, 1e-9, maxWindow) && between(learned.Latency, 1e-9, maxLearnedFigure)
-	if !isValid || n.latency.known() {
+	if !isValid || n.latency.hasSample() {
 		return false
 	}
 	n.window.size = math.Max(learned.Window, math.Min(minFleetWindow/float64(s.settings.Schedulers), minWindow))
--- a/policy/node.go
+++ b/policy/node.go
@@ -8,30 +8,30 @@
 // node is what this scheduler knows of one listed node.
 type node struct {
 	Node
-	window        concurrencyWindow
-	latency       latencyEstimator
-	slowStart     nodeSlowStart
-	inFlight      []*request // in order of sending
-	inFlightUnits float64
-	nextSendAt    float64 // earliest time of the next send
-	backoff       float64 // last backoff; 0: not backing off
-	failureRate   float64 // share of attempts that fail, smoothed
-	lastHeardAt   float64 // last answer or rejection
-	silent        bool    // work is in flight and nothing was heard for long
-	silentSince   float64
-	answerCount   float64 // since the node is known
-	drainingSince float64 // when a standing watch reported that it drains
+	window         concurrencyWindow
+	latency        latencyEstimator
+	slowStart      nodeSlowStart
+	inFlight       []*request // in order of sending
+	inFlightUnits  float64
+	nextSendAt     float64 // earliest time of the next send
+	backoff        float64 // last backoff; 0: not backing off
+	failureRate    float64 // share of attempts that fail, smoothed
+	lastReceivedAt float64 // last answer or rejection
+	silent         bool    // work is in flight and nothing was received for long
+	silentSince    float64
+	answerCount    float64 // since the node is known
+	drainingSince  float64 // when a standing watch reported that it drains
 }
 
 // newNode makes the state of a node that nothing is known of.
 func newNode(entry Node, now float64) *node {
 	return &node{
-		Node:          entry,
-		window:        concurrencyWindow{size: initialWindow},
-		latency:       latencyEstimator{learnedAt: math.Inf(-1)},
-		slowStart:     nodeSlowStart{startedAt: math.Inf(-1)},
-		lastHeardAt:   now,
-		drainingSince: math.Inf(-1),
+		Node:           entry,
+		window:         concurrencyWindow{size: initialWindow},
+		latency:        latencyEstimator{learnedAt: math.Inf(-1)},
+		slowStart:      nodeSlowStart{startedAt: math.Inf(-1)},
+		lastReceivedAt: now,
+		drainingSince:  math.Inf(-1),
 	}
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -156,7 +156,7 @@
 		v.usageLevel = 0 // it no longer counted, and must not count again because of the refill
 	}
 	s.refill(v)
-	if v.plan.RateLimit == 0 { // its bucket was not kept
+	if v.plan.RateLimit == 0 { // its bucket was not maintained
 		v.limit.tokens = 0
 	}
 	v.plan = plan
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A volume's store counts from the scheduler's first request of all, not from the volume's own.
+// A volume's rate limit fills from the scheduler's first request of all, not from the volume's own.
 func TestRateLimitFillsFromTheFirstRequest(t *testing.T) {
 	for _, k := range []struct {
 		name         string
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func fuzzSettings(i int) Settings {
+func randomEventSettings(i int) Settings {
 	set := testSettings()
 	set.Classes = append(set.Classes, Class{Name: "keyed", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: IdempotentByKey,
 		DedupScope: DedupScope(i % 3), DedupWindow: 700}, Class{Name: "turns", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Effect: NonIdempotent,
@@ -212,7 +212,7 @@
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for i := range 16 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			one, two := playRandomEvents(t, fuzzSettings(i), int64(i+1), func(*Scheduler) {}), playRandomEvents(t, fuzzSettings(i), int64(i+1), func(s *Scheduler) {
+			one, two := playRandomEvents(t, randomEventSettings(i), int64(i+1), func(*Scheduler) {}), playRandomEvents(t, randomEventSettings(i), int64(i+1), func(s *Scheduler) {
 				for _, l := range s.shardQueues { // the queues that are not visited would have done nothing
 					s.markBusy(l)
 				}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -46,9 +46,9 @@
 // keptClasses are the live classes and the retired ones that a request holds. The retired ones lose
 // their delay, so that they ask for no weight.
 func (s *Scheduler) keptClasses() []*class {
-	held := map[*class]bool{}
+	inUse := map[*class]bool{}
 	for _, r := range s.requests {
-		held[r.class] = true
+		inUse[r.class] = true
 	}
 	kept := make([]*class, 0, len(s.classes))
 	for _, c := range s.classes {
@@ -57,7 +57,7 @@
 			continue
 		}
 		c.dropDelay()
-		if held[c] {
+		if inUse[c] {
 			kept = append(kept, c)
 		}
 	}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -24,9 +24,7 @@
 	if got := r.s.Classes(); !slices.Equal(got, []string{"once", "fresh", "safe-next"}) {
 		t.Fatalf("classes %v", got)
 	}
-	// The vanished class's request under way still ends as its class allows: a reset of a safe
-	// request may go again, though the new settings allow one attempt only, as it was taken
-	// under the old ones... and the module's own count now says one: it ends.
+	// The request of the vanished class still ends as its class allows.
 	r.now += 10
 	acts := r.step(done("old", 0, OK, true))
 	if countActions(acts, Send) != 0 {
@@ -45,7 +43,7 @@
 	r.step(Event{Kind: TimerFired, Tag: tickTimer})
 	for i, c := range r.s.classes {
 		if c.index != i {
-			t.Fatalf("class %s at %d has ix %d", c.Name, i, c.index)
+			t.Fatalf("class %s at %d has index %d", c.Name, i, c.index)
 		}
 	}
 	if len(r.s.classes) != 3 {
@@ -54,7 +52,7 @@
 	bad := next
 	bad.Classes = []Class{{Name: "x", LatencyObjective: 400, Deadline: -5, PriorityWeight: 1}}
 	if err := r.s.Reconfigure(bad); err == nil || !slices.Equal(r.s.Classes(), []string{"once", "fresh", "safe-next"}) {
-		t.Fatalf("a broken retune: %v, classes %v", err, r.s.Classes())
+		t.Fatalf("an invalid reconfiguration: %v, classes %v", err, r.s.Classes())
 	}
 }
 
@@ -111,7 +109,7 @@
 			r.countSent("known", 1, 1) // so that it is known
 			r.at(r.now + 250)
 		}
-		r.changed(limitedSettings(x.next[0], x.next[1]))
+		r.reconfigure(limitedSettings(x.next[0], x.next[1]))
 		r.at(r.now + 1000)
 		if n := r.countSent("known", 1, 30); n != x.known {
 			t.Errorf("%s: %d sent of the known volume, %d may", x.what, n, x.known)
@@ -143,7 +141,7 @@
 			r.countSent("v", 1, 1) // its store has filled until then
 			r.s.HandOver()
 		}
-		r.changed(limitedSettings(x.next[0], x.next[1]))
+		r.reconfigure(limitedSettings(x.next[0], x.next[1]))
 		r.at(r.now + 1000)
 		if n := r.countSent("v", 1, 30); n != x.wants {
 			t.Errorf("%s: %d sent, %d may", x.what, n, x.wants)
@@ -158,7 +156,7 @@
 	v := r.s.volumes[volumeKey{"v", "p"}]
 	v.usageLevel = 1
 	r.at(r.now + usageWindowMs)
-	r.changed(testSettings())
+	r.reconfigure(testSettings())
 	if v.usageLevel > 0 && r.s.now-v.refilledAt < usageWindowMs {
 		t.Errorf("use %v counts", v.usageLevel)
 	}
@@ -183,12 +181,12 @@
 				t.Fatalf("%d sent, 12 may", n)
 			}
 			for range 20 {
-				r.changed(limitedSettings(x.between[0], x.between[1]))
+				r.reconfigure(limitedSettings(x.between[0], x.between[1]))
 				r.at(r.now + apart)
-				r.changed(limitedSettings(4, 12))
+				r.reconfigure(limitedSettings(4, 12))
 				r.at(r.now + apart)
 			}
-			r.changed(limitedSettings(50, 200))
+			r.reconfigure(limitedSettings(50, 200))
 			if n := r.countSent("v", 1, 30); n != known {
 				t.Errorf("limit %v between, %v ms apart: %d sent of the known volume, %d may", x.between[0], apart, n, known)
 			}
@@ -213,7 +211,7 @@
 		next := limitedSettings(x.limit, x.burst)
 		next.Plans = []Plan{{Name: "else", Rate: 1}, next.Plans[0]}
 		next.Plans[1].Name = "renamed"
-		r.changed(next)
+		r.reconfigure(next)
 		sent := 0
 		for i := range 2 { // the first request takes the plan up
 			for k := range 30 {
@@ -251,8 +249,8 @@
 	r.countSent("v", 1, 12) // spent
 	without := testSettings()
 	without.Plans[0].Name = "else"
-	r.changed(without)
-	r.changed(limitedSettings(10, 40))
+	r.reconfigure(without)
+	r.reconfigure(limitedSettings(10, 40))
 	if n := r.countSent("v", 1, 1); n != 0 {
 		t.Error("sent with an empty store")
 	}
@@ -273,7 +271,7 @@
 			tries++
 		}
 		set.MaxAttempts = x.next
-		r.changed(set)
+		r.reconfigure(set)
 		for i := range 5 {
 			r.now++
 			if wasSent(r.step(done("a", i, Errored, false)), "a") {
@@ -292,7 +290,7 @@
 	r.step(call("old", "safe", 0, 50e3), call("holds", "safe", 0, 50e3))
 	next := testSettings()
 	next.Classes[0].Name = "renamed"
-	r.changed(next)
+	r.reconfigure(next)
 	retired := r.s.requests["old"].class
 	r.now += 1900 // far past its objective
 	r.step(done("old", 0, OK, true))
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -46,7 +46,7 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			var script recorded.Script
 			steps := 0
-			history := playRandomEvents(t, fuzzSettings(i), int64(100+i), func(s *Scheduler) {
+			history := playRandomEvents(t, randomEventSettings(i), int64(100+i), func(s *Scheduler) {
 				if steps++; steps%100 == 50 {
 					recordState(&script, s)
 				}
@@ -76,15 +76,15 @@
 	var each func(every float64, do func(h *simulatedScheduler))
 	each = func(every float64, do func(h *simulatedScheduler)) {
 		w.after(every*(0.5+w.rng.Float64()), func() {
-			if h := w.hosts[w.rng.Intn(len(w.hosts))]; !h.down {
+			if h := w.schedulers[w.rng.Intn(len(w.schedulers))]; !h.down {
 				do(h)
 			}
 			each(every, do)
 		})
 	}
 	each(20, func(h *simulatedScheduler) {
-		id := fmt.Sprint("q", w.seq-w.rng.Intn(200))
-		if r := w.reqs[id]; r != nil && !r.answered && r.host == h && r.life == h.life {
+		id := fmt.Sprint("q", w.sequence-w.rng.Intn(200))
+		if r := w.requests[id]; r != nil && !r.answered && r.host == h && r.incarnation == h.incarnation {
 			r.answered = true
 			h.step(Event{Kind: ClientDisconnected, ID: id})
 		}
@@ -94,7 +94,7 @@
 		ev := Event{Kind: ListReceived}
 		for i := range simulatedNodes {
 			for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
-				if n, ok := h.held[id]; ok {
+				if n, ok := h.list[id]; ok {
 					ev.Nodes = append(ev.Nodes, n)
 				}
 			}
@@ -109,22 +109,22 @@
 		set := w.set
 		set.Classes = append([]Class(nil), set.Classes...)
 		set.Classes[2].LatencyObjective = []float64{300, 350}[w.rng.Intn(2)]
-		if err := h.s.Reconfigure(set); err != nil {
+		if err := h.scheduler.Reconfigure(set); err != nil {
 			w.t.Fatal(err)
 		}
 	})
 	each(300, func(h *simulatedScheduler) {
-		learned := h.s.Learned()
+		learned := h.scheduler.Learned()
 		for i := range learned.Nodes {
 			if w.rng.Intn(4) == 0 {
 				learned.Nodes[i].AssumedStart = learned.Nodes[i].StartTime
 			}
 		}
-		h.life++
+		h.incarnation++
 		h.start()
-		h.s.Restore(learned)
+		h.scheduler.Restore(learned)
 	})
-	w.after(15e3, func() { w.hosts[3].s.HandOver() })
+	w.after(15e3, func() { w.schedulers[3].scheduler.HandOver() })
 }
 
 // The decisions of a small fleet are those of the recording.
@@ -135,9 +135,9 @@
 			steps := 0
 			w := newSimulationOf(t, recordedSettings(), 11, nil)
 			w.onStep = func(h *simulatedScheduler, actions []Action) {
-				recordStep(&script, h.no, w.now, actions)
+				recordStep(&script, h.index, w.now, actions)
 				if steps++; steps%1000 == 0 {
-					recordState(&script, h.s)
+					recordState(&script, h.scheduler)
 				}
 			}
 			trouble(w)
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -118,7 +118,7 @@
 	s.now = now
 	s.nextAdaptAt = now + s.adaptInterval*(0.5+s.rng.Float64())
 	s.lastLogAt, s.list.nextPollAt, s.stall.lastEndAt = now, now, now
-	s.beatHeart()
+	s.restartHeartbeat()
 }
 
 func (s *Scheduler) handle(ev *Event) {
@@ -150,11 +150,11 @@
 	case sweepTimer:
 		s.sweepTimerSet = false
 	case heartbeatTimer:
-		s.beatHeart()
+		s.restartHeartbeat()
 	}
 }
 
-func (s *Scheduler) beatHeart() {
+func (s *Scheduler) restartHeartbeat() {
 	s.stall.heartbeatDueAt = s.now + heartbeatIntervalMs
 	s.setTimer(heartbeatTimer, heartbeatIntervalMs)
 }
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Memory stays bounded: what is long past is dropped.
+// Memory stays bounded: idle state is evicted.
 func TestIdleStateIsEvicted(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Ordered, set.OrderedKeyBackoff = true, 100
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A small simulation of many schedulers and nodes: pure calls, virtual time, a seed. It keeps its own books
-// of what the rules forbid over all schedulers together.
+// A small simulation of many schedulers and nodes: pure calls, virtual time, a seed. It checks by its own account
+// what the rules forbid over all schedulers together.
 
 const (
 	simulatedSchedulers = 80
@@ -21,42 +21,42 @@
 )
 
 type simulation struct {
-	t     *testing.T
-	set   Settings
-	rng   *rand.Rand
-	now   float64
-	due   eventQueue
-	seq   int
-	hosts []*simulatedScheduler
-	nodes map[string]*simulatedNode
-	shard []*simulatedNode // who holds it now; nil: nobody
-	vols  []simulatedVolume
-	reqs  map[string]*simulatedRequest
-	sent  map[string][]timedUnits // by node in slow start: units within the last OverloadWindow
-	store map[string]*simulatedBucket
-	ends  map[string]int // by what ended requests
+	t          *testing.T
+	set        Settings
+	rng        *rand.Rand
+	now        float64
+	events     eventQueue
+	sequence   int
+	schedulers []*simulatedScheduler
+	nodes      map[string]*simulatedNode
+	shard      []*simulatedNode // by shard: the node that serves it
+	volumes    []simulatedVolume
+	requests   map[string]*simulatedRequest
+	sent       map[string][]timedUnits // by node in slow start: units within the last OverloadWindow
+	limits     map[string]*simulatedBucket
+	ends       map[string]int // by what ended requests
 
 	onStep func(h *simulatedScheduler, actions []Action) // nil: nothing looks on
 }
 
 type simulatedScheduler struct {
-	w    *simulation
-	no   int
-	life int
-	down bool
-	s    *Scheduler
-	held map[string]Node // the list as told
-	told map[string]float64
-	lag  float64 // its timers come later by this
+	w           *simulation
+	index       int
+	incarnation int
+	down        bool
+	scheduler   *Scheduler
+	list        map[string]Node // as last received
+	notifiedAt  map[string]float64
+	lag         float64 // its timers come later by this
 }
 
 type simulatedNode struct {
 	Node
-	alive bool
-	life  int
-	held  int
-	out   []*simulatedAttempt // since its start
-	free  float64             // when its line is through
+	alive       bool
+	incarnation int
+	queued      int
+	out         []*simulatedAttempt // since its start
+	freeAt      float64             // when its queue is empty
 }
 
 type simulatedVolume struct {
@@ -67,16 +67,16 @@
 }
 
 type simulatedRequest struct {
-	host     *simulatedScheduler
-	life     int
-	req      Request
-	tries    []*simulatedAttempt
-	answered bool
+	host        *simulatedScheduler
+	incarnation int
+	req         Request
+	attempts    []*simulatedAttempt
+	answered    bool
 }
 
 type simulatedAttempt struct {
-	over bool // its outcome was told
-	end  func(Status)
+	ended bool // its outcome was reported
+	end   func(Status)
 }
 
 type simulatedBucket struct{ units, at float64 }
@@ -103,8 +103,8 @@
 }
 
 func (w *simulation) after(wait float64, do func()) {
-	w.seq++
-	heap.Push(&w.due, simulatedEvent{w.now + wait, w.seq, do})
+	w.sequence++
+	heap.Push(&w.events, simulatedEvent{w.now + wait, w.sequence, do})
 }
 
 func simulationSettings() Settings {
@@ -123,7 +123,7 @@
 
 func newSimulationOf(t *testing.T, set Settings, seed int64, onStep func(*simulatedScheduler, []Action)) *simulation {
 	w := &simulation{onStep: onStep, t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: 1e6, nodes: map[string]*simulatedNode{},
-		reqs: map[string]*simulatedRequest{}, sent: map[string][]timedUnits{}, store: map[string]*simulatedBucket{}, ends: map[string]int{}}
+		requests: map[string]*simulatedRequest{}, sent: map[string][]timedUnits{}, limits: map[string]*simulatedBucket{}, ends: map[string]int{}}
 	for i := range simulatedNodes {
 		n := &simulatedNode{Node: Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1}, alive: true}
 		w.nodes[n.ID] = n
@@ -135,35 +135,35 @@
 			v.hosts = append(v.hosts, w.rng.Intn(simulatedSchedulers))
 			v.shard = append(v.shard, w.rng.Intn(simulatedNodes))
 		}
-		w.vols = append(w.vols, v)
-		w.store[v.id] = &simulatedBucket{units: set.Plans[1].LimitBurst, at: w.now}
+		w.volumes = append(w.volumes, v)
+		w.limits[v.id] = &simulatedBucket{units: set.Plans[1].LimitBurst, at: w.now}
 	}
 	for i := range simulatedSchedulers {
-		h := &simulatedScheduler{w: w, no: i, held: map[string]Node{}, told: map[string]float64{}}
+		h := &simulatedScheduler{w: w, index: i, list: map[string]Node{}, notifiedAt: map[string]float64{}}
 		for id, n := range w.nodes {
-			h.held[id] = n.Node
+			h.list[id] = n.Node
 		}
-		w.hosts = append(w.hosts, h)
+		w.schedulers = append(w.schedulers, h)
 		h.start()
 	}
 	w.after(0, w.arrive)
 	return w
 }
 
-// start begins a life of the scheduler, with nothing but its last list.
+// start starts a process of the scheduler, which has only its last list.
 func (h *simulatedScheduler) start() {
 	set := h.w.set
-	set.Instance = h.no
-	s, err := New(set, int64(1000*h.life+h.no))
+	set.Instance = h.index
+	s, err := New(set, int64(1000*h.incarnation+h.index))
 	if err != nil {
 		h.w.t.Fatal(err)
 	}
-	h.s, h.down = s, false
-	h.life++
+	h.scheduler, h.down = s, false
+	h.incarnation++
 	ev := Event{Kind: CachedListLoaded}
 	for i := range simulatedNodes { // in a fixed order
 		for _, id := range []string{fmt.Sprint("n", i), fmt.Sprint("m", i)} {
-			if n, ok := h.held[id]; ok {
+			if n, ok := h.list[id]; ok {
 				ev.Nodes = append(ev.Nodes, n)
 			}
 		}
@@ -172,7 +172,7 @@
 }
 
 func (h *simulatedScheduler) step(evs ...Event) {
-	actions := h.s.Step(h.w.now, evs, nil)
+	actions := h.scheduler.Step(h.w.now, evs, nil)
 	if h.w.onStep != nil {
 		h.w.onStep(h, actions)
 	}
@@ -181,11 +181,11 @@
 	}
 }
 
-// later gives the scheduler an event of its present life.
+// later gives the scheduler an event, unless it has restarted since.
 func (h *simulatedScheduler) later(wait float64, ev func() (Event, bool)) {
-	life := h.life
+	life := h.incarnation
 	h.w.after(wait, func() {
-		if h.life != life {
+		if h.incarnation != life {
 			return
 		}
 		if e, ok := ev(); ok {
@@ -204,15 +204,15 @@
 	case Send:
 		w.send(h, a)
 	case Cancel: // the node works on
-		if r := w.reqs[a.ID]; r != nil {
-			h.later(1, func() (Event, bool) { r.tries[a.Attempt].end(Cancelled); return Event{}, false })
+		if r := w.requests[a.ID]; r != nil {
+			h.later(1, func() (Event, bool) { r.attempts[a.Attempt].end(Cancelled); return Event{}, false })
 		}
 	}
 }
 
 // answered takes a request's end; each has one.
 func (w *simulation) final(id, how string) {
-	r := w.reqs[id]
+	r := w.requests[id]
 	if r == nil || r.answered {
 		w.t.Fatalf("at %.0f: a second end for %s: %s", w.now, id, how)
 	}
@@ -233,26 +233,26 @@
 
 // send takes an attempt: the rules are looked at, and the node serves it in turn or does not.
 func (w *simulation) send(h *simulatedScheduler, a Action) {
-	r, n := w.reqs[a.ID], w.nodes[a.Node]
+	r, n := w.requests[a.ID], w.nodes[a.Node]
 	if r == nil || r.answered || r.host != h || n == nil || n.Shard != r.req.Shard {
 		w.t.Fatalf("at %.0f: sent %s to %s", w.now, a.ID, a.Node)
 	}
-	if at, ok := h.told[n.ID]; ok && w.now > at+w.set.DrainGrace {
+	if at, ok := h.notifiedAt[n.ID]; ok && w.now > at+w.set.DrainGrace {
 		w.t.Errorf("at %.0f: sent to %s, told %.0f ms ago that it drains", w.now, n.ID, w.now-at)
 	}
-	no, sent, life := len(r.tries), w.now, n.life
+	no, sent, life := len(r.attempts), w.now, n.incarnation
 	t := &simulatedAttempt{}
 	t.end = func(status Status) {
-		if t.over || h.life != r.life {
+		if t.ended || h.incarnation != r.incarnation {
 			return
 		}
-		t.over = true
+		t.ended = true
 		if status == OK && !r.answered {
 			w.final(a.ID, "served")
 		}
 		h.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: no, Node: n.ID, Status: status, Latency: w.now - sent, Finished: r.answered})
 	}
-	if r.tries = append(r.tries, t); no == 0 {
+	if r.attempts = append(r.attempts, t); no == 0 {
 		w.checkRateLimit(r)
 	}
 	w.after(math.Min(a.Deadline, r.req.Deadline)-w.now, func() { t.end(TimedOut) })
@@ -260,16 +260,16 @@
 	case !n.alive:
 		w.after(1, func() { t.end(ConnectFailed) })
 		return
-	case n.State == NodeDraining || n.held >= maxNodeQueue:
+	case n.State == NodeDraining || n.queued >= maxNodeQueue:
 		w.after(1, func() { t.end(NodeFull) })
 	default:
-		n.held++
-		n.free = math.Max(w.now, n.free) + r.req.Units*1000/warmUnitsPerSecond/w.power(n)
-		w.after(n.free-w.now+1, func() {
-			if n.life != life {
+		n.queued++
+		n.freeAt = math.Max(w.now, n.freeAt) + r.req.Units*1000/warmUnitsPerSecond/w.power(n)
+		w.after(n.freeAt-w.now+1, func() {
+			if n.incarnation != life {
 				return
 			}
-			n.held--
+			n.queued--
 			t.end(OK)
 		})
 		n.out = append(n.out, t)
@@ -297,7 +297,7 @@
 	if r.req.Plan != p.Name {
 		return
 	}
-	s := w.store[r.req.Volume]
+	s := w.limits[r.req.Volume]
 	s.units = math.Min(s.units+p.RateLimit*(w.now-s.at)/1000, p.LimitBurst) - r.req.Units
 	s.at = w.now
 	if s.units < -0.1*p.LimitBurst {
@@ -307,42 +307,42 @@
 
 func (w *simulation) arrive() {
 	w.after(w.rng.ExpFloat64()*1000/requestsPerSecond, w.arrive)
-	v := w.vols[int(float64(len(w.vols))*w.rng.Float64()*w.rng.Float64())] // some ask for much more
-	h := w.hosts[v.hosts[w.rng.Intn(len(v.hosts))]]
+	v := w.volumes[int(float64(len(w.volumes))*w.rng.Float64()*w.rng.Float64())] // some volumes have much more traffic
+	h := w.schedulers[v.hosts[w.rng.Intn(len(v.hosts))]]
 	if h.down {
 		return // what would come through a dead scheduler is lost to its client
 	}
 	class := w.set.Classes[w.rng.Intn(len(w.set.Classes))]
-	w.seq++
+	w.sequence++
 	hosts := map[int]bool{}
 	for _, x := range v.hosts {
 		hosts[x] = true
 	}
-	q := Request{ID: fmt.Sprint("q", w.seq), Class: class.Name, Plan: v.plan, Key: fmt.Sprint("k", w.seq), Volume: v.id,
+	q := Request{ID: fmt.Sprint("q", w.sequence), Class: class.Name, Plan: v.plan, Key: fmt.Sprint("k", w.sequence), Volume: v.id,
 		Deadline: w.now + class.Deadline, Units: float64(1 + w.rng.Intn(3)), Shard: v.shard[w.rng.Intn(len(v.shard))], Schedulers: len(hosts)}
-	r := &simulatedRequest{host: h, life: h.life, req: q}
-	w.reqs[q.ID] = r
+	r := &simulatedRequest{host: h, incarnation: h.incarnation, req: q}
+	w.requests[q.ID] = r
 	h.step(Event{Kind: RequestArrived, Request: q})
 	w.after(class.Deadline+9, func() {
-		if !r.answered && h.life == r.life {
+		if !r.answered && h.incarnation == r.incarnation {
 			w.t.Errorf("%s of class %s has no end", q.ID, q.Class)
 		}
-		delete(w.reqs, q.ID)
+		delete(w.requests, q.ID)
 	})
 }
 
-// announce makes the list say something new of a node; each scheduler hears of it in its own time.
+// announce publishes an entry of the list; each scheduler receives it after a delay of its own.
 func (w *simulation) announce(n Node) {
-	for _, h := range w.hosts {
+	for _, h := range w.schedulers {
 		w.after(300+w.rng.Float64()*2000, func() {
-			if old, ok := h.held[n.ID]; ok && (old.State > n.State && n.StartTime == old.StartTime || old.StartTime > n.StartTime) {
-				return // older news
+			if old, ok := h.list[n.ID]; ok && (old.State > n.State && n.StartTime == old.StartTime || old.StartTime > n.StartTime) {
+				return // older than what it has
 			}
-			h.held[n.ID] = n // also while it is down: its last list is what it starts with
+			h.list[n.ID] = n // also while it is down: it starts with its last list
 			if n.State == NodeUp {
-				delete(h.told, n.ID)
-			} else if _, ok := h.told[n.ID]; !ok {
-				h.told[n.ID] = w.now
+				delete(h.notifiedAt, n.ID)
+			} else if _, ok := h.notifiedAt[n.ID]; !ok {
+				h.notifiedAt[n.ID] = w.now
 			}
 			if !h.down {
 				h.step(Event{Kind: ListChanged, Nodes: []Node{n}})
@@ -353,8 +353,8 @@
 
 // stopNode ends a node's process; back starts it again, cold.
 func (w *simulation) stopNode(n *simulatedNode) {
-	n.alive, n.held, n.free = false, 0, 0
-	n.life++
+	n.alive, n.queued, n.freeAt = false, 0, 0
+	n.incarnation++
 	out := n.out
 	n.out = nil
 	w.after(1, func() {
@@ -371,8 +371,8 @@
 }
 
 func (w *simulation) run() {
-	for end := w.now + simulationMs; w.due[0].at < end; {
-		d := heap.Pop(&w.due).(simulatedEvent)
+	for end := w.now + simulationMs; w.events[0].at < end; {
+		d := heap.Pop(&w.events).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -102,7 +102,7 @@
 
 // mayFollowAnswer reports whether a request may go to a cold node because of its last answer alone.
 func (s *Scheduler) mayFollowAnswer(n *node) bool {
-	return n.slowStart.answeredInTime && len(n.inFlight) == 0 && s.now-n.lastHeardAt < s.settings.OverloadWindow
+	return n.slowStart.answeredInTime && len(n.inFlight) == 0 && s.now-n.lastReceivedAt < s.settings.OverloadWindow
 }
 
 // slowStartShare is this scheduler's share, in units, of what a cold node bears within
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -45,32 +45,32 @@
 
 type slowStartSimulation struct {
 	slowStartCase
-	t      *testing.T
-	set    Settings
-	rng    *rand.Rand
-	now    float64
-	seq    int
-	due    eventQueue
-	hosts  []*Scheduler
-	told   []bool
-	life   []int
-	since  float64 // start of the node in slow start; 0: the warm one serves
-	gone   bool
-	list   []Node
-	free   [2]float64
-	reqs   map[string]*slowStartRequest
-	sent   []timedUnits // at the node in slow start
-	served map[int]float64
-	asked  map[int]float64
-	result slowStartResult
+	t            *testing.T
+	set          Settings
+	rng          *rand.Rand
+	now          float64
+	sequence     int
+	events       eventQueue
+	hosts        []*Scheduler
+	notified     []bool
+	incarnations []int
+	coldSince    float64 // start of the node in slow start; 0: the warm one serves
+	gone         bool
+	list         []Node
+	freeAt       [2]float64
+	requests     map[string]*slowStartRequest
+	sent         []timedUnits // at the node in slow start
+	served       map[int]float64
+	asked        map[int]float64
+	result       slowStartResult
 }
 
 type slowStartRequest struct {
-	host, life, tries int
-	aimAt, units      float64
-	cold              bool // asks for the node in slow start's shard
-	ended             bool
-	again             bool
+	host, incarnation, attempts int
+	objectiveAt, units          float64
+	cold                        bool // asks for the node in slow start's shard
+	ended                       bool
+	isRetry                     bool
 }
 
 const (
@@ -86,9 +86,9 @@
 		Classes: []Class{{Name: "safe", LatencyObjective: 250, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
 		Plans: []Plan{{Name: "p", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1}}}
-	w := &slowStartSimulation{slowStartCase: c, t: t, set: set, rng: rand.New(rand.NewSource(seed)), reqs: map[string]*slowStartRequest{},
+	w := &slowStartSimulation{slowStartCase: c, t: t, set: set, rng: rand.New(rand.NewSource(seed)), requests: map[string]*slowStartRequest{},
 		served: map[int]float64{}, asked: map[int]float64{}, now: 1e6,
-		told: make([]bool, c.hosts), life: make([]int, c.hosts), hosts: make([]*Scheduler, c.hosts)}
+		notified: make([]bool, c.hosts), incarnations: make([]int, c.hosts), hosts: make([]*Scheduler, c.hosts)}
 	for i := range slowStartShards {
 		w.list = append(w.list, Node{ID: fmt.Sprint("n", i), Shard: i, Weight: 1})
 	}
@@ -96,15 +96,15 @@
 }
 
 func (w *slowStartSimulation) after(wait float64, do func()) {
-	w.seq++
-	heap.Push(&w.due, simulatedEvent{w.now + wait, w.seq, do})
+	w.sequence++
+	heap.Push(&w.events, simulatedEvent{w.now + wait, w.sequence, do})
 }
 
 // start begins a life of a scheduler, which knows the list alone.
 func (w *slowStartSimulation) start(h int) {
 	set := w.set
 	set.Instance = h
-	w.life[h]++
+	w.incarnations[h]++
 	s, err := New(set, w.rng.Int63())
 	if err != nil {
 		w.t.Fatal(err)
@@ -114,21 +114,21 @@
 }
 
 func (w *slowStartSimulation) step(h int, evs ...Event) {
-	life := w.life[h]
+	life := w.incarnations[h]
 	for _, a := range w.hosts[h].Step(w.now, evs, nil) {
 		switch a.Kind {
 		case SetTimer:
 			if a.Tag != heartbeatTimer {
 				w.after(math.Max(a.Wait, 1), func() {
-					if w.life[h] == life {
+					if w.incarnations[h] == life {
 						w.step(h, Event{Kind: TimerFired, Tag: a.Tag})
 					}
 				})
 			}
 		case Reject, Fail:
-			r := w.reqs[a.ID]
+			r := w.requests[a.ID]
 			r.ended = true
-			if w.faults && r.cold && !r.again && a.Kind == Reject {
+			if w.faults && r.cold && !r.isRetry && a.Kind == Reject {
 				w.after(a.Wait, func() { w.arrive(h, 0, r.units, true) })
 			}
 		case Send:
@@ -152,12 +152,12 @@
 func (w *slowStartSimulation) endAttempt(a slowStartAttempt, status Status, wait float64) {
 	sentAt := w.now
 	w.after(wait, func() {
-		r := w.reqs[a.id]
-		if w.life[a.scheduler] != a.incarnation {
+		r := w.requests[a.id]
+		if w.incarnations[a.scheduler] != a.incarnation {
 			return
 		}
 		if status == OK {
-			if r.cold && !r.ended && w.now <= r.aimAt {
+			if r.cold && !r.ended && w.now <= r.objectiveAt {
 				w.served[int(w.now/1000)] += r.units
 			}
 			r.ended = true
@@ -173,26 +173,26 @@
 }
 
 func (w *slowStartSimulation) power() float64 {
-	if w.since == 0 {
+	if w.coldSince == 0 {
 		return 1
 	}
-	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-w.since)/w.set.SlowStartDuration)
+	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-w.coldSince)/w.set.SlowStartDuration)
 }
 
 func (w *slowStartSimulation) send(h int, a Action) {
-	r, life := w.reqs[a.ID], w.life[h]
-	no := r.tries
-	r.tries++
+	r, life := w.requests[a.ID], w.incarnations[h]
+	no := r.attempts
+	r.attempts++
 	if a.Node != "n0" && a.Node != "m0" {
 		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, 5)
 		return
 	}
-	if w.gone || a.Node == "n0" && w.since > 0 && !w.silent {
+	if w.gone || a.Node == "n0" && w.coldSince > 0 && !w.silent {
 		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, ConnectFailed, 1)
 		return
 	}
-	if w.since > 0 {
-		w.count(r.units, w.told[h])
+	if w.coldSince > 0 {
+		w.count(r.units, w.notified[h])
 	}
 	chance := 1.0
 	if w.faults {
@@ -203,24 +203,24 @@
 		return
 	}
 	k := 0
-	if w.free[1] < w.free[0] {
+	if w.freeAt[1] < w.freeAt[0] {
 		k = 1
 	}
-	if w.free[k]-w.now > 1500 {
+	if w.freeAt[k]-w.now > 1500 {
 		w.endAttempt(slowStartAttempt{h, life, a.ID, no}, NodeFull, 1)
 		return
 	}
-	w.free[k] = math.Max(w.now, w.free[k]) + r.units*(0.5+w.rng.Float64())*2/w.speed()
+	w.freeAt[k] = math.Max(w.now, w.freeAt[k]) + r.units*(0.5+w.rng.Float64())*2/w.speed()
 	if chance < 0.05 {
 		return // its answer is lost
 	}
-	w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, w.free[k]-w.now+1)
+	w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, w.freeAt[k]-w.now+1)
 }
 
 // count takes a request of a scheduler that was told of the start into the window, also one that does
 // not run in the end.
 func (w *slowStartSimulation) count(units float64, told bool) {
-	if !told || w.now-w.since > w.set.SlowStartDuration {
+	if !told || w.now-w.coldSince > w.set.SlowStartDuration {
 		return
 	}
 	w.sent = append(w.sent, timedUnits{w.now, units})
@@ -235,10 +235,10 @@
 }
 
 func (w *slowStartSimulation) arrive(h, shard int, units float64, again bool) {
-	w.seq++
-	k := w.set.Classes[w.seq%2]
-	id := fmt.Sprint("q", w.seq)
-	w.reqs[id] = &slowStartRequest{host: h, life: w.life[h], aimAt: w.now + k.LatencyObjective, units: units, again: again, cold: shard == 0}
+	w.sequence++
+	k := w.set.Classes[w.sequence%2]
+	id := fmt.Sprint("q", w.sequence)
+	w.requests[id] = &slowStartRequest{host: h, incarnation: w.incarnations[h], objectiveAt: w.now + k.LatencyObjective, units: units, isRetry: again, cold: shard == 0}
 	if shard == 0 && !again {
 		w.asked[int(w.now/1000)] += units
 	}
@@ -300,7 +300,7 @@
 
 // swap puts the node in slow start into the place of the warm one.
 func (w *slowStartSimulation) swap() {
-	w.gone, w.since, w.free = false, w.now, [2]float64{}
+	w.gone, w.coldSince, w.freeAt = false, w.now, [2]float64{}
 	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: w.now}
 	old := Node{ID: "n0", Shard: 0, Weight: 1, State: NodeRemoved}
 	changes := []Node{old, n}
@@ -321,7 +321,7 @@
 			most = w.set.SlowStartDuration / 2
 		}
 		w.after(w.rng.Float64()*most, func() {
-			w.told[h] = true
+			w.notified[h] = true
 			w.step(h, Event{Kind: ListChanged, Nodes: changes})
 		})
 	}
@@ -329,7 +329,7 @@
 		for i, h := range w.rng.Perm(len(w.hosts)) {
 			for _, from := range []float64{2500, 7000} {
 				w.after(from+float64(i)*w.set.OverloadWindow/float64(len(w.hosts)), func() {
-					w.list, w.told[h] = list, true
+					w.list, w.notified[h] = list, true
 					w.start(h)
 				})
 			}
@@ -363,8 +363,8 @@
 			}
 		})
 	}
-	for end := start + w.set.SlowStartDuration + 4000; w.due[0].at < end; {
-		d := heap.Pop(&w.due).(simulatedEvent)
+	for end := start + w.set.SlowStartDuration + 4000; w.events[0].at < end; {
+		d := heap.Pop(&w.events).(simulatedEvent)
 		w.now = d.at
 		d.do()
 	}
--- a/policy/stall.go
+++ b/policy/stall.go
@@ -81,14 +81,14 @@
 // detectSilence notices that a node with work in flight is stalled or silent. All attempts at a
 // silent node are written off: they would hold its only place until their clients disconnect.
 func (s *Scheduler) detectSilence(n *node) {
-	quiet := s.now - max(n.lastHeardAt, n.inFlight[0].lastSentAt(), s.stall.lastEndAt)
-	s.nodeStalled = s.nodeStalled || quiet > minNodeStallMs
-	if quiet <= math.Max(minSilenceMs, silenceLatencyMultiple*s.expectedLatency(n)) {
+	silenceMs := s.now - max(n.lastReceivedAt, n.inFlight[0].lastSentAt(), s.stall.lastEndAt)
+	s.nodeStalled = s.nodeStalled || silenceMs > minNodeStallMs
+	if silenceMs <= math.Max(minSilenceMs, silenceLatencyMultiple*s.expectedLatency(n)) {
 		return
 	}
 	if !n.silent {
-		s.logf("node %s silent for %.0f ms: one request at a time", n.ID, quiet)
-		n.silentSince = s.now - quiet
+		s.logf("node %s silent for %.0f ms: one request at a time", n.ID, silenceMs)
+		n.silentSince = s.now - silenceMs
 	}
 	n.silent = true
 	n.window.lowerToMin()
--- a/policy/stall_test.go
+++ b/policy/stall_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A scheduler that stood still takes neither the wait for slowness nor the node for silent.
+// A scheduler that was stalled neither counts the wait as latency nor takes the node for silent.
 func TestOwnStallIsNoSampleOfTheNodes(t *testing.T) {
 	r := newHarness(t, testSettings())
 	for i := range 8 {
--- a/policy/status.go
+++ b/policy/status.go
@@ -11,10 +11,10 @@
 // NodeStatuses returns the status of nodes, in the order of their ids and at most so many. What waits
 // for a shard is divided among the shard's nodes by their windows; new objects, which any shard may
 // take, count for no node. It decides nothing.
-func (s *Scheduler) NodeStatuses(most int) []NodeStatus {
-	statuses := make([]NodeStatus, 0, max(0, min(most, len(s.listedNodes))))
+func (s *Scheduler) NodeStatuses(limit int) []NodeStatus {
+	statuses := make([]NodeStatus, 0, max(0, min(limit, len(s.listedNodes))))
 	for _, n := range s.listedNodes {
-		if len(statuses) >= most {
+		if len(statuses) >= limit {
 			break
 		}
 		if n.State == NodeRemoved {
--- a/policy/types.go
+++ b/policy/types.go
@@ -18,7 +18,7 @@
 	MayCancel            bool
 	MayCheckHealth       bool
 	MayGossip            bool // messages to peers are allowed
-	SendsRetryAfter      bool // rejected clients are told when to retry
+	SendsRetryAfter      bool // rejected clients receive a Retry-After
 	MaxRetryAfter        float64
 	DrainGrace           float64 // a draining node stops after this time
 	PollWithin           float64 // staleness bound of the endpoint list
--- a/policy/window.go
+++ b/policy/window.go
@@ -70,7 +70,7 @@
 
 // recordLatency takes a latency into the window's signal: that of served work, or the age of work
 // that went unanswered. Errors and rejections are quick without the node being so. An epoch ends
-// by count, or by time where a scheduler hears little of a node.
+// by count, or by time where a node answers a scheduler seldom.
 func (s *Scheduler) recordLatency(n *node, latency, units float64) {
 	if s.stall.resumed {
 		return
@@ -98,8 +98,8 @@
 // narrow halves what this scheduler has in flight at an overloaded node. The peak in flight, not
 // the window, is halved, so that the window of a light user becomes a rate as well.
 func (s *Scheduler) narrow(n *node) {
-	least := math.Min(minFleetWindow/s.schedulersPerNode, minWindow)
-	n.window.size = math.Max(least, math.Min(n.window.size, float64(max(1, n.window.peakInFlight)))/2)
+	minSize := math.Min(minFleetWindow/s.schedulersPerNode, minWindow)
+	n.window.size = math.Max(minSize, math.Min(n.window.size, float64(max(1, n.window.peakInFlight)))/2)
 	n.window.peakInFlight = len(n.inFlight)
 }
 
