--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A request that waits for a node is answered before its client leaves, however the reviews lie to that time: with
-// nothing else going on they are sweepIntervalMs apart.
+// A request that waits for a node is answered before its client disconnects, whenever its last review is: with
+// nothing else going on reviews are sweepIntervalMs apart.
 func TestWaitingRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	const step = 0.25 // ms
 	for phase := 0.0; phase < sweepIntervalMs; phase += step {
@@ -53,7 +53,7 @@
 	}
 }
 
-// A class whose clients leave must not look healthy to the adaptation.
+// A class whose clients disconnect must not look healthy to the adaptation.
 func TestDisconnectedRequestCountsAtItsAge(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
@@ -85,7 +85,7 @@
 	}
 }
 
-// A client's tries are one request: they charge once, count once, and go after others.
+// A client's retries are one request: they are charged once, counted once, and go after others.
 func TestClientRetriesCountAsOneRequest(t *testing.T) {
 	r := newHarness(t, testSettings())
 	v := func() float64 { return r.volume().reserved.tokens }
@@ -105,7 +105,7 @@
 	}
 }
 
-// A request is the repeat of one of its own volume and class alone.
+// A request counts as a retry of one of its own volume and class only.
 func TestClientRetryIsOfItsOwnVolumeAndClass(t *testing.T) {
 	for _, x := range []struct {
 		class, volume string
@@ -124,7 +124,7 @@
 	}
 }
 
-// A wait that no share shortens, for a node to come or for a limit, steers no weight.
+// A wait that no weight shortens, for a node or for a rate limit, changes no weight.
 func TestWaitForNodeOrLimitIsNoSample(t *testing.T) {
 	for _, k := range []struct {
 		name          string
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// An overtaken attempt gets one copy beside it where its class allows a repeat, neither earlier
-// nor elsewhere; the answer that comes first serves, and its lateness is no word on the node.
+// An overtaken attempt is hedged once where its class allows a retry, neither earlier nor elsewhere.
+// The first answer serves the request, and a late one is no sample of the node.
 func TestOvertakenAttemptIsHedged(t *testing.T) {
 	for _, x := range []struct {
 		class  string
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// A node absent from a full list is gone; one that starts anew is cold.
+// A node that a complete list lacks is removed; one that restarted is in slow start.
 func TestCompleteListRemovesNodesAndRestartBeginsSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.step(Event{Kind: ListReceived, Nodes: []Node{{ID: "a", Shard: 0, StartTime: 990}}})
@@ -121,7 +121,7 @@
 	}
 }
 
-// Absurd figures, empty and huge lists, and old peer messages lose no request.
+// Invalid figures, empty and huge lists, and outdated gossip lose no request.
 func TestInvalidListsAndFiguresLoseNoRequest(t *testing.T) {
 	huge := Event{Kind: ListReceived}
 	for i := range 4000 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -93,7 +93,7 @@
 	return rigs
 }
 
-// newSizedHarness is an instance whose list holds so many nodes, each with a shard of its own.
+// newSizedHarness makes an instance whose list has so many nodes, each with a shard of its own.
 func newSizedHarness(b testing.TB, nodes int) (*harness, []Node) {
 	set := testSettings()
 	set.Schedulers, set.Shards = 1024, nodes
@@ -111,7 +111,7 @@
 	return r, list
 }
 
-// newLimitedHarness is a harness whose one plan has a limit: so much a second and at once.
+// newLimitedHarness makes a harness whose only plan has a rate limit and a burst.
 func newLimitedHarness(t *testing.T, limit, burst float64) *harness {
 	set := testSettings()
 	set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, burst
@@ -125,7 +125,7 @@
 	return set
 }
 
-// countSent sends units of a volume, one request each, and says how many went out at once.
+// countSent sends units of a volume, one request each, and returns how many were sent at once.
 func (r *harness) countSent(volume string, hosts, units int) (sent int) {
 	for range units {
 		ev := call(fmt.Sprint(volume, r.s.lastSequence, "-", sent), "safe", 0, r.now+2000)
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What one life learned is taken by the next for nodes of the same start alone; a guessed cold mark
-// goes with the list's word; figures that cannot be change nothing.
+// What one process learned is restored by the next for nodes of the same incarnation only. A slow start
+// from an assumed time ends with the list's report. Invalid figures change nothing.
 func TestRestoreTakesWhatStillHolds(t *testing.T) {
 	set := testSettings()
 	set.SlowStartDuration, set.Schedulers = 18000, 40
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Late work must not take a crowded node from other schedulers' work in time.
+// Late requests must not take an overloaded node from other schedulers' requests in time.
 func TestLateRequestAvoidsAnOverloadedNode(t *testing.T) {
 	for window, sends := range map[float64]int{initialWindow: 1, minWindow / 2: 0} {
 		r := newHarness(t, testSettings())
@@ -21,8 +21,8 @@
 	}
 }
 
-// Share work leaves a slow node to others' reserves, reserve work does not, and what the
-// node showed heals with time.
+// Unreserved requests leave a slow node to the reserved ones of other schedulers; reserved ones do not. The
+// estimate decays with time.
 func TestUnreservedRequestLeavesASlowNode(t *testing.T) {
 	r := newHarness(t, testSettings())
 	n := r.s.nodeByID["a"]
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A share request of a volume without use is not paid back into the reserve.
+// A request that was charged to the fair share is not refunded to the reserved rate.
 func TestRefundReturnsToTheChargedBand(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.step(call("x", "safe", 0, 3000))
@@ -25,7 +25,7 @@
 	}
 }
 
-// A volume that is asked for on two plans has the figures of each: neither opens the other's limit, nor draws on it.
+// A volume that is named with two plans has the quota of each: neither opens the other's limit, nor draws on it.
 func TestVolumeOnTwoPlans(t *testing.T) {
 	const burst = 12
 	set := testSettings()
@@ -72,7 +72,7 @@
 	}
 }
 
-// A volume is kept as long as its store is not full again, however slowly it fills.
+// A volume is not evicted before its bucket is full again, however slowly it fills.
 func TestVolumeInDebtToItsLimitIsNotEvicted(t *testing.T) {
 	r := newHarness(t, limitedSettings(0.1, 12))
 	r.countSent("first", 1, 1)
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Classes appear and vanish while requests are under way; those keep their class, and what
-// comes after goes by the new settings.
+// Classes appear and vanish while requests are in flight. Those keep their class; later ones follow the new
+// settings.
 func TestReconfigureWithRequestsInFlight(t *testing.T) {
 	r := newHarness(t, testSettings())
 	if acts := r.step(call("old", "safe", 0, 5000)); !wasSent(acts, "old") {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A class that changes its effect gets an object of its own: the request under way keeps the
-// old effect, a new one has the new.
+// A class that changes its effect is a new class: the request in flight keeps the old effect,
+// a later one has the new one.
 func TestReconfigureToAStricterEffect(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.step(call("old", "safe", 0, 5000))
@@ -260,7 +260,7 @@
 	}
 }
 
-// A request under way has no more attempts than the settings allowed when it came, nor than they allow now.
+// A request in flight has no more attempts than the settings allowed when it came, nor than they allow now.
 func TestReconfigureOfMaxAttempts(t *testing.T) {
 	for _, x := range []struct{ old, next, wants int }{{3, 1, 1}, {1, 3, 1}, {2, 3, 2}} {
 		set := testSettings()
@@ -284,7 +284,7 @@
 	}
 }
 
-// What ends of a class that was retired does not make it borrow from those that take requests.
+// Requests that end in a retired class do not make it borrow weight from the live ones.
 func TestRetiredClassBorrowsNoWeight(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.step(call("old", "safe", 0, 50e3), call("holds", "safe", 0, 50e3))
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -19,7 +19,7 @@
 }
 
 // Over many releases, memory holds only what is alive; and the record of what was
-// taken, for the attempt budget, is bounded though no further attempt is made.
+// admitted, for the retry budget, is bounded though no retry is made.
 func TestMemoryIsBoundedOverManyReleases(t *testing.T) {
 	set := testSettings()
 	set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetShare = 5000, 1, 0.1
@@ -36,7 +36,7 @@
 	}
 }
 
-// A step looks at the shards that have work, however long the list is.
+// A step visits the shards that have work, however long the list is.
 func TestOnlyBusyQueuesAreVisited(t *testing.T) {
 	r, list := newSizedHarness(t, 1024)
 	r.step(call("a", "safe", 7, r.now+1500), call("b", "safe", 1000, r.now+1500))
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// answered takes a request's end; each has one.
+// answered counts the end of a request; each has exactly one.
 func (w *simulation) final(id, how string) {
 	r := w.requests[id]
 	if r == nil || r.answered {
@@ -231,7 +231,7 @@
 	return math.Min(1, w.set.SlowStartShare+(1-w.set.SlowStartShare)*(w.now-n.StartTime)/w.set.SlowStartDuration)
 }
 
-// send takes an attempt: the rules are looked at, and the node serves it in turn or does not.
+// send checks an attempt against the rules, and has the node serve it in turn, or not.
 func (w *simulation) send(h *simulatedScheduler, a Action) {
 	r, n := w.requests[a.ID], w.nodes[a.Node]
 	if r == nil || r.answered || r.host != h || n == nil || n.Shard != r.req.Shard {
@@ -351,7 +351,7 @@
 	}
 }
 
-// stopNode ends a node's process; back starts it again, cold.
+// stopNode ends a node's process; startNode starts it again, in slow start.
 func (w *simulation) stopNode(n *simulatedNode) {
 	n.alive, n.queued, n.freeAt = false, 0, 0
 	n.incarnation++
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Tests of a node in slow start's budget over all schedulers together, none of which knows what another sends.
+// Tests of what a node in slow start gets from all schedulers together, none of which knows what another sends.
 
 var slowStartSeeds = flag.Int("coldseeds", 1, "seeds of each fleet in TestColdNodeSumOverTheFleet")
 
@@ -100,7 +100,7 @@
 	heap.Push(&w.events, simulatedEvent{w.now + wait, w.sequence, do})
 }
 
-// start begins a life of a scheduler, which knows the list alone.
+// start starts a process of a scheduler, which knows the list only.
 func (w *slowStartSimulation) start(h int) {
 	set := w.set
 	set.Instance = h
@@ -217,7 +217,7 @@
 	w.endAttempt(slowStartAttempt{h, life, a.ID, no}, OK, w.freeAt[k]-w.now+1)
 }
 
-// count takes a request of a scheduler that was told of the start into the window, also one that does
+// count adds a request of a scheduler that was notified of the start to the window, also one that does
 // not run in the end.
 func (w *slowStartSimulation) count(units float64, told bool) {
 	if !told || w.now-w.coldSince > w.set.SlowStartDuration {
--- a/policy/stall_test.go
+++ b/policy/stall_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Hung attempts must not hold the window: the node trickles on, and wakes.
+// Attempts that hang must not fill the window: a silent node gets one request at a time until it answers.
 func TestSilentNodeGetsOneRequestAtATimeAndRecovers(t *testing.T) {
 	r := newHarness(t, testSettings())
 	var first []Action
@@ -22,18 +22,18 @@
 		sends += countActions(r.at(now, call(id, "once", 0, now+2000), Event{Kind: TimerFired, Tag: sweepTimer}), Send)
 	}
 	if sends < 2 || sends > 6 {
-		t.Errorf("%d sends to a silent node in 5 s: no trickle", sends)
+		t.Errorf("%d sends to a silent node in 5 s: not one at a time", sends)
 	}
 	n := r.s.nodeByID["a"]
 	if len(n.inFlight) == 0 {
-		t.Fatal("nothing out to be answered")
+		t.Fatal("nothing in flight to be answered")
 	}
 	r.step(done(n.inFlight[0].id, 0, OK, true))
 	if n.silent {
 		t.Error("still silent after an answer")
 	}
 	if n.slowStart.startedAt != r.now {
-		t.Error("back from long silence, yet not taken for cold")
+		t.Error("back from long silence, yet not in slow start")
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// A node that stands still holds one request of each of many schedulers: what is stuck past its
+// A stalled node holds one request of each of many schedulers: what is stuck past its
 // objective is cancelled and answered at once, rejected or failed by what its class allows; it counts.
 func TestStuckAttemptIsCancelledAtItsObjective(t *testing.T) {
 	set := testSettings()
@@ -106,7 +106,7 @@
 	}
 }
 
-// Work that waited with us, and is out for no longer than usual, is left to come late.
+// A request that waited here, and is in flight for no longer than usual, is not cancelled.
 func TestAttemptOfUsualAgeIsNotCancelled(t *testing.T) {
 	set := testSettings()
 	set.MayCancel = true
