--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -85,7 +85,7 @@
 		return nil, &JSONError{File: "configuration"}
 	}
 	r := &reader{root: gjson.ParseBytes(text)}
-	either := func(key, name string) string {
+	fileOrEnv := func(key, name string) string {
 		if v := env(name); v != "" {
 			return v
 		}
@@ -93,37 +93,37 @@
 	}
 	c := &Config{
 		raw:  text,
-		Name: either("name", "ROUTER_NAME"), Listen: either("listen", "ROUTER_LISTEN"),
-		Discovery: either("discovery", "ROUTER_DISCOVERY"), AdminListen: either("operator", "ROUTER_OPERATOR"),
+		Name: fileOrEnv("name", "ROUTER_NAME"), Listen: fileOrEnv("listen", "ROUTER_LISTEN"),
+		Discovery: fileOrEnv("discovery", "ROUTER_DISCOVERY"), AdminListen: fileOrEnv("operator", "ROUTER_OPERATOR"),
 		InheritedSocket: env("ROUTER_PASSED_SOCKET"),
-		Cores:           r.num("limits.cores", defaultCores, 0.01), MemoryMB: int(r.num("limits.memory_mb", defaultMemoryMB, 16)),
-		Sockets: int(r.num("limits.sockets", defaultSockets, 64)),
+		Cores:           r.number("limits.cores", defaultCores, 0.01), MemoryMB: int(r.number("limits.memory_mb", defaultMemoryMB, 16)),
+		Sockets: int(r.number("limits.sockets", defaultSockets, 64)),
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		r.not("listen", strconv.Quote(c.Listen), hostPort)
+		r.failValue("listen", strconv.Quote(c.Listen), hostPort)
 	}
 	if c.AdminListen != "" {
 		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
-			r.not("operator", strconv.Quote(c.AdminListen), hostPort)
+			r.failValue("operator", strconv.Quote(c.AdminListen), hostPort)
 		}
 	}
 	if c.Discovery == "" {
 		r.fail(KeyError{Key: "discovery", Expected: hostPort, Err: errNoDiscovery})
 	} else if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		r.not("discovery", strconv.Quote(c.Discovery), hostPort)
+		r.failValue("discovery", strconv.Quote(c.Discovery), hostPort)
 	}
 	if seed := r.root.Get("seed"); seed.Exists() {
 		n, err := strconv.ParseUint(seed.String(), 16, 64)
 		if err != nil {
-			r.not("seed", strconv.Quote(seed.String()), "a hex number")
+			r.failValue("seed", strconv.Quote(seed.String()), "a hex number")
 		}
 		c.Seed = int64(n)
 	}
-	if known := r.root.Get("known"); known.Exists() {
-		if !known.IsObject() {
+	if cached := r.root.Get("known"); cached.Exists() {
+		if !cached.IsObject() {
 			r.fail(KeyError{Key: "known", Expected: "an object", Problem: "not an object"})
 		}
-		c.CachedList = []byte(known.Raw)
+		c.CachedList = []byte(cached.Raw)
 	}
 	set := r.root.Get("settings")
 	if !set.IsObject() {
@@ -133,11 +133,11 @@
 		return nil, r.err
 	}
 	sr := &reader{root: set, prefix: "settings."}
-	c.ConnIdle = sr.num("ceilings.conn-idle", defaultConnIdle, 1)
-	c.ConnectTimeout = sr.num("ceilings.connect-timeout", defaultConnectTimeout, 1)
-	c.MaxOpenRequests = int(sr.num("ceilings.max-open", defaultMaxOpen, 1))
-	c.HandshakePrice = sr.num("prices.handshake", 0, 0)
-	c.ListMode, c.ListPrice = sr.text("membership-mode", "push"), sr.num("prices.membership-mode", 0, 0)
+	c.ConnIdle = sr.number("ceilings.conn-idle", defaultConnIdle, 1)
+	c.ConnectTimeout = sr.number("ceilings.connect-timeout", defaultConnectTimeout, 1)
+	c.MaxOpenRequests = int(sr.number("ceilings.max-open", defaultMaxOpen, 1))
+	c.HandshakePrice = sr.number("prices.handshake", 0, 0)
+	c.ListMode, c.ListPrice = sr.text("membership-mode", "push"), sr.number("prices.membership-mode", 0, 0)
 	if sr.err != nil {
 		return nil, sr.err
 	}
@@ -162,9 +162,9 @@
 	}
 }
 
-// not keeps a value that is not what it must be.
-func (r *reader) not(key, value, want string) {
-	r.fail(KeyError{Key: key, Value: value, Expected: want})
+// failValue keeps a value that is not what it must be.
+func (r *reader) failValue(key, value, expected string) {
+	r.fail(KeyError{Key: key, Value: value, Expected: expected})
 }
 
 func (r *reader) text(key, fallback string) string {
@@ -173,18 +173,18 @@
 		return fallback
 	}
 	if v.Type != gjson.String {
-		r.not(key, short(v.Raw), "text")
+		r.failValue(key, truncate(v.Raw), "text")
 	}
 	return v.Str
 }
 
-func (r *reader) num(key string, fallback, least float64) float64 {
+func (r *reader) number(key string, fallback, minimum float64) float64 {
 	v := r.root.Get(key)
 	if !v.Exists() || v.Type == gjson.Null {
 		return fallback
 	}
-	if v.Type != gjson.Number || math.IsNaN(v.Num) || math.IsInf(v.Num, 0) || v.Num < least || v.Num > 1e12 {
-		r.not(key, short(v.Raw), fmt.Sprintf("a number of at least %v", least))
+	if v.Type != gjson.Number || math.IsNaN(v.Num) || math.IsInf(v.Num, 0) || v.Num < minimum || v.Num > 1e12 {
+		r.failValue(key, truncate(v.Raw), fmt.Sprintf("a number of at least %v", minimum))
 		return fallback
 	}
 	return v.Num
@@ -193,7 +193,7 @@
 func (r *reader) flag(key string) bool {
 	v := r.root.Get(key)
 	if v.Exists() && v.Type != gjson.Null && !v.IsBool() {
-		r.not(key, short(v.Raw), "true or false")
+		r.failValue(key, truncate(v.Raw), "true or false")
 	}
 	return v.Bool()
 }
@@ -211,23 +211,23 @@
 	}
 }
 
-func short(raw string) string {
+func truncate(raw string) string {
 	if len(raw) > 40 {
 		return raw[:40] + "..."
 	}
 	return raw
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
-var groups = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
+var effectsByWord = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+var dedupScopesByWord = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
 
-// word finds a key's word in a table.
-func word[T any](r *reader, key, fallback string, table map[string]T) T {
+// enum finds a key's word in a table.
+func enum[T any](r *reader, key, fallback string, table map[string]T) T {
 	v, ok := table[r.text(key, fallback)]
 	if !ok {
-		raw := short(r.root.Get(key).Raw)
-		words := strings.Join(slices.Sorted(maps.Keys(table)), ", ")
-		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + words, Problem: "unknown word " + raw})
+		raw := truncate(r.root.Get(key).Raw)
+		names := strings.Join(slices.Sorted(maps.Keys(table)), ", ")
+		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + names, Problem: "unknown word " + raw})
 	}
 	return v
 }
@@ -236,34 +236,34 @@
 func Settings(set gjson.Result) (policy.Settings, error) {
 	r := &reader{root: set, prefix: "settings."}
 	s := policy.Settings{
-		Instance: int(r.num("me", 0, 0)), Schedulers: int(r.num("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
+		Instance: int(r.number("me", 0, 0)), Schedulers: int(r.number("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
 		PollsEndpointList: r.text("membership-mode", "push") == "ask",
-		MeanUnits:         r.num("extra.usual-units", 1, 0), MaxUnits: r.num("extra.largest", 0, 0),
-		Shards: int(r.num("extra.slots-total", 0, 0)), SlowStartUnits: r.num("extra.young-limit", 0, 0), UsageMeterPeriod: r.num("extra.metering", 0, 0),
+		MeanUnits:         r.number("extra.usual-units", 1, 0), MaxUnits: r.number("extra.largest", 0, 0),
+		Shards: int(r.number("extra.slots-total", 0, 0)), SlowStartUnits: r.number("extra.young-limit", 0, 0), UsageMeterPeriod: r.number("extra.metering", 0, 0),
 		ReportsPeerUsage: r.flag("extra.says-others"),
-		MaxAttempts:      int(r.num("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
+		MaxAttempts:      int(r.number("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
 		MayCancel: r.flag("ceilings.may-cancel"), MayCheckHealth: r.flag("ceilings.probes"), MayGossip: r.flag("ceilings.peers"),
-		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.num("ceilings.max-retry-after", 0, 0),
-		DrainGrace: r.num("rules.stop-sending-within", 0, 0), PollWithin: r.num("rules.ask-within", 0, 0),
-		SlowStartShare: r.num("rules.cold-from", 0, 0), SlowStartDuration: r.num("rules.cold", 0, 0),
-		OverloadMultiple: r.num("rules.tip-multiple", 0, 0), OverloadWindow: r.num("rules.overload-for", 0, 0),
-		OrderedKeyBackoff: r.num("rules.order-pause", 0, 0), RetryBudgetShare: r.num("rules.further-ratio", 0, 0),
-		RetryBudgetMin: r.num("rules.extra-floor", 0, 0), RetryBudgetWindow: r.num("rules.counted-over", 0, 0),
+		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.number("ceilings.max-retry-after", 0, 0),
+		DrainGrace: r.number("rules.stop-sending-within", 0, 0), PollWithin: r.number("rules.ask-within", 0, 0),
+		SlowStartShare: r.number("rules.cold-from", 0, 0), SlowStartDuration: r.number("rules.cold", 0, 0),
+		OverloadMultiple: r.number("rules.tip-multiple", 0, 0), OverloadWindow: r.number("rules.overload-for", 0, 0),
+		OrderedKeyBackoff: r.number("rules.order-pause", 0, 0), RetryBudgetShare: r.number("rules.further-ratio", 0, 0),
+		RetryBudgetMin: r.number("rules.extra-floor", 0, 0), RetryBudgetWindow: r.number("rules.counted-over", 0, 0),
 	}
 	r.each("profiles", func(p *reader) {
-		c := policy.Class{Name: p.text("name", ""), LatencyObjective: p.num("goal-time", 0, 1e-3), ObjectiveStretch: p.num("aim-stretch", 0, 0),
-			Deadline: p.num("deadline", 0, 1e-3), PriorityWeight: p.num("worth", 1, 0), LatePriorityWeight: p.num("late-worth", 0, 0),
-			Effect: word(p, "repeat", "", effects), DedupWindow: p.num("memory-span", 0, 0),
+		c := policy.Class{Name: p.text("name", ""), LatencyObjective: p.number("goal-time", 0, 1e-3), ObjectiveStretch: p.number("aim-stretch", 0, 0),
+			Deadline: p.number("deadline", 0, 1e-3), PriorityWeight: p.number("worth", 1, 0), LatePriorityWeight: p.number("late-worth", 0, 0),
+			Effect: enum(p, "repeat", "", effectsByWord), DedupWindow: p.number("memory-span", 0, 0),
 			Ordered: p.flag("by-arrival"), Stream: p.flag("stream")}
 		if c.Effect == policy.IdempotentByKey {
-			c.DedupScope = word(p, "key-scope", "", groups)
+			c.DedupScope = enum(p, "key-scope", "", dedupScopesByWord)
 		}
 		s.Classes = append(s.Classes, c)
 	})
 	r.each("contracts", func(p *reader) {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.text("name", ""), Rate: p.num("usual-rate", 0, 0),
-			ReservedRate: p.num("reservation", 0, 0), Weight: p.num("shares", 1, 0), Price: p.num("price", 1, 0),
-			RateLimit: p.num("cap", 0, 0), LimitBurst: p.num("burst", 0, 0)})
+		s.Plans = append(s.Plans, policy.Plan{Name: p.text("name", ""), Rate: p.number("usual-rate", 0, 0),
+			ReservedRate: p.number("reservation", 0, 0), Weight: p.number("shares", 1, 0), Price: p.number("price", 1, 0),
+			RateLimit: p.number("cap", 0, 0), LimitBurst: p.number("burst", 0, 0)})
 	})
 	return s, r.err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"index":41,"snapshot":true,"endpoints":[]},
 "settings":{"fleet-size":3,"me":1,"ceilings":{"conn-idle":15000.0,"max-attempts":4,"may-cancel":true},
 "extra":{"usual-units":1.98,"largest":6},"rules":{"cold":17000.0},
@@ -22,10 +22,10 @@
 {"name":"new-record","goal-time":300.0,"deadline":1500.0,"repeat":"keyed","key-scope":"cell","memory-span":2500.0,"worth":2.0}],
 "contracts":[{"name":"basic","cap":27.0,"burst":38.0,"reservation":1.0,"shares":1.0,"price":0.96,"usual-rate":3.4}]}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,13 +37,13 @@
 	if k := s.Classes[1]; k.Effect != policy.IdempotentByKey || k.DedupScope != policy.DedupShard || k.DedupWindow != 2500 || s.Plans[0].RateLimit != 27 {
 		t.Errorf("%+v", s)
 	}
-	if c, err = Parse([]byte(good), func(k string) string { return map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"}[k] }); err != nil || c.Listen != "127.0.0.1:9" {
+	if c, err = Parse([]byte(validConfig), func(k string) string { return map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"}[k] }); err != nil || c.Listen != "127.0.0.1:9" {
 		t.Errorf("%v %v", c, err)
 	}
 }
 
 // Each message names the key at fault.
-func TestFaults(t *testing.T) {
+func TestErrorsNameKey(t *testing.T) {
 	for _, x := range [][3]string{
 		{`"127.0.0.1:8443"`, `"here"`, "listen"}, {`"127.0.0.1:8500"`, `7`, "discovery"}, {`"8c1f30d27a5be964"`, `"zz"`, "seed"},
 		{`"memory_mb":192`, `"memory_mb":"much"`, "limits.memory_mb"}, {`"sockets":1024`, `"sockets":3`, "limits.sockets"},
@@ -54,19 +54,19 @@
 		{`"contracts":[`, `"contracts":7,"c":[`, "settings.contracts"}, {`"cap":27.0`, `"cap":[]`, "settings.contracts.0.cap"},
 		{`"conn-idle":15000.0`, `"conn-idle":0`, "settings.ceilings.conn-idle"}, {`}]}}`, `}]}`, "JSON"},
 	} {
-		text := strings.Replace(good, x[0], x[1], 1)
-		if _, err := Parse([]byte(text), none); err == nil || !strings.Contains(err.Error(), x[2]) {
+		text := strings.Replace(validConfig, x[0], x[1], 1)
+		if _, err := Parse([]byte(text), noEnv); err == nil || !strings.Contains(err.Error(), x[2]) {
 			t.Errorf("%s: %v, want %s", x[1], err, x[2])
 		}
 	}
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
+	if _, err := Load(noEnv); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("%v", err)
 	}
 }
 
 // The file that is shipped is good, and faults in it are named.
 func TestISCSI(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,16 +97,16 @@
 	}
 }
 
-func TestNoise(t *testing.T) {
+func TestCorruptFiles(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if _, err := Parse([]byte(good[:rapid.IntRange(0, len(good)-1).Draw(rt, "cut")]), none); err == nil {
+		if _, err := Parse([]byte(validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(rt, "cut")]), noEnv); err == nil {
 			rt.Fatal("a cut configuration passed")
 		}
-		b := []byte(good)
+		b := []byte(validConfig)
 		for range rapid.IntRange(1, 4).Draw(rt, "edits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 		}
-		if c, err := Parse(b, none); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Schedulers < 1) {
+		if c, err := Parse(b, noEnv); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Schedulers < 1) {
 			rt.Fatalf("%+v", c)
 		}
 		_, _ = ParseISCSI(b, policy.Settings{})
@@ -122,7 +122,7 @@
 	for _, x := range []struct{ from, to, want string }{
 		{"", "", "127.0.0.1:8500"}, {`"discovery":"127.0.0.1:8500",`, "", "127.0.0.1:1"}, {`"127.0.0.1:8500"`, `"here"`, "error"},
 	} {
-		if err := os.WriteFile(file, []byte(strings.Replace(good, x.from, x.to, 1)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(strings.Replace(validConfig, x.from, x.to, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c, err := Reload(env)
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	sitesFolder = "../../deploy/sites"
-	sitesLeast  = 2 // variants that the folder has
+	deploymentsDir = "../../deploy/sites"
+	minDeployments = 2 // variants that the folder has
 )
 
 // deployment is one deployment of deploy/sites: what a scheduler there is told, read by config and, beside it, as
 // plain JSON.
 type deployment struct {
-	name string
-	text []byte
-	conf *Config
-	told toldSettings
+	name     string
+	text     []byte
+	conf     *Config
+	platform platformSettings
 }
 
-// toldSettings are the settings in the platform's words, read without the package under test.
-type toldSettings struct {
-	Zones     []string        `json:"zones"`
-	Profiles  []toldClass     `json:"profiles"`
-	Contracts []toldPlan      `json:"contracts"`
-	Mode      string          `json:"membership-mode"`
-	Hosts     int             `json:"fleet-size"`
-	Me        int             `json:"me"`
-	MyZone    string          `json:"my-zone"`
-	Ceilings  toldCeilings    `json:"ceilings"`
-	Rules     toldRules       `json:"rules"`
-	Extra     toldVolumeFacts `json:"extra"`
+// platformSettings are the settings in the platform's words, read without the package under test.
+type platformSettings struct {
+	Zones      []string         `json:"zones"`
+	Profiles   []platformClass  `json:"profiles"`
+	Contracts  []platformPlan   `json:"contracts"`
+	Mode       string           `json:"membership-mode"`
+	Schedulers int              `json:"fleet-size"`
+	Instance   int              `json:"me"`
+	Zone       string           `json:"my-zone"`
+	Ceilings   platformCeilings `json:"ceilings"`
+	Rules      platformRules    `json:"rules"`
+	Extra      platformExtra    `json:"extra"`
 }
 
-type toldClass struct {
-	Name      string  `json:"name"`
-	Aim       float64 `json:"goal-time"`
-	Deadline  float64 `json:"deadline"`
-	Repeat    string  `json:"repeat"`
-	Scope     string  `json:"key-scope"`
-	Window    float64 `json:"memory-span"`
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late-worth"`
+type platformClass struct {
+	Name               string  `json:"name"`
+	LatencyObjective   float64 `json:"goal-time"`
+	Deadline           float64 `json:"deadline"`
+	Effect             string  `json:"repeat"`
+	DedupScope         string  `json:"key-scope"`
+	DedupWindow        float64 `json:"memory-span"`
+	PriorityWeight     float64 `json:"worth"`
+	LatePriorityWeight float64 `json:"late-worth"`
 }
 
-type toldPlan struct {
+type platformPlan struct {
 	Name    string  `json:"name"`
 	Cap     float64 `json:"cap"`
 	Burst   float64 `json:"burst"`
@@ -64,47 +64,47 @@
 	Rate    float64 `json:"usual-rate"`
 }
 
-type toldCeilings struct {
-	Attempts     int     `json:"max-attempts"`
-	SecondCopies bool    `json:"second-copies"`
-	Cancel       bool    `json:"may-cancel"`
-	Probes       bool    `json:"probes"`
-	Peers        bool    `json:"peers"`
-	RetryAfter   bool    `json:"retry-after"`
-	RetryMost    float64 `json:"max-retry-after"`
-	ConnIdle     float64 `json:"conn-idle"`
-	Connect      float64 `json:"connect-timeout"`
-	MaxOpen      int     `json:"max-open"`
+type platformCeilings struct {
+	Attempts       int     `json:"max-attempts"`
+	MayHedge       bool    `json:"second-copies"`
+	MayCancel      bool    `json:"may-cancel"`
+	MayCheckHealth bool    `json:"probes"`
+	MayGossip      bool    `json:"peers"`
+	RetryAfter     bool    `json:"retry-after"`
+	MaxRetryAfter  float64 `json:"max-retry-after"`
+	ConnIdle       float64 `json:"conn-idle"`
+	Connect        float64 `json:"connect-timeout"`
+	MaxOpen        int     `json:"max-open"`
 }
 
-type toldRules struct {
-	AnswerSlack float64 `json:"answer-slack"`
-	AskWithin   float64 `json:"ask-within"`
-	Cold        float64 `json:"cold"`
-	ColdFrom    float64 `json:"cold-from"`
-	TipMultiple float64 `json:"tip-multiple"`
-	TipSpan     float64 `json:"overload-for"`
-	Grace       float64 `json:"stop-sending-within"`
-	Floor       float64 `json:"extra-floor"`
-	Ratio       float64 `json:"further-ratio"`
-	Counted     float64 `json:"counted-over"`
+type platformRules struct {
+	AnswerSlack       float64 `json:"answer-slack"`
+	PollWithin        float64 `json:"ask-within"`
+	SlowStartDuration float64 `json:"cold"`
+	SlowStartShare    float64 `json:"cold-from"`
+	OverloadMultiple  float64 `json:"tip-multiple"`
+	OverloadWindow    float64 `json:"overload-for"`
+	DrainGrace        float64 `json:"stop-sending-within"`
+	RetryBudgetMin    float64 `json:"extra-floor"`
+	RetryBudgetShare  float64 `json:"further-ratio"`
+	RetryBudgetWindow float64 `json:"counted-over"`
 }
 
-type toldVolumeFacts struct {
-	Largest   float64 `json:"largest"`
-	Usual     float64 `json:"usual-units"`
-	Young     float64 `json:"young-limit"`
-	Shards    int     `json:"slots-total"`
-	Meter     float64 `json:"metering"`
-	SaysOther bool    `json:"says-others"`
+type platformExtra struct {
+	MaxUnits         float64 `json:"largest"`
+	MeanUnits        float64 `json:"usual-units"`
+	SlowStartUnits   float64 `json:"young-limit"`
+	Shards           int     `json:"slots-total"`
+	UsageMeterPeriod float64 `json:"metering"`
+	ReportsPeerUsage bool    `json:"says-others"`
 }
 
 // deployments reads every variant.
 func deployments(t *testing.T) []deployment {
 	t.Helper()
-	paths, err := filepath.Glob(filepath.Join(sitesFolder, "*", "config.json"))
-	if err != nil || len(paths) < sitesLeast {
-		t.Fatalf("%d variants in %s, %v", len(paths), sitesFolder, err)
+	paths, err := filepath.Glob(filepath.Join(deploymentsDir, "*", "config.json"))
+	if err != nil || len(paths) < minDeployments {
+		t.Fatalf("%d variants in %s, %v", len(paths), deploymentsDir, err)
 	}
 	var all []deployment
 	for _, path := range paths {
@@ -119,11 +119,11 @@
 
 func readDeployment(t *testing.T, name string, text []byte) deployment {
 	t.Helper()
-	conf, err := Parse(text, none)
+	conf, err := Parse(text, noEnv)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	var file struct{ Settings toldSettings }
+	var file struct{ Settings platformSettings }
 	if err := json.Unmarshal(text, &file); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -132,7 +132,7 @@
 
 func (d deployment) siteFile(t *testing.T) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(sitesFolder, d.name, d.name+".toml"))
+	text, err := os.ReadFile(filepath.Join(deploymentsDir, d.name, d.name+".toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,23 +154,23 @@
 }
 
 // Every figure of a variant's settings that decides something arrives where it belongs.
-func TestDeploymentSettingsArriveWhereTheyBelong(t *testing.T) {
+func TestDeploymentSettings(t *testing.T) {
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
 		want, told := policy.Settings{
-			Instance: s.told.Me, Schedulers: s.told.Hosts, Zone: s.told.MyZone, PollsEndpointList: s.told.Mode == "ask",
-			MeanUnits: s.told.Extra.Usual, MaxUnits: s.told.Extra.Largest, Shards: s.told.Extra.Shards,
-			SlowStartUnits: s.told.Extra.Young, UsageMeterPeriod: s.told.Extra.Meter, ReportsPeerUsage: s.told.Extra.SaysOther,
-			MaxAttempts: s.told.Ceilings.Attempts, MayHedge: s.told.Ceilings.SecondCopies,
-			MayCancel: s.told.Ceilings.Cancel, MayCheckHealth: s.told.Ceilings.Probes, MayGossip: s.told.Ceilings.Peers,
-			SendsRetryAfter: s.told.Ceilings.RetryAfter, MaxRetryAfter: s.told.Ceilings.RetryMost,
-			DrainGrace: s.told.Rules.Grace, PollWithin: s.told.Rules.AskWithin,
-			SlowStartShare: s.told.Rules.ColdFrom, SlowStartDuration: s.told.Rules.Cold,
-			OverloadMultiple: s.told.Rules.TipMultiple, OverloadWindow: s.told.Rules.TipSpan,
-			RetryBudgetShare: s.told.Rules.Ratio, RetryBudgetMin: s.told.Rules.Floor, RetryBudgetWindow: s.told.Rules.Counted,
-		}, s.told
+			Instance: s.platform.Instance, Schedulers: s.platform.Schedulers, Zone: s.platform.Zone, PollsEndpointList: s.platform.Mode == "ask",
+			MeanUnits: s.platform.Extra.MeanUnits, MaxUnits: s.platform.Extra.MaxUnits, Shards: s.platform.Extra.Shards,
+			SlowStartUnits: s.platform.Extra.SlowStartUnits, UsageMeterPeriod: s.platform.Extra.UsageMeterPeriod, ReportsPeerUsage: s.platform.Extra.ReportsPeerUsage,
+			MaxAttempts: s.platform.Ceilings.Attempts, MayHedge: s.platform.Ceilings.MayHedge,
+			MayCancel: s.platform.Ceilings.MayCancel, MayCheckHealth: s.platform.Ceilings.MayCheckHealth, MayGossip: s.platform.Ceilings.MayGossip,
+			SendsRetryAfter: s.platform.Ceilings.RetryAfter, MaxRetryAfter: s.platform.Ceilings.MaxRetryAfter,
+			DrainGrace: s.platform.Rules.DrainGrace, PollWithin: s.platform.Rules.PollWithin,
+			SlowStartShare: s.platform.Rules.SlowStartShare, SlowStartDuration: s.platform.Rules.SlowStartDuration,
+			OverloadMultiple: s.platform.Rules.OverloadMultiple, OverloadWindow: s.platform.Rules.OverloadWindow,
+			RetryBudgetShare: s.platform.Rules.RetryBudgetShare, RetryBudgetMin: s.platform.Rules.RetryBudgetMin, RetryBudgetWindow: s.platform.Rules.RetryBudgetWindow,
+		}, s.platform
 		for _, c := range told.Profiles {
-			want.Classes = append(want.Classes, wantedClass(t, c))
+			want.Classes = append(want.Classes, expectedClass(t, c))
 		}
 		for _, p := range told.Contracts {
 			want.Plans = append(want.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, ReservedRate: p.Reserve,
@@ -186,31 +186,31 @@
 	}
 }
 
-func wantedClass(t *testing.T, c toldClass) policy.Class {
-	want := policy.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LatePriorityWeight: c.LateWorth, DedupWindow: c.Window}
-	switch c.Repeat {
+func expectedClass(t *testing.T, c platformClass) policy.Class {
+	want := policy.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight, LatePriorityWeight: c.LatePriorityWeight, DedupWindow: c.DedupWindow}
+	switch c.Effect {
 	case "safe":
 	case "unsafe":
 		want.Effect = policy.NonIdempotent
 	case "keyed":
 		want.Effect = policy.IdempotentByKey
-		switch c.Scope {
+		switch c.DedupScope {
 		case "all":
 		case "zone":
 			want.DedupScope = policy.DedupZone
 		case "cell":
 			want.DedupScope = policy.DedupShard
 		default:
-			t.Fatalf("class %s: key-scope %q", c.Name, c.Scope)
+			t.Fatalf("class %s: key-scope %q", c.Name, c.DedupScope)
 		}
 	default:
-		t.Fatalf("class %s: repeat %q", c.Name, c.Repeat)
+		t.Fatalf("class %s: repeat %q", c.Name, c.Effect)
 	}
 	return want
 }
 
-// keysOfNoDecision are the keys that nothing is decided by, each with the reason.
-var keysOfNoDecision = map[string]string{
+// ignoredKeys are the keys that nothing is decided by, each with the reason.
+var ignoredKeys = map[string]string{
 	"ceilings.cpu-us-per-request": "what the program may use is measured, not told to it",
 	"ceilings.cpu-us-per-s":       "as above; limits.cores sets the runtime",
 	"ceilings.streams-per-conn":   "HTTP/1.1 has one request at a time on a connection",
@@ -245,7 +245,7 @@
 
 // A key of the settings is read, or stands among those that decide nothing: each figure, word and flag is
 // changed in turn, and either what is read changes with it or the key is one of those.
-func TestDeploymentKeysAreReadOrOfNoDecision(t *testing.T) {
+func TestDeploymentKeysAreReadOrIgnored(t *testing.T) {
 	read, unread := map[string]bool{}, map[string]bool{}
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
@@ -260,7 +260,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			is, err := Parse(text, none)
+			is, err := Parse(text, noEnv)
 			if err != nil {
 				t.Fatalf("%s: %s changed: %v", s.name, key, err)
 			}
@@ -273,11 +273,11 @@
 		})
 	}
 	for _, key := range slices.Sorted(maps.Keys(unread)) {
-		if !read[key] && keysOfNoDecision[key] == "" {
+		if !read[key] && ignoredKeys[key] == "" {
 			t.Errorf("%s: not read", key)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(keysOfNoDecision)) {
+	for _, key := range slices.Sorted(maps.Keys(ignoredKeys)) {
 		if read[key] {
 			t.Errorf("%s: read, though it is said to decide nothing", key)
 		} else if !unread[key] {
@@ -289,8 +289,8 @@
 	}
 }
 
-// otherWord is a word that a key of words may have instead.
-var otherWord = map[string]string{"safe": "unsafe", "keyed": "safe", "unsafe": "safe", "push": "ask", "ask": "push",
+// alternativeWords is a word that a key of words may have instead.
+var alternativeWords = map[string]string{"safe": "unsafe", "keyed": "safe", "unsafe": "safe", "push": "ask", "ask": "push",
 	"all": "zone", "zone": "cell", "cell": "all"}
 
 // changeEach changes every value in turn, tells its key and puts it back. Entries of a list share a key.
@@ -305,7 +305,7 @@
 		case bool:
 			set(!was)
 		case string:
-			if other := otherWord[was]; other != "" {
+			if other := alternativeWords[was]; other != "" {
 				set(other)
 			} else {
 				set(was + "x")
@@ -333,7 +333,7 @@
 )
 
 // A variant's configuration is that of the site file beside it: its classes, effects and plans, in order.
-func TestDeploymentConfigurationIsOfItsSite(t *testing.T) {
+func TestDeploymentConfigMatchesSiteFile(t *testing.T) {
 	counts := map[string]bool{}
 	for _, s := range deployments(t) {
 		text := s.siteFile(t)
@@ -344,10 +344,10 @@
 			return found
 		}
 		var classes, effects, plans []string
-		for _, c := range s.told.Profiles {
-			classes, effects = append(classes, c.Name), append(effects, c.Repeat)
+		for _, c := range s.platform.Profiles {
+			classes, effects = append(classes, c.Name), append(effects, c.Effect)
 		}
-		for _, p := range s.told.Contracts {
+		for _, p := range s.platform.Contracts {
 			plans = append(plans, p.Name)
 		}
 		for _, x := range [][2][]string{{classes, all(siteClassName)}, {effects, all(siteEffect)}, {plans, all(sitePlanName)}} {
@@ -357,7 +357,7 @@
 		}
 		counts[fmt.Sprint(len(classes), " classes, ", len(plans), " plans")] = true
 	}
-	if counts["3 classes, 3 plans"] || len(counts) < sitesLeast {
+	if counts["3 classes, 3 plans"] || len(counts) < minDeployments {
 		t.Errorf("the variants are to differ from the first site and from each other: %v", counts)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -17,17 +17,17 @@
 }
 
 func (e *KeyError) Error() string {
-	says := e.Problem
+	problem := e.Problem
 	switch {
-	case says != "":
+	case problem != "":
 	case e.Err != nil && e.Value != "":
-		says = e.Value + ": " + e.Err.Error()
+		problem = e.Value + ": " + e.Err.Error()
 	case e.Err != nil:
-		says = e.Err.Error()
+		problem = e.Err.Error()
 	default:
-		says = e.Value + " is not " + e.Expected
+		problem = e.Value + " is not " + e.Expected
 	}
-	return e.File + ": " + e.Key + ": " + says
+	return e.File + ": " + e.Key + ": " + problem
 }
 
 // Unwrap gives what was found on reading the value.
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -34,10 +34,10 @@
 )
 
 func siteGather(r *reader) (*SiteGather, error) {
-	num := func(key string, fallback float64) float64 { return r.num("gather."+key, fallback, 0) }
-	g := &SiteGather{MergeTimeShare: num("share", 0.1), MaxConcurrentParts: int(num("at_once", 16)), MaxRetries: int(num("again", 1)),
-		SilenceTimeout: time.Duration(num("silent_ms", 0) * float64(time.Millisecond)), MaxPartBytes: int(num("part_bytes_most", 8<<20)),
-		MaxParts: int(num("parts_most", 64)), MaxConcurrentReads: int(num("reads_at_once", 4)), PartUnits: num("part_units", 0)}
+	number := func(key string, fallback float64) float64 { return r.number("gather."+key, fallback, 0) }
+	g := &SiteGather{MergeTimeShare: number("share", 0.1), MaxConcurrentParts: int(number("at_once", 16)), MaxRetries: int(number("again", 1)),
+		SilenceTimeout: time.Duration(number("silent_ms", 0) * float64(time.Millisecond)), MaxPartBytes: int(number("part_bytes_most", 8<<20)),
+		MaxParts: int(number("parts_most", 64)), MaxConcurrentReads: int(number("reads_at_once", 4)), PartUnits: number("part_units", 0)}
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -53,11 +53,11 @@
 		key, g.fromFile = "gather.rules_file", true
 	}
 	if g.Rules, err = gather.ParseClasses(text); err != nil {
-		var bad *gather.RulesBad
-		if !errors.As(err, &bad) {
+		var rulesError *gather.RulesBad
+		if !errors.As(err, &rulesError) {
 			return nil, &KeyError{File: "site", Key: key, Err: err}
 		}
-		return nil, &KeyError{File: "site", Key: key + "." + bad.Key, Problem: bad.Why, Err: bad}
+		return nil, &KeyError{File: "site", Key: key + "." + rulesError.Key, Problem: rulesError.Why, Err: rulesError}
 	}
 	if file := r.text("gather.token_key_file", ""); file != "" {
 		hexed, err := os.ReadFile(file)
@@ -76,25 +76,25 @@
 
 // Check holds the section against the configuration: its classes, the largest request and the memory.
 func (g *SiteGather) Check(set policy.Settings, memoryMB int) error {
-	known := map[string]bool{}
+	classes := map[string]bool{}
 	for _, k := range set.Classes {
-		known[k.Name] = true
+		classes[k.Name] = true
 	}
 	at := "gather.rules."
 	if g.fromFile {
 		at = "gather.rules_file."
 	}
 	for name, r := range g.Rules {
-		if !known[name] {
+		if !classes[name] {
 			return &KeyError{File: "site", Key: at + "classes." + name, Problem: "the configuration has no such class"}
 		}
-		if why := g.Tree.fits(r, g.MaxParts); why != "" {
+		if why := g.Tree.memoryProblem(r, g.MaxParts); why != "" {
 			return &KeyError{File: "site", Key: at + "classes." + name + ".memory.bytes", Problem: why}
 		}
-		if most := memoryMB << 20 / gatherMemory; g.MaxConcurrentReads*(g.Tree.merges()*r.Memory.Bytes+g.MaxParts*partMemory) > most {
+		if maxBytes := memoryMB << 20 / gatherMemory; g.MaxConcurrentReads*(g.Tree.maxMerges()*r.Memory.Bytes+g.MaxParts*partMemory) > maxBytes {
 			return &KeyError{File: "site", Key: "gather.reads_at_once", Problem: fmt.Sprintf(
 				"%d reads of %d merges (tree.fan_out and one) of %d bytes (%sclasses.%s.memory.bytes) and %d parts of %d are over the %d bytes kept for them, a quarter of limits.memory_mb",
-				g.MaxConcurrentReads, g.Tree.merges(), r.Memory.Bytes, at, name, g.MaxParts, partMemory, most)}
+				g.MaxConcurrentReads, g.Tree.maxMerges(), r.Memory.Bytes, at, name, g.MaxParts, partMemory, maxBytes)}
 		}
 	}
 	if set.MaxUnits > 0 && g.PartUnits > set.MaxUnits {
--- a/internal/config/gather_tree.go
+++ b/internal/config/gather_tree.go
@@ -28,13 +28,15 @@
 		}
 		return nil, nil
 	}
-	num := func(key string, fallback, least float64) float64 { return r.num("gather.tree."+key, fallback, least) }
-	span := func(key string, fallback float64) time.Duration {
-		return time.Duration(num(key, fallback, 1) * float64(time.Millisecond))
+	number := func(key string, fallback, least float64) float64 {
+		return r.number("gather.tree."+key, fallback, least)
 	}
-	t := &SiteTree{MinParts: int(num("least_parts", 8, 4)), MaxGroupParts: int(num("group_parts_most", 16, 2)), FanOut: int(num("fan_out", 3, 1)),
-		MaxPeerAttempts: int(num("copies", 1, 1)), SilenceTimeout: span("silent_ms", 100), Backoff: span("rest_ms", 1000), MaxBackoff: span("rest_most_ms", 30000),
-		MaxConnsPerPeer: int(num("connections", 8, 1)), MaxGroupBytes: int64(num("group_bytes_most", 64<<20, 1024))}
+	duration := func(key string, fallback float64) time.Duration {
+		return time.Duration(number(key, fallback, 1) * float64(time.Millisecond))
+	}
+	t := &SiteTree{MinParts: int(number("least_parts", 8, 4)), MaxGroupParts: int(number("group_parts_most", 16, 2)), FanOut: int(number("fan_out", 3, 1)),
+		MaxPeerAttempts: int(number("copies", 1, 1)), SilenceTimeout: duration("silent_ms", 100), Backoff: duration("rest_ms", 1000), MaxBackoff: duration("rest_most_ms", 30000),
+		MaxConnsPerPeer: int(number("connections", 8, 1)), MaxGroupBytes: int64(number("group_bytes_most", 64<<20, 1024))}
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -45,7 +47,7 @@
 	for i, e := range peers {
 		p := GatherPeer{e.Get("name").Str, e.Get("address").Str}
 		key := fmt.Sprintf("gather.peers.%d", i)
-		if err := endpoint("address", p.Address); err != nil {
+		if err := checkEndpoint("address", p.Address); err != nil {
 			return nil, &KeyError{File: "site", Key: key + ".address", Value: p.Address, Expected: "IP:port", Err: err}
 		}
 		if seen[p.Name] {
@@ -57,18 +59,18 @@
 	return t, nil
 }
 
-// merges is how many merges one read may hold: its own and, where its peers fail, one of each group.
-func (t *SiteTree) merges() int {
+// maxMerges is how many merges one read may hold: its own and, where its peers fail, one of each group.
+func (t *SiteTree) maxMerges() int {
 	if t == nil {
 		return 1
 	}
 	return 1 + t.FanOut
 }
 
-// fits says what is wrong with a class's memory: where all peers rest, one merge has all parts of a read.
-func (t *SiteTree) fits(r *gather.Rules, parts int) (why string) {
-	if least := 2 * r.Records.MaxBytes * (parts + 1); t != nil && r.Memory.Bytes < least {
-		why = fmt.Sprintf("is under %d, what %d parts (parts_most) need where no peer takes any: two records (records.max_bytes) each", least, parts)
+// memoryProblem says what is wrong with a class's memory: where all peers rest, one merge has all parts of a read.
+func (t *SiteTree) memoryProblem(r *gather.Rules, parts int) (why string) {
+	if minimum := 2 * r.Records.MaxBytes * (parts + 1); t != nil && r.Memory.Bytes < minimum {
+		why = fmt.Sprintf("is under %d, what %d parts (parts_most) need where no peer takes any: two records (records.max_bytes) each", minimum, parts)
 	}
 	return why
 }
--- a/internal/config/gather_tree_test.go
+++ b/internal/config/gather_tree_test.go
@@ -13,7 +13,7 @@
 	const rules = `"rules":{"classes":{"c":{"order":[{"key":"k","type":"integer"}],"memory":{"bytes":1048576},"records":{"max_bytes":4096}}}}`
 	read := func(more string) (*Site, error) { return ParseSite([]byte(`{"gather":{` + rules + more + `}}`)) }
 	s, err := read("")
-	if err != nil || s.Gather.Tree != nil || s.Gather.Tree.merges() != 1 {
+	if err != nil || s.Gather.Tree != nil || s.Gather.Tree.maxMerges() != 1 {
 		t.Fatal(err)
 	}
 	s, err = read(`,"peers":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","address":"[::1]:2"}],"tree":{"silent_ms":70,"rest_ms":5,"fan_out":2}`)
@@ -22,7 +22,7 @@
 	}
 	x := s.Gather.Tree
 	if x.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || x.SilenceTimeout != 70*time.Millisecond || x.Backoff != 5*time.Millisecond || x.MaxBackoff != 30*time.Second ||
-		x.MinParts != 8 || x.MaxGroupParts != 16 || x.MaxPeerAttempts != 1 || x.MaxConnsPerPeer != 8 || x.MaxGroupBytes != 64<<20 || x.merges() != 3 {
+		x.MinParts != 8 || x.MaxGroupParts != 16 || x.MaxPeerAttempts != 1 || x.MaxConnsPerPeer != 8 || x.MaxGroupBytes != 64<<20 || x.maxMerges() != 3 {
 		t.Errorf("%+v", x)
 	}
 	set := policy.Settings{Classes: []policy.Class{{Name: "c"}}}
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -82,11 +82,11 @@
 
 // RFC 7143, section 4.2.7.1; 223 bytes are a whole name, the scheduler's own comes after.
 var (
-	iqn    = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
-	vendor = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
+	initiatorPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
+	vendorPattern    = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
 )
 
-var storageStates = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
+var nodeStatesByWord = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
 
 // ParseISCSI reads and checks the second front's configuration.
 func ParseISCSI(text []byte, set policy.Settings) (*ISCSI, error) {
@@ -94,21 +94,21 @@
 		return nil, &JSONError{File: "iscsi"}
 	}
 	r := &reader{root: gjson.ParseBytes(text), prefix: "iscsi."}
-	c := &ISCSI{Listen: r.text("listen", "127.0.0.1:3260"), QueueDepth: int(r.whole("queue_depth", 32, 1, 1024)),
-		Sessions: int(r.whole("sessions", 32, 1, 256)), MaxTransfer: uint32(r.whole("max_transfer", 64<<10, 512, 1<<20)),
-		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.num("login_timeout_ms", 5000, 1),
+	c := &ISCSI{Listen: r.text("listen", "127.0.0.1:3260"), QueueDepth: int(r.integer("queue_depth", 32, 1, 1024)),
+		Sessions: int(r.integer("sessions", 32, 1, 256)), MaxTransfer: uint32(r.integer("max_transfer", 64<<10, 512, 1<<20)),
+		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.number("login_timeout_ms", 5000, 1),
 		Initiator: r.text("initiator", defaultInitiator), Vendor: r.text("vendor", defaultVendor)}
-	if !iqn.MatchString(c.Initiator) {
-		r.not("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
+	if !initiatorPattern.MatchString(c.Initiator) {
+		r.failValue("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
 	}
-	if !vendor.MatchString(c.Vendor) {
-		r.not("vendor", strconv.Quote(c.Vendor), "1 to 8 printable ASCII characters")
+	if !vendorPattern.MatchString(c.Vendor) {
+		r.failValue("vendor", strconv.Quote(c.Vendor), "1 to 8 printable ASCII characters")
 	}
 	r.address("listen", c.Listen)
 	shards, names := map[int]bool{}, map[string]bool{}
 	r.each("storage", func(s *reader) {
 		t := StorageTarget{Name: s.text("name", ""), Addresses: s.portals(), Target: s.text("target", ""),
-			Shard: int(s.whole("group", -1, 0, 1e6)), State: word(s, "status", "active", storageStates)}
+			Shard: int(s.integer("group", -1, 0, 1e6)), State: enum(s, "status", "active", nodeStatesByWord)}
 		s.unique("name", t.Name, names)
 		if t.Target == "" {
 			s.fail(KeyError{Key: "target", Expected: "the storage target's iSCSI name", Problem: "missing"})
@@ -122,7 +122,7 @@
 		s.unique("name", t.Name, targets)
 		luns := map[string]bool{}
 		s.each("luns", func(u *reader) {
-			x := u.unit(set, c.MaxTransfer)
+			x := u.logicalUnit(set, c.MaxTransfer)
 			x.Vendor = c.Vendor
 			u.unique("lun", fmt.Sprint(x.LUN), luns)
 			if !shards[x.Shard] {
@@ -135,30 +135,30 @@
 	return c, r.err
 }
 
-func (r *reader) unit(set policy.Settings, most uint32) Unit {
-	u := Unit{LUN: uint16(r.whole("lun", -1, 0, 16383)), StorageLUN: uint16(r.whole("storage_lun", 0, 0, 16383)),
-		Shard: int(r.whole("group", -1, 0, 1e6)), Schedulers: int(r.whole("hosts", float64(set.Schedulers), 1, 1e6)),
-		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.whole("block_size", 512, 512, 4096)),
-		MaxTransfer: most, Blocks: uint64(r.whole("blocks", -1, 1, 1e12)), UnitBytes: r.num("unit_bytes", 8192, 512),
+func (r *reader) logicalUnit(set policy.Settings, maxTransfer uint32) Unit {
+	u := Unit{LUN: uint16(r.integer("lun", -1, 0, 16383)), StorageLUN: uint16(r.integer("storage_lun", 0, 0, 16383)),
+		Shard: int(r.integer("group", -1, 0, 1e6)), Schedulers: int(r.integer("hosts", float64(set.Schedulers), 1, 1e6)),
+		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.integer("block_size", 512, 512, 4096)),
+		MaxTransfer: maxTransfer, Blocks: uint64(r.integer("blocks", -1, 1, 1e12)), UnitBytes: r.number("unit_bytes", 8192, 512),
 		ReadOnly: r.flag("read_only")}
 	if len(u.Volume) != 16 {
-		r.not("volume", strconv.Quote(u.Volume), "16 hex digits")
+		r.failValue("volume", strconv.Quote(u.Volume), "16 hex digits")
 	}
-	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > most {
+	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > maxTransfer {
 		r.fail(KeyError{Key: "block_size", Value: fmt.Sprint(u.BlockSize), Expected: "a power of two up to max_transfer",
 			Problem: fmt.Sprintf("%d is no power of two up to max_transfer", u.BlockSize)})
 	}
-	known := false
+	planFound := false
 	for _, p := range set.Plans {
-		known = known || p.Name == u.Plan
+		planFound = planFound || p.Name == u.Plan
 	}
-	if !known {
+	if !planFound {
 		r.fail(KeyError{Key: "plan", Value: u.Plan, Expected: "a plan of the settings", Problem: fmt.Sprintf("the settings have no plan %q", u.Plan)})
 	}
 	covered := map[bool]bool{}
 	r.each("rules", func(s *reader) {
-		rule := Rule{Write: word(s, "command", "", map[string]bool{"read": false, "write": true}),
-			MaxBytes: s.num("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
+		rule := Rule{Write: enum(s, "command", "", map[string]bool{"read": false, "write": true}),
+			MaxBytes: s.number("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
 		fallback := 0.0
 		for _, c := range set.Classes {
 			if c.Name == rule.Class {
@@ -168,8 +168,8 @@
 		if fallback == 0 {
 			s.fail(KeyError{Key: "class", Value: rule.Class, Expected: "a class of the settings", Problem: fmt.Sprintf("the settings have no class %q", rule.Class)})
 		}
-		rule.Deadline = s.num("deadline_ms", fallback, 50)
-		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(most)
+		rule.Deadline = s.number("deadline_ms", fallback, 50)
+		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(maxTransfer)
 		u.Rules = append(u.Rules, rule)
 	})
 	if !covered[false] || !covered[true] && !u.ReadOnly {
@@ -178,18 +178,18 @@
 	return u
 }
 
-func (r *reader) whole(key string, fallback, least, most float64) float64 {
-	v := r.num(key, fallback, least)
-	if v != math.Trunc(v) || v < least || v > most {
-		want := fmt.Sprintf("a whole number from %v to %v", least, most)
-		r.fail(KeyError{Key: key, Value: short(r.root.Get(key).Raw), Expected: want, Problem: "missing, or not " + want})
+func (r *reader) integer(key string, fallback, minimum, maximum float64) float64 {
+	v := r.number(key, fallback, minimum)
+	if v != math.Trunc(v) || v < minimum || v > maximum {
+		expected := fmt.Sprintf("a whole number from %v to %v", minimum, maximum)
+		r.fail(KeyError{Key: key, Value: truncate(r.root.Get(key).Raw), Expected: expected, Problem: "missing, or not " + expected})
 	}
 	return v
 }
 
 func (r *reader) address(key, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		r.not(key, strconv.Quote(value), hostPort)
+		r.failValue(key, strconv.Quote(value), hostPort)
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 	for i, x := range more.Array() {
 		if x.Type != gjson.String {
-			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: short(x.Raw), Expected: "text", Problem: "not text"})
+			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: truncate(x.Raw), Expected: "text", Problem: "not text"})
 		}
 		texts = append(texts, x.Str)
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -14,32 +14,32 @@
 	if len(earlier.raw) == 0 || len(later.raw) == 0 {
 		return nil
 	}
-	return missing("settings", gjson.GetBytes(earlier.raw, "settings"), gjson.GetBytes(later.raw, "settings"))
+	return findMissing("settings", gjson.GetBytes(earlier.raw, "settings"), gjson.GetBytes(later.raw, "settings"))
 }
 
-func missing(path string, was, is gjson.Result) error {
+func findMissing(path string, earlier, later gjson.Result) error {
 	switch {
-	case was.IsObject():
-		if !is.IsObject() {
+	case earlier.IsObject():
+		if !later.IsObject() {
 			return &MissingKeyError{path, "missing or not an object"}
 		}
 		var err error
-		was.ForEach(func(k, v gjson.Result) bool {
-			got := is.Get(gjson.Escape(k.String()))
+		earlier.ForEach(func(k, v gjson.Result) bool {
+			got := later.Get(gjson.Escape(k.String()))
 			if !got.Exists() {
 				err = &MissingKeyError{path + "." + k.String(), "missing; the configuration before had it"}
 				return false
 			}
-			err = missing(path+"."+k.String(), v, got)
+			err = findMissing(path+"."+k.String(), v, got)
 			return err == nil
 		})
 		return err
-	case was.IsArray():
-		if !is.IsArray() {
+	case earlier.IsArray():
+		if !later.IsArray() {
 			return &MissingKeyError{path, "missing or not a list"}
 		}
-		common := commonKeys(was.Array())
-		for i, e := range is.Array() {
+		common := commonKeys(earlier.Array())
+		for i, e := range later.Array() {
 			for _, k := range common {
 				if !e.Get(gjson.Escape(k)).Exists() {
 					return &MissingKeyError{fmt.Sprintf("%s.%d.%s", path, i, k), "missing; every entry before had it"}
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -8,7 +8,7 @@
 // A file read at SIGHUP that lacks a key of the one before is broken; classes that vanish or
 // appear, and keys that are added, are not.
 func TestMissing(t *testing.T) {
-	start, err := Parse([]byte(good), none)
+	start, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,11 +21,11 @@
 		{`"worth":3.0}`, `"worth":3.0},{"name":"extra","goal-time":250.0,"deadline":1500.0,"repeat":"safe","key-scope":"all","worth":3.0,"more":1}`, ""},
 		{`"me":1,`, `"me":1,"added":true,`, ""},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
+		text := strings.Replace(validConfig, c.from, c.to, 1)
+		if text == validConfig {
 			t.Fatalf("%q is not in the configuration", c.from)
 		}
-		later, err := Parse([]byte(text), none)
+		later, err := Parse([]byte(text), noEnv)
 		if err != nil {
 			t.Fatalf("%s: %v", c.to, err)
 		}
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -23,36 +23,36 @@
 
 func sitePeers(r *reader) (*SitePeers, error) {
 	def := nodestats.Defaults()
-	num := func(key string, fallback float64) float64 { return r.num("peers."+key, fallback, 0) }
-	span := func(key string, fallback time.Duration) time.Duration {
-		return time.Duration(num(key, float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
+	number := func(key string, fallback float64) float64 { return r.number("peers."+key, fallback, 0) }
+	duration := func(key string, fallback time.Duration) time.Duration {
+		return time.Duration(number(key, float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
 	}
 	p := &SitePeers{Listen: r.text("peers.listen", ""), Advertise: r.text("peers.advertise", ""), Via: map[string]string{},
-		Interval: span("every_ms", 500*time.Millisecond), Burst: int(num("burst", 64)), KeyFile: r.text("peers.key_file", "")}
-	p.State = nodestats.Settings{MaxOrigins: int(num("origins", float64(def.MaxOrigins))), MaxNodes: int(num("nodes", float64(def.MaxNodes))),
-		MaxClasses: int(num("classes", float64(def.MaxClasses))), MaxMessageBytes: def.MaxMessageBytes, HalfLife: span("half_life_ms", def.HalfLife),
-		ExpireAfter: span("expire_ms", def.ExpireAfter), ClipFactor: num("clip", def.ClipFactor)}
+		Interval: duration("every_ms", 500*time.Millisecond), Burst: int(number("burst", 64)), KeyFile: r.text("peers.key_file", "")}
+	p.State = nodestats.Settings{MaxOrigins: int(number("origins", float64(def.MaxOrigins))), MaxNodes: int(number("nodes", float64(def.MaxNodes))),
+		MaxClasses: int(number("classes", float64(def.MaxClasses))), MaxMessageBytes: def.MaxMessageBytes, HalfLife: duration("half_life_ms", def.HalfLife),
+		ExpireAfter: duration("expire_ms", def.ExpireAfter), ClipFactor: number("clip", def.ClipFactor)}
 	if r.err != nil {
 		return nil, r.err
 	}
 	for key, text := range map[string]string{"listen": p.Listen, "advertise": p.Advertise} {
 		if text != "" {
-			if err := endpoint(key, text); err != nil {
+			if err := checkEndpoint(key, text); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i, e := range r.root.Get("peers.seeds").Array() {
-		if err := endpoint(fmt.Sprintf("seeds.%d", i), e.Str); err != nil {
+		if err := checkEndpoint(fmt.Sprintf("seeds.%d", i), e.Str); err != nil {
 			return nil, err
 		}
 		p.Seeds = append(p.Seeds, e.Str)
 	}
 	for to, way := range r.root.Get("peers.via").Map() {
-		if err := endpoint("via", to); err != nil {
+		if err := checkEndpoint("via", to); err != nil {
 			return nil, err
 		}
-		if err := endpoint("via", way.Str); err != nil {
+		if err := checkEndpoint("via", way.Str); err != nil {
 			return nil, err
 		}
 		p.Via[to] = way.Str
@@ -67,7 +67,7 @@
 	return p, p.State.Check()
 }
 
-func endpoint(key, text string) error {
+func checkEndpoint(key, text string) error {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		return fmt.Errorf("%s: %q is not IP:port", key, text)
 	}
@@ -86,7 +86,7 @@
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		if err := endpoint(fmt.Sprintf("seeds_file: %s:%d", file, i+1), line); err != nil {
+		if err := checkEndpoint(fmt.Sprintf("seeds_file: %s:%d", file, i+1), line); err != nil {
 			return nil, err
 		}
 		seeds = append(seeds, line)
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -64,10 +64,10 @@
 	d := cost.Defaults()
 	types, err := nodeTypes(r)
 	return &SiteEstimate{Types: types,
-		MaxBytes: int(r.num("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.num("estimate.at_once", 1, 1)),
-		Prices: cost.Prices{Work: r.num("estimate.price_work", d.Prices.Work, 0), End: r.num("estimate.price_end", d.Prices.End, 0),
-			Late: r.num("estimate.price_late", d.Prices.Late, 0)},
-		MinStandardErrors: r.num("estimate.doubt", d.Doubt, 0),
+		MaxBytes: int(r.number("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.number("estimate.at_once", 1, 1)),
+		Prices: cost.Prices{Work: r.number("estimate.price_work", d.Prices.Work, 0), End: r.number("estimate.price_end", d.Prices.End, 0),
+			Late: r.number("estimate.price_late", d.Prices.Late, 0)},
+		MinStandardErrors: r.number("estimate.doubt", d.Doubt, 0),
 	}, err
 }
 
@@ -143,8 +143,8 @@
 	}
 	if v := r.root.Get("start"); v.Exists() {
 		s.Start = &SiteStart{Enabled: !v.Get("on").Exists() || v.Get("on").Bool(), Snapshot: r.text("start.snapshot", ""),
-			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.num("start.list_calls_per_second", 40, 0),
-			PreconnectNodes: int(r.num("start.connections_ahead", 8, 0))}
+			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.number("start.list_calls_per_second", 40, 0),
+			PreconnectNodes: int(r.number("start.connections_ahead", 8, 0))}
 	}
 	seen := map[address.Addr]string{}
 	if e := r.root.Get("metrics"); e.Exists() {
@@ -168,26 +168,26 @@
 
 // siteListener reads one listener; seen holds the addresses of those before it.
 func siteListener(key string, e gjson.Result, seen map[address.Addr]string) (l Listener, err error) {
-	bad := func(e KeyError) (Listener, error) {
+	fail := func(e KeyError) (Listener, error) {
 		e.File, e.Key = "site", key+e.Key
 		return l, &e
 	}
 	l.Mode = socketMode
 	text := e.Get("address").Str
 	if l.Address, err = address.ParseListen(text); err != nil {
-		return bad(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
+		return fail(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
 	}
 	if first, twice := seen[l.Address]; twice {
-		return bad(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
+		return fail(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
 	}
 	seen[l.Address] = key
 	if m := e.Get("mode"); m.Exists() {
 		if l.Address.Path() == "" {
-			return bad(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
+			return fail(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
 		}
 		n, err := strconv.ParseUint(m.Str, 8, 12)
 		if err != nil {
-			return bad(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Expected: "octal"})
+			return fail(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Expected: "octal"})
 		}
 		l.Mode = fs.FileMode(n)
 	}
@@ -199,8 +199,8 @@
 
 func siteAddresses(r *reader) (*SiteAddresses, error) {
 	s := address.Defaults()
-	span := func(key string, to *time.Duration) {
-		*to = time.Duration(r.num("addresses."+key, float64(*to)/float64(time.Millisecond), 0) * float64(time.Millisecond))
+	duration := func(key string, to *time.Duration) {
+		*to = time.Duration(r.number("addresses."+key, float64(*to)/float64(time.Millisecond), 0) * float64(time.Millisecond))
 	}
 	if p := r.root.Get("addresses.preference"); p.Exists() {
 		s.Preference = nil
@@ -219,20 +219,20 @@
 		"trial_gap_ms": &s.TrialInterval, "trial_patience_ms": &s.TrialPatience, "return_span_ms": &s.MinReturnDelay,
 		"return_most_ms": &s.MaxReturnDelay, "wrong_span_ms": &s.RejectionWindow,
 	} {
-		span(key, to)
+		duration(key, to)
 	}
-	s.Jitter, s.SuspectLatencyFactor = r.num("addresses.jitter", s.Jitter, 0), r.num("addresses.suspect_times", s.SuspectLatencyFactor, 1)
-	s.MinReturnConns = int(r.num("addresses.return_after", float64(s.MinReturnConns), 1))
-	s.MaxRejections = int(r.num("addresses.wrong_after", float64(s.MaxRejections), 1))
-	s.ConnectRate = r.num("addresses.connects_per_second", s.ConnectRate, 0)
-	s.ConnectBurst = int(r.num("addresses.connects_at_once", float64(s.ConnectBurst), 1))
+	s.Jitter, s.SuspectLatencyFactor = r.number("addresses.jitter", s.Jitter, 0), r.number("addresses.suspect_times", s.SuspectLatencyFactor, 1)
+	s.MinReturnConns = int(r.number("addresses.return_after", float64(s.MinReturnConns), 1))
+	s.MaxRejections = int(r.number("addresses.wrong_after", float64(s.MaxRejections), 1))
+	s.ConnectRate = r.number("addresses.connects_per_second", s.ConnectRate, 0)
+	s.ConnectBurst = int(r.number("addresses.connects_at_once", float64(s.ConnectBurst), 1))
 	if r.err != nil {
 		return nil, r.err
 	}
 	a := &SiteAddresses{Book: s, Identity: r.text("addresses.identity_header", "")}
-	var bad *address.SettingError
-	if errors.As(s.Check(), &bad) {
-		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Problem: bad.Problem, Err: bad}
+	var settingError *address.SettingError
+	if errors.As(s.Check(), &settingError) {
+		return nil, &KeyError{File: "site", Key: "addresses." + settingError.Key, Problem: settingError.Problem, Err: settingError}
 	}
 	return a, nil
 }
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -63,7 +63,7 @@
 }
 
 // The defaults that the schema tells are those that hold, and the example is good.
-func TestSiteSchemaTellsTheDefaults(t *testing.T) {
+func TestSiteSchemaHasDefaults(t *testing.T) {
 	keys := gjson.GetBytes(SiteSchema, "properties.addresses.properties").Map()
 	text := `{"addresses":{`
 	for k, v := range keys {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// typeMost is how many bytes a hardware type's name may have: more are not told to other processes.
-const typeMost = 64
+// maxTypeBytes is how many bytes a hardware type's name may have: more are not told to other processes.
+const maxTypeBytes = 64
 
 // NodeTypes says which hardware a node is, by its name or a pattern of names.
 type NodeTypes struct {
@@ -38,13 +38,13 @@
 
 func nodeTypes(r *reader) (NodeTypes, error) {
 	t := NodeTypes{names: map[string]string{}}
-	var bad error
+	var err error
 	r.root.Get("estimate.types").ForEach(func(k, v gjson.Result) bool {
 		key := KeyError{File: "site", Key: "estimate.types." + k.Str}
 		switch _, err := path.Match(k.Str, ""); {
 		case err != nil:
 			key.Value, key.Expected = strconv.Quote(k.Str), `a node's name or a pattern with *, ? and [a-z]`
-		case len(v.Str) > typeMost || !utf8.ValidString(v.Str):
+		case len(v.Str) > maxTypeBytes || !utf8.ValidString(v.Str):
 			key.Value, key.Expected = strconv.Quote(v.Str), "a name of at most 64 bytes of UTF-8"
 		case !strings.ContainsAny(k.Str, `*?[\`):
 			t.names[k.Str] = v.Str
@@ -53,11 +53,11 @@
 			t.patterns = append(t.patterns, typePattern{k.Str, v.Str})
 			return true
 		}
-		bad = &key
+		err = &key
 		return false
 	})
 	slices.SortFunc(t.patterns, func(a, b typePattern) int {
 		return cmp.Or(cmp.Compare(len(b.pattern), len(a.pattern)), cmp.Compare(a.pattern, b.pattern))
 	})
-	return t, bad
+	return t, err
 }
