--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Each message names the key at fault.
+// Each error names its key.
 func TestErrorsNameKey(t *testing.T) {
 	for _, x := range [][3]string{
 		{`"127.0.0.1:8443"`, `"here"`, "listen"}, {`"127.0.0.1:8500"`, `7`, "discovery"}, {`"8c1f30d27a5be964"`, `"zz"`, "seed"},
@@ -64,7 +64,7 @@
 	}
 }
 
-// The file that is shipped is good, and faults in it are named.
+// The shipped file is valid, and errors in it are named.
 func TestISCSI(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
@@ -113,7 +113,7 @@
 	})
 }
 
-// At a reload the file's discovery counts, not the start's; without one the start's stands.
+// A reload takes the file's address of discovery, and that of the start if the file has none.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	env := func(k string) string {
--- a/internal/config/deployments_simulation_test.go
+++ b/internal/config/deployments_simulation_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	simSeed           = 7     // of the module, and of what is drawn
-	simStartMs        = 1e6   // ms: the module's time at the start
-	bucketFillMs      = 120e3 // ms after the first request: every store of a limit is full
-	timeToleranceMs   = 1e-6  // ms: what floating point adds to a time
-	usualLatencyMs    = 20.0  // ms: a node's usual answer
-	maxRetryDelayMs   = 500.0 // ms: after which what may be sent again has been, and no node is silent yet
-	unitsOverLimit    = 5     // units asked of a volume over what its limit holds
-	reviewIntervalMs  = 10.0  // ms: waiting requests are reviewed so often
+	simSeed           = 7     // of the module and of the random draws
+	simStartMs        = 1e6   // the module's time at the start
+	bucketFillMs      = 120e3 // time after which every token bucket is full
+	timeToleranceMs   = 1e-6  // rounding of floating-point times
+	usualLatencyMs    = 20.0  // a node's usual latency
+	maxRetryDelayMs   = 500.0 // time in which retries are dispatched, before any node counts as silent
+	unitsOverLimit    = 5     // units requested beyond a volume's limit
+	reviewIntervalMs  = 10.0  // interval of the reviews of waiting requests
 	reviewToleranceMs = 2 * reviewIntervalMs
 )
 
-// simulation drives the module made from a variant's settings in virtual time, and holds each of its actions
-// against the settings as told. It is the clients, the nodes and the list.
+// simulation runs the module with a deployment's settings in virtual time and checks each of its actions against the
+// settings. It stands for the clients, the nodes and the list.
 type simulation struct {
 	t          *testing.T
 	deployment deployment
@@ -36,17 +36,17 @@
 	requests   map[string]*simRequest
 	order      []*simRequest
 	nodes      map[string]policy.Node
-	drainedAt  map[string]float64 // when a node was last told to drain
-	arrivals   []float64          // requests taken
-	retries    []float64          // further attempts
+	drainedAt  map[string]float64 // when a node began to drain
+	arrivals   []float64          // times of arrivals
+	retries    []float64          // times of retries
 	buckets    map[string]*tokenBucket
 	actions    []policy.Action // of the last step
-	// onDispatch says how an attempt ends; nil: the test ends it itself.
+	// onDispatch is called at each dispatch; nil: the test ends the attempts itself.
 	onDispatch func(r *simRequest, attempt int)
 	coverage   coverage
 }
 
-// coverage counts what a test has to have reached.
+// coverage counts the situations that a test must reach.
 type coverage struct {
 	retried, rejectedUncertain, failedUncertain, pastWindow map[string]int // by class
 	hedges                                                  int
@@ -65,7 +65,7 @@
 	attempts   []*simAttempt
 	final      string // "", served, refused, failed, gone
 	finalAt    float64
-	retryAfter float64 // told with a refusal
+	retryAfter float64 // Retry-After of a rejection
 }
 
 type simAttempt struct {
@@ -104,7 +104,7 @@
 	return x
 }
 
-// newSimulation starts the module with one node for each of some shards, in all zones in turn.
+// newSimulation starts the module with one node for each shard, in alternating zones.
 func newSimulation(t *testing.T, s deployment, shards int) *simulation {
 	t.Helper()
 	module, err := policy.New(s.conf.Settings, simSeed)
@@ -122,13 +122,13 @@
 	}
 	p.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: list})
 	if asks := slices.ContainsFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); asks != (s.platform.Mode == "ask") {
-		t.Errorf("%s: the list is %sed, and asked for: %v", s.name, s.platform.Mode, asks)
+		t.Errorf("%s: mode %s, and the list is requested: %v", s.name, s.platform.Mode, asks)
 	}
 	p.step(policy.Event{Kind: policy.ListReceived, Nodes: list})
 	return p
 }
 
-// fillBuckets lets the stores of limits fill: at a start they count as empty.
+// fillBuckets lets the token buckets fill, which are empty at the start.
 func (p *simulation) fillBuckets() *simulation {
 	r := p.submit(p.deployment.platform.Profiles[0], p.deployment.platform.Contracts[len(p.deployment.platform.Contracts)-1], 0, 0)
 	p.endAttempt(r, 0, policy.OK)
@@ -141,7 +141,7 @@
 	heap.Push(&p.due, simEvent{p.now + wait, p.seq, do})
 }
 
-// run goes on to a time.
+// run runs the events up to a time.
 func (p *simulation) run(until float64) {
 	for len(p.due) > 0 && p.due[0].at <= until {
 		d := heap.Pop(&p.due).(simEvent)
@@ -151,7 +151,7 @@
 	p.now = max(p.now, until)
 }
 
-// step gives the module events and judges what it does.
+// step gives the module events and checks its actions.
 func (p *simulation) step(events ...policy.Event) {
 	p.t.Helper()
 	p.actions = p.module.Step(p.now, events, nil)
@@ -165,7 +165,7 @@
 	p.t.Errorf("%s at %.0f ms: %s", p.deployment.name, p.now-simStartMs, fmt.Sprintf(form, args...))
 }
 
-// submit brings a request; with no time left told, the class's deadline is its client's. Each is of a volume of its own.
+// submit submits a request for a volume of its own; without a timeout it has the class's deadline.
 func (p *simulation) submit(c platformClass, plan platformPlan, shard int, timeout float64) *simRequest {
 	p.t.Helper()
 	return p.submitOf(fmt.Sprint("volume-", len(p.order)), 1, c, plan, shard, timeout)
@@ -188,7 +188,7 @@
 	return r
 }
 
-// timeOut is the client's last moment: what is out ends, as the network code has it.
+// timeOut ends the outstanding attempts at the client's deadline, like the network code.
 func (p *simulation) timeOut(r *simRequest) {
 	for i, x := range r.attempts {
 		if x.open {
@@ -197,7 +197,7 @@
 	}
 }
 
-// overdue is when a request must have its final answer.
+// overdue checks that a request has its final answer.
 func (p *simulation) overdue(r *simRequest) {
 	p.t.Helper()
 	if r.final == "" {
@@ -206,7 +206,7 @@
 	}
 }
 
-// endAttempt tells the module how an attempt ended.
+// endAttempt reports the end of an attempt to the module.
 func (p *simulation) endAttempt(r *simRequest, attempt int, status policy.Status) {
 	p.t.Helper()
 	x := r.attempts[attempt]
@@ -221,7 +221,7 @@
 		Finished: r.final != ""})
 }
 
-// check holds one action against the settings.
+// check checks one action against the settings.
 func (p *simulation) check(a policy.Action) {
 	p.t.Helper()
 	r := p.requests[a.ID]
@@ -231,15 +231,15 @@
 	case policy.Send:
 		p.checkDispatch(r, a)
 	case policy.Reject:
-		p.checkFinal(r, "refused")
+		p.checkFinal(r, "rejected")
 		r.retryAfter = a.Wait
 		if most := p.deployment.platform.Ceilings.MaxRetryAfter; a.Wait > most || a.Wait > 0 && !p.deployment.platform.Ceilings.RetryAfter {
-			p.fail("%s is told to come back after %.0f ms", r.id, a.Wait)
+			p.fail("%s has Retry-After %.0f ms", r.id, a.Wait)
 		}
 		if doubt, _ := r.firstUncertain(); doubt {
 			p.coverage.rejectedUncertain[r.class.Name]++
 			if r.class.Effect == "unsafe" || r.class.Effect == "keyed" && r.class.DedupScope != "all" {
-				p.fail("%s (%s) is refused, and may have run", r.id, r.class.Name)
+				p.fail("%s (%s) is rejected, and may have been executed", r.id, r.class.Name)
 			}
 		}
 	case policy.Fail:
@@ -249,16 +249,16 @@
 		}
 	case policy.Cancel:
 		if !p.deployment.platform.Ceilings.MayCancel {
-			p.fail("%s is called off", r.id)
+			p.fail("%s is cancelled", r.id)
 		}
 		p.schedule(0, func() { p.endAttempt(r, a.Attempt, policy.Cancelled) })
 	case policy.CheckHealth:
 		if !p.deployment.platform.Ceilings.MayCheckHealth {
-			p.fail("%s is probed", a.Node)
+			p.fail("%s: unexpected health check", a.Node)
 		}
 	case policy.Gossip:
 		if !p.deployment.platform.Ceilings.MayGossip {
-			p.fail("peers are told")
+			p.fail("unexpected gossip")
 		}
 	}
 }
@@ -269,12 +269,12 @@
 		p.fail("%s is %s, and was %s", r.id, final, r.final)
 	}
 	if p.now > r.deadline+p.deployment.platform.Rules.AnswerSlack {
-		p.fail("%s is %s %.0f ms after its client left", r.id, final, p.now-r.deadline)
+		p.fail("%s is %s %.0f ms after its deadline", r.id, final, p.now-r.deadline)
 	}
 	r.final, r.finalAt = final, p.now
 }
 
-// firstUncertain says whether an attempt of the request may have run, and when the first of these was sent.
+// firstUncertain returns the first attempt that may have been executed; false: there is none.
 func (r *simRequest) firstUncertain() (bool, *simAttempt) {
 	for _, x := range r.attempts {
 		if x.mayHaveExecuted() {
@@ -296,22 +296,22 @@
 		}
 	}
 	if r.final != "" {
-		p.fail("%s is sent, and was %s", r.id, r.final)
+		p.fail("%s is dispatched, and was %s", r.id, r.final)
 	}
 	if len(r.attempts) >= told.Ceilings.Attempts {
-		p.fail("%s is sent %d times, %d may", r.id, len(r.attempts)+1, told.Ceilings.Attempts)
+		p.fail("%s: %d attempts, limit %d", r.id, len(r.attempts)+1, told.Ceilings.Attempts)
 	}
 	if open > 1 || open == 1 && !told.Ceilings.MayHedge {
-		p.fail("%s is sent beside %d attempts that are out", r.id, open)
+		p.fail("%s is dispatched beside %d outstanding attempts", r.id, open)
 	}
 	if a.Deadline > r.deadline+timeToleranceMs {
-		p.fail("%s is sent for %.0f ms, its client has %.0f left", r.id, a.Deadline-p.now, r.deadline-p.now)
+		p.fail("%s is dispatched for %.0f ms, its client has %.0f left", r.id, a.Deadline-p.now, r.deadline-p.now)
 	}
 	if r.shard >= 0 && n.Shard != r.shard {
 		p.fail("%s of shard %d goes to %s", r.id, r.shard, a.Node)
 	}
 	if since, draining := p.drainedAt[a.Node]; draining && p.now > since+told.Rules.DrainGrace {
-		p.fail("%s goes to %s %.0f ms after it was told to drain", r.id, a.Node, p.now-since)
+		p.fail("%s goes to %s %.0f ms after its drain began", r.id, a.Node, p.now-since)
 	}
 	if doubt {
 		p.checkRetry(r, a, first)
@@ -331,28 +331,28 @@
 	}
 }
 
-// checkRetry: an attempt after one that may have run goes by the class's effect.
+// checkRetry checks an attempt after one that may have been executed against the class's effect.
 func (p *simulation) checkRetry(r *simRequest, a policy.Action, first *simAttempt) {
 	p.t.Helper()
 	switch r.class.Effect {
 	case "unsafe":
-		p.fail("%s (%s) is sent again, and may have run", r.id, r.class.Name)
+		p.fail("%s (%s) is retried, and may have been executed", r.id, r.class.Name)
 	case "keyed":
 		from, to := p.nodes[first.node], p.nodes[a.Node]
 		if r.class.DedupScope == "cell" && from.Shard != to.Shard || r.class.DedupScope == "zone" && from.Zone != to.Zone {
-			p.fail("%s (%s) is sent again outside its %s", r.id, r.class.Name, r.class.DedupScope)
+			p.fail("%s (%s) is retried outside its %s", r.id, r.class.Name, r.class.DedupScope)
 		}
 		ends := first.sentAt + r.class.DedupWindow
 		if p.now > ends+timeToleranceMs {
-			p.fail("%s (%s) is sent again %.0f ms after its window", r.id, r.class.Name, p.now-ends)
+			p.fail("%s (%s) is retried %.0f ms after its window", r.id, r.class.Name, p.now-ends)
 		}
 		if a.StartBy == 0 || a.StartBy > ends+timeToleranceMs {
-			p.fail("%s (%s) is sent again and may begin until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.StartBy-simStartMs, ends-simStartMs)
+			p.fail("%s (%s) is retried and may start until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.StartBy-simStartMs, ends-simStartMs)
 		}
 	}
 }
 
-// checkLimit: a volume's first attempts draw on this host's part of a store that was full at first.
+// checkLimit checks a volume's first attempts against this scheduler's share of a token bucket that was full at first.
 func (p *simulation) checkLimit(r *simRequest) {
 	p.t.Helper()
 	if r.plan.Cap == 0 {
@@ -366,11 +366,11 @@
 	}
 	s.level, s.at = min(s.level+r.plan.Cap*part*(p.now-s.at)/1000, r.plan.Burst*part), p.now
 	if s.level -= r.units; s.level < -timeToleranceMs {
-		p.fail("%s (%s) is sent %.2f units over its volume's limit", r.id, r.plan.Name, -s.level)
+		p.fail("%s (%s) is dispatched %.2f units over its volume's limit", r.id, r.plan.Name, -s.level)
 	}
 }
 
-// checkBudget: further attempts stay within a part of the requests taken.
+// checkBudget checks that retries stay within the budget.
 func (p *simulation) checkBudget(r *simRequest) {
 	p.t.Helper()
 	rules := p.deployment.platform.Rules
@@ -389,11 +389,11 @@
 	sent := within(p.retries, func(age float64) bool { return age <= rules.RetryBudgetWindow })
 	taken := within(p.arrivals, func(age float64) bool { return age < rules.RetryBudgetWindow })
 	if sent > rules.RetryBudgetMin+rules.RetryBudgetShare*taken {
-		p.fail("%s is a further attempt, the %.0fth of %.0f requests", r.id, sent, taken)
+		p.fail("%s is retry %.0f of %.0f requests", r.id, sent, taken)
 	}
 }
 
-// eachClassAndPlan runs a test for each class and plan of each variant.
+// eachClassAndPlan runs a test for each class and plan of each deployment.
 func eachClassAndPlan(t *testing.T, run func(t *testing.T, s deployment, c platformClass, plan platformPlan)) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
@@ -404,7 +404,7 @@
 	}
 }
 
-// A request of each class and plan goes out at once, for as long as its client waits, and an answer ends it.
+// A request of each class and plan is dispatched at once, with its client's deadline, and a response ends it.
 func TestDeploymentRequestsAreServed(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		for _, left := range []float64{c.Deadline, c.Deadline / 2} {
@@ -424,7 +424,7 @@
 	})
 }
 
-// Names of another deployment mean nothing here: a request of an unknown class or plan is refused.
+// A request with a class or plan of another deployment is rejected.
 func TestDeploymentRejectsUnknownNames(t *testing.T) {
 	all := deployments(t)
 	for i, s := range all {
@@ -434,7 +434,7 @@
 			class platformClass
 			plan  platformPlan
 			final string
-		}{{own.Profiles[0], own.Contracts[1], ""}, {other.Profiles[0], own.Contracts[1], "refused"}, {own.Profiles[0], other.Contracts[1], "refused"}} {
+		}{{own.Profiles[0], own.Contracts[1], ""}, {other.Profiles[0], own.Contracts[1], "rejected"}, {own.Profiles[0], other.Contracts[1], "rejected"}} {
 			p := newSimulation(t, s, 2)
 			if r := p.submit(x.class, x.plan, 0, 0); r.final != x.final {
 				t.Errorf("%s: %s, %s: %q, want %q", s.name, x.class.Name, x.plan.Name, r.final, x.final)
@@ -443,8 +443,8 @@
 	}
 }
 
-// What follows an attempt goes by the class's effect: one that may have run is sent again where the class may be
-// repeated, and else ends as failed; one that never ran is sent again in any class.
+// An attempt that may have been executed is retried if the class's effect permits it, and otherwise the request fails. One
+// that was never executed is retried in any class.
 func TestDeploymentEffects(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		for _, status := range []policy.Status{policy.Errored, policy.ConnectionReset, policy.NodeFull, policy.ConnectFailed} {
@@ -455,30 +455,30 @@
 			p.run(p.now + min(c.LatencyObjective/2, maxRetryDelayMs))
 			proved := status == policy.NodeFull || status == policy.ConnectFailed
 			if again := proved || c.Effect != "unsafe"; again != (len(r.attempts) == 2) {
-				t.Fatalf("status %v: sent %d times, then %q", status, len(r.attempts), r.final)
+				t.Fatalf("status %v: %d attempts, then %q", status, len(r.attempts), r.final)
 			}
 			if c.Effect == "unsafe" && !proved && r.final != "failed" {
 				t.Errorf("status %v: %q", status, r.final)
 			}
 			if c.Effect == "keyed" && len(r.attempts) == 2 {
-				want := 0.0 // it never ran: no window is open
+				want := 0.0 // it was never executed: no window is open
 				if !proved {
 					want = r.attempts[0].sentAt + c.DedupWindow
 				}
 				if r.attempts[1].startBy != want {
-					t.Errorf("status %v: may begin until %v, want %v", status, r.attempts[1].startBy, want)
+					t.Errorf("status %v: StartBy %v, want %v", status, r.attempts[1].startBy, want)
 				}
 			}
 			p.run(r.deadline + 1)
 			if len(r.attempts) > s.platform.Ceilings.Attempts {
-				t.Errorf("sent %d times", len(r.attempts))
+				t.Errorf("%d attempts", len(r.attempts))
 			}
 		}
 	})
 }
 
-// A request is sent as often as the settings allow, and no more: those of classes that may be repeated freely after
-// errors, others after proof that they never ran, between which a node gets longer and longer rests.
+// A request has as many attempts as the settings permit: idempotent ones after errors, others after proof that they were
+// not executed, between which the node's backoff grows.
 func TestDeploymentMaxAttempts(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
@@ -492,16 +492,15 @@
 			}
 			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
 			p.run(r.deadline + 1)
-			if len(r.attempts) < least || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "refused" {
+			if len(r.attempts) < least || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "rejected" {
 				t.Errorf("%s, %s: %q after %d attempts of %d", s.name, c.Name, r.final, len(r.attempts), s.platform.Ceilings.Attempts)
 			}
 		}
 	}
 }
 
-// Where further attempts have a budget, a burst of errors spends all of it and no more; elsewhere each request has
-// the attempts that the settings allow. The days on sockets leave budgets out of their settings, so they are taken
-// from the site file, as the simulator's settings have them.
+// With a retry budget, a burst of errors spends exactly the budget; without one each request has the attempts that the
+// settings permit. Configurations have no budgets, so they are taken from the site file.
 func TestDeploymentBudgets(t *testing.T) {
 	const burst = 40
 	budgets := 0
@@ -521,27 +520,27 @@
 		want := burst * (s.platform.Ceilings.Attempts - 1)
 		if rules.RetryBudgetWindow > 0 {
 			budgets++
-			want = int(rules.RetryBudgetMin + rules.RetryBudgetShare*burst) // all within one count: checkBudget holds each
+			want = int(rules.RetryBudgetMin + rules.RetryBudgetShare*burst) // all within one window
 		}
 		if c.Effect != "safe" || burst*10 > rules.RetryBudgetWindow && rules.RetryBudgetWindow > 0 || further != want {
-			t.Errorf("%s, %s: %d further attempts, want %d", s.name, c.Name, further, want)
+			t.Errorf("%s, %s: %d retries, want %d", s.name, c.Name, further, want)
 		}
 	}
 	if budgets == 0 {
-		t.Error("no variant has a budget")
+		t.Error("no deployment has a budget")
 	}
 }
 
-// A keyed request that waits for its node's window goes again up to the end of the class's window, and not past
-// it, though its client has time. Its first attempt lasts beyond its aim, as what waits at the aim is ended then:
-// answers have been slow, so that nothing is called off yet, and the errors of requests that are not sent again
-// show that the node is not silent, and make room.
+// A request that is idempotent by key and waits for capacity is retried up to the end of its deduplication window, and
+// not past it, although its client has time. Its first attempt lasts beyond the latency objective, as requests that wait
+// at the objective are ended then. Responses before were slow, so that no attempt is cancelled yet, and the errors of
+// non-idempotent requests show that the node is not silent, and free capacity.
 func TestDeploymentDedupWindowsEnd(t *testing.T) {
 	const (
-		late  = 1.05 // of the aim: when the first attempt fails
-		slow  = 0.6  // of the aim: the answers before, of which twice the time is given to an attempt
-		faded = 8e3  // ms: after which slow answers tell little of a node
-		room  = 4    // attempts that a node gets at once at first
+		late  = 1.05 // of the objective: when the first attempt fails
+		slow  = 0.6  // of the objective: latency before; an attempt gets twice that
+		faded = 8e3  // ms after which slow responses have little weight
+		room  = 4    // concurrent attempts at a node at first
 	)
 	reached := 0
 	for _, s := range deployments(t) {
@@ -553,7 +552,7 @@
 				continue
 			}
 			for _, x := range []struct {
-				back float64 // when the node has room again, in windows
+				back float64 // when the node has capacity again, in windows
 				sent int
 			}{{0.95, 2}, {1.01, 1}} {
 				p := newSimulation(t, s, 2).fillBuckets()
@@ -574,12 +573,12 @@
 				p.endAttempt(r, 0, policy.Errored)
 				p.run(sent + x.back*c.DedupWindow)
 				if len(r.attempts) != 1 || r.final != "" || len(others[room-1].attempts) != 1 {
-					t.Fatalf("%s, %s: %d attempts, %q: it does not wait", s.name, c.Name, len(r.attempts), r.final)
+					t.Fatalf("%s, %s: %d attempts, %q: the request does not wait", s.name, c.Name, len(r.attempts), r.final)
 				}
 				p.endAttempt(others[0], 0, policy.Errored)
 				p.run(p.now + 5*reviewToleranceMs)
 				if len(r.attempts) != x.sent {
-					t.Errorf("%s, %s: sent %d times, want %d: the node had room at %.2f of the window", s.name, c.Name, len(r.attempts), x.sent, x.back)
+					t.Errorf("%s, %s: %d attempts, want %d: the node had capacity at %.2f of the window", s.name, c.Name, len(r.attempts), x.sent, x.back)
 				}
 				p.run(r.deadline + 1)
 				if x.sent == 1 && r.final != "failed" {
@@ -590,7 +589,7 @@
 		}
 	}
 	if reached == 0 {
-		t.Error("no variant has a class whose window ends between its aim and its deadline")
+		t.Error("no deployment has a class whose window ends between its objective and its deadline")
 	}
 }
 
@@ -607,7 +606,7 @@
 	p.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 }
 
-// A request whose shard nobody holds waits until its class's aim and is refused then, before its client leaves.
+// A request whose shard has no node waits until its latency objective and is rejected then, before its deadline.
 func TestDeploymentObjectivesAndDeadlines(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		nobody := s.platform.Extra.Shards - 1
@@ -616,32 +615,32 @@
 			r := p.submit(c, plan, nobody, left)
 			p.run(r.deadline + s.platform.Rules.AnswerSlack)
 			ends := min(c.LatencyObjective, left)
-			if took := r.finalAt - r.arrivedAt; r.final != "refused" || took > ends+reviewToleranceMs || took < ends-reviewToleranceMs {
-				t.Errorf("%q after %.0f ms; its aim is %.0f ms, its client leaves after %.0f", r.final, took, c.LatencyObjective, left)
+			if took := r.finalAt - r.arrivedAt; r.final != "rejected" || took > ends+reviewToleranceMs || took < ends-reviewToleranceMs {
+				t.Errorf("%q after %.0f ms; objective %.0f ms, deadline %.0f", r.final, took, c.LatencyObjective, left)
 			}
 		}
 	})
 }
 
-// What waits when its client leaves has its answer by then, however the reviews of what waits lie to that time.
+// A waiting request is answered by its deadline, at any phase of the reviews of waiting requests.
 func TestDeploymentAnswersBeforeDeadline(t *testing.T) {
-	const phases = 20 // in the time from one review to the next
+	const phases = 20 // in one review interval
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
 			for i := range phases {
 				p := newSimulation(t, s, 2).fillBuckets()
 				r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], s.platform.Extra.Shards-1, c.LatencyObjective/3+float64(i)*reviewIntervalMs/phases)
-				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal hold the answer against the settings
+				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the answer
 				if r.finalAt > r.deadline {
-					t.Errorf("%s, %s: %q %.1f ms after its client left", s.name, c.Name, r.final, r.finalAt-r.deadline)
+					t.Errorf("%s, %s: %q %.1f ms after its deadline", s.name, c.Name, r.final, r.finalAt-r.deadline)
 				}
 			}
 		}
 	}
 }
 
-// A volume of a limited plan gets this host's part of its store at once, and then its part of the rate; one of
-// another plan is not held.
+// A volume of a limited plan gets this scheduler's share of its burst at once, and then its share of the rate; one of
+// another plan is not limited.
 func TestDeploymentLimits(t *testing.T) {
 	limited := 0
 	for _, s := range deployments(t) {
@@ -665,21 +664,21 @@
 					want = int(plan.Burst / float64(hosts))
 				}
 				if sent := flood(); sent != want {
-					t.Errorf("%s, %s over %d hosts: %d of %d units sent at once, want %d", s.name, plan.Name, hosts, sent, asks, want)
+					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, hosts, sent, asks, want)
 				}
-				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit holds what waited against the rate
+				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting ones against the rate
 				if plan.Cap > 0 && p.buckets["flooded"] == nil {
-					t.Errorf("%s, %s: no store was drawn on", s.name, plan.Name)
+					t.Errorf("%s, %s: no token bucket was used", s.name, plan.Name)
 				}
 			}
 		}
 	}
 	if limited == 0 {
-		t.Error("no variant has a plan with a limit")
+		t.Error("no deployment has a plan with a limit")
 	}
 }
 
-// Of requests that wait alike, those of the dearer plan go first.
+// Of requests that wait alike, those of the plan with the higher price are dispatched first.
 func TestDeploymentPlansAreOrderedByPrice(t *testing.T) {
 	for _, s := range deployments(t) {
 		c := s.platform.Profiles[0]
@@ -698,17 +697,17 @@
 			}
 			price := p.requests[a.ID].plan.Price
 			if price > last {
-				t.Errorf("%s: a plan of price %v goes after one of %v", s.name, price, last)
+				t.Errorf("%s: a plan of price %v after one of %v", s.name, price, last)
 			}
 			last, sent = price, sent+1
 		}
 		if sent < 2 || waiting[0].plan.Price == waiting[1].plan.Price {
-			t.Errorf("%s: %d of %d sent at once", s.name, sent, len(waiting))
+			t.Errorf("%s: %d of %d dispatched at once", s.name, sent, len(waiting))
 		}
 	}
 }
 
-// Nothing new goes to a node that drains once the grace is over, and where the grace is short nothing at all.
+// Nothing is dispatched to a draining node after the grace, and nothing at all if the grace is short.
 func TestDeploymentDrains(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
@@ -716,7 +715,7 @@
 			p.setNodeState("node-1", policy.NodeDraining)
 			for range 50 {
 				p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 1, 0)
-				p.run(p.now + s.platform.Rules.DrainGrace/25) // checkDispatch holds each send against the grace
+				p.run(p.now + s.platform.Rules.DrainGrace/25) // checkDispatch checks each dispatch
 			}
 			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
 			if len(r.attempts) != 1 {
@@ -726,11 +725,11 @@
 	}
 }
 
-// A random day: all classes and plans, every outcome at any time, nodes that drain, vanish and come back. Each
-// action is held against the settings as told.
+// Random days with all classes and plans, every outcome at any time, and nodes that drain, vanish and return. Each action
+// is checked against the settings.
 func TestDeploymentRandomDays(t *testing.T) {
 	const days, arrivals = 4, 1500
-	gaps := []float64{40, 12} // ms between arrivals: an easy day, and one on which attempts are overtaken
+	gaps := []float64{40, 12} // mean ms between arrivals: a light day, and one on which requests time out
 	for _, s := range deployments(t) {
 		total := coverage{retried: map[string]int{}, rejectedUncertain: map[string]int{}, failedUncertain: map[string]int{}, pastWindow: map[string]int{}}
 		finals := map[string]int{}
@@ -767,17 +766,17 @@
 		t.Logf("%s: %v, %+v", s.name, finals, total)
 		for _, c := range s.platform.Profiles {
 			if total.retried[c.Name] == 0 {
-				t.Errorf("%s: no %s was sent again", s.name, c.Name)
+				t.Errorf("%s: no %s was retried", s.name, c.Name)
 			}
 			if c.Effect == "unsafe" && total.failedUncertain[c.Name] == 0 {
-				t.Errorf("%s: no %s ended in doubt", s.name, c.Name)
+				t.Errorf("%s: no %s failed after an attempt that may have been executed", s.name, c.Name)
 			}
 			if c.Effect == "keyed" && c.DedupWindow < c.Deadline && total.pastWindow[c.Name] == 0 {
 				t.Errorf("%s: no %s outlasted its window", s.name, c.Name)
 			}
 		}
 		if (total.hedges > 0) != s.platform.Ceilings.MayHedge {
-			t.Errorf("%s: %d copies", s.name, total.hedges)
+			t.Errorf("%s: %d hedges", s.name, total.hedges)
 		}
 		if finals["served"] < days*arrivals/3 {
 			t.Errorf("%s: %v", s.name, finals)
@@ -785,7 +784,7 @@
 	}
 }
 
-// drawEnd decides how and when an attempt ends: mostly soon and well; sometimes never, which ends with its client.
+// drawEnd draws how and when an attempt ends: mostly soon and successfully, sometimes at its deadline.
 func (p *simulation) drawEnd(rng *rand.Rand, r *simRequest, attempt int) {
 	wait := usualLatencyMs * (0.5 + rng.ExpFloat64())
 	status := policy.OK
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -17,10 +17,10 @@
 
 const (
 	deploymentsDir = "../../deploy/sites"
-	minDeployments = 2 // variants that the folder has
+	minDeployments = 2 // deployments in the directory
 )
 
-// deployment is one deployment of deploy/sites: what a scheduler there is told, read by config and, beside it, as
+// deployment is one deployment of deploy/sites: a scheduler's configuration, read by this package and, independently, as
 // plain JSON.
 type deployment struct {
 	name     string
@@ -29,7 +29,7 @@
 	platform platformSettings
 }
 
-// platformSettings are the settings in the platform's words, read without the package under test.
+// platformSettings are the settings in the platform's words, read without the code under test.
 type platformSettings struct {
 	Zones      []string         `json:"zones"`
 	Profiles   []platformClass  `json:"profiles"`
@@ -99,7 +99,7 @@
 	ReportsPeerUsage bool    `json:"says-others"`
 }
 
-// deployments reads every variant.
+// deployments reads every deployment.
 func deployments(t *testing.T) []deployment {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(deploymentsDir, "*", "config.json"))
@@ -141,7 +141,7 @@
 
 var siteBudget = regexp.MustCompile(`(?m)^budget_share = ([0-9.]+)\nbudget_free = ([0-9.]+)\nbudget_ms = ([0-9.]+)$`)
 
-// withBudget is the deployment with the budget of its site file, if that has one, in its settings.
+// withBudget returns the deployment with the retry budget of its site file, if there is one, in its settings.
 func (d deployment) withBudget(t *testing.T) deployment {
 	t.Helper()
 	m := siteBudget.FindSubmatch(d.siteFile(t))
@@ -153,7 +153,7 @@
 	return readDeployment(t, d.name, text)
 }
 
-// Every figure of a variant's settings that decides something arrives where it belongs.
+// Every key of a deployment's settings has its field.
 func TestDeploymentSettings(t *testing.T) {
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
@@ -209,42 +209,42 @@
 	return want
 }
 
-// ignoredKeys are the keys that nothing is decided by, each with the reason.
+// ignoredKeys are the keys that affect no decision, each with the reason.
 var ignoredKeys = map[string]string{
-	"ceilings.cpu-us-per-request": "what the program may use is measured, not told to it",
-	"ceilings.cpu-us-per-s":       "as above; limits.cores sets the runtime",
+	"ceilings.cpu-us-per-request": "the program's use is measured from outside",
+	"ceilings.cpu-us-per-s":       "as above; limits.cores configures the runtime",
 	"ceilings.streams-per-conn":   "HTTP/1.1 has one request at a time on a connection",
-	"clients.marks-retry":         "a mark counts where it is there",
-	"contracts.#.cap-slack":       "limits are kept without their slack",
-	"domain-type":                 "the program serves stores alone",
-	"extra.changes-data.#":        "the method tells a write",
-	"extra.spare-worth":           "the order of the bands holds for any worth",
+	"clients.marks-retry":         "a mark is honoured wherever it is present",
+	"contracts.#.cap-slack":       "limits are enforced without slack",
+	"domain-type":                 "the program serves only stores",
+	"extra.changes-data.#":        "the method identifies writes",
+	"extra.spare-worth":           "the order of the bands is the same for any weight",
 	"extra.within-share":          "as above",
-	"goal.whole":                  "how a day is judged",
-	"goal.worst-class":            "how a day is judged",
-	"goal.worst-tenant":           "how a day is judged",
-	"goal.worst-window":           "how a day is judged",
-	"kinds.#":                     "a node's kind decides nothing",
-	"prices.connection":           "connections are kept to what is used",
-	"prices.cross-zone":           "a shard is held by one node, whatever its zone",
-	"prices.late-fail":            "not weighed",
-	"prices.moves":                "nothing is moved",
+	"goal.whole":                  "scores a day",
+	"goal.worst-class":            "scores a day",
+	"goal.worst-tenant":           "scores a day",
+	"goal.worst-window":           "scores a day",
+	"kinds.#":                     "a node's kind affects no decision",
+	"prices.connection":           "connections are bounded by use",
+	"prices.cross-zone":           "a shard is on one node in one zone",
+	"prices.late-fail":            "not used",
+	"prices.moves":                "nothing migrates",
 	"prices.origin":               "there is no origin",
 	"prices.peer":                 "no messages to peers on the platform",
 	"prices.probe":                "no probes for load are sent",
-	"prices.waste":                "not weighed",
-	"report.how":                  "load reports decide nothing",
-	"report.names.#":              "load reports decide nothing",
-	"rules.answer-slack":          "answers are due before the client goes",
-	"tick":                        "the simulator's alone",
+	"prices.waste":                "not used",
+	"report.how":                  "load reports affect no decision",
+	"report.names.#":              "load reports affect no decision",
+	"rules.answer-slack":          "answers are due before the client's deadline",
+	"tick":                        "used only by the simulator",
 	"tier":                        "one tier",
 	"tiers.#":                     "one tier",
-	"weight-kind":                 "a node's weight decides nothing",
+	"weight-kind":                 "a node's weight affects no decision",
 	"zones.#":                     "zones are compared by the names that nodes have",
 }
 
-// A key of the settings is read, or stands among those that decide nothing: each figure, word and flag is
-// changed in turn, and either what is read changes with it or the key is one of those.
+// Each key of the settings is read or listed as ignored: each value is changed in turn, and either the result changes or
+// the key is listed.
 func TestDeploymentKeysAreReadOrIgnored(t *testing.T) {
 	read, unread := map[string]bool{}, map[string]bool{}
 	for _, s := range deployments(t) {
@@ -279,9 +279,9 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(ignoredKeys)) {
 		if read[key] {
-			t.Errorf("%s: read, though it is said to decide nothing", key)
+			t.Errorf("%s: read, although it is listed as ignored", key)
 		} else if !unread[key] {
-			t.Errorf("%s: no variant has it", key)
+			t.Errorf("%s: no deployment has it", key)
 		}
 	}
 	if len(read) < 40 {
@@ -289,11 +289,11 @@
 	}
 }
 
-// alternativeWords is a word that a key of words may have instead.
+// alternativeWords are other valid words for each word.
 var alternativeWords = map[string]string{"safe": "unsafe", "keyed": "safe", "unsafe": "safe", "push": "ask", "ask": "push",
 	"all": "zone", "zone": "cell", "cell": "all"}
 
-// changeEach changes every value in turn, tells its key and puts it back. Entries of a list share a key.
+// changeEach changes every value in turn, reports its key and restores it. Entries of a list share a key.
 func changeEach(v any, key string, changed func(key string)) {
 	at := func(value any, set func(any), key string) {
 		switch was := value.(type) {
@@ -332,7 +332,7 @@
 	siteEffect    = regexp.MustCompile(`(?m)^effect = "([^"]+)"`)
 )
 
-// A variant's configuration is that of the site file beside it: its classes, effects and plans, in order.
+// A deployment's configuration has the classes, effects and plans of its site file, in order.
 func TestDeploymentConfigMatchesSiteFile(t *testing.T) {
 	counts := map[string]bool{}
 	for _, s := range deployments(t) {
@@ -358,6 +358,6 @@
 		counts[fmt.Sprint(len(classes), " classes, ", len(plans), " plans")] = true
 	}
 	if counts["3 classes, 3 plans"] || len(counts) < minDeployments {
-		t.Errorf("the variants are to differ from the first site and from each other: %v", counts)
+		t.Errorf("the deployments must differ from the first site and from each other: %v", counts)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,16 +6,17 @@
 	"wheatsaddle/internal/operr"
 )
 
-// KeyError is a key of a file whose value is not right.
+// KeyError reports a key of a file whose value is invalid.
 type KeyError struct {
 	File     string // configuration, site, iscsi, or a kit's file
 	Key      string
-	Value    string // as it is written there; "": none
-	Expected string // what it must be
-	Problem  string // the fault as it is worded; "": Value is not Want
-	Err      error  // what was found on reading the value
+	Value    string // as written in the file; "": none
+	Expected string // what the value must be
+	Problem  string // text of the error; "": Value is not Expected
+	Err      error  // cause, if the value could not be parsed
 }
 
+// Error implements error.
 func (e *KeyError) Error() string {
 	problem := e.Problem
 	switch {
@@ -30,7 +31,7 @@
 	return e.File + ": " + e.Key + ": " + problem
 }
 
-// Unwrap gives what was found on reading the value.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -44,12 +45,13 @@
 	return fmt.Sprintf("Correct %s as the error says, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key)
 }
 
-// JSONError is a file that is no JSON.
+// JSONError reports a file that is not valid JSON.
 type JSONError struct {
 	File string
 	Err  error
 }
 
+// Error implements error.
 func (e *JSONError) Error() string {
 	if e.Err != nil {
 		return e.File + ": not valid JSON: " + e.Err.Error()
@@ -57,7 +59,7 @@
 	return e.File + ": not valid JSON"
 }
 
-// Unwrap gives the reader's word.
+// Unwrap returns the cause.
 func (e *JSONError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -68,15 +70,16 @@
 	return "The file is torn or was edited badly: write it again whole (to a file beside it, then rename), and run check-config."
 }
 
-// FileError is a file that cannot be read.
+// FileError reports a file that cannot be read.
 type FileError struct {
 	Source string // what names it: ROUTER_CONFIG, site, iscsi
 	Err    error
 }
 
+// Error implements error.
 func (e *FileError) Error() string { return e.Source + ": " + e.Err.Error() }
 
-// Unwrap gives the system's word.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -87,9 +90,10 @@
 	return "See that the path given by " + e.Source + " is right and that the program's user may read the file."
 }
 
-// UnsetError is a variable that must be set.
+// UnsetError reports an environment variable that must be set.
 type UnsetError struct{ Variable string }
 
+// Error implements error.
 func (e *UnsetError) Error() string { return e.Variable + " is not set" }
 
 // Code implements operr.Coded.
@@ -100,12 +104,13 @@
 	return "Set " + e.Variable + " to the path of the configuration, or name the file to check-config."
 }
 
-// MissingKeyError is a key that the configuration had when it was read before, and now lacks.
+// MissingKeyError reports a key that the configuration had when it was read before, and lacks now.
 type MissingKeyError struct {
 	Key     string
 	Problem string
 }
 
+// Error implements error.
 func (e *MissingKeyError) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
 
 // Code implements operr.Coded.
@@ -116,9 +121,10 @@
 	return "Put " + e.Key + " back and send SIGHUP; to do without it, restart. Nothing of the file was taken."
 }
 
-// RestartError names keys that have changed, and count from the next start on.
+// RestartError names keys whose new values take effect only after a restart.
 type RestartError struct{ Keys string }
 
+// Error implements error.
 func (e *RestartError) Error() string { return e.Keys + ": changed, and counts after a restart" }
 
 // Code implements operr.Coded.
@@ -129,9 +135,10 @@
 	return "Restart the process for the new value of " + e.Keys + ", or put the old one back; all else of the file counts now."
 }
 
-// SchemaError is a schema asked for that there is none of.
+// SchemaError reports a request for an unknown schema.
 type SchemaError struct{ Kind string }
 
+// Error implements error.
 func (e *SchemaError) Error() string { return fmt.Sprintf("of: %q is neither site nor plans", e.Kind) }
 
 // Code implements operr.Coded.
@@ -142,12 +149,13 @@
 	return "Ask with --of site for the site's file, or with --of plans for what the estimate takes."
 }
 
-// RejectedError is a set of settings that the decisions cannot work with, though each key was read.
+// RejectedError reports settings that the decision module rejects, although each key is valid.
 type RejectedError struct{ Err error }
 
+// Error implements error.
 func (e *RejectedError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the module's word.
+// Unwrap returns the cause.
 func (e *RejectedError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -158,7 +166,7 @@
 	return "Correct the settings that the error names and send SIGHUP, or start again; settings that ran before still count."
 }
 
-// Rejected is err as one of settings that were refused; nil stays nil.
+// Rejected wraps an error of the decision module in a RejectedError; nil stays nil.
 func Rejected(err error) error {
 	if err == nil {
 		return nil
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/policy"
 )
 
-// SiteGather is the section gather: reads that span shards, by class.
+// SiteGather is the section gather: scatter-gather reads, by class.
 type SiteGather struct {
 	Rules              map[string]*gather.Rules
 	MergeTimeShare     float64
@@ -22,17 +22,18 @@
 	MaxPartBytes       int
 	MaxParts           int
 	MaxConcurrentReads int
-	PartUnits          float64 // of a part; 0: the client's
+	PartUnits          float64 // units of a part; 0: the client's
 	TokenKey           []byte
-	Tree               *SiteTree // nil: parts are not handed on
+	Tree               *SiteTree // nil: parts are not delegated to peers
 	fromFile           bool
 }
 
 const (
-	gatherMemory = 4            // one part of the memory is for gathered reads
-	partMemory   = 2 * 96 << 10 // of a part: two copies of the longest piece and what is read next
+	gatherMemory = 4            // a quarter of the memory is for scatter-gather reads
+	partMemory   = 2 * 96 << 10 // bytes of a part: two copies of the longest piece and the next read
 )
 
+// siteGather reads the section gather.
 func siteGather(r *reader) (*SiteGather, error) {
 	number := func(key string, fallback float64) float64 { return r.number("gather."+key, fallback, 0) }
 	g := &SiteGather{MergeTimeShare: number("share", 0.1), MaxConcurrentParts: int(number("at_once", 16)), MaxRetries: int(number("again", 1)),
@@ -74,7 +75,7 @@
 	return g, nil
 }
 
-// Check holds the section against the configuration: its classes, the largest request and the memory.
+// Check checks the section against the configuration: its classes, the largest request and the memory.
 func (g *SiteGather) Check(set policy.Settings, memoryMB int) error {
 	classes := map[string]bool{}
 	for _, k := range set.Classes {
--- a/internal/config/gather_tree.go
+++ b/internal/config/gather_tree.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/gather"
 )
 
-// SiteTree is what the section gather says of peers: parts of a read are handed on to them.
+// SiteTree is the part of the section gather about peers, to which parts of a read are delegated.
 type SiteTree struct {
 	Peers                                            []GatherPeer
 	MinParts, MaxGroupParts, FanOut, MaxPeerAttempts int
@@ -16,10 +16,10 @@
 	MaxGroupBytes                                    int64
 }
 
-// GatherPeer is another process, at the address that its clients use.
+// GatherPeer is another scheduler, at the address that its clients use.
 type GatherPeer struct{ Name, Address string }
 
-// siteTree reads it; nil: nothing is handed on.
+// siteTree reads the part about peers; nil: nothing is delegated.
 func siteTree(r *reader) (*SiteTree, error) {
 	tree, peers := r.root.Get("gather.tree"), r.root.Get("gather.peers").Array()
 	if len(peers) == 0 {
@@ -59,7 +59,7 @@
 	return t, nil
 }
 
-// maxMerges is how many merges one read may hold: its own and, where its peers fail, one of each group.
+// maxMerges returns the maximum number of merges of one read: its own and, if its peers fail, one of each group.
 func (t *SiteTree) maxMerges() int {
 	if t == nil {
 		return 1
@@ -67,7 +67,8 @@
 	return 1 + t.FanOut
 }
 
-// memoryProblem says what is wrong with a class's memory: where all peers rest, one merge has all parts of a read.
+// memoryProblem returns what is wrong with a class's memory, "": nothing. While all peers back off, one merge has all parts of a
+// read.
 func (t *SiteTree) memoryProblem(r *gather.Rules, parts int) (why string) {
 	if minimum := 2 * r.Records.MaxBytes * (parts + 1); t != nil && r.Memory.Bytes < minimum {
 		why = fmt.Sprintf("is under %d, what %d parts (parts_most) need where no peer takes any: two records (records.max_bytes) each", minimum, parts)
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -16,34 +16,34 @@
 	"wheatsaddle/policy"
 )
 
-// ISCSI is the second front's file.
+// ISCSI is the file of the iSCSI front.
 type ISCSI struct {
 	Listen             string
-	Initiator          string // its iSCSI name, before the scheduler's own
+	Initiator          string // prefix of its iSCSI name; the scheduler's name follows
 	Vendor             string // T10 vendor of the logical units
 	QueueDepth         int    // commands in the window of a session
 	Sessions           int
 	MaxTransfer        uint32 // bytes of one command
-	DeduplicatesWrites bool   // the storage targets drop a repeat of a write by its key
+	DeduplicatesWrites bool   // the storage targets deduplicate writes by key
 	LoginTimeout       float64
 	Targets            []Target
 	Storage            []StorageTarget
 }
 
-// Target is one that clients log in to.
+// Target is an iSCSI target that clients log in to.
 type Target struct {
 	Name  string
 	Units []Unit
 }
 
-// Unit is a logical unit and how its commands map to requests.
+// Unit is a logical unit and the mapping of its commands to requests.
 type Unit struct {
 	LUN, StorageLUN        uint16
 	Shard, Schedulers      int
 	Volume, Plan           string
 	BlockSize, MaxTransfer uint32
 	Blocks                 uint64
-	UnitBytes              float64 // bytes that count as one unit
+	UnitBytes              float64 // bytes of one unit of work
 	ReadOnly               bool
 	Vendor                 string // T10 vendor, 8 characters at most
 	Rules                  []Rule
@@ -57,7 +57,7 @@
 	Deadline float64 // ms
 }
 
-// StorageTarget is one that holds data.
+// StorageTarget is an iSCSI target that holds data.
 type StorageTarget struct {
 	Name, Target string
 	Addresses    []address.Addr
@@ -65,7 +65,7 @@
 	State        policy.NodeState
 }
 
-// LoadISCSI reads the second front's file against the settings.
+// LoadISCSI reads the file of the iSCSI front and checks it against the settings.
 func LoadISCSI(path string, set policy.Settings) (*ISCSI, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,21 +74,23 @@
 	return ParseISCSI(text, set)
 }
 
-// The names that the front has where its file gives none: of a domain that nobody can own (RFC 2606).
+// The defaults of the front's names, under a reserved domain (RFC 2606).
 const (
 	defaultInitiator = "iqn.2026-12.example:wheatsaddle-"
 	defaultVendor    = "WHEATSDL"
 )
 
-// RFC 7143, section 4.2.7.1; 223 bytes are a whole name, the scheduler's own comes after.
+// initiatorPattern follows RFC 7143, section 4.2.7.1. A complete name has at most 223 bytes; the scheduler's name is
+// appended.
 var (
 	initiatorPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
-	vendorPattern    = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
+	vendorPattern    = regexp.MustCompile(`^[\x21-\x7e]([\x20-\x7e]{0,6}[\x21-\x7e])?$`)
 )
 
+// nodeStatesByWord are the states of a storage target by the words of the node list.
 var nodeStatesByWord = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
 
-// ParseISCSI reads and checks the second front's configuration.
+// ParseISCSI reads the text of the iSCSI front's file and checks it against the settings.
 func ParseISCSI(text []byte, set policy.Settings) (*ISCSI, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, &JSONError{File: "iscsi"}
@@ -135,6 +137,7 @@
 	return c, r.err
 }
 
+// logicalUnit reads an entry of luns.
 func (r *reader) logicalUnit(set policy.Settings, maxTransfer uint32) Unit {
 	u := Unit{LUN: uint16(r.integer("lun", -1, 0, 16383)), StorageLUN: uint16(r.integer("storage_lun", 0, 0, 16383)),
 		Shard: int(r.integer("group", -1, 0, 1e6)), Schedulers: int(r.integer("hosts", float64(set.Schedulers), 1, 1e6)),
@@ -155,6 +158,12 @@
 	if !planFound {
 		r.fail(KeyError{Key: "plan", Value: u.Plan, Expected: "a plan of the settings", Problem: fmt.Sprintf("the settings have no plan %q", u.Plan)})
 	}
+	r.rules(&u, set)
+	return u
+}
+
+// rules reads the rules of a unit. Reads, and writes unless it is read-only, need a rule for the longest command.
+func (r *reader) rules(u *Unit, set policy.Settings) {
 	covered := map[bool]bool{}
 	r.each("rules", func(s *reader) {
 		rule := Rule{Write: enum(s, "command", "", map[string]bool{"read": false, "write": true}),
@@ -169,32 +178,23 @@
 			s.fail(KeyError{Key: "class", Value: rule.Class, Expected: "a class of the settings", Problem: fmt.Sprintf("the settings have no class %q", rule.Class)})
 		}
 		rule.Deadline = s.number("deadline_ms", fallback, 50)
-		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(maxTransfer)
+		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(u.MaxTransfer)
 		u.Rules = append(u.Rules, rule)
 	})
 	if !covered[false] || !covered[true] && !u.ReadOnly {
 		r.fail(KeyError{Key: "rules", Problem: "reads and writes of up to max_transfer need a rule each"})
 	}
-	return u
-}
-
-func (r *reader) integer(key string, fallback, minimum, maximum float64) float64 {
-	v := r.number(key, fallback, minimum)
-	if v != math.Trunc(v) || v < minimum || v > maximum {
-		expected := fmt.Sprintf("a whole number from %v to %v", minimum, maximum)
-		r.fail(KeyError{Key: key, Value: truncate(r.root.Get(key).Raw), Expected: expected, Problem: "missing, or not " + expected})
-	}
-	return v
 }
 
+// address checks a host:port.
 func (r *reader) address(key, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		r.failValue(key, strconv.Quote(value), hostPort)
 	}
 }
 
-// portals reads "addresses" and "address" as an entry of the list has them; here, in a file that
-// somebody writes by hand, a bad one is an error.
+// portals reads "addresses" and "address" as in an entry of the node list. Here an invalid one is an
+// error, because the file is written by a person.
 func (r *reader) portals() []address.Addr {
 	var texts []string
 	more := r.root.Get("addresses")
@@ -224,10 +224,3 @@
 	}
 	return list
 }
-
-func (r *reader) unique(key, value string, seen map[string]bool) {
-	if value == "" || seen[value] {
-		r.fail(KeyError{Key: key, Value: value, Expected: "a name of its own", Problem: fmt.Sprintf("%q is empty or twice there", value)})
-	}
-	seen[value] = true
-}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -8,7 +8,7 @@
 )
 
 // Missing names a key of the settings that an earlier configuration had and a later one lacks:
-// a file read at SIGHUP that lacks one is broken, and nothing of it is taken. Within a list
+// a file read at SIGHUP that lacks one is truncated, and nothing of it is applied. Within a list
 // (profiles, contracts) each entry must have the keys that every entry of the earlier one had.
 func Missing(earlier, later *Config) error {
 	if len(earlier.raw) == 0 || len(later.raw) == 0 {
@@ -17,6 +17,7 @@
 	return findMissing("settings", gjson.GetBytes(earlier.raw, "settings"), gjson.GetBytes(later.raw, "settings"))
 }
 
+// findMissing compares the values at a path.
 func findMissing(path string, earlier, later gjson.Result) error {
 	switch {
 	case earlier.IsObject():
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// commonKeys are the keys that every object of a list has.
+// commonKeys returns the keys that every object of a list has.
 func commonKeys(list []gjson.Result) []string {
 	var keys []string
 	for i, e := range list {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// A file read at SIGHUP that lacks a key of the one before is broken; classes that vanish or
-// appear, and keys that are added, are not.
+// A file read at SIGHUP that lacks an earlier key is rejected; removed or added classes, and added keys, are accepted.
 func TestMissing(t *testing.T) {
 	start, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// SitePeers is the section peers.
+// SitePeers is the section peers: the gossip between schedulers.
 type SitePeers struct {
 	Listen, Advertise string
 	Seeds             []string
@@ -21,6 +21,7 @@
 	State             nodestats.Settings
 }
 
+// sitePeers reads the section peers.
 func sitePeers(r *reader) (*SitePeers, error) {
 	def := nodestats.Defaults()
 	number := func(key string, fallback float64) float64 { return r.number("peers."+key, fallback, 0) }
@@ -67,6 +68,7 @@
 	return p, p.State.Check()
 }
 
+// checkEndpoint checks an IP:port.
 func checkEndpoint(key, text string) error {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		return fmt.Errorf("%s: %q is not IP:port", key, text)
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// seedsFile reads addresses, one a line.
+// seedsFile reads addresses, one a line; # begins a comment.
 func seedsFile(file string) ([]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/config/peers_test.go
+++ b/internal/config/peers_test.go
@@ -54,8 +54,7 @@
 	}
 }
 
-// A node's type comes from its own name, else the longest pattern; a pattern that is none and a type that
-// cannot be told are errors with their key.
+// A node's type is that of its name, else of the longest pattern; invalid patterns and types are errors with their key.
 func TestNodeTypes(t *testing.T) {
 	s, err := ParseSite([]byte(`{"estimate":{"types":{"n-*":"disk","n-1[0-9]?":"flash","n-[0-9]*":"mixed","n-12":"tape","n.x":"odd"}}}`))
 	if err != nil {
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -25,34 +25,34 @@
 //go:embed site.schema.json
 var SiteSchema []byte
 
-// Site is what an installation has that the platform does not give. Without the file, and
-// without a section, the feature is off.
+// Site is the site's file: features that the platform's configuration does not cover. Without the file or a section its
+// feature is off.
 type Site struct {
 	Addresses *SiteAddresses
 	Estimate  *SiteEstimate
 	Gather    *SiteGather
 	Listen    map[string][]Listener // by front: http, iscsi
-	Metrics   *Listener             // where counts are served; nil: nowhere
+	Metrics   *Listener             // address of the metrics; nil: they are not served
 	Peers     *SitePeers
 	Start     *SiteStart
 }
 
-// SiteStart is the section start: how the process starts beside hundreds of others.
+// SiteStart is the section start: how the process starts together with a large fleet.
 type SiteStart struct {
 	Enabled            bool
-	Snapshot           string  // file of what was learned; empty: none is kept
-	ListPriced         bool    // calls of the list cost its service: they are spread over the fleet
-	ListCallsPerSecond float64 // calls of the list a second that the fleet may make
-	PreconnectNodes    int     // nodes to which a connection is opened before it is needed
+	Snapshot           string  // file of the learned state; "": none
+	ListPriced         bool    // calls for the list are spread over the fleet
+	ListCallsPerSecond float64 // maximum of the whole fleet
+	PreconnectNodes    int     // nodes to which a connection is opened in advance
 }
 
 // SiteAddresses is the section addresses.
 type SiteAddresses struct {
 	Book     address.Settings
-	Identity string // header in which nodes say their name; empty: they do not
+	Identity string // header with the node's name in its responses; "": none
 }
 
-// SiteEstimate is the section estimate.
+// SiteEstimate is the section estimate of the admin endpoint.
 type SiteEstimate struct {
 	MaxBytes, MaxConcurrent int
 	Prices                  cost.Prices
@@ -60,6 +60,7 @@
 	Types                   NodeTypes
 }
 
+// siteEstimate reads the section estimate.
 func siteEstimate(r *reader) (*SiteEstimate, error) {
 	d := cost.Defaults()
 	types, err := nodeTypes(r)
@@ -77,10 +78,9 @@
 	Mode    fs.FileMode // of a socket file
 }
 
-const socketMode = 0o600
+const socketMode = 0o600 // default of a socket file
 
-// CheckSchema holds a JSON text against a schema; the error begins with the file's kind, names
-// the key and says what it must be.
+// CheckSchema checks a JSON text against a schema; the error has the file's kind, the key and what it must be.
 func CheckSchema(kind string, schema, text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -113,7 +113,7 @@
 	return ParseSite(text)
 }
 
-// ParseSite checks a text against the schema and what a schema cannot say, and reads it.
+// ParseSite reads the text of a site's file, and checks it against the schema and the rules that a schema cannot express.
 func ParseSite(text []byte) (*Site, error) {
 	err := CheckSchema("site", SiteSchema, text)
 	if err != nil {
@@ -146,11 +146,19 @@
 			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.number("start.list_calls_per_second", 40, 0),
 			PreconnectNodes: int(r.number("start.connections_ahead", 8, 0))}
 	}
+	if err := s.listeners(r); err != nil {
+		return nil, err
+	}
+	return s, r.err
+}
+
+// listeners reads the listeners of the metrics and of the fronts, whose addresses must differ.
+func (s *Site) listeners(r *reader) error {
 	seen := map[address.Addr]string{}
 	if e := r.root.Get("metrics"); e.Exists() {
 		l, err := siteListener("metrics", e, seen)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		s.Metrics = &l
 	}
@@ -158,12 +166,12 @@
 		for i, e := range r.root.Get("listen." + front).Array() {
 			l, err := siteListener(fmt.Sprintf("listen.%s.%d", front, i), e, seen)
 			if err != nil {
-				return nil, err
+				return err
 			}
 			s.Listen[front] = append(s.Listen[front], l)
 		}
 	}
-	return s, r.err
+	return nil
 }
 
 // siteListener reads one listener; seen holds the addresses of those before it.
@@ -194,9 +202,10 @@
 	return l, nil
 }
 
-// DefaultAddresses are those of a site without the section.
+// DefaultAddresses returns the settings of a site without the section addresses.
 func DefaultAddresses() *SiteAddresses { return &SiteAddresses{Book: address.Defaults()} }
 
+// siteAddresses reads the section addresses.
 func siteAddresses(r *reader) (*SiteAddresses, error) {
 	s := address.Defaults()
 	duration := func(key string, to *time.Duration) {
@@ -237,7 +246,7 @@
 	return a, nil
 }
 
-// schemaError words a schema's complaint as "file: key: what it must be", the deepest first.
+// schemaError returns the deepest error of a schema's validation as a KeyError.
 func schemaError(file string, err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Every error names the key and says what it must be.
+// Every error has the key and what it must be.
 func TestSiteErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                    "not valid JSON",
@@ -62,7 +62,7 @@
 	}
 }
 
-// The defaults that the schema tells are those that hold, and the example is good.
+// The defaults in the schema are those of the program, and the example file is valid.
 func TestSiteSchemaHasDefaults(t *testing.T) {
 	keys := gjson.GetBytes(SiteSchema, "properties.addresses.properties").Map()
 	text := `{"addresses":{`
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -11,19 +11,20 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxTypeBytes is how many bytes a hardware type's name may have: more are not told to other processes.
+// maxTypeBytes is the maximum length of a hardware type's name, as gossip accepts no more.
 const maxTypeBytes = 64
 
-// NodeTypes says which hardware a node is, by its name or a pattern of names.
+// NodeTypes maps nodes to hardware types, by name or by a pattern of names.
 type NodeTypes struct {
 	names    map[string]string
 	patterns []typePattern // the longest first
 }
 
+// typePattern is a pattern of names and its type.
 type typePattern struct{ pattern, kind string }
 
-// Kind is a node's type, "": it is not told. A name of its own goes before patterns, a longer pattern before a
-// shorter one, and of two as long the first in byte order.
+// Of returns a node's type, "": unknown. An exact name precedes patterns, a longer pattern a shorter one, and of equal
+// lengths the first in byte order.
 func (t NodeTypes) Of(node string) string {
 	if kind, ok := t.names[node]; ok {
 		return kind
@@ -36,6 +37,7 @@
 	return ""
 }
 
+// nodeTypes reads estimate.types.
 func nodeTypes(r *reader) (NodeTypes, error) {
 	t := NodeTypes{names: map[string]string{}}
 	var err error
