--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -121,36 +121,19 @@
 
 // Files with every section give the recorded settings, and files with none the recorded defaults.
 func TestRecordedSettings(t *testing.T) {
-	read := func(t *testing.T, name string) []byte {
-		t.Helper()
-		text, err := os.ReadFile(filepath.Join("testdata", "recorded-files", name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return text
-	}
-	noEnv := func(string) string { return "" }
-	parse := func(t *testing.T, name string) *Config {
-		t.Helper()
-		c, err := Parse(read(t, name), noEnv)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
 	t.Run("config", func(t *testing.T) {
 		var s settingsScript
-		s.config(parse(t, "config.json"))
+		s.config(parseRecordedConfig(t, "config.json"))
 		s.Check(t, "config")
 	})
 	t.Run("config defaults", func(t *testing.T) {
 		var s settingsScript
-		s.config(parse(t, "config-least.json"))
+		s.config(parseRecordedConfig(t, "config-least.json"))
 		s.Check(t, "config-defaults")
 	})
 	for _, name := range []string{"site", "site-least"} {
 		t.Run(name, func(t *testing.T) {
-			site, err := ParseSite(read(t, name+".json"))
+			site, err := ParseSite(readRecordedFile(t, name+".json"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -161,7 +144,7 @@
 	}
 	for _, name := range []string{"iscsi", "iscsi-least"} {
 		t.Run(name, func(t *testing.T) {
-			f, err := ParseISCSI(read(t, name+".json"), parse(t, "config.json").Settings)
+			f, err := ParseISCSI(readRecordedFile(t, name+".json"), parseRecordedConfig(t, "config.json").Settings)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -171,3 +154,21 @@
 		})
 	}
 }
+
+func readRecordedFile(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "recorded-files", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func parseRecordedConfig(t *testing.T, name string) *Config {
+	t.Helper()
+	c, err := Parse(readRecordedFile(t, name), noEnv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -66,8 +66,8 @@
 		return
 	}
 	t := e.attempts[a.Attempt]
-	if t.peer != nil {
-		t.peer.Cancel(t)
+	if t.client != nil {
+		t.client.Cancel(t)
 	}
 }
 
@@ -76,7 +76,7 @@
 	answered := func(r Result, took time.Duration) {
 		c.post(healthCheckResult{node, r, took})
 	}
-	p, ok := c.peers[node]
+	p, ok := c.clients[node]
 	if !ok || !p.CheckHealth(answered) {
 		c.events = append(c.events, policy.Event{Kind: policy.HealthCheckEnded, Node: node, Status: policy.ConnectFailed})
 	}
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -148,7 +148,7 @@
 	}
 	c.timers = c.timers[:0]
 	for id, n := range c.nodes { // the timers of draining nodes were dropped with the others
-		c.peers[id].Drain(c.exclusions.View(now, n.Node).State != policy.NodeUp)
+		c.clients[id].Drain(c.exclusions.View(now, n.Node).State != policy.NodeUp)
 	}
 	mod, err := policy.New(c.options.Settings, c.options.Seed+1)
 	if err != nil {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -20,7 +20,7 @@
 	state         *requestState
 	counts        *classCounts // nil: a class that is not counted
 	reportOnce    sync.Once
-	peer          NodeClient
+	client        NodeClient
 	// drainCutoff belongs to the node: a draining node accepts no new attempt after it. repeatWindow belongs to the
 	// request: none of its attempts may be claimed once the nodes would no longer deduplicate a retry.
 	drainCutoff, repeatWindow *cutoff
@@ -105,9 +105,9 @@
 	if e.request.AttemptedNodes != nil {
 		e.request.AttemptedNodes.nodes = append(e.request.AttemptedNodes.nodes, a.Node)
 	}
-	p, ok := c.peers[a.Node]
+	p, ok := c.clients[a.Node]
 	if ok {
-		t.peer = p
+		t.client = p
 		c.recordUse(a.Node, now)
 	}
 	if !ok || e.answered || !p.Send(t) {
--- a/internal/core/avoid_test.go
+++ b/internal/core/avoid_test.go
@@ -28,15 +28,18 @@
 	}
 }
 
-// A request that names earlier ones is dispatched to another node of the shard; later requests are not affected.
-func TestRequestAvoidsNodes(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		change func(*fixture)
-		past   int // earlier requests that it names
-		want   string
-		polled bool // the list is polled
-	}{
+// avoidCase is a request after earlier ones, and the node that it must go to.
+type avoidCase struct {
+	name   string
+	change func(*fixture)
+	past   int // earlier requests that it names
+	want   string
+	polled bool // the list is polled
+}
+
+// avoidCases are the scenarios of TestRequestAvoidsNodes.
+func avoidCases() []avoidCase {
+	return []avoidCase{
 		{name: "no earlier request", want: "a"},
 		{name: "one earlier request", past: 1, want: "b"},
 		{name: "two earlier requests: the newest counts", past: 2, want: "a"},
@@ -48,7 +51,12 @@
 			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Schedulers: 1},
 				ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(Answer) {}})
 		}},
-	} {
+	}
+}
+
+// A request that names earlier ones is dispatched to another node of the shard; later requests are not affected.
+func TestRequestAvoidsNodes(t *testing.T) {
+	for _, c := range avoidCases() {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
 			set.Plans[0].ReservedRate = 0 // without a reserved rate it would be rejected while no node has capacity
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,7 +61,7 @@
 	deferred        []*requestState          // arrived in this iteration, with nodes to avoid
 	rejectsArrivals bool                     // Finish was called
 
-	peers       map[string]NodeClient // by node of the list, as are nodes, cutoffs and nodeUses
+	clients     map[string]NodeClient // by node of the list, as are nodes, cutoffs and nodeUses
 	nodes       map[string]Node       // as listed, without the exclusions
 	cutoffs     map[string]*cutoff    // set while a node drains and is still used
 	nodeUses    map[string]nodeUse
@@ -101,7 +101,7 @@
 		origin:     now,
 		originMs:   float64(now.UnixMicro()) / 1000,
 		requests:   map[string]*requestState{},
-		peers:      map[string]NodeClient{},
+		clients:    map[string]NodeClient{},
 		nodes:      map[string]Node{},
 		cutoffs:    map[string]*cutoff{},
 		nodeUses:   map[string]nodeUse{},
--- a/internal/core/cutoff.go
+++ b/internal/core/cutoff.go
@@ -17,7 +17,7 @@
 // clear removes the cutoff.
 func (c *cutoff) clear() { c.at.Store(nil) }
 
-// served says whether the cutoff is at or before now.
+// passed reports whether the cutoff is at or before now.
 func (c *cutoff) passed(now time.Time) bool {
 	if c == nil {
 		return false
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -10,8 +10,8 @@
 // controlWait is how long an operator's call waits for the actor; the admin endpoint answers within 1 s.
 const controlWait = 500 * time.Millisecond
 
-// Exclude excludes a node: after it returns no new attempt is written to the node, whatever its state in the list,
-// until Include. It returns the state of all exclusions, which the caller stores.
+// Exclude excludes a node: after it returns no new attempt is written to the node, also if the list
+// has it as up, until Include. It returns the state of all exclusions, which the caller stores.
 func (c *Core) Exclude(node string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
 		changed, err := c.exclusions.Exclude(now, node)
@@ -87,7 +87,7 @@
 			continue
 		}
 		view := c.exclusions.View(now, n.Node)
-		if p := c.peers[id]; p != nil {
+		if p := c.clients[id]; p != nil {
 			p.Drain(view.State != policy.NodeUp)
 		}
 		ev.Nodes = append(ev.Nodes, view)
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -70,8 +70,8 @@
 // fixture is a core with a fakeNode for each listed node.
 type fixture struct {
 	*Core
-	t     *testing.T
-	peers sync.Map
+	t       *testing.T
+	clients sync.Map
 }
 
 func nullLog() *logrus.Logger {
@@ -81,7 +81,7 @@
 
 func (r *fixture) newNodeClient(name string, _ []address.Addr) NodeClient {
 	f := &fakeNode{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
-	r.peers.Store(name, f)
+	r.clients.Store(name, f)
 	return f
 }
 
@@ -103,7 +103,7 @@
 }
 
 func (r *fixture) node(name string) *fakeNode {
-	f, ok := r.peers.Load(name)
+	f, ok := r.clients.Load(name)
 	if !ok {
 		r.t.Fatalf("no node client %s", name)
 	}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -50,7 +50,7 @@
 	}
 	c.listCurrent = n.Kind == policy.ListReceived || n.Kind == policy.ListChanged
 	if n.Kind == policy.ListReceived || n.Kind == policy.CachedListLoaded {
-		for id := range c.peers {
+		for id := range c.clients {
 			if !seen[id] {
 				c.removeNode(id) // a removal may show only as a missing entry
 			}
@@ -62,10 +62,10 @@
 
 // updateNode applies an entry of a node that is not removed: a new node gets a client, a listed one its addresses.
 func (c *Core) updateNode(x Node, view policy.Node, now float64) {
-	p, listed := c.peers[x.ID]
+	p, listed := c.clients[x.ID]
 	if !listed {
 		p = c.options.NewNodeClient(x.ID, x.Addresses)
-		c.peers[x.ID] = p
+		c.clients[x.ID] = p
 		c.cutoffs[x.ID] = &cutoff{}
 	} else if !slices.Equal(c.nodes[x.ID].Addresses, x.Addresses) {
 		p.SetAddresses(x.Addresses) // the node stays, with its window and slow start
@@ -81,8 +81,8 @@
 	previous, listed := c.nodes[x.ID]
 	use := c.options.Settings.DrainingUseDuration()
 	excluded := view != x.Node // an exclusion changes its state
-	begins := listed && previous.State == policy.NodeUp && x.State == policy.NodeDraining
-	if begins && c.listCurrent && use > 0 && !excluded {
+	drainBegins := listed && previous.State == policy.NodeUp && x.State == policy.NodeDraining
+	if drainBegins && c.listCurrent && use > 0 && !excluded {
 		end := now + use + drainGuard*(c.options.Settings.DrainGrace-use)
 		c.cutoffs[x.ID].set(c.wallTime(end))
 		heap.Push(&c.timers, pendingTimer{atMs: end, drainNode: x.ID})
@@ -98,13 +98,13 @@
 
 // removeNode removes a node that has left the list; its client finishes the outstanding attempts.
 func (c *Core) removeNode(id string) {
-	p, ok := c.peers[id]
+	p, ok := c.clients[id]
 	if !ok {
 		return
 	}
 	p.Drain(true)
 	p.Close()
-	delete(c.peers, id)
+	delete(c.clients, id)
 	delete(c.nodes, id)
 	delete(c.cutoffs, id)
 	delete(c.nodeUses, id)
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -32,7 +32,7 @@
 // usableClient returns the client of a node that is up and not excluded; nil: there is none.
 func (c *Core) usableClient(node string) NodeClient {
 	if n, ok := c.nodes[node]; ok && c.exclusions.View(c.moduleTime(time.Now()), n.Node).State == policy.NodeUp {
-		return c.peers[node]
+		return c.clients[node]
 	}
 	return nil
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -44,7 +44,7 @@
 	policy.Request                   // core sets Deadline
 	ReceivedAt     time.Time         // when its last byte arrived
 	Timeout        time.Duration     // how long the client waits after ReceivedAt
-	Payload        any               // opaque to core: the front's own, for the peers
+	Payload        any               // opaque to core: from the front to its node clients
 	Answer         func(Answer)      // called exactly once unless the request is cancelled first; must not block
 	AttemptedNodes *AttemptedNodes   // filled with the nodes that its attempts go to; nil: not wanted
 	Settings       *Settings         // version it was decoded under; nil: the current one at its arrival
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -60,7 +60,7 @@
 // closeDrained closes a node's client to new attempts if its cutoff has passed. The timer may belong to an earlier drain
 // from which the node has returned, so the cutoff decides and not the timer.
 func (c *Core) closeDrained(node string, now float64) {
-	p := c.peers[node]
+	p := c.clients[node]
 	if p != nil && c.cutoffs[node].passed(c.wallTime(now)) {
 		p.Drain(true)
 	}
--- a/internal/discovery/watchtimer/reachable_test.go
+++ b/internal/discovery/watchtimer/reachable_test.go
@@ -106,13 +106,13 @@
 // A fleet that restarts at one instant gets its lists from a service that cannot answer all at once.
 func TestRestartedFleetIsServed(t *testing.T) {
 	for _, x := range []struct {
-		hosts, restarted int
-		capacity         float64
-		within           time.Duration
+		schedulers, restarted int
+		capacity              float64
+		within                time.Duration
 	}{{80, 56, 14, 11 * time.Second}, {80, 56, 32, 6 * time.Second}, {350, 245, 140, 6 * time.Second}, {350, 350, 140, 11 * time.Second}} {
 		f := &fleet{serviceFaults: serviceFaults{latency: 20 * time.Millisecond},
 			queue: discovery.NewQueue(time.Duration(float64(time.Second)/x.capacity), 2*time.Second, 64)}
-		f.run(x.restarted, Settings{Schedulers: x.hosts}, 40*time.Second)
+		f.run(x.restarted, Settings{Schedulers: x.schedulers}, 40*time.Second)
 		served := 0
 		last := time.Duration(0)
 		for _, s := range f.schedulers {
@@ -122,9 +122,9 @@
 				last = max(last, at)
 			}
 		}
-		t.Logf("%d of %d at %.0f calls a second: %d served within %v, the last at %v, %d rejected", x.restarted, x.hosts, x.capacity, served, x.within, last, f.rejected)
+		t.Logf("%d of %d at %.0f calls a second: %d served within %v, the last at %v, %d rejected", x.restarted, x.schedulers, x.capacity, served, x.within, last, f.rejected)
 		if served < x.restarted*9/10 {
-			t.Errorf("%d of %d at %.0f calls a second: only %d are served within %v", x.restarted, x.hosts, x.capacity, served, x.within)
+			t.Errorf("%d of %d at %.0f calls a second: only %d are served within %v", x.restarted, x.schedulers, x.capacity, served, x.within)
 		}
 	}
 }
--- a/internal/discovery/watchtimer/servicedays_test.go
+++ b/internal/discovery/watchtimer/servicedays_test.go
@@ -15,7 +15,7 @@
 	NextTimer() time.Duration
 }
 
-// watches is one call as the list's service sees it.
+// watch is one call as the list's service sees it.
 type watch struct {
 	openedAt          time.Duration
 	addressGeneration int
