--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,40 +1,41 @@
-// Package config reads, checks and defaults every setting of the program; its errors name
-// the key at fault.
+// Package config reads the configuration, the site's file and the iSCSI front's file, checks them and sets defaults. The
+// files' words are mapped here, once, to the types of the packages that use the settings.
+//
+// Invariants:
+//   - The first error in a file is reported, with the file, the key and what the value must be.
+//   - A file with an error changes nothing: the caller gets no settings from it.
+//   - A missing key has its default; a key with a wrong type is an error.
+//
+// It does not check whether settings fit each other; policy.New does.
 package config
 
 import (
-	"cmp"
 	"errors"
-	"fmt"
-	"maps"
-	"math"
 	"net"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
 
 	"github.com/tidwall/gjson"
 
 	"wheatsaddle/policy"
 )
 
-// Config is what one scheduler is told at its start.
+// Config is the configuration of one scheduler.
 type Config struct {
 	Name, Listen, Discovery string
-	AdminListen             string // the operators' address; "": none
+	AdminListen             string // address of the admin endpoint; "": none
 	InheritedSocket         string // ROUTER_PASSED_SOCKET: the clients' socket is inherited; "": it is bound
 	Seed                    int64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	CachedList              []byte // the list as last held, in discovery's form
+	CachedList              []byte // the list as last known, in the form of discovery
 	Settings                policy.Settings
 	ConnIdle                float64 // ms after which a node closes an idle connection
 	ConnectTimeout          float64 // ms
 	MaxOpenRequests         int
-	HandshakePrice          float64 // price of a new connection, in worths of a request
-	ListMode                string  // push or ask: how the node list comes
-	ListPrice               float64 // of what the list's service sends
+	HandshakePrice          float64 // price of a new connection, in priority weights of a request
+	ListMode                string  // how the node list arrives: push or ask
+	ListPrice               float64 // price of what the list's service sends
 	raw                     []byte  // the file as read
 }
 
@@ -85,7 +86,7 @@
 		return nil, &JSONError{File: "configuration"}
 	}
 	r := &reader{root: gjson.ParseBytes(text)}
-	either := func(key, name string) string {
+	fileOrEnv := func(key, name string) string {
 		if v := env(name); v != "" {
 			return v
 		}
@@ -93,38 +94,14 @@
 	}
 	c := &Config{
 		raw:  text,
-		Name: either("name", "ROUTER_NAME"), Listen: either("listen", "ROUTER_LISTEN"),
-		Discovery: either("discovery", "ROUTER_DISCOVERY"), AdminListen: either("operator", "ROUTER_OPERATOR"),
+		Name: fileOrEnv("name", "ROUTER_NAME"), Listen: fileOrEnv("listen", "ROUTER_LISTEN"),
+		Discovery: fileOrEnv("discovery", "ROUTER_DISCOVERY"), AdminListen: fileOrEnv("operator", "ROUTER_OPERATOR"),
 		InheritedSocket: env("ROUTER_PASSED_SOCKET"),
-		Cores:           r.num("limits.cores", defaultCores, 0.01), MemoryMB: int(r.num("limits.memory_mb", defaultMemoryMB, 16)),
-		Sockets: int(r.num("limits.sockets", defaultSockets, 64)),
-	}
-	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		r.not("listen", strconv.Quote(c.Listen), hostPort)
-	}
-	if c.AdminListen != "" {
-		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
-			r.not("operator", strconv.Quote(c.AdminListen), hostPort)
-		}
-	}
-	if c.Discovery == "" {
-		r.fail(KeyError{Key: "discovery", Expected: hostPort, Err: errNoDiscovery})
-	} else if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		r.not("discovery", strconv.Quote(c.Discovery), hostPort)
-	}
-	if seed := r.root.Get("seed"); seed.Exists() {
-		n, err := strconv.ParseUint(seed.String(), 16, 64)
-		if err != nil {
-			r.not("seed", strconv.Quote(seed.String()), "a hex number")
-		}
-		c.Seed = int64(n)
-	}
-	if known := r.root.Get("known"); known.Exists() {
-		if !known.IsObject() {
-			r.fail(KeyError{Key: "known", Expected: "an object", Problem: "not an object"})
-		}
-		c.CachedList = []byte(known.Raw)
+		Cores:           r.number("limits.cores", defaultCores, 0.01), MemoryMB: int(r.number("limits.memory_mb", defaultMemoryMB, 16)),
+		Sockets: int(r.number("limits.sockets", defaultSockets, 64)),
 	}
+	r.checkAddresses(c)
+	r.seedAndList(c)
 	set := r.root.Get("settings")
 	if !set.IsObject() {
 		r.fail(KeyError{Key: "settings", Expected: "an object", Problem: "missing or not an object"})
@@ -133,11 +110,11 @@
 		return nil, r.err
 	}
 	sr := &reader{root: set, prefix: "settings."}
-	c.ConnIdle = sr.num("ceilings.conn-idle", defaultConnIdle, 1)
-	c.ConnectTimeout = sr.num("ceilings.connect-timeout", defaultConnectTimeout, 1)
-	c.MaxOpenRequests = int(sr.num("ceilings.max-open", defaultMaxOpen, 1))
-	c.HandshakePrice = sr.num("prices.handshake", 0, 0)
-	c.ListMode, c.ListPrice = sr.text("membership-mode", "push"), sr.num("prices.membership-mode", 0, 0)
+	c.ConnIdle = sr.number("ceilings.conn-idle", defaultConnIdle, 1)
+	c.ConnectTimeout = sr.number("ceilings.connect-timeout", defaultConnectTimeout, 1)
+	c.MaxOpenRequests = int(sr.number("ceilings.max-open", defaultMaxOpen, 1))
+	c.HandshakePrice = sr.number("prices.handshake", 0, 0)
+	c.ListMode, c.ListPrice = sr.text("membership-mode", "push"), sr.number("prices.membership-mode", 0, 0)
 	if sr.err != nil {
 		return nil, sr.err
 	}
@@ -146,124 +123,36 @@
 	return c, err
 }
 
-// reader reads keys of one object and keeps the first fault.
-type reader struct {
-	root   gjson.Result
-	prefix string
-	file   string // "": configuration
-	err    error
-}
-
-// fail keeps a fault of a key of this object.
-func (r *reader) fail(e KeyError) {
-	if r.err == nil {
-		e.File, e.Key = cmp.Or(r.file, "configuration"), r.prefix+e.Key
-		r.err = &e
-	}
-}
-
-// not keeps a value that is not what it must be.
-func (r *reader) not(key, value, want string) {
-	r.fail(KeyError{Key: key, Value: value, Expected: want})
-}
-
-func (r *reader) text(key, fallback string) string {
-	v := r.root.Get(key)
-	if !v.Exists() || v.Type == gjson.Null {
-		return fallback
-	}
-	if v.Type != gjson.String {
-		r.not(key, short(v.Raw), "text")
-	}
-	return v.Str
-}
-
-func (r *reader) num(key string, fallback, least float64) float64 {
-	v := r.root.Get(key)
-	if !v.Exists() || v.Type == gjson.Null {
-		return fallback
-	}
-	if v.Type != gjson.Number || math.IsNaN(v.Num) || math.IsInf(v.Num, 0) || v.Num < least || v.Num > 1e12 {
-		r.not(key, short(v.Raw), fmt.Sprintf("a number of at least %v", least))
-		return fallback
-	}
-	return v.Num
-}
-
-func (r *reader) flag(key string) bool {
-	v := r.root.Get(key)
-	if v.Exists() && v.Type != gjson.Null && !v.IsBool() {
-		r.not(key, short(v.Raw), "true or false")
-	}
-	return v.Bool()
-}
-
-func (r *reader) each(key string, f func(*reader)) {
-	v := r.root.Get(key)
-	if !v.IsArray() || len(v.Array()) == 0 {
-		r.fail(KeyError{Key: key, Expected: "a list that is not empty", Problem: "missing, empty or not a list"})
-		return
-	}
-	for i, e := range v.Array() {
-		sub := &reader{root: e, prefix: fmt.Sprintf("%s%s.%d.", r.prefix, key, i), file: r.file, err: r.err}
-		f(sub)
-		r.err = sub.err
+// checkAddresses checks the addresses of a configuration.
+func (r *reader) checkAddresses(c *Config) {
+	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
+		r.failValue("listen", strconv.Quote(c.Listen), hostPort)
 	}
-}
-
-func short(raw string) string {
-	if len(raw) > 40 {
-		return raw[:40] + "..."
+	if c.AdminListen != "" {
+		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
+			r.failValue("operator", strconv.Quote(c.AdminListen), hostPort)
+		}
 	}
-	return raw
-}
-
-var effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
-var groups = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
-
-// word finds a key's word in a table.
-func word[T any](r *reader, key, fallback string, table map[string]T) T {
-	v, ok := table[r.text(key, fallback)]
-	if !ok {
-		raw := short(r.root.Get(key).Raw)
-		words := strings.Join(slices.Sorted(maps.Keys(table)), ", ")
-		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + words, Problem: "unknown word " + raw})
+	if c.Discovery == "" {
+		r.fail(KeyError{Key: "discovery", Expected: hostPort, Err: errNoDiscovery})
+	} else if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
+		r.failValue("discovery", strconv.Quote(c.Discovery), hostPort)
 	}
-	return v
 }
 
-// Settings reads the settings object of the module.
-func Settings(set gjson.Result) (policy.Settings, error) {
-	r := &reader{root: set, prefix: "settings."}
-	s := policy.Settings{
-		Instance: int(r.num("me", 0, 0)), Schedulers: int(r.num("fleet-size", 1, 1)), Zone: r.text("my-zone", ""),
-		PollsEndpointList: r.text("membership-mode", "push") == "ask",
-		MeanUnits:         r.num("extra.usual-units", 1, 0), MaxUnits: r.num("extra.largest", 0, 0),
-		Shards: int(r.num("extra.slots-total", 0, 0)), SlowStartUnits: r.num("extra.young-limit", 0, 0), UsageMeterPeriod: r.num("extra.metering", 0, 0),
-		ReportsPeerUsage: r.flag("extra.says-others"),
-		MaxAttempts:      int(r.num("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
-		MayCancel: r.flag("ceilings.may-cancel"), MayCheckHealth: r.flag("ceilings.probes"), MayGossip: r.flag("ceilings.peers"),
-		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.num("ceilings.max-retry-after", 0, 0),
-		DrainGrace: r.num("rules.stop-sending-within", 0, 0), PollWithin: r.num("rules.ask-within", 0, 0),
-		SlowStartShare: r.num("rules.cold-from", 0, 0), SlowStartDuration: r.num("rules.cold", 0, 0),
-		OverloadMultiple: r.num("rules.tip-multiple", 0, 0), OverloadWindow: r.num("rules.overload-for", 0, 0),
-		OrderedKeyBackoff: r.num("rules.order-pause", 0, 0), RetryBudgetShare: r.num("rules.further-ratio", 0, 0),
-		RetryBudgetMin: r.num("rules.extra-floor", 0, 0), RetryBudgetWindow: r.num("rules.counted-over", 0, 0),
+// seedAndList reads the seed and the cached list.
+func (r *reader) seedAndList(c *Config) {
+	if seed := r.root.Get("seed"); seed.Exists() {
+		n, err := strconv.ParseUint(seed.String(), 16, 64)
+		if err != nil {
+			r.failValue("seed", strconv.Quote(seed.String()), "a hex number")
+		}
+		c.Seed = int64(n)
 	}
-	r.each("profiles", func(p *reader) {
-		c := policy.Class{Name: p.text("name", ""), LatencyObjective: p.num("goal-time", 0, 1e-3), ObjectiveStretch: p.num("aim-stretch", 0, 0),
-			Deadline: p.num("deadline", 0, 1e-3), PriorityWeight: p.num("worth", 1, 0), LatePriorityWeight: p.num("late-worth", 0, 0),
-			Effect: word(p, "repeat", "", effects), DedupWindow: p.num("memory-span", 0, 0),
-			Ordered: p.flag("by-arrival"), Stream: p.flag("stream")}
-		if c.Effect == policy.IdempotentByKey {
-			c.DedupScope = word(p, "key-scope", "", groups)
+	if cached := r.root.Get("known"); cached.Exists() {
+		if !cached.IsObject() {
+			r.fail(KeyError{Key: "known", Expected: "an object", Problem: "not an object"})
 		}
-		s.Classes = append(s.Classes, c)
-	})
-	r.each("contracts", func(p *reader) {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.text("name", ""), Rate: p.num("usual-rate", 0, 0),
-			ReservedRate: p.num("reservation", 0, 0), Weight: p.num("shares", 1, 0), Price: p.num("price", 1, 0),
-			RateLimit: p.num("cap", 0, 0), LimitBurst: p.num("burst", 0, 0)})
-	})
-	return s, r.err
+		c.CachedList = []byte(cached.Raw)
+	}
 }
--- /dev/null
+++ b/internal/config/deployments_simulation_test.go
@@ -0,0 +1,390 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"wheatsaddle/policy"
+)
+
+// eachClassAndPlan runs a test for each class and plan of each deployment.
+func eachClassAndPlan(t *testing.T, run func(t *testing.T, s deployment, c platformClass, plan platformPlan)) {
+	for _, s := range deployments(t) {
+		for _, c := range s.platform.Profiles {
+			for _, plan := range s.platform.Contracts {
+				t.Run(s.name+"/"+c.Name+"/"+plan.Name, func(t *testing.T) { run(t, s, c, plan) })
+			}
+		}
+	}
+}
+
+// A request of each class and plan is dispatched at once, with its client's deadline, and a response ends it.
+func TestDeploymentRequestsAreServed(t *testing.T) {
+	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
+		for _, left := range []float64{c.Deadline, c.Deadline / 2} {
+			p := newSimulation(t, s, 3).fillBuckets()
+			r := p.submit(c, plan, 1, left)
+			i := slices.IndexFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Send })
+			if len(r.attempts) != 1 || p.actions[i].Deadline != r.deadline {
+				t.Fatalf("sent %d times, %+v", len(r.attempts), p.actions)
+			}
+			p.run(p.now + usualLatencyMs)
+			p.endAttempt(r, 0, policy.OK)
+			p.run(r.deadline + 1)
+			if r.final != "served" || len(r.attempts) != 1 {
+				t.Errorf("%s after %d attempts", r.final, len(r.attempts))
+			}
+		}
+	})
+}
+
+// A request with a class or plan of another deployment is rejected.
+func TestDeploymentRejectsUnknownNames(t *testing.T) {
+	all := deployments(t)
+	for i, s := range all {
+		other := all[(i+1)%len(all)].platform
+		own := s.platform
+		for _, x := range []struct {
+			class platformClass
+			plan  platformPlan
+			final string
+		}{{own.Profiles[0], own.Contracts[1], ""}, {other.Profiles[0], own.Contracts[1], "rejected"}, {own.Profiles[0], other.Contracts[1], "rejected"}} {
+			p := newSimulation(t, s, 2)
+			if r := p.submit(x.class, x.plan, 0, 0); r.final != x.final {
+				t.Errorf("%s: %s, %s: %q, want %q", s.name, x.class.Name, x.plan.Name, r.final, x.final)
+			}
+		}
+	}
+}
+
+// An attempt that may have been executed is retried if the class's effect permits it, and otherwise the request fails. One
+// that was never executed is retried in any class.
+func TestDeploymentEffects(t *testing.T) {
+	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
+		for _, status := range []policy.Status{policy.Errored, policy.ConnectionReset, policy.NodeFull, policy.ConnectFailed} {
+			p := newSimulation(t, s, 3).fillBuckets()
+			r := p.submit(c, plan, 1, 0)
+			p.run(p.now + usualLatencyMs)
+			p.endAttempt(r, 0, status)
+			p.run(p.now + min(c.LatencyObjective/2, maxRetryDelayMs))
+			proved := status == policy.NodeFull || status == policy.ConnectFailed
+			if again := proved || c.Effect != "unsafe"; again != (len(r.attempts) == 2) {
+				t.Fatalf("status %v: %d attempts, then %q", status, len(r.attempts), r.final)
+			}
+			if c.Effect == "unsafe" && !proved && r.final != "failed" {
+				t.Errorf("status %v: %q", status, r.final)
+			}
+			if c.Effect == "keyed" && len(r.attempts) == 2 {
+				want := 0.0 // it was never executed: no window is open
+				if !proved {
+					want = r.attempts[0].sentAt + c.DedupWindow
+				}
+				if r.attempts[1].startBy != want {
+					t.Errorf("status %v: StartBy %v, want %v", status, r.attempts[1].startBy, want)
+				}
+			}
+			p.run(r.deadline + 1)
+			if len(r.attempts) > s.platform.Ceilings.Attempts {
+				t.Errorf("%d attempts", len(r.attempts))
+			}
+		}
+	})
+}
+
+// A request has as many attempts as the settings permit: idempotent ones after errors, others after proof that they were
+// not executed, between which the node's backoff grows.
+func TestDeploymentMaxAttempts(t *testing.T) {
+	for _, s := range deployments(t) {
+		for _, c := range s.platform.Profiles {
+			status, least := policy.NodeFull, 2
+			if c.Effect == "safe" {
+				status, least = policy.Errored, s.platform.Ceilings.Attempts
+			}
+			p := newSimulation(t, s, 2).fillBuckets()
+			p.onDispatch = func(r *simRequest, attempt int) {
+				p.schedule(1, func() { p.endAttempt(r, attempt, status) })
+			}
+			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			p.run(r.deadline + 1)
+			if len(r.attempts) < least || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "rejected" {
+				t.Errorf("%s, %s: %q after %d attempts of %d", s.name, c.Name, r.final, len(r.attempts), s.platform.Ceilings.Attempts)
+			}
+		}
+	}
+}
+
+// With a retry budget, a burst of errors spends exactly the budget; without one each request has the attempts that the
+// settings permit. Configurations have no budgets, so they are taken from the site file.
+func TestDeploymentBudgets(t *testing.T) {
+	const burst = 40
+	budgets := 0
+	for _, s := range deployments(t) {
+		s = s.withBudget(t)
+		rules, c := s.platform.Rules, s.platform.Profiles[0]
+		p := newSimulation(t, s, 2).fillBuckets()
+		p.onDispatch = func(r *simRequest, attempt int) {
+			p.schedule(1, func() { p.endAttempt(r, attempt, policy.Errored) })
+		}
+		further := 0
+		for range burst {
+			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			p.run(p.now + 10)
+			further += len(r.attempts) - 1
+		}
+		want := burst * (s.platform.Ceilings.Attempts - 1)
+		if rules.RetryBudgetWindow > 0 {
+			budgets++
+			want = int(rules.RetryBudgetMin + rules.RetryBudgetShare*burst) // all within one window
+		}
+		if c.Effect != "safe" || burst*10 > rules.RetryBudgetWindow && rules.RetryBudgetWindow > 0 || further != want {
+			t.Errorf("%s, %s: %d retries, want %d", s.name, c.Name, further, want)
+		}
+	}
+	if budgets == 0 {
+		t.Error("no deployment has a budget")
+	}
+}
+
+// A request that is idempotent by key and waits for capacity is retried up to the end of its deduplication window, and
+// not past it, although its client has time. Its first attempt lasts beyond the latency objective, as requests that wait
+// at the objective are ended then. Responses before were slow, so that no attempt is cancelled yet, and the errors of
+// non-idempotent requests show that the node is not silent, and free capacity.
+func TestDeploymentDedupWindowsEnd(t *testing.T) {
+	const (
+		late  = 1.05 // of the objective: when the first attempt fails
+		slow  = 0.6  // of the objective: latency before; an attempt gets twice that
+		faded = 8e3  // ms after which slow responses have little weight
+		room  = 4    // concurrent attempts at a node at first
+	)
+	reached := 0
+	for _, s := range deployments(t) {
+		classes, last := s.platform.Profiles, s.platform.Contracts[len(s.platform.Contracts)-1]
+		patient := slices.MaxFunc(classes, func(a, b platformClass) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) })
+		once := slices.IndexFunc(classes, func(c platformClass) bool { return c.Effect == "unsafe" })
+		for _, c := range classes {
+			if once < 0 || c.Effect != "keyed" || c.DedupWindow >= 0.9*c.Deadline || c.DedupWindow < 1.2*late*c.LatencyObjective {
+				continue
+			}
+			for _, x := range []struct {
+				back float64 // when the node has capacity again, in windows
+				sent int
+			}{{0.95, 2}, {1.01, 1}} {
+				p := newSimulation(t, s, 2).fillBuckets()
+				before := p.submit(patient, last, 0, 0)
+				p.run(p.now + slow*c.LatencyObjective)
+				p.endAttempt(before, 0, policy.OK)
+				p.run(p.now + faded)
+				r := p.submit(c, last, 1, 0)
+				sent := p.now
+				p.run(sent + late*c.LatencyObjective/2)
+				p.endAttempt(p.submit(classes[once], last, 1, 0), 0, policy.Errored)
+				p.run(sent + late*c.LatencyObjective - 1)
+				var others []*simRequest
+				for range room {
+					others = append(others, p.submit(classes[once], last, 1, 0))
+				}
+				p.run(sent + late*c.LatencyObjective)
+				p.endAttempt(r, 0, policy.Errored)
+				p.run(sent + x.back*c.DedupWindow)
+				if len(r.attempts) != 1 || r.final != "" || len(others[room-1].attempts) != 1 {
+					t.Fatalf("%s, %s: %d attempts, %q: the request does not wait", s.name, c.Name, len(r.attempts), r.final)
+				}
+				p.endAttempt(others[0], 0, policy.Errored)
+				p.run(p.now + 5*reviewToleranceMs)
+				if len(r.attempts) != x.sent {
+					t.Errorf("%s, %s: %d attempts, want %d: the node had capacity at %.2f of the window", s.name, c.Name, len(r.attempts), x.sent, x.back)
+				}
+				p.run(r.deadline + 1)
+				if x.sent == 1 && r.final != "failed" {
+					t.Errorf("%s, %s: %q", s.name, c.Name, r.final)
+				}
+				reached++
+			}
+		}
+	}
+	if reached == 0 {
+		t.Error("no deployment has a class whose window ends between its objective and its deadline")
+	}
+}
+
+// A request whose shard has no node waits until its latency objective and is rejected then, before its deadline.
+func TestDeploymentObjectivesAndDeadlines(t *testing.T) {
+	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
+		nobody := s.platform.Extra.Shards - 1
+		for _, left := range []float64{c.Deadline, c.LatencyObjective / 3} {
+			p := newSimulation(t, s, 2).fillBuckets()
+			r := p.submit(c, plan, nobody, left)
+			p.run(r.deadline + s.platform.Rules.AnswerSlack)
+			ends := min(c.LatencyObjective, left)
+			if took := r.finalAt - r.arrivedAt; r.final != "rejected" || took > ends+reviewToleranceMs || took < ends-reviewToleranceMs {
+				t.Errorf("%q after %.0f ms; objective %.0f ms, deadline %.0f", r.final, took, c.LatencyObjective, left)
+			}
+		}
+	})
+}
+
+// A waiting request is answered by its deadline, at any phase of the reviews of waiting requests.
+func TestDeploymentAnswersBeforeDeadline(t *testing.T) {
+	const phases = 20 // in one review interval
+	for _, s := range deployments(t) {
+		for _, c := range s.platform.Profiles {
+			for i := range phases {
+				p := newSimulation(t, s, 2).fillBuckets()
+				r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], s.platform.Extra.Shards-1, c.LatencyObjective/3+float64(i)*reviewIntervalMs/phases)
+				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the answer
+				if r.finalAt > r.deadline {
+					t.Errorf("%s, %s: %q %.1f ms after its deadline", s.name, c.Name, r.final, r.finalAt-r.deadline)
+				}
+			}
+		}
+	}
+}
+
+// A volume of a limited plan gets this scheduler's share of its burst at once, and then its share of the rate; one of
+// another plan is not limited.
+func TestDeploymentLimits(t *testing.T) {
+	limited := 0
+	for _, s := range deployments(t) {
+		for _, plan := range s.platform.Contracts {
+			for _, hosts := range []int{1, 2, 3} {
+				p := newSimulation(t, s, 2).fillBuckets()
+				p.onDispatch = func(r *simRequest, attempt int) { p.schedule(0, func() { p.endAttempt(r, attempt, policy.OK) }) }
+				asks := int(plan.Burst) + unitsOverLimit
+				flood := func() (sent int) {
+					for range asks {
+						if r := p.submitOf("flooded", hosts, s.platform.Profiles[0], plan, 0, 0); len(r.attempts) > 0 {
+							sent++
+						}
+						p.run(p.now)
+					}
+					return sent
+				}
+				want := asks
+				if plan.Cap > 0 {
+					limited++
+					want = int(plan.Burst / float64(hosts))
+				}
+				if sent := flood(); sent != want {
+					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, hosts, sent, asks, want)
+				}
+				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting ones against the rate
+				if plan.Cap > 0 && p.buckets["flooded"] == nil {
+					t.Errorf("%s, %s: no token bucket was used", s.name, plan.Name)
+				}
+			}
+		}
+	}
+	if limited == 0 {
+		t.Error("no deployment has a plan with a limit")
+	}
+}
+
+// Of requests that wait alike, those of the plan with the higher price are dispatched first.
+func TestDeploymentPlansAreOrderedByPrice(t *testing.T) {
+	for _, s := range deployments(t) {
+		c := s.platform.Profiles[0]
+		p := newSimulation(t, s, 2).fillBuckets()
+		p.setNodeState("node-1", policy.NodeExcluded)
+		var waiting []*simRequest
+		for _, plan := range s.platform.Contracts {
+			waiting = append(waiting, p.submit(c, plan, 1, 0))
+		}
+		p.setNodeState("node-1", policy.NodeUp)
+		last := math.Inf(1)
+		sent := 0
+		for _, a := range p.actions {
+			if a.Kind != policy.Send {
+				continue
+			}
+			price := p.requests[a.ID].plan.Price
+			if price > last {
+				t.Errorf("%s: a plan of price %v after one of %v", s.name, price, last)
+			}
+			last, sent = price, sent+1
+		}
+		if sent < 2 || waiting[0].plan.Price == waiting[1].plan.Price {
+			t.Errorf("%s: %d of %d dispatched at once", s.name, sent, len(waiting))
+		}
+	}
+}
+
+// Nothing is dispatched to a draining node after the grace, and nothing at all if the grace is short.
+func TestDeploymentDrains(t *testing.T) {
+	for _, s := range deployments(t) {
+		for _, c := range s.platform.Profiles {
+			p := newSimulation(t, s, 2).fillBuckets()
+			p.setNodeState("node-1", policy.NodeDraining)
+			for range 50 {
+				p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 1, 0)
+				p.run(p.now + s.platform.Rules.DrainGrace/25) // checkDispatch checks each dispatch
+			}
+			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			if len(r.attempts) != 1 {
+				t.Errorf("%s, %s: the other node is not used", s.name, c.Name)
+			}
+		}
+	}
+}
+
+// Random days with all classes and plans, every outcome at any time, and nodes that drain, vanish and return. Each action
+// is checked against the settings.
+func TestDeploymentRandomDays(t *testing.T) {
+	const days, arrivals = 4, 1500
+	gaps := []float64{40, 12} // mean ms between arrivals: a light day, and one on which requests time out
+	for _, s := range deployments(t) {
+		total := coverage{retried: map[string]int{}, rejectedUncertain: map[string]int{}, failedUncertain: map[string]int{}, pastWindow: map[string]int{}}
+		finals := map[string]int{}
+		for day := range days {
+			p := newSimulation(t, s, 5)
+			rng := rand.New(rand.NewPCG(simSeed, uint64(day)))
+			p.onDispatch = func(r *simRequest, attempt int) { p.drawEnd(rng, r, attempt) }
+			for range arrivals {
+				p.run(p.now + rng.ExpFloat64()*gaps[day%len(gaps)])
+				c := s.platform.Profiles[rng.IntN(len(s.platform.Profiles))]
+				plan := s.platform.Contracts[rng.IntN(len(s.platform.Contracts))]
+				p.submitOf(fmt.Sprint(plan.Name, rng.IntN(4)), 1+rng.IntN(2), c, plan, rng.IntN(5), c.Deadline*(0.3+0.7*rng.Float64()))
+				if rng.IntN(60) == 0 {
+					state := []policy.NodeState{policy.NodeUp, policy.NodeDraining, policy.NodeExcluded, policy.NodeRemoved}[rng.IntN(4)]
+					id := fmt.Sprint("node-", rng.IntN(5))
+					p.setNodeState(id, state)
+					p.schedule(rng.Float64()*3000, func() { p.setNodeState(id, policy.NodeUp) })
+				}
+			}
+			p.run(p.now + 60e3)
+			for _, r := range p.order {
+				finals[r.final]++
+				if doubt, first := r.firstUncertain(); doubt && r.class.Effect == "keyed" && r.finalAt > first.sentAt+r.class.DedupWindow && r.final != "served" {
+					total.pastWindow[r.class.Name]++
+				}
+			}
+			for _, x := range [][2]map[string]int{{total.retried, p.coverage.retried}, {total.rejectedUncertain, p.coverage.rejectedUncertain}, {total.failedUncertain, p.coverage.failedUncertain}} {
+				for name, n := range x[1] {
+					x[0][name] += n
+				}
+			}
+			total.hedges += p.coverage.hedges
+		}
+		t.Logf("%s: %v, %+v", s.name, finals, total)
+		for _, c := range s.platform.Profiles {
+			if total.retried[c.Name] == 0 {
+				t.Errorf("%s: no %s was retried", s.name, c.Name)
+			}
+			if c.Effect == "unsafe" && total.failedUncertain[c.Name] == 0 {
+				t.Errorf("%s: no %s failed after an attempt that may have been executed", s.name, c.Name)
+			}
+			if c.Effect == "keyed" && c.DedupWindow < c.Deadline && total.pastWindow[c.Name] == 0 {
+				t.Errorf("%s: no %s outlasted its window", s.name, c.Name)
+			}
+		}
+		if (total.hedges > 0) != s.platform.Ceilings.MayHedge {
+			t.Errorf("%s: %d hedges", s.name, total.hedges)
+		}
+		if finals["served"] < days*arrivals/3 {
+			t.Errorf("%s: %v", s.name, finals)
+		}
+	}
+}
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -16,34 +16,34 @@
 	"wheatsaddle/policy"
 )
 
-// ISCSI is the second front's file.
+// ISCSI is the file of the iSCSI front.
 type ISCSI struct {
 	Listen             string
-	Initiator          string // its iSCSI name, before the scheduler's own
+	Initiator          string // prefix of its iSCSI name; the scheduler's name follows
 	Vendor             string // T10 vendor of the logical units
 	QueueDepth         int    // commands in the window of a session
 	Sessions           int
 	MaxTransfer        uint32 // bytes of one command
-	DeduplicatesWrites bool   // the storage targets drop a repeat of a write by its key
+	DeduplicatesWrites bool   // the storage targets deduplicate writes by key
 	LoginTimeout       float64
 	Targets            []Target
 	Storage            []StorageTarget
 }
 
-// Target is one that clients log in to.
+// Target is an iSCSI target that clients log in to.
 type Target struct {
 	Name  string
 	Units []Unit
 }
 
-// Unit is a logical unit and how its commands map to requests.
+// Unit is a logical unit and the mapping of its commands to requests.
 type Unit struct {
 	LUN, StorageLUN        uint16
 	Shard, Schedulers      int
 	Volume, Plan           string
 	BlockSize, MaxTransfer uint32
 	Blocks                 uint64
-	UnitBytes              float64 // bytes that count as one unit
+	UnitBytes              float64 // bytes of one unit of work
 	ReadOnly               bool
 	Vendor                 string // T10 vendor, 8 characters at most
 	Rules                  []Rule
@@ -57,7 +57,7 @@
 	Deadline float64 // ms
 }
 
-// StorageTarget is one that holds data.
+// StorageTarget is an iSCSI target that holds data.
 type StorageTarget struct {
 	Name, Target string
 	Addresses    []address.Addr
@@ -65,7 +65,7 @@
 	State        policy.NodeState
 }
 
-// LoadISCSI reads the second front's file against the settings.
+// LoadISCSI reads the file of the iSCSI front and checks it against the settings.
 func LoadISCSI(path string, set policy.Settings) (*ISCSI, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,41 +74,43 @@
 	return ParseISCSI(text, set)
 }
 
-// The names that the front has where its file gives none: of a domain that nobody can own (RFC 2606).
+// The defaults of the front's names, under a reserved domain (RFC 2606).
 const (
 	defaultInitiator = "iqn.2026-12.example:wheatsaddle-"
 	defaultVendor    = "WHEATSDL"
 )
 
-// RFC 7143, section 4.2.7.1; 223 bytes are a whole name, the scheduler's own comes after.
+// initiatorPattern follows RFC 7143, section 4.2.7.1. A complete name has at most 223 bytes; the scheduler's name is
+// appended.
 var (
-	iqn    = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
-	vendor = regexp.MustCompile(`^[!-~]([ -~]{0,6}[!-~])?$`)
+	initiatorPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
+	vendorPattern    = regexp.MustCompile(`^[\x21-\x7e]([\x20-\x7e]{0,6}[\x21-\x7e])?$`)
 )
 
-var storageStates = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
+// nodeStatesByWord are the states of a storage target by the words of the node list.
+var nodeStatesByWord = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
 
-// ParseISCSI reads and checks the second front's configuration.
+// ParseISCSI reads the text of the iSCSI front's file and checks it against the settings.
 func ParseISCSI(text []byte, set policy.Settings) (*ISCSI, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, &JSONError{File: "iscsi"}
 	}
 	r := &reader{root: gjson.ParseBytes(text), prefix: "iscsi."}
-	c := &ISCSI{Listen: r.text("listen", "127.0.0.1:3260"), QueueDepth: int(r.whole("queue_depth", 32, 1, 1024)),
-		Sessions: int(r.whole("sessions", 32, 1, 256)), MaxTransfer: uint32(r.whole("max_transfer", 64<<10, 512, 1<<20)),
-		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.num("login_timeout_ms", 5000, 1),
+	c := &ISCSI{Listen: r.text("listen", "127.0.0.1:3260"), QueueDepth: int(r.integer("queue_depth", 32, 1, 1024)),
+		Sessions: int(r.integer("sessions", 32, 1, 256)), MaxTransfer: uint32(r.integer("max_transfer", 64<<10, 512, 1<<20)),
+		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.number("login_timeout_ms", 5000, 1),
 		Initiator: r.text("initiator", defaultInitiator), Vendor: r.text("vendor", defaultVendor)}
-	if !iqn.MatchString(c.Initiator) {
-		r.not("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
+	if !initiatorPattern.MatchString(c.Initiator) {
+		r.failValue("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
 	}
-	if !vendor.MatchString(c.Vendor) {
-		r.not("vendor", strconv.Quote(c.Vendor), "1 to 8 printable ASCII characters")
+	if !vendorPattern.MatchString(c.Vendor) {
+		r.failValue("vendor", strconv.Quote(c.Vendor), "1 to 8 printable ASCII characters")
 	}
 	r.address("listen", c.Listen)
 	shards, names := map[int]bool{}, map[string]bool{}
 	r.each("storage", func(s *reader) {
 		t := StorageTarget{Name: s.text("name", ""), Addresses: s.portals(), Target: s.text("target", ""),
-			Shard: int(s.whole("group", -1, 0, 1e6)), State: word(s, "status", "active", storageStates)}
+			Shard: int(s.integer("group", -1, 0, 1e6)), State: enum(s, "status", "active", nodeStatesByWord)}
 		s.unique("name", t.Name, names)
 		if t.Target == "" {
 			s.fail(KeyError{Key: "target", Expected: "the storage target's iSCSI name", Problem: "missing"})
@@ -122,7 +124,7 @@
 		s.unique("name", t.Name, targets)
 		luns := map[string]bool{}
 		s.each("luns", func(u *reader) {
-			x := u.unit(set, c.MaxTransfer)
+			x := u.logicalUnit(set, c.MaxTransfer)
 			x.Vendor = c.Vendor
 			u.unique("lun", fmt.Sprint(x.LUN), luns)
 			if !shards[x.Shard] {
@@ -135,30 +137,37 @@
 	return c, r.err
 }
 
-func (r *reader) unit(set policy.Settings, most uint32) Unit {
-	u := Unit{LUN: uint16(r.whole("lun", -1, 0, 16383)), StorageLUN: uint16(r.whole("storage_lun", 0, 0, 16383)),
-		Shard: int(r.whole("group", -1, 0, 1e6)), Schedulers: int(r.whole("hosts", float64(set.Schedulers), 1, 1e6)),
-		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.whole("block_size", 512, 512, 4096)),
-		MaxTransfer: most, Blocks: uint64(r.whole("blocks", -1, 1, 1e12)), UnitBytes: r.num("unit_bytes", 8192, 512),
+// logicalUnit reads an entry of luns.
+func (r *reader) logicalUnit(set policy.Settings, maxTransfer uint32) Unit {
+	u := Unit{LUN: uint16(r.integer("lun", -1, 0, 16383)), StorageLUN: uint16(r.integer("storage_lun", 0, 0, 16383)),
+		Shard: int(r.integer("group", -1, 0, 1e6)), Schedulers: int(r.integer("hosts", float64(set.Schedulers), 1, 1e6)),
+		Volume: r.text("volume", ""), Plan: r.text("plan", ""), BlockSize: uint32(r.integer("block_size", 512, 512, 4096)),
+		MaxTransfer: maxTransfer, Blocks: uint64(r.integer("blocks", -1, 1, 1e12)), UnitBytes: r.number("unit_bytes", 8192, 512),
 		ReadOnly: r.flag("read_only")}
 	if len(u.Volume) != 16 {
-		r.not("volume", strconv.Quote(u.Volume), "16 hex digits")
+		r.failValue("volume", strconv.Quote(u.Volume), "16 hex digits")
 	}
-	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > most {
+	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > maxTransfer {
 		r.fail(KeyError{Key: "block_size", Value: fmt.Sprint(u.BlockSize), Expected: "a power of two up to max_transfer",
 			Problem: fmt.Sprintf("%d is no power of two up to max_transfer", u.BlockSize)})
 	}
-	known := false
+	planFound := false
 	for _, p := range set.Plans {
-		known = known || p.Name == u.Plan
+		planFound = planFound || p.Name == u.Plan
 	}
-	if !known {
+	if !planFound {
 		r.fail(KeyError{Key: "plan", Value: u.Plan, Expected: "a plan of the settings", Problem: fmt.Sprintf("the settings have no plan %q", u.Plan)})
 	}
+	r.rules(&u, set)
+	return u
+}
+
+// rules reads the rules of a unit. Reads, and writes unless it is read-only, need a rule for the longest command.
+func (r *reader) rules(u *Unit, set policy.Settings) {
 	covered := map[bool]bool{}
 	r.each("rules", func(s *reader) {
-		rule := Rule{Write: word(s, "command", "", map[string]bool{"read": false, "write": true}),
-			MaxBytes: s.num("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
+		rule := Rule{Write: enum(s, "command", "", map[string]bool{"read": false, "write": true}),
+			MaxBytes: s.number("up_to", math.MaxInt32, 1), Class: s.text("class", "")}
 		fallback := 0.0
 		for _, c := range set.Classes {
 			if c.Name == rule.Class {
@@ -168,33 +177,24 @@
 		if fallback == 0 {
 			s.fail(KeyError{Key: "class", Value: rule.Class, Expected: "a class of the settings", Problem: fmt.Sprintf("the settings have no class %q", rule.Class)})
 		}
-		rule.Deadline = s.num("deadline_ms", fallback, 50)
-		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(most)
+		rule.Deadline = s.number("deadline_ms", fallback, 50)
+		covered[rule.Write] = covered[rule.Write] || rule.MaxBytes >= float64(u.MaxTransfer)
 		u.Rules = append(u.Rules, rule)
 	})
 	if !covered[false] || !covered[true] && !u.ReadOnly {
 		r.fail(KeyError{Key: "rules", Problem: "reads and writes of up to max_transfer need a rule each"})
 	}
-	return u
-}
-
-func (r *reader) whole(key string, fallback, least, most float64) float64 {
-	v := r.num(key, fallback, least)
-	if v != math.Trunc(v) || v < least || v > most {
-		want := fmt.Sprintf("a whole number from %v to %v", least, most)
-		r.fail(KeyError{Key: key, Value: short(r.root.Get(key).Raw), Expected: want, Problem: "missing, or not " + want})
-	}
-	return v
 }
 
+// address checks a host:port.
 func (r *reader) address(key, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		r.not(key, strconv.Quote(value), hostPort)
+		r.failValue(key, strconv.Quote(value), hostPort)
 	}
 }
 
-// portals reads "addresses" and "address" as an entry of the list has them; here, in a file that
-// somebody writes by hand, a bad one is an error.
+// portals reads "addresses" and "address" as in an entry of the node list. Here an invalid one is an
+// error, because the file is written by a person.
 func (r *reader) portals() []address.Addr {
 	var texts []string
 	more := r.root.Get("addresses")
@@ -203,7 +203,7 @@
 	}
 	for i, x := range more.Array() {
 		if x.Type != gjson.String {
-			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: short(x.Raw), Expected: "text", Problem: "not text"})
+			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: truncate(x.Raw), Expected: "text", Problem: "not text"})
 		}
 		texts = append(texts, x.Str)
 	}
@@ -224,10 +224,3 @@
 	}
 	return list
 }
-
-func (r *reader) unique(key, value string, seen map[string]bool) {
-	if value == "" || seen[value] {
-		r.fail(KeyError{Key: key, Value: value, Expected: "a name of its own", Problem: fmt.Sprintf("%q is empty or twice there", value)})
-	}
-	seen[value] = true
-}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -25,34 +25,34 @@
 //go:embed site.schema.json
 var SiteSchema []byte
 
-// Site is what an installation has that the platform does not give. Without the file, and
-// without a section, the feature is off.
+// Site is the site's file: features that the platform's configuration does not cover. Without the file or a section its
+// feature is off.
 type Site struct {
 	Addresses *SiteAddresses
 	Estimate  *SiteEstimate
 	Gather    *SiteGather
 	Listen    map[string][]Listener // by front: http, iscsi
-	Metrics   *Listener             // where counts are served; nil: nowhere
+	Metrics   *Listener             // address of the metrics; nil: they are not served
 	Peers     *SitePeers
 	Start     *SiteStart
 }
 
-// SiteStart is the section start: how the process starts beside hundreds of others.
+// SiteStart is the section start: how the process starts together with a large fleet.
 type SiteStart struct {
 	Enabled            bool
-	Snapshot           string  // file of what was learned; empty: none is kept
-	ListPriced         bool    // calls of the list cost its service: they are spread over the fleet
-	ListCallsPerSecond float64 // calls of the list a second that the fleet may make
-	PreconnectNodes    int     // nodes to which a connection is opened before it is needed
+	Snapshot           string  // file of the learned state; "": none
+	ListPriced         bool    // calls for the list are spread over the fleet
+	ListCallsPerSecond float64 // maximum of the whole fleet
+	PreconnectNodes    int     // nodes to which a connection is opened in advance
 }
 
 // SiteAddresses is the section addresses.
 type SiteAddresses struct {
 	Book     address.Settings
-	Identity string // header in which nodes say their name; empty: they do not
+	Identity string // header with the node's name in its responses; "": none
 }
 
-// SiteEstimate is the section estimate.
+// SiteEstimate is the section estimate of the admin endpoint.
 type SiteEstimate struct {
 	MaxBytes, MaxConcurrent int
 	Prices                  cost.Prices
@@ -60,14 +60,15 @@
 	Types                   NodeTypes
 }
 
+// siteEstimate reads the section estimate.
 func siteEstimate(r *reader) (*SiteEstimate, error) {
 	d := cost.Defaults()
 	types, err := nodeTypes(r)
 	return &SiteEstimate{Types: types,
-		MaxBytes: int(r.num("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.num("estimate.at_once", 1, 1)),
-		Prices: cost.Prices{Work: r.num("estimate.price_work", d.Prices.Work, 0), End: r.num("estimate.price_end", d.Prices.End, 0),
-			Late: r.num("estimate.price_late", d.Prices.Late, 0)},
-		MinStandardErrors: r.num("estimate.doubt", d.Doubt, 0),
+		MaxBytes: int(r.number("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.number("estimate.at_once", 1, 1)),
+		Prices: cost.Prices{Work: r.number("estimate.price_work", d.Prices.Work, 0), End: r.number("estimate.price_end", d.Prices.End, 0),
+			Late: r.number("estimate.price_late", d.Prices.Late, 0)},
+		MinStandardErrors: r.number("estimate.doubt", d.Doubt, 0),
 	}, err
 }
 
@@ -77,10 +78,9 @@
 	Mode    fs.FileMode // of a socket file
 }
 
-const socketMode = 0o600
+const socketMode = 0o600 // default of a socket file
 
-// CheckSchema holds a JSON text against a schema; the error begins with the file's kind, names
-// the key and says what it must be.
+// CheckSchema checks a JSON text against a schema; the error has the file's kind, the key and what it must be.
 func CheckSchema(kind string, schema, text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -113,7 +113,7 @@
 	return ParseSite(text)
 }
 
-// ParseSite checks a text against the schema and what a schema cannot say, and reads it.
+// ParseSite reads the text of a site's file, and checks it against the schema and the rules that a schema cannot express.
 func ParseSite(text []byte) (*Site, error) {
 	err := CheckSchema("site", SiteSchema, text)
 	if err != nil {
@@ -143,14 +143,22 @@
 	}
 	if v := r.root.Get("start"); v.Exists() {
 		s.Start = &SiteStart{Enabled: !v.Get("on").Exists() || v.Get("on").Bool(), Snapshot: r.text("start.snapshot", ""),
-			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.num("start.list_calls_per_second", 40, 0),
-			PreconnectNodes: int(r.num("start.connections_ahead", 8, 0))}
+			ListPriced: v.Get("list_priced").Bool(), ListCallsPerSecond: r.number("start.list_calls_per_second", 40, 0),
+			PreconnectNodes: int(r.number("start.connections_ahead", 8, 0))}
 	}
+	if err := s.listeners(r); err != nil {
+		return nil, err
+	}
+	return s, r.err
+}
+
+// listeners reads the listeners of the metrics and of the fronts, whose addresses must differ.
+func (s *Site) listeners(r *reader) error {
 	seen := map[address.Addr]string{}
 	if e := r.root.Get("metrics"); e.Exists() {
 		l, err := siteListener("metrics", e, seen)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		s.Metrics = &l
 	}
@@ -158,49 +166,50 @@
 		for i, e := range r.root.Get("listen." + front).Array() {
 			l, err := siteListener(fmt.Sprintf("listen.%s.%d", front, i), e, seen)
 			if err != nil {
-				return nil, err
+				return err
 			}
 			s.Listen[front] = append(s.Listen[front], l)
 		}
 	}
-	return s, r.err
+	return nil
 }
 
 // siteListener reads one listener; seen holds the addresses of those before it.
 func siteListener(key string, e gjson.Result, seen map[address.Addr]string) (l Listener, err error) {
-	bad := func(e KeyError) (Listener, error) {
+	fail := func(e KeyError) (Listener, error) {
 		e.File, e.Key = "site", key+e.Key
 		return l, &e
 	}
 	l.Mode = socketMode
 	text := e.Get("address").Str
 	if l.Address, err = address.ParseListen(text); err != nil {
-		return bad(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
+		return fail(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
 	}
 	if first, twice := seen[l.Address]; twice {
-		return bad(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
+		return fail(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
 	}
 	seen[l.Address] = key
 	if m := e.Get("mode"); m.Exists() {
 		if l.Address.Path() == "" {
-			return bad(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
+			return fail(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
 		}
 		n, err := strconv.ParseUint(m.Str, 8, 12)
 		if err != nil {
-			return bad(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Expected: "octal"})
+			return fail(KeyError{Key: ".mode", Value: strconv.Quote(m.Str), Expected: "octal"})
 		}
 		l.Mode = fs.FileMode(n)
 	}
 	return l, nil
 }
 
-// DefaultAddresses are those of a site without the section.
+// DefaultAddresses returns the settings of a site without the section addresses.
 func DefaultAddresses() *SiteAddresses { return &SiteAddresses{Book: address.Defaults()} }
 
+// siteAddresses reads the section addresses.
 func siteAddresses(r *reader) (*SiteAddresses, error) {
 	s := address.Defaults()
-	span := func(key string, to *time.Duration) {
-		*to = time.Duration(r.num("addresses."+key, float64(*to)/float64(time.Millisecond), 0) * float64(time.Millisecond))
+	duration := func(key string, to *time.Duration) {
+		*to = time.Duration(r.number("addresses."+key, float64(*to)/float64(time.Millisecond), 0) * float64(time.Millisecond))
 	}
 	if p := r.root.Get("addresses.preference"); p.Exists() {
 		s.Preference = nil
@@ -219,25 +228,25 @@
 		"trial_gap_ms": &s.TrialInterval, "trial_patience_ms": &s.TrialPatience, "return_span_ms": &s.MinReturnDelay,
 		"return_most_ms": &s.MaxReturnDelay, "wrong_span_ms": &s.RejectionWindow,
 	} {
-		span(key, to)
+		duration(key, to)
 	}
-	s.Jitter, s.SuspectLatencyFactor = r.num("addresses.jitter", s.Jitter, 0), r.num("addresses.suspect_times", s.SuspectLatencyFactor, 1)
-	s.MinReturnConns = int(r.num("addresses.return_after", float64(s.MinReturnConns), 1))
-	s.MaxRejections = int(r.num("addresses.wrong_after", float64(s.MaxRejections), 1))
-	s.ConnectRate = r.num("addresses.connects_per_second", s.ConnectRate, 0)
-	s.ConnectBurst = int(r.num("addresses.connects_at_once", float64(s.ConnectBurst), 1))
+	s.Jitter, s.SuspectLatencyFactor = r.number("addresses.jitter", s.Jitter, 0), r.number("addresses.suspect_times", s.SuspectLatencyFactor, 1)
+	s.MinReturnConns = int(r.number("addresses.return_after", float64(s.MinReturnConns), 1))
+	s.MaxRejections = int(r.number("addresses.wrong_after", float64(s.MaxRejections), 1))
+	s.ConnectRate = r.number("addresses.connects_per_second", s.ConnectRate, 0)
+	s.ConnectBurst = int(r.number("addresses.connects_at_once", float64(s.ConnectBurst), 1))
 	if r.err != nil {
 		return nil, r.err
 	}
 	a := &SiteAddresses{Book: s, Identity: r.text("addresses.identity_header", "")}
-	var bad *address.SettingError
-	if errors.As(s.Check(), &bad) {
-		return nil, &KeyError{File: "site", Key: "addresses." + bad.Key, Problem: bad.Problem, Err: bad}
+	var settingError *address.SettingError
+	if errors.As(s.Check(), &settingError) {
+		return nil, &KeyError{File: "site", Key: "addresses." + settingError.Key, Problem: settingError.Problem, Err: settingError}
 	}
 	return a, nil
 }
 
-// schemaError words a schema's complaint as "file: key: what it must be", the deepest first.
+// schemaError returns the deepest error of a schema's validation as a KeyError.
 func schemaError(file string, err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
