--- a/cmd/wheatsaddle/daemon_test.go
+++ b/cmd/wheatsaddle/daemon_test.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// daemon is the program beside its test, with what it writes.
+// daemon is the program as a process of its own, with the lines of its log.
 type daemon struct {
 	t            *testing.T
 	cmd          *exec.Cmd
@@ -27,13 +27,13 @@
 	admin        string // address of the admin endpoint
 	mu           sync.Mutex
 	lines        []string
-	more         chan struct{} // something was said
-	ended        chan struct{} // it says no more
+	more         chan struct{} // a line was logged
+	ended        chan struct{} // its log has ended
 }
 
 // conf is a configuration of a daemon in a test.
 type conf struct {
-	node, discovery string // "": nobody is there
+	node, discovery string // empty: nothing listens there
 	deadline        int    // of the class, ms
 }
 
@@ -85,14 +85,14 @@
 	}
 }
 
-// start starts it; it ends with the test.
+// start starts the program; it ends with the test.
 func (d *daemon) start() {
 	d.t.Helper()
 	d.cmd = program([]string{"ROUTER_CONFIG=" + d.file, "TMPDIR=" + d.t.TempDir()})
 	out, err := d.cmd.StderrPipe()
 	d.must(err)
 	d.must(d.cmd.Start())
-	d.t.Cleanup(func() { d.cmd.Process.Kill(); <-d.ended })
+	d.t.Cleanup(func() { _ = d.cmd.Process.Kill(); <-d.ended })
 	go func() {
 		defer close(d.ended)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
@@ -107,14 +107,14 @@
 	}()
 }
 
-// up starts it and waits until it serves.
+// up starts the program and waits until it serves.
 func (d *daemon) up() {
 	d.t.Helper()
 	d.start()
 	d.awaitLog("msg=serving", 1)
 }
 
-// awaitLog waits until so many lines have a text, and returns the last of them.
+// awaitLog waits until a number of log lines contain a text, and returns the last of them.
 func (d *daemon) awaitLog(what string, times int) string {
 	d.t.Helper()
 	for ended := false; ; {
@@ -123,7 +123,7 @@
 			return last
 		}
 		if ended {
-			d.t.Fatalf("it ended and never said: %s\n%s", what, strings.Join(d.lines, "\n"))
+			d.t.Fatalf("it ended and never logged: %s\n%s", what, strings.Join(d.lines, "\n"))
 		}
 		select {
 		case <-d.more:
@@ -149,7 +149,7 @@
 	d.must(d.cmd.Process.Signal(s))
 }
 
-// exits waits for its end, which must be exit 0.
+// exits waits for the end of the program, which must have exit code 0.
 func (d *daemon) exits() {
 	d.t.Helper()
 	<-d.ended
@@ -158,7 +158,7 @@
 	}
 }
 
-// status waits until a line of its status in /proc fits.
+// status waits until a line of /proc/PID/status matches.
 func (d *daemon) status(form string) {
 	d.t.Helper()
 	want := regexp.MustCompile("(?m)" + form)
@@ -193,7 +193,7 @@
 	return r.StatusCode(), string(r.Body()), err
 }
 
-// request sends a request and reads its answer.
+// request sends a request and checks the code of its response.
 func (d *daemon) request(c client, text string, code int) {
 	d.t.Helper()
 	_, err := io.WriteString(c, text)
@@ -203,7 +203,7 @@
 	}
 }
 
-// get asks the admin endpoint.
+// get requests a path of the admin endpoint.
 func (d *daemon) get(path string) (int, string) {
 	d.t.Helper()
 	r, err := http.Get("http://" + d.admin + path)
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go admin.Serve(ln)
-	defer admin.Close()
+	go func() { _ = admin.Serve(ln) }() // ends with the listener
+	defer func() { _ = admin.Close() }()
 	post := func(body string) (int, string) {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -51,6 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer resp.Body.Close()
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
--- a/cmd/wheatsaddle/fleet_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -115,7 +115,7 @@
 	var v []nodestats.View
 	for end := time.Now().Add(time.Minute); len(v) < 2 || v[0].Window == 0; time.Sleep(5 * time.Millisecond) {
 		if v = b.cluster.Views(); time.Now().After(end) {
-			t.Fatalf("never heard: %+v", v)
+			t.Fatalf("never received: %+v", v)
 		}
 	}
 	near := func(x float64) bool { return x > 0.9 && x <= 1 }
--- a/cmd/wheatsaddle/flood_test.go
+++ b/cmd/wheatsaddle/flood_test.go
@@ -41,8 +41,8 @@
 			}
 		}
 	})}
-	go s.Serve(ln)
-	t.Cleanup(func() { close(done); s.Close() })
+	go func() { _ = s.Serve(ln) }() // ends with the server
+	t.Cleanup(func() { close(done); _ = s.Close() })
 }
 
 // Idle clients, several times what the process may open, come while discovery is down. The readiness probe has its
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -67,7 +67,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
+	defer func() { _ = c.Process.Kill() }()
 	lines := bufio.NewScanner(logs)
 	until := func(what ...string) {
 		t.Helper()
@@ -76,7 +76,7 @@
 				return
 			}
 		}
-		t.Fatalf("never said: %s", what)
+		t.Fatalf("never logged: %s", what)
 	}
 	until("msg=serving")
 	asked := 0
@@ -93,6 +93,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer r.Body.Close()
 		text, err := io.ReadAll(r.Body)
 		if err != nil || r.StatusCode != 200 {
 			t.Fatalf("%v %d %s", err, r.StatusCode, text)
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -84,5 +84,5 @@
 	if err := s.front.Shutdown(t.Context()); err != nil {
 		t.Error(err)
 	}
-	<-served
+	t.Logf("the front ended: %v", <-served)
 }
--- a/cmd/wheatsaddle/large_test.go
+++ b/cmd/wheatsaddle/large_test.go
@@ -52,9 +52,9 @@
 	return ln.Addr().String(), came
 }
 
-// entries are those of nodes from a shard on, at one address.
-func entries(name, address string, status discovery.Status, from, to int) (list []discovery.Entry) {
-	for i := from; i < to; i++ {
+// entries are those of n nodes, one for each shard, at one address.
+func entries(name, address string, status discovery.Status, n int) (list []discovery.Entry) {
+	for i := range n {
 		list = append(list, discovery.Entry{Name: fmt.Sprintf("%s-%04d", name, i), Address: address, Group: i, Status: status, Weight: 1})
 	}
 	return list
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	defer disco.Close()
-	all := entries("s", old, discovery.Active, 0, largeNodes)
+	all := entries("s", old, discovery.Active, largeNodes)
 	disco.Put(all...)
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
@@ -93,7 +93,7 @@
 		t.Helper()
 		serial++
 		q := strings.Replace(read, "r1", fmt.Sprint("q", serial), 1)
-		io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
+		_, _ = io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || string(r.Body()) != "ok" {
 			t.Fatalf("shard %d: %v %d %q", shard, err, r.StatusCode(), r.Body())
@@ -112,8 +112,8 @@
 	}
 	// Half are replaced; a name without an address, an entry twice and one of no shard change nothing else.
 	half := largeNodes / 2
-	changes := append(entries("r", next, discovery.Active, 0, half), entries("s", old, discovery.Left, 0, half)...)
-	twice := append(entries("r", next, discovery.Active, 0, 1), changes[0])
+	changes := append(entries("r", next, discovery.Active, half), entries("s", old, discovery.Left, half)...)
+	twice := append(entries("r", next, discovery.Active, 1), changes[0])
 	index := disco.Put(append(changes, discovery.Entry{Name: "s-0900", Address: "nowhere", Group: 900, Status: discovery.Active},
 		discovery.Entry{Name: "s-0901", Address: old, Group: -7, Status: discovery.Active})...)
 	for disco.Say(string(discovery.List{Index: index, Entries: twice}.Text(false))) == 0 {
--- a/cmd/wheatsaddle/list_test.go
+++ b/cmd/wheatsaddle/list_test.go
@@ -143,8 +143,10 @@
 		waitFor(t, "ready for operators", func() bool { return probe(admin, "/api/ready") == 200 })
 		t.Logf("section %v, asked %v, held %v: ready after %v", x.section, x.ask, x.held, time.Since(began).Round(100*time.Millisecond))
 		waitFor(t, "a call at discovery", reached)
-		c.Process.Kill()
-		c.Wait()
+		if err := c.Process.Kill(); err != nil {
+			t.Error(err)
+		}
+		_ = c.Wait() // it was killed
 	}
 }
 
@@ -170,7 +172,7 @@
 		t.Fatal(err)
 	}
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
-	known := discovery.List{Index: 1, Full: true, Entries: entries("s", node.Addr().String(), discovery.Active, 0, scarceNodes)}
+	known := discovery.List{Index: 1, Full: true, Entries: entries("s", node.Addr().String(), discovery.Active, scarceNodes)}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,
 "settings":{"fleet-size":1,"ceilings":{"max-attempts":1},"extra":{"usual-units":2,"largest":6,"slots-total":%d},
 "profiles":[{"name":"balance-read","goal-time":30000,"deadline":60000,"repeat":"safe","worth":3}],
@@ -196,7 +198,7 @@
 	}
 	for i := range scarceNodes { // each request has a node of its own, which holds it
 		q := strings.Replace(read, "r1", fmt.Sprint("q", i), 1)
-		io.WriteString(dial(), strings.Replace(q, "shard=0", fmt.Sprint("shard=", i), 1))
+		_, _ = io.WriteString(dial(), strings.Replace(q, "shard=0", fmt.Sprint("shard=", i), 1))
 	}
 	sockets := scarceDescriptors - reservedDescriptors
 	clients := clientConns(sockets, scarceDescriptors)
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -71,7 +71,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Process.Kill() })
+	t.Cleanup(func() { _ = c.Process.Kill() }) // it may have ended
 	for {
 		nc, err := net.Dial("tcp", listen)
 		if err == nil {
@@ -152,15 +152,15 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
+	defer func() { _ = c.Process.Kill() }() // it may have ended
 	for _, address := range []string{listen, blocks} {
 		nc, err := net.Dial("tcp", address)
 		for ; err != nil; nc, err = net.Dial("tcp", address) {
 			time.Sleep(10 * time.Millisecond) // not up yet
 		}
-		defer nc.Close()
+		t.Cleanup(func() { nc.Close() })
 		fmt.Fprintf(nc, "%048d\r\n\r\n", 7) // neither HTTP nor a login: an answer or a close, and no crash
-		nc.Read(make([]byte, 1))
+		_, _ = nc.Read(make([]byte, 1))
 	}
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		if err := c.Process.Signal(s); err != nil {
@@ -293,7 +293,7 @@
 		}
 	}
 	counts := freeAddress(t)
-	good := fmt.Sprintf(`{"addresses":{"delay_ms":100},"metrics":{"address":"%s"},"listen":{"http":[{"address":"unix:%s","mode":"0640"}]}}`, counts, path)
+	good := fmt.Sprintf(`{"addresses":{"delay_ms":100},"metrics":{"address":%q},"listen":{"http":[{"address":%q,"mode":"0640"}]}}`, counts, "unix:"+path)
 	write(`{"addresses":{"delay_ms":1}}`)
 	for _, args := range [][]string{{"check-config", "--site", siteFile}, {"serve", "--site", siteFile}} {
 		if out, err := program([]string{"ROUTER_CONFIG=" + file}, args...).CombinedOutput(); err == nil ||
@@ -313,7 +313,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
+	defer func() { _ = c.Process.Kill() }() // it may have ended
 	lines := bufio.NewScanner(logs)
 	until := func(what string) {
 		t.Helper()
@@ -322,7 +322,7 @@
 				return
 			}
 		}
-		t.Fatalf("never said: %s", what)
+		t.Fatalf("never logged: %s", what)
 	}
 	until("msg=serving")
 	for _, to := range [][2]string{{"unix", path}, {"tcp", listen}} {
--- a/cmd/wheatsaddle/ready_test.go
+++ b/cmd/wheatsaddle/ready_test.go
@@ -14,7 +14,7 @@
 	torn := `{"index":9,"snapshot":true,"endpoints":[{"name":"s","addr`
 	for name, says := range map[string]func(nc net.Conn){
 		"down":    nil,
-		"silent":  func(nc net.Conn) { io.Copy(io.Discard, nc) },
+		"silent":  func(nc net.Conn) { _, _ = io.Copy(io.Discard, nc) },
 		"refuses": func(nc net.Conn) { fmt.Fprint(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
 		"closes":  func(net.Conn) {},
 		"torn list, and a close": func(nc net.Conn) {
@@ -22,11 +22,11 @@
 		},
 		"torn list, and silence": func(nc net.Conn) {
 			fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(torn), torn)
-			io.Copy(io.Discard, nc)
+			_, _ = io.Copy(io.Discard, nc)
 		},
 		"torn line that ends": func(nc net.Conn) {
 			fmt.Fprintf(nc, "%s%x\r\n%s\n\r\n", head, len(torn)+1, torn)
-			io.Copy(io.Discard, nc)
+			_, _ = io.Copy(io.Discard, nc)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 					for nc, err := ln.Accept(); err == nil; nc, err = ln.Accept() {
 						go func() {
 							defer nc.Close()
-							nc.Read(make([]byte, 4096))
+							_, _ = nc.Read(make([]byte, 4096))
 							select {
 							case asked <- true:
 							default:
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -42,7 +42,7 @@
 		order string
 	}{{errors.New("no"), "retune "}, {nil, "retune move "}} {
 		order = ""
-		retune := func(set policy.Settings) error { order += "retune "; return x.err }
+		retune := func(policy.Settings) error { order += "retune "; return x.err }
 		got, taken := (&reloader{env: env, move: move, reconfigure: retune, log: log}).reload(context.Background(), held)
 		if order != x.order || taken != (x.err == nil) {
 			t.Errorf("%v: %s, taken %v", x.err, order, taken)
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -24,13 +24,13 @@
 		ran        []int
 		came, sent int
 	}{
-		{"it runs", []int{100, 200}, 250, 250},
-		{"a beat a little late", []int{100, 220}, 250, 250},
+		{"no stall", []int{100, 200}, 250, 250},
+		{"a heartbeat a little late", []int{100, 220}, 250, 250},
 		{"right after a stall", []int{100, 900}, 901, 100},
-		{"before the beat after a stall", []int{100}, 900, 100},
+		{"before the heartbeat after a stall", []int{100}, 900, 100},
 		{"after a stall that is past", []int{100, 900, 1000}, 1050, 1050},
-		{"it stood still again at once", []int{100, 900, 1300}, 1301, 100},
-		{"it stood still again later", []int{100, 900, 1000, 1400}, 1401, 1000},
+		{"a second stall at once", []int{100, 900, 1300}, 1301, 100},
+		{"a second stall later", []int{100, 900, 1000, 1400}, 1401, 1000},
 	} {
 		g := stallDetector{lastHeartbeat: origin}
 		for _, ms := range x.ran {
@@ -42,7 +42,7 @@
 	}
 }
 
-// A process that stood still before its goroutine for the signal first ran was told to end then, too.
+// A stall before the goroutine of the signal first runs counts too.
 func TestTerminationBeforeTheFirstHeartbeat(t *testing.T) {
 	signals := make(chan os.Signal, 1)
 	signals <- syscall.SIGTERM
@@ -55,8 +55,8 @@
 	}
 }
 
-// A process that is told to end while it stands still ends by the time of the signal, not by the time at which it runs
-// again: SIGKILL comes by the former.
+// A process that gets SIGTERM while it is stopped ends relative to the time of the signal, not to the time at which it
+// continues: SIGKILL comes relative to the former.
 func TestTerminationWhileStopped(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	d.up()
@@ -69,15 +69,15 @@
 	for time.Since(sent) < time.Second { // stays stopped
 		time.Sleep(10 * time.Millisecond)
 	}
-	stood := time.Since(sent)
+	stalled := time.Since(sent)
 	d.signal(syscall.SIGCONT)
 	line := d.awaitLog("termination signal received", 1)
 	var before time.Duration
 	if m := regexp.MustCompile(`delay_ms=(\d+)`).FindStringSubmatch(line); m != nil {
 		before, _ = time.ParseDuration(m[1] + "ms")
 	}
-	if before < stood-time.Millisecond { // rounded
-		t.Errorf("stood still for %v: %s", stood, line)
+	if before < stalled-time.Millisecond { // rounded
+		t.Errorf("stalled for %v: %s", stalled, line)
 	}
 	d.exits()
 	if _, err := idle.in.ReadByte(); err != io.EOF {
@@ -85,7 +85,7 @@
 	}
 }
 
-// SIGTERM while the configuration is being read: the program ends with exit 0 and has let nobody in.
+// SIGTERM while the configuration is being read: the program ends with exit code 0 and has accepted no connection.
 func TestTerminationDuringStart(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	text := d.text()
@@ -103,7 +103,7 @@
 	}
 }
 
-// SIGTERM, and again, while a reload is under way: the program serves on and ends with exit 0 beside it.
+// SIGTERM, several times, while a reload is under way: the program continues to serve and ends with exit code 0.
 func TestTerminationDuringReload(t *testing.T) {
 	node := storageNode(t)
 	close(node.release)
@@ -113,7 +113,7 @@
 	d.pipe()
 	d.signal(syscall.SIGHUP)
 	file := d.reads()
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	d.signal(syscall.SIGTERM)
 	d.awaitLog("msg=stopping ", 1)
 	for range 3 {
@@ -125,8 +125,8 @@
 	d.exits()
 }
 
-// The end of each kind of connection: one on which nothing was asked, or nothing is, closes without a word; a request that is
-// still arriving is refused; one that waits for a node that does not answer has failed. A second SIGTERM changes nothing.
+// The end of each kind of connection: an idle one is closed without a response; a request that is still arriving is
+// rejected; one that waits for a node that does not answer fails. A second SIGTERM changes nothing.
 func TestEndOfConnections(t *testing.T) {
 	node := storageNode(t)
 	d := daemonOf(t, conf{node: node.address, deadline: 300})
@@ -165,8 +165,8 @@
 	}
 }
 
-// A request that still waits for its node shortly before the kill has its final answer, and then the program ends. So has
-// one that came on another connection long after the signal.
+// A request that still waits for its node shortly before SIGKILL gets its final response, and then the program ends. So
+// does one that came on another connection long after the signal.
 func TestOpenAtTheEnd(t *testing.T) {
 	t.Parallel()
 	node := storageNode(t)
@@ -198,7 +198,7 @@
 	d.exits()
 }
 
-// The time to SIGKILL is by the settings that count at the signal, not by those of the start.
+// The time to SIGKILL follows from the settings at the signal, not from those of the start.
 func TestGraceOfReloadedSettings(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	d.up()
--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -125,7 +125,7 @@
 				case said && !ready:
 					return errors.New("ready was taken back")
 				case ready && b.machine.Phase() < coldstart.ListKnown && passed == 0:
-					return errors.New("ready before the list was heard")
+					return errors.New("ready before the list was received")
 				case ready:
 					said = true
 				}
@@ -148,6 +148,6 @@
 		mutant.Mutant{File: "starter.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
 		mutant.Mutant{File: "starter.go", Old: "			s.reportedReady.Store(true)", New: "			sync.Go(func() { s.reportedReady.Store(true) })", Want: "the list is back, and ready is not said"},
 		mutant.Mutant{File: "starter.go", Old: "	s.finished.Store(s.machine.Phase() == coldstart.Serving)", New: "	s.reportedReady.Store(true)\n	s.finished.Store(s.machine.Phase() == coldstart.Serving)",
-			Want: "ready before the list was heard"},
+			Want: "ready before the list was received"},
 	)
 }
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -132,7 +132,9 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Set(fakediscovery.Fault{Refuse: true})
+	if err := s.Set(fakediscovery.Fault{Refuse: true}); err != nil {
+		t.Fatal(err)
+	}
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
 	b, co, _ := begun(t, set, log)
@@ -150,7 +152,9 @@
 		t.Error("ready with no list")
 	}
 	s.Put(fakediscovery.Entry{Name: "s", Address: "127.0.0.1:1", Status: fakediscovery.Active, Weight: 1})
-	s.Set(fakediscovery.Fault{})
+	if err := s.Set(fakediscovery.Fault{}); err != nil {
+		t.Fatal(err)
+	}
 	for !b.isReady(false) {
 		runtime.Gosched()
 	}
@@ -158,7 +162,7 @@
 
 	next, co, _ := begun(t, set, log, startNode)
 	if next.listUnchanged(); !next.isReady(false) {
-		t.Error("the list held does not hold")
+		t.Error("the cached list is not used")
 	}
 	served(t, co)
 	for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
@@ -199,7 +203,7 @@
 		runtime.Gosched()
 	}
 	if len(old.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
-		t.Error("handed over while it starts")
+		t.Error("a snapshot was sent during the start")
 	}
 	old.finished.Store(true)
 	join("old", old)
