--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -18,8 +18,8 @@
 	"wheatsaddle/policy"
 )
 
-// From the section of the site's file to the admin endpoint's answer, with the classes, shards and limits of the
-// configuration: an estimate, an unknown class, and no call without the section.
+// From the section of the site's file to the answer of the admin endpoint, with the classes, shards and limits of the
+// configuration: an estimate, an unknown class, and no handler without the section.
 func TestEstimateAtTheAdminEndpoint(t *testing.T) {
 	held, err := config.ParseSite([]byte(`{"estimate":{"price_late":2}}`))
 	if err != nil {
--- a/cmd/wheatsaddle/fleet_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -23,11 +23,11 @@
 	"wheatsaddle/policy"
 )
 
-// Where the platform forbids it, naming the section is an error: at the check and at the start.
+// If the platform forbids gossip, the section is an error, in check-config and at the start.
 func TestPeersForbidden(t *testing.T) {
 	file, _ := configure(t, freeAddress(t))
 	at := filepath.Join(t.TempDir(), "site.json")
-	// Sections that ask other processes, and the code of their errors.
+	// Sections that communicate with other processes, and the codes of their errors.
 	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&gossip.ForbiddenError{}).Code(),
 		strings.Replace(fmt.Sprintf(gatherSite, ""), `"parts_most":8`, `"parts_most":4,"peers":[{"name":"other","address":"127.0.0.1:1"}]`, 1): (&config.KeyError{}).Code()}
 	write := func(site string) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// none is a node that nothing is sent to.
+// none is a node that gets no requests.
 type none struct{}
 
 func (none) Send(*core.Attempt) bool                           { return false }
@@ -75,7 +75,7 @@
 func (none) SetAddresses([]address.Addr)                       {}
 func (none) Close()                                            {}
 
-// What one process sees of a listed node the other has in its views, without what was cancelled.
+// What one process observes of a listed node is in the other's views, without cancelled attempts.
 func TestFleetExchangesObservations(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	state := nodestats.Defaults()
--- a/cmd/wheatsaddle/flood_test.go
+++ b/cmd/wheatsaddle/flood_test.go
@@ -13,8 +13,8 @@
 
 const floodSockets = 96
 
-// limitDescriptors lets a process have so many at most.
-func limitDescriptors(t *testing.T, pid int, most uint64) {
+// setDescriptorLimit limits the descriptors of a process.
+func setDescriptorLimit(t *testing.T, pid int, most uint64) {
 	t.Helper()
 	limit := syscall.Rlimit{Cur: most, Max: most}
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
@@ -23,7 +23,7 @@
 	}
 }
 
-// listOf serves a list of one node, and watches on which nothing changes.
+// listOf serves a list of one node, and watches without changes.
 func listOf(t *testing.T, at, node string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", at)
@@ -45,8 +45,8 @@
 	t.Cleanup(func() { close(done); _ = s.Close() })
 }
 
-// Idle clients, several times what the process may open, come while discovery is down. The readiness probe has its
-// answer, discovery is reached when it is back, and the node that only its list names is dialled.
+// Idle clients, several times the number of descriptors, connect while discovery is down. The readiness probe is answered,
+// discovery is reached when it is back, and the node that only its list names is dialled.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	known, next := storageNode(t), storageNode(t)
 	close(known.release)
@@ -55,7 +55,7 @@
 	d := daemonOf(t, conf{node: known.address, discovery: service, deadline: 60000})
 	d.edit([2]string{`"sockets":256`, fmt.Sprintf(`"sockets":%d`, floodSockets)})
 	d.up()
-	limitDescriptors(t, d.cmd.Process.Pid, floodSockets)
+	setDescriptorLimit(t, d.cmd.Process.Pid, floodSockets)
 	for range 4 * floodSockets {
 		d.dial()
 	}
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -23,7 +23,8 @@
 const gatherSite = `{"gather":{"reads_at_once":1,"parts_most":8,"rules":{"classes":{"balance-read":{"order":[{"key":"k","type":"integer"}],
 	"memory":{"bytes":1048576}%s}}}}}`
 
-// The program gathers by the section, takes other rules at SIGHUP whole, and of bad ones nothing; check-config names the key.
+// The program gathers according to the section, applies changed rules at SIGHUP as a whole, and nothing of invalid ones;
+// check-config names the key.
 func TestGatherByTheSite(t *testing.T) {
 	rows := &node.Rows{Seed: 1, Count: 20}
 	n := node.New(node.Options{Name: "s", Rows: rows})
@@ -127,7 +128,7 @@
 	}
 }
 
-// The order of asking follows the estimate: a shard whose node is slow is expected to take longer.
+// The order of requests follows the estimate: a shard whose node is slow is expected to take longer.
 func TestExpectation(t *testing.T) {
 	held, err := config.ParseSite([]byte(`{"estimate":{}}`))
 	if err != nil {
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/policy"
 )
 
-// Who binds its own socket shares nothing: no gate, no lock, no goroutine. A wait that is long is told with what to do.
+// A process that binds its own socket shares nothing: no gate, no lock, no goroutine. A long wait is logged with advice.
 func TestShare(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	other.carryOut(handover.Action{Kind: handover.ReleaseLock})
 }
 
-// Nothing is accepted before the turn, and nothing after SIGTERM; what is open is answered, and closes with it.
+// Nothing is accepted before the lock is held, and nothing after SIGTERM; open connections are answered and closed.
 func TestShareOpensAndShuts(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/wheatsaddle/large_test.go
+++ b/cmd/wheatsaddle/large_test.go
@@ -25,7 +25,7 @@
 	largeSockets = 192
 )
 
-// manyNodes is one listener that stands for any number of nodes, and counts what comes.
+// manyNodes is one listener that stands for any number of nodes, and counts requests.
 func manyNodes(t *testing.T) (address string, came *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,9 +60,9 @@
 	return list
 }
 
-// The daemon as one of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes: it serves
-// every shard, takes a list in which half of the nodes are replaced, passes over what is wrong in it,
-// and stays under its limits of memory and descriptors.
+// The daemon as one of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes: it serves every shard, accepts a
+// list in which half of the nodes are replaced, ignores its invalid entries, and stays within its limits of memory and
+// descriptors.
 func TestThousandNodes(t *testing.T) {
 	old, oldCame := manyNodes(t)
 	next, nextCame := manyNodes(t)
@@ -110,7 +110,7 @@
 	if n := oldCame.Load(); n < largeNodes {
 		t.Errorf("%d requests came to the nodes", n)
 	}
-	// Half are replaced; a name without an address, an entry twice and one of no shard change nothing else.
+	// Half are replaced; a name without an address, a repeated entry and one without a shard change nothing else.
 	half := largeNodes / 2
 	changes := append(entries("r", next, discovery.Active, half), entries("s", old, discovery.Left, half)...)
 	twice := append(entries("r", next, discovery.Active, 1), changes[0])
--- a/cmd/wheatsaddle/list_test.go
+++ b/cmd/wheatsaddle/list_test.go
@@ -18,10 +18,10 @@
 	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
-// listGuard is how long a test waits for what has to come before it says that it did not.
+// listGuard is how long a test waits for an expected event.
 const listGuard = 30 * time.Second
 
-// probe asks for a path on a connection of its own; 0: no answer.
+// probe requests a path on a connection of its own; 0: no answer.
 func probe(address, path string) int {
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// tornLists answers each call with half a list, and ends it.
+// tornLists answers each request with half a list, and closes.
 func tornLists(t *testing.T) (address string, calls *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,9 +72,9 @@
 	return ln.Addr().String(), calls
 }
 
-// A process gets ready with discovery refusing connections, turning calls away, resetting them, silent, or sending a
-// torn list: with the section start and without, with a list held and without, pushed and asked. The bound in time is
-// that of coldstart's Settings.ReadyMost and of maxListWait, which are under 6 s.
+// A process becomes ready with discovery refusing connections, rejecting requests, resetting them, silent, or sending an
+// incomplete list: with and without the section start, with and without a cached list, with a watch and with polls. The
+// bound is that of coldstart's Settings.ReadyMost and of maxListWait, which are under 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	faults := map[string]discovery.Fault{"down": {Shut: true}, "refusing": {Refuse: true}, "reset": {Reset: true}, "silent": {Silent: true},
 		"down agent": {Down: true}}
@@ -90,7 +90,7 @@
 			if err := s.Set(f); err != nil {
 				t.Fatal(err)
 			}
-			readyWith(t, s.Addr(), f.Silent, func() bool { return f.Shut || s.Counts().Came > 0 })
+			checkReadyWith(t, s.Addr(), f.Silent, func() bool { return f.Shut || s.Counts().Came > 0 })
 			if n := s.Counts().Served; n > 0 {
 				t.Errorf("%d lists were served", n)
 			}
@@ -99,13 +99,13 @@
 	t.Run("torn", func(t *testing.T) {
 		t.Parallel()
 		address, calls := tornLists(t)
-		readyWith(t, address, true, func() bool { return calls.Load() > 0 })
+		checkReadyWith(t, address, true, func() bool { return calls.Load() > 0 })
 	})
 }
 
-// readyWith starts a process of each kind at a list's service, one after another, until it is ready; bare: one
-// without a list held too, which waits for longer.
-func readyWith(t *testing.T, address string, bare bool, reached func() bool) {
+// checkReadyWith starts a process of each kind with a list service, one after another, until it is ready; bare: also one
+// without a cached list, which waits longer.
+func checkReadyWith(t *testing.T, address string, bare bool, reached func() bool) {
 	kinds := []struct{ section, ask, held bool }{{false, false, true}, {true, false, true}}
 	if bare {
 		kinds = append(kinds, struct{ section, ask, held bool }{true, true, false})
@@ -151,12 +151,12 @@
 }
 
 const (
-	scarceDescriptors = 96
-	scarceNodes       = 64
+	fewDescriptors = 96
+	fewNodes       = 64
 )
 
-// Clients with requests and idle ones hold all descriptors that they may, and nodes theirs: discovery's connection
-// gets one all the same once discovery is back, and so does the readiness probe.
+// While clients, with and without requests, and nodes hold all descriptors that they may, the connection to discovery still gets
+// one when discovery is back, and so does the readiness probe.
 func TestDiscoveryAndProbeGetDescriptors(t *testing.T) {
 	node, err := net.Listen("tcp", "127.0.0.1:0") // it takes requests and answers none
 	if err != nil {
@@ -172,16 +172,16 @@
 		t.Fatal(err)
 	}
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
-	known := discovery.List{Index: 1, Full: true, Entries: entries("s", node.Addr().String(), discovery.Active, scarceNodes)}
+	known := discovery.List{Index: 1, Full: true, Entries: entries("s", node.Addr().String(), discovery.Active, fewNodes)}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,
 "settings":{"fleet-size":1,"ceilings":{"max-attempts":1},"extra":{"usual-units":2,"largest":6,"slots-total":%d},
 "profiles":[{"name":"balance-read","goal-time":30000,"deadline":60000,"repeat":"safe","worth":3}],
-"contracts":[{"name":"basic","reservation":100000,"usual-rate":100000}]}}`, listen, disco.Addr(), known.Text(false), scarceNodes)
+"contracts":[{"name":"basic","reservation":100000,"usual-rate":100000}]}}`, listen, disco.Addr(), known.Text(false), fewNodes)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c := program([]string{"ROUTER_CONFIG=" + file})
-	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, scarceDescriptors), c.Path)
+	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, fewDescriptors), c.Path)
 	limited.Env = c.Env
 	upAt(t, limited, listen)
 	open := func() int {
@@ -196,17 +196,17 @@
 		t.Cleanup(func() { nc.Close() })
 		return nc
 	}
-	for i := range scarceNodes { // each request has a node of its own, which holds it
+	for i := range fewNodes { // each request has a node of its own, which holds it
 		q := strings.Replace(read, "r1", fmt.Sprint("q", i), 1)
 		_, _ = io.WriteString(dial(), strings.Replace(q, "shard=0", fmt.Sprint("shard=", i), 1))
 	}
-	sockets := scarceDescriptors - reservedDescriptors
-	clients := clientConns(sockets, scarceDescriptors)
+	sockets := fewDescriptors - reservedDescriptors
+	clients := clientConns(sockets, fewDescriptors)
 	waitFor(t, "clients and nodes hold all that they may", func() bool { return open() >= sockets })
-	for range 2 * scarceDescriptors {
+	for range 2 * fewDescriptors {
 		dial()
 	}
-	t.Logf("%d descriptors of %d are open, %d may be clients'", open(), scarceDescriptors, clients)
+	t.Logf("%d descriptors of %d are open, %d may be clients'", open(), fewDescriptors, clients)
 	if err := disco.Up(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -21,8 +21,7 @@
 	"wheatsaddle/policy"
 )
 
-// TestMain lets the test program stand in for the real one, so that signals and exit codes
-// are seen from outside.
+// TestMain lets the test program run as the real one, so that signals and exit codes are seen from outside.
 func TestMain(m *testing.M) {
 	if os.Getenv("WHEATSADDLE_AS_PROGRAM") != "" {
 		main()
@@ -47,7 +46,7 @@
 	return ln.Addr().String()
 }
 
-// configure writes a configuration with one known node.
+// configure writes a configuration with one cached node.
 func configure(t *testing.T, node string) (file, listen string) {
 	t.Helper()
 	listen, file = freeAddress(t), filepath.Join(t.TempDir(), "config.json")
@@ -65,7 +64,7 @@
 const read = "GET /balance-read/x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r1\r\nTier: basic\r\nCookie: extent=7f3a9c21e0b4d655\r\n" +
 	"X-Deadline-Ms: 50000\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n"
 
-// upAt starts the program, and connects to it once it takes connections. Both end with the test.
+// upAt starts the program and connects to it once it accepts connections. Both end with the test.
 func upAt(t *testing.T, c *exec.Cmd, listen string) net.Conn {
 	t.Helper()
 	if err := c.Start(); err != nil {
@@ -82,8 +81,8 @@
 	}
 }
 
-// With discovery down the program serves from the known list; at SIGTERM it answers what it
-// has taken, serves on the connections that are open when new ones are refused, and exits 0.
+// With discovery down the program serves the cached list. At SIGTERM it answers the open requests, serves the open
+// connections while new ones are rejected, and exits with code 0.
 func TestServeAndStop(t *testing.T) {
 	node, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,8 +134,7 @@
 	}
 }
 
-// The second front listens only where its file says, outlives a reload, and stops with the
-// program.
+// The iSCSI front listens only where its file says, outlives a reload, and stops with the program.
 func TestServeISCSI(t *testing.T) {
 	file, listen := configure(t, "127.0.0.1:1")
 	blocks, blockFile := freeAddress(t), filepath.Join(t.TempDir(), "iscsi.json")
@@ -172,8 +170,8 @@
 	}
 }
 
-// A reload takes the file's discovery over the start's environment, keeps what stands when the
-// file is bad, and names what needs a restart.
+// A reload uses the file's discovery, not the environment's of the start, changes nothing if the file is invalid, and names the
+// keys that need a restart.
 func TestReload(t *testing.T) {
 	file, _ := configure(t, "127.0.0.1:1")
 	env := func(k string) string {
@@ -275,8 +273,8 @@
 	}
 }
 
-// The site's file adds a socket file for clients; a bad one is named before anything starts, and
-// when it is read again changes nothing.
+// The site's file adds a Unix socket for clients. An invalid file is an error before anything starts, and changes nothing at
+// a reload.
 func TestSite(t *testing.T) {
 	node, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/wheatsaddle/ready_test.go
+++ b/cmd/wheatsaddle/ready_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A process whose discovery is down, silent, refuses or sends a torn list is ready all the same, and serves from the list that
-// it was started with.
+// A process whose discovery is down, silent, rejects requests or sends an incomplete list becomes ready all the same, and
+// serves the cached list.
 func TestServesWithoutDiscovery(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	torn := `{"index":9,"snapshot":true,"endpoints":[{"name":"s","addr`
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -18,7 +18,7 @@
 	"wheatsaddle/policy"
 )
 
-// Where the module turns the settings down nothing else of the file counts either.
+// If the policy rejects the settings, nothing else of the file applies either.
 func TestReloadRejectedByThePolicy(t *testing.T) {
 	file, _ := configure(t, "127.0.0.1:1")
 	env := singleVariableEnv("ROUTER_CONFIG", file)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A process that starts beside its whole fleet has its part of the cold budget after a reload too.
+// A process that starts with its whole fleet keeps its part of the slow start budget after a reload.
 func TestReloadKeepsThePartOfTheColdBudget(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := startConf().Settings
@@ -78,7 +78,7 @@
 	}
 }
 
-// What the list's calls and the connections to nodes go by since the start is named in the log.
+// Settings of the watch and of the connections to nodes, which only a restart applies, are named in the log.
 func TestRestartKeys(t *testing.T) {
 	held, next := &config.Config{}, &config.Config{ListMode: "ask", Handshake: 1}
 	next.Settings.PollWithin = 1
@@ -89,7 +89,7 @@
 
 const classHead = `{"name":"balance-read"`
 
-// changed are settings that come while a request is out at a node, by what they make of its class and plan.
+// changed are settings that arrive while a request is in flight, by how they change its class and plan.
 var changed = []struct {
 	name  string
 	pairs [][2]string
@@ -105,8 +105,7 @@
 	{"another limit", [][2]string{{`"usual-rate":1000`, `"usual-rate":1000,"cap":1000,"burst":1000`}}, 200},
 }
 
-// A request that is out at its node when the settings change is answered as it would have been; the next of its kind goes
-// by the new ones.
+// A request that is in flight when the settings change is answered under the old ones; the next of its kind under the new.
 func TestReloadUnderARequest(t *testing.T) {
 	for _, x := range changed {
 		t.Run(x.name, func(t *testing.T) {
@@ -130,8 +129,9 @@
 	}
 }
 
-// SIGHUP three times at once, while the first reads the file: it is read once more, and not by two at a time. A file that is torn,
-// cannot be read or has bad settings beside another address of discovery changes nothing, and counts as an error.
+// Of three SIGHUPs at once, while the first reload reads the file, one more reload follows, and never two at a time. A file
+// that is incomplete, unreadable, or has invalid settings beside a new address of discovery changes nothing, and counts
+// as an error.
 func TestConcurrentAndInvalidReloads(t *testing.T) {
 	moved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -197,7 +197,7 @@
 	d.exits()
 }
 
-// A SIGHUP while the process starts does not end it, and is heard once it serves.
+// A SIGHUP during the start does not end the process, and is handled once it serves.
 func TestReloadDuringStart(t *testing.T) {
 	d := daemonOf(t, conf{deadline: 300})
 	good := d.text()
--- a/cmd/wheatsaddle/share_test.go
+++ b/cmd/wheatsaddle/share_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Clients get half of what is left of the descriptors, and at small limits no less than the third of
-// all that they may hold with requests open, as long as nodes keep a quarter.
+// Clients get half of the unreserved descriptors, and at small limits no less than the third of all that they may hold with
+// open requests, as long as a quarter remains for nodes.
 func TestClientConns(t *testing.T) {
 	for _, x := range []struct{ all, want int }{{1024, 496}, {576, 272}, {128, 48}, {96, 33}, {64, 22}, {34, 1}} {
 		left := max(x.all-reservedDescriptors, 2)
--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -19,7 +19,7 @@
 	"wheatsaddle/policy"
 )
 
-// actor stands in for the core: one at a time takes what is put, and asks the start about each node.
+// actor stands for the core: it handles one message at a time, and asks the starter about each node.
 type actor struct {
 	b       *starter
 	mail    chan string
@@ -68,11 +68,10 @@
 	return -1
 }
 
-// The start begins, the core's actor asks, the list speaks, a timer comes, and the start is stopped: the
-// actor never waits for whoever waits for it, the held list never goes over the list's own word, which is with
-// the core when list comes back; a stopped start decides nothing, and leaves nothing unsent and no goroutine.
-// Ready is not said before the phase allows it (the list was heard, or ReadyMost is over), is said when the list
-// is back, once, and stays.
+// The starter begins, the core's actor calls it, the list arrives, a timer fires, and the starter is stopped. The actor never
+// waits for one that waits for it; the cached list never replaces the received one, which the core has when updateList
+// returns; a stopped starter decides nothing, and leaves no message and no goroutine. Readiness is not reported before the
+// phase allows it (the list was received, or ReadyMost has passed), is reported once when the list is there, and stays.
 func TestInterleaveStart(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	conf := &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000,
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -23,26 +23,26 @@
 	"wheatsaddle/policy"
 )
 
-// quick is a node that serves at once, and notes what is opened or asked ahead of need.
-type quick struct {
+// fastNode is a node that serves at once, and counts connections and health checks ahead of requests.
+type fastNode struct {
 	core.NodeClient
 	id    string
 	ahead chan string
 }
 
-func (quick) Send(a *core.Attempt) bool {
+func (fastNode) Send(a *core.Attempt) bool {
 	go a.Done(core.Result{Status: policy.OK})
 	return true
 }
-func (q quick) Connect(func(policy.Status)) bool { q.ahead <- "connect " + q.id; return true }
-func (q quick) CheckHealth(func(core.Result, time.Duration)) (taken bool) {
+func (q fastNode) Connect(func(policy.Status)) bool { q.ahead <- "connect " + q.id; return true }
+func (q fastNode) CheckHealth(func(core.Result, time.Duration)) (taken bool) {
 	q.ahead <- "probe " + q.id
 	return true
 }
-func (quick) Drain(bool) {}
-func (quick) Close()     {}
+func (fastNode) Drain(bool) {}
+func (fastNode) Close()     {}
 
-// startConf is a scheduler's alone, and startNode its node.
+// startConf is the configuration of a single scheduler, and startNode its node.
 func startConf() *config.Config {
 	return &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000, MayCheckHealth: true,
 		PollsEndpointList: true, Classes: []policy.Class{{Name: "read", LatencyObjective: 30000, Deadline: 60000, PriorityWeight: 1}}, Plans: []policy.Plan{{Name: "basic", ReservedRate: 1000}}}}
@@ -50,8 +50,9 @@
 
 var startNode = core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
 
-// begun is a start that runs, with a core whose nodes note what is opened ahead; both end with the test.
-func begun(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, held ...core.Node) (*starter, *core.Core, chan string) {
+// newRunningStarter returns a running starter, with a core whose nodes count connections ahead of requests; both end with the
+// test.
+func newRunningStarter(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, held ...core.Node) (*starter, *core.Core, chan string) {
 	t.Helper()
 	conf, ahead := startConf(), make(chan string, 8)
 	b, err := newStarter(set, conf, held, log)
@@ -59,7 +60,7 @@
 		t.Fatal(err)
 	}
 	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, Start: b.limiter(),
-		Connect: func(id string, _ []address.Addr) core.NodeClient { return quick{id: id, ahead: ahead} }})
+		Connect: func(id string, _ []address.Addr) core.NodeClient { return fastNode{id: id, ahead: ahead} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +70,7 @@
 	return b, co, ahead
 }
 
-// served has a request of the node's shard served.
+// served sends a request of the node's shard and waits until it is served.
 func served(t *testing.T, co *core.Core) {
 	t.Helper()
 	got := make(chan core.Answer, 1)
@@ -80,8 +81,8 @@
 	}
 }
 
-// A start with the section on asks the list, serves what it has heard, keeps what it learned, and the
-// next start has it again; off, there is none of it.
+// With the section a start requests the list, serves it and stores what it learned, and the next start restores that.
+// Without the section it does none of this.
 func TestStartRestoresTheSnapshot(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListMost: 40, Ahead: 1}
@@ -91,7 +92,7 @@
 	life := func(do func(*starter, *core.Core, chan string)) {
 		t.Helper()
 		t.Run("life", func(t *testing.T) {
-			b, co, ahead := begun(t, set, log, startNode)
+			b, co, ahead := newRunningStarter(t, set, log, startNode)
 			<-b.Due() // the list may be asked for
 			if b.isReady(true) {
 				t.Error("ready before the list")
@@ -123,9 +124,8 @@
 	}
 }
 
-// The start sets the pace of the calls that its list's service turns away, and the first that is
-// answered ends it. What is held holds, once the watch says that nothing came after it; where nothing is
-// held such a word is none.
+// The starter paces the requests that the list's service rejects, and the first answer ends it. A cached list is used once
+// the watch reports that nothing changed since; without a cached list such a report has no effect.
 func TestStartPacesTheList(t *testing.T) {
 	s, err := fakediscovery.New(fakediscovery.Options{Index: 40})
 	if err != nil {
@@ -137,9 +137,9 @@
 	}
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 40}
-	b, co, _ := begun(t, set, log)
+	b, co, _ := newRunningStarter(t, set, log)
 	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: watchTimerSettings(startConf()), Pace: counted{b.watchPace(), &missed}, OnUnchanged: b.listUnchanged,
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Clock: watchTimerSettings(startConf()), Pace: countingPace{b.watchPace(), &missed}, OnUnchanged: b.listUnchanged,
 		OnNews: func(n core.ListUpdate) { b.updateList(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
@@ -160,7 +160,7 @@
 	}
 	served(t, co)
 
-	next, co, _ := begun(t, set, log, startNode)
+	next, co, _ := newRunningStarter(t, set, log, startNode)
 	if next.listUnchanged(); !next.isReady(false) {
 		t.Error("the cached list is not used")
 	}
@@ -172,16 +172,15 @@
 	}
 }
 
-type counted struct {
+type countingPace struct {
 	discovery.Pace
 	missed *atomic.Int64
 }
 
-func (c counted) Missed() { c.missed.Add(1); c.Pace.Missed() }
+func (c countingPace) Missed() { c.missed.Add(1); c.Pace.Missed() }
 
-// A process that starts without a snapshot has what another learned, once the list says that the node's
-// start is the same; what cannot be read is counted, and the next is asked. Another that starts hands
-// nothing over.
+// A process that starts without a snapshot gets what another learned, once the list confirms the node's start time. An
+// unreadable snapshot is counted and the next member is asked. A process that is starting itself sends none.
 func TestSnapshotFromAPeer(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListMost: 40, Ahead: 1}
@@ -196,7 +195,7 @@
 		return f
 	}
 	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}
-	old, co, _ := begun(t, set, log)
+	old, co, _ := newRunningStarter(t, set, log)
 	old.updateList(list)
 	served(t, co)
 	for old.snapshot() == nil {
@@ -215,7 +214,7 @@
 	t.Cleanup(liar.Stop)
 	site.Peers.Seeds = append(site.Peers.Seeds, liar.Address())
 	for life, met := 0, false; !met; life++ { // until one of them asked the liar first
-		b, co, ahead := begun(t, set, log)
+		b, co, ahead := newRunningStarter(t, set, log)
 		f := join(fmt.Sprint("new-", life), b)
 		for f.cluster.Counts().Members < 3 {
 			runtime.Gosched()
@@ -236,7 +235,7 @@
 	}
 }
 
-// What the other processes say of a node's start reaches the start: of a later one it is not opened ahead.
+// A node's start time that other processes report reaches the starter: of a later one no connection is opened ahead.
 func TestNodeStartsReportedByPeers(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{On: true, ListPriced: true, ListMost: 0.1, Ahead: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
@@ -257,7 +256,7 @@
 	}
 	s.SetNodeHealth(0, first, 6, nodestats.Health{})
 	s.SetNodeHealth(0, last, 5, nodestats.Health{})
-	b, _, ahead := begun(t, set, log, node("a", 0), node("b", 1))
+	b, _, ahead := newRunningStarter(t, set, log, node("a", 0), node("b", 1))
 	b.addPeerReports(0, s)
 	if got := <-ahead; got != "connect "+last {
 		t.Errorf("ahead of need: %s, want %s alone", got, last)
