--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -21,20 +21,20 @@
 // faultyNetwork is the network between processes: datagrams are lost, duplicated, reordered and truncated by a seed, and the
 // two partitions can be separated.
 type faultyNetwork struct {
-	mu                         sync.Mutex
-	rand                       *rand.Rand
-	share                      float64 // of each kind of fault
-	partition                       map[string]int
-	partitioned                      bool
-	lost, duplicated, delayed, truncated   int
-	blocked, datagrams, dialed int
+	mu                                   sync.Mutex
+	rand                                 *rand.Rand
+	share                                float64 // of each kind of fault
+	partition                            map[string]int
+	partitioned                          bool
+	lost, duplicated, delayed, truncated int
+	blocked, datagrams, dialed           int
 }
 
 // faultyTransport is one process's transport on a faultyNetwork.
 type faultyTransport struct {
 	*memberlist.NetTransport
-	network    *faultyNetwork
-	address   string
+	network *faultyNetwork
+	address string
 	delayed []func()
 }
 
@@ -98,11 +98,11 @@
 
 // testFleet is some processes; the first half of them is one partition.
 type testFleet struct {
-	t     *testing.T
-	network     *faultyNetwork
-	peers []*Cluster
-	seeds []string
-	makeSnapshot  func(i int) func(SnapshotKind) []byte
+	t            *testing.T
+	network      *faultyNetwork
+	peers        []*Cluster
+	seeds        []string
+	makeSnapshot func(i int) func(SnapshotKind) []byte
 }
 
 func discardLog() logrus.FieldLogger {
@@ -133,7 +133,9 @@
 	return p
 }
 
-func startFleet(t *testing.T, n int, share float64) *testFleet { return startFleetWith(t, n, share, nil) }
+func startFleet(t *testing.T, n int, share float64) *testFleet {
+	return startFleetWith(t, n, share, nil)
+}
 
 func startFleetWith(t *testing.T, n int, share float64, give func(i int) func(SnapshotKind) []byte) *testFleet {
 	c := &testFleet{t: t, makeSnapshot: give, network: &faultyNetwork{rand: rand.New(rand.NewPCG(20261201, uint64(n))), share: share, partition: map[string]int{}}}
