--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -18,8 +18,8 @@
 	"wheatsaddle/policy"
 )
 
-// From the section of the site's file to the admin endpoint's answer, with the classes, shards and limits of the
-// configuration: an estimate, an unknown class, and no call without the section.
+// From the section of the site's file to the answer of the admin endpoint, with the classes, shards and limits of the
+// configuration: an estimate, an unknown class, and no handler without the section.
 func TestEstimateAtTheAdminEndpoint(t *testing.T) {
 	held, err := config.ParseSite([]byte(`{"estimate":{"price_late":2}}`))
 	if err != nil {
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go admin.Serve(ln)
-	defer admin.Close()
+	go func() { _ = admin.Serve(ln) }() // ends with the listener
+	defer func() { _ = admin.Close() }()
 	post := func(body string) (int, string) {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -51,6 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer resp.Body.Close()
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -23,7 +23,8 @@
 const gatherSite = `{"gather":{"reads_at_once":1,"parts_most":8,"rules":{"classes":{"balance-read":{"order":[{"key":"k","type":"integer"}],
 	"memory":{"bytes":1048576}%s}}}}}`
 
-// The program gathers by the section, takes other rules at SIGHUP whole, and of bad ones nothing; check-config names the key.
+// The program gathers according to the section, applies changed rules at SIGHUP as a whole, and nothing of invalid ones;
+// check-config names the key.
 func TestGatherByTheSite(t *testing.T) {
 	rows := &node.Rows{Seed: 1, Count: 20}
 	n := node.New(node.Options{Name: "s", Rows: rows})
@@ -67,7 +68,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
+	defer func() { _ = c.Process.Kill() }()
 	lines := bufio.NewScanner(logs)
 	until := func(what ...string) {
 		t.Helper()
@@ -76,7 +77,7 @@
 				return
 			}
 		}
-		t.Fatalf("never said: %s", what)
+		t.Fatalf("never logged: %s", what)
 	}
 	until("msg=serving")
 	asked := 0
@@ -93,6 +94,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer r.Body.Close()
 		text, err := io.ReadAll(r.Body)
 		if err != nil || r.StatusCode != 200 {
 			t.Fatalf("%v %d %s", err, r.StatusCode, text)
@@ -126,7 +128,7 @@
 	}
 }
 
-// The order of asking follows the estimate: a shard whose node is slow is expected to take longer.
+// The order of requests follows the estimate: a shard whose node is slow is expected to take longer.
 func TestExpectation(t *testing.T) {
 	held, err := config.ParseSite([]byte(`{"estimate":{}}`))
 	if err != nil {
--- a/cmd/wheatsaddle/large_test.go
+++ b/cmd/wheatsaddle/large_test.go
@@ -25,7 +25,7 @@
 	largeSockets = 192
 )
 
-// manyNodes is one listener that stands for any number of nodes, and counts what comes.
+// manyNodes is one listener that stands for any number of nodes, and counts requests.
 func manyNodes(t *testing.T) (address string, came *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,17 +52,17 @@
 	return ln.Addr().String(), came
 }
 
-// entries are those of nodes from a shard on, at one address.
-func entries(name, address string, status discovery.Status, from, to int) (list []discovery.Entry) {
-	for i := from; i < to; i++ {
+// entries are those of n nodes, one for each shard, at one address.
+func entries(name, address string, status discovery.Status, n int) (list []discovery.Entry) {
+	for i := range n {
 		list = append(list, discovery.Entry{Name: fmt.Sprintf("%s-%04d", name, i), Address: address, Group: i, Status: status, Weight: 1})
 	}
 	return list
 }
 
-// The daemon as one of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes: it serves
-// every shard, takes a list in which half of the nodes are replaced, passes over what is wrong in it,
-// and stays under its limits of memory and descriptors.
+// The daemon as one of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes: it serves every shard, accepts a
+// list in which half of the nodes are replaced, ignores its invalid entries, and stays within its limits of memory and
+// descriptors.
 func TestThousandNodes(t *testing.T) {
 	old, oldCame := manyNodes(t)
 	next, nextCame := manyNodes(t)
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	defer disco.Close()
-	all := entries("s", old, discovery.Active, 0, largeNodes)
+	all := entries("s", old, discovery.Active, largeNodes)
 	disco.Put(all...)
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
@@ -93,7 +93,7 @@
 		t.Helper()
 		serial++
 		q := strings.Replace(read, "r1", fmt.Sprint("q", serial), 1)
-		io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
+		_, _ = io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || string(r.Body()) != "ok" {
 			t.Fatalf("shard %d: %v %d %q", shard, err, r.StatusCode(), r.Body())
@@ -110,10 +110,10 @@
 	if n := oldCame.Load(); n < largeNodes {
 		t.Errorf("%d requests came to the nodes", n)
 	}
-	// Half are replaced; a name without an address, an entry twice and one of no shard change nothing else.
+	// Half are replaced; a name without an address, a repeated entry and one without a shard change nothing else.
 	half := largeNodes / 2
-	changes := append(entries("r", next, discovery.Active, 0, half), entries("s", old, discovery.Left, 0, half)...)
-	twice := append(entries("r", next, discovery.Active, 0, 1), changes[0])
+	changes := append(entries("r", next, discovery.Active, half), entries("s", old, discovery.Left, half)...)
+	twice := append(entries("r", next, discovery.Active, 1), changes[0])
 	index := disco.Put(append(changes, discovery.Entry{Name: "s-0900", Address: "nowhere", Group: 900, Status: discovery.Active},
 		discovery.Entry{Name: "s-0901", Address: old, Group: -7, Status: discovery.Active})...)
 	for disco.Say(string(discovery.List{Index: index, Entries: twice}.Text(false))) == 0 {
