--- a/internal/httpfront/path.go
+++ b/internal/httpfront/addressconn.go
@@ -9,38 +9,38 @@
 	"wheatsaddle/policy"
 )
 
-// path is one connection of a node with several addresses, or the dial of one.
-type path struct {
+// addressConn is one connection of a node with several addresses, or the dial of one.
+type addressConn struct {
 	conn
 	id        address.Conn
 	cancelRun context.CancelFunc // ends its dial, or its wait for a job
 	ready     bool               // the dial has succeeded and the book wants the connection
-	work      *work              // that it carries
+	request   *connRequest       // that it carries
 	lastUsed  time.Time          // end of its last work; zero: it had none
 }
 
-// pathMessage is one message from a goroutine of the paths to the node's actor; the fields of one kind are set.
-type pathMessage struct {
+// addressMessage is one message from a goroutine of the paths to the node's actor; the fields of one kind are set.
+type addressMessage struct {
 	addresses []address.Addr // the node's new addresses
-	connected *path          // its dial has succeeded
-	failed    *path          // its dial has failed, for why
-	why       address.Reason
-	expired   *work // its context has ended; it may still wait
-	returned  *path // its work is over; event is the result for the book
-	unsent    *path // found unusable before a byte of its work was written
+	connected *addressConn   // its dial has succeeded
+	failed    *addressConn   // its dial has failed, for why
+	reason    address.Reason
+	expired   *connRequest // its context has ended; it may still wait
+	returned  *addressConn // its work is over; event is the result for the book
+	unsent    *addressConn // found unusable before a byte of its work was written
 	event     address.Event
 	rejected  *core.Result // result of an attempt that was rejected as full: the actor decides whether by its own node
 }
 
 // run dials the connection and carries its works until ctx ends or the connection cannot be used again.
-func (t *path) run(ctx context.Context) {
+func (t *addressConn) run(ctx context.Context) {
 	why, err := t.connect(ctx)
 	if err != nil {
-		t.node.mailbox.Must(nodeMessage{path: &pathMessage{failed: t, why: why}})
+		t.node.mailbox.Must(nodeMessage{addressMessage: &addressMessage{failed: t, reason: why}})
 		return
 	}
 	defer t.socket.Close()
-	t.node.mailbox.Must(nodeMessage{path: &pathMessage{connected: t}})
+	t.node.mailbox.Must(nodeMessage{addressMessage: &addressMessage{connected: t}})
 	for {
 		var j job
 		select {
@@ -49,17 +49,17 @@
 			return
 		}
 		if j.attempt != nil && t.unusable() {
-			t.node.mailbox.Must(nodeMessage{path: &pathMessage{unsent: t}})
+			t.node.mailbox.Must(nodeMessage{addressMessage: &addressMessage{unsent: t}})
 			return
 		}
 		start := time.Now()
 		r, e := t.serve(j)
-		if rep, ok := r.Payload.(*reply); ok && rep.relay != nil && j.attempt != nil {
+		if rep, ok := r.Payload.(*nodeResponse); ok && rep.relay != nil && j.attempt != nil {
 			// A long answer: the connection is the relay's until its last byte has passed.
 			rep.relay.handOut()
 			j.attempt.Done(r)
 			e.KeepAlive = rep.relay.wait() && e.KeepAlive
-			t.node.mailbox.Must(nodeMessage{path: &pathMessage{returned: t, event: e}})
+			t.node.mailbox.Must(nodeMessage{addressMessage: &addressMessage{returned: t, event: e}})
 			rep.relay.connReturned()
 			if !e.KeepAlive {
 				return
@@ -67,11 +67,11 @@
 			continue
 		}
 		// The actor is told first, so that the module's next send finds the connection free.
-		m := &pathMessage{returned: t, event: e}
+		m := &addressMessage{returned: t, event: e}
 		if j.attempt != nil && r.Status == policy.NodeFull {
 			m.rejected = &r
 		}
-		t.node.mailbox.Must(nodeMessage{path: m})
+		t.node.mailbox.Must(nodeMessage{addressMessage: m})
 		switch {
 		case j.probe != nil:
 			j.probe(r, time.Since(start))
@@ -85,8 +85,8 @@
 }
 
 // serve carries one work, and returns its result and what the book is to learn of the address.
-func (t *path) serve(j job) (r core.Result, e address.Event) {
-	given := address.Event{Kind: address.RequestDropped}
+func (t *addressConn) serve(j job) (r core.Result, e address.Event) {
+	dropped := address.Event{Kind: address.RequestDropped}
 	if j.probe != nil {
 		r, reuse := t.conn.probe()
 		e = address.Event{Kind: address.ResponseReceived, Verdict: address.VerdictOther, KeepAlive: reuse}
@@ -97,18 +97,18 @@
 	}
 	switch {
 	case !time.Now().Before(j.attempt.Deadline):
-		return core.Result{Status: policy.Abandoned}, given
+		return core.Result{Status: policy.Abandoned}, dropped
 	case t.node.draining.Load() || j.ctx.Err() != nil: // the node began to drain while it waited
-		return unsentResult(j.ctx, policy.ConnectFailed), given
+		return unsentResult(j.ctx, policy.ConnectFailed), dropped
 	case !j.attempt.Claim(): // its request was answered while it waited
-		return core.Result{Status: policy.Abandoned}, given
+		return core.Result{Status: policy.Abandoned}, dropped
 	}
 	r, reuse, cut := t.exchange(j)
 	switch {
 	case cut && j.ctx.Err() == nil && r.Status != policy.Abandoned:
 		return r, address.Event{Kind: address.ConnBroken, Reason: address.ReasonCutOff}
 	case cut || r.Status == policy.Cancelled || r.Status == policy.TimedOut:
-		return r, given
+		return r, dropped
 	case r.Status == policy.ConnectionReset:
 		return r, address.Event{Kind: address.ConnBroken, Reason: address.ReasonReset}
 	}
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/ahead_interleave_test.go
@@ -19,7 +19,7 @@
 // A connection ahead meets an attempt that comes while it is opened, and a drain: both end, nothing is
 // written after the drain, the attempt opens no second one, and every connection is counted out.
 func TestInterleaveAhead(t *testing.T) {
-	fd := standingSocket(t)
+	fd := idleSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		n, drains, tries, all := meet(fd, a.Request, time.Hour, 1)
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// aheadOf asks for a connection ahead and says what came of it.
-func aheadOf(t *testing.T, p core.NodeClient) policy.Status {
+// preconnectResult asks for a connection ahead and says what came of it.
+func preconnectResult(t *testing.T, p core.NodeClient) policy.Status {
 	t.Helper()
 	told := make(chan policy.Status, 2)
 	if !p.Connect(func(s policy.Status) { told <- s }) {
@@ -57,7 +57,7 @@
 			p, other := d.Connect("n", at), d.Connect("n", at)
 			want := func(p core.NodeClient, want policy.Status, accepted int, open int64) {
 				t.Helper()
-				if got := aheadOf(t, p); got != want {
+				if got := preconnectResult(t, p); got != want {
 					t.Fatalf("ended as %v, want %v", got, want)
 				}
 				until(func() bool { return n.Counts().Conns >= accepted && d.open.Load() == open })
@@ -73,7 +73,7 @@
 				until(func() bool { d.idle.mu.Lock(); defer d.idle.mu.Unlock(); return d.idle.list.Len() == 1 })
 			}
 			want(p, policy.Abandoned, 1, 1)
-			(&routed{t: t, n: n, d: d, p: p}).served(readText)
+			(&addressHarness{t: t, n: n, d: d, p: p}).served(readText)
 			want(p, policy.Abandoned, 1, 1)
 			d.MaxConns = 1 // none is to spare, and an idle one does not give way to what nobody needs
 			want(other, policy.Abandoned, 1, 1)
@@ -99,12 +99,12 @@
 	p := d.Connect("n", at)
 	told := make(chan policy.Status, 2)
 	p.Connect(func(s policy.Status) { told <- s })
-	_, got, _ := (&routed{t: t, n: n, d: d, p: p}).send(readText, time.Minute)
+	_, got, _ := (&addressHarness{t: t, n: n, d: d, p: p}).send(readText, time.Minute)
 	until(func() bool { return n.Counts().Requests == 1 })
 	if s := <-told; s != policy.OK || n.Counts().Conns != 1 {
 		t.Errorf("%v, %d connections for one attempt", s, n.Counts().Conns)
 	}
-	if s := aheadOf(t, p); s != policy.OK { // beside the one in use
+	if s := preconnectResult(t, p); s != policy.OK { // beside the one in use
 		t.Error(s)
 	}
 	until(func() bool { return n.Counts().Conns == 2 })
@@ -118,7 +118,7 @@
 
 // A probe of a node that has no room says so.
 func TestProbeOfFullNode(t *testing.T) {
-	n := newStandin(t, say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+	n := newFakeNode(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	p := dialer().Connect("n", at(n.ln))
 	got := make(chan core.Result, 1)
 	p.CheckHealth(func(r core.Result, _ time.Duration) { got <- r })
--- a/internal/httpfront/answer.go
+++ b/internal/httpfront/answer.go
@@ -22,11 +22,11 @@
 	headTimeout        = 500 * time.Millisecond // for the heads of an answer together
 )
 
-// errBadAnswer says that an answer breaks the protocol, or that its end cannot be told from a cut.
-var errBadAnswer = errors.New("answer: cannot be read")
+// errMalformedAnswer says that an answer breaks the protocol, or that its end cannot be told from a cut.
+var errMalformedAnswer = errors.New("answer: cannot be read")
 
-// onceInAnswer are the header fields that an answer may have once at most.
-var onceInAnswer = fields()
+// uniqueAnswerFields are the header fields that an answer may have once at most.
+var uniqueAnswerFields = fieldSet()
 
 // timedReader reads from a connection. While inAnswer is set each read has a deadline.
 type timedReader struct {
@@ -66,7 +66,7 @@
 
 // readAnswer reads one answer; clean says that the connection may carry another request. An error says that the
 // answer may be cut, or may hold bytes of another one: its attempt may have run, and nothing of it is served.
-func (c *conn) readAnswer(ctx context.Context) (rep *reply, clean bool, err error) {
+func (c *conn) readAnswer(ctx context.Context) (rep *nodeResponse, clean bool, err error) {
 	if _, err = c.reader.Peek(1); err != nil {
 		return nil, false, err
 	}
@@ -76,7 +76,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		f, err := strictHead(lines, onceInAnswer)
+		f, err := checkHead(lines, uniqueAnswerFields)
 		if err != nil {
 			return nil, false, err
 		}
@@ -84,15 +84,15 @@
 		if err = c.response.Header.Read(c.reader); err != nil {
 			return nil, false, err
 		}
-		rep = &reply{}
+		rep = &nodeResponse{}
 		switch code := c.response.StatusCode(); {
 		case code == fasthttp.StatusSwitchingProtocols || code < 100:
-			return nil, false, errBadAnswer
+			return nil, false, errMalformedAnswer
 		case code < 200:
 			continue // the answer is still to come
 		case code == fasthttp.StatusNoContent || code == fasthttp.StatusNotModified:
 		case !f.length && !f.chunked:
-			return nil, false, errBadAnswer // it would end with the connection, and so would a cut one
+			return nil, false, errMalformedAnswer // it would end with the connection, and so would a cut one
 		default:
 			c.timed.headsUntil = time.Time{}
 			if rep, err = c.readBody(ctx, f); err != nil {
@@ -108,7 +108,7 @@
 		}
 		return rep, !c.response.ConnectionClose() && c.reader.Buffered() == 0, nil
 	}
-	return nil, false, errBadAnswer
+	return nil, false, errMalformedAnswer
 }
 
 // readHead waits for a whole head and returns the lines after its status line, which it checks. It consumes
@@ -124,20 +124,20 @@
 			continue
 		}
 		status, lines, _ := bytes.Cut(b[:end+2], []byte("\r\n"))
-		if len(status) < 12 || string(status[:9]) != "HTTP/1.1 " || !digits(status[9:12]) ||
+		if len(status) < 12 || string(status[:9]) != "HTTP/1.1 " || !isLength(status[9:12]) ||
 			len(status) > 12 && status[12] != ' ' || bytes.IndexByte(status, '\n') >= 0 {
-			return nil, errBadAnswer
+			return nil, errMalformedAnswer
 		}
 		return lines, nil
 	}
 }
 
-// readBody reads a body. One of up to bodyMost is read whole; a longer one becomes a relay, which reads the rest
+// readBody reads a body. One of up to maxBufferedBody is read whole; a longer one becomes a relay, which reads the rest
 // as fast as the client takes it.
-func (c *conn) readBody(ctx context.Context, f frame) (*reply, error) {
-	rep := &reply{}
-	if size := c.response.Header.ContentLength(); !f.chunked && size <= bodyMost {
-		if err := c.response.ReadBody(c.reader, bodyMost); err != nil {
+func (c *conn) readBody(ctx context.Context, f framing) (*nodeResponse, error) {
+	rep := &nodeResponse{}
+	if size := c.response.Header.ContentLength(); !f.chunked && size <= maxBufferedBody {
+		if err := c.response.ReadBody(c.reader, maxBufferedBody); err != nil {
 			return nil, err
 		}
 		rep.body = bytes.Clone(c.response.Body())
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	stream := c.response.BodyStream()
-	first := make([]byte, bodyMost+1)
+	first := make([]byte, maxBufferedBody+1)
 	n, err := readUpTo(stream, first)
 	switch {
 	case err == io.EOF:
@@ -182,7 +182,7 @@
 		return whole
 	}
 	r := newRelay(first, rest, finish)
-	r.cut = func() { c.socket.Close() }
+	r.closeConn = func() { c.socket.Close() }
 	return r
 }
 
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -31,7 +31,7 @@
 					if _, err := nc.Read(text); err != nil {
 						return
 					}
-					fmt.Fprint(nc, fine)
+					fmt.Fprint(nc, okResponse)
 				}
 			}()
 		}
--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -19,60 +19,60 @@
 )
 
 var (
-	errNoRoom = errors.New("body: no room for it now")
-	errStill  = errors.New("body: the client stood still")
+	errNoBodyMemory = errors.New("body: no room for it now")
+	errBodyStalled  = errors.New("body: the client stood still")
 )
 
-// held is a request's body with its part of the shared memory; free returns that part.
-type held struct {
-	body []byte
-	free func()
+// requestBody is a request's body with its part of the shared memory; release returns that part.
+type requestBody struct {
+	body    []byte
+	release func()
 }
 
 // bodyMemory is the part of the shared memory that one body has acquired.
 type bodyMemory struct {
-	room  *semaphore.Weighted // nil: no bound
-	size  int                 // Content-Length; negative: chunked
-	taken int64
+	budget   *semaphore.Weighted // nil: no bound
+	size     int                 // Content-Length; negative: chunked
+	acquired int64
 }
 
-// grow acquires what a body of want bytes needs beyond what it has; up to bodyMost it needs none.
-func (m *bodyMemory) grow(want int64) error {
-	if want <= bodyMost || want <= m.taken || m.room == nil {
+// grow acquires what a body of size bytes needs beyond what it has; up to maxBufferedBody it needs none.
+func (m *bodyMemory) grow(size int64) error {
+	if size <= maxBufferedBody || size <= m.acquired || m.budget == nil {
 		return nil
 	}
-	more := max(want-m.taken, memoryStep)
+	more := max(size-m.acquired, memoryStep)
 	if m.size > 0 {
-		more = want - m.taken // all of it at once
+		more = size - m.acquired // all of it at once
 	}
-	if !m.room.TryAcquire(more) {
-		return errNoRoom
+	if !m.budget.TryAcquire(more) {
+		return errNoBodyMemory
 	}
-	m.taken += more
+	m.acquired += more
 	return nil
 }
 
 // release returns all of it; further calls do nothing.
 func (m *bodyMemory) release() {
-	if m.room != nil && m.taken > 0 {
-		m.room.Release(m.taken)
-		m.taken = 0
+	if m.budget != nil && m.acquired > 0 {
+		m.budget.Release(m.acquired)
+		m.acquired = 0
 	}
 }
 
-// readBody reads a request's body, each piece with a deadline of its own. A body longer than bodyMost acquires
-// its memory from room as it grows; where none is free it fails with errNoRoom. On an error free need not be
+// readBody reads a request's body, each piece with a deadline of its own. A body longer than maxBufferedBody acquires
+// its memory from budget as it grows; where none is free it fails with errNoBodyMemory. On an error release need not be
 // called.
-func readBody(ctx *fasthttp.RequestCtx, room *semaphore.Weighted) (held, error) {
+func readBody(ctx *fasthttp.RequestCtx, budget *semaphore.Weighted) (requestBody, error) {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
-		return held{body: append([]byte(nil), ctx.Request.Body()...), free: func() {}}, nil
+		return requestBody{body: append([]byte(nil), ctx.Request.Body()...), release: func() {}}, nil
 	}
 	size := ctx.Request.Header.ContentLength()
-	memory := &bodyMemory{room: room, size: size}
-	h := held{free: memory.release}
+	memory := &bodyMemory{budget: budget, size: size}
+	h := requestBody{release: memory.release}
 	switch {
-	case size > bodyLargest:
+	case size > maxRequestBody:
 		return h, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	case size > 0:
 		if err := memory.grow(int64(size)); err != nil {
@@ -89,7 +89,7 @@
 		if len(h.body) == cap(h.body) {
 			grown, err := extendBody(h.body, memory)
 			if err != nil {
-				h.free()
+				h.release()
 				return h, err
 			}
 			h.body = grown
@@ -105,7 +105,7 @@
 			return h, nil
 		}
 		if err != nil {
-			h.free()
+			h.release()
 			return h, bodyError(err)
 		}
 	}
@@ -116,7 +116,7 @@
 	if err := memory.grow(int64(len(body)) + bodyReadSize); err != nil {
 		return nil, err
 	}
-	if len(body)+bodyReadSize > bodyLargest+1 {
+	if len(body)+bodyReadSize > maxRequestBody+1 {
 		return nil, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	}
 	grown := make([]byte, len(body), max(2*cap(body), len(body)+bodyReadSize))
@@ -124,11 +124,11 @@
 	return grown, nil
 }
 
-// bodyError is errStill for a timeout, and any other error as it is.
+// bodyError is errBodyStalled for a timeout, and any other error as it is.
 func bodyError(err error) error {
 	var timeout net.Error
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout() {
-		return errStill
+		return errBodyStalled
 	}
 	return err
 }
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -83,7 +83,7 @@
 // comes back byte for byte, or is refused at once and says when to come back; none other.
 func TestLongBodiesUnderARoom(t *testing.T) {
 	const size, writes = 2 << 20, 12
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	f.srv.BodyMemory = semaphore.NewWeighted(6 << 20) // three at a time
 	f.dialer.ConnIdle = time.Minute
 	nodes := echo(t)
@@ -158,7 +158,7 @@
 // A client that sends its body slowly but steadily, at 64 kB a second in pieces, is read to the
 // end, past the time a whole request once had; one that stands still within its body is cut off.
 func TestSlowBodies(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	f.srv.BodyMemory = semaphore.NewWeighted(1 << 20)
 	body := bytes.Repeat([]byte("x"), 200<<10)
 	head, framed := put(1, body, false, false)
@@ -202,7 +202,7 @@
 // chunked, is an error: it never goes on as if it were whole.
 func TestCutBodies(t *testing.T) {
 	got := make(chan int, 1) // bytes taken for whole, -1: an error
-	srv := &fasthttp.Server{StreamRequestBody: true, ReadBufferSize: headMost, MaxRequestBodySize: bodyLargest,
+	srv := &fasthttp.Server{StreamRequestBody: true, ReadBufferSize: maxHeadSize, MaxRequestBodySize: maxRequestBody,
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			n := -1
 			if h, err := readBody(ctx, nil); err == nil {
--- a/internal/httpfront/bounds.go
+++ b/internal/httpfront/bounds.go
@@ -9,17 +9,17 @@
 
 // bounds limit what a request may contain under one version of the settings.
 type bounds struct {
-	set      *core.Settings
-	keyed    map[string]bool // by class
-	units    float64         // of the largest request; 0: no bound
-	shards   int             // number of shards; 0: unknown
-	hosts    int             // number of hosts; 0: unknown
-	patience time.Duration   // longest deadline of a class: an answer that the client has not read by then is of no use
+	set         *core.Settings
+	keyed       map[string]bool // by class
+	units       float64         // of the largest request; 0: no bound
+	shards      int             // number of shards; 0: unknown
+	schedulers  int             // number of hosts; 0: unknown
+	maxDeadline time.Duration   // longest deadline of a class: an answer that the client has not read by then is of no use
 }
 
 // newBounds derives the bounds from a version of the settings.
 func newBounds(set *core.Settings) *bounds {
-	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MaxUnits, shards: set.Shards, hosts: set.Schedulers, patience: patience(set.Settings)}
+	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MaxUnits, shards: set.Shards, schedulers: set.Schedulers, maxDeadline: maxDeadline(set.Settings)}
 	for _, k := range set.Classes {
 		b.keyed[k.Name] = k.Effect == policy.IdempotentByKey
 	}
@@ -34,14 +34,14 @@
 	if b.shards > 0 && r.Shard >= b.shards { // invented shards must not each get a queue
 		return malformed("IO-Info: shard: there is none")
 	}
-	if b.hosts > 0 {
-		r.Schedulers = min(r.Schedulers, b.hosts)
+	if b.schedulers > 0 {
+		r.Schedulers = min(r.Schedulers, b.schedulers)
 	}
 	return nil
 }
 
-// patience is the longest deadline of a class.
-func patience(set policy.Settings) time.Duration {
+// maxDeadline is the longest deadline of a class.
+func maxDeadline(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range set.Classes {
 		longest = max(longest, time.Duration(k.Deadline*float64(time.Millisecond)))
@@ -51,10 +51,10 @@
 
 // bounds returns the bounds of the current settings.
 func (s *Server) bounds() *bounds {
-	set, b := s.Core.Settings(), s.derived.Load()
+	set, b := s.Core.Settings(), s.lastBounds.Load()
 	if b == nil || b.set != set {
 		b = newBounds(set)
-		s.derived.Store(b)
+		s.lastBounds.Store(b)
 	}
 	return b
 }
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -15,7 +15,7 @@
 // What the front checks, how long it writes, and what may be repeated freely go by the settings that the core has then,
 // and a request names those that it was decoded under.
 func TestBoundsFollowTheCore(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	smaller := strings.Replace(good, "units=2", "units=1", 1)
 	if r := f.send(t, good); r.StatusCode() != 200 {
 		t.Fatalf("%d", r.StatusCode())
@@ -23,7 +23,7 @@
 	first := f.srv.bounds()
 	var head fasthttp.RequestHeader
 	head.SetRequestURI("/new-record/x")
-	if w := f.srv.times(&head).WriteTimeout; w != time.Minute+writeMargin {
+	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != time.Minute+writeMargin {
 		t.Errorf("%v to write", w)
 	}
 	next := testModule()
@@ -37,7 +37,7 @@
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
 		t.Errorf("%d", r.StatusCode())
 	}
-	if w := f.srv.times(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
+	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
 		t.Errorf("%v to write", w)
 	}
 	d := &Dialer{Idempotent: map[string]bool{"balance-read": true}}
--- a/internal/httpfront/byhand_test.go
+++ b/internal/httpfront/byhand_test.go
@@ -33,7 +33,7 @@
 		c := &conn{reader: bufio.NewReader(strings.NewReader(text))}
 		lines, err := c.readHead()
 		if err == nil {
-			_, err = strictHead(lines, onceInAnswer)
+			_, err = checkHead(lines, uniqueAnswerFields)
 		}
 		if err == nil {
 			t.Errorf("%s: taken", name)
@@ -63,7 +63,7 @@
 	rd := bytes.NewReader(nil)
 	br := bufio.NewReader(rd)
 	a, _ := attempt(b, later())
-	made, out, w := a.Request.Payload.(*call), []byte(nil), bufio.NewWriter(io.Discard)
+	made, out, w := a.Request.Payload.(*nodeRequest), []byte(nil), bufio.NewWriter(io.Discard)
 	var q fasthttp.Request
 	if err := q.Read(bufio.NewReader(strings.NewReader(good))); err != nil {
 		b.Fatal(err)
@@ -73,12 +73,12 @@
 		name string
 		do   func()
 	}{
-		{"head/here", func() { strictHead(lines, onceInAnswer) }},
+		{"head/here", func() { checkHead(lines, uniqueAnswerFields) }},
 		{"head/fasthttp", func() { var h fasthttp.ResponseHeader; again(); h.Read(br) }},
 		{"head/net-http", func() { again(); http.ReadResponse(br, nil) }},
 		{"encode/here", func() { out = made.encode(out[:0], "h", time.Second) }},
 		{"encode/fasthttp", func() { q.Header.Set("X-Deadline-Ms", "1000"); q.Write(w) }},
-		{"key/here", func() { hex16(key) }},
+		{"key/here", func() { isHex16(key) }},
 		{"key/regexp", func() { form.Match(key) }},
 	} {
 		b.Run(x.name, func(b *testing.B) {
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/closes_test.go
@@ -66,7 +66,7 @@
 func TestReadAheadIsAnswered(t *testing.T) {
 	const count = 3
 	came, hold := make(chan bool, count), make(chan bool)
-	script := func(nc net.Conn) bool { came <- true; <-hold; return say(fine)(nc) }
+	script := func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) }
 	t.Run("stops", func(t *testing.T) {
 		f := newFront(t, script)
 		c := dialFront(t, f.address)
@@ -85,7 +85,7 @@
 		}
 	})
 	t.Run("leaves", func(t *testing.T) {
-		f := newFront(t, say(fine))
+		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
 		f.srv.CloseAfterResponses()
 		io.WriteString(c, together(0, count))
@@ -95,7 +95,7 @@
 	})
 	t.Run("cap", func(t *testing.T) {
 		end := make(chan bool)
-		f := newFront(t, func(nc net.Conn) bool { <-end; return say(fine)(nc) })
+		f := newFront(t, func(nc net.Conn) bool { <-end; return respondWith(okResponse)(nc) })
 		for i := range 50 {
 			io.WriteString(dialFront(t, f.address), numbered(100+i))
 		}
@@ -116,10 +116,10 @@
 		t.Fatal(err)
 	}
 	gate := transport.NewAcceptGate()
-	f := newFrontOn(t, gate.Wrap(ln), dialer(), say(fine))
+	f := newFrontOn(t, gate.Wrap(ln), dialer(), respondWith(okResponse))
 	var swept atomic.Int64
 	f.srv.http.ConnState = func(nc net.Conn, st fasthttp.ConnState) {
-		state(nc, st)
+		trackState(nc, st)
 		if st == fasthttp.StateIdle {
 			f.srv.CloseIdle(0)
 			swept.Add(1)
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	holder := &holdingListener{Listener: ln, took: make(chan bool), hold: make(chan bool)}
-	f := newFrontOn(t, holder, dialer(), say(fine))
+	f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 	c := dialFront(t, f.address)
 	io.WriteString(c, readyText)
 	c.answered(t, "before", 200, false)
@@ -219,7 +219,7 @@
 		}
 		holder := &holdingListener{Listener: ln, took: make(chan bool), hold: make(chan bool)}
 		close(holder.hold)
-		f := newFrontOn(t, holder, dialer(), say(fine))
+		f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 		c, idle := dialFront(t, f.address), dialFront(t, f.address)
 		for _, each := range []closesClient{c, idle} {
 			if used || each == idle {
@@ -249,10 +249,10 @@
 // reset.
 func TestRefusalOverUnreadBody(t *testing.T) {
 	for what, head := range map[string]string{
-		"a body too long":        strings.Replace(good, "Length: 5", fmt.Sprint("Length: ", bodyLargest+1), 1),
+		"a body too long":        strings.Replace(good, "Length: 5", fmt.Sprint("Length: ", maxRequestBody+1), 1),
 		"a head that is no head": strings.Replace(good, "Tier: basic", "Tier basic", 1),
 	} {
-		f := newFront(t, say(fine))
+		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
 		if err := c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 			t.Fatal(err)
@@ -274,7 +274,7 @@
 // Idle clients several times the cap, and requests whose clients are gone at once, keep neither the readiness probe nor a
 // request from its answer, nor the front from dialling its node.
 func TestFloodLeavesRoom(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	for range 300 {
 		dialFront(t, f.address)
 	}
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	bodyMost     = 64 << 10 // of a body held in one piece, of a request or an answer
-	bodyLargest  = 32 << 20 // of a request's body; a longer one gets 413
-	idMost       = 128
-	patienceMost = 10 * time.Minute
-	unitsMost    = 1e6
+	maxBufferedBody = 64 << 10 // of a body held in one piece, of a request or an answer
+	maxRequestBody  = 32 << 20 // of a request's body; a longer one gets 413
+	maxIDLength     = 128
+	maxTimeout      = 10 * time.Minute
+	maxUnits        = 1e6
 )
 
-// call is the message for the storage nodes. It is decoded once, and encoded for each attempt with that
+// nodeRequest is the message for the storage nodes. It is decoded once, and encoded for each attempt with that
 // attempt's remaining time.
-type call struct {
+type nodeRequest struct {
 	head []byte // request line and the headers that stay the same
 	body []byte
 }
@@ -50,9 +50,9 @@
 	return &MalformedError{fasthttp.StatusBadRequest, fmt.Sprintf(form, args...)}
 }
 
-// token says whether a header value may go on in a header without harm.
-func token(v []byte, most int) bool {
-	if len(v) == 0 || len(v) > most {
+// isToken says whether a header value may go on in a header without harm.
+func isToken(v []byte, maxLength int) bool {
+	if len(v) == 0 || len(v) > maxLength {
 		return false
 	}
 	for _, b := range v {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// hex16 says whether v is 16 hexadecimal digits.
-func hex16(v []byte) bool {
+// isHex16 says whether v is 16 hexadecimal digits.
+func isHex16(v []byte) bool {
 	if len(v) != 16 {
 		return false
 	}
@@ -88,7 +88,7 @@
 	if p := h.Protocol(); string(p) != "HTTP/1.1" && string(p) != "HTTP/1.0" {
 		return nil, malformed("version: %.20q", p)
 	}
-	framing, err := strictHead(h.RawHeaders(), onceOnly)
+	framing, err := checkHead(h.RawHeaders(), uniqueRequestFields)
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
@@ -96,11 +96,11 @@
 		return nil, &MalformedError{fasthttp.StatusMethodNotAllowed, "method is neither GET nor PUT"}
 	}
 	id := h.Peek("X-Request-Id")
-	if !token(id, idMost) {
+	if !isToken(id, maxIDLength) {
 		return nil, malformed("X-Request-Id: missing or malformed")
 	}
 	uri := h.RequestURI()
-	if len(uri) < 2 || uri[0] != '/' || !token(uri, 4096) {
+	if len(uri) < 2 || uri[0] != '/' || !isToken(uri, 4096) {
 		return nil, malformed("path: %.40q names no class", uri)
 	}
 	class := uri[1:]
@@ -108,18 +108,18 @@
 		class = class[:end]
 	}
 	tier := h.Peek("Tier")
-	if !token(tier, idMost) {
+	if !isToken(tier, maxIDLength) {
 		return nil, malformed("Tier: missing or malformed")
 	}
 	key := h.Cookie("extent")
-	if !hex16(key) {
+	if !isHex16(key) {
 		return nil, malformed("Cookie: extent: missing or not 16 hex digits")
 	}
 	patience, err := strconv.ParseUint(string(h.Peek("X-Deadline-Ms")), 10, 32)
-	if err != nil || patience == 0 || time.Duration(patience)*time.Millisecond > patienceMost {
+	if err != nil || patience == 0 || time.Duration(patience)*time.Millisecond > maxTimeout {
 		return nil, malformed("X-Deadline-Ms: missing or not a number of milliseconds")
 	}
-	if len(body) > bodyLargest {
+	if len(body) > maxRequestBody {
 		return nil, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	}
 	if h.IsGet() && (len(body) > 0 || framing.chunked) {
@@ -128,23 +128,23 @@
 	r.ID, r.Class, r.Plan, r.Key = string(id), string(class), string(tier), string(key)
 	r.Timeout = time.Duration(patience) * time.Millisecond
 	r.ClientRetry = string(h.Peek("X-Retry")) == "1"
-	if err := decodeInfo(string(h.Peek("IO-Info")), &r.Request); err != nil {
+	if err := decodeIOInfo(string(h.Peek("IO-Info")), &r.Request); err != nil {
 		return nil, err
 	}
 	if err := b.apply(&r.Request); err != nil {
 		return nil, err
 	}
 	idem := h.Peek("Idempotency-Key")
-	if len(idem) > 0 && !token(idem, 1024) || len(idem) == 0 && b.keyed[r.Class] {
+	if len(idem) > 0 && !isToken(idem, 1024) || len(idem) == 0 && b.keyed[r.Class] {
 		return nil, malformed("Idempotency-Key: missing or malformed")
 	}
-	r.Payload = newCall(h, id, idem, body)
+	r.Payload = newNodeRequest(h, id, idem, body)
 	return r, nil
 }
 
-// newCall encodes what stays the same in the messages of a request.
-func newCall(h *fasthttp.RequestHeader, id, idempotencyKey, body []byte) *call {
-	c := &call{body: body}
+// newNodeRequest encodes what stays the same in the messages of a request.
+func newNodeRequest(h *fasthttp.RequestHeader, id, idempotencyKey, body []byte) *nodeRequest {
+	c := &nodeRequest{body: body}
 	c.head = append(append(append(c.head, h.Method()...), ' '), h.RequestURI()...)
 	c.head = append(append(c.head, " HTTP/1.1\r\nX-Request-Id: "...), id...)
 	if len(idempotencyKey) > 0 {
@@ -156,8 +156,8 @@
 	return c
 }
 
-// decodeInfo reads IO-Info: volume, units, shard and hosts, in any order.
-func decodeInfo(text string, r *policy.Request) error {
+// decodeIOInfo reads IO-Info: volume, units, shard and hosts, in any order.
+func decodeIOInfo(text string, r *policy.Request) error {
 	seen := map[string]bool{}
 	for _, part := range strings.Split(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -168,12 +168,12 @@
 		var err error
 		switch name {
 		case "volume":
-			if r.Volume = v; !hex16([]byte(v)) {
+			if r.Volume = v; !isHex16([]byte(v)) {
 				err = errors.New("not 16 hex digits")
 			}
 		case "units":
 			r.Units, err = strconv.ParseFloat(v, 64)
-			if err == nil && !(r.Units > 0 && r.Units <= unitsMost) {
+			if err == nil && !(r.Units > 0 && r.Units <= maxUnits) {
 				err = errors.New("not a size")
 			}
 		case "shard":
@@ -200,57 +200,58 @@
 }
 
 // encode appends the message of one attempt: left is the time until its deadline.
-func (c *call) encode(dst []byte, host string, left time.Duration) []byte {
+func (c *nodeRequest) encode(dst []byte, host string, left time.Duration) []byte {
 	return append(c.encodeHead(dst, host, left), c.body...)
 }
 
 // encodeHead appends the message without its body.
-func (c *call) encodeHead(dst []byte, host string, left time.Duration) []byte {
+func (c *nodeRequest) encodeHead(dst []byte, host string, left time.Duration) []byte {
 	dst = append(dst, c.head...)
 	dst = append(append(dst, "\r\nHost: "...), host...)
 	dst = strconv.AppendInt(append(dst, "\r\nX-Deadline-Ms: "...), max(1, left.Milliseconds()), 10)
 	return append(dst, "\r\n\r\n"...)
 }
 
-// reply is a storage node's answer. A long body keeps its part of the shared memory until it is written to
+// nodeResponse is a storage node's answer. A long body keeps its part of the shared memory until it is written to
 // the client or released.
-type reply struct {
-	body  []byte
-	free  func()
-	relay *relay // the rest of a long body; nil: body is whole
+type nodeResponse struct {
+	body    []byte
+	release func()
+	relay   *relay // the rest of a long body; nil: body is whole
 	// limited says of a part of a gathered read that it stopped at the number of rows it was asked for.
 	limited bool
 }
 
 // Release implements core.Releaser. A reply has one owner at a time.
-func (r *reply) Release() {
-	if r.free != nil {
-		r.free()
-		r.free = nil
+func (r *nodeResponse) Release() {
+	if r.release != nil {
+		r.release()
+		r.release = nil
 	}
 	if r.relay != nil {
-		go r.relay.Close() // it waits for the node's actor, which the caller must not do
+		relay := r.relay
+		go func() { _ = relay.Close() }() // it waits for the node's actor, which the caller must not do
 	}
 }
 
-// stream is a reply's body as the server writes it; the server closes it at the end.
-type stream struct {
+// responseStream is a reply's body as the server writes it; the server closes it at the end.
+type responseStream struct {
 	bytes.Reader
-	rep *reply
+	response *nodeResponse
 }
 
 // Close implements io.Closer.
-func (s *stream) Close() error {
-	s.rep.Release()
+func (s *responseStream) Close() error {
+	s.response.Release()
 	return nil
 }
 
 // decodeReply decodes an answer into the result of its attempt. Only a served result keeps rep.
-func decodeReply(m *fasthttp.Response, rep *reply) core.Result {
+func decodeReply(m *fasthttp.Response, rep *nodeResponse) core.Result {
 	h := &m.Header
 	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(h.Peek("X-Load")))}
-	r.PeerUsage, _ = figure(h.Peek("Other-Hosts"))
-	if used, ok := figure(h.Peek("Volume-Load")); ok {
+	r.PeerUsage, _ = parseFigure(h.Peek("Other-Hosts"))
+	if used, ok := parseFigure(h.Peek("Volume-Load")); ok {
 		r.PlanUsage = used + 1
 	}
 	switch code := m.StatusCode(); {
@@ -258,7 +259,7 @@
 		rep.limited = string(h.Peek(hdrLimited)) == "1"
 		r.Status, r.Payload = policy.OK, rep
 		return r
-	case turnedAway(m):
+	case isCapacityRejection(m):
 		r.Status = policy.NodeFull
 	case code >= 400 && code < 500 && code != fasthttp.StatusRequestTimeout && code != fasthttp.StatusTooManyRequests:
 		r.Status, r.InvalidRequest = policy.Abandoned, true
@@ -267,14 +268,14 @@
 	return r
 }
 
-// turnedAway says whether the node rejected the request for lack of capacity, without running it.
-func turnedAway(m *fasthttp.Response) bool {
+// isCapacityRejection says whether the node rejected the request for lack of capacity, without running it.
+func isCapacityRejection(m *fasthttp.Response) bool {
 	code := m.StatusCode()
 	return (code == 503 || code == 504) && string(m.Header.Peek("X-Not-Run")) == "1"
 }
 
-// figure reads a non-negative number; anything else counts as absent.
-func figure(text []byte) (float64, bool) {
+// parseFigure reads a non-negative number; anything else counts as absent.
+func parseFigure(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > 1e12 {
 		return 0, false
--- a/internal/httpfront/codec_recorded_test.go
+++ b/internal/httpfront/codec_recorded_test.go
@@ -33,13 +33,13 @@
 		fmt.Fprintf(&out, "answer %d: %s\n", i, describeAnswer(t, text))
 	}
 	for i, a := range []core.Answer{
-		{Kind: core.Served, Payload: &reply{body: []byte("abc")}}, {Kind: core.Served, Payload: &reply{}},
+		{Kind: core.Served, Payload: &nodeResponse{body: []byte("abc")}}, {Kind: core.Served, Payload: &nodeResponse{}},
 		{Kind: core.Rejected}, {Kind: core.Rejected, RetryAfter: 1234567 * time.Microsecond}, {Kind: core.Failed, Cause: core.CauseInvalidRequest},
 		{Kind: core.Failed, Cause: core.CauseUnknownClass}, {Kind: core.Failed, Cause: core.CauseDuplicateID},
 		{Kind: core.Failed, Cause: core.CauseDeadlineExceeded}, {Kind: core.Failed, Cause: core.CauseNotServed},
 	} {
 		var ctx fasthttp.RequestCtx
-		write(&ctx, a)
+		writeAnswer(&ctx, a)
 		fmt.Fprintf(&out, "to client %d: %d %q %q\n", i, ctx.Response.StatusCode(), ctx.Response.Header.Peek("Retry-After"), ctx.Response.Body())
 	}
 	path := filepath.Join("testdata", "codec.txt")
@@ -86,7 +86,7 @@
 // recordedAnswers are answers of a node with each status that the codec distinguishes, and load reports of each kind.
 func recordedAnswers() []string {
 	const empty = "Content-Length: 0\r\n\r\n"
-	answers := []string{fine, strings.Replace(fine, "\r\n\r\n", "\r\nX-Gather-Limited: 1\r\n\r\n", 1)}
+	answers := []string{okResponse, strings.Replace(okResponse, "\r\n\r\n", "\r\nX-Gather-Limited: 1\r\n\r\n", 1)}
 	for _, status := range []string{"204 No", "400 No", "404 No", "408 No", "429 No", "500 No", "503 No", "503 No\r\nX-Not-Run: 1", "504 No\r\nX-Not-Run: 1", "500 No\r\nX-Not-Run: 1"} {
 		answers = append(answers, "HTTP/1.1 "+status+"\r\n"+empty)
 	}
@@ -106,7 +106,7 @@
 	if err := message.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 		return fmt.Sprintf("unreadable: %q", err.Error())
 	}
-	r, err := decode(&message, &allKeyed)
+	r, err := decode(&message, &testBounds)
 	if err != nil {
 		status := 0
 		var malformed *MalformedError
@@ -119,8 +119,8 @@
 	var peer fasthttp.Request
 	EncodePeerRequest(r, &peer)
 	return fmt.Sprintf("%q %q %q %q %q %v %d %d %d %t to node %q part %q peer %q", r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Units, r.Shard,
-		r.Schedulers, r.Timeout.Milliseconds(), r.ClientRetry, r.Payload.(*call).encode(nil, "h", 1500*time.Millisecond),
-		PartPayload(r, part, 9).(*call).encode(nil, "h", time.Microsecond), peer.String())
+		r.Schedulers, r.Timeout.Milliseconds(), r.ClientRetry, r.Payload.(*nodeRequest).encode(nil, "h", 1500*time.Millisecond),
+		PartPayload(r, part, 9).(*nodeRequest).encode(nil, "h", time.Microsecond), peer.String())
 }
 
 // describeAnswer writes what the codec makes of an answer of a node.
@@ -130,7 +130,7 @@
 	if err := message.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	rep := &reply{}
+	rep := &nodeResponse{}
 	r := decodeReply(&message, rep)
 	word, ok := statusWords[r.Status]
 	if !ok {
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	r, reuse := c.carryAttempt(j)
-	if rep, ok := r.Payload.(*reply); ok && rep.relay != nil {
+	if rep, ok := r.Payload.(*nodeResponse); ok && rep.relay != nil {
 		// A long answer: the connection is the relay's until its last byte has passed.
 		rep.relay.handOut()
 		j.attempt.Done(r)
@@ -124,7 +124,7 @@
 	switch {
 	case err == nil && !transport.IsReusable(c.socket): // closed before a request was written: nothing has run
 		c.socket.Close()
-		c.capacity, err = capacityNone, errBadAnswer
+		c.capacity, err = capacityNone, errMalformedAnswer
 	case err == nil:
 	case why == address.ReasonRefused && ctx.Err() == nil:
 		c.capacity = capacityNone
@@ -206,7 +206,7 @@
 	switch {
 	case c.response.StatusCode() == fasthttp.StatusOK:
 		r.Status = policy.OK
-	case turnedAway(&c.response):
+	case isCapacityRejection(&c.response):
 		r.Status = policy.NodeFull
 	}
 	return r, clean
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -85,20 +85,20 @@
 	return d, l
 }
 
-// saysItsID answers each request with its id, and keeps the connections.
-type saysItsID struct {
+// idNode answers each request with its id, and keeps the connections.
+type idNode struct {
 	mu    sync.Mutex
 	conns []net.Conn // in the order of their first requests
 	came  map[string]int
 }
 
-func serveIDs(t *testing.T) (*saysItsID, []address.Addr) {
-	s := &saysItsID{came: map[string]int{}}
+func serveIDs(t *testing.T) (*idNode, []address.Addr) {
+	s := &idNode{came: map[string]int{}}
 	return s, s.listen(t)
 }
 
 // listen opens one more address.
-func (s *saysItsID) listen(t *testing.T) []address.Addr {
+func (s *idNode) listen(t *testing.T) []address.Addr {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 	return at(ln)
 }
 
-func (s *saysItsID) serve(nc net.Conn) {
+func (s *idNode) serve(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for first := true; ; first = false {
@@ -131,21 +131,21 @@
 	}
 }
 
-func (s *saysItsID) times(id string) int {
+func (s *idNode) times(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.came[id]
 }
 
 // speak writes on the first connection, unasked.
-func (s *saysItsID) speak(text string) {
+func (s *idNode) speak(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	io.WriteString(s.conns[0], text)
 }
 
 // hangUp ends the first connection.
-func (s *saysItsID) hangUp() {
+func (s *idNode) hangUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[0].Close()
@@ -166,7 +166,7 @@
 	t.Helper()
 	a, got := withID(t, id)
 	p.Send(a)
-	if r := <-got; r.Status != policy.OK || string(r.Payload.(*reply).body) != id {
+	if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != id {
 		t.Fatalf("%s ended as %v", id, r.Status)
 	}
 }
@@ -208,10 +208,10 @@
 // before comes on it, or its end, or garbage: none of it is taken for the answer, nothing was written there, and the
 // request goes by another connection, once. A drain or a cancel of that instant binds.
 func TestKeptConnectionIsLookedAtBeforeTheWrite(t *testing.T) {
-	for crossing, cross := range map[string]func(s *saysItsID){
-		"a second answer": func(s *saysItsID) { s.speak(answerOf("first")) },
-		"half a line":     func(s *saysItsID) { s.speak("HTTP/1.1 20") },
-		"its end":         func(s *saysItsID) { s.hangUp() },
+	for crossing, cross := range map[string]func(s *idNode){
+		"a second answer": func(s *idNode) { s.speak(answerOf("first")) },
+		"half a line":     func(s *idNode) { s.speak("HTTP/1.1 20") },
+		"its end":         func(s *idNode) { s.hangUp() },
 	} {
 		for way := range peersOf(nil, nil) {
 			t.Run(crossing+"/"+way, func(t *testing.T) {
@@ -227,7 +227,7 @@
 				arrived(t, h)
 				close(l.goOn)
 				r := <-got
-				if r.Status != policy.OK || string(r.Payload.(*reply).body) != "second" {
+				if r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" {
 					t.Errorf("ended as %+v", r)
 				}
 				if s.times("second") != 1 || l.dials.Load() != 2 {
@@ -294,7 +294,7 @@
 			arrived(t, h)
 			p.SetAddresses(next)
 			close(l.goOn)
-			if r := <-got; r.Status != policy.OK || string(r.Payload.(*reply).body) != "second" || s.times("second") != 1 {
+			if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" || s.times("second") != 1 {
 				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
 			}
 			endsClean(t, d, p, got)
@@ -427,7 +427,7 @@
 func longWrite(t *testing.T) (*core.Attempt, chan core.Result, int) {
 	const size = 32 << 20
 	a, got := attempt(t, time.Now().Add(8*time.Second))
-	c := a.Request.Payload.(*call)
+	c := a.Request.Payload.(*nodeRequest)
 	c.body = make([]byte, size)
 	return a, got, size
 }
@@ -518,7 +518,7 @@
 // How an answer ends, and whether the connection carries the next: by its own framing alone, never by the
 // connection's end.
 func TestHowAnswersEnd(t *testing.T) {
-	edit := func(old, new string) string { return strings.Replace(fine, old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	chunked := edit("Content-Length: 3", "Transfer-Encoding: chunked")
 	chunked = chunked[:len(chunked)-len("abc")]
 	const (
@@ -538,17 +538,17 @@
 		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, policy.ConnectionReset, false},
 		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
 		"close and a length":        {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
-		"half a head, a reset":      {fine[:40], resets, policy.ConnectionReset, false},
-		"half a body, a reset":      {fine[:len(fine)-1], resets, policy.ConnectionReset, false},
+		"half a head, a reset":      {okResponse[:40], resets, policy.ConnectionReset, false},
+		"half a body, a reset":      {okResponse[:len(okResponse)-1], resets, policy.ConnectionReset, false},
 		"chunks and trailers":       {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
 		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
 		"chunks, then garbage":      {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
 		"chunks, then an answer":    {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
-		"more than its length":      {fine + "d", stays, policy.OK, false},
+		"more than its length":      {okResponse + "d", stays, policy.OK, false},
 		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.ConnectionReset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := newStandin(t, func(nc net.Conn) bool {
+			n := newFakeNode(t, func(nc net.Conn) bool {
 				io.WriteString(nc, x.text)
 				if x.then == resets {
 					nc.(*net.TCPConn).SetLinger(0)
@@ -557,11 +557,11 @@
 			})
 			d := dialer()
 			p := d.Connect("n", at(n.ln))
-			r := try(t, p)
-			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abc" {
+			r := sendOne(t, p)
+			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
 				t.Errorf("ended as %+v, want %d", r, x.want)
 			}
-			try(t, p)
+			sendOne(t, p)
 			if again := n.conns.Load() == 1; again != x.again {
 				t.Errorf("%d connections for two", n.conns.Load())
 			}
@@ -588,8 +588,8 @@
 // The head of a long write goes out before its body is touched: the time left that it tells, and the look at the drain,
 // are of its first byte. A body of up to 64 KiB goes out with it.
 func TestLongWriteBeginsWithItsHead(t *testing.T) {
-	for size, writes := range map[int]int{bodyMost: 1, bodyMost + 1: 2, 8 << 20: 2} {
-		n := newStandin(t, say(fine))
+	for size, writes := range map[int]int{maxBufferedBody: 1, maxBufferedBody + 1: 2, 8 << 20: 2} {
+		n := newFakeNode(t, respondWith(okResponse))
 		d := dialer()
 		var mu sync.Mutex
 		var list []int
@@ -609,7 +609,7 @@
 			t.Errorf("%d of %d bytes came", len(came), size)
 		}
 		mu.Lock()
-		if len(list) != writes || writes > 1 && list[0] > headMost {
+		if len(list) != writes || writes > 1 && list[0] > maxHeadSize {
 			t.Errorf("%d bytes: written as %v", size, list)
 		}
 		mu.Unlock()
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/crowd_test.go
@@ -21,7 +21,7 @@
 // end. When one has ended, the next is served.
 func TestPastTheCapIsRefused(t *testing.T) {
 	hold := make(chan bool)
-	f := newFront(t, func(nc net.Conn) bool { <-hold; return say(fine)(nc) })
+	f := newFront(t, func(nc net.Conn) bool { <-hold; return respondWith(okResponse)(nc) })
 	ask := func(i int) *bufio.Reader {
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
@@ -76,7 +76,7 @@
 	srv := NewServer(nil, policy.Settings{}, conns, log)
 	go srv.Serve(ln, conns)
 	var silent []closesClient
-	for range conns + connsOver - 1 {
+	for range conns + overflowConns - 1 {
 		silent = append(silent, dialFront(t, ln.Addr().String()))
 	}
 	last := dialFront(t, ln.Addr().String())
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -50,10 +50,10 @@
 					}
 					told <- left
 					time.Sleep(work)
-					io.WriteString(theirs, fine)
+					io.WriteString(theirs, okResponse)
 				}
 			}()
-			return memConn{ours, &world{quiet: pair}}, 0, nil
+			return memConn{ours, &simulation{quiet: pair}}, 0, nil
 		}
 		to, err := address.Parse("10.0.0.1:1")
 		if err != nil {
@@ -65,7 +65,7 @@
 		for range 2 {
 			got := make(chan core.Result, 1)
 			ends = append(ends, got)
-			p.Send(core.NewAttempt(&core.Request{Payload: &call{head: []byte("GET /c HTTP/1.1")}}, until, func(r core.Result) { got <- r }))
+			p.Send(core.NewAttempt(&core.Request{Payload: &nodeRequest{head: []byte("GET /c HTTP/1.1")}}, until, func(r core.Result) { got <- r }))
 		}
 		for _, got := range ends {
 			if r := <-got; r.Status != policy.OK {
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -21,7 +21,7 @@
 	ConnIdle       time.Duration
 	MaxConns       int64              // open connections over all nodes
 	FreeConnWait   time.Duration      // how long an attempt waits for a connection in use before another is opened
-	usualDial      dialTime           // duration of a connect
+	dialEstimate   dialEstimate       // duration of a connect
 	Idempotent     map[string]bool    // classes that may be repeated freely; for requests without Settings
 	Addresses      *AddressConfig     // for nodes with several addresses; nil: the defaults
 	Log            logrus.FieldLogger // nil: no log
--- a/internal/httpfront/dialtime.go
+++ b/internal/httpfront/dialtime.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// dialTime estimates how long a dial usually takes, over all nodes of a dialer. It adapts fast to quick dials and
+// dialEstimate estimates how long a dial usually takes, over all nodes of a dialer. It adapts fast to quick dials and
 // slowly to slow ones, so that it stays near the time of an undisturbed dial.
-type dialTime struct{ ns atomic.Int64 }
+type dialEstimate struct{ ns atomic.Int64 }
 
 const dialFall, dialRise = 4, 32 // divisors: the estimate moves by that part of the difference
 
-// best is the present estimate; 0: there was no dial yet.
-func (d *dialTime) best() time.Duration { return time.Duration(d.ns.Load()) }
+// value is the present estimate; 0: there was no dial yet.
+func (d *dialEstimate) value() time.Duration { return time.Duration(d.ns.Load()) }
 
-// took takes the duration of a dial.
-func (d *dialTime) took(t time.Duration) {
+// record takes the duration of a dial.
+func (d *dialEstimate) record(t time.Duration) {
 	old := d.ns.Load()
 	part := int64(dialRise)
 	if int64(t) < old {
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -29,38 +29,38 @@
 // whole answer of a node, a refusal or a failure, before its client gives up; and nothing of it
 // stays in any table, line or count.
 
-// worldNode is a node in memory. What it does is drawn for each connect and each request.
-type worldNode struct {
-	w       *world
+// simulatedNode is a node in memory. What it does is drawn for each connect and each request.
+type simulatedNode struct {
+	w       *simulation
 	silence time.Duration // of the world's time: from then on for cutSpan it says nothing
 }
 
-type world struct {
+type simulation struct {
 	t      *rapid.T
 	mu     sync.Mutex
 	rng    *rand.Rand
 	start  time.Time
 	quiet  [2]int // a pair of sockets with nothing to read
-	nodes  map[address.Addr]*worldNode
+	nodes  map[address.Addr]*simulatedNode
 	faults float64
 	over   sync.Map // by id: when it had its final answer, or its client went
 }
 
 const cutSpan = 3 * time.Second
 
-func (w *world) draw() float64 {
+func (w *simulation) draw() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64()
 }
 
-func (w *world) upTo(n int) int { return int(w.draw() * float64(n)) }
+func (w *simulation) upTo(n int) int { return int(w.draw() * float64(n)) }
 
-func (w *world) within(most time.Duration) time.Duration {
+func (w *simulation) within(most time.Duration) time.Duration {
 	return time.Duration(w.draw()*float64(most)) + 1
 }
 
-func (n *worldNode) silent() bool {
+func (n *simulatedNode) silent() bool {
 	at := time.Since(n.w.start)
 	return at >= n.silence && at < n.silence+cutSpan
 }
@@ -68,7 +68,7 @@
 // memConn is one end of a connection in memory, which looks quiet to who peeks at its socket.
 type memConn struct {
 	net.Conn
-	w *world
+	w *simulation
 }
 
 func (c memConn) SyscallConn() (syscall.RawConn, error) { return quietSocket{c.w.quiet[0]}, nil }
@@ -79,7 +79,7 @@
 type quietSocket struct{ fd int }
 
 // dial comes up, fails, or hangs until it is given up.
-func (w *world) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
+func (w *simulation) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 	n := w.nodes[a]
 	draw, wait := w.draw(), w.within(20*time.Millisecond)
 	ctx, stop := context.WithTimeout(ctx, within)
@@ -101,7 +101,7 @@
 }
 
 // serve reads requests and does with each what was drawn.
-func (n *worldNode) serve(nc net.Conn) {
+func (n *simulatedNode) serve(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
@@ -143,17 +143,17 @@
 	}
 }
 
-// crammed is a node actor whose mailbox is full now and then.
-type crammed struct {
+// crowdedModule is a node actor whose mailbox is full now and then.
+type crowdedModule struct {
 	core.NodeClient
-	w *world
+	w *simulation
 }
 
-func (c crammed) Send(a *core.Attempt) bool {
+func (c crowdedModule) Send(a *core.Attempt) bool {
 	return c.w.draw() > c.w.faults/10 && c.NodeClient.Send(a)
 }
 
-func endsSettings(w *world) policy.Settings {
+func endsSettings(w *simulation) policy.Settings {
 	return policy.Settings{Schedulers: 3, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxRetryAfter: 1000,
 		SendsRetryAfter: true, MayCancel: w.upTo(2) == 0, MayHedge: w.upTo(2) == 0, DrainGrace: 250, PollWithin: 10000,
 		SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: 5,
@@ -186,8 +186,8 @@
 		seed := rapid.Uint64().Draw(rt, "seed")
 		faults := rapid.Float64Range(0.2, 1).Draw(rt, "faults")
 		synctest.Test(t, func(t *testing.T) {
-			w := &world{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), quiet: quiet, faults: faults,
-				nodes: map[address.Addr]*worldNode{}}
+			w := &simulation{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), quiet: quiet, faults: faults,
+				nodes: map[address.Addr]*simulatedNode{}}
 			w.play(kinds)
 		})
 	})
@@ -198,14 +198,14 @@
 	}
 }
 
-func (w *world) play(kinds map[core.AnswerKind]int) {
+func (w *simulation) play(kinds map[core.AnswerKind]int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: int64(4 + w.upTo(20)),
 		FreeConnWait: w.within(30 * time.Millisecond), dial: w.dial}
 	set := endsSettings(w)
 	co, err := core.New(core.Options{Settings: set, Seed: int64(w.upTo(1 << 30)), Log: log,
-		Connect: func(name string, to []address.Addr) core.NodeClient { return crammed{d.Connect(name, to), w} }})
+		Connect: func(name string, to []address.Addr) core.NodeClient { return crowdedModule{d.Connect(name, to), w} }})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 		a, _ := address.Parse(fmt.Sprintf("10.0.0.%d:1", i+1))
 		n := core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i % set.Shards, Weight: 1}, Addresses: []address.Addr{a}}
 		list = append(list, n)
-		w.nodes[a] = &worldNode{w: w, silence: w.within(8 * time.Second)}
+		w.nodes[a] = &simulatedNode{w: w, silence: w.within(8 * time.Second)}
 	}
 	co.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
 	var all []*ending
@@ -236,7 +236,7 @@
 		e.r = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.upTo(2)].Name, Key: id,
 			Volume: fmt.Sprint("v", w.upTo(5)), Units: float64(1 + w.upTo(6)), Shard: w.upTo(set.Shards+1) - 1, Schedulers: 1},
 			ReceivedAt: time.Now(), Timeout: w.within(time.Duration(c.Deadline) * time.Millisecond),
-			Payload: &call{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
+			Payload: &nodeRequest{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
 			Answer: func(a core.Answer) {
 				if late := time.Since(e.by); late > 0 {
 					w.t.Errorf("%s was answered %v after its client gave up", id, late)
@@ -262,7 +262,7 @@
 			a := <-e.answered
 			kinds[a.Kind]++
 			if a.Kind == core.Served {
-				if body := string(a.Payload.(*reply).body); body != "of "+e.r.ID {
+				if body := string(a.Payload.(*nodeResponse).body); body != "of "+e.r.ID {
 					w.t.Errorf("%s was served %q", e.r.ID, body)
 				}
 			}
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxKeptBuffer  = 8 << 10  // a larger write buffer is not kept
-	writePieceSize = 64 << 10 // of a write with a time bound; the clock is read before each piece
+	maxRetainedBuffer = 8 << 10  // a larger write buffer is not kept
+	writePieceSize    = 64 << 10 // of a write with a time bound; the clock is read before each piece
 )
 
 // exchange writes an attempt on the open connection and reads its answer. reuse says whether the connection may
@@ -27,7 +27,7 @@
 		return c.unwritten(j, first, err), false, true
 	}
 	j.attempt.Written()
-	if cap(c.buffer) > maxKeptBuffer {
+	if cap(c.buffer) > maxRetainedBuffer {
 		c.buffer = nil
 	}
 	rep, clean, err := c.readAnswer(j.ctx)
@@ -57,10 +57,10 @@
 
 // writeAttempt encodes and writes an attempt's message.
 func (c *conn) writeAttempt(a *core.Attempt) error {
-	made := a.Request.Payload.(*call)
+	made := a.Request.Payload.(*nodeRequest)
 	c.buffer = made.encodeHead(c.buffer[:0], c.host, time.Until(a.Deadline))
 	rest := made.body
-	if len(rest) <= bodyMost { // copying a longer one would take part of the time that the message says is left
+	if len(rest) <= maxBufferedBody { // copying a longer one would take part of the time that the message says is left
 		c.buffer = append(c.buffer, rest...)
 		rest = nil
 	}
--- a/internal/httpfront/expire_test.go
+++ b/internal/httpfront/expire_test.go
@@ -106,7 +106,7 @@
 			ln := &expiringListener{Listener: bound}
 			ln.ended = func(server syscall.Conn) { client = <-dialled; send(server, x.before) }
 			ln.looked = func(server syscall.Conn) { send(server, x.after) }
-			f := newFrontOn(t, ln, dialer(), say(fine))
+			f := newFrontOn(t, ln, dialer(), respondWith(okResponse))
 			c := dialFront(t, f.address)
 			dialled <- c.Conn
 			<-crossed
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -27,22 +27,22 @@
 	hdrResult  = "X-Gather-Result"
 )
 
-const shardsText = 8 << 10 // longest list of shards
+const maxShardsText = 8 << 10 // longest list of shards
 
 var (
-	errTaker = errors.New("gathered: its client takes no more")
-	errShort = errors.New("gathered: it ended without its result")
+	errClientClosed = errors.New("gathered: its client takes no more")
+	errIncomplete   = errors.New("gathered: it ended without its result")
 )
 
 // SetScatterGather takes the service of gathered reads from now on; nil: they are off. Reads under way end as they began.
-func (s *Server) SetScatterGather(svc *scattergather.Service) { s.gathered.Store(svc) }
+func (s *Server) SetScatterGather(svc *scattergather.Service) { s.scatterGather.Store(svc) }
 
 // PartPayload is what the nodes are sent for a part: the client's read under the part's id, with its shard, units and rows.
 func PartPayload(client, part *core.Request, rows int) any {
-	head := client.Payload.(*call).head
+	head := client.Payload.(*nodeRequest).head
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	_, key, keyed := bytes.Cut(rest, []byte("\r\nIdempotency-Key: "))
-	c := &call{}
+	c := &nodeRequest{}
 	c.head = append(append(append(c.head, line...), "\r\nX-Request-Id: "...), part.ID...)
 	if keyed { // parts are not each other's repeats
 		c.head = append(append(c.head, "\r\nIdempotency-Key: "...), key...)
@@ -58,7 +58,7 @@
 
 // PartBody is a node's answer to a part.
 func PartBody(payload any) scattergather.Body {
-	rep := payload.(*reply)
+	rep := payload.(*nodeResponse)
 	if rep.relay == nil {
 		return scattergather.Body{Data: rep.body, Limited: rep.limited}
 	}
@@ -91,7 +91,7 @@
 	bad := func(why string) (scattergather.Query, error) {
 		return q, &scattergather.ShardsBad{Shards: text, Why: why}
 	}
-	if len(text) > shardsText {
+	if len(text) > maxShardsText {
 		return bad("is too long")
 	}
 	for _, one := range strings.Split(text, ",") {
@@ -108,7 +108,7 @@
 			return bad("a range ends before it begins")
 		case b.shards > 0 && last >= uint64(b.shards):
 			return bad("there is no shard " + strconv.FormatUint(last, 10))
-		case last-first+uint64(len(q.Shards)) >= shardsText:
+		case last-first+uint64(len(q.Shards)) >= maxShardsText:
 			return bad("are too many")
 		}
 		for ; first <= last; first++ {
@@ -128,25 +128,25 @@
 	}
 	conn := ctx.Conn().(*transport.Conn)
 	run, leave := context.WithCancel(context.Background())
-	g := &gathering{conn: conn, leave: leave, head: &ctx.Response.Header, late: r.ReceivedAt.Add(r.Timeout + writeMargin),
-		pieces: make(chan []byte), took: make(chan struct{}, 1), gone: make(chan struct{}), ended: make(chan scattergather.Final, 1), over: make(chan struct{})}
-	g.left = conn.Watch()
-	r.ClientDisconnected = g.off
+	g := &gatherStream{conn: conn, cancel: leave, head: &ctx.Response.Header, writeDeadline: r.ReceivedAt.Add(r.Timeout + writeMargin),
+		pieces: make(chan []byte), consumed: make(chan struct{}, 1), closed: make(chan struct{}), result: make(chan scattergather.Final, 1), readDone: make(chan struct{})}
+	g.peerClosed = conn.Watch()
+	r.ClientDisconnected = g.abandoned
 	go func() {
-		defer close(g.over)
-		g.ended <- svc.Read(run, r, q, g.write)
+		defer close(g.readDone)
+		g.result <- svc.Read(run, r, q, g.write)
 	}()
 	select {
 	case g.piece = <-g.pieces:
-		g.open = true
-	case f := <-g.ended:
+		g.pending = true
+	case f := <-g.result:
 		if f.Kind != scattergather.Served {
 			_ = g.Close()
 			writeFinal(ctx, f)
 			return
 		}
-		g.ended <- f // no rows, and the result
-	case <-g.left:
+		g.result <- f // no rows, and the result
+	case <-g.peerClosed:
 		_ = g.Close()
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(499) // nobody reads it
@@ -161,27 +161,27 @@
 	ctx.Response.SetBodyStream(g, -1) // chunked: a cut answer lacks its last chunk
 }
 
-// gathering is a gathered read on its way to its client: Read and Close are the server's goroutine's, write is the read's.
-type gathering struct {
-	conn   *transport.Conn
-	left   <-chan struct{}
-	leave  context.CancelFunc
-	head   *fasthttp.ResponseHeader
-	late   time.Time // after which nobody takes anything
-	pieces chan []byte
-	took   chan struct{}
-	gone   chan struct{} // closed with the gathering
-	ended  chan scattergather.Final
-	over   chan struct{} // closed when the read has returned
-	piece  []byte
-	open   bool // a piece is being taken
-	once   sync.Once
+// gatherStream is a gathered read on its way to its client: Read and Close are the server's goroutine's, write is the read's.
+type gatherStream struct {
+	conn          *transport.Conn
+	peerClosed    <-chan struct{}
+	cancel        context.CancelFunc
+	head          *fasthttp.ResponseHeader
+	writeDeadline time.Time // after which nobody takes anything
+	pieces        chan []byte
+	consumed      chan struct{}
+	closed        chan struct{} // closed with the gathering
+	result        chan scattergather.Final
+	readDone      chan struct{} // closed when the read has returned
+	piece         []byte
+	pending       bool // a piece is being taken
+	closeOnce     sync.Once
 }
 
-// off says that nobody takes the answer any more.
-func (g *gathering) off() bool {
+// abandoned says that nobody takes the answer any more.
+func (g *gatherStream) abandoned() bool {
 	select {
-	case <-g.gone:
+	case <-g.closed:
 		return true
 	default:
 		return g.conn.PeerClosed()
@@ -189,39 +189,39 @@
 }
 
 // write gives rows and waits until the server has taken them: back-pressure.
-func (g *gathering) write(rows []byte) error {
+func (g *gatherStream) write(rows []byte) error {
 	select {
 	case g.pieces <- rows:
-	case <-g.gone:
-		return errTaker
+	case <-g.closed:
+		return errClientClosed
 	}
 	select {
-	case <-g.took:
+	case <-g.consumed:
 		return nil
-	case <-g.gone:
-		return errTaker
+	case <-g.closed:
+		return errClientClosed
 	}
 }
 
 // Read implements io.Reader.
-func (g *gathering) Read(p []byte) (int, error) {
-	_ = g.conn.SetWriteDeadline(g.late)
+func (g *gatherStream) Read(p []byte) (int, error) {
+	_ = g.conn.SetWriteDeadline(g.writeDeadline)
 	for len(g.piece) == 0 {
-		if g.open {
-			g.open = false
-			g.took <- struct{}{}
+		if g.pending {
+			g.pending = false
+			g.consumed <- struct{}{}
 		}
 		select {
 		case g.piece = <-g.pieces:
-			g.open = true
-		case f := <-g.ended:
+			g.pending = true
+		case f := <-g.result:
 			if f.Kind != scattergather.Served && f.Kind != scattergather.Short {
-				return 0, errShort // not EOF: the server must not end the answer as if it had its result
+				return 0, errIncomplete // not EOF: the server must not end the answer as if it had its result
 			}
 			g.head.Set(hdrResult, string(f.Report(true).JSON()))
 			return 0, io.EOF
-		case <-g.left:
-			return 0, errTaker
+		case <-g.peerClosed:
+			return 0, errClientClosed
 		}
 	}
 	n := copy(p, g.piece)
@@ -230,11 +230,11 @@
 }
 
 // Close implements io.Closer: the server is through with it. It returns once all parts were called off.
-func (g *gathering) Close() error {
-	g.once.Do(func() {
-		close(g.gone)
-		g.leave()
-		<-g.over
+func (g *gatherStream) Close() error {
+	g.closeOnce.Do(func() {
+		close(g.closed)
+		g.cancel()
+		<-g.readDone
 		g.conn.Unwatch()
 	})
 	return nil
@@ -248,7 +248,7 @@
 		code = fasthttp.StatusBadRequest
 	case scattergather.Refused:
 		code = fasthttp.StatusServiceUnavailable
-		f.RetryAfter = max(f.RetryAfter, retryLeast)
+		f.RetryAfter = max(f.RetryAfter, minRetryAfter)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64))
 	case scattergather.Late:
 		code = fasthttp.StatusGatewayTimeout
@@ -257,7 +257,7 @@
 			var failed *scattergather.Failed
 			switch {
 			case errors.As(p.Why, &failed):
-				code = failedAs(core.Cause(failed.Cause))
+				code = failureStatus(core.Cause(failed.Cause))
 			case errors.As(p.Why, new(*scattergather.OutOfTime)):
 				code = fasthttp.StatusGatewayTimeout
 			default:
--- a/internal/httpfront/gathered_peer.go
+++ b/internal/httpfront/gathered_peer.go
@@ -12,7 +12,7 @@
 // EncodePeerRequest makes a client's gathered read one to another process, as the client would have sent it there: all but the id,
 // the deadline and the fields of the gather.
 func EncodePeerRequest(client *core.Request, to *fasthttp.Request) {
-	line, rest, _ := bytes.Cut(client.Payload.(*call).head, []byte("\r\n"))
+	line, rest, _ := bytes.Cut(client.Payload.(*nodeRequest).head, []byte("\r\n"))
 	uri := bytes.Split(line, []byte(" "))[1]
 	to.Header.SetMethod(fasthttp.MethodGet)
 	to.SetRequestURIBytes(uri)
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -27,8 +27,8 @@
 
 const gatherShards = 4
 
-// spread is a front over four shards with a node each.
-type spread struct {
+// gatherHarness is a front over four shards with a node each.
+type gatherHarness struct {
 	t       *testing.T
 	srv     *Server
 	svc     *scattergather.Service
@@ -40,14 +40,14 @@
 	served  chan error
 }
 
-func newSpread(t *testing.T, rules string, rows storage.Rows) *spread {
+func newGatherHarness(t *testing.T, rules string, rows storage.Rows) *gatherHarness {
 	t.Helper()
-	return newSpreadOn(t, dialer(), rules, rows)
+	return newGatherHarnessOn(t, dialer(), rules, rows)
 }
 
-func newSpreadOn(t *testing.T, d *Dialer, rules string, rows storage.Rows) *spread {
+func newGatherHarnessOn(t *testing.T, d *Dialer, rules string, rows storage.Rows) *gatherHarness {
 	t.Helper()
-	w := &spread{t: t, rows: &rows, served: make(chan error, 1)}
+	w := &gatherHarness{t: t, rows: &rows, served: make(chan error, 1)}
 	set := testModule()
 	set.MaxAttempts, set.DrainGrace = 3, 250
 	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
@@ -94,7 +94,7 @@
 var gatherID int
 
 // ask writes a gathered read on a connection; more are further header lines.
-func (w *spread) ask(nc net.Conn, method, path, plan string, patience time.Duration, more ...string) (id string) {
+func (w *gatherHarness) ask(nc net.Conn, method, path, plan string, patience time.Duration, more ...string) (id string) {
 	gatherID++
 	id = fmt.Sprint("g", gatherID)
 	fmt.Fprintf(nc, "%s /%s HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: %s\r\nCookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: %d\r\n"+
@@ -138,7 +138,7 @@
 	return g
 }
 
-func (w *spread) dial() net.Conn {
+func (w *gatherHarness) dial() net.Conn {
 	nc, err := net.Dial("tcp", w.address)
 	if err != nil {
 		w.t.Fatal(err)
@@ -147,7 +147,7 @@
 	return nc
 }
 
-func (w *spread) read(path, plan string, patience time.Duration, more ...string) gathered {
+func (w *gatherHarness) read(path, plan string, patience time.Duration, more ...string) gathered {
 	w.t.Helper()
 	nc := w.dial()
 	defer nc.Close()
@@ -155,7 +155,7 @@
 	return take(w.t, bufio.NewReader(nc))
 }
 
-func (w *spread) flat(shards ...int) (rows []string) {
+func (w *gatherHarness) flat(shards ...int) (rows []string) {
 	for _, r := range w.rows.Flat(shards, storage.Flat{Keep: "all"}) {
 		rows = append(rows, string(r))
 	}
@@ -163,7 +163,7 @@
 }
 
 // quiet waits until nothing of any read is left.
-func (w *spread) quiet() {
+func (w *gatherHarness) quiet() {
 	w.t.Helper()
 	waitFor(w.t, func() bool { x := w.core.Tables(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
 }
@@ -177,7 +177,7 @@
 // Over sockets the rows are the flat merge's, with its result in the trailer, also of long bodies and over several
 // requests of one connection; a part is asked with its shard, units and id.
 func TestGatheredIsTheFlatMerge(t *testing.T) {
-	w := newSpread(t, wholeRules, storage.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
+	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
 	nc := w.dial()
 	br := bufio.NewReader(nc)
 	for _, c := range []struct {
@@ -206,7 +206,7 @@
 }
 
 func TestGatheredPages(t *testing.T) {
-	w := newSpread(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, storage.Rows{Seed: 4, Count: 200})
+	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, storage.Rows{Seed: 4, Count: 200})
 	var rows []string
 	more := []string{all}
 	for pages := 0; pages < 4; pages++ {
@@ -230,7 +230,7 @@
 
 // A partial result merges into the same rows as its parts.
 func TestGatheredPartial(t *testing.T) {
-	w := newSpread(t, wholeRules, storage.Rows{Seed: 5, Count: 50})
+	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 5, Count: 50})
 	m, err := gather.New(w.svc.Classes["balance-read"].Merge, []gather.Part{{ID: "a", Of: []string{"0", "3"}}, {ID: "b", Of: []string{"1", "2"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +270,7 @@
 
 // What cannot be is told before the first row, with code and advice; nothing is asked.
 func TestGatheredBefore(t *testing.T) {
-	w := newSpread(t, wholeRules, storage.Rows{Seed: 6, Count: 10})
+	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 6, Count: 10})
 	for _, c := range []struct {
 		what, method, path, plan string
 		more                     []string
@@ -317,7 +317,7 @@
 
 // After the first rows: what ends with a result has it, and names the part that was cut beyond what is held of it.
 func TestGatheredAfter(t *testing.T) {
-	w := newSpread(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
+	w := newGatherHarness(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
 	w.nodes[1].SetRows(storage.RowFault{After: 300, Cut: true})
 	for i, class := range []string{"balance-read", "once"} { // asked again; not safe to repeat
 		g := w.read(class, "basic", time.Minute, all)
@@ -334,7 +334,7 @@
 func TestGatheredClientGone(t *testing.T) {
 	for what, f := range map[string]storage.RowFault{"before the first row": {Late: time.Hour}, "in long bodies": {After: 300, Stop: 2 * time.Second}} {
 		t.Run(what, func(t *testing.T) {
-			w := newSpread(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
+			w := newGatherHarness(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
 			for _, n := range w.nodes {
 				n.SetRows(f)
 			}
@@ -357,7 +357,7 @@
 
 // A slow client holds the nodes up, and holds no more than its own read; one read more than the gate allows is refused at once.
 func TestGatheredBackPressure(t *testing.T) {
-	w := newSpread(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
+	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
 		storage.Rows{Seed: 8, Count: 10000, Pad: 2000})
 	nc := w.dial()
 	w.svc.PartMost = 64 << 20
@@ -391,7 +391,7 @@
 
 // The volume's limit counts every part; a shard of which the only node drains or is out by hand is not read.
 func TestGatheredKeepsTheRules(t *testing.T) {
-	w := newSpread(t, anyRules, storage.Rows{Seed: 9, Count: 10})
+	w := newGatherHarness(t, anyRules, storage.Rows{Seed: 9, Count: 10})
 	// 2 units a part, 10 a second and 8 at once allowed: the parts of all reads together keep to it, and what is over is named.
 	missing := 0
 	for range 4 {
@@ -437,7 +437,7 @@
 
 // A server that stops answers a gathered read whole.
 func TestGatheredShutdown(t *testing.T) {
-	w := newSpread(t, wholeRules, storage.Rows{Seed: 10, Count: 300})
+	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 10, Count: 300})
 	w.nodes[0].SetRows(storage.RowFault{After: 100, Never: true})
 	nc := w.dial()
 	w.ask(nc, "GET", "balance-read", "basic", time.Minute, all)
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -28,8 +28,8 @@
 // place until the server has seen the client go; a request of another client then passes the same way, and is the only one
 // that comes to the node.
 
-// lately is a front whose connections to its node, and the first bytes written on them, wait to be let go.
-type lately struct {
+// disconnectHarness is a front whose connections to its node, and the first bytes written on them, wait to be let go.
+type disconnectHarness struct {
 	*front
 	t       *testing.T
 	network string
@@ -64,7 +64,7 @@
 // lateStream is a connection to a node.
 type lateStream struct {
 	transport.Stream
-	of     *lately
+	of     *disconnectHarness
 	closed chan struct{}
 }
 
@@ -86,9 +86,9 @@
 	return s.Stream.Close()
 }
 
-func newLately(t *testing.T, network string) (*lately, chan struct{}) {
+func newDisconnectHarness(t *testing.T, network string) (*disconnectHarness, chan struct{}) {
 	t.Helper()
-	l := &lately{t: t, network: network, dials: newBarrier(), writes: newBarrier(), quiets: newBarrier()}
+	l := &disconnectHarness{t: t, network: network, dials: newBarrier(), writes: newBarrier(), quiets: newBarrier()}
 	closed := make(chan struct{}, 64)
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
@@ -107,12 +107,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.front = newFrontOn(t, ln, d, say(fine))
+	l.front = newFrontOn(t, ln, d, respondWith(okResponse))
 	t.Cleanup(func() { l.dials.letGo(); l.writes.letGo(); l.quiets.letGo() })
 	return l, closed
 }
 
-func (l *lately) dial() net.Conn {
+func (l *disconnectHarness) dial() net.Conn {
 	l.t.Helper()
 	nc, err := net.Dial(l.network, l.address)
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // onlyNext has another client served, and fails if the node got any other request.
-func (l *lately) onlyNext(before int64) {
+func (l *disconnectHarness) onlyNext(before int64) {
 	l.t.Helper()
 	nc := l.dial()
 	defer nc.Close()
@@ -160,13 +160,13 @@
 }
 
 // empty waits until the core holds nothing of any request but guards, whose time is yet to come.
-func (l *lately) empty() {
+func (l *disconnectHarness) empty() {
 	l.t.Helper()
 	waitFor(l.t, func() bool { x := l.srv.Core.Tables(); return x.Requests == 0 && x.Module == 0 })
 }
 
 // parked waits until an attempt's end has given its connection back since the last call, or the attempt was written after all.
-func (l *lately) parked() {
+func (l *disconnectHarness) parked() {
 	l.t.Helper()
 	written := l.requests.Load()
 	waitFor(l.t, func() bool {
@@ -194,7 +194,7 @@
 // The attempt waits for a connection, and the core is too busy to hear of the going.
 func TestGoneWhileAConnectionComesUp(t *testing.T) {
 	eachClient(t, func(t *testing.T, network, ahead string) {
-		l, _ := newLately(t, network)
+		l, _ := newDisconnectHarness(t, network)
 		l.dials.shut.Store(true)
 		nc := l.dial()
 		ask(nc, 1)
@@ -213,7 +213,7 @@
 // The attempt is in its node's mailbox, the node's actor at work and the core too.
 func TestGoneInTheNodesMailbox(t *testing.T) {
 	eachClient(t, func(t *testing.T, network, ahead string) {
-		l, _ := newLately(t, network)
+		l, _ := newDisconnectHarness(t, network)
 		l.onlyNext(0) // its connection is idle now
 		l.parked()
 		l.quiets.shut.Store(true)
@@ -234,7 +234,7 @@
 // Between the attempt's beginning and its first byte: the cancel closes the connection, and the byte is not written.
 func TestGoneBeforeTheFirstByte(t *testing.T) {
 	eachClient(t, func(t *testing.T, network, ahead string) {
-		l, closed := newLately(t, network)
+		l, closed := newDisconnectHarness(t, network)
 		l.writes.shut.Store(true)
 		nc := l.dial()
 		ask(nc, 1)
@@ -252,7 +252,7 @@
 func TestGoneWhileQueued(t *testing.T) {
 	eachClient(t, func(t *testing.T, network, ahead string) {
 		for _, heard := range []bool{false, true} {
-			l, _ := newLately(t, network)
+			l, _ := newDisconnectHarness(t, network)
 			list := func(state policy.NodeState) {
 				l.srv.Core.List(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{
 					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
@@ -285,17 +285,17 @@
 	with := func(header, body string) string {
 		return strings.NewReplacer("Content-Length: 5", header, "hello", body).Replace(good)
 	}
-	of := strings.Repeat("x", bodyMost)
+	of := strings.Repeat("x", maxBufferedBody)
 	for what, text := range map[string]string{
 		"short":   good[:len(good)-2],
-		"long":    with(fmt.Sprint("Content-Length: ", bodyMost), of[1:]),
-		"longer":  with(fmt.Sprint("Content-Length: ", 4*bodyMost), of),
+		"long":    with(fmt.Sprint("Content-Length: ", maxBufferedBody), of[1:]),
+		"longer":  with(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), of),
 		"chunked": with("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(of), of)),
 	} {
 		for _, plan := range []string{"basic", "none"} {
 			for _, network := range []string{"tcp", "unix"} {
 				t.Run(fmt.Sprint(what, " ", plan, " ", network), func(t *testing.T) {
-					l, _ := newLately(t, network)
+					l, _ := newDisconnectHarness(t, network)
 					nc := l.dial()
 					io.WriteString(nc, strings.Replace(text, "Tier: basic", "Tier: "+plan, 1))
 					waitFor(t, func() bool { return l.srv.ln.Load() != nil && l.srv.ln.Load().OpenCount() == 1 })
@@ -314,7 +314,7 @@
 // Many go at once while the core is busy and their attempts wait.
 func TestManyGoAtOnce(t *testing.T) {
 	const clients = 40
-	l, _ := newLately(t, "tcp")
+	l, _ := newDisconnectHarness(t, "tcp")
 	l.dials.shut.Store(true)
 	var conns []net.Conn
 	for i := range clients {
@@ -343,7 +343,7 @@
 		dials.pass()
 		return transport.Dial(ctx, a, within)
 	}
-	w := newSpreadOn(t, d, wholeRules, storage.Rows{Seed: 3, Count: 10})
+	w := newGatherHarnessOn(t, d, wholeRules, storage.Rows{Seed: 3, Count: 10})
 	t.Cleanup(dials.letGo)
 	dials.shut.Store(true)
 	nc := w.dial()
--- a/internal/httpfront/head.go
+++ b/internal/httpfront/head.go
@@ -11,11 +11,11 @@
 // bare line feeds. Where two parsers disagree on where a message ends, a body can smuggle in another
 // message. So heads are checked here too, and an ambiguous message is rejected.
 
-// onceOnly are the header fields that a request may have once at most.
-var onceOnly = fields("Host", "X-Request-Id", "Tier", "Cookie", "X-Deadline-Ms", "IO-Info", "Idempotency-Key", "X-Retry")
+// uniqueRequestFields are the header fields that a request may have once at most.
+var uniqueRequestFields = fieldSet("Host", "X-Request-Id", "Tier", "Cookie", "X-Deadline-Ms", "IO-Info", "Idempotency-Key", "X-Retry")
 
-// fields is a set of field names in lower case, with those that frame a message.
-func fields(names ...string) map[string]bool {
+// fieldSet is a set of field names in lower case, with those that frame a message.
+func fieldSet(names ...string) map[string]bool {
 	set := map[string]bool{"content-length": true, "transfer-encoding": true}
 	for _, n := range names {
 		set[strings.ToLower(n)] = true
@@ -23,14 +23,14 @@
 	return set
 }
 
-// frame is how a message is framed: by a length, or in chunks.
-type frame struct{ length, chunked bool }
+// framing is how a message is framed: by a length, or in chunks.
+type framing struct{ length, chunked bool }
 
 var errFraming = errors.New("head: both a length and an encoding")
 
-// strictHead checks the header lines of a message, each with its CRLF; an empty last line may follow. The fields in
+// checkHead checks the header lines of a message, each with its CRLF; an empty last line may follow. The fields in
 // once must not be repeated.
-func strictHead(lines []byte, once map[string]bool) (f frame, err error) {
+func checkHead(lines []byte, once map[string]bool) (f framing, err error) {
 	var seen [16]string // an array, as the names are few: no allocation for each message
 	n := 0
 	for len(lines) > 0 {
@@ -45,7 +45,7 @@
 			break
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !fieldName(name) || bytes.ContainsAny(value, "\r\n\x00") {
+		if !ok || !isFieldName(name) || bytes.ContainsAny(value, "\r\n\x00") {
 			return f, fmt.Errorf("head: %.40q is no field", line)
 		}
 		var low [24]byte
@@ -74,7 +74,7 @@
 		switch string(key) {
 		case "content-length":
 			f.length = true
-			if !digits(value) {
+			if !isLength(value) {
 				return f, fmt.Errorf("head: Content-Length: %.20q is no length", value)
 			}
 		case "transfer-encoding":
@@ -90,8 +90,8 @@
 	return f, nil
 }
 
-// digits says whether v is 1 to 18 decimal digits.
-func digits(v []byte) bool {
+// isLength says whether v is 1 to 18 decimal digits.
+func isLength(v []byte) bool {
 	for _, b := range v {
 		if b < '0' || b > '9' {
 			return false
@@ -100,8 +100,8 @@
 	return len(v) > 0 && len(v) <= 18
 }
 
-// fieldName says whether a name is a token of RFC 9110.
-func fieldName(v []byte) bool {
+// isFieldName says whether a name is a token of RFC 9110.
+func isFieldName(v []byte) bool {
 	for _, b := range v {
 		if !('a' <= b && b <= 'z' || 'A' <= b && b <= 'Z' || '0' <= b && b <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", b) >= 0) {
 			return false
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -33,8 +33,8 @@
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\n" +
 	"IO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nhello"
 
-// standin is a storage node: each whole request goes to its script, which answers or cuts.
-type standin struct {
+// fakeNode is a storage node: each whole request goes to its script, which answers or cuts.
+type fakeNode struct {
 	ln       net.Listener
 	requests atomic.Int64
 	conns    atomic.Int64
@@ -44,13 +44,13 @@
 
 type script func(nc net.Conn) (goOn bool)
 
-func newStandin(t *testing.T, do script) *standin {
+func newFakeNode(t *testing.T, do script) *fakeNode {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &standin{ln: ln, ended: make(chan bool, 64)}
+	s := &fakeNode{ln: ln, ended: make(chan bool, 64)}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -80,11 +80,11 @@
 	return s
 }
 
-func say(text string) script {
+func respondWith(text string) script {
 	return func(nc net.Conn) bool { _, err := io.WriteString(nc, text); return err == nil }
 }
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nVolume-Load: 85\r\nOther-Hosts: 4\r\n\r\nabc"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nVolume-Load: 85\r\nOther-Hosts: 4\r\n\r\nabc"
 
 // at is where a listener is to be found.
 func at(ln net.Listener) []address.Addr {
@@ -111,7 +111,7 @@
 	if err := m.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
-	r, err := decode(&m, &allKeyed)
+	r, err := decode(&m, &testBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,11 +119,11 @@
 	return core.NewAttempt(r, until, func(x core.Result) { got <- x }), got
 }
 
-var allKeyed = bounds{keyed: map[string]bool{"new-record": true}, units: 1e6}
+var testBounds = bounds{keyed: map[string]bool{"new-record": true}, units: 1e6}
 
 func later() time.Time { return time.Now().Add(time.Minute) }
 
-func try(t *testing.T, p core.NodeClient) core.Result {
+func sendOne(t *testing.T, p core.NodeClient) core.Result {
 	t.Helper()
 	a, got := attempt(t, later())
 	if !p.Send(a) {
@@ -137,24 +137,24 @@
 		do   script
 		want policy.Status
 	}{
-		"served":           {say(fine), policy.OK},
-		"error":            {say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"full":             {say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
-		"over":             {say("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
-		"bad request":      {say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
-		"too many":         {say("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"503 may have run": {say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"served":           {respondWith(okResponse), policy.OK},
+		"error":            {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"full":             {respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
+		"over":             {respondWith("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
+		"bad request":      {respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
+		"too many":         {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"503 may have run": {respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
 		"cut":              {func(net.Conn) bool { return false }, policy.ConnectionReset},
-		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, fine[:len(fine)-1]); return false }, policy.ConnectionReset},
+		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, okResponse[:len(okResponse)-1]); return false }, policy.ConnectionReset},
 		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
 	} {
-		n := newStandin(t, x.do)
+		n := newFakeNode(t, x.do)
 		p := dialer().Connect("n", at(n.ln))
-		r := try(t, p)
+		r := sendOne(t, p)
 		if r.Status != x.want || n.requests.Load() != 1 {
 			t.Errorf("%s: status %d, want %d; %d requests came", name, r.Status, x.want, n.requests.Load())
 		}
-		if r.Status == policy.OK && (r.PlanUsage != 86 || r.PeerUsage != 4 || string(r.Payload.(*reply).body) != "abc") {
+		if r.Status == policy.OK && (r.PlanUsage != 86 || r.PeerUsage != 4 || string(r.Payload.(*nodeResponse).body) != "abc") {
 			t.Errorf("%s: %+v", name, r)
 		}
 		p.Close()
@@ -167,14 +167,14 @@
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	whole := head + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n"
 	for cut := len(head); cut <= len(whole); cut++ {
-		n := newStandin(t, func(nc net.Conn) bool { io.WriteString(nc, whole[:cut]); return false })
+		n := newFakeNode(t, func(nc net.Conn) bool { io.WriteString(nc, whole[:cut]); return false })
 		p := dialer().Connect("n", at(n.ln))
 		want := policy.ConnectionReset
 		if cut == len(whole) {
 			want = policy.OK
 		}
-		r := try(t, p)
-		if r.Status != want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abcdefg" {
+		r := sendOne(t, p)
+		if r.Status != want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abcdefg" {
 			t.Errorf("cut behind %q: %+v, want status %d", whole[:cut], r, want)
 		}
 		p.Close()
@@ -185,19 +185,19 @@
 // on a connection that stays open as well; a good answer is kept whatever comes with it, and
 // its connection is used again only if nothing did.
 func TestSpoiltAnswers(t *testing.T) {
-	edit := func(old, new string) string { return strings.Replace(fine, old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	for _, x := range []struct {
 		text  string
 		want  policy.Status
 		again bool // the connection serves the next attempt
 	}{
-		{fine, policy.OK, true},
-		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(fine), policy.OK, true},
-		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + fine, policy.OK, true},
-		{fine + fine, policy.OK, false}, {fine + "\x00noise", policy.OK, false},
-		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + fine, policy.ConnectionReset, false},
+		{okResponse, policy.OK, true},
+		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(okResponse), policy.OK, true},
+		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + okResponse, policy.OK, true},
+		{okResponse + okResponse, policy.OK, false}, {okResponse + "\x00noise", policy.OK, false},
+		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + okResponse, policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 9"), policy.ConnectionReset, false}, // the rest never comes
-		{fine[:60], policy.ConnectionReset, false},                                      // nor does the end of the head
+		{okResponse[:60], policy.ConnectionReset, false},                                // nor does the end of the head
 		{edit("Content-Length: 3\r\n", ""), policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), policy.ConnectionReset, false},
@@ -206,18 +206,18 @@
 		{edit("Content-Length: 3", "Content-Length: 3221225472"), policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Transfer-Encoding: chunked"), policy.ConnectionReset, false},
 		{edit("HTTP/1.1 200 OK", "HTTP/1.1 2x0 OK"), policy.ConnectionReset, false}, {edit("HTTP/1.1", "HTTP/7.1"), policy.ConnectionReset, false},
-		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), policy.ConnectionReset, false}, {"noise" + fine, policy.ConnectionReset, false},
+		{edit("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\n"), policy.ConnectionReset, false}, {"noise" + okResponse, policy.ConnectionReset, false},
 		{edit("Volume-Load: 85", "what"), policy.ConnectionReset, false},
 		{edit("Volume-Load: 85", "X: "+strings.Repeat("x", 2*readBufferSize)), policy.ConnectionReset, false},
 		{edit("200 OK", "101 Switching Protocols"), policy.ConnectionReset, false},
 	} {
-		n := newStandin(t, say(x.text))
+		n := newFakeNode(t, respondWith(x.text))
 		p := dialer().Connect("n", at(n.ln))
-		r := try(t, p)
-		if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*reply).body) != "abc" {
+		r := sendOne(t, p)
+		if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
 			t.Errorf("%.90q: %+v, want %d", x.text, r, x.want)
 		}
-		try(t, p)
+		sendOne(t, p)
 		if used := n.conns.Load() == 1; used != x.again {
 			t.Errorf("%.90q: %d connections", x.text, n.conns.Load())
 		}
@@ -245,13 +245,13 @@
 		{chunked[:len(chunked)-5], policy.OK, false, false},
 		{strings.Replace(text, "200", "500", 1), policy.Errored, false, false},
 	} {
-		n := newStandin(t, say(x.text))
+		n := newFakeNode(t, respondWith(x.text))
 		p := dialer().Connect("n", at(n.ln))
-		r := try(t, p)
+		r := sendOne(t, p)
 		if r.Status != x.want {
 			t.Fatalf("%.60q: status %d", x.text, r.Status)
 		}
-		if rep, ok := r.Payload.(*reply); ok {
+		if rep, ok := r.Payload.(*nodeResponse); ok {
 			if rep.relay == nil {
 				t.Fatalf("%.60q: held whole", x.text)
 			}
@@ -260,12 +260,12 @@
 			if whole := err == nil && string(got) == body; whole != x.whole {
 				t.Errorf("%.60q: %d bytes, %v", x.text, len(got), err)
 			}
-			if err != nil && !errors.Is(err, errCut) {
+			if err != nil && !errors.Is(err, errBodyCut) {
 				t.Errorf("%.60q: a cut body ends as %v", x.text, err)
 			}
 		}
 		if x.again {
-			try(t, p)
+			sendOne(t, p)
 			if n.conns.Load() != 1 {
 				t.Errorf("%.60q: %d connections", x.text, n.conns.Load())
 			}
@@ -273,7 +273,7 @@
 		p.Close()
 	}
 	// Through the front: one relay after the other on one node connection, and the bytes whole.
-	f := newFront(t, say(text))
+	f := newFront(t, respondWith(text))
 	for range 4 {
 		if r := f.send(t, good); r.StatusCode() != 200 || string(r.Body()) != body {
 			t.Errorf("%d, %d bytes", r.StatusCode(), len(r.Body()))
@@ -292,7 +292,7 @@
 		var m fasthttp.Response
 		m.Header.Set("Volume-Load", x.used)
 		m.Header.Set("X-Load", x.load)
-		if r := decodeReply(&m, &reply{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
+		if r := decodeReply(&m, &nodeResponse{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
 			t.Errorf("%+v: %+v", x, r)
 		}
 	}
@@ -302,18 +302,18 @@
 // must not end as a reset for it.
 func TestStaleConnection(t *testing.T) {
 	closeAfter := make(chan bool, 3)
-	n := newStandin(t, func(nc net.Conn) bool { io.WriteString(nc, fine); return <-closeAfter })
+	n := newFakeNode(t, func(nc net.Conn) bool { io.WriteString(nc, okResponse); return <-closeAfter })
 	p := dialer().Connect("n", at(n.ln))
 	closeAfter <- true
-	try(t, p)
+	sendOne(t, p)
 	closeAfter <- false
-	try(t, p)
+	sendOne(t, p)
 	if c := n.conns.Load(); c != 1 {
 		t.Errorf("%d connections for two attempts in turn", c)
 	}
 	<-n.ended // the node has closed it
 	closeAfter <- true
-	if r := try(t, p); r.Status != policy.OK {
+	if r := sendOne(t, p); r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -324,21 +324,21 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if r := try(t, dialer().Connect("n", at(ln))); r.Status != policy.ConnectFailed {
+	if r := sendOne(t, dialer().Connect("n", at(ln))); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
 }
 
 // What waits in a mailbox when its node drains is not written.
 func TestDrainBindsMailbox(t *testing.T) {
-	n := newStandin(t, say(fine))
+	n := newFakeNode(t, respondWith(okResponse))
 	p := dialer().Connect("n", at(n.ln))
 	p.Drain(true)
-	if r := try(t, p); r.Status != policy.ConnectFailed || n.requests.Load() != 0 {
+	if r := sendOne(t, p); r.Status != policy.ConnectFailed || n.requests.Load() != 0 {
 		t.Errorf("status %d, %d came", r.Status, n.requests.Load())
 	}
 	p.Drain(false)
-	if r := try(t, p); r.Status != policy.OK {
+	if r := sendOne(t, p); r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
@@ -346,7 +346,7 @@
 // A cancelled or timed-out attempt closes its connection: nothing may come over it later.
 func TestGivenUpConnectionsClose(t *testing.T) {
 	came, closed := make(chan bool, 4), make(chan bool, 4)
-	n := newStandin(t, func(nc net.Conn) bool {
+	n := newFakeNode(t, func(nc net.Conn) bool {
 		came <- true
 		var b [1]byte
 		_, err := nc.Read(b[:])
@@ -376,13 +376,13 @@
 // With the descriptors used up an attempt ends as one that never ran, and nothing breaks.
 func TestConnectionBudget(t *testing.T) {
 	hold := make(chan bool)
-	n := newStandin(t, func(nc net.Conn) bool { <-hold; io.WriteString(nc, fine); return true })
+	n := newFakeNode(t, func(nc net.Conn) bool { <-hold; io.WriteString(nc, okResponse); return true })
 	d := dialer()
 	d.MaxConns = 1
 	p := d.Connect("n", at(n.ln))
 	a, got := attempt(t, later())
 	p.Send(a)
-	if r := try(t, p); r.Status != policy.ConnectFailed {
+	if r := sendOne(t, p); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
 	close(hold)
@@ -393,7 +393,7 @@
 
 // front is a server, its core and one node.
 type front struct {
-	*standin
+	*fakeNode
 	srv     *Server
 	address string
 	served  chan error
@@ -417,7 +417,7 @@
 }
 
 func newFrontOn(t *testing.T, ln net.Listener, d *Dialer, do script) *front {
-	n := newStandin(t, do)
+	n := newFakeNode(t, do)
 	set := testModule()
 	var log *logrus.Logger
 	log, _ = logtest.NewNullLogger()
@@ -428,7 +428,7 @@
 	t.Cleanup(c.Stop)
 	c.List(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
-	f := &front{standin: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
+	f := &front{fakeNode: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
 	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
 	go func() { f.served <- f.srv.Serve(ln, 50) }()
 	return f
@@ -451,7 +451,7 @@
 }
 
 func TestWholePath(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	if r := f.send(t, good); r.StatusCode() != 200 || string(r.Body()) != "abc" {
 		t.Errorf("%d %q", r.StatusCode(), r.Body())
 	}
@@ -471,7 +471,7 @@
 
 // Bad input never reaches a node and never ends the program.
 func TestBadInput(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	edit := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for _, x := range []struct {
 		text string
@@ -501,7 +501,7 @@
 		{strings.Replace(edit("PUT ", "GET "), "Content-Length: 5", "Transfer-Encoding: chunked", 1) + "0\r\n\r\n", 400},
 		{edit("Tier: basic", "Tier: basic\r\ntier: none"), 400}, {edit("X-Request-Id: 9", "X-Request-Id: 8\r\nX-Request-Id: 9"), 400},
 		{edit("Tier: basic\r\n", "Tier: basic\n"), 400}, {edit("HTTP/1.1", "HTTP/2.7"), 400},
-		{edit("units=2", "units=7"), 400}, {edit("Host: origin.svc", "X-Long: "+strings.Repeat("x", 2*headMost)), 431},
+		{edit("units=2", "units=7"), 400}, {edit("Host: origin.svc", "X-Long: "+strings.Repeat("x", 2*maxHeadSize)), 431},
 	} {
 		r := f.send(t, x.text)
 		if r.StatusCode() != x.code {
@@ -518,7 +518,7 @@
 
 // Clients that say nothing, half of something or ask once and stay cannot keep another out.
 func TestSilentClients(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	for i := range 120 { // the cap is 50
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
@@ -539,7 +539,7 @@
 
 // A refusal is a 503 that says when to come back; a failure is neither 429 nor 503.
 func TestRefuseAndFail(t *testing.T) {
-	f := newFront(t, say("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+	f := newFront(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := f.send(t, good)
 	if wait := string(r.Header.Peek("Retry-After")); r.StatusCode() != 503 || !strings.Contains(wait, ".") {
 		t.Errorf("%d, Retry-After %q", r.StatusCode(), wait)
@@ -548,7 +548,7 @@
 	if r := f.send(t, good); r.StatusCode() != 502 {
 		t.Errorf("a write in doubt: %d", r.StatusCode())
 	}
-	f = newFront(t, say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"))
+	f = newFront(t, respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"))
 	if r := f.send(t, good); r.StatusCode() != 400 {
 		t.Errorf("turned away as bad: %d", r.StatusCode())
 	}
@@ -587,7 +587,7 @@
 
 // A request sent ahead of an answer is served after it, the watch having taken none of it.
 func TestSentAhead(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
@@ -609,7 +609,7 @@
 // client sent ahead is not read any more, and the close over it takes no answer with it.
 func TestShutdownAnswers(t *testing.T) {
 	came, hold := make(chan bool, 1), make(chan bool)
-	f := newFront(t, func(nc net.Conn) bool { came <- true; <-hold; return say(fine)(nc) })
+	f := newFront(t, func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) })
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
@@ -647,7 +647,7 @@
 			came <- true
 			<-hold
 		}
-		return say(fine)(nc)
+		return respondWith(okResponse)(nc)
 	})
 	var conns [3]net.Conn
 	for i := range conns {
@@ -689,7 +689,7 @@
 
 // A cut message is never taken for a whole one, and garbage never panics.
 func TestParsers(t *testing.T) {
-	whole := &call{}
+	whole := &nodeRequest{}
 	rapid.Check(t, func(rt *rapid.T) {
 		var m fasthttp.Request
 		cut := rapid.IntRange(0, len(good)-1).Draw(rt, "cut")
@@ -701,9 +701,9 @@
 		text := append(append([]byte(good[:at]), noise...), good[min(len(good), at+len(noise)):]...)
 		m.Reset()
 		if m.Read(bufio.NewReader(bytes.NewReader(text))) == nil {
-			if r, err := decode(&m, &allKeyed); err == nil {
-				whole = r.Payload.(*call)
-				if !(r.Units > 0) || r.Schedulers < 1 || r.Shard < -1 || r.Timeout <= 0 || !hex16([]byte(r.Volume)) {
+			if r, err := decode(&m, &testBounds); err == nil {
+				whole = r.Payload.(*nodeRequest)
+				if !(r.Units > 0) || r.Schedulers < 1 || r.Shard < -1 || r.Timeout <= 0 || !isHex16([]byte(r.Volume)) {
 					rt.Fatalf("taken: %+v", r.Request)
 				}
 				var back fasthttp.Request
@@ -713,11 +713,11 @@
 				}
 			}
 		}
-		_ = decodeInfo(string(noise), &policy.Request{})
+		_ = decodeIOInfo(string(noise), &policy.Request{})
 		if l := decodeLoad(string(noise)); l != nil && (l.Util < -1 || l.Queue < -1 || l.Inflight < -1) {
 			rt.Fatalf("load %+v", l)
 		}
-		if v, ok := figure(noise); !(v >= 0 && v <= 1e12) || !ok && v != 0 {
+		if v, ok := parseFigure(noise); !(v >= 0 && v <= 1e12) || !ok && v != 0 {
 			rt.Fatalf("figure %v", v)
 		}
 	})
@@ -728,7 +728,7 @@
 
 // A recorded access log and a HAR file as load: each of their requests is served.
 func TestReplayedFiles(t *testing.T) {
-	f := newFront(t, say(fine))
+	f := newFront(t, respondWith(okResponse))
 	for name, want := range map[string]int{"access.log": 4, "small.har": 2} {
 		in, err := os.Open("../replay/testdata/" + name)
 		if err != nil {
@@ -756,7 +756,7 @@
 // the one connection. Called off, or with the node draining, it was never written.
 func TestWaitsForAConnection(t *testing.T) {
 	open := make(chan bool)
-	n := newStandin(t, func(nc net.Conn) bool { <-open; _, err := io.WriteString(nc, fine); return err == nil })
+	n := newFakeNode(t, func(nc net.Conn) bool { <-open; _, err := io.WriteString(nc, okResponse); return err == nil })
 	d := dialer()
 	d.FreeConnWait = time.Hour
 	p := d.Connect("n", at(n.ln))
@@ -803,7 +803,7 @@
 // for broke.
 func TestWaitEnds(t *testing.T) {
 	block := make(chan bool)
-	n := newStandin(t, func(nc net.Conn) bool { return <-block })
+	n := newFakeNode(t, func(nc net.Conn) bool { return <-block })
 	d := dialer()
 	d.FreeConnWait = time.Millisecond
 	p := d.Connect("n", at(n.ln))
--- a/internal/httpfront/idle.go
+++ b/internal/httpfront/idle.go
@@ -53,12 +53,12 @@
 	return true
 }
 
-// place takes a place in the count of open connections, that of an evicted one where no other is free.
-func (d *Dialer) place() bool { return d.vacant() || d.idle.evict() }
+// reservePlace takes a place in the count of open connections, that of an evicted one where no other is free.
+func (d *Dialer) reservePlace() bool { return d.reserveFreePlace() || d.idle.evict() }
 
-// vacant takes a free place; false: there is none. A caller that finds none is not counted even for a moment, as
+// reserveFreePlace takes a free place; false: there is none. A caller that finds none is not counted even for a moment, as
 // another caller might then be refused a place that is free.
-func (d *Dialer) vacant() bool {
+func (d *Dialer) reserveFreePlace() bool {
 	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {
 		if d.open.CompareAndSwap(n, n+1) {
 			return true
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -13,7 +13,7 @@
 // More nodes than descriptors: each is served in turn, on the place of the longest idle
 // connection, and never more are open than may be.
 func TestIdleConnectionsGiveWay(t *testing.T) {
-	n := newStandin(t, say(fine))
+	n := newFakeNode(t, respondWith(okResponse))
 	d := dialer()
 	d.MaxConns = 3
 	var peers []core.NodeClient
@@ -22,7 +22,7 @@
 	}
 	for round := range 3 {
 		for i, p := range peers {
-			if r := try(t, p); r.Status != policy.OK {
+			if r := sendOne(t, p); r.Status != policy.OK {
 				t.Fatalf("round %d, node %d: %v", round, i, r.Status)
 			}
 			if open := d.open.Load(); open > d.MaxConns {
@@ -43,7 +43,7 @@
 
 // With all connections in use nothing gives way: the attempt certainly did not run.
 func TestUsedConnectionsDoNotGiveWay(t *testing.T) {
-	n := newStandin(t, func(script net.Conn) bool { return true }) // takes requests and says nothing
+	n := newFakeNode(t, func(script net.Conn) bool { return true }) // takes requests and says nothing
 	d := dialer()
 	d.MaxConns = 1
 	one, other := d.Connect("one", at(n.ln)), d.Connect("other", at(n.ln))
@@ -54,7 +54,7 @@
 	for n.requests.Load() == 0 {
 		runtime.Gosched()
 	}
-	if r := try(t, other); r.Status != policy.ConnectFailed {
+	if r := sendOne(t, other); r.Status != policy.ConnectFailed {
 		t.Fatalf("%v", r.Status)
 	}
 	one.Cancel(a)
@@ -66,7 +66,7 @@
 // A listed node that is not spoken with takes little: room by need, no timer, no connection.
 func TestListedNodesTakeLittle(t *testing.T) {
 	const nodes = 1024
-	n := newStandin(t, say(fine))
+	n := newFakeNode(t, respondWith(okResponse))
 	d := dialer()
 	held := func() uint64 {
 		runtime.GC()
--- a/internal/httpfront/leave_test.go
+++ b/internal/httpfront/leave_test.go
@@ -18,7 +18,7 @@
 	f := newFront(t, func(nc net.Conn) bool {
 		came <- true
 		<-hold
-		return say(fine)(nc)
+		return respondWith(okResponse)(nc)
 	})
 	type client struct {
 		net.Conn
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -18,35 +18,35 @@
 
 // nodeMessage is one message to a node's actor: the fields of one kind are set.
 type nodeMessage struct {
-	send, cancel *core.Attempt
-	returned     *conn         // its job is over; it is free, or closed if broken
-	resend       *core.Attempt // of returned, which was found unusable before a byte of the attempt was written
-	broken       bool
-	opened       *conn // its dial has ended; it failed if broken
-	evicted      *conn // closed, as another node took its descriptor
-	probe        func(core.Result, time.Duration)
-	preconnect   func(policy.Status) // result of a connection that no attempt waits for
-	close        bool
-	path         *pathMessage
+	send, cancel   *core.Attempt
+	returned       *conn         // its job is over; it is free, or closed if broken
+	resend         *core.Attempt // of returned, which was found unusable before a byte of the attempt was written
+	broken         bool
+	opened         *conn // its dial has ended; it failed if broken
+	evicted        *conn // closed, as another node took its descriptor
+	probe          func(core.Result, time.Duration)
+	preconnect     func(policy.Status) // result of a connection that no attempt waits for
+	close          bool
+	addressMessage *addressMessage
 }
 
 // node is the actor of one storage node. It owns the connections to the node and the attempts that wait for one; fields
 // other than mailbox and draining are the actor's alone.
 type node struct {
-	dialer    *Dialer
-	name      string
-	address   address.Addr // the only one; zero where paths is set
-	host      string
-	paths     *paths // set from the first second address on
-	mailbox   *mailbox.Box[nodeMessage]
-	draining  atomic.Bool
-	idle      []*conn // in the order in which they became idle
-	busy      map[*core.Attempt]*conn
-	waiting   *connqueue.Queue[*core.Attempt] // attempts that wait for a connection
-	scarcity  connqueue.IdleLimiter           // whether the node refuses connections for lack of capacity
-	started   time.Time                       // origin of the times given to waiting and scarcity
-	connCount int
-	closing   bool
+	dialer      *Dialer
+	name        string
+	address     address.Addr // the only one; zero where paths is set
+	host        string
+	addressPool *addressPool // set from the first second address on
+	mailbox     *mailbox.Box[nodeMessage]
+	draining    atomic.Bool
+	idle        []*conn // in the order in which they became idle
+	busy        map[*core.Attempt]*conn
+	waiting     *connqueue.Queue[*core.Attempt] // attempts that wait for a connection
+	scarcity    connqueue.IdleLimiter           // whether the node refuses connections for lack of capacity
+	started     time.Time                       // origin of the times given to waiting and scarcity
+	connCount   int
+	closing     bool
 }
 
 // Send implements core.Peer.
@@ -69,7 +69,7 @@
 
 // SetAddresses implements core.Peer.
 func (n *node) SetAddresses(addresses []address.Addr) {
-	n.mailbox.Must(nodeMessage{path: &pathMessage{addresses: addresses}})
+	n.mailbox.Must(nodeMessage{addressMessage: &addressMessage{addresses: addresses}})
 }
 
 // Close implements core.Peer.
@@ -94,32 +94,32 @@
 			for _, m := range batch {
 				n.handle(m)
 				n.serveWaiting()
-				if n.paths != nil { // the book settles before the next message
-					wake = n.paths.settle()
+				if n.addressPool != nil { // the book settles before the next message
+					wake = n.addressPool.applyChanges()
 				}
 			}
 		case <-due.C:
 			n.serveWaiting()
 			n.closeExpiredIdle()
 		case <-wake:
-			n.paths.book.Step(address.Event{Kind: address.TimerFired})
+			n.addressPool.selector.Step(address.Event{Kind: address.TimerFired})
 		}
-		if n.paths != nil {
-			wake = n.paths.settle()
+		if n.addressPool != nil {
+			wake = n.addressPool.applyChanges()
 		}
 	}
-	if n.paths != nil {
-		n.paths.book.Timer.Stop()
+	if n.addressPool != nil {
+		n.addressPool.selector.Timer.Stop()
 	}
 }
 
 // nextWake is when the waiting attempts or the idle connections have to be looked at next.
 func (n *node) nextWake() (at time.Time, ok bool) {
 	if len(n.idle) > 0 {
-		most := n.idleLimit()
-		at, ok = n.idle[0].idleAt.Add(most+min(most, idleCheckEvery)/2), true
+		limit := n.idleLimit()
+		at, ok = n.idle[0].idleAt.Add(limit+min(limit, idleCheckEvery)/2), true
 	}
-	if n.paths != nil && n.connCount > 0 {
+	if n.addressPool != nil && n.connCount > 0 {
 		if next := time.Now().Add(idleCheckEvery); !ok || next.Before(at) {
 			at, ok = next, true
 		}
@@ -141,16 +141,16 @@
 		n.dialEnded(m.opened, m.broken)
 	case m.resend != nil:
 		n.resend(m.returned, m.resend)
-	case m.path != nil && m.path.addresses != nil:
-		n.setAddresses(m.path.addresses)
+	case m.addressMessage != nil && m.addressMessage.addresses != nil:
+		n.setAddresses(m.addressMessage.addresses)
 	case m.returned != nil && m.returned.address != n.address:
 		n.outdatedReturned(m.returned, m.broken)
 	case m.preconnect != nil:
 		n.preconnect(m.preconnect)
 	case m.cancel != nil && n.busy[m.cancel] != nil:
 		n.busy[m.cancel].cancel()
-	case n.paths != nil:
-		n.paths.handle(m)
+	case n.addressPool != nil:
+		n.addressPool.handle(m)
 	case m.send != nil:
 		n.send(m.send)
 	case m.cancel != nil:
@@ -195,12 +195,12 @@
 	delete(n.busy, a)
 	cancelled := errors.Is(c.ctx.Err(), context.Canceled)
 	c.stop()
-	n.discount()
+	n.uncountConn()
 	switch {
 	case cancelled:
 		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })
-	case n.paths != nil:
-		n.paths.handle(nodeMessage{send: a})
+	case n.addressPool != nil:
+		n.addressPool.handle(nodeMessage{send: a})
 	default:
 		n.send(a)
 	}
@@ -236,21 +236,21 @@
 // setAddresses replaces the node's addresses. A single address needs no book; the first time there are more, a
 // book is made, and it is kept from then on.
 func (n *node) setAddresses(list []address.Addr) {
-	if n.paths == nil && len(list) == 1 {
+	if n.addressPool == nil && len(list) == 1 {
 		if n.address != list[0] {
 			n.address, n.host = list[0], hostOf(list[0], n.name)
 			n.closeAllIdle() // those in use finish, and are not used again
 		}
 		return
 	}
-	if n.paths == nil {
+	if n.addressPool == nil {
 		n.address = address.Addr{}
 		n.closeAllIdle()
-		n.paths = newPaths(n)
+		n.addressPool = newAddressPool(n)
 	}
-	n.paths.book.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
+	n.addressPool.selector.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
 	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the book decides on them too
-		n.paths.handle(nodeMessage{send: a})
+		n.addressPool.handle(nodeMessage{send: a})
 	}
 }
 
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -41,7 +41,7 @@
 	if *l.drains {
 		il.Fail("written to a node that drains")
 	}
-	l.in.WriteString(fine)
+	l.in.WriteString(okResponse)
 	return len(p), nil
 }
 func (l *line) Read(p []byte) (int, error)            { return l.in.Read(p) }
@@ -66,8 +66,8 @@
 func (l rawLine) Read(func(uintptr) bool) error  { return nil }
 func (l rawLine) Write(func(uintptr) bool) error { return nil }
 
-// standingSocket is one end of a pair that stays open.
-func standingSocket(t *testing.T) uintptr {
+// idleSocket is one end of a pair that stays open.
+func idleSocket(t *testing.T) uintptr {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -76,8 +76,8 @@
 	return uintptr(fds[0])
 }
 
-// loudSocket is one end of a pair on which a byte waits.
-func loudSocket(t *testing.T) uintptr {
+// readableSocket is one end of a pair on which a byte waits.
+func readableSocket(t *testing.T) uintptr {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 // Four nodes on two descriptors, which two of them hold idle: one of these drops its own, the
 // others want a connection. One that is used is never closed for another, and all count the same.
 func TestInterleaveIdle(t *testing.T) {
-	fd := standingSocket(t)
+	fd := idleSocket(t)
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
 		nodes := []*node{actor(d, fd, "a", 1), actor(d, fd, "b", 1), actor(d, fd, "c", 0), actor(d, fd, "d", 0)}
@@ -174,12 +174,12 @@
 		d.open.Store(1)
 		n, had := &node{dialer: d}, 0
 		ask := func() {
-			if d.place() {
+			if d.reservePlace() {
 				had++
 			}
 		}
 		return il.World{
-			Threads: []il.Thread{{Name: "one", Run: ask}, {Name: "other", Run: func() { n.discount(); ask() }}},
+			Threads: []il.Thread{{Name: "one", Run: ask}, {Name: "other", Run: func() { n.uncountConn(); ask() }}},
 			Check: func() error {
 				if open := d.open.Load(); had != 1 || open != 1 {
 					return fmt.Errorf("%d of two have the one place, %d counted", had, open)
@@ -188,7 +188,7 @@
 			},
 		}
 	})
-	loop := "	for n := d.open.Load(); n < d.ConnsMost; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
+	loop := "	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
 	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // as it was before this test
 		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
 		Want: "0 of two have the one place"})
@@ -228,7 +228,7 @@
 // mailbox, the connection's goroutine, a cancel and a drain. Every attempt ends, nothing is written
 // after the drain, the connection comes back.
 func TestInterleaveLine(t *testing.T) {
-	fd := standingSocket(t)
+	fd := idleSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		n, drains, tries, all := meet(fd, a.Request, time.Hour, 2)
@@ -260,7 +260,7 @@
 // The actor hears of a connection that is free before the core hears of the result: the next send
 // finds it, though nobody may wait.
 func TestInterleaveFreeAgain(t *testing.T) {
-	fd := standingSocket(t)
+	fd := idleSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{}, func() il.World {
 		n, _, tries, all := meet(fd, a.Request, 0, 2)
@@ -290,7 +290,7 @@
 // another, and a cancel at any instant ends it. It ends once, nothing of it was written on the first, and both
 // connections are counted out.
 func TestInterleaveAgain(t *testing.T) {
-	fd, loud := standingSocket(t), loudSocket(t)
+	fd, loud := idleSocket(t), readableSocket(t)
 	a, _ := attempt(t, later())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		n, drains, tries, all := meet(fd, a.Request, 0, 1)
@@ -321,6 +321,6 @@
 		mutant.Mutant{File: "conn.go", Old: "	if c.unusable() {", New: "	if false {", Want: "written to a node that drains"},
 		mutant.Mutant{File: "node.go", Old: "	case cancelled:\n		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })\n",
 			New: "	case cancelled:\n", Want: "deadlock"},
-		mutant.Mutant{File: "node.go", Old: "	c.stop()\n	n.discount()\n	switch {", New: "	c.stop()\n	switch {", Want: "deadlock"},
+		mutant.Mutant{File: "node.go", Old: "	c.stop()\n	n.uncountConn()\n	switch {", New: "	c.stop()\n	switch {", Want: "deadlock"},
 	)
 }
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -25,20 +25,20 @@
 
 // idleLimit is how long a connection is kept idle.
 func (n *node) idleLimit() time.Duration {
-	_, most := n.idleBounds()
-	return most
+	_, limit := n.idleBounds()
+	return limit
 }
 
 // recordCapacity records, once for each connection, what it showed of the node's capacity for more.
 func (n *node) recordCapacity(c *conn) {
-	says := c.capacity
+	hint := c.capacity
 	c.capacity = capacityUnknown
 	switch now := time.Since(n.started); {
-	case says == capacityNone:
+	case hint == capacityNone:
 		n.scarcity.ConnectRejected(now)
-	case says == capacityDoubtful || says == capacityFree && c.slowDial:
+	case hint == capacityDoubtful || hint == capacityFree && c.slowDial:
 		n.scarcity.ConnectLate(now)
-	case says == capacityFree:
+	case hint == capacityFree:
 		n.scarcity.ConnectTimely(c.dialStarted)
 	}
 	n.closeSurplusIdle()
@@ -46,7 +46,7 @@
 
 // closeSurplusIdle closes idle connections beyond the number that is kept.
 func (n *node) closeSurplusIdle() {
-	for kept, _ := n.idleBounds(); len(n.idle) > kept; {
+	for maxIdle, _ := n.idleBounds(); len(n.idle) > maxIdle; {
 		n.closeIdle(n.idle[0])
 	}
 }
@@ -57,13 +57,13 @@
 	for len(n.idle) > 0 && n.idle[0].idleAt.Before(old) {
 		n.closeIdle(n.idle[0])
 	}
-	if n.paths != nil {
-		n.paths.closeExpiredIdle(old)
+	if n.addressPool != nil {
+		n.addressPool.closeExpiredIdle(old)
 	}
 }
 
-// discount removes one connection from the counts.
-func (n *node) discount() {
+// uncountConn removes one connection from the counts.
+func (n *node) uncountConn() {
 	n.connCount--
 	n.dialer.open.Add(-1)
 }
@@ -91,7 +91,7 @@
 	}
 	n.recordCapacity(c)
 	if broken {
-		n.discount()
+		n.uncountConn()
 		return
 	}
 	n.makeAvailable(c)
@@ -106,7 +106,7 @@
 	if !broken {
 		sync.Close(c.jobs)
 	}
-	n.discount()
+	n.uncountConn()
 }
 
 // closeIdle closes an idle connection.
@@ -114,7 +114,7 @@
 	n.idle = slices.DeleteFunc(n.idle, func(o *conn) bool { return o == c })
 	if n.dialer.idle.remove(c) { // otherwise it was evicted, and that message is in the mailbox
 		sync.Close(c.jobs)
-		n.discount()
+		n.uncountConn()
 	}
 }
 
@@ -147,23 +147,23 @@
 	switch {
 	case c.address != n.address: // the address was replaced meanwhile: another connection is opened
 		n.waiting.ConnectSucceeded(now, c.dialID)
-		n.discount()
+		n.uncountConn()
 		if !failed {
 			sync.Close(c.jobs)
 		}
 	case failed:
-		n.discount()
+		n.uncountConn()
 		n.recordCapacity(c)
 		if a, ok := n.waiting.ConnectFailed(now, c.dialID, len(n.busy)); ok {
 			sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 		}
 	default:
 		took := n.waiting.ConnectSucceeded(now, c.dialID)
-		n.dialer.usualDial.took(took)
+		n.dialer.dialEstimate.record(took)
 		c.slowDial = took > n.dialer.ConnectTimeout/2
 		if n.waiting.Len() == 0 && len(n.idle) > 0 {
 			sync.Close(c.jobs) // it was opened beside a slow one: one idle connection is enough
-			n.discount()
+			n.uncountConn()
 			return
 		}
 		n.makeAvailable(c)
@@ -172,7 +172,7 @@
 
 // slowDial is how long a dial may take before another is started beside it.
 func (n *node) slowDial() time.Duration {
-	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.usualDial.best(), n.dialer.FreeConnWait)
+	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.dialEstimate.value(), n.dialer.FreeConnWait)
 }
 
 // takeIdle takes the last used idle connection that is still open; nil: there is none.
@@ -193,7 +193,7 @@
 
 // openConn starts the dial of another connection; false: the bounds on connections allow none.
 func (n *node) openConn(now time.Duration) bool {
-	c := n.newConn(n.dialer.place)
+	c := n.newConn(n.dialer.reservePlace)
 	if c == nil {
 		return false
 	}
@@ -215,7 +215,7 @@
 func (n *node) connForProbe() *conn {
 	c := n.takeIdle()
 	if c == nil {
-		if c = n.newConn(n.dialer.place); c != nil {
+		if c = n.newConn(n.dialer.reservePlace); c != nil {
 			sync.Go(c.run)
 		}
 	}
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -66,7 +66,7 @@
 			io.WriteString(nc, b.cut)
 			return
 		}
-		io.WriteString(nc, fine)
+		io.WriteString(nc, okResponse)
 	}
 }
 
@@ -79,13 +79,13 @@
 		served  bool // else failed
 		perhaps bool // a break so early that the write may fail: then it has not run and may go again
 	}{
-		"no break":                {breaking{early: -1, cut: fine}, true, false},
+		"no break":                {breaking{early: -1, cut: okResponse}, true, false},
 		"closed at once":          {breaking{early: 0}, false, true},
 		"cut in the request":      {breaking{early: 40}, false, true},
 		"full":                    {breaking{early: -1, full: true}, true, false},
 		"no answer":               {breaking{early: -1}, false, false},
-		"cut in the head":         {breaking{early: -1, cut: fine[:20]}, false, false},
-		"cut in the body":         {breaking{early: -1, cut: fine[:len(fine)-1]}, false, false},
+		"cut in the head":         {breaking{early: -1, cut: okResponse[:20]}, false, false},
+		"cut in the body":         {breaking{early: -1, cut: okResponse[:len(okResponse)-1]}, false, false},
 		"cut in a chunked body":   {breaking{early: -1, cut: chunked}, false, false},
 		"an error":                {breaking{early: -1, cut: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
 		"a reused connection":     {breaking{early: -1, keep: true}, false, false},
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -26,8 +26,8 @@
 
 const ms = time.Millisecond
 
-// routed is a stand-in node on a socket file, ::1 and 127.0.0.1, and a peer of it.
-type routed struct {
+// addressHarness is a stand-in node on a socket file, ::1 and 127.0.0.1, and a peer of it.
+type addressHarness struct {
 	t     *testing.T
 	n     *standnode.Node
 	at    []address.Addr // as preferred
@@ -55,9 +55,9 @@
 	return s
 }
 
-func newRouted(t *testing.T, set address.Settings, slow ...time.Duration) *routed {
+func newAddressHarness(t *testing.T, set address.Settings, slow ...time.Duration) *addressHarness {
 	t.Helper()
-	r := &routed{t: t}
+	r := &addressHarness{t: t}
 	r.n = standnode.New(standnode.Options{Name: "n", Shard: 0, Workers: 64, Identity: "X-Node",
 		Service: func(*fasthttp.Request) (took time.Duration) {
 			if g := r.gate.Load(); g != nil {
@@ -91,7 +91,7 @@
 	return r
 }
 
-func (r *routed) set(i int, f standnode.Fault) {
+func (r *addressHarness) set(i int, f standnode.Fault) {
 	r.t.Helper()
 	if err := r.n.Set(r.at[i], f); err != nil {
 		r.t.Fatal(err)
@@ -104,14 +104,14 @@
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nContent-Length: 1\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\nx"
 
 // send starts an attempt of a new request and returns its id and its result to come.
-func (r *routed) send(text string, until time.Duration) (string, chan core.Result, *core.Attempt) {
+func (r *addressHarness) send(text string, until time.Duration) (string, chan core.Result, *core.Attempt) {
 	r.t.Helper()
 	id := fmt.Sprint("q", r.count.Add(1))
 	var m fasthttp.Request
 	if err := m.Read(bufio.NewReader(strings.NewReader(fmt.Sprintf(text, id)))); err != nil {
 		r.t.Fatal(err)
 	}
-	q, err := decode(&m, &allKeyed)
+	q, err := decode(&m, &testBounds)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -124,10 +124,10 @@
 }
 
 // served sends a request that must be served and tells by which address.
-func (r *routed) served(text string) address.Addr {
+func (r *addressHarness) served(text string) address.Addr {
 	r.t.Helper()
 	id, got, _ := r.send(text, time.Minute)
-	if x := <-got; x.Status != policy.OK || string(x.Payload.(*reply).body) != id {
+	if x := <-got; x.Status != policy.OK || string(x.Payload.(*nodeResponse).body) != id {
 		r.t.Fatalf("%s: %+v", id, x)
 	}
 	all := r.n.Arrivals(id)
@@ -138,7 +138,7 @@
 }
 
 // until plays reads until a condition holds.
-func (r *routed) until(what string, ok func(address.Addr) bool) {
+func (r *addressHarness) until(what string, ok func(address.Addr) bool) {
 	r.t.Helper()
 	for range 20000 {
 		id, got, _ := r.send(readText, 400*ms) // some are caught on the way
@@ -158,7 +158,7 @@
 // Requests go by the preferred address on one kept connection, each executed once, and by the
 // next one when it refuses; it is returned to after it is back.
 func TestPathsOrder(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	for range 20 {
 		if by := r.served(recordText); by != r.at[0] {
 			t.Fatalf("went by %v", by)
@@ -191,7 +191,7 @@
 // nowhere else; the others go by the next address, and the hung one is tried again by reads
 // alone, one connection at a time.
 func TestPathsHang(t *testing.T) {
-	r := newRouted(t, quick())
+	r := newAddressHarness(t, quick())
 	r.served(readText)
 	r.set(0, standnode.Hang)
 	caught, got, _ := r.send(recordText, 3*time.Second)
@@ -218,7 +218,7 @@
 // the addresses do: that is for the module to decide.
 func TestPathsNeverResend(t *testing.T) {
 	for _, f := range []standnode.Fault{standnode.NoAnswer, standnode.Half, standnode.Reset, standnode.Hang} {
-		r := newRouted(t, quick())
+		r := newAddressHarness(t, quick())
 		r.served(readText)
 		r.set(0, f)
 		var ids []string
@@ -238,7 +238,7 @@
 
 // All addresses fail at once, then one returns: no burst of connects.
 func TestPathsAllDown(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	r.served(readText)
 	for i := range r.at {
 		r.set(i, standnode.Refused)
@@ -288,7 +288,7 @@
 // the first answer tells.
 func TestPathsOtherNode(t *testing.T) {
 	for _, identity := range []string{"", "X-Node"} {
-		r := newRouted(t, quick())
+		r := newAddressHarness(t, quick())
 		r.d.Addresses.Set(AddressSettings{Selector: quick(), IdentityHeader: identity})
 		r.served(readText)
 		r.p.Drain(false)
@@ -304,7 +304,7 @@
 			case policy.Abandoned:
 				moot++
 			case policy.OK:
-				if string(x.Payload.(*reply).body) == "" {
+				if string(x.Payload.(*nodeResponse).body) == "" {
 					t.Error("empty")
 				}
 			}
@@ -323,7 +323,7 @@
 // A drain while connects race: all that waits ends, nothing is written, and what comes up late
 // is closed.
 func TestPathsDrainInRace(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	held := make(chan struct{})
 	var waiting atomic.Int64
 	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
@@ -363,7 +363,7 @@
 // The last descriptor goes halfway through a race: the address is not blamed, and serves when
 // there are some again.
 func TestPathsNoDescriptors(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	var lack atomic.Bool
 	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if lack.Load() {
@@ -401,7 +401,7 @@
 
 // A machine without IPv6: said once for all nodes, at no more than info, and the others serve.
 func TestPathsNoIPv6(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if a.Kind() == address.IPv6 {
 			return nil, transport.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
@@ -433,9 +433,9 @@
 // One address, then several, then one again, by the same peer: what is out is finished by the
 // connection that carries it.
 func TestReaddress(t *testing.T) {
-	r := newRouted(t, patient())
+	r := newAddressHarness(t, patient())
 	release := make(chan bool)
-	slow := newStandin(t, func(nc net.Conn) bool { <-release; fmt.Fprint(nc, fine); return true })
+	slow := newFakeNode(t, func(nc net.Conn) bool { <-release; fmt.Fprint(nc, okResponse); return true })
 	r.p = r.d.Connect("m", at(slow.ln))
 	defer r.p.Close()
 	_, first, _ := r.send(recordText, time.Minute)
@@ -467,7 +467,7 @@
 // Addresses are reordered, added and removed while requests are in flight: each gets one
 // answer, whole, and runs once.
 func TestReaddressUnderLoad(t *testing.T) {
-	r := newRouted(t, quick())
+	r := newAddressHarness(t, quick())
 	set := testModule()
 	f, c := r.through(set, 50)
 	list := func(kind policy.EventKind, to ...address.Addr) {
@@ -511,7 +511,7 @@
 }
 
 // through is a whole path to the routed node, by a module of these settings.
-func (r *routed) through(set policy.Settings, conns int) (*front, *core.Core) {
+func (r *addressHarness) through(set policy.Settings, conns int) (*front, *core.Core) {
 	r.t.Helper()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, Connect: r.d.Connect, Log: r.d.Log})
 	if err != nil {
@@ -539,7 +539,7 @@
 		after time.Duration // that its node took
 		again bool
 	}{{"new-record", 0, true}, {"new-record", 2600 * ms, false}, {"once", 0, false}} {
-		r := newRouted(t, quick())
+		r := newAddressHarness(t, quick())
 		set := testModule()
 		set.MaxAttempts = 4
 		set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 30e3, 20e3
@@ -573,7 +573,7 @@
 // All addresses are gone for so long that the node may have restarted, then one is back: the
 // work sent to it stays within what a cold node bears, over all its addresses.
 func TestPathsColdBudget(t *testing.T) {
-	r := newRouted(t, quick(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
+	r := newAddressHarness(t, quick(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
 	set := testModule()
 	set.MaxAttempts, set.SlowStartUnits, set.OverloadWindow, set.OverloadMultiple, set.SlowStartShare, set.SlowStartDuration = 4, 12, 1000, 0, 0.24, 1e6
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 40, 900
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -24,11 +24,11 @@
 		sync.Go(func() { f(policy.Abandoned) })
 		return
 	}
-	if n.paths != nil {
-		n.paths.preconnect(f)
+	if n.addressPool != nil {
+		n.addressPool.preconnect(f)
 		return
 	}
-	c := n.newConn(n.dialer.vacant)
+	c := n.newConn(n.dialer.reserveFreePlace)
 	if c == nil {
 		sync.Go(func() { f(policy.Abandoned) })
 		return
@@ -61,23 +61,23 @@
 
 // preconnect has the book open a connection for a work that is dropped once the connection is up and idle. The
 // caller has checked that there is none.
-func (p *paths) preconnect(f func(policy.Status)) {
-	if len(p.works) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the works that wait
+func (p *addressPool) preconnect(f func(policy.Status)) {
+	if len(p.requests) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the works that wait
 		go f(policy.Abandoned)
 		return
 	}
-	w := p.addWork(&work{preconnect: f})
+	w := p.addRequest(&connRequest{preconnect: f})
 	w.ctx, w.stop = context.WithTimeout(context.Background(), p.node.dialer.ConnectTimeout)
-	p.request(w, false, false)
+	p.queueRequest(w, false, false)
 }
 
 // endPreconnects ends the preconnect works: a connection has come up, of which the book is told next.
-func (p *paths) endPreconnects() {
-	for _, w := range p.works {
+func (p *addressPool) endPreconnects() {
+	for _, w := range p.requests {
 		if w.preconnect != nil { // there is one at most
-			p.removeWork(w)
+			p.removeRequest(w)
 			go w.preconnect(policy.OK)
-			p.book.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
+			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
 		}
 	}
 }
--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/refused_test.go
@@ -45,7 +45,7 @@
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	id := 0
-	for _, size := range []int{0, 1, 3000, bodyMost, bodyMost + 1, len(text)} {
+	for _, size := range []int{0, 1, 3000, maxBufferedBody, maxBufferedBody + 1, len(text)} {
 		for _, chunked := range []bool{false, true} {
 			var b bytes.Buffer
 			if _, framed := put(0, text[:size], chunked, false); chunked {
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -15,29 +15,29 @@
 	relayWriteTimeout = 5 * time.Second
 )
 
-var errCut = errors.New("answer: the node's body ended before its end")
+var errBodyCut = errors.New("answer: the node's body ended before its end")
 
 // relay passes a node's long answer to a client: the first piece is in memory, the rest is read from the
 // node's connection as the client takes it. The connection belongs to the relay until Close; after that
 // wait returns whether it may be used again.
 type relay struct {
 	first     []byte
-	rest      io.Reader             // the node's body, decoded
+	remaining io.Reader             // the node's body, decoded
 	client    net.Conn              // whose write deadline each piece moves on; nil: none
 	finish    func(whole bool) bool // ends the read of the body; true: the connection may carry another request
-	once      sync.Once
+	closeOnce sync.Once
 	mu        sync.Mutex
-	cut       func() // closes the node's connection; nil once the relay is closed
+	closeConn func() // closes the node's connection; nil once the relay is closed
 	done      chan bool
 	returned  chan struct{} // closed when the node's actor has the connection back
 	handedOut bool          // handed to the core: its connection's goroutine waits for it
 	read      int64
-	whole     bool
+	complete  bool
 }
 
 // newRelay makes a relay; finish is called once, at its end.
 func newRelay(first []byte, rest io.Reader, finish func(bool) bool) *relay {
-	return &relay{first: first, rest: rest, finish: finish, done: make(chan bool, 1), returned: make(chan struct{})}
+	return &relay{first: first, remaining: rest, finish: finish, done: make(chan bool, 1), returned: make(chan struct{})}
 }
 
 // Read implements io.Reader.
@@ -51,15 +51,15 @@
 		r.read += int64(n)
 		return n, nil
 	}
-	n, err := r.rest.Read(p)
+	n, err := r.remaining.Read(p)
 	r.read += int64(n)
 	if errors.Is(err, io.EOF) {
-		r.whole = true
+		r.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
 		// Not io.EOF: the server would end the client's answer as if it were whole.
-		return n, errors.Join(errCut, err)
+		return n, errors.Join(errBodyCut, err)
 	}
 	return n, nil
 }
@@ -67,11 +67,11 @@
 // Close implements io.Closer. It returns once the node's actor has the connection back, so that the core's next
 // send finds it free.
 func (r *relay) Close() error {
-	r.once.Do(func() {
+	r.closeOnce.Do(func() {
 		r.mu.Lock()
-		r.cut = nil // from here the connection is its node actor's
+		r.closeConn = nil // from here the connection is its node actor's
 		r.mu.Unlock()
-		r.done <- r.finish(r.whole)
+		r.done <- r.finish(r.complete)
 		if r.handedOut {
 			<-r.returned
 		}
@@ -83,8 +83,8 @@
 func (r *relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut != nil {
-		r.cut()
+	if r.closeConn != nil {
+		r.closeConn()
 	}
 }
 
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	readyPath   = "/health/ready"
-	headMost    = 8 << 10
-	idleTimeout = 90 * time.Second        // the listener closes idle ones sooner when it is half full
-	readTimeout = 2500 * time.Millisecond // from the connection's start, or a request's first byte
-	writeMargin = time.Second
-	connsOver   = 8                     // connections past the cap, taken to be refused; of the descriptors kept back
-	scarceWait  = 50 * time.Millisecond // a usual answer or two
-	retryLeast  = 10 * time.Millisecond // a refusal always says when to come back
-	sweepEvery  = 5 * time.Millisecond
-	slowestBody = 32 << 10 // bytes a second of a client's body, half of the slowest named
+	readyPath         = "/health/ready"
+	maxHeadSize       = 8 << 10
+	idleTimeout       = 90 * time.Second        // the listener closes idle ones sooner when it is half full
+	readTimeout       = 2500 * time.Millisecond // from the connection's start, or a request's first byte
+	writeMargin       = time.Second
+	overflowConns     = 8                     // connections past the cap, taken to be refused; of the descriptors kept back
+	shedRetryAfter    = 50 * time.Millisecond // a usual answer or two
+	minRetryAfter     = 10 * time.Millisecond // a refusal always says when to come back
+	closeIdleInterval = 5 * time.Millisecond
+	minBodyRate       = 32 << 10 // bytes a second of a client's body, half of the slowest named
 )
 
 // Server answers the platform's clients.
 type Server struct {
-	Core    *core.Core
-	http    *fasthttp.Server
-	ln      atomic.Pointer[transport.Listener]
-	derived atomic.Pointer[bounds] // of the core's settings as last seen
+	Core       *core.Core
+	http       *fasthttp.Server
+	ln         atomic.Pointer[transport.Listener]
+	lastBounds atomic.Pointer[bounds] // of the core's settings as last seen
 	// BodyMemory is the room that request bodies over 64 KiB share while they are held; nil: none
 	// is counted.
-	BodyMemory *semaphore.Weighted
-	keep       atomic.Bool // some connections free
-	leaves     atomic.Bool // each answer closes its connection
-	ends       atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
+	BodyMemory          *semaphore.Weighted
+	reserveIdle         atomic.Bool // some connections free
+	closeAfterResponses atomic.Bool // each answer closes its connection
+	rejectIncoming      atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
 
-	gathered atomic.Pointer[scattergather.Service] // nil: reads are not gathered
+	scatterGather atomic.Pointer[scattergather.Service] // nil: reads are not gathered
 }
 
 // NewServer makes the front; conns caps the clients' connections. Set is for what is answered before its head was read; all
@@ -53,36 +53,36 @@
 func NewServer(c *core.Core, set policy.Settings, conns int, log logrus.FieldLogger) *Server {
 	s := &Server{Core: c}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, ErrorHandler: s.reject, Concurrency: 2 * (conns + connsOver), MaxRequestBodySize: bodyLargest, StreamRequestBody: true,
-		HeaderReceived: s.times,
-		ReadBufferSize: headMost, WriteBufferSize: 4096, ReadTimeout: readTimeout, WriteTimeout: patience(set) + writeMargin, IdleTimeout: idleTimeout,
+		Handler: s.handle, ErrorHandler: s.reject, Concurrency: 2 * (conns + overflowConns), MaxRequestBodySize: maxRequestBody, StreamRequestBody: true,
+		HeaderReceived: s.requestTimeouts,
+		ReadBufferSize: maxHeadSize, WriteBufferSize: 4096, ReadTimeout: readTimeout, WriteTimeout: maxDeadline(set) + writeMargin, IdleTimeout: idleTimeout,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true,
-		SecureErrorLogMessage: true, DisablePreParseMultipartForm: true, Logger: quiet{log}, ConnState: state,
+		SecureErrorLogMessage: true, DisablePreParseMultipartForm: true, Logger: debugLogger{log}, ConnState: trackState,
 	}
 	return s
 }
 
-// times are those of one request, by its head.
-func (s *Server) times(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
+// requestTimeouts are those of one request, by its head.
+func (s *Server) requestTimeouts(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if string(h.RequestURI()) == readyPath { // it asks nothing of the core
-		return fasthttp.RequestConfig{ReadTimeout: bodyTime(h)}
+		return fasthttp.RequestConfig{ReadTimeout: bodyTimeout(h)}
 	}
-	return fasthttp.RequestConfig{ReadTimeout: bodyTime(h), WriteTimeout: s.bounds().patience + writeMargin}
+	return fasthttp.RequestConfig{ReadTimeout: bodyTimeout(h), WriteTimeout: s.bounds().maxDeadline + writeMargin}
 }
 
-// bodyTime is the time for the first part of a body, which the server reads before the handler:
+// bodyTimeout is the time for the first part of a body, which the server reads before the handler:
 // the head had readTimeout from its first byte, and a client may send at 64 kB a second. The
 // handler then gives each further piece pieceRead.
-func bodyTime(h *fasthttp.RequestHeader) time.Duration {
+func bodyTimeout(h *fasthttp.RequestHeader) time.Duration {
 	size := max(h.ContentLength(), 0)
 	if h.ContentLength() == -1 { // chunked
-		size = bodyMost
+		size = maxBufferedBody
 	}
-	return bodyReadTimeout + time.Duration(size)*time.Second/slowestBody
+	return bodyReadTimeout + time.Duration(size)*time.Second/minBodyRate
 }
 
-// state tells the listener which connections are between requests.
-func state(nc net.Conn, st fasthttp.ConnState) {
+// trackState tells the listener which connections are between requests.
+func trackState(nc net.Conn, st fasthttp.ConnState) {
 	c, ok := nc.(*transport.Conn)
 	if !ok {
 		return
@@ -95,10 +95,10 @@
 	}
 }
 
-// quiet keeps the server's lines, of which a client can cause many, at debug level.
-type quiet struct{ log logrus.FieldLogger }
+// debugLogger keeps the server's lines, of which a client can cause many, at debug level.
+type debugLogger struct{ log logrus.FieldLogger }
 
-func (q quiet) Printf(form string, args ...any) { q.log.Debugf(form, args...) }
+func (q debugLogger) Printf(form string, args ...any) { q.log.Debugf(form, args...) }
 
 // reject answers a message that could not be read.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, err error) {
@@ -110,33 +110,33 @@
 		code = fasthttp.StatusRequestEntityTooLarge
 	case errors.As(err, &small):
 		code = fasthttp.StatusRequestHeaderFieldsTooLarge
-	case errors.As(err, &late) && late.Timeout() && s.ends.Load():
-		s.turnBack(ctx)
+	case errors.As(err, &late) && late.Timeout() && s.rejectIncoming.Load():
+		s.rejectIncomplete(ctx)
 		return
 	case errors.As(err, &late) && late.Timeout():
 		code = fasthttp.StatusRequestTimeout
 	}
 	ctx.Error(fasthttp.StatusMessage(code), code)
-	closeWithin(ctx)
+	closeDiscardingInput(ctx)
 }
 
-// closeWithin closes the connection of a request that is answered while the rest of it may still come.
-func closeWithin(ctx *fasthttp.RequestCtx) {
+// closeDiscardingInput closes the connection of a request that is answered while the rest of it may still come.
+func closeDiscardingInput(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*transport.Conn); ok {
 		c.DiscardInput()
 	}
 	ctx.SetConnectionClose()
 }
 
-// turnBack refuses a request that was still arriving when the program ends.
-func (s *Server) turnBack(ctx *fasthttp.RequestCtx) {
-	write(ctx, core.Answer{Kind: core.Rejected, RetryAfter: scarceWait})
-	closeWithin(ctx)
+// rejectIncomplete refuses a request that was still arriving when the program ends.
+func (s *Server) rejectIncomplete(ctx *fasthttp.RequestCtx) {
+	writeAnswer(ctx, core.Answer{Kind: core.Rejected, RetryAfter: shedRetryAfter})
+	closeDiscardingInput(ctx)
 }
 
 // Serve runs until Shutdown.
 func (s *Server) Serve(ln net.Listener, conns int) error {
-	l := transport.LimitWithOverflow(ln, conns, connsOver)
+	l := transport.LimitWithOverflow(ln, conns, overflowConns)
 	s.ln.Store(l)
 	return s.http.Serve(l)
 }
@@ -154,11 +154,11 @@
 
 // ReserveIdleConns refuses from now on what would take the last free connections: clients open no more
 // to a program that stops, and one that finds all of its in use takes it for gone.
-func (s *Server) ReserveIdleConns() { s.keep.Store(true) }
+func (s *Server) ReserveIdleConns() { s.reserveIdle.Store(true) }
 
 // CloseAfterResponses closes each connection with its next answer: another process takes the clients' new ones. One on which a
 // further request waits already is answered first, as closing over unread bytes would reset it.
-func (s *Server) CloseAfterResponses() { s.leaves.Store(true) }
+func (s *Server) CloseAfterResponses() { s.closeAfterResponses.Store(true) }
 
 // CloseIdle closes the connections that were quiet for so long, and returns how many are open.
 func (s *Server) CloseIdle(quiet time.Duration) int {
@@ -171,14 +171,14 @@
 // RejectIncoming refuses what is still arriving: the program is about to be killed, and a request must not be read to its end
 // by a process that can't answer it any more. It may be called again.
 func (s *Server) RejectIncoming() {
-	s.ends.Store(true)
+	s.rejectIncoming.Store(true)
 	if l := s.ln.Load(); l != nil {
 		l.InterruptReads()
 	}
 }
 
-// parsed tells the connection how much of what was read from it is the request's.
-func parsed(ctx *fasthttp.RequestCtx) {
+// countParsed tells the connection how much of what was read from it is the request's.
+func countParsed(ctx *fasthttp.RequestCtx) {
 	c, ok := ctx.Conn().(*transport.Conn)
 	if !ok {
 		return
@@ -189,24 +189,24 @@
 	c.CountParsed(line + len(h.RawHeaders()) + max(h.ContentLength(), 0))
 }
 
-// closeBehind closes the connection with the answer, unless a further request was read with this one.
-func closeBehind(ctx *fasthttp.RequestCtx) {
+// closeAfterResponse closes the connection with the answer, unless a further request was read with this one.
+func closeAfterResponse(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*transport.Conn); !ok || !c.HasUnparsed() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// parting is the end of each request.
-func (s *Server) parting(ctx *fasthttp.RequestCtx) {
-	if s.ends.Load() {
-		closeBehind(ctx)
+// closeIfLeaving is the end of each request.
+func (s *Server) closeIfLeaving(ctx *fasthttp.RequestCtx) {
+	if s.rejectIncoming.Load() {
+		closeAfterResponse(ctx)
 		return
 	}
-	if !s.leaves.Load() {
+	if !s.closeAfterResponses.Load() {
 		return
 	}
 	if c, ok := ctx.Conn().(*transport.Conn); !ok || !c.HasPendingInput() {
-		closeBehind(ctx)
+		closeAfterResponse(ctx)
 	}
 }
 
@@ -214,17 +214,17 @@
 // read ahead.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.ln.Load(); l != nil {
-		s.ends.Store(true)
+		s.rejectIncoming.Store(true)
 		l.StopAccepting()
-		l.Close()
-		for l.CloseIdle(0) > 0 && pause(ctx, sweepEvery) { // the server's own shutdown drops what comes as it closes an idle one
+		_ = l.Close()                                             // StopAccepting has closed the socket
+		for l.CloseIdle(0) > 0 && sleep(ctx, closeIdleInterval) { // the server's own shutdown drops what comes as it closes an idle one
 		}
 	}
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// pause waits; false: the context has ended.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false: the context has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -234,18 +234,18 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	parsed(ctx)
-	defer s.parting(ctx)
+	countParsed(ctx)
+	defer s.closeIfLeaving(ctx)
 	if string(ctx.Path()) == readyPath && ctx.IsGet() {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
 	}
 	body, err := readBody(ctx, s.BodyMemory)
 	if err != nil {
-		s.unread(ctx, err)
+		s.rejectUnread(ctx, err)
 		return
 	}
-	defer body.free()
+	defer body.release()
 	bounds := s.bounds()
 	r, err := decodeWith(&ctx.Request, body.body, bounds)
 	if err != nil {
@@ -255,7 +255,7 @@
 			code = m.Status
 		}
 		ctx.Error(err.Error(), code)
-		closeWithin(ctx) // what follows may be the rest of it
+		closeDiscardingInput(ctx) // what follows may be the rest of it
 		return
 	}
 	r.ReceivedAt = time.Now()
@@ -264,7 +264,7 @@
 	drop := func() { // of an answer that crosses its client's going
 		select {
 		case a := <-got:
-			if rep, ok := a.Payload.(*reply); ok {
+			if rep, ok := a.Payload.(*nodeResponse); ok {
 				rep.Release()
 			}
 		default:
@@ -277,15 +277,15 @@
 		}
 	}
 	crowded := s.ln.Load().OverCapacity()
-	if crowded || s.keep.Load() && s.ln.Load().FewIdle() {
-		s.Core.Reject(r, scarceWait)
-		write(ctx, <-got)
+	if crowded || s.reserveIdle.Load() && s.ln.Load().FewIdle() {
+		s.Core.Reject(r, shedRetryAfter)
+		writeAnswer(ctx, <-got)
 		if crowded {
-			closeBehind(ctx) // its place is another's
+			closeAfterResponse(ctx) // its place is another's
 		}
 		return
 	}
-	if svc := s.gathered.Load(); svc != nil && len(ctx.Request.Header.Peek(hdrGather)) > 0 {
+	if svc := s.scatterGather.Load(); svc != nil && len(ctx.Request.Header.Peek(hdrGather)) > 0 {
 		s.gather(ctx, r, svc, bounds)
 		return
 	}
@@ -296,7 +296,7 @@
 	select {
 	case a := <-got:
 		conn.Unwatch()
-		write(ctx, a)
+		writeAnswer(ctx, a)
 	case <-left:
 		s.Core.Cancel(r)
 		gone.Store(true)
@@ -307,58 +307,58 @@
 	}
 }
 
-// unread answers a request whose body could not be read: the rest of it is not read, so the
+// rejectUnread answers a request whose body could not be read: the rest of it is not read, so the
 // connection closes.
-func (s *Server) unread(ctx *fasthttp.RequestCtx, err error) {
-	closeWithin(ctx)
+func (s *Server) rejectUnread(ctx *fasthttp.RequestCtx, err error) {
+	closeDiscardingInput(ctx)
 	var m *MalformedError
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errNoBodyMemory):
 		class, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
 		got := make(chan core.Answer, 1)
-		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, scarceWait)
-		write(ctx, <-got)
+		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, shedRetryAfter)
+		writeAnswer(ctx, <-got)
 	case errors.As(err, &m):
 		ctx.Error(m.Problem, m.Status)
-	case errors.Is(err, errStill) && s.ends.Load():
-		s.turnBack(ctx)
-	case errors.Is(err, errStill):
+	case errors.Is(err, errBodyStalled) && s.rejectIncoming.Load():
+		s.rejectIncomplete(ctx)
+	case errors.Is(err, errBodyStalled):
 		ctx.Error(err.Error(), fasthttp.StatusRequestTimeout)
 	default:
 		ctx.Error("body: "+err.Error(), fasthttp.StatusBadRequest)
 	}
 }
 
-// write encodes the final answer.
-func write(ctx *fasthttp.RequestCtx, a core.Answer) {
+// writeAnswer encodes the final answer.
+func writeAnswer(ctx *fasthttp.RequestCtx, a core.Answer) {
 	switch a.Kind {
 	case core.Served:
-		rep := a.Payload.(*reply)
+		rep := a.Payload.(*nodeResponse)
 		if rep.relay != nil {
 			rep.relay.client = ctx.Conn()
 			ctx.Response.ImmediateHeaderFlush = true
 			ctx.Response.SetBodyStream(rep.relay, -1) // chunked: a cut answer lacks its last chunk
 			return
 		}
-		if rep.free == nil {
+		if rep.release == nil {
 			ctx.Response.SetBodyRaw(rep.body)
 			return
 		}
-		out := &stream{rep: rep}
+		out := &responseStream{response: rep}
 		out.Reset(rep.body)
 		ctx.Response.SetBodyStream(out, len(rep.body))
 	case core.Rejected:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		wait := max(a.RetryAfter, retryLeast)
+		wait := max(a.RetryAfter, minRetryAfter)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	case core.Failed:
-		ctx.SetStatusCode(failedAs(a.Cause))
+		ctx.SetStatusCode(failureStatus(a.Cause))
 		ctx.SetBodyString(string(a.Cause))
 	}
 }
 
-// failedAs is the code of a failed request.
-func failedAs(cause core.Cause) int {
+// failureStatus is the code of a failed request.
+func failureStatus(cause core.Cause) int {
 	switch cause {
 	case core.CauseInvalidRequest:
 		return fasthttp.StatusBadRequest
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/tenants_test.go
@@ -76,7 +76,7 @@
 				f.came[string(q.Header.Peek("X-Request-Id"))]++
 				f.mu.Unlock()
 				f.hold.pass()
-				text := told(string(q.Header.Method()), string(q.Header.RequestURI()), string(q.Header.Peek("X-Request-Id")),
+				text := requestText(string(q.Header.Method()), string(q.Header.RequestURI()), string(q.Header.Peek("X-Request-Id")),
 					string(q.Header.Peek("Idempotency-Key")), q.Body())
 				if _, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Of: %s\r\n\r\n%s", len(text),
 					q.Header.Peek("X-Request-Id"), text); err != nil {
@@ -88,10 +88,10 @@
 }
 
 // longAnswer is over what is held of an answer: the rest is relayed.
-const longAnswer = 3 * bodyMost
+const longAnswer = 3 * maxBufferedBody
 
-// told is the node's answer to a request; one to a path that ends so is long.
-func told(method, uri, id, key string, body []byte) string {
+// requestText returns the node's answer to a request; one to a path that ends so is long.
+func requestText(method, uri, id, key string, body []byte) string {
 	text := fmt.Sprintf("%s %s %s %q %x\n", method, uri, id, key, sha256.Sum256(body))
 	if strings.HasSuffix(uri, "/long") {
 		text = strings.Repeat(text, longAnswer/len(text)+1)
@@ -148,7 +148,7 @@
 	if code != a.code || waits != (a.code == 503) || r.ConnectionClose() {
 		t.Fatalf("%s: %d, want %d; Retry-After %v, closes %v", a.id, r.StatusCode(), a.code, waits, r.ConnectionClose())
 	}
-	if want := told(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
+	if want := requestText(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
 		t.Errorf("%s: answered %d bytes %.120q, want %d %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
 	}
 	if strings.Contains(r.String(), "IO-Info") || len(r.Header.Peek("X-Of")) > 0 {
@@ -168,7 +168,7 @@
 		}
 		mix = append(mix, &a)
 	}
-	for i, size := range []int{0, 5, bodyMost, bodyMost + 1, 3} {
+	for i, size := range []int{0, 5, maxBufferedBody, maxBufferedBody + 1, 3} {
 		of := bytes.Repeat([]byte{byte('A' + i)}, size)
 		for v, volume := range volumes {
 			key := fmt.Sprint("k", i) // equal under both
@@ -321,18 +321,18 @@
 // An answer that its client has not yet taken stays as it is while its connection carries the next one.
 func TestAnswerOutlivesItsExchange(t *testing.T) {
 	var said atomic.Int64
-	n := newStandin(t, func(nc net.Conn) bool {
+	n := newFakeNode(t, func(nc net.Conn) bool {
 		_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nanswer-%d", said.Add(1))
 		return err == nil
 	})
 	p := dialer().Connect("n", at(n.ln))
 	defer p.Close()
-	first, second := try(t, p), try(t, p)
+	first, second := sendOne(t, p), sendOne(t, p)
 	if n.conns.Load() != 1 {
 		t.Fatal("two connections: the crossing was not reached")
 	}
 	for want, r := range map[string]core.Result{"answer-1": first, "answer-2": second} {
-		if got := string(r.Payload.(*reply).body); got != want {
+		if got := string(r.Payload.(*nodeResponse).body); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
@@ -348,14 +348,14 @@
 		if err := m.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 			t.Fatal(err)
 		}
-		r, err := decode(&m, &allKeyed)
+		r, err := decode(&m, &testBounds)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
 	sent := func(r *core.Request) string {
-		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*call).encode(nil, "h", time.Second))
+		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*nodeRequest).encode(nil, "h", time.Second))
 	}
 	first := read(good)
 	before := sent(first)
