--- a/internal/httpfront/addressconn.go
+++ b/internal/httpfront/addressconn.go
@@ -14,25 +14,25 @@
 	conn
 	id        address.Conn
 	cancelRun context.CancelFunc // ends its dial, or its wait for a job
-	ready     bool               // the dial has succeeded and the book wants the connection
-	request   *connRequest       // that it carries
-	lastUsed  time.Time          // end of its last work; zero: it had none
+	ready     bool               // the dial has succeeded and the selector uses the connection
+	request   *connRequest       // request that it carries
+	lastUsed  time.Time          // end of its last request; zero: it had none
 }
 
-// addressMessage is one message from a goroutine of the paths to the node's actor; the fields of one kind are set.
+// addressMessage is one message from a goroutine of the pool to the node's actor; the fields of one kind are set.
 type addressMessage struct {
 	addresses []address.Addr // the node's new addresses
 	connected *addressConn   // its dial has succeeded
 	failed    *addressConn   // its dial has failed, for why
 	reason    address.Reason
 	expired   *connRequest // its context has ended; it may still wait
-	returned  *addressConn // its work is over; event is the result for the book
-	unsent    *addressConn // found unusable before a byte of its work was written
+	returned  *addressConn // its request has ended; event is the result for the selector
+	unsent    *addressConn // found unusable before a byte of its request was written
 	event     address.Event
 	rejected  *core.Result // result of an attempt that was rejected as full: the actor decides whether by its own node
 }
 
-// run dials the connection and carries its works until ctx ends or the connection cannot be used again.
+// run dials the connection and carries its requests until ctx ends or the connection cannot be used again.
 func (t *addressConn) run(ctx context.Context) {
 	why, err := t.connect(ctx)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// serve carries one work, and returns its result and what the book is to learn of the address.
+// serve carries one request, and returns its result and the event for the selector.
 func (t *addressConn) serve(j job) (r core.Result, e address.Event) {
 	dropped := address.Event{Kind: address.RequestDropped}
 	if j.probe != nil {
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -55,7 +55,7 @@
 	removalReported bool // the book was told that the node has left
 }
 
-// connRequest is what waits for a connection or is carried by one: an attempt, a probe, or a preconnect.
+// connRequest is one use of a connection, waiting for one or carried by one: an attempt, a health check or a preconnect.
 type connRequest struct {
 	req        address.Req
 	attempt    *core.Attempt
@@ -64,11 +64,11 @@
 	ctx        context.Context
 	stop       context.CancelFunc
 	stopWatch  func() bool
-	conn       *addressConn // that carries it; nil: it waits
+	conn       *addressConn // connection that carries it; nil while it waits
 	startedAt  time.Time
 }
 
-// newAddressPool makes the paths of a node, with an empty book.
+// newAddressPool returns the pool of a node, with an empty selector.
 func newAddressPool(n *node) *addressPool {
 	r := n.dialer.Addresses
 	if r == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// addRequest adds a work under a new id.
+// addRequest adds a request under a new id.
 func (p *addressPool) addRequest(w *connRequest) *connRequest {
 	p.lastID++
 	w.req, w.startedAt = p.lastID, time.Now()
@@ -143,7 +143,7 @@
 	}
 }
 
-// handleMessage handles a message from the goroutines of the paths.
+// handleMessage handles a message from the goroutines of the connections.
 func (p *addressPool) handleMessage(m *addressMessage) {
 	switch {
 	case m.connected != nil:
@@ -207,7 +207,7 @@
 	p.selector.Step(m.event)
 }
 
-// removeRequest removes a work that is over.
+// removeRequest removes a request that has ended.
 func (p *addressPool) removeRequest(w *connRequest) {
 	if w.stopWatch != nil {
 		w.stopWatch()
@@ -219,7 +219,7 @@
 	}
 }
 
-// endUnsent ends a work that was never written.
+// endUnsent ends a request of which nothing was written.
 func (p *addressPool) endUnsent(w *connRequest, r core.Result) {
 	p.removeRequest(w)
 	switch {
@@ -273,7 +273,7 @@
 	return p.selector.ArmTimer()
 }
 
-// execute executes one action of the book.
+// execute carries out one action of the selector.
 func (p *addressPool) execute(a address.Action) {
 	switch a.Kind {
 	case address.Connect:
@@ -294,7 +294,7 @@
 	}
 }
 
-// connect starts a connection that the book wants.
+// connect starts a connection that the selector asks for.
 func (p *addressPool) connect(a address.Action) {
 	t := &addressConn{id: a.Conn, conn: conn{node: p.node, address: a.Addr, host: hostOf(a.Addr, p.node.name), jobs: make(chan job, 1),
 		identity: p.settings.IdentityHeader}}
@@ -309,7 +309,7 @@
 	go t.run(ctx)
 }
 
-// closeConn closes a connection, also one that is being dialled or carries a work, which is cancelled.
+// closeConn closes a connection, also one that is being dialled. A request that it carries is cancelled.
 func (p *addressPool) closeConn(t *addressConn) {
 	t.cancelRun()
 	if t.request != nil {
--- a/internal/httpfront/answer.go
+++ b/internal/httpfront/answer.go
@@ -81,7 +81,7 @@
 			return nil, false, err
 		}
 		c.response.Reset()
-		if err = c.response.Header.Read(c.reader); err != nil {
+		if err := c.response.Header.Read(c.reader); err != nil {
 			return nil, false, err
 		}
 		rep = &nodeResponse{}
@@ -95,7 +95,7 @@
 			return nil, false, errMalformedAnswer // it would end with the connection, and so would a cut one
 		default:
 			c.timed.headsUntil = time.Time{}
-			if rep, err = c.readBody(ctx, f); err != nil {
+			if rep, err = c.readBody(f); err != nil {
 				return nil, false, err
 			}
 		}
@@ -134,7 +134,7 @@
 
 // readBody reads a body. One of up to maxBufferedBody is read whole; a longer one becomes a relay, which reads the rest
 // as fast as the client takes it.
-func (c *conn) readBody(ctx context.Context, f framing) (*nodeResponse, error) {
+func (c *conn) readBody(f framing) (*nodeResponse, error) {
 	rep := &nodeResponse{}
 	if size := c.response.Header.ContentLength(); !f.chunked && size <= maxBufferedBody {
 		if err := c.response.ReadBody(c.reader, maxBufferedBody); err != nil {
@@ -151,7 +151,7 @@
 	first := make([]byte, maxBufferedBody+1)
 	n, err := readUpTo(stream, first)
 	switch {
-	case err == io.EOF:
+	case err == io.EOF: //nolint:errorlint // a wrapped io.EOF is an error of the body, not its end
 		// All of it came within the first piece.
 		if cerr := c.response.CloseBodyStream(); cerr != nil {
 			return nil, cerr
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -81,7 +81,7 @@
 	return bodyReadTimeout + time.Duration(size)*time.Second/minBodyRate
 }
 
-// trackState tells the listener which connections are between requests.
+// trackState records which connections are between requests.
 func trackState(nc net.Conn, st fasthttp.ConnState) {
 	c, ok := nc.(*transport.Conn)
 	if !ok {
@@ -95,7 +95,7 @@
 	}
 }
 
-// debugLogger keeps the server's lines, of which a client can cause many, at debug level.
+// debugLogger logs the messages of the HTTP server at debug level, as clients can cause many.
 type debugLogger struct{ log logrus.FieldLogger }
 
 func (q debugLogger) Printf(form string, args ...any) { q.log.Debugf(form, args...) }
@@ -128,7 +128,7 @@
 	ctx.SetConnectionClose()
 }
 
-// rejectIncomplete refuses a request that was still arriving when the program ends.
+// rejectIncomplete rejects a request that was still arriving when the program stops.
 func (s *Server) rejectIncomplete(ctx *fasthttp.RequestCtx) {
 	writeAnswer(ctx, core.Answer{Kind: core.Rejected, RetryAfter: shedRetryAfter})
 	closeDiscardingInput(ctx)
@@ -196,7 +196,7 @@
 	}
 }
 
-// closeIfLeaving is the end of each request.
+// closeIfLeaving closes the connection with the response if the server is stopping or another process takes over.
 func (s *Server) closeIfLeaving(ctx *fasthttp.RequestCtx) {
 	if s.rejectIncoming.Load() {
 		closeAfterResponse(ctx)
@@ -223,7 +223,7 @@
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// sleep waits; false: the context has ended.
+// sleep waits for a duration. It returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -357,7 +357,7 @@
 	}
 }
 
-// failureStatus is the code of a failed request.
+// failureStatus returns the HTTP status of a failed request.
 func failureStatus(cause core.Cause) int {
 	switch cause {
 	case core.CauseInvalidRequest:
