--- a/internal/httpfront/addressconn.go
+++ b/internal/httpfront/addressconn.go
@@ -99,7 +99,7 @@
 	case !time.Now().Before(j.attempt.Deadline):
 		return core.Result{Status: policy.Abandoned}, dropped
 	case t.node.draining.Load() || j.ctx.Err() != nil: // the node began to drain while it waited
-		return unsentResult(j.ctx, policy.ConnectFailed), dropped
+		return unsentResult(j.ctx), dropped
 	case !j.attempt.Claim(): // its request was answered while it waited
 		return core.Result{Status: policy.Abandoned}, dropped
 	}
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -159,7 +159,7 @@
 		p.selector.Step(address.Event{Kind: address.ConnectFailed, Conn: m.failed.id, Reason: m.reason})
 	case m.expired != nil:
 		if w := m.expired; p.requests[w.req] == w && w.conn == nil {
-			p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
+			p.endUnsent(w, unsentResult(w.ctx))
 			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
 		}
 	case m.returned != nil:
@@ -174,7 +174,7 @@
 	w := t.request
 	t.request, w.conn = nil, nil
 	if p.conns[t.id] != t { // the book has closed the connection, and with it the work
-		p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
+		p.endUnsent(w, unsentResult(w.ctx))
 		return
 	}
 	t.cancelRun()
@@ -286,7 +286,7 @@
 		}
 	case address.Fail:
 		if w := p.requests[a.Req]; w != nil {
-			p.endUnsent(w, unsentResult(w.ctx, policy.ConnectFailed))
+			p.endUnsent(w, unsentResult(w.ctx))
 		}
 	case address.LogState:
 		p.log().WithFields(logrus.Fields{"node": p.node.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
--- a/internal/httpfront/ahead_test.go
+++ b/internal/httpfront/ahead_test.go
@@ -99,7 +99,7 @@
 	p := d.Connect("n", at)
 	told := make(chan policy.Status, 2)
 	p.Connect(func(s policy.Status) { told <- s })
-	_, got, _ := (&addressHarness{t: t, n: n, d: d, p: p}).send(readText, time.Minute)
+	_, got := (&addressHarness{t: t, n: n, d: d, p: p}).send(readText, time.Minute)
 	until(func() bool { return n.Counts().Requests == 1 })
 	if s := <-told; s != policy.OK || n.Counts().Conns != 1 {
 		t.Errorf("%v, %d connections for one attempt", s, n.Counts().Conns)
--- a/internal/httpfront/answer.go
+++ b/internal/httpfront/answer.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"cmp"
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -66,7 +65,7 @@
 
 // readAnswer reads one answer; clean says that the connection may carry another request. An error says that the
 // answer may be cut, or may hold bytes of another one: its attempt may have run, and nothing of it is served.
-func (c *conn) readAnswer(ctx context.Context) (rep *nodeResponse, clean bool, err error) {
+func (c *conn) readAnswer() (rep *nodeResponse, clean bool, err error) {
 	if _, err = c.reader.Peek(1); err != nil {
 		return nil, false, err
 	}
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -41,7 +41,7 @@
 						return
 					}
 					fmt.Fprintf(bw, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(q.Body()))
-					bw.Write(q.Body())
+					_, _ = bw.Write(q.Body())
 					if bw.Flush() != nil {
 						return
 					}
@@ -107,11 +107,11 @@
 				return
 			}
 			defer nc.Close()
-			io.WriteString(nc, head)
+			_, _ = io.WriteString(nc, head)
 			br := bufio.NewReader(nc)
 			if i%3 == 0 { // told to go on first
 				line, _ := br.ReadString('\n')
-				br.ReadString('\n')
+				_, _ = br.ReadString('\n')
 				if !strings.HasPrefix(line, "HTTP/1.1 100") {
 					t.Errorf("%d: %q before the body", i, line)
 					return
@@ -167,10 +167,10 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, head)
+	_, _ = io.WriteString(nc, head)
 	for rest := framed; len(rest) > 0; {
 		n := min(len(rest), 6400)
-		nc.Write(rest[:n])
+		_, _ = nc.Write(rest[:n])
 		rest = rest[n:]
 		time.Sleep(100 * time.Millisecond) // 3.2 s in all
 	}
@@ -188,9 +188,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer still.Close()
-		io.WriteString(still, x.head)
-		still.Write(x.framed[:x.cut])
+		defer still.Close() //nolint:gocritic // all are closed at the end of the test
+		_, _ = io.WriteString(still, x.head)
+		_, _ = still.Write(x.framed[:x.cut])
 		r.Reset()
 		if err := r.Read(bufio.NewReader(still)); err != nil || r.StatusCode() != 408 || !r.ConnectionClose() {
 			t.Fatalf("a body that stands still after %d bytes: %d %v", x.cut, r.StatusCode(), err)
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go srv.Serve(ln)
+	go func() { _ = srv.Serve(ln) }()
 	body := bytes.Repeat([]byte("x"), 200<<10)
 	for _, chunked := range []bool{false, true} {
 		head, framed := put(1, body, chunked, false)
@@ -225,9 +225,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(nc, head)
-			nc.Write(framed[:cut])
-			nc.(*net.TCPConn).CloseWrite()
+			_, _ = io.WriteString(nc, head)
+			_, _ = nc.Write(framed[:cut])
+			_ = nc.(*net.TCPConn).CloseWrite()
 			want := -1
 			if cut == len(framed) {
 				want = len(body)
--- a/internal/httpfront/byhand_test.go
+++ b/internal/httpfront/byhand_test.go
@@ -73,11 +73,11 @@
 		name string
 		do   func()
 	}{
-		{"head/here", func() { checkHead(lines, uniqueAnswerFields) }},
-		{"head/fasthttp", func() { var h fasthttp.ResponseHeader; again(); h.Read(br) }},
-		{"head/net-http", func() { again(); http.ReadResponse(br, nil) }},
-		{"encode/here", func() { out = made.encode(out[:0], "h", time.Second) }},
-		{"encode/fasthttp", func() { q.Header.Set("X-Deadline-Ms", "1000"); q.Write(w) }},
+		{"head/here", func() { _, _ = checkHead(lines, uniqueAnswerFields) }},
+		{"head/fasthttp", func() { var h fasthttp.ResponseHeader; again(); _ = h.Read(br) }},
+		{"head/net-http", func() { again(); _, _ = http.ReadResponse(br, nil) }}, //nolint:bodyclose // the reader is in memory
+		{"encode/here", func() { out = made.encode(out[:0], time.Second) }},
+		{"encode/fasthttp", func() { q.Header.Set("X-Deadline-Ms", "1000"); _ = q.Write(w) }},
 		{"key/here", func() { isHex16(key) }},
 		{"key/regexp", func() { form.Match(key) }},
 	} {
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/closes_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -45,7 +46,7 @@
 	if !closes {
 		return
 	}
-	if _, err := c.ReadByte(); err != io.EOF {
+	if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("%s: after the last answer: %v", what, err)
 	}
 }
@@ -53,10 +54,10 @@
 func numbered(i int) string { return strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1) }
 
 // together are requests that come in one piece: the server reads all with the first.
-func together(from, count int) string {
+func together(count int) string {
 	var b strings.Builder
 	for i := range count {
-		b.WriteString(numbered(from + i))
+		b.WriteString(numbered(i))
 	}
 	return b.String()
 }
@@ -70,11 +71,11 @@
 	t.Run("stops", func(t *testing.T) {
 		f := newFront(t, script)
 		c := dialFront(t, f.address)
-		io.WriteString(c, together(0, count))
+		_, _ = io.WriteString(c, together(count))
 		<-came
 		down := make(chan error, 1)
 		go func() { down <- f.srv.Shutdown(context.Background()) }()
-		<-f.served // it accepts no more
+		t.Log("accepts no more:", <-f.served)
 		close(hold)
 		for i := range count {
 			c.answered(t, fmt.Sprint("request ", i), 200, i == count-1)
@@ -88,7 +89,7 @@
 		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
 		f.srv.CloseAfterResponses()
-		io.WriteString(c, together(0, count))
+		_, _ = io.WriteString(c, together(count))
 		for i := range count {
 			c.answered(t, fmt.Sprint("request ", i), 200, i == count-1)
 		}
@@ -97,11 +98,11 @@
 		end := make(chan bool)
 		f := newFront(t, func(nc net.Conn) bool { <-end; return respondWith(okResponse)(nc) })
 		for i := range 50 {
-			io.WriteString(dialFront(t, f.address), numbered(100+i))
+			_, _ = io.WriteString(dialFront(t, f.address), numbered(100+i))
 		}
 		waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 50 })
 		c := dialFront(t, f.address)
-		io.WriteString(c, together(0, count))
+		_, _ = io.WriteString(c, together(count))
 		for i := range count {
 			c.answered(t, fmt.Sprint("request ", i), 503, i == count-1)
 		}
@@ -127,7 +128,7 @@
 	}
 	gate.Open()
 	c := dialFront(t, f.address)
-	io.WriteString(c, together(0, 2))
+	_, _ = io.WriteString(c, together(2))
 	c.answered(t, "first", 200, false)
 	c.answered(t, "second", 200, false)
 	waitFor(t, func() bool { return swept.Load() == 2 })
@@ -182,22 +183,22 @@
 	holder := &holdingListener{Listener: ln, took: make(chan bool), hold: make(chan bool)}
 	f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 	c := dialFront(t, f.address)
-	io.WriteString(c, readyText)
+	_, _ = io.WriteString(c, readyText)
 	c.answered(t, "before", 200, false)
 	var others []closesClient // all idle connections are closed in one go
 	for range 10 {
 		other := dialFront(t, f.address)
-		io.WriteString(other, readyText)
+		_, _ = io.WriteString(other, readyText)
 		other.answered(t, "another", 200, false)
 		others = append(others, other)
 	}
 	holder.armed.Store(true)
-	io.WriteString(c, good)
+	_, _ = io.WriteString(c, good)
 	<-holder.took
 	down := make(chan error, 1)
 	go func() { down <- f.srv.Shutdown(context.Background()) }()
 	for _, other := range others {
-		if _, err := other.ReadByte(); err != io.EOF {
+		if _, err := other.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Fatalf("the crossing was not reached: %v", err)
 		}
 	}
@@ -223,19 +224,19 @@
 		c, idle := dialFront(t, f.address), dialFront(t, f.address)
 		for _, each := range []closesClient{c, idle} {
 			if used || each == idle {
-				io.WriteString(each, readyText)
+				_, _ = io.WriteString(each, readyText)
 				each.answered(t, "before", 200, false)
 			}
 		}
 		holder.armed.Store(true)
-		io.WriteString(c, good[:40])
+		_, _ = io.WriteString(c, good[:40])
 		<-holder.took // the part was read
 		down := make(chan error, 1)
 		go func() { down <- f.srv.Shutdown(context.Background()) }()
-		if _, err := idle.ReadByte(); err != io.EOF {
+		if _, err := idle.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Fatalf("the crossing was not reached: %v", err)
 		}
-		io.WriteString(c, good[40:])
+		_, _ = io.WriteString(c, good[40:])
 		c.answered(t, "in pieces", 200, true)
 		c.Close()
 		idle.Close()
@@ -257,7 +258,7 @@
 		if err := c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, head)
+		_, _ = io.WriteString(c, head)
 		if _, err := io.WriteString(c, strings.Repeat("the rest ", 200<<10)); err != nil { // more than the system holds
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -265,7 +266,7 @@
 		if err := r.Read(c.Reader); err != nil || r.StatusCode()/100 != 4 || !r.ConnectionClose() {
 			t.Errorf("%s: %v %d", what, err, r.StatusCode())
 		}
-		if _, err := c.ReadByte(); err != io.EOF {
+		if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: after the answer: %v", what, err)
 		}
 	}
@@ -281,7 +282,7 @@
 	probe := func() {
 		t.Helper()
 		c := dialFront(t, f.address)
-		io.WriteString(c, readyText)
+		_, _ = io.WriteString(c, readyText)
 		c.answered(t, "probe", 200, false)
 	}
 	probe()
@@ -289,17 +290,17 @@
 		t.Fatalf("%d connections to the node before", n)
 	}
 	served := dialFront(t, f.address)
-	io.WriteString(served, good)
+	_, _ = io.WriteString(served, good)
 	served.answered(t, "under idle clients", 200, false)
 	for i := range 300 {
 		c := dialFront(t, f.address)
-		io.WriteString(c, numbered(i))
+		_, _ = io.WriteString(c, numbered(i))
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 	probe()
 	waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 0 })
 	served = dialFront(t, f.address)
-	io.WriteString(served, strings.Replace(good, "9b1f", "ffff", 1))
+	_, _ = io.WriteString(served, strings.Replace(good, "9b1f", "ffff", 1))
 	served.answered(t, "after the clients that went", 200, false)
 }
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -199,12 +199,7 @@
 	return nil
 }
 
-// encode appends the message of one attempt: left is the time until its deadline.
-func (c *nodeRequest) encode(dst []byte, host string, left time.Duration) []byte {
-	return append(c.encodeHead(dst, host, left), c.body...)
-}
-
-// encodeHead appends the message without its body.
+// encodeHead appends the message of one attempt without its body: left is the time until its deadline.
 func (c *nodeRequest) encodeHead(dst []byte, host string, left time.Duration) []byte {
 	dst = append(dst, c.head...)
 	dst = append(append(dst, "\r\nHost: "...), host...)
--- a/internal/httpfront/codec_recorded_test.go
+++ b/internal/httpfront/codec_recorded_test.go
@@ -119,8 +119,8 @@
 	var peer fasthttp.Request
 	EncodePeerRequest(r, &peer)
 	return fmt.Sprintf("%q %q %q %q %q %v %d %d %d %t to node %q part %q peer %q", r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Units, r.Shard,
-		r.Schedulers, r.Timeout.Milliseconds(), r.ClientRetry, r.Payload.(*nodeRequest).encode(nil, "h", 1500*time.Millisecond),
-		PartPayload(r, part, 9).(*nodeRequest).encode(nil, "h", time.Microsecond), peer.String())
+		r.Schedulers, r.Timeout.Milliseconds(), r.ClientRetry, r.Payload.(*nodeRequest).encode(nil, 1500*time.Millisecond),
+		PartPayload(r, part, 9).(*nodeRequest).encode(nil, time.Microsecond), peer.String())
 }
 
 // describeAnswer writes what the codec makes of an answer of a node.
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -155,13 +155,13 @@
 	c.reader = bufio.NewReaderSize(c.timed, readBufferSize)
 }
 
-// unsentResult is the result of an attempt that was not written, or not to its last byte: Cancelled where its context
-// was cancelled.
-func unsentResult(ctx context.Context, otherwise policy.Status) core.Result {
+// unsentResult is the result of an attempt that was not written, or not to its last byte: Cancelled if its context was
+// cancelled, else ConnectFailed.
+func unsentResult(ctx context.Context) core.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return core.Result{Status: policy.Cancelled}
 	}
-	return core.Result{Status: otherwise}
+	return core.Result{Status: policy.ConnectFailed}
 }
 
 // carryAttempt carries one attempt; reuse says whether the connection may carry another.
@@ -171,13 +171,13 @@
 		return core.Result{Status: policy.Abandoned}, c.socket != nil
 	}
 	if err := c.ensureUp(j.ctx); err != nil {
-		return unsentResult(j.ctx, policy.ConnectFailed), false
+		return unsentResult(j.ctx), false
 	}
 	if !a.Claim() { // its request was answered meanwhile, or its time is over
 		return core.Result{Status: policy.Abandoned}, j.ctx.Err() == nil
 	}
 	if c.node.draining.Load() { // the node began to drain while it waited
-		return unsentResult(j.ctx, policy.ConnectFailed), j.ctx.Err() == nil
+		return unsentResult(j.ctx), j.ctx.Err() == nil
 	}
 	r, reuse, _ = c.exchange(j)
 	return r, reuse
@@ -197,7 +197,7 @@
 		return core.Result{Status: policy.ConnectFailed}, false
 	}
 	defer c.response.Reset()
-	rep, clean, err := c.readAnswer(ctx)
+	rep, clean, err := c.readAnswer()
 	if whole := unwatch(); err != nil || !whole {
 		return core.Result{Status: policy.ConnectionReset}, false
 	}
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/crossing_test.go
@@ -63,11 +63,11 @@
 	}
 }
 
-// holdIn holds the one that comes after so many others from now on.
-func (l *looks) holdIn(others int) {
+// holdSecond holds the second one that comes from now on.
+func (l *looks) holdSecond() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hold = l.n + 1 + others
+	l.hold = l.n + 2
 }
 
 // watchedDialer makes a dialer whose connections' looks may be held.
@@ -94,7 +94,8 @@
 
 func serveIDs(t *testing.T) (*idNode, []address.Addr) {
 	s := &idNode{came: map[string]int{}}
-	return s, s.listen(t)
+	at := s.listen(t)
+	return s, at
 }
 
 // listen opens one more address.
@@ -127,7 +128,7 @@
 			s.conns = append(s.conns, nc)
 		}
 		s.mu.Unlock()
-		io.WriteString(nc, answerOf(id))
+		_, _ = io.WriteString(nc, answerOf(id))
 	}
 }
 
@@ -141,7 +142,7 @@
 func (s *idNode) speak(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	io.WriteString(s.conns[0], text)
+	_, _ = io.WriteString(s.conns[0], text)
 }
 
 // hangUp ends the first connection.
@@ -219,7 +220,7 @@
 				d, l := watchedDialer()
 				p := peersOf(d, to)[way]()
 				servedAs(t, p, "first")
-				l.holdIn(1) // past the actor's
+				l.holdSecond() // past the actor's
 				a, got := withID(t, "second")
 				p.Send(a)
 				h := <-l.at
@@ -247,8 +248,8 @@
 		want policy.Status
 	}{
 		"cancelled": {func(p core.NodeClient, a *core.Attempt) { p.Cancel(a) }, policy.Cancelled},
-		"drained":   {func(p core.NodeClient, a *core.Attempt) { p.Drain(true) }, policy.ConnectFailed},
-		"left":      {func(p core.NodeClient, a *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
+		"drained":   {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true) }, policy.ConnectFailed},
+		"left":      {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
 	} {
 		for way := range peersOf(nil, nil) {
 			t.Run(then+"/"+way, func(t *testing.T) {
@@ -256,7 +257,7 @@
 				d, l := watchedDialer()
 				p := peersOf(d, to)[way]()
 				servedAs(t, p, "first")
-				l.holdIn(1)
+				l.holdSecond()
 				a, got := withID(t, "second")
 				p.Send(a)
 				h := <-l.at
@@ -286,7 +287,7 @@
 			d, l := watchedDialer()
 			p := peersOf(d, to)[way]()
 			servedAs(t, p, "first")
-			l.holdIn(1)
+			l.holdSecond()
 			a, got := withID(t, "second")
 			p.Send(a)
 			h := <-l.at
@@ -313,7 +314,7 @@
 			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
 			p := peersOf(d, to)[way]()
 			servedAs(t, p, "first")
-			l.holdIn(1)
+			l.holdSecond()
 			a, got := withID(t, "second")
 			p.Send(a)
 			h := <-l.at
@@ -354,7 +355,7 @@
 			d, l := watchedDialer()
 			p := peersOf(d, to)[way]()
 			servedAs(t, p, "first")
-			l.holdIn(1)
+			l.holdSecond()
 			a, got := withID(t, "second")
 			p.Send(a)
 			<-l.at
@@ -505,7 +506,7 @@
 			if n, err := io.CopyN(io.Discard, br, part); err != nil {
 				t.Fatalf("%d bytes: %v", n, err)
 			}
-			nc.SetLinger(0)
+			_ = nc.SetLinger(0)
 			nc.Close()
 			if r := <-got; r.Status != x.want {
 				t.Errorf("ended as %+v", r)
@@ -549,9 +550,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newFakeNode(t, func(nc net.Conn) bool {
-				io.WriteString(nc, x.text)
+				_, _ = io.WriteString(nc, x.text)
 				if x.then == resets {
-					nc.(*net.TCPConn).SetLinger(0)
+					_ = nc.(*net.TCPConn).SetLinger(0)
 				}
 				return x.then == stays
 			})
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/crowd_test.go
@@ -29,7 +29,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 		_ = nc.SetReadDeadline(time.Now().Add(20 * time.Second)) // only a front that does not answer meets it
-		io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
 		return bufio.NewReader(nc)
 	}
 	read := func(br *bufio.Reader) *fasthttp.Response {
@@ -74,13 +74,13 @@
 	log, _ := logtest.NewNullLogger()
 	const conns = 1
 	srv := NewServer(nil, policy.Settings{}, conns, log)
-	go srv.Serve(ln, conns)
+	go func() { _ = srv.Serve(ln, conns) }()
 	var silent []closesClient
 	for range conns + overflowConns - 1 {
 		silent = append(silent, dialFront(t, ln.Addr().String()))
 	}
 	last := dialFront(t, ln.Addr().String())
-	io.WriteString(last.Conn, readyText) // accepted behind all others
+	_, _ = io.WriteString(last.Conn, readyText) // accepted behind all others
 	last.answered(t, "a request behind silent connections", fasthttp.StatusOK, false)
 	for i, c := range silent {
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(pair[0])
-	defer syscall.Close(pair[1])
+	defer func() { _ = syscall.Close(pair[0]) }()
+	defer func() { _ = syscall.Close(pair[1]) }()
 	const patience, late, work = 4000 * time.Millisecond, 1500 * time.Millisecond, 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		told := make(chan int, 2)
@@ -50,7 +50,7 @@
 					}
 					told <- left
 					time.Sleep(work)
-					io.WriteString(theirs, okResponse)
+					_, _ = io.WriteString(theirs, okResponse)
 				}
 			}()
 			return memConn{ours, &simulation{quiet: pair}}, 0, nil
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/ends_test.go
@@ -120,21 +120,21 @@
 		draw := n.w.draw() / n.w.faults
 		switch {
 		case n.silent() || draw < 0.1: // the answer is lost, and the connection stays open
-			io.Copy(io.Discard, br)
+			_, _ = io.Copy(io.Discard, br)
 			return
 		case draw < 0.2: // cut off
-			io.WriteString(nc, whole[:n.w.upTo(len(whole))])
+			_, _ = io.WriteString(nc, whole[:n.w.upTo(len(whole))])
 			return
 		case draw < 0.3: // stops halfway, and stays open
-			io.WriteString(nc, whole[:n.w.upTo(len(whole))])
-			io.Copy(io.Discard, br)
+			_, _ = io.WriteString(nc, whole[:n.w.upTo(len(whole))])
+			_, _ = io.Copy(io.Discard, br)
 			return
 		case draw < 0.4:
 			whole = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		case draw < 0.6:
 			whole = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 		case draw < 0.7: // answers, and closes without saying so
-			io.WriteString(nc, whole)
+			_, _ = io.WriteString(nc, whole)
 			return
 		}
 		if _, err := io.WriteString(nc, whole); err != nil {
@@ -179,8 +179,8 @@
 		t.Fatal(err)
 	}
 	quiet = pair
-	defer syscall.Close(pair[0])
-	defer syscall.Close(pair[1])
+	defer func() { _ = syscall.Close(pair[0]) }()
+	defer func() { _ = syscall.Close(pair[1]) }()
 	kinds := map[core.AnswerKind]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -30,7 +30,7 @@
 	if cap(c.buffer) > maxRetainedBuffer {
 		c.buffer = nil
 	}
-	rep, clean, err := c.readAnswer(j.ctx)
+	rep, clean, err := c.readAnswer()
 	whole := unwatch() // false: the context ended first and the connection is closed
 	if err != nil {
 		c.response.Reset()
@@ -75,7 +75,7 @@
 	if first && j.ctx.Err() == nil {
 		c.capacity = capacityDoubtful
 	}
-	return unsentResult(j.ctx, policy.ConnectFailed)
+	return unsentResult(j.ctx)
 }
 
 // unanswered is the result of an attempt that was written and has no whole answer: it may have run.
--- a/internal/httpfront/expire_test.go
+++ b/internal/httpfront/expire_test.go
@@ -97,7 +97,7 @@
 			dialled, crossed := make(chan net.Conn, 1), make(chan bool, 2)
 			var client net.Conn
 			send := func(server syscall.Conn, text string) {
-				io.WriteString(client, text)
+				_, _ = io.WriteString(client, text)
 				for text != none && transport.IsReusable(server) {
 					runtime.Gosched() // until it has come
 				}
@@ -121,7 +121,7 @@
 			}
 			c.answered(t, "what came", x.code, x.code != fasthttp.StatusOK)
 			if x.code == fasthttp.StatusOK { // the connection is as any other
-				io.WriteString(c.Conn, readyText)
+				_, _ = io.WriteString(c.Conn, readyText)
 				c.answered(t, "the next request", fasthttp.StatusOK, false)
 			}
 		})
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -123,7 +123,7 @@
 
 func take(t *testing.T, br *bufio.Reader) (g gathered) {
 	t.Helper()
-	r, err := http.ReadResponse(br, nil)
+	r, err := http.ReadResponse(br, nil) //nolint:bodyclose // the connection is the caller's to close
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +239,7 @@
 	for part, shards := range map[string]string{"a": "0,3", "b": "1-2"} {
 		nc := w.dial()
 		w.ask(nc, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1")
-		r, err := http.ReadResponse(bufio.NewReader(nc), nil)
+		r, err := http.ReadResponse(bufio.NewReader(nc), nil) //nolint:bodyclose // the connection closes at the end of the test
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -249,7 +249,7 @@
 		}
 		if nc2 := w.dial(); true { // ten rows, and word that there are more
 			w.ask(nc2, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1", hdrRows+": 10")
-			r, err := http.ReadResponse(bufio.NewReader(nc2), nil)
+			r, err := http.ReadResponse(bufio.NewReader(nc2), nil) //nolint:bodyclose // the connection closes at the end of the test
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -124,7 +124,7 @@
 
 // ask writes the request of an id.
 func ask(nc net.Conn, id int) {
-	io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", id), 1))
+	_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", id), 1))
 }
 
 // holdCore keeps the core's actor busy until the return is called: what comes meanwhile waits in its mailbox.
@@ -198,7 +198,7 @@
 		l.dials.shut.Store(true)
 		nc := l.dial()
 		ask(nc, 1)
-		io.WriteString(nc, ahead)
+		_, _ = io.WriteString(nc, ahead)
 		<-l.dials.at
 		release := holdCore(t, l.srv.Core)
 		nc.Close()
@@ -219,7 +219,7 @@
 		l.quiets.shut.Store(true)
 		nc := l.dial()
 		ask(nc, 1)
-		io.WriteString(nc, ahead)
+		_, _ = io.WriteString(nc, ahead)
 		<-l.quiets.at // the actor looks at the connection that it would give
 		release := holdCore(t, l.srv.Core)
 		nc.Close()
@@ -238,7 +238,7 @@
 		l.writes.shut.Store(true)
 		nc := l.dial()
 		ask(nc, 1)
-		io.WriteString(nc, ahead)
+		_, _ = io.WriteString(nc, ahead)
 		<-l.writes.at
 		nc.Close()
 		waitFor(t, func() bool { return len(closed) > 0 })
@@ -260,7 +260,7 @@
 			list(policy.NodeDraining)
 			nc := l.dial()
 			ask(nc, 1)
-			io.WriteString(nc, ahead)
+			_, _ = io.WriteString(nc, ahead)
 			waitFor(t, func() bool { return l.srv.Core.OpenRequests() == 1 })
 			release := func() {}
 			if !heard {
@@ -297,7 +297,7 @@
 				t.Run(fmt.Sprint(what, " ", plan, " ", network), func(t *testing.T) {
 					l, _ := newDisconnectHarness(t, network)
 					nc := l.dial()
-					io.WriteString(nc, strings.Replace(text, "Tier: basic", "Tier: "+plan, 1))
+					_, _ = io.WriteString(nc, strings.Replace(text, "Tier: basic", "Tier: "+plan, 1))
 					waitFor(t, func() bool { return l.srv.ln.Load() != nil && l.srv.ln.Load().OpenCount() == 1 })
 					nc.Close()
 					allGone(t, l.srv)
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -145,8 +145,8 @@
 		"too many":         {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
 		"503 may have run": {respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
 		"cut":              {func(net.Conn) bool { return false }, policy.ConnectionReset},
-		"cut in answer":    {func(nc net.Conn) bool { io.WriteString(nc, okResponse[:len(okResponse)-1]); return false }, policy.ConnectionReset},
-		"garbage":          {func(nc net.Conn) bool { io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
+		"cut in answer":    {func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse[:len(okResponse)-1]); return false }, policy.ConnectionReset},
+		"garbage":          {func(nc net.Conn) bool { _, _ = io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
 	} {
 		n := newFakeNode(t, x.do)
 		p := dialer().Connect("n", at(n.ln))
@@ -167,7 +167,7 @@
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	whole := head + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n"
 	for cut := len(head); cut <= len(whole); cut++ {
-		n := newFakeNode(t, func(nc net.Conn) bool { io.WriteString(nc, whole[:cut]); return false })
+		n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, whole[:cut]); return false })
 		p := dialer().Connect("n", at(n.ln))
 		want := policy.ConnectionReset
 		if cut == len(whole) {
@@ -256,7 +256,7 @@
 				t.Fatalf("%.60q: held whole", x.text)
 			}
 			got, err := io.ReadAll(rep.relay)
-			rep.relay.Close()
+			_ = rep.relay.Close()
 			if whole := err == nil && string(got) == body; whole != x.whole {
 				t.Errorf("%.60q: %d bytes, %v", x.text, len(got), err)
 			}
@@ -302,7 +302,7 @@
 // must not end as a reset for it.
 func TestStaleConnection(t *testing.T) {
 	closeAfter := make(chan bool, 3)
-	n := newFakeNode(t, func(nc net.Conn) bool { io.WriteString(nc, okResponse); return <-closeAfter })
+	n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse); return <-closeAfter })
 	p := dialer().Connect("n", at(n.ln))
 	closeAfter <- true
 	sendOne(t, p)
@@ -376,7 +376,7 @@
 // With the descriptors used up an attempt ends as one that never ran, and nothing breaks.
 func TestConnectionBudget(t *testing.T) {
 	hold := make(chan bool)
-	n := newFakeNode(t, func(nc net.Conn) bool { <-hold; io.WriteString(nc, okResponse); return true })
+	n := newFakeNode(t, func(nc net.Conn) bool { <-hold; _, _ = io.WriteString(nc, okResponse); return true })
 	d := dialer()
 	d.MaxConns = 1
 	p := d.Connect("n", at(n.ln))
@@ -442,7 +442,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, text)
+	_, _ = io.WriteString(nc, text)
 	r := &fasthttp.Response{}
 	if err := r.Read(bufio.NewReader(nc)); err != nil {
 		t.Fatalf("%.80q: %v", text, err)
@@ -524,12 +524,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer nc.Close() //nolint:gocritic // all are closed at the end of the test
 		if i%10 == 0 {
-			io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+			_, _ = io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
 		if i%40 == 1 {
-			io.WriteString(nc, good[:60])
+			_, _ = io.WriteString(nc, good[:60])
 		}
 	}
 	if r := f.send(t, good); r.StatusCode() != 200 {
@@ -567,7 +567,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, good)
 	<-came
 	nc.Close()
 	if !<-closed {
@@ -576,9 +576,9 @@
 	if nc, err = net.Dial("tcp", f.address); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, good)
 	<-came
-	io.WriteString(nc, strings.Repeat(good, 100)) // more than is read ahead: bytes wait when it goes
+	_, _ = io.WriteString(nc, strings.Repeat(good, 100)) // more than is read ahead: bytes wait when it goes
 	nc.Close()
 	if !<-closed {
 		t.Error("the attempt of one who sent much and went goes on")
@@ -594,7 +594,7 @@
 	}
 	defer nc.Close()
 	for i := range 20 {
-		io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
 	br := bufio.NewReader(nc)
 	for i := range 20 {
@@ -615,14 +615,14 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, good)
 	<-came
 	for i := range 100 { // more than is read ahead: bytes are unread at the close
-		io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
 	down := make(chan error, 1)
 	go func() { down <- f.srv.Shutdown(context.Background()) }()
-	<-f.served // it accepts no more
+	t.Log("accepts no more:", <-f.served)
 	close(hold)
 	br := bufio.NewReader(nc)
 	r := &fasthttp.Response{}
@@ -655,14 +655,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer nc.Close() //nolint:gocritic // all are closed at the end of the test
 		conns[i] = nc
 	}
 	for f.srv.ln.Load() == nil || f.srv.ln.Load().OpenCount() < len(conns) {
 		runtime.Gosched()
 	}
 	f.srv.ReserveIdleConns()
-	ask := func(i int) { io.WriteString(conns[i], strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1)) }
+	ask := func(i int) { _, _ = io.WriteString(conns[i], strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1)) }
 	ask(0)
 	<-came
 	ask(1)
@@ -707,7 +707,7 @@
 					rt.Fatalf("taken: %+v", r.Request)
 				}
 				var back fasthttp.Request
-				if err := back.Read(bufio.NewReader(bytes.NewReader(whole.encode(nil, "h", time.Second)))); err != nil ||
+				if err := back.Read(bufio.NewReader(bytes.NewReader(whole.encode(nil, time.Second)))); err != nil ||
 					!bytes.Equal(back.Body(), m.Body()) || !bytes.Equal(back.Header.RequestURI(), m.Header.RequestURI()) {
 					rt.Fatalf("encoded as another message: %v", err)
 				}
@@ -736,7 +736,7 @@
 		}
 		rec, err := replay.Read(in, replay.Mapping{Plan: "basic", UnitBytes: 4096, MostUnits: 6, Shards: 1, Hosts: 1,
 			Classes: map[string]time.Duration{"balance-read": time.Minute, "new-record": time.Minute}})
-		in.Close()
+		_ = in.Close()
 		if err != nil || len(rec.Entries) != want {
 			t.Fatalf("%s: %d entries, %v", name, len(rec.Entries), err)
 		}
@@ -803,7 +803,7 @@
 // for broke.
 func TestWaitEnds(t *testing.T) {
 	block := make(chan bool)
-	n := newFakeNode(t, func(nc net.Conn) bool { return <-block })
+	n := newFakeNode(t, func(net.Conn) bool { return <-block })
 	d := dialer()
 	d.FreeConnWait = time.Millisecond
 	p := d.Connect("n", at(n.ln))
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -43,7 +43,7 @@
 
 // With all connections in use nothing gives way: the attempt certainly did not run.
 func TestUsedConnectionsDoNotGiveWay(t *testing.T) {
-	n := newFakeNode(t, func(script net.Conn) bool { return true }) // takes requests and says nothing
+	n := newFakeNode(t, func(net.Conn) bool { return true }) // takes requests and says nothing
 	d := dialer()
 	d.MaxConns = 1
 	one, other := d.Connect("one", at(n.ln)), d.Connect("other", at(n.ln))
--- a/internal/httpfront/leave_test.go
+++ b/internal/httpfront/leave_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -42,22 +43,22 @@
 		if !closes {
 			return
 		}
-		if _, err := c.ReadByte(); err != io.EOF {
+		if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	open, ahead, idle, quiet := dial(), dial(), dial(), dial()
 	for _, c := range []client{idle, quiet} {
-		io.WriteString(c, ready)
+		_, _ = io.WriteString(c, ready)
 		answered("before", c, false)
 	}
-	io.WriteString(open, good)
+	_, _ = io.WriteString(open, good)
 	<-came
-	io.WriteString(ahead, strings.Replace(good, "9b1f", "0002", 1))
+	_, _ = io.WriteString(ahead, strings.Replace(good, "9b1f", "0002", 1))
 	<-came
 	f.srv.CloseAfterResponses()
-	io.WriteString(ahead, ready)
+	_, _ = io.WriteString(ahead, ready)
 	f.srv.StopAccepting()
 	if n := f.srv.CloseIdle(time.Hour); n != 4 {
 		t.Errorf("%d are open", n)
@@ -66,12 +67,12 @@
 	answered("open before", open, true)
 	answered("a further one waits", ahead, false)
 	answered("the further one", ahead, true)
-	io.WriteString(idle, ready)
+	_, _ = io.WriteString(idle, ready)
 	answered("idle", idle, true)
 	for f.srv.CloseIdle(0) > 0 { // its answer was read before the server called it idle
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := quiet.ReadByte(); err != io.EOF {
+	if _, err := quiet.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 	if n := (&Server{}).CloseIdle(0); n != 0 {
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fds[0]); syscall.Close(fds[1]) })
+	t.Cleanup(func() { _ = syscall.Close(fds[0]); _ = syscall.Close(fds[1]) })
 	return uintptr(fds[0])
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fds[0]); syscall.Close(fds[1]) })
+	t.Cleanup(func() { _ = syscall.Close(fds[0]); _ = syscall.Close(fds[1]) })
 	if _, err := syscall.Write(fds[1], []byte("x")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/once_test.go
@@ -49,7 +49,7 @@
 	for n := 0; ; n++ {
 		breaks := first && (!b.keep || n == 1)
 		if breaks && b.early >= 0 {
-			io.ReadFull(br, make([]byte, b.early))
+			_, _ = io.ReadFull(br, make([]byte, b.early))
 			return
 		}
 		var q fasthttp.Request
@@ -57,16 +57,16 @@
 			return
 		}
 		if breaks && b.full {
-			io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			first = false
 			continue
 		}
 		l.run(string(q.Header.Peek("X-Request-Id")))
 		if breaks {
-			io.WriteString(nc, b.cut)
+			_, _ = io.WriteString(nc, b.cut)
 			return
 		}
-		io.WriteString(nc, okResponse)
+		_, _ = io.WriteString(nc, okResponse)
 	}
 }
 
--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/paths_test.go
@@ -104,7 +104,7 @@
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nContent-Length: 1\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\nx"
 
 // send starts an attempt of a new request and returns its id and its result to come.
-func (r *addressHarness) send(text string, until time.Duration) (string, chan core.Result, *core.Attempt) {
+func (r *addressHarness) send(text string, until time.Duration) (string, chan core.Result) {
 	r.t.Helper()
 	id := fmt.Sprint("q", r.count.Add(1))
 	var m fasthttp.Request
@@ -120,13 +120,13 @@
 	if !r.p.Send(a) {
 		r.t.Fatal("not sent")
 	}
-	return id, got, a
+	return id, got
 }
 
 // served sends a request that must be served and tells by which address.
 func (r *addressHarness) served(text string) address.Addr {
 	r.t.Helper()
-	id, got, _ := r.send(text, time.Minute)
+	id, got := r.send(text, time.Minute)
 	if x := <-got; x.Status != policy.OK || string(x.Payload.(*nodeResponse).body) != id {
 		r.t.Fatalf("%s: %+v", id, x)
 	}
@@ -141,7 +141,7 @@
 func (r *addressHarness) until(what string, ok func(address.Addr) bool) {
 	r.t.Helper()
 	for range 20000 {
-		id, got, _ := r.send(readText, 400*ms) // some are caught on the way
+		id, got := r.send(readText, 400*ms) // some are caught on the way
 		x := <-got
 		if x.Status != policy.OK {
 			time.Sleep(ms)
@@ -194,14 +194,14 @@
 	r := newAddressHarness(t, quick())
 	r.served(readText)
 	r.set(0, standnode.Hang)
-	caught, got, _ := r.send(recordText, 3*time.Second)
+	caught, got := r.send(recordText, 3*time.Second)
 	r.until("the next address", func(by address.Addr) bool { return by == r.at[1] })
 	tried := r.n.Accepted(r.at[0])
 	for range 50 {
 		r.served(recordText) // never by the hung one
 	}
 	for r.n.Accepted(r.at[0]) < tried+2 {
-		_, got, _ := r.send(readText, 300*ms) // some are caught in trials
+		_, got := r.send(readText, 300*ms) // some are caught in trials
 		<-got
 		if open := r.n.Open(r.at[0]); open > 1+1 { // the caught one, and one under trial
 			t.Fatalf("%d connections to the hung address", open)
@@ -224,7 +224,7 @@
 		var ids []string
 		var results []chan core.Result
 		for range 5 {
-			id, got, _ := r.send(recordText, time.Second)
+			id, got := r.send(recordText, time.Second)
 			ids, results = append(ids, id), append(results, got)
 		}
 		for i, got := range results {
@@ -245,7 +245,7 @@
 	}
 	ends := 0
 	for ends < 300 {
-		_, got, _ := r.send(readText, time.Minute)
+		_, got := r.send(readText, time.Minute)
 		if x := <-got; x.Status == policy.OK {
 			t.Fatal("served by nobody")
 		}
@@ -257,14 +257,14 @@
 	r.set(2, standnode.None)
 	var held chan core.Result
 	for held == nil || r.n.Counts().Requests == 0 {
-		_, got, _ := r.send(recordText, time.Minute)
+		_, got := r.send(recordText, time.Minute)
 		for len(got) == 0 && r.n.Counts().Requests == 0 {
 			time.Sleep(ms)
 		}
 		held = got
 	}
 	for range 200 { // while the one trial is out, the others end as never ran, and connect nothing
-		_, got, _ := r.send(recordText, time.Minute)
+		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Errorf("%+v", x)
 		}
@@ -297,7 +297,7 @@
 		full, moot := 0, 0
 		r.until("another way", func(by address.Addr) bool { return by == r.at[1] })
 		for r.n.Counts().Turned < 12 && identity == "" || moot == 0 {
-			_, got, _ := r.send(readText, time.Minute)
+			_, got := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
 			case policy.NodeFull:
 				full++
@@ -326,14 +326,14 @@
 	r := newAddressHarness(t, patient())
 	held := make(chan struct{})
 	var waiting atomic.Int64
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
+	r.d.dial = func(_ context.Context, a address.Addr, _ time.Duration) (transport.Stream, address.Reason, error) {
 		waiting.Add(1)
 		<-held // it comes up late, whatever happens meanwhile
 		return transport.Dial(context.Background(), a, time.Minute)
 	}
 	var results []chan core.Result
 	for range 10 {
-		_, got, _ := r.send(recordText, time.Minute)
+		_, got := r.send(recordText, time.Minute)
 		results = append(results, got)
 	}
 	for waiting.Load() < 10 {
@@ -352,7 +352,7 @@
 	for r.n.Open(r.at[0])+r.n.Open(r.at[1])+r.n.Open(r.at[2]) > 0 {
 		time.Sleep(ms) // late winners are closed, or this never ends
 	}
-	_, got, _ := r.send(recordText, time.Minute)
+	_, got := r.send(recordText, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed || r.n.Counts().Requests != 0 {
 		t.Errorf("%+v, %d came", x, r.n.Counts().Requests)
 	}
@@ -373,7 +373,7 @@
 	}
 	lack.Store(true)
 	for range 20 {
-		_, got, _ := r.send(recordText, time.Minute)
+		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Fatalf("%+v", x)
 		}
@@ -386,8 +386,8 @@
 	hold := make(chan bool)
 	go func() { r.set(0, standnode.Hang); close(hold) }()
 	<-hold
-	_, caught, _ := r.send(readText, 500*ms)
-	_, got, _ := r.send(recordText, time.Minute)
+	_, caught := r.send(readText, 500*ms)
+	_, got := r.send(recordText, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed {
 		t.Errorf("%+v", x)
 	}
@@ -410,7 +410,7 @@
 	}
 	for i := range 3 {
 		p := r.d.Connect(fmt.Sprint("n", i), r.at[1:])
-		defer p.Close()
+		defer p.Close() //nolint:gocritic // all are closed at the end of the test
 		r.p = p
 		if by := r.served(recordText); by != r.at[2] {
 			t.Errorf("went by %v", by)
@@ -438,7 +438,7 @@
 	slow := newFakeNode(t, func(nc net.Conn) bool { <-release; fmt.Fprint(nc, okResponse); return true })
 	r.p = r.d.Connect("m", at(slow.ln))
 	defer r.p.Close()
-	_, first, _ := r.send(recordText, time.Minute)
+	_, first := r.send(recordText, time.Minute)
 	for slow.requests.Load() < 1 {
 		time.Sleep(ms)
 	}
--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/refused_test.go
@@ -57,8 +57,8 @@
 			answer.Store(&b)
 			id++
 			head, body := put(id, text[:size], chunked, false)
-			io.WriteString(nc, head)
-			nc.Write(body)
+			_, _ = io.WriteString(nc, head)
+			_, _ = nc.Write(body)
 			var r fasthttp.Response
 			if err := r.Read(br); err != nil || r.StatusCode() != 200 || !bytes.Equal(r.Body(), text[:size]) {
 				t.Fatalf("%d bytes, chunked %v: %v %d, %d bytes", size, chunked, err, r.StatusCode(), len(r.Body()))
--- a/internal/httpfront/scarce_test.go
+++ b/internal/httpfront/scarce_test.go
@@ -30,7 +30,7 @@
 		d := dialer()
 		d.ConnIdle = time.Hour // nothing is closed for its age alone
 		p := d.Connect("n", []address.Addr{a})
-		defer p.Close()
+		defer p.Close() //nolint:gocritic // all are closed at the end of the test
 		all = append(all, p)
 	}
 	asked := 0
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/tenants_test.go
@@ -58,7 +58,7 @@
 	f.address = ln.Addr().String()
 	srv := NewServer(c, set, 50, log)
 	srv.http.ReadTimeout = time.Hour
-	go srv.Serve(ln, 50)
+	go func() { _ = srv.Serve(ln, 50) }()
 	return f
 }
 
@@ -209,13 +209,13 @@
 		if ahead {
 			go func() {
 				for _, a := range mix {
-					nc.Write(a.text())
+					_, _ = nc.Write(a.text())
 				}
 			}()
 		}
 		for _, a := range mix {
 			if !ahead {
-				nc.Write(a.text())
+				_, _ = nc.Write(a.text())
 			}
 			a.check(t, br)
 		}
@@ -261,7 +261,7 @@
 	}
 	defer slow.Close()
 	long := &tenantAsk{id: "slow", path: "/balance-read/long", volume: "000000000000000a", plan: "basic", units: 1, code: 200}
-	slow.Write(long.text())
+	_, _ = slow.Write(long.text())
 	br := bufio.NewReader(slow)
 	if _, err := br.Peek(1); err != nil { // it has begun
 		t.Fatal(err)
@@ -274,12 +274,12 @@
 	qr := bufio.NewReader(quick)
 	for i := range 10 {
 		a := &tenantAsk{id: fmt.Sprint("quick", i), path: "/balance-read/long", volume: "000000000000000b", plan: "basic", units: 1, code: 200}
-		quick.Write(a.text())
+		_, _ = quick.Write(a.text())
 		a.check(t, qr)
 	}
 	long.check(t, br)
 	again := &tenantAsk{id: "again", path: "/new-record", volume: "000000000000000a", plan: "basic", key: "k", body: []byte("x"), units: 1, code: 200}
-	slow.Write(again.text())
+	_, _ = slow.Write(again.text())
 	again.check(t, br)
 }
 
@@ -294,7 +294,7 @@
 			t.Fatal(err)
 		}
 		gone := &tenantAsk{id: "gone", path: path, volume: "000000000000000a", plan: "basic", units: 1}
-		nc.Write(gone.text())
+		_, _ = nc.Write(gone.text())
 		<-f.hold.at
 		release := holdCore(t, f.core) // the cancel comes after the answer
 		nc.Close()
@@ -303,15 +303,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer other.Close()
+		defer other.Close() //nolint:gocritic // all are closed at the end of the test
 		next := &tenantAsk{id: "next", path: path, volume: "000000000000000b", plan: "basic", units: 1, code: 200}
-		other.Write(next.text())
+		_, _ = other.Write(next.text())
 		release()
 		br := bufio.NewReader(other)
 		for range 3 {
 			next.check(t, br)
 			next.id += "+"
-			other.Write(next.text())
+			_, _ = other.Write(next.text())
 		}
 		next.check(t, br)
 		waitFor(t, func() bool { return f.core.OpenRequests() == 0 })
@@ -355,7 +355,7 @@
 		return r
 	}
 	sent := func(r *core.Request) string {
-		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*nodeRequest).encode(nil, "h", time.Second))
+		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*nodeRequest).encode(nil, time.Second))
 	}
 	first := read(good)
 	before := sent(first)
