--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -65,9 +65,9 @@
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
-	s.routes.Set(httpfront.AddressSettings{Selector: set.Book, IdentityHeader: set.Identity})
+	s.routes.Set(httpfront.AddressSettings{Selector: set.Selector, IdentityHeader: set.Identity})
 	if s.iscsi != nil {
-		s.iscsi.Addresses(set.Book)
+		s.iscsi.Addresses(set.Selector)
 	}
 }
 
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -32,7 +32,7 @@
 }
 
 func (s *settingsScript) addressSettings(a *SiteAddresses) {
-	b := a.Book
+	b := a.Selector
 	for _, kind := range b.Preference {
 		s.Add("addresses.preference", kindWords[kind])
 	}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -48,7 +48,7 @@
 
 // SiteAddresses is the section addresses.
 type SiteAddresses struct {
-	Book     address.Settings
+	Selector     address.Settings
 	Identity string // header with the node's name in its responses; "": none
 }
 
@@ -203,7 +203,7 @@
 }
 
 // DefaultAddresses returns the settings of a site without the section addresses.
-func DefaultAddresses() *SiteAddresses { return &SiteAddresses{Book: address.Defaults()} }
+func DefaultAddresses() *SiteAddresses { return &SiteAddresses{Selector: address.Defaults()} }
 
 // siteAddresses reads the section addresses.
 func siteAddresses(r *reader) (*SiteAddresses, error) {
@@ -238,7 +238,7 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	a := &SiteAddresses{Book: s, Identity: r.text("addresses.identity_header", "")}
+	a := &SiteAddresses{Selector: s, Identity: r.text("addresses.identity_header", "")}
 	var settingError *address.SettingError
 	if errors.As(s.Check(), &settingError) {
 		return nil, &KeyError{File: "site", Key: "addresses." + settingError.Key, Problem: settingError.Problem, Err: settingError}
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := s.Addresses.Book
+	b := s.Addresses.Selector
 	if b.Preference[0] != address.IPv4 || b.Delay != 120*time.Millisecond || b.MinReturnConns != 5 || b.Backoff != address.Defaults().Backoff ||
 		s.Addresses.Identity != "X-Node" {
 		t.Errorf("%+v", s.Addresses)
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, want := s.Addresses.Book, address.Defaults()
+	got, want := s.Addresses.Selector, address.Defaults()
 	if got.Preference = nil; len(keys) != 24 {
 		t.Errorf("%d keys", len(keys))
 	}
--- a/internal/exclusion/errors.go
+++ b/internal/exclusion/errors.go
@@ -25,7 +25,7 @@
 
 // Advice implements operr.Coded.
 func (e *UnknownNodeError) Advice() string {
-	return "Use the id exactly as the list's service gives it; after a restart, wait until the list was received. Nothing was changed."
+	return "Take the id from the list's service as it is written there; after a restart wait until the list was heard. Nothing was changed."
 }
 
 // FullError reports an exclude beyond the bound.
@@ -44,7 +44,7 @@
 
 // Advice implements operr.Coded.
 func (e *FullError) Advice() string {
-	return "Include nodes that may serve again, or remove from the list the nodes that will not return. Nothing was changed."
+	return "Include nodes that may serve again, or take nodes that are gone for good off the list. Nothing was changed."
 }
 
 // SettingError reports a bound that is out of range.
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -49,30 +49,30 @@
 	closing     bool
 }
 
-// Send implements core.Peer.
+// Send implements core.NodeClient.
 func (n *node) Send(a *core.Attempt) bool { return n.mailbox.Put(nodeMessage{send: a}) }
 
-// Cancel implements core.Peer. It may exceed the mailbox's size, as there is at most one for each send.
+// Cancel implements core.NodeClient. It may exceed the mailbox's size, as there is at most one for each send.
 func (n *node) Cancel(a *core.Attempt) { n.mailbox.PutUnbounded(nodeMessage{cancel: a}) }
 
-// CheckHealth implements core.Peer.
+// CheckHealth implements core.NodeClient.
 func (n *node) CheckHealth(f func(core.Result, time.Duration)) bool {
 	return n.mailbox.Put(nodeMessage{probe: f})
 }
 
-// Drain implements core.Peer. It takes effect at once, also for attempts in the mailbox.
+// Drain implements core.NodeClient. It takes effect at once, also for attempts in the mailbox.
 func (n *node) Drain(on bool) {
 	if n.draining.Swap(on) != on {
 		n.mailbox.PutUnbounded(nodeMessage{}) // wakes the actor, which reads draining after each message
 	}
 }
 
-// SetAddresses implements core.Peer.
+// SetAddresses implements core.NodeClient.
 func (n *node) SetAddresses(addresses []address.Addr) {
 	n.mailbox.PutUnbounded(nodeMessage{addressMessage: &addressMessage{addresses: addresses}})
 }
 
-// Close implements core.Peer.
+// Close implements core.NodeClient.
 func (n *node) Close() { n.mailbox.PutUnbounded(nodeMessage{close: true}) }
 
 // run is the actor's loop: it ends once the node is closed, its connections are gone and its mailbox is empty.
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/policy"
 )
 
-// Connect implements core.Peer.
+// Connect implements core.NodeClient.
 func (n *node) Connect(f func(policy.Status)) bool { return n.mailbox.Put(nodeMessage{preconnect: f}) }
 
 // preconnect opens a connection that no attempt waits for yet, where none is idle or being dialled. No idle
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -178,33 +178,33 @@
 	}
 }
 
-// Send implements core.Peer.
+// Send implements core.NodeClient.
 func (p *peer) Send(a *core.Attempt) bool { return p.put(mail{send: a}) }
 
-// Cancel implements core.Peer. With the mailbox full the command runs to its time limit.
+// Cancel implements core.NodeClient. With the mailbox full the command runs to its time limit.
 func (p *peer) Cancel(a *core.Attempt) { p.put(mail{cancel: a}) }
 
-// CheckHealth implements core.Peer: these targets report no load.
+// CheckHealth implements core.NodeClient: these targets report no load.
 func (p *peer) CheckHealth(func(core.Result, time.Duration)) bool { return false }
 
-// Connect implements core.Peer: a target has one session, which stands or is being opened.
+// Connect implements core.NodeClient: a target has one session, which stands or is being opened.
 func (p *peer) Connect(func(policy.Status)) bool { return false }
 
-// Drain implements core.Peer: it binds at once, also what waits in the mailbox.
+// Drain implements core.NodeClient: it binds at once, also what waits in the mailbox.
 func (p *peer) Drain(on bool) {
 	if p.draining.Swap(on) != on {
 		p.put(mail{}) // the portals look at it whenever something comes
 	}
 }
 
-// SetAddresses implements core.Peer: sessions to a portal that went finish their commands.
+// SetAddresses implements core.NodeClient: sessions to a portal that went finish their commands.
 func (p *peer) SetAddresses(addresses []address.Addr) {
 	if m := (mail{addresses: addresses}); !p.put(m) {
 		go p.post(m)
 	}
 }
 
-// Close implements core.Peer.
+// Close implements core.NodeClient.
 func (p *peer) Close() {
 	if !p.put(mail{close: true}) {
 		go p.post(mail{close: true})
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -5,7 +5,7 @@
 // same world, so that it is known which would have been cheapest and whether the interval held.
 //
 // RunReal is the same with processes of the built daemon and stand-in nodes, in real time: plans are asked of at
-// the operators' doors and carried out as requests. What the machine adds to each is measured beside it.
+// the admin endpoints and carried out as requests. What the machine adds to each is measured beside it.
 package costs
 
 import (
--- a/internal/testkit/experiment/gathers/world.go
+++ b/internal/testkit/experiment/gathers/world.go
@@ -126,7 +126,7 @@
 	}
 	for i := range f.w.Processes {
 		if err := f.Wait(ctx, fmt.Sprint("process ", i, " hands parts on"), func() error {
-			if !strings.Contains(f.Proc(i).Log(), "are handed on") {
+			if !strings.Contains(f.Proc(i).Log(), "are delegated to peers") {
 				return errors.New("it has not said so")
 			}
 			return nil
