--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -48,7 +48,7 @@
 
 // SiteAddresses is the section addresses.
 type SiteAddresses struct {
-	Selector     address.Settings
+	Selector address.Settings
 	Identity string // header with the node's name in its responses; "": none
 }
 
--- a/internal/httpfront/addressconn.go
+++ b/internal/httpfront/addressconn.go
@@ -66,7 +66,7 @@
 			}
 			continue
 		}
-		// The actor is told first, so that the module's next send finds the connection free.
+		// The actor is notified first, so that the module's next send finds the connection free.
 		m := &addressMessage{returned: t, event: e}
 		if j.attempt != nil && r.Status == policy.NodeFull {
 			m.rejected = &r
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -23,7 +23,7 @@
 	familyMissing [8]sync.Once // by family: the log line that this machine lacks it
 }
 
-// AddressSettings are the settings of the books, and the header field in which nodes name themselves; "": none.
+// AddressSettings are the settings of the selectors, and the header field in which nodes name themselves; "": none.
 type AddressSettings struct {
 	Selector       address.Settings
 	IdentityHeader string
@@ -41,8 +41,8 @@
 	return r.settings.Load()
 }
 
-// addressPool is the part of a node's actor that serves a node with several addresses. The book of addresses decides:
-// paths executes the book's actions and reports the events to it, and has no rules of its own.
+// addressPool is the part of a node's actor that serves a node with several addresses. The address selector decides:
+// the pool executes its actions and reports the events to it, and has no rules of its own.
 type addressPool struct {
 	node            *node
 	config          *AddressConfig
@@ -52,7 +52,7 @@
 	requests        map[address.Req]*connRequest
 	byAttempt       map[*core.Attempt]*connRequest
 	lastID          address.Req
-	removalReported bool // the book was told that the node has left
+	removalReported bool // the node's removal was reported to the selector
 }
 
 // connRequest is one use of a connection, waiting for one or carried by one: an attempt, a health check or a preconnect.
@@ -78,7 +78,7 @@
 		requests: map[address.Req]*connRequest{}, byAttempt: map[*core.Attempt]*connRequest{}}
 	set := p.settings.Selector
 	set.MaxConns, set.MaxWaiting = maxNodeConns, nodeMailboxSize
-	h := fnv.New64a() // so that each node draws different back-offs
+	h := fnv.New64a() // so that each node draws different backoffs
 	h.Write([]byte(n.name))
 	book, err := address.New(set, r.Seed^h.Sum64())
 	if err != nil { // the settings were checked when they were read
@@ -129,14 +129,14 @@
 	return w
 }
 
-// queueRequest asks the book for a connection for a work. safe: it may be repeated freely; named: it names a shard, so that
+// queueRequest asks the selector for a connection for a request. safe: it may be repeated freely; named: it names a shard, so that
 // an answer from another node shows as a rejection.
 func (p *addressPool) queueRequest(w *connRequest, safe, named bool) {
 	p.selector.Step(address.Event{Kind: address.RequestQueued, Req: w.req, Idempotent: safe, NamesShard: named})
 	p.watchDeadline(w)
 }
 
-// watchDeadline has the actor told when the context of a waiting work ends.
+// watchDeadline notifies the actor when the context of a waiting request ends.
 func (p *addressPool) watchDeadline(w *connRequest) {
 	if p.requests[w.req] == w && w.conn == nil {
 		w.stopWatch = context.AfterFunc(w.ctx, func() { p.node.mailbox.PutUnbounded(nodeMessage{addressMessage: &addressMessage{expired: w}}) })
@@ -147,7 +147,7 @@
 func (p *addressPool) handleMessage(m *addressMessage) {
 	switch {
 	case m.connected != nil:
-		if m.connected.ready = p.conns[m.connected.id] == m.connected; m.connected.ready { // otherwise the book has closed it, and its context is cancelled
+		if m.connected.ready = p.conns[m.connected.id] == m.connected; m.connected.ready { // otherwise the selector has closed it, and its context is cancelled
 			p.endPreconnects()
 		}
 		p.selector.Step(address.Event{Kind: address.Connected, Conn: m.connected.id})
@@ -169,11 +169,11 @@
 	}
 }
 
-// resend takes back the work of a connection that was unusable before the write: it goes by another connection.
+// resend takes back the request of a connection that was unusable before the write: it goes by another connection.
 func (p *addressPool) resend(t *addressConn) {
 	w := t.request
 	t.request, w.conn = nil, nil
-	if p.conns[t.id] != t { // the book has closed the connection, and with it the work
+	if p.conns[t.id] != t { // the selector has closed the connection, and with it the request
 		p.endUnsent(w, unsentResult(w.ctx))
 		return
 	}
@@ -183,7 +183,7 @@
 	p.watchDeadline(w)
 }
 
-// connReturned takes back a connection whose work is over, and reports the result to the book.
+// connReturned takes back a connection whose request is over, and reports the result to the selector.
 func (p *addressPool) connReturned(m *addressMessage) {
 	t := m.returned
 	w := t.request
@@ -197,7 +197,7 @@
 		go w.attempt.Done(*m.rejected)
 	}
 	if p.conns[t.id] != t {
-		return // the book has closed it
+		return // the selector has closed it
 	}
 	if e := m.event; e.Kind != address.ResponseReceived || !e.KeepAlive {
 		t.cancelRun()
@@ -258,7 +258,7 @@
 	}
 }
 
-// applyChanges reports a drain, the node's leaving and new settings to the book, and returns the channel of its timer. It
+// applyChanges reports a drain, the node's leaving and new settings to the selector, and returns the channel of its timer. It
 // is called after each message.
 func (p *addressPool) applyChanges() <-chan time.Time {
 	p.selector.SetDraining(p.node.draining.Load())
@@ -318,8 +318,8 @@
 	p.removeConn(t)
 }
 
-// write gives a connection its request. Where the connection has become unusable the book is told that nothing was
-// written, and the work goes by another.
+// write gives a connection its request. Where the connection has become unusable the selector is told that nothing was
+// written, and the request goes by another.
 func (p *addressPool) write(t *addressConn, w *connRequest) {
 	if t == nil || w == nil {
 		panic("the book writes what it has been told is over")
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -1,9 +1,9 @@
-// Package httpfront speaks the platform's protocol, a strict subset of HTTP/1.1: Server takes clients'
-// requests and hands them to core, and Dialer makes the peers that carry core's attempts to storage nodes.
+// Package httpfront implements the platform's protocol, a strict subset of HTTP/1.1: Server takes clients'
+// requests and hands them to core, and Dialer makes the node clients that carry core's attempts to storage nodes.
 //
 // Each storage node has one actor goroutine (node), which owns its connections, and each connection
 // (conn) one goroutine, which writes one request at a time and reads its answer. A node with several
-// addresses has a book of addresses (paths) beside its actor, which decides on its connections.
+// addresses has an address pool (addressPool) in its actor, whose selector decides on its connections.
 package httpfront
 
 import (
@@ -50,7 +50,7 @@
 	return &MalformedError{fasthttp.StatusBadRequest, fmt.Sprintf(form, args...)}
 }
 
-// isToken says whether a header value may go on in a header without harm.
+// isToken reports whether a header value may go on in a header without harm.
 func isToken(v []byte, maxLength int) bool {
 	if len(v) == 0 || len(v) > maxLength {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// isHex16 says whether v is 16 hexadecimal digits.
+// isHex16 reports whether v is 16 hexadecimal digits.
 func isHex16(v []byte) bool {
 	if len(v) != 16 {
 		return false
@@ -213,7 +213,7 @@
 	body    []byte
 	release func()
 	relay   *relay // the rest of a long body; nil: body is whole
-	// limited says of a part of a gathered read that it stopped at the number of rows it was asked for.
+	// limited reports of a part of a gathered read that it stopped at the number of rows it was asked for.
 	limited bool
 }
 
@@ -263,7 +263,7 @@
 	return r
 }
 
-// isCapacityRejection says whether the node rejected the request for lack of capacity, without running it.
+// isCapacityRejection reports whether the node rejected the request for lack of capacity, without running it.
 func isCapacityRejection(m *fasthttp.Response) bool {
 	code := m.StatusCode()
 	return (code == 503 || code == 504) && string(m.Header.Peek("X-Not-Run")) == "1"
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// doJob does one job and gives the connection back to the actor; false: it cannot be used again. The actor hears of the
-// connection before the core hears of the result, so that the module's next send finds it free.
+// doJob does one job and gives the connection back to the actor; false: it cannot be used again. The actor learns of the
+// connection before the core learns of the result, so that the module's next send finds it free.
 func (c *conn) doJob(j job) (reuse bool) {
 	if j.probe != nil {
 		start := time.Now()
@@ -164,7 +164,7 @@
 	return core.Result{Status: policy.ConnectFailed}
 }
 
-// carryAttempt carries one attempt; reuse says whether the connection may carry another.
+// carryAttempt carries one attempt; reuse reports whether the connection may carry another.
 func (c *conn) carryAttempt(j job) (r core.Result, reuse bool) {
 	a := j.attempt
 	if !time.Now().Before(a.Deadline) {
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -40,7 +40,7 @@
 	return n
 }
 
-// idempotent says whether a request may be repeated freely, according to the settings it was decoded under.
+// idempotent reports whether a request may be repeated freely, according to the settings it was decoded under.
 func (d *Dialer) idempotent(r *core.Request) bool {
 	if r.Settings == nil {
 		return d.Idempotent[r.Class]
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -15,7 +15,7 @@
 	writePieceSize    = 64 << 10 // of a write with a time bound; the clock is read before each piece
 )
 
-// exchange writes an attempt on the open connection and reads its answer. reuse says whether the connection may
+// exchange writes an attempt on the open connection and reads its answer. reuse reports whether the connection may
 // carry another; cut, that the attempt's last byte was not written, so that it has not run.
 func (c *conn) exchange(j job) (r core.Result, reuse, cut bool) {
 	nc := c.socket
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -149,7 +149,7 @@
 	case <-g.peerClosed:
 		_ = g.Close()
 		ctx.SetConnectionClose()
-		ctx.SetStatusCode(499) // nobody reads it
+		ctx.SetStatusCode(499) // no one reads it
 		return
 	}
 	if err := g.head.SetTrailer(hdrResult); err != nil {
--- a/internal/httpfront/head.go
+++ b/internal/httpfront/head.go
@@ -90,7 +90,7 @@
 	return f, nil
 }
 
-// isLength says whether v is 1 to 18 decimal digits.
+// isLength reports whether v is 1 to 18 decimal digits.
 func isLength(v []byte) bool {
 	for _, b := range v {
 		if b < '0' || b > '9' {
@@ -100,7 +100,7 @@
 	return len(v) > 0 && len(v) <= 18
 }
 
-// isFieldName says whether a name is a token of RFC 9110.
+// isFieldName reports whether a name is a token of RFC 9110.
 func isFieldName(v []byte) bool {
 	for _, b := range v {
 		if !('a' <= b && b <= 'z' || 'A' <= b && b <= 'Z' || '0' <= b && b <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", b) >= 0) {
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -35,7 +35,7 @@
 type node struct {
 	dialer      *Dialer
 	name        string
-	address     address.Addr // the only one; zero where paths is set
+	address     address.Addr // the only one; zero where addressPool is set
 	host        string
 	addressPool *addressPool // set from the first second address on
 	mailbox     *mailbox.Queue[nodeMessage]
@@ -77,7 +77,7 @@
 
 // run is the actor's loop: it ends once the node is closed, its connections are gone and its mailbox is empty.
 func (n *node) run() {
-	var wake <-chan time.Time // timer of the paths
+	var wake <-chan time.Time // timer of the addressPool
 	var batch []nodeMessage
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
@@ -94,7 +94,7 @@
 			for _, m := range batch {
 				n.handle(m)
 				n.serveWaiting()
-				if n.addressPool != nil { // the book settles before the next message
+				if n.addressPool != nil { // the selector settles before the next message
 					wake = n.addressPool.applyChanges()
 				}
 			}
@@ -132,7 +132,7 @@
 	return at, ok
 }
 
-// handle handles one message. Where the node has several addresses, its book decides on sends, cancels and probes.
+// handle handles one message. Where the node has several addresses, its selector decides on sends, cancels and probes.
 func (n *node) handle(m nodeMessage) {
 	switch {
 	case m.evicted != nil:
@@ -233,8 +233,8 @@
 	}
 }
 
-// setAddresses replaces the node's addresses. A single address needs no book; the first time there are more, a
-// book is made, and it is kept from then on.
+// setAddresses replaces the node's addresses. A single address needs no selector; the first time there are more, a
+// pool with a selector is made, and it stays from then on.
 func (n *node) setAddresses(list []address.Addr) {
 	if n.addressPool == nil && len(list) == 1 {
 		if n.address != list[0] {
@@ -249,7 +249,7 @@
 		n.addressPool = newAddressPool(n)
 	}
 	n.addressPool.selector.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
-	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the book decides on them too
+	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the selector decides on them too
 		n.addressPool.handle(nodeMessage{send: a})
 	}
 }
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -59,10 +59,10 @@
 	return policy.ConnectFailed
 }
 
-// preconnect has the book open a connection for a work that is dropped once the connection is up and idle. The
+// preconnect has the selector open a connection for a request that is dropped once the connection is up and idle. The
 // caller has checked that there is none.
 func (p *addressPool) preconnect(f func(policy.Status)) {
-	if len(p.requests) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the works that wait
+	if len(p.requests) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the requests that wait
 		go f(policy.Abandoned)
 		return
 	}
@@ -71,7 +71,7 @@
 	p.queueRequest(w, false, false)
 }
 
-// endPreconnects ends the preconnect works: a connection has come up, of which the book is told next.
+// endPreconnects ends the preconnect requests: a connection has come up, which the selector learns next.
 func (p *addressPool) endPreconnects() {
 	for _, w := range p.requests {
 		if w.preconnect != nil { // there is one at most
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -303,7 +303,7 @@
 		drop()
 		conn.Unwatch()
 		ctx.SetConnectionClose()
-		ctx.SetStatusCode(499) // nobody reads it
+		ctx.SetStatusCode(499) // no one reads it
 	}
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -18,7 +18,7 @@
 	lingering              // closed after a response; the peer has not closed yet
 )
 
-// Conn is an accepted connection. Its phase says whether the listener may close it: it may while the connection is fresh or
+// Conn is an accepted connection. Its phase reports whether the listener may close it: it may while the connection is fresh or
 // idle and has no input. The server's goroutine reads; Gone, HasPendingInput and Close may be called from any goroutine.
 type Conn struct {
 	net.Conn
