--- a/gather/play_test.go
+++ b/gather/play_test.go
@@ -163,11 +163,12 @@
 		return got, err
 	}
 	m.fault = fault
-	if err = play(m, rng, sources, func() {
+	err = play(m, rng, sources, func() {
 		for row, ok := m.Next(); ok; row, ok = m.Next() {
 			got.rows = append(got.rows, string(row))
 		}
-	}); err != nil {
+	})
+	if err != nil {
 		return got, err
 	}
 	res := m.Result()
