--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -8,11 +8,14 @@
 	"sync"
 	"syscall"
 	"testing"
+	"time"
+
+	"wheatsaddle/internal/testkit/fake/link"
 )
 
-// previousCommit is the last version in service whose identifiers, files and log texts were renamed as a whole. What it
-// stores and sends has to be understood by this version, and the other way round.
-const previousCommit = "631a8c3c9a2ca7e01f58eb62d81a4c4cd0772433"
+// previousCommit is the version in service before comments, names and texts were reworded throughout. What it stores and
+// sends has to be understood by this version, and the other way round.
+const previousCommit = "cb6334f9c4b2c953f51c284076231b4b2695ce50"
 
 // previousDaemon builds the daemon of previousCommit from the repository's own history, once for all tests. Where the
 // history is not there the test is skipped: the bytes that the packages recorded then stand for it.
@@ -52,13 +55,16 @@
 var previousDir string // what buildPrevious made; "": nothing
 
 // A process of the previous version and one of this version take over the passed socket from each other under load, in
-// both directions, and nothing is lost.
+// both directions, and nothing is lost. A node that an operator excluded stays excluded: each reads the other's file.
 func TestSocketHandoverBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
 	r := &replaced{world: begin(t, Options{Daemons: 1, Direct: true, Admin: true, Passed: true, Settings: passing})}
 	r.now = r.Proc(0)
 	r.traffic()
 	r.serves(some)
+	r.admin(r.now, "PUT", "/api/exclude?who=s0")
+	excludedFrom := r.Fleet.now() + r.Rules().Grace + slack
+	r.until("the exclusion applies", func() bool { return r.Fleet.now() > excludedFrom })
 	for _, daemon := range []string{previous, r.opt.Daemon, previous} {
 		next, err := r.Beside(0, func(p *Proc) { p.daemon = daemon })
 		r.must(err)
@@ -67,8 +73,18 @@
 		r.must(r.now.Signal(syscall.SIGTERM))
 		r.must(r.now.End(r.ctx))
 		r.serves(some)
+		r.admin(next, "GET", "/api/ready")
 		r.now = next
 	}
+	includedAt := r.Fleet.now()
+	for _, s := range r.History().Sent {
+		if s.Node == "s0" && s.First > excludedFrom && s.First < includedAt {
+			t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.First, excludedFrom)
+		}
+	}
+	r.admin(r.now, "PUT", "/api/include?who=s0")
+	before := r.Node(0).Counts().Ran
+	r.until("s0 serves again", func() bool { return r.Node(0).Counts().Ran > before })
 	r.end()
 }
 
@@ -110,3 +126,103 @@
 		})
 	}
 }
+
+// startAs ends daemon i by SIGTERM and starts it again as another build.
+func (w *world) startAs(i int, daemon string) {
+	w.t.Helper()
+	w.must(w.Term(i))
+	w.must(w.Proc(i).End(w.ctx))
+	w.Proc(i).daemon = daemon
+	w.must(w.Restart(w.ctx, i))
+}
+
+// Processes of both versions share the observations from which plan costs are estimated, also after a link between them was
+// cut under load: then all hold the same state, and each estimates a node from observations of all three.
+func TestPlanCostsBetweenVersions(t *testing.T) {
+	previous := previousDaemon(t)
+	w := &sharing{}
+	w.world, w.metrics = shares(t, Options{})
+	w.traffic()
+	const older = 1
+	w.startAs(older, previous)
+	w.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
+	across := [][2]int{{0, older}, {older, 2}}
+	w.links(link.Fault{Cut: true}, across...)
+	w.happened(func(c link.Counts) int { return c.Cut }, across...)
+	w.counts("peers_members", func(i int, v float64) bool { return i == older && v == 1 || i != older && v == 2 })
+	w.serves(some)
+	w.links(link.Fault{}, across...)
+	w.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
+	s := w.stranger("s", w.everyone()...)
+	w.serves(some)
+	w.quiet(s)
+	for i := range w.opt.Daemons {
+		basis := w.estimate(i, "s0").Get("rests_on")
+		if basis.Get("level").Str != "node" || basis.Get("origins").Num != 3 {
+			t.Errorf("daemon %d estimates s0 from %s", i, basis.Raw)
+		}
+	}
+}
+
+// The coordinator of a gathered read and its peers are of different versions, in both directions, and one link between them
+// is cut in the middle of an answer: the read is complete, and each peer whose link holds gathers a group.
+func TestGatherGroupsBetweenVersions(t *testing.T) {
+	previous := previousDaemon(t)
+	const shards, rows, patience = 12, 500, 8 * time.Second
+	for _, x := range []struct {
+		name     string
+		previous []int // daemons of the previous version; 3 is the coordinator
+	}{
+		{"this version coordinates peers of the previous one", []int{0, 1, 2}},
+		{"the previous version coordinates peers of this one", []int{3}},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			treeRow(func() {
+				g := plantGrove(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
+				for _, i := range x.previous {
+					g.startAs(i, previous)
+					g.must(g.Wait(g.ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
+						if r := g.readAt(i, "read", thePlan, patience); r.err != nil || !r.result.Get("whole").Bool() || !g.asked(shards) {
+							return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
+						}
+						return nil
+					}))
+				}
+				g.whole("a read", g.read("read", thePlan, patience), patience)
+				if n := g.parts(true); n != shards*3/4 || g.parts(false) != shards/4 {
+					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.parts(false))
+				}
+				g.must(g.links[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
+				g.whole("a read over a cut link", g.read("read", thePlan, patience), patience)
+				if g.links[0].Counts(link.Backward).Reset == 0 {
+					t.Error("the link was not cut")
+				}
+				g.finish()
+			})
+		})
+	}
+}
+
+// Both versions accept the same files: the deployments that the repository holds, and the settings, site and iSCSI files
+// with every section.
+func TestConfigurationsBetweenVersions(t *testing.T) {
+	previous := previousDaemon(t)
+	for _, x := range []struct{ dir, config, site, iscsi string }{
+		{"deploy", "sites/tromso-tides/config.json", "site.json", "iscsi.json"},
+		{"deploy", "sites/callao-customs/config.json", "site.json", "iscsi.json"},
+		{"internal/config", "testdata/recorded-files/config.json", "testdata/recorded-files/site.json", "testdata/recorded-files/iscsi.json"},
+		{"internal/config", "testdata/recorded-files/config-least.json", "testdata/recorded-files/site-least.json", "testdata/recorded-files/iscsi-least.json"},
+	} {
+		check := func(daemon string) (string, error) {
+			command := exec.Command(daemon, "--site", x.site, "--iscsi", x.iscsi, "check-config", x.config)
+			command.Dir = filepath.Join("..", "..", "..", filepath.FromSlash(x.dir))
+			out, err := command.CombinedOutput()
+			return string(out), err
+		}
+		want, previousErr := check(previous)
+		got, err := check(daemon)
+		if err != nil || previousErr != nil || got != want {
+			t.Errorf("%s: %v, previous version %v\n%s\nprevious version:\n%s", x.config, err, previousErr, got, want)
+		}
+	}
+}
