--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -19,21 +19,21 @@
 	IPv6
 	IPv4
 	Name
-	kindCount
+	familyCount
 )
 
-var kindNames = [kindCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
+var familyNames = [familyCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
 
 func (k Kind) String() string {
-	if k < kindCount {
-		return kindNames[k]
+	if k < familyCount {
+		return familyNames[k]
 	}
 	return "kind " + strconv.Itoa(int(k))
 }
 
 // ParseKind reads the name of a family: unix, ipv6, ipv4 or name.
 func ParseKind(name string) (Kind, error) {
-	for k, known := range kindNames {
+	for k, known := range familyNames {
 		if known == name {
 			return Kind(k), nil
 		}
@@ -44,8 +44,8 @@
 // maxPathLength is the longest path of a socket: sun_path of unix(7) holds 108 bytes, the last a NUL.
 const maxPathLength = 107
 
-// schemeUnix marks the path of a socket, as in unix:/run/x.sock.
-const schemeUnix = "unix:"
+// unixScheme marks the path of a socket, as in unix:/run/x.sock.
+const unixScheme = "unix:"
 
 // Addr is a parsed address in canonical form: two that mean the same are equal with ==.
 type Addr struct {
@@ -66,7 +66,7 @@
 	case a.IsZero():
 		return ""
 	case a.kind == Unix:
-		return schemeUnix + a.text
+		return unixScheme + a.text
 	case a.kind == Name:
 		return a.text
 	}
@@ -131,7 +131,7 @@
 }
 
 func parse(text string, minPort uint64) (Addr, error) {
-	if file, ok := strings.CutPrefix(text, schemeUnix); ok {
+	if file, ok := strings.CutPrefix(text, unixScheme); ok {
 		return parseUnix(file)
 	}
 	if strings.HasPrefix(text, "/") {
@@ -243,14 +243,14 @@
 // address of each alternately, and within a family as listed. Families that the preference does not
 // name come last, in the order of their constants. It returns indices into list.
 func Interleave(list []Addr, preference []Kind) []int {
-	rank := [kindCount]int{}
-	for k := range rank {
-		rank[k] = len(preference) + k
+	rank := [familyCount]int{}
+	for family := range rank {
+		rank[family] = len(preference) + family
 	}
 	for i := len(preference) - 1; i >= 0; i-- {
 		rank[preference[i]] = i
 	}
-	families := make([][]int, len(preference)+int(kindCount))
+	families := make([][]int, len(preference)+int(familyCount))
 	for i, a := range list {
 		families[rank[a.kind]] = append(families[rank[a.kind]], i)
 	}
--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// parsed are spellings and what they come to; an empty one is an error with these words.
-var parsed = []struct{ text, want, err string }{
+// parseCases are spellings and what they come to; an empty one is an error with these words.
+var parseCases = []struct{ text, want, err string }{
 	{"127.0.0.1:7001", "127.0.0.1:7001", ""},
 	{"127.0.0.1:07001", "127.0.0.1:7001", ""},
 	{"[::1]:7001", "[::1]:7001", ""},
@@ -57,8 +57,8 @@
 	{"", "", "neither"},
 }
 
-func TestParse(t *testing.T) {
-	for _, x := range parsed {
+func TestParseGivesTheCanonicalSpelling(t *testing.T) {
+	for _, x := range parseCases {
 		a, err := Parse(x.text)
 		if (err == nil) != (x.err == "") || err != nil && !strings.Contains(err.Error(), x.err) || err == nil && a.String() != x.want {
 			t.Errorf("%q: %v, %v; want %q %q", x.text, a, err, x.want, x.err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestParseListen(t *testing.T) {
+func TestParseListenAcceptsUnspecifiedHosts(t *testing.T) {
 	for text, want := range map[string]string{
 		"0.0.0.0:80": "0.0.0.0:80", ":80": "[::]:80", "[::]:0": "[::]:0", "127.0.0.1:0": "127.0.0.1:0",
 		"unix:/run/x": "unix:/run/x", "localhost:1": "", "224.0.0.1:1": "", "x": "",
@@ -83,7 +83,7 @@
 }
 
 // One that is bad, or there twice in another spelling, is named, and costs only itself.
-func TestList(t *testing.T) {
+func TestInvalidAddressesAreLeftOutOfAList(t *testing.T) {
 	list, errs := ParseList([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
 	if fmt.Sprint(list) != "[127.0.0.1:1 unix:/a]" || len(errs) != 3 {
 		t.Fatalf("%v %v", list, errs)
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestInterleave(t *testing.T) {
+func TestInterleaveAlternatesFamilies(t *testing.T) {
 	list, _ := ParseList([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
 	for _, x := range []struct {
 		pref []Kind
@@ -118,7 +118,7 @@
 
 // FuzzParse: what is read has one spelling, which reads as itself and which package net takes.
 func FuzzParse(f *testing.F) {
-	for _, x := range parsed {
+	for _, x := range parseCases {
 		f.Add(x.text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/address/assign.go
+++ b/internal/address/assign.go
@@ -62,24 +62,24 @@
 			return s.takeIdle(e, c)
 		}
 	}
-	if other := s.secondOpinionAddress(); other != nil {
+	if other := s.crossCheckAddress(); other != nil {
 		if c := s.takeLatestIdle(other); c != nil {
 			return c
 		}
-		if s.nextSecondOpinion <= s.now && s.hasFreeSlot(true) && s.hasConnectToken() {
-			s.nextSecondOpinion = s.now + s.settings.TrialInterval
+		if s.nextCrossCheckConnect <= s.now && s.hasFreeSlot(true) && s.hasConnectToken() {
+			s.nextCrossCheckConnect = s.now + s.settings.TrialInterval
 			s.startConnect(other, nil, false)
 		}
 	}
 	if c := s.takeLatestIdle(s.primary); c != nil {
 		return c
 	}
-	from := s.idleAlternative()
-	if from == nil {
+	alternative := s.idleAlternative()
+	if alternative == nil {
 		return nil
 	}
-	s.returnToPrimary(from)
-	return s.takeLatestIdle(from)
+	s.returnToPrimary(alternative)
+	return s.takeLatestIdle(alternative)
 }
 
 // mayCarry reports whether a trial connection may carry a request. One that is not idempotent waits for a while, unless no
@@ -142,6 +142,6 @@
 // writeRequest writes a request on a connection.
 func (s *Selector) writeRequest(c *conn, w waiter) {
 	c.phase, c.since, c.req, c.idempotent, c.namesShard, c.silenceCounted = busy, s.now, w.req, w.idempotent, w.namesShard, false
-	s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+min(s.silenceBound, s.secondOpinionDelay()))
+	s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+min(s.silenceBound, s.crossCheckDelay()))
 	s.emit(Action{Kind: Write, Conn: c.id, Req: w.req})
 }
--- a/internal/address/check.go
+++ b/internal/address/check.go
@@ -16,7 +16,7 @@
 func (s *Selector) Check() error {
 	totals := connTotals{requests: map[Req]bool{}}
 	for i := range s.conns {
-		if c := &s.conns[i]; c.phase != none {
+		if c := &s.conns[i]; c.phase != unused {
 			if err := s.checkConn(c, &totals); err != nil {
 				return fmt.Errorf("connection %d: %w", c.id, err)
 			}
--- a/internal/address/conns.go
+++ b/internal/address/conns.go
@@ -10,7 +10,7 @@
 
 // The phases. none marks a free slot.
 const (
-	none phase = iota
+	unused phase = iota
 	connecting
 	idle
 	busy
@@ -35,7 +35,7 @@
 
 // connByID is the connection with that id, or nil if it is over.
 func (s *Selector) connByID(id Conn) *conn {
-	if i := int(id&0xffff) - 1; i >= 0 && i < len(s.conns) && s.conns[i].phase != none && s.conns[i].id == id {
+	if i := int(id&0xffff) - 1; i >= 0 && i < len(s.conns) && s.conns[i].phase != unused && s.conns[i].id == id {
 		return &s.conns[i]
 	}
 	return nil
--- a/internal/address/entry.go
+++ b/internal/address/entry.go
@@ -50,7 +50,7 @@
 	lastServed        time.Duration
 	lastResponse      time.Duration
 	usualResponseTime float64       // smoothed, in nanoseconds; 0: none measured
-	doubtedSince      time.Duration // silent for so long that another address is asked; 0: not
+	crossCheckSince   time.Duration // silent for so long that another address is asked; 0: not
 	suspectAt         time.Duration // another address has responded meanwhile: suspect if silent at this time; 0: not
 }
 
--- a/internal/address/faults.go
+++ b/internal/address/faults.go
@@ -4,7 +4,7 @@
 
 const (
 	maxBackoffSteps = 20
-	minGrace        = 10 * time.Millisecond // for a response that may be on its way
+	minSilenceGrace = 10 * time.Millisecond // for a response that may be on its way
 )
 
 // isConnectFault reports whether a fault is of a connect, not of a connection.
@@ -18,8 +18,8 @@
 	if e.removed {
 		return
 	}
-	was := e.state
-	if !trial && isRepeatedFault(was, reason) {
+	previousState := e.state
+	if !trial && isRepeatedFault(previousState, reason) {
 		if isConnectFault(reason) { // of a race without a better address, or one that had started before
 			e.backoffUntil = max(e.backoffUntil, s.now+s.backoff(s.settings.Backoff, e.failures))
 		}
@@ -27,17 +27,17 @@
 	}
 	wasDown := s.allDown()
 	e.failures++
-	e.timelyConns, e.reason, e.onProbation, e.doubtedSince, e.suspectAt = 0, reason, true, 0, 0
+	e.timelyConns, e.reason, e.onProbation, e.crossCheckSince, e.suspectAt = 0, reason, true, 0, 0
 	s.setFaultState(e, reason)
-	e.connectsFail = isConnectFault(reason) && (was == Healthy || was == Untried || e.connectsFail)
+	e.connectsFail = isConnectFault(reason) && (previousState == Healthy || previousState == Untried || e.connectsFail)
 	if e.unusable() && s.rank(e) > s.bestRank() {
 		for len(e.idle) > 0 {
 			s.closeConn(e.idle[len(e.idle)-1])
 		}
 	}
-	if e.state != was {
+	if e.state != previousState {
 		s.emit(Action{Kind: LogState, Addr: e.Addr, State: e.state, Reason: reason})
-		s.hastenRaces()
+		s.expediteRaces()
 	}
 	if !wasDown && s.allDown() {
 		s.maxUnproven = 1
@@ -54,14 +54,14 @@
 
 // setFaultState sets the state and the backoff after a fault.
 func (s *Selector) setFaultState(e *entry, reason Reason) {
-	switch was := e.state; {
+	switch previousState := e.state; {
 	case reason == ReasonNoFamily:
 		e.state, e.backoffUntil = Unsupported, s.now+s.jitter(s.settings.UnsupportedBackoff)
 	case reason == ReasonWrongNode:
 		e.state, e.backoffUntil = WrongNode, s.now+s.backoff(s.settings.WrongNodeBackoff, e.failures)
-	case was == WrongNode || reason == ReasonRejecting && was == Suspect:
+	case previousState == WrongNode || reason == ReasonRejecting && previousState == Suspect:
 		e.backoffUntil = s.now + s.backoff(s.settings.WrongNodeBackoff, e.failures)
-	case reason == ReasonRefused || reason == ReasonTimedOut || was == Suspect || was == Down:
+	case reason == ReasonRefused || reason == ReasonTimedOut || previousState == Suspect || previousState == Down:
 		e.state, e.backoffUntil = Down, s.now+s.backoff(s.settings.Backoff, e.failures)
 	default:
 		e.state, e.backoffUntil = Suspect, s.now+s.backoff(s.settings.Backoff, e.failures)
@@ -71,7 +71,7 @@
 // servesNothing reports whether a healthy address has served nothing for longer than a node that is only full would take, while
 // another healthy address can be used.
 func (s *Selector) servesNothing(e *entry) bool {
-	window := min(s.settings.RejectionWindow, max(2*minGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
+	window := min(s.settings.RejectionWindow, max(2*minSilenceGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
 	return s.now-e.lastServed >= window && s.rank(e) == rankGood && s.hasAlternative(e)
 }
 
--- a/internal/address/outcomes.go
+++ b/internal/address/handlers.go
@@ -15,9 +15,9 @@
 	s.waiting = append(s.waiting, waiter{e.Req, e.Idempotent, e.NamesShard})
 }
 
-// dropRequest removes a request that its owner has given up. If it was written, its connection is closed. A trial
+// cancelRequest removes a request that its owner has given up. If it was written, its connection is closed. A trial
 // that ends this way without a result may be repeated after TrialInterval.
-func (s *Selector) dropRequest(e Event) {
+func (s *Selector) cancelRequest(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy || c.req != e.Req {
 		s.waiting = slices.DeleteFunc(s.waiting, func(w waiter) bool { return w.req == e.Req })
@@ -34,8 +34,8 @@
 	}
 }
 
-// connected handles a connection that came up. It wins its race, and the race's other connections are closed.
-func (s *Selector) connected(id Conn) {
+// handleConnected handles a connection that came up. It wins its race, and the race's other connections are closed.
+func (s *Selector) handleConnected(id Conn) {
 	c := s.connByID(id)
 	if c == nil || c.phase != connecting {
 		s.emit(Action{Kind: Close, Conn: id}) // its slot was released before
@@ -66,8 +66,8 @@
 	s.makeIdle(c)
 }
 
-// connectFailed handles a connect that did not come up. A lack of local resources is no fault of the address.
-func (s *Selector) connectFailed(id Conn, reason Reason) {
+// handleConnectFailed handles a connect that did not come up. A lack of local resources is no fault of the address.
+func (s *Selector) handleConnectFailed(id Conn, reason Reason) {
 	c := s.connByID(id)
 	if c == nil || c.phase != connecting {
 		return
@@ -83,12 +83,12 @@
 		r.connecting--
 		r.stopped = r.stopped || reason == ReasonNoResource
 		r.nextConnect = s.now
-		s.advance(r)
+		s.advanceRace(r)
 	}
 }
 
-// responseReceived handles a complete response: it applies it to the address, and keeps or closes the connection.
-func (s *Selector) responseReceived(e Event) {
+// handleResponse handles a complete response: it applies it to the address, and keeps or closes the connection.
+func (s *Selector) handleResponse(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
 		return
@@ -114,9 +114,9 @@
 	}
 }
 
-// connBroken handles a connection that ended with a request on it. A request of which nothing was written waits again, at
+// handleConnBroken handles a connection that ended with a request on it. A request of which nothing was written waits again, at
 // the head; otherwise the driver has reported the failure to its owner.
-func (s *Selector) connBroken(e Event) {
+func (s *Selector) handleConnBroken(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
 		return
@@ -140,27 +140,27 @@
 	}
 }
 
-// idleConnClosed removes an idle connection that ended.
-func (s *Selector) idleConnClosed(id Conn) {
+// handleIdleConnClosed removes an idle connection that ended.
+func (s *Selector) handleIdleConnClosed(id Conn) {
 	if c := s.connByID(id); c != nil && c.phase == idle {
 		s.removeIdle(c)
 		s.releaseConn(c)
 	}
 }
 
-// progressSeen handles a sign of life on a connection whose request goes on.
-func (s *Selector) progressSeen(id Conn) {
+// handleProgress handles a sign of life on a connection whose request goes on.
+func (s *Selector) handleProgress(id Conn) {
 	c := s.connByID(id)
 	if c == nil || c.phase != busy {
 		return
 	}
 	c.since, c.silenceCounted = s.now, false
-	c.entry.lastResponse, c.entry.breaksInRow, c.entry.doubtedSince, c.entry.suspectAt = s.now, 0, 0, 0
-	s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+s.secondOpinionDelay())
+	c.entry.lastResponse, c.entry.breaksInRow, c.entry.crossCheckSince, c.entry.suspectAt = s.now, 0, 0, 0
+	s.nextSilenceCheck = min(s.nextSilenceCheck, s.now+s.crossCheckDelay())
 }
 
-// nodeRemoved closes all idle and connecting connections. Busy ones finish their requests.
-func (s *Selector) nodeRemoved() {
+// handleNodeRemoved closes all idle and connecting connections. Busy ones finish their requests.
+func (s *Selector) handleNodeRemoved() {
 	s.closing = true
 	s.stopConnecting()
 	for i := range s.conns {
@@ -191,7 +191,7 @@
 		e.removed = true
 	}
 	for i := range s.conns { // in the order of the slots, so that the same events give the same actions
-		if c := &s.conns[i]; c.phase != none && c.entry.removed && c.phase != busy {
+		if c := &s.conns[i]; c.phase != unused && c.entry.removed && c.phase != busy {
 			r := c.race
 			s.closeConn(c)
 			if r != nil {
@@ -205,6 +205,6 @@
 	}
 	s.choosePrimary()
 	for _, r := range slices.Clone(s.races) {
-		s.advance(r)
+		s.advanceRace(r)
 	}
 }
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -36,170 +36,170 @@
 	to   Addr
 }
 
-func newHarness(set Settings, addrs ...string) *harness {
-	b, err := New(set, 7)
+func newHarness(settings Settings, addrs ...string) *harness {
+	selector, err := New(settings, 7)
 	if err != nil {
 		panic(err)
 	}
-	r := &harness{selector: b, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
+	r := &harness{selector: selector, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
 	r.setAddresses(addrs...)
 	return r
 }
 
-func (r *harness) setAddresses(addrs ...string) {
+func (h *harness) setAddresses(addrs ...string) {
 	list, errs := ParseList(addrs)
 	if len(errs) > 0 {
 		panic(errs)
 	}
-	r.step(Event{Kind: AddressesChanged, Addrs: list})
+	h.step(Event{Kind: AddressesChanged, Addrs: list})
 }
 
-func (r *harness) fail(form string, args ...any) {
-	if r.err == nil {
-		r.err = fmt.Errorf(form, args...)
+func (h *harness) fail(form string, args ...any) {
+	if h.err == nil {
+		h.err = fmt.Errorf(form, args...)
 	}
 }
 
-func without(list []Conn, c Conn) []Conn {
+func deleteConn(list []Conn, c Conn) []Conn {
 	return slices.DeleteFunc(list, func(o Conn) bool { return o == c })
 }
 
 // step applies an event and carries out the actions.
-func (r *harness) step(e Event) {
+func (h *harness) step(e Event) {
 	switch e.Kind {
 	case DrainChanged:
-		r.draining = e.Draining
+		h.draining = e.Draining
 	case NodeRemoved:
-		r.removed = true
+		h.removed = true
 	}
-	before := r.selector.Primary()
-	r.actions = r.selector.Step(r.now, e, r.actions[:0])
-	for _, a := range r.actions {
-		r.apply(a)
+	before := h.selector.Primary()
+	h.actions = h.selector.Step(h.now, e, h.actions[:0])
+	for _, a := range h.actions {
+		h.apply(a)
 	}
-	if r.onStep != nil {
-		r.onStep(e)
+	if h.onStep != nil {
+		h.onStep(e)
 	}
-	if to := r.selector.Primary(); to != before && e.Kind != AddressesChanged {
-		r.primaryChanges = append(r.primaryChanges, primaryChange{r.now, before, to})
+	if to := h.selector.Primary(); to != before && e.Kind != AddressesChanged {
+		h.primaryChanges = append(h.primaryChanges, primaryChange{h.now, before, to})
 		state := map[Addr]State{}
-		for _, x := range r.selector.Snapshot(nil) {
+		for _, x := range h.selector.Snapshot(nil) {
 			state[x.Addr] = x.State
 		}
 		if state[before] <= Healthy && state[to] > Healthy {
-			r.fail("from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
+			h.fail("from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
 		}
 	}
-	if err := r.selector.Check(); err != nil {
-		r.fail("%w", err)
+	if err := h.selector.Check(); err != nil {
+		h.fail("%w", err)
 	}
 }
 
 // apply carries out an action and checks the invariants of it.
-func (r *harness) apply(a Action) {
+func (h *harness) apply(a Action) {
 	switch a.Kind {
 	case Connect:
-		if r.draining || r.removed {
-			r.fail("connect while the node drains or is removed")
+		if h.draining || h.removed {
+			h.fail("connect while the node drains or is removed")
 		}
-		if _, twice := r.addrOf[a.Conn]; twice {
-			r.fail("connection %d opened twice", a.Conn)
+		if _, twice := h.addrOf[a.Conn]; twice {
+			h.fail("connection %d opened twice", a.Conn)
 		}
-		r.addrOf[a.Conn] = a.Addr
-		r.connecting = append(r.connecting, a.Conn)
-		r.connects = append(r.connects, r.now)
+		h.addrOf[a.Conn] = a.Addr
+		h.connecting = append(h.connecting, a.Conn)
+		h.connects = append(h.connects, h.now)
 	case Write:
-		if r.draining || r.removed {
-			r.fail("written while the node drains or is removed")
+		if h.draining || h.removed {
+			h.fail("written while the node drains or is removed")
 		}
-		if r.requestOn[a.Conn] != 0 || slices.Contains(r.connecting, a.Conn) {
-			r.fail("written on a connection in use")
+		if h.requestOn[a.Conn] != 0 || slices.Contains(h.connecting, a.Conn) {
+			h.fail("written on a connection in use")
 		}
-		if r.writes[a.Req]++; r.writes[a.Req] > 1 || !r.openRequests[a.Req] {
-			r.fail("request %d written %d times", a.Req, r.writes[a.Req])
+		if h.writes[a.Req]++; h.writes[a.Req] > 1 || !h.openRequests[a.Req] {
+			h.fail("request %d written %d times", a.Req, h.writes[a.Req])
 		}
-		r.requestOn[a.Conn] = a.Req
-		r.busy = append(r.busy, a.Conn)
+		h.requestOn[a.Conn] = a.Req
+		h.busy = append(h.busy, a.Conn)
 	case Close:
-		r.forget(a.Conn)
+		h.removeConn(a.Conn)
 	case Fail:
-		if r.writes[a.Req] > 0 || !r.openRequests[a.Req] {
-			r.fail("request %d failed after it was written or over", a.Req)
+		if h.writes[a.Req] > 0 || !h.openRequests[a.Req] {
+			h.fail("request %d failed after it was written or over", a.Req)
 		}
-		r.failed[a.Req] = true
-		delete(r.openRequests, a.Req)
+		h.failed[a.Req] = true
+		delete(h.openRequests, a.Req)
 	case LogState:
-		r.logged = append(r.logged, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
+		h.logged = append(h.logged, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
 	}
 }
 
-func (r *harness) forget(c Conn) {
-	r.connecting, r.busy = without(r.connecting, c), without(r.busy, c)
-	delete(r.requestOn, c)
+func (h *harness) removeConn(c Conn) {
+	h.connecting, h.busy = deleteConn(h.connecting, c), deleteConn(h.busy, c)
+	delete(h.requestOn, c)
 }
 
-func (r *harness) queueRequest(idempotent bool) Req {
-	r.lastRequest++
-	r.openRequests[r.lastRequest] = true
-	r.step(Event{Kind: RequestQueued, Req: r.lastRequest, Idempotent: idempotent, NamesShard: true})
-	return r.lastRequest
+func (h *harness) queueRequest(idempotent bool) Req {
+	h.lastRequest++
+	h.openRequests[h.lastRequest] = true
+	h.step(Event{Kind: RequestQueued, Req: h.lastRequest, Idempotent: idempotent, NamesShard: true})
+	return h.lastRequest
 }
 
-func (r *harness) connectionUp(c Conn) {
-	r.connecting = without(r.connecting, c)
-	r.step(Event{Kind: Connected, Conn: c})
+func (h *harness) connectionUp(c Conn) {
+	h.connecting = deleteConn(h.connecting, c)
+	h.step(Event{Kind: Connected, Conn: c})
 }
 
-func (r *harness) connectFails(c Conn, reason Reason) {
-	r.forget(c)
-	r.step(Event{Kind: ConnectFailed, Conn: c, Reason: reason})
+func (h *harness) connectFails(c Conn, reason Reason) {
+	h.removeConn(c)
+	h.step(Event{Kind: ConnectFailed, Conn: c, Reason: reason})
 }
 
-func (r *harness) respond(c Conn, v Verdict) {
-	delete(r.openRequests, r.requestOn[c])
-	r.forget(c)
-	r.step(Event{Kind: ResponseReceived, Conn: c, Verdict: v, KeepAlive: true})
+func (h *harness) respond(c Conn, verdict Verdict) {
+	delete(h.openRequests, h.requestOn[c])
+	h.removeConn(c)
+	h.step(Event{Kind: ResponseReceived, Conn: c, Verdict: verdict, KeepAlive: true})
 }
 
-func (r *harness) breakConn(c Conn, reason Reason) {
-	if q := r.requestOn[c]; reason == ReasonUnwritten {
-		r.writes[q]--
+func (h *harness) breakConn(c Conn, reason Reason) {
+	if q := h.requestOn[c]; reason == ReasonUnwritten {
+		h.writes[q]--
 	} else {
-		delete(r.openRequests, q)
+		delete(h.openRequests, q)
 	}
-	r.forget(c)
-	r.step(Event{Kind: ConnBroken, Conn: c, Reason: reason})
+	h.removeConn(c)
+	h.step(Event{Kind: ConnBroken, Conn: c, Reason: reason})
 }
 
-// giveUp drops a request.
-func (r *harness) giveUp(q Req) {
+// cancelRequest drops a request.
+func (h *harness) cancelRequest(q Req) {
 	on := Conn(0)
-	for c, x := range r.requestOn {
+	for c, x := range h.requestOn {
 		if x == q {
 			on = c
 		}
 	}
-	delete(r.openRequests, q)
-	r.step(Event{Kind: RequestDropped, Req: q, Conn: on})
+	delete(h.openRequests, q)
+	h.step(Event{Kind: RequestDropped, Req: q, Conn: on})
 }
 
-func (r *harness) pass(d time.Duration) {
-	r.now += d
-	r.step(Event{Kind: TimerFired})
+func (h *harness) advanceTime(d time.Duration) {
+	h.now += d
+	h.step(Event{Kind: TimerFired})
 }
 
 // lastAction is the connection of the last action of a kind, and its address.
-func (r *harness) lastAction(k ActionKind) (Conn, string) {
-	for i := len(r.actions) - 1; i >= 0; i-- {
-		if a := r.actions[i]; a.Kind == k {
-			return a.Conn, r.addrOf[a.Conn].String()
+func (h *harness) lastAction(k ActionKind) (Conn, string) {
+	for i := len(h.actions) - 1; i >= 0; i-- {
+		if a := h.actions[i]; a.Kind == k {
+			return a.Conn, h.addrOf[a.Conn].String()
 		}
 	}
 	return 0, ""
 }
 
-func (r *harness) count(k ActionKind) (n int) {
-	for _, a := range r.actions {
+func (h *harness) count(k ActionKind) (n int) {
+	for _, a := range h.actions {
 		if a.Kind == k {
 			n++
 		}
@@ -210,26 +210,26 @@
 // simulation is a node each of whose addresses behaves in a given way, for runs over time.
 type simulation struct {
 	*harness
-	mode         map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
-	pending      []pendingEvent
+	modes        map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
+	scheduled    []scheduledCall
 	responseTime time.Duration
 	connectsTo   map[string]int
 	outcome      map[Req]string
 	sentTo       map[Req]string
 }
 
-type pendingEvent struct {
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
 func newSimulation(set Settings, addrs ...string) *simulation {
-	return &simulation{harness: newHarness(set, addrs...), mode: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
+	return &simulation{harness: newHarness(set, addrs...), modes: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
 		outcome: map[Req]string{}, sentTo: map[Req]string{}}
 }
 
-func (s *simulation) later(d time.Duration, do func()) {
-	s.pending = append(s.pending, pendingEvent{s.now + d, do})
+func (s *simulation) schedule(d time.Duration, do func()) {
+	s.scheduled = append(s.scheduled, scheduledCall{s.now + d, do})
 }
 
 // respondToActions lets the addresses respond to the actions of the last step.
@@ -250,15 +250,15 @@
 func (s *simulation) respondToConnect(c Conn) {
 	to := s.addrOf[c].String()
 	s.connectsTo[to]++
-	switch s.mode[to] {
+	switch s.modes[to] {
 	case "refused":
-		s.later(0, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonRefused) }) })
+		s.schedule(0, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonRefused) }) })
 	case "hang":
-		s.later(250*ms, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonTimedOut) }) })
+		s.schedule(250*ms, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonTimedOut) }) })
 	case "late":
-		s.later(150*ms, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(150*ms, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
 	default:
-		s.later(ms/5, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(ms/5, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
 	}
 }
 
@@ -266,16 +266,16 @@
 	to := s.addrOf[c].String()
 	s.sentTo[q] = to
 	end := func(d time.Duration, outcome string, do func()) {
-		s.later(d, func() {
+		s.schedule(d, func() {
 			if s.requestOn[c] == q {
 				s.outcome[q] = outcome
 				do()
 			}
 		})
 	}
-	switch s.mode[to] {
+	switch s.modes[to] {
 	case "silent":
-		end(1500*ms, "late", func() { s.giveUp(q) })
+		end(1500*ms, "late", func() { s.cancelRequest(q) })
 	case "reset":
 		end(ms, "reset", func() { s.breakConn(c, ReasonReset) })
 	case "slow":
@@ -299,7 +299,7 @@
 	next := s.now
 	for n := 0; s.now < end; {
 		at := min(end, s.selector.Next(), next)
-		for _, m := range s.pending {
+		for _, m := range s.scheduled {
 			at = min(at, m.at)
 		}
 		s.now = max(s.now, at)
@@ -307,9 +307,9 @@
 			return
 		}
 		fired := false
-		for i, m := range s.pending {
+		for i, m := range s.scheduled {
 			if m.at <= s.now {
-				s.pending = slices.Delete(s.pending, i, i+1)
+				s.scheduled = slices.Delete(s.scheduled, i, i+1)
 				m.do()
 				s.respondToActions()
 				fired = true
@@ -331,13 +331,13 @@
 }
 
 func (s *simulation) outcomeCounts() map[string]int {
-	t := map[string]int{}
-	for _, how := range s.outcome {
-		t[how]++
+	counts := map[string]int{}
+	for _, outcome := range s.outcome {
+		counts[outcome]++
 	}
-	return t
+	return counts
 }
 
-func always(int) bool        { return true }
-func mostly(n int) bool      { return n%3 != 0 }
-func (s *simulation) reset() { clear(s.outcome); clear(s.connectsTo); s.connects = nil }
+func allIdempotent(int) bool         { return true }
+func twoThirdsIdempotent(n int) bool { return n%3 != 0 }
+func (s *simulation) resetCounts()   { clear(s.outcome); clear(s.connectsTo); s.connects = nil }
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -10,19 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// options are the events that may happen next.
-func (r *harness) options() (out []string) {
+// possibleEvents are the events that may happen next.
+func (h *harness) possibleEvents() (out []string) {
 	out = append(out, "queue", "queue non-idempotent", "short", "long")
-	if len(r.connecting) > 0 {
+	if len(h.connecting) > 0 {
 		out = append(out, "connect", "fail", "hang", "no resource")
 	}
-	if len(r.connecting) > 1 {
+	if len(h.connecting) > 1 {
 		out = append(out, "connect last", "fail last")
 	}
-	if len(r.busy) > 0 {
+	if len(h.busy) > 0 {
 		out = append(out, "respond", "reject", "reset", "unwritten", "give up")
 	}
-	if !r.draining {
+	if !h.draining {
 		out = append(out, "drain")
 	} else {
 		out = append(out, "undrain")
@@ -30,83 +30,83 @@
 	return append(out, "list")
 }
 
-var lists = [][]string{{unixA, six, four}, {four, unixA}, {six}}
+var testLists = [][]string{{unixAddr, ipv6Addr, ipv4Addr}, {ipv4Addr, unixAddr}, {ipv6Addr}}
 
-// play applies an event of options.
-func (r *harness) play(what string) {
+// applyOption applies an event of options.
+func (h *harness) applyOption(what string) {
 	switch what {
 	case "queue":
-		r.queueRequest(true)
+		h.queueRequest(true)
 	case "queue non-idempotent":
-		r.queueRequest(false)
+		h.queueRequest(false)
 	case "short":
-		r.pass(100 * ms)
+		h.advanceTime(100 * ms)
 	case "long":
-		r.pass(3 * time.Second)
+		h.advanceTime(3 * time.Second)
 	case "connect":
-		r.connectionUp(r.connecting[0])
+		h.connectionUp(h.connecting[0])
 	case "connect last":
-		r.connectionUp(r.connecting[len(r.connecting)-1])
+		h.connectionUp(h.connecting[len(h.connecting)-1])
 	case "fail":
-		r.connectFails(r.connecting[0], ReasonRefused)
+		h.connectFails(h.connecting[0], ReasonRefused)
 	case "fail last":
-		r.connectFails(r.connecting[len(r.connecting)-1], ReasonRefused)
+		h.connectFails(h.connecting[len(h.connecting)-1], ReasonRefused)
 	case "hang":
-		r.connectFails(r.connecting[0], ReasonTimedOut)
+		h.connectFails(h.connecting[0], ReasonTimedOut)
 	case "no resource":
-		r.connectFails(r.connecting[0], ReasonNoResource)
+		h.connectFails(h.connecting[0], ReasonNoResource)
 	case "respond":
-		r.respond(r.busy[0], VerdictServed)
+		h.respond(h.busy[0], VerdictServed)
 	case "reject":
-		r.respond(r.busy[0], VerdictRejected)
+		h.respond(h.busy[0], VerdictRejected)
 	case "reset":
-		r.breakConn(r.busy[0], ReasonReset)
+		h.breakConn(h.busy[0], ReasonReset)
 	case "unwritten":
-		r.breakConn(r.busy[0], ReasonUnwritten)
+		h.breakConn(h.busy[0], ReasonUnwritten)
 	case "give up":
-		r.giveUp(r.requestOn[r.busy[0]])
+		h.cancelRequest(h.requestOn[h.busy[0]])
 	case "drain":
-		r.step(Event{Kind: DrainChanged, Draining: true})
+		h.step(Event{Kind: DrainChanged, Draining: true})
 	case "undrain":
-		r.step(Event{Kind: DrainChanged})
+		h.step(Event{Kind: DrainChanged})
 	case "list":
-		r.setAddresses(lists[(int(r.lastRequest)+len(r.primaryChanges))%len(lists)]...)
+		h.setAddresses(testLists[(int(h.lastRequest)+len(h.primaryChanges))%len(testLists)]...)
 	}
 }
 
-// bounded checks the invariants over time: connects in any duration, and returns.
-func (r *harness) bounded(set Settings) error {
-	for i := range r.connects {
-		for j := i; j < len(r.connects); j++ {
-			duration := r.connects[j] - r.connects[i]
-			if bound := float64(set.ConnectBurst) + set.ConnectRate*duration.Seconds() + 1e-6; float64(j-i+1) > bound {
+// checkRates checks the invariants over time: connects in any duration, and returns.
+func (h *harness) checkRates(settings Settings) error {
+	for i := range h.connects {
+		for j := i; j < len(h.connects); j++ {
+			duration := h.connects[j] - h.connects[i]
+			if bound := float64(settings.ConnectBurst) + settings.ConnectRate*duration.Seconds() + 1e-6; float64(j-i+1) > bound {
 				return fmt.Errorf("%d connects in %v", j-i+1, duration)
 			}
 		}
 	}
-	last := time.Duration(-1)
+	lastReturn := time.Duration(-1)
 	rank := func(a Addr) int {
-		for i, x := range r.selector.Snapshot(nil) {
+		for i, x := range h.selector.Snapshot(nil) {
 			if x.Addr == a {
 				return i
 			}
 		}
 		return -1
 	}
-	for _, m := range r.primaryChanges {
-		if from, to := rank(m.from), rank(m.to); from < 0 || to < 0 || to > from {
+	for _, change := range h.primaryChanges {
+		if from, to := rank(change.from), rank(change.to); from < 0 || to < 0 || to > from {
 			continue // to a less preferred address
 		}
-		if last >= 0 && m.at-last < set.MinReturnDelay {
-			return fmt.Errorf("returns at %v and %v", last, m.at)
+		if lastReturn >= 0 && change.at-lastReturn < settings.MinReturnDelay {
+			return fmt.Errorf("returns at %v and %v", lastReturn, change.at)
 		}
-		last = m.at
+		lastReturn = change.at
 	}
 	return nil
 }
 
-// smallSettings have low bounds, so that tests reach them.
-func smallSettings() Settings {
+// lowBoundSettings have low bounds, so that tests reach them.
+func lowBoundSettings() Settings {
 	s := Defaults()
 	s.MaxConns, s.ConnectBurst, s.ConnectRate, s.MaxWaiting, s.MaxRejections, s.MinReturnConns = 4, 6, 5, 3, 2, 2
 	return s
@@ -114,29 +114,29 @@
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := smallSettings()
-		r := newHarness(set, three...)
+		settings := lowBoundSettings()
+		h := newHarness(settings, threeAddresses...)
 		fixed := rapid.Bool().Draw(t, "fixed list")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			what := rapid.SampledFrom(r.options()).Draw(t, "what")
+			what := rapid.SampledFrom(h.possibleEvents()).Draw(t, "what")
 			if fixed && what == "list" {
 				continue
 			}
-			if r.play(what); r.err != nil {
-				t.Fatal(r.err)
+			if h.applyOption(what); h.err != nil {
+				t.Fatal(h.err)
 			}
 		}
-		if err := r.bounded(set); err != nil {
+		if err := h.checkRates(settings); err != nil {
 			t.Fatal(err)
 		}
 		// Nothing waits once the owners of all requests have given up.
-		for _, q := range slices.Sorted(maps.Keys(r.openRequests)) {
-			if r.openRequests[q] {
-				r.giveUp(q)
+		for _, q := range slices.Sorted(maps.Keys(h.openRequests)) {
+			if h.openRequests[q] {
+				h.cancelRequest(q)
 			}
 		}
-		if r.err != nil || r.selector.Waiting() != 0 || len(r.busy) != 0 {
-			t.Fatal(r.err, r.selector.Waiting(), r.busy)
+		if h.err != nil || h.selector.Waiting() != 0 || len(h.busy) != 0 {
+			t.Fatal(h.err, h.selector.Waiting(), h.busy)
 		}
 	})
 }
@@ -145,48 +145,48 @@
 // the primary.
 func TestUsableAddressIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(Defaults(), three...)
-		modes := []string{"ok", "refused", "hang", "silent", "reset", "slow", "wrong"}
+		s := newSimulation(Defaults(), threeAddresses...)
+		allModes := []string{"ok", "refused", "hang", "silent", "reset", "slow", "wrong"}
 		for range rapid.IntRange(1, 6).Draw(t, "periods") {
-			for _, a := range three {
-				s.mode[a] = rapid.SampledFrom(modes).Draw(t, a)
+			for _, a := range threeAddresses {
+				s.modes[a] = rapid.SampledFrom(allModes).Draw(t, a)
 			}
-			s.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*ms, 20*ms, mostly)
+			s.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*ms, 20*ms, twoThirdsIdempotent)
 		}
-		usable := rapid.SampledFrom(three).Draw(t, "usable")
-		for _, a := range three {
-			if s.mode[a] = rapid.SampledFrom([]string{"refused", "hang", "silent"}).Draw(t, "others"); a == usable {
-				s.mode[a] = "ok"
+		usable := rapid.SampledFrom(threeAddresses).Draw(t, "usable")
+		for _, a := range threeAddresses {
+			if s.modes[a] = rapid.SampledFrom([]string{"refused", "hang", "silent"}).Draw(t, "others"); a == usable {
+				s.modes[a] = "ok"
 			}
 		}
-		s.run(25*time.Second, 20*ms, mostly) // backoffs end
-		s.reset()
-		s.run(5*time.Second, 20*ms, mostly)
-		if tally := s.outcomeCounts(); tally["served"] < 225 { // trials fail
-			t.Fatalf("one address is usable: %v", tally)
+		s.run(25*time.Second, 20*ms, twoThirdsIdempotent) // backoffs end
+		s.resetCounts()
+		s.run(5*time.Second, 20*ms, twoThirdsIdempotent)
+		if counts := s.outcomeCounts(); counts["served"] < 225 { // trials fail
+			t.Fatalf("one address is usable: %v", counts)
 		}
-		for _, a := range three {
-			s.mode[a] = "ok"
+		for _, a := range threeAddresses {
+			s.modes[a] = "ok"
 		}
-		s.run(150*time.Second, 50*ms, mostly)
+		s.run(150*time.Second, 50*ms, twoThirdsIdempotent)
 		if s.err != nil {
 			t.Fatal(s.err)
 		}
-		if p := s.selector.Primary().String(); p != unixA {
+		if p := s.selector.Primary().String(); p != unixAddr {
 			t.Fatalf("primary %s: %+v", p, s.selector.Snapshot(nil))
 		}
 	})
 }
 
 // clone copies the harness with its selector, so that different events can follow the same state.
-func (r *harness) clone() *harness {
-	n := *r
-	n.actions, n.connecting, n.busy = nil, slices.Clone(r.connecting), slices.Clone(r.busy)
-	n.addrOf, n.requestOn, n.writes = maps.Clone(r.addrOf), maps.Clone(r.requestOn), maps.Clone(r.writes)
-	n.failed, n.openRequests = maps.Clone(r.failed), maps.Clone(r.openRequests)
-	n.connects, n.primaryChanges, n.logged = slices.Clone(r.connects), slices.Clone(r.primaryChanges), nil
-	selector := *r.selector
-	rng := *r.selector.rng
+func (h *harness) clone() *harness {
+	cloned := *h
+	cloned.actions, cloned.connecting, cloned.busy = nil, slices.Clone(h.connecting), slices.Clone(h.busy)
+	cloned.addrOf, cloned.requestOn, cloned.writes = maps.Clone(h.addrOf), maps.Clone(h.requestOn), maps.Clone(h.writes)
+	cloned.failed, cloned.openRequests = maps.Clone(h.failed), maps.Clone(h.openRequests)
+	cloned.connects, cloned.primaryChanges, cloned.logged = slices.Clone(h.connects), slices.Clone(h.primaryChanges), nil
+	selector := *h.selector
+	rng := *h.selector.rng
 	selector.rng = &rng
 	entries, races := map[*entry]*entry{}, map[*race]*race{}
 	clonedEntry := func(e *entry) *entry {
@@ -199,7 +199,7 @@
 		}
 		return entries[e]
 	}
-	selector.conns = slices.Clone(r.selector.conns)
+	selector.conns = slices.Clone(h.selector.conns)
 	at := func(c *conn) *conn {
 		if c == nil {
 			return nil
@@ -207,11 +207,11 @@
 		return &selector.conns[int(c.id&0xffff)-1]
 	}
 	selector.entries = nil
-	for _, e := range r.selector.entries {
+	for _, e := range h.selector.entries {
 		selector.entries = append(selector.entries, clonedEntry(e))
 	}
 	selector.races, selector.freeRaces = nil, nil
-	for _, x := range r.selector.races {
+	for _, x := range h.selector.races {
 		c := *x
 		c.attempted = nil
 		for _, e := range x.attempted {
@@ -221,7 +221,7 @@
 		selector.races = append(selector.races, &c)
 	}
 	for i := range selector.conns {
-		if c := &selector.conns[i]; c.phase != none {
+		if c := &selector.conns[i]; c.phase != unused {
 			c.entry, c.race = clonedEntry(c.entry), races[c.race]
 		}
 	}
@@ -233,50 +233,50 @@
 			e.idle = append(e.idle, at(c))
 		}
 	}
-	selector.primary = clonedEntry(r.selector.primary)
-	selector.freeSlots, selector.waiting = slices.Clone(r.selector.freeSlots), slices.Clone(r.selector.waiting)
-	n.selector = &selector
-	return &n
+	selector.primary = clonedEntry(h.selector.primary)
+	selector.freeSlots, selector.waiting = slices.Clone(h.selector.freeSlots), slices.Clone(h.selector.waiting)
+	cloned.selector = &selector
+	return &cloned
 }
 
 // digest is the part of the state that later events depend on. Times are relative to now.
-func (r *harness) digest() string {
-	selector := r.selector
-	s := fmt.Sprint(r.draining, len(selector.waiting), selector.maxUnproven, int(selector.connectTokens*4), selector.Primary(), len(selector.races), selector.earliestReturn > r.now, selector.nextDownTrial > r.now)
+func (h *harness) digest() string {
+	selector := h.selector
+	text := fmt.Sprint(h.draining, len(selector.waiting), selector.maxUnproven, int(selector.connectTokens*4), selector.Primary(), len(selector.races), selector.earliestReturn > h.now, selector.nextDownTrial > h.now)
 	for _, e := range selector.entries {
-		s += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.connectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > r.now, e.trialConn != nil)
+		text += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.connectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > h.now, e.trialConn != nil)
 	}
 	for _, x := range selector.races {
-		s += fmt.Sprint("/", x.connecting, len(x.attempted), x.stopped, x.nextConnect > r.now)
+		text += fmt.Sprint("/", x.connecting, len(x.attempted), x.stopped, x.nextConnect > h.now)
 	}
-	for _, c := range append(slices.Clone(r.connecting), r.busy...) {
+	for _, c := range append(slices.Clone(h.connecting), h.busy...) {
 		x := selector.connByID(c)
-		s += fmt.Sprint(",", x.entry.Addr, x.phase, x.trial, x.anyRequest, x.unproven, x.silenceCounted, r.now-x.since, x.entry.lastResponse < x.since)
+		text += fmt.Sprint(",", x.entry.Addr, x.phase, x.trial, x.anyRequest, x.unproven, x.silenceCounted, h.now-x.since, x.entry.lastResponse < x.since)
 	}
 	for _, w := range selector.waiting {
-		s += fmt.Sprint(w.idempotent)
+		text += fmt.Sprint(w.idempotent)
 	}
-	return s
+	return text
 }
 
-const walkDepth = 7 // events
+const explorationDepth = 7 // events
 
-// Every order of walkDepth events for three addresses. States of the same digest are continued once.
-func TestInvariantsInEveryOrder(t *testing.T) {
-	set := smallSettings()
+// Every order of explorationDepth events for three addresses. States of the same digest are continued once.
+func TestInvariantsInEveryEventOrder(t *testing.T) {
+	settings := lowBoundSettings()
 	seen := map[string]bool{}
-	level := []*harness{newHarness(set, three...)}
+	level := []*harness{newHarness(settings, threeAddresses...)}
 	states, steps := 1, 0
-	for depth := range walkDepth {
+	for depth := range explorationDepth {
 		var next []*harness
 		for _, r := range level {
-			for _, what := range r.options() {
+			for _, what := range r.possibleEvents() {
 				n := r.clone()
-				n.play(what)
+				n.applyOption(what)
 				steps++
 				err := n.err
 				if err == nil {
-					err = n.bounded(set)
+					err = n.checkRates(settings)
 				}
 				if err != nil {
 					t.Fatalf("depth %d, %s: %v", depth+1, what, err)
@@ -284,7 +284,7 @@
 				if k := n.digest(); !seen[k] {
 					seen[k] = true
 					states++
-					if depth+1 < walkDepth {
+					if depth+1 < explorationDepth {
 						next = append(next, n)
 					}
 				}
@@ -292,7 +292,7 @@
 		}
 		level = next
 	}
-	t.Logf("depth %d: %d states, %d steps", walkDepth, states, steps)
+	t.Logf("depth %d: %d states, %d steps", explorationDepth, states, steps)
 }
 
 // BenchmarkPick is a request by an idle connection, and its response.
@@ -301,7 +301,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	list, _ := ParseList(three)
+	list, _ := ParseList(threeAddresses)
 	actions := selector.Step(0, Event{Kind: AddressesChanged, Addrs: list}, nil)
 	actions = selector.Step(0, Event{Kind: RequestQueued, Req: 1, Idempotent: true, NamesShard: true}, actions[:0])
 	c := actions[0].Conn
--- a/internal/address/primary.go
+++ b/internal/address/primary.go
@@ -1,12 +1,12 @@
 package address
 
-const relapseFactor = 4 // a return that lasted fewer return delays did not last
+const stableReturnFactor = 4 // a return that lasted fewer return delays did not last
 
 // choosePrimary sets the primary: it leaves an address that is worse than another at once, and returns to a preferred one
 // by the rule of returns.
 func (s *Selector) choosePrimary() {
-	was := s.primary
-	if was == nil {
+	previous := s.primary
+	if previous == nil {
 		for _, e := range s.entries {
 			if s.primary == nil || s.rank(e) < s.rank(s.primary) {
 				s.primary = e
@@ -22,11 +22,11 @@
 			s.primary = e
 		}
 	}
-	if s.primary == was {
+	if s.primary == previous {
 		s.returnToPreferred()
 		return
 	}
-	if s.now-s.lastReturn < relapseFactor*s.returnDelay {
+	if s.now-s.lastReturn < stableReturnFactor*s.returnDelay {
 		s.returnDelay = min(2*s.returnDelay, s.settings.MaxReturnDelay)
 	} else {
 		s.returnDelay = s.settings.MinReturnDelay
@@ -43,14 +43,14 @@
 		if e == s.primary {
 			return
 		}
-		if s.hasProvenItself(e) && s.now-e.lastResponse <= s.settings.MinReturnDelay {
+		if s.qualifiesAsPrimary(e) && s.now-e.lastResponse <= s.settings.MinReturnDelay {
 			s.primary, s.lastReturn, s.earliestReturn = e, s.now, s.now+s.returnDelay
 			return
 		}
 	}
 }
 
-// hasProvenItself reports whether an address has had enough timely connections to become the primary.
-func (s *Selector) hasProvenItself(e *entry) bool {
+// qualifiesAsPrimary reports whether an address has had enough timely connections to become the primary.
+func (s *Selector) qualifiesAsPrimary(e *entry) bool {
 	return e.state == Healthy && !e.onProbation && e.timelyConns >= s.settings.MinReturnConns
 }
--- a/internal/address/race.go
+++ b/internal/address/race.go
@@ -54,8 +54,8 @@
 	return s.now + time.Duration(math.Ceil((1-s.connectTokens)/s.settings.ConnectRate*1e9))
 }
 
-// candidate is the address to which a race connects next, or nil.
-func (s *Selector) candidate(r *race) *entry {
+// nextCandidate is the address to which a race connects next, or nil.
+func (s *Selector) nextCandidate(r *race) *entry {
 	var best *entry
 	down := s.allDown()
 	for _, e := range s.entries {
@@ -97,23 +97,23 @@
 		r, s.freeRaces = s.freeRaces[n-1], s.freeRaces[:n-1]
 	}
 	*r = race{attempted: r.attempted[:0], nextConnect: s.now}
-	if s.candidate(r) == nil {
+	if s.nextCandidate(r) == nil {
 		s.freeRaces = append(s.freeRaces, r)
 		return false, false
 	}
 	s.races = append(s.races, r)
-	s.advance(r)
+	s.advanceRace(r)
 	return true, true
 }
 
-// advance starts the next connect of a race if it is due, or ends the race.
-func (s *Selector) advance(r *race) {
+// advanceRace starts the next connect of a race if it is due, or ends the race.
+func (s *Selector) advanceRace(r *race) {
 	for r.nextConnect <= s.now {
 		r.nextConnect = never
-		e := s.candidate(r)
-		needless := len(s.waiting) == 0 && r.connecting == 0
+		e := s.nextCandidate(r)
+		unneeded := len(s.waiting) == 0 && r.connecting == 0
 		switch {
-		case r.stopped || e == nil || needless || !s.hasFreeSlot(s.isTrialOnly(e)):
+		case r.stopped || e == nil || unneeded || !s.hasFreeSlot(s.isTrialOnly(e)):
 			if r.connecting == 0 {
 				s.failRace(r)
 			}
@@ -142,16 +142,16 @@
 	}
 }
 
-// hastenRaces makes the next connect due of races whose connects all go to addresses that have failed meanwhile.
-func (s *Selector) hastenRaces() {
+// expediteRaces makes the next connect due of races whose connects all go to addresses that have failed meanwhile.
+func (s *Selector) expediteRaces() {
 	best := s.bestRank()
 	for _, r := range s.races {
-		promising := false
+		hasUsableConnect := false
 		for i := range s.conns {
 			c := &s.conns[i]
-			promising = promising || c.phase == connecting && c.race == r && s.rank(c.entry) <= best
+			hasUsableConnect = hasUsableConnect || c.phase == connecting && c.race == r && s.rank(c.entry) <= best
 		}
-		if !promising {
+		if !hasUsableConnect {
 			r.nextConnect = min(r.nextConnect, s.now)
 		}
 	}
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -18,8 +18,8 @@
 // recordedAddresses are those that scripts list.
 var recordedAddresses = []string{"unix:/run/n.sock", "[2001:db8::1]:80", "10.0.0.1:80", "10.0.0.2:80", "node.example:80"}
 
-// recordSettings differ by the number of the script.
-func recordSettings(i int) Settings {
+// scriptSettings differ by the number of the script.
+func scriptSettings(i int) Settings {
 	s := Defaults()
 	switch i % 4 {
 	case 1:
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(int64(900 + i)))
 			var script recorded.Script
-			s := newSimulation(recordSettings(i), recordedAddresses[:2+i%4]...)
+			s := newSimulation(scriptSettings(i), recordedAddresses[:2+i%4]...)
 			s.onStep = func(e Event) {
 				fields := []any{int64(s.now), int(e.Kind), int64(s.selector.Next()), s.selector.Waiting(), s.selector.Primary().String()}
 				for _, a := range s.actions {
@@ -57,18 +57,18 @@
 			for round := range 60 {
 				for _, addr := range recordedAddresses {
 					if rng.Intn(3) == 0 {
-						s.mode[addr] = recordedModes[rng.Intn(len(recordedModes))]
+						s.modes[addr] = recordedModes[rng.Intn(len(recordedModes))]
 					}
 				}
 				if round%10 == 9 {
-					clear(s.mode)
+					clear(s.modes)
 				}
 				s.responseTime = time.Duration(1+rng.Intn(30)) * ms
 				s.randomChange(rng)
 				s.run(time.Duration(200+rng.Intn(1500))*ms, time.Duration(3+rng.Intn(60))*ms, func(int) bool { return rng.Intn(3) > 0 })
 			}
 			s.step(Event{Kind: NodeRemoved})
-			s.run(2*time.Second, 100*ms, always)
+			s.run(2*time.Second, 100*ms, allIdempotent)
 			if s.err != nil {
 				t.Error(s.err)
 			}
@@ -83,7 +83,7 @@
 	case 0:
 		s.step(Event{Kind: DrainChanged, Draining: true})
 		s.respondToActions()
-		s.run(300*ms, 50*ms, always)
+		s.run(300*ms, 50*ms, allIdempotent)
 		s.step(Event{Kind: DrainChanged})
 	case 1:
 		order := rng.Perm(len(recordedAddresses))[:1+rng.Intn(len(recordedAddresses))]
@@ -93,7 +93,7 @@
 		}
 		s.setAddresses(addrs...)
 	case 2:
-		next := recordSettings(rng.Intn(4))
+		next := scriptSettings(rng.Intn(4))
 		s.selector.Adjust(next)
 	case 3:
 		s.step(Event{Kind: DemandContinued})
@@ -119,12 +119,12 @@
 		if rng.Intn(2) == 0 {
 			s.now += 2 * time.Second // a stall
 		}
-		s.pass(ms)
+		s.advanceTime(ms)
 	case 9: // the owners of some requests give up, at times after a stall
 		s.now += time.Duration(rng.Intn(2)) * 400 * ms
 		for q := s.lastRequest; q > 0 && q+10 > s.lastRequest; q-- {
 			if s.openRequests[q] && rng.Intn(2) == 0 {
-				s.giveUp(q)
+				s.cancelRequest(q)
 				s.respondToActions()
 			}
 		}
@@ -138,7 +138,7 @@
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
 			delete(s.openRequests, s.requestOn[c])
-			s.forget(c)
+			s.removeConn(c)
 			s.step(Event{Kind: ResponseReceived, Conn: c, Verdict: VerdictServed})
 		}
 	case 12: // more requests at once than may wait
--- a/internal/address/responses.go
+++ b/internal/address/responses.go
@@ -19,8 +19,8 @@
 
 // recordResponse applies a response to the state of its address.
 func (s *Selector) recordResponse(e *entry, r response) {
-	e.lastResponse, e.breaksInRow, e.doubtedSince, e.suspectAt = s.now, 0, 0, 0
-	s.endDoubts(e, s.now-r.took, r.took)
+	e.lastResponse, e.breaksInRow, e.crossCheckSince, e.suspectAt = s.now, 0, 0, 0
+	s.applyCrossCheck(e, s.now-r.took, r.took)
 	if e.removed || s.recordVerdict(e, r) {
 		return
 	}
@@ -110,9 +110,9 @@
 		}
 	}
 	s.bestUsualResponseTime, s.usualResponseMeasured = best, measured
-	was := s.silenceBound
+	previousBound := s.silenceBound
 	s.silenceBound = min(max(time.Duration(s.settings.SuspectLatencyFactor*best), s.settings.MinSuspectAfter), s.settings.MaxSuspectAfter)
-	if s.silenceBound < was {
+	if s.silenceBound < previousBound {
 		s.nextSilenceCheck = 0
 	}
 }
--- a/internal/address/selector.go
+++ b/internal/address/selector.go
@@ -68,12 +68,12 @@
 	silenceBound          time.Duration // time without a sign of life after which an address is suspect
 	nextSilenceCheck      time.Duration // before it, no connection can have been silent for too long
 
-	nextDownTrial     time.Duration // next trial while all addresses are down
-	nextReturnConnect time.Duration // next connect that takes requests from idle connections back to the primary
-	nextSecondOpinion time.Duration // next connect for a second opinion
-	earliestReturn    time.Duration // of the primary to a preferred address
-	returnDelay       time.Duration // from a change of the primary to a return
-	lastReturn        time.Duration
+	nextDownTrial         time.Duration // next trial while all addresses are down
+	nextReturnConnect     time.Duration // next connect that takes requests from idle connections back to the primary
+	nextCrossCheckConnect time.Duration // next connect for a second opinion
+	earliestReturn        time.Duration // of the primary to a preferred address
+	returnDelay           time.Duration // from a change of the primary to a return
+	lastReturn            time.Duration
 }
 
 // New returns the state of a node without an address. An error is a *SettingError.
@@ -118,28 +118,28 @@
 	case RequestQueued:
 		s.enqueue(e)
 	case RequestDropped:
-		s.dropRequest(e)
+		s.cancelRequest(e)
 	case Connected:
-		s.connected(e.Conn)
+		s.handleConnected(e.Conn)
 	case ConnectFailed:
-		s.connectFailed(e.Conn, e.Reason)
+		s.handleConnectFailed(e.Conn, e.Reason)
 	case ResponseReceived:
-		s.responseReceived(e)
+		s.handleResponse(e)
 	case ConnBroken:
-		s.connBroken(e)
+		s.handleConnBroken(e)
 	case IdleConnClosed:
-		s.idleConnClosed(e.Conn)
+		s.handleIdleConnClosed(e.Conn)
 	case DrainChanged:
 		s.draining = e.Draining
 		if s.draining {
 			s.stopConnecting()
 		}
 	case NodeRemoved:
-		s.nodeRemoved()
+		s.handleNodeRemoved()
 	case DemandContinued:
 		s.newDemand = true
 	case ProgressSeen:
-		s.progressSeen(e.Conn)
+		s.handleProgress(e.Conn)
 	case AddressesChanged:
 		s.setAddresses(e.Addrs)
 	}
@@ -196,7 +196,7 @@
 			r.nextConnect = s.now // it waited for a connect that is over
 		}
 		n := len(s.races)
-		s.advance(r)
+		s.advanceRace(r)
 		i -= n - len(s.races)
 	}
 	if s.primary != nil && s.now >= s.earliestReturn {
--- a/internal/address/selector_test.go
+++ b/internal/address/selector_test.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	unixA = "unix:/run/a"
-	six   = "[::1]:1"
-	four  = "127.0.0.1:1"
+	unixAddr = "unix:/run/a"
+	ipv6Addr = "[::1]:1"
+	ipv4Addr = "127.0.0.1:1"
 )
 
-var three = []string{four, six, unixA}
+var threeAddresses = []string{ipv4Addr, ipv6Addr, unixAddr}
 
-func (r *harness) must(t *testing.T) {
+func (h *harness) requireNoViolation(t *testing.T) {
 	t.Helper()
-	if r.err != nil {
-		t.Fatal(r.err)
+	if h.err != nil {
+		t.Fatal(h.err)
 	}
 }
 
-func want(t *testing.T, what string, got, want any) {
+func assertEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Fatalf("%s: %v, want %v", what, got, want)
@@ -30,113 +30,113 @@
 }
 
 // serveOne queues one request, which needs a new connection, and lets the node serve it.
-func (r *harness) serveOne() Conn {
-	r.queueRequest(true)
-	if c, _ := r.lastAction(Connect); c != 0 && r.count(Write) == 0 {
-		r.connectionUp(c)
+func (h *harness) serveOne() Conn {
+	h.queueRequest(true)
+	if c, _ := h.lastAction(Connect); c != 0 && h.count(Write) == 0 {
+		h.connectionUp(c)
 	}
-	c, _ := r.lastAction(Write)
-	r.now += ms
-	r.respond(c, VerdictServed)
+	c, _ := h.lastAction(Write)
+	h.now += ms
+	h.respond(c, VerdictServed)
 	return c
 }
 
 func TestPrimaryServesWithoutFaults(t *testing.T) {
-	r := newHarness(Defaults(), three...)
-	r.queueRequest(true)
-	c, to := r.lastAction(Connect)
-	want(t, "first by preference", to, unixA)
-	r.connectionUp(c)
-	_, on := r.lastAction(Write)
-	want(t, "written by", on, unixA)
-	r.respond(c, VerdictServed)
-	r.queueRequest(false)
-	reused, _ := r.lastAction(Write)
-	want(t, "the same connection", reused, c)
-	want(t, "connects", len(r.connects), 1)
-	r.must(t)
+	h := newHarness(Defaults(), threeAddresses...)
+	h.queueRequest(true)
+	c, to := h.lastAction(Connect)
+	assertEqual(t, "first by preference", to, unixAddr)
+	h.connectionUp(c)
+	_, on := h.lastAction(Write)
+	assertEqual(t, "written by", on, unixAddr)
+	h.respond(c, VerdictServed)
+	h.queueRequest(false)
+	reused, _ := h.lastAction(Write)
+	assertEqual(t, "the same connection", reused, c)
+	assertEqual(t, "connects", len(h.connects), 1)
+	h.requireNoViolation(t)
 }
 
 // While the node drains, no connect starts and nothing is written. Connections that are established then are closed.
-func TestDrainDuringRace(t *testing.T) {
-	r := newHarness(Defaults(), three...)
-	q := r.queueRequest(true)
-	a, _ := r.lastAction(Connect)
-	r.pass(250 * ms)
-	b, _ := r.lastAction(Connect)
-	r.step(Event{Kind: DrainChanged, Draining: true})
-	want(t, "closed", r.count(Close), 2)
-	want(t, "failed", r.failed[q], true)
+func TestDrainEndsRaces(t *testing.T) {
+	h := newHarness(Defaults(), threeAddresses...)
+	q := h.queueRequest(true)
+	a, _ := h.lastAction(Connect)
+	h.advanceTime(250 * ms)
+	b, _ := h.lastAction(Connect)
+	h.step(Event{Kind: DrainChanged, Draining: true})
+	assertEqual(t, "closed", h.count(Close), 2)
+	assertEqual(t, "failed", h.failed[q], true)
 	for _, c := range []Conn{a, b} {
-		r.connectionUp(c)
-		want(t, "late winner closed", r.count(Close), 1)
+		h.connectionUp(c)
+		assertEqual(t, "late winner closed", h.count(Close), 1)
 	}
-	q = r.queueRequest(true)
-	want(t, "failed at once", r.failed[q], true)
-	r.step(Event{Kind: DrainChanged})
-	r.queueRequest(true)
-	want(t, "after the drain", r.count(Connect), 1)
-	r.step(Event{Kind: NodeRemoved})
-	want(t, "closed", r.count(Close), 1)
-	r.must(t)
+	q = h.queueRequest(true)
+	assertEqual(t, "failed at once", h.failed[q], true)
+	h.step(Event{Kind: DrainChanged})
+	h.queueRequest(true)
+	assertEqual(t, "after the drain", h.count(Connect), 1)
+	h.step(Event{Kind: NodeRemoved})
+	assertEqual(t, "closed", h.count(Close), 1)
+	h.requireNoViolation(t)
 }
 
 // When the list changes, requests on a removed address finish, its idle connections are closed, and the other addresses
 // keep their state.
 func TestChangedListKeepsConnectionsInUse(t *testing.T) {
-	r := newHarness(Defaults(), three...)
-	r.queueRequest(true)
-	a, _ := r.lastAction(Connect)
-	r.connectionUp(a)
-	r.queueRequest(true)
-	b, _ := r.lastAction(Connect)
-	r.connectionUp(b)
-	r.respond(b, VerdictServed) // a is busy, b is idle, both by the Unix socket
-	r.queueRequest(true)
-	r.respond(b, VerdictServed)
-	r.setAddresses(six, four)
-	closed, _ := r.lastAction(Close)
-	want(t, "idle ones there are closed", closed, b)
-	want(t, "and no other", r.count(Close), 1)
-	want(t, "primary", r.selector.Primary(), six)
-	r.queueRequest(true)
-	c, to := r.lastAction(Connect)
-	want(t, "by", to, six)
-	r.connectionUp(c)
-	r.respond(a, VerdictServed)
-	closed, _ = r.lastAction(Close)
-	want(t, "finished, then closed", closed, a)
-	r.respond(c, VerdictServed)
-	r.setAddresses(four, six, unixA) // listed again, and in another order
-	want(t, "nothing is closed", r.count(Close), 0)
-	want(t, "the primary stays", r.selector.Primary(), six)
-	r.must(t)
-	r.setAddresses()
-	q := r.queueRequest(true)
-	want(t, "no address: failed at once", r.failed[q], true)
-	r.must(t)
+	h := newHarness(Defaults(), threeAddresses...)
+	h.queueRequest(true)
+	a, _ := h.lastAction(Connect)
+	h.connectionUp(a)
+	h.queueRequest(true)
+	b, _ := h.lastAction(Connect)
+	h.connectionUp(b)
+	h.respond(b, VerdictServed) // a is busy, b is idle, both by the Unix socket
+	h.queueRequest(true)
+	h.respond(b, VerdictServed)
+	h.setAddresses(ipv6Addr, ipv4Addr)
+	closed, _ := h.lastAction(Close)
+	assertEqual(t, "idle ones there are closed", closed, b)
+	assertEqual(t, "and no other", h.count(Close), 1)
+	assertEqual(t, "primary", h.selector.Primary(), ipv6Addr)
+	h.queueRequest(true)
+	c, to := h.lastAction(Connect)
+	assertEqual(t, "by", to, ipv6Addr)
+	h.connectionUp(c)
+	h.respond(a, VerdictServed)
+	closed, _ = h.lastAction(Close)
+	assertEqual(t, "finished, then closed", closed, a)
+	h.respond(c, VerdictServed)
+	h.setAddresses(ipv4Addr, ipv6Addr, unixAddr) // listed again, and in another order
+	assertEqual(t, "nothing is closed", h.count(Close), 0)
+	assertEqual(t, "the primary stays", h.selector.Primary(), ipv6Addr)
+	h.requireNoViolation(t)
+	h.setAddresses()
+	q := h.queueRequest(true)
+	assertEqual(t, "no address: failed at once", h.failed[q], true)
+	h.requireNoViolation(t)
 }
 
 // A request waits again if its reused connection was found ended before a byte was written, and not if a part was written.
 func TestUnwrittenRequestWaitsAgain(t *testing.T) {
-	r := newHarness(Defaults(), three...)
-	c := r.serveOne()
-	q := r.queueRequest(true)
-	r.breakConn(c, ReasonUnwritten)
-	d, to := r.lastAction(Connect)
-	want(t, "by a new connection to", to, unixA)
-	r.connectionUp(d)
-	w, _ := r.lastAction(Write)
-	want(t, "written", r.requestOn[w], q)
-	r.respond(w, VerdictServed)
-	r.queueRequest(true)
-	r.breakConn(w, ReasonCutOff)
-	want(t, "no action", len(r.actions), 0)
-	want(t, "one break of a reused connection is no fault", r.selector.Primary(), unixA)
-	r.must(t)
+	h := newHarness(Defaults(), threeAddresses...)
+	c := h.serveOne()
+	q := h.queueRequest(true)
+	h.breakConn(c, ReasonUnwritten)
+	d, to := h.lastAction(Connect)
+	assertEqual(t, "by a new connection to", to, unixAddr)
+	h.connectionUp(d)
+	w, _ := h.lastAction(Write)
+	assertEqual(t, "written", h.requestOn[w], q)
+	h.respond(w, VerdictServed)
+	h.queueRequest(true)
+	h.breakConn(w, ReasonCutOff)
+	assertEqual(t, "no action", len(h.actions), 0)
+	assertEqual(t, "one break of a reused connection is no fault", h.selector.Primary(), unixAddr)
+	h.requireNoViolation(t)
 }
 
-func TestSettings(t *testing.T) {
+func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
 	for _, x := range []struct {
 		key string
 		set func(*Settings)
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -82,12 +82,12 @@
 }
 
 func (s *Settings) checkPreference() error {
-	seen := [kindCount]bool{}
+	seen := [familyCount]bool{}
 	if len(s.Preference) == 0 {
 		return &SettingError{"preference", "names no family"}
 	}
 	for _, k := range s.Preference {
-		if k >= kindCount || seen[k] {
+		if k >= familyCount || seen[k] {
 			return &SettingError{"preference", fmt.Sprintf("%v is unknown or there twice", k)}
 		}
 		seen[k] = true
--- a/internal/address/silence.go
+++ b/internal/address/silence.go
@@ -14,18 +14,18 @@
 		if c.phase != busy || c.silenceCounted || c.entry.lastResponse > c.since {
 			continue
 		}
-		at := c.since + s.silenceBound
+		checkAt := c.since + s.silenceBound
 		if e := c.entry; e.suspectAt > 0 {
-			at = min(at, e.suspectAt)
-		} else if e.doubtedSince == 0 && s.rank(e) == rankGood && s.hasAlternative(e) {
-			if ask := c.since + s.secondOpinionDelay(); ask > s.now {
-				at = min(at, ask)
+			checkAt = min(checkAt, e.suspectAt)
+		} else if e.crossCheckSince == 0 && s.rank(e) == rankGood && s.hasAlternative(e) {
+			if crossCheckAt := c.since + s.crossCheckDelay(); crossCheckAt > s.now {
+				checkAt = min(checkAt, crossCheckAt)
 			} else {
-				e.doubtedSince = s.now
+				e.crossCheckSince = s.now
 			}
 		}
-		if at > s.now {
-			s.nextSilenceCheck = min(s.nextSilenceCheck, at)
+		if checkAt > s.now {
+			s.nextSilenceCheck = min(s.nextSilenceCheck, checkAt)
 			continue
 		}
 		c.silenceCounted = true
@@ -33,28 +33,28 @@
 	}
 }
 
-// secondOpinionDelay is the silence after which another address is asked.
-func (s *Selector) secondOpinionDelay() time.Duration {
+// crossCheckDelay is the silence after which another address is asked.
+func (s *Selector) crossCheckDelay() time.Duration {
 	if !s.usualResponseMeasured {
 		return s.silenceBound
 	}
 	return max(s.settings.SecondOpinionAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
 }
 
-// endDoubts applies a response of another address to those in doubt: it shows that the node does not pause, or no longer. They
+// applyCrossCheck applies a response of another address to those in doubt: it shows that the node does not pause, or no longer. They
 // have twice its response time left, since their responses may be on their way if a pause has just ended.
-func (s *Selector) endDoubts(by *entry, since, took time.Duration) {
+func (s *Selector) applyCrossCheck(responder *entry, since, took time.Duration) {
 	for _, e := range s.entries {
-		if e != by && e.doubtedSince > 0 && e.doubtedSince <= since && e.suspectAt == 0 && e.lastResponse < e.doubtedSince {
-			e.suspectAt = s.now + max(minGrace, 2*took)
+		if e != responder && e.crossCheckSince > 0 && e.crossCheckSince <= since && e.suspectAt == 0 && e.lastResponse < e.crossCheckSince {
+			e.suspectAt = s.now + max(minSilenceGrace, 2*took)
 			s.nextSilenceCheck = min(s.nextSilenceCheck, e.suspectAt)
 		}
 	}
 }
 
-// secondOpinionAddress is the address to be asked for a second opinion on the primary, by one request at a time, or nil.
-func (s *Selector) secondOpinionAddress() *entry {
-	if s.primary.doubtedSince == 0 || s.primary.suspectAt > 0 {
+// crossCheckAddress is the address to be asked for a second opinion on the primary, by one request at a time, or nil.
+func (s *Selector) crossCheckAddress() *entry {
+	if s.primary.crossCheckSince == 0 || s.primary.suspectAt > 0 {
 		return nil
 	}
 	i := slices.IndexFunc(s.entries, func(e *entry) bool {
@@ -65,7 +65,7 @@
 	}
 	other := s.entries[i]
 	for i := range s.conns {
-		if c := &s.conns[i]; c.entry == other && c.phase == busy && c.since >= s.primary.doubtedSince {
+		if c := &s.conns[i]; c.entry == other && c.phase == busy && c.since >= s.primary.crossCheckSince {
 			return nil // it was asked
 		}
 	}
--- a/internal/address/trials.go
+++ b/internal/address/trials.go
@@ -27,7 +27,7 @@
 	if len(s.waiting) > 0 || s.now < s.nextDownTrial || s.connectingCount > 0 || s.hasTrial() || !s.hasFreeSlot(true) || !s.hasConnectToken() {
 		return
 	}
-	if e := s.candidate(&race{}); e != nil {
+	if e := s.nextCandidate(&race{}); e != nil {
 		s.nextDownTrial = s.now + s.jitter(s.settings.DownTrialInterval)
 		s.startConnect(e, nil, true)
 	}
@@ -39,7 +39,7 @@
 		return false
 	}
 	waitsForReturn := s.now < s.earliestReturn || s.now-e.lastResponse < s.settings.MinReturnDelay
-	return !s.hasProvenItself(e) || !waitsForReturn
+	return !s.qualifiesAsPrimary(e) || !waitsForReturn
 }
 
 // startTrial makes an idle connection the trial where the address only has to show that it still responds, and otherwise
--- a/internal/coldstart/admission.go
+++ b/internal/coldstart/admission.go
@@ -11,8 +11,8 @@
 		s.rejectLongWait(s.expectedListWait(now))
 		return
 	}
-	if x := s.nodes[id]; x != nil && x.backoffUntil > now {
-		s.rejectLongWait(x.backoffUntil - now)
+	if state := s.nodes[id]; state != nil && state.backoffUntil > now {
+		s.rejectLongWait(state.backoffUntil - now)
 	}
 }
 
@@ -23,21 +23,21 @@
 	}
 }
 
-// requestRejected gives the Retry-After of a request that the policy rejected: the policy knows its queues, and not that a
+// handleRequestRejected gives the Retry-After of a request that the policy rejected: the policy knows its queues, and not that a
 // node can hardly serve yet. The Retry-After grows while the node serves no request.
-func (s *Startup) requestRejected(now time.Duration, id string) {
+func (s *Startup) handleRequestRejected(now time.Duration, id string) {
 	if s.phase == Serving {
 		return
 	}
-	x := s.nodes[id]
-	if x == nil {
-		x = &s.unknownNode
+	state := s.nodes[id]
+	if state == nil {
+		state = &s.unknownNode
 	}
-	if now >= x.retryAfterGrowsAt {
-		x.retryAfter = min(max(2*x.retryAfter, minBackoff), s.settings.MaxRetryAfter)
-		x.retryAfterGrowsAt = now + x.retryAfter
+	if now >= state.retryAfterGrowsAt {
+		state.retryAfter = min(max(2*state.retryAfter, minBackoff), s.settings.MaxRetryAfter)
+		state.retryAfterGrowsAt = now + state.retryAfter
 	}
-	s.reject(max(x.retryAfter, minBackoff))
+	s.reject(max(state.retryAfter, minBackoff))
 }
 
 // reject rejects the request of this step. The Retry-After has a random part, so that clients do not return together.
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -34,11 +34,11 @@
 	rng           *rand.Rand
 	phase         Phase
 	actions       []Action // of the current step
-	nodes         map[string]*node
+	nodes         map[string]*nodeState
 	snapshotNodes []string // ids of the nodes of the snapshot, the most used first
 	started       bool
 	reportedReady bool
-	unknownNode   node // stands for requests to any node, and to nodes that are not held
+	unknownNode   nodeState // stands for requests to any node, and to nodes that are not held
 
 	listRequestPending bool
 	nextListRequest    time.Duration
@@ -51,8 +51,8 @@
 	learningEnds       time.Duration // no node is cold from then on
 }
 
-// node is what is known of one node.
-type node struct {
+// nodeState is what is known of one node.
+type nodeState struct {
 	startTime         float64 // as the list gives it, or gave it when it was cached
 	snapshotStartTime float64
 	listed            bool          // the received list has it
@@ -66,12 +66,12 @@
 }
 
 // New returns the state of a process that has not started. An error is a *SettingError.
-func New(set Settings) (*Startup, error) {
-	if err := set.check(); err != nil {
+func New(settings Settings) (*Startup, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	return &Startup{settings: set, listBackoffFactor: 1, nodes: map[string]*node{},
-		rng: rand.New(rand.NewPCG(xxhash.Sum64String(set.Name), 0x7374617274))}, nil
+	return &Startup{settings: settings, listBackoffFactor: 1, nodes: map[string]*nodeState{},
+		rng: rand.New(rand.NewPCG(xxhash.Sum64String(settings.Name), 0x7374617274))}, nil
 }
 
 // Phase is how far the start has come.
@@ -85,24 +85,24 @@
 	case Started:
 		s.start(now, e)
 	case ListReceived:
-		s.listReceived(now, e)
+		s.handleListReceived(now, e)
 	case ListRequestFailed:
-		s.listRequestFailed(now)
+		s.handleListRequestFailed(now)
 	case NodeFull:
 		s.backOff(now, e.Node)
 	case ConnectFailed:
 		s.backOff(now, e.Node)
 	case RequestServed:
-		s.requestServed(e.Node)
+		s.handleRequestServed(e.Node)
 	case SnapshotReceived:
-		s.snapshotReceived(now, e.Snapshot)
+		s.handleSnapshotReceived(now, e.Snapshot)
 	case PeerReported:
-		s.peerReported(e.Node)
+		s.handlePeerReported(e.Node)
 	case RequestArrived:
 		s.admit(now, e.Node)
 		return s.actions // requests bring nothing forward, so the timer stays
 	case RequestRejected:
-		s.requestRejected(now, e.Node)
+		s.handleRequestRejected(now, e.Node)
 		return s.actions
 	}
 	if !s.started {
@@ -124,7 +124,7 @@
 	s.nextListRequest = now + Slot(s.settings.ListCallSpread(), "list", s.settings.Name)
 	for _, n := range e.CachedList {
 		if s.hasCapacity() {
-			s.nodes[n.ID] = &node{startTime: n.StartTime}
+			s.nodes[n.ID] = &nodeState{startTime: n.StartTime}
 		}
 	}
 	s.applySnapshot(e.Snapshot)
@@ -136,8 +136,8 @@
 		s.cachedListUseAt = now + cachedListDelay
 	}
 	for _, n := range e.CachedList {
-		if x := s.nodes[n.ID]; x != nil {
-			x.assumedCold = true
+		if state := s.nodes[n.ID]; state != nil {
+			state.assumedCold = true
 			s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), s.cachedListUseAt})
 		}
 	}
@@ -179,10 +179,10 @@
 	if s.phase == Serving {
 		return
 	}
-	at := now + maxTimer
+	timerAt := now + maxTimer
 	due := func(t time.Duration) {
 		if t > now {
-			at = min(at, t)
+			timerAt = min(timerAt, t)
 		}
 	}
 	if s.phase < ListKnown && !s.listRequestPending {
@@ -203,10 +203,10 @@
 	}
 	if s.phase >= ListKnown || s.usesCachedList {
 		for _, id := range s.preconnectNodes() {
-			if x := s.nodes[id]; !x.connected && x.restorable {
-				due(max(x.backoffUntil, s.preconnectDue(id)))
+			if state := s.nodes[id]; !state.connected && state.restorable {
+				due(max(state.backoffUntil, s.preconnectDue(id)))
 			}
 		}
 	}
-	s.emit(SetTimer{at})
+	s.emit(SetTimer{timerAt})
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-func testSettings(schedulers int, name string, priced bool) Settings {
-	return Settings{Schedulers: schedulers, Name: name, ListCallsPriced: priced, MaxListCallsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
+func testSettings(schedulers int, name string, listCallsPriced bool) Settings {
+	return Settings{Schedulers: schedulers, Name: name, ListCallsPriced: listCallsPriced, MaxListCallsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
 		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
@@ -25,12 +25,12 @@
 
 // timedAction is an action and when it was done.
 type timedAction struct {
-	at     time.Duration
+	doneAt time.Duration
 	action Action
 }
 
-// play drives one start by a script of events, with a TimerFired where SetTimer asks for one, and returns what was done.
-func play(t *testing.T, s *Startup, until time.Duration, script map[time.Duration]Event) (done []timedAction) {
+// runScript drives one start by a script of events, with a TimerFired where SetTimer asks for one, and returns what was done.
+func runScript(t *testing.T, s *Startup, until time.Duration, script map[time.Duration]Event) (done []timedAction) {
 	t.Helper()
 	timer := time.Duration(-1)
 	for now := time.Duration(0); now <= until; now += 10 * ms {
@@ -55,8 +55,8 @@
 }
 
 // actionsOf returns the actions of one type.
-func actionsOf[A Action](all []timedAction) (found []timedAction) {
-	for _, d := range all {
+func actionsOf[A Action](done []timedAction) (found []timedAction) {
+	for _, d := range done {
 		if _, ok := d.action.(A); ok {
 			found = append(found, d)
 		}
@@ -64,9 +64,9 @@
 	return found
 }
 
-func newStartup(t *testing.T, set Settings) *Startup {
+func newStartup(t *testing.T, settings Settings) *Startup {
 	t.Helper()
-	s, err := New(set)
+	s, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,69 +75,69 @@
 
 var testSnapshot = []Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}} // c has restarted since
 
-func TestStartWithCachedListAndPricedRequests(t *testing.T) {
+func TestCachedListIsUsedAtOnceWhereListRequestsArePriced(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", true))
-	all := play(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testList, testSnapshot},
+	done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testList, testSnapshot},
 		2500 * ms: ListReceived{testList}, 2600 * ms: RequestServed{"a"}})
-	if use := actionsOf[UseCachedList](all); len(use) != 1 || use[0].at != 0 {
+	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != 0 {
 		t.Errorf("cached list in use: %v", use)
 	}
-	if r := actionsOf[Restore](all); len(r) != 1 || r[0].action.(Restore).Node != "b" {
+	if r := actionsOf[Restore](done); len(r) != 1 || r[0].action.(Restore).Node != "b" {
 		t.Errorf("restored: %v", r)
 	}
-	if w := actionsOf[LiftColdLimit](all); len(w) != 3 {
+	if w := actionsOf[LiftColdLimit](done); len(w) != 3 {
 		t.Errorf("limits lifted: %v", w)
 	}
-	if c := actionsOf[Connect](all); len(c) == 0 || c[len(c)-1].action.(Connect).Node == "a" {
+	if c := actionsOf[Connect](done); len(c) == 0 || c[len(c)-1].action.(Connect).Node == "a" {
 		t.Errorf("connects: %v", c)
 	}
-	if ready := actionsOf[ReportReady](all); len(ready) != 1 || ready[0].at != readyDelay || s.Phase() != Serving {
+	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != readyDelay || s.Phase() != Serving {
 		t.Errorf("ready: %v, phase %v", ready, s.Phase())
 	}
 }
 
 // A snapshot that is handed over before the list is used when the list is received, one after the list at once. Connections
 // are opened ahead from then on, except to a node of which a peer reported a later start.
-func TestStartWithSnapshotOfAnotherProcess(t *testing.T) {
+func TestSnapshotOfAnotherProcessIsRestored(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "[b]", 3 * time.Second: "[b]"} {
 		s := newStartup(t, testSettings(300, "h", true))
-		all := play(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, at: SnapshotReceived{append(testSnapshot[:2:2], Node{ID: "x"})},
+		done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, at: SnapshotReceived{append(testSnapshot[:2:2], Node{ID: "x"})},
 			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{testList}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
 		var restored, connected []string
-		for _, d := range actionsOf[Restore](all) {
+		for _, d := range actionsOf[Restore](done) {
 			restored = append(restored, d.action.(Restore).Node)
 		}
-		for _, d := range actionsOf[Connect](all) {
-			if connected = append(connected, d.action.(Connect).Node); d.at < at {
-				t.Errorf("connected at %v, snapshot received at %v", d.at, at)
+		for _, d := range actionsOf[Connect](done) {
+			if connected = append(connected, d.action.(Connect).Node); d.doneAt < at {
+				t.Errorf("connected at %v, snapshot received at %v", d.doneAt, at)
 			}
 		}
 		if fmt.Sprint(restored) != want || slices.Contains(connected, "c") || !slices.Contains(connected, "b") {
 			t.Errorf("snapshot received at %v: restored %v, connected %v", at, restored, connected)
 		}
-		if w := actionsOf[LiftColdLimit](all); len(w) != 3 || w[0].at != 2500*ms {
+		if w := actionsOf[LiftColdLimit](done); len(w) != 3 || w[0].doneAt != 2500*ms {
 			t.Errorf("limits lifted: %v", w)
 		}
 	}
 }
 
 // A list that is not priced is requested at once, and the cached list is used only after a second without it.
-func TestStartWithCachedListAndFreeRequests(t *testing.T) {
+func TestCachedListIsDelayedWhereListRequestsAreFree(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", false))
-	all := play(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
-	if requests := actionsOf[RequestList](all); len(requests) < 2 || requests[0].at != 0 || requests[1].at > 100*ms+listRequestInterval*3/2+10*ms {
+	done := runScript(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
+	if requests := actionsOf[RequestList](done); len(requests) < 2 || requests[0].doneAt != 0 || requests[1].doneAt > 100*ms+listRequestInterval*3/2+10*ms {
 		t.Errorf("list requests: %v", requests)
 	}
-	if use := actionsOf[UseCachedList](all); len(use) != 1 || use[0].at != cachedListDelay || len(actionsOf[Reject](all)) != 1 {
-		t.Errorf("%v", all)
+	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != cachedListDelay || len(actionsOf[Reject](done)) != 1 {
+		t.Errorf("%v", done)
 	}
 }
 
-func TestStartWithoutAnyListReportsReadyByItsDeadline(t *testing.T) {
+func TestReadyIsReportedByItsDeadlineWithoutAList(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", true))
-	all := play(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
-	if ready := actionsOf[ReportReady](all); len(ready) != 1 || ready[0].at != s.settings.ReadyDeadline() || s.Phase() != NoList {
-		t.Errorf("%v, phase %v", all, s.Phase())
+	done := runScript(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
+	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != s.settings.ReadyDeadline() || s.Phase() != NoList {
+		t.Errorf("%v, phase %v", done, s.Phase())
 	}
 }
 
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -56,10 +56,10 @@
 
 // step applies an event and returns which invariant does not hold.
 func (m *startupModel) step(e Event) error {
-	s := m.startup
+	startup := m.startup
 	_, failed := e.(ListRequestFailed)
-	pending := s.listRequestPending
-	for _, a := range s.Step(m.now, e) {
+	pending := startup.listRequestPending
+	for _, a := range startup.Step(m.now, e) {
 		if err := m.check(e, a); err != nil {
 			return err
 		}
@@ -68,27 +68,27 @@
 		m.failedAt = m.now
 	}
 	switch {
-	case m.readyReports > 1 || m.readyReports == 0 && s.started && m.now > s.settings.ReadyDeadline():
+	case m.readyReports > 1 || m.readyReports == 0 && startup.started && m.now > startup.settings.ReadyDeadline():
 		return fmt.Errorf("ready reported %d times by %v", m.readyReports, m.now)
-	case s.phase < m.phase:
-		return fmt.Errorf("the phase went from %v to %v", m.phase, s.phase)
-	case len(s.nodes) > s.settings.MaxNodes:
-		return fmt.Errorf("%d nodes are held", len(s.nodes))
+	case startup.phase < m.phase:
+		return fmt.Errorf("the phase went from %v to %v", m.phase, startup.phase)
+	case len(startup.nodes) > startup.settings.MaxNodes:
+		return fmt.Errorf("%d nodes are held", len(startup.nodes))
 	}
-	m.phase = s.phase
+	m.phase = startup.phase
 	return nil
 }
 
 // check returns which invariant an action violates.
 func (m *startupModel) check(e Event, a Action) error {
-	set := m.startup.settings
+	settings := m.startup.settings
 	switch a := a.(type) {
 	case ReportReady:
 		m.readyReports++
 	case SetTimer:
 		m.timer = a.At
 	case Reject:
-		if a.RetryAfter < set.MinRetryAfter || a.RetryAfter > set.MaxRetryAfter {
+		if a.RetryAfter < settings.MinRetryAfter || a.RetryAfter > settings.MaxRetryAfter {
 			return fmt.Errorf("rejected with Retry-After %v", a.RetryAfter)
 		}
 	case RequestList:
@@ -141,8 +141,8 @@
 	return m.step(SnapshotReceived{nodes})
 }
 
-// pass lets time pass, with the timers that are due.
-func (m *startupModel) pass(d time.Duration) error {
+// advanceTime lets time pass, with the timers that are due.
+func (m *startupModel) advanceTime(d time.Duration) error {
 	to := m.now + d
 	for m.timer > m.now && m.timer <= to {
 		m.now = m.timer
@@ -178,8 +178,8 @@
 	return m.step(RequestArrived{id})
 }
 
-// eventsViolation plays random events and returns which invariant does not hold.
-func eventsViolation(t *rapid.T) error {
+// randomEventsViolation plays random events and returns which invariant does not hold.
+func randomEventsViolation(t *rapid.T) error {
 	s, err := New(testSettings(rapid.IntRange(1, 2000).Draw(t, "schedulers"), rapid.String().Draw(t, "name"), rapid.Bool().Draw(t, "priced")))
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 	err = m.step(first)
 	for range rapid.IntRange(1, 60).Draw(t, "events") {
 		if err == nil {
-			err = m.pass(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms)
+			err = m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms)
 		}
 		if err == nil {
 			err = m.stepRandom(t, ids, nodes)
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func TestInvariantsOfAFleet(t *testing.T) {
+func TestInvariantsOfAStartingFleet(t *testing.T) {
 	for _, schedulers := range []int{1, 80, 300, 1000} {
 		for _, priced := range []bool{false, true} {
 			if err := fleetViolation(schedulers, priced); err != nil {
@@ -227,7 +227,7 @@
 const randomScripts = 3000
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
-	violation := rapid.Custom(eventsViolation)
+	violation := rapid.Custom(randomEventsViolation)
 	for seed := range randomScripts {
 		if err := violation.Example(seed); err != nil {
 			t.Fatalf("script %d: %v", seed, err)
@@ -235,7 +235,7 @@
 	}
 	if !mutant.Inside() {
 		rapid.Check(t, func(t *rapid.T) {
-			if err := eventsViolation(t); err != nil {
+			if err := randomEventsViolation(t); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -252,9 +252,9 @@
 		mutant.Mutant{File: "list.go", Sequential: true, Want: "list requested at",
 			Old: "now + s.halfToThreeHalves(backoff)", New: "now + 0*s.halfToThreeHalves(backoff)"},
 		mutant.Mutant{File: "list.go", Sequential: true, Want: "which has restarted",
-			Old: "sameStart := x.snapshotStartTime == n.StartTime", New: "sameStart := true"},
+			Old: "sameStart := state.snapshotStartTime == n.StartTime", New: "sameStart := true"},
 		mutant.Mutant{File: "nodes.go", Sequential: true, Want: "limit of",
-			Old: "	if n.StartTime > x.snapshotStartTime {",
-			New: "	if x.assumedCold && s.usesCachedList && x.startTime == n.StartTime {\n		x.assumedCold = false\n		s.emit(LiftColdLimit{n.ID})\n	}\n	if n.StartTime > x.snapshotStartTime {"},
+			Old: "	if n.StartTime > state.snapshotStartTime {",
+			New: "	if state.assumedCold && s.usesCachedList && state.startTime == n.StartTime {\n		state.assumedCold = false\n		s.emit(LiftColdLimit{n.ID})\n	}\n	if n.StartTime > state.snapshotStartTime {"},
 	)
 }
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// listReceived applies the first complete list. The policy applies later ones alone.
-func (s *Startup) listReceived(now time.Duration, e ListReceived) {
+// handleListReceived applies the first complete list. The policy applies later ones alone.
+func (s *Startup) handleListReceived(now time.Duration, e ListReceived) {
 	s.listRequestPending = false
 	if s.phase >= ListKnown {
 		return
@@ -14,38 +14,38 @@
 		inSnapshot[id], s.nodes[id].restorable = true, false
 	}
 	for _, n := range e.Nodes {
-		x := s.nodes[n.ID]
-		if x == nil {
+		state := s.nodes[n.ID]
+		if state == nil {
 			if !s.hasCapacity() {
 				continue
 			}
-			x = &node{}
-			s.nodes[n.ID] = x
+			state = &nodeState{}
+			s.nodes[n.ID] = state
 		}
-		s.nodeListed(now, x, n, inSnapshot[n.ID])
+		s.applyListEntry(now, state, n, inSnapshot[n.ID])
 	}
 }
 
-// nodeListed applies the list's entry of a node: it alone tells whether the node has restarted.
-func (s *Startup) nodeListed(now time.Duration, x *node, n Node, inSnapshot bool) {
-	sameStart := x.snapshotStartTime == n.StartTime
-	if x.assumedCold && s.usesCachedList {
+// applyListEntry applies the list's entry of a node: it alone tells whether the node has restarted.
+func (s *Startup) applyListEntry(now time.Duration, state *nodeState, n Node, inSnapshot bool) {
+	sameStart := state.snapshotStartTime == n.StartTime
+	if state.assumedCold && s.usesCachedList {
 		s.emit(LiftColdLimit{n.ID})
 	}
-	x.restorable = inSnapshot && sameStart
-	if x.restorable {
+	state.restorable = inSnapshot && sameStart
+	if state.restorable {
 		s.emit(Restore{n.ID})
 	}
 	if n.StartTime > 0 && now-n.StartedAt < s.settings.SlowStartDuration {
 		s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), n.StartedAt})
 		s.learningEnds = max(s.learningEnds, min(n.StartedAt, now)+s.settings.SlowStartDuration)
 	}
-	x.startTime, x.assumedCold, x.listed = n.StartTime, false, true
+	state.startTime, state.assumedCold, state.listed = n.StartTime, false, true
 }
 
-// listRequestFailed sets the time of the next list request. Schedulers whose requests fail together send at most
+// handleListRequestFailed sets the time of the next list request. Schedulers whose requests fail together send at most
 // MaxListCallsPerSecond requests a second.
-func (s *Startup) listRequestFailed(now time.Duration) {
+func (s *Startup) handleListRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
 	}
--- a/internal/coldstart/preconnect.go
+++ b/internal/coldstart/preconnect.go
@@ -19,11 +19,11 @@
 // preconnect opens the connections that are due.
 func (s *Startup) preconnect(now time.Duration) {
 	for _, id := range s.preconnectNodes() {
-		x := s.nodes[id]
-		if x.connected || now < x.backoffUntil || now < s.preconnectDue(id) || !x.restorable {
+		state := s.nodes[id]
+		if state.connected || now < state.backoffUntil || now < s.preconnectDue(id) || !state.restorable {
 			continue
 		}
-		x.connected = true
+		state.connected = true
 		s.emit(Connect{id})
 		if s.settings.MayCheckHealth && s.phase >= ListKnown {
 			s.emit(CheckHealth{id})
--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -120,20 +120,20 @@
 
 // Encode returns the file's bytes. What does not fit is left out: the least used nodes.
 func Encode(s *Snapshot) ([]byte, error) {
-	c := *s
-	c.Version = Version
+	stored := *s
+	stored.Version = Version
 	for {
-		body, err := json.Marshal(&c)
+		body, err := json.Marshal(&stored)
 		if err != nil {
 			return nil, err
 		}
-		if headerSize+len(body) > MaxSize && len(c.Nodes) > 0 {
-			c.Nodes = c.Nodes[:len(c.Nodes)*3/4]
+		if headerSize+len(body) > MaxSize && len(stored.Nodes) > 0 {
+			stored.Nodes = stored.Nodes[:len(stored.Nodes)*3/4]
 			continue
 		}
-		out := append(make([]byte, 0, headerSize+len(body)), magic[:]...)
-		out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
-		return append(binary.BigEndian.AppendUint64(out, checksum(out, body)), body...), nil
+		encoded := append(make([]byte, 0, headerSize+len(body)), magic[:]...)
+		encoded = binary.BigEndian.AppendUint32(encoded, uint32(len(body)))
+		return append(binary.BigEndian.AppendUint64(encoded, checksum(encoded, body)), body...), nil
 	}
 }
 
@@ -145,8 +145,8 @@
 }
 
 // Decode reads the file's bytes. The error is an *UnusableError, which names the path.
-func Decode(path string, text []byte, now time.Time) (*Snapshot, error) {
-	s, err := Parse(path, text)
+func Decode(path string, data []byte, now time.Time) (*Snapshot, error) {
+	s, err := Parse(path, data)
 	if err != nil {
 		return nil, err
 	}
@@ -157,19 +157,19 @@
 }
 
 // Parse reads the bytes of a snapshot without a look at its age, for one that another process made on request.
-func Parse(path string, text []byte) (*Snapshot, error) {
-	n := min(len(text), len(magic))
-	if !bytes.Equal(text[:n], magic[:n]) {
+func Parse(path string, data []byte) (*Snapshot, error) {
+	n := min(len(data), len(magic))
+	if !bytes.Equal(data[:n], magic[:n]) {
 		return nil, &UnusableError{path, "foreign", fmt.Sprintf("it does not begin as version %d of this file does", Version)}
 	}
-	if len(text) < headerSize || len(text) > MaxSize {
-		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes", len(text))}
+	if len(data) < headerSize || len(data) > MaxSize {
+		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes", len(data))}
 	}
-	body := text[headerSize:]
-	if length := binary.BigEndian.Uint32(text[lengthOffset:]); int64(length) != int64(len(body)) {
+	body := data[headerSize:]
+	if length := binary.BigEndian.Uint32(data[lengthOffset:]); int64(length) != int64(len(body)) {
 		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes of %d", len(body), length)}
 	}
-	if binary.BigEndian.Uint64(text[checksumOffset:]) != checksum(text[:checksumOffset], body) {
+	if binary.BigEndian.Uint64(data[checksumOffset:]) != checksum(data[:checksumOffset], body) {
 		return nil, &UnusableError{path, "torn", "its checksum is another"}
 	}
 	s := &Snapshot{}
@@ -186,14 +186,14 @@
 		return nil, &FileError{path, "open", err}
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	if st, err := f.Stat(); err == nil && !st.Mode().IsRegular() {
+	if info, err := f.Stat(); err == nil && !info.Mode().IsRegular() {
 		return nil, &FileError{path, "open", fmt.Errorf("not a regular file: %w", fs.ErrInvalid)}
 	}
-	text, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	data, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
 		return nil, &FileError{path, "read", err}
 	}
-	return Decode(path, text, now)
+	return Decode(path, data, now)
 }
 
 // Write replaces the file. If it fails, the old file stays.
@@ -203,27 +203,27 @@
 			return &FileError{path, "encode", fmt.Errorf("node %s: a figure is not a number", n.ID)}
 		}
 	}
-	text, err := Encode(s)
+	data, err := Encode(s)
 	if err != nil {
 		return &FileError{path, "encode", err}
 	}
 	// The name is always the same, so that killed processes leave one file at most.
-	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
-	_ = os.Remove(temporary) // what a killed process left; otherwise the open fails
-	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	tempPath := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
+	_ = os.Remove(tempPath) // what a killed process left; otherwise the open fails
+	f, err := os.OpenFile(tempPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return &FileError{path, "create", err}
 	}
-	if err := replace(path, f, text); err != nil {
-		_ = os.Remove(temporary) // the first error counts
+	if err := replace(path, f, data); err != nil {
+		_ = os.Remove(tempPath) // the first error counts
 		return &FileError{path, "write", err}
 	}
 	return nil
 }
 
 // replace writes and closes the file, and renames it to path.
-func replace(path string, f *os.File, text []byte) error {
-	_, err := f.Write(text)
+func replace(path string, f *os.File, data []byte) error {
+	_, err := f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
--- a/internal/connqueue/idlelimiter_test.go
+++ b/internal/connqueue/idlelimiter_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestIdleBoundsAfterSigns(t *testing.T) {
+func TestIdleBoundsAfterRejectedAndLateConnects(t *testing.T) {
 	const ms, sec = time.Millisecond, time.Second
-	for name, x := range map[string]struct {
+	for name, bounds := range map[string]struct {
 		signs   string // every 100 ms: r rejected, l late, t timely, b timely but started before the last
 		limited time.Duration
 	}{
@@ -17,60 +17,60 @@
 		"late, but one timely": {"lltll", 0}, "late, one timely started before": {"llbl", 2 * sec}, "a rejection and two late": {"rll", 2*sec - 200*ms},
 		"two rejections": {"rr", 4 * sec}, "five": {"rrrrr", 16 * sec}, "timely after": {"rtt", 2*sec - 200*ms},
 	} {
-		var s IdleLimiter
+		var limiter IdleLimiter
 		now := time.Duration(0)
-		for i, c := range x.signs {
+		for i, c := range bounds.signs {
 			now = time.Duration(i) * 100 * ms
 			switch c {
 			case 'r':
-				s.ConnectRejected(now)
+				limiter.ConnectRejected(now)
 			case 'l':
-				s.ConnectLate(now)
+				limiter.ConnectLate(now)
 			case 't':
-				s.ConnectTimely(now)
+				limiter.ConnectTimely(now)
 			case 'b':
-				s.ConnectTimely(now - 150*ms) // started before the last
+				limiter.ConnectTimely(now - 150*ms) // started before the last
 			}
 		}
-		if n, _ := s.IdleBounds(now+x.limited, 9, 9*sec); n != 9 {
-			t.Errorf("%s: limited for longer than %v", name, x.limited)
+		if n, _ := limiter.IdleBounds(now+bounds.limited, 9, 9*sec); n != 9 {
+			t.Errorf("%s: limited for longer than %v", name, bounds.limited)
 		}
-		if n, timeout := s.IdleBounds(now+x.limited-1, 9, 9*sec); x.limited > 0 && (n != LimitedIdleConns || timeout != LimitedIdleTimeout) {
+		if n, timeout := limiter.IdleBounds(now+bounds.limited-1, 9, 9*sec); bounds.limited > 0 && (n != LimitedIdleConns || timeout != LimitedIdleTimeout) {
 			t.Errorf("%s: %d for %v", name, n, timeout)
 		}
 	}
-	var s IdleLimiter
-	s.ConnectRejected(0)
-	s.ConnectRejected(5 * sec) // a sign long after another counts as the first
-	if n, _ := s.IdleBounds(7*sec, 9, 9*sec); n != 9 {
+	var limiter IdleLimiter
+	limiter.ConnectRejected(0)
+	limiter.ConnectRejected(5 * sec) // a sign long after another counts as the first
+	if n, _ := limiter.IdleBounds(7*sec, 9, 9*sec); n != 9 {
 		t.Error("limited as after a second sign")
 	}
 }
 
 func TestIdleLimiterKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var s IdleLimiter
-		now, last, row, signs := time.Duration(0), time.Duration(0), 0, 0
+		var limiter IdleLimiter
+		now, lastSign, lateInRow, signs := time.Duration(0), time.Duration(0), 0, 0
 		rt.Repeat(map[string]func(*rapid.T){
-			"rejected": func(*rapid.T) { s.ConnectRejected(now); last, row, signs = now, 0, signs+1 },
+			"rejected": func(*rapid.T) { limiter.ConnectRejected(now); lastSign, lateInRow, signs = now, 0, signs+1 },
 			"late": func(*rapid.T) {
-				s.ConnectLate(now)
-				if row++; row == MaxLateConnects {
-					last, row, signs = now, 0, signs+1
+				limiter.ConnectLate(now)
+				if lateInRow++; lateInRow == MaxLateConnects {
+					lastSign, lateInRow, signs = now, 0, signs+1
 				}
 			},
-			"timely": func(*rapid.T) { s.ConnectTimely(now); row = 0 },
+			"timely": func(*rapid.T) { limiter.ConnectTimely(now); lateInRow = 0 },
 			"pass":   func(rt *rapid.T) { now += time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond },
 			"": func(rt *rapid.T) {
 				usual := rapid.IntRange(1, 64).Draw(rt, "usual")
-				n, timeout := s.IdleBounds(now, usual, time.Minute)
+				n, timeout := limiter.IdleBounds(now, usual, time.Minute)
 				switch {
-				case signs == 0 || now >= last+MaxLimitDuration:
+				case signs == 0 || now >= lastSign+MaxLimitDuration:
 					if n != usual || timeout != time.Minute {
-						rt.Fatalf("limited %v after the last sign: %d of %d, %v", now-last, n, usual, timeout)
+						rt.Fatalf("limited %v after the last sign: %d of %d, %v", now-lastSign, n, usual, timeout)
 					}
-				case now < last+MinLimitDuration && (n != LimitedIdleConns || timeout != LimitedIdleTimeout), n < LimitedIdleConns, timeout < LimitedIdleTimeout:
-					rt.Fatalf("%v after the last sign: %d for %v", now-last, n, timeout)
+				case now < lastSign+MinLimitDuration && (n != LimitedIdleConns || timeout != LimitedIdleTimeout), n < LimitedIdleConns, timeout < LimitedIdleTimeout:
+					rt.Fatalf("%v after the last sign: %d for %v", now-lastSign, n, timeout)
 				}
 			},
 		})
--- a/internal/connqueue/queue.go
+++ b/internal/connqueue/queue.go
@@ -58,7 +58,7 @@
 }
 
 // New returns an empty queue.
-func New[T comparable](set Settings) *Queue[T] { return &Queue[T]{settings: set} }
+func New[T comparable](settings Settings) *Queue[T] { return &Queue[T]{settings: settings} }
 
 // Enqueue adds an attempt for which no connection is free.
 func (q *Queue[T]) Enqueue(now time.Duration, item T) {
@@ -68,19 +68,19 @@
 // neededConnects is how many connects the waiting attempts need. Each connect serves the attempt it is for and one more,
 // which waits for its connection as others do for those in use.
 func (q *Queue[T]) neededConnects(now time.Duration, inUse int) int {
-	due := 0
-	for due < len(q.waiters) && q.waiters[due].connectDueAt <= now {
-		due++
+	dueWaiters := 0
+	for dueWaiters < len(q.waiters) && q.waiters[dueWaiters].connectDueAt <= now {
+		dueWaiters++
 	}
-	return max(due, (len(q.waiters)-inUse+1)/2)
+	return max(dueWaiters, (len(q.waiters)-inUse+1)/2)
 }
 
 // ConnectsDue returns how many connects are to start now, where inUse connections are in use and a connect is late after the
 // duration late. The caller calls ConnectStarted or DropLast for each.
-func (q *Queue[T]) ConnectsDue(now time.Duration, inUse int, late time.Duration) int {
+func (q *Queue[T]) ConnectsDue(now time.Duration, inUse int, lateAfter time.Duration) int {
 	needed, timely := q.neededConnects(now, inUse), 0
 	for _, connect := range q.pendingConnects {
-		if now < connect.startedAt+late {
+		if now < connect.startedAt+lateAfter {
 			timely++
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // Next is when PopExpired and ConnectsDue are to be called again; false if no attempt waits.
-func (q *Queue[T]) Next(now, late time.Duration) (at time.Duration, ok bool) {
+func (q *Queue[T]) Next(now, lateAfter time.Duration) (at time.Duration, ok bool) {
 	if len(q.waiters) == 0 {
 		return 0, false
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, connect := range q.pendingConnects {
-		if lateAt := connect.startedAt + late; lateAt > now {
+		if lateAt := connect.startedAt + lateAfter; lateAt > now {
 			at = min(at, lateAt)
 		}
 	}
--- a/internal/connqueue/queue_test.go
+++ b/internal/connqueue/queue_test.go
@@ -36,8 +36,8 @@
 	pending  map[int]time.Duration // start times of connects by id
 }
 
-// testLate is when a connect of queueModel is late.
-const testLate = 15
+// testLateAfter is when a connect of queueModel is late.
+const testLateAfter = 15
 
 // remove checks that an item which left the queue was the first, and removes it.
 func (m *queueModel) remove(t *rapid.T, item int, ok bool) bool {
@@ -61,7 +61,7 @@
 	return m.remove(t, item, ok)
 }
 
-func (m *queueModel) fail(t *rapid.T, id int) bool {
+func (m *queueModel) failConnect(t *rapid.T, id int) bool {
 	item, ok := m.queue.ConnectFailed(m.now, id, m.inUse)
 	return m.remove(t, item, ok)
 }
@@ -89,7 +89,7 @@
 func (m *queueModel) startConnects(t *rapid.T) {
 	for m.popExpired(t) {
 	}
-	for range m.queue.ConnectsDue(m.now, m.inUse, testLate) {
+	for range m.queue.ConnectsDue(m.now, m.inUse, testLateAfter) {
 		if rapid.IntRange(0, 5).Draw(t, "capacity") > 0 {
 			m.pending[m.queue.ConnectStarted(m.now)] = m.now
 			continue
@@ -136,7 +136,7 @@
 	}
 	delete(m.pending, id)
 	covered := m.neededConnects() <= len(m.pending)
-	if m.fail(t, id) == covered && len(m.waiting) > 0 {
+	if m.failConnect(t, id) == covered && len(m.waiting) > 0 {
 		t.Fatalf("other connects are pending: %v, waiting are %v", covered, m.waiting)
 	}
 	m.startConnects(t)
@@ -155,8 +155,8 @@
 	m.waiting = slices.DeleteFunc(m.waiting, func(x int) bool { return x == item })
 }
 
-func (m *queueModel) pass(t *rapid.T) {
-	at, ok := m.queue.Next(m.now, testLate)
+func (m *queueModel) advanceTime(t *rapid.T) {
+	at, ok := m.queue.Next(m.now, testLateAfter)
 	m.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms"))
 	if ok {
 		m.now = min(m.now, max(at, m.now-60))
@@ -197,7 +197,7 @@
 			"connect succeeded": m.connectSucceeded,
 			"connect failed":    m.connectFailed,
 			"cancel":            m.cancel,
-			"pass":              m.pass,
+			"pass":              m.advanceTime,
 			"":                  m.check,
 		})
 	})
--- a/internal/connqueue/recorded_test.go
+++ b/internal/connqueue/recorded_test.go
@@ -12,17 +12,17 @@
 
 // queueScript plays random events on a queue and records the results.
 type queueScript struct {
-	queue   *Queue[int]
-	rng     *rand.Rand
-	now     time.Duration
-	late    time.Duration
-	inUse   int
-	items   int
-	pending []int // ids of connects
-	fields  []any // of the current step
+	queue     *Queue[int]
+	rng       *rand.Rand
+	now       time.Duration
+	lateAfter time.Duration
+	inUse     int
+	items     int
+	pending   []int // ids of connects
+	fields    []any // of the current step
 }
 
-func (s *queueScript) result(word string, item int, ok bool) bool {
+func (s *queueScript) recordResult(word string, item int, ok bool) bool {
 	s.fields = append(s.fields, word, item, ok)
 	return ok
 }
@@ -34,8 +34,8 @@
 	return id
 }
 
-// event plays one random event.
-func (s *queueScript) event() {
+// randomEvent plays one random event.
+func (s *queueScript) randomEvent() {
 	switch n := s.rng.Intn(10); {
 	case n < 4:
 		s.items++
@@ -43,18 +43,18 @@
 		s.fields = append(s.fields, "enqueue", s.items)
 	case n == 4 && s.inUse > 0:
 		item, ok := s.queue.Pop()
-		if !s.result("pop", item, ok) {
+		if !s.recordResult("pop", item, ok) {
 			s.inUse--
 		}
 	case n == 5 && len(s.pending) > 0:
 		s.fields = append(s.fields, int64(s.queue.ConnectSucceeded(s.now, s.takePending())))
 		item, ok := s.queue.Pop()
-		if s.result("up", item, ok) {
+		if s.recordResult("up", item, ok) {
 			s.inUse++
 		}
 	case n == 6 && len(s.pending) > 0:
 		item, ok := s.queue.ConnectFailed(s.now, s.takePending(), s.inUse)
-		s.result("failed", item, ok)
+		s.recordResult("failed", item, ok)
 	case n == 7 && s.items > 0:
 		item := 1 + max(0, s.items-s.rng.Intn(12)-1)
 		s.fields = append(s.fields, "remove", item, s.queue.Remove(item))
@@ -68,11 +68,11 @@
 func (s *queueScript) startConnects() {
 	for {
 		item, ok := s.queue.PopExpired(s.now)
-		if !s.result("expired", item, ok) {
+		if !s.recordResult("expired", item, ok) {
 			break
 		}
 	}
-	due := s.queue.ConnectsDue(s.now, s.inUse, s.late)
+	due := s.queue.ConnectsDue(s.now, s.inUse, s.lateAfter)
 	s.fields = append(s.fields, due)
 	for range due {
 		if s.rng.Intn(6) > 0 {
@@ -81,7 +81,7 @@
 			s.fields = append(s.fields, "started", id)
 		} else {
 			item, ok := s.queue.DropLast(s.now, s.inUse)
-			s.result("dropped", item, ok)
+			s.recordResult("dropped", item, ok)
 		}
 	}
 }
@@ -92,13 +92,13 @@
 	for i := range 12 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			var script recorded.Script
-			s := queueScript{rng: rand.New(rand.NewSource(int64(40 + i))), late: time.Duration(10+5*(i%2)) * ms}
+			s := queueScript{rng: rand.New(rand.NewSource(int64(40 + i))), lateAfter: time.Duration(10+5*(i%2)) * ms}
 			s.queue = New[int](Settings{FreeConnWait: time.Duration(i%4*15) * ms, ConnectTimeout: time.Duration(40+20*(i%3)) * ms})
 			for range 1500 {
 				s.fields = []any{int64(s.now)}
-				s.event()
+				s.randomEvent()
 				s.startConnects()
-				at, ok := s.queue.Next(s.now, s.late)
+				at, ok := s.queue.Next(s.now, s.lateAfter)
 				script.Add(append(s.fields, int64(at), ok, s.queue.Len())...)
 				s.now += time.Duration(s.rng.Intn(15)) * ms
 				if s.rng.Intn(100) == 0 {
@@ -133,9 +133,9 @@
 			word = "timely"
 			limiter.ConnectTimely(now - time.Duration(rng.Intn(800))*time.Millisecond)
 		}
-		count, span := limiter.IdleBounds(now, rng.Intn(9), time.Duration(rng.Intn(2000))*time.Millisecond)
+		count, timeout := limiter.IdleBounds(now, rng.Intn(9), time.Duration(rng.Intn(2000))*time.Millisecond)
 		wait := MaxFreeConnWait(rng.Float64()-0.3, time.Duration(rng.Intn(500))*time.Millisecond)
-		script.Add(int64(now), word, count, int64(span), int64(wait))
+		script.Add(int64(now), word, count, int64(timeout), int64(wait))
 	}
 	script.Check(t, "limiter")
 }
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -50,16 +50,16 @@
 }
 
 // New returns an empty set. An error is a *SettingError.
-func New(set Settings) (*Set, error) {
+func New(settings Settings) (*Set, error) {
 	switch {
-	case set.MaxListed < 1:
-		return nil, &SettingError{"ListedMost", fmt.Sprint(set.MaxListed), "not a positive number"}
-	case set.MaxExcluded < 1:
-		return nil, &SettingError{"ExcludedMost", fmt.Sprint(set.MaxExcluded), "not a positive number"}
-	case set.SlowStartDuration < 0:
-		return nil, &SettingError{"ColdSpan", fmt.Sprint(set.SlowStartDuration), "negative"}
-	}
-	return &Set{settings: set, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
+	case settings.MaxListed < 1:
+		return nil, &SettingError{"ListedMost", fmt.Sprint(settings.MaxListed), "not a positive number"}
+	case settings.MaxExcluded < 1:
+		return nil, &SettingError{"ExcludedMost", fmt.Sprint(settings.MaxExcluded), "not a positive number"}
+	case settings.SlowStartDuration < 0:
+		return nil, &SettingError{"ColdSpan", fmt.Sprint(settings.SlowStartDuration), "negative"}
+	}
+	return &Set{settings: settings, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
 }
 
 // AddListed notes nodes as listed, so that an operator may name them. Beyond the bound, the oldest that are not excluded are
@@ -121,8 +121,8 @@
 
 // Excluded reports whether a node is excluded.
 func (s *Set) Excluded(id string) bool {
-	_, out := s.excluded[id]
-	return out
+	_, excluded := s.excluded[id]
+	return excluded
 }
 
 // dropExpiredIncludes drops the includes whose slow start has ended.
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -13,19 +13,19 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func newSet(t interface{ Fatal(...any) }, set Settings) *Set {
-	s, err := New(set)
+func newSet(t interface{ Fatal(...any) }, settings Settings) *Set {
+	s, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func up(id string, startTime float64) policy.Node {
+func upNode(id string, startTime float64) policy.Node {
 	return policy.Node{ID: id, State: policy.NodeUp, Weight: 1, StartTime: startTime}
 }
 
-func TestExcludeAndInclude(t *testing.T) {
+func TestExcludedNodeStaysExcludedUntilIncluded(t *testing.T) {
 	s := newSet(t, Defaults)
 	if _, err := s.Exclude(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
 		t.Fatalf("a node that was never listed: %v", err)
@@ -40,10 +40,10 @@
 	if changed, err := s.Exclude(1500, "s-1"); changed || err != nil {
 		t.Fatalf("a repeated exclude changed something: %v %v", changed, err)
 	}
-	if v := s.View(2000, up("s-1", 0)); v.State != policy.NodeExcluded {
+	if v := s.View(2000, upNode("s-1", 0)); v.State != policy.NodeExcluded {
 		t.Fatalf("excluded, listed as up, shown as %v", v.State)
 	}
-	if v := s.View(2000, up("s-2", 0)); v.State != policy.NodeUp {
+	if v := s.View(2000, upNode("s-2", 0)); v.State != policy.NodeUp {
 		t.Fatalf("another node is shown as %v", v.State)
 	}
 	// A removed node stays removed.
@@ -56,14 +56,14 @@
 	if changed, err := s.Include(6000, "s-1"); !changed || err != nil {
 		t.Fatalf("include: %v %v", changed, err)
 	}
-	v := s.View(7000, up("s-1", 100))
+	v := s.View(7000, upNode("s-1", 100))
 	if v.State != policy.NodeUp || v.StartTime != 6000 {
 		t.Fatalf("included, shown as %v, started at %v; want up, started at the include", v.State, v.StartTime)
 	}
-	if v := s.View(7000, up("s-1", 6500)); v.StartTime != 6500 {
+	if v := s.View(7000, upNode("s-1", 6500)); v.StartTime != 6500 {
 		t.Fatalf("a start after the include is shown as %v", v.StartTime)
 	}
-	if v := s.View(6000+Defaults.SlowStartDuration+1, up("s-1", 100)); v.StartTime != 100 {
+	if v := s.View(6000+Defaults.SlowStartDuration+1, upNode("s-1", 100)); v.StartTime != 100 {
 		t.Fatalf("after the slow start, started at %v", v.StartTime)
 	}
 	if err := s.Check(); err != nil {
@@ -113,7 +113,7 @@
 	if changed := second.Load(200, stored); fmt.Sprint(changed) != "[a b]" {
 		t.Fatalf("changed %v", changed)
 	}
-	if !second.IsListed("a") || !second.Excluded("a") || second.Excluded("b") || second.View(200, up("b", 0)).StartTime != 100 {
+	if !second.IsListed("a") || !second.Excluded("a") || second.Excluded("b") || second.View(200, upNode("b", 0)).StartTime != 100 {
 		t.Fatalf("loaded: %+v", second.State(200))
 	}
 	if changed := second.Load(300, stored); len(changed) != 0 {
@@ -132,8 +132,8 @@
 	now      float64
 }
 
-// call makes a random call for a node.
-func (m *setModel) call(t *rapid.T, id string) {
+// randomCall makes a random call for a node.
+func (m *setModel) randomCall(t *rapid.T, id string) {
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0:
 		m.AddListed(id)
@@ -141,7 +141,7 @@
 		m.exclude(t, id)
 	case 2:
 		if _, err := m.Include(m.now, id); err == nil {
-			if start := m.View(m.now, up(id, 0)).StartTime; m.excluded[id] && start != m.now {
+			if start := m.View(m.now, upNode(id, 0)).StartTime; m.excluded[id] && start != m.now {
 				t.Fatalf("%s included at %v, shown as started at %v", id, m.now, start)
 			}
 			delete(m.excluded, id)
@@ -172,17 +172,17 @@
 
 func TestInvariantsUnderRandomCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "excluded"), SlowStartDuration: 50}
-		m := setModel{Set: newSet(t, set), settings: set, excluded: map[string]bool{}}
+		settings := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "excluded"), SlowStartDuration: 50}
+		m := setModel{Set: newSet(t, settings), settings: settings, excluded: map[string]bool{}}
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			m.now += rapid.Float64Range(0, 30).Draw(t, "wait")
-			m.call(t, rapid.SampledFrom(ids).Draw(t, fmt.Sprint("id", step)))
+			m.randomCall(t, rapid.SampledFrom(ids).Draw(t, fmt.Sprint("id", step)))
 			if err := m.Check(); err != nil {
 				t.Fatal(err)
 			}
 			for _, id := range ids {
-				if v := m.View(m.now, up(id, 0)); m.excluded[id] != (v.State == policy.NodeExcluded) {
+				if v := m.View(m.now, upNode(id, 0)); m.excluded[id] != (v.State == policy.NodeExcluded) {
 					t.Fatalf("%s: excluded %v, shown as %v", id, m.excluded[id], v.State)
 				}
 			}
--- a/internal/exclusion/recorded_test.go
+++ b/internal/exclusion/recorded_test.go
@@ -54,38 +54,38 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(int64(70 + i)))
 			var script recorded.Script
-			b := newSet(t, Settings{MaxListed: 2 + i, MaxExcluded: 1 + i/3, SlowStartDuration: 50})
+			set := newSet(t, Settings{MaxListed: 2 + i, MaxExcluded: 1 + i/3, SlowStartDuration: 50})
 			now := 0.0
 			ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 			id := func() string { return ids[rng.Intn(len(ids))] }
 			var stored State
 			for range 600 {
 				now += 20 * rng.Float64()
-				one := id()
+				first := id()
 				fields := []any{now}
 				switch n := rng.Intn(20); {
 				case n < 6:
-					b.AddListed(one, id())
+					set.AddListed(first, id())
 					fields = append(fields, "list")
 				case n < 11:
-					changed, err := b.Exclude(now, one)
-					fields = append(fields, "exclude", one, changed, resultWord(err))
+					changed, err := set.Exclude(now, first)
+					fields = append(fields, "exclude", first, changed, resultWord(err))
 				case n < 16:
-					changed, err := b.Include(now, one)
-					fields = append(fields, "include", one, changed, resultWord(err))
+					changed, err := set.Include(now, first)
+					fields = append(fields, "include", first, changed, resultWord(err))
 				case n == 16:
-					stored = b.State(now)
+					stored = set.State(now)
 					fields = append(append(fields, "state"), recordedState(stored)...)
 				case n == 17:
-					fields = append(fields, "load", fmt.Sprint(b.Load(now, stored)))
+					fields = append(fields, "load", fmt.Sprint(set.Load(now, stored)))
 				case n == 18:
-					fields = append(fields, "load", fmt.Sprint(b.Load(now, randomState(rng, now, id))))
+					fields = append(fields, "load", fmt.Sprint(set.Load(now, randomState(rng, now, id))))
 				}
 				for _, x := range ids {
 					n := policy.Node{ID: x, State: []policy.NodeState{policy.NodeUp, policy.NodeRemoved}[rng.Intn(2)], Weight: 1, StartTime: now - float64(rng.Intn(90))}
-					v := b.View(now, n)
+					v := set.View(now, n)
 					word := map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeRemoved: "gone", policy.NodeExcluded: "out"}[v.State]
-					fields = append(fields, b.IsListed(x), b.Excluded(x), word, v.StartTime)
+					fields = append(fields, set.IsListed(x), set.Excluded(x), word, v.StartTime)
 				}
 				script.Add(fields...)
 			}
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -56,14 +56,14 @@
 // Read reads the state. Without a file it is empty.
 func (s *Store) Read() (exclusion.State, error) {
 	empty := exclusion.State{Excluded: map[string]float64{}, Included: map[string]float64{}}
-	text, err := s.readFile()
+	data, err := s.readFile()
 	if errors.Is(err, fs.ErrNotExist) {
 		return empty, nil
 	}
 	if err != nil {
 		return empty, &FileError{s.Path, err}
 	}
-	state, problem := s.parse(text)
+	state, problem := s.parse(data)
 	if problem != "" {
 		return empty, &ForeignFileError{s.Path, problem}
 	}
@@ -92,12 +92,12 @@
 }
 
 // parse reads the state from a file's bytes, or says why they do not hold one of this scheduler.
-func (s *Store) parse(text []byte) (state exclusion.State, problem string) {
-	if len(text) > maxFileSize {
+func (s *Store) parse(data []byte) (state exclusion.State, problem string) {
+	if len(data) > maxFileSize {
 		return state, fmt.Sprintf("over %d bytes", maxFileSize)
 	}
 	var stored file
-	dec := json.NewDecoder(bytes.NewReader(text))
+	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&stored); err != nil {
 		return state, fmt.Sprintf("torn or not JSON (%v)", err)
@@ -108,10 +108,10 @@
 	case stored.Name != s.Name:
 		return state, fmt.Sprintf("of scheduler %q, this one is %q", stored.Name, s.Name)
 	}
-	for what, times := range map[string]map[string]float64{"excluded": stored.Excluded, "included": stored.Included} {
+	for field, times := range map[string]map[string]float64{"excluded": stored.Excluded, "included": stored.Included} {
 		for id, at := range times {
 			if id == "" || math.IsNaN(at) || math.IsInf(at, 0) || at < 0 {
-				return state, fmt.Sprintf("%s: %q at %v", what, id, at)
+				return state, fmt.Sprintf("%s: %q at %v", field, id, at)
 			}
 		}
 	}
@@ -120,18 +120,18 @@
 
 // Write replaces the file. If it fails, the old file stays.
 func (s *Store) Write(state exclusion.State) error {
-	text, err := json.Marshal(file{Version: version, Name: s.Name, State: state})
+	data, err := json.Marshal(file{Version: version, Name: s.Name, State: state})
 	if err != nil {
 		return &FileError{s.Path, err}
 	}
-	temporary := s.Path + fmt.Sprintf(".%d~", cmp.Or(s.pid, os.Getpid()))
-	sync.Point("create", temporary)
-	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	tempPath := s.Path + fmt.Sprintf(".%d~", cmp.Or(s.pid, os.Getpid()))
+	sync.Point("create", tempPath)
+	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return &FileError{s.Path, err}
 	}
-	if err := s.replace(f, text); err != nil {
-		_ = os.Remove(temporary) // the first error counts
+	if err := s.replace(f, data); err != nil {
+		_ = os.Remove(tempPath) // the first error counts
 		return &FileError{s.Path, err}
 	}
 	sync.Point("stat", s.Path)
@@ -142,9 +142,9 @@
 }
 
 // replace writes and closes the temporary file, and renames it.
-func (s *Store) replace(f *os.File, text []byte) error {
+func (s *Store) replace(f *os.File, data []byte) error {
 	sync.Point("write", f.Name())
-	_, err := f.Write(text)
+	_, err := f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -11,9 +11,9 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// process changes the stored state as the daemon does: under the lock it reads the other process's change, applies its own
+// changeState changes the stored state as the daemon does: under the lock it reads the other process's change, applies its own
 // and writes.
-func process(dir, id string, at float64, dies int) func() {
+func changeState(dir, id string, at float64, dies int) func() {
 	return func() {
 		s := InFolder(dir, "n3")
 		s.pid = int(at)
@@ -49,11 +49,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		killed := il.Thread{Name: "killed", Run: process(dir, "s-9", 9, 2)}
+		killed := il.Thread{Name: "killed", Run: changeState(dir, "s-9", 9, 2)}
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "old", Run: process(dir, "s-1", 1, 1)},
-				{Name: "new", Run: process(dir, "s-2", 2, 1)},
+				{Name: "old", Run: changeState(dir, "s-1", 1, 1)},
+				{Name: "new", Run: changeState(dir, "s-2", 2, 1)},
 				killed,
 			},
 			Check: func() error {
@@ -76,6 +76,6 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "stored: "},
 		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "stored: "},
-		mutant.Mutant{File: "store.go", Old: "	temporary := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	temporary := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
+		mutant.Mutant{File: "store.go", Old: "	tempPath := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	tempPath := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
 	)
 }
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -8,15 +8,15 @@
 	"wheatsaddle/internal/exclusion"
 )
 
-func TestNextProcessReadsTheState(t *testing.T) {
+func TestNextProcessReadsTheStoredState(t *testing.T) {
 	dir := t.TempDir()
 	s := InFolder(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
 		t.Fatalf("without a file: %v %v", got, err)
 	}
-	st := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
-	if err := s.Write(st); err != nil {
+	state := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
+	if err := s.Write(state); err != nil {
 		t.Fatal(err)
 	}
 	next := InFolder(dir, "n3") // the next process
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLockOrdersWriters(t *testing.T) {
+func TestLockExcludesOtherWriters(t *testing.T) {
 	s := InFolder(t.TempDir(), "n3")
 	unlock, err := s.Lock()
 	if err != nil {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -95,21 +95,23 @@
 
 // Machine is the state of one process. It must be used by one goroutine at a time.
 type Machine struct {
-	settings        Settings
-	phase           phase
-	next            time.Duration // of the next TimerFired
-	startedAt       time.Duration
-	deadline        time.Duration // of the shutdown
-	hasLock         bool
-	lockUnavailable bool
-	accepting       bool
-	moduleNotified  bool
-	warnedLongWait  bool
-	lastSweep       bool // the last CloseIdle was at the deadline
+	settings       Settings
+	phase          phase
+	next           time.Duration // of the next TimerFired
+	startedAt      time.Duration
+	deadline       time.Duration // of the shutdown
+	hasLock        bool
+	withoutLock    bool
+	accepting      bool
+	moduleNotified bool
+	warnedLongWait bool
+	lastSweep      bool // the last CloseIdle was at the deadline
 }
 
 // New returns the state of a process that has accepted nothing.
-func New(s Settings) *Machine { return &Machine{settings: s, next: Never, deadline: Never} }
+func New(settings Settings) *Machine {
+	return &Machine{settings: settings, next: Never, deadline: Never}
+}
 
 // Next is when a TimerFired is due.
 func (m *Machine) Next() time.Duration { return m.next }
@@ -118,67 +120,67 @@
 func (m *Machine) Step(now time.Duration, e Event) []Action {
 	switch e.Kind {
 	case Started:
-		return m.start(now)
+		return m.handleStarted(now)
 	case LockAcquired:
-		return m.lockAcquired()
+		return m.handleLockAcquired()
 	case LockBusy:
-		return m.lockBusy(now)
+		return m.handleLockBusy(now)
 	case LockUnavailable:
-		return m.noLock()
+		return m.handleLockUnavailable()
 	case TimerFired:
-		return m.timerFired(now)
+		return m.handleTimer(now)
 	case TermReceived:
-		return m.termReceived(e.Deadline)
+		return m.handleTerm(e.Deadline)
 	case ModuleNotified:
-		return m.moduleConfirmed()
+		return m.handleModuleNotified()
 	case ModuleBusy:
-		return m.moduleBusy(now)
+		return m.handleModuleBusy(now)
 	case ListenerClosed:
-		return m.listenerClosed(now)
+		return m.handleListenerClosed(now)
 	case ConnectionsCounted:
-		return m.connectionsCounted(now, e.OpenConnections)
+		return m.handleConnectionsCounted(now, e.OpenConnections)
 	}
 	return nil
 }
 
-// do returns actions of the given kinds.
-func do(kinds ...ActionKind) (actions []Action) {
+// newActions returns actions of the given kinds.
+func newActions(kinds ...ActionKind) (actions []Action) {
 	for _, kind := range kinds {
 		actions = append(actions, Action{Kind: kind})
 	}
 	return actions
 }
 
-func (m *Machine) start(now time.Duration) []Action {
+func (m *Machine) handleStarted(now time.Duration) []Action {
 	if m.phase != notStarted {
 		return nil
 	}
 	m.phase, m.startedAt = waitingForLock, now
-	return do(TryLock)
+	return newActions(TryLock)
 }
 
-func (m *Machine) lockAcquired() []Action {
+func (m *Machine) handleLockAcquired() []Action {
 	if m.phase >= draining { // too late: the next process may have it
 		m.hasLock = false
-		return do(ReleaseLock)
+		return newActions(ReleaseLock)
 	}
 	m.hasLock = true
 	if m.phase != waitingForLock {
 		return nil
 	}
 	m.phase, m.accepting = serving, true
-	return do(Accept)
+	return newActions(Accept)
 }
 
-func (m *Machine) noLock() []Action {
+func (m *Machine) handleLockUnavailable() []Action {
 	if m.phase != waitingForLock {
 		return nil
 	}
-	m.phase, m.accepting, m.lockUnavailable = serving, true, true
-	return do(Accept)
+	m.phase, m.accepting, m.withoutLock = serving, true, true
+	return newActions(Accept)
 }
 
-func (m *Machine) lockBusy(now time.Duration) []Action {
+func (m *Machine) handleLockBusy(now time.Duration) []Action {
 	if m.phase != waitingForLock {
 		return nil
 	}
@@ -187,40 +189,40 @@
 		return nil
 	}
 	m.warnedLongWait = true
-	return do(WarnLongWait)
+	return newActions(WarnLongWait)
 }
 
-func (m *Machine) termReceived(deadline time.Duration) []Action {
+func (m *Machine) handleTerm(deadline time.Duration) []Action {
 	if m.phase >= notifyingModule {
 		return nil
 	}
 	m.phase, m.deadline, m.next = notifyingModule, deadline, Never
-	return do(NotifyModule)
+	return newActions(NotifyModule)
 }
 
-func (m *Machine) moduleConfirmed() []Action {
+func (m *Machine) handleModuleNotified() []Action {
 	if m.phase != notifyingModule {
 		return nil
 	}
 	m.moduleNotified, m.phase = true, closingListener
-	return do(CloseListener)
+	return newActions(CloseListener)
 }
 
-// moduleBusy retries until the deadline. Then the listener is closed all the same, and the lock is kept until the process
+// handleModuleBusy retries until the deadline. Then the listener is closed all the same, and the lock is kept until the process
 // ends.
-func (m *Machine) moduleBusy(now time.Duration) []Action {
+func (m *Machine) handleModuleBusy(now time.Duration) []Action {
 	if m.phase != notifyingModule {
 		return nil
 	}
 	if now >= m.deadline {
 		m.phase, m.next = closingListener, Never
-		return do(CloseListener)
+		return newActions(CloseListener)
 	}
 	m.next = min(now+m.settings.SweepInterval, m.deadline)
 	return nil
 }
 
-func (m *Machine) listenerClosed(now time.Duration) []Action {
+func (m *Machine) handleListenerClosed(now time.Duration) []Action {
 	if m.phase != closingListener {
 		return nil
 	}
@@ -228,33 +230,33 @@
 	var actions []Action
 	if m.hasLock && m.moduleNotified {
 		m.hasLock = false
-		actions = do(ReleaseLock)
+		actions = newActions(ReleaseLock)
 	}
 	return append(actions, m.sweep(now))
 }
 
-func (m *Machine) connectionsCounted(now time.Duration, open int) []Action {
+func (m *Machine) handleConnectionsCounted(now time.Duration, open int) []Action {
 	if m.phase != draining {
 		return nil
 	}
 	if open == 0 || m.lastSweep {
 		m.phase, m.next = finished, Never
-		return do(Finish)
+		return newActions(Finish)
 	}
 	m.next = min(now+m.settings.SweepInterval, max(m.deadline, now))
 	return nil
 }
 
-func (m *Machine) timerFired(now time.Duration) []Action {
+func (m *Machine) handleTimer(now time.Duration) []Action {
 	if now < m.next {
 		return nil
 	}
 	m.next = Never // until the result of the action
 	switch m.phase {
 	case waitingForLock:
-		return do(TryLock)
+		return newActions(TryLock)
 	case notifyingModule:
-		return do(NotifyModule)
+		return newActions(NotifyModule)
 	case draining:
 		return []Action{m.sweep(now)}
 	}
@@ -276,7 +278,7 @@
 // Check returns which invariant does not hold. It is for tests, after any Step.
 func (m *Machine) Check() error {
 	switch {
-	case m.accepting && !m.hasLock && !m.lockUnavailable:
+	case m.accepting && !m.hasLock && !m.withoutLock:
 		return fmt.Errorf("accepts without the lock in phase %d", m.phase)
 	case m.phase >= draining && m.hasLock && m.moduleNotified:
 		return fmt.Errorf("still has the lock in phase %d", m.phase)
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -16,8 +16,8 @@
 var recordedEvents = []EventKind{Started, LockAcquired, LockBusy, LockUnavailable, TimerFired, TermReceived, ModuleNotified, ModuleBusy,
 	ListenerClosed, ConnectionsCounted}
 
-// fittingEvent is an event that a driver may send after an action, or false where none follows.
-func fittingEvent(rng *rand.Rand, kind ActionKind) (Event, bool) {
+// resultEvent is an event that a driver may send after an action, or false where none follows.
+func resultEvent(rng *rand.Rand, kind ActionKind) (Event, bool) {
 	switch kind {
 	case TryLock:
 		return Event{Kind: []EventKind{LockAcquired, LockBusy, LockBusy, LockBusy, LockUnavailable}[rng.Intn(5)]}, true
@@ -36,7 +36,7 @@
 	var script recorded.Script
 	for i := range 400 {
 		rng := rand.New(rand.NewSource(int64(i)))
-		b := New(Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 50 * ms, WarnAfter: 30 * ms})
+		machine := New(Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 50 * ms, WarnAfter: 30 * ms})
 		now := time.Duration(0)
 		pending := []Event{{Kind: Started}}
 		for range 60 {
@@ -51,18 +51,18 @@
 			default:
 				e = Event{Kind: TimerFired}
 				now += time.Duration(rng.Intn(15)) * ms
-				if b.Next() != Never && rng.Intn(2) == 0 {
-					now = max(now, b.Next())
+				if machine.Next() != Never && rng.Intn(2) == 0 {
+					now = max(now, machine.Next())
 				}
 			}
 			fields := []any{i, int64(now), int(e.Kind)}
-			for _, a := range b.Step(now, e) {
+			for _, a := range machine.Step(now, e) {
 				fields = append(fields, recordedActions[a.Kind], int64(a.IdleFor))
-				if follow, ok := fittingEvent(rng, a.Kind); ok {
+				if follow, ok := resultEvent(rng, a.Kind); ok {
 					pending = append(pending, follow)
 				}
 			}
-			script.Add(append(fields, int64(b.Next()), b.Ended(), b.Check() == nil)...)
+			script.Add(append(fields, int64(machine.Next()), machine.Ended(), machine.Check() == nil)...)
 		}
 	}
 	script.Check(t, "events")
