--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Kind is the family of an address.
+// Kind is an address family.
 type Kind uint8
 
 // The families. Name is a host name, which the operating system resolves at each connect.
@@ -31,7 +31,7 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// ParseKind reads the name of a family: unix, ipv6, ipv4 or name.
+// ParseKind parses the name of an address family: unix, ipv6, ipv4 or name.
 func ParseKind(name string) (Kind, error) {
 	for k, known := range familyNames {
 		if known == name {
@@ -41,26 +41,26 @@
 	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", name)
 }
 
-// maxPathLength is the longest path of a socket: sun_path of unix(7) holds 108 bytes, the last a NUL.
+// maxPathLength is the maximum length of a socket's path in bytes: sun_path of unix(7) has 108, including a final NUL.
 const maxPathLength = 107
 
-// unixScheme marks the path of a socket, as in unix:/run/x.sock.
+// unixScheme is the prefix of a socket's path, as in unix:/run/x.sock.
 const unixScheme = "unix:"
 
-// Addr is a parsed address in canonical form: two that mean the same are equal with ==.
+// Addr is a parsed address in canonical form: addresses that differ only in spelling are equal with ==.
 type Addr struct {
 	kind Kind
 	ip   netip.AddrPort
 	text string // Unix: the path; Name: host:port
 }
 
-// Kind is the family.
+// Kind returns the address family.
 func (a Addr) Kind() Kind { return a.kind }
 
-// IsZero reports whether it is no address.
+// IsZero reports whether a is the zero Addr, which is no address.
 func (a Addr) IsZero() bool { return a == Addr{} }
 
-// String is the canonical spelling, which Parse reads again.
+// String returns the canonical spelling. Parse of it returns the same Addr.
 func (a Addr) String() string {
 	switch {
 	case a.IsZero():
@@ -73,7 +73,7 @@
 	return a.ip.String()
 }
 
-// Dial returns the network and the address for package net.
+// Dial returns the network and the address as package net expects them.
 func (a Addr) Dial() (network, address string) {
 	switch a.kind {
 	case Unix:
@@ -86,7 +86,7 @@
 	return "tcp", a.text
 }
 
-// Path is the file of a Unix socket, or empty.
+// Path returns the path of a Unix socket, or "" for other families.
 func (a Addr) Path() string {
 	if a.kind == Unix {
 		return a.text
@@ -94,9 +94,8 @@
 	return ""
 }
 
-// Parse reads the address of a node to connect to: host:port with an IPv4 address, an IPv6
-// address in brackets (a zone only where it is link-local) or a host name, or unix:PATH with an
-// absolute path. The error says what is wrong, without the text.
+// Parse parses the address of a node to connect to: host:port with an IPv4 address, an IPv6 address in brackets (with a zone
+// if and only if it is link-local) or a host name, or unix:PATH with an absolute path. The error does not contain the text.
 func Parse(text string) (Addr, error) {
 	a, err := parse(text, 1)
 	if err != nil {
@@ -105,15 +104,15 @@
 	if a.ip.IsValid() {
 		switch ip := a.ip.Addr(); {
 		case ip.IsUnspecified():
-			return Addr{}, errors.New("no host to connect to")
+			return Addr{}, errors.New("no host to connect to: the address is unspecified")
 		case ip.IsMulticast() || ip == netip.AddrFrom4([4]byte{255, 255, 255, 255}):
-			return Addr{}, errors.New("a group of hosts, not one")
+			return Addr{}, errors.New("host: a multicast or broadcast address")
 		}
 	}
 	return a, nil
 }
 
-// ParseListen reads an address to listen on. Unlike Parse, it accepts unspecified hosts and the port 0, and no host names.
+// ParseListen parses an address to listen on. Unlike Parse, it accepts unspecified addresses and port 0, but no host names.
 func ParseListen(text string) (Addr, error) {
 	if strings.HasPrefix(text, ":") {
 		text = "[::]" + text
@@ -125,7 +124,7 @@
 	case a.kind == Name:
 		return Addr{}, errors.New("host: not an IP address")
 	case a.ip.IsValid() && a.ip.Addr().IsMulticast():
-		return Addr{}, errors.New("a group of hosts, not one")
+		return Addr{}, errors.New("host: a multicast or broadcast address")
 	}
 	return a, nil
 }
@@ -135,7 +134,7 @@
 		return parseUnix(file)
 	}
 	if strings.HasPrefix(text, "/") {
-		return Addr{}, errors.New("a path is written unix:PATH")
+		return Addr{}, errors.New("a socket's path needs the form unix:PATH")
 	}
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
@@ -179,21 +178,22 @@
 func parseUnix(file string) (Addr, error) {
 	switch {
 	case strings.HasPrefix(file, "@"):
-		return Addr{}, errors.New("path: an abstract name has no file and no mode")
+		return Addr{}, errors.New("path: an abstract socket name has no file and no file mode")
 	case strings.ContainsRune(file, 0):
-		return Addr{}, errors.New("path: holds a zero byte")
+		return Addr{}, errors.New("path: contains a zero byte")
 	case !strings.HasPrefix(file, "/"):
 		return Addr{}, errors.New("path: not absolute")
 	case strings.HasSuffix(file, "/"):
-		return Addr{}, errors.New("path: a folder, not a socket")
+		return Addr{}, errors.New("path: a directory, not a socket")
 	}
 	if file = path.Clean(file); len(file) > maxPathLength {
-		return Addr{}, fmt.Errorf("path: %d bytes long, and a socket's has %d at most", len(file), maxPathLength)
+		return Addr{}, fmt.Errorf("path: %d bytes long, the maximum is %d", len(file), maxPathLength)
 	}
 	return Addr{kind: Unix, text: file}, nil
 }
 
-// checkHostName checks a host name by RFC 1123 section 2.1. One of digits and dots alone is a misspelt IPv4 address.
+// checkHostName checks a host name by RFC 1123 section 2.1. A name that consists only of digits and dots is rejected as a
+// malformed IPv4 address.
 func checkHostName(host string) error {
 	host = strings.TrimSuffix(host, ".")
 	if len(host) == 0 || len(host) > 253 {
@@ -204,22 +204,22 @@
 	}
 	for _, label := range strings.Split(host, ".") {
 		if len(label) == 0 || len(label) > 63 || label[0] == '-' || label[len(label)-1] == '-' {
-			return errors.New("host: not a name")
+			return errors.New("host: not a valid host name")
 		}
 		for _, r := range label {
 			if r != '-' && r != '_' && (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') {
-				return errors.New("host: not a name")
+				return errors.New("host: not a valid host name")
 			}
 		}
 	}
 	return nil
 }
 
-// MaxAddresses is how many addresses one node may have.
+// MaxAddresses is the maximum number of addresses of one node.
 const MaxAddresses = 16
 
-// ParseList reads the addresses of one node. One that is invalid, listed twice (also in another spelling) or beyond
-// MaxAddresses is left out and has a *ListError in errs. The others keep their order.
+// ParseList parses the addresses of one node. An address that is invalid, a duplicate (also in another spelling) or beyond
+// MaxAddresses is left out and reported by a *ListError in errs. The others keep their order.
 func ParseList(texts []string) (list []Addr, errs []error) {
 	seen := map[Addr]string{}
 	for i, text := range texts {
@@ -239,9 +239,9 @@
 	return list, errs
 }
 
-// Interleave puts addresses in the order of RFC 8305 section 4: the families by preference, one
-// address of each alternately, and within a family as listed. Families that the preference does not
-// name come last, in the order of their constants. It returns indices into list.
+// Interleave returns the indices of addresses in the order of RFC 8305 section 4: the families by preference, alternately
+// one address of each, and within a family as listed. Families without a preference come last, in the order of their
+// constants.
 func Interleave(list []Addr, preference []Kind) []int {
 	rank := [familyCount]int{}
 	for family := range rank {
--- a/internal/address/assign.go
+++ b/internal/address/assign.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// assignWaiting writes waiting requests on idle connections, and starts races for the others.
+// assignWaiting writes waiting requests on idle connections and starts races for the remaining ones.
 func (s *Selector) assignWaiting() {
 	if s.draining || s.closing {
 		s.failWaiting(0)
@@ -35,8 +35,8 @@
 	}
 }
 
-// assignTrials writes on idle trial connections the first idempotent request that waits: the request at the head may not
-// suit a trial.
+// assignTrials writes the first waiting idempotent request on each idle trial connection, since the request at the head of
+// the queue may not be allowed on a trial.
 func (s *Selector) assignTrials() {
 	for _, e := range s.entries {
 		c := e.trialConn
@@ -51,8 +51,8 @@
 	}
 }
 
-// pickConn takes an idle connection for a request: a trial connection, one for a second opinion, one of the primary, or one
-// of another usable address.
+// pickConn takes an idle connection for a request, in this order: a trial connection, one for a cross-check, one of the
+// primary, one of another usable address.
 func (s *Selector) pickConn(idempotent bool) *conn {
 	if s.primary == nil {
 		return nil
@@ -82,13 +82,13 @@
 	return s.takeLatestIdle(alternative)
 }
 
-// mayCarry reports whether a trial connection may carry a request. One that is not idempotent waits for a while, unless no
-// healthy address could serve it.
+// mayCarry reports whether a trial connection may carry a request. A non-idempotent request may use it only after
+// TrialPatience, or if no healthy address could serve it.
 func (s *Selector) mayCarry(c *conn, idempotent bool) bool {
 	return idempotent || c.anyRequest || s.now-c.since >= s.settings.TrialPatience || s.bestRank() > rankGood
 }
 
-// idleAlternative is the most preferred usable address with an idle connection, other than the primary, or nil.
+// idleAlternative returns the most preferred usable address other than the primary that has an idle connection, or nil.
 func (s *Selector) idleAlternative() *entry {
 	for _, e := range s.entries {
 		if len(e.idle) == 0 || e == s.primary || e.trialConn != nil && len(e.idle) == 1 && e.idle[0] == e.trialConn {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// takeLatestIdle takes the idle connection of an address that was used last, or nil.
+// takeLatestIdle takes the most recently used idle connection of an address, or returns nil if there is none.
 func (s *Selector) takeLatestIdle(e *entry) *conn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		if c := e.idle[i]; c != e.trialConn {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// takeIdle takes an idle connection of an address.
+// takeIdle removes a connection from the idle ones of its address and returns it.
 func (s *Selector) takeIdle(e *entry, c *conn) *conn {
 	if n := len(e.idle) - 1; n >= 0 && e.idle[n] == c {
 		e.idle = e.idle[:n]
@@ -121,8 +121,8 @@
 	return c
 }
 
-// returnToPrimary opens a connection to the primary while requests go by idle connections of a less preferred address, one at a
-// time, so that a return causes no burst of connects.
+// returnToPrimary opens a connection to the primary while idle connections of a less preferred address serve the requests. It
+// opens one connection at a time, so that a return causes no burst of connects.
 func (s *Selector) returnToPrimary(from *entry) {
 	if s.rank(s.primary) != rankGood || s.now < s.nextReturnConnect || !s.hasFreeSlot(false) ||
 		slices.Index(s.entries, s.primary) > slices.Index(s.entries, from) {
--- a/internal/address/check.go
+++ b/internal/address/check.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// connTotals count connections by their phases.
+// connTotals counts connections by phase.
 type connTotals struct {
 	conns, connecting, unproven, busy int
 	requests                          map[Req]bool // on busy connections
 }
 
-// Check returns which invariant does not hold. It is for tests, after any Step.
+// Check returns an error if an invariant does not hold. Tests call it after any Step.
 func (s *Selector) Check() error {
 	totals := connTotals{requests: map[Req]bool{}}
 	for i := range s.conns {
@@ -23,10 +23,10 @@
 		}
 	}
 	if totals.conns != s.connCount || totals.connecting != s.connectingCount || totals.unproven != s.unprovenCount || totals.conns+len(s.freeSlots) != len(s.conns) {
-		return fmt.Errorf("counts: %+v, %d free slots; stored as %d, %d, %d", totals, len(s.freeSlots), s.connCount, s.connectingCount, s.unprovenCount)
+		return fmt.Errorf("counted %+v and %d free slots; stored counts are %d, %d, %d", totals, len(s.freeSlots), s.connCount, s.connectingCount, s.unprovenCount)
 	}
 	if s.connectTokens < -1e-9 || s.connectTokens > float64(s.settings.ConnectBurst) {
-		return fmt.Errorf("tokens: %v", s.connectTokens)
+		return fmt.Errorf("%v connect tokens are out of bounds", s.connectTokens)
 	}
 	if err := s.checkWaiting(totals); err != nil {
 		return err
@@ -41,16 +41,16 @@
 		totals.unproven++
 	}
 	if c.trial != (c.entry.trialConn == c) {
-		return fmt.Errorf("trial %v, and the trial connection of its address is %v", c.trial, c.entry.trialConn)
+		return fmt.Errorf("trial is %v, but the trial connection of its address is %v", c.trial, c.entry.trialConn)
 	}
 	if listed := slices.Contains(c.entry.idle, c); listed != (c.phase == idle) {
-		return fmt.Errorf("phase %d, among the idle ones: %v", c.phase, listed)
+		return fmt.Errorf("phase %d, listed as idle: %v", c.phase, listed)
 	}
 	switch c.phase {
 	case connecting:
 		totals.connecting++
 		if s.draining || s.closing || c.entry.removed {
-			return errors.New("connecting, though its node drains or its address was removed")
+			return errors.New("connecting although its node drains or its address was removed")
 		}
 		if c.race != nil && !slices.Contains(s.races, c.race) {
 			return errors.New("connecting for a race that is over")
@@ -58,12 +58,12 @@
 	case busy:
 		totals.busy++
 		if c.req == 0 || totals.requests[c.req] {
-			return fmt.Errorf("request %d is on no or on two connections", c.req)
+			return fmt.Errorf("request %d is on two connections, or a busy connection has no request", c.req)
 		}
 		totals.requests[c.req] = true
 	case idle:
 		if c.entry.removed || s.closing {
-			return errors.New("idle, though its node or address was removed")
+			return errors.New("idle although its node or address was removed")
 		}
 	}
 	return nil
@@ -78,12 +78,12 @@
 	}
 	n := len(s.waiting)
 	switch {
-	case n > s.settings.MaxWaiting+s.settings.MaxConns: // requests found unwritten wait again
+	case n > s.settings.MaxWaiting+s.settings.MaxConns: // requests that could not be written are queued again
 		return fmt.Errorf("%d requests wait", n)
 	case n > 0 && (s.draining || s.closing):
 		return fmt.Errorf("%d requests wait for a node that drains or was removed", n)
 	case n > 0 && totals.connecting == 0 && totals.busy == 0 && s.Next() == never:
-		return fmt.Errorf("%d requests wait, and nothing will wake them", n)
+		return fmt.Errorf("%d requests wait, but there is no connect, no request in flight and no timer", n)
 	}
 	return nil
 }
--- a/internal/address/conns.go
+++ b/internal/address/conns.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// phase is where a connection stands.
+// phase is the state of a connection slot.
 type phase uint8
 
-// The phases. none marks a free slot.
+// The phases. A slot in the phase unused is free.
 const (
 	unused phase = iota
 	connecting
@@ -16,24 +16,24 @@
 	busy
 )
 
-// conn is one slot for a connection.
+// conn is a slot for one connection.
 type conn struct {
 	id             Conn
 	entry          *entry
 	phase          phase
-	trial          bool          // the connection by which its address is tried again
-	anyRequest     bool          // a trial that any request may carry
-	unproven       bool          // without a response yet
+	trial          bool          // the connection tests whether its address has recovered
+	anyRequest     bool          // a trial that may carry any request
+	unproven       bool          // no response was received on it so far
 	silenceCounted bool          // its silence was recorded as a fault
 	idempotent     bool          // the request on it may be repeated
 	namesShard     bool          // the request on it names a shard
 	req            Req           // while busy
-	race           *race         // while connecting; nil: belongs to no race
-	since          time.Duration // start of the phase, or the last sign of life while busy
-	generation     uint64        // of the slot; makes the id differ from those of earlier connections in it
+	race           *race         // while connecting; nil: the connect belongs to no race
+	since          time.Duration // start of the phase or, while busy, the last time data was received
+	generation     uint64        // of the slot; distinguishes the ids of successive connections in one slot
 }
 
-// connByID is the connection with that id, or nil if it is over.
+// connByID returns the connection with the given id, or nil if it was released.
 func (s *Selector) connByID(id Conn) *conn {
 	if i := int(id&0xffff) - 1; i >= 0 && i < len(s.conns) && s.conns[i].phase != unused && s.conns[i].id == id {
 		return &s.conns[i]
@@ -86,14 +86,14 @@
 	s.releaseConn(c)
 }
 
-// removeIdle takes a connection out of its address's idle ones.
+// removeIdle removes a connection from the idle ones of its address.
 func (s *Selector) removeIdle(c *conn) {
 	if i := slices.Index(c.entry.idle, c); i >= 0 {
 		c.entry.idle = slices.Delete(c.entry.idle, i, i+1)
 	}
 }
 
-// makeIdle adds a connection to its address's idle ones.
+// makeIdle adds a connection to the idle ones of its address.
 func (s *Selector) makeIdle(c *conn) {
 	c.phase, c.since, c.req = idle, s.now, 0
 	c.entry.idle = append(c.entry.idle, c)
--- a/internal/address/entry.go
+++ b/internal/address/entry.go
@@ -12,10 +12,10 @@
 const (
 	Untried State = iota
 	Healthy
-	Suspect     // silent, breaking, or turning all away: it may be the address or the node
-	Down        // its connects fail, or its trial did
+	Suspect     // silent, broken connections, or all requests rejected: the fault may be the address's or the node's
+	Down        // its connects or its last trial failed
 	WrongNode   // it leads to another node
-	Unsupported // this machine lacks its family
+	Unsupported // this machine does not support its address family
 	stateCount
 )
 
@@ -33,25 +33,25 @@
 	Addr
 	state        State
 	reason       Reason        // of the last fault
-	removed      bool          // the list has it no longer
-	onProbation  bool          // healthy again, but with too few timely connections yet
-	connectsFail bool          // only connects fail: the connections that there are may be used
+	removed      bool          // no longer in the list
+	onProbation  bool          // recovered, but with too few timely connections so far
+	connectsFail bool          // only new connects fail, so established connections may be used
 	failures     int           // in a row, for the backoff
-	backoffUntil time.Duration // also the time of the next trial of a healthy address
+	backoffUntil time.Duration // for a healthy address, the time of its next trial
 
 	conns       int
-	idle        []*conn // the last used one at the end
+	idle        []*conn // the most recently used one last
 	trialConn   *conn
 	lastConnect time.Duration
 
-	timelyConns       int // connections in a row whose first response came in time
+	timelyConns       int // connections in a row whose first response was timely
 	breaksInRow       int // connections broken since the last response
 	rejectionsInRow   int // requests rejected since the last served one
 	lastServed        time.Duration
 	lastResponse      time.Duration
-	usualResponseTime float64       // smoothed, in nanoseconds; 0: none measured
-	crossCheckSince   time.Duration // silent for so long that another address is asked; 0: not
-	suspectAt         time.Duration // another address has responded meanwhile: suspect if silent at this time; 0: not
+	usualResponseTime float64       // smoothed, in nanoseconds; 0: not measured
+	crossCheckSince   time.Duration // start of the cross-check of a silent address; 0: there is none
+	suspectAt         time.Duration // another address has responded, so this one is suspect if still silent at this time; 0: not set
 }
 
 // The ranks of addresses, the best first.
@@ -63,7 +63,7 @@
 	rankDown
 )
 
-// rank is how well an address can serve now.
+// rank returns how well an address can serve now.
 func (s *Selector) rank(e *entry) int {
 	switch e.state {
 	case Untried:
@@ -82,12 +82,12 @@
 	return rankDown
 }
 
-// unusable reports whether connections of the address are of no use.
+// unusable reports whether connections of the address cannot be used.
 func (e *entry) unusable() bool {
 	return (e.state == Suspect || e.state == Down || e.state == WrongNode) && !e.connectsFail
 }
 
-// bestRank is the rank of the best address.
+// bestRank returns the rank of the best address.
 func (s *Selector) bestRank() int {
 	best := rankDown
 	for _, e := range s.entries {
@@ -96,16 +96,16 @@
 	return best
 }
 
-// allDown reports whether no address is known to be of use.
+// allDown reports whether no address is known to be usable.
 func (s *Selector) allDown() bool { return s.bestRank() >= rankBackoffOver }
 
-// isTrialOnly reports whether an address takes one connection at a time, for a trial.
+// isTrialOnly reports whether an address may have only one connection at a time, for a trial.
 func (s *Selector) isTrialOnly(e *entry) bool {
 	r := s.rank(e)
 	return r >= rankBackoffOver || r > s.bestRank()
 }
 
-// hasAlternative reports whether another address has the rank of a healthy one.
+// hasAlternative reports whether another address has the rank of a healthy address.
 func (s *Selector) hasAlternative(e *entry) bool {
 	for _, o := range s.entries {
 		if o != e && s.rank(o) == rankGood {
--- a/internal/address/errors.go
+++ b/internal/address/errors.go
@@ -22,7 +22,7 @@
 	return "Correct " + e.Key + " in the section addresses of the site's file; wheatsaddle schema prints the bounds."
 }
 
-// ListError reports an address that is left out of a node's list. The others are used.
+// ListError reports an invalid address in a node's list. The node's other addresses are used.
 type ListError struct {
 	Index int
 	Text  string
--- a/internal/address/events.go
+++ b/internal/address/events.go
@@ -2,53 +2,53 @@
 
 import "fmt"
 
-// Conn identifies a connection from its Connect action on. It is never 0 and never used again.
+// Conn identifies a connection from its Connect action on. It is never 0 and never reused.
 type Conn uint64
 
-// Req identifies a request. The caller chooses it, other than 0.
+// Req identifies a request. The caller chooses a value other than 0.
 type Req uint64
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields are used.
 type EventKind uint8
 
 // The kinds of events.
 const (
 	RequestQueued    EventKind = iota // Req, Idempotent, NamesShard: a request needs a connection
-	RequestDropped                    // Req, Conn (0: it waits): its owner has given it up
+	RequestDropped                    // Req, Conn (0: it waits): its owner has cancelled it
 	Connected                         // Conn
 	ConnectFailed                     // Conn, Reason
 	ResponseReceived                  // Conn, Verdict, KeepAlive: the response is complete
-	ConnBroken                        // Conn, Reason: it ended while it carried a request
-	IdleConnClosed                    // Conn: it ended, or the driver closed it, while idle
-	TimerFired                        // the time of Next has come
+	ConnBroken                        // Conn, Reason: it was closed or reset while it carried a request
+	IdleConnClosed                    // Conn: the peer or the driver closed it while it was idle
+	TimerFired                        // the timer of Next has expired
 	DrainChanged                      // Draining
-	NodeRemoved                       // the node has left the list
-	DemandContinued                   // requests go on without a new one, so trials that are due may start
-	ProgressSeen                      // Conn: a sign of life on a connection whose request goes on
+	NodeRemoved                       // the node was removed from the list
+	DemandContinued                   // earlier requests are still in progress, so trials that are due may start
+	ProgressSeen                      // Conn: data was received on a connection while its request is in progress
 	AddressesChanged                  // Addrs: the node's addresses from now on
 )
 
-// Reason is how a connection ended, or why the state of an address changed.
+// Reason is why a connection failed or the state of an address changed.
 type Reason uint8
 
-// The reasons. Those up to ReasonNoFamily are of connects.
+// The reasons. Those up to ReasonNoFamily apply to connects.
 const (
-	ReasonRefused    Reason = iota // nothing listens, or there is no such file
+	ReasonRefused    Reason = iota // nothing listens, or the socket file does not exist
 	ReasonTimedOut                 // the connect took too long
-	ReasonNoResource               // this process lacks descriptors or ports: no fault of the address
-	ReasonNoFamily                 // this machine lacks the address's family
+	ReasonNoResource               // this process is out of descriptors or ports, which is no fault of the address
+	ReasonNoFamily                 // this machine does not support the address family
 	ReasonReset                    // broken after the request was sent, or the response is not HTTP
 	ReasonCutOff                   // broken before the last byte of the request was sent
-	ReasonUnwritten                // found ended before a byte of the request was written
-	ReasonSilent                   // no sign of life in time
+	ReasonUnwritten                // found closed before a byte of the request was written
+	ReasonSilent                   // no data was received in time
 	ReasonSlow                     // the response came too late
-	ReasonOvertaken                // another address connected first, though its connect started later
-	ReasonRejecting                // requests were rejected in a row
+	ReasonOvertaken                // another address connected first, although its connect started later
+	ReasonRejecting                // several requests in a row were rejected
 	ReasonWrongNode                // it leads to another node
 	reasonCount
 )
 
-// reasonNames are the reasons as logs show them.
+// reasonNames are the names of the reasons in logs.
 var reasonNames = [reasonCount]string{"refused", "timed out", "no resource", "no family", "reset", "cut", "unwritten", "silent",
 	"slow", "outrun", "turned away", "another node"}
 
@@ -59,15 +59,15 @@
 	return fmt.Sprint("reason ", uint8(r))
 }
 
-// Verdict is what a response shows of its address.
+// Verdict is what a response shows about its address.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VerdictServed    Verdict = iota // the node served the request
 	VerdictOther                    // any other response
-	VerdictRejected                 // the node rejected the request without running it
-	VerdictWrongNode                // the node names itself, and is another one
+	VerdictRejected                 // the node rejected the request without executing it
+	VerdictWrongNode                // the response contains the id of another node
 )
 
 // Event is something that happened.
@@ -79,24 +79,24 @@
 	Verdict    Verdict
 	Idempotent bool // the request may be repeated
 	NamesShard bool // the request names a shard, so that another node rejects it
-	KeepAlive  bool // the connection may carry another request; otherwise the driver has closed it
+	KeepAlive  bool // the connection may carry another request; if false, the driver has closed it
 	Draining   bool
 	Addrs      []Addr
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action. It determines which fields are used.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
 	Connect  ActionKind = iota // Conn, Addr: Connected or ConnectFailed follows
 	Write                      // Conn, Req: ResponseReceived, ConnBroken or RequestDropped follows
-	Close                      // Conn, also one that is connecting: no event follows
-	Fail                       // Req: there is no connection, and the request was never written
+	Close                      // Conn, which may still be connecting: no event follows
+	Fail                       // Req: there is no connection for it, and it was never written
 	LogState                   // Addr, State, Reason
 )
 
-// Action is something for the driver to do.
+// Action is an action for the driver to carry out.
 type Action struct {
 	Kind   ActionKind
 	Conn   Conn
--- a/internal/address/faults.go
+++ b/internal/address/faults.go
@@ -7,20 +7,20 @@
 	minSilenceGrace = 10 * time.Millisecond // for a response that may be on its way
 )
 
-// isConnectFault reports whether a fault is of a connect, not of a connection.
+// isConnectFault reports whether a fault concerns a connect, not an established connection.
 func isConnectFault(reason Reason) bool {
 	return reason == ReasonRefused || reason == ReasonTimedOut || reason == ReasonOvertaken || reason == ReasonNoFamily
 }
 
-// recordFault applies a fault to the state of an address. Faults of connections that were opened before the address was
-// suspect have no effect, since one incident would count as many.
+// recordFault applies a fault to the state of an address. Faults of connections that were opened before the address became
+// suspect have no effect, since otherwise one incident would count several times.
 func (s *Selector) recordFault(e *entry, reason Reason, trial bool) {
 	if e.removed {
 		return
 	}
 	previousState := e.state
 	if !trial && isRepeatedFault(previousState, reason) {
-		if isConnectFault(reason) { // of a race without a better address, or one that had started before
+		if isConnectFault(reason) { // from a race that has no better address or that started before the first fault
 			e.backoffUntil = max(e.backoffUntil, s.now+s.backoff(s.settings.Backoff, e.failures))
 		}
 		return
@@ -46,8 +46,8 @@
 	s.choosePrimary()
 }
 
-// isRepeatedFault reports whether a fault tells nothing new of an address in this state. A suspect address goes down by a
-// failed connect.
+// isRepeatedFault reports whether a fault does not change an address in this state. A suspect address does become down if a
+// connect fails.
 func isRepeatedFault(state State, reason Reason) bool {
 	return state == Suspect && reason != ReasonRefused && reason != ReasonTimedOut || state == Down || state == WrongNode
 }
@@ -68,19 +68,19 @@
 	}
 }
 
-// servesNothing reports whether a healthy address has served nothing for longer than a node that is only full would take, while
-// another healthy address can be used.
+// servesNothing reports whether a healthy address has served no request for so long that a lack of capacity of the node does
+// not explain it, while another healthy address can be used.
 func (s *Selector) servesNothing(e *entry) bool {
 	window := min(s.settings.RejectionWindow, max(2*minSilenceGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
 	return s.now-e.lastServed >= window && s.rank(e) == rankGood && s.hasAlternative(e)
 }
 
-// jitter takes a random part off a duration, of at most the share that the settings give.
+// jitter shortens a duration by a random part of it, up to the share Settings.Jitter.
 func (s *Selector) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(s.settings.Jitter*s.rng.Float64()*float64(d))
 }
 
-// backoff is the backoff after a number of failures in a row, with jitter.
+// backoff returns the backoff after a number of failures in a row, with jitter.
 func (s *Selector) backoff(first time.Duration, failures int) time.Duration {
 	d := first
 	for range min(failures, maxBackoffSteps) - 1 {
--- a/internal/address/handlers.go
+++ b/internal/address/handlers.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// enqueue adds a request to those that wait for a connection, or fails it if too many wait.
+// enqueue adds a request to those that wait for a connection, or fails it if too many are waiting.
 func (s *Selector) enqueue(e Event) {
 	if len(s.waiting) >= s.settings.MaxWaiting {
 		s.emit(Action{Kind: Fail, Req: e.Req})
@@ -15,8 +15,8 @@
 	s.waiting = append(s.waiting, waiter{e.Req, e.Idempotent, e.NamesShard})
 }
 
-// cancelRequest removes a request that its owner has given up. If it was written, its connection is closed. A trial
-// that ends this way without a result may be repeated after TrialInterval.
+// cancelRequest removes a request that its owner has cancelled. If it was written, its connection is closed. If that ends a
+// trial without a result, the trial may be repeated after TrialInterval.
 func (s *Selector) cancelRequest(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy || c.req != e.Req {
@@ -34,11 +34,11 @@
 	}
 }
 
-// handleConnected handles a connection that came up. It wins its race, and the race's other connections are closed.
+// handleConnected handles an established connection. It wins its race, and the race's other connections are closed.
 func (s *Selector) handleConnected(id Conn) {
 	c := s.connByID(id)
 	if c == nil || c.phase != connecting {
-		s.emit(Action{Kind: Close, Conn: id}) // its slot was released before
+		s.emit(Action{Kind: Close, Conn: id}) // its slot has been released
 		return
 	}
 	s.recordConnectTime(s.now - c.since)
@@ -50,7 +50,7 @@
 			return
 		}
 		c.race = nil
-		c.anyRequest = c.trial // the race had no other address left, so any request may use it
+		c.anyRequest = c.trial // the race had no other address left, so any request may use the connection
 		for i := range s.conns {
 			if o := &s.conns[i]; o.phase == connecting && o.race == r {
 				slower, trial, overtaken := o.entry, o.trial, o.since < c.since
@@ -66,7 +66,7 @@
 	s.makeIdle(c)
 }
 
-// handleConnectFailed handles a connect that did not come up. A lack of local resources is no fault of the address.
+// handleConnectFailed handles a failed connect. A lack of local resources is no fault of the address.
 func (s *Selector) handleConnectFailed(id Conn, reason Reason) {
 	c := s.connByID(id)
 	if c == nil || c.phase != connecting {
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleResponse handles a complete response: it applies it to the address, and keeps or closes the connection.
+// handleResponse applies a complete response to the state of its address, and keeps or closes the connection.
 func (s *Selector) handleResponse(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
@@ -114,8 +114,8 @@
 	}
 }
 
-// handleConnBroken handles a connection that ended with a request on it. A request of which nothing was written waits again, at
-// the head; otherwise the driver has reported the failure to its owner.
+// handleConnBroken handles a connection that was closed or reset while it carried a request. If no byte of the request was
+// written, the request is queued again at the head. Otherwise the driver has reported the failure to the request's owner.
 func (s *Selector) handleConnBroken(e Event) {
 	c := s.connByID(e.Conn)
 	if c == nil || c.phase != busy {
@@ -130,7 +130,7 @@
 	if addressEntry.removed {
 		return
 	}
-	// A reused connection may break because the peer closed it as idle, so a single break is no fault.
+	// The peer may have closed a reused connection because it was idle, so a single break of one is no fault.
 	if addressEntry.breaksInRow++; unproven || addressEntry.breaksInRow > 1 {
 		if e.Reason != ReasonUnwritten || unproven {
 			s.recordFault(addressEntry, ReasonReset, trial)
@@ -140,7 +140,7 @@
 	}
 }
 
-// handleIdleConnClosed removes an idle connection that ended.
+// handleIdleConnClosed removes an idle connection that was closed.
 func (s *Selector) handleIdleConnClosed(id Conn) {
 	if c := s.connByID(id); c != nil && c.phase == idle {
 		s.removeIdle(c)
@@ -148,7 +148,7 @@
 	}
 }
 
-// handleProgress handles a sign of life on a connection whose request goes on.
+// handleProgress handles data received on a connection while its request is in progress.
 func (s *Selector) handleProgress(id Conn) {
 	c := s.connByID(id)
 	if c == nil || c.phase != busy {
@@ -170,8 +170,8 @@
 	}
 }
 
-// setAddresses replaces the addresses. Those that remain keep their state; busy connections of removed ones finish their
-// requests.
+// setAddresses replaces the addresses. Addresses that remain keep their state. Busy connections of removed addresses finish
+// their requests.
 func (s *Selector) setAddresses(addrs []Addr) {
 	old := map[Addr]*entry{}
 	for _, e := range s.entries {
--- a/internal/address/primary.go
+++ b/internal/address/primary.go
@@ -1,9 +1,11 @@
 package address
 
-const stableReturnFactor = 4 // a return that lasted fewer return delays did not last
+// stableReturnFactor defines when a return to a preferred address has failed: the primary changes again in less than this
+// many return delays. The next return then waits twice as long.
+const stableReturnFactor = 4
 
-// choosePrimary sets the primary: it leaves an address that is worse than another at once, and returns to a preferred one
-// by the rule of returns.
+// choosePrimary sets the primary. If another address has a better rank, it becomes the primary at once. A return to a
+// preferred address of the same rank is delayed, as described at returnToPreferred.
 func (s *Selector) choosePrimary() {
 	previous := s.primary
 	if previous == nil {
@@ -34,7 +36,8 @@
 	s.earliestReturn = s.now + s.returnDelay
 }
 
-// returnToPreferred makes an address that is preferred to the primary the primary again, once it has served long enough.
+// returnToPreferred makes a preferred address the primary again, once the return delay has passed and enough connections of
+// the address were timely.
 func (s *Selector) returnToPreferred() {
 	if s.now < s.earliestReturn || s.rank(s.primary) != rankGood {
 		return
@@ -50,7 +53,7 @@
 	}
 }
 
-// qualifiesAsPrimary reports whether an address has had enough timely connections to become the primary.
+// qualifiesAsPrimary reports whether an address is healthy and has had enough timely connections to become the primary.
 func (s *Selector) qualifiesAsPrimary(e *entry) bool {
 	return e.state == Healthy && !e.onProbation && e.timelyConns >= s.settings.MinReturnConns
 }
--- a/internal/address/race.go
+++ b/internal/address/race.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// race is a series of staggered connects, to one address after the other, until one succeeds. It opens one connection.
+// race is a series of staggered connects to one address after the other, until one succeeds. It opens one connection.
 type race struct {
 	attempted   []*entry
-	connecting  int           // connects without a result yet
-	stopped     bool          // for lack of local resources
+	connecting  int           // connects in progress
+	stopped     bool          // starts no more connects, for lack of local resources
 	nextConnect time.Duration // never: it waits for the result of a connect
 }
 
-// never is the time of what is not awaited.
+// never is the due time of a timer that is not set.
 const never = time.Duration(math.MaxInt64)
 
-// connectDelay is the time from one connect of a race to the next.
+// connectDelay returns the time from one connect of a race to the next.
 func (s *Selector) connectDelay() time.Duration {
 	if !s.connectMeasured {
 		return s.settings.Delay
@@ -25,7 +25,7 @@
 	return min(max(time.Duration(s.connectMean+4*s.connectDeviation), s.settings.MinDelay), s.settings.MaxDelay)
 }
 
-// recordConnectTime smooths the time of a connect, as RFC 6298 section 2 does.
+// recordConnectTime updates the smoothed connect time and its deviation, as RFC 6298 section 2 does for round-trip times.
 func (s *Selector) recordConnectTime(took time.Duration) {
 	x := float64(took)
 	if !s.connectMeasured {
@@ -43,18 +43,18 @@
 	return s.connectTokens >= 1
 }
 
-// hasFreeSlot reports whether one more connection may be opened. The last slot is for trials and second opinions, so that
-// connections that hang do not keep a usable address from being found.
+// hasFreeSlot reports whether one more connection may be opened. The last slot is reserved for trials and cross-checks, so
+// that a usable address is found even if all other connections hang.
 func (s *Selector) hasFreeSlot(trial bool) bool {
 	return len(s.freeSlots) > 1 || trial && len(s.freeSlots) > 0
 }
 
-// nextTokenAt is when a connect may start if none may start now.
+// nextTokenAt returns when the next connect token is available if there is none now.
 func (s *Selector) nextTokenAt() time.Duration {
 	return s.now + time.Duration(math.Ceil((1-s.connectTokens)/s.settings.ConnectRate*1e9))
 }
 
-// nextCandidate is the address to which a race connects next, or nil.
+// nextCandidate returns the address to which a race connects next, or nil.
 func (s *Selector) nextCandidate(r *race) *entry {
 	var best *entry
 	down := s.allDown()
@@ -67,7 +67,7 @@
 			continue
 		case best == nil:
 			best = e
-		case down: // the one that was tried the longest time ago
+		case down: // the least recently tried address
 			if e.lastConnect < best.lastConnect {
 				best = e
 			}
@@ -78,8 +78,8 @@
 	return best
 }
 
-// startRace starts a race for one more connection. If it does not, wait reports whether waiting requests are to wait for the
-// connections that there are.
+// startRace starts a race for one more connection. If no race can start, wait reports whether the waiting requests stay in
+// the queue until one of the present connections is free.
 func (s *Selector) startRace() (started, wait bool) {
 	switch {
 	case !s.hasFreeSlot(s.allDown()):
@@ -119,7 +119,7 @@
 			}
 			return
 		case s.allDown() && s.connectingCount > 0:
-			return // one at a time; its failure continues the race
+			return // one connect at a time; if it fails, the race continues
 		case !s.hasConnectToken():
 			r.nextConnect = s.nextTokenAt()
 			return
@@ -133,7 +133,7 @@
 	}
 }
 
-// failRace ends a race that opened no connection, and fails the first waiting request if no race is left for it.
+// failRace ends a race that opened no connection, and fails the first waiting request if too few races are left.
 func (s *Selector) failRace(r *race) {
 	s.endRace(r)
 	if len(s.waiting) > len(s.races) {
@@ -142,7 +142,8 @@
 	}
 }
 
-// expediteRaces makes the next connect due of races whose connects all go to addresses that have failed meanwhile.
+// expediteRaces makes the next connect of a race due at once if all its pending connects go to addresses that have failed
+// since.
 func (s *Selector) expediteRaces() {
 	best := s.bestRank()
 	for _, r := range s.races {
--- a/internal/address/responses.go
+++ b/internal/address/responses.go
@@ -4,14 +4,14 @@
 
 const usualResponseGain = 0.1 // weight of one response in the usual response time
 
-// response is a complete response, and what the connection was used for.
+// response is a complete response with the properties of its request and connection.
 type response struct {
 	verdict        Verdict
 	took           time.Duration
 	namesShard     bool // the request names a shard
-	first          bool // on its connection
+	first          bool // the first response on its connection
 	trial          bool
-	silenceCounted bool // the silence before it was recorded as a fault
+	silenceCounted bool // the silence before the response was recorded as a fault
 }
 
 // servedShard reports whether the response shows that the address leads to the right node.
@@ -33,7 +33,7 @@
 	}
 	s.updateUsualResponseTime(e, r.took)
 	if e.state == WrongNode && !r.servedShard() || r.verdict == VerdictRejected && (r.first || e.state != Healthy) {
-		if r.trial { // it responds, but this does not show that it serves
+		if r.trial { // the address responds, but that does not show that it serves requests
 			e.backoffUntil = s.now + s.jitter(s.settings.TrialInterval)
 		}
 		return
@@ -49,7 +49,7 @@
 		return true
 	case r.servedShard():
 		e.rejectionsInRow, e.lastServed = 0, s.now
-		for _, o := range s.entries { // the node serves, so an address that rejects all leads elsewhere
+		for _, o := range s.entries { // the node serves, so an address that rejects everything leads to another node
 			if o != e && o.rejectionsInRow >= s.settings.MaxRejections && (o.state == Suspect || o.state == Down) {
 				s.recordFault(o, ReasonWrongNode, true)
 			}
@@ -68,13 +68,13 @@
 	return false
 }
 
-// recordTimelyResponse applies a response that came in time and shows that the address serves.
+// recordTimelyResponse applies a timely response which shows that the address serves requests.
 func (s *Selector) recordTimelyResponse(e *entry, first, trial bool) {
 	wasDown := s.allDown()
 	switch e.state {
 	case Suspect, Down, WrongNode, Unsupported:
 		if e.state != Suspect && !trial {
-			return // of an earlier connection: it is new ones that fail
+			return // the response came on an earlier connection, and only new connects fail
 		}
 		e.state, e.connectsFail, e.onProbation = Healthy, false, true
 		s.emit(Action{Kind: LogState, Addr: e.Addr, State: Healthy})
@@ -87,7 +87,7 @@
 	if e.backoffUntil = s.now + s.jitter(s.settings.TrialInterval); e.timelyConns >= s.settings.MinReturnConns {
 		e.onProbation, e.failures = false, 0
 	}
-	if wasDown { // no other address could serve
+	if wasDown { // no other address can serve
 		e.onProbation = false
 	}
 	if s.maxUnproven < s.settings.MaxConns && first { // doubles with each round of first responses
@@ -96,8 +96,8 @@
 	s.choosePrimary()
 }
 
-// updateUsualResponseTime smooths the response time of an address and updates silenceBound. The bound follows the fastest
-// address, so that a slow one does not raise its own bound.
+// updateUsualResponseTime updates the smoothed response time of an address and silenceBound. The bound follows the fastest
+// address, so that a slow address does not raise its own bound.
 func (s *Selector) updateUsualResponseTime(e *entry, took time.Duration) {
 	if e.usualResponseTime == 0 {
 		e.usualResponseTime = float64(took)
--- a/internal/address/selector.go
+++ b/internal/address/selector.go
@@ -1,25 +1,27 @@
-// Package address decides by which of a storage node's addresses a request goes: on which connection it is written, where
-// the next connection is opened, which address is tried again and when. A Selector is the state of one node. It has no
-// sockets and no clock: events and the time come in by Step, actions go out, and the driver around it carries them out.
+// Package address decides which of a storage node's addresses serves a request: on which connection the request is written,
+// to which address the next connection is opened, and when an address with a fault is tried again. A Selector holds the
+// state of one node. It has no sockets and no clock: the driver passes events and the time to Step, and carries out the
+// returned actions.
 //
 // Invariants:
 //
-//  1. A request is written on one connection at most, and a connection carries one at most. Only a connection that the
-//     driver found ended before a byte was written gives its request back.
-//  2. While the node drains, or after it has left the list, nothing is written and no connect starts. Connections that are
-//     established then are closed.
-//  3. The connects started in any duration are at most the burst plus the rate times the duration.
-//  4. While there is a better address, one that is down, suspect or leads to another node has one connection at most, for a
-//     trial. While all are down, the whole node has one.
-//  5. A connection of an address that was removed from the list carries no new request. The request on it is not cut off.
+//  1. A request is written on at most one connection, and a connection carries at most one request. A request is queued
+//     again only if the driver found its connection closed before a byte was written.
+//  2. While the node drains, or after it was removed from the list, nothing is written and no connect starts. Connections
+//     that are established during that time are closed.
+//  3. In any period, the number of connects started is at most the burst plus the rate times the length of the period.
+//  4. While there is a better address, an address that is down, suspect or leads to another node has at most one new
+//     connection, for a trial. While all addresses are down, the whole node has at most one.
+//  5. A connection to an address that was removed from the list carries no new request. The request in flight on it is not
+//     interrupted.
 //  6. The primary returns to a preferred address at most once in MinReturnDelay, and only after MinReturnConns connections
-//     whose first response came in time.
-//  7. A preferred address that responds again becomes the primary in the end, as long as requests come.
-//  8. While a request waits, a connect is under way, a connection is in use, or a timer is set.
+//     whose first response was timely.
+//  7. A preferred address that has recovered eventually becomes the primary again, provided that requests keep arriving.
+//  8. While a request waits, a connect is in progress, a connection is in use, or a timer is set.
 //
-// Source: RFC 8305 (Happy Eyeballs v2) sections 4 and 5 for the order and the stagger, RFC 6298 section 2 for the smoothed
-// connect time, and the circuit breaker's half-open state for trials. The package sends no health checks, resolves no names
-// and never repeats a request.
+// The order and the stagger of connects follow RFC 8305 (Happy Eyeballs v2) sections 4 and 5, the smoothed connect time
+// follows RFC 6298 section 2, and trials correspond to the half-open state of a circuit breaker. The package sends no health
+// checks, resolves no names and never repeats a request.
 package address
 
 import (
@@ -41,9 +43,9 @@
 	rng       *rand.Rand
 	now       time.Duration
 	actions   []Action // of the current step
-	newDemand bool     // in the current step, so that trials may start
+	newDemand bool     // the current step needs a connection, so trials may start
 	draining  bool
-	closing   bool // the node has left the list
+	closing   bool // the node was removed from the list
 
 	entries         []*entry // in the order of preference
 	primary         *entry   // nil: there is no address
@@ -51,7 +53,7 @@
 	freeSlots       []int // of conns
 	connCount       int   // connections, including those that are connecting
 	connectingCount int
-	unprovenCount   int // connections without a response yet
+	unprovenCount   int // connections without a response so far
 	maxUnproven     int // bound of unprovenCount
 	waiting         []waiter
 	races           []*race
@@ -65,18 +67,18 @@
 
 	usualResponseMeasured bool
 	bestUsualResponseTime float64       // of the fastest address, in nanoseconds
-	silenceBound          time.Duration // time without a sign of life after which an address is suspect
-	nextSilenceCheck      time.Duration // before it, no connection can have been silent for too long
+	silenceBound          time.Duration // time without data after which an address is suspect
+	nextSilenceCheck      time.Duration // before this time no connection can exceed a bound of silence
 
 	nextDownTrial         time.Duration // next trial while all addresses are down
-	nextReturnConnect     time.Duration // next connect that takes requests from idle connections back to the primary
-	nextCrossCheckConnect time.Duration // next connect for a second opinion
+	nextReturnConnect     time.Duration // next connect to the primary while idle connections of other addresses serve
+	nextCrossCheckConnect time.Duration // next connect for a cross-check
 	earliestReturn        time.Duration // of the primary to a preferred address
-	returnDelay           time.Duration // from a change of the primary to a return
+	returnDelay           time.Duration // from a change of the primary to the earliest return
 	lastReturn            time.Duration
 }
 
-// New returns the state of a node without an address. An error is a *SettingError.
+// New returns the state of a node without addresses. The error is a *SettingError.
 func New(settings Settings, seed uint64) (*Selector, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -99,7 +101,7 @@
 	return s, nil
 }
 
-// Step applies one event that happened at now, and appends the actions that follow from it.
+// Step applies one event that happened at now, and appends the resulting actions.
 func (s *Selector) Step(now time.Duration, e Event, actions []Action) []Action {
 	s.now, s.actions, s.newDemand = max(s.now, now), actions, false
 	s.apply(e)
@@ -168,7 +170,7 @@
 // emit appends an action to those of the current step.
 func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Next is when a TimerFired is due, or the largest time.Duration if nothing depends on time.
+// Next returns when a TimerFired is due, or the largest time.Duration if no timer is needed.
 func (s *Selector) Next() time.Duration {
 	next := never
 	for _, r := range s.races {
@@ -185,7 +187,8 @@
 	return next
 }
 
-// applyTime does what is due by time: silent connections, the next connects of races, and returns of the primary.
+// applyTime handles what is due at the present time: checks for silence, the next connects of races, and returns of the
+// primary.
 func (s *Selector) applyTime() {
 	if s.now >= s.nextSilenceCheck {
 		s.checkSilence()
@@ -193,7 +196,7 @@
 	for i := 0; i < len(s.races); i++ {
 		r := s.races[i]
 		if r.connecting == 0 && r.nextConnect == never {
-			r.nextConnect = s.now // it waited for a connect that is over
+			r.nextConnect = s.now // the connect it waited for is over
 		}
 		n := len(s.races)
 		s.advanceRace(r)
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings are those of a Selector. Errors name the keys of the file from which they are read.
+// Settings configure a Selector. Errors name the keys of the configuration file.
 type Settings struct {
 	Preference []Kind // families, the most preferred first
 
@@ -18,37 +18,38 @@
 	Backoff            time.Duration // after the first failure; it doubles with each further one
 	MaxBackoff         time.Duration
 	Jitter             float64       // random share of a backoff, from 0 to 1
-	WrongNodeBackoff   time.Duration // the first of an address that leads to another node
-	UnsupportedBackoff time.Duration // of an address whose family this machine lacks
+	WrongNodeBackoff   time.Duration // first backoff of an address that leads to another node
+	UnsupportedBackoff time.Duration // of an address whose family this machine does not support
 	DownTrialInterval  time.Duration // between races or trials while all addresses are down
 
 	// Silence. The bound is SuspectLatencyFactor times the usual response time, within MinSuspectAfter and MaxSuspectAfter.
 	MinSuspectAfter      time.Duration
 	MaxSuspectAfter      time.Duration
 	SuspectLatencyFactor float64
-	// SecondOpinionAfter is the silence, or SuspectLatencyFactor times the usual response time if that is longer, after which
-	// one request goes by another address. If that responds while this one stays silent, the node does not pause.
+	// After a silence of SecondOpinionAfter, or of SuspectLatencyFactor times the usual response time if that is longer, one
+	// request is sent by another address as a cross-check. If that address responds while the first one stays silent, the node
+	// itself has not stalled, and the first address is suspect.
 	SecondOpinionAfter time.Duration
 
 	TrialInterval time.Duration // between trials of an address that responds again
-	TrialPatience time.Duration // after which a trial connection also carries requests that are not idempotent
+	TrialPatience time.Duration // after which a trial connection may also carry non-idempotent requests
 
-	MinReturnConns int           // timely connections until a preferred address is the primary again
+	MinReturnConns int           // timely connections until a preferred address becomes the primary again
 	MinReturnDelay time.Duration // from any change of the primary to such a return
-	MaxReturnDelay time.Duration // the delay doubles up to this while returns do not last
+	MaxReturnDelay time.Duration // upper bound of the delay, which doubles with each return that is followed by another fault
 
 	// Rejections. MaxRejections in a row, and no request served within RejectionWindow, make an address suspect.
 	MaxRejections   int
 	RejectionWindow time.Duration
 
-	ConnectRate  float64 // connects a second
+	ConnectRate  float64 // connects per second
 	ConnectBurst int     // connects at once
 
 	MaxConns   int // connections, including those that are connecting
-	MaxWaiting int // requests that wait
+	MaxWaiting int // requests that wait for a connection
 }
 
-// Defaults are the settings used where the file gives none.
+// Defaults returns the settings that apply to keys missing from the configuration.
 func Defaults() Settings {
 	return Settings{
 		Preference: []Kind{Unix, IPv6, IPv4},
@@ -84,11 +85,11 @@
 func (s *Settings) checkPreference() error {
 	seen := [familyCount]bool{}
 	if len(s.Preference) == 0 {
-		return &SettingError{"preference", "names no family"}
+		return &SettingError{"preference", "contains no address family"}
 	}
 	for _, k := range s.Preference {
 		if k >= familyCount || seen[k] {
-			return &SettingError{"preference", fmt.Sprintf("%v is unknown or there twice", k)}
+			return &SettingError{"preference", fmt.Sprintf("%v is unknown or repeated", k)}
 		}
 		seen[k] = true
 	}
--- a/internal/address/silence.go
+++ b/internal/address/silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkSilence records a fault for each connection that has been silent for too long, and finds the addresses of which a
-// second opinion is needed.
+// checkSilence records a fault for each connection that has been silent for too long, and starts a cross-check of addresses
+// that have been silent for longer than usual.
 func (s *Selector) checkSilence() {
 	s.nextSilenceCheck = never
 	for i := range s.conns {
@@ -33,7 +33,7 @@
 	}
 }
 
-// crossCheckDelay is the silence after which another address is asked.
+// crossCheckDelay returns the duration of silence after which a request by another address cross-checks the silent one.
 func (s *Selector) crossCheckDelay() time.Duration {
 	if !s.usualResponseMeasured {
 		return s.silenceBound
@@ -41,8 +41,9 @@
 	return max(s.settings.SecondOpinionAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
 }
 
-// applyCrossCheck applies a response of another address to those in doubt: it shows that the node does not pause, or no longer. They
-// have twice its response time left, since their responses may be on their way if a pause has just ended.
+// applyCrossCheck applies a response of one address to the cross-checks of the others. It shows that the node as a whole does
+// not stall, or has stalled and continues. If the stall has just ended, the responses by the other addresses may be in flight,
+// so these addresses get twice the response time before they are suspect.
 func (s *Selector) applyCrossCheck(responder *entry, since, took time.Duration) {
 	for _, e := range s.entries {
 		if e != responder && e.crossCheckSince > 0 && e.crossCheckSince <= since && e.suspectAt == 0 && e.lastResponse < e.crossCheckSince {
@@ -52,7 +53,7 @@
 	}
 }
 
-// crossCheckAddress is the address to be asked for a second opinion on the primary, by one request at a time, or nil.
+// crossCheckAddress returns the address that cross-checks the silent primary with one request at a time, or nil.
 func (s *Selector) crossCheckAddress() *entry {
 	if s.primary.crossCheckSince == 0 || s.primary.suspectAt > 0 {
 		return nil
@@ -66,7 +67,7 @@
 	other := s.entries[i]
 	for i := range s.conns {
 		if c := &s.conns[i]; c.entry == other && c.phase == busy && c.since >= s.primary.crossCheckSince {
-			return nil // it was asked
+			return nil // a request has already been sent
 		}
 	}
 	return other
--- a/internal/address/status.go
+++ b/internal/address/status.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MayBeWrongNode reports whether a refusal on a connection probably does not come from this node, because its address leads
-// to another node, or has served nothing lately while other addresses might. A node that is only full continues to
-// serve requests by every address. It is called before the answer is given to Step.
+// MayBeWrongNode reports whether a rejection on a connection probably does not come from this node: its address leads to
+// another node, or has recently served nothing while another address is healthy. A node that is only short of capacity still
+// serves some requests on every address. MayBeWrongNode is called before the response is passed to Step.
 func (s *Selector) MayBeWrongNode(now time.Duration, id Conn) bool {
 	c := s.connByID(id)
 	if c == nil {
@@ -15,7 +15,7 @@
 	return e.state == WrongNode || e.rejectionsInRow > 0 && e.reason == ReasonRejecting && e.unusable() || c.namesShard && s.servesNothing(e)
 }
 
-// Primary is the address that requests use now, or the zero Addr.
+// Primary returns the address that requests use now, or the zero Addr.
 func (s *Selector) Primary() Addr {
 	if s.primary == nil {
 		return Addr{}
@@ -23,7 +23,7 @@
 	return s.primary.Addr
 }
 
-// HasBetter reports whether another address should be used in place of this one.
+// HasBetter reports whether another address should be used instead of this one.
 func (s *Selector) HasBetter(than Addr) bool {
 	if s.primary == nil || s.primary.Addr == than {
 		return false
@@ -33,10 +33,10 @@
 			return s.rank(s.primary) == rankGood
 		}
 	}
-	return true // it is no longer listed
+	return true // the address is no longer listed
 }
 
-// Waiting is the number of requests without a connection.
+// Waiting returns the number of requests that wait for a connection.
 func (s *Selector) Waiting() int { return len(s.waiting) }
 
 // Status is the present state of one address.
@@ -48,7 +48,7 @@
 	Until   time.Duration // end of its backoff
 }
 
-// Snapshot appends the status of each address, in the order of preference.
+// Snapshot appends the status of each address to dst, in the order of preference.
 func (s *Selector) Snapshot(dst []Status) []Status {
 	for _, e := range s.entries {
 		dst = append(dst, Status{e.Addr, e.state, e == s.primary, e.conns, e.backoffUntil})
--- a/internal/address/trials.go
+++ b/internal/address/trials.go
@@ -1,6 +1,6 @@
 package address
 
-// startTrials opens the trial connections that are due, beside the connections that carry requests now.
+// startTrials opens the trial connections that are due, in addition to the connections that carry requests now.
 func (s *Selector) startTrials() {
 	if s.allDown() {
 		s.startDownTrial()
@@ -21,8 +21,8 @@
 	}
 }
 
-// startDownTrial opens a trial connection while all addresses are down. The races of waiting requests are trials as well;
-// without any, an idle connection could still carry requests.
+// startDownTrial opens a trial connection while all addresses are down. It does nothing while requests wait, since their
+// races are trials as well. Without waiting requests, idle connections may still carry the requests.
 func (s *Selector) startDownTrial() {
 	if len(s.waiting) > 0 || s.now < s.nextDownTrial || s.connectingCount > 0 || s.hasTrial() || !s.hasFreeSlot(true) || !s.hasConnectToken() {
 		return
@@ -33,7 +33,8 @@
 	}
 }
 
-// trialDue reports whether an address is to be tried now. One that has proven itself lately waits for its return.
+// trialDue reports whether a trial of an address is due. An address that already qualifies as the primary needs no further
+// trial until its return is allowed.
 func (s *Selector) trialDue(e *entry) bool {
 	if e.trialConn != nil || s.now < e.backoffUntil || !s.hasFreeSlot(true) {
 		return false
@@ -42,8 +43,8 @@
 	return !s.qualifiesAsPrimary(e) || !waitsForReturn
 }
 
-// startTrial makes an idle connection the trial where the address only has to show that it still responds, and otherwise
-// opens one.
+// startTrial uses an idle connection for the trial if the address only has to show that it still responds. Otherwise it opens
+// a connection.
 func (s *Selector) startTrial(e *entry) {
 	if n := len(e.idle); n > 0 && e.state == Healthy && e.timelyConns >= s.settings.MinReturnConns {
 		c := e.idle[n-1]
--- a/internal/coldstart/admission.go
+++ b/internal/coldstart/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// admit lets a request pass to the policy, or rejects it at once if it would wait for too long.
+// admit passes a request on to the policy, or rejects it at once if it would wait for too long.
 func (s *Startup) admit(now time.Duration, id string) {
 	if s.phase == Serving || !s.started {
 		return
@@ -23,8 +23,9 @@
 	}
 }
 
-// handleRequestRejected gives the Retry-After of a request that the policy rejected: the policy knows its queues, and not that a
-// node can hardly serve yet. The Retry-After grows while the node serves no request.
+// handleRequestRejected emits the Retry-After of a request that the policy rejected. The policy derives its own from its
+// queues and does not take into account that a node has just started. The Retry-After grows while the node serves no
+// request.
 func (s *Startup) handleRequestRejected(now time.Duration, id string) {
 	if s.phase == Serving {
 		return
@@ -40,7 +41,8 @@
 	s.reject(max(state.retryAfter, minBackoff))
 }
 
-// reject rejects the request of this step. The Retry-After has a random part, so that clients do not return together.
+// reject rejects the request of this step. The Retry-After has a random part, so that clients do not all retry at the same
+// time.
 func (s *Startup) reject(wait time.Duration) {
 	wait += time.Duration(s.rng.Int64N(int64(wait)/2 + 1))
 	if limit := s.settings.MaxRetryAfter; wait > limit {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,21 +1,24 @@
-// Package coldstart decides what a scheduler process may do while it starts, together with hundreds of others that may
-// start in the same second: when it requests the endpoint list, what it may send before the list is received, which
-// connections it opens ahead of need and when, when it reports ready, and which requests it rejects meanwhile. It decides
-// for one process. The load of the whole fleet follows from slots that are derived from the schedulers' names.
+// Package coldstart decides what a scheduler process may do while it starts, possibly in the same second as hundreds of
+// others: when it requests the endpoint list, what it may send before the list is received, which connections it opens in
+// advance and when, when it reports ready, and which requests it rejects meanwhile. Each process decides for itself. The
+// processes of a fleet spread their load over time by slots that are derived from the schedulers' names.
 //
 // Invariants:
-//   - The phase never goes back.
-//   - Ready is reported at most once, and by Settings.ReadyDeadline at the latest, as long as timers fire.
+//   - The phase never returns to an earlier one.
+//   - Ready is reported at most once. If timers fire, it is reported by Settings.ReadyDeadline at the latest.
 //   - Each rejection carries a Retry-After between MinRetryAfter and MaxRetryAfter.
-//   - The shares of a cold node's budget of all schedulers sum to at most the budget.
-//   - The first list requests of the fleet are spread by name: no second holds over twice the mean. After a request that
-//     failed, none follows within half of the backoff. None is sent once the list was received.
-//   - The first list request is sent before the staleness bound ends, even where the fleet needs longer to spread.
-//   - Nothing that the snapshot has of a node is restored unless the first received list gives the same start time. (Later
-//     lists are the policy's alone, which compares the start time again.)
-//   - Peers lift no limit: no node counts as warmed up before the list is received, even if a peer reports so or hands over a snapshot. The
-//     process's own snapshot takes precedence over one that is handed over.
-//   - At most MaxNodes nodes are held. To further ones no connection is opened ahead, and they are never backing off.
+//   - The shares that all schedulers have of a cold node's budget sum to at most the budget.
+//   - The first list requests of the fleet are spread by name: no second has more than twice the mean number of requests.
+//     After a failed request, the next one is sent no earlier than half of the backoff later. Once the list was received, no
+//     further request is sent.
+//   - The first list request is sent before the staleness bound ends, even if spreading the whole fleet's requests would
+//     take longer.
+//   - The state of a node in the snapshot is restored only if the first received list gives the same start time. (Only the
+//     policy applies later lists, and it compares the start time again.)
+//   - Peers lift no limit: before the list is received, no node counts as warmed up, even if a peer reports it as such or
+//     hands over a snapshot. The process's own snapshot takes precedence over one that is handed over.
+//   - The state of at most MaxNodes nodes is stored. For further nodes, no connection is opened in advance and no backoff
+//     applies.
 //
 // The package has no clock and no I/O. It does not choose the node of a request: policy does, and treats a node that
 // LimitColdNode names as one that has just started.
@@ -35,10 +38,10 @@
 	phase         Phase
 	actions       []Action // of the current step
 	nodes         map[string]*nodeState
-	snapshotNodes []string // ids of the nodes of the snapshot, the most used first
+	snapshotNodes []string // ids of the nodes in the snapshot, the most used first
 	started       bool
 	reportedReady bool
-	unknownNode   nodeState // stands for requests to any node, and to nodes that are not held
+	unknownNode   nodeState // used for requests that any node may serve, and for nodes whose state is not stored
 
 	listRequestPending bool
 	nextListRequest    time.Duration
@@ -53,15 +56,15 @@
 
 // nodeState is what is known of one node.
 type nodeState struct {
-	startTime         float64 // as the list gives it, or gave it when it was cached
+	startTime         float64 // from the received list, before that from the cached list
 	snapshotStartTime float64
-	listed            bool          // the received list has it
+	listed            bool          // in the received list
 	assumedCold       bool          // treated as just started until the list is received
-	restorable        bool          // the snapshot has it, with the same start time as far as known
-	connected         bool          // a connection was opened ahead, or the node served a request
-	backoffUntil      time.Duration // after it was full, or slow to connect
+	restorable        bool          // in the snapshot, and no other start time is known
+	connected         bool          // a connection was opened in advance, or the node served a request
+	backoffUntil      time.Duration // after the node was full or a connect to it failed
 	backoff           time.Duration
-	retryAfter        time.Duration // of rejections by the policy
+	retryAfter        time.Duration // of requests that the policy rejected
 	retryAfterGrowsAt time.Duration
 }
 
@@ -74,10 +77,10 @@
 		rng: rand.New(rand.NewPCG(xxhash.Sum64String(settings.Name), 0x7374617274))}, nil
 }
 
-// Phase is how far the start has come.
+// Phase returns the present phase of the start.
 func (s *Startup) Phase() Phase { return s.phase }
 
-// Step applies an event that happened at now and returns what is to be done, in that order. The slice is valid until the
+// Step applies an event that happened at now and returns the actions to carry out, in order. The slice is valid until the
 // next call.
 func (s *Startup) Step(now time.Duration, e Event) []Action {
 	s.actions = s.actions[:0]
@@ -100,7 +103,7 @@
 		s.handlePeerReported(e.Node)
 	case RequestArrived:
 		s.admit(now, e.Node)
-		return s.actions // requests bring nothing forward, so the timer stays
+		return s.actions // a request changes no due time, so the timer stays as it is
 	case RequestRejected:
 		s.handleRequestRejected(now, e.Node)
 		return s.actions
@@ -115,7 +118,8 @@
 
 func (s *Startup) emit(a Action) { s.actions = append(s.actions, a) }
 
-// start applies the first event. Nodes of the cached list are treated as cold: any may have restarted since.
+// start applies the first event. All nodes of the cached list are treated as cold, since any of them may have restarted
+// since the list was cached.
 func (s *Startup) start(now time.Duration, e Started) {
 	if s.started {
 		return
@@ -132,7 +136,7 @@
 		return
 	}
 	s.phase, s.cachedListUseAt = CachedList, now
-	if !s.settings.ListCallsPriced { // the list is received soon, so nothing is sent before
+	if !s.settings.ListCallsPriced { // the received list is expected soon, so requests wait for it
 		s.cachedListUseAt = now + cachedListDelay
 	}
 	for _, n := range e.CachedList {
@@ -143,7 +147,7 @@
 	}
 }
 
-// advance does what is due by time.
+// advance emits the actions that are due at now.
 func (s *Startup) advance(now time.Duration) {
 	if s.phase < ListKnown && !s.listRequestPending && now >= s.nextListRequest {
 		s.listRequestPending = true
@@ -169,7 +173,7 @@
 	return s.phase >= ListKnown || s.usesCachedList && now >= s.cachedListUseAt+readyDelay || now >= s.settings.ReadyDeadline()
 }
 
-// cachedListWarmedUpAt is when no node of the cached list is cold any more, if the list is never received.
+// cachedListWarmedUpAt returns when all nodes of the cached list count as warmed up if the list is never received.
 func (s *Startup) cachedListWarmedUpAt() time.Duration {
 	return s.cachedListUseAt + s.settings.SlowStartDuration + s.settings.StalenessBound
 }
--- a/internal/coldstart/events.go
+++ b/internal/coldstart/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Phase is how far a start has come. A start never goes back to an earlier one.
+// Phase is a phase of the start. A start never returns to an earlier phase.
 type Phase int
 
 // The phases.
 const (
 	NoList     Phase = iota // no list is known
-	CachedList              // only the cached list is known: any of its nodes may have restarted since
+	CachedList              // only the cached list is known, and any of its nodes may have restarted since
 	ListKnown               // the list was received
 	Learning                // a node has served a request; nodes may still be cold or backing off
-	Serving                 // the start is over: the package no longer limits anything
+	Serving                 // the start is over, and the package no longer limits anything
 )
 
 func (p Phase) String() string {
 	return [...]string{"no list", "cached list", "list known", "learning", "serving"}[p]
 }
 
-// Node is an entry of the list. StartTime is the node's start as the list gives it, 0 if it was long ago; StartedAt is the
-// same by the process's clock.
+// Node is an entry of the list. StartTime is the node's start time as given by the list, 0 if the node started long ago.
+// StartedAt is the same time on the process's clock.
 type Node struct {
 	ID        string
 	StartTime float64
@@ -31,7 +31,7 @@
 
 // The events.
 type (
-	// Started is the first event. It has the cached list, and the nodes of the snapshot, the most used first.
+	// Started is the first event. It carries the cached list and the nodes of the snapshot, the most used first.
 	Started struct{ CachedList, Snapshot []Node }
 	// ListReceived reports a complete list.
 	ListReceived struct{ Nodes []Node }
@@ -39,19 +39,19 @@
 	ListRequestFailed struct{}
 	// NodeFull reports that a node rejected a request for lack of capacity.
 	NodeFull struct{ Node string }
-	// ConnectFailed reports a connect to a node that failed or timed out.
+	// ConnectFailed reports that a connect to a node failed or timed out.
 	ConnectFailed struct{ Node string }
 	// RequestServed reports that a node served a request.
 	RequestServed struct{ Node string }
-	// RequestArrived reports a client's request. Node is "" if any node may serve it, or if it is not known which.
+	// RequestArrived reports a client's request. Node is empty if any node may serve it or if the node is not known.
 	RequestArrived struct{ Node string }
-	// RequestRejected reports that the policy rejected a request. A Reject follows, with the Retry-After to send.
+	// RequestRejected reports that the policy rejected a request. A Reject with the Retry-After follows.
 	RequestRejected struct{ Node string }
-	// SnapshotReceived is a snapshot that another process handed over, the most used nodes first.
+	// SnapshotReceived carries a snapshot that another process handed over, the most used nodes first.
 	SnapshotReceived struct{ Snapshot []Node }
-	// PeerReported is a peer's report of a node's start.
+	// PeerReported carries a peer's report of a node's start.
 	PeerReported struct{ Node Node }
-	// TimerFired reports that the time of the last SetTimer has come.
+	// TimerFired reports that the timer of the last SetTimer has expired.
 	TimerFired struct{}
 )
 
@@ -67,35 +67,35 @@
 func (PeerReported) event()      {}
 func (TimerFired) event()        {}
 
-// Action is something for the process to do.
+// Action is an action for the process to carry out.
 type Action interface{ action() }
 
 // The actions.
 type (
 	// RequestList requests the endpoint list.
 	RequestList struct{}
-	// UseCachedList gives the policy the cached list, with each node as one that starts now.
+	// UseCachedList passes the cached list to the policy, with all nodes marked as starting now.
 	UseCachedList struct{}
-	// LimitColdNode limits what this process sends to a node that may be cold: to Units within the settings'
-	// OverloadWindow, from StartedAt on until the node is warmed up.
+	// LimitColdNode limits what this process sends to a node that may be cold: at most Units within the settings'
+	// OverloadWindow, from StartedAt until the node is warmed up.
 	LimitColdNode struct {
 		Node      string
 		Units     float64
 		StartedAt time.Duration
 	}
-	// LiftColdLimit removes the limit of a cached node: the start time of the received list counts.
+	// LiftColdLimit removes the limit of a node of the cached list. From then on the received list's start time counts.
 	LiftColdLimit struct{ Node string }
-	// Restore applies what the snapshot has of a node: it has not restarted since.
+	// Restore applies the state of a node from the snapshot, since the node has not restarted.
 	Restore struct{ Node string }
-	// Connect opens one connection ahead of need.
+	// Connect opens one connection in advance.
 	Connect struct{ Node string }
-	// CheckHealth sends a node a health check, which returns its load.
+	// CheckHealth sends a health check to a node. Its response contains the node's load.
 	CheckHealth struct{ Node string }
 	// ReportReady reports that the process accepts clients.
 	ReportReady struct{}
 	// Reject rejects the request of RequestArrived or RequestRejected at once.
 	Reject struct{ RetryAfter time.Duration }
-	// SetTimer requests a TimerFired at a time. It replaces an earlier one.
+	// SetTimer requests a TimerFired at a given time. It replaces the previous timer.
 	SetTimer struct{ At time.Duration }
 )
 
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// handleListReceived applies the first complete list. The policy applies later ones alone.
+// handleListReceived applies the first complete list. Later lists are applied by the policy alone.
 func (s *Startup) handleListReceived(now time.Duration, e ListReceived) {
 	s.listRequestPending = false
 	if s.phase >= ListKnown {
@@ -10,7 +10,7 @@
 	}
 	s.phase, s.listReceivedAt, s.listBackoffFactor, s.learningEnds = ListKnown, now, 1, now+learningDuration
 	inSnapshot := map[string]bool{}
-	for _, id := range s.snapshotNodes { // to nodes that the list lacks no connection is opened ahead
+	for _, id := range s.snapshotNodes { // nodes that are missing from the list get no connection in advance
 		inSnapshot[id], s.nodes[id].restorable = true, false
 	}
 	for _, n := range e.Nodes {
@@ -26,7 +26,7 @@
 	}
 }
 
-// applyListEntry applies the list's entry of a node: it alone tells whether the node has restarted.
+// applyListEntry applies the list's entry of a node. Only the received list shows reliably whether the node has restarted.
 func (s *Startup) applyListEntry(now time.Duration, state *nodeState, n Node, inSnapshot bool) {
 	sameStart := state.snapshotStartTime == n.StartTime
 	if state.assumedCold && s.usesCachedList {
@@ -43,8 +43,8 @@
 	state.startTime, state.assumedCold, state.listed = n.StartTime, false, true
 }
 
-// handleListRequestFailed sets the time of the next list request. Schedulers whose requests fail together send at most
-// MaxListCallsPerSecond requests a second.
+// handleListRequestFailed sets the time of the next list request. If the requests of all schedulers fail at the same time,
+// their retries stay below MaxListCallsPerSecond.
 func (s *Startup) handleListRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
@@ -59,7 +59,7 @@
 	s.nextListRequest = now + s.halfToThreeHalves(backoff)
 }
 
-// expectedListWait is how long it may take until requests can be sent by a list, as far as known.
+// expectedListWait estimates how long it takes until a list can be used to send requests.
 func (s *Startup) expectedListWait(now time.Duration) time.Duration {
 	at := s.nextListRequest + usualListRequestTime
 	if s.listRequestPending {
@@ -71,7 +71,7 @@
 	return max(at-now, 0)
 }
 
-// halfToThreeHalves draws a duration from half of the given one to one and a half times as much.
+// halfToThreeHalves returns a random duration between 0.5 and 1.5 times d.
 func (s *Startup) halfToThreeHalves(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.rng.Int64N(int64(d)))
 }
--- a/internal/coldstart/nodes.go
+++ b/internal/coldstart/nodes.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// hasCapacity reports whether one more node may be held.
+// hasCapacity reports whether the state of one more node may be stored.
 func (s *Startup) hasCapacity() bool { return len(s.nodes) < s.settings.MaxNodes }
 
-// coldNodeUnits is this process's share of what a node can serve that has just started.
+// coldNodeUnits returns this process's share of the units that a node can serve just after its start.
 func (s *Startup) coldNodeUnits() float64 {
 	return s.settings.SlowStartUnits / float64(s.settings.Schedulers)
 }
 
-// applySnapshot notes the nodes of a snapshot, the first entry of each. Once the list was received, only nodes of the same
-// start time are taken, and restored at once.
+// applySnapshot stores the nodes of a snapshot. If a node has several entries, the first one counts. Once the list was
+// received, only nodes with the list's start time are accepted, and they are restored at once.
 func (s *Startup) applySnapshot(snapshot []Node) {
 	for _, n := range snapshot {
 		state := s.nodes[n.ID]
@@ -30,7 +30,7 @@
 	}
 }
 
-// handleSnapshotReceived applies another process's snapshot if the process has none of its own.
+// handleSnapshotReceived applies another process's snapshot if this process has none of its own.
 func (s *Startup) handleSnapshotReceived(now time.Duration, snapshot []Node) {
 	if s.started && s.phase < Serving && len(s.snapshotNodes) == 0 {
 		s.snapshotReceivedAt = now
@@ -38,9 +38,9 @@
 	}
 }
 
-// handlePeerReported applies a peer's report of a node's start while the list is not received. After a later start than the
-// snapshot's no connection is opened ahead. A report never lifts a limit: with a wrong or malicious one, a cold node would
-// count as warmed up.
+// handlePeerReported applies a peer's report of a node's start until the list is received. If the reported start is later
+// than the snapshot's, no connection to the node is opened in advance. A report never lifts a limit, since a wrong or
+// malicious report would make a cold node count as warmed up.
 func (s *Startup) handlePeerReported(n Node) {
 	state := s.nodes[n.ID]
 	if state == nil || s.phase >= ListKnown {
@@ -51,7 +51,7 @@
 	}
 }
 
-// backOff keeps requests from a node that was full or slow to connect. The backoff doubles each time.
+// backOff holds requests back from a node that was full or could not be connected. The backoff doubles each time.
 func (s *Startup) backOff(now time.Duration, id string) {
 	state := s.nodes[id]
 	if state == nil || s.phase == Serving {
@@ -61,7 +61,7 @@
 	state.backoffUntil = now + s.halfToThreeHalves(state.backoff)
 }
 
-// handleRequestServed ends the backoff of the node, and lets the Retry-After of its rejections shrink.
+// handleRequestServed ends the backoff of the node and halves the Retry-After of its rejections.
 func (s *Startup) handleRequestServed(id string) {
 	if state := s.nodes[id]; state != nil {
 		state.backoffUntil, state.backoff, state.connected, state.retryAfter = 0, 0, true, state.retryAfter/2
--- a/internal/coldstart/preconnect.go
+++ b/internal/coldstart/preconnect.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// preconnectNodes are the ids of the nodes to which a connection is opened ahead: the most used of the snapshot.
+// preconnectNodes returns the ids of the nodes to which a connection is opened in advance: the most used ones of the
+// snapshot.
 func (s *Startup) preconnectNodes() []string {
 	return s.snapshotNodes[:min(s.settings.Preconnects, len(s.snapshotNodes))]
 }
 
-// preconnectDue is when a connection to a node is opened ahead: each pair of scheduler and node has a slot of its own.
+// preconnectDue returns when the connection to a node is opened in advance. Each pair of scheduler and node has its own
+// slot, so that the schedulers of a fleet do not connect to a node at the same time.
 func (s *Startup) preconnectDue(id string) time.Duration {
 	from := s.listReceivedAt
 	if s.phase == CachedList {
@@ -16,7 +18,7 @@
 	return max(from, s.snapshotReceivedAt) + Slot(preconnectWindow, "connect", s.settings.Name, id)
 }
 
-// preconnect opens the connections that are due.
+// preconnect opens the connections in advance that are due.
 func (s *Startup) preconnect(now time.Duration) {
 	for _, id := range s.preconnectNodes() {
 		state := s.nodes[id]
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -10,44 +10,44 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Settings are those of one process's start.
+// Settings configure the start of one process.
 type Settings struct {
-	Name       string // of the scheduler; its slots are derived from it
-	Schedulers int    // in the fleet, with this one
+	Name       string // of the scheduler, from which its slots are derived
+	Schedulers int    // number of schedulers in the fleet, including this one
 
 	// The endpoint list.
-	ListCallsPriced       bool          // list requests cost the list's service, so they are spread over the fleet
-	MaxListCallsPerSecond float64       // list requests of the whole fleet; 0: DefaultMaxListCallsPerSecond
-	StalenessBound        time.Duration // after which a change of the list counts as received; 0: the protocol's 6 s
+	ListCallsPriced       bool          // list requests load the list's service, so the fleet spreads them over time
+	MaxListCallsPerSecond float64       // of the whole fleet; 0: DefaultMaxListCallsPerSecond
+	StalenessBound        time.Duration // after which every process has received a change of the list; 0: 6 s, the protocol's bound
 
 	// Cold nodes.
-	SlowStartUnits    float64       // that a node which has just started can take from the whole fleet within OverloadWindow
-	OverloadWindow    time.Duration // of SlowStartUnits
+	SlowStartUnits    float64       // units that a node can serve for the whole fleet within OverloadWindow just after its start
+	OverloadWindow    time.Duration // to which SlowStartUnits refers
 	SlowStartDuration time.Duration // from a node's start until it is warmed up
 
 	// Clients' requests.
-	LatencyObjective time.Duration // the shortest of the classes; a request may wait half as long for the list
+	LatencyObjective time.Duration // the shortest of all classes; a request may wait for the list for up to half of it
 	MinRetryAfter    time.Duration // 0: 50 ms
 	MaxRetryAfter    time.Duration // 0: 1 s
 
-	Preconnects    int  // nodes to which a connection is opened ahead of need
-	MayCheckHealth bool // whether a connection opened ahead carries a health check
-	MaxNodes       int  // nodes held; 0: 4096
+	Preconnects    int  // number of nodes to which a connection is opened in advance
+	MayCheckHealth bool // whether a health check is sent on a connection that was opened in advance
+	MaxNodes       int  // number of nodes whose state is stored; 0: 4096
 }
 
 // DefaultMaxListCallsPerSecond is used where the settings give no MaxListCallsPerSecond.
 const DefaultMaxListCallsPerSecond = 40.0
 
 const (
-	maxStalenessBound    = 6 * time.Second        // by the protocol of the list
-	stalenessBoundShare  = 5.0 / 6                // for first list requests and for ready; the rest is for the answer
-	usualListRequestTime = 100 * time.Millisecond // of one list request
-	cachedListDelay      = time.Second            // before the cached list is used, where list requests are not priced
-	readyDelay           = time.Second            // from the use of the cached list to ready
+	maxStalenessBound    = 6 * time.Second        // defined by the protocol of the list
+	stalenessBoundShare  = 5.0 / 6                // by when the first list request is sent and ready is reported; the rest is left for the response
+	usualListRequestTime = 100 * time.Millisecond // from a list request to its response
+	cachedListDelay      = time.Second            // before the cached list is used if list requests are not priced
+	readyDelay           = time.Second            // from the first use of the cached list to ready
 	listRequestInterval  = 300 * time.Millisecond // between list requests that are not priced
 	maxListBackoffFactor = 8
-	learningDuration     = 3 * time.Second // after the list, at least
-	preconnectWindow     = time.Second     // within which connections are opened ahead
+	learningDuration     = 3 * time.Second // at least, from the receipt of the list
+	preconnectWindow     = time.Second     // within which connections are opened in advance
 	minBackoff           = 100 * time.Millisecond
 	maxBackoff           = time.Second
 	maxTimer             = time.Hour
@@ -78,7 +78,7 @@
 
 func init() { operr.Register(&SettingError{"hosts", 0, "1 or more"}) }
 
-// check reports the first setting that is out of its bounds, and sets the defaults.
+// check returns an error for the first setting that is out of its bounds, and sets the defaults.
 func (s *Settings) check() error {
 	if s.Schedulers < 1 {
 		return &SettingError{"hosts", s.Schedulers, "1 or more"}
@@ -115,22 +115,24 @@
 	return nil
 }
 
-// SlowStartShare is the part of its share of a cold node's budget that a process uses when it starts together with its whole
-// fleet. The rest is a reserve: nodes are drawn at random, and no process knows well yet which others use a node.
+// SlowStartShare is the fraction of its share of a cold node's budget that a process uses if it starts together with the
+// whole fleet. The rest is a reserve, since nodes are chosen at random and no process has a good estimate yet of how many
+// others use a node.
 const SlowStartShare = 0.8
 
-// Slot is the position of a name within a duration, by its hash. The positions of different names are spread evenly.
+// Slot returns the position of a name within a duration, derived from its hash. The positions of different names are spread
+// evenly.
 func Slot(within time.Duration, parts ...string) time.Duration {
 	hash := xxhash.New()
 	for _, part := range parts {
-		_, _ = hash.WriteString(part) // a hash takes everything
+		_, _ = hash.WriteString(part) // writing to a hash never fails
 		_, _ = hash.Write([]byte{0})
 	}
 	return time.Duration(float64(within) * (float64(hash.Sum64()>>11) / (1 << 53)))
 }
 
-// ListCallSpread is the duration over which the first list requests of the fleet are spread: what the list's service needs
-// for the whole fleet, within the staleness bound. It is 0 where list requests are not priced.
+// ListCallSpread returns the duration over which the first list requests of the fleet are spread: the time that the list's
+// service needs for the requests of the whole fleet, up to ReadyDeadline. It is 0 if list requests are not priced.
 func (s *Settings) ListCallSpread() time.Duration {
 	if !s.ListCallsPriced {
 		return 0
@@ -139,7 +141,7 @@
 	return min(need, s.ReadyDeadline())
 }
 
-// ReadyDeadline is when ready is reported at the latest, even if nothing was received.
+// ReadyDeadline returns the time by which ready is reported, even if no list was received.
 func (s *Settings) ReadyDeadline() time.Duration {
 	return time.Duration(stalenessBoundShare * float64(s.StalenessBound))
 }
--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -1,13 +1,13 @@
-// Package snapshot stores what a scheduler process has learned in a file, for its next start.
+// Package snapshot stores what a scheduler process has learned in a file for its next start.
 //
 // Invariants:
-//   - The file is complete or absent: it is written under another name, synced and renamed.
-//   - The file begins with this package's magic and version, its own length and its checksum (xxhash). A prefix of a file,
-//     and a file with any byte changed, is rejected.
+//   - The file is either complete or absent: it is written under another name, synced and renamed.
+//   - The file begins with this package's magic number and version, the length of its body and a checksum (xxhash). A
+//     truncated file and a file with any byte changed are rejected.
 //   - The file has at most MaxSize bytes.
-//   - A snapshot older than MaxAge, or of the future, is rejected: what it has of the nodes is out of date.
+//   - A snapshot that is older than MaxAge or dated in the future is rejected, since its node state is out of date.
 //
-// The package does not decide what of a snapshot still holds: internal/coldstart leaves out nodes that have restarted.
+// The package does not decide which parts of a snapshot are still valid: internal/coldstart leaves out restarted nodes.
 package snapshot
 
 import (
@@ -35,12 +35,12 @@
 	MaxAge  = 5 * time.Minute
 )
 
-// maxClockStep is how far the clock may have been set back since a snapshot was made.
+// maxClockStep is how far the clock may have been set back since the snapshot was made.
 const maxClockStep = 2 * time.Second
 
 var magic = [8]byte{'w', 's', 'l', 'e', 'a', 'r', 'n', Version}
 
-// The header is the magic with the version, the length of the body, and the checksum of both and of the body.
+// The header consists of the magic number with the version, the length of the body, and a checksum of both and of the body.
 const (
 	lengthOffset   = 8
 	checksumOffset = lengthOffset + 4
@@ -55,7 +55,7 @@
 	Classes []ClassState `json:"classes"`
 }
 
-// NodeState is what was learned of a node since its start at StartTime.
+// NodeState is what was learned about a node since its start at StartTime.
 type NodeState struct {
 	ID                 string  `json:"id"`
 	StartTime          float64 `json:"since_ms"`
@@ -65,7 +65,7 @@
 	FailureRate        float64 `json:"failing"`
 }
 
-// ClassState is what was learned of one class of requests.
+// ClassState is what was learned about one class of requests.
 type ClassState struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
@@ -73,7 +73,7 @@
 	Delay  float64 `json:"delay_ms"`
 }
 
-// UnusableError reports a snapshot that exists and must not be used.
+// UnusableError reports a snapshot that exists but must not be used.
 type UnusableError struct {
 	Path   string
 	Reason string // torn, foreign or old
@@ -118,7 +118,7 @@
 		&FileError{"x", "write", errors.New("x")})
 }
 
-// Encode returns the file's bytes. What does not fit is left out: the least used nodes.
+// Encode returns the content of the file. If it exceeds MaxSize, the least used nodes are left out.
 func Encode(s *Snapshot) ([]byte, error) {
 	stored := *s
 	stored.Version = Version
@@ -139,12 +139,12 @@
 
 func checksum(header, body []byte) uint64 {
 	hash := xxhash.New()
-	_, _ = hash.Write(header) // a hash takes everything
+	_, _ = hash.Write(header) // writing to a hash never fails
 	_, _ = hash.Write(body)
 	return hash.Sum64()
 }
 
-// Decode reads the file's bytes. The error is an *UnusableError, which names the path.
+// Decode parses the content of a snapshot file and checks its age. The error is an *UnusableError that contains the path.
 func Decode(path string, data []byte, now time.Time) (*Snapshot, error) {
 	s, err := Parse(path, data)
 	if err != nil {
@@ -156,21 +156,21 @@
 	return s, nil
 }
 
-// Parse reads the bytes of a snapshot without a look at its age, for one that another process made on request.
+// Parse parses a snapshot without checking its age. It is used for a snapshot that another process made on request.
 func Parse(path string, data []byte) (*Snapshot, error) {
 	n := min(len(data), len(magic))
 	if !bytes.Equal(data[:n], magic[:n]) {
-		return nil, &UnusableError{path, "foreign", fmt.Sprintf("it does not begin as version %d of this file does", Version)}
+		return nil, &UnusableError{path, "foreign", fmt.Sprintf("does not start with the magic number of version %d", Version)}
 	}
 	if len(data) < headerSize || len(data) > MaxSize {
 		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes", len(data))}
 	}
 	body := data[headerSize:]
 	if length := binary.BigEndian.Uint32(data[lengthOffset:]); int64(length) != int64(len(body)) {
-		return nil, &UnusableError{path, "torn", fmt.Sprintf("%d bytes of %d", len(body), length)}
+		return nil, &UnusableError{path, "torn", fmt.Sprintf("body of %d bytes, expected %d", len(body), length)}
 	}
 	if binary.BigEndian.Uint64(data[checksumOffset:]) != checksum(data[:checksumOffset], body) {
-		return nil, &UnusableError{path, "torn", "its checksum is another"}
+		return nil, &UnusableError{path, "torn", "checksum mismatch"}
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal(body, s); err != nil || s.Version != Version {
@@ -179,13 +179,13 @@
 	return s, nil
 }
 
-// Read reads the file. Where there is none, the error wraps fs.ErrNotExist.
+// Read reads the file. If it does not exist, the error wraps fs.ErrNotExist.
 func Read(path string, now time.Time) (*Snapshot, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, &FileError{path, "open", err}
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // closing a file that was only read loses no data
 	if info, err := f.Stat(); err == nil && !info.Mode().IsRegular() {
 		return nil, &FileError{path, "open", fmt.Errorf("not a regular file: %w", fs.ErrInvalid)}
 	}
@@ -196,32 +196,32 @@
 	return Decode(path, data, now)
 }
 
-// Write replaces the file. If it fails, the old file stays.
+// Write replaces the file. If that fails, the old file remains.
 func Write(path string, s *Snapshot) error {
-	for _, n := range s.Nodes { // JSON has no such numbers
+	for _, n := range s.Nodes { // JSON cannot represent NaN and infinity
 		if f := n.Window + n.Latency + n.BestLatencyPerUnit + n.FailureRate + n.StartTime; math.IsNaN(f) || math.IsInf(f, 0) {
-			return &FileError{path, "encode", fmt.Errorf("node %s: a figure is not a number", n.ID)}
+			return &FileError{path, "encode", fmt.Errorf("node %s: a value is not a finite number", n.ID)}
 		}
 	}
 	data, err := Encode(s)
 	if err != nil {
 		return &FileError{path, "encode", err}
 	}
-	// The name is always the same, so that killed processes leave one file at most.
+	// The name is always the same, so that killed processes leave at most one temporary file behind.
 	tempPath := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
-	_ = os.Remove(tempPath) // what a killed process left; otherwise the open fails
+	_ = os.Remove(tempPath) // left behind by a killed process; O_EXCL would fail otherwise
 	f, err := os.OpenFile(tempPath, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return &FileError{path, "create", err}
 	}
 	if err := replace(path, f, data); err != nil {
-		_ = os.Remove(tempPath) // the first error counts
+		_ = os.Remove(tempPath) // the write error is the one to report
 		return &FileError{path, "write", err}
 	}
 	return nil
 }
 
-// replace writes and closes the file, and renames it to path.
+// replace writes, syncs and closes the file, and renames it to path.
 func replace(path string, f *os.File, data []byte) error {
 	_, err := f.Write(data)
 	if err == nil {
--- a/internal/connqueue/queue.go
+++ b/internal/connqueue/queue.go
@@ -1,42 +1,45 @@
 // Package connqueue decides which attempts wait for which connection to their node, and when another connection is opened.
-// A new connection costs the node work and the first request on it time; where the settings price it, it also costs
-// priority weight. A short wait for a connection in use is then cheaper. Since a connect may be late, no attempt is bound to
-// the connect started for it: it takes the first free connection, and another connect starts beside a late one.
+// A new connection costs the node work and delays the first request on it. If the settings price it, it also costs priority
+// weight, and a short wait for a connection in use can be cheaper. Since a connect may be late, an attempt is not bound to
+// the connect that was started for it: it uses the first free connection, and another connect is started in addition to a
+// late one.
 //
 // Invariants:
-//   - No attempt waits longer than FreeConnWait without a connect started for it; if FreeConnWait is zero, none waits so.
-//   - At most one attempt waits for each connection that is in use or connecting, without a connect of its own: the next
-//     one would wait for two requests.
-//   - Attempts leave the queue in the order of their arrival, each exactly once, unless DropLast or Remove takes them.
-//   - For each attempt that needs a connect, at most two are pending: the second once the first is late.
-//   - No attempt waits longer than FreeConnWait and ConnectTimeout together. One whose connect failed leaves the queue
+//   - No attempt waits longer than FreeConnWait without a connect started for it. If FreeConnWait is zero, a connect is
+//     started at once.
+//   - For each connection that is in use or connecting, at most one attempt waits without a connect of its own, since a
+//     second one would have to wait for two requests.
+//   - Attempts leave the queue in order of arrival, each exactly once, unless they are removed by DropLast or Remove.
+//   - For each attempt that needs a connect, at most two connects are pending. The second one starts once the first is late.
+//   - No attempt waits longer than FreeConnWait and ConnectTimeout together. An attempt whose connect failed leaves the queue
 //     without a connection, unless another connect is pending for it.
 //
-// The package has no clock and no I/O: the caller gives the time, and Next says when to call again. It decides neither how
-// many connections there may be nor to which node a request goes.
+// The package has no clock and no I/O: the caller passes the time, and Next returns when to call again. It does not decide
+// how many connections there may be or which node serves a request.
 package connqueue
 
 import "time"
 
-// MaxWaitDivisor bounds the wait for a connection in use to this part of the latency objective.
+// MaxWaitDivisor bounds the wait for a connection in use to the latency objective divided by this number.
 const MaxWaitDivisor = 4
 
-// A connect is late after LateFactor times the usual connect time, and after MinLate at least.
+// A connect is late after LateFactor times the usual connect time, but not before MinLate.
 const (
 	LateFactor = 4
 	MinLate    = 10 * time.Millisecond
 )
 
-// MaxFreeConnWait is how long an attempt may wait for a connection in use: the same part of the latency objective as the
-// price of a new connection is of a request's priority weight, since a wait of the whole objective costs the whole weight.
+// MaxFreeConnWait returns how long an attempt may wait for a connection in use. The price of a new connection is a fraction of
+// a request's priority weight. The wait is the same fraction of the latency objective, since a wait for the entire objective
+// costs the entire weight.
 func MaxFreeConnWait(price float64, latencyObjective time.Duration) time.Duration {
 	return max(0, min(time.Duration(price*float64(latencyObjective)), latencyObjective/MaxWaitDivisor))
 }
 
 // Settings are the bounds of the waits in a Queue.
 type Settings struct {
-	FreeConnWait   time.Duration // for a connection in use, before a connect starts
-	ConnectTimeout time.Duration // for a pending connect
+	FreeConnWait   time.Duration // wait for a connection in use before a connect starts
+	ConnectTimeout time.Duration // wait for a pending connect
 }
 
 // Queue holds the attempts that wait for a connection to one node. It must be used by one goroutine at a time.
@@ -49,7 +52,7 @@
 
 type waiter[T comparable] struct {
 	item         T
-	connectDueAt time.Duration // when a connect is needed for it
+	connectDueAt time.Duration // when a connect is due for it
 }
 
 type pendingConnect struct {
@@ -65,8 +68,8 @@
 	q.waiters = append(q.waiters, waiter[T]{item, now + q.settings.FreeConnWait})
 }
 
-// neededConnects is how many connects the waiting attempts need. Each connect serves the attempt it is for and one more,
-// which waits for its connection as others do for those in use.
+// neededConnects returns how many connects the waiting attempts need. Each connect serves the attempt for which it was started
+// and a second one, which waits for the new connection like others wait for the connections in use.
 func (q *Queue[T]) neededConnects(now time.Duration, inUse int) int {
 	dueWaiters := 0
 	for dueWaiters < len(q.waiters) && q.waiters[dueWaiters].connectDueAt <= now {
@@ -75,8 +78,8 @@
 	return max(dueWaiters, (len(q.waiters)-inUse+1)/2)
 }
 
-// ConnectsDue returns how many connects are to start now, where inUse connections are in use and a connect is late after the
-// duration late. The caller calls ConnectStarted or DropLast for each.
+// ConnectsDue returns how many connects are to start now, if inUse connections are in use and a connect is late after the
+// duration lateAfter. The caller calls ConnectStarted or DropLast for each of them.
 func (q *Queue[T]) ConnectsDue(now time.Duration, inUse int, lateAfter time.Duration) int {
 	needed, timely := q.neededConnects(now, inUse), 0
 	for _, connect := range q.pendingConnects {
@@ -87,7 +90,7 @@
 	return max(0, min(needed-timely, 2*needed-len(q.pendingConnects)))
 }
 
-// ConnectStarted notes that a connect has started, and returns its id.
+// ConnectStarted records that a connect has started, and returns its id.
 func (q *Queue[T]) ConnectStarted(now time.Duration) (id int) {
 	q.lastID++
 	q.pendingConnects = append(q.pendingConnects, pendingConnect{q.lastID, now})
@@ -105,13 +108,14 @@
 	return 0
 }
 
-// ConnectSucceeded notes that a connect has succeeded, and returns how long it took. The connection is free: Pop returns the
-// attempt that takes it.
+// ConnectSucceeded records that a connect has succeeded, and returns how long it took. The connection is free, and Pop returns
+// the attempt that is to use it.
 func (q *Queue[T]) ConnectSucceeded(now time.Duration, id int) time.Duration {
 	return q.removePending(now, id)
 }
 
-// DropLast removes and returns the last attempt, if a connect that it needs cannot be started.
+// DropLast removes and returns the last attempt if fewer connects are pending than needed. The caller uses it when a connect
+// cannot be started.
 func (q *Queue[T]) DropLast(now time.Duration, inUse int) (item T, ok bool) {
 	if q.neededConnects(now, inUse) <= len(q.pendingConnects) {
 		return item, false
@@ -121,7 +125,7 @@
 	return item, true
 }
 
-// ConnectFailed notes that a connect has failed. It removes and returns the first attempt, if no other connect is pending
+// ConnectFailed records that a connect has failed. It removes and returns the first attempt if no other connect is pending
 // for it.
 func (q *Queue[T]) ConnectFailed(now time.Duration, id, inUse int) (item T, ok bool) {
 	q.removePending(now, id)
@@ -141,7 +145,7 @@
 	return item, true
 }
 
-// Remove removes an attempt that is cancelled, and reports whether it was waiting.
+// Remove removes a cancelled attempt, and reports whether it was waiting.
 func (q *Queue[T]) Remove(item T) bool {
 	for i, w := range q.waiters {
 		if w.item == item {
@@ -160,7 +164,7 @@
 	return q.Pop()
 }
 
-// Next is when PopExpired and ConnectsDue are to be called again; false if no attempt waits.
+// Next returns when PopExpired and ConnectsDue are to be called again, or false if no attempt waits.
 func (q *Queue[T]) Next(now, lateAfter time.Duration) (at time.Duration, ok bool) {
 	if len(q.waiters) == 0 {
 		return 0, false
@@ -180,5 +184,5 @@
 	return max(at, now), true
 }
 
-// Len is the number of waiting attempts.
+// Len returns the number of waiting attempts.
 func (q *Queue[T]) Len() int { return len(q.waiters) }
--- a/internal/exclusion/errors.go
+++ b/internal/exclusion/errors.go
@@ -6,13 +6,13 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Values for errors.Is. The errors that calls return have the details. The set is unchanged by a call that fails.
+// Values for errors.Is. The errors that calls return contain the details. A call that fails does not change the set.
 var (
 	ErrUnknownNode error = &UnknownNodeError{}
 	ErrFull        error = &FullError{}
 )
 
-// UnknownNodeError reports a node that is not known as listed.
+// UnknownNodeError reports a node that is not stored as listed.
 type UnknownNodeError struct{ ID string }
 
 func (e *UnknownNodeError) Error() string { return "no storage node of that id was ever listed" }
--- a/internal/exclusion/exclusion.go
+++ b/internal/exclusion/exclusion.go
@@ -1,17 +1,17 @@
-// Package exclusion holds which storage nodes an operator has excluded, and turns each entry of the endpoint list into the
-// one that the decision module and the peers see. It has no I/O and no clock. Times are those of the module: Unix
-// milliseconds.
+// Package exclusion records which storage nodes an operator has excluded, and converts each entry of the endpoint list to
+// the entry that the decision module and the peers see. It has no I/O and no clock. Times are in Unix milliseconds, as in
+// the module.
 //
 // Invariants:
 //
-//  1. An excluded node is never shown as up until it is included, even if the list has it as up.
-//  2. A rejected call has no effect: one for a node that was never listed, or an exclude beyond the bound.
-//  3. Excluding a node twice is the same as once, and one include ends it.
-//  4. A node that was included is shown as started no earlier than its include, for as long as it may be cold.
-//  5. Every container is bounded: the listed, the excluded and the included nodes.
-//  6. A state that is stored and loaded again is the same.
+//  1. An excluded node is not shown as up until it is included again, even if the list shows it as up.
+//  2. A rejected call has no effect. Calls for a node that was never listed and excludes beyond the bound are rejected.
+//  3. Excluding a node twice has the same effect as excluding it once, and one include ends it.
+//  4. During slow start, an included node is shown with a start time no earlier than its include.
+//  5. The numbers of listed, excluded and included nodes are bounded.
+//  6. Storing a state and loading it again does not change it.
 //
-// The package does not decide how a draining node is treated: the peers and the module apply the same rule to every node
+// The package does not decide how a draining node is treated. The peers and the module apply the same rule to every node
 // that is shown as draining or excluded.
 package exclusion
 
@@ -25,15 +25,15 @@
 
 // Settings are the bounds of a Set.
 type Settings struct {
-	MaxListed         int     // ids remembered as listed
+	MaxListed         int     // ids stored as listed
 	MaxExcluded       int     // nodes excluded at the same time
-	SlowStartDuration float64 // milliseconds after an include during which the node may be cold
+	SlowStartDuration float64 // duration of slow start after an include, in milliseconds
 }
 
-// Defaults are the bounds used where the settings give none.
+// Defaults are the bounds that apply if none are set.
 var Defaults = Settings{MaxListed: 4096, MaxExcluded: 1024, SlowStartDuration: 20000}
 
-// State is the stored part of a Set: the excluded nodes with the time of their exclude, and the nodes included within the
+// State is the part of a Set that is stored: the excluded nodes with the time of their exclude, and the included nodes in
 // slow start with the time of their include.
 type State struct {
 	Excluded map[string]float64 `json:"excluded"`
@@ -46,10 +46,10 @@
 	listed      map[string]bool
 	listedOrder []string           // ids in listed, the oldest first
 	excluded    map[string]float64 // times of the excludes
-	included    map[string]float64 // times of the includes within the slow start
+	included    map[string]float64 // times of the includes of nodes in slow start
 }
 
-// New returns an empty set. An error is a *SettingError.
+// New returns an empty set. The error is a *SettingError.
 func New(settings Settings) (*Set, error) {
 	switch {
 	case settings.MaxListed < 1:
@@ -62,8 +62,8 @@
 	return &Set{settings: settings, listed: map[string]bool{}, excluded: map[string]float64{}, included: map[string]float64{}}, nil
 }
 
-// AddListed notes nodes as listed, so that an operator may name them. Beyond the bound, the oldest that are not excluded are
-// dropped. An excluded node stays, so that it can be included.
+// AddListed stores nodes as listed, so that an operator may exclude them. Beyond the bound, the oldest ids that are not
+// excluded are dropped. Excluded nodes remain, so that they can be included again.
 func (s *Set) AddListed(ids ...string) {
 	for _, id := range ids {
 		if !s.listed[id] {
@@ -83,12 +83,12 @@
 	}
 }
 
-// IsListed reports whether a node is known as listed.
+// IsListed reports whether a node is stored as listed.
 func (s *Set) IsListed(id string) bool {
 	return s.listed[id]
 }
 
-// Exclude excludes a node at now, and reports whether it was not excluded before. An error is an *UnknownNodeError or a
+// Exclude excludes a node at now, and reports whether that changed the state. The error is an *UnknownNodeError or a
 // *FullError.
 func (s *Set) Exclude(now float64, id string) (changed bool, err error) {
 	if !s.IsListed(id) {
@@ -105,7 +105,7 @@
 	return true, nil
 }
 
-// Include ends the exclude of a node at now, and reports whether it was excluded. An error is an *UnknownNodeError.
+// Include ends the exclusion of a node at now, and reports whether the node was excluded. The error is an *UnknownNodeError.
 func (s *Set) Include(now float64, id string) (changed bool, err error) {
 	if !s.IsListed(id) {
 		return false, &UnknownNodeError{id}
@@ -125,7 +125,7 @@
 	return excluded
 }
 
-// dropExpiredIncludes drops the includes whose slow start has ended.
+// dropExpiredIncludes removes the includes whose slow start has ended.
 func (s *Set) dropExpiredIncludes(now float64) {
 	for id, at := range s.included {
 		if now-at > s.settings.SlowStartDuration {
@@ -134,7 +134,7 @@
 	}
 }
 
-// View returns the entry that the module and the peers see at now for an entry of the list.
+// View converts an entry of the list to the entry that the module and the peers see at now.
 func (s *Set) View(now float64, n policy.Node) policy.Node {
 	if n.State == policy.NodeRemoved {
 		return n
@@ -155,8 +155,8 @@
 	return State{Excluded: maps.Clone(s.excluded), Included: maps.Clone(s.included)}
 }
 
-// Load replaces the state by a stored one, of this scheduler's other process or of the one before. Its nodes count as listed.
-// It returns the nodes whose View may change, sorted.
+// Load replaces the state by one that another process of this scheduler, or a previous one, has stored. The nodes of that
+// state count as listed. Load returns the nodes whose View may change, sorted.
 func (s *Set) Load(now float64, state State) (changed []string) {
 	changed = s.differences(state)
 	excluded := slices.Sorted(maps.Keys(state.Excluded))
@@ -177,7 +177,7 @@
 	return changed
 }
 
-// differences returns the nodes of which a state differs from the present one, sorted.
+// differences returns the nodes that differ between the given state and the present one, sorted.
 func (s *Set) differences(state State) (ids []string) {
 	for id := range s.excluded {
 		if _, excluded := state.Excluded[id]; !excluded {
@@ -198,7 +198,7 @@
 	return slices.Compact(ids)
 }
 
-// Check returns which invariant the state violates. It is for tests.
+// Check returns an error if the state violates an invariant. It is used by tests.
 func (s *Set) Check() error {
 	switch {
 	case len(s.excluded) > s.settings.MaxExcluded:
@@ -206,19 +206,19 @@
 	case len(s.listed) > max(s.settings.MaxListed, len(s.excluded)):
 		return fmt.Errorf("%d listed, the bound is %d", len(s.listed), s.settings.MaxListed)
 	case len(s.listedOrder) != len(s.listed):
-		return fmt.Errorf("%d in the order of the list, %d listed", len(s.listedOrder), len(s.listed))
+		return fmt.Errorf("%d ids in listedOrder, %d listed", len(s.listedOrder), len(s.listed))
 	}
 	for id := range s.excluded {
 		if !s.IsListed(id) {
-			return fmt.Errorf("%s is excluded and not known as listed", id)
+			return fmt.Errorf("%s is excluded but not listed", id)
 		}
 		if _, ok := s.included[id]; ok {
-			return fmt.Errorf("%s is excluded and included", id)
+			return fmt.Errorf("%s is both excluded and included", id)
 		}
 	}
 	for id := range s.included {
 		if !s.IsListed(id) {
-			return fmt.Errorf("%s is included and not known as listed", id)
+			return fmt.Errorf("%s is included but not listed", id)
 		}
 	}
 	return nil
--- a/internal/exclusion/store/errors.go
+++ b/internal/exclusion/store/errors.go
@@ -7,17 +7,17 @@
 	"wheatsaddle/internal/operr"
 )
 
-// ErrForeign is a value for errors.Is. The errors that calls return have the details.
+// ErrForeign is a value for errors.Is. The errors that calls return contain the details.
 var ErrForeign error = &ForeignFileError{}
 
-// ForeignFileError reports a file that does not hold this scheduler's excludes. The file is not changed.
+// ForeignFileError reports a file that does not contain this scheduler's exclusions. The file is not changed.
 type ForeignFileError struct {
 	Path    string
 	Problem string
 }
 
 func (e *ForeignFileError) Error() string {
-	return e.Path + ": " + e.Problem + ": not this scheduler's book of exclusions"
+	return e.Path + ": " + e.Problem + ": not this scheduler's exclusions file"
 }
 
 // Is reports whether the other error is ErrForeign.
@@ -28,7 +28,7 @@
 
 // Advice implements operr.Coded.
 func (e *ForeignFileError) Advice() string {
-	return "Find out which program writes the file. If it is a damaged one of this scheduler, exclude the nodes again by the admin endpoint: the next change replaces it."
+	return "Find out which program writes the file. If it is a damaged file of this scheduler, exclude the nodes again by the admin endpoint; the next change replaces the file."
 }
 
 // FileError reports a file that cannot be read, written or locked.
@@ -47,7 +47,7 @@
 
 // Advice implements operr.Coded.
 func (e *FileError) Advice() string {
-	return "Make sure that " + e.Path + " can be written by the program's user and that the disk has space; until then excludes end with this process."
+	return "Make sure that " + e.Path + " can be written by the program's user and that the disk has space; until then exclusions are lost when this process ends."
 }
 
 func init() {
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -1,9 +1,9 @@
-// Package store keeps the excludes of an operator in a file that all processes of one scheduler share, in $TMPDIR, which
-// outlives the replacement of a process.
+// Package store stores an operator's exclusions in a file that all processes of one scheduler share. The file is in $TMPDIR,
+// so it survives the replacement of a process.
 //
 // Invariants:
 //
-//   - A reader finds the old file or the new one, complete: a write goes to another file, which is renamed.
+//   - A reader finds either the complete old file or the complete new one, since a write creates another file and renames it.
 //   - Writers exclude each other by an flock on a separate file.
 //   - A file that is incomplete, of another scheduler or of another version is ignored, with a *ForeignFileError.
 package store
@@ -30,15 +30,15 @@
 	version          = 1
 	maxFileSize      = 1 << 20 // bytes
 	lockPollInterval = 2 * time.Millisecond
-	maxLockAttempts  = 150 // 300 ms at this interval
+	maxLockAttempts  = 150 // 300 ms at lockPollInterval
 )
 
 // Store is the file of one scheduler. It must be used by one goroutine at a time.
 type Store struct {
 	Path     string
 	Name     string      // the scheduler's name, the same in all its processes
-	lastSeen fs.FileInfo // of the file last read or written
-	pid      int         // in the name of the temporary file; 0: the process's
+	lastSeen fs.FileInfo // of the file that was last read or written
+	pid      int         // for the name of the temporary file; 0: the pid of this process
 }
 
 // InFolder returns the store of a scheduler in a directory.
@@ -46,14 +46,14 @@
 	return &Store{Path: filepath.Join(dir, "wheatsaddle-exclusions.json"), Name: name}
 }
 
-// file is the stored form.
+// file is the stored format.
 type file struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
 	exclusion.State
 }
 
-// Read reads the state. Without a file it is empty.
+// Read reads the state. If the file does not exist, the state is empty.
 func (s *Store) Read() (exclusion.State, error) {
 	empty := exclusion.State{Excluded: map[string]float64{}, Included: map[string]float64{}}
 	data, err := s.readFile()
@@ -76,14 +76,14 @@
 	return state, nil
 }
 
-// readFile reads the file, up to one byte more than it may have.
+// readFile reads the file, up to one byte more than maxFileSize, so that parse detects a longer file.
 func (s *Store) readFile() ([]byte, error) {
 	sync.Point("open", s.Path)
 	f, err := os.Open(s.Path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // closing a file that was only read loses no data
 	if info, err := f.Stat(); err == nil {
 		s.lastSeen = info
 	}
@@ -91,7 +91,7 @@
 	return io.ReadAll(io.LimitReader(f, maxFileSize+1))
 }
 
-// parse reads the state from a file's bytes, or says why they do not hold one of this scheduler.
+// parse parses the content of a file, or returns why it is not a valid state of this scheduler.
 func (s *Store) parse(data []byte) (state exclusion.State, problem string) {
 	if len(data) > maxFileSize {
 		return state, fmt.Sprintf("over %d bytes", maxFileSize)
@@ -118,7 +118,7 @@
 	return stored.State, ""
 }
 
-// Write replaces the file. If it fails, the old file stays.
+// Write replaces the file. If that fails, the old file remains.
 func (s *Store) Write(state exclusion.State) error {
 	data, err := json.Marshal(file{Version: version, Name: s.Name, State: state})
 	if err != nil {
@@ -131,7 +131,7 @@
 		return &FileError{s.Path, err}
 	}
 	if err := s.replace(f, data); err != nil {
-		_ = os.Remove(tempPath) // the first error counts
+		_ = os.Remove(tempPath) // the write error is the one to report
 		return &FileError{s.Path, err}
 	}
 	sync.Point("stat", s.Path)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// replace writes and closes the temporary file, and renames it.
+// replace writes, syncs and closes the temporary file, and renames it.
 func (s *Store) replace(f *os.File, data []byte) error {
 	sync.Point("write", f.Name())
 	_, err := f.Write(data)
@@ -158,7 +158,7 @@
 	return err
 }
 
-// Changed reports whether the file is another than the one last read or written here. A missing file is no change.
+// Changed reports whether the file differs from the one that was last read or written here. A missing file is no change.
 func (s *Store) Changed() bool {
 	sync.Point("stat", s.Path)
 	info, err := os.Stat(s.Path)
@@ -168,7 +168,7 @@
 	return s.lastSeen == nil || !os.SameFile(info, s.lastSeen) || !info.ModTime().Equal(s.lastSeen.ModTime()) || info.Size() != s.lastSeen.Size()
 }
 
-// Lock takes the writers' lock. It waits for another process for up to 300 ms. The func releases the lock.
+// Lock acquires the writers' lock. It waits for up to 300 ms for another process. The returned function releases the lock.
 func (s *Store) Lock() (func(), error) {
 	f, err := os.OpenFile(s.Path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -180,7 +180,7 @@
 		if err == nil {
 			return func() {
 				sync.Point("unlock", s.Path+".lock")
-				_ = f.Close() // which releases the flock
+				_ = f.Close() // closing the file releases the flock
 			}, nil
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) || attemptsLeft == 0 {
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -8,14 +8,14 @@
 	"wheatsaddle/internal/operr"
 )
 
-// NoLockError reports that no lock is available: the process accepts without one.
+// NoLockError reports that no lock is available, so the process accepts connections without one.
 type NoLockError struct {
 	Path string
 	Err  error
 }
 
 func (e *NoLockError) Error() string {
-	return fmt.Sprintf("no lock for the clients' socket: %v", e.Err)
+	return fmt.Sprintf("lock file of the clients' socket cannot be used: %v", e.Err)
 }
 
 // Unwrap returns the operating system's error.
@@ -27,7 +27,7 @@
 // Advice implements operr.Coded.
 func (e *NoLockError) Advice() string {
 	return "Set $TMPDIR to a directory that the program's user may write, the same for all processes of the scheduler (" + e.Path +
-		"). Until then, two processes at the same time both accept, each with the scheduler's whole quota of each limit."
+		"). Until then, two processes that run at the same time both accept connections, each with the scheduler's full quota of each limit."
 }
 
 // LongWaitError reports a long wait for the clients' socket.
@@ -37,7 +37,7 @@
 }
 
 func (e *LongWaitError) Error() string {
-	return fmt.Sprintf("another process has accepted on the clients' socket for %v; this one waits", e.Since)
+	return fmt.Sprintf("this process has waited for %v for another one that accepts connections on the clients' socket", e.Since)
 }
 
 // Code implements operr.Coded.
@@ -45,8 +45,8 @@
 
 // Advice implements operr.Coded.
 func (e *LongWaitError) Advice() string {
-	return "Nothing, if the other process is to continue to serve. To replace it by this one, send it SIGTERM, and SIGKILL if it does not end in time; it is the one that has " +
-		e.Path + " open (see lslocks or fuser)."
+	return "Nothing, if the other process is to continue to serve. To replace it by this one, send SIGTERM to the process that has " +
+		e.Path + " open (see lslocks or fuser), and SIGKILL if it does not end in time."
 }
 
 func init() {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,21 +1,22 @@
-// Package handover decides when a process may accept on a clients' socket that it shares with other processes of its
-// scheduler, and how it shuts down: after SIGTERM, the accepting process makes way for the next one, and ends when its
-// connections are closed. A Machine is the state of one process. The package has no I/O, clock, goroutine or lock of its
-// own. The driver carries the actions out and reports the result of each as one event.
+// Package handover decides when a process may accept connections on a clients' socket that it shares with other processes of
+// its scheduler, and how it shuts down. After SIGTERM, the accepting process hands the socket over to the next one and ends
+// once its connections are closed. A Machine is the state of one process. The package has no I/O, clock, goroutine or lock of
+// its own. The driver carries out the actions and reports the result of each as one event.
 //
 // Invariants:
 //
-//   - A process accepts only while it has the lock, or if no lock is available at all.
-//   - Of all processes that share a lock, at most one fills limits: from its first accept until its module was notified of
-//     the handover.
-//   - The lock is released once the module was notified and nothing is accepted any more.
-//   - Nothing is accepted after SIGTERM that was not accepted before.
-//   - A process ends when no connection is open, or at its deadline after the idle ones were closed. Connections with a
-//     request, or with one less than IdleTimeout ago, are not closed before the deadline.
-//   - A process that waits for the lock gets it soon after no other process has it.
+//   - A process accepts connections only while it holds the lock, or if no lock is available at all.
+//   - Of all processes that share a lock, at most one admits requests up to the full limits. It does so from its first accept
+//     until its module was notified of the handover.
+//   - The lock is released once the module was notified and the listener is closed.
+//   - A process that did not accept connections before SIGTERM does not start to accept afterwards.
+//   - A process ends when no connection is open, or at its deadline after the idle connections were closed. Connections with
+//     a request in flight, or whose last request ended less than IdleTimeout ago, are not closed before the deadline.
+//   - A process that waits for the lock acquires it soon after no other process holds it.
 //
-// The package does not ask whether a successor waits, and takes the lock from no process. A stalled process keeps the lock,
-// since it would fill its limits once it continues. The kernel releases the lock of a process that has ended.
+// The package does not check whether a successor waits, and never takes the lock away from a process. A stalled process keeps
+// the lock, since it will admit requests up to its limits once it continues. The kernel releases the lock of a process that
+// has ended.
 package handover
 
 import (
@@ -24,32 +25,32 @@
 	"time"
 )
 
-// Never is the time of what is not awaited.
+// Never is the due time of a timer that is not set.
 const Never = time.Duration(math.MaxInt64)
 
 // Settings are the intervals of a Machine.
 type Settings struct {
 	LockPollInterval time.Duration // between attempts to take the lock
 	SweepInterval    time.Duration // between sweeps of the open connections
-	IdleTimeout      time.Duration // after which a connection without a request is closed
-	WarnAfter        time.Duration // a wait for the lock longer than this is reported, once
+	IdleTimeout      time.Duration // after which an idle connection is closed during the shutdown
+	WarnAfter        time.Duration // after which a wait for the lock is reported once
 }
 
-// EventKind is what happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The events. Each but Started, TimerFired and TermReceived is the result of an action.
+// The events. All except Started, TimerFired and TermReceived are results of actions.
 const (
-	Started            EventKind = iota // the process can serve, and accepts nothing yet
-	LockAcquired                        // of TryLock
-	LockBusy                            // of TryLock: another process has the lock
-	LockUnavailable                     // of TryLock: there is no lock
-	TimerFired                          // the time of Next has come
-	TermReceived                        // SIGTERM: Deadline is when the remaining connections are closed
-	ModuleNotified                      // of NotifyModule
-	ModuleBusy                          // of NotifyModule: the module has not confirmed in time
-	ListenerClosed                      // of CloseListener: nothing is accepted any more
-	ConnectionsCounted                  // of CloseIdle: OpenConnections are left
+	Started            EventKind = iota // the process can serve, but does not accept connections yet
+	LockAcquired                        // result of TryLock
+	LockBusy                            // result of TryLock: another process holds the lock
+	LockUnavailable                     // result of TryLock: the lock file cannot be used
+	TimerFired                          // the timer of Next has expired
+	TermReceived                        // SIGTERM was received; the remaining connections are closed at Deadline
+	ModuleNotified                      // result of NotifyModule
+	ModuleBusy                          // result of NotifyModule: the module has not confirmed in time
+	ListenerClosed                      // result of CloseListener: no further connection is accepted
+	ConnectionsCounted                  // result of CloseIdle: OpenConnections remain open
 )
 
 // Event is something that happened.
@@ -59,22 +60,22 @@
 	OpenConnections int
 }
 
-// ActionKind is what the driver is to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The actions.
 const (
-	TryLock       ActionKind = iota // take the lock if it is free
-	Accept                          // from now on
+	TryLock       ActionKind = iota // acquire the lock if it is free
+	Accept                          // start to accept connections
 	WarnLongWait                    // report a long wait for the lock
-	NotifyModule                    // notify the module that another process fills its limits
-	CloseListener                   // accept no more; open connections stay, each until its next response
+	NotifyModule                    // notify the module that another process takes over its limits
+	CloseListener                   // accept no more connections; open ones are closed after their next response
 	ReleaseLock
-	CloseIdle // close the connections without a request for IdleFor
+	CloseIdle // close the connections that have been idle for IdleFor
 	Finish    // end the process
 )
 
-// Action is something for the driver to do.
+// Action is an action for the driver to carry out.
 type Action struct {
 	Kind    ActionKind
 	IdleFor time.Duration
@@ -82,7 +83,7 @@
 
 type phase uint8
 
-// The phases, in their order.
+// The phases, in order.
 const (
 	notStarted phase = iota
 	waitingForLock
@@ -97,7 +98,7 @@
 type Machine struct {
 	settings       Settings
 	phase          phase
-	next           time.Duration // of the next TimerFired
+	next           time.Duration // when the next TimerFired is due
 	startedAt      time.Duration
 	deadline       time.Duration // of the shutdown
 	hasLock        bool
@@ -108,15 +109,15 @@
 	lastSweep      bool // the last CloseIdle was at the deadline
 }
 
-// New returns the state of a process that has accepted nothing.
+// New returns the state of a process that has not accepted any connection.
 func New(settings Settings) *Machine {
 	return &Machine{settings: settings, next: Never, deadline: Never}
 }
 
-// Next is when a TimerFired is due.
+// Next returns when the next TimerFired is due.
 func (m *Machine) Next() time.Duration { return m.next }
 
-// Step applies an event and returns what is to be done, in that order. Events that do not fit the phase have no effect.
+// Step applies an event and returns the actions to carry out, in order. Events that do not fit the phase have no effect.
 func (m *Machine) Step(now time.Duration, e Event) []Action {
 	switch e.Kind {
 	case Started:
@@ -160,7 +161,7 @@
 }
 
 func (m *Machine) handleLockAcquired() []Action {
-	if m.phase >= draining { // too late: the next process may have it
+	if m.phase >= draining { // this process no longer accepts, so the next one may acquire the lock
 		m.hasLock = false
 		return newActions(ReleaseLock)
 	}
@@ -208,8 +209,8 @@
 	return newActions(CloseListener)
 }
 
-// handleModuleBusy retries until the deadline. Then the listener is closed all the same, and the lock is kept until the process
-// ends.
+// handleModuleBusy retries the notification until the deadline. At the deadline, the listener is closed without a
+// notification, and the lock is kept until the process ends.
 func (m *Machine) handleModuleBusy(now time.Duration) []Action {
 	if m.phase != notifyingModule {
 		return nil
@@ -251,7 +252,7 @@
 	if now < m.next {
 		return nil
 	}
-	m.next = Never // until the result of the action
+	m.next = Never // the result of the action sets the next timer
 	switch m.phase {
 	case waitingForLock:
 		return newActions(TryLock)
@@ -263,7 +264,8 @@
 	return nil
 }
 
-// sweep closes the idle connections, at the deadline also those that had a request a moment ago.
+// sweep returns the action that closes the idle connections. At the deadline, these include connections whose last request
+// has just ended.
 func (m *Machine) sweep(now time.Duration) Action {
 	m.lastSweep = now >= m.deadline
 	if m.lastSweep {
@@ -272,20 +274,20 @@
 	return Action{Kind: CloseIdle, IdleFor: m.settings.IdleTimeout}
 }
 
-// Ended reports whether nothing is left to do.
+// Ended reports whether the process has finished.
 func (m *Machine) Ended() bool { return m.phase == finished }
 
-// Check returns which invariant does not hold. It is for tests, after any Step.
+// Check returns an error if an invariant does not hold. Tests call it after any Step.
 func (m *Machine) Check() error {
 	switch {
 	case m.accepting && !m.hasLock && !m.withoutLock:
-		return fmt.Errorf("accepts without the lock in phase %d", m.phase)
+		return fmt.Errorf("accepts connections without the lock in phase %d", m.phase)
 	case m.phase >= draining && m.hasLock && m.moduleNotified:
-		return fmt.Errorf("still has the lock in phase %d", m.phase)
+		return fmt.Errorf("still holds the lock in phase %d", m.phase)
 	case m.phase >= draining && m.accepting:
-		return fmt.Errorf("accepts in phase %d", m.phase)
+		return fmt.Errorf("accepts connections in phase %d", m.phase)
 	case m.phase == finished && m.next != Never:
-		return fmt.Errorf("has finished, and a timer is set at %v", m.next)
+		return fmt.Errorf("has finished, but a timer is set at %v", m.next)
 	}
 	return nil
 }
