--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// parseCases are spellings and what they come to; an empty one is an error with these words.
+// parseCases are spellings with their canonical forms. If err is not empty, parsing fails with an error that contains it.
 var parseCases = []struct{ text, want, err string }{
 	{"127.0.0.1:7001", "127.0.0.1:7001", ""},
 	{"127.0.0.1:07001", "127.0.0.1:7001", ""},
@@ -61,11 +61,11 @@
 	for _, x := range parseCases {
 		a, err := Parse(x.text)
 		if (err == nil) != (x.err == "") || err != nil && !strings.Contains(err.Error(), x.err) || err == nil && a.String() != x.want {
-			t.Errorf("%q: %v, %v; want %q %q", x.text, a, err, x.want, x.err)
+			t.Errorf("%q: parsed as %v, %v; want %q, %q", x.text, a, err, x.want, x.err)
 		}
 		if err == nil {
 			if b, err := Parse(a.String()); err != nil || b != a {
-				t.Errorf("%q: its spelling %q reads as %v, %v", x.text, a, b, err)
+				t.Errorf("%q: its canonical spelling %q is parsed as %v, %v", x.text, a, b, err)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// One that is bad, or there twice in another spelling, is named, and costs only itself.
+// An invalid address or a duplicate in another spelling is reported and left out. The other addresses are used.
 func TestInvalidAddressesAreLeftOutOfAList(t *testing.T) {
 	list, errs := ParseList([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
 	if fmt.Sprint(list) != "[127.0.0.1:1 unix:/a]" || len(errs) != 3 {
@@ -98,7 +98,7 @@
 		many = append(many, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
 	if list, errs := ParseList(many); len(list) != MaxAddresses || len(errs) != 2 {
-		t.Errorf("%d kept, %d named", len(list), len(errs))
+		t.Errorf("%d addresses used, %d reported", len(list), len(errs))
 	}
 }
 
@@ -116,7 +116,8 @@
 	}
 }
 
-// FuzzParse: what is read has one spelling, which reads as itself and which package net takes.
+// FuzzParse checks that the canonical spelling of a parsed address is parsed as the same address, and that package net
+// accepts it.
 func FuzzParse(f *testing.F) {
 	for _, x := range parseCases {
 		f.Add(x.text)
@@ -125,12 +126,12 @@
 		a, err := Parse(text)
 		if err != nil {
 			if !a.IsZero() {
-				t.Errorf("%q: both %v and %v", text, a, err)
+				t.Errorf("%q: both an address (%v) and an error (%v)", text, a, err)
 			}
 			return
 		}
 		if b, err := Parse(a.String()); err != nil || b != a {
-			t.Errorf("%q: %q reads as %v, %v", text, a, b, err)
+			t.Errorf("%q: its canonical spelling %q is parsed as %v, %v", text, a, b, err)
 		}
 		switch network, to := a.Dial(); network {
 		case "unix":
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// harness drives a Selector, records its actions and checks the invariants that show only in them.
+// harness drives a Selector, records its actions and checks the invariants that concern sequences of actions.
 type harness struct {
 	selector       *Selector
 	now            time.Duration
@@ -19,12 +19,12 @@
 	requestOn      map[Conn]Req
 	writes         map[Req]int
 	failed         map[Req]bool
-	openRequests   map[Req]bool // queued, and not over
+	openRequests   map[Req]bool // queued, and neither completed, failed nor cancelled
 	lastRequest    Req
 	connects       []time.Duration
 	primaryChanges []primaryChange
 	logged         []string
-	err            error
+	violation      error
 	draining       bool
 	removed        bool
 	onStep         func(Event) // after each step, for recordings
@@ -41,9 +41,9 @@
 	if err != nil {
 		panic(err)
 	}
-	r := &harness{selector: selector, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
-	r.setAddresses(addrs...)
-	return r
+	h := &harness{selector: selector, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
+	h.setAddresses(addrs...)
+	return h
 }
 
 func (h *harness) setAddresses(addrs ...string) {
@@ -54,9 +54,9 @@
 	h.step(Event{Kind: AddressesChanged, Addrs: list})
 }
 
-func (h *harness) fail(form string, args ...any) {
-	if h.err == nil {
-		h.err = fmt.Errorf(form, args...)
+func (h *harness) recordViolation(form string, args ...any) {
+	if h.violation == nil {
+		h.violation = fmt.Errorf(form, args...)
 	}
 }
 
@@ -87,36 +87,36 @@
 			state[x.Addr] = x.State
 		}
 		if state[before] <= Healthy && state[to] > Healthy {
-			h.fail("from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
+			h.recordViolation("the primary changed from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
 		}
 	}
 	if err := h.selector.Check(); err != nil {
-		h.fail("%w", err)
+		h.recordViolation("%w", err)
 	}
 }
 
-// apply carries out an action and checks the invariants of it.
+// apply carries out an action and checks the invariants that concern it.
 func (h *harness) apply(a Action) {
 	switch a.Kind {
 	case Connect:
 		if h.draining || h.removed {
-			h.fail("connect while the node drains or is removed")
+			h.recordViolation("connect started while the node drains or after it was removed")
 		}
 		if _, twice := h.addrOf[a.Conn]; twice {
-			h.fail("connection %d opened twice", a.Conn)
+			h.recordViolation("connection id %d used twice", a.Conn)
 		}
 		h.addrOf[a.Conn] = a.Addr
 		h.connecting = append(h.connecting, a.Conn)
 		h.connects = append(h.connects, h.now)
 	case Write:
 		if h.draining || h.removed {
-			h.fail("written while the node drains or is removed")
+			h.recordViolation("request written while the node drains or after it was removed")
 		}
 		if h.requestOn[a.Conn] != 0 || slices.Contains(h.connecting, a.Conn) {
-			h.fail("written on a connection in use")
+			h.recordViolation("request written on a connection that is in use or connecting")
 		}
 		if h.writes[a.Req]++; h.writes[a.Req] > 1 || !h.openRequests[a.Req] {
-			h.fail("request %d written %d times", a.Req, h.writes[a.Req])
+			h.recordViolation("request %d written %d times, or after its end", a.Req, h.writes[a.Req])
 		}
 		h.requestOn[a.Conn] = a.Req
 		h.busy = append(h.busy, a.Conn)
@@ -124,7 +124,7 @@
 		h.removeConn(a.Conn)
 	case Fail:
 		if h.writes[a.Req] > 0 || !h.openRequests[a.Req] {
-			h.fail("request %d failed after it was written or over", a.Req)
+			h.recordViolation("request %d failed after it was written or after its end", a.Req)
 		}
 		h.failed[a.Req] = true
 		delete(h.openRequests, a.Req)
@@ -145,12 +145,12 @@
 	return h.lastRequest
 }
 
-func (h *harness) connectionUp(c Conn) {
+func (h *harness) establish(c Conn) {
 	h.connecting = deleteConn(h.connecting, c)
 	h.step(Event{Kind: Connected, Conn: c})
 }
 
-func (h *harness) connectFails(c Conn, reason Reason) {
+func (h *harness) failConnect(c Conn, reason Reason) {
 	h.removeConn(c)
 	h.step(Event{Kind: ConnectFailed, Conn: c, Reason: reason})
 }
@@ -171,7 +171,7 @@
 	h.step(Event{Kind: ConnBroken, Conn: c, Reason: reason})
 }
 
-// cancelRequest drops a request.
+// cancelRequest cancels a request, whether it waits or is in flight.
 func (h *harness) cancelRequest(q Req) {
 	on := Conn(0)
 	for c, x := range h.requestOn {
@@ -188,17 +188,17 @@
 	h.step(Event{Kind: TimerFired})
 }
 
-// lastAction is the connection of the last action of a kind, and its address.
-func (h *harness) lastAction(k ActionKind) (Conn, string) {
+// lastAction returns the connection of the last action of a kind, and its address.
+func (h *harness) lastAction(kind ActionKind) (Conn, string) {
 	for i := len(h.actions) - 1; i >= 0; i-- {
-		if a := h.actions[i]; a.Kind == k {
+		if a := h.actions[i]; a.Kind == kind {
 			return a.Conn, h.addrOf[a.Conn].String()
 		}
 	}
 	return 0, ""
 }
 
-func (h *harness) count(k ActionKind) (n int) {
+func (h *harness) countActions(k ActionKind) (n int) {
 	for _, a := range h.actions {
 		if a.Kind == k {
 			n++
@@ -207,14 +207,14 @@
 	return n
 }
 
-// simulation is a node each of whose addresses behaves in a given way, for runs over time.
+// simulation simulates a node over time. Each of its addresses behaves according to its mode.
 type simulation struct {
 	*harness
 	modes        map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
 	scheduled    []scheduledCall
 	responseTime time.Duration
 	connectsTo   map[string]int
-	outcome      map[Req]string
+	outcomes     map[Req]string
 	sentTo       map[Req]string
 }
 
@@ -223,16 +223,16 @@
 	do func()
 }
 
-func newSimulation(set Settings, addrs ...string) *simulation {
-	return &simulation{harness: newHarness(set, addrs...), modes: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
-		outcome: map[Req]string{}, sentTo: map[Req]string{}}
+func newSimulation(settings Settings, addrs ...string) *simulation {
+	return &simulation{harness: newHarness(settings, addrs...), modes: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
+		outcomes: map[Req]string{}, sentTo: map[Req]string{}}
 }
 
 func (s *simulation) schedule(d time.Duration, do func()) {
 	s.scheduled = append(s.scheduled, scheduledCall{s.now + d, do})
 }
 
-// respondToActions lets the addresses respond to the actions of the last step.
+// respondToActions schedules the responses of the addresses to the actions of the last step.
 func (s *simulation) respondToActions() {
 	for _, a := range slices.Clone(s.actions) {
 		switch a.Kind {
@@ -241,7 +241,7 @@
 		case Write:
 			s.respondToWrite(a.Conn, a.Req)
 		case Fail:
-			s.outcome[a.Req] = "failed"
+			s.outcomes[a.Req] = "failed"
 		}
 	}
 	s.actions = s.actions[:0]
@@ -252,38 +252,38 @@
 	s.connectsTo[to]++
 	switch s.modes[to] {
 	case "refused":
-		s.schedule(0, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonRefused) }) })
+		s.schedule(0, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonRefused) }) })
 	case "hang":
-		s.schedule(250*ms, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonTimedOut) }) })
+		s.schedule(250*ms, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonTimedOut) }) })
 	case "late":
-		s.schedule(150*ms, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(150*ms, func() { s.ifConnecting(c, func() { s.establish(c) }) })
 	default:
-		s.schedule(ms/5, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(ms/5, func() { s.ifConnecting(c, func() { s.establish(c) }) })
 	}
 }
 
 func (s *simulation) respondToWrite(c Conn, q Req) {
 	to := s.addrOf[c].String()
 	s.sentTo[q] = to
-	end := func(d time.Duration, outcome string, do func()) {
+	respondAfter := func(d time.Duration, outcome string, do func()) {
 		s.schedule(d, func() {
 			if s.requestOn[c] == q {
-				s.outcome[q] = outcome
+				s.outcomes[q] = outcome
 				do()
 			}
 		})
 	}
 	switch s.modes[to] {
 	case "silent":
-		end(1500*ms, "late", func() { s.cancelRequest(q) })
+		respondAfter(1500*ms, "late", func() { s.cancelRequest(q) })
 	case "reset":
-		end(ms, "reset", func() { s.breakConn(c, ReasonReset) })
+		respondAfter(ms, "reset", func() { s.breakConn(c, ReasonReset) })
 	case "slow":
-		end(400*ms, "served", func() { s.respond(c, VerdictServed) })
+		respondAfter(400*ms, "served", func() { s.respond(c, VerdictServed) })
 	case "wrong":
-		end(ms, "rejected", func() { s.respond(c, VerdictRejected) })
+		respondAfter(ms, "rejected", func() { s.respond(c, VerdictRejected) })
 	default:
-		end(s.responseTime, "served", func() { s.respond(c, VerdictServed) })
+		respondAfter(s.responseTime, "served", func() { s.respond(c, VerdictServed) })
 	}
 }
 
@@ -293,24 +293,25 @@
 	}
 }
 
-// run plays for a duration, with a request at each interval. Idempotent tells which of them are, by their number.
-func (s *simulation) run(d, interval time.Duration, idempotent func(int) bool) {
-	end := s.now + d
-	next := s.now
-	for n := 0; s.now < end; {
-		at := min(end, s.selector.Next(), next)
-		for _, m := range s.scheduled {
-			at = min(at, m.at)
+// run simulates a period of the given duration with one request per interval. The function idempotent reports whether the
+// request with the given number is idempotent.
+func (s *simulation) run(duration, interval time.Duration, idempotent func(int) bool) {
+	end := s.now + duration
+	nextRequest := s.now
+	for requests := 0; s.now < end; {
+		nextEvent := min(end, s.selector.Next(), nextRequest)
+		for _, call := range s.scheduled {
+			nextEvent = min(nextEvent, call.at)
 		}
-		s.now = max(s.now, at)
+		s.now = max(s.now, nextEvent)
 		if s.now >= end {
 			return
 		}
 		fired := false
-		for i, m := range s.scheduled {
-			if m.at <= s.now {
+		for i, call := range s.scheduled {
+			if call.at <= s.now {
 				s.scheduled = slices.Delete(s.scheduled, i, i+1)
-				m.do()
+				call.do()
 				s.respondToActions()
 				fired = true
 				break
@@ -319,10 +320,10 @@
 		if fired {
 			continue
 		}
-		if s.now >= next {
-			n++
-			s.queueRequest(idempotent(n))
-			next += interval
+		if s.now >= nextRequest {
+			requests++
+			s.queueRequest(idempotent(requests))
+			nextRequest += interval
 		} else {
 			s.step(Event{Kind: TimerFired})
 		}
@@ -332,7 +333,7 @@
 
 func (s *simulation) outcomeCounts() map[string]int {
 	counts := map[string]int{}
-	for _, outcome := range s.outcome {
+	for _, outcome := range s.outcomes {
 		counts[outcome]++
 	}
 	return counts
@@ -340,4 +341,4 @@
 
 func allIdempotent(int) bool         { return true }
 func twoThirdsIdempotent(n int) bool { return n%3 != 0 }
-func (s *simulation) resetCounts()   { clear(s.outcome); clear(s.connectsTo); s.connects = nil }
+func (s *simulation) resetCounts()   { clear(s.outcomes); clear(s.connectsTo); s.connects = nil }
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -10,31 +10,31 @@
 	"pgregory.net/rapid"
 )
 
-// possibleEvents are the events that may happen next.
-func (h *harness) possibleEvents() (out []string) {
-	out = append(out, "queue", "queue non-idempotent", "short", "long")
+// possibleEvents returns the events that may happen next.
+func (h *harness) possibleEvents() (events []string) {
+	events = append(events, "queue", "queue non-idempotent", "short", "long")
 	if len(h.connecting) > 0 {
-		out = append(out, "connect", "fail", "hang", "no resource")
+		events = append(events, "connect", "fail", "hang", "no resource")
 	}
 	if len(h.connecting) > 1 {
-		out = append(out, "connect last", "fail last")
+		events = append(events, "connect last", "fail last")
 	}
 	if len(h.busy) > 0 {
-		out = append(out, "respond", "reject", "reset", "unwritten", "give up")
+		events = append(events, "respond", "reject", "reset", "unwritten", "give up")
 	}
 	if !h.draining {
-		out = append(out, "drain")
+		events = append(events, "drain")
 	} else {
-		out = append(out, "undrain")
+		events = append(events, "undrain")
 	}
-	return append(out, "list")
+	return append(events, "list")
 }
 
 var testLists = [][]string{{unixAddr, ipv6Addr, ipv4Addr}, {ipv4Addr, unixAddr}, {ipv6Addr}}
 
-// applyOption applies an event of options.
-func (h *harness) applyOption(what string) {
-	switch what {
+// applyEvent applies an event of options.
+func (h *harness) applyEvent(event string) {
+	switch event {
 	case "queue":
 		h.queueRequest(true)
 	case "queue non-idempotent":
@@ -44,17 +44,17 @@
 	case "long":
 		h.advanceTime(3 * time.Second)
 	case "connect":
-		h.connectionUp(h.connecting[0])
+		h.establish(h.connecting[0])
 	case "connect last":
-		h.connectionUp(h.connecting[len(h.connecting)-1])
+		h.establish(h.connecting[len(h.connecting)-1])
 	case "fail":
-		h.connectFails(h.connecting[0], ReasonRefused)
+		h.failConnect(h.connecting[0], ReasonRefused)
 	case "fail last":
-		h.connectFails(h.connecting[len(h.connecting)-1], ReasonRefused)
+		h.failConnect(h.connecting[len(h.connecting)-1], ReasonRefused)
 	case "hang":
-		h.connectFails(h.connecting[0], ReasonTimedOut)
+		h.failConnect(h.connecting[0], ReasonTimedOut)
 	case "no resource":
-		h.connectFails(h.connecting[0], ReasonNoResource)
+		h.failConnect(h.connecting[0], ReasonNoResource)
 	case "respond":
 		h.respond(h.busy[0], VerdictServed)
 	case "reject":
@@ -95,17 +95,17 @@
 	}
 	for _, change := range h.primaryChanges {
 		if from, to := rank(change.from), rank(change.to); from < 0 || to < 0 || to > from {
-			continue // to a less preferred address
+			continue // a change to a less preferred address is no return
 		}
 		if lastReturn >= 0 && change.at-lastReturn < settings.MinReturnDelay {
-			return fmt.Errorf("returns at %v and %v", lastReturn, change.at)
+			return fmt.Errorf("the primary returned at %v and %v, within MinReturnDelay", lastReturn, change.at)
 		}
 		lastReturn = change.at
 	}
 	return nil
 }
 
-// lowBoundSettings have low bounds, so that tests reach them.
+// lowBoundSettings returns settings with low bounds, so that tests reach them.
 func lowBoundSettings() Settings {
 	s := Defaults()
 	s.MaxConns, s.ConnectBurst, s.ConnectRate, s.MaxWaiting, s.MaxRejections, s.MinReturnConns = 4, 6, 5, 3, 2, 2
@@ -118,31 +118,31 @@
 		h := newHarness(settings, threeAddresses...)
 		fixed := rapid.Bool().Draw(t, "fixed list")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			what := rapid.SampledFrom(h.possibleEvents()).Draw(t, "what")
-			if fixed && what == "list" {
+			event := rapid.SampledFrom(h.possibleEvents()).Draw(t, "what")
+			if fixed && event == "list" {
 				continue
 			}
-			if h.applyOption(what); h.err != nil {
-				t.Fatal(h.err)
+			if h.applyEvent(event); h.violation != nil {
+				t.Fatal(h.violation)
 			}
 		}
 		if err := h.checkRates(settings); err != nil {
 			t.Fatal(err)
 		}
-		// Nothing waits once the owners of all requests have given up.
+		// Nothing waits once all requests are cancelled.
 		for _, q := range slices.Sorted(maps.Keys(h.openRequests)) {
 			if h.openRequests[q] {
 				h.cancelRequest(q)
 			}
 		}
-		if h.err != nil || h.selector.Waiting() != 0 || len(h.busy) != 0 {
-			t.Fatal(h.err, h.selector.Waiting(), h.busy)
+		if h.violation != nil || h.selector.Waiting() != 0 || len(h.busy) != 0 {
+			t.Fatal(h.violation, h.selector.Waiting(), h.busy)
 		}
 	})
 }
 
-// While one address is usable, requests are served, whatever the faults before. Once all are, the most preferred one becomes
-// the primary.
+// While one address is usable, requests are served, whatever faults preceded. Once all addresses are usable, the most
+// preferred one becomes the primary.
 func TestUsableAddressIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(Defaults(), threeAddresses...)
@@ -159,18 +159,18 @@
 				s.modes[a] = "ok"
 			}
 		}
-		s.run(25*time.Second, 20*ms, twoThirdsIdempotent) // backoffs end
+		s.run(25*time.Second, 20*ms, twoThirdsIdempotent) // until the backoffs have ended
 		s.resetCounts()
 		s.run(5*time.Second, 20*ms, twoThirdsIdempotent)
-		if counts := s.outcomeCounts(); counts["served"] < 225 { // trials fail
-			t.Fatalf("one address is usable: %v", counts)
+		if counts := s.outcomeCounts(); counts["served"] < 225 { // the requests of trials fail
+			t.Fatalf("outcomes while one address is usable: %v", counts)
 		}
 		for _, a := range threeAddresses {
 			s.modes[a] = "ok"
 		}
 		s.run(150*time.Second, 50*ms, twoThirdsIdempotent)
-		if s.err != nil {
-			t.Fatal(s.err)
+		if s.violation != nil {
+			t.Fatal(s.violation)
 		}
 		if p := s.selector.Primary().String(); p != unixAddr {
 			t.Fatalf("primary %s: %+v", p, s.selector.Snapshot(nil))
@@ -178,7 +178,7 @@
 	})
 }
 
-// clone copies the harness with its selector, so that different events can follow the same state.
+// clone copies the harness with its selector, so that different events can be applied to the same state.
 func (h *harness) clone() *harness {
 	cloned := *h
 	cloned.actions, cloned.connecting, cloned.busy = nil, slices.Clone(h.connecting), slices.Clone(h.busy)
@@ -239,7 +239,7 @@
 	return &cloned
 }
 
-// digest is the part of the state that later events depend on. Times are relative to now.
+// digest returns the part of the state that affects later events. Times are relative to now.
 func (h *harness) digest() string {
 	selector := h.selector
 	text := fmt.Sprint(h.draining, len(selector.waiting), selector.maxUnproven, int(selector.connectTokens*4), selector.Primary(), len(selector.races), selector.earliestReturn > h.now, selector.nextDownTrial > h.now)
@@ -261,41 +261,41 @@
 
 const explorationDepth = 7 // events
 
-// Every order of explorationDepth events for three addresses. States of the same digest are continued once.
+// Applies every order of explorationDepth events to three addresses. States with the same digest are continued once.
 func TestInvariantsInEveryEventOrder(t *testing.T) {
 	settings := lowBoundSettings()
 	seen := map[string]bool{}
 	level := []*harness{newHarness(settings, threeAddresses...)}
 	states, steps := 1, 0
 	for depth := range explorationDepth {
-		var next []*harness
+		var nextLevel []*harness
 		for _, r := range level {
-			for _, what := range r.possibleEvents() {
-				n := r.clone()
-				n.applyOption(what)
+			for _, event := range r.possibleEvents() {
+				next := r.clone()
+				next.applyEvent(event)
 				steps++
-				err := n.err
+				err := next.violation
 				if err == nil {
-					err = n.checkRates(settings)
+					err = next.checkRates(settings)
 				}
 				if err != nil {
-					t.Fatalf("depth %d, %s: %v", depth+1, what, err)
+					t.Fatalf("depth %d, %s: %v", depth+1, event, err)
 				}
-				if k := n.digest(); !seen[k] {
+				if k := next.digest(); !seen[k] {
 					seen[k] = true
 					states++
 					if depth+1 < explorationDepth {
-						next = append(next, n)
+						nextLevel = append(nextLevel, next)
 					}
 				}
 			}
 		}
-		level = next
+		level = nextLevel
 	}
 	t.Logf("depth %d: %d states, %d steps", explorationDepth, states, steps)
 }
 
-// BenchmarkPick is a request by an idle connection, and its response.
+// BenchmarkPick measures a request on an idle connection with its response.
 func BenchmarkPick(b *testing.B) {
 	selector, err := New(Defaults(), 1)
 	if err != nil {
@@ -319,6 +319,6 @@
 func TestPickAllocatesNothing(t *testing.T) {
 	r := testing.Benchmark(BenchmarkPick)
 	if r.AllocsPerOp() != 0 {
-		t.Errorf("%d allocations a request", r.AllocsPerOp())
+		t.Errorf("%d allocations per request, want 0", r.AllocsPerOp())
 	}
 }
--- a/internal/address/race_test.go
+++ b/internal/address/race_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// A race continues at once after a failed connect, and after the delay without a result. The first connection carries the
-// request. The other connects are closed, also one that succeeds later.
+// A race starts its next connect at once if a connect fails, and after the connect delay if there is no result. The first
+// established connection carries the request. The other connects are closed, including one that succeeds later.
 func TestFirstConnectOfARaceWins(t *testing.T) {
 	h := newHarness(Defaults(), threeAddresses...)
 	h.queueRequest(true)
 	a, _ := h.lastAction(Connect)
-	assertEqual(t, "before the first sample", h.selector.Next(), 250*ms)
+	assertEqual(t, "timer before a connect time was measured", h.selector.Next(), 250*ms)
 	h.advanceTime(249 * ms)
-	assertEqual(t, "too early", h.count(Connect), 0)
+	assertEqual(t, "connects before the delay", h.countActions(Connect), 0)
 	h.advanceTime(ms)
 	b, to := h.lastAction(Connect)
-	assertEqual(t, "second", to, ipv6Addr)
-	h.connectFails(b, ReasonRefused)
+	assertEqual(t, "address of the second connect", to, ipv6Addr)
+	h.failConnect(b, ReasonRefused)
 	c, to := h.lastAction(Connect)
-	assertEqual(t, "third, at once", to, ipv4Addr)
-	h.connectionUp(c)
+	assertEqual(t, "address of the third connect, at once", to, ipv4Addr)
+	h.establish(c)
 	w, _ := h.lastAction(Write)
-	assertEqual(t, "written on the first connection", w, c)
+	assertEqual(t, "connection of the request", w, c)
 	closed, _ := h.lastAction(Close)
-	assertEqual(t, "closed", closed, a)
-	h.connectionUp(a)
+	assertEqual(t, "closed connection", closed, a)
+	h.establish(a)
 	closed, _ = h.lastAction(Close)
-	assertEqual(t, "the late winner is closed", closed, a)
-	assertEqual(t, "the overtaken address is not primary", h.selector.Primary(), ipv4Addr)
+	assertEqual(t, "closed connection that was established too late", closed, a)
+	assertEqual(t, "primary after the first address was overtaken", h.selector.Primary(), ipv4Addr)
 	h.requireNoViolation(t)
 }
 
-// The delay between connects follows the time that connects take, within the bounds of the RFC.
+// The delay between connects follows the measured connect time, within the bounds of the RFC.
 func TestConnectDelayFollowsConnectTimes(t *testing.T) {
 	for _, x := range []struct{ took, want time.Duration }{{ms / 10, 100 * ms}, {80 * ms, 240 * ms}, {3 * time.Second, 2 * time.Second}} {
 		s := Defaults()
@@ -41,14 +41,14 @@
 		h.queueRequest(true)
 		c, _ := h.lastAction(Connect)
 		h.now += x.took
-		h.connectionUp(c)
+		h.establish(c)
 		assertEqual(t, "delay", h.selector.connectDelay(), x.want)
 		h.requireNoViolation(t)
 	}
 }
 
-// While all addresses are down, there is one connect at a time, and requests fail at once. After one has recovered, the
-// number of connections doubles with each round of responses.
+// While all addresses are down, there is one connect at a time, and requests fail at once. After an address has recovered,
+// the number of connections doubles with each round of responses.
 func TestConnectsDoubleAfterAllAddressesWereDown(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 5*ms, allIdempotent)
@@ -59,70 +59,71 @@
 	for _, c := range append([]Conn(nil), s.busy...) {
 		s.breakConn(c, ReasonReset)
 	}
-	for i := range s.selector.conns { // the driver finds the connections ended
+	for i := range s.selector.conns { // the driver finds the connections closed
 		if c := &s.selector.conns[i]; c.phase == idle {
 			s.step(Event{Kind: IdleConnClosed, Conn: c.id})
 		}
 	}
 	s.run(5*time.Second, ms, allIdempotent)
 	s.requireNoViolation(t)
-	if n := len(s.connects); n > 3*(50+15)+5 { // a race over three addresses in each DownTrialInterval, less the jitter
+	if n := len(s.connects); n > 3*(50+15)+5 { // one race over three addresses per DownTrialInterval, which jitter shortens
 		t.Errorf("%d connects in 5 s while all were down", n)
 	}
 	if open := len(s.connecting); open > 1 {
 		t.Errorf("%d connects at a time", open)
 	}
-	assertEqual(t, "waiting", s.selector.Waiting(), 0)
-	s.modes[ipv4Addr] = "late" // it has recovered, and connects take 150 ms
+	assertEqual(t, "waiting requests", s.selector.Waiting(), 0)
+	s.modes[ipv4Addr] = "late" // the address has recovered, and its connects take 150 ms
 	s.resetCounts()
 	s.run(400*ms, ms, allIdempotent)
 	if n := s.connectsTo[ipv4Addr]; n > 1+2+4 { // rounds of 150 ms
-		t.Errorf("%d connects in the first 400 ms of its recovery", n)
+		t.Errorf("%d connects in the first 400 ms after the recovery", n)
 	}
 	assertEqual(t, "primary", s.selector.Primary(), ipv4Addr)
 	s.run(5*time.Second, ms, allIdempotent)
 	s.requireNoViolation(t)
 	if counts := s.outcomeCounts(); counts["served"] < 4000 {
-		t.Errorf("%v", counts)
+		t.Errorf("outcomes: %v", counts)
 	}
 }
 
-// If descriptors run out, the address has no fault, the race starts no further connect, and a pending connect may still win.
+// If the process runs out of descriptors, no fault of the address is recorded, the race starts no further connect, and a
+// pending connect may still win.
 func TestLackOfResourcesIsNoFault(t *testing.T) {
 	h := newHarness(Defaults(), threeAddresses...)
 	h.queueRequest(true)
 	a, _ := h.lastAction(Connect)
 	h.advanceTime(250 * ms)
 	b, _ := h.lastAction(Connect)
-	h.connectFails(b, ReasonNoResource)
-	assertEqual(t, "no more connects", h.count(Connect), 0)
+	h.failConnect(b, ReasonNoResource)
+	assertEqual(t, "further connects", h.countActions(Connect), 0)
 	h.advanceTime(10 * time.Second)
-	assertEqual(t, "still none", h.count(Connect), 0)
-	h.connectionUp(a)
-	assertEqual(t, "written", h.count(Write), 1)
+	assertEqual(t, "further connects after 10 s", h.countActions(Connect), 0)
+	h.establish(a)
+	assertEqual(t, "written requests", h.countActions(Write), 1)
 	q := h.queueRequest(true)
 	c, _ := h.lastAction(Connect)
-	h.connectFails(c, ReasonNoResource)
+	h.failConnect(c, ReasonNoResource)
 	assertEqual(t, "failed without being written", h.failed[q], true)
 	for _, x := range h.selector.Snapshot(nil) {
 		if x.State != Untried && x.State != Healthy {
-			t.Errorf("fault of %+v", x)
+			t.Errorf("a fault was recorded for %+v", x)
 		}
 	}
 	h.requireNoViolation(t)
 }
 
-// An address whose family the machine lacks is passed over for long.
+// An address whose family this machine does not support is skipped for UnsupportedBackoff.
 func TestUnsupportedFamilyIsPassedOver(t *testing.T) {
 	s := newHarness(Defaults(), ipv6Addr, ipv4Addr)
 	s.queueRequest(true)
 	a, _ := s.lastAction(Connect)
-	s.connectFails(a, ReasonNoFamily)
+	s.failConnect(a, ReasonNoFamily)
 	_, to := s.lastAction(Connect)
-	assertEqual(t, "at once by", to, ipv4Addr)
+	assertEqual(t, "address of the next connect", to, ipv4Addr)
 	assertEqual(t, "state", s.selector.Snapshot(nil)[0].State, Unsupported)
 	b, _ := s.lastAction(Connect)
-	s.connectionUp(b)
+	s.establish(b)
 	s.respond(b, VerdictServed)
 	for range 100 {
 		s.advanceTime(100 * ms)
@@ -134,7 +135,7 @@
 	s.requireNoViolation(t)
 }
 
-// Connects are bounded by the burst and the rate. Without a token, a connect waits for one.
+// Connects are bounded by the burst and the rate of the token bucket. Without a token, a connect waits.
 func TestConnectsAreBounded(t *testing.T) {
 	settings := Defaults()
 	settings.ConnectBurst, settings.ConnectRate = 4, 10
@@ -142,7 +143,7 @@
 	for range 20 {
 		h.queueRequest(true)
 	}
-	assertEqual(t, "at once", len(h.connects), 4)
+	assertEqual(t, "connects at once", len(h.connects), 4)
 	for len(h.connects) < 10 {
 		next := h.selector.Next()
 		if next == never || next <= h.now && len(h.connects) < 4 {
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -12,13 +12,13 @@
 // recordedActions are the recording's words for the actions.
 var recordedActions = map[ActionKind]string{Connect: "connect", Write: "write", Close: "close", Fail: "fail", LogState: "state"}
 
-// recordedModes are the ways in which an address of the simulated node behaves.
+// recordedModes are the modes from which scripts draw the behaviour of an address.
 var recordedModes = []string{"ok", "ok", "ok", "refused", "hang", "silent", "reset", "slow", "wrong", "late"}
 
 // recordedAddresses are those that scripts list.
 var recordedAddresses = []string{"unix:/run/n.sock", "[2001:db8::1]:80", "10.0.0.1:80", "10.0.0.2:80", "node.example:80"}
 
-// scriptSettings differ by the number of the script.
+// scriptSettings returns the settings of a script by its number.
 func scriptSettings(i int) Settings {
 	s := Defaults()
 	switch i % 4 {
@@ -32,7 +32,7 @@
 	return s
 }
 
-// The decisions under random faults of the addresses, drains, new addresses and new settings are those of the recording.
+// The decisions under random faults of addresses, drains, changed addresses and changed settings equal those of the recording.
 func TestRecordedDecisions(t *testing.T) {
 	for i := range 24 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -69,15 +69,15 @@
 			}
 			s.step(Event{Kind: NodeRemoved})
 			s.run(2*time.Second, 100*ms, allIdempotent)
-			if s.err != nil {
-				t.Error(s.err)
+			if s.violation != nil {
+				t.Error(s.violation)
 			}
 			script.Check(t, fmt.Sprintf("faults-%02d", i))
 		})
 	}
 }
 
-// randomChange does now and then what an operator, the list or the operating system does.
+// randomChange applies a random change by an operator, the list or the operating system, or none.
 func (s *simulation) randomChange(rng *rand.Rand) {
 	switch rng.Intn(14) {
 	case 0:
@@ -107,12 +107,12 @@
 		}
 	case 6:
 		if len(s.connecting) > 0 {
-			s.connectFails(s.connecting[rng.Intn(len(s.connecting))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
+			s.failConnect(s.connecting[rng.Intn(len(s.connecting))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
 		}
 	case 7:
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
-			s.outcome[s.requestOn[c]] = "served"
+			s.outcomes[s.requestOn[c]] = "served"
 			s.respond(c, []Verdict{VerdictServed, VerdictOther, VerdictRejected, VerdictWrongNode}[rng.Intn(4)])
 		}
 	case 8:
@@ -120,7 +120,7 @@
 			s.now += 2 * time.Second // a stall
 		}
 		s.advanceTime(ms)
-	case 9: // the owners of some requests give up, at times after a stall
+	case 9: // some requests are cancelled, sometimes after a stall
 		s.now += time.Duration(rng.Intn(2)) * 400 * ms
 		for q := s.lastRequest; q > 0 && q+10 > s.lastRequest; q-- {
 			if s.openRequests[q] && rng.Intn(2) == 0 {
@@ -145,7 +145,7 @@
 		for range 40 {
 			s.queueRequest(rng.Intn(2) == 0)
 		}
-	case 13: // events of a connection that there is not
+	case 13: // events of a connection that does not exist
 		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestDropped} {
 			s.step(Event{Kind: kind, Conn: 1<<40 | 1})
 		}
--- a/internal/address/selector_test.go
+++ b/internal/address/selector_test.go
@@ -17,23 +17,23 @@
 
 func (h *harness) requireNoViolation(t *testing.T) {
 	t.Helper()
-	if h.err != nil {
-		t.Fatal(h.err)
+	if h.violation != nil {
+		t.Fatal(h.violation)
 	}
 }
 
-func assertEqual(t *testing.T, what string, got, want any) {
+func assertEqual(t *testing.T, description string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Fatalf("%s: %v, want %v", what, got, want)
+		t.Fatalf("%s: %v, want %v", description, got, want)
 	}
 }
 
-// serveOne queues one request, which needs a new connection, and lets the node serve it.
+// serveOne queues one request, opens a connection for it if needed, and lets the node serve it.
 func (h *harness) serveOne() Conn {
 	h.queueRequest(true)
-	if c, _ := h.lastAction(Connect); c != 0 && h.count(Write) == 0 {
-		h.connectionUp(c)
+	if c, _ := h.lastAction(Connect); c != 0 && h.countActions(Write) == 0 {
+		h.establish(c)
 	}
 	c, _ := h.lastAction(Write)
 	h.now += ms
@@ -45,14 +45,14 @@
 	h := newHarness(Defaults(), threeAddresses...)
 	h.queueRequest(true)
 	c, to := h.lastAction(Connect)
-	assertEqual(t, "first by preference", to, unixAddr)
-	h.connectionUp(c)
+	assertEqual(t, "address of the first connect", to, unixAddr)
+	h.establish(c)
 	_, on := h.lastAction(Write)
-	assertEqual(t, "written by", on, unixAddr)
+	assertEqual(t, "address of the request", on, unixAddr)
 	h.respond(c, VerdictServed)
 	h.queueRequest(false)
 	reused, _ := h.lastAction(Write)
-	assertEqual(t, "the same connection", reused, c)
+	assertEqual(t, "reused connection", reused, c)
 	assertEqual(t, "connects", len(h.connects), 1)
 	h.requireNoViolation(t)
 }
@@ -65,74 +65,75 @@
 	h.advanceTime(250 * ms)
 	b, _ := h.lastAction(Connect)
 	h.step(Event{Kind: DrainChanged, Draining: true})
-	assertEqual(t, "closed", h.count(Close), 2)
-	assertEqual(t, "failed", h.failed[q], true)
+	assertEqual(t, "closed connections", h.countActions(Close), 2)
+	assertEqual(t, "request failed", h.failed[q], true)
 	for _, c := range []Conn{a, b} {
-		h.connectionUp(c)
-		assertEqual(t, "late winner closed", h.count(Close), 1)
+		h.establish(c)
+		assertEqual(t, "closed connections that were established during the drain", h.countActions(Close), 1)
 	}
 	q = h.queueRequest(true)
-	assertEqual(t, "failed at once", h.failed[q], true)
+	assertEqual(t, "request failed at once", h.failed[q], true)
 	h.step(Event{Kind: DrainChanged})
 	h.queueRequest(true)
-	assertEqual(t, "after the drain", h.count(Connect), 1)
+	assertEqual(t, "connects after the drain", h.countActions(Connect), 1)
 	h.step(Event{Kind: NodeRemoved})
-	assertEqual(t, "closed", h.count(Close), 1)
+	assertEqual(t, "closed connections", h.countActions(Close), 1)
 	h.requireNoViolation(t)
 }
 
-// When the list changes, requests on a removed address finish, its idle connections are closed, and the other addresses
-// keep their state.
+// When the list changes, requests in flight on a removed address finish, its idle connections are closed, and the other
+// addresses keep their state.
 func TestChangedListKeepsConnectionsInUse(t *testing.T) {
 	h := newHarness(Defaults(), threeAddresses...)
 	h.queueRequest(true)
 	a, _ := h.lastAction(Connect)
-	h.connectionUp(a)
+	h.establish(a)
 	h.queueRequest(true)
 	b, _ := h.lastAction(Connect)
-	h.connectionUp(b)
-	h.respond(b, VerdictServed) // a is busy, b is idle, both by the Unix socket
+	h.establish(b)
+	h.respond(b, VerdictServed) // a is busy and b is idle, both on the Unix socket
 	h.queueRequest(true)
 	h.respond(b, VerdictServed)
 	h.setAddresses(ipv6Addr, ipv4Addr)
 	closed, _ := h.lastAction(Close)
-	assertEqual(t, "idle ones there are closed", closed, b)
-	assertEqual(t, "and no other", h.count(Close), 1)
+	assertEqual(t, "closed idle connection of the removed address", closed, b)
+	assertEqual(t, "closed connections", h.countActions(Close), 1)
 	assertEqual(t, "primary", h.selector.Primary(), ipv6Addr)
 	h.queueRequest(true)
 	c, to := h.lastAction(Connect)
-	assertEqual(t, "by", to, ipv6Addr)
-	h.connectionUp(c)
+	assertEqual(t, "address of the next connect", to, ipv6Addr)
+	h.establish(c)
 	h.respond(a, VerdictServed)
 	closed, _ = h.lastAction(Close)
-	assertEqual(t, "finished, then closed", closed, a)
+	assertEqual(t, "connection closed after its request", closed, a)
 	h.respond(c, VerdictServed)
-	h.setAddresses(ipv4Addr, ipv6Addr, unixAddr) // listed again, and in another order
-	assertEqual(t, "nothing is closed", h.count(Close), 0)
-	assertEqual(t, "the primary stays", h.selector.Primary(), ipv6Addr)
+	h.setAddresses(ipv4Addr, ipv6Addr, unixAddr) // the Unix socket is listed again, and the order differs
+	assertEqual(t, "closed connections after the second change", h.countActions(Close), 0)
+	assertEqual(t, "primary after the second change", h.selector.Primary(), ipv6Addr)
 	h.requireNoViolation(t)
 	h.setAddresses()
 	q := h.queueRequest(true)
-	assertEqual(t, "no address: failed at once", h.failed[q], true)
+	assertEqual(t, "request failed at once without an address", h.failed[q], true)
 	h.requireNoViolation(t)
 }
 
-// A request waits again if its reused connection was found ended before a byte was written, and not if a part was written.
+// A request is queued again if its reused connection was found closed before a byte was written, but not if a part of the
+// request was written.
 func TestUnwrittenRequestWaitsAgain(t *testing.T) {
 	h := newHarness(Defaults(), threeAddresses...)
 	c := h.serveOne()
 	q := h.queueRequest(true)
 	h.breakConn(c, ReasonUnwritten)
 	d, to := h.lastAction(Connect)
-	assertEqual(t, "by a new connection to", to, unixAddr)
-	h.connectionUp(d)
+	assertEqual(t, "address of the new connection", to, unixAddr)
+	h.establish(d)
 	w, _ := h.lastAction(Write)
-	assertEqual(t, "written", h.requestOn[w], q)
+	assertEqual(t, "request on the new connection", h.requestOn[w], q)
 	h.respond(w, VerdictServed)
 	h.queueRequest(true)
 	h.breakConn(w, ReasonCutOff)
-	assertEqual(t, "no action", len(h.actions), 0)
-	assertEqual(t, "one break of a reused connection is no fault", h.selector.Primary(), unixAddr)
+	assertEqual(t, "actions after a partly written request", len(h.actions), 0)
+	assertEqual(t, "primary after one break of a reused connection", h.selector.Primary(), unixAddr)
 	h.requireNoViolation(t)
 }
 
@@ -152,7 +153,7 @@
 		s := Defaults()
 		x.set(&s)
 		if _, err := New(s, 1); err == nil || !strings.HasPrefix(err.Error(), x.key) {
-			t.Errorf("%s: %v", x.key, err)
+			t.Errorf("error of %s: %v", x.key, err)
 		}
 	}
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -21,15 +21,15 @@
 		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
-var testList = []Node{{ID: "a"}, {ID: "b", StartTime: 7, StartedAt: -time.Hour}, {ID: "c", StartTime: 9, StartedAt: -time.Second}}
+var testNodes = []Node{{ID: "a"}, {ID: "b", StartTime: 7, StartedAt: -time.Hour}, {ID: "c", StartTime: 9, StartedAt: -time.Second}}
 
-// timedAction is an action and when it was done.
+// timedAction is an action with the time at which it was carried out.
 type timedAction struct {
 	doneAt time.Duration
 	action Action
 }
 
-// runScript drives one start by a script of events, with a TimerFired where SetTimer asks for one, and returns what was done.
+// runScript drives one start by a script of events, with a TimerFired for each SetTimer, and returns the actions.
 func runScript(t *testing.T, s *Startup, until time.Duration, script map[time.Duration]Event) (done []timedAction) {
 	t.Helper()
 	timer := time.Duration(-1)
@@ -77,39 +77,40 @@
 
 func TestCachedListIsUsedAtOnceWhereListRequestsArePriced(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", true))
-	done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testList, testSnapshot},
-		2500 * ms: ListReceived{testList}, 2600 * ms: RequestServed{"a"}})
+	done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testNodes, testSnapshot},
+		2500 * ms: ListReceived{testNodes}, 2600 * ms: RequestServed{"a"}})
 	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != 0 {
-		t.Errorf("cached list in use: %v", use)
+		t.Errorf("cached list used: %v, want once at 0", use)
 	}
 	if r := actionsOf[Restore](done); len(r) != 1 || r[0].action.(Restore).Node != "b" {
-		t.Errorf("restored: %v", r)
+		t.Errorf("restored: %v, want b, which has not restarted", r)
 	}
 	if w := actionsOf[LiftColdLimit](done); len(w) != 3 {
-		t.Errorf("limits lifted: %v", w)
+		t.Errorf("limits lifted: %v, want 3", w)
 	}
 	if c := actionsOf[Connect](done); len(c) == 0 || c[len(c)-1].action.(Connect).Node == "a" {
-		t.Errorf("connects: %v", c)
+		t.Errorf("connects: %v, want some, but none to a", c)
 	}
 	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != readyDelay || s.Phase() != Serving {
-		t.Errorf("ready: %v, phase %v", ready, s.Phase())
+		t.Errorf("ready reported: %v, phase %v", ready, s.Phase())
 	}
 }
 
-// A snapshot that is handed over before the list is used when the list is received, one after the list at once. Connections
-// are opened ahead from then on, except to a node of which a peer reported a later start.
+// A snapshot that is handed over before the list is received is applied when the list is received. A snapshot handed over
+// afterwards is applied at once. From then on, connections are opened in advance, except to a node for which a peer reported
+// a later start.
 func TestSnapshotOfAnotherProcessIsRestored(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "[b]", 3 * time.Second: "[b]"} {
 		s := newStartup(t, testSettings(300, "h", true))
-		done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, at: SnapshotReceived{append(testSnapshot[:2:2], Node{ID: "x"})},
-			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{testList}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
+		done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{CachedList: testNodes}, at: SnapshotReceived{append(testSnapshot[:2:2], Node{ID: "x"})},
+			600 * ms: PeerReported{Node{ID: "c", StartTime: 9}}, 700 * ms: PeerReported{Node{ID: "a"}}, 2500 * ms: ListReceived{testNodes}, 4 * time.Second: SnapshotReceived{[]Node{{ID: "a"}}}})
 		var restored, connected []string
 		for _, d := range actionsOf[Restore](done) {
 			restored = append(restored, d.action.(Restore).Node)
 		}
 		for _, d := range actionsOf[Connect](done) {
 			if connected = append(connected, d.action.(Connect).Node); d.doneAt < at {
-				t.Errorf("connected at %v, snapshot received at %v", d.doneAt, at)
+				t.Errorf("connected at %v, before the snapshot was received at %v", d.doneAt, at)
 			}
 		}
 		if fmt.Sprint(restored) != want || slices.Contains(connected, "c") || !slices.Contains(connected, "b") {
@@ -121,15 +122,16 @@
 	}
 }
 
-// A list that is not priced is requested at once, and the cached list is used only after a second without it.
+// If list requests are not priced, the list is requested at once, and the cached list is used only after cachedListDelay
+// without a received list.
 func TestCachedListIsDelayedWhereListRequestsAreFree(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", false))
-	done := runScript(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testList}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
+	done := runScript(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testNodes}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
 	if requests := actionsOf[RequestList](done); len(requests) < 2 || requests[0].doneAt != 0 || requests[1].doneAt > 100*ms+listRequestInterval*3/2+10*ms {
-		t.Errorf("list requests: %v", requests)
+		t.Errorf("list requests: %v, want one at 0 and a retry", requests)
 	}
 	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != cachedListDelay || len(actionsOf[Reject](done)) != 1 {
-		t.Errorf("%v", done)
+		t.Errorf("actions: %v, want the cached list used after its delay and one rejection", done)
 	}
 }
 
@@ -137,7 +139,7 @@
 	s := newStartup(t, testSettings(300, "h", true))
 	done := runScript(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
 	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != s.settings.ReadyDeadline() || s.Phase() != NoList {
-		t.Errorf("%v, phase %v", done, s.Phase())
+		t.Errorf("actions: %v, phase %v", done, s.Phase())
 	}
 }
 
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -11,7 +11,7 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// fleetViolation starts a whole fleet and returns which invariant of the slots and shares does not hold.
+// fleetViolation starts a whole fleet and returns an error if an invariant of its slots or shares does not hold.
 func fleetViolation(schedulers int, priced bool) error {
 	requests, units := map[int]int{}, 0.0
 	spread := time.Duration(0)
@@ -21,13 +21,13 @@
 			return err
 		}
 		spread = s.settings.ListCallSpread()
-		for _, a := range s.Step(0, Started{CachedList: testList}) {
+		for _, a := range s.Step(0, Started{CachedList: testNodes}) {
 			if limit, ok := a.(LimitColdNode); ok && limit.Node == "a" {
 				units += limit.Units
 			}
 		}
 		if s.nextListRequest > time.Duration(stalenessBoundShare*float64(s.settings.StalenessBound)) {
-			return fmt.Errorf("the first list request comes after %v", s.nextListRequest)
+			return fmt.Errorf("the first list request is sent only after %v", s.nextListRequest)
 		}
 		requests[int(s.nextListRequest/time.Second)]++
 	}
@@ -36,31 +36,31 @@
 	}
 	for second, n := range requests {
 		if seconds := spread.Seconds(); priced && seconds > 2 && float64(n) > 2*float64(schedulers)/seconds {
-			return fmt.Errorf("%d list requests in second %d, in the mean %.0f", n, second, float64(schedulers)/seconds)
+			return fmt.Errorf("%d list requests in second %d, the mean is %.0f", n, second, float64(schedulers)/seconds)
 		}
 	}
 	return nil
 }
 
-// startupModel holds what the invariants of one start are checked against.
+// startupModel is a Startup with the state against which its invariants are checked.
 type startupModel struct {
 	startup      *Startup
 	now, timer   time.Duration
-	failedAt     time.Duration        // of the last list request that failed; negative: none
-	snapshot     map[string][]float64 // start times of the snapshots by node
-	listed       map[string]float64   // start times of the first received list
-	received     bool                 // the list
+	failedAt     time.Duration        // when the last list request failed; negative: none did
+	snapshot     map[string][]float64 // start times in the snapshots, by node
+	listed       map[string]float64   // start times in the first received list, by node
+	received     bool                 // a list was received
 	readyReports int
 	phase        Phase
 }
 
-// step applies an event and returns which invariant does not hold.
+// step applies an event and returns an error if an invariant does not hold.
 func (m *startupModel) step(e Event) error {
 	startup := m.startup
 	_, failed := e.(ListRequestFailed)
 	pending := startup.listRequestPending
 	for _, a := range startup.Step(m.now, e) {
-		if err := m.check(e, a); err != nil {
+		if err := m.checkAction(e, a); err != nil {
 			return err
 		}
 	}
@@ -73,14 +73,14 @@
 	case startup.phase < m.phase:
 		return fmt.Errorf("the phase went from %v to %v", m.phase, startup.phase)
 	case len(startup.nodes) > startup.settings.MaxNodes:
-		return fmt.Errorf("%d nodes are held", len(startup.nodes))
+		return fmt.Errorf("the state of %d nodes is stored", len(startup.nodes))
 	}
 	m.phase = startup.phase
 	return nil
 }
 
-// check returns which invariant an action violates.
-func (m *startupModel) check(e Event, a Action) error {
+// checkAction returns an error if an action violates an invariant.
+func (m *startupModel) checkAction(e Event, a Action) error {
 	settings := m.startup.settings
 	switch a := a.(type) {
 	case ReportReady:
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// setSnapshot notes the nodes of a snapshot that comes before the list: the first entry of each counts.
+// setSnapshot records the nodes of a snapshot that is received before the list. The first entry of each node counts.
 func (m *startupModel) setSnapshot(nodes []Node) {
 	for _, n := range slices.Backward(nodes) {
 		m.snapshot[n.ID] = []float64{n.StartTime}
 	}
 }
 
-// stepList applies a list. The policy alone applies later lists, and compares the start times again.
+// stepList applies a list. Only the first list is recorded, since the policy alone applies later ones.
 func (m *startupModel) stepList(nodes []Node) error {
 	seen := map[string]bool{}
 	nodes = slices.DeleteFunc(nodes, func(n Node) bool { twice := seen[n.ID]; seen[n.ID] = true; return twice })
@@ -128,7 +128,8 @@
 	return err
 }
 
-// stepSnapshot applies a snapshot of another process. After the list, its entry with the list's start time counts.
+// stepSnapshot applies a snapshot of another process. Once the list was received, the entry with the list's start time
+// counts.
 func (m *startupModel) stepSnapshot(nodes []Node) error {
 	if len(m.startup.snapshotNodes) == 0 {
 		for _, n := range nodes {
@@ -141,7 +142,7 @@
 	return m.step(SnapshotReceived{nodes})
 }
 
-// advanceTime lets time pass, with the timers that are due.
+// advanceTime advances the time and fires the timers that are due.
 func (m *startupModel) advanceTime(d time.Duration) error {
 	to := m.now + d
 	for m.timer > m.now && m.timer <= to {
@@ -178,7 +179,7 @@
 	return m.step(RequestArrived{id})
 }
 
-// randomEventsViolation plays random events and returns which invariant does not hold.
+// randomEventsViolation applies random events and returns an error if an invariant does not hold.
 func randomEventsViolation(t *rapid.T) error {
 	s, err := New(testSettings(rapid.IntRange(1, 2000).Draw(t, "schedulers"), rapid.String().Draw(t, "name"), rapid.Bool().Draw(t, "priced")))
 	if err != nil {
@@ -223,7 +224,7 @@
 	)
 }
 
-// randomScripts is how many random scripts are played. Some mutants violate an invariant in few of them.
+// randomScripts is the number of random scripts. Some mutants violate an invariant only in few of them.
 const randomScripts = 3000
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
--- a/internal/coldstart/recorded_test.go
+++ b/internal/coldstart/recorded_test.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
-// recordActions writes one step: the time, the phase and the actions in protocol words.
+// recordActions records one step: the time, the phase and the actions by the recording's words.
 func recordActions(script *recorded.Script, now time.Duration, s *Startup, actions []Action) {
 	fields := []any{int64(now), int(s.Phase())}
 	for _, action := range actions {
@@ -41,8 +41,8 @@
 	script.Add(fields...)
 }
 
-// recordedSettings differ by the number of the script: fleets of several sizes, with and without a priced list,
-// with given bounds and with those used by default.
+// recordedSettings returns the settings of a script by its number. They cover fleets of several sizes, list requests with
+// and without a price, and given and default bounds.
 func recordedSettings(i int) Settings {
 	s := Settings{Schedulers: []int{1, 3, 80, 1000}[i%4], Name: fmt.Sprint("scheduler-", i), ListCallsPriced: i%2 == 0,
 		SlowStartUnits: 39, OverloadWindow: 3 * time.Second, SlowStartDuration: 17 * time.Second,
@@ -54,7 +54,7 @@
 	return s
 }
 
-// randomEvent draws the next event. Lists and failed list requests are rare, so that each phase lasts for a while.
+// randomEvent draws the next event. Lists and failed list requests are rare, so that each phase covers many events.
 func randomEvent(rng *rand.Rand, now time.Duration, nodes func() []Node) Event {
 	id := []string{"a", "b", "c", "d", "e", "f", ""}[rng.Intn(7)]
 	switch n := rng.Intn(60); {
@@ -80,7 +80,7 @@
 	return RequestArrived{id}
 }
 
-// The decisions under random events are those of the recording.
+// The decisions under random events equal those of the recording.
 func TestRecordedDecisions(t *testing.T) {
 	for i := range 40 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -106,7 +106,7 @@
 				}
 				recordActions(&script, now, s, actions)
 			}
-			if rng.Intn(3) == 0 { // what comes before the start
+			if rng.Intn(3) == 0 { // events before the start
 				step(RequestArrived{"a"})
 				step(TimerFired{})
 			}
--- a/internal/coldstart/snapshot/recorded_test.go
+++ b/internal/coldstart/snapshot/recorded_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// storedSnapshot is what testdata/stored.bin holds.
+// storedSnapshot returns the content of testdata/stored.bin.
 func storedSnapshot() *Snapshot {
 	return &Snapshot{Version: 1, Made: time.Date(2026, 12, 2, 1, 0, 0, 123456789, time.UTC),
 		Nodes: []NodeState{
@@ -19,7 +19,7 @@
 		Classes: []ClassState{{Name: "safe", Weight: 0.4, Slope: 12, Delay: 80}, {Name: "keyed", Weight: 1, Slope: -0.5, Delay: 0}}}
 }
 
-// A file of an earlier program is read, and written again to the same bytes.
+// A file that an earlier version of the program wrote can be read, and writing its content again gives the same bytes.
 func TestStoredFileKeepsItsBytes(t *testing.T) {
 	path := filepath.Join("testdata", "stored.bin")
 	want, err := os.ReadFile(path)
--- a/internal/coldstart/snapshot/snapshot_test.go
+++ b/internal/coldstart/snapshot/snapshot_test.go
@@ -23,46 +23,46 @@
 	return s
 }
 
-// Any prefix and any changed byte is rejected, with a code; so is another version, and an old file.
+// A truncated file, a file with any byte changed, one of another version and an outdated one are rejected with a code.
 func TestTornForeignAndOldFilesAreRejected(t *testing.T) {
 	data, err := Encode(testSnapshot(5))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Decode("x", data, testMade.Add(time.Second)); err != nil || !reflect.DeepEqual(s, testSnapshot(5)) {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("decoded %+v, %v", s, err)
 	}
-	checkRejected := func(data []byte, now time.Time, what string, codes ...string) {
+	assertRejected := func(data []byte, now time.Time, description string, codes ...string) {
 		t.Helper()
 		_, err := Decode("x", data, now)
 		var c operr.Coded
 		if !errors.As(err, &c) {
-			t.Fatalf("%s: accepted (%v)", what, err)
+			t.Fatalf("%s: not rejected with a code (%v)", description, err)
 		}
 		for _, code := range codes {
 			if c.Code() == code {
 				return
 			}
 		}
-		t.Errorf("%s: %s", what, c.Code())
+		t.Errorf("%s: unexpected code %s", description, c.Code())
 	}
 	for i := range data {
-		checkRejected(data[:i], testMade, fmt.Sprint("a prefix of ", i), "snapshot-torn")
+		assertRejected(data[:i], testMade, fmt.Sprint("a prefix of ", i), "snapshot-torn")
 		for _, flip := range []byte{1, 0x80, 0xff} {
 			changed := append([]byte(nil), data...)
 			changed[i] ^= flip
-			checkRejected(changed, testMade, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
+			assertRejected(changed, testMade, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
 		}
 	}
-	checkRejected(append(data[:len(data):len(data)], 'x'), testMade, "a byte more", "snapshot-torn")
-	checkRejected(data, testMade.Add(MaxAge+1), "an old one", "snapshot-old")
-	checkRejected(data, testMade.Add(-time.Minute), "one of the future", "snapshot-old")
+	assertRejected(append(data[:len(data):len(data)], 'x'), testMade, "one additional byte", "snapshot-torn")
+	assertRejected(data, testMade.Add(MaxAge+1), "an outdated snapshot", "snapshot-old")
+	assertRejected(data, testMade.Add(-time.Minute), "a snapshot dated in the future", "snapshot-old")
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
 	}
 }
 
-// A write that fails leaves the old file and no other. The file's size is bounded.
+// A failed write leaves the old file in place and no temporary file. The file's size is bounded.
 func TestFailedWriteKeepsTheOldFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "learned")
@@ -76,8 +76,8 @@
 	if err != nil || len(s.Nodes) < 1000 || s.Nodes[0].ID != "node-0" {
 		t.Fatalf("%v", err)
 	}
-	if st, _ := os.Stat(path); st.Size() > MaxSize {
-		t.Errorf("%d bytes", st.Size())
+	if info, _ := os.Stat(path); info.Size() > MaxSize {
+		t.Errorf("the file has %d bytes, over the maximum", info.Size())
 	}
 	zero := 0.0
 	infinite := testSnapshot(3)
@@ -85,16 +85,16 @@
 	for _, err := range []error{Write(path, infinite), Write(filepath.Join(dir, "none", "learned"), testSnapshot(1)), Write(dir, testSnapshot(1))} {
 		var c operr.Coded
 		if !errors.As(err, &c) || c.Code() != "snapshot-failed" {
-			t.Errorf("%v", err)
+			t.Errorf("%v, want the code snapshot-failed", err)
 		}
 	}
 	if s2, err := Read(path, testMade); err != nil || len(s2.Nodes) != len(s.Nodes) {
-		t.Errorf("the old file is gone: %v", err)
+		t.Errorf("the old file was not kept: %v", err)
 	}
 	if all, _ := os.ReadDir(dir); len(all) != 1 {
-		t.Errorf("left behind: %v", all)
+		t.Errorf("files in the directory: %v, want one", all)
 	}
 	if _, err := Read(dir, testMade); err == nil {
-		t.Error("a folder was read")
+		t.Error("reading a directory succeeded")
 	}
 }
--- a/internal/connqueue/idlelimiter_test.go
+++ b/internal/connqueue/idlelimiter_test.go
@@ -10,7 +10,7 @@
 func TestIdleBoundsAfterRejectedAndLateConnects(t *testing.T) {
 	const ms, sec = time.Millisecond, time.Second
 	for name, bounds := range map[string]struct {
-		signs   string // every 100 ms: r rejected, l late, t timely, b timely but started before the last
+		signs   string // one every 100 ms: r rejected, l late, t timely, b timely but started before the previous one
 		limited time.Duration
 	}{
 		"none": {"", 0}, "timely": {"tttt", 0}, "one rejection": {"r", 2 * sec}, "two late": {"ll", 0}, "three late": {"lll", 2 * sec},
@@ -29,21 +29,21 @@
 			case 't':
 				limiter.ConnectTimely(now)
 			case 'b':
-				limiter.ConnectTimely(now - 150*ms) // started before the last
+				limiter.ConnectTimely(now - 150*ms) // started before the previous one
 			}
 		}
 		if n, _ := limiter.IdleBounds(now+bounds.limited, 9, 9*sec); n != 9 {
 			t.Errorf("%s: limited for longer than %v", name, bounds.limited)
 		}
 		if n, timeout := limiter.IdleBounds(now+bounds.limited-1, 9, 9*sec); bounds.limited > 0 && (n != LimitedIdleConns || timeout != LimitedIdleTimeout) {
-			t.Errorf("%s: %d for %v", name, n, timeout)
+			t.Errorf("%s: not limited: %d idle connections for %v", name, n, timeout)
 		}
 	}
 	var limiter IdleLimiter
 	limiter.ConnectRejected(0)
-	limiter.ConnectRejected(5 * sec) // a sign long after another counts as the first
+	limiter.ConnectRejected(5 * sec) // a sign long after the previous one counts as the first
 	if n, _ := limiter.IdleBounds(7*sec, 9, 9*sec); n != 9 {
-		t.Error("limited as after a second sign")
+		t.Error("a sign long after the previous one doubles the limit's duration")
 	}
 }
 
@@ -67,10 +67,10 @@
 				switch {
 				case signs == 0 || now >= lastSign+MaxLimitDuration:
 					if n != usual || timeout != time.Minute {
-						rt.Fatalf("limited %v after the last sign: %d of %d, %v", now-lastSign, n, usual, timeout)
+						rt.Fatalf("limited %v after the last sign: %d of %d idle connections, for %v", now-lastSign, n, usual, timeout)
 					}
 				case now < lastSign+MinLimitDuration && (n != LimitedIdleConns || timeout != LimitedIdleTimeout), n < LimitedIdleConns, timeout < LimitedIdleTimeout:
-					rt.Fatalf("%v after the last sign: %d for %v", now-lastSign, n, timeout)
+					rt.Fatalf("%v after the last sign: %d idle connections for %v", now-lastSign, n, timeout)
 				}
 			},
 		})
--- a/internal/connqueue/queue_test.go
+++ b/internal/connqueue/queue_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The wait is proportional to the price, and bounded.
+// The wait is proportional to the price of a new connection, and bounded.
 func TestMaxFreeConnWaitFollowsThePrice(t *testing.T) {
 	for _, x := range []struct {
 		price float64
@@ -24,7 +24,7 @@
 	}
 }
 
-// queueModel is a Queue, and what its state must be.
+// queueModel is a Queue with its expected state.
 type queueModel struct {
 	queue    *Queue[int]
 	settings Settings
@@ -36,13 +36,13 @@
 	pending  map[int]time.Duration // start times of connects by id
 }
 
-// testLateAfter is when a connect of queueModel is late.
+// testLateAfter is the duration after which a connect of queueModel is late, in nanoseconds.
 const testLateAfter = 15
 
-// remove checks that an item which left the queue was the first, and removes it.
-func (m *queueModel) remove(t *rapid.T, item int, ok bool) bool {
+// checkFirst checks that an item which left the queue was the first, and removes it.
+func (m *queueModel) checkFirst(t *rapid.T, item int, ok bool) bool {
 	if ok && (len(m.waiting) == 0 || m.waiting[0] != item) {
-		t.Fatalf("%d left the queue out of order; waiting are %v", item, m.waiting)
+		t.Fatalf("%d left the queue out of order; %v are waiting", item, m.waiting)
 	}
 	if ok {
 		m.waiting = m.waiting[1:]
@@ -53,17 +53,17 @@
 
 func (m *queueModel) popExpired(t *rapid.T) bool {
 	item, ok := m.queue.PopExpired(m.now)
-	return m.remove(t, item, ok)
+	return m.checkFirst(t, item, ok)
 }
 
 func (m *queueModel) pop(t *rapid.T) bool {
 	item, ok := m.queue.Pop()
-	return m.remove(t, item, ok)
+	return m.checkFirst(t, item, ok)
 }
 
 func (m *queueModel) failConnect(t *rapid.T, id int) bool {
 	item, ok := m.queue.ConnectFailed(m.now, id, m.inUse)
-	return m.remove(t, item, ok)
+	return m.checkFirst(t, item, ok)
 }
 
 // drawPending draws the id of a pending connect, or 0.
@@ -85,7 +85,7 @@
 	return max(n, (len(m.waiting)-m.inUse+1)/2)
 }
 
-// startConnects does what is due, as a driver does after each change.
+// startConnects removes expired attempts and starts the connects that are due, as a driver does after each change.
 func (m *queueModel) startConnects(t *rapid.T) {
 	for m.popExpired(t) {
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	if took := m.queue.ConnectSucceeded(m.now, id); took != m.now-m.pending[id] {
-		t.Fatalf("took %v", took)
+		t.Fatalf("wrong connect time %v", took)
 	}
 	delete(m.pending, id)
 	if m.pop(t) {
@@ -137,7 +137,7 @@
 	delete(m.pending, id)
 	covered := m.neededConnects() <= len(m.pending)
 	if m.failConnect(t, id) == covered && len(m.waiting) > 0 {
-		t.Fatalf("other connects are pending: %v, waiting are %v", covered, m.waiting)
+		t.Fatalf("enough other connects are pending: %v; %v are waiting", covered, m.waiting)
 	}
 	m.startConnects(t)
 }
@@ -149,7 +149,7 @@
 	item := rapid.IntRange(1, m.lastItem).Draw(t, "item")
 	_, waits := m.queuedAt[item]
 	if m.queue.Remove(item) != waits {
-		t.Fatalf("remove %d: it waits: %v", item, waits)
+		t.Fatalf("wrong result of removing %d, waiting: %v", item, waits)
 	}
 	delete(m.queuedAt, item)
 	m.waiting = slices.DeleteFunc(m.waiting, func(x int) bool { return x == item })
@@ -166,11 +166,11 @@
 
 func (m *queueModel) check(t *rapid.T) {
 	if m.queue.Len() != len(m.waiting) || len(m.queue.pendingConnects) != len(m.pending) {
-		t.Fatalf("%d wait and %d connects are pending, want %v and %v", m.queue.Len(), len(m.queue.pendingConnects), m.waiting, m.pending)
+		t.Fatalf("%d attempts wait and %d connects are pending, want %v and %v", m.queue.Len(), len(m.queue.pendingConnects), m.waiting, m.pending)
 	}
 	for _, item := range m.waiting {
 		if m.now >= m.queuedAt[item]+m.settings.FreeConnWait+m.settings.ConnectTimeout && m.now > m.queuedAt[item] {
-			t.Fatalf("%d waits since %v, it is %v", item, m.queuedAt[item], m.now)
+			t.Fatalf("%d has waited since %v, it is now %v", item, m.queuedAt[item], m.now)
 		}
 	}
 }
@@ -203,32 +203,33 @@
 	})
 }
 
-// An attempt whose connect is late takes the connection of another connect. One whose only connect fails leaves the queue.
+// An attempt whose connect is late uses the connection of a second connect. An attempt whose only connect fails leaves the
+// queue.
 func TestAnotherConnectStartsBesideALateOne(t *testing.T) {
 	const ms = time.Millisecond
 	q := New[string](Settings{ConnectTimeout: 250 * ms})
 	q.Enqueue(0, "a")
 	if n := q.ConnectsDue(0, 3, 20*ms); n != 1 {
-		t.Fatalf("%d connects at first", n)
+		t.Fatalf("%d connects are due at first, want 1", n)
 	}
 	slow := q.ConnectStarted(0)
 	if at, ok := q.Next(0, 20*ms); !ok || at != 20*ms || q.ConnectsDue(at-1, 3, 20*ms) != 0 || q.ConnectsDue(at, 3, 20*ms) != 1 {
-		t.Fatalf("no connect beside a late one, next at %v", at)
+		t.Fatalf("no second connect is due once the first is late; next call at %v", at)
 	}
 	quick := q.ConnectStarted(20 * ms)
 	if n := q.ConnectsDue(60*ms, 3, 20*ms); n != 0 {
-		t.Fatalf("%d more connects, with two pending", n)
+		t.Fatalf("%d further connects are due although two are pending", n)
 	}
 	if _, ok := q.ConnectFailed(70*ms, slow, 3); ok {
-		t.Fatal("left the queue while another connect is pending")
+		t.Fatal("the attempt left the queue while another connect was pending")
 	}
 	q.ConnectSucceeded(80*ms, quick)
 	if a, ok := q.Pop(); !ok || a != "a" {
-		t.Fatal("the attempt did not take the connection")
+		t.Fatal("the attempt did not get the connection")
 	}
 	q.Enqueue(90*ms, "b")
 	q.ConnectsDue(90*ms, 3, 20*ms)
 	if b, ok := q.ConnectFailed(91*ms, q.ConnectStarted(90*ms), 3); !ok || b != "b" {
-		t.Fatal("the attempt stays after its only connect failed")
+		t.Fatal("the attempt is still waiting after its only connect failed")
 	}
 }
--- a/internal/connqueue/recorded_test.go
+++ b/internal/connqueue/recorded_test.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
-// queueScript plays random events on a queue and records the results.
+// queueScript applies random events to a queue and records the results.
 type queueScript struct {
 	queue     *Queue[int]
 	rng       *rand.Rand
@@ -34,7 +34,7 @@
 	return id
 }
 
-// randomEvent plays one random event.
+// randomEvent applies one random event.
 func (s *queueScript) randomEvent() {
 	switch n := s.rng.Intn(10); {
 	case n < 4:
@@ -64,7 +64,7 @@
 	}
 }
 
-// startConnects does what is due after an event.
+// startConnects removes expired attempts and starts the connects that are due after an event.
 func (s *queueScript) startConnects() {
 	for {
 		item, ok := s.queue.PopExpired(s.now)
@@ -86,7 +86,7 @@
 	}
 }
 
-// The decisions of a queue under random events are those of the recording.
+// The decisions of a queue under random events equal those of the recording.
 func TestRecordedDecisionsOfAQueue(t *testing.T) {
 	const ms = time.Millisecond
 	for i := range 12 {
@@ -110,7 +110,7 @@
 	}
 }
 
-// The bounds that a limiter gives under random signs are those of the recording, and so are the waits.
+// The bounds that a limiter returns under random signs equal those of the recording, and so do the waits.
 func TestRecordedDecisionsOfALimiter(t *testing.T) {
 	rng := rand.New(rand.NewSource(11))
 	var script recorded.Script
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -28,7 +28,7 @@
 func TestExcludedNodeStaysExcludedUntilIncluded(t *testing.T) {
 	s := newSet(t, Defaults)
 	if _, err := s.Exclude(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
-		t.Fatalf("a node that was never listed: %v", err)
+		t.Fatalf("exclude of a node that was never listed: %v", err)
 	}
 	if _, err := s.Include(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
 		t.Fatalf("include of a node that was never listed: %v", err)
@@ -38,17 +38,17 @@
 		t.Fatalf("exclude: %v %v", changed, err)
 	}
 	if changed, err := s.Exclude(1500, "s-1"); changed || err != nil {
-		t.Fatalf("a repeated exclude changed something: %v %v", changed, err)
+		t.Fatalf("repeated exclude: %v %v, want no change", changed, err)
 	}
 	if v := s.View(2000, upNode("s-1", 0)); v.State != policy.NodeExcluded {
-		t.Fatalf("excluded, listed as up, shown as %v", v.State)
+		t.Fatalf("an excluded node that is listed as up is shown as %v", v.State)
 	}
 	if v := s.View(2000, upNode("s-2", 0)); v.State != policy.NodeUp {
 		t.Fatalf("another node is shown as %v", v.State)
 	}
 	// A removed node stays removed.
 	if v := s.View(2000, policy.Node{ID: "s-1", State: policy.NodeRemoved}); v.State != policy.NodeRemoved {
-		t.Fatalf("removed, shown as %v", v.State)
+		t.Fatalf("a removed node is shown as %v", v.State)
 	}
 	if changed, err := s.Include(5000, "s-2"); changed || err != nil {
 		t.Fatalf("include of a node that was not excluded: %v %v", changed, err)
@@ -58,7 +58,7 @@
 	}
 	v := s.View(7000, upNode("s-1", 100))
 	if v.State != policy.NodeUp || v.StartTime != 6000 {
-		t.Fatalf("included, shown as %v, started at %v; want up, started at the include", v.State, v.StartTime)
+		t.Fatalf("an included node is shown as %v, started at %v; want up, started at the include", v.State, v.StartTime)
 	}
 	if v := s.View(7000, upNode("s-1", 6500)); v.StartTime != 6500 {
 		t.Fatalf("a start after the include is shown as %v", v.StartTime)
@@ -71,8 +71,8 @@
 	}
 }
 
-// exclude excludes a node at 0, which must not be excluded yet.
-func exclude(t *testing.T, s *Set, id string) {
+// mustExclude excludes a node at 0, which must not be excluded yet.
+func mustExclude(t *testing.T, s *Set, id string) {
 	t.Helper()
 	if changed, err := s.Exclude(0, id); !changed || err != nil {
 		t.Fatalf("exclude %s: %v %v", id, changed, err)
@@ -82,17 +82,17 @@
 func TestExcludePastTheBoundChangesNothing(t *testing.T) {
 	s := newSet(t, Settings{MaxListed: 3, MaxExcluded: 2, SlowStartDuration: 10})
 	s.AddListed("a", "b", "c")
-	exclude(t, s, "a")
-	exclude(t, s, "b")
+	mustExclude(t, s, "a")
+	mustExclude(t, s, "b")
 	if _, err := s.Exclude(0, "c"); !errors.Is(err, ErrFull) || s.Excluded("c") {
-		t.Fatalf("past the bound: %v", err)
+		t.Fatalf("exclude beyond the bound: %v", err)
 	}
 	s.AddListed("d", "e", "f")
 	if !s.IsListed("a") || !s.IsListed("b") {
-		t.Fatal("an excluded node was dropped from the listed ones: it could never be included")
+		t.Fatal("an excluded node is no longer listed, so it cannot be included again")
 	}
 	if s.IsListed("c") {
-		t.Fatal("the oldest node that is not excluded stays past the bound")
+		t.Fatal("the oldest node that is not excluded is still listed beyond the bound")
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
@@ -103,8 +103,8 @@
 func TestLoadRestoresTheStoredState(t *testing.T) {
 	first := newSet(t, Defaults)
 	first.AddListed("a", "b", "c")
-	exclude(t, first, "a")
-	exclude(t, first, "b")
+	mustExclude(t, first, "a")
+	mustExclude(t, first, "b")
 	if changed, err := first.Include(100, "b"); !changed || err != nil {
 		t.Fatalf("include: %v %v", changed, err)
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-// setModel is a Set, and what must be excluded in it.
+// setModel is a Set with the nodes that must be excluded in it.
 type setModel struct {
 	*Set
 	settings Settings
--- a/internal/exclusion/recorded_test.go
+++ b/internal/exclusion/recorded_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/policy"
 )
 
-// recordedState gives the fields of a state in the order of the ids.
+// recordedState returns the fields of a state in the order of the ids.
 func recordedState(s State) (fields []any) {
 	for _, ids := range []map[string]float64{s.Excluded, s.Included} {
 		fields = append(fields, len(ids))
@@ -36,7 +36,7 @@
 	return "other"
 }
 
-// randomState draws a state as another process may have stored it, also beyond the bounds.
+// randomState draws a state that another process may have stored. It may exceed the bounds.
 func randomState(rng *rand.Rand, now float64, id func() string) State {
 	s := State{Excluded: map[string]float64{}, Included: map[string]float64{}}
 	for range rng.Intn(7) {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// The decisions under random calls are those of the recording.
+// The decisions under random calls equal those of the recording.
 func TestRecordedDecisions(t *testing.T) {
 	for i := range 12 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
--- a/internal/exclusion/store/recorded_test.go
+++ b/internal/exclusion/store/recorded_test.go
@@ -10,13 +10,13 @@
 	"wheatsaddle/internal/exclusion"
 )
 
-// storedState is what testdata/wheatsaddle-exclusions.json holds for the scheduler n3.
+// storedState returns the content of testdata/wheatsaddle-exclusions.json, which belongs to the scheduler n3.
 func storedState() exclusion.State {
 	return exclusion.State{Excluded: map[string]float64{"s-1": 1764633600000.5, "s-10": 0, "ü<&>": 1e21},
 		Included: map[string]float64{"s-2": 1764633600123, "a": 1e-7}}
 }
 
-// A file of an earlier program is read, and written again to the same bytes.
+// A file that an earlier version of the program wrote can be read, and writing its content again gives the same bytes.
 func TestStoredFileKeepsItsBytes(t *testing.T) {
 	want, err := os.ReadFile(InFolder("testdata", "n3").Path)
 	if err != nil {
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -11,15 +11,15 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// changeState changes the stored state as the daemon does: under the lock it reads the other process's change, applies its own
-// and writes.
+// changeState returns a thread that changes the stored state as the daemon does: while it holds the lock, it reads another
+// process's change, applies its own and writes the result.
 func changeState(dir, id string, at float64, dies int) func() {
 	return func() {
 		s := InFolder(dir, "n3")
 		s.pid = int(at)
-		state, err := s.Read() // as it starts, without the lock
+		state, err := s.Read() // at the start, without the lock
 		if err != nil {
-			il.Fail("%s: at its start: %v", id, err)
+			il.Fail("%s: read at the start: %v", id, err)
 		}
 		unlock, err := s.Lock()
 		if err != nil {
@@ -33,7 +33,7 @@
 		}
 		state.Excluded[id] = at
 		if il.Choose(dies) == 1 {
-			return // it is killed before it writes, which releases the lock
+			return // the process is killed before it writes, which releases the lock
 		}
 		if err := s.Write(state); err != nil {
 			il.Fail("%s: %v", id, err)
@@ -41,8 +41,8 @@
 	}
 }
 
-// In a handover the old process and the new one exclude a node each, and a third one reads as it starts. Both excludes are
-// stored, no file is ever incomplete, and a killed process delays no other.
+// During a handover, the old and the new process exclude one node each, and a third process may be killed before it writes.
+// Both exclusions are stored, no reader finds an incomplete file, and a killed process does not block the others.
 func TestInterleaveHandover(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		dir, err := os.MkdirTemp("", "handover")
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -22,26 +22,26 @@
 	next := InFolder(dir, "n3") // the next process
 	got, err = next.Read()
 	if err != nil || got.Excluded["s-1"] != 1000.5 || got.Included["s-2"] != 900 {
-		t.Fatalf("read back %v %v", got, err)
+		t.Fatalf("the next process reads %v %v", got, err)
 	}
 	if next.Changed() {
-		t.Fatal("a file just read counts as changed")
+		t.Fatal("a file that was just read counts as changed")
 	}
 	if err := s.Write(exclusion.State{}); err != nil {
 		t.Fatal(err)
 	}
 	if !next.Changed() {
-		t.Fatal("another process's write is not seen")
+		t.Fatal("another process's write is not detected")
 	}
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if e.Name() != "wheatsaddle-exclusions.json" {
-			t.Errorf("left behind: %s", e.Name())
+			t.Errorf("unexpected file %s", e.Name())
 		}
 	}
 }
 
-// A damaged file, or one of another scheduler, is ignored with a reason.
+// A damaged file or one of another scheduler is ignored, with ErrForeign.
 func TestInvalidFilesAreIgnored(t *testing.T) {
 	for name, text := range map[string]string{
 		"torn":    `{"version":1,"name":"n3","excluded":{"s-1":10`,
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if _, err := InFolder(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
-		t.Fatal("two writers have the lock")
+		t.Fatal("two writers hold the lock")
 	}
 	unlock()
 	unlock, err = s.Lock()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 
 var testSettings = Settings{LockPollInterval: 5 * ms, SweepInterval: 20 * ms, IdleTimeout: 500 * ms, WarnAfter: 1000 * ms}
 
-// scriptLine is an event, the actions that follow, and the next timer.
+// scriptLine is an event with the expected actions and the expected next timer.
 type scriptLine struct {
 	at      time.Duration
 	event   Event
@@ -28,7 +28,7 @@
 )
 
 var scripts = map[string][]scriptLine{
-	"alone until its end": {
+	"single process from start to end": {
 		{0, Event{Kind: Started}, newActions(TryLock), Never}, {0, Event{Kind: LockAcquired}, newActions(Accept), Never},
 		{100 * ms, termReceived, newActions(NotifyModule), Never}, {101 * ms, Event{Kind: ModuleNotified}, newActions(CloseListener), Never},
 		{102 * ms, Event{Kind: ListenerClosed}, append(newActions(ReleaseLock), idleSweep), Never},
@@ -44,7 +44,7 @@
 	"no lock available, after SIGTERM": {
 		{0, Event{Kind: Started}, newActions(TryLock), Never}, {0, termReceived, newActions(NotifyModule), Never}, {0, Event{Kind: LockUnavailable}, nil, Never},
 	},
-	"SIGTERM while it waits": {
+	"SIGTERM during the wait for the lock": {
 		{0, Event{Kind: Started}, newActions(TryLock), Never}, {0, Event{Kind: LockBusy}, nil, 5 * ms}, {2 * ms, termReceived, newActions(NotifyModule), Never},
 		{2 * ms, Event{Kind: ModuleNotified}, newActions(CloseListener), Never}, {2 * ms, Event{Kind: ListenerClosed}, []Action{idleSweep}, Never}, {2 * ms, Event{Kind: ConnectionsCounted}, newActions(Finish), Never},
 		{5 * ms, Event{Kind: TimerFired}, nil, Never},
--- a/internal/handover/invariants_test.go
+++ b/internal/handover/invariants_test.go
@@ -10,25 +10,25 @@
 
 const maxProcesses = 3
 
-// process is a process of a simulation, with its driver.
+// process is a simulated process with its driver.
 type process struct {
 	machine      Machine
-	pending      [3]Action // that the driver has still to carry out
+	pending      [3]Action // actions that the driver has not carried out yet
 	pendingCount int
 	running      bool // started, and neither ended nor killed
-	started      bool // at any time
-	fillsLimits  bool // it has accepted, and its module was not notified of a handover
+	started      bool // has ever been started
+	usesLimits   bool // it has accepted, and its module was not notified of a handover
 	accepting    bool
 	openConns    int
 }
 
-// simulation is a set of processes with one lock. It is comparable, so that states can be visited once.
+// simulation is a set of processes with one lock. It is comparable, so that each state is visited once.
 type simulation struct {
 	processes [maxProcesses]process
 	lockOwner int8 // -1: none
 }
 
-// step gives process i an event.
+// step applies an event to process i.
 func (s *simulation) step(i int, now time.Duration, e Event) {
 	p := &s.processes[i]
 	for _, a := range p.machine.Step(now, e) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// outcome is what the outside contributes to the result of an action.
+// outcome is the part of an action's result that depends on the environment of the process.
 type outcome struct {
 	notified  bool // the module confirms in time
 	openConns int
@@ -58,10 +58,10 @@
 		}
 		s.step(i, now, e)
 	case Accept:
-		p.accepting, p.fillsLimits, p.openConns = true, true, result.openConns
+		p.accepting, p.usesLimits, p.openConns = true, true, result.openConns
 	case NotifyModule:
 		if result.notified {
-			p.fillsLimits = false
+			p.usesLimits = false
 			s.step(i, now, Event{Kind: ModuleNotified})
 		} else {
 			s.step(i, now, Event{Kind: ModuleBusy})
@@ -71,7 +71,7 @@
 		s.step(i, now, Event{Kind: ListenerClosed})
 	case ReleaseLock:
 		if s.lockOwner != int8(i) {
-			return fmt.Errorf("process %d releases a lock that it does not have", i)
+			return fmt.Errorf("process %d releases a lock that it does not hold", i)
 		}
 		s.lockOwner = -1
 	case CloseIdle:
@@ -94,9 +94,9 @@
 	s.processes[i] = process{started: true, machine: s.processes[i].machine}
 }
 
-// check returns which invariant does not hold.
-func (s *simulation) check() error {
-	filling := 0
+// checkInvariants returns an error if an invariant does not hold.
+func (s *simulation) checkInvariants() error {
+	admitting := 0
 	for i := range s.processes {
 		p := &s.processes[i]
 		if !p.running {
@@ -106,40 +106,40 @@
 			return fmt.Errorf("process %d: %w", i, err)
 		}
 		if p.accepting && s.lockOwner != int8(i) {
-			return fmt.Errorf("process %d accepts, and %d has the lock", i, s.lockOwner)
+			return fmt.Errorf("process %d accepts connections, but %d holds the lock", i, s.lockOwner)
 		}
 		if p.accepting && p.machine.phase > closingListener {
-			return fmt.Errorf("process %d still accepts in phase %d", i, p.machine.phase)
+			return fmt.Errorf("process %d still accepts connections in phase %d", i, p.machine.phase)
 		}
-		if p.fillsLimits {
-			filling++
+		if p.usesLimits {
+			admitting++
 		}
 		waits := p.machine.next != Never || p.accepting || p.machine.phase == notStarted
 		if p.pendingCount == 0 && !waits {
-			return fmt.Errorf("process %d is stuck in phase %d", i, p.machine.phase)
+			return fmt.Errorf("process %d waits for no event in phase %d", i, p.machine.phase)
 		}
 	}
-	if filling > 1 {
-		return fmt.Errorf("%d processes fill limits", filling)
+	if admitting > 1 {
+		return fmt.Errorf("%d processes admit requests up to their limits", admitting)
 	}
 	return nil
 }
 
-// exploration visits every state that can be reached.
+// exploration visits every reachable state.
 type exploration struct {
-	t             *testing.T
-	seen          map[simulation]bool
-	unvisited     []simulation
-	served, ended int // sets of processes, as bits
+	t                               *testing.T
+	seen                            map[simulation]bool
+	unvisited                       []simulation
+	servedProcesses, endedProcesses int // sets of processes, as bits
 }
 
-// explorationTime is the time of all events: each timer may be due at once, or never fire.
+// explorationTime is the time of all events. Each timer may fire at once or never.
 const explorationTime = 0
 
 func (x *exploration) add(state simulation, err error) {
 	x.t.Helper()
 	if err == nil {
-		err = state.check()
+		err = state.checkInvariants()
 	}
 	if err != nil {
 		x.t.Fatalf("%v\n%+v", err, state)
@@ -157,7 +157,7 @@
 	x.add(state, nil)
 }
 
-// addSuccessors adds the states that process i can lead to.
+// addSuccessors adds all states that the next event or action of process i can lead to.
 func (x *exploration) addSuccessors(state simulation, i int) {
 	x.t.Helper()
 	p := state.processes[i]
@@ -169,7 +169,7 @@
 		return
 	}
 	if p.accepting {
-		x.served |= 1 << i
+		x.servedProcesses |= 1 << i
 	}
 	killed := state
 	killed.endProcess(i)
@@ -179,7 +179,7 @@
 			next := state
 			err := next.perform(i, explorationTime, result)
 			if p.pending[0].Kind == Finish {
-				x.ended |= 1 << i
+				x.endedProcesses |= 1 << i
 			}
 			x.add(next, err)
 		}
@@ -193,8 +193,8 @@
 	}
 }
 
-// Every order of starts, signals, kills and steps of up to three processes, each of which starts once. A stalled process is
-// one that does nothing for long.
+// Visits every order of starts, signals, kills and steps of up to three processes, each of which starts once. Stalls are
+// included, since a process may be left out of any number of steps.
 func TestInvariantsInEveryOrder(t *testing.T) {
 	for _, n := range []int{2, 3} {
 		x := exploration{t: t, seen: map[simulation]bool{}}
@@ -206,8 +206,8 @@
 				x.addSuccessors(state, i)
 			}
 		}
-		if all := 1<<n - 1; x.served != all || x.ended != all {
-			t.Errorf("%d processes: served %b, ended %b", n, x.served, x.ended)
+		if all := 1<<n - 1; x.servedProcesses != all || x.endedProcesses != all {
+			t.Errorf("%d processes: served %b, ended %b", n, x.servedProcesses, x.endedProcesses)
 		}
 		t.Logf("%d processes: %d states", n, len(x.seen))
 	}
@@ -232,7 +232,7 @@
 	}
 }
 
-// advanceTime lets time pass, from one timer to the next.
+// advanceTime advances the time, from one timer to the next.
 func (s *timedSimulation) advanceTime(t *rapid.T, d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.now = end
@@ -251,15 +251,15 @@
 	}
 }
 
-// checkTimes checks that a process ends by its deadline, and that one takes a free lock soon.
+// checkTimes checks that a process ends by its deadline, and that a waiting process soon tries to acquire a free lock.
 func (s *timedSimulation) checkTimes(t *rapid.T) {
 	for i := range s.processes {
 		p := &s.processes[i]
 		if p.running && p.machine.phase >= notifyingModule && s.now > s.deadlines[i] {
-			t.Fatalf("process %d runs at %v, its deadline was %v", i, s.now, s.deadlines[i])
+			t.Fatalf("process %d still runs at %v, its deadline was %v", i, s.now, s.deadlines[i])
 		}
 		if p.running && p.machine.phase == waitingForLock && s.lockOwner < 0 && p.machine.Next() > s.now+testSettings.LockPollInterval {
-			t.Fatalf("process %d tries the free lock only at %v", i, p.machine.Next())
+			t.Fatalf("process %d tries to acquire the free lock only at %v", i, p.machine.Next())
 		}
 	}
 }
@@ -271,7 +271,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
 				s.performAll(t)
-				if err := s.check(); err != nil {
+				if err := s.checkInvariants(); err != nil {
 					t.Fatal(err)
 				}
 			},
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -16,7 +16,7 @@
 var recordedEvents = []EventKind{Started, LockAcquired, LockBusy, LockUnavailable, TimerFired, TermReceived, ModuleNotified, ModuleBusy,
 	ListenerClosed, ConnectionsCounted}
 
-// resultEvent is an event that a driver may send after an action, or false where none follows.
+// resultEvent draws an event that a driver may send after an action, or returns false if none follows.
 func resultEvent(rng *rand.Rand, kind ActionKind) (Event, bool) {
 	switch kind {
 	case TryLock:
@@ -31,7 +31,8 @@
 	return Event{}, false
 }
 
-// The decisions of many processes are those of the recording: events as a driver sends them, and some at any time.
+// The decisions of many processes equal those of the recording. The events are those that a driver sends, and some further
+// ones at arbitrary times.
 func TestRecordedDecisions(t *testing.T) {
 	var script recorded.Script
 	for i := range 400 {
