--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -24,18 +24,18 @@
 
 var familyNames = [familyCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
 
-func (k Kind) String() string {
-	if k < familyCount {
-		return familyNames[k]
+func (f Kind) String() string {
+	if f < familyCount {
+		return familyNames[f]
 	}
-	return "kind " + strconv.Itoa(int(k))
+	return "kind " + strconv.Itoa(int(f))
 }
 
 // ParseKind parses the name of an address family: unix, ipv6, ipv4 or name.
 func ParseKind(name string) (Kind, error) {
-	for k, known := range familyNames {
+	for family, known := range familyNames {
 		if known == name {
-			return Kind(k), nil
+			return Kind(family), nil
 		}
 	}
 	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", name)
@@ -49,13 +49,13 @@
 
 // Addr is a parsed address in canonical form: addresses that differ only in spelling are equal with ==.
 type Addr struct {
-	kind Kind
-	ip   netip.AddrPort
-	text string // Unix: the path; Name: host:port
+	family Kind
+	ip     netip.AddrPort
+	text   string // Unix: the path; Name: host:port
 }
 
 // Kind returns the address family.
-func (a Addr) Kind() Kind { return a.kind }
+func (a Addr) Kind() Kind { return a.family }
 
 // IsZero reports whether a is the zero Addr, which is no address.
 func (a Addr) IsZero() bool { return a == Addr{} }
@@ -65,9 +65,9 @@
 	switch {
 	case a.IsZero():
 		return ""
-	case a.kind == Unix:
+	case a.family == Unix:
 		return unixScheme + a.text
-	case a.kind == Name:
+	case a.family == Name:
 		return a.text
 	}
 	return a.ip.String()
@@ -75,7 +75,7 @@
 
 // Dial returns the network and the address as package net expects them.
 func (a Addr) Dial() (network, address string) {
-	switch a.kind {
+	switch a.family {
 	case Unix:
 		return "unix", a.text
 	case IPv6:
@@ -88,7 +88,7 @@
 
 // Path returns the path of a Unix socket, or "" for other families.
 func (a Addr) Path() string {
-	if a.kind == Unix {
+	if a.family == Unix {
 		return a.text
 	}
 	return ""
@@ -121,7 +121,7 @@
 	switch {
 	case err != nil:
 		return Addr{}, err
-	case a.kind == Name:
+	case a.family == Name:
 		return Addr{}, errors.New("host: not an IP address")
 	case a.ip.IsValid() && a.ip.Addr().IsMulticast():
 		return Addr{}, errors.New("host: a multicast or broadcast address")
@@ -148,12 +148,12 @@
 		return parseIPv6(host, uint16(n))
 	}
 	if ip, err := netip.ParseAddr(host); err == nil {
-		return Addr{kind: IPv4, ip: netip.AddrPortFrom(ip, uint16(n))}, nil
+		return Addr{family: IPv4, ip: netip.AddrPortFrom(ip, uint16(n))}, nil
 	}
 	if err := checkHostName(host); err != nil {
 		return Addr{}, err
 	}
-	return Addr{kind: Name, text: strings.ToLower(strings.TrimSuffix(host, ".")) + ":" + strconv.FormatUint(n, 10)}, nil
+	return Addr{family: Name, text: strings.ToLower(strings.TrimSuffix(host, ".")) + ":" + strconv.FormatUint(n, 10)}, nil
 }
 
 func parseIPv6(host string, port uint16) (Addr, error) {
@@ -164,7 +164,7 @@
 	case ip.Is4In6() && ip.Zone() != "":
 		return Addr{}, errors.New("zone: an IPv4 address has none")
 	case ip.Is4In6():
-		return Addr{kind: IPv4, ip: netip.AddrPortFrom(ip.Unmap(), port)}, nil
+		return Addr{family: IPv4, ip: netip.AddrPortFrom(ip.Unmap(), port)}, nil
 	case ip.Zone() != "" && !ip.IsLinkLocalUnicast() && !ip.IsLinkLocalMulticast():
 		return Addr{}, errors.New("zone: the address is not link-local")
 	case ip.IsLinkLocalUnicast() && ip.Zone() == "":
@@ -172,7 +172,7 @@
 	case len(ip.Zone()) > 15 || strings.ContainsAny(ip.Zone(), "%/] \t\r\n\x00"):
 		return Addr{}, errors.New("zone: not the name of an interface")
 	}
-	return Addr{kind: IPv6, ip: netip.AddrPortFrom(ip, port)}, nil
+	return Addr{family: IPv6, ip: netip.AddrPortFrom(ip, port)}, nil
 }
 
 func parseUnix(file string) (Addr, error) {
@@ -189,7 +189,7 @@
 	if file = path.Clean(file); len(file) > maxPathLength {
 		return Addr{}, fmt.Errorf("path: %d bytes long, the maximum is %d", len(file), maxPathLength)
 	}
-	return Addr{kind: Unix, text: file}, nil
+	return Addr{family: Unix, text: file}, nil
 }
 
 // checkHostName checks a host name by RFC 1123 section 2.1. A name that consists only of digits and dots is rejected as a
@@ -252,7 +252,7 @@
 	}
 	families := make([][]int, len(preference)+int(familyCount))
 	for i, a := range list {
-		families[rank[a.kind]] = append(families[rank[a.kind]], i)
+		families[rank[a.family]] = append(families[rank[a.family]], i)
 	}
 	var order []int
 	for round := 0; len(order) < len(list); round++ {
--- a/internal/address/assign.go
+++ b/internal/address/assign.go
@@ -94,7 +94,7 @@
 		if len(e.idle) == 0 || e == s.primary || e.trialConn != nil && len(e.idle) == 1 && e.idle[0] == e.trialConn {
 			continue
 		}
-		if s.rank(e) <= s.bestRank() || e.connectsFail {
+		if s.rank(e) <= s.bestRank() || e.onlyConnectsFail {
 			return e
 		}
 	}
--- a/internal/address/entry.go
+++ b/internal/address/entry.go
@@ -31,13 +31,13 @@
 // entry is one address of the node.
 type entry struct {
 	Addr
-	state        State
-	reason       Reason        // of the last fault
-	removed      bool          // no longer in the list
-	onProbation  bool          // recovered, but with too few timely connections so far
-	connectsFail bool          // only new connects fail, so established connections may be used
-	failures     int           // in a row, for the backoff
-	backoffUntil time.Duration // for a healthy address, the time of its next trial
+	state            State
+	reason           Reason        // of the last fault
+	removed          bool          // no longer in the list
+	onProbation      bool          // recovered, but with too few timely connections so far
+	onlyConnectsFail bool          // only new connects fail, so established connections may be used
+	failures         int           // in a row, for the backoff
+	backoffUntil     time.Duration // for a healthy address, the time of its next trial
 
 	conns       int
 	idle        []*conn // the most recently used one last
@@ -84,7 +84,7 @@
 
 // unusable reports whether connections of the address cannot be used.
 func (e *entry) unusable() bool {
-	return (e.state == Suspect || e.state == Down || e.state == WrongNode) && !e.connectsFail
+	return (e.state == Suspect || e.state == Down || e.state == WrongNode) && !e.onlyConnectsFail
 }
 
 // bestRank returns the rank of the best address.
--- a/internal/address/faults.go
+++ b/internal/address/faults.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	maxBackoffSteps = 20
-	minSilenceGrace = 10 * time.Millisecond // for a response that may be on its way
+	maxBackoffSteps  = 20
+	minResponseGrace = 10 * time.Millisecond // for a response that may be in flight
 )
 
 // isConnectFault reports whether a fault concerns a connect, not an established connection.
@@ -29,7 +29,7 @@
 	e.failures++
 	e.timelyConns, e.reason, e.onProbation, e.crossCheckSince, e.suspectAt = 0, reason, true, 0, 0
 	s.setFaultState(e, reason)
-	e.connectsFail = isConnectFault(reason) && (previousState == Healthy || previousState == Untried || e.connectsFail)
+	e.onlyConnectsFail = isConnectFault(reason) && (previousState == Healthy || previousState == Untried || e.onlyConnectsFail)
 	if e.unusable() && s.rank(e) > s.bestRank() {
 		for len(e.idle) > 0 {
 			s.closeConn(e.idle[len(e.idle)-1])
@@ -71,7 +71,7 @@
 // servesNothing reports whether a healthy address has served no request for so long that a lack of capacity of the node does
 // not explain it, while another healthy address can be used.
 func (s *Selector) servesNothing(e *entry) bool {
-	window := min(s.settings.RejectionWindow, max(2*minSilenceGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
+	window := min(s.settings.RejectionWindow, max(2*minResponseGrace, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime)))
 	return s.now-e.lastServed >= window && s.rank(e) == rankGood && s.hasAlternative(e)
 }
 
--- a/internal/address/faults_test.go
+++ b/internal/address/faults_test.go
@@ -7,7 +7,7 @@
 
 // An address accepts connections but does not respond. Requests written to it end by their own deadline, and all others use
 // the next address at once. Each trial of the silent address is a single connection with one idempotent request.
-func TestSilentAddressIsLeft(t *testing.T) {
+func TestSilentAddressStopsBeingPrimary(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, twoThirdsIdempotent)
 	assertEqual(t, "primary before the fault", s.selector.Primary(), unixAddr)
@@ -37,7 +37,7 @@
 
 // If another node has taken over an address's port, it rejects requests that name a shard. The address is then marked as
 // leading to the wrong node.
-func TestAddressOfAnotherNodeIsLeft(t *testing.T) {
+func TestAddressOfAnotherNodeStopsBeingPrimary(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
 	s.modes[unixAddr] = "wrong"
@@ -57,7 +57,7 @@
 }
 
 // One response that contains the id of another node is enough to mark an address as leading to the wrong node.
-func TestNodeThatNamesAnotherIDIsWrongAtOnce(t *testing.T) {
+func TestResponseOfAnotherNodeMarksAddressAtOnce(t *testing.T) {
 	h := newHarness(Defaults(), threeAddresses...)
 	c := h.serveOne()
 	h.queueRequest(true)
@@ -69,7 +69,7 @@
 }
 
 // A full node rejects requests on all its addresses, so none of them is marked as leading to another node.
-func TestFullNodeIsNotWrong(t *testing.T) {
+func TestFullNodeIsNotMarkedAsWrongNode(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
 	for _, a := range threeAddresses {
@@ -85,7 +85,7 @@
 }
 
 // A node that stalls is silent on all its addresses. A short stall does not change the primary.
-func TestPausesOfTheNodeAreNoFault(t *testing.T) {
+func TestStallsOfTheNodeAreNoFault(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
 	s.resetCounts()
@@ -111,7 +111,7 @@
 }
 
 // An address with slow responses stops being the primary, although it is not silent.
-func TestSlowAddressIsLeft(t *testing.T) {
+func TestSlowAddressStopsBeingPrimary(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
 	s.resetCounts()
@@ -144,7 +144,7 @@
 
 // When a node continues after a stall, the responses on all addresses arrive at about the same time. The cross-checked
 // address therefore has a grace period before it becomes suspect.
-func TestSilentAddressHasGraceAfterPause(t *testing.T) {
+func TestSilentAddressHasGraceAfterStall(t *testing.T) {
 	h := newHarness(Defaults(), unixAddr, ipv6Addr)
 	a := h.serveOne()
 	h.queueRequest(true)
@@ -155,7 +155,7 @@
 	}
 	var b Conn
 	for c, q := range h.requestOn {
-		if h.addrOf[c].kind == IPv6 && q != 0 {
+		if h.addrOf[c].family == IPv6 && q != 0 {
 			b = c
 		}
 	}
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -287,9 +287,9 @@
 	}
 }
 
-func (s *simulation) ifConnecting(c Conn, do func()) {
+func (s *simulation) ifConnecting(c Conn, action func()) {
 	if slices.Contains(s.connecting, c) {
-		do()
+		action()
 	}
 }
 
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -244,7 +244,7 @@
 	selector := h.selector
 	text := fmt.Sprint(h.draining, len(selector.waiting), selector.maxUnproven, int(selector.connectTokens*4), selector.Primary(), len(selector.races), selector.earliestReturn > h.now, selector.nextDownTrial > h.now)
 	for _, e := range selector.entries {
-		text += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.connectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > h.now, e.trialConn != nil)
+		text += fmt.Sprint("|", e.Addr, e.state, e.onProbation, e.onlyConnectsFail, len(e.idle), e.failures, e.timelyConns, e.rejectionsInRow, e.breaksInRow, e.backoffUntil > h.now, e.trialConn != nil)
 	}
 	for _, x := range selector.races {
 		text += fmt.Sprint("/", x.connecting, len(x.attempted), x.stopped, x.nextConnect > h.now)
@@ -262,7 +262,7 @@
 const explorationDepth = 7 // events
 
 // Applies every order of explorationDepth events to three addresses. States with the same digest are continued once.
-func TestInvariantsInEveryEventOrder(t *testing.T) {
+func TestInvariantsInEveryOrder(t *testing.T) {
 	settings := lowBoundSettings()
 	seen := map[string]bool{}
 	level := []*harness{newHarness(settings, threeAddresses...)}
--- a/internal/address/race_test.go
+++ b/internal/address/race_test.go
@@ -114,7 +114,7 @@
 }
 
 // An address whose family this machine does not support is skipped for UnsupportedBackoff.
-func TestUnsupportedFamilyIsPassedOver(t *testing.T) {
+func TestUnsupportedFamilyIsSkipped(t *testing.T) {
 	s := newHarness(Defaults(), ipv6Addr, ipv4Addr)
 	s.queueRequest(true)
 	a, _ := s.lastAction(Connect)
--- a/internal/address/responses.go
+++ b/internal/address/responses.go
@@ -49,9 +49,9 @@
 		return true
 	case r.servedShard():
 		e.rejectionsInRow, e.lastServed = 0, s.now
-		for _, o := range s.entries { // the node serves, so an address that rejects everything leads to another node
-			if o != e && o.rejectionsInRow >= s.settings.MaxRejections && (o.state == Suspect || o.state == Down) {
-				s.recordFault(o, ReasonWrongNode, true)
+		for _, other := range s.entries { // the node serves, so an address that rejects everything leads to another node
+			if other != e && other.rejectionsInRow >= s.settings.MaxRejections && (other.state == Suspect || other.state == Down) {
+				s.recordFault(other, ReasonWrongNode, true)
 			}
 		}
 	case r.verdict == VerdictRejected && r.namesShard:
@@ -76,7 +76,7 @@
 		if e.state != Suspect && !trial {
 			return // the response came on an earlier connection, and only new connects fail
 		}
-		e.state, e.connectsFail, e.onProbation = Healthy, false, true
+		e.state, e.onlyConnectsFail, e.onProbation = Healthy, false, true
 		s.emit(Action{Kind: LogState, Addr: e.Addr, State: Healthy})
 	case Untried:
 		e.state = Healthy
--- a/internal/address/silence.go
+++ b/internal/address/silence.go
@@ -47,7 +47,7 @@
 func (s *Selector) applyCrossCheck(responder *entry, since, took time.Duration) {
 	for _, e := range s.entries {
 		if e != responder && e.crossCheckSince > 0 && e.crossCheckSince <= since && e.suspectAt == 0 && e.lastResponse < e.crossCheckSince {
-			e.suspectAt = s.now + max(minSilenceGrace, 2*took)
+			e.suspectAt = s.now + max(minResponseGrace, 2*took)
 			s.nextSilenceCheck = min(s.nextSilenceCheck, e.suspectAt)
 		}
 	}
--- a/internal/address/status.go
+++ b/internal/address/status.go
@@ -24,12 +24,12 @@
 }
 
 // HasBetter reports whether another address should be used instead of this one.
-func (s *Selector) HasBetter(than Addr) bool {
-	if s.primary == nil || s.primary.Addr == than {
+func (s *Selector) HasBetter(current Addr) bool {
+	if s.primary == nil || s.primary.Addr == current {
 		return false
 	}
 	for _, e := range s.entries {
-		if e.Addr == than {
+		if e.Addr == current {
 			return s.rank(s.primary) == rankGood
 		}
 	}
--- a/internal/address/trials_test.go
+++ b/internal/address/trials_test.go
@@ -31,7 +31,7 @@
 	for i := range 120 { // the preferred address fails or recovers every half second
 		s.modes[unixAddr] = []string{"refused", "ok"}[i%2]
 		for j := range s.selector.conns {
-			if c := &s.selector.conns[j]; i%2 == 0 && c.phase == idle && c.entry.kind == Unix {
+			if c := &s.selector.conns[j]; i%2 == 0 && c.phase == idle && c.entry.family == Unix {
 				s.step(Event{Kind: IdleConnClosed, Conn: c.id})
 				break
 			}
@@ -40,7 +40,7 @@
 	}
 	s.requireNoViolation(t)
 	for _, m := range s.primaryChanges {
-		if m.to.kind == Unix && !m.from.IsZero() {
+		if m.to.family == Unix && !m.from.IsZero() {
 			returns = append(returns, m.at)
 		}
 	}
@@ -65,7 +65,7 @@
 	assertEqual(t, "primary without the preferred address", s.selector.Primary(), ipv6Addr)
 	s.modes[unixAddr] = "ok"
 	s.resetCounts()
-	for s.selector.Primary().kind != Unix {
+	for s.selector.Primary().family != Unix {
 		if s.run(10*ms, 10*ms, allIdempotent); s.now > time.Minute {
 			t.Fatal("the preferred address never became primary")
 		}
@@ -85,7 +85,7 @@
 	s.run(time.Second, 10*ms, allIdempotent)
 	s.setAddresses(threeAddresses...)
 	s.resetCounts()
-	for s.selector.Primary().kind != Unix {
+	for s.selector.Primary().family != Unix {
 		if s.run(10*ms, 10*ms, allIdempotent); s.now > time.Minute {
 			t.Fatal("the preferred address never became primary")
 		}
@@ -98,7 +98,7 @@
 	s.run(19*time.Second, 10*ms, allIdempotent)
 	s.modes[unixAddr] = "silent"
 	s.run(3*time.Second, 10*ms, allIdempotent)
-	if s.selector.Primary().kind == Unix {
+	if s.selector.Primary().family == Unix {
 		t.Error("returned to an address that last served 20 s ago")
 	}
 	s.requireNoViolation(t)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -9,8 +9,8 @@
 //   - Each rejection carries a Retry-After between MinRetryAfter and MaxRetryAfter.
 //   - The shares that all schedulers have of a cold node's budget sum to at most the budget.
 //   - The first list requests of the fleet are spread by name: no second has more than twice the mean number of requests.
-//     After a failed request, the next one is sent no earlier than half of the backoff later. Once the list was received, no
-//     further request is sent.
+//     The next request after a failed one is sent after at least half of the backoff. Once the list was received, no further
+//     request is sent.
 //   - The first list request is sent before the staleness bound ends, even if spreading the whole fleet's requests would
 //     take longer.
 //   - The state of a node in the snapshot is restored only if the first received list gives the same start time. (Only the
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -44,7 +44,7 @@
 }
 
 // handleListRequestFailed sets the time of the next list request. If the requests of all schedulers fail at the same time,
-// their retries stay below MaxListCallsPerSecond.
+// they send at most MaxListCallsPerSecond requests per second.
 func (s *Startup) handleListRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
--- a/internal/connqueue/queue_test.go
+++ b/internal/connqueue/queue_test.go
@@ -39,8 +39,8 @@
 // testLateAfter is the duration after which a connect of queueModel is late, in nanoseconds.
 const testLateAfter = 15
 
-// checkFirst checks that an item which left the queue was the first, and removes it.
-func (m *queueModel) checkFirst(t *rapid.T, item int, ok bool) bool {
+// recordRemoval checks that an item which left the queue was the first, and removes it.
+func (m *queueModel) recordRemoval(t *rapid.T, item int, ok bool) bool {
 	if ok && (len(m.waiting) == 0 || m.waiting[0] != item) {
 		t.Fatalf("%d left the queue out of order; %v are waiting", item, m.waiting)
 	}
@@ -53,17 +53,17 @@
 
 func (m *queueModel) popExpired(t *rapid.T) bool {
 	item, ok := m.queue.PopExpired(m.now)
-	return m.checkFirst(t, item, ok)
+	return m.recordRemoval(t, item, ok)
 }
 
 func (m *queueModel) pop(t *rapid.T) bool {
 	item, ok := m.queue.Pop()
-	return m.checkFirst(t, item, ok)
+	return m.recordRemoval(t, item, ok)
 }
 
 func (m *queueModel) failConnect(t *rapid.T, id int) bool {
 	item, ok := m.queue.ConnectFailed(m.now, id, m.inUse)
-	return m.checkFirst(t, item, ok)
+	return m.recordRemoval(t, item, ok)
 }
 
 // drawPending draws the id of a pending connect, or 0.
