--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// parsed are spellings and what they come to; an empty one is an error with these words.
-var parsed = []struct{ text, want, err string }{
+// parseCases are spellings with their canonical forms. If err is not empty, parsing fails with an error that contains it.
+var parseCases = []struct{ text, want, err string }{
 	{"127.0.0.1:7001", "127.0.0.1:7001", ""},
 	{"127.0.0.1:07001", "127.0.0.1:7001", ""},
 	{"[::1]:7001", "[::1]:7001", ""},
@@ -29,7 +29,7 @@
 	{"unix:/run/a/../x.sock", "unix:/run/x.sock", ""},
 	{"unix:x.sock", "", "not absolute"},
 	{"unix:@x", "", "abstract"},
-	{"unix:/run/", "", "folder"},
+	{"unix:/run/", "", "a directory"},
 	{"unix:/a\x00b", "", "zero byte"},
 	{"unix:/" + strings.Repeat("x", maxPathLength-1), "unix:/" + strings.Repeat("x", maxPathLength-1), ""},
 	{"unix:/" + strings.Repeat("x", maxPathLength), "", "108 bytes"},
@@ -37,7 +37,7 @@
 	{"localhost:7001", "localhost:7001", ""},
 	{"LocalHost.:7001", "localhost:7001", ""},
 	{"a_b-c.d:1", "a_b-c.d:1", ""},
-	{"-a:1", "", "not a name"},
+	{"-a:1", "", "not a valid host name"},
 	{"1.2.3:1", "", "IPv4"},
 	{"256.1.1.1:1", "", "IPv4"},
 	{"127.0.0.1:0", "", "port"},
@@ -51,27 +51,27 @@
 	{":1", "", "host"},
 	{"0.0.0.0:1", "", "no host"},
 	{"[::]:1", "", "no host"},
-	{"224.0.0.1:1", "", "group"},
-	{"[ff02::1%eth0]:1", "", "group"},
-	{"255.255.255.255:1", "", "group"},
+	{"224.0.0.1:1", "", "multicast"},
+	{"[ff02::1%eth0]:1", "", "multicast"},
+	{"255.255.255.255:1", "", "broadcast"},
 	{"", "", "neither"},
 }
 
-func TestParse(t *testing.T) {
-	for _, x := range parsed {
+func TestParseGivesTheCanonicalSpelling(t *testing.T) {
+	for _, x := range parseCases {
 		a, err := Parse(x.text)
 		if (err == nil) != (x.err == "") || err != nil && !strings.Contains(err.Error(), x.err) || err == nil && a.String() != x.want {
-			t.Errorf("%q: %v, %v; want %q %q", x.text, a, err, x.want, x.err)
+			t.Errorf("%q: parsed as %v, %v; want %q, %q", x.text, a, err, x.want, x.err)
 		}
 		if err == nil {
 			if b, err := Parse(a.String()); err != nil || b != a {
-				t.Errorf("%q: its spelling %q reads as %v, %v", x.text, a, b, err)
+				t.Errorf("%q: its canonical spelling %q is parsed as %v, %v", x.text, a, b, err)
 			}
 		}
 	}
 }
 
-func TestParseListen(t *testing.T) {
+func TestParseListenAcceptsUnspecifiedHosts(t *testing.T) {
 	for text, want := range map[string]string{
 		"0.0.0.0:80": "0.0.0.0:80", ":80": "[::]:80", "[::]:0": "[::]:0", "127.0.0.1:0": "127.0.0.1:0",
 		"unix:/run/x": "unix:/run/x", "localhost:1": "", "224.0.0.1:1": "", "x": "",
@@ -82,8 +82,8 @@
 	}
 }
 
-// One that is bad, or there twice in another spelling, is named, and costs only itself.
-func TestList(t *testing.T) {
+// An invalid address or a duplicate in another spelling is reported and left out. The other addresses are used.
+func TestInvalidAddressesAreLeftOutOfAList(t *testing.T) {
 	list, errs := ParseList([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
 	if fmt.Sprint(list) != "[127.0.0.1:1 unix:/a]" || len(errs) != 3 {
 		t.Fatalf("%v %v", list, errs)
@@ -98,11 +98,11 @@
 		many = append(many, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
 	if list, errs := ParseList(many); len(list) != MaxAddresses || len(errs) != 2 {
-		t.Errorf("%d kept, %d named", len(list), len(errs))
+		t.Errorf("%d addresses used, %d reported", len(list), len(errs))
 	}
 }
 
-func TestInterleave(t *testing.T) {
+func TestInterleaveAlternatesFamilies(t *testing.T) {
 	list, _ := ParseList([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
 	for _, x := range []struct {
 		pref []Kind
@@ -116,21 +116,22 @@
 	}
 }
 
-// FuzzParse: what is read has one spelling, which reads as itself and which package net takes.
+// FuzzParse checks that the canonical spelling of a parsed address is parsed as the same address, and that package net
+// accepts it.
 func FuzzParse(f *testing.F) {
-	for _, x := range parsed {
+	for _, x := range parseCases {
 		f.Add(x.text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		a, err := Parse(text)
 		if err != nil {
 			if !a.IsZero() {
-				t.Errorf("%q: both %v and %v", text, a, err)
+				t.Errorf("%q: both an address (%v) and an error (%v)", text, a, err)
 			}
 			return
 		}
 		if b, err := Parse(a.String()); err != nil || b != a {
-			t.Errorf("%q: %q reads as %v, %v", text, a, b, err)
+			t.Errorf("%q: its canonical spelling %q is parsed as %v, %v", text, a, b, err)
 		}
 		switch network, to := a.Dial(); network {
 		case "unix":
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -12,14 +12,14 @@
 // recordedActions are the recording's words for the actions.
 var recordedActions = map[ActionKind]string{Connect: "connect", Write: "write", Close: "close", Fail: "fail", LogState: "state"}
 
-// recordedModes are the ways in which an address of the simulated node behaves.
+// recordedModes are the modes from which scripts draw the behaviour of an address.
 var recordedModes = []string{"ok", "ok", "ok", "refused", "hang", "silent", "reset", "slow", "wrong", "late"}
 
 // recordedAddresses are those that scripts list.
 var recordedAddresses = []string{"unix:/run/n.sock", "[2001:db8::1]:80", "10.0.0.1:80", "10.0.0.2:80", "node.example:80"}
 
-// recordSettings differ by the number of the script.
-func recordSettings(i int) Settings {
+// scriptSettings returns the settings of a script by its number.
+func scriptSettings(i int) Settings {
 	s := Defaults()
 	switch i % 4 {
 	case 1:
@@ -32,13 +32,13 @@
 	return s
 }
 
-// The decisions under random faults of the addresses, drains, new addresses and new settings are those of the recording.
+// The decisions under random faults of addresses, drains, changed addresses and changed settings equal those of the recording.
 func TestRecordedDecisions(t *testing.T) {
 	for i := range 24 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			rng := rand.New(rand.NewSource(int64(900 + i)))
 			var script recorded.Script
-			s := newSimulation(recordSettings(i), recordedAddresses[:2+i%4]...)
+			s := newSimulation(scriptSettings(i), recordedAddresses[:2+i%4]...)
 			s.onStep = func(e Event) {
 				fields := []any{int64(s.now), int(e.Kind), int64(s.selector.Next()), s.selector.Waiting(), s.selector.Primary().String()}
 				for _, a := range s.actions {
@@ -57,33 +57,33 @@
 			for round := range 60 {
 				for _, addr := range recordedAddresses {
 					if rng.Intn(3) == 0 {
-						s.mode[addr] = recordedModes[rng.Intn(len(recordedModes))]
+						s.modes[addr] = recordedModes[rng.Intn(len(recordedModes))]
 					}
 				}
 				if round%10 == 9 {
-					clear(s.mode)
+					clear(s.modes)
 				}
 				s.responseTime = time.Duration(1+rng.Intn(30)) * ms
 				s.randomChange(rng)
 				s.run(time.Duration(200+rng.Intn(1500))*ms, time.Duration(3+rng.Intn(60))*ms, func(int) bool { return rng.Intn(3) > 0 })
 			}
 			s.step(Event{Kind: NodeRemoved})
-			s.run(2*time.Second, 100*ms, always)
-			if s.err != nil {
-				t.Error(s.err)
+			s.run(2*time.Second, 100*ms, allIdempotent)
+			if s.violation != nil {
+				t.Error(s.violation)
 			}
 			script.Check(t, fmt.Sprintf("faults-%02d", i))
 		})
 	}
 }
 
-// randomChange does now and then what an operator, the list or the operating system does.
+// randomChange applies a random change by an operator, the list or the operating system, or none.
 func (s *simulation) randomChange(rng *rand.Rand) {
 	switch rng.Intn(14) {
 	case 0:
 		s.step(Event{Kind: DrainChanged, Draining: true})
 		s.respondToActions()
-		s.run(300*ms, 50*ms, always)
+		s.run(300*ms, 50*ms, allIdempotent)
 		s.step(Event{Kind: DrainChanged})
 	case 1:
 		order := rng.Perm(len(recordedAddresses))[:1+rng.Intn(len(recordedAddresses))]
@@ -93,7 +93,7 @@
 		}
 		s.setAddresses(addrs...)
 	case 2:
-		next := recordSettings(rng.Intn(4))
+		next := scriptSettings(rng.Intn(4))
 		s.selector.Adjust(next)
 	case 3:
 		s.step(Event{Kind: DemandContinued})
@@ -107,24 +107,24 @@
 		}
 	case 6:
 		if len(s.connecting) > 0 {
-			s.connectFails(s.connecting[rng.Intn(len(s.connecting))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
+			s.failConnect(s.connecting[rng.Intn(len(s.connecting))], []Reason{ReasonNoResource, ReasonNoFamily}[rng.Intn(2)])
 		}
 	case 7:
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
-			s.outcome[s.requestOn[c]] = "served"
+			s.outcomes[s.requestOn[c]] = "served"
 			s.respond(c, []Verdict{VerdictServed, VerdictOther, VerdictRejected, VerdictWrongNode}[rng.Intn(4)])
 		}
 	case 8:
 		if rng.Intn(2) == 0 {
 			s.now += 2 * time.Second // a stall
 		}
-		s.pass(ms)
-	case 9: // the owners of some requests give up, at times after a stall
+		s.advanceTime(ms)
+	case 9: // some requests are cancelled, sometimes after a stall
 		s.now += time.Duration(rng.Intn(2)) * 400 * ms
 		for q := s.lastRequest; q > 0 && q+10 > s.lastRequest; q-- {
 			if s.openRequests[q] && rng.Intn(2) == 0 {
-				s.giveUp(q)
+				s.cancelRequest(q)
 				s.respondToActions()
 			}
 		}
@@ -138,14 +138,14 @@
 		if len(s.busy) > 0 {
 			c := s.busy[rng.Intn(len(s.busy))]
 			delete(s.openRequests, s.requestOn[c])
-			s.forget(c)
+			s.removeConn(c)
 			s.step(Event{Kind: ResponseReceived, Conn: c, Verdict: VerdictServed})
 		}
 	case 12: // more requests at once than may wait
 		for range 40 {
 			s.queueRequest(rng.Intn(2) == 0)
 		}
-	case 13: // events of a connection that there is not
+	case 13: // events of a connection that does not exist
 		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestDropped} {
 			s.step(Event{Kind: kind, Conn: 1<<40 | 1})
 		}
