--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,75 +6,77 @@
 )
 
 const (
-	deadlineMarginMs    = 4.0 // a waiting request is answered this long before its client disconnects
-	minLatencyShareLeft = 0.6 // share of the expected latency that must be left until the objective
+	deadlineMarginMs    = 4.0 // a waiting request is rejected this long before its client disconnects
+	minLatencyShareLeft = 0.6 // the time until the objective must be at least this share of the expected latency
 )
 
-// admit takes a request. One of an unknown class or plan, without time left or without a valid size
-// is rejected.
-func (s *Scheduler) admit(q *Request) {
-	if s.requests[q.ID] != nil {
+// admit queues an arriving request. It rejects a request of an unknown class or plan, without enough
+// time before its deadline, or without a valid size.
+func (s *Scheduler) admit(req *Request) {
+	if s.requests[req.ID] != nil {
 		return
 	}
 	s.firstRequestAt = math.Min(s.firstRequestAt, s.now)
 	if s.settings.RetryBudgetWindow > 0 {
-		s.retries.noteRequest(s.now)
+		s.retries.recordRequest(s.now)
 	}
-	c, plan := s.classByName[q.Class], s.planByName[q.Plan]
-	hasTime, hasSize := q.Deadline > s.now+deadlineMarginMs, q.Units > 0 && !math.IsInf(q.Units, 0)
+	c, plan := s.classByName[req.Class], s.planByName[req.Plan]
+	hasTime, hasSize := req.Deadline > s.now+deadlineMarginMs, req.Units > 0 && !math.IsInf(req.Units, 0)
 	if c == nil || plan == nil || !hasTime || !hasSize {
-		s.emit(Action{Kind: Reject, ID: q.ID})
+		s.emit(Action{Kind: Reject, ID: req.ID})
 		return
 	}
-	r := s.newRequest(q, c)
-	r.volume = s.volume(q.Volume, plan, q.Schedulers)
+	r := s.newRequest(req, c)
+	r.volume = s.volume(req.Volume, plan, req.Schedulers)
 	s.chargeQuota(r)
 	if r.isClientRetry {
-		r.usageLevel += clientRetryLevel
+		r.usageRank += clientRetryUsageRank
 	}
 	s.requests[r.id] = r
-	s.joinOrderedKey(r)
+	s.addToOrderedKey(r)
 	if r.isNewObject {
 		r.queue = s.placeNewObject(r)
 	} else {
-		r.queue = s.shardQueue(q.Shard)
-		r.queue.noteRead(s.now)
+		r.queue = s.shardQueue(req.Shard)
+		r.queue.recordRead(s.now)
 	}
 	s.enqueue(r)
 }
 
-func (s *Scheduler) newRequest(q *Request, c *class) *request {
+func (s *Scheduler) newRequest(req *Request, c *class) *request {
 	s.lastSequence++
-	c.longestTimeout = math.Min(math.Max(c.longestTimeout, q.Deadline-s.now), c.Deadline)
-	startedAt := s.firstAttemptTime(q, c.longestTimeout)
+	c.longestTimeout = math.Min(math.Max(c.longestTimeout, req.Deadline-s.now), c.Deadline)
+	startedAt := s.firstAttemptTime(req, c.longestTimeout)
 	return &request{
-		id: q.ID, class: c, key: q.Key, origin: requestKey{q.Class, q.Volume, q.Key}, units: q.Units,
-		isNewObject: q.Shard < 0, sequence: s.lastSequence, maxAttempts: s.settings.MaxAttempts,
+		id: req.ID, class: c, key: req.Key, clientKey: requestKey{req.Class, req.Volume, req.Key}, units: req.Units,
+		isNewObject: req.Shard < 0, sequence: s.lastSequence, maxAttempts: s.settings.MaxAttempts,
 		startedAt: startedAt, isClientRetry: startedAt < s.now && !s.stall.resumed,
-		objectiveAt: math.Min(startedAt+c.LatencyObjective, q.Deadline-deadlineMarginMs),
-		deadline:    q.Deadline,
+		objectiveAt: math.Min(startedAt+c.LatencyObjective, req.Deadline-deadlineMarginMs),
+		deadline:    req.Deadline,
 	}
 }
 
-// firstAttemptTime is the time of a client's first attempt. A retry is marked as such, or has the key
-// of a request that went unserved and a deadline that is no later. Where no such request is
-// remembered, the time left tells the age.
-// Trade-off: where retries are not marked, another client's request may pass for one.
-func (s *Scheduler) firstAttemptTime(q *Request, timeout float64) float64 {
-	u, isKnown := s.unserved[requestKey{q.Class, q.Volume, q.Key}]
-	isRecent := isKnown && s.now-u.startedAt < s.classByName[q.Class].Deadline
-	if isRecent && (q.ClientRetry || q.Deadline <= u.endsAt+1) {
+// firstAttemptTime estimates the time of a client's first attempt. A request is a retry if it is marked
+// as one, or if it has the key of a request that ended unserved and a deadline that is no later.
+// Without a record of the unserved request, the age of a marked retry and of a request without a key
+// is estimated from the time left until the deadline. The same holds for every request that arrives
+// right after a stall of this scheduler.
+// Trade-off: where clients do not mark retries, another client's request may be taken for a retry.
+func (s *Scheduler) firstAttemptTime(req *Request, timeout float64) float64 {
+	u, isKnown := s.unserved[requestKey{req.Class, req.Volume, req.Key}]
+	isRecent := isKnown && s.now-u.startedAt < s.classByName[req.Class].Deadline
+	if isRecent && (req.ClientRetry || req.Deadline <= u.deadline+1) {
 		return u.startedAt
 	}
-	if q.ClientRetry || q.Key == "" || s.stall.resumed {
-		return math.Min(q.Deadline-timeout, s.now)
+	if req.ClientRetry || req.Key == "" || s.stall.resumed {
+		return math.Min(req.Deadline-timeout, s.now)
 	}
 	return s.now
 }
 
 // clientDisconnected ends a request whose client disconnected, and cancels its open attempts. The
-// request counts at the objective at least, so that a class whose clients give up does not look
-// healthy.
+// delay sample of the request is at least the objective. Otherwise a class whose clients give up early
+// would appear to meet its objective.
 func (s *Scheduler) clientDisconnected(r *request) {
 	s.sampleDelay(r, math.Max(0, r.class.LatencyObjective-(s.now-r.startedAt)))
 	s.refund(r)
@@ -82,74 +84,76 @@
 		if !a.open {
 			continue
 		}
-		if age := s.now - a.sentAt; !r.attemptLost && age > s.expectedLatency(a.node) {
+		if age := s.now - a.sentAt; !r.attemptWrittenOff && age > s.expectedLatency(a.node) {
 			s.recordLatency(a.node, age, r.units)
 		}
 		if s.settings.MayCancel && !r.streaming {
 			s.emit(Action{Kind: Cancel, ID: r.id, Attempt: i})
 		}
 	}
-	s.rememberUnserved(r)
+	s.recordUnserved(r)
 	s.finish(r)
 }
 
-// queueOutlook is what a request that waits for a shard can expect.
-type queueOutlook struct {
+// queueEstimate is the expected service of the requests that wait for a shard.
+type queueEstimate struct {
 	serviceEstimate
-	hasNode          bool    // a node may be used and is not silent
-	latencyLearnedAt float64 // newest latency of its nodes
-	totalWeight      float64 // of the classes that wait
+	hasNode          bool    // the shard has a usable node that is not silent
+	latencyLearnedAt float64 // time of the newest latency sample of its nodes
+	totalWeight      float64 // of the classes with waiting requests
 }
 
-func (s *Scheduler) outlook(q *shardQueue) queueOutlook {
-	o := queueOutlook{serviceEstimate: s.estimateService(q), latencyLearnedAt: math.Inf(-1)}
-	o.hasNode = slices.ContainsFunc(q.nodes, func(n *node) bool { return s.usable(n) && !n.silent })
+func (s *Scheduler) estimateQueue(q *shardQueue) queueEstimate {
+	estimate := queueEstimate{serviceEstimate: s.estimateService(q), latencyLearnedAt: math.Inf(-1)}
+	estimate.hasNode = slices.ContainsFunc(q.nodes, func(n *node) bool { return s.isUsable(n) && !n.silent })
 	for _, n := range q.nodes {
-		o.latencyLearnedAt = math.Max(o.latencyLearnedAt, n.latency.learnedAt)
+		estimate.latencyLearnedAt = math.Max(estimate.latencyLearnedAt, n.latency.learnedAt)
 	}
 	for i, waiting := range q.byClass {
 		if len(waiting) > 0 {
-			o.totalWeight += s.classes[i].weight
+			estimate.totalWeight += s.classes[i].weight
 		}
 	}
-	return o
+	return estimate
 }
 
-// shedLoad rejects at once the requests that gain nothing by waiting: their clients may retry later.
+// shedLoad rejects the requests that would gain nothing by waiting longer, so that their clients can
+// retry elsewhere or later.
 func (s *Scheduler) shedLoad(q *shardQueue) {
-	o := s.outlook(q)
+	estimate := s.estimateQueue(q)
 	for i, c := range s.classes {
 		unitsAhead := 0.0
 		for _, r := range slices.Clone(q.byClass[i]) {
 			unitsAhead += r.units
-			r.waitedForAdmission = r.waitedForAdmission || !o.hasNode || !s.ready(r)
-			wait := math.Max(0, unitsAhead-r.units)*o.totalWeight/c.weight/o.unitsPerMs + o.nextFreeMs
-			if !s.shouldShed(r, &o, wait) {
+			r.waitedForAdmission = r.waitedForAdmission || !estimate.hasNode || !s.isReady(r)
+			wait := math.Max(0, unitsAhead-r.units)*estimate.totalWeight/c.weight/estimate.unitsPerMs + estimate.nextFreeMs
+			if !s.shouldShed(r, &estimate, wait) {
 				continue
 			}
 			s.dequeue(r)
 			unitsAhead -= r.units
-			if r.openAttempts == 0 { // otherwise an open attempt may still serve it
+			if r.openAttempts == 0 { // an open attempt may still serve the request
 				s.rejectOrFail(r, wait)
 			}
 		}
 	}
 }
 
-// shouldShed reports whether a waiting request should be given up, after an estimated wait.
-func (s *Scheduler) shouldShed(r *request, o *queueOutlook, wait float64) bool {
-	isLast := s.now+sweepIntervalMs > r.deadline // its last review
-	wouldBeLate := r.band != bandReserved && s.now+wait+o.latencyMs > r.objectiveAt
-	isLateAtOverload := r.band == bandLate && r.queue.overloaded()
-	isTooSlow := o.latencyMs > s.latencyLimit(r, o.latencyLearnedAt) || s.now+minLatencyShareLeft*o.latencyMs > r.objectiveAt
-	return isLast || wouldBeLate || isLateAtOverload || isTooSlow || s.now >= r.objectiveAt || s.lacksTokensForever(r)
+// shouldShed reports whether a waiting request should be rejected, given its estimated wait.
+func (s *Scheduler) shouldShed(r *request, estimate *queueEstimate, wait float64) bool {
+	isLast := s.now+sweepIntervalMs > r.deadline // the next review would be past the deadline
+	wouldBeLate := r.band != bandReserved && s.now+wait+estimate.maxLatencyMs > r.objectiveAt
+	isLateAtOverload := r.band == bandLate && r.queue.isOverloaded()
+	isTooSlow := estimate.maxLatencyMs > s.latencyLimit(r, estimate.latencyLearnedAt) || s.now+minLatencyShareLeft*estimate.maxLatencyMs > r.objectiveAt
+	return isLast || wouldBeLate || isLateAtOverload || isTooSlow || s.now >= r.objectiveAt || s.cannotGetTokens(r)
 }
 
-// rejectOrFail answers for a request: rejected if it never ran or may run again anywhere, else failed.
+// rejectOrFail ends a request. It is rejected if it never ran or may run again on any node, and failed
+// otherwise.
 func (s *Scheduler) rejectOrFail(r *request, wait float64) {
 	s.sampleDelay(r, math.Max(wait, rejectedDelayObjectives*r.class.LatencyObjective-(s.now-r.startedAt)))
 	s.refund(r)
-	s.rememberUnserved(r)
+	s.recordUnserved(r)
 	if r.mayRetryAnywhere() {
 		s.emit(Action{Kind: Reject, ID: r.id, Wait: s.retryAfter(wait)})
 	} else {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,37 +5,38 @@
 	"slices"
 )
 
-// retryBudget bounds retries and hedges to a share of the requests of a time window.
+// retryBudget limits retries and hedges to a share of the requests within a time window.
 type retryBudget struct {
 	requestTimes []float64
 	retryTimes   []float64
 }
 
-func (b *retryBudget) noteRequest(now float64) { b.requestTimes = append(b.requestTimes, now) }
+func (b *retryBudget) recordRequest(now float64) { b.requestTimes = append(b.requestTimes, now) }
 
-func (b *retryBudget) noteRetry(now float64) { b.retryTimes = append(b.retryTimes, now) }
+func (b *retryBudget) recordRetry(now float64) { b.retryTimes = append(b.retryTimes, now) }
 
-// expireRequests drops the requests that are as old as the window.
+// expireRequests removes the requests that are at least as old as the window.
 func (b *retryBudget) expireRequests(now, window float64) {
 	for len(b.requestTimes) > 0 && b.requestTimes[0] <= now-window {
 		b.requestTimes = b.requestTimes[1:]
 	}
 }
 
-// allows reports whether one more retry fits the budget of the settings.
-func (b *retryBudget) allows(now float64, set *Settings) bool {
-	for len(b.retryTimes) > 0 && b.retryTimes[0] < now-set.RetryBudgetWindow {
+// allows reports whether the budget allows one more retry.
+func (b *retryBudget) allows(now float64, settings *Settings) bool {
+	for len(b.retryTimes) > 0 && b.retryTimes[0] < now-settings.RetryBudgetWindow {
 		b.retryTimes = b.retryTimes[1:]
 	}
-	b.expireRequests(now, set.RetryBudgetWindow)
-	return float64(len(b.retryTimes)+1) <= set.RetryBudgetMin+set.RetryBudgetShare*float64(len(b.requestTimes))
+	b.expireRequests(now, settings.RetryBudgetWindow)
+	return float64(len(b.retryTimes)+1) <= settings.RetryBudgetMin+settings.RetryBudgetShare*float64(len(b.requestTimes))
 }
 
-// ready reports whether a request may be sent now: its ordered key, rate limit and attempts allow it.
-func (s *Scheduler) ready(r *request) bool {
+// isReady reports whether the ordered key, the rate limit and the previous attempts of a request allow
+// it to be sent now.
+func (s *Scheduler) isReady(r *request) bool {
 	if r.class.Ordered && r.key != "" {
 		key := s.orderedKeys[r.key]
-		if key.waiting[0] != r || s.now < key.backoffUntil {
+		if key.requests[0] != r || s.now < key.backoffUntil {
 			return false
 		}
 	}
@@ -48,9 +49,10 @@
 	return len(r.attempts) == 0 || s.mayRetry(r)
 }
 
-// mayRetry reports whether a further attempt is allowed by count, effect and budget.
+// mayRetry reports whether the number of attempts, the effect of the class and the retry budget allow
+// another attempt.
 func (s *Scheduler) mayRetry(r *request) bool {
-	isHedge := r.openAttempts == 1 && r.attemptLost && s.settings.MayHedge
+	isHedge := r.openAttempts == 1 && r.attemptWrittenOff && s.settings.MayHedge
 	if r.openAttempts > 0 && !isHedge {
 		return false
 	}
@@ -71,13 +73,13 @@
 // send sends a request to a node.
 func (s *Scheduler) send(r *request, n *node) {
 	if len(r.attempts) > 0 && s.settings.RetryBudgetWindow > 0 {
-		s.retries.noteRetry(s.now)
+		s.retries.recordRetry(s.now)
 	}
 	if !r.limitCharged {
 		r.limitCharged = true
 		r.volume.limit.tokens -= r.units
 	}
-	startBy := 0.0 // a retry may wait for a connection, and nodes remember a key only for the window
+	startBy := 0.0 // a retry may wait for a connection, but nodes remember a key only within the deduplication window
 	if r.class.Effect == IdempotentByKey && r.mayHaveRunOn != nil {
 		startBy = r.mayHaveRunSince + r.class.DedupWindow
 	}
@@ -85,8 +87,8 @@
 	s.emit(Action{Kind: Send, ID: r.id, Node: n.ID, Deadline: r.deadline, StartBy: startBy})
 }
 
-// attemptEnded takes the end of an attempt: what it tells of the node, and what follows for the
-// request.
+// attemptEnded handles the end of an attempt. It updates what is known of the node, and then finishes,
+// retries or rejects the request.
 func (s *Scheduler) attemptEnded(ev *Event) {
 	r := s.requests[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
@@ -96,26 +98,26 @@
 	a.open = false
 	r.openAttempts--
 	n := a.node
-	if !a.lost {
+	if !a.writtenOff {
 		n.removeInFlight(r)
 	}
 	n.nextSendAt = math.Max(n.nextSendAt, s.now+s.sendGap(n))
 	s.learnFromOutcome(r, a, ev)
-	s.noteMayHaveRun(r, a, ev.Status)
+	s.recordPossibleRun(r, a, ev.Status)
 	if ev.Finished && !r.done {
-		s.settle(r, ev.Status)
+		s.recordResponse(r, ev.Status)
 	}
 	if r.done || ev.Finished {
 		s.finish(r)
 		return
 	}
-	if r.openAttempts == 0 && !r.queued { // otherwise a hedge is in flight or waits
+	if r.openAttempts == 0 && !r.queued { // no hedge is in flight or queued
 		s.retryOrReject(r, n)
 	}
 }
 
-// noteMayHaveRun remembers an attempt that may have run though its answer does not tell.
-func (s *Scheduler) noteMayHaveRun(r *request, a *attempt, status Status) {
+// recordPossibleRun records an attempt that may have run, judging by its status.
+func (s *Scheduler) recordPossibleRun(r *request, a *attempt, status Status) {
 	if !slices.Contains([]Status{Errored, TimedOut, ConnectionReset, Cancelled}, status) {
 		return
 	}
@@ -128,17 +130,18 @@
 	}
 }
 
-// settle accounts for a request whose client received its response.
-func (s *Scheduler) settle(r *request, status Status) {
+// recordResponse updates the quota and the delay statistics after a client received its response.
+func (s *Scheduler) recordResponse(r *request, status Status) {
 	if status != OK {
 		s.refund(r)
-		s.rememberUnserved(r)
+		s.recordUnserved(r)
 	}
-	r.isClientRetry = r.isClientRetry && status != OK // a served retry counts with its whole age
+	r.isClientRetry = r.isClientRetry && status != OK // a served retry is a delay sample, measured from the client's first attempt
 	s.sampleDelay(r, 0)
 }
 
-// retryOrReject queues a request again if the rules allow it and its deadline can be met.
+// retryOrReject queues a request again if another attempt is allowed and can meet the deadline.
+// Otherwise it rejects or fails the request.
 func (s *Scheduler) retryOrReject(r *request, n *node) {
 	hasTime := s.now+math.Max(s.expectedLatency(n), deadlineMarginMs) < r.deadline
 	if !r.attemptCancelled && !r.streaming && hasTime && s.mayRetry(r) {
--- a/policy/classweights.go
+++ b/policy/classweights.go
@@ -2,48 +2,52 @@
 
 import "math"
 
-// Constants of the adaptation; alpha, beta and epsilon are the source's names.
+// Constants of the adaptation. The paper named in the package documentation uses the names alpha, beta
+// and epsilon.
 const (
 	ticksPerAdaptation      = 2      // ticks between adaptations
-	maxAdaptIntervalMs      = 4000.0 // longest interval after a donation was committed
-	alpha                   = 0.5    // weight of the past in a class's delay
+	maxAdaptIntervalMs      = 4000.0 // maximum interval after a committed donation
+	alpha                   = 0.5    // weight of the previous value in a class's smoothed delay
 	beta                    = 0.8    // share of a donation that is committed
-	epsilon                 = 0.1    // a class within this of its objective is balanced
-	minSlope                = 1.0    // ms per unit of weight: delay that does not move with weight is not free
-	minClassWeight          = 0.05   // a class must keep a flow of samples
+	epsilon                 = 0.1    // a class is balanced if its delay is within this share of its objective
+	minSlope                = 1.0    // ms per unit of weight; with a slope of 0 a class could give away any weight
+	minClassWeight          = 0.05   // a class with less weight would yield too few delay samples
 	minPriorityWeight       = 1e-9
-	minRefitChange          = 1e-6 // changes of weight or delay below this refit no slope
-	rejectedDelayObjectives = 2.0  // a rejected request counts with a delay of this many objectives at least
+	minRefitChange          = 1e-6 // the slope is not refitted after smaller changes of weight or delay
+	rejectedDelayObjectives = 2.0  // minimum delay sample of a rejected request, in objectives
 )
 
-// class is a request class with its weight, and how its delay moves with it.
+// class is a request class with its weight and with the dependence of its delay on the weight.
 type class struct {
 	Class
-	index           int     // in the scheduler's classes and the shard queues
-	longestTimeout  float64 // longest time that a client has given
+	index           int     // in the scheduler's classes and in the shard queues
+	longestTimeout  float64 // longest time until the deadline of any request so far
 	weight          float64
-	delay           float64 // smoothed, from arrival to answer
-	slope           float64 // change of delay over change of weight
-	sampleSum       float64 // of the delays since the last adaptation
+	delay           float64 // smoothed delay from arrival to answer
+	slope           float64 // change of delay per change of weight
+	sampleSum       float64 // sum of the delays since the last adaptation
 	sampleCount     float64
-	committedWeight float64 // before the last commit
-	committedDelay  float64 // at the last commit
+	committedWeight float64 // weight before the last commit
+	committedDelay  float64 // delay at the last commit
 	weightChanged   bool    // by the last adaptation
 }
 
-// sampleDelay takes a delay from arrival to answer into the request's class. What went unserved
-// counts at its age plus the wait it was spared, or early rejections would make a starved class look
-// healthy. Demand beyond the quota steers nothing, nor does a wait for a node or for a rate limit:
-// no weight shortens it. A client's attempts count as one request.
-func (s *Scheduler) sampleDelay(r *request, sparedMs float64) {
+// sampleDelay adds the delay of a request, from arrival to answer, to the samples of its class. The
+// sample of an unserved request is its age plus the wait that the rejection avoided. Otherwise early
+// rejections would hide that a class gets too little weight. Some requests are no samples, because more
+// weight would not shorten their delay: those beyond the quota, and those that waited for a node or for
+// a rate limit. Retries by a client are not sampled either, because all its attempts count as one
+// request.
+func (s *Scheduler) sampleDelay(r *request, avoidedWaitMs float64) {
 	if r.chargedBand == bandBurst || r.isClientRetry || r.waitedForAdmission {
 		return
 	}
-	r.class.sampleSum += math.Min(s.now-r.startedAt+sparedMs, r.class.Deadline)
+	r.class.sampleSum += math.Min(s.now-r.startedAt+avoidedWaitMs, r.class.Deadline)
 	r.class.sampleCount++
 }
 
-// adaptAndReschedule adapts the weights. The interval doubles after a commit, so that delays settle.
+// adaptAndReschedule adapts the weights and sets the time of the next adaptation. The interval doubles
+// after a commit, so that the delays can settle.
 func (s *Scheduler) adaptAndReschedule() {
 	if !s.adapt() {
 		s.adaptInterval = ticksPerAdaptation * tickIntervalMs / 2
@@ -52,8 +56,8 @@
 	s.nextAdaptAt, s.nodeStalled = s.now+s.adaptInterval-tickIntervalMs/2, false
 }
 
-// adapt lets the worst underweight class borrow weight from the overweight ones, and reports whether
-// a donation was committed.
+// adapt moves weight from the overweight classes to the underweight class that misses its objective by
+// the largest ratio. It reports whether a donation was committed.
 func (s *Scheduler) adapt() bool {
 	var worst *class
 	for _, c := range s.classes {
@@ -90,7 +94,7 @@
 	return true
 }
 
-// updateDelay takes the samples since the last adaptation into the smoothed delay.
+// updateDelay merges the samples since the last adaptation into the smoothed delay.
 func (c *class) updateDelay() {
 	if c.sampleCount > 0 {
 		mean := c.sampleSum / c.sampleCount
@@ -118,17 +122,18 @@
 
 func (c *class) isOverweight() bool { return c.delay > 0 && c.delay <= (1-epsilon)*c.LatencyObjective }
 
-// donation is what the class gives of an amount asked: its predicted delay stays within the objective.
-func (c *class) donation(asked float64) float64 {
-	amount := math.Min(asked, ((1-epsilon)*c.LatencyObjective-c.delay)/c.slope)
+// donation returns the weight that the class gives of a requested amount. Its predicted delay stays
+// within the objective.
+func (c *class) donation(requested float64) float64 {
+	amount := math.Min(requested, ((1-epsilon)*c.LatencyObjective-c.delay)/c.slope)
 	return math.Min(beta*amount, c.weight-minClassWeight)
 }
 
-// commit changes the weight, and keeps what it was for the next refit of the slope.
+// commit changes the weight, and stores the previous weight and delay for the next refit of the slope.
 func (c *class) commit(change float64) {
 	c.committedWeight, c.committedDelay, c.weightChanged = c.weight, c.delay, true
 	c.weight += change
 }
 
-// dropDelay forgets the delay, so that the class asks for no weight.
-func (c *class) dropDelay() { c.delay, c.sampleSum, c.sampleCount, c.weightChanged = 0, 0, 0, false }
+// clearDelay resets the delay, so that the class requests no weight.
+func (c *class) clearDelay() { c.delay, c.sampleSum, c.sampleCount, c.weightChanged = 0, 0, 0, false }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -7,19 +7,19 @@
 // Scheduler from several goroutines at once.
 //
 // Invariants:
-//   - Every admitted request ends in exactly one of: an attempt that finished it, Reject, Fail, or
-//     the disconnection of its client.
-//   - A non-idempotent request is not sent again once an attempt of it may have run. A request
-//     that is idempotent by key is sent again only within the deduplication scope and window.
+//   - Every admitted request ends exactly once: with an attempt that finished it, with Reject, with
+//     Fail, or with the disconnection of its client.
+//   - A non-idempotent request is not sent again once one of its attempts may have run. A request
+//     that is idempotent by key is then sent again only within the deduplication scope and window.
 //   - Attempts never exceed MaxAttempts or the retry budget.
 //   - The requests in flight at one node stay within its concurrency window.
-//   - Requests with one ordered key have at most one of them being attempted.
-//   - Volumes, keys and unserved requests that are idle are evicted, so memory stays bounded.
+//   - Of the requests that share an ordered key, at most one is attempted at a time.
+//   - Idle volumes, idle keys and records of unserved requests are evicted, so memory stays bounded.
 //
 // Class weights, slopes, surplus and donations follow "An Observation-based Approach Towards
-// Self-managing Web Servers", section 4.2; see the design page. Health, retries, slow start,
-// quotas and the endpoint list are additions of this package.
+// Self-managing Web Servers", section 4.2; see the design page. Node health, retries, slow start,
+// quotas and the endpoint list are not part of that paper.
 //
 // The package does not open connections, measure time, parse settings or exchange messages with
-// other schedulers: its drivers do.
+// other schedulers. The code that drives a Scheduler does this.
 package policy
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	minPollBackoffMs  = 300.0  // first wait after a failed call to the list, doubling
-	maxPollBackoffMs  = 4000.0 // up to this
-	drainingUseShare  = 0.5    // a draining node is used for this share of the grace
-	drainingReserveMs = 500.0  // and never in the last part of it, for delays of the list or stalls
+	minPollBackoffMs  = 300.0  // initial value of the backoff after a failed call to the list
+	maxPollBackoffMs  = 4000.0 // the backoff doubles up to this value
+	drainingUseShare  = 0.5    // a draining node is used during this share of its grace period
+	drainingReserveMs = 500.0  // end of the grace period in which it is never used, as margin for stalls and list delays
 )
 
-// listPoller subscribes to the endpoint list, again after a failure.
+// listPoller holds the state of the subscription to the endpoint list and of its retries.
 type listPoller struct {
 	subscribed bool
 	nextPollAt float64
 	backoff    float64
 }
 
-// succeeded notes an event of the list's subscription.
-func (p *listPoller) succeeded() { p.subscribed, p.backoff = true, minPollBackoffMs }
+// recordSuccess handles an event of the subscription.
+func (p *listPoller) recordSuccess() { p.subscribed, p.backoff = true, minPollBackoffMs }
 
-// failed notes a failed call or a broken subscription; jitter spreads the backoff.
-func (p *listPoller) failed(now, jitter float64) {
+// recordFailure handles a failed call or a broken subscription. The jitter factor spreads the retries
+// of different schedulers.
+func (p *listPoller) recordFailure(now, jitter float64) {
 	p.subscribed, p.backoff = false, math.Min(2*p.backoff, maxPollBackoffMs)
 	p.nextPollAt = now + p.backoff*jitter
 }
 
-// pollList subscribes to the list if it must be polled, well before the staleness bound.
+// pollList subscribes to the list if it must be polled and no subscription is active. Retries come well
+// within the staleness bound.
 func (s *Scheduler) pollList() {
 	if s.settings.PollsEndpointList && !s.list.subscribed && s.now >= s.list.nextPollAt {
 		s.list.nextPollAt = s.now + math.Max(maxPollBackoffMs, s.settings.PollWithin/4*(1+s.rng.Float64()))
@@ -37,18 +39,18 @@
 	}
 }
 
-// applyList takes an event of the endpoint list. A node that a complete list lacks is removed; one
-// that restarted is in slow start.
+// applyList applies an event of the endpoint list. A node that is missing from a complete list is
+// removed. A node that restarted enters slow start.
 func (s *Scheduler) applyList(ev *Event) {
 	if ev.Kind == ListFailed {
-		s.list.failed(s.now, 0.5+s.rng.Float64())
+		s.list.recordFailure(s.now, 0.5+s.rng.Float64())
 		return
 	}
-	isCurrent := s.list.subscribed // otherwise the list may be old, and a node's grace over
+	isCurrent := s.list.subscribed // without a subscription the list may be old, and a node's grace period over
 	if ev.Kind == CachedListLoaded {
 		s.setTimer(tickTimer, tickIntervalMs)
 	} else {
-		s.list.succeeded()
+		s.list.recordSuccess()
 	}
 	listed := map[string]bool{}
 	for _, entry := range ev.Nodes {
@@ -84,25 +86,25 @@
 	n.Node = entry
 }
 
-// addNode puts a node in the list, by id.
+// addNode inserts a node into the list, which is sorted by id.
 func (s *Scheduler) addNode(n *node) {
 	s.nodeByID[n.ID] = n
 	at := sort.Search(len(s.listedNodes), func(i int) bool { return s.listedNodes[i].ID > n.ID })
 	s.listedNodes = slices.Insert(s.listedNodes, at, n)
 }
 
-// assignNodesToShards sorts the listed nodes into their shard queues, and forgets removed ones once
-// nothing is in flight there.
+// assignNodesToShards assigns the listed nodes to their shard queues. It deletes removed nodes that
+// have nothing in flight.
 func (s *Scheduler) assignNodesToShards() {
 	for _, q := range s.shardQueues {
 		q.nodes = q.nodes[:0]
 	}
 	s.listedNodes = slices.DeleteFunc(s.listedNodes, func(n *node) bool {
-		isGone := n.State == NodeRemoved && len(n.inFlight) == 0
-		if isGone {
+		isUnused := n.State == NodeRemoved && len(n.inFlight) == 0
+		if isUnused {
 			delete(s.nodeByID, n.ID)
 		}
-		return isGone
+		return isUnused
 	})
 	for _, n := range s.listedNodes {
 		if n.State == NodeRemoved {
@@ -110,22 +112,23 @@
 		}
 		q := s.shardQueue(n.Shard)
 		q.nodes = append(q.nodes, n)
-		if len(n.inFlight) > 0 { // it may have come from another shard
+		if len(n.inFlight) > 0 { // the node may have moved here from another shard
 			s.markBusy(q)
 		}
 	}
 }
 
-// DrainingUseDuration is how long, in milliseconds, a draining node is still used after a standing
-// watch reported it: its replacement is listed seconds later, and no other node has its shard. Short
-// graces leave no time for it.
+// DrainingUseDuration returns how long, in milliseconds, a draining node is still used after an active
+// subscription reported it. The node is used because its replacement is listed only seconds later and
+// no other node serves its shard. With a short grace period the result is 0.
 func (s Settings) DrainingUseDuration() float64 {
 	return math.Max(0, math.Min(drainingUseShare*s.DrainGrace, s.DrainGrace-drainingReserveMs))
 }
 
-// usable reports whether a node is up, or drains since recently and has taken all requests since.
-// Trade-off: a node that ends before its grace cuts off what was sent last.
-func (s *Scheduler) usable(n *node) bool {
+// isUsable reports whether requests may be sent to a node. That is so if it is up, or if it began to
+// drain recently and this scheduler is not backing off from it.
+// Trade-off: a node that stops before the end of its grace period aborts the last requests sent to it.
+func (s *Scheduler) isUsable(n *node) bool {
 	if n.State == NodeDraining {
 		return n.backoff == 0 && s.now-n.drainingSince < s.settings.DrainingUseDuration()
 	}
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -12,12 +12,12 @@
 	maxNextFreeMs = 1e6
 )
 
-// Bands order the requests of one class queue by what a unit still earns.
+// Priority bands of the requests in one class queue. A unit of work earns most in the first band.
 const (
 	bandReserved  = iota // within the volume's reserved rate
-	bandFairShare        // within its fair share of the rest
-	bandBurst            // beyond that
-	bandLate             // past its objective
+	bandFairShare        // within the volume's fair share of the remaining capacity
+	bandBurst            // beyond the fair share
+	bandLate             // past the request's objective
 )
 
 // shardQueue holds the requests that wait for the nodes of one shard: one queue per class, served by
@@ -25,16 +25,16 @@
 type shardQueue struct {
 	shard        int
 	nodes        []*node
-	byClass      [][]*request // by the class's index, in the order of before
-	nextStart    []float64    // by class: virtual time at which its next turn starts
+	byClass      [][]*request // by class index; each class queue is sorted by precedes
+	nextStart    []float64    // by class index: virtual start time of the next request of the class
 	virtualTime  float64
 	waitingUnits float64
-	busy         bool // is among the scheduler's busy queues
+	busy         bool // listed in the scheduler's busyQueues
 
-	lastReadAt      float64 // when a request last named this shard
-	readingSince    float64 // the first such request after shardReadWindowMs without one
-	answeredUnits   float64 // answered by its nodes, decaying over shardReadWindowMs
-	answeredUnitsAt float64 // time of answeredUnits
+	lastReadAt             float64 // when a request last named this shard
+	readsStartedAt         float64 // the first such request after shardReadWindowMs without one
+	answeredUnits          float64 // answered by its nodes, decaying over shardReadWindowMs
+	answeredUnitsUpdatedAt float64 // time of answeredUnits
 }
 
 func (s *Scheduler) shardQueue(shard int) *shardQueue {
@@ -49,15 +49,15 @@
 	return q
 }
 
-// noteRead notes a request that names the shard.
-func (q *shardQueue) noteRead(now float64) {
+// recordRead records the arrival of a request that names the shard.
+func (q *shardQueue) recordRead(now float64) {
 	if now-q.lastReadAt > shardReadWindowMs {
-		q.readingSince = now
+		q.readsStartedAt = now
 	}
 	q.lastReadAt = now
 }
 
-// waitingCount is the number of requests that wait.
+// waitingCount returns the number of waiting requests.
 func (q *shardQueue) waitingCount() (count int) {
 	for _, waiting := range q.byClass {
 		count += len(waiting)
@@ -65,8 +65,9 @@
 	return count
 }
 
-// overloaded reports whether the schedulers ask too much of the shard's nodes: late work then waits.
-func (q *shardQueue) overloaded() bool {
+// isOverloaded reports whether each node of the shard is silent or has a window below its initial size.
+// This means that the schedulers send more than the nodes can serve. Late requests wait in this case.
+func (q *shardQueue) isOverloaded() bool {
 	for _, n := range q.nodes {
 		if n.window.size >= initialWindow && !n.silent {
 			return false
@@ -75,8 +76,8 @@
 	return len(q.nodes) > 0
 }
 
-// markBusy puts a shard queue among the busy ones. Only these are visited in a step, as a list may
-// have a thousand nodes of which a scheduler works with a few.
+// markBusy adds a shard queue to busyQueues. A step visits only these queues, because a list may have
+// a thousand nodes while a scheduler sends requests to only a few of them.
 func (s *Scheduler) markBusy(q *shardQueue) {
 	if !q.busy {
 		q.busy = true
@@ -88,7 +89,7 @@
 	return sort.Search(len(s.busyQueues), func(i int) bool { return s.busyQueues[i].shard >= shard })
 }
 
-// nextBusyQueue is the first busy shard queue at or after a shard; nil: there is none.
+// nextBusyQueue returns the first busy shard queue at or after a shard, or nil.
 func (s *Scheduler) nextBusyQueue(shard int) *shardQueue {
 	if i := s.busyIndex(shard); i < len(s.busyQueues) {
 		return s.busyQueues[i]
@@ -96,20 +97,21 @@
 	return nil
 }
 
-// updateBusy updates whether requests of the queue wait or are in flight, and reports whether not.
+// updateBusy sets busy to whether requests of the queue wait or are in flight, and returns the opposite.
 func (q *shardQueue) updateBusy() (idle bool) {
 	q.busy = q.waitingCount() > 0 || slices.ContainsFunc(q.nodes, func(n *node) bool { return len(n.inFlight) > 0 })
 	return !q.busy
 }
 
-// before orders a class queue: by band, dearer plans, lower use, admission.
-func before(a, b *request) bool {
+// precedes defines the order of a class queue: by band, higher price of the plan, lower usage of the
+// volume, and order of admission.
+func precedes(a, b *request) bool {
 	return cmp.Or(cmp.Compare(a.band, b.band), cmp.Compare(b.volume.plan.Price, a.volume.plan.Price),
-		cmp.Compare(a.usageLevel, b.usageLevel), cmp.Compare(a.sequence, b.sequence)) < 0
+		cmp.Compare(a.usageRank, b.usageRank), cmp.Compare(a.sequence, b.sequence)) < 0
 }
 
-// enqueue puts a request into its class's queue. A late one keeps its late priority weight until its
-// client disconnects.
+// enqueue inserts a request into the queue of its class. A request past its objective moves to the
+// late band, with its deadline as the new objective.
 func (s *Scheduler) enqueue(r *request) {
 	q, i := r.queue, r.class.index
 	if len(q.byClass[i]) == 0 {
@@ -118,7 +120,7 @@
 	if s.now > r.objectiveAt {
 		r.band, r.objectiveAt = bandLate, r.deadline-deadlineMarginMs
 	}
-	at := sort.Search(len(q.byClass[i]), func(k int) bool { return before(r, q.byClass[i][k]) })
+	at := sort.Search(len(q.byClass[i]), func(k int) bool { return precedes(r, q.byClass[i][k]) })
 	q.byClass[i] = slices.Insert(q.byClass[i], at, r)
 	q.waitingUnits += r.units
 	r.queued = true
@@ -135,7 +137,8 @@
 	s.waitingCount--
 }
 
-// sweep fills the windows and reviews what waits, at the shard queues that have work.
+// sweep visits the busy shard queues. It checks the attempts in flight, sends requests, and rejects
+// those that would wait in vain.
 func (s *Scheduler) sweep() {
 	for q := s.nextBusyQueue(math.MinInt); q != nil; q = s.nextBusyQueue(q.shard + 1) {
 		s.checkInFlight(q)
@@ -145,8 +148,8 @@
 	s.busyQueues = slices.DeleteFunc(s.busyQueues, (*shardQueue).updateBusy)
 }
 
-// dispatch sends while the windows have room: the class whose turn starts first in virtual time,
-// charged by units. Late requests wait for those in time.
+// dispatch sends requests while the windows have capacity. The class with the lowest virtual start time
+// is next and is charged by units. Late requests come after those that are in time.
 func (s *Scheduler) dispatch(q *shardQueue) {
 	for q.waitingUnits > 0 {
 		r, n := s.nextToSend(q)
@@ -159,27 +162,27 @@
 	}
 }
 
-// nextToSend picks the next request that may be sent, and its node; nil: there is none.
-func (s *Scheduler) nextToSend(q *shardQueue) (best *request, to *node) {
+// nextToSend selects the next request that may be sent and its node. It returns nil if there is none.
+func (s *Scheduler) nextToSend(q *shardQueue) (best *request, target *node) {
 	for _, waiting := range q.byClass {
 		for _, r := range waiting {
-			if r.band == bandLate && q.overloaded() || best != nil && !q.hasEarlierTurn(r, best) {
+			if r.band == bandLate && q.isOverloaded() || best != nil && !q.hasEarlierTurn(r, best) {
 				break
 			}
-			if !s.ready(r) {
+			if !s.isReady(r) {
 				continue
 			}
 			if n := s.route(q, r); n != nil {
-				best, to = r, n
+				best, target = r, n
 				break
 			}
 		}
 	}
-	return best, to
+	return best, target
 }
 
-// hasEarlierTurn reports whether a is sent before b: it is in time and b is late, or both are alike
-// and the turn of its class starts earlier.
+// hasEarlierTurn reports whether a is sent before b. A request in time comes before a late one.
+// Otherwise the class with the lower virtual start time comes first.
 func (q *shardQueue) hasEarlierTurn(a, b *request) bool {
 	aIsLate, bIsLate := a.band == bandLate, b.band == bandLate
 	if aIsLate != bIsLate {
@@ -188,29 +191,30 @@
 	return q.nextStart[a.class.index] < q.nextStart[b.class.index]
 }
 
-// charge advances virtual time to the turn of a request, and its class's next turn past it.
+// charge advances the virtual time to the start time of a request, and the next start time of its class
+// by the request's units divided by the class weight.
 func (q *shardQueue) charge(r *request) {
 	i := r.class.index
 	q.virtualTime = math.Max(q.virtualTime, q.nextStart[i])
 	q.nextStart[i] = math.Max(q.nextStart[i], q.virtualTime) + r.units/r.class.weight
 }
 
-// serviceEstimate is how fast a shard queue's nodes take and answer requests.
+// serviceEstimate tells how fast the nodes of a shard accept and answer requests.
 type serviceEstimate struct {
-	unitsPerMs float64
-	latencyMs  float64 // of the slowest node
-	nextFreeMs float64 // until the next place in a window is free
+	unitsPerMs   float64
+	maxLatencyMs float64 // expected latency of the slowest node
+	nextFreeMs   float64 // time until a window has capacity for another request
 }
 
 func (s *Scheduler) estimateService(q *shardQueue) serviceEstimate {
 	e := serviceEstimate{nextFreeMs: math.Inf(1)}
 	for _, n := range q.nodes {
-		if !s.usable(n) {
+		if !s.isUsable(n) {
 			continue
 		}
 		latency := s.expectedLatency(n)
 		e.unitsPerMs += n.window.size * s.settings.MeanUnits / latency
-		e.latencyMs = math.Max(e.latencyMs, latency)
+		e.maxLatencyMs = math.Max(e.maxLatencyMs, latency)
 		if n.window.isFractional() && len(n.inFlight) == 0 {
 			e.nextFreeMs = math.Min(e.nextFreeMs, math.Max(0, n.nextSendAt-s.now))
 		} else {
--- a/policy/health.go
+++ b/policy/health.go
@@ -3,42 +3,43 @@
 import "math"
 
 const (
-	minBackoffMs    = 50.0  // first backoff from a node that took no work, doubling
-	maxBackoffMs    = 500.0 // up to this, so that its recovery is noticed soon
+	minBackoffMs    = 50.0  // initial backoff from a node that accepted no work; it doubles
+	maxBackoffMs    = 500.0 // limit of the backoff, so that a recovery is noticed soon
 	failureRateGain = 0.1   // weight of one outcome in the failure rate
 )
 
-// learnFromOutcome takes what the end of an attempt tells of the node's health.
+// learnFromOutcome updates the health of a node after the end of an attempt.
 func (s *Scheduler) learnFromOutcome(r *request, a *attempt, ev *Event) {
 	n := a.node
 	switch ev.Status {
 	case OK:
 		s.learnFromAnswer(r, a, ev.Latency)
-		n.noteOutcome(0)
+		n.recordOutcome(0)
 	case Errored:
 		n.lastReceivedAt, n.silent = s.now, false
-		n.noteOutcome(1)
+		n.recordOutcome(1)
 	case NodeFull:
 		n.lastReceivedAt = s.now
-		s.narrow(n)
+		s.narrowWindow(n)
 		s.backOffNode(n)
 	case ConnectFailed:
 		s.backOffNode(n)
 		if s.now-n.lastReceivedAt > restartSuspectMs {
 			s.beginSlowStart(n, s.now)
 		}
-		n.noteOutcome(1)
+		n.recordOutcome(1)
 	case TimedOut, ConnectionReset:
-		if !a.lost {
+		if !a.writtenOff {
 			s.recordLatency(n, ev.Latency, r.units)
-			n.noteOutcome(1)
+			n.recordOutcome(1)
 		}
-	case Cancelled, Abandoned: // these tell nothing of the node
+	case Cancelled, Abandoned: // these say nothing about the node
 	}
 }
 
-// learnFromAnswer takes a served attempt. The first answer after a long silence may come from a node
-// that restarted. The latency of an attempt that was written off tells of that attempt alone.
+// learnFromAnswer updates the state of a node after an answer. A node that answers after a long silence
+// may have restarted, so it enters slow start. The latency of an attempt that was written off is not
+// typical of the node and is ignored.
 func (s *Scheduler) learnFromAnswer(r *request, a *attempt, latency float64) {
 	n := a.node
 	if n.silent && s.now-n.silentSince > restartSuspectMs ||
@@ -47,30 +48,30 @@
 	}
 	n.silent, n.lastReceivedAt, n.backoff = false, s.now, 0
 	n.slowStart.answeredInTime = latency < nodeLatencyShare*s.minObjective
-	if !a.lost {
+	if !a.writtenOff {
 		s.recordLatency(n, latency, r.units)
 	}
 	s.recordServed(n, r)
 }
 
-// noteOutcome takes an outcome, 1 for a failure, into the smoothed failure rate.
-func (n *node) noteOutcome(failure float64) {
+// recordOutcome adds an outcome to the smoothed failure rate: 1 for a failure, 0 for a success.
+func (n *node) recordOutcome(failure float64) {
 	n.failureRate += failureRateGain * (failure - n.failureRate)
 }
 
-// backOffNode backs off from a node that took no work, longer each time and randomized.
+// backOffNode backs off from a node that accepted no work. The backoff is exponential and randomized.
 func (s *Scheduler) backOffNode(n *node) {
 	n.backoff = math.Min(math.Max(2*n.backoff, minBackoffMs), maxBackoffMs)
 	n.nextSendAt = s.now + n.backoff*(0.5+s.rng.Float64())
 	n.window.lowerToMin()
 }
 
-// AvoidedNodes counts the nodes that the list gives as up and that this instance sends nothing to for
-// now: silent ones, and those it backs off from. It decides nothing.
+// AvoidedNodes counts the nodes that are up according to the list but get no regular work from this
+// instance at present: silent nodes, and nodes that it backs off from. It is for status output only.
 func (s *Scheduler) AvoidedNodes() (count int) {
 	for _, n := range s.listedNodes {
-		isResting := n.window.isFractional() && len(n.inFlight) == 0 && s.now < n.nextSendAt
-		if n.State == NodeUp && (n.silent || isResting) {
+		isBackingOff := n.window.isFractional() && len(n.inFlight) == 0 && s.now < n.nextSendAt
+		if n.State == NodeUp && (n.silent || isBackingOff) {
 			count++
 		}
 	}
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -29,7 +29,7 @@
 				if !r.queued || r.done || r.queue != q || r.class.index != i || s.requests[r.id] != r {
 					return fmt.Errorf("shard %d: %s waits and does not belong there", q.shard, r.id)
 				}
-				if k > 0 && before(r, line[k-1]) {
+				if k > 0 && precedes(r, line[k-1]) {
 					return fmt.Errorf("shard %d: %s waits behind %s", q.shard, r.id, line[k-1].id)
 				}
 			}
@@ -55,7 +55,7 @@
 		for _, r := range n.inFlight {
 			units += r.units
 			last := r.attempts[len(r.attempts)-1]
-			if last.node != n || !last.open || last.lost {
+			if last.node != n || !last.open || last.writtenOff {
 				return fmt.Errorf("node %s: %s counts as in flight: %+v", n.ID, r.id, last)
 			}
 		}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	latencyDecayMs   = 2e3 // what a node showed decays to the pool's latency over this time
-	latencyRefreshMs = 2e3 // an estimate of this age yields most of its weight to a new sample
-	minLatencyGain   = 0.1 // least weight of one sample
+	latencyDecayMs   = 2e3 // time constant with which a node's estimate decays to the pool's latency
+	latencyRefreshMs = 2e3 // time constant with which the weight of a new sample grows with the age of the estimate
+	minLatencyGain   = 0.1 // minimum weight of a sample
 	minLatencyMs     = 1.0
 )
 
-// latencyEstimator is a smoothed latency. The older the estimate, the more a new sample counts.
+// latencyEstimator is a smoothed latency. The older the estimate, the higher the weight of a new sample.
 type latencyEstimator struct {
 	ms        float64
-	learnedAt float64 // negative infinity: nothing was learned
+	learnedAt float64 // time of the last sample; negative infinity: there was none
 }
 
 // hasSample reports whether the estimator has seen a sample.
@@ -27,19 +27,19 @@
 	e.set(base+gain*(sample-base), now)
 }
 
-// decayed is the estimate after it decayed towards a baseline.
+// decayed returns the estimate after its decay towards a baseline.
 func (e *latencyEstimator) decayed(baseline, now float64) float64 {
 	return baseline + (e.ms-baseline)*math.Exp((e.learnedAt-now)/latencyDecayMs)
 }
 
-// learnLatency takes a latency into the estimates of the node and of the pool of all nodes.
+// learnLatency updates the latency estimates of the node and of the pool of all nodes.
 func (s *Scheduler) learnLatency(n *node, sample float64) {
 	n.latency.learn(s.expectedLatency(n), sample, s.now)
 	s.poolLatency.learn(s.poolLatency.ms, sample, s.now)
 }
 
-// expectedLatency is a node's latency as far as known: its own estimate decays towards that of all
-// nodes that answer this scheduler, and that decays towards zero.
+// expectedLatency returns the estimated latency of a node. The node's own estimate decays towards the
+// estimate of the pool of all nodes, which itself decays towards zero.
 func (s *Scheduler) expectedLatency(n *node) float64 {
 	return math.Max(n.latency.decayed(s.poolLatency.decayed(0, s.now), s.now), minLatencyMs)
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,34 +2,36 @@
 
 import "math"
 
-// Learned is what an instance learned of nodes and classes, in plain values, for a restart.
+// Learned is the state of nodes and classes that an instance passes on over a restart.
 type Learned struct {
 	Nodes   []LearnedNode
 	Classes []LearnedClass
 }
 
-// LearnedNode is what an instance learned of one incarnation of a node.
+// LearnedNode is the learned state of one incarnation of a node.
 type LearnedNode struct {
 	ID                 string
-	StartTime          float64 // as the list gave it: nothing is restored for another incarnation
+	StartTime          float64 // from the endpoint list; nothing is restored for another incarnation
 	Window             float64
 	Latency            float64 // ms
 	BestLatencyPerUnit float64 // ms per unit
 	FailureRate        float64 // share of attempts that fail
-	// AssumedStart is the start time that the node was listed with while its own was not known; 0:
-	// none. A slow start from that time is taken back, also with nothing learned (Window 0).
+	// AssumedStart is the start time with which the node was listed before its real start time was
+	// known; 0: none. Restore cancels a slow start from that time even if nothing else was learned
+	// (Window 0).
 	AssumedStart float64
 }
 
-// LearnedClass is the weight of one class and how its delay moved with it.
+// LearnedClass is the learned state of one class.
 type LearnedClass struct {
 	Name                 string
 	Weight, Slope, Delay float64
 }
 
-const maxLearnedFigure = 1e9 // of latencies and slopes; a larger one cannot be
+const maxLearnedValue = 1e9 // larger latencies and slopes are invalid
 
-// Learned returns what this instance learned: of the nodes that answered it, in the order of their ids.
+// Learned returns the learned state. It holds the nodes with a latency sample, in order of their ids,
+// and the classes that take new requests.
 func (s *Scheduler) Learned() Learned {
 	var l Learned
 	for _, n := range s.listedNodes {
@@ -46,9 +48,10 @@
 	return l
 }
 
-// Restore takes what an earlier process learned, where it still holds: nodes of the same incarnation
-// that have not answered this one yet, and classes by name. Figures that cannot be are ignored. It
-// returns how many nodes were restored. Before the first step it does nothing.
+// Restore applies the learned state of an earlier process where it is still valid. This is so for nodes
+// of the same incarnation that have no latency sample yet, and for classes of the same name that have
+// no delay yet. Invalid values are ignored. Restore returns the number of restored nodes. Before the
+// first step it does nothing.
 func (s *Scheduler) Restore(l Learned) (restored int) {
 	if math.IsNaN(s.now) {
 		return 0
@@ -59,7 +62,7 @@
 		if n == nil || n.StartTime != learned.StartTime {
 			continue
 		}
-		n.dropAssumedStart(learned.AssumedStart)
+		n.cancelAssumedStart(learned.AssumedStart)
 		if s.restoreNode(n, learned) {
 			sum += learned.Latency
 			restored++
@@ -72,8 +75,8 @@
 	return restored
 }
 
-// dropAssumedStart takes back a slow start that began at an assumed start time; 0: there was none.
-func (n *node) dropAssumedStart(assumed float64) {
+// cancelAssumedStart cancels a slow start that began at an assumed start time. With 0 it does nothing.
+func (n *node) cancelAssumedStart(assumed float64) {
 	if assumed == 0 || n.slowStart.startedAt != assumed {
 		return
 	}
@@ -81,13 +84,13 @@
 	if n.StartTime <= 0 {
 		n.slowStart.startedAt = math.Inf(-1)
 	}
-	if !n.latency.hasSample() { // as a node new to this instance
+	if !n.latency.hasSample() { // start like a newly listed node
 		n.window.size = initialWindow
 	}
 }
 
 func (s *Scheduler) restoreNode(n *node, learned LearnedNode) bool {
-	isValid := between(learned.Window, 1e-9, maxWindow) && between(learned.Latency, 1e-9, maxLearnedFigure)
+	isValid := inRange(learned.Window, 1e-9, maxWindow) && inRange(learned.Latency, 1e-9, maxLearnedValue)
 	if !isValid || n.latency.hasSample() {
 		return false
 	}
@@ -96,10 +99,10 @@
 		n.window.lowerToMin()
 	}
 	n.latency.set(learned.Latency, s.now)
-	if between(learned.BestLatencyPerUnit, 0, maxLearnedFigure) {
+	if inRange(learned.BestLatencyPerUnit, 0, maxLearnedValue) {
 		n.window.bestLatencyPerUnit = learned.BestLatencyPerUnit
 	}
-	if between(learned.FailureRate, 0, 1) {
+	if inRange(learned.FailureRate, 0, 1) {
 		n.failureRate = learned.FailureRate
 	}
 	return true
@@ -108,16 +111,16 @@
 func (s *Scheduler) restoreClasses(learned []LearnedClass) {
 	for _, k := range learned {
 		c := s.classByName[k.Name]
-		if c == nil || c.delay != 0 || !between(k.Weight, minClassWeight, 1) || !between(k.Delay, 0, c.Deadline) {
+		if c == nil || c.delay != 0 || !inRange(k.Weight, minClassWeight, 1) || !inRange(k.Delay, 0, c.Deadline) {
 			continue
 		}
 		c.weight, c.delay = k.Weight, k.Delay
-		if between(k.Slope, minSlope, maxLearnedFigure) {
+		if inRange(k.Slope, minSlope, maxLearnedValue) {
 			c.slope = k.Slope
 		}
 	}
 	s.scaleLiveWeights()
 }
 
-// between reports whether a value is within bounds; NaN is not.
-func between(v, low, high float64) bool { return v >= low && v <= high }
+// inRange reports whether a value is within inclusive bounds. NaN is not.
+func inRange(v, low, high float64) bool { return v >= low && v <= high }
--- a/policy/node.go
+++ b/policy/node.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// node is what this scheduler knows of one listed node.
+// node is the state of one listed node at this scheduler.
 type node struct {
 	Node
-	window         concurrencyWindow
-	latency        latencyEstimator
-	slowStart      nodeSlowStart
-	inFlight       []*request // in order of sending
-	inFlightUnits  float64
-	nextSendAt     float64 // earliest time of the next send
-	backoff        float64 // last backoff; 0: not backing off
-	failureRate    float64 // share of attempts that fail, smoothed
-	lastReceivedAt float64 // last answer or rejection
-	silent         bool    // work is in flight and nothing was received for long
-	silentSince    float64
-	answerCount    float64 // since the node is known
-	drainingSince  float64 // when a standing watch reported that it drains
+	window          concurrencyWindow
+	latency         latencyEstimator
+	slowStart       nodeSlowStart
+	inFlight        []*request // in order of sending
+	inFlightUnits   float64
+	nextSendAt      float64 // earliest time of the next send
+	backoff         float64 // last backoff; 0: not backing off
+	failureRate     float64 // share of attempts that fail, smoothed
+	lastReceivedAt  float64 // time of the last answer or rejection
+	silent          bool    // nothing was received for a long time although work was in flight
+	silentSince     float64
+	answersReceived float64 // since the node was first listed
+	drainingSince   float64 // when the active subscription reported the node as draining; negative infinity: never
 }
 
-// newNode makes the state of a node that nothing is known of.
+// newNode returns the initial state of a newly listed node.
 func newNode(entry Node, now float64) *node {
 	return &node{
 		Node:           entry,
@@ -51,8 +51,8 @@
 	n.slowStart.slotStartAt, n.slowStart.slotFactor, n.slowStart.answeredInTime = s.now, 0.5+s.rng.Float64(), false
 	r.attempts = append(r.attempts, attempt{node: n, sentAt: s.now, open: true})
 	r.openAttempts++
-	r.attemptCancelled, r.attemptLost = false, false
-	r.nodeAnswersAtSend, r.inFlightAtSend = n.answerCount, float64(len(n.inFlight))
+	r.attemptCancelled, r.attemptWrittenOff = false, false
+	r.nodeAnswersAtSend, r.nodeInFlightAtSend = n.answersReceived, float64(len(n.inFlight))
 	n.inFlight = append(n.inFlight, r)
 	n.window.peakInFlight = max(n.window.peakInFlight, len(n.inFlight))
 	n.inFlightUnits += r.units
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("reserve work: %v", acts)
 	}
 	r.at(r.now+2*latencyDecayMs, Event{Kind: TimerFired})
-	if r.s.expectedLatency(n) > bandLatencyLimit[bandFairShare]*r.s.minObjective {
+	if r.s.expectedLatency(n) > bandLatencyLimitObjectives[bandFairShare]*r.s.minObjective {
 		t.Errorf("no way back: %v", r.s.expectedLatency(n))
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	usageWindowMs     = 1000.0 // use beyond the reserved rate decays over this time
-	clientRetryLevel  = 1e9    // added to the usage level of a client's retries: they go after others
-	maxFairUsageRatio = 2.0    // use past this multiple of the mean volume's is burst
-	minPlanWeight     = 1e-9
+	usageWindowMs        = 1000.0 // time constant with which usage beyond the reserved rate decays
+	clientRetryUsageRank = 1e9    // added to the usage rank of a client's retries, so that they come last in their band
+	maxFairUsageRatio    = 2.0    // usage above this multiple of the mean usage of the active volumes is burst
+	minPlanWeight        = 1e-9
 )
 
-// tokenBucket holds units that may be used. It may be overdrawn.
+// tokenBucket holds units that may be used. Its level may become negative.
 type tokenBucket struct{ tokens float64 }
 
 func (b *tokenBucket) add(units, capacity float64) { b.tokens = math.Min(b.tokens+units, capacity) }
@@ -17,20 +17,21 @@
 // volume tracks the quota of a volume on a plan at this scheduler.
 type volume struct {
 	plan       *Plan
-	schedulers int         // through which its requests come; each has an equal share of the quota
+	schedulers int         // number of schedulers that get its requests; each has an equal share of the quota
 	reserved   tokenBucket // of the reserved rate
 	limit      tokenBucket // of the rate limit
 	refilledAt float64
-	usageLevel float64 // use beyond the reserved rate, units over usageWindowMs
+	usageLevel float64 // units used beyond the reserved rate, decaying over usageWindowMs
 }
 
-// volumeKey identifies a volume on a plan. A volume that is named with another plan has that plan's
-// quota, and none of the first's.
+// volumeKey identifies a volume on a plan. If requests name one volume with two plans, each pair has a
+// quota of its own.
 type volumeKey struct{ volume, plan string }
 
-// volume finds or makes the state of a volume on a plan. A restarted scheduler cannot know what it
-// used: the rate limit's bucket counts as empty at the first request of all. Since then only this
-// scheduler has used its share, and not for this volume.
+// volume returns the state of a volume on a plan, and creates it at the volume's first request. A
+// scheduler cannot know how much of the rate limit was used before its restart. So the bucket of the
+// rate limit counts as empty at the time of the scheduler's first request of any volume, and as filled
+// since then: nobody else uses this scheduler's share, and this volume has not used it.
 func (s *Scheduler) volume(id string, plan *Plan, schedulers int) *volume {
 	schedulers = max(schedulers, 1)
 	key := volumeKey{id, plan.Name}
@@ -48,7 +49,7 @@
 	return v
 }
 
-// refill brings the buckets and the usage of a volume up to date.
+// refill adds the tokens for the elapsed time to the buckets of a volume, and decays its usage.
 func (s *Scheduler) refill(v *volume) {
 	elapsed := s.now - v.refilledAt
 	v.refilledAt = s.now
@@ -60,18 +61,19 @@
 	v.usageLevel *= math.Exp(-elapsed / usageWindowMs)
 }
 
-// isLimitFull reports whether the rate limit's bucket is as that of a volume not seen before.
+// isLimitFull reports whether the bucket of the rate limit is full, as that of a volume without state
+// would be. Such a volume can be evicted without a change of its limit.
 func (v *volume) isLimitFull(now float64) bool {
 	filled := v.limit.tokens + v.plan.RateLimit/float64(v.schedulers)*(now-v.refilledAt)/1000
 	return v.plan.RateLimit == 0 || filled >= v.plan.LimitBurst/float64(v.schedulers)
 }
 
-// fairWeight is the volume's weight at this scheduler.
+// fairWeight returns the volume's weight in the fair sharing at this scheduler.
 func (v *volume) fairWeight() float64 {
 	return math.Max(v.plan.Weight, minPlanWeight) / float64(v.schedulers)
 }
 
-// chargeQuota ranks a request on arrival by the quota of its volume, and charges it.
+// chargeQuota sets the band of an arriving request by the quota of its volume, and charges the quota.
 func (s *Scheduler) chargeQuota(r *request) {
 	v := r.volume
 	s.refill(v)
@@ -86,15 +88,15 @@
 			sum, count = sum+other.usageLevel/other.fairWeight(), count+1
 		}
 	}
-	r.band, r.usageLevel = bandBurst, v.usageLevel/v.fairWeight()
-	if r.usageLevel <= maxFairUsageRatio*sum/count || v.usageLevel < r.units {
+	r.band, r.usageRank = bandBurst, v.usageLevel/v.fairWeight()
+	if r.usageRank <= maxFairUsageRatio*sum/count || v.usageLevel < r.units {
 		v.usageLevel += r.units
 		r.band = bandFairShare
 	}
 	r.chargedBand = r.band
 }
 
-// refund returns what a request that was not served had been charged.
+// refund returns the quota that an unserved request was charged.
 func (s *Scheduler) refund(r *request) {
 	switch r.chargedBand {
 	case bandReserved:
@@ -104,38 +106,38 @@
 	}
 }
 
-// lacksTokensForever reports whether the rate limit's bucket has too little for a request and is no
-// longer refilled.
-func (s *Scheduler) lacksTokensForever(r *request) bool {
+// cannotGetTokens reports whether the bucket of the rate limit has too few tokens for a request and is
+// no longer refilled.
+func (s *Scheduler) cannotGetTokens(r *request) bool {
 	return s.handedOver && r.volume.plan.RateLimit > 0 && !r.limitCharged && r.volume.limit.tokens < r.units
 }
 
-// HandOver tells the instance that another process of the same instance serves from now on, with
-// empty buckets of rate limits. This one's are no longer refilled: what they hold may be used, and a
-// request that would wait for more is rejected, as its client finds the other process. Together the
-// two never hold more tokens than one instance would.
+// HandOver notifies the instance that another process of the same instance has taken over, with empty
+// buckets of the rate limits. The buckets of this process are no longer refilled. Their remaining tokens
+// may be used, and a request that would have to wait for more is rejected, because its client can reach
+// the other process. Together the two processes never have more tokens than one instance would.
 func (s *Scheduler) HandOver() { s.handedOver = true }
 
-// unusedLimitTokens is what the rate limit of a volume unknown to this instance holds, over all
-// schedulers, since the first request of all or the last change of its plan.
+// unusedLimitTokens returns the tokens, over all schedulers, in the rate limit of a volume that has no
+// state at this instance. They accumulate from the first request of any volume, or on top of the
+// carryover from the last change of the plan.
 func (s *Scheduler) unusedLimitTokens(plan *Plan) float64 {
-	from, ok := s.limitCarryover[plan.Name]
+	carryover, ok := s.limitCarryover[plan.Name]
 	if !ok {
-		from.at = s.firstRequestAt
+		carryover.at = s.firstRequestAt
 	}
-	return math.Min(from.units+plan.RateLimit*(s.now-from.at)/1000, plan.LimitBurst)
+	return math.Min(carryover.units+plan.RateLimit*(s.now-carryover.at)/1000, plan.LimitBurst)
 }
 
-// replacePlans takes new plans. The buckets of rate limits keep what they hold: they were filled by
-// the old plan until now, and are filled by the new one from now on, so that no change gives tokens
-// that neither plan does.
+// replacePlans installs new plans. The buckets of rate limits are filled by the old plan until now and
+// by the new plan from now on. So a change never adds tokens that neither plan allows.
 func (s *Scheduler) replacePlans(plans []Plan) {
 	planByName, carryover := map[string]*Plan{}, map[string]timedUnits{}
 	for i := range plans {
 		p := &plans[i]
 		planByName[p.Name] = p
 		switch old := s.planByName[p.Name]; {
-		case math.IsInf(s.firstRequestAt, 1): // no bucket is filled yet
+		case math.IsInf(s.firstRequestAt, 1): // no bucket has been filled yet
 		case old == nil || old.RateLimit == 0:
 			carryover[p.Name] = timedUnits{at: s.now}
 		default:
@@ -150,13 +152,13 @@
 	}
 }
 
-// changePlan gives a volume another definition of its plan.
+// changePlan sets the new definition of a volume's plan.
 func (s *Scheduler) changePlan(v *volume, plan *Plan) {
 	if s.now-v.refilledAt >= usageWindowMs {
-		v.usageLevel = 0 // it no longer counted, and must not count again because of the refill
+		v.usageLevel = 0 // too old to count as active; the refill below must not make it count again
 	}
 	s.refill(v)
-	if v.plan.RateLimit == 0 { // its bucket was not maintained
+	if v.plan.RateLimit == 0 { // the bucket was not maintained without a limit
 		v.limit.tokens = 0
 	}
 	v.plan = plan
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// Reconfigure takes new settings into the running instance. A class whose definition is unchanged
-// keeps its weight and delay. A new or changed class starts with the mean weight; the old definition
-// is retired: it takes no new requests and stays with those that hold it. Plans are taken by name; a
-// volume of a plan that vanished keeps it until the volume is evicted or the plan comes back.
-func (s *Scheduler) Reconfigure(set Settings) error {
-	if err := checkSettings(&set); err != nil {
+// Reconfigure applies new settings to the running instance. A class whose definition is unchanged keeps
+// its weight and delay. A new or changed class starts with the mean weight. The old definition of a
+// changed or removed class is retired: it takes no new requests, and remains only for the requests that
+// still use it. Plans are matched by name. A volume of a removed plan keeps the old definition until the
+// volume is evicted or a plan of that name is added again.
+func (s *Scheduler) Reconfigure(settings Settings) error {
+	if err := checkSettings(&settings); err != nil {
 		return err
 	}
-	s.replacePlans(set.Plans)
-	s.settings = set
-	added := s.matchClasses(set.Classes)
-	kept := append(s.keptClasses(), added...)
-	s.replaceClasses(kept)
-	s.normalizeWeights(added, float64(len(set.Classes)))
+	s.replacePlans(settings.Plans)
+	s.settings = settings
+	added := s.matchClasses(settings.Classes)
+	remaining := append(s.collectClassesInUse(), added...)
+	s.replaceClasses(remaining)
+	s.normalizeWeights(added, float64(len(settings.Classes)))
 	return nil
 }
 
-// matchClasses makes classByName that of the new definitions, and returns the classes it had to make.
+// matchClasses rebuilds classByName from the new definitions, and returns the classes that it created.
 func (s *Scheduler) matchClasses(definitions []Class) (added []*class) {
 	matched := map[*class]bool{}
 	s.classByName = map[string]*class{}
@@ -43,44 +44,43 @@
 // isLive reports whether a class takes new requests.
 func (s *Scheduler) isLive(c *class) bool { return s.classByName[c.Name] == c }
 
-// keptClasses are the live classes and the retired ones that a request holds. The retired ones lose
-// their delay, so that they ask for no weight.
-func (s *Scheduler) keptClasses() []*class {
+// collectClassesInUse returns the live classes and the retired ones that a request still uses. It clears the
+// delay of retired classes, so that they request no weight.
+func (s *Scheduler) collectClassesInUse() []*class {
 	inUse := map[*class]bool{}
 	for _, r := range s.requests {
 		inUse[r.class] = true
 	}
-	kept := make([]*class, 0, len(s.classes))
+	remaining := make([]*class, 0, len(s.classes))
 	for _, c := range s.classes {
 		if s.isLive(c) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
-		c.dropDelay()
+		c.clearDelay()
 		if inUse[c] {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// dropRetiredClasses drops the retired classes that no request holds any more.
-func (s *Scheduler) dropRetiredClasses() {
+// removeRetiredClasses removes the retired classes that no request uses any more.
+func (s *Scheduler) removeRetiredClasses() {
 	if s.retiredClasses == 0 {
 		return
 	}
-	if kept := s.keptClasses(); len(kept) < len(s.classes) {
-		s.replaceClasses(kept)
+	if remaining := s.collectClassesInUse(); len(remaining) < len(s.classes) {
+		s.replaceClasses(remaining)
 	}
 }
 
-// replaceClasses makes the classes those given, in that order, and moves the class queues of each
-// shard with them.
+// replaceClasses replaces the list of classes, and reorders the class queues of each shard accordingly.
 func (s *Scheduler) replaceClasses(classes []*class) {
-	const isNew = -1
+	const noOldIndex = -1
 	oldIndex := make([]int, len(classes))
 	for i, c := range classes {
-		oldIndex[i] = isNew
+		oldIndex[i] = noOldIndex
 		if slices.Contains(s.classes, c) {
 			oldIndex[i] = c.index
 		}
@@ -88,7 +88,7 @@
 	for _, q := range s.queueByShard {
 		byClass, nextStart := make([][]*request, len(classes)), make([]float64, len(classes))
 		for i, old := range oldIndex {
-			if old == isNew {
+			if old == noOldIndex {
 				nextStart[i] = q.virtualTime
 				continue
 			}
@@ -103,7 +103,8 @@
 	s.retiredClasses = len(classes) - len(s.classByName)
 }
 
-// normalizeWeights gives added classes the mean weight, and scales the live ones to a sum of one.
+// normalizeWeights sets the weight of added classes to the mean, and scales the weights of the live
+// classes to a sum of one.
 func (s *Scheduler) normalizeWeights(added []*class, count float64) {
 	for _, c := range added {
 		c.weight = 1 / count
@@ -127,7 +128,7 @@
 	}
 }
 
-// summarizeClasses takes the mean priority weight and the tightest objective of the live classes.
+// summarizeClasses computes the mean priority weight and the tightest objective of the live classes.
 func (s *Scheduler) summarizeClasses(count float64) {
 	s.meanPriorityWeight, s.minObjective = 0, 0
 	for _, c := range s.classes {
@@ -141,7 +142,7 @@
 	}
 }
 
-// Classes names the classes that take new requests.
+// Classes returns the names of the classes that take new requests.
 func (s *Scheduler) Classes() []string {
 	names := make([]string, 0, len(s.classByName))
 	for _, c := range s.classes {
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,61 +5,61 @@
 	"slices"
 )
 
-// request is an admitted request that waits or has attempts in flight.
+// request is an admitted request that waits in a queue or has attempts in flight.
 type request struct {
 	id          string
 	class       *class
 	volume      *volume
 	key         string
-	origin      requestKey
+	clientKey   requestKey
 	units       float64
-	isNewObject bool // any shard may take it
+	isNewObject bool // may be placed on any shard
 	sequence    int  // order of admission
-	maxAttempts int  // by the settings it was admitted under
+	maxAttempts int  // by the settings that were in force at admission
 
-	startedAt     float64 // the client's first attempt, as far as known
+	startedAt     float64 // time of the client's first attempt, as far as known
 	isClientRetry bool
-	objectiveAt   float64 // answered later, it is late
-	deadline      float64 // the client disconnects
+	objectiveAt   float64 // the request is late if it is answered after this time
+	deadline      float64 // time at which the client disconnects
 
-	band        int     // what a unit still earns
-	usageLevel  float64 // use of its volume, for the order within a band
+	band        int     // priority band, such as bandReserved
+	usageRank   float64 // usage of its volume, for the order within a band
 	chargedBand int     // the band it was charged to on admission
 
 	queue              *shardQueue
 	queued             bool
-	waitedForAdmission bool // waited for a node to come, or for its volume's rate limit
+	waitedForAdmission bool // waited for a usable node, its ordered key, its volume's rate limit or the retry budget
 	limitCharged       bool // the rate limit was charged
 	done               bool
 	streaming          bool // the response has started
 
-	attempts          []attempt
-	openAttempts      int
-	mayHaveRunOn      *node   // not idempotent: where an attempt may have run
-	mayHaveRunSince   float64 // when that attempt was sent
-	attemptCancelled  bool    // the last attempt was cancelled at the objective
-	attemptLost       bool    // the last attempt was overtaken
-	nodeAnswersAtSend float64 // of the node, at the last send
-	inFlightAtSend    float64 // at the node, before the last send
+	attempts           []attempt
+	openAttempts       int
+	mayHaveRunOn       *node   // node of the last attempt that may have run; nil: no attempt may have run
+	mayHaveRunSince    float64 // when the first attempt that may have run was sent
+	attemptCancelled   bool    // the last attempt was cancelled at the objective
+	attemptWrittenOff  bool    // the last attempt was written off
+	nodeAnswersAtSend  float64 // answers received from the node before the last send
+	nodeInFlightAtSend float64 // requests in flight at the node before the last send
 }
 
 // attempt is one send of a request to a node.
 type attempt struct {
-	node   *node
-	sentAt float64
-	open   bool
-	lost   bool // written off
+	node       *node
+	sentAt     float64
+	open       bool
+	writtenOff bool // it no longer counts as in flight, though its outcome is unknown
 }
 
-// requestKey identifies what a client asked for, over its own retries.
+// requestKey identifies a client's request across the client's own retries.
 type requestKey struct{ class, volume, key string }
 
-// unservedRequest is a request that ended unserved, and whose client may retry.
-type unservedRequest struct{ startedAt, endsAt float64 }
+// unservedRequest records a request that ended unserved and whose client may retry it.
+type unservedRequest struct{ startedAt, deadline float64 }
 
 func (r *request) lastSentAt() float64 { return r.attempts[len(r.attempts)-1].sentAt }
 
-// finish forgets a request, once none of its attempts is open.
+// finish marks a request as done, and removes it from the state once none of its attempts is open.
 func (s *Scheduler) finish(r *request) {
 	if r.queued {
 		s.dequeue(r)
@@ -69,46 +69,46 @@
 		return
 	}
 	delete(s.requests, r.id)
-	s.leaveOrderedKey(r)
+	s.removeFromOrderedKey(r)
 }
 
-// rememberUnserved keeps the start of a request that ended unserved, as its client may retry.
-func (s *Scheduler) rememberUnserved(r *request) {
-	if r.origin.key != "" {
-		s.unserved[r.origin] = unservedRequest{r.startedAt, math.Max(r.deadline, s.unserved[r.origin].endsAt)}
+// recordUnserved records a request that ended unserved, so that a retry by its client is recognized.
+func (s *Scheduler) recordUnserved(r *request) {
+	if r.clientKey.key != "" {
+		s.unserved[r.clientKey] = unservedRequest{r.startedAt, math.Max(r.deadline, s.unserved[r.clientKey].deadline)}
 	}
 }
 
-// orderedKey is the line of the requests that share an ordered key.
-type orderedKey struct {
+// orderedKeyQueue holds the requests that share an ordered key, in order of admission.
+type orderedKeyQueue struct {
 	lastRequestAt float64
-	waiting       []*request // the first one may be sent
+	requests      []*request // only the first one may be sent
 	backoffUntil  float64
 }
 
-// joinOrderedKey puts a request at the end of its key's line.
-func (s *Scheduler) joinOrderedKey(r *request) {
+// addToOrderedKey appends a request to the queue of its ordered key, if it has one.
+func (s *Scheduler) addToOrderedKey(r *request) {
 	if !r.class.Ordered || r.key == "" {
 		return
 	}
 	key := s.orderedKeys[r.key]
 	if key == nil {
-		key = &orderedKey{}
+		key = &orderedKeyQueue{}
 		s.orderedKeys[r.key] = key
 	}
-	key.waiting, key.lastRequestAt = append(key.waiting, r), s.now
+	key.requests, key.lastRequestAt = append(key.requests, r), s.now
 }
 
-// leaveOrderedKey takes a request out of its key's line.
-func (s *Scheduler) leaveOrderedKey(r *request) {
+// removeFromOrderedKey removes a request from the queue of its ordered key.
+func (s *Scheduler) removeFromOrderedKey(r *request) {
 	key := s.orderedKeys[r.key]
 	if key == nil || !r.class.Ordered {
 		return
 	}
-	if at := slices.Index(key.waiting, r); at >= 0 {
-		key.waiting = slices.Delete(key.waiting, at, at+1)
+	if at := slices.Index(key.requests, r); at >= 0 {
+		key.requests = slices.Delete(key.requests, at, at+1)
 	}
-	if len(key.waiting) == 0 && s.now >= key.backoffUntil {
+	if len(key.requests) == 0 && s.now >= key.backoffUntil {
 		delete(s.orderedKeys, r.key)
 	}
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	sweepIntervalMs     = 10.0   // how often waiting requests are reviewed
-	tickIntervalMs      = 500.0  // adaptation, list polls and eviction
-	heartbeatIntervalMs = 100.0  // the heartbeat shows stalls of this scheduler
+	sweepIntervalMs     = 10.0   // interval between reviews of the waiting requests
+	tickIntervalMs      = 500.0  // interval of adaptation, list polls and eviction
+	heartbeatIntervalMs = 100.0  // interval of the timer that detects stalls of this scheduler
 	idleEvictionMs      = 60e3   // a volume or key without requests for this long is evicted
-	logIntervalMs       = 1000.0 // at most one log line in this time
+	logIntervalMs       = 1000.0 // minimum interval between log lines
 )
 
 // Tags of the timers.
@@ -22,7 +22,7 @@
 	heartbeatTimer = "beat"
 )
 
-// Scheduler is one instance. It knows only what its own events reported.
+// Scheduler is one instance. All it knows comes from its settings and its own events.
 type Scheduler struct {
 	settings     Settings
 	rng          *rand.Rand
@@ -31,74 +31,75 @@
 	lastLogAt    float64
 	stall        stallDetector
 	list         listPoller
-	handedOver   bool // another process of this instance refills the rate limits now
+	handedOver   bool // another process of this instance has taken over and refills the rate limits
 	minObjective float64
 
 	requests       map[string]*request
 	firstRequestAt float64 // infinite before the first request
 	lastSequence   int
 	unserved       map[requestKey]unservedRequest
-	orderedKeys    map[string]*orderedKey
+	orderedKeys    map[string]*orderedKeyQueue
 	retries        retryBudget
 
 	queueByShard  map[int]*shardQueue
-	shardQueues   []*shardQueue // by shard
-	busyQueues    []*shardQueue // those with requests waiting or in flight, by shard
+	shardQueues   []*shardQueue // sorted by shard
+	busyQueues    []*shardQueue // those with requests waiting or in flight, sorted by shard
 	waitingCount  int
 	sweepTimerSet bool
 
 	classes            []*class
-	classByName        map[string]*class // those that take new requests
-	retiredClasses     int               // classes kept only for the requests that hold them
+	classByName        map[string]*class // the classes that take new requests
+	retiredClasses     int               // number of classes that remain only for the requests that still use them
 	meanPriorityWeight float64
 	nextAdaptAt        float64
 	adaptInterval      float64
-	nodeStalled        bool // a node stalled in this adaptation interval
+	nodeStalled        bool // a node stalled during this adaptation interval
 
 	planByName     map[string]*Plan
-	limitCarryover map[string]timedUnits // by plan: tokens of an unknown volume's limit at the last change of plans
+	limitCarryover map[string]timedUnits // by plan: tokens that the limit of a volume without state had at the last change of plans
 	volumes        map[volumeKey]*volume
-	volumeOrder    []*volume // by first request
+	volumeOrder    []*volume // in order of their first requests
 
 	nodeByID          map[string]*node
-	listedNodes       []*node // by id
+	listedNodes       []*node // sorted by id
 	poolLatency       latencyEstimator
-	schedulersPerNode float64 // estimate of the schedulers that work with one node
+	schedulersPerNode float64 // estimated number of schedulers that send requests to one node
 	slowStart         slowStartAllowance
 }
 
-// New checks the settings and makes an instance.
-func New(set Settings, seed int64) (*Scheduler, error) {
-	if err := checkSettings(&set); err != nil {
+// New checks the settings and returns a new instance.
+func New(settings Settings, seed int64) (*Scheduler, error) {
+	if err := checkSettings(&settings); err != nil {
 		return nil, err
 	}
 	s := &Scheduler{
-		settings: set, rng: rand.New(rand.NewSource(seed)), now: math.NaN(), firstRequestAt: math.Inf(1),
+		settings: settings, rng: rand.New(rand.NewSource(seed)), now: math.NaN(), firstRequestAt: math.Inf(1),
 		requests: map[string]*request{}, unserved: map[requestKey]unservedRequest{},
-		orderedKeys: map[string]*orderedKey{}, queueByShard: map[int]*shardQueue{},
+		orderedKeys: map[string]*orderedKeyQueue{}, queueByShard: map[int]*shardQueue{},
 		classByName: map[string]*class{}, planByName: map[string]*Plan{}, volumes: map[volumeKey]*volume{},
 		nodeByID: map[string]*node{}, poolLatency: latencyEstimator{learnedAt: math.Inf(-1)},
-		schedulersPerNode: float64(set.Schedulers), list: listPoller{backoff: minPollBackoffMs},
+		schedulersPerNode: float64(settings.Schedulers), list: listPoller{backoff: minPollBackoffMs},
 		adaptInterval: ticksPerAdaptation * tickIntervalMs,
 	}
-	for i := range set.Plans {
-		s.planByName[set.Plans[i].Name] = &set.Plans[i]
+	for i := range settings.Plans {
+		s.planByName[settings.Plans[i].Name] = &settings.Plans[i]
 	}
-	for i := range set.Classes {
-		c := &class{Class: set.Classes[i], index: i, weight: 1 / float64(len(set.Classes))} // shares start equal
+	for i := range settings.Classes {
+		c := &class{Class: settings.Classes[i], index: i, weight: 1 / float64(len(settings.Classes))} // shares start equal
 		s.classes = append(s.classes, c)
 		s.classByName[c.Name] = c
 	}
-	s.summarizeClasses(float64(len(set.Classes)))
+	s.summarizeClasses(float64(len(settings.Classes)))
 	return s, nil
 }
 
-// Step takes the time and the events that came at it, and appends actions. It does not block.
+// Step processes the events that arrived by the time now and appends the resulting actions. It does
+// not block.
 func (s *Scheduler) Step(now float64, events []Event, actions []Action) []Action {
 	isFirst := math.IsNaN(s.now)
 	s.now, s.actions = math.Max(now, s.now), actions
 	if isFirst {
-		s.begin(now)
+		s.initialize(now)
 	}
 	s.detectStall(events)
 	for i := range events {
@@ -112,9 +113,10 @@
 	return s.actions
 }
 
-// begin sets the times that count from the first step. The first adaptation is spread by chance:
-// schedulers that start together would otherwise move their weights together, and overshoot.
-func (s *Scheduler) begin(now float64) {
+// initialize sets the times that count from the first step. The time of the first adaptation is
+// randomized, because schedulers that start together would otherwise change their weights together
+// and overshoot.
+func (s *Scheduler) initialize(now float64) {
 	s.now = now
 	s.nextAdaptAt = now + s.adaptInterval*(0.5+s.rng.Float64())
 	s.lastLogAt, s.list.nextPollAt, s.stall.lastEndAt = now, now, now
@@ -139,7 +141,7 @@
 		s.applyList(ev)
 	case TimerFired:
 		s.handleTimer(ev.Tag)
-	case GossipReceived, HealthCheckEnded: // this policy asks for neither
+	case GossipReceived, HealthCheckEnded: // this package sends neither gossip nor health checks
 	}
 }
 
@@ -159,13 +161,13 @@
 	s.setTimer(heartbeatTimer, heartbeatIntervalMs)
 }
 
-// tick does the work of each tick: it polls the list, evicts what is idle, and adapts when due.
+// tick polls the list, evicts idle state, and adapts the class weights when that is due.
 func (s *Scheduler) tick() {
 	s.setTimer(tickTimer, tickIntervalMs)
 	s.pollList()
 	s.evictIdle(idleEvictionMs)
-	// On average, the share of the nodes that one scheduler's requests name is the share of the
-	// schedulers that work with one node.
+	// On average, the share of the nodes that one scheduler sends requests to equals the share of
+	// the schedulers that send requests to one node.
 	read, all := s.countReadShards(s.now - shardReadWindowMs)
 	s.schedulersPerNode = math.Max(1, float64(s.settings.Schedulers)*read/math.Max(all, 1))
 	if s.now >= s.nextAdaptAt {
@@ -173,9 +175,9 @@
 	}
 }
 
-// evictIdle drops what was not used for a duration, so that memory stays bounded.
+// evictIdle removes state that was not used for a duration, so that memory stays bounded.
 func (s *Scheduler) evictIdle(idleMs float64) {
-	s.dropRetiredClasses()
+	s.removeRetiredClasses()
 	isIdle := func(v *volume) bool { return s.now-v.refilledAt > idleMs && v.isLimitFull(s.now) }
 	s.volumeOrder = slices.DeleteFunc(s.volumeOrder, isIdle)
 	for key, v := range s.volumes {
@@ -184,20 +186,20 @@
 		}
 	}
 	for key, u := range s.unserved {
-		if c := s.classByName[key.class]; c == nil || s.now > u.endsAt && s.now-u.startedAt > c.Deadline {
+		if c := s.classByName[key.class]; c == nil || s.now > u.deadline && s.now-u.startedAt > c.Deadline {
 			delete(s.unserved, key)
 		}
 	}
 	s.retries.expireRequests(s.now, s.settings.RetryBudgetWindow)
 	for name, key := range s.orderedKeys {
-		if len(key.waiting) == 0 && s.now-key.lastRequestAt > idleMs && s.now > key.backoffUntil {
+		if len(key.requests) == 0 && s.now-key.lastRequestAt > idleMs && s.now > key.backoffUntil {
 			delete(s.orderedKeys, name)
 		}
 	}
 }
 
-// RequestCount is how many requests the instance holds: open ones, and ended ones of which an
-// attempt is still in flight.
+// RequestCount returns the number of requests that the instance holds. These are open requests, and
+// ended requests that still have an attempt in flight.
 func (s *Scheduler) RequestCount() int { return len(s.requests) }
 
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -27,7 +27,7 @@
 	r := newHarness(t, set)
 	n := r.s.nodeByID["a"]
 	r.s.beginSlowStart(n, r.now)
-	r.s.slowStart.dueAt, r.s.slowStart.left = r.now+10e3, 1 // an allowance for one request, none in the next span
+	r.s.slowStart.renewAt, r.s.slowStart.remaining = r.now+10e3, 1 // an allowance for one request, none in the next span
 	if acts := r.step(call("x", "safe", 0, 3000)); countActions(acts, Send) != 1 {
 		t.Fatalf("no first turn: %v", acts)
 	}
--- a/policy/status.go
+++ b/policy/status.go
@@ -1,16 +1,16 @@
 package policy
 
-// NodeStatus is what this instance thinks of one listed node.
+// NodeStatus is the status of one listed node at this instance.
 type NodeStatus struct {
 	ID        string
-	StartTime float64 // the incarnation that the figures are of
-	Window    float64 // requests that may be in flight there; 0: nothing new is sent to it
+	StartTime float64 // identifies the incarnation of the node
+	Window    float64 // requests that may be in flight at the node; 0: it gets no new requests
 	Queue     float64 // its share of the requests that wait for its shard
 }
 
-// NodeStatuses returns the status of nodes, in the order of their ids and at most so many. What waits
-// for a shard is divided among the shard's nodes by their windows; new objects, which any shard may
-// take, count for no node. It decides nothing.
+// NodeStatuses returns the status of at most limit nodes, in order of their ids. The requests that wait
+// for a shard are divided among the shard's nodes in proportion to their windows. New objects without a
+// shard count for no node. The result is for status output only.
 func (s *Scheduler) NodeStatuses(limit int) []NodeStatus {
 	statuses := make([]NodeStatus, 0, max(0, min(limit, len(s.listedNodes))))
 	for _, n := range s.listedNodes {
@@ -30,7 +30,7 @@
 	return statuses
 }
 
-// waitingFor is the share of the waiting requests that is expected to go to one of the nodes.
+// waitingFor returns the share of the waiting requests that is expected to go to a node of the queue.
 func (q *shardQueue) waitingFor(n *node) float64 {
 	waiting := float64(q.waitingCount())
 	if waiting == 0 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,91 +1,91 @@
 package policy
 
-// Settings is what an instance knows at its start. Times and durations are in milliseconds.
+// Settings configures an instance. Times and durations are in milliseconds.
 type Settings struct {
 	Instance, Schedulers int
 	Zone                 string
 	Classes              []Class
 	Plans                []Plan
 	MeanUnits            float64 // mean units of a request
-	MaxUnits             float64 // most units of a request
-	Shards               int     // shards in all, 0: unknown
-	SlowStartUnits       float64 // units a node bears at its start from all schedulers within OverloadWindow
-	UsageMeterPeriod     float64 // period of the usage meter, 0: none
-	ReportsPeerUsage     bool    // answers carry units served through other schedulers
-	PollsEndpointList    bool    // the endpoint list must be asked for
-	MaxAttempts          int     // per request, the first one included
+	MaxUnits             float64 // maximum units of a request
+	Shards               int     // total number of shards; 0: unknown
+	SlowStartUnits       float64 // units that a node can take right after its start from all schedulers within OverloadWindow
+	UsageMeterPeriod     float64 // period of the usage meter; 0: there is no meter
+	ReportsPeerUsage     bool    // answers carry the units served through other schedulers
+	PollsEndpointList    bool    // the endpoint list must be polled; it is not pushed
+	MaxAttempts          int     // per request, including the first one
 	MayHedge             bool
 	MayCancel            bool
 	MayCheckHealth       bool
 	MayGossip            bool // messages to peers are allowed
 	SendsRetryAfter      bool // rejected clients receive a Retry-After
 	MaxRetryAfter        float64
-	DrainGrace           float64 // a draining node stops after this time
+	DrainGrace           float64 // time from the drain report until the node may stop
 	PollWithin           float64 // staleness bound of the endpoint list
-	SlowStartShare       float64 // least share of its capacity that a node has at its start
-	SlowStartDuration    float64 // time after which a node is warm
-	OverloadMultiple     float64 // a cold node is overloaded past this multiple of its capacity
-	OverloadWindow       float64 // if it is sent that much for this long
+	SlowStartShare       float64 // minimum share of its full capacity that a node has at its start
+	SlowStartDuration    float64 // time after its start at which a node is warmed up
+	OverloadMultiple     float64 // a node in slow start is overloaded above this multiple of its capacity
+	OverloadWindow       float64 // time over which that load is measured
 	OrderedKeyBackoff    float64 // backoff of an ordered key after an attempt that may have run
-	RetryBudgetShare     float64 // retries per request admitted; with RetryBudgetWindow 0: no budget
-	RetryBudgetMin       float64 // retries allowed in any case
-	RetryBudgetWindow    float64
+	RetryBudgetShare     float64 // retries allowed per admitted request
+	RetryBudgetMin       float64 // retries allowed in every window regardless of the number of requests
+	RetryBudgetWindow    float64 // time window of the retry budget; 0: retries have no budget
 }
 
-// Effect tells how often a request of a class may run.
+// Effect tells whether a request of a class may run more than once.
 type Effect int
 
-// The effects: repeatable freely, repeatable within a deduplication scope, at most once.
+// The effects.
 const (
-	Idempotent Effect = iota
-	IdempotentByKey
-	NonIdempotent
+	Idempotent      Effect = iota // may run any number of times
+	IdempotentByKey               // may be repeated within its deduplication scope and window
+	NonIdempotent                 // may run at most once
 )
 
 // DedupScope tells which nodes discard repeats of a request that is idempotent by key.
 type DedupScope int
 
-// The deduplication scopes: every node, those of one zone, those of one shard.
+// The deduplication scopes.
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupShard
+	DedupAll   DedupScope = iota // all nodes
+	DedupZone                    // the nodes of the zone of the first attempt
+	DedupShard                   // the nodes of the shard of the first attempt
 )
 
 // Class is a request class.
 type Class struct {
 	Name               string
 	LatencyObjective   float64 // ms
-	ObjectiveStretch   float64 // the objective grows to this multiple of the request's own work, 0: it does not
+	ObjectiveStretch   float64 // the objective grows to this multiple of the request's own work; 0: it is fixed
 	Deadline           float64 // ms
 	PriorityWeight     float64
 	LatePriorityWeight float64 // priority weight past the objective
 	Effect             Effect
 	DedupScope         DedupScope
-	DedupWindow        float64 // idempotent by key: how long repeats are discarded, ms
-	Ordered            bool    // requests with one key run one after another
-	Stream             bool
+	DedupWindow        float64 // time during which nodes discard repeats of a request that is idempotent by key, ms
+	Ordered            bool    // requests with the same key run one after another
+	Stream             bool    // responses are streamed
 }
 
-// Plan holds the figures of each volume on it, over all schedulers and nodes.
+// Plan holds the quota of each volume on the plan, over all schedulers and nodes.
 type Plan struct {
 	Name         string
 	Rate         float64 // units per second that the volume is sized for
 	ReservedRate float64 // units per second at full priority weight
-	Weight       float64 // fair share beyond the reserved rate
+	Weight       float64 // weight in the fair sharing of the capacity beyond the reserved rates
 	Price        float64
-	RateLimit    float64 // units per second, 0: none
-	LimitBurst   float64 // units
+	RateLimit    float64 // units per second; 0: no limit
+	LimitBurst   float64 // units that the rate limit allows at once
 }
 
-// NodeState is what the endpoint list reports of a node.
+// NodeState is the state of a node in the endpoint list.
 type NodeState int
 
 // The node states.
 const (
 	NodeUp NodeState = iota
 	NodeDraining
-	NodeExcluded // gets no new work at once: excluded by an operator, or for one request
+	NodeExcluded // gets no new work from now on: excluded by an operator, or for one request
 	NodeRemoved
 )
 
@@ -95,7 +95,7 @@
 	Shard     int
 	State     NodeState
 	Weight    float64
-	StartTime float64 // of its incarnation, 0: long ago
+	StartTime float64 // when this incarnation of the node started; 0: long ago
 }
 
 // EventKind tells which fields of an Event are set.
@@ -108,9 +108,9 @@
 	ResponseStarted                     // ID, Attempt: a streamed response has started
 	ClientDisconnected                  // ID
 	ListReceived                        // Nodes: the complete list
-	CachedListLoaded                    // Nodes: the complete list as last persisted, perhaps outdated
+	CachedListLoaded                    // Nodes: the complete list as last persisted, possibly outdated
 	ListChanged                         // Nodes: the changed entries
-	ListFailed                          // a call to the list failed, or the subscription broke
+	ListFailed                          // a call for the list failed, or the subscription ended
 	TimerFired                          // Tag
 	GossipReceived                      // From, Data: a peer's message
 	HealthCheckEnded                    // Node, Status, Latency, Load
@@ -119,32 +119,32 @@
 // Status is how an attempt ended.
 type Status int
 
-// The statuses. NodeFull, ConnectFailed and Abandoned prove that the attempt never ran.
+// The statuses. After NodeFull, ConnectFailed or Abandoned it is certain that the attempt never ran.
 const (
 	OK Status = iota
 	Errored
-	NodeFull
+	NodeFull // the node rejected the attempt because it is full
 	TimedOut
 	ConnectFailed
 	ConnectionReset
 	Cancelled
-	Abandoned
+	Abandoned // dropped before it was sent to the node
 )
 
 // Request is an arriving request.
 type Request struct {
 	ID, Class, Plan, Key, Volume string
-	Deadline                     float64 // the client disconnects at this time
+	Deadline                     float64 // time at which the client disconnects
 	Units                        float64
-	Shard                        int // negative: a new object, which any shard may take
-	Schedulers                   int // through which the volume's requests come
-	ClientRetry                  bool
+	Shard                        int  // negative: a new object, which may be placed on any shard
+	Schedulers                   int  // number of schedulers through which the volume's requests arrive
+	ClientRetry                  bool // the client marked the request as a retry
 }
 
-// Load is a node's load report; a negative figure is absent.
+// Load is a node's load report. A negative value means that the report does not have it.
 type Load struct{ Inflight, Queue, Util float64 }
 
-// Event is one thing that happened to this instance.
+// Event is an input of the instance.
 type Event struct {
 	Kind      EventKind
 	Request   Request
@@ -153,8 +153,8 @@
 	Node      string
 	Status    Status
 	Latency   float64 // ms
-	Finished  bool    // the client got its answer
-	PlanUsage float64 // 1 + percent of the plan's rate served everywhere, 0: none
+	Finished  bool    // the client received its answer
+	PlanUsage float64 // 1 + percent of the plan's rate that all schedulers served; 0: not reported
 	PeerUsage float64 // units served through other schedulers since the last answer
 	Load      *Load
 	Nodes     []Node
@@ -173,20 +173,20 @@
 	Fail                          // ID
 	Cancel                        // ID, Attempt
 	SetTimer                      // Wait, Tag
-	Subscribe                     // to changes of the endpoint list
-	RequestList                   // the complete list, once
+	Subscribe                     // requests the changes of the endpoint list
+	RequestList                   // requests the complete list once
 	CheckHealth                   // Node
-	Gossip                        // Data, to every peer
+	Gossip                        // Data: a message to every peer
 	Log                           // Text
 )
 
-// Action is one thing the instance does.
+// Action is an output of the instance.
 type Action struct {
 	Kind     ActionKind
 	ID       string
 	Node     string
 	Deadline float64
-	StartBy  float64 // the attempt may not begin later; 0: no bound but Deadline
+	StartBy  float64 // latest time at which the attempt may begin; 0: only Deadline limits it
 	Attempt  int
 	Wait     float64 // ms
 	Tag      string
