--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs many instances of the decision module for the simulator: it reads batches of
-// events on standard input and writes the actions on standard output. Warnings go to standard
-// error. A malformed line ends it with exit code 1; an instance that fails is reported as broken.
+// Command simhost runs many schedulers for the simulator. It reads batches of events from standard input
+// and writes the resulting actions to standard output. Warnings go to standard error. A malformed line
+// ends the program with exit code 1. An instance that fails is reported to the simulator as broken.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"wheatsaddle/policy"
 )
 
-const readBufferBytes = 64 << 10 // longer lines are read as well
+const readBufferBytes = 64 << 10 // does not limit the length of a line
 
 func main() {
 	if err := newServer(os.Stderr).serve(os.Stdin, os.Stdout); err != nil {
@@ -26,38 +26,38 @@
 
 // server holds the running instances, the numbered node lists and the current batch.
 type server struct {
-	running  map[string]*policy.Scheduler
-	lists    map[int][]policy.Node
-	warnings io.Writer
-	batch    batch
+	instances map[string]*policy.Scheduler
+	lists     map[int][]policy.Node
+	warnings  io.Writer
+	batch     batch
 }
 
-// batch collects the events of each instance until the simulator hands over.
+// batch collects the events of each instance until the simulator ends the batch.
 type batch struct {
-	clock float64         // ms
-	jobs  []*job          // in the order in which their instances were first named
-	open  map[string]*job // of jobs, by instance
-	reply []byte
+	clock         float64         // ms
+	jobs          []*job          // in order of creation
+	jobByInstance map[string]*job // the jobs that still accept events
+	reply         []byte
 }
 
-// job is one instance's events of a batch. An instance that is killed and started again within one
-// batch has two jobs.
+// job holds the events of one instance in a batch. An instance that is killed and started again within
+// a batch has two jobs.
 type job struct {
 	instance  string
-	scheduler *policy.Scheduler // nil: it was killed within this batch
+	scheduler *policy.Scheduler // nil: the instance was killed within this batch
 	events    []policy.Event
 }
 
 func newServer(warnings io.Writer) *server {
 	return &server{
-		running:  map[string]*policy.Scheduler{},
-		lists:    map[int][]policy.Node{},
-		warnings: warnings,
-		batch:    batch{open: map[string]*job{}},
+		instances: map[string]*policy.Scheduler{},
+		lists:     map[int][]policy.Node{},
+		warnings:  warnings,
+		batch:     batch{jobByInstance: map[string]*job{}},
 	}
 }
 
-// serve answers batches until the input ends. A malformed line is an error.
+// serve answers batches until the end of the input. A malformed line is an error.
 func (s *server) serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferBytes)
 	for {
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleLine applies one line to the batch. The last line of a batch has it answered.
+// handleLine applies one line to the batch. After the last line of a batch it writes the reply.
 func (s *server) handleLine(text []byte, out io.Writer) error {
 	line, err := simwire.Decode(text)
 	if err != nil {
@@ -95,7 +95,7 @@
 	case simwire.InstanceEvent:
 		s.addEvent(line)
 	case simwire.BatchEnd:
-		return s.answer(out)
+		return s.answerBatch(out)
 	}
 	return nil
 }
@@ -103,30 +103,30 @@
 func (s *server) start(line simwire.Line) {
 	scheduler, err := policy.New(line.Settings, line.Seed)
 	if err != nil {
-		s.batch.reply = simwire.EncodeBroken(s.batch.reply, line.Instance, err.Error())
+		s.batch.reply = simwire.EncodeInstanceFailure(s.batch.reply, line.Instance, err.Error())
 		return
 	}
-	s.running[line.Instance] = scheduler
+	s.instances[line.Instance] = scheduler
 	s.batch.addJob(line.Instance, scheduler)
 }
 
-// kill ends an instance, and drops what it has not answered yet.
+// kill ends an instance, and drops its events of this batch.
 func (s *server) kill(instance string) {
-	delete(s.running, instance)
-	if j := s.batch.open[instance]; j != nil {
+	delete(s.instances, instance)
+	if j := s.batch.jobByInstance[instance]; j != nil {
 		j.scheduler = nil
-		delete(s.batch.open, instance)
+		delete(s.batch.jobByInstance, instance)
 	}
 }
 
-// addEvent adds an event to its instance's job. If the instance does not run, the event is dropped
-// with a warning.
+// addEvent adds an event to the job of its instance. If the instance is not running, it drops the event
+// and writes a warning.
 func (s *server) addEvent(line simwire.Line) {
-	j := s.batch.open[line.Instance]
+	j := s.batch.jobByInstance[line.Instance]
 	if j == nil {
-		scheduler := s.running[line.Instance]
+		scheduler := s.instances[line.Instance]
 		if scheduler == nil {
-			fmt.Fprintf(s.warnings, "simhost: %s for %q, which is not running: dropped\n", line.Word, line.Instance)
+			fmt.Fprintf(s.warnings, "simhost: dropped %s for instance %q, which is not running\n", line.Word, line.Instance)
 			return
 		}
 		j = s.batch.addJob(line.Instance, scheduler)
@@ -137,42 +137,42 @@
 	j.events = append(j.events, line.Event)
 }
 
-// answer runs the batch's jobs, writes the reply and begins the next batch.
-func (s *server) answer(out io.Writer) error {
+// answerBatch runs the jobs of the batch, writes the reply and starts the next batch.
+func (s *server) answerBatch(out io.Writer) error {
 	b := &s.batch
 	for _, j := range b.jobs {
 		b.reply = j.run(b.clock, b.reply)
 	}
-	b.reply = append(b.reply, simwire.End...)
+	b.reply = append(b.reply, simwire.ReplyEnd...)
 	if _, err := out.Write(b.reply); err != nil {
 		return err
 	}
 	b.jobs, b.reply = b.jobs[:0], b.reply[:0]
-	clear(b.open)
+	clear(b.jobByInstance)
 	return nil
 }
 
 func (b *batch) addJob(instance string, scheduler *policy.Scheduler) *job {
 	j := &job{instance: instance, scheduler: scheduler}
-	b.open[instance] = j
+	b.jobByInstance[instance] = j
 	b.jobs = append(b.jobs, j)
 	return j
 }
 
-// run steps the scheduler and appends its actions to the reply. If the scheduler panics, its instance
-// is reported as broken instead.
-func (j *job) run(clock float64, reply []byte) (res []byte) {
+// run passes the events to the scheduler and appends its actions to the reply. If the scheduler panics,
+// the reply reports the instance as broken instead.
+func (j *job) run(clock float64, reply []byte) (result []byte) {
 	if j.scheduler == nil {
 		return reply
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			res = simwire.EncodeBroken(reply, j.instance, fmt.Sprint(p))
+			result = simwire.EncodeInstanceFailure(reply, j.instance, fmt.Sprint(p))
 		}
 	}()
-	res = reply
+	result = reply
 	for _, a := range j.scheduler.Step(clock, j.events, nil) {
-		res = simwire.Encode(res, j.instance, a)
+		result = simwire.Encode(result, j.instance, a)
 	}
-	return res
+	return result
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,8 +1,8 @@
 // Package simwire translates between the simulator's JSON lines and the types of package policy.
 //
-// Each line is an array whose first value is a word that names the message. The simulator's words and
-// setting names are known in this package alone. Unknown words are reported as such and are no
-// error; a known word with malformed values is. The package decides nothing and keeps no state.
+// Each line is an array whose first value is a word that names the message. Only this package knows the
+// simulator's words and setting names. A line with an unknown word is decoded as UnknownLine. A line
+// with a known word and malformed values is an error. The package makes no decisions and has no state.
 package simwire
 
 import (
@@ -13,14 +13,14 @@
 	"wheatsaddle/policy"
 )
 
-// LineKind tells what a line asks for, and which fields of a Line are set besides Word.
+// LineKind tells what a line means, and which fields of a Line are set besides Word.
 type LineKind int
 
-// The kinds of lines.
+// The kinds of lines, with the fields that they set.
 const (
 	UnknownLine   LineKind = iota
 	BatchStart             // Clock
-	BatchEnd               // the batch is to be answered
+	BatchEnd               // none; the batch must be answered
 	InstanceStart          // Instance, Seed, Settings
 	InstanceKill           // Instance
 	NodeList               // ListID, Nodes
@@ -38,10 +38,10 @@
 	Event    policy.Event
 	ListID   int
 	Nodes    []policy.Node
-	HasList  bool // the event's nodes are those of list ListID
+	HasList  bool // the nodes of the event are those of the list ListID
 }
 
-// UnknownWordError reports a value that is none of the words its place allows.
+// UnknownWordError reports a value that is not one of the allowed words.
 type UnknownWordError struct{ Word string }
 
 func (e *UnknownWordError) Error() string { return fmt.Sprintf("unknown word %q", e.Word) }
@@ -66,21 +66,21 @@
 	}
 )
 
-// clientRetryBit marks a client's own retry in the bits of a request.
-const clientRetryBit = 2
+// clientRetryFlag marks a retry by the client in the flags of a request.
+const clientRetryFlag = 2
 
 // Decode reads one line. On an error the line is not valid.
 func Decode(text []byte) (Line, error) {
 	var values []json.RawMessage
 	var line Line
 	if err := json.Unmarshal(text, &values); err != nil {
-		return line, fmt.Errorf("not a JSON array: %w", err)
+		return line, fmt.Errorf("line is not a JSON array: %w", err)
 	}
 	if len(values) == 0 {
-		return line, errors.New("an empty array")
+		return line, errors.New("line is an empty array")
 	}
 	if err := json.Unmarshal(values[0], &line.Word); err != nil {
-		return line, fmt.Errorf("no name: %w", err)
+		return line, fmt.Errorf("line has no name: %w", err)
 	}
 	if err := line.decode(values[1:]); err != nil {
 		return line, fmt.Errorf("%s: %w", line.Word, err)
@@ -92,7 +92,7 @@
 	switch l.Word {
 	case "ROUND":
 		l.Kind = BatchStart
-		return scan(values, 1, &l.Clock)
+		return decodeValues(values, 1, &l.Clock)
 	case "OVER_TO_YOU":
 		l.Kind = BatchEnd
 		return nil
@@ -101,7 +101,7 @@
 		return l.decodeStart(values)
 	case "CRASH_NOW":
 		l.Kind = InstanceKill
-		return scan(values, 1, &l.Instance)
+		return decodeValues(values, 1, &l.Instance)
 	case "LEDGER":
 		l.Kind = NodeList
 		return l.decodeNodeList(values)
@@ -112,7 +112,7 @@
 
 func (l *Line) decodeStart(values []json.RawMessage) error {
 	var raw json.RawMessage
-	if err := scan(values, 3, &l.Instance, &l.Seed, &raw); err != nil {
+	if err := decodeValues(values, 3, &l.Instance, &l.Seed, &raw); err != nil {
 		return err
 	}
 	var err error
@@ -122,17 +122,17 @@
 
 func (l *Line) decodeNodeList(values []json.RawMessage) error {
 	var entries [][]json.RawMessage
-	if err := scan(values, 2, &l.ListID, &entries); err != nil {
+	if err := decodeValues(values, 2, &l.ListID, &entries); err != nil {
 		return err
 	}
 	for _, entry := range entries {
 		var n policy.Node
 		var kind, state string
-		err := scan(entry, 6, &n.ID, &n.Zone, &kind, &n.Shard, &state, &n.Weight, &n.StartTime)
+		err := decodeValues(entry, 6, &n.ID, &n.Zone, &kind, &n.Shard, &state, &n.Weight, &n.StartTime)
 		if err != nil {
 			return err
 		}
-		if n.State, err = find(nodeStates, state); err != nil {
+		if n.State, err = lookup(nodeStates, state); err != nil {
 			return err
 		}
 		l.Nodes = append(l.Nodes, n)
@@ -149,7 +149,7 @@
 		return l.decodeRequest(values)
 	case "HEADERS":
 		ev.Kind = policy.ResponseStarted
-		return scan(values, 5, &l.Instance, &ev.ID, &ev.Attempt, &ev.Node, &ev.Latency)
+		return decodeValues(values, 5, &l.Instance, &ev.ID, &ev.Attempt, &ev.Node, &ev.Latency)
 	case "COMPLETED":
 		ev.Kind = policy.AttemptEnded
 		return l.decodeOutcome(values, 7, func(status *string, load *map[string]json.RawMessage) []any {
@@ -158,10 +158,10 @@
 		})
 	case "DROPPED":
 		ev.Kind = policy.ClientDisconnected
-		return scan(values, 2, &l.Instance, &ev.ID)
+		return decodeValues(values, 2, &l.Instance, &ev.ID)
 	case "ALARM":
 		ev.Kind = policy.TimerFired
-		return scan(values, 2, &l.Instance, &ev.Tag)
+		return decodeValues(values, 2, &l.Instance, &ev.Tag)
 	case "HEALTH":
 		ev.Kind = policy.HealthCheckEnded
 		return l.decodeOutcome(values, 4, func(status *string, load *map[string]json.RawMessage) []any {
@@ -169,7 +169,7 @@
 		})
 	case "INBOX":
 		ev.Kind = policy.GossipReceived
-		return scan(values, 3, &l.Instance, &ev.From, &ev.Data)
+		return decodeValues(values, 3, &l.Instance, &ev.From, &ev.Data)
 	}
 	l.Kind = UnknownLine
 	return nil
@@ -178,39 +178,39 @@
 func (l *Line) decodeListEvent(values []json.RawMessage) error {
 	var mode string
 	var revision json.RawMessage
-	if err := scan(values, 2, &l.Instance, &mode, &revision, &l.ListID); err != nil {
+	if err := decodeValues(values, 2, &l.Instance, &mode, &revision, &l.ListID); err != nil {
 		return err
 	}
 	var err error
-	l.Event.Kind, err = find(listEvents, mode)
+	l.Event.Kind, err = lookup(listEvents, mode)
 	l.HasList = l.Event.Kind != policy.ListFailed
 	return err
 }
 
 func (l *Line) decodeRequest(values []json.RawMessage) error {
 	l.Event.Kind = policy.RequestArrived
-	r, bits := &l.Event.Request, 0
-	err := scan(values, 10, &l.Instance, &r.ID, &r.Class, &r.Plan, &r.Key, &r.Deadline, &r.Volume, &r.Units,
-		&r.Shard, &r.Schedulers, &bits)
-	r.ClientRetry = bits&clientRetryBit != 0
+	r, flags := &l.Event.Request, 0
+	err := decodeValues(values, 10, &l.Instance, &r.ID, &r.Class, &r.Plan, &r.Key, &r.Deadline, &r.Volume, &r.Units,
+		&r.Shard, &r.Schedulers, &flags)
+	r.ClientRetry = flags&clientRetryFlag != 0
 	return err
 }
 
-// decodeOutcome reads an event that has a status and may have a load report; places lists where its
-// values go.
-func (l *Line) decodeOutcome(values []json.RawMessage, need int, places func(*string, *map[string]json.RawMessage) []any) error {
+// decodeOutcome decodes an event that has a status and may have a load report. The function targets
+// returns the variables for its values.
+func (l *Line) decodeOutcome(values []json.RawMessage, minValues int, targets func(*string, *map[string]json.RawMessage) []any) error {
 	var status string
-	var load map[string]json.RawMessage // JSON errors show this type
-	if err := scan(values, need, places(&status, &load)...); err != nil {
+	var load map[string]json.RawMessage // the texts of JSON errors contain this type
+	if err := decodeValues(values, minValues, targets(&status, &load)...); err != nil {
 		return err
 	}
 	l.Event.Load = loadReport(load).decode()
 	var err error
-	l.Event.Status, err = find(statuses, status)
+	l.Event.Status, err = lookup(statuses, status)
 	return err
 }
 
-// loadReport is a node's load report as sent; nil: there is none.
+// loadReport is the load report of a node as sent; nil: the event has none.
 type loadReport map[string]json.RawMessage
 
 func (r loadReport) decode() *policy.Load {
@@ -220,7 +220,7 @@
 	return &policy.Load{Inflight: r.number("outstanding"), Queue: r.number("backlog"), Util: r.number("utilization")}
 }
 
-// number is a figure of the report, or -1 if it is absent or no number.
+// number returns a value of the report, or -1 if it is absent or not a number.
 func (r loadReport) number(key string) float64 {
 	v := -1.0
 	if json.Unmarshal(r[key], &v) != nil {
@@ -229,22 +229,22 @@
 	return v
 }
 
-// scan decodes the leading values into places. At least need values must be there; null and missing
-// trailing values leave their place untouched.
-func scan(values []json.RawMessage, need int, places ...any) error {
-	if len(values) < need {
-		return &MissingValuesError{Got: len(values), Want: need}
+// decodeValues decodes the leading values into the targets. At least minValues values are required. A
+// null value and a missing trailing value leave the target unchanged.
+func decodeValues(values []json.RawMessage, minValues int, targets ...any) error {
+	if len(values) < minValues {
+		return &MissingValuesError{Got: len(values), Want: minValues}
 	}
-	for i, place := range places[:min(len(places), len(values))] {
-		if err := json.Unmarshal(values[i], place); err != nil {
+	for i, target := range targets[:min(len(targets), len(values))] {
+		if err := json.Unmarshal(values[i], target); err != nil {
 			return fmt.Errorf("value %d: %w", i+1, err)
 		}
 	}
 	return nil
 }
 
-// find looks a word up in a table.
-func find[T any](table map[string]T, word string) (T, error) {
+// lookup returns the value of a word in a table, or an UnknownWordError.
+func lookup[T any](table map[string]T, word string) (T, error) {
 	v, ok := table[word]
 	if !ok {
 		return v, &UnknownWordError{Word: word}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,8 +8,8 @@
 	"wheatsaddle/policy"
 )
 
-// End is the line that closes a reply.
-const End = "[\"EOR\"]\n"
+// ReplyEnd is the last line of a reply.
+const ReplyEnd = "[\"EOR\"]\n"
 
 // allPeers is the receiver of gossip that goes to every peer.
 const allPeers = "all"
@@ -18,60 +18,62 @@
 func Encode(dst []byte, instance string, a policy.Action) []byte {
 	switch a.Kind {
 	case policy.Send:
-		return begin(dst, "PASS_ON", instance).text(a.ID).text(a.Node).number(a.Deadline).end()
+		return beginLine(dst, "PASS_ON", instance).appendText(a.ID).appendText(a.Node).appendNumber(a.Deadline).endLine()
 	case policy.Reject:
-		return begin(dst, "REFUSE", instance).text(a.ID).number(a.Wait).end()
+		return beginLine(dst, "REFUSE", instance).appendText(a.ID).appendNumber(a.Wait).endLine()
 	case policy.Fail:
-		return begin(dst, "END_FAILED", instance).text(a.ID).end()
+		return beginLine(dst, "END_FAILED", instance).appendText(a.ID).endLine()
 	case policy.Cancel:
-		return begin(dst, "ABANDON", instance).text(a.ID).integer(a.Attempt).end()
+		return beginLine(dst, "ABANDON", instance).appendText(a.ID).appendInteger(a.Attempt).endLine()
 	case policy.SetTimer:
-		return begin(dst, "SET_TIMER", instance).number(a.Wait).text(a.Tag).end()
+		return beginLine(dst, "SET_TIMER", instance).appendNumber(a.Wait).appendText(a.Tag).endLine()
 	case policy.Subscribe:
-		return begin(dst, "KEEP_INFORMED", instance).flag(true).end()
+		return beginLine(dst, "KEEP_INFORMED", instance).appendBool(true).endLine()
 	case policy.RequestList:
-		return begin(dst, "READ_LIST", instance).end()
+		return beginLine(dst, "READ_LIST", instance).endLine()
 	case policy.CheckHealth:
-		return begin(dst, "TEST", instance).text(a.Node).end()
+		return beginLine(dst, "TEST", instance).appendText(a.Node).endLine()
 	case policy.Gossip:
-		return begin(dst, "ANNOUNCE", instance).text(allPeers).text(base64.StdEncoding.EncodeToString(a.Data)).end()
+		return beginLine(dst, "ANNOUNCE", instance).appendText(allPeers).appendText(base64.StdEncoding.EncodeToString(a.Data)).endLine()
 	case policy.Log:
-		return begin(dst, "PRINT", instance).text(a.Text).end()
+		return beginLine(dst, "PRINT", instance).appendText(a.Text).endLine()
 	}
 	return dst
 }
 
-// EncodeBroken appends the line that declares an instance failed.
-func EncodeBroken(dst []byte, instance, text string) []byte {
-	return begin(dst, "BROKEN", instance).text(text).end()
+// EncodeInstanceFailure appends the line that reports the failure of an instance.
+func EncodeInstanceFailure(dst []byte, instance, text string) []byte {
+	return beginLine(dst, "BROKEN", instance).appendText(text).endLine()
 }
 
 // lineWriter appends the values of one line.
 type lineWriter []byte
 
-// begin appends the start of a line: its word, and the instance that it is from.
-func begin(dst []byte, word, instance string) lineWriter {
+// beginLine appends the start of a line: its word and the instance that sends it.
+func beginLine(dst []byte, word, instance string) lineWriter {
 	w := append(lineWriter(dst), `["`...)
 	w = append(w, word...)
-	return append(w, '"').text(instance)
+	return append(w, '"').appendText(instance)
 }
 
-func (w lineWriter) text(s string) lineWriter {
+func (w lineWriter) appendText(s string) lineWriter {
 	quoted, err := json.Marshal(s)
-	if err != nil { // a string always has a JSON form
+	if err != nil { // a string can always be marshaled
 		panic(err)
 	}
 	return append(append(w, ','), quoted...)
 }
 
-// number appends a number with three decimals.
-func (w lineWriter) number(v float64) lineWriter {
+// appendNumber appends a number with three decimal places.
+func (w lineWriter) appendNumber(v float64) lineWriter {
 	return strconv.AppendFloat(append(w, ','), v, 'f', 3, 64)
 }
 
-func (w lineWriter) integer(v int) lineWriter { return strconv.AppendInt(append(w, ','), int64(v), 10) }
+func (w lineWriter) appendInteger(v int) lineWriter {
+	return strconv.AppendInt(append(w, ','), int64(v), 10)
+}
 
-func (w lineWriter) flag(v bool) lineWriter { return strconv.AppendBool(append(w, ','), v) }
+func (w lineWriter) appendBool(v bool) lineWriter { return strconv.AppendBool(append(w, ','), v) }
 
-// end closes the line.
-func (w lineWriter) end() []byte { return append(w, "]\n"...) }
+// endLine ends the line and returns the bytes.
+func (w lineWriter) endLine() []byte { return append(w, "]\n"...) }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -6,8 +6,8 @@
 	"wheatsaddle/policy"
 )
 
-// settings are an instance's settings, in the simulator's words. The texts of JSON errors show this
-// type, its unnamed parts and their fields, so a change of a name here changes error texts.
+// settings are the settings of an instance, with the simulator's names. The texts of JSON errors contain
+// the names of this type and its fields, so renaming them changes error texts.
 type settings struct {
 	Me      int    `json:"me"`
 	Fleet   int    `json:"fleet-size"`
@@ -118,14 +118,14 @@
 	return s, nil
 }
 
-// decodeEffect maps a class's effect and deduplication scope. The scope must be known only where it
-// is used.
+// decodeEffect decodes the effect and the deduplication scope of a class. An unknown scope is an error
+// only for a class that is idempotent by key, because other classes do not use it.
 func decodeEffect(repeat, keyScope string) (policy.Effect, policy.DedupScope, error) {
-	effect, err := find(effects, repeat)
+	effect, err := lookup(effects, repeat)
 	if err != nil {
 		return effect, 0, err
 	}
-	scope, err := find(dedupScopes, keyScope)
+	scope, err := lookup(dedupScopes, keyScope)
 	if effect == policy.IdempotentByKey && err != nil {
 		return effect, scope, err
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -17,22 +17,22 @@
 		}
 	}
 	if line, err := Decode([]byte(`["NEWS","i",5]`)); err != nil || line.Kind != UnknownLine {
-		t.Errorf("an unknown word: %v %v", line, err)
+		t.Errorf("line with an unknown word decoded as %v, error %v", line, err)
 	}
 	line, err := Decode([]byte(`["CALL","i","t/a","read","basic","91f0",8652.25,"2b8e",2,0,3,3]`))
 	r := line.Event.Request
 	if err != nil || r.ID != "t/a" || r.Deadline != 8652.25 || r.Units != 2 || r.Schedulers != 3 || !r.ClientRetry {
-		t.Errorf("%+v %v", r, err)
+		t.Errorf("request %+v, error %v", r, err)
 	}
 	line, err = Decode([]byte(`["COMPLETED","i","r",1,"n","completed",18.5,true,86,3,{"outstanding":4,"new":"x"}]`))
 	ev := line.Event
 	if err != nil || ev.Attempt != 1 || ev.Status != policy.OK || ev.PlanUsage != 86 || ev.PeerUsage != 3 ||
 		ev.Load.Inflight != 4 || ev.Load.Queue != -1 {
-		t.Errorf("%+v %v", ev, err)
+		t.Errorf("event %+v, error %v", ev, err)
 	}
 	line, err = Decode([]byte(`["LEDGER",0,[["a","z","k",3,"draining",1.5,6100.0],["b","z","k",0,"up",1]]]`))
 	if err != nil || len(line.Nodes) != 2 || line.Nodes[0].State != policy.NodeDraining || line.Nodes[0].StartTime != 6100 {
-		t.Errorf("%+v %v", line.Nodes, err)
+		t.Errorf("nodes %+v, error %v", line.Nodes, err)
 	}
 }
 
@@ -49,12 +49,12 @@
 		`["PRINT","i","say \"x\""]`:         {Kind: policy.Log, Text: `say "x"`},
 	} {
 		if got := string(Encode(nil, "i", a)); got != want+"\n" {
-			t.Errorf("got %s want %s", got, want)
+			t.Errorf("got %s, want %s", got, want)
 		}
 	}
 }
 
-func TestDecodeErrorsNameThePlace(t *testing.T) {
+func TestDecodeErrorsNameTheValue(t *testing.T) {
 	for text, want := range map[string]string{
 		`["UP","i",1,{"ceilings":{"max-attempts":"3"}}]`: "UP: json: cannot unmarshal string into Go struct field .ceilings.max-attempts of type int",
 		`["UP","i",1,{"profiles":[{"repeat":"odd"}]}]`:   `UP: unknown word "odd"`,
