--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -79,8 +79,8 @@
 func TestEarlyRejectionCountsTheAvoidedWait(t *testing.T) {
 	h := newHarness(t, testSettings())
 	c := h.s.classByName["safe"]
-	q := &request{id: "x", class: c, volume: h.s.volume("v", h.s.planByName["p"], 1), startedAt: h.now, chargedBand: bandFairShare}
-	h.s.rejectOrFail(q, 900)
+	req := &request{id: "x", class: c, volume: h.s.volume("v", h.s.planByName["p"], 1), startedAt: h.now, chargedBand: bandFairShare}
+	h.s.rejectOrFail(req, 900)
 	if c.sampleSum != 900 {
 		t.Errorf("delay sample %v, want 900", c.sampleSum)
 	}
@@ -98,8 +98,8 @@
 		ev := requestArrived(fmt.Sprint("x", i), "safe", 0, h.now+100)
 		ev.Request.Key, ev.Request.ClientRetry = "kx0", true
 		h.step(ev)
-		if q := h.s.requests[ev.Request.ID]; q != nil && (!q.isClientRetry || q.startedAt != 1000) {
-			t.Fatalf("attempt %d of the client: recognized as retry: %v, start time %v", i, q.isClientRetry, q.startedAt)
+		if req := h.s.requests[ev.Request.ID]; req != nil && (!req.isClientRetry || req.startedAt != 1000) {
+			t.Fatalf("attempt %d of the client: recognized as retry: %v, start time %v", i, req.isClientRetry, req.startedAt)
 		}
 	}
 	if reservedTokens() < tokensBefore-1e-9 || c.sampleCount != 1 {
@@ -108,10 +108,10 @@
 }
 
 // A request is a client retry only of an earlier request of its own volume and class.
-func TestClientRetryIsOfItsOwnVolumeAndClass(t *testing.T) {
+func TestClientRetryMatchesVolumeAndClass(t *testing.T) {
 	for _, tc := range []struct {
 		class, volume string
-		repeat        bool
+		isRetry       bool
 	}{{"safe", "v", true}, {"safe", "w", false}, {"once", "v", false}} {
 		h := newHarness(t, testSettings())
 		first := requestArrived("x", "safe", 0, 3000)
@@ -120,8 +120,8 @@
 		h.at(1200, Event{Kind: ClientDisconnected, ID: "x"})
 		next := requestArrived("y", tc.class, 0, 3000)
 		next.Request.Key, next.Request.Volume = "k", tc.volume
-		if h.step(next); h.s.requests["y"].isClientRetry != tc.repeat {
-			t.Errorf("class %s, volume %s: recognized as retry: %v", tc.class, tc.volume, !tc.repeat)
+		if h.step(next); h.s.requests["y"].isClientRetry != tc.isRetry {
+			t.Errorf("class %s, volume %s: recognized as retry: %v", tc.class, tc.volume, !tc.isRetry)
 		}
 	}
 }
@@ -130,16 +130,16 @@
 // wait.
 func TestWaitForNodeOrLimitIsNoSample(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		shard         int
-		limit, counts float64
+		name           string
+		shard          int
+		limit, samples float64
 	}{{"slow", 0, 0, 1}, {"no node", 7, 0, 0}, {"limit", 0, 1e-3, 0}} {
 		settings := testSettings()
 		settings.Plans[0].RateLimit, settings.Plans[0].LimitBurst = tc.limit, 8
 		h := newHarness(t, settings)
 		h.step(requestArrived("x", "once", tc.shard, h.now+2000))
 		h.at(h.now+450, attemptEnded("x", 0, OK, true))
-		if c := h.s.classByName["once"]; c.sampleCount != tc.counts {
+		if c := h.s.classByName["once"]; c.sampleCount != tc.samples {
 			t.Errorf("%s: %v samples", tc.name, c.sampleCount)
 		}
 		if len(h.s.requests) != 0 {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -61,9 +61,9 @@
 // The first answer serves the request. A late answer to the overtaken attempt is no latency sample of the node.
 func TestOvertakenAttemptIsHedged(t *testing.T) {
 	for _, tc := range []struct {
-		class       string
-		answer      int // attempt that is answered
-		countHedges int
+		class  string
+		answer int // attempt that is answered
+		hedges int
 	}{{"safe", 0, 1}, {"safe", 1, 1}, {"keyed", 1, 1}, {"once", 0, 0}} {
 		settings := testSettings()
 		settings.MayHedge, settings.MayCancel = true, true
@@ -90,7 +90,7 @@
 				t.Errorf("%s: a hedge after %d later answers", tc.class, i+1)
 			}
 		}
-		if sent != tc.countHedges {
+		if sent != tc.hedges {
 			t.Errorf("%s: %d hedges", tc.class, sent)
 		}
 		latencyBefore := h.s.nodeByID["a"].latency.ms
@@ -100,7 +100,7 @@
 		if tc.answer == 0 && h.s.nodeByID["a"].latency.ms != latencyBefore {
 			t.Errorf("%s: the node's latency estimate changed from %v to %v", tc.class, latencyBefore, h.s.nodeByID["a"].latency.ms)
 		}
-		if tc.countHedges > 0 {
+		if tc.hedges > 0 {
 			h.at(1170, attemptEnded("slow", 1-tc.answer, Abandoned, true))
 		}
 		if len(h.s.requests) != 0 || h.s.waitingCount != 0 || len(h.s.nodeByID["a"].inFlight) != 0 {
--- a/policy/classweights.go
+++ b/policy/classweights.go
@@ -34,10 +34,10 @@
 
 // sampleDelay adds the delay of a request, from arrival to answer, to the samples of its class. The
 // sample of an unserved request is its age plus the wait that the rejection avoided. Otherwise early
-// rejections would hide that a class gets too little weight. Some requests are no samples, because more
-// weight would not shorten their delay: those beyond the quota, and those that waited for a node or for
-// a rate limit. Retries by a client are not sampled either, because all its attempts count as one
-// request.
+// rejections would hide that a class gets too little weight. Requests beyond the quota are not sampled,
+// so that they do not influence the weights. Requests that waited for a node or for a rate limit are not
+// sampled, because more weight would not shorten that wait. Retries by a client are not sampled, because
+// all attempts of a client count as one request.
 func (s *Scheduler) sampleDelay(r *request, avoidedWaitMs float64) {
 	if r.chargedBand == bandBurst || r.isClientRetry || r.waitedForAdmission {
 		return
--- a/policy/failingnode_test.go
+++ b/policy/failingnode_test.go
@@ -32,7 +32,7 @@
 
 type failingNodeRun struct {
 	*simulation // provides the clock and the event queue
-	s           *Scheduler
+	scheduler   *Scheduler
 	failingNodeCase
 	open map[string]*failingNodeRequest
 	// Measured while the node fails:
@@ -46,7 +46,7 @@
 }
 
 type failingNodeRequest struct {
-	req       Request
+	request   Request
 	arrivedAt float64
 	attempts  []func(Status)
 	done      bool
@@ -56,8 +56,8 @@
 	return f.now >= failingFromMs && f.now < failingFromMs+failingForMs
 }
 
-func (f *failingNodeRun) step(evs ...Event) {
-	for _, a := range f.s.Step(1e6+f.now, evs, nil) {
+func (f *failingNodeRun) step(events ...Event) {
+	for _, a := range f.scheduler.Step(1e6+f.now, events, nil) {
 		switch r := f.open[a.ID]; a.Kind {
 		case SetTimer:
 			f.after(math.Max(a.Wait, 1), func() { f.step(Event{Kind: TimerFired, Tag: a.Tag}) })
@@ -81,7 +81,7 @@
 }
 
 func (f *failingNodeRun) send(r *failingNodeRequest, a Action) {
-	number, sent, ended := len(r.attempts), f.now, false
+	number, sentAt, ended := len(r.attempts), f.now, false
 	endAttempt := func(status Status) {
 		if ended {
 			return
@@ -90,11 +90,11 @@
 		if status == OK && !r.done {
 			f.endRequest(r, true)
 		}
-		f.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: number, Node: a.Node, Status: status, Latency: f.now - sent, Finished: r.done})
+		f.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: number, Node: a.Node, Status: status, Latency: f.now - sentAt, Finished: r.done})
 	}
 	r.attempts = append(r.attempts, endAttempt)
 	f.after(a.Deadline-1e6-f.now, func() { endAttempt(TimedOut) })
-	if f.namesShard || r.req.Shard < 0 {
+	if f.namesShard || r.request.Shard < 0 {
 		f.recordAttempt(a.Node == "n0")
 	}
 	wait := failingNodeServiceMs * (0.5 + f.rng.ExpFloat64()/2)
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := &failingNodeRun{simulation: sim, s: s, failingNodeCase: c, open: map[string]*failingNodeRequest{}}
+	run := &failingNodeRun{simulation: sim, scheduler: s, failingNodeCase: c, open: map[string]*failingNodeRequest{}}
 	var list []Node
 	for i := range failingNodeCount {
 		list = append(list, Node{ID: fmt.Sprint("n", i), Shard: i / c.nodesPerShard, Weight: 1})
@@ -164,12 +164,12 @@
 		if c.namesShard || c.nodesPerShard == 1 && sim.rng.Intn(2) == 0 {
 			shard = sim.rng.Intn(sim.settings.Shards)
 		}
-		req := &failingNodeRequest{arrivedAt: sim.now, req: Request{ID: fmt.Sprint("q", sim.sequence), Class: "safe", Plan: "open", Key: fmt.Sprint("k", sim.sequence), Volume: "v",
+		req := &failingNodeRequest{arrivedAt: sim.now, request: Request{ID: fmt.Sprint("q", sim.sequence), Class: "safe", Plan: "open", Key: fmt.Sprint("k", sim.sequence), Volume: "v",
 			Deadline: 1e6 + sim.now + 2000, Units: 1, Shard: shard, Schedulers: 1}}
-		if run.open[req.req.ID] = req; run.isFailing() {
+		if run.open[req.request.ID] = req; run.isFailing() {
 			run.requests++
 		}
-		run.step(Event{Kind: RequestArrived, Request: req.req})
+		run.step(Event{Kind: RequestArrived, Request: req.request})
 	}
 	sim.after(0, arrive)
 	sim.runUntil(failingNodeEndMs)
@@ -177,10 +177,10 @@
 }
 
 // runUntil runs the simulation until a time.
-func (w *simulation) runUntil(end float64) {
-	for w.events[0].at < end {
-		event := heap.Pop(&w.events).(simulatedEvent)
-		w.now = event.at
+func (sim *simulation) runUntil(end float64) {
+	for sim.events[0].at < end {
+		event := heap.Pop(&sim.events).(simulatedEvent)
+		sim.now = event.at
 		event.run()
 	}
 }
@@ -188,11 +188,13 @@
 func TestFailingNodeIsAvoidedWithFewAnswers(t *testing.T) {
 	const seeds = 20
 	median := func(v []float64) float64 { slices.Sort(v); return v[len(v)/2] }
-	for _, kind := range []struct {
-		name  string
-		each  int
-		named bool
-		most  map[string]float64 // limit of the failing node's attempts in percent of its fair share, by mode, slightly above the present results; docs/incidents/fewanswers.md proposes lower limits
+	for _, tc := range []struct {
+		name          string
+		nodesPerShard int
+		namesShard    bool
+		// Limits by mode for the attempts at the failing node, in percent of its fair share. They are slightly above the
+		// present results. docs/incidents/fewanswers.md proposes lower limits.
+		maxShare map[string]float64
 	}{{"new beside named, one node", 1, false, map[string]float64{"fails fast": 150, "hangs": 60, "slow fivefold": 60}},
 		{"new, two nodes", 2, false, map[string]float64{"fails fast": 420, "hangs": 120, "slow fivefold": 130}},
 		{"named, two nodes", 2, true, map[string]float64{"fails fast": 540, "hangs": 190, "slow fivefold": 210}}} {
@@ -200,7 +202,7 @@
 			for _, rate := range []float64{2, 5, 20} {
 				var attemptsUntilAvoided, avoidedAfter, shareOfAttempts, missedObjectives, recoveredAfter []float64
 				for seed := range int64(seeds) {
-					run := runFailingNode(t, failingNodeCase{mode, kind.each, kind.named, rate}, seed)
+					run := runFailingNode(t, failingNodeCase{mode, tc.nodesPerShard, tc.namesShard, rate}, seed)
 					attemptsUntilAvoided, avoidedAfter = append(attemptsUntilAvoided, float64(run.attemptsUntilAvoided)), append(avoidedAfter, run.avoidedAfter/1000)
 					shareOfAttempts = append(shareOfAttempts, float64(run.failedAttempts)/float64(run.attempts)*failingNodeCount*100)
 					missedObjectives = append(missedObjectives, float64(run.missedObjectives)/float64(run.requests)*100)
@@ -209,10 +211,10 @@
 					}
 					recoveredAfter = append(recoveredAfter, run.recoveredAfter/1000)
 				}
-				t.Logf("| %s | %s | %.0f | %.0f | %.1f | %.0f%% | %.1f%% | %.1f |", kind.name, mode, rate, median(attemptsUntilAvoided), median(avoidedAfter), median(shareOfAttempts),
+				t.Logf("| %s | %s | %.0f | %.0f | %.1f | %.0f%% | %.1f%% | %.1f |", tc.name, mode, rate, median(attemptsUntilAvoided), median(avoidedAfter), median(shareOfAttempts),
 					median(missedObjectives), median(recoveredAfter))
-				if median(shareOfAttempts) > kind.most[mode] {
-					t.Errorf("%s, %s, %.0f requests per second: the failing node gets %.0f%% of its fair share", kind.name, mode, rate, median(shareOfAttempts))
+				if median(shareOfAttempts) > tc.maxShare[mode] {
+					t.Errorf("%s, %s, %.0f requests per second: the failing node gets %.0f%% of its fair share", tc.name, mode, rate, median(shareOfAttempts))
 				}
 			}
 		}
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -111,7 +111,8 @@
 }
 
 // enqueue inserts a request into the queue of its class. A request past its objective moves to the
-// late band, with its deadline as the new objective.
+// late band, with its deadline as the new objective, because it has its late priority weight until its
+// client disconnects.
 func (s *Scheduler) enqueue(r *request) {
 	q, i := r.queue, r.class.index
 	if len(q.byClass[i]) == 0 {
--- a/policy/fleetdays_test.go
+++ b/policy/fleetfaults_test.go
@@ -15,44 +15,44 @@
 			sim := newSimulation(t, 7)
 			addScenario(sim)
 			sim.run()
-			all := sim.outcomes["served"] + sim.outcomes["rejected"] + sim.outcomes["failed"]
-			t.Logf("%d requests: %v", all, sim.outcomes)
-			if sim.outcomes["served"] < all/2 {
-				t.Errorf("of %d requests only %d were served", all, sim.outcomes["served"])
+			total := sim.outcomes["served"] + sim.outcomes["rejected"] + sim.outcomes["failed"]
+			t.Logf("%d requests: %v", total, sim.outcomes)
+			if sim.outcomes["served"] < total/2 {
+				t.Errorf("of %d requests only %d were served", total, sim.outcomes["served"])
 			}
 		})
 	}
 }
 
 var simulationScenarios = map[string]func(*simulation){
-	"herd": func(w *simulation) {
-		w.after(6000, func() {
-			for _, i := range w.rng.Perm(simulatedSchedulers)[:simulatedSchedulers*7/10] {
-				h := w.schedulers[i]
+	"herd": func(sim *simulation) {
+		sim.after(6000, func() {
+			for _, i := range sim.rng.Perm(simulatedSchedulers)[:simulatedSchedulers*7/10] {
+				h := sim.schedulers[i]
 				h.incarnation, h.down = h.incarnation+1, true // its requests are lost, and their clients may retry
-				w.after(500+1000*w.rng.Float64(), h.start)
+				sim.after(500+1000*sim.rng.Float64(), h.start)
 			}
 		})
 	},
-	"zone": func(w *simulation) {
-		w.after(5000, func() {
+	"zone": func(sim *simulation) {
+		sim.after(5000, func() {
 			for i := 0; i < simulatedNodes; i += 3 {
-				n := w.shard[i]
-				w.stopNode(n)
-				w.after(5000, func() { w.startNode(n) })
+				n := sim.shard[i]
+				sim.stopNode(n)
+				sim.after(5000, func() { sim.startNode(n) })
 			}
 		})
 	},
-	"join": func(w *simulation) {
+	"join": func(sim *simulation) {
 		for i := range simulatedNodes * 6 / 10 {
-			old := w.shard[i]
-			w.after(4000+7000*float64(i)/simulatedNodes/0.6, func() {
+			old := sim.shard[i]
+			sim.after(4000+7000*float64(i)/simulatedNodes/0.6, func() {
 				next := &simulatedNode{Node: Node{ID: fmt.Sprint("m", i), Shard: i, Weight: 1}, alive: true}
-				w.nodes[next.ID] = next
-				w.startNode(next)
+				sim.nodes[next.ID] = next
+				sim.startNode(next)
 				old.State = NodeDraining
-				w.announce(old.Node)
-				w.after(1500, func() { old.State = NodeRemoved; w.stopNode(old); w.announce(old.Node) })
+				sim.announce(old.Node)
+				sim.after(1500, func() { old.State = NodeRemoved; sim.stopNode(old); sim.announce(old.Node) })
 			})
 		}
 	},
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -63,10 +63,10 @@
 }
 
 // latencyLimit returns the node latency above which a request is not sent to the node. It is the limit
-// of the request's band, scaled by the weight and the priority weight of its class. The class weights
-// alone are not enough, because the queue of one scheduler does not order the requests of the others.
-// The limit is lower at a node without a recent latency sample. Only the pool's latency is known for
-// such a node, and a surge would show only after the node's queue has become long.
+// of the request's band, scaled by the weight and the priority weight of its class. The scaling gives
+// priority between schedulers, because the short queues of one scheduler do not order the requests of
+// the others. The limit is lower at a node without a recent latency sample. Only the pool's latency is
+// known for such a node, and a surge would show only after the node's queue has become long.
 // Trade-off: a fleet at its capacity rejects slightly more requests.
 func (s *Scheduler) latencyLimit(r *request, learnedAt float64) float64 {
 	priority := math.Sqrt(r.class.PriorityWeight / math.Max(s.meanPriorityWeight, minPriorityWeight))
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -16,8 +16,8 @@
 	v.reserved.tokens = 0
 	h.step(requestArrived("y", "safe", 1, 3000))
 	v.reserved.tokens = 0
-	if q := h.s.requests["y"]; q.chargedBand != bandFairShare {
-		t.Fatalf("charged to band %v", q.chargedBand)
+	if req := h.s.requests["y"]; req.chargedBand != bandFairShare {
+		t.Fatalf("charged to band %v", req.chargedBand)
 	}
 	h.s.refund(h.s.requests["y"])
 	if v.reserved.tokens != 0 || v.usageLevel != 0 {
@@ -26,7 +26,7 @@
 }
 
 // A volume that requests name with two plans has a separate quota on each plan.
-func TestVolumeOnTwoPlansHasBothQuotas(t *testing.T) {
+func TestVolumeOnTwoPlans(t *testing.T) {
 	const burst = 12
 	settings := testSettings()
 	settings.Plans = append(settings.Plans, Plan{Name: "capped", Rate: 10, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 4, LimitBurst: burst})
@@ -58,16 +58,16 @@
 // The bucket of a volume's rate limit fills from the scheduler's first request of any volume on.
 func TestRateLimitFillsFromTheFirstRequest(t *testing.T) {
 	for _, tc := range []struct {
-		name         string
-		after        float64 // ms since the scheduler's first request
-		hosts, wants int
+		name             string
+		after            float64 // ms since the scheduler's first request
+		schedulers, want int
 	}{{"at once", 0, 1, 0}, {"a second later", 1000, 1, 4}, {"share of two schedulers", 1000, 2, 2}, {"full", 60e3, 1, 12}, {"full share of two schedulers", 60e3, 2, 6}} {
 		h := newHarness(t, limitedSettings(4, 12))
 		h.at(5000) // the bucket does not fill before the first request
 		h.sendUnits("first", 1, 1)
 		h.at(5000 + tc.after)
-		if n := h.sendUnits("v", tc.hosts, 20); n != tc.wants {
-			t.Errorf("%s: %d units sent, want %d", tc.name, n, tc.wants)
+		if n := h.sendUnits("v", tc.schedulers, 20); n != tc.want {
+			t.Errorf("%s: %d units sent, want %d", tc.name, n, tc.want)
 		}
 	}
 }
@@ -110,14 +110,14 @@
 			volume := rapid.SampledFrom([]string{"u", "v", "w"}).Draw(rt, "volume")
 			schedulers[index].at(now, Event{Kind: TimerFired, Tag: tickTimer})
 			sent := schedulers[index].sendUnits(volume, 2, rapid.IntRange(1, 30).Draw(rt, "units"))
-			s := buckets[volume]
-			if s == nil {
-				s = &bucket{burst, now}
-				buckets[volume] = s
+			b := buckets[volume]
+			if b == nil {
+				b = &bucket{burst, now}
+				buckets[volume] = b
 			}
-			s.level = math.Min(s.level+limit*(now-s.at)/1000, burst) - float64(sent)
-			if s.at = now; s.level < -1e-6 {
-				rt.Fatalf("volume %s: %.2f units over its limit", volume, -s.level)
+			b.level = math.Min(b.level+limit*(now-b.at)/1000, burst) - float64(sent)
+			if b.at = now; b.level < -1e-6 {
+				rt.Fatalf("volume %s: %.2f units over its limit", volume, -b.level)
 			}
 		}
 	})
--- a/policy/randomevents_test.go
+++ b/policy/randomevents_test.go
@@ -105,12 +105,12 @@
 // endAttempts ends some of the attempts in flight, and all attempts that are past their deadline.
 func (p *randomEvents) endAttempts() {
 	keys := make([]string, 0, len(p.openAttempts))
-	for k := range p.openAttempts {
-		keys = append(keys, k)
+	for key := range p.openAttempts {
+		keys = append(keys, key)
 	}
 	sort.Strings(keys)
-	for _, k := range keys {
-		a := p.openAttempts[k]
+	for _, key := range keys {
+		a := p.openAttempts[key]
 		isLate := p.now >= p.requests[a.id].request.Deadline
 		if !isLate && p.rng.Intn(25) > 0 {
 			continue
@@ -119,7 +119,7 @@
 		if isLate {
 			status = TimedOut
 		}
-		delete(p.openAttempts, k)
+		delete(p.openAttempts, key)
 		p.endAttempt(a, status)
 	}
 }
@@ -137,7 +137,7 @@
 		}
 	}
 	p.events = append(p.events, Event{Kind: AttemptEnded, ID: a.id, Attempt: a.attempt, Node: a.node.ID, Status: status,
-		Latency: p.now - a.sent, Finished: r.answered || r.disconnected, PlanUsage: float64(p.rng.Intn(400)),
+		Latency: p.now - a.sentAt, Finished: r.answered || r.disconnected, PlanUsage: float64(p.rng.Intn(400)),
 		PeerUsage: float64(p.rng.Intn(9) - 1)})
 }
 
@@ -163,19 +163,19 @@
 
 func (p *randomEvents) addRequest() {
 	c := &p.settings.Classes[p.rng.Intn(len(p.settings.Classes))]
-	q := Request{ID: fmt.Sprint("r", p.requestCount), Class: c.Name, Plan: p.settings.Plans[p.rng.Intn(2)].Name,
+	req := Request{ID: fmt.Sprint("r", p.requestCount), Class: c.Name, Plan: p.settings.Plans[p.rng.Intn(2)].Name,
 		Key: fmt.Sprint("k", p.rng.Intn(6)), Deadline: p.now + c.Deadline*(0.3+0.7*p.rng.Float64()),
 		Units: float64(1 + p.rng.Intn(8)), Shard: p.rng.Intn(6) - 1}
 	v := p.rng.Intn(4)
-	q.Volume, q.Schedulers = fmt.Sprint(q.Plan, v), 1+v%3
+	req.Volume, req.Schedulers = fmt.Sprint(req.Plan, v), 1+v%3
 	p.requestCount++
-	p.requests[q.ID] = &trackedRequest{request: q, class: c}
+	p.requests[req.ID] = &trackedRequest{request: req, class: c}
 	p.requestTimes = append(p.requestTimes, p.now)
-	p.unanswered = append(p.unanswered, q.ID)
+	p.unanswered = append(p.unanswered, req.ID)
 	if c.Ordered {
-		p.byKey[q.Key] = append(p.byKey[q.Key], q.ID)
+		p.byKey[req.Key] = append(p.byKey[req.Key], req.ID)
 	}
-	p.events = append(p.events, Event{Kind: RequestArrived, Request: q})
+	p.events = append(p.events, Event{Kind: RequestArrived, Request: req})
 }
 
 // changeList sometimes changes one entry of the list, and sometimes lets the list fail.
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -48,9 +48,9 @@
 	if len(h.s.classes) != 3 {
 		t.Fatalf("%d classes, want the 3 live ones", len(h.s.classes))
 	}
-	bad := next
-	bad.Classes = []Class{{Name: "x", LatencyObjective: 400, Deadline: -5, PriorityWeight: 1}}
-	if err := h.s.Reconfigure(bad); err == nil || !slices.Equal(h.s.Classes(), []string{"once", "fresh", "safe-next"}) {
+	invalid := next
+	invalid.Classes = []Class{{Name: "x", LatencyObjective: 400, Deadline: -5, PriorityWeight: 1}}
+	if err := h.s.Reconfigure(invalid); err == nil || !slices.Equal(h.s.Classes(), []string{"once", "fresh", "safe-next"}) {
 		t.Fatalf("after invalid settings: error %v, classes %v", err, h.s.Classes())
 	}
 }
@@ -85,7 +85,7 @@
 // fills by the old plan until the change and by the new plan afterwards, and never exceeds the burst of the new plan.
 func TestReconfigureKeepsTokensOfLimits(t *testing.T) {
 	for _, tc := range []struct {
-		what       string
+		name       string
 		old, next  [2]float64 // limit, burst; 0: none
 		spent      int        // units of the known volume, sent 4 s after the scheduler's first request
 		known, new int        // units allowed a second after the change
@@ -102,7 +102,7 @@
 		h.sendUnits("other", 1, 1) // the scheduler's first request
 		h.at(h.now + 4000)
 		if n := h.sendUnits("known", 1, tc.spent); n != tc.spent {
-			t.Fatalf("%s: %d units sent before the change, want %d", tc.what, n, tc.spent)
+			t.Fatalf("%s: %d units sent before the change, want %d", tc.name, n, tc.spent)
 		}
 		if tc.spent == 0 {
 			h.sendUnits("known", 1, 1) // creates the state of the volume
@@ -111,39 +111,39 @@
 		h.reconfigure(limitedSettings(tc.next[0], tc.next[1]))
 		h.at(h.now + 1000)
 		if n := h.sendUnits("known", 1, 30); n != tc.known {
-			t.Errorf("%s: %d units sent of the known volume, want %d", tc.what, n, tc.known)
+			t.Errorf("%s: %d units sent of the known volume, want %d", tc.name, n, tc.known)
 		}
 		if n := h.sendUnits("new", 1, 30); n != tc.new {
-			t.Errorf("%s: %d units sent of a new volume, want %d", tc.what, n, tc.new)
+			t.Errorf("%s: %d units sent of a new volume, want %d", tc.name, n, tc.new)
 		}
 	}
 }
 
 // The time before a change counts with the old rate limit. The burst of the new plan also limits an instance that has
 // handed over.
-func TestReconfigureCountsTheTimeBeforeIt(t *testing.T) {
+func TestReconfigureCountsTheTimeBeforeTheChange(t *testing.T) {
 	for _, tc := range []struct {
-		what   string
-		handed bool
-		next   [2]float64
-		wants  int
+		name       string
+		handedOver bool
+		next       [2]float64
+		want       int
 	}{{"raised", false, [2]float64{10, 40}, 18}, {"lowered, handed over", true, [2]float64{1, 3}, 3}} {
 		h := newHarness(t, limitedSettings(4, 12))
 		h.sendUnits("other", 1, 1)
 		h.at(h.now + 60e3)
 		h.sendUnits("v", 1, 11)
-		if !tc.handed {
+		if !tc.handedOver {
 			h.sendUnits("v", 1, 1)
 		}
 		h.at(h.now + 2000)
-		if tc.handed {
+		if tc.handedOver {
 			h.sendUnits("v", 1, 1) // the bucket fills until the handover
 			h.s.HandOver()
 		}
 		h.reconfigure(limitedSettings(tc.next[0], tc.next[1]))
 		h.at(h.now + 1000)
-		if n := h.sendUnits("v", 1, 30); n != tc.wants {
-			t.Errorf("%s: %d units sent, want %d", tc.what, n, tc.wants)
+		if n := h.sendUnits("v", 1, 30); n != tc.want {
+			t.Errorf("%s: %d units sent, want %d", tc.name, n, tc.want)
 		}
 	}
 }
@@ -165,32 +165,32 @@
 // with state and for a new one, with and without time between the changes.
 func TestReconfigureAddsNoTokens(t *testing.T) {
 	for _, tc := range []struct {
-		between        [2]float64 // limit, burst; 0: none
-		known, unheard int        // units allowed after 0.2 s under each of the two limits
+		between          [2]float64 // limit, burst; 0: none
+		known, newVolume int        // units allowed after 0.2 s under each of the two limits
 	}{{[2]float64{}, 0, 0}, {[2]float64{4, 40}, 1, 12}, {[2]float64{2, 3}, 1, 3}, {[2]float64{10, 40}, 2, 12}} {
-		for _, apart := range []float64{0, 10} { // ms between two changes
+		for _, pauseMs := range []float64{0, 10} { // ms between two changes
 			h := newHarness(t, limitedSettings(4, 12))
 			h.sendUnits("other", 1, 1)
 			h.at(h.now + 60e3)
-			asked, known := 30, 0
-			if apart > 0 { // unsent requests would wait and be sent while the bucket fills
-				asked, known = 12, tc.known
+			units, known := 30, 0
+			if pauseMs > 0 { // unsent requests would wait and be sent while the bucket fills
+				units, known = 12, tc.known
 			}
-			if n := h.sendUnits("v", 1, asked); n != 12 {
+			if n := h.sendUnits("v", 1, units); n != 12 {
 				t.Fatalf("%d units sent, want 12", n)
 			}
 			for range 20 {
 				h.reconfigure(limitedSettings(tc.between[0], tc.between[1]))
-				h.at(h.now + apart)
+				h.at(h.now + pauseMs)
 				h.reconfigure(limitedSettings(4, 12))
-				h.at(h.now + apart)
+				h.at(h.now + pauseMs)
 			}
 			h.reconfigure(limitedSettings(50, 200))
 			if n := h.sendUnits("v", 1, 30); n != known {
-				t.Errorf("limit %v between, changes %v ms apart: %d units sent of the known volume, want %d", tc.between[0], apart, n, known)
+				t.Errorf("limit %v between, changes %v ms apart: %d units sent of the known volume, want %d", tc.between[0], pauseMs, n, known)
 			}
-			if n := h.sendUnits("unheard", 1, 30); n != tc.unheard {
-				t.Errorf("limit %v between, changes %v ms apart: %d units sent of a new volume, want %d", tc.between[0], apart, n, tc.unheard)
+			if n := h.sendUnits("unheard", 1, 30); n != tc.newVolume {
+				t.Errorf("limit %v between, changes %v ms apart: %d units sent of a new volume, want %d", tc.between[0], pauseMs, n, tc.newVolume)
 			}
 		}
 	}
@@ -198,10 +198,10 @@
 
 // After a plan was renamed or removed, its volumes use the plan that their new requests name, and no longer the removed one.
 // The change adds no tokens to the buckets.
-func TestReconfigureWithoutAPlanInUse(t *testing.T) {
+func TestReconfigureRemovesAPlanInUse(t *testing.T) {
 	for _, tc := range []struct {
 		limit, burst float64
-		wants        int // units sent a second after the change
+		want         int // units sent a second after the change
 	}{{4, 12, 4}, {10, 12, 10}, {0, 0, 30}} {
 		h := newHarness(t, limitedSettings(4, 12))
 		h.sendUnits("other", 1, 1)
@@ -234,8 +234,8 @@
 				h.at(h.now + 1000)
 			}
 		}
-		if sent != tc.wants {
-			t.Errorf("limit %v: %d units sent, want %d", tc.limit, sent, tc.wants)
+		if sent != tc.want {
+			t.Errorf("limit %v: %d units sent, want %d", tc.limit, sent, tc.want)
 		}
 	}
 }
@@ -260,8 +260,8 @@
 }
 
 // A request in flight gets no more attempts than the settings allowed on its arrival, and no more than they allow now.
-func TestReconfigureOfMaxAttempts(t *testing.T) {
-	for _, tc := range []struct{ old, next, wants int }{{3, 1, 1}, {1, 3, 1}, {2, 3, 2}} {
+func TestRequestInFlightKeepsTheLowerMaxAttempts(t *testing.T) {
+	for _, tc := range []struct{ old, next, want int }{{3, 1, 1}, {1, 3, 1}, {2, 3, 2}} {
 		settings := testSettings()
 		settings.MaxAttempts = tc.old
 		h := newHarness(t, settings)
@@ -277,7 +277,7 @@
 				attempts++
 			}
 		}
-		if attempts != tc.wants {
+		if attempts != tc.want {
 			t.Errorf("%d attempts allowed, then %d: %d sent", tc.old, tc.next, attempts)
 		}
 	}
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -38,7 +38,7 @@
 	id      string
 	attempt int
 	node    Node
-	sent    float64
+	sentAt  float64
 }
 
 type dueTimer struct {
@@ -46,137 +46,137 @@
 	tag string
 }
 
-func (b *ruleChecker) fail(format string, args ...any) {
-	b.t.Helper()
-	b.t.Fatalf("at %.0f: %s", b.now, fmt.Sprintf(format, args...))
+func (c *ruleChecker) fail(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("at %.0f: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (b *ruleChecker) recordAnswer(id string) {
-	r := b.requests[id]
+func (c *ruleChecker) recordAnswer(id string) {
+	r := c.requests[id]
 	if r == nil || r.answered {
-		b.fail("%s answered twice, or not a request", id)
+		c.fail("%s answered twice, or not a request", id)
 	}
 	r.answered = true
 }
 
-func (b *ruleChecker) checkActions(actions []Action, nodes map[string]Node) {
+func (c *ruleChecker) checkActions(actions []Action, nodes map[string]Node) {
 	for _, a := range actions {
 		switch a.Kind {
 		case Send:
-			b.checkSend(a, nodes)
+			c.checkSend(a, nodes)
 		case Reject:
-			r := b.requests[a.ID]
-			b.recordAnswer(a.ID)
+			r := c.requests[a.ID]
+			c.recordAnswer(a.ID)
 			mayRetryAnywhere := r.class == nil || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupAll
 			if !mayRetryAnywhere && len(r.mayHaveRun) > 0 {
-				b.fail("rejected %s, which may have run", a.ID)
+				c.fail("rejected %s, which may have run", a.ID)
 			}
-			if a.Wait < 0 || a.Wait > b.settings.MaxRetryAfter {
-				b.fail("Retry-After of %v", a.Wait)
+			if a.Wait < 0 || a.Wait > c.settings.MaxRetryAfter {
+				c.fail("Retry-After of %v", a.Wait)
 			}
 		case Fail:
-			b.recordAnswer(a.ID)
+			c.recordAnswer(a.ID)
 		case SetTimer:
 			if a.Wait <= 0 {
-				b.fail("timer with a wait of %v", a.Wait)
+				c.fail("timer with a wait of %v", a.Wait)
 			}
-			b.timers = append(b.timers, dueTimer{b.now + a.Wait, a.Tag})
+			c.timers = append(c.timers, dueTimer{c.now + a.Wait, a.Tag})
 		case Gossip:
-			if !b.settings.MayGossip || len(a.Data) > 256 {
-				b.fail("gossip where not allowed, or too large")
+			if !c.settings.MayGossip || len(a.Data) > 256 {
+				c.fail("gossip where not allowed, or too large")
 			}
 		case CheckHealth, Cancel:
-			b.fail("health check or cancellation where not allowed")
+			c.fail("health check or cancellation where not allowed")
 		}
 	}
 }
 
 // checkSend checks a Send against the rules and records it.
-func (b *ruleChecker) checkSend(a Action, nodes map[string]Node) {
-	r, n := b.requests[a.ID], nodes[a.Node]
+func (c *ruleChecker) checkSend(a Action, nodes map[string]Node) {
+	r, n := c.requests[a.ID], nodes[a.Node]
 	if r == nil || r.answered || r.disconnected {
-		b.fail("sent %s, which has ended or does not exist", a.ID)
+		c.fail("sent %s, which has ended or does not exist", a.ID)
 	}
 	if n.ID == "" {
-		b.fail("sent to unlisted node %q", a.Node)
+		c.fail("sent to unlisted node %q", a.Node)
 	}
-	if at, ok := b.notUpSince[a.Node]; ok && b.now > at+b.settings.DrainGrace {
-		b.fail("sent to %s, reported as not up at %.0f", a.Node, at)
+	if at, ok := c.notUpSince[a.Node]; ok && c.now > at+c.settings.DrainGrace {
+		c.fail("sent to %s, reported as not up at %.0f", a.Node, at)
 	}
-	if r.sends >= b.settings.MaxAttempts || !b.settings.MayHedge && r.inFlight > 0 {
-		b.fail("attempt %d of %s with %d in flight", r.sends, a.ID, r.inFlight)
+	if r.sends >= c.settings.MaxAttempts || !c.settings.MayHedge && r.inFlight > 0 {
+		c.fail("attempt %d of %s with %d in flight", r.sends, a.ID, r.inFlight)
 	}
-	b.checkEffect(a, r, n)
+	c.checkEffect(a, r, n)
 	if r.sends > 0 {
-		b.checkRetryBudget()
-		b.retryTimes = append(b.retryTimes, b.now)
+		c.checkRetryBudget()
+		c.retryTimes = append(c.retryTimes, c.now)
 	}
-	b.checkOrder(a, r)
-	b.checkRateLimit(r)
-	b.openAttempts[fmt.Sprint(a.ID, "#", r.sends)] = &trackedAttempt{a.ID, r.sends, n, b.now}
+	c.checkOrder(a, r)
+	c.checkRateLimit(r)
+	c.openAttempts[fmt.Sprint(a.ID, "#", r.sends)] = &trackedAttempt{a.ID, r.sends, n, c.now}
 	r.sends++
 	r.inFlight++
 }
 
 // checkEffect checks that another attempt is allowed after attempts that may have run.
-func (b *ruleChecker) checkEffect(a Action, r *trackedRequest, n Node) {
+func (c *ruleChecker) checkEffect(a Action, r *trackedRequest, n Node) {
 	for _, f := range r.mayHaveRun {
 		switch {
 		case r.class.Effect == NonIdempotent:
-			b.fail("non-idempotent %s sent again", a.ID)
-		case r.class.Effect == IdempotentByKey && (b.now > f.sent+r.class.DedupWindow ||
+			c.fail("non-idempotent %s sent again", a.ID)
+		case r.class.Effect == IdempotentByKey && (c.now > f.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupZone && f.node.Zone != n.Zone ||
 			r.class.DedupScope == DedupShard && f.node.Shard != n.Shard):
-			b.fail("%s, idempotent by key, sent outside its deduplication scope or window", a.ID)
+			c.fail("%s, idempotent by key, sent outside its deduplication scope or window", a.ID)
 		}
 	}
 }
 
-func (b *ruleChecker) checkRetryBudget() {
-	if b.settings.RetryBudgetWindow <= 0 {
+func (c *ruleChecker) checkRetryBudget() {
+	if c.settings.RetryBudgetWindow <= 0 {
 		return
 	}
 	retries, requests := 1.0, 0.0
-	for _, t := range b.retryTimes {
-		if t >= b.now-b.settings.RetryBudgetWindow {
+	for _, t := range c.retryTimes {
+		if t >= c.now-c.settings.RetryBudgetWindow {
 			retries++
 		}
 	}
-	for _, t := range b.requestTimes {
-		if t > b.now-b.settings.RetryBudgetWindow {
+	for _, t := range c.requestTimes {
+		if t > c.now-c.settings.RetryBudgetWindow {
 			requests++
 		}
 	}
-	if retries > b.settings.RetryBudgetMin+b.settings.RetryBudgetShare*requests+1e-9 {
-		b.fail("retry %v is over the budget", retries)
+	if retries > c.settings.RetryBudgetMin+c.settings.RetryBudgetShare*requests+1e-9 {
+		c.fail("retry %v is over the budget", retries)
 	}
 }
 
 // checkOrder checks that the requests of an ordered key run one after another.
-func (b *ruleChecker) checkOrder(a Action, r *trackedRequest) {
+func (c *ruleChecker) checkOrder(a Action, r *trackedRequest) {
 	if !r.class.Ordered || r.request.Key == "" {
 		return
 	}
-	for _, id := range b.byKey[r.request.Key] {
+	for _, id := range c.byKey[r.request.Key] {
 		if id == a.ID {
 			break
 		}
-		if earlier := b.requests[id]; !earlier.answered && !earlier.disconnected || earlier.inFlight > 0 {
-			b.fail("%s overtakes %s", a.ID, id)
+		if earlier := c.requests[id]; !earlier.answered && !earlier.disconnected || earlier.inFlight > 0 {
+			c.fail("%s overtakes %s", a.ID, id)
 		}
 	}
-	if r.sends == 0 && b.now < b.keyBackoffUntil[r.request.Key] {
-		b.fail("%s sent within the backoff of its key", a.ID)
+	if r.sends == 0 && c.now < c.keyBackoffUntil[r.request.Key] {
+		c.fail("%s sent within the backoff of its key", a.ID)
 	}
 }
 
-func (b *ruleChecker) checkRateLimit(r *trackedRequest) {
+func (c *ruleChecker) checkRateLimit(r *trackedRequest) {
 	if r.request.Plan != "capped" || r.sends > 0 {
 		return
 	}
-	b.limitedUnits[r.request.Volume] += r.request.Units
+	c.limitedUnits[r.request.Volume] += r.request.Units
 	share := 1 / float64(r.request.Schedulers)
-	if b.limitedUnits[r.request.Volume] > share*(40+20*(b.now-b.startedAt)/1000)+1e-6 {
-		b.fail("rate limit of %s exceeded: %v", r.request.Volume, b.limitedUnits[r.request.Volume])
+	if c.limitedUnits[r.request.Volume] > share*(40+20*(c.now-c.startedAt)/1000)+1e-6 {
+		c.fail("rate limit of %s exceeded: %v", r.request.Volume, c.limitedUnits[r.request.Volume])
 	}
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -69,7 +69,7 @@
 type simulatedRequest struct {
 	scheduler   *simulatedScheduler
 	incarnation int
-	req         Request
+	request     Request
 	attempts    []*simulatedAttempt
 	answered    bool
 }
@@ -89,22 +89,22 @@
 
 type eventQueue []simulatedEvent
 
-func (d eventQueue) Len() int { return len(d) }
-func (d eventQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *eventQueue) Push(x any)   { *d = append(*d, x.(simulatedEvent)) }
-func (d *eventQueue) Pop() any {
-	old := *d
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulatedEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-func (w *simulation) after(wait float64, do func()) {
-	w.sequence++
-	heap.Push(&w.events, simulatedEvent{w.now + wait, w.sequence, do})
+func (sim *simulation) after(wait float64, do func()) {
+	sim.sequence++
+	heap.Push(&sim.events, simulatedEvent{sim.now + wait, sim.sequence, do})
 }
 
 func simulationSettings() Settings {
@@ -171,8 +171,8 @@
 	h.step(ev)
 }
 
-func (h *simulatedScheduler) step(evs ...Event) {
-	actions := h.scheduler.Step(h.sim.now, evs, nil)
+func (h *simulatedScheduler) step(events ...Event) {
+	actions := h.scheduler.Step(h.sim.now, events, nil)
 	if h.sim.onStep != nil {
 		h.sim.onStep(h, actions)
 	}
@@ -195,52 +195,52 @@
 }
 
 func (h *simulatedScheduler) perform(a Action) {
-	w := h.sim
+	sim := h.sim
 	switch a.Kind {
 	case SetTimer:
 		h.deliverLater(math.Max(a.Wait, 1)+h.timerLag, func() (Event, bool) { return Event{Kind: TimerFired, Tag: a.Tag}, true })
 	case Reject, Fail:
-		w.endRequest(a.ID, []string{Reject: "rejected", Fail: "failed"}[a.Kind])
+		sim.endRequest(a.ID, []string{Reject: "rejected", Fail: "failed"}[a.Kind])
 	case Send:
-		w.send(h, a)
+		sim.send(h, a)
 	case Cancel: // the node does not stop its work
-		if r := w.requests[a.ID]; r != nil {
+		if r := sim.requests[a.ID]; r != nil {
 			h.deliverLater(1, func() (Event, bool) { r.attempts[a.Attempt].end(Cancelled); return Event{}, false })
 		}
 	}
 }
 
 // endRequest counts the end of a request, and checks that the request ends only once and in time.
-func (w *simulation) endRequest(id, outcome string) {
-	r := w.requests[id]
-	if r == nil || r.answered {
-		w.t.Fatalf("at %.0f: %s is unknown or ended twice: %s", w.now, id, outcome)
+func (sim *simulation) endRequest(id, outcome string) {
+	req := sim.requests[id]
+	if req == nil || req.answered {
+		sim.t.Fatalf("at %.0f: %s is unknown or ended twice: %s", sim.now, id, outcome)
 	}
-	if w.now > r.req.Deadline+8 {
-		w.t.Errorf("at %.0f: %s ended %.0f ms after its deadline", w.now, id, w.now-r.req.Deadline)
+	if sim.now > req.request.Deadline+8 {
+		sim.t.Errorf("at %.0f: %s ended %.0f ms after its deadline", sim.now, id, sim.now-req.request.Deadline)
 	}
-	r.answered = true
-	w.outcomes[outcome]++
+	req.answered = true
+	sim.outcomes[outcome]++
 }
 
 // speedShare returns the current speed of a node as a share of its full speed.
-func (w *simulation) speedShare(n *simulatedNode) float64 {
+func (sim *simulation) speedShare(n *simulatedNode) float64 {
 	if n.StartTime == 0 {
 		return 1
 	}
-	return math.Min(1, w.settings.SlowStartShare+(1-w.settings.SlowStartShare)*(w.now-n.StartTime)/w.settings.SlowStartDuration)
+	return math.Min(1, sim.settings.SlowStartShare+(1-sim.settings.SlowStartShare)*(sim.now-n.StartTime)/sim.settings.SlowStartDuration)
 }
 
 // send checks an attempt against the rules, and lets the node queue or reject it.
-func (w *simulation) send(h *simulatedScheduler, a Action) {
-	r, n := w.requests[a.ID], w.nodes[a.Node]
-	if r == nil || r.answered || r.scheduler != h || n == nil || n.Shard != r.req.Shard {
-		w.t.Fatalf("at %.0f: %s must not be sent to %s", w.now, a.ID, a.Node)
+func (sim *simulation) send(h *simulatedScheduler, a Action) {
+	r, n := sim.requests[a.ID], sim.nodes[a.Node]
+	if r == nil || r.answered || r.scheduler != h || n == nil || n.Shard != r.request.Shard {
+		sim.t.Fatalf("at %.0f: %s must not be sent to %s", sim.now, a.ID, a.Node)
 	}
-	if at, ok := h.notifiedAt[n.ID]; ok && w.now > at+w.settings.DrainGrace {
-		w.t.Errorf("at %.0f: sent to %s, which was reported as draining %.0f ms ago", w.now, n.ID, w.now-at)
+	if at, ok := h.notifiedAt[n.ID]; ok && sim.now > at+sim.settings.DrainGrace {
+		sim.t.Errorf("at %.0f: sent to %s, which was reported as draining %.0f ms ago", sim.now, n.ID, sim.now-at)
 	}
-	number, sent, incarnation := len(r.attempts), w.now, n.incarnation
+	number, sentAt, incarnation := len(r.attempts), sim.now, n.incarnation
 	attempt := &simulatedAttempt{}
 	attempt.end = func(status Status) {
 		if attempt.ended || h.incarnation != r.incarnation {
@@ -248,24 +248,24 @@
 		}
 		attempt.ended = true
 		if status == OK && !r.answered {
-			w.endRequest(a.ID, "served")
+			sim.endRequest(a.ID, "served")
 		}
-		h.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: number, Node: n.ID, Status: status, Latency: w.now - sent, Finished: r.answered})
+		h.step(Event{Kind: AttemptEnded, ID: a.ID, Attempt: number, Node: n.ID, Status: status, Latency: sim.now - sentAt, Finished: r.answered})
 	}
 	if r.attempts = append(r.attempts, attempt); number == 0 {
-		w.checkRateLimit(r)
+		sim.checkRateLimit(r)
 	}
-	w.after(math.Min(a.Deadline, r.req.Deadline)-w.now, func() { attempt.end(TimedOut) })
+	sim.after(math.Min(a.Deadline, r.request.Deadline)-sim.now, func() { attempt.end(TimedOut) })
 	switch {
 	case !n.alive:
-		w.after(1, func() { attempt.end(ConnectFailed) })
+		sim.after(1, func() { attempt.end(ConnectFailed) })
 		return
 	case n.State == NodeDraining || n.queued >= maxNodeQueue:
-		w.after(1, func() { attempt.end(NodeFull) })
+		sim.after(1, func() { attempt.end(NodeFull) })
 	default:
 		n.queued++
-		n.freeAt = math.Max(w.now, n.freeAt) + r.req.Units*1000/warmUnitsPerSecond/w.speedShare(n)
-		w.after(n.freeAt-w.now+1, func() {
+		n.freeAt = math.Max(sim.now, n.freeAt) + r.request.Units*1000/warmUnitsPerSecond/sim.speedShare(n)
+		sim.after(n.freeAt-sim.now+1, func() {
 			if n.incarnation != incarnation {
 				return
 			}
@@ -274,68 +274,68 @@
 		})
 		n.attempts = append(n.attempts, attempt)
 	}
-	w.checkOverload(n, r.req.Units)
+	sim.checkOverload(n, r.request.Units)
 }
 
 // checkOverload checks the units that a node in slow start got from all schedulers within OverloadWindow, including those
 // of rejected requests.
-func (w *simulation) checkOverload(n *simulatedNode, units float64) {
-	if n.StartTime == 0 || w.now-n.StartTime > w.settings.SlowStartDuration {
+func (sim *simulation) checkOverload(n *simulatedNode, units float64) {
+	if n.StartTime == 0 || sim.now-n.StartTime > sim.settings.SlowStartDuration {
 		return
 	}
-	w.recentUnits[n.ID] = append(w.recentUnits[n.ID], timedUnits{w.now, units})
-	recent := w.recentUnits[n.ID]
-	sum := sumUnitsSince(&recent, w.now-w.settings.OverloadWindow)
-	w.recentUnits[n.ID] = recent
-	if capacity := w.settings.OverloadMultiple * w.speedShare(n) * warmUnitsPerSecond * w.settings.OverloadWindow / 1000; sum > capacity {
-		w.t.Errorf("at %.0f: node %s, started %.0f ms ago, got %.0f units within %.0f ms, but its limit is %.0f", w.now, n.ID, w.now-n.StartTime, sum, w.settings.OverloadWindow, capacity)
+	sim.recentUnits[n.ID] = append(sim.recentUnits[n.ID], timedUnits{sim.now, units})
+	recent := sim.recentUnits[n.ID]
+	sum := sumUnitsSince(&recent, sim.now-sim.settings.OverloadWindow)
+	sim.recentUnits[n.ID] = recent
+	if capacity := sim.settings.OverloadMultiple * sim.speedShare(n) * warmUnitsPerSecond * sim.settings.OverloadWindow / 1000; sum > capacity {
+		sim.t.Errorf("at %.0f: node %s, started %.0f ms ago, got %.0f units within %.0f ms, but its limit is %.0f", sim.now, n.ID, sim.now-n.StartTime, sum, sim.settings.OverloadWindow, capacity)
 	}
 }
 
 // checkRateLimit checks the first sends of a volume with a rate limit over all schedulers.
-func (w *simulation) checkRateLimit(r *simulatedRequest) {
-	p := w.settings.Plans[1]
-	if r.req.Plan != p.Name {
+func (sim *simulation) checkRateLimit(r *simulatedRequest) {
+	p := sim.settings.Plans[1]
+	if r.request.Plan != p.Name {
 		return
 	}
-	s := w.limitBuckets[r.req.Volume]
-	s.units = math.Min(s.units+p.RateLimit*(w.now-s.at)/1000, p.LimitBurst) - r.req.Units
-	s.at = w.now
-	if s.units < -0.1*p.LimitBurst {
-		w.t.Errorf("at %.0f: volume %s exceeds its rate limit by %.1f units", w.now, r.req.Volume, -s.units)
+	bucket := sim.limitBuckets[r.request.Volume]
+	bucket.units = math.Min(bucket.units+p.RateLimit*(sim.now-bucket.at)/1000, p.LimitBurst) - r.request.Units
+	bucket.at = sim.now
+	if bucket.units < -0.1*p.LimitBurst {
+		sim.t.Errorf("at %.0f: volume %s exceeds its rate limit by %.1f units", sim.now, r.request.Volume, -bucket.units)
 	}
 }
 
-func (w *simulation) arrive() {
-	w.after(w.rng.ExpFloat64()*1000/requestsPerSecond, w.arrive)
-	volume := w.volumes[int(float64(len(w.volumes))*w.rng.Float64()*w.rng.Float64())] // some volumes have much more traffic
-	scheduler := w.schedulers[volume.schedulers[w.rng.Intn(len(volume.schedulers))]]
+func (sim *simulation) arrive() {
+	sim.after(sim.rng.ExpFloat64()*1000/requestsPerSecond, sim.arrive)
+	volume := sim.volumes[int(float64(len(sim.volumes))*sim.rng.Float64()*sim.rng.Float64())] // some volumes have much more traffic
+	scheduler := sim.schedulers[volume.schedulers[sim.rng.Intn(len(volume.schedulers))]]
 	if scheduler.down {
 		return // a request to a scheduler that is down is lost
 	}
-	class := w.settings.Classes[w.rng.Intn(len(w.settings.Classes))]
-	w.sequence++
+	class := sim.settings.Classes[sim.rng.Intn(len(sim.settings.Classes))]
+	sim.sequence++
 	schedulers := map[int]bool{}
 	for _, x := range volume.schedulers {
 		schedulers[x] = true
 	}
-	req := Request{ID: fmt.Sprint("q", w.sequence), Class: class.Name, Plan: volume.plan, Key: fmt.Sprint("k", w.sequence), Volume: volume.id,
-		Deadline: w.now + class.Deadline, Units: float64(1 + w.rng.Intn(3)), Shard: volume.shards[w.rng.Intn(len(volume.shards))], Schedulers: len(schedulers)}
-	r := &simulatedRequest{scheduler: scheduler, incarnation: scheduler.incarnation, req: req}
-	w.requests[req.ID] = r
+	req := Request{ID: fmt.Sprint("q", sim.sequence), Class: class.Name, Plan: volume.plan, Key: fmt.Sprint("k", sim.sequence), Volume: volume.id,
+		Deadline: sim.now + class.Deadline, Units: float64(1 + sim.rng.Intn(3)), Shard: volume.shards[sim.rng.Intn(len(volume.shards))], Schedulers: len(schedulers)}
+	tracked := &simulatedRequest{scheduler: scheduler, incarnation: scheduler.incarnation, request: req}
+	sim.requests[req.ID] = tracked
 	scheduler.step(Event{Kind: RequestArrived, Request: req})
-	w.after(class.Deadline+9, func() {
-		if !r.answered && scheduler.incarnation == r.incarnation {
-			w.t.Errorf("%s of class %s was not ended", req.ID, req.Class)
+	sim.after(class.Deadline+9, func() {
+		if !tracked.answered && scheduler.incarnation == tracked.incarnation {
+			sim.t.Errorf("%s of class %s was not ended", req.ID, req.Class)
 		}
-		delete(w.requests, req.ID)
+		delete(sim.requests, req.ID)
 	})
 }
 
 // announce publishes a list entry. Each scheduler receives it after a random delay.
-func (w *simulation) announce(n Node) {
-	for _, h := range w.schedulers {
-		w.after(300+w.rng.Float64()*2000, func() {
+func (sim *simulation) announce(n Node) {
+	for _, h := range sim.schedulers {
+		sim.after(300+sim.rng.Float64()*2000, func() {
 			if known, ok := h.list[n.ID]; ok && (known.State > n.State && n.StartTime == known.StartTime || known.StartTime > n.StartTime) {
 				return // older than the known entry
 			}
@@ -343,7 +343,7 @@
 			if n.State == NodeUp {
 				delete(h.notifiedAt, n.ID)
 			} else if _, ok := h.notifiedAt[n.ID]; !ok {
-				h.notifiedAt[n.ID] = w.now
+				h.notifiedAt[n.ID] = sim.now
 			}
 			if !h.down {
 				h.step(Event{Kind: ListChanged, Nodes: []Node{n}})
@@ -353,28 +353,28 @@
 }
 
 // stopNode stops a node and resets its connections.
-func (w *simulation) stopNode(n *simulatedNode) {
+func (sim *simulation) stopNode(n *simulatedNode) {
 	n.alive, n.queued, n.freeAt = false, 0, 0
 	n.incarnation++
 	attempts := n.attempts
 	n.attempts = nil
-	w.after(1, func() {
+	sim.after(1, func() {
 		for _, attempt := range attempts {
 			attempt.end(ConnectionReset)
 		}
 	})
 }
 
-func (w *simulation) startNode(n *simulatedNode) {
-	n.alive, n.StartTime = true, w.now
-	w.recentUnits[n.ID] = nil
-	w.announce(n.Node)
+func (sim *simulation) startNode(n *simulatedNode) {
+	n.alive, n.StartTime = true, sim.now
+	sim.recentUnits[n.ID] = nil
+	sim.announce(n.Node)
 }
 
-func (w *simulation) run() {
-	for end := w.now + simulationMs; w.events[0].at < end; {
-		event := heap.Pop(&w.events).(simulatedEvent)
-		w.now = event.at
+func (sim *simulation) run() {
+	for end := sim.now + simulationMs; sim.events[0].at < end; {
+		event := heap.Pop(&sim.events).(simulatedEvent)
+		sim.now = event.at
 		event.run()
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -74,8 +74,8 @@
 // start, rounded up or down at random to whole requests. Unused allowance expires. Otherwise a fleet
 // that was idle would send all the units that it had saved at the same time. Out of the allowance, a
 // node gets this scheduler's share of the node's own capacity, or one request per slot. Recently served
-// units allow more units without using up the allowance, and so does a last answer that was in time.
-// Both are limited by the rate at which the node serves.
+// units and a last answer that was in time allow more units, even if the allowance is used up. Both are
+// limited by the rate at which the node serves.
 // Trade-off: if all schedulers send their whole allowance to one of many nodes, the node gets too much.
 func (s *Scheduler) slowStartAllows(n *node, units float64) bool {
 	if !s.inSlowStart(n) || s.mayFollowAnswer(n) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -48,7 +48,7 @@
 // A scheduler may use its allowance for all nodes in slow start at the nodes that requests name, with one request to
 // each. With a separate share of less than one request per node, nodes that a scheduler reads rarely would stay idle.
 // Unused allowance is not saved.
-func TestSlowStartAllowanceGoesToTheRequestedNodes(t *testing.T) {
+func TestSlowStartAllowanceGoesToTheNodesAskedFor(t *testing.T) {
 	const nodes = 200
 	settings := testSettings()
 	settings.Schedulers, settings.Shards = fleetSchedulers, nodes
@@ -58,11 +58,11 @@
 	}
 	window, now := settings.OverloadWindow, 1000+2*settings.OverloadWindow
 	sendRequests := func(s *Scheduler, now float64, shards int) (sent int) {
-		var calls []Event
+		var events []Event
 		for i := range nodes {
-			calls = append(calls, requestArrived(fmt.Sprint("r", now, "-", i), "once", i%shards, now+1000))
+			events = append(events, requestArrived(fmt.Sprint("r", now, "-", i), "once", i%shards, now+1000))
 		}
-		return countActions(s.Step(now, calls, nil), Send)
+		return countActions(s.Step(now, events, nil), Send)
 	}
 	sentToAll, sentToOne := 0, 0
 	for seed := range int64(20) {
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -12,15 +12,15 @@
 func runSlowStartCases(t *testing.T, cases []slowStartCase, seed func(i int) int64) []slowStartResult {
 	results := make([]slowStartResult, len(cases))
 	var next atomic.Int64
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < len(cases); i = int(next.Add(1)) - 1 {
 				results[i] = newSlowStartSimulation(t, cases[i], seed(i)).run()
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	return results
 }
 
@@ -32,7 +32,7 @@
 	for _, schedulers := range []int{1, 4, 20, 30, 300} {
 		for i, c := range slowStartCases {
 			for k, settings := range slowStartSettings {
-				c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeStrength = schedulers, settings.units, settings.multiple, settings.strength
+				c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeSpeedFactor = schedulers, settings.units, settings.multiple, settings.speedFactor
 				if *slowStartSeeds == 1 && (i+schedulers+k)%len(slowStartSettings) != 0 {
 					continue // by default each case runs with one of the settings
 				}
@@ -63,7 +63,7 @@
 	for _, schedulers := range []int{1, 4, 20, 30, 300} {
 		for _, settings := range slowStartSettings[2:] {
 			for _, c := range slowStartCases[:2] {
-				c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeStrength = schedulers, settings.units, settings.multiple, settings.strength
+				c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeSpeedFactor = schedulers, settings.units, settings.multiple, settings.speedFactor
 				cases = append(cases, c, c, c, c)
 			}
 		}
@@ -75,7 +75,7 @@
 			servedShare, firstServedAfter = servedShare+r.servedShare/seeds, firstServedAfter+r.firstServedAfter/seeds
 		}
 		c := cases[i]
-		t.Logf("| %d | %.0f units, x%.1f, %.0f | %s | %.2f | %.1f s |", c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeStrength, c.name, servedShare, firstServedAfter)
+		t.Logf("| %d | %.0f units, x%.1f, %.0f | %s | %.2f | %.1f s |", c.schedulerCount, c.slowStartUnits, c.overloadMultiple, c.nodeSpeedFactor, c.name, servedShare, firstServedAfter)
 		if servedShare < 0.4 || firstServedAfter > 10 {
 			t.Errorf("%+v: served %.2f of its share, and 0.6 of it for a second only after %.1f s", c, servedShare, firstServedAfter)
 		}
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -20,7 +20,7 @@
 	schedulerCount   int
 	slowStartUnits   float64
 	overloadMultiple float64
-	nodeStrength     float64 // speed of the node as a multiple of the lowest speed that the settings allow
+	nodeSpeedFactor  float64 // speed of the node as a multiple of the lowest speed that the settings allow
 	uneven           bool    // one scheduler has most of the traffic
 	popular          bool    // all schedulers send requests to the node in slow start, and each to few others
 	idleBefore       bool    // almost no traffic to the node in slow start before the burst
@@ -96,48 +96,48 @@
 	return sim
 }
 
-func (w *slowStartSimulation) after(wait float64, do func()) {
-	w.sequence++
-	heap.Push(&w.events, simulatedEvent{w.now + wait, w.sequence, do})
+func (sim *slowStartSimulation) after(wait float64, do func()) {
+	sim.sequence++
+	heap.Push(&sim.events, simulatedEvent{sim.now + wait, sim.sequence, do})
 }
 
 // start starts a new process of a scheduler, which knows only the list.
-func (w *slowStartSimulation) start(scheduler int) {
-	settings := w.settings
+func (sim *slowStartSimulation) start(scheduler int) {
+	settings := sim.settings
 	settings.Instance = scheduler
-	w.incarnations[scheduler]++
-	s, err := New(settings, w.rng.Int63())
+	sim.incarnations[scheduler]++
+	s, err := New(settings, sim.rng.Int63())
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.schedulers[scheduler] = s
-	w.step(scheduler, Event{Kind: CachedListLoaded, Nodes: w.list})
+	sim.schedulers[scheduler] = s
+	sim.step(scheduler, Event{Kind: CachedListLoaded, Nodes: sim.list})
 }
 
-func (w *slowStartSimulation) step(scheduler int, evs ...Event) {
-	incarnation := w.incarnations[scheduler]
-	for _, a := range w.schedulers[scheduler].Step(w.now, evs, nil) {
+func (sim *slowStartSimulation) step(scheduler int, events ...Event) {
+	incarnation := sim.incarnations[scheduler]
+	for _, a := range sim.schedulers[scheduler].Step(sim.now, events, nil) {
 		switch a.Kind {
 		case SetTimer:
 			if a.Tag != heartbeatTimer {
-				w.after(math.Max(a.Wait, 1), func() {
-					if w.incarnations[scheduler] == incarnation {
-						w.step(scheduler, Event{Kind: TimerFired, Tag: a.Tag})
+				sim.after(math.Max(a.Wait, 1), func() {
+					if sim.incarnations[scheduler] == incarnation {
+						sim.step(scheduler, Event{Kind: TimerFired, Tag: a.Tag})
 					}
 				})
 			}
 		case Reject, Fail:
-			r := w.requests[a.ID]
+			r := sim.requests[a.ID]
 			r.ended = true
-			if w.faults && r.forSlowStartNode && !r.isRetry && a.Kind == Reject {
-				w.after(a.Wait, func() { w.arrive(scheduler, 0, r.units, true) })
+			if sim.faults && r.forSlowStartNode && !r.isRetry && a.Kind == Reject {
+				sim.after(a.Wait, func() { sim.arrive(scheduler, 0, r.units, true) })
 			}
 		case Send:
-			w.send(scheduler, a)
+			sim.send(scheduler, a)
 		case Cancel: // the node works on
-			w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, a.Attempt}, Cancelled, 1)
+			sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, a.Attempt}, Cancelled, 1)
 		case CheckHealth:
-			w.t.Errorf("scheduler %d sends a health check to %s, which the simulation does not count", scheduler, a.Node)
+			sim.t.Errorf("scheduler %d sends a health check to %s, which the simulation does not count", scheduler, a.Node)
 		}
 	}
 }
@@ -150,252 +150,252 @@
 }
 
 // endAttempt ends an attempt after a time, unless the scheduler has restarted.
-func (w *slowStartSimulation) endAttempt(a slowStartAttempt, status Status, wait float64) {
-	sentAt := w.now
-	w.after(wait, func() {
-		r := w.requests[a.id]
-		if w.incarnations[a.scheduler] != a.incarnation {
+func (sim *slowStartSimulation) endAttempt(a slowStartAttempt, status Status, wait float64) {
+	sentAt := sim.now
+	sim.after(wait, func() {
+		r := sim.requests[a.id]
+		if sim.incarnations[a.scheduler] != a.incarnation {
 			return
 		}
 		if status == OK {
-			if r.forSlowStartNode && !r.ended && w.now <= r.objectiveAt {
-				w.servedBySecond[int(w.now/1000)] += r.units
+			if r.forSlowStartNode && !r.ended && sim.now <= r.objectiveAt {
+				sim.servedBySecond[int(sim.now/1000)] += r.units
 			}
 			r.ended = true
 		}
-		w.step(a.scheduler, Event{Kind: AttemptEnded, ID: a.id, Attempt: a.number, Status: status, Latency: w.now - sentAt, Finished: r.ended})
+		sim.step(a.scheduler, Event{Kind: AttemptEnded, ID: a.id, Attempt: a.number, Status: status, Latency: sim.now - sentAt, Finished: r.ended})
 	})
 }
 
 // speed returns the current speed of the node of shard 0 in units per millisecond.
-func (w *slowStartSimulation) speed() float64 {
-	minSpeed := w.slowStartUnits / (w.overloadMultiple * w.settings.OverloadWindow * w.settings.SlowStartShare)
-	return w.nodeStrength * minSpeed * w.speedShare()
+func (sim *slowStartSimulation) speed() float64 {
+	minSpeed := sim.slowStartUnits / (sim.overloadMultiple * sim.settings.OverloadWindow * sim.settings.SlowStartShare)
+	return sim.nodeSpeedFactor * minSpeed * sim.speedShare()
 }
 
-func (w *slowStartSimulation) speedShare() float64 {
-	if w.slowStartSince == 0 {
+func (sim *slowStartSimulation) speedShare() float64 {
+	if sim.slowStartSince == 0 {
 		return 1
 	}
-	return math.Min(1, w.settings.SlowStartShare+(1-w.settings.SlowStartShare)*(w.now-w.slowStartSince)/w.settings.SlowStartDuration)
+	return math.Min(1, sim.settings.SlowStartShare+(1-sim.settings.SlowStartShare)*(sim.now-sim.slowStartSince)/sim.settings.SlowStartDuration)
 }
 
-func (w *slowStartSimulation) send(scheduler int, a Action) {
-	r, incarnation := w.requests[a.ID], w.incarnations[scheduler]
+func (sim *slowStartSimulation) send(scheduler int, a Action) {
+	r, incarnation := sim.requests[a.ID], sim.incarnations[scheduler]
 	number := r.attempts
 	r.attempts++
 	if a.Node != "n0" && a.Node != "m0" {
-		w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, OK, 5)
+		sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, OK, 5)
 		return
 	}
-	if w.nodeDown || a.Node == "n0" && w.slowStartSince > 0 && !w.nodeSilent {
-		w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, ConnectFailed, 1)
+	if sim.nodeDown || a.Node == "n0" && sim.slowStartSince > 0 && !sim.nodeSilent {
+		sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, ConnectFailed, 1)
 		return
 	}
-	if w.slowStartSince > 0 {
-		w.recordLoad(r.units, w.notified[scheduler])
+	if sim.slowStartSince > 0 {
+		sim.recordLoad(r.units, sim.notified[scheduler])
 	}
 	chance := 1.0
-	if w.faults {
-		chance = w.rng.Float64()
+	if sim.faults {
+		chance = sim.rng.Float64()
 	}
 	if chance < 0.02 {
-		w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, ConnectFailed, 1)
+		sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, ConnectFailed, 1)
 		return
 	}
 	worker := 0
-	if w.freeAt[1] < w.freeAt[0] {
+	if sim.freeAt[1] < sim.freeAt[0] {
 		worker = 1
 	}
-	if w.freeAt[worker]-w.now > 1500 {
-		w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, NodeFull, 1)
+	if sim.freeAt[worker]-sim.now > 1500 {
+		sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, NodeFull, 1)
 		return
 	}
-	w.freeAt[worker] = math.Max(w.now, w.freeAt[worker]) + r.units*(0.5+w.rng.Float64())*2/w.speed()
+	sim.freeAt[worker] = math.Max(sim.now, sim.freeAt[worker]) + r.units*(0.5+sim.rng.Float64())*2/sim.speed()
 	if chance < 0.05 {
 		return // the answer is lost
 	}
-	w.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, OK, w.freeAt[worker]-w.now+1)
+	sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, number}, OK, sim.freeAt[worker]-sim.now+1)
 }
 
 // recordLoad adds a request to the load within OverloadWindow if the list has notified its scheduler of the node's start.
 // Requests that do not run in the end count as well.
-func (w *slowStartSimulation) recordLoad(units float64, notified bool) {
-	if !notified || w.now-w.slowStartSince > w.settings.SlowStartDuration {
+func (sim *slowStartSimulation) recordLoad(units float64, notified bool) {
+	if !notified || sim.now-sim.slowStartSince > sim.settings.SlowStartDuration {
 		return
 	}
-	w.recentUnits = append(w.recentUnits, timedUnits{w.now, units})
-	w.result.requests++
-	sum := sumUnitsSince(&w.recentUnits, w.now-w.settings.OverloadWindow) / w.settings.MeanUnits
-	capacity := w.overloadMultiple * w.speed() * w.settings.OverloadWindow / w.settings.MeanUnits
+	sim.recentUnits = append(sim.recentUnits, timedUnits{sim.now, units})
+	sim.result.requests++
+	sum := sumUnitsSince(&sim.recentUnits, sim.now-sim.settings.OverloadWindow) / sim.settings.MeanUnits
+	capacity := sim.overloadMultiple * sim.speed() * sim.settings.OverloadWindow / sim.settings.MeanUnits
 	bound := capacity + 2*math.Sqrt(capacity) + 2
-	if w.slowStartCase.schedulerCount < 30 {
+	if sim.slowStartCase.schedulerCount < 30 {
 		bound = capacity + 3*math.Sqrt(capacity) + 3
 	}
-	w.result.maxLoad = math.Max(w.result.maxLoad, sum/bound)
+	sim.result.maxLoad = math.Max(sim.result.maxLoad, sum/bound)
 }
 
-func (w *slowStartSimulation) arrive(scheduler, shard int, units float64, isRetry bool) {
-	w.sequence++
-	class := w.settings.Classes[w.sequence%2]
-	id := fmt.Sprint("q", w.sequence)
-	w.requests[id] = &slowStartRequest{scheduler: scheduler, incarnation: w.incarnations[scheduler], objectiveAt: w.now + class.LatencyObjective, units: units, isRetry: isRetry, forSlowStartNode: shard == 0}
+func (sim *slowStartSimulation) arrive(scheduler, shard int, units float64, isRetry bool) {
+	sim.sequence++
+	class := sim.settings.Classes[sim.sequence%2]
+	id := fmt.Sprint("q", sim.sequence)
+	sim.requests[id] = &slowStartRequest{scheduler: scheduler, incarnation: sim.incarnations[scheduler], objectiveAt: sim.now + class.LatencyObjective, units: units, isRetry: isRetry, forSlowStartNode: shard == 0}
 	if shard == 0 && !isRetry {
-		w.requestedBySecond[int(w.now/1000)] += units
+		sim.requestedBySecond[int(sim.now/1000)] += units
 	}
-	w.step(scheduler, Event{Kind: RequestArrived, Request: Request{ID: id, Class: class.Name, Plan: "p", Key: id, Volume: fmt.Sprint("v", scheduler%20),
-		Deadline: w.now + class.Deadline, Units: units, Shard: shard, Schedulers: 1}})
+	sim.step(scheduler, Event{Kind: RequestArrived, Request: Request{ID: id, Class: class.Name, Plan: "p", Key: id, Volume: fmt.Sprint("v", scheduler%20),
+		Deadline: sim.now + class.Deadline, Units: units, Shard: shard, Schedulers: 1}})
 }
 
 // pickScheduler selects a random scheduler that sends requests to the node in slow start.
-func (w *slowStartSimulation) pickScheduler() int {
-	n := w.slowStartCase.schedulerCount
+func (sim *slowStartSimulation) pickScheduler() int {
+	n := sim.slowStartCase.schedulerCount
 	switch {
-	case w.uneven && w.rng.Float64() < 0.8:
+	case sim.uneven && sim.rng.Float64() < 0.8:
 		return 0
-	case w.popular:
-		return w.rng.Intn(n)
+	case sim.popular:
+		return sim.rng.Intn(n)
 	}
-	return w.rng.Intn(max(1, min(n, n/6+2))) // a share of a large fleet
+	return sim.rng.Intn(max(1, min(n, n/6+2))) // a share of a large fleet
 }
 
-func (w *slowStartSimulation) sendTraffic(start float64) {
-	baseRate := 0.8 * w.nodeStrength * w.slowStartUnits / (w.overloadMultiple * w.settings.OverloadWindow * w.settings.SlowStartShare) / w.settings.MeanUnits
+func (sim *slowStartSimulation) sendTraffic(start float64) {
+	baseRate := 0.8 * sim.nodeSpeedFactor * sim.slowStartUnits / (sim.overloadMultiple * sim.settings.OverloadWindow * sim.settings.SlowStartShare) / sim.settings.MeanUnits
 	rate := baseRate
-	burstStart := start + w.settings.SlowStartDuration*0.3
-	switch age := w.now - start; {
-	case w.now > burstStart && w.now < burstStart+3000 && w.burst > 0:
-		rate *= w.burst
-	case w.overload > 0 && age > -outageMs:
-		rate *= w.overload
-	case w.idleBefore && age > -outageMs:
+	burstStart := start + sim.settings.SlowStartDuration*0.3
+	switch age := sim.now - start; {
+	case sim.now > burstStart && sim.now < burstStart+3000 && sim.burst > 0:
+		rate *= sim.burst
+	case sim.overload > 0 && age > -outageMs:
+		rate *= sim.overload
+	case sim.idleBefore && age > -outageMs:
 		rate /= 100
 	}
-	w.arrive(w.pickScheduler(), 0, w.drawUnits(), false)
-	w.after(w.rng.ExpFloat64()/rate, func() { w.sendTraffic(start) })
+	sim.arrive(sim.pickScheduler(), 0, sim.drawUnits(), false)
+	sim.after(sim.rng.ExpFloat64()/rate, func() { sim.sendTraffic(start) })
 }
 
 // drawUnits returns a random request size. Its mean is that of the settings.
-func (w *slowStartSimulation) drawUnits() float64 {
+func (sim *slowStartSimulation) drawUnits() float64 {
 	switch {
-	case !w.largeRequests:
-		return float64(1 + w.rng.Intn(3))
-	case w.rng.Intn(5) == 0:
+	case !sim.largeRequests:
+		return float64(1 + sim.rng.Intn(3))
+	case sim.rng.Intn(5) == 0:
 		return 6
 	}
 	return 1
 }
 
 // readOtherShards adds requests for other shards, so that the schedulers can estimate how many shards they read.
-func (w *slowStartSimulation) readOtherShards(scheduler int) {
+func (sim *slowStartSimulation) readOtherShards(scheduler int) {
 	shardCount := slowStartShards / 6
-	if w.popular {
+	if sim.popular {
 		shardCount = 1
 	}
-	if w.manyNodes {
+	if sim.manyNodes {
 		shardCount = slowStartShards - 1
 	}
-	w.arrive(scheduler, 1+(scheduler+w.rng.Intn(shardCount))%(slowStartShards-1), 1, false)
-	w.after(w.rng.ExpFloat64()*8000/float64(shardCount), func() { w.readOtherShards(scheduler) })
+	sim.arrive(scheduler, 1+(scheduler+sim.rng.Intn(shardCount))%(slowStartShards-1), 1, false)
+	sim.after(sim.rng.ExpFloat64()*8000/float64(shardCount), func() { sim.readOtherShards(scheduler) })
 }
 
 // replaceNode replaces the first node by the one in slow start.
-func (w *slowStartSimulation) replaceNode() {
-	w.nodeDown, w.slowStartSince, w.freeAt = false, w.now, [2]float64{}
-	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: w.now}
+func (sim *slowStartSimulation) replaceNode() {
+	sim.nodeDown, sim.slowStartSince, sim.freeAt = false, sim.now, [2]float64{}
+	n := Node{ID: "m0", Shard: 0, Weight: 1, StartTime: sim.now}
 	old := Node{ID: "n0", Shard: 0, Weight: 1, State: NodeRemoved}
 	changes := []Node{old, n}
-	if w.nodeSilent {
+	if sim.nodeSilent {
 		n.ID = "n0"
 		changes = []Node{n}
 	}
-	list := append([]Node{n}, w.list[1:]...)
-	if w.manyNodes {
+	list := append([]Node{n}, sim.list[1:]...)
+	if sim.manyNodes {
 		for i := range list[1:] {
-			list[1+i].StartTime = w.now
+			list[1+i].StartTime = sim.now
 		}
 		changes = append(changes, list[1:]...)
 	}
-	for scheduler := range w.schedulers {
+	for scheduler := range sim.schedulers {
 		maxDelay := 2000.0
-		if w.listDelayed {
-			maxDelay = w.settings.SlowStartDuration / 2
+		if sim.listDelayed {
+			maxDelay = sim.settings.SlowStartDuration / 2
 		}
-		w.after(w.rng.Float64()*maxDelay, func() {
-			w.notified[scheduler] = true
-			w.step(scheduler, Event{Kind: ListChanged, Nodes: changes})
+		sim.after(sim.rng.Float64()*maxDelay, func() {
+			sim.notified[scheduler] = true
+			sim.step(scheduler, Event{Kind: ListChanged, Nodes: changes})
 		})
 	}
-	if w.restarts { // all of them restart within OverloadWindow, twice
-		for i, scheduler := range w.rng.Perm(len(w.schedulers)) {
+	if sim.restarts { // all of them restart within OverloadWindow, twice
+		for i, scheduler := range sim.rng.Perm(len(sim.schedulers)) {
 			for _, from := range []float64{2500, 7000} {
-				w.after(from+float64(i)*w.settings.OverloadWindow/float64(len(w.schedulers)), func() {
-					w.list, w.notified[scheduler] = list, true
-					w.start(scheduler)
+				sim.after(from+float64(i)*sim.settings.OverloadWindow/float64(len(sim.schedulers)), func() {
+					sim.list, sim.notified[scheduler] = list, true
+					sim.start(scheduler)
 				})
 			}
 		}
 	}
 }
 
-func (w *slowStartSimulation) run() slowStartResult {
-	beginAt := w.now
+func (sim *slowStartSimulation) run() slowStartResult {
+	beginAt := sim.now
 	start := beginAt + warmPhaseMs + outageMs
-	for scheduler := range w.schedulers {
-		w.start(scheduler)
-		w.after(w.rng.Float64()*8000, func() { w.readOtherShards(scheduler) })
+	for scheduler := range sim.schedulers {
+		sim.start(scheduler)
+		sim.after(sim.rng.Float64()*8000, func() { sim.readOtherShards(scheduler) })
 	}
-	w.after(0, func() { w.sendTraffic(start) })
-	w.after(warmPhaseMs, func() { w.nodeDown = true })
-	w.after(warmPhaseMs+outageMs, func() {
-		if w.allRestart {
-			for scheduler := range w.schedulers {
-				w.start(scheduler)
+	sim.after(0, func() { sim.sendTraffic(start) })
+	sim.after(warmPhaseMs, func() { sim.nodeDown = true })
+	sim.after(warmPhaseMs+outageMs, func() {
+		if sim.allRestart {
+			for scheduler := range sim.schedulers {
+				sim.start(scheduler)
 			}
 		}
-		w.replaceNode()
+		sim.replaceNode()
 	})
-	if w.simultaneous {
-		w.after(start+w.settings.SlowStartDuration*0.6-beginAt, func() {
-			for scheduler := range w.schedulers {
+	if sim.simultaneous {
+		sim.after(start+sim.settings.SlowStartDuration*0.6-beginAt, func() {
+			for scheduler := range sim.schedulers {
 				for range 3 {
-					w.arrive(scheduler, 0, w.drawUnits(), false)
+					sim.arrive(scheduler, 0, sim.drawUnits(), false)
 				}
 			}
 		})
 	}
-	for end := start + w.settings.SlowStartDuration + 4000; w.events[0].at < end; {
-		event := heap.Pop(&w.events).(simulatedEvent)
-		w.now = event.at
+	for end := start + sim.settings.SlowStartDuration + 4000; sim.events[0].at < end; {
+		event := heap.Pop(&sim.events).(simulatedEvent)
+		sim.now = event.at
 		event.run()
 	}
-	w.measureServedShare(start)
-	return w.result
+	sim.measureServedShare(start)
+	return sim.result
 }
 
 // measureServedShare sums the units that the node served and those that it could have served, and finds the time until it
 // first served enough of them.
-func (w *slowStartSimulation) measureServedShare(start float64) {
+func (sim *slowStartSimulation) measureServedShare(start float64) {
 	served, possible := 0.0, 0.0
-	w.result.firstServedAfter = (w.settings.SlowStartDuration + 4000) / 1000
-	for second := int(start / 1000); second < int((start+w.settings.SlowStartDuration)/1000); second++ {
-		w.now = float64(second)*1000 + 500
-		expected := math.Min(w.requestedBySecond[second], w.speed()*1000)
-		served, possible = served+w.servedBySecond[second], possible+expected
+	sim.result.firstServedAfter = (sim.settings.SlowStartDuration + 4000) / 1000
+	for second := int(start / 1000); second < int((start+sim.settings.SlowStartDuration)/1000); second++ {
+		sim.now = float64(second)*1000 + 500
+		expected := math.Min(sim.requestedBySecond[second], sim.speed()*1000)
+		served, possible = served+sim.servedBySecond[second], possible+expected
 	}
-	for second := int(start / 1000); second < int((start+w.settings.SlowStartDuration)/1000)+4; second++ {
-		w.now = float64(second)*1000 + 500
-		if expected := math.Min(w.requestedBySecond[second], w.speed()*1000); expected > 0 && w.servedBySecond[second] >= 0.6*expected {
-			w.result.firstServedAfter = math.Max(0, float64(second)+1-start/1000)
+	for second := int(start / 1000); second < int((start+sim.settings.SlowStartDuration)/1000)+4; second++ {
+		sim.now = float64(second)*1000 + 500
+		if expected := math.Min(sim.requestedBySecond[second], sim.speed()*1000); expected > 0 && sim.servedBySecond[second] >= 0.6*expected {
+			sim.result.firstServedAfter = math.Max(0, float64(second)+1-start/1000)
 			break
 		}
 	}
-	w.result.servedShare = served / math.Max(possible, 1e-9)
+	sim.result.servedShare = served / math.Max(possible, 1e-9)
 }
 
 // slowStartSettings are combinations of SlowStartUnits, OverloadMultiple and the speed of the node as a multiple of the
 // lowest speed that the settings allow.
-var slowStartSettings = []struct{ units, multiple, strength float64 }{{7, 3, 2}, {27, 2, 1}, {39, 3, 3}, {200, 2, 1}, {300, 2.5, 1}, {400, 3, 2}}
+var slowStartSettings = []struct{ units, multiple, speedFactor float64 }{{7, 3, 2}, {27, 2, 1}, {39, 3, 3}, {200, 2, 1}, {300, 2.5, 1}, {400, 3, 2}}
 
 var slowStartCases = []slowStartCase{
 	{name: "even"},
--- a/policy/stall_test.go
+++ b/policy/stall_test.go
@@ -52,7 +52,7 @@
 }
 
 // After a stall of its own, a scheduler neither counts the wait as latency nor considers the node silent.
-func TestOwnStallIsNoSampleOfTheNodes(t *testing.T) {
+func TestOwnStallIsNoLatencySample(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 8 {
 		id := fmt.Sprint("w", i)
--- a/policy/surge_test.go
+++ b/policy/surge_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	surgeSchedulers = 150
-	surgeNodes      = 75
-	surgeWorkers    = 2     // requests that a node serves in parallel
-	surgeWorkMs     = 120.0 // mean work of a request
-	surgeCalmMs     = 5e3   // duration of the calm time before the surge
-	surgeMs         = 10e3
-	surgeEndMs      = 17e3
-	surgePerVolume  = 3                                       // schedulers through which a volume's requests come
-	surgeCapacity   = surgeNodes * surgeWorkers / surgeWorkMs // requests per millisecond
+	surgeSchedulers          = 150
+	surgeNodes               = 75
+	surgeWorkers             = 2     // requests that a node serves in parallel
+	surgeWorkMs              = 120.0 // mean work of a request
+	surgeCalmMs              = 5e3   // duration of the calm time before the surge
+	surgeMs                  = 10e3
+	surgeEndMs               = 17e3
+	surgeSchedulersPerVolume = 3                                       // schedulers through which a volume's requests come
+	surgeCapacity            = surgeNodes * surgeWorkers / surgeWorkMs // requests per millisecond
 )
 
 // surgeSimulation simulates a calm time and a surge, with many schedulers that each get few answers from a node. The nodes
@@ -63,7 +63,7 @@
 	settings.MayCancel, settings.MaxAttempts = true, 3
 	settings.Classes = []Class{{Name: "safe", LatencyObjective: 1400, Deadline: 3000, PriorityWeight: 3},
 		{Name: "once", LatencyObjective: 1700, Deadline: 3000, PriorityWeight: 2, Effect: NonIdempotent}}
-	reservedRate := 400 * surgeCapacity / (surgeSchedulers / surgePerVolume)
+	reservedRate := 400 * surgeCapacity / (surgeSchedulers / surgeSchedulersPerVolume)
 	settings.Plans = []Plan{{Name: "p", Rate: 1, ReservedRate: reservedRate, Weight: 1, Price: 1}}
 	sim := &surgeSimulation{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), loadFactor: loadFactor, requests: map[string]*surgeRequest{}}
 	var list []Node
@@ -82,78 +82,80 @@
 	return sim
 }
 
-func (w *surgeSimulation) isSurge() bool { return w.now > surgeCalmMs && w.now < surgeCalmMs+surgeMs }
+func (sim *surgeSimulation) isSurge() bool {
+	return sim.now > surgeCalmMs && sim.now < surgeCalmMs+surgeMs
+}
 
-func (w *surgeSimulation) after(wait float64, do func()) {
-	w.eventSequence++
-	heap.Push(&w.events, simulatedEvent{w.now + wait, w.eventSequence, do})
+func (sim *surgeSimulation) after(wait float64, do func()) {
+	sim.eventSequence++
+	heap.Push(&sim.events, simulatedEvent{sim.now + wait, sim.eventSequence, do})
 }
 
-func (w *surgeSimulation) step(s *Scheduler, events ...Event) {
-	for _, a := range s.Step(w.now, events, nil) {
+func (sim *surgeSimulation) step(s *Scheduler, events ...Event) {
+	for _, a := range s.Step(sim.now, events, nil) {
 		switch a.Kind {
 		case SetTimer:
-			w.after(math.Max(a.Wait, 1), func() { w.step(s, Event{Kind: TimerFired, Tag: a.Tag}) })
+			sim.after(math.Max(a.Wait, 1), func() { sim.step(s, Event{Kind: TimerFired, Tag: a.Tag}) })
 		case Reject, Fail:
-			w.requests[a.ID].ended = true
+			sim.requests[a.ID].ended = true
 		case Send:
-			w.serve(s, a)
+			sim.serve(s, a)
 		case Cancel:
-			w.after(1, func() {
-				w.step(s, Event{Kind: AttemptEnded, ID: a.ID, Attempt: a.Attempt, Status: Cancelled, Finished: w.requests[a.ID].ended})
+			sim.after(1, func() {
+				sim.step(s, Event{Kind: AttemptEnded, ID: a.ID, Attempt: a.Attempt, Status: Cancelled, Finished: sim.requests[a.ID].ended})
 			})
 		}
 	}
 }
 
 // serve assigns an attempt to the worker of the node that is free first.
-func (w *surgeSimulation) serve(s *Scheduler, a Action) {
-	r := w.requests[a.ID]
-	attempt, sentAt := r.attempts, w.now
+func (sim *surgeSimulation) serve(s *Scheduler, a Action) {
+	r := sim.requests[a.ID]
+	attempt, sentAt := r.attempts, sim.now
 	r.attempts++
 	var index int
 	if _, err := fmt.Sscanf(a.Node, "n%d", &index); err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	workers := &w.freeAt[index]
+	workers := &sim.freeAt[index]
 	worker := 0
 	if workers[1] < workers[0] {
 		worker = 1
 	}
-	workers[worker] = math.Max(w.now, workers[worker]) + w.rng.ExpFloat64()*surgeWorkMs
-	w.after(workers[worker]-w.now, func() {
-		w.countServed(r)
-		w.step(s, Event{Kind: AttemptEnded, ID: a.ID, Attempt: attempt, Node: a.Node, Status: OK, Latency: w.now - sentAt, Finished: true})
+	workers[worker] = math.Max(sim.now, workers[worker]) + sim.rng.ExpFloat64()*surgeWorkMs
+	sim.after(workers[worker]-sim.now, func() {
+		sim.countServed(r)
+		sim.step(s, Event{Kind: AttemptEnded, ID: a.ID, Attempt: attempt, Node: a.Node, Status: OK, Latency: sim.now - sentAt, Finished: true})
 	})
 }
 
-func (w *surgeSimulation) countServed(r *surgeRequest) {
+func (sim *surgeSimulation) countServed(r *surgeRequest) {
 	isFirst := !r.ended
 	r.ended = true
-	if !isFirst || !w.isSurge() {
+	if !isFirst || !sim.isSurge() {
 		return
 	}
-	if w.now-r.arrivedAt <= r.objective {
-		w.servedInTime++
+	if sim.now-r.arrivedAt <= r.objective {
+		sim.servedInTime++
 	} else {
-		w.servedLate++
+		sim.servedLate++
 	}
 }
 
-func (w *surgeSimulation) arrive() {
-	w.requestSequence++
-	volume, class := w.rng.Intn(surgeSchedulers/surgePerVolume), w.settings.Classes[w.requestSequence%2]
-	s := w.schedulers[surgePerVolume*volume+w.rng.Intn(surgePerVolume)]
-	id := fmt.Sprint("q", w.requestSequence)
-	w.requests[id] = &surgeRequest{objective: class.LatencyObjective, arrivedAt: w.now}
-	w.step(s, Event{Kind: RequestArrived, Request: Request{ID: id, Class: class.Name, Plan: "p", Key: "k" + id,
-		Volume: fmt.Sprint("v", volume), Deadline: w.now + class.Deadline, Units: 1, Shard: w.rng.Intn(surgeNodes),
-		Schedulers: surgePerVolume}})
+func (sim *surgeSimulation) arrive() {
+	sim.requestSequence++
+	volume, class := sim.rng.Intn(surgeSchedulers/surgeSchedulersPerVolume), sim.settings.Classes[sim.requestSequence%2]
+	s := sim.schedulers[surgeSchedulersPerVolume*volume+sim.rng.Intn(surgeSchedulersPerVolume)]
+	id := fmt.Sprint("q", sim.requestSequence)
+	sim.requests[id] = &surgeRequest{objective: class.LatencyObjective, arrivedAt: sim.now}
+	sim.step(s, Event{Kind: RequestArrived, Request: Request{ID: id, Class: class.Name, Plan: "p", Key: "k" + id,
+		Volume: fmt.Sprint("v", volume), Deadline: sim.now + class.Deadline, Units: 1, Shard: sim.rng.Intn(surgeNodes),
+		Schedulers: surgeSchedulersPerVolume}})
 	rate := 0.5 * surgeCapacity
-	if w.isSurge() {
-		rate *= w.loadFactor
+	if sim.isSurge() {
+		rate *= sim.loadFactor
 	}
-	w.after(w.rng.ExpFloat64()/rate, w.arrive)
+	sim.after(sim.rng.ExpFloat64()/rate, sim.arrive)
 }
 
 // If each scheduler gets answers from a node more slowly than the node's queue grows, the queue must still stay shorter
--- a/policy/window.go
+++ b/policy/window.go
@@ -30,8 +30,8 @@
 // windowEpoch collects latencies between two changes of the window.
 type windowEpoch struct {
 	startAt    float64
-	latencySum float64 // sum
-	unitsSum   float64 // sum
+	latencySum float64
+	unitsSum   float64
 	answers    int
 }
 
