--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/policy"
 )
 
-// One scheduler, one node, one request in and the action out.
+// An instance receives the endpoint list and then a request, and returns the action that sends the request to a node.
 func Example() {
 	s, err := policy.New(policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3,
 		DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3, OverloadWindow: 2000,
