--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -5,40 +5,40 @@
 	"testing"
 )
 
-// ruleChecker keeps its own account of what the rules forbid, apart from the scheduler under test.
+// ruleChecker checks the actions of a scheduler against the rules, with bookkeeping of its own.
 type ruleChecker struct {
 	t               *testing.T
-	set             Settings
+	settings        Settings
 	now             float64
 	requests        map[string]*trackedRequest
 	openAttempts    map[string]*trackedAttempt
-	notUpSince      map[string]float64 // when a node was told to drain or to be gone
+	notUpSince      map[string]float64 // when a node was first reported as draining or removed
 	requestTimes    []float64
 	retryTimes      []float64
 	keyBackoffUntil map[string]float64
-	limitedUnits    map[string]float64 // limited units sent since start, by volume
+	limitedUnits    map[string]float64 // units sent since the start on the plan with a rate limit, by volume
 	startedAt       float64
 	byKey           map[string][]string
 	timers          []dueTimer
-	unanswered      []string // unanswered, in order of arrival
+	unanswered      []string // requests without an answer, in order of arrival
 	history         [][]Action
 }
 
 type trackedRequest struct {
-	request  Request
-	class    *Class
-	sends    int
-	inFlight int
-	answered bool
-	gone     bool // its client disconnected
-	mayRun   []*trackedAttempt
+	request      Request
+	class        *Class
+	sends        int
+	inFlight     int
+	answered     bool
+	disconnected bool
+	mayHaveRun   []*trackedAttempt
 }
 
 type trackedAttempt struct {
 	id      string
 	attempt int
 	node    Node
-	sent    float64
+	sentAt  float64
 }
 
 type dueTimer struct {
@@ -46,137 +46,137 @@
 	tag string
 }
 
-func (b *ruleChecker) fail(format string, args ...any) {
-	b.t.Helper()
-	b.t.Fatalf("at %.0f: %s", b.now, fmt.Sprintf(format, args...))
+func (c *ruleChecker) fail(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("at %.0f: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (b *ruleChecker) answered(id string) {
-	e := b.requests[id]
-	if e == nil || e.answered {
-		b.fail("second answer, or answer to no request: %s", id)
+func (c *ruleChecker) recordAnswer(id string) {
+	r := c.requests[id]
+	if r == nil || r.answered {
+		c.fail("%s answered twice, or not a request", id)
 	}
-	e.answered = true
+	r.answered = true
 }
 
-func (b *ruleChecker) check(acts []Action, nodes map[string]Node) {
-	for _, a := range acts {
+func (c *ruleChecker) checkActions(actions []Action, nodes map[string]Node) {
+	for _, a := range actions {
 		switch a.Kind {
 		case Send:
-			b.send(a, nodes)
+			c.checkSend(a, nodes)
 		case Reject:
-			e := b.requests[a.ID]
-			b.answered(a.ID)
-			lone := e.class == nil || e.class.Effect == Idempotent || e.class.Effect == IdempotentByKey && e.class.DedupScope == DedupAll
-			if !lone && len(e.mayRun) > 0 {
-				b.fail("rejected %s, which may have run", a.ID)
+			r := c.requests[a.ID]
+			c.recordAnswer(a.ID)
+			mayRetryAnywhere := r.class == nil || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupAll
+			if !mayRetryAnywhere && len(r.mayHaveRun) > 0 {
+				c.fail("rejected %s, which may have run", a.ID)
 			}
-			if a.Wait < 0 || a.Wait > b.set.MaxRetryAfter {
-				b.fail("Retry-After of %v", a.Wait)
+			if a.Wait < 0 || a.Wait > c.settings.MaxRetryAfter {
+				c.fail("Retry-After of %v", a.Wait)
 			}
 		case Fail:
-			b.answered(a.ID)
+			c.recordAnswer(a.ID)
 		case SetTimer:
 			if a.Wait <= 0 {
-				b.fail("timer %v", a.Wait)
+				c.fail("timer with a wait of %v", a.Wait)
 			}
-			b.timers = append(b.timers, dueTimer{b.now + a.Wait, a.Tag})
+			c.timers = append(c.timers, dueTimer{c.now + a.Wait, a.Tag})
 		case Gossip:
-			if !b.set.MayGossip || len(a.Data) > 256 {
-				b.fail("message not allowed")
+			if !c.settings.MayGossip || len(a.Data) > 256 {
+				c.fail("gossip where not allowed, or too large")
 			}
 		case CheckHealth, Cancel:
-			b.fail("health check or cancellation where not allowed")
+			c.fail("health check or cancellation where not allowed")
 		}
 	}
 }
 
-// send checks one Send against every rule, and counts it.
-func (b *ruleChecker) send(a Action, nodes map[string]Node) {
-	e, n := b.requests[a.ID], nodes[a.Node]
-	if e == nil || e.answered || e.gone {
-		b.fail("sent %s after its end", a.ID)
+// checkSend checks a Send against the rules and records it.
+func (c *ruleChecker) checkSend(a Action, nodes map[string]Node) {
+	r, n := c.requests[a.ID], nodes[a.Node]
+	if r == nil || r.answered || r.disconnected {
+		c.fail("sent %s, which has ended or does not exist", a.ID)
 	}
 	if n.ID == "" {
-		b.fail("sent to unlisted %q", a.Node)
+		c.fail("sent to unlisted node %q", a.Node)
 	}
-	if at, ok := b.notUpSince[a.Node]; ok && b.now > at+b.set.DrainGrace {
-		b.fail("sent to %s, reported as not up at %.0f", a.Node, at)
+	if at, ok := c.notUpSince[a.Node]; ok && c.now > at+c.settings.DrainGrace {
+		c.fail("sent to %s, reported as not up at %.0f", a.Node, at)
 	}
-	if e.sends >= b.set.MaxAttempts || !b.set.MayHedge && e.inFlight > 0 {
-		b.fail("attempt %d of %s with %d in flight", e.sends, a.ID, e.inFlight)
+	if r.sends >= c.settings.MaxAttempts || !c.settings.MayHedge && r.inFlight > 0 {
+		c.fail("attempt %d of %s with %d in flight", r.sends, a.ID, r.inFlight)
 	}
-	b.checkEffect(a, e, n)
-	if e.sends > 0 {
-		b.checkRetryBudget()
-		b.retryTimes = append(b.retryTimes, b.now)
+	c.checkEffect(a, r, n)
+	if r.sends > 0 {
+		c.checkRetryBudget()
+		c.retryTimes = append(c.retryTimes, c.now)
 	}
-	b.checkOrder(a, e)
-	b.checkRateLimit(e)
-	b.openAttempts[fmt.Sprint(a.ID, "#", e.sends)] = &trackedAttempt{a.ID, e.sends, n, b.now}
-	e.sends++
-	e.inFlight++
+	c.checkOrder(a, r)
+	c.checkRateLimit(r)
+	c.openAttempts[fmt.Sprint(a.ID, "#", r.sends)] = &trackedAttempt{a.ID, r.sends, n, c.now}
+	r.sends++
+	r.inFlight++
 }
 
-// checkEffect checks that an attempt that may have run allows another one.
-func (b *ruleChecker) checkEffect(a Action, e *trackedRequest, n Node) {
-	for _, f := range e.mayRun {
+// checkEffect checks that another attempt is allowed after attempts that may have run.
+func (c *ruleChecker) checkEffect(a Action, r *trackedRequest, n Node) {
+	for _, f := range r.mayHaveRun {
 		switch {
-		case e.class.Effect == NonIdempotent:
-			b.fail("non-idempotent %s sent again", a.ID)
-		case e.class.Effect == IdempotentByKey && (b.now > f.sent+e.class.DedupWindow ||
-			e.class.DedupScope == DedupZone && f.node.Zone != n.Zone ||
-			e.class.DedupScope == DedupShard && f.node.Shard != n.Shard):
-			b.fail("%s, idempotent by key, sent outside its deduplication scope or window", a.ID)
+		case r.class.Effect == NonIdempotent:
+			c.fail("non-idempotent %s sent again", a.ID)
+		case r.class.Effect == IdempotentByKey && (c.now > f.sentAt+r.class.DedupWindow ||
+			r.class.DedupScope == DedupZone && f.node.Zone != n.Zone ||
+			r.class.DedupScope == DedupShard && f.node.Shard != n.Shard):
+			c.fail("%s, idempotent by key, sent outside its deduplication scope or window", a.ID)
 		}
 	}
 }
 
-func (b *ruleChecker) checkRetryBudget() {
-	if b.set.RetryBudgetWindow <= 0 {
+func (c *ruleChecker) checkRetryBudget() {
+	if c.settings.RetryBudgetWindow <= 0 {
 		return
 	}
 	retries, requests := 1.0, 0.0
-	for _, t := range b.retryTimes {
-		if t >= b.now-b.set.RetryBudgetWindow {
+	for _, t := range c.retryTimes {
+		if t >= c.now-c.settings.RetryBudgetWindow {
 			retries++
 		}
 	}
-	for _, t := range b.requestTimes {
-		if t > b.now-b.set.RetryBudgetWindow {
+	for _, t := range c.requestTimes {
+		if t > c.now-c.settings.RetryBudgetWindow {
 			requests++
 		}
 	}
-	if retries > b.set.RetryBudgetMin+b.set.RetryBudgetShare*requests+1e-9 {
-		b.fail("retry %v is over the budget", retries)
+	if retries > c.settings.RetryBudgetMin+c.settings.RetryBudgetShare*requests+1e-9 {
+		c.fail("retry %v is over the budget", retries)
 	}
 }
 
-// checkOrder checks that requests of one ordered key run one after another.
-func (b *ruleChecker) checkOrder(a Action, e *trackedRequest) {
-	if !e.class.Ordered || e.request.Key == "" {
+// checkOrder checks that the requests of an ordered key run one after another.
+func (c *ruleChecker) checkOrder(a Action, r *trackedRequest) {
+	if !r.class.Ordered || r.request.Key == "" {
 		return
 	}
-	for _, id := range b.byKey[e.request.Key] {
+	for _, id := range c.byKey[r.request.Key] {
 		if id == a.ID {
 			break
 		}
-		if o := b.requests[id]; !o.answered && !o.gone || o.inFlight > 0 {
-			b.fail("%s overtakes %s", a.ID, id)
+		if earlier := c.requests[id]; !earlier.answered && !earlier.disconnected || earlier.inFlight > 0 {
+			c.fail("%s overtakes %s", a.ID, id)
 		}
 	}
-	if e.sends == 0 && b.now < b.keyBackoffUntil[e.request.Key] {
-		b.fail("%s sent within the backoff of its key", a.ID)
+	if r.sends == 0 && c.now < c.keyBackoffUntil[r.request.Key] {
+		c.fail("%s sent within the backoff of its key", a.ID)
 	}
 }
 
-func (b *ruleChecker) checkRateLimit(e *trackedRequest) {
-	if e.request.Plan != "capped" || e.sends > 0 {
+func (c *ruleChecker) checkRateLimit(r *trackedRequest) {
+	if r.request.Plan != "capped" || r.sends > 0 {
 		return
 	}
-	b.limitedUnits[e.request.Volume] += e.request.Units
-	share := 1 / float64(e.request.Schedulers)
-	if b.limitedUnits[e.request.Volume] > share*(40+20*(b.now-b.startedAt)/1000)+1e-6 {
-		b.fail("rate limit of %s exceeded: %v", e.request.Volume, b.limitedUnits[e.request.Volume])
+	c.limitedUnits[r.request.Volume] += r.request.Units
+	share := 1 / float64(r.request.Schedulers)
+	if c.limitedUnits[r.request.Volume] > share*(40+20*(c.now-c.startedAt)/1000)+1e-6 {
+		c.fail("rate limit of %s exceeded: %v", r.request.Volume, c.limitedUnits[r.request.Volume])
 	}
 }
