--- a/internal/cost/errors.go
+++ b/internal/cost/errors.go
@@ -8,96 +8,108 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-func wantRange(least, most float64) string { return fmt.Sprintf("%g to %g", least, most) }
+func formatRange(minValue, maxValue float64) string {
+	return fmt.Sprintf("%g to %g", minValue, maxValue)
+}
 
-// BadSetting is a setting that cannot be.
-type BadSetting struct {
-	Key   string
-	Value float64
-	Want  string
+// SettingError reports an invalid setting.
+type SettingError struct {
+	Key      string
+	Value    float64
+	Expected string
 }
 
-func (e *BadSetting) Error() string { return fmt.Sprintf("%s: %g; want %s", e.Key, e.Value, e.Want) }
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("%s: %g; expected %s", e.Key, e.Value, e.Expected)
+}
 
 // Code implements operr.Coded.
-func (e *BadSetting) Code() string { return "cost-bad-setting" }
+func (e *SettingError) Code() string { return "cost-bad-setting" }
 
 // Advice implements operr.Coded.
-func (e *BadSetting) Advice() string { return "set the key to a value in the range that is named" }
+func (e *SettingError) Advice() string { return "set the key to a value in the given range" }
 
-// BadPlans is a text that is no question: not JSON, or not of the schema's form.
-type BadPlans struct{ Step, Why string }
+// MalformedPlansError reports an input that is not valid JSON or does not match the schema.
+type MalformedPlansError struct{ Step, Problem string }
 
-func (e *BadPlans) Error() string { return at(e.Step) + e.Why }
+func (e *MalformedPlansError) Error() string { return stepPrefix(e.Step) + e.Problem }
 
 // Code implements operr.Coded.
-func (e *BadPlans) Code() string { return "cost-bad-plans" }
+func (e *MalformedPlansError) Code() string { return "cost-bad-plans" }
 
 // Advice implements operr.Coded.
-func (e *BadPlans) Advice() string {
-	return "hold the question against the schema that wheatsaddle schema --of plans prints"
+func (e *MalformedPlansError) Advice() string {
+	return "compare the plans with the schema that wheatsaddle schema --of plans prints"
 }
 
-// UnknownName is a shard, class, node, limit or named step that does not exist.
-type UnknownName struct{ Step, What, Name string }
+// UnknownNameError reports a shard, class, node, limit or named step that does not exist.
+type UnknownNameError struct{ Step, Kind, Name string }
 
-func (e *UnknownName) Error() string { return fmt.Sprintf("%sno %s %q", at(e.Step), e.What, e.Name) }
+func (e *UnknownNameError) Error() string {
+	return fmt.Sprintf("%sno %s %q", stepPrefix(e.Step), e.Kind, e.Name)
+}
 
 // Code implements operr.Coded.
-func (e *UnknownName) Code() string { return "cost-unknown-name" }
+func (e *UnknownNameError) Code() string { return "cost-unknown-name" }
 
 // Advice implements operr.Coded.
-func (e *UnknownName) Advice() string {
-	return "correct the name; a node that has just started is known once a process has heard of it"
+func (e *UnknownNameError) Advice() string {
+	return "correct the name; a node that has just started is known as soon as one process has reported it"
 }
 
-// Cycle is a step that leads back to itself.
-type Cycle struct{ Step, Name string }
+// CycleError reports a named step that refers to itself, directly or through other steps.
+type CycleError struct{ Step, Name string }
 
-func (e *Cycle) Error() string { return fmt.Sprintf("%s%q leads back to itself", at(e.Step), e.Name) }
+func (e *CycleError) Error() string {
+	return fmt.Sprintf("%s%q refers to itself", stepPrefix(e.Step), e.Name)
+}
 
 // Code implements operr.Coded.
-func (e *Cycle) Code() string { return "cost-cycle" }
+func (e *CycleError) Code() string { return "cost-cycle" }
 
 // Advice implements operr.Coded.
-func (e *Cycle) Advice() string { return "take out the reference that closes the circle" }
+func (e *CycleError) Advice() string { return "remove the reference that closes the cycle" }
 
-// BadFigure is a figure that cannot be.
-type BadFigure struct {
+// ValueError reports a number out of its range.
+type ValueError struct {
 	Step, Key string
 	Value     float64
-	Want      string
+	Expected  string
 }
 
-func (e *BadFigure) Error() string {
-	return fmt.Sprintf("%s%s %g; want %s", at(e.Step), e.Key, e.Value, e.Want)
+func (e *ValueError) Error() string {
+	return fmt.Sprintf("%s%s: %g; expected %s", stepPrefix(e.Step), e.Key, e.Value, e.Expected)
 }
 
 // Code implements operr.Coded.
-func (e *BadFigure) Code() string { return "cost-bad-figure" }
+func (e *ValueError) Code() string { return "cost-bad-figure" }
 
 // Advice implements operr.Coded.
-func (e *BadFigure) Advice() string { return "correct the figure of the step that is named" }
+func (e *ValueError) Advice() string { return "correct the value in the named step" }
 
-// TooMuch is a question over a bound.
-type TooMuch struct {
+// LimitError reports an input that exceeds one of the limits of an estimate.
+type LimitError struct {
 	Step, What string
-	Most       int
+	Max        int
 }
 
-func (e *TooMuch) Error() string { return fmt.Sprintf("%smore than %d %s", at(e.Step), e.Most, e.What) }
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("%smore than %d %s", stepPrefix(e.Step), e.Max, e.What)
+}
 
 // Code implements operr.Coded.
-func (e *TooMuch) Code() string { return "cost-too-much" }
+func (e *LimitError) Code() string { return "cost-too-much" }
 
 // Advice implements operr.Coded.
-func (e *TooMuch) Advice() string { return "ask in parts, or leave out steps that matter least" }
+func (e *LimitError) Advice() string {
+	return "split the plans over several requests, or remove the least important steps"
+}
 
-// OutOfTime is a question whose estimates took longer than they may.
-type OutOfTime struct{ Made, Plans int }
+// OutOfTime reports that the estimates took longer than the caller allows.
+type OutOfTime struct{ Estimated, Plans int }
 
 func (e *OutOfTime) Error() string {
-	return fmt.Sprintf("time was up after %d of %d plans", e.Made, e.Plans)
+	return fmt.Sprintf("time limit reached after %d of %d plans", e.Estimated, e.Plans)
 }
 
 // Code implements operr.Coded.
@@ -105,10 +117,10 @@
 
 // Advice implements operr.Coded.
 func (e *OutOfTime) Advice() string {
-	return "ask for fewer plans at a time, or when there is less load"
+	return "request fewer plans at a time, or retry when the load is lower"
 }
 
-func at(step string) string {
+func stepPrefix(step string) string {
 	if step == "" {
 		return ""
 	}
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -11,153 +11,153 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// Estimator holds the lines of the last views.
+// Estimator estimates plans with models that are fitted to the latest views.
 type Estimator struct {
-	set     Settings
-	classes map[string]int
-	types   []string
-	nodes   map[string]int
-	place   []place
-	shards  []map[int][]int // by class: a shard's nodes, of the widest windows first
-	lines   [][]line        // by class and node
-	bare    [][]line        // by class and type: what a node without answers has
-	views   int
-	dropped int
+	settings     Settings
+	classIndex   map[string]int
+	typeNames    []string
+	nodeIndex    map[string]int
+	nodeInfos    []nodeInfo
+	shardNodes   []map[int][]int // by class: a shard's nodes, those with the largest windows first
+	models       [][]nodeModel   // by class and node
+	typeModels   [][]nodeModel   // by class and type: of nodes without answers
+	viewCount    int
+	droppedViews int
 
-	// Between, if set, is called between plans: whoever estimates beside urgent work gives way there, and
-	// ends what takes too long by false.
+	// ShouldContinue, if set, is called between two plans, so that the caller can yield the processor to more urgent
+	// work. If it returns false, Estimate fails with a TimeoutError.
 	Between func() bool
 
-	take  func(views []nodestats.View, most int) ([]nodestats.View, int) // latest; a test breaks these two
-	apart func(a, b *Answer) float64
+	selectViews func(views []nodestats.View, most int) ([]nodestats.View, int) // latestViews; tests replace it and separation by faulty functions
+	separation  func(a, b *Answer) float64
 
-	stack  []dist
-	work   []float64 // of the plan under way, by type
-	sum    tally
-	unsure float64 // of the work
+	stack      []distribution
+	workByType []float64 // milliseconds at nodes of each type, in the current plan
+	totals     planTotals
+	workError  float64 // standard error of the current plan's work
 }
 
-// place is what is known of a node in any class.
-type place struct {
+// nodeInfo holds the properties of a node that do not depend on the class.
+type nodeInfo struct {
 	shard, typ    int
-	cold          bool
+	warmingUp     bool
 	window, queue float64
 }
 
-// tally is what a plan adds up beside its end.
-type tally struct {
-	steps               int
-	units, cold         float64
-	basis               Basis
-	trusted, trustedAll float64
+// planTotals are sums over the steps of the current plan.
+type planTotals struct {
+	steps                      int
+	units, warmingUpUnits      float64
+	basis                      Basis
+	trustedMillis, totalMillis float64
 }
 
-// New makes an estimator that knows nothing yet.
-func New(set Settings) (*Estimator, error) {
-	if err := set.Check(); err != nil {
+// New returns an estimator without views.
+func New(settings Settings) (*Estimator, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	e := &Estimator{set: set, take: latest, apart: apart, classes: map[string]int{}, stack: make([]dist, 0, StepsMost+DepthMost)}
-	for i, c := range set.Classes {
-		e.classes[c] = i
+	e := &Estimator{settings: settings, selectViews: latestViews, separation: standardErrorsBetween, classIndex: map[string]int{}, stack: make([]distribution, 0, MaxSteps+MaxDepth)}
+	for i, c := range settings.Classes {
+		e.classIndex[c] = i
 	}
 	e.Learn(nil)
 	return e, nil
 }
 
-// Learn takes a snapshot of the views, whole; what it held before is gone.
+// Learn fits the models to a complete set of views, which replaces the previous one.
 func (e *Estimator) Learn(views []nodestats.View) {
-	kept, dropped := e.take(views, e.set.Views)
-	e.views, e.dropped = len(kept), dropped
-	names, kinds := map[string]int{}, map[string]int{"": 0}
-	for i := range kept {
-		names[kept[i].Node], kinds[kept[i].Type] = 0, 0
-	}
-	e.types = slices.Sorted(maps.Keys(kinds))
-	for i, t := range e.types {
-		kinds[t] = i
-	}
-	order := slices.Sorted(maps.Keys(names))
-	e.nodes, e.place = names, make([]place, len(order))
-	for i, n := range order {
-		names[n] = i
-	}
-	for i := range kept { // in order of class and node: the last to name a type and shard counts
-		v := &kept[i]
-		if p := &e.place[names[v.Node]]; v.Type != "" || p.typ == 0 {
-			*p = place{v.Shard, kinds[v.Type], v.WarmingUp, v.Window, v.Queue}
+	selected, dropped := e.selectViews(views, e.settings.MaxViews)
+	e.viewCount, e.droppedViews = len(selected), dropped
+	nodeIndex, typeIndex := map[string]int{}, map[string]int{"": 0}
+	for i := range selected {
+		nodeIndex[selected[i].Node], typeIndex[selected[i].Type] = 0, 0
+	}
+	e.typeNames = slices.Sorted(maps.Keys(typeIndex))
+	for i, t := range e.typeNames {
+		typeIndex[t] = i
+	}
+	nodeNames := slices.Sorted(maps.Keys(nodeIndex))
+	e.nodeIndex, e.nodeInfos = nodeIndex, make([]nodeInfo, len(nodeNames))
+	for i, n := range nodeNames {
+		nodeIndex[n] = i
+	}
+	for i := range selected { // in order of class and node: the last view that has a type wins
+		v := &selected[i]
+		if p := &e.nodeInfos[nodeIndex[v.Node]]; v.Type != "" || p.typ == 0 {
+			*p = nodeInfo{v.Shard, typeIndex[v.Type], v.WarmingUp, v.Window, v.Queue}
 		}
 	}
-	e.work = make([]float64, len(e.types))
-	n := len(e.set.Classes)
-	e.lines, e.bare, e.shards = make([][]line, n), make([][]line, n), make([]map[int][]int, n)
-	for c := range e.set.Classes {
-		var mine []own
-		for i := range kept {
-			if k, ok := e.classes[kept[i].Class]; ok && k == c {
-				mine = append(mine, centred(&kept[i], e.place[names[kept[i].Node]].typ))
+	e.workByType = make([]float64, len(e.typeNames))
+	n := len(e.settings.Classes)
+	e.models, e.typeModels, e.shardNodes = make([][]nodeModel, n), make([][]nodeModel, n), make([]map[int][]int, n)
+	for c := range e.settings.Classes {
+		var samples []nodeSample
+		for i := range selected {
+			if k, ok := e.classIndex[selected[i].Class]; ok && k == c {
+				samples = append(samples, newNodeSample(&selected[i], e.nodeInfos[nodeIndex[selected[i].Node]].typ))
 			}
 		}
-		lines, bare := fit(e.set, mine, len(e.types))
-		e.bare[c], e.lines[c] = bare, make([]line, len(order))
-		for i, p := range e.place {
-			e.lines[c][i] = bare[p.typ]
-			e.lines[c][i].stand(p.cold, p.window, p.queue)
+		models, typeModels := fitModels(e.settings, samples, len(e.typeNames))
+		e.typeModels[c], e.models[c] = typeModels, make([]nodeModel, len(nodeNames))
+		for i, p := range e.nodeInfos {
+			e.models[c][i] = typeModels[p.typ]
+			e.models[c][i].setLoad(p.warmingUp, p.window, p.queue)
 		}
-		for i, o := range mine {
-			e.lines[c][names[o.v.Node]] = lines[i]
+		for i, sample := range samples {
+			e.models[c][nodeIndex[sample.view.Node]] = models[i]
 		}
-		e.shards[c] = e.widest(e.lines[c])
+		e.shardNodes[c] = e.widestNodes(e.models[c])
 	}
 }
 
-// widest gives the nodes of each shard by their windows, then by name, and no more than SpreadMost.
-func (e *Estimator) widest(lines []line) map[int][]int {
+// widestNodes returns the nodes of each shard, ordered by window, then by name, and at most MaxNodesPerShard of them.
+func (e *Estimator) widestNodes(models []nodeModel) map[int][]int {
 	shards := map[int][]int{}
-	for i, p := range e.place {
+	for i, p := range e.nodeInfos {
 		shards[p.shard] = append(shards[p.shard], i)
 	}
 	for s, nodes := range shards {
-		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(lines[b].window, lines[a].window) })
-		shards[s] = nodes[:min(len(nodes), SpreadMost)]
+		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(models[b].window, models[a].window) })
+		shards[s] = nodes[:min(len(nodes), MaxNodesPerShard)]
 	}
 	return shards
 }
 
-// Estimate orders the plans by what they would cost; deadline 0: none.
+// Estimate returns the estimates of the plans in order of their cost. A deadline of 0 means none.
 func (e *Estimator) Estimate(plans []Plan, deadline time.Duration) (Ranking, error) {
-	r := Ranking{DeadlineMs: millis(deadline), Views: e.views, Dropped: e.dropped, Plans: make([]Answer, 0, len(plans))}
+	ranking := Ranking{DeadlineMs: toMilliseconds(deadline), Views: e.viewCount, Dropped: e.droppedViews, Plans: make([]Answer, 0, len(plans))}
 	switch {
 	case len(plans) == 0:
-		return r, &BadPlans{Why: "no plans"}
+		return ranking, &MalformedPlansError{Problem: "no plans"}
 	case len(plans) > PlansMost:
-		return r, &TooMuch{What: "plans", Most: PlansMost}
-	case deadline < 0 || r.DeadlineMs > figureMost:
-		return r, &BadFigure{Key: "deadline_ms", Value: r.DeadlineMs, Want: "0 or more"}
+		return ranking, &LimitError{What: "plans", Max: PlansMost}
+	case deadline < 0 || ranking.DeadlineMs > maxValue:
+		return ranking, &ValueError{Key: "deadline_ms", Value: ranking.DeadlineMs, Expected: "0 or more"}
 	}
 	for i := range plans {
 		if i > 0 && e.Between != nil && !e.Between() {
-			return r, &OutOfTime{i, len(plans)}
+			return ranking, &OutOfTime{i, len(plans)}
 		}
-		a, err := e.plan(&plans[i], i, r.DeadlineMs)
+		a, err := e.estimatePlan(&plans[i], i, ranking.DeadlineMs)
 		if err != nil {
-			return r, err
+			return ranking, err
 		}
-		r.Plans = append(r.Plans, a)
+		ranking.Plans = append(ranking.Plans, a)
 	}
-	slices.SortStableFunc(r.Plans, func(a, b Answer) int { return cmp.Compare(a.Cost, b.Cost) })
-	for i := range r.Plans {
-		for j := range r.Plans {
-			if i != j && e.apart(&r.Plans[i], &r.Plans[j]) <= e.set.Doubt {
-				r.Plans[i].Alike = append(r.Plans[i].Alike, j)
+	slices.SortStableFunc(ranking.Plans, func(a, b Answer) int { return cmp.Compare(a.Cost, b.Cost) })
+	for i := range ranking.Plans {
+		for j := range ranking.Plans {
+			if i != j && e.separation(&ranking.Plans[i], &ranking.Plans[j]) <= e.settings.Doubt {
+				ranking.Plans[i].Alike = append(ranking.Plans[i].Alike, j)
 			}
 		}
 	}
-	return r, nil
+	return ranking, nil
 }
 
-// apart is how many standard errors lie between two plans.
-func apart(a, b *Answer) float64 {
+// standardErrorsBetween returns the difference in cost of two plans, in standard errors of that difference.
+func standardErrorsBetween(a, b *Answer) float64 {
 	d := math.Abs(a.Cost - b.Cost)
 	if d == 0 {
 		return 0
@@ -165,75 +165,75 @@
 	return d / max(math.Hypot(a.Doubt, b.Doubt), 1e-12*d)
 }
 
-// trail is the way from a plan's root to a step, for errors alone.
-type trail struct {
-	up   *trail
-	name string
-	at   int
+// stepPath is the path from a plan's root to a step, for error messages. It is formatted only when an error occurs.
+type stepPath struct {
+	parent *stepPath
+	name   string
+	index  int
 }
 
-func (t *trail) String() string {
+func (p *stepPath) String() string {
 	switch {
-	case t.up == nil:
-		return t.name
-	case t.at < 0:
-		return t.up.String() + "." + t.name
+	case p.parent == nil:
+		return p.name
+	case p.index < 0:
+		return p.parent.String() + "." + p.name
 	}
-	return fmt.Sprintf("%s.%s.%d", t.up, t.name, t.at)
+	return fmt.Sprintf("%s.%s.%d", p.parent, p.name, p.index)
 }
 
-func (e *Estimator) plan(p *Plan, index int, deadline float64) (Answer, error) {
-	root := &trail{name: fmt.Sprintf("plans.%d.root", index)}
-	clear(e.work)
-	e.stack, e.sum, e.unsure = e.stack[:0], tally{basis: Basis{Origins: math.MaxInt, Answers: math.Inf(1)}}, 0
-	var d dist
-	if err := e.step(&p.Root, root, 1, &d); err != nil {
+func (e *Estimator) estimatePlan(p *Plan, index int, deadline float64) (Answer, error) {
+	root := &stepPath{name: fmt.Sprintf("plans.%d.root", index)}
+	clear(e.workByType)
+	e.stack, e.totals, e.workError = e.stack[:0], planTotals{basis: Basis{Origins: math.MaxInt, Answers: math.Inf(1)}}, 0
+	var end distribution
+	if err := e.estimateStep(&p.Root, root, 1, &end); err != nil {
 		return Answer{}, err
 	}
-	held := 0.0
+	limitDelay := 0.0
 	if p.Limit != "" {
-		limit, ok := e.set.Limits[p.Limit]
+		limit, ok := e.settings.Limits[p.Limit]
 		if !ok {
-			return Answer{}, &UnknownName{fmt.Sprintf("plans.%d", index), "limit", p.Limit}
+			return Answer{}, &UnknownNameError{fmt.Sprintf("plans.%d", index), "limit", p.Limit}
 		}
-		left := limit.Burst
+		available := limit.Burst
 		if p.Left >= 0 {
-			left = p.Left
+			available = p.Left
 		}
-		if !(left <= unitsMost) {
-			return Answer{}, &BadFigure{fmt.Sprintf("plans.%d", index), "left", left, "a number of units"}
+		if !(available <= maxUnits) {
+			return Answer{}, &ValueError{fmt.Sprintf("plans.%d", index), "left", available, "a number of units"}
 		}
-		held = max(0, (e.sum.units-left)/limit.PerSecond*1000)
+		limitDelay = max(0, (e.totals.units-available)/limit.PerSecond*1000)
 	}
-	d.draw()
-	for j := range d.q {
-		d.q[j] += held
+	end.computeQuantiles()
+	for j := range end.quantiles {
+		end.quantiles[j] += limitDelay
 	}
-	a := Answer{Name: p.Name, Mean: d.mean + held, Served: d.served, Units: e.sum.units, Held: held, Cold: e.sum.cold,
-		Low: d.quantile(logit05), P50: d.quantile(0), P90: d.quantile(logit90), High: d.quantile(-logit05), P99: d.quantile(logit99),
-		Basis: e.sum.basis, Work: []TypeWork{}, Alike: []int{}}
-	a.Chance = d.served
+	answer := Answer{Name: p.Name, Mean: end.mean + limitDelay, Served: end.served, Units: e.totals.units, Held: limitDelay, Cold: e.totals.warmingUpUnits,
+		Low: end.quantileAt(logit05), P50: end.quantileAt(0), P90: end.quantileAt(logit90), High: end.quantileAt(-logit05), P99: end.quantileAt(logit99),
+		Basis: e.totals.basis, Work: []TypeWork{}, Alike: []int{}}
+	answer.Chance = end.served
 	if deadline > 0 {
-		a.Chance *= d.ended(deadline)
+		answer.Chance *= end.cdf(deadline)
 	}
 	work := 0.0
-	for t, w := range e.work {
+	for t, w := range e.workByType {
 		if w > 0 {
-			a.Work = append(a.Work, TypeWork{e.types[t], w})
+			answer.Work = append(answer.Work, TypeWork{e.typeNames[t], w})
 			work += w
 		}
 	}
-	if e.sum.trustedAll > 0 {
-		a.Basis.Trust = e.sum.trusted / e.sum.trustedAll
+	if e.totals.totalMillis > 0 {
+		answer.Basis.Trust = e.totals.trustedMillis / e.totals.totalMillis
 	}
-	price := e.set.Prices
-	late := deadline
+	prices := e.settings.Prices
+	failureMillis := deadline
 	if deadline == 0 {
-		late = a.Mean // what it takes to do it again
+		failureMillis = answer.Mean // a failed plan has to be executed again
 	}
-	a.Cost = price.Work*work + price.End*a.Mean + price.Late*(1-a.Chance)*late
-	a.Doubt = price.Work*e.unsure + price.End*d.err
-	return a, nil
+	answer.Cost = prices.Work*work + prices.End*answer.Mean + prices.Late*(1-answer.Chance)*failureMillis
+	answer.Doubt = prices.Work*e.workError + prices.End*end.standardErr
+	return answer, nil
 }
 
 var (
@@ -242,176 +242,178 @@
 	logit99 = math.Log(99)
 )
 
-func (e *Estimator) step(s *Step, way *trail, depth int, d *dist) error {
-	e.sum.steps++
+func (e *Estimator) estimateStep(s *Step, path *stepPath, depth int, end *distribution) error {
+	e.totals.steps++
 	switch {
-	case e.sum.steps > StepsMost:
-		return &TooMuch{way.String(), "steps in a plan", StepsMost}
-	case depth > DepthMost:
-		return &TooMuch{way.String(), "steps one inside the other", DepthMost}
-	}
-	set := 0
-	for _, is := range [...]bool{s.Work != nil, s.Then != nil, s.All != nil, s.Any != nil, s.Of != nil} {
-		if is {
-			set++
+	case e.totals.steps > MaxSteps:
+		return &LimitError{path.String(), "steps in a plan", MaxSteps}
+	case depth > MaxDepth:
+		return &LimitError{path.String(), "levels of nested steps", MaxDepth}
+	}
+	kinds := 0
+	for _, isSet := range [...]bool{s.Work != nil, s.Then != nil, s.All != nil, s.Any != nil, s.Of != nil} {
+		if isSet {
+			kinds++
 		}
 	}
-	if set != 1 {
-		return &BadPlans{way.String(), "want one of work, then, all, any, of"}
+	if kinds != 1 {
+		return &MalformedPlansError{path.String(), "expected exactly one of work, then, all, any, of"}
 	}
 	switch {
 	case s.Work != nil:
-		return e.leaf(s.Work, way, d)
+		return e.estimateWork(s.Work, path, end)
 	case s.Then != nil:
-		return e.chain(s.Then, way, depth, d)
+		return e.estimateChain(s.Then, path, depth, end)
 	case s.Of != nil:
 		n, k := len(s.Of.Steps), s.Of.K
-		if n > QuorumMost {
-			return &TooMuch{way.String(), "steps of one of", QuorumMost}
+		if n > MaxQuorumSteps {
+			return &LimitError{path.String(), `steps in an "of"`, MaxQuorumSteps}
 		}
 		if k < 1 || k > n {
-			return &BadFigure{way.String(), "of.k", float64(k), fmt.Sprintf("1 to %d, the number of its steps", n)}
+			return &ValueError{path.String(), "of.k", float64(k), fmt.Sprintf("1 to %d, the number of its steps", n)}
 		}
-		return e.together(s.Of.Steps, "of", k, way, depth, d)
+		return e.estimateParallel(s.Of.Steps, "of", k, path, depth, end)
 	case s.All != nil:
-		return e.together(s.All, "all", len(s.All), way, depth, d)
+		return e.estimateParallel(s.All, "all", len(s.All), path, depth, end)
 	}
-	return e.together(s.Any, "any", 1, way, depth, d)
+	return e.estimateParallel(s.Any, "any", 1, path, depth, end)
 }
 
-// push is a place on the stack, which never grows past what it was made with: each step of a plan has one at most.
-func (e *Estimator) push() *dist {
+// push returns a new element of the stack. The stack never exceeds its initial capacity, because each step of a plan
+// has at most one element.
+func (e *Estimator) push() *distribution {
 	e.stack = e.stack[:len(e.stack)+1]
 	return &e.stack[len(e.stack)-1]
 }
 
-func (e *Estimator) chain(steps []Step, way *trail, depth int, d *dist) error {
+func (e *Estimator) estimateChain(steps []Step, path *stepPath, depth int, end *distribution) error {
 	if len(steps) == 0 {
-		return &BadPlans{way.String(), "then: no steps"}
+		return &MalformedPlansError{path.String(), "then: no steps"}
 	}
-	from := len(e.stack)
-	next, o, sum := trail{up: way, name: "then"}, e.push(), zero()
+	stackBase := len(e.stack)
+	next, stepEnd, sum := stepPath{parent: path, name: "then"}, e.push(), zeroTime()
 	for i := range steps {
-		next.at = i
-		if err := e.step(&steps[i], &next, depth+1, o); err != nil {
+		next.index = i
+		if err := e.estimateStep(&steps[i], &next, depth+1, stepEnd); err != nil {
 			return err
 		}
-		sum.add(o)
+		sum.add(stepEnd)
 	}
-	*d = sum
-	e.stack = e.stack[:from]
+	*end = sum
+	e.stack = e.stack[:stackBase]
 	return nil
 }
 
-// together is what begins at once and ends with the k-th.
-func (e *Estimator) together(steps []Step, name string, k int, way *trail, depth int, d *dist) error {
+// estimateParallel estimates steps that start together, until the k-th of them ends.
+func (e *Estimator) estimateParallel(steps []Step, name string, k int, path *stepPath, depth int, end *distribution) error {
 	if len(steps) == 0 {
-		return &BadPlans{way.String(), name + ": no steps"}
+		return &MalformedPlansError{path.String(), name + ": no steps"}
 	}
-	from := len(e.stack)
-	next := trail{up: way, name: name}
+	stackBase := len(e.stack)
+	next := stepPath{parent: path, name: name}
 	for i := range steps {
-		next.at = i
-		if e.sum.steps >= StepsMost { // beyond the stack
-			return &TooMuch{next.String(), "steps in a plan", StepsMost}
+		next.index = i
+		if e.totals.steps >= MaxSteps { // the stack is full
+			return &LimitError{next.String(), "steps in a plan", MaxSteps}
 		}
-		if err := e.step(&steps[i], &next, depth+1, e.push()); err != nil {
+		if err := e.estimateStep(&steps[i], &next, depth+1, e.push()); err != nil {
 			return err
 		}
 	}
-	*d = kth(e.stack[from:], k)
-	e.stack = e.stack[:from]
+	*end = kthFastest(e.stack[stackBase:], k)
+	e.stack = e.stack[:stackBase]
 	return nil
 }
 
-// leaf is one read or write: at its node, or shared out over those of its shard.
-func (e *Estimator) leaf(w *Work, way *trail, d *dist) error {
-	class, ok := e.classes[w.Class]
+// estimateWork estimates one read or write: at its node, or as a mixture over the nodes of its shard.
+func (e *Estimator) estimateWork(w *Work, path *stepPath, end *distribution) error {
+	class, ok := e.classIndex[w.Class]
 	if !ok {
-		return &UnknownName{way.String() + ".work", "class", w.Class}
+		return &UnknownNameError{path.String() + ".work", "class", w.Class}
 	}
-	if !(w.Units > 0 && w.Units <= unitsMost) {
-		return &BadFigure{way.String() + ".work", "units", w.Units, "above 0 and at most 1e9"}
+	if !(w.Units > 0 && w.Units <= maxUnits) {
+		return &ValueError{path.String() + ".work", "units", w.Units, "above 0 and at most 1e9"}
 	}
-	e.sum.units += w.Units
-	lines := e.lines[class]
+	e.totals.units += w.Units
+	models := e.models[class]
 	if w.Node != "" {
-		if at, ok := e.nodes[w.Node]; ok && e.place[at].shard == w.Shard {
-			e.visit(&lines[at], w.Units, 1, d)
+		if node, ok := e.nodeIndex[w.Node]; ok && e.nodeInfos[node].shard == w.Shard {
+			e.estimateAtNode(&models[node], w.Units, 1, end)
 			return nil
 		}
 	}
-	nodes, known := e.shards[class][w.Shard]
+	nodes, known := e.shardNodes[class][w.Shard]
 	switch {
-	case e.set.Shards > 0 && (w.Shard < 0 || w.Shard >= e.set.Shards), e.set.Shards == 0 && !known:
-		return &UnknownName{way.String() + ".work", "shard", fmt.Sprint(w.Shard)}
+	case e.settings.Shards > 0 && (w.Shard < 0 || w.Shard >= e.settings.Shards), e.settings.Shards == 0 && !known:
+		return &UnknownNameError{path.String() + ".work", "shard", fmt.Sprint(w.Shard)}
 	case w.Node != "":
-		return &UnknownName{way.String() + ".work", fmt.Sprintf("node of shard %d that is called", w.Shard), w.Node}
+		return &UnknownNameError{path.String() + ".work", fmt.Sprintf("node of shard %d named", w.Shard), w.Node}
 	case len(nodes) == 0:
-		e.visit(&e.bare[class][0], w.Units, 1, d)
+		e.estimateAtNode(&e.typeModels[class][0], w.Units, 1, end)
 		return nil
 	case len(nodes) == 1:
-		e.visit(&lines[nodes[0]], w.Units, 1, d)
+		e.estimateAtNode(&models[nodes[0]], w.Units, 1, end)
 		return nil
 	}
-	total := 0.0
+	totalWindow := 0.0
 	for _, n := range nodes {
-		total += max(lines[n].window, leastMillis)
+		totalWindow += max(models[n].window, minMillis)
 	}
-	var square, cube float64 // raw moments of the mixture
-	var out, one dist
+	var secondMoment, thirdMoment float64 // raw moments of the mixture
+	var mixture, nodeEnd distribution
 	for _, n := range nodes {
-		part := max(lines[n].window, leastMillis) / total
-		e.visit(&lines[n], w.Units, part, &one)
-		out.mean += part * one.mean
-		square += part * (one.variance + one.mean*one.mean)
-		cube += part * (one.third + 3*one.variance*one.mean + one.mean*one.mean*one.mean)
-		out.err += part * one.err
-		out.served += part * one.served
-	}
-	d.drawn = false
-	d.mean, d.err, d.served = out.mean, out.err, min(out.served, 1)
-	d.variance = max(square-d.mean*d.mean, 0)
-	d.third = max(cube-3*d.mean*d.variance-d.mean*d.mean*d.mean, 0)
+		share := max(models[n].window, minMillis) / totalWindow
+		e.estimateAtNode(&models[n], w.Units, share, &nodeEnd)
+		mixture.mean += share * nodeEnd.mean
+		secondMoment += share * (nodeEnd.variance + nodeEnd.mean*nodeEnd.mean)
+		thirdMoment += share * (nodeEnd.thirdCumulant + 3*nodeEnd.variance*nodeEnd.mean + nodeEnd.mean*nodeEnd.mean*nodeEnd.mean)
+		mixture.standardErr += share * nodeEnd.standardErr
+		mixture.served += share * nodeEnd.served
+	}
+	end.hasQuantiles = false
+	end.mean, end.standardErr, end.served = mixture.mean, mixture.standardErr, min(mixture.served, 1)
+	end.variance = max(secondMoment-end.mean*end.mean, 0)
+	end.thirdCumulant = max(thirdMoment-3*end.mean*end.variance-end.mean*end.mean*end.mean, 0)
 	return nil
 }
 
-// visit is a step at one node, of which the plan makes a part.
-func (e *Estimator) visit(l *line, units, part float64, d *dist) {
-	m := l.mean(units)
-	far := units - l.base
-	err := math.Sqrt(l.levelVar + l.slopeVar*far*far)
-	sd := l.spread * m
-	d.drawn = false
-	d.mean, d.variance, d.third, d.err, d.served = m, sd*sd, lognormalThird(m, l.spread), err, l.served
-	if l.wait > 0 {
-		waits := l.wait * l.level
-		s := l.spread * l.level
-		d.mean += waits
-		d.variance += l.wait * s * s
-		d.err += l.wait * math.Sqrt(l.levelVar)
-	}
-	b := &e.sum.basis
-	if part > 0.1/SpreadMost {
-		b.Level, b.Origins, b.Answers = max(b.Level, l.from), min(b.Origins, l.origins), min(b.Answers, l.answers)
-		b.AgeMs = max(b.AgeMs, millis(l.age))
-	}
-	e.sum.trusted += part * d.mean * l.z
-	e.sum.trustedAll += part * d.mean
-	e.work[l.typ] += part * m
-	e.unsure += part * err
-	if l.cold {
-		e.sum.cold += part * units
+// estimateAtNode estimates a step at one node. The node contributes to the plan's totals in proportion to share.
+func (e *Estimator) estimateAtNode(m *nodeModel, units, share float64, end *distribution) {
+	mean := m.meanMillis(units)
+	offset := units - m.baseUnits
+	standardErr := math.Sqrt(m.baseVariance + m.slopeVariance*offset*offset)
+	deviation := m.cv * mean
+	end.hasQuantiles = false
+	end.mean, end.variance, end.thirdCumulant, end.standardErr, end.served = mean, deviation*deviation, lognormalThirdCumulant(mean, m.cv), standardErr, m.served
+	if m.queuePerSlot > 0 {
+		waitMillis := m.queuePerSlot * m.baseMillis
+		waitDeviation := m.cv * m.baseMillis
+		end.mean += waitMillis
+		end.variance += m.queuePerSlot * waitDeviation * waitDeviation
+		end.standardErr += m.queuePerSlot * math.Sqrt(m.baseVariance)
+	}
+	basis := &e.totals.basis
+	if share > 0.1/MaxNodesPerShard {
+		basis.Level, basis.Origins, basis.Answers = max(basis.Level, m.basisLevel), min(basis.Origins, m.origins), min(basis.Answers, m.answers)
+		basis.AgeMs = max(basis.AgeMs, toMilliseconds(m.age))
+	}
+	e.totals.trustedMillis += share * end.mean * m.ownShare
+	e.totals.totalMillis += share * end.mean
+	e.workByType[m.typ] += share * mean
+	e.workError += share * standardErr
+	if m.warmingUp {
+		e.totals.warmingUpUnits += share * units
 	}
 }
 
-// Node is the estimate of one node: the mean of a step of so many units, wait included.
+// Node returns the mean time of a step of the given units at a node, queueing included. It returns false if the
+// node or the class is unknown.
 func (e *Estimator) Node(node, class string, units float64) (mean float64, ok bool) {
-	at, ok := e.nodes[node]
-	c, known := e.classes[class]
+	index, ok := e.nodeIndex[node]
+	c, known := e.classIndex[class]
 	if !ok || !known {
 		return 0, false
 	}
-	l := &e.lines[c][at]
-	return l.mean(units) + l.wait*l.level, true
+	model := &e.models[c][index]
+	return model.meanMillis(units) + model.queuePerSlot*model.baseMillis, true
 }
--- a/internal/cost/parse.go
+++ b/internal/cost/parse.go
@@ -11,59 +11,59 @@
 	"github.com/tidwall/gjson"
 )
 
-// Schema is the JSON Schema of a question (draft 2020-12). ParsePlans checks the same by hand: it must name
-// the step at fault, and a question is parsed while its asker waits.
+// Schema is the JSON Schema (draft 2020-12) of the input of ParsePlans. ParsePlans makes the same checks by hand,
+// because its errors name the invalid step, and because it must be fast: the client waits for it.
 //
 //go:embed plans.schema.json
 var Schema []byte
 
-const deadlineMost = 86400000.0 // ms
+const maxDeadlineMs = 86400000.0 // ms
 
-// parser reads one question.
+// parser parses one input.
 type parser struct {
-	named map[string]gjson.Result
-	under []string // named steps that are being read
-	read  map[string]named
-	steps int // of the plan under way
-	deep  int // the deepest of them
+	definitions map[string]gjson.Result
+	resolving   []string // named steps whose definitions are being parsed
+	parsed      map[string]parsedStep
+	stepCount   int // of the current plan or named step
+	depth       int // greatest depth in it
 }
 
-// named is a step that has been read: each use is the same tree, which nobody changes.
-type named struct {
-	step         Step
-	steps, depth int
+// parsedStep is a parsed named step. All references share its tree, which must not be changed.
+type parsedStep struct {
+	step             Step
+	stepCount, depth int
 }
 
-// ParsePlans reads plans and deadline. References are put in place of their names.
+// ParsePlans parses plans and their deadline, and replaces each reference by the step that it names.
 func ParsePlans(text []byte) ([]Plan, time.Duration, error) {
-	if !json.Valid(text) { // beside gjson, whose check has no bound on depth
-		return nil, 0, &BadPlans{"", "not valid JSON"}
+	if !json.Valid(text) { // gjson's check does not limit the depth
+		return nil, 0, &MalformedPlansError{"", "not valid JSON"}
 	}
 	root := gjson.ParseBytes(text)
-	p := &parser{named: map[string]gjson.Result{}, read: map[string]named{}}
-	keys, err := fields(root, "", "deadline_ms", "steps", "plans")
+	p := &parser{definitions: map[string]gjson.Result{}, parsed: map[string]parsedStep{}}
+	keys, err := objectFields(root, "", "deadline_ms", "steps", "plans")
 	if err != nil {
 		return nil, 0, err
 	}
 	deadline := 0.0
 	if v, ok := keys["deadline_ms"]; ok {
-		if deadline, err = number(v, "", "deadline_ms", 0, deadlineMost); err != nil {
+		if deadline, err = parseNumber(v, "", "deadline_ms", 0, maxDeadlineMs); err != nil {
 			return nil, 0, err
 		}
 	}
 	if v, ok := keys["steps"]; ok {
 		if !v.IsObject() {
-			return nil, 0, &BadPlans{"steps", "want an object"}
+			return nil, 0, &MalformedPlansError{"steps", "expected an object"}
 		}
 		v.ForEach(func(k, s gjson.Result) bool {
-			if _, twice := p.named[k.Str]; twice {
-				err = &BadPlans{"steps." + k.Str, "named twice"}
+			if _, duplicate := p.definitions[k.Str]; duplicate {
+				err = &MalformedPlansError{"steps." + k.Str, "defined twice"}
 			}
-			p.named[k.Str] = s
+			p.definitions[k.Str] = s
 			return err == nil
 		})
-		if len(p.named) > StepsMost {
-			err = &TooMuch{"steps", "named steps", StepsMost}
+		if len(p.definitions) > MaxSteps {
+			err = &LimitError{"steps", "named steps", MaxSteps}
 		}
 		if err != nil {
 			return nil, 0, err
@@ -71,24 +71,24 @@
 	}
 	list := keys["plans"]
 	if !list.IsArray() {
-		return nil, 0, &BadPlans{"plans", "want a list"}
+		return nil, 0, &MalformedPlansError{"plans", "expected a list"}
 	}
 	var plans []Plan
 	list.ForEach(func(_, v gjson.Result) bool {
 		if len(plans) == PlansMost {
-			err = &TooMuch{"", "plans", PlansMost}
+			err = &LimitError{"", "plans", PlansMost}
 			return false
 		}
 		var plan Plan
-		plan, err = p.plan(v, fmt.Sprintf("plans.%d", len(plans)))
+		plan, err = p.parsePlan(v, fmt.Sprintf("plans.%d", len(plans)))
 		plans = append(plans, plan)
 		return err == nil
 	})
 	if err == nil && len(plans) == 0 {
-		err = &BadPlans{"plans", "no plans"}
+		err = &MalformedPlansError{"plans", "no plans"}
 	}
 	if err == nil {
-		err = p.unused()
+		err = p.parseUnused()
 	}
 	if err != nil {
 		return nil, 0, err
@@ -96,124 +96,124 @@
 	return plans, time.Duration(deadline * float64(time.Millisecond)), nil
 }
 
-// unused reads what no plan refers to: a fault there is a fault too.
-func (p *parser) unused() error {
-	for _, name := range sortedKeys(p.named) {
-		p.steps = 0
-		if _, err := p.ref(name, "steps", 0); err != nil {
+// parseUnused parses the named steps that no plan refers to, so that errors in them are reported too.
+func (p *parser) parseUnused() error {
+	for _, name := range sortedKeys(p.definitions) {
+		p.stepCount = 0
+		if _, err := p.resolve(name, "steps", 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ref is a named step, read once. Its size counts at each use.
-func (p *parser) ref(name, way string, depth int) (Step, error) {
-	got, ok := p.read[name]
+// resolve returns a named step, which is parsed at its first reference. Its size counts at each reference.
+func (p *parser) resolve(name, path string, depth int) (Step, error) {
+	parsed, ok := p.parsed[name]
 	if !ok {
-		text, ok := p.named[name]
+		text, ok := p.definitions[name]
 		switch {
 		case !ok:
-			return Step{}, &UnknownName{way, "step", name}
-		case slices.Contains(p.under, name):
-			return Step{}, &Cycle{way, name}
+			return Step{}, &UnknownNameError{path, "step", name}
+		case slices.Contains(p.resolving, name):
+			return Step{}, &CycleError{path, name}
 		}
-		p.under = append(p.under, name)
-		steps, deep := p.steps, p.deep
-		p.steps, p.deep = 0, 0
-		s, err := p.step(text, "steps."+name, 1)
+		p.resolving = append(p.resolving, name)
+		outerSteps, outerDepth := p.stepCount, p.depth
+		p.stepCount, p.depth = 0, 0
+		s, err := p.parseStep(text, "steps."+name, 1)
 		if err != nil {
 			return s, err
 		}
-		got = named{s, p.steps, p.deep}
-		p.steps, p.deep, p.read[name] = steps, deep, got
-		p.under = p.under[:len(p.under)-1]
+		parsed = parsedStep{s, p.stepCount, p.depth}
+		p.stepCount, p.depth, p.parsed[name] = outerSteps, outerDepth, parsed
+		p.resolving = p.resolving[:len(p.resolving)-1]
 	}
-	return got.step, p.count(way, got.steps, depth+got.depth)
+	return parsed.step, p.addSteps(path, parsed.stepCount, depth+parsed.depth)
 }
 
-func (p *parser) count(way string, steps, depth int) error {
-	p.steps += steps
-	p.deep = max(p.deep, depth)
+func (p *parser) addSteps(path string, steps, depth int) error {
+	p.stepCount += steps
+	p.depth = max(p.depth, depth)
 	switch {
-	case p.steps > StepsMost:
-		return &TooMuch{way, "steps in a plan", StepsMost}
-	case depth > DepthMost:
-		return &TooMuch{way, "steps one inside the other", DepthMost}
+	case p.stepCount > MaxSteps:
+		return &LimitError{path, "steps in a plan", MaxSteps}
+	case depth > MaxDepth:
+		return &LimitError{path, "levels of nested steps", MaxDepth}
 	}
 	return nil
 }
 
-func (p *parser) plan(v gjson.Result, way string) (Plan, error) {
+func (p *parser) parsePlan(v gjson.Result, path string) (Plan, error) {
 	plan := Plan{Left: -1}
-	keys, err := fields(v, way, "name", "limit", "left", "root")
+	keys, err := objectFields(v, path, "name", "limit", "left", "root")
 	if err != nil {
 		return plan, err
 	}
 	name := keys["name"]
 	if name.Type != gjson.String || name.Str == "" || len(name.Str) > 256 {
-		return plan, &BadPlans{way, "name: want 1 to 256 letters"}
+		return plan, &MalformedPlansError{path, "name: expected 1 to 256 bytes"}
 	}
 	plan.Name = name.Str
 	if l, ok := keys["limit"]; ok {
 		if l.Type != gjson.String {
-			return plan, &BadPlans{way, "limit: want a name"}
+			return plan, &MalformedPlansError{path, "limit: expected a name"}
 		}
 		plan.Limit = l.Str
 	}
 	if l, ok := keys["left"]; ok {
-		if plan.Left, err = number(l, way, "left", 0, unitsMost); err != nil {
+		if plan.Left, err = parseNumber(l, path, "left", 0, maxUnits); err != nil {
 			return plan, err
 		}
 	}
 	root, ok := keys["root"]
 	if !ok {
-		return plan, &BadPlans{way, "no root"}
+		return plan, &MalformedPlansError{path, "root is missing"}
 	}
-	p.steps = 0
-	plan.Root, err = p.step(root, way+".root", 1)
+	p.stepCount = 0
+	plan.Root, err = p.parseStep(root, path+".root", 1)
 	return plan, err
 }
 
-func (p *parser) step(v gjson.Result, way string, depth int) (Step, error) {
-	keys, err := fields(v, way, "work", "then", "all", "any", "of", "ref")
+func (p *parser) parseStep(v gjson.Result, path string, depth int) (Step, error) {
+	keys, err := objectFields(v, path, "work", "then", "all", "any", "of", "ref")
 	if err != nil {
 		return Step{}, err
 	}
 	if len(keys) != 1 {
-		return Step{}, &BadPlans{way, "want one of work, then, all, any, of, ref"}
+		return Step{}, &MalformedPlansError{path, "expected exactly one of work, then, all, any, of, ref"}
 	}
 	kind := sortedKeys(keys)[0]
 	body := keys[kind]
-	if kind == "ref" { // itself no step
+	if kind == "ref" { // does not count as a step
 		if body.Type != gjson.String {
-			return Step{}, &BadPlans{way, "ref: want a name"}
+			return Step{}, &MalformedPlansError{path, "ref: expected a name"}
 		}
-		return p.ref(body.Str, way, depth-1)
+		return p.resolve(body.Str, path, depth-1)
 	}
-	if err := p.count(way, 1, depth); err != nil {
+	if err := p.addSteps(path, 1, depth); err != nil {
 		return Step{}, err
 	}
 	switch kind {
 	case "work":
-		w, err := work(body, way+".work")
+		w, err := parseWork(body, path+".work")
 		return Step{Work: w}, err
 	case "of":
-		of, err := fields(body, way+".of", "k", "steps")
+		quorum, err := objectFields(body, path+".of", "k", "steps")
 		if err != nil {
 			return Step{}, err
 		}
-		list, err := p.list(of["steps"], way+".of", depth)
+		list, err := p.parseSteps(quorum["steps"], path+".of", depth)
 		if err != nil {
 			return Step{}, err
 		}
-		if len(list) > QuorumMost {
-			return Step{}, &TooMuch{way, "steps of one of", QuorumMost}
+		if len(list) > MaxQuorumSteps {
+			return Step{}, &LimitError{path, `steps in an "of"`, MaxQuorumSteps}
 		}
-		k, err := whole(of["k"], way, "of.k", 1, len(list))
+		k, err := parseInteger(quorum["k"], path, "of.k", 1, len(list))
 		return Step{Of: &Quorum{K: k, Steps: list}}, err
 	}
-	list, err := p.list(body, way+"."+kind, depth)
+	list, err := p.parseSteps(body, path+"."+kind, depth)
 	switch kind {
 	case "then":
 		return Step{Then: list}, err
@@ -223,76 +223,76 @@
 	return Step{Any: list}, err
 }
 
-func (p *parser) list(v gjson.Result, way string, depth int) (list []Step, err error) {
+func (p *parser) parseSteps(v gjson.Result, path string, depth int) (list []Step, err error) {
 	if !v.IsArray() {
-		return nil, &BadPlans{way, "want a list of steps"}
+		return nil, &MalformedPlansError{path, "expected a list of steps"}
 	}
 	v.ForEach(func(_, s gjson.Result) bool {
 		var next Step
-		next, err = p.step(s, fmt.Sprintf("%s.%d", way, len(list)), depth+1)
+		next, err = p.parseStep(s, fmt.Sprintf("%s.%d", path, len(list)), depth+1)
 		list = append(list, next)
 		return err == nil
 	})
 	if err == nil && len(list) == 0 {
-		err = &BadPlans{way, "no steps"}
+		err = &MalformedPlansError{path, "no steps"}
 	}
 	return list, err
 }
 
-func work(v gjson.Result, way string) (*Work, error) {
-	keys, err := fields(v, way, "shard", "class", "units", "node")
+func parseWork(v gjson.Result, path string) (*Work, error) {
+	keys, err := objectFields(v, path, "shard", "class", "units", "node")
 	if err != nil {
 		return nil, err
 	}
 	w := &Work{}
-	if w.Shard, err = whole(keys["shard"], way, "shard", 0, 1<<20); err != nil {
+	if w.Shard, err = parseInteger(keys["shard"], path, "shard", 0, 1<<20); err != nil {
 		return nil, err
 	}
-	if w.Units, err = number(keys["units"], way, "units", math.SmallestNonzeroFloat64, unitsMost); err != nil {
+	if w.Units, err = parseNumber(keys["units"], path, "units", math.SmallestNonzeroFloat64, maxUnits); err != nil {
 		return nil, err
 	}
 	class, node := keys["class"], keys["node"]
 	if class.Type != gjson.String || class.Str == "" {
-		return nil, &BadPlans{way, "class: want a name"}
+		return nil, &MalformedPlansError{path, "class: expected a name"}
 	}
 	if node.Exists() && (node.Type != gjson.String || node.Str == "") {
-		return nil, &BadPlans{way, "node: want a name"}
+		return nil, &MalformedPlansError{path, "node: expected a name"}
 	}
 	w.Class, w.Node = class.Str, node.Str
 	return w, nil
 }
 
-// fields are the members of an object, each known and once.
-func fields(v gjson.Result, way string, known ...string) (map[string]gjson.Result, error) {
+// objectFields returns the members of an object. Unknown and repeated keys are errors.
+func objectFields(v gjson.Result, path string, allowed ...string) (map[string]gjson.Result, error) {
 	if !v.IsObject() {
-		return nil, &BadPlans{way, "want an object"}
+		return nil, &MalformedPlansError{path, "expected an object"}
 	}
-	got := make(map[string]gjson.Result, len(known))
+	members := make(map[string]gjson.Result, len(allowed))
 	var err error
 	v.ForEach(func(k, m gjson.Result) bool {
-		if _, twice := got[k.Str]; twice || !slices.Contains(known, k.Str) {
-			err = &BadPlans{way, fmt.Sprintf("key %q is not known here, or stands twice", k.Str)}
+		if _, duplicate := members[k.Str]; duplicate || !slices.Contains(allowed, k.Str) {
+			err = &MalformedPlansError{path, fmt.Sprintf("key %q is unknown or repeated", k.Str)}
 		}
-		got[k.Str] = m
+		members[k.Str] = m
 		return err == nil
 	})
-	return got, err
+	return members, err
 }
 
-func number(v gjson.Result, way, key string, least, most float64) (float64, error) {
+func parseNumber(v gjson.Result, path, key string, minValue, maxValue float64) (float64, error) {
 	if v.Type != gjson.Number {
-		return 0, &BadPlans{way, key + ": want a number"}
+		return 0, &MalformedPlansError{path, key + ": expected a number"}
 	}
-	if !(v.Num >= least && v.Num <= most) {
-		return 0, &BadFigure{way, key, v.Num, wantRange(least, most)}
+	if !(v.Num >= minValue && v.Num <= maxValue) {
+		return 0, &ValueError{path, key, v.Num, formatRange(minValue, maxValue)}
 	}
 	return v.Num, nil
 }
 
-func whole(v gjson.Result, way, key string, least, most int) (int, error) {
-	n, err := number(v, way, key, float64(least), float64(most))
+func parseInteger(v gjson.Result, path, key string, minValue, maxValue int) (int, error) {
+	n, err := parseNumber(v, path, key, float64(minValue), float64(maxValue))
 	if err == nil && n != math.Trunc(n) {
-		err = &BadFigure{way, key, n, "a whole number"}
+		err = &ValueError{path, key, n, "an integer"}
 	}
 	return int(n), err
 }
--- a/internal/cost/types.go
+++ b/internal/cost/types.go
@@ -1,23 +1,24 @@
-// Package cost owns the estimate of what each way of doing a piece of work would cost: a plan is a
-// tree of reads and writes on shards, and the answer says the work at the nodes, when it would end,
-// what it takes of the volume's limit and of the cold budget, the chance that it is served in time,
-// what all this rests on, and the order of the plans.
+// Package cost estimates and ranks query plans. A plan is a tree of reads and writes on shards. Its estimate
+// contains the work at the nodes, the completion time, the delay by the volume's rate limit, the units on nodes in
+// slow start, the probability that the plan is served by the deadline, and how much data the estimate is based on.
 //
-// It is a decision module: no I/O, clock, goroutine or lock; one caller at a time.
+// The package does no I/O, reads no clock, and starts no goroutine. An Estimator is not safe for concurrent use.
 //
-// Invariants, in the words of the tests:
-//   - all never ends before any of its steps, and any never after; the k-th of lies between them
-//   - then adds: the mean of a chain is the sum of the means
-//   - more evidence moves a node's line from its type and the fleet towards the node's own
-//   - an estimate does not depend on the order of the views
-//   - no figure is NaN or infinite, whatever the views and plans
-//   - the order is total, and what cannot be told apart is symmetric
-//   - a plan without end (a cycle) or over a bound is an error that names the step
+// Invariants, which the tests check:
+//   - An "all" step never ends before any of its steps, an "any" step never after any of them, and an "of" step ends
+//     between the two.
+//   - The mean of a "then" step is the sum of the means of its steps.
+//   - The more answers a node has, the closer its estimate is to the node's own mean, and the farther from the means
+//     of its type and of the fleet.
+//   - An estimate does not depend on the order of the views.
+//   - No value is NaN or infinite, whatever the views and plans are.
+//   - The order of the plans is total, and the relation "cannot be distinguished" is symmetric.
+//   - A plan that contains a cycle or exceeds a limit is rejected with an error that names the step.
 //
-// Sources: Bühlmann and Straub, Glaubwürdigkeit für Schadensätze (1970), for the weights; Jewell, The use
-// of collateral data in credibility theory (1975), for node, type, fleet; Bühlmann and Gisler, A Course in
-// Credibility Theory (2005), 4.8, 6 and 8.4, for the estimators and the line about the barycentre;
-// Hoeffding's products of distribution functions for all and any; see docs/design/cost.md.
+// Sources: the credibility weights are from Bühlmann and Straub, Glaubwürdigkeit für Schadensätze (1970); the hierarchy
+// of node, type and fleet from Jewell, The use of collateral data in credibility theory (1975); the estimators and the
+// regression centred at the mean of the units (the barycentre) from Bühlmann and Gisler, A Course in Credibility Theory
+// (2005), 4.8, 6 and 8.4. "All" and "any" use products of distribution functions (Hoeffding). See docs/design/cost.md.
 package cost
 
 import (
@@ -28,91 +29,91 @@
 	"wheatsaddle/internal/operr"
 )
 
-// The bounds of a question.
+// Limits of the input of one estimate.
 const (
-	PlansMost  = 256
-	StepsMost  = 1024 // of one plan, references counted as often as they are used
-	DepthMost  = 64
-	QuorumMost = 16 // steps of one "of"
-	SpreadMost = 8  // nodes of a shard that a step without a node is shared out over: those of the widest windows
-	unitsMost  = 1e9
-	figureMost = 1e12 // of anything in a view
+	PlansMost        = 256
+	MaxSteps         = 1024 // in one plan; a named step counts at each reference
+	MaxDepth         = 64
+	MaxQuorumSteps   = 16 // steps of one "of"
+	MaxNodesPerShard = 8  // nodes of a shard, those with the largest windows, over which a step without a node is distributed
+	maxUnits         = 1e9
+	maxValue         = 1e12 // of any number in a view
 )
 
-// Settings are the estimate's.
+// Settings configure an Estimator.
 type Settings struct {
-	Classes []string
-	Shards  int             // 0: as the views name them
-	Limits  map[string]Rate // limits of volumes, by the name that plans use
-	Views   int             // most views that are kept
-	Prior   Prior
-	Prices  Prices
-	Doubt   float64 // plans closer than so many standard errors cannot be told apart
+	Classes  []string
+	Shards   int             // 0: the shards that appear in the views
+	Limits   map[string]Rate // rate limits of volumes, by the name that plans use
+	MaxViews int             // views above this number are dropped
+	Prior    Prior
+	Prices   Prices
+	Doubt    float64 // plans that differ by at most this many standard errors cannot be distinguished
 }
 
-// Rate is a limit in units: so many a second, and at most Burst saved up.
+// Rate is a token bucket in units of work: its refill rate and its capacity.
 type Rate struct{ PerSecond, Burst float64 }
 
-// Prior is what is supposed before any answer.
+// Prior is assumed of nodes without answers.
 type Prior struct {
-	Millis, PerUnit float64 // a line of service time
-	Spread          float64 // standard deviation over mean: of one answer, and between nodes
-	Least           float64 // nodes of one type, and types, differ by this part at least
-	Refused         float64 // chance that a step is not served
+	BaseMillis, MillisPerUnit float64 // service time at 0 units, and its increase per unit
+	CV                        float64 // coefficient of variation (standard deviation over mean) of single answers, and of the means of nodes
+	MinCV                     float64 // least coefficient of variation between the nodes of a type, and between types
+	FailureRate               float64 // probability that a step is not served
 }
 
-// Prices make one figure of a plan, in milliseconds.
+// Prices are the weights that combine the parts of an estimate into one cost, in milliseconds.
 type Prices struct {
-	Work float64 // of a millisecond at a node
-	End  float64 // of a millisecond until the end
-	Late float64 // of a plan that is refused or late, in deadlines
+	Work float64 // of a millisecond of work at a node
+	End  float64 // of a millisecond until completion
+	Late float64 // of a plan that is not served by the deadline, in deadlines
 }
 
-// Defaults are settings for the given classes.
+// Defaults returns settings for the given classes.
 func Defaults(classes ...string) Settings {
-	return Settings{Classes: classes, Views: 1 << 16, Doubt: 1.64,
-		Prior:  Prior{Millis: 5, PerUnit: 1, Spread: 0.5, Least: 0.02, Refused: 0.01},
+	return Settings{Classes: classes, MaxViews: 1 << 16, Doubt: 1.64,
+		Prior:  Prior{BaseMillis: 5, MillisPerUnit: 1, CV: 0.5, MinCV: 0.02, FailureRate: 0.01},
 		Prices: Prices{Work: 1, End: 1, Late: 1}}
 }
 
-// Check names the first setting that cannot be.
+// Check returns a SettingError for the first invalid setting.
 func (s Settings) Check() error {
-	num := func(key string, v, least, most float64) error {
-		if !(v >= least && v <= most) {
-			return &BadSetting{Key: key, Value: v, Want: wantRange(least, most)}
+	checkRange := func(key string, v, minValue, maxValue float64) error {
+		if !(v >= minValue && v <= maxValue) {
+			return &SettingError{Key: key, Value: v, Expected: formatRange(minValue, maxValue)}
 		}
 		return nil
 	}
 	if len(s.Classes) == 0 {
-		return &BadSetting{Key: "classes", Want: "one or more"}
+		return &SettingError{Key: "classes", Expected: "one or more"}
 	}
-	errs := []error{num("shards", float64(s.Shards), 0, 1<<20), num("views", float64(s.Views), 1, 1<<22),
-		num("doubt", s.Doubt, 0, 100), num("prior.millis", s.Prior.Millis, 0, 1e6), num("prior.per_unit", s.Prior.PerUnit, 0, 1e6),
-		num("prior.spread", s.Prior.Spread, 0.01, 10), num("prior.least", s.Prior.Least, 1e-4, 1), num("prior.refused", s.Prior.Refused, 0, 1),
-		num("prices.work", s.Prices.Work, 0, 1e6), num("prices.end", s.Prices.End, 0, 1e6), num("prices.late", s.Prices.Late, 0, 1e6)}
+	errs := []error{checkRange("shards", float64(s.Shards), 0, 1<<20), checkRange("views", float64(s.MaxViews), 1, 1<<22),
+		checkRange("doubt", s.Doubt, 0, 100), checkRange("prior.millis", s.Prior.BaseMillis, 0, 1e6), checkRange("prior.per_unit", s.Prior.MillisPerUnit, 0, 1e6),
+		checkRange("prior.spread", s.Prior.CV, 0.01, 10), checkRange("prior.least", s.Prior.MinCV, 1e-4, 1), checkRange("prior.refused", s.Prior.FailureRate, 0, 1),
+		checkRange("prices.work", s.Prices.Work, 0, 1e6), checkRange("prices.end", s.Prices.End, 0, 1e6), checkRange("prices.late", s.Prices.Late, 0, 1e6)}
 	for _, err := range errs {
 		if err != nil {
 			return err
 		}
 	}
 	for _, name := range sortedKeys(s.Limits) {
-		if l := s.Limits[name]; !(l.PerSecond > 0 && l.PerSecond <= unitsMost && l.Burst >= 0 && l.Burst <= unitsMost) {
-			return &BadSetting{Key: "limits." + name, Value: l.PerSecond, Want: "a rate above 0 and a burst of 0 or more"}
+		if l := s.Limits[name]; !(l.PerSecond > 0 && l.PerSecond <= maxUnits && l.Burst >= 0 && l.Burst <= maxUnits) {
+			return &SettingError{Key: "limits." + name, Value: l.PerSecond, Expected: "a rate above 0 and a burst of 0 or more"}
 		}
 	}
 	return nil
 }
 
-// Plan is one way of doing a piece of work.
+// Plan is one of several equivalent ways to execute a query.
 type Plan struct {
 	Name  string
-	Limit string  // the limit it counts against, of Settings.Limits; "": none
-	Left  float64 // units the limit has saved up; below 0: its burst
+	Limit string  // the rate limit of Settings.Limits that applies to the plan; empty: none
+	Left  float64 // units available in the limit's token bucket; below 0: the bucket is full
 	Root  Step
 }
 
-// Step is one of: Work, Then (one after the other), All (at once, to the last), Any (at once, to the
-// first), Of (at once, to the k-th). What is begun at once is work at the nodes, also where another ends first.
+// Step is exactly one of: Work; Then (sequential steps); All, Any and Of (parallel steps, until all, the first or the
+// k-th of them have ended). Every parallel step counts as work at its nodes, also if another one ends the step first.
 type Step struct {
 	Work           *Work
 	Then, All, Any []Step
@@ -124,19 +125,19 @@
 	Shard int
 	Class string
 	Units float64
-	Node  string // "": as the windows of the shard's nodes share it out
+	Node  string // empty: distributed over the shard's nodes in proportion to their windows
 }
 
-// Quorum waits for the k-th of its steps.
+// Quorum runs its steps in parallel and ends when K of them have ended.
 type Quorum struct {
 	K     int
 	Steps []Step
 }
 
-// Level is how far up an estimate had to look.
+// Level is the level of the hierarchy (node, type, fleet, settings) that most of an estimate comes from.
 type Level int
 
-// The levels, from the firmest.
+// The levels, from the most to the least specific.
 const (
 	FromNode Level = iota
 	FromType
@@ -144,9 +145,9 @@
 	FromSettings
 )
 
-var levels = [...]string{"node", "type", "fleet", "settings"}
+var levelNames = [...]string{"node", "type", "fleet", "settings"}
 
-func (l Level) String() string { return levels[l] }
+func (l Level) String() string { return levelNames[l] }
 
 // MarshalText implements encoding.TextMarshaler.
 func (l Level) MarshalText() ([]byte, error) { return []byte(l.String()), nil }
@@ -157,51 +158,51 @@
 	Millis float64 `json:"node_ms"`
 }
 
-// Basis is what an estimate rests on: the weakest of the plan's steps.
+// Basis describes the data behind an estimate. All but Trust are those of the step with the least data.
 type Basis struct {
-	Level   Level   `json:"level"`   // most of the weakest step's estimate comes from here
-	Origins int     `json:"origins"` // processes that told, at least
-	Answers float64 `json:"answers"` // decayed count, at least
-	AgeMs   float64 `json:"age_ms"`  // of the newest answer, at most
-	Trust   float64 `json:"trust"`   // share of the estimate that the nodes' own answers carry, 0 to 1
+	Level   Level   `json:"level"`   // least specific level of a step
+	Origins int     `json:"origins"` // least number of processes that reported a node
+	Answers float64 `json:"answers"` // least decayed number of answers
+	AgeMs   float64 `json:"age_ms"`  // greatest age of a node's newest answer
+	Trust   float64 `json:"trust"`   // share of the estimate that is based on the nodes' own answers, 0 to 1
 }
 
 // Answer is the estimate for one plan.
 type Answer struct {
 	Name   string     `json:"name"`
-	Cost   float64    `json:"cost"`     // what the order goes by
-	Doubt  float64    `json:"doubt"`    // its standard error
+	Cost   float64    `json:"cost"`     // by which the plans are ordered
+	Doubt  float64    `json:"doubt"`    // standard error of Cost
 	Work   []TypeWork `json:"work"`     // by type
-	Mean   float64    `json:"mean_ms"`  // of the end
-	Low    float64    `json:"p5_ms"`    // with High the 90% interval of the end
+	Mean   float64    `json:"mean_ms"`  // of the completion time
+	Low    float64    `json:"p5_ms"`    // with High the 90% interval of the completion time
 	P50    float64    `json:"p50_ms"`   //
 	P90    float64    `json:"p90_ms"`   //
 	High   float64    `json:"p95_ms"`   //
 	P99    float64    `json:"p99_ms"`   //
-	Chance float64    `json:"in_time"`  // served, and by the deadline
-	Served float64    `json:"served"`   // served at all
+	Chance float64    `json:"in_time"`  // probability that it is served by the deadline
+	Served float64    `json:"served"`   // probability that it is served
 	Units  float64    `json:"units"`    //
-	Held   float64    `json:"held_ms"`  // by the volume's limit, before it may begin
-	Cold   float64    `json:"cold"`     // units on cold nodes
+	Held   float64    `json:"held_ms"`  // delay by the volume's rate limit before it can start
+	Cold   float64    `json:"cold"`     // units on nodes that are warming up
 	Basis  Basis      `json:"rests_on"` //
-	Alike  []int      `json:"alike"`    // places in the order of the plans that cannot be told apart from it
+	Alike  []int      `json:"alike"`    // positions in the ranking of the plans that cannot be distinguished from it
 }
 
-// Ranking is the plans in order, the cheapest first.
+// Ranking holds the estimates in order of their cost, the cheapest first.
 type Ranking struct {
 	DeadlineMs float64  `json:"deadline_ms"`
 	Plans      []Answer `json:"plans"`
-	Views      int      `json:"views"`   // that the estimates rest on
-	Dropped    int      `json:"dropped"` // views that could not be
+	Views      int      `json:"views"`   // number of views used
+	Dropped    int      `json:"dropped"` // number of views that were invalid, outdated or over the limit
 }
 
-// JSON is the ranking's text.
+// JSON encodes the ranking.
 func (r Ranking) JSON() ([]byte, error) { return json.Marshal(r) }
 
-func finite(v float64) bool { return !math.IsNaN(v) && math.Abs(v) <= figureMost }
+func finite(v float64) bool { return !math.IsNaN(v) && math.Abs(v) <= maxValue }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func init() {
-	operr.Register(&BadSetting{}, &BadPlans{}, &UnknownName{}, &Cycle{}, &BadFigure{}, &TooMuch{}, &OutOfTime{})
+	operr.Register(&SettingError{}, &MalformedPlansError{}, &UnknownNameError{}, &CycleError{}, &ValueError{}, &LimitError{}, &OutOfTime{})
 }
