--- a/internal/gossip/buffer.go
+++ b/internal/gossip/buffer.go
@@ -5,11 +5,11 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// bufferSize is the number of outcomes that are held between two drains.
+// bufferSize is the maximum number of outcomes that are buffered between two drains.
 const bufferSize = 8192
 
-// outcome is the end of one attempt. It is recorded as of the time of the drain, at most one round interval later, which
-// is a small part of a half-life.
+// outcome is the result of one attempt. It is recorded with the time of the drain, which is at most one round interval
+// later. That is a small part of a half-life.
 type outcome struct {
 	key     nodestats.Key
 	units   float64
@@ -17,10 +17,10 @@
 	outcome nodestats.Outcome
 }
 
-// outcomeBuffer holds outcomes between the data path and the state. Its mutex guards all fields.
+// outcomeBuffer passes outcomes from the data path to the state. Its mutex guards all fields.
 type outcomeBuffer struct {
 	sync.Mutex
-	pending, spare []outcome // spare is swapped in by a drain
+	pending, spare []outcome // a drain swaps the two
 	dropped        int64
 	recorded       int64
 }
@@ -32,9 +32,9 @@
 	return b.recorded, b.dropped
 }
 
-// Observe records the end of one attempt: its work in units and its service time. It never waits for the state or a
-// peer, and does not allocate.
-func (c *Cluster) Observe(key nodestats.Key, units, millis float64, how nodestats.Outcome) {
+// Observe records the outcome of one attempt with its work in units and its service time. It waits neither for the state
+// nor for another process, and does not allocate. If the buffer is full, it drops the outcome and counts it.
+func (c *Cluster) Observe(key nodestats.Key, units, millis float64, result nodestats.Outcome) {
 	b := &c.buffer
 	b.Lock()
 	sync.Writes(&b.pending)
@@ -42,12 +42,12 @@
 	if n == cap(b.pending) {
 		b.dropped++
 	} else {
-		b.pending = append(b.pending, outcome{key, units, millis, how})
+		b.pending = append(b.pending, outcome{key, units, millis, result})
 		b.recorded++
 	}
 	b.Unlock()
 	if n == half {
-		sync.TrySend(c.wake, struct{}{}) // a full channel has the same effect
+		sync.TrySend(c.wake, struct{}{}) // if the channel is full, a drain is already requested
 	}
 }
 
--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -20,51 +20,53 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// circle stands for memberlist: a message arrives as soon as it is sent.
-type circle struct {
+// directNetwork stands for memberlist: a message arrives as soon as it is sent.
+type directNetwork struct {
 	members
-	all  []*memberlist.Node
-	each map[string]*Cluster
+	nodes    []*memberlist.Node
+	clusters map[string]*Cluster
 }
 
-func (c *circle) Members() []*memberlist.Node { return c.all }
-func (c *circle) NumMembers() int             { return len(c.all) }
-func (c *circle) SendBestEffort(n *memberlist.Node, b []byte) error {
-	(*delegate)(c.each[n.Name]).NotifyMsg(b)
+func (c *directNetwork) Members() []*memberlist.Node { return c.nodes }
+func (c *directNetwork) NumMembers() int             { return len(c.nodes) }
+func (c *directNetwork) SendBestEffort(n *memberlist.Node, b []byte) error {
+	(*delegate)(c.clusters[n.Name]).NotifyMsg(b)
 	return nil
 }
-func (c *circle) SendReliable(n *memberlist.Node, b []byte) error { return c.SendBestEffort(n, b) }
+func (c *directNetwork) SendReliable(n *memberlist.Node, b []byte) error {
+	return c.SendBestEffort(n, b)
+}
 
-// join returns processes that are members of each other; a buffer holds size outcomes.
-func join(size int, names ...string) map[string]*Cluster {
-	c := &circle{each: map[string]*Cluster{}}
+// joinClusters returns processes that are members of each other; a buffer holds size outcomes.
+func joinClusters(size int, names ...string) map[string]*Cluster {
+	network := &directNetwork{clusters: map[string]*Cluster{}}
 	for _, name := range names {
 		state, err := nodestats.New(nodestats.Defaults(), name, 1)
 		if err != nil {
 			panic(err)
 		}
-		p := newCluster(Options{Name: name, Burst: 8, Since: func() time.Duration { return time.Second }}, state, size)
-		p.inbox, p.members = make(chan []byte, 8), c
-		c.each[name], c.all = p, append(c.all, &memberlist.Node{Name: name})
+		cluster := newCluster(Options{Name: name, Burst: 8, Since: func() time.Duration { return time.Second }}, state, size)
+		cluster.inbox, cluster.members = make(chan []byte, 8), network
+		network.clusters[name], network.nodes = cluster, append(network.nodes, &memberlist.Node{Name: name})
 	}
-	return c.each
+	return network.clusters
 }
 
 const units, millis = 1, 2
 
-func (c *Cluster) one() {
+func (c *Cluster) observeOne() {
 	c.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
 }
 
-// seen returns how many outcomes of a node are in the views; their sums must be consistent.
-func seen(views []nodestats.View, node string) (n int, err error) {
+// countOutcomes returns how many outcomes of a node are in the views; their sums must be consistent.
+func countOutcomes(views []nodestats.View, node string) (n int, err error) {
 	for _, v := range views {
 		if v.Node != node || v.Class == "" {
 			continue
 		}
 		n = int(math.Round(v.Sums.N))
-		for _, d := range []float64{v.Sums.N - float64(n), v.Sums.X - v.Sums.N*units, v.Sums.Y - v.Sums.N*millis, v.Sums.YY - v.Sums.N*millis*millis} {
-			if math.Abs(d) > 1e-3 {
+		for _, difference := range []float64{v.Sums.N - float64(n), v.Sums.X - v.Sums.N*units, v.Sums.Y - v.Sums.N*millis, v.Sums.YY - v.Sums.N*millis*millis} {
+			if math.Abs(difference) > 1e-3 {
 				return n, fmt.Errorf("torn sums: %+v", v.Sums)
 			}
 		}
@@ -72,16 +74,16 @@
 	return n, nil
 }
 
-func (c *Cluster) look(node string) int {
-	n, err := seen(c.Views(), node)
+func (c *Cluster) viewedOutcomes(node string) int {
+	n, err := countOutcomes(c.Views(), node)
 	if err != nil {
 		il.Fail("%v", err)
 	}
 	return n
 }
 
-// counter is the sequential model of recording and reading.
-var counter = porcupine.Model{
+// recordModel is the sequential model of recording and reading.
+var recordModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
 		if input == "record" {
@@ -91,26 +93,26 @@
 	},
 }
 
-// cellsOf returns one message of cells by which another process reports n outcomes of a node.
-func cellsOf(node string, n int) []byte {
+// cellsMessage returns one message of cells by which another process reports n outcomes of a node.
+func cellsMessage(node string, n int) []byte {
 	state, _ := nodestats.New(nodestats.Defaults(), "other", 1)
-	none, _ := nodestats.New(nodestats.Defaults(), "none", 1)
+	empty, _ := nodestats.New(nodestats.Defaults(), "none", 1)
 	for range n {
 		state.Recorder(0, nodestats.Key{Node: node, StartTime: 1, Class: "read"}).Record(0, units, millis, nodestats.Served)
 	}
-	list, err := state.Diff(0, none.Digest(0))
-	if err != nil || len(list) != 1 {
-		panic(fmt.Sprintf("%d messages, %v", len(list), err))
+	messages, err := state.Diff(0, empty.Digest(0))
+	if err != nil || len(messages) != 1 {
+		panic(fmt.Sprintf("%d messages, %v", len(messages), err))
 	}
-	return append([]byte{messageCells}, list[0]...)
+	return append([]byte{messageCells}, messages[0]...)
 }
 
 // The data path records, a reader asks for the views, another process sends the same message twice, and the process has its
 // round: outcomes are in the views as soon as they are recorded, once, with consistent sums; what exceeds the buffer is
 // counted.
 func TestInterleaveObserve(t *testing.T) {
-	message := cellsOf("other's", 5)
-	for _, x := range []struct {
+	message := cellsMessage("other's", 5)
+	for _, scenario := range []struct {
 		name    string
 		size    int
 		mutants []mutant.Mutant
@@ -127,18 +129,18 @@
 			{File: "rounds.go", Old: "			c.mu.Lock()\n			c.drain()\n			c.mu.Unlock()", New: "			c.drain()", Want: "data race: "},
 			{File: "buffer.go", Old: "		b.dropped++\n", New: "", Want: "3 recorded, "}}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-				p := join(x.size, "here")["here"]
-				var h history.History
+				p := joinClusters(scenario.size, "here")["here"]
+				var record history.History
 				ctx, stop := steps.Root(context.Background())
 				tick := make(chan time.Time, 1)
 				tick <- time.Time{}
-				left := 3
-				ends := func(f func()) func() {
+				running := 3
+				stopAfterLast := func(f func()) func() {
 					return func() {
 						f()
-						if left--; left == 0 {
+						if running--; running == 0 {
 							stop()
 						}
 					}
@@ -146,18 +148,18 @@
 				return il.World{
 					Threads: []il.Thread{
 						{Name: "process", Run: func() { p.loop(ctx, tick) }},
-						{Name: "record", Run: ends(func() {
+						{Name: "record", Run: stopAfterLast(func() {
 							for range 3 {
-								h.Do(1, "record", func() any { p.one(); return nil })
+								record.Do(1, "record", func() any { p.observeOne(); return nil })
 							}
 						})},
-						{Name: "read", Run: ends(func() {
-							h.Do(2, "read", func() any { return p.look("s") })
-							if n := p.look("other's"); n != 0 && n != 5 {
+						{Name: "read", Run: stopAfterLast(func() {
+							record.Do(2, "read", func() any { return p.viewedOutcomes("s") })
+							if n := p.viewedOutcomes("other's"); n != 0 && n != 5 {
 								il.Fail("%d of another's 5", n)
 							}
 						})},
-						{Name: "other", Run: ends(func() {
+						{Name: "other", Run: stopAfterLast(func() {
 							(*delegate)(p).NotifyMsg(message)
 							(*delegate)(p).NotifyMsg(message)
 						})},
@@ -167,18 +169,18 @@
 							p.handle(<-p.inbox)
 						}
 						p.Views()
-						n, o, c := p.look("s"), p.look("other's"), p.Counts()
-						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || x.size > 3 && c.DroppedOutcomes > 0 || o != 5 {
+						n, o, c := p.viewedOutcomes("s"), p.viewedOutcomes("other's"), p.Counts()
+						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || scenario.size > 3 && c.DroppedOutcomes > 0 || o != 5 {
 							return fmt.Errorf("3 recorded, %d in the views, %d dropped; of another's 5 %d", n, c.DroppedOutcomes, o)
 						}
 						if c.DroppedOutcomes > 0 {
 							return nil
 						}
-						return h.Check(counter)
+						return record.Check(recordModel)
 					},
 				}
 			})
-			mutant.Found(t, x.mutants...)
+			mutant.Found(t, scenario.mutants...)
 		})
 	}
 }
@@ -186,14 +188,14 @@
 // Recording continues while another goroutine uses the state, for as long as that takes.
 func TestInterleaveObserveNeverWaits(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		p, recorded := join(2, "here")["here"], make(chan struct{})
+		p, recorded := joinClusters(2, "here")["here"], make(chan struct{})
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "read", Run: func() {
 					p.WithState(func(time.Duration, *nodestats.State) { sync.Recv(recorded) })
 				}},
-				{Name: "record", Run: func() { p.one(); p.one(); sync.Close(recorded) }},
-				{Name: "other", Run: func() { p.one() }},
+				{Name: "record", Run: func() { p.observeOne(); p.observeOne(); sync.Close(recorded) }},
+				{Name: "other", Run: func() { p.observeOne() }},
 			},
 			Check: func() error {
 				if c := p.Counts(); c.Outcomes+c.DroppedOutcomes != 3 {
@@ -211,22 +213,22 @@
 // both hold all outcomes, once.
 func TestInterleaveRounds(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.World {
-		both := join(8, "a", "b")
-		a, b := both["a"], both["b"]
-		take := func(p *Cluster, most int) {
-			for range most {
-				if m, _, had := sync.TryRecv(p.inbox); had {
+		clusters := joinClusters(8, "a", "b")
+		a, b := clusters["a"], clusters["b"]
+		handleMessages := func(p *Cluster, limit int) {
+			for range limit {
+				if m, _, ok := sync.TryRecv(p.inbox); ok {
 					p.handle(m)
 				}
 			}
 		}
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "record", Run: func() { a.one(); b.one(); a.one() }},
-				{Name: "a", Run: func() { a.round(); take(a, 2) }},
-				{Name: "b", Run: func() { take(b, 2) }},
+				{Name: "record", Run: func() { a.observeOne(); b.observeOne(); a.observeOne() }},
+				{Name: "a", Run: func() { a.round(); handleMessages(a, 2) }},
+				{Name: "b", Run: func() { handleMessages(b, 2) }},
 				{Name: "read", Run: func() {
-					if n := b.look("s"); n > 3 {
+					if n := b.viewedOutcomes("s"); n > 3 {
 						il.Fail("%d of 3", n)
 					}
 				}},
@@ -236,12 +238,12 @@
 					for _, p := range []*Cluster{a, b} {
 						p.round()
 						for len(a.inbox)+len(b.inbox) > 0 {
-							take(a, 1)
-							take(b, 1)
+							handleMessages(a, 1)
+							handleMessages(b, 1)
 						}
 					}
 				}
-				if n, m := a.look("s"), b.look("s"); n != 3 || m != 3 {
+				if n, m := a.viewedOutcomes("s"), b.viewedOutcomes("s"); n != 3 || m != 3 {
 					return fmt.Errorf("of 3 outcomes a has %d and b %d", n, m)
 				}
 				return nil
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -23,7 +23,7 @@
 type faultyNetwork struct {
 	mu                                   sync.Mutex
 	rand                                 *rand.Rand
-	share                                float64 // of each kind of fault
+	faultProbability                     float64 // of each kind of fault
 	partition                            map[string]int
 	partitioned                          bool
 	lost, duplicated, delayed, truncated int
@@ -48,9 +48,9 @@
 	f.network.datagrams++
 	b = slices.Clone(b)
 	send := func() { _, _ = f.NetTransport.WriteToAddress(b, a) }
-	before := f.delayed
+	earlier := f.delayed
 	f.delayed = nil
-	switch d := f.network.rand.Float64() / max(f.network.share, 1e-9); {
+	switch d := f.network.rand.Float64() / max(f.network.faultProbability, 1e-9); {
 	case f.network.partitioned && f.network.partition[f.address] != f.network.partition[a.Addr]:
 		f.network.blocked++
 	case d < 1:
@@ -69,8 +69,8 @@
 	default:
 		send()
 	}
-	for _, one := range before {
-		one()
+	for _, sendEarlier := range earlier {
+		sendEarlier()
 	}
 	return time.Now(), nil
 }
@@ -82,18 +82,18 @@
 func (f *faultyTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	f.network.mu.Lock()
 	f.network.dialed++
-	away := f.network.partitioned && f.network.partition[f.address] != f.network.partition[a.Addr]
+	unreachable := f.network.partitioned && f.network.partition[f.address] != f.network.partition[a.Addr]
 	f.network.mu.Unlock()
-	if away {
+	if unreachable {
 		return nil, fmt.Errorf("%s is in the other partition", a.Addr)
 	}
 	return f.NetTransport.DialAddressTimeout(a, wait)
 }
 
-func (w *faultyNetwork) set(apart bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.partitioned = apart
+func (n *faultyNetwork) setPartitioned(partitioned bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.partitioned = partitioned
 }
 
 // testFleet is some processes; the first half of them is one partition.
@@ -111,56 +111,56 @@
 	return l
 }
 
-func (c *testFleet) transport(port int) *faultyTransport {
+func (fleet *testFleet) transport(port int) *faultyTransport {
 	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, BindPort: port,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
-		c.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
-	return &faultyTransport{NetTransport: nt, network: c.network, address: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
+	return &faultyTransport{NetTransport: nt, network: fleet.network, address: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
 }
 
-func (c *testFleet) start(i int, incarnation uint64, f *faultyTransport) *Cluster {
-	var give func(SnapshotKind) []byte
-	if c.makeSnapshot != nil {
-		give = c.makeSnapshot(i)
+func (fleet *testFleet) start(i int, incarnation uint64, transport *faultyTransport) *Cluster {
+	var makeSnapshot func(SnapshotKind) []byte
+	if fleet.makeSnapshot != nil {
+		makeSnapshot = fleet.makeSnapshot(i)
 	}
-	p, err := Start(Options{MakeSnapshot: give, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: f.address, Seeds: c.seeds, Interval: 20 * time.Millisecond,
-		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: discardLog(), Transport: f})
+	p, err := Start(Options{MakeSnapshot: makeSnapshot, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: transport.address, Seeds: fleet.seeds, Interval: 20 * time.Millisecond,
+		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: discardLog(), Transport: transport})
 	if err != nil {
-		c.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	return p
 }
 
-func startFleet(t *testing.T, n int, share float64) *testFleet {
-	return startFleetWith(t, n, share, nil)
+func startFleet(t *testing.T, n int, faultProbability float64) *testFleet {
+	return startFleetWith(t, n, faultProbability, nil)
 }
 
-func startFleetWith(t *testing.T, n int, share float64, give func(i int) func(SnapshotKind) []byte) *testFleet {
-	c := &testFleet{t: t, makeSnapshot: give, network: &faultyNetwork{rand: rand.New(rand.NewPCG(20261201, uint64(n))), share: share, partition: map[string]int{}}}
-	var ways []*faultyTransport
+func startFleetWith(t *testing.T, n int, faultProbability float64, makeSnapshot func(i int) func(SnapshotKind) []byte) *testFleet {
+	fleet := &testFleet{t: t, makeSnapshot: makeSnapshot, network: &faultyNetwork{rand: rand.New(rand.NewPCG(20261201, uint64(n))), faultProbability: faultProbability, partition: map[string]int{}}}
+	var transports []*faultyTransport
 	for i := range n {
-		f := c.transport(0)
-		c.network.partition[f.address] = 2 * i / n
-		ways, c.seeds = append(ways, f), append(c.seeds, f.address)
+		transport := fleet.transport(0)
+		fleet.network.partition[transport.address] = 2 * i / n
+		transports, fleet.seeds = append(transports, transport), append(fleet.seeds, transport.address)
 	}
-	for i, f := range ways {
-		c.peers = append(c.peers, c.start(i, 1, f))
+	for i, transport := range transports {
+		fleet.peers = append(fleet.peers, fleet.start(i, 1, transport))
 	}
 	t.Cleanup(func() {
-		for _, p := range c.peers {
+		for _, p := range fleet.peers {
 			p.Stop()
 		}
 		awaitNoGoroutines(t)
 	})
-	return c
+	return fleet
 }
 
 // await waits for a condition and fails the test after a minute.
-func await(t *testing.T, what string, cond func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(time.Minute); !cond(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not within a minute: " + what)
 		}
@@ -189,8 +189,8 @@
 	return true
 }
 
-func (c *testFleet) observe(r *rand.Rand, each int) {
-	for i, p := range c.peers {
+func (fleet *testFleet) observe(r *rand.Rand, each int) {
+	for i, p := range fleet.peers {
 		for range each {
 			p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(30)), StartTime: 1, Class: fmt.Sprint("c", r.IntN(3))}, r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
@@ -209,114 +209,114 @@
 // Two partitions, each with observations of its own, rejoin while datagrams are lost, duplicated, reordered and truncated:
 // all processes end with the same state, that of one merge of everything.
 func TestPartitionsConvergeAfterTheyRejoin(t *testing.T) {
-	c := startFleet(t, 6, 0.08)
-	r := rand.New(rand.NewPCG(1, 1))
-	c.observe(r, 50)
-	await(t, "equal states", func() bool { return sameStates(c.peers...) })
-	c.network.set(true)
-	c.observe(r, 50)
-	await(t, "equal states in each partition", func() bool { return sameStates(c.peers[:3]...) && sameStates(c.peers[3:]...) })
-	if sameStates(c.peers[0], c.peers[5]) {
+	fleet := startFleet(t, 6, 0.08)
+	random := rand.New(rand.NewPCG(1, 1))
+	fleet.observe(random, 50)
+	await(t, "equal states", func() bool { return sameStates(fleet.peers...) })
+	fleet.network.setPartitioned(true)
+	fleet.observe(random, 50)
+	await(t, "equal states in each partition", func() bool { return sameStates(fleet.peers[:3]...) && sameStates(fleet.peers[3:]...) })
+	if sameStates(fleet.peers[0], fleet.peers[5]) {
 		t.Error("the partitions were not separated")
 	}
-	c.network.set(false)
-	await(t, "equal states after rejoining", func() bool { return sameStates(c.peers...) })
-	one, err := nodestats.New(nodestats.Defaults(), "auditor", 1)
+	fleet.network.setPartitioned(false)
+	await(t, "equal states after rejoining", func() bool { return sameStates(fleet.peers...) })
+	merged, err := nodestats.New(nodestats.Defaults(), "auditor", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range c.peers {
+	for _, p := range fleet.peers {
 		p.WithState(func(now time.Duration, s *nodestats.State) {
-			all, err := s.Diff(now, one.Digest(0))
+			messages, err := s.Diff(now, merged.Digest(0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range all {
-				if err := one.Merge(0, m); err != nil {
+			for _, m := range messages {
+				if err := merged.Merge(0, m); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
-	if !one.MatchesDigest(0, digest(c.peers[0])) {
+	if !merged.MatchesDigest(0, digest(fleet.peers[0])) {
 		t.Error("the state differs from one merge of everything")
 	}
-	if n := len(one.ListVersions(0)); n != 6 {
+	if n := len(merged.ListVersions(0)); n != 6 {
 		t.Errorf("%d processes reported their list version", n)
 	}
-	w := c.network
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.lost == 0 || w.duplicated == 0 || w.delayed == 0 || w.truncated == 0 || w.blocked == 0 {
-		t.Errorf("a kind of fault did not occur: %+v", w)
+	network := fleet.network
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if network.lost == 0 || network.duplicated == 0 || network.delayed == 0 || network.truncated == 0 || network.blocked == 0 {
+		t.Errorf("a kind of fault did not occur: %+v", network)
 	}
-	t.Logf("%d datagrams: %d lost, %d duplicated, %d delayed, %d truncated, %d blocked between the partitions", w.datagrams, w.lost, w.duplicated, w.delayed, w.truncated, w.blocked)
+	t.Logf("%d datagrams: %d lost, %d duplicated, %d delayed, %d truncated, %d blocked between the partitions", network.datagrams, network.lost, network.duplicated, network.delayed, network.truncated, network.blocked)
 }
 
 // After a process was killed and restarted under its name, all processes hold its later incarnation alone.
 func TestRestartUnderTheSameNameReplacesItsState(t *testing.T) {
-	c := startFleet(t, 3, 0)
-	c.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Failed)
-	await(t, "the outcome at all processes", func() bool { return totalWeight(c.peers[0]) > 0.5 && sameStates(c.peers...) })
-	at := c.peers[2].Address()
-	c.peers[2].Kill()
-	_, port, err := splitAddress(at)
+	fleet := startFleet(t, 3, 0)
+	fleet.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Failed)
+	await(t, "the outcome at all processes", func() bool { return totalWeight(fleet.peers[0]) > 0.5 && sameStates(fleet.peers...) })
+	address := fleet.peers[2].Address()
+	fleet.peers[2].Kill()
+	_, port, err := splitAddress(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.peers[2] = c.start(2, 2, c.transport(port))
-	c.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Rejected)
+	fleet.peers[2] = fleet.start(2, 2, fleet.transport(port))
+	fleet.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Rejected)
 	await(t, "equal states", func() bool {
-		v := c.peers[0].Views()
-		return sameStates(c.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
+		v := fleet.peers[0].Views()
+		return sameStates(fleet.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
 	})
 }
 
 // A process that sends invalid messages: all are counted and change nothing, those of a later version separately, and the
 // others continue to exchange.
 func TestInvalidMessagesChangeNothing(t *testing.T) {
-	c := startFleet(t, 3, 0)
-	c.observe(rand.New(rand.NewPCG(2, 2)), 20)
-	await(t, "equal states", func() bool { return sameStates(c.peers...) && c.peers[0].members.NumMembers() == 3 })
-	before := digest(c.peers[0])
-	r := rand.New(rand.NewPCG(3, 3))
+	fleet := startFleet(t, 3, 0)
+	fleet.observe(rand.New(rand.NewPCG(2, 2)), 20)
+	await(t, "equal states", func() bool { return sameStates(fleet.peers...) && fleet.peers[0].members.NumMembers() == 3 })
+	before := digest(fleet.peers[0])
+	random := rand.New(rand.NewPCG(3, 3))
 	var to *memberlist.Node
-	for _, n := range c.peers[2].members.Members() {
+	for _, n := range fleet.peers[2].members.Members() {
 		if n.Name == "p0" {
 			to = n
 		}
 	}
 	for i := range 300 {
-		b := make([]byte, 1+r.IntN(400))
+		b := make([]byte, 1+random.IntN(400))
 		for j := range b {
-			b[j] = byte(r.Uint32())
+			b[j] = byte(random.Uint32())
 		}
 		if i%3 > 0 {
 			b = append([]byte{byte(messageDigest + i%3), 'W', 'O', byte(2 + i%2)}, b...)
 		}
-		if err := c.peers[2].members.SendReliable(to, b); err != nil {
+		if err := fleet.peers[2].members.SendReliable(to, b); err != nil {
 			t.Fatal(err)
 		}
 	}
 	await(t, "all messages are counted", func() bool {
-		n := c.peers[0].Counts()
+		n := fleet.peers[0].Counts()
 		return n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid >= 300 && n.State.LaterVersion > 0
 	})
 	same := false
-	c.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.MatchesDigest(now, before) })
+	fleet.peers[0].WithState(func(now time.Duration, s *nodestats.State) { same = s.MatchesDigest(now, before) })
 	if !same {
 		t.Error("an invalid message changed the state")
 	}
-	c.peers[1].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "more"}, 1, 1, nodestats.Served)
+	fleet.peers[1].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "more"}, 1, 1, nodestats.Served)
 	await(t, "a new class arrives", func() bool {
-		return slices.ContainsFunc(c.peers[0].Views(), func(v nodestats.View) bool { return v.Class == "more" })
+		return slices.ContainsFunc(fleet.peers[0].Views(), func(v nodestats.View) bool { return v.Class == "more" })
 	})
 }
 
 // While the state is in use and the buffer is full, outcomes are counted as dropped.
 func TestObserveNeverWaits(t *testing.T) {
-	c := startFleet(t, 1, 0)
-	p := c.peers[0]
+	fleet := startFleet(t, 1, 0)
+	p := fleet.peers[0]
 	p.WithState(func(time.Duration, *nodestats.State) {
 		for range bufferSize + 10 {
 			p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
@@ -333,14 +333,14 @@
 // Advertised addresses that only an override reaches. Messages are encrypted here.
 func TestAddressOverrides(t *testing.T) {
 	defer awaitNoGoroutines(t)
-	var ps []*Cluster
-	start := func(name, advertise string, seeds []string, via map[string]string) *Cluster {
-		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, AddressOverrides: via,
+	var clusters []*Cluster
+	start := func(name, advertise string, seeds []string, overrides map[string]string) *Cluster {
+		p, err := Start(Options{Name: name, Incarnation: 1, Listen: "127.0.0.1:0", Advertise: advertise, Seeds: seeds, AddressOverrides: overrides,
 			Interval: 20 * time.Millisecond, Burst: 8, Key: []byte("0123456789abcdef"), State: nodestats.Defaults(), Log: discardLog()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ps = append(ps, p)
+		clusters = append(clusters, p)
 		return p
 	}
 	a := start("a", "", nil, nil)
@@ -348,7 +348,7 @@
 	defer b.Stop()
 	defer a.Stop()
 	a.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
-	await(t, "the outcome of a at b", func() bool { return totalWeight(b) > 0.5 && sameStates(ps...) })
+	await(t, "the outcome of a at b", func() bool { return totalWeight(b) > 0.5 && sameStates(clusters...) })
 	if _, err := Start(Options{Name: "c", Listen: "nowhere", State: nodestats.Defaults(), Log: discardLog()}); err == nil {
 		t.Error("started with an invalid address")
 	}
--- a/internal/gossip/errors.go
+++ b/internal/gossip/errors.go
@@ -7,9 +7,9 @@
 	"wheatsaddle/internal/operr"
 )
 
-var errUnspecifiedAddress = errors.New("it means every address of this machine, and peers.advertise does not name the one that the others reach")
+var errUnspecifiedAddress = errors.New("the address is unspecified (all addresses of this machine), and peers.advertise does not set the one that other processes reach")
 
-// ListenError reports an address at which the process cannot listen for its peers.
+// ListenError reports an address on which the process cannot listen for other processes.
 type ListenError struct {
 	Address string
 	Err     error
@@ -23,14 +23,14 @@
 
 // Advice tells the operator what to do.
 func (e *ListenError) Advice() string {
-	return "give peers.listen an IP address of this machine and a port that is free for UDP and TCP; with 0.0.0.0 or [::] set peers.advertise to the one that the others reach"
+	return "set peers.listen to an IP address of this machine and a port that is free for UDP and TCP; for 0.0.0.0 or [::], set peers.advertise to the address that others reach"
 }
 
 // ForbiddenError reports that the platform forbids communication between processes.
 type ForbiddenError struct{}
 
 func (e *ForbiddenError) Error() string {
-	return "peers: the site's file has the section, but the platform's settings forbid it (ceilings.peers)"
+	return "peers: the site's file has a section peers, but the platform's settings forbid it (ceilings.peers)"
 }
 
 // Code returns the stable identifier.
@@ -38,7 +38,7 @@
 
 // Advice tells the operator what to do.
 func (e *ForbiddenError) Advice() string {
-	return "take the section peers out of the site's file, or have the platform set ceilings.peers to true"
+	return "remove the section peers from the site's file, or have the platform set ceilings.peers to true"
 }
 
 // KeyError reports a key file without a valid key.
@@ -55,7 +55,7 @@
 
 // Advice tells the operator what to do.
 func (e *KeyError) Advice() string {
-	return "put 32, 48 or 64 hexadecimal digits into the file, the same at every process"
+	return "write 32, 48 or 64 hexadecimal digits into the file, the same for every process"
 }
 
 var _ = register()
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,8 +16,8 @@
 
 const (
 	tcpTimeout        = time.Second
-	gossipToDeadFor   = 30 * time.Second // memberlist tells a failed member of its state for so long
-	deadNodeReclaim   = time.Second      // after which a killed process may return under its name at another address
+	gossipToDeadFor   = 30 * time.Second // memberlist gossips to a failed member for so long, so that it can rejoin
+	deadNodeReclaim   = time.Second      // after which a killed process may rejoin under its name at another address
 	seedJoinInterval  = 2 * time.Second
 	datagramAllowance = 100 // bytes that memberlist adds to a datagram, at most
 )
@@ -34,7 +34,7 @@
 	SendReliable(*memberlist.Node, []byte) error
 }
 
-// Members returns the names of the processes that are known to be up, with this one.
+// Members returns the names of the processes that are known to be alive, including this one.
 func (c *Cluster) Members() []string {
 	var names []string
 	for _, n := range c.members.Members() {
@@ -46,8 +46,7 @@
 // Address returns the address at which others reach this process.
 func (c *Cluster) Address() string { return c.members.LocalNode().Address() }
 
-// joinSeeds joins each seed that is not a member, again and again, so that parts of a fleet that were separated find each
-// other.
+// joinSeeds periodically joins each seed that is not a member, so that the fleet recovers from a network partition.
 func (c *Cluster) joinSeeds(ctx context.Context) {
 	defer c.tasks.Done()
 	for {
@@ -90,13 +89,13 @@
 	return config, c.setTransport(config)
 }
 
-// setAddresses sets the addresses to listen at and to advertise.
+// setAddresses sets the addresses to listen on and to advertise.
 func (c *Cluster) setAddresses(config *memberlist.Config) error {
 	host, port, err := splitAddress(c.options.Listen)
 	if err != nil {
 		return &ListenError{Address: c.options.Listen, Err: err}
 	}
-	if c.options.Advertise == "" && net.ParseIP(host).IsUnspecified() { // memberlist would start a program to find an address
+	if c.options.Advertise == "" && net.ParseIP(host).IsUnspecified() { // memberlist would run an external program to find an address
 		return &ListenError{Address: c.options.Listen, Err: errUnspecifiedAddress}
 	}
 	config.BindAddr, config.BindPort, config.AdvertisePort = host, port, port
@@ -108,7 +107,7 @@
 	return nil
 }
 
-// setTransport listens at the configured address.
+// setTransport listens on the configured address.
 func (c *Cluster) setTransport(config *memberlist.Config) error {
 	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{config.BindAddr},
@@ -136,7 +135,7 @@
 		d.snapshots.receive(b[1:])
 		return
 	}
-	if !sync.TrySend(d.inbox, append([]byte(nil), b...)) { // b is memberlist's
+	if !sync.TrySend(d.inbox, append([]byte(nil), b...)) { // memberlist reuses b
 		d.queueOverflows.Add(1)
 	}
 }
@@ -146,7 +145,7 @@
 func (d *delegate) LocalState(bool) []byte          { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool)   {}
 
-// debugLog logs memberlist's lines at level debug.
+// debugLog logs memberlist's messages at debug level.
 type debugLog struct{ log logrus.FieldLogger }
 
 func (d debugLog) Write(b []byte) (int, error) {
--- a/internal/gossip/recorded_test.go
+++ b/internal/gossip/recorded_test.go
@@ -72,20 +72,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newCluster(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: discardLog(),
+	cluster := newCluster(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: discardLog(),
 		MakeSnapshot: func(kind SnapshotKind) []byte { return fmt.Appendf(nil, "snapshot of %s, kind %d", name, kind) }}, state, bufferSize)
-	p.members = l
-	l.clusters[name], l.nodes = p, append(l.nodes, &memberlist.Node{Name: name})
-	return p
+	cluster.members = l
+	l.clusters[name], l.nodes = cluster, append(l.nodes, &memberlist.Node{Name: name})
+	return cluster
 }
 
-// fill gives a process outcomes, health and a list version, from a seed.
-func fill(p *Cluster, seed uint64) {
+// fillState gives a process outcomes, health and a list version, from a seed.
+func fillState(cluster *Cluster, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 12))
 	for range 600 {
-		p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(4)), StartTime: 1700000000000, Class: fmt.Sprint("c", r.IntN(2))}, float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
+		cluster.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(4)), StartTime: 1700000000000, Class: fmt.Sprint("c", r.IntN(2))}, float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
 	}
-	p.WithState(func(now time.Duration, s *nodestats.State) {
+	cluster.WithState(func(now time.Duration, s *nodestats.State) {
 		for i := range 5 {
 			s.SetNodeHealth(now, fmt.Sprint("n", i), 1700000000000, nodestats.Health{Type: "hdd", Shard: i % 2, WarmingUp: i == 1, Window: 4 * r.Float64(), Queue: float64(i)})
 		}
@@ -93,11 +93,11 @@
 	})
 }
 
-// play has the two processes exchange each kind of message.
-func (l *recordedLinks) play(t *testing.T) {
+// exchangeAllKinds has the two processes exchange each kind of message.
+func (l *recordedLinks) exchangeAllKinds(t *testing.T) {
 	a, b := l.clusters["a"], l.clusters["b"]
-	fill(a, 1)
-	fill(b, 2)
+	fillState(a, 1)
+	fillState(b, 2)
 	for range 2 {
 		a.round()
 		b.round()
@@ -150,7 +150,7 @@
 // Messages of each kind are written as the bytes of the recording.
 func TestSentMessagesAreThoseOfTheRecording(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
-	l.play(t)
+	l.exchangeAllKinds(t)
 	record := flag.Lookup("record").Value.String() == "true"
 	for _, kind := range recordedKinds {
 		if len(l.sent[kind]) == 0 {
@@ -176,7 +176,7 @@
 // A process that knows nothing reads the recorded messages of each kind, and answers those that ask.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
-	l.play(t)
+	l.exchangeAllKinds(t)
 	c := l.add(t, 3, "c")
 	for _, m := range readMessages(t, "cells") {
 		c.thisRound = roundLoad{}
--- a/internal/gossip/rounds.go
+++ b/internal/gossip/rounds.go
@@ -13,25 +13,25 @@
 
 // Kinds of messages, as their first byte.
 const (
-	messageDigest          = 'a' + iota // a digest that asks for the receiver's digest in return
+	messageDigest          = 'a' + iota // a digest that requests the receiver's digest
 	messageDigestReply                  // a digest that does not
 	messageCells                        // cells that a digest lacked
-	messageSnapshotRequest              // asks for a snapshot
-	messageSnapshotReply                // a snapshot, or that there is none
+	messageSnapshotRequest              // requests a snapshot
+	messageSnapshotReply                // a snapshot, empty if there is none
 )
 
 const (
-	maxDigestsPerRound = 16   // digests answered; with more processes than that another member answers
-	maxDatagram        = 1300 // bytes of a message that goes as one datagram; a longer one goes over TCP
+	maxDigestsPerRound = 16   // digests answered; if more processes send theirs, other members answer them in later rounds
+	maxDatagram        = 1300 // bytes; longer messages are sent over TCP
 )
 
-// roundLoad counts what was received since the last round, to limit the processor time that messages take.
+// roundLoad counts the messages received since the last round, to limit the processor time spent on them.
 type roundLoad struct {
 	digests, messages, snapshotRequests int
 }
 
-// admit counts a message and reports whether it is within a round's limits. They protect the data path's share of the
-// processor from whoever floods the port.
+// admit counts a message and reports whether it is within a round's limits. The limits protect the data path's share of
+// the processor against senders that flood the port.
 func (l *roundLoad) admit(isDigest bool, burst int) bool {
 	if isDigest {
 		l.digests++
@@ -88,8 +88,8 @@
 	}
 }
 
-// nextMember returns the next of the members in random order, each once before any is repeated; nil: there is none. The
-// caller holds c.mu.
+// nextMember returns the next of the members in random order, each once before any is repeated. It returns nil if there
+// is none. The caller holds c.mu.
 func (c *Cluster) nextMember(others map[string]*memberlist.Node) (to *memberlist.Node) {
 	for range 2 { // the second time with a new order
 		for to == nil && len(c.roundOrder) > 0 {
@@ -124,7 +124,7 @@
 	c.bytesSent.Add(int64(len(b)))
 }
 
-// handle handles a message of another process, which is not empty.
+// handle handles a nonempty message from another process.
 func (c *Cluster) handle(b []byte) {
 	c.received.Add(1)
 	c.bytesReceived.Add(int64(len(b)))
@@ -139,7 +139,7 @@
 		c.answerDigest(body, kind == messageDigest)
 	case kind == messageSnapshotRequest:
 		c.answerSnapshotRequest(body)
-	default: // also of an unknown kind: the state counts it as unreadable
+	default: // includes unknown kinds, which the state counts as unreadable
 		c.mergeCells(body)
 	}
 }
@@ -152,7 +152,7 @@
 	c.logDropped(err)
 }
 
-// answerDigest sends the sender of a digest the cells that it lacks and, if asked for, this process's digest.
+// answerDigest sends to the sender of a digest the cells that it lacks and, if requested, this process's digest.
 func (c *Cluster) answerDigest(digest []byte, withReply bool) {
 	c.mu.Lock()
 	sync.Writes(c.state)
@@ -164,7 +164,7 @@
 		reply = c.state.Digest(now)
 	}
 	start := 0
-	if n := len(cells); n > c.options.Burst { // a random part of them, so that each is sent in some round
+	if n := len(cells); n > c.options.Burst { // starts at a random message, so that each is sent in some round
 		start = c.rand.IntN(n)
 	}
 	c.mu.Unlock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// logDropped logs why a message was dropped; nil: it was not.
+// logDropped logs the error for which a message was dropped. It does nothing if the error is nil.
 func (c *Cluster) logDropped(err error) {
 	if err != nil {
 		c.options.Log.WithFields(operr.Fields(err)).Debug("gossip message dropped")
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -11,38 +11,39 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// SnapshotKind is the kind of a snapshot that one process sends to another that starts.
+// SnapshotKind is the kind of a snapshot that a process requests from another one when it starts.
 type SnapshotKind byte
 
-// LearnedSnapshot is what a process has learned of the nodes, in the format of internal/coldstart/snapshot.
+// LearnedSnapshot contains what a process has learned about the nodes, in the format of internal/coldstart/snapshot.
 const LearnedSnapshot SnapshotKind = 1
 
 const (
 	maxSnapshotBytes         = 256 << 10
 	snapshotTimeout          = time.Second           // for one member's reply
-	maxSnapshotAttempts      = 8                     // members asked, one after the other
-	memberPollInterval       = 50 * time.Millisecond // while there is no member to ask
+	maxSnapshotAttempts      = 8                     // members to which a request is sent, one after the other
+	memberPollInterval       = 50 * time.Millisecond // while there is no member to send a request to
 	maxSnapshotRequestsRound = 4                     // requests answered in a round
-	maxSnapshotSends         = 2                     // snapshots made and sent at once; other requests get an empty reply
+	maxSnapshotSends         = 2                     // concurrent snapshots; further requests get an empty reply
 
-	// A request is a random number and the kind, then the sender's name. A reply is the number, then the snapshot.
+	// A request consists of a random number, the kind, and the sender's name. A reply consists of the same number and the
+	// snapshot.
 	requestNumberBytes = 8
 	requestHeaderBytes = requestNumberBytes + 1
 )
 
-// snapshotTransfer is one request of this process, and its replies to the requests of others.
+// snapshotTransfer is the state of this process's own request and of its replies to requests from others.
 type snapshotTransfer struct {
 	mu       sync.Mutex    // guards the fields up to sending
-	expected uint64        // number that a reply must have; 0: none is expected
-	reply    chan<- []byte // has capacity for one
-	sending  int           // snapshots being made or sent
+	expected uint64        // number that a reply must have; 0: no reply is expected
+	reply    chan<- []byte // has a capacity of 1
+	sending  int           // snapshots being created or sent
 
 	sent     atomic.Int64
 	received atomic.Int64
 	invalid  atomic.Int64
 }
 
-// receive handles a reply. One that is not expected is dropped and counted.
+// receive handles a reply. An unexpected reply is dropped and counted.
 func (s *snapshotTransfer) receive(m []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	s.expected = 0
 }
 
-// expect returns the channel of the reply with the number; 0: no reply is expected from now on.
+// expect returns a channel that receives the reply with the number. With 0, no reply is expected from now on.
 func (s *snapshotTransfer) expect(number uint64) <-chan []byte {
 	reply := make(chan []byte, 1)
 	s.mu.Lock()
@@ -64,7 +65,7 @@
 	return reply
 }
 
-// beginSend reports whether another snapshot may be made and sent; endSend must follow.
+// beginSend reports whether another snapshot may be created and sent. If so, the caller must call endSend afterwards.
 func (s *snapshotTransfer) beginSend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,9 +82,9 @@
 	s.mu.Unlock()
 }
 
-// RequestSnapshot asks members for a snapshot, in random order, until accept returns no error for one; it reports
-// whether that happened before ctx ended. The snapshot was made after the request: it is at most snapshotTimeout old.
-// Only one call at a time is allowed.
+// RequestSnapshot requests a snapshot from one member after another, in random order, until accept returns no error. It
+// reports whether that happened before ctx ended. Snapshots are created on request, so they are at most snapshotTimeout
+// old. Only one call at a time is allowed.
 func (c *Cluster) RequestSnapshot(ctx context.Context, kind SnapshotKind, accept func([]byte) error) bool {
 	defer c.snapshots.expect(0)
 	asked := map[string]bool{c.options.Name: true}
@@ -109,7 +110,7 @@
 	return false
 }
 
-// requestFrom returns a member's reply; nil: there was none in time.
+// requestFrom requests a snapshot from a member and returns its reply, or nil if none arrived in time.
 func (c *Cluster) requestFrom(ctx context.Context, to *memberlist.Node, kind SnapshotKind, number uint64) []byte {
 	reply := c.snapshots.expect(number)
 	request := binary.BigEndian.AppendUint64(make([]byte, 0, requestHeaderBytes+len(c.options.Name)), number)
@@ -136,7 +137,8 @@
 	return true
 }
 
-// memberNotAsked draws a member that was not asked yet, and a number that is not 0; nil: there is no such member.
+// memberNotAsked selects a random member that has not been asked yet, and a random request number other than 0. It
+// returns nil if there is no such member.
 func (c *Cluster) memberNotAsked(asked map[string]bool) (to *memberlist.Node, number uint64) {
 	remaining := slices.DeleteFunc(c.members.Members(), func(n *memberlist.Node) bool { return asked[n.Name] })
 	if len(remaining) == 0 {
@@ -147,7 +149,7 @@
 	return remaining[c.rand.IntN(len(remaining))], c.rand.Uint64() | 1
 }
 
-// answerSnapshotRequest replies to a request. The snapshot is made and sent by a goroutine of its own.
+// answerSnapshotRequest replies to a request. A separate goroutine creates and sends the snapshot.
 func (c *Cluster) answerSnapshotRequest(m []byte) {
 	if len(m) <= requestHeaderBytes {
 		c.snapshots.invalid.Add(1)
@@ -175,7 +177,7 @@
 	}()
 }
 
-// otherMember returns the member with the name; nil: there is none, or it is this process.
+// otherMember returns the member with the name. It returns nil if there is none or if it is this process.
 func (c *Cluster) otherMember(name string) *memberlist.Node {
 	for _, n := range c.members.Members() {
 		if n.Name == name && name != c.options.Name {
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -13,7 +13,7 @@
 // invalid one and one an overlong one. A reply that is not expected is dropped and counted.
 func TestRequestSnapshot(t *testing.T) {
 	good := bytes.Repeat([]byte("learned "), 20<<10) // 160 KiB: by a connection of its own
-	c := startFleetWith(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
+	fleet := startFleetWith(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
 		return func(k SnapshotKind) []byte {
 			switch {
 			case k != LearnedSnapshot || i == 1:
@@ -26,61 +26,61 @@
 			return good
 		}
 	})
-	p := c.peers[0]
-	await(t, "all are members", func() bool { return p.Counts().Members == 6 && c.peers[4].Counts().Members == 6 })
-	for spoilt := false; !spoilt; spoilt = p.Counts().SnapshotsInvalid > 0 { // until the member with an invalid snapshot was asked too
-		had := 0
+	cluster := fleet.peers[0]
+	await(t, "all are members", func() bool { return cluster.Counts().Members == 6 && fleet.peers[4].Counts().Members == 6 })
+	for invalidReceived := false; !invalidReceived; invalidReceived = cluster.Counts().SnapshotsInvalid > 0 { // until the member with an invalid snapshot was asked too
+		accepted := 0
 		await(t, "a snapshot is received", func() bool {
 			// If datagrams to all members were lost, it waits for new members: it is called again.
 			ctx, stop := context.WithTimeout(t.Context(), 6*snapshotTimeout)
 			defer stop()
-			return p.RequestSnapshot(ctx, LearnedSnapshot, func(b []byte) error {
+			return cluster.RequestSnapshot(ctx, LearnedSnapshot, func(b []byte) error {
 				if !bytes.Equal(b, good) {
 					return errors.New("another snapshot")
 				}
-				had++
+				accepted++
 				return nil
 			})
 		})
-		if had != 1 {
-			t.Fatalf("accepted %d times", had)
+		if accepted != 1 {
+			t.Fatalf("accepted %d times", accepted)
 		}
 	}
-	if p.Counts().SnapshotsReceived == 0 || c.peers[4].Counts().SnapshotsSent+c.peers[5].Counts().SnapshotsSent == 0 {
-		t.Errorf("%+v", p.Counts())
+	if cluster.Counts().SnapshotsReceived == 0 || fleet.peers[4].Counts().SnapshotsSent+fleet.peers[5].Counts().SnapshotsSent == 0 {
+		t.Errorf("%+v", cluster.Counts())
 	}
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
-	if p.RequestSnapshot(quick, LearnedSnapshot+1, func([]byte) error { return nil }) {
+	if cluster.RequestSnapshot(quick, LearnedSnapshot+1, func([]byte) error { return nil }) {
 		t.Error("a snapshot of an unknown kind")
 	}
-	before := p.Counts()
-	asked := p.snapshots.expect(7)
+	before := cluster.Counts()
+	reply := cluster.snapshots.expect(7)
 	for _, m := range [][]byte{nil, make([]byte, 8), binary.BigEndian.AppendUint64(nil, 9), append(binary.BigEndian.AppendUint64(nil, 7), make([]byte, maxSnapshotBytes+1)...)} {
-		(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, m...))
+		(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, m...))
 	}
-	(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
-	(*delegate)(p).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
-	if got := p.Counts().SnapshotsInvalid - before.SnapshotsInvalid; got != 5 || string(<-asked) != "x" {
+	(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
+	(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
+	if got := cluster.Counts().SnapshotsInvalid - before.SnapshotsInvalid; got != 5 || string(<-reply) != "x" {
 		t.Errorf("%d dropped of 5", got)
 	}
 }
 
 // Snapshots take time to make: requests above a limit get an empty reply.
 func TestSnapshotSendsAreLimited(t *testing.T) {
-	let, made := make(chan bool), make(chan bool, 100)
-	c := startFleetWith(t, 2, 0, func(int) func(SnapshotKind) []byte {
-		return func(SnapshotKind) []byte { made <- true; <-let; return []byte("x") }
+	release, made := make(chan bool), make(chan bool, 100)
+	fleet := startFleetWith(t, 2, 0, func(int) func(SnapshotKind) []byte {
+		return func(SnapshotKind) []byte { made <- true; <-release; return []byte("x") }
 	})
-	p := c.peers[1]
-	await(t, "both are members", func() bool { return p.Counts().Members == 2 && c.peers[0].Counts().Members == 2 })
+	sender := fleet.peers[1]
+	await(t, "both are members", func() bool { return sender.Counts().Members == 2 && fleet.peers[0].Counts().Members == 2 })
 	m := append(binary.BigEndian.AppendUint64(nil, 5), byte(LearnedSnapshot))
 	for range 10 * maxSnapshotSends {
-		c.peers[0].send(p.members.LocalNode(), messageSnapshotRequest, append(m, "p0"...))
+		fleet.peers[0].send(sender.members.LocalNode(), messageSnapshotRequest, append(m, "p0"...))
 	}
-	await(t, "the excess requests got an empty reply", func() bool { return c.peers[0].Counts().SnapshotsInvalid >= 8*maxSnapshotSends })
+	await(t, "the excess requests got an empty reply", func() bool { return fleet.peers[0].Counts().SnapshotsInvalid >= 8*maxSnapshotSends })
 	if n := len(made); n > maxSnapshotSends {
 		t.Errorf("%d snapshots made at once", n)
 	}
-	close(let)
+	close(release)
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -24,7 +24,7 @@
 	return host, int(n), err
 }
 
-// overridingTransport replaces the addresses of some members by others that lead there.
+// overridingTransport replaces the advertised addresses of some members by addresses that this process can reach.
 type overridingTransport struct {
 	*memberlist.NetTransport
 	overrides map[string]string
--- a/internal/nodestats/cellcodec.go
+++ b/internal/nodestats/cellcodec.go
@@ -42,7 +42,7 @@
 // decodeCells decodes a complete message of cells, or returns an error. The cells do not refer to the message's memory.
 func decodeCells(message []byte) (origin string, incarnation uint64, cells []wireCell, err error) {
 	if len(message) > maxMessageBytes {
-		return "", 0, nil, &DecodeError{"it is too long"}
+		return "", 0, nil, &DecodeError{"message is too long"}
 	}
 	d, err := openMessage(message, kindCells)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return origin, incarnation, cells, nil
 }
 
-// check returns what is wrong with a cell's body; empty: nothing.
+// check returns a description of the problem with a cell's body, or an empty string if the body is valid.
 func (id cellID) check(body []byte) string {
 	d := &decoder{rest: body}
 	switch {
@@ -84,7 +84,7 @@
 	return d.problem
 }
 
-// encode returns the body of a cell of a node's health.
+// encode returns the body of a cell that contains a node's health.
 func (h Health) encode(startTime int64) []byte {
 	b := binary.AppendVarint(nil, startTime)
 	b = appendName(b, h.Type)
@@ -106,7 +106,7 @@
 	return h
 }
 
-// encode returns the body of a cell of a class.
+// encode returns the body of a cell that contains the statistics of a class.
 func (c *classStats) encode() []byte {
 	b := binary.AppendVarint(nil, c.startTime)
 	for _, d := range [...]*decayedCounts{&c.long, &c.short} {
@@ -125,7 +125,7 @@
 	return b
 }
 
-// classStats decodes into stats, which is large.
+// classStats decodes the statistics of a class into stats. The caller provides the memory, since the value is large.
 func (d *decoder) classStats(stats *classStats) {
 	*stats = classStats{startTime: d.int()}
 	for _, counts := range [...]*decayedCounts{&stats.long, &stats.short} {
@@ -136,7 +136,7 @@
 	total := d.bins(&stats.bins)
 	if !stats.long.sums.plausible() || !stats.short.sums.plausible() || !stats.short.isPartOf(&stats.long) ||
 		total > stats.short.sums.N*1.01+2 { // bins are rounded
-		d.fail("no observations have such sums")
+		d.fail("sums are inconsistent")
 	}
 }
 
@@ -156,7 +156,7 @@
 	return total
 }
 
-// plausible reports whether the sums can be those of some observations, apart from rounding (Cauchy-Schwarz).
+// plausible reports whether some observations can have these sums, apart from rounding (Cauchy-Schwarz inequality).
 func (s Sums) plausible() bool {
 	const slack = 1 + 1e-6
 	return s.X*s.X <= s.N*s.XX*slack && s.Y*s.Y <= s.N*s.YY*slack && s.XY*s.XY <= s.XX*s.YY*slack
--- a/internal/nodestats/cells.go
+++ b/internal/nodestats/cells.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// cellID names a part of an origin's record: a class on a node; the node's health (empty class); the version of the
-// endpoint list (empty node and class).
+// cellID identifies a part of an origin's record: a class on a node, the node's health (empty class), or the version of
+// the endpoint list (empty node and class).
 type cellID struct{ node, class string }
 
 func (id cellID) compare(other cellID) int {
 	return cmp.Or(cmp.Compare(id.node, other.node), cmp.Compare(id.class, other.class))
 }
 
-// bucket is the bucket of a digest that the cell counts in.
+// bucket returns the bucket of a digest that the cell belongs to.
 func (id cellID) bucket() int {
 	return int((xxhash.Sum64String(id.node) + xxhash.Sum64String(id.class)) % digestBuckets)
 }
@@ -42,7 +42,7 @@
 type origin struct {
 	incarnation  uint64
 	cells        map[cellID]*cell
-	expiredSeq   uint64 // highest sequence that has expired; a cell up to it is not added any more
+	expiredSeq   uint64 // highest sequence that has expired; cells with at most this sequence are not added again
 	lastReceived time.Duration
 }
 
@@ -51,8 +51,8 @@
 	return cmp.Or(cmp.Compare(o.cells[a].seq, o.cells[b].seq), a.compare(b))
 }
 
-// dropExpired removes the cells of at least the given age, and notes their highest sequence: a late copy of an earlier
-// cell must not be added as a new one.
+// dropExpired removes the cells of at least the given age, and stores their highest sequence, so that a late copy of an
+// earlier cell is not added as a new one.
 func (o *origin) dropExpired(now, age time.Duration) {
 	for id, c := range o.cells {
 		if now-c.createdAt >= age {
@@ -62,7 +62,7 @@
 	}
 }
 
-// expireCells drops expired cells, and other origins that have had none for as long again.
+// expireCells drops expired cells. It also drops other origins without cells that have sent none for twice ExpireAfter.
 func (s *State) expireCells(now time.Duration) {
 	s.local.dropExpired(now, s.settings.ExpireAfter)
 	s.evictOldest(s.local)
@@ -74,10 +74,10 @@
 	}
 }
 
-// maxCells is the most cells that an origin may have: classes and health of each node, and the list's version.
+// maxCells returns the maximum number of cells of an origin: classes and health of each node, and the list's version.
 func (s *State) maxCells() int { return s.settings.MaxNodes*(s.settings.MaxClasses+1) + 1 }
 
-// evictOldest removes the cells of the lowest sequences that exceed maxCells.
+// evictOldest removes the cells with the lowest sequences until at most maxCells are left.
 func (s *State) evictOldest(o *origin) {
 	excess := len(o.cells) - s.maxCells()
 	if excess <= 0 {
--- a/internal/nodestats/clip.go
+++ b/internal/nodestats/clip.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	minOriginsToClip   = 3  // fewer origins have no majority
-	minVoteWeight      = 1  // weight below which an origin does not count in a median
-	minReferenceWeight = 16 // least median of weights that origins are clipped by
+	minOriginsToClip   = 3  // two origins have no majority
+	minVoteWeight      = 1  // origins with less weight are not included in medians
+	minReferenceWeight = 16 // lower bound of the median weight that is used for clipping
 )
 
-// clipFactors are what one origin's weight, units and times are multiplied by.
+// clipFactors are the factors by which one origin's weight, units and times are multiplied.
 type clipFactors struct{ weight, units, times float64 }
 
-// clipAll returns the factors for the origins of one key. From three origins on, each weighs at most clip times the
-// median weight, and the root mean square of its units and of its times is brought within a factor of clip of the
-// weighted median over origins, in which none weighs more than the median weight.
+// clipAll returns the factors for the origins of one key. With at least three origins, the weight of each is limited to
+// clip times the median weight. The root mean squares of its units and of its times are brought within a factor of clip
+// of the weighted medians over the origins. In these medians no origin weighs more than the median weight.
 func clipAll(origins []classStats, clip float64, counts func(*classStats) *decayedCounts) []clipFactors {
 	factors := make([]clipFactors, len(origins))
 	var weights []float64
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// clipFactor returns what brings v within a factor of clip of m.
+// clipFactor returns the factor that brings v within a factor of clip of m.
 func clipFactor(v, m, clip float64) float64 {
 	switch {
 	case v <= 0 || m <= 0:
@@ -86,7 +86,8 @@
 	return 1
 }
 
-// clippedMean returns the mean of the values, each at most clip times the median of at least one. It sorts the values.
+// clippedMean returns the mean of the values. With at least three values, each is limited to clip times the median or
+// clip, whichever is greater. It sorts the values.
 func clippedMean(values []float64, clip float64) float64 {
 	slices.Sort(values)
 	limit := math.Inf(1)
--- a/internal/nodestats/codec.go
+++ b/internal/nodestats/codec.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// A message is "WO", the version, the kind, the kind's fields, and a CRC-32C of all before it.
+// A message consists of "WO", the version, the kind, the fields of that kind, and a CRC-32C of all preceding bytes.
 const (
 	formatVersion = 2 // version 1 had no long-term statistics
 	kindCells     = 1 // the origin, its incarnation, then its cells to the end
@@ -32,7 +32,7 @@
 func openMessage(message []byte, kind byte) (*decoder, error) {
 	switch {
 	case len(message) < headerBytes+crcBytes || message[0] != 'W' || message[1] != 'O':
-		return nil, &DecodeError{"it has no header"}
+		return nil, &DecodeError{"header is missing"}
 	case message[2] > formatVersion:
 		return nil, &VersionError{message[2], formatVersion}
 	case message[2] != formatVersion || message[3] != kind:
@@ -40,7 +40,7 @@
 	}
 	end := len(message) - crcBytes
 	if binary.LittleEndian.Uint32(message[end:]) != crc32.Checksum(message[:end], castagnoli) {
-		return nil, &DecodeError{"the checksum does not match"}
+		return nil, &DecodeError{"checksum does not match"}
 	}
 	return &decoder{rest: message[headerBytes:end]}, nil
 }
@@ -53,8 +53,8 @@
 
 func validName(s string) bool { return s != "" && len(s) <= maxNameBytes && utf8.ValidString(s) }
 
-// decoder reads the fields of a message. After the first field that is not valid, problem stays set, nothing is left to
-// read, and every read returns zero.
+// decoder reads the fields of a message. After the first invalid field, problem is set, rest is empty, and every read
+// returns zero.
 type decoder struct {
 	rest    []byte
 	problem string
@@ -69,7 +69,7 @@
 
 func (d *decoder) take(n int) []byte {
 	if n < 0 || n > len(d.rest) {
-		d.fail("it is too short")
+		d.fail("message is truncated")
 		return nil
 	}
 	b := d.rest[:n]
@@ -121,7 +121,7 @@
 	}
 	f := math.Float64frombits(binary.LittleEndian.Uint64(b))
 	if !(f >= 0 && f <= maxValue) { // also true for NaN
-		d.fail("a value is out of its range")
+		d.fail("a value is out of range")
 		return 0
 	}
 	return f
--- a/internal/nodestats/decay.go
+++ b/internal/nodestats/decay.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Each class on a node has two sets of decayed statistics. The long-term one is steady; the short-term one is right soon
-// after a change. A comparison of the two decides which counts: for this process's own observations in recorder.go, and
-// for each origin against the recent observations of all in views.go.
+// Each class on a node has two sets of decayed statistics. The long-term set varies little, and the short-term set
+// follows a change quickly. A comparison of the two decides which of them is used: recorder.go compares those of this
+// process, and views.go compares each origin's long-term set with the short-term sets of all origins.
 const (
 	longHalfLives        = 4    // short-term half-lives in one long-term half-life
-	resetMinWeight       = 8    // short-term outcomes below which a recorder is not reset
-	resetDeviation       = 4    // standard errors between short-term and long-term statistics above which a recorder is reset
-	resetInterval        = 2    // half-lives between resets of a recorder, at least
-	maxLongTermDeviation = 2    // standard errors from all recent observations above which an origin's long-term statistics do not count
-	minWeight            = 1e-9 // weight that counts as none
+	resetMinWeight       = 8    // a recorder with fewer short-term outcomes is not reset
+	resetDeviation       = 4    // a recorder is reset if its short-term and long-term statistics differ by more standard errors
+	resetInterval        = 2    // least number of half-lives between resets of a recorder
+	maxLongTermDeviation = 2    // an origin's long-term statistics are not used if they differ from the recent observations of all by more standard errors
+	minWeight            = 1e-9 // lower weights are treated as zero
 )
 
 // decayedCounts are outcomes weighted by one half-life.
@@ -33,7 +33,7 @@
 	d.timedOut *= w
 }
 
-// clipped returns the counts as they enter a view.
+// clipped returns the counts multiplied by the clip factors, as they are used in a view.
 func (d *decayedCounts) clipped(c clipFactors) decayedCounts {
 	return decayedCounts{d.sums.Scale(c.weight, c.units, c.times), d.rejected * c.weight, d.failed * c.weight, d.timedOut * c.weight}
 }
@@ -45,13 +45,14 @@
 	d.timedOut += o.timedOut
 }
 
-// fields returns the values in the order of a message.
+// fields returns the values in the order in which a message contains them.
 func (d *decayedCounts) fields() [9]*float64 {
 	return [...]*float64{&d.sums.N, &d.sums.X, &d.sums.Y, &d.sums.XX, &d.sums.XY, &d.sums.YY, &d.rejected, &d.failed, &d.timedOut}
 }
 
-// isPartOf reports whether d can be the short-term counts beside the long-term counts of the same outcomes: no outcome
-// weighs more in them, apart from rounding.
+// isPartOf reports whether d and long can be the short-term and the long-term counts of the same outcomes. Each outcome
+// has at most its long-term weight in the short-term counts, so that no value of d exceeds that of long, apart from
+// rounding.
 func (d *decayedCounts) isPartOf(long *decayedCounts) bool {
 	part, total := d.fields(), long.fields()
 	for i := range part {
@@ -62,8 +63,8 @@
 	return true
 }
 
-// aroundLine returns the level, at no units, of a line of the given slope through the service times, and the times'
-// variance around it.
+// aroundLine fits a line of the given slope to the service times. It returns the line's value at zero units and the
+// variance of the times around the line.
 func (d *decayedCounts) aroundLine(slope float64) (level, variance float64) {
 	s := &d.sums
 	x, y := s.X/s.N, s.Y/s.N
@@ -71,7 +72,8 @@
 	return y - slope*x, max(syy-2*slope*sxy+slope*slope*sxx, 0) / s.N
 }
 
-// slope is the pooled slope of service times over units within each of two sets, from 0 to the lower mean per unit.
+// slope returns the slope of service times over units, pooled over two sets. It is at least 0 and at most the lower mean
+// time per unit of the two.
 func slope(a, b *decayedCounts) float64 {
 	sxx, sxy, maxSlope := 0.0, 0.0, math.Inf(1)
 	for _, d := range [...]*decayedCounts{a, b} {
@@ -89,27 +91,27 @@
 	return min(max(sxy/sxx, 0), maxSlope)
 }
 
-// deviation is the number of standard errors between two sets: in the service times, or in the share of outcomes that
-// were not served, whichever is larger. With isPart the first is a part of the second, else they are of different
-// outcomes. The larger variance of the two counts, so that neither one long service time nor the smaller variance of a
-// faster node makes a difference.
+// deviation returns the difference between two sets in standard errors: that of the service times or that of the share
+// of unserved outcomes, whichever is larger. If isPart is true, the first set is a part of the second. Otherwise they
+// contain different outcomes. It uses the larger variance of the two sets, so that neither a single long service time
+// nor the smaller variance of a faster node is taken for a change.
 func deviation(a, b *decayedCounts, isPart bool) float64 {
-	z := 0.0
+	largest := 0.0
 	if a.sums.N > minWeight && b.sums.N > minWeight {
-		k := slope(a, b)
-		levelA, varianceA := a.aroundLine(k)
-		levelB, varianceB := b.aroundLine(k)
-		z = standardErrors(levelA-levelB, max(varianceA, varianceB), a.sums.N, b.sums.N, isPart)
+		commonSlope := slope(a, b)
+		levelA, varianceA := a.aroundLine(commonSlope)
+		levelB, varianceB := b.aroundLine(commonSlope)
+		largest = standardErrors(levelA-levelB, max(varianceA, varianceB), a.sums.N, b.sums.N, isPart)
 	}
 	if na, nb := a.weight(), b.weight(); na > minWeight && nb > minWeight {
 		p := (a.unserved() + b.unserved() + 1) / (na + nb + 2)
-		z = max(z, standardErrors(a.unserved()/na-b.unserved()/nb, p*(1-p), na, nb, isPart))
+		largest = max(largest, standardErrors(a.unserved()/na-b.unserved()/nb, p*(1-p), na, nb, isPart))
 	}
-	return z
+	return largest
 }
 
-// standardErrors is a difference of two weighted means in standard errors. A decayed mean of weight n rests on about 2n
-// outcomes.
+// standardErrors returns the difference of two weighted means in standard errors. A decayed mean of weight n is based on
+// about 2n outcomes.
 func standardErrors(difference, variance, na, nb float64, isPart bool) float64 {
 	if difference == 0 {
 		return 0
@@ -131,7 +133,8 @@
 func (c *classStats) longTerm() *decayedCounts  { return &c.long }
 func (c *classStats) shortTerm() *decayedCounts { return &c.short }
 
-// decay ages all but the bins, and returns the factor that the short-term weights, also those of the bins, decay by.
+// decay ages everything but the bins. It returns the decay factor of the short-term weights, which also applies to the
+// bins.
 func (c *classStats) decay(age, halfLife time.Duration) float64 {
 	w := decay(age, halfLife*longHalfLives)
 	short := w * w * w * w // w to the power of longHalfLives
@@ -140,7 +143,7 @@
 	return short
 }
 
-// scale ages all values.
+// scale ages all values, including the bins.
 func (c *classStats) scale(age, halfLife time.Duration) {
 	w := c.decay(age, halfLife)
 	for i := range c.bins {
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -23,37 +23,37 @@
 // reactToChange simulates a node that six processes observe, two of them often, whose service time is multiplied by a
 // factor after half a minute. The view is that of a process without observations of its own.
 func reactToChange(t *testing.T, seed uint64, factor float64) changeReaction {
-	r := rand.New(rand.NewPCG(seed, 6))
-	set := Defaults()
+	random := rand.New(rand.NewPCG(seed, 6))
+	settings := Defaults()
 	const change, step = 30 * time.Second, 50 * time.Millisecond
-	me := newState(t, set, "me", 1)
+	observer := newState(t, settings, "me", 1)
 	var processes []*State
 	for i := range 6 {
-		processes = append(processes, newState(t, set, fmt.Sprint("p", i), 1))
+		processes = append(processes, newState(t, settings, fmt.Sprint("p", i), 1))
 	}
-	k := Key{"n", 1, "c"}
-	truth := 4.0
+	key := Key{"n", 1, "c"}
+	trueMean := 4.0
 	view := func(now time.Duration) View {
 		for _, p := range processes {
-			merge(me, now, allMessages(t, p, now)...)
+			merge(observer, now, allMessages(t, p, now)...)
 		}
-		return me.Views(now)[0]
+		return observer.Views(now)[0]
 	}
-	mean := func(v View) float64 { return v.Sums.Y / v.Sums.N / truth }
+	mean := func(v View) float64 { return v.Sums.Y / v.Sums.N / trueMean }
 	var reaction changeReaction
 	for now := time.Duration(0); now <= change+60*time.Second; now += step {
 		if now == change {
 			v := view(now)
 			reaction.atChange, reaction.weight = mean(v), v.Sums.N
-			truth *= factor
+			trueMean *= factor
 		}
 		for i, p := range processes {
 			rate := 1.25
 			if i < 2 {
 				rate = 13
 			}
-			if r.Float64() < rate*step.Seconds() {
-				p.Recorder(now, k).Record(now, 1+2*r.Float64(), truth*math.Exp(0.47*r.NormFloat64()-0.11), Served)
+			if random.Float64() < rate*step.Seconds() {
+				p.Recorder(now, key).Record(now, 1+2*random.Float64(), trueMean*math.Exp(0.47*random.NormFloat64()-0.11), Served)
 			}
 			if (now/step)%10 == time.Duration(i) {
 				p.publishChanges(now)
@@ -69,23 +69,23 @@
 
 // Views are steady while nothing changes, correct 5 s after a change to slower or to faster, and steady again. Without one
 // of the two rules that choose between long-term and short-term statistics, a change shows late.
-func TestChangeShowsSoon(t *testing.T) {
+func TestViewsFollowAChangeWithinFiveSeconds(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error {
-		var soon, steady, weight float64
+		var errorAfter5s, steadyError, weight float64
 		for seed := range uint64(20) {
 			for _, factor := range []float64{5, 0.2} {
 				reaction := reactToChange(t, seed, factor)
-				soon = max(soon, math.Abs(math.Log(reaction.after5s)))
-				steady = max(steady, math.Abs(math.Log(reaction.atChange)), math.Abs(math.Log(reaction.after60s)))
+				errorAfter5s = max(errorAfter5s, math.Abs(math.Log(reaction.after5s)))
+				steadyError = max(steadyError, math.Abs(math.Log(reaction.atChange)), math.Abs(math.Log(reaction.after60s)))
 				weight += reaction.weight / 40
 			}
 		}
-		t.Logf("worst of 40: %.3f 5 s after a change, %.3f in steady times, on a weight of %.0f", soon, steady, weight)
+		t.Logf("worst of 40: %.3f 5 s after a change, %.3f in steady times, on a weight of %.0f", errorAfter5s, steadyError, weight)
 		switch {
-		case soon > 0.25:
-			return fmt.Errorf("a change shows late: %.3f after 5 s", soon)
-		case steady > 0.15:
-			return fmt.Errorf("not steady: %.3f", steady)
+		case errorAfter5s > 0.25:
+			return fmt.Errorf("a change shows late: %.3f after 5 s", errorAfter5s)
+		case steadyError > 0.15:
+			return fmt.Errorf("not steady: %.3f", steadyError)
 		case weight < 90: // about 108 remain after clipping; short-term statistics alone have 43
 			return fmt.Errorf("a weight of %.0f only", weight)
 		}
@@ -98,13 +98,13 @@
 }
 
 // A node that rejects requests shows as soon as one that is slow; one very long service time is no change.
-func TestWhatIsAChange(t *testing.T) {
-	run := func(after time.Duration, of func(now time.Duration) (float64, Outcome)) *State {
+func TestRejectionsResetARecorderButOneSlowRequestDoesNot(t *testing.T) {
+	run := func(after time.Duration, outcomeAt func(now time.Duration) (float64, Outcome)) *State {
 		s := newState(t, Defaults(), "me", 1)
 		for now := time.Duration(0); now < 30*time.Second+after; now += 50 * time.Millisecond {
 			millis, outcome := 4.0+float64(now/(50*time.Millisecond)%3), Served
 			if now >= 30*time.Second {
-				millis, outcome = of(now - 30*time.Second)
+				millis, outcome = outcomeAt(now - 30*time.Second)
 			}
 			s.Recorder(now, Key{"n", 1, "c"}).Record(now, 1, millis, outcome)
 			s.publishChanges(now)
@@ -131,7 +131,7 @@
 
 // The short-term statistics are a part of the long-term ones, whatever is recorded when; a message in which they are not
 // is rejected.
-func TestShortTermIsAPartOfLongTerm(t *testing.T) {
+func TestShortTermStatisticsNeverExceedLongTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7))
 		s, now := newState(t, Defaults(), "p", 1), time.Duration(0)
--- a/internal/nodestats/digest.go
+++ b/internal/nodestats/digest.go
@@ -9,10 +9,10 @@
 // digestBuckets is the number of buckets into which an origin's cells are hashed in a digest.
 const digestBuckets = 16
 
-// originSummary is what a digest holds of one origin.
+// originSummary is a digest's entry for one origin.
 type originSummary struct {
 	incarnation uint64
-	buckets     [digestBuckets]uint32 // exclusive or of the hashes of each bucket's cells
+	buckets     [digestBuckets]uint32 // XOR of the hashes of each bucket's cells
 }
 
 func (o *origin) summary() originSummary {
@@ -41,7 +41,7 @@
 	return sum
 }
 
-// decodeDigest returns the sender of a digest, and what it holds by origin.
+// decodeDigest returns the sender and the entries of a digest.
 func decodeDigest(message []byte) (sender string, origins map[string]originSummary, err error) {
 	d, err := openMessage(message, kindDigest)
 	if err != nil {
@@ -65,13 +65,13 @@
 	return sender, origins, nil
 }
 
-// DigestSender returns the name of the process that made a digest.
+// DigestSender returns the name of the process that created a digest.
 func DigestSender(digest []byte) (string, error) {
 	sender, _, err := decodeDigest(digest)
 	return sender, err
 }
 
-// Digest returns a message that summarizes the cells held, by origin.
+// Digest returns a message that summarizes the cells of each origin.
 func (s *State) Digest(now time.Duration) []byte {
 	s.publishChanges(now)
 	b := appendName(beginMessage(kindDigest), s.self)
@@ -82,10 +82,10 @@
 	return sealMessage(b)
 }
 
-// Diff returns what the sender of a digest lacks or holds otherwise, as messages for Merge of at most MaxMessageBytes,
-// newest cells first within an origin.
+// Diff returns the cells that the sender of a digest lacks or has in another version. They are encoded as messages for
+// Merge of at most MaxMessageBytes, with the newest cells of each origin first.
 func (s *State) Diff(now time.Duration, digest []byte) ([][]byte, error) {
-	_, theirs, err := decodeDigest(digest)
+	_, theirOrigins, err := decodeDigest(digest)
 	if err != nil {
 		s.countRejected(err)
 		return nil, err
@@ -94,15 +94,15 @@
 	var messages [][]byte
 	for _, name := range s.originNames() {
 		o := s.origin(name)
-		their, known := theirs[name]
-		if known && their.incarnation > o.incarnation {
+		theirSummary, known := theirOrigins[name]
+		if known && theirSummary.incarnation > o.incarnation {
 			continue
 		}
-		sendAll := !known || their.incarnation < o.incarnation
-		held := o.summary()
+		sendAll := !known || theirSummary.incarnation < o.incarnation
+		ours := o.summary()
 		var ids []cellID
 		for id, c := range o.cells {
-			if sendAll || held.buckets[c.bucket] != their.buckets[c.bucket] {
+			if sendAll || ours.buckets[c.bucket] != theirSummary.buckets[c.bucket] {
 				ids = append(ids, id)
 			}
 		}
@@ -135,25 +135,25 @@
 	return messages
 }
 
-// MatchesDigest reports whether the sender of a digest holds the same cells as this state, apart from ages. Origins
-// without cells do not count.
+// MatchesDigest reports whether the sender of a digest has the same cells as this state, apart from ages. It ignores
+// origins without cells.
 func (s *State) MatchesDigest(now time.Duration, digest []byte) bool {
-	_, theirs, err := decodeDigest(digest)
+	_, theirOrigins, err := decodeDigest(digest)
 	if err != nil {
 		return false
 	}
 	s.publishChanges(now)
 	var empty [digestBuckets]uint32
 	for _, name := range s.originNames() {
-		their, known := theirs[name]
-		delete(theirs, name)
-		held := s.origin(name).summary()
-		if held.buckets != their.buckets || known && held.buckets != empty && held.incarnation != their.incarnation {
+		theirSummary, known := theirOrigins[name]
+		delete(theirOrigins, name)
+		ours := s.origin(name).summary()
+		if ours.buckets != theirSummary.buckets || known && ours.buckets != empty && ours.incarnation != theirSummary.incarnation {
 			return false
 		}
 	}
-	for _, their := range theirs {
-		if their.buckets != empty {
+	for _, theirSummary := range theirOrigins {
+		if theirSummary.buckets != empty {
 			return false
 		}
 	}
--- a/internal/nodestats/digest_test.go
+++ b/internal/nodestats/digest_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestDiffHoldsOnlyWhatADigestLacks(t *testing.T) {
+func TestDiffContainsOnlyMissingCells(t *testing.T) {
 	set := smallSettings()
 	p, q := newState(t, set, "p", 1), newState(t, set, "q", 1)
 	recordRandom(p, rand.New(rand.NewPCG(1, 1)), 0, 100)
--- a/internal/nodestats/errors.go
+++ b/internal/nodestats/errors.go
@@ -21,7 +21,7 @@
 
 // Advice tells the operator what to do.
 func (e *SettingError) Advice() string {
-	return "set " + e.Key + " in the site's file within the range"
+	return "set " + e.Key + " in the site's file to a value in this range"
 }
 
 // NameError reports a process name that is empty, too long or not UTF-8.
@@ -35,7 +35,7 @@
 func (e *NameError) Code() string { return "observations-name" }
 
 // Advice tells the operator what to do.
-func (e *NameError) Advice() string { return "give the process another name in its configuration" }
+func (e *NameError) Advice() string { return "set a valid process name in the configuration" }
 
 // DecodeError reports a message that could not be decoded and was dropped.
 type DecodeError struct{ Problem string }
@@ -47,7 +47,7 @@
 
 // Advice tells the operator what to do.
 func (e *DecodeError) Advice() string {
-	return "the message changed nothing; if the count keeps growing, find out who sends to the port, or give the processes a key (peers.key_file)"
+	return "the message had no effect; if the count keeps growing, find the sender of the messages, or configure an encryption key for all processes (peers.key_file)"
 }
 
 // VersionError reports a message from a newer version of the program, which was dropped.
@@ -62,7 +62,7 @@
 
 // Advice tells the operator what to do.
 func (e *VersionError) Advice() string {
-	return "expected while the fleet is upgraded; this process shares nothing with the newer ones until it is upgraded too"
+	return "expected while the fleet is being upgraded; this process exchanges no statistics with newer ones until it is upgraded too"
 }
 
 var _ = register()
--- a/internal/nodestats/helpers_test.go
+++ b/internal/nodestats/helpers_test.go
@@ -20,14 +20,14 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 func smallSettings() Settings {
-	set := Defaults()
-	set.MaxOrigins, set.MaxNodes, set.MaxClasses = 4, 3, 2
-	set.HalfLife, set.ExpireAfter = 30*time.Second, 5*time.Minute
-	return set
+	settings := Defaults()
+	settings.MaxOrigins, settings.MaxNodes, settings.MaxClasses = 4, 3, 2
+	settings.HalfLife, settings.ExpireAfter = 30*time.Second, 5*time.Minute
+	return settings
 }
 
-func newState(t rapid.TB, set Settings, self string, incarnation uint64) *State {
-	s, err := New(set, self, incarnation)
+func newState(t rapid.TB, settings Settings, self string, incarnation uint64) *State {
+	s, err := New(settings, self, incarnation)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodestats/listversions.go
+++ b/internal/nodestats/listversions.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// ListSpread is how the versions of the endpoint list differ among processes.
+// ListSpread summarizes the versions of the endpoint list that processes use.
 type ListSpread struct {
 	Oldest, Newest int64
 	Processes      int // that report their version
-	Behind         int // of them, those with an older version than another
+	Behind         int // those of them that do not have the newest version
 }
 
-// ListSpread compares this process and the given members. Other processes do not count: one that has left would be
-// behind until its cells expire.
+// ListSpread compares the versions of this process and of the given members. It ignores other processes, since one that
+// has left the fleet would count as behind until its cells expire.
 func (s *State) ListSpread(now time.Duration, members []string) ListSpread {
 	var versions []int64
 	if s.hasList {
@@ -40,7 +40,7 @@
 	return spread
 }
 
-// ListVersions returns the versions of the endpoint list that origins hold, with this process's own, by name.
+// ListVersions returns the versions of the endpoint list that this and other processes use, ordered by name.
 func (s *State) ListVersions(now time.Duration) []ListVersion {
 	s.expireCells(now)
 	var versions []ListVersion
--- a/internal/nodestats/local.go
+++ b/internal/nodestats/local.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// renewalShare is the part of ExpireAfter after which an unchanged value is published again, so that it does not expire.
+// renewalShare sets the interval at which an unchanged value is published again, so that it does not expire at other
+// processes: ExpireAfter/renewalShare.
 const renewalShare = 4
 
 // localNode is what this process observes of one run of a node.
@@ -19,8 +20,9 @@
 	recorders     []*Recorder
 }
 
-// localNodeFor returns the record of a node's run and makes it if there is capacity. Of two runs the later stays, unless
-// the endpoint list names the other. nil: over a bound, or an earlier run.
+// localNodeFor returns the record of a node's run, and creates it if there is capacity. A later run replaces an earlier
+// one, and a run from the endpoint list (listed) replaces any other. It returns nil for an earlier run, and if the limit
+// of nodes is reached.
 func (s *State) localNodeFor(now time.Duration, name string, startTime int64, listed bool) *localNode {
 	n := s.localNodes[name]
 	if n == nil {
@@ -53,8 +55,8 @@
 	return n
 }
 
-// SetNodeHealth sets this process's view of a node of the endpoint list. With another start time than before the node
-// starts as unknown.
+// SetNodeHealth sets the state of a node of the endpoint list as this process sees it. If the start time has changed, the
+// statistics of the earlier run are dropped.
 func (s *State) SetNodeHealth(now time.Duration, node string, startTime int64, health Health) {
 	if !validName(node) || health.Type != "" && !validName(health.Type) || !finite(health.Window) || !finite(health.Queue) {
 		s.counts.Invalid++
@@ -66,7 +68,7 @@
 		return
 	}
 	health.Window, health.Queue = min(max(health.Window, 0), maxLoad), min(max(health.Queue, 0), maxLoad)
-	// Windows and queues change all the time; a small change is not published.
+	// Windows and queues change often. Small changes are not published, to limit the number of messages.
 	if nearlyEqual(health.Window, n.health.Window) && nearlyEqual(health.Queue, n.health.Queue) {
 		health.Window, health.Queue = n.health.Window, n.health.Queue
 	}
@@ -76,12 +78,13 @@
 	}
 }
 
-// nearlyEqual reports whether two loads differ by at most an eighth or half a request, and are both zero or both not.
+// nearlyEqual reports whether two loads differ by at most an eighth of the larger or half a request, and are either both
+// zero or both nonzero.
 func nearlyEqual(a, b float64) bool {
 	return math.Abs(a-b) <= max(max(a, b)/8, 0.5) && (a == 0) == (b == 0)
 }
 
-// SetListVersion sets the version of the endpoint list that this process holds.
+// SetListVersion sets the version of the endpoint list that this process uses.
 func (s *State) SetListVersion(now time.Duration, version int64) {
 	if !s.hasList || version != s.listVersion || now-s.listSetAt > s.settings.ExpireAfter/renewalShare {
 		s.listVersion, s.listSetAt, s.hasList, s.listDirty = version, now, true, true
@@ -115,7 +118,7 @@
 	n.recorders = remaining
 }
 
-// publishChanges makes cells of the local values that have changed.
+// publishChanges creates new cells for the local values that have changed.
 func (s *State) publishChanges(now time.Duration) {
 	s.expireLocal(now)
 	s.local.incarnation, s.local.lastReceived = s.incarnation, now
--- a/internal/nodestats/merge.go
+++ b/internal/nodestats/merge.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Merge merges a message of Diff; messages may arrive in any order and several times. One that cannot be decoded
-// changes nothing but a count.
+// Merge merges a message that Diff returned. Messages may arrive in any order and repeatedly. A message that cannot be
+// decoded is only counted.
 func (s *State) Merge(now time.Duration, message []byte) error {
 	name, incarnation, cells, err := decodeCells(message)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// withoutExpired removes and counts the cells that are too old; it reuses the slice.
+// withoutExpired removes and counts the cells that are too old. It reuses the slice.
 func (s *State) withoutExpired(cells []wireCell) []wireCell {
 	current := cells[:0]
 	for _, received := range cells {
@@ -69,17 +69,17 @@
 	return current
 }
 
-// mergeCell keeps the cell of the higher sequence; of equal sequences the one with the greater body, and of equal
-// bodies the greater age.
+// mergeCell selects the cell with the higher sequence, then with the greater body. If both are equal, the cell gets the
+// greater of the two ages.
 func (s *State) mergeCell(o *origin, received *wireCell, now time.Duration) {
-	held := o.cells[received.id]
+	stored := o.cells[received.id]
 	createdAt := now - received.age
 	switch {
-	case held == nil && received.seq <= o.expiredSeq, held != nil && received.seq < held.seq:
+	case stored == nil && received.seq <= o.expiredSeq, stored != nil && received.seq < stored.seq:
 		s.counts.OutdatedCells++
-	case held != nil && received.seq == held.seq && bytes.Compare(received.body, held.body) <= 0:
-		if bytes.Equal(received.body, held.body) {
-			held.createdAt = min(held.createdAt, createdAt)
+	case stored != nil && received.seq == stored.seq && bytes.Compare(received.body, stored.body) <= 0:
+		if bytes.Equal(received.body, stored.body) {
+			stored.createdAt = min(stored.createdAt, createdAt)
 		}
 		s.counts.DuplicateCells++
 	default:
@@ -88,8 +88,9 @@
 	}
 }
 
-// originFor returns an origin's record and makes it if needed. Of more than MaxOrigins those stay that rank first by
-// their names alone, whatever the order of their arrival; nil: the name ranks behind all that are held.
+// originFor returns an origin's record, and creates it if needed. If there are more than MaxOrigins, those with the
+// lowest ranks are stored. The rank depends only on the name, so that the order of arrival does not matter. originFor
+// returns nil if the name ranks last.
 func (s *State) originFor(now time.Duration, name string, incarnation uint64) *origin {
 	o := s.remote[name]
 	if o != nil {
@@ -111,7 +112,7 @@
 	return o
 }
 
-// lastRanked is the name that ranks last among the origins held and the given one.
+// lastRanked returns the name that ranks last among the stored origins and the given one.
 func (s *State) lastRanked(name string) string {
 	last := name
 	for n := range s.remote {
@@ -126,9 +127,9 @@
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
 
-// mergeOwnName handles cells under this process's own name. Those of earlier incarnations are outdated. Cells that this
-// process never published, of its own or a later incarnation, make it start an incarnation after that: its cells
-// then replace them at every holder.
+// mergeOwnName handles cells under this process's own name. Those of earlier incarnations are outdated. If cells of the
+// current or a later incarnation were not published by this process, it starts an incarnation after theirs. Its cells
+// then replace the unknown ones at all processes.
 func (s *State) mergeOwnName(incarnation uint64, cells []wireCell) {
 	unknown := incarnation > s.incarnation
 	for _, received := range cells {
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -54,7 +54,7 @@
 	checkRandomSeeds(t, property)
 	mutant.Found(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "the states differ"},
-		mutant.Mutant{File: "merge.go", Old: "held != nil && received.seq < held.seq:", New: "false:", Want: "the states differ"},
+		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "the states differ"},
 		mutant.Mutant{File: "cells.go", Old: "	if excess <= 0 {", New: "	if true {", Want: "invariant: origin "},
 		mutant.Mutant{File: "merge.go", Old: "	if len(s.remote) >= s.settings.MaxOrigins {\n		last", New: "	if false {\n		last", Want: "invariant: "},
 	)
@@ -104,9 +104,9 @@
 	checkSeeds(t, 1, func(uint64) error { return mergeOutdated(t) })
 	mutant.Found(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "earlier incarnation: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "held != nil && received.seq < held.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "case held == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "case held != nil && received.seq == held.seq && bytes.Compare(received.body, held.body) <= 0:", New: "case false:",
+		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
+		mutant.Mutant{File: "merge.go", Old: "case stored == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
+		mutant.Mutant{File: "merge.go", Old: "case stored != nil && received.seq == stored.seq && bytes.Compare(received.body, stored.body) <= 0:", New: "case false:",
 			Want: "same sequence: 10 requests"},
 	)
 }
--- a/internal/nodestats/recorded_test.go
+++ b/internal/nodestats/recorded_test.go
@@ -21,7 +21,7 @@
 	names  []string
 	states map[string]*State
 	now    time.Duration
-	latest [][]byte // cell messages that may be delivered late, again or damaged
+	recent [][]byte // cell messages that may be delivered late, again or damaged
 }
 
 // restart begins a process's life of the given incarnation.
@@ -79,16 +79,16 @@
 	for _, m := range messages {
 		f.script.Add("cells", len(m), xxhash.Sum64(m), from.Merge(f.now, m) == nil)
 	}
-	f.latest = append(f.latest, messages...)
-	f.latest = f.latest[max(0, len(f.latest)-64):]
+	f.recent = append(f.recent, messages...)
+	f.recent = f.recent[max(0, len(f.recent)-64):]
 }
 
-// disturb delivers an earlier message again, whole or damaged.
-func (f *recordedFleet) disturb(to *State) {
-	if len(f.latest) == 0 {
+// deliverFaulty delivers an earlier message again, whole or damaged.
+func (f *recordedFleet) deliverFaulty(to *State) {
+	if len(f.recent) == 0 {
 		return
 	}
-	m := slices.Clone(f.latest[f.rand.IntN(len(f.latest))])
+	m := slices.Clone(f.recent[f.rand.IntN(len(f.recent))])
 	switch f.rand.IntN(5) {
 	case 0:
 		m[2]++ // a later version
@@ -102,8 +102,8 @@
 	f.script.Add("late", len(m), err == nil, diffErr == nil)
 }
 
-// write adds all that a state shows.
-func (f *recordedFleet) write(s *State) {
+// recordState adds all that a state shows.
+func (f *recordedFleet) recordState(s *State) {
 	c := s.Counts()
 	f.script.Add("counts", c.Messages, c.Bytes, c.NewCells, c.DuplicateCells, c.OutdatedCells, c.ExpiredCells, c.Unreadable,
 		c.LaterVersion, c.OverLimit, c.Resets, c.Invalid, c.IdentityConflicts, c.Origins, c.StoredCells)
@@ -129,22 +129,22 @@
 	if f.rand.IntN(100) == 0 {
 		f.now += f.set.ExpireAfter * 3 / 4 // a pause in which some of the cells expire
 	}
-	one, other := f.pick(), f.pick()
+	first, second := f.pick(), f.pick()
 	switch f.rand.IntN(12) {
 	case 0:
-		f.write(one)
+		f.recordState(first)
 	case 1, 2, 3:
-		f.exchange(one, other)
+		f.exchange(first, second)
 	case 4:
-		f.disturb(one)
+		f.deliverFaulty(first)
 	case 5:
-		f.setHealth(one)
+		f.setHealth(first)
 	case 6:
 		if f.rand.IntN(10) == 0 { // sometimes with an incarnation that is lower than the last one
 			f.restart(f.names[f.rand.IntN(len(f.names))], uint64(f.rand.IntN(1+int(f.now/time.Second))))
 		}
 	default:
-		f.observe(one)
+		f.observe(first)
 	}
 }
 
@@ -173,7 +173,7 @@
 				sum.LaterVersion += c.LaterVersion
 				sum.OutdatedCells += c.OutdatedCells
 				sum.DuplicateCells += c.DuplicateCells
-				f.write(f.states[name])
+				f.recordState(f.states[name])
 			}
 			f.script.Check(t, fmt.Sprintf("fleet-%02d", seed))
 		})
--- a/internal/nodestats/recorder.go
+++ b/internal/nodestats/recorder.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// rebaseInterval is the number of half-lives after which a recorder's weights are scaled back to 1; they have then grown
-// to about a million.
+// rebaseInterval is the number of half-lives after which a recorder's weights are scaled back to 1. The short-term weight
+// of a new outcome has grown to about a million by then.
 const rebaseInterval = 20
 
-// Recorder records outcomes of one class on one run of a node. It stays valid for its holder: when it has expired or its
-// node was replaced, Record attaches it again or counts the outcome as over the limit.
+// Recorder records outcomes of one class on one run of a node. Callers may use it indefinitely: after it has expired or
+// its node was replaced, Record attaches it again or counts the outcome as over the limit.
 //
-// The weights of new outcomes grow with time instead of all sums shrinking (forward decay: Cormode, Shkapenyuk,
-// Srivastava, Xu, ICDE 2009), so that recording touches one bucket alone.
+// It uses forward decay (Cormode, Shkapenyuk, Srivastava, Xu, ICDE 2009): the weights of new outcomes grow with time
+// instead of all sums shrinking, so that recording an outcome updates only one latency bin.
 type Recorder struct {
 	state        *State
 	key          Key
-	attached     bool          // it is one of its node's recorders
-	changed      bool          // outcomes are to be published
+	attached     bool          // belongs to its node's recorders
+	changed      bool          // has unpublished outcomes
 	weightBase   time.Duration // time at which an outcome's weight is 1
 	lastRecorded time.Duration
 	lastReset    time.Duration
 	stats        classStats // in weights relative to weightBase
 }
 
-// Recorder returns the recorder of a key and makes it if needed; it is never nil. Outcomes of a key over a bound, or of
-// an earlier run of its node, count in Counts.OverLimit.
+// Recorder returns the recorder of a key, and creates it if needed. It is never nil. Outcomes of a key that exceeds a
+// limit, or of an earlier run of the node, are counted in Counts.OverLimit.
 func (s *State) Recorder(now time.Duration, key Key) *Recorder {
 	if n := s.localNodes[key.Node]; n != nil && n.startTime == key.StartTime {
 		for _, r := range n.recorders {
@@ -40,8 +40,8 @@
 	return r
 }
 
-// attach adds the recorder to its node; false: there is no capacity, the run is an earlier one, or the key has another
-// recorder.
+// attach adds the recorder to its node. It returns false if a limit is reached, the run is an earlier one, or the key has
+// another recorder.
 func (r *Recorder) attach(now time.Duration) bool {
 	if !validName(r.key.Node) || !validName(r.key.Class) {
 		return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Record counts the end of one attempt: its work in units and its service time.
+// Record records the outcome of one attempt with its work in units and its service time.
 func (r *Recorder) Record(now time.Duration, units, millis float64, outcome Outcome) {
 	if !r.attached && !r.attach(now) {
 		r.state.counts.OverLimit++
@@ -122,8 +122,8 @@
 	r.weightBase = at
 }
 
-// resetIfChanged forgets all outcomes if the short-term and the long-term statistics differ as those of two nodes would:
-// outcomes from before a change would only hide it. Other processes decide for their own records.
+// resetIfChanged drops all outcomes if the short-term and the long-term statistics deviate so far that the node must have
+// changed, because outcomes from before the change would hide it. Other processes decide for their own records.
 func (r *Recorder) resetIfChanged(now time.Duration) {
 	if now-r.lastReset < resetInterval*r.state.settings.HalfLife {
 		return
--- a/internal/nodestats/sketch.go
+++ b/internal/nodestats/sketch.go
@@ -6,15 +6,15 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// A recorder keeps the counts of DDSketch's bins in an array, because the library's store may allocate. The library's
-// mapping gives a value's bin, and its encoded sketch is what a View holds.
+// A recorder counts the bins of a DDSketch in an array, because the library's store may allocate. The library's mapping
+// gives the bin of a value, and a View contains the sketch in the library's encoding.
 const (
-	accuracy     = 0.05 // relative, of a quantile
+	accuracy     = 0.05 // relative error of a quantile
 	numBins      = 128
-	minLatencyMs = 0.05 // in the first bin; the last one is at about 18 s
+	minLatencyMs = 0.05 // upper limit of the first bin; the last bin is at about 18 s
 	maxLatencyMs = 1e7  // a longer time is invalid
-	maxUnits     = 1e9  // more work of one request is invalid
-	rankedCount  = 1e6  // to which a sketch's count is scaled for ranks
+	maxUnits     = 1e9  // more work in one request is invalid
+	rankedCount  = 1e6  // count to which a sketch is scaled before quantiles are computed
 )
 
 var (
@@ -39,7 +39,7 @@
 
 func newStore() store.Store { return store.NewCollapsingLowestDenseStore(numBins) }
 
-// sketchOf encodes bin counts as the library's sketch; nil: all are zero.
+// sketchOf encodes bin counts as the library's sketch. It returns nil if all are zero.
 func sketchOf(counts *[numBins]float64) []byte {
 	s := ddsketch.NewDDSketchFromStoreProvider(binMapping, newStore)
 	for i, n := range counts {
@@ -55,8 +55,8 @@
 	return b
 }
 
-// Quantiles returns the latencies in milliseconds, within 5%, below which the shares qs of the requests of a View's
-// sketch were served; false: the sketch is empty or not one of this package.
+// Quantiles returns the quantiles qs of the latencies in a View's sketch, in milliseconds and with an error of at most
+// 5%. It returns false if the sketch is empty or was not created by this package.
 func Quantiles(sketch []byte, qs ...float64) ([]float64, bool) {
 	if len(sketch) == 0 {
 		return nil, false
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, false
 	}
-	// The library's ranks need a count well over 1; decayed counts are often lower.
+	// The library computes ranks correctly only for counts well over 1, and decayed counts are often lower.
 	if n := s.GetCount(); !(n > 0) || s.Reweight(rankedCount/n) != nil {
 		return nil, false
 	}
@@ -73,7 +73,7 @@
 	return v, err == nil
 }
 
-// Quantile returns one of the Quantiles.
+// Quantile returns a single quantile, as Quantiles does.
 func Quantile(sketch []byte, q float64) (float64, bool) {
 	v, ok := Quantiles(sketch, q)
 	if !ok {
@@ -82,7 +82,7 @@
 	return v[0], true
 }
 
-// NewSketch returns the sketch of latencies of weight 1.
+// NewSketch returns a sketch in which each of the latencies has the weight 1.
 func NewSketch(millis ...float64) []byte {
 	var counts [numBins]float64
 	for _, m := range millis {
--- a/internal/nodestats/state.go
+++ b/internal/nodestats/state.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Counts are counters since the state was made, and its present size.
+// Counts are counters since the state was created, and its current size.
 type Counts struct {
 	Messages, Bytes          int64 // merged messages and their bytes
 	NewCells                 int64 // merged cells that were new
-	DuplicateCells           int64 // cells that were held already
+	DuplicateCells           int64 // merged cells that were already stored
 	OutdatedCells            int64 // cells of an older incarnation or sequence, dropped
 	ExpiredCells             int64 // cells that were too old on arrival, dropped
-	Unreadable, LaterVersion int64 // messages dropped
+	Unreadable, LaterVersion int64 // messages dropped: invalid ones, and those of a later version
 	OverLimit                int64 // cells, origins and outcomes that exceeded a bound
-	Resets                   int64 // recorders reset because their node had changed
-	Invalid                  int64 // local values out of their range
+	Resets                   int64 // resets of recorders whose node's behavior had changed
+	Invalid                  int64 // local values out of range
 	IdentityConflicts        int64 // times that cells under this process's name came from another incarnation
-	Origins, StoredCells     int64 // present number of other origins, and of their cells
+	Origins, StoredCells     int64 // current number of other origins, and of their cells
 }
 
-// State is what this process observed and what it received of others. One goroutine at a time may use it.
+// State contains the observations of this process and those received from others. It is not safe for concurrent use.
 type State struct {
-	Yield       func() // called between the parts of long computations; nil: not at all
+	Yield       func() // called between the parts of long computations; may be nil
 	settings    Settings
 	self        string
 	incarnation uint64
@@ -33,7 +33,7 @@
 	listVersion int64
 	listSetAt   time.Duration
 	hasList     bool
-	listDirty   bool               // the list's version is to be published
+	listDirty   bool               // the list's version has not been published yet
 	local       *origin            // published cells of this process
 	remote      map[string]*origin // other processes, by name
 	counts      Counts
@@ -64,7 +64,7 @@
 	}
 }
 
-// Counts returns the present counts.
+// Counts returns the current counts.
 func (s *State) Counts() Counts {
 	c := s.counts
 	c.Origins = int64(len(s.remote))
@@ -74,7 +74,7 @@
 	return c
 }
 
-// originNames are the names of all origins with this process, sorted.
+// originNames returns the names of all origins, including this process, sorted.
 func (s *State) originNames() []string {
 	names := append(make([]string, 0, len(s.remote)+1), s.self)
 	for name := range s.remote {
@@ -91,7 +91,7 @@
 	return s.remote[name]
 }
 
-// Check returns an error if one of the invariants on bounds, cells or sequences does not hold.
+// Check returns an error if an invariant on bounds, cells or sequences is violated.
 func (s *State) Check() error {
 	if len(s.remote) > s.settings.MaxOrigins || len(s.localNodes) > s.settings.MaxNodes || len(s.localNodes) != len(s.localOrder) {
 		return fmt.Errorf("%d origins, %d local nodes, %d of them ordered", len(s.remote), len(s.localNodes), len(s.localOrder))
--- a/internal/nodestats/types.go
+++ b/internal/nodestats/types.go
@@ -1,14 +1,15 @@
-// Package nodestats holds what the scheduler processes of one fleet observe of the storage nodes behind them, as a
-// state that merges. Each process (origin) has a record made of cells that only it renews. A state holds the newest
-// cells of every origin, and its views add the origins up. Clocks are never compared: ages are durations, counted by
-// the receiver. docs/design/observations.md names the sources.
+// Package nodestats collects what the scheduler processes of one fleet observe of the storage nodes, in a state that can
+// be merged with those of other processes. Each process (origin) has a record made of cells, which only it updates. A
+// state contains the newest cells of every origin, and its views aggregate them over the origins. Clocks of different
+// processes are never compared: messages contain ages, and the receiver adds to them the time since their arrival.
+// docs/design/observations.md names the sources.
 //
 // Invariants:
 //   - Merging is commutative, associative and idempotent, also at the bounds: any order, tree and number of merges of
 //     the same messages gives the same state, apart from ages.
 //   - An older incarnation or sequence never replaces a newer one, and does not come back once the newer has expired.
 //   - Where at least three origins report a key, none has over ClipFactor times the median's weight or values in a view.
-//   - A node that is replaced under its name starts as unknown.
+//   - When a node is replaced by another one of the same name, the statistics of the earlier one are not used for it.
 //   - A process that receives cells of its own name from another incarnation starts a later incarnation.
 //   - A message that cannot be decoded, or is of a later version, changes nothing but a count.
 //   - Origins, nodes, classes and message bytes stay within Settings; what exceeds them is counted.
@@ -21,30 +22,30 @@
 	"time"
 )
 
-// Outcome is how an attempt ended, as far as it says something of the node.
+// Outcome is the result of an attempt, as far as it concerns the node.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served   Outcome = iota // counts in Sums and in the sketch
-	Rejected                // the node was full
+	Rejected                // the node had no capacity
 	Failed                  // an error, a reset, or no connection
 	TimedOut                // no answer by the deadline
 	numOutcomes
 )
 
-// Key names what is measured: a class of requests on one run of a node.
+// Key identifies what is measured: a class of requests on one run of a node.
 type Key struct {
 	Node      string
 	StartTime int64 // of the node's run, Unix ms, as in the endpoint list
 	Class     string
 }
 
-// Sums are decayed sums over served requests, which add up over origins: the number N, the work units X and the
-// service times Y in milliseconds, with their squares and products.
+// Sums are decayed sums over served requests: the number N, the work units X and the service times Y in milliseconds,
+// with their squares and products. The sums of several origins can be added.
 type Sums struct{ N, X, Y, XX, XY, YY float64 }
 
-// Add returns the sums over the requests of both.
+// Add returns the sums over the requests of s and o.
 func (s Sums) Add(o Sums) Sums {
 	return Sums{s.N + o.N, s.X + o.X, s.Y + o.Y, s.XX + o.XX, s.XY + o.XY, s.YY + o.YY}
 }
@@ -54,16 +55,16 @@
 	return Sums{s.N * n, s.X * n * x, s.Y * n * y, s.XX * n * x * x, s.XY * n * x * y, s.YY * n * y * y}
 }
 
-// Health is one process's view of a node.
+// Health is the state of a node as one process sees it.
 type Health struct {
 	Type      string // hardware type from the endpoint list or the settings; empty: unknown
 	Shard     int
 	WarmingUp bool
 	Window    float64 // requests that the process may have in flight
-	Queue     float64 // requests that wait for the node
+	Queue     float64 // requests queued for the node
 }
 
-// View is what all processes together know of one key.
+// View aggregates the reports of all processes on one key.
 type View struct {
 	Key
 	Type                       string // hardware type; empty: unknown
@@ -77,21 +78,21 @@
 	Age                        time.Duration // of the newest report
 }
 
-// ListVersion is the version of the endpoint list that an origin holds.
+// ListVersion is the version of the endpoint list that an origin uses.
 type ListVersion struct {
 	Origin  string
 	Version int64
 	Age     time.Duration
 }
 
-// Settings are the bounds of a state.
+// Settings configure a State.
 type Settings struct {
-	MaxOrigins      int           // other processes held; which ones stay depends on their names alone
+	MaxOrigins      int           // other processes stored; which of them are stored depends only on their names
 	MaxNodes        int           // nodes that an origin reports
 	MaxClasses      int           // classes that an origin reports on each node
 	MaxMessageBytes int           // of one message
 	HalfLife        time.Duration // of an observation's weight
-	ExpireAfter     time.Duration // age at which a cell that was not renewed is dropped
+	ExpireAfter     time.Duration // age at which a cell that was not updated is dropped
 	ClipFactor      float64       // how far one origin's weight and values may exceed the median
 }
 
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// classRow is one origin's report of one key. Its statistics are large and decoded later, by read.
+// classRow is one origin's report on one key. Its statistics are large and are decoded only by read.
 type classRow struct {
 	key        Key
 	origin     string
 	recorder   *Recorder     // this process's own; nil: the report is in body
 	body       []byte        // of another origin's cell
 	age        time.Duration // since the last outcome, or since the cell was made
-	decayAge   time.Duration // since the weights were relative to the present
-	shortDecay float64       // by which the short-term weights have decayed; set by read
+	decayAge   time.Duration // since the time to which the weights refer
+	shortDecay float64       // decay factor of the short-term weights; set by read
 }
 
 func (r *classRow) read(stats *classStats, halfLife time.Duration) {
@@ -27,7 +27,7 @@
 	r.shortDecay = stats.decay(r.decayAge, halfLife)
 }
 
-// healthRow is one origin's report of a node's health.
+// healthRow is one origin's report on a node's health.
 type healthRow struct {
 	node      string
 	startTime int64
@@ -37,8 +37,8 @@
 
 func (r *healthRow) key() Key { return Key{Node: r.node, StartTime: r.startTime} }
 
-// Views returns the views of all keys, sorted. The view of a node's health has no class and no sums. Of a node that this
-// process knows only the present run has views.
+// Views returns the views of all keys, sorted. A view with an empty class contains only the health of a node. For nodes
+// that this process has a local record of, only that run has views.
 func (s *State) Views(now time.Duration) []View {
 	s.expireLocal(now)
 	s.expireCells(now)
@@ -68,7 +68,7 @@
 	return views
 }
 
-// leading is the number of rows at the head that have the key of the first.
+// leading returns the number of rows at the start of the slice that have the key of the first one.
 func leading[Row any](rows []Row, key func(*Row) Key) int {
 	n := 1
 	for n < len(rows) && key(&rows[n]) == key(&rows[0]) {
@@ -147,17 +147,17 @@
 		cmp.Compare(h.Window, o.Window), cmp.Compare(h.Queue, o.Queue))
 }
 
-// mergeClass adds up the origins of one key, each clipped. Of each origin the long-term statistics count, unless they
-// differ from the recent observations of all as those of another node would: then the short-term ones do.
+// mergeClass adds up the clipped statistics of all origins of one key. It uses each origin's long-term statistics, or the
+// short-term ones if the long-term ones deviate too far from the recent observations of all origins.
 func (s *State) mergeClass(rows []classRow) View {
-	v := View{Key: rows[0].key, Origins: len(rows), Age: rows[0].age}
+	view := View{Key: rows[0].key, Origins: len(rows), Age: rows[0].age}
 	for len(s.readBuffer) < len(rows) {
 		s.readBuffer = append(s.readBuffer, classStats{})
 	}
 	origins := s.readBuffer[:len(rows)]
 	for i := range rows {
 		rows[i].read(&origins[i], s.settings.HalfLife)
-		v.Age = min(v.Age, rows[i].age)
+		view.Age = min(view.Age, rows[i].age)
 	}
 	long := clipAll(origins, s.settings.ClipFactor, (*classStats).longTerm)
 	short := clipAll(origins, s.settings.ClipFactor, (*classStats).shortTerm)
@@ -174,12 +174,12 @@
 		sum.add(counts)
 		addBins(&bins, &origins[i].bins, rows[i].shortDecay, short[i])
 	}
-	v.Sums, v.Rejected, v.Failed, v.TimedOut = sum.sums, sum.rejected, sum.failed, sum.timedOut
-	v.Sketch = sketchOf(&bins)
-	return v
+	view.Sums, view.Rejected, view.Failed, view.TimedOut = sum.sums, sum.rejected, sum.failed, sum.timedOut
+	view.Sketch = sketchOf(&bins)
+	return view
 }
 
-// addBins adds one origin's latency bins, decayed and clipped: times are clipped by a shift of the bins.
+// addBins adds one origin's latency bins, decayed and clipped. Times are clipped by shifting the bins.
 func addBins(sum, bins *[numBins]float64, decay float64, clip clipFactors) {
 	shift := 0
 	if clip.times != 1 {
@@ -192,10 +192,10 @@
 	}
 }
 
-// mergeHealth returns a node's health over its origins: the most common type and shard, the majority of the flags, and
-// means of the windows and queues, each at most clip times the median.
+// mergeHealth aggregates a node's health over its origins: the most common type and shard, the majority of the flags, and
+// clipped means of the windows and queues.
 func mergeHealth(rows []healthRow, clip float64) View {
-	v := View{Key: rows[0].key(), Origins: len(rows), Age: rows[0].age}
+	view := View{Key: rows[0].key(), Origins: len(rows), Age: rows[0].age}
 	types, shards := map[string]int{}, map[int]int{}
 	warmingUp := 0
 	var windows, queues []float64
@@ -208,15 +208,15 @@
 			warmingUp++
 		}
 		windows, queues = append(windows, r.health.Window), append(queues, r.health.Queue)
-		v.Age = min(v.Age, r.age)
+		view.Age = min(view.Age, r.age)
 	}
-	v.Type, v.Shard = mostCommon(types), mostCommon(shards)
-	v.WarmingUp = 2*warmingUp >= len(rows) && warmingUp > 0
-	v.Window, v.Queue = clippedMean(windows, clip), clippedMean(queues, clip)
-	return v
+	view.Type, view.Shard = mostCommon(types), mostCommon(shards)
+	view.WarmingUp = 2*warmingUp >= len(rows) && warmingUp > 0
+	view.Window, view.Queue = clippedMean(windows, clip), clippedMean(queues, clip)
+	return view
 }
 
-// mostCommon returns the value with the most votes; of several the smallest.
+// mostCommon returns the value with the most votes, or the smallest of several such values.
 func mostCommon[K cmp.Ordered](votes map[K]int) (best K) {
 	n := 0
 	for k, c := range votes {
--- a/internal/nodestats/views_test.go
+++ b/internal/nodestats/views_test.go
@@ -98,7 +98,7 @@
 }
 
 // A receiver decays by an age for which no clocks are compared, and drops what was not renewed.
-func TestAgesAreCountedByTheReceiver(t *testing.T) {
+func TestReceiverAgesCellsWithoutComparingClocks(t *testing.T) {
 	set := smallSettings()
 	p, q := newState(t, set, "p", 1), newState(t, set, "q", 1)
 	p.Recorder(time.Hour, Key{"n", 1, "c"}).Record(time.Hour, 2, 8, Served)
