--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// directNetwork stands for memberlist: a message arrives as soon as it is sent.
+// directNetwork is a fake of memberlist that delivers each message at once.
 type directNetwork struct {
 	members
 	nodes    []*memberlist.Node
@@ -37,7 +37,7 @@
 	return c.SendBestEffort(n, b)
 }
 
-// joinClusters returns processes that are members of each other; a buffer holds size outcomes.
+// joinClusters returns processes that are members of each other. Their buffers have a capacity of size outcomes.
 func joinClusters(size int, names ...string) map[string]*Cluster {
 	network := &directNetwork{clusters: map[string]*Cluster{}}
 	for _, name := range names {
@@ -58,7 +58,7 @@
 	c.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
 }
 
-// countOutcomes returns how many outcomes of a node are in the views; their sums must be consistent.
+// countOutcomes returns the number of outcomes of a node in the views, or an error if their sums are inconsistent.
 func countOutcomes(views []nodestats.View, node string) (n int, err error) {
 	for _, v := range views {
 		if v.Node != node || v.Class == "" {
@@ -67,7 +67,7 @@
 		n = int(math.Round(v.Sums.N))
 		for _, difference := range []float64{v.Sums.N - float64(n), v.Sums.X - v.Sums.N*units, v.Sums.Y - v.Sums.N*millis, v.Sums.YY - v.Sums.N*millis*millis} {
 			if math.Abs(difference) > 1e-3 {
-				return n, fmt.Errorf("torn sums: %+v", v.Sums)
+				return n, fmt.Errorf("inconsistent sums: %+v", v.Sums)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 	},
 }
 
-// cellsMessage returns one message of cells by which another process reports n outcomes of a node.
+// cellsMessage returns a message in which another process reports n outcomes of a node.
 func cellsMessage(node string, n int) []byte {
 	state, _ := nodestats.New(nodestats.Defaults(), "other", 1)
 	empty, _ := nodestats.New(nodestats.Defaults(), "none", 1)
@@ -107,11 +107,11 @@
 	return append([]byte{messageCells}, messages[0]...)
 }
 
-// The data path records, a reader asks for the views, another process sends the same message twice, and the process has its
-// round: outcomes are in the views as soon as they are recorded, once, with consistent sums; what exceeds the buffer is
-// counted.
+// The data path records outcomes while a reader requests the views, another process sends the same message twice, and the
+// process has its round. Each recorded outcome is in the views at once and exactly once, with consistent sums. Outcomes
+// that exceed the buffer are counted.
 func TestInterleaveObserve(t *testing.T) {
-	message := cellsMessage("other's", 5)
+	message := cellsMessage("remote", 5)
 	for _, scenario := range []struct {
 		name    string
 		size    int
@@ -132,7 +132,7 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 				p := joinClusters(scenario.size, "here")["here"]
-				var record history.History
+				var operations history.History
 				ctx, stop := steps.Root(context.Background())
 				tick := make(chan time.Time, 1)
 				tick <- time.Time{}
@@ -150,13 +150,13 @@
 						{Name: "process", Run: func() { p.loop(ctx, tick) }},
 						{Name: "record", Run: stopAfterLast(func() {
 							for range 3 {
-								record.Do(1, "record", func() any { p.observeOne(); return nil })
+								operations.Do(1, "record", func() any { p.observeOne(); return nil })
 							}
 						})},
 						{Name: "read", Run: stopAfterLast(func() {
-							record.Do(2, "read", func() any { return p.viewedOutcomes("s") })
-							if n := p.viewedOutcomes("other's"); n != 0 && n != 5 {
-								il.Fail("%d of another's 5", n)
+							operations.Do(2, "read", func() any { return p.viewedOutcomes("s") })
+							if n := p.viewedOutcomes("remote"); n != 0 && n != 5 {
+								il.Fail("%d of 5 outcomes of the other process", n)
 							}
 						})},
 						{Name: "other", Run: stopAfterLast(func() {
@@ -169,14 +169,14 @@
 							p.handle(<-p.inbox)
 						}
 						p.Views()
-						n, o, c := p.viewedOutcomes("s"), p.viewedOutcomes("other's"), p.Counts()
-						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || scenario.size > 3 && c.DroppedOutcomes > 0 || o != 5 {
-							return fmt.Errorf("3 recorded, %d in the views, %d dropped; of another's 5 %d", n, c.DroppedOutcomes, o)
+						n, remote, c := p.viewedOutcomes("s"), p.viewedOutcomes("remote"), p.Counts()
+						if c.Outcomes+c.DroppedOutcomes != 3 || int64(n) != c.Outcomes || scenario.size > 3 && c.DroppedOutcomes > 0 || remote != 5 {
+							return fmt.Errorf("3 recorded, %d in the views, %d dropped; outcomes of the other process: %d of 5", n, c.DroppedOutcomes, remote)
 						}
 						if c.DroppedOutcomes > 0 {
 							return nil
 						}
-						return record.Check(recordModel)
+						return operations.Check(recordModel)
 					},
 				}
 			})
@@ -185,7 +185,7 @@
 	}
 }
 
-// Recording continues while another goroutine uses the state, for as long as that takes.
+// Recording does not wait while another goroutine uses the state.
 func TestInterleaveObserveNeverWaits(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		p, recorded := joinClusters(2, "here")["here"], make(chan struct{})
@@ -209,8 +209,8 @@
 		New: "	c.mu.Lock()\n	defer c.mu.Unlock()\n	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half", Want: "deadlock: "})
 }
 
-// Two processes record and exchange, each with one round and the messages that follow, in any order. After more rounds
-// both hold all outcomes, once.
+// Two processes record outcomes and exchange messages, in any order. After some further rounds, both have each outcome
+// exactly once.
 func TestInterleaveRounds(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.World {
 		clusters := joinClusters(8, "a", "b")
@@ -229,7 +229,7 @@
 				{Name: "b", Run: func() { handleMessages(b, 2) }},
 				{Name: "read", Run: func() {
 					if n := b.viewedOutcomes("s"); n > 3 {
-						il.Fail("%d of 3", n)
+						il.Fail("%d outcomes of 3 in the views", n)
 					}
 				}},
 			},
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -18,8 +18,8 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// faultyNetwork is the network between processes: datagrams are lost, duplicated, reordered and truncated by a seed, and the
-// two partitions can be separated.
+// faultyNetwork is the network between the processes. It loses, duplicates, reorders and truncates datagrams at random,
+// and can separate two partitions.
 type faultyNetwork struct {
 	mu                                   sync.Mutex
 	rand                                 *rand.Rand
@@ -96,7 +96,7 @@
 	n.partitioned = partitioned
 }
 
-// testFleet is some processes; the first half of them is one partition.
+// testFleet consists of several processes. The first half of them is one partition.
 type testFleet struct {
 	t            *testing.T
 	network      *faultyNetwork
@@ -111,24 +111,24 @@
 	return l
 }
 
-func (fleet *testFleet) transport(port int) *faultyTransport {
+func (f *testFleet) transport(port int) *faultyTransport {
 	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, BindPort: port,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
-		fleet.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	return &faultyTransport{NetTransport: nt, network: fleet.network, address: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
+	return &faultyTransport{NetTransport: nt, network: f.network, address: fmt.Sprintf("127.0.0.1:%d", nt.GetAutoBindPort())}
 }
 
-func (fleet *testFleet) start(i int, incarnation uint64, transport *faultyTransport) *Cluster {
+func (f *testFleet) start(i int, incarnation uint64, transport *faultyTransport) *Cluster {
 	var makeSnapshot func(SnapshotKind) []byte
-	if fleet.makeSnapshot != nil {
-		makeSnapshot = fleet.makeSnapshot(i)
+	if f.makeSnapshot != nil {
+		makeSnapshot = f.makeSnapshot(i)
 	}
-	p, err := Start(Options{MakeSnapshot: makeSnapshot, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: transport.address, Seeds: fleet.seeds, Interval: 20 * time.Millisecond,
+	p, err := Start(Options{MakeSnapshot: makeSnapshot, Name: fmt.Sprint("p", i), Incarnation: incarnation, Listen: transport.address, Seeds: f.seeds, Interval: 20 * time.Millisecond,
 		Burst: 8, State: nodestats.Defaults(), Seed: uint64(i), Log: discardLog(), Transport: transport})
 	if err != nil {
-		fleet.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return p
 }
@@ -162,12 +162,12 @@
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not within a minute: " + what)
+			t.Fatal("timeout after a minute: " + what)
 		}
 	}
 }
 
-// awaitNoGoroutines waits for goroutines to end: a probe of memberlist may still wait for its reply.
+// awaitNoGoroutines waits for all goroutines to end. A health check of memberlist may still wait for its reply.
 func awaitNoGoroutines(t *testing.T) {
 	await(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
 }
@@ -189,8 +189,8 @@
 	return true
 }
 
-func (fleet *testFleet) observe(r *rand.Rand, each int) {
-	for i, p := range fleet.peers {
+func (f *testFleet) observe(r *rand.Rand, each int) {
+	for i, p := range f.peers {
 		for range each {
 			p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(30)), StartTime: 1, Class: fmt.Sprint("c", r.IntN(3))}, r.Float64()*9, r.Float64()*50, nodestats.Outcome(r.IntN(4)))
 		}
@@ -198,7 +198,7 @@
 	}
 }
 
-// totalWeight is the weight of all outcomes in a process's views.
+// totalWeight returns the weight of all outcomes in a process's views.
 func totalWeight(p *Cluster) (n float64) {
 	for _, v := range p.Views() {
 		n += v.Sums.N + v.Rejected + v.Failed + v.TimedOut
@@ -206,8 +206,8 @@
 	return n
 }
 
-// Two partitions, each with observations of its own, rejoin while datagrams are lost, duplicated, reordered and truncated:
-// all processes end with the same state, that of one merge of everything.
+// After two partitions with different observations rejoin, all processes converge to the same state, which is equal to one
+// merge of everything, although datagrams are lost, duplicated, reordered and truncated.
 func TestPartitionsConvergeAfterTheyRejoin(t *testing.T) {
 	fleet := startFleet(t, 6, 0.08)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -253,7 +253,7 @@
 	t.Logf("%d datagrams: %d lost, %d duplicated, %d delayed, %d truncated, %d blocked between the partitions", network.datagrams, network.lost, network.duplicated, network.delayed, network.truncated, network.blocked)
 }
 
-// After a process was killed and restarted under its name, all processes hold its later incarnation alone.
+// After a process was killed and restarted under its name, all processes have only the cells of its later incarnation.
 func TestRestartUnderTheSameNameReplacesItsState(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	fleet.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Failed)
@@ -272,8 +272,8 @@
 	})
 }
 
-// A process that sends invalid messages: all are counted and change nothing, those of a later version separately, and the
-// others continue to exchange.
+// Invalid messages do not change the state. They are counted, those of a later version separately, and the other processes
+// continue to exchange messages.
 func TestInvalidMessagesChangeNothing(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	fleet.observe(rand.New(rand.NewPCG(2, 2)), 20)
@@ -313,7 +313,7 @@
 	})
 }
 
-// While the state is in use and the buffer is full, outcomes are counted as dropped.
+// While the state is in use and the buffer is full, outcomes are dropped and counted. Observe does not allocate.
 func TestObserveNeverWaits(t *testing.T) {
 	fleet := startFleet(t, 1, 0)
 	p := fleet.peers[0]
@@ -330,7 +330,7 @@
 	}
 }
 
-// Advertised addresses that only an override reaches. Messages are encrypted here.
+// Processes reach each other at advertised addresses that work only with an override. Messages are encrypted.
 func TestAddressOverrides(t *testing.T) {
 	defer awaitNoGoroutines(t)
 	var clusters []*Cluster
@@ -370,6 +370,6 @@
 		p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
 	}
 	if n := p.Counts().DroppedOutcomes; n > 0 {
-		b.Errorf("%d lost", n)
+		b.Errorf("%d outcomes dropped", n)
 	}
 }
--- a/internal/gossip/listen_test.go
+++ b/internal/gossip/listen_test.go
@@ -8,8 +8,8 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// For an unspecified address without one to advertise, memberlist would start a program (ip route): it is an error. With
-// an advertised address it is none.
+// Without an address to advertise, Start rejects an unspecified address to listen on, because memberlist would run an
+// external program (ip route) to find one.
 func TestUnspecifiedAddressNeedsAdvertise(t *testing.T) {
 	options := Options{Name: "p", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: discardLog()}
 	for _, options.Listen = range []string{"0.0.0.0:0", "[::]:0"} {
--- a/internal/gossip/recorded_test.go
+++ b/internal/gossip/recorded_test.go
@@ -20,7 +20,7 @@
 	_ "wheatsaddle/internal/testkit/recorded" // defines the flag -record
 )
 
-// recordedLinks are two processes that reach each other at once; each message that one sends is kept, by its kind.
+// recordedLinks connects two processes directly and stores each message that they send, by its kind.
 type recordedLinks struct {
 	members
 	nodes    []*memberlist.Node
@@ -28,7 +28,7 @@
 	sent     map[string][][]byte
 }
 
-// recordedKinds name the kinds of messages by their first byte.
+// recordedKinds contains the names of the kinds of messages by their first byte.
 var recordedKinds = map[byte]string{'a': "digest", 'b': "digest-reply", 'c': "cells", 'd': "snapshot-request", 'e': "snapshot-reply"}
 
 func (l *recordedLinks) Members() []*memberlist.Node {
@@ -79,7 +79,7 @@
 	return cluster
 }
 
-// fillState gives a process outcomes, health and a list version, from a seed.
+// fillState adds outcomes, health and a list version, generated from a seed, to the state of a process.
 func fillState(cluster *Cluster, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 12))
 	for range 600 {
@@ -93,7 +93,7 @@
 	})
 }
 
-// exchangeAllKinds has the two processes exchange each kind of message.
+// exchangeAllKinds makes the two processes exchange each kind of message.
 func (l *recordedLinks) exchangeAllKinds(t *testing.T) {
 	a, b := l.clusters["a"], l.clusters["b"]
 	fillState(a, 1)
@@ -112,7 +112,7 @@
 	}
 	b.tasks.Wait()
 	if !sameStates(a, b) {
-		t.Error("the two processes hold different states")
+		t.Error("the two processes have different states")
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 }
 
-// Messages of each kind are written as the bytes of the recording.
+// Messages of each kind are encoded as in the recording.
 func TestSentMessagesAreThoseOfTheRecording(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
 	l.exchangeAllKinds(t)
@@ -173,7 +173,7 @@
 	}
 }
 
-// A process that knows nothing reads the recorded messages of each kind, and answers those that ask.
+// A new process decodes the recorded messages of each kind, and answers requests.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
 	l.exchangeAllKinds(t)
@@ -187,7 +187,7 @@
 		t.Errorf("cells: %+v", n)
 	}
 	if !sameStates(l.clusters["a"], c) {
-		t.Error("the recorded cells do not make the state of their senders")
+		t.Error("the recorded cells do not result in the state of their senders")
 	}
 	for kind, answers := range map[string]string{"digest": "digest-reply", "digest-reply": "", "snapshot-request": "snapshot-reply"} {
 		for i, m := range readMessages(t, kind) {
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// A process gets a snapshot also while datagrams are lost, duplicated and truncated, some members have none, one sends an
-// invalid one and one an overlong one. A reply that is not expected is dropped and counted.
+// A process gets a snapshot although datagrams are lost, duplicated and truncated, one member has no snapshot, one sends an
+// invalid one and one sends one that is too long. Unexpected replies are dropped and counted.
 func TestRequestSnapshot(t *testing.T) {
-	good := bytes.Repeat([]byte("learned "), 20<<10) // 160 KiB: by a connection of its own
+	snapshot := bytes.Repeat([]byte("learned "), 20<<10) // 160 KiB, which are sent over TCP
 	fleet := startFleetWith(t, 6, 0.1, func(i int) func(SnapshotKind) []byte {
 		return func(k SnapshotKind) []byte {
 			switch {
@@ -23,20 +23,20 @@
 			case i == 3:
 				return make([]byte, maxSnapshotBytes+1)
 			}
-			return good
+			return snapshot
 		}
 	})
 	cluster := fleet.peers[0]
 	await(t, "all are members", func() bool { return cluster.Counts().Members == 6 && fleet.peers[4].Counts().Members == 6 })
-	for invalidReceived := false; !invalidReceived; invalidReceived = cluster.Counts().SnapshotsInvalid > 0 { // until the member with an invalid snapshot was asked too
+	for invalidReceived := false; !invalidReceived; invalidReceived = cluster.Counts().SnapshotsInvalid > 0 { // until the member with the invalid snapshot has replied
 		accepted := 0
 		await(t, "a snapshot is received", func() bool {
-			// If datagrams to all members were lost, it waits for new members: it is called again.
+			// RequestSnapshot waits for new members if its requests to all members were lost, so it is called again.
 			ctx, stop := context.WithTimeout(t.Context(), 6*snapshotTimeout)
 			defer stop()
 			return cluster.RequestSnapshot(ctx, LearnedSnapshot, func(b []byte) error {
-				if !bytes.Equal(b, good) {
-					return errors.New("another snapshot")
+				if !bytes.Equal(b, snapshot) {
+					return errors.New("unexpected snapshot")
 				}
 				accepted++
 				return nil
@@ -52,7 +52,7 @@
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
 	if cluster.RequestSnapshot(quick, LearnedSnapshot+1, func([]byte) error { return nil }) {
-		t.Error("a snapshot of an unknown kind")
+		t.Error("a snapshot of an unknown kind was received")
 	}
 	before := cluster.Counts()
 	reply := cluster.snapshots.expect(7)
@@ -60,13 +60,13 @@
 		(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, m...))
 	}
 	(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'x')...))
-	(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second answer
+	(*delegate)(cluster).NotifyMsg(append([]byte{messageSnapshotReply}, append(binary.BigEndian.AppendUint64(nil, 7), 'y')...)) // a second reply
 	if got := cluster.Counts().SnapshotsInvalid - before.SnapshotsInvalid; got != 5 || string(<-reply) != "x" {
-		t.Errorf("%d dropped of 5", got)
+		t.Errorf("%d invalid replies counted, want 5, or the reply was not delivered", got)
 	}
 }
 
-// Snapshots take time to make: requests above a limit get an empty reply.
+// Creating a snapshot takes time, so requests above a limit get an empty reply.
 func TestSnapshotSendsAreLimited(t *testing.T) {
 	release, made := make(chan bool), make(chan bool, 100)
 	fleet := startFleetWith(t, 2, 0, func(int) func(SnapshotKind) []byte {
@@ -80,7 +80,7 @@
 	}
 	await(t, "the excess requests got an empty reply", func() bool { return fleet.peers[0].Counts().SnapshotsInvalid >= 8*maxSnapshotSends })
 	if n := len(made); n > maxSnapshotSends {
-		t.Errorf("%d snapshots made at once", n)
+		t.Errorf("%d snapshots created concurrently", n)
 	}
 	close(release)
 }
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// changeReaction is the mean service time in a view over the true one.
+// changeReaction contains ratios of the mean service time in a view to the true one, at and after a change.
 type changeReaction struct {
 	atChange float64
 	after5s  float64
@@ -20,8 +20,8 @@
 	weight   float64 // of the requests in the view at the change
 }
 
-// reactToChange simulates a node that six processes observe, two of them often, whose service time is multiplied by a
-// factor after half a minute. The view is that of a process without observations of its own.
+// reactToChange simulates a node whose service time is multiplied by a factor after half a minute. Six processes observe
+// it, two of them often. The views are those of a seventh process without observations of its own.
 func reactToChange(t *testing.T, seed uint64, factor float64) changeReaction {
 	random := rand.New(rand.NewPCG(seed, 6))
 	settings := Defaults()
@@ -67,8 +67,8 @@
 	return reaction
 }
 
-// Views are steady while nothing changes, correct 5 s after a change to slower or to faster, and steady again. Without one
-// of the two rules that choose between long-term and short-term statistics, a change shows late.
+// Views vary little while a node does not change, and follow a change in either direction within 5 s. Without one of the
+// two rules that choose between long-term and short-term statistics, views follow the change too late.
 func TestViewsFollowAChangeWithinFiveSeconds(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error {
 		var errorAfter5s, steadyError, weight float64
@@ -80,24 +80,24 @@
 				weight += reaction.weight / 40
 			}
 		}
-		t.Logf("worst of 40: %.3f 5 s after a change, %.3f in steady times, on a weight of %.0f", errorAfter5s, steadyError, weight)
+		t.Logf("largest error of 40 runs: %.3f 5 s after a change, %.3f without a recent change; mean weight %.0f", errorAfter5s, steadyError, weight)
 		switch {
 		case errorAfter5s > 0.25:
-			return fmt.Errorf("a change shows late: %.3f after 5 s", errorAfter5s)
+			return fmt.Errorf("views follow the change too late: error of %.3f after 5 s", errorAfter5s)
 		case steadyError > 0.15:
-			return fmt.Errorf("not steady: %.3f", steadyError)
+			return fmt.Errorf("error of %.3f without a recent change", steadyError)
 		case weight < 90: // about 108 remain after clipping; short-term statistics alone have 43
-			return fmt.Errorf("a weight of %.0f only", weight)
+			return fmt.Errorf("mean weight of only %.0f", weight)
 		}
 		return nil
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "recorder.go", Old: "	if now-r.lastReset < resetInterval*r.state.settings.HalfLife {", New: "	if true {", Want: "a change shows late"},
-		mutant.Mutant{File: "views.go", Old: "		if deviation(&counts, &recent, false) > maxLongTermDeviation {", New: "		if false {", Want: "a change shows late"},
+		mutant.Mutant{File: "recorder.go", Old: "	if now-r.lastReset < resetInterval*r.state.settings.HalfLife {", New: "	if true {", Want: "views follow the change too late"},
+		mutant.Mutant{File: "views.go", Old: "		if deviation(&counts, &recent, false) > maxLongTermDeviation {", New: "		if false {", Want: "views follow the change too late"},
 	)
 }
 
-// A node that rejects requests shows as soon as one that is slow; one very long service time is no change.
+// Rejections reset a recorder as a change of service times does. A single very long service time does not.
 func TestRejectionsResetARecorderButOneSlowRequestDoesNot(t *testing.T) {
 	run := func(after time.Duration, outcomeAt func(now time.Duration) (float64, Outcome)) *State {
 		s := newState(t, Defaults(), "me", 1)
@@ -129,7 +129,7 @@
 	}
 }
 
-// The short-term statistics are a part of the long-term ones, whatever is recorded when; a message in which they are not
+// Short-term weights never exceed long-term weights, whatever is recorded at whatever times. A message in which they do
 // is rejected.
 func TestShortTermStatisticsNeverExceedLongTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -153,6 +153,6 @@
 	stats := classStats{long: decayedCounts{sums: Sums{10, 10, 10, 10, 10, 10}}, short: decayedCounts{sums: Sums{11, 11, 11, 11, 11, 11}}}
 	s := newState(t, Defaults(), "me", 1)
 	if err := s.Merge(0, encodeMessage("p", 1, wireCell{cellID{"n", "c"}, 1, 0, stats.encode()})); err == nil || s.Counts().Unreadable != 1 {
-		t.Error("more short-term than long-term statistics were accepted")
+		t.Error("a message whose short-term weights exceed the long-term ones was accepted")
 	}
 }
--- a/internal/nodestats/digest_test.go
+++ b/internal/nodestats/digest_test.go
@@ -19,17 +19,17 @@
 		merge(q, 0, diff...)
 		for _, m := range diff {
 			if len(m) > set.MaxMessageBytes {
-				t.Errorf("a message of %d bytes", len(m))
+				t.Errorf("message of %d bytes exceeds MaxMessageBytes", len(m))
 			}
 		}
 		return len(diff)
 	}
 	if exchange() == 0 || exchange() != 0 {
-		t.Error("nothing was sent at first, or cells were sent that the receiver held")
+		t.Error("no cells were sent at first, or cells were sent that the receiver already had")
 	}
 	p.Recorder(0, Key{"n0", 1, "c0"}).Record(0, 1, 1, Served)
 	if exchange() != 1 || exchange() != 0 {
-		t.Error("one change is not one message")
+		t.Error("one change was not sent as exactly one message")
 	}
 }
 
@@ -41,12 +41,12 @@
 	}
 	name := strings.Repeat("n", maxNameBytes)
 	if m := encodeMessage(name, maxSequence, wireCell{cellID{name, name}, maxSequence, 1 << 60, largest.encode()}); len(m) > minMessageLimit {
-		t.Errorf("a cell of %d bytes", len(m))
+		t.Errorf("message of %d bytes exceeds minMessageLimit", len(m))
 	}
 }
 
-// Small changes of windows and queues are not published, however many; what is published stays near the value, and a
-// change to or from zero is published at once.
+// Small changes of windows and queues are not published one by one, but the published value stays near the actual one. A
+// change to or from zero is always published.
 func TestSmallLoadChangesAreNotPublished(t *testing.T) {
 	p, q := newState(t, smallSettings(), "p", 1), newState(t, smallSettings(), "q", 1)
 	newCells := func(h Health) int64 {
@@ -57,16 +57,16 @@
 	}
 	published := int64(0)
 	for i := range 400 { // from 16 to 8 and back, in steps of a fortieth
-		w := 12 + 4*math.Cos(float64(i)*math.Pi/200)
-		published += newCells(Health{Window: w, Queue: 0.2})
-		if v := q.Views(0)[0]; math.Abs(v.Window-w) > max(v.Window, w)/8 {
-			t.Fatalf("window %v, published %v", w, v.Window)
+		window := 12 + 4*math.Cos(float64(i)*math.Pi/200)
+		published += newCells(Health{Window: window, Queue: 0.2})
+		if v := q.Views(0)[0]; math.Abs(v.Window-window) > max(v.Window, window)/8 {
+			t.Fatalf("window %v, published %v", window, v.Window)
 		}
 	}
 	if published < 8 || published > 20 {
 		t.Errorf("published %d times of 400", published)
 	}
 	if newCells(Health{}) != 1 || newCells(Health{Window: 0.3}) != 1 || newCells(Health{Window: 0.3, Type: "ssd"}) != 1 {
-		t.Error("a window of zero, one that opens or a type was not published")
+		t.Error("a change of the window to zero, from zero, or of the type was not published")
 	}
 }
--- a/internal/nodestats/helpers_test.go
+++ b/internal/nodestats/helpers_test.go
@@ -34,26 +34,26 @@
 	return s
 }
 
-// checkSeeds runs a property with the seeds from 0, or with the one that a replay of a mutant names, and prints the first
-// seed that fails as the schedule that internal/interleave/mutant replays.
+// checkSeeds checks a property with the seeds from 0, or with the seed that interleave.ReplayEnv specifies. It prints the
+// first seed that fails as the schedule, which internal/interleave/mutant replays.
 func checkSeeds(t *testing.T, seeds uint64, property func(seed uint64) error) {
 	t.Helper()
-	first := uint64(0)
+	firstSeed := uint64(0)
 	if text := os.Getenv(interleave.ReplayEnv); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		first, seeds = seed, 1
+		firstSeed, seeds = seed, 1
 	}
-	for seed := first; seed < first+seeds; seed++ {
+	for seed := firstSeed; seed < firstSeed+seeds; seed++ {
 		if err := property(seed); err != nil {
 			t.Fatalf("%v\nschedule: %d", err, seed)
 		}
 	}
 }
 
-// checkRandomSeeds runs a property with drawn seeds; not in a mutant, whose failure must repeat.
+// checkRandomSeeds checks a property with random seeds. It does nothing in a mutant, whose failure must be reproducible.
 func checkRandomSeeds(t *testing.T, property func(seed uint64) error) {
 	if mutant.Inside() {
 		return
@@ -65,7 +65,7 @@
 	})
 }
 
-// allMessages returns the messages that hold a complete state.
+// allMessages returns the messages that contain a complete state.
 func allMessages(t rapid.TB, s *State, now time.Duration) [][]byte {
 	emptyDigest := sealMessage(appendName(beginMessage(kindDigest), "nobody"))
 	m, err := s.Diff(now, emptyDigest)
@@ -78,7 +78,7 @@
 // merge merges messages, of which some may be invalid.
 func merge(s *State, now time.Duration, messages ...[]byte) {
 	for _, m := range messages {
-		_ = s.Merge(now, m) // the state counts what it drops
+		_ = s.Merge(now, m) // the state counts invalid messages
 	}
 }
 
@@ -92,8 +92,8 @@
 	s.SetListVersion(now, int64(r.IntN(4)))
 }
 
-// randomMessages returns the messages of several processes over some time, some of two incarnations: 6 names for a bound
-// of 4 origins.
+// randomMessages returns messages that 6 processes, more than MaxOrigins, create over 40 s. Some restart with a new
+// incarnation.
 func randomMessages(t rapid.TB, r *rand.Rand) (messages [][]byte, end time.Duration) {
 	states := map[string]*State{}
 	for i := range 40 {
@@ -108,7 +108,7 @@
 	return messages, end
 }
 
-// remoteText describes what a state holds of other origins, apart from ages.
+// remoteText describes a state's cells of other origins, apart from ages.
 func remoteText(s *State) string {
 	var b bytes.Buffer
 	for _, name := range s.originNames() {
@@ -119,7 +119,7 @@
 	return b.String()
 }
 
-// encodeMessage makes a message of cells with given sequences.
+// encodeMessage returns a message with the given cells.
 func encodeMessage(name string, incarnation uint64, cells ...wireCell) []byte {
 	b := binary.AppendUvarint(appendName(beginMessage(kindCells), name), incarnation)
 	for _, c := range cells {
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -13,8 +13,8 @@
 	"wheatsaddle/internal/operr"
 )
 
-// mergeInAnyOrder merges messages in their order, shuffled with some repeated, and through two other states as between
-// processes; the three states must hold the same.
+// mergeInAnyOrder merges the same messages in three ways: in order, shuffled with repetitions, and through two other
+// states that relay them. The resulting states must be equal.
 func mergeInAnyOrder(t *testing.T, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	messages, now := randomMessages(t, r)
@@ -43,7 +43,7 @@
 		}
 	}
 	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(tree); a != b || a != c {
-		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%sover a tree:\n%s", a, b, c)
+		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%srelayed:\n%s", a, b, c)
 	}
 	return nil
 }
@@ -60,8 +60,8 @@
 	)
 }
 
-// mergeOutdated merges outdated cells after newer ones: of an earlier incarnation, of an earlier sequence, two bodies
-// of one sequence, a late copy whose successor has expired, and one that is too old on arrival.
+// mergeOutdated merges outdated cells after newer ones: a cell of an earlier incarnation, one of an earlier sequence,
+// two bodies with the same sequence, a late copy whose successor has expired, and a cell that is too old on arrival.
 func mergeOutdated(t *testing.T) error {
 	body := func(n float64) []byte {
 		stats := classStats{long: decayedCounts{sums: Sums{n, n, n, n, n, n}}}
@@ -111,8 +111,8 @@
 	)
 }
 
-// A process that restarts with a lower incarnation, or whose name another process has used, starts a later incarnation
-// that all holders accept.
+// A process that restarts with a lower incarnation, or whose name another process has used, starts a later incarnation,
+// which all other processes accept.
 func TestOwnNameFromOthersStartsALaterIncarnation(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error {
 		before, other := newState(t, smallSettings(), "p", 9), newState(t, smallSettings(), "q", 1)
@@ -150,8 +150,8 @@
 	}
 }
 
-// FuzzMessages: no bytes cause a panic, and a message that is rejected changes nothing. The seeds are valid messages and
-// cut ones.
+// FuzzMessages checks that no input causes a panic, and that a rejected message does not change the state. The seeds are
+// valid and truncated messages.
 func FuzzMessages(f *testing.F) {
 	messages, now := randomMessages(f, rand.New(rand.NewPCG(3, 3)))
 	for _, m := range messages[:20] {
@@ -172,7 +172,7 @@
 				}
 			}
 			if err := s.Merge(now, m); err != nil && (remoteText(s) != before || fmt.Sprint(s.Views(now)) != views) {
-				t.Fatalf("changed by a message that was rejected: %v", err)
+				t.Fatalf("a rejected message changed the state: %v", err)
 			}
 			if err := s.Check(); err != nil {
 				t.Fatal(err)
--- a/internal/nodestats/recorded_test.go
+++ b/internal/nodestats/recorded_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
-// recordedFleet is several states that exchange messages under seeded events.
+// recordedFleet consists of several states that exchange messages. The events are generated from a seed.
 type recordedFleet struct {
 	t      *testing.T
 	script recorded.Script
@@ -21,10 +21,10 @@
 	names  []string
 	states map[string]*State
 	now    time.Duration
-	recent [][]byte // cell messages that may be delivered late, again or damaged
+	recent [][]byte // recent messages with cells, which may be delivered late, repeatedly or damaged
 }
 
-// restart begins a process's life of the given incarnation.
+// restart starts a process with the given incarnation.
 func (f *recordedFleet) restart(name string, incarnation uint64) {
 	s, err := New(f.set, name, incarnation)
 	if err != nil {
@@ -36,8 +36,8 @@
 
 func (f *recordedFleet) pick() *State { return f.states[f.names[f.rand.IntN(len(f.names))]] }
 
-// observe records outcomes, some of them invalid, of nodes and classes beyond the bounds too. Service times change with
-// time, so that recorders reset.
+// observe records outcomes, some of which are invalid or of nodes and classes beyond the limits. Service times change
+// over time, so that recorders are reset.
 func (f *recordedFleet) observe(s *State) {
 	level := 4.0
 	if f.now/(20*time.Second)%2 == 1 {
@@ -67,7 +67,7 @@
 	s.SetListVersion(f.now, int64(1+f.now/(15*time.Second)))
 }
 
-// exchange sends one process's digest to another, and the cells that the answer holds back.
+// exchange sends the digest of one process to another, and the cells of the reply back.
 func (f *recordedFleet) exchange(from, to *State) {
 	digest := from.Digest(f.now)
 	sender, err := DigestSender(digest)
@@ -83,7 +83,7 @@
 	f.recent = f.recent[max(0, len(f.recent)-64):]
 }
 
-// deliverFaulty delivers an earlier message again, whole or damaged.
+// deliverFaulty delivers an earlier message again, unchanged or damaged.
 func (f *recordedFleet) deliverFaulty(to *State) {
 	if len(f.recent) == 0 {
 		return
@@ -102,7 +102,7 @@
 	f.script.Add("late", len(m), err == nil, diffErr == nil)
 }
 
-// recordState adds all that a state shows.
+// recordState adds the counts, views and list versions of a state to the script.
 func (f *recordedFleet) recordState(s *State) {
 	c := s.Counts()
 	f.script.Add("counts", c.Messages, c.Bytes, c.NewCells, c.DuplicateCells, c.OutdatedCells, c.ExpiredCells, c.Unreadable,
@@ -127,7 +127,7 @@
 func (f *recordedFleet) step() {
 	f.now += time.Duration(f.rand.IntN(2000)) * time.Millisecond
 	if f.rand.IntN(100) == 0 {
-		f.now += f.set.ExpireAfter * 3 / 4 // a pause in which some of the cells expire
+		f.now += f.set.ExpireAfter * 3 / 4 // some of the cells expire
 	}
 	first, second := f.pick(), f.pick()
 	switch f.rand.IntN(12) {
@@ -140,7 +140,7 @@
 	case 5:
 		f.setHealth(first)
 	case 6:
-		if f.rand.IntN(10) == 0 { // sometimes with an incarnation that is lower than the last one
+		if f.rand.IntN(10) == 0 { // the incarnation may be lower than the previous one
 			f.restart(f.names[f.rand.IntN(len(f.names))], uint64(f.rand.IntN(1+int(f.now/time.Second))))
 		}
 	default:
@@ -148,7 +148,7 @@
 	}
 }
 
-// The messages, merged states and views of a fleet under seeded events are those of the recording.
+// The messages, merged states and views of a fleet with seeded events are equal to the recorded ones.
 func TestRecordedFleetStates(t *testing.T) {
 	var sum Counts
 	for seed := range 8 {
@@ -180,6 +180,6 @@
 	}
 	if sum.Resets == 0 || sum.Invalid == 0 || sum.OverLimit == 0 || sum.Unreadable == 0 || sum.LaterVersion == 0 ||
 		sum.OutdatedCells == 0 || sum.DuplicateCells == 0 {
-		t.Errorf("the script left something out: %+v", sum)
+		t.Errorf("a kind of event did not occur: %+v", sum)
 	}
 }
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if _, err := New(Defaults(), "", 1); err == nil {
-		t.Error("a process without a name")
+		t.Error("an empty process name was accepted")
 	}
 }
 
--- a/internal/nodestats/views_test.go
+++ b/internal/nodestats/views_test.go
@@ -11,8 +11,8 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// mergeFaultyOrigin merges three to five correct processes and one that reports anything at all. Its weight is at most
-// the clip factor of the median, and the mean and the 99th percentile stay within the clip factor of the correct ones.
+// mergeFaultyOrigin merges the reports of two to four correct processes and of one that reports arbitrary values. Its
+// weight must be clipped, and the means and the 99th percentile must stay near those of the correct processes.
 func mergeFaultyOrigin(t *testing.T, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 2))
 	set := smallSettings()
@@ -42,15 +42,15 @@
 		return fmt.Errorf("not clipped: weight %v over %v of the correct ones, each at most %v", v.Sums.N, total, largest)
 	case v.Sums.Y/v.Sums.N > 11*c || math.Sqrt(v.Sums.YY/v.Sums.N) > 11*c+1 || v.Sums.X/v.Sums.N > 2*c:
 		return fmt.Errorf("not clipped: sums %+v", v.Sums)
-	case p99 > 11*c*25: // the root mean square of a faulty origin is clipped, not its largest value
+	case p99 > 11*c*25: // clipping limits the root mean square of a faulty origin, not its largest value
 		return fmt.Errorf("not clipped: 99th percentile %v", p99)
 	case !v.Sums.plausible():
-		return fmt.Errorf("no observations have such sums: %+v", v.Sums)
+		return fmt.Errorf("sums are inconsistent: %+v", v.Sums)
 	}
 	return nil
 }
 
-// faultyMessages are those of a process that reports random weights, units and times.
+// faultyMessages returns the messages of a process that reports random weights, units and times.
 func faultyMessages(t *testing.T, r *rand.Rand, set Settings, k Key, end time.Duration) [][]byte {
 	faulty := newState(t, set, "bad", 1)
 	recorder := faulty.Recorder(0, k)
@@ -71,7 +71,8 @@
 	mutant.Found(t, mutant.Mutant{File: "clip.go", Old: "	if len(weights) < minOriginsToClip {", New: "	if true {", Want: "not clipped: "})
 }
 
-// A node replaced under its name starts as unknown: the views hold nothing of another run, by this process or by others.
+// After a node was replaced by another one of the same name, the views contain no statistics of the earlier run, neither
+// from this process nor from others.
 func TestReplacedNodeStartsAsUnknown(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error {
 		s, p := newState(t, smallSettings(), "me", 1), newState(t, smallSettings(), "p", 1)
@@ -97,7 +98,8 @@
 		Want: "requests of an earlier run in the views"})
 }
 
-// A receiver decays by an age for which no clocks are compared, and drops what was not renewed.
+// A receiver decays statistics by the age in the message, also if the processes' clocks differ, and drops cells that are
+// not updated.
 func TestReceiverAgesCellsWithoutComparingClocks(t *testing.T) {
 	set := smallSettings()
 	p, q := newState(t, set, "p", 1), newState(t, set, "q", 1)
@@ -117,8 +119,8 @@
 	}
 }
 
-// List versions merge by origin: the later one of each counts, in any order. Processes that have left, and those that
-// reported nothing for ExpireAfter, do not count as behind.
+// The latest list version of each origin is used, in whatever order the messages arrive. Processes that have left, and
+// those that reported nothing for ExpireAfter, do not count as behind.
 func TestListVersionsByProcess(t *testing.T) {
 	set := smallSettings()
 	s := newState(t, set, "me", 1)
