--- a/internal/cost/bench_test.go
+++ b/internal/cost/bench_test.go
@@ -10,13 +10,13 @@
 )
 
 func plansOf64Steps() []Plan {
-	var many []Step
+	var reads []Step
 	for i := range 64 {
-		many = append(many, readStep(fmt.Sprintf("n-%02d", i%12), i%12/3, float64(1+i%7)))
+		reads = append(reads, readStep(fmt.Sprintf("n-%02d", i%12), i%12/3, float64(1+i%7)))
 	}
-	quorum := &Quorum{2, many[:4]}
-	return []Plan{{Name: "then", Root: Step{Then: many}}, {Name: "all", Root: Step{All: many}},
-		{Name: "mixed", Root: Step{Then: []Step{{All: many[:30]}, {Any: many[:30]}, {Of: quorum}}}}}
+	quorum := &Quorum{2, reads[:4]}
+	return []Plan{{Name: "then", Root: Step{Then: reads}}, {Name: "all", Root: Step{All: reads}},
+		{Name: "mixed", Root: Step{Then: []Step{{All: reads[:30]}, {Any: reads[:30]}, {Of: quorum}}}}}
 }
 
 // Target: under 100 µs.
@@ -34,10 +34,10 @@
 // The largest input, 256 plans of 1,024 steps, in the form that takes the most time.
 func BenchmarkLargestQuestion(b *testing.B) {
 	e := newEstimator(b, fleetViews())
-	many := plansOf64Steps()[0].Root.Then
+	reads := plansOf64Steps()[0].Root.Then
 	var quorums []Step
 	for range 60 {
-		quorums = append(quorums, Step{Of: &Quorum{8, many[:16]}})
+		quorums = append(quorums, Step{Of: &Quorum{8, reads[:16]}})
 	}
 	plans := slices.Repeat([]Plan{{Name: "a", Root: Step{All: quorums}}}, PlansMost)
 	for b.Loop() {
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -62,7 +62,7 @@
 	return Step{Work: &Work{Shard: shard, Class: class, Units: units, Node: node}}
 }
 
-func estimatePlans(t testing.TB, e *Estimator, deadline time.Duration, roots ...Step) Ranking {
+func estimateRoots(t testing.TB, e *Estimator, deadline time.Duration, roots ...Step) Ranking {
 	t.Helper()
 	var plans []Plan
 	for i, root := range roots {
@@ -82,9 +82,9 @@
 // An estimate contains the units, the delay by the rate limit, the units in slow start, the quantiles, the probability
 // of being served, the queueing time, and the basis.
 func TestEstimateReportsLimitsLoadAndBasis(t *testing.T) {
-	set := Defaults(class, "write")
-	set.Limits = map[string]Rate{"gold": {PerSecond: 100, Burst: 10}}
-	e, err := New(set)
+	settings := Defaults(class, "write")
+	settings.Limits = map[string]Rate{"gold": {PerSecond: 100, Burst: 10}}
+	e, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,16 +131,16 @@
 }
 
 // sampleEnd draws a completion time of a step from the lognormal distributions of its reads.
-func sampleEnd(e *Estimator, s *Step, rng *rand.Rand) float64 {
+func sampleEnd(e *Estimator, s *Step, random *rand.Rand) float64 {
 	if s.Work != nil {
 		e.totals = planTotals{}
 		var d distribution
 		_ = e.estimateWork(s.Work, &stepPath{}, &d)
 		d.variance += d.standardErr * d.standardErr
-		sd := math.Sqrt(d.variance)
-		c := cvOfSkewness(d.thirdCumulant / (d.variance * sd))
-		g := math.Sqrt(math.Log1p(c * c))
-		return max(d.mean+sd*math.Expm1(g*rng.NormFloat64()-g*g/2)/c, 0)
+		deviation := math.Sqrt(d.variance)
+		cv := cvOfSkewness(d.thirdCumulant / (d.variance * deviation))
+		sigma := math.Sqrt(math.Log1p(cv * cv))
+		return max(d.mean+deviation*math.Expm1(sigma*random.NormFloat64()-sigma*sigma/2)/cv, 0)
 	}
 	steps, k := s.Then, 0
 	switch {
@@ -154,7 +154,7 @@
 	var ends []float64
 	sum := 0.0
 	for i := range steps {
-		v := sampleEnd(e, &steps[i], rng)
+		v := sampleEnd(e, &steps[i], random)
 		ends, sum = append(ends, v), sum+v
 	}
 	if s.Then != nil {
@@ -172,34 +172,34 @@
 		scaleSums(&views[i].Sums, 1000)
 	}
 	e := newEstimator(t, views)
-	many := func(n int) (s []Step) {
+	reads := func(n int) (s []Step) {
 		for i := range n {
 			s = append(s, readStep(fmt.Sprintf("n-%02d", i%12), i%12/3, float64(1+i%7)))
 		}
 		return s
 	}
 	for name, root := range map[string]Step{
-		"one": readStep("n-01", 0, 4), "then 16": {Then: many(16)}, "all 2": {All: many(2)}, "all 64": {All: many(64)}, "any 2": {Any: many(2)},
-		"any 12": {Any: many(12)}, "2 of 3": {Of: &Quorum{2, many(3)}}, "8 of 12": {Of: &Quorum{8, many(12)}},
-		"all of thens": {All: []Step{{Then: many(4)}, {Then: many(6)}, {Any: many(5)}}},
-		"then of alls": {Then: []Step{{All: many(8)}, {Any: many(3)}, {All: many(20)}}},
+		"one": readStep("n-01", 0, 4), "then 16": {Then: reads(16)}, "all 2": {All: reads(2)}, "all 64": {All: reads(64)}, "any 2": {Any: reads(2)},
+		"any 12": {Any: reads(12)}, "2 of 3": {Of: &Quorum{2, reads(3)}}, "8 of 12": {Of: &Quorum{8, reads(12)}},
+		"all of thens": {All: []Step{{Then: reads(4)}, {Then: reads(6)}, {Any: reads(5)}}},
+		"then of alls": {Then: []Step{{All: reads(8)}, {Any: reads(3)}, {All: reads(20)}}},
 	} {
-		a := estimatePlans(t, e, 0, root).Plans[0]
-		rng := rand.New(rand.NewPCG(7, 7))
+		a := estimateRoots(t, e, 0, root).Plans[0]
+		random := rand.New(rand.NewPCG(7, 7))
 		ends := make([]float64, 40000)
 		mean := 0.0
 		for i := range ends {
-			ends[i] = sampleEnd(e, &root, rng)
+			ends[i] = sampleEnd(e, &root, random)
 			mean += ends[i] / float64(len(ends))
 		}
 		slices.Sort(ends)
-		worst := math.Abs(a.Mean/mean - 1)
+		maxError := math.Abs(a.Mean/mean - 1)
 		for p, got := range map[float64]float64{0.05: a.Low, 0.5: a.P50, 0.9: a.P90, 0.95: a.High, 0.99: a.P99} {
-			worst = max(worst, math.Abs(got/ends[int(p*float64(len(ends)))]-1))
+			maxError = max(maxError, math.Abs(got/ends[int(p*float64(len(ends)))]-1))
 		}
-		t.Logf("%-14s worst of mean, p5, p50, p90, p95, p99: %.1f%%", name, 100*worst)
-		if worst > 0.06 {
-			t.Errorf("%s: error of %.1f%%: %+v, simulated mean %.2f p5 %.2f p50 %.2f p99 %.2f", name, 100*worst, a, mean,
+		t.Logf("%-14s largest error of mean, p5, p50, p90, p95, p99: %.1f%%", name, 100*maxError)
+		if maxError > 0.06 {
+			t.Errorf("%s: error of %.1f%%: %+v, simulated mean %.2f p5 %.2f p50 %.2f p99 %.2f", name, 100*maxError, a, mean,
 				ends[2000], ends[20000], ends[39600])
 		}
 	}
@@ -209,7 +209,7 @@
 func TestSimilarNodesAreDistinguishedOnlyWithEnoughAnswers(t *testing.T) {
 	for n, want := range map[float64]int{3: 1, 4000: 0} {
 		e := newEstimator(t, []nodestats.View{viewOfNode("a", "t", 0, n, 10, 1), viewOfNode("b", "t", 0, n, 12, 2), viewOfNode("c", "t", 0, n, 11, 2)})
-		r := estimatePlans(t, e, 0, readStep("a", 0, 4), readStep("b", 0, 4))
+		r := estimateRoots(t, e, 0, readStep("a", 0, 4), readStep("b", 0, 4))
 		if len(r.Plans[0].Alike) != want || n > 1000 && r.Plans[0].Name != "0" {
 			t.Errorf("%g answers: %+v", n, r)
 		}
@@ -237,8 +237,8 @@
 	}
 	e := newEstimator(t, fleetViews())
 	for _, question := range []struct {
-		text, code, names string
-		schemaRejects     bool // of invalid inputs: the schema rejects it too
+		text, code, contains string
+		schemaRejects        bool // of invalid inputs: the schema rejects it too
 	}{
 		{`{"plans":[{"name":"a","root":` + step + `},{"name":"b","root":{"of":{"k":1,"steps":[` + step + `,{"ref":"x"}]}}}],"steps":{"x":{"any":[` + step + `]}},"deadline_ms":90}`, "", "", true},
 		{`{"plans":`, "cost-bad-plans", "JSON", true},
@@ -273,8 +273,8 @@
 		switch {
 		case question.code == "" && (err != nil || len(plans) != 2 || deadline != 90*time.Millisecond):
 			t.Errorf("%.200s: %v %v", question.text, deadline, err)
-		case question.code != "" && (!errors.As(err, &coded) || coded.Code() != question.code || !strings.Contains(err.Error(), question.names)):
-			t.Errorf("%.200s: %v, want %s with %q", question.text, err, question.code, question.names)
+		case question.code != "" && (!errors.As(err, &coded) || coded.Code() != question.code || !strings.Contains(err.Error(), question.contains)):
+			t.Errorf("%.200s: %v, want %s with %q", question.text, err, question.code, question.contains)
 		}
 		if len(question.text) > 1<<16 || strings.Contains(question.text, "1e999") {
 			continue // the validator's parser does not accept these
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -28,7 +28,7 @@
 	// work. If it returns false, Estimate fails with a TimeoutError.
 	Between func() bool
 
-	selectViews func(views []nodestats.View, most int) ([]nodestats.View, int) // latestViews; tests replace it and separation by faulty functions
+	selectViews func(views []nodestats.View, maxViews int) ([]nodestats.View, int) // latestViews; tests replace it and separation by faulty functions
 	separation  func(a, b *Answer) float64
 
 	stack      []distribution
--- a/internal/cost/models.go
+++ b/internal/cost/models.go
@@ -15,8 +15,8 @@
 	unservedPriorWeight = 20.0 // attempts at which a node's own failure rate counts as much as its type's
 	minMillis           = 1e-6
 	minAnswers          = 1e-9
-	maxMean             = 1e9 // of the units and the milliseconds of a view
-	minScatter          = 1e-9
+	maxMean             = 1e9  // of the units and the milliseconds of a view
+	minScatter          = 1e-9 // relative scatter of the units below which no slope is estimated
 	maxCV               = 10.0
 )
 
@@ -63,6 +63,7 @@
 	byType         []typeMean
 }
 
+// typeMean is the mean over the nodes of a type, with its weight and its credibility against the fleet's mean.
 type typeMean struct{ mean, credibility, weight float64 }
 
 // fitCredibility estimates the variances and means from the means of nodes. The coefficients of variation between nodes
@@ -87,8 +88,8 @@
 	var numerator, denominator float64
 	for _, node := range nodeMeans {
 		if typeCounts[node.typ] > 1 && typeWeights[node.typ] > 0 {
-			d := node.mean - typeSums[node.typ]/typeWeights[node.typ]
-			numerator += node.weight * d * d
+			deviation := node.mean - typeSums[node.typ]/typeWeights[node.typ]
+			numerator += node.weight * deviation * deviation
 		}
 	}
 	for t := range types {
@@ -101,9 +102,9 @@
 	var credibilitySum, credibilitySquares, meanOfTypes float64
 	typesSeen := 0
 	for _, node := range nodeMeans {
-		z := credibilityFactor(node.weight, answerVariance, model.nodeVariance)
-		model.byType[node.typ].weight += z
-		model.byType[node.typ].mean += z * node.mean
+		credibility := credibilityFactor(node.weight, answerVariance, model.nodeVariance)
+		model.byType[node.typ].weight += credibility
+		model.byType[node.typ].mean += credibility * node.mean
 	}
 	for t := range model.byType {
 		if group := &model.byType[t]; group.weight > 0 {
@@ -339,16 +340,18 @@
 	unserved, attempts := make([]float64, types), make([]float64, types)
 	var fleetUnserved, fleetAttempts float64
 	for _, sample := range samples {
-		b, n := count(sample)
-		unserved[sample.typ] += b
+		failures, n := count(sample)
+		unserved[sample.typ] += failures
 		attempts[sample.typ] += n
-		fleetUnserved, fleetAttempts = fleetUnserved+b, fleetAttempts+n
+		fleetUnserved, fleetAttempts = fleetUnserved+failures, fleetAttempts+n
+	}
+	shrink := func(failures, n, prior float64) float64 {
+		return (failures + unservedPriorWeight*prior) / (n + unservedPriorWeight)
 	}
-	shrink := func(b, n, prior float64) float64 { return (b + unservedPriorWeight*prior) / (n + unservedPriorWeight) }
 	fleetRate := shrink(fleetUnserved, fleetAttempts, settings.Prior.FailureRate)
 	return func(sample nodeSample) float64 {
-		b, n := count(sample)
-		return 1 - min(max(shrink(b, n, shrink(unserved[sample.typ], attempts[sample.typ], fleetRate)), 0), 1)
+		failures, n := count(sample)
+		return 1 - min(max(shrink(failures, n, shrink(unserved[sample.typ], attempts[sample.typ], fleetRate)), 0), 1)
 	}
 }
 
--- a/internal/cost/parse.go
+++ b/internal/cost/parse.go
@@ -17,7 +17,7 @@
 //go:embed plans.schema.json
 var Schema []byte
 
-const maxDeadlineMs = 86400000.0 // ms
+const maxDeadlineMs = 86400000.0
 
 // parser parses one input.
 type parser struct {
--- a/internal/cost/properties_test.go
+++ b/internal/cost/properties_test.go
@@ -140,10 +140,10 @@
 	property := func(estimate func(p *credibilityModel, c nodeMean) (float64, float64, float64)) func(t *rapid.T) error {
 		return func(t *rapid.T) error {
 			var nodeMeans []nodeMean
-			for range rapid.IntRange(2, 20).Draw(t, "cells") {
-				nodeMeans = append(nodeMeans, nodeMean{rapid.IntRange(0, 2).Draw(t, "type"), rapid.Float64Range(0.1, 100).Draw(t, "w"), rapid.Float64Range(1, 100).Draw(t, "mean")})
+			for range rapid.IntRange(2, 20).Draw(t, "nodes") {
+				nodeMeans = append(nodeMeans, nodeMean{rapid.IntRange(0, 2).Draw(t, "type"), rapid.Float64Range(0.1, 100).Draw(t, "weight"), rapid.Float64Range(1, 100).Draw(t, "mean")})
 			}
-			p := fitCredibility(nodeMeans, 4, rapid.Float64Range(0, 100).Draw(t, "within"), 0.02, 0.5)
+			p := fitCredibility(nodeMeans, 4, rapid.Float64Range(0, 100).Draw(t, "answer variance"), 0.02, 0.5)
 			own, lastDistance, lastCredibility, lastVariance := rapid.Float64Range(1, 100).Draw(t, "own"), math.Inf(1), -1.0, math.Inf(1)
 			typ := rapid.IntRange(0, 3).Draw(t, "of type")
 			for w := 0.0; w < 1e9; w = 4*w + 0.01 {
@@ -218,7 +218,7 @@
 
 // checkAnswerInvariants estimates drawn plans with drawn views and checks that no value is NaN or infinite, that the
 // order of the views does not matter, that the order of the plans is total, and that Alike is symmetric.
-func checkAnswerInvariants(t *rapid.T, change func(e *Estimator)) error {
+func checkAnswerInvariants(t *rapid.T, mutate func(e *Estimator)) error {
 	views := fleetViews()
 	for range rapid.IntRange(0, 12).Draw(t, "views") {
 		views = append(views, drawView(t))
@@ -227,8 +227,8 @@
 	if onlyDrawn {
 		views = views[12:]
 	}
-	set := Defaults(class)
-	set.Shards = 4
+	settings := Defaults(class)
+	settings.Shards = 4
 	var plans []Plan
 	for i := range rapid.IntRange(1, 5).Draw(t, "plans") {
 		s := drawStep(t, 2)
@@ -237,11 +237,11 @@
 		}
 		plans = append(plans, Plan{Name: fmt.Sprint(i), Root: s})
 	}
-	e, err := New(set)
+	e, err := New(settings)
 	if err != nil {
 		return err
 	}
-	change(e)
+	mutate(e)
 	estimate := func(views []nodestats.View) (Ranking, error) {
 		e.Learn(views)
 		return e.Estimate(plans, time.Second)
@@ -276,25 +276,25 @@
 			t.Fatal(err)
 		}
 	})
-	for name, m := range map[string]struct {
-		change func(e *Estimator)
+	for name, mutant := range map[string]struct {
+		mutate func(e *Estimator)
 		want   string
 	}{
 		"latestViews does not sort": {func(e *Estimator) {
-			e.selectViews = func(views []nodestats.View, _ int) (kept []nodestats.View, dropped int) {
+			e.selectViews = func(views []nodestats.View, _ int) (selected []nodestats.View, dropped int) {
 				for i := range views {
 					if plausible(&views[i]) {
-						kept = append(kept, views[i])
+						selected = append(selected, views[i])
 					}
 				}
-				return kept, 0
+				return selected, 0
 			}
 		}, "in another order"},
 		"latestViews accepts implausible views": {func(e *Estimator) {
 			e.selectViews = func(views []nodestats.View, _ int) ([]nodestats.View, int) {
-				kept := slices.Clone(views)
-				slices.SortStableFunc(kept, compareViews)
-				return kept, 0
+				selected := slices.Clone(views)
+				slices.SortStableFunc(selected, compareViews)
+				return selected, 0
 			}
 		}, "not finite"},
 		"standardErrorsBetween ignores one standard error": {func(e *Estimator) {
@@ -303,8 +303,8 @@
 	} {
 		found := false
 		for seed := 0; seed < 200 && !found; seed++ {
-			err := rapid.Custom(func(t *rapid.T) error { return checkAnswerInvariants(t, m.change) }).Example(seed)
-			found = err != nil && strings.Contains(err.Error(), m.want)
+			err := rapid.Custom(func(t *rapid.T) error { return checkAnswerInvariants(t, mutant.mutate) }).Example(seed)
+			found = err != nil && strings.Contains(err.Error(), mutant.want)
 		}
 		if !found {
 			t.Errorf("mutant not detected: %s", name)
