--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -13,8 +13,8 @@
 	"wheatsaddle/internal/operr"
 )
 
-// mergeInAnyOrder merges messages in their order, shuffled with some repeated, and through two other states as between
-// processes; the three states must hold the same.
+// mergeInAnyOrder merges the same messages in three ways: in order, shuffled with repetitions, and through two other
+// states that relay them. The resulting states must be equal.
 func mergeInAnyOrder(t *testing.T, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	messages, now := randomMessages(t, r)
@@ -43,7 +43,7 @@
 		}
 	}
 	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(tree); a != b || a != c {
-		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%sover a tree:\n%s", a, b, c)
+		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%srelayed:\n%s", a, b, c)
 	}
 	return nil
 }
@@ -54,14 +54,14 @@
 	checkRandomSeeds(t, property)
 	mutant.Found(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "the states differ"},
-		mutant.Mutant{File: "merge.go", Old: "held != nil && received.seq < held.seq:", New: "false:", Want: "the states differ"},
+		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "the states differ"},
 		mutant.Mutant{File: "cells.go", Old: "	if excess <= 0 {", New: "	if true {", Want: "invariant: origin "},
 		mutant.Mutant{File: "merge.go", Old: "	if len(s.remote) >= s.settings.MaxOrigins {\n		last", New: "	if false {\n		last", Want: "invariant: "},
 	)
 }
 
-// mergeOutdated merges outdated cells after newer ones: of an earlier incarnation, of an earlier sequence, two bodies
-// of one sequence, a late copy whose successor has expired, and one that is too old on arrival.
+// mergeOutdated merges outdated cells after newer ones: a cell of an earlier incarnation, one of an earlier sequence,
+// two bodies with the same sequence, a late copy whose successor has expired, and a cell that is too old on arrival.
 func mergeOutdated(t *testing.T) error {
 	body := func(n float64) []byte {
 		stats := classStats{long: decayedCounts{sums: Sums{n, n, n, n, n, n}}}
@@ -104,15 +104,15 @@
 	checkSeeds(t, 1, func(uint64) error { return mergeOutdated(t) })
 	mutant.Found(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "earlier incarnation: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "held != nil && received.seq < held.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "case held == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
-		mutant.Mutant{File: "merge.go", Old: "case held != nil && received.seq == held.seq && bytes.Compare(received.body, held.body) <= 0:", New: "case false:",
+		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
+		mutant.Mutant{File: "merge.go", Old: "case stored == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
+		mutant.Mutant{File: "merge.go", Old: "case stored != nil && received.seq == stored.seq && bytes.Compare(received.body, stored.body) <= 0:", New: "case false:",
 			Want: "same sequence: 10 requests"},
 	)
 }
 
-// A process that restarts with a lower incarnation, or whose name another process has used, starts a later incarnation
-// that all holders accept.
+// A process that restarts with a lower incarnation, or whose name another process has used, starts a later incarnation,
+// which all other processes accept.
 func TestOwnNameFromOthersStartsALaterIncarnation(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error {
 		before, other := newState(t, smallSettings(), "p", 9), newState(t, smallSettings(), "q", 1)
@@ -150,8 +150,8 @@
 	}
 }
 
-// FuzzMessages: no bytes cause a panic, and a message that is rejected changes nothing. The seeds are valid messages and
-// cut ones.
+// FuzzMessages checks that no input causes a panic, and that a rejected message does not change the state. The seeds are
+// valid and truncated messages.
 func FuzzMessages(f *testing.F) {
 	messages, now := randomMessages(f, rand.New(rand.NewPCG(3, 3)))
 	for _, m := range messages[:20] {
@@ -172,7 +172,7 @@
 				}
 			}
 			if err := s.Merge(now, m); err != nil && (remoteText(s) != before || fmt.Sprint(s.Views(now)) != views) {
-				t.Fatalf("changed by a message that was rejected: %v", err)
+				t.Fatalf("a rejected message changed the state: %v", err)
 			}
 			if err := s.Check(); err != nil {
 				t.Fatal(err)
