--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/policy"
 )
 
-// execute executes one action of the module.
+// execute carries out one action of the decision module.
 func (c *Core) execute(a *policy.Action, now float64) {
 	switch a.Kind {
 	case policy.Send:
@@ -31,53 +31,56 @@
 	}
 }
 
-// rejectRequest answers a request that the module rejects. While the process starts, the StartLimiter sets Retry-After.
+// rejectRequest answers a request that the decision module rejects. While the process starts, the StartLimiter sets
+// Retry-After.
 func (c *Core) rejectRequest(a *policy.Action) {
-	e := c.requests[a.ID]
-	if e == nil {
+	state := c.requests[a.ID]
+	if state == nil {
 		return
 	}
 	wait := time.Duration(a.Wait * float64(time.Millisecond))
-	if st := c.startLimiter(); st != nil {
-		wait = st.RetryAfter(c.nodeOfShard(e.request.Shard), wait)
+	if limiter := c.startLimiter(); limiter != nil {
+		wait = limiter.RetryAfter(c.nodeOfShard(state.request.Shard), wait)
 	}
-	c.answer(e, Answer{Kind: Rejected, RetryAfter: wait})
-	c.forgetEnded(e)
+	c.answer(state, Answer{Kind: Rejected, RetryAfter: wait})
+	c.forgetEnded(state)
 }
 
-// failRequest answers a request that the module fails; past its deadline the cause is CauseDeadlineExceeded.
+// failRequest answers a request that the decision module fails. The cause is CauseDeadlineExceeded if the request's
+// deadline has passed, and CauseNotServed otherwise.
 func (c *Core) failRequest(a *policy.Action, now float64) {
-	e := c.requests[a.ID]
-	if e == nil {
+	state := c.requests[a.ID]
+	if state == nil {
 		return
 	}
 	cause := CauseNotServed
-	if now >= e.request.Deadline {
+	if now >= state.request.Deadline {
 		cause = CauseDeadlineExceeded
 	}
-	c.answer(e, Answer{Kind: Failed, Cause: cause})
-	c.forgetEnded(e)
+	c.answer(state, Answer{Kind: Failed, Cause: cause})
+	c.forgetEnded(state)
 }
 
-// cancelAttempt cancels an attempt at its node client; an attempt without one has ended already.
+// cancelAttempt cancels an attempt through its node client. An attempt without a node client has already ended.
 func (c *Core) cancelAttempt(a *policy.Action) {
-	e := c.requests[a.ID]
-	if e == nil || a.Attempt < 0 || a.Attempt >= len(e.attempts) {
+	state := c.requests[a.ID]
+	if state == nil || a.Attempt < 0 || a.Attempt >= len(state.attempts) {
 		return
 	}
-	t := e.attempts[a.Attempt]
-	if t.client != nil {
-		t.client.Cancel(t)
+	attempt := state.attempts[a.Attempt]
+	if attempt.client != nil {
+		attempt.client.Cancel(attempt)
 	}
 }
 
-// checkHealth checks a node's health. If nothing can be sent, the next step reports that to the module.
+// checkHealth starts a health check of a node. If none can be sent, the decision module receives a failed check in the
+// next step.
 func (c *Core) checkHealth(node string) {
-	answered := func(r Result, took time.Duration) {
-		c.post(healthCheckResult{node, r, took})
+	answered := func(r Result, latency time.Duration) {
+		c.post(healthCheckResult{node, r, latency})
 	}
-	p, ok := c.clients[node]
-	if !ok || !p.CheckHealth(answered) {
+	client, ok := c.clients[node]
+	if !ok || !client.CheckHealth(answered) {
 		c.events = append(c.events, policy.Event{Kind: policy.HealthCheckEnded, Node: node, Status: policy.ConnectFailed})
 	}
 }
--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	mailboxSize = 4096      // messages; arrivals at a full mailbox are rejected
-	controlSize = 64        // updates of the list and calls of operators
-	maxBatch    = 1024      // messages handled in one iteration
+	mailboxSize = 4096      // messages; requests that arrive while the mailbox is full are rejected
+	controlSize = 64        // list updates and operators' calls
+	maxBatch    = 1024      // messages handled in one iteration of the event loop
 	idleWait    = time.Hour // maximum wait while no timer is set
-	// timerRounding is added to a timer's time, which is rounded to microseconds, so that it is past when the loop wakes.
+	// timerRounding is added to the wake-up time of the event loop. Timer times are rounded to microseconds, and without
+	// the addition the loop could wake up just before the timer is due.
 	timerRounding = 2 * time.Microsecond
 )
 
-// post sends a message to the actor, and waits while the mailbox is full; after the actor's end it is dropped. It must not
-// be called in the actor.
+// post sends a message to the actor. It blocks while the mailbox is full. If the actor has ended, the message is dropped.
+// It must not be called in the actor.
 func (c *Core) post(m message) {
 	select {
 	case c.mailbox <- m:
@@ -27,8 +28,8 @@
 	}
 }
 
-// run is the actor's loop: it waits for a message or a timer, collects the messages that wait, and handles them in one
-// iteration. At the end it fails the open requests.
+// run is the actor's event loop. It waits for a message or a timer, collects the queued messages and handles them in one
+// iteration. When the actor is stopped, run fails the open requests.
 func (c *Core) run() {
 	defer close(c.ended)
 	wake := time.NewTimer(0)
@@ -52,8 +53,8 @@
 	}
 }
 
-// idleDuration is how long the loop may wait for a message: until the first timer, and not at all while events wait for the
-// module.
+// idleDuration returns how long the event loop may wait for a message. That is until the first timer is due, or 0 while
+// events are queued for the decision module.
 func (c *Core) idleDuration() time.Duration {
 	if len(c.events) > 0 {
 		return 0
@@ -65,7 +66,7 @@
 	return max(0, time.Until(at))
 }
 
-// collectBatch adds the messages that wait to the batch, those of control first, up to maxBatch.
+// collectBatch adds the queued messages to the batch, up to maxBatch. Messages of the control channel come first.
 func (c *Core) collectBatch() {
 	for len(c.batch) < maxBatch {
 		select {
@@ -83,8 +84,9 @@
 	}
 }
 
-// iterate handles one batch in one step of the module. Updates of the list come first, so that nothing in the batch is decided
-// by an older list; the due timers fire after the messages, so that results that have arrived precede a timeout.
+// iterate handles one batch of messages and the timers that are due in one step of the decision module. List updates are
+// applied first, so that no decision of the batch uses an older list. Timers fire after the messages, so that a result
+// that has already arrived is handled before the timeout of its attempt.
 func (c *Core) iterate(now float64) {
 	defer c.applyPendingRestore()
 	for _, m := range c.batch {
@@ -96,14 +98,14 @@
 		m.handle(c, now)
 	}
 	c.fireTimers(now)
-	if now-c.lastCountMs >= countInterval {
+	if now-c.lastCountMs >= countIntervalMs {
 		c.lastCountMs = now
 		c.countNodes(now)
 	}
 	c.advance(now)
 }
 
-// advance runs the module on the events collected so far, then on the deferred arrivals.
+// advance runs the decision module on the events collected so far, and then on the deferred arrivals.
 func (c *Core) advance(now float64) {
 	if events := c.events; len(events) > 0 {
 		c.events = nil
@@ -117,7 +119,8 @@
 	c.deferred = c.deferred[:0]
 }
 
-// stepAndExecute runs the module and executes its actions; false: it panicked.
+// stepAndExecute runs one step of the decision module and carries out its actions. It returns false if the module
+// panicked.
 func (c *Core) stepAndExecute(now float64, events []policy.Event) bool {
 	if !c.step(now, events) {
 		return false
@@ -128,7 +131,8 @@
 	return true
 }
 
-// step runs the module; false: it panicked and was replaced. A fault in a decision must not end the process.
+// step runs one step of the decision module. If the module panics, step replaces it and returns false, because a fault in
+// a decision must not end the process.
 func (c *Core) step(now float64, events []policy.Event) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -139,7 +143,8 @@
 	return true
 }
 
-// restart fails the open requests and replaces the module by a new one, which starts with the current list as a cached one.
+// restart fails the open requests and replaces the decision module by a new one. The new module receives the current
+// endpoint list as a cached list.
 func (c *Core) restart(now float64, p any) {
 	c.options.Log.WithFields(operr.Fields(&PanicError{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("decision module panicked, replaced by a new one")
 	for id, e := range c.requests {
@@ -147,20 +152,20 @@
 		delete(c.requests, id)
 	}
 	c.timers = c.timers[:0]
-	for id, n := range c.nodes { // the timers of draining nodes were dropped with the others
+	for id, n := range c.nodes { // the cutoff timers of draining nodes were just dropped, so their clients are closed now
 		c.clients[id].Drain(c.exclusions.View(now, n.Node).State != policy.NodeUp)
 	}
-	mod, err := policy.New(c.options.Settings, c.options.Seed+1)
+	scheduler, err := policy.New(c.options.Settings, c.options.Seed+1)
 	if err != nil {
-		panic(fmt.Sprintf("settings that were valid are rejected: %v", err))
+		panic(fmt.Sprintf("create decision module with settings that were valid before: %v", err))
 	}
-	c.scheduler = mod
+	c.scheduler = scheduler
 	if c.handedOver {
-		mod.HandOver()
+		scheduler.HandOver()
 	}
-	stale := policy.Event{Kind: policy.CachedListLoaded}
+	cachedList := policy.Event{Kind: policy.CachedListLoaded}
 	for _, n := range c.nodes {
-		stale.Nodes = append(stale.Nodes, c.exclusions.View(now, n.Node))
+		cachedList.Nodes = append(cachedList.Nodes, c.exclusions.View(now, n.Node))
 	}
-	c.events = []policy.Event{stale}
+	c.events = []policy.Event{cachedList}
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,37 +8,40 @@
 	"wheatsaddle/policy"
 )
 
-// Attempt is one attempt of a request at one node.
+// Attempt is one attempt to have a node serve a request.
 type Attempt struct {
 	Request       *Request
 	Number        int // from 0 within the request
 	Node          string
 	Deadline      time.Time
-	StartBy       time.Time // latest time of its claim; zero: no bound but Deadline
-	sentAtMs      float64   // time of the module
-	nodeStartTime float64   // start time that the node had at the dispatch
+	StartBy       time.Time // latest time at which the attempt may be claimed; if zero, only Deadline applies
+	sentAtMs      float64   // dispatch time in the decision module's time
+	nodeStartTime float64   // start time of the node at the dispatch
 	state         *requestState
-	counts        *classCounts // nil: a class that is not counted
+	counts        *classCounts // nil if the class is not counted
 	reportOnce    sync.Once
 	client        NodeClient
-	// drainCutoff belongs to the node: a draining node accepts no new attempt after it. repeatWindow belongs to the
-	// request: none of its attempts may be claimed once the nodes would no longer deduplicate a retry.
-	drainCutoff, repeatWindow *cutoff
-	done                      func(Result)
-	// endedAtMs (time of the module; 0: not yet) and status are for the log.
+	// drainCutoff is shared by all attempts at the node. A draining node accepts no new attempt after it.
+	// dedupCutoff is shared by all attempts of the request. None of them may be claimed once the nodes would no longer
+	// deduplicate a retry.
+	drainCutoff, dedupCutoff *cutoff
+	done                     func(Result)
+	// endedAtMs and status are written to the log. endedAtMs is in the decision module's time, and 0 until the attempt
+	// has ended.
 	endedAtMs float64
 	status    policy.Status
 	phase     atomic.Int32
 }
 
-// An attempt's phases. It leaves phaseWaiting once. That decides between its write and the end of its request.
+// The phases of an attempt. An attempt leaves phaseWaiting at most once: either a node client claims it for writing, or it
+// is abandoned because its request has ended or it is too late to claim it.
 const (
 	phaseWaiting int32 = iota
 	phaseClaimed
 	phaseAbandoned
 )
 
-// NewAttempt makes an attempt whose one result goes to done.
+// NewAttempt returns an attempt that passes its result to done.
 func NewAttempt(r *Request, deadline time.Time, done func(Result)) *Attempt {
 	return &Attempt{Request: r, Deadline: deadline, done: done}
 }
@@ -49,15 +52,15 @@
 	PlanUsage, PeerUsage float64
 	Load                 *policy.Load
 	Payload              any
-	// InvalidRequest reports that the node rejected the request itself as invalid. That is final: another attempt
-	// would end the same, and it does not count against the node's health.
+	// InvalidRequest reports that the node rejected the request itself as invalid. The request is not retried, because
+	// another attempt would be rejected too, and the rejection does not count against the node's health.
 	InvalidRequest bool
 }
 
-// Claim claims the attempt for writing; a node client calls it right before the first byte. It returns false if, while
-// the attempt waited for a connection or in a mailbox, its request was answered, its client disconnected, its
-// deduplication window ended, or the cutoff of its draining node passed. Nothing of it may be written then, and the
-// node client reports it as policy.Abandoned. Further calls return the same.
+// Claim claims the attempt for writing. A node client calls it right before it writes the first byte. It returns false if
+// the request was answered, its client disconnected, the deduplication window ended or the cutoff of the draining node
+// passed while the attempt waited for a connection or in a mailbox. In that case the node client must write nothing of
+// the attempt and reports policy.Abandoned. Later calls return the same result.
 func (a *Attempt) Claim() bool {
 	if a.expired() || a.Request.clientDisconnected() {
 		a.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
@@ -65,131 +68,132 @@
 	return a.phase.CompareAndSwap(phaseWaiting, phaseClaimed) || a.phase.Load() == phaseClaimed
 }
 
-// Abandoned reports whether the attempt can no longer be claimed, so that no connection need be opened for it.
+// Abandoned reports whether the attempt can no longer be claimed. No connection needs to be opened for it then.
 func (a *Attempt) Abandoned() bool {
 	return a.phase.Load() == phaseAbandoned || a.phase.Load() == phaseWaiting && a.expired()
 }
 
-// expired reports whether a time bound of the claim has passed.
+// expired reports whether it is too late to claim the attempt.
 func (a *Attempt) expired() bool {
 	now := time.Now()
-	return !a.StartBy.IsZero() && now.After(a.StartBy) || a.drainCutoff.passed(now) || a.repeatWindow.passed(now)
+	return !a.StartBy.IsZero() && now.After(a.StartBy) || a.drainCutoff.passed(now) || a.dedupCutoff.passed(now)
 }
 
-// MarkWritten counts the attempt as written: its last byte was handed to the connection.
+// MarkWritten counts the attempt as written. It is called when the last byte was handed to the connection.
 func (a *Attempt) MarkWritten() {
 	if a.counts != nil {
 		a.counts.attempts.Add(1)
 	}
 }
 
-// Done reports the attempt's result; only the first report counts. It may wait for the core's mailbox, so
+// Done reports the attempt's result. Only the first call has an effect. It may block while the core's mailbox is full, so
 // it must not be called in the core's actor or from a NodeClient method.
 func (a *Attempt) Done(r Result) {
 	a.reportOnce.Do(func() { a.done(r) })
 }
 
-// send starts an attempt and hands it to the node's client. A request that is answered is not dispatched again.
+// send creates an attempt and passes it to the node's client. If the request is already answered, the attempt ends as
+// abandoned without being dispatched.
 func (c *Core) send(a *policy.Action, now float64) {
-	e := c.requests[a.ID]
-	if e == nil {
+	state := c.requests[a.ID]
+	if state == nil {
 		return
 	}
-	until := e.request.Deadline
+	until := state.request.Deadline
 	if a.Deadline > 0 && a.Deadline < until {
 		until = a.Deadline
 	}
-	t := c.attempt(e, a, until, now)
-	e.attempts = append(e.attempts, t)
-	e.outstanding++
-	if e.request.AttemptedNodes != nil {
-		e.request.AttemptedNodes.nodes = append(e.request.AttemptedNodes.nodes, a.Node)
+	attempt := c.newAttempt(state, a, until, now)
+	state.attempts = append(state.attempts, attempt)
+	state.outstanding++
+	if state.request.AttemptedNodes != nil {
+		state.request.AttemptedNodes.nodes = append(state.request.AttemptedNodes.nodes, a.Node)
 	}
-	p, ok := c.clients[a.Node]
+	client, ok := c.clients[a.Node]
 	if ok {
-		t.client = p
+		attempt.client = client
 		c.recordUse(a.Node, now)
 	}
-	if !ok || e.answered || !p.Send(t) {
-		c.failUnsent(t)
+	if !ok || state.answered || !client.Send(attempt) {
+		c.failUnsent(attempt)
 	}
 }
 
-// attempt makes the next attempt of a request.
-func (c *Core) attempt(e *requestState, a *policy.Action, until, now float64) *Attempt {
-	t := NewAttempt(e.request, c.wallTime(until), nil)
-	t.Number = len(e.attempts)
-	t.Node = a.Node
-	t.sentAtMs = now
-	t.nodeStartTime = c.nodes[a.Node].StartTime
-	t.state = e
-	t.counts = c.counters.of(e.request.Class)
-	t.drainCutoff = c.cutoffs[a.Node]
-	t.repeatWindow = &e.repeatWindow
+// newAttempt returns the next attempt of a request.
+func (c *Core) newAttempt(state *requestState, a *policy.Action, until, now float64) *Attempt {
+	attempt := NewAttempt(state.request, c.wallTime(until), nil)
+	attempt.Number = len(state.attempts)
+	attempt.Node = a.Node
+	attempt.sentAtMs = now
+	attempt.nodeStartTime = c.nodes[a.Node].StartTime
+	attempt.state = state
+	attempt.counts = c.counters.of(state.request.Class)
+	attempt.drainCutoff = c.cutoffs[a.Node]
+	attempt.dedupCutoff = &state.dedupCutoff
 	if a.StartBy > 0 {
-		t.StartBy = c.wallTime(a.StartBy)
-		e.repeatWindow.set(t.StartBy) // also for an earlier attempt that still waits, which would be the retry then
+		attempt.StartBy = c.wallTime(a.StartBy)
+		state.dedupCutoff.set(attempt.StartBy) // also applies to an earlier attempt that is not claimed yet: claimed later, it would be the retry
 	}
-	t.done = func(r Result) { c.post(attemptResult{t, r}) }
-	return t
+	attempt.done = func(r Result) { c.post(attemptResult{attempt, r}) }
+	return attempt
 }
 
-// failUnsent ends an attempt that no node client accepted. The next step reports it to the module, and not a message,
-// because the actor must not wait for its own mailbox.
-func (c *Core) failUnsent(t *Attempt) {
-	e := t.state
-	t.reportOnce.Do(func() {}) // its result is reported here
-	e.outstanding--
+// failUnsent ends an attempt that no node client accepted. It queues the event for the next step of the decision module
+// instead of posting a message, because the actor must not block on its own mailbox.
+func (c *Core) failUnsent(attempt *Attempt) {
+	state := attempt.state
+	attempt.reportOnce.Do(func() {}) // makes later calls of Done no-ops, as the result is reported below
+	state.outstanding--
 	status := policy.ConnectFailed
-	if e.answered {
+	if state.answered {
 		status = policy.Abandoned
 	}
 	c.events = append(c.events, policy.Event{
 		Kind:     policy.AttemptEnded,
-		ID:       e.request.ID,
-		Attempt:  t.Number,
-		Node:     t.Node,
+		ID:       state.request.ID,
+		Attempt:  attempt.Number,
+		Node:     attempt.Node,
 		Status:   status,
-		Finished: e.answered,
+		Finished: state.answered,
 	})
-	c.forgetEnded(e)
+	c.forgetEnded(state)
 }
 
-// attemptEnded handles the result of an attempt; the first served one answers the request.
-func (c *Core) attemptEnded(a *Attempt, r Result, now float64) {
-	e := a.state
-	if r.Status == policy.Abandoned && e.request.clientDisconnected() {
-		c.cancelRequest(e) // otherwise the module would dispatch it again
+// attemptEnded handles the result of an attempt. The first attempt that is served answers the request.
+func (c *Core) attemptEnded(attempt *Attempt, result Result, now float64) {
+	state := attempt.state
+	if result.Status == policy.Abandoned && state.request.clientDisconnected() {
+		c.cancelRequest(state) // otherwise the decision module would retry the request
 	}
-	e.outstanding--
-	a.endedAtMs, a.status = now, r.Status
+	state.outstanding--
+	attempt.endedAtMs, attempt.status = now, result.Status
 	if c.options.OnAttemptEnded != nil {
-		c.options.OnAttemptEnded(a.Node, int64(a.nodeStartTime), e.request.Class, e.request.Units, now-a.sentAtMs, r.Status)
+		c.options.OnAttemptEnded(attempt.Node, int64(attempt.nodeStartTime), state.request.Class, state.request.Units, now-attempt.sentAtMs, result.Status)
 	}
-	if st := c.startLimiter(); st != nil {
-		st.AttemptEnded(a.Node, r.Status)
+	if limiter := c.startLimiter(); limiter != nil {
+		limiter.AttemptEnded(attempt.Node, result.Status)
 	}
-	if r.Status == policy.OK && !e.answered {
-		c.answer(e, Answer{Kind: Served, Payload: r.Payload})
-	} else if r.InvalidRequest {
-		c.answer(e, Answer{Kind: Failed, Cause: CauseInvalidRequest})
-	} else if payload, ok := r.Payload.(Releaser); ok {
+	if result.Status == policy.OK && !state.answered {
+		c.answer(state, Answer{Kind: Served, Payload: result.Payload})
+	} else if result.InvalidRequest {
+		c.answer(state, Answer{Kind: Failed, Cause: CauseInvalidRequest})
+	} else if payload, ok := result.Payload.(Releaser); ok {
 		payload.Release() // the request is answered already
 	}
-	if c.requests[e.request.ID] != e {
-		return // its request is from before a restart of the module
+	if c.requests[state.request.ID] != state {
+		return // the request was failed by a restart of the decision module
 	}
 	c.events = append(c.events, policy.Event{
 		Kind:      policy.AttemptEnded,
-		ID:        e.request.ID,
-		Attempt:   a.Number,
-		Node:      a.Node,
-		Status:    r.Status,
-		Latency:   now - a.sentAtMs,
-		Finished:  e.answered,
-		PlanUsage: r.PlanUsage,
-		PeerUsage: r.PeerUsage,
-		Load:      r.Load,
+		ID:        state.request.ID,
+		Attempt:   attempt.Number,
+		Node:      attempt.Node,
+		Status:    result.Status,
+		Latency:   now - attempt.sentAtMs,
+		Finished:  state.answered,
+		PlanUsage: result.PlanUsage,
+		PeerUsage: result.PeerUsage,
+		Load:      result.Load,
 	})
-	c.forgetEnded(e)
+	c.forgetEnded(state)
 }
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -6,33 +6,33 @@
 	"wheatsaddle/policy"
 )
 
-// AttemptedNodes lists the nodes that the attempts of a request went to, in order. A later request for the same data names it
-// in AvoidNodes. Only the actor reads and writes it.
+// AttemptedNodes lists the nodes that the attempts of a request were dispatched to, in order. A later request for the same
+// data may refer to it in Request.AvoidNodes. Only the actor reads and writes it.
 type AttemptedNodes struct{ nodes []string }
 
-// nodesToAvoid selects from the nodes that are up those of earlier requests, the latest first, as long as at least one
-// other remains.
+// nodesToAvoid returns the nodes in up that earlier requests were dispatched to, the latest first. At least one node in up
+// is always left to use.
 func nodesToAvoid(earlier []*AttemptedNodes, up []string) (avoided []string) {
-	for _, t := range earlier {
-		for _, n := range slices.Backward(t.nodes) {
-			if len(avoided)+1 < len(up) && slices.Contains(up, n) && !slices.Contains(avoided, n) {
-				avoided = append(avoided, n)
+	for _, attempted := range earlier {
+		for _, node := range slices.Backward(attempted.nodes) {
+			if len(avoided)+1 < len(up) && slices.Contains(up, node) && !slices.Contains(avoided, node) {
+				avoided = append(avoided, node)
 			}
 		}
 	}
 	return avoided
 }
 
-// admitAvoiding passes the module an arrival with nodes to avoid: for the step of the arrival the module sees them as
-// excluded. Windows, slow start and limits apply as to any request. If no other node has capacity the request waits,
-// and may be dispatched to an avoided node later.
-func (c *Core) admitAvoiding(e *requestState, now float64) {
-	if e.answered { // or cancelled
+// admitAvoiding passes the arrival of a request with nodes to avoid to the decision module. For this one step the module
+// receives these nodes as excluded. Windows, slow start and limits apply as for any request. If no other node has
+// capacity, the request waits and may later be dispatched to an avoided node.
+func (c *Core) admitAvoiding(state *requestState, now float64) {
+	if state.answered { // also set if the request was cancelled
 		return
 	}
-	arrival := policy.Event{Kind: policy.RequestArrived, Request: e.request.Request}
+	arrival := policy.Event{Kind: policy.RequestArrived, Request: state.request.Request}
 	hide, show := policy.Event{Kind: policy.ListChanged}, policy.Event{Kind: policy.ListChanged}
-	for _, id := range c.nodesAvoidedBy(e, now) {
+	for _, id := range c.nodesAvoidedBy(state, now) {
 		n := c.exclusions.View(now, c.nodes[id].Node)
 		show.Nodes = append(show.Nodes, n)
 		n.State = policy.NodeExcluded
@@ -47,23 +47,23 @@
 	}
 }
 
-// nodesAvoidedBy returns the nodes that a request avoids when it arrives. There are none while another request waits for
-// the shard, as the changed view would apply to it too, nor while a polled list is not current, as the module takes any
-// change for an update of the list.
-func (c *Core) nodesAvoidedBy(e *requestState, now float64) []string {
+// nodesAvoidedBy returns the nodes that a request avoids when it arrives. It returns none while another request waits for
+// the shard, because the temporary exclusion would also apply to that request. It also returns none while a polled list is
+// not current, because the decision module would take the temporary exclusion for a list update and the list for current.
+func (c *Core) nodesAvoidedBy(state *requestState, now float64) []string {
 	if c.options.Settings.PollsEndpointList && !c.listCurrent {
 		return nil
 	}
-	for _, x := range c.requests {
-		if x != e && x.request.Shard == e.request.Shard && !x.answered && x.outstanding == 0 {
+	for _, other := range c.requests {
+		if other != state && other.request.Shard == state.request.Shard && !other.answered && other.outstanding == 0 {
 			return nil
 		}
 	}
 	var up []string
 	for id, n := range c.nodes {
-		if n.Shard == e.request.Shard && c.exclusions.View(now, n.Node).State == policy.NodeUp {
+		if n.Shard == state.request.Shard && c.exclusions.View(now, n.Node).State == policy.NodeUp {
 			up = append(up, id)
 		}
 	}
-	return nodesToAvoid(e.request.AvoidNodes, up)
+	return nodesToAvoid(state.request.AvoidNodes, up)
 }
--- a/internal/core/avoid_test.go
+++ b/internal/core/avoid_test.go
@@ -58,7 +58,7 @@
 func TestRequestAvoidsNodes(t *testing.T) {
 	for _, c := range avoidCases() {
 		t.Run(c.name, func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Plans[0].ReservedRate = 0 // without a reserved rate it would be rejected while no node has capacity
 			set.PollsEndpointList, set.PollWithin = c.polled, 2000
 			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -13,7 +13,7 @@
 
 // A request that the node rejects as invalid is not retried.
 func TestInvalidRequestIsNotRetried(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	for _, class := range []string{"read", "record"} {
 		_, got := r.submit(class, class)
@@ -29,7 +29,7 @@
 }
 
 func TestSecondResultIsIgnored(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, got := r.submit("a", "read")
 	a := <-r.node("n").sent
@@ -47,7 +47,7 @@
 // A write that may have been executed is not retried after its deduplication window, and never at another shard. It ends
 // as failed and not as rejected, because a client may repeat a rejected request.
 func TestIdempotentByKeyRetryStaysInItsShard(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeUp))
 	_, got := r.submit("a", "record")
 	first := <-r.node("n").sent
@@ -68,7 +68,7 @@
 // first byte would be late.
 func TestIdempotentByKeyRetryStartsWithinDedupWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := settings()
+		set := testSettings()
 		set.Classes[1].DedupWindow = 1000
 		r := startCore(t, set)
 		r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
@@ -94,7 +94,7 @@
 }
 
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	q, got := r.submit("a", "read")
 	a := <-r.node("n").sent
@@ -108,7 +108,7 @@
 
 // A request with the id of an open one, or with an unknown class, fails at once.
 func TestDuplicateIDAndUnknownClassFail(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, first := r.submit("a", "read")
 	_, got := r.submit("a", "read")
@@ -125,7 +125,7 @@
 
 // The guard timer answers a request that the module has lost.
 func TestGuardTimerAnswersLostRequest(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	got := make(chan Answer, 2)
 	r.post(call(func() {
 		q := &Request{Request: policy.Request{ID: "lost"}, Answer: func(a Answer) { got <- a }}
@@ -144,7 +144,7 @@
 // The module's time is the Unix time of the start plus the monotonic time since, so that a list's start times need no
 // conversion, also those of nodes that started before this process.
 func TestModuleTime(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	now := time.Now()
 	at := r.moduleTime(now)
 	if off := at - float64(now.UnixMilli()); off < -1000 || off > 1000 {
@@ -157,7 +157,7 @@
 
 // An attempt that finds a full mailbox was never executed; the module retries it.
 func TestFullNodeMailboxIsRetried(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	f := r.node("n")
 	f.mu.Lock()
@@ -174,7 +174,7 @@
 
 // A node that is missing from a full list is drained and closed at once.
 func TestNodeMissingFromListIsDrained(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeUp))
 	r.updateList(policy.ListChanged, newNode("m", 1, policy.NodeDraining))
 	if !r.node("m").drained || r.node("n").drained || r.node("m").closed {
@@ -188,7 +188,7 @@
 
 // A panic of the module fails the open requests, and a new module continues with the list.
 func TestPanicReplacesModule(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, got := r.submit("a", "read")
 	<-r.node("n").sent
@@ -203,7 +203,7 @@
 }
 
 func TestStopFailsOpenRequests(t *testing.T) {
-	c, err := New(Options{Settings: settings(), Log: logrus.New(), NewNodeClient: func(string, []address.Addr) NodeClient { return nil }})
+	c, err := New(Options{Settings: testSettings(), Log: logrus.New(), NewNodeClient: func(string, []address.Addr) NodeClient { return nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 
 // Finish answers each open request once: one without an attempt is rejected, one that may have been executed fails.
 func TestFinish(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, sent := r.submit("a", "record")
 	a := <-r.node("n").sent
@@ -238,7 +238,7 @@
 
 // A change of addresses keeps the node's client and its outstanding attempts.
 func TestAddressChangeKeepsNodeClient(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	n := newNode("a", 0, policy.NodeUp)
 	r.updateList(policy.CachedListLoaded, n)
 	p := r.node("a")
@@ -257,7 +257,7 @@
 // A node that an open watch reports as draining stays open for a part of the grace, and its client is closed to new
 // attempts before the grace ends. It is closed at once by an exclusion and by a list that may be old.
 func TestDrainClosesNodeWithinGrace(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.DrainGrace = 60e3
 	drained := func(r *fixture, name string) bool {
 		f := r.node(name)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,51 +6,51 @@
 	"sync/atomic"
 )
 
-// Counters are the counters for operators, from 0 in each process. Each is incremented once, where the
-// outcome is decided. They are read without the actor, so that a busy actor delays no reading.
+// Counters holds the counters for operators. They start at 0 in each process, and each is incremented where the outcome is
+// decided. They are read without the actor, so that a busy actor does not delay a reading.
 type Counters struct {
 	mu           sync.RWMutex
-	classes      map[string]*classCounts // every class that the settings ever named
-	inProgress   atomic.Int64            // requests accepted and not yet ended
-	nodes        atomic.Int64            // nodes in the list
-	avoidedNodes atomic.Int64            // of these, the avoided ones
+	classes      map[string]*classCounts // every class that any version of the settings had
+	inProgress   atomic.Int64            // requests that are accepted and not answered yet
+	nodes        atomic.Int64            // nodes in the endpoint list
+	avoidedNodes atomic.Int64            // nodes in the list that are avoided, as counted by countNodes
 	reloads      atomic.Int64            // settings files accepted at SIGHUP
 	reloadErrors atomic.Int64            // settings files rejected at SIGHUP
 }
 
-// classCounts are the counters of one class: answers by kind, and attempts written.
+// classCounts holds the counters of one class: answers by kind, and written attempts.
 type classCounts struct {
 	served, rejected, failed, attempts atomic.Int64
 }
 
 // CounterSnapshot is one reading of the counters.
 type CounterSnapshot struct {
-	Served, Rejected, Failed, Attempts map[string]int64 // answers by kind and attempts written, by class
-	InProgress                         int64            // requests accepted and not yet ended
-	Nodes, AvoidedNodes                int64            // nodes in the list, and of these the avoided ones
+	Served, Rejected, Failed, Attempts map[string]int64 // answers by kind, and written attempts, each by class
+	InProgress                         int64            // requests that are accepted and not answered yet
+	Nodes, AvoidedNodes                int64            // nodes in the endpoint list, and those that are avoided
 	Reloads, ReloadErrors              int64            // settings files accepted and rejected at SIGHUP
 }
 
-// newCounters makes counters for these classes.
+// newCounters returns counters for the classes.
 func newCounters(classes []string) *Counters {
 	c := &Counters{classes: map[string]*classCounts{}}
 	c.addClasses(classes)
 	return c
 }
 
-// addClasses adds classes; one that the settings no longer name keeps its counts.
+// addClasses adds classes. A class that is no longer in the settings keeps its counts.
 func (c *Counters) addClasses(classes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range classes {
-		if c.classes[k] == nil {
-			c.classes[k] = &classCounts{}
+	for _, class := range classes {
+		if c.classes[class] == nil {
+			c.classes[class] = &classCounts{}
 		}
 	}
 }
 
-// of returns a class's counters; nil for a name that no settings ever had. Such names are not counted, so that
-// clients cannot grow the table.
+// of returns the counters of a class, or nil if no version of the settings had a class of this name. Unknown names are not
+// counted, so that clients cannot make the table grow.
 func (c *Counters) of(class string) *classCounts {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -58,22 +58,22 @@
 }
 
 // ended counts a final answer.
-func (c *Counters) ended(class string, k AnswerKind) {
-	cc := c.of(class)
-	if cc == nil {
+func (c *Counters) ended(class string, kind AnswerKind) {
+	counts := c.of(class)
+	if counts == nil {
 		return
 	}
-	switch k {
+	switch kind {
 	case Served:
-		cc.served.Add(1)
+		counts.served.Add(1)
 	case Rejected:
-		cc.rejected.Add(1)
+		counts.rejected.Add(1)
 	default:
-		cc.failed.Add(1)
+		counts.failed.Add(1)
 	}
 }
 
-// CountReload counts a settings file read at SIGHUP: accepted, or rejected.
+// CountReload counts a settings file that was read at SIGHUP and accepted or rejected.
 func (c *Counters) CountReload(accepted bool) {
 	if accepted {
 		c.reloads.Add(1)
@@ -82,25 +82,25 @@
 	}
 }
 
-// Snapshot returns the present figures.
+// Snapshot returns the current values.
 func (c *Counters) Snapshot() CounterSnapshot {
-	f := CounterSnapshot{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
+	snapshot := CounterSnapshot{Served: map[string]int64{}, Rejected: map[string]int64{}, Failed: map[string]int64{},
 		Attempts: map[string]int64{}, InProgress: max(0, c.inProgress.Load()), Nodes: c.nodes.Load(),
 		AvoidedNodes: c.avoidedNodes.Load(), Reloads: c.reloads.Load(), ReloadErrors: c.reloadErrors.Load()}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	for k, cc := range c.classes {
-		f.Served[k], f.Rejected[k], f.Failed[k] = cc.served.Load(), cc.rejected.Load(), cc.failed.Load()
-		f.Attempts[k] = cc.attempts.Load()
+	for class, counts := range c.classes {
+		snapshot.Served[class], snapshot.Rejected[class], snapshot.Failed[class] = counts.served.Load(), counts.rejected.Load(), counts.failed.Load()
+		snapshot.Attempts[class] = counts.attempts.Load()
 	}
-	return f
+	return snapshot
 }
 
-// Classes returns the names of the counted classes, in order.
-func (f CounterSnapshot) Classes() []string {
-	names := make([]string, 0, len(f.Served))
-	for k := range f.Served {
-		names = append(names, k)
+// Classes returns the sorted names of the counted classes.
+func (s CounterSnapshot) Classes() []string {
+	names := make([]string, 0, len(s.Served))
+	for class := range s.Served {
+		names = append(names, class)
 	}
 	slices.Sort(names)
 	return names
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -9,7 +9,7 @@
 
 // Requests that are served, rejected, failed, retried, cancelled or of an unknown class are counted exactly.
 func TestCountersOfMixedOutcomes(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeDraining))
 	f := r.node("n")
 
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -11,7 +11,7 @@
 
 // longGraceSettings permits the use of a draining node for 500 ms; its client is closed after 700 ms.
 func longGraceSettings() policy.Settings {
-	set := settings()
+	set := testSettings()
 	set.DrainGrace = 1000
 	return set
 }
@@ -159,7 +159,7 @@
 // cannot be claimed after the time in which the node would deduplicate it.
 func TestFirstAttemptStartsWithinHedgeWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := settings()
+		set := testSettings()
 		set.MayHedge = true
 		r := startCore(t, set)
 		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
@@ -196,7 +196,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				set := settings()
+				set := testSettings()
 				set.MayHedge = true
 				r := startCore(t, set)
 				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
@@ -217,7 +217,7 @@
 // A drain that arrives while more requests wait than one iteration handles: none of them is dispatched to the node.
 func TestDrainIsAppliedBeforeWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startCore(t, settings())
+		r := startCore(t, testSettings())
 		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		blocked, unblock := make(chan struct{}), make(chan struct{})
 		r.post(call(func() { close(blocked); <-unblock }))
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -42,7 +42,7 @@
 // handled the Cancel. The request ends with it, and is not dispatched again.
 func TestDisconnectBeforeCancelArrives(t *testing.T) {
 	for _, class := range []string{"read", "record"} {
-		r := startCore(t, settings())
+		r := startCore(t, testSettings())
 		r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 		q, got, disconnected := r.newDisconnectingRequest("a", class)
 		r.Submit(q)
@@ -72,7 +72,7 @@
 
 // A disconnect after the claim does not abandon the attempt.
 func TestDisconnectAfterClaim(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	q, got, disconnected := r.newDisconnectingRequest("a", "read")
 	r.Submit(q)
@@ -93,7 +93,7 @@
 // claimed, in whichever iteration its Cancel is handled.
 func TestBurstOfDisconnects(t *testing.T) {
 	const clients = maxBatch
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	release := r.blockActor()
 	var all []*Request
@@ -124,7 +124,7 @@
 
 // A request whose Cancel is handled in the same iteration is not dispatched, with and without nodes to avoid.
 func TestArrivalAndCancelInOneIteration(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp))
 	release := r.blockActor()
 	plain, got, _ := r.newDisconnectingRequest("a", "read")
@@ -182,7 +182,7 @@
 	for name, x := range stallCases() {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := startCore(t, settings())
+				r := startCore(t, testSettings())
 				r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeDraining))
 				q, got, _ := r.newDisconnectingRequest("a", "read")
 				q.ClientDisconnected, q.Timeout = nil, x.timeout
@@ -233,9 +233,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				set := settings()
+				set := testSettings()
 				set.DrainGrace = x.grace
-				use, later := set.DrainingUseDuration(), set.DrainingUseDuration()+drainGuard*(x.grace-set.DrainingUseDuration())
+				use, later := set.DrainingUseDuration(), set.DrainingUseDuration()+drainCutoffShare*(x.grace-set.DrainingUseDuration())
 				if use <= 0 || x.stall < use != (x.sent == 1) || x.stall > later != x.closed {
 					t.Fatalf("the node is used for %v ms and closed after %v: the order under test is not reached", use, later)
 				}
--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -6,12 +6,12 @@
 	"wheatsaddle/internal/operr"
 )
 
-// BusyError reports that the actor did not accept an operator's call in time.
+// BusyError reports that the actor did not accept an operator's call in time, or has ended.
 type BusyError struct{ Waited time.Duration }
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return "the scheduler's actor did not take the call in time; nothing was changed"
+	return "scheduler core did not accept the call in time; nothing was changed"
 }
 
 // Code implements operr.Coded.
@@ -19,10 +19,10 @@
 
 // Advice implements operr.Coded.
 func (e *BusyError) Advice() string {
-	return "Call again in a second. If it stays so, the process has too little processor time or is stopping: see its log and limits.cores."
+	return "Repeat the call after a second. If it fails again, the process has too little processor time or is stopping: check its log and limits.cores."
 }
 
-// EndedError reports that the actor has ended; the process is stopping.
+// EndedError reports that the actor has ended because the process is stopping.
 type EndedError struct{}
 
 // Error implements error.
@@ -33,10 +33,10 @@
 
 // Advice implements operr.Coded.
 func (e *EndedError) Advice() string {
-	return "Nothing, if the process was stopped on purpose; otherwise read its log before this line and restart it."
+	return "No action is needed if the process was stopped on purpose. Otherwise check the log lines before this one and restart the process."
 }
 
-// PanicError reports that the module panicked. All open requests have failed, and a new module has started.
+// PanicError reports that the decision module panicked. All open requests have failed, and a new module has started.
 type PanicError struct{ Value string }
 
 // Error implements error.
@@ -47,7 +47,7 @@
 
 // Advice implements operr.Coded.
 func (e *PanicError) Advice() string {
-	return "Report the line with its stack to the developers: it is a fault of the program. The process continues with the current list; what it had learned of the nodes is lost."
+	return "Report this log line with its stack to the developers, because it shows a fault of the program. The process continues with the current endpoint list, but what it had learned about the nodes is lost."
 }
 
 // LateAnswerError reports that a request was answered after its client's deadline.
@@ -63,7 +63,7 @@
 
 // Advice implements operr.Coded.
 func (e *LateAnswerError) Advice() string {
-	return "Compare timer_lag_ms with late_ms: if they are close the process lacked processor time, so give it more (limits.cores) or move other processes; otherwise check the node of the last attempt."
+	return "Compare timer_lag_ms with late_ms. If they are close, the process lacked processor time: give it more (limits.cores) or move other processes to another machine. Otherwise check the node of the last attempt."
 }
 
 func init() {
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -7,11 +7,12 @@
 	"wheatsaddle/policy"
 )
 
-// controlWait is how long an operator's call waits for the actor; the admin endpoint answers within 1 s.
+// controlWait is how long an operator's call waits for the actor. It leaves time for the admin endpoint, which must answer
+// within 1 s.
 const controlWait = 500 * time.Millisecond
 
-// Exclude excludes a node: after it returns no new attempt is written to the node, also if the list
-// has it as up, until Include. It returns the state of all exclusions, which the caller stores.
+// Exclude excludes a node. After it returns, no new attempt is written to the node until Include, even if the endpoint list
+// reports the node as up. It returns the state of all exclusions, which the caller stores.
 func (c *Core) Exclude(node string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
 		changed, err := c.exclusions.Exclude(now, node)
@@ -22,7 +23,7 @@
 	})
 }
 
-// Include ends an exclusion; the module lets the node warm up.
+// Include ends the exclusion of a node. The decision module applies slow start to the node.
 func (c *Core) Include(id string) (exclusion.State, error) {
 	return c.changeExclusions(func(now float64) ([]string, error) {
 		changed, err := c.exclusions.Include(now, id)
@@ -33,22 +34,22 @@
 	})
 }
 
-// LoadExclusions replaces the exclusions by the state that another process of the scheduler stored.
-func (c *Core) LoadExclusions(st exclusion.State) error {
-	_, err := c.changeExclusions(func(now float64) ([]string, error) { return c.exclusions.Load(now, st), nil })
+// LoadExclusions replaces the exclusions by those that another process of the scheduler stored.
+func (c *Core) LoadExclusions(state exclusion.State) error {
+	_, err := c.changeExclusions(func(now float64) ([]string, error) { return c.exclusions.Load(now, state), nil })
 	return err
 }
 
-// WasListed reports whether a node of this id was ever listed; false also if the actor is busy.
+// WasListed reports whether a node with this id was ever listed. It also returns false if the actor is busy or has ended.
 func (c *Core) WasListed(id string) bool {
 	listed := false
-	// An error leaves the result false.
+	// On an error, listed stays false.
 	_, _ = c.changeExclusions(func(float64) ([]string, error) { listed = c.exclusions.IsListed(id); return nil, nil })
 	return listed
 }
 
-// changeExclusions runs a change of the exclusions in the actor, applies it to the node clients and the module, and returns
-// the new state. change returns the ids of the nodes that it affects.
+// changeExclusions runs change in the actor, applies the changed exclusions to the node clients and the decision module,
+// and returns the new state. change returns the ids of the nodes that it affects.
 func (c *Core) changeExclusions(change func(now float64) ([]string, error)) (exclusion.State, error) {
 	type reply struct {
 		st  exclusion.State
@@ -78,22 +79,23 @@
 	}
 }
 
-// applyExclusions updates the node clients and the module about the listed nodes whose view may have changed.
+// applyExclusions applies a change of the exclusions of the given nodes to their clients and to the decision module. Nodes
+// that are not listed are ignored.
 func (c *Core) applyExclusions(now float64, ids []string) {
-	ev := policy.Event{Kind: policy.ListChanged}
+	event := policy.Event{Kind: policy.ListChanged}
 	for _, id := range ids {
 		n, ok := c.nodes[id]
 		if !ok {
 			continue
 		}
 		view := c.exclusions.View(now, n.Node)
-		if p := c.clients[id]; p != nil {
-			p.Drain(view.State != policy.NodeUp)
+		if client := c.clients[id]; client != nil {
+			client.Drain(view.State != policy.NodeUp)
 		}
-		ev.Nodes = append(ev.Nodes, view)
+		event.Nodes = append(event.Nodes, view)
 	}
-	if len(ev.Nodes) > 0 {
-		c.events = append(c.events, ev)
+	if len(event.Nodes) > 0 {
+		c.events = append(c.events, event)
 	}
 	c.countNodes(now)
 }
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -11,7 +11,7 @@
 // From the return of Exclude nothing is dispatched to the node, also if the list has it as up, until one Include; then
 // it is used again.
 func TestExclusionHoldsUntilInclude(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 0, policy.NodeUp))
 	if _, err := r.Exclude("x"); !errors.Is(err, exclusion.ErrUnknownNode) {
 		t.Fatalf("an id never listed: %v", err)
@@ -59,7 +59,7 @@
 
 // Exclusions that an earlier process stored apply from the start, before any list.
 func TestStoredExclusionAppliesAtStart(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	r := &fixture{t: t}
 	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient,
 		Excluded: exclusion.State{Excluded: map[string]float64{"n": 1}}})
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// rejectionRetryAfter is the Retry-After of requests that are rejected because the process ends or its mailbox is full.
+// rejectionRetryAfter is the Retry-After of requests that are rejected because the process stops or the mailbox is full.
 const rejectionRetryAfter = 100 * time.Millisecond
 
-// Finish answers all open requests, because the process is about to be killed, and rejects all later arrivals. Requests
-// without an attempt are rejected, as they may safely be repeated; the others fail. It may wait for the mailbox, and does
-// not wait for the answers.
+// Finish answers all open requests and rejects all later ones. It is called when the process is about to be killed.
+// Requests without an attempt are rejected, because the client can safely repeat them. The others fail. Finish may block
+// while the mailbox is full, and does not wait for the answers.
 func (c *Core) Finish() {
 	c.post(call(func() {
 		c.rejectsArrivals = true
@@ -21,14 +21,15 @@
 	}))
 }
 
-// Stop ends the actor and waits for its end. Open requests fail; those in the mailbox and later ones are rejected.
+// Stop ends the actor and waits for its end. Open requests fail. Requests that are still in the mailbox and later ones are
+// rejected.
 func (c *Core) Stop() {
 	close(c.stop)
 	<-c.ended
 	c.rejectRemaining()
 }
 
-// rejectRemaining rejects the arrivals that remain in the mailbox after the actor has ended. Any goroutine may call it.
+// rejectRemaining rejects the requests that remain in the mailbox after the actor has ended. Any goroutine may call it.
 func (c *Core) rejectRemaining() {
 	for {
 		select {
--- a/internal/core/finish_test.go
+++ b/internal/core/finish_test.go
@@ -8,7 +8,7 @@
 
 // Requests after Finish, also in the same iteration, are rejected at once and not dispatched.
 func TestArrivalsAfterFinishAreRejected(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	_, open := r.submit("open", "read")
 	<-r.node("n").sent
@@ -33,7 +33,7 @@
 // Every submitted request gets its answer, also one that waits in the mailbox of an actor that ends, or one that arrives
 // after its end.
 func TestStopAnswersAllRequests(t *testing.T) {
-	c, err := New(Options{Settings: settings(), Log: nullLog()})
+	c, err := New(Options{Settings: testSettings(), Log: nullLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/policy"
 )
 
-func settings() policy.Settings {
+func testSettings() policy.Settings {
 	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 4, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 		DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
 		Classes: []policy.Class{
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -12,7 +12,7 @@
 // After the handover no token bucket is filled, also not by a module that replaces one that panicked: requests that wait
 // for one are rejected. HandOver reports that a busy actor was not notified, so that the caller tries again.
 func TestHandOverStopsFillingQuotas(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	for i := range set.Plans {
 		set.Plans[i].RateLimit, set.Plans[i].LimitBurst = 1e6, 1e6
 	}
@@ -51,7 +51,7 @@
 }
 
 func TestHandOverAfterStop(t *testing.T) {
-	c, err := New(Options{Settings: settings(), Log: logrus.New()})
+	c, err := New(Options{Settings: testSettings(), Log: logrus.New()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/lateanswer.go
+++ b/internal/core/lateanswer.go
@@ -14,7 +14,7 @@
 // lateLogInterval is the minimum interval between log lines about late answers.
 const lateLogInterval = time.Second
 
-// statusNames and answerKindNames are the names of results and answers in log lines.
+// statusNames and answerKindNames are the names of attempt statuses and answer kinds in log lines.
 var (
 	statusNames = map[policy.Status]string{policy.OK: "served", policy.Errored: "error", policy.NodeFull: "full",
 		policy.TimedOut: "timed out", policy.ConnectFailed: "could not connect", policy.ConnectionReset: "reset",
@@ -22,25 +22,26 @@
 	answerKindNames = map[AnswerKind]string{Served: "served", Rejected: "rejected", Failed: "failed"}
 )
 
-// logLate logs a request that was answered after its client's deadline, with the node, time and result of each of
-// its attempts. At most one line is written in each lateLogInterval; the line counts the late answers without one.
-func (c *Core) logLate(e *requestState, a Answer, now time.Time) {
-	delay := now.Sub(e.request.ReceivedAt.Add(e.request.Timeout))
-	if e.request.ReceivedAt.IsZero() || delay <= 0 {
+// logLate logs a request that was answered after its client's deadline, with the node, the times and the status of each of
+// its attempts. At most one line is written per lateLogInterval. It includes the number of late answers that were not
+// logged since the previous line.
+func (c *Core) logLate(state *requestState, a Answer, now time.Time) {
+	delay := now.Sub(state.request.ReceivedAt.Add(state.request.Timeout))
+	if state.request.ReceivedAt.IsZero() || delay <= 0 {
 		return
 	}
 	if now.Sub(c.lastLateLog) < lateLogInterval {
 		c.suppressedLateLogs++
 		return
 	}
-	receivedAt := c.moduleTime(e.request.ReceivedAt)
+	receivedAt := c.moduleTime(state.request.ReceivedAt)
 	var attempts []string
-	for _, t := range e.attempts {
-		attempts = append(attempts, t.describe(receivedAt))
+	for _, attempt := range state.attempts {
+		attempts = append(attempts, attempt.describe(receivedAt))
 	}
 	c.options.Log.WithFields(operr.Fields(&LateAnswerError{delay})).WithFields(logrus.Fields{
-		"id":           e.request.ID,
-		"class":        e.request.Class,
+		"id":           state.request.ID,
+		"class":        state.request.Class,
 		"kind":         answerKindNames[a.Kind],
 		"late_ms":      delay.Milliseconds(),
 		"attempts":     strings.Join(attempts, ", "),
@@ -50,7 +51,7 @@
 	c.lastLateLog, c.suppressedLateLogs = now, 0
 }
 
-// describe returns the attempt for a log line, with times since the request was received.
+// describe returns a description of the attempt for a log line. Times are relative to the receipt of the request.
 func (a *Attempt) describe(receivedAtMs float64) string {
 	if a.endedAtMs > 0 {
 		return fmt.Sprintf("%s at %.0f ms: %s at %.0f ms", a.Node, a.sentAtMs-receivedAtMs, statusNames[a.status], a.endedAtMs-receivedAtMs)
--- a/internal/core/lateanswer_test.go
+++ b/internal/core/lateanswer_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, lines := logtest.NewNullLogger()
 		r := &fixture{t: t}
-		c, err := New(Options{Settings: settings(), Seed: 7, Log: log, NewNodeClient: r.newNodeClient})
+		c, err := New(Options{Settings: testSettings(), Seed: 7, Log: log, NewNodeClient: r.newNodeClient})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -9,30 +9,31 @@
 	"wheatsaddle/policy"
 )
 
-// nodeUse is an exponentially decayed count of a node's attempts, as of the time at.
-type nodeUse struct{ n, at float64 }
+// nodeUse is an exponentially decayed count of the attempts at a node, as of atMs.
+type nodeUse struct{ count, atMs float64 }
 
-const useHalfLife = 30e3 // half-life of an attempt's weight, in ms
+const useHalfLifeMs = 30e3 // half-life of the weight of an attempt
 
 // decayed returns the count at now.
-func (u nodeUse) decayed(now float64) float64 { return u.n * math.Exp2((u.at-now)/useHalfLife) }
+func (u nodeUse) decayed(now float64) float64 { return u.count * math.Exp2((u.atMs-now)/useHalfLifeMs) }
 
-// recordUse counts an attempt to a listed node. Only a process with a StartLimiter stores what it learned.
+// recordUse counts an attempt at a listed node. It does so only with a StartLimiter, because other processes do not store
+// what they learned.
 func (c *Core) recordUse(node string, now float64) {
 	if c.options.StartLimiter != nil {
 		c.nodeUses[node] = nodeUse{c.nodeUses[node].decayed(now) + 1, now}
 	}
 }
 
-// Learned returns what the module has learned, the most used nodes first; false: the actor has ended. It waits for the
-// actor.
+// Learned returns what the decision module has learned, with the most used nodes first. It returns false if the actor has
+// ended. It waits for the actor.
 func (c *Core) Learned() (policy.Learned, bool) {
 	type node struct {
 		policy.LearnedNode
 		use float64
 	}
 	var nodes []node
-	learned, ok := ask(c, func() policy.Learned {
+	learned, ok := query(c, func() policy.Learned {
 		learned := c.scheduler.Learned()
 		now := c.moduleTime(time.Now())
 		for _, n := range learned.Nodes {
@@ -50,8 +51,8 @@
 	return learned, true
 }
 
-// Restore gives the module what an earlier process learned, after the list updates handed over before. It may wait for
-// the mailbox.
+// Restore passes what an earlier process learned to the decision module, after the list updates that were passed to the
+// core before. It may block while the mailbox is full.
 func (c *Core) Restore(l policy.Learned) {
 	c.post(call(func() {
 		c.pendingRestore.Nodes = append(c.pendingRestore.Nodes, l.Nodes...)
@@ -59,7 +60,8 @@
 	}))
 }
 
-// applyPendingRestore passes on what Restore handed over; it runs after the step of each iteration, when the module has the nodes.
+// applyPendingRestore passes the data of Restore to the decision module. It runs after the step of each iteration, when the
+// module already has the nodes of the list.
 func (c *Core) applyPendingRestore() {
 	if len(c.pendingRestore.Nodes)+len(c.pendingRestore.Classes) > 0 {
 		c.scheduler.Restore(c.pendingRestore)
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -8,110 +8,111 @@
 )
 
 const (
-	// drainGuard is the share of the grace period left after the module's use of a draining node at which the
-	// node's client is closed to new attempts, independent of the module.
-	drainGuard = 0.4
-	// countInterval is the interval in ms at which the nodes that the module avoids are counted; telemetry may lag by
-	// 0.5 s.
-	countInterval = 100
+	// drainCutoffShare sets when the client of a draining node is closed to new attempts. The decision module uses the
+	// node for a first part of the grace period. The client is closed after this share of the remaining part, independent
+	// of the module.
+	drainCutoffShare = 0.4
+	// countIntervalMs is the interval at which listed and avoided nodes are counted. Telemetry may lag by 0.5 s.
+	countIntervalMs = 100
 )
 
-// ListUpdate is an update of the list. Kind is policy.ListReceived, CachedListLoaded, ListChanged or ListFailed.
+// ListUpdate is an update of the endpoint list. Kind is policy.ListReceived, CachedListLoaded, ListChanged or ListFailed.
 type ListUpdate struct {
 	Kind  policy.EventKind
 	Nodes []Node
-	Index int64 // version of the list after it; 0: unknown
+	Index int64 // version of the list after the update; 0 if unknown
 }
 
-// UpdateList hands over an update of the list. It is handled before all messages in the mailbox, so that none of them
-// is dispatched to a node that drains by then. It may wait for the actor.
-func (c *Core) UpdateList(n ListUpdate) {
+// UpdateList passes a list update to the actor. It is handled before all messages in the mailbox, so that no request among
+// them is dispatched to a node that the update reports as draining. It may block until the actor accepts the update.
+func (c *Core) UpdateList(update ListUpdate) {
 	select {
-	case c.control <- listUpdated{&n}:
+	case c.control <- listUpdated{&update}:
 	case <-c.ended:
 	}
 }
 
-// applyListUpdate applies an update of the list to the node clients, and then passes it to the module. Both see the
-// nodes with the exclusions applied.
-func (c *Core) applyListUpdate(n *ListUpdate, now float64) {
-	ev := policy.Event{Kind: n.Kind}
+// applyListUpdate applies a list update to the node clients and queues it for the decision module. Both receive the nodes
+// with the exclusions applied.
+func (c *Core) applyListUpdate(update *ListUpdate, now float64) {
+	event := policy.Event{Kind: update.Kind}
 	seen := map[string]bool{}
-	for _, x := range n.Nodes {
-		seen[x.ID] = true
-		c.exclusions.AddListed(x.ID)
-		view := c.exclusions.View(now, x.Node)
-		ev.Nodes = append(ev.Nodes, view)
-		if x.State == policy.NodeRemoved {
-			c.removeNode(x.ID)
+	for _, node := range update.Nodes {
+		seen[node.ID] = true
+		c.exclusions.AddListed(node.ID)
+		view := c.exclusions.View(now, node.Node)
+		event.Nodes = append(event.Nodes, view)
+		if node.State == policy.NodeRemoved {
+			c.removeNode(node.ID)
 			continue
 		}
-		c.updateNode(x, view, now)
+		c.updateNode(node, view, now)
 	}
-	c.listCurrent = n.Kind == policy.ListReceived || n.Kind == policy.ListChanged
-	if n.Kind == policy.ListReceived || n.Kind == policy.CachedListLoaded {
+	c.listCurrent = update.Kind == policy.ListReceived || update.Kind == policy.ListChanged
+	if update.Kind == policy.ListReceived || update.Kind == policy.CachedListLoaded {
 		for id := range c.clients {
 			if !seen[id] {
-				c.removeNode(id) // a removal may show only as a missing entry
+				c.removeNode(id) // a full list may omit a removed node instead of reporting it as removed
 			}
 		}
 	}
-	c.events = append(c.events, ev)
+	c.events = append(c.events, event)
 	c.countNodes(now)
 }
 
-// updateNode applies an entry of a node that is not removed: a new node gets a client, a listed one its addresses.
-func (c *Core) updateNode(x Node, view policy.Node, now float64) {
-	p, listed := c.clients[x.ID]
+// updateNode applies the entry of a node that is not removed. It creates a client for a new node, and updates the addresses
+// of a node that is already listed.
+func (c *Core) updateNode(node Node, view policy.Node, now float64) {
+	client, listed := c.clients[node.ID]
 	if !listed {
-		p = c.options.NewNodeClient(x.ID, x.Addresses)
-		c.clients[x.ID] = p
-		c.cutoffs[x.ID] = &cutoff{}
-	} else if !slices.Equal(c.nodes[x.ID].Addresses, x.Addresses) {
-		p.SetAddresses(x.Addresses) // the node stays, with its window and slow start
+		client = c.options.NewNodeClient(node.ID, node.Addresses)
+		c.clients[node.ID] = client
+		c.cutoffs[node.ID] = &cutoff{}
+	} else if !slices.Equal(c.nodes[node.ID].Addresses, node.Addresses) {
+		client.SetAddresses(node.Addresses) // the node keeps its client, and in the decision module its window and slow start
 	}
-	c.updateDrain(p, x, view, now)
-	c.nodes[x.ID] = x
+	c.updateDrain(client, node, view, now)
+	c.nodes[node.ID] = node
 }
 
-// updateDrain closes or opens the client of a listed node. A node that begins to drain may be used for a part of the grace
-// period if the settings permit it and the list is current: the module stops by itself then, and the client is closed
-// a little later, because of attempts that are still in a mailbox.
-func (c *Core) updateDrain(p NodeClient, x Node, view policy.Node, now float64) {
-	previous, listed := c.nodes[x.ID]
+// updateDrain closes the client of a listed node to new attempts, or opens it again. A node that starts to drain may be
+// used for a part of the grace period if the settings permit it and the list is current. In this case the decision module
+// stops using the node by itself, and the client is closed a little later, because attempts may still be in its mailbox.
+func (c *Core) updateDrain(client NodeClient, node Node, view policy.Node, now float64) {
+	previous, listed := c.nodes[node.ID]
 	use := c.options.Settings.DrainingUseDuration()
-	excluded := view != x.Node // an exclusion changes its state
-	drainBegins := listed && previous.State == policy.NodeUp && x.State == policy.NodeDraining
+	excluded := view != node.Node // only an exclusion makes the view differ from the list entry
+	drainBegins := listed && previous.State == policy.NodeUp && node.State == policy.NodeDraining
 	if drainBegins && c.listCurrent && use > 0 && !excluded {
-		end := now + use + drainGuard*(c.options.Settings.DrainGrace-use)
-		c.cutoffs[x.ID].set(c.wallTime(end))
-		heap.Push(&c.timers, pendingTimer{atMs: end, drainNode: x.ID})
+		end := now + use + drainCutoffShare*(c.options.Settings.DrainGrace-use)
+		c.cutoffs[node.ID].set(c.wallTime(end))
+		heap.Push(&c.timers, pendingTimer{atMs: end, drainNode: node.ID})
 		return
 	}
-	goesOn := listed && previous.State == policy.NodeDraining && view.State != policy.NodeUp
-	if goesOn && !excluded {
-		return // its cutoff and its timer remain
+	stillDraining := listed && previous.State == policy.NodeDraining && view.State != policy.NodeUp
+	if stillDraining && !excluded {
+		return // the node keeps the cutoff and the timer of this drain
 	}
-	c.cutoffs[x.ID].clear()
-	p.Drain(view.State != policy.NodeUp)
+	c.cutoffs[node.ID].clear()
+	client.Drain(view.State != policy.NodeUp)
 }
 
-// removeNode removes a node that has left the list; its client finishes the outstanding attempts.
+// removeNode removes a node that is no longer listed. Its client finishes the outstanding attempts.
 func (c *Core) removeNode(id string) {
-	p, ok := c.clients[id]
+	client, ok := c.clients[id]
 	if !ok {
 		return
 	}
-	p.Drain(true)
-	p.Close()
+	client.Drain(true)
+	client.Close()
 	delete(c.clients, id)
 	delete(c.nodes, id)
 	delete(c.cutoffs, id)
 	delete(c.nodeUses, id)
 }
 
-// countNodes updates the counters of listed nodes and of avoided ones: by their state, by an exclusion, or
-// by the module's decision.
+// countNodes updates the counters of listed and of avoided nodes. A node is avoided because of its state, an exclusion or a
+// decision of the decision module.
 func (c *Core) countNodes(now float64) {
 	avoided := c.scheduler.AvoidedNodes()
 	for _, n := range c.nodes {
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -6,17 +6,17 @@
 	"wheatsaddle/policy"
 )
 
-// message is one message to the actor. handle runs in the actor.
+// message is a message to the actor. handle is called in the actor.
 type message interface {
 	handle(c *Core, now float64)
 }
 
-// requestArrived hands over a request.
+// requestArrived carries a new request.
 type requestArrived struct{ request *Request }
 
 func (m requestArrived) handle(c *Core, now float64) { c.admit(m.request, now) }
 
-// requestCancelled ends a request whose client has disconnected.
+// requestCancelled reports that the client of a request has disconnected.
 type requestCancelled struct{ request *Request }
 
 func (m requestCancelled) handle(c *Core, _ float64) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// attemptResult is the result of an attempt.
+// attemptResult carries the result of an attempt.
 type attemptResult struct {
 	attempt *Attempt
 	result  Result
@@ -33,7 +33,7 @@
 
 func (m attemptResult) handle(c *Core, now float64) { c.attemptEnded(m.attempt, m.result, now) }
 
-// healthCheckResult is the result of a node's health check.
+// healthCheckResult carries the result of a node's health check.
 type healthCheckResult struct {
 	node    string
 	result  Result
@@ -50,19 +50,20 @@
 	})
 }
 
-// listUpdated is an update of the list. iterate applies it before it handles the other messages of its batch.
+// listUpdated carries a list update. iterate applies it before it handles the other messages of the batch, so handle does
+// nothing.
 type listUpdated struct{ update *ListUpdate }
 
 func (listUpdated) handle(*Core, float64) {}
 
-// call runs a function in the actor.
+// call is a function that is called in the actor.
 type call func()
 
 func (f call) handle(*Core, float64) { f() }
 
-// ask runs a function in the actor and returns its result; false: the actor has ended. It may wait for the mailbox and
-// must not be called in the actor.
-func ask[T any](c *Core, f func() T) (T, bool) {
+// query calls f in the actor and returns its result. It returns false if the actor has ended. It may block while the mailbox
+// is full, and must not be called in the actor.
+func query[T any](c *Core, f func() T) (T, bool) {
 	got := make(chan T, 1)
 	c.post(call(func() { got <- f() }))
 	select {
--- a/internal/core/nodestatus.go
+++ b/internal/core/nodestatus.go
@@ -6,20 +6,20 @@
 	"wheatsaddle/policy"
 )
 
-// NodeStatus is this process's concurrency window at one listed node and its queue for it.
+// NodeStatus holds this process's concurrency window and queue length for one listed node.
 type NodeStatus struct {
 	Node          string
-	StartTime     int64 // start time of the node, in Unix ms, that the figures belong to
+	StartTime     int64 // Unix ms at which the node that the values belong to started
 	Window, Queue float64
 }
 
-// NodeStatuses returns the figures of at most maxNodes listed nodes. It waits at most timeout for the actor; false: the
-// actor was busy, or has ended.
+// NodeStatuses returns the status of at most maxNodes listed nodes. It waits at most timeout for the actor, and returns
+// false if the actor was busy or has ended.
 func (c *Core) NodeStatuses(maxNodes int, timeout time.Duration) ([]NodeStatus, bool) {
 	got := make(chan []policy.NodeStatus, 1)
 	select {
 	case c.control <- call(func() { got <- c.scheduler.NodeStatuses(maxNodes) }):
-	default: // the actor is far behind
+	default: // many calls are queued already, so the actor would not answer in time
 		return nil, false
 	}
 	timer := time.NewTimer(timeout)
--- a/internal/core/nodestatus_test.go
+++ b/internal/core/nodestatus_test.go
@@ -9,7 +9,7 @@
 
 // NodeStatuses waits for a busy actor no longer than its timeout, and not at all if too many calls wait.
 func TestNodeStatusesTimesOut(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	n := newNode("a", 0, policy.NodeUp)
 	n.StartTime = 41
 	r.updateList(policy.CachedListLoaded, n, newNode("b", 1, policy.NodeDraining))
--- a/internal/core/observe_test.go
+++ b/internal/core/observe_test.go
@@ -17,7 +17,7 @@
 	}
 	var all []observation // the actor's until it has stopped
 	r := &fixture{t: t}
-	c, err := New(Options{Settings: settings(), Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient,
+	c, err := New(Options{Settings: testSettings(), Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient,
 		OnAttemptEnded: func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
 			if all = append(all, observation{node, class, since, units, status}); latencyMs < 0 {
 				t.Errorf("%v ms", latencyMs)
--- a/internal/core/preconnect_test.go
+++ b/internal/core/preconnect_test.go
@@ -23,7 +23,7 @@
 // Preconnects and health checks go only to nodes that are up and not excluded. A failure or a full node is reported to
 // the StartLimiter until it is done; a success is not.
 func TestPreconnectAndHealthCheck(t *testing.T) {
-	r, b := startCore(t, settings()), &recordingLimiter{}
+	r, b := startCore(t, testSettings()), &recordingLimiter{}
 	r.options.StartLimiter = b
 	r.updateList(policy.CachedListLoaded, newNode("up", 0, policy.NodeUp), newNode("draining", 0, policy.NodeDraining), newNode("excluded", 0, policy.NodeUp),
 		newNode("removed", 0, policy.NodeUp))
@@ -60,7 +60,7 @@
 
 // Learned lists the most used nodes first. An earlier use counts for less, and a removed node has none.
 func TestLearnedIsOrderedByUse(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.options.StartLimiter = &recordingLimiter{done: true}
 	ids := []string{"a", "b", "c", "d"}
 	var list []Node
@@ -88,7 +88,7 @@
 		t.Errorf("%s", got)
 	}
 	_, _ = r.changeExclusions(func(now float64) ([]string, error) {
-		r.nodeUses["b"] = nodeUse{4, now - 4*useHalfLife}
+		r.nodeUses["b"] = nodeUse{4, now - 4*useHalfLifeMs}
 		return nil, nil
 	})
 	if got := order(); got != "cadb" {
--- a/internal/core/reconfigure_test.go
+++ b/internal/core/reconfigure_test.go
@@ -12,7 +12,7 @@
 func TestReconfigureFillsByOldLimitUntilChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limited := func(limit float64) policy.Settings {
-			set := settings()
+			set := testSettings()
 			set.Plans[0].RateLimit, set.Plans[0].LimitBurst = limit, 2*set.MaxUnits
 			return set
 		}
@@ -20,7 +20,7 @@
 		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		submit := func(id string) {
 			q, _ := r.newRequest(id, "read", time.Minute)
-			q.Units = settings().MaxUnits
+			q.Units = testSettings().MaxUnits
 			r.Submit(q)
 			synctest.Wait()
 		}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,7 +17,7 @@
 	Failed
 )
 
-// Cause is the reason of a failure, in words that a client may read. A front may map it to its own codes.
+// Cause is the reason why a request failed, as text for the client. A front may map it to its own codes.
 type Cause string
 
 // The causes of failed requests.
@@ -31,47 +31,48 @@
 	CauseInternal         Cause = "internal error"
 )
 
-// Answer is a request's one final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Payload    any           // Served: the payload of the attempt's result
-	RetryAfter time.Duration // Rejected
-	Cause      Cause         // Failed
+	Payload    any           // if Served: the payload of the attempt's result
+	RetryAfter time.Duration // if Rejected
+	Cause      Cause         // if Failed
 }
 
-// Request is a client's request as a front hands it over.
+// Request is a client's request as a front submits it.
 type Request struct {
 	policy.Request                   // core sets Deadline
-	ReceivedAt     time.Time         // when its last byte arrived
+	ReceivedAt     time.Time         // when the last byte arrived
 	Timeout        time.Duration     // how long the client waits after ReceivedAt
-	Payload        any               // opaque to core: from the front to its node clients
-	Answer         func(Answer)      // called exactly once unless the request is cancelled first; must not block
-	AttemptedNodes *AttemptedNodes   // filled with the nodes that its attempts go to; nil: not wanted
-	Settings       *Settings         // version it was decoded under; nil: the current one at its arrival
-	AvoidNodes     []*AttemptedNodes // of earlier requests for the same data, the newest first: other nodes are preferred
-	// ClientDisconnected reports whether the client's connection is closed now; nil: unknown. It must not block.
-	// Attempts call it when they are claimed, because a Cancel may still be in the mailbox then.
+	Payload        any               // passed from the front to its node clients; core does not interpret it
+	Answer         func(Answer)      // called exactly once unless the request is cancelled before; must not block
+	AttemptedNodes *AttemptedNodes   // core adds the nodes that the attempts are dispatched to; may be nil
+	Settings       *Settings         // version that the request was decoded with; nil means the current one at its arrival
+	AvoidNodes     []*AttemptedNodes // nodes of earlier requests for the same data, newest first; other nodes are preferred
+	// ClientDisconnected reports whether the client's connection is closed now. It is nil if this is unknown, and must not
+	// block. It is called when an attempt is claimed, because the Cancel may still be in the mailbox at that time.
 	ClientDisconnected func() bool
 }
 
-// clientDisconnected reports whether the client has disconnected, also before Cancel is called. Any goroutine may call it.
+// clientDisconnected reports whether the client has disconnected, even before Cancel is called. Any goroutine may call it.
 func (r *Request) clientDisconnected() bool {
 	return r != nil && r.ClientDisconnected != nil && r.ClientDisconnected()
 }
 
-// Releaser is a payload with resources that must be released if it is not served.
+// Releaser is a payload with resources that must be released if the payload is not used for an answer.
 type Releaser interface{ Release() }
 
 // requestState is a request in the core's table, until it is answered and none of its attempts is outstanding.
 type requestState struct {
-	request      *Request
-	attempts     []*Attempt
-	outstanding  int // attempts without a result
-	answered     bool
-	repeatWindow cutoff // for all its attempts, once one is a retry that the nodes deduplicate only until then
+	request     *Request
+	attempts    []*Attempt
+	outstanding int // attempts without a result
+	answered    bool
+	dedupCutoff cutoff // applies to all attempts; set once one of them is a retry that the nodes deduplicate only until then
 }
 
-// Submit hands over a request without waiting. It is rejected at once if the mailbox is full or the actor has ended.
+// Submit passes a request to the actor without blocking. The request is rejected at once if the mailbox is full or the
+// actor has ended.
 func (c *Core) Submit(r *Request) {
 	select {
 	case c.mailbox <- requestArrived{r}:
@@ -81,23 +82,24 @@
 	}
 	select {
 	case <-c.ended:
-		c.rejectRemaining() // the actor may have ended without taking it
+		c.rejectRemaining() // the actor may have ended before it read the request from the mailbox
 	default:
 	}
 }
 
-// Reject answers a request as rejected without the module, and counts it like the module's rejections. Fronts call it
-// when they lack resources; any goroutine may call it.
+// Reject rejects a request without the decision module, and counts it like the module's rejections. Fronts call it when
+// they lack resources. Any goroutine may call it.
 func (c *Core) Reject(r *Request, wait time.Duration) {
 	c.counters.ended(r.Class, Rejected)
 	r.Answer(Answer{Kind: Rejected, RetryAfter: wait})
 }
 
-// Cancel ends a request whose client has disconnected. Its Answer may still be called until the actor has handled
-// this. It may wait for the mailbox.
+// Cancel ends a request whose client has disconnected. Its Answer may still be called until the actor has handled the
+// cancellation. Cancel may block while the mailbox is full.
 func (c *Core) Cancel(r *Request) { c.post(requestCancelled{r}) }
 
-// admit adds a request to the table, unless it can be answered at once.
+// admit adds a request to the table and queues its arrival for the decision module, unless the request is rejected or
+// failed at once.
 func (c *Core) admit(r *Request, now float64) {
 	if c.rejectsArrivals {
 		c.Reject(r, rejectionRetryAfter)
@@ -108,32 +110,32 @@
 		r.Answer(Answer{Kind: Failed, Cause: cause})
 		return
 	}
-	if st := c.startLimiter(); st != nil {
-		if retry, refuse := st.Admit(c.nodeOfShard(r.Shard)); refuse {
-			c.Reject(r, retry)
+	if limiter := c.startLimiter(); limiter != nil {
+		if retryAfter, rejected := limiter.Admit(c.nodeOfShard(r.Shard)); rejected {
+			c.Reject(r, retryAfter)
 			return
 		}
 	}
 	c.counters.inProgress.Add(1)
 	timeout := r.Timeout - c.timerLag.Margin(c.sinceOrigin(now), r.Timeout)
 	r.Deadline = c.moduleTime(r.ReceivedAt.Add(timeout))
-	e := &requestState{request: r}
-	c.requests[r.ID] = e
-	heap.Push(&c.timers, pendingTimer{atMs: r.Deadline + float64(guardDelay.Milliseconds()), guarded: e})
+	state := &requestState{request: r}
+	c.requests[r.ID] = state
+	heap.Push(&c.timers, pendingTimer{atMs: r.Deadline + float64(guardDelay.Milliseconds()), guarded: state})
 	if len(r.AvoidNodes) > 0 {
-		c.deferred = append(c.deferred, e)
+		c.deferred = append(c.deferred, state)
 		return
 	}
 	c.events = append(c.events, policy.Event{Kind: policy.RequestArrived, Request: r.Request})
 }
 
-// failureCause returns why a request cannot be accepted under the current settings; "": it can.
+// failureCause returns the reason why a request cannot be accepted under the current settings, or "" if it can.
 func (c *Core) failureCause(r *Request) Cause {
-	set := c.settings.Load()
+	settings := c.settings.Load()
 	switch {
-	case !set.knows(&r.Request):
+	case !settings.hasClassAndPlan(&r.Request):
 		return CauseUnknownClass
-	case r.Settings != nil && r.Settings != set && !set.agrees(r.Settings, &r.Request):
+	case r.Settings != nil && r.Settings != settings && !settings.equivalentFor(r.Settings, &r.Request):
 		return CauseSettingsChanged
 	case c.requests[r.ID] != nil:
 		return CauseDuplicateID // the table holds one request for an id
@@ -141,45 +143,45 @@
 	return ""
 }
 
-// cancelRequest ends a request whose client has disconnected; it gets no answer.
-func (c *Core) cancelRequest(e *requestState) {
-	if e.answered {
+// cancelRequest ends a request whose client has disconnected, without an answer.
+func (c *Core) cancelRequest(state *requestState) {
+	if state.answered {
 		return
 	}
-	e.markAnswered()
+	state.markAnswered()
 	c.counters.inProgress.Add(-1)
-	c.dropFromModule(e)
+	c.dropFromModule(state)
 }
 
-// abort answers a request that the module still has, and ends it there.
-func (c *Core) abort(e *requestState, a Answer) {
-	if e.answered {
+// abort answers a request and removes it from the decision module.
+func (c *Core) abort(state *requestState, a Answer) {
+	if state.answered {
 		return
 	}
-	c.answer(e, a)
-	c.dropFromModule(e)
+	c.answer(state, a)
+	c.dropFromModule(state)
 }
 
-// dropFromModule ends an answered request in the module.
-func (c *Core) dropFromModule(e *requestState) {
-	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: e.request.ID})
-	c.forgetEnded(e)
+// dropFromModule removes an answered request from the decision module.
+func (c *Core) dropFromModule(state *requestState) {
+	c.events = append(c.events, policy.Event{Kind: policy.ClientDisconnected, ID: state.request.ID})
+	c.forgetEnded(state)
 }
 
-// answer gives a request its final answer; a second one is ignored.
-func (c *Core) answer(e *requestState, a Answer) {
-	if e.answered {
+// answer gives a request its final answer. It does nothing if the request is already answered.
+func (c *Core) answer(state *requestState, a Answer) {
+	if state.answered {
 		return
 	}
-	e.markAnswered()
+	state.markAnswered()
 	c.counters.inProgress.Add(-1)
-	c.counters.ended(e.request.Class, a.Kind)
-	e.request.Answer(a)
-	c.logLate(e, a, time.Now())
+	c.counters.ended(state.request.Class, a.Kind)
+	state.request.Answer(a)
+	c.logLate(state, a, time.Now())
 }
 
-// markAnswered marks a request as answered and abandons its attempts that are not claimed yet. One may still wait for
-// a connection after another was served or the deadline has passed, and must not be written.
+// markAnswered marks a request as answered and abandons its attempts that are not claimed yet. Such an attempt may still
+// wait for a connection after another one was served or the deadline has passed, and must not be written.
 func (e *requestState) markAnswered() {
 	e.answered = true
 	for _, t := range e.attempts {
@@ -188,8 +190,8 @@
 }
 
 // forgetEnded removes a request from the table once it is answered and none of its attempts is outstanding.
-func (c *Core) forgetEnded(e *requestState) {
-	if e.answered && e.outstanding == 0 && c.requests[e.request.ID] == e {
-		delete(c.requests, e.request.ID)
+func (c *Core) forgetEnded(state *requestState) {
+	if state.answered && state.outstanding == 0 && c.requests[state.request.ID] == state {
+		delete(c.requests, state.request.ID)
 	}
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -7,44 +7,44 @@
 	"wheatsaddle/policy"
 )
 
-// Settings is one version of the settings. It is immutable: a change makes a new version, and a request names the version
-// that it was decoded under.
+// Settings is one version of the settings. It is immutable. A change creates a new version, and a request refers to the
+// version that it was decoded with.
 type Settings struct {
-	Version uint64 // 1 at the start, one more with each change
+	Version uint64 // 1 at the start, incremented by each change
 	policy.Settings
 	classes map[string]policy.Class
 	plans   map[string]policy.Plan
 }
 
-// newSettings makes a version, with copies of the classes and plans.
-func newSettings(version uint64, set policy.Settings) *Settings {
-	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
-	s := &Settings{Version: version, Settings: set, classes: map[string]policy.Class{}, plans: map[string]policy.Plan{}}
-	for _, k := range set.Classes {
-		s.classes[k.Name] = k
+// newSettings returns a version of the settings with copies of the classes and plans.
+func newSettings(version uint64, settings policy.Settings) *Settings {
+	settings.Classes, settings.Plans = slices.Clone(settings.Classes), slices.Clone(settings.Plans)
+	s := &Settings{Version: version, Settings: settings, classes: map[string]policy.Class{}, plans: map[string]policy.Plan{}}
+	for _, class := range settings.Classes {
+		s.classes[class.Name] = class
 	}
-	for _, p := range set.Plans {
-		s.plans[p.Name] = p
+	for _, plan := range settings.Plans {
+		s.plans[plan.Name] = plan
 	}
 	return s
 }
 
-// Class returns the class of a name; false: there is none.
+// Class returns the class with the name, and false if there is none.
 func (s *Settings) Class(name string) (policy.Class, bool) {
 	k, ok := s.classes[name]
 	return k, ok
 }
 
-// knows reports whether a request's class and plan exist.
-func (s *Settings) knows(r *policy.Request) bool {
+// hasClassAndPlan reports whether the request's class and plan exist.
+func (s *Settings) hasClassAndPlan(r *policy.Request) bool {
 	_, class := s.classes[r.Class]
 	_, plan := s.plans[r.Plan]
 	return class && plan
 }
 
-// agrees reports whether a request that was decoded under another version means the same under this one: its class, its
-// plan and the bounds it was checked against are equal.
-func (s *Settings) agrees(decoded *Settings, r *policy.Request) bool {
+// equivalentFor reports whether a request that was decoded with another version has the same meaning with this one. That is
+// the case if its class, its plan and the bounds that it was checked against are equal.
+func (s *Settings) equivalentFor(decoded *Settings, r *policy.Request) bool {
 	return s.classes[r.Class] == decoded.classes[r.Class] && s.plans[r.Plan] == decoded.plans[r.Plan] &&
 		s.MaxUnits == decoded.MaxUnits && s.Shards == decoded.Shards && s.Schedulers == decoded.Schedulers
 }
@@ -52,11 +52,11 @@
 // Settings returns the current version.
 func (c *Core) Settings() *Settings { return c.settings.Load() }
 
-// Reconfigure applies new settings to the running module and the core, and publishes them, in one step of the actor. Requests that
-// arrived before are decided by the old version and keep their class. If the module rejects the settings, nothing
-// changes. It waits for the actor.
-func (c *Core) Reconfigure(set policy.Settings) error {
-	err, ok := ask(c, func() error { return c.reconfigure(set) })
+// Reconfigure applies new settings to the decision module and the core and publishes them, in one iteration of the actor.
+// Requests that arrived before are decided by the old version and keep their class. If the decision module rejects the
+// settings, nothing changes and the error is returned. It waits for the actor.
+func (c *Core) Reconfigure(settings policy.Settings) error {
+	err, ok := query(c, func() error { return c.reconfigure(settings) })
 	if !ok {
 		return &EndedError{}
 	}
@@ -64,22 +64,22 @@
 }
 
 // reconfigure applies new settings in the actor.
-func (c *Core) reconfigure(set policy.Settings) error {
+func (c *Core) reconfigure(settings policy.Settings) error {
 	now := c.moduleTime(time.Now())
-	c.advance(now)             // earlier arrivals of this iteration belong to the old version
-	c.stepAndExecute(now, nil) // without arrivals the module's time is that of its last step
-	if err := c.scheduler.Reconfigure(set); err != nil {
+	c.advance(now)             // requests that arrived earlier in this iteration are decided by the old version
+	c.stepAndExecute(now, nil) // brings the module to the current time, so that token buckets fill by the old limits until now
+	if err := c.scheduler.Reconfigure(settings); err != nil {
 		return err
 	}
-	next := newSettings(c.settings.Load().Version+1, set)
+	next := newSettings(c.settings.Load().Version+1, settings)
 	c.options.Settings = next.Settings
-	c.counters.addClasses(next.names())
+	c.counters.addClasses(next.classNames())
 	c.settings.Store(next)
 	return nil
 }
 
-// names are the names of the classes.
-func (s *Settings) names() []string {
+// classNames returns the names of the classes.
+func (s *Settings) classNames() []string {
 	names := make([]string, 0, len(s.Classes))
 	for _, k := range s.Classes {
 		names = append(names, k.Name)
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -37,9 +37,9 @@
 func TestRequestDecodedUnderOldSettings(t *testing.T) {
 	for _, x := range changes {
 		t.Run(x.name, func(t *testing.T) {
-			r := startCore(t, settings())
+			r := startCore(t, testSettings())
 			r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-			decoded, next := r.Settings(), settings()
+			decoded, next := r.Settings(), testSettings()
 			x.change(&next)
 			if err := r.Reconfigure(next); err != nil {
 				t.Fatal(err)
@@ -67,9 +67,9 @@
 
 // A request that arrives before a change in the same iteration is decided by the old settings.
 func TestArrivalBeforeReconfigureInOneIteration(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	next := settings()
+	next := testSettings()
 	next.Classes[0].Effect = policy.NonIdempotent
 	release := r.blockActor()
 	_, before := r.submit("before", "read")
@@ -100,9 +100,9 @@
 
 // Settings that the module rejects change nothing in the core either.
 func TestRejectedSettingsChangeNothing(t *testing.T) {
-	r := startCore(t, settings())
+	r := startCore(t, testSettings())
 	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	before, invalid := r.Settings(), settings()
+	before, invalid := r.Settings(), testSettings()
 	invalid.Classes[0].Name, invalid.MaxAttempts = "renamed", -1
 	if err := r.Reconfigure(invalid); err == nil {
 		t.Fatal("accepted")
--- a/internal/core/shards.go
+++ b/internal/core/shards.go
@@ -7,9 +7,10 @@
 	"wheatsaddle/policy"
 )
 
-// Shards returns, in order, the shards with a node that is up and not excluded; nil once the actor has ended.
+// Shards returns the sorted numbers of the shards that have a node that is up and not excluded. It returns nil once the
+// actor has ended.
 func (c *Core) Shards() []int {
-	shards, _ := ask(c, func() []int {
+	shards, _ := query(c, func() []int {
 		var shards []int
 		now := c.moduleTime(time.Now())
 		for _, n := range c.nodes {
--- a/internal/core/timerlag_test.go
+++ b/internal/core/timerlag_test.go
@@ -13,7 +13,7 @@
 // time.
 func TestTimerLagWidensMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startCore(t, settings())
+		r := startCore(t, testSettings())
 		r.updateList(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		timeLeft := func(id string) time.Duration { // time left at the answer of a request that gets no result
 			got := make(chan time.Duration, 1)
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,18 +7,20 @@
 	"wheatsaddle/policy"
 )
 
-// guardDelay is how long after a request's deadline its guard timer fails it if the module has not answered it.
+// guardDelay is how long after a request's deadline its guard timer fires. The timer fails the request if the decision
+// module has not answered it by then.
 const guardDelay = 5 * time.Millisecond
 
-// pendingTimer is one timer: of the module (tag), of a request's guard, or of a node's cutoff.
+// pendingTimer is a timer of the decision module, the guard timer of a request, or the timer for the cutoff of a draining
+// node.
 type pendingTimer struct {
 	atMs      float64
-	tag       string
-	guarded   *requestState
-	drainNode string // its client is closed to new attempts if its cutoff has passed
+	tag       string        // of a timer of the decision module
+	guarded   *requestState // set for a guard timer
+	drainNode string        // set for a cutoff timer
 }
 
-// timerHeap implements heap.Interface: the earliest timer first.
+// timerHeap implements heap.Interface. The earliest timer comes first.
 type timerHeap []pendingTimer
 
 // Len implements heap.Interface.
@@ -41,7 +43,7 @@
 	return x
 }
 
-// fireTimers fires the timers that are due, in the order of their times.
+// fireTimers fires the timers that are due, the earliest first.
 func (c *Core) fireTimers(now float64) {
 	for len(c.timers) > 0 && c.timers[0].atMs <= now {
 		t := heap.Pop(&c.timers).(pendingTimer)
@@ -57,16 +59,17 @@
 	}
 }
 
-// closeDrained closes a node's client to new attempts if its cutoff has passed. The timer may belong to an earlier drain
-// from which the node has returned, so the cutoff decides and not the timer.
+// closeDrained closes a node's client to new attempts if the node's cutoff has passed. The cutoff is checked because the
+// timer may belong to an earlier drain after which the node came up again.
 func (c *Core) closeDrained(node string, now float64) {
-	p := c.clients[node]
-	if p != nil && c.cutoffs[node].passed(c.wallTime(now)) {
-		p.Drain(true)
+	client := c.clients[node]
+	if client != nil && c.cutoffs[node].passed(c.wallTime(now)) {
+		client.Drain(true)
 	}
 }
 
-// failOverdue fails a request that the module has not answered in time, so that the client still gets its answer.
-func (c *Core) failOverdue(e *requestState) {
-	c.abort(e, Answer{Kind: Failed, Cause: CauseDeadlineExceeded})
+// failOverdue fails a request that the decision module has not answered by its deadline, so that the client still gets an
+// answer.
+func (c *Core) failOverdue(state *requestState) {
+	c.abort(state, Answer{Kind: Failed, Cause: CauseDeadlineExceeded})
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -19,14 +19,15 @@
 const (
 	watchPath    = "/registry/instances"
 	dialTimeout  = time.Second
-	maxLineBytes = 4 << 20 // of one list of a watch
+	maxLineBytes = 4 << 20 // maximum size of one list in a watch
 
 	maxInterimResponses = 8  // 1xx responses accepted before the final one
-	chunkedLength       = -1 // the length that a fasthttp head gives for a chunked body
+	chunkedLength       = -1 // content length that fasthttp reports for a chunked body
 )
 
 // runCall opens a connection, requests the changes after the version, and passes each message to put until the
-// connection ends. It sets no read deadline: watchtimer detects silent calls, and the context is cancelled.
+// connection ends. It sets no read deadline, because watchtimer detects silent calls and the watcher then cancels the
+// context.
 func (w *Watcher) runCall(ctx context.Context, address string, version int64, put func(callMessage)) error {
 	conn, err := transport.DialTCP(ctx, address, dialTimeout)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return w.readLines(body(head, reader), put)
 }
 
-// readHead reads the response's head and skips interim (1xx) ones.
+// readHead reads the head of the final response and skips interim (1xx) responses.
 func readHead(br *bufio.Reader) (*fasthttp.ResponseHeader, error) {
 	head := &fasthttp.ResponseHeader{}
 	for range maxInterimResponses {
@@ -66,11 +67,11 @@
 			return head, nil
 		}
 	}
-	return nil, &MalformedError{Reason: "too many interim answers"}
+	return nil, &MalformedError{Reason: "too many interim responses"}
 }
 
-// body returns the response's body. Each byte can be read as soon as it has arrived; fasthttp's own stream would hold
-// back the end of a chunk until the line end after the chunk has arrived as well.
+// body returns the response's body. Each byte can be read as soon as it has arrived. The stream of fasthttp is not used,
+// because it does not return the end of a chunk before the line break after the chunk has arrived as well.
 func body(head *fasthttp.ResponseHeader, br *bufio.Reader) io.Reader {
 	switch length := head.ContentLength(); {
 	case length == chunkedLength:
@@ -81,11 +82,12 @@
 	return br
 }
 
-// readLines reads the messages of a watch. A list may be indented and span several lines: it goes on until its
-// first brace is closed. Within a list no line is empty or begins with a brace, so such a line shows that the
-// list was cut off. A line that cannot be decoded is logged and ends the watch; the current list and its
-// version stay, so that the next call requests what was missed. It is not reported as a message, because watchtimer
-// would then close other calls that may still be valid.
+// readLines reads the messages of a watch. A list may be indented and span several lines, up to the brace that closes its
+// first one. Within a list no line is empty or begins with a brace, so such a line shows that the list was truncated.
+//
+// A list that cannot be decoded is logged and ends the watch. The current list and its version stay, so that the next call
+// requests what was missed. The malformed list is not reported as a message, because watchtimer would then close other
+// calls that may still be valid.
 func (w *Watcher) readLines(stream io.Reader, put func(callMessage)) error {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
@@ -97,7 +99,7 @@
 		text := bytes.TrimSpace(rawLine)
 		truncated := object != nil && (len(text) == 0 || rawLine[0] == '{')
 		if len(text) == 0 && !truncated {
-			put(callMessage{unchanged: lastVersion < 0}) // after a list it is only a heartbeat
+			put(callMessage{unchanged: lastVersion < 0}) // an empty line after a list is only a heartbeat
 			continue
 		}
 		if !truncated {
@@ -114,7 +116,7 @@
 		} else {
 			text = object
 		}
-		l, err := Decode(text)
+		list, err := Decode(text)
 		object, nesting = nil, jsonNesting{}
 		if err != nil {
 			if w.allowInvalidListLog() {
@@ -122,13 +124,13 @@
 			}
 			return err
 		}
-		w.logInvalidParts(&l)
-		if l.Version < lastVersion { // an older list after a newer one counts as a heartbeat only
+		w.logInvalidParts(&list)
+		if list.Version < lastVersion { // an older list after a newer one counts only as a heartbeat
 			put(callMessage{})
 			continue
 		}
-		lastVersion = l.Version
-		put(callMessage{list: &l})
+		lastVersion = list.Version
+		put(callMessage{list: &list})
 	}
 	if err := scanner.Err(); err != nil {
 		return err
@@ -142,21 +144,21 @@
 	inString, escaped bool
 }
 
-// continues reads a piece and reports whether an object or list is still open at its end.
-func (d *jsonNesting) continues(piece []byte) bool {
+// continues reads the next piece and reports whether an object or array is still open at its end.
+func (n *jsonNesting) continues(piece []byte) bool {
 	for _, b := range piece {
 		switch {
-		case d.escaped:
-			d.escaped = false
-		case d.inString:
-			d.escaped, d.inString = b == '\\', b != '"'
+		case n.escaped:
+			n.escaped = false
+		case n.inString:
+			n.escaped, n.inString = b == '\\', b != '"'
 		case b == '"':
-			d.inString = true
+			n.inString = true
 		case b == '{' || b == '[':
-			d.level++
+			n.level++
 		case b == '}' || b == ']':
-			d.level--
+			n.level--
 		}
 	}
-	return d.level > 0
+	return n.level > 0
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -12,88 +12,88 @@
 	"wheatsaddle/policy"
 )
 
-// nodeStates maps the words of the list to states.
+// nodeStates maps the values of "status" in the list to node states.
 var nodeStates = map[string]policy.NodeState{
 	"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved,
 }
 
-// List is one decoded message of the list's service: the full list, or a change to it.
+// List is a decoded message of the list service. It holds the full endpoint list or a change to it.
 type List struct {
 	Version           int64
 	Full              bool
 	Nodes             []core.Node
-	InvalidEntries    []error         // one EntryError for each entry that was ignored
-	InvalidAddresses  []error         // one AddressError for each ignored address of a valid entry
-	invalidNames      map[string]bool // names of the ignored entries that could be read
-	hasUnnamedInvalid bool            // an ignored entry has no readable name
+	InvalidEntries    []error         // an EntryError for each ignored entry
+	InvalidAddresses  []error         // an AddressError for each ignored address of a valid entry
+	invalidNames      map[string]bool // names of the ignored entries
+	hasUnnamedInvalid bool            // the name of an ignored entry is missing
 }
 
-// Decode reads one message. An invalid entry is ignored and recorded in InvalidEntries.
+// Decode decodes a message of the list service. An invalid entry is ignored and recorded in InvalidEntries.
 func Decode(text []byte) (List, error) {
-	l := List{invalidNames: map[string]bool{}}
+	list := List{invalidNames: map[string]bool{}}
 	if !gjson.ValidBytes(text) {
-		return l, &MalformedError{Reason: "not valid JSON"}
+		return list, &MalformedError{Reason: "not valid JSON"}
 	}
 	root := gjson.ParseBytes(text)
 	index, entries := root.Get("index"), root.Get("endpoints")
 	if index.Type != gjson.Number {
-		return l, &MalformedError{"index", "missing or not a number"}
+		return list, &MalformedError{"index", "missing or not a number"}
 	}
 	if !entries.IsArray() {
-		return l, &MalformedError{"endpoints", "missing or not a list"}
+		return list, &MalformedError{"endpoints", "missing or not a list"}
 	}
-	l.Version, l.Full = index.Int(), root.Get("snapshot").Bool()
-	for i, e := range entries.Array() {
-		n, invalid, err := decodeNode(e)
+	list.Version, list.Full = index.Int(), root.Get("snapshot").Bool()
+	for i, entry := range entries.Array() {
+		node, invalid, err := decodeNode(entry)
 		if err != nil {
-			name := e.Get("name").String()
-			l.InvalidEntries = append(l.InvalidEntries, &EntryError{i, name, err})
-			l.invalidNames[name], l.hasUnnamedInvalid = true, l.hasUnnamedInvalid || name == ""
+			name := entry.Get("name").String()
+			list.InvalidEntries = append(list.InvalidEntries, &EntryError{i, name, err})
+			list.invalidNames[name], list.hasUnnamedInvalid = true, list.hasUnnamedInvalid || name == ""
 			continue
 		}
 		for _, x := range invalid {
-			l.InvalidAddresses = append(l.InvalidAddresses, &AddressError{i, n.ID, x})
+			list.InvalidAddresses = append(list.InvalidAddresses, &AddressError{i, node.ID, x})
 		}
-		l.Nodes = append(l.Nodes, n)
+		list.Nodes = append(list.Nodes, node)
 	}
-	return l, nil
+	return list, nil
 }
 
-// decodeNode reads an entry; invalid has an error for each ignored address.
-func decodeNode(e gjson.Result) (n core.Node, invalid []error, err error) {
-	if !e.IsObject() {
-		return n, nil, errors.New("not an object")
+// decodeNode decodes an entry. It returns an error for each ignored address in invalid.
+func decodeNode(entry gjson.Result) (node core.Node, invalid []error, err error) {
+	if !entry.IsObject() {
+		return node, nil, errors.New("not an object")
 	}
-	if n.ID = e.Get("name").String(); n.ID == "" {
-		return n, nil, errors.New("name: missing")
+	if node.ID = entry.Get("name").String(); node.ID == "" {
+		return node, nil, errors.New("name: missing")
 	}
 	var ok bool
-	if n.State, ok = nodeStates[e.Get("status").String()]; !ok {
-		return n, nil, fmt.Errorf("status: unknown word %.20q", e.Get("status").String())
+	if node.State, ok = nodeStates[entry.Get("status").String()]; !ok {
+		return node, nil, fmt.Errorf("status: unknown word %.20q", entry.Get("status").String())
 	}
-	if n.Addresses, invalid, err = decodeAddresses(e); err != nil && n.State != policy.NodeRemoved {
-		return n, invalid, err
+	if node.Addresses, invalid, err = decodeAddresses(entry); err != nil && node.State != policy.NodeRemoved {
+		return node, invalid, err
 	}
-	group := e.Get("group")
-	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && n.State != policy.NodeRemoved {
-		return n, nil, errors.New("group: missing or not a shard")
+	group := entry.Get("group")
+	if (group.Type != gjson.Number || group.Num < 0 || group.Num > 1e6) && node.State != policy.NodeRemoved {
+		return node, nil, errors.New("group: missing or not a shard")
 	}
-	startTime := e.Get("since_ms")
+	startTime := entry.Get("since_ms")
 	if startTime.Exists() && startTime.Type != gjson.Number {
-		return n, nil, errors.New("since_ms: not a number")
+		return node, nil, errors.New("since_ms: not a number")
 	}
-	n.Shard, n.Zone, n.StartTime, n.Weight = int(group.Num), e.Get("zone").String(), startTime.Num, 1
-	if w := e.Get("weight"); w.Type == gjson.Number {
-		n.Weight = w.Num
+	node.Shard, node.Zone, node.StartTime, node.Weight = int(group.Num), entry.Get("zone").String(), startTime.Num, 1
+	if weight := entry.Get("weight"); weight.Type == gjson.Number {
+		node.Weight = weight.Num
 	}
-	return n, invalid, nil
+	return node, invalid, nil
 }
 
-// decodeAddresses reads "addresses", and adds "address" if it is not among them. The platform's lists have only
-// "address". An invalid address is ignored and recorded in invalid; the entry fails only if no address remains.
-func decodeAddresses(e gjson.Result) (list []address.Addr, invalid []error, err error) {
+// decodeAddresses decodes "addresses" and adds "address" if it is not among them. The platform's lists have only
+// "address". An invalid address is ignored and returned in invalid. The entry is invalid only if no address remains.
+func decodeAddresses(entry gjson.Result) (list []address.Addr, invalid []error, err error) {
 	var texts []string
-	single, several := e.Get("address"), e.Get("addresses")
+	single, several := entry.Get("address"), entry.Get("addresses")
 	if !several.Exists() {
 		a, err := address.Parse(single.String())
 		if err != nil {
@@ -104,12 +104,12 @@
 	if !several.IsArray() {
 		return nil, nil, errors.New("addresses: not a list")
 	}
-	for i, x := range several.Array() {
-		if x.Type != gjson.String {
+	for i, value := range several.Array() {
+		if value.Type != gjson.String {
 			invalid = append(invalid, fmt.Errorf("addresses.%d: not text", i))
 			continue
 		}
-		texts = append(texts, x.Str)
+		texts = append(texts, value.Str)
 	}
 	list, errs := address.ParseList(texts)
 	invalid = append(invalid, errs...)
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// MalformedError reports a message of the list's service that could not be decoded.
+// MalformedError reports a message of the list service that could not be decoded.
 type MalformedError struct{ Key, Reason string }
 
 // Error implements error.
@@ -23,10 +23,10 @@
 
 // Advice implements operr.Coded.
 func (e *MalformedError) Advice() string {
-	return "See what the list's service sends (or the configuration's key known); the last valid list stays in use."
+	return "Check what the list service sends (or the configuration's key known). The last valid list stays in use."
 }
 
-// EntryError reports an entry of the list that was ignored; the others are applied.
+// EntryError reports an invalid entry of the list. The entry is ignored, and the other entries are applied.
 type EntryError struct {
 	Index int
 	Name  string
@@ -46,10 +46,10 @@
 
 // Advice implements operr.Coded.
 func (e *EntryError) Advice() string {
-	return "Correct the entry in the list's service; until then its node stays as last listed, and a new node is not used."
+	return "Correct the entry in the list service. Until then a node that is already listed keeps its last valid entry, and a new node is not used."
 }
 
-// AddressError reports an ignored address of an entry; the entry's other addresses are used.
+// AddressError reports an invalid address of an entry. The address is ignored, and the entry's other addresses are used.
 type AddressError struct {
 	Index int
 	Name  string
@@ -69,10 +69,10 @@
 
 // Advice implements operr.Coded.
 func (e *AddressError) Advice() string {
-	return "Correct the address in the list's service; until then only the node's other addresses are used."
+	return "Correct the address in the list service. Until then only the node's other addresses are used."
 }
 
-// CallRejectedError reports a call for the list that the service answered with an error status.
+// CallRejectedError reports a call that the list service answered with a status other than 200.
 type CallRejectedError struct{ Status int }
 
 // Error implements error.
@@ -83,10 +83,10 @@
 
 // Advice implements operr.Coded.
 func (e *CallRejectedError) Advice() string {
-	return "See why the list's service rejects calls (load, path, permissions); the last list stays in use until a call succeeds."
+	return "Check why the list service rejects calls (load, path, permissions). The last list stays in use until a call succeeds."
 }
 
-// WatchSilentError reports that a watch sent no message within its silence timeout.
+// WatchSilentError reports that a watch received no message within its silence timeout.
 type WatchSilentError struct{}
 
 // Error implements error.
@@ -97,10 +97,10 @@
 
 // Advice implements operr.Coded.
 func (e *WatchSilentError) Advice() string {
-	return "See whether the list's service runs and is reachable from this machine; another call is made beside the silent one, and the last list stays in use."
+	return "Check whether the list service runs and is reachable from this machine. Another call is made while the silent one stays open, and the last list stays in use."
 }
 
-// CallError reports a call for the list that could not connect, or whose connection ended.
+// CallError reports a call to the list service that could not connect or whose connection ended.
 type CallError struct {
 	Address string
 	Err     error
@@ -117,7 +117,7 @@
 
 // Advice implements operr.Coded.
 func (e *CallError) Advice() string {
-	return "See whether the list's service runs at the address and is reachable from this machine; it is called again, and the last list stays in use."
+	return "Check whether the list service runs at the address and is reachable from this machine. The call is retried, and the last list stays in use."
 }
 
 func init() {
--- a/internal/discovery/nodes.go
+++ b/internal/discovery/nodes.go
@@ -8,27 +8,27 @@
 	"wheatsaddle/policy"
 )
 
-// maxRemovedNodes bounds the removed nodes whose start times are recorded.
+// maxRemovedNodes is the maximum number of removed nodes whose start times are recorded.
 const maxRemovedNodes = 4096
 
 // preserveDrainsAndRemovals adjusts a full list whose version is older than the current one. Either its source lags
-// behind, or the list's service has restarted its versions; no message tells which. The list and its changes
-// are therefore applied, but a draining node stays draining and a removed node stays removed until it has
-// restarted (its start time differs) or a later message names it.
-func (w *Watcher) preserveDrainsAndRemovals(l *List) {
+// behind, or the list service has restarted its version numbers, and no message tells which. The list and the changes after
+// it are therefore applied, but a draining node stays draining and a removed node stays removed. This ends when the node
+// has restarted, which shows as a different start time, or when a later message names it.
+func (w *Watcher) preserveDrainsAndRemovals(list *List) {
 	w.initNodes()
-	l.Nodes = slices.DeleteFunc(l.Nodes, func(n core.Node) bool {
-		startTime, removed := w.removedStartTimes[n.ID]
-		return removed && startTime == n.StartTime
+	list.Nodes = slices.DeleteFunc(list.Nodes, func(node core.Node) bool {
+		startTime, removed := w.removedStartTimes[node.ID]
+		return removed && startTime == node.StartTime
 	})
-	for i, n := range l.Nodes {
-		if previous, ok := w.nodes[n.ID]; ok && previous.State == policy.NodeDraining && previous.StartTime == n.StartTime {
-			l.Nodes[i].State = policy.NodeDraining
+	for i, node := range list.Nodes {
+		if previous, ok := w.nodes[node.ID]; ok && previous.State == policy.NodeDraining && previous.StartTime == node.StartTime {
+			list.Nodes[i].State = policy.NodeDraining
 		}
 	}
 }
 
-// initNodes fills the nodes from CachedNodes at first use.
+// initNodes initializes nodes from CachedNodes at the first use.
 func (w *Watcher) initNodes() {
 	if w.nodes != nil {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordRemoval removes a node of the list and records its start time. When there are maxRemovedNodes records, all are
-// dropped first, which bounds the memory.
+// recordRemoval removes a node from the list and records its start time. If there are already maxRemovedNodes records, all
+// of them are dropped first to bound the memory.
 func (w *Watcher) recordRemoval(id string) {
 	if n, listed := w.nodes[id]; listed {
 		if w.removedStartTimes == nil || len(w.removedStartTimes) >= maxRemovedNodes {
@@ -51,37 +51,37 @@
 	}
 }
 
-// applyList applies a list to the nodes and returns the update for the core. A full list with an invalid entry is
-// passed on as changes: nodes that it does not name are removed, except those that an invalid entry may stand for,
-// so that an error in one entry does not remove its node.
-func (w *Watcher) applyList(l List) core.ListUpdate {
+// applyList applies a list to the nodes and returns the update for the core. A full list with an invalid entry is passed on
+// as a change that removes the nodes missing from the list. A node that the invalid entry may belong to is not removed, so
+// that an error in one entry does not remove its node.
+func (w *Watcher) applyList(list List) core.ListUpdate {
 	w.initNodes()
-	update := core.ListUpdate{Kind: policy.ListChanged, Nodes: l.Nodes}
-	if l.Full {
+	update := core.ListUpdate{Kind: policy.ListChanged, Nodes: list.Nodes}
+	if list.Full {
 		listed := map[string]bool{}
-		for _, n := range l.Nodes {
-			listed[n.ID] = true
+		for _, node := range list.Nodes {
+			listed[node.ID] = true
 		}
-		if len(l.InvalidEntries) == 0 {
+		if len(list.InvalidEntries) == 0 {
 			update.Kind = policy.ListReceived
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.nodes)) {
-			if listed[id] || l.invalidNames[id] || l.hasUnnamedInvalid {
+			if listed[id] || list.invalidNames[id] || list.hasUnnamedInvalid {
 				continue
 			}
-			if n := w.nodes[id]; len(l.InvalidEntries) > 0 {
-				n.State = policy.NodeRemoved
-				update.Nodes = append(update.Nodes, n)
+			if node := w.nodes[id]; len(list.InvalidEntries) > 0 {
+				node.State = policy.NodeRemoved
+				update.Nodes = append(update.Nodes, node)
 			}
 			w.recordRemoval(id)
 		}
 	}
-	for _, n := range update.Nodes {
-		if n.State == policy.NodeRemoved {
-			w.recordRemoval(n.ID)
+	for _, node := range update.Nodes {
+		if node.State == policy.NodeRemoved {
+			w.recordRemoval(node.ID)
 		} else {
-			w.nodes[n.ID] = n
-			delete(w.removedStartTimes, n.ID)
+			w.nodes[node.ID] = node
+			delete(w.removedStartTimes, node.ID)
 		}
 	}
 	return update
--- a/internal/discovery/watchtimer/externallypaced_test.go
+++ b/internal/discovery/watchtimer/externallypaced_test.go
@@ -52,7 +52,7 @@
 				if opens = append(opens, now); x.failed {
 					do(now, Event{Kind: CallEnded, Call: a.Call})
 				}
-			case ReportMissed:
+			case ReportCallFailed:
 				missed++
 			}
 		}
@@ -82,7 +82,7 @@
 	c.Step(0, Event{Kind: Started})
 	c.Step(0, Event{Kind: RequestDue})
 	c.Step(0, Event{Kind: MessageReceived, Call: 1})
-	if acts := c.Step(ms, Event{Kind: CallEnded, Call: 1}); slices.Contains(acts, Action{Kind: ReportMissed}) || c.NextTimer() > StalenessBound-maxAnswerReserve {
+	if acts := c.Step(ms, Event{Kind: CallEnded, Call: 1}); slices.Contains(acts, Action{Kind: ReportCallFailed}) || c.NextTimer() > StalenessBound-maxAnswerReserve {
 		t.Errorf("after the first message: %v, the next at %v", acts, c.NextTimer())
 	}
 	if acts := c.Step(2*ms, Event{Kind: RequestDue}); len(acts) > 0 {
--- a/internal/discovery/watchtimer/recorded_test.go
+++ b/internal/discovery/watchtimer/recorded_test.go
@@ -13,7 +13,7 @@
 var (
 	eventNames = map[Kind]string{Started: "started", MessageReceived: "message", CallEnded: "ended", AddressChanged: "address",
 		TimerFired: "timer", RequestDue: "due"}
-	actionNames = map[ActionKind]string{OpenCall: "open", CloseCall: "close", ReportDown: "down", ReportMissed: "missed"}
+	actionNames = map[ActionKind]string{OpenCall: "open", CloseCall: "close", ReportDown: "down", ReportCallFailed: "missed"}
 )
 
 // recordedService is a list's service under seeded faults: each call is answered after a while, fails or stays
--- a/internal/discovery/watchtimer/timers.go
+++ b/internal/discovery/watchtimer/timers.go
@@ -1,63 +1,64 @@
 package watchtimer
 
-// runTimers does what is due at the current time.
-func (c *Timer) runTimers() {
-	for i := range c.calls {
-		if c.calls[i].answered {
-			c.checkSilence(&c.calls[i])
+// runTimers carries out everything that is due at the current time.
+func (t *Timer) runTimers() {
+	for i := range t.calls {
+		if t.calls[i].answered {
+			t.checkSilence(&t.calls[i])
 		}
 	}
-	if !c.settings.Pushed {
-		c.closeUnanswered()
+	if !t.settings.Pushed {
+		t.closeUnanswered()
 	}
 	switch {
-	case c.now >= c.nextOpen:
-		c.openCall()
-	case c.settings.Pushed:
-	case c.now >= c.repeatAt:
-		c.repeatAt = never
-		c.openCall()
-	case c.now >= c.openDeadline && !c.currentAddressLive():
-		c.openCall()
+	case t.now >= t.nextOpen:
+		t.openCall()
+	case t.settings.Pushed:
+	case t.now >= t.repeatAt:
+		t.repeatAt = never
+		t.openCall()
+	case t.now >= t.openDeadline && !t.currentAddressLive():
+		t.openCall()
 	}
 }
 
-// checkSilence marks an answered call as silent after its silence timeout, sets the time of its replacement, and
-// reports the list as down when no call has become live within downReportDelay.
-func (c *Timer) checkSilence(k *call) {
-	if !k.silent && c.now >= k.lastMessage+c.silenceTimeout() {
+// checkSilence marks an answered call as silent after its silence timeout and sets the time of its replacement. If no call
+// is live downReportDelay later, it reports this.
+func (t *Timer) checkSilence(k *call) {
+	if !k.silent && t.now >= k.lastMessage+t.silenceTimeout() {
 		k.silent = true
-		if !c.Live() && k.addressGeneration == c.addressGeneration {
-			c.replaceSilent(k)
+		if !t.Live() && k.addressGeneration == t.addressGeneration {
+			t.replaceSilent(k)
 		}
 	}
-	if k.silent && !c.downReported && !c.Live() && c.now >= k.lastMessage+c.silenceTimeout()+downReportDelay {
-		c.downReported = true
-		c.emit(ReportDown, 0)
+	if k.silent && !t.downReported && !t.Live() && t.now >= k.lastMessage+t.silenceTimeout()+downReportDelay {
+		t.downReported = true
+		t.emit(ReportDown, 0)
 	}
 }
 
-// replaceSilent sets when the replacement of a silent call is opened, and when it is repeated if unanswered.
-func (c *Timer) replaceSilent(k *call) {
-	c.nextOpen = min(c.nextOpen, c.now)
-	if c.settings.Pushed {
+// replaceSilent sets the time at which the replacement of a silent call is opened, and the time at which another one is
+// opened if the first stays unanswered.
+func (t *Timer) replaceSilent(k *call) {
+	t.nextOpen = min(t.nextOpen, t.now)
+	if t.settings.Pushed {
 		return
 	}
-	c.nextOpen = c.now + c.backoff(true)
-	c.repeatAt = k.lastMessage + c.silentCallBound() - c.repeatReserve() - c.randomBetween(0, c.answerReserve())
-	c.repeatAt = max(c.repeatAt, c.nextOpen+c.repeatReserve()/2)
+	t.nextOpen = t.now + t.backoff(true)
+	t.repeatAt = k.lastMessage + t.silentCallBound() - t.repeatReserve() - t.randomBetween(0, t.answerReserve())
+	t.repeatAt = max(t.repeatAt, t.nextOpen+t.repeatReserve()/2)
 }
 
-// closeUnanswered closes the calls past their response timeout. If no other call at the current address is in
-// progress, the next one is drawn from the time that remains until the open deadline.
-func (c *Timer) closeUnanswered() {
-	for i := len(c.calls) - 1; i >= 0; i-- {
-		if k := c.calls[i]; k.answered || c.now < k.openedAt+c.responseTimeout() {
+// closeUnanswered closes the calls whose response timeout has passed. If no other call to the current address is in
+// progress, the time of the next call is drawn from the time that remains until openDeadline.
+func (t *Timer) closeUnanswered() {
+	for i := len(t.calls) - 1; i >= 0; i-- {
+		if k := t.calls[i]; k.answered || t.now < k.openedAt+t.responseTimeout() {
 			continue
 		}
-		c.closeCall(i)
-		if !c.callInProgress() {
-			c.scheduleNextOpen(c.randomBetween(0, max(c.openDeadline-c.now, 0)))
+		t.closeCall(i)
+		if !t.callInProgress() {
+			t.scheduleNextOpen(t.randomBetween(0, max(t.openDeadline-t.now, 0)))
 		}
 	}
 }
