--- a/internal/core/avoid_test.go
+++ b/internal/core/avoid_test.go
@@ -10,107 +10,108 @@
 )
 
 func TestNodesToAvoid(t *testing.T) {
-	trail := func(nodes ...string) *AttemptedNodes { return &AttemptedNodes{nodes} }
-	for _, c := range []struct {
+	nodes := func(nodes ...string) *AttemptedNodes { return &AttemptedNodes{nodes} }
+	for _, tc := range []struct {
 		past []*AttemptedNodes
 		up   []string
 		want string
 	}{
-		{[]*AttemptedNodes{trail("a")}, []string{"a", "b"}, "[a]"},
-		{[]*AttemptedNodes{trail("a")}, []string{"a"}, "[]"},                                             // no other node has the shard
-		{[]*AttemptedNodes{trail("b"), trail("a")}, []string{"a", "b"}, "[b]"},                           // the newest request
-		{[]*AttemptedNodes{trail("a", "b"), trail("c")}, []string{"a", "b", "c"}, "[b a]"},               // its last attempt first
-		{[]*AttemptedNodes{trail("x"), trail(), trail("a"), trail("a")}, []string{"a", "b", "c"}, "[a]"}, // a removed node, no node, a node twice
+		{[]*AttemptedNodes{nodes("a")}, []string{"a", "b"}, "[a]"},
+		{[]*AttemptedNodes{nodes("a")}, []string{"a"}, "[]"},                                             // there is no other node
+		{[]*AttemptedNodes{nodes("b"), nodes("a")}, []string{"a", "b"}, "[b]"},                           // the node of the newest request is avoided first
+		{[]*AttemptedNodes{nodes("a", "b"), nodes("c")}, []string{"a", "b", "c"}, "[b a]"},               // the node of its last attempt is avoided first
+		{[]*AttemptedNodes{nodes("x"), nodes(), nodes("a"), nodes("a")}, []string{"a", "b", "c"}, "[a]"}, // a removed node, a request without attempts, the same node twice
 	} {
-		if got := fmt.Sprint(nodesToAvoid(c.past, c.up)); got != c.want {
-			t.Errorf("%v of %v: %s, want %s", c.past, c.up, got, c.want)
+		if got := fmt.Sprint(nodesToAvoid(tc.past, tc.up)); got != tc.want {
+			t.Errorf("earlier requests at %v, nodes up %v: avoided %s, want %s", tc.past, tc.up, got, tc.want)
 		}
 	}
 }
 
-// avoidCase is a request after earlier ones, and the node that it must go to.
+// avoidCase is a request that refers to earlier ones, and the node that it must be dispatched to.
 type avoidCase struct {
-	name   string
-	change func(*fixture)
-	past   int // earlier requests that it names
-	want   string
-	polled bool // the list is polled
+	name            string
+	prepare         func(*fixture)
+	earlierRequests int // number of earlier requests whose nodes it avoids
+	wantNode        string
+	polled          bool // whether the endpoint list is polled
 }
 
 // avoidCases are the scenarios of TestRequestAvoidsNodes.
 func avoidCases() []avoidCase {
 	return []avoidCase{
-		{name: "no earlier request", want: "a"},
-		{name: "one earlier request", past: 1, want: "b"},
-		{name: "two earlier requests: the newest counts", past: 2, want: "a"},
-		{name: "the other node is excluded", past: 1, want: "a", change: func(r *fixture) { _, _ = r.Exclude("b") }},
-		{name: "the other node drains", past: 1, want: "a", change: func(r *fixture) { r.updateList(policy.ListChanged, newNode("b", 0, policy.NodeDraining)) }},
-		{name: "the polled list is not current", past: 1, want: "a", polled: true, change: func(r *fixture) { r.updateList(policy.ListFailed) }},
-		{name: "the polled list is current", past: 1, want: "b", polled: true},
-		{name: "another request waits for the shard", past: 1, want: "a", change: func(r *fixture) {
-			r.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Schedulers: 1},
+		{name: "no earlier request", wantNode: "a"},
+		{name: "one earlier request", earlierRequests: 1, wantNode: "b"},
+		{name: "two earlier requests: the newest counts", earlierRequests: 2, wantNode: "a"},
+		{name: "the other node is excluded", earlierRequests: 1, wantNode: "a", prepare: func(core *fixture) { _, _ = core.Exclude("b") }},
+		{name: "the other node drains", earlierRequests: 1, wantNode: "a", prepare: func(core *fixture) { core.updateList(policy.ListChanged, newNode("b", 0, policy.NodeDraining)) }},
+		{name: "the polled list is not current", earlierRequests: 1, wantNode: "a", polled: true, prepare: func(core *fixture) { core.updateList(policy.ListFailed) }},
+		{name: "the polled list is current", earlierRequests: 1, wantNode: "b", polled: true},
+		{name: "another request waits for the shard", earlierRequests: 1, wantNode: "a", prepare: func(core *fixture) {
+			core.Submit(&Request{Request: policy.Request{ID: "w", Class: "read", Plan: "capped", Volume: "w", Units: 5, Schedulers: 1},
 				ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(Answer) {}})
 		}},
 	}
 }
 
-// A request that names earlier ones is dispatched to another node of the shard; later requests are not affected.
+// A request that refers to earlier ones is dispatched to another node of the shard. Later requests are not affected.
 func TestRequestAvoidsNodes(t *testing.T) {
-	for _, c := range avoidCases() {
-		t.Run(c.name, func(t *testing.T) {
-			set := testSettings()
-			set.Plans[0].ReservedRate = 0 // without a reserved rate it would be rejected while no node has capacity
-			set.PollsEndpointList, set.PollWithin = c.polled, 2000
-			set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
-			r := startCore(t, set)
-			r.updateList(policy.ListReceived, newNode("a", 0, policy.NodeUp), newNode("b", 0, policy.NodeUp))
-			var trails []*AttemptedNodes
+	for _, tc := range avoidCases() {
+		t.Run(tc.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Plans[0].ReservedRate = 0 // without a reserved rate, a request is rejected instead of queued while no node has capacity
+			settings.PollsEndpointList, settings.PollWithin = tc.polled, 2000
+			settings.Plans = append(settings.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
+			core := startCore(t, settings)
+			core.updateList(policy.ListReceived, newNode("a", 0, policy.NodeUp), newNode("b", 0, policy.NodeUp))
+			var earlierNodes []*AttemptedNodes
 			dispatch := func(id string, earlier []*AttemptedNodes) string {
-				node, trail := r.dispatchAvoiding(t, id, earlier)
-				trails = slices.Insert(trails, 0, trail)
+				node, attempted := core.dispatchAvoiding(t, id, earlier)
+				earlierNodes = slices.Insert(earlierNodes, 0, attempted)
 				return node
 			}
 			if got := dispatch("1", nil); got != "a" {
-				t.Fatalf("the first request went to %s", got)
+				t.Fatalf("the first request went to %s, want a", got)
 			}
-			if c.past == 2 {
-				dispatch("2", trails)
+			if tc.earlierRequests == 2 {
+				dispatch("2", earlierNodes)
 			}
-			if c.change != nil {
-				c.change(r)
+			if tc.prepare != nil {
+				tc.prepare(core)
 			}
 			var avoided []string
-			_, _ = r.changeExclusions(func(now float64) ([]string, error) {
-				avoided = r.nodesAvoidedBy(&requestState{request: &Request{AvoidNodes: trails[:c.past]}}, now)
+			_, _ = core.changeExclusions(func(now float64) ([]string, error) {
+				avoided = core.nodesAvoidedBy(&requestState{request: &Request{AvoidNodes: earlierNodes[:tc.earlierRequests]}}, now)
 				return nil, nil
 			})
-			if avoids := c.past == 2 || c.want == "b"; avoids != (len(avoided) == 1) {
-				t.Errorf("avoided %v", avoided)
+			if avoids := tc.earlierRequests == 2 || tc.wantNode == "b"; avoids != (len(avoided) == 1) {
+				t.Errorf("wrong number of avoided nodes: %v", avoided)
 			}
-			if got := dispatch("3", trails[:c.past]); got != c.want {
-				t.Errorf("the request went to %s, want %s", got, c.want)
+			if got := dispatch("3", earlierNodes[:tc.earlierRequests]); got != tc.wantNode {
+				t.Errorf("the request went to %s, want %s", got, tc.wantNode)
 			}
 			if got := dispatch("4", nil); got != "a" {
-				t.Errorf("the next, which names no earlier request, went to %s", got)
+				t.Errorf("the next request, which avoids no nodes, went to %s, want a", got)
 			}
 		})
 	}
 }
 
-// dispatchAvoiding has a request with nodes to avoid served by a or b, and returns the node and the nodes it went to.
-func (r *fixture) dispatchAvoiding(t *testing.T, id string, earlier []*AttemptedNodes) (string, *AttemptedNodes) {
+// dispatchAvoiding submits a request that avoids the nodes of earlier requests, serves it at node a or b, and returns this
+// node and the request's attempted nodes.
+func (f *fixture) dispatchAvoiding(t *testing.T, id string, earlier []*AttemptedNodes) (string, *AttemptedNodes) {
 	t.Helper()
-	got := make(chan Answer, 8)
-	q := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1},
+	answers := make(chan Answer, 8)
+	request := &Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1},
 		AttemptedNodes: &AttemptedNodes{}, AvoidNodes: earlier,
-		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(x Answer) { got <- x }}
-	r.Submit(q)
-	var a *Attempt
+		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(x Answer) { answers <- x }}
+	f.Submit(request)
+	var attempt *Attempt
 	select {
-	case a = <-r.node("a").sent:
-	case a = <-r.node("b").sent:
+	case attempt = <-f.node("a").sent:
+	case attempt = <-f.node("b").sent:
 	}
-	a.Done(Result{Status: policy.OK})
-	expectAnswer(t, got, Served)
-	return a.Node, q.AttemptedNodes
+	attempt.Done(Result{Status: policy.OK})
+	expectAnswer(t, answers, Served)
+	return attempt.Node, request.AttemptedNodes
 }
--- a/internal/core/claim_interleave_test.go
+++ b/internal/core/claim_interleave_test.go
@@ -10,22 +10,22 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// The final answer (or the client's going) against the connection that is about to write: an attempt
-// that was found waiting at the end of its request is never begun, in any order of their steps.
+// The final answer or the client's disconnect may coincide with a connection that is about to write an attempt. In every
+// interleaving, an attempt that was still waiting when its request ended is not claimed afterwards.
 func TestInterleaveFinalAnswer(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		attempts := []*Attempt{{}, {}}
-		e := &requestState{attempts: attempts}
+		state := &requestState{attempts: attempts}
 		var claimed [2]bool
 		abandoned := [2]bool{}
-		carry := func(i int) func() { return func() { claimed[i] = attempts[i].Claim() } }
+		claim := func(i int) func() { return func() { claimed[i] = attempts[i].Claim() } }
 		return il.World{
 			Threads: []il.Thread{{Name: "core", Run: func() {
-				e.markAnswered()
-				for i, a := range attempts {
-					abandoned[i] = a.Abandoned()
+				state.markAnswered()
+				for i, attempt := range attempts {
+					abandoned[i] = attempt.Abandoned()
 				}
-			}}, {Name: "first", Run: carry(0)}, {Name: "second", Run: carry(1)}},
+			}}, {Name: "first", Run: claim(0)}, {Name: "second", Run: claim(1)}},
 			Check: func() error {
 				for i := range attempts {
 					if claimed[i] == abandoned[i] {
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -7,64 +7,64 @@
 	"wheatsaddle/policy"
 )
 
-// Requests that are served, rejected, failed, retried, cancelled or of an unknown class are counted exactly.
+// The counters are exact for requests that are served, rejected, failed, retried, cancelled or of an unknown class.
 func TestCountersOfMixedOutcomes(t *testing.T) {
-	r := startCore(t, testSettings())
-	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeDraining))
-	f := r.node("n")
+	core := startCore(t, testSettings())
+	core.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp), newNode("m", 1, policy.NodeDraining))
+	node := core.node("n")
 
-	_, served := r.submit("s", "read") // served at the first attempt
-	a := <-f.sent
-	a.MarkWritten()
-	a.Done(Result{Status: policy.OK})
+	_, served := core.submit("s", "read") // served at the first attempt
+	attempt := <-node.sent
+	attempt.MarkWritten()
+	attempt.Done(Result{Status: policy.OK})
 	expectAnswer(t, served, Served)
 
-	_, retried := r.submit("r", "read") // a reset, then served: two attempts
-	a = <-f.sent
-	a.MarkWritten()
-	a.Done(Result{Status: policy.ConnectionReset})
-	a = <-f.sent
-	a.MarkWritten()
-	a.Done(Result{Status: policy.OK})
+	_, retried := core.submit("r", "read") // served after a connection reset, which makes two attempts
+	attempt = <-node.sent
+	attempt.MarkWritten()
+	attempt.Done(Result{Status: policy.ConnectionReset})
+	attempt = <-node.sent
+	attempt.MarkWritten()
+	attempt.Done(Result{Status: policy.OK})
 	expectAnswer(t, retried, Served)
 
-	_, invalid := r.submit("b", "record") // rejected as invalid: failed, one attempt
-	a = <-f.sent
-	a.MarkWritten()
-	a.Done(Result{Status: policy.Abandoned, InvalidRequest: true})
+	_, invalid := core.submit("b", "record") // rejected by the node as invalid, counted as failed with one attempt
+	attempt = <-node.sent
+	attempt.MarkWritten()
+	attempt.Done(Result{Status: policy.Abandoned, InvalidRequest: true})
 	expectAnswer(t, invalid, Failed)
 
-	q, cancelled := r.submit("g", "read") // the client disconnects: not counted as an answer
-	a = <-f.sent
-	r.Cancel(q)
-	<-f.cancels
-	a.Done(Result{Status: policy.Cancelled}) // never written completely: no attempt
+	request, cancelled := core.submit("g", "read") // cancelled by the client, so not counted as answered
+	attempt = <-node.sent
+	core.Cancel(request)
+	<-node.cancels
+	attempt.Done(Result{Status: policy.Cancelled}) // not completely written, so not counted as an attempt
 
-	_, open := r.submit("o", "record") // outstanding
-	out := <-f.sent
-	out.MarkWritten()
+	_, open := core.submit("o", "record") // outstanding until the end of the test
+	outstanding := <-node.sent
+	outstanding.MarkWritten()
 
-	r.Reject(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
-	_, unknown := r.submit("u", "other") // unknown class: answered, not counted
+	core.Reject(&Request{Request: policy.Request{Class: "read"}, Answer: func(Answer) {}}, time.Millisecond)
+	_, unknown := core.submit("u", "other") // answered but not counted, because the class is unknown
 	expectAnswer(t, unknown, Failed)
-	r.Counters().CountReload(true)
-	r.Counters().CountReload(false)
-	r.Counters().CountReload(false)
-	r.OpenRequests()
+	core.Counters().CountReload(true)
+	core.Counters().CountReload(false)
+	core.Counters().CountReload(false)
+	core.OpenRequests()
 
-	if got, want := r.Counters().Snapshot(), mixedOutcomes(); !sameCounters(got, want) {
-		t.Fatalf("figures\n%+v, want\n%+v", got, want)
+	if got, want := core.Counters().Snapshot(), mixedOutcomes(); !sameCounters(got, want) {
+		t.Fatalf("counters\n%+v, want\n%+v", got, want)
 	}
-	out.Done(Result{Status: policy.OK})
+	outstanding.Done(Result{Status: policy.OK})
 	expectAnswer(t, open, Served)
-	expectNoAnswer(t, r, cancelled)
-	r.OpenRequests()
-	if got := r.Counters().Snapshot(); got.InProgress != 0 || got.Served["record"] != 1 {
-		t.Fatalf("after the last answer: %+v", got)
+	expectNoAnswer(t, core, cancelled)
+	core.OpenRequests()
+	if got := core.Counters().Snapshot(); got.InProgress != 0 || got.Served["record"] != 1 {
+		t.Fatalf("counters after the last answer: %+v", got)
 	}
 }
 
-// mixedOutcomes are the counters of TestCountersOfMixedOutcomes while one request is outstanding.
+// mixedOutcomes returns the expected counters of TestCountersOfMixedOutcomes while one request is outstanding.
 func mixedOutcomes() CounterSnapshot {
 	return CounterSnapshot{Served: map[string]int64{"read": 2, "record": 0}, Rejected: map[string]int64{"read": 1, "record": 0},
 		Failed: map[string]int64{"read": 0, "record": 1}, Attempts: map[string]int64{"read": 3, "record": 2},
@@ -72,7 +72,7 @@
 }
 
 func sameCounters(a, b CounterSnapshot) bool {
-	eq := func(x, y map[string]int64) bool {
+	equal := func(x, y map[string]int64) bool {
 		if len(x) != len(y) {
 			return false
 		}
@@ -83,6 +83,6 @@
 		}
 		return true
 	}
-	return eq(a.Served, b.Served) && eq(a.Rejected, b.Rejected) && eq(a.Failed, b.Failed) && eq(a.Attempts, b.Attempts) &&
+	return equal(a.Served, b.Served) && equal(a.Rejected, b.Rejected) && equal(a.Failed, b.Failed) && equal(a.Attempts, b.Attempts) &&
 		a.InProgress == b.InProgress && a.Nodes == b.Nodes && a.AvoidedNodes == b.AvoidedNodes && a.Reloads == b.Reloads && a.ReloadErrors == b.ReloadErrors
 }
--- a/internal/core/cutoff_test.go
+++ b/internal/core/cutoff_test.go
@@ -9,231 +9,232 @@
 	"wheatsaddle/policy"
 )
 
-// longGraceSettings permits the use of a draining node for 500 ms; its client is closed after 700 ms.
+// longGraceSettings returns settings that permit the use of a draining node for 500 ms. The node's client is closed after
+// 700 ms.
 func longGraceSettings() policy.Settings {
-	set := testSettings()
-	set.DrainGrace = 1000
-	return set
+	settings := testSettings()
+	settings.DrainGrace = 1000
+	return settings
 }
 
 const cutoffAfter = 700 * time.Millisecond
 
 // isDrained reports whether the client of node n is closed to new attempts, after the actor has run the due timers.
-func (r *fixture) isDrained() bool {
-	r.OpenRequests()
-	f := r.node("n")
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.drained
+func (f *fixture) isDrained() bool {
+	f.OpenRequests()
+	node := f.node("n")
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.drained
 }
 
-// An attempt that waiting for its connection while its node drains cannot be claimed past the cutoff, also if the actor is
-// stalled and its timer cannot close the node client.
+// An attempt that waits for a connection while its node drains cannot be claimed after the cutoff, even if the actor is
+// stalled and cannot close the node client.
 func TestDrainCutoffHoldsWhileActorIsStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startCore(t, longGraceSettings())
-		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
-		_, early := r.submit("early", "read")
-		first := <-r.node("n").sent
-		_, late := r.submit("late", "read")
-		second := <-r.node("n").sent
-		r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
+		core := startCore(t, longGraceSettings())
+		core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+		_, early := core.submit("early", "read")
+		first := <-core.node("n").sent
+		_, late := core.submit("late", "read")
+		second := <-core.node("n").sent
+		core.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 		blocked, unblock := make(chan struct{}), make(chan struct{})
-		r.post(call(func() { close(blocked); <-unblock }))
+		core.post(call(func() { close(blocked); <-unblock }))
 		<-blocked
 		time.Sleep(cutoffAfter - time.Millisecond)
 		if first.Abandoned() || !first.Claim() {
-			t.Error("not claimed before the cutoff")
+			t.Error("the attempt could not be claimed before the cutoff")
 		}
 		time.Sleep(2 * time.Millisecond)
 		if !second.Abandoned() || second.Claim() {
-			t.Error("claimed at a draining node past the cutoff")
+			t.Error("an attempt at a draining node was claimed after the cutoff")
 		}
-		if f := r.node("n"); f.drained {
-			t.Error("the node client was closed: the actor was not stalled")
+		if node := core.node("n"); node.drained {
+			t.Error("the node client was closed, so the actor was not stalled")
 		}
 		close(unblock)
-		if !r.isDrained() {
-			t.Error("the late timer does not close the node client")
+		if !core.isDrained() {
+			t.Error("the late timer did not close the node client")
 		}
 		second.Done(Result{Status: policy.Abandoned})
 		first.Done(Result{Status: policy.OK})
 		expectAnswer(t, early, Served)
-		r.Finish()
+		core.Finish()
 		expectAnswer(t, late, Failed)
 	})
 }
 
-// If a node drains, returns and drains again, the timer of its first drain does not close its client, and that of the
-// last one does. An attempt from before can be claimed while the node is up.
+// If a node drains, comes up and drains again, only the timer of the last drain closes the node's client. An attempt that
+// was dispatched before the drains can be claimed while the node is up.
 func TestRepeatedDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const step = 100 * time.Millisecond
-		r := startCore(t, longGraceSettings())
-		up, drains := newNode("n", 0, policy.NodeUp), newNode("n", 0, policy.NodeDraining)
-		r.updateList(policy.ListReceived, up)
-		r.submit("a", "read")
-		waiting := <-r.node("n").sent
-		r.updateList(policy.ListChanged, drains)
+		core := startCore(t, longGraceSettings())
+		up, draining := newNode("n", 0, policy.NodeUp), newNode("n", 0, policy.NodeDraining)
+		core.updateList(policy.ListReceived, up)
+		core.submit("a", "read")
+		waiting := <-core.node("n").sent
+		core.updateList(policy.ListChanged, draining)
 		time.Sleep(step)
-		r.updateList(policy.ListChanged, up)
+		core.updateList(policy.ListChanged, up)
 		time.Sleep(cutoffAfter)
-		if r.isDrained() || waiting.Abandoned() {
-			t.Error("closed after its return by the timer of its drain")
+		if core.isDrained() || waiting.Abandoned() {
+			t.Error("the timer of the ended drain closed a node that is up")
 		}
-		r.updateList(policy.ListChanged, drains)
+		core.updateList(policy.ListChanged, draining)
 		time.Sleep(step)
-		r.updateList(policy.ListChanged, up)
+		core.updateList(policy.ListChanged, up)
 		time.Sleep(step)
-		r.updateList(policy.ListChanged, drains)
-		r.updateList(policy.ListReceived, drains) // reported again by another watch: the first report counts
+		core.updateList(policy.ListChanged, draining)
+		core.updateList(policy.ListReceived, draining) // another watch reports the drain again, but the first report counts
 		time.Sleep(cutoffAfter - step)
-		if r.isDrained() || waiting.Abandoned() {
-			t.Error("closed early, by the timer of the drain before")
+		if core.isDrained() || waiting.Abandoned() {
+			t.Error("the timer of the previous drain closed the node")
 		}
 		time.Sleep(step - time.Millisecond)
-		if r.isDrained() || waiting.Abandoned() {
-			t.Error("closed early")
+		if core.isDrained() || waiting.Abandoned() {
+			t.Error("the node was closed before the cutoff of its last drain")
 		}
 		time.Sleep(2 * time.Millisecond)
-		if !r.isDrained() || !waiting.Abandoned() {
-			t.Error("its second drain does not close it")
+		if !core.isDrained() || !waiting.Abandoned() {
+			t.Error("the node was not closed at the cutoff of its last drain")
 		}
-		r.updateList(policy.ListChanged, up)
-		if r.isDrained() || waiting.Abandoned() {
-			t.Error("not open after its return")
+		core.updateList(policy.ListChanged, up)
+		if core.isDrained() || waiting.Abandoned() {
+			t.Error("the node was not opened again when it came up")
 		}
 	})
 }
 
-// A draining node's client is closed at once or at the cutoff, and is not opened again while the node drains: after an
-// exclusion and its end, a failed watch, an address change, and a panic of the module.
+// The client of a draining node is closed at once or at the cutoff, and is not opened again while the node drains. Neither
+// the end of an exclusion nor a failed watch, an address change or a panic of the decision module opens it.
 func TestDrainingNodeStaysClosed(t *testing.T) {
-	for name, then := range map[string]func(r *fixture){
-		"excluded and included": func(r *fixture) { _, _ = r.Exclude("n"); _, _ = r.Include("n") },
-		"the watch fails, and another reports the drain": func(r *fixture) {
-			r.updateList(policy.ListFailed)
-			r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
+	for name, action := range map[string]func(core *fixture){
+		"excluded and included": func(core *fixture) { _, _ = core.Exclude("n"); _, _ = core.Include("n") },
+		"the watch fails, and another reports the drain": func(core *fixture) {
+			core.updateList(policy.ListFailed)
+			core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
 		},
-		"another address": func(r *fixture) {
+		"another address": func(core *fixture) {
 			n := newNode("n", 0, policy.NodeDraining)
 			n.Addresses = addrs("127.0.0.1:2")
-			r.updateList(policy.ListChanged, n)
+			core.updateList(policy.ListChanged, n)
 		},
-		"the module panics": func(r *fixture) {
-			r.post(call(func() {
-				r.scheduler = nil
-				r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
+		"the decision module panics": func(core *fixture) {
+			core.post(call(func() {
+				core.scheduler = nil
+				core.events = append(core.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 			}))
-			r.OpenRequests() // the step that panics is that of this iteration
-			r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
+			core.OpenRequests() // the module panics in the iteration that handles this call
+			core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeDraining))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := startCore(t, longGraceSettings())
-				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
-				r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
-				if r.isDrained() {
-					t.Fatal("closed at once: the case is not reached")
+				core := startCore(t, longGraceSettings())
+				core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+				core.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
+				if core.isDrained() {
+					t.Fatal("the node client was closed at once, so the drain is not tested")
 				}
-				then(r)
-				closed := r.isDrained()
+				action(core)
+				closed := core.isDrained()
 				for range 3 * int(cutoffAfter/time.Millisecond) {
 					time.Sleep(time.Millisecond)
-					if now := r.isDrained(); closed && !now {
-						t.Fatal("opened again while it drains")
+					if now := core.isDrained(); closed && !now {
+						t.Fatal("the node client was opened again while the node drains")
 					} else {
 						closed = now
 					}
 				}
 				if !closed {
-					t.Error("never closed")
+					t.Error("the node client was not closed")
 				}
 			})
 		})
 	}
 }
 
-// The first attempt of a request that is idempotent by key still waiting for its connection when a hedge is dispatched: it
-// cannot be claimed after the time in which the node would deduplicate it.
+// The first attempt of a request that is idempotent by key may still wait for its connection when a hedge is dispatched. It
+// cannot be claimed after the window in which the node would deduplicate it.
 func TestFirstAttemptStartsWithinHedgeWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := testSettings()
-		set.MayHedge = true
-		r := startCore(t, set)
-		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+		settings := testSettings()
+		settings.MayHedge = true
+		core := startCore(t, settings)
+		core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		sent := time.Now()
-		_, got := r.submit("a", "record")
-		first := <-r.node("n").sent
-		hedge := <-r.node("n").sent // after the hedge delay
+		_, answers := core.submit("a", "record")
+		first := <-core.node("n").sent
+		hedge := <-core.node("n").sent // dispatched after the hedge delay
 		if hedge.Request != first.Request || hedge.StartBy.IsZero() {
 			t.Fatalf("dispatched %+v, want a hedge with StartBy", hedge)
 		}
 		if !hedge.Claim() {
-			t.Fatal("the hedge is not claimed")
+			t.Fatal("the hedge could not be claimed")
 		}
 		time.Sleep(time.Until(sent.Add(2500*time.Millisecond)) - 10*time.Millisecond)
 		if first.Abandoned() {
-			t.Error("abandoned before the window's end")
+			t.Error("the first attempt was abandoned within the deduplication window")
 		}
 		time.Sleep(11 * time.Millisecond)
 		if !first.Abandoned() || first.Claim() {
-			t.Error("claimed after the deduplication window")
+			t.Error("the first attempt was claimed after the deduplication window")
 		}
 		first.Done(Result{Status: policy.Abandoned})
 		hedge.Done(Result{Status: policy.OK})
-		expectAnswer(t, got, Served)
-		expectNoAnswer(t, r, got)
+		expectAnswer(t, answers, Served)
+		expectNoAnswer(t, core, answers)
 	})
 }
 
-// While its node drains, a request is neither retried nor hedged there.
+// A request is neither retried nor hedged at a draining node.
 func TestNoRetryOrHedgeAtDrainingNode(t *testing.T) {
 	for name, ended := range map[string]func(first *Attempt){
 		"retry": func(first *Attempt) { first.Done(Result{Status: policy.ConnectionReset}) },
-		"hedge": func(*Attempt) { time.Sleep(10 * time.Second) }, // past the hedge delay
+		"hedge": func(*Attempt) { time.Sleep(10 * time.Second) }, // longer than the hedge delay
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				set := testSettings()
-				set.MayHedge = true
-				r := startCore(t, set)
-				r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
-				r.submit("a", "record")
-				first := <-r.node("n").sent
-				r.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
+				settings := testSettings()
+				settings.MayHedge = true
+				core := startCore(t, settings)
+				core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+				core.submit("a", "record")
+				first := <-core.node("n").sent
+				core.updateList(policy.ListChanged, newNode("n", 0, policy.NodeDraining))
 				ended(first)
-				r.OpenRequests()
-				r.OpenRequests() // the step with the result has run
-				if n := len(r.node("n").sent); n != 0 {
-					t.Errorf("%d more were dispatched", n)
+				core.OpenRequests()
+				core.OpenRequests() // returns once the step with the result has run
+				if n := len(core.node("n").sent); n != 0 {
+					t.Errorf("%d more attempts were dispatched, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// A drain that arrives while more requests wait than one iteration handles: none of them is dispatched to the node.
+// If a drain arrives while more requests are queued than one iteration handles, none of them is dispatched to the node.
 func TestDrainIsAppliedBeforeWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startCore(t, testSettings())
-		r.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
+		core := startCore(t, testSettings())
+		core.updateList(policy.ListReceived, newNode("n", 0, policy.NodeUp))
 		blocked, unblock := make(chan struct{}), make(chan struct{})
-		r.post(call(func() { close(blocked); <-unblock }))
+		core.post(call(func() { close(blocked); <-unblock }))
 		<-blocked
 		for i := range 2 * maxBatch {
-			r.submit(fmt.Sprint("r", i), "read")
+			core.submit(fmt.Sprint("r", i), "read")
 		}
-		r.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{newNode("n", 0, policy.NodeDraining)}})
+		core.UpdateList(ListUpdate{Kind: policy.ListChanged, Nodes: []Node{newNode("n", 0, policy.NodeDraining)}})
 		close(unblock)
-		r.OpenRequests()
-		r.OpenRequests() // the step of the last batch has run
-		if !r.isDrained() {
+		core.OpenRequests()
+		core.OpenRequests() // returns once the step of the last batch has run
+		if !core.isDrained() {
 			t.Error("the drain was not applied")
 		}
-		if n := len(r.node("n").sent); n != 0 {
-			t.Errorf("%d were dispatched to it", n)
+		if n := len(core.node("n").sent); n != 0 {
+			t.Errorf("%d attempts were dispatched to the draining node, want 0", n)
 		}
 	})
 }
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -21,7 +21,7 @@
 		Plans: []policy.Plan{{Name: "basic", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}
 }
 
-// fakeNode is a NodeClient that hands its attempts to the test.
+// fakeNode is a NodeClient that passes its attempts to the test.
 type fakeNode struct {
 	mu             sync.Mutex
 	sent           chan *Attempt
@@ -29,9 +29,9 @@
 	mailboxFull    bool
 	drained        bool
 	closed         bool
-	connects       []func(policy.Status) // the core's actor's, as probes
+	connects       []func(policy.Status) // like healthChecks, appended in the actor
 	healthChecks   []func(Result, time.Duration)
-	addressChanges [][]address.Addr // arguments of SetAddresses
+	addressChanges [][]address.Addr // arguments of the calls of SetAddresses
 }
 
 func addrs(texts ...string) []address.Addr {
@@ -79,35 +79,35 @@
 	return log
 }
 
-func (r *fixture) newNodeClient(name string, _ []address.Addr) NodeClient {
-	f := &fakeNode{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
-	r.clients.Store(name, f)
-	return f
+func (f *fixture) newNodeClient(name string, _ []address.Addr) NodeClient {
+	node := &fakeNode{sent: make(chan *Attempt, 64), cancels: make(chan *Attempt, 64)}
+	f.clients.Store(name, node)
+	return node
 }
 
-func startCore(t *testing.T, set policy.Settings) *fixture {
+func startCore(t *testing.T, settings policy.Settings) *fixture {
 	t.Helper()
-	r := &fixture{t: t}
-	c, err := New(Options{Settings: set, Seed: 7, Log: nullLog(), NewNodeClient: r.newNodeClient})
+	core := &fixture{t: t}
+	c, err := New(Options{Settings: settings, Seed: 7, Log: nullLog(), NewNodeClient: core.newNodeClient})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Core = c
+	core.Core = c
 	t.Cleanup(c.Stop)
-	return r
+	return core
 }
 
-func (r *fixture) updateList(kind policy.EventKind, nodes ...Node) {
-	r.UpdateList(ListUpdate{Kind: kind, Nodes: nodes})
-	r.OpenRequests() // the update has been handled
+func (f *fixture) updateList(kind policy.EventKind, nodes ...Node) {
+	f.UpdateList(ListUpdate{Kind: kind, Nodes: nodes})
+	f.OpenRequests() // returns once the update has been handled
 }
 
-func (r *fixture) node(name string) *fakeNode {
-	f, ok := r.clients.Load(name)
+func (f *fixture) node(name string) *fakeNode {
+	node, ok := f.clients.Load(name)
 	if !ok {
-		r.t.Fatalf("no node client %s", name)
+		f.t.Fatalf("no node client %s", name)
 	}
-	return f.(*fakeNode)
+	return node.(*fakeNode)
 }
 
 func newNode(name string, shard int, state policy.NodeState) Node {
@@ -115,33 +115,33 @@
 }
 
 // submit submits a request and returns the channel of its answers.
-func (r *fixture) submit(id, class string) (*Request, chan Answer) {
-	q, got := r.newRequest(id, class, time.Minute)
-	r.Submit(q)
-	return q, got
+func (f *fixture) submit(id, class string) (*Request, chan Answer) {
+	request, answers := f.newRequest(id, class, time.Minute)
+	f.Submit(request)
+	return request, answers
 }
 
-// newRequest makes a request without submitting it.
-func (r *fixture) newRequest(id, class string, timeout time.Duration) (*Request, chan Answer) {
-	got := make(chan Answer, 8)
-	q := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
-		ReceivedAt: time.Now(), Timeout: timeout, Answer: func(a Answer) { got <- a }}
-	return q, got
+// newRequest returns a request that is not submitted yet, and the channel of its answers.
+func (f *fixture) newRequest(id, class string, timeout time.Duration) (*Request, chan Answer) {
+	answers := make(chan Answer, 8)
+	request := &Request{Request: policy.Request{ID: id, Class: class, Plan: "basic", Key: "k" + id, Volume: "v", Units: 1, Schedulers: 1},
+		ReceivedAt: time.Now(), Timeout: timeout, Answer: func(a Answer) { answers <- a }}
+	return request, answers
 }
 
-func expectAnswer(t *testing.T, got chan Answer, want AnswerKind) Answer {
+func expectAnswer(t *testing.T, answers chan Answer, want AnswerKind) Answer {
 	t.Helper()
-	a := <-got
-	if a.Kind != want {
-		t.Errorf("answer %+v, want kind %d", a, want)
+	answer := <-answers
+	if answer.Kind != want {
+		t.Errorf("answer %+v, want kind %d", answer, want)
 	}
-	return a
+	return answer
 }
 
-func expectNoAnswer(t *testing.T, r *fixture, got chan Answer) {
+func expectNoAnswer(t *testing.T, core *fixture, answers chan Answer) {
 	t.Helper()
-	r.OpenRequests()
-	if len(got) > 0 {
-		t.Errorf("a second answer: %+v", <-got)
+	core.OpenRequests()
+	if len(answers) > 0 {
+		t.Errorf("unexpected answer: %+v", <-answers)
 	}
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -9,56 +9,56 @@
 	"wheatsaddle/policy"
 )
 
-// After the handover no token bucket is filled, also not by a module that replaces one that panicked: requests that wait
-// for one are rejected. HandOver reports that a busy actor was not notified, so that the caller tries again.
+// After the handover no token bucket is filled, not even by a decision module that replaces one that panicked. Requests
+// that would wait for tokens are rejected. HandOver returns false if the actor is busy, so that the caller retries.
 func TestHandOverStopsFillingQuotas(t *testing.T) {
-	set := testSettings()
-	for i := range set.Plans {
-		set.Plans[i].RateLimit, set.Plans[i].LimitBurst = 1e6, 1e6
+	settings := testSettings()
+	for i := range settings.Plans {
+		settings.Plans[i].RateLimit, settings.Plans[i].LimitBurst = 1e6, 1e6
 	}
-	r := startCore(t, set)
-	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	busy, free := make(chan bool), make(chan bool)
-	r.post(call(func() { busy <- true; <-free }))
-	<-busy
-	if r.HandOver(time.Millisecond) {
-		t.Error("reported as notified while the actor is busy")
+	core := startCore(t, settings)
+	core.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	blocked, unblock := make(chan bool), make(chan bool)
+	core.post(call(func() { blocked <- true; <-unblock }))
+	<-blocked
+	if core.HandOver(time.Millisecond) {
+		t.Error("HandOver returned true while the actor is busy")
 	}
-	close(free)
-	if !r.HandOver(time.Minute) {
-		t.Error("not notified")
+	close(unblock)
+	if !core.HandOver(time.Minute) {
+		t.Error("HandOver returned false although the actor is not busy")
 	}
 	expectRejected := func(id string) {
 		t.Helper()
-		_, got := r.submit(id, "read")
+		_, answers := core.submit(id, "read")
 		select {
-		case a := <-got:
-			if a.Kind != Rejected {
-				t.Errorf("%s: %+v", id, a)
+		case answer := <-answers:
+			if answer.Kind != Rejected {
+				t.Errorf("request %s: answer %+v, want a rejection", id, answer)
 			}
-		case <-r.node("n").sent:
-			t.Errorf("%s is dispatched", id)
+		case <-core.node("n").sent:
+			t.Errorf("request %s was dispatched", id)
 		}
 	}
 	expectRejected("a")
-	r.post(call(func() {
-		r.scheduler = nil
-		r.events = append(r.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
+	core.post(call(func() {
+		core.scheduler = nil
+		core.events = append(core.events, policy.Event{Kind: policy.TimerFired, Tag: "tick"})
 	}))
-	_, got := r.submit("panics", "read")
-	<-got
+	_, answers := core.submit("panics", "read")
+	<-answers
 	expectRejected("b")
 }
 
-func TestHandOverAfterStop(t *testing.T) {
+func TestHandOverAfterStopReturnsTrue(t *testing.T) {
 	c, err := New(Options{Settings: testSettings(), Log: logrus.New()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Stop()
-	for range 2 * controlSize { // also once its channel is full
+	for range 2 * controlSize { // more than the control channel holds
 		if !c.HandOver(time.Minute) {
-			t.Fatal("not notified, although the actor has ended")
+			t.Fatal("HandOver returned false although the actor has ended")
 		}
 	}
 }
--- a/internal/core/lateanswer_test.go
+++ b/internal/core/lateanswer_test.go
@@ -10,49 +10,49 @@
 	"wheatsaddle/policy"
 )
 
-// A late answer is logged with its id and attempts, at most one a second; an answer in time is not.
+// A late answer is logged with its id and attempts, at most once a second. An answer in time is not logged.
 func TestLateAnswersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log, lines := logtest.NewNullLogger()
-		r := &fixture{t: t}
-		c, err := New(Options{Settings: testSettings(), Seed: 7, Log: log, NewNodeClient: r.newNodeClient})
+		log, hook := logtest.NewNullLogger()
+		core := &fixture{t: t}
+		c, err := New(Options{Settings: testSettings(), Seed: 7, Log: log, NewNodeClient: core.newNodeClient})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Core = c
+		core.Core = c
 		defer c.Stop()
-		r.updateList(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
+		core.updateList(policy.ListReceived, Node{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addrs("10.0.0.1:1")})
 		submit := func(id string) chan Answer {
-			got := make(chan Answer, 1)
-			r.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
-				ReceivedAt: time.Now(), Timeout: 500 * time.Millisecond, Answer: func(a Answer) { got <- a }})
-			return got
+			answers := make(chan Answer, 1)
+			core.Submit(&Request{Request: policy.Request{ID: id, Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1, Key: id},
+				ReceivedAt: time.Now(), Timeout: 500 * time.Millisecond, Answer: func(a Answer) { answers <- a }})
+			return answers
 		}
 		<-submit("in-time")
 		stall := func(ids ...string) {
-			var all []chan Answer
+			var answersByRequest []chan Answer
 			for _, id := range ids {
-				all = append(all, submit(id))
+				answersByRequest = append(answersByRequest, submit(id))
 			}
 			time.Sleep(100 * time.Millisecond)
-			r.post(call(func() { time.Sleep(time.Second) })) // the actor is stalled past their deadlines
-			for _, got := range all {
-				<-got
+			core.post(call(func() { time.Sleep(time.Second) })) // the actor is stalled past their deadlines
+			for _, answers := range answersByRequest {
+				<-answers
 			}
 		}
 		stall("late-1", "late-2", "late-3")
 		time.Sleep(2 * time.Second)
 		stall("late-4")
-		r.OpenRequests()
+		core.OpenRequests()
 		var logged []map[string]any
-		for _, e := range lines.AllEntries() {
+		for _, e := range hook.AllEntries() {
 			if e.Message == "request answered after its client's deadline" {
 				logged = append(logged, e.Data)
 			}
 		}
 		if len(logged) != 2 || logged[1]["id"] != "late-4" || logged[1]["suppressed"] != 2 || logged[0]["class"] != "read" ||
 			logged[0]["late_ms"].(int64) < 500 || logged[0]["attempts"] == "" || logged[0]["timer_lag_ms"].(int64) < 50 {
-			t.Errorf("%v", logged)
+			t.Errorf("logged late answers %v", logged)
 		}
 	})
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -7,9 +7,9 @@
 	"wheatsaddle/policy"
 )
 
-// changes are changes of settings(), and whether a request of class read and plan basic that was decoded before means the
-// same afterwards.
-var changes = []struct {
+// settingsChanges are changes of testSettings(). For each, same tells whether a request of class read and plan basic that
+// was decoded before the change has the same meaning after it.
+var settingsChanges = []struct {
 	name   string
 	change func(*policy.Settings)
 	same   bool
@@ -32,85 +32,85 @@
 	{"fewer processes", func(s *policy.Settings) { s.Schedulers = 2 }, false},
 }
 
-// A request that was decoded before a change of the settings and arrives after it is served if it means the same under
-// both, and fails at once if not.
+// A request that was decoded before a change of the settings and arrives after it is served if it has the same meaning with
+// both versions. Otherwise it fails at once.
 func TestRequestDecodedUnderOldSettings(t *testing.T) {
-	for _, x := range changes {
-		t.Run(x.name, func(t *testing.T) {
-			r := startCore(t, testSettings())
-			r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-			decoded, next := r.Settings(), testSettings()
-			x.change(&next)
-			if err := r.Reconfigure(next); err != nil {
+	for _, tc := range settingsChanges {
+		t.Run(tc.name, func(t *testing.T) {
+			core := startCore(t, testSettings())
+			core.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+			decoded, next := core.Settings(), testSettings()
+			tc.change(&next)
+			if err := core.Reconfigure(next); err != nil {
 				t.Fatal(err)
 			}
-			if now := r.Settings(); now == decoded || now.Version != decoded.Version+1 {
+			if now := core.Settings(); now == decoded || now.Version != decoded.Version+1 {
 				t.Fatalf("version %d after %d", now.Version, decoded.Version)
 			}
-			q, got := r.newRequest("a", "read", time.Minute)
-			q.Settings = decoded
-			r.Submit(q)
-			if x.same {
-				(<-r.node("n").sent).Done(Result{Status: policy.OK})
-				expectAnswer(t, got, Served)
+			request, answers := core.newRequest("a", "read", time.Minute)
+			request.Settings = decoded
+			core.Submit(request)
+			if tc.same {
+				(<-core.node("n").sent).Done(Result{Status: policy.OK})
+				expectAnswer(t, answers, Served)
 				return
 			}
-			if a := expectAnswer(t, got, Failed); a.Cause != CauseSettingsChanged && a.Cause != CauseUnknownClass {
-				t.Errorf("%+v", a)
+			if answer := expectAnswer(t, answers, Failed); answer.Cause != CauseSettingsChanged && answer.Cause != CauseUnknownClass {
+				t.Errorf("answer %+v, want a cause that names the settings change or the unknown class", answer)
 			}
-			if n := len(r.node("n").sent); n > 0 {
-				t.Errorf("%d sent", n)
+			if n := len(core.node("n").sent); n > 0 {
+				t.Errorf("%d attempts were dispatched, want 0", n)
 			}
 		})
 	}
 }
 
-// A request that arrives before a change in the same iteration is decided by the old settings.
+// A request that arrives before a change of the settings in the same iteration is decided by the old settings.
 func TestArrivalBeforeReconfigureInOneIteration(t *testing.T) {
-	r := startCore(t, testSettings())
-	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	core := startCore(t, testSettings())
+	core.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
 	next := testSettings()
 	next.Classes[0].Effect = policy.NonIdempotent
-	release := r.blockActor()
-	_, before := r.submit("before", "read")
-	retuned := make(chan error)
-	r.post(call(func() { go func(err error) { retuned <- err }(r.reconfigure(next)) }))
-	_, after := r.submit("after", "read")
+	release := core.blockActor()
+	_, before := core.submit("before", "read")
+	reconfigured := make(chan error)
+	core.post(call(func() { go func(err error) { reconfigured <- err }(core.reconfigure(next)) }))
+	_, after := core.submit("after", "read")
 	release()
-	if err := <-retuned; err != nil {
+	if err := <-reconfigured; err != nil {
 		t.Fatal(err)
 	}
-	sent := r.node("n").sent
+	sent := core.node("n").sent
 	for range 2 {
 		(<-sent).Done(Result{Status: policy.ConnectionReset}) // it may have been executed
 	}
-	r.OpenRequests() // both results have been handled, and are decided before the next call
-	r.OpenRequests()
+	core.OpenRequests() // returns once both results are handled; their step runs before the next call is handled
+	core.OpenRequests()
 	if len(sent) != 1 {
-		t.Fatalf("%d are retried, want the one from before the change", len(sent))
+		t.Fatalf("%d requests are retried, want only the one that arrived before the change", len(sent))
 	}
-	retry := <-sent // only the idempotent one is retried
+	retry := <-sent // only the request that was idempotent at its arrival is retried
 	if retry.Request.ID != "before" || retry.Number != 1 {
-		t.Errorf("%s is retried, attempt %d", retry.Request.ID, retry.Number)
+		t.Errorf("request %s is retried with attempt %d, want request before with attempt 1", retry.Request.ID, retry.Number)
 	}
 	expectAnswer(t, after, Failed)
 	retry.Done(Result{Status: policy.OK})
 	expectAnswer(t, before, Served)
 }
 
-// Settings that the module rejects change nothing in the core either.
+// Settings that the decision module rejects change nothing in the core.
 func TestRejectedSettingsChangeNothing(t *testing.T) {
-	r := startCore(t, testSettings())
-	r.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
-	before, invalid := r.Settings(), testSettings()
+	core := startCore(t, testSettings())
+	core.updateList(policy.CachedListLoaded, newNode("n", 0, policy.NodeUp))
+	before, invalid := core.Settings(), testSettings()
 	invalid.Classes[0].Name, invalid.MaxAttempts = "renamed", -1
-	if err := r.Reconfigure(invalid); err == nil {
+	if err := core.Reconfigure(invalid); err == nil {
 		t.Fatal("accepted")
 	}
-	if r.Settings() != before {
+	if core.Settings() != before {
 		t.Error("the version has changed")
 	}
-	_, got := r.submit("a", "read")
-	(<-r.node("n").sent).Done(Result{Status: policy.OK})
-	expectAnswer(t, got, Served)
+	_, answers := core.submit("a", "read")
+	(<-core.node("n").sent).Done(Result{Status: policy.OK})
+	expectAnswer(t, answers, Served)
 }
