--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The margin is compared with the list of all recorded lags.
+// The margin stays within the bounds that follow from the list of all recorded lags.
 func TestMarginCoversRecentLags(t *testing.T) {
 	type sample struct{ at, lag time.Duration }
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,9 +29,9 @@
 			got := g.Margin(now, timeout)
 			bound := max(MinMargin, timeout/MaxMarginDivisor)
 			if got < MinMargin || got > bound {
-				t.Fatalf("margin %v of %v", got, timeout)
+				t.Fatalf("margin %v for the client timeout %v is out of bounds", got, timeout)
 			}
-			least, most := MinMargin, MinMargin // by the lags that must count, and by those that may
+			least, most := MinMargin, MinMargin // bounds by the lags that must count and by those that may count
 			for _, s := range samples {
 				if now-s.at < Window {
 					least = max(least, LagFactor*s.lag)
@@ -41,7 +41,7 @@
 				}
 			}
 			if got < min(least, bound) || got > min(most, bound) {
-				t.Fatalf("margin %v, want %v to %v of %v", got, least, most, timeout)
+				t.Fatalf("margin %v, want %v to %v for the client timeout %v", got, least, most, timeout)
 			}
 		}
 	})
--- a/internal/deadline/recorded_test.go
+++ b/internal/deadline/recorded_test.go
@@ -8,7 +8,7 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
-// The margins under random lags are those of the recording.
+// The margins for random lags match the recording.
 func TestRecordedMargins(t *testing.T) {
 	rng := rand.New(rand.NewSource(7))
 	var script recorded.Script
@@ -17,7 +17,7 @@
 	for range 3000 {
 		at += time.Duration(rng.Intn(900)) * time.Millisecond
 		if rng.Intn(60) == 0 {
-			at += time.Duration(rng.Intn(15000)) * time.Millisecond // a quiet time or a stall
+			at += time.Duration(rng.Intn(15000)) * time.Millisecond // an idle period or a stall
 		}
 		switch rng.Intn(4) {
 		case 0, 1:
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -11,23 +11,23 @@
 )
 
 func TestDecode(t *testing.T) {
-	l, err := Decode([]byte(listText(43, true, sampleEntry)))
-	n := l.Nodes[0]
-	if err != nil || l.Version != 43 || !l.Full || n.ID != "s-1" || n.Shard != 3 || n.State != policy.NodeDraining || n.Weight != 2 ||
-		n.StartTime != 1.7e12 || fmt.Sprint(n.Addresses) != "[127.0.0.1:8443]" || n.Zone != "a" {
-		t.Errorf("%+v %v", l, err)
+	list, err := Decode([]byte(listText(43, true, sampleEntry)))
+	node := list.Nodes[0]
+	if err != nil || list.Version != 43 || !list.Full || node.ID != "s-1" || node.Shard != 3 || node.State != policy.NodeDraining || node.Weight != 2 ||
+		node.StartTime != 1.7e12 || fmt.Sprint(node.Addresses) != "[127.0.0.1:8443]" || node.Zone != "a" {
+		t.Errorf("decoded %+v, %v", list, err)
 	}
-	// an invalid entry is named and ignored
-	for invalid, word := range map[string]string{`7`: "object", `{"name":""}`: "name", strings.Replace(sampleEntry, "leaving", "gone", 1): "status",
+	// An invalid entry is ignored and recorded with its position and the reason.
+	for invalid, wantText := range map[string]string{`7`: "object", `{"name":""}`: "name", strings.Replace(sampleEntry, "leaving", "gone", 1): "status",
 		strings.Replace(sampleEntry, "127.0.0.1:8443", "here", 1): "address", strings.Replace(sampleEntry, "3,", `"x",`, 1): "group"} {
-		l, err = Decode([]byte(listText(44, true, invalid, sampleEntry)))
-		if err != nil || len(l.Nodes) != 1 || len(l.InvalidEntries) != 1 || !strings.Contains(l.InvalidEntries[0].Error(), word) ||
-			!strings.Contains(l.InvalidEntries[0].Error(), "endpoints.0") {
-			t.Errorf("%s: %+v %v", invalid, l, err)
+		list, err = Decode([]byte(listText(44, true, invalid, sampleEntry)))
+		if err != nil || len(list.Nodes) != 1 || len(list.InvalidEntries) != 1 || !strings.Contains(list.InvalidEntries[0].Error(), wantText) ||
+			!strings.Contains(list.InvalidEntries[0].Error(), "endpoints.0") {
+			t.Errorf("%s: %+v %v", invalid, list, err)
 		}
 	}
-	for invalid, word := range map[string]string{`{`: "JSON", `{"endpoints":[]}`: "index", `{"index":1}`: "endpoints", `[]`: "index"} {
-		if _, err := Decode([]byte(invalid)); err == nil || !strings.Contains(err.Error(), word) {
+	for invalid, wantText := range map[string]string{`{`: "JSON", `{"endpoints":[]}`: "index", `{"index":1}`: "endpoints", `[]`: "index"} {
+		if _, err := Decode([]byte(invalid)); err == nil || !strings.Contains(err.Error(), wantText) {
 			t.Errorf("%s: %v", invalid, err)
 		}
 	}
@@ -39,23 +39,23 @@
 		if _, err := Decode([]byte(complete[:rapid.IntRange(0, len(complete)-1).Draw(rt, "cut")])); err == nil {
 			rt.Fatal("a truncated list was decoded")
 		}
-		b := []byte(complete)
+		text := []byte(complete)
 		for range rapid.IntRange(1, 5).Draw(rt, "edits") {
-			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
+			text[rapid.IntRange(0, len(text)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 		}
-		l, err := Decode(b)
-		for _, n := range l.Nodes {
-			if err != nil || n.ID == "" || n.Shard < 0 {
-				rt.Fatalf("%+v %v", n, err)
+		list, err := Decode(text)
+		for _, node := range list.Nodes {
+			if err != nil || node.ID == "" || node.Shard < 0 {
+				rt.Fatalf("invalid node %+v decoded, error %v", node, err)
 			}
 		}
 	})
 }
 
-// An entry may name several addresses. An invalid one is logged and ignored, and the node stays; an
-// entry without a valid address is ignored like any invalid entry.
-func TestAddresses(t *testing.T) {
-	for _, x := range []struct{ fields, want, partly, invalid string }{
+// An entry may have several addresses. An invalid address is recorded and ignored, and the entry is still used. An entry
+// without a valid address is ignored like any invalid entry.
+func TestDecodeAddresses(t *testing.T) {
+	for _, tc := range []struct{ fields, want, ignored, invalid string }{
 		{`"address":"127.0.0.1:1"`, "[127.0.0.1:1]", "", ""},
 		{`"address":"127.0.0.1:1","addresses":["unix:/run/a","[::1]:1"]`, "[unix:/run/a [::1]:1 127.0.0.1:1]", "", ""},
 		{`"addresses":["unix:/run/a","[::1]:1"]`, "[unix:/run/a [::1]:1]", "", ""},
@@ -67,26 +67,26 @@
 		{`"address":"what","addresses":[]`, "", "", "none of them can be used"},
 		{`"address":"127.0.0.1:0"`, "", "", `address: "127.0.0.1:0": port`},
 	} {
-		l, err := Decode([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"n","group":0,"status":"active",` + x.fields + `}]}`))
+		list, err := Decode([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"n","group":0,"status":"active",` + tc.fields + `}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, partly, invalid := "", "", ""
-		if len(l.Nodes) == 1 {
-			got = fmt.Sprint(l.Nodes[0].Addresses)
+		got, ignored, invalid := "", "", ""
+		if len(list.Nodes) == 1 {
+			got = fmt.Sprint(list.Nodes[0].Addresses)
 		}
-		for _, e := range l.InvalidAddresses {
-			partly += e.Error() + "\n"
+		for _, err := range list.InvalidAddresses {
+			ignored += err.Error() + "\n"
 		}
-		for _, e := range l.InvalidEntries {
-			invalid += e.Error() + "\n"
+		for _, err := range list.InvalidEntries {
+			invalid += err.Error() + "\n"
 		}
-		if got != x.want || !strings.Contains(invalid, x.invalid) || (x.invalid == "") != (invalid == "") || (x.partly == "") != (partly == "") {
-			t.Errorf("%s: %s, partly %q, invalid %q", x.fields, got, partly, invalid)
+		if got != tc.want || !strings.Contains(invalid, tc.invalid) || (tc.invalid == "") != (invalid == "") || (tc.ignored == "") != (ignored == "") {
+			t.Errorf("%s: addresses %s, invalid addresses %q, invalid entries %q", tc.fields, got, ignored, invalid)
 		}
-		for _, part := range strings.Split(x.partly, "|") {
-			if !strings.Contains(partly, part) {
-				t.Errorf("%s: %q is not named in %q", x.fields, part, partly)
+		for _, part := range strings.Split(tc.ignored, "|") {
+			if !strings.Contains(ignored, part) {
+				t.Errorf("%s: %q is missing in %q", tc.fields, part, ignored)
 			}
 		}
 	}
--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -12,14 +12,14 @@
 	"wheatsaddle/policy"
 )
 
-// descriptors holds all file descriptors that this process may open.
-type descriptors struct {
+// descriptorExhaustion holds all file descriptors that the process may still open.
+type descriptorExhaustion struct {
 	oldLimit syscall.Rlimit
 	files    []*os.File
 }
 
-// take takes them all, also those that other tests release meanwhile.
-func (d *descriptors) take(t *testing.T) {
+// exhaust opens files until no file descriptor is left, including descriptors that other tests have released.
+func (d *descriptorExhaustion) exhaust(t *testing.T) {
 	if d.files == nil {
 		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &d.oldLimit); err != nil {
 			t.Error(err)
@@ -43,7 +43,7 @@
 	}
 }
 
-func (d *descriptors) release(t *testing.T) {
+func (d *descriptorExhaustion) release(t *testing.T) {
 	if d.files == nil {
 		return
 	}
@@ -56,43 +56,43 @@
 	d.files = nil
 }
 
-// A call without a file descriptor is repeated as soon as any that failed.
+// A call that fails because no file descriptor is free is retried after the same interval as any failed call.
 func TestWatchWithoutFileDescriptors(t *testing.T) {
-	s := newScriptedService(t)
-	var files descriptors
-	defer files.release(t)
+	service := newScriptedService(t)
+	var descriptors descriptorExhaustion
+	defer descriptors.release(t)
 	var exhausted atomic.Bool
 	failed := make(chan error, 10)
-	w := &Watcher{Address: s.Addr().String(), Timer: pushedSettings}
+	w := &Watcher{Address: service.Addr().String(), Timer: pushedSettings}
 	w.openWatch = func(ctx context.Context, address string, version int64, put func(callMessage)) error {
 		if !exhausted.Load() {
 			return w.runCall(ctx, address, version, put)
 		}
-		files.take(t)
+		descriptors.exhaust(t)
 		err := w.runCall(ctx, address, version, put)
 		failed <- err
 		return err
 	}
-	p := startWatcher(t, w)
-	s.call(t, 0).begin(listText(1, true, entryText("a", "active", 0)))
-	receiveWithin(t, "the first list", p.updates)
+	watcher := startWatcher(t, w)
+	service.call(t, 0).respond(listText(1, true, entryText("a", "active", 0)))
+	receiveWithin(t, "the first list", watcher.updates)
 	exhausted.Store(true)
-	p.advance(watchtimer.PushedSilenceTimeout) // another call is made beside the silent one
+	watcher.advance(watchtimer.PushedSilenceTimeout) // another call is made while the silent one stays open
 	for range 3 {
 		if err := receiveWithin(t, "a call without a descriptor", failed); !errors.Is(err, syscall.EMFILE) {
 			t.Fatalf("the call ended by %v, want EMFILE", err)
 		}
-		p.advance(pushedRetryInterval)
+		watcher.advance(pushedRetryInterval)
 	}
 	_ = receiveWithin(t, "a call without a descriptor", failed)
 	exhausted.Store(false)
-	files.release(t)
-	p.advance(pushedRetryInterval)
-	s.call(t, 1).begin(listText(2, false, entryText("a", "leaving", 0)))
+	descriptors.release(t)
+	watcher.advance(pushedRetryInterval)
+	service.call(t, 1).respond(listText(2, false, entryText("a", "leaving", 0)))
 	for {
-		if n := receiveWithin(t, "the drain", p.updates); n.Kind != policy.ListFailed {
-			if statesOf(n) != "a:draining" {
-				t.Errorf("update %+v", n)
+		if update := receiveWithin(t, "the drain", watcher.updates); update.Kind != policy.ListFailed {
+			if statesOf(update) != "a:draining" {
+				t.Errorf("update %+v, want the drain", update)
 			}
 			return
 		}
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/fixture_test.go
@@ -34,20 +34,20 @@
 
 var sampleNode = discovery.Entry{Name: "s-1", Address: "127.0.0.1:8443", Group: 3, Status: discovery.Active, Weight: 2}
 
-// newListService starts a list's service with one node listed at version 41, and returns the URIs requested of it.
-func newListService(t *testing.T) (s *discovery.Service, requests chan string) {
+// newListService starts a fake list service with one node at version 41. The channel receives the URIs of the requests.
+func newListService(t *testing.T) (service *discovery.Service, requests chan string) {
 	requests = make(chan string, 100)
-	s, err := discovery.New(discovery.Options{Index: 40, Beat: time.Hour, Heard: func(_, uri string) { requests <- uri }})
+	service, err := discovery.New(discovery.Options{Index: 40, Beat: time.Hour, Heard: func(_, uri string) { requests <- uri }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	s.Put(sampleNode)
-	return s, requests
+	t.Cleanup(service.Close)
+	service.Put(sampleNode)
+	return service, requests
 }
 
-// loggedCodes returns the codes of the log lines at warn and above, and checks that each has a code and an advice.
-func loggedCodes(t *testing.T, hook *logtest.Hook) (all []string) {
+// loggedCodes returns the codes of the log lines at level warn and above, and checks that each has a code and an advice.
+func loggedCodes(t *testing.T, hook *logtest.Hook) (codes []string) {
 	t.Helper()
 	for _, e := range hook.AllEntries() {
 		if e.Level > logrus.WarnLevel {
@@ -57,57 +57,58 @@
 		if advice, _ := e.Data["advice"].(string); code == "" || advice == "" {
 			t.Errorf("%q %v has no code or no advice", e.Message, e.Data)
 		}
-		all = append(all, code)
+		codes = append(codes, code)
 	}
-	return all
+	return codes
 }
 
-// testWatcher is a watcher whose time advances only by the test, so that no result depends on the machine's speed.
+// testWatcher is a running watcher whose time is advanced only by the test, so that no result depends on the speed of the
+// machine.
 type testWatcher struct {
 	ctx     context.Context
-	stop    func() // and waits for its end
+	stop    func() // stops the watcher and waits for its end
 	updates chan core.ListUpdate
 	hook    *logtest.Hook
 	now     atomic.Int64
 	wake    chan time.Time
 }
 
-// startWatcher runs a watcher until the test ends or stops it.
+// startWatcher runs a watcher until the test stops it or ends.
 func startWatcher(t *testing.T, w *Watcher) *testWatcher {
-	p := &testWatcher{updates: make(chan core.ListUpdate, 100), wake: make(chan time.Time)}
-	w.Log, p.hook = logtest.NewNullLogger()
-	w.OnUpdate = func(n core.ListUpdate) { p.updates <- n }
-	w.elapsed = func() time.Duration { return time.Duration(p.now.Load()) }
+	watcher := &testWatcher{updates: make(chan core.ListUpdate, 100), wake: make(chan time.Time)}
+	w.Log, watcher.hook = logtest.NewNullLogger()
+	w.OnUpdate = func(n core.ListUpdate) { watcher.updates <- n }
+	w.elapsed = func() time.Duration { return time.Duration(watcher.now.Load()) }
 	if w.openWatch == nil {
 		w.openWatch = w.runCall
 	}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan bool)
-	go func() { w.runWithTimer(ctx, p.wake, func(time.Duration) {}); close(ended) }()
-	p.ctx, p.stop = ctx, func() { end(); <-ended }
-	t.Cleanup(p.stop)
-	return p
+	go func() { w.runWithTimer(ctx, watcher.wake, func(time.Duration) {}); close(ended) }()
+	watcher.ctx, watcher.stop = ctx, func() { end(); <-ended }
+	t.Cleanup(watcher.stop)
+	return watcher
 }
 
-// advance lets time pass, once the watcher has handled what it received before.
-func (p *testWatcher) advance(by time.Duration) {
-	p.wake <- time.Time{}
-	p.now.Add(int64(by))
-	p.wake <- time.Time{}
+// advance advances the time once the watcher has handled all earlier messages.
+func (w *testWatcher) advance(by time.Duration) {
+	w.wake <- time.Time{}
+	w.now.Add(int64(by))
+	w.wake <- time.Time{}
 }
 
 // testTimeout is how long a test waits for an expected event before it fails.
 const testTimeout = 20 * time.Second
 
-const answerHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// scriptedService is a list's service that writes the test's bytes.
+// scriptedService is a fake list service whose responses are written by the test.
 type scriptedService struct {
 	net.Listener
 	calls chan *scriptedCall
 }
 
-// scriptedCall is one call of a scriptedService.
+// scriptedCall is a call to a scriptedService.
 type scriptedCall struct {
 	net.Conn
 	uri string
@@ -119,22 +120,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &scriptedService{ln, make(chan *scriptedCall, 100)}
+	service := &scriptedService{ln, make(chan *scriptedCall, 100)}
 	go func() {
 		for {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			var q fasthttp.Request
-			if q.Read(bufio.NewReader(nc)) != nil {
-				nc.Close()
+			var request fasthttp.Request
+			if request.Read(bufio.NewReader(conn)) != nil {
+				conn.Close()
 				continue
 			}
-			s.calls <- &scriptedCall{nc, string(q.RequestURI())}
+			service.calls <- &scriptedCall{conn, string(request.RequestURI())}
 		}
 	}()
-	return s
+	return service
 }
 
 // receiveWithin receives an expected value within testTimeout.
@@ -144,7 +145,7 @@
 	case v := <-from:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("%s: did not come", what)
+		t.Fatalf("%s: nothing received within the timeout", what)
 		panic("not reached")
 	}
 }
@@ -152,19 +153,19 @@
 // call returns the next call and checks that it requests the changes after the version.
 func (s *scriptedService) call(t *testing.T, after int) *scriptedCall {
 	t.Helper()
-	c := receiveWithin(t, "a call", s.calls)
-	t.Cleanup(func() { c.Close() })
-	if want := fmt.Sprint(watchPath, "?watch=1&after=", after); c.uri != want {
-		t.Errorf("requested %s, want %s", c.uri, want)
+	call := receiveWithin(t, "a call", s.calls)
+	t.Cleanup(func() { call.Close() })
+	if want := fmt.Sprint(watchPath, "?watch=1&after=", after); call.uri != want {
+		t.Errorf("requested %s, want %s", call.uri, want)
 	}
-	return c
+	return call
 }
 
 func (c *scriptedCall) write(text string) { _, _ = c.Write([]byte(text)) }
 
-// begin answers with lines.
-func (c *scriptedCall) begin(lines ...string) {
-	c.write(answerHead)
+// respond sends the head of the response and the lines.
+func (c *scriptedCall) respond(lines ...string) {
+	c.write(responseHead)
 	c.lines(lines...)
 }
 
@@ -174,7 +175,7 @@
 	}
 }
 
-// reset ends the connection by a reset.
+// reset closes the connection with a TCP reset.
 func (c *scriptedCall) reset() {
 	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		panic(err)
@@ -184,20 +185,20 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// entryText is an entry of a list.
+// entryText returns an entry of a list.
 func entryText(name, status string, since int) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","group":0,"status":%q,"weight":1,"since_ms":%d}`, name, status, since)
 }
 
-// statesOf lists the nodes of an update with their states.
-func statesOf(n core.ListUpdate) string {
-	var all []string
-	for _, x := range n.Nodes {
-		all = append(all, fmt.Sprintf("%s:%v", x.ID, map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeDraining: "draining",
-			policy.NodeRemoved: "removed"}[x.State]))
+// statesOf returns the sorted nodes of an update with their states.
+func statesOf(update core.ListUpdate) string {
+	var states []string
+	for _, node := range update.Nodes {
+		states = append(states, fmt.Sprintf("%s:%v", node.ID, map[policy.NodeState]string{policy.NodeUp: "up", policy.NodeDraining: "draining",
+			policy.NodeRemoved: "removed"}[node.State]))
 	}
-	slices.Sort(all)
-	return strings.Join(all, " ")
+	slices.Sort(states)
+	return strings.Join(states, " ")
 }
 
 func indented(text string) string {
@@ -210,4 +211,4 @@
 
 var pushedSettings = watchtimer.Settings{Pushed: true, DrainGrace: time.Second}
 
-const pushedRetryInterval = 100 * time.Millisecond // of pushedSettings
+const pushedRetryInterval = 100 * time.Millisecond // RetryInterval with pushedSettings
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -17,36 +17,36 @@
 func (p testPacer) CallDue() <-chan struct{} { return p.due }
 func (p testPacer) CallFailed()              { p.failed <- true }
 
-// While a process starts, the list is called for when the pacer is due, whether or not the service answers, and the
-// pacer is notified of each call that failed. The time does not advance, so the staleness bound requires no call.
+// While a process starts, the list service is called when the pacer is due, whether or not the service answers. The pacer
+// is notified of each failed call. The time does not advance, so the staleness bound requires no call.
 func TestCallsWhenPacerIsDue(t *testing.T) {
-	s, requests := newListService(t)
-	p := testPacer{make(chan struct{}), make(chan bool, 100)}
-	w := startWatcher(t, &Watcher{Address: s.Addr(), Pacer: p, Timer: watchtimer.Settings{Schedulers: 1000}})
-	for i, f := range []discovery.Fault{{Refuse: true}, {Down: true}, {Refuse: true}} {
-		if err := s.Set(f); err != nil {
+	service, requests := newListService(t)
+	pacer := testPacer{make(chan struct{}), make(chan bool, 100)}
+	watcher := startWatcher(t, &Watcher{Address: service.Addr(), Pacer: pacer, Timer: watchtimer.Settings{Schedulers: 1000}})
+	for i, fault := range []discovery.Fault{{Refuse: true}, {Down: true}, {Refuse: true}} {
+		if err := service.Set(fault); err != nil {
 			t.Fatal(err)
 		}
 		if len(requests) > 0 {
-			t.Fatalf("%d: called before it was due", i)
+			t.Fatalf("fault %d: the service was called before the pacer was due", i)
 		}
-		p.due <- struct{}{}
-		if f.Down {
-			w.advance(watchtimer.ResponseTimeout)
+		pacer.due <- struct{}{}
+		if fault.Down {
+			watcher.advance(watchtimer.ResponseTimeout)
 		}
-		<-p.failed
+		<-pacer.failed
 		for len(requests) > 0 {
 			<-requests
 		}
 	}
-	if n := <-w.updates; n.Kind != policy.ListFailed {
-		t.Errorf("%+v", n)
+	if update := <-watcher.updates; update.Kind != policy.ListFailed {
+		t.Errorf("update %+v, want a failure of the list", update)
 	}
-	if err := s.Set(discovery.Fault{}); err != nil {
+	if err := service.Set(discovery.Fault{}); err != nil {
 		t.Fatal(err)
 	}
-	p.due <- struct{}{}
-	if n := <-w.updates; n.Kind != policy.ListReceived || len(p.failed) > 0 {
-		t.Errorf("%+v, %d more failed", n, len(p.failed))
+	pacer.due <- struct{}{}
+	if update := <-watcher.updates; update.Kind != policy.ListReceived || len(pacer.failed) > 0 {
+		t.Errorf("update %+v and %d more failed calls, want the list and none", update, len(pacer.failed))
 	}
 }
--- a/internal/discovery/truncated_test.go
+++ b/internal/discovery/truncated_test.go
@@ -9,49 +9,49 @@
 	"wheatsaddle/policy"
 )
 
-// A line is applied when it has arrived, before the line end after its chunk.
+// A line is applied when it has arrived, before the line break that ends its chunk.
 func TestLineIsAppliedBeforeItsChunkEnds(t *testing.T) {
-	s := newScriptedService(t)
-	p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
-	c := s.call(t, 0)
-	c.begin()
-	c.write(strings.TrimSuffix(chunk(listText(1, true, entryText("a", "leaving", 0))+"\n"), "\r\n"))
-	if n := receiveWithin(t, "the line", p.updates); statesOf(n) != "a:draining" {
-		t.Errorf("update %+v", n)
+	service := newScriptedService(t)
+	watcher := startWatcher(t, &Watcher{Address: service.Addr().String(), Timer: pushedSettings})
+	call := service.call(t, 0)
+	call.respond()
+	call.write(strings.TrimSuffix(chunk(listText(1, true, entryText("a", "leaving", 0))+"\n"), "\r\n"))
+	if update := receiveWithin(t, "the line", watcher.updates); statesOf(update) != "a:draining" {
+		t.Errorf("update %+v, want the drain", update)
 	}
 }
 
-// watchStream returns a watch of three lists and a heartbeat, and the offsets at which each list has arrived completely.
-// Each list is sent in two chunks; the indented one is divided between its lines.
+// watchStream returns the response of a watch with three lists and a heartbeat, and the offset at which each list is
+// complete. Each list is sent in two chunks. The indented list is split between two lines.
 func watchStream() (stream string, listEnds []int) {
 	lists := []string{listText(1, true, entryText("a", "active", 0)), "", indented(listText(2, false, entryText("a", "leaving", 0))),
 		listText(3, false, entryText("b", "active", 0))}
-	stream = answerHead
-	for i, l := range lists {
-		if l == "" {
+	stream = responseHead
+	for i, list := range lists {
+		if list == "" {
 			stream += chunk("\n")
 			continue
 		}
-		text, at := l, len(l)/2
+		text, splitAt := list, len(list)/2
 		if i < len(lists)-1 {
 			text += "\n"
 		}
-		if j := strings.IndexByte(l, '\n'); j >= 0 {
-			at = j + 1
+		if j := strings.IndexByte(list, '\n'); j >= 0 {
+			splitAt = j + 1
 		}
-		stream += chunk(text[:at])
-		last := chunk(text[at:])
+		stream += chunk(text[:splitAt])
+		last := chunk(text[splitAt:])
 		listEnds = append(listEnds, len(stream)+strings.LastIndexByte(last, '}')+1)
 		stream += last
 	}
 	return stream + "0\r\n\r\n", listEnds
 }
 
-// A watch may be cut at any byte, by an end or a reset: exactly the lists that have arrived completely are applied, the
-// last of them also without its line end.
+// A watch may be truncated at any byte, by the end of the connection or a reset. Exactly the lists that have arrived
+// completely are applied, the last of them even without its line break.
 func TestWatchCutAnywhere(t *testing.T) {
 	stream, listEnds := watchStream()
-	s := newScriptedService(t)
+	service := newScriptedService(t)
 	for _, reset := range []bool{false, true} {
 		for cut := range len(stream) + 1 {
 			complete := 0
@@ -60,7 +60,7 @@
 					complete++
 				}
 			}
-			received := s.versionsUntilEnd(t, stream[:cut], reset)
+			received := service.versionsUntilEnd(t, stream[:cut], reset)
 			if len(received) != complete {
 				t.Fatalf("cut at %d (reset %v): %d lists received, want %d, after %q", cut, reset, len(received), complete, stream[:cut])
 			}
@@ -73,27 +73,27 @@
 	}
 }
 
-// versionsUntilEnd runs one call that reads the text and then an end or a reset, and returns the versions of the lists
-// that the call read. The call must end with an error.
+// versionsUntilEnd runs a call that receives the text and then the end of the connection or a reset. It returns the
+// versions of the lists that the call received. The call must end with an error.
 func (s *scriptedService) versionsUntilEnd(t *testing.T, text string, reset bool) (versions []int64) {
 	t.Helper()
-	w := &Watcher{Address: s.Addr().String()}
-	w.elapsed = func() time.Duration { return 0 }
-	w.lastInvalidListLog.Store(1) // nothing is logged
+	watcher := &Watcher{Address: s.Addr().String()}
+	watcher.elapsed = func() time.Duration { return 0 }
+	watcher.lastInvalidListLog.Store(1) // suppresses the log, as the interval since the last line never passes
 	ended := make(chan error)
 	go func() {
-		ended <- w.runCall(context.Background(), w.Address, 0, func(message callMessage) {
+		ended <- watcher.runCall(context.Background(), watcher.Address, 0, func(message callMessage) {
 			if message.list != nil {
 				versions = append(versions, message.list.Version)
 			}
 		})
 	}()
-	c := receiveWithin(t, "a call", s.calls)
-	c.write(text)
+	call := receiveWithin(t, "a call", s.calls)
+	call.write(text)
 	if reset {
-		c.reset()
+		call.reset()
 	} else {
-		_ = c.Close()
+		_ = call.Close()
 	}
 	if err := receiveWithin(t, "the end", ended); err == nil {
 		t.Fatalf("no error after %q", text)
@@ -101,35 +101,35 @@
 	return versions
 }
 
-// A change that was truncated in the middle of a line or of an indented list is requested again from the current
-// version; a list that begins after it on the same watch is not taken for its end.
+// A change that was truncated in the middle of a line or of an indented list is requested again with the current version. A
+// list that begins after it on the same watch is not taken for the rest of the truncated one.
 func TestTruncatedLineIsRequestedAgain(t *testing.T) {
 	one, two, three := listText(1, true, entryText("a", "active", 0)), listText(2, false, entryText("a", "leaving", 0)), listText(3, false, entryText("b", "active", 0))
 	for name, truncate := range map[string]func(*scriptedCall){
-		"half a line, an end":                   func(c *scriptedCall) { c.write(chunk(two[:40])); c.Close() },
-		"half a line, a reset":                  func(c *scriptedCall) { c.write(chunk(two[:40])); c.reset() },
-		"half a chunk, an end":                  func(c *scriptedCall) { c.write(chunk(two)[:40]); c.Close() },
-		"half a line, another":                  func(c *scriptedCall) { c.write(chunk(two[:40] + "\n" + three + "\n")) },
-		"half an indented list, another":        func(c *scriptedCall) { c.write(chunk(indented(two)[:60] + "\n" + three + "\n")) },
-		"half an indented list, a heartbeat":    func(c *scriptedCall) { c.write(chunk(indented(two)[:60] + "\n")); c.lines("") },
-		"half an indented list, a reset":        func(c *scriptedCall) { c.write(chunk(indented(two)[:60])); c.reset() },
-		"half an indented list, an end":         func(c *scriptedCall) { c.write(chunk(indented(two)[:60])); c.Close() },
-		"half an indented list, a complete one": func(c *scriptedCall) { c.write(chunk(indented(two)[:60] + "\n" + indented(three) + "\n")) },
+		"half a line, the end":                            func(call *scriptedCall) { call.write(chunk(two[:40])); call.Close() },
+		"half a line, a reset":                            func(call *scriptedCall) { call.write(chunk(two[:40])); call.reset() },
+		"half a chunk, the end":                           func(call *scriptedCall) { call.write(chunk(two)[:40]); call.Close() },
+		"half a line, another list":                       func(call *scriptedCall) { call.write(chunk(two[:40] + "\n" + three + "\n")) },
+		"half an indented list, another list":             func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + three + "\n")) },
+		"half an indented list, a heartbeat":              func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n")); call.lines("") },
+		"half an indented list, a reset":                  func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.reset() },
+		"half an indented list, the end":                  func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.Close() },
+		"half an indented list, a complete indented list": func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + indented(three) + "\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScriptedService(t)
-			p := startWatcher(t, &Watcher{Address: s.Addr().String(), Timer: pushedSettings})
-			c := s.call(t, 0)
-			c.begin(one)
-			receiveWithin(t, "the first list", p.updates)
-			truncate(c)
-			if n := receiveWithin(t, "the end of the watch", p.updates); n.Kind != policy.ListFailed {
-				t.Fatalf("update %+v of a truncated line", n)
+			service := newScriptedService(t)
+			watcher := startWatcher(t, &Watcher{Address: service.Addr().String(), Timer: pushedSettings})
+			call := service.call(t, 0)
+			call.respond(one)
+			receiveWithin(t, "the first list", watcher.updates)
+			truncate(call)
+			if update := receiveWithin(t, "the end of the watch", watcher.updates); update.Kind != policy.ListFailed {
+				t.Fatalf("update %+v after a truncated line, want a failure of the list", update)
 			}
-			p.advance(pushedRetryInterval)
-			s.call(t, 1).begin(two)
-			if n := receiveWithin(t, "the drain", p.updates); statesOf(n) != "a:draining" {
-				t.Errorf("update %+v", n)
+			watcher.advance(pushedRetryInterval)
+			service.call(t, 1).respond(two)
+			if update := receiveWithin(t, "the drain", watcher.updates); statesOf(update) != "a:draining" {
+				t.Errorf("update %+v, want the drain", update)
 			}
 		})
 	}
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -22,132 +22,133 @@
 	"wheatsaddle/policy"
 )
 
-// interleavedWatcher is a watcher with two list services: each call reads the texts of its address, and then stays
-// open until it is closed, or ends.
+// interleavedWatcher is a watcher with two fake list services. Each call receives the texts of its address, and then ends
+// or stays open until it is closed.
 type interleavedWatcher struct {
-	w                  *Watcher
+	watcher            *Watcher
 	ctx                context.Context
 	stop               func()
-	texts              map[string][]string
-	ends               bool // the old service's calls end after their texts
+	textsByAddress     map[string][]string
+	oldCallsEnd        bool // calls to the old address end after their texts
 	wake               chan time.Time
 	now                time.Duration
-	due                time.Duration
-	open               int // number of open calls
+	nextTimer          time.Duration
+	openCalls          int // number of calls that have not returned
 	stopped            bool
 	ended              bool // Run has returned
 	received           []int
 	stopAtLastVersion  bool              // stop when version 4 was received
-	oldCalls           []context.Context // of the calls at the old address
-	newAddressAnswered bool              // a call at the new address brought a message
+	oldCalls           []context.Context // contexts of the calls to the old address
+	newAddressAnswered bool              // a call to the new address received a message
 }
 
-func version(n int, full bool) string {
+func versionText(n int, full bool) string {
 	return listText(n, full, strings.Replace(sampleEntry, "s-1", fmt.Sprint("s-", n), 1)) + "\n"
 }
 
 func newInterleavedWatcher(texts map[string][]string, ends bool) *interleavedWatcher {
 	log, _ := logtest.NewNullLogger()
-	d := &interleavedWatcher{texts: texts, ends: ends, wake: make(chan time.Time)}
-	d.w = &Watcher{Address: "old", Log: log, OnUpdate: d.onUpdate, Timer: watchtimer.Settings{Pushed: true}}
-	d.w.elapsed, d.w.openWatch = func() time.Duration { return d.now }, d.call
+	w := &interleavedWatcher{textsByAddress: texts, oldCallsEnd: ends, wake: make(chan time.Time)}
+	w.watcher = &Watcher{Address: "old", Log: log, OnUpdate: w.onUpdate, Timer: watchtimer.Settings{Pushed: true}}
+	w.watcher.elapsed, w.watcher.openWatch = func() time.Duration { return w.now }, w.call
 	ctx, cancel := steps.Root(context.Background())
-	d.ctx, d.stop = ctx, func() { cancel(); d.stopped = true }
-	return d
+	w.ctx, w.stop = ctx, func() { cancel(); w.stopped = true }
+	return w
 }
 
-func (d *interleavedWatcher) onUpdate(n core.ListUpdate) {
-	if d.ended {
+func (w *interleavedWatcher) onUpdate(update core.ListUpdate) {
+	if w.ended {
 		il.Fail("update after the watcher ended")
 	}
-	if n.Kind == policy.ListFailed {
+	if update.Kind == policy.ListFailed {
 		return
 	}
-	if n.Nodes[0].Zone == "late" {
+	if update.Nodes[0].Zone == "late" {
 		il.Fail("update with a message from after the stop")
 	}
 	v := 0
-	if _, err := fmt.Sscanf(n.Nodes[0].ID, "s-%d", &v); err != nil {
-		il.Fail("unexpected update %+v", n)
+	if _, err := fmt.Sscanf(update.Nodes[0].ID, "s-%d", &v); err != nil {
+		il.Fail("unexpected update %+v", update)
 	}
-	if len(d.received) > 0 && v < d.received[len(d.received)-1] {
-		il.Fail("received version %d after %v", v, d.received)
+	if len(w.received) > 0 && v < w.received[len(w.received)-1] {
+		il.Fail("received version %d after %v", v, w.received)
 	}
-	if d.received = append(d.received, v); v == 4 && d.stopAtLastVersion {
-		d.stop()
+	if w.received = append(w.received, v); v == 4 && w.stopAtLastVersion {
+		w.stop()
 	}
 }
 
-// call replaces only the network: readLines of the watcher reads the lines.
-func (d *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callMessage)) error {
-	d.open++
-	defer func() { d.open-- }()
+// call replaces only the network. The lines are still read by the watcher's readLines.
+func (w *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callMessage)) error {
+	w.openCalls++
+	defer func() { w.openCalls-- }()
 	if address == "old" {
-		d.oldCalls = append(d.oldCalls, ctx)
+		w.oldCalls = append(w.oldCalls, ctx)
 	}
-	return d.w.readLines(&scriptedStream{d, ctx, address, d.texts[address]}, func(l callMessage) {
-		if d.stopped && l.list != nil {
-			l.list.Nodes[0].Zone = "late"
+	return w.watcher.readLines(&scriptedStream{w, ctx, address, w.textsByAddress[address]}, func(message callMessage) {
+		if w.stopped && message.list != nil {
+			message.list.Nodes[0].Zone = "late"
 		}
-		d.newAddressAnswered = d.newAddressAnswered || address == "new"
-		put(l)
+		w.newAddressAnswered = w.newAddressAnswered || address == "new"
+		put(message)
 	})
 }
 
 type scriptedStream struct {
 	*interleavedWatcher
-	ctx     context.Context
-	address string
-	left    []string
+	ctx       context.Context
+	address   string
+	remaining []string
 }
 
 func (s *scriptedStream) Read(p []byte) (n int, err error) {
-	if len(s.left) == 0 {
-		if s.ends && s.address == "old" {
+	if len(s.remaining) == 0 {
+		if s.oldCallsEnd && s.address == "old" {
 			return 0, io.EOF
 		}
 		sync.Recv(s.ctx.Done())
 		return 0, io.ErrClosedPipe
 	}
-	n = copy(p, s.left[0])
-	s.left = s.left[1:]
+	n = copy(p, s.remaining[0])
+	s.remaining = s.remaining[1:]
 	return n, nil
 }
 
-// oldCallStaysOpen checks that the old address's call, once it brought a list, stays open until the new one is answered.
-func (d *interleavedWatcher) oldCallStaysOpen() error {
-	if len(d.received) > 0 && len(d.oldCalls) > 0 && d.oldCalls[0].Err() != nil && !d.newAddressAnswered {
+// oldCallStaysOpen checks that a call to the old address that has received a list stays open until a call to the new
+// address is answered.
+func (w *interleavedWatcher) oldCallStaysOpen() error {
+	if len(w.received) > 0 && len(w.oldCalls) > 0 && w.oldCalls[0].Err() != nil && !w.newAddressAnswered {
 		return errors.New("the old call was closed before the new one was answered")
 	}
 	return nil
 }
 
-func (d *interleavedWatcher) run() {
-	d.w.runWithTimer(d.ctx, d.wake, func(at time.Duration) { d.due = at })
-	d.ended = true
+func (w *interleavedWatcher) run() {
+	w.watcher.runWithTimer(w.ctx, w.wake, func(at time.Duration) { w.nextTimer = at })
+	w.ended = true
 }
 
-func (d *interleavedWatcher) allCallsClosed() error {
-	if d.open != 0 {
-		return fmt.Errorf("%d calls are still open", d.open)
+func (w *interleavedWatcher) allCallsClosed() error {
+	if w.openCalls != 0 {
+		return fmt.Errorf("%d calls are still open", w.openCalls)
 	}
 	return nil
 }
 
-// With calls that end or fall silent, timer events, an address change and a stop in any order, no message from after
-// the stop is reported, no call stays open, and no goroutine waits forever.
+// Calls end or fall silent, the timer fires, the address changes and the watcher is stopped, in every order. No message
+// that arrives after the stop is reported, no call stays open, and no goroutine blocks forever.
 func TestInterleaveWatchStop(t *testing.T) {
-	fireTimer := func(d *interleavedWatcher) {
+	fireTimer := func(watcher *interleavedWatcher) {
 		sync.Point("time", "passes")
-		d.now = d.due
-		sync.SendOr(d.wake, time.Time{}, d.ctx.Done())
+		watcher.now = watcher.nextTimer
+		sync.SendOr(watcher.wake, time.Time{}, watcher.ctx.Done())
 	}
-	changeAddress := func(d *interleavedWatcher) {
-		if !d.w.SetAddress(d.ctx, "new") && d.ctx.Err() == nil {
+	changeAddress := func(watcher *interleavedWatcher) {
+		if !watcher.watcher.SetAddress(watcher.ctx, "new") && watcher.ctx.Err() == nil {
 			il.Fail("the address change was not accepted")
 		}
 	}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name        string
 		run         func(*interleavedWatcher)
 		ends        bool
@@ -155,48 +156,48 @@
 		texts       map[string][]string
 		mutants     []mutant.Mutant
 	}{
-		{"ends", fireTimer, true, 0, map[string][]string{"old": {version(1, true)}}, nil},
-		{"silent", fireTimer, false, 1, map[string][]string{"old": {version(1, true)}}, []mutant.Mutant{
+		{"ends", fireTimer, true, 0, map[string][]string{"old": {versionText(1, true)}}, nil},
+		{"silent", fireTimer, false, 1, map[string][]string{"old": {versionText(1, true)}}, []mutant.Mutant{
 			{File: "watch.go", Old: "		if ctx.Err() != nil { //", New: "		if which == 0 { //", Want: "update with a message from after the stop"},
 			{File: "watch.go", Old: "			sync.SendOr(w.received, message, callCtx.Done())", New: "			sync.Send(w.received, message)", Want: "deadlock: watch.1 at send"}}},
-		{"change", changeAddress, false, 1, map[string][]string{"new": {version(3, true)}}, []mutant.Mutant{
+		{"change", changeAddress, false, 1, map[string][]string{"new": {versionText(3, true)}}, []mutant.Mutant{
 			{File: "watch.go", Old: "	return sync.SendOr(w.addressChanges, address, ctx.Done())", New: "	sync.Send(w.addressChanges, address)\n	return true",
 				Want: "deadlock: change at send"}}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			il.Check(t, il.Options{Bounded: true, Preemptions: x.preemptions}, func() il.World {
-				d := newInterleavedWatcher(x.texts, x.ends)
+		t.Run(tc.name, func(t *testing.T) {
+			il.Check(t, il.Options{Bounded: true, Preemptions: tc.preemptions}, func() il.World {
+				watcher := newInterleavedWatcher(tc.texts, tc.ends)
 				return il.World{
 					Threads: []il.Thread{
-						{Name: "watch", Run: d.run},
-						{Name: x.name, Run: func() { x.run(d) }},
-						{Name: "stop", Run: d.stop},
+						{Name: "watch", Run: watcher.run},
+						{Name: tc.name, Run: func() { tc.run(watcher) }},
+						{Name: "stop", Run: watcher.stop},
 					},
-					Check: d.allCallsClosed,
+					Check: watcher.allCallsClosed,
 				}
 			})
-			mutant.Found(t, x.mutants...)
+			mutant.Found(t, tc.mutants...)
 		})
 	}
 }
 
-// After an address change the call at the old address is valid until the new one is answered; after that nothing of it
-// is reported, and nothing of the new one is lost.
+// After an address change the call to the old address is valid until a call to the new address is answered. After that
+// nothing of the old call is reported, and no message of the new call is lost.
 func TestInterleaveAddressChange(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		d := newInterleavedWatcher(map[string][]string{"old": {version(1, true), version(2, false)}, "new": {version(3, true), version(4, false)}}, false)
-		d.stopAtLastVersion = true
+		watcher := newInterleavedWatcher(map[string][]string{"old": {versionText(1, true), versionText(2, false)}, "new": {versionText(3, true), versionText(4, false)}}, false)
+		watcher.stopAtLastVersion = true
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "watch", Run: d.run},
-				{Name: "change", Run: func() { d.w.SetAddress(d.ctx, "new") }},
+				{Name: "watch", Run: watcher.run},
+				{Name: "change", Run: func() { watcher.watcher.SetAddress(watcher.ctx, "new") }},
 			},
-			Always: d.oldCallStaysOpen,
+			Always: watcher.oldCallStaysOpen,
 			Check: func() error {
-				if got := fmt.Sprint(d.received); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
+				if got := fmt.Sprint(watcher.received); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
 					return fmt.Errorf("received %s", got)
 				}
-				return d.allCallsClosed()
+				return watcher.allCallsClosed()
 			},
 		}
 	})
--- a/internal/discovery/watchtimer/bounds_test.go
+++ b/internal/discovery/watchtimer/bounds_test.go
@@ -11,19 +11,19 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// boundsRun drives one timer with drawn events and checks its bounds after each.
-type boundsRun struct {
+// timerRun drives a timer with random events and checks its bounds after each of them.
+type timerRun struct {
 	*rapid.T
-	timer      *Timer
-	settings   Settings
-	now        time.Duration
-	lastOpened time.Duration
-	open       map[int]bool
-	wakes      int // timer events in a row at one instant
+	timer              *Timer
+	settings           Settings
+	now                time.Duration
+	lastOpened         time.Duration
+	open               map[int]bool
+	timersAtOneInstant int // consecutive timer events at the same instant
 }
 
-// step gives the timer an event and checks that each call is opened once, and closed or ended once.
-func (r *boundsRun) step(e Event) {
+// step passes an event to the timer and checks that each call is opened once, and closed or ended once.
+func (r *timerRun) step(e Event) {
 	for _, a := range r.timer.Step(r.now, e) {
 		switch {
 		case a.Kind == OpenCall && !r.open[a.Call]:
@@ -31,7 +31,7 @@
 		case a.Kind == CloseCall && r.open[a.Call]:
 			delete(r.open, a.Call)
 		case a.Kind != ReportDown:
-			r.Fatalf("%v of call %d, open: %v", a.Kind, a.Call, r.open)
+			r.Fatalf("unexpected action %v of call %d, open calls: %v", a.Kind, a.Call, r.open)
 		}
 	}
 	if len(r.open) > MaxOpenCalls || len(r.open) != len(r.timer.calls) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// drawCall draws an open call; 0: none.
-func (r *boundsRun) drawCall() int {
+// drawCall draws an open call. It returns 0 if it draws none.
+func (r *timerRun) drawCall() int {
 	for i := range r.timer.lastCallID + 1 {
 		if r.open[i] && rapid.Bool().Draw(r.T, "this") {
 			return i
@@ -50,7 +50,7 @@
 }
 
 // drawEvent draws one event and applies it.
-func (r *boundsRun) drawEvent() {
+func (r *timerRun) drawEvent() {
 	switch rapid.IntRange(0, 4).Draw(r.T, "what") {
 	case 0:
 		if id := r.drawCall(); id > 0 {
@@ -66,45 +66,45 @@
 	default:
 		at := r.timer.NextTimer()
 		if at == r.now {
-			if r.wakes++; r.wakes > 2*MaxOpenCalls {
-				r.Fatal("the timer fires again and again at one instant")
+			if r.timersAtOneInstant++; r.timersAtOneInstant > 2*MaxOpenCalls {
+				r.Fatal("the timer fires repeatedly at the same instant")
 			}
 		} else {
-			r.wakes = 0
+			r.timersAtOneInstant = 0
 		}
 		r.now = max(r.now, min(at, r.now+time.Duration(rapid.IntRange(0, 5000).Draw(r.T, "ms"))*time.Millisecond))
 		r.step(Event{Kind: TimerFired})
 	}
 }
 
-// checkNextCall checks that the next call comes in time while none is live.
-func (r *boundsRun) checkNextCall() {
-	c := r.timer
-	if c.Live() {
+// checkNextCall checks that the next call is opened in time while no call is live.
+func (r *timerRun) checkNextCall() {
+	timer := r.timer
+	if timer.Live() {
 		return
 	}
-	if r.settings.Pushed && c.nextOpen > r.now+c.RetryInterval() {
-		r.Fatalf("no live call, and the next only %v from now", c.nextOpen-r.now)
+	if r.settings.Pushed && timer.nextOpen > r.now+timer.RetryInterval() {
+		r.Fatalf("no call is live, and the next one is opened only %v from now", timer.nextOpen-r.now)
 	}
-	deadline := max(r.lastOpened+c.settings.StalenessBound, c.lastMessage+c.silentCallBound()) - c.answerReserve()
-	if !r.settings.Pushed && c.NextTimer() > deadline {
-		r.Fatalf("no live call, and the next only %v after the last", c.NextTimer()-r.lastOpened)
+	deadline := max(r.lastOpened+timer.settings.StalenessBound, timer.lastMessage+timer.silentCallBound()) - timer.answerReserve()
+	if !r.settings.Pushed && timer.NextTimer() > deadline {
+		r.Fatalf("no call is live, and the next one is opened only %v after the last one", timer.NextTimer()-r.lastOpened)
 	}
 }
 
-// Under any events the timer keeps its bounds: the number of open calls, each opened once and ended or closed once, no
-// endless series of timer events at one instant, and no time without a next call.
+// For any sequence of events the timer keeps its bounds. The number of open calls is limited, each call is opened once and
+// ended or closed once, the timer does not fire endlessly at the same instant, and there is always a next call.
 func TestBounds(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		set := Settings{Pushed: rapid.Bool().Draw(rt, "pushed"), Schedulers: rapid.IntRange(0, 2000).Draw(rt, "schedulers"),
-			StalenessBound: time.Duration(rapid.IntRange(0, 12).Draw(rt, "bound")) * time.Second,
-			DrainGrace:     time.Duration(rapid.IntRange(0, 2000).Draw(rt, "grace")) * time.Millisecond,
-			LongPollWait:   time.Duration(rapid.SampledFrom([]int{0, 0, 5}).Draw(rt, "wait")) * time.Second, Seed: rapid.Uint64().Draw(rt, "seed")}
-		r := &boundsRun{T: rt, timer: New(set), settings: set, open: map[int]bool{}}
-		r.step(Event{Kind: Started})
-		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-			r.drawEvent()
-			r.checkNextCall()
+	rapid.Check(t, func(t *rapid.T) {
+		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), Schedulers: rapid.IntRange(0, 2000).Draw(t, "schedulers"),
+			StalenessBound: time.Duration(rapid.IntRange(0, 12).Draw(t, "bound")) * time.Second,
+			DrainGrace:     time.Duration(rapid.IntRange(0, 2000).Draw(t, "grace")) * time.Millisecond,
+			LongPollWait:   time.Duration(rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "wait")) * time.Second, Seed: rapid.Uint64().Draw(t, "seed")}
+		run := &timerRun{T: t, timer: New(settings), settings: settings, open: map[int]bool{}}
+		run.step(Event{Kind: Started})
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			run.drawEvent()
+			run.checkNextCall()
 		}
 	})
 }
--- a/internal/discovery/watchtimer/externallypaced_test.go
+++ b/internal/discovery/watchtimer/externallypaced_test.go
@@ -6,86 +6,86 @@
 	"time"
 )
 
-// pacedCase is a script of RequestDue and the calls that it must lead to.
+// pacedCase is a sequence of RequestDue events and the calls that they must lead to.
 type pacedCase struct {
-	set    Settings
-	due    []time.Duration // times of RequestDue
-	failed bool            // calls end at once
-	opens  []time.Duration // exact times, until the first call for the bound
-	missed int
-	repeat [2]time.Duration // the next call without RequestDue comes in between
+	settings     Settings
+	requestsDue  []time.Duration // times of RequestDue
+	callsFail    bool            // calls end as soon as they are opened
+	wantOpens    []time.Duration // exact times of the first calls
+	wantMissed   int
+	wantNextOpen [2]time.Duration // interval in which the next call is opened without RequestDue
 }
 
-// pacedCases are the scenarios of TestExternallyPaced, by name.
+// pacedCases returns the scenarios of TestExternallyPacedCalls by name.
 func pacedCases() map[string]pacedCase {
 	const ms = time.Millisecond
 	return map[string]pacedCase{
-		"no request":               {opens: []time.Duration{StalenessBound - maxAnswerReserve}, repeat: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, missed: 1},
-		"due":                      {due: []time.Duration{300 * ms}, opens: []time.Duration{300 * ms}, repeat: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, missed: 1},
-		"due while a call is open": {due: []time.Duration{300 * ms, 400 * ms}, opens: []time.Duration{300 * ms}, repeat: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, missed: 1},
-		"never connected":          {due: []time.Duration{300 * ms, 400 * ms}, failed: true, opens: []time.Duration{300 * ms, 400 * ms}, repeat: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, missed: 2},
-		"rejected":                 {due: []time.Duration{300 * ms}, failed: true, opens: []time.Duration{300 * ms}, repeat: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, missed: 1},
-		"pushed: not paced":        {set: Settings{Pushed: true}, failed: true, opens: []time.Duration{0}, repeat: [2]time.Duration{0, maxRetryInterval}},
-		"shorter bound":            {set: Settings{StalenessBound: 4 * time.Second}, failed: true, opens: []time.Duration{3 * time.Second}, repeat: [2]time.Duration{5 * time.Second, 6 * time.Second}, missed: 1},
+		"no request":               {wantOpens: []time.Duration{StalenessBound - maxAnswerReserve}, wantNextOpen: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, wantMissed: 1},
+		"due":                      {requestsDue: []time.Duration{300 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
+		"due while a call is open": {requestsDue: []time.Duration{300 * ms, 400 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
+		"never connected":          {requestsDue: []time.Duration{300 * ms, 400 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms, 400 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 2},
+		"rejected":                 {requestsDue: []time.Duration{300 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
+		"pushed: not paced":        {settings: Settings{Pushed: true}, callsFail: true, wantOpens: []time.Duration{0}, wantNextOpen: [2]time.Duration{0, maxRetryInterval}},
+		"shorter bound":            {settings: Settings{StalenessBound: 4 * time.Second}, callsFail: true, wantOpens: []time.Duration{3 * time.Second}, wantNextOpen: [2]time.Duration{5 * time.Second, 6 * time.Second}, wantMissed: 1},
 	}
 }
 
-// An externally paced timer calls on RequestDue, reports each call that failed, and without RequestDue makes only the
+// An externally paced timer opens a call on RequestDue and reports each failed call. Without RequestDue it opens only the
 // calls that the staleness bound requires.
-func TestExternallyPaced(t *testing.T) {
-	for name, x := range pacedCases() {
-		t.Run(name, x.run)
+func TestExternallyPacedCalls(t *testing.T) {
+	for name, tc := range pacedCases() {
+		t.Run(name, tc.run)
 	}
 }
 
-// run plays the case.
-func (x pacedCase) run(t *testing.T) {
-	x.set.ExternallyPaced, x.set.Schedulers = true, 1000
-	c := New(x.set)
+// run runs the scenario.
+func (tc pacedCase) run(t *testing.T) {
+	tc.settings.ExternallyPaced, tc.settings.Schedulers = true, 1000
+	timer := New(tc.settings)
 	var opens []time.Duration
 	missed := 0
-	var do func(now time.Duration, e Event)
-	do = func(now time.Duration, e Event) {
-		for _, a := range c.Step(now, e) {
+	var step func(now time.Duration, e Event)
+	step = func(now time.Duration, e Event) {
+		for _, a := range timer.Step(now, e) {
 			switch a.Kind {
 			case OpenCall:
-				if opens = append(opens, now); x.failed {
-					do(now, Event{Kind: CallEnded, Call: a.Call})
+				if opens = append(opens, now); tc.callsFail {
+					step(now, Event{Kind: CallEnded, Call: a.Call})
 				}
 			case ReportCallFailed:
 				missed++
 			}
 		}
 	}
-	do(0, Event{Kind: Started})
-	for now := time.Duration(0); len(opens) <= len(x.opens); now += 10 * time.Millisecond {
-		if slices.Contains(x.due, now) {
-			do(now, Event{Kind: RequestDue})
+	step(0, Event{Kind: Started})
+	for now := time.Duration(0); len(opens) <= len(tc.wantOpens); now += 10 * time.Millisecond {
+		if slices.Contains(tc.requestsDue, now) {
+			step(now, Event{Kind: RequestDue})
 		}
-		if c.NextTimer() <= now {
-			do(now, Event{Kind: TimerFired})
+		if timer.NextTimer() <= now {
+			step(now, Event{Kind: TimerFired})
 		}
 	}
-	got := opens[len(x.opens)]
-	if !slices.Equal(opens[:len(x.opens)], x.opens) || got < x.repeat[0] || got > x.repeat[1] {
-		t.Errorf("calls at %v, want %v and one from %v to %v", opens, x.opens, x.repeat[0], x.repeat[1])
+	got := opens[len(tc.wantOpens)]
+	if !slices.Equal(opens[:len(tc.wantOpens)], tc.wantOpens) || got < tc.wantNextOpen[0] || got > tc.wantNextOpen[1] {
+		t.Errorf("calls at %v, want %v and one between %v and %v", opens, tc.wantOpens, tc.wantNextOpen[0], tc.wantNextOpen[1])
 	}
-	if !x.failed && missed != x.missed || missed < x.missed {
-		t.Errorf("%d calls failed, %d reported", x.missed, missed)
+	if !tc.callsFail && missed != tc.wantMissed || missed < tc.wantMissed {
+		t.Errorf("%d calls failed, but %d were reported", tc.wantMissed, missed)
 	}
 }
 
-// The external pace ends with the first message.
+// The caller paces the calls only until the first message.
 func TestExternalPaceEndsWithFirstMessage(t *testing.T) {
 	const ms = time.Millisecond
-	c := New(Settings{ExternallyPaced: true, Schedulers: 80})
-	c.Step(0, Event{Kind: Started})
-	c.Step(0, Event{Kind: RequestDue})
-	c.Step(0, Event{Kind: MessageReceived, Call: 1})
-	if acts := c.Step(ms, Event{Kind: CallEnded, Call: 1}); slices.Contains(acts, Action{Kind: ReportCallFailed}) || c.NextTimer() > StalenessBound-maxAnswerReserve {
-		t.Errorf("after the first message: %v, the next at %v", acts, c.NextTimer())
+	timer := New(Settings{ExternallyPaced: true, Schedulers: 80})
+	timer.Step(0, Event{Kind: Started})
+	timer.Step(0, Event{Kind: RequestDue})
+	timer.Step(0, Event{Kind: MessageReceived, Call: 1})
+	if actions := timer.Step(ms, Event{Kind: CallEnded, Call: 1}); slices.Contains(actions, Action{Kind: ReportCallFailed}) || timer.NextTimer() > StalenessBound-maxAnswerReserve {
+		t.Errorf("after the first message: actions %v, next timer at %v", actions, timer.NextTimer())
 	}
-	if acts := c.Step(2*ms, Event{Kind: RequestDue}); len(acts) > 0 {
-		t.Errorf("RequestDue after the first message: %v", acts)
+	if actions := timer.Step(2*ms, Event{Kind: RequestDue}); len(actions) > 0 {
+		t.Errorf("RequestDue after the first message: actions %v, want none", actions)
 	}
 }
--- a/internal/discovery/watchtimer/fleet_test.go
+++ b/internal/discovery/watchtimer/fleet_test.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
-// response is what a list's service does with calls.
+// response is how a fake list service responds to calls.
 type response int
 
 const (
@@ -20,23 +20,23 @@
 
 const connectWait = time.Second
 
-// outage is a span of time in which a service does not answer.
+// outage is an interval in which the service does not answer.
 type outage struct {
 	from, to time.Duration
 	response response
 }
 
-// serviceFaults are the faults of a list's service, in virtual time.
+// serviceFaults are the faults of a fake list service, in virtual time.
 type serviceFaults struct {
 	outages    []outage
-	silentFrom time.Duration // open watches fall silent for good; 0: they do not
-	resets     time.Duration // open watches are reset; 0: they are not
-	latency    time.Duration // the time of one answer
-	startAt    time.Duration // of the schedulers
+	silentFrom time.Duration // when the open watches fall silent for good; 0 if they do not
+	resetAt    time.Duration // when the open watches are reset; 0 if they are not
+	latency    time.Duration // time from a call to its answer
+	startAt    time.Duration // when the schedulers start
 }
 
-func (w *serviceFaults) response(now time.Duration) (response, time.Duration) {
-	for _, o := range w.outages {
+func (f *serviceFaults) response(now time.Duration) (response, time.Duration) {
+	for _, o := range f.outages {
 		if now >= o.from && now < o.to {
 			return o.response, o.to
 		}
@@ -44,41 +44,44 @@
 	return answers, now
 }
 
-// reachable is when a call that begins is answered, from d on.
-func (w *serviceFaults) reachable(d time.Duration) time.Duration {
+// reachableFrom returns the first time at or after at when a call is answered.
+func (f *serviceFaults) reachableFrom(at time.Duration) time.Duration {
 	for {
-		r, until := w.response(d)
+		r, until := f.response(at)
 		if r == answers {
-			return d
+			return at
 		}
-		d = until
+		at = until
 	}
 }
 
-// silencedAt is when a watch that was open at d had fallen silent; false: none had.
-func (w *serviceFaults) silencedAt(d time.Duration) (time.Duration, bool) {
-	at := []time.Duration{w.silentFrom}
-	for _, o := range w.outages {
+// lastSilenceBefore returns when the watches that were open shortly before at fell silent. It returns false if they did not
+// fall silent within the StalenessBound before at.
+func (f *serviceFaults) lastSilenceBefore(at time.Duration) (time.Duration, bool) {
+	candidates := []time.Duration{f.silentFrom}
+	for _, o := range f.outages {
 		if o.response == silences {
-			at = append(at, o.from)
+			candidates = append(candidates, o.from)
 		}
 	}
-	for _, m := range at {
-		if m > 0 && d >= m && d < m+StalenessBound {
+	for _, m := range candidates {
+		if m > 0 && at >= m && at < m+StalenessBound {
 			return m, true
 		}
 	}
 	return 0, false
 }
 
-// staleAfter is when a change at d must be known to a scheduler. Pushed: as soon as the agent can be reached. Pulled:
-// StalenessBound after the service had the change and could be reached; a call that failed shows that it
-// could not. What a silent watch missed must be known StalenessBound after it fell silent, if no call was lost meanwhile.
-func (f *fleet) staleAfter(d time.Duration, s *scheduler, pushed bool, wait time.Duration) time.Duration {
-	at := f.reachable(max(d, f.startAt))
-	silencedAt, silenced := f.silencedAt(d)
-	for _, h := range s.received {
-		silenced = silenced && !(h.from > silencedAt && h.from <= d) // another watch was open since
+// notificationDeadline returns when a scheduler must have received a drain that began at drainAt.
+//   - Pushed: as soon as the agent can be reached.
+//   - Pulled: StalenessBound after the service had the change and could be reached. A failed call shows that it could not.
+//   - A change that a silent watch missed must be received StalenessBound after the watch fell silent, if no call was lost
+//     meanwhile.
+func (f *fleet) notificationDeadline(drainAt time.Duration, s *scheduler, pushed bool, wait time.Duration) time.Duration {
+	at := f.reachableFrom(max(drainAt, f.startAt))
+	silencedAt, silenced := f.lastSilenceBefore(drainAt)
+	for _, interval := range s.received {
+		silenced = silenced && !(interval.from > silencedAt && interval.from <= drainAt) // another watch was opened since
 	}
 	if pushed {
 		if silenced {
@@ -87,14 +90,14 @@
 		return at
 	}
 	lost := false
-	for _, o := range f.outages {
-		for _, c := range s.opened {
-			if c < o.from || c >= o.to || c >= at+StalenessBound {
+	for _, outage := range f.outages {
+		for _, openedAt := range s.opened {
+			if openedAt < outage.from || openedAt >= outage.to || openedAt >= at+StalenessBound {
 				continue
 			}
-			lost = lost || c >= at || silenced && c >= silencedAt
-			if c >= at {
-				at = o.to
+			lost = lost || openedAt >= at || silenced && openedAt >= silencedAt
+			if openedAt >= at {
+				at = outage.to
 			}
 		}
 	}
@@ -104,21 +107,21 @@
 	return at + StalenessBound
 }
 
-// interval is a time in which a scheduler received each change at once.
+// interval is a period in which a scheduler received each change at once.
 type interval struct{ from, to time.Duration }
 
-// scheduler is one timer and its open calls.
+// scheduler is a timer and its open calls.
 type scheduler struct {
 	timer             *Timer
 	calls             map[int]bool
-	watches           map[int]int // index in received, by answered call
+	watches           map[int]int // index in received of each answered call
 	received          []interval
 	opened            []time.Duration
 	wake              time.Duration
-	wakesAtOneInstant int // timer events in a row
+	wakesAtOneInstant int // consecutive timer events at the same instant
 }
 
-// event is a function to run at a time.
+// event is a function that is called at a certain time.
 type event struct {
 	at    time.Duration
 	order int
@@ -139,37 +142,37 @@
 	return last
 }
 
-// fleet is some schedulers and their list's service.
+// fleet is a number of schedulers and their list service.
 type fleet struct {
 	serviceFaults
-	now        time.Duration
-	due        events
-	orders     int
-	queue      *discovery.Queue // the service's capacity; nil: calls are free
-	schedulers []*scheduler
-	calls      map[time.Duration]int // by the second
-	rejected   int                   // for want of capacity
+	now           time.Duration
+	pending       events
+	scheduled     int
+	queue         *discovery.Queue // models the service's capacity; nil if it is unlimited
+	schedulers    []*scheduler
+	callsBySecond map[time.Duration]int // number of calls in each second
+	rejected      int                   // calls rejected for lack of capacity
 }
 
 func (f *fleet) schedule(at time.Duration, do func()) {
-	f.orders++
-	heap.Push(&f.due, event{at, f.orders, do})
+	f.scheduled++
+	heap.Push(&f.pending, event{at, f.scheduled, do})
 }
 
-// run runs a fleet until the end.
-func (f *fleet) run(schedulers int, set Settings, end time.Duration) {
-	f.calls = map[time.Duration]int{}
+// run simulates the fleet until the given end.
+func (f *fleet) run(schedulers int, settings Settings, end time.Duration) {
+	f.callsBySecond = map[time.Duration]int{}
 	for i := range schedulers {
-		set.Schedulers, set.Seed = max(schedulers, set.Schedulers), uint64(i+1)
-		s := &scheduler{timer: New(set), calls: map[int]bool{}, watches: map[int]int{}, wake: never}
+		settings.Schedulers, settings.Seed = max(schedulers, settings.Schedulers), uint64(i+1)
+		s := &scheduler{timer: New(settings), calls: map[int]bool{}, watches: map[int]int{}, wake: never}
 		f.schedulers = append(f.schedulers, s)
 		f.schedule(f.startAt, func() { f.step(s, Event{Kind: Started}) })
 	}
 	if f.silentFrom > 0 {
 		f.schedule(f.silentFrom, f.silenceAll)
 	}
-	if f.resets > 0 {
-		f.schedule(f.resets, f.resetAll)
+	if f.resetAt > 0 {
+		f.schedule(f.resetAt, f.resetAll)
 	}
 	for _, o := range f.outages {
 		if o.response == silences {
@@ -178,8 +181,8 @@
 			f.schedule(o.from, f.resetAll)
 		}
 	}
-	for len(f.due) > 0 && f.due[0].at <= end {
-		e := heap.Pop(&f.due).(event)
+	for len(f.pending) > 0 && f.pending[0].at <= end {
+		e := heap.Pop(&f.pending).(event)
 		f.now = e.at
 		e.do()
 	}
@@ -203,14 +206,14 @@
 	}
 }
 
-// endInterval ends the time in which a watch brings changes to a scheduler.
+// endInterval ends the interval in which a scheduler receives changes through a watch.
 func (f *fleet) endInterval(s *scheduler, id int) {
 	if i, ok := s.watches[id]; ok && s.received[i].to == never {
 		s.received[i].to = f.now
 	}
 }
 
-// endCall ends a call, if it is open.
+// endCall ends a call if it is open.
 func (f *fleet) endCall(s *scheduler, id int) {
 	if !s.calls[id] {
 		return
@@ -221,14 +224,14 @@
 	f.step(s, Event{Kind: CallEnded, Call: id})
 }
 
-// step gives a timer an event and carries out its actions.
+// step passes an event to a scheduler's timer and carries out the actions.
 func (f *fleet) step(s *scheduler, e Event) {
 	for _, a := range s.timer.Step(f.now, e) {
 		switch a.Kind {
 		case OpenCall:
 			s.calls[a.Call] = true
 			s.opened = append(s.opened, f.now)
-			f.calls[f.now/time.Second]++
+			f.callsBySecond[f.now/time.Second]++
 			f.call(s, a.Call)
 		case CloseCall:
 			f.endInterval(s, a.Call)
@@ -242,7 +245,7 @@
 			s.wakesAtOneInstant = 0
 		}
 		if s.wakesAtOneInstant > 2*MaxOpenCalls {
-			panic("the timer fires again and again at one instant")
+			panic("the timer fires repeatedly at the same instant")
 		}
 		f.schedule(at, func() {
 			if s.wake == at {
@@ -253,7 +256,7 @@
 	}
 }
 
-// call is a call at the service.
+// call handles a call at the service.
 func (f *fleet) call(s *scheduler, id int) {
 	switch r, _ := f.response(f.now); r {
 	case rejects, fails:
@@ -261,12 +264,12 @@
 	case drops:
 		f.schedule(f.now+connectWait, func() { f.endCall(s, id) })
 	case answers:
-		at, out := f.now, discovery.Served
+		at, outcome := f.now, discovery.Served
 		if f.queue != nil {
-			at, out = f.queue.Call(f.now)
+			at, outcome = f.queue.Call(f.now)
 		}
 		f.schedule(at+f.latency, func() {
-			if out != discovery.Served {
+			if outcome != discovery.Served {
 				f.rejected++
 				f.endCall(s, id)
 				return
@@ -276,12 +279,12 @@
 	}
 }
 
-// answerCall answers a call, which then sends heartbeats.
+// answerCall answers a call, which then receives heartbeats.
 func (f *fleet) answerCall(s *scheduler, id int) {
 	if !s.calls[id] {
 		return
 	}
-	if r, until := f.response(f.now); r != answers { // the outage began while the answer was made
+	if r, until := f.response(f.now); r != answers { // an outage began before the answer was sent
 		if r != silences {
 			f.schedule(until, func() { f.endCall(s, id) })
 		}
@@ -301,22 +304,23 @@
 	f.schedule(f.now+HeartbeatInterval, func() { f.heartbeat(s, id) })
 }
 
-// receivedAt is when a scheduler receives a change made at d.
+// receivedAt returns when the scheduler receives a change that is made at d.
 func (s *scheduler) receivedAt(d time.Duration) time.Duration {
-	for _, h := range s.received {
-		if h.to > d {
-			return max(h.from, d)
+	for _, interval := range s.received {
+		if interval.to > d {
+			return max(interval.from, d)
 		}
 	}
 	return never
 }
 
-// latestDelay is the longest delay past the bound among drains begun at each 50 ms, and the drain's time.
-func (f *fleet) latestDelay(set Settings, until time.Duration) (worst, at time.Duration) {
+// worstDelay returns the longest delay past the notification deadline and the grace period, for a drain every 50 ms, and the
+// time of that drain.
+func (f *fleet) worstDelay(settings Settings, until time.Duration) (worst, at time.Duration) {
 	for _, s := range f.schedulers {
-		for d := time.Duration(0); d < until; d += 50 * time.Millisecond {
-			if over := s.receivedAt(d) - f.staleAfter(d, s, set.Pushed, set.LongPollWait) - set.DrainGrace; over > worst {
-				worst, at = over, d
+		for drainAt := time.Duration(0); drainAt < until; drainAt += 50 * time.Millisecond {
+			if delay := s.receivedAt(drainAt) - f.notificationDeadline(drainAt, s, settings.Pushed, settings.LongPollWait) - settings.DrainGrace; delay > worst {
+				worst, at = delay, drainAt
 			}
 		}
 	}
--- a/internal/discovery/watchtimer/recorded_test.go
+++ b/internal/discovery/watchtimer/recorded_test.go
@@ -16,8 +16,8 @@
 	actionNames = map[ActionKind]string{OpenCall: "open", CloseCall: "close", ReportDown: "down", ReportCallFailed: "missed"}
 )
 
-// recordedService is a list's service under seeded faults: each call is answered after a while, fails or stays
-// unanswered, and an answered one sends heartbeats until it falls silent or ends.
+// recordedService is a fake list service with faults drawn from a seed. Each call is answered after a while, fails or stays
+// unanswered. An answered call receives heartbeats until it falls silent or ends.
 type recordedService struct {
 	script *recorded.Script
 	timer  *Timer
@@ -27,7 +27,7 @@
 	now    time.Duration
 }
 
-// step gives the timer one event and records it with the actions and the state that follow.
+// step passes an event to the timer and records it with the resulting actions and state.
 func (s *recordedService) step(e Event) {
 	fields := []any{int64(s.now), eventNames[e.Kind], e.Call}
 	for _, a := range s.timer.Step(s.now, e) {
@@ -52,8 +52,7 @@
 	}
 }
 
-// serviceEvent draws what happens at the service: a message, the end of a call, a watch that falls silent, an address
-// change, or a request by the caller that paces the start.
+// serviceEvent draws an event: a message, the end of a call, a watch that falls silent, an address change, or RequestDue.
 func (s *recordedService) serviceEvent() {
 	call := 0
 	if len(s.open) > 0 {
@@ -74,18 +73,18 @@
 	case what < 88:
 		s.step(Event{Kind: AddressChanged})
 	case what < 90:
-		s.step(Event{Kind: MessageReceived, Call: call + 1000}) // of a call that is not open
+		s.step(Event{Kind: MessageReceived, Call: call + 1000}) // for a call that is not open
 	default:
 		s.step(Event{Kind: RequestDue})
 	}
 }
 
-// run plays 600 events; between them the timer fires whenever it is due.
+// run runs 600 events. Between them the timer fires whenever it is due.
 func (s *recordedService) run() {
 	s.step(Event{Kind: Started})
 	for range 600 {
 		wait := time.Duration(s.rng.ExpFloat64() * float64(700*time.Millisecond))
-		if s.rng.IntN(40) == 0 { // an outage, or a process that was suspended
+		if s.rng.IntN(40) == 0 { // an outage or a suspended process
 			wait += 9 * time.Second
 		}
 		until := s.now + wait
@@ -99,7 +98,7 @@
 	}
 }
 
-// The decisions under silent watches, failed calls and address changes are those of the recording, pushed and pulled,
+// The timer's decisions match the recordings, with silent watches, failed calls and address changes, pushed and pulled, and
 // for small and large fleets.
 func TestRecordedDecisions(t *testing.T) {
 	for _, mode := range []struct {
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -18,7 +18,8 @@
 
 const testMax = 2
 
-// model is the sequential queue: a positive number is a Put, a negative one a PutUnbounded, 0 a Take.
+// model is the sequential specification of the queue. A positive input is a Put, a negative one a PutUnbounded, and 0 a
+// Take.
 var model = porcupine.Model{
 	Init: func() any { return []int(nil) },
 	Step: func(state, input, output any) (bool, any) {
@@ -36,7 +37,7 @@
 	Equal: func(a, b any) bool { return slices.Equal(a.([]int), b.([]int)) },
 }
 
-// Two threads put, one puts beyond the bound, one takes: in every order the calls are linearizable.
+// Two threads put messages and a third takes them. In every interleaving the calls are linearizable and the bound holds.
 func TestInterleaveQueue(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		b := New[int](testMax)
@@ -61,13 +62,13 @@
 			},
 			Always: func() error {
 				if len(b.messages) > testMax {
-					return fmt.Errorf("%d wait, the bound is %d", len(b.messages), testMax)
+					return fmt.Errorf("%d messages are queued, the bound is %d", len(b.messages), testMax)
 				}
 				return nil
 			},
 			Check: func() error {
 				if got += len(b.Take(nil)); got != want {
-					return fmt.Errorf("put %d, taken %d", want, got)
+					return fmt.Errorf("%d messages were put, but %d taken", want, got)
 				}
 				return h.Check(model)
 			},
@@ -81,7 +82,7 @@
 	)
 }
 
-// No message is left while the taker waits on Wake alone, as an actor does.
+// No message is left in the queue if the taker waits only on Wake, as an actor does.
 func TestInterleaveWake(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		b := New[int](testMax)
@@ -102,7 +103,7 @@
 					return fmt.Errorf("took %v", got)
 				}
 				if b.Len() != 0 {
-					return errors.New("messages are left")
+					return errors.New("messages are left in the queue")
 				}
 				return nil
 			},
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -11,7 +11,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// The queue behaves like a slice: order, bound, wake, and the capacity of an empty queue.
+// The queue behaves like a slice with a bound. Wake is ready while messages are queued, and an empty queue keeps little
+// capacity.
 func TestQueueAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxMessages := rapid.IntRange(1, 40).Draw(t, "maxMessages")
@@ -23,7 +24,7 @@
 			case 0, 1:
 				next++
 				if ok := b.Put(next); ok != (len(model) < maxMessages) {
-					t.Fatalf("put %v with %d of %d", ok, len(model), maxMessages)
+					t.Fatalf("Put returned %v with %d of %d messages queued", ok, len(model), maxMessages)
 				} else if ok {
 					model = append(model, next)
 				}
@@ -36,7 +37,7 @@
 				case <-b.Wake():
 				default:
 					if len(model) > 0 {
-						t.Fatal("messages wait and Wake is not ready")
+						t.Fatal("messages are queued, but Wake is not ready")
 					}
 				}
 				buf = b.Take(buf)
@@ -50,17 +51,17 @@
 				}
 				model = nil
 				if cap(b.messages) > maxIdleCapacity {
-					t.Fatalf("an empty queue has capacity for %d", cap(b.messages))
+					t.Fatalf("an empty queue has capacity for %d messages", cap(b.messages))
 				}
 			}
 			if b.Len() != len(model) {
-				t.Fatalf("%d wait, want %d", b.Len(), len(model))
+				t.Fatalf("Len is %d, want %d", b.Len(), len(model))
 			}
 		}
 	})
 }
 
-// Many goroutines put at once; the taker waits only on Wake and gets every message.
+// Many goroutines put messages concurrently. The taker waits only on Wake and receives every message.
 func TestConcurrentPutsAreAllTaken(*testing.T) {
 	const putters, each = 8, 2000
 	b := New[int](1 << 20)
