--- a/internal/core/actor.go
+++ b/internal/core/actor.go
@@ -43,8 +43,8 @@
 			c.batch = append(c.batch, m)
 		case <-wake.C:
 		case <-c.stop:
-			for _, e := range c.requests {
-				c.answer(e, Answer{Kind: Failed, Cause: CauseInternal})
+			for _, state := range c.requests {
+				c.answer(state, Answer{Kind: Failed, Cause: CauseInternal})
 			}
 			return
 		}
@@ -113,8 +113,8 @@
 			c.events = events[:0]
 		}
 	}
-	for _, e := range c.deferred {
-		c.admitAvoiding(e, now)
+	for _, state := range c.deferred {
+		c.admitAvoiding(state, now)
 	}
 	c.deferred = c.deferred[:0]
 }
@@ -147,8 +147,8 @@
 // endpoint list as a cached list.
 func (c *Core) restart(now float64, p any) {
 	c.options.Log.WithFields(operr.Fields(&PanicError{fmt.Sprint(p)})).WithField("stack", string(debug.Stack())).Error("decision module panicked, replaced by a new one")
-	for id, e := range c.requests {
-		c.answer(e, Answer{Kind: Failed, Cause: CauseInternal})
+	for id, state := range c.requests {
+		c.answer(state, Answer{Kind: Failed, Cause: CauseInternal})
 		delete(c.requests, id)
 	}
 	c.timers = c.timers[:0]
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -99,11 +99,11 @@
 	if state == nil {
 		return
 	}
-	until := state.request.Deadline
-	if a.Deadline > 0 && a.Deadline < until {
-		until = a.Deadline
+	deadline := state.request.Deadline
+	if a.Deadline > 0 && a.Deadline < deadline {
+		deadline = a.Deadline
 	}
-	attempt := c.newAttempt(state, a, until, now)
+	attempt := c.newAttempt(state, a, deadline, now)
 	state.attempts = append(state.attempts, attempt)
 	state.outstanding++
 	if state.request.AttemptedNodes != nil {
@@ -120,8 +120,8 @@
 }
 
 // newAttempt returns the next attempt of a request.
-func (c *Core) newAttempt(state *requestState, a *policy.Action, until, now float64) *Attempt {
-	attempt := NewAttempt(state.request, c.wallTime(until), nil)
+func (c *Core) newAttempt(state *requestState, a *policy.Action, deadline, now float64) *Attempt {
+	attempt := NewAttempt(state.request, c.wallTime(deadline), nil)
 	attempt.Number = len(state.attempts)
 	attempt.Node = a.Node
 	attempt.sentAtMs = now
@@ -132,7 +132,7 @@
 	attempt.dedupCutoff = &state.dedupCutoff
 	if a.StartBy > 0 {
 		attempt.StartBy = c.wallTime(a.StartBy)
-		state.dedupCutoff.set(attempt.StartBy) // also applies to an earlier attempt that is not claimed yet: claimed later, it would be the retry
+		state.dedupCutoff.set(attempt.StartBy) // also bounds earlier unclaimed attempts, as a node would take a later one for the retry
 	}
 	attempt.done = func(r Result) { c.post(attemptResult{attempt, r}) }
 	return attempt
--- a/internal/core/avoid.go
+++ b/internal/core/avoid.go
@@ -31,19 +31,19 @@
 		return
 	}
 	arrival := policy.Event{Kind: policy.RequestArrived, Request: state.request.Request}
-	hide, show := policy.Event{Kind: policy.ListChanged}, policy.Event{Kind: policy.ListChanged}
+	exclude, restore := policy.Event{Kind: policy.ListChanged}, policy.Event{Kind: policy.ListChanged}
 	for _, id := range c.nodesAvoidedBy(state, now) {
 		n := c.exclusions.View(now, c.nodes[id].Node)
-		show.Nodes = append(show.Nodes, n)
+		restore.Nodes = append(restore.Nodes, n)
 		n.State = policy.NodeExcluded
-		hide.Nodes = append(hide.Nodes, n)
+		exclude.Nodes = append(exclude.Nodes, n)
 	}
-	if len(hide.Nodes) == 0 {
+	if len(exclude.Nodes) == 0 {
 		c.events = append(c.events, arrival)
 		return
 	}
-	if c.stepAndExecute(now, []policy.Event{hide, arrival}) {
-		c.stepAndExecute(now, []policy.Event{show})
+	if c.stepAndExecute(now, []policy.Event{exclude, arrival}) {
+		c.stepAndExecute(now, []policy.Event{restore})
 	}
 }
 
--- a/internal/core/avoid_test.go
+++ b/internal/core/avoid_test.go
@@ -12,9 +12,9 @@
 func TestNodesToAvoid(t *testing.T) {
 	nodes := func(nodes ...string) *AttemptedNodes { return &AttemptedNodes{nodes} }
 	for _, tc := range []struct {
-		past []*AttemptedNodes
-		up   []string
-		want string
+		earlier []*AttemptedNodes
+		up      []string
+		want    string
 	}{
 		{[]*AttemptedNodes{nodes("a")}, []string{"a", "b"}, "[a]"},
 		{[]*AttemptedNodes{nodes("a")}, []string{"a"}, "[]"},                                             // there is no other node
@@ -22,8 +22,8 @@
 		{[]*AttemptedNodes{nodes("a", "b"), nodes("c")}, []string{"a", "b", "c"}, "[b a]"},               // the node of its last attempt is avoided first
 		{[]*AttemptedNodes{nodes("x"), nodes(), nodes("a"), nodes("a")}, []string{"a", "b", "c"}, "[a]"}, // a removed node, a request without attempts, the same node twice
 	} {
-		if got := fmt.Sprint(nodesToAvoid(tc.past, tc.up)); got != tc.want {
-			t.Errorf("earlier requests at %v, nodes up %v: avoided %s, want %s", tc.past, tc.up, got, tc.want)
+		if got := fmt.Sprint(nodesToAvoid(tc.earlier, tc.up)); got != tc.want {
+			t.Errorf("earlier requests at %v, nodes up %v: avoided %s, want %s", tc.earlier, tc.up, got, tc.want)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	for _, tc := range avoidCases() {
 		t.Run(tc.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Plans[0].ReservedRate = 0 // without a reserved rate, a request is rejected instead of queued while no node has capacity
+			settings.Plans[0].ReservedRate = 0 // without a reserved rate, a request is rejected while no node has capacity
 			settings.PollsEndpointList, settings.PollWithin = tc.polled, 2000
 			settings.Plans = append(settings.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
 			core := startCore(t, settings)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -140,8 +140,8 @@
 func (c *Core) OpenRequests() int {
 	open, _ := query(c, func() int {
 		open := 0
-		for _, e := range c.requests {
-			if !e.answered {
+		for _, state := range c.requests {
+			if !state.answered {
 				open++
 			}
 		}
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -150,9 +150,9 @@
 
 // stallCase is what arrives while a process is stalled, and the expected result.
 type stallCase struct {
-	duringStall    func(r *fixture, q *Request)
+	duringStall    func(f *fixture, request *Request)
 	timeout        time.Duration
-	wantDispatched int // number of dispatched attempts
+	wantDispatched int // number of attempts
 	wantAnswers    []AnswerKind
 }
 
@@ -228,8 +228,8 @@
 		sent         int
 		closed       bool
 	}{
-		"within the part": {60e3, 300, 1, false},
-		"past the part":   {2e3, 1200, 0, false},
+		"within the use":  {60e3, 300, 1, false},
+		"past the use":    {2e3, 1200, 0, false},
 		"past the cutoff": {2e3, 1600, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -52,8 +52,8 @@
 // and returns the new state. change returns the ids of the nodes that it affects.
 func (c *Core) changeExclusions(change func(now float64) ([]string, error)) (exclusion.State, error) {
 	type reply struct {
-		st  exclusion.State
-		err error
+		state exclusion.State
+		err   error
 	}
 	got := make(chan reply, 1)
 	m := call(func() {
@@ -73,7 +73,7 @@
 	}
 	select {
 	case r := <-got:
-		return r.st, r.err
+		return r.state, r.err
 	case <-c.ended:
 		return exclusion.State{}, &BusyError{controlWait}
 	}
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -11,12 +11,12 @@
 func (c *Core) Finish() {
 	c.post(call(func() {
 		c.rejectsArrivals = true
-		for _, e := range c.requests {
+		for _, state := range c.requests {
 			a := Answer{Kind: Failed, Cause: CauseNotServed}
-			if len(e.attempts) == 0 {
+			if len(state.attempts) == 0 {
 				a = Answer{Kind: Rejected, RetryAfter: rejectionRetryAfter}
 			}
-			c.abort(e, a)
+			c.abort(state, a)
 		}
 	}))
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -182,10 +182,10 @@
 
 // markAnswered marks a request as answered and abandons its attempts that are not claimed yet. Such an attempt may still
 // wait for a connection after another one was served or the deadline has passed, and must not be written.
-func (e *requestState) markAnswered() {
-	e.answered = true
-	for _, t := range e.attempts {
-		t.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
+func (s *requestState) markAnswered() {
+	s.answered = true
+	for _, attempt := range s.attempts {
+		attempt.phase.CompareAndSwap(phaseWaiting, phaseAbandoned)
 	}
 }
 
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -31,8 +31,8 @@
 
 // Class returns the class with the name, and false if there is none.
 func (s *Settings) Class(name string) (policy.Class, bool) {
-	k, ok := s.classes[name]
-	return k, ok
+	class, ok := s.classes[name]
+	return class, ok
 }
 
 // hasClassAndPlan reports whether the request's class and plan exist.
@@ -81,8 +81,8 @@
 // classNames returns the names of the classes.
 func (s *Settings) classNames() []string {
 	names := make([]string, 0, len(s.Classes))
-	for _, k := range s.Classes {
-		names = append(names, k.Name)
+	for _, class := range s.Classes {
+		names = append(names, class.Name)
 	}
 	return names
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -24,23 +24,23 @@
 type timerHeap []pendingTimer
 
 // Len implements heap.Interface.
-func (d timerHeap) Len() int { return len(d) }
+func (h timerHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (d timerHeap) Less(i, j int) bool { return d[i].atMs < d[j].atMs }
+func (h timerHeap) Less(i, j int) bool { return h[i].atMs < h[j].atMs }
 
 // Swap implements heap.Interface.
-func (d timerHeap) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (d *timerHeap) Push(x any) { *d = append(*d, x.(pendingTimer)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(pendingTimer)) }
 
 // Pop implements heap.Interface.
-func (d *timerHeap) Pop() any {
-	old := *d
-	x := old[len(old)-1]
-	*d = old[:len(old)-1]
-	return x
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
 // fireTimers fires the timers that are due, the earliest first.
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -17,7 +17,7 @@
 		node.StartTime != 1.7e12 || fmt.Sprint(node.Addresses) != "[127.0.0.1:8443]" || node.Zone != "a" {
 		t.Errorf("decoded %+v, %v", list, err)
 	}
-	// An invalid entry is ignored and recorded with its position and the reason.
+	// An invalid entry is ignored and recorded with its position and the invalid key.
 	for invalid, wantText := range map[string]string{`7`: "object", `{"name":""}`: "name", strings.Replace(sampleEntry, "leaving", "gone", 1): "status",
 		strings.Replace(sampleEntry, "127.0.0.1:8443", "here", 1): "address", strings.Replace(sampleEntry, "3,", `"x",`, 1): "group"} {
 		list, err = Decode([]byte(listText(44, true, invalid, sampleEntry)))
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -46,7 +46,7 @@
 	return service, requests
 }
 
-// loggedCodes returns the codes of the log lines at level warn and above, and checks that each has a code and an advice.
+// loggedCodes returns the codes of the log lines at level warn and above, and checks that each has a code and advice.
 func loggedCodes(t *testing.T, hook *logtest.Hook) (codes []string) {
 	t.Helper()
 	for _, e := range hook.AllEntries() {
@@ -55,7 +55,7 @@
 		}
 		code, _ := e.Data["code"].(string)
 		if advice, _ := e.Data["advice"].(string); code == "" || advice == "" {
-			t.Errorf("%q %v has no code or no advice", e.Message, e.Data)
+			t.Errorf("%q %v has no code or advice", e.Message, e.Data)
 		}
 		codes = append(codes, code)
 	}
--- a/internal/discovery/watchtimer/bounds_test.go
+++ b/internal/discovery/watchtimer/bounds_test.go
@@ -93,7 +93,7 @@
 }
 
 // For any sequence of events the timer keeps its bounds. The number of open calls is limited, each call is opened once and
-// ended or closed once, the timer does not fire endlessly at the same instant, and there is always a next call.
+// ended or closed once, the timer does not fire endlessly at the same instant, and the next call is opened in time.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), Schedulers: rapid.IntRange(0, 2000).Draw(t, "schedulers"),
--- a/internal/discovery/watchtimer/fleet_test.go
+++ b/internal/discovery/watchtimer/fleet_test.go
@@ -75,8 +75,7 @@
 // notificationDeadline returns when a scheduler must have received a drain that began at drainAt.
 //   - Pushed: as soon as the agent can be reached.
 //   - Pulled: StalenessBound after the service had the change and could be reached. A failed call shows that it could not.
-//   - A change that a silent watch missed must be received StalenessBound after the watch fell silent, if no call was lost
-//     meanwhile.
+//   - A change that a silent watch missed: StalenessBound after the watch fell silent, if no call was lost meanwhile.
 func (f *fleet) notificationDeadline(drainAt time.Duration, s *scheduler, pushed bool, wait time.Duration) time.Duration {
 	at := f.reachableFrom(max(drainAt, f.startAt))
 	silencedAt, silenced := f.lastSilenceBefore(drainAt)
