--- a/internal/core/errors.go
+++ b/internal/core/errors.go
@@ -11,7 +11,7 @@
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return "scheduler core did not accept the call in time; nothing was changed"
+	return "the scheduler's actor did not take the call in time; nothing was changed"
 }
 
 // Code implements operr.Coded.
@@ -19,7 +19,7 @@
 
 // Advice implements operr.Coded.
 func (e *BusyError) Advice() string {
-	return "Repeat the call after a second. If it fails again, the process has too little processor time or is stopping: check its log and limits.cores."
+	return "Call again in a second. If it stays so, the process has too little processor time or is stopping: see its log and limits.cores."
 }
 
 // EndedError reports that the actor has ended because the process is stopping.
@@ -33,7 +33,7 @@
 
 // Advice implements operr.Coded.
 func (e *EndedError) Advice() string {
-	return "No action is needed if the process was stopped on purpose. Otherwise check the log lines before this one and restart the process."
+	return "Nothing, if the process was stopped on purpose; otherwise read its log before this line and restart it."
 }
 
 // PanicError reports that the decision module panicked. All open requests have failed, and a new module has started.
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -259,9 +259,9 @@
 		{`{"plans":[{"name":"a","root":{"then":[{"ref":"none"}]}}]}`, "cost-unknown-name", `plans.0.root.then.0: no step "none"`, false},
 		{`{"steps":{"x":{"all":[` + step + `,{"ref":"y"}]},"y":{"then":[{"ref":"x"}]}},"plans":[{"name":"a","root":{"ref":"x"}}]}`, "cost-cycle", `steps.y.then.0: "x"`, false},
 		{`{"steps":{"x":{"ref":"x"}},"plans":[{"name":"a","root":` + step + `}]}`, "cost-cycle", "steps.x", false},
-		{`{"steps":{"x":{"then":[{"ref":"y"}]},"y":{"ref":"x"},"z":` + step + `},"plans":[{"name":"a","root":{"ref":"z"}}]}`, "cost-cycle", "refers to itself", false},
-		{`{"steps":{"x":` + tooDeep[9*20:len(tooDeep)-2*20] + `},"plans":[{"name":"a","root":` + strings.Repeat(`{"then":[`, 20) + `{"ref":"x"}` + strings.Repeat(`]}`, 20) + `}]}`, "cost-too-much", "levels of nested steps", false},
-		{`{"plans":[{"name":"a","root":` + tooDeep + `}]}`, "cost-too-much", "levels of nested steps", false},
+		{`{"steps":{"x":{"then":[{"ref":"y"}]},"y":{"ref":"x"},"z":` + step + `},"plans":[{"name":"a","root":{"ref":"z"}}]}`, "cost-cycle", "leads back to itself", false},
+		{`{"steps":{"x":` + tooDeep[9*20:len(tooDeep)-2*20] + `},"plans":[{"name":"a","root":` + strings.Repeat(`{"then":[`, 20) + `{"ref":"x"}` + strings.Repeat(`]}`, 20) + `}]}`, "cost-too-much", "steps one inside the other", false},
+		{`{"plans":[{"name":"a","root":` + tooDeep + `}]}`, "cost-too-much", "steps one inside the other", false},
 		{`{"steps":{` + doubling + `},"plans":[{"name":"a","root":{"ref":"s12"}}]}`, "cost-too-much", "1024 steps", false},
 		{`{"plans":[` + strings.TrimSuffix(strings.Repeat(`{"name":"a","root":`+step+`},`, 257), ",") + `]}`, "cost-too-much", "256 plans", true},
 	} {
--- a/internal/cost/errors.go
+++ b/internal/cost/errors.go
@@ -39,7 +39,7 @@
 
 // Advice implements operr.Coded.
 func (e *MalformedPlansError) Advice() string {
-	return "compare the plans with the schema that wheatsaddle schema --of plans prints"
+	return "hold the question against the schema that wheatsaddle schema --of plans prints"
 }
 
 // UnknownNameError reports a shard, class, node, limit or named step that does not exist.
@@ -54,21 +54,21 @@
 
 // Advice implements operr.Coded.
 func (e *UnknownNameError) Advice() string {
-	return "correct the name; a node that has just started is known as soon as one process has reported it"
+	return "correct the name; a node that has just started is known once a process has heard of it"
 }
 
 // CycleError reports a named step that refers to itself, directly or through other steps.
 type CycleError struct{ Step, Name string }
 
 func (e *CycleError) Error() string {
-	return fmt.Sprintf("%s%q refers to itself", stepPrefix(e.Step), e.Name)
+	return fmt.Sprintf("%s%q leads back to itself", stepPrefix(e.Step), e.Name)
 }
 
 // Code implements operr.Coded.
 func (e *CycleError) Code() string { return "cost-cycle" }
 
 // Advice implements operr.Coded.
-func (e *CycleError) Advice() string { return "remove the reference that closes the cycle" }
+func (e *CycleError) Advice() string { return "take out the reference that closes the circle" }
 
 // ValueError reports a number out of its range.
 type ValueError struct {
@@ -78,14 +78,14 @@
 }
 
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("%s%s: %g; expected %s", stepPrefix(e.Step), e.Key, e.Value, e.Expected)
+	return fmt.Sprintf("%s%s %g; want %s", stepPrefix(e.Step), e.Key, e.Value, e.Expected)
 }
 
 // Code implements operr.Coded.
 func (e *ValueError) Code() string { return "cost-bad-figure" }
 
 // Advice implements operr.Coded.
-func (e *ValueError) Advice() string { return "correct the value in the named step" }
+func (e *ValueError) Advice() string { return "correct the figure of the step that is named" }
 
 // LimitError reports an input that exceeds one of the limits of an estimate.
 type LimitError struct {
@@ -102,14 +102,14 @@
 
 // Advice implements operr.Coded.
 func (e *LimitError) Advice() string {
-	return "split the plans over several requests, or remove the least important steps"
+	return "ask in parts, or leave out steps that matter least"
 }
 
 // OutOfTime reports that the estimates took longer than the caller allows.
 type OutOfTime struct{ Estimated, Plans int }
 
 func (e *OutOfTime) Error() string {
-	return fmt.Sprintf("time limit reached after %d of %d plans", e.Estimated, e.Plans)
+	return fmt.Sprintf("time was up after %d of %d plans", e.Estimated, e.Plans)
 }
 
 // Code implements operr.Coded.
@@ -117,7 +117,7 @@
 
 // Advice implements operr.Coded.
 func (e *OutOfTime) Advice() string {
-	return "request fewer plans at a time, or retry when the load is lower"
+	return "ask for fewer plans at a time, or when there is less load"
 }
 
 func stepPrefix(step string) string {
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -248,7 +248,7 @@
 	case e.totals.steps > MaxSteps:
 		return &LimitError{path.String(), "steps in a plan", MaxSteps}
 	case depth > MaxDepth:
-		return &LimitError{path.String(), "levels of nested steps", MaxDepth}
+		return &LimitError{path.String(), "steps one inside the other", MaxDepth}
 	}
 	kinds := 0
 	for _, isSet := range [...]bool{s.Work != nil, s.Then != nil, s.All != nil, s.Any != nil, s.Of != nil} {
@@ -257,7 +257,7 @@
 		}
 	}
 	if kinds != 1 {
-		return &MalformedPlansError{path.String(), "expected exactly one of work, then, all, any, of"}
+		return &MalformedPlansError{path.String(), "want one of work, then, all, any, of"}
 	}
 	switch {
 	case s.Work != nil:
@@ -267,7 +267,7 @@
 	case s.Of != nil:
 		n, k := len(s.Of.Steps), s.Of.K
 		if n > MaxQuorumSteps {
-			return &LimitError{path.String(), `steps in an "of"`, MaxQuorumSteps}
+			return &LimitError{path.String(), "steps of one of", MaxQuorumSteps}
 		}
 		if k < 1 || k > n {
 			return &ValueError{path.String(), "of.k", float64(k), fmt.Sprintf("1 to %d, the number of its steps", n)}
@@ -347,7 +347,7 @@
 	case e.settings.Shards > 0 && (w.Shard < 0 || w.Shard >= e.settings.Shards), e.settings.Shards == 0 && !known:
 		return &UnknownNameError{path.String() + ".work", "shard", fmt.Sprint(w.Shard)}
 	case w.Node != "":
-		return &UnknownNameError{path.String() + ".work", fmt.Sprintf("node of shard %d named", w.Shard), w.Node}
+		return &UnknownNameError{path.String() + ".work", fmt.Sprintf("node of shard %d that is called", w.Shard), w.Node}
 	case len(nodes) == 0:
 		e.estimateAtNode(&e.typeModels[class][0], w.Units, 1, end)
 		return nil
--- a/internal/cost/parse.go
+++ b/internal/cost/parse.go
@@ -53,11 +53,11 @@
 	}
 	if v, ok := keys["steps"]; ok {
 		if !v.IsObject() {
-			return nil, 0, &MalformedPlansError{"steps", "expected an object"}
+			return nil, 0, &MalformedPlansError{"steps", "want an object"}
 		}
 		v.ForEach(func(k, s gjson.Result) bool {
 			if _, duplicate := p.definitions[k.Str]; duplicate {
-				err = &MalformedPlansError{"steps." + k.Str, "defined twice"}
+				err = &MalformedPlansError{"steps." + k.Str, "named twice"}
 			}
 			p.definitions[k.Str] = s
 			return err == nil
@@ -71,7 +71,7 @@
 	}
 	list := keys["plans"]
 	if !list.IsArray() {
-		return nil, 0, &MalformedPlansError{"plans", "expected a list"}
+		return nil, 0, &MalformedPlansError{"plans", "want a list"}
 	}
 	var plans []Plan
 	list.ForEach(func(_, v gjson.Result) bool {
@@ -139,7 +139,7 @@
 	case p.stepCount > MaxSteps:
 		return &LimitError{path, "steps in a plan", MaxSteps}
 	case depth > MaxDepth:
-		return &LimitError{path, "levels of nested steps", MaxDepth}
+		return &LimitError{path, "steps one inside the other", MaxDepth}
 	}
 	return nil
 }
@@ -152,12 +152,12 @@
 	}
 	name := keys["name"]
 	if name.Type != gjson.String || name.Str == "" || len(name.Str) > 256 {
-		return plan, &MalformedPlansError{path, "name: expected 1 to 256 bytes"}
+		return plan, &MalformedPlansError{path, "name: want 1 to 256 letters"}
 	}
 	plan.Name = name.Str
 	if l, ok := keys["limit"]; ok {
 		if l.Type != gjson.String {
-			return plan, &MalformedPlansError{path, "limit: expected a name"}
+			return plan, &MalformedPlansError{path, "limit: want a name"}
 		}
 		plan.Limit = l.Str
 	}
@@ -168,7 +168,7 @@
 	}
 	root, ok := keys["root"]
 	if !ok {
-		return plan, &MalformedPlansError{path, "root is missing"}
+		return plan, &MalformedPlansError{path, "no root"}
 	}
 	p.stepCount = 0
 	plan.Root, err = p.parseStep(root, path+".root", 1)
@@ -181,13 +181,13 @@
 		return Step{}, err
 	}
 	if len(keys) != 1 {
-		return Step{}, &MalformedPlansError{path, "expected exactly one of work, then, all, any, of, ref"}
+		return Step{}, &MalformedPlansError{path, "want one of work, then, all, any, of, ref"}
 	}
 	kind := sortedKeys(keys)[0]
 	body := keys[kind]
 	if kind == "ref" { // does not count as a step
 		if body.Type != gjson.String {
-			return Step{}, &MalformedPlansError{path, "ref: expected a name"}
+			return Step{}, &MalformedPlansError{path, "ref: want a name"}
 		}
 		return p.resolve(body.Str, path, depth-1)
 	}
@@ -208,7 +208,7 @@
 			return Step{}, err
 		}
 		if len(list) > MaxQuorumSteps {
-			return Step{}, &LimitError{path, `steps in an "of"`, MaxQuorumSteps}
+			return Step{}, &LimitError{path, "steps of one of", MaxQuorumSteps}
 		}
 		k, err := parseInteger(quorum["k"], path, "of.k", 1, len(list))
 		return Step{Of: &Quorum{K: k, Steps: list}}, err
@@ -225,7 +225,7 @@
 
 func (p *parser) parseSteps(v gjson.Result, path string, depth int) (list []Step, err error) {
 	if !v.IsArray() {
-		return nil, &MalformedPlansError{path, "expected a list of steps"}
+		return nil, &MalformedPlansError{path, "want a list of steps"}
 	}
 	v.ForEach(func(_, s gjson.Result) bool {
 		var next Step
@@ -253,10 +253,10 @@
 	}
 	class, node := keys["class"], keys["node"]
 	if class.Type != gjson.String || class.Str == "" {
-		return nil, &MalformedPlansError{path, "class: expected a name"}
+		return nil, &MalformedPlansError{path, "class: want a name"}
 	}
 	if node.Exists() && (node.Type != gjson.String || node.Str == "") {
-		return nil, &MalformedPlansError{path, "node: expected a name"}
+		return nil, &MalformedPlansError{path, "node: want a name"}
 	}
 	w.Class, w.Node = class.Str, node.Str
 	return w, nil
@@ -265,13 +265,13 @@
 // objectFields returns the members of an object. Unknown and repeated keys are errors.
 func objectFields(v gjson.Result, path string, allowed ...string) (map[string]gjson.Result, error) {
 	if !v.IsObject() {
-		return nil, &MalformedPlansError{path, "expected an object"}
+		return nil, &MalformedPlansError{path, "want an object"}
 	}
 	members := make(map[string]gjson.Result, len(allowed))
 	var err error
 	v.ForEach(func(k, m gjson.Result) bool {
 		if _, duplicate := members[k.Str]; duplicate || !slices.Contains(allowed, k.Str) {
-			err = &MalformedPlansError{path, fmt.Sprintf("key %q is unknown or repeated", k.Str)}
+			err = &MalformedPlansError{path, fmt.Sprintf("key %q is not known here, or stands twice", k.Str)}
 		}
 		members[k.Str] = m
 		return err == nil
@@ -281,7 +281,7 @@
 
 func parseNumber(v gjson.Result, path, key string, minValue, maxValue float64) (float64, error) {
 	if v.Type != gjson.Number {
-		return 0, &MalformedPlansError{path, key + ": expected a number"}
+		return 0, &MalformedPlansError{path, key + ": want a number"}
 	}
 	if !(v.Num >= minValue && v.Num <= maxValue) {
 		return 0, &ValueError{path, key, v.Num, formatRange(minValue, maxValue)}
@@ -292,7 +292,7 @@
 func parseInteger(v gjson.Result, path, key string, minValue, maxValue int) (int, error) {
 	n, err := parseNumber(v, path, key, float64(minValue), float64(maxValue))
 	if err == nil && n != math.Trunc(n) {
-		err = &ValueError{path, key, n, "an integer"}
+		err = &ValueError{path, key, n, "a whole number"}
 	}
 	return int(n), err
 }
