--- /dev/null
+++ b/internal/scattergather/coordinator.go
@@ -0,0 +1,502 @@
+package scattergather
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fasthttp"
+
+	"wheatsaddle/gather"
+	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/operr"
+	"wheatsaddle/internal/transport"
+)
+
+const (
+	defaultRetryAfter = time.Second
+	groupIDBytes      = 16 // bytes that a group adds to a request ID
+)
+
+// Peer is another process of the fleet: its name, and the address of its client port.
+type Peer struct{ Name, Address string }
+
+// CoordinatorOptions are the options of NewCoordinator.
+type TreeOptions struct {
+	Rules     TreeRules // its Peers are set from Peers below
+	Peers     []Peer
+	Seed      uint64
+	Conns     int             // concurrent connections to one peer
+	BytesMost int64           // bytes of one group's partial result
+	IDMost    int             // longest request ID that a peer accepts
+	Limited   map[string]bool // plans with a rate limit
+	// EncodeRequest encodes a client's request for a peer, without ID, deadline and the gather headers.
+	Request func(client *core.Request, to *fasthttp.Request)
+	Alive   func() []string // names of the processes known to be alive; nil: unknown. It must not wait for the network
+	Tally   *Tally          // nil: the Coordinator makes its own
+	Log     logrus.FieldLogger
+}
+
+// DelegationCounts are totals over all reads.
+type TreeCounts struct {
+	Handed         int // reads with delegated parts
+	Groups         int // groups of these reads
+	TakenOver      int // attempts that took a group over from another peer
+	Rows           int // delivered by peers, by all attempts together
+	Asked          int // attempts sent to peers
+	Good           int // attempts that completed their group first
+	Failed         int // attempts that failed, were truncated or invalid, lost parts, or were overtaken by another attempt
+	Rejected       int
+	Own            int // attempts that this process made itself
+	InvalidResults int
+	SetAside       int // times that a peer started to back off
+	Connected      int // connections now
+}
+
+// DelegationCounters counts delegations. It outlives a Coordinator.
+type Tally struct {
+	mu     sync.Mutex
+	counts TreeCounts
+	codes  map[string]int // of failed and rejected attempts
+}
+
+func (t *Tally) update(f func(*TreeCounts)) {
+	t.mu.Lock()
+	f(&t.counts)
+	t.mu.Unlock()
+}
+
+func (t *Tally) countFailure(code string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.codes == nil {
+		t.codes = map[string]int{}
+	}
+	t.codes[code]++
+}
+
+// Counts returns the current counts.
+func (t *Tally) Counts() TreeCounts {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.counts
+}
+
+// FailureCodes are the error codes of failed and rejected peer attempts.
+var Codes = []string{(*PeerFailed)(nil).Code(), (*PeerLostParts)(nil).Code(), (*PeerInvalidResult)(nil).Code(), (*Rejection)(nil).Code()}
+
+// Failures returns the number of attempts that ended with an error code.
+func (t *Tally) Failures(code string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.codes[code]
+}
+
+// Coordinator delegates parts of gathered reads to peers. The decisions are made by PeerTable, scheduleGroup and partialValidator.
+type Coordinator struct {
+	options   TreeOptions
+	start     time.Time
+	mu        sync.Mutex
+	peers     *PeerTable
+	connSlots map[string]chan struct{}
+	addresses map[string]string
+	*Tally
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
+}
+
+// NewCoordinator returns a coordinator. Its error is an *InvalidRules.
+func OpenTree(opt TreeOptions) (*Coordinator, error) {
+	opt.Rules.Peers = nil
+	for _, p := range opt.Peers {
+		opt.Rules.Peers = append(opt.Rules.Peers, p.Name)
+	}
+	switch {
+	case opt.Conns < 1:
+		return nil, &InvalidRules{"tree.connections", "is not a positive number"}
+	case opt.BytesMost < 1:
+		return nil, &InvalidRules{"tree.group_bytes_most", "is not a positive number"}
+	}
+	peers, err := NewPeerTable(opt.Rules, opt.Seed)
+	if err != nil {
+		return nil, err
+	}
+	t := &Coordinator{options: opt, start: time.Now(), peers: peers, Tally: opt.Tally, connSlots: map[string]chan struct{}{}, addresses: map[string]string{}}
+	if t.Tally == nil {
+		t.Tally = &Tally{}
+	}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
+	for _, p := range opt.Peers {
+		t.connSlots[p.Name], t.addresses[p.Name] = make(chan struct{}, opt.Conns), p.Address
+	}
+	return t, nil
+}
+
+// Close cancels all attempts in flight and waits for them.
+func (t *Coordinator) Close() {
+	t.cancel()
+	t.wg.Wait()
+}
+
+// PeerStatus returns the state of the peers.
+func (t *Coordinator) PeerStatus() []PeerStatus {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peers.Status(time.Since(t.start))
+}
+
+// delegatingSender is a Sender of groups. begin tells the gather which parts are groups, and finish converts its final answer to that
+// of a flat merge.
+type delegatingSender interface {
+	begin(*Gather)
+	finish(Final) Final
+}
+
+// Delegate implements Delegator.
+func (t *Coordinator) Delegate(read ReadRequest) ([]gather.Part, Sender) {
+	var alive []string
+	if t.options.Alive != nil {
+		alive = t.options.Alive()
+	}
+	t.mu.Lock()
+	if t.options.Alive != nil {
+		t.peers.SetAlive(alive)
+	}
+	plan := t.peers.Split(time.Since(t.start), read.Parts, read.Rules.Safe && len(read.Client.ID)+groupIDBytes <= t.options.IDMost, t.options.Limited[read.Client.Plan])
+	t.mu.Unlock()
+	if len(plan.Groups) == 0 {
+		return read.Parts, read.Local
+	}
+	t.update(func(n *TreeCounts) { n.Handed++; n.Groups += len(plan.Groups) })
+	return plan.Parts(), &groupSender{coordinator: t, ReadRequest: read, plan: plan, attempts: map[string][]*groupAttempt{}}
+}
+
+// groupSender sends the attempts of groups and parts of one read.
+type groupSender struct {
+	ReadRequest
+	coordinator     *Coordinator
+	plan            ReadPlan
+	mu              sync.Mutex
+	attempts        map[string][]*groupAttempt // by group, in order of their start
+	localRetryAfter time.Duration              // the longest Retry-After of attempts of this process
+	localAttempts   sync.WaitGroup             // attempts of this process
+}
+
+// groupAttempt is an attempt of a group.
+type groupAttempt struct {
+	Attempt
+	trial  int
+	cancel context.CancelFunc
+	ended  bool // ended or cancelled
+}
+
+func (a *groupSender) group(id string) *Group {
+	for i := range a.plan.Groups {
+		if a.plan.Groups[i].ID == id {
+			return &a.plan.Groups[i]
+		}
+	}
+	return nil
+}
+
+// Send implements Sender.
+func (a *groupSender) Send(attempt Attempt, until time.Time, to *Sink) {
+	g := a.group(attempt.Part.ID)
+	if g == nil {
+		a.Local.Send(attempt, until, to)
+		return
+	}
+	ctx, cancel := context.WithDeadline(a.coordinator.ctx, until)
+	c := &groupAttempt{Attempt: attempt, cancel: cancel}
+	if attempt.Peer != "" && attempt.Peer == g.PeerOrder[0] {
+		c.trial = g.Trial
+	}
+	a.mu.Lock()
+	earlier := a.attempts[attempt.Part.ID]
+	a.attempts[attempt.Part.ID] = append(earlier, c)
+	a.mu.Unlock()
+	if n := len(earlier); n > 0 && earlier[n-1].Peer != attempt.Peer {
+		a.coordinator.update(func(n *TreeCounts) { n.TakenOver++ })
+	}
+	if attempt.Peer == "" {
+		a.localAttempts.Add(1)
+	}
+	a.coordinator.wg.Go(func() {
+		defer cancel()
+		if attempt.Peer == "" {
+			defer a.localAttempts.Done()
+			a.coordinator.update(func(n *TreeCounts) { n.Own++ })
+			a.gatherLocally(ctx, c, until, to)
+			return
+		}
+		a.coordinator.update(func(n *TreeCounts) { n.Asked++ })
+		retryAfter, err := a.requestPeer(ctx, g, attempt, until, to)
+		if ctx.Err() != nil && err != nil { // cancelled, or its time ended before another attempt overtook it
+			err = context.Canceled
+		}
+		a.recordOutcome(c, err, retryAfter)
+		to.End(nil, err)
+	})
+}
+
+// Cancel implements Sender.
+func (a *groupSender) Cancel(x Attempt) {
+	a.mu.Lock()
+	all, known := a.attempts[x.Part.ID]
+	for _, c := range all {
+		if c.Number == x.Number {
+			c.ended = true
+			c.cancel()
+		}
+	}
+	a.mu.Unlock()
+	if !known {
+		a.Local.Cancel(x)
+	}
+}
+
+// recordOutcome records how an attempt of a peer ended. Earlier attempts that it overtook have failed.
+func (a *groupSender) recordOutcome(attempt *groupAttempt, err error, retryAfter time.Duration) {
+	a.mu.Lock()
+	cancelled := attempt.ended || errors.Is(err, context.Canceled)
+	attempt.ended = true
+	var overtaken []*groupAttempt
+	succeeded := err == nil || errors.As(err, new(*gather.Limited))
+	if succeeded && !cancelled {
+		for _, x := range a.attempts[attempt.Part.ID] {
+			if x.Number < attempt.Number && !x.ended && x.Peer != "" {
+				x.ended = true
+				overtaken = append(overtaken, x)
+			}
+		}
+	}
+	a.mu.Unlock()
+	for _, x := range overtaken {
+		a.coordinator.recordPeerOutcome(x.Peer, x.trial, OutcomeFailure, 0, &PeerFailed{x.Part.ID, x.Peer, "overtaken by another attempt"})
+	}
+	switch {
+	case attempt.Peer == "":
+	case cancelled: // ended by its deadline or by another attempt: its outcome is unknown or already recorded
+		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeUnknown, 0, nil)
+	case succeeded:
+		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeSuccess, 0, nil)
+	case retryAfter > 0:
+		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeRejected, retryAfter, &Rejection{retryAfter})
+	default:
+		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeFailure, 0, err)
+	}
+}
+
+// recordPeerOutcome updates the peer table and the counters, and logs if a peer starts or ends its backoff.
+func (t *Coordinator) recordPeerOutcome(peer string, trial int, outcome PeerOutcome, retryAfter time.Duration, err error) {
+	t.mu.Lock()
+	failuresBefore := t.peers.failures(peer)
+	t.peers.AttemptEnded(time.Since(t.start), peer, trial, outcome, retryAfter)
+	failuresAfter := t.peers.failures(peer)
+	t.mu.Unlock()
+	t.update(func(n *TreeCounts) {
+		switch outcome {
+		case OutcomeSuccess:
+			n.Good++
+		case OutcomeFailure:
+			n.Failed++
+		case OutcomeRejected:
+			n.Rejected++
+		}
+		if errors.As(err, new(*PeerInvalidResult)) {
+			n.InvalidResults++
+		}
+		if failuresAfter > failuresBefore {
+			n.SetAside++
+		}
+	})
+	var c operr.Coded
+	if errors.As(err, &c) {
+		t.countFailure(c.Code())
+	}
+	switch {
+	case failuresBefore == 0 && failuresAfter > 0:
+		t.options.Log.WithFields(operr.Fields(err)).Warn("gather: peer failed and backs off")
+	case failuresBefore > 0 && failuresAfter == 0:
+		t.options.Log.WithField("peer", peer).Info("gather: peer is used again after its backoff")
+	}
+}
+
+// gatherLocally gathers a group in this process.
+func (a *groupSender) gatherLocally(ctx context.Context, attempt *groupAttempt, until time.Time, to *Sink) {
+	final := a.GatherLocally(ctx, attempt.Attempt, until, func(b []byte) error {
+		if !to.Deliver(b) {
+			return context.Canceled // no more bytes are needed
+		}
+		return nil
+	})
+	retryAfter, err := time.Duration(0), final.Cause()
+	for _, p := range final.Result.Parts {
+		var rejection *Rejection
+		if errors.As(p.Why, &rejection) {
+			retryAfter = max(retryAfter, rejection.RetryAfter)
+		}
+	}
+	switch {
+	case final.Kind == ClientDisconnected:
+		err = context.Canceled
+	case final.Kind == Served && final.Limited:
+		err = &gather.Limited{}
+	}
+	a.mu.Lock()
+	a.localRetryAfter = max(a.localRetryAfter, retryAfter)
+	a.mu.Unlock()
+	if err == nil || final.Limited {
+		a.recordOutcome(attempt, err, 0)
+	}
+	to.End(nil, err)
+}
+
+// begin implements delegatingSender.
+func (a *groupSender) begin(g *Gather) { g.setGroups(a.coordinator.options.Rules, a.plan) }
+
+// finish implements delegatingSender: it restores the parts' own shards, and turns an answer whose parts were all rejected into a rejection.
+func (a *groupSender) finish(final Final) Final {
+	a.coordinator.mu.Lock()
+	a.coordinator.peers.ReadEnded(a.plan)
+	a.coordinator.mu.Unlock()
+	shards := map[string]int{}
+	for _, p := range a.Parts {
+		shards[p.ID] = p.Shard
+	}
+	allRejected, retryAfter := final.Kind == Short && final.Result.Rows == 0 && errors.As(final.Result.Err, new(*gather.Incomplete)), time.Duration(0)
+	if allRejected { // the attempts of this process are cancelled or have ended; they know the Retry-After
+		a.localAttempts.Wait()
+	}
+	for i := range final.Result.Parts {
+		s := &final.Result.Parts[i]
+		s.Shard = shards[s.ID]
+		var rejection *Rejection
+		var reported *gather.Told
+		switch {
+		case errors.As(s.Why, &rejection):
+			retryAfter = max(retryAfter, rejection.RetryAfter)
+		case errors.As(s.Why, &reported) && reported.Why == rejection.Code():
+			retryAfter = max(retryAfter, a.localRetryAfter)
+		default:
+			allRejected = false
+		}
+	}
+	if allRejected {
+		final.Kind, final.RetryAfter = Refused, retryAfter
+	}
+	return final
+}
+
+// requestPeer requests a group from a peer and relays its partial result. wait is the peer's Retry-After if it rejected the request.
+func (a *groupSender) requestPeer(ctx context.Context, g *Group, attempt Attempt, until time.Time, to *Sink) (wait time.Duration, err error) {
+	t := a.coordinator
+	failed := func(cause string) error { return &PeerFailed{g.ID, attempt.Peer, cause} }
+	select {
+	case t.connSlots[attempt.Peer] <- struct{}{}:
+	default: // not a failure of the peer
+		return time.Millisecond, failed("no connection is free")
+	}
+	t.update(func(n *TreeCounts) { n.Connected++ })
+	defer func() {
+		t.update(func(n *TreeCounts) { n.Connected-- })
+		<-t.connSlots[attempt.Peer]
+	}()
+	nc, err := transport.DialTCP(ctx, t.addresses[attempt.Peer], 0) // the context limits the time
+	if err != nil {
+		return 0, failed(err.Error())
+	}
+	defer nc.Close()
+	defer context.AfterFunc(ctx, func() { nc.Close() })()
+
+	req := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(req)
+	t.options.Request(a.Client, req)
+	req.Header.Set("X-Request-Id", fmt.Sprintf("%s/%s/%d", a.Client.ID, g.ID, attempt.Number))
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10))
+	var shards []byte
+	for i, p := range g.Parts {
+		if i > 0 {
+			shards = append(shards, ',')
+		}
+		shards = strconv.AppendInt(shards, int64(p.Shard), 10)
+	}
+	req.Header.SetBytesV("X-Gather", shards)
+	req.Header.Set("X-Gather-Partial", "1")
+	if attempt.Rows > 0 {
+		req.Header.Set("X-Gather-Rows", strconv.Itoa(attempt.Rows))
+	}
+	req.SetHost(t.addresses[attempt.Peer])
+	req.SetConnectionClose()
+	w := bufio.NewWriterSize(nc, 4096)
+	if err = req.Write(w); err == nil {
+		err = w.Flush()
+	}
+	if err != nil {
+		return 0, failed(err.Error())
+	}
+	res := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(res)
+	res.StreamBody = true
+	if err := res.ReadLimitBody(bufio.NewReaderSize(nc, maxPieceBytes), 0); err != nil {
+		return 0, failed(err.Error())
+	}
+	defer func() { _ = res.CloseBodyStream() }()
+	switch code := res.StatusCode(); code {
+	case fasthttp.StatusOK:
+	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
+		return parseRetryAfter(string(res.Header.Peek("Retry-After"))), failed("it rejected the request")
+	default:
+		return 0, failed(fmt.Sprint("it answered with status ", code))
+	}
+	return 0, a.relay(g, attempt, res.BodyStream(), to)
+}
+
+// parseRetryAfter parses a number of seconds.
+func parseRetryAfter(text string) time.Duration {
+	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	if err != nil || !(s > 0 && s < 86400) {
+		return defaultRetryAfter
+	}
+	return time.Duration(s * float64(time.Second))
+}
+
+// relay passes a validated body on at the rate at which the merge consumes it.
+func (a *groupSender) relay(g *Group, attempt Attempt, body io.Reader, to *Sink) error {
+	quota := a.Rules.Merge.Memory.Bytes / (len(a.plan.Groups) + len(a.plan.Local) + 1) // memory of one part of the coordinator's merge
+	validator, err := newPartialValidator(a.Rules.Merge, attempt.Peer, g.Part, attempt.Rows, int64(quota-4), a.coordinator.options.BytesMost)
+	if err != nil {
+		return err
+	}
+	defer func() { a.coordinator.update(func(n *TreeCounts) { n.Rows += validator.rows }) }()
+	buf := make([]byte, maxPieceBytes)
+	for {
+		n, err := body.Read(buf)
+		valid, invalid := validator.add(buf[:n])
+		if invalid == nil && errors.Is(err, io.EOF) {
+			if len(valid) > 0 && !to.Deliver(valid) {
+				return context.Canceled
+			}
+			valid, invalid = validator.finish()
+		}
+		if len(valid) > 0 && !to.Deliver(valid) {
+			return context.Canceled // no more bytes are needed
+		}
+		switch {
+		case invalid != nil:
+			return invalid
+		case errors.Is(err, io.EOF):
+			return nil
+		case err != nil:
+			return &PeerFailed{g.ID, attempt.Peer, err.Error()}
+		}
+	}
+}
--- /dev/null
+++ b/internal/scattergather/coordinator_test.go
@@ -0,0 +1,387 @@
+package scattergather
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	logtest "github.com/sirupsen/logrus/hooks/test"
+	"github.com/valyala/fasthttp"
+	"go.uber.org/goleak"
+
+	"wheatsaddle/gather"
+	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/testkit/fake/link"
+)
+
+const (
+	treeParts = 12
+	treeRows  = 400 // of a part: a group's bytes are more than a buffer's
+)
+
+// fakeSender is an asker that has the rows of all parts, but for those it refuses or has otherwise.
+type fakeSender struct {
+	fixture       *fixture
+	rejected      map[string]bool
+	divergingPart string // of this part the last half of the rows is another
+}
+
+func (s *fakeSender) Send(a Attempt, _ time.Time, to *Sink) {
+	s.fixture.partRequests.Add(1)
+	if s.rejected[a.Part.ID] {
+		to.End(nil, &Rejection{time.Hour})
+		return
+	}
+	rows := treeRows
+	if a.Rows > 0 {
+		rows = min(rows, a.Rows)
+	}
+	text := partRows(a.Part.Shard, treeParts, rows)
+	if a.Part.ID == s.divergingPart {
+		text = append(partRows(a.Part.Shard, treeParts, treeRows/2), partRows(a.Part.Shard+100*treeParts*treeRows, treeParts, 100)...)
+	}
+	if rows < treeRows {
+		to.End(text, &gather.Limited{})
+		return
+	}
+	to.End(text, nil)
+}
+func (s *fakeSender) Cancel(Attempt) {}
+
+// fakePeer is a peer: it gathers what it is asked for over its own store.
+type fakePeer struct {
+	*fakeSender
+	fixture    *fixture
+	rules      Rules
+	srv        *httptest.Server
+	link       *link.Link
+	requests   atomic.Int32
+	inFlight   atomic.Int32
+	resetAfter int                                      // bytes after which it drops the connection; 0: never
+	override   func(http.ResponseWriter, *http.Request) // in place of gathering
+}
+
+func (p *fakePeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.requests.Add(1)
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	if p.override != nil {
+		p.override(w, r)
+		return
+	}
+	var parts []gather.Part
+	for s := range strings.SplitSeq(r.Header.Get("X-Gather"), ",") {
+		n, _ := strconv.Atoi(s)
+		parts = append(parts, gather.Part{ID: fmt.Sprint("p", n), Shard: n})
+	}
+	patience, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
+	if err != nil || r.Header.Get("X-Gather-Partial") != "1" || !strings.HasPrefix(r.Header.Get("X-Request-Id"), "id/g") || r.URL.Path != "/read/x" {
+		p.fixture.Errorf("a peer is asked %v %v", r.URL, r.Header)
+	}
+	rows, _ := strconv.Atoi(r.Header.Get("X-Gather-Rows"))
+	sent := 0
+	gatherService.run(r.Context(), p.rules, time.Now(), time.Duration(patience)*ms, parts, p.fakeSender, Query{Partial: true, Rows: rows}, func(b []byte) error {
+		if p.resetAfter > 0 && sent+len(b) > p.resetAfter {
+			_, _ = w.Write(b[:p.resetAfter-sent])
+			_ = http.NewResponseController(w).Flush()
+			sent = p.resetAfter
+			return http.ErrAbortHandler
+		}
+		sent += len(b)
+		_, err := w.Write(b)
+		_ = http.NewResponseController(w).Flush()
+		return err
+	})
+	if p.resetAfter > 0 && sent == p.resetAfter {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+var gatherService = &Service{PartMost: 1 << 20}
+
+// fixture is a root and its peers on the loopback.
+type fixture struct {
+	*testing.T
+	coordinator  *Coordinator
+	peers        []*fakePeer
+	local        *fakeSender
+	rules        Rules
+	partRequests atomic.Int32 // parts, by any process
+	log          *logtest.Hook
+}
+
+func newFixture(t *testing.T, peers int, more string) *fixture {
+	t.Helper()
+	f := &fixture{T: t}
+	f.rules = Rules{Merge: rulesOf(t, 65536, more), Share: 0.2, AtOnce: 4, Safe: true, Again: 1}
+	f.local = &fakeSender{fixture: f}
+	log, hook := logtest.NewNullLogger()
+	f.log = hook
+	opt := TreeOptions{Seed: 3, Conns: 4, BytesMost: 1 << 20, IDMost: 128, Log: log, Request: func(_ *core.Request, to *fasthttp.Request) { to.SetRequestURI("/read/x") },
+		Rules: TreeRules{LeastParts: 4, GroupMost: 8, FanOut: 4, Copies: 2, Silent: time.Hour, Rest: time.Hour, RestMax: time.Hour}}
+	for i := range peers {
+		p := &fakePeer{fakeSender: &fakeSender{fixture: f}, fixture: f, rules: f.rules}
+		p.srv = httptest.NewServer(p)
+		var err error
+		if p.link, err = link.New(link.Options{Seed: 5, Network: "tcp", To: strings.TrimPrefix(p.srv.URL, "http://")}); err != nil {
+			t.Fatal(err)
+		}
+		f.peers = append(f.peers, p)
+		opt.Peers = append(opt.Peers, Peer{fmt.Sprint("q", i), p.link.Addr()})
+	}
+	var err error
+	if f.coordinator, err = OpenTree(opt); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		f.coordinator.Close()
+		for _, p := range f.peers {
+			p.link.Close()
+			p.srv.CloseClientConnections()
+			p.srv.Close()
+		}
+		waitFor(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
+	})
+	return f
+}
+
+func (f *fixture) read(ctx context.Context, patience time.Duration) (rows []string, x Final) {
+	f.Helper()
+	var mu sync.Mutex
+	var text []byte
+	all := newParts(treeParts)
+	parts, asker := f.coordinator.Delegate(ReadRequest{Client: newClientRequest("id", patience), Rules: f.rules, Parts: all, Local: f.local,
+		GatherLocally: func(ctx context.Context, a Attempt, until time.Time, write func([]byte) error) Final {
+			of := slices.DeleteFunc(slices.Clone(all), func(p gather.Part) bool { return !slices.Contains(a.Part.Of, p.ID) })
+			return gatherService.run(ctx, f.rules, time.Now(), time.Until(until), of, f.local, Query{Partial: true, Rows: a.Rows}, write)
+		}})
+	x = gatherService.run(ctx, f.rules, time.Now(), patience, parts, asker, Query{}, func(b []byte) error {
+		mu.Lock()
+		defer mu.Unlock()
+		text = append(text, b...)
+		return nil
+	})
+	if len(text) > 0 {
+		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	}
+	waitFor(f.T, "no connection is left", func() bool { return f.coordinator.Counts().Connected == 0 })
+	return rows, x
+}
+
+func treeFlatMerge(without ...int) []string { return flatMergeOf(treeParts, treeRows, without) }
+
+// Each fault of peers: the rows are the flat merge's, one final answer, and the peer at fault is set aside.
+func TestCoordinatorToleratesPeerFaults(t *testing.T) {
+	all := func(f *fixture, do func(*fakePeer)) {
+		for _, p := range f.peers {
+			do(p)
+		}
+	}
+	set := func(p *fakePeer, x link.Fault) {
+		if err := p.link.Set(link.Backward, x); err != nil {
+			p.fixture.Fatal(err)
+		}
+	}
+	junk := func(text string) func(http.ResponseWriter, *http.Request) {
+		return func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }
+	}
+	full := func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Retry-After", "1800")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+	for _, c := range []struct {
+		name     string
+		fault    func(*fixture)
+		more     string
+		happened func(*fixture) bool
+		aside    int // peers that rest after it
+		nonsense int
+		own      bool // the process itself asked for a group
+		missing  []int
+		kind     FinalKind
+	}{
+		{name: "none", happened: func(f *fixture) bool { return f.coordinator.Counts().Good == 3 && f.partRequests.Load() == treeParts }},
+		{name: "one is known to be gone", fault: func(f *fixture) {
+			f.coordinator.options.Alive = func() []string { return []string{"q0", "q2", "other"} }
+		}, happened: func(f *fixture) bool {
+			n := f.coordinator.Counts()
+			return n.Groups == 2 && n.Rows == 8*treeRows && f.peers[1].requests.Load() == 0 && f.coordinator.PeerStatus()[1].NotAlive
+		}},
+		{name: "one killed mid-gather", fault: func(f *fixture) { set(f.peers[0], link.Fault{ResetAfter: 9000}) }, aside: 1,
+			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Reset > 0 }},
+		{name: "one's answer is cut", fault: func(f *fixture) { f.peers[1].resetAfter = 9000 }, aside: 1,
+			happened: func(f *fixture) bool { return f.peers[1].link.Counts(link.Backward).Bytes > 5000 }},
+		{name: "one silent", fault: func(f *fixture) { set(f.peers[2], link.Fault{Silent: true}) }, aside: 1,
+			happened: func(f *fixture) bool { return f.peers[2].link.Counts(link.Backward).Silenced > 0 }},
+		{name: "one slow", fault: func(f *fixture) { set(f.peers[0], link.Fault{Trickle: 2000}) }, aside: 1,
+			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Trickled > 0 }},
+		{name: "two gone", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, aside: 2, own: true},
+		{name: "all gone", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.link.Close() }) }, aside: 3, own: true},
+		{name: "all silent", fault: func(f *fixture) { all(f, func(p *fakePeer) { set(p, link.Fault{Silent: true}) }) }, aside: 3, own: true},
+		{name: "all cut", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.resetAfter = 9000 }) }, aside: 3, own: true},
+		{name: "all refuse", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.override = full }) }, aside: 3, own: true},
+		{name: "one answers as a node would", fault: func(f *fixture) { f.peers[0].override = junk("one thing") }, aside: 1, nonsense: 1},
+		{name: "one has other rules", fault: func(f *fixture) { f.peers[2].rules.Merge = checkRules(f, `{"keep":"first"}`) }, aside: 1, nonsense: 1},
+		{name: "one lost parts", fault: func(f *fixture) {
+			f.peers[1].rejected = map[string]bool{"p1": true, "p5": true, "p9": true, "p4": true, "p7": true, "p10": true}
+		},
+			aside: 1, own: true},
+		{name: "a part is refused everywhere", more: `,"complete":{"need":"best-effort"}`, fault: func(f *fixture) {
+			all(f, func(p *fakePeer) { p.rejected = map[string]bool{"p0": true} })
+			f.local.rejected = map[string]bool{"p0": true}
+		}, aside: 1, own: true, missing: []int{0}},
+		{name: "the top alone", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().Asked >= 3 }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t, 3, c.more)
+			if c.fault != nil {
+				c.fault(f)
+			}
+			patience := 10 * time.Minute // nobody is late for the machine's load alone
+			switch {
+			case c.name == "one slow":
+				patience = 9 * time.Second // a third of four fifths of it is the first copy's
+			case strings.HasSuffix(c.name, "silent"):
+				f.coordinator.options.Rules.Silent = 2 * time.Second
+			}
+			rows, x := f.read(t.Context(), patience)
+			want := treeFlatMerge(c.missing...)
+			if strings.Contains(c.more, "top") {
+				want = want[:50]
+			}
+			if x.Kind != c.kind || x.Result.Whole != (c.missing == nil) || !slices.Equal(rows, want) {
+				t.Errorf("kind %d, %d rows of %d, %+v", x.Kind, len(rows), len(want), x.Result)
+			}
+			var named []int
+			for _, p := range x.Result.Parts {
+				named = append(named, p.Shard)
+			}
+			if !slices.Equal(named, c.missing) {
+				t.Errorf("named %v, missing %v", named, c.missing)
+			}
+			if c.happened != nil && !c.happened(f) {
+				t.Errorf("the fault did not happen: %+v", f.coordinator.Counts())
+			}
+			aside := 0
+			for _, s := range f.coordinator.PeerStatus() {
+				if s.BackoffLeft > 0 {
+					aside++
+				}
+			}
+			failed := 0
+			for _, code := range Codes {
+				failed += f.coordinator.Failures(code)
+			}
+			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < aside || n.TakenOver == 0 != (aside == 0) ||
+				f.coordinator.Failures((*PeerInvalidResult)(nil).Code()) != c.nonsense {
+				t.Errorf("%d failures by code, %+v", failed, n)
+			}
+			if n := f.coordinator.Counts(); aside != c.aside || n.InvalidResults != c.nonsense || (n.Own > 0) != c.own {
+				t.Errorf("%d rest, not %d: %+v %+v", aside, c.aside, n, f.coordinator.PeerStatus())
+			}
+			for _, e := range f.log.AllEntries() {
+				if e.Data["code"] == nil && e.Data["peer"] == nil {
+					t.Errorf("a log line without a code: %v", e.Data)
+				}
+			}
+			waitFor(t, "all peers' gathers end", func() bool {
+				return !slices.ContainsFunc(f.peers, func(p *fakePeer) bool { return p.inFlight.Load() > 0 })
+			})
+			asked := map[string]int32{}
+			for i, p := range f.peers {
+				asked[fmt.Sprint("q", i)] = p.requests.Load()
+			}
+			resting := f.coordinator.PeerStatus()
+			if rows, x = f.read(t.Context(), patience); x.Result.Whole && !slices.Equal(rows, want) { // and the next read goes past them
+				t.Errorf("again: %d rows, %+v", len(rows), x.Result)
+			}
+			for i, s := range resting {
+				if s.BackoffLeft > 0 && f.peers[i].requests.Load() != asked[s.Name] {
+					t.Errorf("%s rests and was asked", s.Name)
+				}
+			}
+		})
+	}
+}
+
+// Copies of a group that saw different rows are named in conflict and not passed for whole.
+func TestDivergingCopiesOfAGroupAreNamedInConflict(t *testing.T) {
+	f := newFixture(t, 1, `,"complete":{"need":"best-effort"}`)
+	f.peers[0].resetAfter = 30000
+	f.peers[0].divergingPart = "p2"
+	rows, x := f.read(t.Context(), 10*time.Minute)
+	var named []string
+	for _, p := range x.Result.Parts {
+		if p.Conflict {
+			named = append(named, p.ID)
+		}
+	}
+	if x.Kind != Served || x.Result.Whole || !slices.Contains(named, "p2") || len(named) != 6 {
+		t.Errorf("%d rows, kind %d, in conflict %v, %+v", len(rows), x.Kind, named, x.Result.Parts)
+	}
+	if n := f.coordinator.Counts(); n.Own != 1 {
+		t.Errorf("%+v", n)
+	}
+}
+
+// All parts refused everywhere is refused to the client as well, with the longest wait.
+func TestAllPartsRejectedRejectsTheRead(t *testing.T) {
+	f := newFixture(t, 2, "")
+	no := map[string]bool{}
+	for _, p := range newParts(treeParts) {
+		no[p.ID] = true
+	}
+	f.local.rejected, f.peers[0].rejected, f.peers[1].rejected = no, no, no
+	rows, x := f.read(t.Context(), 10*time.Minute)
+	if len(rows) > 0 || x.Kind != Refused || x.RetryAfter != time.Hour {
+		t.Errorf("%d rows, %+v", len(rows), x)
+	}
+}
+
+// A client that leaves, or takes nothing, ends or holds up all peers.
+func TestClientDisconnectCancelsAllPeers(t *testing.T) {
+	f := newFixture(t, 3, "")
+	ctx, leave := context.WithCancel(t.Context())
+	for _, p := range f.peers {
+		if err := p.link.Set(link.Backward, link.Fault{Silent: true}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	go func() {
+		for f.coordinator.Counts().Connected < 3 {
+			time.Sleep(ms)
+		}
+		leave()
+	}()
+	if rows, x := f.read(ctx, time.Minute); x.Kind != ClientDisconnected || len(rows) > 0 {
+		t.Errorf("%+v, %d rows", x, len(rows))
+	}
+	waitFor(t, "all peers' gathers end", func() bool {
+		return !slices.ContainsFunc(f.peers, func(p *fakePeer) bool { return p.inFlight.Load() > 0 })
+	})
+	for _, s := range f.coordinator.PeerStatus() {
+		if s.Failures > 0 {
+			t.Errorf("blamed for a client's going: %+v", s)
+		}
+	}
+}
+
+func TestCoordinatorRejectsInvalidOptions(t *testing.T) {
+	good := TreeOptions{Conns: 1, BytesMost: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: treeRules(0)}
+	for _, bad := range []func(*TreeOptions){func(o *TreeOptions) { o.Conns = 0 }, func(o *TreeOptions) { o.BytesMost = 0 }, func(o *TreeOptions) { o.Peers = nil }} {
+		o := good
+		bad(&o)
+		if _, err := OpenTree(o); !errors.As(err, new(*InvalidRules)) {
+			t.Errorf("%+v: %v", o, err)
+		}
+	}
+}
--- a/internal/scattergather/errors.go
+++ b/internal/scattergather/errors.go
@@ -8,65 +8,67 @@
 	"wheatsaddle/internal/operr"
 )
 
-// RulesBad is nonsense among the rules.
-type RulesBad struct{ Key, Why string }
+// InvalidRules is the error for an invalid setting.
+type InvalidRules struct{ Key, Why string }
 
-func (e *RulesBad) Error() string { return fmt.Sprintf("scatter: rules: %s: %s", e.Key, e.Why) }
+func (e *InvalidRules) Error() string { return fmt.Sprintf("scatter: rules: %s: %s", e.Key, e.Why) }
 
 // Code implements operr.Coded.
-func (*RulesBad) Code() string { return "scatter-rules-bad" }
+func (*InvalidRules) Code() string { return "scatter-rules-bad" }
 
 // Advice implements operr.Coded.
-func (*RulesBad) Advice() string { return "correct the key that the error names" }
+func (*InvalidRules) Advice() string { return "correct the key that the error names" }
 
-// Refusal is how an asking ends that never ran: it may be asked again after a while.
-type Refusal struct{ After time.Duration }
+// Rejection is the error of an attempt that was rejected without being executed. It may be retried after RetryAfter.
+type Rejection struct{ RetryAfter time.Duration }
 
-func (e *Refusal) Error() string { return fmt.Sprintf("scatter: refused for %v", e.After) }
+func (e *Rejection) Error() string {
+	return fmt.Sprintf("scatter: rejected, retry after %v", e.RetryAfter)
+}
 
 // Code implements operr.Coded.
-func (*Refusal) Code() string { return "scatter-refused" }
+func (*Rejection) Code() string { return "scatter-refused" }
 
 // Advice implements operr.Coded.
-func (*Refusal) Advice() string {
-	return "Ask again after that time. If it stays so, the shard is short of nodes or the plan's rate is used up."
+func (*Rejection) Advice() string {
+	return "Retry after that time. If the rejections continue, the shard has too few nodes or the plan's rate is used up."
 }
 
-// OutOfTime is a part that was still open when the parts' time was past.
+// PartDeadlineExceeded is the error of a part that was not complete at the parts' deadline.
 type OutOfTime struct{ Part string }
 
-func (e *OutOfTime) Error() string { return fmt.Sprintf("scatter: part %q: out of time", e.Part) }
+func (e *OutOfTime) Error() string { return fmt.Sprintf("scatter: part %q: deadline exceeded", e.Part) }
 
 // Code implements operr.Coded.
 func (*OutOfTime) Code() string { return "scatter-out-of-time" }
 
 // Advice implements operr.Coded.
 func (*OutOfTime) Advice() string {
-	return "Look at the shard that the part names; or the clients' deadline is too short for their reads."
+	return "Check the shard that the part names. The clients' deadline may also be too short for their reads."
 }
 
-// PartLong is a part's body over the memory kept for it.
-type PartLong struct {
+// PartTooLong is the error of a part whose body exceeds the memory reserved for it.
+type PartTooLong struct {
 	Part  string
 	Limit int
 }
 
-func (e *PartLong) Error() string {
+func (e *PartTooLong) Error() string {
 	return fmt.Sprintf("scatter: part %q: body over %d bytes", e.Part, e.Limit)
 }
 
 // Code implements operr.Coded.
-func (*PartLong) Code() string { return "scatter-part-long" }
+func (*PartTooLong) Code() string { return "scatter-part-long" }
 
 // Advice implements operr.Coded.
-func (*PartLong) Advice() string {
-	return "Ask for fewer rows, spread the read over more parts, or raise the limit and the process's memory."
+func (*PartTooLong) Advice() string {
+	return "Request fewer rows, spread the read over more parts, or raise the limit and the process's memory."
 }
 
-// Failed is a part that core could not have served.
+// PartFailed is the error of a part that core failed to serve.
 type Failed struct {
 	Part, Cause string
-	Again       bool // another asking may end better
+	Retryable   bool // a retry may succeed
 }
 
 func (e *Failed) Error() string { return fmt.Sprintf("scatter: part %q: %s", e.Part, e.Cause) }
@@ -76,25 +78,25 @@
 
 // Advice implements operr.Coded.
 func (*Failed) Advice() string {
-	return "Look at the nodes of the part's shard; the cause is that of any request of its class."
+	return "Check the nodes of the part's shard. The cause is the same as for any request of its class."
 }
 
-// NoRules is a gathered read of a class that has no rules.
-type NoRules struct{ Class string }
+// ClassWithoutRules is the error of a gathered read whose class has no rules.
+type ClassWithoutRules struct{ Class string }
 
-func (e *NoRules) Error() string {
-	return fmt.Sprintf("scatter: class %q has no rules of gathering", e.Class)
+func (e *ClassWithoutRules) Error() string {
+	return fmt.Sprintf("scatter: class %q has no gather rules", e.Class)
 }
 
 // Code implements operr.Coded.
-func (*NoRules) Code() string { return "scatter-no-rules" }
+func (*ClassWithoutRules) Code() string { return "scatter-no-rules" }
 
 // Advice implements operr.Coded.
-func (*NoRules) Advice() string {
-	return "Ask shard by shard, or give the class rules in section gather of the site's file."
+func (*ClassWithoutRules) Advice() string {
+	return "Read shard by shard, or add rules for the class to section gather of the site's file."
 }
 
-// ShardsBad is a list of shards that cannot be read.
+// InvalidShards is the error for a list of shards that cannot be parsed.
 type ShardsBad struct{ Shards, Why string }
 
 func (e *ShardsBad) Error() string { return fmt.Sprintf("scatter: shards: %.60q: %s", e.Shards, e.Why) }
@@ -103,9 +105,9 @@
 func (*ShardsBad) Code() string { return "scatter-shards-bad" }
 
 // Advice implements operr.Coded.
-func (*ShardsBad) Advice() string { return "Name shards like 0,3,7-9, each once, or all." }
+func (*ShardsBad) Advice() string { return "List the shards like 0,3,7-9, each once, or write all." }
 
-// NotRead is a request to gather that is no plain read.
+// NotGatherable is the error for a request to gather that is not a plain read.
 type NotRead struct{ Why string }
 
 func (e *NotRead) Error() string { return "scatter: " + e.Why }
@@ -115,30 +117,30 @@
 
 // Advice implements operr.Coded.
 func (*NotRead) Advice() string {
-	return "Send a GET by HTTP/1.1; writes are never gathered."
+	return "Send a GET over HTTP/1.1; writes are never gathered."
 }
 
-// TooLate is a gathered read whose client's time was over before a row went out.
-type TooLate struct{}
+// ClientDeadlineExceeded is the error of a gathered read whose client deadline passed before the first row was sent.
+type ClientDeadlineExceeded struct{}
 
-func (*TooLate) Error() string { return "scatter: the client's time was over" }
+func (*ClientDeadlineExceeded) Error() string { return "scatter: client deadline exceeded" }
 
 // Code implements operr.Coded.
-func (*TooLate) Code() string { return "scatter-late" }
+func (*ClientDeadlineExceeded) Code() string { return "scatter-late" }
 
 // Advice implements operr.Coded.
-func (*TooLate) Advice() string {
-	return "Give such reads more time, keep a larger share of it for the merge, or let best effort do."
+func (*ClientDeadlineExceeded) Advice() string {
+	return "Give such reads a longer deadline, reserve a larger share of it for the merge, or accept incomplete results (best-effort)."
 }
 
-// hopeless: another asking would end the same.
-func hopeless(err error) bool {
+// isPermanent reports whether a retry would fail with the same error.
+func isPermanent(err error) bool {
 	var f *Failed
-	return errors.As(err, new(*PartLong)) || errors.As(err, &f) && !f.Again
+	return errors.As(err, new(*PartTooLong)) || errors.As(err, &f) && !f.Retryable
 }
 
 func init() {
-	operr.Register(&RulesBad{"share", "is not from 0 to less than 1"}, &Refusal{time.Second}, &OutOfTime{"7"},
-		&PartLong{"7", 1 << 20}, &Failed{"7", "given up", true},
-		&NoRules{"read"}, &ShardsBad{"7-3", "ends before it begins"}, &NotRead{"writes are never gathered"}, &TooLate{})
+	operr.Register(&InvalidRules{"share", "is not from 0 to less than 1"}, &Rejection{time.Second}, &OutOfTime{"7"},
+		&PartTooLong{"7", 1 << 20}, &Failed{"7", "no node answered", true},
+		&ClassWithoutRules{"read"}, &ShardsBad{"7-3", "ends before it begins"}, &NotRead{"writes are never gathered"}, &ClientDeadlineExceeded{})
 }
--- a/internal/scattergather/plan_test.go
+++ b/internal/scattergather/gather_test.go
@@ -19,14 +19,14 @@
 
 const ms = time.Millisecond
 
-// tests are testing.T and rapid.T.
-type tests interface {
+// testingT are testing.T and rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(...any)
 }
 
 // rulesOf orders by n; more is put after.
-func rulesOf(t tests, memory int, more string) *gather.Rules {
+func rulesOf(t testingT, memory int, more string) *gather.Rules {
 	t.Helper()
 	r, err := gather.ParseRules(fmt.Appendf(nil, `{"order":[{"key":"n","type":"integer"}],"records":{"max_bytes":64},"memory":{"bytes":%d}%s}`, memory, more))
 	if err != nil {
@@ -35,21 +35,21 @@
 	return r
 }
 
-func mergeRules(t tests, need, more string) *gather.Rules {
+func mergeRules(t testingT, need, more string) *gather.Rules {
 	t.Helper()
 	return rulesOf(t, 1024, fmt.Sprintf(`,"complete":{"need":%q}%s`, need, more))
 }
 
-// body is the rows of part i, which holds i, i+parts, i+2*parts, ... so the flat merge is 0, 1, 2, ...
-func body(i, parts, rows int) (text []byte) {
+// partRows is the rows of part i, which holds i, i+parts, i+2*parts, ... so the flat merge is 0, 1, 2, ...
+func partRows(i, parts, rows int) (text []byte) {
 	for k := range rows {
 		text = fmt.Appendf(text, "{\"n\":%d}\n", i+k*parts)
 	}
 	return text
 }
 
-// flatOf is the flat merge of such parts but some.
-func flatOf(parts, rows int, without []int) (all []string) {
+// flatMergeOf is the flat merge of such parts but some.
+func flatMergeOf(parts, rows int, without []int) (all []string) {
 	for k := range parts * rows {
 		if !slices.Contains(without, k%parts) {
 			all = append(all, fmt.Sprintf(`{"n":%d}`, k))
@@ -60,15 +60,15 @@
 
 var errCut = errors.New("cut")
 
-type out struct {
-	Ask
-	sent int           // -1 - the bytes taken, where the rest waits for room
-	end  time.Duration // 0: silent
-	fate string
+type simulatedAttempt struct {
+	Attempt
+	progress int           // -1 - the bytes taken, where the rest waits for room
+	end      time.Duration // 0: silent
+	fault    string
 }
 
-// play drives a Gather through a random world and says which invariant it broke.
-func play(t *rapid.T, f fault) (broken string) {
+// simulate drives a Gather through a random world and says which invariant it broke.
+func simulate(t *rapid.T, f fault) (broken string) {
 	parts := rapid.IntRange(1, 5).Draw(t, "parts")
 	rows := rapid.IntRange(0, 60).Draw(t, "rows")
 	need := rapid.SampledFrom([]string{"all", "best-effort"}).Draw(t, "need")
@@ -91,7 +91,7 @@
 	g.fault = f
 	leave := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 30, 150}).Draw(t, "leave")) * ms
 	stall := time.Duration(rapid.SampledFrom([]int{1000, 1000, 0, 60}).Draw(t, "stall")) * ms // the client takes no more
-	var outs []*out
+	var outs []*simulatedAttempt
 	refused := map[string]time.Duration{}
 	asked, limited, free := map[string]int{}, map[string]int{}, map[string]int{}
 	ran, bad := map[string]bool{}, map[string][]int{}
@@ -99,7 +99,7 @@
 	var first *Final
 	for now := time.Duration(0); ; now += 5 * ms {
 		if leave > 0 && now >= leave {
-			g.Leave()
+			g.ClientDisconnected()
 		}
 		for range 10 { // as long as it asks to be called again
 			for now < stall {
@@ -112,8 +112,8 @@
 			wasFinal := first != nil
 			for _, a := range g.Step(now) {
 				id := a.Part.ID
-				if a.Off {
-					if i := slices.IndexFunc(outs, func(o *out) bool { return o.Part.ID == id && o.Copy == a.Copy }); i >= 0 {
+				if a.Cancel {
+					if i := slices.IndexFunc(outs, func(o *simulatedAttempt) bool { return o.Part.ID == id && o.Number == a.Number }); i >= 0 {
 						ran[id] = true
 						outs = slices.Delete(outs, i, i+1)
 					}
@@ -121,7 +121,7 @@
 				}
 				busy := 0
 				for _, o := range outs {
-					if o.sent >= 0 {
+					if o.progress >= 0 {
 						busy++
 					}
 				}
@@ -130,7 +130,7 @@
 					return "S1"
 				case busy >= r.AtOnce:
 					return "S2"
-				case now >= 300*ms || a.Until != 300*ms:
+				case now >= 300*ms || a.Deadline != 300*ms:
 					return "S3"
 				case ran[id] && !r.Safe:
 					return "S4"
@@ -142,18 +142,18 @@
 				past := slices.Clone(bad[id])
 				for _, o := range outs {
 					if o.Part.ID == id {
-						past = append(past, o.Copy)
+						past = append(past, o.Number)
 					}
 				}
 				slices.Sort(past)
-				if slices.Reverse(past); !slices.Equal(past, a.Past) {
-					return fmt.Sprintf("S10: %v, not %v", a.Past, past)
+				if slices.Reverse(past); !slices.Equal(past, a.AvoidNodesOf) {
+					return fmt.Sprintf("S10: %v, not %v", a.AvoidNodesOf, past)
 				}
 				if !r.Safe && a.Rows != 0 {
 					return "S4: may need more"
 				}
 				asked[id]++
-				o := &out{Ask: a.Ask, fate: rapid.SampledFrom([]string{"whole", "whole", "cut", "refused", "silent", "empty"}).Draw(t, "fate")}
+				o := &simulatedAttempt{Attempt: a.Attempt, fault: rapid.SampledFrom([]string{"whole", "whole", "cut", "refused", "silent", "empty"}).Draw(t, "fate")}
 				o.end = now + time.Duration(rapid.IntRange(1, 16).Draw(t, "after"))*5*ms
 				outs = append(outs, o)
 			}
@@ -163,13 +163,13 @@
 					return "S7"
 				}
 			}
-			if g.Wake() > now {
+			if g.WakeAt() > now {
 				break
 			}
 		}
 		if first != nil {
 			for id := range asked { // what comes late changes nothing
-				g.Ended(now, id, 1, nil)
+				g.AttemptEnded(now, id, 1, nil)
 			}
 			if x, _ := g.Final(); x.Kind != first.Kind {
 				return "S1: another final"
@@ -180,48 +180,48 @@
 			return "S9"
 		}
 		for _, o := range slices.Clone(outs) {
-			if now < o.end || o.fate == "silent" {
+			if now < o.end || o.fault == "silent" {
 				continue
 			}
-			text := body(o.Part.Shard, parts, rows)
+			text := partRows(o.Part.Shard, parts, rows)
 			var end error
 			switch {
-			case o.fate == "cut":
+			case o.fault == "cut":
 				text, end = text[:len(text)*2/3], errCut
-			case o.fate == "empty":
+			case o.fault == "empty":
 				text, end = nil, errCut
-			case o.fate == "refused":
-				text, end = nil, &Refusal{25 * ms}
+			case o.fault == "refused":
+				text, end = nil, &Rejection{25 * ms}
 			case o.Rows > 0 && o.Rows < rows:
-				text, end = body(o.Part.Shard, parts, o.Rows), &gather.Limited{}
+				text, end = partRows(o.Part.Shard, parts, o.Rows), &gather.Limited{}
 			}
 			at := 0
-			if o.sent < 0 {
-				at = -1 - o.sent
+			if o.progress < 0 {
+				at = -1 - o.progress
 			}
-			n := g.Take(now, o.Part.ID, o.Copy, text[at:])
+			n := g.Receive(now, o.Part.ID, o.Number, text[at:])
 			if at += n; at < len(text) {
-				o.sent = -1 - at // it waits for room
+				o.progress = -1 - at // it waits for room
 				continue
 			}
-			outs = slices.DeleteFunc(outs, func(x *out) bool { return x == o })
-			if o.fate == "refused" {
+			outs = slices.DeleteFunc(outs, func(x *simulatedAttempt) bool { return x == o })
+			if o.fault == "refused" {
 				wait := 25 * ms
-				if k := free[o.Part.ID]; len(got) > 0 && k < refusedMost {
-					wait = max(wait, refusedLeast<<min(k, refusedGrows))
+				if k := free[o.Part.ID]; len(got) > 0 && k < maxUncountedRejections {
+					wait = max(wait, minRejectionBackoff<<min(k, maxBackoffDoublings))
 					free[o.Part.ID]++
 				}
 				refused[o.Part.ID] = now + wait
 			} else {
 				ran[o.Part.ID] = true
 			}
-			if errors.Is(end, errCut) || o.fate == "refused" {
-				bad[o.Part.ID] = append(bad[o.Part.ID], o.Copy)
+			if errors.Is(end, errCut) || o.fault == "refused" {
+				bad[o.Part.ID] = append(bad[o.Part.ID], o.Number)
 			}
 			if atLimit := (*gather.Limited)(nil); errors.As(end, &atLimit) {
 				limited[o.Part.ID]++
 			}
-			g.Ended(now, o.Part.ID, o.Copy, end)
+			g.AttemptEnded(now, o.Part.ID, o.Number, end)
 		}
 	}
 	// S8: rows are those of the flat merge in order; what is absent is of a named part, or after the end.
@@ -251,8 +251,8 @@
 	return ""
 }
 
-// finds says that each fault is found by the invariant that it breaks.
-func finds[F comparable](t *testing.T, play func(*rapid.T, F) string, faults map[F]string) {
+// checkFaultsAreFound says that each fault is found by the invariant that it breaks.
+func checkFaultsAreFound[F comparable](t *testing.T, play func(*rapid.T, F) string, faults map[F]string) {
 	t.Helper()
 	for f, want := range faults {
 		gen, found := rapid.Custom(func(t *rapid.T) string { return play(t, f) }), map[string]int{}
@@ -267,8 +267,8 @@
 	}
 }
 
-// holds says that a play breaks no invariant.
-func holds[F any](t *testing.T, play func(*rapid.T, F) string) {
+// checkInvariants says that a play breaks no invariant.
+func checkInvariants[F any](t *testing.T, play func(*rapid.T, F) string) {
 	t.Helper()
 	var sound F
 	rapid.Check(t, func(t *rapid.T) {
@@ -278,41 +278,41 @@
 	})
 }
 
-func TestInvariants(t *testing.T) { holds(t, play) }
+func TestInvariants(t *testing.T) { checkInvariants(t, simulate) }
 
-func TestMutationsAreFound(t *testing.T) {
-	finds(t, play, map[fault]string{faultEnd: "S1", faultAtOnce: "S2", faultTime: "S3", faultUnsafe: "S4", faultAgain: "S5",
-		faultRetry: "S6", faultOff: "S7", faultDrop: "S8", faultFinal: "S9", faultPast: "S10"})
+func TestInvariantsFindInjectedFaults(t *testing.T) {
+	checkFaultsAreFound(t, simulate, map[fault]string{faultChangeFinal: "S1", faultIgnoreConcurrencyLimit: "S2", faultIgnorePartsDeadline: "S3", faultRetryNonIdempotent: "S4", faultIgnoreMaxRetries: "S5",
+		faultIgnoreRetryAfter: "S6", faultNoCancel: "S7", faultHideLoss: "S8", faultIgnoreDeadline: "S9", faultNoAvoidedNodes: "S10"})
 }
 
 // Once rows have gone out, a part that is refused is asked until its time is over, each time after a longer wait.
-func TestRefusedAfterRows(t *testing.T) {
+func TestRejectedPartIsRetriedWithGrowingBackoffOnceRowsWereSent(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 4}, time.Minute, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.Step(0)
-	g.Take(0, "a", 1, body(0, 2, 3))
-	g.Take(0, "b", 1, body(1, 2, 1))
+	g.Receive(0, "a", 1, partRows(0, 2, 3))
+	g.Receive(0, "b", 1, partRows(1, 2, 1))
 	if _, ok := g.Next(); !ok {
 		t.Fatal("no row")
 	}
-	g.Ended(0, "b", 1, &Refusal{ms})
+	g.AttemptEnded(0, "b", 1, &Rejection{ms})
 	now, last := time.Duration(0), time.Duration(0)
-	for n := range refusedMost {
+	for n := range maxUncountedRejections {
 		g.Step(now)
-		at := g.Wake()
-		if at-now < last || at-now < refusedLeast {
+		at := g.WakeAt()
+		if at-now < last || at-now < minRejectionBackoff {
 			t.Errorf("refusal %d: again after %v, before that %v", n, at-now, last)
 		}
 		last, now = at-now, at
-		if acts := g.Step(now); len(acts) != 1 || acts[0].Part.ID != "b" || acts[0].Copy != n+2 {
+		if acts := g.Step(now); len(acts) != 1 || acts[0].Part.ID != "b" || acts[0].Number != n+2 {
 			t.Fatalf("refusal %d: %+v", n, acts)
 		}
-		g.Ended(now, "b", n+2, &Refusal{ms})
+		g.AttemptEnded(now, "b", n+2, &Rejection{ms})
 	}
 	for g.Next(); ; g.Next() { // the last of them counted
-		if g.Step(now); g.Wake() > now {
+		if g.Step(now); g.WakeAt() > now {
 			break
 		}
 	}
@@ -321,25 +321,25 @@
 	}
 }
 
-func TestRefusedAtOnce(t *testing.T) {
+func TestRejectedPartBeforeAnyRowRejectsTheRead(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 4}, time.Second, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.Step(0)
-	g.Ended(ms, "a", 1, &Refusal{70 * ms})
+	g.AttemptEnded(ms, "a", 1, &Rejection{70 * ms})
 	g.Step(ms)
 	g.Next()
 	acts := g.Step(ms)
 	f, ok := g.Final()
-	if !ok || f.Kind != Refused || f.RetryAfter != 70*ms || len(acts) != 1 || !acts[0].Off || acts[0].Part.ID != "b" {
+	if !ok || f.Kind != Refused || f.RetryAfter != 70*ms || len(acts) != 1 || !acts[0].Cancel || acts[0].Part.ID != "b" {
 		t.Errorf("%v %+v %v", ok, f, acts)
 	}
-	all := []operr.Coded{&RulesBad{}, &Refusal{}, &OutOfTime{}, &PartLong{}, &Failed{}}
+	all := []operr.Coded{&InvalidRules{}, &Rejection{}, &OutOfTime{}, &PartTooLong{}, &Failed{}}
 	if err := operr.Check(all); err != nil {
 		t.Error(err)
 	}
-	if _, err = New(Rules{Merge: g.r.Merge}, time.Second, []gather.Part{{ID: "a"}}); !errors.As(err, new(*RulesBad)) {
+	if _, err = New(Rules{Merge: g.rules.Merge}, time.Second, []gather.Part{{ID: "a"}}); !errors.As(err, new(*InvalidRules)) {
 		t.Error(err)
 	}
 }
--- a/internal/scattergather/tree_group_test.go
+++ b/internal/scattergather/group_test.go
@@ -21,7 +21,7 @@
 	var text []byte
 	left := make([][]byte, len(group))
 	for i, p := range group {
-		left[i] = body(p.Shard, parts, rows)
+		left[i] = partRows(p.Shard, parts, rows)
 	}
 	for done := false; !done; {
 		for i, p := range group {
@@ -42,19 +42,19 @@
 	return text
 }
 
-// copyOut is a copy of a group, or an own part, that is under way.
-type copyOut struct {
-	Ask
-	text []byte
-	at   int
-	fate string
-	from time.Duration
-	last time.Duration // it brought something
-	held bool
+// simulatedGroupAttempt is a copy of a group, or an own part, that is under way.
+type simulatedGroupAttempt struct {
+	Attempt
+	text    []byte
+	sent    int
+	fault   string
+	from    time.Duration
+	last    time.Duration // it brought something
+	blocked bool
 }
 
-// playTree drives a Gather with groups through a random world and says which invariant it broke.
-func playTree(t *rapid.T, f treeFault) string {
+// simulateTree drives a Gather with groups through a random world and says which invariant it broke.
+func simulateTree(t *rapid.T, f treeFault) string {
 	const total, until = 400 * ms, 300 * ms
 	parts := rapid.IntRange(4, 14).Draw(t, "parts")
 	rows := rapid.IntRange(0, 40).Draw(t, "rows")
@@ -63,17 +63,17 @@
 	r := Rules{Share: 0.25, AtOnce: rapid.IntRange(1, 4).Draw(t, "atOnce"), Safe: true}
 	cut := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
 	r.Merge = rulesOf(t, 8192, `,"complete":{"need":"best-effort"}`+cut)
-	book, err := NewBook(set, rapid.Uint64().Draw(t, "seed"))
+	book, err := NewPeerTable(set, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := book.Split(0, leaves(parts), true, false)
+	plan := book.Split(0, newParts(parts), true, false)
 	g, err := New(r, total, plan.Parts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.hand(set, plan)
-	g.treeBad = f
+	g.setGroups(set, plan)
+	g.treeFault = f
 	stall := rapid.SampledFrom([]time.Duration{total, total, 0, 60 * ms}).Draw(t, "stall") // the client takes no more
 	byID := map[string]Group{}
 	whole := map[string][]byte{}
@@ -81,7 +81,7 @@
 		byID[x.ID] = x
 		whole[x.ID] = partialOf(t, r.Merge, x.Parts, parts, rows)
 	}
-	var outs []*copyOut
+	var outs []*simulatedGroupAttempt
 	self, peers, over := map[string]bool{}, map[string]int{}, map[string]bool{}
 	lost, failed, slack := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	var got []string
@@ -97,26 +97,26 @@
 			for _, a := range g.Step(now) {
 				id := a.Part.ID
 				x, isGroup := byID[id]
-				if a.Off {
-					outs = slices.DeleteFunc(outs, func(o *copyOut) bool { return o.Part.ID == id && o.Copy == a.Copy })
+				if a.Cancel {
+					outs = slices.DeleteFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.Number == a.Number })
 					continue
 				}
-				o := &copyOut{Ask: a.Ask, fate: "whole", from: now, last: now}
+				o := &simulatedGroupAttempt{Attempt: a.Attempt, fault: "whole", from: now, last: now}
 				if !isGroup {
-					o.text = body(a.Part.Shard, parts, rows)
+					o.text = partRows(a.Part.Shard, parts, rows)
 				} else {
 					o.text = whole[id]
 					if a.Peer == "" {
 						self[id] = true
-						o.fate = rapid.SampledFrom([]string{"whole", "whole", "whole", "refused"}).Draw(t, "own fate")
+						o.fault = rapid.SampledFrom([]string{"whole", "whole", "whole", "refused"}).Draw(t, "own fate")
 					} else {
 						peers[id]++
-						o.fate = rapid.SampledFrom([]string{"whole", "failed", "cut", "silent", "silent", "slow", "slow", "lost"}).Draw(t, "fate")
+						o.fault = rapid.SampledFrom([]string{"whole", "failed", "cut", "silent", "silent", "slow", "slow", "lost"}).Draw(t, "fate")
 						if lost[id] {
 							return "T6: a peer after one that lost parts"
 						}
 					}
-					if peers[id] > len(x.Order) || a.Peer != "" && !slices.Contains(x.Order, a.Peer) {
+					if peers[id] > len(x.PeerOrder) || a.Peer != "" && !slices.Contains(x.PeerOrder, a.Peer) {
 						return "T3"
 					}
 				}
@@ -127,11 +127,11 @@
 						n++
 					}
 				}
-				if isGroup && n > copyMost {
+				if isGroup && n > maxConcurrentAttempts {
 					return "T7: three"
 				}
 			}
-			if g.Wake() > now {
+			if g.WakeAt() > now {
 				break
 			}
 		}
@@ -145,12 +145,12 @@
 		if now >= total {
 			return "S9"
 		}
-		for _, d := range g.m.Want() { // what was brought waits for the merge
+		for _, d := range g.merge.Want() { // what was brought waits for the merge
 			slack[d.Part] = slack[d.Part] || !d.First && 2*d.Bytes <= 8192/(len(plan.Parts())+1)
 		}
 		for id := range byID {
-			k := slices.IndexFunc(outs, func(o *copyOut) bool { return o.Part.ID == id })
-			slack[id] = slack[id] || k >= 0 && slices.ContainsFunc(outs, func(o *copyOut) bool { return o.Part.ID == id && o.held })
+			k := slices.IndexFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })
+			slack[id] = slack[id] || k >= 0 && slices.ContainsFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.blocked })
 			// What waits for room is not late.
 			if over[id] || self[id] || slack[id] || stall < total || cut != "" || now >= until {
 				continue
@@ -162,7 +162,7 @@
 			if now > until*n/(n+1) {
 				return "T6: not asked in time"
 			}
-			if newest := outs[len(outs)-1-slices.IndexFunc(reversed(outs), func(o *copyOut) bool { return o.Part.ID == id })]; now > newest.last+set.Silent {
+			if newest := outs[len(outs)-1-slices.IndexFunc(reversed(outs), func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })]; now > newest.last+set.Silent {
 				return "T7: silent, and nobody follows"
 			}
 		}
@@ -174,7 +174,7 @@
 			}
 			limit := len(o.text)
 			var end error
-			switch o.fate {
+			switch o.fault {
 			case "silent":
 				continue
 			case "slow":
@@ -182,25 +182,25 @@
 			case "failed":
 				limit, end = 0, &PeerFailed{id, o.Peer, "gone"}
 			case "refused":
-				limit, end = 0, &Refusal{ms}
+				limit, end = 0, &Rejection{ms}
 			case "cut":
 				limit, end = len(o.text)*2/3, &PeerFailed{id, o.Peer, "cut"}
 			case "lost":
-				limit, end = len(o.text)/2, &PeerLost{id, o.Peer, "x"}
+				limit, end = len(o.text)/2, &PeerLostParts{id, o.Peer, "x"}
 			}
-			n := min(most, limit-o.at)
-			took := g.Take(now, id, o.Copy, o.text[o.at:o.at+n])
-			if o.held = took < n; took > 0 {
+			n := min(most, limit-o.sent)
+			took := g.Receive(now, id, o.Number, o.text[o.sent:o.sent+n])
+			if o.blocked = took < n; took > 0 {
 				o.last = now
 			}
-			if o.at += took; o.at < limit || o.held {
+			if o.sent += took; o.sent < limit || o.blocked {
 				continue
 			}
-			outs = slices.DeleteFunc(outs, func(x *copyOut) bool { return x == o })
-			lost[id] = lost[id] || o.fate == "lost"
+			outs = slices.DeleteFunc(outs, func(x *simulatedGroupAttempt) bool { return x == o })
+			lost[id] = lost[id] || o.fault == "lost"
 			over[id] = over[id] || end == nil
-			failed[id] = failed[id] || o.fate == "refused"
-			g.Ended(now, id, o.Copy, end)
+			failed[id] = failed[id] || o.fault == "refused"
+			g.AttemptEnded(now, id, o.Number, end)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 	return shard
 }
 
-func TestTakeOver(t *testing.T) { holds(t, playTree) }
+func TestGroupTakeoverInvariants(t *testing.T) { checkInvariants(t, simulateTree) }
 
-func TestTakeOverMutationsAreFound(t *testing.T) {
-	finds(t, playTree, map[treeFault]string{treeNoSelf: "T6", treePatient: "T6", treeThree: "T7", treeSilent: "T7", treeLost: "T6"})
+func TestGroupTakeoverInvariantsFindInjectedFaults(t *testing.T) {
+	checkFaultsAreFound(t, simulateTree, map[treeFault]string{treeFaultNoLocalAttempt: "T6", treeFaultIgnoreTimeShare: "T6", treeFaultThirdAttempt: "T7", treeFaultIgnoreSilence: "T7", treeFaultIgnoreLostParts: "T6"})
 }
--- a/internal/scattergather/report.go
+++ b/internal/scattergather/report.go
@@ -9,24 +9,24 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Report is what a client is told of a final answer, as JSON.
+// Report is the description of a final answer that is sent to the client as JSON.
 type Report struct {
 	Whole    bool  `json:"whole"`
-	Missing  []int `json:"missing,omitempty"`  // shards of which nothing came
-	Cut      []int `json:"cut,omitempty"`      // that ended before their end
-	Conflict []int `json:"conflict,omitempty"` // that are in conflict, with themselves or others
-	// Why is why a part is missing or cut, by shard: a code, and of a part that failed its cause.
+	Missing  []int `json:"missing,omitempty"`  // shards without any row
+	Cut      []int `json:"cut,omitempty"`      // shards whose rows are truncated
+	Conflict []int `json:"conflict,omitempty"` // shards in conflict, with themselves or with others
+	// Why is the reason for each missing or truncated shard: an error code, and for a failed part also its cause.
 	Why       map[string]string `json:"why,omitempty"`
 	Conflicts int64             `json:"conflicts,omitempty"` // keys whose rows differ
-	Truncated string            `json:"truncated,omitempty"` // the rule that ended it
-	Token     string            `json:"token,omitempty"`     // to go on
-	Limited   bool              `json:"limited,omitempty"`   // of a partial result: it stopped at its rows
-	Code      string            `json:"code,omitempty"`      // why it ended early or could not begin
+	Truncated string            `json:"truncated,omitempty"` // the rule that truncated the result
+	Token     string            `json:"token,omitempty"`     // continues the read after the last row
+	Limited   bool              `json:"limited,omitempty"`   // a partial result that stopped at its row limit
+	Code      string            `json:"code,omitempty"`      // why the read ended early or could not start
 	Error     string            `json:"error,omitempty"`
 	Advice    string            `json:"advice,omitempty"`
 }
 
-// Report words a final answer. Error and Advice are left out of a whole one and, to keep a trailer short, where brief.
+// Report describes a final answer. Error and Advice are omitted if the answer is complete, and if brief is set, to keep a trailer short.
 func (f Final) Report(brief bool) Report {
 	r := Report{Whole: f.Result.Whole && f.Kind == Served, Conflicts: f.Result.Conflicts, Truncated: f.Result.Truncated,
 		Token: f.Result.Token, Limited: f.Limited}
@@ -39,7 +39,7 @@
 			if r.Why == nil {
 				r.Why = map[string]string{}
 			}
-			r.Why[strconv.Itoa(shard)] = reason(p.Why)
+			r.Why[strconv.Itoa(shard)] = reasonCode(p.Why)
 		}
 		if p.Missing {
 			r.Missing = append(r.Missing, shard)
@@ -52,7 +52,7 @@
 		}
 	}
 	var c operr.Coded
-	switch err := f.Why(); {
+	switch err := f.Cause(); {
 	case err == nil:
 	case errors.As(err, &c):
 		if r.Code = c.Code(); !brief {
@@ -64,37 +64,37 @@
 	return r
 }
 
-// JSON is the report's text, in one line.
+// JSON returns the report as one line of JSON.
 func (r Report) JSON() []byte {
 	text, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // it has only plain fields
+		panic(err) // cannot happen: the report has only plain fields
 	}
 	return text
 }
 
-// Why is the error that a final answer rests on; nil: none.
-func (f Final) Why() error {
+// Cause returns the error behind a final answer, or nil if there is none.
+func (f Final) Cause() error {
 	switch f.Kind {
 	case Invalid:
 		return f.Err
 	case Refused:
-		return &Refusal{f.RetryAfter}
+		return &Rejection{f.RetryAfter}
 	case Late:
-		return &TooLate{}
+		return &ClientDeadlineExceeded{}
 	}
 	return f.Result.Err
 }
 
-func reason(err error) string {
+func reasonCode(err error) string {
 	var failed *Failed
-	var told *gather.Told
+	var reported *gather.Told
 	var c operr.Coded
 	switch {
 	case errors.As(err, &failed):
 		return failed.Code() + ": " + failed.Cause
-	case errors.As(err, &told): // by a partial result
-		return told.Why
+	case errors.As(err, &reported): // by a partial result
+		return reported.Why
 	case errors.As(err, &c):
 		return c.Code()
 	}
--- a/internal/scattergather/run.go
+++ b/internal/scattergather/run.go
@@ -8,26 +8,26 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-// batchMost is how many bytes of rows go to the writer at once, and one row.
-const batchMost = 32 << 10
+// maxBatchBytes is the number of bytes of rows after which a batch goes to the writer; one row may exceed it.
+const maxBatchBytes = 32 << 10
 
-// Asker sends askings of parts. Neither method blocks. Of an asking that is called off nothing more is needed; its Sink
-// may still be used.
-type Asker interface {
-	Ask(a Ask, until time.Time, to *Sink)
-	Off(a Ask)
+// Sender sends attempts of parts. Neither method blocks. After an attempt is cancelled nothing more is needed from it, but its
+// Sink may still be used.
+type Sender interface {
+	Send(a Attempt, until time.Time, to *Sink)
+	Cancel(a Attempt)
 }
 
-// Sink takes what an asking brings.
+// Sink receives the bytes and the end of an attempt.
 type Sink struct {
-	ask    Ask
-	off    chan struct{} // closed when the asking is called off
-	done   <-chan struct{}
-	pieces chan<- piece
-	ends   chan<- ending
-	held   []byte        // the loop's: what the merge has not taken yet
-	took   chan struct{} // the piece is taken
-	ending *ending       // the loop's: waits until held is taken
+	attempt    Attempt
+	cancelled  chan struct{} // closed when the attempt is cancelled
+	done       <-chan struct{}
+	pieces     chan<- piece
+	ends       chan<- attemptEnd
+	unconsumed []byte        // owned by run: bytes that the merge has not consumed yet
+	consumed   chan struct{} // signals that the piece is consumed
+	end        *attemptEnd   // owned by run: pending until unconsumed is empty
 }
 
 type piece struct {
@@ -35,152 +35,153 @@
 	data []byte
 }
 
-type ending struct {
+type attemptEnd struct {
 	from *Sink
 	data []byte
 	err  error
 }
 
-// Piece gives the next bytes and waits until the merge has taken them: back-pressure. The bytes are the caller's again
-// then. False: no more is needed.
-func (s *Sink) Piece(data []byte) bool {
+// Deliver passes on the next bytes and blocks until the merge has consumed them (back-pressure). After that the caller may
+// reuse data. It returns false if no more bytes are needed.
+func (s *Sink) Deliver(data []byte) bool {
 	if len(data) == 0 {
 		return true
 	}
-	if !sync.SendOrEither(s.pieces, piece{s, data}, s.off, s.done) {
+	if !sync.SendOrEither(s.pieces, piece{s, data}, s.cancelled, s.done) {
 		return false
 	}
-	// Off: the loop is done with data, and closed it.
-	_, _, _, which := sync.First3(s.took, s.off, s.done)
+	// On cancellation, run drops data before it closes the channel.
+	_, _, _, which := sync.First3(s.consumed, s.cancelled, s.done)
 	return which == 0
 }
 
-// End says, once, how the asking ended, with its last bytes, or all of a whole body; those are the gather's from now on.
-// It does not block. Errors: nil, *Refusal, *gather.Limited, others.
-func (s *Sink) End(data []byte, err error) { sync.Send(s.ends, ending{s, data, err}) }
+// End reports, exactly once, how the attempt ended. data is the last bytes of the body, or all of it, and belongs to the gather
+// from now on. End does not block. err is nil, *Rejection, *gather.Limited or another error.
+func (s *Sink) End(data []byte, err error) { sync.Send(s.ends, attemptEnd{s, data, err}) }
 
-// Options of Run.
+// Options are the options of Run.
 type Options struct {
-	Arrived  time.Time
-	PartMost int                     // bytes of the data that a part's End may bring
-	Write    func(rows []byte) error // records, or frames of a partial result; called by one goroutine at a time; an error: the client left
+	ReceivedAt   time.Time
+	MaxPartBytes int // bytes of the data that an End may carry
+	// Write receives records, or frames of a partial result, from one goroutine at a time. An error means that the client disconnected.
+	Write func(rows []byte) error
 }
 
-// Run carries a gathered read out and returns its one final answer. The context's end says that the client left. Run waits
-// for a Write that is out, and for nothing else.
-func Run(ctx context.Context, g *Gather, asker Asker, opt Options) Final {
-	wake := time.NewTimer(0)
-	defer wake.Stop()
-	now := func() time.Duration { return time.Since(opt.Arrived) }
-	return run(ctx, g, asker, opt, clock{now, wake.C, func(at time.Duration) { wake.Reset(max(0, at-now())) }})
+// Run executes a gathered read and returns its final answer. The end of the context means that the client disconnected. Run waits
+// for a Write in progress and for nothing else.
+func Run(ctx context.Context, g *Gather, sender Sender, opt Options) Final {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	now := func() time.Duration { return time.Since(opt.ReceivedAt) }
+	return run(ctx, g, sender, opt, clock{now, timer.C, func(at time.Duration) { timer.Reset(max(0, at-now())) }})
 }
 
-// clock is what run knows of time.
+// clock is the time source of run.
 type clock struct {
 	now   func() time.Duration // since the request arrived
 	wake  <-chan time.Time
 	reset func(at time.Duration)
 }
 
-func run(ctx context.Context, g *Gather, asker Asker, opt Options, c clock) Final {
+func run(ctx context.Context, g *Gather, sender Sender, opt Options, c clock) Final {
 	now := c.now
 	done := make(chan struct{})
 	defer sync.Close(done)
-	// Each asking sends one end, so that none blocks.
-	ends := make(chan ending, len(g.parts)*(1+max(g.r.Again, copiesMost)+moreMost+refusedMost))
+	// The buffer has room for the end of each attempt, so End never blocks.
+	ends := make(chan attemptEnd, len(g.parts)*(1+max(g.rules.Again, maxPeersPerGroup)+maxRowLimitRaises+maxUncountedRejections))
 	pieces := make(chan piece)
-	write, wrote := make(chan []byte), make(chan error, 1)
-	defer sync.Close(write)
+	batches, written := make(chan []byte), make(chan error, 1)
+	defer sync.Close(batches)
 	sync.Go(func() {
-		for b, ok := sync.Recv(write); ok; b, ok = sync.Recv(write) {
-			sync.Send(wrote, opt.Write(b))
+		for b, ok := sync.Recv(batches); ok; b, ok = sync.Recv(batches) {
+			sync.Send(written, opt.Write(b))
 		}
 	})
-	out := map[string][]*Sink{} // askings by part, in order of numbers
+	inFlight := map[string][]*Sink{} // attempts by part, ordered by number
 	var rows, spare []byte
-	busy := false
-	// feed gives the merge what it has room for.
-	feed := func(id string) (fed bool) {
-		for i := 0; i < len(out[id]); i++ {
-			s := out[id][i]
-			if len(s.held) == 0 && s.ending == nil {
+	writing := false
+	// feedMerge passes bytes to the merge up to its available memory.
+	feedMerge := func(id string) (progressed bool) {
+		for i := 0; i < len(inFlight[id]); i++ {
+			s := inFlight[id][i]
+			if len(s.unconsumed) == 0 && s.end == nil {
 				continue
 			}
-			if len(s.held) > 0 {
-				sync.Reads(&s.held[0])
+			if len(s.unconsumed) > 0 {
+				sync.Reads(&s.unconsumed[0])
 			}
-			n := g.Take(now(), id, s.ask.Copy, s.held)
-			s.held = s.held[n:]
-			fed = fed || n > 0
+			n := g.Receive(now(), id, s.attempt.Number, s.unconsumed)
+			s.unconsumed = s.unconsumed[n:]
+			progressed = progressed || n > 0
 			switch {
-			case len(s.held) > 0:
-			case s.ending != nil:
-				out[id] = slices.Delete(out[id], i, i+1)
+			case len(s.unconsumed) > 0:
+			case s.end != nil:
+				inFlight[id] = slices.Delete(inFlight[id], i, i+1)
 				i--
-				g.Ended(now(), id, s.ask.Copy, s.ending.err)
-				fed = true
+				g.AttemptEnded(now(), id, s.attempt.Number, s.end.err)
+				progressed = true
 			default:
-				sync.Send(s.took, struct{}{})
+				sync.Send(s.consumed, struct{}{})
 			}
 		}
-		return fed
+		return progressed
 	}
 	for {
-		for again := true; again; {
-			again = false
+		for progressed := true; progressed; {
+			progressed = false
 			for _, p := range g.parts {
-				again = feed(p.ID) || again
+				progressed = feedMerge(p.ID) || progressed
 			}
-			if !busy {
-				rows = g.Append(rows, batchMost)
+			if !writing {
+				rows = g.Append(rows, maxBatchBytes)
 			}
 			if len(rows) > 0 {
-				busy = true
-				sync.Send(write, rows)
+				writing = true
+				sync.Send(batches, rows)
 				rows, spare = spare[:0], rows
 			}
 			for _, a := range g.Step(now()) {
 				id := a.Part.ID
-				if !a.Off {
-					s := &Sink{ask: a.Ask, off: make(chan struct{}), done: done, pieces: pieces, ends: ends, took: make(chan struct{}, 1)}
-					out[id] = append(out[id], s)
-					asker.Ask(a.Ask, opt.Arrived.Add(a.Until), s)
+				if !a.Cancel {
+					s := &Sink{attempt: a.Attempt, cancelled: make(chan struct{}), done: done, pieces: pieces, ends: ends, consumed: make(chan struct{}, 1)}
+					inFlight[id] = append(inFlight[id], s)
+					sender.Send(a.Attempt, opt.ReceivedAt.Add(a.Deadline), s)
 					continue
 				}
-				if i := slices.IndexFunc(out[id], func(s *Sink) bool { return s.ask.Copy == a.Copy }); i >= 0 {
-					s := out[id][i]
-					out[id] = slices.Delete(out[id], i, i+1)
-					s.held, s.ending = nil, nil
-					sync.Close(s.off)
-					asker.Off(s.ask)
+				if i := slices.IndexFunc(inFlight[id], func(s *Sink) bool { return s.attempt.Number == a.Number }); i >= 0 {
+					s := inFlight[id][i]
+					inFlight[id] = slices.Delete(inFlight[id], i, i+1)
+					s.unconsumed, s.end = nil, nil
+					sync.Close(s.cancelled)
+					sender.Cancel(s.attempt)
 				}
 			}
 			if f, ok := g.Final(); ok {
-				if busy {
-					if err, _ := sync.Recv(wrote); err != nil { // it left before its last rows
-						f.Kind = Left
+				if writing {
+					if err, _ := sync.Recv(written); err != nil { // the client disconnected before its last rows
+						f.Kind = ClientDisconnected
 					}
 				}
 				return f
 			}
-			again = again || g.Wake() <= now()
+			progressed = progressed || g.WakeAt() <= now()
 		}
-		c.reset(g.Wake())
-		switch _, err, p, e, _, which := sync.First5(ctx.Done(), wrote, pieces, ends, c.wake); which {
+		c.reset(g.WakeAt())
+		switch _, err, p, e, _, which := sync.First5(ctx.Done(), written, pieces, ends, c.wake); which {
 		case 0:
-			g.Leave()
+			g.ClientDisconnected()
 		case 1:
-			if busy = false; err != nil {
-				g.Leave()
+			if writing = false; err != nil {
+				g.ClientDisconnected()
 			}
 		case 2:
-			p.from.held = p.data
+			p.from.unconsumed = p.data
 		case 3:
-			e := e // its own: it is kept
-			if len(e.data) > opt.PartMost {
-				e.data, e.err = e.data[:opt.PartMost:opt.PartMost], &PartLong{e.from.ask.Part.ID, opt.PartMost}
+			e := e // its address is kept
+			if len(e.data) > opt.MaxPartBytes {
+				e.data, e.err = e.data[:opt.MaxPartBytes:opt.MaxPartBytes], &PartTooLong{e.from.attempt.Part.ID, opt.MaxPartBytes}
 			}
-			e.from.held, e.from.ending = e.data, &e
+			e.from.unconsumed, e.from.end = e.data, &e
 		}
 	}
 }
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	shards = 4
-	each   = 200 // rows of a shard: more than its share of the merge's memory
+	shardCount   = 4
+	rowsPerShard = 200 // rows of a shard: more than its share of the merge's memory
 )
 
-// shard is the one node of its shard, as core reaches it: it has its rows and a fault.
-type shard struct {
-	i           int
-	fault       string
-	life        context.Context
-	asked, open atomic.Int32
-	mu          sync.Mutex
-	out         map[*core.Attempt]context.CancelFunc
+// fakeNode is the one node of its shard, as core reaches it: it has its rows and a fault.
+type fakeNode struct {
+	i                  int
+	fault              string
+	ctx                context.Context
+	requests, inFlight atomic.Int32
+	mu                 sync.Mutex
+	cancels            map[*core.Attempt]context.CancelFunc
 }
 
-func (s *shard) Send(a *core.Attempt) bool {
-	ctx, cancel := context.WithDeadline(s.life, a.Deadline)
+func (s *fakeNode) Send(a *core.Attempt) bool {
+	ctx, cancel := context.WithDeadline(s.ctx, a.Deadline)
 	s.mu.Lock()
-	s.out[a] = cancel
+	s.cancels[a] = cancel
 	s.mu.Unlock()
 	go func() {
 		defer s.Cancel(a)
@@ -45,10 +45,10 @@
 			a.Done(core.Result{Status: policy.Abandoned})
 			return
 		}
-		n := s.asked.Add(1)
-		s.open.Add(1)
-		defer s.open.Add(-1)
-		r := core.Result{Status: policy.OK, Payload: body(s.i, shards, each)}
+		n := s.requests.Add(1)
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
+		r := core.Result{Status: policy.OK, Payload: partRows(s.i, shardCount, rowsPerShard)}
 		switch {
 		case s.fault == "full":
 			r = core.Result{Status: policy.NodeFull}
@@ -66,40 +66,40 @@
 	return true
 }
 
-func (s *shard) Cancel(a *core.Attempt) {
+func (s *fakeNode) Cancel(a *core.Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cancel := s.out[a]; cancel != nil {
+	if cancel := s.cancels[a]; cancel != nil {
 		cancel()
-		delete(s.out, a)
+		delete(s.cancels, a)
 	}
 }
-func (s *shard) CheckHealth(func(core.Result, time.Duration)) bool { return false }
-func (s *shard) Connect(func(policy.Status)) bool                  { return false }
-func (s *shard) Drain(bool)                                        {}
-func (s *shard) SetAddresses([]address.Addr)                       {}
-func (s *shard) Close()                                            {}
+func (s *fakeNode) CheckHealth(func(core.Result, time.Duration)) bool { return false }
+func (s *fakeNode) Connect(func(policy.Status)) bool                  { return false }
+func (s *fakeNode) Drain(bool)                                        {}
+func (s *fakeNode) SetAddresses([]address.Addr)                       {}
+func (s *fakeNode) Close()                                            {}
 
-type world struct {
-	c      *core.Core
-	shards []*shard
-	asker  *Core
+type coreFixture struct {
+	core   *core.Core
+	shards []*fakeNode
+	sender *CoreSender
 	parts  []gather.Part
 }
 
-func start(t *testing.T, faults [shards]string) *world {
+func newCoreFixture(t *testing.T, faults [shardCount]string) *coreFixture {
 	t.Helper()
-	w := &world{}
+	w := &coreFixture{}
 	var nodes []core.Node
 	life, end := context.WithCancel(context.Background())
 	for i, f := range faults {
-		w.shards = append(w.shards, &shard{i: i, fault: f, life: life, out: map[*core.Attempt]context.CancelFunc{}})
+		w.shards = append(w.shards, &fakeNode{i: i, fault: f, ctx: life, cancels: map[*core.Attempt]context.CancelFunc{}})
 		w.parts = append(w.parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
 		nodes = append(nodes, core.Node{Node: policy.Node{ID: fmt.Sprint(i), Shard: i, State: policy.NodeUp, Weight: 1}})
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
-	w.c, err = core.New(core.Options{Seed: 7, Log: log,
+	w.core, err = core.New(core.Options{Seed: 7, Log: log,
 		NewNodeClient: func(name string, _ []address.Addr) core.NodeClient { return w.shards[name[0]-'0'] },
 		Settings: policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 3, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 			DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
@@ -108,19 +108,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
-	w.asker = &Core{Core: w.c, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
-		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Ask) any { return nil },
+	w.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
+	w.sender = &CoreSender{Core: w.core, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
+		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Attempt) any { return nil },
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
 	t.Cleanup(func() {
-		w.c.Stop()
+		w.core.Stop()
 		end()
-		await(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
+		waitFor(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
 	})
 	return w
 }
 
-func await(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -130,7 +130,7 @@
 }
 
 // run gathers; patience is long: where shards are silent the parts' time is over once all others have brought what they can.
-func (w *world) run(ctx context.Context, t *testing.T, need string, ends bool) (rows []string, f Final) {
+func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, ends bool) (rows []string, f Final) {
 	t.Helper()
 	const patience = 10 * time.Minute
 	g, err := New(Rules{Merge: mergeRules(t, need, ""), Share: 0.2, AtOnce: 2, Safe: true, Again: 1}, patience, w.parts)
@@ -138,11 +138,11 @@
 		t.Fatal(err)
 	}
 	begin, past := time.Now(), false
-	unasked := func(s *shard) bool { return s.fault == "silent" && s.asked.Load() == 0 } // time's leap would call it off before it begins
+	unasked := func(s *fakeNode) bool { return s.fault == "silent" && s.requests.Load() == 0 } // time's leap would call it off before it begins
 	now := func() time.Duration {
-		past = past || ends && !slices.ContainsFunc(w.shards, unasked) && !slices.ContainsFunc(g.parts, func(p *part) bool {
-			held := len(p.live) > 0 && p.live[0].held
-			return !p.over && !held && (p.next == 0 || w.shards[p.Shard].fault != "silent")
+		past = past || ends && !slices.ContainsFunc(w.shards, unasked) && !slices.ContainsFunc(g.parts, func(p *partState) bool {
+			held := len(p.inFlight) > 0 && p.inFlight[0].blocked
+			return !p.finished && !held && (p.lastNumber == 0 || w.shards[p.Shard].fault != "silent")
 		})
 		if past {
 			return patience * 9 / 10
@@ -152,7 +152,7 @@
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	var text []byte
-	f = run(ctx, g, w.asker, Options{PartMost: 1 << 20, Arrived: begin, Write: func(b []byte) error { text = append(text, b...); return nil }},
+	f = run(ctx, g, w.sender, Options{MaxPartBytes: 1 << 20, ReceivedAt: begin, Write: func(b []byte) error { text = append(text, b...); return nil }},
 		clock{now, wake.C, func(at time.Duration) {
 			wait := at - now()
 			if ends && !past { // no event tells of an asking that begins
@@ -163,33 +163,33 @@
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	await(t, "core holds nothing", func() bool { x := w.c.TableSizes(); return x.Requests == 0 })
+	waitFor(t, "core holds nothing", func() bool { x := w.core.TableSizes(); return x.Requests == 0 })
 	return rows, f
 }
 
-// flat are the rows of all shards but some, merged.
-func flat(without ...int) []string { return flatOf(shards, each, without) }
+// flatMerge are the rows of all shards but some, merged.
+func flatMerge(without ...int) []string { return flatMergeOf(shardCount, rowsPerShard, without) }
 
 // Over core: the answer is the flat merge, or says what is missing.
-func TestParts(t *testing.T) {
+func TestResultIsFlatMergeOrNamesMissingParts(t *testing.T) {
 	for name, c := range map[string]struct {
-		faults  [shards]string
+		faults  [shardCount]string
 		need    string
-		kind    Kind
+		kind    FinalKind
 		missing []int
 	}{
 		"whole":           {need: "all"},
-		"late":            {[shards]string{0: "late", 3: "late"}, "all", Served, nil},
-		"cut once":        {[shards]string{1: "cut once"}, "all", Served, nil},
-		"cut":             {[shards]string{2: "cut"}, "best-effort", Served, []int{2}},
-		"silent":          {[shards]string{0: "silent"}, "best-effort", Served, []int{0}},
-		"refused, silent": {[shards]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
-		"all needed":      {[shards]string{0: "silent"}, "all", Short, []int{0}},
+		"late":            {[shardCount]string{0: "late", 3: "late"}, "all", Served, nil},
+		"cut once":        {[shardCount]string{1: "cut once"}, "all", Served, nil},
+		"cut":             {[shardCount]string{2: "cut"}, "best-effort", Served, []int{2}},
+		"silent":          {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
+		"refused, silent": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
+		"all needed":      {[shardCount]string{0: "silent"}, "all", Short, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, c.faults)
+			w := newCoreFixture(t, c.faults)
 			rows, f := w.run(t.Context(), t, c.need, slices.Contains(c.faults[:], "silent"))
-			want := flat(c.missing...)
+			want := flatMerge(c.missing...)
 			if c.kind != Served {
 				want = nil
 			}
@@ -204,41 +204,45 @@
 				t.Errorf("named %v, missing %v", named, c.missing)
 			}
 			for i, s := range w.shards {
-				if s.asked.Load() == 0 && c.kind == Served {
+				if s.requests.Load() == 0 && c.kind == Served {
 					t.Errorf("shard %d was not asked", i)
 				}
 			}
-			await(t, "all askings end", func() bool { return !slices.ContainsFunc(w.shards, func(s *shard) bool { return s.open.Load() > 0 }) })
+			waitFor(t, "all askings end", func() bool {
+				return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
+			})
 		})
 	}
 }
 
-func TestAClientThatLeavesEndsAllParts(t *testing.T) {
-	w := start(t, [shards]string{"silent", "silent", "silent", "silent"})
+func TestClientDisconnectCancelsAllParts(t *testing.T) {
+	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
-		for w.shards[0].open.Load()+w.shards[1].open.Load() < 2 {
+		for w.shards[0].inFlight.Load()+w.shards[1].inFlight.Load() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		leave()
 	}()
 	rows, f := w.run(ctx, t, "all", false)
-	if f.Kind != Left || len(rows) > 0 {
+	if f.Kind != ClientDisconnected || len(rows) > 0 {
 		t.Errorf("%+v, %d rows", f, len(rows))
 	}
-	await(t, "all askings end", func() bool { return !slices.ContainsFunc(w.shards, func(s *shard) bool { return s.open.Load() > 0 }) })
+	waitFor(t, "all askings end", func() bool {
+		return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
+	})
 }
 
-// streams is an asker whose parts come in pieces of one row.
-type streams struct {
+// rowSender is an asker whose parts come in pieces of one row.
+type rowSender struct {
 	sent atomic.Int64
 	wg   sync.WaitGroup
 }
 
-func (s *streams) Ask(a Ask, _ time.Time, to *Sink) {
+func (s *rowSender) Send(a Attempt, _ time.Time, to *Sink) {
 	s.wg.Go(func() {
-		for _, row := range strings.SplitAfter(string(body(a.Part.Shard, 2, 20000)), "\n") {
-			if row != "" && !to.Piece([]byte(row)) {
+		for _, row := range strings.SplitAfter(string(partRows(a.Part.Shard, 2, 20000)), "\n") {
+			if row != "" && !to.Deliver([]byte(row)) {
 				break
 			}
 			s.sent.Add(int64(len(row)))
@@ -246,18 +250,18 @@
 		to.End(nil, nil)
 	})
 }
-func (s *streams) Off(Ask) {}
+func (s *rowSender) Cancel(Attempt) {}
 
 // A client that takes nothing holds the parts up: what is held is the merge's memory, two batches of rows and a piece a part.
-func TestBackPressure(t *testing.T) {
+func TestBackPressureBoundsBufferedBytes(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 1}, time.Hour, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s streams
+	var s rowSender
 	var most, written int64
 	stuck := false
-	f := Run(t.Context(), g, &s, Options{Arrived: time.Now(), Write: func(b []byte) error {
+	f := Run(t.Context(), g, &s, Options{ReceivedAt: time.Now(), Write: func(b []byte) error {
 		if !stuck { // until the parts stand still
 			stuck = true
 			for was := int64(-1); was != s.sent.Load(); time.Sleep(50 * time.Millisecond) {
@@ -269,7 +273,7 @@
 		return nil
 	}})
 	s.wg.Wait()
-	if all := s.sent.Load(); f.Kind != Served || !f.Result.Whole || written != all || most > 2*batchMost+4096 {
+	if all := s.sent.Load(); f.Kind != Served || !f.Result.Whole || written != all || most > 2*maxBatchBytes+4096 {
 		t.Errorf("%+v; %d of %d bytes, %d held", f, written, all, most)
 	}
 	if err := goleak.Find(); err != nil {
--- a/internal/scattergather/service.go
+++ b/internal/scattergather/service.go
@@ -14,175 +14,175 @@
 )
 
 const (
-	busyWait = 50 * time.Millisecond  // of a read over Most
-	noneWait = 250 * time.Millisecond // of a read of all shards while none has an up node
+	busyRetryAfter     = 50 * time.Millisecond  // for a read over the limit of concurrent reads
+	noShardsRetryAfter = 250 * time.Millisecond // for a read of all shards while no shard has an up node
 )
 
-// Query is what a client asks of a gathered read.
+// Query is what a client requests of a gathered read.
 type Query struct {
-	Shards  []int  // these, or
-	All     bool   // all that have an up node
-	Token   string // goes on after the page that ended with it
-	Partial bool   // the result goes out encoded, for a merge that it is a part of
-	Rows    int    // of a partial result: it ends after so many; 0: with the last
+	Shards  []int  // the shards to read, unless All is set
+	All     bool   // all shards that have an up node
+	Token   string // continues after the page that ended with this token
+	Partial bool   // the result is encoded as a partial result, for another merge
+	Rows    int    // row limit of a partial result; 0: unlimited
 }
 
-// Service serves gathered reads over one core. It is not changed once it serves; other rules are another Service.
+// Service serves gathered reads on one core. It is immutable while it serves; changed rules need a new Service.
 type Service struct {
 	Core    *core.Core
 	Classes map[string]Rules
-	Shards  func() []int                               // those that have an up node
-	Tree    Grouper                                    // nil: each part is asked by this process
-	Expect  func(class string, shards []int) []float64 // how long each takes, in any unit; nil, or nil given: not known
-	Units   float64                                    // of a part; 0: the client's
-	// PartMost bounds the bytes of a part's body, PartsMost the parts of a read.
+	Shards  func() []int                               // shards that have an up node
+	Tree    Grouper                                    // nil: this process requests each part itself
+	Expect  func(class string, shards []int) []float64 // expected duration of each shard, in any unit; nil, or a nil result: unknown
+	Units   float64                                    // units of a part; 0: those of the client's request
+	// MaxPartBytes is the limit of a part's body, MaxParts the limit of parts of one read.
 	PartMost, PartsMost int
-	Reads               *Gate // reads at once
+	Reads               *Gate // limits concurrent reads
 	TokenKey            []byte
-	Payload             func(client, part *core.Request, rows int) any // what the nodes' front sends for a part; rows from its start, 0 all
-	Body                func(any) Body                                 // of what it made of the node's answer
+	Payload             func(client, part *core.Request, rows int) any // what the nodes' front sends for a part; rows is its row limit, 0: none
+	Body                func(any) Body                                 // body of a node's response payload
 }
 
-// Grouper hands groups of parts to others that gather them, and may give them back to be gathered here.
+// Delegator delegates groups of parts to peers that gather them, and may have a group gathered in this process.
 type Grouper interface {
-	// Group says which parts of a read are asked as groups (gather.Part with Of) and who asks. The parts of the read come back as they
-	// are, with Read.Own, where none is. It is asked for classes that are safe to repeat alone, and never for a partial
-	// result: who gathers one hands nothing on.
-	Group(Read) ([]gather.Part, Asker)
+	// Delegate chooses which parts of a read are requested as groups (gather.Part with Of), and returns the Sender for them. Without
+	// a group it returns the parts of the read unchanged, with ReadRequest.Local. It is called only for idempotent classes, and never
+	// for a partial result, because a delegate does not delegate further.
+	Delegate(ReadRequest) ([]gather.Part, Sender)
 }
 
-// Read is what a Grouper knows of one gathered read.
-type Read struct {
+// ReadRequest is one gathered read as a Delegator sees it.
+type ReadRequest struct {
 	Client *core.Request
 	Rules  Rules
-	Parts  []gather.Part // each of one shard
-	Own    Asker         // of single parts
-	// Here gathers a group in this process, as a partial result of Ask.Rows rows: its parts are requests of this core under
-	// the asking's name. It blocks until its Final; the context's end calls it off.
-	Here func(ctx context.Context, a Ask, until time.Time, write func([]byte) error) Final
+	Parts  []gather.Part // one per shard
+	Local  Sender        // sends attempts of single parts
+	// GatherLocally gathers a group in this process, as a partial result of Attempt.Rows rows. Its parts are requests of this core
+	// under the attempt's request ID. It blocks until the final answer; the end of the context cancels it.
+	GatherLocally func(ctx context.Context, a Attempt, until time.Time, write func([]byte) error) Final
 }
 
-// Gate bounds reads at once; it outlives a Service.
+// Limiter limits concurrent reads. It outlives a Service.
 type Gate struct {
-	most, in atomic.Int64
+	limit, inFlight atomic.Int64
 }
 
-// Set sets the bound; reads that are in stay.
-func (g *Gate) Set(most int) { g.most.Store(int64(most)) }
+// SetLimit sets the limit. Reads in progress continue.
+func (g *Gate) Set(most int) { g.limit.Store(int64(most)) }
 
-// In is how many reads there are.
-func (g *Gate) In() int { return int(g.in.Load()) }
+// InFlight returns the number of reads in progress.
+func (g *Gate) In() int { return int(g.inFlight.Load()) }
 
-func (g *Gate) enter() bool {
-	if g.in.Add(1) > g.most.Load() {
-		g.in.Add(-1)
+func (g *Gate) tryEnter() bool {
+	if g.inFlight.Add(1) > g.limit.Load() {
+		g.inFlight.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Name is the name of a shard's part.
-func Name(shard int) string { return strconv.Itoa(shard) }
+// PartID returns the ID of a shard's part.
+func PartID(shard int) string { return strconv.Itoa(shard) }
 
-// Read carries out a gathered read; write is given records of the rules' form, or of a partial result, by one goroutine at a time.
-// It returns the one final answer. The context's end says that the client left.
-func (s *Service) Read(ctx context.Context, r *core.Request, ask Query, write func([]byte) error) Final {
+// Read executes a gathered read and returns its final answer. write receives records in the rules' form, or a partial result, from
+// one goroutine at a time. The end of the context means that the client disconnected.
+func (s *Service) Read(ctx context.Context, r *core.Request, query Query, write func([]byte) error) Final {
 	rules, known := s.Classes[r.Class]
 	if !known {
-		return Final{Kind: Invalid, Err: &NoRules{r.Class}}
+		return Final{Kind: Invalid, Err: &ClassWithoutRules{r.Class}}
 	}
-	if !s.Reads.enter() {
-		return Final{Kind: Refused, RetryAfter: busyWait}
+	if !s.Reads.tryEnter() {
+		return Final{Kind: Refused, RetryAfter: busyRetryAfter}
 	}
-	defer s.Reads.in.Add(-1)
-	shards := slices.Clone(ask.Shards)
-	if ask.All {
+	defer s.Reads.inFlight.Add(-1)
+	shards := slices.Clone(query.Shards)
+	if query.All {
 		if shards = s.Shards(); len(shards) == 0 {
-			return Final{Kind: Refused, RetryAfter: noneWait}
+			return Final{Kind: Refused, RetryAfter: noShardsRetryAfter}
 		}
 	}
 	if len(shards) > s.PartsMost {
 		return Final{Kind: Invalid, Err: &ShardsBad{strconv.Itoa(len(shards)) + " shards", "are more than " + strconv.Itoa(s.PartsMost)}}
 	}
 	parts := s.parts(r.Class, shards)
-	own := s.own(r, r.ID)
-	asker := Asker(own)
-	if s.Tree != nil && rules.Safe && !ask.Partial {
+	local := s.localSender(r, r.ID)
+	sender := Sender(local)
+	if s.Tree != nil && rules.Safe && !query.Partial {
 		byID := map[string]gather.Part{}
 		for _, p := range parts {
 			byID[p.ID] = p
 		}
-		parts, asker = s.Tree.Group(Read{Client: r, Rules: rules, Parts: parts, Own: own,
-			Here: func(ctx context.Context, a Ask, until time.Time, write func([]byte) error) Final {
+		parts, sender = s.Tree.Delegate(ReadRequest{Client: r, Rules: rules, Parts: parts, Local: local,
+			GatherLocally: func(ctx context.Context, a Attempt, until time.Time, write func([]byte) error) Final {
 				var of []gather.Part
 				for _, id := range a.Part.Of {
 					of = append(of, byID[id])
 				}
-				sub := s.own(r, own.id(a))
-				now := time.Now() // its share for the merge is of the time that it has
+				sub := s.localSender(r, local.requestID(a))
+				now := time.Now() // the merge's share is taken from the time that is left
 				return s.run(ctx, rules, now, until.Sub(now), of, sub, Query{Partial: true, Rows: a.Rows}, write)
 			}})
 	}
-	late := (&deadline.LagGauge{}).Margin(0, r.Timeout) // the client counts from its own send
-	return s.run(ctx, rules, r.ReceivedAt, r.Timeout-late, parts, asker, ask, write)
+	lag := (&deadline.LagGauge{}).Margin(0, r.Timeout) // the client's deadline counts from its own send time
+	return s.run(ctx, rules, r.ReceivedAt, r.Timeout-lag, parts, sender, query, write)
 }
 
-func (s *Service) own(r *core.Request, id string) *Core {
-	c := &Core{Core: s.Core, Client: r.Request, Settings: r.Settings, PartMost: s.PartMost, Body: s.Body, Gone: r.ClientDisconnected,
+func (s *Service) localSender(r *core.Request, id string) *CoreSender {
+	c := &CoreSender{Core: s.Core, Client: r.Request, Settings: r.Settings, MaxPartBytes: s.PartMost, Body: s.Body, ClientDisconnected: r.ClientDisconnected,
 		Units:   func(gather.Part) float64 { return cmp.Or(s.Units, r.Units) },
-		Payload: func(part *core.Request, a Ask) any { return s.Payload(r, part, a.Rows) }}
+		Payload: func(part *core.Request, a Attempt) any { return s.Payload(r, part, a.Rows) }}
 	c.Client.ID = id
 	return c
 }
 
-// parts are the shards' parts. The first are asked first where not all are asked at once: those that take longest, as the
-// whole ends with the last.
+// parts returns the parts of the shards. Earlier parts are requested first if the concurrency limit does not admit all. The parts
+// with the longest expected duration come first, because the read ends with its last part.
 func (s *Service) parts(class string, shards []int) []gather.Part {
-	type one struct {
-		shard int
-		takes float64
+	type expected struct {
+		shard    int
+		duration float64
 	}
-	all := make([]one, len(shards))
-	var takes []float64
+	all := make([]expected, len(shards))
+	var durations []float64
 	if s.Expect != nil {
-		takes = s.Expect(class, shards)
+		durations = s.Expect(class, shards)
 	}
 	for i, n := range shards {
-		if all[i].shard = n; takes != nil {
-			all[i].takes = takes[i]
+		if all[i].shard = n; durations != nil {
+			all[i].duration = durations[i]
 		}
 	}
-	slices.SortStableFunc(all, func(a, b one) int { return cmp.Compare(b.takes, a.takes) })
+	slices.SortStableFunc(all, func(a, b expected) int { return cmp.Compare(b.duration, a.duration) })
 	parts := make([]gather.Part, len(all))
 	for i, x := range all {
-		parts[i] = gather.Part{ID: Name(x.shard), Shard: x.shard}
+		parts[i] = gather.Part{ID: PartID(x.shard), Shard: x.shard}
 	}
 	return parts
 }
 
-func (s *Service) run(ctx context.Context, rules Rules, arrived time.Time, patience time.Duration, parts []gather.Part, asker Asker,
-	ask Query, write func([]byte) error) Final {
+func (s *Service) run(ctx context.Context, rules Rules, receivedAt time.Time, timeout time.Duration, parts []gather.Part, sender Sender,
+	query Query, write func([]byte) error) Final {
 	var opts []gather.Option
 	if len(s.TokenKey) > 0 {
 		opts = append(opts, gather.TokenKey(s.TokenKey))
 	}
-	if ask.Token != "" {
-		opts = append(opts, gather.From(ask.Token))
+	if query.Token != "" {
+		opts = append(opts, gather.From(query.Token))
 	}
-	groups, _ := asker.(handing)
-	g, err := New(rules, patience, parts, opts...)
+	delegating, _ := sender.(delegatingSender)
+	g, err := New(rules, timeout, parts, opts...)
 	f := Final{Kind: Invalid, Err: err}
 	if err == nil {
-		if ask.Partial {
-			g.Partial(ask.Rows)
+		if query.Partial {
+			g.SetPartial(query.Rows)
 		}
-		if groups != nil {
-			groups.begin(g)
+		if delegating != nil {
+			delegating.begin(g)
 		}
-		f = Run(ctx, g, asker, Options{Arrived: arrived, PartMost: s.PartMost, Write: write})
+		f = Run(ctx, g, sender, Options{ReceivedAt: receivedAt, MaxPartBytes: s.PartMost, Write: write})
 	}
-	if groups != nil {
-		f = groups.ended(f)
+	if delegating != nil {
+		f = delegating.finish(f)
 	}
 	return f
 }
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -17,10 +17,10 @@
 )
 
 // service is one over the world's core; bodies come in pieces of odd lengths where long is set.
-func (w *world) service(t *testing.T, more string, long bool) *Service {
+func (w *coreFixture) service(t *testing.T, more string, long bool) *Service {
 	t.Helper()
 	rules := Rules{Merge: mergeRules(t, "all", more), Share: 0.2, AtOnce: 2, Safe: true, Again: 2}
-	s := &Service{Core: w.c, Classes: map[string]Rules{"read": rules}, Reads: &Gate{}, Units: 1, PartMost: 1 << 20, PartsMost: 8,
+	s := &Service{Core: w.core, Classes: map[string]Rules{"read": rules}, Reads: &Gate{}, Units: 1, PartMost: 1 << 20, PartsMost: 8,
 		Shards:  func() []int { return []int{0, 1, 2, 3} },
 		Payload: func(_, _ *core.Request, _ int) any { return nil },
 		Body: func(x any) Body {
@@ -34,39 +34,39 @@
 	return s
 }
 
-func client(id string, patience time.Duration) *core.Request {
+func newClientRequest(id string, patience time.Duration) *core.Request {
 	r := &core.Request{ReceivedAt: time.Now(), Timeout: patience}
 	r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Schedulers, r.Units = id, "read", "basic", "k", "v", 1, 1
 	return r
 }
 
-// here gathers two groups of two in this process; the first asking of each fails halfway, as by a peer that is killed.
-type here struct{ asked []string }
+// failingDelegator gathers two groups of two in this process; the first asking of each fails halfway, as by a peer that is killed.
+type failingDelegator struct{ attempts []string }
 
-func (h *here) Group(r Read) ([]gather.Part, Asker) {
+func (h *failingDelegator) Delegate(r ReadRequest) ([]gather.Part, Sender) {
 	parts := []gather.Part{{ID: "a", Of: []string{"0", "2"}}, {ID: "b", Of: []string{"1", "3"}}}
-	return parts, &hereAsker{h, r}
+	return parts, &failingSender{h, r}
 }
 
-type hereAsker struct {
-	h *here
-	r Read
+type failingSender struct {
+	delegator *failingDelegator
+	read      ReadRequest
 }
 
-func (x *hereAsker) Off(Ask) {}
-func (x *hereAsker) Ask(a Ask, until time.Time, to *Sink) {
-	x.h.asked = append(x.h.asked, fmt.Sprint(a.Part.ID, a.Copy))
+func (x *failingSender) Cancel(Attempt) {}
+func (x *failingSender) Send(a Attempt, until time.Time, to *Sink) {
+	x.delegator.attempts = append(x.delegator.attempts, fmt.Sprint(a.Part.ID, a.Number))
 	go func() {
 		left := -1
-		if a.Copy == 1 {
+		if a.Number == 1 {
 			left = 1
 		}
-		f := x.r.Here(context.Background(), a, until, func(b []byte) error {
+		f := x.read.GatherLocally(context.Background(), a, until, func(b []byte) error {
 			if left--; left == -1 {
 				return errCut
 			}
-			to.Piece(b[:len(b)/2])
-			to.Piece(b[len(b)/2:])
+			to.Deliver(b[:len(b)/2])
+			to.Deliver(b[len(b)/2:])
 			return nil
 		})
 		switch {
@@ -81,8 +81,8 @@
 }
 
 // However it is gathered, the rows are the flat merge's: whole bodies, in pieces, in groups that fail once, page by page.
-func TestServiceIsTheFlatMerge(t *testing.T) {
-	w := start(t, [shards]string{})
+func TestServiceReturnsFlatMerge(t *testing.T) {
+	w := newCoreFixture(t, [shardCount]string{})
 	for name, c := range map[string]struct {
 		top        string
 		long, tree bool
@@ -91,7 +91,7 @@
 		"pages": {top: `,"truncate":{"top":150}`}, "pages in groups": {top: `,"truncate":{"top":150}`, tree: true, long: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, h := w.service(t, c.top, c.long), &here{}
+			s, h := w.service(t, c.top, c.long), &failingDelegator{}
 			if c.tree {
 				s.Tree = h
 			}
@@ -99,7 +99,7 @@
 			pages := 0
 			for q := (Query{All: true}); ; pages++ {
 				var text []byte
-				f := s.Read(t.Context(), client(fmt.Sprint(name, pages), time.Minute), q, func(b []byte) error { text = append(text, b...); return nil })
+				f := s.Read(t.Context(), newClientRequest(fmt.Sprint(name, pages), time.Minute), q, func(b []byte) error { text = append(text, b...); return nil })
 				if f.Kind != Served || !f.Result.Whole {
 					t.Fatalf("page %d: %+v", pages, f)
 				}
@@ -108,26 +108,26 @@
 					break
 				}
 			}
-			if !slices.Equal(rows, flat()) {
-				t.Errorf("%d rows of %d", len(rows), len(flat()))
+			if !slices.Equal(rows, flatMerge()) {
+				t.Errorf("%d rows of %d", len(rows), len(flatMerge()))
 			}
-			if c.top != "" && pages < shards*each/150 {
+			if c.top != "" && pages < shardCount*rowsPerShard/150 {
 				t.Errorf("%d pages", pages)
 			}
-			if c.tree && !slices.Contains(h.asked, "a2") {
-				t.Errorf("asked %v", h.asked)
+			if c.tree && !slices.Contains(h.attempts, "a2") {
+				t.Errorf("asked %v", h.attempts)
 			}
-			await(t, "core holds nothing", func() bool { return w.c.TableSizes().Requests == 0 })
+			waitFor(t, "core holds nothing", func() bool { return w.core.TableSizes().Requests == 0 })
 		})
 	}
 }
 
-func TestServiceRefuses(t *testing.T) {
-	w := start(t, [shards]string{"silent", "silent", "silent", "silent"})
+func TestServiceRejectsInvalidAndExcessReads(t *testing.T) {
+	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
 	s := w.service(t, "", false)
 	none := func([]byte) error { t.Error("a row"); return nil } //nolint:unparam // a writer of rows
 	read := func(q Query, class string) Final {
-		r := client("r", 400*time.Millisecond)
+		r := newClientRequest("r", 400*time.Millisecond)
 		r.Class = class
 		return s.Read(t.Context(), r, q, none)
 	}
@@ -146,36 +146,36 @@
 	// One is in: the next is refused at once, and asks nothing.
 	ctx, leave := context.WithCancel(t.Context())
 	done := make(chan Final)
-	go func() { done <- s.Read(ctx, client("q", time.Hour), Query{All: true}, none) }()
-	await(t, "parts are out", func() bool { return w.shards[0].open.Load() == 1 && w.shards[1].open.Load() == 1 })
+	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, none) }()
+	waitFor(t, "parts are out", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
 	if f := read(Query{All: true}, "read"); f.Kind != Refused || f.RetryAfter <= 0 || s.Reads.In() != 1 {
 		t.Errorf("%+v", f)
 	}
-	if n := w.c.TableSizes().Requests; n != 2 {
+	if n := w.core.TableSizes().Requests; n != 2 {
 		t.Errorf("core holds %d", n)
 	}
 	leave()
-	if f := <-done; f.Kind != Left {
+	if f := <-done; f.Kind != ClientDisconnected {
 		t.Errorf("%+v", f)
 	}
 }
 
 // A body over its bound is cut there, and named, whether it comes whole or in pieces.
-func TestLongParts(t *testing.T) {
-	w := start(t, [shards]string{})
+func TestPartOverItsLimitIsTruncatedAndNamed(t *testing.T) {
+	w := newCoreFixture(t, [shardCount]string{})
 	for _, long := range []bool{false, true} {
 		s := w.service(t, "", long)
 		s.PartMost = 600
-		f := s.Read(t.Context(), client("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
-		if r := f.Report(false); f.Kind != Short || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartLong)) {
+		f := s.Read(t.Context(), newClientRequest("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
+		if r := f.Report(false); f.Kind != Short || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
 			t.Errorf("long %v: %+v", long, f)
 		}
-		await(t, "core holds nothing", func() bool { return w.c.TableSizes().Requests == 0 })
+		waitFor(t, "core holds nothing", func() bool { return w.core.TableSizes().Requests == 0 })
 	}
 }
 
 // The slowest by the estimate are asked first; without one, in the order given.
-func TestTheSlowestIsAskedFirst(t *testing.T) {
+func TestSlowestPartIsRequestedFirst(t *testing.T) {
 	s := &Service{}
 	ids := func() (ids []string) {
 		for _, p := range s.parts("read", []int{4, 7, 9}) {
