--- a/gather/bench_test.go
+++ b/gather/bench_test.go
@@ -30,8 +30,8 @@
 	return parts, texts
 }
 
-// gatherBench sends pieces of 8 KiB as Want asks and takes up to rows rows (0: all).
-func gatherBench(b *testing.B, r *Rules, parts []Part, texts [][]byte, rows int) int {
+// benchMerge sends pieces of 8 KiB as Want asks and takes up to rows rows (0: all).
+func benchMerge(b *testing.B, r *Rules, parts []Part, texts [][]byte, rows int) int {
 	m, err := New(r, parts)
 	if err != nil {
 		b.Fatal(err)
@@ -71,8 +71,8 @@
 	row       []byte
 }
 
-// collectSortCut is the plain way: all rows of all parts decoded, sorted, and then cut.
-func collectSortCut(r *Rules, texts [][]byte, rows int) []decoded {
+// collectAndSort is the plain way: all rows of all parts decoded, sorted, and then cut.
+func collectAndSort(r *Rules, texts [][]byte, rows int) []decoded {
 	d := newDecoder(r)
 	all := make([]decoded, 0, benchParts*benchRows)
 	keys := make([]byte, 0, 9*benchParts*benchRows)
@@ -101,8 +101,8 @@
 
 func BenchmarkGather(b *testing.B) {
 	parts, texts := benchData()
-	r := rules(b, `{"order":[{"key":"id","type":"integer"}]}`)
-	first := rules(b, `{"order":[{"key":"id","type":"integer"}],"duplicates":{"keep":"first"}}`)
+	r := mustParseRules(b, `{"order":[{"key":"id","type":"integer"}]}`)
+	first := mustParseRules(b, `{"order":[{"key":"id","type":"integer"}],"duplicates":{"keep":"first"}}`)
 	for _, c := range []struct {
 		name string
 		rows int
@@ -110,36 +110,36 @@
 		b.Run(c.name+"/gather", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				gatherBench(b, r, parts, texts, c.rows)
+				benchMerge(b, r, parts, texts, c.rows)
 			}
 		})
 		b.Run(c.name+"/collect-sort-cut", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				collectSortCut(r, texts, c.rows)
+				collectAndSort(r, texts, c.rows)
 			}
 		})
 	}
 	b.Run("whole, duplicates/gather", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			gatherBench(b, first, parts, texts, 0)
+			benchMerge(b, first, parts, texts, 0)
 		}
 	})
 }
 
 // No allocation a row, and memory of parts and pieces, not of rows.
-func TestMemoryIsOfPartsNotRows(t *testing.T) {
+func TestMemoryGrowsWithPartsNotRows(t *testing.T) {
 	parts, texts := benchData()
 	for i := range texts {
 		texts[i] = texts[i][:bytes.LastIndexByte(texts[i][:len(texts[i])/5], '\n')+1]
 	}
 	for _, dup := range []string{"", `,"duplicates":{"keep":"first"}`, `,"duplicates":{"keep":"agree","parts":1}`} {
-		r := rules(t, `{"order":[{"key":"id","type":"integer"}]`+dup+`}`)
+		r := mustParseRules(t, `{"order":[{"key":"id","type":"integer"}]`+dup+`}`)
 		var before, after runtime.MemStats
 		b := &testing.B{}
 		runtime.ReadMemStats(&before)
-		n := gatherBench(b, r, parts, texts, 0)
+		n := benchMerge(b, r, parts, texts, 0)
 		runtime.ReadMemStats(&after)
 		allocs, size := float64(after.Mallocs-before.Mallocs)/float64(n), (after.TotalAlloc-before.TotalAlloc)/benchParts
 		t.Logf("%s: %d rows, %.4f allocations a row, %d bytes a part", dup, n, allocs, size)
--- a/gather/play_test.go
+++ b/gather/deliver_test.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// source is one part as the test sends it.
-type source struct {
-	part   string
-	copies []sent
-	whole  bool
+// partSource is one part as the test sends it.
+type partSource struct {
+	part     string
+	copies   []copySource
+	complete bool
 }
 
-type sent struct {
-	data string
-	end  error
-	over bool
+type copySource struct {
+	data  string
+	end   error
+	ended bool
 }
 
-// play sends sources in a random order of pieces, calls pull between them and reads to the end.
-func play(m *Merge, rng *rand.Rand, sources []source, pull func()) error {
+// deliver sends sources in a random order of pieces, calls pull between them and reads to the end.
+func deliver(m *Merge, rng *rand.Rand, sources []partSource, pull func()) error {
 	var why error
 	for turn := 0; !m.done && len(sources) > 0; turn++ {
 		if turn > 20000 {
@@ -44,15 +44,15 @@
 		if m.streams[m.byID[s.part]].room() < 0 {
 			return errors.New("a part waits with more than its share")
 		}
-		if rows > m.r.Memory.Rows || bytes > m.r.Memory.Bytes {
+		if rows > m.rules.Memory.Rows || bytes > m.rules.Memory.Bytes {
 			return fmt.Errorf("held %d rows, %d bytes", rows, bytes)
 		}
-		if x.data == "" && !x.over {
-			if x.over = true; m.End(s.part, c, x.end) != nil {
+		if x.data == "" && !x.ended {
+			if x.ended = true; m.End(s.part, c, x.end) != nil {
 				return errors.New("a copy that agrees was found to differ")
 			}
-			if !slices.ContainsFunc(s.copies, func(c sent) bool { return !c.over }) {
-				if !s.whole {
+			if !slices.ContainsFunc(s.copies, func(c copySource) bool { return !c.ended }) {
+				if !s.complete {
 					_ = m.Drop(s.part, fmt.Errorf("reason %d", rng.IntN(10)))
 				}
 				sources = slices.Delete(sources, i, i+1)
@@ -66,18 +66,18 @@
 	return why
 }
 
-func (w *world) sources(from, to int) (all []source) {
+func (w *randomRead) sources(from, to int) (all []partSource) {
 	for p := from; p < to; p++ {
 		f := w.parts[p]
-		s := source{part: fmt.Sprintf("p%d", p), whole: f.whole}
+		s := partSource{part: fmt.Sprintf("p%d", p), complete: f.complete}
 		for i, c := range f.copies {
-			x := sent{data: f.reach(), end: io.ErrUnexpectedEOF}
+			x := copySource{data: f.receivedText(), end: io.ErrUnexpectedEOF}
 			if i > 0 {
 				x.data = x.data[:len(x.data)*c/100]
-			} else if f.whole {
+			} else if f.complete {
 				x.end = nil
 			}
-			if x.end != nil && f.limit {
+			if x.end != nil && f.limited {
 				x.end = &Limited{}
 			}
 			s.copies = append(s.copies, x)
@@ -87,14 +87,14 @@
 	return all
 }
 
-// partial merges sources, which it leaves as they are, into a partial result.
-func partial(r *Rules, parts []Part, sources []source, rng *rand.Rand, fault fault) (string, error) {
+// partialResult merges sources, which it leaves as they are, into a partial result.
+func partialResult(r *Rules, parts []Part, sources []partSource, rng *rand.Rand, fault fault) (string, error) {
 	sub, err := New(r, parts)
 	if err != nil {
 		return "", err
 	}
 	sub.fault = fault
-	var own []source
+	var own []partSource
 	for _, s := range sources {
 		s.copies = slices.Clone(s.copies)
 		own = append(own, s)
@@ -107,7 +107,7 @@
 			text, done = sub.AppendPartial(text, rng.IntN(4))
 		}
 	}
-	if err := play(sub, rng, own, pull); err != nil {
+	if err := deliver(sub, rng, own, pull); err != nil {
 		return "", err
 	}
 	if text, done = sub.AppendPartial(text, 0); !done {
@@ -116,13 +116,13 @@
 	return string(text), nil
 }
 
-// gather merges flat or over a tree.
-func (w *world) gather(tree bool, fault fault) (got told, err error) {
+// merge merges flat or over a tree.
+func (w *randomRead) merge(tree bool, fault fault) (got mergeOutcome, err error) {
 	memory := 512 * (len(w.parts) + 1)
 	if tree || w.keep == "agree" {
 		memory = 1 << 20
 	}
-	r, err := ParseRules([]byte(w.text(memory)))
+	r, err := ParseRules([]byte(w.rulesText(memory)))
 	if err != nil {
 		return got, err
 	}
@@ -133,15 +133,15 @@
 		parts[i] = Part{ID: s.part}
 	}
 	for tree && len(parts) > 1 { // bring some parts together, until one is left or chance ends it
-		n := min(w.tree, len(parts)-1) + rng.IntN(2)
+		n := min(w.groupSize, len(parts)-1) + rng.IntN(2)
 		if n < 1 || n > len(parts) {
 			n = 1
 		}
-		text, err := partial(r, parts[:n], sources[:n], rng, fault)
+		text, err := partialResult(r, parts[:n], sources[:n], rng, fault)
 		if err != nil {
 			return got, err
 		}
-		other, err := partial(r, parts[:n], sources[:n], rng, fault) // of a peer that took over
+		other, err := partialResult(r, parts[:n], sources[:n], rng, fault) // of a peer that took over
 		if err != nil {
 			return got, err
 		}
@@ -152,7 +152,7 @@
 			}
 		}
 		parts = append(parts[n:], Part{ID: "t" + strings.Join(of, "+"), Of: of})
-		sources = append(sources[n:], source{parts[len(parts)-1].ID, []sent{{data: text}, {data: other[:rng.IntN(len(other)+1)], end: io.EOF}}, true})
+		sources = append(sources[n:], partSource{parts[len(parts)-1].ID, []copySource{{data: text}, {data: other[:rng.IntN(len(other)+1)], end: io.EOF}}, true})
 		if rng.IntN(3) == 0 {
 			break
 		}
@@ -163,7 +163,7 @@
 		return got, err
 	}
 	m.fault = fault
-	err = play(m, rng, sources, func() {
+	err = deliver(m, rng, sources, func() {
 		for row, ok := m.Next(); ok; row, ok = m.Next() {
 			got.rows = append(got.rows, string(row))
 		}
@@ -175,8 +175,8 @@
 	if !res.Done {
 		return got, errors.New("not done")
 	}
-	got.whole, got.cut, got.conflicts, got.named = res.Whole, res.Truncated, res.Conflicts, res.Named
-	got.complete = res.Err == nil
+	got.complete, got.truncatedBy, got.conflicts, got.named = res.Whole, res.Truncated, res.Conflicts, res.Named
+	got.enoughParts = res.Err == nil
 	for _, p := range res.Parts {
 		s := p.ID + " "
 		for _, f := range []struct {
@@ -192,8 +192,8 @@
 	return got, nil
 }
 
-// driven is a merge whose parts do only what Want says: it asks them for the top, and for more where that was not enough.
-func (w *world) driven(r *Rules, opts ...Option) (rows []string, asked int, token string, err error) {
+// mergeByDemand is a merge whose parts do only what Want says: it asks them for the top, and for more where that was not enough.
+func (w *randomRead) mergeByDemand(r *Rules, opts ...Option) (rows []string, asked int, token string, err error) {
 	type server struct {
 		copy, at int
 		text     string
--- a/gather/errors.go
+++ b/gather/errors.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// RulesBad is nonsense among rules; Key is its path in the text.
+// RulesBad is the error for invalid rules. Key is the path of the invalid key.
 type RulesBad struct{ Key, Why string }
 
 func (e *RulesBad) Error() string { return fmt.Sprintf("gather: rules: %s: %s", e.Key, e.Why) }
@@ -19,7 +19,7 @@
 	return "correct the key that the error names; docs/gather.md has each key with an example"
 }
 
-// PartsBad is a list of parts that cannot be merged: none, one twice, or too many for the memory.
+// PartsBad is the error for a list of parts that cannot be merged: it is empty, names a part twice, or needs too much memory.
 type PartsBad struct{ Part, Why string }
 
 func (e *PartsBad) Error() string { return fmt.Sprintf("gather: part %q: %s", e.Part, e.Why) }
@@ -30,7 +30,7 @@
 // Advice implements operr.Coded.
 func (*PartsBad) Advice() string { return "name each part once, or raise memory in the class's rules" }
 
-// CopiesOver is a copy of a part over the rules' copies; nothing of it was taken.
+// CopiesOver is the error for a copy of a part over the limit of copies in the rules. None of its data was accepted.
 type CopiesOver struct {
 	Part  string
 	Limit int
@@ -48,7 +48,7 @@
 	return "send fewer copies of a part, or raise copies in the rules"
 }
 
-// Full is a piece that has no room yet; nothing of it was taken, and it may be given again after Next.
+// Full is the error for a piece without room. None of it was accepted, and it may be added again after Next.
 type Full struct {
 	Part          string
 	Offered, Room int // bytes
@@ -66,7 +66,7 @@
 	return "send no more than Want allows, or raise memory.bytes in the rules"
 }
 
-// RecordBad is a record that cannot be read; the part is cut before it.
+// RecordBad is the error for an unreadable record. The part is truncated before it.
 type RecordBad struct {
 	Part     string
 	Position int64 // of the record in the part, from 0
@@ -82,10 +82,10 @@
 
 // Advice implements operr.Coded.
 func (*RecordBad) Advice() string {
-	return "look at the record on its shard, or correct the key's type in the rules"
+	return "check the record on its shard, or correct the key's type in the rules"
 }
 
-// Unsorted is a record that comes before the one in front of it; the part is in conflict and cut before it.
+// Unsorted is the error for a record that sorts before its predecessor. The part is in conflict and truncated before it.
 type Unsorted struct {
 	Part     string
 	Position int64
@@ -100,14 +100,14 @@
 
 // Advice implements operr.Coded.
 func (*Unsorted) Advice() string {
-	return "let the shard sort by the rules' keys; for text, by the same locale and version"
+	return "make the shard sort by the rules' keys; for text, with the same locale and collation version"
 }
 
-// Diverged is a copy of a part that is not what another copy of it is; it is set aside.
+// Diverged is the error for a copy of a part that differs from another copy. The copy is ignored from then on.
 type Diverged struct {
 	Part string
 	Copy int
-	At   int64 // bytes from the start, at or before which they differ
+	At   int64 // bytes from the start; the first difference is at or before it
 }
 
 func (e *Diverged) Error() string {
@@ -119,32 +119,34 @@
 
 // Advice implements operr.Coded.
 func (*Diverged) Advice() string {
-	return "compare the replicas of the shard; read again with one of them"
+	return "compare the replicas of the shard, and repeat the read from one of them"
 }
 
-// Never is the reason of a part that was given up and had said nothing, where the caller gave none.
+// Never is the reason of a part that was dropped without any data, if the caller gave no other.
 type Never struct{ Part string }
 
-func (e *Never) Error() string { return fmt.Sprintf("gather: part %q: given up", e.Part) }
+func (e *Never) Error() string {
+	return fmt.Sprintf("gather: part %q: dropped without any data", e.Part)
+}
 
 // Code implements operr.Coded.
 func (*Never) Code() string { return "gather-never" }
 
 // Advice implements operr.Coded.
-func (*Never) Advice() string { return "look at the shard, or lower complete in the rules" }
+func (*Never) Advice() string { return "check the shard, or lower complete in the rules" }
 
-// Limited is how a part ends that stopped at the rows it was asked for and may hold more: End(part, copy, &Limited{}).
+// Limited is the end of a copy that stopped at its row limit, so the part may have more rows: End(part, copy, &Limited{}).
 type Limited struct{}
 
-func (*Limited) Error() string { return "gather: the part stopped at the rows it was asked for" }
+func (*Limited) Error() string { return "gather: the part stopped at its row limit" }
 
 // Code implements operr.Coded.
 func (*Limited) Code() string { return "gather-limited" }
 
 // Advice implements operr.Coded.
-func (*Limited) Advice() string { return "none needed: Want asks for more where more is needed" }
+func (*Limited) Advice() string { return "none needed: Want requests more rows if they are needed" }
 
-// GroupOver is a group of duplicates that does not fit into memory; the merge ends before it.
+// GroupOver is the error for a group of duplicates that exceeds the memory. The merge ends before it.
 type GroupOver struct {
 	Key                   string
 	Rows, Bytes           int
@@ -160,14 +162,14 @@
 
 // Advice implements operr.Coded.
 func (*GroupOver) Advice() string {
-	return "raise memory in the rules, or let fewer rows have the same key"
+	return "raise memory in the rules, or reduce the rows with equal keys"
 }
 
-// RowOver is a first row that is larger than truncate.bytes: no page could ever hold it.
+// RowOver is the error for a first row that is larger than truncate.bytes, so that no page could ever hold it.
 type RowOver struct{ Bytes, Limit int64 }
 
 func (e *RowOver) Error() string {
-	return fmt.Sprintf("gather: a row of %d bytes, truncate.bytes is %d", e.Bytes, e.Limit)
+	return fmt.Sprintf("gather: a row of %d bytes exceeds truncate.bytes (%d)", e.Bytes, e.Limit)
 }
 
 // Code implements operr.Coded.
@@ -176,7 +178,7 @@
 // Advice implements operr.Coded.
 func (*RowOver) Advice() string { return "raise truncate.bytes in the rules" }
 
-// Incomplete is a merge that ended before the row for which too few parts were read.
+// Incomplete is the error of a merge that ended before a row for which too few parts were read.
 type Incomplete struct{ Parts, Lost, Need int }
 
 func (e *Incomplete) Error() string {
@@ -188,10 +190,10 @@
 
 // Advice implements operr.Coded.
 func (*Incomplete) Advice() string {
-	return "go on with the token when the named parts are back, or lower complete in the rules"
+	return "continue with the token when the named parts are available again, or lower complete in the rules"
 }
 
-// TokenBad is a token that was not made here, or was changed.
+// TokenBad is the error for a token that was made elsewhere or was changed.
 type TokenBad struct{ Why string }
 
 func (e *TokenBad) Error() string { return "gather: token: " + e.Why }
@@ -200,13 +202,13 @@
 func (*TokenBad) Code() string { return "gather-token-bad" }
 
 // Advice implements operr.Coded.
-func (*TokenBad) Advice() string { return "begin again without a token" }
+func (*TokenBad) Advice() string { return "restart the read without a token" }
 
-// TokenRules is a token made under other rules.
+// TokenRules is the error for a token that was made under other rules.
 type TokenRules struct{ Made, Have string }
 
 func (e *TokenRules) Error() string {
-	return fmt.Sprintf("gather: token: made under rules %s, these are %s", e.Made, e.Have)
+	return fmt.Sprintf("gather: token: made under rules %s, the current rules are %s", e.Made, e.Have)
 }
 
 // Code implements operr.Coded.
@@ -214,7 +216,7 @@
 
 // Advice implements operr.Coded.
 func (*TokenRules) Advice() string {
-	return "begin again without a token: the rules have changed since"
+	return "restart the read without a token: the rules have changed since"
 }
 
 func init() {
--- a/gather/fuzz_test.go
+++ b/gather/fuzz_test.go
@@ -27,9 +27,9 @@
 
 // A token is taken only as it was made.
 func FuzzTokens(f *testing.F) {
-	r := rules(f, `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":1}}`)
-	m := merge(f, r, "p")
-	_ = m.Add("p", 0, lines(1, 2))
+	r := mustParseRules(f, `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":1}}`)
+	m := newMerge(f, r, "p")
+	_ = m.Add("p", 0, jsonLines(1, 2))
 	drain(m)
 	good := m.Result().Token
 	f.Add(good)
@@ -37,7 +37,7 @@
 	f.Fuzz(func(t *testing.T, token string) {
 		m, err := New(r, []Part{{ID: "p"}}, TokenKey([]byte("secret")), From(token))
 		if err == nil && token != "" {
-			t.Fatalf("%q was taken without the key: %v", token, m.from)
+			t.Fatalf("%q was taken without the key: %v", token, m.resumeAfter)
 		}
 		m, err = New(r, []Part{{ID: "p"}}, From(token))
 		if err == nil && token != "" && m.token() != token {
@@ -54,13 +54,13 @@
 		`{"order":[{"key":"a","type":"decimal"}],"duplicates":{"keep":"agree","parts":1}}`,
 		`{"order":[{"key":"0","type":"bytes"}],"records":{"form":"length-prefixed"},"complete":{"need":"best-effort"}}`,
 	} {
-		all = append(all, rules(f, text))
+		all = append(all, mustParseRules(f, text))
 	}
-	f.Add(uint8(0), uint8(3), lines(1, 2, 2))
-	f.Add(uint8(5), uint8(9), append(lines(2, 1), "{\r\n\n"...))
+	f.Add(uint8(0), uint8(3), jsonLines(1, 2, 2))
+	f.Add(uint8(5), uint8(9), append(jsonLines(2, 1), "{\r\n\n"...))
 	for i, r := range all[:2] {
-		sub := merge(f, r, "p q")
-		_ = sub.Add("p", 0, lines(1, 2))
+		sub := newMerge(f, r, "p q")
+		_ = sub.Add("p", 0, jsonLines(1, 2))
 		_, _ = sub.End("p", 0, nil), sub.Drop("q", nil)
 		text, _ := sub.AppendPartial(nil, 0)
 		f.Add(uint8(i+3), uint8(7), text)
@@ -79,7 +79,7 @@
 		var last []byte
 		next := func() {
 			for row, ok := m.Next(); ok; row, ok = m.Next() {
-				key, _, why := m.d.key(nil, row)
+				key, _, why := m.decoder.key(nil, row)
 				if why != "" || bytes.Compare(last, key) > 0 {
 					t.Fatalf("row %q after key %q: %s", row, last, why)
 				}
--- a/gather/key.go
+++ b/gather/key.go
@@ -15,35 +15,35 @@
 	"golang.org/x/text/language"
 )
 
-// A sort key is the order's fields one after another, each so that bytes.Compare is the rules' order: one byte for
-// absent or present, then a form that ends by itself, its bits turned over where descending.
+// A sort key is the concatenation of the order's fields, encoded so that bytes.Compare gives the rules' order: one byte for
+// absent or present, then a self-terminating encoding, whose bits are inverted for a descending order.
 const (
 	absentFirst = 1
 	present     = 2
 	absentLast  = 3
 )
 
-// decoder reads the keys of rows; one a merge, as collators are not shared.
+// decoder reads the keys of rows. Each merge has its own, because collators cannot be shared.
 type decoder struct {
-	r     *Rules
-	coll  []*collate.Collator
-	cbuf  collate.Buffer
-	field []field // of length-prefixed
-	index []int   // number of each key's field
+	r            *Rules
+	collators    []*collate.Collator
+	collateBuf   collate.Buffer
+	fields       []field // of a length-prefixed record
+	fieldNumbers []int   // for each key the number of its field
 }
 
 func newDecoder(r *Rules) *decoder {
-	d := &decoder{r: r, coll: make([]*collate.Collator, len(r.Order)), index: make([]int, len(r.Order)+1)}
+	d := &decoder{r: r, collators: make([]*collate.Collator, len(r.Order)), fieldNumbers: make([]int, len(r.Order)+1)}
 	for i, k := range r.Order {
 		if k.Type == "text" {
-			d.coll[i] = collate.New(language.MustParse(k.Locale))
+			d.collators[i] = collate.New(language.MustParse(k.Locale))
 		}
 		if r.Records.Form == "length-prefixed" {
-			d.index[i], _ = strconv.Atoi(k.Key)
+			d.fieldNumbers[i], _ = strconv.Atoi(k.Key)
 		}
 	}
 	if v := r.Duplicates.Version; v != nil && r.Records.Form == "length-prefixed" {
-		d.index[len(r.Order)], _ = strconv.Atoi(v.Key)
+		d.fieldNumbers[len(r.Order)], _ = strconv.Atoi(v.Key)
 	}
 	return d
 }
@@ -53,25 +53,25 @@
 	set  bool
 }
 
-type form uint8
+type valueForm uint8
 
 const (
-	formAbsent form = iota
-	formNumber      // JSON number
-	formText        // JSON string
-	formField       // of a length-prefixed record: any type as text
+	formAbsent valueForm = iota
+	formNumber           // JSON number
+	formText             // JSON string
+	formField            // field of a length-prefixed record: any type as text
 	formOther
 )
 
-func view(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+func stringView(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// key appends the row's sort key to dst; group is how much of it the duplicates' keys are.
+// key appends the row's sort key to dst. group is the length of its prefix by which duplicates are equal.
 func (d *decoder) key(dst, row []byte) (key []byte, group int, why string) {
 	if d.r.Records.Form == "json-lines" {
-		if s := bytes.TrimLeft(row, " \t"); len(s) == 0 || s[0] != '{' || !gjson.Valid(view(row)) {
+		if s := bytes.TrimLeft(row, " \t"); len(s) == 0 || s[0] != '{' || !gjson.Valid(stringView(row)) {
 			return dst, 0, "not a JSON object"
 		}
-	} else if why = d.split(row); why != "" {
+	} else if why = d.splitFields(row); why != "" {
 		return dst, 0, why
 	}
 	start := len(dst)
@@ -88,11 +88,11 @@
 	return dst, group, ""
 }
 
-// version appends the form of the version that compares as the rules say.
+// version appends the row's version in a form that sorts by the rules.
 func (d *decoder) version(dst, row []byte) ([]byte, string) {
 	v := d.r.Duplicates.Version
 	if d.r.Records.Form == "length-prefixed" {
-		if why := d.split(row); why != "" {
+		if why := d.splitFields(row); why != "" {
 			return dst, why
 		}
 	}
@@ -104,14 +104,14 @@
 	return dst, why
 }
 
-func (d *decoder) value(row []byte, path string, i int) (string, form) {
+func (d *decoder) value(row []byte, path string, i int) (string, valueForm) {
 	if d.r.Records.Form == "length-prefixed" {
-		if n := d.index[i]; n < len(d.field) && d.field[n].set {
-			return d.field[n].text, formField
+		if n := d.fieldNumbers[i]; n < len(d.fields) && d.fields[n].set {
+			return d.fields[n].text, formField
 		}
 		return "", formAbsent
 	}
-	switch v := gjson.Get(view(row), path); v.Type {
+	switch v := gjson.Get(stringView(row), path); v.Type {
 	case gjson.Null:
 		return "", formAbsent
 	case gjson.Number:
@@ -123,26 +123,26 @@
 	}
 }
 
-// split finds the fields of a length-prefixed record: for each a uvarint, 0 for absent or 1 + its bytes.
-func (d *decoder) split(row []byte) string {
-	d.field = d.field[:0]
+// splitFields finds the fields of a length-prefixed record. Each is a uvarint, 0 for absent or 1 + its length, and its bytes.
+func (d *decoder) splitFields(row []byte) string {
+	d.fields = d.fields[:0]
 	for len(row) > 0 {
-		n, w := binary.Uvarint(row)
-		if w <= 0 || n > uint64(len(row)-w)+1 {
+		n, width := binary.Uvarint(row)
+		if width <= 0 || n > uint64(len(row)-width)+1 {
 			return "a field goes over the record's end"
 		}
-		row = row[w:]
+		row = row[width:]
 		if n == 0 {
-			d.field = append(d.field, field{})
+			d.fields = append(d.fields, field{})
 			continue
 		}
-		d.field = append(d.field, field{view(row[:n-1]), true})
+		d.fields = append(d.fields, field{stringView(row[:n-1]), true})
 		row = row[n-1:]
 	}
 	return ""
 }
 
-func (d *decoder) encode(dst []byte, k *Key, i int, s string, f form) ([]byte, string) {
+func (d *decoder) encode(dst []byte, k *Key, i int, s string, f valueForm) ([]byte, string) {
 	if f == formAbsent {
 		if k.Absent == "first" {
 			return append(dst, absentFirst), ""
@@ -175,8 +175,8 @@
 		if !utf8.ValidString(s) {
 			return dst, "text that is not UTF-8"
 		}
-		d.cbuf.Reset()
-		dst = appendBytes(dst, view(d.coll[i].KeyFromString(&d.cbuf, s)))
+		d.collateBuf.Reset()
+		dst = appendBytes(dst, stringView(d.collators[i].KeyFromString(&d.collateBuf, s)))
 		if k.Equal == "bytes" {
 			dst = appendBytes(dst, s)
 		}
@@ -191,7 +191,7 @@
 	return dst, why
 }
 
-// appendBytes: a zero byte becomes 0 255, the end is 0 1; so a shorter string comes before a longer one.
+// appendBytes encodes a zero byte as 0 255 and ends with 0 1, so that a shorter string sorts before a longer one.
 func appendBytes(dst []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
 		if dst = append(dst, s[i]); s[i] == 0 {
@@ -201,28 +201,28 @@
 	return append(dst, 0, 1)
 }
 
-// appendDecimal: the sign, the power of ten of 0.ddd, the digits without zeros at either end, and an end; the bits of a
-// negative one turned over. 1.0 and 1.00 are equal, as are 0 and -0.
+// appendDecimal encodes the sign, the power of ten of 0.ddd, the digits without leading and trailing zeros, and a
+// terminator, with inverted bits if the number is negative. 1.0 and 1.00 are equal, as are 0 and -0.
 func appendDecimal(dst []byte, s string) ([]byte, string) {
-	bad := fmt.Sprintf
+	message := fmt.Sprintf
 	text, negative := s, false
 	if len(s) > 0 && s[0] == '-' {
 		negative, s = true, s[1:]
 	}
-	mark := len(dst)
+	start := len(dst)
 	dst = append(dst, 0x81, 0, 0, 0, 0)
-	digits, point, exp, last := 0, -1, 0, len(dst)
+	digits, point, exp, end := 0, -1, 0, len(dst)
 	i := 0
 	for ; i < len(s); i++ {
 		switch c := s[i]; {
 		case c >= '0' && c <= '9':
 			digits++
-			if len(dst) == mark+5 && c == '0' {
-				exp-- // a zero in front
+			if len(dst) == start+5 && c == '0' {
+				exp-- // a leading zero
 				continue
 			}
 			if dst = append(dst, c-'0'+1); c != '0' {
-				last = len(dst)
+				end = len(dst)
 			}
 			continue
 		case c == '.' && point < 0 && digits > 0:
@@ -231,34 +231,34 @@
 		case (c == 'e' || c == 'E') && digits > 0 && i+1 < len(s):
 			e, err := strconv.Atoi(s[i+1:])
 			if err != nil || e > 1<<29 || e < -1<<29 {
-				return dst[:mark], bad("%.40q is not a decimal with a power of ten under 2^29", text)
+				return dst[:start], message("%.40q is not a decimal with a power of ten under 2^29", text)
 			}
 			exp += e
 			i = len(s)
 		default:
-			return dst[:mark], bad("%.40q is not a decimal", text)
+			return dst[:start], message("%.40q is not a decimal", text)
 		}
 	}
 	if digits == 0 || point == digits {
-		return dst[:mark], bad("%.40q is not a decimal", text)
+		return dst[:start], message("%.40q is not a decimal", text)
 	}
 	if point < 0 {
 		point = digits
 	}
-	if dst = dst[:last]; last == mark+5 {
-		return append(dst[:mark], 0x80), ""
+	if dst = dst[:end]; end == start+5 {
+		return append(dst[:start], 0x80), ""
 	}
-	binary.BigEndian.PutUint32(dst[mark+1:], uint32(int64(exp)+int64(point)+math.MaxInt32))
+	binary.BigEndian.PutUint32(dst[start+1:], uint32(int64(exp)+int64(point)+math.MaxInt32))
 	dst = append(dst, 0)
 	if negative {
-		for j := mark; j < len(dst); j++ {
+		for j := start; j < len(dst); j++ {
 			dst[j] = ^dst[j]
 		}
 	}
 	return dst, ""
 }
 
-// AppendRow appends a row to dst as a record of the rules' form.
+// AppendRow appends a row to dst as a record in the rules' form.
 func (r *Rules) AppendRow(dst, row []byte) []byte {
 	if r.Records.Form == "length-prefixed" {
 		dst = binary.BigEndian.AppendUint32(dst, uint32(len(row)))
@@ -275,9 +275,9 @@
 	return append(binary.AppendUvarint(row, uint64(len(value))+1), value...)
 }
 
-// name is the row's keys as a person reads them.
-func (d *decoder) name(row []byte) string {
-	if d.r.Records.Form == "length-prefixed" && d.split(row) != "" {
+// describeKey returns the row's keys in readable form.
+func (d *decoder) describeKey(row []byte) string {
+	if d.r.Records.Form == "length-prefixed" && d.splitFields(row) != "" {
 		return "?"
 	}
 	var b []byte
--- a/gather/merge.go
+++ b/gather/merge.go
@@ -10,105 +10,105 @@
 	"slices"
 )
 
-// Part is one part of a read: a shard's rows, or the partial result of several.
+// Part is one part of a read: a shard's rows, or the partial result of several parts.
 type Part struct {
 	ID    string
 	Shard int
 	Of    []string // of a partial result: the IDs of the parts in it
 }
 
-type kind uint8
+type headKind uint8
 
 const (
-	kindOpen kind = iota // nothing has come after its key yet
-	kindLoss             // and nothing will, though the part is not whole
-	kindRow
-	kindWhole
+	headPending headKind = iota // nothing after its key has arrived yet
+	headLost                    // nothing more will arrive, and the part is incomplete
+	headRow
+	headEnd
 )
 
-// head is what a stream has next in the order.
+// head is the next element of a stream in the order.
 type head struct {
-	prefix uint64 // of key, so that most comparisons need no more
-	key    []byte
-	rank   int32
-	run    uint32 // which of the part's rows with this key
-	kind   kind
-	at, n  int // the row in its record
-	loss   loss
+	prefix               uint64 // of key, so that most comparisons need no more
+	key                  []byte
+	rank                 int32
+	occurrence           uint32 // index among the part's rows with this key
+	kind                 headKind
+	rowOffset, rowLength int // position of the row in its record
+	loss                 loss
 }
 
-// Merge is one read's merge. It is not for use by several goroutines at once.
+// Merge is the merge of one read. It must not be used by several goroutines at once.
 type Merge struct {
-	r       *Rules
-	d       *decoder
+	rules   *Rules
+	decoder *decoder
 	fault   fault
 	leaves  []Part // all parts, by ID; their index is their rank
 	streams []*stream
 	byID    map[string]int
 	heads   []head
 	tree    []int32
-	pending int // the stream whose head went out
-
-	g      group
-	from   position // rows up to here went out before
-	last   position // of the last row that counted
-	offset int      // rows still to be passed over
-
-	given    int64 // rows of earlier pages
-	consumed int64
-	rows     int64
-	bytes    int64
-	short    bool // too many parts are lost; it ends with the group
-	done     bool
-	left     bool
-	cut      string
-	err      error
-	tokens   []byte // the MAC's key
-	lost     map[int32]loss
-	torn     map[int32]error // parts in conflict with themselves
-	rowsIn   map[int32]int64 // parts in conflict with others: keys
-	named    []Conflict
-	counted  int64
-	demands  []Demand
+	pending int // the stream whose head was returned; -1: none
+
+	group       duplicateGroup
+	resumeAfter position // rows up to here were on earlier pages
+	lastCounted position // the last row that counted
+	offset      int      // rows still to be skipped
+
+	previousRows       int64 // rows of earlier pages
+	consumed           int64
+	rows               int64
+	bytes              int64
+	tooManyLost        bool // too many parts are lost; the merge ends with the group
+	done               bool
+	clientDisconnected bool
+	truncatedBy        string
+	err                error
+	tokenKey           []byte // key of the tokens' MAC
+	lost               map[int32]loss
+	selfConflicts      map[int32]error // parts whose own data is in conflict
+	conflictKeys       map[int32]int64 // for each part in conflict with others, the number of keys
+	conflicts          []Conflict
+	conflictCount      int64
+	demands            []Demand
 
 	partial partialState
 }
 
 type position struct {
-	key  []byte
-	part string
-	run  uint32
-	set  bool
+	key        []byte
+	part       string
+	occurrence uint32
+	set        bool
 }
 
 type loss struct {
-	rank int32
-	cut  bool // some of it came
-	torn bool // it was not in order
-	err  error
+	rank      int32
+	truncated bool // some rows arrived
+	unsorted  bool // it was not sorted
+	err       error
 }
 
-type fault uint8 // what a test takes away, to see that its loss is found
+type fault uint8 // a defect that a test injects to verify that its checks find it
 
 const (
 	faultNone fault = iota
-	faultEager
-	faultTwice
-	faultCounts
-	faultLimited
-	faultHash
-	faultWhole
-	faultUnnamed
-	faultMemory
-	faultDiverge
-	faultUnsorted
-	faultRank
-	faultContent
-	faultClash
-	faultGroup
+	faultIgnorePendingParts
+	faultCountRepeats
+	faultOnlyFirstPart
+	faultLimitedIsComplete
+	faultComparePrefixOnly
+	faultDroppedIsComplete
+	faultHideLostParts
+	faultIgnoreQuota
+	faultIgnoreDivergence
+	faultAcceptUnsorted
+	faultTiesByArrival
+	faultCompareLengths
+	faultHideConflicts
+	faultDropGroupRow
 )
 
-// Option changes a merge.
+// Option is an option of New.
 type Option func(*options)
 
 type options struct {
@@ -116,35 +116,35 @@
 	token string
 }
 
-// TokenKey makes the tokens' check a MAC (HMAC-SHA-256) with this key, so that clients cannot make tokens of their own.
-// Without it the check finds damage only.
+// TokenKey makes the checksum of tokens a MAC (HMAC-SHA-256) with this key, so that clients cannot forge tokens. Without it
+// the checksum only detects damage.
 func TokenKey(key []byte) Option { return func(o *options) { o.key = key } }
 
-// From goes on after the page whose Result had this token. The parts are read from their start again.
+// From continues after the page whose Result had this token. The parts are read from their start again.
 func From(token string) Option { return func(o *options) { o.token = token } }
 
-// New begins a merge of parts. Errors: *PartsBad, *TokenBad, *TokenRules.
+// New starts a merge of parts. Its errors are *PartsBad, *TokenBad and *TokenRules.
 func New(r *Rules, parts []Part, opts ...Option) (*Merge, error) {
 	var o options
 	for _, f := range opts {
 		f(&o)
 	}
-	m := &Merge{r: r, d: newDecoder(r), byID: map[string]int{}, pending: -1, offset: r.Truncate.Offset, tokens: o.key,
-		lost: map[int32]loss{}, torn: map[int32]error{}, rowsIn: map[int32]int64{}}
+	m := &Merge{rules: r, decoder: newDecoder(r), byID: map[string]int{}, pending: -1, offset: r.Truncate.Offset, tokenKey: o.key,
+		lost: map[int32]loss{}, selfConflicts: map[int32]error{}, conflictKeys: map[int32]int64{}}
 	share := r.Memory.Bytes / (len(parts) + 1)
 	switch {
 	case len(parts) == 0:
 		return nil, &PartsBad{"", "no parts"}
 	case share < 2*r.Records.MaxBytes:
-		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts have %d bytes of memory each, two records are %d", len(parts), share, 2*r.Records.MaxBytes)}
+		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts have %d bytes of memory each, but two records need %d", len(parts), share, 2*r.Records.MaxBytes)}
 	case r.Memory.Rows < len(parts)+2:
-		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts, memory.rows is %d", len(parts), r.Memory.Rows)}
+		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts are too many for memory.rows = %d", len(parts), r.Memory.Rows)}
 	}
 	for i, p := range parts {
 		s := &stream{part: p, quota: share}
-		s.sum.Reset()
+		s.digest.Reset()
 		if _, twice := m.byID[p.ID]; twice || p.ID == "" {
-			return nil, &PartsBad{p.ID, "is given twice, or has no name"}
+			return nil, &PartsBad{p.ID, "is given twice, or has no ID"}
 		}
 		m.byID[p.ID] = i
 		m.streams = append(m.streams, s)
@@ -169,10 +169,10 @@
 		for _, id := range of {
 			s.leaves = append(s.leaves, int32(m.rankOf(id)))
 		}
-		s.left = make([]bool, len(of))
+		s.lostLeaves = make([]bool, len(of))
 		s.rank = s.leaves[0]
 	}
-	m.g.limitBytes, m.g.limitRows = share, r.Memory.Rows-len(parts)
+	m.group.maxBytes, m.group.maxRows = share, r.Memory.Rows-len(parts)
 	if o.token != "" {
 		if err := m.resume(o.token); err != nil {
 			return nil, err
@@ -182,7 +182,7 @@
 	for i, s := range m.streams {
 		m.heads[i].rank = s.rank
 	}
-	m.plant()
+	m.buildTree()
 	return m, nil
 }
 
@@ -194,162 +194,163 @@
 	return i
 }
 
-func (m *Merge) stream(part string) (int, error) {
+func (m *Merge) streamIndex(part string) (int, error) {
 	i, ok := m.byID[part]
 	if !ok {
-		return 0, &PartsBad{part, "is no part of this merge"}
+		return 0, &PartsBad{part, "is not a part of this merge"}
 	}
 	return i, nil
 }
 
-// Add takes a piece of a part: the next bytes of that copy, in any cutting. A copy begins at the part's start; what
-// another copy has brought already is compared and not taken again. Numbers of copies begin at 0 or 1 and grow. Errors: *Full (nothing was taken), *Diverged (the
-// copy is set aside), *CopiesOver, *PartsBad. After the end of the merge, or of the part, it takes nothing.
+// Add adds the next bytes of a copy of a part, in pieces of any size. A copy begins at the part's start. Bytes that
+// another copy has already brought are compared and not added again. Numbers of copies begin at 0 or 1 and grow. The
+// errors are *Full (nothing was accepted), *Diverged (the copy is ignored from then on), *CopiesOver and *PartsBad.
+// After the end of the merge or of the part Add ignores the data.
 func (m *Merge) Add(part string, copy int, data []byte) error {
-	i, err := m.stream(part)
+	i, err := m.streamIndex(part)
 	if err != nil {
 		return err
 	}
 	s := m.streams[i]
-	if m.done || s.gone {
+	if m.done || s.dropped {
 		return nil
 	}
-	c, err := s.copyOf(copy, m.r.Copies)
-	if err != nil || c.bad || c.out {
+	c, err := s.copyOf(copy, m.rules.Copies)
+	if err != nil || c.diverged || c.ended {
 		return err
 	}
-	if err = s.take(c, data, m.fault); err != nil {
-		return m.diverged(s, err)
+	if err = s.add(c, data, m.fault); err != nil {
+		return m.recordDivergence(s, err)
 	}
 	m.refresh(i)
 	return nil
 }
 
-// End says that a copy of a part has ended: whole (nil), or cut (the reason; *Limited where it stopped at the rows it
-// was asked for). The part of a cut copy stays open: another copy may bring the rest, until Drop.
+// End records that a copy of a part has ended: complete (nil), or truncated (the reason; *Limited if it stopped at its
+// row limit). The part of a truncated copy stays open until Drop, as another copy may bring the rest.
 func (m *Merge) End(part string, copy int, err error) error {
-	i, bad := m.stream(part)
+	i, bad := m.streamIndex(part)
 	if bad != nil {
 		return bad
 	}
 	s := m.streams[i]
-	if m.done || s.gone {
+	if m.done || s.dropped {
 		return nil
 	}
-	c, bad := s.copyOf(copy, m.r.Copies)
+	c, bad := s.copyOf(copy, m.rules.Copies)
 	if bad != nil {
 		return bad
 	}
-	whole := err == nil || m.fault == faultLimited && errors.As(err, new(*Limited))
+	whole := err == nil || m.fault == faultLimitedIsComplete && errors.As(err, new(*Limited))
 	if err != nil {
-		s.why, s.limit = err, errors.As(err, new(*Limited))
+		s.why, s.limited = err, errors.As(err, new(*Limited))
 	}
 	if bad = s.endCopy(c, whole); bad != nil {
-		return m.diverged(s, bad)
+		return m.recordDivergence(s, bad)
 	}
 	m.refresh(i)
 	return nil
 }
 
-// Drop gives a part up: no copy will bring more. Of a part that is whole it changes nothing.
+// Drop ends a part for which no copy will bring more. It has no effect on a complete part.
 func (m *Merge) Drop(part string, why error) error {
-	i, err := m.stream(part)
+	i, err := m.streamIndex(part)
 	if err != nil {
 		return err
 	}
 	s := m.streams[i]
-	if m.done || !s.open() {
+	if m.done || !s.isOpen() {
 		return nil
 	}
-	if s.gone = true; why != nil {
+	if s.dropped = true; why != nil {
 		s.why = why
 	}
-	if m.fault == faultWhole { // a test's: the cut passes for the end
-		s.gone, s.whole, s.ended = false, true, true
+	if m.fault == faultDroppedIsComplete { // injected fault: the truncated part is treated as complete
+		s.dropped, s.complete, s.endSeen = false, true, true
 	}
 	m.refresh(i)
 	return nil
 }
 
-func (m *Merge) diverged(s *stream, err error) error {
+func (m *Merge) recordDivergence(s *stream, err error) error {
 	var d *Diverged
 	if errors.As(err, &d) && s.part.Of == nil {
-		m.conflicted(s.rank, d)
+		m.recordConflict(s.rank, d)
 	} else if errors.As(err, &d) {
 		for _, l := range s.leaves {
-			m.conflicted(l, d)
+			m.recordConflict(l, d)
 		}
 	}
 	return err
 }
 
-// conflicted names a part in conflict with itself; the first reason stands.
-func (m *Merge) conflicted(rank int32, why error) {
-	if _, known := m.torn[rank]; !known {
-		m.torn[rank] = why
-		m.partial.conflict(rank, why)
+// recordConflict records that the data of a part is in conflict. The first reason is kept.
+func (m *Merge) recordConflict(rank int32, why error) {
+	if _, known := m.selfConflicts[rank]; !known {
+		m.selfConflicts[rank] = why
+		m.partial.addConflict(rank, why)
 	}
 }
 
 // refresh looks for the next record of a stream that had none.
 func (m *Merge) refresh(i int) {
-	if m.heads[i].kind == kindOpen {
-		m.fill(i)
-		m.grow(i)
+	if m.heads[i].kind == headPending {
+		m.fillHead(i)
+		m.updateTree(i)
 	}
 }
 
-// fill sets a stream's head to its next record, or to what stands in its place.
-func (m *Merge) fill(i int) {
+// fillHead sets a stream's head to its next record, or to its end or loss.
+func (m *Merge) fillHead(i int) {
 	s, h := m.streams[i], &m.heads[i]
 	for {
-		rec, ok, why := s.record(m.r)
+		rec, ok, why := s.nextRecord(m.rules)
 		if why == "" && ok {
 			if s.part.Of != nil {
-				if ok, why = m.frame(s, h, rec); why == "" && !ok {
+				if ok, why = m.readFrame(s, h, rec); why == "" && !ok {
 					continue
 				}
 			} else {
-				why = m.leaf(s, h, rec)
+				why = m.readRow(s, h, rec)
 			}
 			if why == "" {
 				return
 			}
 		}
-		if why == "" && s.part.Of != nil && s.whole && !s.ended {
+		if why == "" && s.part.Of != nil && s.complete && !s.endSeen {
 			why = "a partial result without its end"
 		}
 		if why != "" {
-			s.whole, s.gone = false, true
+			s.complete, s.dropped = false, true
 			if why == "unsorted" {
-				s.why, s.torn = &Unsorted{s.part.ID, s.records}, true
+				s.why, s.unsorted = &Unsorted{s.part.ID, s.records}, true
 			} else {
 				s.why = &RecordBad{s.part.ID, s.records, why}
 			}
 		}
 		break
 	}
-	h.rank, h.run = s.rank, s.run
+	h.rank, h.occurrence = s.rank, s.occurrence
 	if s.records > 0 {
-		h.run++
+		h.occurrence++
 	}
-	m.setKey(h, s.key[:m.cutKey(s)])
+	m.setKey(h, s.key[:m.headKeyLen(s)])
 	switch {
-	case s.whole:
-		h.kind, h.prefix = kindWhole, 1<<64-1
-	case s.gone:
-		h.kind = kindLoss
+	case s.complete:
+		h.kind, h.prefix = headEnd, 1<<64-1
+	case s.dropped:
+		h.kind = headLost
 		h.loss = loss{rank: -1, err: s.why}
-	case m.fault == faultEager: // a test's: an open part holds nobody up
-		h.kind, h.prefix = kindOpen, 1<<64-1
+	case m.fault == faultIgnorePendingParts: // injected fault: an open part does not hold back rows
+		h.kind, h.prefix = headPending, 1<<64-1
 	default:
-		h.kind = kindOpen
+		h.kind = headPending
 	}
 }
 
-func (m *Merge) cutKey(s *stream) int {
-	if m.r.grouped() {
-		return s.group
+func (m *Merge) headKeyLen(s *stream) int {
+	if m.rules.grouped() {
+		return s.groupKeyLen
 	}
 	return len(s.key)
 }
@@ -365,112 +366,112 @@
 	h.prefix = binary.BigEndian.Uint64(b[:])
 }
 
-// leaf reads a row of a part and holds it against the one before.
-func (m *Merge) leaf(s *stream, h *head, rec []byte) (why string) {
+// readRow reads a row of a part and checks that it is not before the previous one.
+func (m *Merge) readRow(s *stream, h *head, rec []byte) (why string) {
 	var group int
-	if s.spare, group, why = m.d.key(s.spare[:0], rec); why != "" {
+	if s.nextKey, group, why = m.decoder.key(s.nextKey[:0], rec); why != "" {
 		return why
 	}
-	if m.r.Duplicates.Version != nil {
-		if s.ver, why = m.d.version(s.ver[:0], rec); why != "" {
+	if m.rules.Duplicates.Version != nil {
+		if s.version, why = m.decoder.version(s.version[:0], rec); why != "" {
 			return why
 		}
 	}
-	c := bytes.Compare(s.spare, s.key)
-	if c < 0 && m.fault != faultUnsorted {
+	c := bytes.Compare(s.nextKey, s.key)
+	if c < 0 && m.fault != faultAcceptUnsorted {
 		return "unsorted"
 	}
 	switch {
-	case c == 0 && s.run == math.MaxUint32-1:
+	case c == 0 && s.occurrence == math.MaxUint32-1:
 		return "2^32 rows of one key"
 	case c == 0:
-		s.run++
+		s.occurrence++
 	default:
-		s.run = 0
+		s.occurrence = 0
 	}
-	s.key, s.spare, s.group = s.spare, s.key, group
+	s.key, s.nextKey, s.groupKeyLen = s.nextKey, s.key, group
 	s.records++
-	h.kind, h.rank, h.run = kindRow, s.rank, s.run
-	h.place(s, rec)
-	m.setKey(h, s.key[:m.cutKey(s)])
+	h.kind, h.rank, h.occurrence = headRow, s.rank, s.occurrence
+	h.setRow(s, rec)
+	m.setKey(h, s.key[:m.headKeyLen(s)])
 	return ""
 }
 
 type event uint8
 
 const (
-	evStall event = iota
-	evEnd
-	evLoss  // m.pending's head is a loss
-	evRow   // m.pending's head is the next row
-	evGroup // m.g is the next group
+	eventStalled event = iota
+	eventEnd
+	eventLoss  // the head of stream m.pending is a loss
+	eventRow   // the head of stream m.pending is the next row
+	eventGroup // m.group is the next group
 )
 
-// step takes the next of the order, as far as no part can come before it.
+// step returns the next event of the order, as far as no part can precede it.
 func (m *Merge) step() event {
 	for {
 		if m.pending >= 0 {
 			m.advance(m.pending)
 			m.pending = -1
 		}
-		w := m.winner()
-		h := &m.heads[w]
-		if m.g.open && (h.kind == kindWhole || h.prefix == 1<<64-1 || !bytes.Equal(h.key, m.g.key)) {
-			if m.g.open = false; m.g.n == 0 && !m.short {
+		index := m.winner()
+		h := &m.heads[index]
+		if m.group.open && (h.kind == headEnd || h.prefix == 1<<64-1 || !bytes.Equal(h.key, m.group.key)) {
+			if m.group.open = false; m.group.count == 0 && !m.tooManyLost {
 				continue
 			}
-			return evGroup
+			return eventGroup
 		}
 		switch h.kind {
-		case kindOpen:
-			return evStall
-		case kindWhole:
-			return evEnd
-		case kindLoss:
-			if m.r.grouped() && !m.g.open && len(h.key) > 0 { // all that were lost in one group are named
-				m.g.begin(h.key)
+		case headPending:
+			return eventStalled
+		case headEnd:
+			return eventEnd
+		case headLost:
+			if m.rules.grouped() && !m.group.open && len(h.key) > 0 { // all parts that were lost in one group are named
+				m.group.begin(h.key)
 			}
-			m.pending = w
-			return evLoss
+			m.pending = index
+			return eventLoss
 		}
 		switch {
-		case m.passed(h):
-		case !m.r.grouped():
-			m.pending = w
-			return evRow
+		case m.alreadySent(h):
+		case !m.rules.grouped():
+			m.pending = index
+			return eventRow
 		default:
-			if !m.g.open {
-				m.g.begin(h.key)
+			if !m.group.open {
+				m.group.begin(h.key)
 			}
-			if m.fold(w); m.err != nil {
-				m.g.open = false
-				return evEnd
+			if m.addToGroup(index); m.err != nil {
+				m.group.open = false
+				return eventEnd
 			}
 		}
-		m.pending = w
+		m.pending = index
 	}
 }
 
-// passed: the row went out on a page before this one.
-func (m *Merge) passed(h *head) bool {
-	if !m.from.set {
+// alreadySent reports whether the row was on an earlier page.
+func (m *Merge) alreadySent(h *head) bool {
+	if !m.resumeAfter.set {
 		return false
 	}
-	c := bytes.Compare(h.key, m.from.key)
-	if c != 0 || m.r.grouped() {
+	c := bytes.Compare(h.key, m.resumeAfter.key)
+	if c != 0 || m.rules.grouped() {
 		return c <= 0
 	}
-	if c = cmp.Compare(m.leaves[h.rank].ID, m.from.part); c != 0 {
+	if c = cmp.Compare(m.leaves[h.rank].ID, m.resumeAfter.part); c != 0 {
 		return c < 0
 	}
-	return h.run <= m.from.run
+	return h.occurrence <= m.resumeAfter.occurrence
 }
 
 func (m *Merge) advance(i int) {
-	if h := &m.heads[i]; h.kind == kindLoss && h.loss.rank < 0 { // the stream's own
-		h.kind, h.prefix, h.key = kindWhole, 1<<64-1, nil
+	if h := &m.heads[i]; h.kind == headLost && h.loss.rank < 0 { // the loss of the stream itself
+		h.kind, h.prefix, h.key = headEnd, 1<<64-1, nil
 	} else {
-		m.fill(i)
+		m.fillHead(i)
 	}
-	m.grow(i)
+	m.updateTree(i)
 }
--- a/gather/script_test.go
+++ b/gather/merge_test.go
@@ -10,7 +10,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-func merge(t testing.TB, r *Rules, parts string, opts ...Option) *Merge {
+func newMerge(t testing.TB, r *Rules, parts string, opts ...Option) *Merge {
 	t.Helper()
 	var all []Part
 	for _, id := range strings.Fields(parts) {
@@ -32,7 +32,7 @@
 	return strings.Join(out, " ")
 }
 
-func lines(values ...any) []byte {
+func jsonLines(values ...any) []byte {
 	var b strings.Builder
 	for _, v := range values {
 		text, _ := json.Marshal(v)
@@ -41,7 +41,7 @@
 	return []byte(b.String())
 }
 
-func state(r Result) string {
+func partStates(r Result) string {
 	var out []string
 	for _, p := range r.Parts {
 		var c operr.Coded
@@ -56,8 +56,8 @@
 
 const byA = `{"order":[{"key":"a","type":"integer"}]%s}`
 
-// TestScripts: what came in, what went out; with the lines whose loss the script finds.
-func TestScripts(t *testing.T) {
+// TestMergeCases: what came in, what went out; with the lines whose loss the script finds.
+func TestMergeCases(t *testing.T) {
 	type script struct {
 		name  string
 		rules string
@@ -69,86 +69,86 @@
 	}
 	for _, s := range []script{
 		{"a second copy goes on where the first was cut, in the middle of a record", "", func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2)[:12])
+			_ = m.Add("p", 1, jsonLines(1, 2)[:12])
 			_ = m.End("p", 1, errors.New("reset"))
-			_ = m.Add("p", 2, lines(1, 2, 3))
+			_ = m.Add("p", 2, jsonLines(1, 2, 3))
 			_ = m.End("p", 2, nil)
 			_ = m.End("q", 1, nil)
-		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultTwice},
+		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultCountRepeats},
 		{"a copy that differs is set aside and named", "", func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2))
-			_ = m.Add("p", 2, lines(1, 5, 6))
+			_ = m.Add("p", 1, jsonLines(1, 2))
+			_ = m.Add("p", 2, jsonLines(1, 5, 6))
 			_ = m.End("p", 2, nil)
-			_ = m.Add("p", 1, lines(3))
+			_ = m.Add("p", 1, jsonLines(3))
 			_ = m.End("p", 1, nil)
 			_ = m.End("q", 1, nil)
-		}, `{"a":1} {"a":2} {"a":3}`, "p gather-diverged", false, faultDiverge},
+		}, `{"a":1} {"a":2} {"a":3}`, "p gather-diverged", false, faultIgnoreDivergence},
 		{"a copy that ends whole before another's end differs", "", func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2))
-			_ = m.Add("p", 2, lines(1))
+			_ = m.Add("p", 1, jsonLines(1, 2))
+			_ = m.Add("p", 2, jsonLines(1))
 			_ = m.End("p", 2, nil)
 			_ = m.End("p", 1, nil)
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2}`, "p gather-diverged", false, faultNone},
 		{"a copy that goes over a whole one's end differs", "", func(m *Merge) {
-			_ = m.Add("p", 1, lines(1))
+			_ = m.Add("p", 1, jsonLines(1))
 			_ = m.End("p", 1, nil)
-			_ = m.Add("p", 2, lines(1, 2))
+			_ = m.Add("p", 2, jsonLines(1, 2))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1}`, "p gather-diverged", false, faultNone},
 		{"an ended copy gives way to the next", `,"copies":1`, func(m *Merge) {
 			for copy := 1; copy < 4; copy++ {
-				_ = m.Add("p", copy, lines(1, 2, 3)[:8*copy])
+				_ = m.Add("p", copy, jsonLines(1, 2, 3)[:8*copy])
 				if err := m.Add("p", copy+1, nil); !errors.As(err, new(*CopiesOver)) {
 					t.Errorf("a copy over the limit: %v", err)
 				}
 				_ = m.End("p", copy, map[bool]error{false: errors.New("reset")}[copy == 3])
 				if copy > 1 {
-					_ = m.Add("p", 1, lines(9)) // forgotten: not taken
+					_ = m.Add("p", 1, jsonLines(9)) // forgotten: not taken
 				}
 			}
 			_ = m.End("q", 1, nil)
-		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultTwice},
+		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultCountRepeats},
 		{"an unsorted part is cut before the row and in conflict", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 5, 3))
+			_ = m.Add("p", 1, jsonLines(1, 5, 3))
 			_ = m.End("p", 1, nil)
-			_ = m.Add("q", 1, lines(4))
+			_ = m.Add("q", 1, jsonLines(4))
 			_ = m.End("q", 1, nil)
-		}, `{"a":1} {"a":4} {"a":5}`, "p gather-unsorted", false, faultUnsorted},
+		}, `{"a":1} {"a":4} {"a":5}`, "p gather-unsorted", false, faultAcceptUnsorted},
 		{"a key of another type cuts the part", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, "x", 2))
+			_ = m.Add("p", 1, jsonLines(1, "x", 2))
 			_ = m.End("p", 1, nil)
-			_ = m.Add("q", 1, lines(4))
+			_ = m.Add("q", 1, jsonLines(4))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":4}`, "p gather-record-bad", false, faultNone},
 		{"a version of another type cuts the part", `,"complete":{"need":"best-effort"},"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}`, func(m *Merge) {
 			_ = m.Add("p", 1, []byte(`{"a":1,"v":1}`+"\n"+`{"a":2,"v":"x"}`+"\n"))
-			_ = m.Add("q", 1, append([]byte(`{"a":1,"v":2}`+"\n"), lines(3)...))
+			_ = m.Add("q", 1, append([]byte(`{"a":1,"v":2}`+"\n"), jsonLines(3)...))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1,"v":2} {"a":3}`, "p gather-record-bad", false, faultNone},
 		{"a record over the limit cuts the part before its end has come", `,"complete":{"need":"best-effort"},"records":{"max_bytes":16}`, func(m *Merge) {
-			_ = m.Add("p", 1, append(lines(1), `{"a":2222222222222`...))
+			_ = m.Add("p", 1, append(jsonLines(1), `{"a":2222222222222`...))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1}`, "p gather-record-bad", false, faultNone},
 		{"rows go out before a part has ended, as far as it was read", "", func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2, 9))
-			_ = m.Add("q", 1, lines(3))
+			_ = m.Add("p", 1, jsonLines(1, 2, 9))
+			_ = m.Add("q", 1, jsonLines(3))
 		}, `{"a":1} {"a":2} {"a":3}`, "", false, faultNone},
 		{"a first row over truncate.bytes is an error", `,"truncate":{"bytes":5}`, func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2))
+			_ = m.Add("p", 1, jsonLines(1, 2))
 			_ = m.End("q", 1, nil)
 		}, "", "", false, faultNone},
 		{"bytes end it before the row that does not fit", `,"truncate":{"bytes":15}`, func(m *Merge) {
-			_ = m.Add("p", 1, lines(1, 2, 3))
+			_ = m.Add("p", 1, jsonLines(1, 2, 3))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2}`, "", true, faultNone},
 	} {
 		play := func(f fault) (string, string, bool) {
-			m := merge(t, rules(t, fmt.Sprintf(byA, s.rules)), "p q")
+			m := newMerge(t, mustParseRules(t, fmt.Sprintf(byA, s.rules)), "p q")
 			m.fault = f
 			s.run(m)
 			rows := drain(m)
-			return rows, state(m.Result()), m.Result().Whole
+			return rows, partStates(m.Result()), m.Result().Whole
 		}
 		rows, parts, whole := play(faultNone)
 		if rows != s.rows || parts != s.parts || whole != s.whole {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestKeysAreInTheirOrder(t *testing.T) {
+func TestSortKeysFollowTheRules(t *testing.T) {
 	for _, c := range []struct{ key, rows string }{
 		{`"type":"decimal"`, `-1e30 -20.5 -20 -3 -0.2 -0.10 -0.0999 0 0.00001 0.5 "0.50001" 1.0 9 10 10.01 1e2 1e30`},
 		{`"type":"decimal","direction":"descending","absent":"first"`, `null 100 20 2.5 2 0.1 0 -0.1 -2 -2.5`},
@@ -172,7 +172,7 @@
 		{`"type":"text","locale":"de"`, `"a" "ä" "b" "z"`},
 		{`"type":"text","locale":"de-u-ks-level2","equal":"locale"`, `"a" "A" "b" "B"`},
 	} {
-		m := merge(t, rules(t, `{"order":[{"key":"a",`+c.key+`}]}`), "p")
+		m := newMerge(t, mustParseRules(t, `{"order":[{"key":"a",`+c.key+`}]}`), "p")
 		var text strings.Builder
 		for _, v := range strings.Fields(c.rows) {
 			fmt.Fprintf(&text, `{"a":%s}`+"\n", v)
@@ -184,7 +184,7 @@
 			t.Errorf("%s: %s: %v", c.key, got, m.Result().Parts)
 		}
 		rows := strings.Fields(want) // and no two are equal but where the locale says so
-		d := newDecoder(m.r)
+		d := newDecoder(m.rules)
 		for i := 1; i < len(rows); i++ {
 			a, _, _ := d.key(nil, []byte(rows[i-1]))
 			b, _, _ := d.key(nil, []byte(rows[i]))
@@ -195,8 +195,8 @@
 	}
 }
 
-func TestLengthPrefixed(t *testing.T) {
-	r := rules(t, `{"records":{"form":"length-prefixed"},"order":[{"key":"1","type":"time","direction":"descending"}],"truncate":{"offset":1,"top":2}}`)
+func TestLengthPrefixedRecords(t *testing.T) {
+	r := mustParseRules(t, `{"records":{"form":"length-prefixed"},"order":[{"key":"1","type":"time","direction":"descending"}],"truncate":{"offset":1,"top":2}}`)
 	var text []byte
 	for _, when := range []string{"2026-12-02T00:00:00Z", "2026-12-01T00:00:00Z", "2026-11-01T00:00:00Z", ""} {
 		row := AppendField(nil, []byte("\x00binary\n"))
@@ -207,12 +207,12 @@
 		}
 		text = r.AppendRow(text, row)
 	}
-	m := merge(t, r, "p")
+	m := newMerge(t, r, "p")
 	_ = m.Add("p", 0, text)
 	if out := drain(m); strings.Count(out, "binary") != 2 || !strings.Contains(out, "2026-11") || m.Result().Truncated != "top" {
 		t.Errorf("%q %+v", out, m.Result())
 	}
-	m = merge(t, r, "p")
+	m = newMerge(t, r, "p")
 	_ = m.Add("p", 0, text[:len(text)-1])
 	_ = m.End("p", 0, nil)
 	if drain(m); m.Result().Truncated != "top" { // the cut is behind the page
@@ -221,12 +221,12 @@
 }
 
 // A partial result that is cut loses its parts where it ends; one of other rules or parts is named and not read.
-func TestPartialsThatAreNoGood(t *testing.T) {
-	best, other := rules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`)), rules(t, fmt.Sprintf(byA, ""))
+func TestInvalidPartialResults(t *testing.T) {
+	best, other := mustParseRules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`)), mustParseRules(t, fmt.Sprintf(byA, ""))
 	make := func(r *Rules, parts string) []byte {
-		sub := merge(t, r, parts)
+		sub := newMerge(t, r, parts)
 		for i, id := range strings.Fields(parts) {
-			_ = sub.Add(id, 0, lines(1+i, 3+i))
+			_ = sub.Add(id, 0, jsonLines(1+i, 3+i))
 			_ = sub.End(id, 0, nil)
 		}
 		text, done := sub.AppendPartial(nil, 0)
@@ -248,7 +248,7 @@
 		{"cut, though its end says whole", good[:len(good)-5], nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, "p gather-record-bad,q gather-record-bad"},
 		{"other rules", make(other, "p q"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 		{"other parts", make(best, "p r"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
-		{"a plain part", lines(1), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
+		{"a plain part", jsonLines(1), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 	} {
 		m, err := New(best, []Part{{ID: "t", Of: []string{"q", "p"}}, {ID: "z"}})
 		if err != nil {
@@ -257,21 +257,21 @@
 		_ = m.Add("t", 0, c.text)
 		_ = m.End("t", 0, c.end)
 		_ = m.Drop("t", nil)
-		_ = m.Add("z", 0, lines(2))
+		_ = m.Add("z", 0, jsonLines(2))
 		_ = m.End("z", 0, nil)
-		if rows, parts := drain(m), state(m.Result()); rows != c.rows || parts != c.parts {
+		if rows, parts := drain(m), partStates(m.Result()); rows != c.rows || parts != c.parts {
 			t.Errorf("%s: %s, %q", c.name, rows, parts)
 		}
 	}
 }
 
 // Duplicates that do not fit end the merge before their key, with a typed error and what went out before.
-func TestAGroupOverTheMemory(t *testing.T) {
-	r := rules(t, fmt.Sprintf(byA, `,"memory":{"rows":5},"duplicates":{"keep":"agree","parts":1}`))
+func TestDuplicateGroupOverMemoryEndsTheMerge(t *testing.T) {
+	r := mustParseRules(t, fmt.Sprintf(byA, `,"memory":{"rows":5},"duplicates":{"keep":"agree","parts":1}`))
 	play := func(f fault) (*Merge, string, Result) {
-		m := merge(t, r, "p q")
+		m := newMerge(t, r, "p q")
 		m.fault = f
-		_ = m.Add("p", 0, lines(1))
+		_ = m.Add("p", 0, jsonLines(1))
 		for i := range 4 {
 			_ = m.Add("p", 0, fmt.Appendf(nil, `{"a":2,"x":%d}`+"\n", i))
 		}
@@ -281,7 +281,7 @@
 		return m, rows, result
 	}
 	m, rows, res := play(faultNone)
-	if _, _, lost := play(faultGroup); lost.Err != nil {
+	if _, _, lost := play(faultDropGroupRow); lost.Err != nil {
 		t.Error("a row that is left out of a group without a word is not found")
 	}
 	var over *GroupOver
@@ -304,10 +304,10 @@
 }
 
 // A part that is out of order in a partial result is cut and in conflict at the root as well.
-func TestUnsortedInATree(t *testing.T) {
-	r := rules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`))
-	sub := merge(t, r, "p q")
-	_, _ = sub.Add("p", 0, lines(1, 0)), sub.End("q", 0, nil)
+func TestUnsortedPartInPartialResult(t *testing.T) {
+	r := mustParseRules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`))
+	sub := newMerge(t, r, "p q")
+	_, _ = sub.Add("p", 0, jsonLines(1, 0)), sub.End("q", 0, nil)
 	text, _ := sub.AppendPartial(nil, 0)
 	m, err := New(r, []Part{{ID: "t", Of: []string{"p", "q"}}})
 	if err != nil {
@@ -321,18 +321,18 @@
 }
 
 // Pages by tokens are the whole, whatever their size; a token is refused changed, under other rules or another key.
-func TestTokens(t *testing.T) {
+func TestPagesByToken(t *testing.T) {
 	const order = `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":%d,"offset":1}%s}`
 	for _, dup := range []string{"", `,"duplicates":{"keep":"first"}`} {
 		want := map[string]string{"": `{"a":1} {"a":1} {"a":2} {"a":2} {"a":2} {"a":3} {"a":4}`, `,"duplicates":{"keep":"first"}`: `{"a":2} {"a":3} {"a":4}`}[dup]
 		for size := 1; size < 9; size++ {
-			r := rules(t, fmt.Sprintf(order, size, dup))
+			r := mustParseRules(t, fmt.Sprintf(order, size, dup))
 			var pages []string
 			opts := []Option{TokenKey([]byte("k"))}
 			for token := "-"; token != ""; {
-				m := merge(t, r, "p q", opts...)
-				_ = m.Add("p", 0, lines(1, 1, 2, 4))
-				_ = m.Add("q", 0, lines(1, 2, 2, 3))
+				m := newMerge(t, r, "p q", opts...)
+				_ = m.Add("p", 0, jsonLines(1, 1, 2, 4))
+				_ = m.Add("q", 0, jsonLines(1, 2, 2, 3))
 				_, _ = m.End("p", 0, nil), m.End("q", 0, nil)
 				if page := drain(m); page != "" {
 					pages = append(pages, page)
@@ -351,7 +351,7 @@
 						t.Fatalf("byte %d changed: %v", i, err)
 					}
 				}
-				if _, err := New(rules(t, fmt.Sprintf(order, size+1, dup)), []Part{{ID: "p"}}, opts...); !errors.As(err, new(*TokenRules)) {
+				if _, err := New(mustParseRules(t, fmt.Sprintf(order, size+1, dup)), []Part{{ID: "p"}}, opts...); !errors.As(err, new(*TokenRules)) {
 					t.Fatal(err)
 				}
 				if _, err := New(r, []Part{{ID: "p"}}, From(token)); !errors.As(err, new(*TokenBad)) {
@@ -367,7 +367,7 @@
 
 // Want: what each part is asked for, who is waited for, who is to stop.
 func TestWant(t *testing.T) {
-	m := merge(t, rules(t, fmt.Sprintf(byA, `,"truncate":{"offset":1,"top":2},"records":{"max_bytes":16},"memory":{"bytes":96}`)), "p q")
+	m := newMerge(t, mustParseRules(t, fmt.Sprintf(byA, `,"truncate":{"offset":1,"top":2},"records":{"max_bytes":16},"memory":{"bytes":96}`)), "p q")
 	show := func() string {
 		var out []string
 		for _, d := range m.Want() {
@@ -382,14 +382,14 @@
 		}
 	}
 	step("at first", "p 3 rows 32 bytes copy true first true stop false; q 3 rows 32 bytes copy true first false stop false")
-	if err := m.Add("p", 0, lines(1, 1, 1, 1, 1)); !errors.As(err, new(*Full)) {
+	if err := m.Add("p", 0, jsonLines(1, 1, 1, 1, 1)); !errors.As(err, new(*Full)) {
 		t.Errorf("%v", err)
 	}
-	_ = m.Add("p", 0, lines(1, 2, 3))
+	_ = m.Add("p", 0, jsonLines(1, 2, 3))
 	_ = m.End("p", 0, &Limited{})
 	drain(m)
 	step("p has stopped at its limit", "q 3 rows 32 bytes copy true first true stop false")
-	_ = m.Add("q", 0, lines(5))
+	_ = m.Add("q", 0, jsonLines(5))
 	if rows := drain(m); rows != `{"a":2} {"a":3}` {
 		t.Error(rows)
 	}
@@ -397,8 +397,8 @@
 	if r := m.Result(); !r.Whole || r.Truncated != "top" || r.Token == "" {
 		t.Errorf("%+v", r)
 	}
-	m = merge(t, m.r, "p q")
-	_ = m.Add("p", 0, lines(1, 2))
+	m = newMerge(t, m.rules, "p q")
+	_ = m.Add("p", 0, jsonLines(1, 2))
 	m.Leave()
 	step("the client left", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
 	if r := m.Result(); r.Whole || !r.Left || drain(m) != "" {
@@ -407,7 +407,7 @@
 }
 
 // Nonsense is refused with its key.
-func TestRulesRefuse(t *testing.T) {
+func TestInvalidRulesAreRejected(t *testing.T) {
 	for text, key := range map[string]string{
 		`{`:                                    "(text)",
 		`{"order":[]}`:                         "order",
@@ -445,7 +445,7 @@
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
 	}
-	a, b := rules(t, fmt.Sprintf(byA, "")), rules(t, `{"order":[{"type":"integer","key":"a","absent":"last"}],"copies":8}`)
+	a, b := mustParseRules(t, fmt.Sprintf(byA, "")), mustParseRules(t, `{"order":[{"type":"integer","key":"a","absent":"last"}],"copies":8}`)
 	if a.Hash() != b.Hash() {
 		t.Error("two texts with one meaning have two hashes")
 	}
--- a/gather/world_test.go
+++ b/gather/reference_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func rules(t testing.TB, text string) *Rules {
+func mustParseRules(t testing.TB, text string) *Rules {
 	t.Helper()
 	r, err := ParseRules([]byte(text))
 	if err != nil {
@@ -25,15 +25,15 @@
 	return r
 }
 
-// world is a read drawn at random: rules, parts and what befalls them.
-type world struct {
-	keep, need, limit     string
-	by, agree, needParts  int
-	offset, rows          int
-	descending, absent1st bool
-	parts                 []fate
-	tree                  int
-	seed                  uint64
+// randomRead is a read drawn at random: rules, parts and what befalls them.
+type randomRead struct {
+	keep, need, limitKind   string
+	by, agree, needParts    int
+	offset, rows            int
+	descending, absentFirst bool
+	parts                   []partFixture
+	groupSize               int
+	seed                    uint64
 }
 
 type row struct {
@@ -50,14 +50,14 @@
 	return fmt.Sprintf(`{%s"n":%d,"v":%d,"x":%q}`, k, r.n, r.v, r.x)
 }
 
-type fate struct {
-	rows   []row
-	whole  bool
-	copies []int // bytes of each copy in hundredths; the first is as far as the part goes
-	limit  bool
+type partFixture struct {
+	rows     []row
+	complete bool
+	copies   []int // bytes of each copy in hundredths; the first is as far as the part goes
+	limited  bool
 }
 
-func (f fate) text() string {
+func (f partFixture) text() string {
 	var b strings.Builder
 	for _, r := range f.rows {
 		b.WriteString(r.json() + "\n")
@@ -65,28 +65,28 @@
 	return b.String()
 }
 
-func (f fate) reach() string {
-	if t := f.text(); !f.whole {
+func (f partFixture) receivedText() string {
+	if t := f.text(); !f.complete {
 		return t[:len(t)*f.copies[0]/100]
 	}
 	return f.text()
 }
 
 // compare is the order, told once more without sort keys.
-func (w *world) compare(a, b row) int {
-	c := w.compareGroup(a, b)
+func (w *randomRead) compare(a, b row) int {
+	c := w.compareGroupKey(a, b)
 	if c == 0 {
 		c = cmp.Compare(a.n, b.n)
 	}
 	return c
 }
 
-func (w *world) compareGroup(a, b row) int {
+func (w *randomRead) compareGroupKey(a, b row) int {
 	c := 0
 	switch {
 	case a.k == b.k:
 	case a.k == "" || b.k == "":
-		if c = 1; (a.k == "") == w.absent1st {
+		if c = 1; (a.k == "") == w.absentFirst {
 			c = -1
 		}
 	default:
@@ -100,14 +100,14 @@
 	return c
 }
 
-var worlds = rapid.Custom(func(t *rapid.T) *world {
+var randomReads = rapid.Custom(func(t *rapid.T) *randomRead {
 	in := func(lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, "") }
-	w := &world{keep: rapid.SampledFrom([]string{"all", "first", "last", "highest", "agree"}).Draw(t, "keep"), by: in(1, 2), agree: in(1, 3),
-		need:  rapid.SampledFrom([]string{"all", "at-least", "best-effort"}).Draw(t, "need"),
-		limit: rapid.SampledFrom([]string{"rows", "top", ""}).Draw(t, "limit"), rows: in(1, 8), offset: in(0, 3),
-		descending: rapid.Bool().Draw(t, ""), absent1st: rapid.Bool().Draw(t, ""), tree: in(1, 4), seed: rapid.Uint64().Draw(t, "seed")}
+	w := &randomRead{keep: rapid.SampledFrom([]string{"all", "first", "last", "highest", "agree"}).Draw(t, "keep"), by: in(1, 2), agree: in(1, 3),
+		need:      rapid.SampledFrom([]string{"all", "at-least", "best-effort"}).Draw(t, "need"),
+		limitKind: rapid.SampledFrom([]string{"rows", "top", ""}).Draw(t, "limit"), rows: in(1, 8), offset: in(0, 3),
+		descending: rapid.Bool().Draw(t, ""), absentFirst: rapid.Bool().Draw(t, ""), groupSize: in(1, 4), seed: rapid.Uint64().Draw(t, "seed")}
 	for range in(1, 6) {
-		f := fate{whole: in(0, 3) > 0, copies: []int{in(0, 99)}, limit: rapid.Bool().Draw(t, "")}
+		f := partFixture{complete: in(0, 3) > 0, copies: []int{in(0, 99)}, limited: rapid.Bool().Draw(t, "")}
 		for range in(0, 2) {
 			f.copies = append(f.copies, in(0, 100))
 		}
@@ -121,14 +121,14 @@
 	return w
 })
 
-func (w *world) compareFull(a, b row) int { return w.compare(a, b) }
+func (w *randomRead) compareFull(a, b row) int { return w.compare(a, b) }
 
-func (w *world) text(memory int) string {
+func (w *randomRead) rulesText(memory int) string {
 	dir, absent := "ascending", "last"
 	if w.descending {
 		dir = "descending"
 	}
-	if w.absent1st {
+	if w.absentFirst {
 		absent = "first"
 	}
 	text := fmt.Sprintf(`{"records":{"max_bytes":128},"memory":{"bytes":%d},"order":[{"key":"k","type":"bytes","direction":%q,"absent":%q},{"key":"n","type":"integer"}]`, memory, dir, absent)
@@ -141,8 +141,8 @@
 		text += fmt.Sprintf(`,"duplicates":{"keep":"agree","by":%d,"parts":%d}`, w.by, w.agree)
 	}
 	text += fmt.Sprintf(`,"truncate":{"offset":%d`, w.offset)
-	if w.limit != "" {
-		text += fmt.Sprintf(`,%q:%d`, w.limit, w.rows)
+	if w.limitKind != "" {
+		text += fmt.Sprintf(`,%q:%d`, w.limitKind, w.rows)
 	}
 	text += fmt.Sprintf(`},"complete":{"need":%q`, w.need)
 	if w.need == "at-least" {
@@ -151,35 +151,35 @@
 	return text + "}}"
 }
 
-// told is what a test compares of a result.
-type told struct {
-	rows      []string
-	whole     bool
-	cut       string
-	parts     []string
-	conflicts int64
-	named     []Conflict
-	complete  bool
+// mergeOutcome is what a test compares of a result.
+type mergeOutcome struct {
+	rows        []string
+	complete    bool
+	truncatedBy string
+	parts       []string
+	conflicts   int64
+	named       []Conflict
+	enoughParts bool
 }
 
 // expect says by collecting and sorting what the result must be.
-func (w *world) expect() told {
+func (w *randomRead) expect() mergeOutcome {
 	type item struct {
 		row
 		part, pos int
 		loss      bool
 	}
 	var items []item
-	e := told{complete: true}
+	e := mergeOutcome{enoughParts: true}
 	lost, state := 0, map[int]string{}
 	never := []int{}
 	for p, f := range w.parts {
-		n := strings.Count(f.reach(), "\n")
+		n := strings.Count(f.receivedText(), "\n")
 		for i, r := range f.rows[:n] {
 			items = append(items, item{r, p, i, false})
 		}
 		switch {
-		case f.whole:
+		case f.complete:
 		case n == 0:
 			never = append(never, p)
 		default:
@@ -193,11 +193,11 @@
 	lose := func(p int, how string) bool {
 		lost++
 		state[p] += how
-		e.complete = lost <= len(w.parts)-need
-		return e.complete
+		e.enoughParts = lost <= len(w.parts)-need
+		return e.enoughParts
 	}
 	clash := map[int]bool{}
-	finish := func() told {
+	finish := func() mergeOutcome {
 		for p := range w.parts {
 			if s := state[p]; s != "" || clash[p] {
 				if clash[p] {
@@ -206,7 +206,7 @@
 				e.parts = append(e.parts, fmt.Sprintf("p%d %s", p, s))
 			}
 		}
-		e.whole = e.complete && len(e.parts) == 0
+		e.complete = e.enoughParts && len(e.parts) == 0
 		return e
 	}
 	for _, p := range never {
@@ -219,8 +219,8 @@
 		if offset--; offset >= 0 {
 			return true
 		}
-		if e.rows = append(e.rows, r.json()); w.limit != "" && len(e.rows) == w.rows {
-			e.cut = w.limit
+		if e.rows = append(e.rows, r.json()); w.limitKind != "" && len(e.rows) == w.rows {
+			e.truncatedBy = w.limitKind
 			return false
 		}
 		return true
@@ -228,7 +228,7 @@
 	for len(items) > 0 {
 		n := 1
 		if w.keep != "all" {
-			for n < len(items) && w.compareGroup(items[0].row, items[n].row) == 0 {
+			for n < len(items) && w.compareGroupKey(items[0].row, items[n].row) == 0 {
 				n++
 			}
 		}
@@ -239,7 +239,7 @@
 				lose(it.part, "cut")
 			}
 		}
-		if !e.complete {
+		if !e.enoughParts {
 			return finish()
 		}
 		group = slices.DeleteFunc(slices.Clone(group), func(it item) bool { return it.loss })
@@ -303,10 +303,10 @@
 	return s
 }
 
-func (w *world) check(fault fault) error {
+func (w *randomRead) check(fault fault) error {
 	want := w.expect()
 	for _, tree := range []bool{false, true} {
-		got, err := w.gather(tree, fault)
+		got, err := w.merge(tree, fault)
 		if err != nil {
 			return fmt.Errorf("tree %v: %w", tree, err)
 		}
@@ -319,42 +319,42 @@
 
 // Parts late, twice, cut or never, in copies, flat and over trees, in any order: the rows, their number and what the
 // result says are those of collect, sort and cut.
-func TestWorld(t *testing.T) {
+func TestMergeMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := worlds.Draw(t, "world")
+		w := randomReads.Draw(t, "world")
 		if err := w.check(faultNone); err != nil {
 			text, _ := json.Marshal(w.parts)
-			t.Fatalf("%s\n%s\n%v", w.text(1<<20), text, err)
+			t.Fatalf("%s\n%s\n%v", w.rulesText(1<<20), text, err)
 		}
 	})
 }
 
 // Parts that do only what Want says bring the same rows; and a top k is now and then asked for again.
-func TestTheWorldDrivenByWant(t *testing.T) {
+func TestPartsDrivenByWantMatchReference(t *testing.T) {
 	again := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := worlds.Draw(t, "world")
+		w := randomReads.Draw(t, "world")
 		for i := range w.parts {
-			w.parts[i].whole = true
+			w.parts[i].complete = true
 		}
 		memory := 512 * (len(w.parts) + 1)
 		if w.keep == "agree" {
 			memory = 1 << 20
 		}
-		r, err := ParseRules([]byte(w.text(memory)))
+		r, err := ParseRules([]byte(w.rulesText(memory)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows, asked, token, err := w.driven(r)
+		rows, asked, token, err := w.mergeByDemand(r)
 		if want := w.expect().rows; err != nil || !slices.Equal(rows, want) {
 			t.Fatalf("%v\n got %v\nwant %v", err, rows, want)
 		}
 		for token != "" && err == nil { // the pages after it bring the rest
 			var page []string
-			page, _, token, err = w.driven(r, From(token))
+			page, _, token, err = w.mergeByDemand(r, From(token))
 			rows = append(rows, page...)
 		}
-		w.limit = ""
+		w.limitKind = ""
 		if want := w.expect().rows; err != nil || !slices.Equal(rows, want) {
 			t.Fatalf("pages: %v\n got %v\nwant %v", err, rows, want)
 		}
@@ -367,23 +367,23 @@
 	}
 }
 
-func TestTheWorldFindsEachLoss(t *testing.T) {
+func TestReferenceFindsInjectedFaults(t *testing.T) {
 	for fault, line := range map[fault]string{
-		faultEager:   "an open part holds later rows up (fill: kindOpen)",
-		faultTwice:   "what a copy brings again is not taken again (take: c.mark)",
-		faultCounts:  "a partial result tells every part of a candidate (appendCand)",
-		faultLimited: "a part that stopped at its limit is not whole (End)",
-		faultHash:    "keys with equal starts are compared to their ends (before)",
-		faultWhole:   "a part given up is lost (Drop)",
-		faultUnnamed: "a lost part is named (Result)",
-		faultMemory:  "a piece without room is refused (take: Full)",
-		faultRank:    "ties go by part, not by arrival (before)",
-		faultContent: "rows are one by their bytes (same)",
-		faultClash:   "parts in conflict with each other are named (decide)",
+		faultIgnorePendingParts: "an open part holds later rows up (fill: kindOpen)",
+		faultCountRepeats:       "what a copy brings again is not taken again (take: c.mark)",
+		faultOnlyFirstPart:      "a partial result tells every part of a candidate (appendCand)",
+		faultLimitedIsComplete:  "a part that stopped at its limit is not whole (End)",
+		faultComparePrefixOnly:  "keys with equal starts are compared to their ends (before)",
+		faultDroppedIsComplete:  "a part given up is lost (Drop)",
+		faultHideLostParts:      "a lost part is named (Result)",
+		faultIgnoreQuota:        "a piece without room is refused (take: Full)",
+		faultTiesByArrival:      "ties go by part, not by arrival (before)",
+		faultCompareLengths:     "rows are one by their bytes (same)",
+		faultHideConflicts:      "parts in conflict with each other are named (decide)",
 	} {
 		found := 0
 		for seed := 0; seed < 400 && found == 0; seed++ {
-			w := worlds.Example(seed)
+			w := randomReads.Example(seed)
 			if err := w.check(faultNone); err != nil {
 				t.Fatal(err)
 			}
--- a/gather/result.go
+++ b/gather/result.go
@@ -5,94 +5,94 @@
 	"slices"
 )
 
-// Result is what is known of a merge: at the end what the client may be told, before it the state so far.
+// Result is the state of a merge; at its end, the result for the client.
 type Result struct {
 	Done      bool        // no more rows will come
-	Whole     bool        // done, and no part is missing, cut or in conflict as far as the result goes
-	Left      bool        // the client left
-	Rows      int64       // that went out
-	Bytes     int64       // of them
-	Truncated string      // the rule that ended it: "rows", "top", "bytes" or ""
-	Parts     []PartState // the parts that are missing, cut or in conflict, by ID
+	Whole     bool        // done, and no part is missing, truncated or in conflict as far as the result goes
+	Left      bool        // the client disconnected
+	Rows      int64       // rows returned
+	Bytes     int64       // their bytes
+	Truncated string      // the rule that truncated the result: "rows", "top", "bytes" or ""
+	Parts     []PartState // the parts that are missing, truncated or in conflict, by ID
 	Conflicts int64       // keys whose rows differ
 	Named     []Conflict  // the first of them
-	Token     string      // to go on after the last row; "" where the parts were read to their ends
+	Token     string      // continues after the last row; "" if the parts were read to their ends
 	Err       error       // *Incomplete, *GroupOver, *RowOver, *RecordBad
 }
 
-// PartState is what is wrong with a part.
+// PartState is the state of a part that is missing, truncated or in conflict.
 type PartState struct {
 	ID        string
 	Shard     int
-	Missing   bool  // nothing of it came
-	Cut       bool  // it ended before its end
-	Conflict  bool  // with itself (Why), or with other parts (Conflicts)
-	Conflicts int64 // keys
+	Missing   bool  // no row arrived
+	Cut       bool  // its rows are truncated
+	Conflict  bool  // its own data is in conflict (Why), or its rows differ from other parts' (Conflicts)
+	Conflicts int64 // keys whose rows differ
 	Why       error
 }
 
 // Conflict is a key whose rows differ.
 type Conflict struct {
-	Key      string   // the duplicates' keys and their values
-	Parts    []string // that have rows of it
-	Withheld bool     // no row went out: too few parts agree
+	Key      string   // the keys by which duplicates are equal, with their values
+	Parts    []string // parts with rows of the key
+	Withheld bool     // no row was returned, because too few parts agree
 }
 
 // Demand is what a part may send.
 type Demand struct {
 	Part  string
-	Stop  bool // the part is not needed any more: end it
+	Stop  bool // the part is no longer needed: end it
 	Bytes int  // bytes it may send now; more is a *Full
-	Rows  int  // with top: rows from its start it is asked for; 0 is all
-	Copy  bool // no copy of it is under way: send one
+	Rows  int  // with top: row limit, from the part's start; 0: all rows
+	Copy  bool // no copy of it is in progress: start one
 	First bool // the merge waits for this part
 }
 
-// need is how many parts must have been read as far as a row.
-func (m *Merge) need() int {
-	switch m.r.Complete.Need {
+// neededParts returns how many parts must have been read as far as a row.
+func (m *Merge) neededParts() int {
+	switch m.rules.Complete.Need {
 	case "all":
 		return len(m.leaves)
 	case "at-least":
-		return m.r.Complete.Parts
+		return m.rules.Complete.Parts
 	}
 	return 0
 }
 
-// Next gives the next row that no part can come before any more. The row is valid until the next call. ok is false
-// where the merge waits for parts (see Want) or has ended (see Result).
+// Next returns the next row, once no part can precede it. The row is valid until the next call. ok is false
+// if the merge waits for parts (see Want) or has ended (see Result).
 func (m *Merge) Next() (row []byte, ok bool) {
-	if m.need() > len(m.leaves) {
-		m.incomplete()
+	if m.neededParts() > len(m.leaves) {
+		m.endIncomplete()
 	}
 	for !m.done {
 		switch m.step() {
-		case evStall:
+		case eventStalled:
 			return nil, false
-		case evEnd:
+		case eventEnd:
 			m.done = true
-		case evLoss:
-			for _, l := range m.losses(m.pending) {
-				m.lose(l)
+		case eventLoss:
+			for _, l := range m.headLosses(m.pending) {
+				m.recordLoss(l)
 			}
-			if len(m.lost) > len(m.leaves)-m.need() {
-				m.short = true
+			if len(m.lost) > len(m.leaves)-m.neededParts() {
+				m.tooManyLost = true
 			}
-			if m.short && !m.g.open {
-				m.incomplete()
+			if m.tooManyLost && !m.group.open {
+				m.endIncomplete()
 			}
-		case evRow:
+		case eventRow:
 			row = m.row(m.pending)
 			h := &m.heads[m.pending]
-			if m.count(row, h.key, m.leaves[h.rank].ID, h.run) {
+			if m.countRow(row, h.key, m.leaves[h.rank].ID, h.occurrence) {
 				return row, true
 			}
-		case evGroup:
-			if m.short {
-				m.incomplete()
-			} else if row, ok = m.decide(); !ok {
-				m.pass(m.g.key, "", 0)
-			} else if m.count(row, m.g.key, "", 0) {
+		case eventGroup:
+			if m.tooManyLost {
+				m.endIncomplete()
+			} else if row, ok = m.chooseRow(); !ok {
+				m.advancePosition(m.group.key, "", 0)
+			} else if m.countRow(row, m.group.key, "", 0) {
 				return row, true
 			}
 		}
@@ -100,29 +100,29 @@
 	return nil, false
 }
 
-func (m *Merge) lose(l loss) {
-	if m.lost[l.rank] = l; l.torn && m.torn[l.rank] == nil {
-		m.torn[l.rank] = l.err
+func (m *Merge) recordLoss(l loss) {
+	if m.lost[l.rank] = l; l.unsorted && m.selfConflicts[l.rank] == nil {
+		m.selfConflicts[l.rank] = l.err
 	}
 }
 
-func (m *Merge) incomplete() {
-	m.done, m.err = true, &Incomplete{len(m.leaves), len(m.lost), m.need()}
+func (m *Merge) endIncomplete() {
+	m.done, m.err = true, &Incomplete{len(m.leaves), len(m.lost), m.neededParts()}
 }
 
-// losses are the parts that the head of a stream says are lost.
-func (m *Merge) losses(w int) []loss {
-	s, h := m.streams[w], &m.heads[w]
+// headLosses returns the losses at the head of a stream.
+func (m *Merge) headLosses(index int) []loss {
+	s, h := m.streams[index], &m.heads[index]
 	if h.loss.rank >= 0 {
 		return []loss{h.loss}
 	}
 	var all []loss
 	for i, rank := range s.leaves {
-		if s.left[i] {
+		if s.lostLeaves[i] {
 			continue
 		}
-		s.left[i] = true
-		l := loss{rank, s.records > 0, s.torn, s.why}
+		s.lostLeaves[i] = true
+		l := loss{rank, s.records > 0, s.unsorted, s.why}
 		if l.err == nil {
 			l.err = &Never{m.leaves[rank].ID}
 		}
@@ -131,65 +131,65 @@
 	return all
 }
 
-// count says whether a row goes out: after the offset and before the limits.
-func (m *Merge) count(row, key []byte, part string, run uint32) bool {
-	t := &m.r.Truncate
+// countRow reports whether a row is returned: after the offset and within the limits.
+func (m *Merge) countRow(row, key []byte, part string, run uint32) bool {
+	limits := &m.rules.Truncate
 	if m.offset > 0 {
 		m.offset--
-		m.pass(key, part, run)
+		m.advancePosition(key, part, run)
 		return false
 	}
-	if t.Bytes > 0 && m.bytes+int64(len(row)) > t.Bytes {
+	if limits.Bytes > 0 && m.bytes+int64(len(row)) > limits.Bytes {
 		if m.done = true; m.rows == 0 {
-			m.err = &RowOver{int64(len(row)), t.Bytes}
+			m.err = &RowOver{int64(len(row)), limits.Bytes}
 		} else {
-			m.cut = "bytes"
+			m.truncatedBy = "bytes"
 		}
 		return false
 	}
-	m.pass(key, part, run)
+	m.advancePosition(key, part, run)
 	m.rows++
 	m.bytes += int64(len(row))
-	if limit := m.r.limit(); limit > 0 && m.rows == int64(limit) {
-		if m.done, m.cut = true, "rows"; t.Top > 0 {
-			m.cut = "top"
+	if limit := m.rules.limit(); limit > 0 && m.rows == int64(limit) {
+		if m.done, m.truncatedBy = true, "rows"; limits.Top > 0 {
+			m.truncatedBy = "top"
 		}
 	}
 	return true
 }
 
-func (m *Merge) pass(key []byte, part string, run uint32) {
-	m.last.key = append(m.last.key[:0], key...)
-	m.last.part, m.last.run, m.last.set = part, run, true
+func (m *Merge) advancePosition(key []byte, part string, run uint32) {
+	m.lastCounted.key = append(m.lastCounted.key[:0], key...)
+	m.lastCounted.part, m.lastCounted.occurrence, m.lastCounted.set = part, run, true
 	m.consumed++
 }
 
-// Leave says that the client has left: no more rows, and Want ends all parts.
+// Leave records that the client disconnected: there are no more rows, and Want stops all parts.
 func (m *Merge) Leave() {
 	if !m.done {
-		m.done, m.left = true, true
+		m.done, m.clientDisconnected = true, true
 	}
 }
 
-// Want says what each part may send: back-pressure, copies that are needed, and after the end which parts to stop.
+// Want returns what each part may send (back-pressure), which copies are needed, and after the end which parts to stop.
 // The slice is valid until the next call.
 func (m *Merge) Want() []Demand {
 	m.demands = m.demands[:0]
 	for i, s := range m.streams {
-		d := Demand{Part: s.part.ID, Bytes: s.room(), First: m.winner() == i && m.heads[i].kind == kindOpen, Copy: s.live() == 0}
+		d := Demand{Part: s.part.ID, Bytes: s.room(), First: m.winner() == i && m.heads[i].kind == headPending, Copy: s.liveCopies() == 0}
 		switch {
-		case !s.open():
+		case !s.isOpen():
 			continue
 		case m.done:
 			d = Demand{Part: s.part.ID, Stop: true}
-		case s.limit && d.Copy && !d.First: // what it sent is enough so far
+		case s.limited && d.Copy && !d.First: // the part is not needed beyond what it sent
 			continue
-		case m.r.Truncate.Top > 0:
-			d.Rows = int(m.given) + m.r.Truncate.Offset + m.r.Truncate.Top
-			if m.r.grouped() {
-				d.Rows++ // the row after a group ends it
+		case m.rules.Truncate.Top > 0:
+			d.Rows = int(m.previousRows) + m.rules.Truncate.Offset + m.rules.Truncate.Top
+			if m.rules.grouped() {
+				d.Rows++ // a group ends only with the row after it
 			}
-			if s.limit {
+			if s.limited {
 				d.Rows = max(d.Rows, 2*int(s.records))
 			}
 		}
@@ -198,34 +198,34 @@
 	return m.demands
 }
 
-// Held is what the merge holds now: rows decoded, and bytes that wait or are in a group.
+// Held returns what the merge buffers now: decoded rows, and the bytes that wait or are in a group.
 func (m *Merge) Held() (rows, bytes int) {
 	rows = 0
 	for i, s := range m.streams {
-		if m.heads[i].kind == kindRow {
+		if m.heads[i].kind == headRow {
 			rows++
 		}
-		bytes += len(s.buf) - s.off
+		bytes += len(s.buf) - s.start
 	}
-	if m.g.open {
-		rows, bytes = rows+m.g.n, bytes+m.g.bytes
+	if m.group.open {
+		rows, bytes = rows+m.group.count, bytes+m.group.bytes
 	}
 	return rows, bytes
 }
 
-// Result is the state of the merge; after the end it does not change.
+// Result returns the state of the merge; after its end the state does not change.
 func (m *Merge) Result() Result {
-	r := Result{Done: m.done, Left: m.left, Rows: m.rows, Bytes: m.bytes, Truncated: m.cut, Conflicts: m.counted,
-		Named: slices.Clone(m.named), Err: m.err}
+	r := Result{Done: m.done, Left: m.clientDisconnected, Rows: m.rows, Bytes: m.bytes, Truncated: m.truncatedBy, Conflicts: m.conflictCount,
+		Named: slices.Clone(m.conflicts), Err: m.err}
 	for rank := range m.leaves {
 		l, lost := m.lost[int32(rank)]
-		why, torn := m.torn[int32(rank)]
-		n := m.rowsIn[int32(rank)]
-		if lost = lost && m.fault != faultUnnamed; !lost && !torn && n == 0 {
+		why, inConflict := m.selfConflicts[int32(rank)]
+		conflicts := m.conflictKeys[int32(rank)]
+		if lost = lost && m.fault != faultHideLostParts; !lost && !inConflict && conflicts == 0 {
 			continue
 		}
-		p := PartState{ID: m.leaves[rank].ID, Shard: m.leaves[rank].Shard, Missing: lost && !l.cut, Cut: lost && l.cut,
-			Conflict: torn || n > 0, Conflicts: n, Why: why}
+		p := PartState{ID: m.leaves[rank].ID, Shard: m.leaves[rank].Shard, Missing: lost && !l.truncated, Cut: lost && l.truncated,
+			Conflict: inConflict || conflicts > 0, Conflicts: conflicts, Why: why}
 		if p.Why == nil {
 			p.Why = l.err
 		}
--- a/gather/stream.go
+++ b/gather/stream.go
@@ -9,50 +9,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stream is one part as it arrives: its copies' bytes are one sequence, of which what is not yet merged waits in buf.
+// stream is one part as it arrives. The bytes of its copies are one sequence; bytes that are not merged yet wait in buf.
 type stream struct {
 	part   Part
 	leaves []int32 // ranks of the parts in it: one, or those of a partial result
 	quota  int
 
-	buf  []byte
-	off  int   // of the head's record in buf
-	end  int   // of its end
-	scan int   // no record ends before here
-	took int64 // bytes accepted since the part's start
-
-	sum    xxhash.Digest // of them
-	copies []copyState
-	past   int   // copies up to this number may have been forgotten
-	whole  bool  // it ended, and took is its length
-	gone   bool  // it was given up, or cannot be read
-	why    error // the reason
-	torn   bool  // it is not in order
-	limit  bool  // a copy stopped at the rows it was asked for
-
-	key, spare []byte // of the last record, and room for the next one's
-	ver        []byte // of the last record, for highest
-	group      int
-	rank       int32
-	run        uint32
-	records    int64
-	header     bool   // of a partial result, seen
-	ended      bool   // its end, seen
-	left       []bool // of a partial result: leaves already lost
+	buf      []byte
+	start    int   // start of the head's record in buf
+	end      int   // end of the head's record in buf
+	scanned  int   // no record ends before this offset
+	received int64 // bytes accepted since the part's start
+
+	digest        xxhash.Digest // of the received bytes
+	copies        []copyState
+	lastForgotten int   // copies up to this number may have been forgotten
+	complete      bool  // it ended, and received is its length
+	dropped       bool  // no more will arrive, or it cannot be read
+	why           error // reason of its end
+	unsorted      bool  // it is not sorted
+	limited       bool  // a copy stopped at its row limit
+
+	key, nextKey []byte // of the last record, and the buffer for the next
+	version      []byte // of the last record, if the rules keep the highest
+	groupKeyLen  int
+	rank         int32
+	occurrence   uint32
+	records      int64
+	headerSeen   bool   // of a partial result
+	endSeen      bool   // of a partial result
+	lostLeaves   []bool // of a partial result: the leaves already lost
 }
 
 type copyState struct {
-	id       int
-	at       int64 // bytes of it so far
-	sum      xxhash.Digest
-	mark     int64  // where it is compared next
-	want     uint64 // with this
-	out, bad bool
+	id              int
+	received        int64 // bytes of this copy so far
+	digest          xxhash.Digest
+	compareAt       int64  // the offset of its next comparison
+	wantSum         uint64 // the digest expected there
+	ended, diverged bool
 }
 
-func (s *stream) open() bool { return !s.whole && !s.gone }
+func (s *stream) isOpen() bool { return !s.complete && !s.dropped }
 
-func (s *stream) room() int { return s.quota - (len(s.buf) - s.off) }
+func (s *stream) room() int { return s.quota - (len(s.buf) - s.start) }
 
 func (s *stream) copyOf(id, limit int) (*copyState, error) {
 	for i := range s.copies {
@@ -60,119 +60,119 @@
 			return &s.copies[i], nil
 		}
 	}
-	if s.past > 0 && id <= s.past {
+	if s.lastForgotten > 0 && id <= s.lastForgotten {
 		return nil, &CopiesOver{s.part.ID, limit}
 	}
-	if len(s.copies) == limit { // the oldest that has ended gives way
-		i := slices.IndexFunc(s.copies, func(c copyState) bool { return c.out || c.bad })
+	if len(s.copies) == limit { // the oldest copy that has ended is forgotten
+		i := slices.IndexFunc(s.copies, func(c copyState) bool { return c.ended || c.diverged })
 		if i < 0 {
 			return nil, &CopiesOver{s.part.ID, limit}
 		}
-		s.past = max(s.past, s.copies[i].id)
+		s.lastForgotten = max(s.lastForgotten, s.copies[i].id)
 		s.copies = slices.Delete(s.copies, i, i+1)
 	}
-	c := copyState{id: id, mark: s.took, want: s.sum.Sum64()}
-	c.sum.Reset()
+	c := copyState{id: id, compareAt: s.received, wantSum: s.digest.Sum64()}
+	c.digest.Reset()
 	s.copies = append(s.copies, c)
 	return &s.copies[len(s.copies)-1], nil
 }
 
-// take gives a copy's next bytes: what another copy has brought already is compared with it, the rest is new.
-func (s *stream) take(c *copyState, data []byte, fault fault) error {
-	if fault == faultTwice { // a test's: what comes again counts again
-		s.push(data)
+// add adds a copy's next bytes. Bytes that another copy has already brought are compared, the rest is new.
+func (s *stream) add(c *copyState, data []byte, fault fault) error {
+	if fault == faultCountRepeats { // injected fault: repeated bytes are added again
+		s.appendNew(data)
 		return nil
 	}
-	if fresh := c.at + int64(len(data)) - s.took; !s.whole && fresh > 0 && fresh > int64(s.room()) && fault != faultMemory {
+	if fresh := c.received + int64(len(data)) - s.received; !s.complete && fresh > 0 && fresh > int64(s.room()) && fault != faultIgnoreQuota {
 		return &Full{s.part.ID, int(fresh), s.room()}
 	}
 	for {
-		if c.at < c.mark {
-			n := min(int64(len(data)), c.mark-c.at)
-			_, _ = c.sum.Write(data[:n])
-			if c.at += n; c.at < c.mark {
+		if c.received < c.compareAt {
+			n := min(int64(len(data)), c.compareAt-c.received)
+			_, _ = c.digest.Write(data[:n])
+			if c.received += n; c.received < c.compareAt {
 				return nil
 			}
 			data = data[n:]
 		}
-		if c.sum.Sum64() != c.want && fault != faultDiverge {
-			c.bad = true
-			return &Diverged{s.part.ID, c.id, c.mark}
+		if c.digest.Sum64() != c.wantSum && fault != faultIgnoreDivergence {
+			c.diverged = true
+			return &Diverged{s.part.ID, c.id, c.compareAt}
 		}
-		if c.mark == s.took {
+		if c.compareAt == s.received {
 			break
 		}
-		c.mark, c.want = s.took, s.sum.Sum64()
+		c.compareAt, c.wantSum = s.received, s.digest.Sum64()
 	}
 	switch {
 	case len(data) == 0:
 		return nil
-	case s.whole: // longer than the whole
-		c.bad = true
-		return &Diverged{s.part.ID, c.id, c.at + int64(len(data))}
+	case s.complete: // longer than the complete part
+		c.diverged = true
+		return &Diverged{s.part.ID, c.id, c.received + int64(len(data))}
 	}
-	s.push(data)
-	c.at, c.mark, c.sum, c.want = s.took, s.took, s.sum, s.sum.Sum64()
+	s.appendNew(data)
+	c.received, c.compareAt, c.digest, c.wantSum = s.received, s.received, s.digest, s.digest.Sum64()
 	return nil
 }
 
-func (s *stream) push(data []byte) {
-	if need := len(s.buf) - s.off + len(data); need > cap(s.buf) {
-		grown := make([]byte, len(s.buf)-s.off, max(need, min(s.quota, 2*need)))
-		copy(grown, s.buf[s.off:])
+func (s *stream) appendNew(data []byte) {
+	if need := len(s.buf) - s.start + len(data); need > cap(s.buf) {
+		grown := make([]byte, len(s.buf)-s.start, max(need, min(s.quota, 2*need)))
+		copy(grown, s.buf[s.start:])
 		s.rebase(grown)
 	} else if len(s.buf)+len(data) > cap(s.buf) {
-		n := copy(s.buf, s.buf[s.off:])
+		n := copy(s.buf, s.buf[s.start:])
 		s.rebase(s.buf[:n])
 	}
 	s.buf = append(s.buf, data...)
-	s.took += int64(len(data))
-	_, _ = s.sum.Write(data)
+	s.received += int64(len(data))
+	_, _ = s.digest.Write(data)
 }
 
 func (s *stream) rebase(buf []byte) {
-	s.end, s.scan = s.end-s.off, max(s.scan-s.off, 0)
-	s.buf, s.off = buf, 0
+	s.end, s.scanned = s.end-s.start, max(s.scanned-s.start, 0)
+	s.buf, s.start = buf, 0
 }
 
-// end says that a copy ended where it is now.
+// endCopy records that a copy ended at its current length.
 func (s *stream) endCopy(c *copyState, whole bool) error {
-	if c.out || c.bad {
+	if c.ended || c.diverged {
 		return nil
 	}
-	c.out = true
+	c.ended = true
 	if !whole {
 		return nil
 	}
-	if c.at < s.took { // shorter than what another copy brought
-		c.bad = true
-		return &Diverged{s.part.ID, c.id, s.took}
+	if c.received < s.received { // shorter than what another copy brought
+		c.diverged = true
+		return &Diverged{s.part.ID, c.id, s.received}
 	}
-	s.whole = true
+	s.complete = true
 	return nil
 }
 
-func (s *stream) live() int {
+func (s *stream) liveCopies() int {
 	n := 0
 	for _, c := range s.copies {
-		if !c.out && !c.bad {
+		if !c.ended && !c.diverged {
 			n++
 		}
 	}
 	return n
 }
 
-// record finds the next whole record after the head; ok is false where it has not all come.
-func (s *stream) record(r *Rules) (rec []byte, ok bool, why string) {
-	s.off, s.scan = s.end, max(s.scan, s.end)
+// nextRecord returns the next complete record after the head; ok is false if it has not arrived completely.
+func (s *stream) nextRecord(r *Rules) (rec []byte, ok bool, why string) {
+	s.start, s.scanned = s.end, max(s.scanned, s.end)
 	limit := r.Records.MaxBytes
 	if s.part.Of != nil || r.Records.Form == "length-prefixed" {
 		if s.part.Of != nil {
 			limit = s.quota - 4
 		}
-		rest := s.buf[s.off:]
+		rest := s.buf[s.start:]
 		if len(rest) < 4 {
-			if s.whole && len(rest) > 0 {
+			if s.complete && len(rest) > 0 {
 				why = "ends in the middle of a record"
 			}
 			return nil, false, why
@@ -182,36 +182,36 @@
 		case uint64(n) > uint64(limit):
 			return nil, false, fmt.Sprintf("%d bytes, the limit is %d", n, limit)
 		case len(rest)-4 < int(n):
-			if s.whole {
+			if s.complete {
 				why = "ends in the middle of a record"
 			}
 			return nil, false, why
 		}
-		s.end = s.off + 4 + int(n)
+		s.end = s.start + 4 + int(n)
 		return rest[4 : 4+n], true, ""
 	}
 	for {
-		i := bytes.IndexByte(s.buf[s.scan:], '\n')
+		i := bytes.IndexByte(s.buf[s.scanned:], '\n')
 		if i < 0 {
-			s.scan = len(s.buf)
-			rec = s.buf[s.off:]
+			s.scanned = len(s.buf)
+			rec = s.buf[s.start:]
 			switch {
 			case len(rec) > limit:
 				return nil, false, fmt.Sprintf("over %d bytes", limit)
-			case !s.whole || len(rec) == 0:
+			case !s.complete || len(rec) == 0:
 				return nil, false, ""
 			}
 			s.end = len(s.buf)
 			return rec, true, ""
 		}
-		rec = s.buf[s.off : s.scan+i]
-		s.scan += i + 1
-		s.end = s.scan
+		rec = s.buf[s.start : s.scanned+i]
+		s.scanned += i + 1
+		s.end = s.scanned
 		switch {
 		case len(rec) > limit:
 			return nil, false, fmt.Sprintf("over %d bytes", limit)
 		case len(rec) == 0 || len(rec) == 1 && rec[0] == '\r': // an empty line
-			s.off = s.end
+			s.start = s.end
 			continue
 		}
 		return rec, true, ""
