--- a/internal/scattergather/coordinator_test.go
+++ b/internal/scattergather/coordinator_test.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	treeParts = 12
-	treeRows  = 400 // of a part: a group's bytes are more than a buffer's
+	fixtureParts = 12
+	rowsPerPart  = 400 // so that a group has more bytes than a buffer
 )
 
-// fakeSender is an asker that has the rows of all parts, but for those it refuses or has otherwise.
+// fakeSender is a Sender that answers with the rows of all parts, except for rejected parts and a diverging part.
 type fakeSender struct {
 	fixture       *fixture
 	rejected      map[string]bool
-	divergingPart string // of this part the last half of the rows is another
+	divergingPart string // the second half of this part's rows differs
 }
 
 func (s *fakeSender) Send(a Attempt, _ time.Time, to *Sink) {
@@ -41,15 +41,15 @@
 		to.End(nil, &Rejection{time.Hour})
 		return
 	}
-	rows := treeRows
+	rows := rowsPerPart
 	if a.Rows > 0 {
 		rows = min(rows, a.Rows)
 	}
-	text := partRows(a.Part.Shard, treeParts, rows)
+	text := partRows(a.Part.Shard, fixtureParts, rows)
 	if a.Part.ID == s.divergingPart {
-		text = append(partRows(a.Part.Shard, treeParts, treeRows/2), partRows(a.Part.Shard+100*treeParts*treeRows, treeParts, 100)...)
+		text = append(partRows(a.Part.Shard, fixtureParts, rowsPerPart/2), partRows(a.Part.Shard+100*fixtureParts*rowsPerPart, fixtureParts, 100)...)
 	}
-	if rows < treeRows {
+	if rows < rowsPerPart {
 		to.End(text, &gather.Limited{})
 		return
 	}
@@ -57,7 +57,7 @@
 }
 func (s *fakeSender) Cancel(Attempt) {}
 
-// fakePeer is a peer: it gathers what it is asked for over its own store.
+// fakePeer is a peer that gathers the requested parts with its own fakeSender.
 type fakePeer struct {
 	*fakeSender
 	fixture    *fixture
@@ -66,8 +66,8 @@
 	link       *link.Link
 	requests   atomic.Int32
 	inFlight   atomic.Int32
-	resetAfter int                                      // bytes after which it drops the connection; 0: never
-	override   func(http.ResponseWriter, *http.Request) // in place of gathering
+	resetAfter int                                      // bytes after which it closes the connection; 0: never
+	override   func(http.ResponseWriter, *http.Request) // replaces the gathering
 }
 
 func (p *fakePeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -83,13 +83,13 @@
 		n, _ := strconv.Atoi(s)
 		parts = append(parts, gather.Part{ID: fmt.Sprint("p", n), Shard: n})
 	}
-	patience, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
+	timeout, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	if err != nil || r.Header.Get("X-Gather-Partial") != "1" || !strings.HasPrefix(r.Header.Get("X-Request-Id"), "id/g") || r.URL.Path != "/read/x" {
-		p.fixture.Errorf("a peer is asked %v %v", r.URL, r.Header)
+		p.fixture.Errorf("unexpected request to a peer: %v %v", r.URL, r.Header)
 	}
 	rows, _ := strconv.Atoi(r.Header.Get("X-Gather-Rows"))
 	sent := 0
-	gatherService.run(r.Context(), p.rules, time.Now(), time.Duration(patience)*ms, parts, p.fakeSender, Query{Partial: true, Rows: rows}, func(b []byte) error {
+	gatherService.run(r.Context(), p.rules, time.Now(), time.Duration(timeout)*ms, parts, p.fakeSender, Query{Partial: true, Rows: rows}, func(b []byte) error {
 		if p.resetAfter > 0 && sent+len(b) > p.resetAfter {
 			_, _ = w.Write(b[:p.resetAfter-sent])
 			_ = http.NewResponseController(w).Flush()
@@ -108,21 +108,21 @@
 
 var gatherService = &Service{PartMost: 1 << 20}
 
-// fixture is a root and its peers on the loopback.
+// fixture is a coordinator and its peers on the loopback interface.
 type fixture struct {
 	*testing.T
 	coordinator  *Coordinator
 	peers        []*fakePeer
 	local        *fakeSender
 	rules        Rules
-	partRequests atomic.Int32 // parts, by any process
+	partRequests atomic.Int32 // requests of parts by all processes
 	log          *logtest.Hook
 }
 
-func newFixture(t *testing.T, peers int, more string) *fixture {
+func newFixture(t *testing.T, peers int, extra string) *fixture {
 	t.Helper()
 	f := &fixture{T: t}
-	f.rules = Rules{Merge: rulesOf(t, 65536, more), Share: 0.2, AtOnce: 4, Safe: true, Again: 1}
+	f.rules = Rules{Merge: rulesOf(t, 65536, extra), Share: 0.2, AtOnce: 4, Safe: true, Again: 1}
 	f.local = &fakeSender{fixture: f}
 	log, hook := logtest.NewNullLogger()
 	f.log = hook
@@ -149,22 +149,22 @@
 			p.srv.CloseClientConnections()
 			p.srv.Close()
 		}
-		waitFor(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
+		waitFor(t, "all goroutines end", func() bool { return goleak.Find() == nil })
 	})
 	return f
 }
 
-func (f *fixture) read(ctx context.Context, patience time.Duration) (rows []string, x Final) {
+func (f *fixture) read(ctx context.Context, timeout time.Duration) (rows []string, x Final) {
 	f.Helper()
 	var mu sync.Mutex
 	var text []byte
-	all := newParts(treeParts)
-	parts, asker := f.coordinator.Delegate(ReadRequest{Client: newClientRequest("id", patience), Rules: f.rules, Parts: all, Local: f.local,
+	all := newParts(fixtureParts)
+	parts, sender := f.coordinator.Delegate(ReadRequest{Client: newClientRequest("id", timeout), Rules: f.rules, Parts: all, Local: f.local,
 		GatherLocally: func(ctx context.Context, a Attempt, until time.Time, write func([]byte) error) Final {
 			of := slices.DeleteFunc(slices.Clone(all), func(p gather.Part) bool { return !slices.Contains(a.Part.Of, p.ID) })
 			return gatherService.run(ctx, f.rules, time.Now(), time.Until(until), of, f.local, Query{Partial: true, Rows: a.Rows}, write)
 		}})
-	x = gatherService.run(ctx, f.rules, time.Now(), patience, parts, asker, Query{}, func(b []byte) error {
+	x = gatherService.run(ctx, f.rules, time.Now(), timeout, parts, sender, Query{}, func(b []byte) error {
 		mu.Lock()
 		defer mu.Unlock()
 		text = append(text, b...)
@@ -173,88 +173,92 @@
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	waitFor(f.T, "no connection is left", func() bool { return f.coordinator.Counts().Connected == 0 })
+	waitFor(f.T, "all connections are closed", func() bool { return f.coordinator.Counts().Connected == 0 })
 	return rows, x
 }
 
-func treeFlatMerge(without ...int) []string { return flatMergeOf(treeParts, treeRows, without) }
+func fixtureFlatMerge(without ...int) []string {
+	return flatMergeOf(fixtureParts, rowsPerPart, without)
+}
 
-// Each fault of peers: the rows are the flat merge's, one final answer, and the peer at fault is set aside.
+// For each fault of peers, the rows are those of the flat merge, and the faulty peer backs off.
 func TestCoordinatorToleratesPeerFaults(t *testing.T) {
-	all := func(f *fixture, do func(*fakePeer)) {
+	eachPeer := func(f *fixture, do func(*fakePeer)) {
 		for _, p := range f.peers {
 			do(p)
 		}
 	}
-	set := func(p *fakePeer, x link.Fault) {
+	setFault := func(p *fakePeer, x link.Fault) {
 		if err := p.link.Set(link.Backward, x); err != nil {
 			p.fixture.Fatal(err)
 		}
 	}
-	junk := func(text string) func(http.ResponseWriter, *http.Request) {
+	answerWith := func(text string) func(http.ResponseWriter, *http.Request) {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }
 	}
-	full := func(w http.ResponseWriter, _ *http.Request) {
+	reject := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1800")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	for _, c := range []struct {
-		name     string
-		fault    func(*fixture)
-		more     string
-		happened func(*fixture) bool
-		aside    int // peers that rest after it
-		nonsense int
-		own      bool // the process itself asked for a group
-		missing  []int
-		kind     FinalKind
+		name       string
+		fault      func(*fixture)
+		more       string
+		happened   func(*fixture) bool
+		backingOff int  // peers that back off after it
+		invalid    int  // invalid partial results
+		local      bool // this process gathered a group
+		missing    []int
+		kind       FinalKind
 	}{
-		{name: "none", happened: func(f *fixture) bool { return f.coordinator.Counts().Good == 3 && f.partRequests.Load() == treeParts }},
-		{name: "one is known to be gone", fault: func(f *fixture) {
+		{name: "none", happened: func(f *fixture) bool {
+			return f.coordinator.Counts().Good == 3 && f.partRequests.Load() == fixtureParts
+		}},
+		{name: "one known not to be alive", fault: func(f *fixture) {
 			f.coordinator.options.Alive = func() []string { return []string{"q0", "q2", "other"} }
 		}, happened: func(f *fixture) bool {
 			n := f.coordinator.Counts()
-			return n.Groups == 2 && n.Rows == 8*treeRows && f.peers[1].requests.Load() == 0 && f.coordinator.PeerStatus()[1].NotAlive
+			return n.Groups == 2 && n.Rows == 8*rowsPerPart && f.peers[1].requests.Load() == 0 && f.coordinator.PeerStatus()[1].NotAlive
 		}},
-		{name: "one killed mid-gather", fault: func(f *fixture) { set(f.peers[0], link.Fault{ResetAfter: 9000}) }, aside: 1,
+		{name: "one resets the connection", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{ResetAfter: 9000}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Reset > 0 }},
-		{name: "one's answer is cut", fault: func(f *fixture) { f.peers[1].resetAfter = 9000 }, aside: 1,
+		{name: "one truncates its answer", fault: func(f *fixture) { f.peers[1].resetAfter = 9000 }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[1].link.Counts(link.Backward).Bytes > 5000 }},
-		{name: "one silent", fault: func(f *fixture) { set(f.peers[2], link.Fault{Silent: true}) }, aside: 1,
+		{name: "one silent", fault: func(f *fixture) { setFault(f.peers[2], link.Fault{Silent: true}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[2].link.Counts(link.Backward).Silenced > 0 }},
-		{name: "one slow", fault: func(f *fixture) { set(f.peers[0], link.Fault{Trickle: 2000}) }, aside: 1,
+		{name: "one slow", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{Trickle: 2000}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Trickled > 0 }},
-		{name: "two gone", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, aside: 2, own: true},
-		{name: "all gone", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.link.Close() }) }, aside: 3, own: true},
-		{name: "all silent", fault: func(f *fixture) { all(f, func(p *fakePeer) { set(p, link.Fault{Silent: true}) }) }, aside: 3, own: true},
-		{name: "all cut", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.resetAfter = 9000 }) }, aside: 3, own: true},
-		{name: "all refuse", fault: func(f *fixture) { all(f, func(p *fakePeer) { p.override = full }) }, aside: 3, own: true},
-		{name: "one answers as a node would", fault: func(f *fixture) { f.peers[0].override = junk("one thing") }, aside: 1, nonsense: 1},
-		{name: "one has other rules", fault: func(f *fixture) { f.peers[2].rules.Merge = checkRules(f, `{"keep":"first"}`) }, aside: 1, nonsense: 1},
+		{name: "two unreachable", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, backingOff: 2, local: true},
+		{name: "all unreachable", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.link.Close() }) }, backingOff: 3, local: true},
+		{name: "all silent", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { setFault(p, link.Fault{Silent: true}) }) }, backingOff: 3, local: true},
+		{name: "all truncate their answers", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.resetAfter = 9000 }) }, backingOff: 3, local: true},
+		{name: "all reject", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.override = reject }) }, backingOff: 3, local: true},
+		{name: "one answers like a node", fault: func(f *fixture) { f.peers[0].override = answerWith("one thing") }, backingOff: 1, invalid: 1},
+		{name: "one has other rules", fault: func(f *fixture) { f.peers[2].rules.Merge = checkRules(f, `{"keep":"first"}`) }, backingOff: 1, invalid: 1},
 		{name: "one lost parts", fault: func(f *fixture) {
 			f.peers[1].rejected = map[string]bool{"p1": true, "p5": true, "p9": true, "p4": true, "p7": true, "p10": true}
 		},
-			aside: 1, own: true},
-		{name: "a part is refused everywhere", more: `,"complete":{"need":"best-effort"}`, fault: func(f *fixture) {
-			all(f, func(p *fakePeer) { p.rejected = map[string]bool{"p0": true} })
+			backingOff: 1, local: true},
+		{name: "a part is rejected by all processes", more: `,"complete":{"need":"best-effort"}`, fault: func(f *fixture) {
+			eachPeer(f, func(p *fakePeer) { p.rejected = map[string]bool{"p0": true} })
 			f.local.rejected = map[string]bool{"p0": true}
-		}, aside: 1, own: true, missing: []int{0}},
-		{name: "the top alone", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().Asked >= 3 }},
+		}, backingOff: 1, local: true, missing: []int{0}},
+		{name: "rules with top", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().Asked >= 3 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, 3, c.more)
 			if c.fault != nil {
 				c.fault(f)
 			}
-			patience := 10 * time.Minute // nobody is late for the machine's load alone
+			timeout := 10 * time.Minute // long enough for a loaded machine
 			switch {
 			case c.name == "one slow":
-				patience = 9 * time.Second // a third of four fifths of it is the first copy's
+				timeout = 9 * time.Second // the first attempt's share is a third of four fifths of it
 			case strings.HasSuffix(c.name, "silent"):
 				f.coordinator.options.Rules.Silent = 2 * time.Second
 			}
-			rows, x := f.read(t.Context(), patience)
-			want := treeFlatMerge(c.missing...)
+			rows, x := f.read(t.Context(), timeout)
+			want := fixtureFlatMerge(c.missing...)
 			if strings.Contains(c.more, "top") {
 				want = want[:50]
 			}
@@ -269,51 +273,51 @@
 				t.Errorf("named %v, missing %v", named, c.missing)
 			}
 			if c.happened != nil && !c.happened(f) {
-				t.Errorf("the fault did not happen: %+v", f.coordinator.Counts())
+				t.Errorf("the scenario's effect was not observed: %+v", f.coordinator.Counts())
 			}
-			aside := 0
+			backingOff := 0
 			for _, s := range f.coordinator.PeerStatus() {
 				if s.BackoffLeft > 0 {
-					aside++
+					backingOff++
 				}
 			}
 			failed := 0
 			for _, code := range Codes {
 				failed += f.coordinator.Failures(code)
 			}
-			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < aside || n.TakenOver == 0 != (aside == 0) ||
-				f.coordinator.Failures((*PeerInvalidResult)(nil).Code()) != c.nonsense {
+			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < backingOff || n.TakenOver == 0 != (backingOff == 0) ||
+				f.coordinator.Failures((*PeerInvalidResult)(nil).Code()) != c.invalid {
 				t.Errorf("%d failures by code, %+v", failed, n)
 			}
-			if n := f.coordinator.Counts(); aside != c.aside || n.InvalidResults != c.nonsense || (n.Own > 0) != c.own {
-				t.Errorf("%d rest, not %d: %+v %+v", aside, c.aside, n, f.coordinator.PeerStatus())
+			if n := f.coordinator.Counts(); backingOff != c.backingOff || n.InvalidResults != c.invalid || (n.Own > 0) != c.local {
+				t.Errorf("%d peers back off, not %d: %+v %+v", backingOff, c.backingOff, n, f.coordinator.PeerStatus())
 			}
 			for _, e := range f.log.AllEntries() {
 				if e.Data["code"] == nil && e.Data["peer"] == nil {
-					t.Errorf("a log line without a code: %v", e.Data)
+					t.Errorf("a log line without a code or peer: %v", e.Data)
 				}
 			}
-			waitFor(t, "all peers' gathers end", func() bool {
+			waitFor(t, "all requests to peers end", func() bool {
 				return !slices.ContainsFunc(f.peers, func(p *fakePeer) bool { return p.inFlight.Load() > 0 })
 			})
-			asked := map[string]int32{}
+			requests := map[string]int32{}
 			for i, p := range f.peers {
-				asked[fmt.Sprint("q", i)] = p.requests.Load()
+				requests[fmt.Sprint("q", i)] = p.requests.Load()
 			}
-			resting := f.coordinator.PeerStatus()
-			if rows, x = f.read(t.Context(), patience); x.Result.Whole && !slices.Equal(rows, want) { // and the next read goes past them
-				t.Errorf("again: %d rows, %+v", len(rows), x.Result)
+			status := f.coordinator.PeerStatus()
+			if rows, x = f.read(t.Context(), timeout); x.Result.Whole && !slices.Equal(rows, want) { // the next read avoids these peers
+				t.Errorf("second read: %d rows, %+v", len(rows), x.Result)
 			}
-			for i, s := range resting {
-				if s.BackoffLeft > 0 && f.peers[i].requests.Load() != asked[s.Name] {
-					t.Errorf("%s rests and was asked", s.Name)
+			for i, s := range status {
+				if s.BackoffLeft > 0 && f.peers[i].requests.Load() != requests[s.Name] {
+					t.Errorf("%s backs off, but received a request", s.Name)
 				}
 			}
 		})
 	}
 }
 
-// Copies of a group that saw different rows are named in conflict and not passed for whole.
+// If copies of a group diverge, its parts are named in conflict and the result is not complete.
 func TestDivergingCopiesOfAGroupAreNamedInConflict(t *testing.T) {
 	f := newFixture(t, 1, `,"complete":{"need":"best-effort"}`)
 	f.peers[0].resetAfter = 30000
@@ -333,24 +337,24 @@
 	}
 }
 
-// All parts refused everywhere is refused to the client as well, with the longest wait.
+// If all processes reject all parts, the read is rejected with the longest Retry-After.
 func TestAllPartsRejectedRejectsTheRead(t *testing.T) {
 	f := newFixture(t, 2, "")
-	no := map[string]bool{}
-	for _, p := range newParts(treeParts) {
-		no[p.ID] = true
+	allParts := map[string]bool{}
+	for _, p := range newParts(fixtureParts) {
+		allParts[p.ID] = true
 	}
-	f.local.rejected, f.peers[0].rejected, f.peers[1].rejected = no, no, no
+	f.local.rejected, f.peers[0].rejected, f.peers[1].rejected = allParts, allParts, allParts
 	rows, x := f.read(t.Context(), 10*time.Minute)
 	if len(rows) > 0 || x.Kind != Refused || x.RetryAfter != time.Hour {
 		t.Errorf("%d rows, %+v", len(rows), x)
 	}
 }
 
-// A client that leaves, or takes nothing, ends or holds up all peers.
+// When the client disconnects, the requests to all peers are cancelled, and no peer is marked as failed.
 func TestClientDisconnectCancelsAllPeers(t *testing.T) {
 	f := newFixture(t, 3, "")
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	for _, p := range f.peers {
 		if err := p.link.Set(link.Backward, link.Fault{Silent: true}); err != nil {
 			t.Fatal(err)
@@ -360,17 +364,17 @@
 		for f.coordinator.Counts().Connected < 3 {
 			time.Sleep(ms)
 		}
-		leave()
+		disconnect()
 	}()
 	if rows, x := f.read(ctx, time.Minute); x.Kind != ClientDisconnected || len(rows) > 0 {
 		t.Errorf("%+v, %d rows", x, len(rows))
 	}
-	waitFor(t, "all peers' gathers end", func() bool {
+	waitFor(t, "all requests to peers end", func() bool {
 		return !slices.ContainsFunc(f.peers, func(p *fakePeer) bool { return p.inFlight.Load() > 0 })
 	})
 	for _, s := range f.coordinator.PeerStatus() {
 		if s.Failures > 0 {
-			t.Errorf("blamed for a client's going: %+v", s)
+			t.Errorf("marked as failed because the client disconnected: %+v", s)
 		}
 	}
 }
--- a/internal/scattergather/gather_test.go
+++ b/internal/scattergather/gather_test.go
@@ -19,28 +19,28 @@
 
 const ms = time.Millisecond
 
-// testingT are testing.T and rapid.T.
+// testingT is implemented by testing.T and rapid.T.
 type testingT interface {
 	Helper()
 	Fatal(...any)
 }
 
-// rulesOf orders by n; more is put after.
-func rulesOf(t testingT, memory int, more string) *gather.Rules {
+// rulesOf returns rules that order by n; extra is appended to their JSON text.
+func rulesOf(t testingT, memory int, extra string) *gather.Rules {
 	t.Helper()
-	r, err := gather.ParseRules(fmt.Appendf(nil, `{"order":[{"key":"n","type":"integer"}],"records":{"max_bytes":64},"memory":{"bytes":%d}%s}`, memory, more))
+	r, err := gather.ParseRules(fmt.Appendf(nil, `{"order":[{"key":"n","type":"integer"}],"records":{"max_bytes":64},"memory":{"bytes":%d}%s}`, memory, extra))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func mergeRules(t testingT, need, more string) *gather.Rules {
+func mergeRules(t testingT, need, extra string) *gather.Rules {
 	t.Helper()
-	return rulesOf(t, 1024, fmt.Sprintf(`,"complete":{"need":%q}%s`, need, more))
+	return rulesOf(t, 1024, fmt.Sprintf(`,"complete":{"need":%q}%s`, need, extra))
 }
 
-// partRows is the rows of part i, which holds i, i+parts, i+2*parts, ... so the flat merge is 0, 1, 2, ...
+// partRows returns the rows of part i, which are i, i+parts, i+2*parts, ..., so that the flat merge is 0, 1, 2, ...
 func partRows(i, parts, rows int) (text []byte) {
 	for k := range rows {
 		text = fmt.Appendf(text, "{\"n\":%d}\n", i+k*parts)
@@ -48,7 +48,7 @@
 	return text
 }
 
-// flatMergeOf is the flat merge of such parts but some.
+// flatMergeOf returns the flat merge of the rows of such parts, without some parts.
 func flatMergeOf(parts, rows int, without []int) (all []string) {
 	for k := range parts * rows {
 		if !slices.Contains(without, k%parts) {
@@ -58,28 +58,28 @@
 	return all
 }
 
-var errCut = errors.New("cut")
+var errTruncated = errors.New("truncated")
 
 type simulatedAttempt struct {
 	Attempt
-	progress int           // -1 - the bytes taken, where the rest waits for room
-	end      time.Duration // 0: silent
+	progress int           // -1 - the consumed bytes, if the rest waits for memory of the merge
+	end      time.Duration // when it ends, unless it is silent
 	fault    string
 }
 
-// simulate drives a Gather through a random world and says which invariant it broke.
-func simulate(t *rapid.T, f fault) (broken string) {
+// simulate drives a Gather through a random simulation and returns the invariant that it broke.
+func simulate(t *rapid.T, injected fault) (broken string) {
 	parts := rapid.IntRange(1, 5).Draw(t, "parts")
 	rows := rapid.IntRange(0, 60).Draw(t, "rows")
 	need := rapid.SampledFrom([]string{"all", "best-effort"}).Draw(t, "need")
 	top := rapid.SampledFrom([]int{0, 0, 3, 40}).Draw(t, "top")
 	r := Rules{Share: 0.25, AtOnce: rapid.IntRange(1, 4).Draw(t, "atOnce"), Again: rapid.IntRange(0, 2).Draw(t, "again"),
 		Silent: rapid.SampledFrom([]time.Duration{0, 40 * ms}).Draw(t, "silent"), Safe: rapid.Bool().Draw(t, "safe")}
-	cut := ""
+	truncate := ""
 	if top > 0 {
-		cut = fmt.Sprintf(`,"truncate":{"top":%d}`, top)
+		truncate = fmt.Sprintf(`,"truncate":{"top":%d}`, top)
 	}
-	r.Merge = mergeRules(t, need, cut)
+	r.Merge = mergeRules(t, need, truncate)
 	var all []gather.Part
 	for i := range parts {
 		all = append(all, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
@@ -88,78 +88,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.fault = f
-	leave := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 30, 150}).Draw(t, "leave")) * ms
-	stall := time.Duration(rapid.SampledFrom([]int{1000, 1000, 0, 60}).Draw(t, "stall")) * ms // the client takes no more
-	var outs []*simulatedAttempt
-	refused := map[string]time.Duration{}
-	asked, limited, free := map[string]int{}, map[string]int{}, map[string]int{}
-	ran, bad := map[string]bool{}, map[string][]int{}
+	g.fault = injected
+	disconnectAt := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 30, 150}).Draw(t, "disconnect")) * ms
+	stallAt := time.Duration(rapid.SampledFrom([]int{1000, 1000, 0, 60}).Draw(t, "stall")) * ms // the client reads no more rows
+	var inFlight []*simulatedAttempt
+	notBefore := map[string]time.Duration{}
+	attempts, limitedAttempts, uncounted := map[string]int{}, map[string]int{}, map[string]int{}
+	mayHaveRun, failed := map[string]bool{}, map[string][]int{}
 	var got []string
-	var first *Final
+	var final *Final
 	for now := time.Duration(0); ; now += 5 * ms {
-		if leave > 0 && now >= leave {
+		if disconnectAt > 0 && now >= disconnectAt {
 			g.ClientDisconnected()
 		}
-		for range 10 { // as long as it asks to be called again
-			for now < stall {
+		for range 10 { // until Step need not be called again at this time
+			for now < stallAt {
 				row, ok := g.Next()
 				if !ok {
 					break
 				}
 				got = append(got, string(row))
 			}
-			wasFinal := first != nil
+			wasFinal := final != nil
 			for _, a := range g.Step(now) {
 				id := a.Part.ID
 				if a.Cancel {
-					if i := slices.IndexFunc(outs, func(o *simulatedAttempt) bool { return o.Part.ID == id && o.Number == a.Number }); i >= 0 {
-						ran[id] = true
-						outs = slices.Delete(outs, i, i+1)
+					if i := slices.IndexFunc(inFlight, func(o *simulatedAttempt) bool { return o.Part.ID == id && o.Number == a.Number }); i >= 0 {
+						mayHaveRun[id] = true
+						inFlight = slices.Delete(inFlight, i, i+1)
 					}
 					continue
 				}
-				busy := 0
-				for _, o := range outs {
+				active := 0
+				for _, o := range inFlight {
 					if o.progress >= 0 {
-						busy++
+						active++
 					}
 				}
 				switch {
 				case wasFinal:
 					return "S1"
-				case busy >= r.AtOnce:
+				case active >= r.AtOnce:
 					return "S2"
 				case now >= 300*ms || a.Deadline != 300*ms:
 					return "S3"
-				case ran[id] && !r.Safe:
+				case mayHaveRun[id] && !r.Safe:
 					return "S4"
-				case asked[id]-limited[id]-free[id] > r.Again:
+				case attempts[id]-limitedAttempts[id]-uncounted[id] > r.Again:
 					return "S5"
-				case now < refused[id]:
+				case now < notBefore[id]:
 					return "S6"
 				}
-				past := slices.Clone(bad[id])
-				for _, o := range outs {
+				avoid := slices.Clone(failed[id])
+				for _, o := range inFlight {
 					if o.Part.ID == id {
-						past = append(past, o.Number)
+						avoid = append(avoid, o.Number)
 					}
 				}
-				slices.Sort(past)
-				if slices.Reverse(past); !slices.Equal(past, a.AvoidNodesOf) {
-					return fmt.Sprintf("S10: %v, not %v", a.AvoidNodesOf, past)
+				slices.Sort(avoid)
+				if slices.Reverse(avoid); !slices.Equal(avoid, a.AvoidNodesOf) {
+					return fmt.Sprintf("S10: %v, not %v", a.AvoidNodesOf, avoid)
 				}
 				if !r.Safe && a.Rows != 0 {
-					return "S4: may need more"
+					return "S4: a non-idempotent part has a row limit"
 				}
-				asked[id]++
-				o := &simulatedAttempt{Attempt: a.Attempt, fault: rapid.SampledFrom([]string{"whole", "whole", "cut", "refused", "silent", "empty"}).Draw(t, "fate")}
+				attempts[id]++
+				o := &simulatedAttempt{Attempt: a.Attempt, fault: rapid.SampledFrom([]string{"complete", "complete", "truncated", "rejected", "silent", "empty"}).Draw(t, "fault")}
 				o.end = now + time.Duration(rapid.IntRange(1, 16).Draw(t, "after"))*5*ms
-				outs = append(outs, o)
+				inFlight = append(inFlight, o)
 			}
-			if x, ok := g.Final(); ok && first == nil {
-				first = &x
-				if len(outs) > 0 {
+			if x, ok := g.Final(); ok && final == nil {
+				final = &x
+				if len(inFlight) > 0 {
 					return "S7"
 				}
 			}
@@ -167,30 +167,30 @@
 				break
 			}
 		}
-		if first != nil {
-			for id := range asked { // what comes late changes nothing
+		if final != nil {
+			for id := range attempts { // a late event changes nothing
 				g.AttemptEnded(now, id, 1, nil)
 			}
-			if x, _ := g.Final(); x.Kind != first.Kind {
-				return "S1: another final"
+			if x, _ := g.Final(); x.Kind != final.Kind {
+				return "S1: the final answer changed"
 			}
 			break
 		}
 		if now >= 400*ms {
 			return "S9"
 		}
-		for _, o := range slices.Clone(outs) {
+		for _, o := range slices.Clone(inFlight) {
 			if now < o.end || o.fault == "silent" {
 				continue
 			}
 			text := partRows(o.Part.Shard, parts, rows)
 			var end error
 			switch {
-			case o.fault == "cut":
-				text, end = text[:len(text)*2/3], errCut
+			case o.fault == "truncated":
+				text, end = text[:len(text)*2/3], errTruncated
 			case o.fault == "empty":
-				text, end = nil, errCut
-			case o.fault == "refused":
+				text, end = nil, errTruncated
+			case o.fault == "rejected":
 				text, end = nil, &Rejection{25 * ms}
 			case o.Rows > 0 && o.Rows < rows:
 				text, end = partRows(o.Part.Shard, parts, o.Rows), &gather.Limited{}
@@ -201,38 +201,38 @@
 			}
 			n := g.Receive(now, o.Part.ID, o.Number, text[at:])
 			if at += n; at < len(text) {
-				o.progress = -1 - at // it waits for room
+				o.progress = -1 - at // it waits for memory of the merge
 				continue
 			}
-			outs = slices.DeleteFunc(outs, func(x *simulatedAttempt) bool { return x == o })
-			if o.fault == "refused" {
+			inFlight = slices.DeleteFunc(inFlight, func(x *simulatedAttempt) bool { return x == o })
+			if o.fault == "rejected" {
 				wait := 25 * ms
-				if k := free[o.Part.ID]; len(got) > 0 && k < maxUncountedRejections {
+				if k := uncounted[o.Part.ID]; len(got) > 0 && k < maxUncountedRejections {
 					wait = max(wait, minRejectionBackoff<<min(k, maxBackoffDoublings))
-					free[o.Part.ID]++
+					uncounted[o.Part.ID]++
 				}
-				refused[o.Part.ID] = now + wait
+				notBefore[o.Part.ID] = now + wait
 			} else {
-				ran[o.Part.ID] = true
+				mayHaveRun[o.Part.ID] = true
 			}
-			if errors.Is(end, errCut) || o.fault == "refused" {
-				bad[o.Part.ID] = append(bad[o.Part.ID], o.Number)
+			if errors.Is(end, errTruncated) || o.fault == "rejected" {
+				failed[o.Part.ID] = append(failed[o.Part.ID], o.Number)
 			}
 			if atLimit := (*gather.Limited)(nil); errors.As(end, &atLimit) {
-				limited[o.Part.ID]++
+				limitedAttempts[o.Part.ID]++
 			}
 			g.AttemptEnded(now, o.Part.ID, o.Number, end)
 		}
 	}
-	// S8: rows are those of the flat merge in order; what is absent is of a named part, or after the end.
+	// S8: the rows are those of the flat merge, in order. A missing row belongs to a named part or comes after the end.
 	named := map[int]bool{}
-	for _, p := range first.Result.Parts {
+	for _, p := range final.Result.Parts {
 		named[p.Shard] = true
 	}
-	k, whole := 0, first.Kind == Served && first.Result.Whole
-	most := parts * rows
+	k, complete := 0, final.Kind == Served && final.Result.Whole
+	maxRows := parts * rows
 	if top > 0 {
-		most = min(most, top)
+		maxRows = min(maxRows, top)
 	}
 	for _, row := range got {
 		for ; row != fmt.Sprintf(`{"n":%d}`, k); k++ {
@@ -242,37 +242,37 @@
 		}
 		k++
 	}
-	if whole && len(got) != most {
-		return fmt.Sprintf("S8: %d of %d", len(got), most)
+	if complete && len(got) != maxRows {
+		return fmt.Sprintf("S8: %d rows of %d", len(got), maxRows)
 	}
-	if !whole && first.Kind == Served && len(named) == 0 {
-		return "S8: not whole, nothing named"
+	if !complete && final.Kind == Served && len(named) == 0 {
+		return "S8: incomplete, but no part is named"
 	}
 	return ""
 }
 
-// checkFaultsAreFound says that each fault is found by the invariant that it breaks.
-func checkFaultsAreFound[F comparable](t *testing.T, play func(*rapid.T, F) string, faults map[F]string) {
+// checkFaultsAreFound checks that for each injected fault some simulation reports the invariant that the fault breaks.
+func checkFaultsAreFound[F comparable](t *testing.T, simulate func(*rapid.T, F) string, faults map[F]string) {
 	t.Helper()
 	for f, want := range faults {
-		gen, found := rapid.Custom(func(t *rapid.T) string { return play(t, f) }), map[string]int{}
+		gen, found := rapid.Custom(func(t *rapid.T) string { return simulate(t, f) }), map[string]int{}
 		for seed := 0; seed < 3000 && found[want] == 0; seed++ {
 			if b, _, _ := strings.Cut(gen.Example(seed), ":"); b != "" {
 				found[b]++
 			}
 		}
 		if found[want] == 0 {
-			t.Errorf("fault %v: %s is not found lost: %v", f, want, found)
+			t.Errorf("fault %v: no simulation broke invariant %s, only %v", f, want, found)
 		}
 	}
 }
 
-// checkInvariants says that a play breaks no invariant.
-func checkInvariants[F any](t *testing.T, play func(*rapid.T, F) string) {
+// checkInvariants checks that no simulation breaks an invariant.
+func checkInvariants[F any](t *testing.T, simulate func(*rapid.T, F) string) {
 	t.Helper()
-	var sound F
+	var none F
 	rapid.Check(t, func(t *rapid.T) {
-		if broken := play(t, sound); broken != "" {
+		if broken := simulate(t, none); broken != "" {
 			t.Fatal(broken)
 		}
 	})
@@ -285,7 +285,7 @@
 		faultIgnoreRetryAfter: "S6", faultNoCancel: "S7", faultHideLoss: "S8", faultIgnoreDeadline: "S9", faultNoAvoidedNodes: "S10"})
 }
 
-// Once rows have gone out, a part that is refused is asked until its time is over, each time after a longer wait.
+// Once rows were sent, a rejected part is retried until its deadline or the limit of uncounted rejections, each time after a longer backoff.
 func TestRejectedPartIsRetriedWithGrowingBackoffOnceRowsWereSent(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 4}, time.Minute, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
@@ -303,15 +303,15 @@
 		g.Step(now)
 		at := g.WakeAt()
 		if at-now < last || at-now < minRejectionBackoff {
-			t.Errorf("refusal %d: again after %v, before that %v", n, at-now, last)
+			t.Errorf("rejection %d: retry after %v, the previous one after %v", n, at-now, last)
 		}
 		last, now = at-now, at
 		if acts := g.Step(now); len(acts) != 1 || acts[0].Part.ID != "b" || acts[0].Number != n+2 {
-			t.Fatalf("refusal %d: %+v", n, acts)
+			t.Fatalf("rejection %d: %+v", n, acts)
 		}
 		g.AttemptEnded(now, "b", n+2, &Rejection{ms})
 	}
-	for g.Next(); ; g.Next() { // the last of them counted
+	for g.Next(); ; g.Next() { // the last rejection counts as an attempt
 		if g.Step(now); g.WakeAt() > now {
 			break
 		}
--- a/internal/scattergather/group_test.go
+++ b/internal/scattergather/group_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/gather"
 )
 
-// partialOf is the whole partial result of a group, whose parts hold what body says.
+// partialOf returns the complete partial result of a group, whose parts have the rows of partRows.
 func partialOf(t interface{ Fatal(...any) }, r *gather.Rules, group []gather.Part, parts, rows int) []byte {
 	m, err := gather.New(r, group)
 	if err != nil {
@@ -42,52 +42,52 @@
 	return text
 }
 
-// simulatedGroupAttempt is a copy of a group, or an own part, that is under way.
+// simulatedGroupAttempt is an attempt in flight, of a group or of a part that this process requests itself.
 type simulatedGroupAttempt struct {
 	Attempt
-	text    []byte
-	sent    int
-	fault   string
-	from    time.Duration
-	last    time.Duration // it brought something
-	blocked bool
+	text         []byte
+	sent         int
+	fault        string
+	startedAt    time.Duration
+	lastActivity time.Duration // when its last bytes were consumed
+	blocked      bool
 }
 
-// simulateTree drives a Gather with groups through a random world and says which invariant it broke.
-func simulateTree(t *rapid.T, f treeFault) string {
-	const total, until = 400 * ms, 300 * ms
+// simulateTree drives a Gather with groups through a random simulation and returns the invariant that it broke.
+func simulateTree(t *rapid.T, injected treeFault) string {
+	const deadline, partsDeadline = 400 * ms, 300 * ms
 	parts := rapid.IntRange(4, 14).Draw(t, "parts")
 	rows := rapid.IntRange(0, 40).Draw(t, "rows")
-	set := treeRules(rapid.IntRange(1, 4).Draw(t, "peers"))
-	set.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
+	rules := treeRules(rapid.IntRange(1, 4).Draw(t, "peers"))
+	rules.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
 	r := Rules{Share: 0.25, AtOnce: rapid.IntRange(1, 4).Draw(t, "atOnce"), Safe: true}
-	cut := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
-	r.Merge = rulesOf(t, 8192, `,"complete":{"need":"best-effort"}`+cut)
-	book, err := NewPeerTable(set, rapid.Uint64().Draw(t, "seed"))
+	truncate := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
+	r.Merge = rulesOf(t, 8192, `,"complete":{"need":"best-effort"}`+truncate)
+	peerTable, err := NewPeerTable(rules, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := book.Split(0, newParts(parts), true, false)
-	g, err := New(r, total, plan.Parts())
+	plan := peerTable.Split(0, newParts(parts), true, false)
+	g, err := New(r, deadline, plan.Parts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.setGroups(set, plan)
-	g.treeFault = f
-	stall := rapid.SampledFrom([]time.Duration{total, total, 0, 60 * ms}).Draw(t, "stall") // the client takes no more
+	g.setGroups(rules, plan)
+	g.treeFault = injected
+	stallAt := rapid.SampledFrom([]time.Duration{deadline, deadline, 0, 60 * ms}).Draw(t, "stall") // the client reads no more rows
 	byID := map[string]Group{}
-	whole := map[string][]byte{}
+	completeResults := map[string][]byte{}
 	for _, x := range plan.Groups {
 		byID[x.ID] = x
-		whole[x.ID] = partialOf(t, r.Merge, x.Parts, parts, rows)
+		completeResults[x.ID] = partialOf(t, r.Merge, x.Parts, parts, rows)
 	}
-	var outs []*simulatedGroupAttempt
-	self, peers, over := map[string]bool{}, map[string]int{}, map[string]bool{}
-	lost, failed, slack := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	var inFlight []*simulatedGroupAttempt
+	local, peerAttempts, finished := map[string]bool{}, map[string]int{}, map[string]bool{}
+	lostParts, rejected, waitedForMerge := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	var got []string
 	for now := time.Duration(0); ; now += 5 * ms {
 		for range 12 {
-			for now < stall {
+			for now < stallAt {
 				row, ok := g.Next()
 				if !ok {
 					break
@@ -98,37 +98,37 @@
 				id := a.Part.ID
 				x, isGroup := byID[id]
 				if a.Cancel {
-					outs = slices.DeleteFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.Number == a.Number })
+					inFlight = slices.DeleteFunc(inFlight, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.Number == a.Number })
 					continue
 				}
-				o := &simulatedGroupAttempt{Attempt: a.Attempt, fault: "whole", from: now, last: now}
+				o := &simulatedGroupAttempt{Attempt: a.Attempt, fault: "complete", startedAt: now, lastActivity: now}
 				if !isGroup {
 					o.text = partRows(a.Part.Shard, parts, rows)
 				} else {
-					o.text = whole[id]
+					o.text = completeResults[id]
 					if a.Peer == "" {
-						self[id] = true
-						o.fault = rapid.SampledFrom([]string{"whole", "whole", "whole", "refused"}).Draw(t, "own fate")
+						local[id] = true
+						o.fault = rapid.SampledFrom([]string{"complete", "complete", "complete", "rejected"}).Draw(t, "local fault")
 					} else {
-						peers[id]++
-						o.fault = rapid.SampledFrom([]string{"whole", "failed", "cut", "silent", "silent", "slow", "slow", "lost"}).Draw(t, "fate")
-						if lost[id] {
-							return "T6: a peer after one that lost parts"
+						peerAttempts[id]++
+						o.fault = rapid.SampledFrom([]string{"complete", "failed", "truncated", "silent", "silent", "slow", "slow", "lost"}).Draw(t, "fault")
+						if lostParts[id] {
+							return "T6: a peer is used after another lost parts"
 						}
 					}
-					if peers[id] > len(x.PeerOrder) || a.Peer != "" && !slices.Contains(x.PeerOrder, a.Peer) {
+					if peerAttempts[id] > len(x.PeerOrder) || a.Peer != "" && !slices.Contains(x.PeerOrder, a.Peer) {
 						return "T3"
 					}
 				}
-				outs = append(outs, o)
+				inFlight = append(inFlight, o)
 				n := 0
-				for _, o := range outs {
+				for _, o := range inFlight {
 					if o.Part.ID == id {
 						n++
 					}
 				}
 				if isGroup && n > maxConcurrentAttempts {
-					return "T7: three"
+					return "T7: three attempts in flight"
 				}
 			}
 			if g.WakeAt() > now {
@@ -137,40 +137,40 @@
 		}
 		final, done := g.Final()
 		if done {
-			if stall == total && cut == "" && !final.Result.Whole && !slices.Contains(slices.Collect(maps.Values(failed)), true) {
-				return "T6: not whole, though the process itself could have asked"
+			if stallAt == deadline && truncate == "" && !final.Result.Whole && !slices.Contains(slices.Collect(maps.Values(rejected)), true) {
+				return "T6: incomplete, although this process could have gathered the group"
 			}
-			return checkTree(&final, got, byID, parts, rows, cut != "")
+			return checkResult(&final, got, byID, parts, rows, truncate != "")
 		}
-		if now >= total {
+		if now >= deadline {
 			return "S9"
 		}
-		for _, d := range g.merge.Want() { // what was brought waits for the merge
-			slack[d.Part] = slack[d.Part] || !d.First && 2*d.Bytes <= 8192/(len(plan.Parts())+1)
+		for _, d := range g.merge.Want() { // the delivered bytes wait for the merge
+			waitedForMerge[d.Part] = waitedForMerge[d.Part] || !d.First && 2*d.Bytes <= 8192/(len(plan.Parts())+1)
 		}
 		for id := range byID {
-			k := slices.IndexFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })
-			slack[id] = slack[id] || k >= 0 && slices.ContainsFunc(outs, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.blocked })
-			// What waits for room is not late.
-			if over[id] || self[id] || slack[id] || stall < total || cut != "" || now >= until {
+			k := slices.IndexFunc(inFlight, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })
+			waitedForMerge[id] = waitedForMerge[id] || k >= 0 && slices.ContainsFunc(inFlight, func(o *simulatedGroupAttempt) bool { return o.Part.ID == id && o.blocked })
+			// An attempt that waits for memory of the merge is not late.
+			if finished[id] || local[id] || waitedForMerge[id] || stallAt < deadline || truncate != "" || now >= partsDeadline {
 				continue
 			}
 			if k < 0 {
-				return "T6: nobody is asked"
+				return "T6: no attempt in flight"
 			}
-			n := time.Duration(set.Copies)
-			if now > until*n/(n+1) {
-				return "T6: not asked in time"
+			n := time.Duration(rules.Copies)
+			if now > partsDeadline*n/(n+1) {
+				return "T6: this process starts its attempt too late"
 			}
-			if newest := outs[len(outs)-1-slices.IndexFunc(reversed(outs), func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })]; now > newest.last+set.Silent {
-				return "T7: silent, and nobody follows"
+			if newest := inFlight[len(inFlight)-1-slices.IndexFunc(reversed(inFlight), func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })]; now > newest.lastActivity+rules.Silent {
+				return "T7: a silent attempt is not taken over"
 			}
 		}
-		for _, o := range slices.Clone(outs) {
+		for _, o := range slices.Clone(inFlight) {
 			id := o.Part.ID
-			most := 64
+			maxBytes := 64
 			if o.Peer == "" {
-				most = 4096
+				maxBytes = 4096
 			}
 			limit := len(o.text)
 			var end error
@@ -178,28 +178,28 @@
 			case "silent":
 				continue
 			case "slow":
-				most = 3
+				maxBytes = 3
 			case "failed":
-				limit, end = 0, &PeerFailed{id, o.Peer, "gone"}
-			case "refused":
+				limit, end = 0, &PeerFailed{id, o.Peer, "unreachable"}
+			case "rejected":
 				limit, end = 0, &Rejection{ms}
-			case "cut":
-				limit, end = len(o.text)*2/3, &PeerFailed{id, o.Peer, "cut"}
+			case "truncated":
+				limit, end = len(o.text)*2/3, &PeerFailed{id, o.Peer, "truncated"}
 			case "lost":
 				limit, end = len(o.text)/2, &PeerLostParts{id, o.Peer, "x"}
 			}
-			n := min(most, limit-o.sent)
-			took := g.Receive(now, id, o.Number, o.text[o.sent:o.sent+n])
-			if o.blocked = took < n; took > 0 {
-				o.last = now
+			n := min(maxBytes, limit-o.sent)
+			consumed := g.Receive(now, id, o.Number, o.text[o.sent:o.sent+n])
+			if o.blocked = consumed < n; consumed > 0 {
+				o.lastActivity = now
 			}
-			if o.sent += took; o.sent < limit || o.blocked {
+			if o.sent += consumed; o.sent < limit || o.blocked {
 				continue
 			}
-			outs = slices.DeleteFunc(outs, func(x *simulatedGroupAttempt) bool { return x == o })
-			lost[id] = lost[id] || o.fault == "lost"
-			over[id] = over[id] || end == nil
-			failed[id] = failed[id] || o.fault == "refused"
+			inFlight = slices.DeleteFunc(inFlight, func(x *simulatedGroupAttempt) bool { return x == o })
+			lostParts[id] = lostParts[id] || o.fault == "lost"
+			finished[id] = finished[id] || end == nil
+			rejected[id] = rejected[id] || o.fault == "rejected"
 			g.AttemptEnded(now, id, o.Number, end)
 		}
 	}
@@ -207,8 +207,8 @@
 
 func reversed[T any](s []T) []T { s = slices.Clone(s); slices.Reverse(s); return s }
 
-// checkTree: the rows are the flat merge's, or what is absent is named.
-func checkTree(f *Final, got []string, groups map[string]Group, parts, rows int, cut bool) string {
+// checkResult checks that the rows are those of the flat merge, or that the missing parts are named.
+func checkResult(f *Final, got []string, groups map[string]Group, parts, rows int, truncated bool) string {
 	named := map[int]bool{}
 	for _, p := range f.Result.Parts {
 		named[p.Shard] = true
@@ -222,16 +222,16 @@
 		}
 		k++
 	}
-	if f.Kind == Served && f.Result.Whole && !cut && len(got) != parts*rows {
-		return fmt.Sprintf("S8: %d of %d", len(got), parts*rows)
+	if f.Kind == Served && f.Result.Whole && !truncated && len(got) != parts*rows {
+		return fmt.Sprintf("S8: %d rows of %d", len(got), parts*rows)
 	}
-	if f.Kind == Served && !f.Result.Whole && !cut && len(named) == 0 {
-		return "S8: not whole, nothing named"
+	if f.Kind == Served && !f.Result.Whole && !truncated && len(named) == 0 {
+		return "S8: incomplete, but no part is named"
 	}
 	return ""
 }
 
-// shardOf: the root knows the parts of a group by the group's shard.
+// shardOf returns the shard under which the coordinator names a part: for a part of a group, the group's shard.
 func shardOf(groups map[string]Group, shard int) int {
 	for _, x := range groups {
 		if slices.ContainsFunc(x.Parts, func(p gather.Part) bool { return p.Shard == shard }) {
--- a/internal/scattergather/partial_validator_test.go
+++ b/internal/scattergather/partial_validator_test.go
@@ -17,7 +17,7 @@
 	return rulesOf(t, 8192, `,"complete":{"need":"best-effort"},"duplicates":`+duplicates)
 }
 
-// validate gives a text to a check in pieces and returns what went on.
+// validate passes a text to a validator in pieces and returns the bytes that it passed on.
 func validate(c *partialValidator, text []byte, piece int) (passed []byte, err error) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
@@ -31,8 +31,8 @@
 	return append(passed, out...), err
 }
 
-// A sound partial result goes on byte for byte, under each kind of rules and in any cutting: copies of peers and of the process
-// itself are the same bytes.
+// A valid partial result is passed on unchanged, under all kinds of rules and in pieces of any size. Otherwise the copies of a group
+// from peers and from this process would diverge.
 func TestValidPartialResultPassesUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := checkRules(t, rapid.SampledFrom([]string{`{"keep":"all"}`, `{"keep":"first"}`, `{"keep":"last"}`, `{"keep":"agree","parts":2}`,
@@ -42,7 +42,7 @@
 		of := gather.Part{ID: "g0"}
 		for i := range group {
 			of.Of = append(of.Of, group[i].ID)
-			group[i].Shard = rapid.IntRange(0, 2).Draw(t, "rows of") // so that some have the same
+			group[i].Shard = rapid.IntRange(0, 2).Draw(t, "rows of") // so that some parts have the same rows
 		}
 		text := partialOf(t, r, group, 3, rapid.IntRange(0, 30).Draw(t, "rows"))
 		c, err := newPartialValidator(r, "q", of, 0, 8192, 1<<20)
@@ -56,14 +56,14 @@
 	})
 }
 
-// What is no partial result of the group is found before the root's merge has it, and what goes on is the start of a sound one.
+// An invalid partial result is found before the coordinator's merge receives it, and only a prefix of a valid result is passed on.
 func TestInvalidPartialResultStopsAtItsValidPrefix(t *testing.T) {
 	r, other := checkRules(t, `{"keep":"all"}`), checkRules(t, `{"keep":"first"}`)
 	group := newParts(3)
 	of := gather.Part{ID: "g0", Of: []string{"p0", "p1", "p2"}}
-	sound := partialOf(t, r, group, 3, 20)
+	valid := partialOf(t, r, group, 3, 20)
 	header := len(partialOf(t, r, group, 3, 0)) - 5
-	lost := func() []byte { // p1 never comes, p0 and p2 do
+	lost := func() []byte { // p1 is truncated and dropped
 		m, _ := gather.New(r, group)
 		_ = m.Add("p0", 1, partRows(0, 3, 20))
 		_ = m.End("p0", 1, nil)
@@ -74,17 +74,17 @@
 		out, _ := m.AppendPartial(nil, 0)
 		return out
 	}()
-	swapped := bytes.Clone(sound)    // two rows change places
-	frameAt := func(k int) (n int) { // the end of row k
-		for n = 0; countRows(sound[:n]) < k; {
-			n += 4 + int(binary.BigEndian.Uint32(sound[n:]))
+	swapped := bytes.Clone(valid)     // two rows are exchanged
+	endOfRow := func(k int) (n int) { // returns the offset after row k
+		for n = 0; countRows(valid[:n]) < k; {
+			n += 4 + int(binary.BigEndian.Uint32(valid[n:]))
 		}
 		return n
 	}
-	copy(swapped[frameAt(3):], sound[frameAt(4):frameAt(5)])
-	copy(swapped[frameAt(4):], sound[frameAt(3):frameAt(4)])
-	garbled := bytes.Clone(sound)
-	garbled[frameAt(5)+4] = 'X'
+	copy(swapped[endOfRow(3):], valid[endOfRow(4):endOfRow(5)])
+	copy(swapped[endOfRow(4):], valid[endOfRow(3):endOfRow(4)])
+	corrupt := bytes.Clone(valid)
+	corrupt[endOfRow(5)+4] = 'X'
 	for name, c := range map[string]struct {
 		text   []byte
 		rows   int
@@ -92,39 +92,39 @@
 		want   error
 		passed int
 	}{
-		"an answer of a node":           {text: []byte("hello, this is a plain answer"), want: &PeerInvalidResult{}},
-		"nothing":                       {text: nil, want: &PeerFailed{}},
-		"under other rules":             {text: partialOf(t, other, group, 3, 20), want: &PeerInvalidResult{}},
-		"of other parts":                {text: partialOf(t, r, newParts(4)[1:], 3, 20), want: &PeerInvalidResult{}},
-		"of fewer parts":                {text: partialOf(t, r, newParts(2), 3, 20), want: &PeerInvalidResult{}},
-		"unsorted":                      {text: swapped, want: &PeerInvalidResult{}, passed: frameAt(3) + len(sound[frameAt(4):frameAt(5)])},
-		"garbled":                       {text: garbled, want: &PeerInvalidResult{}, passed: frameAt(5)},
-		"no end":                        {text: sound[:len(sound)-5], want: &PeerFailed{}, passed: len(sound) - 5},
-		"cut in a frame":                {text: sound[:frameAt(7)+6], want: &PeerInvalidResult{}, passed: frameAt(7)},
-		"more after the end":            {text: append(bytes.Clone(sound), sound[frameAt(3):frameAt(4)]...), want: &PeerInvalidResult{}, passed: len(sound) - 5},
-		"a frame too large":             {text: []byte{0, 1, 0, 0, 'R'}, want: &PeerInvalidResult{}},
-		"too much":                      {text: sound, bytes: 500, want: &PeerInvalidResult{}, passed: 500},
-		"lost parts":                    {text: lost, want: &PeerLostParts{}, passed: -1},
-		"more rows than were asked for": {text: sound, rows: 7, want: &gather.Limited{}, passed: frameAt(7)},
+		"a node's answer":          {text: []byte("hello, this is a plain answer"), want: &PeerInvalidResult{}},
+		"empty":                    {text: nil, want: &PeerFailed{}},
+		"under other rules":        {text: partialOf(t, other, group, 3, 20), want: &PeerInvalidResult{}},
+		"of other parts":           {text: partialOf(t, r, newParts(4)[1:], 3, 20), want: &PeerInvalidResult{}},
+		"of fewer parts":           {text: partialOf(t, r, newParts(2), 3, 20), want: &PeerInvalidResult{}},
+		"unsorted":                 {text: swapped, want: &PeerInvalidResult{}, passed: endOfRow(3) + len(valid[endOfRow(4):endOfRow(5)])},
+		"corrupt frame":            {text: corrupt, want: &PeerInvalidResult{}, passed: endOfRow(5)},
+		"no end":                   {text: valid[:len(valid)-5], want: &PeerFailed{}, passed: len(valid) - 5},
+		"truncated within a frame": {text: valid[:endOfRow(7)+6], want: &PeerInvalidResult{}, passed: endOfRow(7)},
+		"frame after the end":      {text: append(bytes.Clone(valid), valid[endOfRow(3):endOfRow(4)]...), want: &PeerInvalidResult{}, passed: len(valid) - 5},
+		"frame over the limit":     {text: []byte{0, 1, 0, 0, 'R'}, want: &PeerInvalidResult{}},
+		"result over the limit":    {text: valid, bytes: 500, want: &PeerInvalidResult{}, passed: 500},
+		"lost parts":               {text: lost, want: &PeerLostParts{}, passed: -1},
+		"more rows than requested": {text: valid, rows: 7, want: &gather.Limited{}, passed: endOfRow(7)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.bytes == 0 {
 				c.bytes = 1 << 20
 			}
 			for _, piece := range []int{1, 7, 1000, 1 << 20} {
-				check, err := newPartialValidator(r, "q", of, c.rows, 4096, c.bytes)
+				validator, err := newPartialValidator(r, "q", of, c.rows, 4096, c.bytes)
 				if err != nil {
 					t.Fatal(err)
 				}
-				passed, err := validate(check, c.text, piece)
+				passed, err := validate(validator, c.text, piece)
 				if fmt.Sprintf("%T", err) != fmt.Sprintf("%T", c.want) {
 					t.Fatalf("in pieces of %d: %T %v", piece, err, err)
 				}
 				if len(passed) > max(c.passed, header) && c.passed >= 0 || c.passed > 0 && len(passed) < min(c.passed, header) {
-					t.Errorf("in pieces of %d: %d bytes went on, %d are sound", piece, len(passed), c.passed)
+					t.Errorf("in pieces of %d: %d bytes were passed on, %d are valid", piece, len(passed), c.passed)
 				}
-				if !bytes.HasPrefix(c.text, passed) && !bytes.HasPrefix(sound, passed) { // or our own head
-					t.Errorf("in pieces of %d: what went on is not what came", piece)
+				if !bytes.HasPrefix(c.text, passed) && !bytes.HasPrefix(valid, passed) { // the header is the validator's own
+					t.Errorf("in pieces of %d: the bytes passed on differ from the received ones", piece)
 				}
 			}
 		})
@@ -134,8 +134,8 @@
 	}
 }
 
-// What a row costs the check, beside what it costs the root's merge.
-func BenchmarkCheck(b *testing.B) {
+// Measures the validation of a row, which comes in addition to the coordinator's merge.
+func BenchmarkPartialValidator(b *testing.B) {
 	r, err := gather.ParseRules([]byte(`{"order":[{"key":"n","type":"integer"}],"records":{"max_bytes":64},"memory":{"bytes":1048576}}`))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/scattergather/peer_table_test.go
+++ b/internal/scattergather/peer_table_test.go
@@ -27,39 +27,39 @@
 	return r
 }
 
-// peerModel is what the model knows of a peer.
+// peerModel is the expected state of a peer.
 type peerModel struct {
 	failures  int
 	notBefore time.Duration
 	trials    int
-	notAlive  bool // it is known not to be alive
+	notAlive  bool
 }
 
-// simulatePeerTable drives a book through random reads and says which invariant it broke.
-func simulatePeerTable(t *rapid.T, f treeFault) string {
-	set := treeRules(rapid.IntRange(1, 6).Draw(t, "peers"))
-	set.GroupMost = rapid.IntRange(2, 8).Draw(t, "groupMost")
-	set.FanOut = rapid.IntRange(1, 5).Draw(t, "fanOut")
-	set.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
-	b, err := NewPeerTable(set, 7)
+// simulatePeerTable drives a peer table through random reads and returns the invariant that it broke.
+func simulatePeerTable(t *rapid.T, injected treeFault) string {
+	rules := treeRules(rapid.IntRange(1, 6).Draw(t, "peers"))
+	rules.GroupMost = rapid.IntRange(2, 8).Draw(t, "groupMost")
+	rules.FanOut = rapid.IntRange(1, 5).Draw(t, "fanOut")
+	rules.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
+	table, err := NewPeerTable(rules, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	twin, _ := NewPeerTable(set, 7)
-	b.fault, twin.fault = f, f
+	twin, _ := NewPeerTable(rules, 7)
+	table.fault, twin.fault = injected, injected
 	model := map[string]*peerModel{}
-	for _, p := range set.Peers {
+	for _, p := range rules.Peers {
 		model[p] = &peerModel{}
 	}
-	type asked struct {
+	type groupInFlight struct {
 		Group
 		plan int
 	}
 	var plans []ReadPlan
-	var out []asked
-	ended := func(now time.Duration, a asked, o PeerOutcome) {
+	var inFlight []groupInFlight
+	endAttempt := func(now time.Duration, a groupInFlight, o PeerOutcome) {
 		peer, m := a.PeerOrder[0], model[a.PeerOrder[0]]
-		b.AttemptEnded(now, peer, a.Trial, o, 150*ms)
+		table.AttemptEnded(now, peer, a.Trial, o, 150*ms)
 		twin.AttemptEnded(now, peer, a.Trial, o, 150*ms)
 		if a.Trial != 0 {
 			m.trials--
@@ -68,9 +68,9 @@
 		case o == OutcomeSuccess && a.Trial != 0:
 			m.failures, m.notBefore = 0, 0
 		case o == OutcomeFailure && (a.Trial != 0 || m.failures == 0):
-			rest := min(set.RestMax, set.Rest<<m.failures)
+			backoff := min(rules.RestMax, rules.Rest<<m.failures)
 			m.failures++
-			m.notBefore = max(m.notBefore, now+rest*3/4)
+			m.notBefore = max(m.notBefore, now+backoff*3/4)
 		case o == OutcomeRejected:
 			m.notBefore = max(m.notBefore, now+150*ms)
 		}
@@ -78,63 +78,63 @@
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 12).Draw(t, "wait")) * 10 * ms
-		if len(out) > 0 && rapid.Bool().Draw(t, "end") {
-			i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-			ended(now, out[i], rapid.SampledFrom([]PeerOutcome{OutcomeSuccess, OutcomeFailure, OutcomeFailure, OutcomeRejected, OutcomeUnknown}).Draw(t, "outcome"))
-			out = slices.Delete(out, i, i+1)
+		if len(inFlight) > 0 && rapid.Bool().Draw(t, "end") {
+			i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+			endAttempt(now, inFlight[i], rapid.SampledFrom([]PeerOutcome{OutcomeSuccess, OutcomeFailure, OutcomeFailure, OutcomeRejected, OutcomeUnknown}).Draw(t, "outcome"))
+			inFlight = slices.Delete(inFlight, i, i+1)
 			continue
 		}
 		if rapid.IntRange(0, 3).Draw(t, "members") == 0 {
 			var alive []string
-			for _, p := range set.Peers {
+			for _, p := range rules.Peers {
 				if model[p].notAlive = rapid.Bool().Draw(t, "gone"); !model[p].notAlive {
 					alive = append(alive, p)
 				}
 			}
-			b.SetAlive(alive)
+			table.SetAlive(alive)
 			twin.SetAlive(alive)
 		}
 		parts := newParts(rapid.IntRange(1, 30).Draw(t, "parts"))
-		safe, limited := rapid.IntRange(0, 4).Draw(t, "safe") > 0, rapid.IntRange(0, 4).Draw(t, "limited") == 0
-		plan := b.Split(now, parts, safe, limited)
-		if fmt.Sprint(plan) != fmt.Sprint(twin.Split(now, parts, safe, limited)) {
+		idempotent, limited := rapid.IntRange(0, 4).Draw(t, "safe") > 0, rapid.IntRange(0, 4).Draw(t, "limited") == 0
+		plan := table.Split(now, parts, idempotent, limited)
+		if fmt.Sprint(plan) != fmt.Sprint(twin.Split(now, parts, idempotent, limited)) {
 			return "T8"
 		}
-		if (!safe || limited || len(parts) < set.LeastParts) && len(plan.Groups) > 0 {
+		if (!idempotent || limited || len(parts) < rules.LeastParts) && len(plan.Groups) > 0 {
 			return "T2"
 		}
-		have := map[string]int{}
-		least, most := len(parts), 0
+		assigned := map[string]int{}
+		smallest, largest := len(parts), 0
 		for _, g := range plan.Groups {
-			least, most = min(least, len(g.Parts)), max(most, len(g.Parts))
+			smallest, largest = min(smallest, len(g.Parts)), max(largest, len(g.Parts))
 			for i, p := range g.Parts {
-				have[p.ID]++
+				assigned[p.ID]++
 				if g.Of[i] != p.ID {
-					return "T1: named otherwise"
+					return "T1: Of and Parts differ"
 				}
 			}
 			if len(g.Of) != len(g.Parts) {
-				return "T1: parts of a group"
+				return "T1: Of and Parts have different lengths"
 			}
 		}
 		for _, p := range plan.Local {
-			have[p.ID]++
+			assigned[p.ID]++
 		}
 		for _, p := range parts {
-			if have[p.ID] != 1 {
+			if assigned[p.ID] != 1 {
 				return "T1: " + p.ID
 			}
 		}
-		if len(plan.Groups) > 0 && (least < 2 || most > set.GroupMost || most > least+1 || len(plan.Groups) > set.FanOut) {
+		if len(plan.Groups) > 0 && (smallest < 2 || largest > rules.GroupMost || largest > smallest+1 || len(plan.Groups) > rules.FanOut) {
 			return "T1: sizes"
 		}
-		lead := map[string]bool{}
+		leads := map[string]bool{}
 		for _, g := range plan.Groups {
-			uses := map[string]bool{}
+			used := map[string]bool{}
 			for k, peer := range g.PeerOrder {
 				m := model[peer]
 				switch {
-				case uses[peer] || k == 0 && lead[peer] || len(g.PeerOrder) > set.Copies:
+				case used[peer] || k == 0 && leads[peer] || len(g.PeerOrder) > rules.Copies:
 					return "T3"
 				case m.notAlive:
 					return "T9"
@@ -143,22 +143,22 @@
 				case m.failures > 0 && (k > 0 || g.Trial == 0 || m.trials > 0):
 					return "T5"
 				}
-				uses[peer] = true
+				used[peer] = true
 			}
-			if lead[g.PeerOrder[0]] = true; g.Trial != 0 {
+			if leads[g.PeerOrder[0]] = true; g.Trial != 0 {
 				model[g.PeerOrder[0]].trials++
 			}
-			out = append(out, asked{g, len(plans)})
+			inFlight = append(inFlight, groupInFlight{g, len(plans)})
 		}
 		plans = append(plans, plan)
-		if rapid.IntRange(0, 5).Draw(t, "over") == 0 { // the read ends with nothing said of its peers
-			for _, a := range out {
+		if rapid.IntRange(0, 5).Draw(t, "over") == 0 { // the read ends without an outcome of its peers
+			for _, a := range inFlight {
 				if a.plan == len(plans)-1 && a.Trial != 0 {
 					model[a.PeerOrder[0]].trials--
 				}
 			}
-			out = slices.DeleteFunc(out, func(a asked) bool { return a.plan == len(plans)-1 })
-			b.ReadEnded(plan)
+			inFlight = slices.DeleteFunc(inFlight, func(a groupInFlight) bool { return a.plan == len(plans)-1 })
+			table.ReadEnded(plan)
 			twin.ReadEnded(plan)
 		}
 	}
@@ -172,7 +172,7 @@
 		treeFaultConstantBackoff: "T4", treeFaultNoTrial: "T5", treeFaultUnseededRandom: "T8", treeFaultUseDeadPeers: "T9"})
 }
 
-// The ordinary way: 24 parts over three peers and the process itself; a peer that fails rests, is tried, and is back.
+// Splits 24 parts among three peers and this process. A peer that fails backs off, has a trial, and is used normally after its success.
 func TestSplitByPeerStatus(t *testing.T) {
 	b, err := NewPeerTable(treeRules(3), 1)
 	if err != nil {
@@ -192,20 +192,20 @@
 	}
 	b.AttemptEnded(0, "q1", 0, OutcomeFailure, 0)
 	if got := sizes(10*ms, 24); !slices.Equal(got, []int{6, 6, 12}) {
-		t.Errorf("at rest: %v", got)
+		t.Errorf("during the backoff: %v", got)
 	}
 	p := b.Split(200*ms, newParts(24), true, false)
 	if g := p.Groups[0]; len(p.Groups) != 3 || g.PeerOrder[0] != "q1" || g.Trial == 0 || len(g.PeerOrder) != 2 {
-		t.Errorf("on trial: %+v", p.Groups)
+		t.Errorf("trial: %+v", p.Groups)
 	}
 	if got := sizes(200*ms, 24); !slices.Equal(got, []int{6, 6, 12}) {
-		t.Errorf("beside a trial: %v", got)
+		t.Errorf("during the trial: %v", got)
 	}
 	b.AttemptEnded(210*ms, "q1", p.Groups[0].Trial, OutcomeSuccess, 0)
 	if got := sizes(220*ms, 24); !slices.Equal(got, []int{6, 6, 6, 6}) || b.Status(220 * ms)[1] != (PeerStatus{Name: "q1"}) {
-		t.Errorf("back: %v %v", got, b.Status(220*ms))
+		t.Errorf("after the trial: %v %v", got, b.Status(220*ms))
 	}
-	for _, c := range []struct { // where it is known who is alive
+	for _, c := range []struct { // with known live peers
 		alive []string
 		want  []int
 	}{{[]string{"q0", "q2", "other"}, []int{6, 6, 12}}, {nil, []int{24}}, {[]string{"q0", "q1", "q2"}, []int{6, 6, 6, 6}}} {
--- a/internal/scattergather/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -17,12 +17,12 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-// simulatedRead is one gathered read: parts whose askings bring their rows in pieces that the sender uses again at
-// once, a client's writer that takes its time, and a clock that goes on when a thread says so.
+// simulatedRead is one gathered read. Its attempts deliver their rows in pieces whose buffers the sender reuses at once, its
+// client's writer may be preempted, and its clock is advanced by a thread.
 type simulatedRead struct {
 	parts, rows    int
-	writeFails     bool // the writer: the client has left
-	mustBeComplete bool // nothing is in the way of it
+	writeFails     bool // the writer fails, as if the client had disconnected
+	mustBeComplete bool // the test injects no failure
 	now, wakeAt    time.Duration
 	wake           chan time.Time
 	done           chan struct{}
@@ -31,7 +31,7 @@
 	final          Final
 }
 
-// Attempt implements Asker: each asking is a thread of its own.
+// Send implements Sender. Each attempt is a thread of its own.
 func (d *simulatedRead) Send(a Attempt, _ time.Time, to *Sink) {
 	sync.Go(func() {
 		text := partRows(a.Part.Shard, d.parts, d.rows)
@@ -41,38 +41,38 @@
 		}
 		first := len(text) - 2 // within a row
 		piece := bytes.Clone(text[:first])
-		more := to.Deliver(nil) && to.Deliver(piece) // an empty one is taken at once
+		wanted := to.Deliver(nil) && to.Deliver(piece) // an empty piece is consumed at once
 		sync.Writes(&piece[0])
-		for i := range piece { // it is the sender's again
+		for i := range piece { // the sender reuses the buffer
 			piece[i] = 'x'
 		}
-		if more {
+		if wanted {
 			to.End(text[first:], nil)
 		} else {
-			to.End(nil, errCut)
+			to.End(nil, errTruncated)
 		}
 	})
 }
 
-// Cancel implements Asker.
+// Cancel implements Sender.
 func (d *simulatedRead) Cancel(Attempt) {}
 
 func (d *simulatedRead) write(rows []byte) error {
-	was := bytes.Clone(rows)
+	before := bytes.Clone(rows)
 	sync.Point("write", "client")
 	if d.ended {
 		il.Fail("written after the final answer")
 	}
-	if !bytes.Equal(rows, was) {
+	if !bytes.Equal(rows, before) {
 		il.Fail("the rows changed under the writer")
 	}
 	if d.got = append(d.got, rows...); d.writeFails {
-		return errors.New("left")
+		return errors.New("client disconnected")
 	}
 	return nil
 }
 
-// advance lets the time come that is waited for, so many times.
+// advance moves the clock to the next wake-up time, the given number of times.
 func (d *simulatedRead) advance(times int) {
 	for range times {
 		sync.Point("time", "passes")
@@ -83,7 +83,7 @@
 	}
 }
 
-// holds: whole where the answer says so, and in no case anything but the beginning of the rows.
+// check verifies that the written rows are a prefix of the expected rows, and all of them if the answer says complete.
 func (d *simulatedRead) check() error {
 	want := partRows(0, 1, d.parts*d.rows)
 	switch {
@@ -92,15 +92,15 @@
 	case d.final.Kind == Served && d.final.Result.Whole != bytes.Equal(want, d.got):
 		return fmt.Errorf("%+v with the rows %q", d.final, d.got)
 	case d.mustBeComplete && d.final.Kind != Served:
-		return fmt.Errorf("not whole: %+v", d.final)
+		return fmt.Errorf("incomplete: %+v", d.final)
 	case d.writeFails && d.final.Kind == Served:
 		return errors.New("served although the client disconnected")
 	}
 	return nil
 }
 
-// A part, its second copy, the timer, the client's going and the writer, a few at a time: one final
-// answer, no row lost, doubled or changed, nothing written after it, and every goroutine ends.
+// Explores the interleavings of a part, its second attempt, the timer, a disconnecting client and the writer, a few at a time.
+// There is one final answer, no row is lost, duplicated or changed, nothing is written after the answer, and every goroutine ends.
 func TestInterleaveRun(t *testing.T) {
 	rules := Rules{Merge: mergeRules(t, "all", ""), Share: .1, AtOnce: 4, Again: 1, Safe: true}
 	for _, x := range []struct {
@@ -126,7 +126,7 @@
 			{File: "run.go", Old: "			sync.Send(written, opt.Write(b))\n", New: "			opt.Write(b)\n			sync.Send(written, error(nil))\n", Want: "served although the client disconnected"}}},
 		{"parts", 2, 100, 0, false, 0, func(*simulatedRead, func()) []il.Thread { return nil }, []mutant.Mutant{
 			{File: "run.go", Old: "				if writing {\n", New: "				if false {\n", Want: "written after the final answer"},
-			{File: "run.go", Old: "			s.unconsumed = s.unconsumed[n:]\n", New: "			s.unconsumed = nil\n", Want: "not whole"},
+			{File: "run.go", Old: "			s.unconsumed = s.unconsumed[n:]\n", New: "			s.unconsumed = nil\n", Want: "incomplete"},
 			{File: "run.go", Old: "	if len(data) == 0 {\n		return true\n	}\n", New: "", Want: "deadlock: "}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -21,10 +21,10 @@
 
 const (
 	shardCount   = 4
-	rowsPerShard = 200 // rows of a shard: more than its share of the merge's memory
+	rowsPerShard = 200 // more than a shard's share of the merge's memory
 )
 
-// fakeNode is the one node of its shard, as core reaches it: it has its rows and a fault.
+// fakeNode is core's client of the only node of a shard. It answers with the shard's rows unless it has a fault.
 type fakeNode struct {
 	i                  int
 	fault              string
@@ -55,9 +55,9 @@
 		case s.fault == "silent":
 			<-ctx.Done()
 			r = core.Result{Status: policy.Cancelled}
-		case s.fault == "cut" || s.fault == "cut once" && n == 1:
+		case s.fault == "reset" || s.fault == "reset once" && n == 1:
 			r = core.Result{Status: policy.ConnectionReset}
-		case s.fault == "late": // the others have all answered
+		case s.fault == "late": // after all others have answered
 			time.Sleep(20 * time.Millisecond)
 		}
 		a.MarkWritten()
@@ -91,9 +91,9 @@
 	t.Helper()
 	w := &coreFixture{}
 	var nodes []core.Node
-	life, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	for i, f := range faults {
-		w.shards = append(w.shards, &fakeNode{i: i, fault: f, ctx: life, cancels: map[*core.Attempt]context.CancelFunc{}})
+		w.shards = append(w.shards, &fakeNode{i: i, fault: f, ctx: ctx, cancels: map[*core.Attempt]context.CancelFunc{}})
 		w.parts = append(w.parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
 		nodes = append(nodes, core.Node{Node: policy.Node{ID: fmt.Sprint(i), Shard: i, State: policy.NodeUp, Weight: 1}})
 	}
@@ -114,8 +114,8 @@
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
 	t.Cleanup(func() {
 		w.core.Stop()
-		end()
-		waitFor(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
+		cancel()
+		waitFor(t, "all goroutines end", func() bool { return goleak.Find() == nil })
 	})
 	return w
 }
@@ -124,53 +124,54 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// run gathers; patience is long: where shards are silent the parts' time is over once all others have brought what they can.
-func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, ends bool) (rows []string, f Final) {
+// run gathers with a long timeout. With endsAtDeadline the clock jumps past the parts' deadline once all parts but the silent ones
+// are finished.
+func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, endsAtDeadline bool) (rows []string, f Final) {
 	t.Helper()
-	const patience = 10 * time.Minute
-	g, err := New(Rules{Merge: mergeRules(t, need, ""), Share: 0.2, AtOnce: 2, Safe: true, Again: 1}, patience, w.parts)
+	const timeout = 10 * time.Minute
+	g, err := New(Rules{Merge: mergeRules(t, need, ""), Share: 0.2, AtOnce: 2, Safe: true, Again: 1}, timeout, w.parts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	begin, past := time.Now(), false
-	unasked := func(s *fakeNode) bool { return s.fault == "silent" && s.requests.Load() == 0 } // time's leap would call it off before it begins
+	start, pastDeadline := time.Now(), false
+	notRequested := func(s *fakeNode) bool { return s.fault == "silent" && s.requests.Load() == 0 } // else the jump of the clock would cancel it before it starts
 	now := func() time.Duration {
-		past = past || ends && !slices.ContainsFunc(w.shards, unasked) && !slices.ContainsFunc(g.parts, func(p *partState) bool {
-			held := len(p.inFlight) > 0 && p.inFlight[0].blocked
-			return !p.finished && !held && (p.lastNumber == 0 || w.shards[p.Shard].fault != "silent")
+		pastDeadline = pastDeadline || endsAtDeadline && !slices.ContainsFunc(w.shards, notRequested) && !slices.ContainsFunc(g.parts, func(p *partState) bool {
+			blocked := len(p.inFlight) > 0 && p.inFlight[0].blocked
+			return !p.finished && !blocked && (p.lastNumber == 0 || w.shards[p.Shard].fault != "silent")
 		})
-		if past {
-			return patience * 9 / 10
+		if pastDeadline {
+			return timeout * 9 / 10
 		}
-		return time.Since(begin)
+		return time.Since(start)
 	}
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	var text []byte
-	f = run(ctx, g, w.sender, Options{MaxPartBytes: 1 << 20, ReceivedAt: begin, Write: func(b []byte) error { text = append(text, b...); return nil }},
-		clock{now, wake.C, func(at time.Duration) {
+	f = run(ctx, g, w.sender, Options{MaxPartBytes: 1 << 20, ReceivedAt: start, Write: func(b []byte) error { text = append(text, b...); return nil }},
+		clock{now, timer.C, func(at time.Duration) {
 			wait := at - now()
-			if ends && !past { // no event tells of an asking that begins
+			if endsAtDeadline && !pastDeadline { // the start of an attempt is not an event, so poll
 				wait = min(wait, time.Millisecond)
 			}
-			wake.Reset(wait)
+			timer.Reset(wait)
 		}})
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	waitFor(t, "core holds nothing", func() bool { x := w.core.TableSizes(); return x.Requests == 0 })
+	waitFor(t, "core has no requests", func() bool { x := w.core.TableSizes(); return x.Requests == 0 })
 	return rows, f
 }
 
-// flatMerge are the rows of all shards but some, merged.
+// flatMerge returns the merged rows of all shards, without some.
 func flatMerge(without ...int) []string { return flatMergeOf(shardCount, rowsPerShard, without) }
 
-// Over core: the answer is the flat merge, or says what is missing.
+// The result over core is the flat merge, or names the missing parts.
 func TestResultIsFlatMergeOrNamesMissingParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults  [shardCount]string
@@ -178,13 +179,13 @@
 		kind    FinalKind
 		missing []int
 	}{
-		"whole":           {need: "all"},
-		"late":            {[shardCount]string{0: "late", 3: "late"}, "all", Served, nil},
-		"cut once":        {[shardCount]string{1: "cut once"}, "all", Served, nil},
-		"cut":             {[shardCount]string{2: "cut"}, "best-effort", Served, []int{2}},
-		"silent":          {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
-		"refused, silent": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
-		"all needed":      {[shardCount]string{0: "silent"}, "all", Short, []int{0}},
+		"no fault":     {need: "all"},
+		"late":         {[shardCount]string{0: "late", 3: "late"}, "all", Served, nil},
+		"reset once":   {[shardCount]string{1: "reset once"}, "all", Served, nil},
+		"reset":        {[shardCount]string{2: "reset"}, "best-effort", Served, []int{2}},
+		"silent":       {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
+		"full, silent": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
+		"all needed":   {[shardCount]string{0: "silent"}, "all", Short, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newCoreFixture(t, c.faults)
@@ -205,10 +206,10 @@
 			}
 			for i, s := range w.shards {
 				if s.requests.Load() == 0 && c.kind == Served {
-					t.Errorf("shard %d was not asked", i)
+					t.Errorf("shard %d received no request", i)
 				}
 			}
-			waitFor(t, "all askings end", func() bool {
+			waitFor(t, "all attempts end", func() bool {
 				return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
 			})
 		})
@@ -217,23 +218,23 @@
 
 func TestClientDisconnectCancelsAllParts(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
 		for w.shards[0].inFlight.Load()+w.shards[1].inFlight.Load() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		leave()
+		disconnect()
 	}()
 	rows, f := w.run(ctx, t, "all", false)
 	if f.Kind != ClientDisconnected || len(rows) > 0 {
 		t.Errorf("%+v, %d rows", f, len(rows))
 	}
-	waitFor(t, "all askings end", func() bool {
+	waitFor(t, "all attempts end", func() bool {
 		return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
 	})
 }
 
-// rowSender is an asker whose parts come in pieces of one row.
+// rowSender is a Sender that delivers each part in pieces of one row.
 type rowSender struct {
 	sent atomic.Int64
 	wg   sync.WaitGroup
@@ -252,29 +253,29 @@
 }
 func (s *rowSender) Cancel(Attempt) {}
 
-// A client that takes nothing holds the parts up: what is held is the merge's memory, two batches of rows and a piece a part.
+// A stalled client stalls the parts. Buffered bytes are limited to the merge's memory, two batches of rows and one piece per part.
 func TestBackPressureBoundsBufferedBytes(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 1}, time.Hour, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var s rowSender
-	var most, written int64
-	stuck := false
+	var maxBuffered, written int64
+	stalled := false
 	f := Run(t.Context(), g, &s, Options{ReceivedAt: time.Now(), Write: func(b []byte) error {
-		if !stuck { // until the parts stand still
-			stuck = true
-			for was := int64(-1); was != s.sent.Load(); time.Sleep(50 * time.Millisecond) {
-				was = s.sent.Load()
+		if !stalled { // until the parts deliver no more
+			stalled = true
+			for last := int64(-1); last != s.sent.Load(); time.Sleep(50 * time.Millisecond) {
+				last = s.sent.Load()
 			}
 		}
-		most = max(most, s.sent.Load()-written)
+		maxBuffered = max(maxBuffered, s.sent.Load()-written)
 		written += int64(len(b))
 		return nil
 	}})
 	s.wg.Wait()
-	if all := s.sent.Load(); f.Kind != Served || !f.Result.Whole || written != all || most > 2*maxBatchBytes+4096 {
-		t.Errorf("%+v; %d of %d bytes, %d held", f, written, all, most)
+	if all := s.sent.Load(); f.Kind != Served || !f.Result.Whole || written != all || maxBuffered > 2*maxBatchBytes+4096 {
+		t.Errorf("%+v; %d of %d bytes, %d buffered", f, written, all, maxBuffered)
 	}
 	if err := goleak.Find(); err != nil {
 		t.Error(err)
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -16,16 +16,16 @@
 	"wheatsaddle/internal/operr"
 )
 
-// service is one over the world's core; bodies come in pieces of odd lengths where long is set.
-func (w *coreFixture) service(t *testing.T, more string, long bool) *Service {
+// service returns a Service over the fixture's core. With streamed set, bodies arrive in pieces.
+func (w *coreFixture) service(t *testing.T, extra string, streamed bool) *Service {
 	t.Helper()
-	rules := Rules{Merge: mergeRules(t, "all", more), Share: 0.2, AtOnce: 2, Safe: true, Again: 2}
+	rules := Rules{Merge: mergeRules(t, "all", extra), Share: 0.2, AtOnce: 2, Safe: true, Again: 2}
 	s := &Service{Core: w.core, Classes: map[string]Rules{"read": rules}, Reads: &Gate{}, Units: 1, PartMost: 1 << 20, PartsMost: 8,
 		Shards:  func() []int { return []int{0, 1, 2, 3} },
 		Payload: func(_, _ *core.Request, _ int) any { return nil },
 		Body: func(x any) Body {
 			text := x.([]byte)
-			if !long {
+			if !streamed {
 				return Body{Data: text}
 			}
 			return Body{Data: text[:7], Rest: io.NopCloser(bytes.NewReader(text[7:])), Cut: func() {}}
@@ -34,13 +34,13 @@
 	return s
 }
 
-func newClientRequest(id string, patience time.Duration) *core.Request {
-	r := &core.Request{ReceivedAt: time.Now(), Timeout: patience}
+func newClientRequest(id string, timeout time.Duration) *core.Request {
+	r := &core.Request{ReceivedAt: time.Now(), Timeout: timeout}
 	r.ID, r.Class, r.Plan, r.Key, r.Volume, r.Schedulers, r.Units = id, "read", "basic", "k", "v", 1, 1
 	return r
 }
 
-// failingDelegator gathers two groups of two in this process; the first asking of each fails halfway, as by a peer that is killed.
+// failingDelegator gathers two groups of two parts in this process. The first attempt of each fails halfway, like one of a killed peer.
 type failingDelegator struct{ attempts []string }
 
 func (h *failingDelegator) Delegate(r ReadRequest) ([]gather.Part, Sender) {
@@ -63,7 +63,7 @@
 		}
 		f := x.read.GatherLocally(context.Background(), a, until, func(b []byte) error {
 			if left--; left == -1 {
-				return errCut
+				return errTruncated
 			}
 			to.Deliver(b[:len(b)/2])
 			to.Deliver(b[len(b)/2:])
@@ -71,7 +71,7 @@
 		})
 		switch {
 		case f.Kind != Served:
-			to.End(nil, errCut)
+			to.End(nil, errTruncated)
 		case f.Limited:
 			to.End(nil, &gather.Limited{})
 		default:
@@ -80,7 +80,7 @@
 	}()
 }
 
-// However it is gathered, the rows are the flat merge's: whole bodies, in pieces, in groups that fail once, page by page.
+// The rows are those of the flat merge for whole bodies, streamed bodies, groups that fail once, and pages.
 func TestServiceReturnsFlatMerge(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{})
 	for name, c := range map[string]struct {
@@ -115,9 +115,9 @@
 				t.Errorf("%d pages", pages)
 			}
 			if c.tree && !slices.Contains(h.attempts, "a2") {
-				t.Errorf("asked %v", h.attempts)
+				t.Errorf("no second attempt of group a: %v", h.attempts)
 			}
-			waitFor(t, "core holds nothing", func() bool { return w.core.TableSizes().Requests == 0 })
+			waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
 		})
 	}
 }
@@ -125,11 +125,11 @@
 func TestServiceRejectsInvalidAndExcessReads(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
 	s := w.service(t, "", false)
-	none := func([]byte) error { t.Error("a row"); return nil } //nolint:unparam // a writer of rows
+	unexpected := func([]byte) error { t.Error("a row was written"); return nil } //nolint:unparam // a writer of rows
 	read := func(q Query, class string) Final {
 		r := newClientRequest("r", 400*time.Millisecond)
 		r.Class = class
-		return s.Read(t.Context(), r, q, none)
+		return s.Read(t.Context(), r, q, unexpected)
 	}
 	invalid := func(what, code string, f Final) {
 		var c operr.Coded
@@ -143,38 +143,38 @@
 	invalid("too many", "scatter-shards-bad", read(Query{Shards: make([]int, 9)}, "read"))
 	invalid("token", "gather-token-bad", read(Query{All: true, Token: "x"}, "read"))
 
-	// One is in: the next is refused at once, and asks nothing.
-	ctx, leave := context.WithCancel(t.Context())
+	// While one read is in progress, the next is rejected at once and sends no attempt.
+	ctx, disconnect := context.WithCancel(t.Context())
 	done := make(chan Final)
-	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, none) }()
-	waitFor(t, "parts are out", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
+	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, unexpected) }()
+	waitFor(t, "two parts are in flight", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
 	if f := read(Query{All: true}, "read"); f.Kind != Refused || f.RetryAfter <= 0 || s.Reads.In() != 1 {
 		t.Errorf("%+v", f)
 	}
 	if n := w.core.TableSizes().Requests; n != 2 {
-		t.Errorf("core holds %d", n)
+		t.Errorf("core has %d requests", n)
 	}
-	leave()
+	disconnect()
 	if f := <-done; f.Kind != ClientDisconnected {
 		t.Errorf("%+v", f)
 	}
 }
 
-// A body over its bound is cut there, and named, whether it comes whole or in pieces.
+// A body over its limit is truncated there and its shard is named, whether the body is streamed or not.
 func TestPartOverItsLimitIsTruncatedAndNamed(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{})
-	for _, long := range []bool{false, true} {
-		s := w.service(t, "", long)
+	for _, streamed := range []bool{false, true} {
+		s := w.service(t, "", streamed)
 		s.PartMost = 600
 		f := s.Read(t.Context(), newClientRequest("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
 		if r := f.Report(false); f.Kind != Short || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
-			t.Errorf("long %v: %+v", long, f)
+			t.Errorf("streamed %v: %+v", streamed, f)
 		}
-		waitFor(t, "core holds nothing", func() bool { return w.core.TableSizes().Requests == 0 })
+		waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
 	}
 }
 
-// The slowest by the estimate are asked first; without one, in the order given.
+// The parts with the longest expected duration come first. Without expectations the given order is kept.
 func TestSlowestPartIsRequestedFirst(t *testing.T) {
 	s := &Service{}
 	ids := func() (ids []string) {
