--- a/gather/bench_test.go
+++ b/gather/bench_test.go
@@ -30,7 +30,7 @@
 	return parts, texts
 }
 
-// benchMerge sends pieces of 8 KiB as Want asks and takes up to rows rows (0: all).
+// benchMerge adds pieces of 8 KiB from the parts that the merge waits for, and reads up to rows rows (0: all).
 func benchMerge(b *testing.B, r *Rules, parts []Part, texts [][]byte, rows int) int {
 	m, err := New(r, parts)
 	if err != nil {
@@ -65,26 +65,26 @@
 	}
 }
 
-type decoded struct {
+type decodedRow struct {
 	key       []byte
 	part, pos int
 	row       []byte
 }
 
-// collectAndSort is the plain way: all rows of all parts decoded, sorted, and then cut.
-func collectAndSort(r *Rules, texts [][]byte, rows int) []decoded {
+// collectAndSort is the baseline: it decodes all rows of all parts, sorts them, and truncates the result.
+func collectAndSort(r *Rules, texts [][]byte, rows int) []decodedRow {
 	d := newDecoder(r)
-	all := make([]decoded, 0, benchParts*benchRows)
+	all := make([]decodedRow, 0, benchParts*benchRows)
 	keys := make([]byte, 0, 9*benchParts*benchRows)
 	for p, text := range texts {
-		text = bytes.Clone(text) // as it was collected
+		text = bytes.Clone(text) // the copy that collecting the part makes
 		for i, row := range bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n")) {
 			at := len(keys)
 			keys, _, _ = d.key(keys, row)
-			all = append(all, decoded{keys[at:], p, i, row})
+			all = append(all, decodedRow{keys[at:], p, i, row})
 		}
 	}
-	slices.SortFunc(all, func(a, b decoded) int {
+	slices.SortFunc(all, func(a, b decodedRow) int {
 		if c := bytes.Compare(a.key, b.key); c != 0 {
 			return c
 		}
@@ -128,7 +128,7 @@
 	})
 }
 
-// No allocation a row, and memory of parts and pieces, not of rows.
+// A merge does not allocate per row. Its memory depends on the parts and pieces, not on the number of rows.
 func TestMemoryGrowsWithPartsNotRows(t *testing.T) {
 	parts, texts := benchData()
 	for i := range texts {
@@ -142,9 +142,9 @@
 		n := benchMerge(b, r, parts, texts, 0)
 		runtime.ReadMemStats(&after)
 		allocs, size := float64(after.Mallocs-before.Mallocs)/float64(n), (after.TotalAlloc-before.TotalAlloc)/benchParts
-		t.Logf("%s: %d rows, %.4f allocations a row, %d bytes a part", dup, n, allocs, size)
+		t.Logf("%s: %d rows, %.4f allocations per row, %d bytes per part", dup, n, allocs, size)
 		if n < 100000 || allocs > 0.01 || size > 64<<10 {
-			t.Errorf("%s: %d rows, %.4f allocations a row, %d bytes a part", dup, n, allocs, size)
+			t.Errorf("%s: %d rows, %.4f allocations per row, %d bytes per part", dup, n, allocs, size)
 		}
 	}
 }
--- a/gather/deliver_test.go
+++ b/gather/deliver_test.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// partSource is one part as the test sends it.
+// partSource is the data of one part that a test sends.
 type partSource struct {
 	part     string
 	copies   []copySource
@@ -22,12 +22,12 @@
 	ended bool
 }
 
-// deliver sends sources in a random order of pieces, calls pull between them and reads to the end.
-func deliver(m *Merge, rng *rand.Rand, sources []partSource, pull func()) error {
-	var why error
-	for turn := 0; !m.done && len(sources) > 0; turn++ {
-		if turn > 20000 {
-			return errors.New("the merge stands still")
+// deliver adds random pieces of the sources to a merge in random order, and calls takeRows in between and at the end.
+func deliver(m *Merge, rng *rand.Rand, sources []partSource, takeRows func()) error {
+	var addErr error
+	for iteration := 0; !m.done && len(sources) > 0; iteration++ {
+		if iteration > 20000 {
+			return errors.New("the merge makes no progress")
 		}
 		i := rng.IntN(len(sources))
 		s := &sources[i]
@@ -37,19 +37,19 @@
 		if err := m.Add(s.part, c, []byte(x.data[:n])); err == nil {
 			x.data = x.data[n:]
 		} else if !errors.As(err, new(*Full)) {
-			why = err
+			addErr = err
 			break
 		}
 		rows, bytes := m.Held()
 		if m.streams[m.byID[s.part]].room() < 0 {
-			return errors.New("a part waits with more than its share")
+			return errors.New("a part buffers more than its share")
 		}
 		if rows > m.rules.Memory.Rows || bytes > m.rules.Memory.Bytes {
-			return fmt.Errorf("held %d rows, %d bytes", rows, bytes)
+			return fmt.Errorf("the merge buffers %d rows, %d bytes", rows, bytes)
 		}
 		if x.data == "" && !x.ended {
 			if x.ended = true; m.End(s.part, c, x.end) != nil {
-				return errors.New("a copy that agrees was found to differ")
+				return errors.New("an identical copy was reported as diverged")
 			}
 			if !slices.ContainsFunc(s.copies, func(c copySource) bool { return !c.ended }) {
 				if !s.complete {
@@ -59,18 +59,18 @@
 			}
 		}
 		if rng.IntN(3) > 0 {
-			pull()
+			takeRows()
 		}
 	}
-	pull()
-	return why
+	takeRows()
+	return addErr
 }
 
 func (w *randomRead) sources(from, to int) (all []partSource) {
 	for p := from; p < to; p++ {
 		f := w.parts[p]
 		s := partSource{part: fmt.Sprintf("p%d", p), complete: f.complete}
-		for i, c := range f.copies {
+		for i, c := range f.copyPercents {
 			x := copySource{data: f.receivedText(), end: io.ErrUnexpectedEOF}
 			if i > 0 {
 				x.data = x.data[:len(x.data)*c/100]
@@ -87,36 +87,36 @@
 	return all
 }
 
-// partialResult merges sources, which it leaves as they are, into a partial result.
+// partialResult merges sources into a partial result, without changing them.
 func partialResult(r *Rules, parts []Part, sources []partSource, rng *rand.Rand, fault fault) (string, error) {
 	sub, err := New(r, parts)
 	if err != nil {
 		return "", err
 	}
 	sub.fault = fault
-	var own []partSource
+	var unsent []partSource
 	for _, s := range sources {
 		s.copies = slices.Clone(s.copies)
-		own = append(own, s)
+		unsent = append(unsent, s)
 	}
 	var text []byte
 	done := false
-	pull := func() {
+	takeRows := func() {
 		for last := -1; len(text) != last; {
 			last = len(text)
 			text, done = sub.AppendPartial(text, rng.IntN(4))
 		}
 	}
-	if err := deliver(sub, rng, own, pull); err != nil {
+	if err := deliver(sub, rng, unsent, takeRows); err != nil {
 		return "", err
 	}
 	if text, done = sub.AppendPartial(text, 0); !done {
-		return "", fmt.Errorf("a partial result without end: %w", sub.err)
+		return "", fmt.Errorf("partial result without end: %w", sub.err)
 	}
 	return string(text), nil
 }
 
-// merge merges flat or over a tree.
+// merge merges the read's parts, either directly or over a random tree of partial results.
 func (w *randomRead) merge(tree bool, fault fault) (got mergeOutcome, err error) {
 	memory := 512 * (len(w.parts) + 1)
 	if tree || w.keep == "agree" {
@@ -132,7 +132,7 @@
 	for i, s := range sources {
 		parts[i] = Part{ID: s.part}
 	}
-	for tree && len(parts) > 1 { // bring some parts together, until one is left or chance ends it
+	for tree && len(parts) > 1 { // merge some parts into a partial result, until one part is left or at random
 		n := min(w.groupSize, len(parts)-1) + rng.IntN(2)
 		if n < 1 || n > len(parts) {
 			n = 1
@@ -141,7 +141,7 @@
 		if err != nil {
 			return got, err
 		}
-		other, err := partialResult(r, parts[:n], sources[:n], rng, fault) // of a peer that took over
+		takeover, err := partialResult(r, parts[:n], sources[:n], rng, fault) // the copy of a peer that took over
 		if err != nil {
 			return got, err
 		}
@@ -152,7 +152,7 @@
 			}
 		}
 		parts = append(parts[n:], Part{ID: "t" + strings.Join(of, "+"), Of: of})
-		sources = append(sources[n:], partSource{parts[len(parts)-1].ID, []copySource{{data: text}, {data: other[:rng.IntN(len(other)+1)], end: io.EOF}}, true})
+		sources = append(sources[n:], partSource{parts[len(parts)-1].ID, []copySource{{data: text}, {data: takeover[:rng.IntN(len(takeover)+1)], end: io.EOF}}, true})
 		if rng.IntN(3) == 0 {
 			break
 		}
@@ -173,7 +173,7 @@
 	}
 	res := m.Result()
 	if !res.Done {
-		return got, errors.New("not done")
+		return got, errors.New("the merge is not done")
 	}
 	got.complete, got.truncatedBy, got.conflicts, got.named = res.Whole, res.Truncated, res.Conflicts, res.Named
 	got.enoughParts = res.Err == nil
@@ -192,8 +192,8 @@
 	return got, nil
 }
 
-// mergeByDemand is a merge whose parts do only what Want says: it asks them for the top, and for more where that was not enough.
-func (w *randomRead) mergeByDemand(r *Rules, opts ...Option) (rows []string, asked int, token string, err error) {
+// mergeByDemand merges parts that send only what Want requests: first the top rows, and more if these were not enough.
+func (w *randomRead) mergeByDemand(r *Rules, opts ...Option) (rows []string, attempts int, token string, err error) {
 	type server struct {
 		copy, at int
 		text     string
@@ -205,7 +205,7 @@
 		parts, servers[id] = append(parts, Part{ID: id}), &server{}
 	}
 	m, err := New(r, parts, opts...)
-	for turn := 0; err == nil && !m.done; turn++ {
+	for iteration := 0; err == nil && !m.done; iteration++ {
 		for row, ok := m.Next(); ok; row, ok = m.Next() {
 			rows = append(rows, string(row))
 		}
@@ -221,7 +221,7 @@
 					n = d.Rows
 				}
 				s.copy, s.at, s.text = s.copy+1, 0, strings.Join(all[:n], "")
-				asked++
+				attempts++
 			}
 			n := min(d.Bytes, len(s.text)-s.at, 300)
 			if err := m.Add(d.Part, s.copy, []byte(s.text[s.at:s.at+n])); err != nil {
@@ -233,12 +233,12 @@
 				_ = m.End(d.Part, s.copy, nil)
 			}
 		}
-		if turn > 2000 {
-			return nil, 0, "", errors.New("the merge stands still")
+		if iteration > 2000 {
+			return nil, 0, "", errors.New("the merge makes no progress")
 		}
 	}
 	if err == nil {
 		token = m.Result().Token
 	}
-	return rows, asked, token, err
+	return rows, attempts, token, err
 }
--- a/gather/example_test.go
+++ b/gather/example_test.go
@@ -14,7 +14,7 @@
 	return v
 }
 
-// Two parts of a listing: rows go out as soon as no part can come before them.
+// Two parts of a listing: rows are returned as soon as no part can precede them.
 func Example() {
 	rules := must(gather.ParseRules([]byte(`{"order": [{"key": "name", "type": "text", "locale": "sv"}]}`)))
 	m := must(gather.New(rules, []gather.Part{{ID: "east"}, {ID: "west"}}))
@@ -42,7 +42,7 @@
 	// whole: true
 }
 
-// A part is cut and a second copy goes on; another part never comes, and the rules allow that.
+// A part is truncated and a second copy continues it. Another part never arrives, which the rules allow.
 func Example_copies() {
 	rules := must(gather.ParseRules([]byte(`{"order": [{"key": "id", "type": "integer"}],
 		"complete": {"need": "at-least", "parts": 1}}`)))
@@ -63,7 +63,7 @@
 	// whole: false missing: b deadline
 }
 
-// A read of several replicas: the row that two parts agree on goes out, and the conflict is named.
+// A read of several replicas: the row on which two parts agree is returned, and the conflict is named.
 func Example_agree() {
 	rules := must(gather.ParseRules([]byte(`{"order": [{"key": "card", "type": "bytes"}],
 		"duplicates": {"keep": "agree", "parts": 2}}`)))
@@ -107,7 +107,7 @@
 	// token ""
 }
 
-// Two parts are merged near them; the root merges the partial result with a third part.
+// A first merge makes a partial result of two parts, and the root merges it with a third part.
 func ExampleMerge_AppendPartial() {
 	rules := must(gather.ParseRules([]byte(`{"order": [{"key": "id", "type": "integer"}]}`)))
 	sub := must(gather.New(rules, []gather.Part{{ID: "a"}, {ID: "b"}}))
--- a/gather/fuzz_test.go
+++ b/gather/fuzz_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// A token is taken only as it was made.
+// A token is accepted only unchanged.
 func FuzzTokens(f *testing.F) {
 	r := mustParseRules(f, `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":1}}`)
 	m := newMerge(f, r, "p")
@@ -37,16 +37,16 @@
 	f.Fuzz(func(t *testing.T, token string) {
 		m, err := New(r, []Part{{ID: "p"}}, TokenKey([]byte("secret")), From(token))
 		if err == nil && token != "" {
-			t.Fatalf("%q was taken without the key: %v", token, m.resumeAfter)
+			t.Fatalf("%q was accepted without the key: %v", token, m.resumeAfter)
 		}
 		m, err = New(r, []Part{{ID: "p"}}, From(token))
 		if err == nil && token != "" && m.token() != token {
-			t.Fatalf("%q is %q", token, m.token())
+			t.Fatalf("%q is accepted, but encoded as %q", token, m.token())
 		}
 	})
 }
 
-// Any bytes, in any cutting, as a part or as a partial result: no panic, a typed end, and rows in order.
+// Any bytes, in pieces of any size, as a part or as a partial result, cause no panic. The rows are in order and the error is typed.
 func FuzzRecords(f *testing.F) {
 	var all []*Rules
 	for _, text := range []string{
--- a/gather/merge_test.go
+++ b/gather/merge_test.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// drain is the rows that may go now, by a field of theirs.
+// drain returns the rows that Next returns now.
 func drain(m *Merge) string {
 	var out []string
 	for row, ok := m.Next(); ok; row, ok = m.Next() {
@@ -54,28 +54,28 @@
 	return strings.Join(out, ",")
 }
 
-const byA = `{"order":[{"key":"a","type":"integer"}]%s}`
+const rulesByA = `{"order":[{"key":"a","type":"integer"}]%s}`
 
-// TestMergeCases: what came in, what went out; with the lines whose loss the script finds.
+// Each case gives the added data, the returned rows and the named parts, and for some an injected fault that the case must find.
 func TestMergeCases(t *testing.T) {
 	type script struct {
-		name  string
-		rules string
-		run   func(m *Merge)
-		rows  string
-		parts string
-		whole bool
-		fault fault
+		name     string
+		rules    string
+		run      func(m *Merge)
+		rows     string
+		parts    string
+		complete bool
+		fault    fault
 	}
 	for _, s := range []script{
-		{"a second copy goes on where the first was cut, in the middle of a record", "", func(m *Merge) {
+		{"a second copy continues where the first was truncated, within a record", "", func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 2)[:12])
 			_ = m.End("p", 1, errors.New("reset"))
 			_ = m.Add("p", 2, jsonLines(1, 2, 3))
 			_ = m.End("p", 2, nil)
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultCountRepeats},
-		{"a copy that differs is set aside and named", "", func(m *Merge) {
+		{"a diverging copy is ignored and its part is named", "", func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 2))
 			_ = m.Add("p", 2, jsonLines(1, 5, 6))
 			_ = m.End("p", 2, nil)
@@ -83,20 +83,20 @@
 			_ = m.End("p", 1, nil)
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2} {"a":3}`, "p gather-diverged", false, faultIgnoreDivergence},
-		{"a copy that ends whole before another's end differs", "", func(m *Merge) {
+		{"a copy that completes before another's length diverges", "", func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 2))
 			_ = m.Add("p", 2, jsonLines(1))
 			_ = m.End("p", 2, nil)
 			_ = m.End("p", 1, nil)
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2}`, "p gather-diverged", false, faultNone},
-		{"a copy that goes over a whole one's end differs", "", func(m *Merge) {
+		{"a copy that is longer than a complete one diverges", "", func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1))
 			_ = m.End("p", 1, nil)
 			_ = m.Add("p", 2, jsonLines(1, 2))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1}`, "p gather-diverged", false, faultNone},
-		{"an ended copy gives way to the next", `,"copies":1`, func(m *Merge) {
+		{"an ended copy is forgotten for the next", `,"copies":1`, func(m *Merge) {
 			for copy := 1; copy < 4; copy++ {
 				_ = m.Add("p", copy, jsonLines(1, 2, 3)[:8*copy])
 				if err := m.Add("p", copy+1, nil); !errors.As(err, new(*CopiesOver)) {
@@ -104,33 +104,33 @@
 				}
 				_ = m.End("p", copy, map[bool]error{false: errors.New("reset")}[copy == 3])
 				if copy > 1 {
-					_ = m.Add("p", 1, jsonLines(9)) // forgotten: not taken
+					_ = m.Add("p", 1, jsonLines(9)) // the copy is forgotten, so its data is not accepted
 				}
 			}
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2} {"a":3}`, "", true, faultCountRepeats},
-		{"an unsorted part is cut before the row and in conflict", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
+		{"an unsorted part is truncated before the row and in conflict", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 5, 3))
 			_ = m.End("p", 1, nil)
 			_ = m.Add("q", 1, jsonLines(4))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":4} {"a":5}`, "p gather-unsorted", false, faultAcceptUnsorted},
-		{"a key of another type cuts the part", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
+		{"a key of another type truncates the part", `,"complete":{"need":"best-effort"}`, func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, "x", 2))
 			_ = m.End("p", 1, nil)
 			_ = m.Add("q", 1, jsonLines(4))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":4}`, "p gather-record-bad", false, faultNone},
-		{"a version of another type cuts the part", `,"complete":{"need":"best-effort"},"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}`, func(m *Merge) {
+		{"a version of another type truncates the part", `,"complete":{"need":"best-effort"},"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}`, func(m *Merge) {
 			_ = m.Add("p", 1, []byte(`{"a":1,"v":1}`+"\n"+`{"a":2,"v":"x"}`+"\n"))
 			_ = m.Add("q", 1, append([]byte(`{"a":1,"v":2}`+"\n"), jsonLines(3)...))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1,"v":2} {"a":3}`, "p gather-record-bad", false, faultNone},
-		{"a record over the limit cuts the part before its end has come", `,"complete":{"need":"best-effort"},"records":{"max_bytes":16}`, func(m *Merge) {
+		{"a record over the limit truncates the part before the record's end arrives", `,"complete":{"need":"best-effort"},"records":{"max_bytes":16}`, func(m *Merge) {
 			_ = m.Add("p", 1, append(jsonLines(1), `{"a":2222222222222`...))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1}`, "p gather-record-bad", false, faultNone},
-		{"rows go out before a part has ended, as far as it was read", "", func(m *Merge) {
+		{"rows are returned before a part has ended, as far as it was read", "", func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 2, 9))
 			_ = m.Add("q", 1, jsonLines(3))
 		}, `{"a":1} {"a":2} {"a":3}`, "", false, faultNone},
@@ -138,24 +138,24 @@
 			_ = m.Add("p", 1, jsonLines(1, 2))
 			_ = m.End("q", 1, nil)
 		}, "", "", false, faultNone},
-		{"bytes end it before the row that does not fit", `,"truncate":{"bytes":15}`, func(m *Merge) {
+		{"truncate.bytes ends the merge before the row that does not fit", `,"truncate":{"bytes":15}`, func(m *Merge) {
 			_ = m.Add("p", 1, jsonLines(1, 2, 3))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1} {"a":2}`, "", true, faultNone},
 	} {
-		play := func(f fault) (string, string, bool) {
-			m := newMerge(t, mustParseRules(t, fmt.Sprintf(byA, s.rules)), "p q")
+		runCase := func(f fault) (string, string, bool) {
+			m := newMerge(t, mustParseRules(t, fmt.Sprintf(rulesByA, s.rules)), "p q")
 			m.fault = f
 			s.run(m)
 			rows := drain(m)
 			return rows, partStates(m.Result()), m.Result().Whole
 		}
-		rows, parts, whole := play(faultNone)
-		if rows != s.rows || parts != s.parts || whole != s.whole {
-			t.Errorf("%s: %s, %q, whole %v", s.name, rows, parts, whole)
+		rows, parts, complete := runCase(faultNone)
+		if rows != s.rows || parts != s.parts || complete != s.complete {
+			t.Errorf("%s: rows %s, parts %q, complete %v", s.name, rows, parts, complete)
 		}
-		if r, p, w := play(s.fault); s.fault != faultNone && r == rows && p == parts && w == whole {
-			t.Errorf("%s: its loss (fault %d) is not found", s.name, s.fault)
+		if r, p, w := runCase(s.fault); s.fault != faultNone && r == rows && p == parts && w == complete {
+			t.Errorf("%s: injected fault %d is not found", s.name, s.fault)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 		if got := drain(m); got != want || !m.Result().Whole {
 			t.Errorf("%s: %s: %v", c.key, got, m.Result().Parts)
 		}
-		rows := strings.Fields(want) // and no two are equal but where the locale says so
+		rows := strings.Fields(want) // no two keys are equal, unless the locale says so
 		d := newDecoder(m.rules)
 		for i := 1; i < len(rows); i++ {
 			a, _, _ := d.key(nil, []byte(rows[i-1]))
@@ -215,15 +215,15 @@
 	m = newMerge(t, r, "p")
 	_ = m.Add("p", 0, text[:len(text)-1])
 	_ = m.End("p", 0, nil)
-	if drain(m); m.Result().Truncated != "top" { // the cut is behind the page
+	if drain(m); m.Result().Truncated != "top" { // the part is truncated after the page
 		t.Errorf("%+v", m.Result())
 	}
 }
 
-// A partial result that is cut loses its parts where it ends; one of other rules or parts is named and not read.
+// A truncated partial result loses its parts where it ends. The parts of one with other rules or parts are named, and it is not read.
 func TestInvalidPartialResults(t *testing.T) {
-	best, other := mustParseRules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`)), mustParseRules(t, fmt.Sprintf(byA, ""))
-	make := func(r *Rules, parts string) []byte {
+	bestEffort, other := mustParseRules(t, fmt.Sprintf(rulesByA, `,"complete":{"need":"best-effort"}`)), mustParseRules(t, fmt.Sprintf(rulesByA, ""))
+	encode := func(r *Rules, parts string) []byte {
 		sub := newMerge(t, r, parts)
 		for i, id := range strings.Fields(parts) {
 			_ = sub.Add(id, 0, jsonLines(1+i, 3+i))
@@ -231,11 +231,11 @@
 		}
 		text, done := sub.AppendPartial(nil, 0)
 		if !done {
-			t.Fatal("no end")
+			t.Fatal("the partial result has no end")
 		}
 		return text
 	}
-	good := make(best, "p q")
+	good := encode(bestEffort, "p q")
 	for _, c := range []struct {
 		name  string
 		text  []byte
@@ -243,14 +243,14 @@
 		rows  string
 		parts string
 	}{
-		{"whole", good, nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, ""},
-		{"cut in its last row, and dropped", good[:len(good)-8], errors.New("reset"), `{"a":1} {"a":2} {"a":2} {"a":3}`, "p,q"},
-		{"cut, though its end says whole", good[:len(good)-5], nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, "p gather-record-bad,q gather-record-bad"},
-		{"other rules", make(other, "p q"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
-		{"other parts", make(best, "p r"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
+		{"complete", good, nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, ""},
+		{"truncated in its last row, and dropped", good[:len(good)-8], errors.New("reset"), `{"a":1} {"a":2} {"a":2} {"a":3}`, "p,q"},
+		{"truncated, but reported as complete", good[:len(good)-5], nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, "p gather-record-bad,q gather-record-bad"},
+		{"other rules", encode(other, "p q"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
+		{"other parts", encode(bestEffort, "p r"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 		{"a plain part", jsonLines(1), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 	} {
-		m, err := New(best, []Part{{ID: "t", Of: []string{"q", "p"}}, {ID: "z"}})
+		m, err := New(bestEffort, []Part{{ID: "t", Of: []string{"q", "p"}}, {ID: "z"}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,10 +265,10 @@
 	}
 }
 
-// Duplicates that do not fit end the merge before their key, with a typed error and what went out before.
+// Duplicates that exceed the memory end the merge before their key, with a typed error after the earlier rows.
 func TestDuplicateGroupOverMemoryEndsTheMerge(t *testing.T) {
-	r := mustParseRules(t, fmt.Sprintf(byA, `,"memory":{"rows":5},"duplicates":{"keep":"agree","parts":1}`))
-	play := func(f fault) (*Merge, string, Result) {
+	r := mustParseRules(t, fmt.Sprintf(rulesByA, `,"memory":{"rows":5},"duplicates":{"keep":"agree","parts":1}`))
+	runMerge := func(f fault) (*Merge, string, Result) {
 		m := newMerge(t, r, "p q")
 		m.fault = f
 		_ = m.Add("p", 0, jsonLines(1))
@@ -280,12 +280,12 @@
 		result := m.Result()
 		return m, rows, result
 	}
-	m, rows, res := play(faultNone)
-	if _, _, lost := play(faultDropGroupRow); lost.Err != nil {
-		t.Error("a row that is left out of a group without a word is not found")
+	m, rows, res := runMerge(faultNone)
+	if _, _, lost := runMerge(faultDropGroupRow); lost.Err != nil {
+		t.Error("the injected fault, a row silently left out of a group, is not found")
 	}
-	var over *GroupOver
-	if rows != `{"a":1}` || !errors.As(res.Err, &over) || over.Key != "a=2" || over.Rows != 4 || res.Whole {
+	var groupOver *GroupOver
+	if rows != `{"a":1}` || !errors.As(res.Err, &groupOver) || groupOver.Key != "a=2" || groupOver.Rows != 4 || res.Whole {
 		t.Errorf("%s %+v", rows, res)
 	}
 	for parts, why := range map[string]string{"": "", "p p": "p", "p q r s": "p"} {
@@ -303,9 +303,9 @@
 	}
 }
 
-// A part that is out of order in a partial result is cut and in conflict at the root as well.
+// A part that is unsorted in a partial result is truncated and in conflict at the root as well.
 func TestUnsortedPartInPartialResult(t *testing.T) {
-	r := mustParseRules(t, fmt.Sprintf(byA, `,"complete":{"need":"best-effort"}`))
+	r := mustParseRules(t, fmt.Sprintf(rulesByA, `,"complete":{"need":"best-effort"}`))
 	sub := newMerge(t, r, "p q")
 	_, _ = sub.Add("p", 0, jsonLines(1, 0)), sub.End("q", 0, nil)
 	text, _ := sub.AppendPartial(nil, 0)
@@ -320,13 +320,13 @@
 	}
 }
 
-// Pages by tokens are the whole, whatever their size; a token is refused changed, under other rules or another key.
+// Pages of any size together give all rows. A token is rejected if it was changed, or made under other rules or with another key.
 func TestPagesByToken(t *testing.T) {
 	const order = `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":%d,"offset":1}%s}`
-	for _, dup := range []string{"", `,"duplicates":{"keep":"first"}`} {
-		want := map[string]string{"": `{"a":1} {"a":1} {"a":2} {"a":2} {"a":2} {"a":3} {"a":4}`, `,"duplicates":{"keep":"first"}`: `{"a":2} {"a":3} {"a":4}`}[dup]
+	for _, duplicates := range []string{"", `,"duplicates":{"keep":"first"}`} {
+		want := map[string]string{"": `{"a":1} {"a":1} {"a":2} {"a":2} {"a":2} {"a":3} {"a":4}`, `,"duplicates":{"keep":"first"}`: `{"a":2} {"a":3} {"a":4}`}[duplicates]
 		for size := 1; size < 9; size++ {
-			r := mustParseRules(t, fmt.Sprintf(order, size, dup))
+			r := mustParseRules(t, fmt.Sprintf(order, size, duplicates))
 			var pages []string
 			opts := []Option{TokenKey([]byte("k"))}
 			for token := "-"; token != ""; {
@@ -351,7 +351,7 @@
 						t.Fatalf("byte %d changed: %v", i, err)
 					}
 				}
-				if _, err := New(mustParseRules(t, fmt.Sprintf(order, size+1, dup)), []Part{{ID: "p"}}, opts...); !errors.As(err, new(*TokenRules)) {
+				if _, err := New(mustParseRules(t, fmt.Sprintf(order, size+1, duplicates)), []Part{{ID: "p"}}, opts...); !errors.As(err, new(*TokenRules)) {
 					t.Fatal(err)
 				}
 				if _, err := New(r, []Part{{ID: "p"}}, From(token)); !errors.As(err, new(*TokenBad)) {
@@ -365,69 +365,69 @@
 	}
 }
 
-// Want: what each part is asked for, who is waited for, who is to stop.
-func TestWant(t *testing.T) {
-	m := newMerge(t, mustParseRules(t, fmt.Sprintf(byA, `,"truncate":{"offset":1,"top":2},"records":{"max_bytes":16},"memory":{"bytes":96}`)), "p q")
-	show := func() string {
+// Want returns what each part may send, which part the merge waits for, and which parts to stop.
+func TestWantListsDemands(t *testing.T) {
+	m := newMerge(t, mustParseRules(t, fmt.Sprintf(rulesByA, `,"truncate":{"offset":1,"top":2},"records":{"max_bytes":16},"memory":{"bytes":96}`)), "p q")
+	demands := func() string {
 		var out []string
 		for _, d := range m.Want() {
 			out = append(out, fmt.Sprintf("%s %d rows %d bytes copy %v first %v stop %v", d.Part, d.Rows, d.Bytes, d.Copy, d.First, d.Stop))
 		}
 		return strings.Join(out, "; ")
 	}
-	step := func(what, want string) {
+	expectDemands := func(what, want string) {
 		t.Helper()
-		if got := show(); got != want {
+		if got := demands(); got != want {
 			t.Errorf("%s: %s", what, got)
 		}
 	}
-	step("at first", "p 3 rows 32 bytes copy true first true stop false; q 3 rows 32 bytes copy true first false stop false")
+	expectDemands("at first", "p 3 rows 32 bytes copy true first true stop false; q 3 rows 32 bytes copy true first false stop false")
 	if err := m.Add("p", 0, jsonLines(1, 1, 1, 1, 1)); !errors.As(err, new(*Full)) {
 		t.Errorf("%v", err)
 	}
 	_ = m.Add("p", 0, jsonLines(1, 2, 3))
 	_ = m.End("p", 0, &Limited{})
 	drain(m)
-	step("p has stopped at its limit", "q 3 rows 32 bytes copy true first true stop false")
+	expectDemands("p stopped at its row limit", "q 3 rows 32 bytes copy true first true stop false")
 	_ = m.Add("q", 0, jsonLines(5))
 	if rows := drain(m); rows != `{"a":2} {"a":3}` {
 		t.Error(rows)
 	}
-	step("the page is full", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
+	expectDemands("the page is full", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
 	if r := m.Result(); !r.Whole || r.Truncated != "top" || r.Token == "" {
 		t.Errorf("%+v", r)
 	}
 	m = newMerge(t, m.rules, "p q")
 	_ = m.Add("p", 0, jsonLines(1, 2))
 	m.Leave()
-	step("the client left", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
+	expectDemands("the client disconnected", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
 	if r := m.Result(); r.Whole || !r.Left || drain(m) != "" {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Nonsense is refused with its key.
+// Invalid rules are rejected with an error that names the key.
 func TestInvalidRulesAreRejected(t *testing.T) {
 	for text, key := range map[string]string{
 		`{`:                                    "(text)",
 		`{"order":[]}`:                         "order",
 		`{"order":[{"key":"a","type":"int"}]}`: "order.0.type",
-		`{"order":[{"key":"a.#","type":"integer"}]}`:                                                "order.0.key",
-		`{"order":[{"key":"a","type":"text"}]}`:                                                     "order.0.locale",
-		`{"order":[{"key":"a","type":"text","locale":"no such"}]}`:                                  "order.0.locale",
-		`{"order":[{"key":"a","type":"bytes","locale":"sv"}]}`:                                      "order.0.locale",
-		`{"order":[{"key":"a","type":"bytes"},{"key":"a","type":"integer"}]}`:                       "order.1.key",
-		`{"order":[{"key":"a","type":"bytes"}],"records":{"form":"length-prefixed"}}`:               "order.0.key",
-		fmt.Sprintf(byA, `,"duplicates":{"keep":"highest"}`):                                        "duplicates.version",
-		fmt.Sprintf(byA, `,"duplicates":{"keep":"first","parts":2}`):                                "duplicates.parts",
-		fmt.Sprintf(byA, `,"duplicates":{"keep":"first","by":2}`):                                   "duplicates.by",
-		fmt.Sprintf(byA, `,"duplicates":{"keep":"highest","version":{"key":"a","type":"integer"}}`): "duplicates.version.key",
-		fmt.Sprintf(byA, `,"truncate":{"rows":1,"top":1}`):                                          "truncate.top",
-		fmt.Sprintf(byA, `,"truncate":{"rows":-1}`):                                                 "truncate.rows",
-		fmt.Sprintf(byA, `,"complete":{"need":"at-least"}`):                                         "complete.parts",
-		fmt.Sprintf(byA, `,"complete":{"need":"all","parts":2}`):                                    "complete.parts",
-		fmt.Sprintf(byA, `,"memory":{"bytes":100}`):                                                 "memory.bytes",
-		fmt.Sprintf(byA, `,"momory":{}`):                                                            "(text)",
+		`{"order":[{"key":"a.#","type":"integer"}]}`:                                                     "order.0.key",
+		`{"order":[{"key":"a","type":"text"}]}`:                                                          "order.0.locale",
+		`{"order":[{"key":"a","type":"text","locale":"no such"}]}`:                                       "order.0.locale",
+		`{"order":[{"key":"a","type":"bytes","locale":"sv"}]}`:                                           "order.0.locale",
+		`{"order":[{"key":"a","type":"bytes"},{"key":"a","type":"integer"}]}`:                            "order.1.key",
+		`{"order":[{"key":"a","type":"bytes"}],"records":{"form":"length-prefixed"}}`:                    "order.0.key",
+		fmt.Sprintf(rulesByA, `,"duplicates":{"keep":"highest"}`):                                        "duplicates.version",
+		fmt.Sprintf(rulesByA, `,"duplicates":{"keep":"first","parts":2}`):                                "duplicates.parts",
+		fmt.Sprintf(rulesByA, `,"duplicates":{"keep":"first","by":2}`):                                   "duplicates.by",
+		fmt.Sprintf(rulesByA, `,"duplicates":{"keep":"highest","version":{"key":"a","type":"integer"}}`): "duplicates.version.key",
+		fmt.Sprintf(rulesByA, `,"truncate":{"rows":1,"top":1}`):                                          "truncate.top",
+		fmt.Sprintf(rulesByA, `,"truncate":{"rows":-1}`):                                                 "truncate.rows",
+		fmt.Sprintf(rulesByA, `,"complete":{"need":"at-least"}`):                                         "complete.parts",
+		fmt.Sprintf(rulesByA, `,"complete":{"need":"all","parts":2}`):                                    "complete.parts",
+		fmt.Sprintf(rulesByA, `,"memory":{"bytes":100}`):                                                 "memory.bytes",
+		fmt.Sprintf(rulesByA, `,"momory":{}`):                                                            "(text)",
 	} {
 		_, err := ParseRules([]byte(text))
 		var bad *RulesBad
@@ -439,14 +439,14 @@
 		}
 		_, err = ParseClasses([]byte(`{"classes":{"one":` + text + `}}`))
 		if !errors.As(err, &bad) || key != "(text)" && bad.Key != "classes.one."+key {
-			t.Errorf("by class: %v, not %s", err, key)
+			t.Errorf("as one of several classes: %v, not %s", err, key)
 		}
 	}
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
 	}
-	a, b := mustParseRules(t, fmt.Sprintf(byA, "")), mustParseRules(t, `{"order":[{"type":"integer","key":"a","absent":"last"}],"copies":8}`)
+	a, b := mustParseRules(t, fmt.Sprintf(rulesByA, "")), mustParseRules(t, `{"order":[{"type":"integer","key":"a","absent":"last"}],"copies":8}`)
 	if a.Hash() != b.Hash() {
-		t.Error("two texts with one meaning have two hashes")
+		t.Error("texts with the same meaning have different hashes")
 	}
 }
--- a/gather/reference_test.go
+++ b/gather/reference_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// randomRead is a read drawn at random: rules, parts and what befalls them.
+// randomRead is a randomly drawn read: its rules, its parts and their faults.
 type randomRead struct {
 	keep, need, limitKind   string
 	by, agree, needParts    int
@@ -51,10 +51,10 @@
 }
 
 type partFixture struct {
-	rows     []row
-	complete bool
-	copies   []int // bytes of each copy in hundredths; the first is as far as the part goes
-	limited  bool
+	rows         []row
+	complete     bool
+	copyPercents []int // length of each copy as a percentage; the first is that of the part
+	limited      bool
 }
 
 func (f partFixture) text() string {
@@ -67,12 +67,12 @@
 
 func (f partFixture) receivedText() string {
 	if t := f.text(); !f.complete {
-		return t[:len(t)*f.copies[0]/100]
+		return t[:len(t)*f.copyPercents[0]/100]
 	}
 	return f.text()
 }
 
-// compare is the order, told once more without sort keys.
+// compare is an independent implementation of the order, without sort keys.
 func (w *randomRead) compare(a, b row) int {
 	c := w.compareGroupKey(a, b)
 	if c == 0 {
@@ -107,9 +107,9 @@
 		limitKind: rapid.SampledFrom([]string{"rows", "top", ""}).Draw(t, "limit"), rows: in(1, 8), offset: in(0, 3),
 		descending: rapid.Bool().Draw(t, ""), absentFirst: rapid.Bool().Draw(t, ""), groupSize: in(1, 4), seed: rapid.Uint64().Draw(t, "seed")}
 	for range in(1, 6) {
-		f := partFixture{complete: in(0, 3) > 0, copies: []int{in(0, 99)}, limited: rapid.Bool().Draw(t, "")}
+		f := partFixture{complete: in(0, 3) > 0, copyPercents: []int{in(0, 99)}, limited: rapid.Bool().Draw(t, "")}
 		for range in(0, 2) {
-			f.copies = append(f.copies, in(0, 100))
+			f.copyPercents = append(f.copyPercents, in(0, 100))
 		}
 		for range in(0, 24) {
 			f.rows = append(f.rows, row{rapid.SampledFrom([]string{"", "a", "b", "c", "d"}).Draw(t, ""), in(0, 2), in(0, 1), rapid.SampledFrom([]string{"", "x"}).Draw(t, "")})
@@ -151,7 +151,7 @@
 	return text + "}}"
 }
 
-// mergeOutcome is what a test compares of a result.
+// mergeOutcome is the part of a result that the test compares.
 type mergeOutcome struct {
 	rows        []string
 	complete    bool
@@ -162,7 +162,7 @@
 	enoughParts bool
 }
 
-// expect says by collecting and sorting what the result must be.
+// expect computes the expected outcome by collecting, sorting and truncating the rows.
 func (w *randomRead) expect() mergeOutcome {
 	type item struct {
 		row
@@ -170,9 +170,9 @@
 		loss      bool
 	}
 	var items []item
-	e := mergeOutcome{enoughParts: true}
-	lost, state := 0, map[int]string{}
-	never := []int{}
+	expected := mergeOutcome{enoughParts: true}
+	lost, lossOf := 0, map[int]string{}
+	missing := []int{}
 	for p, f := range w.parts {
 		n := strings.Count(f.receivedText(), "\n")
 		for i, r := range f.rows[:n] {
@@ -181,7 +181,7 @@
 		switch {
 		case f.complete:
 		case n == 0:
-			never = append(never, p)
+			missing = append(missing, p)
 		default:
 			items = append(items, item{f.rows[n-1], p, n, true})
 		}
@@ -189,38 +189,38 @@
 	slices.SortFunc(items, func(a, b item) int {
 		return cmp.Or(w.compare(a.row, b.row), cmp.Compare(a.part, b.part), cmp.Compare(a.pos, b.pos))
 	})
-	need := map[string]int{"all": len(w.parts), "at-least": w.needParts}[w.need]
-	lose := func(p int, how string) bool {
+	needed := map[string]int{"all": len(w.parts), "at-least": w.needParts}[w.need]
+	loseParts := func(p int, how string) bool {
 		lost++
-		state[p] += how
-		e.enoughParts = lost <= len(w.parts)-need
-		return e.enoughParts
+		lossOf[p] += how
+		expected.enoughParts = lost <= len(w.parts)-needed
+		return expected.enoughParts
 	}
-	clash := map[int]bool{}
+	inConflict := map[int]bool{}
 	finish := func() mergeOutcome {
 		for p := range w.parts {
-			if s := state[p]; s != "" || clash[p] {
-				if clash[p] {
+			if s := lossOf[p]; s != "" || inConflict[p] {
+				if inConflict[p] {
 					s += "conflict"
 				}
-				e.parts = append(e.parts, fmt.Sprintf("p%d %s", p, s))
+				expected.parts = append(expected.parts, fmt.Sprintf("p%d %s", p, s))
 			}
 		}
-		e.complete = e.enoughParts && len(e.parts) == 0
-		return e
+		expected.complete = expected.enoughParts && len(expected.parts) == 0
+		return expected
 	}
-	for _, p := range never {
-		if !lose(p, "missing") {
+	for _, p := range missing {
+		if !loseParts(p, "missing") {
 			return finish()
 		}
 	}
 	offset := w.offset
-	give := func(r row) bool {
+	countRow := func(r row) bool {
 		if offset--; offset >= 0 {
 			return true
 		}
-		if e.rows = append(e.rows, r.json()); w.limitKind != "" && len(e.rows) == w.rows {
-			e.truncatedBy = w.limitKind
+		if expected.rows = append(expected.rows, r.json()); w.limitKind != "" && len(expected.rows) == w.rows {
+			expected.truncatedBy = w.limitKind
 			return false
 		}
 		return true
@@ -236,10 +236,10 @@
 		items = items[n:]
 		for _, it := range group {
 			if it.loss {
-				lose(it.part, "cut")
+				loseParts(it.part, "cut")
 			}
 		}
-		if !e.enoughParts {
+		if !expected.enoughParts {
 			return finish()
 		}
 		group = slices.DeleteFunc(slices.Clone(group), func(it item) bool { return it.loss })
@@ -275,24 +275,24 @@
 			ok = best >= w.agree
 		}
 		if w.keep != "all" && (len(texts) > 1 || !ok) {
-			e.conflicts++
-			c := Conflict{Key: key.name(w.by), Withheld: !ok}
+			expected.conflicts++
+			c := Conflict{Key: key.keyText(w.by), Withheld: !ok}
 			for p := range w.parts {
 				if in[p] {
-					clash[p] = true
+					inConflict[p] = true
 					c.Parts = append(c.Parts, fmt.Sprintf("p%d", p))
 				}
 			}
-			e.named = append(e.named, c)
+			expected.named = append(expected.named, c)
 		}
-		if ok && !give(kept) {
+		if ok && !countRow(kept) {
 			return finish()
 		}
 	}
 	return finish()
 }
 
-func (r row) name(by int) string {
+func (r row) keyText(by int) string {
 	s := "k=-"
 	if r.k != "" {
 		s = fmt.Sprintf(`k="the-same-start-%s"`, r.k)
@@ -317,11 +317,11 @@
 	return nil
 }
 
-// Parts late, twice, cut or never, in copies, flat and over trees, in any order: the rows, their number and what the
-// result says are those of collect, sort and cut.
+// Parts arrive late, repeatedly, truncated or never, in several copies, flat and over trees, in any order. The rows and the
+// rest of the result must equal those of the reference.
 func TestMergeMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := randomReads.Draw(t, "world")
+		w := randomReads.Draw(t, "read")
 		if err := w.check(faultNone); err != nil {
 			text, _ := json.Marshal(w.parts)
 			t.Fatalf("%s\n%s\n%v", w.rulesText(1<<20), text, err)
@@ -329,11 +329,11 @@
 	})
 }
 
-// Parts that do only what Want says bring the same rows; and a top k is now and then asked for again.
+// Parts that send only what Want requests give the same rows. In some reads a part has to be requested again for a larger top k.
 func TestPartsDrivenByWantMatchReference(t *testing.T) {
-	again := 0
+	repeated := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := randomReads.Draw(t, "world")
+		w := randomReads.Draw(t, "read")
 		for i := range w.parts {
 			w.parts[i].complete = true
 		}
@@ -345,11 +345,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows, asked, token, err := w.mergeByDemand(r)
+		rows, attempts, token, err := w.mergeByDemand(r)
 		if want := w.expect().rows; err != nil || !slices.Equal(rows, want) {
 			t.Fatalf("%v\n got %v\nwant %v", err, rows, want)
 		}
-		for token != "" && err == nil { // the pages after it bring the rest
+		for token != "" && err == nil { // the following pages have the other rows
 			var page []string
 			page, _, token, err = w.mergeByDemand(r, From(token))
 			rows = append(rows, page...)
@@ -358,28 +358,28 @@
 		if want := w.expect().rows; err != nil || !slices.Equal(rows, want) {
 			t.Fatalf("pages: %v\n got %v\nwant %v", err, rows, want)
 		}
-		if asked > len(w.parts) {
-			again++
+		if attempts > len(w.parts) {
+			repeated++
 		}
 	})
-	if again == 0 {
-		t.Error("no part was ever asked again")
+	if repeated == 0 {
+		t.Error("no part was ever requested again")
 	}
 }
 
 func TestReferenceFindsInjectedFaults(t *testing.T) {
-	for fault, line := range map[fault]string{
-		faultIgnorePendingParts: "an open part holds later rows up (fill: kindOpen)",
-		faultCountRepeats:       "what a copy brings again is not taken again (take: c.mark)",
-		faultOnlyFirstPart:      "a partial result tells every part of a candidate (appendCand)",
-		faultLimitedIsComplete:  "a part that stopped at its limit is not whole (End)",
-		faultComparePrefixOnly:  "keys with equal starts are compared to their ends (before)",
-		faultDroppedIsComplete:  "a part given up is lost (Drop)",
+	for fault, behaviour := range map[fault]string{
+		faultIgnorePendingParts: "an open part holds back later rows (fillHead: headPending)",
+		faultCountRepeats:       "bytes that a copy repeats are not added again (add: c.compareAt)",
+		faultOnlyFirstPart:      "a partial result encodes every part of a candidate (appendCandidate)",
+		faultLimitedIsComplete:  "a part that stopped at its row limit is not complete (End)",
+		faultComparePrefixOnly:  "keys with equal prefixes are compared to their ends (before)",
+		faultDroppedIsComplete:  "a dropped part is lost (Drop)",
 		faultHideLostParts:      "a lost part is named (Result)",
-		faultIgnoreQuota:        "a piece without room is refused (take: Full)",
-		faultTiesByArrival:      "ties go by part, not by arrival (before)",
-		faultCompareLengths:     "rows are one by their bytes (same)",
-		faultHideConflicts:      "parts in conflict with each other are named (decide)",
+		faultIgnoreQuota:        "a piece without room is rejected (add: Full)",
+		faultTiesByArrival:      "ties are ordered by part, not by arrival (before)",
+		faultCompareLengths:     "rows are equal only if their bytes are (sameRow)",
+		faultHideConflicts:      "parts in conflict with each other are named (chooseRow)",
 	} {
 		found := 0
 		for seed := 0; seed < 400 && found == 0; seed++ {
@@ -392,9 +392,9 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("not found in 400 worlds: %s", line)
+			t.Errorf("not found in 400 random reads: %s", behaviour)
 		} else {
-			t.Logf("found in world %d: %s", found-1, line)
+			t.Logf("found in random read %d: %s", found-1, behaviour)
 		}
 	}
 }
