--- a/gather/doc.go
+++ b/gather/doc.go
@@ -17,7 +17,7 @@
 //   - A truncated top k is the prefix of the whole result: a part that stopped at its limit holds back the rows that may
 //     come after it.
 //   - Keys are equal only if all their bytes are, and so are the contents of rows.
-//   - A truncated part is never treated as complete, nor is one that is unsorted, torn or unreadable.
+//   - A truncated part is never treated as complete, nor is one that is unsorted, unreadable or ends within a record.
 //   - The result names every part that is missing, truncated or in conflict as far as the result goes, and is Whole only
 //     when there is none.
 //   - Buffered data stays within memory.bytes and memory.rows. Data that does not fit is a typed error or the rules'
--- a/gather/merge.go
+++ b/gather/merge.go
@@ -229,24 +229,24 @@
 // End records that a copy of a part has ended: complete (nil), or truncated (the reason; *Limited if it stopped at its
 // row limit). The part of a truncated copy stays open until Drop, as another copy may bring the rest.
 func (m *Merge) End(part string, copy int, err error) error {
-	i, bad := m.streamIndex(part)
-	if bad != nil {
-		return bad
+	i, copyErr := m.streamIndex(part)
+	if copyErr != nil {
+		return copyErr
 	}
 	s := m.streams[i]
 	if m.done || s.dropped {
 		return nil
 	}
-	c, bad := s.copyOf(copy, m.rules.Copies)
-	if bad != nil {
-		return bad
+	c, copyErr := s.copyOf(copy, m.rules.Copies)
+	if copyErr != nil {
+		return copyErr
 	}
-	whole := err == nil || m.fault == faultLimitedIsComplete && errors.As(err, new(*Limited))
+	complete := err == nil || m.fault == faultLimitedIsComplete && errors.As(err, new(*Limited))
 	if err != nil {
 		s.why, s.limited = err, errors.As(err, new(*Limited))
 	}
-	if bad = s.endCopy(c, whole); bad != nil {
-		return m.recordDivergence(s, bad)
+	if copyErr = s.endCopy(c, complete); copyErr != nil {
+		return m.recordDivergence(s, copyErr)
 	}
 	m.refresh(i)
 	return nil
--- a/gather/partial.go
+++ b/gather/partial.go
@@ -43,9 +43,9 @@
 // AppendPartial replaces Next in a merge whose result is a part of another merge. It appends up to rows rows (0: no limit)
 // in encoded form, for Add under a Part with Of. done reports that the end is included.
 func (m *Merge) AppendPartial(dst []byte, rows int) (out []byte, done bool) {
-	p := &m.partial
-	if !p.started {
-		p.started = true
+	state := &m.partial
+	if !state.started {
+		state.started = true
 		at := len(dst)
 		dst = append(append(beginFrame(dst, 'H'), 1), m.rules.hash[:]...)
 		dst = binary.AppendUvarint(dst, uint64(len(m.leaves)))
@@ -54,21 +54,21 @@
 		}
 		endFrame(dst, at)
 	}
-	for n := 0; (rows == 0 || n < rows) && !p.ended && !m.clientDisconnected; n++ {
+	for n := 0; (rows == 0 || n < rows) && !state.ended && !m.clientDisconnected; n++ {
 		ev := m.step()
-		for _, c := range p.pendingConflicts {
+		for _, c := range state.pendingConflicts {
 			at := len(dst)
 			dst = binary.AppendUvarint(beginFrame(dst, 'C'), uint64(c.rank))
 			dst = appendText(dst, c.why.Error())
 			endFrame(dst, at)
 		}
-		p.pendingConflicts = p.pendingConflicts[:0]
+		state.pendingConflicts = state.pendingConflicts[:0]
 		at := len(dst)
 		switch ev {
 		case eventStalled:
 			return dst, false
 		case eventEnd:
-			if p.ended = true; m.err != nil {
+			if state.ended = true; m.err != nil {
 				m.done = true
 				return dst, false
 			}
@@ -91,7 +91,7 @@
 		}
 		endFrame(dst, at)
 	}
-	return dst, p.ended && m.err == nil
+	return dst, state.ended && m.err == nil
 }
 
 func (m *Merge) appendLoss(dst []byte) []byte {
@@ -124,11 +124,11 @@
 // rows. A peer that takes over, whose calls fail with other texts, thus encodes the same bytes. The texts of RecordBad and
 // Unsorted, and in a frame C that of Diverged, are therefore part of the encoding.
 func lossReason(err error) string {
-	var told *Told
+	var reported *Told
 	var c operr.Coded
 	switch {
-	case errors.As(err, &told):
-		return told.Why
+	case errors.As(err, &reported):
+		return reported.Why
 	case errors.As(err, new(*RecordBad)) || errors.As(err, new(*Unsorted)):
 		return err.Error()
 	case errors.As(err, &c):
@@ -235,7 +235,7 @@
 		return false, ""
 	case 'L':
 		i, rank := r.leaf(s)
-		run, flags, key, text := r.uvarint(), r.bytes(1), r.text(), r.text()
+		occurrence, flags, key, text := r.uvarint(), r.bytes(1), r.text(), r.text()
 		if why = r.problem(); why == "" && len(key) > 0 && (key[0] < absentFirst || key[0] > absentLast) {
 			why = "a loss at no key"
 		}
@@ -245,15 +245,15 @@
 		s.lostLeaves[i] = true
 		h.loss = loss{rank, flags[0]&flagTruncated != 0, flags[0]&flagUnsorted != 0, &Told{m.leaves[rank].ID, string(text)}}
 		h.kind, s.nextKey = headLost, append(s.nextKey[:0], key...)
-		return true, m.setFrameKey(s, h, len(key), rank, uint32(run))
+		return true, m.setFrameKey(s, h, len(key), rank, uint32(occurrence))
 	case 'R', 'G':
 		if (letter[0] == 'G') != m.rules.grouped() {
 			return false, "a frame of another kind of rules"
 		}
-		rank, run, row := s.rank, uint64(0), r.b
+		rank, occurrence, row := s.rank, uint64(0), r.b
 		if letter[0] == 'R' {
 			_, rank = r.leaf(s)
-			run, row = r.uvarint(), r.b
+			occurrence, row = r.uvarint(), r.b
 		}
 		if h.setRow(s, r.b); letter[0] == 'G' {
 			var ok bool
@@ -261,13 +261,13 @@
 				return false, "a group that cannot be read"
 			}
 		}
-		if r.malformed || run > 1<<32-1 {
+		if r.malformed || occurrence > 1<<32-1 {
 			return false, "a frame that cannot be read"
 		}
 		h.kind = headRow
 		var group int
 		if s.nextKey, group, why = m.decoder.key(s.nextKey[:0], row); why == "" {
-			why = m.setFrameKey(s, h, group, rank, uint32(run))
+			why = m.setFrameKey(s, h, group, rank, uint32(occurrence))
 		}
 		return true, why
 	}
@@ -282,21 +282,21 @@
 }
 
 // setFrameKey checks that the key in s.nextKey is not before the previous one and makes it the head's.
-func (m *Merge) setFrameKey(s *stream, h *head, group int, rank int32, run uint32) string {
+func (m *Merge) setFrameKey(s *stream, h *head, group int, rank int32, occurrence uint32) string {
 	key, last := s.nextKey, s.key
 	if m.rules.grouped() {
 		key, last = key[:group], last[:s.groupKeyLen]
 	}
 	c := bytes.Compare(key, last)
 	if c == 0 && !m.rules.grouped() && s.records > 0 {
-		c = cmp.Or(cmp.Compare(rank, s.rank), cmp.Compare(run, s.occurrence))
+		c = cmp.Or(cmp.Compare(rank, s.rank), cmp.Compare(occurrence, s.occurrence))
 	}
 	if c < 0 {
 		return "unsorted"
 	}
-	s.key, s.nextKey, s.groupKeyLen, s.rank, s.occurrence = s.nextKey, s.key, group, rank, run
+	s.key, s.nextKey, s.groupKeyLen, s.rank, s.occurrence = s.nextKey, s.key, group, rank, occurrence
 	s.records++
-	h.rank, h.occurrence = rank, run
+	h.rank, h.occurrence = rank, occurrence
 	m.setKey(h, s.key[:m.headKeyLen(s)])
 	return ""
 }
--- a/gather/result.go
+++ b/gather/result.go
@@ -132,11 +132,11 @@
 }
 
 // countRow reports whether a row is returned: after the offset and within the limits.
-func (m *Merge) countRow(row, key []byte, part string, run uint32) bool {
+func (m *Merge) countRow(row, key []byte, part string, occurrence uint32) bool {
 	limits := &m.rules.Truncate
 	if m.offset > 0 {
 		m.offset--
-		m.advancePosition(key, part, run)
+		m.advancePosition(key, part, occurrence)
 		return false
 	}
 	if limits.Bytes > 0 && m.bytes+int64(len(row)) > limits.Bytes {
@@ -147,7 +147,7 @@
 		}
 		return false
 	}
-	m.advancePosition(key, part, run)
+	m.advancePosition(key, part, occurrence)
 	m.rows++
 	m.bytes += int64(len(row))
 	if limit := m.rules.limit(); limit > 0 && m.rows == int64(limit) {
@@ -158,9 +158,9 @@
 	return true
 }
 
-func (m *Merge) advancePosition(key []byte, part string, run uint32) {
+func (m *Merge) advancePosition(key []byte, part string, occurrence uint32) {
 	m.lastCounted.key = append(m.lastCounted.key[:0], key...)
-	m.lastCounted.part, m.lastCounted.occurrence, m.lastCounted.set = part, run, true
+	m.lastCounted.part, m.lastCounted.occurrence, m.lastCounted.set = part, occurrence, true
 	m.consumed++
 }
 
--- a/gather/stream.go
+++ b/gather/stream.go
@@ -136,12 +136,12 @@
 }
 
 // endCopy records that a copy ended at its current length.
-func (s *stream) endCopy(c *copyState, whole bool) error {
+func (s *stream) endCopy(c *copyState, complete bool) error {
 	if c.ended || c.diverged {
 		return nil
 	}
 	c.ended = true
-	if !whole {
+	if !complete {
 		return nil
 	}
 	if c.received < s.received { // shorter than what another copy brought
