--- a/internal/scattergather/coordinator.go
+++ b/internal/scattergather/coordinator.go
@@ -67,36 +67,36 @@
 	codes  map[string]int // of failed and rejected attempts
 }
 
-func (t *Tally) update(f func(*TreeCounts)) {
-	t.mu.Lock()
-	f(&t.counts)
-	t.mu.Unlock()
+func (c *Tally) update(f func(*TreeCounts)) {
+	c.mu.Lock()
+	f(&c.counts)
+	c.mu.Unlock()
 }
 
-func (t *Tally) countFailure(code string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.codes == nil {
-		t.codes = map[string]int{}
+func (c *Tally) countFailure(code string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.codes == nil {
+		c.codes = map[string]int{}
 	}
-	t.codes[code]++
+	c.codes[code]++
 }
 
 // Counts returns the current counts.
-func (t *Tally) Counts() TreeCounts {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.counts
+func (c *Tally) Counts() TreeCounts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.counts
 }
 
 // FailureCodes are the error codes of failed and rejected peer attempts.
 var Codes = []string{(*PeerFailed)(nil).Code(), (*PeerLostParts)(nil).Code(), (*PeerInvalidResult)(nil).Code(), (*Rejection)(nil).Code()}
 
 // Failures returns the number of attempts that ended with an error code.
-func (t *Tally) Failures(code string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.codes[code]
+func (c *Tally) Failures(code string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.codes[code]
 }
 
 // Coordinator delegates parts of gathered reads to peers. The decisions are made by PeerTable, scheduleGroup and partialValidator.
@@ -129,28 +129,28 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Coordinator{options: opt, start: time.Now(), peers: peers, Tally: opt.Tally, connSlots: map[string]chan struct{}{}, addresses: map[string]string{}}
-	if t.Tally == nil {
-		t.Tally = &Tally{}
+	coordinator := &Coordinator{options: opt, start: time.Now(), peers: peers, Tally: opt.Tally, connSlots: map[string]chan struct{}{}, addresses: map[string]string{}}
+	if coordinator.Tally == nil {
+		coordinator.Tally = &Tally{}
 	}
-	t.ctx, t.cancel = context.WithCancel(context.Background())
+	coordinator.ctx, coordinator.cancel = context.WithCancel(context.Background())
 	for _, p := range opt.Peers {
-		t.connSlots[p.Name], t.addresses[p.Name] = make(chan struct{}, opt.Conns), p.Address
+		coordinator.connSlots[p.Name], coordinator.addresses[p.Name] = make(chan struct{}, opt.Conns), p.Address
 	}
-	return t, nil
+	return coordinator, nil
 }
 
 // Close cancels all attempts in flight and waits for them.
-func (t *Coordinator) Close() {
-	t.cancel()
-	t.wg.Wait()
+func (c *Coordinator) Close() {
+	c.cancel()
+	c.wg.Wait()
 }
 
 // PeerStatus returns the state of the peers.
-func (t *Coordinator) PeerStatus() []PeerStatus {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.peers.Status(time.Since(t.start))
+func (c *Coordinator) PeerStatus() []PeerStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.peers.Status(time.Since(c.start))
 }
 
 // delegatingSender is a Sender of groups. begin tells the gather which parts are groups, and finish converts its final answer to that
@@ -161,22 +161,22 @@
 }
 
 // Delegate implements Delegator.
-func (t *Coordinator) Delegate(read ReadRequest) ([]gather.Part, Sender) {
+func (c *Coordinator) Delegate(read ReadRequest) ([]gather.Part, Sender) {
 	var alive []string
-	if t.options.Alive != nil {
-		alive = t.options.Alive()
+	if c.options.Alive != nil {
+		alive = c.options.Alive()
 	}
-	t.mu.Lock()
-	if t.options.Alive != nil {
-		t.peers.SetAlive(alive)
+	c.mu.Lock()
+	if c.options.Alive != nil {
+		c.peers.SetAlive(alive)
 	}
-	plan := t.peers.Split(time.Since(t.start), read.Parts, read.Rules.Safe && len(read.Client.ID)+groupIDBytes <= t.options.IDMost, t.options.Limited[read.Client.Plan])
-	t.mu.Unlock()
+	plan := c.peers.Split(time.Since(c.start), read.Parts, read.Rules.Safe && len(read.Client.ID)+groupIDBytes <= c.options.IDMost, c.options.Limited[read.Client.Plan])
+	c.mu.Unlock()
 	if len(plan.Groups) == 0 {
 		return read.Parts, read.Local
 	}
-	t.update(func(n *TreeCounts) { n.Handed++; n.Groups += len(plan.Groups) })
-	return plan.Parts(), &groupSender{coordinator: t, ReadRequest: read, plan: plan, attempts: map[string][]*groupAttempt{}}
+	c.update(func(n *TreeCounts) { n.Handed++; n.Groups += len(plan.Groups) })
+	return plan.Parts(), &groupSender{coordinator: c, ReadRequest: read, plan: plan, attempts: map[string][]*groupAttempt{}}
 }
 
 // groupSender sends the attempts of groups and parts of one read.
@@ -198,111 +198,111 @@
 	ended  bool // ended or cancelled
 }
 
-func (a *groupSender) group(id string) *Group {
-	for i := range a.plan.Groups {
-		if a.plan.Groups[i].ID == id {
-			return &a.plan.Groups[i]
+func (s *groupSender) group(id string) *Group {
+	for i := range s.plan.Groups {
+		if s.plan.Groups[i].ID == id {
+			return &s.plan.Groups[i]
 		}
 	}
 	return nil
 }
 
 // Send implements Sender.
-func (a *groupSender) Send(attempt Attempt, until time.Time, to *Sink) {
-	g := a.group(attempt.Part.ID)
-	if g == nil {
-		a.Local.Send(attempt, until, to)
+func (s *groupSender) Send(attempt Attempt, until time.Time, to *Sink) {
+	group := s.group(attempt.Part.ID)
+	if group == nil {
+		s.Local.Send(attempt, until, to)
 		return
 	}
-	ctx, cancel := context.WithDeadline(a.coordinator.ctx, until)
-	c := &groupAttempt{Attempt: attempt, cancel: cancel}
-	if attempt.Peer != "" && attempt.Peer == g.PeerOrder[0] {
-		c.trial = g.Trial
+	ctx, cancel := context.WithDeadline(s.coordinator.ctx, until)
+	started := &groupAttempt{Attempt: attempt, cancel: cancel}
+	if attempt.Peer != "" && attempt.Peer == group.PeerOrder[0] {
+		started.trial = group.Trial
 	}
-	a.mu.Lock()
-	earlier := a.attempts[attempt.Part.ID]
-	a.attempts[attempt.Part.ID] = append(earlier, c)
-	a.mu.Unlock()
+	s.mu.Lock()
+	earlier := s.attempts[attempt.Part.ID]
+	s.attempts[attempt.Part.ID] = append(earlier, started)
+	s.mu.Unlock()
 	if n := len(earlier); n > 0 && earlier[n-1].Peer != attempt.Peer {
-		a.coordinator.update(func(n *TreeCounts) { n.TakenOver++ })
+		s.coordinator.update(func(n *TreeCounts) { n.TakenOver++ })
 	}
 	if attempt.Peer == "" {
-		a.localAttempts.Add(1)
+		s.localAttempts.Add(1)
 	}
-	a.coordinator.wg.Go(func() {
+	s.coordinator.wg.Go(func() {
 		defer cancel()
 		if attempt.Peer == "" {
-			defer a.localAttempts.Done()
-			a.coordinator.update(func(n *TreeCounts) { n.Own++ })
-			a.gatherLocally(ctx, c, until, to)
+			defer s.localAttempts.Done()
+			s.coordinator.update(func(n *TreeCounts) { n.Own++ })
+			s.gatherLocally(ctx, started, until, to)
 			return
 		}
-		a.coordinator.update(func(n *TreeCounts) { n.Asked++ })
-		retryAfter, err := a.requestPeer(ctx, g, attempt, until, to)
+		s.coordinator.update(func(n *TreeCounts) { n.Asked++ })
+		retryAfter, err := s.requestPeer(ctx, group, attempt, until, to)
 		if ctx.Err() != nil && err != nil { // cancelled, or its time ended before another attempt overtook it
 			err = context.Canceled
 		}
-		a.recordOutcome(c, err, retryAfter)
+		s.recordOutcome(started, err, retryAfter)
 		to.End(nil, err)
 	})
 }
 
 // Cancel implements Sender.
-func (a *groupSender) Cancel(x Attempt) {
-	a.mu.Lock()
-	all, known := a.attempts[x.Part.ID]
+func (s *groupSender) Cancel(attempt Attempt) {
+	s.mu.Lock()
+	all, known := s.attempts[attempt.Part.ID]
 	for _, c := range all {
-		if c.Number == x.Number {
+		if c.Number == attempt.Number {
 			c.ended = true
 			c.cancel()
 		}
 	}
-	a.mu.Unlock()
+	s.mu.Unlock()
 	if !known {
-		a.Local.Cancel(x)
+		s.Local.Cancel(attempt)
 	}
 }
 
 // recordOutcome records how an attempt of a peer ended. Earlier attempts that it overtook have failed.
-func (a *groupSender) recordOutcome(attempt *groupAttempt, err error, retryAfter time.Duration) {
-	a.mu.Lock()
+func (s *groupSender) recordOutcome(attempt *groupAttempt, err error, retryAfter time.Duration) {
+	s.mu.Lock()
 	cancelled := attempt.ended || errors.Is(err, context.Canceled)
 	attempt.ended = true
 	var overtaken []*groupAttempt
 	succeeded := err == nil || errors.As(err, new(*gather.Limited))
 	if succeeded && !cancelled {
-		for _, x := range a.attempts[attempt.Part.ID] {
+		for _, x := range s.attempts[attempt.Part.ID] {
 			if x.Number < attempt.Number && !x.ended && x.Peer != "" {
 				x.ended = true
 				overtaken = append(overtaken, x)
 			}
 		}
 	}
-	a.mu.Unlock()
+	s.mu.Unlock()
 	for _, x := range overtaken {
-		a.coordinator.recordPeerOutcome(x.Peer, x.trial, OutcomeFailure, 0, &PeerFailed{x.Part.ID, x.Peer, "overtaken by another attempt"})
+		s.coordinator.recordPeerOutcome(x.Peer, x.trial, OutcomeFailure, 0, &PeerFailed{x.Part.ID, x.Peer, "overtaken by another attempt"})
 	}
 	switch {
 	case attempt.Peer == "":
 	case cancelled: // ended by its deadline or by another attempt: its outcome is unknown or already recorded
-		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeUnknown, 0, nil)
+		s.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeUnknown, 0, nil)
 	case succeeded:
-		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeSuccess, 0, nil)
+		s.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeSuccess, 0, nil)
 	case retryAfter > 0:
-		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeRejected, retryAfter, &Rejection{retryAfter})
+		s.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeRejected, retryAfter, &Rejection{retryAfter})
 	default:
-		a.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeFailure, 0, err)
+		s.coordinator.recordPeerOutcome(attempt.Peer, attempt.trial, OutcomeFailure, 0, err)
 	}
 }
 
 // recordPeerOutcome updates the peer table and the counters, and logs if a peer starts or ends its backoff.
-func (t *Coordinator) recordPeerOutcome(peer string, trial int, outcome PeerOutcome, retryAfter time.Duration, err error) {
-	t.mu.Lock()
-	failuresBefore := t.peers.failures(peer)
-	t.peers.AttemptEnded(time.Since(t.start), peer, trial, outcome, retryAfter)
-	failuresAfter := t.peers.failures(peer)
-	t.mu.Unlock()
-	t.update(func(n *TreeCounts) {
+func (c *Coordinator) recordPeerOutcome(peer string, trial int, outcome PeerOutcome, retryAfter time.Duration, err error) {
+	c.mu.Lock()
+	failuresBefore := c.peers.failures(peer)
+	c.peers.AttemptEnded(time.Since(c.start), peer, trial, outcome, retryAfter)
+	failuresAfter := c.peers.failures(peer)
+	c.mu.Unlock()
+	c.update(func(n *TreeCounts) {
 		switch outcome {
 		case OutcomeSuccess:
 			n.Good++
@@ -318,21 +318,21 @@
 			n.SetAside++
 		}
 	})
-	var c operr.Coded
-	if errors.As(err, &c) {
-		t.countFailure(c.Code())
+	var coded operr.Coded
+	if errors.As(err, &coded) {
+		c.countFailure(coded.Code())
 	}
 	switch {
 	case failuresBefore == 0 && failuresAfter > 0:
-		t.options.Log.WithFields(operr.Fields(err)).Warn("gather: peer failed and backs off")
+		c.options.Log.WithFields(operr.Fields(err)).Warn("gather: peer failed and backs off")
 	case failuresBefore > 0 && failuresAfter == 0:
-		t.options.Log.WithField("peer", peer).Info("gather: peer is used again after its backoff")
+		c.options.Log.WithField("peer", peer).Info("gather: peer is used again after its backoff")
 	}
 }
 
 // gatherLocally gathers a group in this process.
-func (a *groupSender) gatherLocally(ctx context.Context, attempt *groupAttempt, until time.Time, to *Sink) {
-	final := a.GatherLocally(ctx, attempt.Attempt, until, func(b []byte) error {
+func (s *groupSender) gatherLocally(ctx context.Context, attempt *groupAttempt, until time.Time, to *Sink) {
+	final := s.GatherLocally(ctx, attempt.Attempt, until, func(b []byte) error {
 		if !to.Deliver(b) {
 			return context.Canceled // no more bytes are needed
 		}
@@ -351,41 +351,41 @@
 	case final.Kind == Served && final.Limited:
 		err = &gather.Limited{}
 	}
-	a.mu.Lock()
-	a.localRetryAfter = max(a.localRetryAfter, retryAfter)
-	a.mu.Unlock()
+	s.mu.Lock()
+	s.localRetryAfter = max(s.localRetryAfter, retryAfter)
+	s.mu.Unlock()
 	if err == nil || final.Limited {
-		a.recordOutcome(attempt, err, 0)
+		s.recordOutcome(attempt, err, 0)
 	}
 	to.End(nil, err)
 }
 
 // begin implements delegatingSender.
-func (a *groupSender) begin(g *Gather) { g.setGroups(a.coordinator.options.Rules, a.plan) }
+func (s *groupSender) begin(g *Gather) { g.setGroups(s.coordinator.options.Rules, s.plan) }
 
 // finish implements delegatingSender: it restores the parts' own shards, and turns an answer whose parts were all rejected into a rejection.
-func (a *groupSender) finish(final Final) Final {
-	a.coordinator.mu.Lock()
-	a.coordinator.peers.ReadEnded(a.plan)
-	a.coordinator.mu.Unlock()
+func (s *groupSender) finish(final Final) Final {
+	s.coordinator.mu.Lock()
+	s.coordinator.peers.ReadEnded(s.plan)
+	s.coordinator.mu.Unlock()
 	shards := map[string]int{}
-	for _, p := range a.Parts {
+	for _, p := range s.Parts {
 		shards[p.ID] = p.Shard
 	}
 	allRejected, retryAfter := final.Kind == Short && final.Result.Rows == 0 && errors.As(final.Result.Err, new(*gather.Incomplete)), time.Duration(0)
 	if allRejected { // the attempts of this process are cancelled or have ended; they know the Retry-After
-		a.localAttempts.Wait()
+		s.localAttempts.Wait()
 	}
 	for i := range final.Result.Parts {
-		s := &final.Result.Parts[i]
-		s.Shard = shards[s.ID]
+		state := &final.Result.Parts[i]
+		state.Shard = shards[state.ID]
 		var rejection *Rejection
 		var reported *gather.Told
 		switch {
-		case errors.As(s.Why, &rejection):
+		case errors.As(state.Why, &rejection):
 			retryAfter = max(retryAfter, rejection.RetryAfter)
-		case errors.As(s.Why, &reported) && reported.Why == rejection.Code():
-			retryAfter = max(retryAfter, a.localRetryAfter)
+		case errors.As(state.Why, &reported) && reported.Why == rejection.Code():
+			retryAfter = max(retryAfter, s.localRetryAfter)
 		default:
 			allRejected = false
 		}
@@ -397,20 +397,20 @@
 }
 
 // requestPeer requests a group from a peer and relays its partial result. wait is the peer's Retry-After if it rejected the request.
-func (a *groupSender) requestPeer(ctx context.Context, g *Group, attempt Attempt, until time.Time, to *Sink) (wait time.Duration, err error) {
-	t := a.coordinator
+func (s *groupSender) requestPeer(ctx context.Context, g *Group, attempt Attempt, until time.Time, to *Sink) (wait time.Duration, err error) {
+	coordinator := s.coordinator
 	failed := func(cause string) error { return &PeerFailed{g.ID, attempt.Peer, cause} }
 	select {
-	case t.connSlots[attempt.Peer] <- struct{}{}:
+	case coordinator.connSlots[attempt.Peer] <- struct{}{}:
 	default: // not a failure of the peer
 		return time.Millisecond, failed("no connection is free")
 	}
-	t.update(func(n *TreeCounts) { n.Connected++ })
+	coordinator.update(func(n *TreeCounts) { n.Connected++ })
 	defer func() {
-		t.update(func(n *TreeCounts) { n.Connected-- })
-		<-t.connSlots[attempt.Peer]
+		coordinator.update(func(n *TreeCounts) { n.Connected-- })
+		<-coordinator.connSlots[attempt.Peer]
 	}()
-	nc, err := transport.DialTCP(ctx, t.addresses[attempt.Peer], 0) // the context limits the time
+	nc, err := transport.DialTCP(ctx, coordinator.addresses[attempt.Peer], 0) // the context limits the time
 	if err != nil {
 		return 0, failed(err.Error())
 	}
@@ -419,8 +419,8 @@
 
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	t.options.Request(a.Client, req)
-	req.Header.Set("X-Request-Id", fmt.Sprintf("%s/%s/%d", a.Client.ID, g.ID, attempt.Number))
+	coordinator.options.Request(s.Client, req)
+	req.Header.Set("X-Request-Id", fmt.Sprintf("%s/%s/%d", s.Client.ID, g.ID, attempt.Number))
 	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10))
 	var shards []byte
 	for i, p := range g.Parts {
@@ -434,7 +434,7 @@
 	if attempt.Rows > 0 {
 		req.Header.Set("X-Gather-Rows", strconv.Itoa(attempt.Rows))
 	}
-	req.SetHost(t.addresses[attempt.Peer])
+	req.SetHost(coordinator.addresses[attempt.Peer])
 	req.SetConnectionClose()
 	w := bufio.NewWriterSize(nc, 4096)
 	if err = req.Write(w); err == nil {
@@ -457,7 +457,7 @@
 	default:
 		return 0, failed(fmt.Sprint("it answered with status ", code))
 	}
-	return 0, a.relay(g, attempt, res.BodyStream(), to)
+	return 0, s.relay(g, attempt, res.BodyStream(), to)
 }
 
 // parseRetryAfter parses a number of seconds.
@@ -470,13 +470,13 @@
 }
 
 // relay passes a validated body on at the rate at which the merge consumes it.
-func (a *groupSender) relay(g *Group, attempt Attempt, body io.Reader, to *Sink) error {
-	quota := a.Rules.Merge.Memory.Bytes / (len(a.plan.Groups) + len(a.plan.Local) + 1) // memory of one part of the coordinator's merge
-	validator, err := newPartialValidator(a.Rules.Merge, attempt.Peer, g.Part, attempt.Rows, int64(quota-4), a.coordinator.options.BytesMost)
+func (s *groupSender) relay(g *Group, attempt Attempt, body io.Reader, to *Sink) error {
+	quota := s.Rules.Merge.Memory.Bytes / (len(s.plan.Groups) + len(s.plan.Local) + 1) // memory of one part of the coordinator's merge
+	validator, err := newPartialValidator(s.Rules.Merge, attempt.Peer, g.Part, attempt.Rows, int64(quota-4), s.coordinator.options.BytesMost)
 	if err != nil {
 		return err
 	}
-	defer func() { a.coordinator.update(func(n *TreeCounts) { n.Rows += validator.rows }) }()
+	defer func() { s.coordinator.update(func(n *TreeCounts) { n.Rows += validator.rows }) }()
 	buf := make([]byte, maxPieceBytes)
 	for {
 		n, err := body.Read(buf)
--- a/internal/scattergather/core_sender.go
+++ b/internal/scattergather/core_sender.go
@@ -85,9 +85,9 @@
 		c.inFlight, c.attemptedNodes = map[string]*inFlightRequest{}, map[string]*core.AttemptedNodes{}
 	}
 	c.inFlight[r.ID], c.attemptedNodes[r.ID] = &inFlightRequest{req: r}, r.AttemptedNodes
-	for _, no := range a.AvoidNodesOf {
-		if t := c.attemptedNodes[c.requestID(Attempt{Part: a.Part, Number: no})]; t != nil {
-			r.AvoidNodes = append(r.AvoidNodes, t)
+	for _, number := range a.AvoidNodesOf {
+		if nodes := c.attemptedNodes[c.requestID(Attempt{Part: a.Part, Number: number})]; nodes != nil {
+			r.AvoidNodes = append(r.AvoidNodes, nodes)
 		}
 	}
 	c.mu.Unlock()
@@ -105,11 +105,11 @@
 func (c *CoreSender) startStreaming(id string, abort func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.inFlight[id]
-	if x != nil {
-		x.req, x.abort = nil, abort
+	attempt := c.inFlight[id]
+	if attempt != nil {
+		attempt.req, attempt.abort = nil, abort
 	}
-	return x != nil
+	return attempt != nil
 }
 
 // stream delivers a long body at the rate at which the merge consumes it. Bytes that the merge does not consume stay with the node.
@@ -146,19 +146,19 @@
 
 // Cancel implements Sender. To core, the part's client has disconnected.
 func (c *CoreSender) Cancel(a Attempt) {
-	switch x := c.remove(c.requestID(a)); {
-	case x == nil:
-	case x.req != nil:
-		c.Core.Cancel(x.req)
+	switch attempt := c.remove(c.requestID(a)); {
+	case attempt == nil:
+	case attempt.req != nil:
+		c.Core.Cancel(attempt.req)
 	default:
-		x.abort()
+		attempt.abort()
 	}
 }
 
 func (c *CoreSender) remove(id string) *inFlightRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.inFlight[id]
+	attempt := c.inFlight[id]
 	delete(c.inFlight, id)
-	return x
+	return attempt
 }
--- a/internal/scattergather/group.go
+++ b/internal/scattergather/group.go
@@ -14,9 +14,9 @@
 	next    int // index of the next attempt; beyond this process: none is left
 }
 
-func (h *delegatedGroup) peer(i int) string {
-	if i < len(h.PeerOrder) {
-		return h.PeerOrder[i]
+func (g *delegatedGroup) peer(i int) string {
+	if i < len(g.PeerOrder) {
+		return g.PeerOrder[i]
 	}
 	return ""
 }
--- a/internal/scattergather/partial_validator.go
+++ b/internal/scattergather/partial_validator.go
@@ -36,78 +36,78 @@
 
 // add validates the next bytes and returns those that may be passed on; they are valid until the next call. The error ends the
 // attempt: *gather.Limited, *PeerLostParts or *PeerInvalidResult.
-func (c *partialValidator) add(data []byte) (pass []byte, err error) {
-	c.valid = c.valid[:0]
+func (v *partialValidator) add(data []byte) (pass []byte, err error) {
+	v.valid = v.valid[:0]
 	for len(data) > 0 {
 		n := 0
-		if demands := c.merge.Want(); len(demands) > 0 && !demands[0].Stop {
-			n = c.fittingBytes(data[:min(len(data), demands[0].Bytes)])
+		if demands := v.merge.Want(); len(demands) > 0 && !demands[0].Stop {
+			n = v.fittingBytes(data[:min(len(data), demands[0].Bytes)])
 		}
 		if n == 0 {
-			return c.valid, c.invalidResult("a frame or the whole result exceeds its size limit")
+			return v.valid, v.invalidResult("a frame or the whole result exceeds its size limit")
 		}
-		if err := c.merge.Add(c.group.ID, 1, data[:n]); err != nil {
-			return c.valid, c.invalidResult(err.Error())
+		if err := v.merge.Add(v.group.ID, 1, data[:n]); err != nil {
+			return v.valid, v.invalidResult(err.Error())
 		}
 		data = data[n:]
-		if err := c.drain(); err != nil {
-			return c.valid, err
+		if err := v.drain(); err != nil {
+			return v.valid, err
 		}
 	}
-	return c.valid, nil
+	return v.valid, nil
 }
 
 // finish is called at the regular end of the body, where the partial result has to be complete.
-func (c *partialValidator) finish() (pass []byte, err error) {
-	c.valid = c.valid[:0]
-	if err := c.merge.End(c.group.ID, 1, nil); err != nil {
-		return nil, c.invalidResult(err.Error())
+func (v *partialValidator) finish() (pass []byte, err error) {
+	v.valid = v.valid[:0]
+	if err := v.merge.End(v.group.ID, 1, nil); err != nil {
+		return nil, v.invalidResult(err.Error())
 	}
-	err = c.drain()
-	if errors.As(err, new(*PeerInvalidResult)) && c.headerBytes == 0 && c.frameBytesLeft == 0 { // valid so far, but truncated
-		err = &PeerFailed{c.group.ID, c.peer, "its partial result is truncated"}
+	err = v.drain()
+	if errors.As(err, new(*PeerInvalidResult)) && v.headerBytes == 0 && v.frameBytesLeft == 0 { // valid so far, but truncated
+		err = &PeerFailed{v.group.ID, v.peer, "its partial result is truncated"}
 	}
-	return c.valid, err
+	return v.valid, err
 }
 
 // fittingBytes returns how many bytes come before a frame or the result exceeds its limit.
-func (c *partialValidator) fittingBytes(data []byte) int {
+func (v *partialValidator) fittingBytes(data []byte) int {
 	n := 0
-	for n < len(data) && c.bytesLeft > 0 {
-		if c.frameBytesLeft == 0 {
-			c.header[c.headerBytes] = data[n]
-			if c.headerBytes++; c.headerBytes == len(c.header) {
-				c.headerBytes, c.frameBytesLeft = 0, int64(binary.BigEndian.Uint32(c.header[:]))
-				if c.frameBytesLeft > c.maxFrameBytes {
-					c.bytesLeft = 0
+	for n < len(data) && v.bytesLeft > 0 {
+		if v.frameBytesLeft == 0 {
+			v.header[v.headerBytes] = data[n]
+			if v.headerBytes++; v.headerBytes == len(v.header) {
+				v.headerBytes, v.frameBytesLeft = 0, int64(binary.BigEndian.Uint32(v.header[:]))
+				if v.frameBytesLeft > v.maxFrameBytes {
+					v.bytesLeft = 0
 					return n
 				}
 			}
 			n++
-			c.bytesLeft--
+			v.bytesLeft--
 			continue
 		}
-		step := min(c.frameBytesLeft, int64(len(data)-n), c.bytesLeft)
+		step := min(v.frameBytesLeft, int64(len(data)-n), v.bytesLeft)
 		n += int(step)
-		c.frameBytesLeft -= step
-		c.bytesLeft -= step
+		v.frameBytesLeft -= step
+		v.bytesLeft -= step
 	}
 	return n
 }
 
 // drain collects the frames that the merge has read, up to the first frame that must not be passed on.
-func (c *partialValidator) drain() error {
-	at := len(c.valid)
-	c.valid, _ = c.merge.AppendPartial(c.valid, 0)
-	for at < len(c.valid) {
-		next := at + 4 + int(binary.BigEndian.Uint32(c.valid[at:]))
-		switch c.valid[at+4] {
+func (v *partialValidator) drain() error {
+	at := len(v.valid)
+	v.valid, _ = v.merge.AppendPartial(v.valid, 0)
+	for at < len(v.valid) {
+		next := at + 4 + int(binary.BigEndian.Uint32(v.valid[at:]))
+		switch v.valid[at+4] {
 		case 'L', 'C':
-			c.valid = c.valid[:at]
-			return c.lossError()
+			v.valid = v.valid[:at]
+			return v.lossError()
 		case 'R', 'G':
-			if c.rows++; c.rows == c.maxRows {
-				c.valid = c.valid[:next]
+			if v.rows++; v.rows == v.maxRows {
+				v.valid = v.valid[:next]
 				return &gather.Limited{}
 			}
 		}
@@ -117,19 +117,19 @@
 }
 
 // lossError returns the error for a part that was lost, was reported lost, or could not be read.
-func (c *partialValidator) lossError() error {
+func (v *partialValidator) lossError() error {
 	why := ""
-	for _, p := range c.merge.Result().Parts {
+	for _, p := range v.merge.Result().Parts {
 		var reported *gather.Told
 		if !errors.As(p.Why, &reported) && p.Why != nil {
-			return c.invalidResult(p.Why.Error())
+			return v.invalidResult(p.Why.Error())
 		} else if reported != nil && why == "" {
 			why = reported.Error()
 		}
 	}
-	return &PeerLostParts{c.group.ID, c.peer, why}
+	return &PeerLostParts{v.group.ID, v.peer, why}
 }
 
-func (c *partialValidator) invalidResult(why string) error {
-	return &PeerInvalidResult{c.group.ID, c.peer, why}
+func (v *partialValidator) invalidResult(why string) error {
+	return &PeerInvalidResult{v.group.ID, v.peer, why}
 }
--- a/internal/scattergather/peer_table.go
+++ b/internal/scattergather/peer_table.go
@@ -148,33 +148,33 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	b := &PeerTable{rules: set, rng: rand.New(rand.NewPCG(seed, 0x7ee))}
+	table := &PeerTable{rules: set, rng: rand.New(rand.NewPCG(seed, 0x7ee))}
 	for _, name := range slices.Sorted(slices.Values(set.Peers)) {
-		b.peers = append(b.peers, &peerState{name: name})
+		table.peers = append(table.peers, &peerState{name: name})
 	}
-	return b, nil
+	return table, nil
 }
 
 // Split decides how a read is split. limited: its plan has a rate limit, of which each host of the volume has a share. ReadEnded has
 // to be called at the end of the read.
-func (b *PeerTable) Split(now time.Duration, parts []gather.Part, idempotent, limited bool) ReadPlan {
-	if b.fault != treeFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < b.rules.LeastParts {
+func (t *PeerTable) Split(now time.Duration, parts []gather.Part, idempotent, limited bool) ReadPlan {
+	if t.fault != treeFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < t.rules.LeastParts {
 		return ReadPlan{Local: parts}
 	}
 	var healthy, candidates []*peerState
-	for _, p := range b.peers {
+	for _, p := range t.peers {
 		switch {
-		case b.livenessKnown && !p.alive && b.fault != treeFaultUseDeadPeers: // not used
-		case now < p.notBefore && b.fault != treeFaultNoBackoff:
-		case p.failures == 0 || b.fault == treeFaultNoTrial:
+		case t.livenessKnown && !p.alive && t.fault != treeFaultUseDeadPeers: // not used
+		case now < p.notBefore && t.fault != treeFaultNoBackoff:
+		case p.failures == 0 || t.fault == treeFaultNoTrial:
 			healthy = append(healthy, p)
 		case p.activeTrial == 0:
 			candidates = append(candidates, p) // due for its trial
 		}
 	}
 	shuffle := func(s []*peerState) {
-		draw := b.rng.Shuffle
-		if b.fault == treeFaultUnseededRandom { // injected fault: a random seed
+		draw := t.rng.Shuffle
+		if t.fault == treeFaultUnseededRandom { // injected fault: a random seed
 			draw = rand.Shuffle
 		}
 		draw(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] })
@@ -185,14 +185,14 @@
 		candidates = candidates[:1]
 	}
 	candidates = append(candidates, healthy...)
-	groups := min(b.rules.FanOut, len(candidates))
+	groups := min(t.rules.FanOut, len(candidates))
 	for groups > 0 && len(parts)/(groups+1) < minGroupParts { // this process also takes a share of the parts
 		groups--
 	}
 	var readPlan ReadPlan
 	size, largerGroups := len(parts)/(groups+1), len(parts)%(groups+1)
-	if size >= b.rules.GroupMost {
-		size, largerGroups = b.rules.GroupMost, 0
+	if size >= t.rules.GroupMost {
+		size, largerGroups = t.rules.GroupMost, 0
 	}
 	unassigned := parts
 	for i := range groups {
@@ -206,19 +206,19 @@
 		}
 		first := candidates[i]
 		if g.PeerOrder = append(g.PeerOrder, first.name); first.failures > 0 {
-			b.trials++
-			g.Trial, first.activeTrial = b.trials, b.trials
+			t.trials++
+			g.Trial, first.activeTrial = t.trials, t.trials
 		}
-		if b.fault == treeFaultSamePeerFirst {
+		if t.fault == treeFaultSamePeerFirst {
 			g.PeerOrder[0] = candidates[0].name
 		}
 		at := slices.Index(healthy, first) + 1 // the next healthy peers, so that a failure does not shift its load to a single peer
-		for k := 0; k < len(healthy) && len(g.PeerOrder) < b.rules.Copies; k++ {
+		for k := 0; k < len(healthy) && len(g.PeerOrder) < t.rules.Copies; k++ {
 			if p := healthy[(at+k)%len(healthy)]; p != first {
 				g.PeerOrder = append(g.PeerOrder, p.name)
 			}
 		}
-		if unassigned = unassigned[n:]; b.fault == treeFaultLosePart && i == 0 {
+		if unassigned = unassigned[n:]; t.fault == treeFaultLosePart && i == 0 {
 			g.Parts = g.Parts[:n-1]
 		}
 		readPlan.Groups = append(readPlan.Groups, g)
@@ -227,8 +227,8 @@
 	return readPlan
 }
 
-func (b *PeerTable) find(name string) *peerState {
-	i, ok := slices.BinarySearchFunc(b.peers, name, func(p *peerState, name string) int {
+func (t *PeerTable) find(name string) *peerState {
+	i, ok := slices.BinarySearchFunc(t.peers, name, func(p *peerState, name string) int {
 		switch {
 		case p.name < name:
 			return -1
@@ -240,21 +240,21 @@
 	if !ok {
 		return nil
 	}
-	return b.peers[i]
+	return t.peers[i]
 }
 
 // SetAlive sets which processes are alive. Until its first call all peers are assumed to be.
-func (b *PeerTable) SetAlive(names []string) {
-	b.livenessKnown = true
-	for _, p := range b.peers {
+func (t *PeerTable) SetAlive(names []string) {
+	t.livenessKnown = true
+	for _, p := range t.peers {
 		p.alive = slices.Contains(names, p.name)
 	}
 }
 
 // AttemptEnded records how an attempt of a peer ended. trial is the number of the trial, and retryAfter belongs to OutcomeRejected. It
 // may be called again when more is known; a peer that already failed does not back off longer because of that.
-func (b *PeerTable) AttemptEnded(now time.Duration, peer string, trial int, outcome PeerOutcome, retryAfter time.Duration) {
-	p := b.find(peer)
+func (t *PeerTable) AttemptEnded(now time.Duration, peer string, trial int, outcome PeerOutcome, retryAfter time.Duration) {
+	p := t.find(peer)
 	if p == nil {
 		return
 	}
@@ -271,35 +271,35 @@
 		if p.failures > 0 && !wasTrial { // the attempt started before the peer was known to fail
 			return
 		}
-		backoff := b.rules.RestMax
-		if p.failures < 30 && b.rules.Rest<<p.failures < backoff && b.rules.Rest<<p.failures > 0 {
-			backoff = b.rules.Rest << p.failures
+		backoff := t.rules.RestMax
+		if p.failures < 30 && t.rules.Rest<<p.failures < backoff && t.rules.Rest<<p.failures > 0 {
+			backoff = t.rules.Rest << p.failures
 		}
-		if b.fault == treeFaultConstantBackoff {
-			backoff = b.rules.Rest
+		if t.fault == treeFaultConstantBackoff {
+			backoff = t.rules.Rest
 		}
 		p.failures++
-		p.notBefore = max(p.notBefore, now+backoff-time.Duration(backoffJitter*b.rng.Float64()*float64(backoff)))
+		p.notBefore = max(p.notBefore, now+backoff-time.Duration(backoffJitter*t.rng.Float64()*float64(backoff)))
 	case OutcomeRejected:
-		if b.fault != treeFaultIgnoreRetryAfter {
-			p.notBefore = max(p.notBefore, now+min(retryAfter, b.rules.RestMax))
+		if t.fault != treeFaultIgnoreRetryAfter {
+			p.notBefore = max(p.notBefore, now+min(retryAfter, t.rules.RestMax))
 		}
 	}
 }
 
 // failures returns the failures of a peer since its last success.
-func (b *PeerTable) failures(peer string) int {
-	if p := b.find(peer); p != nil {
+func (t *PeerTable) failures(peer string) int {
+	if p := t.find(peer); p != nil {
 		return p.failures
 	}
 	return 0
 }
 
 // ReadEnded records the end of a read. A trial of it without an outcome may be repeated.
-func (b *PeerTable) ReadEnded(plan ReadPlan) {
+func (t *PeerTable) ReadEnded(plan ReadPlan) {
 	for _, g := range plan.Groups {
 		if g.Trial != 0 {
-			b.AttemptEnded(0, g.PeerOrder[0], g.Trial, OutcomeUnknown, 0)
+			t.AttemptEnded(0, g.PeerOrder[0], g.Trial, OutcomeUnknown, 0)
 		}
 	}
 }
@@ -314,9 +314,9 @@
 }
 
 // Status returns the state of all peers, sorted by name.
-func (b *PeerTable) Status(now time.Duration) (all []PeerStatus) {
-	for _, p := range b.peers {
-		all = append(all, PeerStatus{p.name, p.failures, max(0, p.notBefore-now), p.activeTrial != 0, b.livenessKnown && !p.alive})
+func (t *PeerTable) Status(now time.Duration) (all []PeerStatus) {
+	for _, p := range t.peers {
+		all = append(all, PeerStatus{p.name, p.failures, max(0, p.notBefore-now), p.activeTrial != 0, t.livenessKnown && !p.alive})
 	}
 	return all
 }
--- a/internal/scattergather/service.go
+++ b/internal/scattergather/service.go
@@ -68,14 +68,14 @@
 }
 
 // SetLimit sets the limit. Reads in progress continue.
-func (g *Gate) Set(most int) { g.limit.Store(int64(most)) }
+func (l *Gate) Set(limit int) { l.limit.Store(int64(limit)) }
 
 // InFlight returns the number of reads in progress.
-func (g *Gate) In() int { return int(g.inFlight.Load()) }
+func (l *Gate) In() int { return int(l.inFlight.Load()) }
 
-func (g *Gate) tryEnter() bool {
-	if g.inFlight.Add(1) > g.limit.Load() {
-		g.inFlight.Add(-1)
+func (l *Gate) tryEnter() bool {
+	if l.inFlight.Add(1) > l.limit.Load() {
+		l.inFlight.Add(-1)
 		return false
 	}
 	return true
