--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,7 +14,7 @@
 	Number        int // from 0 within the request
 	Node          string
 	Deadline      time.Time
-	StartBy       time.Time // latest time at which the attempt may be claimed; if zero, only Deadline applies
+	StartBy       time.Time // latest time at which the attempt may be claimed; zero means that it has no such limit beside Deadline
 	sentAtMs      float64   // dispatch time in the decision module's time
 	nodeStartTime float64   // start time of the node at the dispatch
 	state         *requestState
@@ -132,7 +132,7 @@
 	attempt.dedupCutoff = &state.dedupCutoff
 	if a.StartBy > 0 {
 		attempt.StartBy = c.wallTime(a.StartBy)
-		state.dedupCutoff.set(attempt.StartBy) // also bounds earlier unclaimed attempts, as a node would take a later one for the retry
+		state.dedupCutoff.set(attempt.StartBy) // also bounds an earlier unclaimed attempt, which would be the retry if it were written after this one
 	}
 	attempt.done = func(r Result) { c.post(attemptResult{attempt, r}) }
 	return attempt
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,7 +70,7 @@
 	exclusions  *exclusion.Set
 
 	pendingRestore policy.Learned // passed to the decision module after the next step
-	handedOver     bool           // another process fills the token buckets; also applied to a replaced decision module
+	handedOver     bool           // another process fills the token buckets; a new decision module is notified of this as well
 
 	counters           *Counters // any goroutine may read
 	lastCountMs        float64   // when the listed and avoided nodes were last counted
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -17,8 +17,8 @@
 // decayed returns the count at now.
 func (u nodeUse) decayed(now float64) float64 { return u.count * math.Exp2((u.atMs-now)/useHalfLifeMs) }
 
-// recordUse counts an attempt at a listed node. It does so only with a StartLimiter, because other processes do not store
-// what they learned.
+// recordUse counts an attempt at a listed node. It does so only with a StartLimiter, because a process without one does not
+// store what it has learned.
 func (c *Core) recordUse(node string, now float64) {
 	if c.options.StartLimiter != nil {
 		c.nodeUses[node] = nodeUse{c.nodeUses[node].decayed(now) + 1, now}
--- a/internal/core/preconnect.go
+++ b/internal/core/preconnect.go
@@ -11,7 +11,7 @@
 func (c *Core) Preconnect(node string) {
 	c.post(call(func() {
 		if client := c.usableClient(node); client != nil {
-			client.Connect(func(s policy.Status) { c.reportUnrequested(node, s) })
+			client.Connect(func(s policy.Status) { c.reportToStartLimiter(node, s) })
 		}
 	}))
 }
@@ -23,7 +23,7 @@
 		if client := c.usableClient(node); client != nil {
 			client.CheckHealth(func(r Result, latency time.Duration) {
 				c.post(healthCheckResult{node, r, latency})
-				c.reportUnrequested(node, r.Status)
+				c.reportToStartLimiter(node, r.Status)
 			})
 		}
 	}))
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// reportUnrequested reports the status of a preconnect or health check to Options.StartLimiter if the node could not be
+// reportToStartLimiter reports the status of a preconnect or health check to Options.StartLimiter if the node could not be
 // reached or was full. A success is not reported, because no request was served. Any goroutine may call it.
-func (c *Core) reportUnrequested(node string, status policy.Status) {
+func (c *Core) reportToStartLimiter(node string, status policy.Status) {
 	if limiter := c.startLimiter(); limiter != nil && (status == policy.ConnectFailed || status == policy.NodeFull) {
 		limiter.AttemptEnded(node, status)
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -138,7 +138,7 @@
 	case r.Settings != nil && r.Settings != settings && !settings.equivalentFor(r.Settings, &r.Request):
 		return CauseSettingsChanged
 	case c.requests[r.ID] != nil:
-		return CauseDuplicateID // the table holds one request for an id
+		return CauseDuplicateID // the table holds at most one request for an id
 	}
 	return ""
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -105,7 +105,7 @@
 	before, invalid := core.Settings(), testSettings()
 	invalid.Classes[0].Name, invalid.MaxAttempts = "renamed", -1
 	if err := core.Reconfigure(invalid); err == nil {
-		t.Fatal("accepted")
+		t.Fatal("invalid settings were accepted")
 	}
 	if core.Settings() != before {
 		t.Error("the version has changed")
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -83,7 +83,8 @@
 }
 
 // readLines reads the messages of a watch. A list may be indented and span several lines, up to the brace that closes its
-// first one. Within a list no line is empty or begins with a brace, so such a line shows that the list was truncated.
+// first one. Within a list no line is empty or begins with an opening brace that is not indented, so such a line shows that
+// the list was truncated.
 //
 // A list that cannot be decoded is logged and ends the watch. The current list and its version stay, so that the next call
 // requests what was missed. The malformed list is not reported as a message, because watchtimer would then close other
--- a/internal/discovery/watchtimer/timing.go
+++ b/internal/discovery/watchtimer/timing.go
@@ -7,7 +7,8 @@
 	return min(max(t.settings.DrainGrace/drainGraceDivisor, minRetryInterval), maxRetryInterval)
 }
 
-// silentCallBound returns how long after the last message of a silent call a change that the call missed must be received.
+// silentCallBound returns the time, counted from the last message of a silent call, within which a change that the call
+// missed must be received.
 func (t *Timer) silentCallBound() time.Duration {
 	if t.settings.LongPollWait > 0 {
 		return max(t.settings.StalenessBound, t.settings.LongPollWait+longPollSlack)
--- a/internal/discovery/watchtimer/watchtimer.go
+++ b/internal/discovery/watchtimer/watchtimer.go
@@ -1,6 +1,6 @@
 // Package watchtimer decides when a scheduler calls the list service. It records when each call last received a message,
 // detects silent calls and opens a replacement while the silent call stays open. It ensures the staleness bound, which is
-// the time by which a change of the list must be received. It is driven by discovery.Watcher. It does not interpret lists,
+// the time within which a change of the list must be received. It is driven by discovery.Watcher. It does not interpret lists,
 // reads no clock and does no I/O: Step receives events and the time, and returns actions.
 //
 // A call is a watch. It stays open and receives each change, and a message at least every HeartbeatInterval. There are two
@@ -65,7 +65,8 @@
 	MaxBackoffFactor = 8
 
 	pushedHeartbeatSlack = 500 * time.Millisecond
-	// pulledHeartbeatSlack is longer, because the service may be busy and each replacement call adds to its load.
+	// pulledHeartbeatSlack is longer than pushedHeartbeatSlack, because the service may be busy and each replacement call
+	// adds to its load.
 	pulledHeartbeatSlack = time.Second
 	// longPollSlack is the time after LongPollWait within which a silent long poll must have been replaced.
 	longPollSlack = 2 * time.Second
@@ -96,7 +97,7 @@
 type Settings struct {
 	Pushed          bool          // an agent on this machine serves the list, at once and at no cost
 	Schedulers      int           // number of schedulers that call the same service; 0 means only this one
-	StalenessBound  time.Duration // bound for receiving a change; the constant applies if this is 0 or longer
+	StalenessBound  time.Duration // bound for receiving a change; the constant applies if this is 0 or exceeds the constant
 	DrainGrace      time.Duration // grace period of a drain; 0 if not known
 	ExternallyPaced bool          // until the first message, the caller decides when to call
 	LongPollWait    time.Duration // how long a long poll may go without a message; 0 if calls send heartbeats
@@ -305,13 +306,13 @@
 	k.answered, k.silent, k.lastMessage, t.lastMessage = true, false, t.now, t.now
 	t.repeatAt = never
 	t.downReported, t.settings.ExternallyPaced = false, false
-	id, here := k.id, k.addressGeneration == t.addressGeneration
+	id, isCurrentAddress := k.id, k.addressGeneration == t.addressGeneration
 	for j := len(t.calls) - 1; j >= 0; j-- {
-		if o := t.calls[j]; o.id != id && (here || o.addressGeneration < t.addressGeneration && o.id < id) {
+		if o := t.calls[j]; o.id != id && (isCurrentAddress || o.addressGeneration < t.addressGeneration && o.id < id) {
 			t.closeCall(j)
 		}
 	}
-	if here {
+	if isCurrentAddress {
 		t.backoffFactor, t.nextOpen, t.openDeadline = 1, never, never
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -78,27 +78,27 @@
 )
 
 func decodeSettings(raw json.RawMessage) (policy.Settings, error) {
-	var w settings
-	if err := json.Unmarshal(raw, &w); err != nil {
+	var wire settings
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		return policy.Settings{}, err
 	}
 	s := policy.Settings{
-		Instance: w.Me, Schedulers: w.Fleet, Zone: w.Zone, PollsEndpointList: w.Mode == polledListMode,
+		Instance: wire.Me, Schedulers: wire.Fleet, Zone: wire.Zone, PollsEndpointList: wire.Mode == polledListMode,
 
-		MeanUnits: w.Extra.Usual, MaxUnits: w.Extra.Largest, SlowStartUnits: w.Extra.Young,
-		UsageMeterPeriod: w.Extra.Metering, ReportsPeerUsage: w.Extra.SaysOthers,
+		MeanUnits: wire.Extra.Usual, MaxUnits: wire.Extra.Largest, SlowStartUnits: wire.Extra.Young,
+		UsageMeterPeriod: wire.Extra.Metering, ReportsPeerUsage: wire.Extra.SaysOthers,
 
-		MaxAttempts: w.Ceiling.MaxAttempts, MayHedge: w.Ceiling.SecondCopies, MayCancel: w.Ceiling.MayCancel,
-		MayCheckHealth: w.Ceiling.Probes, MayGossip: w.Ceiling.Peers,
-		SendsRetryAfter: w.Ceiling.RetryAfter, MaxRetryAfter: w.Ceiling.MaxRetryAfter,
+		MaxAttempts: wire.Ceiling.MaxAttempts, MayHedge: wire.Ceiling.SecondCopies, MayCancel: wire.Ceiling.MayCancel,
+		MayCheckHealth: wire.Ceiling.Probes, MayGossip: wire.Ceiling.Peers,
+		SendsRetryAfter: wire.Ceiling.RetryAfter, MaxRetryAfter: wire.Ceiling.MaxRetryAfter,
 
-		DrainGrace: w.Rules.StopSending, PollWithin: w.Rules.AskWithin,
-		SlowStartShare: w.Rules.ColdFrom, SlowStartDuration: w.Rules.Cold,
-		OverloadMultiple: w.Rules.TipMultiple, OverloadWindow: w.Rules.Overload,
-		OrderedKeyBackoff: w.Rules.OrderPause, RetryBudgetShare: w.Rules.Further,
-		RetryBudgetMin: w.Rules.ExtraFloor, RetryBudgetWindow: w.Rules.CountedOver,
+		DrainGrace: wire.Rules.StopSending, PollWithin: wire.Rules.AskWithin,
+		SlowStartShare: wire.Rules.ColdFrom, SlowStartDuration: wire.Rules.Cold,
+		OverloadMultiple: wire.Rules.TipMultiple, OverloadWindow: wire.Rules.Overload,
+		OrderedKeyBackoff: wire.Rules.OrderPause, RetryBudgetShare: wire.Rules.Further,
+		RetryBudgetMin: wire.Rules.ExtraFloor, RetryBudgetWindow: wire.Rules.CountedOver,
 	}
-	for _, p := range w.Profiles {
+	for _, p := range wire.Profiles {
 		effect, scope, err := decodeEffect(p.Repeat, p.KeyScope)
 		if err != nil {
 			return s, err
@@ -109,7 +109,7 @@
 			DedupWindow: p.Memory, Ordered: p.ByArrival, Stream: p.Stream,
 		})
 	}
-	for _, c := range w.Contracts {
+	for _, c := range wire.Contracts {
 		s.Plans = append(s.Plans, policy.Plan{
 			Name: c.Name, Rate: c.UsualRate, ReservedRate: c.Reservation, Weight: c.Shares, Price: c.Price,
 			RateLimit: c.Cap, LimitBurst: c.Burst,
--- a/policy/classweights.go
+++ b/policy/classweights.go
@@ -47,7 +47,8 @@
 }
 
 // adaptAndReschedule adapts the weights and sets the time of the next adaptation. The interval doubles
-// after a commit, so that the delays can settle.
+// after a commit, so that the delays can settle, and otherwise returns to its initial value. The time is
+// half a tick early, so that the tick at the end of the interval finds the adaptation due.
 func (s *Scheduler) adaptAndReschedule() {
 	if !s.adapt() {
 		s.adaptInterval = ticksPerAdaptation * tickIntervalMs / 2
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -20,7 +20,7 @@
 	backoff    float64
 }
 
-// recordSuccess handles an event of the subscription.
+// recordSuccess records that the list was received, and resets the backoff.
 func (p *listPoller) recordSuccess() { p.subscribed, p.backoff = true, minPollBackoffMs }
 
 // recordFailure handles a failed call or a broken subscription. The jitter factor spreads the retries
@@ -46,9 +46,9 @@
 		s.list.recordFailure(s.now, 0.5+s.rng.Float64())
 		return
 	}
-	isCurrent := s.list.subscribed // without a subscription the list may be old, and a node's grace period over
+	isCurrent := s.list.subscribed // without a subscription the list may be old, and a node's grace period may have ended
 	if ev.Kind == CachedListLoaded {
-		s.setTimer(tickTimer, tickIntervalMs)
+		s.setTimer(tickTimer, tickIntervalMs) // passed once after New; each tick sets the timer of the next one
 	} else {
 		s.list.recordSuccess()
 	}
--- a/policy/failingnode_test.go
+++ b/policy/failingnode_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// recordAttempt counts an attempt. An attempt at the failing node is regular if it is not the only one of the last 32
-// attempts. The node's fair share is 4 of 32. Without regular attempts the node counts as avoided.
+// recordAttempt counts an attempt. An attempt at the failing node is regular if at least one more of the last 32 attempts
+// went to that node. The node's fair share is 4 of 32. Without regular attempts the node counts as avoided.
 func (f *failingNodeRun) recordAttempt(atFailingNode bool) {
 	f.recent = append(f.recent, atFailingNode)
 	if len(f.recent) > 32 {
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	minUnitsPerMs = 1e-6
-	maxNextFreeMs = 1e6
+	minUnitsPerMs = 1e-6 // keeps the estimated wait finite if no node is usable
+	maxNextFreeMs = 1e6  // the same for the time until a window has capacity
 )
 
-// Priority bands of the requests in one class queue. A unit of work earns most in the first band.
+// Priority bands of the requests in one class queue, the highest priority first.
 const (
 	bandReserved  = iota // within the volume's reserved rate
 	bandFairShare        // within the volume's fair share of the remaining capacity
@@ -66,7 +66,8 @@
 }
 
 // isOverloaded reports whether each node of the shard is silent or has a window below its initial size.
-// This means that the schedulers send more than the nodes can serve. Late requests wait in this case.
+// This means that the schedulers send more than the nodes can serve. In this case late requests are not
+// sent, and shedLoad rejects them.
 func (q *shardQueue) isOverloaded() bool {
 	for _, n := range q.nodes {
 		if n.window.size >= initialWindow && !n.silent {
@@ -208,20 +209,20 @@
 }
 
 func (s *Scheduler) estimateService(q *shardQueue) serviceEstimate {
-	e := serviceEstimate{nextFreeMs: math.Inf(1)}
+	estimate := serviceEstimate{nextFreeMs: math.Inf(1)}
 	for _, n := range q.nodes {
 		if !s.isUsable(n) {
 			continue
 		}
 		latency := s.expectedLatency(n)
-		e.unitsPerMs += n.window.size * s.settings.MeanUnits / latency
-		e.maxLatencyMs = math.Max(e.maxLatencyMs, latency)
+		estimate.unitsPerMs += n.window.size * s.settings.MeanUnits / latency
+		estimate.maxLatencyMs = math.Max(estimate.maxLatencyMs, latency)
 		if n.window.isFractional() && len(n.inFlight) == 0 {
-			e.nextFreeMs = math.Min(e.nextFreeMs, math.Max(0, n.nextSendAt-s.now))
+			estimate.nextFreeMs = math.Min(estimate.nextFreeMs, math.Max(0, n.nextSendAt-s.now))
 		} else {
-			e.nextFreeMs = math.Min(e.nextFreeMs, latency/n.window.size)
+			estimate.nextFreeMs = math.Min(estimate.nextFreeMs, latency/n.window.size)
 		}
 	}
-	e.unitsPerMs, e.nextFreeMs = math.Max(e.unitsPerMs, minUnitsPerMs), math.Min(e.nextFreeMs, maxNextFreeMs)
-	return e
+	estimate.unitsPerMs, estimate.nextFreeMs = math.Max(estimate.unitsPerMs, minUnitsPerMs), math.Min(estimate.nextFreeMs, maxNextFreeMs)
+	return estimate
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -4,7 +4,7 @@
 
 const (
 	usageWindowMs        = 1000.0 // time constant with which usage beyond the reserved rate decays
-	clientRetryUsageRank = 1e9    // added to the usage rank of a client's retries, so that they come last in their band
+	clientRetryUsageRank = 1e9    // added to the usage rank of a client's retries, so that they come after others of equal band and price
 	maxFairUsageRatio    = 2.0    // usage above this multiple of the mean usage of the active volumes is burst
 	minPlanWeight        = 1e-9
 )
@@ -82,7 +82,7 @@
 		r.band, r.chargedBand = bandReserved, bandReserved
 		return
 	}
-	sum, count := 0.0, 1e-9
+	sum, count := 0.0, 1e-9 // the count is never 0, because it is a divisor below
 	for _, other := range s.volumeOrder {
 		if other.usageLevel > 0 && s.now-other.refilledAt < usageWindowMs {
 			sum, count = sum+other.usageLevel/other.fairWeight(), count+1
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -241,7 +241,7 @@
 }
 
 // When a plan is removed and added again, its volumes use the new definition and keep the tokens in their buckets.
-func TestReconfigureWithAPlanThatComesBack(t *testing.T) {
+func TestReconfigureWithPlanAddedAgain(t *testing.T) {
 	h := newHarness(t, limitedSettings(4, 12))
 	h.sendUnits("other", 1, 1)
 	h.at(h.now + 60e3)
--- a/policy/request.go
+++ b/policy/request.go
@@ -35,7 +35,7 @@
 
 	attempts           []attempt
 	openAttempts       int
-	mayHaveRunOn       *node   // node of the last attempt that may have run; nil: no attempt may have run
+	mayHaveRunOn       *node   // node of the last attempt that ended, or is hedged, and may have run; nil: there is none
 	mayHaveRunSince    float64 // when the first attempt that may have run was sent
 	attemptCancelled   bool    // the last attempt was cancelled at the objective
 	attemptWrittenOff  bool    // the last attempt was written off
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -9,7 +9,7 @@
 
 const (
 	sweepIntervalMs     = 10.0   // interval between reviews of the waiting requests
-	tickIntervalMs      = 500.0  // interval of adaptation, list polls and eviction
+	tickIntervalMs      = 500.0  // interval of list polls and eviction; adaptations take place at some of the ticks
 	heartbeatIntervalMs = 100.0  // interval of the timer that detects stalls of this scheduler
 	idleEvictionMs      = 60e3   // a volume or key without requests for this long is evicted
 	logIntervalMs       = 1000.0 // minimum interval between log lines
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,7 +10,7 @@
 	smallFleet             = 30     // schedulers; smaller fleets get more slack for random variation
 	smallFleetSlackFactor  = 2.5    // slack of small fleets relative to large ones
 	answeredShareFactor    = 2.0    // multiple of the rate of answered units that is allowed at a warmed up node
-	minReadersDivisor      = 1.5    // a shard is assumed to have at least the fleet size divided by this as readers
+	minReadersDivisor      = 1.5    // the fleet size divided by this is the assumed minimum number of schedulers that read a shard
 	restartSuspectMs       = 3000.0 // a node that answers after a silence of this length may have restarted
 )
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -46,7 +46,7 @@
 }
 
 // A scheduler may use its allowance for all nodes in slow start at the nodes that requests name, with one request to
-// each. With a separate share of less than one request per node, nodes that a scheduler reads rarely would stay idle.
+// each. If each node had a separate share of less than one request, nodes that a scheduler reads rarely would stay idle.
 // Unused allowance is not saved.
 func TestSlowStartAllowanceGoesToTheNodesAskedFor(t *testing.T) {
 	const nodes = 200
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -134,7 +134,7 @@
 			}
 		case Send:
 			sim.send(scheduler, a)
-		case Cancel: // the node works on
+		case Cancel: // the node does not stop its work
 			sim.endAttempt(slowStartAttempt{scheduler, incarnation, a.ID, a.Attempt}, Cancelled, 1)
 		case CheckHealth:
 			sim.t.Errorf("scheduler %d sends a health check to %s, which the simulation does not count", scheduler, a.Node)
--- a/policy/stall_test.go
+++ b/policy/stall_test.go
@@ -38,7 +38,7 @@
 }
 
 // An attempt that many later ones overtook no longer counts against the window, even before it ends.
-func TestOvertakenAttemptFreesItsPlaceInTheWindow(t *testing.T) {
+func TestOvertakenAttemptFreesWindowCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(requestArrived("hung", "once", 0, 3000))
 	for i := range 20 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -26,7 +26,7 @@
 	SlowStartDuration    float64 // time after its start at which a node is warmed up
 	OverloadMultiple     float64 // a node in slow start is overloaded above this multiple of its capacity
 	OverloadWindow       float64 // time over which that load is measured
-	OrderedKeyBackoff    float64 // backoff of an ordered key after an attempt that may have run
+	OrderedKeyBackoff    float64 // backoff of an ordered key after an attempt that may still run
 	RetryBudgetShare     float64 // retries allowed per admitted request
 	RetryBudgetMin       float64 // retries allowed in every window regardless of the number of requests
 	RetryBudgetWindow    float64 // time window of the retry budget; 0: retries have no budget
@@ -108,7 +108,7 @@
 	ResponseStarted                     // ID, Attempt: a streamed response has started
 	ClientDisconnected                  // ID
 	ListReceived                        // Nodes: the complete list
-	CachedListLoaded                    // Nodes: the complete list as last persisted, possibly outdated
+	CachedListLoaded                    // Nodes: the complete list as last persisted, possibly outdated or empty; passed once after New, starts the ticks
 	ListChanged                         // Nodes: the changed entries
 	ListFailed                          // a call for the list failed, or the subscription ended
 	TimerFired                          // Tag
--- a/policy/window.go
+++ b/policy/window.go
@@ -9,7 +9,7 @@
 	minFleetWindow      = 4.0    // minimum requests in flight at an overloaded node, over all schedulers
 	nodeLatencyShare    = 0.5    // the window shrinks if the mean latency exceeds this share of the tightest objective
 	maxEpochMs          = 1000.0 // an epoch ends after this time even with few answers
-	minEpochAnswers     = 6      // minimum answers between changes of the window
+	minEpochAnswers     = 6      // an epoch ends after this many answers, or as many as the window has if that is more
 	maxSendGapMs        = 1000.0 // maximum gap between sends with a window below one, before randomization
 	widenRatio          = 1.5    // the window widens if latency per unit is within this multiple of the best
 	halveRatio          = 2.0    // the window halves if latency per unit exceeds this multiple of the best
@@ -53,7 +53,7 @@
 	return enoughAnswers || now-e.startAt >= maxEpochMs, enoughAnswers
 }
 
-// endEpoch ends the epoch. It returns its latency per unit and its mean latency, and updates the best
+// endEpoch ends the epoch. It returns the epoch's latency per unit and mean latency, and updates the best
 // latency per unit.
 func (w *concurrencyWindow) endEpoch() (perUnit, mean float64) {
 	perUnit, mean = w.epoch.latencySum/w.epoch.unitsSum, w.epoch.latencySum/float64(w.epoch.answers)
@@ -113,8 +113,9 @@
 }
 
 // hasCapacity reports whether the window admits another request. A silent node gets one request at a
-// time. Requests of the reserved band always have minWindow, because smaller windows and send gaps are
-// meant for load beyond the node's capacity, and the reserved rates should be within it.
+// time. Requests of the reserved band have at least minWindow and no send gap, unless the node is silent
+// or this scheduler is backing off from it. Smaller windows and send gaps are meant for load beyond the
+// node's capacity, and the reserved rates should be within it.
 // Trade-off: the reserved rates may add up to more than the node can serve.
 func (n *node) hasCapacity(now float64, band int) bool {
 	if band == bandReserved && !n.silent && n.backoff == 0 {
