--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -80,7 +80,7 @@
 		return line, errors.New("line is an empty array")
 	}
 	if err := json.Unmarshal(values[0], &line.Word); err != nil {
-		return line, fmt.Errorf("line does not begin with a word: %w", err)
+		return line, fmt.Errorf("line has no name: %w", err)
 	}
 	if err := line.decode(values[1:]); err != nil {
 		return line, fmt.Errorf("%s: %w", line.Word, err)
