--- a/gather/errors.go
+++ b/gather/errors.go
@@ -82,7 +82,7 @@
 
 // Advice implements operr.Coded.
 func (*RecordBad) Advice() string {
-	return "check the record on its shard, or correct the key's type in the rules"
+	return "look at the record on its shard, or correct the key's type in the rules"
 }
 
 // Unsorted is the error for a record that sorts before its predecessor. The part is in conflict and truncated before it.
@@ -100,7 +100,7 @@
 
 // Advice implements operr.Coded.
 func (*Unsorted) Advice() string {
-	return "make the shard sort by the rules' keys; for text, with the same locale and collation version"
+	return "let the shard sort by the rules' keys; for text, by the same locale and version"
 }
 
 // Diverged is the error for a copy of a part that differs from another copy. The copy is ignored from then on.
@@ -119,32 +119,32 @@
 
 // Advice implements operr.Coded.
 func (*Diverged) Advice() string {
-	return "compare the replicas of the shard, and repeat the read from one of them"
+	return "compare the replicas of the shard; read again with one of them"
 }
 
 // Never is the reason of a part that was dropped without any data, if the caller gave no other.
 type Never struct{ Part string }
 
 func (e *Never) Error() string {
-	return fmt.Sprintf("gather: part %q: dropped without any data", e.Part)
+	return fmt.Sprintf("gather: part %q: given up", e.Part)
 }
 
 // Code implements operr.Coded.
 func (*Never) Code() string { return "gather-never" }
 
 // Advice implements operr.Coded.
-func (*Never) Advice() string { return "check the shard, or lower complete in the rules" }
+func (*Never) Advice() string { return "look at the shard, or lower complete in the rules" }
 
 // Limited is the end of a copy that stopped at its row limit, so the part may have more rows: End(part, copy, &Limited{}).
 type Limited struct{}
 
-func (*Limited) Error() string { return "gather: the part stopped at its row limit" }
+func (*Limited) Error() string { return "gather: the part stopped at the rows it was asked for" }
 
 // Code implements operr.Coded.
 func (*Limited) Code() string { return "gather-limited" }
 
 // Advice implements operr.Coded.
-func (*Limited) Advice() string { return "none needed: Want requests more rows if they are needed" }
+func (*Limited) Advice() string { return "none needed: Want asks for more where more is needed" }
 
 // GroupOver is the error for a group of duplicates that exceeds the memory. The merge ends before it.
 type GroupOver struct {
@@ -162,14 +162,14 @@
 
 // Advice implements operr.Coded.
 func (*GroupOver) Advice() string {
-	return "raise memory in the rules, or reduce the rows with equal keys"
+	return "raise memory in the rules, or let fewer rows have the same key"
 }
 
 // RowOver is the error for a first row that is larger than truncate.bytes, so that no page could ever hold it.
 type RowOver struct{ Bytes, Limit int64 }
 
 func (e *RowOver) Error() string {
-	return fmt.Sprintf("gather: a row of %d bytes exceeds truncate.bytes (%d)", e.Bytes, e.Limit)
+	return fmt.Sprintf("gather: a row of %d bytes, truncate.bytes is %d", e.Bytes, e.Limit)
 }
 
 // Code implements operr.Coded.
@@ -190,7 +190,7 @@
 
 // Advice implements operr.Coded.
 func (*Incomplete) Advice() string {
-	return "continue with the token when the named parts are available again, or lower complete in the rules"
+	return "go on with the token when the named parts are back, or lower complete in the rules"
 }
 
 // TokenBad is the error for a token that was made elsewhere or was changed.
@@ -202,13 +202,13 @@
 func (*TokenBad) Code() string { return "gather-token-bad" }
 
 // Advice implements operr.Coded.
-func (*TokenBad) Advice() string { return "restart the read without a token" }
+func (*TokenBad) Advice() string { return "begin again without a token" }
 
 // TokenRules is the error for a token that was made under other rules.
 type TokenRules struct{ Made, Have string }
 
 func (e *TokenRules) Error() string {
-	return fmt.Sprintf("gather: token: made under rules %s, the current rules are %s", e.Made, e.Have)
+	return fmt.Sprintf("gather: token: made under rules %s, these are %s", e.Made, e.Have)
 }
 
 // Code implements operr.Coded.
@@ -216,7 +216,7 @@
 
 // Advice implements operr.Coded.
 func (*TokenRules) Advice() string {
-	return "restart the read without a token: the rules have changed since"
+	return "begin again without a token: the rules have changed since"
 }
 
 func init() {
--- a/gather/merge.go
+++ b/gather/merge.go
@@ -136,15 +136,15 @@
 	case len(parts) == 0:
 		return nil, &PartsBad{"", "no parts"}
 	case share < 2*r.Records.MaxBytes:
-		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts have %d bytes of memory each, but two records need %d", len(parts), share, 2*r.Records.MaxBytes)}
+		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts have %d bytes of memory each, two records are %d", len(parts), share, 2*r.Records.MaxBytes)}
 	case r.Memory.Rows < len(parts)+2:
-		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts are too many for memory.rows = %d", len(parts), r.Memory.Rows)}
+		return nil, &PartsBad{parts[0].ID, fmt.Sprintf("%d parts, memory.rows is %d", len(parts), r.Memory.Rows)}
 	}
 	for i, p := range parts {
 		s := &stream{part: p, quota: share}
 		s.digest.Reset()
 		if _, twice := m.byID[p.ID]; twice || p.ID == "" {
-			return nil, &PartsBad{p.ID, "is given twice, or has no ID"}
+			return nil, &PartsBad{p.ID, "is given twice, or has no name"}
 		}
 		m.byID[p.ID] = i
 		m.streams = append(m.streams, s)
@@ -197,7 +197,7 @@
 func (m *Merge) streamIndex(part string) (int, error) {
 	i, ok := m.byID[part]
 	if !ok {
-		return 0, &PartsBad{part, "is not a part of this merge"}
+		return 0, &PartsBad{part, "is no part of this merge"}
 	}
 	return i, nil
 }
--- a/gather/token.go
+++ b/gather/token.go
@@ -42,15 +42,15 @@
 func (m *Merge) resume(token string) error {
 	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
 	if err != nil || len(b) < tokenChecksumBytes+1 {
-		return &TokenBad{"is not base64, or truncated"}
+		return &TokenBad{"is not base64, or cut"}
 	}
 	b, sum := b[:len(b)-tokenChecksumBytes], b[len(b)-tokenChecksumBytes:]
 	if !hmac.Equal(sum, m.tokenChecksum(b)) {
-		return &TokenBad{"checksum mismatch: it was changed, or made with another key"}
+		return &TokenBad{"its check is wrong: changed, or not made with this key"}
 	}
 	r := &byteReader{b: b}
 	if v := r.bytes(1); r.malformed || v[0] != 1 {
-		return &TokenBad{"has an unknown version"}
+		return &TokenBad{"is of another version"}
 	}
 	if made := r.bytes(uint64(len(m.rules.hash))); string(made) != string(m.rules.hash[:]) {
 		return &TokenRules{hex.EncodeToString(made), m.rules.Hash()}
@@ -61,7 +61,7 @@
 		m.resumeAfter = position{key: r.text(), part: string(r.text()), occurrence: uint32(r.uvarint()), set: true}
 	}
 	if r.malformed || len(r.b) > 0 || m.offset > m.rules.Truncate.Offset {
-		return &TokenBad{"cannot be decoded"}
+		return &TokenBad{"cannot be read"}
 	}
 	return nil
 }
--- a/internal/scattergather/errors.go
+++ b/internal/scattergather/errors.go
@@ -23,7 +23,7 @@
 type Rejection struct{ RetryAfter time.Duration }
 
 func (e *Rejection) Error() string {
-	return fmt.Sprintf("scatter: rejected, retry after %v", e.RetryAfter)
+	return fmt.Sprintf("scatter: refused for %v", e.RetryAfter)
 }
 
 // Code implements operr.Coded.
@@ -31,20 +31,20 @@
 
 // Advice implements operr.Coded.
 func (*Rejection) Advice() string {
-	return "Retry after that time. If the rejections continue, the shard has too few nodes or the plan's rate is used up."
+	return "Ask again after that time. If it stays so, the shard is short of nodes or the plan's rate is used up."
 }
 
 // PartDeadlineExceeded is the error of a part that was not complete at the parts' deadline.
 type OutOfTime struct{ Part string }
 
-func (e *OutOfTime) Error() string { return fmt.Sprintf("scatter: part %q: deadline exceeded", e.Part) }
+func (e *OutOfTime) Error() string { return fmt.Sprintf("scatter: part %q: out of time", e.Part) }
 
 // Code implements operr.Coded.
 func (*OutOfTime) Code() string { return "scatter-out-of-time" }
 
 // Advice implements operr.Coded.
 func (*OutOfTime) Advice() string {
-	return "Check the shard that the part names. The clients' deadline may also be too short for their reads."
+	return "Look at the shard that the part names; or the clients' deadline is too short for their reads."
 }
 
 // PartTooLong is the error of a part whose body exceeds the memory reserved for it.
@@ -62,7 +62,7 @@
 
 // Advice implements operr.Coded.
 func (*PartTooLong) Advice() string {
-	return "Request fewer rows, spread the read over more parts, or raise the limit and the process's memory."
+	return "Ask for fewer rows, spread the read over more parts, or raise the limit and the process's memory."
 }
 
 // PartFailed is the error of a part that core failed to serve.
@@ -78,14 +78,14 @@
 
 // Advice implements operr.Coded.
 func (*Failed) Advice() string {
-	return "Check the nodes of the part's shard. The cause is the same as for any request of its class."
+	return "Look at the nodes of the part's shard; the cause is that of any request of its class."
 }
 
 // ClassWithoutRules is the error of a gathered read whose class has no rules.
 type ClassWithoutRules struct{ Class string }
 
 func (e *ClassWithoutRules) Error() string {
-	return fmt.Sprintf("scatter: class %q has no gather rules", e.Class)
+	return fmt.Sprintf("scatter: class %q has no rules of gathering", e.Class)
 }
 
 // Code implements operr.Coded.
@@ -93,7 +93,7 @@
 
 // Advice implements operr.Coded.
 func (*ClassWithoutRules) Advice() string {
-	return "Read shard by shard, or add rules for the class to section gather of the site's file."
+	return "Ask shard by shard, or give the class rules in section gather of the site's file."
 }
 
 // InvalidShards is the error for a list of shards that cannot be parsed.
@@ -105,7 +105,7 @@
 func (*ShardsBad) Code() string { return "scatter-shards-bad" }
 
 // Advice implements operr.Coded.
-func (*ShardsBad) Advice() string { return "List the shards like 0,3,7-9, each once, or write all." }
+func (*ShardsBad) Advice() string { return "Name shards like 0,3,7-9, each once, or all." }
 
 // NotGatherable is the error for a request to gather that is not a plain read.
 type NotRead struct{ Why string }
@@ -117,20 +117,20 @@
 
 // Advice implements operr.Coded.
 func (*NotRead) Advice() string {
-	return "Send a GET over HTTP/1.1; writes are never gathered."
+	return "Send a GET by HTTP/1.1; writes are never gathered."
 }
 
 // ClientDeadlineExceeded is the error of a gathered read whose client deadline passed before the first row was sent.
 type ClientDeadlineExceeded struct{}
 
-func (*ClientDeadlineExceeded) Error() string { return "scatter: client deadline exceeded" }
+func (*ClientDeadlineExceeded) Error() string { return "scatter: the client's time was over" }
 
 // Code implements operr.Coded.
 func (*ClientDeadlineExceeded) Code() string { return "scatter-late" }
 
 // Advice implements operr.Coded.
 func (*ClientDeadlineExceeded) Advice() string {
-	return "Give such reads a longer deadline, reserve a larger share of it for the merge, or accept incomplete results (best-effort)."
+	return "Give such reads more time, keep a larger share of it for the merge, or let best effort do."
 }
 
 // isPermanent reports whether a retry would fail with the same error.
@@ -141,6 +141,6 @@
 
 func init() {
 	operr.Register(&InvalidRules{"share", "is not from 0 to less than 1"}, &Rejection{time.Second}, &OutOfTime{"7"},
-		&PartTooLong{"7", 1 << 20}, &Failed{"7", "no node answered", true},
+		&PartTooLong{"7", 1 << 20}, &Failed{"7", "given up", true},
 		&ClassWithoutRules{"read"}, &ShardsBad{"7-3", "ends before it begins"}, &NotRead{"writes are never gathered"}, &ClientDeadlineExceeded{})
 }
