--- a/cmd/wheatsaddle/checkconfig.go
+++ b/cmd/wheatsaddle/checkconfig.go
@@ -18,7 +18,7 @@
 	return config.Load(os.Getenv)
 }
 
-// singleVariableEnv is an environment with one variable.
+// singleVariableEnv returns the lookup function of an environment with one variable.
 func singleVariableEnv(name, value string) func(string) string {
 	return func(key string) string {
 		if key == name {
@@ -35,12 +35,12 @@
 	}
 	list, err := discovery.Decode(conf.CachedList)
 	if err != nil {
-		return list, fmt.Errorf("known: %w", err)
+		return list, fmt.Errorf("decode cached endpoint list (key known): %w", err)
 	}
 	return list, nil
 }
 
-// checkConfig is the command check-config: it reads all files that serve would read and returns the first error.
+// checkConfig is the command check-config. It reads all files that serve would read and returns the first error.
 func checkConfig(flags *cli.Context) error {
 	conf, err := loadConfig(flags)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return err
 	}
 	for _, invalid := range append(cachedList.InvalidEntries, cachedList.InvalidAddresses...) {
-		return fmt.Errorf("known: %w", invalid)
+		return fmt.Errorf("cached endpoint list (key known): %w", invalid)
 	}
 	if err := checkSite(flags.String("site"), conf); err != nil {
 		return err
@@ -71,12 +71,12 @@
 	if file == "" {
 		return nil
 	}
-	at, err := config.LoadSite(file)
+	siteSettings, err := config.LoadSite(file)
 	if err != nil {
 		return err
 	}
-	if err := checkPeers(at, conf.Settings); err != nil {
+	if err := checkPeers(siteSettings, conf.Settings); err != nil {
 		return err
 	}
-	return checkGather(at, conf)
+	return checkGather(siteSettings, conf)
 }
--- a/cmd/wheatsaddle/gathertree.go
+++ b/cmd/wheatsaddle/delegation.go
@@ -8,17 +8,18 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// maxRequestIDBytes is the longest request id that a process accepts of its clients, of which a peer is one.
+// maxRequestIDBytes is the length of the longest request id that a process accepts from its clients, including peers.
 const maxRequestIDBytes = 128
 
-// openTree opens the tree of processes that share the parts of a read. While its settings are unchanged, the current tree
-// stays with its state of the peers. nil: the section names no other process, and this one requests each part itself.
-func (g *gatherer) openTree(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
+// openDelegator returns the delegator, which delegates groups of a read's parts to peers. While the settings are unchanged,
+// it returns the current one, which has the state of the peers. nil: the section names no other process, and this process
+// requests each part itself.
+func (g *gatherer) openDelegator(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
 	if err := checkGatherPeers(set, conf); err != nil || set == nil {
 		return nil, err
 	}
-	if g.tree != nil && reflect.DeepEqual(g.treeSettings, set) {
-		return g.tree, nil
+	if g.delegator != nil && reflect.DeepEqual(g.delegatorSettings, set) {
+		return g.delegator, nil
 	}
 	opt := scattergather.TreeOptions{
 		Seed:      uint64(conf.Seed),
@@ -29,7 +30,7 @@
 		Request:   httpfront.EncodePeerRequest,
 		Limited:   map[string]bool{},
 		Alive:     g.members,
-		Tally:     &g.tally,
+		Tally:     &g.delegationCounters,
 		Rules: scattergather.TreeRules{
 			LeastParts: set.MinParts,
 			GroupMost:  set.MaxGroupParts,
@@ -44,14 +45,14 @@
 		opt.Limited[p.Name] = p.RateLimit > 0
 	}
 	for _, p := range set.Peers {
-		if p.Name != conf.Name { // one file may serve all processes
+		if p.Name != conf.Name { // all processes may use the same file
 			opt.Peers = append(opt.Peers, scattergather.Peer(p))
 		}
 	}
 	if len(opt.Peers) == 0 {
 		return nil, nil
 	}
-	tree, err := scattergather.OpenTree(opt) // a tree without reads has no goroutine and no socket: the previous one needs no close
+	tree, err := scattergather.OpenTree(opt) // the previous one need not be closed: without reads it has neither a goroutine nor a socket
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +63,7 @@
 // checkGatherPeers returns an error if the platform forbids requests between processes.
 func checkGatherPeers(set *config.SiteTree, conf *config.Config) error {
 	if set != nil && !conf.Settings.MayGossip {
-		return &config.KeyError{File: "site", Key: "gather.peers", Problem: "the platform's settings forbid that processes ask each other (ceilings.peers)"}
+		return &config.KeyError{File: "site", Key: "gather.peers", Problem: "the platform's settings forbid requests between processes (ceilings.peers)"}
 	}
 	return nil
 }
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -10,45 +10,45 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// estimateLimit is the longest computation of an estimate: the admin endpoint answers within a second.
-const estimateLimit = 600 * time.Millisecond
+// estimateTimeout limits the computation of an estimate, because the admin endpoint must answer within a second.
+const estimateTimeout = 600 * time.Millisecond
 
 // viewSource returns the merged node statistics of all processes.
 type viewSource func() []nodestats.View
 
-// estimates is the admin endpoint's handler of estimates; nil: the site's file has no section estimate. Each call has its own
-// estimator: calls share no state with each other or with the data path.
-func estimates(set *config.SiteEstimate, conf *config.Config, shared viewSource) *admin.Estimate {
+// newEstimateHandler returns the admin endpoint's handler of estimates; nil: the site's file has no section estimate. Each
+// call has its own estimator, so calls share no state with each other or with the data path.
+func newEstimateHandler(set *config.SiteEstimate, conf *config.Config, shared viewSource) *admin.Estimate {
 	if set == nil {
 		return nil
 	}
-	s := costSettings(set, conf)
+	settings := costSettings(set, conf)
 	return admin.NewEstimate(func(body []byte) ([]byte, error) {
-		begin := time.Now()
+		startedAt := time.Now()
 		plans, deadline, err := cost.ParsePlans(body)
 		if err != nil {
 			return nil, err
 		}
-		e, err := cost.New(s)
+		estimator, err := cost.New(settings)
 		if err != nil {
 			return nil, err
 		}
-		e.Between = func() bool {
+		estimator.Between = func() bool {
 			runtime.Gosched()
-			return time.Since(begin) < estimateLimit
+			return time.Since(startedAt) < estimateTimeout
 		}
 		if shared != nil {
-			e.Learn(shared())
+			estimator.Learn(shared())
 		}
-		r, err := e.Estimate(plans, deadline)
+		result, err := estimator.Estimate(plans, deadline)
 		if err != nil {
 			return nil, err
 		}
-		return r.JSON()
+		return result.JSON()
 	}, set.MaxBytes, set.MaxConcurrent)
 }
 
-// costSettings are the estimator's settings, with the classes, shards and limits of the configuration.
+// costSettings returns the estimator's settings, with the classes, shards and rate limits of the configuration.
 func costSettings(set *config.SiteEstimate, conf *config.Config) cost.Settings {
 	var names []string
 	for _, k := range conf.Settings.Classes {
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -29,7 +29,7 @@
 		Plans: []policy.Plan{{Name: "gold", RateLimit: 10, LimitBurst: 1}, {Name: "open"}}}}
 	view := nodestats.View{Key: nodestats.Key{Node: "n", StartTime: 1, Class: "read"}, Shard: 1,
 		Sums: nodestats.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
-	call := estimates(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
+	call := newEstimateHandler(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	admin := &admin.Endpoint{Estimate: call, Log: log}
@@ -64,7 +64,7 @@
 	if code != 400 || gjson.Get(text, "code").Str != "cost-unknown-name" || gjson.Get(text, "error").Str != `plans.0.root.all.0.work: no class "erase"` {
 		t.Errorf("%d %s", code, text)
 	}
-	if estimates((&config.Site{}).Estimate, conf, nil) != nil {
+	if newEstimateHandler((&config.Site{}).Estimate, conf, nil) != nil {
 		t.Error("a call without the section")
 	}
 }
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -14,20 +14,20 @@
 	"wheatsaddle/internal/operr"
 )
 
-// exclusionPoll is the interval at which the exclusions file in $TMPDIR is checked for changes by other processes. A drain
+// exclusionPollInterval is the interval at which the exclusions file in $TMPDIR is checked for changes by other processes. A drain
 // must take effect within 250 ms.
-const exclusionPoll = 100 * time.Millisecond
+const exclusionPollInterval = 100 * time.Millisecond
 
-// exclusionKeeper synchronizes the exclusions of the core with their file, which all processes of the scheduler share. It
-// has no rule of its own.
-type exclusionKeeper struct {
-	mu    sync.Mutex // one change or read at a time in this process; the file's lock orders processes
+// exclusionSyncer synchronizes the exclusions of the core with their file, which all processes of the scheduler share. All
+// decisions are made by the core.
+type exclusionSyncer struct {
+	mu    sync.Mutex // serializes changes and reads of this process; the file's lock serializes processes
 	store *store.Store
 	core  *core.Core
 	log   logrus.FieldLogger
 }
 
-// loadExclusions reads the exclusions that the last process of the scheduler stored. An unreadable file counts as empty.
+// loadExclusions reads the exclusions that processes of the scheduler have stored. An unreadable file counts as empty.
 func loadExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
 	exclusions := store.InFolder(os.TempDir(), name)
 	state, err := exclusions.Read()
@@ -39,9 +39,9 @@
 	return exclusions, state
 }
 
-// change runs an operator's call under the file's lock: it reads the file, applies the call to the core and writes the result
-// back. Without the lock the exclusions of this process count.
-func (k *exclusionKeeper) change(id string, call func(string) (exclusion.State, error)) error {
+// change runs an operator's call under the file's lock: it reads the file, applies the call to the core and writes the
+// result back. If the lock cannot be acquired, the call applies to the exclusions of this process.
+func (k *exclusionSyncer) change(id string, call func(string) (exclusion.State, error)) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	unlock, err := k.store.Lock()
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// sync applies another process's change of the file.
-func (k *exclusionKeeper) sync() {
+// sync applies a change that another process made to the file.
+func (k *exclusionSyncer) sync() {
 	if !k.store.Changed() {
 		return
 	}
@@ -76,15 +76,15 @@
 	}
 }
 
-// watch polls the file until ctx ends.
-func (k *exclusionKeeper) watch(ctx context.Context) {
-	tick := time.NewTicker(exclusionPoll)
-	defer tick.Stop()
+// watch polls the file for changes until ctx ends.
+func (k *exclusionSyncer) watch(ctx context.Context) {
+	ticker := time.NewTicker(exclusionPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			k.mu.Lock()
 			if unlock, err := k.store.Lock(); err == nil {
 				k.sync()
@@ -95,5 +95,5 @@
 	}
 }
 
-func (k *exclusionKeeper) exclude(id string) error { return k.change(id, k.core.Exclude) }
-func (k *exclusionKeeper) include(id string) error { return k.change(id, k.core.Include) }
+func (k *exclusionSyncer) exclude(id string) error { return k.change(id, k.core.Exclude) }
+func (k *exclusionSyncer) include(id string) error { return k.change(id, k.core.Include) }
--- a/cmd/wheatsaddle/fleet.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -21,23 +21,24 @@
 	"wheatsaddle/policy"
 )
 
-// statusTimeout is how long a gossip round waits for the node statuses of the core.
-const statusTimeout = 20 * time.Millisecond
+// nodeStatusTimeout is the maximum time that a gossip round waits for the node statuses of the core.
+const nodeStatusTimeout = 20 * time.Millisecond
 
-// fleet exchanges node statistics with the other scheduler processes. nil: the site's file has no section peers.
+// fleet exchanges node statistics with the other scheduler processes. A nil fleet means that the site's file has no section
+// peers.
 type fleet struct {
-	cluster     *gossip.Cluster
-	starter     *starter // nil: the site's file has no section start
-	slowStartMs float64  // after its start, in which a node warms up
-	types       config.NodeTypes
-	maxNodes    int // whose statuses are requested
+	cluster       *gossip.Cluster
+	starter       *starter // nil: the site's file has no section start
+	slowStartMs   float64  // duration of the slow start of a node
+	hardwareTypes config.NodeTypes
+	maxNodes      int // maximum number of nodes whose statuses are requested
 
-	mu        sync.Mutex // guards the fields up to core
-	nodes     map[string]listedNode
-	listIndex int64 // version of the list; 0: none yet
-	versions  nodestats.ListSpread
-	core      *core.Core                 // nil: not started yet
-	statuses  map[string]core.NodeStatus // of the core, by node; used by the goroutine of the rounds alone
+	mu         sync.Mutex // guards the fields up to core
+	nodes      map[string]listedNode
+	listIndex  int64 // version of the list; 0: none yet
+	listSpread nodestats.ListSpread
+	core       *core.Core                 // nil: not started yet
+	statuses   map[string]core.NodeStatus // of the core, by node; used only by the goroutine of the gossip rounds
 }
 
 // listedNode is a node of the endpoint list, with the hardware type that the site's file gives it.
@@ -47,19 +48,19 @@
 }
 
 // checkPeers returns an error if the site's file has the section peers and the platform forbids it.
-func checkPeers(at *config.Site, set policy.Settings) error {
-	if at.Peers != nil && !set.MayGossip {
+func checkPeers(siteSettings *config.Site, set policy.Settings) error {
+	if siteSettings.Peers != nil && !set.MayGossip {
 		return &gossip.ForbiddenError{}
 	}
 	return nil
 }
 
-func startFleet(at *config.Site, conf *config.Config, starting *starter, log logrus.FieldLogger) (*fleet, error) {
-	if err := checkPeers(at, conf.Settings); err != nil {
+func startFleet(siteSettings *config.Site, conf *config.Config, starter *starter, log logrus.FieldLogger) (*fleet, error) {
+	if err := checkPeers(siteSettings, conf.Settings); err != nil {
 		log.WithFields(operr.Fields(err)).Error("gossip is not allowed by the platform")
 		return nil, err
 	}
-	set := at.Peers
+	set := siteSettings.Peers
 	if set == nil {
 		return nil, nil
 	}
@@ -67,9 +68,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{starter: starting, slowStartMs: conf.Settings.SlowStartDuration, maxNodes: set.State.MaxNodes, nodes: map[string]listedNode{}}
-	if at.Estimate != nil {
-		f.types = at.Estimate.Types
+	f := &fleet{starter: starter, slowStartMs: conf.Settings.SlowStartDuration, maxNodes: set.State.MaxNodes, nodes: map[string]listedNode{}}
+	if siteSettings.Estimate != nil {
+		f.hardwareTypes = siteSettings.Estimate.Types
 	}
 	f.mu.Lock() // a round may call addReports before f.cluster is set
 	defer f.mu.Unlock()
@@ -87,7 +88,7 @@
 		Seed:             uint64(conf.Seed),
 		Log:              log,
 		BeforeRound:      f.addReports,
-		MakeSnapshot:     starting.snapshotProvider(),
+		MakeSnapshot:     starter.snapshotProvider(),
 	})
 	if err != nil {
 		return nil, err
@@ -112,7 +113,7 @@
 	return f.cluster.Members
 }
 
-// registerMetrics registers the counts of the gossip.
+// registerMetrics registers the metrics of the gossip.
 func (f *fleet) registerMetrics(m *metrics.Registry) {
 	if f == nil {
 		return
@@ -136,7 +137,7 @@
 		"observations_origins":        func(c gossip.Counts) int64 { return c.State.Origins },
 		"observations_cells":          func(c gossip.Counts) int64 { return c.State.StoredCells },
 	})
-	gauges(m, f.listSpread, map[string]func(nodestats.ListSpread) int64{
+	gauges(m, f.currentListSpread, map[string]func(nodestats.ListSpread) int64{
 		"peers_list_oldest_version":   func(l nodestats.ListSpread) int64 { return l.Oldest },
 		"peers_list_newest_version":   func(l nodestats.ListSpread) int64 { return l.Newest },
 		"peers_list_processes":        func(l nodestats.ListSpread) int64 { return int64(l.Processes) },
@@ -144,14 +145,14 @@
 	})
 }
 
-// listSpread is how the list versions of the processes differed in the last round.
-func (f *fleet) listSpread() nodestats.ListSpread {
+// currentListSpread returns how the list versions of the processes differed in the last gossip round.
+func (f *fleet) currentListSpread() nodestats.ListSpread {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.versions
+	return f.listSpread
 }
 
-// peerKey reads the key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. Without a file there is no key.
+// peerKey reads the encryption key of the gossip protocol: 16, 24 or 32 bytes in hexadecimal. Without a file there is no key.
 func peerKey(file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
@@ -162,7 +163,7 @@
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if n := len(key); err == nil && n != 16 && n != 24 && n != 32 {
-		err = fmt.Errorf("%d bytes", n)
+		err = fmt.Errorf("key has %d bytes, want 16, 24 or 32", n)
 	}
 	if err != nil {
 		return nil, &gossip.KeyError{File: file, Err: err}
@@ -170,7 +171,8 @@
 	return key, nil
 }
 
-// outcomeOf maps the status of an attempt to its outcome at the node; false: it has none, as when it was cancelled.
+// outcomeOf maps the status of an attempt to its outcome at the node; false: there is none, for example because the attempt
+// was cancelled.
 func outcomeOf(s policy.Status) (nodestats.Outcome, bool) {
 	switch s {
 	case policy.OK:
@@ -185,14 +187,14 @@
 	return 0, false
 }
 
-// observer is what the core calls at the end of each attempt; nil: nothing is shared.
+// observer returns the function that the core calls at the end of each attempt; nil: nothing is shared.
 func (f *fleet) observer() func(string, int64, string, float64, float64, policy.Status) {
 	if f == nil {
 		return nil
 	}
-	return func(node string, since int64, class string, units, latencyMs float64, status policy.Status) {
+	return func(node string, startTime int64, class string, units, latencyMs float64, status policy.Status) {
 		if outcome, ok := outcomeOf(status); ok {
-			f.cluster.Observe(nodestats.Key{Node: node, StartTime: since, Class: class}, units, latencyMs, outcome)
+			f.cluster.Observe(nodestats.Key{Node: node, StartTime: startTime, Class: class}, units, latencyMs, outcome)
 		}
 	}
 }
@@ -214,12 +216,12 @@
 		if n.State == policy.NodeRemoved {
 			delete(f.nodes, n.ID)
 		} else {
-			f.nodes[n.ID] = listedNode{n.Node, f.types.Of(n.ID)}
+			f.nodes[n.ID] = listedNode{n.Node, f.hardwareTypes.Of(n.ID)}
 		}
 	}
 }
 
-// setCore sets the core whose node statuses are shared from then on.
+// setCore sets the core whose node statuses are shared.
 func (f *fleet) setCore(co *core.Core) {
 	if f != nil {
 		f.mu.Lock()
@@ -228,8 +230,8 @@
 	}
 }
 
-// addReports adds the listed nodes and their health to the shared state, before each round. If the core does not answer in
-// time, its last statuses count. A status of an earlier run of a node does not count.
+// addReports adds the listed nodes and their health to the shared state before each gossip round. If the core does not
+// answer in time, its last known statuses are used. A status from before a node's current start is ignored.
 func (f *fleet) addReports(now time.Duration, state *nodestats.State) {
 	f.starter.addPeerReports(now, state)
 	f.mu.Lock()
@@ -242,7 +244,7 @@
 	if f.listIndex != 0 {
 		state.SetListVersion(now, f.listIndex)
 	}
-	f.versions = state.ListSpread(now, members)
+	f.listSpread = state.ListSpread(now, members)
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		n := f.nodes[id]
 		warmingUp := n.StartTime > 0 && float64(time.Now().UnixMilli())-n.StartTime < f.slowStartMs
@@ -259,7 +261,7 @@
 	if co == nil {
 		return
 	}
-	all, ok := co.NodeStatuses(f.maxNodes, statusTimeout)
+	all, ok := co.NodeStatuses(f.maxNodes, nodeStatusTimeout)
 	if !ok {
 		return
 	}
--- a/cmd/wheatsaddle/gather.go
+++ b/cmd/wheatsaddle/gather.go
@@ -11,18 +11,19 @@
 	"wheatsaddle/internal/scattergather"
 )
 
-// gatherer sets the front's service of gathered reads, and a new one when the site's file or the settings change.
+// gatherer provides the front with its service for gathered reads, and replaces it when the site's file or the settings
+// change.
 type gatherer struct {
-	core    *core.Core
-	front   *httpfront.Server
-	views   viewSource      // nil: nothing is shared
-	members func() []string // names of the processes that are up; nil: nothing is shared
-	log     logrus.FieldLogger
-	reads   scattergather.Gate  // limits concurrent gathered reads
-	tally   scattergather.Tally // counts of all trees
+	core               *core.Core
+	front              *httpfront.Server
+	views              viewSource      // nil: nothing is shared
+	members            func() []string // names of the processes that are up; nil: nothing is shared
+	log                logrus.FieldLogger
+	readLimiter        scattergather.Gate  // limits the number of concurrent gathered reads
+	delegationCounters scattergather.Tally // of all delegators
 
-	tree         scattergather.Grouper // nil: this process requests each part itself
-	treeSettings *config.SiteTree      // the settings of tree
+	delegator         scattergather.Grouper // nil: this process requests each part itself
+	delegatorSettings *config.SiteTree      // the settings of tree
 }
 
 // gatherRules returns the section's rules by class, checked against the configuration.
@@ -30,7 +31,7 @@
 	if err := set.Check(conf.Settings, conf.MemoryMB); err != nil {
 		return nil, err
 	}
-	safe, rules := idempotentClasses(conf.Settings), map[string]scattergather.Rules{}
+	idempotent, rules := idempotentClasses(conf.Settings), map[string]scattergather.Rules{}
 	for class, merge := range set.Rules {
 		rules[class] = scattergather.Rules{
 			Merge:  merge,
@@ -38,15 +39,16 @@
 			AtOnce: set.MaxConcurrentParts,
 			Again:  set.MaxRetries,
 			Silent: set.SilenceTimeout,
-			Safe:   safe[class],
+			Safe:   idempotent[class],
 		}
 	}
 	return rules, nil
 }
 
-// apply turns gathered reads on according to the section, or off without it. An error changes nothing.
-func (g *gatherer) apply(at *config.Site, conf *config.Config) error {
-	set := at.Gather
+// apply enables gathered reads with the section's settings, or disables them if there is no section. On an error nothing
+// changes.
+func (g *gatherer) apply(siteSettings *config.Site, conf *config.Config) error {
+	set := siteSettings.Gather
 	if set == nil {
 		g.front.SetScatterGather(nil)
 		return nil
@@ -55,64 +57,64 @@
 	if err != nil {
 		return err
 	}
-	tree, err := g.openTree(set.Tree, conf)
+	tree, err := g.openDelegator(set.Tree, conf)
 	if err != nil {
 		return err
 	}
-	g.tree, g.treeSettings = tree, set.Tree
+	g.delegator, g.delegatorSettings = tree, set.Tree
 	service := &scattergather.Service{
 		Core:      g.core,
 		Classes:   classes,
 		Shards:    g.core.Shards,
-		Tree:      g.tree,
+		Tree:      g.delegator,
 		Units:     set.PartUnits,
 		PartMost:  set.MaxPartBytes,
 		PartsMost: set.MaxParts,
-		Reads:     &g.reads,
+		Reads:     &g.readLimiter,
 		TokenKey:  set.TokenKey,
 		Payload:   httpfront.PartPayload,
 		Body:      httpfront.PartBody,
 	}
-	if at.Estimate != nil && g.views != nil {
-		service.Expect = newExpectation(at.Estimate, conf, g.views).of
+	if siteSettings.Estimate != nil && g.views != nil {
+		service.Expect = newPartDurationEstimator(siteSettings.Estimate, conf, g.views).expectedMillis
 	}
-	g.reads.Set(set.MaxConcurrentReads)
+	g.readLimiter.Set(set.MaxConcurrentReads)
 	g.front.SetScatterGather(service)
 	return nil
 }
 
-// reload applies a section that was read again. If it is invalid, the error is logged and the previous one remains.
-func (g *gatherer) reload(at *config.Site, conf *config.Config) {
-	if err := g.apply(at, conf); err != nil {
+// reload applies a section that was read again. If it is invalid, the error is logged and the previous one remains in effect.
+func (g *gatherer) reload(siteSettings *config.Site, conf *config.Config) {
+	if err := g.apply(siteSettings, conf); err != nil {
 		g.log.WithFields(operr.Fields(err)).Error("reload of section gather failed, the previous one remains in effect")
 	}
 }
 
 // checkGather returns an error if the section is invalid, for check-config.
-func checkGather(at *config.Site, conf *config.Config) error {
-	if at.Gather == nil {
+func checkGather(siteSettings *config.Site, conf *config.Config) error {
+	if siteSettings.Gather == nil {
 		return nil
 	}
-	if err := checkGatherPeers(at.Gather.Tree, conf); err != nil {
+	if err := checkGatherPeers(siteSettings.Gather.Tree, conf); err != nil {
 		return err
 	}
-	_, err := gatherRules(at.Gather, conf)
+	_, err := gatherRules(siteSettings.Gather, conf)
 	return err
 }
 
-func startGather(at *site, conf *config.Config, co *core.Core, front *httpfront.Server, peers *fleet) (*gatherer, error) {
-	g := &gatherer{core: co, front: front, views: peers.views(), members: peers.members(), log: at.log}
-	g.registerMetrics(at.meter)
-	if err := g.apply(at.current, conf); err != nil {
+func startGather(siteFile *site, conf *config.Config, co *core.Core, front *httpfront.Server, peers *fleet) (*gatherer, error) {
+	g := &gatherer{core: co, front: front, views: peers.views(), members: peers.members(), log: siteFile.log}
+	g.registerMetrics(siteFile.meter)
+	if err := g.apply(siteFile.current, conf); err != nil {
 		return nil, err
 	}
 	return g, nil
 }
 
-// registerMetrics registers the counts of gathered reads.
+// registerMetrics registers the metrics of gathered reads.
 func (g *gatherer) registerMetrics(m *metrics.Registry) {
-	m.Gauge(func() float64 { return float64(g.reads.In()) }, "gather_reads")
-	gauges(m, g.tally.Counts, map[string]func(scattergather.TreeCounts) int{
+	m.Gauge(func() float64 { return float64(g.readLimiter.In()) }, "gather_reads")
+	gauges(m, g.delegationCounters.Counts, map[string]func(scattergather.TreeCounts) int{
 		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
 		"gather_tree_groups":      func(c scattergather.TreeCounts) int { return c.Groups },
 		"gather_tree_taken_over":  func(c scattergather.TreeCounts) int { return c.TakenOver },
@@ -124,6 +126,6 @@
 		"gather_tree_connections": func(c scattergather.TreeCounts) int { return c.Connected },
 	})
 	for _, code := range scattergather.Codes {
-		m.Gauge(func() float64 { return float64(g.tally.Failures(code)) }, "gather_tree_failures", "code", code)
+		m.Gauge(func() float64 { return float64(g.delegationCounters.Failures(code)) }, "gather_tree_failures", "code", code)
 	}
 }
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -140,11 +140,11 @@
 			Sums: nodestats.Sums{N: 50, X: 50, Y: 50 * ms, XX: 50, XY: 50 * ms, YY: 50 * ms * ms}}
 	}
 	known := []nodestats.View{view(0, 5), view(1, 80), view(2, 10)}
-	x := newExpectation(held.Estimate, conf, func() []nodestats.View { return known })
-	if got := x.of("read", []int{0, 1, 2}); len(got) != 3 || !(got[1] > got[2] && got[2] > got[0]) {
+	x := newPartDurationEstimator(held.Estimate, conf, func() []nodestats.View { return known })
+	if got := x.expectedMillis("read", []int{0, 1, 2}); len(got) != 3 || !(got[1] > got[2] && got[2] > got[0]) {
 		t.Error(got)
 	}
-	if got := newExpectation(held.Estimate, conf, func() []nodestats.View { return nil }).of("read", []int{0}); got != nil {
+	if got := newPartDurationEstimator(held.Estimate, conf, func() []nodestats.View { return nil }).expectedMillis("read", []int{0}); got != nil {
 		t.Error(got)
 	}
 }
--- a/cmd/wheatsaddle/handover.go
+++ b/cmd/wheatsaddle/handover.go
@@ -20,15 +20,15 @@
 	LockPollInterval: 5 * time.Millisecond,   // between attempts to lock
 	SweepInterval:    connectionPollInterval, // between sweeps of the connections
 	IdleTimeout:      500 * time.Millisecond, // after which a sweep closes a connection
-	WarnAfter:        10 * time.Second,       // of waiting for the lock; logged once
+	WarnAfter:        10 * time.Second,       // waiting time for the lock after which one warning is logged
 }
 
-const notifyTimeout = 200 * time.Millisecond // for the policy's confirmation of the handover
+const notifyTimeout = 200 * time.Millisecond // for the core to confirm the handover
 
 // passedSocket drives the handover of a passed clients' socket between processes: it feeds events to handover.Machine and
-// carries out its actions. It has no rule of its own. nil: this process has bound the socket.
+// executes its actions. All decisions are made by handover. A nil passedSocket means that this process bound the socket.
 type passedSocket struct {
-	gate            *transport.AcceptGate // holds accepts back
+	gate            *transport.AcceptGate // blocks accepts until it is opened
 	lock            *transport.AcceptLock // held by the process that accepts
 	machine         *handover.Machine
 	core            *core.Core
@@ -56,7 +56,7 @@
 	}
 }
 
-// acceptGate returns the gate that holds accepts back; nil: there is none.
+// acceptGate returns the gate that blocks accepts; nil: there is none.
 func (s *passedSocket) acceptGate() *transport.AcceptGate {
 	if s == nil {
 		return nil
@@ -72,7 +72,7 @@
 	}
 }
 
-// handOver hands the socket to the next process. It returns when no connection is open or the deadline has come.
+// handOver hands the socket over to the next process. It returns when no connection is open or the deadline has passed.
 func (s *passedSocket) handOver(deadline time.Time) {
 	if s != nil {
 		s.termination <- deadline.Sub(s.startedAt)
@@ -80,7 +80,7 @@
 	}
 }
 
-// loop feeds the state machine until it has ended.
+// loop feeds events to the state machine until it has ended.
 func (s *passedSocket) loop() {
 	defer close(s.done)
 	s.feed(handover.Event{Kind: handover.Started})
@@ -99,17 +99,17 @@
 
 func (s *passedSocket) now() time.Duration { return time.Since(s.startedAt) }
 
-// feed gives the state machine an event, and then those that its actions cause.
+// feed passes an event to the state machine, and then the events that its actions cause.
 func (s *passedSocket) feed(e handover.Event) {
 	for events := []handover.Event{e}; len(events) > 0; events = events[1:] {
 		for _, a := range s.machine.Step(s.now(), events[0]) {
-			events = append(events, s.carryOut(a)...)
+			events = append(events, s.execute(a)...)
 		}
 	}
 }
 
-// carryOut carries out an action and returns the events that it causes.
-func (s *passedSocket) carryOut(a handover.Action) []handover.Event {
+// execute executes an action and returns the events that it causes.
+func (s *passedSocket) execute(a handover.Action) []handover.Event {
 	event := func(k handover.EventKind, n int) []handover.Event {
 		return []handover.Event{{Kind: k, OpenConnections: n}}
 	}
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -29,22 +29,22 @@
 	}
 	(*passedSocket)(nil).run(nil, nil)
 	s := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
-	s.carryOut(handover.Action{Kind: handover.WarnLongWait})
+	s.execute(handover.Action{Kind: handover.WarnLongWait})
 	if e := hook.LastEntry(); e == nil || e.Data["code"] != "handover-waits" || e.Data["advice"] == nil {
 		t.Errorf("%+v", e)
 	}
-	if got := s.carryOut(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
+	if got := s.execute(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
 		t.Errorf("%+v", got)
 	}
 	other := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
-	if got := other.carryOut(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
+	if got := other.execute(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
 		t.Errorf("%+v", got)
 	}
-	s.carryOut(handover.Action{Kind: handover.ReleaseLock})
-	if got := other.carryOut(handover.Action{Kind: handover.TryLock}); got[0].Kind != handover.LockAcquired {
+	s.execute(handover.Action{Kind: handover.ReleaseLock})
+	if got := other.execute(handover.Action{Kind: handover.TryLock}); got[0].Kind != handover.LockAcquired {
 		t.Errorf("%+v", got)
 	}
-	other.carryOut(handover.Action{Kind: handover.ReleaseLock})
+	other.execute(handover.Action{Kind: handover.ReleaseLock})
 }
 
 // Nothing is accepted before the lock is held, and nothing after SIGTERM; open connections are answered and closed.
@@ -67,13 +67,13 @@
 	br := bufio.NewReader(nc)
 	for _, closes := range []bool{false, true} {
 		if closes {
-			s.carryOut(handover.Action{Kind: handover.CloseListener})
+			s.execute(handover.Action{Kind: handover.CloseListener})
 			if late, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 				late.Close()
 				t.Error("it accepts on")
 			}
 		} else {
-			s.carryOut(handover.Action{Kind: handover.Accept})
+			s.execute(handover.Action{Kind: handover.Accept})
 		}
 		fmt.Fprint(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		var r fasthttp.Response
--- a/cmd/wheatsaddle/iscsi.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -14,8 +14,8 @@
 	"wheatsaddle/policy"
 )
 
-// iscsiFront is the iSCSI front. It has a core of its own, since its storage targets are not nodes of the platform: a new
-// object of the platform must never be placed on one. nil: the front is off.
+// iscsiFront is the iSCSI front. It has its own core, because its storage targets are not nodes of the platform: no new
+// object of the platform may ever be placed on one of them. A nil iscsiFront means that the front is off.
 type iscsiFront struct {
 	file    string
 	dialer  *iscsi.Dialer
@@ -25,14 +25,14 @@
 }
 
 // startISCSI reads the mapping file and serves the iSCSI front.
-func startISCSI(file string, conf *config.Config, at *site, log logrus.FieldLogger) (*iscsiFront, error) {
+func startISCSI(file string, conf *config.Config, siteFile *site, log logrus.FieldLogger) (*iscsiFront, error) {
 	mapping, err := config.LoadISCSI(file, conf.Settings)
 	if err != nil {
 		return nil, err
 	}
 	dialer := iscsi.NewDialer(mapping, mapping.Initiator+conf.Name, milliseconds(conf.ConnectTimeout), log)
-	at.iscsi = dialer
-	at.apply()
+	siteFile.iscsi = dialer
+	siteFile.apply()
 	set := iscsi.Settings(conf.Settings, mapping)
 	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.Connect, Log: log})
 	if err != nil {
@@ -45,7 +45,7 @@
 		co.Stop()
 		return nil, fmt.Errorf("iscsi: listen: %w", err)
 	}
-	if ln, err = at.listen("iscsi", ln, nil); err != nil {
+	if ln, err = siteFile.listen("iscsi", ln, nil); err != nil {
 		co.Stop()
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 	return f, nil
 }
 
-// reload reads the storage targets again. A target that is not listed any more gets no new requests.
+// reload reads the storage targets again. A target that is no longer listed gets no new requests.
 func (f *iscsiFront) reload(conf *config.Config, log logrus.FieldLogger) {
 	if f == nil {
 		return
@@ -79,7 +79,7 @@
 	f.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: iscsi.Nodes(mapping)})
 }
 
-// shutdown ends the sessions; it returns at the end of ctx at the latest.
+// shutdown ends the sessions. It returns when ctx ends at the latest.
 func (f *iscsiFront) shutdown(ctx context.Context) {
 	if f != nil {
 		f.target.Shutdown(ctx)
--- a/cmd/wheatsaddle/limits.go
+++ b/cmd/wheatsaddle/limits.go
@@ -16,15 +16,15 @@
 const (
 	reservedDescriptors = 32 // for the listeners, discovery and the runtime
 
-	// Parts of the descriptors that are not reserved.
+	// Shares of the descriptors that are not reserved.
 	clientDescriptorShare = 0.5 // for clients' connections; the others are for nodes
-	nodeDescriptorDivisor = 4   // nodes have at least this fraction
+	nodeDescriptorDivisor = 4   // at least 1/nodeDescriptorDivisor is for nodes
 
-	// Clients' connections with open requests hold at most this fraction of all descriptors.
+	// Clients' connections with open requests use at most 1/openRequestDivisor of all descriptors.
 	openRequestDivisor = 3
 
-	bodyMemoryDivisor = 4   // fraction of the memory for bodies over 64 KiB
-	memoryLimitShare  = 0.6 // of the platform's memory limit: the soft limit of the garbage collector
+	bodyMemoryDivisor = 4   // bodies over 64 KiB use at most 1/bodyMemoryDivisor of the memory
+	memoryLimitShare  = 0.6 // the garbage collector's soft limit, as a share of the platform's memory limit
 )
 
 // applyLimits sets the runtime's number of threads and its soft memory limit.
@@ -33,12 +33,12 @@
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(conf.MemoryMB) * mebibyte))
 }
 
-// bodyMemory is the number of bytes that bodies over 64 KiB may hold together.
+// bodyMemory returns the maximum number of bytes that bodies over 64 KiB may use in total.
 func bodyMemory(conf *config.Config) int64 {
 	return int64(conf.MemoryMB) * mebibyte / bodyMemoryDivisor
 }
 
-// descriptorLimit is the lower of the configured number of descriptors and the process's own limit.
+// descriptorLimit returns the lower of the configured number of descriptors and the process's own limit.
 func descriptorLimit(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(configured) {
@@ -47,8 +47,8 @@
 	return configured
 }
 
-// clientConns is the number of unreserved descriptors for clients: half, and at least what clients with open requests may
-// hold, as long as a quarter remains for the nodes.
+// clientConns returns the number of unreserved descriptors for clients: half of them, and at least the number that clients
+// with open requests may use, provided that a quarter remains for the nodes.
 func clientConns(unreserved, all int) int {
 	share := int(clientDescriptorShare * float64(unreserved))
 	openRequests := all/openRequestDivisor + 1
@@ -56,12 +56,12 @@
 	return max(1, min(max(share, openRequests), limit))
 }
 
-// milliseconds converts a setting in milliseconds.
+// milliseconds converts a setting in milliseconds to a duration.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// minLatencyObjective is the shortest latency objective of the classes.
+// minLatencyObjective returns the shortest latency objective of the classes.
 func minLatencyObjective(set policy.Settings) time.Duration {
 	shortest := math.Inf(1)
 	for _, class := range set.Classes {
--- a/cmd/wheatsaddle/main.go
+++ b/cmd/wheatsaddle/main.go
@@ -17,7 +17,7 @@
 func main() {
 	flags := []cli.Flag{
 		&cli.StringFlag{Name: "iscsi", Usage: "also serve the iSCSI front that `FILE` describes"},
-		&cli.StringFlag{Name: "site", Usage: "turn on what the installation has, as `FILE` says"},
+		&cli.StringFlag{Name: "site", Usage: "enable the features that the site's `FILE` configures"},
 	}
 	app := &cli.App{
 		Name: "wheatsaddle", Usage: "I/O scheduler in front of storage nodes",
@@ -25,7 +25,7 @@
 		Commands: []*cli.Command{
 			{Name: "serve", Usage: "serve clients until SIGTERM (also without a sub-command)", Action: serve, Flags: flags},
 			{Name: "version", Usage: "print the version", Action: printVersion},
-			{Name: "check-config", Usage: "read the configuration and name what is wrong with it", ArgsUsage: "[FILE]", Action: checkConfig, Flags: flags},
+			{Name: "check-config", Usage: "check the configuration and report its first error", ArgsUsage: "[FILE]", Action: checkConfig, Flags: flags},
 			{Name: "schema", Usage: "print the JSON Schema of the site's file, or of plans", Action: printSchema, Flags: []cli.Flag{
 				&cli.StringFlag{Name: "of", Value: "site", Usage: "site or plans"},
 			}},
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -199,7 +199,7 @@
 		if err := os.WriteFile(file, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, taken := (&reloader{env: env, move: move, reconfigure: retune, log: log}).reload(context.Background(), held); taken || got != held || moved != "" || held.MemoryMB != before {
+		if got, taken := (&reloader{env: env, setDiscoveryAddress: move, reconfigure: retune, log: log}).reload(context.Background(), held); taken || got != held || moved != "" || held.MemoryMB != before {
 			t.Errorf("%s took effect: moved %q", x.to, moved)
 		}
 		if e := hook.LastEntry(); e == nil || e.Data["code"] == nil || e.Data["advice"] == nil || !strings.Contains(fmt.Sprint(e.Data["error"]), x.says) {
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	hook.Reset()
-	got, taken := (&reloader{env: env, move: move, reconfigure: retune, log: log}).reload(context.Background(), held)
+	got, taken := (&reloader{env: env, setDiscoveryAddress: move, reconfigure: retune, log: log}).reload(context.Background(), held)
 	if !taken || moved == "" || moved == "127.0.0.1:1" || got.Discovery != moved || got.MemoryMB != 128 || got.Sockets != 256 {
 		t.Errorf("moved to %q, %+v", moved, got)
 	}
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -14,15 +14,15 @@
 
 // reloader applies a changed configuration file to the running daemon.
 type reloader struct {
-	env         func(string) string
-	move        func(ctx context.Context, discovery string) bool // directs the watch; false: ctx has ended
-	reconfigure func(policy.Settings) error                      // applies all settings or none
-	log         logrus.FieldLogger
+	env                 func(string) string
+	setDiscoveryAddress func(ctx context.Context, discovery string) bool // redirects the watch; false: ctx has ended
+	reconfigure         func(policy.Settings) error                      // applies all settings or none
+	log                 logrus.FieldLogger
 }
 
 // reload reads the configuration again. It returns the configuration that applies from now on, and whether the file was
-// accepted. The file is checked as a whole before any of it applies; an invalid one changes nothing. New settings
-// are applied first: nothing else of the file can be rejected after that.
+// accepted. The file is checked completely before any of it is applied; an invalid one changes nothing. New settings are
+// applied first, because nothing else in the file can be rejected after that.
 func (r *reloader) reload(ctx context.Context, current *config.Config) (*config.Config, bool) {
 	loaded, err := rereadConfig(current, r.env)
 	next := *current
@@ -33,11 +33,11 @@
 		r.log.WithFields(operr.Fields(err)).Error("reload of the configuration failed, the previous one remains in effect")
 		return current, false
 	}
-	if changed := strings.Join(restartKeys(current, loaded), " "); changed != "" {
+	if changed := strings.Join(changedRestartKeys(current, loaded), " "); changed != "" {
 		r.log.WithFields(operr.Fields(&config.RestartError{Keys: changed})).WithField("keys", changed).Warn("changed keys need a restart")
 	}
 	next.Discovery, next.Cores, next.MemoryMB = loaded.Discovery, loaded.Cores, loaded.MemoryMB
-	if !r.move(ctx, next.Discovery) { // the service ends
+	if !r.setDiscoveryAddress(ctx, next.Discovery) { // the service is ending
 		return &next, true
 	}
 	applyLimits(&next)
@@ -45,7 +45,7 @@
 	return &next, true
 }
 
-// applySettings applies the settings if they have changed, and notes them in next.
+// applySettings applies the settings if they have changed, and stores them in next.
 func (r *reloader) applySettings(next, loaded *config.Config) error {
 	if reflect.DeepEqual(next.Settings, loaded.Settings) {
 		return nil
@@ -58,13 +58,13 @@
 	return nil
 }
 
-// rereadConfig reads the configuration and checks it as a whole.
+// rereadConfig reads the configuration and checks it completely.
 func rereadConfig(current *config.Config, env func(string) string) (*config.Config, error) {
 	conf, err := config.Reload(env)
 	if err != nil {
 		return nil, err
 	}
-	if err := config.Missing(current, conf); err != nil {
+	if err := config.CheckRemovedKeys(current, conf); err != nil {
 		return nil, err
 	}
 	if _, err := decodeCachedList(conf); err != nil {
@@ -76,7 +76,7 @@
 	return conf, nil
 }
 
-// classNames are the names of the classes, for the log.
+// classNames returns the names of the classes for the log.
 func classNames(set policy.Settings) string {
 	var all []string
 	for _, class := range set.Classes {
@@ -85,9 +85,9 @@
 	return strings.Join(all, " ")
 }
 
-// restartKeys names the changed keys that only a restart applies. The seed and the cached endpoint list count only at the
-// start and are left out.
-func restartKeys(current, loaded *config.Config) (keys []string) {
+// changedRestartKeys returns the changed keys that take effect only after a restart. The seed and the cached endpoint list
+// are left out, because they are used only at the start.
+func changedRestartKeys(current, loaded *config.Config) (keys []string) {
 	for _, key := range []struct {
 		name     string
 		old, new any
@@ -96,7 +96,7 @@
 		{"listen", current.Listen, loaded.Listen},
 		{"limits.sockets", current.Sockets, loaded.Sockets},
 		{"settings.membership-mode", current.ListMode, loaded.ListMode},
-		{"settings.rules.ask-within", current.Settings.PollWithin, loaded.Settings.PollWithin}, // the watch keeps its first value
+		{"settings.rules.ask-within", current.Settings.PollWithin, loaded.Settings.PollWithin}, // the watch continues with its initial value
 		{"settings.prices.handshake", current.HandshakePrice, loaded.HandshakePrice},
 		{"settings.ceilings", []any{current.ConnIdle, current.ConnectTimeout, current.MaxOpenRequests}, []any{loaded.ConnIdle, loaded.ConnectTimeout, loaded.MaxOpenRequests}},
 	} {
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -43,7 +43,7 @@
 	}{{errors.New("no"), "retune "}, {nil, "retune move "}} {
 		order = ""
 		retune := func(policy.Settings) error { order += "retune "; return x.err }
-		got, taken := (&reloader{env: env, move: move, reconfigure: retune, log: log}).reload(context.Background(), held)
+		got, taken := (&reloader{env: env, setDiscoveryAddress: move, reconfigure: retune, log: log}).reload(context.Background(), held)
 		if order != x.order || taken != (x.err == nil) {
 			t.Errorf("%v: %s, taken %v", x.err, order, taken)
 		}
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		co, err := core.New(core.Options{Settings: begin.settings(set), Log: log})
+		co, err := core.New(core.Options{Settings: begin.reduceSlowStart(set), Log: log})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 func TestRestartKeys(t *testing.T) {
 	held, next := &config.Config{}, &config.Config{ListMode: "ask", HandshakePrice: 1}
 	next.Settings.PollWithin = 1
-	if keys := fmt.Sprint(restartKeys(held, next)); keys != "[settings.membership-mode settings.rules.ask-within settings.prices.handshake]" {
+	if keys := fmt.Sprint(changedRestartKeys(held, next)); keys != "[settings.membership-mode settings.rules.ask-within settings.prices.handshake]" {
 		t.Error(keys)
 	}
 }
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -23,9 +23,9 @@
 
 // service is one run of the daemon, from its arguments to its exit.
 //
-// The steps of start, and then open, set the fields from top to bottom, each from those above it. Afterwards only
-// listReceived and serving change. What a step acquires it registers with onClose; close releases it in reverse order on
-// every return of serve.
+// The steps of start, and then serveClients, set the fields from top to bottom, each from those above it. Afterwards only
+// listReceived and serving change. Each step registers the resources that it acquires with onClose; close releases them in
+// reverse order whenever serve returns.
 type service struct {
 	flags       *cli.Context
 	log         logrus.FieldLogger
@@ -33,7 +33,7 @@
 	termination *termination   // SIGTERM or interrupt
 	closers     []func()
 
-	conf       *config.Config // as at the start; reloadOnHangup has the current one
+	conf       *config.Config // as of the start; reloadOnHangup has the current one
 	cachedList discovery.List // the configuration's endpoint list, until discovery answers
 	site       *site
 	iscsi      *iscsiFront // nil: no iSCSI front
@@ -44,9 +44,9 @@
 	starter    *starter // nil: the site's file has no section start
 	fleet      *fleet   // nil: the site's file has no section peers
 	core       *core.Core
-	exclusions *exclusionKeeper
+	exclusions *exclusionSyncer
 
-	ctx          context.Context // of the goroutines that end with the service
+	ctx          context.Context // cancelled when the service ends
 	watcher      *discovery.Watcher
 	watchStarted time.Time
 	listReceived atomic.Bool // discovery has answered
@@ -54,8 +54,8 @@
 	front      *httpfront.Server
 	socket     *passedSocket // nil: the clients' socket was bound by this process
 	gather     *gatherer
-	frontEnded chan error  // receives the front's error if it ends by itself
-	serving    atomic.Bool // the clients' listener is served
+	frontEnded chan error  // receives the front's error if it fails
+	serving    atomic.Bool // the clients' listener is being served
 }
 
 // serve is the command serve. It returns nil after a shutdown by a signal.
@@ -65,11 +65,11 @@
 	if err := s.start(); err != nil {
 		return err
 	}
-	if s.termination.wasReceived() { // no connection of a client was accepted
+	if s.termination.wasReceived() { // no client connection has been accepted yet
 		s.log.Info("stopped before serving")
 		return nil
 	}
-	if err := s.open(); err != nil {
+	if err := s.serveClients(); err != nil {
 		return err
 	}
 	go s.reloadOnHangup()
@@ -96,14 +96,14 @@
 
 func (s *service) onClose(release func()) { s.closers = append(s.closers, release) }
 
-// close releases what the steps acquired, the last first.
+// close releases the resources that the steps acquired, the last one first.
 func (s *service) close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
 	}
 }
 
-// start does everything that precedes the clients' socket.
+// start runs every step that precedes opening the clients' socket.
 func (s *service) start() error {
 	for _, step := range []func() error{
 		s.readConfig,
@@ -120,20 +120,20 @@
 	return nil
 }
 
-// ready is the readiness probe: the clients' socket is served, and discovery has answered or maxListWait has passed. With
-// the section start of the site's file, the starter decides instead of the second condition.
+// ready reports readiness: the clients' socket is being served, and discovery has answered or maxListWait has passed. With
+// the section start of the site's file, the starter decides in place of the second condition.
 func (s *service) ready() bool {
 	return s.serving.Load() && s.starter.isReady(s.listReceived.Load() || time.Since(s.watchStarted) > maxListWait)
 }
 
-// reloadOnHangup reloads the files at each SIGHUP until the service ends. It continues during the shutdown: open requests
-// still need the endpoint list.
+// reloadOnHangup reloads the files at each SIGHUP until the service ends. It continues during the shutdown, because open
+// requests still need the current endpoint list.
 func (s *service) reloadOnHangup() {
 	configuration := &reloader{
-		env:         os.Getenv,
-		move:        s.watcher.SetAddress,
-		reconfigure: s.starter.reconfigure(s.core),
-		log:         s.log,
+		env:                 os.Getenv,
+		setDiscoveryAddress: s.watcher.SetAddress,
+		reconfigure:         s.starter.reconfigure(s.core),
+		log:                 s.log,
 	}
 	for current := s.conf; ; {
 		select {
@@ -150,8 +150,8 @@
 	}
 }
 
-// terminate shuts the service down, from the signal to the last answer. The process is not ready from now on, so that
-// clients go to another one.
+// terminate shuts the service down gracefully, from the signal to the last response. The process reports that it is not
+// ready, so that clients use another one.
 func (s *service) terminate() {
 	s.serving.Store(false)
 	shutdown := newShutdown(s.termination.sentAt, s.core.Settings().Settings)
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -19,14 +19,14 @@
 	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
 
 	// Times before SIGKILL.
-	closeMargin  = 400 * time.Millisecond // connections close between requests
-	answerMargin = 200 * time.Millisecond // open requests get their final answers
+	closeMargin  = 400 * time.Millisecond // connections are closed between requests
+	answerMargin = 200 * time.Millisecond // open requests get their final responses
 	exitMargin   = 100 * time.Millisecond // the process exits
 
 	connectionPollInterval = 20 * time.Millisecond // between checks of the open connections
 )
 
-// gracePeriod is the least time from SIGTERM to SIGKILL, which follows from the deadlines of the classes.
+// gracePeriod returns the minimum time from SIGTERM to SIGKILL, which depends on the deadlines of the classes.
 func gracePeriod(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range set.Classes {
@@ -35,10 +35,10 @@
 	return min(longest, maxCountedDeadline) + killDelay
 }
 
-// shutdown takes the process from SIGTERM to its exit, in the steps of run. All times count from the signal.
+// shutdown shuts the process down after SIGTERM, in the steps of run. All times count from the signal.
 type shutdown struct {
-	signalSentAt time.Time // at the earliest
-	killAt       time.Time // when SIGKILL comes, at the earliest
+	signalSentAt time.Time // the earliest time at which the signal can have been sent
+	killAt       time.Time // the earliest time at which SIGKILL can be sent
 	core         *core.Core
 	front        *httpfront.Server
 	iscsi        *iscsiFront
@@ -47,31 +47,31 @@
 	log          logrus.FieldLogger
 }
 
-// newShutdown computes the grace period from the settings at the signal, which may not be those of the start.
+// newShutdown computes the grace period from the settings at the time of the signal, which a reload may have changed.
 func newShutdown(signalSentAt time.Time, set policy.Settings) *shutdown {
 	return &shutdown{signalSentAt: signalSentAt, killAt: signalSentAt.Add(gracePeriod(set))}
 }
 
 func (s *shutdown) run() {
 	s.log.WithField("grace_ms", s.killAt.Sub(s.signalSentAt).Milliseconds()).Info("stopping")
-	go s.fleet.stop() // in parallel: it may take longer than the end of the shutdown has
+	go s.fleet.stop() // concurrently, because it may take longer than the rest of the shutdown
 	s.acceptLonger()
-	end, stop := context.WithDeadline(context.Background(), s.killAt.Add(-exitMargin))
-	defer stop()
-	blocksDone := make(chan struct{})
+	ctx, cancel := context.WithDeadline(context.Background(), s.killAt.Add(-exitMargin))
+	defer cancel()
+	iscsiDone := make(chan struct{})
 	go func() {
-		defer close(blocksDone)
-		s.iscsi.shutdown(end)
+		defer close(iscsiDone)
+		s.iscsi.shutdown(ctx)
 	}()
 	s.serve()
 	s.drain()
 	s.finish()
-	<-blocksDone
+	<-iscsiDone
 	s.log.Info("stopped")
 }
 
-// acceptLonger still accepts connections for a while, since clients learn of the shutdown late. A passed socket is released
-// to the next process at once.
+// acceptLonger keeps accepting connections for a while, since clients learn of the shutdown late. A passed socket is not
+// kept: it is released to the next process at once.
 func (s *shutdown) acceptLonger() {
 	if s.socket != nil {
 		return
@@ -82,20 +82,20 @@
 	time.Sleep(time.Until(s.signalSentAt.Add(maxAcceptDuration)))
 }
 
-// serve serves the open connections: clients use them while they are open, and until another process has started nobody
-// else serves these clients.
+// serve keeps serving the open connections. Clients use a connection as long as it is open, and until another process has
+// started no other process serves these clients.
 func (s *shutdown) serve() {
 	s.socket.handOver(s.killAt.Add(-closeMargin))
 	s.pollUntil(closeMargin, s.front.StopAccepting)
 }
 
-// drain closes each connection with its next answer, and those without a request at once.
+// drain closes each connection after its next response, and connections without a request at once.
 func (s *shutdown) drain() {
 	s.front.CloseAfterResponses()
 	s.pollUntil(answerMargin, s.closeIdle)
 }
 
-// finish answers the open requests, rejects new ones, and waits until the answers are written.
+// finish answers the open requests, rejects new ones, and waits until the responses are written.
 func (s *shutdown) finish() {
 	if s.closeIdle() == 0 {
 		return
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -16,13 +16,14 @@
 	"wheatsaddle/internal/transport"
 )
 
-// site holds the site's file: the features that the installation adds to the platform. Without the file all are off.
+// site holds the settings of the site's file, which configures features that the platform's configuration does not cover.
+// Without the file all of them are off.
 type site struct {
 	file    string
 	current *config.Site // as of the last valid read
 	routes  *httpfront.AddressConfig
 	iscsi   *iscsi.Dialer     // nil: no iSCSI front
-	meter   *metrics.Registry // nil: only the admin endpoint has counts
+	meter   *metrics.Registry // nil: counters are available only from the admin endpoint
 	log     logrus.FieldLogger
 }
 
@@ -43,7 +44,7 @@
 	return s, nil
 }
 
-// serveMetrics serves the section metrics. Other parts register their counts at s.meter, which may be nil.
+// serveMetrics starts the endpoint of the section metrics. Other parts register their metrics with s.meter, which may be nil.
 func (s *site) serveMetrics() error {
 	set := s.current.Metrics
 	if set == nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// apply applies the address rules of the nodes.
+// apply applies the section addresses to the connections to nodes.
 func (s *site) apply() {
 	set := s.current.Addresses
 	if set == nil {
@@ -81,7 +82,7 @@
 	return changed
 }
 
-// reload reads the file again and checks it as a whole before any of it applies. An invalid file changes nothing.
+// reload reads the file again and checks it completely before applying any of it. An invalid file changes nothing.
 func (s *site) reload() {
 	if s.file == "" {
 		return
@@ -111,7 +112,7 @@
 		ln, err := transport.Listen(l.Address, l.Mode)
 		if err != nil {
 			for _, open := range all {
-				_ = open.Close() // the error of the listen is the cause
+				_ = open.Close() // the listen error is the one to report
 			}
 			return nil, fmt.Errorf("site: listen.%s.%d: %w", front, i, err)
 		}
--- a/cmd/wheatsaddle/starter.go
+++ b/cmd/wheatsaddle/starter.go
@@ -21,12 +21,12 @@
 	"wheatsaddle/policy"
 )
 
-// starter drives the cold start of this process: it feeds events to coldstart.Startup and carries out its actions. It has
-// no rule of its own. nil: the site's file has no section start.
+// starter drives the cold start of this process: it feeds events to coldstart.Startup and executes its actions. All
+// decisions are made by coldstart. A nil starter means that the site's file has no section start.
 //
-// One mutex guards the state machine and its context. It is never held during a wait, since the core's actor calls in
-// here. Messages to the core keep the order in which they were decided: one goroutine sends them, and ends when none is
-// left.
+// One mutex guards the state machine and its context. The mutex is never held during a wait, since the core's actor calls
+// methods of the starter. Messages reach the core in the order in which they were decided: a single goroutine sends them
+// and ends when the queue is empty.
 type starter struct {
 	core          startCore
 	log           logrus.FieldLogger
@@ -37,28 +37,28 @@
 	listDue       chan struct{}      // the endpoint list is to be requested
 	stopping      chan struct{}      // closed by stop
 	snapshotsDone chan struct{}      // closed after the last snapshot
-	finished      atomic.Bool        // the cold start is over
+	finished      atomic.Bool        // the cold start has ended
 	reportedReady atomic.Bool        // the state machine has reported that it is ready
 	cancelRequest context.CancelFunc // of the request for a peer's snapshot; nil: none was made
 
-	// The clock.
+	// The clock and the timer, which tests replace.
 	now    func() time.Duration // since startedAt
 	wakeAt func(at time.Duration)
 
 	mu               sync.Mutex // guards the fields below
 	machine          *coldstart.Startup
-	listReceived     bool                          // the first update of the list is in the queue or at the core
-	learned          policy.Learned                // of the snapshot's classes
+	listReceived     bool                          // the first update of the list is queued or delivered to the core
+	learned          policy.Learned                // the snapshot's classes
 	learnedNodes     map[string]policy.LearnedNode // of the snapshot, by id; nil: there is no snapshot
 	listedStartTimes map[string]float64            // of nodes, as in the list, Unix ms
 	assumedStart     float64                       // of the cached nodes, Unix ms
 	timer            *time.Timer                   // of the next TimerFired event; nil: none yet
 	stopped          bool
-	queue            []func(startCore) // messages to the core, bounded by the decisions of one start
-	sending          bool              // a goroutine runs send
+	queue            []func(startCore) // messages to the core; a start makes a bounded number of decisions
+	sending          bool              // a goroutine is running send
 }
 
-// startCore are the methods of core.Core that a starter uses.
+// startCore has the methods of core.Core that a starter uses.
 type startCore interface {
 	UpdateList(core.ListUpdate)
 	Restore(policy.Learned)
@@ -105,8 +105,8 @@
 	return s, nil
 }
 
-// settings reduces the slow start of nodes while the whole fleet starts; without the section it returns set.
-func (s *starter) settings(set policy.Settings) policy.Settings {
+// reduceSlowStart reduces the slow start of nodes while the whole fleet starts; without the section it returns set.
+func (s *starter) reduceSlowStart(set policy.Settings) policy.Settings {
 	if s != nil {
 		set.SlowStartUnits *= coldstart.SlowStartShare
 	}
@@ -115,10 +115,10 @@
 
 // reconfigure returns the function that applies new settings to the core, reduced as the first ones were.
 func (s *starter) reconfigure(co *core.Core) func(policy.Settings) error {
-	return func(set policy.Settings) error { return co.Reconfigure(s.settings(set)) }
+	return func(set policy.Settings) error { return co.Reconfigure(s.reduceSlowStart(set)) }
 }
 
-// limiter is what the core asks before each attempt; nil without the section.
+// limiter returns the limiter that the core calls before each attempt; nil without the section.
 func (s *starter) limiter() core.StartLimiter {
 	if s == nil {
 		return nil
@@ -126,7 +126,7 @@
 	return s
 }
 
-// run begins the cold start; false: the section is off.
+// run begins the cold start. It returns false if the section is off.
 func (s *starter) run(co *core.Core) bool {
 	if s == nil {
 		return false
@@ -160,8 +160,8 @@
 	return nodes
 }
 
-// step feeds an event to the state machine and carries out its actions. The results answer a request: whether it is
-// rejected, and its Retry-After.
+// step feeds an event to the state machine and executes its actions. For the event of a request, the results are whether
+// the request is rejected and its Retry-After.
 func (s *starter) step(e coldstart.Event) (retryAfter time.Duration, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +178,7 @@
 	for _, a := range s.machine.Step(s.now(), e) {
 		switch a := a.(type) {
 		case coldstart.RequestList:
-			sync.TrySend(s.listDue, struct{}{}) // a full channel has the same effect
+			sync.TrySend(s.listDue, struct{}{}) // if the channel is full, a request is pending already
 		case coldstart.UseCachedList:
 			s.useCachedNodes()
 		case coldstart.LiftColdLimit:
@@ -253,7 +253,7 @@
 	}
 }
 
-// Done reports that the cold start is over and the core need not ask any more.
+// Done reports that the cold start has ended and the core no longer needs to call the limiter.
 func (s *starter) Done() bool { return s.finished.Load() }
 
 // Admit implements core.StartLimiter.
@@ -279,7 +279,8 @@
 	}
 }
 
-// updateList passes an update of the endpoint list on, and returns when the core has it; false: the section is off.
+// updateList passes an update of the endpoint list to the core and returns once the core has received it. It returns false
+// if the section is off.
 func (s *starter) updateList(update core.ListUpdate) bool {
 	if s == nil {
 		return false
@@ -309,27 +310,27 @@
 	return true
 }
 
-// withCachedNodes returns the nodes of the first update. A change also gets the cached nodes that it does not name: the
-// core has them with an assumed start time or not at all.
+// withCachedNodes returns the nodes of the first update. If the update lists only changes, the cached nodes that it does
+// not list are added, because the core has them with an assumed start time or not at all.
 func (s *starter) withCachedNodes(update core.ListUpdate) []core.Node {
 	nodes := slices.Clone(update.Nodes)
 	if update.Kind != policy.ListChanged {
 		return nodes
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, n := range nodes {
-		named[n.ID] = true
+		listed[n.ID] = true
 	}
 	for _, n := range s.cachedNodes {
-		if !named[n.ID] {
+		if !listed[n.ID] {
 			nodes = append(nodes, n)
 		}
 	}
 	return nodes
 }
 
-// listUnchanged handles that discovery has no change since the cached list, which is then confirmed as the first update.
-func (s *starter) listUnchanged() {
+// confirmCachedList handles that discovery has no change since the cached list, which is then confirmed as the first update.
+func (s *starter) confirmCachedList() {
 	if s == nil {
 		return
 	}
@@ -341,21 +342,21 @@
 	}
 }
 
-// watchPace is the pace of the watch until the first update; nil: the watch has its own.
-func (s *starter) watchPace() discovery.StartPacer {
+// watchPacer returns the pacer of the watch until the first update; nil: the watch uses its own timer.
+func (s *starter) watchPacer() discovery.StartPacer {
 	if s == nil || !s.listPriced {
 		return nil
 	}
 	return s
 }
 
-// Due implements discovery.Pace.
+// CallDue implements discovery.StartPacer.
 func (s *starter) CallDue() <-chan struct{} { return s.listDue }
 
-// Missed implements discovery.Pace.
+// CallFailed implements discovery.StartPacer.
 func (s *starter) CallFailed() { s.step(coldstart.ListRequestFailed{}) }
 
-// isReady reports whether the state machine is ready; without the section it returns withoutSection.
+// isReady reports whether the state machine has reported readiness. Without the section it returns withoutSection.
 func (s *starter) isReady(withoutSection bool) bool {
 	if s == nil {
 		return withoutSection
@@ -373,7 +374,7 @@
 	}
 }
 
-// stop ends the starter after a last snapshot. The core must still run.
+// stop ends the starter after a last snapshot. The core must still be running.
 func (s *starter) stop() {
 	if s == nil {
 		return
@@ -385,7 +386,7 @@
 	sync.Recv(s.snapshotsDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopped = true // an event that waits for s.mu has no effect
+	s.stopped = true // events that are waiting for s.mu are ignored
 	if s.timer != nil {
 		s.timer.Stop()
 	}
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -86,7 +86,7 @@
 func TestStartRestoresTheSnapshot(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListCallsPerSecond: 40, PreconnectNodes: 1}
-	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPace() != nil {
+	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPacer() != nil {
 		t.Fatal("without the section there is a start")
 	}
 	life := func(do func(*starter, *core.Core, chan string)) {
@@ -139,7 +139,7 @@
 	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 40}
 	b, co, _ := newRunningStarter(t, set, log)
 	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(startConf()), Pacer: countingPace{b.watchPace(), &missed}, OnUnchanged: b.listUnchanged,
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(startConf()), Pacer: countingPace{b.watchPacer(), &missed}, OnUnchanged: b.confirmCachedList,
 		OnUpdate: func(n core.ListUpdate) { b.updateList(n) }}
 	ended := make(chan bool)
 	go func() { w.Run(t.Context()); close(ended) }()
@@ -147,7 +147,7 @@
 	for missed.Load() < 2 { // less than a second apart, where the clock alone would wait for longer
 		runtime.Gosched()
 	}
-	b.listUnchanged()
+	b.confirmCachedList()
 	if b.isReady(true) {
 		t.Error("ready with no list")
 	}
@@ -161,7 +161,7 @@
 	served(t, co)
 
 	next, co, _ := newRunningStarter(t, set, log, startNode)
-	if next.listUnchanged(); !next.isReady(false) {
+	if next.confirmCachedList(); !next.isReady(false) {
 		t.Error("the cached list is not used")
 	}
 	served(t, co)
--- a/cmd/wheatsaddle/startersnapshot.go
+++ b/cmd/wheatsaddle/startersnapshot.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	snapshotInterval       = 5 * time.Second  // between snapshots; another is written at the stop
+	snapshotInterval       = 5 * time.Second  // between snapshots; a last one is written by stop
 	snapshotRequestTimeout = 10 * time.Second // for a peer's snapshot
 )
 
@@ -22,7 +22,7 @@
 	learned, byID := policy.Learned{}, map[string]policy.LearnedNode{}
 	for _, n := range snap.Nodes {
 		nodes = append(nodes, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
-		if _, twice := byID[n.ID]; !twice {
+		if _, duplicate := byID[n.ID]; !duplicate {
 			byID[n.ID] = policy.LearnedNode{ID: n.ID, StartTime: n.StartTime, Window: n.Window, Latency: n.Latency, BestLatencyPerUnit: n.BestLatencyPerUnit, FailureRate: n.FailureRate}
 		}
 	}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// snapshotProvider returns the function that answers a peer's request for a snapshot once the cold start is over: before,
-// this process knows less than others. nil: the section is off.
+// snapshotProvider returns the function that answers a peer's request for a snapshot; nil: the section is off. It returns
+// no snapshot before the end of the cold start, when this process has learned less than others.
 func (s *starter) snapshotProvider() func(gossip.SnapshotKind) []byte {
 	if s == nil {
 		return nil
@@ -74,15 +74,15 @@
 		}
 		text, err := snapshot.Encode(snap)
 		if err != nil {
-			s.log.WithFields(operr.Fields(err)).Warn("snapshot for a peer not encoded")
+			s.log.WithFields(operr.Fields(err)).Warn("snapshot for a peer could not be encoded")
 			return nil
 		}
 		return text
 	}
 }
 
-// writeSnapshots writes the snapshot at each interval and at the stop, but not before the cold start is over: until then
-// the file holds more.
+// writeSnapshots writes the snapshot at each interval and at the stop, but not before the end of the cold start: until then
+// the existing file contains more than this process has learned.
 func (s *starter) writeSnapshots() {
 	defer sync.Close(s.snapshotsDone)
 	ticker := time.NewTicker(snapshotInterval)
--- a/cmd/wheatsaddle/startup.go
+++ b/cmd/wheatsaddle/startup.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// startCore starts the core with what it calls and reports to, and passes it the cached list.
+// startCore starts the core, the starter and the fleet that it reports to, and passes the core the cached list.
 func (s *service) startCore() (err error) {
 	exclusions, excluded := loadExclusions(s.conf.Name, s.log)
 	if s.starter, err = newStarter(s.site.current.Start, s.conf, s.cachedList.Nodes, s.log); err != nil {
@@ -81,13 +81,13 @@
 		return config.Rejected(err)
 	}
 	s.onClose(s.core.Stop)
-	s.exclusions = &exclusionKeeper{store: exclusions, core: s.core, log: s.log}
+	s.exclusions = &exclusionSyncer{store: exclusions, core: s.core, log: s.log}
 	s.fleet.setCore(s.core)
 	if !s.starter.run(s.core) {
 		s.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes})
 	}
 	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Index: s.cachedList.Version})
-	s.onClose(s.starter.stop) // before the core stops: the last snapshot is the core's
+	s.onClose(s.starter.stop) // before the core stops, which provides the last snapshot
 	s.starter.requestSnapshot(s.fleet)
 	return nil
 }
@@ -103,7 +103,7 @@
 		Log:            s.log,
 	}
 	return core.Options{
-		Settings:       s.starter.settings(s.conf.Settings),
+		Settings:       s.starter.reduceSlowStart(s.conf.Settings),
 		Seed:           s.conf.Seed,
 		NewNodeClient:  dialer.Connect,
 		Log:            s.log,
@@ -113,7 +113,7 @@
 	}
 }
 
-// watchList starts the watches of the endpoint list and of the exclusions file. Both end before the core does.
+// watchList starts the watches of the endpoint list and of the exclusions file. Both end before the core stops.
 func (s *service) watchList() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.onClose(cancel)
@@ -126,15 +126,15 @@
 		OnUpdate:    s.updateList,
 		Log:         s.log,
 		Timer:       watchTimerSettings(s.conf),
-		Pacer:       s.starter.watchPace(),
-		OnUnchanged: s.starter.listUnchanged,
+		Pacer:       s.starter.watchPacer(),
+		OnUnchanged: s.starter.confirmCachedList,
 	}
 	go s.watcher.Run(ctx)
 	go s.exclusions.watch(ctx)
 	return nil
 }
 
-// updateList passes an update of the endpoint list on. It returns when the core has it.
+// updateList passes an update of the endpoint list to the core and the fleet. It returns once the core has received it.
 func (s *service) updateList(update core.ListUpdate) {
 	if !s.starter.updateList(update) {
 		s.core.UpdateList(update)
@@ -148,7 +148,7 @@
 // openAdmin starts the admin endpoint, if the configuration names its address.
 func (s *service) openAdmin() error {
 	endpoint := &admin.Endpoint{
-		Estimate: estimates(s.site.current.Estimate, s.conf, s.fleet.views()),
+		Estimate: newEstimateHandler(s.site.current.Estimate, s.conf, s.fleet.views()),
 		Ready:    s.ready,
 		Counters: s.core.Counters().Snapshot,
 		Log:      s.log,
@@ -158,12 +158,12 @@
 	if s.conf.AdminListen != "" {
 		ln, err := transport.ListenTCP(s.conf.AdminListen)
 		if err != nil {
-			return fmt.Errorf("operator: %w", err)
+			return fmt.Errorf("listen for the admin endpoint (key operator): %w", err)
 		}
 		go s.serveAdmin(endpoint, ln)
 		s.log.WithField("address", s.conf.AdminListen).Info("admin endpoint listening")
 	}
-	s.onClose(func() { _ = endpoint.Close() }) // nothing is left to do about its error
+	s.onClose(func() { _ = endpoint.Close() }) // the process is exiting, so an error has no consequence
 	return nil
 }
 
@@ -174,8 +174,8 @@
 	}
 }
 
-// open serves the clients' socket.
-func (s *service) open() error {
+// serveClients opens the clients' socket and serves it.
+func (s *service) serveClients() error {
 	ln, err := clientListener(s.conf, s.log)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// watchTimerSettings are the times at which the endpoint list is requested.
+// watchTimerSettings returns the settings for when the endpoint list is requested.
 func watchTimerSettings(conf *config.Config) watchtimer.Settings {
 	set := conf.Settings
 	return watchtimer.Settings{
@@ -215,18 +215,18 @@
 	}
 }
 
-// clientListener returns the clients' socket: the platform's if it passes one, else one that is bound here.
+// clientListener returns the listener for clients: the socket that the platform passes, if any, else one that is bound here.
 func clientListener(conf *config.Config, log logrus.FieldLogger) (net.Listener, error) {
 	if conf.InheritedSocket == "" {
 		ln, err := transport.ListenTCP(conf.Listen)
 		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, fmt.Errorf("listen for clients: %w", err)
 		}
 		return ln, nil
 	}
 	ln, err := transport.ListenInherited(conf.InheritedSocket)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen on the passed socket: %w", err)
 	}
 	log.WithFields(logrus.Fields{"socket": conf.InheritedSocket, "address": ln.Addr().String()}).Info("listening on the passed socket")
 	return ln, nil
--- a/cmd/wheatsaddle/termination.go
+++ b/cmd/wheatsaddle/termination.go
@@ -10,12 +10,12 @@
 const (
 	// heartbeatInterval is the time between heartbeats, until the termination signal.
 	heartbeatInterval = 100 * time.Millisecond
-	// heartbeatSlack is the lag of a heartbeat from which on the process counts as having been stalled.
+	// heartbeatSlack is the timer lag above which the process counts as having been stalled.
 	heartbeatSlack = 25 * time.Millisecond
 )
 
-// stallDetector computes the earliest time at which a signal was sent. The system delivers no signal to a stalled process
-// (stopped, or without a processor): one that arrives right after a stall may have been sent at its start.
+// stallDetector computes the earliest time at which a signal can have been sent. A process that is stalled (stopped, or not
+// scheduled on a processor) receives no signals, so one that arrives right after a stall may have been sent at its start.
 //
 // It reads no clock: the caller passes the time.
 type stallDetector struct {
@@ -23,7 +23,7 @@
 	stallStart, stallEnd time.Time // of the last stall
 }
 
-// heartbeat notes that the process runs; it is called each heartbeatInterval.
+// heartbeat records that the process is running. It is called every heartbeatInterval.
 func (d *stallDetector) heartbeat(now time.Time) {
 	if now.Sub(d.lastHeartbeat) > heartbeatInterval+heartbeatSlack {
 		if !d.isRightAfterStall(d.lastHeartbeat) { // two stalls in a row count as one
@@ -39,7 +39,7 @@
 	return !d.stallEnd.IsZero() && at.Sub(d.stallEnd) < heartbeatInterval
 }
 
-// signalSentAt returns the earliest time at which a signal that arrives now was sent.
+// signalSentAt returns the earliest time at which a signal that arrives now can have been sent.
 func (d *stallDetector) signalSentAt(now time.Time) time.Time {
 	d.heartbeat(now)
 	if d.isRightAfterStall(now) {
@@ -48,16 +48,16 @@
 	return now
 }
 
-// termination is the signal to terminate, noted when it arrives whatever the process does then.
+// termination records the termination signal as soon as it arrives, whatever the process is doing.
 type termination struct {
 	received chan struct{} // closed when the signal arrives
-	sentAt   time.Time     // at the earliest; valid once received is closed
+	sentAt   time.Time     // the earliest possible time; valid once received is closed
 }
 
-// awaitTermination notes the first of the signals. Further ones have no effect, and must not end the process: they stay in
-// the channel or are dropped.
+// awaitTermination records the first of the signals. Further signals must not end the process and have no effect: they
+// remain in the channel or are dropped.
 //
-// Stalls count from startedAt, not from when the goroutine first runs: the process may stall before that.
+// Stalls are detected from startedAt on, since the process may stall before the goroutine first runs.
 func awaitTermination(signals <-chan os.Signal, startedAt time.Time, log logrus.FieldLogger) *termination {
 	t := &termination{received: make(chan struct{})}
 	stalls := stallDetector{lastHeartbeat: startedAt}
--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// limitedListener keeps at most max connections open. A new connection beyond that closes the oldest one, which
-// is most likely that of a client that never finishes its request.
+// limitedListener keeps at most max connections open. A new connection beyond that closes the oldest one, which most likely
+// belongs to a client that never completes its request.
 type limitedListener struct {
 	net.Listener
 	max int
@@ -43,7 +43,7 @@
 	l.open = append(l.open, c)
 	l.mu.Unlock()
 	if oldest != nil {
-		_ = oldest.Close() // its error is its handler's
+		_ = oldest.Close() // the connection's handler sees the error
 	}
 	return c, nil
 }
--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -1,12 +1,12 @@
-// Package admin is the admin endpoint: an HTTP server for operators on an address of its own, with the calls ready,
-// telemetry, exclude and include and, if it is configured, estimate. It holds no state of the data path: it reads the
-// counters of core and passes exclusions on.
+// Package admin is the admin endpoint: an HTTP server for operators on a separate address, with the calls ready, telemetry,
+// exclude, include and, if configured, estimate. It has no state of the data path: it reads the counters of core and passes
+// exclusions to it.
 //
 // Invariants:
-//   - Each response is due within a second under any load, also beside clients that hold connections without a complete
-//     request. So the endpoint has its own connections and goroutines: at most maxConns connections, of which the oldest
-//     is closed for a new one, readTimeout for a request, writeTimeout for a response, and one request a connection.
-//   - A rejected call changes nothing, and its response has the reason and, where there are any, a code and advice.
+//   - Each response is sent within a second under any load, even while clients hold connections without a complete request.
+//     Therefore the endpoint has its own connections and goroutines: at most maxConns connections, of which the oldest is
+//     closed for a new one, readTimeout for a request, writeTimeout for a response, and one request per connection.
+//   - A rejected call changes nothing, and its response has the reason and, if there are any, a code and advice.
 package admin
 
 import (
@@ -27,7 +27,7 @@
 	readTimeout  = 700 * time.Millisecond
 	writeTimeout = 300 * time.Millisecond
 	maxHeadBytes = 4 << 10
-	maxIDBytes   = 256 // of a node's id
+	maxIDBytes   = 256 // maximum length of a node's id
 )
 
 // The paths of the calls.
@@ -47,14 +47,14 @@
 	Ready    func() bool
 	Counters func() core.CounterSnapshot
 	Exclude  func(id string) error // ErrUnknownNode is answered with 404, other errors with 503
-	Include  func(id string) error // as Exclude
+	Include  func(id string) error // errors are answered like those of Exclude
 	Log      logrus.FieldLogger    // nil: nothing is logged
 	Estimate *Estimate             // nil: there is no such call
 
 	server atomic.Pointer[fasthttp.Server] // Close may be called while Serve begins
 }
 
-// Serve answers on ln until Close.
+// Serve answers calls on ln until Close.
 func (e *Endpoint) Serve(ln net.Listener) error {
 	server := &fasthttp.Server{
 		Handler: e.handle, ErrorHandler: rejectMalformed, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
@@ -75,7 +75,7 @@
 	return server.Shutdown()
 }
 
-// debugLogger logs the server's messages at debug.
+// debugLogger logs the server's messages at the debug level.
 type debugLogger struct{ log logrus.FieldLogger }
 
 // Printf implements fasthttp.Logger.
@@ -90,7 +90,7 @@
 	writeError(ctx, fasthttp.StatusBadRequest, "", &MalformedRequestError{err})
 }
 
-// writeError answers with the error's text in the first line, after the prefix, and its code and advice, if it has them,
+// writeError answers with the prefix and the error's text in the first line and, if the error has them, its code and advice
 // in a line each.
 func writeError(ctx *fasthttp.RequestCtx, status int, prefix string, err error) {
 	ctx.SetStatusCode(status)
@@ -98,7 +98,7 @@
 	ctx.SetBodyString(prefix + operr.Text(err) + "\n")
 }
 
-// allowedMethod returns the method of a path; "": there is no such call.
+// allowedMethod returns the method that a path allows; "": there is no such call.
 func (e *Endpoint) allowedMethod(path string) string {
 	switch path {
 	case readyPath, telemetryPath:
@@ -160,8 +160,8 @@
 func changeNode(ctx *fasthttp.RequestCtx, change func(id string) error) {
 	args := ctx.QueryArgs()
 	id := args.Peek("who")
-	if n := len(args.PeekMulti("who")); n != 1 || !isNodeID(id) {
-		writeError(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{n})
+	if count := len(args.PeekMulti("who")); count != 1 || !isNodeID(id) {
+		writeError(ctx, fasthttp.StatusBadRequest, "", &NodeIDError{count})
 		return
 	}
 	switch err := change(string(id)); {
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// ErrUnknownNode reports that a node's id was never listed.
+// ErrUnknownNode reports a node id that was never in the endpoint list.
 var ErrUnknownNode = exclusion.ErrUnknownNode
 
 // UnknownPathError reports a path without a call.
@@ -122,7 +122,7 @@
 	operr.Register(&UnknownPathError{"/api/drain"}, &MethodError{"/api/exclude", "GET", "PUT"}, &NotReadyError{}, &BodyTooLongError{"/api/ready", 1024}, &EstimatesBusyError{}, &NodeIDError{}, &MalformedRequestError{smallBufferError{}})
 }
 
-// smallBufferError is the example of a cause in the page of errors.
+// smallBufferError is the cause in the registered example of a MalformedRequestError.
 type smallBufferError struct{}
 
 func (smallBufferError) Error() string { return "small read buffer" }
--- a/internal/admin/estimate.go
+++ b/internal/admin/estimate.go
@@ -10,16 +10,16 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Estimate is the call POST /api/estimate, which estimates plans. An estimate takes processor time, so few are made at
-// once; one more is rejected at once.
+// Estimate is the call POST /api/estimate, which estimates plans. An estimate takes processor time, so the number of
+// concurrent estimates is limited, and further requests are rejected immediately.
 type Estimate struct {
 	estimate func(body []byte) ([]byte, error)
 	maxBytes int // of a request's body
 	slots    *semaphore.Weighted
 }
 
-// NewEstimate makes the call from a function that turns the body of a request into that of the response, for bodies of up
-// to maxBytes and maxConcurrent requests at once. An error of the function is answered with 400.
+// NewEstimate returns the call for a function that computes the body of the response from the body of a request. Bodies may
+// have up to maxBytes, and up to maxConcurrent requests are served at once. An error of the function is answered with 400.
 func NewEstimate(estimate func(body []byte) ([]byte, error), maxBytes, maxConcurrent int) *Estimate {
 	return &Estimate{estimate: estimate, maxBytes: maxBytes, slots: semaphore.NewWeighted(int64(maxConcurrent))}
 }
@@ -56,15 +56,15 @@
 
 // encodeError encodes an error with its code and advice, if it has them.
 func encodeError(err error) []byte {
-	fault := struct {
+	body := struct {
 		Error  string `json:"error"`
 		Code   string `json:"code,omitempty"`
 		Advice string `json:"advice,omitempty"`
 	}{Error: err.Error()}
 	var coded operr.Coded
 	if errors.As(err, &coded) {
-		fault.Code, fault.Advice = coded.Code(), coded.Advice()
+		body.Code, body.Advice = coded.Code(), coded.Advice()
 	}
-	text, _ := json.Marshal(fault) // strings always encode
+	text, _ := json.Marshal(body) // strings always encode
 	return text
 }
--- a/internal/admin/telemetry.go
+++ b/internal/admin/telemetry.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/core"
 )
 
-// telemetry is the body of GET /api/telemetry. Its keys are those of the operators' page.
+// telemetry is the body of GET /api/telemetry. Its keys are those of the operators' documentation.
 type telemetry struct {
 	Served       map[string]int64 `json:"passed"`
 	Rejected     map[string]int64 `json:"dropped"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,12 +1,12 @@
-// Package config reads the configuration, the site's file and the iSCSI front's file, checks them and sets defaults. The
-// files' words are mapped here, once, to the types of the packages that use the settings.
+// Package config reads the configuration, the site's file and the iSCSI front's file, checks them and sets defaults. It is
+// the only package that maps the words in the files to the types of the packages that use the settings.
 //
 // Invariants:
-//   - The first error in a file is reported, with the file, the key and what the value must be.
+//   - The first error in a file is reported, with the file, the key and the expected value.
 //   - A file with an error changes nothing: the caller gets no settings from it.
-//   - A missing key has its default; a key with a wrong type is an error.
+//   - A missing key gets its default; a value of the wrong type is an error.
 //
-// It does not check whether settings fit each other; policy.New does.
+// The package does not check whether settings are consistent with each other; policy.New does.
 package config
 
 import (
@@ -28,15 +28,15 @@
 	Seed                    int64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	CachedList              []byte // the list as last known, in the form of discovery
+	CachedList              []byte // the last known endpoint list, in the format of discovery
 	Settings                policy.Settings
 	ConnIdle                float64 // ms after which a node closes an idle connection
 	ConnectTimeout          float64 // ms
 	MaxOpenRequests         int
 	HandshakePrice          float64 // price of a new connection, in priority weights of a request
-	ListMode                string  // how the node list arrives: push or ask
-	ListPrice               float64 // price of what the list's service sends
-	raw                     []byte  // the file as read
+	ListMode                string  // how the endpoint list arrives: push or ask
+	ListPrice               float64 // price of the traffic of the list's service
+	raw                     []byte  // text of the file
 }
 
 const (
@@ -47,10 +47,10 @@
 	defaultConnectTimeout = 250.0
 	defaultMaxOpen        = 20000
 
-	hostPort = "host:port"
+	hostPortForm = "host:port"
 )
 
-// Load reads the file that ROUTER_CONFIG names; the other variables stand in for its keys.
+// Load reads the file that ROUTER_CONFIG names. Other environment variables take precedence over their keys in the file.
 func Load(env func(string) string) (*Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -63,8 +63,8 @@
 	return Parse(text, env)
 }
 
-// Reload reads the file again. Its discovery counts now: ROUTER_DISCOVERY tells only where
-// that was at the start, and stands in where the file names none.
+// Reload reads the file again. Its address of discovery takes precedence now: ROUTER_DISCOVERY has the address as of the
+// start, and is used only if the file has none.
 func Reload(env func(string) string) (*Config, error) {
 	c, err := Load(func(key string) string {
 		if key == "ROUTER_DISCOVERY" {
@@ -126,17 +126,17 @@
 // checkAddresses checks the addresses of a configuration.
 func (r *reader) checkAddresses(c *Config) {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		r.failValue("listen", strconv.Quote(c.Listen), hostPort)
+		r.failValue("listen", strconv.Quote(c.Listen), hostPortForm)
 	}
 	if c.AdminListen != "" {
 		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
-			r.failValue("operator", strconv.Quote(c.AdminListen), hostPort)
+			r.failValue("operator", strconv.Quote(c.AdminListen), hostPortForm)
 		}
 	}
 	if c.Discovery == "" {
-		r.fail(KeyError{Key: "discovery", Expected: hostPort, Err: errNoDiscovery})
+		r.fail(KeyError{Key: "discovery", Expected: hostPortForm, Err: errNoDiscovery})
 	} else if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		r.failValue("discovery", strconv.Quote(c.Discovery), hostPort)
+		r.failValue("discovery", strconv.Quote(c.Discovery), hostPortForm)
 	}
 }
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,7 +8,7 @@
 
 // KeyError reports a key of a file whose value is invalid.
 type KeyError struct {
-	File     string // configuration, site, iscsi, or a kit's file
+	File     string // configuration, site, iscsi, or a file of the test kit
 	Key      string
 	Value    string // as written in the file; "": none
 	Expected string // what the value must be
@@ -40,9 +40,9 @@
 // Advice implements operr.Coded.
 func (e *KeyError) Advice() string {
 	if e.Expected != "" {
-		return fmt.Sprintf("Set %s to %s, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key, e.Expected)
+		return fmt.Sprintf("Set %s to %s, run check-config, then start or send SIGHUP; until then the previous settings remain in effect.", e.Key, e.Expected)
 	}
-	return fmt.Sprintf("Correct %s as the error says, run check-config, then start or send SIGHUP; until then what held before counts.", e.Key)
+	return fmt.Sprintf("Correct %s as the error says, run check-config, then start or send SIGHUP; until then the previous settings remain in effect.", e.Key)
 }
 
 // JSONError reports a file that is not valid JSON.
@@ -67,7 +67,7 @@
 
 // Advice implements operr.Coded.
 func (e *JSONError) Advice() string {
-	return "The file is torn or was edited badly: write it again whole (to a file beside it, then rename), and run check-config."
+	return "The file is incomplete or has a syntax error: write the complete file again (to a temporary file, then rename it), and run check-config."
 }
 
 // FileError reports a file that cannot be read.
@@ -87,7 +87,7 @@
 
 // Advice implements operr.Coded.
 func (e *FileError) Advice() string {
-	return "See that the path given by " + e.Source + " is right and that the program's user may read the file."
+	return "Check that the path given by " + e.Source + " is correct and that the program's user may read the file."
 }
 
 // UnsetError reports an environment variable that must be set.
@@ -101,10 +101,10 @@
 
 // Advice implements operr.Coded.
 func (e *UnsetError) Advice() string {
-	return "Set " + e.Variable + " to the path of the configuration, or name the file to check-config."
+	return "Set " + e.Variable + " to the path of the configuration, or pass the file to check-config as its argument."
 }
 
-// MissingKeyError reports a key that the configuration had when it was read before, and lacks now.
+// MissingKeyError reports a key that the previous configuration had and the new one lacks.
 type MissingKeyError struct {
 	Key     string
 	Problem string
@@ -118,21 +118,21 @@
 
 // Advice implements operr.Coded.
 func (e *MissingKeyError) Advice() string {
-	return "Put " + e.Key + " back and send SIGHUP; to do without it, restart. Nothing of the file was taken."
+	return "Restore " + e.Key + " and send SIGHUP, or restart to run without it. Nothing in the file was applied."
 }
 
 // RestartError names keys whose new values take effect only after a restart.
 type RestartError struct{ Keys string }
 
 // Error implements error.
-func (e *RestartError) Error() string { return e.Keys + ": changed, and counts after a restart" }
+func (e *RestartError) Error() string { return e.Keys + ": changed, takes effect after a restart" }
 
 // Code implements operr.Coded.
 func (e *RestartError) Code() string { return "config-restart" }
 
 // Advice implements operr.Coded.
 func (e *RestartError) Advice() string {
-	return "Restart the process for the new value of " + e.Keys + ", or put the old one back; all else of the file counts now."
+	return "Restart the process to apply the new value of " + e.Keys + ", or restore the old one; the rest of the file is in effect."
 }
 
 // SchemaError reports a request for an unknown schema.
@@ -146,10 +146,10 @@
 
 // Advice implements operr.Coded.
 func (e *SchemaError) Advice() string {
-	return "Ask with --of site for the site's file, or with --of plans for what the estimate takes."
+	return "Use --of site for the schema of the site's file, or --of plans for the schema of an estimate's request."
 }
 
-// RejectedError reports settings that the decision module rejects, although each key is valid.
+// RejectedError reports settings that package policy rejects, although each key is valid.
 type RejectedError struct{ Err error }
 
 // Error implements error.
@@ -163,10 +163,10 @@
 
 // Advice implements operr.Coded.
 func (e *RejectedError) Advice() string {
-	return "Correct the settings that the error names and send SIGHUP, or start again; settings that ran before still count."
+	return "Correct the settings that the error names and send SIGHUP, or start again; the previous settings remain in effect."
 }
 
-// Rejected wraps an error of the decision module in a RejectedError; nil stays nil.
+// Rejected wraps an error of package policy in a RejectedError; nil stays nil.
 func Rejected(err error) error {
 	if err == nil {
 		return nil
@@ -178,6 +178,6 @@
 	none := fmt.Errorf("open site.json: no such file or directory")
 	operr.Register(&KeyError{File: "configuration", Key: "limits.sockets", Value: `"x"`, Expected: "a number of at least 64"},
 		&JSONError{File: "configuration"}, &FileError{Source: "site", Err: none}, &UnsetError{"ROUTER_CONFIG"},
-		&MissingKeyError{"settings.rules", "missing; the configuration before had it"}, &RestartError{"listen"}, &SchemaError{"nodes"},
+		&MissingKeyError{"settings.rules", "missing; the previous configuration had it"}, &RestartError{"listen"}, &SchemaError{"nodes"},
 		&RejectedError{fmt.Errorf("settings: MaxAttempts is -1")})
 }
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/policy"
 )
 
-// SiteGather is the section gather: scatter-gather reads, by class.
+// SiteGather is the section gather, the settings of gathered reads by class.
 type SiteGather struct {
 	Rules              map[string]*gather.Rules
 	MergeTimeShare     float64
@@ -22,15 +22,15 @@
 	MaxPartBytes       int
 	MaxParts           int
 	MaxConcurrentReads int
-	PartUnits          float64 // units of a part; 0: the client's
+	PartUnits          float64 // units of a part; 0: those of the client's request
 	TokenKey           []byte
 	Tree               *SiteTree // nil: parts are not delegated to peers
-	fromFile           bool
+	fromFile           bool      // the rules are in a file of their own
 }
 
 const (
-	gatherMemory = 4            // a quarter of the memory is for scatter-gather reads
-	partMemory   = 2 * 96 << 10 // bytes of a part: two copies of the longest piece and the next read
+	gatherMemoryDivisor = 4            // gathered reads use at most 1/gatherMemoryDivisor of the memory
+	bytesPerPart        = 2 * 96 << 10 // memory of a part: two copies of the longest piece, and the next read
 )
 
 // siteGather reads the section gather.
@@ -61,12 +61,12 @@
 		return nil, &KeyError{File: "site", Key: key + "." + rulesError.Key, Problem: rulesError.Why, Err: rulesError}
 	}
 	if file := r.text("gather.token_key_file", ""); file != "" {
-		hexed, err := os.ReadFile(file)
+		hexText, err := os.ReadFile(file)
 		if err == nil {
-			g.TokenKey, err = hex.DecodeString(strings.TrimSpace(string(hexed)))
+			g.TokenKey, err = hex.DecodeString(strings.TrimSpace(string(hexText)))
 		}
 		if err == nil && len(g.TokenKey) < 16 {
-			err = fmt.Errorf("%d bytes, 16 are the least", len(g.TokenKey))
+			err = fmt.Errorf("key has %d bytes, want at least 16", len(g.TokenKey))
 		}
 		if err != nil {
 			return nil, &KeyError{File: "site", Key: "gather.token_key_file", Err: err}
@@ -75,31 +75,31 @@
 	return g, nil
 }
 
-// Check checks the section against the configuration: its classes, the largest request and the memory.
+// Check checks the section against the configuration's classes, largest request and memory.
 func (g *SiteGather) Check(set policy.Settings, memoryMB int) error {
 	classes := map[string]bool{}
 	for _, k := range set.Classes {
 		classes[k.Name] = true
 	}
-	at := "gather.rules."
+	keyPrefix := "gather.rules."
 	if g.fromFile {
-		at = "gather.rules_file."
+		keyPrefix = "gather.rules_file."
 	}
 	for name, r := range g.Rules {
 		if !classes[name] {
-			return &KeyError{File: "site", Key: at + "classes." + name, Problem: "the configuration has no such class"}
+			return &KeyError{File: "site", Key: keyPrefix + "classes." + name, Problem: "the configuration has no such class"}
 		}
-		if why := g.Tree.memoryProblem(r, g.MaxParts); why != "" {
-			return &KeyError{File: "site", Key: at + "classes." + name + ".memory.bytes", Problem: why}
+		if problem := g.Tree.memoryProblem(r, g.MaxParts); problem != "" {
+			return &KeyError{File: "site", Key: keyPrefix + "classes." + name + ".memory.bytes", Problem: problem}
 		}
-		if maxBytes := memoryMB << 20 / gatherMemory; g.MaxConcurrentReads*(g.Tree.maxMerges()*r.Memory.Bytes+g.MaxParts*partMemory) > maxBytes {
+		if maxBytes := memoryMB << 20 / gatherMemoryDivisor; g.MaxConcurrentReads*(g.Tree.maxMerges()*r.Memory.Bytes+g.MaxParts*bytesPerPart) > maxBytes {
 			return &KeyError{File: "site", Key: "gather.reads_at_once", Problem: fmt.Sprintf(
-				"%d reads of %d merges (tree.fan_out and one) of %d bytes (%sclasses.%s.memory.bytes) and %d parts of %d are over the %d bytes kept for them, a quarter of limits.memory_mb",
-				g.MaxConcurrentReads, g.Tree.maxMerges(), r.Memory.Bytes, at, name, g.MaxParts, partMemory, maxBytes)}
+				"%d reads of %d merges (tree.fan_out and one) of %d bytes (%sclasses.%s.memory.bytes) and %d parts of %d bytes exceed the %d bytes reserved for them, a quarter of limits.memory_mb",
+				g.MaxConcurrentReads, g.Tree.maxMerges(), r.Memory.Bytes, keyPrefix, name, g.MaxParts, bytesPerPart, maxBytes)}
 		}
 	}
 	if set.MaxUnits > 0 && g.PartUnits > set.MaxUnits {
-		return &KeyError{File: "site", Key: "gather.part_units", Problem: fmt.Sprintf("%v is over the largest request, %v", g.PartUnits, set.MaxUnits)}
+		return &KeyError{File: "site", Key: "gather.part_units", Problem: fmt.Sprintf("%v is larger than the largest request, %v", g.PartUnits, set.MaxUnits)}
 	}
 	return nil
 }
--- a/internal/config/gather_tree.go
+++ b/internal/config/gather_tree.go
@@ -7,7 +7,7 @@
 	"wheatsaddle/gather"
 )
 
-// SiteTree is the part of the section gather about peers, to which parts of a read are delegated.
+// SiteTree has the settings of the section gather for the delegation of parts of a read to peers.
 type SiteTree struct {
 	Peers                                            []GatherPeer
 	MinParts, MaxGroupParts, FanOut, MaxPeerAttempts int
@@ -16,20 +16,20 @@
 	MaxGroupBytes                                    int64
 }
 
-// GatherPeer is another scheduler, at the address that its clients use.
+// GatherPeer is another scheduler, with the address that its clients use.
 type GatherPeer struct{ Name, Address string }
 
-// siteTree reads the part about peers; nil: nothing is delegated.
+// siteTree reads the settings of the delegation; nil: nothing is delegated.
 func siteTree(r *reader) (*SiteTree, error) {
 	tree, peers := r.root.Get("gather.tree"), r.root.Get("gather.peers").Array()
 	if len(peers) == 0 {
 		if tree.Exists() {
-			return nil, &KeyError{File: "site", Key: "gather.tree", Problem: "there are no gather.peers to hand parts on to"}
+			return nil, &KeyError{File: "site", Key: "gather.tree", Problem: "there are no gather.peers to which parts can be delegated"}
 		}
 		return nil, nil
 	}
-	number := func(key string, fallback, least float64) float64 {
-		return r.number("gather.tree."+key, fallback, least)
+	number := func(key string, fallback, minimum float64) float64 {
+		return r.number("gather.tree."+key, fallback, minimum)
 	}
 	duration := func(key string, fallback float64) time.Duration {
 		return time.Duration(number(key, fallback, 1) * float64(time.Millisecond))
@@ -41,7 +41,7 @@
 		return nil, r.err
 	}
 	if t.MaxBackoff < t.Backoff {
-		return nil, &KeyError{File: "site", Key: "gather.tree.rest_most_ms", Problem: fmt.Sprintf("%v is under rest_ms, %v", t.MaxBackoff, t.Backoff)}
+		return nil, &KeyError{File: "site", Key: "gather.tree.rest_most_ms", Problem: fmt.Sprintf("%v is less than rest_ms, %v", t.MaxBackoff, t.Backoff)}
 	}
 	seen := map[string]bool{}
 	for i, e := range peers {
@@ -51,7 +51,7 @@
 			return nil, &KeyError{File: "site", Key: key + ".address", Value: p.Address, Expected: "IP:port", Err: err}
 		}
 		if seen[p.Name] {
-			return nil, &KeyError{File: "site", Key: key + ".name", Problem: fmt.Sprintf("%q is named twice", p.Name)}
+			return nil, &KeyError{File: "site", Key: key + ".name", Problem: fmt.Sprintf("duplicate name %q", p.Name)}
 		}
 		seen[p.Name] = true
 		t.Peers = append(t.Peers, p)
@@ -59,7 +59,7 @@
 	return t, nil
 }
 
-// maxMerges returns the maximum number of merges of one read: its own and, if its peers fail, one of each group.
+// maxMerges returns the maximum number of merges of one read: its own and, if its peers fail, one for each group.
 func (t *SiteTree) maxMerges() int {
 	if t == nil {
 		return 1
@@ -67,11 +67,11 @@
 	return 1 + t.FanOut
 }
 
-// memoryProblem returns what is wrong with a class's memory, "": nothing. While all peers back off, one merge has all parts of a
-// read.
-func (t *SiteTree) memoryProblem(r *gather.Rules, parts int) (why string) {
+// memoryProblem returns what is wrong with a class's memory; "": nothing. While all peers are backing off, a single merge
+// has all parts of a read.
+func (t *SiteTree) memoryProblem(r *gather.Rules, parts int) (problem string) {
 	if minimum := 2 * r.Records.MaxBytes * (parts + 1); t != nil && r.Memory.Bytes < minimum {
-		why = fmt.Sprintf("is under %d, what %d parts (parts_most) need where no peer takes any: two records (records.max_bytes) each", minimum, parts)
+		problem = fmt.Sprintf("is less than %d, which %d parts (parts_most) need if no peer accepts any: two records (records.max_bytes) each", minimum, parts)
 	}
-	return why
+	return problem
 }
--- a/internal/config/iscsi.go
+++ b/internal/config/iscsi.go
@@ -19,13 +19,13 @@
 // ISCSI is the file of the iSCSI front.
 type ISCSI struct {
 	Listen             string
-	Initiator          string // prefix of its iSCSI name; the scheduler's name follows
+	Initiator          string // prefix of the front's initiator name, to which the scheduler's name is appended
 	Vendor             string // T10 vendor of the logical units
-	QueueDepth         int    // commands in the window of a session
+	QueueDepth         int    // maximum number of commands in the window of a session
 	Sessions           int
-	MaxTransfer        uint32 // bytes of one command
-	DeduplicatesWrites bool   // the storage targets deduplicate writes by key
-	LoginTimeout       float64
+	MaxTransfer        uint32  // maximum bytes of one command
+	DeduplicatesWrites bool    // the storage targets deduplicate writes by key
+	LoginTimeout       float64 // ms
 	Targets            []Target
 	Storage            []StorageTarget
 }
@@ -74,20 +74,20 @@
 	return ParseISCSI(text, set)
 }
 
-// The defaults of the front's names, under a reserved domain (RFC 2606).
+// The default names of the front, under a reserved domain (RFC 2606).
 const (
 	defaultInitiator = "iqn.2026-12.example:wheatsaddle-"
 	defaultVendor    = "WHEATSDL"
 )
 
-// initiatorPattern follows RFC 7143, section 4.2.7.1. A complete name has at most 223 bytes; the scheduler's name is
+// initiatorPrefixPattern follows RFC 7143, section 4.2.7.1. A complete name has at most 223 bytes; the scheduler's name is
 // appended.
 var (
-	initiatorPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
-	vendorPattern    = regexp.MustCompile(`^[\x21-\x7e]([\x20-\x7e]{0,6}[\x21-\x7e])?$`)
+	initiatorPrefixPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.:-]{1,150}$`)
+	vendorPattern          = regexp.MustCompile(`^[\x21-\x7e]([\x20-\x7e]{0,6}[\x21-\x7e])?$`)
 )
 
-// nodeStatesByWord are the states of a storage target by the words of the node list.
+// nodeStatesByWord maps the words of the endpoint list to the states of a storage target.
 var nodeStatesByWord = map[string]policy.NodeState{"active": policy.NodeUp, "leaving": policy.NodeDraining, "left": policy.NodeRemoved}
 
 // ParseISCSI reads the text of the iSCSI front's file and checks it against the settings.
@@ -100,7 +100,7 @@
 		Sessions: int(r.integer("sessions", 32, 1, 256)), MaxTransfer: uint32(r.integer("max_transfer", 64<<10, 512, 1<<20)),
 		DeduplicatesWrites: r.flag("drops_repeats"), LoginTimeout: r.number("login_timeout_ms", 5000, 1),
 		Initiator: r.text("initiator", defaultInitiator), Vendor: r.text("vendor", defaultVendor)}
-	if !initiatorPattern.MatchString(c.Initiator) {
+	if !initiatorPrefixPattern.MatchString(c.Initiator) {
 		r.failValue("initiator", strconv.Quote(c.Initiator), "the start of an iSCSI name, as in "+defaultInitiator)
 	}
 	if !vendorPattern.MatchString(c.Vendor) {
@@ -128,7 +128,7 @@
 			x.Vendor = c.Vendor
 			u.unique("lun", fmt.Sprint(x.LUN), luns)
 			if !shards[x.Shard] {
-				u.fail(KeyError{Key: "group", Value: strconv.Itoa(x.Shard), Expected: "a group of storage", Problem: fmt.Sprintf("no storage target holds group %d", x.Shard)})
+				u.fail(KeyError{Key: "group", Value: strconv.Itoa(x.Shard), Expected: "a group of storage", Problem: fmt.Sprintf("no storage target has group %d", x.Shard)})
 			}
 			t.Units = append(t.Units, x)
 		})
@@ -149,7 +149,7 @@
 	}
 	if u.BlockSize&(u.BlockSize-1) != 0 || u.BlockSize > maxTransfer {
 		r.fail(KeyError{Key: "block_size", Value: fmt.Sprint(u.BlockSize), Expected: "a power of two up to max_transfer",
-			Problem: fmt.Sprintf("%d is no power of two up to max_transfer", u.BlockSize)})
+			Problem: fmt.Sprintf("%d is not a power of two up to max_transfer", u.BlockSize)})
 	}
 	planFound := false
 	for _, p := range set.Plans {
@@ -182,26 +182,26 @@
 		u.Rules = append(u.Rules, rule)
 	})
 	if !covered[false] || !covered[true] && !u.ReadOnly {
-		r.fail(KeyError{Key: "rules", Problem: "reads and writes of up to max_transfer need a rule each"})
+		r.fail(KeyError{Key: "rules", Problem: "reads, and writes unless the unit is read-only, need a rule that covers max_transfer"})
 	}
 }
 
 // address checks a host:port.
 func (r *reader) address(key, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		r.failValue(key, strconv.Quote(value), hostPort)
+		r.failValue(key, strconv.Quote(value), hostPortForm)
 	}
 }
 
-// portals reads "addresses" and "address" as in an entry of the node list. Here an invalid one is an
-// error, because the file is written by a person.
+// portals reads "addresses" and "address" as in an entry of the endpoint list. Unlike there, an invalid address is an error,
+// because this file is written by hand.
 func (r *reader) portals() []address.Addr {
 	var texts []string
-	more := r.root.Get("addresses")
-	if more.Exists() && !more.IsArray() {
+	addresses := r.root.Get("addresses")
+	if addresses.Exists() && !addresses.IsArray() {
 		r.fail(KeyError{Key: "addresses", Expected: "a list", Problem: "not a list"})
 	}
-	for i, x := range more.Array() {
+	for i, x := range addresses.Array() {
 		if x.Type != gjson.String {
 			r.fail(KeyError{Key: fmt.Sprintf("addresses.%d", i), Value: truncate(x.Raw), Expected: "text", Problem: "not text"})
 		}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,18 +7,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// Missing names a key of the settings that an earlier configuration had and a later one lacks:
-// a file read at SIGHUP that lacks one is truncated, and nothing of it is applied. Within a list
-// (profiles, contracts) each entry must have the keys that every entry of the earlier one had.
-func Missing(earlier, later *Config) error {
+// CheckRemovedKeys returns an error if a later configuration lacks a key of the settings that an earlier one had. A file
+// that is read at SIGHUP and lacks such a key is taken to be truncated, and nothing in it is applied. Within a list
+// (profiles, contracts) each entry must have the keys that every entry of the earlier list had.
+func CheckRemovedKeys(earlier, later *Config) error {
 	if len(earlier.raw) == 0 || len(later.raw) == 0 {
 		return nil
 	}
-	return findMissing("settings", gjson.GetBytes(earlier.raw, "settings"), gjson.GetBytes(later.raw, "settings"))
+	return findRemovedKey("settings", gjson.GetBytes(earlier.raw, "settings"), gjson.GetBytes(later.raw, "settings"))
 }
 
-// findMissing compares the values at a path.
-func findMissing(path string, earlier, later gjson.Result) error {
+// findRemovedKey compares the values at a path and returns an error for the first removed key.
+func findRemovedKey(path string, earlier, later gjson.Result) error {
 	switch {
 	case earlier.IsObject():
 		if !later.IsObject() {
@@ -26,12 +26,12 @@
 		}
 		var err error
 		earlier.ForEach(func(k, v gjson.Result) bool {
-			got := later.Get(gjson.Escape(k.String()))
-			if !got.Exists() {
-				err = &MissingKeyError{path + "." + k.String(), "missing; the configuration before had it"}
+			value := later.Get(gjson.Escape(k.String()))
+			if !value.Exists() {
+				err = &MissingKeyError{path + "." + k.String(), "missing; the previous configuration had it"}
 				return false
 			}
-			err = findMissing(path+"."+k.String(), v, got)
+			err = findRemovedKey(path+"."+k.String(), v, value)
 			return err == nil
 		})
 		return err
@@ -43,7 +43,7 @@
 		for i, e := range later.Array() {
 			for _, k := range common {
 				if !e.Get(gjson.Escape(k)).Exists() {
-					return &MissingKeyError{fmt.Sprintf("%s.%d.%s", path, i, k), "missing; every entry before had it"}
+					return &MissingKeyError{fmt.Sprintf("%s.%d.%s", path, i, k), "missing; every entry of the previous configuration had it"}
 				}
 			}
 		}
@@ -58,13 +58,13 @@
 		if !e.IsObject() {
 			return nil
 		}
-		var these []string
-		e.ForEach(func(k, _ gjson.Result) bool { these = append(these, k.String()); return true })
+		var entryKeys []string
+		e.ForEach(func(k, _ gjson.Result) bool { entryKeys = append(entryKeys, k.String()); return true })
 		if i == 0 {
-			keys = these
+			keys = entryKeys
 			continue
 		}
-		keys = slices.DeleteFunc(keys, func(k string) bool { return !slices.Contains(these, k) })
+		keys = slices.DeleteFunc(keys, func(k string) bool { return !slices.Contains(entryKeys, k) })
 	}
 	return keys
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.to, err)
 		}
-		err = Missing(start, later)
+		err = CheckRemovedKeys(start, later)
 		if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says+": missing")) {
 			t.Errorf("%q for %q: %v, want %q", c.to, c.from, err, c.says)
 		}
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,11 +10,11 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// SitePeers is the section peers: the gossip between schedulers.
+// SitePeers is the section peers, the settings of the gossip between schedulers.
 type SitePeers struct {
 	Listen, Advertise string
 	Seeds             []string
-	Via               map[string]string
+	Via               map[string]string // address overrides, by the address of a peer
 	Interval          time.Duration
 	Burst             int
 	KeyFile           string
@@ -23,16 +23,16 @@
 
 // sitePeers reads the section peers.
 func sitePeers(r *reader) (*SitePeers, error) {
-	def := nodestats.Defaults()
+	defaults := nodestats.Defaults()
 	number := func(key string, fallback float64) float64 { return r.number("peers."+key, fallback, 0) }
 	duration := func(key string, fallback time.Duration) time.Duration {
 		return time.Duration(number(key, float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
 	}
 	p := &SitePeers{Listen: r.text("peers.listen", ""), Advertise: r.text("peers.advertise", ""), Via: map[string]string{},
 		Interval: duration("every_ms", 500*time.Millisecond), Burst: int(number("burst", 64)), KeyFile: r.text("peers.key_file", "")}
-	p.State = nodestats.Settings{MaxOrigins: int(number("origins", float64(def.MaxOrigins))), MaxNodes: int(number("nodes", float64(def.MaxNodes))),
-		MaxClasses: int(number("classes", float64(def.MaxClasses))), MaxMessageBytes: def.MaxMessageBytes, HalfLife: duration("half_life_ms", def.HalfLife),
-		ExpireAfter: duration("expire_ms", def.ExpireAfter), ClipFactor: number("clip", def.ClipFactor)}
+	p.State = nodestats.Settings{MaxOrigins: int(number("origins", float64(defaults.MaxOrigins))), MaxNodes: int(number("nodes", float64(defaults.MaxNodes))),
+		MaxClasses: int(number("classes", float64(defaults.MaxClasses))), MaxMessageBytes: defaults.MaxMessageBytes, HalfLife: duration("half_life_ms", defaults.HalfLife),
+		ExpireAfter: duration("expire_ms", defaults.ExpireAfter), ClipFactor: number("clip", defaults.ClipFactor)}
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -49,21 +49,21 @@
 		}
 		p.Seeds = append(p.Seeds, e.Str)
 	}
-	for to, way := range r.root.Get("peers.via").Map() {
+	for to, override := range r.root.Get("peers.via").Map() {
 		if err := checkEndpoint("via", to); err != nil {
 			return nil, err
 		}
-		if err := checkEndpoint("via", way.Str); err != nil {
+		if err := checkEndpoint("via", override.Str); err != nil {
 			return nil, err
 		}
-		p.Via[to] = way.Str
+		p.Via[to] = override.Str
 	}
 	if file := r.text("peers.seeds_file", ""); file != "" {
-		more, err := seedsFile(file)
+		fileSeeds, err := seedsFile(file)
 		if err != nil {
 			return nil, err
 		}
-		p.Seeds = append(p.Seeds, more...)
+		p.Seeds = append(p.Seeds, fileSeeds...)
 	}
 	return p, p.State.Check()
 }
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// seedsFile reads addresses, one a line; # begins a comment.
+// seedsFile reads addresses, one per line; # begins a comment.
 func seedsFile(file string) ([]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,7 +14,7 @@
 // reader reads the keys of one object and records the first error.
 type reader struct {
 	root   gjson.Result
-	prefix string
+	prefix string // of the object's keys in error texts
 	file   string // "": configuration
 	err    error
 }
@@ -74,9 +74,9 @@
 		return
 	}
 	for i, e := range v.Array() {
-		sub := &reader{root: e, prefix: fmt.Sprintf("%s%s.%d.", r.prefix, key, i), file: r.file, err: r.err}
-		f(sub)
-		r.err = sub.err
+		entry := &reader{root: e, prefix: fmt.Sprintf("%s%s.%d.", r.prefix, key, i), file: r.file, err: r.err}
+		f(entry)
+		r.err = entry.err
 	}
 }
 
@@ -88,18 +88,19 @@
 	return raw
 }
 
-// enum returns the value of a key's word in a table.
+// enum returns the value that a table has for the word at a key.
 func enum[T any](r *reader, key, fallback string, table map[string]T) T {
 	v, ok := table[r.text(key, fallback)]
 	if !ok {
 		raw := truncate(r.root.Get(key).Raw)
 		names := strings.Join(slices.Sorted(maps.Keys(table)), ", ")
-		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + names, Problem: "unknown word " + raw})
+		r.fail(KeyError{Key: key, Value: raw, Expected: "one of " + names, Problem: "unknown value " + raw})
 	}
 	return v
 }
 
-// integer returns a whole number between the bounds, or the fallback if the key is missing.
+// integer returns a whole number between the bounds, or the fallback if the key is missing. A fallback outside the bounds
+// makes the key mandatory.
 func (r *reader) integer(key string, fallback, minimum, maximum float64) float64 {
 	v := r.number(key, fallback, minimum)
 	if v != math.Trunc(v) || v < minimum || v > maximum {
@@ -109,10 +110,10 @@
 	return v
 }
 
-// unique records a name that is empty or occurred before.
+// unique records an error if a name is empty or occurred before.
 func (r *reader) unique(key, value string, seen map[string]bool) {
 	if value == "" || seen[value] {
-		r.fail(KeyError{Key: key, Value: value, Expected: "a name of its own", Problem: fmt.Sprintf("%q is empty or twice there", value)})
+		r.fail(KeyError{Key: key, Value: value, Expected: "a unique name", Problem: fmt.Sprintf("%q is empty or a duplicate", value)})
 	}
 	seen[value] = true
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,13 +6,13 @@
 	"wheatsaddle/policy"
 )
 
-// The words of the settings and their values. Nothing outside of this package uses the words.
+// The words of the settings and their values. No other package uses the words.
 var (
 	effectsByWord     = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 	dedupScopesByWord = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
 )
 
-// Settings reads the object settings of a configuration, whose keys are the platform's words.
+// Settings reads the object settings of a configuration, whose keys and words are defined by the platform.
 func Settings(set gjson.Result) (policy.Settings, error) {
 	r := &reader{root: set, prefix: "settings."}
 	s := policy.Settings{
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -32,27 +32,27 @@
 	Estimate  *SiteEstimate
 	Gather    *SiteGather
 	Listen    map[string][]Listener // by front: http, iscsi
-	Metrics   *Listener             // address of the metrics; nil: they are not served
+	Metrics   *Listener             // of the metrics endpoint; nil: metrics are not served
 	Peers     *SitePeers
 	Start     *SiteStart
 }
 
-// SiteStart is the section start: how the process starts together with a large fleet.
+// SiteStart is the section start, the settings of a process that starts together with a large fleet.
 type SiteStart struct {
 	Enabled            bool
 	Snapshot           string  // file of the learned state; "": none
-	ListPriced         bool    // calls for the list are spread over the fleet
-	ListCallsPerSecond float64 // maximum of the whole fleet
+	ListPriced         bool    // the fleet's requests for the list are spread over time
+	ListCallsPerSecond float64 // maximum for the whole fleet
 	PreconnectNodes    int     // nodes to which a connection is opened in advance
 }
 
 // SiteAddresses is the section addresses.
 type SiteAddresses struct {
 	Selector address.Settings
-	Identity string // header with the node's name in its responses; "": none
+	Identity string // response header with the node's name; "": none
 }
 
-// SiteEstimate is the section estimate of the admin endpoint.
+// SiteEstimate is the section estimate, the settings of the admin endpoint's estimates.
 type SiteEstimate struct {
 	MaxBytes, MaxConcurrent int
 	Prices                  cost.Prices
@@ -72,7 +72,7 @@
 	}, err
 }
 
-// Listener is one further address of a front.
+// Listener is an address on which a front or the metrics endpoint listens.
 type Listener struct {
 	Address address.Addr
 	Mode    fs.FileMode // of a socket file
@@ -80,18 +80,18 @@
 
 const socketMode = 0o600 // default of a socket file
 
-// CheckSchema checks a JSON text against a schema; the error has the file's kind, the key and what it must be.
+// CheckSchema checks a JSON text against a schema. The error names the kind of file, the key and the expected value.
 func CheckSchema(kind string, schema, text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return &JSONError{kind, err}
 	}
-	form, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
+	schemaDoc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
 		return &KeyError{File: kind, Key: "schema", Err: err}
 	}
 	c := jsonschema.NewCompiler()
-	if err := c.AddResource("wheatsaddle:"+kind, form); err != nil {
+	if err := c.AddResource("wheatsaddle:"+kind, schemaDoc); err != nil {
 		return &KeyError{File: kind, Key: "schema", Err: err}
 	}
 	s, err := c.Compile("wheatsaddle:" + kind)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// LoadSite reads the site's file. The error names the key and what it must be.
+// LoadSite reads the site's file. The error names the key and the expected value.
 func LoadSite(path string) (*Site, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return s, r.err
 }
 
-// listeners reads the listeners of the metrics and of the fronts, whose addresses must differ.
+// listeners reads the listeners of the metrics endpoint and of the fronts, whose addresses must all differ.
 func (s *Site) listeners(r *reader) error {
 	seen := map[address.Addr]string{}
 	if e := r.root.Get("metrics"); e.Exists() {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// siteListener reads one listener; seen holds the addresses of those before it.
+// siteListener reads one listener; seen has the keys of the previous listeners by address.
 func siteListener(key string, e gjson.Result, seen map[address.Addr]string) (l Listener, err error) {
 	fail := func(e KeyError) (Listener, error) {
 		e.File, e.Key = "site", key+e.Key
@@ -185,13 +185,13 @@
 	if l.Address, err = address.ParseListen(text); err != nil {
 		return fail(KeyError{Key: ".address", Value: strconv.Quote(text), Expected: "IP:port, [IPv6]:port or unix:PATH", Err: err})
 	}
-	if first, twice := seen[l.Address]; twice {
-		return fail(KeyError{Key: ".address", Value: text, Expected: "an address of its own", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
+	if first, duplicate := seen[l.Address]; duplicate {
+		return fail(KeyError{Key: ".address", Value: text, Expected: "a unique address", Problem: fmt.Sprintf("%q: the same as %s", text, first)})
 	}
 	seen[l.Address] = key
 	if m := e.Get("mode"); m.Exists() {
 		if l.Address.Path() == "" {
-			return fail(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has one"})
+			return fail(KeyError{Key: ".mode", Value: m.Str, Problem: "only a socket file has a mode"})
 		}
 		n, err := strconv.ParseUint(m.Str, 8, 12)
 		if err != nil {
@@ -246,7 +246,7 @@
 	return a, nil
 }
 
-// schemaError returns the deepest error of a schema's validation as a KeyError.
+// schemaError converts the innermost error of a schema validation to a KeyError.
 func schemaError(file string, err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -11,27 +11,27 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxTypeBytes is the maximum length of a hardware type's name, as gossip accepts no more.
+// maxTypeBytes is the maximum length of a hardware type's name that the gossip accepts.
 const maxTypeBytes = 64
 
 // NodeTypes maps nodes to hardware types, by name or by a pattern of names.
 type NodeTypes struct {
-	names    map[string]string
+	byName   map[string]string
 	patterns []typePattern // the longest first
 }
 
-// typePattern is a pattern of names and its type.
-type typePattern struct{ pattern, kind string }
+// typePattern is a pattern of node names and its hardware type.
+type typePattern struct{ pattern, hardwareType string }
 
-// Of returns a node's type, "": unknown. An exact name precedes patterns, a longer pattern a shorter one, and of equal
-// lengths the first in byte order.
+// Of returns a node's hardware type; "": unknown. An exact name takes precedence over patterns and a longer pattern over a
+// shorter one; among patterns of equal length the first in byte order applies.
 func (t NodeTypes) Of(node string) string {
-	if kind, ok := t.names[node]; ok {
-		return kind
+	if hardwareType, ok := t.byName[node]; ok {
+		return hardwareType
 	}
 	for _, p := range t.patterns {
 		if ok, err := path.Match(p.pattern, node); ok && err == nil {
-			return p.kind
+			return p.hardwareType
 		}
 	}
 	return ""
@@ -39,7 +39,7 @@
 
 // nodeTypes reads estimate.types.
 func nodeTypes(r *reader) (NodeTypes, error) {
-	t := NodeTypes{names: map[string]string{}}
+	t := NodeTypes{byName: map[string]string{}}
 	var err error
 	r.root.Get("estimate.types").ForEach(func(k, v gjson.Result) bool {
 		key := KeyError{File: "site", Key: "estimate.types." + k.Str}
@@ -49,7 +49,7 @@
 		case len(v.Str) > maxTypeBytes || !utf8.ValidString(v.Str):
 			key.Value, key.Expected = strconv.Quote(v.Str), "a name of at most 64 bytes of UTF-8"
 		case !strings.ContainsAny(k.Str, `*?[\`):
-			t.names[k.Str] = v.Str
+			t.byName[k.Str] = v.Str
 			return true
 		default:
 			t.patterns = append(t.patterns, typePattern{k.Str, v.Str})
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,14 +1,14 @@
-// Package metrics is a registry of counters, gauges and histograms, served at GET /metrics in the text format of
-// Prometheus. It is on if the site's file has a section metrics. Otherwise the registry is nil: counters can be used at the
-// same cost, gauges and histograms are not registered, and there is neither a goroutine nor a socket.
+// Package metrics is a registry of counters, gauges and histograms, served at GET /metrics in the Prometheus text format. It
+// is enabled if the site's file has a section metrics. Otherwise the registry is nil: counters can be used at the same cost,
+// gauges and histograms are not registered, and there is neither a goroutine nor a socket.
 //
 // Invariants:
 //   - A nil Registry can be used in every way.
-//   - A name with its labels is one series, however often it is requested.
+//   - A name with its labels identifies one series, however often it is requested.
 //   - There are at most maxSeries series. Further ones are counted in wheatsaddle_meter_left_out and not served.
 //   - Close leaves no goroutine behind.
 //
-// The telemetry of the admin endpoint is not part of it: those counters belong to core.
+// The telemetry of the admin endpoint is not part of the registry: its counters belong to core.
 package metrics
 
 import (
@@ -37,7 +37,7 @@
 	maxHeaderBytes        = 4 << 10
 )
 
-// Counter is a counter that only rises. Any goroutine may call its methods.
+// Counter is a counter that only increases. Any goroutine may call its methods.
 type Counter = metrics.Counter
 
 // Histogram is a histogram with buckets in the format of VictoriaMetrics (vmrange). Any goroutine may call its methods.
@@ -67,7 +67,7 @@
 	go func() {
 		defer close(m.done)
 		if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("metrics server ended")
+			log.WithFields(operr.Fields(&ServeError{ln.Addr().String(), err})).Error("metrics server failed")
 		}
 	}()
 	return m
@@ -77,10 +77,10 @@
 func (m *Registry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch {
 	case q.URL.Path != "/metrics" || q.Method != http.MethodGet:
-		http.Error(w, "GET /metrics is the only call", http.StatusNotFound)
+		http.Error(w, "the only supported request is GET /metrics", http.StatusNotFound)
 	case m.activeRequests.Add(1) > maxConcurrentRequests:
 		m.activeRequests.Add(-1)
-		http.Error(w, "others ask", http.StatusServiceUnavailable)
+		http.Error(w, "too many concurrent requests", http.StatusServiceUnavailable)
 	default:
 		defer m.activeRequests.Add(-1)
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
@@ -88,7 +88,7 @@
 	}
 }
 
-// Close stops the server and waits for its end; counters can still be used.
+// Close stops the server and waits until it has ended. Counters can still be used.
 func (m *Registry) Close() {
 	if m != nil {
 		_ = m.server.Close()
@@ -96,7 +96,8 @@
 	}
 }
 
-// Counter returns the counter of a name, without the program's prefix, and labels, given as alternating keys and values.
+// Counter returns the counter with a name and labels. The name lacks the program's prefix, and the labels are alternating
+// keys and values.
 func (m *Registry) Counter(name string, labels ...string) *Counter {
 	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateCounter(series)
@@ -104,7 +105,7 @@
 	return &Counter{}
 }
 
-// Histogram returns the histogram of a name and labels. That of a nil Registry is not served.
+// Histogram returns the histogram with a name and labels. That of a nil Registry is not served.
 func (m *Registry) Histogram(name string, labels ...string) *Histogram {
 	if series := m.seriesName(name, labels); series != "" {
 		return m.set.GetOrCreateHistogram(series)
@@ -112,7 +113,7 @@
 	return &Histogram{}
 }
 
-// Gauge registers a gauge whose value is that of f at each request; f is called by the server's goroutines.
+// Gauge registers a gauge whose value is computed by f at each request. The server's goroutines call f.
 func (m *Registry) Gauge(f func() float64, name string, labels ...string) {
 	if series := m.seriesName(name, labels); series != "" {
 		m.set.GetOrCreateGauge(series, f)
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,7 +1,8 @@
-// Package operr defines what an error that reaches an operator carries: a stable code and advice. Errors are types of their
-// own packages with the facts as fields; this package finds them in a chain of wrapped errors, logs and registers them.
+// Package operr defines errors for operators, which have a stable code and advice. The error types belong to the packages
+// that return them and have the details as fields. This package finds them in a chain of wrapped errors, converts them to
+// log fields and text, and registers examples of them.
 //
-// Invariants (Check): a code is stable, unique, in lower case with hyphens; no advice is empty.
+// Invariants (Check): a code is stable, unique, and in lower case with hyphens; no advice is empty.
 package operr
 
 import (
@@ -32,7 +33,7 @@
 	return f
 }
 
-// Text returns an error's text, followed by its code and advice, if it has them, in a line each.
+// Text returns an error's text, followed by its code and advice in a line each, if it has them.
 func Text(err error) string {
 	var c Coded
 	if errors.As(err, &c) {
@@ -46,7 +47,8 @@
 	registered []Coded
 )
 
-// Register adds one example of each error type of a package, for the page of errors. Packages call it in init.
+// Register adds one example of each error type of a package. Packages call it in init. The operators' page of errors is
+// generated from the examples.
 func Register(examples ...Coded) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -64,13 +66,13 @@
 
 var codePattern = regexp.MustCompile(`^[a-z][a-z0-9]*(-[a-z0-9]+)+$`)
 
-// Check returns an error if a code in the list has another form or is used twice, or an advice is empty.
+// Check returns an error if a code in the list is malformed or used twice, or if an advice is empty.
 func Check(all []Coded) error {
 	seen := map[string]bool{}
 	for _, c := range all {
 		switch {
 		case !codePattern.MatchString(c.Code()):
-			return fmt.Errorf("%T: code %q is not words joined by hyphens", c, c.Code())
+			return fmt.Errorf("%T: code %q does not consist of words joined by hyphens", c, c.Code())
 		case seen[c.Code()]:
 			return fmt.Errorf("%T: code %q is used twice", c, c.Code())
 		case c.Advice() == "":
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -6,14 +6,14 @@
 	"wheatsaddle/internal/operr"
 )
 
-// FlagError is a flag of the command that is not right.
-type FlagError struct{ Flag, Says string }
+// FlagError reports an invalid flag or argument of the command replay.
+type FlagError struct{ Flag, Problem string }
 
 func (e *FlagError) Error() string {
 	if e.Flag == "" {
-		return "replay: " + e.Says
+		return "replay: " + e.Problem
 	}
-	return "replay: " + e.Flag + ": " + e.Says
+	return "replay: " + e.Flag + ": " + e.Problem
 }
 
 // Code implements operr.Coded.
@@ -21,25 +21,27 @@
 
 // Advice implements operr.Coded.
 func (e *FlagError) Advice() string {
-	return "See wheatsaddle replay --help for the flags and their forms."
+	return "See wheatsaddle replay --help for the flags and their values."
 }
 
-// NoPlan is a recorded request for which nothing names a plan.
-type NoPlan struct {
+// MissingPlanError reports a recorded request without a plan, if there is no default plan either.
+type MissingPlanError struct {
 	Path string
 	Line int
 }
 
-func (e *NoPlan) Error() string {
-	return fmt.Sprintf("replay: plan: line %d, %.60q: none was recorded, and none is given", e.Line, e.Path)
+func (e *MissingPlanError) Error() string {
+	return fmt.Sprintf("replay: plan: line %d, %.60q: no plan was recorded, and there is no default plan", e.Line, e.Path)
 }
 
 // Code implements operr.Coded.
-func (e *NoPlan) Code() string { return "replay-plan" }
+func (e *MissingPlanError) Code() string { return "replay-plan" }
 
 // Advice implements operr.Coded.
-func (e *NoPlan) Advice() string {
-	return "Name a plan with --plan, or a configuration with --config: its first plan is taken."
+func (e *MissingPlanError) Advice() string {
+	return "Set a default plan with --plan, or a configuration with --config, of which the first plan is used."
 }
 
-func init() { operr.Register(&FlagError{"as", `"xml" is neither jsonl nor http`}, &NoPlan{"/a", 3}) }
+func init() {
+	operr.Register(&FlagError{"as", `"xml" is neither jsonl nor http`}, &MissingPlanError{"/a", 3})
+}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay reads HAR 1.2 files and access logs (common and combined) as sources of
-// load for tests and rehearsals, and turns their entries into core requests. Bodies are
-// filler of the recorded size: a recording may hold card data, which is not passed on.
+// Package replay reads HAR 1.2 files and access logs (common and combined format) and converts their entries to core
+// requests, as a source of load for tests and rehearsals. Bodies are filler of the recorded size, because a recording may
+// contain card data, which must not be passed on.
 package replay
 
 import (
@@ -27,62 +27,62 @@
 )
 
 const (
-	fileMost = 256 << 20 // of a HAR file, which is held whole; a log is read line by line
-	lineMost = 64 << 10
-	bodyMost = 64 << 10
-	// logTime is the time of an access log's line.
-	logTime = "02/Jan/2006:15:04:05 -0700"
+	maxHARBytes  = 256 << 20 // size of a HAR file, which is read into memory at once; a log is read line by line
+	maxLineBytes = 64 << 10
+	maxBodyBytes = 64 << 10
+	// logTimeLayout is the layout of the time in an access log's line.
+	logTimeLayout = "02/Jan/2006:15:04:05 -0700"
 )
 
-// Mapping says how recorded traffic becomes requests.
+// Mapping defines how recorded traffic is converted to requests.
 type Mapping struct {
 	Classes   map[string]time.Duration // known classes and their deadlines; nil: any class
-	Prefixes  map[string]string        // path prefix to class; the longest counts, else the first part of the path
-	Plan      string
-	Deadline  time.Duration // where the class names none
-	UnitBytes float64
-	MostUnits float64
+	Prefixes  map[string]string        // path prefix to class; the longest match applies, else the first part of the path
+	Plan      string                   // of requests without a recorded plan
+	Deadline  time.Duration            // if Classes is nil and none was recorded
+	UnitBytes float64                  // bytes of one unit of work
+	MostUnits float64                  // maximum units of a request; 0: no maximum
 	Shards    int
 	Hosts     int
 }
 
 // Entry is one recorded request.
 type Entry struct {
-	Line    int           // of a log, or the number of a HAR entry, from 1
-	At      time.Duration // after the first
+	Line    int           // line of a log, or number of a HAR entry, from 1
+	At      time.Duration // since the first entry
 	Write   bool
 	URI     string
 	Bytes   int
 	Request core.Request
 }
 
-// Bad is a line or entry that could not be used.
-type Bad struct {
+// InvalidLine is a line of a log or an entry of a HAR file that could not be converted.
+type InvalidLine struct {
 	Line int
 	Err  error
 }
 
-func (b Bad) Error() string { return fmt.Sprintf("line %d: %v", b.Line, b.Err) }
+func (b InvalidLine) Error() string { return fmt.Sprintf("line %d: %v", b.Line, b.Err) }
 
-// Recording is what a file holds, in the order of time.
+// Recording has the entries of a file in order of time, and its invalid lines.
 type Recording struct {
-	Entries []Entry
-	Bad     []Bad
+	Entries      []Entry
+	InvalidLines []InvalidLine
 }
 
-// raw is an entry as recorded.
-type raw struct {
-	at           time.Time
-	method, uri  string
-	owner        string
-	bytes        int
-	plan, extent string
-	info         string
-	deadline     string
-	retry        bool
+// recordedRequest is a request as recorded, before its conversion.
+type recordedRequest struct {
+	at          time.Time
+	method, uri string
+	owner       string
+	bytes       int
+	plan, key   string
+	ioInfo      string
+	deadline    string
+	retry       bool
 }
 
-// Read reads a file; a HAR file starts with a brace.
+// Read reads a HAR file, which starts with a brace, or an access log.
 func Read(in io.Reader, m Mapping) (*Recording, error) {
 	br := bufio.NewReader(in)
 	for {
@@ -101,21 +101,21 @@
 	}
 }
 
-// add maps one recorded entry.
-func (r *Recording) add(line int, x raw, m Mapping) {
-	e, err := m.entry(x)
+// addEntry converts one recorded request and adds it to the entries or the invalid lines.
+func (r *Recording) addEntry(line int, recorded recordedRequest, m Mapping) {
+	e, err := m.newEntry(recorded)
 	if err != nil {
-		r.Bad = append(r.Bad, Bad{line, err})
+		r.InvalidLines = append(r.InvalidLines, InvalidLine{line, err})
 		return
 	}
 	e.Line = line
 	e.Request.ID = fmt.Sprintf("replay-%d", line)
-	e.Request.ReceivedAt = x.at
+	e.Request.ReceivedAt = recorded.at
 	r.Entries = append(r.Entries, e)
 }
 
-// order sorts by time, and counts times from the first.
-func (r *Recording) order() *Recording {
+// sortByTime sorts the entries by time, and sets their times since the first.
+func (r *Recording) sortByTime() *Recording {
 	slices.SortStableFunc(r.Entries, func(a, b Entry) int { return a.Request.ReceivedAt.Compare(b.Request.ReceivedAt) })
 	for i := range r.Entries {
 		r.Entries[i].At = r.Entries[i].Request.ReceivedAt.Sub(r.Entries[0].Request.ReceivedAt)
@@ -123,100 +123,100 @@
 	return r
 }
 
-func hash(text string) string {
+func hexHash(text string) string {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, text)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-func (m Mapping) class(path string) string {
-	best, class := -1, ""
+func (m Mapping) classOf(path string) string {
+	longest, class := -1, ""
 	for prefix, c := range m.Prefixes {
-		if strings.HasPrefix(path, prefix) && len(prefix) > best {
-			best, class = len(prefix), c
+		if strings.HasPrefix(path, prefix) && len(prefix) > longest {
+			longest, class = len(prefix), c
 		}
 	}
-	if best < 0 {
+	if longest < 0 {
 		class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	}
 	return class
 }
 
-func (m Mapping) entry(x raw) (e Entry, err error) {
-	switch x.method {
+func (m Mapping) newEntry(recorded recordedRequest) (e Entry, err error) {
+	switch recorded.method {
 	case "GET", "HEAD":
 	case "PUT", "POST", "PATCH":
 		e.Write = true
 	default:
-		return e, fmt.Errorf("method %.20q is neither a read nor a write", x.method)
+		return e, fmt.Errorf("method %.20q is neither a read nor a write", recorded.method)
 	}
-	u, err := url.ParseRequestURI(x.uri)
+	u, err := url.ParseRequestURI(recorded.uri)
 	if err != nil || !strings.HasPrefix(u.Path, "/") {
-		return e, fmt.Errorf("path %.60q is malformed", x.uri)
+		return e, fmt.Errorf("path %.60q is malformed", recorded.uri)
 	}
-	r := &e.Request
-	if r.Class = m.class(u.Path); r.Class == "" {
-		return e, fmt.Errorf("path %.60q names no class", x.uri)
+	request := &e.Request
+	if request.Class = m.classOf(u.Path); request.Class == "" {
+		return e, fmt.Errorf("path %.60q has no class", recorded.uri)
 	}
-	r.Timeout = m.Deadline
+	request.Timeout = m.Deadline
 	if m.Classes != nil {
-		d, ok := m.Classes[r.Class]
+		deadline, ok := m.Classes[request.Class]
 		if !ok {
-			return e, fmt.Errorf("class %.40q is unknown", r.Class)
+			return e, fmt.Errorf("class %.40q is unknown", request.Class)
 		}
-		r.Timeout = d
+		request.Timeout = deadline
 	}
-	if x.deadline != "" {
-		ms, err := strconv.ParseUint(x.deadline, 10, 31)
+	if recorded.deadline != "" {
+		ms, err := strconv.ParseUint(recorded.deadline, 10, 31)
 		if err != nil || ms == 0 {
-			return e, fmt.Errorf("X-Deadline-Ms %.20q is no time", x.deadline)
+			return e, fmt.Errorf("X-Deadline-Ms %.20q is not a number of milliseconds above 0", recorded.deadline)
 		}
-		r.Timeout = time.Duration(ms) * time.Millisecond
+		request.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	e.URI, e.Bytes = u.RequestURI(), x.bytes
-	if rest, found := strings.CutPrefix(e.URI, "/"+r.Class); !found || rest != "" && rest[0] != '/' && rest[0] != '?' {
-		e.URI = "/" + r.Class + e.URI // the class is the first part of the path
+	e.URI, e.Bytes = u.RequestURI(), recorded.bytes
+	if suffix, found := strings.CutPrefix(e.URI, "/"+request.Class); !found || suffix != "" && suffix[0] != '/' && suffix[0] != '?' {
+		e.URI = "/" + request.Class + e.URI // the platform's paths begin with the class
 	}
-	r.Plan, r.Key, r.ClientRetry = cmpOr(x.plan, m.Plan), cmpOr(x.extent, hash(u.Path)), x.retry
-	r.Volume, r.Schedulers = hash("volume "+x.owner), max(1, m.Hosts)
-	r.Units = math.Max(1, math.Ceil(float64(x.bytes)/math.Max(m.UnitBytes, 1)))
+	request.Plan, request.Key, request.ClientRetry = firstNonEmpty(recorded.plan, m.Plan), firstNonEmpty(recorded.key, hexHash(u.Path)), recorded.retry
+	request.Volume, request.Schedulers = hexHash("volume "+recorded.owner), max(1, m.Hosts)
+	request.Units = math.Max(1, math.Ceil(float64(recorded.bytes)/math.Max(m.UnitBytes, 1)))
 	if m.MostUnits > 0 {
-		r.Units = math.Min(r.Units, m.MostUnits)
+		request.Units = math.Min(request.Units, m.MostUnits)
 	}
 	if m.Shards > 0 {
 		h := fnv.New32a()
-		_, _ = io.WriteString(h, r.Key)
-		r.Shard = int(h.Sum32() % uint32(m.Shards))
+		_, _ = io.WriteString(h, request.Key)
+		request.Shard = int(h.Sum32() % uint32(m.Shards))
 	}
-	return e, x.infoInto(&r.Request)
+	return e, recorded.applyIOInfo(&request.Request)
 }
 
-func cmpOr(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// infoInto takes what a recorded IO-Info header says.
-func (x raw) infoInto(r *policy.Request) error {
-	if x.info == "" {
+// applyIOInfo applies the fields of a recorded IO-Info header to the request.
+func (x recordedRequest) applyIOInfo(r *policy.Request) error {
+	if x.ioInfo == "" {
 		return nil
 	}
-	for _, part := range strings.Split(x.info, ",") {
-		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
+	for _, part := range strings.Split(x.ioInfo, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
 		switch name {
 		case "volume":
-			r.Volume = v
+			r.Volume = value
 		case "units":
-			if r.Units, err = strconv.ParseFloat(v, 64); err == nil && !(r.Units > 0 && r.Units <= 1e6) {
+			if r.Units, err = strconv.ParseFloat(value, 64); err == nil && !(r.Units > 0 && r.Units <= 1e6) {
 				err = errors.New("out of range")
 			}
 		case "shard":
-			r.Shard, err = strconv.Atoi(v)
+			r.Shard, err = strconv.Atoi(value)
 		case "hosts":
-			r.Schedulers, err = strconv.Atoi(v)
+			r.Schedulers, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("IO-Info: %s: %w", name, err)
@@ -225,55 +225,55 @@
 	return nil
 }
 
-// line is the common log format, with the referer and agent of the combined one.
-var line = regexp.MustCompile(`^(\S+) \S+ (\S+) \[([^\]]+)\] "([A-Z]+) (\S+)(?: HTTP/[0-9.]+)?" (\d{3}) (\d+|-)(?: "(?:[^"\\]|\\.)*" "(?:[^"\\]|\\.)*")?\s*$`)
+// logLinePattern matches the common log format and the combined one, which adds the referer and the user agent.
+var logLinePattern = regexp.MustCompile(`^(\S+) \S+ (\S+) \[([^\]]+)\] "([A-Z]+) (\S+)(?: HTTP/[0-9.]+)?" (\d{3}) (\d+|-)(?: "(?:[^"\\]|\\.)*" "(?:[^"\\]|\\.)*")?\s*$`)
 
 func readLog(in *bufio.Reader, m Mapping) (*Recording, error) {
-	r := &Recording{}
-	sc := bufio.NewScanner(in)
-	sc.Buffer(make([]byte, 0, 4096), lineMost)
-	n := 0
-	for sc.Scan() {
-		n++
-		text := sc.Text()
+	recording := &Recording{}
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
+	lineNumber := 0
+	for scanner.Scan() {
+		lineNumber++
+		text := scanner.Text()
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		f := line.FindStringSubmatch(text)
-		if f == nil {
-			r.Bad = append(r.Bad, Bad{n, errors.New("neither the common nor the combined log format")})
+		fields := logLinePattern.FindStringSubmatch(text)
+		if fields == nil {
+			recording.InvalidLines = append(recording.InvalidLines, InvalidLine{lineNumber, errors.New("neither the common nor the combined log format")})
 			continue
 		}
-		at, err := time.Parse(logTime, f[3])
+		at, err := time.Parse(logTimeLayout, fields[3])
 		if err != nil {
-			r.Bad = append(r.Bad, Bad{n, fmt.Errorf("time %.40q is malformed", f[3])})
+			recording.InvalidLines = append(recording.InvalidLines, InvalidLine{lineNumber, fmt.Errorf("time %.40q is malformed", fields[3])})
 			continue
 		}
-		x := raw{at: at, method: f[4], uri: f[5], owner: f[2]}
-		if x.owner == "-" {
-			x.owner = f[1]
+		recorded := recordedRequest{at: at, method: fields[4], uri: fields[5], owner: fields[2]}
+		if recorded.owner == "-" {
+			recorded.owner = fields[1]
 		}
-		if f[7] != "-" {
-			if x.bytes, err = strconv.Atoi(f[7]); err != nil {
-				r.Bad = append(r.Bad, Bad{n, fmt.Errorf("size %.30q is out of range", f[7])})
+		if fields[7] != "-" {
+			if recorded.bytes, err = strconv.Atoi(fields[7]); err != nil {
+				recording.InvalidLines = append(recording.InvalidLines, InvalidLine{lineNumber, fmt.Errorf("size %.30q is out of range", fields[7])})
 				continue
 			}
 		}
-		r.add(n, x, m)
+		recording.addEntry(lineNumber, recorded, m)
 	}
-	if err := sc.Err(); err != nil {
-		return nil, fmt.Errorf("replay: line %d: %w", n+1, err)
+	if err := scanner.Err(); err != nil {
+		return nil, fmt.Errorf("replay: line %d: %w", lineNumber+1, err)
 	}
-	return r.order(), nil
+	return recording.sortByTime(), nil
 }
 
 func readHAR(in io.Reader, m Mapping) (*Recording, error) {
-	text, err := io.ReadAll(io.LimitReader(in, fileMost+1))
+	text, err := io.ReadAll(io.LimitReader(in, maxHARBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("replay: %w", err)
 	}
-	if len(text) > fileMost {
-		return nil, fmt.Errorf("replay: the file is over %d MiB", fileMost>>20)
+	if len(text) > maxHARBytes {
+		return nil, fmt.Errorf("replay: the HAR file is larger than %d MiB", maxHARBytes>>20)
 	}
 	if !gjson.ValidBytes(text) {
 		return nil, errors.New("replay: not valid JSON")
@@ -286,62 +286,62 @@
 	if !entries.IsArray() {
 		return nil, errors.New("replay: log.entries: missing or not a list")
 	}
-	r, n := &Recording{}, 0
+	recording, entryNumber := &Recording{}, 0
 	entries.ForEach(func(_, e gjson.Result) bool {
-		n++
-		x, err := harEntry(e)
+		entryNumber++
+		recorded, err := parseHAREntry(e)
 		if err != nil {
-			r.Bad = append(r.Bad, Bad{n, err})
+			recording.InvalidLines = append(recording.InvalidLines, InvalidLine{entryNumber, err})
 			return true
 		}
-		r.add(n, x, m)
+		recording.addEntry(entryNumber, recorded, m)
 		return true
 	})
-	return r.order(), nil
+	return recording.sortByTime(), nil
 }
 
-func harEntry(e gjson.Result) (x raw, err error) {
-	if x.at, err = time.Parse(time.RFC3339Nano, e.Get("startedDateTime").String()); err != nil {
-		return x, fmt.Errorf("startedDateTime: %.40q is malformed", e.Get("startedDateTime").String())
+func parseHAREntry(e gjson.Result) (recorded recordedRequest, err error) {
+	if recorded.at, err = time.Parse(time.RFC3339Nano, e.Get("startedDateTime").String()); err != nil {
+		return recorded, fmt.Errorf("startedDateTime: %.40q is malformed", e.Get("startedDateTime").String())
 	}
-	q := e.Get("request")
-	u, err := url.Parse(q.Get("url").String())
+	request := e.Get("request")
+	u, err := url.Parse(request.Get("url").String())
 	if err != nil || u.Path == "" && u.Host == "" {
-		return x, fmt.Errorf("request.url: %.60q is malformed", q.Get("url").String())
+		return recorded, fmt.Errorf("request.url: %.60q is malformed", request.Get("url").String())
 	}
-	x.method, x.uri, x.owner = q.Get("method").String(), u.RequestURI(), u.Host
+	recorded.method, recorded.uri, recorded.owner = request.Get("method").String(), u.RequestURI(), u.Host
 	size := e.Get("response.content.size")
-	if x.method == "PUT" || x.method == "POST" || x.method == "PATCH" {
-		size = q.Get("bodySize")
+	if recorded.method == "PUT" || recorded.method == "POST" || recorded.method == "PATCH" {
+		size = request.Get("bodySize")
 	}
 	if size.Num > math.MaxInt32 {
-		return x, fmt.Errorf("size %v is out of range", size.Num)
+		return recorded, fmt.Errorf("size %v is out of range", size.Num)
 	}
-	x.bytes = max(0, int(size.Num)) // -1: not known
-	q.Get("headers").ForEach(func(_, h gjson.Result) bool {
+	recorded.bytes = max(0, int(size.Num)) // -1: unknown
+	request.Get("headers").ForEach(func(_, h gjson.Result) bool {
 		v := h.Get("value").String()
 		switch strings.ToLower(h.Get("name").String()) {
 		case "tier":
-			x.plan = v
+			recorded.plan = v
 		case "io-info":
-			x.info = v
+			recorded.ioInfo = v
 		case "x-deadline-ms":
-			x.deadline = v
+			recorded.deadline = v
 		case "x-retry":
-			x.retry = v == "1"
+			recorded.retry = v == "1"
 		case "cookie":
 			for _, c := range strings.Split(v, ";") {
 				if name, value, _ := strings.Cut(strings.TrimSpace(c), "="); name == "extent" {
-					x.extent = value
+					recorded.key = value
 				}
 			}
 		}
 		return true
 	})
-	return x, nil
+	return recorded, nil
 }
 
-// HTTP appends the entry as the platform's message, under an id.
+// HTTP appends the entry as an HTTP request of the platform with the given request id.
 func (e *Entry) HTTP(dst []byte, id string) []byte {
 	r, method := &e.Request, "GET"
 	if e.Write {
@@ -356,41 +356,41 @@
 	if !e.Write {
 		return append(dst, "\r\n"...)
 	}
-	n := min(e.Bytes, bodyMost)
-	dst = fmt.Appendf(dst, "Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n", id, n)
-	return append(dst, bytes.Repeat([]byte{'.'}, n)...)
+	bodyBytes := min(e.Bytes, maxBodyBytes)
+	dst = fmt.Appendf(dst, "Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n", id, bodyBytes)
+	return append(dst, bytes.Repeat([]byte{'.'}, bodyBytes)...)
 }
 
-// JSON appends the entry as one line of JSON.
-func (e *Entry) JSON(dst []byte) []byte {
+// AppendJSON appends the entry as one line of JSON.
+func (e *Entry) AppendJSON(dst []byte) []byte {
 	r := &e.Request
 	text, err := json.Marshal(map[string]any{"at_ms": e.At.Milliseconds(), "id": r.ID, "write": e.Write, "uri": e.URI, "class": r.Class,
 		"plan": r.Plan, "key": r.Key, "volume": r.Volume, "units": r.Units, "shard": r.Shard, "hosts": r.Schedulers,
 		"bytes": e.Bytes, "deadline_ms": r.Timeout.Milliseconds(), "retry": r.ClientRetry})
-	if err != nil { // no value here can fail
+	if err != nil { // these values always encode
 		panic(err)
 	}
 	return append(append(dst, text...), '\n')
 }
 
-// Class sums up one class of a recording.
-type Class struct {
-	Name                 string
-	Count, Writes        int
-	Rate                 float64 // a second, over the whole recording
-	Units                float64
-	MeanBytes, MostBytes int
+// ClassSummary has the totals of one class of a recording.
+type ClassSummary struct {
+	Name                string
+	Count, Writes       int
+	Rate                float64 // requests per second over the whole recording
+	Units               float64
+	MeanBytes, MaxBytes int
 }
 
-// Classes sums up a recording, class by class, and gives its length.
-func (r *Recording) Classes() (out []Class, span time.Duration) {
-	by := map[string]*Class{}
+// SummarizeClasses returns the totals of each class and the duration of the recording.
+func (r *Recording) SummarizeClasses() (classes []ClassSummary, duration time.Duration) {
+	summaries := map[string]*ClassSummary{}
 	for i := range r.Entries {
 		e := &r.Entries[i]
-		c := by[e.Request.Class]
+		c := summaries[e.Request.Class]
 		if c == nil {
-			c = &Class{Name: e.Request.Class}
-			by[c.Name] = c
+			c = &ClassSummary{Name: e.Request.Class}
+			summaries[c.Name] = c
 		}
 		c.Count++
 		if e.Write {
@@ -398,14 +398,14 @@
 		}
 		c.Units += e.Request.Units
 		c.MeanBytes += e.Bytes
-		c.MostBytes = max(c.MostBytes, e.Bytes)
-		span = max(span, e.At)
+		c.MaxBytes = max(c.MaxBytes, e.Bytes)
+		duration = max(duration, e.At)
 	}
-	for _, c := range by {
+	for _, c := range summaries {
 		c.MeanBytes /= c.Count
-		c.Rate = float64(c.Count) / math.Max(span.Seconds(), 1)
-		out = append(out, *c)
+		c.Rate = float64(c.Count) / math.Max(duration.Seconds(), 1)
+		classes = append(classes, *c)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out, span
+	sort.Slice(classes, func(i, j int) bool { return classes[i].Name < classes[j].Name })
+	return classes, duration
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -32,11 +32,11 @@
 
 func TestAccessLog(t *testing.T) {
 	r := read(t, "access.log")
-	classes, span := r.Classes()
+	classes, span := r.SummarizeClasses()
 	if len(r.Entries) != 5 || len(classes) != 3 || span != 4*time.Second {
 		t.Fatalf("%d entries, %v over %v", len(r.Entries), classes, span)
 	}
-	if c := classes[0]; c.Name != "balance-read" || c.Count != 3 || c.Rate != 0.75 || c.MostBytes != 900 || c.MeanBytes != 433 {
+	if c := classes[0]; c.Name != "balance-read" || c.Count != 3 || c.Rate != 0.75 || c.MaxBytes != 900 || c.MeanBytes != 433 {
 		t.Errorf("%+v", c)
 	}
 	export, record := r.Entries[2], r.Entries[3]
@@ -47,7 +47,7 @@
 		t.Errorf("%+v", record)
 	}
 	var bad []string
-	for _, b := range r.Bad {
+	for _, b := range r.InvalidLines {
 		bad = append(bad, b.Error())
 	}
 	for i, want := range []string{"line 4: neither", "line 5: time", "line 6: method", "line 7: class"} {
@@ -59,8 +59,8 @@
 
 func TestHAR(t *testing.T) {
 	r := read(t, "small.har")
-	if len(r.Entries) != 2 || len(r.Bad) != 1 || !strings.Contains(r.Bad[0].Error(), "line 3: startedDateTime") {
-		t.Fatalf("%+v %v", r.Entries, r.Bad)
+	if len(r.Entries) != 2 || len(r.InvalidLines) != 1 || !strings.Contains(r.InvalidLines[0].Error(), "line 3: startedDateTime") {
+		t.Fatalf("%+v %v", r.Entries, r.InvalidLines)
 	}
 	first, second := r.Entries[0], r.Entries[1]
 	if first.Line != 2 || second.Line != 1 || second.At != 250*time.Millisecond {
@@ -74,14 +74,14 @@
 	if text := string(second.HTTP(nil, "id1")); !strings.HasSuffix(text, "\r\n\r\n............") || strings.Contains(text, "secret") {
 		t.Errorf("%q", text)
 	}
-	if text := string(first.JSON(nil)); !strings.Contains(text, `"class":"balance-read"`) || !strings.HasSuffix(text, "}\n") {
+	if text := string(first.AppendJSON(nil)); !strings.Contains(text, `"class":"balance-read"`) || !strings.HasSuffix(text, "}\n") {
 		t.Errorf("%q", text)
 	}
 }
 
 func TestNotAFile(t *testing.T) {
 	for text, want := range map[string]string{"": "empty", `{"log":{"version":"9"}}`: "log.version",
-		`{"log":{"version":"1.2"}}`: "log.entries", `{"log":`: "JSON", strings.Repeat("x", lineMost+1): "line 1"} {
+		`{"log":{"version":"1.2"}}`: "log.entries", `{"log":`: "JSON", strings.Repeat("x", maxLineBytes+1): "line 1"} {
 		if _, err := Read(strings.NewReader(text), mapping); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.20q: %v", text, err)
 		}
