--- a/cmd/wheatsaddle/daemon_test.go
+++ b/cmd/wheatsaddle/daemon_test.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// daemon is the program as a process of its own, with the lines of its log.
+// daemon is the program running as a separate process, with the lines of its log.
 type daemon struct {
 	t            *testing.T
 	cmd          *exec.Cmd
@@ -27,55 +27,55 @@
 	admin        string // address of the admin endpoint
 	mu           sync.Mutex
 	lines        []string
-	more         chan struct{} // a line was logged
-	ended        chan struct{} // its log has ended
+	lineLogged   chan struct{} // a line was logged
+	logEnded     chan struct{} // its log has ended
 }
 
-// conf is a configuration of a daemon in a test.
-type conf struct {
+// daemonOptions configures a daemon.
+type daemonOptions struct {
 	node, discovery string // empty: nothing listens there
 	deadline        int    // of the class, ms
 }
 
-// daemonOf makes a daemon that is not started, and its file.
-func daemonOf(t *testing.T, c conf) *daemon {
+// newDaemon writes the configuration of a daemon, which is not started yet.
+func newDaemon(t *testing.T, opt daemonOptions) *daemon {
 	t.Helper()
-	d := &daemon{t: t, more: make(chan struct{}, 1), ended: make(chan struct{}), admin: freeAddress(t)}
-	if c.node == "" {
-		c.node = "127.0.0.1:1"
+	d := &daemon{t: t, lineLogged: make(chan struct{}, 1), logEnded: make(chan struct{}), admin: freeAddress(t)}
+	if opt.node == "" {
+		opt.node = "127.0.0.1:1"
 	}
-	d.file, d.listen = configure(t, c.node)
-	d.edit([2]string{`"name":"n0"`, fmt.Sprintf(`"name":"n0","operator":%q`, d.admin)},
-		[2]string{`"goal-time":30000,"deadline":60000`, fmt.Sprintf(`"goal-time":%d,"deadline":%d`, c.deadline, c.deadline)})
-	if c.discovery != "" {
-		d.write(regexp.MustCompile(`"discovery":"[^"]*"`).ReplaceAllString(d.text(), fmt.Sprintf(`"discovery":%q`, c.discovery)))
+	d.file, d.listen = writeConfig(t, opt.node)
+	d.editFile([2]string{`"name":"n0"`, fmt.Sprintf(`"name":"n0","operator":%q`, d.admin)},
+		[2]string{`"goal-time":30000,"deadline":60000`, fmt.Sprintf(`"goal-time":%d,"deadline":%d`, opt.deadline, opt.deadline)})
+	if opt.discovery != "" {
+		d.writeFile(regexp.MustCompile(`"discovery":"[^"]*"`).ReplaceAllString(d.readFile(), fmt.Sprintf(`"discovery":%q`, opt.discovery)))
 	}
 	return d
 }
 
-func (d *daemon) text() string {
+func (d *daemon) readFile() string {
 	d.t.Helper()
 	text, err := os.ReadFile(d.file)
 	d.must(err)
 	return string(text)
 }
 
-func (d *daemon) write(text string) {
+func (d *daemon) writeFile(text string) {
 	d.t.Helper()
 	d.must(os.WriteFile(d.file, []byte(text), 0o600))
 }
 
-// edit puts texts in place of others in the file; each must be there.
-func (d *daemon) edit(pairs ...[2]string) {
+// editFile replaces texts in the configuration file, each of which must occur.
+func (d *daemon) editFile(pairs ...[2]string) {
 	d.t.Helper()
-	text := d.text()
+	text := d.readFile()
 	for _, p := range pairs {
 		if !strings.Contains(text, p[0]) {
-			d.t.Fatalf("the file has no %s", p[0])
+			d.t.Fatalf("the configuration does not contain %s", p[0])
 		}
 		text = strings.Replace(text, p[0], p[1], 1)
 	}
-	d.write(text)
+	d.writeFile(text)
 }
 
 func (d *daemon) must(err error) {
@@ -88,27 +88,27 @@
 // start starts the program; it ends with the test.
 func (d *daemon) start() {
 	d.t.Helper()
-	d.cmd = program([]string{"ROUTER_CONFIG=" + d.file, "TMPDIR=" + d.t.TempDir()})
+	d.cmd = programCommand([]string{"ROUTER_CONFIG=" + d.file, "TMPDIR=" + d.t.TempDir()})
 	out, err := d.cmd.StderrPipe()
 	d.must(err)
 	d.must(d.cmd.Start())
-	d.t.Cleanup(func() { _ = d.cmd.Process.Kill(); <-d.ended })
+	d.t.Cleanup(func() { _ = d.cmd.Process.Kill(); <-d.logEnded })
 	go func() {
-		defer close(d.ended)
+		defer close(d.logEnded)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			d.mu.Lock()
 			d.lines = append(d.lines, lines.Text())
 			d.mu.Unlock()
 			select {
-			case d.more <- struct{}{}:
+			case d.lineLogged <- struct{}{}:
 			default:
 			}
 		}
 	}()
 }
 
-// up starts the program and waits until it serves.
-func (d *daemon) up() {
+// startAndWait starts the program and waits until it serves clients.
+func (d *daemon) startAndWait() {
 	d.t.Helper()
 	d.start()
 	d.awaitLog("msg=serving", 1)
@@ -118,22 +118,22 @@
 func (d *daemon) awaitLog(what string, times int) string {
 	d.t.Helper()
 	for ended := false; ; {
-		n, last := d.count(what)
+		n, last := d.countLog(what)
 		if n >= times {
 			return last
 		}
 		if ended {
-			d.t.Fatalf("it ended and never logged: %s\n%s", what, strings.Join(d.lines, "\n"))
+			d.t.Fatalf("the program ended without logging: %s\n%s", what, strings.Join(d.lines, "\n"))
 		}
 		select {
-		case <-d.more:
-		case <-d.ended:
+		case <-d.lineLogged:
+		case <-d.logEnded:
 			ended = true
 		}
 	}
 }
 
-func (d *daemon) count(what string) (n int, last string) {
+func (d *daemon) countLog(what string) (n int, last string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, line := range d.lines {
@@ -149,23 +149,23 @@
 	d.must(d.cmd.Process.Signal(s))
 }
 
-// exits waits for the end of the program, which must have exit code 0.
-func (d *daemon) exits() {
+// awaitExit waits for the end of the program, which must have exit code 0.
+func (d *daemon) awaitExit() {
 	d.t.Helper()
-	<-d.ended
+	<-d.logEnded
 	if err := d.cmd.Wait(); err != nil {
 		d.t.Errorf("%v\n%s", err, strings.Join(d.lines, "\n"))
 	}
 }
 
-// status waits until a line of /proc/PID/status matches.
-func (d *daemon) status(form string) {
+// awaitProcStatus waits until a line of /proc/PID/status matches.
+func (d *daemon) awaitProcStatus(pattern string) {
 	d.t.Helper()
-	want := regexp.MustCompile("(?m)" + form)
+	expected := regexp.MustCompile("(?m)" + pattern)
 	for {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 		d.must(err)
-		if want.Match(text) {
+		if expected.Match(text) {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -183,28 +183,28 @@
 
 type client struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-// answer reads one answer: its code and body.
-func (c client) answer() (int, string, error) {
+// readResponse reads a response and returns its status code and body.
+func (c client) readResponse() (int, string, error) {
 	var r fasthttp.Response
-	err := r.Read(c.in)
+	err := r.Read(c.reader)
 	return r.StatusCode(), string(r.Body()), err
 }
 
-// request sends a request and checks the code of its response.
+// request sends a request and checks the status code of its response.
 func (d *daemon) request(c client, text string, code int) {
 	d.t.Helper()
 	_, err := io.WriteString(c, text)
 	d.must(err)
-	if got, body, err := c.answer(); err != nil || got != code {
+	if got, body, err := c.readResponse(); err != nil || got != code {
 		d.t.Errorf("%v, %d %s, want %d", err, got, body, code)
 	}
 }
 
-// get requests a path of the admin endpoint.
-func (d *daemon) get(path string) (int, string) {
+// getAdmin requests a path of the admin endpoint.
+func (d *daemon) getAdmin(path string) (int, string) {
 	d.t.Helper()
 	r, err := http.Get("http://" + d.admin + path)
 	d.must(err)
@@ -214,37 +214,38 @@
 	return r.StatusCode, string(body)
 }
 
-// pipe puts a named pipe in the file's place: a read of it waits in the daemon until the test writes.
-func (d *daemon) pipe() {
+// replaceFileWithPipe replaces the configuration file with a named pipe, so that the daemon blocks while reading it until the
+// test writes.
+func (d *daemon) replaceFileWithPipe() {
 	d.t.Helper()
-	beside := filepath.Join(d.t.TempDir(), "pipe")
-	d.must(syscall.Mkfifo(beside, 0o600))
-	d.must(os.Rename(beside, d.file))
+	pipe := filepath.Join(d.t.TempDir(), "pipe")
+	d.must(syscall.Mkfifo(pipe, 0o600))
+	d.must(os.Rename(pipe, d.file))
 }
 
-// reads returns once the daemon reads the pipe; what is written to it is the file.
-func (d *daemon) reads() *os.File {
+// awaitFileRead returns once the daemon is reading the pipe. The daemon reads what is written to the returned file.
+func (d *daemon) awaitFileRead() *os.File {
 	d.t.Helper()
 	f, err := os.OpenFile(d.file, os.O_WRONLY, 0)
 	d.must(err)
 	return f
 }
 
-// storage is a stand-in node that holds each answer until it is released.
-type storage struct {
-	address string
-	came    chan string // the head of each request
-	release chan struct{}
+// blockingNode is a fake node that delays its responses until release is closed or receives a value for each.
+type blockingNode struct {
+	address  string
+	requests chan string // the header of each request
+	release  chan struct{}
 }
 
-func storageNode(t *testing.T) *storage {
+func newBlockingNode(t *testing.T) *blockingNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &storage{ln.Addr().String(), make(chan string, 64), make(chan struct{})}
+	s := &blockingNode{ln.Addr().String(), make(chan string, 64), make(chan struct{})}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -257,11 +258,11 @@
 	return s
 }
 
-func (s *storage) serve(nc net.Conn) {
+func (s *blockingNode) serve(nc net.Conn) {
 	defer nc.Close()
 	var q fasthttp.Request
 	for br := bufio.NewReader(nc); q.Read(br) == nil; {
-		s.came <- q.Header.String()
+		s.requests <- q.Header.String()
 		<-s.release
 		fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
--- a/cmd/wheatsaddle/descriptors_test.go
+++ b/cmd/wheatsaddle/descriptors_test.go
@@ -11,20 +11,20 @@
 	"unsafe"
 )
 
-const floodSockets = 96
+const smallSocketLimit = 96
 
 // setDescriptorLimit limits the descriptors of a process.
-func setDescriptorLimit(t *testing.T, pid int, most uint64) {
+func setDescriptorLimit(t *testing.T, pid int, limit uint64) {
 	t.Helper()
-	limit := syscall.Rlimit{Cur: most, Max: most}
-	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
+	rlimit := syscall.Rlimit{Cur: limit, Max: limit}
+	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE, uintptr(unsafe.Pointer(&rlimit)), 0, 0, 0)
 	if errno != 0 {
 		t.Fatal(errno)
 	}
 }
 
-// listOf serves a list of one node, and watches without changes.
-func listOf(t *testing.T, at, node string) {
+// serveList serves an endpoint list of one node, and answers watches without sending any changes.
+func serveList(t *testing.T, at, node string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -45,36 +45,36 @@
 	t.Cleanup(func() { close(done); _ = s.Close() })
 }
 
-// Idle clients, several times the number of descriptors, connect while discovery is down. The readiness probe is answered,
-// discovery is reached when it is back, and the node that only its list names is dialled.
-func TestIdleClientsFillDescriptors(t *testing.T) {
-	known, next := storageNode(t), storageNode(t)
-	close(known.release)
-	close(next.release)
-	service := freeAddress(t)
-	d := daemonOf(t, conf{node: known.address, discovery: service, deadline: 60000})
-	d.edit([2]string{`"sockets":256`, fmt.Sprintf(`"sockets":%d`, floodSockets)})
-	d.up()
-	setDescriptorLimit(t, d.cmd.Process.Pid, floodSockets)
-	for range 4 * floodSockets {
+// Several times more idle clients than there are descriptors connect while discovery is down. The readiness probe is still
+// answered, discovery is reached after its recovery, and a connection to the node that only its list contains is opened.
+func TestIdleClientsLeaveDescriptors(t *testing.T) {
+	cachedNode, listedNode := newBlockingNode(t), newBlockingNode(t)
+	close(cachedNode.release)
+	close(listedNode.release)
+	discoveryAddress := freeAddress(t)
+	d := newDaemon(t, daemonOptions{node: cachedNode.address, discovery: discoveryAddress, deadline: 60000})
+	d.editFile([2]string{`"sockets":256`, fmt.Sprintf(`"sockets":%d`, smallSocketLimit)})
+	d.startAndWait()
+	setDescriptorLimit(t, d.cmd.Process.Pid, smallSocketLimit)
+	for range 4 * smallSocketLimit {
 		d.dial()
 	}
-	const probe = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	d.request(d.dial(), probe, 200)
+	const readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+	d.request(d.dial(), readinessRequest, 200)
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
-	if err != nil || len(open) < floodSockets/4 {
-		t.Fatalf("the clients do not fill their part of the descriptors: %d open, %v", len(open), err)
+	if err != nil || len(open) < smallSocketLimit/4 {
+		t.Fatalf("the clients do not use all descriptors that they may: %d open, %v", len(open), err)
 	}
-	if len(open) > floodSockets*3/4 {
-		t.Errorf("%d of %d descriptors are open: none are left for discovery and nodes", len(open), floodSockets)
+	if len(open) > smallSocketLimit*3/4 {
+		t.Errorf("%d of %d descriptors are open: none are left for discovery and nodes", len(open), smallSocketLimit)
 	}
-	d.request(d.dial(), read, 200)
-	listOf(t, service, next.address)
-	for i := 0; len(next.came) == 0; i++ {
-		d.request(d.dial(), strings.Replace(read, "r1", fmt.Sprint("r", 2+i), 1), 200)
-		if len(known.came) == cap(known.came) {
-			<-known.came
+	d.request(d.dial(), readRequest, 200)
+	serveList(t, discoveryAddress, listedNode.address)
+	for i := 0; len(listedNode.requests) == 0; i++ {
+		d.request(d.dial(), strings.Replace(readRequest, "r1", fmt.Sprint("r", 2+i), 1), 200)
+		if len(cachedNode.requests) == cap(cachedNode.requests) {
+			<-cachedNode.requests
 		}
 	}
-	d.request(d.dial(), probe, 200)
+	d.request(d.dial(), readinessRequest, 200)
 }
--- a/cmd/wheatsaddle/discovery_faults_test.go
+++ b/cmd/wheatsaddle/discovery_faults_test.go
@@ -18,17 +18,17 @@
 	"wheatsaddle/internal/testkit/fake/discovery"
 )
 
-// listGuard is how long a test waits for an expected event.
-const listGuard = 30 * time.Second
+// awaitTimeout is the maximum time that a test waits for an expected event.
+const awaitTimeout = 30 * time.Second
 
-// probe requests a path on a connection of its own; 0: no answer.
-func probe(address, path string) int {
+// getStatus requests a path on a new connection and returns the status code; 0: there was no response.
+func getStatus(address, path string) int {
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(listGuard))
+	nc.SetDeadline(time.Now().Add(awaitTimeout))
 	fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
 	var r fasthttp.Response
 	if r.Read(bufio.NewReader(nc)) != nil {
@@ -38,17 +38,17 @@
 }
 
 // waitFor waits for a condition.
-func waitFor(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(listGuard); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: did not come", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// tornLists answers each request with half a list, and closes.
-func tornLists(t *testing.T) (address string, calls *atomic.Int64) {
+// serveIncompleteLists answers each request with half a list and closes the connection.
+func serveIncompleteLists(t *testing.T) (address string, calls *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -72,12 +72,12 @@
 	return ln.Addr().String(), calls
 }
 
-// A process becomes ready with discovery refusing connections, rejecting requests, resetting them, silent, or sending an
-// incomplete list: with and without the section start, with and without a cached list, with a watch and with polls. The
-// bound is that of coldstart's Settings.ReadyMost and of maxListWait, which are under 6 s.
+// A process becomes ready although discovery refuses connections, rejects requests, resets connections, does not respond or
+// sends an incomplete list: with and without the section start, with and without a cached list, with a watch and with polls.
+// The time is bounded by coldstart and by maxListWait, which are both under 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	faults := map[string]discovery.Fault{"down": {Shut: true}, "refusing": {Refuse: true}, "reset": {Reset: true}, "silent": {Silent: true},
-		"down agent": {Down: true}}
+		"agent down": {Down: true}}
 	for name := range faults {
 		f := faults[name]
 		t.Run(name, func(t *testing.T) {
@@ -90,38 +90,38 @@
 			if err := s.Set(f); err != nil {
 				t.Fatal(err)
 			}
-			checkReadyWith(t, s.Addr(), f.Silent, func() bool { return f.Shut || s.Counts().Came > 0 })
+			checkBecomesReady(t, s.Addr(), f.Silent, func() bool { return f.Shut || s.Counts().Came > 0 })
 			if n := s.Counts().Served; n > 0 {
 				t.Errorf("%d lists were served", n)
 			}
 		})
 	}
-	t.Run("torn", func(t *testing.T) {
+	t.Run("incomplete list", func(t *testing.T) {
 		t.Parallel()
-		address, calls := tornLists(t)
-		checkReadyWith(t, address, true, func() bool { return calls.Load() > 0 })
+		address, calls := serveIncompleteLists(t)
+		checkBecomesReady(t, address, true, func() bool { return calls.Load() > 0 })
 	})
 }
 
-// checkReadyWith starts a process of each kind with a list service, one after another, until it is ready; bare: also one
-// without a cached list, which waits longer.
-func checkReadyWith(t *testing.T, address string, bare bool, reached func() bool) {
-	kinds := []struct{ section, ask, held bool }{{false, false, true}, {true, false, true}}
-	if bare {
-		kinds = append(kinds, struct{ section, ask, held bool }{true, true, false})
-	}
-	for _, x := range kinds {
-		file, listen := configure(t, "127.0.0.1:1")
+// checkBecomesReady starts a process of each variant with a list service, one after another, and waits until it is ready.
+// withoutCachedList adds a process without a cached list, which waits longer.
+func checkBecomesReady(t *testing.T, address string, withoutCachedList bool, reached func() bool) {
+	variants := []struct{ section, polls, cached bool }{{false, false, true}, {true, false, true}}
+	if withoutCachedList {
+		variants = append(variants, struct{ section, polls, cached bool }{true, true, false})
+	}
+	for _, x := range variants {
+		file, listen := writeConfig(t, "127.0.0.1:1")
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		admin := freeAddress(t)
 		changed := strings.Replace(string(text), `"seed":`, fmt.Sprintf(`"operator":%q,"seed":`, admin), 1)
-		if x.ask {
+		if x.polls {
 			changed = strings.Replace(changed, `"settings":{`, `"settings":{"membership-mode":"ask",`, 1)
 		}
-		if !x.held {
+		if !x.cached {
 			from, to := strings.Index(changed, `"known":`), strings.Index(changed, `"settings":`)
 			changed = changed[:from] + changed[to:]
 		}
@@ -136,13 +136,13 @@
 			}
 			args = append(args, "--site", site)
 		}
-		c := program([]string{"ROUTER_CONFIG=" + file, "ROUTER_DISCOVERY=" + address}, args...)
-		began := time.Now()
-		upAt(t, c, listen)
-		waitFor(t, "ready for clients", func() bool { return probe(listen, "/health/ready") == 200 })
-		waitFor(t, "ready for operators", func() bool { return probe(admin, "/api/ready") == 200 })
-		t.Logf("section %v, asked %v, held %v: ready after %v", x.section, x.ask, x.held, time.Since(began).Round(100*time.Millisecond))
-		waitFor(t, "a call at discovery", reached)
+		c := programCommand([]string{"ROUTER_CONFIG=" + file, "ROUTER_DISCOVERY=" + address}, args...)
+		startedAt := time.Now()
+		startAndDial(t, c, listen)
+		waitFor(t, "ready for clients", func() bool { return getStatus(listen, "/health/ready") == 200 })
+		waitFor(t, "ready for operators", func() bool { return getStatus(admin, "/api/ready") == 200 })
+		t.Logf("section %v, polls %v, cached list %v: ready after %v", x.section, x.polls, x.cached, time.Since(startedAt).Round(100*time.Millisecond))
+		waitFor(t, "a request at discovery", reached)
 		if err := c.Process.Kill(); err != nil {
 			t.Error(err)
 		}
@@ -151,41 +151,41 @@
 }
 
 const (
-	fewDescriptors = 96
-	fewNodes       = 64
+	smallDescriptorLimit = 96
+	nodesOfSmallLimit    = 64
 )
 
-// While clients, with and without requests, and nodes hold all descriptors that they may, the connection to discovery still gets
-// one when discovery is back, and so does the readiness probe.
-func TestDiscoveryAndProbeGetDescriptors(t *testing.T) {
-	node, err := net.Listen("tcp", "127.0.0.1:0") // it takes requests and answers none
+// While clients, with and without requests, and nodes use all descriptors that they may, a connection to discovery can still
+// be opened when discovery has recovered, and the readiness probe is answered.
+func TestDescriptorsLeftForDiscoveryAndReadiness(t *testing.T) {
+	node, err := net.Listen("tcp", "127.0.0.1:0") // accepts requests and answers none
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	disco, err := discovery.New(discovery.Options{Index: 1})
+	fakeDiscovery, err := discovery.New(discovery.Options{Index: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer disco.Close()
-	if err := disco.Set(discovery.Fault{Shut: true}); err != nil {
+	defer fakeDiscovery.Close()
+	if err := fakeDiscovery.Set(discovery.Fault{Shut: true}); err != nil {
 		t.Fatal(err)
 	}
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
-	known := discovery.List{Index: 1, Full: true, Entries: entries("s", node.Addr().String(), discovery.Active, fewNodes)}
+	cachedList := discovery.List{Index: 1, Full: true, Entries: listEntries("s", node.Addr().String(), discovery.Active, nodesOfSmallLimit)}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,
 "settings":{"fleet-size":1,"ceilings":{"max-attempts":1},"extra":{"usual-units":2,"largest":6,"slots-total":%d},
 "profiles":[{"name":"balance-read","goal-time":30000,"deadline":60000,"repeat":"safe","worth":3}],
-"contracts":[{"name":"basic","reservation":100000,"usual-rate":100000}]}}`, listen, disco.Addr(), known.Text(false), fewNodes)
+"contracts":[{"name":"basic","reservation":100000,"usual-rate":100000}]}}`, listen, fakeDiscovery.Addr(), cachedList.Text(false), nodesOfSmallLimit)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := program([]string{"ROUTER_CONFIG=" + file})
-	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, fewDescriptors), c.Path)
-	limited.Env = c.Env
-	upAt(t, limited, listen)
-	open := func() int {
-		all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", limited.Process.Pid))
+	c := programCommand([]string{"ROUTER_CONFIG=" + file})
+	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, smallDescriptorLimit), c.Path)
+	cmd.Env = c.Env
+	startAndDial(t, cmd, listen)
+	openDescriptors := func() int {
+		all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 		return len(all)
 	}
 	dial := func() net.Conn {
@@ -196,23 +196,23 @@
 		t.Cleanup(func() { nc.Close() })
 		return nc
 	}
-	for i := range fewNodes { // each request has a node of its own, which holds it
-		q := strings.Replace(read, "r1", fmt.Sprint("q", i), 1)
+	for i := range nodesOfSmallLimit { // each request has a different node, which does not answer
+		q := strings.Replace(readRequest, "r1", fmt.Sprint("q", i), 1)
 		_, _ = io.WriteString(dial(), strings.Replace(q, "shard=0", fmt.Sprint("shard=", i), 1))
 	}
-	sockets := fewDescriptors - reservedDescriptors
-	clients := clientConns(sockets, fewDescriptors)
-	waitFor(t, "clients and nodes hold all that they may", func() bool { return open() >= sockets })
-	for range 2 * fewDescriptors {
+	sockets := smallDescriptorLimit - reservedDescriptors
+	clients := clientConns(sockets, smallDescriptorLimit)
+	waitFor(t, "clients and nodes to use all descriptors that they may", func() bool { return openDescriptors() >= sockets })
+	for range 2 * smallDescriptorLimit {
 		dial()
 	}
-	t.Logf("%d descriptors of %d are open, %d may be clients'", open(), fewDescriptors, clients)
-	if err := disco.Up(); err != nil {
+	t.Logf("%d descriptors of %d are open, %d may be clients'", openDescriptors(), smallDescriptorLimit, clients)
+	if err := fakeDiscovery.Up(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a watch", func() bool { return disco.Counts().Open == 1 })
-	if n := open(); n < sockets {
-		t.Errorf("%d descriptors are open: the test did not reach its crossing", n)
+	waitFor(t, "a watch", func() bool { return fakeDiscovery.Counts().Open == 1 })
+	if n := openDescriptors(); n < sockets {
+		t.Errorf("%d descriptors are open: the descriptors were not exhausted", n)
 	}
-	waitFor(t, "an answer to the probe", func() bool { return probe(listen, "/health/ready") == 200 })
+	waitFor(t, "an answer to the probe", func() bool { return getStatus(listen, "/health/ready") == 200 })
 }
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -18,10 +18,10 @@
 	"wheatsaddle/policy"
 )
 
-// From the section of the site's file to the answer of the admin endpoint, with the classes, shards and limits of the
-// configuration: an estimate, an unknown class, and no handler without the section.
-func TestEstimateAtTheAdminEndpoint(t *testing.T) {
-	held, err := config.ParseSite([]byte(`{"estimate":{"price_late":2}}`))
+// With the section estimate of the site's file, the admin endpoint answers with an estimate for the classes, shards and
+// limits of the configuration, and rejects an unknown class. Without the section there is no handler.
+func TestEstimateCall(t *testing.T) {
+	site, err := config.ParseSite([]byte(`{"estimate":{"price_late":2}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,16 +29,16 @@
 		Plans: []policy.Plan{{Name: "gold", RateLimit: 10, LimitBurst: 1}, {Name: "open"}}}}
 	view := nodestats.View{Key: nodestats.Key{Node: "n", StartTime: 1, Class: "read"}, Shard: 1,
 		Sums: nodestats.Sums{N: 10, X: 10, Y: 200, XX: 10, XY: 200, YY: 4100}, Origins: 2}
-	call := newEstimateHandler(held.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
+	handler := newEstimateHandler(site.Estimate, conf, func() []nodestats.View { return []nodestats.View{view} })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	admin := &admin.Endpoint{Estimate: call, Log: log}
+	endpoint := &admin.Endpoint{Estimate: handler, Log: log}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = admin.Serve(ln) }() // ends with the listener
-	defer func() { _ = admin.Close() }()
+	go func() { _ = endpoint.Serve(ln) }() // ends with the listener
+	defer func() { _ = endpoint.Close() }()
 	post := func(body string) (int, string) {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -65,6 +65,6 @@
 		t.Errorf("%d %s", code, text)
 	}
 	if newEstimateHandler((&config.Site{}).Estimate, conf, nil) != nil {
-		t.Error("a call without the section")
+		t.Error("a handler exists without the section")
 	}
 }
--- a/cmd/wheatsaddle/fleet_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -23,22 +23,22 @@
 	"wheatsaddle/policy"
 )
 
-// If the platform forbids gossip, the section is an error, in check-config and at the start.
+// If the platform forbids communication between processes, sections that need it are errors, in check-config and at the start.
 func TestPeersForbidden(t *testing.T) {
-	file, _ := configure(t, freeAddress(t))
-	at := filepath.Join(t.TempDir(), "site.json")
+	file, _ := writeConfig(t, freeAddress(t))
+	siteFile := filepath.Join(t.TempDir(), "site.json")
 	// Sections that communicate with other processes, and the codes of their errors.
 	sites := map[string]string{`{"peers":{"listen":"` + freeAddress(t) + `"}}`: (&gossip.ForbiddenError{}).Code(),
-		strings.Replace(fmt.Sprintf(gatherSite, ""), `"parts_most":8`, `"parts_most":4,"peers":[{"name":"other","address":"127.0.0.1:1"}]`, 1): (&config.KeyError{}).Code()}
-	write := func(site string) {
-		if err := os.WriteFile(at, []byte(site), 0o600); err != nil {
+		strings.Replace(fmt.Sprintf(gatherSiteFormat, ""), `"parts_most":8`, `"parts_most":4,"peers":[{"name":"other","address":"127.0.0.1:1"}]`, 1): (&config.KeyError{}).Code()}
+	writeSite := func(site string) {
+		if err := os.WriteFile(siteFile, []byte(site), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for site, code := range sites {
-		write(site)
-		for _, args := range [][]string{{"check-config", "--site", at, file}, {"serve", "--site", at}} {
-			out, err := program([]string{"ROUTER_CONFIG=" + file}, args...).CombinedOutput()
+		writeSite(site)
+		for _, args := range [][]string{{"check-config", "--site", siteFile, file}, {"serve", "--site", siteFile}} {
+			out, err := programCommand([]string{"ROUTER_CONFIG=" + file}, args...).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), "ceilings.peers") || !strings.Contains(string(out), code) {
 				t.Errorf("%s: %v: %v %s", site, args, err, out)
 			}
@@ -53,9 +53,9 @@
 		t.Fatal(err)
 	}
 	for site := range sites {
-		write(site)
-		if out, err := program(nil, "check-config", "--site", at, file).CombinedOutput(); err != nil {
-			t.Errorf("allowed: %v %s", err, out)
+		writeSite(site)
+		if out, err := programCommand(nil, "check-config", "--site", siteFile, file).CombinedOutput(); err != nil {
+			t.Errorf("with gossip allowed: %v %s", err, out)
 		}
 	}
 	var forbidden *gossip.ForbiddenError
@@ -64,22 +64,22 @@
 	}
 }
 
-// none is a node that gets no requests.
-type none struct{}
+// idleNode is a node that gets no requests.
+type idleNode struct{}
 
-func (none) Send(*core.Attempt) bool                           { return false }
-func (none) Cancel(*core.Attempt)                              {}
-func (none) Connect(func(policy.Status)) bool                  { return false }
-func (none) CheckHealth(func(core.Result, time.Duration)) bool { return false }
-func (none) Drain(bool)                                        {}
-func (none) SetAddresses([]address.Addr)                       {}
-func (none) Close()                                            {}
+func (idleNode) Send(*core.Attempt) bool                           { return false }
+func (idleNode) Cancel(*core.Attempt)                              {}
+func (idleNode) Connect(func(policy.Status)) bool                  { return false }
+func (idleNode) CheckHealth(func(core.Result, time.Duration)) bool { return false }
+func (idleNode) Drain(bool)                                        {}
+func (idleNode) SetAddresses([]address.Addr)                       {}
+func (idleNode) Close()                                            {}
 
-// What one process observes of a listed node is in the other's views, without cancelled attempts.
+// A process receives what another one observes of a listed node, except for cancelled attempts.
 func TestFleetExchangesObservations(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	state := nodestats.Defaults()
-	state.HalfLife, state.ExpireAfter = time.Hour, 24*time.Hour // nothing fades while the test runs
+	state.HalfLife, state.ExpireAfter = time.Hour, 24*time.Hour // nothing expires while the test runs
 	site, err := config.ParseSite([]byte(`{"estimate":{"types":{"n*":"disk"}}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -95,34 +95,34 @@
 	}
 	a := start("a")
 	b := start("b", a.cluster.Address())
-	since := time.Now().UnixMilli()
-	news := core.ListUpdate{Kind: policy.ListReceived, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(since)}}}}
+	startTime := time.Now().UnixMilli()
+	update := core.ListUpdate{Kind: policy.ListReceived, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(startTime)}}}}
 	co, err := core.New(core.Options{Settings: policy.Settings{Schedulers: 1, MeanUnits: 1, MaxUnits: 1, MaxAttempts: 1, SlowStartUnits: 1, OverloadWindow: 1, OverloadMultiple: 1,
 		SlowStartShare: 0.5, SlowStartDuration: 1, Classes: []policy.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, PriorityWeight: 1}},
 		Plans: []policy.Plan{{Name: "p", Rate: 1, ReservedRate: 1, Weight: 1, Price: 1}}}, Log: log,
-		NewNodeClient: func(string, []address.Addr) core.NodeClient { return none{} }})
+		NewNodeClient: func(string, []address.Addr) core.NodeClient { return idleNode{} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(co.Stop)
-	co.UpdateList(news)
+	co.UpdateList(update)
 	a.setCore(co)
-	a.updateList(news)
-	tell := a.observer()
+	a.updateList(update)
+	observe := a.observer()
 	for _, s := range []policy.Status{policy.OK, policy.NodeFull, policy.TimedOut, policy.ConnectionReset, policy.Cancelled, policy.Abandoned} {
-		tell("n", since, "c", 2, 5, s)
+		observe("n", startTime, "c", 2, 5, s)
 	}
-	var v []nodestats.View
-	for end := time.Now().Add(time.Minute); len(v) < 2 || v[0].Window == 0; time.Sleep(5 * time.Millisecond) {
-		if v = b.cluster.Views(); time.Now().After(end) {
-			t.Fatalf("never received: %+v", v)
+	var views []nodestats.View
+	for end := time.Now().Add(time.Minute); len(views) < 2 || views[0].Window == 0; time.Sleep(5 * time.Millisecond) {
+		if views = b.cluster.Views(); time.Now().After(end) {
+			t.Fatalf("observations were not received: %+v", views)
 		}
 	}
 	near := func(x float64) bool { return x > 0.9 && x <= 1 }
-	if n := v[0]; n.Type != "disk" || n.Window <= 0 || n.Queue != 0 {
+	if n := views[0]; n.Type != "disk" || n.Window <= 0 || n.Queue != 0 {
 		t.Errorf("%+v", n)
 	}
-	if c := v[1]; c.Key != (nodestats.Key{Node: "n", StartTime: since, Class: "c"}) || c.Shard != 3 || !c.WarmingUp ||
+	if c := views[1]; c.Key != (nodestats.Key{Node: "n", StartTime: startTime, Class: "c"}) || c.Shard != 3 || !c.WarmingUp ||
 		!near(c.Sums.N) || !near(c.Rejected) || !near(c.TimedOut) || !near(c.Failed) {
 		t.Errorf("%+v", c)
 	}
@@ -133,39 +133,39 @@
 	m := metrics.Serve(ln, log)
 	defer m.Close()
 	b.registerMetrics(m)
-	told := func(lines ...string) bool {
+	metricsHave := func(lines ...string) bool {
 		_, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+"/metrics")
 		return err == nil && !slices.ContainsFunc(lines, func(l string) bool { return !strings.Contains(string(body), "wheatsaddle_"+l+"\n") })
 	}
-	if !told("observations_origins 1") {
-		t.Error("b does not count a")
+	if !metricsHave("observations_origins 1") {
+		t.Error("process b does not count the observations of process a")
 	}
 	b.updateList(core.ListUpdate{Kind: policy.ListChanged, Index: 7})
-	b.updateList(core.ListUpdate{Kind: policy.ListFailed}) // says no version
-	for end := time.Now().Add(time.Minute); !told("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
+	b.updateList(core.ListUpdate{Kind: policy.ListFailed}) // has no list version
+	for end := time.Now().Add(time.Minute); !metricsHave("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
 		if time.Sleep(5 * time.Millisecond); time.Now().After(end) {
-			t.Fatal("list versions are not counted")
+			t.Fatal("the metrics do not have the list versions")
 		}
 	}
-	var off *fleet
-	off.registerMetrics(m)
-	if off.observer() != nil {
-		t.Error("observing while off")
+	var disabled *fleet
+	disabled.registerMetrics(m)
+	if disabled.observer() != nil {
+		t.Error("a disabled fleet observes attempts")
 	}
-	off.updateList(core.ListUpdate{})
-	off.setCore(co)
-	off.stop()
+	disabled.updateList(core.ListUpdate{})
+	disabled.setCore(co)
+	disabled.stop()
 }
 
 func TestPeerKey(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
-	for text, good := range map[string]bool{strings.Repeat("0a", 16) + "\n": true, strings.Repeat("0a", 15): false, "xyz": false} {
+	for text, valid := range map[string]bool{strings.Repeat("0a", 16) + "\n": true, strings.Repeat("0a", 15): false, "xyz": false} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		key, err := peerKey(file)
-		var bad *gossip.KeyError
-		if good != (err == nil && len(key) == 16) || !good && !errors.As(err, &bad) {
+		var keyError *gossip.KeyError
+		if valid != (err == nil && len(key) == 16) || !valid && !errors.As(err, &keyError) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -15,8 +15,9 @@
 	"wheatsaddle/policy"
 )
 
-// A process that binds its own socket shares nothing: no gate, no lock, no goroutine. A long wait is logged with advice.
-func TestShare(t *testing.T) {
+// A process that binds its own socket has no gate, lock or goroutine for a handover. Only one process has the lock of a
+// passed socket at a time, and a long wait for it is logged with advice.
+func TestPassedSocketLock(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +26,7 @@
 	defer ln.Close()
 	log, hook := logtest.NewNullLogger()
 	if s := newPassedSocket(&config.Config{}, ln, log); s != nil || s.acceptGate() != nil {
-		t.Fatal("shared without a passed socket")
+		t.Fatal("handover without a passed socket")
 	}
 	(*passedSocket)(nil).run(nil, nil)
 	s := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
@@ -47,8 +48,9 @@
 	other.execute(handover.Action{Kind: handover.ReleaseLock})
 }
 
-// Nothing is accepted before the lock is held, and nothing after SIGTERM; open connections are answered and closed.
-func TestShareOpensAndShuts(t *testing.T) {
+// No connection is accepted before the process has the lock or after it closed the listener, and open connections are
+// answered and closed.
+func TestPassedSocketAcceptsOnlyWithLock(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,23 +61,23 @@
 	s.front = httpfront.NewServer(nil, policy.Settings{}, 4, log)
 	served := make(chan error, 1)
 	go func() { served <- s.front.Serve(s.acceptGate().Wrap(ln), 4) }()
-	nc, err := net.Dial("tcp", ln.Addr().String()) // it waits in the socket
+	clientConn, err := net.Dial("tcp", ln.Addr().String()) // stays in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	br := bufio.NewReader(nc)
+	defer clientConn.Close()
+	br := bufio.NewReader(clientConn)
 	for _, closes := range []bool{false, true} {
 		if closes {
 			s.execute(handover.Action{Kind: handover.CloseListener})
 			if late, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 				late.Close()
-				t.Error("it accepts on")
+				t.Error("a connection was accepted after the listener was closed")
 			}
 		} else {
 			s.execute(handover.Action{Kind: handover.Accept})
 		}
-		fmt.Fprint(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		fmt.Fprint(clientConn, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || r.ConnectionClose() != closes {
 			t.Errorf("%v %d, closes %v", err, r.StatusCode(), r.ConnectionClose())
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -15,129 +15,129 @@
 	"wheatsaddle/internal/core"
 )
 
-// When a signal was sent, by when the process ran. Times are in ms.
+// The computed time of a signal depends on the heartbeats before it. Times are in ms.
 func TestStallDetector(t *testing.T) {
 	origin := time.Now()
 	at := func(ms int) time.Time { return origin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, x := range []struct {
-		what       string
-		ran        []int
-		came, sent int
+		name          string
+		heartbeats    []int
+		arrived, sent int
 	}{
 		{"no stall", []int{100, 200}, 250, 250},
 		{"a heartbeat a little late", []int{100, 220}, 250, 250},
-		{"right after a stall", []int{100, 900}, 901, 100},
-		{"before the heartbeat after a stall", []int{100}, 900, 100},
-		{"after a stall that is past", []int{100, 900, 1000}, 1050, 1050},
-		{"a second stall at once", []int{100, 900, 1300}, 1301, 100},
-		{"a second stall later", []int{100, 900, 1000, 1400}, 1401, 1000},
+		{"signal right after a stall", []int{100, 900}, 901, 100},
+		{"signal before the heartbeat after a stall", []int{100}, 900, 100},
+		{"signal long after a stall", []int{100, 900, 1000}, 1050, 1050},
+		{"second stall right after the first", []int{100, 900, 1300}, 1301, 100},
+		{"second stall later", []int{100, 900, 1000, 1400}, 1401, 1000},
 	} {
-		g := stallDetector{lastHeartbeat: origin}
-		for _, ms := range x.ran {
-			g.heartbeat(at(ms))
+		detector := stallDetector{lastHeartbeat: origin}
+		for _, ms := range x.heartbeats {
+			detector.heartbeat(at(ms))
 		}
-		if got := g.signalSentAt(at(x.came)); !got.Equal(at(x.sent)) {
-			t.Errorf("%s: sent at %v, want %d ms", x.what, got.Sub(origin), x.sent)
+		if got := detector.signalSentAt(at(x.arrived)); !got.Equal(at(x.sent)) {
+			t.Errorf("%s: sent at %v, want %d ms", x.name, got.Sub(origin), x.sent)
 		}
 	}
 }
 
-// A stall before the goroutine of the signal first runs counts too.
-func TestTerminationBeforeTheFirstHeartbeat(t *testing.T) {
+// A stall before the goroutine that awaits the signal first runs is detected too.
+func TestStallBeforeFirstHeartbeat(t *testing.T) {
 	signals := make(chan os.Signal, 1)
 	signals <- syscall.SIGTERM
 	log, _ := logtest.NewNullLogger()
 	started := time.Now().Add(-time.Second)
-	order := awaitTermination(signals, started, log)
-	<-order.received
-	if !order.sentAt.Equal(started) {
-		t.Errorf("sent %v after the start, a stall covers all of that", order.sentAt.Sub(started))
+	termination := awaitTermination(signals, started, log)
+	<-termination.received
+	if !termination.sentAt.Equal(started) {
+		t.Errorf("sent %v after the start, want 0: the process was stalled since the start", termination.sentAt.Sub(started))
 	}
 }
 
-// A process that gets SIGTERM while it is stopped ends relative to the time of the signal, not to the time at which it
-// continues: SIGKILL comes relative to the former.
+// The shutdown of a process that gets SIGTERM while it is stopped is timed from the signal, not from when the process
+// continues, because the platform sends SIGKILL at a time after the signal.
 func TestTerminationWhileStopped(t *testing.T) {
-	d := daemonOf(t, conf{deadline: 300})
-	d.up()
+	d := newDaemon(t, daemonOptions{deadline: 300})
+	d.startAndWait()
 	idle := d.dial()
 	d.request(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	d.signal(syscall.SIGSTOP)
-	d.status(`^State:\sT`)
+	d.awaitProcStatus(`^State:\sT`)
 	d.signal(syscall.SIGTERM)
-	sent := time.Now()
-	for time.Since(sent) < time.Second { // stays stopped
+	sentAt := time.Now()
+	for time.Since(sentAt) < time.Second { // the process stays stopped
 		time.Sleep(10 * time.Millisecond)
 	}
-	stalled := time.Since(sent)
+	stalled := time.Since(sentAt)
 	d.signal(syscall.SIGCONT)
 	line := d.awaitLog("termination signal received", 1)
-	var before time.Duration
+	var delay time.Duration
 	if m := regexp.MustCompile(`delay_ms=(\d+)`).FindStringSubmatch(line); m != nil {
-		before, _ = time.ParseDuration(m[1] + "ms")
+		delay, _ = time.ParseDuration(m[1] + "ms")
 	}
-	if before < stalled-time.Millisecond { // rounded
+	if delay < stalled-time.Millisecond { // the log has rounded milliseconds
 		t.Errorf("stalled for %v: %s", stalled, line)
 	}
-	d.exits()
-	if _, err := idle.in.ReadByte(); err != io.EOF {
+	d.awaitExit()
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Error(err)
 	}
 }
 
-// SIGTERM while the configuration is being read: the program ends with exit code 0 and has accepted no connection.
+// A program that gets SIGTERM while it reads the configuration ends with exit code 0 and accepts no connection.
 func TestTerminationDuringStart(t *testing.T) {
-	d := daemonOf(t, conf{deadline: 300})
-	text := d.text()
-	d.pipe()
+	d := newDaemon(t, daemonOptions{deadline: 300})
+	text := d.readFile()
+	d.replaceFileWithPipe()
 	d.start()
-	file := d.reads()
+	file := d.awaitFileRead()
 	d.signal(syscall.SIGTERM)
 	d.awaitLog("termination signal received", 1)
 	_, err := io.WriteString(file, text)
 	d.must(err)
 	d.must(file.Close())
-	d.exits()
-	if n, _ := d.count("msg=serving"); n > 0 {
-		t.Error("it served")
+	d.awaitExit()
+	if n, _ := d.countLog("msg=serving"); n > 0 {
+		t.Error("the program served clients")
 	}
 }
 
-// SIGTERM, several times, while a reload is under way: the program continues to serve and ends with exit code 0.
+// A program that gets SIGTERM several times during a reload serves its open connections and ends with exit code 0.
 func TestTerminationDuringReload(t *testing.T) {
-	node := storageNode(t)
+	node := newBlockingNode(t)
 	close(node.release)
-	d := daemonOf(t, conf{node: node.address, deadline: 2000})
-	d.up()
+	d := newDaemon(t, daemonOptions{node: node.address, deadline: 2000})
+	d.startAndWait()
 	c := d.dial()
-	d.pipe()
+	d.replaceFileWithPipe()
 	d.signal(syscall.SIGHUP)
-	file := d.reads()
+	file := d.awaitFileRead()
 	defer func() { _ = file.Close() }()
 	d.signal(syscall.SIGTERM)
 	d.awaitLog("msg=stopping ", 1)
 	for range 3 {
 		d.signal(syscall.SIGTERM)
-		d.status(`^ShdPnd:\s0+$`)
+		d.awaitProcStatus(`^ShdPnd:\s0+$`)
 	}
-	d.request(c, read, 200)
+	d.request(c, readRequest, 200)
 	c.Close()
-	d.exits()
+	d.awaitExit()
 }
 
-// The end of each kind of connection: an idle one is closed without a response; a request that is still arriving is
-// rejected; one that waits for a node that does not answer fails. A second SIGTERM changes nothing.
-func TestEndOfConnections(t *testing.T) {
-	node := storageNode(t)
-	d := daemonOf(t, conf{node: node.address, deadline: 300})
-	d.up()
-	put := strings.Replace(read, "GET", "PUT", 1)
-	fresh, rests, head, body, chunks := d.dial(), d.dial(), d.dial(), d.dial(), d.dial()
-	d.request(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+// At the shutdown an idle connection is closed without a response, and a request that is still arriving is rejected. A
+// second SIGTERM changes nothing.
+func TestShutdownEndsEachKindOfConnection(t *testing.T) {
+	node := newBlockingNode(t)
+	d := newDaemon(t, daemonOptions{node: node.address, deadline: 300})
+	d.startAndWait()
+	putRequest := strings.Replace(readRequest, "GET", "PUT", 1)
+	fresh, idle, head, body, chunks := d.dial(), d.dial(), d.dial(), d.dial(), d.dial()
+	d.request(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	for c, text := range map[client]string{
-		head:   read[:len(read)/2],
-		body:   strings.Replace(put, "\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nhalf", 1),
-		chunks: strings.Replace(put, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 1),
+		head:   readRequest[:len(readRequest)/2],
+		body:   strings.Replace(putRequest, "\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nhalf", 1),
+		chunks: strings.Replace(putRequest, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 1),
 	} {
 		_, err := io.WriteString(c, text)
 		d.must(err)
@@ -145,69 +145,69 @@
 	d.signal(syscall.SIGTERM)
 	d.awaitLog("msg=stopping ", 1)
 	d.signal(syscall.SIGTERM)
-	for name, c := range map[string]client{"fresh": fresh, "rests": rests} {
-		if _, err := c.in.ReadByte(); err != io.EOF {
+	for name, c := range map[string]client{"unused": fresh, "idle": idle} {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, c := range map[string]client{"half a head": head, "half a body": body, "half of the chunks": chunks} {
-		code, text, err := c.answer()
+	for name, c := range map[string]client{"incomplete header": head, "incomplete body": body, "incomplete chunks": chunks} {
+		code, text, err := c.readResponse()
 		if err != nil || code != 503 {
 			t.Errorf("%s: %v, %d %s", name, err, code, text)
 		}
-		if _, err := c.in.ReadByte(); err != io.EOF {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d.exits()
-	if n := len(node.came); n > 0 {
-		t.Errorf("%d at the node", n)
+	d.awaitExit()
+	if n := len(node.requests); n > 0 {
+		t.Errorf("%d requests reached the node", n)
 	}
 }
 
-// A request that still waits for its node shortly before SIGKILL gets its final response, and then the program ends. So
-// does one that came on another connection long after the signal.
-func TestOpenAtTheEnd(t *testing.T) {
+// A request that still waits for its node shortly before SIGKILL gets its final response before the program ends, and so
+// does one that arrived on another connection long after the signal.
+func TestUnansweredRequestsGetFinalResponse(t *testing.T) {
 	t.Parallel()
-	node := storageNode(t)
-	d := daemonOf(t, conf{node: node.address, deadline: 60000})
-	d.edit([2]string{`"repeat":"safe"`, `"repeat":"unsafe"`}) // else it is called off and tried again
-	d.up()
-	waits, rests := d.dial(), d.dial()
-	d.request(rests, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
-	_, err := io.WriteString(waits, read)
+	node := newBlockingNode(t)
+	d := newDaemon(t, daemonOptions{node: node.address, deadline: 60000})
+	d.editFile([2]string{`"repeat":"safe"`, `"repeat":"unsafe"`}) // an idempotent request would be cancelled and retried
+	d.startAndWait()
+	waiting, idle := d.dial(), d.dial()
+	d.request(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
+	_, err := io.WriteString(waiting, readRequest)
 	d.must(err)
-	<-node.came
+	<-node.requests
 	d.signal(syscall.SIGTERM)
 	for other, err := net.Dial("tcp", d.listen); err == nil; other, err = net.Dial("tcp", d.listen) {
-		other.Close() // it still accepts
+		other.Close() // the program still accepts connections
 		time.Sleep(10 * time.Millisecond)
 	}
-	_, err = io.WriteString(rests, strings.Replace(read, "r1", "r2", 1))
+	_, err = io.WriteString(idle, strings.Replace(readRequest, "r1", "r2", 1))
 	d.must(err)
-	<-node.came
-	for name, c := range map[string]client{"before": waits, "after": rests} {
-		code, text, err := c.answer()
+	<-node.requests
+	for name, c := range map[string]client{"request before the signal": waiting, "request after the signal": idle} {
+		code, text, err := c.readResponse()
 		if err != nil || code != 502 || text != string(core.CauseNotServed) {
 			t.Errorf("%s: %v, %d %s", name, err, code, text)
 		}
-		if _, err := c.in.ReadByte(); err != io.EOF {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d.exits()
+	d.awaitExit()
 }
 
-// The time to SIGKILL follows from the settings at the signal, not from those of the start.
-func TestGraceOfReloadedSettings(t *testing.T) {
-	d := daemonOf(t, conf{deadline: 300})
-	d.up()
-	d.edit([2]string{`"deadline":300`, `"deadline":1100`})
+// The grace period is computed from the settings at the time of the signal, not from those of the start.
+func TestGracePeriodOfReloadedSettings(t *testing.T) {
+	d := newDaemon(t, daemonOptions{deadline: 300})
+	d.startAndWait()
+	d.editFile([2]string{`"deadline":300`, `"deadline":1100`})
 	d.signal(syscall.SIGHUP)
 	d.awaitLog("configuration reloaded", 1)
 	d.signal(syscall.SIGTERM)
 	if line := d.awaitLog("msg=stopping ", 1); !strings.HasSuffix(line, " grace_ms=1800") {
 		t.Error(line)
 	}
-	d.exits()
+	d.awaitExit()
 }
--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -19,78 +19,80 @@
 	"wheatsaddle/policy"
 )
 
-// actor stands for the core: it handles one message at a time, and asks the starter about each node.
-type actor struct {
-	b       *starter
-	mail    chan string
-	quit    chan struct{}
-	took    []string
-	listed  bool // it was given the list's word
-	stopped bool // the start's stop has come back
+// fakeCore replaces the core: it handles one message at a time, and calls the starter's limiter for each.
+type fakeCore struct {
+	starter        *starter
+	mailbox        chan string
+	quit           chan struct{}
+	handled        []string
+	listQueued     bool // the received list was posted to the mailbox
+	starterStopped bool // the starter's stop has returned
 }
 
-func (c *actor) put(what string) {
-	if sync.SendOr(c.mail, what, c.quit) && what == "list" {
-		c.listed = true
+func (c *fakeCore) post(message string) {
+	if sync.SendOr(c.mailbox, message, c.quit) && message == "list" {
+		c.listQueued = true
 	}
 }
 
-func (c *actor) UpdateList(n core.ListUpdate) {
-	what := "list"
-	if len(n.Nodes) > 0 && n.Nodes[0].Zone == "held" {
-		what = "held"
+func (c *fakeCore) UpdateList(n core.ListUpdate) {
+	message := "list"
+	if len(n.Nodes) > 0 && n.Nodes[0].Zone == "cached" {
+		message = "cached"
 	}
-	c.put(what)
+	c.post(message)
 }
-func (c *actor) Restore(policy.Learned)          { c.put("recall") }
-func (c *actor) Preconnect(string)               { c.put("ahead") }
-func (c *actor) CheckHealth(string)              { c.put("probe") }
-func (c *actor) Learned() (policy.Learned, bool) { return policy.Learned{}, false }
+func (c *fakeCore) Restore(policy.Learned)          { c.post("restore") }
+func (c *fakeCore) Preconnect(string)               { c.post("connect") }
+func (c *fakeCore) CheckHealth(string)              { c.post("check") }
+func (c *fakeCore) Learned() (policy.Learned, bool) { return policy.Learned{}, false }
 
-func (c *actor) run() {
+func (c *fakeCore) run() {
 	for {
-		what, _, came := sync.Either(c.mail, c.quit)
-		if !came {
+		message, _, received := sync.Either(c.mailbox, c.quit)
+		if !received {
 			return
 		}
-		c.took = append(c.took, what)
-		c.b.Admit("s")
-		c.b.AttemptEnded("s", policy.OK)
+		c.handled = append(c.handled, message)
+		c.starter.Admit("s")
+		c.starter.AttemptEnded("s", policy.OK)
 	}
 }
 
-func (c *actor) at(what string) int {
-	for i, x := range c.took {
-		if x == what {
+func (c *fakeCore) indexOf(message string) int {
+	for i, x := range c.handled {
+		if x == message {
 			return i
 		}
 	}
 	return -1
 }
 
-// The starter begins, the core's actor calls it, the list arrives, a timer fires, and the starter is stopped. The actor never
-// waits for one that waits for it; the cached list never replaces the received one, which the core has when updateList
-// returns; a stopped starter decides nothing, and leaves no message and no goroutine. Readiness is not reported before the
-// phase allows it (the list was received, or ReadyMost has passed), is reported once when the list is there, and stays.
-func TestInterleaveStart(t *testing.T) {
+// The starter runs while the core's actor calls it, the list arrives, a timer fires, and the starter is stopped.
+//   - There is no deadlock between the actor and the starter.
+//   - The cached list never replaces the received one, which the core has received when updateList returns.
+//   - A stopped starter makes no decisions, and leaves no message and no goroutine behind.
+//   - Readiness is not reported before the list was received or the maximum wait has passed, is reported when updateList
+//     returns, and is never withdrawn.
+func TestInterleaveStarter(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	conf := &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000,
 		Classes: []policy.Class{{Name: "read", LatencyObjective: 30000, Deadline: 60000, PriorityWeight: 1}}, Plans: []policy.Plan{{Name: "basic", ReservedRate: 1000}}}}
 	node := core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
-	held := node
-	held.Zone = "held"
+	cachedNode := node
+	cachedNode.Zone = "cached"
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		b, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{held}, log)
+		b, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{cachedNode}, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &actor{b: b, mail: make(chan string), quit: make(chan struct{})}
+		c := &fakeCore{starter: b, mailbox: make(chan string), quit: make(chan struct{})}
 		b.core = c
-		passed, said := time.Duration(0), false
-		b.now = func() time.Duration { return passed }
+		elapsed, wasReady := time.Duration(0), false
+		b.now = func() time.Duration { return elapsed }
 		b.wakeAt = func(time.Duration) {
-			if c.stopped {
-				il.Fail("a timer after the stop")
+			if c.starterStopped {
+				il.Fail("a timer was set after the stop")
 			}
 		}
 		return il.World{
@@ -98,41 +100,41 @@
 				{Name: "actor", Run: c.run},
 				{Name: "timer", Run: func() {
 					sync.Point("time", "passes")
-					passed = 10 * time.Second
+					elapsed = 10 * time.Second
 					b.step(coldstart.TimerFired{})
 				}},
 				{Name: "main", Run: func() {
 					b.step(coldstart.Started{CachedList: b.machineNodes(b.cachedNodes)})
 					sync.Go(b.writeSnapshots)
 					b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
-					if !c.listed {
-						il.Fail("the list's word is not with the core")
+					if !c.listQueued {
+						il.Fail("the core has not received the list")
 					}
 					if !b.isReady(false) {
-						il.Fail("the list is back, and ready is not said")
+						il.Fail("the list was received, and readiness is not reported")
 					}
 					b.stop()
-					c.stopped = true
+					c.starterStopped = true
 					sync.Close(c.quit)
 				}},
 			},
 			Always: func() error {
-				if h, l := c.at("held"), c.at("list"); l >= 0 && h > l {
-					return fmt.Errorf("the core took %v", c.took)
+				if h, l := c.indexOf("cached"), c.indexOf("list"); l >= 0 && h > l {
+					return fmt.Errorf("the core handled %v", c.handled)
 				}
 				switch ready := b.isReady(false); {
-				case said && !ready:
-					return errors.New("ready was taken back")
-				case ready && b.machine.Phase() < coldstart.ListKnown && passed == 0:
+				case wasReady && !ready:
+					return errors.New("readiness was withdrawn")
+				case ready && b.machine.Phase() < coldstart.ListKnown && elapsed == 0:
 					return errors.New("ready before the list was received")
 				case ready:
-					said = true
+					wasReady = true
 				}
 				return nil
 			},
 			Check: func() error {
 				if b.sending || len(b.queue) > 0 {
-					return fmt.Errorf("%d are not sent", len(b.queue))
+					return fmt.Errorf("%d messages were not sent", len(b.queue))
 				}
 				return nil
 			},
@@ -141,11 +143,11 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "starter.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
 		mutant.Mutant{File: "starter.go", Old: "	s.enqueue(func(c startCore) { c.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })",
-			New: "	sync.Go(func() { s.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })", Want: "the core took "},
+			New: "	sync.Go(func() { s.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })", Want: "the core handled "},
 		mutant.Mutant{File: "starter.go", Old: "		message := s.queue[0]\n		s.queue = s.queue[1:]\n		s.mu.Unlock()\n",
 			New: "		s.mu.Unlock()\n		sync.Writes(&s.queue)\n		message := s.queue[0]\n		s.queue = s.queue[1:]\n", Want: "data race: "},
-		mutant.Mutant{File: "starter.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer after the stop"},
-		mutant.Mutant{File: "starter.go", Old: "			s.reportedReady.Store(true)", New: "			sync.Go(func() { s.reportedReady.Store(true) })", Want: "the list is back, and ready is not said"},
+		mutant.Mutant{File: "starter.go", Old: "	if s.stopped {\n		return 0, false\n	}\n", New: "", Want: "a timer was set after the stop"},
+		mutant.Mutant{File: "starter.go", Old: "			s.reportedReady.Store(true)", New: "			sync.Go(func() { s.reportedReady.Store(true) })", Want: "the list was received, and readiness is not reported"},
 		mutant.Mutant{File: "starter.go", Old: "	s.finished.Store(s.machine.Phase() == coldstart.Serving)", New: "	s.reportedReady.Store(true)\n	s.finished.Store(s.machine.Phase() == coldstart.Serving)",
 			Want: "ready before the list was received"},
 	)
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -23,88 +23,88 @@
 	"wheatsaddle/policy"
 )
 
-// fastNode is a node that serves at once, and counts connections and health checks ahead of requests.
-type fastNode struct {
+// instantNode is a node that serves immediately, and reports connections and health checks that precede requests.
+type instantNode struct {
 	core.NodeClient
-	id    string
-	ahead chan string
+	id        string
+	inAdvance chan string
 }
 
-func (fastNode) Send(a *core.Attempt) bool {
+func (instantNode) Send(a *core.Attempt) bool {
 	go a.Done(core.Result{Status: policy.OK})
 	return true
 }
-func (q fastNode) Connect(func(policy.Status)) bool { q.ahead <- "connect " + q.id; return true }
-func (q fastNode) CheckHealth(func(core.Result, time.Duration)) (taken bool) {
-	q.ahead <- "probe " + q.id
+func (q instantNode) Connect(func(policy.Status)) bool { q.inAdvance <- "connect " + q.id; return true }
+func (q instantNode) CheckHealth(func(core.Result, time.Duration)) (accepted bool) {
+	q.inAdvance <- "check " + q.id
 	return true
 }
-func (fastNode) Drain(bool) {}
-func (fastNode) Close()     {}
+func (instantNode) Drain(bool) {}
+func (instantNode) Close()     {}
 
-// startConf is the configuration of a single scheduler, and startNode its node.
-func startConf() *config.Config {
+// starterConfig returns the configuration of a single scheduler, whose node is starterNode.
+func starterConfig() *config.Config {
 	return &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000, MayCheckHealth: true,
 		PollsEndpointList: true, Classes: []policy.Class{{Name: "read", LatencyObjective: 30000, Deadline: 60000, PriorityWeight: 1}}, Plans: []policy.Plan{{Name: "basic", ReservedRate: 1000}}}}
 }
 
-var startNode = core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
+var starterNode = core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
 
-// newRunningStarter returns a running starter, with a core whose nodes count connections ahead of requests; both end with the
-// test.
-func newRunningStarter(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, held ...core.Node) (*starter, *core.Core, chan string) {
+// newRunningStarter returns a running starter, its core, and a channel on which the core's nodes report connections and
+// health checks that precede requests. Both end with the test.
+func newRunningStarter(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, cachedNodes ...core.Node) (*starter, *core.Core, chan string) {
 	t.Helper()
-	conf, ahead := startConf(), make(chan string, 8)
-	b, err := newStarter(set, conf, held, log)
+	conf, inAdvance := starterConfig(), make(chan string, 8)
+	b, err := newStarter(set, conf, cachedNodes, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, StartLimiter: b.limiter(),
-		NewNodeClient: func(id string, _ []address.Addr) core.NodeClient { return fastNode{id: id, ahead: ahead} }})
+		NewNodeClient: func(id string, _ []address.Addr) core.NodeClient { return instantNode{id: id, inAdvance: inAdvance} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(co.Stop)
 	t.Cleanup(b.stop)
 	b.run(co)
-	return b, co, ahead
+	return b, co, inAdvance
 }
 
-// served sends a request of the node's shard and waits until it is served.
-func served(t *testing.T, co *core.Core) {
+// serveRequest submits a request for the node's shard and waits until it is served.
+func serveRequest(t *testing.T, co *core.Core) {
 	t.Helper()
-	got := make(chan core.Answer, 1)
+	answered := make(chan core.Answer, 1)
 	co.Submit(&core.Request{Request: policy.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1},
-		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a core.Answer) { got <- a }})
-	if a := <-got; a.Kind != core.Served {
+		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a core.Answer) { answered <- a }})
+	if a := <-answered; a.Kind != core.Served {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// With the section a start requests the list, serves it and stores what it learned, and the next start restores that.
-// Without the section it does none of this.
-func TestStartRestoresTheSnapshot(t *testing.T) {
+// With the section start, a process requests the list, serves with it and stores a snapshot, which the next process restores.
+// Without the section there is no starter.
+func TestStarterRestoresSnapshot(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListCallsPerSecond: 40, PreconnectNodes: 1}
-	if b, err := newStarter(nil, startConf(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPacer() != nil {
-		t.Fatal("without the section there is a start")
+	if b, err := newStarter(nil, starterConfig(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPacer() != nil {
+		t.Fatal("without the section there is a starter")
 	}
-	life := func(do func(*starter, *core.Core, chan string)) {
+	runProcess := func(do func(*starter, *core.Core, chan string)) {
 		t.Helper()
-		t.Run("life", func(t *testing.T) {
-			b, co, ahead := newRunningStarter(t, set, log, startNode)
-			<-b.CallDue() // the list may be asked for
+		t.Run("process", func(t *testing.T) {
+			b, co, inAdvance := newRunningStarter(t, set, log, starterNode)
+			<-b.CallDue() // the list may be requested
 			if b.isReady(true) {
 				t.Error("ready before the list")
 			}
-			if !b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}) || !b.isReady(false) {
+			if !b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{starterNode}}) || !b.isReady(false) {
 				t.Error("not ready with the list")
 			}
-			do(b, co, ahead)
+			do(b, co, inAdvance)
 		})
 	}
-	life(func(b *starter, co *core.Core, _ chan string) {
-		served(t, co)
+	runProcess(func(b *starter, co *core.Core, _ chan string) {
+		serveRequest(t, co)
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 		}
 		b.writeSnapshot()
@@ -112,11 +112,11 @@
 	if s, err := snapshot.Read(set.Snapshot, time.Now()); err != nil || len(s.Nodes) != 1 || s.Nodes[0].ID != "s" || len(s.Classes) != 1 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	life(func(_ *starter, co *core.Core, ahead chan string) { // nothing is sent: what it knows is the snapshot's
+	runProcess(func(_ *starter, co *core.Core, inAdvance chan string) { // no request is sent, so the core has learned only from the snapshot
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 		}
-		if c, p := <-ahead, <-ahead; c != "connect s" || p != "probe s" {
-			t.Errorf("ahead of need: %s, %s", c, p)
+		if c, p := <-inAdvance, <-inAdvance; c != "connect s" || p != "check s" {
+			t.Errorf("before any request: %s, %s", c, p)
 		}
 	})
 	for _, e := range hook.AllEntries() {
@@ -124,9 +124,9 @@
 	}
 }
 
-// The starter paces the requests that the list's service rejects, and the first answer ends it. A cached list is used once
-// the watch reports that nothing changed since; without a cached list such a report has no effect.
-func TestStartPacesTheList(t *testing.T) {
+// The starter paces the list requests while the list's service rejects them, until the first response. A cached list is used
+// once the watch reports that it is unchanged; without a cached list such a report has no effect.
+func TestStarterPacesListRequests(t *testing.T) {
 	s, err := fakediscovery.New(fakediscovery.Options{Index: 40})
 	if err != nil {
 		t.Fatal(err)
@@ -138,18 +138,18 @@
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 40}
 	b, co, _ := newRunningStarter(t, set, log)
-	var missed atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(startConf()), Pacer: countingPace{b.watchPacer(), &missed}, OnUnchanged: b.confirmCachedList,
+	var failedCalls atomic.Int64
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(starterConfig()), Pacer: countingPacer{b.watchPacer(), &failedCalls}, OnUnchanged: b.confirmCachedList,
 		OnUpdate: func(n core.ListUpdate) { b.updateList(n) }}
-	ended := make(chan bool)
-	go func() { w.Run(t.Context()); close(ended) }()
-	t.Cleanup(func() { <-ended })
-	for missed.Load() < 2 { // less than a second apart, where the clock alone would wait for longer
+	watchEnded := make(chan bool)
+	go func() { w.Run(t.Context()); close(watchEnded) }()
+	t.Cleanup(func() { <-watchEnded })
+	for failedCalls.Load() < 2 { // less than a second apart, whereas the watch's own timer would wait longer
 		runtime.Gosched()
 	}
 	b.confirmCachedList()
 	if b.isReady(true) {
-		t.Error("ready with no list")
+		t.Error("ready without a list")
 	}
 	s.Put(fakediscovery.Entry{Name: "s", Address: "127.0.0.1:1", Status: fakediscovery.Active, Weight: 1})
 	if err := s.Set(fakediscovery.Fault{}); err != nil {
@@ -158,34 +158,34 @@
 	for !b.isReady(false) {
 		runtime.Gosched()
 	}
-	served(t, co)
+	serveRequest(t, co)
 
-	next, co, _ := newRunningStarter(t, set, log, startNode)
-	if next.confirmCachedList(); !next.isReady(false) {
+	withCachedList, co, _ := newRunningStarter(t, set, log, starterNode)
+	if withCachedList.confirmCachedList(); !withCachedList.isReady(false) {
 		t.Error("the cached list is not used")
 	}
-	served(t, co)
+	serveRequest(t, co)
 	for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 	}
-	if l, _ := co.Learned(); l.Nodes[0].StartTime != startNode.StartTime {
-		t.Errorf("the node's start is guessed: %+v", l.Nodes)
+	if l, _ := co.Learned(); l.Nodes[0].StartTime != starterNode.StartTime {
+		t.Errorf("the node's start time is not that of the list: %+v", l.Nodes)
 	}
 }
 
-type countingPace struct {
+type countingPacer struct {
 	discovery.StartPacer
-	missed *atomic.Int64
+	failedCalls *atomic.Int64
 }
 
-func (c countingPace) CallFailed() { c.missed.Add(1); c.StartPacer.CallFailed() }
+func (c countingPacer) CallFailed() { c.failedCalls.Add(1); c.StartPacer.CallFailed() }
 
-// A process that starts without a snapshot gets what another learned, once the list confirms the node's start time. An
-// unreadable snapshot is counted and the next member is asked. A process that is starting itself sends none.
-func TestSnapshotFromAPeer(t *testing.T) {
+// A process that starts without a snapshot restores that of a peer, once the list confirms the node's start time. An
+// unreadable snapshot is counted and the next peer is asked. A process that is still starting sends no snapshot.
+func TestSnapshotFromPeer(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, ListCallsPerSecond: 40, PreconnectNodes: 1}
 	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Interval: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
-	join := func(name string, b *starter) *fleet {
+	joinFleet := func(name string, b *starter) *fleet {
 		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, b, log)
 		if err != nil {
 			t.Fatal(err)
@@ -194,40 +194,40 @@
 		site.Peers.Seeds = append(site.Peers.Seeds, f.cluster.Address())
 		return f
 	}
-	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{startNode}}
-	old, co, _ := newRunningStarter(t, set, log)
-	old.updateList(list)
-	served(t, co)
-	for old.snapshot() == nil {
+	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{starterNode}}
+	experienced, co, _ := newRunningStarter(t, set, log)
+	experienced.updateList(list)
+	serveRequest(t, co)
+	for experienced.snapshot() == nil {
 		runtime.Gosched()
 	}
-	if len(old.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
+	if len(experienced.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
 		t.Error("a snapshot was sent during the start")
 	}
-	old.finished.Store(true)
-	join("old", old)
-	liar, err := gossip.Start(gossip.Options{Name: "liar", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Interval: 20 * time.Millisecond, Burst: 8,
+	experienced.finished.Store(true)
+	joinFleet("old", experienced)
+	faulty, err := gossip.Start(gossip.Options{Name: "faulty", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Interval: 20 * time.Millisecond, Burst: 8,
 		State: nodestats.Defaults(), Log: log, MakeSnapshot: func(gossip.SnapshotKind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(liar.Stop)
-	site.Peers.Seeds = append(site.Peers.Seeds, liar.Address())
-	for life, met := 0, false; !met; life++ { // until one of them asked the liar first
-		b, co, ahead := newRunningStarter(t, set, log)
-		f := join(fmt.Sprint("new-", life), b)
+	t.Cleanup(faulty.Stop)
+	site.Peers.Seeds = append(site.Peers.Seeds, faulty.Address())
+	for run, faultyAsked := 0, false; !faultyAsked; run++ { // until one of them asked the faulty peer first
+		b, co, inAdvance := newRunningStarter(t, set, log)
+		f := joinFleet(fmt.Sprint("new-", run), b)
 		for f.cluster.Counts().Members < 3 {
 			runtime.Gosched()
 		}
 		b.requestSnapshot(f)
 		b.updateList(list)
-		if s := <-ahead; s != "connect s" {
-			t.Errorf("ahead of need: %s", s)
+		if s := <-inAdvance; s != "connect s" {
+			t.Errorf("before any request: %s", s)
 		}
-		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() { // nothing was sent
+		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() { // no request was sent
 		}
 		n := f.cluster.Counts()
-		if met = n.SnapshotsInvalid > 0; n.SnapshotsReceived != 1 {
+		if faultyAsked = n.SnapshotsInvalid > 0; n.SnapshotsReceived != 1 {
 			t.Fatalf("%+v", n)
 		}
 		f.stop()
@@ -235,7 +235,8 @@
 	}
 }
 
-// A node's start time that other processes report reaches the starter: of a later one no connection is opened ahead.
+// The starter receives the start times of nodes that other processes report: no connection is opened in advance to a node
+// that has restarted since the snapshot.
 func TestNodeStartsReportedByPeers(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 0.1, PreconnectNodes: 2, Snapshot: filepath.Join(t.TempDir(), "learned")}
@@ -256,9 +257,9 @@
 	}
 	s.SetNodeHealth(0, first, 6, nodestats.Health{})
 	s.SetNodeHealth(0, last, 5, nodestats.Health{})
-	b, _, ahead := newRunningStarter(t, set, log, node("a", 0), node("b", 1))
+	b, _, inAdvance := newRunningStarter(t, set, log, node("a", 0), node("b", 1))
 	b.addPeerReports(0, s)
-	if got := <-ahead; got != "connect "+last {
-		t.Errorf("ahead of need: %s, want %s alone", got, last)
+	if got := <-inAdvance; got != "connect "+last {
+		t.Errorf("before any request: %s, want only a connection to %s", got, last)
 	}
 }
--- a/cmd/wheatsaddle/thousand_nodes_test.go
+++ b/cmd/wheatsaddle/thousand_nodes_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	largeNodes   = 1024
-	largeMemory  = 64 // MB
-	largeSockets = 192
+	manyNodesCount    = 1024
+	manyNodesMemoryMB = 64 // MB
+	manyNodesSockets  = 192
 )
 
-// manyNodes is one listener that stands for any number of nodes, and counts requests.
-func manyNodes(t *testing.T) (address string, came *atomic.Int64) {
+// serveManyNodes starts one listener that serves as any number of nodes, and counts its requests.
+func serveManyNodes(t *testing.T) (address string, requests *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	came = &atomic.Int64{}
+	requests = &atomic.Int64{}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -43,36 +43,35 @@
 				defer nc.Close()
 				var q fasthttp.Request
 				for br := bufio.NewReader(nc); q.Read(br) == nil; {
-					came.Add(1)
+					requests.Add(1)
 					fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				}
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), requests
 }
 
-// entries are those of n nodes, one for each shard, at one address.
-func entries(name, address string, status discovery.Status, n int) (list []discovery.Entry) {
+// listEntries returns the list entries of n nodes, one for each shard, at one address.
+func listEntries(name, address string, status discovery.Status, n int) (entries []discovery.Entry) {
 	for i := range n {
-		list = append(list, discovery.Entry{Name: fmt.Sprintf("%s-%04d", name, i), Address: address, Group: i, Status: status, Weight: 1})
+		entries = append(entries, discovery.Entry{Name: fmt.Sprintf("%s-%04d", name, i), Address: address, Group: i, Status: status, Weight: 1})
 	}
-	return list
+	return entries
 }
 
-// The daemon as one of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes: it serves every shard, accepts a
-// list in which half of the nodes are replaced, ignores its invalid entries, and stays within its limits of memory and
-// descriptors.
+// One of 1,024 schedulers of 1,024 nodes, with fewer descriptors than nodes, serves every shard, accepts a list in which half
+// of the nodes are replaced, ignores the list's invalid entries, and stays within its memory and descriptor limits.
 func TestThousandNodes(t *testing.T) {
-	old, oldCame := manyNodes(t)
-	next, nextCame := manyNodes(t)
-	disco, err := discovery.New(discovery.Options{Index: 2})
+	oldNodes, oldRequests := serveManyNodes(t)
+	newNodes, newRequests := serveManyNodes(t)
+	fakeDiscovery, err := discovery.New(discovery.Options{Index: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer disco.Close()
-	all := entries("s", old, discovery.Active, largeNodes)
-	disco.Put(all...)
+	defer fakeDiscovery.Close()
+	all := listEntries("s", oldNodes, discovery.Active, manyNodesCount)
+	fakeDiscovery.Put(all...)
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
 "known":%s,
@@ -80,73 +79,74 @@
 "extra":{"usual-units":2,"largest":6,"slots-total":%d},
 "profiles":[{"name":"balance-read","goal-time":30000,"deadline":60000,"repeat":"safe","worth":3}],
 "contracts":[{"name":"basic","reservation":1000,"usual-rate":1000}]}}`,
-		listen, disco.Addr(), largeMemory, largeSockets, discovery.List{Index: 1, Full: true, Entries: all}.Text(false), largeNodes)
+		listen, fakeDiscovery.Addr(), manyNodesMemoryMB, manyNodesSockets, discovery.List{Index: 1, Full: true, Entries: all}.Text(false), manyNodesCount)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var log strings.Builder
-	c := program([]string{"ROUTER_CONFIG=" + file})
-	c.Stderr = &log
-	nc := upAt(t, c, listen)
-	br, serial, descriptors := bufio.NewReader(nc), 0, 0
-	ask := func(shard int) {
+	cmd := programCommand([]string{"ROUTER_CONFIG=" + file})
+	cmd.Stderr = &log
+	nc := startAndDial(t, cmd, listen)
+	br, requestCount, descriptors := bufio.NewReader(nc), 0, 0
+	sendRequest := func(shard int) {
 		t.Helper()
-		serial++
-		q := strings.Replace(read, "r1", fmt.Sprint("q", serial), 1)
+		requestCount++
+		q := strings.Replace(readRequest, "r1", fmt.Sprint("q", requestCount), 1)
 		_, _ = io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || string(r.Body()) != "ok" {
 			t.Fatalf("shard %d: %v %d %q", shard, err, r.StatusCode(), r.Body())
 		}
-		if serial%16 == 0 {
-			if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid)); err == nil {
+		if requestCount%16 == 0 {
+			if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)); err == nil {
 				descriptors = max(descriptors, len(open))
 			}
 		}
 	}
-	for i := range largeNodes {
-		ask(i)
+	for i := range manyNodesCount {
+		sendRequest(i)
 	}
-	if n := oldCame.Load(); n < largeNodes {
-		t.Errorf("%d requests came to the nodes", n)
+	if n := oldRequests.Load(); n < manyNodesCount {
+		t.Errorf("the nodes received %d requests", n)
 	}
-	// Half are replaced; a name without an address, a repeated entry and one without a shard change nothing else.
-	half := largeNodes / 2
-	changes := append(entries("r", next, discovery.Active, half), entries("s", old, discovery.Left, half)...)
-	twice := append(entries("r", next, discovery.Active, 1), changes[0])
-	index := disco.Put(append(changes, discovery.Entry{Name: "s-0900", Address: "nowhere", Group: 900, Status: discovery.Active},
-		discovery.Entry{Name: "s-0901", Address: old, Group: -7, Status: discovery.Active})...)
-	for disco.Say(string(discovery.List{Index: index, Entries: twice}.Text(false))) == 0 {
-		time.Sleep(time.Millisecond) // the watch is not open yet
+	// Half of the nodes are replaced. An entry with an invalid address, a duplicate entry and one with an invalid shard have no
+	// other effect.
+	half := manyNodesCount / 2
+	changes := append(listEntries("r", newNodes, discovery.Active, half), listEntries("s", oldNodes, discovery.Left, half)...)
+	duplicate := append(listEntries("r", newNodes, discovery.Active, 1), changes[0])
+	index := fakeDiscovery.Put(append(changes, discovery.Entry{Name: "s-0900", Address: "nowhere", Group: 900, Status: discovery.Active},
+		discovery.Entry{Name: "s-0901", Address: oldNodes, Group: -7, Status: discovery.Active})...)
+	for fakeDiscovery.Say(string(discovery.List{Index: index, Entries: duplicate}.Text(false))) == 0 {
+		time.Sleep(time.Millisecond) // until the watch is open
 	}
-	for nextCame.Load() == 0 {
-		ask(half - 1) // until the list has been taken: what is said may come before what is put
+	for newRequests.Load() == 0 {
+		sendRequest(half - 1) // until the new list is applied: the event of Say may arrive before the changes of Put
 	}
-	before := nextCame.Load()
-	for i := range largeNodes {
-		ask(i)
+	before := newRequests.Load()
+	for i := range manyNodesCount {
+		sendRequest(i)
 	}
-	if n := nextCame.Load() - before; n != int64(half) {
-		t.Errorf("%d requests came to the %d replacements", n, half)
+	if n := newRequests.Load() - before; n != int64(half) {
+		t.Errorf("%d requests reached the %d new nodes", n, half)
 	}
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(status), "VmHWM:")
 	fields := strings.Fields(rest)
-	if kb, err := strconv.Atoi(fields[0]); err != nil || kb > largeMemory<<10 {
-		t.Errorf("%s kB at most, %d MB allowed: %v", fields[0], largeMemory, err)
+	if kb, err := strconv.Atoi(fields[0]); err != nil || kb > manyNodesMemoryMB<<10 {
+		t.Errorf("peak memory %s kB, %d MB allowed: %v", fields[0], manyNodesMemoryMB, err)
 	}
-	if descriptors == 0 || descriptors > largeSockets {
-		t.Errorf("%d descriptors of %d", descriptors, largeSockets)
+	if descriptors == 0 || descriptors > manyNodesSockets {
+		t.Errorf("at most %d descriptors were open, limit %d", descriptors, manyNodesSockets)
 	}
-	t.Logf("memory at most %s kB, %d descriptors", fields[0], descriptors)
+	t.Logf("peak memory %s kB, at most %d descriptors", fields[0], descriptors)
 	nc.Close()
-	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Wait(); err != nil {
+	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v\n%s", err, log.String())
 	}
 	if n := strings.Count(log.String(), "invalid entry of the endpoint list ignored"); n != 2 {
--- a/internal/admin/endpoint_test.go
+++ b/internal/admin/endpoint_test.go
@@ -16,19 +16,19 @@
 	"wheatsaddle/internal/core"
 )
 
-// serve starts an endpoint on loopback and returns its address.
-func serve(t *testing.T, d *Endpoint) string {
+// serve starts an endpoint on the loopback interface and returns its address.
+func serve(t *testing.T, endpoint *Endpoint) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = d.Serve(ln) }()
-	t.Cleanup(func() { _ = d.Close() })
+	go func() { _ = endpoint.Serve(ln) }()
+	t.Cleanup(func() { _ = endpoint.Close() })
 	return ln.Addr().String()
 }
 
-// call makes one call on a connection of its own and returns the status and the body.
+// call makes one call on a new connection and returns the status and the body.
 func call(t *testing.T, address, method, path string) (int, string) {
 	t.Helper()
 	r := rawCall(t, address, method+" "+path+" HTTP/1.1\r\nHost: op\r\n\r\n")
@@ -42,7 +42,7 @@
 	body   string
 }
 
-// rawCall writes a call's bytes on a connection of its own and returns the response.
+// rawCall writes the bytes of a call to a new connection and returns the response.
 func rawCall(t *testing.T, address, text string) response {
 	t.Helper()
 	nc, err := net.DialTimeout("tcp", address, time.Second)
@@ -53,7 +53,7 @@
 	if err := nc.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(nc, text) // a rejected request may be closed before its end
+	_, _ = io.WriteString(nc, text) // the connection of a rejected request may be closed before the write completes
 	r, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
@@ -66,11 +66,11 @@
 	return response{r.StatusCode, r.Header, string(body)}
 }
 
-// newTestEndpoint makes an endpoint with the node s-1, the switch of its readiness, and its record of changes.
+// newTestEndpoint returns an endpoint that knows the node s-1, the flag for its readiness, and its record of changes.
 func newTestEndpoint() (*Endpoint, *atomic.Bool, *[]string) {
 	var ready atomic.Bool
-	done := &[]string{}
-	d := &Endpoint{Ready: ready.Load,
+	changes := &[]string{}
+	endpoint := &Endpoint{Ready: ready.Load,
 		Counters: func() core.CounterSnapshot {
 			return core.CounterSnapshot{Served: map[string]int64{"balance-read": 812}, Rejected: map[string]int64{"balance-read": 3},
 				Failed: map[string]int64{"balance-read": 1}, Attempts: map[string]int64{"balance-read": 820}, InProgress: 14, Nodes: 8, AvoidedNodes: 1, Reloads: 2, ReloadErrors: 1}
@@ -79,30 +79,30 @@
 			if id != "s-1" {
 				return ErrUnknownNode
 			}
-			*done = append(*done, "exclude "+id)
+			*changes = append(*changes, "exclude "+id)
 			return nil
 		},
 		Include: func(id string) error {
 			if id == "s-busy" {
 				return &core.BusyError{}
 			}
-			*done = append(*done, "include "+id)
+			*changes = append(*changes, "include "+id)
 			return nil
 		}}
-	return d, &ready, done
+	return endpoint, &ready, changes
 }
 
 func TestPathsAndMethods(t *testing.T) {
-	d, ready, done := newTestEndpoint()
-	at := serve(t, d)
-	if code, _ := call(t, at, "GET", "/api/ready"); code != 503 {
+	endpoint, ready, changes := newTestEndpoint()
+	address := serve(t, endpoint)
+	if code, _ := call(t, address, "GET", "/api/ready"); code != 503 {
 		t.Fatalf("ready before the process serves: %d", code)
 	}
 	ready.Store(true)
-	if code, _ := call(t, at, "GET", "/api/ready"); code != 200 {
+	if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
 		t.Fatalf("ready: %d", code)
 	}
-	code, body := call(t, at, "GET", "/api/telemetry")
+	code, body := call(t, address, "GET", "/api/telemetry")
 	if code != 200 || gjson.Get(body, "passed.balance-read").Int() != 812 || gjson.Get(body, "upstream_tries").Int() != 820 ||
 		gjson.Get(body, "in_progress").Int() != 14 || gjson.Get(body, "known_storage_nodes").Int() != 8 ||
 		gjson.Get(body, "skipped_storage_nodes").Int() != 1 || gjson.Get(body, "load_errors").Int() != 1 ||
@@ -124,22 +124,22 @@
 		{"PUT", "/api/include?who=s-busy", 503},
 		{"PUT", "/api/include?who=s-1", 200},
 	} {
-		code, body := call(t, at, c.method, c.path)
+		code, body := call(t, address, c.method, c.path)
 		lines := strings.Split(strings.TrimSpace(body), "\n")
 		if code != c.code || code != 200 && (lines[0] == "" || len(lines) != 3 || !strings.HasPrefix(lines[1], "code: ") || !strings.HasPrefix(lines[2], "advice: ")) {
 			t.Errorf("%s %s: %d %q, want %d with a reason, a code and advice", c.method, c.path, code, body, c.code)
 		}
 	}
-	if strings.Join(*done, ",") != "exclude s-1,include s-1" {
-		t.Fatalf("done: %v", *done)
+	if strings.Join(*changes, ",") != "exclude s-1,include s-1" {
+		t.Fatalf("done: %v", *changes)
 	}
 }
 
-// A call is answered beside clients that hold connections without a complete request.
+// A call is answered while other clients hold connections without a complete request.
 func TestSlowClientsDoNotBlockOthers(t *testing.T) {
-	d, ready, _ := newTestEndpoint()
+	endpoint, ready, _ := newTestEndpoint()
 	ready.Store(true)
-	at := serve(t, d)
+	address := serve(t, endpoint)
 	var slow []net.Conn
 	defer func() {
 		for _, nc := range slow {
@@ -147,7 +147,7 @@
 		}
 	}()
 	for range 3 * maxConns {
-		nc, err := net.Dial("tcp", at)
+		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -155,20 +155,20 @@
 		slow = append(slow, nc)
 	}
 	for range 5 {
-		if code, _ := call(t, at, "GET", "/api/ready"); code != 200 {
-			t.Fatalf("ready beside slow clients: %d", code)
+		if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
+			t.Fatalf("ready with slow clients: %d", code)
 		}
 	}
 }
 
-// A connection beyond the limit closes the oldest one, so that slow clients hold no more descriptors than the limit.
+// A connection beyond the limit closes the oldest one, so that slow clients use at most as many descriptors as the limit.
 func TestConnLimitClosesOldest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	p := limitConns(ln, 4)
+	limited := limitConns(ln, 4)
 	var dialed, accepted []net.Conn
 	for range 10 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
@@ -176,7 +176,7 @@
 			t.Fatal(err)
 		}
 		dialed = append(dialed, nc)
-		got, err := p.Accept()
+		got, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,9 +187,9 @@
 			_ = nc.Close()
 		}
 	}()
-	p.mu.Lock()
-	open := len(p.open)
-	p.mu.Unlock()
+	limited.mu.Lock()
+	open := len(limited.open)
+	limited.mu.Unlock()
 	if open != 4 {
 		t.Fatalf("%d open, the limit is 4", open)
 	}
--- a/internal/admin/estimate_test.go
+++ b/internal/admin/estimate_test.go
@@ -14,50 +14,50 @@
 	return r.status, r.body
 }
 
-// The call exists only if it is configured. One request more than allowed at once is rejected and delays no other call;
-// a long body and an invalid one are rejected with the reason.
+// The call exists only if it is configured. A request beyond the maximum number of concurrent ones is rejected, and an
+// estimate in progress delays no other call. A body that is too long or invalid is rejected with the reason.
 func TestEstimateCall(t *testing.T) {
-	d, ready, _ := newTestEndpoint()
+	endpoint, ready, _ := newTestEndpoint()
 	ready.Store(true)
-	if code, _ := post(t, serve(t, d), "{}"); code != 404 {
+	if code, _ := post(t, serve(t, endpoint), "{}"); code != 404 {
 		t.Errorf("not configured: %d", code)
 	}
-	d, ready, _ = newTestEndpoint()
+	endpoint, ready, _ = newTestEndpoint()
 	ready.Store(true)
-	entered, leave := make(chan struct{}), make(chan struct{})
-	d.Estimate = NewEstimate(func(body []byte) ([]byte, error) {
+	entered, release := make(chan struct{}), make(chan struct{})
+	endpoint.Estimate = NewEstimate(func(body []byte) ([]byte, error) {
 		switch string(body) {
 		case "wait":
 			entered <- struct{}{}
-			<-leave
+			<-release
 		case "bad":
 			return nil, errors.New("plans.0: no root")
 		}
 		return body, nil
 	}, 5000, 1)
-	at := serve(t, d)
+	address := serve(t, endpoint)
 	done := make(chan int)
 	go func() {
-		code, _ := post(t, at, "wait")
+		code, _ := post(t, address, "wait")
 		done <- code
 	}()
 	<-entered
-	if code, text := post(t, at, "x"); code != 503 || text == "" {
-		t.Errorf("beside another: %d %q", code, text)
+	if code, text := post(t, address, "x"); code != 503 || text == "" {
+		t.Errorf("while another is in progress: %d %q", code, text)
 	}
-	if code, _ := call(t, at, "GET", "/api/ready"); code != 200 {
-		t.Errorf("ready beside an estimate: %d", code)
+	if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
+		t.Errorf("ready during an estimate: %d", code)
 	}
-	close(leave)
+	close(release)
 	if code := <-done; code != 200 {
-		t.Errorf("the first: %d", code)
+		t.Errorf("first estimate: %d", code)
 	}
 	for body, want := range map[string]int{"x": 200, strings.Repeat("x", 5000): 200, strings.Repeat("x", 5001): 400, "bad": 400} {
-		if code, text := post(t, at, body); code != want || text == "" || body == "bad" && !strings.Contains(text, "plans.0: no root") {
-			t.Errorf("%.9s of %d: %d %q, want %d", body, len(body), code, text, want)
+		if code, text := post(t, address, body); code != want || text == "" || body == "bad" && !strings.Contains(text, "plans.0: no root") {
+			t.Errorf("body %.9s of %d bytes: %d %q, want %d", body, len(body), code, text, want)
 		}
 	}
-	if code, _ := call(t, at, "GET", "/api/estimate"); code != 405 {
+	if code, _ := call(t, address, "GET", "/api/estimate"); code != 405 {
 		t.Errorf("GET: %d", code)
 	}
 }
--- a/internal/admin/recorded_test.go
+++ b/internal/admin/recorded_test.go
@@ -9,14 +9,14 @@
 	"wheatsaddle/internal/testkit/recorded"
 )
 
-// responseRecorder writes the responses of an endpoint to a script.
+// responseRecorder records the responses of an endpoint.
 type responseRecorder struct {
 	recorded.Script
 	t       *testing.T
 	address string
 }
 
-// record makes a call and writes its status, headers and body.
+// record makes a call and records its status, headers and body.
 func (r *responseRecorder) record(text string) {
 	r.t.Helper()
 	resp := rawCall(r.t, r.address, text)
@@ -34,7 +34,7 @@
 	r.record(head + "\r\n" + body)
 }
 
-// all records calls of each path, valid and invalid, under four methods.
+// all records valid and invalid calls of each path with four methods.
 func (r *responseRecorder) all() {
 	r.t.Helper()
 	for _, method := range []string{"GET", "PUT", "POST", "DELETE"} {
@@ -49,8 +49,8 @@
 	}
 }
 
-// estimateOf is an estimate that fails with and without a code.
-func estimateOf(body []byte) ([]byte, error) {
+// fakeEstimate returns an error with or without a code, or a response, as the body says.
+func fakeEstimate(body []byte) ([]byte, error) {
 	switch string(body) {
 	case "coded":
 		return nil, &NodeIDError{}
@@ -60,13 +60,13 @@
 	return []byte(`{"ok":true}`), nil
 }
 
-// Status, headers and body of each call and of each error are those of the recording.
+// Status, headers and body of the responses to all calls, valid and invalid, equal the recorded ones.
 func TestRecordedResponses(t *testing.T) {
 	r := &responseRecorder{t: t}
 	for _, withEstimate := range []bool{false, true} {
 		e, ready, _ := newTestEndpoint()
 		if withEstimate {
-			e.Estimate = NewEstimate(estimateOf, 64, 1)
+			e.Estimate = NewEstimate(fakeEstimate, 64, 1)
 		}
 		r.address = serve(t, e)
 		r.call("GET", "/api/ready", "")
--- a/internal/admin/zerocopy_test.go
+++ b/internal/admin/zerocopy_test.go
@@ -15,15 +15,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Endpoint{Ready: func() bool { return true }, Counters: func() core.CounterSnapshot { return core.CounterSnapshot{} }}
+	endpoint := &Endpoint{Ready: func() bool { return true }, Counters: func() core.CounterSnapshot { return core.CounterSnapshot{} }}
 	ended := make(chan error, 1)
-	go func() { ended <- d.Serve(ln) }()
+	go func() { ended <- endpoint.Serve(ln) }()
 	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(EncodeTelemetry(core.CounterSnapshot{}))} {
 		if code, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+path); err != nil || code != 200 || string(body) != want {
 			t.Errorf("%s: %d %q %v", path, code, body, err)
 		}
 	}
-	if err := d.Close(); err != nil || <-ended != nil {
+	if err := endpoint.Close(); err != nil || <-ended != nil {
 		t.Error(err)
 	}
 	if n := ln.Count(); n > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// The shipped file is valid, and errors in it are named.
-func TestISCSI(t *testing.T) {
+// The iSCSI file in deploy is valid, and each error in an edited one names its key.
+func TestISCSIFile(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +73,9 @@
 	set := c.Settings
 	set.Classes = append(set.Classes, policy.Class{Name: "bulk-export", LatencyObjective: 1200, Deadline: 4000})
 	set.Plans = append(set.Plans, policy.Plan{Name: "standard"})
-	ic, err := LoadISCSI("../../deploy/iscsi.json", set)
-	if err != nil || len(ic.Targets) != 1 || len(ic.Targets[0].Units) != 2 || ic.Targets[0].Units[0].Rules[0].Deadline != 1500 {
-		t.Fatalf("%+v %v", ic, err)
+	iscsi, err := LoadISCSI("../../deploy/iscsi.json", set)
+	if err != nil || len(iscsi.Targets) != 1 || len(iscsi.Targets[0].Units) != 2 || iscsi.Targets[0].Units[0].Rules[0].Deadline != 1500 {
+		t.Fatalf("%+v %v", iscsi, err)
 	}
 	text, err := os.ReadFile("../../deploy/iscsi.json")
 	if err != nil {
@@ -97,10 +97,10 @@
 	}
 }
 
-func TestCorruptFiles(t *testing.T) {
+func TestCorruptFilesAreRejectedOrValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if _, err := Parse([]byte(validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(rt, "cut")]), noEnv); err == nil {
-			rt.Fatal("a cut configuration passed")
+			rt.Fatal("a truncated configuration was accepted")
 		}
 		b := []byte(validConfig)
 		for range rapid.IntRange(1, 4).Draw(rt, "edits") {
@@ -113,8 +113,8 @@
 	})
 }
 
-// A reload takes the file's address of discovery, and that of the start if the file has none.
-func TestReload(t *testing.T) {
+// A reload uses the address of discovery in the file, and the one from the start if the file has none.
+func TestReloadPrefersDiscoveryOfFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	env := func(k string) string {
 		return map[string]string{"ROUTER_CONFIG": file, "ROUTER_DISCOVERY": "127.0.0.1:1", "ROUTER_LISTEN": "127.0.0.1:2"}[k]
--- a/internal/config/deployments_simulation_test.go
+++ b/internal/config/deployments_simulation_test.go
@@ -22,15 +22,15 @@
 	}
 }
 
-// A request of each class and plan is dispatched at once, with its client's deadline, and a response ends it.
+// A request of each class and plan is dispatched immediately, with its client's deadline, and its response completes it.
 func TestDeploymentRequestsAreServed(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
-		for _, left := range []float64{c.Deadline, c.Deadline / 2} {
+		for _, timeout := range []float64{c.Deadline, c.Deadline / 2} {
 			p := newSimulation(t, s, 3).fillBuckets()
-			r := p.submit(c, plan, 1, left)
+			r := p.submit(c, plan, 1, timeout)
 			i := slices.IndexFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Send })
 			if len(r.attempts) != 1 || p.actions[i].Deadline != r.deadline {
-				t.Fatalf("sent %d times, %+v", len(r.attempts), p.actions)
+				t.Fatalf("dispatched %d times, %+v", len(r.attempts), p.actions)
 			}
 			p.run(p.now + usualLatencyMs)
 			p.endAttempt(r, 0, policy.OK)
@@ -61,8 +61,8 @@
 	}
 }
 
-// An attempt that may have been executed is retried if the class's effect permits it, and otherwise the request fails. One
-// that was never executed is retried in any class.
+// A request whose attempt may have been executed is retried if the class's effect permits it, and otherwise fails. One whose
+// attempt was provably not executed is retried in any class.
 func TestDeploymentEffects(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		for _, status := range []policy.Status{policy.Errored, policy.ConnectionReset, policy.NodeFull, policy.ConnectFailed} {
@@ -71,16 +71,16 @@
 			p.run(p.now + usualLatencyMs)
 			p.endAttempt(r, 0, status)
 			p.run(p.now + min(c.LatencyObjective/2, maxRetryDelayMs))
-			proved := status == policy.NodeFull || status == policy.ConnectFailed
-			if again := proved || c.Effect != "unsafe"; again != (len(r.attempts) == 2) {
+			notExecuted := status == policy.NodeFull || status == policy.ConnectFailed
+			if retried := notExecuted || c.Effect != "unsafe"; retried != (len(r.attempts) == 2) {
 				t.Fatalf("status %v: %d attempts, then %q", status, len(r.attempts), r.final)
 			}
-			if c.Effect == "unsafe" && !proved && r.final != "failed" {
+			if c.Effect == "unsafe" && !notExecuted && r.final != "failed" {
 				t.Errorf("status %v: %q", status, r.final)
 			}
 			if c.Effect == "keyed" && len(r.attempts) == 2 {
-				want := 0.0 // it was never executed: no window is open
-				if !proved {
+				want := 0.0 // the attempt was not executed, so no window is open
+				if !notExecuted {
 					want = r.attempts[0].sentAt + c.DedupWindow
 				}
 				if r.attempts[1].startBy != want {
@@ -95,14 +95,14 @@
 	})
 }
 
-// A request has as many attempts as the settings permit: idempotent ones after errors, others after proof that they were
-// not executed, between which the node's backoff grows.
+// A request has at most as many attempts as the settings permit, and is then rejected. Idempotent requests are retried after
+// errors. Others are retried only if an attempt was not executed, and have fewer attempts, because the node's backoff grows.
 func TestDeploymentMaxAttempts(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
-			status, least := policy.NodeFull, 2
+			status, minAttempts := policy.NodeFull, 2
 			if c.Effect == "safe" {
-				status, least = policy.Errored, s.platform.Ceilings.Attempts
+				status, minAttempts = policy.Errored, s.platform.Ceilings.Attempts
 			}
 			p := newSimulation(t, s, 2).fillBuckets()
 			p.onDispatch = func(r *simRequest, attempt int) {
@@ -110,15 +110,15 @@
 			}
 			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
 			p.run(r.deadline + 1)
-			if len(r.attempts) < least || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "rejected" {
+			if len(r.attempts) < minAttempts || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "rejected" {
 				t.Errorf("%s, %s: %q after %d attempts of %d", s.name, c.Name, r.final, len(r.attempts), s.platform.Ceilings.Attempts)
 			}
 		}
 	}
 }
 
-// With a retry budget, a burst of errors spends exactly the budget; without one each request has the attempts that the
-// settings permit. Configurations have no budgets, so they are taken from the site file.
+// With a retry budget, the number of retries in a burst of errors is exactly the budget; without one, each request has the
+// attempts that the settings permit. Configurations have no budgets, so they are taken from the site file.
 func TestDeploymentBudgets(t *testing.T) {
 	const burst = 40
 	budgets := 0
@@ -129,19 +129,19 @@
 		p.onDispatch = func(r *simRequest, attempt int) {
 			p.schedule(1, func() { p.endAttempt(r, attempt, policy.Errored) })
 		}
-		further := 0
+		retries := 0
 		for range burst {
 			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
 			p.run(p.now + 10)
-			further += len(r.attempts) - 1
+			retries += len(r.attempts) - 1
 		}
 		want := burst * (s.platform.Ceilings.Attempts - 1)
 		if rules.RetryBudgetWindow > 0 {
 			budgets++
-			want = int(rules.RetryBudgetMin + rules.RetryBudgetShare*burst) // all within one window
+			want = int(rules.RetryBudgetMin + rules.RetryBudgetShare*burst) // the whole burst is within one window
 		}
-		if c.Effect != "safe" || burst*10 > rules.RetryBudgetWindow && rules.RetryBudgetWindow > 0 || further != want {
-			t.Errorf("%s, %s: %d retries, want %d", s.name, c.Name, further, want)
+		if c.Effect != "safe" || burst*10 > rules.RetryBudgetWindow && rules.RetryBudgetWindow > 0 || retries != want {
+			t.Errorf("%s, %s: %d retries, want %d", s.name, c.Name, retries, want)
 		}
 	}
 	if budgets == 0 {
@@ -149,57 +149,57 @@
 	}
 }
 
-// A request that is idempotent by key and waits for capacity is retried up to the end of its deduplication window, and
-// not past it, although its client has time. Its first attempt lasts beyond the latency objective, as requests that wait
-// at the objective are ended then. Responses before were slow, so that no attempt is cancelled yet, and the errors of
-// non-idempotent requests show that the node is not silent, and free capacity.
+// A request that is idempotent by key and waits for capacity is retried until the end of its deduplication window, and not
+// after it, although its client's deadline is later. The first attempt lasts longer than the latency objective, because
+// requests that are still waiting at the objective are ended then. An earlier response was slow, so that the attempt is not
+// cancelled. Errors of non-idempotent requests show that the node is not silent, and free capacity.
 func TestDeploymentDedupWindowsEnd(t *testing.T) {
 	const (
-		late  = 1.05 // of the objective: when the first attempt fails
-		slow  = 0.6  // of the objective: latency before; an attempt gets twice that
-		faded = 8e3  // ms after which slow responses have little weight
-		room  = 4    // concurrent attempts at a node at first
+		failAt        = 1.05 // share of the objective after which the first attempt fails
+		slowLatency   = 0.6  // share of the objective that the earlier response takes; an attempt may take twice as long
+		fadeMs        = 8e3  // time after which the slow response has little weight
+		initialWindow = 4    // maximum concurrent attempts at a node at first
 	)
 	reached := 0
 	for _, s := range deployments(t) {
-		classes, last := s.platform.Profiles, s.platform.Contracts[len(s.platform.Contracts)-1]
-		patient := slices.MaxFunc(classes, func(a, b platformClass) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) })
-		once := slices.IndexFunc(classes, func(c platformClass) bool { return c.Effect == "unsafe" })
+		classes, plan := s.platform.Profiles, s.platform.Contracts[len(s.platform.Contracts)-1]
+		longestClass := slices.MaxFunc(classes, func(a, b platformClass) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) })
+		nonIdempotent := slices.IndexFunc(classes, func(c platformClass) bool { return c.Effect == "unsafe" })
 		for _, c := range classes {
-			if once < 0 || c.Effect != "keyed" || c.DedupWindow >= 0.9*c.Deadline || c.DedupWindow < 1.2*late*c.LatencyObjective {
+			if nonIdempotent < 0 || c.Effect != "keyed" || c.DedupWindow >= 0.9*c.Deadline || c.DedupWindow < 1.2*failAt*c.LatencyObjective {
 				continue
 			}
 			for _, x := range []struct {
-				back float64 // when the node has capacity again, in windows
-				sent int
+				capacityAt float64 // when the node has capacity again, in windows
+				attempts   int
 			}{{0.95, 2}, {1.01, 1}} {
 				p := newSimulation(t, s, 2).fillBuckets()
-				before := p.submit(patient, last, 0, 0)
-				p.run(p.now + slow*c.LatencyObjective)
-				p.endAttempt(before, 0, policy.OK)
-				p.run(p.now + faded)
-				r := p.submit(c, last, 1, 0)
-				sent := p.now
-				p.run(sent + late*c.LatencyObjective/2)
-				p.endAttempt(p.submit(classes[once], last, 1, 0), 0, policy.Errored)
-				p.run(sent + late*c.LatencyObjective - 1)
+				slowRequest := p.submit(longestClass, plan, 0, 0)
+				p.run(p.now + slowLatency*c.LatencyObjective)
+				p.endAttempt(slowRequest, 0, policy.OK)
+				p.run(p.now + fadeMs)
+				r := p.submit(c, plan, 1, 0)
+				sentAt := p.now
+				p.run(sentAt + failAt*c.LatencyObjective/2)
+				p.endAttempt(p.submit(classes[nonIdempotent], plan, 1, 0), 0, policy.Errored)
+				p.run(sentAt + failAt*c.LatencyObjective - 1)
 				var others []*simRequest
-				for range room {
-					others = append(others, p.submit(classes[once], last, 1, 0))
+				for range initialWindow {
+					others = append(others, p.submit(classes[nonIdempotent], plan, 1, 0))
 				}
-				p.run(sent + late*c.LatencyObjective)
+				p.run(sentAt + failAt*c.LatencyObjective)
 				p.endAttempt(r, 0, policy.Errored)
-				p.run(sent + x.back*c.DedupWindow)
-				if len(r.attempts) != 1 || r.final != "" || len(others[room-1].attempts) != 1 {
+				p.run(sentAt + x.capacityAt*c.DedupWindow)
+				if len(r.attempts) != 1 || r.final != "" || len(others[initialWindow-1].attempts) != 1 {
 					t.Fatalf("%s, %s: %d attempts, %q: the request does not wait", s.name, c.Name, len(r.attempts), r.final)
 				}
 				p.endAttempt(others[0], 0, policy.Errored)
 				p.run(p.now + 5*reviewToleranceMs)
-				if len(r.attempts) != x.sent {
-					t.Errorf("%s, %s: %d attempts, want %d: the node had capacity at %.2f of the window", s.name, c.Name, len(r.attempts), x.sent, x.back)
+				if len(r.attempts) != x.attempts {
+					t.Errorf("%s, %s: %d attempts, want %d: the node had capacity at %.2f of the window", s.name, c.Name, len(r.attempts), x.attempts, x.capacityAt)
 				}
 				p.run(r.deadline + 1)
-				if x.sent == 1 && r.final != "failed" {
+				if x.attempts == 1 && r.final != "failed" {
 					t.Errorf("%s, %s: %q", s.name, c.Name, r.final)
 				}
 				reached++
@@ -211,17 +211,17 @@
 	}
 }
 
-// A request whose shard has no node waits until its latency objective and is rejected then, before its deadline.
+// A request whose shard has no node waits until its latency objective or, if that is earlier, its deadline, and is rejected.
 func TestDeploymentObjectivesAndDeadlines(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
-		nobody := s.platform.Extra.Shards - 1
-		for _, left := range []float64{c.Deadline, c.LatencyObjective / 3} {
+		shardWithoutNode := s.platform.Extra.Shards - 1
+		for _, timeout := range []float64{c.Deadline, c.LatencyObjective / 3} {
 			p := newSimulation(t, s, 2).fillBuckets()
-			r := p.submit(c, plan, nobody, left)
+			r := p.submit(c, plan, shardWithoutNode, timeout)
 			p.run(r.deadline + s.platform.Rules.AnswerSlack)
-			ends := min(c.LatencyObjective, left)
-			if took := r.finalAt - r.arrivedAt; r.final != "rejected" || took > ends+reviewToleranceMs || took < ends-reviewToleranceMs {
-				t.Errorf("%q after %.0f ms; objective %.0f ms, deadline %.0f", r.final, took, c.LatencyObjective, left)
+			expectedMs := min(c.LatencyObjective, timeout)
+			if elapsedMs := r.finalAt - r.arrivedAt; r.final != "rejected" || elapsedMs > expectedMs+reviewToleranceMs || elapsedMs < expectedMs-reviewToleranceMs {
+				t.Errorf("%q after %.0f ms; objective %.0f ms, deadline %.0f", r.final, elapsedMs, c.LatencyObjective, timeout)
 			}
 		}
 	})
@@ -235,7 +235,7 @@
 			for i := range phases {
 				p := newSimulation(t, s, 2).fillBuckets()
 				r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], s.platform.Extra.Shards-1, c.LatencyObjective/3+float64(i)*reviewIntervalMs/phases)
-				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the answer
+				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the time of the response
 				if r.finalAt > r.deadline {
 					t.Errorf("%s, %s: %q %.1f ms after its deadline", s.name, c.Name, r.final, r.finalAt-r.deadline)
 				}
@@ -244,8 +244,8 @@
 	}
 }
 
-// A volume of a limited plan gets this scheduler's share of its burst at once, and then its share of the rate; one of
-// another plan is not limited.
+// A volume of a rate-limited plan gets this scheduler's share of its burst immediately, and then its share of the rate. A
+// volume of another plan is not limited.
 func TestDeploymentLimits(t *testing.T) {
 	limited := 0
 	for _, s := range deployments(t) {
@@ -253,9 +253,9 @@
 			for _, hosts := range []int{1, 2, 3} {
 				p := newSimulation(t, s, 2).fillBuckets()
 				p.onDispatch = func(r *simRequest, attempt int) { p.schedule(0, func() { p.endAttempt(r, attempt, policy.OK) }) }
-				asks := int(plan.Burst) + unitsOverLimit
-				flood := func() (sent int) {
-					for range asks {
+				requestCount := int(plan.Burst) + unitsOverLimit
+				sendAll := func() (sent int) {
+					for range requestCount {
 						if r := p.submitOf("flooded", hosts, s.platform.Profiles[0], plan, 0, 0); len(r.attempts) > 0 {
 							sent++
 						}
@@ -263,15 +263,15 @@
 					}
 					return sent
 				}
-				want := asks
+				want := requestCount
 				if plan.Cap > 0 {
 					limited++
 					want = int(plan.Burst / float64(hosts))
 				}
-				if sent := flood(); sent != want {
-					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, hosts, sent, asks, want)
+				if sent := sendAll(); sent != want {
+					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, hosts, sent, requestCount, want)
 				}
-				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting ones against the rate
+				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting requests against the rate
 				if plan.Cap > 0 && p.buckets["flooded"] == nil {
 					t.Errorf("%s, %s: no token bucket was used", s.name, plan.Name)
 				}
@@ -283,7 +283,7 @@
 	}
 }
 
-// Of requests that wait alike, those of the plan with the higher price are dispatched first.
+// Of otherwise equal waiting requests, those of the plan with the higher price are dispatched first.
 func TestDeploymentPlansAreOrderedByPrice(t *testing.T) {
 	for _, s := range deployments(t) {
 		c := s.platform.Profiles[0]
@@ -294,25 +294,25 @@
 			waiting = append(waiting, p.submit(c, plan, 1, 0))
 		}
 		p.setNodeState("node-1", policy.NodeUp)
-		last := math.Inf(1)
+		lastPrice := math.Inf(1)
 		sent := 0
 		for _, a := range p.actions {
 			if a.Kind != policy.Send {
 				continue
 			}
 			price := p.requests[a.ID].plan.Price
-			if price > last {
-				t.Errorf("%s: a plan of price %v after one of %v", s.name, price, last)
+			if price > lastPrice {
+				t.Errorf("%s: a plan of price %v after one of %v", s.name, price, lastPrice)
 			}
-			last, sent = price, sent+1
+			lastPrice, sent = price, sent+1
 		}
 		if sent < 2 || waiting[0].plan.Price == waiting[1].plan.Price {
-			t.Errorf("%s: %d of %d dispatched at once", s.name, sent, len(waiting))
+			t.Errorf("%s: %d of %d dispatched immediately", s.name, sent, len(waiting))
 		}
 	}
 }
 
-// Nothing is dispatched to a draining node after the grace, and nothing at all if the grace is short.
+// No request is dispatched to a draining node after the drain grace, or at all if the grace is short.
 func TestDeploymentDrains(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
@@ -330,11 +330,11 @@
 	}
 }
 
-// Random days with all classes and plans, every outcome at any time, and nodes that drain, vanish and return. Each action
-// is checked against the settings.
+// In random simulations with all classes and plans, attempts have any outcome at any time, and nodes drain, are removed and
+// return. Each action is checked against the settings.
 func TestDeploymentRandomDays(t *testing.T) {
 	const days, arrivals = 4, 1500
-	gaps := []float64{40, 12} // mean ms between arrivals: a light day, and one on which requests time out
+	gaps := []float64{40, 12} // mean ms between arrivals: light load, and load under which requests time out
 	for _, s := range deployments(t) {
 		total := coverage{retried: map[string]int{}, rejectedUncertain: map[string]int{}, failedUncertain: map[string]int{}, pastWindow: map[string]int{}}
 		finals := map[string]int{}
@@ -357,7 +357,7 @@
 			p.run(p.now + 60e3)
 			for _, r := range p.order {
 				finals[r.final]++
-				if doubt, first := r.firstUncertain(); doubt && r.class.Effect == "keyed" && r.finalAt > first.sentAt+r.class.DedupWindow && r.final != "served" {
+				if uncertain, first := r.firstUncertain(); uncertain && r.class.Effect == "keyed" && r.finalAt > first.sentAt+r.class.DedupWindow && r.final != "served" {
 					total.pastWindow[r.class.Name]++
 				}
 			}
@@ -371,13 +371,13 @@
 		t.Logf("%s: %v, %+v", s.name, finals, total)
 		for _, c := range s.platform.Profiles {
 			if total.retried[c.Name] == 0 {
-				t.Errorf("%s: no %s was retried", s.name, c.Name)
+				t.Errorf("%s: no %s request was retried", s.name, c.Name)
 			}
 			if c.Effect == "unsafe" && total.failedUncertain[c.Name] == 0 {
-				t.Errorf("%s: no %s failed after an attempt that may have been executed", s.name, c.Name)
+				t.Errorf("%s: no %s request failed after an attempt that may have been executed", s.name, c.Name)
 			}
 			if c.Effect == "keyed" && c.DedupWindow < c.Deadline && total.pastWindow[c.Name] == 0 {
-				t.Errorf("%s: no %s outlasted its window", s.name, c.Name)
+				t.Errorf("%s: no %s request ended after its window", s.name, c.Name)
 			}
 		}
 		if (total.hedges > 0) != s.platform.Ceilings.MayHedge {
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -17,11 +17,10 @@
 
 const (
 	deploymentsDir = "../../deploy/sites"
-	minDeployments = 2 // deployments in the directory
+	minDeployments = 2 // minimum number of deployments in the directory
 )
 
-// deployment is one deployment of deploy/sites: a scheduler's configuration, read by this package and, independently, as
-// plain JSON.
+// deployment is a scheduler's configuration in deploy/sites, read by this package and, independently of it, as plain JSON.
 type deployment struct {
 	name     string
 	text     []byte
@@ -104,7 +103,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(deploymentsDir, "*", "config.json"))
 	if err != nil || len(paths) < minDeployments {
-		t.Fatalf("%d variants in %s, %v", len(paths), deploymentsDir, err)
+		t.Fatalf("%d deployments in %s, %v", len(paths), deploymentsDir, err)
 	}
 	var all []deployment
 	for _, path := range paths {
@@ -141,7 +140,7 @@
 
 var siteBudget = regexp.MustCompile(`(?m)^budget_share = ([0-9.]+)\nbudget_free = ([0-9.]+)\nbudget_ms = ([0-9.]+)$`)
 
-// withBudget returns the deployment with the retry budget of its site file, if there is one, in its settings.
+// withBudget returns the deployment with the retry budget of its site file, if there is one, added to its settings.
 func (d deployment) withBudget(t *testing.T) deployment {
 	t.Helper()
 	m := siteBudget.FindSubmatch(d.siteFile(t))
@@ -153,11 +152,11 @@
 	return readDeployment(t, d.name, text)
 }
 
-// Every key of a deployment's settings has its field.
+// Every key of a deployment's settings is read into its field.
 func TestDeploymentSettings(t *testing.T) {
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
-		want, told := policy.Settings{
+		want, platform := policy.Settings{
 			Instance: s.platform.Instance, Schedulers: s.platform.Schedulers, Zone: s.platform.Zone, PollsEndpointList: s.platform.Mode == "ask",
 			MeanUnits: s.platform.Extra.MeanUnits, MaxUnits: s.platform.Extra.MaxUnits, Shards: s.platform.Extra.Shards,
 			SlowStartUnits: s.platform.Extra.SlowStartUnits, UsageMeterPeriod: s.platform.Extra.UsageMeterPeriod, ReportsPeerUsage: s.platform.Extra.ReportsPeerUsage,
@@ -169,19 +168,19 @@
 			OverloadMultiple: s.platform.Rules.OverloadMultiple, OverloadWindow: s.platform.Rules.OverloadWindow,
 			RetryBudgetShare: s.platform.Rules.RetryBudgetShare, RetryBudgetMin: s.platform.Rules.RetryBudgetMin, RetryBudgetWindow: s.platform.Rules.RetryBudgetWindow,
 		}, s.platform
-		for _, c := range told.Profiles {
+		for _, c := range platform.Profiles {
 			want.Classes = append(want.Classes, expectedClass(t, c))
 		}
-		for _, p := range told.Contracts {
+		for _, p := range platform.Contracts {
 			want.Plans = append(want.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, ReservedRate: p.Reserve,
 				Weight: p.Shares, Price: p.Price, RateLimit: p.Cap, LimitBurst: p.Burst})
 		}
 		if !reflect.DeepEqual(s.conf.Settings, want) {
 			t.Errorf("%s: read %+v\nwant %+v", s.name, s.conf.Settings, want)
 		}
-		if s.conf.ConnIdle != told.Ceilings.ConnIdle || s.conf.ConnectTimeout != told.Ceilings.Connect ||
-			s.conf.MaxOpenRequests != told.Ceilings.MaxOpen || s.conf.ListMode != told.Mode {
-			t.Errorf("%s: %+v of %+v", s.name, s.conf, told.Ceilings)
+		if s.conf.ConnIdle != platform.Ceilings.ConnIdle || s.conf.ConnectTimeout != platform.Ceilings.Connect ||
+			s.conf.MaxOpenRequests != platform.Ceilings.MaxOpen || s.conf.ListMode != platform.Mode {
+			t.Errorf("%s: read %+v, ceilings %+v", s.name, s.conf, platform.Ceilings)
 		}
 	}
 }
@@ -209,42 +208,42 @@
 	return want
 }
 
-// ignoredKeys are the keys that affect no decision, each with the reason.
+// ignoredKeys maps the keys that affect no decision to the reason.
 var ignoredKeys = map[string]string{
-	"ceilings.cpu-us-per-request": "the program's use is measured from outside",
+	"ceilings.cpu-us-per-request": "the program's CPU usage is measured from outside",
 	"ceilings.cpu-us-per-s":       "as above; limits.cores configures the runtime",
-	"ceilings.streams-per-conn":   "HTTP/1.1 has one request at a time on a connection",
-	"clients.marks-retry":         "a mark is honoured wherever it is present",
+	"ceilings.streams-per-conn":   "HTTP/1.1 connections have one request at a time",
+	"clients.marks-retry":         "a retry mark is used whenever it is present",
 	"contracts.#.cap-slack":       "limits are enforced without slack",
-	"domain-type":                 "the program serves only stores",
+	"domain-type":                 "the program supports only storage",
 	"extra.changes-data.#":        "the method identifies writes",
-	"extra.spare-worth":           "the order of the bands is the same for any weight",
+	"extra.spare-worth":           "the order of the priority bands is the same for any weight",
 	"extra.within-share":          "as above",
-	"goal.whole":                  "scores a day",
-	"goal.worst-class":            "scores a day",
-	"goal.worst-tenant":           "scores a day",
-	"goal.worst-window":           "scores a day",
+	"goal.whole":                  "used only to score a run",
+	"goal.worst-class":            "used only to score a run",
+	"goal.worst-tenant":           "used only to score a run",
+	"goal.worst-window":           "used only to score a run",
 	"kinds.#":                     "a node's kind affects no decision",
-	"prices.connection":           "connections are bounded by use",
+	"prices.connection":           "the number of connections follows the load",
 	"prices.cross-zone":           "a shard is on one node in one zone",
 	"prices.late-fail":            "not used",
-	"prices.moves":                "nothing migrates",
+	"prices.moves":                "no data is migrated",
 	"prices.origin":               "there is no origin",
-	"prices.peer":                 "no messages to peers on the platform",
-	"prices.probe":                "no probes for load are sent",
+	"prices.peer":                 "no messages are sent to peers on the platform",
+	"prices.probe":                "no load probes are sent",
 	"prices.waste":                "not used",
 	"report.how":                  "load reports affect no decision",
 	"report.names.#":              "load reports affect no decision",
-	"rules.answer-slack":          "answers are due before the client's deadline",
+	"rules.answer-slack":          "responses are sent before the client's deadline",
 	"tick":                        "used only by the simulator",
-	"tier":                        "one tier",
-	"tiers.#":                     "one tier",
+	"tier":                        "there is only one tier",
+	"tiers.#":                     "there is only one tier",
 	"weight-kind":                 "a node's weight affects no decision",
-	"zones.#":                     "zones are compared by the names that nodes have",
+	"zones.#":                     "zones are compared by the names in the endpoint list",
 }
 
-// Each key of the settings is read or listed as ignored: each value is changed in turn, and either the result changes or
-// the key is listed.
+// Each key of the settings is either read or listed as ignored. The test changes each value in turn and checks whether the
+// parsed configuration changes.
 func TestDeploymentKeysAreReadOrIgnored(t *testing.T) {
 	read, unread := map[string]bool{}, map[string]bool{}
 	for _, s := range deployments(t) {
@@ -253,19 +252,19 @@
 		if err := json.Unmarshal(s.text, &file); err != nil {
 			t.Fatal(err)
 		}
-		was := *s.conf
-		was.raw = nil
+		before := *s.conf
+		before.raw = nil
 		changeEach(file["settings"], "", func(key string) {
 			text, err := json.Marshal(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			is, err := Parse(text, noEnv)
+			after, err := Parse(text, noEnv)
 			if err != nil {
 				t.Fatalf("%s: %s changed: %v", s.name, key, err)
 			}
-			is.raw, is.CachedList = nil, was.CachedList
-			if reflect.DeepEqual(*is, was) {
+			after.raw, after.CachedList = nil, before.CachedList
+			if reflect.DeepEqual(*after, before) {
 				unread[key] = true
 			} else {
 				read[key] = true
@@ -274,7 +273,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(unread)) {
 		if !read[key] && ignoredKeys[key] == "" {
-			t.Errorf("%s: not read", key)
+			t.Errorf("%s: neither read nor listed as ignored", key)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(ignoredKeys)) {
@@ -289,26 +288,26 @@
 	}
 }
 
-// alternativeWords are other valid words for each word.
+// alternativeWords maps each word to another valid word.
 var alternativeWords = map[string]string{"safe": "unsafe", "keyed": "safe", "unsafe": "safe", "push": "ask", "ask": "push",
 	"all": "zone", "zone": "cell", "cell": "all"}
 
-// changeEach changes every value in turn, reports its key and restores it. Entries of a list share a key.
+// changeEach changes every value in turn, calls changed with its key and restores it. Entries of a list share a key.
 func changeEach(v any, key string, changed func(key string)) {
 	at := func(value any, set func(any), key string) {
-		switch was := value.(type) {
+		switch old := value.(type) {
 		case map[string]any, []any:
 			changeEach(value, key, changed)
 			return
 		case float64:
-			set(2*was + 1)
+			set(2*old + 1)
 		case bool:
-			set(!was)
+			set(!old)
 		case string:
-			if other := alternativeWords[was]; other != "" {
+			if other := alternativeWords[old]; other != "" {
 				set(other)
 			} else {
-				set(was + "x")
+				set(old + "x")
 			}
 		}
 		changed(key)
@@ -358,6 +357,6 @@
 		counts[fmt.Sprint(len(classes), " classes, ", len(plans), " plans")] = true
 	}
 	if counts["3 classes, 3 plans"] || len(counts) < minDeployments {
-		t.Errorf("the deployments must differ from the first site and from each other: %v", counts)
+		t.Errorf("the numbers of classes and plans must differ between deployments, and from 3 classes, 3 plans: %v", counts)
 	}
 }
--- a/internal/config/gather_tree_test.go
+++ b/internal/config/gather_tree_test.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/policy"
 )
 
-func TestGatherTree(t *testing.T) {
+func TestGatherDelegation(t *testing.T) {
 	const rules = `"rules":{"classes":{"c":{"order":[{"key":"k","type":"integer"}],"memory":{"bytes":1048576},"records":{"max_bytes":4096}}}}`
 	read := func(more string) (*Site, error) { return ParseSite([]byte(`{"gather":{` + rules + more + `}}`)) }
 	s, err := read("")
@@ -20,14 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := s.Gather.Tree
-	if x.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || x.SilenceTimeout != 70*time.Millisecond || x.Backoff != 5*time.Millisecond || x.MaxBackoff != 30*time.Second ||
-		x.MinParts != 8 || x.MaxGroupParts != 16 || x.MaxPeerAttempts != 1 || x.MaxConnsPerPeer != 8 || x.MaxGroupBytes != 64<<20 || x.maxMerges() != 3 {
-		t.Errorf("%+v", x)
+	tree := s.Gather.Tree
+	if tree.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || tree.SilenceTimeout != 70*time.Millisecond || tree.Backoff != 5*time.Millisecond || tree.MaxBackoff != 30*time.Second ||
+		tree.MinParts != 8 || tree.MaxGroupParts != 16 || tree.MaxPeerAttempts != 1 || tree.MaxConnsPerPeer != 8 || tree.MaxGroupBytes != 64<<20 || tree.maxMerges() != 3 {
+		t.Errorf("%+v", tree)
 	}
 	set := policy.Settings{Classes: []policy.Class{{Name: "c"}}}
 	var key *KeyError
-	if err = s.Gather.Check(set, 256); err != nil { // a read may hold a merge for each group
+	if err = s.Gather.Check(set, 256); err != nil { // a read may have a merge for each group
 		t.Error(err)
 	}
 	if err = s.Gather.Check(set, 230); !errors.As(err, &key) || !strings.Contains(err.Error(), "fan_out") {
@@ -37,14 +37,14 @@
 	if err = s.Gather.Check(set, 1024); !errors.As(err, &key) || key.Key != "gather.rules.classes.c.memory.bytes" {
 		t.Error(err)
 	}
-	one := `,"peers":[{"name":"a","address":"127.0.0.1:1"}]`
+	onePeer := `,"peers":[{"name":"a","address":"127.0.0.1:1"}]`
 	for text, want := range map[string]string{
 		`,"tree":{}`:                                          "gather.tree",
 		`,"peers":[]`:                                         "gather.peers",
 		`,"peers":[{"name":"a"}]`:                             "gather.peers.0",
-		one + `,"tree":{"copies":9}`:                          "gather.tree.copies",
-		one + `,"tree":{"depth":2}`:                           "gather.tree",
-		one + `,"tree":{"rest_ms":9,"rest_most_ms":8}`:        "gather.tree.rest_most_ms",
+		onePeer + `,"tree":{"copies":9}`:                      "gather.tree.copies",
+		onePeer + `,"tree":{"depth":2}`:                       "gather.tree",
+		onePeer + `,"tree":{"rest_ms":9,"rest_most_ms":8}`:    "gather.tree.rest_most_ms",
 		`,"peers":[{"name":"a","address":"127.0.0.1:99999"}]`: "gather.peers.0.address",
 		`,"peers":[{"name":"a","address":"127.0.0.1:1"},{"name":"a","address":"127.0.0.1:2"}]`: "gather.peers.1.name",
 	} {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A file read at SIGHUP that lacks an earlier key is rejected; removed or added classes, and added keys, are accepted.
-func TestMissing(t *testing.T) {
-	start, err := Parse([]byte(validConfig), noEnv)
+// A file that is read at SIGHUP and lacks an earlier key is rejected. Removed and added classes, and added keys, are accepted.
+func TestReloadRejectsRemovedKeys(t *testing.T) {
+	earlier, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ from, to, says string }{
+	for _, c := range []struct{ from, to, want string }{
 		{`"max-attempts":4,`, ``, "settings.ceilings.max-attempts"},
 		{`"worth":2.0}`, `"x":1}`, "settings.profiles.1.worth"},
 		{`,"price":0.96`, ``, "settings.contracts.0.price"},
@@ -28,9 +28,9 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.to, err)
 		}
-		err = CheckRemovedKeys(start, later)
-		if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says+": missing")) {
-			t.Errorf("%q for %q: %v, want %q", c.to, c.from, err, c.says)
+		err = CheckRemovedKeys(earlier, later)
+		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want+": missing")) {
+			t.Errorf("%q in place of %q: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
 }
--- a/internal/config/peers_test.go
+++ b/internal/config/peers_test.go
@@ -24,20 +24,20 @@
 			text += `,"` + k + `":` + d.Raw
 		}
 	}
-	told, err := ParseSite([]byte(text + "}}"))
+	explicit, err := ParseSite([]byte(text + "}}"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, err := ParseSite([]byte(`{"peers":{"listen":"127.0.0.1:1"}}`))
+	byDefault, err := ParseSite([]byte(`{"peers":{"listen":"127.0.0.1:1"}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(told.Peers.Seeds, " "); got != "127.0.0.1:2 127.0.0.1:3 [::1]:4" || told.Peers.Via["127.0.0.1:2"] != "127.0.0.1:9" {
-		t.Errorf("%+v", told.Peers)
+	if got := strings.Join(explicit.Peers.Seeds, " "); got != "127.0.0.1:2 127.0.0.1:3 [::1]:4" || explicit.Peers.Via["127.0.0.1:2"] != "127.0.0.1:9" {
+		t.Errorf("%+v", explicit.Peers)
 	}
-	told.Peers.Seeds, told.Peers.Via, plain.Peers.Via = nil, nil, nil
-	if !reflect.DeepEqual(told.Peers, plain.Peers) || plain.Peers.State != nodestats.Defaults() {
-		t.Errorf("the schema's defaults are not those that hold: %+v, %+v", told.Peers, plain.Peers)
+	explicit.Peers.Seeds, explicit.Peers.Via, byDefault.Peers.Via = nil, nil, nil
+	if !reflect.DeepEqual(explicit.Peers, byDefault.Peers) || byDefault.Peers.State != nodestats.Defaults() {
+		t.Errorf("the schema's defaults differ from those of the program: %+v, %+v", explicit.Peers, byDefault.Peers)
 	}
 	for text, want := range map[string]string{
 		`{}`:                       "missing property 'listen'",
@@ -54,7 +54,8 @@
 	}
 }
 
-// A node's type is that of its name, else of the longest pattern; invalid patterns and types are errors with their key.
+// A node's hardware type is that of its exact name, else that of the longest matching pattern. Errors in patterns and types
+// name their key.
 func TestNodeTypes(t *testing.T) {
 	s, err := ParseSite([]byte(`{"estimate":{"types":{"n-*":"disk","n-1[0-9]?":"flash","n-[0-9]*":"mixed","n-12":"tape","n.x":"odd"}}}`))
 	if err != nil {
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -14,7 +14,7 @@
 	"wheatsaddle/policy"
 )
 
-// stateWords and the tables below give recordings the files' words for values of enumerations.
+// stateWords and the tables below map values of enumerations to the files' words, which recordings have.
 var (
 	stateWords  = map[policy.NodeState]string{policy.NodeUp: "active", policy.NodeDraining: "leaving", policy.NodeRemoved: "left"}
 	effectWords = map[policy.Effect]string{policy.Idempotent: "safe", policy.IdempotentByKey: "keyed", policy.NonIdempotent: "unsafe"}
@@ -22,7 +22,7 @@
 	scopeWords  = map[policy.DedupScope]string{policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupShard: "cell"}
 )
 
-// settingsScript collects the settings of one file as lines of "key value...".
+// settingsScript records the settings of one file as lines of "key value...".
 type settingsScript struct{ recorded.Script }
 
 func (s *settingsScript) addresses(key string, list []address.Addr) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Files with every section give the recorded settings, and files with none the recorded defaults.
+// Files with every section result in the recorded settings, and files with only the required keys in the recorded defaults.
 func TestRecordedSettings(t *testing.T) {
 	t.Run("config", func(t *testing.T) {
 		var s settingsScript
--- a/internal/config/simulation_test.go
+++ b/internal/config/simulation_test.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	simSeed           = 7     // of the module and of the random draws
-	simStartMs        = 1e6   // the module's time at the start
+	simSeed           = 7     // of the scheduler and of the random draws
+	simStartMs        = 1e6   // the scheduler's time at the start
 	bucketFillMs      = 120e3 // time after which every token bucket is full
 	timeToleranceMs   = 1e-6  // rounding of floating-point times
 	usualLatencyMs    = 20.0  // a node's usual latency
-	maxRetryDelayMs   = 500.0 // time in which retries are dispatched, before any node counts as silent
+	maxRetryDelayMs   = 500.0 // maximum time until a retry is dispatched; shorter than a node's silence timeout
 	unitsOverLimit    = 5     // units requested beyond a volume's limit
 	reviewIntervalMs  = 10.0  // interval of the reviews of waiting requests
 	reviewToleranceMs = 2 * reviewIntervalMs
 )
 
-// simulation runs the module with a deployment's settings in virtual time and checks each of its actions against the
-// settings. It stands for the clients, the nodes and the list.
+// simulation runs a policy.Scheduler with a deployment's settings in virtual time and checks each of its actions against the
+// settings. It simulates the clients, the nodes and the endpoint list.
 type simulation struct {
 	t          *testing.T
 	deployment deployment
 	module     *policy.Scheduler
 	now        float64
-	due        eventQueue
+	events     eventQueue
 	seq        int
 	requests   map[string]*simRequest
 	order      []*simRequest
@@ -39,12 +39,12 @@
 	retries    []float64          // times of retries
 	buckets    map[string]*tokenBucket
 	actions    []policy.Action // of the last step
-	// onDispatch is called at each dispatch; nil: the test ends the attempts itself.
+	// onDispatch is called at each dispatch. If it is nil, the test ends the attempts itself.
 	onDispatch func(r *simRequest, attempt int)
 	coverage   coverage
 }
 
-// coverage counts the situations that a test must reach.
+// coverage counts the situations that a test must cover.
 type coverage struct {
 	retried, rejectedUncertain, failedUncertain, pastWindow map[string]int // by class
 	hedges                                                  int
@@ -61,7 +61,7 @@
 	arrivedAt  float64
 	deadline   float64
 	attempts   []*simAttempt
-	final      string // "", served, refused, failed, gone
+	final      string // "", served, rejected, failed or, without a response, lost
 	finalAt    float64
 	retryAfter float64 // Retry-After of a rejection
 }
@@ -102,7 +102,7 @@
 	return x
 }
 
-// newSimulation starts the module with one node for each shard, in alternating zones.
+// newSimulation starts the scheduler with one node for each shard, in alternating zones.
 func newSimulation(t *testing.T, s deployment, shards int) *simulation {
 	t.Helper()
 	module, err := policy.New(s.conf.Settings, simSeed)
@@ -119,14 +119,14 @@
 		p.nodes[n.ID] = n
 	}
 	p.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: list})
-	if asks := slices.ContainsFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); asks != (s.platform.Mode == "ask") {
-		t.Errorf("%s: mode %s, and the list is requested: %v", s.name, s.platform.Mode, asks)
+	if requestsList := slices.ContainsFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); requestsList != (s.platform.Mode == "ask") {
+		t.Errorf("%s: mode %s, but the list is requested: %v", s.name, s.platform.Mode, requestsList)
 	}
 	p.step(policy.Event{Kind: policy.ListReceived, Nodes: list})
 	return p
 }
 
-// fillBuckets lets the token buckets fill, which are empty at the start.
+// fillBuckets runs the simulation until the token buckets, which are empty at the start, are full.
 func (p *simulation) fillBuckets() *simulation {
 	r := p.submit(p.deployment.platform.Profiles[0], p.deployment.platform.Contracts[len(p.deployment.platform.Contracts)-1], 0, 0)
 	p.endAttempt(r, 0, policy.OK)
@@ -136,20 +136,20 @@
 
 func (p *simulation) schedule(wait float64, do func()) {
 	p.seq++
-	heap.Push(&p.due, simEvent{p.now + wait, p.seq, do})
+	heap.Push(&p.events, simEvent{p.now + wait, p.seq, do})
 }
 
 // run runs the events up to a time.
 func (p *simulation) run(until float64) {
-	for len(p.due) > 0 && p.due[0].at <= until {
-		d := heap.Pop(&p.due).(simEvent)
+	for len(p.events) > 0 && p.events[0].at <= until {
+		d := heap.Pop(&p.events).(simEvent)
 		p.now = max(p.now, d.at)
 		d.do()
 	}
 	p.now = max(p.now, until)
 }
 
-// step gives the module events and checks its actions.
+// step passes events to the scheduler and checks its actions.
 func (p *simulation) step(events ...policy.Event) {
 	p.t.Helper()
 	p.actions = p.module.Step(p.now, events, nil)
@@ -158,9 +158,9 @@
 	}
 }
 
-func (p *simulation) fail(form string, args ...any) {
+func (p *simulation) fail(format string, args ...any) {
 	p.t.Helper()
-	p.t.Errorf("%s at %.0f ms: %s", p.deployment.name, p.now-simStartMs, fmt.Sprintf(form, args...))
+	p.t.Errorf("%s at %.0f ms: %s", p.deployment.name, p.now-simStartMs, fmt.Sprintf(format, args...))
 }
 
 // submit submits a request for a volume of its own; without a timeout it has the class's deadline.
@@ -195,16 +195,16 @@
 	}
 }
 
-// overdue checks that a request has its final answer.
+// overdue checks that a request has its final response.
 func (p *simulation) overdue(r *simRequest) {
 	p.t.Helper()
 	if r.final == "" {
-		p.fail("%s (%s, %s) has no final answer at its client's deadline", r.id, r.class.Name, r.plan.Name)
+		p.fail("%s (%s, %s) has no final response at its client's deadline", r.id, r.class.Name, r.plan.Name)
 		r.final = "lost"
 	}
 }
 
-// endAttempt reports the end of an attempt to the module.
+// endAttempt reports the end of an attempt to the scheduler.
 func (p *simulation) endAttempt(r *simRequest, attempt int, status policy.Status) {
 	p.t.Helper()
 	x := r.attempts[attempt]
@@ -231,18 +231,18 @@
 	case policy.Reject:
 		p.checkFinal(r, "rejected")
 		r.retryAfter = a.Wait
-		if most := p.deployment.platform.Ceilings.MaxRetryAfter; a.Wait > most || a.Wait > 0 && !p.deployment.platform.Ceilings.RetryAfter {
+		if maxRetryAfter := p.deployment.platform.Ceilings.MaxRetryAfter; a.Wait > maxRetryAfter || a.Wait > 0 && !p.deployment.platform.Ceilings.RetryAfter {
 			p.fail("%s has Retry-After %.0f ms", r.id, a.Wait)
 		}
-		if doubt, _ := r.firstUncertain(); doubt {
+		if uncertain, _ := r.firstUncertain(); uncertain {
 			p.coverage.rejectedUncertain[r.class.Name]++
 			if r.class.Effect == "unsafe" || r.class.Effect == "keyed" && r.class.DedupScope != "all" {
-				p.fail("%s (%s) is rejected, and may have been executed", r.id, r.class.Name)
+				p.fail("%s (%s) is rejected, although it may have been executed", r.id, r.class.Name)
 			}
 		}
 	case policy.Fail:
 		p.checkFinal(r, "failed")
-		if doubt, _ := r.firstUncertain(); doubt {
+		if uncertain, _ := r.firstUncertain(); uncertain {
 			p.coverage.failedUncertain[r.class.Name]++
 		}
 	case policy.Cancel:
@@ -264,7 +264,7 @@
 func (p *simulation) checkFinal(r *simRequest, final string) {
 	p.t.Helper()
 	if r.final != "" {
-		p.fail("%s is %s, and was %s", r.id, final, r.final)
+		p.fail("%s is %s, but was already %s", r.id, final, r.final)
 	}
 	if p.now > r.deadline+p.deployment.platform.Rules.AnswerSlack {
 		p.fail("%s is %s %.0f ms after its deadline", r.id, final, p.now-r.deadline)
@@ -284,9 +284,9 @@
 
 func (p *simulation) checkDispatch(r *simRequest, a policy.Action) {
 	p.t.Helper()
-	told := p.deployment.platform
-	n := p.nodes[a.Node]
-	doubt, first := r.firstUncertain()
+	platform := p.deployment.platform
+	node := p.nodes[a.Node]
+	uncertain, first := r.firstUncertain()
 	open := 0
 	for _, x := range r.attempts {
 		if x.open {
@@ -294,24 +294,24 @@
 		}
 	}
 	if r.final != "" {
-		p.fail("%s is dispatched, and was %s", r.id, r.final)
+		p.fail("%s is dispatched, but was already %s", r.id, r.final)
 	}
-	if len(r.attempts) >= told.Ceilings.Attempts {
-		p.fail("%s: %d attempts, limit %d", r.id, len(r.attempts)+1, told.Ceilings.Attempts)
+	if len(r.attempts) >= platform.Ceilings.Attempts {
+		p.fail("%s: %d attempts, limit %d", r.id, len(r.attempts)+1, platform.Ceilings.Attempts)
 	}
-	if open > 1 || open == 1 && !told.Ceilings.MayHedge {
-		p.fail("%s is dispatched beside %d outstanding attempts", r.id, open)
+	if open > 1 || open == 1 && !platform.Ceilings.MayHedge {
+		p.fail("%s is dispatched with %d outstanding attempts", r.id, open)
 	}
 	if a.Deadline > r.deadline+timeToleranceMs {
 		p.fail("%s is dispatched for %.0f ms, its client has %.0f left", r.id, a.Deadline-p.now, r.deadline-p.now)
 	}
-	if r.shard >= 0 && n.Shard != r.shard {
+	if r.shard >= 0 && node.Shard != r.shard {
 		p.fail("%s of shard %d goes to %s", r.id, r.shard, a.Node)
 	}
-	if since, draining := p.drainedAt[a.Node]; draining && p.now > since+told.Rules.DrainGrace {
+	if since, draining := p.drainedAt[a.Node]; draining && p.now > since+platform.Rules.DrainGrace {
 		p.fail("%s goes to %s %.0f ms after its drain began", r.id, a.Node, p.now-since)
 	}
-	if doubt {
+	if uncertain {
 		p.checkRetry(r, a, first)
 	}
 	if len(r.attempts) == 0 {
@@ -329,12 +329,12 @@
 	}
 }
 
-// checkRetry checks an attempt after one that may have been executed against the class's effect.
+// checkRetry checks that the class's effect permits an attempt after one that may have been executed.
 func (p *simulation) checkRetry(r *simRequest, a policy.Action, first *simAttempt) {
 	p.t.Helper()
 	switch r.class.Effect {
 	case "unsafe":
-		p.fail("%s (%s) is retried, and may have been executed", r.id, r.class.Name)
+		p.fail("%s (%s) is retried, although it may have been executed", r.id, r.class.Name)
 	case "keyed":
 		from, to := p.nodes[first.node], p.nodes[a.Node]
 		if r.class.DedupScope == "cell" && from.Shard != to.Shard || r.class.DedupScope == "zone" && from.Zone != to.Zone {
@@ -350,21 +350,21 @@
 	}
 }
 
-// checkLimit checks a volume's first attempts against this scheduler's share of a token bucket that was full at first.
+// checkLimit checks the first attempts of a volume's requests against this scheduler's share of an initially full token bucket.
 func (p *simulation) checkLimit(r *simRequest) {
 	p.t.Helper()
 	if r.plan.Cap == 0 {
 		return
 	}
-	part := 1 / float64(r.schedulers)
-	s := p.buckets[r.volume]
-	if s == nil {
-		s = &tokenBucket{r.plan.Burst * part, p.now}
-		p.buckets[r.volume] = s
+	share := 1 / float64(r.schedulers)
+	bucket := p.buckets[r.volume]
+	if bucket == nil {
+		bucket = &tokenBucket{r.plan.Burst * share, p.now}
+		p.buckets[r.volume] = bucket
 	}
-	s.level, s.at = min(s.level+r.plan.Cap*part*(p.now-s.at)/1000, r.plan.Burst*part), p.now
-	if s.level -= r.units; s.level < -timeToleranceMs {
-		p.fail("%s (%s) is dispatched %.2f units over its volume's limit", r.id, r.plan.Name, -s.level)
+	bucket.level, bucket.at = min(bucket.level+r.plan.Cap*share*(p.now-bucket.at)/1000, r.plan.Burst*share), p.now
+	if bucket.level -= r.units; bucket.level < -timeToleranceMs {
+		p.fail("%s (%s) is dispatched %.2f units over its volume's limit", r.id, r.plan.Name, -bucket.level)
 	}
 }
 
@@ -375,9 +375,9 @@
 	if rules.RetryBudgetWindow == 0 {
 		return
 	}
-	within := func(times []float64, here func(age float64) bool) (n float64) {
+	within := func(times []float64, counts func(age float64) bool) (n float64) {
 		for _, at := range times {
-			if here(p.now - at) {
+			if counts(p.now - at) {
 				n++
 			}
 		}
@@ -385,9 +385,9 @@
 	}
 	p.retries = append(p.retries, p.now)
 	sent := within(p.retries, func(age float64) bool { return age <= rules.RetryBudgetWindow })
-	taken := within(p.arrivals, func(age float64) bool { return age < rules.RetryBudgetWindow })
-	if sent > rules.RetryBudgetMin+rules.RetryBudgetShare*taken {
-		p.fail("%s is retry %.0f of %.0f requests", r.id, sent, taken)
+	arrived := within(p.arrivals, func(age float64) bool { return age < rules.RetryBudgetWindow })
+	if sent > rules.RetryBudgetMin+rules.RetryBudgetShare*arrived {
+		p.fail("%s is retry %.0f of %.0f requests", r.id, sent, arrived)
 	}
 }
 
@@ -404,7 +404,7 @@
 	p.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 }
 
-// drawEnd draws how and when an attempt ends: mostly soon and successfully, sometimes at its deadline.
+// drawEnd schedules a random end of an attempt: mostly soon and successfully, sometimes not before its deadline.
 func (p *simulation) drawEnd(rng *rand.Rand, r *simRequest, attempt int) {
 	wait := usualLatencyMs * (0.5 + rng.ExpFloat64())
 	status := policy.OK
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := s.Addresses.Selector
-	if b.Preference[0] != address.IPv4 || b.Delay != 120*time.Millisecond || b.MinReturnConns != 5 || b.Backoff != address.Defaults().Backoff ||
+	selector := s.Addresses.Selector
+	if selector.Preference[0] != address.IPv4 || selector.Delay != 120*time.Millisecond || selector.MinReturnConns != 5 || selector.Backoff != address.Defaults().Backoff ||
 		s.Addresses.Identity != "X-Node" {
 		t.Errorf("%+v", s.Addresses)
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// Every error has the key and what it must be.
-func TestSiteErrors(t *testing.T) {
+// Every error names the key and the expected value.
+func TestSiteErrorsNameKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                    "not valid JSON",
 		`[]`:                                   "the file: got array, want object",
@@ -62,8 +62,8 @@
 	}
 }
 
-// The defaults in the schema are those of the program, and the example file is valid.
-func TestSiteSchemaHasDefaults(t *testing.T) {
+// The defaults in the schema are those of the program, and the site's file in deploy is valid.
+func TestSiteSchemaHasProgramDefaults(t *testing.T) {
 	keys := gjson.GetBytes(SiteSchema, "properties.addresses.properties").Map()
 	text := `{"addresses":{`
 	for k, v := range keys {
@@ -87,10 +87,10 @@
 	for k, v := range gjson.GetBytes(SiteSchema, "properties.estimate.properties").Map() {
 		text += `,"` + k + `":` + v.Get("default").Raw
 	}
-	told, err := ParseSite([]byte(`{"estimate":{` + text[1:] + `}}`))
-	silent, err2 := ParseSite([]byte(`{"estimate":{}}`))
-	if err != nil || err2 != nil || !reflect.DeepEqual(told.Estimate, silent.Estimate) || silent.Estimate.MaxConcurrent != 1 {
-		t.Errorf("%v %v %+v %+v", err, err2, told, silent)
+	explicit, err := ParseSite([]byte(`{"estimate":{` + text[1:] + `}}`))
+	byDefault, err2 := ParseSite([]byte(`{"estimate":{}}`))
+	if err != nil || err2 != nil || !reflect.DeepEqual(explicit.Estimate, byDefault.Estimate) || byDefault.Estimate.MaxConcurrent != 1 {
+		t.Errorf("%v %v %+v %+v", err, err2, explicit, byDefault)
 	}
 	if _, err := LoadSite("../../deploy/site.json"); err != nil {
 		t.Error(err)
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -12,16 +12,16 @@
 	"go.uber.org/goleak"
 )
 
-// A nil Registry can be used in every way and has no goroutine. One that is on serves each series once, keeps its bound,
-// and ends at Close.
+// A nil Registry can be used in every way and has no goroutine. An enabled one serves each series once, limits their number,
+// and stops at Close.
 func TestRegistry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	log, hook := logtest.NewNullLogger()
-	off := Serve(nil, log)
-	off.Counter("x_total").Inc()
-	off.Histogram("h").Update(1)
-	off.Gauge(func() float64 { return 1 }, "g")
-	off.Close()
+	disabled := Serve(nil, log)
+	disabled.Counter("x_total").Inc()
+	disabled.Histogram("h").Update(1)
+	disabled.Gauge(func() float64 { return 1 }, "g")
+	disabled.Close()
 	goleak.VerifyNone(t)
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,11 +40,11 @@
 	for _, line := range []string{`wheatsaddle_merges_total{rule="a\"b\\",end="cut"} 3`, "wheatsaddle_peers 7", "wheatsaddle_wait_seconds_count 1",
 		"wheatsaddle_meter_left_out 3"} {
 		if !strings.Contains(text, line+"\n") {
-			t.Errorf("%d, no %s in %.600s", code, line, text)
+			t.Errorf("status %d, no %s in %.600s", code, line, text)
 		}
 	}
 	if n := strings.Count(text, "wheatsaddle_many_total{"); code != 200 || n != maxSeries-3 {
-		t.Errorf("%d, %d series", code, n)
+		t.Errorf("status %d, %d series", code, n)
 	}
 	if code, _ := get(t, ln.Addr().String(), "/"); code != 404 {
 		t.Errorf("another path: %d", code)
@@ -59,7 +59,7 @@
 	}
 }
 
-// get requests a path on a connection of its own and returns the status and the body.
+// get requests a path on a new connection and returns the status and the body.
 func get(t *testing.T, address, path string) (int, string) {
 	t.Helper()
 	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -28,7 +28,7 @@
 func TestCheck(t *testing.T) {
 	for _, all := range [][]Coded{{&codedError{"Box", "x"}}, {&codedError{"box-full", ""}}, {&codedError{"box-full", "x"}, &codedError{"box-full", "y"}}} {
 		if Check(all) == nil {
-			t.Errorf("%v passed", all[0].Code())
+			t.Errorf("invalid list that starts with code %v was accepted", all[0].Code())
 		}
 	}
 	if err := Check([]Coded{&codedError{"box-full", "x"}, &codedError{"box-old", "y"}}); err != nil {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -13,17 +13,17 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-var mapping = Mapping{Classes: map[string]time.Duration{"balance-read": 1500 * time.Millisecond, "new-record": 1500 * time.Millisecond,
+var testMapping = Mapping{Classes: map[string]time.Duration{"balance-read": 1500 * time.Millisecond, "new-record": 1500 * time.Millisecond,
 	"bulk-export": 4 * time.Second}, Prefixes: map[string]string{"/export": "bulk-export"}, Plan: "basic", UnitBytes: 4096, MostUnits: 6, Shards: 4}
 
-func read(t *testing.T, name string) *Recording {
+func readTestFile(t *testing.T, name string) *Recording {
 	t.Helper()
 	f, err := os.Open("testdata/" + name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	r, err := Read(f, mapping)
+	r, err := Read(f, testMapping)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,10 +31,10 @@
 }
 
 func TestAccessLog(t *testing.T) {
-	r := read(t, "access.log")
-	classes, span := r.SummarizeClasses()
-	if len(r.Entries) != 5 || len(classes) != 3 || span != 4*time.Second {
-		t.Fatalf("%d entries, %v over %v", len(r.Entries), classes, span)
+	r := readTestFile(t, "access.log")
+	classes, duration := r.SummarizeClasses()
+	if len(r.Entries) != 5 || len(classes) != 3 || duration != 4*time.Second {
+		t.Fatalf("%d entries, %v over %v", len(r.Entries), classes, duration)
 	}
 	if c := classes[0]; c.Name != "balance-read" || c.Count != 3 || c.Rate != 0.75 || c.MaxBytes != 900 || c.MeanBytes != 433 {
 		t.Errorf("%+v", c)
@@ -46,19 +46,19 @@
 	if !record.Write || record.Request.Plan != "basic" || record.Request.Volume == r.Entries[0].Request.Volume {
 		t.Errorf("%+v", record)
 	}
-	var bad []string
+	var invalid []string
 	for _, b := range r.InvalidLines {
-		bad = append(bad, b.Error())
+		invalid = append(invalid, b.Error())
 	}
 	for i, want := range []string{"line 4: neither", "line 5: time", "line 6: method", "line 7: class"} {
-		if i >= len(bad) || !strings.HasPrefix(bad[i], want) {
-			t.Errorf("bad line %d: %v, want %s", i, bad, want)
+		if i >= len(invalid) || !strings.HasPrefix(invalid[i], want) {
+			t.Errorf("invalid line %d: %v, want %s", i, invalid, want)
 		}
 	}
 }
 
 func TestHAR(t *testing.T) {
-	r := read(t, "small.har")
+	r := readTestFile(t, "small.har")
 	if len(r.Entries) != 2 || len(r.InvalidLines) != 1 || !strings.Contains(r.InvalidLines[0].Error(), "line 3: startedDateTime") {
 		t.Fatalf("%+v %v", r.Entries, r.InvalidLines)
 	}
@@ -66,9 +66,9 @@
 	if first.Line != 2 || second.Line != 1 || second.At != 250*time.Millisecond {
 		t.Errorf("not in the order of time: %+v", r.Entries)
 	}
-	q := second.Request
-	if q.Plan != "premium" || q.Key != "7f3a9c21e0b4d655" || q.Volume != "00000003b4d60021" || q.Units != 2 || q.Shard != 5 ||
-		q.Schedulers != 3 || q.Timeout != 480*time.Millisecond || !second.Write || second.Bytes != 12 {
+	request := second.Request
+	if request.Plan != "premium" || request.Key != "7f3a9c21e0b4d655" || request.Volume != "00000003b4d60021" || request.Units != 2 || request.Shard != 5 ||
+		request.Schedulers != 3 || request.Timeout != 480*time.Millisecond || !second.Write || second.Bytes != 12 {
 		t.Errorf("%+v", second)
 	}
 	if text := string(second.HTTP(nil, "id1")); !strings.HasSuffix(text, "\r\n\r\n............") || strings.Contains(text, "secret") {
@@ -79,17 +79,17 @@
 	}
 }
 
-func TestNotAFile(t *testing.T) {
+func TestUnreadableFiles(t *testing.T) {
 	for text, want := range map[string]string{"": "empty", `{"log":{"version":"9"}}`: "log.version",
 		`{"log":{"version":"1.2"}}`: "log.entries", `{"log":`: "JSON", strings.Repeat("x", maxLineBytes+1): "line 1"} {
-		if _, err := Read(strings.NewReader(text), mapping); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Read(strings.NewReader(text), testMapping); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.20q: %v", text, err)
 		}
 	}
 }
 
-// Cut and noisy files give entries or named lines, never a panic, and never a class unknown.
-func TestNoise(t *testing.T) {
+// Truncated and corrupted files result in entries or invalid lines. They never cause a panic or an entry with an unknown class.
+func TestCorruptRecordings(t *testing.T) {
 	for _, name := range []string{"access.log", "small.har"} {
 		text, err := os.ReadFile("testdata/" + name)
 		if err != nil {
@@ -102,12 +102,12 @@
 					b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 				}
 			}
-			r, err := Read(strings.NewReader(string(b)), mapping)
+			r, err := Read(strings.NewReader(string(b)), testMapping)
 			if err != nil {
 				return
 			}
 			for _, e := range r.Entries {
-				if _, ok := mapping.Classes[e.Request.Class]; !ok || e.Request.Units <= 0 || e.At < 0 || e.Request.Timeout <= 0 {
+				if _, ok := testMapping.Classes[e.Request.Class]; !ok || e.Request.Units <= 0 || e.At < 0 || e.Request.Timeout <= 0 {
 					rt.Fatalf("%+v", e)
 				}
 			}
