--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -77,10 +77,10 @@
 func (m *Registry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch {
 	case q.URL.Path != "/metrics" || q.Method != http.MethodGet:
-		http.Error(w, "the only supported request is GET /metrics", http.StatusNotFound)
+		http.Error(w, "GET /metrics is the only call", http.StatusNotFound)
 	case m.activeRequests.Add(1) > maxConcurrentRequests:
 		m.activeRequests.Add(-1)
-		http.Error(w, "too many concurrent requests", http.StatusServiceUnavailable)
+		http.Error(w, "others ask", http.StatusServiceUnavailable)
 	default:
 		defer m.activeRequests.Add(-1)
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
