--- a/internal/iscsi/command.go
+++ b/internal/iscsi/command.go
@@ -11,8 +11,8 @@
 	"wheatsaddle/policy"
 )
 
-// task is one SCSI command in progress.
-type task struct {
+// scsiTask is one SCSI command in progress.
+type scsiTask struct {
 	initiatorTaskTag  uint32
 	lun               uint16
 	unit              *unit
@@ -22,17 +22,17 @@
 	class             string
 	length            uint32        // bytes to transfer
 	expectedLength    uint32        // the initiator's expected data transfer length
-	writeData         []byte        // of a write
-	received          uint32        // bytes of writeData so far
-	dataSN            uint32        // of the next Data-Out
+	writeData         []byte        // data of a write
+	received          uint32        // bytes of writeData received so far
+	dataSN            uint32        // DataSN of the next Data-Out
 	targetTransferTag uint32        // of the outstanding R2T; noTag: unsolicited data
-	burstLeft         uint32        // bytes still due in this sequence
-	r2tSN             uint32        // of the next R2T
-	request           *core.Request // set once submitted
-	reservedBytes     int64         // of the target's buffer budget
+	burstLeft         uint32        // bytes still expected in this sequence
+	r2tSN             uint32        // R2TSN of the next R2T
+	request           *core.Request // nil until submitted
+	reservedBytes     int64         // bytes reserved from the target's buffer budget
 }
 
-// transfer is the payload of a request, as the storage nodes' connections need it. It is the same for each attempt.
+// transfer is the payload of a request: the command for a storage target. It is the same for each attempt.
 type transfer struct {
 	lun   uint16
 	block block
@@ -41,8 +41,8 @@
 	key   string
 }
 
-// handleCommand starts a task. A command that transfers blocks becomes a request once its write data is complete;
-// any other is answered here.
+// handleCommand starts a task. A command that transfers blocks becomes a request once its write data is complete.
+// Any other command is answered here.
 func (s *session) handleCommand(p *pdu) error {
 	itt := p.tag()
 	if itt == noTag || p.bhs[1]&0x60 == 0x60 {
@@ -51,95 +51,95 @@
 	if s.tasks[itt] != nil {
 		return s.sendReject(p, 0x07) // task in progress
 	}
-	k := &task{initiatorTaskTag: itt, receivedAt: time.Now(), expectedLength: p.u32(20), targetTransferTag: noTag}
-	s.tasks[itt] = k
+	task := &scsiTask{initiatorTaskTag: itt, receivedAt: time.Now(), expectedLength: p.u32(20), targetTransferTag: noTag}
+	s.tasks[itt] = task
 	cdb := p.bhs[32:48]
 	lun, ok := p.lun()
-	k.lun = lun
-	if k.unit = s.units[lun]; !ok || k.unit == nil {
+	task.lun = lun
+	if task.unit = s.units[lun]; !ok || task.unit == nil {
 		if cdb[0] != scsiReportLUNs && cdb[0] != scsiInquiry {
-			s.finishTask(k, statusCheckCondition, &senseNoLUN, nil, 0)
+			s.finishTask(task, statusCheckCondition, &senseNoLUN, nil, 0)
 			return nil
 		}
-		k.unit = &unit{config.Unit{BlockSize: 512, Blocks: 1}}
+		task.unit = &unit{config.Unit{BlockSize: 512, Blocks: 1}}
 	}
 	b, transfersBlocks := decodeBlock(cdb)
 	if !transfersBlocks {
-		s.answerLocally(k, cdb)
+		s.answerLocally(task, cdb)
 		return nil
 	}
-	k.block = b
-	size := uint64(b.blocks) * uint64(k.unit.BlockSize)
-	rule := k.unit.ruleFor(b.write, size)
-	if bad := s.checkTransfer(k, p, rule, size); bad != nil {
-		s.finishTask(k, statusCheckCondition, bad, nil, 0)
+	task.block = b
+	size := uint64(b.blocks) * uint64(task.unit.BlockSize)
+	rule := task.unit.ruleFor(b.write, size)
+	if failure := s.checkTransfer(task, p, rule, size); failure != nil {
+		s.finishTask(task, statusCheckCondition, failure, nil, 0)
 		return nil
 	}
 	if size == 0 {
-		s.finishTask(k, statusGood, nil, nil, 0)
+		s.finishTask(task, statusGood, nil, nil, 0)
 		return nil
 	}
-	k.length, k.class, k.deadline = uint32(size), rule.Class, time.Duration(rule.Deadline*float64(time.Millisecond))
-	if len(s.tasks) > s.target.conf.QueueDepth || s.logoutExpected(time.Now()) || !s.target.reserveBuffer(k) {
-		s.refuseTask(k, 0)
+	task.length, task.class, task.deadline = uint32(size), rule.Class, time.Duration(rule.Deadline*float64(time.Millisecond))
+	if len(s.tasks) > s.target.conf.QueueDepth || s.logoutExpected(time.Now()) || !s.target.reserveBuffer(task) {
+		s.rejectTask(task, 0)
 		return nil
 	}
 	if !b.write {
-		s.submit(k)
+		s.submit(task)
 		return nil
 	}
-	s.startWrite(k, p)
+	s.startWrite(task, p)
 	return nil
 }
 
 // answerLocally answers a command that transfers no blocks.
-func (s *session) answerLocally(k *task, cdb []byte) {
-	data, alloc, bad := k.unit.local(cdb, s.configuredLUNs())
-	if bad != nil {
-		s.finishTask(k, statusCheckCondition, bad, nil, 0)
+func (s *session) answerLocally(task *scsiTask, cdb []byte) {
+	data, alloc, failure := task.unit.answerLocally(cdb, s.configuredLUNs())
+	if failure != nil {
+		s.finishTask(task, statusCheckCondition, failure, nil, 0)
 		return
 	}
-	if s.units[k.lun] == nil && cdb[0] == scsiInquiry && len(data) > 0 {
+	if s.units[task.lun] == nil && cdb[0] == scsiInquiry && len(data) > 0 {
 		data[0] = 0x7f // no unit at this LUN
 	}
 	data = data[:min(len(data), int(alloc))]
-	s.finishTask(k, statusGood, nil, data, uint32(len(data)))
+	s.finishTask(task, statusGood, nil, data, uint32(len(data)))
 }
 
 // checkTransfer checks a block command against its unit, the rule for its size and the negotiated data lengths.
-// It returns the sense of the first fault, or nil.
-func (s *session) checkTransfer(k *task, p *pdu, rule *config.Rule, size uint64) *sense {
-	b := k.block
+// It returns the sense of the first check that fails, or nil.
+func (s *session) checkTransfer(task *scsiTask, p *pdu, rule *config.Rule, size uint64) *sense {
+	b := task.block
 	switch {
-	case !b.within(k.unit.Blocks):
+	case !b.within(task.unit.Blocks):
 		return &senseOutOfRange
-	case b.write && k.unit.ReadOnly:
+	case b.write && task.unit.ReadOnly:
 		return &senseProtected
-	case size > uint64(k.unit.MaxTransfer) || rule == nil && size > 0:
+	case size > uint64(task.unit.MaxTransfer) || rule == nil && size > 0:
 		return &senseBadField
-	case b.write && uint64(k.expectedLength) < size, b.write != (p.bhs[1]&0x20 != 0) && size > 0,
+	case b.write && uint64(task.expectedLength) < size, b.write != (p.bhs[1]&0x20 != 0) && size > 0,
 		len(p.data) > 0 && (!b.write || !s.params.immediateData || len(p.data) > int(s.params.firstBurst) || uint64(len(p.data)) > size):
 		return &senseDataLength
 	}
 	return nil
 }
 
-// startWrite takes a write's immediate data, and submits the write if it is complete. Otherwise it waits for the
+// startWrite stores a write's immediate data and submits the write if it is complete. Otherwise it waits for the
 // unsolicited data that the initiator announced, or requests the rest.
-func (s *session) startWrite(k *task, p *pdu) {
-	k.writeData = make([]byte, k.length)
-	k.received = uint32(copy(k.writeData, p.data))
+func (s *session) startWrite(task *scsiTask, p *pdu) {
+	task.writeData = make([]byte, task.length)
+	task.received = uint32(copy(task.writeData, p.data))
 	switch {
-	case k.received == k.length:
-		s.submit(k)
+	case task.received == task.length:
+		s.submit(task)
 	case !p.final() && !s.params.initialR2T:
-		k.burstLeft = min(s.params.firstBurst, k.length) - k.received
+		task.burstLeft = min(s.params.firstBurst, task.length) - task.received
 	default:
-		s.sendR2T(k)
+		s.sendR2T(task)
 	}
 }
 
-// configuredLUNs are the LUNs of the session's target, in the order of the configuration.
+// configuredLUNs returns the LUNs of the session's target, in the order of the configuration.
 func (s *session) configuredLUNs() []uint16 {
 	var out []uint16
 	for _, x := range s.target.conf.Targets {
@@ -152,7 +152,7 @@
 	return out
 }
 
-// ruleFor is the first rule for a transfer of this direction and size, or nil.
+// ruleFor returns the first rule for a transfer of this direction and size, or nil.
 func (u *unit) ruleFor(write bool, size uint64) *config.Rule {
 	for i := range u.Rules {
 		if r := &u.Rules[i]; r.Write == write && float64(size) <= r.MaxBytes {
@@ -163,89 +163,89 @@
 }
 
 // sendR2T requests the next burst of write data.
-func (s *session) sendR2T(k *task) {
+func (s *session) sendR2T(task *scsiTask) {
 	s.lastTransferTag++
 	if s.lastTransferTag == noTag {
 		s.lastTransferTag = 1
 	}
-	k.targetTransferTag, k.dataSN, k.burstLeft = s.lastTransferTag, 0, min(s.params.maxBurst, k.length-k.received)
-	r := newPDU(opR2T, k.initiatorTaskTag)
-	r.bhs[1] = flagF
-	encodeLUN(r.bhs[8:], k.lun)
-	r.put32(20, k.targetTransferTag)
-	r.put32(36, k.r2tSN)
-	r.put32(40, k.received)
-	r.put32(44, k.burstLeft)
-	k.r2tSN++
+	task.targetTransferTag, task.dataSN, task.burstLeft = s.lastTransferTag, 0, min(s.params.maxBurst, task.length-task.received)
+	r := newPDU(opR2T, task.initiatorTaskTag)
+	r.bhs[1] = flagFinal
+	encodeLUN(r.bhs[8:], task.lun)
+	r.put32(20, task.targetTransferTag)
+	r.put32(36, task.r2tSN)
+	r.put32(40, task.received)
+	r.put32(44, task.burstLeft)
+	task.r2tSN++
 	s.queuePDU(r, false)
 }
 
 // handleDataOut adds write data to its task and submits the task once it is complete.
 func (s *session) handleDataOut(p *pdu) error {
-	k := s.tasks[p.tag()]
-	if k == nil || k.request != nil || !k.block.write {
-		return nil // the command already has its response
+	task := s.tasks[p.tag()]
+	if task == nil || task.request != nil || !task.block.write {
+		return nil // the command was already answered
 	}
 	n := uint32(len(p.data))
-	if p.u32(20) != k.targetTransferTag || p.u32(36) != k.dataSN || p.u32(40) != k.received || n > k.burstLeft {
+	if p.u32(20) != task.targetTransferTag || p.u32(36) != task.dataSN || p.u32(40) != task.received || n > task.burstLeft {
 		// Order and lengths were negotiated; error recovery level 0 cannot repair a sequence.
 		_ = s.sendReject(p, rejectProtocol)
-		return fmt.Errorf("%w: Data-Out out of sequence", errBroken)
+		return fmt.Errorf("%w: Data-Out out of sequence", errProtocol)
 	}
-	copy(k.writeData[k.received:], p.data)
-	k.received, k.burstLeft, k.dataSN = k.received+n, k.burstLeft-n, k.dataSN+1
+	copy(task.writeData[task.received:], p.data)
+	task.received, task.burstLeft, task.dataSN = task.received+n, task.burstLeft-n, task.dataSN+1
 	switch {
-	case k.received == k.length:
-		s.submit(k)
-	case p.final() && (k.burstLeft == 0 || k.targetTransferTag == noTag):
-		s.sendR2T(k)
+	case task.received == task.length:
+		s.submit(task)
+	case p.final() && (task.burstLeft == 0 || task.targetTransferTag == noTag):
+		s.sendR2T(task)
 	case p.final():
-		s.finishTask(k, statusCheckCondition, &senseDataLength, nil, 0)
+		s.finishTask(task, statusCheckCondition, &senseDataLength, nil, 0)
 	}
 	return nil
 }
 
-// submit gives the task's request to the core. Its deadline counts from the arrival of the command.
-func (s *session) submit(k *task) {
-	u := k.unit
+// submit submits the task's request to the core. Its deadline counts from the arrival of the command.
+func (s *session) submit(task *scsiTask) {
+	u := task.unit
 	n := s.target.lastRequestNumber.Add(1)
 	id := fmt.Sprintf("iscsi-%x-%x", s.target.startedAt, n)
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s/%d", u.Volume, k.block.lba)
-	units := math.Max(1, math.Ceil(float64(k.length)/u.UnitBytes))
+	fmt.Fprintf(h, "%s/%d", u.Volume, task.block.lba)
+	units := math.Max(1, math.Ceil(float64(task.length)/u.UnitBytes))
 	if s.target.settings.MaxUnits > 0 {
 		units = math.Min(units, s.target.settings.MaxUnits)
 	}
-	k.request = &core.Request{
-		Request: policy.Request{ID: id, Class: k.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
+	task.request = &core.Request{
+		Request: policy.Request{ID: id, Class: task.class, Plan: u.Plan, Key: fmt.Sprintf("%016x", h.Sum64()), Volume: u.Volume,
 			Units: units, Shard: u.Shard, Schedulers: u.Schedulers},
-		ReceivedAt: k.receivedAt, Timeout: k.deadline,
-		Payload: &transfer{lun: u.StorageLUN, block: k.block, size: k.length, data: k.writeData, key: id},
+		ReceivedAt: task.receivedAt, Timeout: task.deadline,
+		Payload: &transfer{lun: u.StorageLUN, block: task.block, size: task.length, data: task.writeData, key: id},
 	}
-	k.request.Answer = func(a core.Answer) {
+	task.request.Answer = func(a core.Answer) {
 		s.mu.Lock()
-		s.answers = append(s.answers, coreAnswer{k, a})
+		s.answers = append(s.answers, coreAnswer{task, a})
 		s.mu.Unlock()
 		select {
 		case s.wake <- struct{}{}:
 		default:
 		}
 	}
-	s.target.core.Submit(k.request)
+	s.target.core.Submit(task.request)
 }
 
-// abortTask withdraws a task's request and removes the task without a response.
-func (s *session) abortTask(k *task) {
-	if k.request != nil {
-		s.target.core.Cancel(k.request)
+// abortTask cancels a task's request and removes the task without a response.
+func (s *session) abortTask(task *scsiTask) {
+	if task.request != nil {
+		s.target.core.Cancel(task.request)
 	}
-	s.removeTask(k)
+	s.removeTask(task)
 }
 
-// removeTask removes a task, unless its tag is in use by another, and releases its buffer budget.
-func (s *session) removeTask(k *task) {
-	if s.tasks[k.initiatorTaskTag] == k {
-		delete(s.tasks, k.initiatorTaskTag)
-		s.target.bufferedBytes.Add(-k.reservedBytes)
+// removeTask removes a task and releases its buffer budget, unless its tag belongs to another task.
+func (s *session) removeTask(task *scsiTask) {
+	if s.tasks[task.initiatorTaskTag] == task {
+		delete(s.tasks, task.initiatorTaskTag)
+		s.target.bufferedBytes.Add(-task.reservedBytes)
 	}
 }
--- a/internal/iscsi/errors.go
+++ b/internal/iscsi/errors.go
@@ -7,40 +7,42 @@
 	"wheatsaddle/internal/operr"
 )
 
-var errSilent = errors.New("silent")
+var errTargetSilent = errors.New("the storage target stopped responding")
 
-// Dropped is the connection to a storage target that was given up for what the target did.
-type Dropped struct {
+// ConnectionDroppedError reports that the initiator closed its connection to a storage target because of what the target did.
+type ConnectionDroppedError struct {
 	Target string
 	Err    error
 }
 
-func (e *Dropped) Error() string { return fmt.Sprintf("storage target %s: %v", e.Target, e.Err) }
+func (e *ConnectionDroppedError) Error() string {
+	return fmt.Sprintf("storage target %s: %v", e.Target, e.Err)
+}
 
-// Unwrap gives what it did.
-func (e *Dropped) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e *ConnectionDroppedError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *Dropped) Code() string { return "iscsi-dropped" }
+func (e *ConnectionDroppedError) Code() string { return "iscsi-dropped" }
 
 // Advice implements operr.Coded.
-func (e *Dropped) Advice() string {
-	return "See the storage target's own log and the way to it; it is dialled again, and what was out to it counts as failed."
+func (e *ConnectionDroppedError) Advice() string {
+	return "Check the storage target's own log and the network path to it. The program reconnects by itself; commands in flight on the connection have failed."
 }
 
-// Panicked is a fault of this program in one session.
-type Panicked struct{ Says string }
+// SessionPanicError reports a panic in one session, which is a fault of this program.
+type SessionPanicError struct{ Value string }
 
-func (e *Panicked) Error() string { return "iscsi session panicked: " + e.Says }
+func (e *SessionPanicError) Error() string { return "iscsi session panicked: " + e.Value }
 
 // Code implements operr.Coded.
-func (e *Panicked) Code() string { return "iscsi-panicked" }
+func (e *SessionPanicError) Code() string { return "iscsi-panicked" }
 
 // Advice implements operr.Coded.
-func (e *Panicked) Advice() string {
-	return "Report the stack in the log: it is a fault of the program. The one session has ended and its initiator logs in again; the others go on."
+func (e *SessionPanicError) Advice() string {
+	return "Report the stack in the log, as this is a fault of the program. Only this session has ended, and its initiator can log in again."
 }
 
 func init() {
-	operr.Register(&Dropped{"st-1", errBroken}, &Panicked{"index out of range"})
+	operr.Register(&ConnectionDroppedError{"st-1", errProtocol}, &SessionPanicError{"index out of range"})
 }
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	peerMailbox   = 1024
-	queueMost     = 256 // commands that wait for the session or its command window
-	zombieMost    = 256 // given up, but not yet over at the storage target
-	stallTimeout  = time.Second
-	peerTick      = 500 * time.Millisecond
-	peerPingAfter = 5 * time.Second
-	peerDeadAfter = 10 * time.Second
-	logoutWait    = 2 * time.Second
-	redialEvery   = time.Second
+	mailboxSize          = 1024
+	maxQueuedCommands    = 256 // commands that wait for the session or its command window
+	maxAbandonedCommands = 256 // abandoned commands that the storage target has not finished yet
+	peerWriteTimeout     = time.Second
+	peerCheckInterval    = 500 * time.Millisecond
+	peerPingAfterSilence = 5 * time.Second
+	peerDeadAfterSilence = 10 * time.Second
+	logoutTimeout        = 2 * time.Second
+	redialDelay          = time.Second
 )
 
-// Dialer makes the initiators, one actor for each storage target.
+// Dialer creates the initiators, one actor for each storage target.
 type Dialer struct {
-	Name           string // of this initiator
-	ConnectTimeout time.Duration
-	DropsRepeats   bool
-	Log            logrus.FieldLogger
-	mu             sync.Mutex
-	storage        map[string]config.StorageTarget
-	news           atomic.Pointer[func(core.ListUpdate)]
-	book           atomic.Pointer[address.Settings]
+	Name               string // iSCSI name of this initiator
+	ConnectTimeout     time.Duration
+	DeduplicatesWrites bool
+	Log                logrus.FieldLogger
+	mu                 sync.Mutex
+	storage            map[string]config.StorageTarget
+	listUpdateHandler  atomic.Pointer[func(core.ListUpdate)]
+	addressSettings    atomic.Pointer[address.Settings]
 }
 
-// NewDialer knows the storage targets of a configuration.
+// NewDialer returns a dialer for the storage targets of a configuration.
 func NewDialer(conf *config.ISCSI, name string, connect time.Duration, log logrus.FieldLogger) *Dialer {
-	d := &Dialer{Name: name, ConnectTimeout: connect, DropsRepeats: conf.DeduplicatesWrites, Log: log}
+	d := &Dialer{Name: name, ConnectTimeout: connect, DeduplicatesWrites: conf.DeduplicatesWrites, Log: log}
 	d.Update(conf)
 	return d
 }
 
-// Update takes the storage targets of a configuration that was read again; it comes before
-// the core is told of them.
+// Update replaces the storage targets after the configuration was reloaded. Call it before the
+// core receives the new list.
 func (d *Dialer) Update(conf *config.ISCSI) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,20 +65,21 @@
 	}
 }
 
-func (d *Dialer) lookup(name string) (config.StorageTarget, bool) {
+func (d *Dialer) storageTarget(name string) (config.StorageTarget, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, ok := d.storage[name]
 	return s, ok
 }
 
-// Addresses sets how portals are tried, from now on.
-func (d *Dialer) Addresses(set address.Settings) { d.book.Store(&set) }
+// SetAddressSettings sets the settings by which portals are selected, also for existing initiators.
+func (d *Dialer) Addresses(set address.Settings) { d.addressSettings.Store(&set) }
 
-// Report sets where a storage target's own word that it goes, or is back, is to be told.
-func (d *Dialer) Report(f func(core.ListUpdate)) { d.news.Store(&f) }
+// SetListUpdateHandler sets the function that is called when a storage target reports that it is
+// draining, or when it is up again after that.
+func (d *Dialer) Report(f func(core.ListUpdate)) { d.listUpdateHandler.Store(&f) }
 
-// Nodes is the list that a configuration gives.
+// Nodes returns the nodes of the storage targets in a configuration.
 func Nodes(conf *config.ISCSI) (out []core.Node) {
 	for _, s := range conf.Storage {
 		out = append(out, core.Node{Node: policy.Node{ID: s.Name, Shard: s.Shard, State: s.State, Weight: 1}, Addresses: s.Addresses})
@@ -86,8 +87,9 @@
 	return out
 }
 
-// Settings are the module's for this front. Where the storage targets do not drop repeats,
-// no keyed class may run twice: a write in doubt must not be sent again.
+// AdaptSettings returns the policy settings for this front. If the storage targets do not deduplicate
+// writes, classes that are idempotent by key become non-idempotent, because a write that may have run
+// must not be sent again.
 func Settings(set policy.Settings, conf *config.ISCSI) policy.Settings {
 	classes := append([]policy.Class(nil), set.Classes...)
 	for i := range classes {
@@ -99,395 +101,399 @@
 	return set
 }
 
-// Connect starts the actor of one storage target.
+// NewNodeClient starts the actor of one storage target.
 func (d *Dialer) Connect(name string, addresses []address.Addr) core.NodeClient {
-	conf, _ := d.lookup(name)
-	p := &peer{d: d, name: name, target: conf.Target, mail: make(chan mail, peerMailbox), done: make(chan struct{}),
-		byTry: map[*core.Attempt]*command{}, old: map[*nexus]bool{}}
-	p.readdress(addresses)
+	conf, _ := d.storageTarget(name)
+	p := &storagePeer{dialer: d, name: name, target: conf.Target, mailbox: make(chan message, mailboxSize), done: make(chan struct{}),
+		commands: map[*core.Attempt]*command{}, retiring: map[*nexus]bool{}}
+	p.replaceAddresses(addresses)
 	go p.run()
 	return p
 }
 
-type mail struct {
-	send, cancel, late *core.Attempt
-	dialed             *link
-	pdu                *pdu
-	from               *nexus
-	err                error // of from, or of the dial
-	addresses          []address.Addr
-	portal             *portalMail
-	close              bool
+// message is an event for the actor of a storage target.
+type message struct {
+	send, cancel, expired *core.Attempt // expired: the attempt's deadline has passed
+	dialed                *loggedInConn
+	pdu                   *pdu
+	from                  *nexus
+	err                   error // from the connection of from, or from the dial if from is nil
+	addresses             []address.Addr
+	portalLogin           *portalLogin
+	close                 bool
 }
 
-// link is a connection that has logged in.
-type link struct {
-	nc     net.Conn
-	br     *bufio.Reader
-	at     address.Addr
-	p      params
-	window uint32
+// loggedInConn is a connection on which the login has succeeded.
+type loggedInConn struct {
+	netConn  net.Conn
+	reader   *bufio.Reader
+	addr     address.Addr
+	params   params
+	maxCmdSN uint32
 }
 
-// command is one attempt as a SCSI command.
+// command is the SCSI command of one attempt.
 type command struct {
-	try     *core.Attempt // nil: given up, its end is waited for
-	job     *transfer
-	on      *nexus // once it is written
-	itt     uint32
-	cmdSN   uint32
-	timer   *time.Timer
-	data    []byte // of a read
-	dataSN  uint32
-	written bool // the command PDU went out whole: it may run
+	attempt  *core.Attempt // nil: its result was reported; the storage target may still finish it
+	transfer *transfer
+	nexus    *nexus // nil until it is written
+	itt      uint32
+	cmdSN    uint32
+	timer    *time.Timer
+	readData []byte // data received for a read
+	dataSN   uint32
+	written  bool // the complete command PDU was written, so it may run
 }
 
-// peer is the actor of one storage target: one session, and while it moves from one portal to
-// another also those before, which finish their commands. A command never moves.
-type peer struct {
-	d                *Dialer
+// storagePeer is the actor of one storage target. It has one current session, and after a change of
+// portal also earlier sessions, which finish their commands. A command never changes its session.
+type storagePeer struct {
+	dialer           *Dialer
 	name, target     string
 	addresses        []address.Addr
-	portals          *portals // of a target with several
-	mail             chan mail
+	portals          *portalSelector // nil: the target has had only one portal at a time
+	mailbox          chan message
 	done             chan struct{}
 	draining         atomic.Bool
-	cur              *nexus          // nil: there is none
-	old              map[*nexus]bool // that finish
+	current          *nexus          // the session for new commands, or nil
+	retiring         map[*nexus]bool // earlier sessions that finish their commands
 	dialing, closing bool
-	leaving          bool // it has asked us to log out
-	redial           time.Time
+	logoutRequested  bool // the target has requested a logout or dropped the session
+	redialAt         time.Time
 	queue            []*command
-	byTry            map[*core.Attempt]*command
+	commands         map[*core.Attempt]*command
 }
 
-func (p *peer) put(m mail) bool {
+func (p *storagePeer) tryEnqueue(m message) bool {
 	select {
-	case p.mail <- m:
+	case p.mailbox <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// post waits for room; it is for the actor's own helpers.
-func (p *peer) post(m mail) {
+// enqueue waits for space in the mailbox. Only goroutines that may block use it.
+func (p *storagePeer) enqueue(m message) {
 	select {
-	case p.mail <- m:
+	case p.mailbox <- m:
 	case <-p.done:
 	}
 }
 
 // Send implements core.NodeClient.
-func (p *peer) Send(a *core.Attempt) bool { return p.put(mail{send: a}) }
+func (p *storagePeer) Send(a *core.Attempt) bool { return p.tryEnqueue(message{send: a}) }
 
-// Cancel implements core.NodeClient. With the mailbox full the command runs to its time limit.
-func (p *peer) Cancel(a *core.Attempt) { p.put(mail{cancel: a}) }
+// Cancel implements core.NodeClient. If the mailbox is full, the command runs until its deadline.
+func (p *storagePeer) Cancel(a *core.Attempt) { p.tryEnqueue(message{cancel: a}) }
 
-// CheckHealth implements core.NodeClient: these targets report no load.
-func (p *peer) CheckHealth(func(core.Result, time.Duration)) bool { return false }
+// CheckHealth implements core.NodeClient. It does nothing because storage targets report no load.
+func (p *storagePeer) CheckHealth(func(core.Result, time.Duration)) bool { return false }
 
-// Connect implements core.NodeClient: a target has one session, which stands or is being opened.
-func (p *peer) Connect(func(policy.Status)) bool { return false }
+// Connect implements core.NodeClient. It does nothing because a target has one session, which commands
+// open when they need it.
+func (p *storagePeer) Connect(func(policy.Status)) bool { return false }
 
-// Drain implements core.NodeClient: it binds at once, also what waits in the mailbox.
-func (p *peer) Drain(on bool) {
+// Drain implements core.NodeClient. It takes effect at once, also for attempts in the mailbox.
+func (p *storagePeer) Drain(on bool) {
 	if p.draining.Swap(on) != on {
-		p.put(mail{}) // the portals look at it whenever something comes
+		p.tryEnqueue(message{}) // wakes the actor, which then reads the flag
 	}
 }
 
-// SetAddresses implements core.NodeClient: sessions to a portal that went finish their commands.
-func (p *peer) SetAddresses(addresses []address.Addr) {
-	if m := (mail{addresses: addresses}); !p.put(m) {
-		go p.post(m)
+// SetAddresses implements core.NodeClient. Sessions with a removed portal finish their commands.
+func (p *storagePeer) SetAddresses(addresses []address.Addr) {
+	if m := (message{addresses: addresses}); !p.tryEnqueue(m) {
+		go p.enqueue(m)
 	}
 }
 
 // Close implements core.NodeClient.
-func (p *peer) Close() {
-	if !p.put(mail{close: true}) {
-		go p.post(mail{close: true})
+func (p *storagePeer) Close() {
+	if !p.tryEnqueue(message{close: true}) {
+		go p.enqueue(message{close: true})
 	}
 }
 
-func (p *peer) run() {
+func (p *storagePeer) run() {
 	defer close(p.done)
-	tick := time.NewTicker(peerTick)
-	defer tick.Stop()
-	var wake <-chan time.Time // of the portals
-	for !p.closing || len(p.byTry) > 0 || len(p.mail) > 0 {
+	ticker := time.NewTicker(peerCheckInterval)
+	defer ticker.Stop()
+	var wake <-chan time.Time // timer of the portal selection
+	for !p.closing || len(p.commands) > 0 || len(p.mailbox) > 0 {
 		select {
-		case m := <-p.mail:
-			p.take(m)
+		case m := <-p.mailbox:
+			p.handle(m)
 		case <-wake:
-			p.portals.book.Step(address.Event{Kind: address.TimerFired})
-		case now := <-tick.C:
-			p.tick(now)
+			p.portals.selector.Step(address.Event{Kind: address.TimerFired})
+		case now := <-ticker.C:
+			p.checkTimeouts(now)
 		}
-		p.pump()
+		p.sendQueued()
 		if p.portals != nil {
-			wake = p.portals.settle()
+			wake = p.portals.syncSelector()
 		}
 	}
-	for x := range p.old {
-		x.bye()
+	for x := range p.retiring {
+		x.logOut()
 	}
-	if p.cur != nil {
-		p.cur.bye()
+	if p.current != nil {
+		p.current.logOut()
 	}
 	if p.portals != nil {
-		p.portals.end()
+		p.portals.shutDown()
 	}
 }
 
-func (p *peer) take(m mail) {
+func (p *storagePeer) handle(m message) {
 	switch {
 	case m.send != nil:
-		p.send(m.send)
+		p.queueAttempt(m.send)
 	case m.cancel != nil:
-		p.giveUp(m.cancel, policy.Cancelled)
-	case m.late != nil:
-		p.giveUp(m.late, policy.TimedOut)
+		p.abandon(m.cancel, policy.Cancelled)
+	case m.expired != nil:
+		p.abandon(m.expired, policy.TimedOut)
 	case m.dialed != nil:
 		p.dialing = false
-		if p.portals != nil || m.dialed.at != p.addresses[0] { // it leads to where we no longer go
-			m.dialed.nc.Close()
+		if p.portals != nil || m.dialed.addr != p.addresses[0] { // the addresses changed meanwhile
+			m.dialed.netConn.Close()
 			return
 		}
-		p.use(newNexus(p, m.dialed))
-	case m.portal != nil:
+		p.makeCurrent(newNexus(p, m.dialed))
+	case m.portalLogin != nil:
 		if p.portals != nil {
-			p.portals.hear(m.portal)
+			p.portals.handleLogin(m.portalLogin)
 		}
 	case m.pdu != nil:
-		if x := m.from; x.link != nil {
-			x.heard, x.pinged = time.Now(), false
-			if err := x.hear(m.pdu); err != nil {
-				p.d.Log.WithFields(operr.Fields(&Dropped{p.name, err})).Warn("storage target: connection dropped")
-				x.down()
+		if x := m.from; x.conn != nil {
+			x.lastPDUAt, x.pingSent = time.Now(), false
+			if err := x.handlePDU(m.pdu); err != nil {
+				p.dialer.Log.WithFields(operr.Fields(&ConnectionDroppedError{p.name, err})).Warn("storage target: connection dropped")
+				x.disconnect()
 			}
-			x.finished()
+			x.releaseIfIdle()
 		}
 	case m.err != nil:
 		if m.from == nil { // the dial failed
 			p.dialing = false
-			p.redial = time.Now().Add(redialEvery)
+			p.redialAt = time.Now().Add(redialDelay)
 			p.failQueue()
 		} else {
-			m.from.down()
+			m.from.disconnect()
 		}
 	case m.addresses != nil:
-		p.readdress(m.addresses)
+		p.replaceAddresses(m.addresses)
 	case m.close:
 		p.closing = true
 	}
 }
 
-// readdress takes the portals. One alone needs no book; with the first second one a book is
-// made, and stays.
-func (p *peer) readdress(list []address.Addr) {
+// replaceAddresses replaces the portals' addresses. A target with a single portal needs no portal
+// selection. It is created when the target first has several, and then kept.
+func (p *storagePeer) replaceAddresses(list []address.Addr) {
 	p.addresses = list
 	if p.portals == nil && len(list) == 1 {
-		if p.cur != nil && p.cur.link.at != list[0] {
-			p.retire()
+		if p.current != nil && p.current.conn.addr != list[0] {
+			p.retireCurrent()
 		}
 		return
 	}
 	if p.portals == nil {
-		p.portals = newPortals(p)
-		p.retire()
+		p.portals = newPortalSelector(p)
+		p.retireCurrent()
 	}
-	p.portals.book.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
+	p.portals.selector.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
 }
 
-// retire lets the session finish what it carries; nothing new goes by it.
-func (p *peer) retire() {
-	if x := p.cur; x != nil {
-		p.cur = nil
-		p.old[x] = true
-		x.finished()
+// retireCurrent lets the current session finish its commands. New commands no longer use it.
+func (p *storagePeer) retireCurrent() {
+	if x := p.current; x != nil {
+		p.current = nil
+		p.retiring[x] = true
+		x.releaseIfIdle()
 	}
 }
 
-// use makes a session the one that new commands go by.
-func (p *peer) use(x *nexus) {
-	p.retire()
-	p.cur = x
-	if p.leaving { // it is back after it had asked us to go: it starts anew, and so cold
-		p.leaving = false
-		p.tell(policy.NodeUp, float64(time.Now().UnixMicro())/1000)
+// makeCurrent makes a session the one for new commands.
+func (p *storagePeer) makeCurrent(x *nexus) {
+	p.retireCurrent()
+	p.current = x
+	if p.logoutRequested { // back after it requested a logout: it has restarted and goes through slow start
+		p.logoutRequested = false
+		p.reportState(policy.NodeUp, float64(time.Now().UnixMicro())/1000)
 	}
 }
 
-// report tells the core how an attempt ended, aside: its mailbox may have to be waited for.
-func (p *peer) report(c *command, r core.Result) {
-	a := c.try
+// reportResult reports the result of a command's attempt to the core. It does so in a new goroutine
+// because the core's mailbox may be full.
+func (p *storagePeer) reportResult(c *command, r core.Result) {
+	a := c.attempt
 	if a == nil {
 		return
 	}
-	c.try = nil
+	c.attempt = nil
 	c.timer.Stop()
-	delete(p.byTry, a)
+	delete(p.commands, a)
 	go a.Done(r)
 }
 
-func (p *peer) send(a *core.Attempt) {
-	c := &command{try: a, job: a.Request.Payload.(*transfer)}
-	c.timer = time.AfterFunc(time.Until(a.Deadline), func() { p.post(mail{late: a}) })
-	p.byTry[a] = c
-	if len(p.queue) >= queueMost {
-		p.report(c, core.Result{Status: policy.ConnectFailed})
+func (p *storagePeer) queueAttempt(a *core.Attempt) {
+	c := &command{attempt: a, transfer: a.Request.Payload.(*transfer)}
+	c.timer = time.AfterFunc(time.Until(a.Deadline), func() { p.enqueue(message{expired: a}) })
+	p.commands[a] = c
+	if len(p.queue) >= maxQueuedCommands {
+		p.reportResult(c, core.Result{Status: policy.ConnectFailed})
 		return
 	}
 	p.queue = append(p.queue, c)
 }
 
-// pump writes what waits as far as the command window goes. What waits when the target
-// drains has not been written and so has not run.
-func (p *peer) pump() {
+// sendQueued writes the queued commands that the command window allows. When the target drains, queued
+// commands fail; they have not been written and so have not run.
+func (p *storagePeer) sendQueued() {
 	if len(p.queue) == 0 {
 		return
 	}
-	if p.draining.Load() || p.leaving {
+	if p.draining.Load() || p.logoutRequested {
 		p.failQueue()
 		return
 	}
-	if p.portals != nil && !p.portals.ready() {
+	if p.portals != nil && !p.portals.sessionReady() {
 		return
 	}
-	if p.cur == nil {
+	if p.current == nil {
 		p.dial()
 		return
 	}
-	for len(p.queue) > 0 && p.cur != nil && p.cur.room() {
+	for len(p.queue) > 0 && p.current != nil && p.current.windowOpen() {
 		c := p.queue[0]
 		p.queue = p.queue[1:]
 		switch {
-		case c.try == nil:
-		case c.try.Claim():
-			p.cur.start(c)
-		default: // its request has been answered while it waited
-			p.report(c, core.Result{Status: policy.Abandoned})
+		case c.attempt == nil:
+		case c.attempt.Claim():
+			p.current.startCommand(c)
+		default: // the request was answered while the command was queued
+			p.reportResult(c, core.Result{Status: policy.Abandoned})
 		}
 	}
-	if p.cur != nil {
-		p.cur.finished() // all that waited may have been given up
+	if p.current != nil {
+		p.current.releaseIfIdle() // all queued commands may have been abandoned
 	}
 }
 
-func (p *peer) failQueue() {
+func (p *storagePeer) failQueue() {
 	for _, c := range p.queue {
-		p.report(c, core.Result{Status: policy.ConnectFailed})
+		p.reportResult(c, core.Result{Status: policy.ConnectFailed})
 	}
 	p.queue = p.queue[:0]
 }
 
-// dial opens the session where there is one portal.
-func (p *peer) dial() {
+// dial opens the session with a target that has a single portal.
+func (p *storagePeer) dial() {
 	if p.dialing || p.portals != nil {
 		return
 	}
 	p.dialing = true
 	to := p.addresses[0]
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), p.d.ConnectTimeout)
+		ctx, stop := context.WithTimeout(context.Background(), p.dialer.ConnectTimeout)
 		defer stop()
 		l, _, err := p.login(ctx, to)
 		if err != nil {
-			p.post(mail{err: err})
+			p.enqueue(message{err: err})
 			return
 		}
 		select {
-		case p.mail <- mail{dialed: l}:
+		case p.mailbox <- message{dialed: l}:
 		case <-p.done:
-			l.nc.Close()
+			l.netConn.Close()
 		}
 	}()
 }
 
-// login connects and logs in; why tells of an error what it says of the portal.
-func (p *peer) login(ctx context.Context, to address.Addr) (*link, address.Reason, error) {
-	nc, why, err := transport.Dial(ctx, to, p.d.ConnectTimeout)
+// login connects and logs in. With an error it returns the reason that the portal selection records.
+func (p *storagePeer) login(ctx context.Context, to address.Addr) (*loggedInConn, address.Reason, error) {
+	nc, reason, err := transport.Dial(ctx, to, p.dialer.ConnectTimeout)
 	if err != nil {
-		return nil, why, err
+		return nil, reason, err
 	}
 	defer context.AfterFunc(ctx, func() { _ = nc.SetDeadline(time.Unix(1, 0)) })()
-	l := &link{nc: nc, br: bufio.NewReaderSize(nc, 16<<10), at: to}
+	l := &loggedInConn{netConn: nc, reader: bufio.NewReaderSize(nc, 16<<10), addr: to}
 	if at, ok := ctx.Deadline(); ok {
 		err = nc.SetDeadline(at)
 	}
 	if err == nil {
-		l.p, l.window, err = dialLogin(nc, l.br, p.target, p.d.Name, p.isid())
+		l.params, l.maxCmdSN, err = initiatorLogin(nc, l.reader, p.target, p.dialer.Name, p.newISID())
 	}
 	if err == nil {
 		err = nc.SetDeadline(time.Time{})
 	}
 	if err != nil {
 		nc.Close()
-		var no refusedLogin
+		var rejected loginError
 		switch {
-		case errors.As(err, &no) && no.status == loginNotFound: // another target's portal
-			why = address.ReasonWrongNode
+		case errors.As(err, &rejected) && rejected.status == loginNotFound: // the portal belongs to another target
+			reason = address.ReasonWrongNode
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			why = address.ReasonTimedOut
+			reason = address.ReasonTimedOut
 		default:
-			why = address.ReasonReset
+			reason = address.ReasonReset
 		}
-		return nil, why, fmt.Errorf("login: %w", err)
+		return nil, reason, fmt.Errorf("login: %w", err)
 	}
 	return l, 0, nil
 }
 
-// isid is new for each session, so that none takes the place of one still being ended.
-func (p *peer) isid() uint32 {
+// newISID returns a new ISID for each session, so that a new session does not reinstate one that is still
+// finishing its commands.
+func (p *storagePeer) newISID() uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(p.name))
 	return h.Sum32() ^ rand.Uint32()
 }
 
-// tell passes on what a storage target says of itself, as news of the list. One that the
-// configuration drains or has dropped is not up, whatever it says.
-func (p *peer) tell(state policy.NodeState, since float64) {
-	conf, ok := p.d.lookup(p.name)
+// reportState passes on a state that a storage target reported, as an update of the node list. A target
+// that the configuration drains or no longer contains is not reported as up.
+func (p *storagePeer) reportState(state policy.NodeState, since float64) {
+	conf, ok := p.dialer.storageTarget(p.name)
 	if !ok || state == policy.NodeUp && conf.State != policy.NodeUp {
 		return
 	}
-	if f := p.d.news.Load(); f != nil {
+	if f := p.dialer.listUpdateHandler.Load(); f != nil {
 		n := core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{Addresses: conf.Addresses, Node: policy.Node{ID: p.name,
 			Shard: conf.Shard, State: state, Weight: 1, StartTime: since}}}}
 		go (*f)(n)
 	}
 }
 
-// giveUp ends the wait for an attempt. What has been written may still run: its tag stays
-// taken, ABORT TASK is sent, and no answer to it counts any more.
-func (p *peer) giveUp(a *core.Attempt, status policy.Status) {
-	c := p.byTry[a]
+// abandon ends an attempt with the given status. A command that was written may still run: its tag
+// stays in use, ABORT TASK is sent, and its response is ignored.
+func (p *storagePeer) abandon(a *core.Attempt, status policy.Status) {
+	c := p.commands[a]
 	if c == nil {
 		return
 	}
-	p.report(c, core.Result{Status: status})
-	if x := c.on; c.written && x != nil && x.link != nil {
-		x.abort(c)
-		x.finished()
+	p.reportResult(c, core.Result{Status: status})
+	if x := c.nexus; c.written && x != nil && x.conn != nil {
+		x.abortCommand(c)
+		x.releaseIfIdle()
 	}
 }
 
-func (p *peer) tick(now time.Time) {
-	if p.cur != nil {
-		p.cur.tick(now)
-	} else if p.leaving && !p.closing && now.After(p.redial) { // to hear that it is back
+func (p *storagePeer) checkTimeouts(now time.Time) {
+	if p.current != nil {
+		p.current.checkTimeouts(now)
+	} else if p.logoutRequested && !p.closing && now.After(p.redialAt) { // to find out whether the target is up again
 		if p.portals != nil {
-			p.portals.want()
+			p.portals.requestSession()
 		} else {
 			p.dial()
 		}
 	}
-	for x := range p.old {
-		x.tick(now)
+	for x := range p.retiring {
+		x.checkTimeouts(now)
 	}
 	if p.portals != nil {
-		p.portals.nudge()
+		p.portals.retryPreferred()
 	}
 }
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -64,7 +64,7 @@
 	q.data = data[:4096]
 	c.send(q)
 	d := newPDU(opDataOut, c.itt)
-	d.bhs[1] = flagF
+	d.bhs[1] = flagFinal
 	d.put32(20, noTag)
 	d.put32(40, 4096)
 	d.data = data[4096:8192]
@@ -169,9 +169,9 @@
 	conf.Storage = []config.StorageTarget{conf.Storage[0]}
 	conf.Storage[0].State = policy.NodeDraining
 	p.dialer.Update(&conf)
-	pe := &peer{d: p.dialer, name: "st"}
-	pe.tell(policy.NodeUp, 1)
-	pe.tell(policy.NodeDraining, 0)
+	pe := &storagePeer{dialer: p.dialer, name: "st"}
+	pe.reportState(policy.NodeUp, 1)
+	pe.reportState(policy.NodeDraining, 0)
 	if n := <-told; n.Nodes[0].State != policy.NodeDraining || len(told) > 0 {
 		t.Errorf("told %+v", n)
 	}
@@ -198,9 +198,9 @@
 		{statusBusy, nil, true, statusBusy, 0, 1, 4, true}, // not run: refused, with the time to come back
 		{statusTaskSetFull, nil, false, statusBusy, 0, 1, 4, true},
 		{statusConflict, nil, true, statusConflict, 0, 1, 1, false},
-		{statusCheckCondition, senseOutOfRange.fixed(), true, statusCheckCondition, senseIllegalRequest, 1, 1, false},
-		{statusCheckCondition, senseReadLost.fixed(), true, statusCheckCondition, senseHardware, 1, 1, false},
-		{statusCheckCondition, sense{senseUnitAttention, 0x2900}.fixed(), true, statusBusy, 0, 1, 4, true},
+		{statusCheckCondition, senseOutOfRange.encodeFixed(), true, statusCheckCondition, senseIllegalRequest, 1, 1, false},
+		{statusCheckCondition, senseReadLost.encodeFixed(), true, statusCheckCondition, senseHardware, 1, 1, false},
+		{statusCheckCondition, sense{senseUnitAttention, 0x2900}.encodeFixed(), true, statusBusy, 0, 1, 4, true},
 	} {
 		p := newPath(t, 5000, false)
 		p.status, p.standin.sense = x.status, x.sense
@@ -238,8 +238,8 @@
 	itt, _ := p.heldWrite(c)
 	abort := func(of uint32) byte {
 		q := newPDU(opTaskMgmtReq, 9000+of)
-		q.bhs[0] |= immediate
-		q.bhs[1] = flagF | tmAbortTask
+		q.bhs[0] |= flagImmediate
+		q.bhs[1] = flagFinal | tmAbortTask
 		q.put32(20, of)
 		q.put32(24, c.cmdSN)
 		c.send(q)
@@ -294,8 +294,8 @@
 	c := p.initiator(t)
 	ping := func() uint32 {
 		q := newPDU(opNopOut, 4242)
-		q.bhs[0] |= immediate
-		q.bhs[1] = flagF
+		q.bhs[0] |= flagImmediate
+		q.bhs[1] = flagFinal
 		q.put32(20, noTag)
 		q.put32(24, c.cmdSN)
 		q.data = []byte("ping")
@@ -310,8 +310,8 @@
 	cdb := block{true, 0, 1}.cdb()
 	for i := range 3 { // immediate writes that wait for their data
 		q := newPDU(opSCSICommand, uint32(900+i))
-		q.bhs[0] |= immediate
-		q.bhs[1] = flagF | 0x21
+		q.bhs[0] |= flagImmediate
+		q.bhs[1] = flagFinal | 0x21
 		q.put32(20, 512)
 		q.put32(24, c.cmdSN)
 		copy(q.bhs[32:], cdb[:])
@@ -378,9 +378,9 @@
 	}{
 		{stageOperational<<2 | stageFull, 0, []pair{me, to}},
 		{stageSecurity<<2 | stageOperational, 0, []pair{me, to, {"AuthMethod", "CHAP,None"}}},
-		{stageSecurity<<2 | stageOperational, loginAuth, []pair{me, to, {"AuthMethod", "CHAP"}}},
-		{stageOperational<<2 | stageFull, loginMissing, []pair{to}},
-		{stageOperational<<2 | stageFull, loginMissing, []pair{me}},
+		{stageSecurity<<2 | stageOperational, loginAuthFailure, []pair{me, to, {"AuthMethod", "CHAP"}}},
+		{stageOperational<<2 | stageFull, loginMissingParameter, []pair{to}},
+		{stageOperational<<2 | stageFull, loginMissingParameter, []pair{me}},
 		{stageOperational<<2 | stageFull, loginNotFound, []pair{me, {"TargetName", "iqn.other"}}},
 		{stageFull<<2 | stageFull, loginBadRequest, []pair{me, to}},
 		{stageOperational<<2 | stageFull, loginBadRequest, []pair{me, to, {"MaxBurstLength", "none"}}},
@@ -392,13 +392,13 @@
 	c := connect(t, p.address)
 	c.login(stageOperational<<2|stageFull, me, pair{"SessionType", "Discovery"})
 	q := newPDU(opTextReq, 5)
-	q.bhs[1] = flagF
+	q.bhs[1] = flagFinal
 	q.put32(20, noTag)
 	q.put32(24, c.cmdSN)
 	q.data = encodeText([]pair{{"SendTargets", "All"}})
 	c.send(q)
 	text, err := decodeText(c.read().data)
-	if name, _ := find(text, "TargetName"); err != nil || name != targetName {
+	if name, _ := findValue(text, "TargetName"); err != nil || name != targetName {
 		t.Errorf("SendTargets: %v %v", text, err)
 	}
 }
@@ -408,7 +408,7 @@
 	p := newPath(t, long, false)
 	bad := func(edit func(*pdu)) *pdu {
 		q := newPDU(opSCSICommand, 77)
-		q.bhs[1] = flagF | 0x21
+		q.bhs[1] = flagFinal | 0x21
 		q.put32(20, 4096)
 		q.put32(24, 1)
 		cdb := block{true, 0, 8}.cdb()
@@ -420,12 +420,12 @@
 		pdu    *pdu
 		reject byte // 0: a close without one
 	}{
-		"opcode":    {bad(func(q *pdu) { q.bhs[0] = 0x1e | immediate }), rejectUnsupported},
-		"snack":     {bad(func(q *pdu) { q.bhs[0] = opSNACK | immediate }), rejectProtocol},
-		"login":     {bad(func(q *pdu) { q.bhs[0] = opLoginReq | immediate }), rejectProtocol},
+		"opcode":    {bad(func(q *pdu) { q.bhs[0] = 0x1e | flagImmediate }), rejectUnsupported},
+		"snack":     {bad(func(q *pdu) { q.bhs[0] = opSNACK | flagImmediate }), rejectProtocol},
+		"login":     {bad(func(q *pdu) { q.bhs[0] = opLoginReq | flagImmediate }), rejectProtocol},
 		"both ways": {bad(func(q *pdu) { q.bhs[1] |= 0x40 }), rejectInvalid},
 		"gap":       {bad(func(q *pdu) { q.put32(24, 3) }), 0},
-		"too long":  {bad(func(q *pdu) { q.data = make([]byte, ourSegment+4) }), rejectInvalid},
+		"too long":  {bad(func(q *pdu) { q.data = make([]byte, ownMaxSegment+4) }), rejectInvalid},
 	} {
 		c := p.initiator(t)
 		_, _ = c.nc.Write(c.out.append(nil, x.pdu))
@@ -469,8 +469,8 @@
 	itt, _ := p.heldWrite(c)
 	logout := func(reason byte) *pdu {
 		q := newPDU(opLogoutReq, 50)
-		q.bhs[0] |= immediate
-		q.bhs[1] = flagF | reason
+		q.bhs[0] |= flagImmediate
+		q.bhs[1] = flagFinal | reason
 		q.put32(24, c.cmdSN)
 		c.send(q)
 		return c.read()
@@ -543,8 +543,8 @@
 	for _, at := range []int{5, bhsLen + 4 + 1} { // in the header, in the data
 		c := p.initiator(t, pair{"HeaderDigest", "CRC32C"}, pair{"DataDigest", "CRC32C"})
 		q := newPDU(opNopOut, 7)
-		q.bhs[0] |= immediate
-		q.bhs[1] = flagF
+		q.bhs[0] |= flagImmediate
+		q.bhs[1] = flagFinal
 		q.data = []byte("ping")
 		wire := c.out.append(nil, q)
 		wire[at] ^= 0x10
@@ -608,15 +608,15 @@
 			rt.Fatalf("cut at %d of %d passed", cutAt, len(wire))
 		}
 		key := rapid.StringN(1, 40, 60).Draw(rt, "key")
-		if k := (&pdu{ahs: keyAHS(key)}).key(); k != key {
+		if k := (&pdu{ahs: idempotencyKeyAHS(key)}).idempotencyKey(); k != key {
 			rt.Fatalf("key %q came back as %q", key, k)
 		}
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(rt, "noise")
 		_, _ = f.read(bufio.NewReader(bytes.NewReader(noise)))
-		_ = (&pdu{ahs: noise}).key()
+		_ = (&pdu{ahs: noise}).idempotencyKey()
 		if pairs, err := decodeText(noise); err == nil {
-			q := defaults()
-			_ = q.adopt(pairs)
+			q := defaultParams()
+			_ = q.applyResponse(pairs)
 		}
 		if len(noise) >= 16 {
 			if b, ok := decodeBlock(noise); ok && b.blocks > 0 {
@@ -625,7 +625,7 @@
 			u := &unit{}
 			u.Blocks = 1
 			u.BlockSize = 512
-			_, _, _ = u.local(noise, nil)
+			_, _, _ = u.answerLocally(noise, nil)
 		}
 		_ = senseKey(noise)
 	})
--- a/internal/iscsi/nexus.go
+++ b/internal/iscsi/nexus.go
@@ -11,204 +11,207 @@
 	"wheatsaddle/policy"
 )
 
-// nexus is one session with the storage target by one of its portals: one connection, many
-// commands. A command that was written on it ends on it, or with it.
+// nexus is one session with the storage target through one of its portals. It has one connection
+// and many commands. A command that was written on it is finished by its response on the same
+// nexus or by the end of the nexus.
 type nexus struct {
-	p                     *peer
-	link                  *link // nil: it has ended
-	byTag                 map[uint32]*command
-	zombies               int
-	cmdSN, expStatSN, itt uint32
-	maxCmdSN              uint32
-	heard                 time.Time
-	pinged                bool
-	logout                time.Time
-	conn                  address.Conn // the book's, where there is one
-	busy                  address.Req  // the book's, while commands are out; 0: none
-	spoke                 bool         // one of those was answered
+	peer                      *storagePeer
+	conn                      *loggedInConn // nil: the session has ended
+	commands                  map[uint32]*command
+	abandoned                 int
+	cmdSN, expStatSN, lastITT uint32
+	maxCmdSN                  uint32
+	lastPDUAt                 time.Time
+	pingSent                  bool
+	logoutSentAt              time.Time
+	connID                    address.Conn // in the portal selection; 0: not part of it
+	requestID                 address.Req  // in the portal selection, while commands are in flight; 0: none
+	answered                  bool         // a command was answered during the request
 }
 
-// newNexus takes a link that has logged in, and reads from it.
-func newNexus(p *peer, l *link) *nexus {
-	x := &nexus{p: p, link: l, byTag: map[uint32]*command{}, cmdSN: 1, maxCmdSN: l.window, heard: time.Now()}
+// newNexus returns a nexus on a connection that has logged in and starts to read from it.
+func newNexus(p *storagePeer, l *loggedInConn) *nexus {
+	x := &nexus{peer: p, conn: l, commands: map[uint32]*command{}, cmdSN: 1, maxCmdSN: l.maxCmdSN, lastPDUAt: time.Now()}
 	go func() {
-		in := framing{most: ourSegment}
+		in := framing{maxDataSegment: ownMaxSegment}
 		for {
-			q, err := in.read(l.br)
+			q, err := in.read(l.reader)
 			if err != nil {
-				p.post(mail{err: err, from: x})
+				p.enqueue(message{err: err, from: x})
 				return
 			}
-			p.post(mail{pdu: q, from: x})
+			p.enqueue(message{pdu: q, from: x})
 		}
 	}()
 	return x
 }
 
-// room says whether the command window takes one more.
-func (x *nexus) room() bool { return x.link != nil && int32(x.maxCmdSN-x.cmdSN) >= 0 }
+// windowOpen reports whether the command window allows one more command.
+func (x *nexus) windowOpen() bool { return x.conn != nil && int32(x.maxCmdSN-x.cmdSN) >= 0 }
 
-// live says whether commands that somebody waits for are out on it.
-func (x *nexus) live() bool { return len(x.byTag) > x.zombies }
+// hasLiveCommands reports whether commands are in flight that were not abandoned.
+func (x *nexus) hasLiveCommands() bool { return len(x.commands) > x.abandoned }
 
-// finished ends what is over: the book's request once no command is out, and the session once
-// another has taken its place.
-func (x *nexus) finished() {
-	if x.link == nil || x.live() {
+// releaseIfIdle ends the portal selection's request if no command is in flight, and then also the
+// session if another has replaced it.
+func (x *nexus) releaseIfIdle() {
+	if x.conn == nil || x.hasLiveCommands() {
 		return
 	}
-	if x.busy != 0 {
-		x.p.portals.rest(x)
+	if x.requestID != 0 {
+		x.peer.portals.finishRequest(x)
 	}
-	if x.p.old[x] {
-		x.bye()
+	if x.peer.retiring[x] {
+		x.logOut()
 	}
 }
 
-// bye logs out and ends the session.
-func (x *nexus) bye() {
-	if x.link != nil {
-		x.sayLogout()
-		x.down()
+// logOut sends a logout and ends the session.
+func (x *nexus) logOut() {
+	if x.conn != nil {
+		x.sendLogout()
+		x.disconnect()
 	}
 }
 
-// down ends the connection. What was written may have run: one outcome each, reset.
-func (x *nexus) down() {
-	if x.link == nil {
+// disconnect closes the connection. Each command that was written may have run, so its attempt ends with
+// ConnectionReset.
+func (x *nexus) disconnect() {
+	if x.conn == nil {
 		return
 	}
-	x.link.nc.Close()
-	x.link = nil
-	if x.p.cur == x {
-		x.p.cur = nil
-		x.p.redial = time.Now().Add(redialEvery)
+	x.conn.netConn.Close()
+	x.conn = nil
+	if x.peer.current == x {
+		x.peer.current = nil
+		x.peer.redialAt = time.Now().Add(redialDelay)
 	}
-	delete(x.p.old, x)
-	for tag, c := range x.byTag {
-		delete(x.byTag, tag)
-		x.p.report(c, core.Result{Status: policy.ConnectionReset})
+	delete(x.peer.retiring, x)
+	for tag, c := range x.commands {
+		delete(x.commands, tag)
+		x.peer.reportResult(c, core.Result{Status: policy.ConnectionReset})
 	}
-	x.zombies = 0
-	if x.conn != 0 {
-		x.p.portals.lost(x)
+	x.abandoned = 0
+	if x.connID != 0 {
+		x.peer.portals.recordSessionEnd(x)
 	}
 }
 
-// abort asks the target not to run a command that was given up.
-func (x *nexus) abort(c *command) {
-	if x.zombies++; x.zombies > zombieMost {
-		x.down()
+// abortCommand sends ABORT TASK for a command that was abandoned.
+func (x *nexus) abortCommand(c *command) {
+	if x.abandoned++; x.abandoned > maxAbandonedCommands {
+		x.disconnect()
 		return
 	}
 	q := newPDU(opTaskMgmtReq, c.itt|1<<31)
-	q.bhs[0] |= immediate
-	q.bhs[1] = flagF | tmAbortTask
-	encodeLUN(q.bhs[8:], c.job.lun)
+	q.bhs[0] |= flagImmediate
+	q.bhs[1] = flagFinal | tmAbortTask
+	encodeLUN(q.bhs[8:], c.transfer.lun)
 	q.put32(20, c.itt)
-	x.stamp(q)
+	x.setNumbers(q)
 	q.put32(32, c.cmdSN)
 	if _, ok := x.write(framing{}.append(nil, q)); !ok {
-		x.down()
+		x.disconnect()
 	}
 }
 
-// write sends bytes; n tells how many went out before an error, which ends the connection.
+// write writes b to the connection. After an error, n is the number of bytes written, and the caller must
+// end the connection.
 func (x *nexus) write(b []byte) (n int, ok bool) {
-	err := x.link.nc.SetWriteDeadline(time.Now().Add(stallTimeout))
+	err := x.conn.netConn.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	if err == nil {
-		n, err = x.link.nc.Write(b)
+		n, err = x.conn.netConn.Write(b)
 	}
 	return n, err == nil
 }
 
-func (x *nexus) stamp(q *pdu) {
+func (x *nexus) setNumbers(q *pdu) {
 	q.put32(24, x.cmdSN)
 	q.put32(28, x.expStatSN)
 }
 
-// start writes a command with the data that may go unsolicited.
-func (x *nexus) start(c *command) {
-	c.on = x
-	x.itt++
-	if x.itt == noTag {
-		x.itt = 1
+// startCommand writes a command with its immediate and unsolicited data.
+func (x *nexus) startCommand(c *command) {
+	c.nexus = x
+	x.lastITT++
+	if x.lastITT == noTag {
+		x.lastITT = 1
 	}
-	c.itt = x.itt
+	c.itt = x.lastITT
 	q := newPDU(opSCSICommand, c.itt)
 	q.bhs[1] = 0x01 // simple task attribute
-	encodeLUN(q.bhs[8:], c.job.lun)
-	q.put32(20, c.job.size)
-	x.stamp(q)
+	encodeLUN(q.bhs[8:], c.transfer.lun)
+	q.put32(20, c.transfer.size)
+	x.setNumbers(q)
 	c.cmdSN = x.cmdSN
 	x.cmdSN++
-	cdb := c.job.block.cdb()
+	cdb := c.transfer.block.cdb()
 	copy(q.bhs[32:], cdb[:])
-	var more []byte
-	neg := &x.link.p
-	if c.job.block.write {
+	var dataOut []byte
+	negotiated := &x.conn.params
+	if c.transfer.block.write {
 		q.bhs[1] |= 0x20
-		first, at := min(c.job.size, neg.firstBurst), uint32(0)
-		if neg.immediateData {
-			at = min(first, neg.theirMost)
-			q.data = c.job.data[:at]
+		first, at := min(c.transfer.size, negotiated.firstBurst), uint32(0)
+		if negotiated.immediateData {
+			at = min(first, negotiated.peerMaxSegment)
+			q.data = c.transfer.data[:at]
 		}
-		if !neg.initialR2T && at < first {
-			more = x.dataOut(nil, c, noTag, at, first-at)
+		if !negotiated.initialR2T && at < first {
+			dataOut = x.appendDataOut(nil, c, noTag, at, first-at)
 		} else {
-			q.bhs[1] |= flagF
+			q.bhs[1] |= flagFinal
 		}
-		if x.p.d.DropsRepeats {
-			q.ahs = keyAHS(c.job.key)
+		if x.peer.dialer.DeduplicatesWrites {
+			q.ahs = idempotencyKeyAHS(c.transfer.key)
 		}
 	} else {
-		q.bhs[1] |= 0x40 | flagF
-		c.data = make([]byte, 0, c.job.size)
+		q.bhs[1] |= 0x40 | flagFinal
+		c.readData = make([]byte, 0, c.transfer.size)
 	}
 	b := framing{}.append(nil, q)
-	whole := len(b)
-	n, ok := x.write(append(b, more...))
-	if c.written = n >= whole; !c.written {
-		x.p.report(c, core.Result{Status: policy.ConnectFailed})
+	commandLength := len(b)
+	n, ok := x.write(append(b, dataOut...))
+	if c.written = n >= commandLength; !c.written {
+		x.peer.reportResult(c, core.Result{Status: policy.ConnectFailed})
 	} else {
-		x.byTag[c.itt] = c
+		x.commands[c.itt] = c
 	}
 	if !ok {
-		x.down()
+		x.disconnect()
 	}
 }
 
-// dataOut encodes a sequence of Data-Out PDUs.
-func (x *nexus) dataOut(dst []byte, c *command, ttt, at, n uint32) []byte {
+// appendDataOut appends a sequence of encoded Data-Out PDUs to dst.
+func (x *nexus) appendDataOut(dst []byte, c *command, ttt, at, n uint32) []byte {
 	for sn, end := uint32(0), at+n; at < end; sn++ {
-		part := min(end-at, x.link.p.theirMost)
+		part := min(end-at, x.conn.params.peerMaxSegment)
 		d := newPDU(opDataOut, c.itt)
-		encodeLUN(d.bhs[8:], c.job.lun)
-		d.data = c.job.data[at : at+part]
+		encodeLUN(d.bhs[8:], c.transfer.lun)
+		d.data = c.transfer.data[at : at+part]
 		d.put32(20, ttt)
 		d.put32(28, x.expStatSN)
 		d.put32(36, sn)
 		d.put32(40, at)
 		if at += part; at == end {
-			d.bhs[1] = flagF
+			d.bhs[1] = flagFinal
 		}
 		dst = framing{}.append(dst, d)
 	}
 	return dst
 }
 
-// over forgets a command's tag.
-func (x *nexus) over(c *command) {
-	if x.byTag[c.itt] == c {
-		delete(x.byTag, c.itt)
-		if c.try == nil {
-			x.zombies--
+// removeCommand releases the tag of a command that has ended.
+func (x *nexus) removeCommand(c *command) {
+	if x.commands[c.itt] == c {
+		delete(x.commands, c.itt)
+		if c.attempt == nil {
+			x.abandoned--
 		}
 	}
 }
 
-// hear takes a PDU of the storage target; an error ends the connection.
-func (x *nexus) hear(q *pdu) error {
+// handlePDU handles a PDU of the storage target. An error ends the connection.
+func (x *nexus) handlePDU(q *pdu) error {
 	if m := q.u32(32); q.op() != opReject && int32(m-x.maxCmdSN) > 0 {
 		x.maxCmdSN = m
 	}
@@ -216,153 +219,154 @@
 	case opSCSIResponse, opTaskMgmtResp, opLogoutResp, opAsync, opReject, opTextResp:
 		x.expStatSN = q.u32(24) + 1
 	}
-	c := x.byTag[q.tag()]
+	c := x.commands[q.tag()]
 	switch q.op() {
 	case opSCSIResponse:
 		if c == nil {
-			return fmt.Errorf("%w: response to no command", errBroken)
+			return fmt.Errorf("%w: response to an unknown command", errProtocol)
 		}
-		return x.response(c, q)
+		return x.handleResponse(c, q)
 	case opDataIn:
 		if c == nil {
-			return fmt.Errorf("%w: data for no command", errBroken)
+			return fmt.Errorf("%w: Data-In for an unknown command", errProtocol)
 		}
-		if c.job.block.write || q.u32(36) != c.dataSN || q.u32(40) != uint32(len(c.data)) ||
-			uint64(len(c.data))+uint64(len(q.data)) > uint64(c.job.size) {
-			return fmt.Errorf("%w: Data-In out of sequence", errBroken)
+		if c.transfer.block.write || q.u32(36) != c.dataSN || q.u32(40) != uint32(len(c.readData)) ||
+			uint64(len(c.readData))+uint64(len(q.data)) > uint64(c.transfer.size) {
+			return fmt.Errorf("%w: Data-In out of sequence", errProtocol)
 		}
-		c.data, c.dataSN = append(c.data, q.data...), c.dataSN+1
-		if q.bhs[1]&0x01 != 0 { // status came with the data
+		c.readData, c.dataSN = append(c.readData, q.data...), c.dataSN+1
+		if q.bhs[1]&0x01 != 0 { // S bit: the PDU carries the status
 			x.expStatSN = q.u32(24) + 1
-			return x.response(c, q)
+			return x.handleResponse(c, q)
 		}
 	case opR2T:
 		if c == nil {
-			return fmt.Errorf("%w: R2T for no command", errBroken)
+			return fmt.Errorf("%w: R2T for an unknown command", errProtocol)
 		}
 		at, n := q.u32(40), q.u32(44)
-		if !c.job.block.write || n == 0 || at > c.job.size || n > c.job.size-at {
-			return fmt.Errorf("%w: R2T out of bounds", errBroken)
+		if !c.transfer.block.write || n == 0 || at > c.transfer.size || n > c.transfer.size-at {
+			return fmt.Errorf("%w: R2T out of bounds", errProtocol)
 		}
-		if c.try == nil {
-			return nil // given up: nothing more is sent for it
+		if c.attempt == nil {
+			return nil // abandoned: no more data is sent for it
 		}
-		if _, ok := x.write(x.dataOut(nil, c, q.u32(20), at, n)); !ok {
-			return errors.New("stalled in Data-Out")
+		if _, ok := x.write(x.appendDataOut(nil, c, q.u32(20), at, n)); !ok {
+			return errors.New("write of Data-Out failed or timed out")
 		}
 	case opTaskMgmtResp:
-		if z := x.byTag[q.tag()&^(1<<31)]; z != nil && z.try == nil {
-			x.over(z)
+		if aborted := x.commands[q.tag()&^(1<<31)]; aborted != nil && aborted.attempt == nil {
+			x.removeCommand(aborted)
 		}
 	case opNopIn:
 		if ttt := q.u32(20); ttt != noTag {
 			n := newPDU(opNopOut, noTag)
-			n.bhs[0] |= immediate
-			n.bhs[1] = flagF
+			n.bhs[0] |= flagImmediate
+			n.bhs[1] = flagFinal
 			n.put32(20, ttt)
-			x.stamp(n)
+			x.setNumbers(n)
 			if _, ok := x.write(framing{}.append(nil, n)); !ok {
-				return errors.New("stalled in NOP-Out")
+				return errors.New("write of NOP-Out failed or timed out")
 			}
 		}
 	case opAsync:
-		if e := q.bhs[36]; e >= 1 && e <= 3 { // it wants us to log out, or drops the session
-			x.p.leaving = true
-			x.p.tell(policy.NodeDraining, 0)
+		if e := q.bhs[36]; e >= 1 && e <= 3 { // the target requests a logout, or drops the connection or the session
+			x.peer.logoutRequested = true
+			x.peer.reportState(policy.NodeDraining, 0)
 		}
 	case opReject:
 		if len(q.data) < bhsLen {
-			return fmt.Errorf("%w: reject without a header", errBroken)
+			return fmt.Errorf("%w: Reject without the rejected header", errProtocol)
 		}
-		if r := x.byTag[be.Uint32(q.data[16:])]; r != nil {
-			x.p.report(r, core.Result{Status: policy.Errored})
-			x.over(r)
+		if r := x.commands[be.Uint32(q.data[16:])]; r != nil {
+			x.peer.reportResult(r, core.Result{Status: policy.Errored})
+			x.removeCommand(r)
 		}
 	case opLogoutResp:
-		return errLogout
+		return errLoggedOut
 	default:
-		return fmt.Errorf("%w: unexpected %v", errBroken, q)
+		return fmt.Errorf("%w: unexpected %v", errProtocol, q)
 	}
 	return nil
 }
 
-// response ends a command: what its status says of whether it ran, and what goes back.
-func (x *nexus) response(c *command, q *pdu) error {
-	x.over(c)
-	if c.try == nil {
+// handleResponse ends a command. Its status decides the result of the attempt, and whether the response
+// is passed to the client.
+func (x *nexus) handleResponse(c *command, q *pdu) error {
+	x.removeCommand(c)
+	if c.attempt == nil {
 		return nil
 	}
-	if x.busy != 0 {
-		x.p.portals.heard(x)
+	if x.requestID != 0 {
+		x.peer.portals.recordProgress(x)
 	}
-	status, raw := q.bhs[3], []byte(nil)
+	status, rawSense := q.bhs[3], []byte(nil)
 	if q.op() == opSCSIResponse && len(q.data) >= 2 {
 		if n := int(be.Uint16(q.data)); n <= len(q.data)-2 {
-			raw = q.data[2 : 2+n]
+			rawSense = q.data[2 : 2+n]
 		}
 	}
 	r := core.Result{Status: policy.Errored}
-	pass := func() { r.Status, r.Payload = policy.OK, &result{status: status, sense: raw, data: c.data} }
+	passOn := func() { r.Status, r.Payload = policy.OK, &result{status: status, sense: rawSense, data: c.readData} }
 	switch {
-	case q.op() == opSCSIResponse && q.bhs[2] != 0: // the target failed, not the command
+	case q.op() == opSCSIResponse && q.bhs[2] != 0: // iSCSI response "target failure": the command has no status
 	case status == statusGood:
-		if !c.job.block.write && uint32(len(c.data)) != c.job.size {
-			break // a short read is no whole answer
+		if !c.transfer.block.write && uint32(len(c.readData)) != c.transfer.size {
+			break // a short read is not a complete response
 		}
-		if q.bhs[1]&0x06 != 0 { // a residual: not all of it was moved
+		if q.bhs[1]&0x06 != 0 { // residual underflow or overflow: the transfer is incomplete
 			break
 		}
-		pass()
+		passOn()
 	case status == statusBusy || status == statusTaskSetFull:
 		r.Status = policy.NodeFull
 	case status == statusConflict:
-		pass()
+		passOn()
 	case status == statusCheckCondition:
-		switch senseKey(raw) {
+		switch senseKey(rawSense) {
 		case senseIllegalRequest, senseDataProtect:
-			pass() // no other try would end otherwise: the client is told as it is
+			passOn() // another attempt would fail likewise, so the client gets this response
 		case senseNotReady, senseUnitAttention:
-			r.Status = policy.NodeFull // reported in place of the command, which did not run (SPC-4)
+			r.Status = policy.NodeFull // the sense was reported instead of running the command (SPC-4)
 		}
 	}
-	x.p.report(c, r)
+	x.peer.reportResult(c, r)
 	return nil
 }
 
-func (x *nexus) sayLogout() {
+func (x *nexus) sendLogout() {
 	q := newPDU(opLogoutReq, 1<<31)
-	q.bhs[0] |= immediate
-	q.bhs[1] = flagF // reason 0: close the session
-	x.stamp(q)
+	q.bhs[0] |= flagImmediate
+	q.bhs[1] = flagFinal // reason 0: close the session
+	x.setNumbers(q)
 	x.write(framing{}.append(nil, q))
 }
 
-func (x *nexus) tick(now time.Time) {
-	if x.link == nil {
+func (x *nexus) checkTimeouts(now time.Time) {
+	if x.conn == nil {
 		return
 	}
-	if x.p.leaving && len(x.byTag) == 0 {
-		if x.logout.IsZero() {
-			x.logout = now
-			x.sayLogout()
-		} else if now.Sub(x.logout) > logoutWait {
-			x.down()
+	if x.peer.logoutRequested && len(x.commands) == 0 {
+		if x.logoutSentAt.IsZero() {
+			x.logoutSentAt = now
+			x.sendLogout()
+		} else if now.Sub(x.logoutSentAt) > logoutTimeout {
+			x.disconnect()
 		}
 		return
 	}
-	switch quiet := now.Sub(x.heard); {
-	case quiet > peerDeadAfter:
-		x.p.d.Log.WithFields(operr.Fields(&Dropped{x.p.name, errSilent})).Warn("storage target: connection dropped")
-		x.down()
-	case quiet > peerPingAfter && !x.pinged:
-		x.pinged = true
+	switch silence := now.Sub(x.lastPDUAt); {
+	case silence > peerDeadAfterSilence:
+		x.peer.dialer.Log.WithFields(operr.Fields(&ConnectionDroppedError{x.peer.name, errTargetSilent})).Warn("storage target: connection dropped")
+		x.disconnect()
+	case silence > peerPingAfterSilence && !x.pingSent:
+		x.pingSent = true
 		n := newPDU(opNopOut, 1<<31)
-		n.bhs[0] |= immediate
-		n.bhs[1] = flagF
+		n.bhs[0] |= flagImmediate
+		n.bhs[1] = flagFinal
 		n.put32(20, noTag)
-		x.stamp(n)
+		x.setNumbers(n)
 		if _, ok := x.write(framing{}.append(nil, n)); !ok {
-			x.down()
+			x.disconnect()
 		}
 	}
 }
--- a/internal/iscsi/pdu.go
+++ b/internal/iscsi/pdu.go
@@ -1,6 +1,6 @@
 // Package iscsi is a front that speaks iSCSI over TCP (RFC 7143) on both sides: a target for
-// the clients, and an initiator for each storage target. Error recovery level 0, one
-// connection a session, no authentication.
+// the clients, and an initiator for each storage target. It supports error recovery level 0
+// and one connection per session, and no authentication.
 package iscsi
 
 import (
@@ -43,20 +43,20 @@
 )
 
 const (
-	bhsLen    = 48
-	flagF     = 0x80
-	noTag     = 0xffffffff
-	immediate = 0x40
-	// ahsKey is the AHS type, of those left to extensions (60 to 63), that carries a write's
-	// idempotency key to storage targets that drop repeats.
-	ahsKey = 60
+	bhsLen        = 48
+	flagFinal     = 0x80
+	noTag         = 0xffffffff
+	flagImmediate = 0x40
+	// ahsIdempotencyKey is the AHS type of a write's idempotency key for storage targets that deduplicate
+	// writes. It is one of the types reserved for extensions (60 to 63).
+	ahsIdempotencyKey = 60
 )
 
 var be = binary.BigEndian
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // pdu is one protocol data unit: the basic header segment as on the wire, the additional
-// ones, and the data segment without its padding.
+// header segments, and the data segment without its padding.
 type pdu struct {
 	bhs  [bhsLen]byte
 	ahs  []byte
@@ -64,7 +64,7 @@
 }
 
 var (
-	errTooLong = errors.New("data segment over the negotiated length")
+	errTooLong = errors.New("data segment longer than negotiated")
 	errDigest  = errors.New("digest error")
 )
 
@@ -76,40 +76,40 @@
 }
 
 func (p *pdu) op() byte               { return p.bhs[0] & 0x3f }
-func (p *pdu) immediate() bool        { return p.bhs[0]&immediate != 0 }
-func (p *pdu) final() bool            { return p.bhs[1]&flagF != 0 }
+func (p *pdu) immediate() bool        { return p.bhs[0]&flagImmediate != 0 }
+func (p *pdu) final() bool            { return p.bhs[1]&flagFinal != 0 }
 func (p *pdu) tag() uint32            { return p.u32(16) }
 func (p *pdu) u32(at int) uint32      { return be.Uint32(p.bhs[at:]) }
 func (p *pdu) put32(at int, v uint32) { be.PutUint32(p.bhs[at:], v) }
 func (p *pdu) lun() (uint16, bool)    { return decodeLUN(p.bhs[8:16]) }
 func (p *pdu) String() string         { return fmt.Sprintf("PDU 0x%02x tag 0x%x", p.op(), p.tag()) }
 
-// framing is what a connection has negotiated for reading or writing.
+// framing holds what a connection has negotiated for reading or writing PDUs.
 type framing struct {
 	headerDigest, dataDigest bool
-	most                     uint32 // longest data segment taken
+	maxDataSegment           uint32 // longest data segment accepted by read
 }
 
-// read reads one PDU. Lengths are held against their bounds before anything is allocated.
+// read reads one PDU. It checks the length against its bound before it allocates a buffer.
 func (f framing) read(br *bufio.Reader) (*pdu, error) {
 	p := &pdu{}
 	if _, err := io.ReadFull(br, p.bhs[:]); err != nil {
 		return nil, err
 	}
 	length := be.Uint32(p.bhs[4:8]) & 0xffffff
-	if length > f.most {
+	if length > f.maxDataSegment {
 		return p, fmt.Errorf("%w: %d bytes", errTooLong, length)
 	}
 	sum := crc32.Checksum(p.bhs[:], castagnoli)
 	if n := int(p.bhs[4]) * 4; n > 0 {
 		p.ahs = make([]byte, n)
 		if _, err := io.ReadFull(br, p.ahs); err != nil {
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		sum = crc32.Update(sum, castagnoli, p.ahs)
 	}
 	if f.headerDigest {
-		if err := digest(br, sum); err != nil {
+		if err := checkDigest(br, sum); err != nil {
 			return p, err
 		}
 	}
@@ -118,10 +118,10 @@
 	}
 	p.data = make([]byte, (length+3)&^3)
 	if _, err := io.ReadFull(br, p.data); err != nil {
-		return nil, cut(err)
+		return nil, unexpectedEOF(err)
 	}
 	if f.dataDigest {
-		if err := digest(br, crc32.Checksum(p.data, castagnoli)); err != nil {
+		if err := checkDigest(br, crc32.Checksum(p.data, castagnoli)); err != nil {
 			return p, err
 		}
 	}
@@ -129,18 +129,19 @@
 	return p, nil
 }
 
-// cut tells an end within a PDU from one between two.
-func cut(err error) error {
+// unexpectedEOF replaces io.EOF within a PDU by io.ErrUnexpectedEOF. Only between two PDUs an end of file is expected.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func digest(br *bufio.Reader, sum uint32) error {
+// checkDigest reads a digest and compares it with the computed one.
+func checkDigest(br *bufio.Reader, sum uint32) error {
 	var b [4]byte
 	if _, err := io.ReadFull(br, b[:]); err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
 	if binary.LittleEndian.Uint32(b[:]) != sum {
 		return errDigest
@@ -148,30 +149,30 @@
 	return nil
 }
 
-// append encodes a PDU once, with its padding and digests.
+// append appends the encoded PDU with its padding and digests to dst.
 func (f framing) append(dst []byte, p *pdu) []byte {
 	p.bhs[4] = byte(len(p.ahs) / 4)
 	p.bhs[5], p.bhs[6], p.bhs[7] = byte(len(p.data)>>16), byte(len(p.data)>>8), byte(len(p.data))
-	from := len(dst)
+	start := len(dst)
 	dst = append(append(dst, p.bhs[:]...), p.ahs...)
 	if f.headerDigest {
-		dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[from:], castagnoli))
+		dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[start:], castagnoli))
 	}
 	if len(p.data) == 0 {
 		return dst
 	}
-	from = len(dst)
+	start = len(dst)
 	dst = append(dst, p.data...)
-	for len(dst[from:])%4 != 0 {
+	for len(dst[start:])%4 != 0 {
 		dst = append(dst, 0)
 	}
 	if f.dataDigest {
-		dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[from:], castagnoli))
+		dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[start:], castagnoli))
 	}
 	return dst
 }
 
-// decodeLUN reads a single-level LUN, peripheral or flat (SAM-5, 4.7).
+// decodeLUN decodes a single-level LUN with peripheral or flat space addressing (SAM-5, 4.7).
 func decodeLUN(b []byte) (uint16, bool) {
 	for _, x := range b[2:8] {
 		if x != 0 {
@@ -194,23 +195,23 @@
 	be.PutUint16(b, lun)
 }
 
-// keyAHS makes the additional header segment that carries an idempotency key.
-func keyAHS(key string) []byte {
+// idempotencyKeyAHS returns the additional header segment that carries an idempotency key.
+func idempotencyKeyAHS(key string) []byte {
 	b := make([]byte, (3+1+len(key)+3)&^3)
-	be.PutUint16(b, uint16(1+len(key))) // what follows the type: a reserved byte and the key
-	b[2] = ahsKey
+	be.PutUint16(b, uint16(1+len(key))) // length of what follows the type: a reserved byte and the key
+	b[2] = ahsIdempotencyKey
 	copy(b[4:], key)
 	return b
 }
 
-// key finds an idempotency key among the additional header segments.
-func (p *pdu) key() string {
+// idempotencyKey returns the idempotency key in the additional header segments, or "".
+func (p *pdu) idempotencyKey() string {
 	for b := p.ahs; len(b) >= 4; {
 		n := int(be.Uint16(b))
 		if n < 1 || 3+n > len(b) {
 			return ""
 		}
-		if b[2] == ahsKey {
+		if b[2] == ahsIdempotencyKey {
 			return string(b[4 : 3+n])
 		}
 		b = b[min(len(b), (3+n+3)&^3):]
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -11,240 +11,243 @@
 	"wheatsaddle/internal/transport"
 )
 
-// portals is the part of a peer that keeps to its book of addresses. A connection of the book
-// is a session that has logged in; a request of the book is the span in which commands are out
-// on one, so that their silence is its silence. New commands go by the session that the book
-// named last; those out on another end there.
-type portals struct {
-	p      *peer
-	set    *address.Settings
-	book   *transport.AddressLoop
-	coming map[address.Conn]context.CancelFunc
-	up     map[address.Conn]*nexus
-	seq    address.Req
-	wanted address.Req // waits for a session; 0: none does
-	stay   time.Time   // no move before: the last one came to nothing
-}
-
-// portalMail is a login's end.
-type portalMail struct {
-	conn address.Conn
-	link *link // nil: it failed
-	why  address.Reason
+// portalSelector chooses among the portals of a storage target by the state machine of package
+// address. A connection of the state machine is a session that has logged in. A request is the
+// time in which commands are in flight on a session, so commands without a response count as a
+// request without one. New commands use the session that the state machine chose last. Commands
+// in flight on another session finish there.
+type portalSelector struct {
+	peer           *storagePeer
+	settings       *address.Settings
+	selector       *transport.AddressLoop
+	connecting     map[address.Conn]context.CancelFunc
+	sessions       map[address.Conn]*nexus
+	lastRequest    address.Req
+	waitingRequest address.Req // the request that waits for a session; 0: none
+	noSwitchBefore time.Time   // no session on a better portal is requested before, as the last request failed
+}
+
+// portalLogin is the result of a login to a portal.
+type portalLogin struct {
+	connID address.Conn
+	conn   *loggedInConn // nil: the login failed
+	reason address.Reason
 }
 
 const (
-	portalConns    = 6 // sessions with one target, with those that come up or finish
-	portalRequests = 4
+	maxPortalSessions = 6 // sessions with one target, including those that log in or finish
+	maxPortalRequests = 4
 )
 
-// bookSettings are those given, or the defaults.
-func (d *Dialer) bookSettings() *address.Settings {
-	if s := d.book.Load(); s != nil {
+// currentAddressSettings returns the settings given to SetAddressSettings, or the defaults.
+func (d *Dialer) currentAddressSettings() *address.Settings {
+	if s := d.addressSettings.Load(); s != nil {
 		return s
 	}
 	s := address.Defaults()
-	d.book.CompareAndSwap(nil, &s)
-	return d.book.Load()
+	d.addressSettings.CompareAndSwap(nil, &s)
+	return d.addressSettings.Load()
 }
 
-func newPortals(p *peer) *portals {
-	o := &portals{p: p, set: p.d.bookSettings(), coming: map[address.Conn]context.CancelFunc{},
-		up: map[address.Conn]*nexus{}}
-	set := *o.set
-	set.MaxConns, set.MaxWaiting = portalConns, portalRequests
+func newPortalSelector(p *storagePeer) *portalSelector {
+	o := &portalSelector{peer: p, settings: p.dialer.currentAddressSettings(), connecting: map[address.Conn]context.CancelFunc{},
+		sessions: map[address.Conn]*nexus{}}
+	settings := *o.settings
+	settings.MaxConns, settings.MaxWaiting = maxPortalSessions, maxPortalRequests
 	h := fnv.New64a()
-	h.Write([]byte(p.d.Name + p.name))
-	book, err := address.New(set, h.Sum64())
-	if err != nil { // they were checked when they were read
+	h.Write([]byte(p.dialer.Name + p.name))
+	selector, err := address.New(settings, h.Sum64())
+	if err != nil { // the settings were validated when they were read
 		panic("address settings: " + err.Error())
 	}
-	o.book = transport.NewAddressLoop(book, o.do)
+	o.selector = transport.NewAddressLoop(selector, o.execute)
 	return o
 }
 
-// ready says whether the session may take commands: one that rests is asked for anew, which is
-// when it may move to another portal.
-func (o *portals) ready() bool {
-	if x := o.p.cur; x != nil && x.busy != 0 {
-		if o.move(); o.wanted == 0 || !o.book.HasBetter(x.link.at) {
+// sessionReady reports whether the current session may take commands. If it has no commands in
+// flight, a session is requested, which may select another portal.
+func (o *portalSelector) sessionReady() bool {
+	if x := o.peer.current; x != nil && x.requestID != 0 {
+		if o.requestBetterSession(); o.waitingRequest == 0 || !o.selector.HasBetter(x.conn.addr) {
 			return true
 		}
-		return false // another portal's session is on its way
+		return false // a session on a better portal was requested
 	}
-	o.want()
-	return o.p.cur != nil && o.p.cur.busy != 0
+	o.requestSession()
+	return o.peer.current != nil && o.peer.current.requestID != 0
 }
 
-// want asks the book for a session.
-func (o *portals) want() {
-	if o.wanted == 0 {
-		o.seq++
-		o.wanted = o.seq
-		o.book.Step(address.Event{Kind: address.RequestQueued, Req: o.wanted, Idempotent: true, NamesShard: true}) // the login names the target
+// requestSession requests a session from the state machine, unless a request is waiting.
+func (o *portalSelector) requestSession() {
+	if o.waitingRequest == 0 {
+		o.lastRequest++
+		o.waitingRequest = o.lastRequest
+		o.selector.Step(address.Event{Kind: address.RequestQueued, Req: o.waitingRequest, Idempotent: true, NamesShard: true}) // the login names the target
 	}
 }
 
-// nudge lets the book try preferred portals again while commands keep the session busy, and
-// moves new commands to another portal where the book now prefers it.
-func (o *portals) nudge() {
-	x := o.p.cur
-	if x == nil || x.busy == 0 || o.p.draining.Load() || o.p.leaving {
+// retryPreferred lets the state machine try preferred portals again while commands are in flight
+// on the session, and requests a session on a better portal if there is one.
+func (o *portalSelector) retryPreferred() {
+	x := o.peer.current
+	if x == nil || x.requestID == 0 || o.peer.draining.Load() || o.peer.logoutRequested {
 		return
 	}
-	o.book.Step(address.Event{Kind: address.DemandContinued})
-	o.move()
+	o.selector.Step(address.Event{Kind: address.DemandContinued})
+	o.requestBetterSession()
 }
 
-// move asks for a session by the primary where the present one is by another.
-func (o *portals) move() {
-	if x := o.p.cur; x != nil && x.busy != 0 && time.Now().After(o.stay) && o.book.HasBetter(x.link.at) {
-		o.want()
+// requestBetterSession requests a session if a better portal than that of the current session is
+// available.
+func (o *portalSelector) requestBetterSession() {
+	if x := o.peer.current; x != nil && x.requestID != 0 && time.Now().After(o.noSwitchBefore) && o.selector.HasBetter(x.conn.addr) {
+		o.requestSession()
 	}
 }
 
-// heard tells the book that the session's target answers.
-func (o *portals) heard(x *nexus) {
-	x.spoke = true
-	o.book.Step(address.Event{Kind: address.ProgressSeen, Conn: x.conn})
+// recordProgress reports to the state machine that the target responds on the session.
+func (o *portalSelector) recordProgress(x *nexus) {
+	x.answered = true
+	o.selector.Step(address.Event{Kind: address.ProgressSeen, Conn: x.connID})
 }
 
-// rest ends the book's request: no command is out any more. Where none was answered, all were
-// given up, and the session is of no use.
-func (o *portals) rest(x *nexus) {
-	q := x.busy
-	x.busy = 0
-	if x.spoke {
-		o.book.Step(address.Event{Kind: address.ResponseReceived, Conn: x.conn, Req: q, Verdict: address.VerdictServed, KeepAlive: true})
+// finishRequest ends the session's request, as no command is in flight any more. If no command
+// was answered, all were abandoned, and the request ends as cancelled.
+func (o *portalSelector) finishRequest(x *nexus) {
+	q := x.requestID
+	x.requestID = 0
+	if x.answered {
+		o.selector.Step(address.Event{Kind: address.ResponseReceived, Conn: x.connID, Req: q, Verdict: address.VerdictServed, KeepAlive: true})
 	} else {
-		o.book.Step(address.Event{Kind: address.RequestDropped, Conn: x.conn, Req: q})
+		o.selector.Step(address.Event{Kind: address.RequestDropped, Conn: x.connID, Req: q})
 	}
 }
 
-// lost tells the book that a session has ended.
-func (o *portals) lost(x *nexus) {
-	id, q := x.conn, x.busy
-	x.conn, x.busy = 0, 0
-	delete(o.up, id)
+// recordSessionEnd reports to the state machine that a session has ended.
+func (o *portalSelector) recordSessionEnd(x *nexus) {
+	id, q := x.connID, x.requestID
+	x.connID, x.requestID = 0, 0
+	delete(o.sessions, id)
 	if q != 0 {
-		o.book.Step(address.Event{Kind: address.ConnBroken, Conn: id, Req: q, Reason: address.ReasonReset})
+		o.selector.Step(address.Event{Kind: address.ConnBroken, Conn: id, Req: q, Reason: address.ReasonReset})
 	} else {
-		o.book.Step(address.Event{Kind: address.IdleConnClosed, Conn: id})
+		o.selector.Step(address.Event{Kind: address.IdleConnClosed, Conn: id})
 	}
 }
 
-func (o *portals) end() {
-	for _, stop := range o.coming {
+func (o *portalSelector) shutDown() {
+	for _, stop := range o.connecting {
 		stop()
 	}
-	for _, x := range o.up {
-		x.conn = 0
-		x.bye()
+	for _, x := range o.sessions {
+		x.connID = 0
+		x.logOut()
 	}
-	o.book.Timer.Stop()
+	o.selector.Timer.Stop()
 }
 
-// hear takes a login's end.
-func (o *portals) hear(m *portalMail) {
-	stop := o.coming[m.conn]
-	if stop == nil { // the book has closed it
-		if m.link != nil {
-			m.link.nc.Close()
+// handleLogin handles the result of a login.
+func (o *portalSelector) handleLogin(m *portalLogin) {
+	stop := o.connecting[m.connID]
+	if stop == nil { // the state machine has closed the connection meanwhile
+		if m.conn != nil {
+			m.conn.netConn.Close()
 		}
 		return
 	}
 	stop()
-	delete(o.coming, m.conn)
-	if m.link == nil {
-		o.p.redial = time.Now().Add(redialEvery)
-		o.book.Step(address.Event{Kind: address.ConnectFailed, Conn: m.conn, Reason: m.why})
+	delete(o.connecting, m.connID)
+	if m.conn == nil {
+		o.peer.redialAt = time.Now().Add(redialDelay)
+		o.selector.Step(address.Event{Kind: address.ConnectFailed, Conn: m.connID, Reason: m.reason})
 		return
 	}
-	x := newNexus(o.p, m.link)
-	x.conn = m.conn
-	o.up[m.conn] = x
-	o.book.Step(address.Event{Kind: address.Connected, Conn: m.conn})
-	if o.up[m.conn] == x && x.busy == 0 && o.p.cur != nil && o.p.cur != x {
-		o.want() // it is a trial: the login was what there was to try
+	x := newNexus(o.peer, m.conn)
+	x.connID = m.connID
+	o.sessions[m.connID] = x
+	o.selector.Step(address.Event{Kind: address.Connected, Conn: m.connID})
+	if o.sessions[m.connID] == x && x.requestID == 0 && o.peer.current != nil && o.peer.current != x {
+		o.requestSession() // a trial connection, whose test is the login: use it
 	}
 }
 
-// settle tells the book of a drain and of new settings, and sets the timer.
-func (o *portals) settle() <-chan time.Time {
-	o.book.SetDraining(o.p.draining.Load())
-	if s := o.p.d.bookSettings(); s != o.set {
-		o.set = s
-		o.book.Adjust(*s)
+// syncSelector reports a drain and new settings to the state machine, and sets the timer.
+func (o *portalSelector) syncSelector() <-chan time.Time {
+	o.selector.SetDraining(o.peer.draining.Load())
+	if s := o.peer.dialer.currentAddressSettings(); s != o.settings {
+		o.settings = s
+		o.selector.Adjust(*s)
 	}
-	o.move()
-	return o.book.ArmTimer()
+	o.requestBetterSession()
+	return o.selector.ArmTimer()
 }
 
-func (o *portals) do(a address.Action) {
+func (o *portalSelector) execute(a address.Action) {
 	switch a.Kind {
 	case address.Connect:
-		ctx, stop := context.WithTimeout(context.Background(), o.p.d.ConnectTimeout)
-		o.coming[a.Conn] = stop
+		ctx, stop := context.WithTimeout(context.Background(), o.peer.dialer.ConnectTimeout)
+		o.connecting[a.Conn] = stop
 		go func() {
-			l, why, _ := o.p.login(ctx, a.Addr)
-			m := mail{portal: &portalMail{conn: a.Conn, link: l, why: why}}
+			l, reason, _ := o.peer.login(ctx, a.Addr)
+			m := message{portalLogin: &portalLogin{connID: a.Conn, conn: l, reason: reason}}
 			select {
-			case o.p.mail <- m:
-			case <-o.p.done:
+			case o.peer.mailbox <- m:
+			case <-o.peer.done:
 				if l != nil {
-					l.nc.Close()
+					l.netConn.Close()
 				}
 			}
 		}()
 	case address.Write:
-		o.give(o.up[a.Conn], a.Req)
+		o.assignSession(o.sessions[a.Conn], a.Req)
 	case address.Close:
-		if stop := o.coming[a.Conn]; stop != nil {
+		if stop := o.connecting[a.Conn]; stop != nil {
 			stop()
-			delete(o.coming, a.Conn)
-		} else if x := o.up[a.Conn]; x != nil {
-			delete(o.up, a.Conn)
-			x.conn, x.busy = 0, 0
-			if o.p.cur == x {
-				o.p.cur = nil
-				o.p.old[x] = true
+			delete(o.connecting, a.Conn)
+		} else if x := o.sessions[a.Conn]; x != nil {
+			delete(o.sessions, a.Conn)
+			x.connID, x.requestID = 0, 0
+			if o.peer.current == x {
+				o.peer.current = nil
+				o.peer.retiring[x] = true
 			}
-			if x.live() {
-				return // its commands end on it
+			if x.hasLiveCommands() {
+				return // its commands in flight finish on it
 			}
-			x.bye()
+			x.logOut()
 		}
 	case address.Fail:
-		if a.Req == o.wanted {
-			o.wanted, o.stay = 0, time.Now().Add(o.set.TrialInterval)
-			if o.p.cur == nil {
-				o.p.failQueue()
+		if a.Req == o.waitingRequest {
+			o.waitingRequest, o.noSwitchBefore = 0, time.Now().Add(o.settings.TrialInterval)
+			if o.peer.current == nil {
+				o.peer.failQueue()
 			}
 		}
 	case address.LogState:
-		o.p.d.Log.WithFields(logrus.Fields{"node": o.p.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
+		o.peer.dialer.Log.WithFields(logrus.Fields{"node": o.peer.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
 			Info("address")
 	}
 }
 
-// give takes the session that the book names. Beside one that serves, and not by the primary,
-// it was a trial, and its login is the answer.
-func (o *portals) give(x *nexus, q address.Req) {
-	if q == o.wanted {
-		o.wanted = 0
+// assignSession makes the session that the state machine chose the current one. If another session
+// is in use and the new one is not on the primary portal, it was a trial. The successful login
+// then counts as the response, and the session is closed.
+func (o *portalSelector) assignSession(x *nexus, q address.Req) {
+	if q == o.waitingRequest {
+		o.waitingRequest = 0
 	}
-	x.busy, x.spoke = q, false
-	if cur := o.p.cur; cur != nil && cur != x && cur.link != nil && x.link.at != o.book.Primary() {
-		x.busy = 0
-		id := x.conn
-		x.conn = 0
-		delete(o.up, id)
-		x.bye()
-		o.book.Step(address.Event{Kind: address.ResponseReceived, Conn: id, Req: q, Verdict: address.VerdictServed})
+	x.requestID, x.answered = q, false
+	if cur := o.peer.current; cur != nil && cur != x && cur.conn != nil && x.conn.addr != o.selector.Primary() {
+		x.requestID = 0
+		id := x.connID
+		x.connID = 0
+		delete(o.sessions, id)
+		x.logOut()
+		o.selector.Step(address.Event{Kind: address.ResponseReceived, Conn: id, Req: q, Verdict: address.VerdictServed})
 		return
 	}
-	if o.p.cur != x {
-		delete(o.p.old, x)
-		o.p.use(x)
+	if o.peer.current != x {
+		delete(o.peer.retiring, x)
+		o.peer.makeCurrent(x)
 	}
 }
--- a/internal/iscsi/response.go
+++ b/internal/iscsi/response.go
@@ -15,39 +15,39 @@
 
 // coreAnswer is the core's answer to a task's request.
 type coreAnswer struct {
-	task *task
+	task *scsiTask
 	core.Answer
 }
 
-// sendResponses turns the core's answers into responses. Answers to tasks aborted meanwhile are dropped.
+// sendResponses turns the core's answers into responses. Answers to tasks that were aborted meanwhile are dropped.
 func (s *session) sendResponses() {
 	s.mu.Lock()
 	answers := s.answers
 	s.answers = nil
 	s.mu.Unlock()
 	for _, a := range answers {
-		k := a.task
-		if s.tasks[k.initiatorTaskTag] != k {
+		task := a.task
+		if s.tasks[task.initiatorTaskTag] != task {
 			continue
 		}
 		switch a.Kind {
 		case core.Served:
 			r := a.Payload.(*result)
-			moved := k.length
-			if !k.block.write {
-				moved = uint32(len(r.data))
+			transferred := task.length
+			if !task.block.write {
+				transferred = uint32(len(r.data))
 			}
-			s.sendResponse(k, r.status, r.sense, r.data, moved, 0)
+			s.sendResponse(task, r.status, r.sense, r.data, transferred, 0)
 		case core.Rejected:
-			s.refuseTask(k, a.RetryAfter)
+			s.rejectTask(task, a.RetryAfter)
 		case core.Failed:
-			s.finishTask(k, statusCheckCondition, failureSense(a.Cause, k.block.write), nil, 0)
+			s.finishTask(task, statusCheckCondition, failureSense(a.Cause, task.block.write), nil, 0)
 		}
 	}
 }
 
-// failureSense is the sense of a failed request. A read gets ABORTED COMMAND, which invites a retry. A write that
-// may have run gets HARDWARE ERROR, which does not.
+// failureSense returns the sense of a failed request. A read gets ABORTED COMMAND, after which initiators retry. A
+// write that may have run gets HARDWARE ERROR, after which they do not.
 func failureSense(cause core.Cause, write bool) *sense {
 	switch {
 	case cause == core.CauseUnknownClass:
@@ -60,67 +60,67 @@
 	return &senseReadLost
 }
 
-// refuseTask answers that the command was not run: TASK SET FULL while this initiator has other tasks, else BUSY
-// (SAM-5, 5.3.1). The status qualifier carries the time after which to retry.
-func (s *session) refuseTask(k *task, wait time.Duration) {
+// rejectTask responds that the command was not run: with TASK SET FULL while this initiator has other tasks, else with
+// BUSY (SAM-5, 5.3.1). The status qualifier carries the time after which to retry.
+func (s *session) rejectTask(task *scsiTask, wait time.Duration) {
 	status := byte(statusBusy)
 	if len(s.tasks) > 1 {
 		status = statusTaskSetFull
 	}
 	steps := min((wait+statusQualifierUnit-1)/statusQualifierUnit, maxStatusQualifier)
-	s.sendResponse(k, status, nil, nil, 0, uint16(steps))
+	s.sendResponse(task, status, nil, nil, 0, uint16(steps))
 }
 
 // finishTask sends a task's data and response, with sense if the command failed.
-func (s *session) finishTask(k *task, status byte, bad *sense, data []byte, moved uint32) {
-	var raw []byte
-	if bad != nil {
-		raw = bad.fixed()
+func (s *session) finishTask(task *scsiTask, status byte, failure *sense, data []byte, transferred uint32) {
+	var rawSense []byte
+	if failure != nil {
+		rawSense = failure.encodeFixed()
 	}
-	s.sendResponse(k, status, raw, data, moved, 0)
+	s.sendResponse(task, status, rawSense, data, transferred, 0)
 }
 
-// sendResponse removes a task and sends its data and its only response, with the residual count where moved differs
-// from the expected length.
-func (s *session) sendResponse(k *task, status byte, raw, data []byte, moved uint32, qualifier uint16) {
-	s.removeTask(k)
-	if len(data) > int(k.expectedLength) {
-		data = data[:k.expectedLength]
+// sendResponse removes a task and sends its data and its only response, with the residual count if the number of
+// transferred bytes differs from the expected length.
+func (s *session) sendResponse(task *scsiTask, status byte, rawSense, data []byte, transferred uint32, qualifier uint16) {
+	s.removeTask(task)
+	if len(data) > int(task.expectedLength) {
+		data = data[:task.expectedLength]
 	}
-	dataSN := s.sendDataIn(k, data)
-	r := newPDU(opSCSIResponse, k.initiatorTaskTag)
-	r.bhs[1], r.bhs[3] = flagF, status
+	dataSN := s.sendDataIn(task, data)
+	r := newPDU(opSCSIResponse, task.initiatorTaskTag)
+	r.bhs[1], r.bhs[3] = flagFinal, status
 	switch {
-	case moved > k.expectedLength:
+	case transferred > task.expectedLength:
 		r.bhs[1] |= 0x04
-		r.put32(44, moved-k.expectedLength)
-	case moved < k.expectedLength:
+		r.put32(44, transferred-task.expectedLength)
+	case transferred < task.expectedLength:
 		r.bhs[1] |= 0x02
-		r.put32(44, k.expectedLength-moved)
+		r.put32(44, task.expectedLength-transferred)
 	}
-	r.put32(36, dataSN+k.r2tSN) // Data-In or R2T PDUs sent
+	r.put32(36, dataSN+task.r2tSN) // Data-In or R2T PDUs sent
 	if s.params.protocolLevel >= 2 {
 		be.PutUint16(r.bhs[8:], qualifier) // RFC 7144, 4.2
 	}
-	if len(raw) > 0 {
-		r.data = append([]byte{byte(len(raw) >> 8), byte(len(raw))}, raw...)
+	if len(rawSense) > 0 {
+		r.data = append([]byte{byte(len(rawSense) >> 8), byte(len(rawSense))}, rawSense...)
 	}
 	s.queuePDU(r, true)
 }
 
 // sendDataIn sends read data in bursts and returns the number of Data-In PDUs.
-func (s *session) sendDataIn(k *task, data []byte) (sn uint32) {
+func (s *session) sendDataIn(task *scsiTask, data []byte) (sn uint32) {
 	left := s.params.maxBurst
 	for at := uint32(0); at < uint32(len(data)); {
-		n := min(uint32(len(data))-at, s.params.theirMost, left)
-		d := newPDU(opDataIn, k.initiatorTaskTag)
+		n := min(uint32(len(data))-at, s.params.peerMaxSegment, left)
+		d := newPDU(opDataIn, task.initiatorTaskTag)
 		d.data = data[at : at+n]
 		d.put32(20, noTag)
 		d.put32(36, sn)
 		d.put32(40, at)
 		at, left, sn = at+n, left-n, sn+1
 		if left == 0 || at == uint32(len(data)) {
-			d.bhs[1], left = flagF, s.params.maxBurst
+			d.bhs[1], left = flagFinal, s.params.maxBurst
 		}
 		s.queuePDU(d, false)
 	}
--- a/internal/iscsi/scsi.go
+++ b/internal/iscsi/scsi.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// SCSI status (SAM-5).
+// SCSI statuses (SAM-5).
 const (
 	statusGood           = 0x00
 	statusCheckCondition = 0x02
@@ -43,13 +43,13 @@
 	senseAborted        = 0xb
 )
 
-// sense is a sense key with its additional code and qualifier.
+// sense is a sense key with its additional sense code and qualifier.
 type sense struct {
 	key  byte
 	code uint16
 }
 
-// The sense that this target reports.
+// The sense data that this target reports.
 var (
 	senseBadOpcode    = sense{senseIllegalRequest, 0x2000}
 	senseOutOfRange   = sense{senseIllegalRequest, 0x2100}
@@ -62,15 +62,15 @@
 	senseWriteInDoubt = sense{senseHardware, 0x0800}
 )
 
-// fixed encodes sense data in the fixed format.
-func (s sense) fixed() []byte {
+// encodeFixed encodes sense data in the fixed format.
+func (s sense) encodeFixed() []byte {
 	b := make([]byte, 18)
 	b[0], b[2], b[7] = 0x70, s.key, 10
 	be.PutUint16(b[12:], s.code)
 	return b
 }
 
-// senseKey reads the key of sense data in either format; 0: none.
+// senseKey returns the sense key of sense data in fixed or descriptor format, or 0 if there is none.
 func senseKey(b []byte) byte {
 	switch {
 	case len(b) > 2 && b[0]&0x7e == 0x70:
@@ -88,7 +88,7 @@
 	blocks uint32
 }
 
-// decodeBlock reads a CDB that moves blocks; ok is false for any other.
+// decodeBlock decodes a CDB that transfers blocks. ok is false for any other CDB.
 func decodeBlock(cdb []byte) (b block, ok bool) {
 	switch cdb[0] {
 	case scsiRead6, scsiWrite6:
@@ -112,7 +112,7 @@
 	return b, true
 }
 
-// cdb encodes a READ(16) or WRITE(16).
+// cdb encodes a READ(16) or WRITE(16) command.
 func (b block) cdb() (c [16]byte) {
 	c[0] = scsiRead16
 	if b.write {
@@ -123,18 +123,19 @@
 	return c
 }
 
-// within says whether the blocks lie inside a unit of that many.
+// within reports whether the blocks lie inside a unit of capacity blocks.
 func (b block) within(capacity uint64) bool {
 	return b.lba <= capacity && uint64(b.blocks) <= capacity-b.lba
 }
 
-// local answers the commands that need no storage target: what a unit is and how large.
-func (u *unit) local(cdb []byte, luns []uint16) (data []byte, alloc uint32, bad *sense) {
+// answerLocally answers the commands that need no storage target, such as those for a unit's identity and capacity. alloc is the
+// command's allocation length.
+func (u *unit) answerLocally(cdb []byte, luns []uint16) (data []byte, alloc uint32, failure *sense) {
 	switch cdb[0] {
 	case scsiTestUnitReady, scsiSyncCache10, scsiSyncCache16:
-		return nil, 0, nil // a write is answered once its storage target has it
+		return nil, 0, nil // nothing to flush: a write is answered only after its storage target has answered
 	case scsiRequestSense:
-		return sense{}.fixed(), uint32(cdb[4]), nil
+		return sense{}.encodeFixed(), uint32(cdb[4]), nil
 	case scsiInquiry:
 		data, ok := u.inquiry(cdb)
 		if !ok {
@@ -162,17 +163,18 @@
 		}
 		return b, be.Uint32(cdb[6:]), nil
 	case scsiModeSense6:
-		b := []byte{3, 0, u.protect(), 0}
+		b := []byte{3, 0, u.deviceSpecificParameter(), 0}
 		return b, uint32(cdb[4]), nil
 	case scsiModeSense10:
-		b := []byte{0, 6, 0, u.protect(), 0, 0, 0, 0}
+		b := []byte{0, 6, 0, u.deviceSpecificParameter(), 0, 0, 0, 0}
 		return b, uint32(be.Uint16(cdb[7:])), nil
 	}
 	return nil, 0, &senseBadOpcode
 }
 
-// protect is the device-specific parameter: write protected, and FUA taken as always on.
-func (u *unit) protect() byte {
+// deviceSpecificParameter returns the device-specific parameter of the mode parameter header: the WP bit, and DPOFUA, as FUA is
+// always in effect.
+func (u *unit) deviceSpecificParameter() byte {
 	if u.ReadOnly {
 		return 0x90
 	}
@@ -199,7 +201,7 @@
 		return page(0, []byte{0x00, 0x80, 0x83, 0xb0}), true
 	case 0x80:
 		return page(0x80, []byte(u.Volume)), true
-	case 0x83: // T10 vendor id
+	case 0x83: // device identification with a T10 vendor ID designator
 		id := append(fmt.Appendf(nil, "%-8.8s", u.Vendor), u.Volume...)
 		return page(0x83, append([]byte{2, 1, 0, byte(len(id))}, id...)), true
 	case 0xb0: // block limits
--- a/internal/iscsi/session.go
+++ b/internal/iscsi/session.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// session serves one initiator over one connection, at error recovery level 0. The goroutine of run alone uses its
+// session serves one initiator over one connection, at error recovery level 0. Only the goroutine of run uses its
 // fields, except those marked as shared, and the reader and its framing, which readPDUs uses after the login.
 type session struct {
 	target                      *Target
@@ -25,9 +25,9 @@
 	statSN                      uint32
 	expCmdSN                    uint32
 	maxCmdSN                    uint32
-	nexus                       string // initiator, ISID and target; under the target's mu
+	nexus                       string // initiator, ISID and target; guarded by the target's mu
 	lastTransferTag             uint32
-	tasks                       map[uint32]*task // by initiator task tag
+	tasks                       map[uint32]*scsiTask // by initiator task tag
 	writeBuffer                 []byte
 	mu                          sync.Mutex    // guards answers
 	answers                     []coreAnswer  // shared: appended by the core, at most one for each task
@@ -39,18 +39,18 @@
 }
 
 var (
-	errLogout = errors.New("logged out")
-	errBroken = errors.New("protocol error")
+	errLoggedOut = errors.New("logged out")
+	errProtocol  = errors.New("protocol error")
 )
 
 // newSession returns a session that has yet to log in.
 func newSession(t *Target, nc net.Conn) *session {
-	return &session{target: t, conn: nc, reader: bufio.NewReaderSize(nc, 16<<10), params: defaults(), receiveFraming: framing{most: 8192},
-		tasks: map[uint32]*task{}, wake: make(chan struct{}, 1), lastPDUAt: time.Now()}
+	return &session{target: t, conn: nc, reader: bufio.NewReaderSize(nc, 16<<10), params: defaultParams(), receiveFraming: framing{maxDataSegment: 8192},
+		tasks: map[uint32]*scsiTask{}, wake: make(chan struct{}, 1), lastPDUAt: time.Now()}
 }
 
-// run logs the session in and serves it until logout, an error, or the end of its connection. Tasks still open then
-// are aborted without a response, because nobody is left to receive one.
+// run performs the login and serves the session until logout, an error, or the end of its connection. Tasks still open
+// then are aborted without a response, because the initiator can no longer receive one.
 func (s *session) run() error {
 	defer s.conn.Close()
 	if err := s.login(); err != nil {
@@ -62,12 +62,12 @@
 	failed := make(chan error, 1)
 	go s.readPDUs(pdus, failed, done)
 	defer func() {
-		for _, k := range s.tasks {
-			s.abortTask(k)
+		for _, task := range s.tasks {
+			s.abortTask(task)
 		}
 	}()
-	tick := time.NewTicker(sessionTick)
-	defer tick.Stop()
+	ticker := time.NewTicker(sessionCheckInterval)
+	defer ticker.Stop()
 	for {
 		var err error
 		select {
@@ -80,8 +80,8 @@
 				_ = s.flush()
 			}
 		case <-s.wake:
-		case now := <-tick.C:
-			err = s.tick(now)
+		case now := <-ticker.C:
+			err = s.checkTimeouts(now)
 		}
 		if err == nil {
 			s.sendResponses()
@@ -138,8 +138,8 @@
 	s.writeBuffer = s.sendFraming.append(s.writeBuffer, p)
 }
 
-// advanceMaxCmdSN returns MaxCmdSN, raised by the room in the task queue. It never falls: an offered window remains
-// valid although immediate commands may have taken places since.
+// advanceMaxCmdSN returns MaxCmdSN, raised to the capacity left in the task queue. It never decreases: an offered
+// window remains valid although immediate commands may have taken places in the queue since.
 func (s *session) advanceMaxCmdSN() uint32 {
 	if last := s.expCmdSN + uint32(max(0, s.target.conf.QueueDepth-len(s.tasks))) - 1; int32(last-s.maxCmdSN) > 0 {
 		s.maxCmdSN = last
@@ -150,7 +150,7 @@
 // sendReject queues a Reject with the header of a PDU that cannot be served.
 func (s *session) sendReject(p *pdu, reason byte) error {
 	r := newPDU(opReject, noTag)
-	r.bhs[1], r.bhs[2] = flagF, reason
+	r.bhs[1], r.bhs[2] = flagFinal, reason
 	if p != nil {
 		r.data = p.bhs[:]
 	}
@@ -158,32 +158,32 @@
 	return nil
 }
 
-// tick handles timeouts: of a task's write data, of the logout at shutdown, and of a silent initiator.
-func (s *session) tick(now time.Time) error {
-	for _, k := range s.tasks {
-		if k.request == nil && now.Sub(k.receivedAt) > k.deadline {
-			s.finishTask(k, statusCheckCondition, &senseTimeout, nil, 0) // its write data did not arrive in time
+// checkTimeouts handles the timeouts of a task's write data, of the logout at shutdown, and of an initiator that sends nothing.
+func (s *session) checkTimeouts(now time.Time) error {
+	for _, task := range s.tasks {
+		if task.request == nil && now.Sub(task.receivedAt) > task.deadline {
+			s.finishTask(task, statusCheckCondition, &senseTimeout, nil, 0) // its write data did not arrive in time
 		}
 	}
 	if s.draining.Load() {
 		if s.logoutRequestedAt.IsZero() {
 			s.logoutRequestedAt = now
 			a := newPDU(opAsync, noTag)
-			a.bhs[1], a.bhs[36] = flagF, 1 // the target requests logout
-			be.PutUint16(a.bhs[42:], 2)    // within this many seconds
+			a.bhs[1], a.bhs[36] = flagFinal, 1 // the target requests logout
+			be.PutUint16(a.bhs[42:], 2)        // within this many seconds
 			s.queuePDU(a, true)
 		} else if len(s.tasks) == 0 && s.logoutExpected(now) {
-			return errLogout
+			return errLoggedOut
 		}
 	}
-	switch quiet := now.Sub(s.lastPDUAt); {
-	case quiet > deadAfterSilence:
-		return errors.New("the initiator is silent")
-	case quiet > pingAfterSilence && !s.pingSent:
+	switch silence := now.Sub(s.lastPDUAt); {
+	case silence > deadAfterSilence:
+		return errors.New("the initiator stopped responding")
+	case silence > pingAfterSilence && !s.pingSent:
 		s.pingSent = true
 		s.lastTransferTag++
 		n := newPDU(opNopIn, noTag)
-		n.bhs[1] = flagF
+		n.bhs[1] = flagFinal
 		n.put32(20, s.lastTransferTag)
 		s.queuePDU(n, false)
 	}
@@ -192,10 +192,10 @@
 
 // logoutExpected reports whether the initiator was asked to log out and has had time to receive that request.
 func (s *session) logoutExpected(now time.Time) bool {
-	return !s.logoutRequestedAt.IsZero() && now.Sub(s.logoutRequestedAt) > 2*sessionTick
+	return !s.logoutRequestedAt.IsZero() && now.Sub(s.logoutRequestedAt) > 2*sessionCheckInterval
 }
 
-// acceptCmdSN checks a request's CmdSN against the command window; ok is false for a request to be ignored.
+// acceptCmdSN checks a PDU's CmdSN against the command window. ok is false for a PDU to be ignored.
 func (s *session) acceptCmdSN(p *pdu) (ok bool, err error) {
 	sn := p.u32(24)
 	if p.immediate() {
@@ -205,7 +205,7 @@
 		return false, nil // outside the window: ignored (4.2.2.1)
 	}
 	if sn != s.expCmdSN {
-		return false, fmt.Errorf("%w: CmdSN %d, expected %d", errBroken, sn, s.expCmdSN)
+		return false, fmt.Errorf("%w: CmdSN %d, expected %d", errProtocol, sn, s.expCmdSN)
 	}
 	s.expCmdSN++
 	return true, nil
@@ -230,9 +230,9 @@
 			return nil
 		}
 		r := newPDU(opNopIn, p.tag())
-		r.bhs[1] = flagF
+		r.bhs[1] = flagFinal
 		r.put32(20, noTag)
-		r.data = p.data[:min(len(p.data), int(s.params.theirMost))]
+		r.data = p.data[:min(len(p.data), int(s.params.peerMaxSegment))]
 		s.queuePDU(r, true)
 	case opSCSICommand:
 		return s.handleCommand(p)
@@ -242,18 +242,18 @@
 		return s.handleText(p)
 	case opLogoutReq:
 		r := newPDU(opLogoutResp, p.tag())
-		r.bhs[1] = flagF
+		r.bhs[1] = flagFinal
 		reason := p.bhs[1] & 0x7f
 		if reason == 2 { // logout for recovery, which error recovery level 0 does not support
 			r.bhs[2] = 2
 			s.queuePDU(r, true)
 			return nil
 		}
-		for _, k := range s.tasks {
-			s.abortTask(k)
+		for _, task := range s.tasks {
+			s.abortTask(task)
 		}
 		s.queuePDU(r, true)
-		return errLogout
+		return errLoggedOut
 	case opLoginReq, opSNACK:
 		return s.sendReject(p, rejectProtocol)
 	default:
@@ -282,9 +282,9 @@
 		}
 	}
 	r := newPDU(opTextResp, p.tag())
-	r.bhs[1] = flagF
+	r.bhs[1] = flagFinal
 	r.put32(20, noTag)
-	if r.data = encodeText(out); len(r.data) > int(s.params.theirMost) {
+	if r.data = encodeText(out); len(r.data) > int(s.params.peerMaxSegment) {
 		return s.sendReject(p, rejectProtocol)
 	}
 	s.queuePDU(r, true)
--- a/internal/iscsi/standin_test.go
+++ b/internal/iscsi/standin_test.go
@@ -94,7 +94,7 @@
 func (s *standin) loggedInTo() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	name, _ := find(s.login, "TargetName")
+	name, _ := findValue(s.login, "TargetName")
 	return name
 }
 
@@ -125,13 +125,13 @@
 // leave asks for logout, and returns once the initiator has heard of it.
 func (s *standin) leave() {
 	a := newPDU(opAsync, noTag)
-	a.bhs[1], a.bhs[36] = flagF, 1
+	a.bhs[1], a.bhs[36] = flagFinal, 1
 	s.mu.Lock()
 	last := s.last
 	s.mu.Unlock()
 	last.say(a, true)
 	n := newPDU(opNopIn, noTag)
-	n.bhs[1] = flagF
+	n.bhs[1] = flagFinal
 	n.put32(20, 7)
 	last.say(n, false)
 	<-s.pongs
@@ -140,7 +140,7 @@
 func (s *standin) serve(nc net.Conn) {
 	session := &standSession{standin: s, conn: nc}
 	defer nc.Close()
-	br, frames := bufio.NewReader(nc), framing{most: 8192}
+	br, frames := bufio.NewReader(nc), framing{maxDataSegment: 8192}
 	p, err := frames.read(br)
 	if err != nil || session.cutting(cutLogin) {
 		return
@@ -156,7 +156,7 @@
 	r.bhs[1], r.bhs[15], r.data = p.bhs[1], 1, encodeText(session.answer)
 	be.PutUint16(r.bhs[36:], refuse)
 	session.say(r, true)
-	frames.most = 4096
+	frames.maxDataSegment = 4096
 	for {
 		if p, err = frames.read(br); err != nil || refuse != 0 {
 			return
@@ -180,11 +180,11 @@
 			session.aborts++
 			session.mu.Unlock()
 			a := newPDU(opTaskMgmtResp, p.tag())
-			a.bhs[1] = flagF
+			a.bhs[1] = flagFinal
 			session.say(a, true)
 		case opLogoutReq:
 			a := newPDU(opLogoutResp, p.tag())
-			a.bhs[1] = flagF
+			a.bhs[1] = flagFinal
 			session.say(a, true)
 			session.logouts <- struct{}{}
 			return
@@ -206,7 +206,7 @@
 	for at := uint32(0); b.write && at < size; {
 		n := min(size-at, 16384)
 		r := newPDU(opR2T, p.tag())
-		r.bhs[1] = flagF
+		r.bhs[1] = flagFinal
 		r.put32(20, 99)
 		r.put32(40, at)
 		r.put32(44, n)
@@ -228,7 +228,7 @@
 	}
 	s.mu.Lock()
 	status, raw, hold := s.status, s.sense, s.hold
-	if key := p.key(); status == statusGood && !(s.drops && key != "" && s.keys[key]) {
+	if key := p.idempotencyKey(); status == statusGood && !(s.drops && key != "" && s.keys[key]) {
 		s.ran++ // an execution
 		s.keys[key] = true
 		for i := uint32(0); b.write && i < b.blocks; i++ {
@@ -272,7 +272,7 @@
 		}
 	}
 	r := newPDU(opSCSIResponse, tag)
-	r.bhs[1], r.bhs[3] = flagF, status
+	r.bhs[1], r.bhs[3] = flagFinal, status
 	if len(raw) > 0 {
 		r.data = append([]byte{0, byte(len(raw))}, raw...)
 	}
@@ -299,7 +299,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	return &initiator{t: t, nc: nc, br: bufio.NewReader(nc), in: framing{most: 1 << 20}, p: defaults(), cmdSN: 1,
+	return &initiator{t: t, nc: nc, br: bufio.NewReader(nc), in: framing{maxDataSegment: 1 << 20}, p: defaultParams(), cmdSN: 1,
 		itt: 100, responses: map[uint32]int{}}
 }
 
@@ -307,8 +307,8 @@
 func (c *initiator) login(stages byte, pairs ...pair) uint16 {
 	c.t.Helper()
 	p := newPDU(opLoginReq, 1)
-	p.bhs[0] |= immediate
-	p.bhs[1] = flagF | stages
+	p.bhs[0] |= flagImmediate
+	p.bhs[1] = flagFinal | stages
 	p.put32(24, c.cmdSN)
 	copy(p.bhs[8:14], c.isid)
 	p.data = encodeText(pairs)
@@ -318,7 +318,7 @@
 	if err != nil || r.op() != opLoginResp {
 		c.t.Fatalf("login: %v %v", r, err)
 	}
-	if err := c.p.adopt(text); err != nil {
+	if err := c.p.applyResponse(text); err != nil {
 		c.t.Fatal(err)
 	}
 	if r.bhs[1]&3 == stageFull {
@@ -365,7 +365,7 @@
 	c.t.Helper()
 	c.itt++
 	p := newPDU(opSCSICommand, c.itt)
-	p.bhs[1] = flagF | flags | 1
+	p.bhs[1] = flagFinal | flags | 1
 	encodeLUN(p.bhs[8:], lun)
 	p.put32(20, expected)
 	p.put32(24, c.cmdSN)
@@ -425,7 +425,7 @@
 		d.put32(40, at)
 		d.data = data[at : at+n]
 		if at += n; at == end {
-			d.bhs[1] = flagF
+			d.bhs[1] = flagFinal
 		}
 		c.send(d)
 	}
--- a/internal/iscsi/target.go
+++ b/internal/iscsi/target.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	maxBufferedBytes = 32 << 20 // write and read data reserved by all sessions together
-	writeTimeout     = 10 * time.Second
-	sessionTick      = 100 * time.Millisecond // between two checks of a session's timeouts
-	pingAfterSilence = 30 * time.Second       // without a PDU, until a NOP-In asks for one
-	deadAfterSilence = 60 * time.Second       // without a PDU, until the session is closed
-	portalGroupTag   = "1"
+	maxBufferedBytes     = 32 << 20 // write and read data reserved by all sessions in total
+	writeTimeout         = 10 * time.Second
+	sessionCheckInterval = 100 * time.Millisecond // between two checks of a session's timeouts
+	pingAfterSilence     = 30 * time.Second       // without a PDU, until a NOP-In requests one
+	deadAfterSilence     = 60 * time.Second       // without a PDU, until the session is closed
+	portalGroupTag       = "1"
 	// A status qualifier counts in units of 100 ms (SAM-5, 5.3.2).
 	statusQualifierUnit = 100 * time.Millisecond
 	maxStatusQualifier  = 0x3fef
@@ -89,7 +89,7 @@
 		go func() {
 			defer func() {
 				if p := recover(); p != nil { // a panic in one session must not end the others
-					t.log.WithField("stack", string(debug.Stack())).WithFields(operr.Fields(&Panicked{fmt.Sprint(p)})).Error("iscsi session ended")
+					t.log.WithField("stack", string(debug.Stack())).WithFields(operr.Fields(&SessionPanicError{fmt.Sprint(p)})).Error("iscsi session ended")
 				}
 				t.mu.Lock()
 				delete(t.sessions, s)
@@ -124,18 +124,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(sessionTick / 2):
+		case <-time.After(sessionCheckInterval / 2):
 		}
 	}
 }
 
-// reserveBuffer takes a task's bytes from the budget of all sessions. It is called before the buffer is allocated,
-// so that initiators cannot exhaust the memory.
-func (t *Target) reserveBuffer(k *task) bool {
-	if t.bufferedBytes.Add(int64(k.length)) > maxBufferedBytes {
-		t.bufferedBytes.Add(-int64(k.length))
+// reserveBuffer reserves a task's bytes from the budget of all sessions and reports whether they were available. It is
+// called before the buffer is allocated, so that initiators cannot exhaust the memory.
+func (t *Target) reserveBuffer(task *scsiTask) bool {
+	if t.bufferedBytes.Add(int64(task.length)) > maxBufferedBytes {
+		t.bufferedBytes.Add(-int64(task.length))
 		return false
 	}
-	k.reservedBytes = int64(k.length)
+	task.reservedBytes = int64(task.length)
 	return true
 }
--- a/internal/iscsi/taskmgmt.go
+++ b/internal/iscsi/taskmgmt.go
@@ -18,43 +18,43 @@
 	tmNotSupported = 5
 )
 
-// handleTaskManagement carries out a task management function. Tasks that it aborts get no response of their own.
+// handleTaskManagement executes a task management function. Tasks that it aborts get no response of their own.
 func (s *session) handleTaskManagement(p *pdu) error {
 	lun, ok := p.lun()
 	ok = ok && s.units[lun] != nil
 	code, function := byte(tmComplete), p.bhs[1]&0x7f
-	matching := func(match func(*task) bool) {
-		for _, k := range s.tasks {
-			if match(k) {
-				s.abortTask(k)
+	abortMatching := func(match func(*scsiTask) bool) {
+		for _, task := range s.tasks {
+			if match(task) {
+				s.abortTask(task)
 			}
 		}
 	}
 	switch function {
 	case tmAbortTask:
-		if k := s.tasks[p.u32(20)]; k == nil || k.lun != lun {
+		if task := s.tasks[p.u32(20)]; task == nil || task.lun != lun {
 			code = tmNoTask
 		} else {
-			s.abortTask(k)
+			s.abortTask(task)
 		}
 	case tmAbortTaskSet, tmClearTaskSet, tmLUNReset:
 		if !ok {
 			code = tmNoLUN
 		} else {
-			matching(func(k *task) bool { return k.lun == lun })
+			abortMatching(func(task *scsiTask) bool { return task.lun == lun })
 		}
 	case tmWarmReset, tmColdReset:
-		matching(func(*task) bool { return true })
+		abortMatching(func(*scsiTask) bool { return true })
 	case tmReassign:
 		code = tmNoReassign
 	default:
 		code = tmNotSupported
 	}
 	r := newPDU(opTaskMgmtResp, p.tag())
-	r.bhs[1], r.bhs[2] = flagF, code
+	r.bhs[1], r.bhs[2] = flagFinal, code
 	s.queuePDU(r, true)
 	if function == tmColdReset {
-		return errLogout
+		return errLoggedOut
 	}
 	return nil
 }
--- a/internal/iscsi/text.go
+++ b/internal/iscsi/text.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// pair is one key=value of a login or text data segment; their order counts.
+// pair is one key=value of the data segment of a login or text PDU. The order of pairs matters.
 type pair struct{ key, value string }
 
-const keyMost = 63 // RFC 7143, 6.1
+const maxKeyLength = 63 // RFC 7143, 6.1
 
-// decodeText reads key=value pairs.
+// decodeText decodes key=value pairs.
 func decodeText(data []byte) ([]pair, error) {
 	var out []pair
 	for _, line := range bytes.Split(data, []byte{0}) {
@@ -20,8 +20,8 @@
 			continue
 		}
 		key, value, ok := strings.Cut(string(line), "=")
-		if !ok || key == "" || len(key) > keyMost {
-			return nil, fmt.Errorf("text: %.40q is no key=value", line)
+		if !ok || key == "" || len(key) > maxKeyLength {
+			return nil, fmt.Errorf("text: %.40q is not key=value", line)
 		}
 		out = append(out, pair{key, value})
 	}
@@ -36,7 +36,7 @@
 	return b
 }
 
-func find(pairs []pair, key string) (string, bool) {
+func findValue(pairs []pair, key string) (string, bool) {
 	for _, p := range pairs {
 		if p.key == key {
 			return p.value, true
@@ -45,40 +45,40 @@
 	return "", false
 }
 
-// params are a session's operational parameters (RFC 7143, 13), at their defaults first.
+// params are a session's operational parameters (RFC 7143, 13).
 type params struct {
 	headerDigest, dataDigest bool
 	initialR2T               bool
 	immediateData            bool
-	theirMost                uint32 // the peer's MaxRecvDataSegmentLength
+	peerMaxSegment           uint32 // the peer's MaxRecvDataSegmentLength
 	maxBurst, firstBurst     uint32
 	protocolLevel            int
 }
 
-func defaults() params {
-	return params{initialR2T: true, immediateData: true, theirMost: 8192, maxBurst: 262144, firstBurst: 65536, protocolLevel: 1}
+func defaultParams() params {
+	return params{initialR2T: true, immediateData: true, peerMaxSegment: 8192, maxBurst: 262144, firstBurst: 65536, protocolLevel: 1}
 }
 
-// ours is what this side offers or insists on.
+// The largest values that this side offers or accepts.
 const (
-	ourSegment    = 64 << 10
-	ourMaxBurst   = 256 << 10
-	ourFirstBurst = 64 << 10
-	ourLevel      = 2 // RFC 7144: a status qualifier tells when to come back
+	ownMaxSegment    = 64 << 10
+	ownMaxBurst      = 256 << 10
+	ownFirstBurst    = 64 << 10
+	ownProtocolLevel = 2 // RFC 7144, with which a status qualifier carries the time after which to retry
 )
 
-func yes(b bool) string {
+func yesOrNo(b bool) string {
 	if b {
 		return "Yes"
 	}
 	return "No"
 }
 
-// answer negotiates one key as the responder; no answer is due where the reply is empty.
-func (p *params) answer(key, value string) (reply string, err error) {
-	number := func(least, most uint64) uint32 {
+// respond negotiates one key as the responder. If the reply is empty, the key needs no response.
+func (p *params) respond(key, value string) (reply string, err error) {
+	number := func(minimum, maximum uint64) uint32 {
 		n, perr := strconv.ParseUint(value, 0, 32)
-		if perr != nil || n < least || n > most {
+		if perr != nil || n < minimum || n > maximum {
 			err = fmt.Errorf("%s: %.40q is out of range", key, value)
 		}
 		return uint32(n)
@@ -89,7 +89,7 @@
 		}
 		return value == "Yes"
 	}
-	digestOf := func(on *bool) string {
+	chooseDigest := func(on *bool) string {
 		for _, v := range strings.Split(value, ",") {
 			if v == "None" || v == "CRC32C" {
 				*on = v == "CRC32C"
@@ -98,32 +98,32 @@
 		}
 		return "Reject"
 	}
-	num := func(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
+	format := func(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
 	switch key {
 	case "HeaderDigest":
-		return digestOf(&p.headerDigest), nil
+		return chooseDigest(&p.headerDigest), nil
 	case "DataDigest":
-		return digestOf(&p.dataDigest), nil
+		return chooseDigest(&p.dataDigest), nil
 	case "MaxRecvDataSegmentLength": // declared by each side for itself
-		p.theirMost = number(512, 1<<24-1)
+		p.peerMaxSegment = number(512, 1<<24-1)
 		return "", err
 	case "InitialR2T":
 		p.initialR2T = boolean()
-		return yes(p.initialR2T), err
+		return yesOrNo(p.initialR2T), err
 	case "ImmediateData":
 		p.immediateData = boolean()
-		return yes(p.immediateData), err
+		return yesOrNo(p.immediateData), err
 	case "MaxBurstLength":
-		p.maxBurst = min(number(512, 1<<24-1), ourMaxBurst)
-		return num(p.maxBurst), err
+		p.maxBurst = min(number(512, 1<<24-1), ownMaxBurst)
+		return format(p.maxBurst), err
 	case "FirstBurstLength":
-		p.firstBurst = min(number(512, 1<<24-1), ourFirstBurst, p.maxBurst)
-		return num(p.firstBurst), err
+		p.firstBurst = min(number(512, 1<<24-1), ownFirstBurst, p.maxBurst)
+		return format(p.firstBurst), err
 	case "MaxConnections", "MaxOutstandingR2T":
 		number(1, 65535)
 		return "1", err
 	case "DefaultTime2Wait":
-		return num(number(0, 3600)), err
+		return format(number(0, 3600)), err
 	case "DefaultTime2Retain", "ErrorRecoveryLevel":
 		number(0, 3600)
 		return "0", err
@@ -137,7 +137,7 @@
 	case "TaskReporting":
 		return "RFC3720", nil
 	case "iSCSIProtocolLevel":
-		p.protocolLevel = int(min(number(0, 31), ourLevel))
+		p.protocolLevel = int(min(number(0, 31), ownProtocolLevel))
 		return strconv.Itoa(p.protocolLevel), err
 	case "AuthMethod":
 		for _, v := range strings.Split(value, ",") {
@@ -152,13 +152,13 @@
 	return "NotUnderstood", nil
 }
 
-// adopt takes the target's answers to an offer, as the initiator.
-func (p *params) adopt(pairs []pair) error {
+// applyResponse applies the target's responses to the offered keys, on the initiator's side.
+func (p *params) applyResponse(pairs []pair) error {
 	for _, kv := range pairs {
 		if kv.value == "Reject" || kv.value == "NotUnderstood" || kv.value == "Irrelevant" {
 			continue
 		}
-		if _, err := p.answer(kv.key, kv.value); err != nil {
+		if _, err := p.respond(kv.key, kv.value); err != nil {
 			return err
 		}
 	}
