--- a/internal/transport/acceptlock_test.go
+++ b/internal/transport/acceptlock_test.go
@@ -9,99 +9,100 @@
 	"time"
 )
 
-// Connections wait behind a closed gate and none is rejected; a listener closed before the gate opens ends Accept.
-func TestAcceptGate(t *testing.T) {
+// Connections wait in the accept queue while the gate is closed, and none is rejected. Closing the listener before the gate
+// opens ends Accept.
+func TestAcceptGateHoldsConnections(t *testing.T) {
 	ln, err := ListenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if (*AcceptGate)(nil).Wrap(ln) != ln {
-		t.Error("no gate, and another listener")
+		t.Error("a nil gate wrapped the listener")
 	}
-	g := NewAcceptGate()
-	at := g.Wrap(ln)
+	gate := NewAcceptGate()
+	gated := gate.Wrap(ln)
 	got := make(chan error, 2)
 	accept := func() {
-		nc, err := at.Accept()
+		nc, err := gated.Accept()
 		if err == nil {
 			_ = nc.Close()
 		}
 		got <- err
 	}
 	go accept()
-	nc, err := net.Dial("tcp", ln.Addr().String()) // waits in the queue
+	nc, err := net.Dial("tcp", ln.Addr().String()) // waits in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = nc.Close() }()
 	select {
 	case err := <-got:
-		t.Fatalf("accepted before it is open: %v", err)
+		t.Fatalf("Accept returned before the gate was opened: %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
-	g.Open()
-	g.Open()
+	gate.Open()
+	gate.Open()
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
-	_ = at.Close()
-	if err := at.Close(); err == nil {
-		t.Error("closed twice")
+	_ = gated.Close()
+	if err := gated.Close(); err == nil {
+		t.Error("the second Close returned no error")
 	}
 	other, err := ListenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = NewAcceptGate().Wrap(other)
+	gated = NewAcceptGate().Wrap(other)
 	go accept()
-	_ = at.Close()
+	_ = gated.Close()
 	if err := <-got; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
 
-// One at a time has the lock of an address; another address has another. One that was let go is had by the next, also
-// where its file is left, and one whose file was cleared away under it is no lock.
+// Only one holder at a time has the lock of an address. Another address has another lock. After Unlock the next process can
+// take the lock although its file still exists. A lock whose file was removed is not taken.
 func TestAcceptLockHasOneHolder(t *testing.T) {
 	dir := t.TempDir()
-	at := func(port int) *AcceptLock {
+	newLock := func(port int) *AcceptLock {
 		return NewAcceptLock(dir, &net.TCPAddr{IP: net.ParseIP("::1"), Port: port})
 	}
-	a, b, other := at(80), at(80), at(81)
-	try := func(what string, l *AcceptLock, want bool) {
+	a, b, other := newLock(80), newLock(80), newLock(81)
+	tryLock := func(what string, l *AcceptLock, want bool) {
 		t.Helper()
-		if had, err := l.TryLock(); had != want || err != nil {
-			t.Fatalf("%s: %v %v", what, had, err)
+		if locked, err := l.TryLock(); locked != want || err != nil {
+			t.Fatalf("%s: TryLock returned %v, %v", what, locked, err)
 		}
 	}
-	try("the first", a, true)
-	try("the second", b, false)
-	try("of another address", other, true)
+	tryLock("first holder", a, true)
+	tryLock("second while the first holds it", b, false)
+	tryLock("lock of another address", other, true)
 	a.Unlock()
 	a.Unlock()
-	try("the second, at last", b, true)
-	c := at(80)
-	try("a third", c, false)
+	tryLock("second after Unlock", b, true)
+	c := newLock(80)
+	tryLock("third while the second holds it", c, false)
 	if err := os.Remove(b.Path); err != nil {
 		t.Fatal(err)
 	}
 	b.Unlock()
-	try("a file that is gone", c, false)
-	try("anew", c, true)
-	try("who comes then", at(80), false)
+	tryLock("third with an open file that was removed", c, false)
+	tryLock("third with a new file", c, true)
+	tryLock("fourth while the third holds it", newLock(80), false)
 	if filepath.Dir(c.Path) != dir {
 		t.Error(c.Path)
 	}
-	for _, bad := range []*AcceptLock{NewAcceptLock(filepath.Join(dir, "none"), &net.TCPAddr{Port: 80}), {Path: dir}} {
-		if had, err := bad.TryLock(); had || err == nil {
-			t.Errorf("%s: %v %v", bad.Path, had, err)
+	for _, lock := range []*AcceptLock{NewAcceptLock(filepath.Join(dir, "none"), &net.TCPAddr{Port: 80}), {Path: dir}} {
+		if locked, err := lock.TryLock(); locked || err == nil {
+			t.Errorf("%s: %v %v", lock.Path, locked, err)
 		}
 	}
 	link := filepath.Join(dir, "link")
 	if err := os.Symlink(c.Path, link); err != nil {
 		t.Fatal(err)
 	}
-	if had, err := (&AcceptLock{Path: link}).TryLock(); had || err == nil {
-		t.Errorf("another's link was followed: %v %v", had, err)
+	if locked, err := (&AcceptLock{Path: link}).TryLock(); locked || err == nil {
+		t.Errorf("a symbolic link was followed: %v %v", locked, err)
 	}
 }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -16,7 +16,7 @@
 	err  error
 }
 
-// readOnce reads from a connection beside the test.
+// readOnce reads from a connection in a new goroutine.
 func readOnce(c net.Conn) <-chan readResult {
 	got := make(chan readResult, 1)
 	go func() {
@@ -27,83 +27,84 @@
 	return got
 }
 
-// A connection is not evicted while the first bytes of a request are read and not yet passed to the server.
+// A connection is not evicted between the read of a request's first bytes and their return to the server.
 func TestEvictionSparesConnectionWithFirstRead(t *testing.T) {
-	for _, was := range []int32{fresh, idle} {
-		_, in, out := pair(t, 10)
-		in.phase.Store(was)
-		met := false
-		in.onFirstRead = func() {
-			met = true
-			if in.pendingInput() != socketEmpty {
-				t.Error("the crossing was not reached: bytes wait still")
+	for _, phase := range []int32{fresh, idle} {
+		_, conn, client := pair(t, 10)
+		conn.phase.Store(phase)
+		hookCalled := false
+		conn.onFirstRead = func() {
+			hookCalled = true
+			if conn.pendingInput() != socketEmpty {
+				t.Error("the bytes are still unread, so the race was not reproduced")
 			}
-			if in.markClosing() {
-				t.Error("a connection whose request was taken is closed")
+			if conn.markClosing() {
+				t.Error("a connection was closed after bytes of a request were read")
 			}
 		}
-		got := readOnce(in)
-		_, _ = io.WriteString(out, "request")
-		if r := <-got; r.err != nil || r.text != "request" || !met {
-			t.Errorf("phase %d: %+v, crossing reached: %v", was, r, met)
+		got := readOnce(conn)
+		_, _ = io.WriteString(client, "request")
+		if r := <-got; r.err != nil || r.text != "request" || !hookCalled {
+			t.Errorf("phase %d: read %+v, hook called: %v", phase, r, hookCalled)
 		}
-		_, _ = io.WriteString(in, "answer")
-		if r := <-readOnce(out); r.text != "answer" {
-			t.Errorf("phase %d: the client got %+v", was, r)
+		_, _ = io.WriteString(conn, "answer")
+		if r := <-readOnce(client); r.text != "answer" {
+			t.Errorf("phase %d: the client read %+v", phase, r)
 		}
 	}
 }
 
 // A request that arrives after eviction inspected the connection is not read, and the close resets the connection.
 func TestRequestAfterInspectionIsReset(t *testing.T) {
-	_, in, out := pair(t, 10)
-	got := readOnce(in)
-	looked := false
-	in.onNothingRead = func() {
-		looked = true
-		_, _ = io.WriteString(out, "request")
-		for in.pendingInput() != socketReadable {
+	_, conn, client := pair(t, 10)
+	got := readOnce(conn)
+	hookCalled := false
+	conn.onNothingRead = func() {
+		hookCalled = true
+		_, _ = io.WriteString(client, "request")
+		for conn.pendingInput() != socketReadable {
 			runtime.Gosched()
 		}
 	}
-	if !in.markClosing() || !looked {
-		t.Fatal("the crossing was not reached")
+	if !conn.markClosing() || !hookCalled {
+		t.Fatal("the connection was not marked closing after the check for input")
 	}
 	if r := <-got; r.text != "" || !errors.Is(r.err, net.ErrClosed) {
 		t.Errorf("read %+v", r)
 	}
-	if in.pendingInput() != socketReadable {
-		t.Error("the request was taken")
+	if conn.pendingInput() != socketReadable {
+		t.Error("the request was read")
 	}
-	_ = in.Close()
-	if r := <-readOnce(out); !errors.Is(r.err, syscall.ECONNRESET) {
-		t.Errorf("the client got %+v", r)
+	_ = conn.Close()
+	if r := <-readOnce(client); !errors.Is(r.err, syscall.ECONNRESET) {
+		t.Errorf("the client read %+v", r)
 	}
 }
 
-// A connection stays active between its response and the server's next read, as a further request may have been read.
+// A connection stays active between its response and the server's next read, because the server may already have read a further
+// request.
 func TestConnIsIdleFromNextRead(t *testing.T) {
-	_, in, out := pair(t, 10)
-	in.markActive()
-	in.ResponseDone()
-	if in.evict() {
-		t.Fatal("closed with what was read ahead")
-	}
-	in.SetIdle(false) // it was
-	got := readOnce(in)
-	_, _ = io.WriteString(out, "more")
-	if r := <-got; r.text != "more" || in.phase.Load() != active {
-		t.Errorf("%+v in phase %d", r, in.phase.Load())
-	}
-	in.ResponseDone()
-	got = readOnce(in)
-	for in.phase.Load() != idle {
+	_, conn, client := pair(t, 10)
+	conn.markActive()
+	conn.ResponseDone()
+	if conn.evict() {
+		t.Fatal("evicted before the server's next read")
+	}
+	conn.SetIdle(false) // the server had read a further request
+	got := readOnce(conn)
+	_, _ = io.WriteString(client, "more")
+	if r := <-got; r.text != "more" || conn.phase.Load() != active {
+		t.Errorf("read %+v in phase %d", r, conn.phase.Load())
+	}
+	conn.ResponseDone()
+	got = readOnce(conn)
+	for conn.phase.Load() != idle {
 		runtime.Gosched()
 	}
-	// The reader holds firstReadMu while it looks for input. Eviction skips a connection in that moment.
-	for deadline := time.Now().Add(5 * time.Second); !in.evict(); runtime.Gosched() {
+	// The reader holds firstReadMu while it checks for input. Eviction skips the connection at that moment.
+	for deadline := time.Now().Add(5 * time.Second); !conn.evict(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatal("an idle connection was kept")
+			t.Fatal("an idle connection was not evicted")
 		}
 	}
 	if r := <-got; r.err == nil {
@@ -111,112 +112,112 @@
 	}
 }
 
-// HasUnparsed is true for input behind a request until the server waits for the next request.
+// HasUnparsed is true for input after a request until the server waits for the next request.
 func TestHasUnparsed(t *testing.T) {
-	_, in, out := pair(t, 10)
-	_, _ = io.WriteString(out, "onetwo")
-	if r := <-readOnce(in); r.text != "onetwo" {
+	_, conn, client := pair(t, 10)
+	_, _ = io.WriteString(client, "onetwo")
+	if r := <-readOnce(conn); r.text != "onetwo" {
 		t.Fatalf("%+v", r)
 	}
-	in.CountParsed(3)
-	if !in.HasUnparsed() {
-		t.Error("the second request is not known")
+	conn.CountParsed(3)
+	if !conn.HasUnparsed() {
+		t.Error("HasUnparsed is false with an unparsed second request")
 	}
-	in.CountParsed(2) // an underestimate
-	if !in.HasUnparsed() {
-		t.Error("the second request's end is not known")
+	conn.CountParsed(2) // less than the size of the second request
+	if !conn.HasUnparsed() {
+		t.Error("HasUnparsed is false with a partly counted second request")
 	}
-	in.ResponseDone()
-	_, _ = io.WriteString(out, "three")
-	if r := <-readOnce(in); r.text != "three" {
+	conn.ResponseDone()
+	_, _ = io.WriteString(client, "three")
+	if r := <-readOnce(conn); r.text != "three" {
 		t.Fatalf("%+v", r)
 	}
-	if in.CountParsed(5); in.HasUnparsed() {
-		t.Error("something is ahead of an empty buffer")
+	if conn.CountParsed(5); conn.HasUnparsed() {
+		t.Error("HasUnparsed is true with all input parsed")
 	}
 }
 
-// lingeringPair is a pair whose server closes after a response.
+// lingeringPair returns a connection that lingers after a response, with the response already written.
 func lingeringPair(t *testing.T) (*Listener, *Conn, net.Conn) {
 	t.Helper()
-	l, in, out := pair(t, 10)
-	l.linger = time.Hour // none may pass because it is over
-	_, _ = io.WriteString(out, "request")
-	if r := <-readOnce(in); r.text != "request" {
+	l, conn, client := pair(t, 10)
+	l.linger = time.Hour // long, so that no test passes because the linger time has ended
+	_, _ = io.WriteString(client, "request")
+	if r := <-readOnce(conn); r.text != "request" {
 		t.Fatalf("%+v", r)
 	}
-	_, _ = io.WriteString(in, "answer")
-	return l, in, out
+	_, _ = io.WriteString(conn, "answer")
+	return l, conn, client
 }
 
-func gone(l *Listener) {
+func waitAllClosed(l *Listener) {
 	for l.OpenCount() > 0 {
 		runtime.Gosched()
 	}
 }
 
-// A close after a response does not reset the connection, neither over unread bytes nor when bytes arrive after it; those are
-// not read.
+// A close after a response does not reset the connection, neither with unread bytes nor when bytes arrive after it. Those bytes
+// are not read.
 func TestCloseAfterResponse(t *testing.T) {
-	for _, before := range []string{"", "a further request"} {
-		l, in, out := lingeringPair(t)
-		_, _ = io.WriteString(out, before)
-		for before != "" && in.pendingInput() != socketReadable {
+	for _, unread := range []string{"", "a further request"} {
+		l, conn, client := lingeringPair(t)
+		_, _ = io.WriteString(client, unread)
+		for unread != "" && conn.pendingInput() != socketReadable {
 			runtime.Gosched()
 		}
-		_ = in.Close()
+		_ = conn.Close()
 		if l.OpenCount() != 1 {
 			t.Fatal("the connection does not linger")
 		}
-		for in.pendingInput() != socketReadable {
-			if _, err := io.WriteString(out, "after the close"); err != nil {
+		for conn.pendingInput() != socketReadable {
+			if _, err := io.WriteString(client, "after the close"); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if _, err := io.WriteString(out, "and after that"); err != nil { // a reset would have come by now
+		if _, err := io.WriteString(client, "and after that"); err != nil { // a reset would have arrived by now
 			t.Fatal(err)
 		}
-		if b, err := io.ReadAll(out); err != nil || string(b) != "answer" {
-			t.Errorf("%q %v", b, err)
+		if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
+			t.Errorf("the client read %q, %v", b, err)
 		}
-		_ = out.Close()
-		gone(l)
+		_ = client.Close()
+		waitAllClosed(l)
 	}
 }
 
 // The remainder of a request that is answered early is discarded, so that a client that sends everything first gets the
 // response.
 func TestCloseDiscardsRestOfRequest(t *testing.T) {
-	l, in, out := lingeringPair(t)
-	if err := out.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
+	l, conn, client := lingeringPair(t)
+	if err := client.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	in.DiscardInput()
-	_ = in.Close()
-	if _, err := io.WriteString(out, strings.Repeat("the rest ", 200<<10)); err != nil { // more than the system holds
+	conn.DiscardInput()
+	_ = conn.Close()
+	if _, err := io.WriteString(client, strings.Repeat("the rest ", 200<<10)); err != nil { // more than fits in the socket buffers
 		t.Fatal(err)
 	}
-	if b, err := io.ReadAll(out); err != nil || string(b) != "answer" {
+	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
 		t.Errorf("%q %v", b, err)
 	}
-	_ = out.Close()
-	gone(l)
+	_ = client.Close()
+	waitAllClosed(l)
 }
 
 // A lingering connection is closed when a new one needs the capacity.
 func TestLingeringConnYieldsCapacity(t *testing.T) {
-	l, in, out := lingeringPair(t)
+	l, conn, client := lingeringPair(t)
 	l.capacity = 1
-	_ = in.Close()
+	_ = conn.Close()
 	next, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = next.Close() }()
 	if _, err := l.Accept(); err != nil || l.OpenCount() != 1 {
-		t.Errorf("%v, %d held", err, l.OpenCount())
+		t.Errorf("Accept: %v, %d connections open", err, l.OpenCount())
 	}
-	if b, err := io.ReadAll(out); err != nil || string(b) != "answer" {
+	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
 		t.Errorf("%q %v", b, err)
 	}
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// answerAll accepts until the listener closes, and answers each connection's request in its own time.
-func answerAll(l *Listener) (ended chan error) {
+// serveAll accepts until the listener closes, and answers each connection's request in a goroutine of its own.
+func serveAll(l *Listener) (ended chan error) {
 	ended = make(chan error, 1)
 	go func() {
 		for {
@@ -35,8 +35,8 @@
 	return ended
 }
 
-// waitInQueue connects and sends a request, with nobody accepting yet.
-func waitInQueue(t *testing.T, network, address string, count int) []net.Conn {
+// queueClients opens count connections that wait in the accept queue, and sends a request on each.
+func queueClients(t *testing.T, network, address string, count int) []net.Conn {
 	t.Helper()
 	var all []net.Conn
 	for i := range count {
@@ -51,7 +51,7 @@
 	return all
 }
 
-func allAnswered(t *testing.T, clients []net.Conn) {
+func checkAllAnswered(t *testing.T, clients []net.Conn) {
 	t.Helper()
 	for i, nc := range clients {
 		if b, err := io.ReadAll(nc); err != nil || string(b) != fmt.Sprint("answer to request ", i) {
@@ -69,22 +69,22 @@
 	return ln
 }
 
-// Connections accepted while the listener stops are without splice, as those accepted before.
+// Connections accepted while the listener stops have splice disabled, like those accepted before.
 func TestQueuedConnsDisableSplice(t *testing.T) {
 	ln := mustListen(t)
 	defer func() { _ = ln.Close() }()
 	q := acceptQueueOf(ln)
 	if _, err := q.acceptNow(); !errors.Is(err, errQueueEmpty) {
-		t.Errorf("of an empty queue: %v", err)
+		t.Errorf("empty queue: %v", err)
 	}
-	waitInQueue(t, "tcp", ln.Addr().String(), 1)
+	queueClients(t, "tcp", ln.Addr().String(), 1)
 	nc, err := q.acceptNow()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = nc.Close() }()
 	if _, ok := nc.(*noSpliceConn); !ok {
-		t.Errorf("a %T", nc)
+		t.Errorf("accepted a %T", nc)
 	}
 }
 
@@ -95,18 +95,18 @@
 		ln := mustListen(t)
 		l := limit(ln, capacity)
 		l.linger, l.drainLimit = time.Hour, time.Hour
-		clients := waitInQueue(t, "tcp", ln.Addr().String(), queued)
+		clients := queueClients(t, "tcp", ln.Addr().String(), queued)
 		stopped := make(chan bool)
 		go func() {
 			l.StopAccepting()
 			close(stopped)
 		}()
-		ended := answerAll(l)
+		ended := serveAll(l)
 		<-stopped
-		allAnswered(t, clients)
+		checkAllAnswered(t, clients)
 		if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 			_ = nc.Close()
-			t.Error("it accepts on")
+			t.Error("a connect succeeded after StopAccepting")
 		}
 		if len(ended) > 0 {
 			t.Error("Accept did not wait for Close")
@@ -118,7 +118,7 @@
 	}
 }
 
-// Queued connections of merged listeners are served while an Accept waits; each listener may have accepted one already.
+// Queued connections of merged listeners are served while an Accept is pending. Each listener may have accepted one already.
 func TestStopAcceptingServesSeveralQueues(t *testing.T) {
 	tcp := mustListen(t)
 	path := filepath.Join(t.TempDir(), "s")
@@ -128,29 +128,29 @@
 	}
 	l := limit(Merge(tcp, file), 100)
 	l.drainLimit = time.Hour
-	clients := waitInQueue(t, "tcp", tcp.Addr().String(), 5)
-	others := waitInQueue(t, "unix", path, 5)
+	clients := queueClients(t, "tcp", tcp.Addr().String(), 5)
+	others := queueClients(t, "unix", path, 5)
 	stopped := make(chan bool)
 	go func() {
 		l.StopAccepting()
 		close(stopped)
 	}()
-	ended := answerAll(l)
+	ended := serveAll(l)
 	<-stopped
-	allAnswered(t, clients)
-	allAnswered(t, others)
+	checkAllAnswered(t, clients)
+	checkAllAnswered(t, others)
 	_ = l.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
 
-// Accept of a merged listener does not wait for listeners that were woken.
+// Accept of a merged listener returns once wake has ended the Accept calls of its listeners.
 func TestWokenListenersEndAccept(t *testing.T) {
 	m := Merge(mustListen(t), mustListen(t)).(*mergedListener)
 	defer func() { _ = m.Close() }()
 	m.wake()
-	if _, err := m.acceptNow(); !errors.Is(err, errQueueEmpty) { // it has taken what the two said at their end
+	if _, err := m.acceptNow(); !errors.Is(err, errQueueEmpty) { // it has received the last result of both
 		t.Fatal(err)
 	}
 	if _, err := m.Accept(); !errors.Is(err, errQueueEmpty) {
@@ -170,23 +170,23 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	own, err := syscall.Dup(int(f.Fd()))
+	inherited, err := syscall.Dup(int(f.Fd()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := ListenInherited(strconv.Itoa(own))
+	ln, err := ListenInherited(strconv.Itoa(inherited))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := limit(ln, 100)
-	clients := waitInQueue(t, "tcp", bound.Addr().String(), 5)
+	clients := queueClients(t, "tcp", bound.Addr().String(), 5)
 	l.StopAccepting()
 	if n := l.OpenCount(); n != 0 {
-		t.Errorf("%d were taken from the next process", n)
+		t.Errorf("%d connections were accepted from the shared queue", n)
 	}
 	next := limit(bound, 100)
-	ended := answerAll(next)
-	allAnswered(t, clients)
+	ended := serveAll(next)
+	checkAllAnswered(t, clients)
 	_ = next.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
@@ -194,24 +194,24 @@
 	_ = l.Close()
 }
 
-// If an accept finds no descriptor, a connection without a request is evicted.
+// If an accept fails for lack of a descriptor, a connection without a request is evicted.
 func TestNoDescriptorEvictsIdle(t *testing.T) {
-	l, in, _ := pair(t, 10)
-	in.phaseStart.Store(0)
-	end := errors.New("the end")
-	l.Listener = &failing{Listener: l.Listener, errs: []error{&net.OpError{Op: "accept", Err: syscall.EMFILE}, end}}
-	if _, err := l.Accept(); !errors.Is(err, end) {
+	l, conn, _ := pair(t, 10)
+	conn.phaseStart.Store(0)
+	permanent := errors.New("not transient")
+	l.Listener = &failingListener{Listener: l.Listener, errs: []error{&net.OpError{Op: "accept", Err: syscall.EMFILE}, permanent}}
+	if _, err := l.Accept(); !errors.Is(err, permanent) {
 		t.Error(err)
 	}
-	if in.phase.Load() != closing {
-		t.Error("the idle connection was kept")
+	if conn.phase.Load() != closing {
+		t.Error("the idle connection was not evicted")
 	}
 }
 
-// lateListener runs a test's step between the end of an accept's deadline and its return.
+// lateListener runs a test's function between the deadline of an accept and its return.
 type lateListener struct {
 	*net.TCPListener
-	skip       int // ends of an accept by its deadline before the step: that of the merged listener's own
+	skip       int // number of accepts ended by their deadline before the function runs
 	atDeadline func()
 }
 
@@ -227,41 +227,41 @@
 }
 
 // A connection that is queued after the deadline of the last accept and before its goroutine continues is served, on the
-// listener itself and on an earlier one that it is merged with.
+// listener itself and on an earlier one of merged listeners.
 func TestStopAcceptingRechecksQueueAtDeadline(t *testing.T) {
-	for _, merges := range []bool{false, true} {
-		to := mustListen(t)
-		ln := &lateListener{TCPListener: to.(noSpliceListener).Listener.(*net.TCPListener)}
-		all := noSpliceListener{ln}
-		l := limit(all, 100)
-		if merges {
-			ln.TCPListener = mustListen(t).(noSpliceListener).Listener.(*net.TCPListener)
-			ln.skip = 1
-			l = limit(Merge(to, all), 100)
+	for _, merged := range []bool{false, true} {
+		target := mustListen(t)
+		late := &lateListener{TCPListener: target.(noSpliceListener).Listener.(*net.TCPListener)}
+		listener := noSpliceListener{late}
+		l := limit(listener, 100)
+		if merged {
+			late.TCPListener = mustListen(t).(noSpliceListener).Listener.(*net.TCPListener)
+			late.skip = 1
+			l = limit(Merge(target, listener), 100)
 		}
 		l.drainLimit = time.Hour
-		crossed := make(chan net.Conn, 1)
-		ln.atDeadline = func() {
-			nc, err := net.Dial("tcp", to.Addr().String())
+		dialed := make(chan net.Conn, 1)
+		late.atDeadline = func() {
+			nc, err := net.Dial("tcp", target.Addr().String())
 			if err != nil {
 				t.Error(err)
 			} else {
 				fmt.Fprint(nc, "request 0")
 			}
-			crossed <- nc
+			dialed <- nc
 		}
 		stopped := make(chan bool)
 		go func() {
 			l.StopAccepting()
 			close(stopped)
 		}()
-		client := <-crossed
-		ended := answerAll(l)
+		client := <-dialed
+		ended := serveAll(l)
 		<-stopped
 		if client != nil {
 			t.Cleanup(func() { _ = client.Close() })
-			client.SetReadDeadline(time.Now().Add(stuckAfter))
-			allAnswered(t, []net.Conn{client})
+			client.SetReadDeadline(time.Now().Add(eventTimeout))
+			checkAllAnswered(t, []net.Conn{client})
 		}
 		_ = l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) {
--- a/internal/transport/expire_test.go
+++ b/internal/transport/expire_test.go
@@ -10,90 +10,90 @@
 	"time"
 )
 
-// longPast is a read deadline in the past.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past.
+var pastDeadline = time.Unix(1, 0)
 
 // When the read deadline of a connection without input ends, the server reads net.ErrClosed and closes the connection without
 // a response.
 func TestSilentConnectionExpires(t *testing.T) {
-	for _, was := range []int32{fresh, idle} {
-		_, in, out := pair(t, 10)
-		in.phase.Store(was)
-		in.SetReadDeadline(longPast)
-		if n, err := in.Read(make([]byte, 64)); n != 0 || !errors.Is(err, net.ErrClosed) {
-			t.Errorf("phase %d: %d, %v", was, n, err)
+	for _, phase := range []int32{fresh, idle} {
+		_, conn, client := pair(t, 10)
+		conn.phase.Store(phase)
+		conn.SetReadDeadline(pastDeadline)
+		if n, err := conn.Read(make([]byte, 64)); n != 0 || !errors.Is(err, net.ErrClosed) {
+			t.Errorf("phase %d: read %d bytes, %v", phase, n, err)
 		}
-		_ = in.Close()
-		if r := <-readOnce(out); !errors.Is(r.err, io.EOF) {
-			t.Errorf("phase %d: the client got %+v", was, r)
+		_ = conn.Close()
+		if r := <-readOnce(client); !errors.Is(r.err, io.EOF) {
+			t.Errorf("phase %d: the client read %+v", phase, r)
 		}
 	}
 }
 
 // A request that has arrived when the deadline ends is served, even if the read that timed out did not see it.
 func TestRequestAtReadDeadlineIsServed(t *testing.T) {
-	for _, was := range []int32{fresh, idle} {
-		_, in, out := pair(t, 10)
-		in.phase.Store(was)
-		_, _ = io.WriteString(out, "request")
-		for in.pendingInput() != socketReadable {
+	for _, phase := range []int32{fresh, idle} {
+		_, conn, client := pair(t, 10)
+		conn.phase.Store(phase)
+		_, _ = io.WriteString(client, "request")
+		for conn.pendingInput() != socketReadable {
 			runtime.Gosched()
 		}
-		in.SetReadDeadline(longPast) // a read ends before it looks
-		if r := <-readOnce(in); r.err != nil || r.text != "request" || in.phase.Load() != active {
-			t.Errorf("phase %d: %+v, then in phase %d", was, r, in.phase.Load())
+		conn.SetReadDeadline(pastDeadline) // a read times out before it checks for input
+		if r := <-readOnce(conn); r.err != nil || r.text != "request" || conn.phase.Load() != active {
+			t.Errorf("phase %d: read %+v, then in phase %d", phase, r, conn.phase.Load())
 		}
-		_, _ = io.WriteString(in, "answer")
-		if r := <-readOnce(out); r.text != "answer" {
-			t.Errorf("phase %d: the client got %+v", was, r)
+		_, _ = io.WriteString(conn, "answer")
+		if r := <-readOnce(client); r.text != "answer" {
+			t.Errorf("phase %d: the client read %+v", phase, r)
 		}
 	}
 }
 
 // A request that arrives after the last read is not read, and the close resets the connection.
 func TestRequestAfterReadDeadlineIsReset(t *testing.T) {
-	for _, was := range []int32{fresh, idle} {
-		_, in, out := pair(t, 10)
-		in.phase.Store(was)
-		in.SetReadDeadline(longPast)
-		looked := false
-		in.onNothingRead = func() {
-			looked = true
-			_, _ = io.WriteString(out, "request")
-			for in.pendingInput() != socketReadable {
+	for _, phase := range []int32{fresh, idle} {
+		_, conn, client := pair(t, 10)
+		conn.phase.Store(phase)
+		conn.SetReadDeadline(pastDeadline)
+		hookCalled := false
+		conn.onNothingRead = func() {
+			hookCalled = true
+			_, _ = io.WriteString(client, "request")
+			for conn.pendingInput() != socketReadable {
 				runtime.Gosched()
 			}
 		}
-		if r := <-readOnce(in); r.text != "" || !errors.Is(r.err, net.ErrClosed) || !looked {
-			t.Fatalf("phase %d: %+v, crossing reached: %v", was, r, looked)
+		if r := <-readOnce(conn); r.text != "" || !errors.Is(r.err, net.ErrClosed) || !hookCalled {
+			t.Fatalf("phase %d: read %+v, hook called: %v", phase, r, hookCalled)
 		}
-		if in.pendingInput() != socketReadable {
-			t.Error("the request was taken")
+		if conn.pendingInput() != socketReadable {
+			t.Error("the request was read")
 		}
-		in.SetReadDeadline(time.Time{})
-		if r := <-readOnce(in); r.text != "" || !errors.Is(r.err, net.ErrClosed) {
-			t.Errorf("phase %d: a later read gave %+v", was, r)
+		conn.SetReadDeadline(time.Time{})
+		if r := <-readOnce(conn); r.text != "" || !errors.Is(r.err, net.ErrClosed) {
+			t.Errorf("phase %d: a later read returned %+v", phase, r)
 		}
-		_ = in.Close()
-		if r := <-readOnce(out); !errors.Is(r.err, syscall.ECONNRESET) {
-			t.Errorf("phase %d: the client got %+v", was, r)
+		_ = conn.Close()
+		if r := <-readOnce(client); !errors.Is(r.err, syscall.ECONNRESET) {
+			t.Errorf("phase %d: the client read %+v", phase, r)
 		}
 	}
 }
 
-// A connection without a socket expires in the same way.
+// A connection that is not a socket expires in the same way.
 func TestSilentPipeExpires(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	in := limit(nil, 10).track(ours)
-	defer func() { _ = in.Close() }()
-	in.SetReadDeadline(longPast)
-	if r := <-readOnce(in); !errors.Is(r.err, net.ErrClosed) {
-		t.Errorf("%+v", r)
+	server, client := net.Pipe()
+	defer func() { _ = client.Close() }()
+	conn := limit(nil, 10).track(server)
+	defer func() { _ = conn.Close() }()
+	conn.SetReadDeadline(pastDeadline)
+	if r := <-readOnce(conn); !errors.Is(r.err, net.ErrClosed) {
+		t.Errorf("read %+v", r)
 	}
-	in.SetReadDeadline(time.Time{})
-	go func() { _, _ = io.WriteString(theirs, "request") }()
-	if r := <-readOnce(in); !errors.Is(r.err, net.ErrClosed) {
-		t.Errorf("a later read gave %+v", r)
+	conn.SetReadDeadline(time.Time{})
+	go func() { _, _ = io.WriteString(client, "request") }()
+	if r := <-readOnce(conn); !errors.Is(r.err, net.ErrClosed) {
+		t.Errorf("a later read returned %+v", r)
 	}
 }
--- a/internal/transport/inherited_test.go
+++ b/internal/transport/inherited_test.go
@@ -12,40 +12,40 @@
 	"time"
 )
 
-// During a process replacement both processes accept on the inherited descriptor.
+// After the first process has closed the socket, the inherited descriptor still accepts connections.
 func TestInheritedSocketListens(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	f, err := ln.(*net.TCPListener).File() // a copy, as a child would inherit it
+	f, err := ln.(*net.TCPListener).File() // a duplicate, as a child process would inherit it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	passed, err := ListenInherited(strconv.Itoa(int(f.Fd())))
+	inherited, err := ListenInherited(strconv.Itoa(int(f.Fd())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = passed.Close() }()
-	if passed.Addr().String() != ln.Addr().String() {
-		t.Fatalf("passed listener at %s, the socket at %s", passed.Addr(), ln.Addr())
+	defer func() { _ = inherited.Close() }()
+	if inherited.Addr().String() != ln.Addr().String() {
+		t.Fatalf("inherited listener at %s, the socket at %s", inherited.Addr(), ln.Addr())
 	}
-	ln.Close() // the first holder goes; the socket stays with the other
-	nc, err := net.Dial("tcp", passed.Addr().String())
+	ln.Close() // the socket stays open through the inherited descriptor
+	nc, err := net.Dial("tcp", inherited.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = nc.Close() }()
-	got, err := passed.Accept()
+	accepted, err := inherited.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = got.Close()
+	_ = accepted.Close()
 }
 
-// A descriptor that is no stream socket is an error.
+// A descriptor that is not a stream socket is an error.
 func TestInheritedSocketMustBeStream(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -54,7 +54,7 @@
 	defer func() { _ = r.Close() }()
 	defer func() { _ = w.Close() }()
 	if _, err := ListenInherited(strconv.Itoa(int(r.Fd()))); err == nil {
-		t.Fatal("a pipe was taken for a listening socket")
+		t.Fatal("a pipe was accepted as a listening socket")
 	}
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -67,10 +67,10 @@
 	}
 	defer func() { _ = uf.Close() }()
 	if _, err := ListenInherited(strconv.Itoa(int(uf.Fd()))); err == nil {
-		t.Fatal("a UDP socket was taken for a listening socket")
+		t.Fatal("a UDP socket was accepted as a listening socket")
 	}
 	if _, err := ListenInherited("-1"); err == nil {
-		t.Fatal("descriptor -1 was taken")
+		t.Fatal("descriptor -1 was accepted")
 	}
 }
 
@@ -87,18 +87,18 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	other, err := syscall.Dup(int(f.Fd())) // Passed takes the descriptor over
+	fd, err := syscall.Dup(int(f.Fd())) // ListenInherited closes the descriptor it is given
 	if err != nil {
 		t.Fatal(err)
 	}
-	passed, err := ListenInherited(strconv.Itoa(other))
+	inherited, err := ListenInherited(strconv.Itoa(fd))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Fd() // it blocks
+	f.Fd() // clears O_NONBLOCK
 	ended := make(chan error)
 	go func() {
-		_, err := passed.Accept()
+		_, err := inherited.Accept()
 		ended <- err
 	}()
 	for inAccept := false; !inAccept; {
@@ -106,14 +106,14 @@
 		inAccept = strings.Contains(string(stack[:runtime.Stack(stack, true)]), "(*TCPListener).Accept")
 	}
 	closed := make(chan error)
-	go func() { closed <- passed.Close() }()
+	go func() { closed <- inherited.Close() }()
 	select {
 	case err := <-closed:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("Close waits for an accept that blocks")
+		t.Fatal("Close waits for a blocking accept")
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -23,8 +23,8 @@
 	return a
 }
 
-// deadSocket leaves the file of a socket whose process is gone.
-func deadSocket(t *testing.T, path string) {
+// leaveUnusedSocket creates a socket file that no process listens on.
+func leaveUnusedSocket(t *testing.T, path string) {
 	t.Helper()
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -34,9 +34,10 @@
 	_ = ln.Close()
 }
 
+// Listen replaces an unused socket file, sets the mode, rejects a second listener, and Close removes the file.
 func TestListenOnFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	deadSocket(t, path)
+	leaveUnusedSocket(t, path)
 	ln, err := Listen(unixAddr(t, path), 0o640)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +46,7 @@
 		t.Errorf("%v %v", info.Mode(), err)
 	}
 	if _, err := Listen(unixAddr(t, path), 0o600); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second listener: %v", err)
 	}
 	got := make(chan error, 1)
 	go func() { _, err := ln.Accept(); got <- err }()
@@ -56,11 +57,11 @@
 	_ = nc.Close()
 	_ = ln.Close()
 	if _, err := os.Lstat(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("left behind: %v", err)
+		t.Errorf("the file exists after Close: %v", err)
 	}
 }
 
-// A socket file that is in use stays, also if its process holds no lock, and a file that is no socket stays.
+// A socket file that is in use stays, also if its process holds no lock, and a file that is not a socket stays.
 func TestListenKeepsFileInUse(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "alive")
@@ -70,19 +71,19 @@
 	}
 	defer func() { _ = other.Close() }()
 	if _, err := Listen(unixAddr(t, path), 0o600); !errors.Is(err, ErrInUse) {
-		t.Errorf("alive: %v", err)
+		t.Errorf("socket file in use: %v", err)
 	}
-	plain := filepath.Join(dir, "plain")
-	if err := os.WriteFile(plain, []byte("data"), 0o600); err != nil {
+	regular := filepath.Join(dir, "plain")
+	if err := os.WriteFile(regular, []byte("data"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(unixAddr(t, plain), 0o600); err == nil || !strings.Contains(err.Error(), "not a socket") {
-		t.Errorf("a plain file: %v", err)
+	if _, err := Listen(unixAddr(t, regular), 0o600); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("regular file: %v", err)
 	}
-	if text, _ := os.ReadFile(plain); string(text) != "data" {
-		t.Error("the plain file was touched")
+	if text, _ := os.ReadFile(regular); string(text) != "data" {
+		t.Error("the regular file was changed")
 	}
-	// A listener whose file another has taken removes nothing of theirs.
+	// A listener whose file was replaced does not remove the replacement.
 	mine := filepath.Join(dir, "mine")
 	ln, err := Listen(unixAddr(t, mine), 0o600)
 	if err != nil {
@@ -96,14 +97,14 @@
 	}
 	_ = ln.Close()
 	if _, err := os.Stat(mine); err != nil {
-		t.Errorf("another's file: %v", err)
+		t.Errorf("the replacement of the file was removed: %v", err)
 	}
 }
 
-// A capacity counts over all merged listeners, and Close ends them all.
-func TestMerge(t *testing.T) {
+// The capacity applies to all merged listeners together, and Close closes them all.
+func TestMergedListeners(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	four, err := net.Listen("tcp", "127.0.0.1:0")
+	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,21 +112,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limit(Merge(four, file), 10)
-	for _, to := range [][2]string{{"tcp", four.Addr().String()}, {"unix", path}} {
+	l := limit(Merge(tcp, file), 10)
+	for _, to := range [][2]string{{"tcp", tcp.Addr().String()}, {"unix", path}} {
 		nc, err := net.Dial(to[0], to[1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = nc.Close() })
-		in, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		left := in.(*Conn).Watch() // both kinds can be watched for their peer's close
+		peerClosed := accepted.(*Conn).Watch() // connections of both networks can be watched
 		_ = nc.Close()
-		<-left
-		in.(*Conn).Unwatch()
+		<-peerClosed
+		accepted.(*Conn).Unwatch()
 	}
 	if l.OpenCount() != 2 {
 		t.Errorf("%d open, want 2", l.OpenCount())
@@ -136,7 +137,7 @@
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
 	}
-	for _, to := range [][2]string{{"tcp", four.Addr().String()}, {"unix", path}} {
+	for _, to := range [][2]string{{"tcp", tcp.Addr().String()}, {"unix", path}} {
 		if nc, err := net.DialTimeout(to[0], to[1], time.Second); err == nil {
 			_ = nc.Close()
 			t.Errorf("%v still accepts", to)
--- a/internal/transport/listener_interleave_test.go
+++ b/internal/transport/listener_interleave_test.go
@@ -15,43 +15,43 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// wire is a connection with a request; it records whether it was closed.
-type wire struct {
+// fakeConn is a fake connection on which each read returns one byte. It records whether it was closed.
+type fakeConn struct {
 	net.Conn
 	closed bool
 }
 
-func (w *wire) Read([]byte) (int, error) {
+func (w *fakeConn) Read([]byte) (int, error) {
 	if w.closed {
 		return 0, net.ErrClosed
 	}
 	return 1, nil
 }
 
-func (w *wire) Close() error { w.closed = true; return nil }
+func (w *fakeConn) Close() error { w.closed = true; return nil }
 
-// backlog is a listener with a number of queued connections.
-type backlog struct {
+// fakeListener is a fake listener with a number of queued connections.
+type fakeListener struct {
 	net.Listener
 	left   int
 	closed bool
 }
 
-func (b *backlog) Accept() (net.Conn, error) {
+func (b *fakeListener) Accept() (net.Conn, error) {
 	if b.left == 0 || b.closed {
 		return nil, net.ErrClosed
 	}
 	b.left--
-	return &wire{}, nil
+	return &fakeConn{}, nil
 }
 
-func (b *backlog) Close() error { b.closed = true; return nil }
+func (b *fakeListener) Close() error { b.closed = true; return nil }
 
-// openListener returns a listener with connections in it, between requests for an hour.
-func openListener(most, held, waiting int) (*Listener, []*Conn) {
-	l := limit(&backlog{left: waiting + held}, most)
+// idleListener returns a listener with open connections that have been idle for an hour.
+func idleListener(capacity, open, queued int) (*Listener, []*Conn) {
+	l := limit(&fakeListener{left: queued + open}, capacity)
 	var conns []*Conn
-	for range held {
+	for range open {
 		nc, err := l.Accept()
 		if err != nil {
 			panic(err)
@@ -59,7 +59,7 @@
 		c := nc.(*Conn)
 		conns = append(conns, c)
 	}
-	for _, c := range conns { // an accept sheds too
+	for _, c := range conns { // only now, because Accept evicts idle connections
 		c.markActive()
 		c.SetIdle(true)
 		c.phaseStart.Store(time.Now().Add(-time.Hour).UnixNano())
@@ -67,32 +67,32 @@
 	return l, conns
 }
 
-// checkOpen is the invariant of the open connections: within the cap, every connection at its place and open.
+// checkOpen returns an error if more connections are open than the capacity and the overflow allow.
 func checkOpen(l *Listener) error {
 	if len(l.open) > l.capacity+l.overflow {
-		return fmt.Errorf("%d are open, the cap is %d", len(l.open), l.capacity)
+		return fmt.Errorf("%d connections are open, the capacity is %d", len(l.open), l.capacity)
 	}
 	return nil
 }
 
-// checkSettled reports a connection at a wrong index of the open ones, or a closed one among them.
-func checkSettled(l *Listener) error {
+// checkFinal returns an error if an open connection has a wrong index or a closed one counts as open.
+func checkFinal(l *Listener) error {
 	for i, c := range l.open {
 		if c.index != i {
-			return fmt.Errorf("the connection at %d believes to be at %d", i, c.index)
+			return fmt.Errorf("the connection at index %d has index %d", i, c.index)
 		}
-		if c.Conn.(*wire).closed {
+		if c.Conn.(*fakeConn).closed {
 			return errors.New("a closed connection counts as open")
 		}
 	}
 	return checkOpen(l)
 }
 
-// At the capacity: one new connection, the periodic eviction, and a request on one of the idle connections.
-// A connection of which request bytes were read is never evicted.
+// A connection from which request bytes were read is never evicted. A listener at its capacity accepts a connection and evicts
+// periodically while a request arrives on one of the idle connections.
 func TestInterleaveEviction(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := openListener(2, 2, 1)
+		l, conns := idleListener(2, 2, 1)
 		c, served := conns[0], false
 		return il.World{
 			Threads: []il.Thread{
@@ -108,30 +108,31 @@
 					}
 					conns = append(conns, nc.(*Conn))
 				}},
-				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
+				{Name: "evict", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Always: func() error {
-				if served && c.Conn.(*wire).closed {
-					return errors.New("a connection with a request was shed")
+				if served && c.Conn.(*fakeConn).closed {
+					return errors.New("a connection with a request was evicted")
 				}
 				return checkOpen(l)
 			},
-			Check: func() error { return checkSettled(l) },
+			Check: func() error { return checkFinal(l) },
 		}
 	})
 	mutant.Found(t,
 		mutant.Mutant{File: "conn.go", Old: "case c.phase.CompareAndSwap(p, active):\n			return true", New: "default:\n			c.phase.Store(active)\n			return true",
-			Want: "a connection with a request was shed"},
+			Want: "a connection with a request was evicted"},
 		mutant.Mutant{File: "conn.go", Old: "return c.phase.CompareAndSwap(p, closing)", New: "return c.phase.Swap(closing) != closing",
-			Want: "a connection with a request was shed"},
-		mutant.Mutant{File: "listener.go", Old: "		if !l.atCapacity() {", New: "		if true {", Want: "the cap is 2"},
+			Want: "a connection with a request was evicted"},
+		mutant.Mutant{File: "listener.go", Old: "		if !l.atCapacity() {", New: "		if true {", Want: "the capacity is 2"},
 	)
 }
 
-// A connection is closed twice, by its server and by eviction, while others are accepted and counted and the listener closes.
+// The count of open connections is correct when a connection is closed twice and another evicted while the listener accepts and
+// closes.
 func TestInterleaveOpenConns(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
-		l, conns := openListener(3, 2, 1)
+		l, conns := idleListener(3, 2, 1)
 		return il.World{
 			Threads: []il.Thread{
 				{Name: "server", Run: func() { _ = conns[0].Close() }},
@@ -143,14 +144,14 @@
 						il.Fail("accept: %v", err)
 					}
 				}},
-				{Name: "end", Run: func() { _ = l.Close(); l.StopAccepting() }},
+				{Name: "close listener", Run: func() { _ = l.Close(); l.StopAccepting() }},
 			},
 			Always: func() error { return checkOpen(l) },
 			Check: func() error {
-				if !l.Listener.(*backlog).closed || len(l.open) != 0 {
-					return fmt.Errorf("%d stay open", len(l.open))
+				if !l.Listener.(*fakeListener).closed || len(l.open) != 0 {
+					return fmt.Errorf("%d connections stay open", len(l.open))
 				}
-				return checkSettled(l)
+				return checkFinal(l)
 			},
 		}
 	})
@@ -158,102 +159,102 @@
 		Want: "data race: "})
 }
 
-// socketWire is a connection with a socket, in which a request may come at any moment.
-type socketWire struct {
-	wire
-	mine, theirs int
+// fakeSocketConn is a fake connection with a socket, on which a request may arrive at any moment.
+type fakeSocketConn struct {
+	fakeConn
+	serverFD, clientFD int
 }
 
-func (w *socketWire) SyscallConn() (syscall.RawConn, error) { return rawWire{w}, nil }
+func (w *fakeSocketConn) SyscallConn() (syscall.RawConn, error) { return fakeRawConn{w}, nil }
 
-type rawWire struct{ *socketWire }
+type fakeRawConn struct{ *fakeSocketConn }
 
 // Control implements syscall.RawConn.
-func (w rawWire) Control(f func(uintptr)) error {
+func (w fakeRawConn) Control(f func(uintptr)) error {
 	il.Step(il.Op{Kind: "looks"})
-	f(uintptr(w.mine))
+	f(uintptr(w.serverFD))
 	return nil
 }
 
-// Read implements syscall.RawConn. Who would wait has met its deadline.
-func (w rawWire) Read(f func(uintptr) bool) error {
+// Read implements syscall.RawConn. The read deadline has passed, so a read that would wait fails.
+func (w fakeRawConn) Read(f func(uintptr) bool) error {
 	il.Step(il.Op{Kind: "reads"})
 	if w.closed {
 		return net.ErrClosed
 	}
-	if !f(uintptr(w.mine)) {
+	if !f(uintptr(w.serverFD)) {
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-func (w rawWire) Write(func(uintptr) bool) error { return errors.ErrUnsupported }
+func (w fakeRawConn) Write(func(uintptr) bool) error { return errors.ErrUnsupported }
 
-func (w *socketWire) request() {
+func (w *fakeSocketConn) sendRequest() {
 	il.Step(il.Op{Kind: "writes"})
-	if n, err := syscall.Write(w.theirs, []byte("r")); n != 1 {
+	if n, err := syscall.Write(w.clientFD, []byte("r")); n != 1 {
 		panic(err)
 	}
 }
 
 // A request that arrives at any moment of an eviction is either not read, or its connection stays open.
 func TestInterleaveRequestOrEviction(t *testing.T) {
-	ends := map[string]int{}
+	outcomes := map[string]int{}
 	il.Check(t, il.Options{}, func() il.World {
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
 		if err != nil {
 			panic(err)
 		}
-		w := &socketWire{mine: pair[0], theirs: pair[1]}
-		l := limit(&backlog{}, 1)
+		w := &fakeSocketConn{serverFD: pair[0], clientFD: pair[1]}
+		l := limit(&fakeListener{}, 1)
 		c := l.track(w)
 		c.phaseStart.Store(time.Now().Add(-time.Hour).UnixNano())
 		served := false
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "client", Run: w.request},
+				{Name: "client", Run: w.sendRequest},
 				{Name: "server", Run: func() {
-					n, err := c.Read(make([]byte, 1)) // its time ends when it has looked once
+					n, err := c.Read(make([]byte, 1)) // its deadline ends the wait after one check for input
 					if served = n > 0; !served {
 						if !errors.Is(err, net.ErrClosed) {
-							il.Fail("a connection that sent nothing may be answered: %v", err)
+							il.Fail("the server may send a response on a connection without a request: %v", err)
 						}
 						_ = c.Close()
 					}
 				}},
-				{Name: "tend", Run: func() { l.evictForCapacity(time.Now()) }},
+				{Name: "evict", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
 			Check: func() error {
-				read := inspect(uintptr(w.mine)) != socketReadable
+				read := inspect(uintptr(w.serverFD)) != socketReadable
 				switch {
 				case read && !served:
 					return errors.New("a request was read and not served")
 				case read && w.closed:
-					return errors.New("a connection with a request was shed")
+					return errors.New("a connection with a request was evicted")
 				case served:
-					ends["served"]++
+					outcomes["served"]++
 				case w.closed:
-					ends["closed unread"]++
+					outcomes["closed unread"]++
 				default:
-					return errors.New("a connection whose time is over stays open")
+					return errors.New("a connection stays open after its read deadline")
 				}
 				return nil
 			},
 			End: func() { _ = syscall.Close(pair[0]); _ = syscall.Close(pair[1]) },
 		}
 	})
-	for _, end := range []string{"served", "closed unread"} {
-		if ends[end] == 0 {
-			t.Errorf("no order ended as %q: %v", end, ends)
+	for _, outcome := range []string{"served", "closed unread"} {
+		if outcomes[outcome] == 0 {
+			t.Errorf("no order ended with the outcome %q: %v", outcome, outcomes)
 		}
 	}
 	mutant.Found(t,
 		mutant.Mutant{File: "firstread.go", Old: "p []byte) (int, error) {\n	c.firstReadMu.Lock()\n	defer c.firstReadMu.Unlock()\n", New: "p []byte) (int, error) {\n",
-			Want: "a connection with a request was shed"},
+			Want: "a connection with a request was evicted"},
 		mutant.Mutant{File: "conn.go", Old: "	if !c.firstReadMu.TryLock() {\n		return false // a request's first bytes are being read\n	}\n	defer c.firstReadMu.Unlock()\n", New: "",
-			Want: "a connection with a request was shed"},
-		mutant.Mutant{File: "firstread.go", Old: "	if n > 0 {\n		c.markActive()\n	}\n	return n, err", New: "	return n, err", Want: "a connection with a request was shed"},
+			Want: "a connection with a request was evicted"},
+		mutant.Mutant{File: "firstread.go", Old: "	if n > 0 {\n		c.markActive()\n	}\n	return n, err", New: "	return n, err", Want: "a connection with a request was evicted"},
 		mutant.Mutant{File: "firstread.go", Old: "	if c.phase.Load() == closing {\n		return 0, net.ErrClosed\n	}\n", New: "",
-			Want: "a connection with a request was shed"},
+			Want: "a connection with a request was evicted"},
 	)
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -10,69 +10,71 @@
 	"time"
 )
 
-func pair(t *testing.T, most int) (*Listener, *Conn, net.Conn) {
+// pair returns a listener of the given capacity with one open connection, and the client's end of it.
+func pair(t *testing.T, capacity int) (*Listener, *Conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limit(ln, most) // sheds only when told
+	l := limit(ln, capacity) // without periodic eviction
 	t.Cleanup(func() { _ = l.Close() })
-	out, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = out.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	in, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l, in.(*Conn), out
+	return l, in.(*Conn), client
 }
 
-func TestWatch(t *testing.T) {
-	_, in, out := pair(t, 10)
-	in.Watch()
-	in.Unwatch() // ends with nothing to read
-	in.Watch()
-	_, _ = io.WriteString(out, "hello") // neither read nor a close of the peer
-	in.Unwatch()
+// Unwatch ends a watch without and with input, which stays readable, and a watch ends when the peer closes.
+func TestWatchEndsAtUnwatchOrPeerClose(t *testing.T) {
+	_, conn, client := pair(t, 10)
+	conn.Watch()
+	conn.Unwatch() // without input
+	conn.Watch()
+	_, _ = io.WriteString(client, "hello") // is not lost and does not end the watch
+	conn.Unwatch()
 	b := make([]byte, 5)
-	if _, err := io.ReadFull(in, b); err != nil || string(b) != "hello" {
+	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "hello" {
 		t.Errorf("%q %v", b, err)
 	}
-	left := in.Watch()
-	_, _ = io.WriteString(out, "much at once, and gone: nobody reads it")
-	_ = out.Close()
-	<-left
-	in.Unwatch()
-	if IsReusable(in.Conn.(*net.TCPConn)) {
-		t.Error("a closed connection is quiet")
+	peerClosed := conn.Watch()
+	_, _ = io.WriteString(client, "bytes that are not read before the close")
+	_ = client.Close()
+	<-peerClosed
+	conn.Unwatch()
+	if IsReusable(conn.Conn.(*net.TCPConn)) {
+		t.Error("a closed connection is reusable")
 	}
 }
 
 // At the capacity new connections wait in the backlog until one closes or is idle.
-func TestCapacity(t *testing.T) {
-	l, in, _ := pair(t, 1)
+func TestConnectionsBeyondCapacityWait(t *testing.T) {
+	l, conn, _ := pair(t, 1)
 	next, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = next.Close() }()
 	got := make(chan error, 1)
-	in.markActive() // a request is open
+	conn.markActive() // a request is being served
 	go func() { _, err := l.Accept(); got <- err }()
 	if !l.atCapacity() || len(got) > 0 {
-		t.Error("accepted past the cap")
+		t.Error("accepted beyond the capacity")
 	}
-	in.SetIdle(true)
+	conn.SetIdle(true)
 	if err := <-got; err != nil {
 		t.Error(err)
 	}
-	if _, err := in.Read(make([]byte, 1)); err == nil {
-		t.Error("the idle connection is open")
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
+		t.Error("the idle connection was not evicted")
 	}
-	_ = in.Close()
+	_ = conn.Close()
 	go func() { _, err := l.Accept(); got <- err }()
 	_ = l.Close()
 	if err := <-got; !errors.Is(err, net.ErrClosed) {
@@ -81,10 +83,10 @@
 }
 
 // Only connections without a request are evicted, silent ones before idle ones. When many have had a request, idle ones are
-// evicted also below the capacity, as their clients may be at a limit of their own.
+// evicted also below the capacity, because their clients may have reached their own connection limits.
 func TestEvictionOrder(t *testing.T) {
-	l, active, out := pair(t, 5)
-	_, _ = io.WriteString(out, "GET")
+	l, active, client := pair(t, 5)
+	_, _ = io.WriteString(client, "GET")
 	conns := []*Conn{active}
 	for range 4 {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -98,30 +100,30 @@
 		}
 		conns = append(conns, in.(*Conn))
 	}
-	requesting, other, between, silent := conns[1], conns[2], conns[3], conns[4]
+	requesting, other, idleConn, silent := conns[1], conns[2], conns[3], conns[4]
 	requesting.markActive()
 	other.markActive()
-	between.markActive()
-	between.SetIdle(true)
+	idleConn.markActive()
+	idleConn.SetIdle(true)
 	for active.pendingInput() != socketReadable {
-		runtime.Gosched() // until the bytes have come
+		runtime.Gosched() // until the bytes have arrived
 	}
 	evicted := func(c *Conn) bool { return c.phase.Load() == closing }
 	now := time.Now()
-	if l.evictForCapacity(now.Add(-time.Hour)); evicted(silent) || evicted(between) {
-		t.Error("closed at once")
+	if l.evictForCapacity(now.Add(-time.Hour)); evicted(silent) || evicted(idleConn) {
+		t.Error("a connection was evicted at once")
 	}
-	between.phaseStart.Store(now.Add(time.Hour).UnixNano()) // as if it had only now been used
-	if l.evictForCapacity(now.Add(time.Second)); !evicted(silent) || evicted(between) {
-		t.Error("at the cap the silent one was not the one to go")
+	idleConn.phaseStart.Store(now.Add(time.Hour).UnixNano()) // as if it had just become idle
+	if l.evictForCapacity(now.Add(time.Second)); !evicted(silent) || evicted(idleConn) {
+		t.Error("at the capacity the silent connection was not the one evicted")
 	}
-	between.phaseStart.Store(now.UnixNano())
-	if l.evictForCapacity(now.Add(time.Second)); !evicted(between) {
-		t.Error("three have asked of a cap of five, and the idle one stays")
+	idleConn.phaseStart.Store(now.UnixNano())
+	if l.evictForCapacity(now.Add(time.Second)); !evicted(idleConn) {
+		t.Error("the idle connection was not evicted although most connections have had a request")
 	}
-	for _, c := range []*Conn{silent, between} {
+	for _, c := range []*Conn{silent, idleConn} {
 		if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil {
-			t.Error("a closed connection was read")
+			t.Error("an evicted connection could be read")
 		}
 	}
 	l.evictForCapacity(now.Add(time.Hour))
@@ -129,71 +131,72 @@
 	if n, err := active.Read(b); err != nil || string(b[:n]) != "GET" || evicted(requesting) || evicted(other) {
 		t.Errorf("a connection with a request was closed: %q %v", b[:n], err)
 	}
-	// A byte that comes while its connection is shed is not taken; a shed loses to one that came before.
-	if requesting.evict() || between.markActive() {
-		t.Error("roused and shed at once")
+	// A connection with a request is not evicted, and an evicted connection does not become active.
+	if requesting.evict() || idleConn.markActive() {
+		t.Error("a connection was both active and evicted")
 	}
 }
 
-// Idle connections are evicted also if no new one arrives, as their clients may be at a limit of their own.
+// Idle connections are evicted also if no new one arrives, because their clients may have reached their own connection limits.
 func TestPeriodicEviction(t *testing.T) {
-	l, in, out := pair(t, 2)
-	in.markActive()
-	in.SetIdle(true)
+	l, conn, client := pair(t, 2)
+	conn.markActive()
+	conn.SetIdle(true)
 	go l.evictPeriodically()
-	if _, err := out.Read(make([]byte, 1)); err == nil {
-		t.Error("not closed")
+	if _, err := client.Read(make([]byte, 1)); err == nil {
+		t.Error("the idle connection was not closed")
 	}
 }
 
-type failing struct {
+// failingListener is a fake listener whose Accept returns the given errors in order.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	err := f.errs[0]
 	f.errs = f.errs[1:]
 	return nil, err
 }
 
 // A lack of descriptors does not end a server, as other accept errors do.
-func TestDescriptorsRunOut(t *testing.T) {
-	end := errors.New("the end")
-	f := &failing{errs: []error{&net.OpError{Op: "accept", Err: syscall.EMFILE}, syscall.ENFILE, end}}
-	if _, err := Limit(f, 1).Accept(); !errors.Is(err, end) {
+func TestAcceptRetriesWithoutDescriptor(t *testing.T) {
+	permanent := errors.New("not transient")
+	f := &failingListener{errs: []error{&net.OpError{Op: "accept", Err: syscall.EMFILE}, syscall.ENFILE, permanent}}
+	if _, err := Limit(f, 1).Accept(); !errors.Is(err, permanent) {
 		t.Errorf("%v", err)
 	}
 }
 
 // CloseIdle closes connections that were idle for long enough, and none that is active or was active recently.
 func TestCloseIdle(t *testing.T) {
-	l, in, out := pair(t, 10)
-	if n := l.CloseIdle(time.Hour); n != 1 || in.HasPendingInput() {
-		t.Errorf("%d open", n)
+	l, conn, client := pair(t, 10)
+	if n := l.CloseIdle(time.Hour); n != 1 || conn.HasPendingInput() {
+		t.Errorf("%d connections open before any input", n)
 	}
-	_, _ = io.WriteString(out, "x")
-	for !in.HasPendingInput() {
+	_, _ = io.WriteString(client, "x")
+	for !conn.HasPendingInput() {
 		runtime.Gosched()
 	}
 	if n := l.CloseIdle(0); n != 1 {
-		t.Errorf("closed over unread bytes: %d open", n)
+		t.Errorf("closed with unread bytes: %d open", n)
 	}
 	b := make([]byte, 1)
-	if _, err := in.Read(b); err != nil {
+	if _, err := conn.Read(b); err != nil {
 		t.Fatal(err)
 	}
 	if n := l.CloseIdle(0); n != 1 {
-		t.Errorf("closed in use: %d open", n)
+		t.Errorf("closed while active: %d open", n)
 	}
-	in.SetIdle(true)
+	conn.SetIdle(true)
 	if n := l.CloseIdle(time.Hour); n != 1 {
-		t.Errorf("closed too soon: %d open", n)
+		t.Errorf("closed too early: %d open", n)
 	}
 	if n := l.CloseIdle(0); n != 0 {
-		t.Errorf("%d open", n)
+		t.Errorf("%d idle connections stay open", n)
 	}
-	if _, err := out.Read(b); !errors.Is(err, io.EOF) {
+	if _, err := client.Read(b); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 }
--- a/internal/transport/nosplice_test.go
+++ b/internal/transport/nosplice_test.go
@@ -16,25 +16,25 @@
 	"wheatsaddle/internal/address"
 )
 
-// A connection of this package, dialled or accepted in any way, offers no copy between descriptors, neither by its methods nor
-// by its raw connection. A file and another connection copied to it arrive complete.
+// A connection of this package, dialled or accepted in any way, does not let io.Copy use splice or sendfile: neither its methods
+// nor its raw connection support them. A file copied to it arrives complete.
 func TestConnsDisableSplice(t *testing.T) {
-	text := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
+	content := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
 	file := filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
+	if err := os.WriteFile(file, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bare, err := net.Listen("tcp", "127.0.0.1:0")
+	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = bare.Close() }()
-	held, err := bare.(*net.TCPListener).File()
+	defer func() { _ = tcp.Close() }()
+	inherited, err := tcp.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = held.Close() }()
-	free := func() (ln net.Listener, err error) { // a port that is free now may be another's in a moment
+	defer func() { _ = inherited.Close() }()
+	listenOnFreePort := func() (ln net.Listener, err error) { // retries, as another process may take a free port before it is used
 		for range 20 {
 			if ln, err = net.Listen("tcp", "127.0.0.1:0"); err == nil {
 				a, perr := address.Parse(ln.Addr().String())
@@ -49,11 +49,11 @@
 		return nil, err
 	}
 	for name, listen := range map[string]func() (net.Listener, error){
-		"Listen":         free,
-		"Listen, a file": func() (net.Listener, error) { return Listen(unixAddr(t, filepath.Join(t.TempDir(), "s")), 0o600) },
-		"ListenTCP":      func() (net.Listener, error) { return ListenTCP("127.0.0.1:0") },
-		"Passed":         func() (net.Listener, error) { return ListenInherited(strconv.Itoa(int(held.Fd()))) },
-		"the clients'": func() (net.Listener, error) {
+		"Listen":                  listenOnFreePort,
+		"Listen on a socket file": func() (net.Listener, error) { return Listen(unixAddr(t, filepath.Join(t.TempDir(), "s")), 0o600) },
+		"ListenTCP":               func() (net.Listener, error) { return ListenTCP("127.0.0.1:0") },
+		"ListenInherited":         func() (net.Listener, error) { return ListenInherited(strconv.Itoa(int(inherited.Fd()))) },
+		"Listener": func() (net.Listener, error) {
 			ln, err := ListenTCP("127.0.0.1:0")
 			return limit(ln, 10), err
 		},
@@ -65,60 +65,60 @@
 			}
 			defer func() { _ = ln.Close() }()
 			var to address.Addr
-			if file, ok := ln.(noSpliceListener); ok && ln.Addr().Network() == "unix" { // moved to its place once it was bound
+			if file, ok := ln.(noSpliceListener); ok && ln.Addr().Network() == "unix" { // Addr has the temporary name under which the socket was bound
 				to = unixAddr(t, file.Listener.(*fileListener).path)
 			} else if to, err = address.Parse(ln.Addr().String()); err != nil {
 				t.Fatal(err)
 			}
-			ours, theirs := connPair(t, ln, to)
-			for _, nc := range []net.Conn{ours, theirs} {
+			dialed, accepted := connPair(t, ln, to)
+			for _, nc := range []net.Conn{dialed, accepted} {
 				if _, ok := nc.(io.ReaderFrom); ok {
-					t.Errorf("%T takes a copy", nc)
+					t.Errorf("%T implements io.ReaderFrom", nc)
 				}
 				if _, ok := nc.(io.WriterTo); ok {
-					t.Errorf("%T gives a copy", nc)
+					t.Errorf("%T implements io.WriterTo", nc)
 				}
 				if s, ok := nc.(Stream); ok {
 					raw, err := s.SyscallConn()
 					if err != nil {
 						t.Fatal(err)
 					}
-					if reflect.ValueOf(raw).MethodByName("PollFD").IsValid() { // what package os looks for
-						t.Errorf("%T shows its descriptor's poller", raw)
+					if reflect.ValueOf(raw).MethodByName("PollFD").IsValid() { // package os checks for this method
+						t.Errorf("%T has the method PollFD", raw)
 					}
 				}
 			}
-			for _, x := range [][2]net.Conn{{ours, theirs}, {theirs, ours}} {
+			for _, x := range [][2]net.Conn{{dialed, accepted}, {accepted, dialed}} {
 				f, err := os.Open(file)
 				if err != nil {
 					t.Fatal(err)
 				}
 				go func() { _, _ = io.Copy(x[0], f); _ = f.Close() }()
-				got := make([]byte, len(text))
-				if _, err := io.ReadFull(x[1], got); err != nil || !bytes.Equal(got, text) {
-					t.Errorf("a file came otherwise: %v", err)
+				got := make([]byte, len(content))
+				if _, err := io.ReadFull(x[1], got); err != nil || !bytes.Equal(got, content) {
+					t.Errorf("the file arrived incomplete or changed: %v", err)
 				}
 			}
 		})
 	}
 }
 
-// connPair are the ends of a connection to a listener, until the test ends.
-func connPair(t *testing.T, ln net.Listener, to address.Addr) (ours Stream, theirs net.Conn) {
+// connPair returns both ends of a connection to a listener. They are closed when the test ends.
+func connPair(t *testing.T, ln net.Listener, to address.Addr) (dialed Stream, accepted net.Conn) {
 	t.Helper()
-	ours, _, err := Dial(context.Background(), to, time.Minute)
+	dialed, _, err := Dial(context.Background(), to, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ours.Close() })
-	if theirs, err = ln.Accept(); err != nil {
+	t.Cleanup(func() { _ = dialed.Close() })
+	if accepted, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = theirs.Close() })
-	return ours, theirs
+	t.Cleanup(func() { _ = accepted.Close() })
+	return dialed, accepted
 }
 
-// Writes are sent at once: unsent data would be lost if the connection is closed over unread bytes.
+// Writes are sent at once. Unsent data would be lost if the connection were closed with unread bytes.
 func TestWritesAreNotBuffered(t *testing.T) {
 	ln, err := ListenTCP("127.0.0.1:0")
 	if err != nil {
@@ -129,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, theirs := connPair(t, ln, to)
-	for _, s := range []Stream{ours, theirs.(Stream)} {
+	dialed, accepted := connPair(t, ln, to)
+	for _, s := range []Stream{dialed, accepted.(Stream)} {
 		raw, err := s.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/watch_test.go
+++ b/internal/transport/watch_test.go
@@ -12,48 +12,49 @@
 	"time"
 )
 
-// stuckAfter fails a test that waits for an event that does not happen.
-const stuckAfter = 20 * time.Second
+// eventTimeout is the time after which a test fails that waits for an event.
+const eventTimeout = 20 * time.Second
 
-// spied is a connection whose watch tells of each look that it took, and may be held before its first.
-type spied struct {
+// observedConn is a connection that records each check of its watch. The test decides when the watch starts.
+type observedConn struct {
 	net.Conn
-	hold  chan struct{} // closed: the watch runs
-	looks chan bool     // the verdict of each
+	start  chan struct{} // closed by the test to start the watch
+	checks chan bool     // the result of each check: whether the peer has closed
 }
 
-func (s *spied) SyscallConn() (syscall.RawConn, error) {
+func (s *observedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := s.Conn.(syscall.Conn).SyscallConn()
-	return spiedSocket{raw, s}, err
+	return observedSocket{raw, s}, err
 }
 
-type spiedSocket struct {
+type observedSocket struct {
 	syscall.RawConn
-	of *spied
+	conn *observedConn
 }
 
-func (s spiedSocket) Read(f func(uintptr) bool) error {
-	<-s.of.hold
+func (s observedSocket) Read(f func(uintptr) bool) error {
+	<-s.conn.start
 	return s.RawConn.Read(func(fd uintptr) bool {
-		gone := f(fd)
-		s.of.looks <- gone
-		return gone
+		peerClosed := f(fd)
+		s.conn.checks <- peerClosed
+		return peerClosed
 	})
 }
 
-type spyListener struct{ net.Listener }
+// observedListener wraps accepted connections as observed ones.
+type observedListener struct{ net.Listener }
 
-func (l spyListener) Accept() (net.Conn, error) {
+func (l observedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &spied{nc, make(chan struct{}), make(chan bool, 1024)}, nil
+	return &observedConn{nc, make(chan struct{}), make(chan bool, 1024)}, nil
 }
 
-// spiedPair is an accepted connection whose watch is spied on, and its client's end. A socket file's system does not say
-// of one that it has gone behind bytes.
-func spiedPair(t *testing.T, network string) (*Listener, *Conn, *spied, net.Conn) {
+// observedPair returns an accepted connection whose watch is observed, and its client's end. For the network "unix" the kernel does
+// not report a peer's close behind unread bytes.
+func observedPair(t *testing.T, network string) (*Listener, *Conn, *observedConn, net.Conn) {
 	t.Helper()
 	at := "127.0.0.1:0"
 	if network == "unix" {
@@ -63,47 +64,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limit(spyListener{ln}, 10)
+	l := limit(observedListener{ln}, 10)
 	t.Cleanup(func() { _ = l.Close() })
-	out, err := net.Dial(network, ln.Addr().String())
+	client, err := net.Dial(network, ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = out.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := nc.(*Conn)
-	t.Cleanup(func() { _ = in.Close() })
-	return l, in, in.Conn.(*spied), out
+	conn := nc.(*Conn)
+	t.Cleanup(func() { _ = conn.Close() })
+	return l, conn, conn.Conn.(*observedConn), client
 }
 
-func comes(t *testing.T, what string, ch <-chan struct{}) {
+// waitClosed waits until a channel is closed.
+func waitClosed(t *testing.T, what string, ch <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-ch:
-	case <-time.After(stuckAfter):
-		t.Fatalf("%s: it is not seen", what)
+	case <-time.After(eventTimeout):
+		t.Fatalf("%s was not detected", what)
 	}
 }
 
-// seen waits until the system, or the watch, has what the other side did.
-func seen(t *testing.T, what string, met func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(stuckAfter); !met(); runtime.Gosched() {
-		if time.Now().After(until) {
-			t.Fatalf("%s: it is not seen", what)
+	for deadline := time.Now().Add(eventTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: not detected", what)
 		}
 	}
 }
 
-// A close, half-close or reset by the client behind unread bytes wakes the watch, also where the kernel does not report the
-// state of the connection. The bytes can still be read.
-func TestWatchSeesCloseBehindUnreadBytes(t *testing.T) {
+// A close, half-close or reset by the client after unread bytes ends the watch, also where the kernel does not report the
+// state of the connection. The bytes can still be read, except after a reset.
+func TestWatchDetectsCloseAfterUnreadBytes(t *testing.T) {
 	const text = "a request sent ahead"
 	for _, network := range []string{"tcp", "unix"} {
-		for name, leave := range map[string]func(net.Conn) error{
+		for name, disconnect := range map[string]func(net.Conn) error{
 			"close":      func(nc net.Conn) error { return nc.Close() },
 			"half-close": func(nc net.Conn) error { return nc.(interface{ CloseWrite() error }).CloseWrite() },
 			"reset": func(nc net.Conn) error {
@@ -114,23 +116,23 @@
 			},
 		} {
 			t.Run(network+" "+name, func(t *testing.T) {
-				_, in, spy, out := spiedPair(t, network)
-				_, _ = io.WriteString(out, text)
-				seen(t, "bytes that wait", func() bool { return in.pendingInput() == socketReadable })
-				left := in.Watch()
-				close(spy.hold)
-				if <-spy.looks {
-					t.Fatal("gone before it went")
+				_, conn, observed, client := observedPair(t, network)
+				_, _ = io.WriteString(client, text)
+				waitUntil(t, "unread bytes", func() bool { return conn.pendingInput() == socketReadable })
+				peerClosed := conn.Watch()
+				close(observed.start)
+				if <-observed.checks {
+					t.Fatal("the watch reported a close before the client closed")
 				}
-				if err := leave(out); err != nil {
+				if err := disconnect(client); err != nil {
 					t.Fatal(err)
 				}
-				comes(t, "the going", left)
-				if !in.PeerClosed() {
-					t.Error("it has not gone")
+				waitClosed(t, "the client's close", peerClosed)
+				if !conn.PeerClosed() {
+					t.Error("PeerClosed is false after the close")
 				}
-				in.Unwatch()
-				if got, _ := io.ReadAll(in); string(got) != text && name != "reset" {
+				conn.Unwatch()
+				if got, _ := io.ReadAll(conn); string(got) != text && name != "reset" {
 					t.Errorf("read %q", got)
 				}
 			})
@@ -141,73 +143,73 @@
 // The bytes read ahead of a watched connection are bounded, and are read in order before later ones.
 func TestReadAheadIsReadInOrder(t *testing.T) {
 	for _, size := range []int{1, readAheadStep, readAheadLimit - 1, readAheadLimit, readAheadLimit + 5000} {
-		_, in, spy, out := spiedPair(t, "unix")
-		close(spy.hold)
+		_, conn, observed, client := observedPair(t, "unix")
+		close(observed.start)
 		text := []byte(strings.Repeat("0123456789abcdef!", size/17+1)[:size])
-		go func() { _, _ = out.Write(text) }()
-		for range 3 { // watched again, it goes on where it stopped
-			in.Watch()
-			seen(t, "what is read ahead", func() bool { return int(in.readAhead.size.Load()) == min(size, readAheadLimit) })
-			if in.PeerClosed() {
-				t.Fatal("gone before it went")
+		go func() { _, _ = client.Write(text) }()
+		for range 3 { // a further watch continues where the last one stopped
+			conn.Watch()
+			waitUntil(t, "bytes read ahead", func() bool { return int(conn.readAhead.size.Load()) == min(size, readAheadLimit) })
+			if conn.PeerClosed() {
+				t.Fatal("PeerClosed is true before the client closed")
 			}
-			in.Unwatch()
+			conn.Unwatch()
 		}
-		_, _ = io.WriteString(out, "more")
-		_ = out.Close()
-		got, err := io.ReadAll(in)
+		_, _ = io.WriteString(client, "more")
+		_ = client.Close()
+		got, err := io.ReadAll(conn)
 		if want := string(text) + "more"; err != nil || string(got) != want {
-			t.Errorf("of %d and 4 bytes %d were read as sent: %v", size, len(got), err)
+			t.Errorf("sent %d and 4 bytes, read %d bytes, or other ones: %v", size, len(got), err)
 		}
-		if in.readAhead.size.Load() != 0 || in.readAhead.bytes != nil {
-			t.Error("what was read is held")
+		if conn.readAhead.size.Load() != 0 || conn.readAhead.bytes != nil {
+			t.Error("the read-ahead buffer is not empty after all bytes were read")
 		}
 	}
 }
 
 // A connection with bytes read ahead is not closed as idle.
 func TestReadAheadCountsAsRequest(t *testing.T) {
-	l, in, spy, out := spiedPair(t, "unix")
-	close(spy.hold)
-	in.markActive()
-	in.Watch()
-	_, _ = io.WriteString(out, "x")
-	seen(t, "what is read ahead", func() bool { return in.readAhead.size.Load() == 1 })
-	in.Unwatch()
-	in.SetIdle(true)
-	if n := l.CloseIdle(0); n != 1 || !in.HasPendingInput() {
-		t.Errorf("closed over what was read ahead: %d open, asked %v", n, in.HasPendingInput())
+	l, conn, observed, client := observedPair(t, "unix")
+	close(observed.start)
+	conn.markActive()
+	conn.Watch()
+	_, _ = io.WriteString(client, "x")
+	waitUntil(t, "bytes read ahead", func() bool { return conn.readAhead.size.Load() == 1 })
+	conn.Unwatch()
+	conn.SetIdle(true)
+	if n := l.CloseIdle(0); n != 1 || !conn.HasPendingInput() {
+		t.Errorf("%d connections open, pending input %v; want 1 with the byte that was read ahead", n, conn.HasPendingInput())
 	}
-	if _, err := in.Read(make([]byte, 1)); err != nil {
+	if _, err := conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	in.SetIdle(true)
-	if n := l.CloseIdle(0); n != 0 || in.HasPendingInput() {
-		t.Errorf("%d open, asked %v", n, in.HasPendingInput())
+	conn.SetIdle(true)
+	if n := l.CloseIdle(0); n != 0 || conn.HasPendingInput() {
+		t.Errorf("%d connections open, pending input %v; want none", n, conn.HasPendingInput())
 	}
 }
 
 // The read deadline of the request does not end the watch.
 func TestWatchOutlastsReadDeadline(t *testing.T) {
-	_, in, spy, out := spiedPair(t, "tcp")
-	close(spy.hold)
-	in.SetReadDeadline(time.Unix(1, 0)) // long past
-	left, ended := in.Watch(), in.watchDone
-	if gone := <-firstOf(spy.looks, ended); gone {
-		t.Fatal("gone before it went")
+	_, conn, observed, client := observedPair(t, "tcp")
+	close(observed.start)
+	conn.SetReadDeadline(time.Unix(1, 0)) // in the past
+	peerClosed, ended := conn.Watch(), conn.watchDone
+	if closed := <-firstCheck(observed.checks, ended); closed {
+		t.Fatal("the watch ended before the client closed")
 	}
-	_ = out.Close()
-	comes(t, "the going", left)
-	in.Unwatch()
+	_ = client.Close()
+	waitClosed(t, "the client's close", peerClosed)
+	conn.Unwatch()
 }
 
-// firstOf gives the first verdict, or true where the watch ended without one.
-func firstOf(looks <-chan bool, ended <-chan struct{}) <-chan bool {
+// firstCheck returns the result of the watch's first check, or true if the watch ended without one.
+func firstCheck(checks <-chan bool, ended <-chan struct{}) <-chan bool {
 	got := make(chan bool, 1)
 	go func() {
 		select {
-		case gone := <-looks:
-			got <- gone
+		case closed := <-checks:
+			got <- closed
 		case <-ended:
 			got <- true
 		}
@@ -215,28 +217,28 @@
 	return got
 }
 
-// PeerClosed is true as soon as the kernel has the close, also before the goroutine of Watch has run.
+// PeerClosed is true as soon as the kernel has received the close, also before the goroutine of Watch has run.
 func TestPeerClosedBeforeWatchRuns(t *testing.T) {
 	for _, network := range []string{"tcp", "unix"} {
-		for _, ahead := range []string{"", "bytes that wait"} {
-			_, in, spy, out := spiedPair(t, network)
-			left := in.Watch() // held: it takes no look
-			_, _ = io.WriteString(out, ahead)
-			seen(t, ahead, func() bool { return ahead == "" || in.pendingInput() == socketReadable })
-			if in.PeerClosed() {
-				t.Fatalf("%s, %q: gone before it went", network, ahead)
+		for _, unread := range []string{"", "unread bytes"} {
+			_, conn, observed, client := observedPair(t, network)
+			peerClosed := conn.Watch() // does not start, as hold is open
+			_, _ = io.WriteString(client, unread)
+			waitUntil(t, unread, func() bool { return unread == "" || conn.pendingInput() == socketReadable })
+			if conn.PeerClosed() {
+				t.Fatalf("%s, %q: PeerClosed is true before the client closed", network, unread)
 			}
-			_ = out.Close()
-			seen(t, network+", the going behind "+strconv.Quote(ahead), in.PeerClosed)
-			if len(spy.looks) > 0 {
-				t.Fatal("the watch ran: the crossing was not reached")
+			_ = client.Close()
+			waitUntil(t, network+", the client's close after "+strconv.Quote(unread), conn.PeerClosed)
+			if len(observed.checks) > 0 {
+				t.Fatal("the watch ran before PeerClosed was checked")
 			}
-			close(spy.hold)
-			comes(t, "the going", left)
-			in.Unwatch()
-			_ = in.Close()
-			if !in.PeerClosed() {
-				t.Error("a connection that is closed stands")
+			close(observed.start)
+			waitClosed(t, "the client's close", peerClosed)
+			conn.Unwatch()
+			_ = conn.Close()
+			if !conn.PeerClosed() {
+				t.Error("PeerClosed is false for a connection that is closed on this side")
 			}
 		}
 	}
