--- a/internal/iscsi/nexus.go
+++ b/internal/iscsi/nexus.go
@@ -125,6 +125,7 @@
 	return n, err == nil
 }
 
+// setNumbers sets the CmdSN and ExpStatSN of a PDU.
 func (x *nexus) setNumbers(q *pdu) {
 	q.put32(24, x.cmdSN)
 	q.put32(28, x.expStatSN)
--- a/internal/iscsi/portals_test.go
+++ b/internal/iscsi/portals_test.go
@@ -9,19 +9,19 @@
 	"wheatsaddle/policy"
 )
 
-// stop makes a portal refuse: its listener and its sessions end.
-func (s *standin) stop() {
+// stop makes a portal unreachable: it closes its listener and its last session.
+func (s *fakeTarget) stop() {
 	s.ln.Close()
 	s.mu.Lock()
-	last := s.last
+	session := s.lastSession
 	s.mu.Unlock()
-	if last != nil {
-		last.conn.Close()
+	if session != nil {
+		session.conn.Close()
 	}
 }
 
-// start makes it accept again.
-func (s *standin) start() {
+// start makes the portal accept connections again.
+func (s *fakeTarget) start() {
 	s.t.Helper()
 	ln, err := net.Listen("tcp", s.ln.Addr().String())
 	if err != nil {
@@ -40,89 +40,89 @@
 	}()
 }
 
-// until reads until a condition holds; each read must be served.
-func until(t *testing.T, c *initiator, what string, ok func() bool) {
+// readUntil reads until a condition holds. Reads may fail meanwhile.
+func readUntil(t *testing.T, c *fakeInitiator, what string, condition func() bool) {
 	t.Helper()
 	for range 5000 {
 		if e := c.readBlocks(0, 1); e.status != statusGood {
-			continue // caught on the way
+			continue // failed by the change of portal
 		}
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal(what, ": it never came to it")
+	t.Fatal(what, ": condition not reached")
 }
 
-func (s *standin) logged() int {
+func (s *fakeTarget) loginCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.logins
 }
 
-func (s *standin) came1() int { came, _ := s.counts(); return came }
+func (s *fakeTarget) commandCount() int { received, _ := s.counts(); return received }
 
-// New commands go by the next portal when one refuses, and back once it is good again.
-func TestPortals(t *testing.T) {
-	a, b := newStandin(t), newStandin(t)
-	p := pathTo(t, 30e3, false, a, b)
-	c := p.initiator(t)
+// New commands use the next portal when the first is down, and the first again after its recovery.
+func TestCommandsMoveBetweenPortals(t *testing.T) {
+	a, b := newFakeTarget(t), newFakeTarget(t)
+	env := newTestEnvWithPortals(t, 30e3, false, a, b)
+	client := env.initiator(t)
 	for range 5 {
-		if e := c.readBlocks(0, 1); e.status != statusGood {
-			t.Fatalf("%+v", e)
+		if e := client.readBlocks(0, 1); e.status != statusGood {
+			t.Fatalf("read ended %+v", e)
 		}
 	}
-	if a.came1() != 5 || b.came1() != 0 {
-		t.Fatalf("%d and %d commands", a.came1(), b.came1())
+	if a.commandCount() != 5 || b.commandCount() != 0 {
+		t.Fatalf("%d and %d commands, want 5 and 0", a.commandCount(), b.commandCount())
 	}
 	a.stop()
-	until(t, c, "the next portal", func() bool { return b.came1() > 0 })
-	before := a.came1()
+	readUntil(t, client, "commands on the next portal", func() bool { return b.commandCount() > 0 })
+	before := a.commandCount()
 	for range 20 {
-		if e := c.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("%+v", e)
+		if e := client.readBlocks(0, 1); e.status != statusGood {
+			t.Errorf("read ended %+v", e)
 		}
 	}
-	if a.came1() != before {
-		t.Error("commands went to a portal that is gone")
+	if a.commandCount() != before {
+		t.Error("commands reached a portal that is down")
 	}
 	a.start()
-	until(t, c, "the way back", func() bool { return a.came1() > before })
-	after := b.came1()
+	readUntil(t, client, "recovery of the first portal", func() bool { return a.commandCount() > before })
+	after := b.commandCount()
 	for range 20 {
-		c.readBlocks(0, 1)
+		client.readBlocks(0, 1)
 	}
-	if b.came1() != after {
-		t.Error("commands go by both")
+	if b.commandCount() != after {
+		t.Error("commands use both portals")
 	}
 }
 
-// A portal falls silent with a write in flight: the write is not sent by another, and ends on its
-// own session; new commands go by the next portal meanwhile.
-func TestPortalHangsWithWriteInFlight(t *testing.T) {
-	a, b := newStandin(t), newStandin(t)
-	p := pathTo(t, 30e3, false, a, b)
-	c := p.initiator(t)
-	c.readBlocks(0, 1)
-	itt, _ := p.heldWrite(c)
-	other := p.another(t)
-	for b.came1() == 0 && b.logged() == 0 {
-		time.Sleep(time.Millisecond) // its silence is seen without another command
-	}
-	for range 2 { // after more answers the module gives the write up for lost
+// A portal stops responding with a write in flight. The write is not sent through another portal and ends on
+// its own session. New commands use the next portal meanwhile.
+func TestPortalStopsRespondingWithWriteInFlight(t *testing.T) {
+	a, b := newFakeTarget(t), newFakeTarget(t)
+	env := newTestEnvWithPortals(t, 30e3, false, a, b)
+	client := env.initiator(t)
+	client.readBlocks(0, 1)
+	itt, _ := env.startHeldWrite(client)
+	other := env.otherInitiator(t)
+	for b.commandCount() == 0 && b.loginCount() == 0 {
+		time.Sleep(time.Millisecond) // the missing response is detected without another command
+	}
+	for range 2 { // after more responses the scheduler would treat the write as lost
 		if e := other.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("%+v", e)
+			t.Errorf("read ended %+v", e)
 		}
 	}
-	close(p.hold)
+	close(env.hold)
 	a.mu.Lock()
 	a.hold = nil
 	a.mu.Unlock()
-	if e := c.finish(itt, nil); e.status != statusGood {
+	if e := client.awaitResponse(itt, nil); e.status != statusGood {
 		t.Errorf("the write ended %+v", e)
 	}
-	for _, s := range []*standin{a, b} {
+	for _, s := range []*fakeTarget{a, b} {
 		s.mu.Lock()
 		if n := len(s.disk); s == a && n != 2 || s == b && n != 0 {
 			t.Errorf("%d blocks written", n)
@@ -131,50 +131,51 @@
 	}
 }
 
-// A portal at which another target answers refuses the login: it is wrong, and the rest serve.
+// A portal that belongs to another target rejects the login. The other portals serve, and it is used again
+// once it accepts logins.
 func TestPortalOfAnotherTarget(t *testing.T) {
-	a, b := newStandin(t), newStandin(t)
-	a.refuse = loginNotFound
-	p := pathTo(t, 30e3, false, a, b)
-	c := p.initiator(t)
+	a, b := newFakeTarget(t), newFakeTarget(t)
+	a.loginStatus = loginNotFound
+	env := newTestEnvWithPortals(t, 30e3, false, a, b)
+	client := env.initiator(t)
 	for range 10 {
-		if e := c.readBlocks(0, 1); e.status != statusGood {
-			t.Fatalf("%+v", e)
+		if e := client.readBlocks(0, 1); e.status != statusGood {
+			t.Fatalf("read ended %+v", e)
 		}
 	}
-	if a.came1() != 0 || b.came1() != 10 {
-		t.Errorf("%d and %d commands", a.came1(), b.came1())
+	if a.commandCount() != 0 || b.commandCount() != 10 {
+		t.Errorf("%d and %d commands, want 0 and 10", a.commandCount(), b.commandCount())
 	}
 	a.mu.Lock()
-	a.refuse = 0
+	a.loginStatus = 0
 	a.mu.Unlock()
-	until(t, c, "the way back", func() bool { return a.came1() > 0 })
+	readUntil(t, client, "recovery of the first portal", func() bool { return a.commandCount() > 0 })
 }
 
-// The configuration is read again with other portals: the session moves, and what is out ends
-// where it is.
-func TestPortalsChange(t *testing.T) {
-	a, b := newStandin(t), newStandin(t)
-	p := pathTo(t, 30e3, true, a)
-	c := p.initiator(t)
-	itt, _ := p.heldWrite(c)
-	conf := *p.target.conf
+// After a reload with another portal, new commands use it, and a write in flight ends on its session
+// with the old portal.
+func TestReloadOfPortals(t *testing.T) {
+	a, b := newFakeTarget(t), newFakeTarget(t)
+	env := newTestEnvWithPortals(t, 30e3, true, a)
+	client := env.initiator(t)
+	itt, _ := env.startHeldWrite(client)
+	conf := *env.target.conf
 	conf.Storage = append(conf.Storage[:0:0], conf.Storage...)
-	d := pathTo(t, 30e3, true, b).target.conf.Storage[0].Addresses
-	conf.Storage[0].Addresses = d
-	p.dialer.Update(&conf)
-	p.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
-	other := p.another(t)
+	newAddresses := newTestEnvWithPortals(t, 30e3, true, b).target.conf.Storage[0].Addresses
+	conf.Storage[0].Addresses = newAddresses
+	env.dialer.Update(&conf)
+	env.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
+	other := env.otherInitiator(t)
 	for range 5 {
 		if e := other.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("%+v", e)
+			t.Errorf("read ended %+v", e)
 		}
 	}
-	if b.came1() != 5 {
-		t.Errorf("%d commands by the new portal", b.came1())
+	if b.commandCount() != 5 {
+		t.Errorf("%d commands on the new portal, want 5", b.commandCount())
 	}
-	close(p.hold)
-	if e := c.finish(itt, nil); e.status != statusGood {
+	close(env.hold)
+	if e := client.awaitResponse(itt, nil); e.status != statusGood {
 		t.Errorf("the write ended %+v", e)
 	}
 	<-a.logouts
