--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -117,7 +117,7 @@
 	if !c.markClosing() {
 		return false
 	}
-	_ = c.Close() // the connection has no request, so the error matters to nobody
+	_ = c.Close() // without a request the error does not matter
 	return true
 }
 
