--- a/internal/httpfront/paths_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -19,7 +19,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	standnode "wheatsaddle/internal/testkit/fake/node"
+	fakenode "wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -28,26 +28,26 @@
 
 // addressHarness is a stand-in node on a socket file, ::1 and 127.0.0.1, and a peer of it.
 type addressHarness struct {
-	t     *testing.T
-	n     *standnode.Node
-	at    []address.Addr // as preferred
-	d     *Dialer
-	p     core.NodeClient
-	hook  *logtest.Hook
-	count atomic.Int64
-	gate  atomic.Pointer[chan struct{}]
+	t         *testing.T
+	node      *fakenode.Node
+	addresses []address.Addr // as preferred
+	dialer    *Dialer
+	client    core.NodeClient
+	hook      *logtest.Hook
+	count     atomic.Int64
+	gate      atomic.Pointer[chan struct{}]
 }
 
-// patient are settings by which no pause of the machine makes an address suspect.
-func patient() address.Settings {
-	s := quick()
+// withoutSuspicion are settings by which no pause of the machine makes an address suspect.
+func withoutSuspicion() address.Settings {
+	s := withShortTimes()
 	s.MinSuspectAfter, s.MaxSuspectAfter, s.SecondOpinionAfter = time.Minute, 2*time.Minute, time.Minute
 	s.Delay, s.MinDelay, s.MaxDelay = 2*time.Second, 2*time.Second, 2*time.Second
 	return s
 }
 
-// quick are settings for tests that wait for a suspicion or a back-off.
-func quick() address.Settings {
+// withShortTimes are settings for tests that wait for a suspicion or a back-off.
+func withShortTimes() address.Settings {
 	s := address.Defaults()
 	s.MinSuspectAfter, s.MaxSuspectAfter = 150*ms, 600*ms
 	s.Backoff, s.MaxBackoff, s.MinReturnDelay, s.TrialInterval, s.DownTrialInterval = 50*ms, 200*ms, 100*ms, 10*ms, 20*ms
@@ -58,7 +58,7 @@
 func newAddressHarness(t *testing.T, set address.Settings, slow ...time.Duration) *addressHarness {
 	t.Helper()
 	r := &addressHarness{t: t}
-	r.n = standnode.New(standnode.Options{Name: "n", Shard: 0, Workers: 64, Identity: "X-Node",
+	r.node = fakenode.New(fakenode.Options{Name: "n", Shard: 0, Workers: 64, Identity: "X-Node",
 		Service: func(*fasthttp.Request) (took time.Duration) {
 			if g := r.gate.Load(); g != nil {
 				<-*g // until the test lets it go on
@@ -68,32 +68,32 @@
 			}
 			return took
 		}})
-	t.Cleanup(r.n.Close)
+	t.Cleanup(r.node.Close)
 	for _, text := range []string{"unix:" + filepath.Join(t.TempDir(), "s"), "[::1]:0", "127.0.0.1:0"} {
-		a, err := r.n.Listen(text)
+		a, err := r.node.Listen(text)
 		if err != nil && strings.HasPrefix(text, "[") {
 			t.Skip("no IPv6 on this machine")
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		r.at = append(r.at, a)
+		r.addresses = append(r.addresses, a)
 	}
-	r.d = dialer()
-	r.d.ConnectTimeout = time.Minute // no verdict is of the machine's speed
-	r.d.Idempotent = map[string]bool{"balance-read": true}
+	r.dialer = dialer()
+	r.dialer.ConnectTimeout = time.Minute // no verdict is of the machine's speed
+	r.dialer.Idempotent = map[string]bool{"balance-read": true}
 	var log *logrus.Logger
 	log, r.hook = logtest.NewNullLogger()
-	r.d.Log = log
-	r.d.Addresses = &AddressConfig{Seed: 1}
-	r.d.Addresses.Set(AddressSettings{Selector: set})
-	r.p = r.d.Connect("n", r.at)
-	t.Cleanup(r.p.Close)
+	r.dialer.Log = log
+	r.dialer.Addresses = &AddressConfig{Seed: 1}
+	r.dialer.Addresses.Set(AddressSettings{Selector: set})
+	r.client = r.dialer.Connect("n", r.addresses)
+	t.Cleanup(r.client.Close)
 	return r
 }
 
-func (r *addressHarness) set(i int, f standnode.Fault) {
+func (r *addressHarness) set(i int, f fakenode.Fault) {
 	r.t.Helper()
-	if err := r.n.Set(r.at[i], f); err != nil {
+	if err := r.node.Set(r.addresses[i], f); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -117,28 +117,28 @@
 	}
 	got := make(chan core.Result, 4)
 	a := core.NewAttempt(q, time.Now().Add(until), func(x core.Result) { got <- x })
-	if !r.p.Send(a) {
+	if !r.client.Send(a) {
 		r.t.Fatal("not sent")
 	}
 	return id, got
 }
 
-// served sends a request that must be served and tells by which address.
-func (r *addressHarness) served(text string) address.Addr {
+// expectServed sends a request that must be served and tells by which address.
+func (r *addressHarness) expectServed(text string) address.Addr {
 	r.t.Helper()
 	id, got := r.send(text, time.Minute)
 	if x := <-got; x.Status != policy.OK || string(x.Payload.(*nodeResponse).body) != id {
 		r.t.Fatalf("%s: %+v", id, x)
 	}
-	all := r.n.Arrivals(id)
-	if len(all) != 1 || r.n.Ran(id) != 1 {
+	all := r.node.Arrivals(id)
+	if len(all) != 1 || r.node.Ran(id) != 1 {
 		r.t.Fatalf("%s: %+v", id, all)
 	}
 	return all[0].By
 }
 
-// until plays reads until a condition holds.
-func (r *addressHarness) until(what string, ok func(address.Addr) bool) {
+// readUntil plays reads until a condition holds.
+func (r *addressHarness) readUntil(what string, ok func(address.Addr) bool) {
 	r.t.Helper()
 	for range 20000 {
 		id, got := r.send(readText, 400*ms) // some are caught on the way
@@ -147,7 +147,7 @@
 			time.Sleep(ms)
 			continue
 		}
-		if ok(r.n.Arrivals(id)[0].By) {
+		if ok(r.node.Arrivals(id)[0].By) {
 			return
 		}
 		time.Sleep(ms)
@@ -157,32 +157,32 @@
 
 // Requests go by the preferred address on one kept connection, each executed once, and by the
 // next one when it refuses; it is returned to after it is back.
-func TestPathsOrder(t *testing.T) {
-	r := newAddressHarness(t, patient())
+func TestAddressesAreUsedInOrderOfPreference(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
 	for range 20 {
-		if by := r.served(recordText); by != r.at[0] {
+		if by := r.expectServed(recordText); by != r.addresses[0] {
 			t.Fatalf("went by %v", by)
 		}
 	}
-	if c := r.n.Counts(); c.Conns != 1 || c.Ran != 20 {
+	if c := r.node.Counts(); c.Conns != 1 || c.Ran != 20 {
 		t.Errorf("%+v", c)
 	}
-	for i, f := range []standnode.Fault{standnode.Refused, standnode.StaleFile, standnode.NoSocket} {
+	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NoSocket} {
 		r.set(0, f)
-		if by := r.served(recordText); by == r.at[0] {
+		if by := r.expectServed(recordText); by == r.addresses[0] {
 			t.Errorf("%v: went by %v", f, by)
 		}
-		r.set(0, standnode.None)
-		r.until("the way back", func(by address.Addr) bool { return by == r.at[0] })
+		r.set(0, fakenode.None)
+		r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
 		if i == 0 {
-			r.set(1, standnode.Refused) // the next one is at fault as well: the third serves
-			r.set(0, standnode.Refused)
-			if by := r.served(recordText); by != r.at[2] {
+			r.set(1, fakenode.Refused) // the next one is at fault as well: the third serves
+			r.set(0, fakenode.Refused)
+			if by := r.expectServed(recordText); by != r.addresses[2] {
 				t.Errorf("went by %v", by)
 			}
-			r.set(1, standnode.None)
-			r.set(0, standnode.None)
-			r.until("the way back", func(by address.Addr) bool { return by == r.at[0] })
+			r.set(1, fakenode.None)
+			r.set(0, fakenode.None)
+			r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
 		}
 	}
 }
@@ -190,36 +190,36 @@
 // An address accepts and hangs: the one caught there ends by its own time limit and runs
 // nowhere else; the others go by the next address, and the hung one is tried again by reads
 // alone, one connection at a time.
-func TestPathsHang(t *testing.T) {
-	r := newAddressHarness(t, quick())
-	r.served(readText)
-	r.set(0, standnode.Hang)
+func TestAddressAcceptsAndHangs(t *testing.T) {
+	r := newAddressHarness(t, withShortTimes())
+	r.expectServed(readText)
+	r.set(0, fakenode.Hang)
 	caught, got := r.send(recordText, 3*time.Second)
-	r.until("the next address", func(by address.Addr) bool { return by == r.at[1] })
-	tried := r.n.Accepted(r.at[0])
+	r.readUntil("the next address", func(by address.Addr) bool { return by == r.addresses[1] })
+	tried := r.node.Accepted(r.addresses[0])
 	for range 50 {
-		r.served(recordText) // never by the hung one
+		r.expectServed(recordText) // never by the hung one
 	}
-	for r.n.Accepted(r.at[0]) < tried+2 {
+	for r.node.Accepted(r.addresses[0]) < tried+2 {
 		_, got := r.send(readText, 300*ms) // some are caught in trials
 		<-got
-		if open := r.n.Open(r.at[0]); open > 1+1 { // the caught one, and one under trial
+		if open := r.node.Open(r.addresses[0]); open > 1+1 { // the caught one, and one under trial
 			t.Fatalf("%d connections to the hung address", open)
 		}
 	}
-	if x := <-got; x.Status != policy.TimedOut || len(r.n.Arrivals(caught)) != 0 {
-		t.Errorf("caught: %+v, came %v", x, r.n.Arrivals(caught))
+	if x := <-got; x.Status != policy.TimedOut || len(r.node.Arrivals(caught)) != 0 {
+		t.Errorf("caught: %+v, came %v", x, r.node.Arrivals(caught))
 	}
-	r.set(0, standnode.None)
-	r.until("the way back", func(by address.Addr) bool { return by == r.at[0] })
+	r.set(0, fakenode.None)
+	r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
 }
 
 // What was written and never answered is not written again by another address, whatever else
 // the addresses do: that is for the module to decide.
-func TestPathsNeverResend(t *testing.T) {
-	for _, f := range []standnode.Fault{standnode.NoAnswer, standnode.Half, standnode.Reset, standnode.Hang} {
-		r := newAddressHarness(t, quick())
-		r.served(readText)
+func TestWrittenRequestIsNotResent(t *testing.T) {
+	for _, f := range []fakenode.Fault{fakenode.NoAnswer, fakenode.Half, fakenode.Reset, fakenode.Hang} {
+		r := newAddressHarness(t, withShortTimes())
+		r.expectServed(readText)
 		r.set(0, f)
 		var ids []string
 		var results []chan core.Result
@@ -229,7 +229,7 @@
 		}
 		for i, got := range results {
 			x := <-got
-			if n := len(r.n.Arrivals(ids[i])); n > 1 || r.n.Ran(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
+			if n := len(r.node.Arrivals(ids[i])); n > 1 || r.node.Ran(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
 				t.Errorf("%v: %+v, came %d times", f, x, n)
 			}
 		}
@@ -237,11 +237,11 @@
 }
 
 // All addresses fail at once, then one returns: no burst of connects.
-func TestPathsAllDown(t *testing.T) {
-	r := newAddressHarness(t, patient())
-	r.served(readText)
-	for i := range r.at {
-		r.set(i, standnode.Refused)
+func TestAllAddressesFail(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
+	r.expectServed(readText)
+	for i := range r.addresses {
+		r.set(i, fakenode.Refused)
 	}
 	ends := 0
 	for ends < 300 {
@@ -251,14 +251,14 @@
 		}
 		ends++
 	}
-	r.n.Forget()
+	r.node.Forget()
 	gate := make(chan struct{})
 	r.gate.Store(&gate) // it is back, and answers nothing yet
-	r.set(2, standnode.None)
+	r.set(2, fakenode.None)
 	var held chan core.Result
-	for held == nil || r.n.Counts().Requests == 0 {
+	for held == nil || r.node.Counts().Requests == 0 {
 		_, got := r.send(recordText, time.Minute)
-		for len(got) == 0 && r.n.Counts().Requests == 0 {
+		for len(got) == 0 && r.node.Counts().Requests == 0 {
 			time.Sleep(ms)
 		}
 		held = got
@@ -269,7 +269,7 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	if n := r.n.Accepted(r.at[2]); n != 1 {
+	if n := r.node.Accepted(r.addresses[2]); n != 1 {
 		t.Errorf("%d connects at its return", n)
 	}
 	r.gate.Store(nil)
@@ -277,8 +277,8 @@
 	if x := <-held; x.Status != policy.OK {
 		t.Errorf("the trial: %+v", x)
 	}
-	r.until("its return", func(by address.Addr) bool { return by == r.at[2] })
-	if id, _ := r.n.MostRuns(); id > 1 {
+	r.readUntil("its return", func(by address.Addr) bool { return by == r.addresses[2] })
+	if id, _ := r.node.MostRuns(); id > 1 {
 		t.Errorf("%d executions of one request", id)
 	}
 }
@@ -286,47 +286,47 @@
 // A port that another node has taken over makes the address wrong: what it turns away is told
 // as nobody's word, so that the node is not taken for full. With a header that says the name
 // the first answer tells.
-func TestPathsOtherNode(t *testing.T) {
+func TestAddressTakenOverByAnotherNode(t *testing.T) {
 	for _, identity := range []string{"", "X-Node"} {
-		r := newAddressHarness(t, quick())
-		r.d.Addresses.Set(AddressSettings{Selector: quick(), IdentityHeader: identity})
-		r.served(readText)
-		r.p.Drain(false)
-		r.set(0, standnode.Refused)
-		r.set(0, standnode.Other)
-		full, moot := 0, 0
-		r.until("another way", func(by address.Addr) bool { return by == r.at[1] })
-		for r.n.Counts().Turned < 12 && identity == "" || moot == 0 {
+		r := newAddressHarness(t, withShortTimes())
+		r.dialer.Addresses.Set(AddressSettings{Selector: withShortTimes(), IdentityHeader: identity})
+		r.expectServed(readText)
+		r.client.Drain(false)
+		r.set(0, fakenode.Refused)
+		r.set(0, fakenode.Other)
+		full, abandoned := 0, 0
+		r.readUntil("another way", func(by address.Addr) bool { return by == r.addresses[1] })
+		for r.node.Counts().Turned < 12 && identity == "" || abandoned == 0 {
 			_, got := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
 			case policy.NodeFull:
 				full++
 			case policy.Abandoned:
-				moot++
+				abandoned++
 			case policy.OK:
 				if string(x.Payload.(*nodeResponse).body) == "" {
 					t.Error("empty")
 				}
 			}
-			if moot > 2 {
+			if abandoned > 2 {
 				break
 			}
 		}
 		if full > 4 || identity != "" && full > 0 {
 			t.Errorf("identity %q: told full %d times", identity, full)
 		}
-		r.set(0, standnode.None)
-		r.until("its own node again", func(by address.Addr) bool { return by == r.at[0] })
+		r.set(0, fakenode.None)
+		r.readUntil("its own node again", func(by address.Addr) bool { return by == r.addresses[0] })
 	}
 }
 
 // A drain while connects race: all that waits ends, nothing is written, and what comes up late
 // is closed.
-func TestPathsDrainInRace(t *testing.T) {
-	r := newAddressHarness(t, patient())
+func TestDrainDuringConnectRace(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
 	held := make(chan struct{})
 	var waiting atomic.Int64
-	r.d.dial = func(_ context.Context, a address.Addr, _ time.Duration) (transport.Stream, address.Reason, error) {
+	r.dialer.dial = func(_ context.Context, a address.Addr, _ time.Duration) (transport.Stream, address.Reason, error) {
 		waiting.Add(1)
 		<-held // it comes up late, whatever happens meanwhile
 		return transport.Dial(context.Background(), a, time.Minute)
@@ -339,52 +339,52 @@
 	for waiting.Load() < 10 {
 		time.Sleep(ms)
 	}
-	r.p.Drain(true)
+	r.client.Drain(true)
 	for _, got := range results {
 		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Errorf("%+v", x)
 		}
 	}
 	close(held)
-	for r.n.Counts().Conns < int(waiting.Load()) {
+	for r.node.Counts().Conns < int(waiting.Load()) {
 		time.Sleep(ms)
 	}
-	for r.n.Open(r.at[0])+r.n.Open(r.at[1])+r.n.Open(r.at[2]) > 0 {
+	for r.node.Open(r.addresses[0])+r.node.Open(r.addresses[1])+r.node.Open(r.addresses[2]) > 0 {
 		time.Sleep(ms) // late winners are closed, or this never ends
 	}
 	_, got := r.send(recordText, time.Minute)
-	if x := <-got; x.Status != policy.ConnectFailed || r.n.Counts().Requests != 0 {
-		t.Errorf("%+v, %d came", x, r.n.Counts().Requests)
+	if x := <-got; x.Status != policy.ConnectFailed || r.node.Counts().Requests != 0 {
+		t.Errorf("%+v, %d came", x, r.node.Counts().Requests)
 	}
-	r.p.Drain(false)
-	r.served(recordText)
+	r.client.Drain(false)
+	r.expectServed(recordText)
 }
 
 // The last descriptor goes halfway through a race: the address is not blamed, and serves when
 // there are some again.
-func TestPathsNoDescriptors(t *testing.T) {
-	r := newAddressHarness(t, patient())
-	var lack atomic.Bool
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
-		if lack.Load() {
+func TestNoDescriptorsForAddresses(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
+	var noDescriptors atomic.Bool
+	r.dialer.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
+		if noDescriptors.Load() {
 			return nil, transport.DialFailure(syscall.EMFILE, a.Kind()), syscall.EMFILE
 		}
 		return transport.Dial(ctx, a, within)
 	}
-	lack.Store(true)
+	noDescriptors.Store(true)
 	for range 20 {
 		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Fatalf("%+v", x)
 		}
 	}
-	lack.Store(false)
-	if by := r.served(recordText); by != r.at[0] {
+	noDescriptors.Store(false)
+	if by := r.expectServed(recordText); by != r.addresses[0] {
 		t.Errorf("went by %v", by)
 	}
-	r.d.MaxConns = 1 // and the scheduler's own bound is no different
+	r.dialer.MaxConns = 1 // and the scheduler's own bound is no different
 	hold := make(chan bool)
-	go func() { r.set(0, standnode.Hang); close(hold) }()
+	go func() { r.set(0, fakenode.Hang); close(hold) }()
 	<-hold
 	_, caught := r.send(readText, 500*ms)
 	_, got := r.send(recordText, time.Minute)
@@ -393,26 +393,26 @@
 	}
 	<-caught
 	for _, e := range r.hook.AllEntries() {
-		if a := e.Data["address"]; a == r.at[1].String() || a == r.at[2].String() {
+		if a := e.Data["address"]; a == r.addresses[1].String() || a == r.addresses[2].String() {
 			t.Errorf("blamed: %v", e.Data)
 		}
 	}
 }
 
 // A machine without IPv6: said once for all nodes, at no more than info, and the others serve.
-func TestPathsNoIPv6(t *testing.T) {
-	r := newAddressHarness(t, patient())
-	r.d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
+func TestMachineWithoutIPv6(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
+	r.dialer.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if a.Kind() == address.IPv6 {
 			return nil, transport.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
 		}
 		return transport.Dial(ctx, a, within)
 	}
 	for i := range 3 {
-		p := r.d.Connect(fmt.Sprint("n", i), r.at[1:])
+		p := r.dialer.Connect(fmt.Sprint("n", i), r.addresses[1:])
 		defer p.Close() //nolint:gocritic // all are closed at the end of the test
-		r.p = p
-		if by := r.served(recordText); by != r.at[2] {
+		r.client = p
+		if by := r.expectServed(recordText); by != r.addresses[2] {
 			t.Errorf("went by %v", by)
 		}
 	}
@@ -432,44 +432,44 @@
 
 // One address, then several, then one again, by the same peer: what is out is finished by the
 // connection that carries it.
-func TestReaddress(t *testing.T) {
-	r := newAddressHarness(t, patient())
+func TestAddressListChanges(t *testing.T) {
+	r := newAddressHarness(t, withoutSuspicion())
 	release := make(chan bool)
 	slow := newFakeNode(t, func(nc net.Conn) bool { <-release; fmt.Fprint(nc, okResponse); return true })
-	r.p = r.d.Connect("m", at(slow.ln))
-	defer r.p.Close()
+	r.client = r.dialer.Connect("m", addressesOf(slow.ln))
+	defer r.client.Close()
 	_, first := r.send(recordText, time.Minute)
 	for slow.requests.Load() < 1 {
 		time.Sleep(ms)
 	}
-	r.p.SetAddresses(r.at)
-	if by := r.served(recordText); by != r.at[0] {
+	r.client.SetAddresses(r.addresses)
+	if by := r.expectServed(recordText); by != r.addresses[0] {
 		t.Errorf("went by %v", by)
 	}
-	r.p.SetAddresses(r.at[2:])
-	if by := r.served(recordText); by != r.at[2] {
+	r.client.SetAddresses(r.addresses[2:])
+	if by := r.expectServed(recordText); by != r.addresses[2] {
 		t.Errorf("went by %v", by)
 	}
 	release <- true
 	if x := <-first; x.Status != policy.OK {
 		t.Errorf("cut: %+v", x)
 	}
-	one := r.d.Connect("o", r.at[2:])
+	one := r.dialer.Connect("o", r.addresses[2:])
 	defer one.Close()
-	r.p = one
-	r.served(recordText)
-	one.SetAddresses(r.at[1:2]) // one for one, without a book
-	if by := r.served(recordText); by != r.at[1] {
+	r.client = one
+	r.expectServed(recordText)
+	one.SetAddresses(r.addresses[1:2]) // one for one, without a book
+	if by := r.expectServed(recordText); by != r.addresses[1] {
 		t.Errorf("went by %v", by)
 	}
 }
 
 // Addresses are reordered, added and removed while requests are in flight: each gets one
 // answer, whole, and runs once.
-func TestReaddressUnderLoad(t *testing.T) {
-	r := newAddressHarness(t, quick())
-	set := testModule()
-	f, c := r.through(set, 50)
+func TestAddressListChangesUnderLoad(t *testing.T) {
+	r := newAddressHarness(t, withShortTimes())
+	set := testSettings()
+	f, c := r.newFront(set, 50)
 	list := func(kind policy.EventKind, to ...address.Addr) {
 		c.UpdateList(core.ListUpdate{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
 	}
@@ -482,7 +482,7 @@
 				return
 			default:
 			}
-			a := r.at
+			a := r.addresses
 			list(policy.ListChanged, [][]address.Addr{{a[1], a[0], a[2]}, {a[2]}, {a[0], a[1]}, {a[1], a[2]}, a}[i%5]...)
 			time.Sleep(2 * ms)
 		}
@@ -499,7 +499,7 @@
 				if a := f.send(t, fmt.Sprintf(text, id)); a.StatusCode() != 200 || string(a.Body()) != id {
 					t.Errorf("%s: %d %q", id, a.StatusCode(), a.Body())
 				}
-				if n := r.n.Ran(id); n != 1 {
+				if n := r.node.Ran(id); n != 1 {
 					t.Errorf("%s: ran %d times", id, n)
 				}
 			}
@@ -510,21 +510,21 @@
 	changes.Wait()
 }
 
-// through is a whole path to the routed node, by a module of these settings.
-func (r *addressHarness) through(set policy.Settings, conns int) (*front, *core.Core) {
+// newFront is a whole path to the routed node, by a module of these settings.
+func (r *addressHarness) newFront(set policy.Settings, conns int) (*frontHarness, *core.Core) {
 	r.t.Helper()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: r.d.Connect, Log: r.d.Log})
+	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: r.dialer.Connect, Log: r.dialer.Log})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(c.Stop)
-	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.at}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: r.addresses}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { ln.Close() })
-	f := &front{srv: NewServer(c, set, conns, r.d.Log), address: ln.Addr().String(), served: make(chan error, 1), dialer: r.d}
+	f := &frontHarness{srv: NewServer(c, set, conns, r.dialer.Log), address: ln.Addr().String(), served: make(chan error, 1), dialer: r.dialer}
 	f.srv.http.ReadTimeout = time.Hour
 	go func() { f.served <- f.srv.Serve(ln, conns) }()
 	return f, c
@@ -533,34 +533,34 @@
 // A record in doubt, half of whose answer came: within 2.5 s of its first byte it goes again, in
 // the end by another address, and its key runs once; after that it never goes again, though the
 // time left and the attempts would allow it; and one that may not be repeated never does.
-func TestRecordInDoubt(t *testing.T) {
+func TestUnansweredWriteIsRetriedWithinDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		class string
 		after time.Duration // that its node took
 		again bool
 	}{{"new-record", 0, true}, {"new-record", 2600 * ms, false}, {"once", 0, false}} {
-		r := newAddressHarness(t, quick())
-		set := testModule()
+		r := newAddressHarness(t, withShortTimes())
+		set := testSettings()
 		set.MaxAttempts = 4
 		set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 30e3, 20e3
 		set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 20e3, Deadline: 30e3, PriorityWeight: 1, Effect: policy.NonIdempotent})
-		f, _ := r.through(set, 50)
+		f, _ := r.newFront(set, 50)
 		f.send(t, fmt.Sprintf(readText, "warm"))
 		gate := make(chan struct{})
 		r.gate.Store(&gate)
-		r.set(0, standnode.Half)
+		r.set(0, fakenode.Half)
 		done := make(chan int, 1)
 		go func() {
 			done <- f.send(t, strings.Replace(fmt.Sprintf(recordText, "d"), "new-record", x.class, 1)).StatusCode()
 		}()
-		for len(r.n.Arrivals("d")) == 0 {
+		for len(r.node.Arrivals("d")) == 0 {
 			time.Sleep(ms)
 		}
 		time.Sleep(x.after)
 		r.gate.Store(nil)
 		close(gate)
-		code, all := <-done, r.n.Arrivals("d")
-		if r.n.Ran("d") != 1 || r.n.RanKey("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
+		code, all := <-done, r.node.Arrivals("d")
+		if r.node.Ran("d") != 1 || r.node.RanKey("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
 			t.Errorf("%+v: %d, %+v", x, code, all)
 		}
 		// One break of a kept connection says nothing of its address, so the first repeat may go there.
@@ -572,12 +572,12 @@
 
 // All addresses are gone for so long that the node may have restarted, then one is back: the
 // work sent to it stays within what a cold node bears, over all its addresses.
-func TestPathsColdBudget(t *testing.T) {
-	r := newAddressHarness(t, quick(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
-	set := testModule()
+func TestSlowStartBudgetAfterOutage(t *testing.T) {
+	r := newAddressHarness(t, withShortTimes(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
+	set := testSettings()
 	set.MaxAttempts, set.SlowStartUnits, set.OverloadWindow, set.OverloadMultiple, set.SlowStartShare, set.SlowStartDuration = 4, 12, 1000, 0, 0.24, 1e6
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 40, 900
-	f, _ := r.through(set, 400)
+	f, _ := r.newFront(set, 400)
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	ask := func() {
@@ -594,28 +594,28 @@
 		})
 	}
 	f.send(t, fmt.Sprintf(readText, "warm"))
-	for i := range r.at {
-		r.set(i, standnode.Refused)
+	for i := range r.addresses {
+		r.set(i, fakenode.Refused)
 	}
 	for start := time.Now(); time.Since(start) < 4500*ms; time.Sleep(10 * ms) {
 		ask()
 	}
-	r.n.Forget()
-	r.set(1, standnode.None)
+	r.node.Forget()
+	r.set(1, fakenode.None)
 	for start := time.Now(); time.Since(start) < 900*ms; time.Sleep(2 * ms) {
 		ask()
 	}
 	wg.Wait()
 	var first time.Time
 	units := 0
-	r.n.Each(func(_ string, all []standnode.Arrival) {
+	r.node.Each(func(_ string, all []fakenode.Arrival) {
 		for _, a := range all {
 			if first.IsZero() || a.At.Before(first) {
 				first = a.At
 			}
 		}
 	})
-	r.n.Each(func(_ string, all []standnode.Arrival) {
+	r.node.Each(func(_ string, all []fakenode.Arrival) {
 		for _, a := range all {
 			if a.At.Sub(first) <= 1000*ms {
 				units += 2
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -15,24 +15,24 @@
 	"wheatsaddle/policy"
 )
 
-// AddressConfig is what the nodes with several addresses share: the settings, which may change while they run, and which
-// log lines have been written.
+// AddressConfig is the state shared by all nodes with several addresses: the settings, which may change at run time, and the
+// record of log lines that are written only once.
 type AddressConfig struct {
-	Seed          uint64
-	settings      atomic.Pointer[AddressSettings]
-	familyMissing [8]sync.Once // by family: the log line that this machine lacks it
+	Seed         uint64
+	settings     atomic.Pointer[AddressSettings]
+	familyLogged [8]sync.Once // by address family: whether its absence on this machine was logged
 }
 
-// AddressSettings are the settings of the selectors, and the header field in which nodes name themselves; "": none.
+// AddressSettings are the settings of the address selectors, and the header field in which nodes name themselves ("" if none).
 type AddressSettings struct {
 	Selector       address.Settings
 	IdentityHeader string
 }
 
-// Set changes the settings, also of nodes that are connected.
+// Set changes the settings, including those of connected nodes.
 func (r *AddressConfig) Set(s AddressSettings) { r.settings.Store(&s) }
 
-// current returns the present settings, or the defaults before Set.
+// current returns the current settings, or the defaults before the first Set.
 func (r *AddressConfig) current() *AddressSettings {
 	if s := r.settings.Load(); s != nil {
 		return s
@@ -41,8 +41,8 @@
 	return r.settings.Load()
 }
 
-// addressPool is the part of a node's actor that serves a node with several addresses. The address selector decides:
-// the pool executes its actions and reports the events to it, and has no rules of its own.
+// addressPool is the part of a node's actor for a node with several addresses. The address selector makes all decisions: the
+// pool reports events to it and executes its actions.
 type addressPool struct {
 	node            *node
 	config          *AddressConfig
@@ -52,43 +52,43 @@
 	requests        map[address.Req]*connRequest
 	byAttempt       map[*core.Attempt]*connRequest
 	lastID          address.Req
-	removalReported bool // the node's removal was reported to the selector
+	removalReported bool // the removal of the node was reported to the selector
 }
 
-// connRequest is one use of a connection, waiting for one or carried by one: an attempt, a health check or a preconnect.
+// connRequest is an attempt, a health check or a preconnect that waits for a connection or is carried by one.
 type connRequest struct {
 	req        address.Req
 	attempt    *core.Attempt
 	probe      func(core.Result, time.Duration)
-	preconnect func(policy.Status) // nothing is written: a connection is enough
+	preconnect func(policy.Status) // nothing is written; the request ends when a connection is open
 	ctx        context.Context
 	stop       context.CancelFunc
 	stopWatch  func() bool
-	conn       *addressConn // connection that carries it; nil while it waits
+	conn       *addressConn // connection that carries it; nil while it waits for one
 	startedAt  time.Time
 }
 
 // newAddressPool returns the pool of a node, with an empty selector.
 func newAddressPool(n *node) *addressPool {
-	r := n.dialer.Addresses
-	if r == nil {
-		r = &AddressConfig{}
+	config := n.dialer.Addresses
+	if config == nil {
+		config = &AddressConfig{}
 	}
-	p := &addressPool{node: n, config: r, settings: r.current(), conns: map[address.Conn]*addressConn{},
+	p := &addressPool{node: n, config: config, settings: config.current(), conns: map[address.Conn]*addressConn{},
 		requests: map[address.Req]*connRequest{}, byAttempt: map[*core.Attempt]*connRequest{}}
-	set := p.settings.Selector
-	set.MaxConns, set.MaxWaiting = maxNodeConns, nodeMailboxSize
-	h := fnv.New64a() // so that each node draws different backoffs
+	settings := p.settings.Selector
+	settings.MaxConns, settings.MaxWaiting = maxNodeConns, nodeMailboxSize
+	h := fnv.New64a() // each node draws different backoffs
 	h.Write([]byte(n.name))
-	book, err := address.New(set, r.Seed^h.Sum64())
-	if err != nil { // the settings were checked when they were read
-		panic("address settings: " + err.Error())
+	selector, err := address.New(settings, config.Seed^h.Sum64())
+	if err != nil { // cannot happen, as the settings were validated when they were read
+		panic("create address selector: " + err.Error())
 	}
-	p.selector = transport.NewAddressLoop(book, p.execute)
+	p.selector = transport.NewAddressLoop(selector, p.execute)
 	return p
 }
 
-// log is the dialer's log, or one that writes nothing.
+// log returns the dialer's log, or one that discards everything.
 func (p *addressPool) log() logrus.FieldLogger {
 	if p.node.dialer.Log == nil {
 		l := logrus.New()
@@ -102,17 +102,17 @@
 func (p *addressPool) handle(m nodeMessage) {
 	switch {
 	case m.send != nil:
-		w := p.addRequest(&connRequest{attempt: m.send})
-		w.ctx, w.stop = context.WithDeadline(context.Background(), m.send.Deadline)
-		p.byAttempt[m.send] = w
-		p.queueRequest(w, p.node.dialer.idempotent(m.send.Request), m.send.Request.Shard >= 0)
+		request := p.addRequest(&connRequest{attempt: m.send})
+		request.ctx, request.stop = context.WithDeadline(context.Background(), m.send.Deadline)
+		p.byAttempt[m.send] = request
+		p.queueRequest(request, p.node.dialer.idempotent(m.send.Request), m.send.Request.Shard >= 0)
 	case m.probe != nil:
-		w := p.addRequest(&connRequest{probe: m.probe})
-		w.ctx, w.stop = context.WithTimeout(context.Background(), probeTimeout)
-		p.queueRequest(w, true, false)
+		request := p.addRequest(&connRequest{probe: m.probe})
+		request.ctx, request.stop = context.WithTimeout(context.Background(), probeTimeout)
+		p.queueRequest(request, true, false)
 	case m.cancel != nil:
-		if w := p.byAttempt[m.cancel]; w != nil {
-			w.stop()
+		if request := p.byAttempt[m.cancel]; request != nil {
+			request.stop()
 		}
 	case m.close:
 		p.node.closing = true
@@ -122,24 +122,24 @@
 }
 
 // addRequest adds a request under a new id.
-func (p *addressPool) addRequest(w *connRequest) *connRequest {
+func (p *addressPool) addRequest(request *connRequest) *connRequest {
 	p.lastID++
-	w.req, w.startedAt = p.lastID, time.Now()
-	p.requests[w.req] = w
-	return w
+	request.req, request.startedAt = p.lastID, time.Now()
+	p.requests[request.req] = request
+	return request
 }
 
-// queueRequest asks the selector for a connection for a request. safe: it may be repeated freely; named: it names a shard, so that
-// an answer from another node shows as a rejection.
-func (p *addressPool) queueRequest(w *connRequest, safe, named bool) {
-	p.selector.Step(address.Event{Kind: address.RequestQueued, Req: w.req, Idempotent: safe, NamesShard: named})
-	p.watchDeadline(w)
+// queueRequest asks the selector for a connection for a request. namesShard says that the request names a shard, so that another
+// node would reject it.
+func (p *addressPool) queueRequest(request *connRequest, idempotent, namesShard bool) {
+	p.selector.Step(address.Event{Kind: address.RequestQueued, Req: request.req, Idempotent: idempotent, NamesShard: namesShard})
+	p.watchDeadline(request)
 }
 
 // watchDeadline notifies the actor when the context of a waiting request ends.
-func (p *addressPool) watchDeadline(w *connRequest) {
-	if p.requests[w.req] == w && w.conn == nil {
-		w.stopWatch = context.AfterFunc(w.ctx, func() { p.node.mailbox.PutUnbounded(nodeMessage{addressMessage: &addressMessage{expired: w}}) })
+func (p *addressPool) watchDeadline(request *connRequest) {
+	if p.requests[request.req] == request && request.conn == nil {
+		request.stopWatch = context.AfterFunc(request.ctx, func() { p.node.mailbox.PutUnbounded(nodeMessage{addressMessage: &addressMessage{expired: request}}) })
 	}
 }
 
@@ -147,7 +147,7 @@
 func (p *addressPool) handleMessage(m *addressMessage) {
 	switch {
 	case m.connected != nil:
-		if m.connected.ready = p.conns[m.connected.id] == m.connected; m.connected.ready { // otherwise the selector has closed it, and its context is cancelled
+		if m.connected.ready = p.conns[m.connected.id] == m.connected; m.connected.ready { // otherwise the selector has closed the connection and cancelled its context
 			p.endPreconnects()
 		}
 		p.selector.Step(address.Event{Kind: address.Connected, Conn: m.connected.id})
@@ -158,9 +158,9 @@
 		}
 		p.selector.Step(address.Event{Kind: address.ConnectFailed, Conn: m.failed.id, Reason: m.reason})
 	case m.expired != nil:
-		if w := m.expired; p.requests[w.req] == w && w.conn == nil {
-			p.endUnsent(w, unsentResult(w.ctx))
-			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
+		if request := m.expired; p.requests[request.req] == request && request.conn == nil {
+			p.endUnsent(request, unsentResult(request.ctx))
+			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: request.req})
 		}
 	case m.returned != nil:
 		p.connReturned(m)
@@ -169,86 +169,86 @@
 	}
 }
 
-// resend takes back the request of a connection that was unusable before the write: it goes by another connection.
+// resend takes back the request of a connection that was unusable before the write, and sends it over another one.
 func (p *addressPool) resend(t *addressConn) {
-	w := t.request
-	t.request, w.conn = nil, nil
-	if p.conns[t.id] != t { // the selector has closed the connection, and with it the request
-		p.endUnsent(w, unsentResult(w.ctx))
+	request := t.request
+	t.request, request.conn = nil, nil
+	if p.conns[t.id] != t { // the selector has closed the connection, which ends the request
+		p.endUnsent(request, unsentResult(request.ctx))
 		return
 	}
 	t.cancelRun()
 	p.removeConn(t)
 	p.selector.Step(address.Event{Kind: address.ConnBroken, Conn: t.id, Reason: address.ReasonUnwritten})
-	p.watchDeadline(w)
+	p.watchDeadline(request)
 }
 
-// connReturned takes back a connection whose request is over, and reports the result to the selector.
+// connReturned takes back a connection whose request has ended, and reports the result to the selector.
 func (p *addressPool) connReturned(m *addressMessage) {
 	t := m.returned
-	w := t.request
+	request := t.request
 	t.request, t.lastUsed = nil, time.Now()
-	w.conn = nil
-	p.removeRequest(w)
+	request.conn = nil
+	p.removeRequest(request)
 	if m.rejected != nil {
 		if m.event.Verdict == address.VerdictWrongNode || p.selector.MayBeWrongNode(p.selector.Now(), t.id) {
-			m.rejected.Status = policy.Abandoned // another node rejected it: it never ran, and does not show that this node is full
+			m.rejected.Status = policy.Abandoned // another node rejected it, so it has not run, and this node need not be full
 		}
-		go w.attempt.Done(*m.rejected)
+		go request.attempt.Done(*m.rejected)
 	}
 	if p.conns[t.id] != t {
-		return // the selector has closed it
+		return // the selector has closed the connection
 	}
 	if e := m.event; e.Kind != address.ResponseReceived || !e.KeepAlive {
 		t.cancelRun()
 		p.removeConn(t)
 	}
-	m.event.Conn, m.event.Req = t.id, w.req
+	m.event.Conn, m.event.Req = t.id, request.req
 	p.selector.Step(m.event)
 }
 
 // removeRequest removes a request that has ended.
-func (p *addressPool) removeRequest(w *connRequest) {
-	if w.stopWatch != nil {
-		w.stopWatch()
+func (p *addressPool) removeRequest(request *connRequest) {
+	if request.stopWatch != nil {
+		request.stopWatch()
 	}
-	w.stop()
-	delete(p.requests, w.req)
-	if w.attempt != nil {
-		delete(p.byAttempt, w.attempt)
+	request.stop()
+	delete(p.requests, request.req)
+	if request.attempt != nil {
+		delete(p.byAttempt, request.attempt)
 	}
 }
 
 // endUnsent ends a request of which nothing was written.
-func (p *addressPool) endUnsent(w *connRequest, r core.Result) {
-	p.removeRequest(w)
+func (p *addressPool) endUnsent(request *connRequest, r core.Result) {
+	p.removeRequest(request)
 	switch {
-	case w.probe != nil:
-		go w.probe(r, time.Since(w.startedAt))
+	case request.probe != nil:
+		go request.probe(r, time.Since(request.startedAt))
 		return
-	case w.preconnect != nil:
-		go w.preconnect(r.Status)
+	case request.preconnect != nil:
+		go request.preconnect(r.Status)
 		return
 	}
-	go w.attempt.Done(r) // Done may wait for the core's mailbox
+	go request.attempt.Done(r) // Done may wait for the core's mailbox
 }
 
-// removeConn removes a connection from the counts; its goroutine has ended or is about to.
+// removeConn removes a connection from the counts; its goroutine has ended or is about to end.
 func (p *addressPool) removeConn(t *addressConn) {
 	delete(p.conns, t.id)
 	p.node.uncountConn()
 }
 
-// logMissingFamily logs, once for each address family, that this machine lacks it.
-func (p *addressPool) logMissingFamily(a address.Addr, why address.Reason) {
-	if why == address.ReasonNoFamily {
-		p.config.familyMissing[a.Kind()].Do(func() {
-			p.log().WithField("family", a.Kind().String()).Info("this machine has none: such addresses are passed over")
+// logMissingFamily logs, once for each address family, that it is not available on this machine.
+func (p *addressPool) logMissingFamily(a address.Addr, reason address.Reason) {
+	if reason == address.ReasonNoFamily {
+		p.config.familyLogged[a.Kind()].Do(func() {
+			p.log().WithField("family", a.Kind().String()).Info("address family is not available on this machine; skipping its addresses")
 		})
 	}
 }
 
-// closeExpiredIdle closes the connections idle since before a time.
+// closeExpiredIdle closes the connections that have been idle since before the given time.
 func (p *addressPool) closeExpiredIdle(before time.Time) {
 	for _, t := range p.conns {
 		if t.ready && t.request == nil && !t.lastUsed.IsZero() && t.lastUsed.Before(before) {
@@ -258,8 +258,8 @@
 	}
 }
 
-// applyChanges reports a drain, the node's leaving and new settings to the selector, and returns the channel of its timer. It
-// is called after each message.
+// applyChanges reports a drain, the removal of the node and new settings to the selector, and returns the channel of its timer.
+// It is called after each message.
 func (p *addressPool) applyChanges() <-chan time.Time {
 	p.selector.SetDraining(p.node.draining.Load())
 	if p.node.closing && !p.removalReported {
@@ -285,8 +285,8 @@
 			p.closeConn(t)
 		}
 	case address.Fail:
-		if w := p.requests[a.Req]; w != nil {
-			p.endUnsent(w, unsentResult(w.ctx))
+		if request := p.requests[a.Req]; request != nil {
+			p.endUnsent(request, unsentResult(request.ctx))
 		}
 	case address.LogState:
 		p.log().WithFields(logrus.Fields{"node": p.node.name, "address": a.Addr.String(), "state": a.State.String(), "why": a.Reason.String()}).
@@ -294,22 +294,22 @@
 	}
 }
 
-// connect starts a connection that the selector asks for.
+// connect starts a connection that the selector requests.
 func (p *addressPool) connect(a address.Action) {
-	t := &addressConn{id: a.Conn, conn: conn{node: p.node, address: a.Addr, host: hostOf(a.Addr, p.node.name), jobs: make(chan job, 1),
+	t := &addressConn{id: a.Conn, conn: conn{node: p.node, address: a.Addr, host: hostHeader(a.Addr, p.node.name), jobs: make(chan job, 1),
 		identity: p.settings.IdentityHeader}}
-	if !p.node.dialer.reservePlace() {
+	if !p.node.dialer.reserveConn() {
 		p.selector.Step(address.Event{Kind: address.ConnectFailed, Conn: a.Conn, Reason: address.ReasonNoResource})
 		return
 	}
 	p.node.connCount++
 	p.conns[t.id] = t
-	ctx, quit := context.WithCancel(context.Background())
-	t.cancelRun = quit
+	ctx, cancel := context.WithCancel(context.Background())
+	t.cancelRun = cancel
 	go t.run(ctx)
 }
 
-// closeConn closes a connection, also one that is being dialled. A request that it carries is cancelled.
+// closeConn closes a connection or cancels its dial. A request that it carries is cancelled.
 func (p *addressPool) closeConn(t *addressConn) {
 	t.cancelRun()
 	if t.request != nil {
@@ -318,21 +318,21 @@
 	p.removeConn(t)
 }
 
-// write gives a connection its request. Where the connection has become unusable the selector is told that nothing was
-// written, and the request goes by another.
-func (p *addressPool) write(t *addressConn, w *connRequest) {
-	if t == nil || w == nil {
-		panic("the book writes what it has been told is over")
+// write assigns a request to a connection. If the connection has become unusable, the selector is notified that nothing was
+// written, and the request goes over another one.
+func (p *addressPool) write(t *addressConn, request *connRequest) {
+	if t == nil || request == nil {
+		panic("address selector wrote a request or connection that has ended")
 	}
 	if !t.lastUsed.IsZero() && !transport.IsReusable(t.socket) { // the node has closed it or written to it
 		p.closeConn(t)
 		p.selector.Step(address.Event{Kind: address.ConnBroken, Conn: t.id, Reason: address.ReasonUnwritten})
 		return
 	}
-	if w.stopWatch != nil {
-		w.stopWatch()
-		w.stopWatch = nil
+	if request.stopWatch != nil {
+		request.stopWatch()
+		request.stopWatch = nil
 	}
-	w.conn, t.request = t, w
-	t.jobs <- job{attempt: w.attempt, ctx: w.ctx, probe: w.probe}
+	request.conn, t.request = t, request
+	t.jobs <- job{attempt: request.attempt, ctx: request.ctx, probe: request.probe}
 }
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -36,7 +36,7 @@
 			}()
 		}
 	}()
-	one := at(ln)
+	one := addressesOf(ln)
 	more, errs := address.ParseList([]string{one[0].String(), "[::1]:1", "unix:/nowhere"})
 	if len(errs) > 0 {
 		b.Fatal(errs)
@@ -50,7 +50,7 @@
 			d.Addresses.Set(AddressSettings{Selector: set})
 			p := d.Connect("n", list)
 			defer p.Close()
-			a, got := attempt(b, later())
+			a, got := attempt(b, inOneMinute())
 			p.Send(a)
 			<-got
 			b.ReportAllocs()
--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// bodyReadTimeout bounds each read of a body: a client may send as slowly as 64 kB a second, in pieces of any size.
+	// bodyReadTimeout bounds each read of a body. A client may send as slowly as 64 kB per second, in pieces of any size.
 	bodyReadTimeout = readTimeout
-	memoryStep      = 256 << 10 // least step in which memory is acquired for a chunked body
+	minMemoryStep   = 256 << 10 // minimum amount of memory acquired at a time for a chunked body
 	bodyReadSize    = 32 << 10
 )
 
 var (
-	errNoBodyMemory = errors.New("body: no room for it now")
+	errNoBodyMemory = errors.New("read body: request body memory is exhausted")
 	errBodyStalled  = errors.New("body: the client stood still")
 )
 
-// requestBody is a request's body with its part of the shared memory; release returns that part.
+// requestBody is the body of a request with its share of the body memory; release returns that share.
 type requestBody struct {
 	body    []byte
 	release func()
 }
 
-// bodyMemory is the part of the shared memory that one body has acquired.
+// bodyMemory is the share of the body memory that one body has acquired.
 type bodyMemory struct {
-	budget   *semaphore.Weighted // nil: no bound
+	budget   *semaphore.Weighted // nil: no limit
 	size     int                 // Content-Length; negative: chunked
 	acquired int64
 }
 
-// grow acquires what a body of size bytes needs beyond what it has; up to maxBufferedBody it needs none.
+// grow acquires the additional memory for a body of size bytes. A body of up to maxBufferedBody needs none.
 func (m *bodyMemory) grow(size int64) error {
 	if size <= maxBufferedBody || size <= m.acquired || m.budget == nil {
 		return nil
 	}
-	more := max(size-m.acquired, memoryStep)
+	more := max(size-m.acquired, minMemoryStep)
 	if m.size > 0 {
 		more = size - m.acquired // all of it at once
 	}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// release returns all of it; further calls do nothing.
+// release returns all acquired memory. Further calls do nothing.
 func (m *bodyMemory) release() {
 	if m.budget != nil && m.acquired > 0 {
 		m.budget.Release(m.acquired)
@@ -60,9 +60,8 @@
 	}
 }
 
-// readBody reads a request's body, each piece with a deadline of its own. A body longer than maxBufferedBody acquires
-// its memory from budget as it grows; where none is free it fails with errNoBodyMemory. On an error release need not be
-// called.
+// readBody reads the body of a request, with a separate deadline for each piece. A body longer than maxBufferedBody acquires
+// memory from budget as it grows, and fails with errNoBodyMemory if none is free. After an error release need not be called.
 func readBody(ctx *fasthttp.RequestCtx, budget *semaphore.Weighted) (requestBody, error) {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -70,48 +69,48 @@
 	}
 	size := ctx.Request.Header.ContentLength()
 	memory := &bodyMemory{budget: budget, size: size}
-	h := requestBody{release: memory.release}
+	result := requestBody{release: memory.release}
 	switch {
 	case size > maxRequestBody:
-		return h, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
+		return result, &MalformedError{fasthttp.StatusRequestEntityTooLarge, "body: over 32 MiB"}
 	case size > 0:
 		if err := memory.grow(int64(size)); err != nil {
-			return h, err
+			return result, err
 		}
-		h.body = make([]byte, 0, size)
+		result.body = make([]byte, 0, size)
 	}
 	nc := ctx.Conn()
 	for {
-		if size >= 0 && len(h.body) == size {
+		if size >= 0 && len(result.body) == size {
 			_ = nc.SetReadDeadline(time.Time{})
-			return h, nil // its Content-Length is reached
+			return result, nil // Content-Length is reached
 		}
-		if len(h.body) == cap(h.body) {
-			grown, err := extendBody(h.body, memory)
+		if len(result.body) == cap(result.body) {
+			grown, err := extendBody(result.body, memory)
 			if err != nil {
-				h.release()
-				return h, err
+				result.release()
+				return result, err
 			}
-			h.body = grown
+			result.body = grown
 		}
 		_ = nc.SetReadDeadline(time.Now().Add(bodyReadTimeout))
-		n, err := stream.Read(h.body[len(h.body):cap(h.body)])
-		h.body = h.body[:len(h.body)+n]
-		if err == io.EOF && size >= 0 && len(h.body) < size {
-			err = io.ErrUnexpectedEOF // fasthttp's stream of a body with a length does not report a cut
+		n, err := stream.Read(result.body[len(result.body):cap(result.body)])
+		result.body = result.body[:len(result.body)+n]
+		if err == io.EOF && size >= 0 && len(result.body) < size {
+			err = io.ErrUnexpectedEOF // for a body with Content-Length, fasthttp's stream does not report a truncation
 		}
 		if err == io.EOF {
 			_ = nc.SetReadDeadline(time.Time{})
-			return h, nil
+			return result, nil
 		}
 		if err != nil {
-			h.release()
-			return h, bodyError(err)
+			result.release()
+			return result, bodyError(err)
 		}
 	}
 }
 
-// extendBody makes room for another read of a body that fills its buffer.
+// extendBody enlarges the buffer of a body for another read.
 func extendBody(body []byte, memory *bodyMemory) ([]byte, error) {
 	if err := memory.grow(int64(len(body)) + bodyReadSize); err != nil {
 		return nil, err
@@ -124,7 +123,7 @@
 	return grown, nil
 }
 
-// bodyError is errBodyStalled for a timeout, and any other error as it is.
+// bodyError returns errBodyStalled for a timeout, and any other error unchanged.
 func bodyError(err error) error {
 	var timeout net.Error
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout() {
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -19,8 +19,8 @@
 	"wheatsaddle/policy"
 )
 
-// echo is a storage node that answers each request with its own body, whole.
-func echo(t *testing.T) net.Listener {
+// newEchoNode is a storage node that answers each request with its own body, whole.
+func newEchoNode(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,15 +52,15 @@
 	return ln
 }
 
-// nodesAt lists the front's one node at another place.
-func nodesAt(ln net.Listener) core.ListUpdate {
-	return core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}}
+// nodeListUpdate lists the front's one node at another place.
+func nodeListUpdate(ln net.Listener) core.ListUpdate {
+	return core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(ln)}}}
 }
 
-// put is a write of the given body: framed by its length or chunked, perhaps asking to be
+// putRequest is a write of the given body: framed by its length or chunked, perhaps asking to be
 // told to go on.
-func put(id int, body []byte, chunked, expect bool) (head string, framed []byte) {
-	head = strings.Replace(good, "9b1f03aa5c7e2d41", fmt.Sprintf("%016x", id), 1)
+func putRequest(id int, body []byte, chunked, expect bool) (head string, framed []byte) {
+	head = strings.Replace(validRequest, "9b1f03aa5c7e2d41", fmt.Sprintf("%016x", id), 1)
 	head = strings.TrimSuffix(head, "hello")
 	if expect {
 		head = strings.Replace(head, "Content-Length: 5\r\n", "Expect: 100-continue\r\nContent-Length: 5\r\n", 1)
@@ -81,13 +81,13 @@
 
 // Many long bodies at once, more than the room holds, written in pieces cut anywhere: each
 // comes back byte for byte, or is refused at once and says when to come back; none other.
-func TestLongBodiesUnderARoom(t *testing.T) {
+func TestLongBodiesShareBodyMemory(t *testing.T) {
 	const size, writes = 2 << 20, 12
 	f := newFront(t, respondWith(okResponse))
 	f.srv.BodyMemory = semaphore.NewWeighted(6 << 20) // three at a time
 	f.dialer.ConnIdle = time.Minute
-	nodes := echo(t)
-	f.srv.Core.UpdateList(nodesAt(nodes))
+	nodes := newEchoNode(t)
+	f.srv.Core.UpdateList(nodeListUpdate(nodes))
 	var mu sync.Mutex
 	counts := map[int]int{}
 	var all sync.WaitGroup
@@ -100,7 +100,7 @@
 			for k := range body {
 				body[k] = byte(rng.IntN(256))
 			}
-			head, framed := put(i+1, body, i%2 == 1, i%3 == 0)
+			head, framed := putRequest(i+1, body, i%2 == 1, i%3 == 0)
 			nc, err := net.Dial("tcp", f.address)
 			if err != nil {
 				t.Error(err)
@@ -157,11 +157,11 @@
 
 // A client that sends its body slowly but steadily, at 64 kB a second in pieces, is read to the
 // end, past the time a whole request once had; one that stands still within its body is cut off.
-func TestSlowBodies(t *testing.T) {
+func TestSlowAndStalledBodies(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	f.srv.BodyMemory = semaphore.NewWeighted(1 << 20)
 	body := bytes.Repeat([]byte("x"), 200<<10)
-	head, framed := put(1, body, false, false)
+	head, framed := putRequest(1, body, false, false)
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +178,7 @@
 	if err := r.Read(bufio.NewReader(nc)); err != nil || r.StatusCode() != 200 {
 		t.Fatalf("a steady body: %d %v", r.StatusCode(), err)
 	}
-	short, shortFramed := put(2, body[:30], false, false)
+	short, shortFramed := putRequest(2, body[:30], false, false)
 	for _, x := range []struct {
 		head   string
 		framed []byte
@@ -200,7 +200,7 @@
 
 // A body that its client cuts off, within what the server reads first and past it, by length and
 // chunked, is an error: it never goes on as if it were whole.
-func TestCutBodies(t *testing.T) {
+func TestTruncatedBodiesAreErrors(t *testing.T) {
 	got := make(chan int, 1) // bytes taken for whole, -1: an error
 	srv := &fasthttp.Server{StreamRequestBody: true, ReadBufferSize: maxHeadSize, MaxRequestBodySize: maxRequestBody,
 		Handler: func(ctx *fasthttp.RequestCtx) {
@@ -219,7 +219,7 @@
 	go func() { _ = srv.Serve(ln) }()
 	body := bytes.Repeat([]byte("x"), 200<<10)
 	for _, chunked := range []bool{false, true} {
-		head, framed := put(1, body, chunked, false)
+		head, framed := putRequest(1, body, chunked, false)
 		for _, cut := range []int{10, 5000, 60 << 10, 100 << 10, len(framed) - 1, len(framed)} {
 			nc, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
--- a/internal/httpfront/bounds.go
+++ b/internal/httpfront/bounds.go
@@ -9,29 +9,29 @@
 
 // bounds limit what a request may contain under one version of the settings.
 type bounds struct {
-	set         *core.Settings
-	keyed       map[string]bool // by class
-	units       float64         // of the largest request; 0: no bound
-	shards      int             // number of shards; 0: unknown
-	schedulers  int             // number of hosts; 0: unknown
-	maxDeadline time.Duration   // longest deadline of a class: an answer that the client has not read by then is of no use
+	settings        *core.Settings
+	idempotentByKey map[string]bool // by class
+	maxUnits        float64         // units of the largest request; 0: no limit
+	shards          int             // number of shards; 0: unknown
+	schedulers      int             // number of hosts; 0: unknown
+	maxDeadline     time.Duration   // longest deadline of a class; a response that the client has not read by then is useless
 }
 
 // newBounds derives the bounds from a version of the settings.
-func newBounds(set *core.Settings) *bounds {
-	b := &bounds{set: set, keyed: map[string]bool{}, units: set.MaxUnits, shards: set.Shards, schedulers: set.Schedulers, maxDeadline: maxDeadline(set.Settings)}
-	for _, k := range set.Classes {
-		b.keyed[k.Name] = k.Effect == policy.IdempotentByKey
+func newBounds(settings *core.Settings) *bounds {
+	b := &bounds{settings: settings, idempotentByKey: map[string]bool{}, maxUnits: settings.MaxUnits, shards: settings.Shards, schedulers: settings.Schedulers, maxDeadline: maxDeadline(settings.Settings)}
+	for _, k := range settings.Classes {
+		b.idempotentByKey[k.Name] = k.Effect == policy.IdempotentByKey
 	}
 	return b
 }
 
-// apply checks a request against the bounds, and lowers its number of hosts to the bound.
+// apply checks a request against the bounds, and reduces its number of hosts to the configured one.
 func (b *bounds) apply(r *policy.Request) error {
-	if b.units > 0 && r.Units > b.units { // a larger request would block all requests behind it in its queue
+	if b.maxUnits > 0 && r.Units > b.maxUnits { // a larger request would block all requests behind it in its queue
 		return malformed("IO-Info: units: over the largest request")
 	}
-	if b.shards > 0 && r.Shard >= b.shards { // invented shards must not each get a queue
+	if b.shards > 0 && r.Shard >= b.shards { // otherwise requests with invalid shards could create any number of queues
 		return malformed("IO-Info: shard: there is none")
 	}
 	if b.schedulers > 0 {
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// maxDeadline is the longest deadline of a class.
-func maxDeadline(set policy.Settings) time.Duration {
+// maxDeadline returns the longest deadline of a class.
+func maxDeadline(settings policy.Settings) time.Duration {
 	longest := time.Duration(0)
-	for _, k := range set.Classes {
+	for _, k := range settings.Classes {
 		longest = max(longest, time.Duration(k.Deadline*float64(time.Millisecond)))
 	}
 	return longest
@@ -51,9 +51,9 @@
 
 // bounds returns the bounds of the current settings.
 func (s *Server) bounds() *bounds {
-	set, b := s.Core.Settings(), s.lastBounds.Load()
-	if b == nil || b.set != set {
-		b = newBounds(set)
+	settings, b := s.Core.Settings(), s.lastBounds.Load()
+	if b == nil || b.settings != settings {
+		b = newBounds(settings)
 		s.lastBounds.Store(b)
 	}
 	return b
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -14,10 +14,10 @@
 
 // What the front checks, how long it writes, and what may be repeated freely go by the settings that the core has then,
 // and a request names those that it was decoded under.
-func TestBoundsFollowTheCore(t *testing.T) {
+func TestBoundsFollowCoreSettings(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
-	smaller := strings.Replace(good, "units=2", "units=1", 1)
-	if r := f.send(t, good); r.StatusCode() != 200 {
+	smaller := strings.Replace(validRequest, "units=2", "units=1", 1)
+	if r := f.send(t, validRequest); r.StatusCode() != 200 {
 		t.Fatalf("%d", r.StatusCode())
 	}
 	first := f.srv.bounds()
@@ -26,12 +26,12 @@
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != time.Minute+writeMargin {
 		t.Errorf("%v to write", w)
 	}
-	next := testModule()
+	next := testSettings()
 	next.MaxUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Idempotent, 120e3
 	if err := f.srv.Core.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	if r := f.send(t, good); r.StatusCode() != 400 {
+	if r := f.send(t, validRequest); r.StatusCode() != 400 {
 		t.Errorf("over the largest request: %d", r.StatusCode())
 	}
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
@@ -45,7 +45,7 @@
 		set   *core.Settings
 		class string
 		safe  bool
-	}{{first.set, "new-record", false}, {f.srv.bounds().set, "new-record", true}, {first.set, "none", false},
+	}{{first.settings, "new-record", false}, {f.srv.bounds().settings, "new-record", true}, {first.settings, "none", false},
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
 		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
 		if d.idempotent(r) != x.safe {
@@ -53,10 +53,10 @@
 		}
 	}
 	var m fasthttp.Request
-	if err := m.Read(bufio.NewReader(strings.NewReader(good))); err != nil {
+	if err := m.Read(bufio.NewReader(strings.NewReader(validRequest))); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := decode(&m, first); err != nil || r.Settings != first.set {
+	if r, err := decode(&m, first); err != nil || r.Settings != first.settings {
 		t.Errorf("%v, %+v", err, r)
 	}
 }
--- a/internal/httpfront/leave_test.go
+++ b/internal/httpfront/closeafter_test.go
@@ -14,7 +14,7 @@
 
 // A server that leaves closes each connection with its answer, also one that was asked before; one on which a further
 // request waits already with the answer to that. Quiet ones are swept.
-func TestLeave(t *testing.T) {
+func TestCloseAfterResponses(t *testing.T) {
 	came, hold := make(chan bool, 2), make(chan bool)
 	f := newFront(t, func(nc net.Conn) bool {
 		came <- true
@@ -53,9 +53,9 @@
 		_, _ = io.WriteString(c, ready)
 		answered("before", c, false)
 	}
-	_, _ = io.WriteString(open, good)
+	_, _ = io.WriteString(open, validRequest)
 	<-came
-	_, _ = io.WriteString(ahead, strings.Replace(good, "9b1f", "0002", 1))
+	_, _ = io.WriteString(ahead, strings.Replace(validRequest, "9b1f", "0002", 1))
 	<-came
 	f.srv.CloseAfterResponses()
 	_, _ = io.WriteString(ahead, ready)
--- a/internal/httpfront/codec.go
+++ b/internal/httpfront/codec.go
@@ -1,8 +1,8 @@
-// Package httpfront implements the platform's protocol, a strict subset of HTTP/1.1: Server takes clients'
-// requests and hands them to core, and Dialer makes the node clients that carry core's attempts to storage nodes.
+// Package httpfront implements the platform's protocol, a strict subset of HTTP/1.1: Server receives clients'
+// requests and submits them to core, and Dialer creates the node clients that send core's attempts to storage nodes.
 //
 // Each storage node has one actor goroutine (node), which owns its connections, and each connection
-// (conn) one goroutine, which writes one request at a time and reads its answer. A node with several
+// (conn) one goroutine, which writes one request at a time and reads the response. A node with several
 // addresses has an address pool (addressPool) in its actor, whose selector decides on its connections.
 package httpfront
 
@@ -22,8 +22,8 @@
 )
 
 const (
-	maxBufferedBody = 64 << 10 // of a body held in one piece, of a request or an answer
-	maxRequestBody  = 32 << 20 // of a request's body; a longer one gets 413
+	maxBufferedBody = 64 << 10 // longest request or response body that is buffered as a whole
+	maxRequestBody  = 32 << 20 // longest request body; a longer one is answered with status 413
 	maxIDLength     = 128
 	maxTimeout      = 10 * time.Minute
 	maxUnits        = 1e6
@@ -36,7 +36,7 @@
 	body []byte
 }
 
-// MalformedError names what is wrong with a request.
+// MalformedError describes an invalid request.
 type MalformedError struct {
 	Status  int
 	Problem string
@@ -45,12 +45,12 @@
 // Error implements error.
 func (m *MalformedError) Error() string { return m.Problem }
 
-// malformed is a Malformed with status 400.
-func malformed(form string, args ...any) error {
-	return &MalformedError{fasthttp.StatusBadRequest, fmt.Sprintf(form, args...)}
+// malformed returns a MalformedError with status 400.
+func malformed(format string, args ...any) error {
+	return &MalformedError{fasthttp.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// isToken reports whether a header value may go on in a header without harm.
+// isToken reports whether a header value can be copied into another message safely.
 func isToken(v []byte, maxLength int) bool {
 	if len(v) == 0 || len(v) > maxLength {
 		return false
@@ -76,15 +76,15 @@
 	return true
 }
 
-// decode decodes a client's request whose body fasthttp has read. The result shares no memory with m.
+// decode decodes a client's request whose body fasthttp has already read. The result shares no memory with m.
 func decode(m *fasthttp.Request, b *bounds) (*core.Request, error) {
 	return decodeWith(m, bytes.Clone(m.Body()), b)
 }
 
-// decodeWith decodes a client's request with a body, which the result keeps.
+// decodeWith decodes a client's request with the given body, which the result refers to.
 func decodeWith(m *fasthttp.Request, body []byte, b *bounds) (*core.Request, error) {
 	h := &m.Header
-	r := &core.Request{Settings: b.set}
+	r := &core.Request{Settings: b.settings}
 	if p := h.Protocol(); string(p) != "HTTP/1.1" && string(p) != "HTTP/1.0" {
 		return nil, malformed("version: %.20q", p)
 	}
@@ -115,8 +115,8 @@
 	if !isHex16(key) {
 		return nil, malformed("Cookie: extent: missing or not 16 hex digits")
 	}
-	patience, err := strconv.ParseUint(string(h.Peek("X-Deadline-Ms")), 10, 32)
-	if err != nil || patience == 0 || time.Duration(patience)*time.Millisecond > maxTimeout {
+	timeoutMS, err := strconv.ParseUint(string(h.Peek("X-Deadline-Ms")), 10, 32)
+	if err != nil || timeoutMS == 0 || time.Duration(timeoutMS)*time.Millisecond > maxTimeout {
 		return nil, malformed("X-Deadline-Ms: missing or not a number of milliseconds")
 	}
 	if len(body) > maxRequestBody {
@@ -126,7 +126,7 @@
 		return nil, malformed("body: a read has none")
 	}
 	r.ID, r.Class, r.Plan, r.Key = string(id), string(class), string(tier), string(key)
-	r.Timeout = time.Duration(patience) * time.Millisecond
+	r.Timeout = time.Duration(timeoutMS) * time.Millisecond
 	r.ClientRetry = string(h.Peek("X-Retry")) == "1"
 	if err := decodeIOInfo(string(h.Peek("IO-Info")), &r.Request); err != nil {
 		return nil, err
@@ -134,15 +134,15 @@
 	if err := b.apply(&r.Request); err != nil {
 		return nil, err
 	}
-	idem := h.Peek("Idempotency-Key")
-	if len(idem) > 0 && !isToken(idem, 1024) || len(idem) == 0 && b.keyed[r.Class] {
+	idempotencyKey := h.Peek("Idempotency-Key")
+	if len(idempotencyKey) > 0 && !isToken(idempotencyKey, 1024) || len(idempotencyKey) == 0 && b.idempotentByKey[r.Class] {
 		return nil, malformed("Idempotency-Key: missing or malformed")
 	}
-	r.Payload = newNodeRequest(h, id, idem, body)
+	r.Payload = newNodeRequest(h, id, idempotencyKey, body)
 	return r, nil
 }
 
-// newNodeRequest encodes what stays the same in the messages of a request.
+// newNodeRequest encodes the part of the message that is the same for all attempts of a request.
 func newNodeRequest(h *fasthttp.RequestHeader, id, idempotencyKey, body []byte) *nodeRequest {
 	c := &nodeRequest{body: body}
 	c.head = append(append(append(c.head, h.Method()...), ' '), h.RequestURI()...)
@@ -156,7 +156,7 @@
 	return c
 }
 
-// decodeIOInfo reads IO-Info: volume, units, shard and hosts, in any order.
+// decodeIOInfo decodes the IO-Info field: volume, units, shard and hosts, in any order.
 func decodeIOInfo(text string, r *policy.Request) error {
 	seen := map[string]bool{}
 	for _, part := range strings.Split(text, ",") {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// encodeHead appends the message of one attempt without its body: left is the time until its deadline.
+// encodeHead appends the head of an attempt's message; left is the time until the deadline.
 func (c *nodeRequest) encodeHead(dst []byte, host string, left time.Duration) []byte {
 	dst = append(dst, c.head...)
 	dst = append(append(dst, "\r\nHost: "...), host...)
@@ -207,17 +207,17 @@
 	return append(dst, "\r\n\r\n"...)
 }
 
-// nodeResponse is a storage node's answer. A long body keeps its part of the shared memory until it is written to
-// the client or released.
+// nodeResponse is the response of a storage node. A long body keeps its share of the body memory until it is written
+// to the client or released.
 type nodeResponse struct {
 	body    []byte
 	release func()
-	relay   *relay // the rest of a long body; nil: body is whole
-	// limited reports of a part of a gathered read that it stopped at the number of rows it was asked for.
+	relay   *relay // relays a long body; nil: body is complete
+	// limited reports that a part of a gathered read stopped at the requested number of rows.
 	limited bool
 }
 
-// Release implements core.Releaser. A reply has one owner at a time.
+// Release implements core.Releaser. A response has one owner at a time.
 func (r *nodeResponse) Release() {
 	if r.release != nil {
 		r.release()
@@ -225,11 +225,11 @@
 	}
 	if r.relay != nil {
 		relay := r.relay
-		go func() { _ = relay.Close() }() // it waits for the node's actor, which the caller must not do
+		go func() { _ = relay.Close() }() // Close waits for the node's actor, and the caller must not block
 	}
 }
 
-// responseStream is a reply's body as the server writes it; the server closes it at the end.
+// responseStream is the body of a response for the server, which closes it after writing it.
 type responseStream struct {
 	bytes.Reader
 	response *nodeResponse
@@ -241,12 +241,12 @@
 	return nil
 }
 
-// decodeReply decodes an answer into the result of its attempt. Only a served result keeps rep.
-func decodeReply(m *fasthttp.Response, rep *nodeResponse) core.Result {
+// decodeResponse decodes a response into the result of its attempt. Only a served result refers to rep.
+func decodeResponse(m *fasthttp.Response, rep *nodeResponse) core.Result {
 	h := &m.Header
 	r := core.Result{Status: policy.Errored, Load: decodeLoad(string(h.Peek("X-Load")))}
-	r.PeerUsage, _ = parseFigure(h.Peek("Other-Hosts"))
-	if used, ok := parseFigure(h.Peek("Volume-Load")); ok {
+	r.PeerUsage, _ = parseNonNegative(h.Peek("Other-Hosts"))
+	if used, ok := parseNonNegative(h.Peek("Volume-Load")); ok {
 		r.PlanUsage = used + 1
 	}
 	switch code := m.StatusCode(); {
@@ -269,8 +269,8 @@
 	return (code == 503 || code == 504) && string(m.Header.Peek("X-Not-Run")) == "1"
 }
 
-// parseFigure reads a non-negative number; anything else counts as absent.
-func parseFigure(text []byte) (float64, bool) {
+// parseNonNegative parses a non-negative number; anything else counts as absent.
+func parseNonNegative(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > 1e12 {
 		return 0, false
@@ -278,9 +278,9 @@
 	return v, true
 }
 
-// decodeLoad reads a load report such as "inflight=7,queue=2,util=0.61".
+// decodeLoad decodes a load report such as "inflight=7,queue=2,util=0.61".
 func decodeLoad(text string) *policy.Load {
-	l, any := &policy.Load{Inflight: -1, Queue: -1, Util: -1}, false
+	l, found := &policy.Load{Inflight: -1, Queue: -1, Util: -1}, false
 	for _, part := range strings.Split(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(v, 64)
@@ -289,14 +289,14 @@
 		}
 		switch name {
 		case "inflight", "outstanding":
-			l.Inflight, any = x, true
+			l.Inflight, found = x, true
 		case "queue", "backlog":
-			l.Queue, any = x, true
+			l.Queue, found = x, true
 		case "util", "utilization":
-			l.Util, any = x, true
+			l.Util, found = x, true
 		}
 	}
-	if !any {
+	if !found {
 		return nil
 	}
 	return l
--- a/internal/httpfront/codec_recorded_test.go
+++ b/internal/httpfront/codec_recorded_test.go
@@ -39,7 +39,7 @@
 		{Kind: core.Failed, Cause: core.CauseDeadlineExceeded}, {Kind: core.Failed, Cause: core.CauseNotServed},
 	} {
 		var ctx fasthttp.RequestCtx
-		writeAnswer(&ctx, a)
+		writeResponse(&ctx, a)
 		fmt.Fprintf(&out, "to client %d: %d %q %q\n", i, ctx.Response.StatusCode(), ctx.Response.Header.Peek("Retry-After"), ctx.Response.Body())
 	}
 	path := filepath.Join("testdata", "codec.txt")
@@ -64,9 +64,9 @@
 	}
 }
 
-// recordedRequests are the requests of TestBadInput that the codec sees, and variants of a good one.
+// recordedRequests are the requests of TestInvalidRequests that the codec sees, and variants of a good one.
 func recordedRequests() []string {
-	requests := []string{good, strings.Replace(strings.Replace(strings.TrimSuffix(good, "hello"), "PUT ", "GET ", 1), "Content-Length: 5\r\n", "", 1)}
+	requests := []string{validRequest, strings.Replace(strings.Replace(strings.TrimSuffix(validRequest, "hello"), "PUT ", "GET ", 1), "Content-Length: 5\r\n", "", 1)}
 	for _, edit := range [][2]string{
 		{"X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""}, {"9b1f03aa5c7e2d41", strings.Repeat("9", 200)}, {"Tier: basic\r\n", ""},
 		{"extent=7f3a9c21e0b4d655", "extent=7f3a"}, {"60000", "soon"}, {"60000", "-5"}, {"60000", "99999999999"}, {"60000", "0"}, {"60000", "1"},
@@ -78,7 +78,7 @@
 		{"Tier: basic", "Tier: basic\r\nX-Retry: 1"}, {"Tier: basic", "X-Other: z\r\nTier: basic"}, {"HTTP/1.1", "HTTP/1.0"}, {"HTTP/1.1", "HTTP/2.7"},
 		{"Content-Length: 5", "Content-Length: 5\r\ncontent-length: 5"}, {"Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5"},
 	} {
-		requests = append(requests, strings.Replace(good, edit[0], edit[1], 1))
+		requests = append(requests, strings.Replace(validRequest, edit[0], edit[1], 1))
 	}
 	return requests
 }
@@ -131,7 +131,7 @@
 		t.Fatalf("%q: %v", text, err)
 	}
 	rep := &nodeResponse{}
-	r := decodeReply(&message, rep)
+	r := decodeResponse(&message, rep)
 	word, ok := statusWords[r.Status]
 	if !ok {
 		t.Fatalf("%q: status %v has no word", text, r.Status)
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -18,18 +18,18 @@
 
 const (
 	probeTimeout   = time.Second
-	readBufferSize = 4096 // also the bound of a head's length
+	readBufferSize = 4096 // also the maximum length of a response head
 )
 
-// job is what a connection is to carry: an attempt with its context, or a probe.
+// job is the work of a connection: an attempt with its context, or a probe.
 type job struct {
 	attempt *core.Attempt
 	ctx     context.Context
 	probe   func(core.Result, time.Duration)
 }
 
-// conn is one connection, which carries one attempt at a time. attempt, idleAt, ctx and stop are the node
-// actor's; the connection's goroutine sets socket once, and owns the rest while it has a job.
+// conn is one connection, which carries one attempt at a time. The fields attempt, idleAt, ctx and stop belong to the node's
+// actor. The connection's goroutine sets socket once, and owns the other fields while it has a job.
 type conn struct {
 	node        *node
 	address     address.Addr
@@ -41,33 +41,33 @@
 	dialStarted time.Duration // start of its dial
 	slowDial    bool          // its dial took long
 	used        bool          // a request was written on it
-	capacity    capacityHint  // what it showed of the node's capacity, until that is recorded
-	idleElement *list.Element // in the dialer's idle set, whose lock guards it
+	capacity    capacityHint  // what it showed about the node's capacity, until that is recorded
+	idleElement *list.Element // its element of the dialer's idle set, guarded by that set's lock
 	ctx         context.Context
 	stop        context.CancelFunc
 	socket      transport.Stream
 	reader      *bufio.Reader
-	timed       *timedReader
+	timedReader *timedReader
 	buffer      []byte
 	response    fasthttp.Response
-	// identity is the header field in which a node names itself, and answeredBy its value in the last answer.
+	// identity is the header field in which a node names itself, and answeredBy its value in the last response.
 	identity, answeredBy string
 }
 
-// capacityHint is what a new connection shows of the node's capacity for more connections.
+// capacityHint is what a new connection shows about the node's capacity for more connections.
 type capacityHint uint8
 
 const (
-	capacityUnknown  capacityHint = iota
-	capacityFree                  // its first request was answered
-	capacityDoubtful              // its dial timed out, or it ended without an answer
-	capacityNone                  // it was refused
+	capacityUnknown   capacityHint = iota
+	capacityFree                   // its first request was answered
+	capacityUncertain              // its dial timed out, or it ended without a response
+	capacityNone                   // the node refused the connection or rejected its first request
 )
 
-// cancel cancels the attempt that it carries: the connection is closed and not used again.
+// cancel cancels the attempt that the connection carries. The connection is closed and not reused.
 func (c *conn) cancel() { c.stop() }
 
-// run does the connection's jobs until there are no more or it cannot be used again.
+// run executes jobs until the job channel is closed or the connection cannot be reused.
 func (c *conn) run() {
 	defer func() {
 		if c.socket != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// doJob does one job and gives the connection back to the actor; false: it cannot be used again. The actor learns of the
-// connection before the core learns of the result, so that the module's next send finds it free.
+// doJob executes one job and returns the connection to the actor. The result is false if the connection cannot be reused. The
+// actor is notified before the core gets the result, so that the core's next send finds the connection free.
 func (c *conn) doJob(j job) (reuse bool) {
 	if j.probe != nil {
 		start := time.Now()
@@ -92,14 +92,14 @@
 		j.probe(r, time.Since(start))
 		return reuse
 	}
-	if c.unusable() {
+	if c.isUnusable() {
 		c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: true, resend: j.attempt})
 		return false
 	}
 	r, reuse := c.carryAttempt(j)
 	if rep, ok := r.Payload.(*nodeResponse); ok && rep.relay != nil {
-		// A long answer: the connection is the relay's until its last byte has passed.
-		rep.relay.handOut()
+		// A long response: the relay owns the connection until it is closed.
+		rep.relay.markHandedOff()
 		j.attempt.Done(r)
 		reuse = rep.relay.wait() && reuse
 		c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})
@@ -111,52 +111,52 @@
 	return reuse
 }
 
-// unusable says, right before an attempt is written, whether a used connection has been closed by the node or has
-// unexpected bytes to read: they would pass for the answer to this attempt.
-func (c *conn) unusable() bool { return c.used && !transport.IsReusable(c.socket) }
+// isUnusable reports, right before an attempt is written, whether the node has closed a used connection or sent unexpected
+// bytes on it, which would be taken for the response to this attempt.
+func (c *conn) isUnusable() bool { return c.used && !transport.IsReusable(c.socket) }
 
-// ensureUp dials where the connection is not up yet, and records what that shows of the node's capacity.
-func (c *conn) ensureUp(ctx context.Context) error {
+// ensureConnected dials if the connection is not established yet, and records what the dial shows about the node's capacity.
+func (c *conn) ensureConnected(ctx context.Context) error {
 	if c.socket != nil {
 		return nil
 	}
-	why, err := c.connect(ctx)
+	reason, err := c.connect(ctx)
 	switch {
-	case err == nil && !transport.IsReusable(c.socket): // closed before a request was written: nothing has run
+	case err == nil && !transport.IsReusable(c.socket): // the node closed it before a request was written, so nothing has run
 		c.socket.Close()
-		c.capacity, err = capacityNone, errMalformedAnswer
+		c.capacity, err = capacityNone, errMalformedResponse
 	case err == nil:
-	case why == address.ReasonRefused && ctx.Err() == nil:
+	case reason == address.ReasonRefused && ctx.Err() == nil:
 		c.capacity = capacityNone
-	case why == address.ReasonTimedOut:
-		c.capacity = capacityDoubtful
+	case reason == address.ReasonTimedOut:
+		c.capacity = capacityUncertain
 	}
 	return err
 }
 
-// connect dials the address; why classifies an error.
-func (c *conn) connect(ctx context.Context) (why address.Reason, err error) {
+// connect dials the address. The reason classifies an error.
+func (c *conn) connect(ctx context.Context) (reason address.Reason, err error) {
 	d := c.node.dialer
 	dial := d.dial
 	if dial == nil {
 		dial = transport.Dial
 	}
-	nc, why, err := dial(ctx, c.address, d.ConnectTimeout)
+	nc, reason, err := dial(ctx, c.address, d.ConnectTimeout)
 	if err == nil {
-		c.attach(nc)
+		c.setSocket(nc)
 	}
-	return why, err
+	return reason, err
 }
 
-// attach sets the socket of the connection and its readers.
-func (c *conn) attach(nc transport.Stream) {
+// setSocket sets the socket of the connection and creates its readers.
+func (c *conn) setSocket(nc transport.Stream) {
 	c.socket = nc
-	c.timed = &timedReader{socket: c.socket}
-	c.reader = bufio.NewReaderSize(c.timed, readBufferSize)
+	c.timedReader = &timedReader{socket: c.socket}
+	c.reader = bufio.NewReaderSize(c.timedReader, readBufferSize)
 }
 
-// unsentResult is the result of an attempt that was not written, or not to its last byte: Cancelled if its context was
-// cancelled, else ConnectFailed.
+// unsentResult returns the result of an attempt whose last byte was not written: Cancelled if its context was cancelled,
+// otherwise ConnectFailed.
 func unsentResult(ctx context.Context) core.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return core.Result{Status: policy.Cancelled}
@@ -170,24 +170,24 @@
 	if !time.Now().Before(a.Deadline) {
 		return core.Result{Status: policy.Abandoned}, c.socket != nil
 	}
-	if err := c.ensureUp(j.ctx); err != nil {
+	if err := c.ensureConnected(j.ctx); err != nil {
 		return unsentResult(j.ctx), false
 	}
-	if !a.Claim() { // its request was answered meanwhile, or its time is over
+	if !a.Claim() { // its request has been answered, or its deadline has passed
 		return core.Result{Status: policy.Abandoned}, j.ctx.Err() == nil
 	}
-	if c.node.draining.Load() { // the node began to drain while it waited
+	if c.node.draining.Load() { // the node began to drain while the attempt waited
 		return unsentResult(j.ctx), j.ctx.Err() == nil
 	}
 	r, reuse, _ = c.exchange(j)
 	return r, reuse
 }
 
-// probe asks the node for its load.
+// probe requests the node's load.
 func (c *conn) probe() (core.Result, bool) {
 	ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 	defer stop()
-	if err := c.ensureUp(ctx); err != nil {
+	if err := c.ensureConnected(ctx); err != nil {
 		return core.Result{Status: policy.ConnectFailed}, false
 	}
 	unwatch := context.AfterFunc(ctx, func() { c.socket.Close() })
@@ -197,8 +197,8 @@
 		return core.Result{Status: policy.ConnectFailed}, false
 	}
 	defer c.response.Reset()
-	rep, clean, err := c.readAnswer()
-	if whole := unwatch(); err != nil || !whole {
+	rep, reusable, err := c.readResponse()
+	if connOpen := unwatch(); err != nil || !connOpen {
 		return core.Result{Status: policy.ConnectionReset}, false
 	}
 	rep.Release()
@@ -209,5 +209,5 @@
 	case isCapacityRejection(&c.response):
 		r.Status = policy.NodeFull
 	}
-	return r, clean
+	return r, reusable
 }
--- a/internal/httpfront/closes_test.go
+++ b/internal/httpfront/connclose_test.go
@@ -20,13 +20,13 @@
 
 const readyText = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// closesClient is a client's connection; one that is not answered fails after a while.
-type closesClient struct {
+// frontClient is a client's connection; one that is not answered fails after a while.
+type frontClient struct {
 	net.Conn
 	*bufio.Reader
 }
 
-func dialFront(t *testing.T, address string) closesClient {
+func dialFront(t *testing.T, address string) frontClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
@@ -34,10 +34,10 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	_ = nc.SetDeadline(time.Now().Add(20 * time.Second))
-	return closesClient{nc, bufio.NewReader(nc)}
+	return frontClient{nc, bufio.NewReader(nc)}
 }
 
-func (c closesClient) answered(t *testing.T, what string, code int, closes bool) {
+func (c frontClient) expectResponse(t *testing.T, what string, code int, closes bool) {
 	t.Helper()
 	r := &fasthttp.Response{}
 	if err := r.Read(c.Reader); err != nil || r.StatusCode() != code || r.ConnectionClose() != closes {
@@ -51,34 +51,36 @@
 	}
 }
 
-func numbered(i int) string { return strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1) }
+func requestNumbered(i int) string {
+	return strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1)
+}
 
-// together are requests that come in one piece: the server reads all with the first.
-func together(count int) string {
+// pipelinedRequests are requests that come in one piece: the server reads all with the first.
+func pipelinedRequests(count int) string {
 	var b strings.Builder
 	for i := range count {
-		b.WriteString(numbered(i))
+		b.WriteString(requestNumbered(i))
 	}
 	return b.String()
 }
 
 // Requests that were read with the one that is open are answered: when the server stops, when it leaves, and at the cap.
 // The last answer closes the connection.
-func TestReadAheadIsAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredAtClose(t *testing.T) {
 	const count = 3
 	came, hold := make(chan bool, count), make(chan bool)
 	script := func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) }
 	t.Run("stops", func(t *testing.T) {
 		f := newFront(t, script)
 		c := dialFront(t, f.address)
-		_, _ = io.WriteString(c, together(count))
+		_, _ = io.WriteString(c, pipelinedRequests(count))
 		<-came
 		down := make(chan error, 1)
 		go func() { down <- f.srv.Shutdown(context.Background()) }()
 		t.Log("accepts no more:", <-f.served)
 		close(hold)
 		for i := range count {
-			c.answered(t, fmt.Sprint("request ", i), 200, i == count-1)
+			c.expectResponse(t, fmt.Sprint("request ", i), 200, i == count-1)
 		}
 		c.Close()
 		if err := <-down; err != nil || f.requests.Load() != count {
@@ -89,29 +91,29 @@
 		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
 		f.srv.CloseAfterResponses()
-		_, _ = io.WriteString(c, together(count))
+		_, _ = io.WriteString(c, pipelinedRequests(count))
 		for i := range count {
-			c.answered(t, fmt.Sprint("request ", i), 200, i == count-1)
+			c.expectResponse(t, fmt.Sprint("request ", i), 200, i == count-1)
 		}
 	})
 	t.Run("cap", func(t *testing.T) {
 		end := make(chan bool)
 		f := newFront(t, func(nc net.Conn) bool { <-end; return respondWith(okResponse)(nc) })
 		for i := range 50 {
-			_, _ = io.WriteString(dialFront(t, f.address), numbered(100+i))
+			_, _ = io.WriteString(dialFront(t, f.address), requestNumbered(100+i))
 		}
 		waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 50 })
 		c := dialFront(t, f.address)
-		_, _ = io.WriteString(c, together(count))
+		_, _ = io.WriteString(c, pipelinedRequests(count))
 		for i := range count {
-			c.answered(t, fmt.Sprint("request ", i), 503, i == count-1)
+			c.expectResponse(t, fmt.Sprint("request ", i), 503, i == count-1)
 		}
 		close(end)
 	})
 }
 
 // A request that was read with the one before outlives a sweep between the two.
-func TestSweepBetweenReadAhead(t *testing.T) {
+func TestCloseIdleBetweenPipelinedRequests(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,29 +130,29 @@
 	}
 	gate.Open()
 	c := dialFront(t, f.address)
-	_, _ = io.WriteString(c, together(2))
-	c.answered(t, "first", 200, false)
-	c.answered(t, "second", 200, false)
+	_, _ = io.WriteString(c, pipelinedRequests(2))
+	c.expectResponse(t, "first", 200, false)
+	c.expectResponse(t, "second", 200, false)
 	waitFor(t, func() bool { return swept.Load() == 2 })
 }
 
 // holdingListener gives out connections whose server is held, when armed, with what it has just read.
 type holdingListener struct {
 	net.Listener
-	armed atomic.Bool
-	took  chan bool
-	hold  chan bool
+	armed    atomic.Bool
+	readDone chan bool
+	release  chan bool
 }
 
 type holdingConn struct {
 	net.Conn
-	raw  syscall.RawConn
-	from *holdingListener
+	raw      syscall.RawConn
+	listener *holdingListener
 }
 
 type holdingRaw struct {
 	syscall.RawConn
-	from *holdingListener
+	listener *holdingListener
 }
 
 func (l *holdingListener) Accept() (net.Conn, error) {
@@ -162,39 +164,41 @@
 	return &holdingConn{nc, raw, l}, err
 }
 
-func (c *holdingConn) SyscallConn() (syscall.RawConn, error) { return holdingRaw{c.raw, c.from}, nil }
+func (c *holdingConn) SyscallConn() (syscall.RawConn, error) {
+	return holdingRaw{c.raw, c.listener}, nil
+}
 
 func (r holdingRaw) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
-	if r.from.armed.CompareAndSwap(true, false) {
-		r.from.took <- true
-		<-r.from.hold
+	if r.listener.armed.CompareAndSwap(true, false) {
+		r.listener.readDone <- true
+		<-r.listener.release
 	}
 	return err
 }
 
 // A request that has been taken from an idle connection in the moment in which the server stops, and that the server
 // does not know of yet, is answered.
-func TestRequestCrossesShutdown(t *testing.T) {
+func TestRequestReadDuringShutdownIsAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holder := &holdingListener{Listener: ln, took: make(chan bool), hold: make(chan bool)}
+	holder := &holdingListener{Listener: ln, readDone: make(chan bool), release: make(chan bool)}
 	f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 	c := dialFront(t, f.address)
 	_, _ = io.WriteString(c, readyText)
-	c.answered(t, "before", 200, false)
-	var others []closesClient // all idle connections are closed in one go
+	c.expectResponse(t, "before", 200, false)
+	var others []frontClient // all idle connections are closed in one go
 	for range 10 {
 		other := dialFront(t, f.address)
 		_, _ = io.WriteString(other, readyText)
-		other.answered(t, "another", 200, false)
+		other.expectResponse(t, "another", 200, false)
 		others = append(others, other)
 	}
 	holder.armed.Store(true)
-	_, _ = io.WriteString(c, good)
-	<-holder.took
+	_, _ = io.WriteString(c, validRequest)
+	<-holder.readDone
 	down := make(chan error, 1)
 	go func() { down <- f.srv.Shutdown(context.Background()) }()
 	for _, other := range others {
@@ -202,8 +206,8 @@
 			t.Fatalf("the crossing was not reached: %v", err)
 		}
 	}
-	close(holder.hold)
-	c.answered(t, "taken while it stopped", 200, true)
+	close(holder.release)
+	c.expectResponse(t, "taken while it stopped", 200, true)
 	c.Close()
 	if err := <-down; err != nil {
 		t.Error(err)
@@ -212,32 +216,32 @@
 
 // A request of which a part was read when the server stops is read to its end and answered, on a new connection as on
 // one that was used.
-func TestRequestInPiecesOverShutdown(t *testing.T) {
+func TestPartialRequestAtShutdownIsAnswered(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		holder := &holdingListener{Listener: ln, took: make(chan bool), hold: make(chan bool)}
-		close(holder.hold)
+		holder := &holdingListener{Listener: ln, readDone: make(chan bool), release: make(chan bool)}
+		close(holder.release)
 		f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 		c, idle := dialFront(t, f.address), dialFront(t, f.address)
-		for _, each := range []closesClient{c, idle} {
+		for _, each := range []frontClient{c, idle} {
 			if used || each == idle {
 				_, _ = io.WriteString(each, readyText)
-				each.answered(t, "before", 200, false)
+				each.expectResponse(t, "before", 200, false)
 			}
 		}
 		holder.armed.Store(true)
-		_, _ = io.WriteString(c, good[:40])
-		<-holder.took // the part was read
+		_, _ = io.WriteString(c, validRequest[:40])
+		<-holder.readDone // the part was read
 		down := make(chan error, 1)
 		go func() { down <- f.srv.Shutdown(context.Background()) }()
 		if _, err := idle.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Fatalf("the crossing was not reached: %v", err)
 		}
-		_, _ = io.WriteString(c, good[40:])
-		c.answered(t, "in pieces", 200, true)
+		_, _ = io.WriteString(c, validRequest[40:])
+		c.expectResponse(t, "in pieces", 200, true)
 		c.Close()
 		idle.Close()
 		if err := <-down; err != nil {
@@ -248,10 +252,10 @@
 
 // A client that sends all of its request before it reads gets the refusal of a request whose body is not read, and no
 // reset.
-func TestRefusalOverUnreadBody(t *testing.T) {
+func TestRejectionWithUnreadBodyIsNotReset(t *testing.T) {
 	for what, head := range map[string]string{
-		"a body too long":        strings.Replace(good, "Length: 5", fmt.Sprint("Length: ", maxRequestBody+1), 1),
-		"a head that is no head": strings.Replace(good, "Tier: basic", "Tier basic", 1),
+		"a body too long":        strings.Replace(validRequest, "Length: 5", fmt.Sprint("Length: ", maxRequestBody+1), 1),
+		"a head that is no head": strings.Replace(validRequest, "Tier: basic", "Tier basic", 1),
 	} {
 		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
@@ -274,7 +278,7 @@
 
 // Idle clients several times the cap, and requests whose clients are gone at once, keep neither the readiness probe nor a
 // request from its answer, nor the front from dialling its node.
-func TestFloodLeavesRoom(t *testing.T) {
+func TestIdleClientFloodLeavesCapacity(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	for range 300 {
 		dialFront(t, f.address)
@@ -283,24 +287,24 @@
 		t.Helper()
 		c := dialFront(t, f.address)
 		_, _ = io.WriteString(c, readyText)
-		c.answered(t, "probe", 200, false)
+		c.expectResponse(t, "probe", 200, false)
 	}
 	probe()
 	if n := f.conns.Load(); n != 0 {
 		t.Fatalf("%d connections to the node before", n)
 	}
 	served := dialFront(t, f.address)
-	_, _ = io.WriteString(served, good)
-	served.answered(t, "under idle clients", 200, false)
+	_, _ = io.WriteString(served, validRequest)
+	served.expectResponse(t, "under idle clients", 200, false)
 	for i := range 300 {
 		c := dialFront(t, f.address)
-		_, _ = io.WriteString(c, numbered(i))
+		_, _ = io.WriteString(c, requestNumbered(i))
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 	probe()
 	waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 0 })
 	served = dialFront(t, f.address)
-	_, _ = io.WriteString(served, strings.Replace(good, "9b1f", "ffff", 1))
-	served.answered(t, "after the clients that went", 200, false)
+	_, _ = io.WriteString(served, strings.Replace(validRequest, "9b1f", "ffff", 1))
+	served.expectResponse(t, "after the clients that went", 200, false)
 }
--- a/internal/httpfront/scarce_test.go
+++ b/internal/httpfront/connlimit_test.go
@@ -10,15 +10,15 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	capped "wheatsaddle/internal/testkit/fake/node"
+	fakenode "wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/policy"
 )
 
 // A node that holds four connections of three schedulers together. One has had a burst, and was refused
 // in it: what it holds idle it gives back, so that the others find room, and all are served from then on.
-func TestNodeNearItsCap(t *testing.T) {
-	const most, burst = 4, 5
-	n := capped.New(capped.Options{Name: "n", Conns: most, Workers: 2 * burst,
+func TestSchedulersShareNodeAtConnectionLimit(t *testing.T) {
+	const maxConns, burst = 4, 5
+	n := fakenode.New(fakenode.Options{Name: "n", Conns: maxConns, Workers: 2 * burst,
 		Service: func(*fasthttp.Request) time.Duration { return 20 * time.Millisecond }})
 	defer n.Close()
 	a, err := n.Listen("127.0.0.1:0")
@@ -33,22 +33,22 @@
 		defer p.Close() //nolint:gocritic // all are closed at the end of the test
 		all = append(all, p)
 	}
-	asked := 0
+	sent := 0
 	send := func(p core.NodeClient) chan core.Result {
-		asked++
-		text := strings.Replace(good, "y=1", "shard=0", 1)
-		a, end := attemptOf(t, strings.Replace(text, "Key: k1", fmt.Sprint("Key: k", asked), 1), later())
+		sent++
+		text := strings.Replace(validRequest, "y=1", "shard=0", 1)
+		a, end := attemptOf(t, strings.Replace(text, "Key: k1", fmt.Sprint("Key: k", sent), 1), inOneMinute())
 		p.Send(a)
 		return end
 	}
-	for refused := 0; refused < 3; { // closed with no answer may have another cause, once or twice
+	for rejected := 0; rejected < 3; { // closed with no answer may have another cause, once or twice
 		var got []chan core.Result
 		for range burst {
 			got = append(got, send(all[0]))
 		}
 		for _, end := range got {
 			if r := <-end; r.Status != policy.OK {
-				refused++
+				rejected++
 			}
 		}
 	}
--- a/internal/httpfront/crossing_test.go
+++ b/internal/httpfront/connrace_test.go
@@ -23,77 +23,77 @@
 
 // What crosses on the connections to a node, each with one side held until the other has acted.
 
-// heldStream is a connection whose looks at its socket, and writes, a test may hold: the actor looks when it chooses the
+// pausableStream is a connection whose looks at its socket, and writes, a test may hold: the actor looks when it chooses the
 // connection, and the connection's goroutine right before it writes.
-type heldStream struct {
+type pausableStream struct {
 	transport.Stream
-	looks *looks
+	pauser *operationPauser
 }
 
-// looks hold the look or write of a number, from 1 on, over all connections of a dialer.
-type looks struct {
-	mu    sync.Mutex
-	n     int
-	hold  int              // 0: none is held
-	at    chan *heldStream // told of the one that is held
-	goOn  chan struct{}    // lets it go on
-	dials atomic.Int64     // that came up
+// operationPauser hold the look or write of a number, from 1 on, over all connections of a dialer.
+type operationPauser struct {
+	mu        sync.Mutex
+	count     int
+	pauseAt   int                  // 0: none is held
+	paused    chan *pausableStream // told of the one that is held
+	resume    chan struct{}        // lets it go on
+	dialCount atomic.Int64         // that came up
 }
 
 // SyscallConn implements syscall.Conn.
-func (h *heldStream) SyscallConn() (syscall.RawConn, error) {
-	h.looks.pass(h)
+func (h *pausableStream) SyscallConn() (syscall.RawConn, error) {
+	h.pauser.pass(h)
 	return h.Stream.SyscallConn()
 }
 
 // Write implements net.Conn.
-func (h *heldStream) Write(p []byte) (int, error) {
-	h.looks.pass(h)
+func (h *pausableStream) Write(p []byte) (int, error) {
+	h.pauser.pass(h)
 	return h.Stream.Write(p)
 }
 
-func (l *looks) pass(h *heldStream) {
+func (l *operationPauser) pass(h *pausableStream) {
 	l.mu.Lock()
-	l.n++
-	stop := l.n == l.hold
+	l.count++
+	stop := l.count == l.pauseAt
 	l.mu.Unlock()
 	if stop {
-		l.at <- h
-		<-l.goOn
+		l.paused <- h
+		<-l.resume
 	}
 }
 
-// holdSecond holds the second one that comes from now on.
-func (l *looks) holdSecond() {
+// pauseSecond holds the second one that comes from now on.
+func (l *operationPauser) pauseSecond() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hold = l.n + 2
+	l.pauseAt = l.count + 2
 }
 
-// watchedDialer makes a dialer whose connections' looks may be held.
-func watchedDialer() (*Dialer, *looks) {
-	l := &looks{at: make(chan *heldStream, 1), goOn: make(chan struct{})}
+// newPausableDialer makes a dialer whose connections' looks may be held.
+func newPausableDialer() (*Dialer, *operationPauser) {
+	l := &operationPauser{paused: make(chan *pausableStream, 1), resume: make(chan struct{})}
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 		s, why, err := transport.Dial(ctx, a, wait)
 		if err != nil {
 			return nil, why, err
 		}
-		l.dials.Add(1)
-		return &heldStream{s, l}, 0, nil
+		l.dialCount.Add(1)
+		return &pausableStream{s, l}, 0, nil
 	}
 	return d, l
 }
 
 // idNode answers each request with its id, and keeps the connections.
 type idNode struct {
-	mu    sync.Mutex
-	conns []net.Conn // in the order of their first requests
-	came  map[string]int
+	mu       sync.Mutex
+	conns    []net.Conn // in the order of their first requests
+	arrivals map[string]int
 }
 
-func serveIDs(t *testing.T) (*idNode, []address.Addr) {
-	s := &idNode{came: map[string]int{}}
+func newIDNode(t *testing.T) (*idNode, []address.Addr) {
+	s := &idNode{arrivals: map[string]int{}}
 	at := s.listen(t)
 	return s, at
 }
@@ -110,7 +110,7 @@
 			go s.serve(nc)
 		}
 	}()
-	return at(ln)
+	return addressesOf(ln)
 }
 
 func (s *idNode) serve(nc net.Conn) {
@@ -123,69 +123,69 @@
 		}
 		id := string(q.Header.Peek("X-Request-Id"))
 		s.mu.Lock()
-		s.came[id]++
+		s.arrivals[id]++
 		if first {
 			s.conns = append(s.conns, nc)
 		}
 		s.mu.Unlock()
-		_, _ = io.WriteString(nc, answerOf(id))
+		_, _ = io.WriteString(nc, responseWithBody(id))
 	}
 }
 
-func (s *idNode) times(id string) int {
+func (s *idNode) arrivalCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.came[id]
+	return s.arrivals[id]
 }
 
-// speak writes on the first connection, unasked.
-func (s *idNode) speak(text string) {
+// writeUnsolicited writes on the first connection, unasked.
+func (s *idNode) writeUnsolicited(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = io.WriteString(s.conns[0], text)
 }
 
-// hangUp ends the first connection.
-func (s *idNode) hangUp() {
+// closeFirstConn ends the first connection.
+func (s *idNode) closeFirstConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[0].Close()
 }
 
-func answerOf(id string) string {
+func responseWithBody(id string) string {
 	var r fasthttp.Response
 	r.SetBodyString(id)
 	return r.String()
 }
 
-// withID is an attempt of a write under an id.
-func withID(t *testing.T, id string) (*core.Attempt, chan core.Result) {
-	return attemptOf(t, strings.Replace(good, "9b1f03aa5c7e2d41", id, 1), later())
+// attemptWithID is an attempt of a write under an id.
+func attemptWithID(t *testing.T, id string) (*core.Attempt, chan core.Result) {
+	return attemptOf(t, strings.Replace(validRequest, "9b1f03aa5c7e2d41", id, 1), inOneMinute())
 }
 
-func servedAs(t *testing.T, p core.NodeClient, id string) {
+func expectServed(t *testing.T, p core.NodeClient, id string) {
 	t.Helper()
-	a, got := withID(t, id)
+	a, got := attemptWithID(t, id)
 	p.Send(a)
 	if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != id {
 		t.Fatalf("%s ended as %v", id, r.Status)
 	}
 }
 
-// endsClean checks that a peer, once closed, holds nothing more, and that an attempt ended once.
-func endsClean(t *testing.T, d *Dialer, p core.NodeClient, ends ...chan core.Result) {
+// expectNothingLeft checks that a peer, once closed, holds nothing more, and that an attempt ended once.
+func expectNothingLeft(t *testing.T, d *Dialer, p core.NodeClient, results ...chan core.Result) {
 	t.Helper()
 	p.Close()
 	waitFor(t, func() bool { return d.open.Load() == 0 })
-	for _, got := range ends {
+	for _, got := range results {
 		if len(got) > 0 {
 			t.Errorf("a second end: %+v", <-got)
 		}
 	}
 }
 
-// peersOf are the two ways to one node: by its one address, and by a book of them.
-func peersOf(d *Dialer, to []address.Addr) map[string]func() core.NodeClient {
+// clientKinds are the two ways to one node: by its one address, and by a book of them.
+func clientKinds(d *Dialer, to []address.Addr) map[string]func() core.NodeClient {
 	twice := func() []address.Addr { // an address that is not tried while the first is good
 		other, err := address.Parse("127.0.0.1:1")
 		if err != nil {
@@ -199,8 +199,8 @@
 	}
 }
 
-// arrived waits until a connection's bytes, or its end, have come.
-func arrived(t *testing.T, h *heldStream) {
+// waitForInput waits until a connection's bytes, or its end, have come.
+func waitForInput(t *testing.T, h *pausableStream) {
 	t.Helper()
 	waitFor(t, func() bool { return !transport.IsReusable(h.Stream) })
 }
@@ -208,33 +208,33 @@
 // Between the actor's choice of a kept connection and the first byte of a request, a second answer to the request
 // before comes on it, or its end, or garbage: none of it is taken for the answer, nothing was written there, and the
 // request goes by another connection, once. A drain or a cancel of that instant binds.
-func TestKeptConnectionIsLookedAtBeforeTheWrite(t *testing.T) {
-	for crossing, cross := range map[string]func(s *idNode){
-		"a second answer": func(s *idNode) { s.speak(answerOf("first")) },
-		"half a line":     func(s *idNode) { s.speak("HTTP/1.1 20") },
-		"its end":         func(s *idNode) { s.hangUp() },
+func TestIdleConnectionIsCheckedBeforeWrite(t *testing.T) {
+	for event, cause := range map[string]func(s *idNode){
+		"a second answer": func(s *idNode) { s.writeUnsolicited(responseWithBody("first")) },
+		"half a line":     func(s *idNode) { s.writeUnsolicited("HTTP/1.1 20") },
+		"its end":         func(s *idNode) { s.closeFirstConn() },
 	} {
-		for way := range peersOf(nil, nil) {
-			t.Run(crossing+"/"+way, func(t *testing.T) {
-				s, to := serveIDs(t)
-				d, l := watchedDialer()
-				p := peersOf(d, to)[way]()
-				servedAs(t, p, "first")
-				l.holdSecond() // past the actor's
-				a, got := withID(t, "second")
+		for kind := range clientKinds(nil, nil) {
+			t.Run(event+"/"+kind, func(t *testing.T) {
+				s, to := newIDNode(t)
+				d, l := newPausableDialer()
+				p := clientKinds(d, to)[kind]()
+				expectServed(t, p, "first")
+				l.pauseSecond() // past the actor's
+				a, got := attemptWithID(t, "second")
 				p.Send(a)
-				h := <-l.at
-				cross(s)
-				arrived(t, h)
-				close(l.goOn)
+				h := <-l.paused
+				cause(s)
+				waitForInput(t, h)
+				close(l.resume)
 				r := <-got
 				if r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" {
 					t.Errorf("ended as %+v", r)
 				}
-				if s.times("second") != 1 || l.dials.Load() != 2 {
-					t.Errorf("it came %d times, by %d connections", s.times("second"), l.dials.Load())
+				if s.arrivalCount("second") != 1 || l.dialCount.Load() != 2 {
+					t.Errorf("it came %d times, by %d connections", s.arrivalCount("second"), l.dialCount.Load())
 				}
-				endsClean(t, d, p, got)
+				expectNothingLeft(t, d, p, got)
 			})
 		}
 	}
@@ -242,8 +242,8 @@
 
 // The same instant with a cancel, a drain, the node's leaving, or another address: the attempt ends once, as one that
 // never ran where it may not go on, and nothing of it is written.
-func TestKeptConnectionSpoiltAndThen(t *testing.T) {
-	for then, x := range map[string]struct {
+func TestUnusableConnectionWithCancelOrDrain(t *testing.T) {
+	for event, x := range map[string]struct {
 		do   func(p core.NodeClient, a *core.Attempt)
 		want policy.Status
 	}{
@@ -251,27 +251,27 @@
 		"drained":   {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true) }, policy.ConnectFailed},
 		"left":      {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
 	} {
-		for way := range peersOf(nil, nil) {
-			t.Run(then+"/"+way, func(t *testing.T) {
-				s, to := serveIDs(t)
-				d, l := watchedDialer()
-				p := peersOf(d, to)[way]()
-				servedAs(t, p, "first")
-				l.holdSecond()
-				a, got := withID(t, "second")
+		for kind := range clientKinds(nil, nil) {
+			t.Run(event+"/"+kind, func(t *testing.T) {
+				s, to := newIDNode(t)
+				d, l := newPausableDialer()
+				p := clientKinds(d, to)[kind]()
+				expectServed(t, p, "first")
+				l.pauseSecond()
+				a, got := attemptWithID(t, "second")
 				p.Send(a)
-				h := <-l.at
-				s.speak(answerOf("first"))
-				arrived(t, h)
+				h := <-l.paused
+				s.writeUnsolicited(responseWithBody("first"))
+				waitForInput(t, h)
 				x.do(p, a)
-				close(l.goOn)
+				close(l.resume)
 				if r := <-got; r.Status != x.want {
 					t.Errorf("ended as %+v", r)
 				}
-				if s.times("second") != 0 {
+				if s.arrivalCount("second") != 0 {
 					t.Error("it was written")
 				}
-				endsClean(t, d, p, got)
+				expectNothingLeft(t, d, p, got)
 			})
 		}
 	}
@@ -279,54 +279,54 @@
 
 // The same instant with a change of the node's address: the attempt goes by the new one, and its connection to the old
 // one is counted out.
-func TestKeptConnectionSpoiltAndReaddressed(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			s, to := serveIDs(t)
+func TestUnusableConnectionWithNewAddress(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			s, to := newIDNode(t)
 			next := s.listen(t)
-			d, l := watchedDialer()
-			p := peersOf(d, to)[way]()
-			servedAs(t, p, "first")
-			l.holdSecond()
-			a, got := withID(t, "second")
+			d, l := newPausableDialer()
+			p := clientKinds(d, to)[kind]()
+			expectServed(t, p, "first")
+			l.pauseSecond()
+			a, got := attemptWithID(t, "second")
 			p.Send(a)
-			h := <-l.at
-			s.speak(answerOf("first"))
-			arrived(t, h)
+			h := <-l.paused
+			s.writeUnsolicited(responseWithBody("first"))
+			waitForInput(t, h)
 			p.SetAddresses(next)
-			close(l.goOn)
-			if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" || s.times("second") != 1 {
-				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
+			close(l.resume)
+			if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" || s.arrivalCount("second") != 1 {
+				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("second"))
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
 // An attempt that went back from a spoilt connection waits for another, and is cancelled: it ends while that connect
 // still hangs.
-func TestCancelWhileTheOtherConnectionComesUp(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			s, to := serveIDs(t)
-			d, l := watchedDialer()
+func TestCancelWhileReplacementConnectionDials(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			s, to := newIDNode(t)
+			d, l := newPausableDialer()
 			d.ConnectTimeout = time.Hour
-			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
-			p := peersOf(d, to)[way]()
-			servedAs(t, p, "first")
-			l.holdSecond()
-			a, got := withID(t, "second")
+			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
+			p := clientKinds(d, to)[kind]()
+			expectServed(t, p, "first")
+			l.pauseSecond()
+			a, got := attemptWithID(t, "second")
 			p.Send(a)
-			h := <-l.at
+			h := <-l.paused
 			// The actor reads it next when it has taken the attempt back.
 			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
-				<-goOn
+				<-resume
 				return dial(context.Background(), to, wait)
 			}
-			s.speak(answerOf("first"))
-			arrived(t, h)
-			close(l.goOn)
+			s.writeUnsolicited(responseWithBody("first"))
+			waitForInput(t, h)
+			close(l.resume)
 			<-begun
 			p.Cancel(a)
 			select {
@@ -337,72 +337,72 @@
 			case <-time.After(10 * time.Second): // only what the cancel does not end meets it
 				t.Error("waits on for its connect")
 			}
-			close(goOn)
-			servedAs(t, p, "third")
-			if s.times("second") != 0 {
+			close(resume)
+			expectServed(t, p, "third")
+			if s.arrivalCount("second") != 0 {
 				t.Error("it was written")
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
 // A drain that is told between the actor's choice of a connection and the first byte: nothing is written.
-func TestDrainBetweenChoiceAndFirstByte(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			s, to := serveIDs(t)
-			d, l := watchedDialer()
-			p := peersOf(d, to)[way]()
-			servedAs(t, p, "first")
-			l.holdSecond()
-			a, got := withID(t, "second")
+func TestDrainBeforeFirstByte(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			s, to := newIDNode(t)
+			d, l := newPausableDialer()
+			p := clientKinds(d, to)[kind]()
+			expectServed(t, p, "first")
+			l.pauseSecond()
+			a, got := attemptWithID(t, "second")
 			p.Send(a)
-			<-l.at
+			<-l.paused
 			p.Drain(true)
-			close(l.goOn)
-			if r := <-got; r.Status != policy.ConnectFailed || s.times("second") != 0 {
-				t.Errorf("ended as %+v, came %d times", r, s.times("second"))
+			close(l.resume)
+			if r := <-got; r.Status != policy.ConnectFailed || s.arrivalCount("second") != 0 {
+				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("second"))
 			}
 			p.Drain(false)
-			servedAs(t, p, "third")
+			expectServed(t, p, "third")
 			p.Drain(true)
 			p.Drain(false)
 			p.Drain(true) // in a row
-			b, got := withID(t, "fourth")
+			b, got := attemptWithID(t, "fourth")
 			p.Send(b)
-			if r := <-got; r.Status != policy.ConnectFailed || s.times("fourth") != 0 {
-				t.Errorf("drains again: ended as %+v, came %d times", r, s.times("fourth"))
+			if r := <-got; r.Status != policy.ConnectFailed || s.arrivalCount("fourth") != 0 {
+				t.Errorf("drains again: ended as %+v, came %d times", r, s.arrivalCount("fourth"))
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
 // A drain that is told while connects are under way, one or a race of several: what waits for them ends at once as
 // one that never ran, and when they come up nothing is written.
-func TestDrainWhileConnectsAreLate(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			s, to := serveIDs(t)
-			d, l := watchedDialer()
+func TestDrainDuringSlowDials(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			s, to := newIDNode(t)
+			d, l := newPausableDialer()
 			d.ConnectTimeout = time.Hour // what ends does so for the drain
-			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
+			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
-				<-goOn // comes up late, whoever has given it up
+				<-resume // comes up late, whoever has given it up
 				return dial(context.Background(), a, wait)
 			}
-			p := peersOf(d, to)[way]()
-			var ends []chan core.Result
+			p := clientKinds(d, to)[kind]()
+			var results []chan core.Result
 			for _, id := range []string{"one", "another"} {
-				a, got := withID(t, id)
+				a, got := attemptWithID(t, id)
 				p.Send(a)
-				ends = append(ends, got)
+				results = append(results, got)
 			}
 			<-begun
 			p.Drain(true)
-			for _, got := range ends {
+			for _, got := range results {
 				select {
 				case r := <-got:
 					if r.Status != policy.ConnectFailed {
@@ -412,20 +412,20 @@
 					t.Error("waits on for a connect to a node that drains")
 				}
 			}
-			close(goOn)
-			waitFor(t, func() bool { return l.dials.Load() > 0 })
+			close(resume)
+			waitFor(t, func() bool { return l.dialCount.Load() > 0 })
 			p.Drain(false)
-			servedAs(t, p, "after")
-			if n := s.times("one") + s.times("another"); n != 0 {
+			expectServed(t, p, "after")
+			if n := s.arrivalCount("one") + s.arrivalCount("another"); n != 0 {
 				t.Errorf("%d were written", n)
 			}
-			endsClean(t, d, p, ends...)
+			expectNothingLeft(t, d, p, results...)
 		})
 	}
 }
 
-// longWrite is a write of more than the machine holds between two ends of a connection.
-func longWrite(t *testing.T) (*core.Attempt, chan core.Result, int) {
+// newLongWrite is a write of more than the machine holds between two ends of a connection.
+func newLongWrite(t *testing.T) (*core.Attempt, chan core.Result, int) {
 	const size = 32 << 20
 	a, got := attempt(t, time.Now().Add(8*time.Second))
 	c := a.Request.Payload.(*nodeRequest)
@@ -433,8 +433,8 @@
 	return a, got, size
 }
 
-// slowReader accepts one connection, and reads of it when it is told to.
-func slowReader(t *testing.T) (to []address.Addr, accepted chan *net.TCPConn) {
+// newSlowReader accepts one connection, and reads of it when it is told to.
+func newSlowReader(t *testing.T) (to []address.Addr, accepted chan *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -446,18 +446,18 @@
 			accepted <- nc.(*net.TCPConn)
 		}
 	}()
-	return at(ln), accepted
+	return addressesOf(ln), accepted
 }
 
 // A repeat whose node takes it so slowly that its last byte would come after the time in which it is known for a
 // repeat: that byte is never written, and the attempt ends as one that never ran.
-func TestRepeatIsNotWrittenWholeAfterItsWindow(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			to, accepted := slowReader(t)
+func TestLastByteOfRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			to, accepted := newSlowReader(t)
 			d := dialer()
-			p := peersOf(d, to)[way]()
-			a, got, size := longWrite(t)
+			p := clientKinds(d, to)[kind]()
+			a, got, size := newLongWrite(t)
 			a.StartBy = time.Now().Add(time.Second)
 			p.Send(a)
 			nc := <-accepted
@@ -473,23 +473,23 @@
 			if r := <-got; r.Status != policy.Abandoned {
 				t.Errorf("ended as %+v", r)
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
 // A write over 64 KiB whose connection is reset after a part of it has come: its last byte was never written, so it
 // never ran. After the whole of it, it may have.
-func TestLongWriteReset(t *testing.T) {
+func TestLongWriteIsReset(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole bool
 		want  policy.Status
 	}{"a part": {false, policy.ConnectFailed}, "the whole": {true, policy.ConnectionReset}} {
 		t.Run(name, func(t *testing.T) {
-			to, accepted := slowReader(t)
+			to, accepted := newSlowReader(t)
 			d := dialer()
 			p := d.Connect("n", to)
-			a, got, size := longWrite(t)
+			a, got, size := newLongWrite(t)
 			p.Send(a)
 			nc := <-accepted
 			br := bufio.NewReader(nc)
@@ -511,14 +511,14 @@
 			if r := <-got; r.Status != x.want {
 				t.Errorf("ended as %+v", r)
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
 // How an answer ends, and whether the connection carries the next: by its own framing alone, never by the
 // connection's end.
-func TestHowAnswersEnd(t *testing.T) {
+func TestResponseFraming(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	chunked := edit("Content-Length: 3", "Transfer-Encoding: chunked")
 	chunked = chunked[:len(chunked)-len("abc")]
@@ -557,7 +557,7 @@
 				return x.then == stays
 			})
 			d := dialer()
-			p := d.Connect("n", at(n.ln))
+			p := d.Connect("n", addressesOf(n.ln))
 			r := sendOne(t, p)
 			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
 				t.Errorf("ended as %+v, want %d", r, x.want)
@@ -566,29 +566,29 @@
 			if again := n.conns.Load() == 1; again != x.again {
 				t.Errorf("%d connections for two", n.conns.Load())
 			}
-			endsClean(t, d, p)
+			expectNothingLeft(t, d, p)
 		})
 	}
 }
 
-// sizes notes how long the writes on a connection are.
-type sizes struct {
+// writeRecorder notes how long the writes on a connection are.
+type writeRecorder struct {
 	transport.Stream
-	mu   *sync.Mutex
-	list *[]int
+	mu      *sync.Mutex
+	lengths *[]int
 }
 
 // Write implements net.Conn.
-func (s sizes) Write(p []byte) (int, error) {
+func (s writeRecorder) Write(p []byte) (int, error) {
 	s.mu.Lock()
-	*s.list = append(*s.list, len(p))
+	*s.lengths = append(*s.lengths, len(p))
 	s.mu.Unlock()
 	return s.Stream.Write(p)
 }
 
 // The head of a long write goes out before its body is touched: the time left that it tells, and the look at the drain,
 // are of its first byte. A body of up to 64 KiB goes out with it.
-func TestLongWriteBeginsWithItsHead(t *testing.T) {
+func TestLongWriteSendsHeadFirst(t *testing.T) {
 	for size, writes := range map[int]int{maxBufferedBody: 1, maxBufferedBody + 1: 2, 8 << 20: 2} {
 		n := newFakeNode(t, respondWith(okResponse))
 		d := dialer()
@@ -596,12 +596,12 @@
 		var list []int
 		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			s, why, err := transport.Dial(ctx, a, wait)
-			return sizes{s, &mu, &list}, why, err
+			return writeRecorder{s, &mu, &list}, why, err
 		}
-		p := d.Connect("n", at(n.ln))
+		p := d.Connect("n", addressesOf(n.ln))
 		body := strings.Repeat("x", size)
-		text := strings.Replace(good, "Content-Length: 5", "Content-Length: "+strconv.Itoa(size), 1)
-		a, got := attemptOf(t, strings.TrimSuffix(text, "hello")+body, later())
+		text := strings.Replace(validRequest, "Content-Length: 5", "Content-Length: "+strconv.Itoa(size), 1)
+		a, got := attemptOf(t, strings.TrimSuffix(text, "hello")+body, inOneMinute())
 		p.Send(a)
 		if r := <-got; r.Status != policy.OK {
 			t.Errorf("%d bytes: ended as %+v", size, r)
@@ -614,38 +614,38 @@
 			t.Errorf("%d bytes: written as %v", size, list)
 		}
 		mu.Unlock()
-		endsClean(t, d, p, got)
+		expectNothingLeft(t, d, p, got)
 	}
 }
 
 // A connect to an address that has been replaced meanwhile fails: this says nothing of the new one, to which the attempt
 // that waits for it goes.
-func TestReplacedAddressFailsToConnect(t *testing.T) {
-	for way := range peersOf(nil, nil) {
-		t.Run(way, func(t *testing.T) {
-			s, old := serveIDs(t)
+func TestDialToReplacedAddressFails(t *testing.T) {
+	for kind := range clientKinds(nil, nil) {
+		t.Run(kind, func(t *testing.T) {
+			s, old := newIDNode(t)
 			next := s.listen(t)
-			d, _ := watchedDialer()
+			d, _ := newPausableDialer()
 			d.ConnectTimeout = time.Hour
-			dial, begun, goOn := d.dial, make(chan bool, 64), make(chan struct{})
+			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				if to != old[0] {
 					return dial(ctx, to, wait)
 				}
 				begun <- true
-				<-goOn
+				<-resume
 				return nil, address.ReasonRefused, syscall.ECONNREFUSED
 			}
-			p := peersOf(d, old)[way]()
-			a, got := withID(t, "first")
+			p := clientKinds(d, old)[kind]()
+			a, got := attemptWithID(t, "first")
 			p.Send(a)
 			<-begun
 			p.SetAddresses(next)
-			close(goOn)
-			if r := <-got; r.Status != policy.OK || s.times("first") != 1 {
-				t.Errorf("ended as %+v, came %d times", r, s.times("first"))
+			close(resume)
+			if r := <-got; r.Status != policy.OK || s.arrivalCount("first") != 1 {
+				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("first"))
 			}
-			endsClean(t, d, p, got)
+			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -21,20 +21,20 @@
 
 // The time that an attempt tells its node is what is left at its first byte, however late its connection came up and
 // however long it waited for it.
-func TestDeadlineIsOfTheFirstByte(t *testing.T) {
+func TestSentDeadlineIsRemainingTimeAtFirstByte(t *testing.T) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = syscall.Close(pair[0]) }()
 	defer func() { _ = syscall.Close(pair[1]) }()
-	const patience, late, work = 4000 * time.Millisecond, 1500 * time.Millisecond, 700 * time.Millisecond
+	const timeout, dialTime, serviceTime = 4000 * time.Millisecond, 1500 * time.Millisecond, 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		told := make(chan int, 2)
+		sentDeadlines := make(chan int, 2)
 		d := dialer()
 		d.FreeConnWait = time.Hour // the second waits for the connection of the first
 		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
-			time.Sleep(late)
+			time.Sleep(dialTime)
 			ours, theirs := net.Pipe()
 			go func() {
 				defer theirs.Close()
@@ -48,32 +48,32 @@
 					if err != nil {
 						t.Error(err)
 					}
-					told <- left
-					time.Sleep(work)
+					sentDeadlines <- left
+					time.Sleep(serviceTime)
 					_, _ = io.WriteString(theirs, okResponse)
 				}
 			}()
-			return memConn{ours, &simulation{quiet: pair}}, 0, nil
+			return memConn{ours, &simulation{idleSockets: pair}}, 0, nil
 		}
 		to, err := address.Parse("10.0.0.1:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := d.Connect("n", []address.Addr{to})
-		until := time.Now().Add(patience)
-		var ends []chan core.Result
+		until := time.Now().Add(timeout)
+		var results []chan core.Result
 		for range 2 {
 			got := make(chan core.Result, 1)
-			ends = append(ends, got)
+			results = append(results, got)
 			p.Send(core.NewAttempt(&core.Request{Payload: &nodeRequest{head: []byte("GET /c HTTP/1.1")}}, until, func(r core.Result) { got <- r }))
 		}
-		for _, got := range ends {
+		for _, got := range results {
 			if r := <-got; r.Status != policy.OK {
 				t.Fatalf("ended as %+v", r)
 			}
 		}
-		for i, want := range []time.Duration{patience - late, patience - late - work} {
-			if left := <-told; left != int(want.Milliseconds()) {
+		for i, want := range []time.Duration{timeout - dialTime, timeout - dialTime - serviceTime} {
+			if left := <-sentDeadlines; left != int(want.Milliseconds()) {
 				t.Errorf("attempt %d told %d ms, want %d", i, left, want.Milliseconds())
 			}
 		}
--- a/internal/httpfront/dialer.go
+++ b/internal/httpfront/dialer.go
@@ -15,14 +15,14 @@
 	"wheatsaddle/policy"
 )
 
-// Dialer makes the actors of storage nodes, which share one budget of descriptors.
+// Dialer creates the actors of storage nodes, which share one limit on open connections.
 type Dialer struct {
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
-	MaxConns       int64              // open connections over all nodes
-	FreeConnWait   time.Duration      // how long an attempt waits for a connection in use before another is opened
-	dialEstimate   dialEstimate       // duration of a connect
-	Idempotent     map[string]bool    // classes that may be repeated freely; for requests without Settings
+	MaxConns       int64              // limit of open connections over all nodes
+	FreeConnWait   time.Duration      // how long an attempt waits for a busy connection before another is opened
+	dialEstimate   dialEstimate       // estimated duration of a dial
+	Idempotent     map[string]bool    // idempotent classes, for requests without Settings
 	Addresses      *AddressConfig     // for nodes with several addresses; nil: the defaults
 	Log            logrus.FieldLogger // nil: no log
 	open           atomic.Int64       // connections that are open or being opened
@@ -40,7 +40,7 @@
 	return n
 }
 
-// idempotent reports whether a request may be repeated freely, according to the settings it was decoded under.
+// idempotent reports whether a request is idempotent according to the settings with which it was decoded.
 func (d *Dialer) idempotent(r *core.Request) bool {
 	if r.Settings == nil {
 		return d.Idempotent[r.Class]
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/disconnect_test.go
@@ -19,7 +19,7 @@
 
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
-	storage "wheatsaddle/internal/testkit/fake/node"
+	fakenode "wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/internal/transport"
 	"wheatsaddle/policy"
 )
@@ -30,55 +30,57 @@
 
 // disconnectHarness is a front whose connections to its node, and the first bytes written on them, wait to be let go.
 type disconnectHarness struct {
-	*front
-	t       *testing.T
-	network string
-	dials   *barrier
-	writes  *barrier
-	quiets  *barrier
-	idle    *list.Element // of the dialer's idle connections, as last seen
+	*frontHarness
+	t            *testing.T
+	network      string
+	dials        *barrier
+	writes       *barrier
+	socketChecks *barrier
+	lastIdle     *list.Element // of the dialer's idle connections, as last seen
 }
 
 // barrier stops who passes, if it is shut, until it is opened.
 type barrier struct {
-	shut atomic.Bool
-	at   chan bool // one came
-	open chan struct{}
+	closed  atomic.Bool
+	reached chan bool // one came
+	opened  chan struct{}
 }
 
-func newBarrier() *barrier { return &barrier{at: make(chan bool, 1024), open: make(chan struct{})} }
+func newBarrier() *barrier {
+	return &barrier{reached: make(chan bool, 1024), opened: make(chan struct{})}
+}
 
 func (h *barrier) pass() {
-	if h.shut.Load() {
-		h.at <- true
-		<-h.open
+	if h.closed.Load() {
+		h.reached <- true
+		<-h.opened
 	}
 }
 
-func (h *barrier) letGo() {
-	if h.shut.Swap(false) {
-		close(h.open)
+func (h *barrier) release() {
+	if h.closed.Swap(false) {
+		close(h.opened)
 	}
 }
 
-// lateStream is a connection to a node.
-type lateStream struct {
+// gatedStream is a connection to a node.
+type gatedStream struct {
 	transport.Stream
-	of     *disconnectHarness
-	closed chan struct{}
+	harness *disconnectHarness
+	closed  chan struct{}
 }
 
-func (s *lateStream) Write(p []byte) (int, error) {
-	s.of.writes.pass()
+func (s *gatedStream) Write(p []byte) (int, error) {
+	s.harness.writes.pass()
 	return s.Stream.Write(p)
 }
 
-func (s *lateStream) SyscallConn() (syscall.RawConn, error) {
-	s.of.quiets.pass()
+func (s *gatedStream) SyscallConn() (syscall.RawConn, error) {
+	s.harness.socketChecks.pass()
 	return s.Stream.SyscallConn()
 }
 
-func (s *lateStream) Close() error {
+func (s *gatedStream) Close() error {
 	select {
 	case s.closed <- struct{}{}:
 	default:
@@ -88,7 +90,7 @@
 
 func newDisconnectHarness(t *testing.T, network string) (*disconnectHarness, chan struct{}) {
 	t.Helper()
-	l := &disconnectHarness{t: t, network: network, dials: newBarrier(), writes: newBarrier(), quiets: newBarrier()}
+	l := &disconnectHarness{t: t, network: network, dials: newBarrier(), writes: newBarrier(), socketChecks: newBarrier()}
 	closed := make(chan struct{}, 64)
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
@@ -97,7 +99,7 @@
 		if err != nil {
 			return nil, why, err
 		}
-		return &lateStream{nc, l, closed}, why, nil
+		return &gatedStream{nc, l, closed}, why, nil
 	}
 	where := "127.0.0.1:0"
 	if network == "unix" {
@@ -107,8 +109,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.front = newFrontOn(t, ln, d, respondWith(okResponse))
-	t.Cleanup(func() { l.dials.letGo(); l.writes.letGo(); l.quiets.letGo() })
+	l.frontHarness = newFrontOn(t, ln, d, respondWith(okResponse))
+	t.Cleanup(func() { l.dials.release(); l.writes.release(); l.socketChecks.release() })
 	return l, closed
 }
 
@@ -122,13 +124,13 @@
 	return nc
 }
 
-// ask writes the request of an id.
-func ask(nc net.Conn, id int) {
-	_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", id), 1))
+// writeRequest writes the request of an id.
+func writeRequest(nc net.Conn, id int) {
+	_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", id), 1))
 }
 
-// holdCore keeps the core's actor busy until the return is called: what comes meanwhile waits in its mailbox.
-func holdCore(t *testing.T, c *core.Core) (release func()) {
+// blockCore keeps the core's actor busy until the return is called: what comes meanwhile waits in its mailbox.
+func blockCore(t *testing.T, c *core.Core) (release func()) {
 	held, let := make(chan bool), make(chan bool)
 	c.Submit(&core.Request{Request: policy.Request{Class: "none of the settings"}, Answer: func(core.Answer) { close(held); <-let }})
 	<-held
@@ -137,18 +139,18 @@
 	return release
 }
 
-// allGone waits until the server has seen all clients go and closed their connections.
-func allGone(t *testing.T, s *Server) {
+// waitForDisconnects waits until the server has seen all clients go and closed their connections.
+func waitForDisconnects(t *testing.T, s *Server) {
 	t.Helper()
 	waitFor(t, func() bool { return s.ln.Load().OpenCount() == 0 })
 }
 
-// onlyNext has another client served, and fails if the node got any other request.
-func (l *disconnectHarness) onlyNext(before int64) {
+// checkOnlyNextClientServed has another client served, and fails if the node got any other request.
+func (l *disconnectHarness) checkOnlyNextClientServed(before int64) {
 	l.t.Helper()
 	nc := l.dial()
 	defer nc.Close()
-	ask(nc, 7777)
+	writeRequest(nc, 7777)
 	r := &fasthttp.Response{}
 	if err := r.Read(bufio.NewReader(nc)); err != nil || r.StatusCode() != 200 {
 		l.t.Fatalf("the next client: %v %d", err, r.StatusCode())
@@ -156,138 +158,138 @@
 	if n := l.requests.Load() - before; n != 1 {
 		l.t.Errorf("%d requests came to the node, want that of the next client alone", n)
 	}
-	l.empty()
+	l.waitForNoRequests()
 }
 
-// empty waits until the core holds nothing of any request but guards, whose time is yet to come.
-func (l *disconnectHarness) empty() {
+// waitForNoRequests waits until the core holds nothing of any request but guards, whose time is yet to come.
+func (l *disconnectHarness) waitForNoRequests() {
 	l.t.Helper()
 	waitFor(l.t, func() bool { x := l.srv.Core.TableSizes(); return x.Requests == 0 && x.Module == 0 })
 }
 
-// parked waits until an attempt's end has given its connection back since the last call, or the attempt was written after all.
-func (l *disconnectHarness) parked() {
+// waitForIdleConn waits until an attempt's end has given its connection back since the last call, or the attempt was written after all.
+func (l *disconnectHarness) waitForIdleConn() {
 	l.t.Helper()
 	written := l.requests.Load()
 	waitFor(l.t, func() bool {
 		l.dialer.idle.mu.Lock()
 		defer l.dialer.idle.mu.Unlock()
 		idle := l.dialer.idle.list.Front()
-		if idle == nil || idle == l.idle {
+		if idle == nil || idle == l.lastIdle {
 			return l.requests.Load() > written
 		}
-		l.idle = idle
+		l.lastIdle = idle
 		return true
 	})
 }
 
 // Both kinds of clients' sockets, with and without more bytes than the server reads ahead: behind those the system tells the
 // going on the one kind alone.
-func eachClient(t *testing.T, do func(t *testing.T, network, ahead string)) {
+func forEachClientKind(t *testing.T, do func(t *testing.T, network, ahead string)) {
 	for _, network := range []string{"tcp", "unix"} {
-		for name, ahead := range map[string]string{"alone": "", "with bytes behind": strings.Repeat(good, 60)} {
+		for name, ahead := range map[string]string{"alone": "", "with bytes behind": strings.Repeat(validRequest, 60)} {
 			t.Run(network+" "+name, func(t *testing.T) { do(t, network, ahead) })
 		}
 	}
 }
 
 // The attempt waits for a connection, and the core is too busy to hear of the going.
-func TestGoneWhileAConnectionComesUp(t *testing.T) {
-	eachClient(t, func(t *testing.T, network, ahead string) {
+func TestDisconnectDuringDial(t *testing.T) {
+	forEachClientKind(t, func(t *testing.T, network, ahead string) {
 		l, _ := newDisconnectHarness(t, network)
-		l.dials.shut.Store(true)
+		l.dials.closed.Store(true)
 		nc := l.dial()
-		ask(nc, 1)
+		writeRequest(nc, 1)
 		_, _ = io.WriteString(nc, ahead)
-		<-l.dials.at
-		release := holdCore(t, l.srv.Core)
+		<-l.dials.reached
+		release := blockCore(t, l.srv.Core)
 		nc.Close()
-		allGone(t, l.srv)
-		l.dials.letGo()
-		l.parked()
+		waitForDisconnects(t, l.srv)
+		l.dials.release()
+		l.waitForIdleConn()
 		release()
-		l.onlyNext(0)
+		l.checkOnlyNextClientServed(0)
 	})
 }
 
 // The attempt is in its node's mailbox, the node's actor at work and the core too.
-func TestGoneInTheNodesMailbox(t *testing.T) {
-	eachClient(t, func(t *testing.T, network, ahead string) {
+func TestDisconnectWithAttemptInNodeMailbox(t *testing.T) {
+	forEachClientKind(t, func(t *testing.T, network, ahead string) {
 		l, _ := newDisconnectHarness(t, network)
-		l.onlyNext(0) // its connection is idle now
-		l.parked()
-		l.quiets.shut.Store(true)
+		l.checkOnlyNextClientServed(0) // its connection is idle now
+		l.waitForIdleConn()
+		l.socketChecks.closed.Store(true)
 		nc := l.dial()
-		ask(nc, 1)
+		writeRequest(nc, 1)
 		_, _ = io.WriteString(nc, ahead)
-		<-l.quiets.at // the actor looks at the connection that it would give
-		release := holdCore(t, l.srv.Core)
+		<-l.socketChecks.reached // the actor looks at the connection that it would give
+		release := blockCore(t, l.srv.Core)
 		nc.Close()
-		allGone(t, l.srv)
-		l.quiets.letGo()
-		l.parked()
+		waitForDisconnects(t, l.srv)
+		l.socketChecks.release()
+		l.waitForIdleConn()
 		release()
-		l.onlyNext(1)
+		l.checkOnlyNextClientServed(1)
 	})
 }
 
 // Between the attempt's beginning and its first byte: the cancel closes the connection, and the byte is not written.
-func TestGoneBeforeTheFirstByte(t *testing.T) {
-	eachClient(t, func(t *testing.T, network, ahead string) {
+func TestDisconnectBeforeFirstByte(t *testing.T) {
+	forEachClientKind(t, func(t *testing.T, network, ahead string) {
 		l, closed := newDisconnectHarness(t, network)
-		l.writes.shut.Store(true)
+		l.writes.closed.Store(true)
 		nc := l.dial()
-		ask(nc, 1)
+		writeRequest(nc, 1)
 		_, _ = io.WriteString(nc, ahead)
-		<-l.writes.at
+		<-l.writes.reached
 		nc.Close()
 		waitFor(t, func() bool { return len(closed) > 0 })
-		l.writes.letGo()
-		l.onlyNext(0)
+		l.writes.release()
+		l.checkOnlyNextClientServed(0)
 	})
 }
 
 // The request waits in its queue for a node; one comes after the client has gone, before or after word of the going. The word alone
 // ends the request.
-func TestGoneWhileQueued(t *testing.T) {
-	eachClient(t, func(t *testing.T, network, ahead string) {
-		for _, heard := range []bool{false, true} {
+func TestDisconnectWhileQueued(t *testing.T) {
+	forEachClientKind(t, func(t *testing.T, network, ahead string) {
+		for _, notified := range []bool{false, true} {
 			l, _ := newDisconnectHarness(t, network)
 			list := func(state policy.NodeState) {
 				l.srv.Core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{{
-					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: at(l.ln)}}})
+					Node: policy.Node{ID: "n", Weight: 1, State: state}, Addresses: addressesOf(l.ln)}}})
 			}
 			list(policy.NodeDraining)
 			nc := l.dial()
-			ask(nc, 1)
+			writeRequest(nc, 1)
 			_, _ = io.WriteString(nc, ahead)
 			waitFor(t, func() bool { return l.srv.Core.OpenRequests() == 1 })
 			release := func() {}
-			if !heard {
-				release = holdCore(t, l.srv.Core)
+			if !notified {
+				release = blockCore(t, l.srv.Core)
 				list(policy.NodeUp)
 			}
 			nc.Close()
-			allGone(t, l.srv)
-			if heard {
-				l.empty()
+			waitForDisconnects(t, l.srv)
+			if notified {
+				l.waitForNoRequests()
 				list(policy.NodeUp)
 			}
 			release()
-			l.onlyNext(0)
+			l.checkOnlyNextClientServed(0)
 		}
 	})
 }
 
 // A part of a body has come: nothing of the request is known to the core, whether the server's library reads its first bytes or
 // the front the rest. The core would count a request of a plan that it does not know.
-func TestGoneWhileItsBodyArrives(t *testing.T) {
+func TestDisconnectDuringRequestBody(t *testing.T) {
 	with := func(header, body string) string {
-		return strings.NewReplacer("Content-Length: 5", header, "hello", body).Replace(good)
+		return strings.NewReplacer("Content-Length: 5", header, "hello", body).Replace(validRequest)
 	}
 	of := strings.Repeat("x", maxBufferedBody)
 	for what, text := range map[string]string{
-		"short":   good[:len(good)-2],
+		"short":   validRequest[:len(validRequest)-2],
 		"long":    with(fmt.Sprint("Content-Length: ", maxBufferedBody), of[1:]),
 		"longer":  with(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), of),
 		"chunked": with("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(of), of)),
@@ -300,8 +302,8 @@
 					_, _ = io.WriteString(nc, strings.Replace(text, "Tier: basic", "Tier: "+plan, 1))
 					waitFor(t, func() bool { return l.srv.ln.Load() != nil && l.srv.ln.Load().OpenCount() == 1 })
 					nc.Close()
-					allGone(t, l.srv)
-					l.onlyNext(0)
+					waitForDisconnects(t, l.srv)
+					l.checkOnlyNextClientServed(0)
 					if n := l.srv.Core.Counters().Snapshot().Failed["new-record"]; n != 0 {
 						t.Errorf("the core counted %d requests", n)
 					}
@@ -312,51 +314,51 @@
 }
 
 // Many go at once while the core is busy and their attempts wait.
-func TestManyGoAtOnce(t *testing.T) {
+func TestManyClientsDisconnectAtOnce(t *testing.T) {
 	const clients = 40
 	l, _ := newDisconnectHarness(t, "tcp")
-	l.dials.shut.Store(true)
+	l.dials.closed.Store(true)
 	var conns []net.Conn
 	for i := range clients {
 		nc := l.dial()
-		ask(nc, i)
+		writeRequest(nc, i)
 		conns = append(conns, nc)
 	}
 	waitFor(t, func() bool { return l.srv.Core.OpenRequests() == clients })
-	<-l.dials.at
-	release := holdCore(t, l.srv.Core)
+	<-l.dials.reached
+	release := blockCore(t, l.srv.Core)
 	for _, nc := range conns {
 		nc.Close()
 	}
-	allGone(t, l.srv)
-	l.dials.letGo()
-	l.parked()
+	waitForDisconnects(t, l.srv)
+	l.dials.release()
+	l.waitForIdleConn()
 	release()
-	l.onlyNext(0)
+	l.checkOnlyNextClientServed(0)
 }
 
 // The parts of a gathered read are attempts like others.
-func TestGoneFromAGatheredRead(t *testing.T) {
+func TestDisconnectFromGatheredRead(t *testing.T) {
 	dials := newBarrier()
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		dials.pass()
 		return transport.Dial(ctx, a, within)
 	}
-	w := newGatherHarnessOn(t, d, wholeRules, storage.Rows{Seed: 3, Count: 10})
-	t.Cleanup(dials.letGo)
-	dials.shut.Store(true)
+	w := newGatherHarnessOn(t, d, completeRules, fakenode.Rows{Seed: 3, Count: 10})
+	t.Cleanup(dials.release)
+	dials.closed.Store(true)
 	nc := w.dial()
-	w.ask(nc, "GET", "balance-read/x", "basic", time.Minute, all)
-	const atOnce = 3 // of the rules
-	for range atOnce {
-		<-dials.at
+	w.writeRequest(nc, "GET", "balance-read/x", "basic", time.Minute, gatherAll)
+	const maxConcurrentParts = 3 // of the rules
+	for range maxConcurrentParts {
+		<-dials.reached
 	}
-	release := holdCore(t, w.core)
+	release := blockCore(t, w.core)
 	nc.Close()
-	allGone(t, w.srv)
-	dials.letGo()
-	asked := func() (n int) {
+	waitForDisconnects(t, w.srv)
+	dials.release()
+	requestCount := func() (n int) {
 		for _, x := range w.nodes {
 			n += x.Counts().Requests
 		}
@@ -365,14 +367,14 @@
 	waitFor(t, func() bool {
 		d.idle.mu.Lock()
 		defer d.idle.mu.Unlock()
-		return d.idle.list.Len() == atOnce || asked() > 0
+		return d.idle.list.Len() == maxConcurrentParts || requestCount() > 0
 	})
 	release()
-	if g := w.read("balance-read", "basic", time.Minute, all); g.code != 200 || g.err != nil {
+	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || g.err != nil {
 		t.Fatalf("the next read: %d %v", g.code, g.err)
 	}
-	if n := asked(); n != gatherShards {
+	if n := requestCount(); n != gatherShards {
 		t.Errorf("%d requests came to the nodes, want the %d of the next read", n, gatherShards)
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -17,7 +17,7 @@
 	"wheatsaddle/internal/transport"
 )
 
-// The fields of gathered reads: a client's, a part's, and what comes back.
+// The header fields of gathered reads: of client requests, of parts and of responses.
 const (
 	hdrGather  = "X-Gather"
 	hdrToken   = "X-Gather-Token"
@@ -27,45 +27,46 @@
 	hdrResult  = "X-Gather-Result"
 )
 
-const maxShardsText = 8 << 10 // longest list of shards
+const maxShardsText = 8 << 10 // bytes of a shard list, and number of shards in it
 
 var (
-	errClientClosed = errors.New("gathered: its client takes no more")
-	errIncomplete   = errors.New("gathered: it ended without its result")
+	errClientClosed = errors.New("gathered read: client disconnected")
+	errIncomplete   = errors.New("gathered read: ended without a result")
 )
 
-// SetScatterGather takes the service of gathered reads from now on; nil: they are off. Reads under way end as they began.
+// SetScatterGather sets the service of gathered reads; nil turns them off. Reads in flight continue with the previous service.
 func (s *Server) SetScatterGather(svc *scattergather.Service) { s.scatterGather.Store(svc) }
 
-// PartPayload is what the nodes are sent for a part: the client's read under the part's id, with its shard, units and rows.
+// PartPayload returns the message to the nodes for a part: the client's read under the part's id, with its shard, units and
+// number of rows.
 func PartPayload(client, part *core.Request, rows int) any {
 	head := client.Payload.(*nodeRequest).head
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
-	_, key, keyed := bytes.Cut(rest, []byte("\r\nIdempotency-Key: "))
-	c := &nodeRequest{}
-	c.head = append(append(append(c.head, line...), "\r\nX-Request-Id: "...), part.ID...)
-	if keyed { // parts are not each other's repeats
-		c.head = append(append(c.head, "\r\nIdempotency-Key: "...), key...)
-		c.head = strconv.AppendInt(append(c.head, '/'), int64(part.Shard), 10)
+	_, key, hasKey := bytes.Cut(rest, []byte("\r\nIdempotency-Key: "))
+	payload := &nodeRequest{}
+	payload.head = append(append(append(payload.head, line...), "\r\nX-Request-Id: "...), part.ID...)
+	if hasKey { // a key of its own, so that parts are not deduplicated against each other
+		payload.head = append(append(payload.head, "\r\nIdempotency-Key: "...), key...)
+		payload.head = strconv.AppendInt(append(payload.head, '/'), int64(part.Shard), 10)
 	}
-	c.head = append(append(c.head, "\r\nIO-Info: volume="...), part.Volume...)
-	c.head = strconv.AppendFloat(append(c.head, ",units="...), part.Units, 'g', -1, 64)
-	c.head = strconv.AppendInt(append(c.head, ",shard="...), int64(part.Shard), 10)
-	c.head = strconv.AppendInt(append(c.head, ",hosts="...), int64(part.Schedulers), 10)
-	c.head = strconv.AppendInt(append(c.head, "\r\n"+hdrRows+": "...), int64(rows), 10)
-	return c
+	payload.head = append(append(payload.head, "\r\nIO-Info: volume="...), part.Volume...)
+	payload.head = strconv.AppendFloat(append(payload.head, ",units="...), part.Units, 'g', -1, 64)
+	payload.head = strconv.AppendInt(append(payload.head, ",shard="...), int64(part.Shard), 10)
+	payload.head = strconv.AppendInt(append(payload.head, ",hosts="...), int64(part.Schedulers), 10)
+	payload.head = strconv.AppendInt(append(payload.head, "\r\n"+hdrRows+": "...), int64(rows), 10)
+	return payload
 }
 
-// PartBody is a node's answer to a part.
+// PartBody returns the body of a node's response to a part.
 func PartBody(payload any) scattergather.Body {
 	rep := payload.(*nodeResponse)
 	if rep.relay == nil {
 		return scattergather.Body{Data: rep.body, Limited: rep.limited}
 	}
-	return scattergather.Body{Rest: rep.relay, Cut: rep.relay.Cut, Limited: rep.limited}
+	return scattergather.Body{Rest: rep.relay, Cut: rep.relay.Abort, Limited: rep.limited}
 }
 
-// decodeGather reads what a client asks of a gathered read.
+// decodeGather decodes the query of a client's gathered read.
 func decodeGather(h *fasthttp.RequestHeader, b *bounds) (q scattergather.Query, err error) {
 	if !h.IsGet() {
 		return q, &scattergather.NotRead{Why: "writes are never gathered"}
@@ -88,28 +89,28 @@
 	if q.All = text == "all"; q.All {
 		return q, nil
 	}
-	bad := func(why string) (scattergather.Query, error) {
+	invalidShards := func(why string) (scattergather.Query, error) {
 		return q, &scattergather.ShardsBad{Shards: text, Why: why}
 	}
 	if len(text) > maxShardsText {
-		return bad("is too long")
+		return invalidShards("is too long")
 	}
-	for _, one := range strings.Split(text, ",") {
-		from, to, ranged := strings.Cut(strings.TrimSpace(one), "-")
+	for _, item := range strings.Split(text, ",") {
+		from, to, isRange := strings.Cut(strings.TrimSpace(item), "-")
 		first, err := strconv.ParseUint(from, 10, 20)
 		last := first
-		if ranged && err == nil {
+		if isRange && err == nil {
 			last, err = strconv.ParseUint(to, 10, 20)
 		}
 		switch {
 		case err != nil:
-			return bad("is not like 0,3,7-9, or all")
+			return invalidShards("is not like 0,3,7-9, or all")
 		case last < first:
-			return bad("a range ends before it begins")
+			return invalidShards("a range ends before it begins")
 		case b.shards > 0 && last >= uint64(b.shards):
-			return bad("there is no shard " + strconv.FormatUint(last, 10))
+			return invalidShards("there is no shard " + strconv.FormatUint(last, 10))
 		case last-first+uint64(len(q.Shards)) >= maxShardsText:
-			return bad("are too many")
+			return invalidShards("are too many")
 		}
 		for ; first <= last; first++ {
 			q.Shards = append(q.Shards, int(first))
@@ -118,8 +119,8 @@
 	return q, nil
 }
 
-// gather answers a gathered read. What goes wrong before the first row has a code of its own; after it, the answer is either
-// whole with its result or cut.
+// gather answers a gathered read. A failure before the first row has its own status code. After the first row the response
+// either ends with its result or is truncated.
 func (s *Server) gather(ctx *fasthttp.RequestCtx, r *core.Request, svc *scattergather.Service, b *bounds) {
 	q, err := decodeGather(&ctx.Request.Header, b)
 	if err != nil {
@@ -127,14 +128,14 @@
 		return
 	}
 	conn := ctx.Conn().(*transport.Conn)
-	run, leave := context.WithCancel(context.Background())
-	g := &gatherStream{conn: conn, cancel: leave, head: &ctx.Response.Header, writeDeadline: r.ReceivedAt.Add(r.Timeout + writeMargin),
+	readCtx, cancel := context.WithCancel(context.Background())
+	g := &gatherStream{conn: conn, cancel: cancel, head: &ctx.Response.Header, writeDeadline: r.ReceivedAt.Add(r.Timeout + writeMargin),
 		pieces: make(chan []byte), consumed: make(chan struct{}, 1), closed: make(chan struct{}), result: make(chan scattergather.Final, 1), readDone: make(chan struct{})}
 	g.peerClosed = conn.Watch()
 	r.ClientDisconnected = g.abandoned
 	go func() {
 		defer close(g.readDone)
-		g.result <- svc.Read(run, r, q, g.write)
+		g.result <- svc.Read(readCtx, r, q, g.write)
 	}()
 	select {
 	case g.piece = <-g.pieces:
@@ -145,11 +146,11 @@
 			writeFinal(ctx, f)
 			return
 		}
-		g.result <- f // no rows, and the result
+		g.result <- f // there are no rows, and Read needs the result
 	case <-g.peerClosed:
 		_ = g.Close()
 		ctx.SetConnectionClose()
-		ctx.SetStatusCode(499) // no one reads it
+		ctx.SetStatusCode(499) // the client has disconnected and does not see it
 		return
 	}
 	if err := g.head.SetTrailer(hdrResult); err != nil {
@@ -158,27 +159,28 @@
 		return
 	}
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(g, -1) // chunked: a cut answer lacks its last chunk
+	ctx.Response.SetBodyStream(g, -1) // chunked, so that a truncated response lacks its last chunk
 }
 
-// gatherStream is a gathered read on its way to its client: Read and Close are the server's goroutine's, write is the read's.
+// gatherStream passes the rows of a gathered read to its client. The server's goroutine calls Read and Close, the goroutine of
+// the gathered read calls write.
 type gatherStream struct {
 	conn          *transport.Conn
 	peerClosed    <-chan struct{}
 	cancel        context.CancelFunc
 	head          *fasthttp.ResponseHeader
-	writeDeadline time.Time // after which nobody takes anything
+	writeDeadline time.Time // time after which the client no longer waits
 	pieces        chan []byte
 	consumed      chan struct{}
-	closed        chan struct{} // closed with the gathering
+	closed        chan struct{} // closed by Close
 	result        chan scattergather.Final
 	readDone      chan struct{} // closed when the read has returned
 	piece         []byte
-	pending       bool // a piece is being taken
+	pending       bool // piece is not yet confirmed to write
 	closeOnce     sync.Once
 }
 
-// abandoned says that nobody takes the answer any more.
+// abandoned reports whether the client no longer reads the response.
 func (g *gatherStream) abandoned() bool {
 	select {
 	case <-g.closed:
@@ -188,7 +190,7 @@
 	}
 }
 
-// write gives rows and waits until the server has taken them: back-pressure.
+// write passes rows to the server and waits until they are consumed, which gives back-pressure.
 func (g *gatherStream) write(rows []byte) error {
 	select {
 	case g.pieces <- rows:
@@ -216,7 +218,7 @@
 			g.pending = true
 		case f := <-g.result:
 			if f.Kind != scattergather.Served && f.Kind != scattergather.Short {
-				return 0, errIncomplete // not EOF: the server must not end the answer as if it had its result
+				return 0, errIncomplete // not io.EOF, as the server would end the response as if it were complete
 			}
 			g.head.Set(hdrResult, string(f.Report(true).JSON()))
 			return 0, io.EOF
@@ -229,7 +231,7 @@
 	return n, nil
 }
 
-// Close implements io.Closer: the server is through with it. It returns once all parts were called off.
+// Close implements io.Closer. It returns once all parts are cancelled.
 func (g *gatherStream) Close() error {
 	g.closeOnce.Do(func() {
 		close(g.closed)
@@ -240,7 +242,7 @@
 	return nil
 }
 
-// writeFinal answers a read of which no row went out.
+// writeFinal answers a gathered read of which no row was sent.
 func writeFinal(ctx *fasthttp.RequestCtx, f scattergather.Final) {
 	code := fasthttp.StatusBadGateway
 	switch f.Kind {
--- a/internal/httpfront/gathered_peer.go
+++ b/internal/httpfront/gathered_peer.go
@@ -9,8 +9,8 @@
 	"wheatsaddle/internal/core"
 )
 
-// EncodePeerRequest makes a client's gathered read one to another process, as the client would have sent it there: all but the id,
-// the deadline and the fields of the gather.
+// EncodePeerRequest encodes a client's gathered read for a peer process, as the client would have sent it there. It leaves out
+// the id, the deadline and the gather fields, which the caller sets.
 func EncodePeerRequest(client *core.Request, to *fasthttp.Request) {
 	line, rest, _ := bytes.Cut(client.Payload.(*nodeRequest).head, []byte("\r\n"))
 	uri := bytes.Split(line, []byte(" "))[1]
@@ -18,7 +18,7 @@
 	to.SetRequestURIBytes(uri)
 	to.Header.Set("Tier", client.Plan)
 	to.Header.SetCookie("extent", client.Key)
-	if _, key, keyed := bytes.Cut(rest, []byte("\r\nIdempotency-Key: ")); keyed {
+	if _, key, hasKey := bytes.Cut(rest, []byte("\r\nIdempotency-Key: ")); hasKey {
 		to.Header.SetBytesV("Idempotency-Key", key)
 	}
 	info := append([]byte("volume="), client.Volume...)
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -21,7 +21,7 @@
 	"wheatsaddle/internal/address"
 	"wheatsaddle/internal/core"
 	"wheatsaddle/internal/scattergather"
-	storage "wheatsaddle/internal/testkit/fake/node"
+	fakenode "wheatsaddle/internal/testkit/fake/node"
 	"wheatsaddle/policy"
 )
 
@@ -29,38 +29,38 @@
 
 // gatherHarness is a front over four shards with a node each.
 type gatherHarness struct {
-	t       *testing.T
-	srv     *Server
-	svc     *scattergather.Service
-	core    *core.Core
-	nodes   []*storage.Node
-	listed  []core.Node
-	rows    *storage.Rows
-	address string
-	served  chan error
+	t        *testing.T
+	srv      *Server
+	svc      *scattergather.Service
+	core     *core.Core
+	nodes    []*fakenode.Node
+	nodeList []core.Node
+	rows     *fakenode.Rows
+	address  string
+	served   chan error
 }
 
-func newGatherHarness(t *testing.T, rules string, rows storage.Rows) *gatherHarness {
+func newGatherHarness(t *testing.T, rules string, rows fakenode.Rows) *gatherHarness {
 	t.Helper()
 	return newGatherHarnessOn(t, dialer(), rules, rows)
 }
 
-func newGatherHarnessOn(t *testing.T, d *Dialer, rules string, rows storage.Rows) *gatherHarness {
+func newGatherHarnessOn(t *testing.T, d *Dialer, rules string, rows fakenode.Rows) *gatherHarness {
 	t.Helper()
 	w := &gatherHarness{t: t, rows: &rows, served: make(chan error, 1)}
-	set := testModule()
+	set := testSettings()
 	set.MaxAttempts, set.DrainGrace = 3, 250
 	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
 	set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3, Effect: policy.NonIdempotent})
 	for i := range gatherShards {
-		n := storage.New(storage.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
+		n := fakenode.New(fakenode.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
 		a, err := n.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
 		w.nodes = append(w.nodes, n)
-		w.listed = append(w.listed, core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i, State: policy.NodeUp, Weight: 1}, Addresses: []address.Addr{a}})
+		w.nodeList = append(w.nodeList, core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i, State: policy.NodeUp, Weight: 1}, Addresses: []address.Addr{a}})
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.core.Stop)
-	w.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: w.listed})
+	w.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: w.nodeList})
 	merge, err := gather.ParseRules([]byte(rules))
 	if err != nil {
 		t.Fatal(err)
@@ -93,8 +93,8 @@
 
 var gatherID int
 
-// ask writes a gathered read on a connection; more are further header lines.
-func (w *gatherHarness) ask(nc net.Conn, method, path, plan string, patience time.Duration, more ...string) (id string) {
+// writeRequest writes a gathered read on a connection; more are further header lines.
+func (w *gatherHarness) writeRequest(nc net.Conn, method, path, plan string, patience time.Duration, more ...string) (id string) {
 	gatherID++
 	id = fmt.Sprint("g", gatherID)
 	fmt.Fprintf(nc, "%s /%s HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: %s\r\nCookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: %d\r\n"+
@@ -103,7 +103,7 @@
 	return id
 }
 
-type gathered struct {
+type gatherResponse struct {
 	code   int
 	head   http.Header
 	rows   []string
@@ -111,8 +111,8 @@
 	err    error        // of the body: it was cut
 }
 
-// lacks says that shards are named as missing; on a loaded machine others may be late as well.
-func (g *gathered) lacks(shards ...int64) bool {
+// isMissing says that shards are named as missing; on a loaded machine others may be late as well.
+func (g *gatherResponse) isMissing(shards ...int64) bool {
 	for _, s := range shards {
 		if !slices.ContainsFunc(g.result.Get("missing").Array(), func(m gjson.Result) bool { return m.Int() == s }) {
 			return false
@@ -121,14 +121,14 @@
 	return true
 }
 
-func take(t *testing.T, br *bufio.Reader) (g gathered) {
+func readGatherResponse(t *testing.T, br *bufio.Reader) (g gatherResponse) {
 	t.Helper()
 	r, err := http.ReadResponse(br, nil) //nolint:bodyclose // the connection is the caller's to close
 	if err != nil {
 		t.Fatal(err)
 	}
 	text, err := io.ReadAll(r.Body)
-	g = gathered{code: r.StatusCode, head: r.Header, err: err}
+	g = gatherResponse{code: r.StatusCode, head: r.Header, err: err}
 	if g.code != 200 {
 		g.result = gjson.ParseBytes(text)
 		return g
@@ -147,46 +147,46 @@
 	return nc
 }
 
-func (w *gatherHarness) read(path, plan string, patience time.Duration, more ...string) gathered {
+func (w *gatherHarness) read(path, plan string, patience time.Duration, more ...string) gatherResponse {
 	w.t.Helper()
 	nc := w.dial()
 	defer nc.Close()
-	w.ask(nc, "GET", path, plan, patience, more...)
-	return take(w.t, bufio.NewReader(nc))
+	w.writeRequest(nc, "GET", path, plan, patience, more...)
+	return readGatherResponse(w.t, bufio.NewReader(nc))
 }
 
-func (w *gatherHarness) flat(shards ...int) (rows []string) {
-	for _, r := range w.rows.Flat(shards, storage.Flat{Keep: "all"}) {
+func (w *gatherHarness) flatRows(shards ...int) (rows []string) {
+	for _, r := range w.rows.Flat(shards, fakenode.Flat{Keep: "all"}) {
 		rows = append(rows, string(r))
 	}
 	return rows
 }
 
-// quiet waits until nothing of any read is left.
-func (w *gatherHarness) quiet() {
+// waitForNoReads waits until nothing of any read is left.
+func (w *gatherHarness) waitForNoReads() {
 	w.t.Helper()
 	waitFor(w.t, func() bool { x := w.core.TableSizes(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
 }
 
 const (
-	wholeRules = `{"order":[{"key":"k","type":"integer"}]}`
-	anyRules   = `{"order":[{"key":"k","type":"integer"}],"complete":{"need":"best-effort"}}`
-	all        = "X-Gather: all"
+	completeRules   = `{"order":[{"key":"k","type":"integer"}]}`
+	bestEffortRules = `{"order":[{"key":"k","type":"integer"}],"complete":{"need":"best-effort"}}`
+	gatherAll       = "X-Gather: all"
 )
 
 // Over sockets the rows are the flat merge's, with its result in the trailer, also of long bodies and over several
 // requests of one connection; a part is asked with its shard, units and id.
-func TestGatheredIsTheFlatMerge(t *testing.T) {
-	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
+func TestGatheredReadMatchesFlatMerge(t *testing.T) {
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
 	nc := w.dial()
 	br := bufio.NewReader(nc)
 	for _, c := range []struct {
 		gather string
 		shards []int
 	}{{"all", []int{0, 1, 2, 3}}, {"0, 2-3", []int{0, 2, 3}}, {"1", []int{1}}} {
-		id := w.ask(nc, "GET", "balance-read/x", "basic", time.Minute, "X-Gather: "+c.gather)
-		g := take(t, br)
-		if g.code != 200 || g.err != nil || !slices.Equal(g.rows, w.flat(c.shards...)) || g.result.Raw != `{"whole":true}` {
+		id := w.writeRequest(nc, "GET", "balance-read/x", "basic", time.Minute, "X-Gather: "+c.gather)
+		g := readGatherResponse(t, br)
+		if g.code != 200 || g.err != nil || !slices.Equal(g.rows, w.flatRows(c.shards...)) || g.result.Raw != `{"whole":true}` {
 			t.Fatalf("%s: %d %v, %d rows, %s", c.gather, g.code, g.err, len(g.rows), g.result)
 		}
 		for _, s := range c.shards {
@@ -195,20 +195,20 @@
 			}
 		}
 	}
-	w.quiet()
+	w.waitForNoReads()
 	// Without the section the fields mean nothing: the request is one of its shard.
 	w.srv.SetScatterGather(nil)
 	nc2 := w.dial()
-	w.ask(nc2, "GET", "balance-read/x?shard=-1", "basic", time.Minute, all)
-	if g := take(t, bufio.NewReader(nc2)); g.code != 200 || len(g.rows) != 1 || len(g.head["Trailer"]) > 0 {
+	w.writeRequest(nc2, "GET", "balance-read/x?shard=-1", "basic", time.Minute, gatherAll)
+	if g := readGatherResponse(t, bufio.NewReader(nc2)); g.code != 200 || len(g.rows) != 1 || len(g.head["Trailer"]) > 0 {
 		t.Errorf("off: %+v", g)
 	}
 }
 
-func TestGatheredPages(t *testing.T) {
-	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, storage.Rows{Seed: 4, Count: 200})
+func TestGatheredReadPages(t *testing.T) {
+	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, fakenode.Rows{Seed: 4, Count: 200})
 	var rows []string
-	more := []string{all}
+	more := []string{gatherAll}
 	for pages := 0; pages < 4; pages++ {
 		g := w.read("balance-read", "basic", time.Minute, more...)
 		if rows = append(rows, g.rows...); g.code != 200 || !g.result.Get("whole").Bool() {
@@ -217,20 +217,20 @@
 		if g.result.Get("token").Str == "" {
 			break
 		}
-		more = []string{all, hdrToken + ": " + g.result.Get("token").Str}
+		more = []string{gatherAll, hdrToken + ": " + g.result.Get("token").Str}
 	}
-	if !slices.Equal(rows, w.flat(0, 1, 2, 3)) {
+	if !slices.Equal(rows, w.flatRows(0, 1, 2, 3)) {
 		t.Errorf("%d rows", len(rows))
 	}
-	if g := w.read("balance-read", "basic", time.Minute, all, hdrToken+": "+"AAAA"); g.code != 400 || g.result.Get("code").Str != "gather-token-bad" || g.result.Get("advice").Str == "" {
+	if g := w.read("balance-read", "basic", time.Minute, gatherAll, hdrToken+": "+"AAAA"); g.code != 400 || g.result.Get("code").Str != "gather-token-bad" || g.result.Get("advice").Str == "" {
 		t.Errorf("%+v", g)
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
 // A partial result merges into the same rows as its parts.
-func TestGatheredPartial(t *testing.T) {
-	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 5, Count: 50})
+func TestGatheredPartialResultsMerge(t *testing.T) {
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 5, Count: 50})
 	m, err := gather.New(w.svc.Classes["balance-read"].Merge, []gather.Part{{ID: "a", Of: []string{"0", "3"}}, {ID: "b", Of: []string{"1", "2"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 	var rows []string
 	for part, shards := range map[string]string{"a": "0,3", "b": "1-2"} {
 		nc := w.dial()
-		w.ask(nc, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1")
+		w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1")
 		r, err := http.ReadResponse(bufio.NewReader(nc), nil) //nolint:bodyclose // the connection closes at the end of the test
 		if err != nil {
 			t.Fatal(err)
@@ -248,7 +248,7 @@
 			t.Fatal(err, r.Trailer)
 		}
 		if nc2 := w.dial(); true { // ten rows, and word that there are more
-			w.ask(nc2, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1", hdrRows+": 10")
+			w.writeRequest(nc2, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1", hdrRows+": 10")
 			r, err := http.ReadResponse(bufio.NewReader(nc2), nil) //nolint:bodyclose // the connection closes at the end of the test
 			if err != nil {
 				t.Fatal(err)
@@ -262,33 +262,33 @@
 	for row, ok := m.Next(); ok; row, ok = m.Next() {
 		rows = append(rows, string(row))
 	}
-	if !m.Result().Whole || !slices.Equal(rows, w.flat(0, 1, 2, 3)) {
+	if !m.Result().Whole || !slices.Equal(rows, w.flatRows(0, 1, 2, 3)) {
 		t.Errorf("%d rows, %+v", len(rows), m.Result())
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
 // What cannot be is told before the first row, with code and advice; nothing is asked.
-func TestGatheredBefore(t *testing.T) {
-	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 6, Count: 10})
+func TestGatheredReadErrorsBeforeFirstRow(t *testing.T) {
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 6, Count: 10})
 	for _, c := range []struct {
 		what, method, path, plan string
 		more                     []string
 		code                     int
 		says                     string
 	}{
-		{"write", "PUT", "balance-read", "basic", []string{all, "Content-Length: 0"}, 400, "scatter-not-read"},
-		{"class without rules", "GET", "new-record", "basic", []string{all, "Idempotency-Key: k"}, 400, "scatter-no-rules"},
+		{"write", "PUT", "balance-read", "basic", []string{gatherAll, "Content-Length: 0"}, 400, "scatter-not-read"},
+		{"class without rules", "GET", "new-record", "basic", []string{gatherAll, "Idempotency-Key: k"}, 400, "scatter-no-rules"},
 		{"no shard", "GET", "balance-read", "basic", []string{"X-Gather: 0,x"}, 400, "scatter-shards-bad"},
 		{"range", "GET", "balance-read", "basic", []string{"X-Gather: 3-1"}, 400, "scatter-shards-bad"},
 		{"not there", "GET", "balance-read", "basic", []string{"X-Gather: 8"}, 400, "scatter-shards-bad"},
 		{"twice", "GET", "balance-read", "basic", []string{"X-Gather: 1,1"}, 400, "gather-parts-bad"},
-		{"field twice", "GET", "balance-read", "basic", []string{all, all}, 400, "scatter-not-read"},
-		{"plan", "GET", "balance-read", "other", []string{all}, 404, "gather-incomplete"},
+		{"field twice", "GET", "balance-read", "basic", []string{gatherAll, gatherAll}, 400, "scatter-not-read"},
+		{"plan", "GET", "balance-read", "other", []string{gatherAll}, 404, "gather-incomplete"},
 	} {
 		nc := w.dial()
-		w.ask(nc, c.method, c.path, c.plan, time.Minute, c.more...)
-		g := take(t, bufio.NewReader(nc))
+		w.writeRequest(nc, c.method, c.path, c.plan, time.Minute, c.more...)
+		g := readGatherResponse(t, bufio.NewReader(nc))
 		if g.code != c.code || g.result.Get("code").Str != c.says || g.result.Get("advice").Str == "" {
 			t.Errorf("%s: %+v", c.what, g)
 		}
@@ -299,28 +299,28 @@
 		}
 	}
 	// One never answers: late by its own deadline, and the part is called off.
-	w.nodes[2].SetRows(storage.RowFault{Late: time.Hour})
-	if g := w.read("balance-read", "basic", 500*time.Millisecond, all); g.code != 504 && g.code != 503 || !g.lacks(2) {
+	w.nodes[2].SetRows(fakenode.RowFault{Late: time.Hour})
+	if g := w.read("balance-read", "basic", 500*time.Millisecond, gatherAll); g.code != 504 && g.code != 503 || !g.isMissing(2) {
 		t.Errorf("%+v", g)
 	}
-	w.quiet()
+	w.waitForNoReads()
 	// All nodes full: refused, with a time to come back.
 	for _, n := range w.nodes {
 		n.Drain(true)
 	}
-	if g := w.read("balance-read", "basic", time.Minute, all); g.code != 503 || g.head.Get("Retry-After") == "" || g.result.Get("code").Str != "scatter-refused" ||
+	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 503 || g.head.Get("Retry-After") == "" || g.result.Get("code").Str != "scatter-refused" ||
 		len(g.result.Get("missing").Array()) == 0 {
 		t.Errorf("%+v", g)
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
 // After the first rows: what ends with a result has it, and names the part that was cut beyond what is held of it.
-func TestGatheredAfter(t *testing.T) {
-	w := newGatherHarness(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
-	w.nodes[1].SetRows(storage.RowFault{After: 300, Cut: true})
+func TestGatheredReadCutAfterFirstRows(t *testing.T) {
+	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, Count: 400, Pad: 400})
+	w.nodes[1].SetRows(fakenode.RowFault{After: 300, Cut: true})
 	for i, class := range []string{"balance-read", "once"} { // asked again; not safe to repeat
-		g := w.read(class, "basic", time.Minute, all)
+		g := w.read(class, "basic", time.Minute, gatherAll)
 		if g.code != 200 || g.err != nil || fmt.Sprint(g.result.Get("cut")) != "[1]" || g.result.Get("whole").Bool() || len(g.rows) < 3*400+100 {
 			t.Errorf("%s: %d %v %d rows, %s", class, g.code, g.err, len(g.rows), g.result)
 		}
@@ -328,41 +328,41 @@
 			t.Errorf("%s: %+v", class, n)
 		}
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
-func TestGatheredClientGone(t *testing.T) {
-	for what, f := range map[string]storage.RowFault{"before the first row": {Late: time.Hour}, "in long bodies": {After: 300, Stop: 2 * time.Second}} {
+func TestGatheredReadClientDisconnects(t *testing.T) {
+	for what, f := range map[string]fakenode.RowFault{"before the first row": {Late: time.Hour}, "in long bodies": {After: 300, Stop: 2 * time.Second}} {
 		t.Run(what, func(t *testing.T) {
-			w := newGatherHarness(t, anyRules, storage.Rows{Seed: 7, Count: 400, Pad: 400})
+			w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, Count: 400, Pad: 400})
 			for _, n := range w.nodes {
 				n.SetRows(f)
 			}
-			gone := func(count func(storage.RowCounts) int) (n int) {
+			gone := func(count func(fakenode.RowCounts) int) (n int) {
 				for _, x := range w.nodes {
 					n += count(x.RowCounts(""))
 				}
 				return n
 			}
 			nc := w.dial()
-			w.ask(nc, "GET", "balance-read", "basic", time.Minute, all)
+			w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
 			// AtOnce of them are out.
-			waitFor(t, func() bool { return gone(func(c storage.RowCounts) int { return c.Late + c.Stopped }) >= 3 })
+			waitFor(t, func() bool { return gone(func(c fakenode.RowCounts) int { return c.Late + c.Stopped }) >= 3 })
 			nc.Close()
-			w.quiet()
-			waitFor(t, func() bool { return gone(func(c storage.RowCounts) int { return c.Gone }) >= 3 })
+			w.waitForNoReads()
+			waitFor(t, func() bool { return gone(func(c fakenode.RowCounts) int { return c.Gone }) >= 3 })
 		})
 	}
 }
 
 // A slow client holds the nodes up, and holds no more than its own read; one read more than the gate allows is refused at once.
-func TestGatheredBackPressure(t *testing.T) {
+func TestGatheredReadBackPressure(t *testing.T) {
 	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
-		storage.Rows{Seed: 8, Count: 10000, Pad: 2000})
+		fakenode.Rows{Seed: 8, Count: 10000, Pad: 2000})
 	nc := w.dial()
 	w.svc.PartMost = 64 << 20
 	br := bufio.NewReader(nc)
-	w.ask(nc, "GET", "balance-read", "basic", time.Minute, all)
+	w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
 	if _, err := br.Peek(1); err != nil {
 		t.Fatal(err)
 	}
@@ -382,26 +382,26 @@
 	if g := w.read("balance-read", "basic", time.Minute, "X-Gather: 0"); g.code != 503 || g.head.Get("Retry-After") == "" {
 		t.Errorf("%+v", g)
 	}
-	g := take(t, br)
+	g := readGatherResponse(t, br)
 	if g.err != nil || !g.result.Get("whole").Bool() || len(g.rows) != gatherShards*10000 {
 		t.Errorf("%v, %d rows, %s", g.err, len(g.rows), g.result)
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
 // The volume's limit counts every part; a shard of which the only node drains or is out by hand is not read.
-func TestGatheredKeepsTheRules(t *testing.T) {
-	w := newGatherHarness(t, anyRules, storage.Rows{Seed: 9, Count: 10})
+func TestGatheredReadObeysLimitsAndExclusions(t *testing.T) {
+	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 9, Count: 10})
 	// 2 units a part, 10 a second and 8 at once allowed: the parts of all reads together keep to it, and what is over is named.
 	missing := 0
 	for range 4 {
-		g := w.read("balance-read", "small", 300*time.Millisecond, all)
+		g := w.read("balance-read", "small", 300*time.Millisecond, gatherAll)
 		missing += len(g.result.Get("missing").Array())
 	}
 	if missing == 0 {
 		t.Error("32 units within a second or two, and nothing was missing")
 	}
-	w.quiet()
+	w.waitForNoReads()
 	var at []time.Time
 	for _, n := range w.nodes {
 		for _, a := range n.Attempts() {
@@ -417,30 +417,30 @@
 		}
 	}
 	ran := func(i int) int { return w.nodes[i].Counts().Requests }
-	w.listed[1].State = policy.NodeDraining
-	w.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.listed[1:2]})
+	w.nodeList[1].State = policy.NodeDraining
+	w.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.nodeList[1:2]})
 	if _, err := w.core.Exclude("n2"); err != nil {
 		t.Fatal(err)
 	}
 	was1, was2 := ran(1), ran(2)
-	if g := w.read("balance-read", "basic", time.Minute, all); g.code != 200 || !slices.Equal(g.rows, w.flat(0, 3)) || !g.result.Get("whole").Bool() {
+	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || !slices.Equal(g.rows, w.flatRows(0, 3)) || !g.result.Get("whole").Bool() {
 		t.Errorf("%+v", g)
 	}
-	if g := w.read("balance-read", "basic", 500*time.Millisecond, "X-Gather: 0-3"); !g.lacks(1, 2) {
+	if g := w.read("balance-read", "basic", 500*time.Millisecond, "X-Gather: 0-3"); !g.isMissing(1, 2) {
 		t.Errorf("%+v", g)
 	}
 	if ran(1) != was1 || ran(2) != was2 {
 		t.Error("a node that drains, or is out by hand, was asked")
 	}
-	w.quiet()
+	w.waitForNoReads()
 }
 
 // A server that stops answers a gathered read whole.
-func TestGatheredShutdown(t *testing.T) {
-	w := newGatherHarness(t, wholeRules, storage.Rows{Seed: 10, Count: 300})
-	w.nodes[0].SetRows(storage.RowFault{After: 100, Never: true})
+func TestShutdownAnswersGatheredRead(t *testing.T) {
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 10, Count: 300})
+	w.nodes[0].SetRows(fakenode.RowFault{After: 100, Never: true})
 	nc := w.dial()
-	w.ask(nc, "GET", "balance-read", "basic", time.Minute, all)
+	w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
 	waitFor(t, func() bool { return w.nodes[0].RowCounts("").Never == 1 })
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
@@ -451,8 +451,8 @@
 		t.Fatalf("it went with a read open: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	w.nodes[0].SetRows(storage.RowFault{})
-	if g := take(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flat(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
+	w.nodes[0].SetRows(fakenode.RowFault{})
+	if g := readGatherResponse(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flatRows(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
 		t.Errorf("%+v", g.result)
 	}
 	if err := errors.Join(<-down, <-w.served); err != nil {
--- a/internal/httpfront/head.go
+++ b/internal/httpfront/head.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// fasthttp parses heads leniently: it accepts Content-Length beside Transfer-Encoding, repeated fields and
-// bare line feeds. Where two parsers disagree on where a message ends, a body can smuggle in another
-// message. So heads are checked here too, and an ambiguous message is rejected.
+// fasthttp parses heads leniently: it accepts Content-Length together with Transfer-Encoding, repeated fields and
+// bare line feeds. If two parsers disagree on where a message ends, another message can be smuggled in its body.
+// Therefore heads are also checked here, and ambiguous messages are rejected.
 
-// uniqueRequestFields are the header fields that a request may have once at most.
+// uniqueRequestFields are the header fields that a request may contain at most once.
 var uniqueRequestFields = fieldSet("Host", "X-Request-Id", "Tier", "Cookie", "X-Deadline-Ms", "IO-Info", "Idempotency-Key", "X-Retry")
 
-// fieldSet is a set of field names in lower case, with those that frame a message.
+// fieldSet returns a set of field names in lower case, including those that frame a message.
 func fieldSet(names ...string) map[string]bool {
 	set := map[string]bool{"content-length": true, "transfer-encoding": true}
 	for _, n := range names {
@@ -23,15 +23,15 @@
 	return set
 }
 
-// framing is how a message is framed: by a length, or in chunks.
+// framing says how a message is framed: by its length or in chunks.
 type framing struct{ length, chunked bool }
 
 var errFraming = errors.New("head: both a length and an encoding")
 
-// checkHead checks the header lines of a message, each with its CRLF; an empty last line may follow. The fields in
-// once must not be repeated.
-func checkHead(lines []byte, once map[string]bool) (f framing, err error) {
-	var seen [16]string // an array, as the names are few: no allocation for each message
+// checkHead checks the header lines of a message, each with its CRLF. An empty last line may follow. The fields in
+// unique must not be repeated.
+func checkHead(lines []byte, unique map[string]bool) (f framing, err error) {
+	var seen [16]string // an array, as the names are few and this avoids an allocation per message
 	n := 0
 	for len(lines) > 0 {
 		line, rest, ok := bytes.Cut(lines, []byte("\r\n"))
@@ -48,17 +48,17 @@
 		if !ok || !isFieldName(name) || bytes.ContainsAny(value, "\r\n\x00") {
 			return f, fmt.Errorf("head: %.40q is no field", line)
 		}
-		var low [24]byte
-		if len(name) > len(low) {
+		var lower [24]byte
+		if len(name) > len(lower) {
 			continue
 		}
-		key := low[:copy(low[:], name)]
+		key := lower[:copy(lower[:], name)]
 		for i, b := range key {
 			if 'A' <= b && b <= 'Z' {
 				key[i] = b | 0x20
 			}
 		}
-		if !once[string(key)] {
+		if !unique[string(key)] {
 			continue
 		}
 		for _, s := range seen[:n] {
--- a/internal/httpfront/byhand_test.go
+++ b/internal/httpfront/headcheck_test.go
@@ -13,8 +13,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// doubtful are answers of which two readers may disagree on where they end.
-var doubtful = map[string]string{
+// ambiguousHeads are answers of which two readers may disagree on where they end.
+var ambiguousHeads = map[string]string{
 	"length and encoding":   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
 	"two lengths":           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n",
 	"the same length twice": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n",
@@ -27,13 +27,13 @@
 
 // The reason why heads are checked by hand: each library takes some of what this package does not.
 // The table of docs/design/libraries.md is this test's log (go test -v -run Doubtful).
-func TestDoubtfulHeads(t *testing.T) {
-	byFast, byNet := 0, 0
-	for name, text := range doubtful {
+func TestAmbiguousHeadsAreRejected(t *testing.T) {
+	acceptedByFasthttp, acceptedByNetHTTP := 0, 0
+	for name, text := range ambiguousHeads {
 		c := &conn{reader: bufio.NewReader(strings.NewReader(text))}
 		lines, err := c.readHead()
 		if err == nil {
-			_, err = checkHead(lines, uniqueAnswerFields)
+			_, err = checkHead(lines, uniqueResponseFields)
 		}
 		if err == nil {
 			t.Errorf("%s: taken", name)
@@ -43,40 +43,40 @@
 		r, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err == nil {
 			r.Body.Close()
-			byNet++
+			acceptedByNetHTTP++
 		}
 		if fast {
-			byFast++
+			acceptedByFasthttp++
 		}
 		t.Logf("%-22s taken by fasthttp %v, by net/http %v, here false", name, fast, err == nil)
 	}
-	if byFast == 0 || byNet == 0 {
-		t.Errorf("fasthttp takes %d, net/http %d of them: the check by hand may go", byFast, byNet)
+	if acceptedByFasthttp == 0 || acceptedByNetHTTP == 0 {
+		t.Errorf("fasthttp takes %d, net/http %d of them: the check by hand may go", acceptedByFasthttp, acceptedByNetHTTP)
 	}
 }
 
-// BenchmarkByHand is what each part by hand costs, beside the library's.
-func BenchmarkByHand(b *testing.B) {
+// BenchmarkParsers is what each part by hand costs, beside the library's.
+func BenchmarkParsers(b *testing.B) {
 	text := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: inflight=7,queue=2,util=0.61\r\nOther-Hosts: 12\r\nContent-Length: 2\r\n\r\nok")
 	lines := text[len("HTTP/1.1 200 OK\r\n") : len(text)-4]
 	key, form := []byte("7f3a9c21e0b4d655"), regexp.MustCompile(`^[0-9a-fA-F]{16}$`)
 	rd := bytes.NewReader(nil)
 	br := bufio.NewReader(rd)
-	a, _ := attempt(b, later())
-	made, out, w := a.Request.Payload.(*nodeRequest), []byte(nil), bufio.NewWriter(io.Discard)
+	a, _ := attempt(b, inOneMinute())
+	message, out, w := a.Request.Payload.(*nodeRequest), []byte(nil), bufio.NewWriter(io.Discard)
 	var q fasthttp.Request
-	if err := q.Read(bufio.NewReader(strings.NewReader(good))); err != nil {
+	if err := q.Read(bufio.NewReader(strings.NewReader(validRequest))); err != nil {
 		b.Fatal(err)
 	}
-	again := func() { rd.Reset(text); br.Reset(rd) }
+	reset := func() { rd.Reset(text); br.Reset(rd) }
 	for _, x := range []struct {
 		name string
 		do   func()
 	}{
-		{"head/here", func() { _, _ = checkHead(lines, uniqueAnswerFields) }},
-		{"head/fasthttp", func() { var h fasthttp.ResponseHeader; again(); _ = h.Read(br) }},
-		{"head/net-http", func() { again(); _, _ = http.ReadResponse(br, nil) }}, //nolint:bodyclose // the reader is in memory
-		{"encode/here", func() { out = made.encode(out[:0], time.Second) }},
+		{"head/here", func() { _, _ = checkHead(lines, uniqueResponseFields) }},
+		{"head/fasthttp", func() { var h fasthttp.ResponseHeader; reset(); _ = h.Read(br) }},
+		{"head/net-http", func() { reset(); _, _ = http.ReadResponse(br, nil) }}, //nolint:bodyclose // the reader is in memory
+		{"encode/here", func() { out = message.encode(out[:0], time.Second) }},
 		{"encode/fasthttp", func() { q.Header.Set("X-Deadline-Ms", "1000"); _ = q.Write(w) }},
 		{"key/here", func() { isHex16(key) }},
 		{"key/regexp", func() { form.Match(key) }},
