--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-const good = "PUT /new-record/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nTier: basic\r\n" +
+const validRequest = "PUT /new-record/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nTier: basic\r\n" +
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\n" +
 	"IO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nhello"
 
@@ -86,8 +86,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nVolume-Load: 85\r\nOther-Hosts: 4\r\n\r\nabc"
 
-// at is where a listener is to be found.
-func at(ln net.Listener) []address.Addr {
+// addressesOf is where a listener is to be found.
+func addressesOf(ln net.Listener) []address.Addr {
 	a, err := address.Parse(ln.Addr().String())
 	if err != nil {
 		panic(err)
@@ -102,7 +102,7 @@
 // attempt makes an attempt and the channel of its results.
 func attempt(t testing.TB, until time.Time) (*core.Attempt, chan core.Result) {
 	t.Helper()
-	return attemptOf(t, good, until)
+	return attemptOf(t, validRequest, until)
 }
 
 func attemptOf(t testing.TB, text string, until time.Time) (*core.Attempt, chan core.Result) {
@@ -119,13 +119,13 @@
 	return core.NewAttempt(r, until, func(x core.Result) { got <- x }), got
 }
 
-var testBounds = bounds{keyed: map[string]bool{"new-record": true}, units: 1e6}
+var testBounds = bounds{idempotentByKey: map[string]bool{"new-record": true}, maxUnits: 1e6}
 
-func later() time.Time { return time.Now().Add(time.Minute) }
+func inOneMinute() time.Time { return time.Now().Add(time.Minute) }
 
 func sendOne(t *testing.T, p core.NodeClient) core.Result {
 	t.Helper()
-	a, got := attempt(t, later())
+	a, got := attempt(t, inOneMinute())
 	if !p.Send(a) {
 		t.Fatal("not sent")
 	}
@@ -149,7 +149,7 @@
 		"garbage":          {func(nc net.Conn) bool { _, _ = io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
 	} {
 		n := newFakeNode(t, x.do)
-		p := dialer().Connect("n", at(n.ln))
+		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want || n.requests.Load() != 1 {
 			t.Errorf("%s: status %d, want %d; %d requests came", name, r.Status, x.want, n.requests.Load())
@@ -163,12 +163,12 @@
 
 // A chunked answer that its node cuts off, anywhere, is a failed attempt that may have run: what
 // came of it is never served as if it were whole.
-func TestCutChunkedAnswer(t *testing.T) {
+func TestTruncatedChunkedResponse(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	whole := head + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n"
 	for cut := len(head); cut <= len(whole); cut++ {
 		n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, whole[:cut]); return false })
-		p := dialer().Connect("n", at(n.ln))
+		p := dialer().Connect("n", addressesOf(n.ln))
 		want := policy.ConnectionReset
 		if cut == len(whole) {
 			want = policy.OK
@@ -184,7 +184,7 @@
 // What cannot be an answer made whole for its request is a failed attempt that may have run,
 // on a connection that stays open as well; a good answer is kept whatever comes with it, and
 // its connection is used again only if nothing did.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	for _, x := range []struct {
 		text  string
@@ -195,7 +195,7 @@
 		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(okResponse), policy.OK, true},
 		{"HTTP/1.1 100 Continue\r\n\r\n" + "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + okResponse, policy.OK, true},
 		{okResponse + okResponse, policy.OK, false}, {okResponse + "\x00noise", policy.OK, false},
-		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1) + okResponse, policy.ConnectionReset, false},
+		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1) + okResponse, policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 9"), policy.ConnectionReset, false}, // the rest never comes
 		{okResponse[:60], policy.ConnectionReset, false},                                // nor does the end of the head
 		{edit("Content-Length: 3\r\n", ""), policy.ConnectionReset, false},
@@ -212,7 +212,7 @@
 		{edit("200 OK", "101 Switching Protocols"), policy.ConnectionReset, false},
 	} {
 		n := newFakeNode(t, respondWith(x.text))
-		p := dialer().Connect("n", at(n.ln))
+		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
 			t.Errorf("%.90q: %+v, want %d", x.text, r, x.want)
@@ -228,7 +228,7 @@
 // A long answer is relayed, not held: its first piece comes with the outcome, the rest as it is
 // read, and its connection is used again once its last byte has passed. One that the node cuts
 // off ends with an error, so that the client can tell that it is not whole.
-func TestLongBodies(t *testing.T) {
+func TestLongResponsesAreRelayed(t *testing.T) {
 	const size = 300 << 10
 	body := strings.Repeat("0123456789abcdef", size/16)
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body)
@@ -246,7 +246,7 @@
 		{strings.Replace(text, "200", "500", 1), policy.Errored, false, false},
 	} {
 		n := newFakeNode(t, respondWith(x.text))
-		p := dialer().Connect("n", at(n.ln))
+		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want {
 			t.Fatalf("%.60q: status %d", x.text, r.Status)
@@ -260,7 +260,7 @@
 			if whole := err == nil && string(got) == body; whole != x.whole {
 				t.Errorf("%.60q: %d bytes, %v", x.text, len(got), err)
 			}
-			if err != nil && !errors.Is(err, errBodyCut) {
+			if err != nil && !errors.Is(err, errBodyTruncated) {
 				t.Errorf("%.60q: a cut body ends as %v", x.text, err)
 			}
 		}
@@ -275,14 +275,14 @@
 	// Through the front: one relay after the other on one node connection, and the bytes whole.
 	f := newFront(t, respondWith(text))
 	for range 4 {
-		if r := f.send(t, good); r.StatusCode() != 200 || string(r.Body()) != body {
+		if r := f.send(t, validRequest); r.StatusCode() != 200 || string(r.Body()) != body {
 			t.Errorf("%d, %d bytes", r.StatusCode(), len(r.Body()))
 		}
 	}
 }
 
 // A load report or a figure on use that cannot be read is absent, never zero or fresh.
-func TestSpoiltFigures(t *testing.T) {
+func TestMalformedLoadReports(t *testing.T) {
 	for _, x := range []struct {
 		used, load string
 		want       float64
@@ -292,7 +292,7 @@
 		var m fasthttp.Response
 		m.Header.Set("Volume-Load", x.used)
 		m.Header.Set("X-Load", x.load)
-		if r := decodeReply(&m, &nodeResponse{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
+		if r := decodeResponse(&m, &nodeResponse{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
 			t.Errorf("%+v: %+v", x, r)
 		}
 	}
@@ -303,7 +303,7 @@
 func TestStaleConnection(t *testing.T) {
 	closeAfter := make(chan bool, 3)
 	n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse); return <-closeAfter })
-	p := dialer().Connect("n", at(n.ln))
+	p := dialer().Connect("n", addressesOf(n.ln))
 	closeAfter <- true
 	sendOne(t, p)
 	closeAfter <- false
@@ -324,15 +324,15 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if r := sendOne(t, dialer().Connect("n", at(ln))); r.Status != policy.ConnectFailed {
+	if r := sendOne(t, dialer().Connect("n", addressesOf(ln))); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
 }
 
 // What waits in a mailbox when its node drains is not written.
-func TestDrainBindsMailbox(t *testing.T) {
+func TestDrainAppliesToMailbox(t *testing.T) {
 	n := newFakeNode(t, respondWith(okResponse))
-	p := dialer().Connect("n", at(n.ln))
+	p := dialer().Connect("n", addressesOf(n.ln))
 	p.Drain(true)
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed || n.requests.Load() != 0 {
 		t.Errorf("status %d, %d came", r.Status, n.requests.Load())
@@ -344,7 +344,7 @@
 }
 
 // A cancelled or timed-out attempt closes its connection: nothing may come over it later.
-func TestGivenUpConnectionsClose(t *testing.T) {
+func TestCancelledAttemptClosesConnection(t *testing.T) {
 	came, closed := make(chan bool, 4), make(chan bool, 4)
 	n := newFakeNode(t, func(nc net.Conn) bool {
 		came <- true
@@ -353,8 +353,8 @@
 		closed <- err != nil
 		return false
 	})
-	p := dialer().Connect("n", at(n.ln))
-	a, got := attempt(t, later())
+	p := dialer().Connect("n", addressesOf(n.ln))
+	a, got := attempt(t, inOneMinute())
 	p.Send(a)
 	<-came
 	p.Cancel(a)
@@ -379,8 +379,8 @@
 	n := newFakeNode(t, func(nc net.Conn) bool { <-hold; _, _ = io.WriteString(nc, okResponse); return true })
 	d := dialer()
 	d.MaxConns = 1
-	p := d.Connect("n", at(n.ln))
-	a, got := attempt(t, later())
+	p := d.Connect("n", addressesOf(n.ln))
+	a, got := attempt(t, inOneMinute())
 	p.Send(a)
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
@@ -391,8 +391,8 @@
 	}
 }
 
-// front is a server, its core and one node.
-type front struct {
+// frontHarness is a server, its core and one node.
+type frontHarness struct {
 	*fakeNode
 	srv     *Server
 	address string
@@ -400,15 +400,15 @@
 	dialer  *Dialer
 }
 
-// testModule are settings with long times: no test may pass because somebody's ran out.
-func testModule() policy.Settings {
+// testSettings are settings with long times: no test may pass because somebody's ran out.
+func testSettings() policy.Settings {
 	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 		Classes: []policy.Class{{Name: "balance-read", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3},
 			{Name: "new-record", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500}},
 		Plans: []policy.Plan{{Name: "basic", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1}}}
 }
 
-func newFront(t *testing.T, do script) *front {
+func newFront(t *testing.T, do script) *frontHarness {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -416,9 +416,9 @@
 	return newFrontOn(t, ln, dialer(), do)
 }
 
-func newFrontOn(t *testing.T, ln net.Listener, d *Dialer, do script) *front {
+func newFrontOn(t *testing.T, ln net.Listener, d *Dialer, do script) *frontHarness {
 	n := newFakeNode(t, do)
-	set := testModule()
+	set := testSettings()
 	var log *logrus.Logger
 	log, _ = logtest.NewNullLogger()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log})
@@ -426,16 +426,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(n.ln)}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
-	f := &front{fakeNode: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
+	f := &frontHarness{fakeNode: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
 	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
 	go func() { f.served <- f.srv.Serve(ln, 50) }()
 	return f
 }
 
 // send writes raw bytes on a new connection and reads one response.
-func (f *front) send(t *testing.T, text string) *fasthttp.Response {
+func (f *frontHarness) send(t *testing.T, text string) *fasthttp.Response {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
@@ -450,9 +450,9 @@
 	return r
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestIsForwardedAndAnswered(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
-	if r := f.send(t, good); r.StatusCode() != 200 || string(r.Body()) != "abc" {
+	if r := f.send(t, validRequest); r.StatusCode() != 200 || string(r.Body()) != "abc" {
 		t.Errorf("%d %q", r.StatusCode(), r.Body())
 	}
 	q := f.last.Load()
@@ -470,9 +470,9 @@
 }
 
 // Bad input never reaches a node and never ends the program.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
-	edit := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	edit := func(old, new string) string { return strings.Replace(validRequest, old, new, 1) }
 	for _, x := range []struct {
 		text string
 		code int
@@ -492,7 +492,7 @@
 		{edit("Content-Length: 5", "Content-Length: 40000000") + strings.Repeat("x", 69995), 413},
 		{"nonsense\r\n\r\n", 400},
 		// what could hide another request, or leave it open which of two counts
-		{edit("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n" + good, 400},
+		{edit("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n" + validRequest, 400},
 		{edit("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5"), 400},
 		{edit("Content-Length: 5", "Content-Length: 5\r\ncontent-length: 5"), 400},
 		{edit("Content-Length: 5", "Content-Length: +5"), 400}, {edit("Content-Length: 5", "Content-Length: -5"), 400},
@@ -529,33 +529,33 @@
 			_, _ = io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
 		if i%40 == 1 {
-			_, _ = io.WriteString(nc, good[:60])
+			_, _ = io.WriteString(nc, validRequest[:60])
 		}
 	}
-	if r := f.send(t, good); r.StatusCode() != 200 {
+	if r := f.send(t, validRequest); r.StatusCode() != 200 {
 		t.Errorf("%d", r.StatusCode())
 	}
 }
 
 // A refusal is a 503 that says when to come back; a failure is neither 429 nor 503.
-func TestRefuseAndFail(t *testing.T) {
+func TestRejectionAndFailureStatus(t *testing.T) {
 	f := newFront(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	r := f.send(t, good)
+	r := f.send(t, validRequest)
 	if wait := string(r.Header.Peek("Retry-After")); r.StatusCode() != 503 || !strings.Contains(wait, ".") {
 		t.Errorf("%d, Retry-After %q", r.StatusCode(), wait)
 	}
 	f = newFront(t, func(net.Conn) bool { return false })
-	if r := f.send(t, good); r.StatusCode() != 502 {
+	if r := f.send(t, validRequest); r.StatusCode() != 502 {
 		t.Errorf("a write in doubt: %d", r.StatusCode())
 	}
 	f = newFront(t, respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"))
-	if r := f.send(t, good); r.StatusCode() != 400 {
+	if r := f.send(t, validRequest); r.StatusCode() != 400 {
 		t.Errorf("turned away as bad: %d", r.StatusCode())
 	}
 }
 
 // The client's going is seen while the node still works, and the attempt is called off.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	came, closed := make(chan bool, 1), make(chan bool, 1)
 	f := newFront(t, func(nc net.Conn) bool {
 		came <- true
@@ -567,7 +567,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, validRequest)
 	<-came
 	nc.Close()
 	if !<-closed {
@@ -576,9 +576,9 @@
 	if nc, err = net.Dial("tcp", f.address); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, validRequest)
 	<-came
-	_, _ = io.WriteString(nc, strings.Repeat(good, 100)) // more than is read ahead: bytes wait when it goes
+	_, _ = io.WriteString(nc, strings.Repeat(validRequest, 100)) // more than is read ahead: bytes wait when it goes
 	nc.Close()
 	if !<-closed {
 		t.Error("the attempt of one who sent much and went goes on")
@@ -586,7 +586,7 @@
 }
 
 // A request sent ahead of an answer is served after it, the watch having taken none of it.
-func TestSentAhead(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
@@ -594,7 +594,7 @@
 	}
 	defer nc.Close()
 	for i := range 20 {
-		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
 	br := bufio.NewReader(nc)
 	for i := range 20 {
@@ -607,7 +607,7 @@
 
 // Shutdown answers what was taken before it returns, and sends on nothing that it reads later: what a
 // client sent ahead is not read any more, and the close over it takes no answer with it.
-func TestShutdownAnswers(t *testing.T) {
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	came, hold := make(chan bool, 1), make(chan bool)
 	f := newFront(t, func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) })
 	nc, err := net.Dial("tcp", f.address)
@@ -615,10 +615,10 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	_, _ = io.WriteString(nc, good)
+	_, _ = io.WriteString(nc, validRequest)
 	<-came
 	for i := range 100 { // more than is read ahead: bytes are unread at the close
-		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
 	down := make(chan error, 1)
 	go func() { down <- f.srv.Shutdown(context.Background()) }()
@@ -639,9 +639,9 @@
 
 // While the program stops, what would take the last free connection is refused, so that
 // clients, who open no more, find one for what comes next; what is out stays out.
-func TestKeepFree(t *testing.T) {
+func TestReserveIdleConns(t *testing.T) {
 	came, hold := make(chan bool, 2), make(chan bool)
-	var f *front
+	var f *frontHarness
 	f = newFront(t, func(nc net.Conn) bool {
 		if f.requests.Load() <= 2 {
 			came <- true
@@ -662,7 +662,9 @@
 		runtime.Gosched()
 	}
 	f.srv.ReserveIdleConns()
-	ask := func(i int) { _, _ = io.WriteString(conns[i], strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1)) }
+	ask := func(i int) {
+		_, _ = io.WriteString(conns[i], strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
+	}
 	ask(0)
 	<-came
 	ask(1)
@@ -692,13 +694,13 @@
 	whole := &nodeRequest{}
 	rapid.Check(t, func(rt *rapid.T) {
 		var m fasthttp.Request
-		cut := rapid.IntRange(0, len(good)-1).Draw(rt, "cut")
-		if err := m.Read(bufio.NewReader(strings.NewReader(good[:cut]))); err == nil {
+		cut := rapid.IntRange(0, len(validRequest)-1).Draw(rt, "cut")
+		if err := m.Read(bufio.NewReader(strings.NewReader(validRequest[:cut]))); err == nil {
 			rt.Fatalf("cut at %d passed", cut)
 		}
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(rt, "noise")
-		at := rapid.IntRange(0, len(good)).Draw(rt, "at")
-		text := append(append([]byte(good[:at]), noise...), good[min(len(good), at+len(noise)):]...)
+		at := rapid.IntRange(0, len(validRequest)).Draw(rt, "at")
+		text := append(append([]byte(validRequest[:at]), noise...), validRequest[min(len(validRequest), at+len(noise)):]...)
 		m.Reset()
 		if m.Read(bufio.NewReader(bytes.NewReader(text))) == nil {
 			if r, err := decode(&m, &testBounds); err == nil {
@@ -717,7 +719,7 @@
 		if l := decodeLoad(string(noise)); l != nil && (l.Util < -1 || l.Queue < -1 || l.Inflight < -1) {
 			rt.Fatalf("load %+v", l)
 		}
-		if v, ok := parseFigure(noise); !(v >= 0 && v <= 1e12) || !ok && v != 0 {
+		if v, ok := parseNonNegative(noise); !(v >= 0 && v <= 1e12) || !ok && v != 0 {
 			rt.Fatalf("figure %v", v)
 		}
 	})
@@ -727,7 +729,7 @@
 }
 
 // A recorded access log and a HAR file as load: each of their requests is served.
-func TestReplayedFiles(t *testing.T) {
+func TestReplayedRequestsAreServed(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	for name, want := range map[string]int{"access.log": 4, "small.har": 2} {
 		in, err := os.Open("../replay/testdata/" + name)
@@ -754,14 +756,14 @@
 
 // An attempt waits for a connection in use where a new one is dear: first come, first served, on
 // the one connection. Called off, or with the node draining, it was never written.
-func TestWaitsForAConnection(t *testing.T) {
+func TestAttemptWaitsForBusyConnection(t *testing.T) {
 	open := make(chan bool)
 	n := newFakeNode(t, func(nc net.Conn) bool { <-open; _, err := io.WriteString(nc, okResponse); return err == nil })
 	d := dialer()
 	d.FreeConnWait = time.Hour
-	p := d.Connect("n", at(n.ln))
+	p := d.Connect("n", addressesOf(n.ln))
 	start := func() (*core.Attempt, chan core.Result) {
-		a, got := attempt(t, later())
+		a, got := attempt(t, inOneMinute())
 		p.Send(a)
 		return a, got
 	}
@@ -785,7 +787,7 @@
 	if n.requests.Load() != 3 || n.conns.Load() != 2 {
 		t.Errorf("%d requests on %d connections, want 3 on 2", n.requests.Load(), n.conns.Load())
 	}
-	p = d.Connect("m", at(n.ln)) // with no connection yet
+	p = d.Connect("m", addressesOf(n.ln)) // with no connection yet
 	_, out := start()
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	_, drained := start()
@@ -801,22 +803,22 @@
 
 // Past its wait an attempt has a connection of its own, and so has one whose connection to wait
 // for broke.
-func TestWaitEnds(t *testing.T) {
+func TestConnectionWaitEnds(t *testing.T) {
 	block := make(chan bool)
 	n := newFakeNode(t, func(net.Conn) bool { return <-block })
 	d := dialer()
 	d.FreeConnWait = time.Millisecond
-	p := d.Connect("n", at(n.ln))
+	p := d.Connect("n", addressesOf(n.ln))
 	for range 2 {
-		a, _ := attempt(t, later())
+		a, _ := attempt(t, inOneMinute())
 		p.Send(a)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 2 })
 	d.FreeConnWait = time.Hour
-	q := d.Connect("m", at(n.ln))
-	a, cut := attempt(t, later())
+	q := d.Connect("m", addressesOf(n.ln))
+	a, cut := attempt(t, inOneMinute())
 	q.Send(a)
-	b, _ := attempt(t, later())
+	b, _ := attempt(t, inOneMinute())
 	q.Send(b)
 	waitFor(t, func() bool { return n.requests.Load() == 3 })
 	q.Cancel(a) // its connection is closed and never used again
--- a/internal/httpfront/idle.go
+++ b/internal/httpfront/idle.go
@@ -6,9 +6,9 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-// idleSet orders the idle connections of all nodes by the time they became idle. At the bound on descriptors the
-// longest idle one is evicted for a new connection to another node: a scheduler with hundreds of nodes may
-// have fewer descriptors than nodes, and some nodes would get no connection otherwise.
+// idleSet orders the idle connections of all nodes by the time they became idle. At the connection limit the longest idle
+// connection is evicted for a new one to another node. A scheduler with hundreds of nodes may have fewer descriptors than
+// nodes, and without eviction some nodes would get no connection.
 type idleSet struct {
 	mu   sync.Mutex
 	list list.List // of *conn, the longest idle first
@@ -22,7 +22,7 @@
 	s.mu.Unlock()
 }
 
-// remove removes a connection, to be used or closed by its node; false: it was evicted before.
+// remove removes a connection that its node will use or close. It returns false if the connection was already evicted.
 func (s *idleSet) remove(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,8 +35,8 @@
 	return true
 }
 
-// evict closes the longest idle connection and tells its node; false: none is idle. The caller takes over the
-// evicted connection's place in the count of open ones.
+// evict closes the longest idle connection and notifies its node. It returns false if no connection is idle. The count of
+// open connections does not change: the caller takes over the share of the evicted one.
 func (s *idleSet) evict() bool {
 	s.mu.Lock()
 	sync.Writes(&s.list)
@@ -48,17 +48,17 @@
 	c := s.list.Remove(first).(*conn)
 	c.idleElement = nil
 	s.mu.Unlock()
-	c.socket.Close() // its goroutine waits for a job, and ends when its node closes the channel
+	c.socket.Close() // its goroutine waits for a job and ends when the node closes the channel
 	c.node.mailbox.PutUnbounded(nodeMessage{evicted: c})
 	return true
 }
 
-// reservePlace takes a place in the count of open connections, that of an evicted one where no other is free.
-func (d *Dialer) reservePlace() bool { return d.reserveFreePlace() || d.idle.evict() }
+// reserveConn counts one more open connection. At the limit it evicts an idle one and takes over its count.
+func (d *Dialer) reserveConn() bool { return d.reserveUnusedConn() || d.idle.evict() }
 
-// reserveFreePlace takes a free place; false: there is none. A caller that finds none is not counted even for a moment, as
-// another caller might then be refused a place that is free.
-func (d *Dialer) reserveFreePlace() bool {
+// reserveUnusedConn counts one more open connection; it returns false at the limit. A failing caller must not be counted even
+// for a moment, as that could make a concurrent caller fail although there is capacity.
+func (d *Dialer) reserveUnusedConn() bool {
 	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {
 		if d.open.CompareAndSwap(n, n+1) {
 			return true
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -12,13 +12,13 @@
 
 // More nodes than descriptors: each is served in turn, on the place of the longest idle
 // connection, and never more are open than may be.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	n := newFakeNode(t, respondWith(okResponse))
 	d := dialer()
 	d.MaxConns = 3
 	var peers []core.NodeClient
 	for i := range 9 {
-		peers = append(peers, d.Connect(fmt.Sprint("n", i), at(n.ln)))
+		peers = append(peers, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
 	}
 	for round := range 3 {
 		for i, p := range peers {
@@ -42,12 +42,12 @@
 }
 
 // With all connections in use nothing gives way: the attempt certainly did not run.
-func TestUsedConnectionsDoNotGiveWay(t *testing.T) {
+func TestBusyConnectionsAreNotEvicted(t *testing.T) {
 	n := newFakeNode(t, func(net.Conn) bool { return true }) // takes requests and says nothing
 	d := dialer()
 	d.MaxConns = 1
-	one, other := d.Connect("one", at(n.ln)), d.Connect("other", at(n.ln))
-	a, got := attempt(t, later())
+	one, other := d.Connect("one", addressesOf(n.ln)), d.Connect("other", addressesOf(n.ln))
+	a, got := attempt(t, inOneMinute())
 	if !one.Send(a) {
 		t.Fatal("not sent")
 	}
@@ -64,22 +64,22 @@
 }
 
 // A listed node that is not spoken with takes little: room by need, no timer, no connection.
-func TestListedNodesTakeLittle(t *testing.T) {
+func TestUnusedNodesTakeLittleMemory(t *testing.T) {
 	const nodes = 1024
 	n := newFakeNode(t, respondWith(okResponse))
 	d := dialer()
-	held := func() uint64 {
+	memoryInUse := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc + m.StackInuse
 	}
-	before := held()
+	before := memoryInUse()
 	var peers []core.NodeClient
 	for i := range nodes {
-		peers = append(peers, d.Connect(fmt.Sprint("n", i), at(n.ln)))
+		peers = append(peers, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
 	}
-	if each := int64(held()-before) / nodes; each > 8<<10 {
+	if each := int64(memoryInUse()-before) / nodes; each > 8<<10 {
 		t.Errorf("%d bytes a node", each)
 	}
 	for _, p := range peers {
--- a/internal/httpfront/tenants_test.go
+++ b/internal/httpfront/isolation_test.go
@@ -20,20 +20,20 @@
 	"wheatsaddle/policy"
 )
 
-// tenantsFront is a front with two plans, one of them with a limit that lets nothing through while a test runs, over a node whose answer tells the whole request that it
+// isolationHarness is a front with two plans, one of them with a limit that lets nothing through while a test runs, over a node whose answer tells the whole request that it
 // was sent, and that keeps what it was sent by id.
-type tenantsFront struct {
-	t       *testing.T
-	core    *core.Core
-	address string
-	mu      sync.Mutex
-	came    map[string]int
-	hold    *barrier
+type isolationHarness struct {
+	t        *testing.T
+	core     *core.Core
+	address  string
+	mu       sync.Mutex
+	arrivals map[string]int
+	barrier  *barrier
 }
 
-func newTenantsFront(t *testing.T) *tenantsFront {
+func newIsolationHarness(t *testing.T) *isolationHarness {
 	t.Helper()
-	set := testModule()
+	set := testSettings()
 	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 1e-6, LimitBurst: 6})
 	log, _ := logtest.NewNullLogger()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
@@ -41,15 +41,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	f := &tenantsFront{t: t, core: c, came: map[string]int{}, hold: newBarrier()}
-	t.Cleanup(f.hold.letGo)
+	f := &isolationHarness{t: t, core: c, arrivals: map[string]int{}, barrier: newBarrier()}
+	t.Cleanup(f.barrier.release)
 	node, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { node.Close() })
 	go f.serve(node)
-	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(node)}}})
+	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(node)}}})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	return f
 }
 
-func (f *tenantsFront) serve(ln net.Listener) {
+func (f *isolationHarness) serve(ln net.Listener) {
 	for nc, err := ln.Accept(); err == nil; nc, err = ln.Accept() {
 		go func() {
 			defer nc.Close()
@@ -73,9 +73,9 @@
 					return
 				}
 				f.mu.Lock()
-				f.came[string(q.Header.Peek("X-Request-Id"))]++
+				f.arrivals[string(q.Header.Peek("X-Request-Id"))]++
 				f.mu.Unlock()
-				f.hold.pass()
+				f.barrier.pass()
 				text := requestText(string(q.Header.Method()), string(q.Header.RequestURI()), string(q.Header.Peek("X-Request-Id")),
 					string(q.Header.Peek("Idempotency-Key")), q.Body())
 				if _, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Of: %s\r\n\r\n%s", len(text),
@@ -87,39 +87,39 @@
 	}
 }
 
-// longAnswer is over what is held of an answer: the rest is relayed.
-const longAnswer = 3 * maxBufferedBody
+// longResponseSize is over what is held of an answer: the rest is relayed.
+const longResponseSize = 3 * maxBufferedBody
 
 // requestText returns the node's answer to a request; one to a path that ends so is long.
 func requestText(method, uri, id, key string, body []byte) string {
 	text := fmt.Sprintf("%s %s %s %q %x\n", method, uri, id, key, sha256.Sum256(body))
 	if strings.HasSuffix(uri, "/long") {
-		text = strings.Repeat(text, longAnswer/len(text)+1)
+		text = strings.Repeat(text, longResponseSize/len(text)+1)
 	}
 	return text
 }
 
-// tenantAsk is a client's request.
-type tenantAsk struct {
+// tenantRequest is a client's request.
+type tenantRequest struct {
 	id, path, volume, plan, key string
 	body                        []byte // nil: a read
 	chunked                     bool
 	units                       int
-	patience                    time.Duration // 0: a minute
+	timeout                     time.Duration // 0: a minute
 	code                        int           // 503: not served
 }
 
-func (a *tenantAsk) method() string {
+func (a *tenantRequest) method() string {
 	if a.body == nil {
 		return "GET"
 	}
 	return "PUT"
 }
 
-func (a *tenantAsk) text() []byte {
+func (a *tenantRequest) text() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: %s\r\nCookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: %d\r\n"+
-		"IO-Info: volume=%s,units=%d,shard=0,hosts=1\r\n", a.method(), a.path, a.id, a.plan, cmp.Or(a.patience, time.Minute).Milliseconds(), a.volume, a.units)
+		"IO-Info: volume=%s,units=%d,shard=0,hosts=1\r\n", a.method(), a.path, a.id, a.plan, cmp.Or(a.timeout, time.Minute).Milliseconds(), a.volume, a.units)
 	if a.key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.key)
 	}
@@ -135,7 +135,7 @@
 }
 
 // check reads the answer of a request, which tells of that request alone.
-func (a *tenantAsk) check(t *testing.T, br *bufio.Reader) {
+func (a *tenantRequest) check(t *testing.T, br *bufio.Reader) {
 	t.Helper()
 	r := &fasthttp.Response{}
 	if err := r.Read(br); err != nil {
@@ -156,12 +156,12 @@
 	}
 }
 
-const limitedPatience = 200 * time.Millisecond
+const limitedTimeout = 200 * time.Millisecond
 
-// tenantsMix is requests of two volumes on two plans in turn, with equal keys, of all sizes and ends.
-func tenantsMix(run string) (mix []*tenantAsk) {
+// tenantRequests is requests of two volumes on two plans in turn, with equal keys, of all sizes and ends.
+func tenantRequests(run string) (mix []*tenantRequest) {
 	volumes := [2]string{"00000000000000a" + run, "00000000000000b" + run}
-	add := func(a tenantAsk) {
+	add := func(a tenantRequest) {
 		a.id, a.units = fmt.Sprint(run, "-", len(mix)), max(a.units, 1)
 		if a.code == 0 {
 			a.code = 200
@@ -173,17 +173,17 @@
 		for v, volume := range volumes {
 			key := fmt.Sprint("k", i) // equal under both
 			mine := append([]byte(volume), of...)
-			add(tenantAsk{path: "/new-record/x", volume: volume, plan: "basic", key: key, body: mine, chunked: i%2 == v})
-			add(tenantAsk{path: "/balance-read/long", volume: volume, plan: "basic", key: key + volume})
-			add(tenantAsk{path: "/balance-read/y?z=" + volume, volume: volume, plan: "basic"})
-			add(tenantAsk{path: "/no-such-class", volume: volume, plan: "basic", code: 404})
-			add(tenantAsk{path: "/balance-read", volume: volume, plan: "none", code: 404})
+			add(tenantRequest{path: "/new-record/x", volume: volume, plan: "basic", key: key, body: mine, chunked: i%2 == v})
+			add(tenantRequest{path: "/balance-read/long", volume: volume, plan: "basic", key: key + volume})
+			add(tenantRequest{path: "/balance-read/y?z=" + volume, volume: volume, plan: "basic"})
+			add(tenantRequest{path: "/no-such-class", volume: volume, plan: "basic", code: 404})
+			add(tenantRequest{path: "/balance-read", volume: volume, plan: "none", code: 404})
 		}
 	}
 	// What waits for the one plan's limit in vain holds up no request on the other.
 	for _, volume := range volumes {
-		add(tenantAsk{path: "/balance-read", volume: volume, plan: "capped", patience: limitedPatience, code: 503})
-		add(tenantAsk{path: "/balance-read", volume: volume, plan: "basic"})
+		add(tenantRequest{path: "/balance-read", volume: volume, plan: "capped", timeout: limitedTimeout, code: 503})
+		add(tenantRequest{path: "/balance-read", volume: volume, plan: "basic"})
 	}
 	return mix
 }
@@ -191,12 +191,12 @@
 // Two volumes and two plans on one connection, one after another and sent ahead, and on several connections at once: each answer
 // is its own request's, the node is sent each once and as it was, no limit of one binds the other, and each is counted in its
 // own class.
-func TestTenantsAreApart(t *testing.T) {
-	f := newTenantsFront(t)
+func TestTenantsAreIsolated(t *testing.T) {
+	f := newIsolationHarness(t)
 	var mu sync.Mutex
-	var all []*tenantAsk
+	var all []*tenantRequest
 	run := func(t *testing.T, id string, ahead bool) {
-		mix := tenantsMix(id)
+		mix := tenantRequests(id)
 		mu.Lock()
 		all = append(all, mix...)
 		mu.Unlock()
@@ -238,7 +238,7 @@
 			passed[strings.Split(a.path, "/")[1]]++
 		}
 		f.mu.Lock()
-		if n := f.came[a.id]; n != want {
+		if n := f.arrivals[a.id]; n != want {
 			t.Errorf("%s came to the node %d times, want %d", a.id, n, want)
 		}
 		f.mu.Unlock()
@@ -253,14 +253,14 @@
 
 // A client that takes nothing of its long answer holds up no other, and has it whole when it does; its connection then serves the
 // next request.
-func TestSlowReaderIsApart(t *testing.T) {
-	f := newTenantsFront(t)
+func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
+	f := newIsolationHarness(t)
 	slow, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	long := &tenantAsk{id: "slow", path: "/balance-read/long", volume: "000000000000000a", plan: "basic", units: 1, code: 200}
+	long := &tenantRequest{id: "slow", path: "/balance-read/long", volume: "000000000000000a", plan: "basic", units: 1, code: 200}
 	_, _ = slow.Write(long.text())
 	br := bufio.NewReader(slow)
 	if _, err := br.Peek(1); err != nil { // it has begun
@@ -273,38 +273,38 @@
 	defer quick.Close()
 	qr := bufio.NewReader(quick)
 	for i := range 10 {
-		a := &tenantAsk{id: fmt.Sprint("quick", i), path: "/balance-read/long", volume: "000000000000000b", plan: "basic", units: 1, code: 200}
+		a := &tenantRequest{id: fmt.Sprint("quick", i), path: "/balance-read/long", volume: "000000000000000b", plan: "basic", units: 1, code: 200}
 		_, _ = quick.Write(a.text())
 		a.check(t, qr)
 	}
 	long.check(t, br)
-	again := &tenantAsk{id: "again", path: "/new-record", volume: "000000000000000a", plan: "basic", key: "k", body: []byte("x"), units: 1, code: 200}
+	again := &tenantRequest{id: "again", path: "/new-record", volume: "000000000000000a", plan: "basic", key: "k", body: []byte("x"), units: 1, code: 200}
 	_, _ = slow.Write(again.text())
 	again.check(t, br)
 }
 
 // An answer that comes after its client has gone, short or long, reaches nobody: the next request on any connection has its own,
 // and nothing is held for the one that went.
-func TestAnswerAfterItsClientWent(t *testing.T) {
+func TestResponseAfterClientDisconnect(t *testing.T) {
 	for _, path := range []string{"/balance-read", "/balance-read/long"} {
-		f := newTenantsFront(t)
-		f.hold.shut.Store(true)
+		f := newIsolationHarness(t)
+		f.barrier.closed.Store(true)
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		gone := &tenantAsk{id: "gone", path: path, volume: "000000000000000a", plan: "basic", units: 1}
+		gone := &tenantRequest{id: "gone", path: path, volume: "000000000000000a", plan: "basic", units: 1}
 		_, _ = nc.Write(gone.text())
-		<-f.hold.at
-		release := holdCore(t, f.core) // the cancel comes after the answer
+		<-f.barrier.reached
+		release := blockCore(t, f.core) // the cancel comes after the answer
 		nc.Close()
-		f.hold.letGo()
+		f.barrier.release()
 		other, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer other.Close() //nolint:gocritic // all are closed at the end of the test
-		next := &tenantAsk{id: "next", path: path, volume: "000000000000000b", plan: "basic", units: 1, code: 200}
+		next := &tenantRequest{id: "next", path: path, volume: "000000000000000b", plan: "basic", units: 1, code: 200}
 		_, _ = other.Write(next.text())
 		release()
 		br := bufio.NewReader(other)
@@ -319,13 +319,13 @@
 }
 
 // An answer that its client has not yet taken stays as it is while its connection carries the next one.
-func TestAnswerOutlivesItsExchange(t *testing.T) {
+func TestResponseBodySurvivesNextExchange(t *testing.T) {
 	var said atomic.Int64
 	n := newFakeNode(t, func(nc net.Conn) bool {
 		_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nanswer-%d", said.Add(1))
 		return err == nil
 	})
-	p := dialer().Connect("n", at(n.ln))
+	p := dialer().Connect("n", addressesOf(n.ln))
 	defer p.Close()
 	first, second := sendOne(t, p), sendOne(t, p)
 	if n.conns.Load() != 1 {
@@ -339,9 +339,9 @@
 }
 
 // What is kept of a request stays as it is while the server reads the next one into the same message.
-func TestRequestOutlivesItsMessage(t *testing.T) {
+func TestRequestSurvivesMessageReuse(t *testing.T) {
 	next := strings.NewReplacer("9b1f03aa5c7e2d41", "0000000000000002", "basic", "other", "7f3a9c21e0b4d655", "0000000000000003",
-		"new-record", "old-record", "k1", "k2", "00000003b4d60021", "0000000000000004", "hello", "HELLO").Replace(good)
+		"new-record", "old-record", "k1", "k2", "00000003b4d60021", "0000000000000004", "hello", "HELLO").Replace(validRequest)
 	var m fasthttp.Request
 	read := func(text string) *core.Request {
 		m.Reset()
@@ -357,7 +357,7 @@
 	sent := func(r *core.Request) string {
 		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*nodeRequest).encode(nil, time.Second))
 	}
-	first := read(good)
+	first := read(validRequest)
 	before := sent(first)
 	second := read(next)
 	if after := sent(first); after != before {
--- a/internal/httpfront/refused_test.go
+++ b/internal/httpfront/kernelcopy_test.go
@@ -21,7 +21,7 @@
 
 // Where every copy past the process is refused, on clients' connections and on nodes': bodies and answers
 // of all framings and sizes, held, streamed and relayed, pass byte for byte, and no copy was tried.
-func TestRefusedCopies(t *testing.T) {
+func TestRejectedKernelCopies(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	for _, size := range []int{0, 1, 3000, maxBufferedBody, maxBufferedBody + 1, len(text)} {
 		for _, chunked := range []bool{false, true} {
 			var b bytes.Buffer
-			if _, framed := put(0, text[:size], chunked, false); chunked {
+			if _, framed := putRequest(0, text[:size], chunked, false); chunked {
 				b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 				b.Write(framed)
 			} else {
@@ -56,7 +56,7 @@
 			}
 			answer.Store(&b)
 			id++
-			head, body := put(id, text[:size], chunked, false)
+			head, body := putRequest(id, text[:size], chunked, false)
 			_, _ = io.WriteString(nc, head)
 			_, _ = nc.Write(body)
 			var r fasthttp.Response
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -14,37 +14,37 @@
 	"wheatsaddle/policy"
 )
 
-const nodeMailboxSize = 512 // messages; when it is full sends by the core are rejected
+const nodeMailboxSize = 512 // messages; a full mailbox rejects sends by the core
 
-// nodeMessage is one message to a node's actor: the fields of one kind are set.
+// nodeMessage is one message to a node's actor; only the fields of one kind are set.
 type nodeMessage struct {
 	send, cancel   *core.Attempt
-	returned       *conn         // its job is over; it is free, or closed if broken
-	resend         *core.Attempt // of returned, which was found unusable before a byte of the attempt was written
+	returned       *conn         // its job has ended; it is free, or closed if broken is set
+	resend         *core.Attempt // attempt to send again, as returned was unusable before a byte of it was written
 	broken         bool
-	opened         *conn // its dial has ended; it failed if broken
-	evicted        *conn // closed, as another node took its descriptor
+	opened         *conn // its dial has ended, and failed if broken is set
+	evicted        *conn // closed to free its descriptor for another node
 	probe          func(core.Result, time.Duration)
-	preconnect     func(policy.Status) // result of a connection that no attempt waits for
+	preconnect     func(policy.Status) // callback for the result of a preconnect
 	close          bool
 	addressMessage *addressMessage
 }
 
-// node is the actor of one storage node. It owns the connections to the node and the attempts that wait for one; fields
-// other than mailbox and draining are the actor's alone.
+// node is the actor of one storage node. It owns the connections to the node and the attempts that wait for a connection.
+// Only the actor accesses the fields other than mailbox and draining.
 type node struct {
 	dialer      *Dialer
 	name        string
-	address     address.Addr // the only one; zero where addressPool is set
+	address     address.Addr // the only address; zero if addressPool is set
 	host        string
-	addressPool *addressPool // set from the first second address on
+	addressPool *addressPool // set once the node has had more than one address
 	mailbox     *mailbox.Queue[nodeMessage]
 	draining    atomic.Bool
 	idle        []*conn // in the order in which they became idle
 	busy        map[*core.Attempt]*conn
 	waiting     *connqueue.Queue[*core.Attempt] // attempts that wait for a connection
-	scarcity    connqueue.IdleLimiter           // whether the node refuses connections for lack of capacity
-	started     time.Time                       // origin of the times given to waiting and scarcity
+	idleLimiter connqueue.IdleLimiter           // bounds idle connections while the node lacks capacity for connections
+	started     time.Time                       // origin of the times passed to waiting and idleLimiter
 	connCount   int
 	closing     bool
 }
@@ -52,7 +52,7 @@
 // Send implements core.NodeClient.
 func (n *node) Send(a *core.Attempt) bool { return n.mailbox.Put(nodeMessage{send: a}) }
 
-// Cancel implements core.NodeClient. It may exceed the mailbox's size, as there is at most one for each send.
+// Cancel implements core.NodeClient. It may exceed the size of the mailbox, as there is at most one cancel for each send.
 func (n *node) Cancel(a *core.Attempt) { n.mailbox.PutUnbounded(nodeMessage{cancel: a}) }
 
 // CheckHealth implements core.NodeClient.
@@ -75,18 +75,18 @@
 // Close implements core.NodeClient.
 func (n *node) Close() { n.mailbox.PutUnbounded(nodeMessage{close: true}) }
 
-// run is the actor's loop: it ends once the node is closed, its connections are gone and its mailbox is empty.
+// run is the actor's loop. It returns once the node is closed, its connections are closed and its mailbox is empty.
 func (n *node) run() {
-	var wake <-chan time.Time // timer of the addressPool
+	var selectorTimer <-chan time.Time // timer of the address selector
 	var batch []nodeMessage
-	due := time.NewTimer(time.Hour)
-	defer due.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for !n.closing || n.connCount > 0 || n.mailbox.Len() > 0 {
-		// Most nodes of a long list have nothing to do at a given time: they set no timer.
+		// Most nodes of a long list are inactive at any time and need no timer.
 		if at, ok := n.nextWake(); ok {
-			due.Reset(time.Until(at))
+			timer.Reset(time.Until(at))
 		} else {
-			due.Stop()
+			timer.Stop()
 		}
 		select {
 		case <-n.mailbox.Wake():
@@ -94,18 +94,18 @@
 			for _, m := range batch {
 				n.handle(m)
 				n.serveWaiting()
-				if n.addressPool != nil { // the selector settles before the next message
-					wake = n.addressPool.applyChanges()
+				if n.addressPool != nil { // the selector sees all changes before the next message
+					selectorTimer = n.addressPool.applyChanges()
 				}
 			}
-		case <-due.C:
+		case <-timer.C:
 			n.serveWaiting()
 			n.closeExpiredIdle()
-		case <-wake:
+		case <-selectorTimer:
 			n.addressPool.selector.Step(address.Event{Kind: address.TimerFired})
 		}
 		if n.addressPool != nil {
-			wake = n.addressPool.applyChanges()
+			selectorTimer = n.addressPool.applyChanges()
 		}
 	}
 	if n.addressPool != nil {
@@ -113,14 +113,14 @@
 	}
 }
 
-// nextWake is when the waiting attempts or the idle connections have to be looked at next.
+// nextWake returns when the waiting attempts or the idle connections have to be checked next.
 func (n *node) nextWake() (at time.Time, ok bool) {
 	if len(n.idle) > 0 {
 		limit := n.idleLimit()
-		at, ok = n.idle[0].idleAt.Add(limit+min(limit, idleCheckEvery)/2), true
+		at, ok = n.idle[0].idleAt.Add(limit+min(limit, idleCheckInterval)/2), true
 	}
 	if n.addressPool != nil && n.connCount > 0 {
-		if next := time.Now().Add(idleCheckEvery); !ok || next.Before(at) {
+		if next := time.Now().Add(idleCheckInterval); !ok || next.Before(at) {
 			at, ok = next, true
 		}
 	}
@@ -132,7 +132,7 @@
 	return at, ok
 }
 
-// handle handles one message. Where the node has several addresses, its selector decides on sends, cancels and probes.
+// handle handles one message. If the node has several addresses, its selector decides on sends, cancels and probes.
 func (n *node) handle(m nodeMessage) {
 	switch {
 	case m.evicted != nil:
@@ -167,7 +167,7 @@
 	}
 }
 
-// probe asks the node for its load, by an idle or a new connection.
+// probe requests the node's load over an idle or a new connection.
 func (n *node) probe(f func(core.Result, time.Duration)) {
 	c := n.connForProbe()
 	if c == nil {
@@ -177,7 +177,7 @@
 	c.jobs <- job{probe: f}
 }
 
-// send assigns an attempt an idle connection, or adds it to those that wait.
+// send assigns an idle connection to an attempt, or adds the attempt to the waiting ones.
 func (n *node) send(a *core.Attempt) {
 	if a.Abandoned() {
 		sync.Go(func() { a.Done(core.Result{Status: policy.Abandoned}) })
@@ -187,10 +187,10 @@
 		n.assign(a, c)
 		return
 	}
-	n.waiting.Enqueue(time.Since(n.started), a) // serveWaiting opens a connection where it has to
+	n.waiting.Enqueue(time.Since(n.started), a) // serveWaiting opens a connection if needed
 }
 
-// resend sends an attempt by another connection, as nothing of it was written on c.
+// resend sends an attempt over another connection, as nothing of it was written to c.
 func (n *node) resend(c *conn, a *core.Attempt) {
 	delete(n.busy, a)
 	cancelled := errors.Is(c.ctx.Err(), context.Canceled)
@@ -206,8 +206,8 @@
 	}
 }
 
-// serveWaiting opens connections for the attempts that have waited long enough for one in use, and ends those that
-// have waited too long. Where the node drains or has left, all of them end.
+// serveWaiting opens connections for the attempts that have waited long enough for a busy connection, and fails those that
+// have waited too long. If the node is draining or removed, all of them fail.
 func (n *node) serveWaiting() {
 	for n.draining.Load() || n.closing {
 		a, ok := n.waiting.Pop()
@@ -233,13 +233,13 @@
 	}
 }
 
-// setAddresses replaces the node's addresses. A single address needs no selector; the first time there are more, a
-// pool with a selector is made, and it stays from then on.
+// setAddresses replaces the node's addresses. A single address needs no selector. When there are several for the first time,
+// it creates a pool with a selector, which the node keeps from then on.
 func (n *node) setAddresses(list []address.Addr) {
 	if n.addressPool == nil && len(list) == 1 {
 		if n.address != list[0] {
-			n.address, n.host = list[0], hostOf(list[0], n.name)
-			n.closeAllIdle() // those in use finish, and are not used again
+			n.address, n.host = list[0], hostHeader(list[0], n.name)
+			n.closeAllIdle() // busy connections finish their attempt and are not reused
 		}
 		return
 	}
@@ -249,13 +249,13 @@
 		n.addressPool = newAddressPool(n)
 	}
 	n.addressPool.selector.Step(address.Event{Kind: address.AddressesChanged, Addrs: list})
-	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the selector decides on them too
+	for a, ok := n.waiting.Pop(); ok; a, ok = n.waiting.Pop() { // the selector decides on the waiting attempts too
 		n.addressPool.handle(nodeMessage{send: a})
 	}
 }
 
-// hostOf is the Host field of a message. A socket file has no host; the node's name stands for it.
-func hostOf(a address.Addr, name string) string {
+// hostHeader returns the Host field of a message. For a Unix socket, which has no host, it is the node's name.
+func hostHeader(a address.Addr, name string) string {
 	if a.Kind() == address.Unix {
 		return name
 	}
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -23,48 +23,48 @@
 	"wheatsaddle/policy"
 )
 
-// line is a connection whose node answers at once; fd is that of a socket that stands and is quiet.
-type line struct {
+// instantConn is a connection whose node answers at once; fd is that of a socket that stands and is quiet.
+type instantConn struct {
 	net.Conn
-	fd     uintptr
-	loud   uintptr // a socket on which something waits, shown from the second look on; 0: none
-	looks  int
-	closed bool
-	drains *bool // nothing may be written any more
-	in     bytes.Buffer
+	idleFD     uintptr
+	readableFD uintptr // a socket on which something waits, shown from the second look on; 0: none
+	checks     int
+	closed     bool
+	draining   *bool // nothing may be written any more
+	in         bytes.Buffer
 }
 
-func (l *line) Write(p []byte) (int, error) {
+func (l *instantConn) Write(p []byte) (int, error) {
 	if l.closed {
 		return 0, net.ErrClosed
 	}
-	if *l.drains {
+	if *l.draining {
 		il.Fail("written to a node that drains")
 	}
 	l.in.WriteString(okResponse)
 	return len(p), nil
 }
-func (l *line) Read(p []byte) (int, error)            { return l.in.Read(p) }
-func (l *line) Close() error                          { l.closed = true; return nil }
-func (l *line) SetReadDeadline(time.Time) error       { return nil }
-func (l *line) SyscallConn() (syscall.RawConn, error) { return rawLine{l}, nil }
-func (l *line) Control(f func(fd uintptr)) error {
+func (l *instantConn) Read(p []byte) (int, error)            { return l.in.Read(p) }
+func (l *instantConn) Close() error                          { l.closed = true; return nil }
+func (l *instantConn) SetReadDeadline(time.Time) error       { return nil }
+func (l *instantConn) SyscallConn() (syscall.RawConn, error) { return rawInstantConn{l}, nil }
+func (l *instantConn) Control(f func(fd uintptr)) error {
 	if l.closed {
 		return net.ErrClosed
 	}
-	if l.looks++; l.loud != 0 && l.looks > 1 {
-		f(l.loud)
+	if l.checks++; l.readableFD != 0 && l.checks > 1 {
+		f(l.readableFD)
 		return nil
 	}
-	f(l.fd)
+	f(l.idleFD)
 	return nil
 }
 
-// rawLine has the rest of syscall.RawConn.
-type rawLine struct{ *line }
+// rawInstantConn has the rest of syscall.RawConn.
+type rawInstantConn struct{ *instantConn }
 
-func (l rawLine) Read(func(uintptr) bool) error  { return nil }
-func (l rawLine) Write(func(uintptr) bool) error { return nil }
+func (l rawInstantConn) Read(func(uintptr) bool) error  { return nil }
+func (l rawInstantConn) Write(func(uintptr) bool) error { return nil }
 
 // idleSocket is one end of a pair that stays open.
 func idleSocket(t *testing.T) uintptr {
@@ -89,13 +89,13 @@
 	return uintptr(fds[0])
 }
 
-// actor is a node without its goroutine, with idle connections.
-func actor(d *Dialer, fd uintptr, name string, idle int) *node {
+// newIdleNode is a node without its goroutine, with idle connections.
+func newIdleNode(d *Dialer, fd uintptr, name string, idle int) *node {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](8), busy: map[*core.Attempt]*conn{},
 		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.FreeConnWait, ConnectTimeout: time.Hour}), started: time.Now()}
 	for range idle {
 		c := &conn{node: n, jobs: make(chan job, 1)}
-		c.attach(&line{fd: fd})
+		c.setSocket(&instantConn{idleFD: fd})
 		n.idle, n.connCount = append(n.idle, c), n.connCount+1
 		d.idle.put(c)
 		d.open.Add(1)
@@ -103,8 +103,8 @@
 	return n
 }
 
-// turn is one of the actor's.
-func (n *node) turn() {
+// processMailbox is one of the actor's.
+func (n *node) processMailbox() {
 	for _, m := range n.mailbox.Take(nil) {
 		n.handle(m)
 		n.serveWaiting()
@@ -117,7 +117,7 @@
 	fd := idleSocket(t)
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
-		nodes := []*node{actor(d, fd, "a", 1), actor(d, fd, "b", 1), actor(d, fd, "c", 0), actor(d, fd, "d", 0)}
+		nodes := []*node{newIdleNode(d, fd, "a", 1), newIdleNode(d, fd, "b", 1), newIdleNode(d, fd, "c", 0), newIdleNode(d, fd, "d", 0)}
 		var used []*conn
 		w := il.World{}
 		for i, n := range nodes {
@@ -126,17 +126,17 @@
 					for len(n.idle) > 0 {
 						n.closeIdle(n.idle[0])
 					}
-					n.turn()
+					n.processMailbox()
 				} else if c := n.connForProbe(); c != nil {
 					used = append(used, c)
-					n.turn()
+					n.processMailbox()
 					sync.Close(c.jobs) // its goroutine ends
 				}
 			}})
 		}
 		w.Always = func() error {
 			for _, c := range used {
-				if c.socket != nil && c.socket.(*line).closed {
+				if c.socket != nil && c.socket.(*instantConn).closed {
 					return errors.New("a connection in use was closed for another")
 				}
 			}
@@ -144,7 +144,7 @@
 		}
 		w.Check = func() error {
 			for _, n := range nodes {
-				n.turn()
+				n.processMailbox()
 			}
 			sum := int64(0)
 			for _, n := range nodes {
@@ -168,21 +168,21 @@
 }
 
 // A place that is given back is had: of two that ask, one after it came free, exactly one has it.
-func TestInterleavePlace(t *testing.T) {
+func TestInterleaveReserveConn(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		d := &Dialer{MaxConns: 1}
 		d.open.Store(1)
-		n, had := &node{dialer: d}, 0
-		ask := func() {
-			if d.reservePlace() {
-				had++
+		n, reserved := &node{dialer: d}, 0
+		reserve := func() {
+			if d.reserveConn() {
+				reserved++
 			}
 		}
 		return il.World{
-			Threads: []il.Thread{{Name: "one", Run: ask}, {Name: "other", Run: func() { n.uncountConn(); ask() }}},
+			Threads: []il.Thread{{Name: "one", Run: reserve}, {Name: "other", Run: func() { n.uncountConn(); reserve() }}},
 			Check: func() error {
-				if open := d.open.Load(); had != 1 || open != 1 {
-					return fmt.Errorf("%d of two have the one place, %d counted", had, open)
+				if open := d.open.Load(); reserved != 1 || open != 1 {
+					return fmt.Errorf("%d of two have the one place, %d counted", reserved, open)
 				}
 				return nil
 			},
@@ -194,30 +194,30 @@
 		Want: "0 of two have the one place"})
 }
 
-// meet is an actor with one connection at most, which the core gives attempts; each result goes to all.
-func meet(fd uintptr, req *core.Request, wait time.Duration, tries int) (n *node, drains *bool, list []*core.Attempt, all chan policy.Status) {
+// newSingleConnNode is an actor with one connection at most, which the core gives attempts; each result goes to all.
+func newSingleConnNode(fd uintptr, req *core.Request, wait time.Duration, attemptCount int) (n *node, draining *bool, attempts []*core.Attempt, results chan policy.Status) {
 	d := &Dialer{MaxConns: 1, ConnIdle: time.Hour, FreeConnWait: wait}
-	drains = new(bool)
+	draining = new(bool)
 	d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
-		return &line{fd: fd, drains: drains}, 0, nil
+		return &instantConn{idleFD: fd, draining: draining}, 0, nil
 	}
-	n = actor(d, fd, "a", 0)
-	all = make(chan policy.Status, 2*tries)
-	for range tries {
-		list = append(list, core.NewAttempt(req, later(), func(r core.Result) { sync.Send(all, r.Status) }))
+	n = newIdleNode(d, fd, "a", 0)
+	results = make(chan policy.Status, 2*attemptCount)
+	for range attemptCount {
+		attempts = append(attempts, core.NewAttempt(req, inOneMinute(), func(r core.Result) { sync.Send(results, r.Status) }))
 	}
-	return n, drains, list, all
+	return n, draining, attempts, results
 }
 
-// loop is the actor's, without its timers.
-func (n *node) loop() {
+// runWithoutTimers is the actor's, without its timers.
+func (n *node) runWithoutTimers() {
 	for !n.closing || n.connCount > 0 || n.mailbox.Len() > 0 {
 		sync.Recv(n.mailbox.Wake())
-		n.turn()
+		n.processMailbox()
 	}
 }
 
-func (n *node) ended() error {
+func (n *node) checkNothingLeft() error {
 	if open := n.dialer.open.Load(); n.waiting.Len() != 0 || len(n.busy) != 0 || open != 0 {
 		return fmt.Errorf("%d in the line, %d busy, %d open", n.waiting.Len(), len(n.busy), open)
 	}
@@ -227,28 +227,28 @@
 // The line before a node's one connection (internal/connqueue) is its actor's; what meets is the actor's
 // mailbox, the connection's goroutine, a cancel and a drain. Every attempt ends, nothing is written
 // after the drain, the connection comes back.
-func TestInterleaveLine(t *testing.T) {
+func TestInterleaveWaitingQueue(t *testing.T) {
 	fd := idleSocket(t)
-	a, _ := attempt(t, later())
+	a, _ := attempt(t, inOneMinute())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Request, time.Hour, 2)
+		n, draining, attempts, results := newSingleConnNode(fd, a.Request, time.Hour, 2)
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "actor", Run: n.loop},
+				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
-					n.Send(tries[0])
-					n.Send(tries[1])
-					n.Cancel(tries[1])
-					for range tries {
-						if s, _ := sync.Recv(all); s != policy.OK && s != policy.ConnectFailed && s != policy.Cancelled {
+					n.Send(attempts[0])
+					n.Send(attempts[1])
+					n.Cancel(attempts[1])
+					for range attempts {
+						if s, _ := sync.Recv(results); s != policy.OK && s != policy.ConnectFailed && s != policy.Cancelled {
 							il.Fail("ended with %v", s)
 						}
 					}
 					n.Close()
 				}},
-				{Name: "list", Run: func() { n.Drain(true); *drains = true }},
+				{Name: "list", Run: func() { n.Drain(true); *draining = true }},
 			},
-			Check: n.ended,
+			Check: n.checkNothingLeft,
 		}
 	})
 	mutant.Found(t,
@@ -259,25 +259,25 @@
 
 // The actor hears of a connection that is free before the core hears of the result: the next send
 // finds it, though nobody may wait.
-func TestInterleaveFreeAgain(t *testing.T) {
+func TestInterleaveReuseAfterResult(t *testing.T) {
 	fd := idleSocket(t)
-	a, _ := attempt(t, later())
+	a, _ := attempt(t, inOneMinute())
 	il.Check(t, il.Options{}, func() il.World {
-		n, _, tries, all := meet(fd, a.Request, 0, 2)
+		n, _, attempts, results := newSingleConnNode(fd, a.Request, 0, 2)
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "actor", Run: n.loop},
+				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
-					for i, try := range tries {
+					for i, try := range attempts {
 						n.Send(try)
-						if s, _ := sync.Recv(all); s != policy.OK {
+						if s, _ := sync.Recv(results); s != policy.OK {
 							il.Fail("attempt %d: %v", i, s)
 						}
 					}
 					n.Close()
 				}},
 			},
-			Check: n.ended,
+			Check: n.checkNothingLeft,
 		}
 	})
 	mutant.Found(t, mutant.Mutant{File: "conn.go",
@@ -289,36 +289,36 @@
 // A kept connection is found spoken on right before the write, after the actor had found it quiet: the attempt goes by
 // another, and a cancel at any instant ends it. It ends once, nothing of it was written on the first, and both
 // connections are counted out.
-func TestInterleaveAgain(t *testing.T) {
-	fd, loud := idleSocket(t), readableSocket(t)
-	a, _ := attempt(t, later())
+func TestInterleaveResend(t *testing.T) {
+	fd, readableFD := idleSocket(t), readableSocket(t)
+	a, _ := attempt(t, inOneMinute())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Request, 0, 1)
+		n, draining, attempts, results := newSingleConnNode(fd, a.Request, 0, 1)
 		n.dialer.MaxConns = 2
 		never := true
 		c := &conn{node: n, jobs: make(chan job, 1), used: true}
-		c.attach(&line{fd: fd, loud: loud, drains: &never}) // a write on it fails
+		c.setSocket(&instantConn{idleFD: fd, readableFD: readableFD, draining: &never}) // a write on it fails
 		n.idle, n.connCount = append(n.idle, c), 1
 		n.dialer.idle.put(c)
 		n.dialer.open.Add(1)
-		*drains = false
+		*draining = false
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "actor", Run: func() { sync.Go(c.run); n.loop() }},
+				{Name: "actor", Run: func() { sync.Go(c.run); n.runWithoutTimers() }},
 				{Name: "core", Run: func() {
-					n.Send(tries[0])
-					n.Cancel(tries[0])
-					if s, _ := sync.Recv(all); s != policy.OK && s != policy.Cancelled {
+					n.Send(attempts[0])
+					n.Cancel(attempts[0])
+					if s, _ := sync.Recv(results); s != policy.OK && s != policy.Cancelled {
 						il.Fail("ended with %v", s)
 					}
 					n.Close()
 				}},
 			},
-			Check: n.ended,
+			Check: n.checkNothingLeft,
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "conn.go", Old: "	if c.unusable() {", New: "	if false {", Want: "written to a node that drains"},
+		mutant.Mutant{File: "conn.go", Old: "	if c.isUnusable() {", New: "	if false {", Want: "written to a node that drains"},
 		mutant.Mutant{File: "node.go", Old: "	case cancelled:\n		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })\n",
 			New: "	case cancelled:\n", Want: "deadlock"},
 		mutant.Mutant{File: "node.go", Old: "	c.stop()\n	n.uncountConn()\n	switch {", New: "	c.stop()\n	switch {", Want: "deadlock"},
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	maxNodeConns   = 64  // connections to one node; above any window of the module
-	idleShare      = 0.6 // of the node's own idle limit, so that it is not the node that closes
-	idleCheckEvery = time.Second
+	maxNodeConns        = 64  // connections to one node; above any concurrency window of the core
+	idleTimeoutFraction = 0.6 // of the node's own idle timeout, so that the node does not close first
+	idleCheckInterval   = time.Second
 )
 
-// idleBounds is how many connections are kept idle, and for how long. Both are less where the node lacks capacity.
+// idleBounds returns how many connections may be idle, and for how long. Both are lower while the node lacks capacity.
 func (n *node) idleBounds() (int, time.Duration) {
-	return n.scarcity.IdleBounds(time.Since(n.started), maxNodeConns, time.Duration(idleShare*float64(n.dialer.ConnIdle)))
+	return n.idleLimiter.IdleBounds(time.Since(n.started), maxNodeConns, time.Duration(idleTimeoutFraction*float64(n.dialer.ConnIdle)))
 }
 
-// idleLimit is how long a connection is kept idle.
+// idleLimit returns how long a connection may be idle.
 func (n *node) idleLimit() time.Duration {
 	_, limit := n.idleBounds()
 	return limit
 }
 
-// recordCapacity records, once for each connection, what it showed of the node's capacity for more.
+// recordCapacity records, once for each connection, what it showed about the node's capacity for more connections.
 func (n *node) recordCapacity(c *conn) {
 	hint := c.capacity
 	c.capacity = capacityUnknown
 	switch now := time.Since(n.started); {
 	case hint == capacityNone:
-		n.scarcity.ConnectRejected(now)
-	case hint == capacityDoubtful || hint == capacityFree && c.slowDial:
-		n.scarcity.ConnectLate(now)
+		n.idleLimiter.ConnectRejected(now)
+	case hint == capacityUncertain || hint == capacityFree && c.slowDial:
+		n.idleLimiter.ConnectLate(now)
 	case hint == capacityFree:
-		n.scarcity.ConnectTimely(c.dialStarted)
+		n.idleLimiter.ConnectTimely(c.dialStarted)
 	}
 	n.closeSurplusIdle()
 }
 
-// closeSurplusIdle closes idle connections beyond the number that is kept.
+// closeSurplusIdle closes idle connections above the bound.
 func (n *node) closeSurplusIdle() {
 	for maxIdle, _ := n.idleBounds(); len(n.idle) > maxIdle; {
 		n.closeIdle(n.idle[0])
@@ -53,12 +53,12 @@
 
 // closeExpiredIdle closes the connections that have been idle for longer than idleLimit.
 func (n *node) closeExpiredIdle() {
-	old := time.Now().Add(-n.idleLimit())
-	for len(n.idle) > 0 && n.idle[0].idleAt.Before(old) {
+	cutoff := time.Now().Add(-n.idleLimit())
+	for len(n.idle) > 0 && n.idle[0].idleAt.Before(cutoff) {
 		n.closeIdle(n.idle[0])
 	}
 	if n.addressPool != nil {
-		n.addressPool.closeExpiredIdle(old)
+		n.addressPool.closeExpiredIdle(cutoff)
 	}
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// connEvicted removes an idle connection that another node evicted. Its descriptor counts for that node.
+// connEvicted removes an idle connection that another node has evicted. Its descriptor now counts for that node.
 func (n *node) connEvicted(c *conn) {
 	n.idle = slices.DeleteFunc(n.idle, func(o *conn) bool { return o == c })
 	sync.Close(c.jobs)
@@ -97,7 +97,7 @@
 	n.makeAvailable(c)
 }
 
-// outdatedReturned takes back a connection to an address that the node no longer has: it is not used again.
+// outdatedReturned takes back a connection to an address that the node no longer has. It is not reused.
 func (n *node) outdatedReturned(c *conn, broken bool) {
 	delete(n.busy, c.attempt)
 	if c.stop != nil {
@@ -112,13 +112,13 @@
 // closeIdle closes an idle connection.
 func (n *node) closeIdle(c *conn) {
 	n.idle = slices.DeleteFunc(n.idle, func(o *conn) bool { return o == c })
-	if n.dialer.idle.remove(c) { // otherwise it was evicted, and that message is in the mailbox
+	if n.dialer.idle.remove(c) { // otherwise it was evicted, and the message about that is in the mailbox
 		sync.Close(c.jobs)
 		n.uncountConn()
 	}
 }
 
-// makeAvailable assigns a free connection to the first waiting attempt; where none waits it becomes idle.
+// makeAvailable assigns a free connection to the first waiting attempt; if none waits the connection becomes idle.
 func (n *node) makeAvailable(c *conn) {
 	for {
 		a, ok := n.waiting.Pop()
@@ -145,7 +145,7 @@
 func (n *node) dialEnded(c *conn, failed bool) {
 	now := time.Since(n.started)
 	switch {
-	case c.address != n.address: // the address was replaced meanwhile: another connection is opened
+	case c.address != n.address: // the address was replaced in the meantime: another connection is opened
 		n.waiting.ConnectSucceeded(now, c.dialID)
 		n.uncountConn()
 		if !failed {
@@ -158,11 +158,11 @@
 			sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 		}
 	default:
-		took := n.waiting.ConnectSucceeded(now, c.dialID)
-		n.dialer.dialEstimate.record(took)
-		c.slowDial = took > n.dialer.ConnectTimeout/2
+		duration := n.waiting.ConnectSucceeded(now, c.dialID)
+		n.dialer.dialEstimate.record(duration)
+		c.slowDial = duration > n.dialer.ConnectTimeout/2
 		if n.waiting.Len() == 0 && len(n.idle) > 0 {
-			sync.Close(c.jobs) // it was opened beside a slow one: one idle connection is enough
+			sync.Close(c.jobs) // it was dialled because another dial was slow, and one idle connection is enough
 			n.uncountConn()
 			return
 		}
@@ -170,12 +170,12 @@
 	}
 }
 
-// slowDial is how long a dial may take before another is started beside it.
+// slowDial returns how long a dial may take before a second one is started in parallel.
 func (n *node) slowDial() time.Duration {
 	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.dialEstimate.value(), n.dialer.FreeConnWait)
 }
 
-// takeIdle takes the last used idle connection that is still open; nil: there is none.
+// takeIdle takes the most recently used idle connection that is still open, or returns nil if there is none.
 func (n *node) takeIdle() *conn {
 	for len(n.idle) > 0 {
 		c := n.idle[len(n.idle)-1]
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// openConn starts the dial of another connection; false: the bounds on connections allow none.
+// openConn starts the dial of another connection. It returns false if the connection limits allow none.
 func (n *node) openConn(now time.Duration) bool {
-	c := n.newConn(n.dialer.reservePlace)
+	c := n.newConn(n.dialer.reserveConn)
 	if c == nil {
 		return false
 	}
@@ -201,28 +201,28 @@
 	return true
 }
 
-// newConn makes a connection that is counted and not yet dialled; nil: the bounds on connections allow none. place
-// takes its place among the dialer's.
-func (n *node) newConn(place func() bool) *conn {
-	if n.connCount >= maxNodeConns || !place() {
+// newConn returns a connection that is counted and not yet dialled, or nil if the connection limits allow none. reserve
+// counts it in the dialer's total.
+func (n *node) newConn(reserve func() bool) *conn {
+	if n.connCount >= maxNodeConns || !reserve() {
 		return nil
 	}
 	n.connCount++
 	return &conn{node: n, address: n.address, host: n.host, jobs: make(chan job, 1), dialStarted: time.Since(n.started)}
 }
 
-// connForProbe takes an idle connection or makes a new one; nil: the bounds on connections allow none.
+// connForProbe takes an idle connection or starts a new one. It returns nil if the connection limits allow none.
 func (n *node) connForProbe() *conn {
 	c := n.takeIdle()
 	if c == nil {
-		if c = n.newConn(n.dialer.reservePlace); c != nil {
+		if c = n.newConn(n.dialer.reserveConn); c != nil {
 			sync.Go(c.run)
 		}
 	}
 	return c
 }
 
-// assign gives a connection an attempt to carry.
+// assign assigns an attempt to a connection.
 func (n *node) assign(a *core.Attempt, c *conn) {
 	c.attempt = a
 	n.busy[a] = c
--- a/internal/httpfront/once_test.go
+++ b/internal/httpfront/nonidempotent_test.go
@@ -20,50 +20,50 @@
 	"wheatsaddle/policy"
 )
 
-// ledger is a storage node that counts what it runs by the request's id. Its first connection breaks
+// runCounter is a storage node that counts what it runs by the request's id. Its first connection breaks
 // as told; a repeat would be served.
-type ledger struct {
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (l *ledger) run(id string) int {
+func (l *runCounter) record(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 	return l.runs[id]
 }
 
-// breaking is how a node's first connection breaks.
-type breaking struct {
-	early int    // closed after so many bytes of the request; -1: it is read whole
-	full  bool   // turned away unrun
-	cut   string // what is sent of an answer once it has run, before the close
-	keep  bool   // a first request on the connection is served, and the break meets the next
+// connFault is how a node's first connection breaks.
+type connFault struct {
+	closeAfterBytes int    // closed after so many bytes of the request; -1: it is read whole
+	rejected        bool   // turned away unrun
+	partialResponse string // what is sent of an answer once it has run, before the close
+	onSecondRequest bool   // a first request on the connection is served, and the break meets the next
 }
 
 // serve keeps one connection; what is not broken is served.
-func (l *ledger) serve(nc net.Conn, b breaking, first bool) {
+func (l *runCounter) serve(nc net.Conn, b connFault, first bool) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for n := 0; ; n++ {
-		breaks := first && (!b.keep || n == 1)
-		if breaks && b.early >= 0 {
-			_, _ = io.ReadFull(br, make([]byte, b.early))
+		breaks := first && (!b.onSecondRequest || n == 1)
+		if breaks && b.closeAfterBytes >= 0 {
+			_, _ = io.ReadFull(br, make([]byte, b.closeAfterBytes))
 			return
 		}
 		var q fasthttp.Request
 		if q.Read(br) != nil {
 			return
 		}
-		if breaks && b.full {
+		if breaks && b.rejected {
 			_, _ = io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			first = false
 			continue
 		}
-		l.run(string(q.Header.Peek("X-Request-Id")))
+		l.record(string(q.Header.Peek("X-Request-Id")))
 		if breaks {
-			_, _ = io.WriteString(nc, b.cut)
+			_, _ = io.WriteString(nc, b.partialResponse)
 			return
 		}
 		_, _ = io.WriteString(nc, okResponse)
@@ -72,27 +72,27 @@
 
 // A write that must never run twice, whose connection breaks at every place: it runs once at most, goes
 // again only where it proves not to have run, and is answered failed where it may have.
-func TestWritesThatMustNotRunTwice(t *testing.T) {
+func TestNonIdempotentWriteRunsAtMostOnce(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
 	for name, x := range map[string]struct {
-		b       breaking
+		b       connFault
 		served  bool // else failed
 		perhaps bool // a break so early that the write may fail: then it has not run and may go again
 	}{
-		"no break":                {breaking{early: -1, cut: okResponse}, true, false},
-		"closed at once":          {breaking{early: 0}, false, true},
-		"cut in the request":      {breaking{early: 40}, false, true},
-		"full":                    {breaking{early: -1, full: true}, true, false},
-		"no answer":               {breaking{early: -1}, false, false},
-		"cut in the head":         {breaking{early: -1, cut: okResponse[:20]}, false, false},
-		"cut in the body":         {breaking{early: -1, cut: okResponse[:len(okResponse)-1]}, false, false},
-		"cut in a chunked body":   {breaking{early: -1, cut: chunked}, false, false},
-		"an error":                {breaking{early: -1, cut: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
-		"a reused connection":     {breaking{early: -1, keep: true}, false, false},
-		"a reused one, cut early": {breaking{early: 40, keep: true}, false, true},
+		"no break":                {connFault{closeAfterBytes: -1, partialResponse: okResponse}, true, false},
+		"closed at once":          {connFault{closeAfterBytes: 0}, false, true},
+		"cut in the request":      {connFault{closeAfterBytes: 40}, false, true},
+		"full":                    {connFault{closeAfterBytes: -1, rejected: true}, true, false},
+		"no answer":               {connFault{closeAfterBytes: -1}, false, false},
+		"cut in the head":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:20]}, false, false},
+		"cut in the body":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:len(okResponse)-1]}, false, false},
+		"cut in a chunked body":   {connFault{closeAfterBytes: -1, partialResponse: chunked}, false, false},
+		"an error":                {connFault{closeAfterBytes: -1, partialResponse: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
+		"a reused connection":     {connFault{closeAfterBytes: -1, onSecondRequest: true}, false, false},
+		"a reused one, cut early": {connFault{closeAfterBytes: 40, onSecondRequest: true}, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &ledger{runs: map[string]int{}}
+			l := &runCounter{runs: map[string]int{}}
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -107,7 +107,7 @@
 					go l.serve(nc, x.b, first)
 				}
 			}()
-			set := testModule()
+			set := testSettings()
 			set.MaxAttempts = 4
 			set.Classes[1].Effect = policy.NonIdempotent
 			log, _ := logtest.NewNullLogger()
@@ -116,14 +116,14 @@
 				t.Fatal(err)
 			}
 			defer c.Stop()
-			c.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: at(ln)}}})
+			c.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(ln)}}})
 			ask := func(id string) core.Answer {
 				var m fasthttp.Request
-				text := strings.Replace(good, "9b1f03aa5c7e2d41", id, 1)
+				text := strings.Replace(validRequest, "9b1f03aa5c7e2d41", id, 1)
 				if err := m.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 					t.Fatal(err)
 				}
-				r, err := decode(&m, &bounds{units: 1e6})
+				r, err := decode(&m, &bounds{maxUnits: 1e6})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -132,7 +132,7 @@
 				c.Submit(r)
 				return <-got
 			}
-			if x.b.keep {
+			if x.b.onSecondRequest {
 				if a := ask("before"); a.Kind != core.Served {
 					t.Fatalf("the request before: %+v", a)
 				}
@@ -155,37 +155,37 @@
 }
 
 // A connection that comes up after the time in which a repeat may begin: nothing of it is written.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
+func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	l := &ledger{runs: map[string]int{}}
+	l := &runCounter{runs: map[string]int{}}
 	go func() {
 		for nc, err := ln.Accept(); err == nil; nc, err = ln.Accept() {
-			go l.serve(nc, breaking{}, false)
+			go l.serve(nc, connFault{}, false)
 		}
 	}()
-	a, got := attempt(t, later())
+	a, got := attempt(t, inOneMinute())
 	a.StartBy = time.Now().Add(100 * time.Millisecond)
 	d := dialer()
 	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 		time.Sleep(time.Until(a.StartBy) + time.Millisecond)
 		return transport.Dial(ctx, to, wait)
 	}
-	p := d.Connect("n", at(ln))
+	p := d.Connect("n", addressesOf(ln))
 	defer p.Close()
 	p.Send(a)
 	if r := <-got; r.Status != policy.Abandoned {
 		t.Errorf("ended as %v", r.Status)
 	}
-	b, got := attempt(t, later())
+	b, got := attempt(t, inOneMinute())
 	p.Send(b) // on the connection that came late
 	if r := <-got; r.Status != policy.OK {
 		t.Errorf("the next one ended as %v", r.Status)
 	}
-	if n := l.run(a.Request.ID) - 1; n != 1 {
+	if n := l.record(a.Request.ID) - 1; n != 1 {
 		t.Errorf("%d ran, want the next one alone", n)
 	}
 }
--- a/internal/httpfront/crowd_test.go
+++ b/internal/httpfront/overcapacity_test.go
@@ -19,7 +19,7 @@
 // With a request open on each of the connections that it may have, the front answers one more at
 // once with a refusal: the machine has let it in, and in the backlog it would wait for another's
 // end. When one has ended, the next is served.
-func TestPastTheCapIsRefused(t *testing.T) {
+func TestConnectionsPastTheCapAreRejected(t *testing.T) {
 	hold := make(chan bool)
 	f := newFront(t, func(nc net.Conn) bool { <-hold; return respondWith(okResponse)(nc) })
 	ask := func(i int) *bufio.Reader {
@@ -29,7 +29,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 		_ = nc.SetReadDeadline(time.Now().Add(20 * time.Second)) // only a front that does not answer meets it
-		_, _ = io.WriteString(nc, strings.Replace(good, "9b1f", fmt.Sprintf("%04d", i), 1))
+		_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 		return bufio.NewReader(nc)
 	}
 	read := func(br *bufio.Reader) *fasthttp.Response {
@@ -65,7 +65,7 @@
 
 // A connection on which nothing was asked gets no answer, however few the server may have: a request that is on its way would
 // take it for its own.
-func TestSilentConnectionsPastASmallCapGetNoAnswer(t *testing.T) {
+func TestSilentConnectionsPastTheCapGetNoResponse(t *testing.T) {
 	ln, err := transport.ListenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,13 +75,13 @@
 	const conns = 1
 	srv := NewServer(nil, policy.Settings{}, conns, log)
 	go func() { _ = srv.Serve(ln, conns) }()
-	var silent []closesClient
+	var silent []frontClient
 	for range conns + overflowConns - 1 {
 		silent = append(silent, dialFront(t, ln.Addr().String()))
 	}
 	last := dialFront(t, ln.Addr().String())
 	_, _ = io.WriteString(last.Conn, readyText) // accepted behind all others
-	last.answered(t, "a request behind silent connections", fasthttp.StatusOK, false)
+	last.expectResponse(t, "a request behind silent connections", fasthttp.StatusOK, false)
 	for i, c := range silent {
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -13,9 +13,8 @@
 // Connect implements core.NodeClient.
 func (n *node) Connect(f func(policy.Status)) bool { return n.mailbox.Put(nodeMessage{preconnect: f}) }
 
-// preconnect opens a connection that no attempt waits for yet, where none is idle or being dialled. No idle
-// connection of another node is evicted for it. While it is dialled attempts may wait for it, and after that it
-// is idle like any other.
+// preconnect opens a connection before an attempt needs it, unless one is already idle or being dialled. It evicts no idle
+// connection of another node. Attempts may wait for the dial; afterwards the connection is idle like any other.
 func (n *node) preconnect(f func(policy.Status)) {
 	for k := len(n.idle); k > 0 && !transport.IsReusable(n.idle[k-1].socket); k = len(n.idle) {
 		n.closeIdle(n.idle[k-1])
@@ -28,7 +27,7 @@
 		n.addressPool.preconnect(f)
 		return
 	}
-	c := n.newConn(n.dialer.reserveFreePlace)
+	c := n.newConn(n.dialer.reserveUnusedConn)
 	if c == nil {
 		sync.Go(func() { f(policy.Abandoned) })
 		return
@@ -36,11 +35,11 @@
 	n.startDial(c, time.Since(n.started), f)
 }
 
-// startDial dials a connection in its own goroutine, and calls f, if not nil, with the result.
+// startDial dials a connection in a new goroutine, and calls f, if not nil, with the result.
 func (n *node) startDial(c *conn, now time.Duration, f func(policy.Status)) {
 	c.dialID = n.waiting.ConnectStarted(now)
 	sync.Go(func() {
-		err := c.ensureUp(context.Background())
+		err := c.ensureConnected(context.Background())
 		n.mailbox.PutUnbounded(nodeMessage{opened: c, broken: err != nil})
 		if f != nil {
 			f(dialStatus(err == nil))
@@ -51,7 +50,7 @@
 	})
 }
 
-// dialStatus is the status of a dial.
+// dialStatus returns the status of a dial.
 func dialStatus(ok bool) policy.Status {
 	if ok {
 		return policy.OK
@@ -59,25 +58,25 @@
 	return policy.ConnectFailed
 }
 
-// preconnect has the selector open a connection for a request that is dropped once the connection is up and idle. The
-// caller has checked that there is none.
+// preconnect makes the selector open a connection for a request that is dropped once the connection is open and idle. The
+// caller has checked that no connection is idle or being dialled.
 func (p *addressPool) preconnect(f func(policy.Status)) {
-	if len(p.requests) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // connections are opened for the requests that wait
+	if len(p.requests) > 0 || p.node.dialer.open.Load() >= p.node.dialer.MaxConns { // the selector already opens connections for waiting requests
 		go f(policy.Abandoned)
 		return
 	}
-	w := p.addRequest(&connRequest{preconnect: f})
-	w.ctx, w.stop = context.WithTimeout(context.Background(), p.node.dialer.ConnectTimeout)
-	p.queueRequest(w, false, false)
+	request := p.addRequest(&connRequest{preconnect: f})
+	request.ctx, request.stop = context.WithTimeout(context.Background(), p.node.dialer.ConnectTimeout)
+	p.queueRequest(request, false, false)
 }
 
-// endPreconnects ends the preconnect requests: a connection has come up, which the selector learns next.
+// endPreconnects ends the preconnect request when a connection is open, before the selector is notified of the connection.
 func (p *addressPool) endPreconnects() {
-	for _, w := range p.requests {
-		if w.preconnect != nil { // there is one at most
-			p.removeRequest(w)
-			go w.preconnect(policy.OK)
-			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: w.req})
+	for _, request := range p.requests {
+		if request.preconnect != nil { // there is at most one
+			p.removeRequest(request)
+			go request.preconnect(policy.OK)
+			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: request.req})
 		}
 	}
 }
--- a/internal/httpfront/ahead_interleave_test.go
+++ b/internal/httpfront/preconnect_interleave_test.go
@@ -18,39 +18,39 @@
 
 // A connection ahead meets an attempt that comes while it is opened, and a drain: both end, nothing is
 // written after the drain, the attempt opens no second one, and every connection is counted out.
-func TestInterleaveAhead(t *testing.T) {
+func TestInterleavePreconnect(t *testing.T) {
 	fd := idleSocket(t)
-	a, _ := attempt(t, later())
+	a, _ := attempt(t, inOneMinute())
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
-		n, drains, tries, all := meet(fd, a.Request, time.Hour, 1)
+		n, draining, attempts, results := newSingleConnNode(fd, a.Request, time.Hour, 1)
 		n.dialer.MaxConns = 2
 		dials, dial := 0, n.dialer.dial
 		n.dialer.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			dials++
 			return dial(ctx, a, wait)
 		}
-		told := make(chan policy.Status, 1)
+		result := make(chan policy.Status, 1)
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "actor", Run: n.loop},
+				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
-					n.Connect(func(s policy.Status) { sync.Send(told, s) })
-					n.Send(tries[0])
-					if s, _ := sync.Recv(told); s != policy.OK && s != policy.Abandoned {
+					n.Connect(func(s policy.Status) { sync.Send(result, s) })
+					n.Send(attempts[0])
+					if s, _ := sync.Recv(result); s != policy.OK && s != policy.Abandoned {
 						il.Fail("ahead ended with %v", s)
 					}
-					if s, _ := sync.Recv(all); s != policy.OK && s != policy.ConnectFailed {
+					if s, _ := sync.Recv(results); s != policy.OK && s != policy.ConnectFailed {
 						il.Fail("ended with %v", s)
 					}
 					n.Close()
 				}},
-				{Name: "list", Run: func() { n.Drain(true); *drains = true }},
+				{Name: "list", Run: func() { n.Drain(true); *draining = true }},
 			},
 			Check: func() error {
 				if dials > 1 {
 					return errors.New("a second connection was opened beside one ahead")
 				}
-				return n.ended()
+				return n.checkNothingLeft()
 			},
 		}
 	})
--- a/internal/httpfront/expire_test.go
+++ b/internal/httpfront/readtimeout_test.go
@@ -18,8 +18,8 @@
 // expiringListener accepts connections whose first read deadline ends at once, with a test's steps on both sides of it.
 type expiringListener struct {
 	net.Listener
-	ended  func(server syscall.Conn) // the deadline has ended the wait for the first request
-	looked func(server syscall.Conn) // ... and the last look for one is taken
+	onDeadline   func(server syscall.Conn) // the deadline has ended the wait for the first request
+	onFinalCheck func(server syscall.Conn) // ... and the last look for one is taken
 }
 
 func (l *expiringListener) Accept() (net.Conn, error) {
@@ -27,13 +27,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &expiringConn{Conn: nc, from: l}, nil
+	return &expiringConn{Conn: nc, listener: l}, nil
 }
 
 type expiringConn struct {
 	net.Conn
-	from *expiringListener
-	set  bool // the first deadline is
+	listener *expiringListener
+	set      bool // the first deadline is
 }
 
 // SetReadDeadline implements net.Conn.
@@ -47,12 +47,12 @@
 // SyscallConn implements syscall.Conn.
 func (c *expiringConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
-	return &expiringRaw{RawConn: raw, of: c}, err
+	return &expiringRaw{RawConn: raw, conn: c}, err
 }
 
 type expiringRaw struct {
 	syscall.RawConn
-	of      *expiringConn
+	conn    *expiringConn
 	expired bool
 }
 
@@ -60,7 +60,7 @@
 func (r *expiringRaw) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if r.expired = errors.Is(err, os.ErrDeadlineExceeded); r.expired {
-		r.of.from.ended(r.of.Conn.(syscall.Conn))
+		r.conn.listener.onDeadline(r.conn.Conn.(syscall.Conn))
 	}
 	return err
 }
@@ -69,7 +69,7 @@
 func (r *expiringRaw) Control(f func(uintptr)) error {
 	err := r.RawConn.Control(f)
 	if r.expired {
-		r.of.from.looked(r.of.Conn.(syscall.Conn))
+		r.conn.listener.onFinalCheck(r.conn.Conn.(syscall.Conn))
 	}
 	return err
 }
@@ -77,7 +77,7 @@
 // A request may come in the instant in which the read time of a new connection ends, before or after the last look at
 // the connection. What was read is answered, and an answer that is there without a request would be taken for this one's:
 // a connection of which nothing was read closes without any.
-func TestRequestAsTheReadTimeEnds(t *testing.T) {
+func TestRequestArrivesAsReadTimeoutEnds(t *testing.T) {
 	const none = ""
 	for _, x := range []struct {
 		name          string
@@ -104,8 +104,8 @@
 				crossed <- true
 			}
 			ln := &expiringListener{Listener: bound}
-			ln.ended = func(server syscall.Conn) { client = <-dialled; send(server, x.before) }
-			ln.looked = func(server syscall.Conn) { send(server, x.after) }
+			ln.onDeadline = func(server syscall.Conn) { client = <-dialled; send(server, x.before) }
+			ln.onFinalCheck = func(server syscall.Conn) { send(server, x.after) }
 			f := newFrontOn(t, ln, dialer(), respondWith(okResponse))
 			c := dialFront(t, f.address)
 			dialled <- c.Conn
@@ -119,10 +119,10 @@
 				}
 				return
 			}
-			c.answered(t, "what came", x.code, x.code != fasthttp.StatusOK)
+			c.expectResponse(t, "what came", x.code, x.code != fasthttp.StatusOK)
 			if x.code == fasthttp.StatusOK { // the connection is as any other
 				_, _ = io.WriteString(c.Conn, readyText)
-				c.answered(t, "the next request", fasthttp.StatusOK, false)
+				c.expectResponse(t, "the next request", fasthttp.StatusOK, false)
 			}
 		})
 	}
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// relayReadTimeout bounds each read of a relayed body from the node. Nodes write long bodies in pieces, with pauses.
+	// relayReadTimeout bounds each read of a relayed body from the node, as nodes write long bodies in pieces with pauses.
 	relayReadTimeout = 3 * time.Second
-	// relayWriteTimeout bounds each write of a relayed piece to the client; a client that goes on reading is never cut.
+	// relayWriteTimeout bounds each write of a relayed piece to the client. A client that keeps reading is never cut off.
 	relayWriteTimeout = 5 * time.Second
 )
 
-var errBodyCut = errors.New("answer: the node's body ended before its end")
+var errBodyTruncated = errors.New("relay response: body from the node is truncated")
 
-// relay passes a node's long answer to a client: the first piece is in memory, the rest is read from the
-// node's connection as the client takes it. The connection belongs to the relay until Close; after that
-// wait returns whether it may be used again.
+// relay passes a long response from a node to a client. The first piece is in memory, the rest is read from the
+// node's connection as the client reads it. The relay owns the connection until Close; then wait returns whether
+// the connection may be reused.
 type relay struct {
-	first     []byte
+	buffered  []byte
 	remaining io.Reader             // the node's body, decoded
-	client    net.Conn              // whose write deadline each piece moves on; nil: none
-	finish    func(whole bool) bool // ends the read of the body; true: the connection may carry another request
+	client    net.Conn              // connection whose write deadline is extended for each piece; nil: none
+	finish    func(whole bool) bool // ends the read of the body and reports whether the connection may carry another request
 	closeOnce sync.Once
 	mu        sync.Mutex
 	closeConn func() // closes the node's connection; nil once the relay is closed
 	done      chan bool
-	returned  chan struct{} // closed when the node's actor has the connection back
-	handedOut bool          // handed to the core: its connection's goroutine waits for it
-	read      int64
+	returned  chan struct{} // closed once the connection is returned to the node's actor
+	handedOff bool          // handed to the core; the goroutine of the connection waits for Close
+	bytesRead int64
 	complete  bool
 }
 
-// newRelay makes a relay; finish is called once, at its end.
+// newRelay returns a relay that calls finish once when it is closed.
 func newRelay(first []byte, rest io.Reader, finish func(bool) bool) *relay {
-	return &relay{first: first, remaining: rest, finish: finish, done: make(chan bool, 1), returned: make(chan struct{})}
+	return &relay{buffered: first, remaining: rest, finish: finish, done: make(chan bool, 1), returned: make(chan struct{})}
 }
 
 // Read implements io.Reader.
@@ -45,42 +45,42 @@
 	if r.client != nil {
 		_ = r.client.SetWriteDeadline(time.Now().Add(relayWriteTimeout))
 	}
-	if len(r.first) > 0 {
-		n := copy(p, r.first)
-		r.first = r.first[n:]
-		r.read += int64(n)
+	if len(r.buffered) > 0 {
+		n := copy(p, r.buffered)
+		r.buffered = r.buffered[n:]
+		r.bytesRead += int64(n)
 		return n, nil
 	}
 	n, err := r.remaining.Read(p)
-	r.read += int64(n)
+	r.bytesRead += int64(n)
 	if errors.Is(err, io.EOF) {
 		r.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
-		// Not io.EOF: the server would end the client's answer as if it were whole.
-		return n, errors.Join(errBodyCut, err)
+		// Not io.EOF, as the server would end the client's response as if it were complete.
+		return n, errors.Join(errBodyTruncated, err)
 	}
 	return n, nil
 }
 
-// Close implements io.Closer. It returns once the node's actor has the connection back, so that the core's next
-// send finds it free.
+// Close implements io.Closer. It returns once the connection is returned to the node's actor, so that the core's
+// next send finds it free.
 func (r *relay) Close() error {
 	r.closeOnce.Do(func() {
 		r.mu.Lock()
-		r.closeConn = nil // from here the connection is its node actor's
+		r.closeConn = nil // from now on the node's actor owns the connection
 		r.mu.Unlock()
 		r.done <- r.finish(r.complete)
-		if r.handedOut {
+		if r.handedOff {
 			<-r.returned
 		}
 	})
 	return nil
 }
 
-// Cut makes a Read in another goroutine fail. Close is to be called all the same.
-func (r *relay) Cut() {
+// Abort makes a Read in another goroutine fail. Close must still be called.
+func (r *relay) Abort() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closeConn != nil {
@@ -88,11 +88,11 @@
 	}
 }
 
-// handOut marks the relay as handed to the core; its connection's goroutine calls wait after that.
-func (r *relay) handOut() { r.handedOut = true }
+// markHandedOff marks the relay as handed to the core; the goroutine of its connection calls wait afterwards.
+func (r *relay) markHandedOff() { r.handedOff = true }
 
 // wait waits for Close and returns whether the connection may carry another request.
 func (r *relay) wait() bool { return <-r.done }
 
-// connReturned says that the node's actor has the connection back.
+// connReturned signals that the connection is returned to the node's actor.
 func (r *relay) connReturned() { close(r.returned) }
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -22,57 +22,55 @@
 const (
 	readyPath         = "/health/ready"
 	maxHeadSize       = 8 << 10
-	idleTimeout       = 90 * time.Second        // the listener closes idle ones sooner when it is half full
-	readTimeout       = 2500 * time.Millisecond // from the connection's start, or a request's first byte
+	idleTimeout       = 90 * time.Second        // the listener closes idle connections sooner when it is half full
+	readTimeout       = 2500 * time.Millisecond // from the start of the connection, or from the first byte of a request
 	writeMargin       = time.Second
-	overflowConns     = 8                     // connections past the cap, taken to be refused; of the descriptors kept back
-	shedRetryAfter    = 50 * time.Millisecond // a usual answer or two
-	minRetryAfter     = 10 * time.Millisecond // a refusal always says when to come back
+	overflowConns     = 8                     // connections accepted above the cap in order to reject their requests; they use reserved descriptors
+	rejectRetryAfter  = 50 * time.Millisecond // the time of one or two typical requests
+	minRetryAfter     = 10 * time.Millisecond // a rejection always has a positive Retry-After
 	closeIdleInterval = 5 * time.Millisecond
-	minBodyRate       = 32 << 10 // bytes a second of a client's body, half of the slowest named
+	minBodyRate       = 32 << 10 // bytes per second of a request body, half the rate of the slowest supported client
 )
 
-// Server answers the platform's clients.
+// Server accepts client connections and answers their requests.
 type Server struct {
 	Core       *core.Core
 	http       *fasthttp.Server
 	ln         atomic.Pointer[transport.Listener]
-	lastBounds atomic.Pointer[bounds] // of the core's settings as last seen
-	// BodyMemory is the room that request bodies over 64 KiB share while they are held; nil: none
-	// is counted.
+	lastBounds atomic.Pointer[bounds] // bounds of the last seen settings of the core
+	// BodyMemory is the memory budget shared by all request bodies over 64 KiB; nil means no limit.
 	BodyMemory          *semaphore.Weighted
-	reserveIdle         atomic.Bool // some connections free
-	closeAfterResponses atomic.Bool // each answer closes its connection
-	rejectIncoming      atomic.Bool // what is still arriving is refused, and each answer closes its connection, also where unread bytes wait
+	reserveIdle         atomic.Bool // reject the requests that would use the last idle connections
+	closeAfterResponses atomic.Bool // close each connection with its next response
+	rejectIncoming      atomic.Bool // reject requests that are still arriving; each response closes its connection, even if unread bytes wait
 
-	scatterGather atomic.Pointer[scattergather.Service] // nil: reads are not gathered
+	scatterGather atomic.Pointer[scattergather.Service] // nil: gathered reads are off
 }
 
-// NewServer makes the front; conns caps the clients' connections. Set is for what is answered before its head was read; all
-// else goes by the core's settings as they are then.
-func NewServer(c *core.Core, set policy.Settings, conns int, log logrus.FieldLogger) *Server {
+// NewServer returns a server for at most conns client connections. The given settings determine the write timeout of responses
+// that are sent before a request head was read; everything else follows the current settings of the core.
+func NewServer(c *core.Core, settings policy.Settings, conns int, log logrus.FieldLogger) *Server {
 	s := &Server{Core: c}
 	s.http = &fasthttp.Server{
 		Handler: s.handle, ErrorHandler: s.reject, Concurrency: 2 * (conns + overflowConns), MaxRequestBodySize: maxRequestBody, StreamRequestBody: true,
 		HeaderReceived: s.requestTimeouts,
-		ReadBufferSize: maxHeadSize, WriteBufferSize: 4096, ReadTimeout: readTimeout, WriteTimeout: maxDeadline(set) + writeMargin, IdleTimeout: idleTimeout,
+		ReadBufferSize: maxHeadSize, WriteBufferSize: 4096, ReadTimeout: readTimeout, WriteTimeout: maxDeadline(settings) + writeMargin, IdleTimeout: idleTimeout,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true,
 		SecureErrorLogMessage: true, DisablePreParseMultipartForm: true, Logger: debugLogger{log}, ConnState: trackState,
 	}
 	return s
 }
 
-// requestTimeouts are those of one request, by its head.
+// requestTimeouts returns the timeouts of one request, which depend on its head.
 func (s *Server) requestTimeouts(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
-	if string(h.RequestURI()) == readyPath { // it asks nothing of the core
+	if string(h.RequestURI()) == readyPath { // the readiness check does not use the core
 		return fasthttp.RequestConfig{ReadTimeout: bodyTimeout(h)}
 	}
 	return fasthttp.RequestConfig{ReadTimeout: bodyTimeout(h), WriteTimeout: s.bounds().maxDeadline + writeMargin}
 }
 
-// bodyTimeout is the time for the first part of a body, which the server reads before the handler:
-// the head had readTimeout from its first byte, and a client may send at 64 kB a second. The
-// handler then gives each further piece pieceRead.
+// bodyTimeout returns the read timeout of the first part of a body, which fasthttp reads before it calls the handler. Clients
+// may send as slowly as 64 kB per second. The handler then gives each further piece bodyReadTimeout.
 func bodyTimeout(h *fasthttp.RequestHeader) time.Duration {
 	size := max(h.ContentLength(), 0)
 	if h.ContentLength() == -1 { // chunked
@@ -87,7 +85,7 @@
 	if !ok {
 		return
 	}
-	switch st { // a new one is neither: nothing has come yet
+	switch st { // a new connection is neither idle nor active until its first byte arrives
 	case fasthttp.StateIdle:
 		c.ResponseDone()
 	case fasthttp.StateActive:
@@ -98,29 +96,29 @@
 // debugLogger logs the messages of the HTTP server at debug level, as clients can cause many.
 type debugLogger struct{ log logrus.FieldLogger }
 
-func (q debugLogger) Printf(form string, args ...any) { q.log.Debugf(form, args...) }
+func (l debugLogger) Printf(format string, args ...any) { l.log.Debugf(format, args...) }
 
-// reject answers a message that could not be read.
+// reject answers a request that could not be read.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, err error) {
 	code := fasthttp.StatusBadRequest
-	var small *fasthttp.ErrSmallBuffer
-	var late net.Error
+	var bufferErr *fasthttp.ErrSmallBuffer
+	var netErr net.Error
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		code = fasthttp.StatusRequestEntityTooLarge
-	case errors.As(err, &small):
+	case errors.As(err, &bufferErr):
 		code = fasthttp.StatusRequestHeaderFieldsTooLarge
-	case errors.As(err, &late) && late.Timeout() && s.rejectIncoming.Load():
+	case errors.As(err, &netErr) && netErr.Timeout() && s.rejectIncoming.Load():
 		s.rejectIncomplete(ctx)
 		return
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		code = fasthttp.StatusRequestTimeout
 	}
 	ctx.Error(fasthttp.StatusMessage(code), code)
 	closeDiscardingInput(ctx)
 }
 
-// closeDiscardingInput closes the connection of a request that is answered while the rest of it may still come.
+// closeDiscardingInput closes the connection after the response and discards the rest of the request, which may still arrive.
 func closeDiscardingInput(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*transport.Conn); ok {
 		c.DiscardInput()
@@ -128,21 +126,21 @@
 	ctx.SetConnectionClose()
 }
 
-// rejectIncomplete rejects a request that was still arriving when the program stops.
+// rejectIncomplete rejects a request that is still arriving when the program stops.
 func (s *Server) rejectIncomplete(ctx *fasthttp.RequestCtx) {
-	writeAnswer(ctx, core.Answer{Kind: core.Rejected, RetryAfter: shedRetryAfter})
+	writeResponse(ctx, core.Answer{Kind: core.Rejected, RetryAfter: rejectRetryAfter})
 	closeDiscardingInput(ctx)
 }
 
-// Serve runs until Shutdown.
+// Serve accepts and serves connections until Shutdown.
 func (s *Server) Serve(ln net.Listener, conns int) error {
 	l := transport.LimitWithOverflow(ln, conns, overflowConns)
 	s.ln.Store(l)
 	return s.http.Serve(l)
 }
 
-// StopAccepting closes the listening socket; connections that are open are served on. It
-// returns how many those are.
+// StopAccepting closes the listening socket; open connections are still served. It
+// returns their number.
 func (s *Server) StopAccepting() int {
 	l := s.ln.Load()
 	if l == nil {
@@ -152,24 +150,25 @@
 	return l.OpenCount()
 }
 
-// ReserveIdleConns refuses from now on what would take the last free connections: clients open no more
-// to a program that stops, and one that finds all of its in use takes it for gone.
+// ReserveIdleConns makes the server reject requests that would use the last idle connections. Clients open no new connections to
+// a stopping program, and a client whose connections are all busy would take the program for dead.
 func (s *Server) ReserveIdleConns() { s.reserveIdle.Store(true) }
 
-// CloseAfterResponses closes each connection with its next answer: another process takes the clients' new ones. One on which a
-// further request waits already is answered first, as closing over unread bytes would reset it.
+// CloseAfterResponses closes each connection with its next response, as another process accepts the clients' new connections.
+// If a further request already waits on the connection it is answered first, because a close with unread input resets the
+// connection.
 func (s *Server) CloseAfterResponses() { s.closeAfterResponses.Store(true) }
 
-// CloseIdle closes the connections that were quiet for so long, and returns how many are open.
-func (s *Server) CloseIdle(quiet time.Duration) int {
+// CloseIdle closes the connections that have been idle for at least minIdle, and returns how many are still open.
+func (s *Server) CloseIdle(minIdle time.Duration) int {
 	if l := s.ln.Load(); l != nil {
-		return l.CloseIdle(quiet)
+		return l.CloseIdle(minIdle)
 	}
 	return 0
 }
 
-// RejectIncoming refuses what is still arriving: the program is about to be killed, and a request must not be read to its end
-// by a process that can't answer it any more. It may be called again.
+// RejectIncoming rejects requests that are still arriving. It is called shortly before the program is killed, so that it does not
+// read a whole request that it can no longer answer. It may be called repeatedly.
 func (s *Server) RejectIncoming() {
 	s.rejectIncoming.Store(true)
 	if l := s.ln.Load(); l != nil {
@@ -177,27 +176,27 @@
 	}
 }
 
-// countParsed tells the connection how much of what was read from it is the request's.
+// countParsed notifies the connection how many of the bytes read from it belong to the request.
 func countParsed(ctx *fasthttp.RequestCtx) {
 	c, ok := ctx.Conn().(*transport.Conn)
 	if !ok {
 		return
 	}
 	h := &ctx.Request.Header
-	const blanksAndEnd = len("  \r\n") // of the first line
+	const blanksAndEnd = len("  \r\n") // spaces and line end of the request line
 	line := len(h.Method()) + len(h.RequestURI()) + len(h.Protocol()) + blanksAndEnd
 	c.CountParsed(line + len(h.RawHeaders()) + max(h.ContentLength(), 0))
 }
 
-// closeAfterResponse closes the connection with the answer, unless a further request was read with this one.
+// closeAfterResponse closes the connection with the response, unless a further request was already read together with this one.
 func closeAfterResponse(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*transport.Conn); !ok || !c.HasUnparsed() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// closeIfLeaving closes the connection with the response if the server is stopping or another process takes over.
-func (s *Server) closeIfLeaving(ctx *fasthttp.RequestCtx) {
+// closeIfStopping closes the connection with the response if the server is stopping or another process takes over.
+func (s *Server) closeIfStopping(ctx *fasthttp.RequestCtx) {
 	if s.rejectIncoming.Load() {
 		closeAfterResponse(ctx)
 		return
@@ -210,14 +209,14 @@
 	}
 }
 
-// Shutdown stops accepting, closes connections between requests and waits for the answers, also to requests that were
-// read ahead.
+// Shutdown stops accepting, closes idle connections and waits until all requests are answered, including pipelined ones that
+// were already read.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.ln.Load(); l != nil {
 		s.rejectIncoming.Store(true)
 		l.StopAccepting()
 		_ = l.Close()                                             // StopAccepting has closed the socket
-		for l.CloseIdle(0) > 0 && sleep(ctx, closeIdleInterval) { // the server's own shutdown drops what comes as it closes an idle one
+		for l.CloseIdle(0) > 0 && sleep(ctx, closeIdleInterval) { // fasthttp's shutdown loses a request that arrives while it closes an idle connection
 		}
 	}
 	return s.http.ShutdownWithContext(ctx)
@@ -235,7 +234,7 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	countParsed(ctx)
-	defer s.closeIfLeaving(ctx)
+	defer s.closeIfStopping(ctx)
 	if string(ctx.Path()) == readyPath && ctx.IsGet() {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
@@ -255,15 +254,15 @@
 			code = m.Status
 		}
 		ctx.Error(err.Error(), code)
-		closeDiscardingInput(ctx) // what follows may be the rest of it
+		closeDiscardingInput(ctx) // the bytes that follow may belong to the malformed request
 		return
 	}
 	r.ReceivedAt = time.Now()
-	got := make(chan core.Answer, 1)
-	var gone atomic.Bool
-	drop := func() { // of an answer that crosses its client's going
+	answers := make(chan core.Answer, 1)
+	var disconnected atomic.Bool
+	releaseAnswer := func() { // releases an answer that arrives while the client disconnects
 		select {
-		case a := <-got:
+		case a := <-answers:
 			if rep, ok := a.Payload.(*nodeResponse); ok {
 				rep.Release()
 			}
@@ -271,17 +270,17 @@
 		}
 	}
 	r.Answer = func(a core.Answer) {
-		got <- a
-		if gone.Load() {
-			drop()
+		answers <- a
+		if disconnected.Load() {
+			releaseAnswer()
 		}
 	}
-	crowded := s.ln.Load().OverCapacity()
-	if crowded || s.reserveIdle.Load() && s.ln.Load().FewIdle() {
-		s.Core.Reject(r, shedRetryAfter)
-		writeAnswer(ctx, <-got)
-		if crowded {
-			closeAfterResponse(ctx) // its place is another's
+	overCapacity := s.ln.Load().OverCapacity()
+	if overCapacity || s.reserveIdle.Load() && s.ln.Load().FewIdle() {
+		s.Core.Reject(r, rejectRetryAfter)
+		writeResponse(ctx, <-answers)
+		if overCapacity {
+			closeAfterResponse(ctx) // the connection is above the cap
 		}
 		return
 	}
@@ -290,34 +289,33 @@
 		return
 	}
 	conn := ctx.Conn().(*transport.Conn) // Serve wraps its listener
-	left := conn.Watch()
+	peerClosed := conn.Watch()
 	r.ClientDisconnected = conn.PeerClosed
 	s.Core.Submit(r)
 	select {
-	case a := <-got:
+	case a := <-answers:
 		conn.Unwatch()
-		writeAnswer(ctx, a)
-	case <-left:
+		writeResponse(ctx, a)
+	case <-peerClosed:
 		s.Core.Cancel(r)
-		gone.Store(true)
-		drop()
+		disconnected.Store(true)
+		releaseAnswer()
 		conn.Unwatch()
 		ctx.SetConnectionClose()
-		ctx.SetStatusCode(499) // no one reads it
+		ctx.SetStatusCode(499) // the client has disconnected and does not see it
 	}
 }
 
-// rejectUnread answers a request whose body could not be read: the rest of it is not read, so the
-// connection closes.
+// rejectUnread answers a request whose body could not be read. The rest of the body is not read, so the connection is closed.
 func (s *Server) rejectUnread(ctx *fasthttp.RequestCtx, err error) {
 	closeDiscardingInput(ctx)
 	var m *MalformedError
 	switch {
 	case errors.Is(err, errNoBodyMemory):
 		class, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
-		got := make(chan core.Answer, 1)
-		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { got <- a }}, shedRetryAfter)
-		writeAnswer(ctx, <-got)
+		answers := make(chan core.Answer, 1)
+		s.Core.Reject(&core.Request{Request: policy.Request{Class: class}, Answer: func(a core.Answer) { answers <- a }}, rejectRetryAfter)
+		writeResponse(ctx, <-answers)
 	case errors.As(err, &m):
 		ctx.Error(m.Problem, m.Status)
 	case errors.Is(err, errBodyStalled) && s.rejectIncoming.Load():
@@ -329,15 +327,15 @@
 	}
 }
 
-// writeAnswer encodes the final answer.
-func writeAnswer(ctx *fasthttp.RequestCtx, a core.Answer) {
+// writeResponse encodes the final answer as the client's response.
+func writeResponse(ctx *fasthttp.RequestCtx, a core.Answer) {
 	switch a.Kind {
 	case core.Served:
 		rep := a.Payload.(*nodeResponse)
 		if rep.relay != nil {
 			rep.relay.client = ctx.Conn()
 			ctx.Response.ImmediateHeaderFlush = true
-			ctx.Response.SetBodyStream(rep.relay, -1) // chunked: a cut answer lacks its last chunk
+			ctx.Response.SetBodyStream(rep.relay, -1) // chunked, so that a truncated response lacks its last chunk
 			return
 		}
 		if rep.release == nil {
--- a/internal/httpfront/ends_test.go
+++ b/internal/httpfront/simulation_test.go
@@ -31,65 +31,67 @@
 
 // simulatedNode is a node in memory. What it does is drawn for each connect and each request.
 type simulatedNode struct {
-	w       *simulation
-	silence time.Duration // of the world's time: from then on for cutSpan it says nothing
+	sim        *simulation
+	silentFrom time.Duration // of the world's time: from then on for silenceDuration it says nothing
 }
 
 type simulation struct {
-	t      *rapid.T
-	mu     sync.Mutex
-	rng    *rand.Rand
-	start  time.Time
-	quiet  [2]int // a pair of sockets with nothing to read
-	nodes  map[address.Addr]*simulatedNode
-	faults float64
-	over   sync.Map // by id: when it had its final answer, or its client went
+	t           *rapid.T
+	mu          sync.Mutex
+	rng         *rand.Rand
+	start       time.Time
+	idleSockets [2]int // a pair of sockets with nothing to read
+	nodes       map[address.Addr]*simulatedNode
+	faults      float64
+	endedAt     sync.Map // by id: when it had its final answer, or its client went
 }
 
-const cutSpan = 3 * time.Second
+const silenceDuration = 3 * time.Second
 
-func (w *simulation) draw() float64 {
+func (w *simulation) random() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64()
 }
 
-func (w *simulation) upTo(n int) int { return int(w.draw() * float64(n)) }
+func (w *simulation) randomInt(n int) int { return int(w.random() * float64(n)) }
 
-func (w *simulation) within(most time.Duration) time.Duration {
-	return time.Duration(w.draw()*float64(most)) + 1
+func (w *simulation) randomDuration(most time.Duration) time.Duration {
+	return time.Duration(w.random()*float64(most)) + 1
 }
 
 func (n *simulatedNode) silent() bool {
-	at := time.Since(n.w.start)
-	return at >= n.silence && at < n.silence+cutSpan
+	at := time.Since(n.sim.start)
+	return at >= n.silentFrom && at < n.silentFrom+silenceDuration
 }
 
 // memConn is one end of a connection in memory, which looks quiet to who peeks at its socket.
 type memConn struct {
 	net.Conn
-	w *simulation
+	sim *simulation
 }
 
-func (c memConn) SyscallConn() (syscall.RawConn, error) { return quietSocket{c.w.quiet[0]}, nil }
-func (q quietSocket) Control(f func(uintptr)) error     { f(uintptr(q.fd)); return nil }
-func (quietSocket) Read(func(uintptr) bool) error       { return errors.ErrUnsupported }
-func (quietSocket) Write(func(uintptr) bool) error      { return errors.ErrUnsupported }
+func (c memConn) SyscallConn() (syscall.RawConn, error) {
+	return rawIdleSocket{c.sim.idleSockets[0]}, nil
+}
+func (q rawIdleSocket) Control(f func(uintptr)) error { f(uintptr(q.fd)); return nil }
+func (rawIdleSocket) Read(func(uintptr) bool) error   { return errors.ErrUnsupported }
+func (rawIdleSocket) Write(func(uintptr) bool) error  { return errors.ErrUnsupported }
 
-type quietSocket struct{ fd int }
+type rawIdleSocket struct{ fd int }
 
 // dial comes up, fails, or hangs until it is given up.
 func (w *simulation) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 	n := w.nodes[a]
-	draw, wait := w.draw(), w.within(20*time.Millisecond)
+	draw, wait := w.random(), w.randomDuration(20*time.Millisecond)
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
 	if n.silent() || draw < w.faults/4 { // never comes up
 		<-ctx.Done()
 		return nil, address.ReasonTimedOut, ctx.Err()
 	}
-	if w.upTo(4) == 0 { // comes up late
-		wait = w.within(240 * time.Millisecond)
+	if w.randomInt(4) == 0 { // comes up late
+		wait = w.randomDuration(240 * time.Millisecond)
 	}
 	time.Sleep(wait)
 	if ctx.Err() != nil || draw < w.faults/2 {
@@ -111,22 +113,22 @@
 		}
 		id := string(q.Header.Peek("X-Request-Id"))
 		// Guards against what waited for a connection, or in a mailbox, while its request ended.
-		if at, ok := n.w.over.Load(id); ok && at.(time.Time).Before(time.Now()) {
-			n.w.t.Errorf("%s was sent on %v after its final answer", id, time.Since(at.(time.Time)))
+		if at, ok := n.sim.endedAt.Load(id); ok && at.(time.Time).Before(time.Now()) {
+			n.sim.t.Errorf("%s was sent on %v after its final answer", id, time.Since(at.(time.Time)))
 		}
 		body := "of " + id
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		time.Sleep(n.w.within(120 * time.Millisecond))
-		draw := n.w.draw() / n.w.faults
+		time.Sleep(n.sim.randomDuration(120 * time.Millisecond))
+		draw := n.sim.random() / n.sim.faults
 		switch {
 		case n.silent() || draw < 0.1: // the answer is lost, and the connection stays open
 			_, _ = io.Copy(io.Discard, br)
 			return
 		case draw < 0.2: // cut off
-			_, _ = io.WriteString(nc, whole[:n.w.upTo(len(whole))])
+			_, _ = io.WriteString(nc, whole[:n.sim.randomInt(len(whole))])
 			return
 		case draw < 0.3: // stops halfway, and stays open
-			_, _ = io.WriteString(nc, whole[:n.w.upTo(len(whole))])
+			_, _ = io.WriteString(nc, whole[:n.sim.randomInt(len(whole))])
 			_, _ = io.Copy(io.Discard, br)
 			return
 		case draw < 0.4:
@@ -143,19 +145,19 @@
 	}
 }
 
-// crowdedModule is a node actor whose mailbox is full now and then.
-type crowdedModule struct {
+// sometimesFullClient is a node actor whose mailbox is full now and then.
+type sometimesFullClient struct {
 	core.NodeClient
-	w *simulation
+	sim *simulation
 }
 
-func (c crowdedModule) Send(a *core.Attempt) bool {
-	return c.w.draw() > c.w.faults/10 && c.NodeClient.Send(a)
+func (c sometimesFullClient) Send(a *core.Attempt) bool {
+	return c.sim.random() > c.sim.faults/10 && c.NodeClient.Send(a)
 }
 
-func endsSettings(w *simulation) policy.Settings {
-	return policy.Settings{Schedulers: 3, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 1 + w.upTo(4), MaxRetryAfter: 1000,
-		SendsRetryAfter: true, MayCancel: w.upTo(2) == 0, MayHedge: w.upTo(2) == 0, DrainGrace: 250, PollWithin: 10000,
+func simulationSettings(w *simulation) policy.Settings {
+	return policy.Settings{Schedulers: 3, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 1 + w.randomInt(4), MaxRetryAfter: 1000,
+		SendsRetryAfter: true, MayCancel: w.randomInt(2) == 0, MayHedge: w.randomInt(2) == 0, DrainGrace: 250, PollWithin: 10000,
 		SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: 5,
 		Classes: []policy.Class{{Name: "safe", LatencyObjective: 200, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "keyed", LatencyObjective: 300, Deadline: 2000, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500},
@@ -164,15 +166,15 @@
 			{Name: "capped", Rate: 20, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 40, LimitBurst: 60}}}
 }
 
-// ending is what became of one request.
-type ending struct {
-	r        *core.Request
-	by       time.Time
-	answered chan core.Answer
-	departed bool
+// outcome is what became of one request.
+type outcome struct {
+	request   *core.Request
+	deadline  time.Time
+	answered  chan core.Answer
+	cancelled bool
 }
 
-func TestEachRequestEndsOnce(t *testing.T) {
+func TestEachRequestGetsExactlyOneAnswer(t *testing.T) {
 	var quiet [2]int
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -186,9 +188,9 @@
 		seed := rapid.Uint64().Draw(rt, "seed")
 		faults := rapid.Float64Range(0.2, 1).Draw(rt, "faults")
 		synctest.Test(t, func(t *testing.T) {
-			w := &simulation{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), quiet: quiet, faults: faults,
+			w := &simulation{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), idleSockets: quiet, faults: faults,
 				nodes: map[address.Addr]*simulatedNode{}}
-			w.play(kinds)
+			w.run(kinds)
 		})
 	})
 	for _, k := range []core.AnswerKind{core.Served, core.Rejected, core.Failed} {
@@ -198,14 +200,16 @@
 	}
 }
 
-func (w *simulation) play(kinds map[core.AnswerKind]int) {
+func (w *simulation) run(kinds map[core.AnswerKind]int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: int64(4 + w.upTo(20)),
-		FreeConnWait: w.within(30 * time.Millisecond), dial: w.dial}
-	set := endsSettings(w)
-	co, err := core.New(core.Options{Settings: set, Seed: int64(w.upTo(1 << 30)), Log: log,
-		NewNodeClient: func(name string, to []address.Addr) core.NodeClient { return crowdedModule{d.Connect(name, to), w} }})
+	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: int64(4 + w.randomInt(20)),
+		FreeConnWait: w.randomDuration(30 * time.Millisecond), dial: w.dial}
+	set := simulationSettings(w)
+	co, err := core.New(core.Options{Settings: set, Seed: int64(w.randomInt(1 << 30)), Log: log,
+		NewNodeClient: func(name string, to []address.Addr) core.NodeClient {
+			return sometimesFullClient{d.Connect(name, to), w}
+		}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -214,56 +218,56 @@
 		a, _ := address.Parse(fmt.Sprintf("10.0.0.%d:1", i+1))
 		n := core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i % set.Shards, Weight: 1}, Addresses: []address.Addr{a}}
 		list = append(list, n)
-		w.nodes[a] = &simulatedNode{w: w, silence: w.within(8 * time.Second)}
+		w.nodes[a] = &simulatedNode{sim: w, silentFrom: w.randomDuration(8 * time.Second)}
 	}
 	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
-	var all []*ending
+	var all []*outcome
 	for i := range 300 {
-		time.Sleep(w.within(30 * time.Millisecond))
-		switch w.upTo(25) {
+		time.Sleep(w.randomDuration(30 * time.Millisecond))
+		switch w.randomInt(25) {
 		case 0: // a change of the list, or word that there is none
-			n := list[w.upTo(len(list))]
-			n.State = policy.NodeState(w.upTo(3))
+			n := list[w.randomInt(len(list))]
+			n.State = policy.NodeState(w.randomInt(3))
 			co.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
 		case 1:
-			co.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.upTo(3):]})
+			co.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.randomInt(3):]})
 		case 2:
 			co.UpdateList(core.ListUpdate{Kind: policy.ListFailed})
 		}
-		c := set.Classes[w.upTo(len(set.Classes))]
+		c := set.Classes[w.randomInt(len(set.Classes))]
 		id := fmt.Sprintf("%016x", i)
-		e := &ending{answered: make(chan core.Answer, 2)}
-		e.r = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.upTo(2)].Name, Key: id,
-			Volume: fmt.Sprint("v", w.upTo(5)), Units: float64(1 + w.upTo(6)), Shard: w.upTo(set.Shards+1) - 1, Schedulers: 1},
-			ReceivedAt: time.Now(), Timeout: w.within(time.Duration(c.Deadline) * time.Millisecond),
+		e := &outcome{answered: make(chan core.Answer, 2)}
+		e.request = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.randomInt(2)].Name, Key: id,
+			Volume: fmt.Sprint("v", w.randomInt(5)), Units: float64(1 + w.randomInt(6)), Shard: w.randomInt(set.Shards+1) - 1, Schedulers: 1},
+			ReceivedAt: time.Now(), Timeout: w.randomDuration(time.Duration(c.Deadline) * time.Millisecond),
 			Payload: &nodeRequest{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
 			Answer: func(a core.Answer) {
-				if late := time.Since(e.by); late > 0 {
+				if late := time.Since(e.deadline); late > 0 {
 					w.t.Errorf("%s was answered %v after its client gave up", id, late)
 				}
-				w.over.Store(id, time.Now())
+				w.endedAt.Store(id, time.Now())
 				e.answered <- a
 			}}
-		e.by = e.r.ReceivedAt.Add(e.r.Timeout)
+		e.deadline = e.request.ReceivedAt.Add(e.request.Timeout)
 		all = append(all, e)
-		co.Submit(e.r)
-		if old := all[w.upTo(len(all))]; w.upTo(12) == 0 && len(old.answered) == 0 && !old.departed {
-			old.departed = true
-			w.over.LoadOrStore(old.r.ID, time.Now())
-			co.Cancel(old.r)
+		co.Submit(e.request)
+		if old := all[w.randomInt(len(all))]; w.randomInt(12) == 0 && len(old.answered) == 0 && !old.cancelled {
+			old.cancelled = true
+			w.endedAt.LoadOrStore(old.request.ID, time.Now())
+			co.Cancel(old.request)
 		}
 	}
 	time.Sleep(10 * time.Second) // past every deadline, and every attempt's
 	for _, e := range all {
 		switch got := len(e.answered); {
-		case got > 1 || got == 0 && !e.departed:
-			w.t.Errorf("%s: %d answers", e.r.ID, got)
+		case got > 1 || got == 0 && !e.cancelled:
+			w.t.Errorf("%s: %d answers", e.request.ID, got)
 		case got == 1:
 			a := <-e.answered
 			kinds[a.Kind]++
 			if a.Kind == core.Served {
-				if body := string(a.Payload.(*nodeResponse).body); body != "of "+e.r.ID {
-					w.t.Errorf("%s was served %q", e.r.ID, body)
+				if body := string(a.Payload.(*nodeResponse).body); body != "of "+e.request.ID {
+					w.t.Errorf("%s was served %q", e.request.ID, body)
 				}
 			}
 		}
