--- a/internal/httpfront/addresses_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -26,11 +26,11 @@
 
 const ms = time.Millisecond
 
-// addressHarness is a stand-in node on a socket file, ::1 and 127.0.0.1, and a peer of it.
+// addressHarness is a fake node on a Unix socket, ::1 and 127.0.0.1, and a client of it.
 type addressHarness struct {
 	t         *testing.T
 	node      *fakenode.Node
-	addresses []address.Addr // as preferred
+	addresses []address.Addr // in order of preference
 	dialer    *Dialer
 	client    core.NodeClient
 	hook      *logtest.Hook
@@ -38,7 +38,7 @@
 	gate      atomic.Pointer[chan struct{}]
 }
 
-// withoutSuspicion are settings by which no pause of the machine makes an address suspect.
+// withoutSuspicion returns settings with which no stall of the machine makes an address suspect.
 func withoutSuspicion() address.Settings {
 	s := withShortTimes()
 	s.MinSuspectAfter, s.MaxSuspectAfter, s.SecondOpinionAfter = time.Minute, 2*time.Minute, time.Minute
@@ -46,7 +46,7 @@
 	return s
 }
 
-// withShortTimes are settings for tests that wait for a suspicion or a back-off.
+// withShortTimes returns settings for tests that wait for a suspicion or a backoff.
 func withShortTimes() address.Settings {
 	s := address.Defaults()
 	s.MinSuspectAfter, s.MaxSuspectAfter = 150*ms, 600*ms
@@ -61,7 +61,7 @@
 	r.node = fakenode.New(fakenode.Options{Name: "n", Shard: 0, Workers: 64, Identity: "X-Node",
 		Service: func(*fasthttp.Request) (took time.Duration) {
 			if g := r.gate.Load(); g != nil {
-				<-*g // until the test lets it go on
+				<-*g // until the test releases it
 			}
 			if len(slow) > 0 {
 				took = slow[0]
@@ -79,7 +79,7 @@
 		r.addresses = append(r.addresses, a)
 	}
 	r.dialer = dialer()
-	r.dialer.ConnectTimeout = time.Minute // no verdict is of the machine's speed
+	r.dialer.ConnectTimeout = time.Minute // so that no result depends on the machine's speed
 	r.dialer.Idempotent = map[string]bool{"balance-read": true}
 	var log *logrus.Logger
 	log, r.hook = logtest.NewNullLogger()
@@ -103,7 +103,7 @@
 const recordText = "PUT /new-record/x?shard=0 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %[1]s\r\nIdempotency-Key: k%[1]s\r\nTier: basic\r\n" +
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nContent-Length: 1\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\nx"
 
-// send starts an attempt of a new request and returns its id and its result to come.
+// send starts an attempt of a new request and returns its id and the channel of its result.
 func (r *addressHarness) send(text string, until time.Duration) (string, chan core.Result) {
 	r.t.Helper()
 	id := fmt.Sprint("q", r.count.Add(1))
@@ -118,12 +118,12 @@
 	got := make(chan core.Result, 4)
 	a := core.NewAttempt(q, time.Now().Add(until), func(x core.Result) { got <- x })
 	if !r.client.Send(a) {
-		r.t.Fatal("not sent")
+		r.t.Fatal("attempt was not accepted")
 	}
 	return id, got
 }
 
-// expectServed sends a request that must be served and tells by which address.
+// expectServed sends a request that must be served, and returns the address that it used.
 func (r *addressHarness) expectServed(text string) address.Addr {
 	r.t.Helper()
 	id, got := r.send(text, time.Minute)
@@ -137,11 +137,11 @@
 	return all[0].By
 }
 
-// readUntil plays reads until a condition holds.
+// readUntil sends reads until the address of one satisfies a condition.
 func (r *addressHarness) readUntil(what string, ok func(address.Addr) bool) {
 	r.t.Helper()
 	for range 20000 {
-		id, got := r.send(readText, 400*ms) // some are caught on the way
+		id, got := r.send(readText, 400*ms) // some hang on a faulty address
 		x := <-got
 		if x.Status != policy.OK {
 			time.Sleep(ms)
@@ -152,16 +152,16 @@
 		}
 		time.Sleep(ms)
 	}
-	r.t.Fatal(what, ": it never came to it")
+	r.t.Fatal(what, ": condition was not met in time")
 }
 
-// Requests go by the preferred address on one kept connection, each executed once, and by the
-// next one when it refuses; it is returned to after it is back.
+// Requests use the preferred address over one reused connection and are executed once each. If the address refuses
+// connections the next one is used, and the preferred one again after it has recovered.
 func TestAddressesAreUsedInOrderOfPreference(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	for range 20 {
 		if by := r.expectServed(recordText); by != r.addresses[0] {
-			t.Fatalf("went by %v", by)
+			t.Fatalf("request used address %v", by)
 		}
 	}
 	if c := r.node.Counts(); c.Conns != 1 || c.Ran != 20 {
@@ -170,52 +170,51 @@
 	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NoSocket} {
 		r.set(0, f)
 		if by := r.expectServed(recordText); by == r.addresses[0] {
-			t.Errorf("%v: went by %v", f, by)
+			t.Errorf("%v: request used address %v", f, by)
 		}
 		r.set(0, fakenode.None)
-		r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
+		r.readUntil("return to the preferred address", func(by address.Addr) bool { return by == r.addresses[0] })
 		if i == 0 {
-			r.set(1, fakenode.Refused) // the next one is at fault as well: the third serves
+			r.set(1, fakenode.Refused) // the second address fails as well, and the third serves
 			r.set(0, fakenode.Refused)
 			if by := r.expectServed(recordText); by != r.addresses[2] {
-				t.Errorf("went by %v", by)
+				t.Errorf("request used address %v", by)
 			}
 			r.set(1, fakenode.None)
 			r.set(0, fakenode.None)
-			r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
+			r.readUntil("return to the preferred address", func(by address.Addr) bool { return by == r.addresses[0] })
 		}
 	}
 }
 
-// An address accepts and hangs: the one caught there ends by its own time limit and runs
-// nowhere else; the others go by the next address, and the hung one is tried again by reads
-// alone, one connection at a time.
+// An address accepts connections and hangs. The request that is written there ends at its own deadline and runs nowhere
+// else. The others use the next address, and only reads probe the hung address, on one connection at a time.
 func TestAddressAcceptsAndHangs(t *testing.T) {
 	r := newAddressHarness(t, withShortTimes())
 	r.expectServed(readText)
 	r.set(0, fakenode.Hang)
-	caught, got := r.send(recordText, 3*time.Second)
-	r.readUntil("the next address", func(by address.Addr) bool { return by == r.addresses[1] })
-	tried := r.node.Accepted(r.addresses[0])
+	hanging, got := r.send(recordText, 3*time.Second)
+	r.readUntil("switch to the next address", func(by address.Addr) bool { return by == r.addresses[1] })
+	accepted := r.node.Accepted(r.addresses[0])
 	for range 50 {
-		r.expectServed(recordText) // never by the hung one
+		r.expectServed(recordText) // writes never use the hung address
 	}
-	for r.node.Accepted(r.addresses[0]) < tried+2 {
-		_, got := r.send(readText, 300*ms) // some are caught in trials
+	for r.node.Accepted(r.addresses[0]) < accepted+2 {
+		_, got := r.send(readText, 300*ms) // some are trials of the hung address
 		<-got
-		if open := r.node.Open(r.addresses[0]); open > 1+1 { // the caught one, and one under trial
+		if open := r.node.Open(r.addresses[0]); open > 1+1 { // the hanging write and one trial
 			t.Fatalf("%d connections to the hung address", open)
 		}
 	}
-	if x := <-got; x.Status != policy.TimedOut || len(r.node.Arrivals(caught)) != 0 {
-		t.Errorf("caught: %+v, came %v", x, r.node.Arrivals(caught))
+	if x := <-got; x.Status != policy.TimedOut || len(r.node.Arrivals(hanging)) != 0 {
+		t.Errorf("write on the hung address: %+v, arrived %v", x, r.node.Arrivals(hanging))
 	}
 	r.set(0, fakenode.None)
-	r.readUntil("the way back", func(by address.Addr) bool { return by == r.addresses[0] })
+	r.readUntil("return to the preferred address", func(by address.Addr) bool { return by == r.addresses[0] })
 }
 
-// What was written and never answered is not written again by another address, whatever else
-// the addresses do: that is for the module to decide.
+// A request that was written and got no response is not written again over another address, whatever the fault is. Retries
+// are decided by the core.
 func TestWrittenRequestIsNotResent(t *testing.T) {
 	for _, f := range []fakenode.Fault{fakenode.NoAnswer, fakenode.Half, fakenode.Reset, fakenode.Hang} {
 		r := newAddressHarness(t, withShortTimes())
@@ -230,62 +229,61 @@
 		for i, got := range results {
 			x := <-got
 			if n := len(r.node.Arrivals(ids[i])); n > 1 || r.node.Ran(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
-				t.Errorf("%v: %+v, came %d times", f, x, n)
+				t.Errorf("%v: %+v, arrived %d times", f, x, n)
 			}
 		}
 	}
 }
 
-// All addresses fail at once, then one returns: no burst of connects.
+// All addresses fail at once, then one recovers: there is no burst of dials.
 func TestAllAddressesFail(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	r.expectServed(readText)
 	for i := range r.addresses {
 		r.set(i, fakenode.Refused)
 	}
-	ends := 0
-	for ends < 300 {
+	failed := 0
+	for failed < 300 {
 		_, got := r.send(readText, time.Minute)
 		if x := <-got; x.Status == policy.OK {
-			t.Fatal("served by nobody")
+			t.Fatal("a read was served although all addresses fail")
 		}
-		ends++
+		failed++
 	}
 	r.node.Forget()
 	gate := make(chan struct{})
-	r.gate.Store(&gate) // it is back, and answers nothing yet
+	r.gate.Store(&gate) // the address accepts again and does not respond yet
 	r.set(2, fakenode.None)
-	var held chan core.Result
-	for held == nil || r.node.Counts().Requests == 0 {
+	var trial chan core.Result
+	for trial == nil || r.node.Counts().Requests == 0 {
 		_, got := r.send(recordText, time.Minute)
 		for len(got) == 0 && r.node.Counts().Requests == 0 {
 			time.Sleep(ms)
 		}
-		held = got
+		trial = got
 	}
-	for range 200 { // while the one trial is out, the others end as never ran, and connect nothing
+	for range 200 { // while the trial is in flight, other attempts end as not run and dial nothing
 		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
 			t.Errorf("%+v", x)
 		}
 	}
 	if n := r.node.Accepted(r.addresses[2]); n != 1 {
-		t.Errorf("%d connects at its return", n)
+		t.Errorf("%d connections to the recovered address, want 1", n)
 	}
 	r.gate.Store(nil)
 	close(gate)
-	if x := <-held; x.Status != policy.OK {
-		t.Errorf("the trial: %+v", x)
+	if x := <-trial; x.Status != policy.OK {
+		t.Errorf("trial ended as %+v", x)
 	}
-	r.readUntil("its return", func(by address.Addr) bool { return by == r.addresses[2] })
+	r.readUntil("use of the recovered address", func(by address.Addr) bool { return by == r.addresses[2] })
 	if id, _ := r.node.MostRuns(); id > 1 {
 		t.Errorf("%d executions of one request", id)
 	}
 }
 
-// A port that another node has taken over makes the address wrong: what it turns away is told
-// as nobody's word, so that the node is not taken for full. With a header that says the name
-// the first answer tells.
+// Another node has taken over the port of an address. Its rejections are reported as Abandoned, so that the right node is not
+// considered full. With an identity header the first response suffices to detect this.
 func TestAddressTakenOverByAnotherNode(t *testing.T) {
 	for _, identity := range []string{"", "X-Node"} {
 		r := newAddressHarness(t, withShortTimes())
@@ -295,7 +293,7 @@
 		r.set(0, fakenode.Refused)
 		r.set(0, fakenode.Other)
 		full, abandoned := 0, 0
-		r.readUntil("another way", func(by address.Addr) bool { return by == r.addresses[1] })
+		r.readUntil("switch to another address", func(by address.Addr) bool { return by == r.addresses[1] })
 		for r.node.Counts().Turned < 12 && identity == "" || abandoned == 0 {
 			_, got := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
@@ -305,7 +303,7 @@
 				abandoned++
 			case policy.OK:
 				if string(x.Payload.(*nodeResponse).body) == "" {
-					t.Error("empty")
+					t.Error("served with an empty body")
 				}
 			}
 			if abandoned > 2 {
@@ -313,22 +311,22 @@
 			}
 		}
 		if full > 4 || identity != "" && full > 0 {
-			t.Errorf("identity %q: told full %d times", identity, full)
+			t.Errorf("identity %q: reported as full %d times", identity, full)
 		}
 		r.set(0, fakenode.None)
-		r.readUntil("its own node again", func(by address.Addr) bool { return by == r.addresses[0] })
+		r.readUntil("return to the first address", func(by address.Addr) bool { return by == r.addresses[0] })
 	}
 }
 
-// A drain while connects race: all that waits ends, nothing is written, and what comes up late
-// is closed.
+// The node drains while several dials race: all waiting attempts end, nothing is written, and connections that are
+// established late are closed.
 func TestDrainDuringConnectRace(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
-	held := make(chan struct{})
+	release := make(chan struct{})
 	var waiting atomic.Int64
 	r.dialer.dial = func(_ context.Context, a address.Addr, _ time.Duration) (transport.Stream, address.Reason, error) {
 		waiting.Add(1)
-		<-held // it comes up late, whatever happens meanwhile
+		<-release // succeeds late, whatever happens in the meantime
 		return transport.Dial(context.Background(), a, time.Minute)
 	}
 	var results []chan core.Result
@@ -345,23 +343,23 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	close(held)
+	close(release)
 	for r.node.Counts().Conns < int(waiting.Load()) {
 		time.Sleep(ms)
 	}
 	for r.node.Open(r.addresses[0])+r.node.Open(r.addresses[1])+r.node.Open(r.addresses[2]) > 0 {
-		time.Sleep(ms) // late winners are closed, or this never ends
+		time.Sleep(ms) // loops until connections that were established late are closed
 	}
 	_, got := r.send(recordText, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed || r.node.Counts().Requests != 0 {
-		t.Errorf("%+v, %d came", x, r.node.Counts().Requests)
+		t.Errorf("while draining: %+v, %d requests arrived", x, r.node.Counts().Requests)
 	}
 	r.client.Drain(false)
 	r.expectServed(recordText)
 }
 
-// The last descriptor goes halfway through a race: the address is not blamed, and serves when
-// there are some again.
+// A dial that fails for lack of descriptors does not count against the address, which serves again once there are
+// descriptors.
 func TestNoDescriptorsForAddresses(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	var noDescriptors atomic.Bool
@@ -380,26 +378,26 @@
 	}
 	noDescriptors.Store(false)
 	if by := r.expectServed(recordText); by != r.addresses[0] {
-		t.Errorf("went by %v", by)
+		t.Errorf("request used address %v", by)
 	}
-	r.dialer.MaxConns = 1 // and the scheduler's own bound is no different
-	hold := make(chan bool)
-	go func() { r.set(0, fakenode.Hang); close(hold) }()
-	<-hold
-	_, caught := r.send(readText, 500*ms)
+	r.dialer.MaxConns = 1 // the scheduler's own connection limit has the same effect
+	done := make(chan bool)
+	go func() { r.set(0, fakenode.Hang); close(done) }()
+	<-done
+	_, hanging := r.send(readText, 500*ms)
 	_, got := r.send(recordText, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed {
 		t.Errorf("%+v", x)
 	}
-	<-caught
+	<-hanging
 	for _, e := range r.hook.AllEntries() {
 		if a := e.Data["address"]; a == r.addresses[1].String() || a == r.addresses[2].String() {
-			t.Errorf("blamed: %v", e.Data)
+			t.Errorf("address state was changed: %v", e.Data)
 		}
 	}
 }
 
-// A machine without IPv6: said once for all nodes, at no more than info, and the others serve.
+// On a machine without IPv6 this is logged once for all nodes, at level info or below, and the other addresses serve.
 func TestMachineWithoutIPv6(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	r.dialer.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
@@ -413,24 +411,24 @@
 		defer p.Close() //nolint:gocritic // all are closed at the end of the test
 		r.client = p
 		if by := r.expectServed(recordText); by != r.addresses[2] {
-			t.Errorf("went by %v", by)
+			t.Errorf("request used address %v", by)
 		}
 	}
-	said := 0
+	logged := 0
 	for _, e := range r.hook.AllEntries() {
 		if e.Data["family"] == "ipv6" {
-			said++
+			logged++
 		}
 		if e.Level < logrus.InfoLevel {
-			t.Errorf("%v %s", e.Level, e.Message)
+			t.Errorf("unexpected log line at level %v: %s", e.Level, e.Message)
 		}
 	}
-	if said != 1 {
-		t.Errorf("said %d times", said)
+	if logged != 1 {
+		t.Errorf("missing IPv6 was logged %d times, want once", logged)
 	}
 }
 
-// One address, then several, then one again, by the same peer: what is out is finished by the
+// The address list of a node client changes from one address to several and back to one. A request in flight ends on the
 // connection that carries it.
 func TestAddressListChanges(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
@@ -444,28 +442,28 @@
 	}
 	r.client.SetAddresses(r.addresses)
 	if by := r.expectServed(recordText); by != r.addresses[0] {
-		t.Errorf("went by %v", by)
+		t.Errorf("request used address %v", by)
 	}
 	r.client.SetAddresses(r.addresses[2:])
 	if by := r.expectServed(recordText); by != r.addresses[2] {
-		t.Errorf("went by %v", by)
+		t.Errorf("request used address %v", by)
 	}
 	release <- true
 	if x := <-first; x.Status != policy.OK {
-		t.Errorf("cut: %+v", x)
+		t.Errorf("request in flight during the changes ended as %+v", x)
 	}
 	one := r.dialer.Connect("o", r.addresses[2:])
 	defer one.Close()
 	r.client = one
 	r.expectServed(recordText)
-	one.SetAddresses(r.addresses[1:2]) // one for one, without a book
+	one.SetAddresses(r.addresses[1:2]) // one address replaced by another, without a selector
 	if by := r.expectServed(recordText); by != r.addresses[1] {
-		t.Errorf("went by %v", by)
+		t.Errorf("request used address %v", by)
 	}
 }
 
-// Addresses are reordered, added and removed while requests are in flight: each gets one
-// answer, whole, and runs once.
+// Addresses are reordered, added and removed while requests are in flight: each request gets one complete response and
+// runs once.
 func TestAddressListChangesUnderLoad(t *testing.T) {
 	r := newAddressHarness(t, withShortTimes())
 	set := testSettings()
@@ -497,7 +495,7 @@
 					text = readText
 				}
 				if a := f.send(t, fmt.Sprintf(text, id)); a.StatusCode() != 200 || string(a.Body()) != id {
-					t.Errorf("%s: %d %q", id, a.StatusCode(), a.Body())
+					t.Errorf("%s: status %d, body %q", id, a.StatusCode(), a.Body())
 				}
 				if n := r.node.Ran(id); n != 1 {
 					t.Errorf("%s: ran %d times", id, n)
@@ -510,7 +508,7 @@
 	changes.Wait()
 }
 
-// newFront is a whole path to the routed node, by a module of these settings.
+// newFront returns a server and a core with the given settings for the harness's node.
 func (r *addressHarness) newFront(set policy.Settings, conns int) (*frontHarness, *core.Core) {
 	r.t.Helper()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: r.dialer.Connect, Log: r.dialer.Log})
@@ -530,13 +528,13 @@
 	return f, c
 }
 
-// A record in doubt, half of whose answer came: within 2.5 s of its first byte it goes again, in
-// the end by another address, and its key runs once; after that it never goes again, though the
-// time left and the attempts would allow it; and one that may not be repeated never does.
+// Half of the response to a write arrives, so it may have run. Within 2.5 s of its first byte the write is retried, eventually
+// over another address, and its key is executed once. Later it is not retried, although deadline and attempts would allow
+// it. A non-idempotent write is never retried.
 func TestUnansweredWriteIsRetriedWithinDedupWindow(t *testing.T) {
 	for _, x := range []struct {
 		class string
-		after time.Duration // that its node took
+		after time.Duration // service time of the first attempt
 		again bool
 	}{{"new-record", 0, true}, {"new-record", 2600 * ms, false}, {"once", 0, false}} {
 		r := newAddressHarness(t, withShortTimes())
@@ -561,26 +559,26 @@
 		close(gate)
 		code, all := <-done, r.node.Arrivals("d")
 		if r.node.Ran("d") != 1 || r.node.RanKey("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
-			t.Errorf("%+v: %d, %+v", x, code, all)
+			t.Errorf("%+v: status %d, arrivals %+v", x, code, all)
 		}
-		// One break of a kept connection says nothing of its address, so the first repeat may go there.
+		// A single break of a reused connection does not make its address suspect, so the first retry may use it again.
 		if last := all[len(all)-1]; x.again && (last.By == all[0].By || last.At.Sub(all[0].At) > 2500*ms) {
-			t.Errorf("%+v: %+v", x, all)
+			t.Errorf("%+v: last retry on the same address or after the window: %+v", x, all)
 		}
 	}
 }
 
-// All addresses are gone for so long that the node may have restarted, then one is back: the
-// work sent to it stays within what a cold node bears, over all its addresses.
+// All addresses fail for so long that the node may have restarted, then one recovers. The work sent over all addresses stays
+// within the slow start limit.
 func TestSlowStartBudgetAfterOutage(t *testing.T) {
-	r := newAddressHarness(t, withShortTimes(), 25*ms) // slow for its aim: a node that shows itself warm by quick answers is not held back
+	r := newAddressHarness(t, withShortTimes(), 25*ms) // slow for its latency objective, as slow start ends early for a node that responds fast
 	set := testSettings()
 	set.MaxAttempts, set.SlowStartUnits, set.OverloadWindow, set.OverloadMultiple, set.SlowStartShare, set.SlowStartDuration = 4, 12, 1000, 0, 0.24, 1e6
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 40, 900
 	f, _ := r.newFront(set, 400)
 	var wg sync.WaitGroup
 	var n atomic.Int64
-	ask := func() {
+	sendRead := func() {
 		wg.Go(func() {
 			text := strings.Replace(readText, "X-Deadline-Ms: 60000", "X-Deadline-Ms: 900", 1)
 			nc, err := net.Dial("tcp", f.address)
@@ -598,12 +596,12 @@
 		r.set(i, fakenode.Refused)
 	}
 	for start := time.Now(); time.Since(start) < 4500*ms; time.Sleep(10 * ms) {
-		ask()
+		sendRead()
 	}
 	r.node.Forget()
 	r.set(1, fakenode.None)
 	for start := time.Now(); time.Since(start) < 900*ms; time.Sleep(2 * ms) {
-		ask()
+		sendRead()
 	}
 	wg.Wait()
 	var first time.Time
@@ -622,7 +620,7 @@
 			}
 		}
 	})
-	if units == 0 || float64(units) > set.SlowStartUnits+set.MaxUnits { // one more at the edge of the second
-		t.Errorf("%d units in the first second of its return, and it bears %v", units, set.SlowStartUnits)
+	if units == 0 || float64(units) > set.SlowStartUnits+set.MaxUnits { // one more request may fall on the edge of the second
+		t.Errorf("%d units in the first second after recovery, limit %v", units, set.SlowStartUnits)
 	}
 }
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -10,8 +10,8 @@
 	"wheatsaddle/internal/core"
 )
 
-// BenchmarkSend is one attempt and its answer over loopback: by the path of a node with one
-// address, which has no book, and by one of three.
+// BenchmarkSend measures one attempt and its response over loopback, for a node with one address, which needs no address
+// selector, and for a node with three.
 func BenchmarkSend(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -19,7 +19,7 @@
 	"wheatsaddle/policy"
 )
 
-// newEchoNode is a storage node that answers each request with its own body, whole.
+// newEchoNode starts a storage node that responds to each request with the request's body.
 func newEchoNode(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,13 +52,13 @@
 	return ln
 }
 
-// nodeListUpdate lists the front's one node at another place.
-func nodeListUpdate(ln net.Listener) core.ListUpdate {
+// nodeListAt returns an endpoint list that moves the server's only node to another address.
+func nodeListAt(ln net.Listener) core.ListUpdate {
 	return core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(ln)}}}
 }
 
-// putRequest is a write of the given body: framed by its length or chunked, perhaps asking to be
-// told to go on.
+// putRequest returns a write request with the given body, framed by length or chunked, optionally with
+// Expect: 100-continue.
 func putRequest(id int, body []byte, chunked, expect bool) (head string, framed []byte) {
 	head = strings.Replace(validRequest, "9b1f03aa5c7e2d41", fmt.Sprintf("%016x", id), 1)
 	head = strings.TrimSuffix(head, "hello")
@@ -79,15 +79,15 @@
 	return head, b.Bytes()
 }
 
-// Many long bodies at once, more than the room holds, written in pieces cut anywhere: each
-// comes back byte for byte, or is refused at once and says when to come back; none other.
+// Many long bodies are sent at once, in pieces of random length, and exceed the body memory. Each request either gets
+// its body back unchanged, or is rejected at once with Retry-After.
 func TestLongBodiesShareBodyMemory(t *testing.T) {
 	const size, writes = 2 << 20, 12
 	f := newFront(t, respondWith(okResponse))
-	f.srv.BodyMemory = semaphore.NewWeighted(6 << 20) // three at a time
+	f.srv.BodyMemory = semaphore.NewWeighted(6 << 20) // for three bodies at a time
 	f.dialer.ConnIdle = time.Minute
 	nodes := newEchoNode(t)
-	f.srv.Core.UpdateList(nodeListUpdate(nodes))
+	f.srv.Core.UpdateList(nodeListAt(nodes))
 	var mu sync.Mutex
 	counts := map[int]int{}
 	var all sync.WaitGroup
@@ -109,7 +109,7 @@
 			defer nc.Close()
 			_, _ = io.WriteString(nc, head)
 			br := bufio.NewReader(nc)
-			if i%3 == 0 { // told to go on first
+			if i%3 == 0 { // wait for 100 Continue
 				line, _ := br.ReadString('\n')
 				_, _ = br.ReadString('\n')
 				if !strings.HasPrefix(line, "HTTP/1.1 100") {
@@ -117,7 +117,7 @@
 					return
 				}
 			}
-			go func() { // in pieces of any length, with pauses
+			go func() { // in pieces of random length, with pauses
 				for rest := framed; len(rest) > 0; {
 					n := min(len(rest), 1+rng.IntN(300000))
 					if _, err := nc.Write(rest[:n]); err != nil {
@@ -139,7 +139,7 @@
 			case r.StatusCode() == 200 && !bytes.Equal(r.Body(), body):
 				t.Errorf("%d: %d bytes came back, not the %d sent", i, len(r.Body()), size)
 			case r.StatusCode() == 503 && len(r.Header.Peek("Retry-After")) == 0:
-				t.Errorf("%d: refused without saying when to come back", i)
+				t.Errorf("%d: rejected without Retry-After", i)
 			case r.StatusCode() != 200 && r.StatusCode() != 503:
 				t.Errorf("%d: %d %q", i, r.StatusCode(), r.Body())
 			}
@@ -147,16 +147,16 @@
 	}
 	all.Wait()
 	if counts[200] == 0 {
-		t.Fatalf("none served: %v", counts)
+		t.Fatalf("no request was served: %v", counts)
 	}
 	if !f.srv.BodyMemory.TryAcquire(6 << 20) {
-		t.Fatal("the room is not all free once every write has its answer")
+		t.Fatal("body memory is not all released after every write was answered")
 	}
-	t.Logf("answers: %v", counts)
+	t.Logf("responses by status: %v", counts)
 }
 
-// A client that sends its body slowly but steadily, at 64 kB a second in pieces, is read to the
-// end, past the time a whole request once had; one that stands still within its body is cut off.
+// A body that arrives slowly but steadily, at 64 kB per second in pieces, is read to its end, even if that takes longer than
+// readTimeout. A body that stalls is answered with status 408 and the connection is closed.
 func TestSlowAndStalledBodies(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	f.srv.BodyMemory = semaphore.NewWeighted(1 << 20)
@@ -176,14 +176,14 @@
 	}
 	var r fasthttp.Response
 	if err := r.Read(bufio.NewReader(nc)); err != nil || r.StatusCode() != 200 {
-		t.Fatalf("a steady body: %d %v", r.StatusCode(), err)
+		t.Fatalf("steady body: status %d, %v", r.StatusCode(), err)
 	}
 	short, shortFramed := putRequest(2, body[:30], false, false)
 	for _, x := range []struct {
 		head   string
 		framed []byte
 		cut    int
-	}{{short, shortFramed, 10}, {head, framed, 100 << 10}} { // within what the server reads first, and past it
+	}{{short, shortFramed, 10}, {head, framed, 100 << 10}} { // within the part that fasthttp reads, and after it
 		still, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
@@ -193,15 +193,15 @@
 		_, _ = still.Write(x.framed[:x.cut])
 		r.Reset()
 		if err := r.Read(bufio.NewReader(still)); err != nil || r.StatusCode() != 408 || !r.ConnectionClose() {
-			t.Fatalf("a body that stands still after %d bytes: %d %v", x.cut, r.StatusCode(), err)
+			t.Fatalf("body that stalls after %d bytes: status %d, %v", x.cut, r.StatusCode(), err)
 		}
 	}
 }
 
-// A body that its client cuts off, within what the server reads first and past it, by length and
-// chunked, is an error: it never goes on as if it were whole.
+// A truncated body is an error and is never taken for a complete one, whether it ends within the part that fasthttp reads or
+// after it, with Content-Length and chunked.
 func TestTruncatedBodiesAreErrors(t *testing.T) {
-	got := make(chan int, 1) // bytes taken for whole, -1: an error
+	got := make(chan int, 1) // length of a body read without error; -1: an error
 	srv := &fasthttp.Server{StreamRequestBody: true, ReadBufferSize: maxHeadSize, MaxRequestBodySize: maxRequestBody,
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			n := -1
@@ -233,7 +233,7 @@
 				want = len(body)
 			}
 			if n := <-got; n != want {
-				t.Errorf("cut behind %d of %d bytes, chunked %v: %d bytes taken for whole", cut, len(framed), chunked, n)
+				t.Errorf("truncated after %d of %d bytes, chunked %v: read as a body of %d bytes", cut, len(framed), chunked, n)
 			}
 			nc.Close()
 		}
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -12,8 +12,8 @@
 	"wheatsaddle/policy"
 )
 
-// What the front checks, how long it writes, and what may be repeated freely go by the settings that the core has then,
-// and a request names those that it was decoded under.
+// Request checks, write timeouts and idempotency follow the core's current settings. A decoded request refers to the settings
+// with which it was decoded.
 func TestBoundsFollowCoreSettings(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	smaller := strings.Replace(validRequest, "units=2", "units=1", 1)
@@ -24,21 +24,21 @@
 	var head fasthttp.RequestHeader
 	head.SetRequestURI("/new-record/x")
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != time.Minute+writeMargin {
-		t.Errorf("%v to write", w)
+		t.Errorf("write timeout %v", w)
 	}
-	next := testSettings()
-	next.MaxUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Idempotent, 120e3
-	if err := f.srv.Core.Reconfigure(next); err != nil {
+	changed := testSettings()
+	changed.MaxUnits, changed.Classes[1].Effect, changed.Classes[0].Deadline = 1, policy.Idempotent, 120e3
+	if err := f.srv.Core.Reconfigure(changed); err != nil {
 		t.Fatal(err)
 	}
 	if r := f.send(t, validRequest); r.StatusCode() != 400 {
-		t.Errorf("over the largest request: %d", r.StatusCode())
+		t.Errorf("request over the new limit of units: status %d", r.StatusCode())
 	}
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
 		t.Errorf("%d", r.StatusCode())
 	}
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
-		t.Errorf("%v to write", w)
+		t.Errorf("write timeout %v after the change", w)
 	}
 	d := &Dialer{Idempotent: map[string]bool{"balance-read": true}}
 	for _, x := range []struct {
@@ -49,7 +49,7 @@
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
 		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
 		if d.idempotent(r) != x.safe {
-			t.Errorf("%s: safe %v", x.class, !x.safe)
+			t.Errorf("%s: idempotent %v", x.class, !x.safe)
 		}
 	}
 	var m fasthttp.Request
--- a/internal/httpfront/closeafter_test.go
+++ b/internal/httpfront/closeafter_test.go
@@ -12,13 +12,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A server that leaves closes each connection with its answer, also one that was asked before; one on which a further
-// request waits already with the answer to that. Quiet ones are swept.
+// After CloseAfterResponses the server closes each connection with its response, including the response to a request in
+// flight. If a further request already waits on the connection, it is answered first. CloseIdle closes the idle ones.
 func TestCloseAfterResponses(t *testing.T) {
-	came, hold := make(chan bool, 2), make(chan bool)
+	arrived, release := make(chan bool, 2), make(chan bool)
 	f := newFront(t, func(nc net.Conn) bool {
-		came <- true
-		<-hold
+		arrived <- true
+		<-release
 		return respondWith(okResponse)(nc)
 	})
 	type client struct {
@@ -31,51 +31,51 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(10 * time.Second)) // one that stays open fails here
+		nc.SetDeadline(time.Now().Add(10 * time.Second)) // fails the read if the connection stays open
 		return client{nc, bufio.NewReader(nc)}
 	}
-	answered := func(what string, c client, closes bool) {
+	expectResponse := func(what string, c client, closes bool) {
 		t.Helper()
 		r := &fasthttp.Response{}
 		if err := r.Read(c.Reader); err != nil || r.StatusCode() != 200 || r.ConnectionClose() != closes {
-			t.Errorf("%s: %v %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
+			t.Errorf("%s: %v, status %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
 		}
 		if !closes {
 			return
 		}
 		if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: read after the response: %v, want EOF", what, err)
 		}
 	}
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-	open, ahead, idle, quiet := dial(), dial(), dial(), dial()
-	for _, c := range []client{idle, quiet} {
+	inFlight, pipelined, idle, neverUsedAgain := dial(), dial(), dial(), dial()
+	for _, c := range []client{idle, neverUsedAgain} {
 		_, _ = io.WriteString(c, ready)
-		answered("before", c, false)
+		expectResponse("before the change", c, false)
 	}
-	_, _ = io.WriteString(open, validRequest)
-	<-came
-	_, _ = io.WriteString(ahead, strings.Replace(validRequest, "9b1f", "0002", 1))
-	<-came
+	_, _ = io.WriteString(inFlight, validRequest)
+	<-arrived
+	_, _ = io.WriteString(pipelined, strings.Replace(validRequest, "9b1f", "0002", 1))
+	<-arrived
 	f.srv.CloseAfterResponses()
-	_, _ = io.WriteString(ahead, ready)
+	_, _ = io.WriteString(pipelined, ready)
 	f.srv.StopAccepting()
 	if n := f.srv.CloseIdle(time.Hour); n != 4 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d connections are open, want 4", n)
 	}
-	close(hold)
-	answered("open before", open, true)
-	answered("a further one waits", ahead, false)
-	answered("the further one", ahead, true)
+	close(release)
+	expectResponse("request in flight before", inFlight, true)
+	expectResponse("request with another one behind it", pipelined, false)
+	expectResponse("second request on the connection", pipelined, true)
 	_, _ = io.WriteString(idle, ready)
-	answered("idle", idle, true)
-	for f.srv.CloseIdle(0) > 0 { // its answer was read before the server called it idle
+	expectResponse("request on an idle connection", idle, true)
+	for f.srv.CloseIdle(0) > 0 { // the client may read a response before the server marks the connection idle
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := quiet.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Error(err)
+	if _, err := neverUsedAgain.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	if n := (&Server{}).CloseIdle(0); n != 0 {
-		t.Error("a server that does not serve has open ones")
+		t.Error("a server that does not serve reports open connections")
 	}
 }
--- a/internal/httpfront/codec_recorded_test.go
+++ b/internal/httpfront/codec_recorded_test.go
@@ -23,14 +23,14 @@
 var statusWords = map[policy.Status]string{policy.OK: "ok", policy.Errored: "errored", policy.NodeFull: "node-full", policy.Abandoned: "abandoned"}
 
 // The codec decodes and encodes fixed messages as recorded in testdata/codec.txt: the message to the node, the part of a
-// gathered read, the request to a peer, each rejection's status and text, the result of each answer, and the answer to the client.
+// gathered read, the request to a peer, each rejection's status and text, the result of each response, and the response to the client.
 func TestCodecIsAsRecorded(t *testing.T) {
 	var out strings.Builder
 	for i, text := range recordedRequests() {
 		fmt.Fprintf(&out, "request %d: %s\n", i, describeRequest(t, text))
 	}
-	for i, text := range recordedAnswers() {
-		fmt.Fprintf(&out, "answer %d: %s\n", i, describeAnswer(t, text))
+	for i, text := range recordedResponses() {
+		fmt.Fprintf(&out, "answer %d: %s\n", i, describeResponse(t, text))
 	}
 	for i, a := range []core.Answer{
 		{Kind: core.Served, Payload: &nodeResponse{body: []byte("abc")}}, {Kind: core.Served, Payload: &nodeResponse{}},
@@ -55,7 +55,7 @@
 	}
 	got, want := strings.Split(out.String(), "\n"), strings.Split(string(recorded), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d lines, recorded are %d", len(got), len(want))
+		t.Fatalf("%d lines, want the %d recorded ones", len(got), len(want))
 	}
 	for i := range got {
 		if got[i] != want[i] {
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordedRequests are the requests of TestInvalidRequests that the codec sees, and variants of a good one.
+// recordedRequests returns the requests of TestInvalidRequests that the codec sees, and variants of a good one.
 func recordedRequests() []string {
 	requests := []string{validRequest, strings.Replace(strings.Replace(strings.TrimSuffix(validRequest, "hello"), "PUT ", "GET ", 1), "Content-Length: 5\r\n", "", 1)}
 	for _, edit := range [][2]string{
@@ -83,23 +83,23 @@
 	return requests
 }
 
-// recordedAnswers are answers of a node with each status that the codec distinguishes, and load reports of each kind.
-func recordedAnswers() []string {
+// recordedResponses returns responses of a node with each status that the codec distinguishes, and load reports of each kind.
+func recordedResponses() []string {
 	const empty = "Content-Length: 0\r\n\r\n"
-	answers := []string{okResponse, strings.Replace(okResponse, "\r\n\r\n", "\r\nX-Gather-Limited: 1\r\n\r\n", 1)}
+	responses := []string{okResponse, strings.Replace(okResponse, "\r\n\r\n", "\r\nX-Gather-Limited: 1\r\n\r\n", 1)}
 	for _, status := range []string{"204 No", "400 No", "404 No", "408 No", "429 No", "500 No", "503 No", "503 No\r\nX-Not-Run: 1", "504 No\r\nX-Not-Run: 1", "500 No\r\nX-Not-Run: 1"} {
-		answers = append(answers, "HTTP/1.1 "+status+"\r\n"+empty)
+		responses = append(responses, "HTTP/1.1 "+status+"\r\n"+empty)
 	}
 	for _, load := range []string{"inflight=7,queue=2,util=0.61", "outstanding=7, backlog=2", "utilization=1", "util=much", "util=0.5,queue=-1", "other=1", "inflight=3,util=NaN", "util=1e99"} {
-		answers = append(answers, "HTTP/1.1 200 OK\r\nX-Load: "+load+"\r\n"+empty)
+		responses = append(responses, "HTTP/1.1 200 OK\r\nX-Load: "+load+"\r\n"+empty)
 	}
 	for _, figure := range []string{"0", "8 5", "-3", "NaN", "1e99", "2.5"} {
-		answers = append(answers, "HTTP/1.1 200 OK\r\nVolume-Load: "+figure+"\r\nOther-Hosts: "+figure+"\r\n"+empty)
+		responses = append(responses, "HTTP/1.1 200 OK\r\nVolume-Load: "+figure+"\r\nOther-Hosts: "+figure+"\r\n"+empty)
 	}
-	return answers
+	return responses
 }
 
-// describeRequest writes what the codec makes of a request of a client.
+// describeRequest describes how the codec decodes a client's request.
 func describeRequest(t *testing.T, text string) string {
 	t.Helper()
 	var message fasthttp.Request
@@ -123,8 +123,8 @@
 		PartPayload(r, part, 9).(*nodeRequest).encode(nil, time.Microsecond), peer.String())
 }
 
-// describeAnswer writes what the codec makes of an answer of a node.
-func describeAnswer(t *testing.T, text string) string {
+// describeResponse describes how the codec decodes a node's response.
+func describeResponse(t *testing.T, text string) string {
 	t.Helper()
 	var message fasthttp.Response
 	if err := message.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
--- a/internal/httpfront/connclose_test.go
+++ b/internal/httpfront/connclose_test.go
@@ -20,7 +20,7 @@
 
 const readyText = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// frontClient is a client's connection; one that is not answered fails after a while.
+// frontClient is a client connection with a deadline, after which a missing response fails the test.
 type frontClient struct {
 	net.Conn
 	*bufio.Reader
@@ -41,13 +41,13 @@
 	t.Helper()
 	r := &fasthttp.Response{}
 	if err := r.Read(c.Reader); err != nil || r.StatusCode() != code || r.ConnectionClose() != closes {
-		t.Fatalf("%s: %v %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
+		t.Fatalf("%s: %v, status %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
 	}
 	if !closes {
 		return
 	}
 	if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%s: after the last answer: %v", what, err)
+		t.Errorf("%s: read after the last response: %v, want EOF", what, err)
 	}
 }
 
@@ -55,7 +55,7 @@
 	return strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1)
 }
 
-// pipelinedRequests are requests that come in one piece: the server reads all with the first.
+// pipelinedRequests returns several requests that are sent in one piece, so that the server reads all of them with the first.
 func pipelinedRequests(count int) string {
 	var b strings.Builder
 	for i := range count {
@@ -64,30 +64,30 @@
 	return b.String()
 }
 
-// Requests that were read with the one that is open are answered: when the server stops, when it leaves, and at the cap.
-// The last answer closes the connection.
+// Pipelined requests that were read together with the one in flight are answered when the server shuts down, when it closes
+// connections after responses, and at the connection cap. The last response closes the connection.
 func TestPipelinedRequestsAreAnsweredAtClose(t *testing.T) {
 	const count = 3
-	came, hold := make(chan bool, count), make(chan bool)
-	script := func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) }
-	t.Run("stops", func(t *testing.T) {
+	arrived, release := make(chan bool, count), make(chan bool)
+	script := func(nc net.Conn) bool { arrived <- true; <-release; return respondWith(okResponse)(nc) }
+	t.Run("shutdown", func(t *testing.T) {
 		f := newFront(t, script)
 		c := dialFront(t, f.address)
 		_, _ = io.WriteString(c, pipelinedRequests(count))
-		<-came
-		down := make(chan error, 1)
-		go func() { down <- f.srv.Shutdown(context.Background()) }()
-		t.Log("accepts no more:", <-f.served)
-		close(hold)
+		<-arrived
+		shutdownErr := make(chan error, 1)
+		go func() { shutdownErr <- f.srv.Shutdown(context.Background()) }()
+		t.Log("server stopped accepting:", <-f.served)
+		close(release)
 		for i := range count {
 			c.expectResponse(t, fmt.Sprint("request ", i), 200, i == count-1)
 		}
 		c.Close()
-		if err := <-down; err != nil || f.requests.Load() != count {
-			t.Errorf("%v, %d requests came to the node", err, f.requests.Load())
+		if err := <-shutdownErr; err != nil || f.requests.Load() != count {
+			t.Errorf("%v, %d requests reached the node", err, f.requests.Load())
 		}
 	})
-	t.Run("leaves", func(t *testing.T) {
+	t.Run("close after responses", func(t *testing.T) {
 		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
 		f.srv.CloseAfterResponses()
@@ -96,9 +96,9 @@
 			c.expectResponse(t, fmt.Sprint("request ", i), 200, i == count-1)
 		}
 	})
-	t.Run("cap", func(t *testing.T) {
-		end := make(chan bool)
-		f := newFront(t, func(nc net.Conn) bool { <-end; return respondWith(okResponse)(nc) })
+	t.Run("connection cap", func(t *testing.T) {
+		release := make(chan bool)
+		f := newFront(t, func(nc net.Conn) bool { <-release; return respondWith(okResponse)(nc) })
 		for i := range 50 {
 			_, _ = io.WriteString(dialFront(t, f.address), requestNumbered(100+i))
 		}
@@ -108,11 +108,11 @@
 		for i := range count {
 			c.expectResponse(t, fmt.Sprint("request ", i), 503, i == count-1)
 		}
-		close(end)
+		close(release)
 	})
 }
 
-// A request that was read with the one before outlives a sweep between the two.
+// CloseIdle between two pipelined requests does not close the connection of the second, which was already read.
 func TestCloseIdleBetweenPipelinedRequests(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,7 +136,7 @@
 	waitFor(t, func() bool { return swept.Load() == 2 })
 }
 
-// holdingListener gives out connections whose server is held, when armed, with what it has just read.
+// holdingListener accepts connections. When armed, it blocks the server right after a read, before it sees the data.
 type holdingListener struct {
 	net.Listener
 	armed    atomic.Bool
@@ -177,8 +177,8 @@
 	return err
 }
 
-// A request that has been taken from an idle connection in the moment in which the server stops, and that the server
-// does not know of yet, is answered.
+// A request is read from an idle connection while the server shuts down, before the server notices the data. It is
+// answered.
 func TestRequestReadDuringShutdownIsAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,34 +188,34 @@
 	f := newFrontOn(t, holder, dialer(), respondWith(okResponse))
 	c := dialFront(t, f.address)
 	_, _ = io.WriteString(c, readyText)
-	c.expectResponse(t, "before", 200, false)
+	c.expectResponse(t, "before the shutdown", 200, false)
 	var others []frontClient // all idle connections are closed in one go
 	for range 10 {
 		other := dialFront(t, f.address)
 		_, _ = io.WriteString(other, readyText)
-		other.expectResponse(t, "another", 200, false)
+		other.expectResponse(t, "other connection", 200, false)
 		others = append(others, other)
 	}
 	holder.armed.Store(true)
 	_, _ = io.WriteString(c, validRequest)
 	<-holder.readDone
-	down := make(chan error, 1)
-	go func() { down <- f.srv.Shutdown(context.Background()) }()
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- f.srv.Shutdown(context.Background()) }()
 	for _, other := range others {
 		if _, err := other.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("the crossing was not reached: %v", err)
+			t.Fatalf("idle connection was not closed by the shutdown: %v", err)
 		}
 	}
 	close(holder.release)
-	c.expectResponse(t, "taken while it stopped", 200, true)
+	c.expectResponse(t, "read during the shutdown", 200, true)
 	c.Close()
-	if err := <-down; err != nil {
+	if err := <-shutdownErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// A request of which a part was read when the server stops is read to its end and answered, on a new connection as on
-// one that was used.
+// A request that was partly read when the server shuts down is read to its end and answered, on a new connection and
+// on a reused one.
 func TestPartialRequestAtShutdownIsAnswered(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -229,33 +229,33 @@
 		for _, each := range []frontClient{c, idle} {
 			if used || each == idle {
 				_, _ = io.WriteString(each, readyText)
-				each.expectResponse(t, "before", 200, false)
+				each.expectResponse(t, "before the shutdown", 200, false)
 			}
 		}
 		holder.armed.Store(true)
 		_, _ = io.WriteString(c, validRequest[:40])
-		<-holder.readDone // the part was read
-		down := make(chan error, 1)
-		go func() { down <- f.srv.Shutdown(context.Background()) }()
+		<-holder.readDone // the first part was read
+		shutdownErr := make(chan error, 1)
+		go func() { shutdownErr <- f.srv.Shutdown(context.Background()) }()
 		if _, err := idle.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("the crossing was not reached: %v", err)
+			t.Fatalf("idle connection was not closed by the shutdown: %v", err)
 		}
 		_, _ = io.WriteString(c, validRequest[40:])
-		c.expectResponse(t, "in pieces", 200, true)
+		c.expectResponse(t, "request in two pieces", 200, true)
 		c.Close()
 		idle.Close()
-		if err := <-down; err != nil {
+		if err := <-shutdownErr; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A client that sends all of its request before it reads gets the refusal of a request whose body is not read, and no
-// reset.
+// A client that sends its whole request before it reads gets the rejection of a request whose body is not read, and no
+// connection reset.
 func TestRejectionWithUnreadBodyIsNotReset(t *testing.T) {
 	for what, head := range map[string]string{
-		"a body too long":        strings.Replace(validRequest, "Length: 5", fmt.Sprint("Length: ", maxRequestBody+1), 1),
-		"a head that is no head": strings.Replace(validRequest, "Tier: basic", "Tier basic", 1),
+		"body too long":  strings.Replace(validRequest, "Length: 5", fmt.Sprint("Length: ", maxRequestBody+1), 1),
+		"malformed head": strings.Replace(validRequest, "Tier: basic", "Tier basic", 1),
 	} {
 		f := newFront(t, respondWith(okResponse))
 		c := dialFront(t, f.address)
@@ -263,21 +263,21 @@
 			t.Fatal(err)
 		}
 		_, _ = io.WriteString(c, head)
-		if _, err := io.WriteString(c, strings.Repeat("the rest ", 200<<10)); err != nil { // more than the system holds
+		if _, err := io.WriteString(c, strings.Repeat("the rest ", 200<<10)); err != nil { // more than the socket buffers hold
 			t.Fatalf("%s: %v", what, err)
 		}
 		r := &fasthttp.Response{}
 		if err := r.Read(c.Reader); err != nil || r.StatusCode()/100 != 4 || !r.ConnectionClose() {
-			t.Errorf("%s: %v %d", what, err, r.StatusCode())
+			t.Errorf("%s: %v, status %d", what, err, r.StatusCode())
 		}
 		if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: after the answer: %v", what, err)
+			t.Errorf("%s: read after the response: %v, want EOF", what, err)
 		}
 	}
 }
 
-// Idle clients several times the cap, and requests whose clients are gone at once, keep neither the readiness probe nor a
-// request from its answer, nor the front from dialling its node.
+// Idle clients far above the connection cap, and requests whose clients disconnect at once, prevent neither readiness checks
+// and requests from being answered, nor the server from dialling its node.
 func TestIdleClientFloodLeavesCapacity(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	for range 300 {
@@ -291,7 +291,7 @@
 	}
 	probe()
 	if n := f.conns.Load(); n != 0 {
-		t.Fatalf("%d connections to the node before", n)
+		t.Fatalf("%d connections to the node before the first request", n)
 	}
 	served := dialFront(t, f.address)
 	_, _ = io.WriteString(served, validRequest)
@@ -306,5 +306,5 @@
 	waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 0 })
 	served = dialFront(t, f.address)
 	_, _ = io.WriteString(served, strings.Replace(validRequest, "9b1f", "ffff", 1))
-	served.expectResponse(t, "after the clients that went", 200, false)
+	served.expectResponse(t, "after the clients that disconnected", 200, false)
 }
--- a/internal/httpfront/connlimit_test.go
+++ b/internal/httpfront/connlimit_test.go
@@ -14,8 +14,8 @@
 	"wheatsaddle/policy"
 )
 
-// A node that holds four connections of three schedulers together. One has had a burst, and was refused
-// in it: what it holds idle it gives back, so that the others find room, and all are served from then on.
+// A node allows four connections in total to three schedulers. One scheduler had connections refused during a burst. It
+// closes its surplus idle connections, so that the others can connect and all three are served from then on.
 func TestSchedulersShareNodeAtConnectionLimit(t *testing.T) {
 	const maxConns, burst = 4, 5
 	n := fakenode.New(fakenode.Options{Name: "n", Conns: maxConns, Workers: 2 * burst,
@@ -25,13 +25,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []core.NodeClient
+	var clients []core.NodeClient
 	for range 3 {
 		d := dialer()
-		d.ConnIdle = time.Hour // nothing is closed for its age alone
+		d.ConnIdle = time.Hour // no connection is closed only for its idle time
 		p := d.Connect("n", []address.Addr{a})
 		defer p.Close() //nolint:gocritic // all are closed at the end of the test
-		all = append(all, p)
+		clients = append(clients, p)
 	}
 	sent := 0
 	send := func(p core.NodeClient) chan core.Result {
@@ -41,10 +41,10 @@
 		p.Send(a)
 		return end
 	}
-	for rejected := 0; rejected < 3; { // closed with no answer may have another cause, once or twice
+	for rejected := 0; rejected < 3; { // a close without a response may have another cause once or twice
 		var got []chan core.Result
 		for range burst {
-			got = append(got, send(all[0]))
+			got = append(got, send(clients[0]))
 		}
 		for _, end := range got {
 			if r := <-end; r.Status != policy.OK {
@@ -52,15 +52,18 @@
 			}
 		}
 	}
-	for i, p := range all {
-		tries := 0
-		waitFor(t, func() bool { tries++; return (<-send(all[0])).Status == policy.OK && (<-send(p)).Status == policy.OK })
-		t.Logf("scheduler %d: tries until it is served: %d", i, tries)
+	for i, p := range clients {
+		attempts := 0
+		waitFor(t, func() bool {
+			attempts++
+			return (<-send(clients[0])).Status == policy.OK && (<-send(p)).Status == policy.OK
+		})
+		t.Logf("scheduler %d: attempts until it is served: %d", i, attempts)
 	}
 	for range 20 {
-		for i, p := range all {
+		for i, p := range clients {
 			if r := <-send(p); r.Status != policy.OK {
-				t.Fatalf("scheduler %d: %v", i, r.Status)
+				t.Fatalf("scheduler %d: attempt ended as %v", i, r.Status)
 			}
 		}
 	}
--- a/internal/httpfront/connrace_test.go
+++ b/internal/httpfront/connrace_test.go
@@ -21,23 +21,23 @@
 	"wheatsaddle/policy"
 )
 
-// What crosses on the connections to a node, each with one side held until the other has acted.
+// Races on the connections to a node: each test pauses one side until the other one has acted.
 
-// pausableStream is a connection whose looks at its socket, and writes, a test may hold: the actor looks when it chooses the
-// connection, and the connection's goroutine right before it writes.
+// pausableStream is a connection whose socket checks and writes a test can pause. The actor checks the socket when it chooses the
+// connection, and the connection's goroutine checks it right before it writes.
 type pausableStream struct {
 	transport.Stream
 	pauser *operationPauser
 }
 
-// operationPauser hold the look or write of a number, from 1 on, over all connections of a dialer.
+// operationPauser pauses one socket check or write, counted from 1 over all connections of a dialer.
 type operationPauser struct {
 	mu        sync.Mutex
 	count     int
-	pauseAt   int                  // 0: none is held
-	paused    chan *pausableStream // told of the one that is held
-	resume    chan struct{}        // lets it go on
-	dialCount atomic.Int64         // that came up
+	pauseAt   int                  // number of the operation to pause; 0: none
+	paused    chan *pausableStream // receives the connection that is paused
+	resume    chan struct{}        // closed to let it continue
+	dialCount atomic.Int64         // number of successful dials
 }
 
 // SyscallConn implements syscall.Conn.
@@ -63,14 +63,14 @@
 	}
 }
 
-// pauseSecond holds the second one that comes from now on.
+// pauseSecond pauses the second operation from now on.
 func (l *operationPauser) pauseSecond() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pauseAt = l.count + 2
 }
 
-// newPausableDialer makes a dialer whose connections' looks may be held.
+// newPausableDialer returns a dialer whose connections can be paused.
 func newPausableDialer() (*Dialer, *operationPauser) {
 	l := &operationPauser{paused: make(chan *pausableStream, 1), resume: make(chan struct{})}
 	d := dialer()
@@ -85,7 +85,7 @@
 	return d, l
 }
 
-// idNode answers each request with its id, and keeps the connections.
+// idNode is a node that responds to each request with its id and keeps the connections open.
 type idNode struct {
 	mu       sync.Mutex
 	conns    []net.Conn // in the order of their first requests
@@ -138,14 +138,14 @@
 	return s.arrivals[id]
 }
 
-// writeUnsolicited writes on the first connection, unasked.
+// writeUnsolicited writes text to the first connection without a request.
 func (s *idNode) writeUnsolicited(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = io.WriteString(s.conns[0], text)
 }
 
-// closeFirstConn ends the first connection.
+// closeFirstConn closes the first connection.
 func (s *idNode) closeFirstConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	return r.String()
 }
 
-// attemptWithID is an attempt of a write under an id.
+// attemptWithID returns an attempt of a write request with the given id.
 func attemptWithID(t *testing.T, id string) (*core.Attempt, chan core.Result) {
 	return attemptOf(t, strings.Replace(validRequest, "9b1f03aa5c7e2d41", id, 1), inOneMinute())
 }
@@ -168,25 +168,25 @@
 	a, got := attemptWithID(t, id)
 	p.Send(a)
 	if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != id {
-		t.Fatalf("%s ended as %v", id, r.Status)
+		t.Fatalf("attempt %s ended as %v", id, r.Status)
 	}
 }
 
-// expectNothingLeft checks that a peer, once closed, holds nothing more, and that an attempt ended once.
+// expectNothingLeft checks that a node client has no open connections once it is closed, and that no attempt ended twice.
 func expectNothingLeft(t *testing.T, d *Dialer, p core.NodeClient, results ...chan core.Result) {
 	t.Helper()
 	p.Close()
 	waitFor(t, func() bool { return d.open.Load() == 0 })
 	for _, got := range results {
 		if len(got) > 0 {
-			t.Errorf("a second end: %+v", <-got)
+			t.Errorf("attempt ended twice, also as %+v", <-got)
 		}
 	}
 }
 
-// clientKinds are the two ways to one node: by its one address, and by a book of them.
+// clientKinds returns the two kinds of client of one node: with one address, and with several addresses and a selector.
 func clientKinds(d *Dialer, to []address.Addr) map[string]func() core.NodeClient {
-	twice := func() []address.Addr { // an address that is not tried while the first is good
+	twice := func() []address.Addr { // with a second address that is not used while the first one works
 		other, err := address.Parse("127.0.0.1:1")
 		if err != nil {
 			panic(err)
@@ -194,25 +194,25 @@
 		return append(to, other)
 	}
 	return map[string]func() core.NodeClient{
-		"one address": func() core.NodeClient { return d.Connect("n", to) },
-		"a book":      func() core.NodeClient { return d.Connect("n", twice()) },
+		"one address":       func() core.NodeClient { return d.Connect("n", to) },
+		"several addresses": func() core.NodeClient { return d.Connect("n", twice()) },
 	}
 }
 
-// waitForInput waits until a connection's bytes, or its end, have come.
+// waitForInput waits until bytes or the end of the connection have arrived.
 func waitForInput(t *testing.T, h *pausableStream) {
 	t.Helper()
 	waitFor(t, func() bool { return !transport.IsReusable(h.Stream) })
 }
 
-// Between the actor's choice of a kept connection and the first byte of a request, a second answer to the request
-// before comes on it, or its end, or garbage: none of it is taken for the answer, nothing was written there, and the
-// request goes by another connection, once. A drain or a cancel of that instant binds.
+// After the actor chooses an idle connection, and before the first byte of the request, a second response to the
+// previous request, garbage or the end of the connection arrives. It is not taken for the response, nothing is written
+// to the connection, and the request is sent once, over another connection.
 func TestIdleConnectionIsCheckedBeforeWrite(t *testing.T) {
 	for event, cause := range map[string]func(s *idNode){
-		"a second answer": func(s *idNode) { s.writeUnsolicited(responseWithBody("first")) },
-		"half a line":     func(s *idNode) { s.writeUnsolicited("HTTP/1.1 20") },
-		"its end":         func(s *idNode) { s.closeFirstConn() },
+		"second response": func(s *idNode) { s.writeUnsolicited(responseWithBody("first")) },
+		"partial line":    func(s *idNode) { s.writeUnsolicited("HTTP/1.1 20") },
+		"close":           func(s *idNode) { s.closeFirstConn() },
 	} {
 		for kind := range clientKinds(nil, nil) {
 			t.Run(event+"/"+kind, func(t *testing.T) {
@@ -220,7 +220,7 @@
 				d, l := newPausableDialer()
 				p := clientKinds(d, to)[kind]()
 				expectServed(t, p, "first")
-				l.pauseSecond() // past the actor's
+				l.pauseSecond() // the first check is the actor's
 				a, got := attemptWithID(t, "second")
 				p.Send(a)
 				h := <-l.paused
@@ -232,7 +232,7 @@
 					t.Errorf("ended as %+v", r)
 				}
 				if s.arrivalCount("second") != 1 || l.dialCount.Load() != 2 {
-					t.Errorf("it came %d times, by %d connections", s.arrivalCount("second"), l.dialCount.Load())
+					t.Errorf("request arrived %d times, over %d connections", s.arrivalCount("second"), l.dialCount.Load())
 				}
 				expectNothingLeft(t, d, p, got)
 			})
@@ -240,8 +240,8 @@
 	}
 }
 
-// The same instant with a cancel, a drain, the node's leaving, or another address: the attempt ends once, as one that
-// never ran where it may not go on, and nothing of it is written.
+// The chosen connection becomes unusable, and at the same time the attempt is cancelled or the node drains or is removed.
+// The attempt ends once, as one that has not run, and nothing of it is written.
 func TestUnusableConnectionWithCancelOrDrain(t *testing.T) {
 	for event, x := range map[string]struct {
 		do   func(p core.NodeClient, a *core.Attempt)
@@ -249,7 +249,7 @@
 	}{
 		"cancelled": {func(p core.NodeClient, a *core.Attempt) { p.Cancel(a) }, policy.Cancelled},
 		"drained":   {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true) }, policy.ConnectFailed},
-		"left":      {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
+		"removed":   {func(p core.NodeClient, _ *core.Attempt) { p.Drain(true); p.Close() }, policy.ConnectFailed},
 	} {
 		for kind := range clientKinds(nil, nil) {
 			t.Run(event+"/"+kind, func(t *testing.T) {
@@ -269,7 +269,7 @@
 					t.Errorf("ended as %+v", r)
 				}
 				if s.arrivalCount("second") != 0 {
-					t.Error("it was written")
+					t.Error("the attempt was written")
 				}
 				expectNothingLeft(t, d, p, got)
 			})
@@ -277,8 +277,8 @@
 	}
 }
 
-// The same instant with a change of the node's address: the attempt goes by the new one, and its connection to the old
-// one is counted out.
+// The chosen connection becomes unusable, and at the same time the node's address changes. The attempt goes to the new
+// address, and the connection to the old one is removed from the counts.
 func TestUnusableConnectionWithNewAddress(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
 		t.Run(kind, func(t *testing.T) {
@@ -296,14 +296,14 @@
 			p.SetAddresses(next)
 			close(l.resume)
 			if r := <-got; r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" || s.arrivalCount("second") != 1 {
-				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("second"))
+				t.Errorf("attempt ended as %+v, arrived %d times", r, s.arrivalCount("second"))
 			}
 			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
-// An attempt that went back from a spoilt connection waits for another, and is cancelled: it ends while that connect
+// An attempt whose connection became unusable is cancelled while it waits for the replacement. It ends although the dial
 // still hangs.
 func TestCancelWhileReplacementConnectionDials(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
@@ -318,7 +318,7 @@
 			a, got := attemptWithID(t, "second")
 			p.Send(a)
 			h := <-l.paused
-			// The actor reads it next when it has taken the attempt back.
+			// The actor next reads d.dial after it has taken the attempt back.
 			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
 				<-resume
@@ -334,8 +334,8 @@
 				if r.Status != policy.Cancelled {
 					t.Errorf("ended as %+v", r)
 				}
-			case <-time.After(10 * time.Second): // only what the cancel does not end meets it
-				t.Error("waits on for its connect")
+			case <-time.After(10 * time.Second): // expires only if the cancel does not end the attempt
+				t.Error("cancelled attempt still waits for its dial")
 			}
 			close(resume)
 			expectServed(t, p, "third")
@@ -347,7 +347,7 @@
 	}
 }
 
-// A drain that is told between the actor's choice of a connection and the first byte: nothing is written.
+// If the node starts to drain between the actor's choice of a connection and the first byte, nothing is written.
 func TestDrainBeforeFirstByte(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
 		t.Run(kind, func(t *testing.T) {
@@ -362,35 +362,35 @@
 			p.Drain(true)
 			close(l.resume)
 			if r := <-got; r.Status != policy.ConnectFailed || s.arrivalCount("second") != 0 {
-				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("second"))
+				t.Errorf("attempt ended as %+v, arrived %d times", r, s.arrivalCount("second"))
 			}
 			p.Drain(false)
 			expectServed(t, p, "third")
 			p.Drain(true)
 			p.Drain(false)
-			p.Drain(true) // in a row
+			p.Drain(true) // three changes in a row
 			b, got := attemptWithID(t, "fourth")
 			p.Send(b)
 			if r := <-got; r.Status != policy.ConnectFailed || s.arrivalCount("fourth") != 0 {
-				t.Errorf("drains again: ended as %+v, came %d times", r, s.arrivalCount("fourth"))
+				t.Errorf("draining again: attempt ended as %+v, arrived %d times", r, s.arrivalCount("fourth"))
 			}
 			expectNothingLeft(t, d, p, got)
 		})
 	}
 }
 
-// A drain that is told while connects are under way, one or a race of several: what waits for them ends at once as
-// one that never ran, and when they come up nothing is written.
+// If the node starts to drain while one or several dials are in progress, the attempts that wait for them end at once as
+// attempts that have not run, and nothing is written when the dials succeed.
 func TestDrainDuringSlowDials(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
 		t.Run(kind, func(t *testing.T) {
 			s, to := newIDNode(t)
 			d, l := newPausableDialer()
-			d.ConnectTimeout = time.Hour // what ends does so for the drain
+			d.ConnectTimeout = time.Hour // so that only the drain ends the attempts
 			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				begun <- true
-				<-resume // comes up late, whoever has given it up
+				<-resume // succeeds late, even if it was cancelled
 				return dial(context.Background(), a, wait)
 			}
 			p := clientKinds(d, to)[kind]()
@@ -408,8 +408,8 @@
 					if r.Status != policy.ConnectFailed {
 						t.Errorf("ended as %+v", r)
 					}
-				case <-time.After(10 * time.Second): // only what the drain does not end meets it
-					t.Error("waits on for a connect to a node that drains")
+				case <-time.After(10 * time.Second): // expires only if the drain does not end the attempt
+					t.Error("attempt still waits for a dial to a draining node")
 				}
 			}
 			close(resume)
@@ -417,14 +417,14 @@
 			p.Drain(false)
 			expectServed(t, p, "after")
 			if n := s.arrivalCount("one") + s.arrivalCount("another"); n != 0 {
-				t.Errorf("%d were written", n)
+				t.Errorf("%d attempts were written", n)
 			}
 			expectNothingLeft(t, d, p, results...)
 		})
 	}
 }
 
-// newLongWrite is a write of more than the machine holds between two ends of a connection.
+// newLongWrite returns an attempt of a write that is larger than the socket buffers.
 func newLongWrite(t *testing.T) (*core.Attempt, chan core.Result, int) {
 	const size = 32 << 20
 	a, got := attempt(t, time.Now().Add(8*time.Second))
@@ -433,7 +433,7 @@
 	return a, got, size
 }
 
-// newSlowReader accepts one connection, and reads of it when it is told to.
+// newSlowReader returns a node that accepts connections and passes them to the test, which reads from them.
 func newSlowReader(t *testing.T) (to []address.Addr, accepted chan *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -449,8 +449,8 @@
 	return addressesOf(ln), accepted
 }
 
-// A repeat whose node takes it so slowly that its last byte would come after the time in which it is known for a
-// repeat: that byte is never written, and the attempt ends as one that never ran.
+// A node reads a retry so slowly that its last byte would be written after the deduplication window. That byte is
+// never written, and the attempt ends as one that has not run.
 func TestLastByteOfRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
 		t.Run(kind, func(t *testing.T) {
@@ -464,11 +464,11 @@
 			defer nc.Close()
 			br := bufio.NewReader(nc)
 			if _, err := br.Peek(1); err != nil {
-				t.Fatal("it was not begun: ", err)
+				t.Fatal("the write has not begun: ", err)
 			}
-			time.Sleep(time.Until(a.StartBy) + time.Millisecond) // the node reads on only now
+			time.Sleep(time.Until(a.StartBy) + time.Millisecond) // the node continues to read only now
 			if n, _ := io.Copy(io.Discard, br); n >= int64(size) {
-				t.Errorf("%d bytes came", n)
+				t.Errorf("%d bytes arrived, want less than the whole request", n)
 			}
 			if r := <-got; r.Status != policy.Abandoned {
 				t.Errorf("ended as %+v", r)
@@ -478,13 +478,13 @@
 	}
 }
 
-// A write over 64 KiB whose connection is reset after a part of it has come: its last byte was never written, so it
-// never ran. After the whole of it, it may have.
+// A write over 64 KiB whose connection is reset after a part of it has arrived has not run, as its last byte was never
+// written. If the reset follows the whole write, it may have run.
 func TestLongWriteIsReset(t *testing.T) {
 	for name, x := range map[string]struct {
 		whole bool
 		want  policy.Status
-	}{"a part": {false, policy.ConnectFailed}, "the whole": {true, policy.ConnectionReset}} {
+	}{"part": {false, policy.ConnectFailed}, "whole": {true, policy.ConnectionReset}} {
 		t.Run(name, func(t *testing.T) {
 			to, accepted := newSlowReader(t)
 			d := dialer()
@@ -493,7 +493,7 @@
 			p.Send(a)
 			nc := <-accepted
 			br := bufio.NewReader(nc)
-			part := int64(128 << 10)
+			readSize := int64(128 << 10)
 			if x.whole {
 				for line := ""; line != "\r\n"; {
 					var err error
@@ -501,9 +501,9 @@
 						t.Fatal(err)
 					}
 				}
-				part = int64(size)
+				readSize = int64(size)
 			}
-			if n, err := io.CopyN(io.Discard, br, part); err != nil {
+			if n, err := io.CopyN(io.Discard, br, readSize); err != nil {
 				t.Fatalf("%d bytes: %v", n, err)
 			}
 			_ = nc.SetLinger(0)
@@ -516,8 +516,8 @@
 	}
 }
 
-// How an answer ends, and whether the connection carries the next: by its own framing alone, never by the
-// connection's end.
+// The framing of a response alone determines where it ends and whether the connection is reused, never the end of the
+// connection.
 func TestResponseFraming(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	chunked := edit("Content-Length: 3", "Transfer-Encoding: chunked")
@@ -533,20 +533,20 @@
 		want  policy.Status
 		again bool
 	}{
-		"no length, stays open":     {edit("Content-Length: 3\r\n", ""), stays, policy.ConnectionReset, false},
-		"no length, its end":        {edit("Content-Length: 3\r\n", ""), ends, policy.ConnectionReset, false},
-		"no length, a reset":        {edit("Content-Length: 3\r\n", ""), resets, policy.ConnectionReset, false},
-		"no length, close, its end": {edit("Content-Length: 3", "Connection: close"), ends, policy.ConnectionReset, false},
-		"HTTP/1.0":                  {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
-		"close and a length":        {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
-		"half a head, a reset":      {okResponse[:40], resets, policy.ConnectionReset, false},
-		"half a body, a reset":      {okResponse[:len(okResponse)-1], resets, policy.ConnectionReset, false},
-		"chunks and trailers":       {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
-		"chunks, no last one":       {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
-		"chunks, then garbage":      {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
-		"chunks, then an answer":    {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
-		"more than its length":      {okResponse + "d", stays, policy.OK, false},
-		"an interim one alone":      {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.ConnectionReset, false},
+		"no length, stays open":                {edit("Content-Length: 3\r\n", ""), stays, policy.ConnectionReset, false},
+		"no length, closed":                    {edit("Content-Length: 3\r\n", ""), ends, policy.ConnectionReset, false},
+		"no length, reset":                     {edit("Content-Length: 3\r\n", ""), resets, policy.ConnectionReset, false},
+		"no length, Connection: close, closed": {edit("Content-Length: 3", "Connection: close"), ends, policy.ConnectionReset, false},
+		"HTTP/1.0":                             {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
+		"close and a length":                   {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
+		"half a head, reset":                   {okResponse[:40], resets, policy.ConnectionReset, false},
+		"half a body, reset":                   {okResponse[:len(okResponse)-1], resets, policy.ConnectionReset, false},
+		"chunks and trailers":                  {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
+		"chunks without the last one":          {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
+		"chunks, then garbage":                 {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
+		"chunks, then a response":              {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
+		"more than its length":                 {okResponse + "d", stays, policy.OK, false},
+		"interim response only":                {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.ConnectionReset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newFakeNode(t, func(nc net.Conn) bool {
@@ -564,14 +564,14 @@
 			}
 			sendOne(t, p)
 			if again := n.conns.Load() == 1; again != x.again {
-				t.Errorf("%d connections for two", n.conns.Load())
+				t.Errorf("%d connections for two attempts", n.conns.Load())
 			}
 			expectNothingLeft(t, d, p)
 		})
 	}
 }
 
-// writeRecorder notes how long the writes on a connection are.
+// writeRecorder records the lengths of the writes on a connection.
 type writeRecorder struct {
 	transport.Stream
 	mu      *sync.Mutex
@@ -586,8 +586,8 @@
 	return s.Stream.Write(p)
 }
 
-// The head of a long write goes out before its body is touched: the time left that it tells, and the look at the drain,
-// are of its first byte. A body of up to 64 KiB goes out with it.
+// The head of a long write is sent before its body is copied, so that the stated remaining time and the check for a drain
+// apply to the first byte. A body of up to 64 KiB is sent together with the head.
 func TestLongWriteSendsHeadFirst(t *testing.T) {
 	for size, writes := range map[int]int{maxBufferedBody: 1, maxBufferedBody + 1: 2, 8 << 20: 2} {
 		n := newFakeNode(t, respondWith(okResponse))
@@ -606,20 +606,20 @@
 		if r := <-got; r.Status != policy.OK {
 			t.Errorf("%d bytes: ended as %+v", size, r)
 		}
-		if came := n.last.Load().Body(); string(came) != body {
-			t.Errorf("%d of %d bytes came", len(came), size)
+		if arrived := n.last.Load().Body(); string(arrived) != body {
+			t.Errorf("%d of %d bytes arrived", len(arrived), size)
 		}
 		mu.Lock()
 		if len(list) != writes || writes > 1 && list[0] > maxHeadSize {
-			t.Errorf("%d bytes: written as %v", size, list)
+			t.Errorf("%d bytes: written in pieces of %v bytes", size, list)
 		}
 		mu.Unlock()
 		expectNothingLeft(t, d, p, got)
 	}
 }
 
-// A connect to an address that has been replaced meanwhile fails: this says nothing of the new one, to which the attempt
-// that waits for it goes.
+// A dial fails after its address has been replaced. This does not count against the new address, and the waiting attempt
+// goes there.
 func TestDialToReplacedAddressFails(t *testing.T) {
 	for kind := range clientKinds(nil, nil) {
 		t.Run(kind, func(t *testing.T) {
@@ -643,7 +643,7 @@
 			p.SetAddresses(next)
 			close(resume)
 			if r := <-got; r.Status != policy.OK || s.arrivalCount("first") != 1 {
-				t.Errorf("ended as %+v, came %d times", r, s.arrivalCount("first"))
+				t.Errorf("attempt ended as %+v, arrived %d times", r, s.arrivalCount("first"))
 			}
 			expectNothingLeft(t, d, p, got)
 		})
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -19,8 +19,8 @@
 	"wheatsaddle/policy"
 )
 
-// The time that an attempt tells its node is what is left at its first byte, however late its connection came up and
-// however long it waited for it.
+// The deadline that an attempt states to its node is the time remaining at its first byte, however long its dial or its wait
+// for a connection took.
 func TestSentDeadlineIsRemainingTimeAtFirstByte(t *testing.T) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sentDeadlines := make(chan int, 2)
 		d := dialer()
-		d.FreeConnWait = time.Hour // the second waits for the connection of the first
+		d.FreeConnWait = time.Hour // the second attempt waits for the connection of the first
 		d.dial = func(context.Context, address.Addr, time.Duration) (transport.Stream, address.Reason, error) {
 			time.Sleep(dialTime)
 			ours, theirs := net.Pipe()
@@ -69,12 +69,12 @@
 		}
 		for _, got := range results {
 			if r := <-got; r.Status != policy.OK {
-				t.Fatalf("ended as %+v", r)
+				t.Fatalf("attempt ended as %+v", r)
 			}
 		}
 		for i, want := range []time.Duration{timeout - dialTime, timeout - dialTime - serviceTime} {
 			if left := <-sentDeadlines; left != int(want.Milliseconds()) {
-				t.Errorf("attempt %d told %d ms, want %d", i, left, want.Milliseconds())
+				t.Errorf("attempt %d stated %d ms remaining, want %d", i, left, want.Milliseconds())
 			}
 		}
 		p.Close()
--- a/internal/httpfront/disconnect_test.go
+++ b/internal/httpfront/disconnect_test.go
@@ -24,11 +24,11 @@
 	"wheatsaddle/policy"
 )
 
-// A request is lost whose attempt begins after its client has gone. Each test holds the attempt, or the core, at the named
-// place until the server has seen the client go; a request of another client then passes the same way, and is the only one
-// that comes to the node.
+// An attempt must not be written after its client has disconnected. Each test blocks the attempt, or the core, at a certain
+// point until the server has noticed the disconnect. Then a request of another client takes the same path, and must be the
+// only one that reaches the node.
 
-// disconnectHarness is a front whose connections to its node, and the first bytes written on them, wait to be let go.
+// disconnectHarness is a server whose dials, writes and socket checks on connections to the node can be blocked.
 type disconnectHarness struct {
 	*frontHarness
 	t            *testing.T
@@ -36,13 +36,13 @@
 	dials        *barrier
 	writes       *barrier
 	socketChecks *barrier
-	lastIdle     *list.Element // of the dialer's idle connections, as last seen
+	lastIdle     *list.Element // first of the dialer's idle connections, as last seen
 }
 
-// barrier stops who passes, if it is shut, until it is opened.
+// barrier blocks the callers of pass while it is closed.
 type barrier struct {
 	closed  atomic.Bool
-	reached chan bool // one came
+	reached chan bool // receives a value for each blocked caller
 	opened  chan struct{}
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// gatedStream is a connection to a node.
+// gatedStream is a connection to a node whose writes and socket checks pass barriers.
 type gatedStream struct {
 	transport.Stream
 	harness *disconnectHarness
@@ -124,50 +124,50 @@
 	return nc
 }
 
-// writeRequest writes the request of an id.
+// writeRequest writes a request with the given id.
 func writeRequest(nc net.Conn, id int) {
 	_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", id), 1))
 }
 
-// blockCore keeps the core's actor busy until the return is called: what comes meanwhile waits in its mailbox.
+// blockCore blocks the core's actor until the returned function is called. Messages wait in its mailbox in the meantime.
 func blockCore(t *testing.T, c *core.Core) (release func()) {
-	held, let := make(chan bool), make(chan bool)
-	c.Submit(&core.Request{Request: policy.Request{Class: "none of the settings"}, Answer: func(core.Answer) { close(held); <-let }})
-	<-held
-	release = sync.OnceFunc(func() { close(let) })
+	blocked, unblock := make(chan bool), make(chan bool)
+	c.Submit(&core.Request{Request: policy.Request{Class: "none of the settings"}, Answer: func(core.Answer) { close(blocked); <-unblock }})
+	<-blocked
+	release = sync.OnceFunc(func() { close(unblock) })
 	t.Cleanup(release)
 	return release
 }
 
-// waitForDisconnects waits until the server has seen all clients go and closed their connections.
+// waitForDisconnects waits until the server has noticed that all clients disconnected and closed their connections.
 func waitForDisconnects(t *testing.T, s *Server) {
 	t.Helper()
 	waitFor(t, func() bool { return s.ln.Load().OpenCount() == 0 })
 }
 
-// checkOnlyNextClientServed has another client served, and fails if the node got any other request.
-func (l *disconnectHarness) checkOnlyNextClientServed(before int64) {
+// checkOnlyNextClientServed sends the request of another client, and fails if the node gets any other request.
+func (l *disconnectHarness) checkOnlyNextClientServed(previousRequests int64) {
 	l.t.Helper()
 	nc := l.dial()
 	defer nc.Close()
 	writeRequest(nc, 7777)
 	r := &fasthttp.Response{}
 	if err := r.Read(bufio.NewReader(nc)); err != nil || r.StatusCode() != 200 {
-		l.t.Fatalf("the next client: %v %d", err, r.StatusCode())
+		l.t.Fatalf("next client: %v, status %d", err, r.StatusCode())
 	}
-	if n := l.requests.Load() - before; n != 1 {
-		l.t.Errorf("%d requests came to the node, want that of the next client alone", n)
+	if n := l.requests.Load() - previousRequests; n != 1 {
+		l.t.Errorf("%d requests reached the node, want only that of the next client", n)
 	}
 	l.waitForNoRequests()
 }
 
-// waitForNoRequests waits until the core holds nothing of any request but guards, whose time is yet to come.
+// waitForNoRequests waits until the core holds no requests. Deduplication records remain until they expire.
 func (l *disconnectHarness) waitForNoRequests() {
 	l.t.Helper()
 	waitFor(l.t, func() bool { x := l.srv.Core.TableSizes(); return x.Requests == 0 && x.Module == 0 })
 }
 
-// waitForIdleConn waits until an attempt's end has given its connection back since the last call, or the attempt was written after all.
+// waitForIdleConn waits until an attempt has returned its connection since the last call, or until the attempt was written.
 func (l *disconnectHarness) waitForIdleConn() {
 	l.t.Helper()
 	written := l.requests.Load()
@@ -183,24 +183,24 @@
 	})
 }
 
-// Both kinds of clients' sockets, with and without more bytes than the server reads ahead: behind those the system tells the
-// going on the one kind alone.
-func forEachClientKind(t *testing.T, do func(t *testing.T, network, ahead string)) {
+// forEachClientKind runs a test on both kinds of client sockets, with and without more input than the server reads ahead.
+// Behind unread input, the kernel reports a disconnect on only one of the kinds.
+func forEachClientKind(t *testing.T, do func(t *testing.T, network, extraInput string)) {
 	for _, network := range []string{"tcp", "unix"} {
-		for name, ahead := range map[string]string{"alone": "", "with bytes behind": strings.Repeat(validRequest, 60)} {
-			t.Run(network+" "+name, func(t *testing.T) { do(t, network, ahead) })
+		for name, extraInput := range map[string]string{"alone": "", "with bytes behind": strings.Repeat(validRequest, 60)} {
+			t.Run(network+" "+name, func(t *testing.T) { do(t, network, extraInput) })
 		}
 	}
 }
 
-// The attempt waits for a connection, and the core is too busy to hear of the going.
+// The client disconnects while the attempt waits for a dial and the core is too busy to be notified.
 func TestDisconnectDuringDial(t *testing.T) {
-	forEachClientKind(t, func(t *testing.T, network, ahead string) {
+	forEachClientKind(t, func(t *testing.T, network, extraInput string) {
 		l, _ := newDisconnectHarness(t, network)
 		l.dials.closed.Store(true)
 		nc := l.dial()
 		writeRequest(nc, 1)
-		_, _ = io.WriteString(nc, ahead)
+		_, _ = io.WriteString(nc, extraInput)
 		<-l.dials.reached
 		release := blockCore(t, l.srv.Core)
 		nc.Close()
@@ -212,17 +212,17 @@
 	})
 }
 
-// The attempt is in its node's mailbox, the node's actor at work and the core too.
+// The client disconnects while the attempt is in the node's mailbox and the node's actor and the core are busy.
 func TestDisconnectWithAttemptInNodeMailbox(t *testing.T) {
-	forEachClientKind(t, func(t *testing.T, network, ahead string) {
+	forEachClientKind(t, func(t *testing.T, network, extraInput string) {
 		l, _ := newDisconnectHarness(t, network)
-		l.checkOnlyNextClientServed(0) // its connection is idle now
+		l.checkOnlyNextClientServed(0) // leaves an idle connection
 		l.waitForIdleConn()
 		l.socketChecks.closed.Store(true)
 		nc := l.dial()
 		writeRequest(nc, 1)
-		_, _ = io.WriteString(nc, ahead)
-		<-l.socketChecks.reached // the actor looks at the connection that it would give
+		_, _ = io.WriteString(nc, extraInput)
+		<-l.socketChecks.reached // the actor checks the connection that it is about to assign
 		release := blockCore(t, l.srv.Core)
 		nc.Close()
 		waitForDisconnects(t, l.srv)
@@ -233,14 +233,15 @@
 	})
 }
 
-// Between the attempt's beginning and its first byte: the cancel closes the connection, and the byte is not written.
+// The client disconnects between the start of the attempt and its first byte: the cancel closes the connection, and the byte is
+// not written.
 func TestDisconnectBeforeFirstByte(t *testing.T) {
-	forEachClientKind(t, func(t *testing.T, network, ahead string) {
+	forEachClientKind(t, func(t *testing.T, network, extraInput string) {
 		l, closed := newDisconnectHarness(t, network)
 		l.writes.closed.Store(true)
 		nc := l.dial()
 		writeRequest(nc, 1)
-		_, _ = io.WriteString(nc, ahead)
+		_, _ = io.WriteString(nc, extraInput)
 		<-l.writes.reached
 		nc.Close()
 		waitFor(t, func() bool { return len(closed) > 0 })
@@ -249,10 +250,10 @@
 	})
 }
 
-// The request waits in its queue for a node; one comes after the client has gone, before or after word of the going. The word alone
-// ends the request.
+// The client disconnects while the request is queued without an available node. A node becomes available before or after the core
+// is notified of the disconnect. The notification alone ends the request.
 func TestDisconnectWhileQueued(t *testing.T) {
-	forEachClientKind(t, func(t *testing.T, network, ahead string) {
+	forEachClientKind(t, func(t *testing.T, network, extraInput string) {
 		for _, notified := range []bool{false, true} {
 			l, _ := newDisconnectHarness(t, network)
 			list := func(state policy.NodeState) {
@@ -262,7 +263,7 @@
 			list(policy.NodeDraining)
 			nc := l.dial()
 			writeRequest(nc, 1)
-			_, _ = io.WriteString(nc, ahead)
+			_, _ = io.WriteString(nc, extraInput)
 			waitFor(t, func() bool { return l.srv.Core.OpenRequests() == 1 })
 			release := func() {}
 			if !notified {
@@ -281,18 +282,18 @@
 	})
 }
 
-// A part of a body has come: nothing of the request is known to the core, whether the server's library reads its first bytes or
-// the front the rest. The core would count a request of a plan that it does not know.
+// The client disconnects after part of the body: the core never sees the request, whether fasthttp was reading the first part of
+// the body or the server the rest. A request with an unknown plan shows this, as the core would count it as failed.
 func TestDisconnectDuringRequestBody(t *testing.T) {
-	with := func(header, body string) string {
+	edit := func(header, body string) string {
 		return strings.NewReplacer("Content-Length: 5", header, "hello", body).Replace(validRequest)
 	}
-	of := strings.Repeat("x", maxBufferedBody)
+	bufferedPart := strings.Repeat("x", maxBufferedBody)
 	for what, text := range map[string]string{
 		"short":   validRequest[:len(validRequest)-2],
-		"long":    with(fmt.Sprint("Content-Length: ", maxBufferedBody), of[1:]),
-		"longer":  with(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), of),
-		"chunked": with("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(of), of)),
+		"long":    edit(fmt.Sprint("Content-Length: ", maxBufferedBody), bufferedPart[1:]),
+		"longer":  edit(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), bufferedPart),
+		"chunked": edit("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(bufferedPart), bufferedPart)),
 	} {
 		for _, plan := range []string{"basic", "none"} {
 			for _, network := range []string{"tcp", "unix"} {
@@ -305,7 +306,7 @@
 					waitForDisconnects(t, l.srv)
 					l.checkOnlyNextClientServed(0)
 					if n := l.srv.Core.Counters().Snapshot().Failed["new-record"]; n != 0 {
-						t.Errorf("the core counted %d requests", n)
+						t.Errorf("core counted %d failed requests, want 0", n)
 					}
 				})
 			}
@@ -313,7 +314,7 @@
 	}
 }
 
-// Many go at once while the core is busy and their attempts wait.
+// Many clients disconnect at once while the core is busy and their attempts wait for connections.
 func TestManyClientsDisconnectAtOnce(t *testing.T) {
 	const clients = 40
 	l, _ := newDisconnectHarness(t, "tcp")
@@ -337,27 +338,27 @@
 	l.checkOnlyNextClientServed(0)
 }
 
-// The parts of a gathered read are attempts like others.
+// A disconnect also cancels the parts of a gathered read before they are written.
 func TestDisconnectFromGatheredRead(t *testing.T) {
-	dials := newBarrier()
+	dialBarrier := newBarrier()
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
-		dials.pass()
+		dialBarrier.pass()
 		return transport.Dial(ctx, a, within)
 	}
 	w := newGatherHarnessOn(t, d, completeRules, fakenode.Rows{Seed: 3, Count: 10})
-	t.Cleanup(dials.release)
-	dials.closed.Store(true)
+	t.Cleanup(dialBarrier.release)
+	dialBarrier.closed.Store(true)
 	nc := w.dial()
 	w.writeRequest(nc, "GET", "balance-read/x", "basic", time.Minute, gatherAll)
-	const maxConcurrentParts = 3 // of the rules
+	const maxConcurrentParts = 3 // as in the harness's rules
 	for range maxConcurrentParts {
-		<-dials.reached
+		<-dialBarrier.reached
 	}
 	release := blockCore(t, w.core)
 	nc.Close()
 	waitForDisconnects(t, w.srv)
-	dials.release()
+	dialBarrier.release()
 	requestCount := func() (n int) {
 		for _, x := range w.nodes {
 			n += x.Counts().Requests
@@ -371,10 +372,10 @@
 	})
 	release()
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || g.err != nil {
-		t.Fatalf("the next read: %d %v", g.code, g.err)
+		t.Fatalf("next read: status %d, %v", g.code, g.err)
 	}
 	if n := requestCount(); n != gatherShards {
-		t.Errorf("%d requests came to the nodes, want the %d of the next read", n, gatherShards)
+		t.Errorf("%d requests reached the nodes, want only the %d of the next read", n, gatherShards)
 	}
 	w.waitForNoReads()
 }
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -27,7 +27,7 @@
 
 const gatherShards = 4
 
-// gatherHarness is a front over four shards with a node each.
+// gatherHarness is a server for four shards with one node each.
 type gatherHarness struct {
 	t        *testing.T
 	srv      *Server
@@ -48,10 +48,10 @@
 func newGatherHarnessOn(t *testing.T, d *Dialer, rules string, rows fakenode.Rows) *gatherHarness {
 	t.Helper()
 	w := &gatherHarness{t: t, rows: &rows, served: make(chan error, 1)}
-	set := testSettings()
-	set.MaxAttempts, set.DrainGrace = 3, 250
-	set.Plans = append(set.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
-	set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3, Effect: policy.NonIdempotent})
+	settings := testSettings()
+	settings.MaxAttempts, settings.DrainGrace = 3, 250
+	settings.Plans = append(settings.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
+	settings.Classes = append(settings.Classes, policy.Class{Name: "once", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3, Effect: policy.NonIdempotent})
 	for i := range gatherShards {
 		n := fakenode.New(fakenode.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
 		a, err := n.Listen("127.0.0.1:0")
@@ -64,7 +64,7 @@
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
-	if w.core, err = core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log}); err != nil {
+	if w.core, err = core.New(core.Options{Settings: settings, Seed: 1, NewNodeClient: d.Connect, Log: log}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.core.Stop)
@@ -73,10 +73,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := scattergather.Rules{Merge: merge, Share: 0.1, AtOnce: 3, Again: 1, Safe: true}
-	once := one
-	once.Safe = false
-	w.svc = &scattergather.Service{Core: w.core, Classes: map[string]scattergather.Rules{"balance-read": one, "once": once}, Shards: w.core.Shards,
+	idempotent := scattergather.Rules{Merge: merge, Share: 0.1, AtOnce: 3, Again: 1, Safe: true}
+	nonIdempotent := idempotent
+	nonIdempotent.Safe = false
+	w.svc = &scattergather.Service{Core: w.core, Classes: map[string]scattergather.Rules{"balance-read": idempotent, "once": nonIdempotent}, Shards: w.core.Shards,
 		PartMost: 8 << 20, PartsMost: 16, Reads: &scattergather.Gate{}, Payload: PartPayload, Body: PartBody}
 	w.svc.Reads.Set(2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	w.address = ln.Addr().String()
-	w.srv = NewServer(w.core, set, 50, log)
+	w.srv = NewServer(w.core, settings, 50, log)
 	w.srv.SetScatterGather(w.svc)
 	go func() { w.served <- w.srv.Serve(ln, 50) }()
 	t.Cleanup(func() { ln.Close() })
@@ -93,12 +93,12 @@
 
 var gatherID int
 
-// writeRequest writes a gathered read on a connection; more are further header lines.
-func (w *gatherHarness) writeRequest(nc net.Conn, method, path, plan string, patience time.Duration, more ...string) (id string) {
+// writeRequest writes a gathered read to a connection. more holds further header lines.
+func (w *gatherHarness) writeRequest(nc net.Conn, method, path, plan string, timeout time.Duration, more ...string) (id string) {
 	gatherID++
 	id = fmt.Sprint("g", gatherID)
 	fmt.Fprintf(nc, "%s /%s HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: %s\r\nCookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: %d\r\n"+
-		"IO-Info: volume=00000003b4d60021,units=2,shard=-1,hosts=1\r\n%s\r\n", method, path, id, plan, patience.Milliseconds(),
+		"IO-Info: volume=00000003b4d60021,units=2,shard=-1,hosts=1\r\n%s\r\n", method, path, id, plan, timeout.Milliseconds(),
 		strings.Join(append(more, ""), "\r\n"))
 	return id
 }
@@ -107,11 +107,11 @@
 	code   int
 	head   http.Header
 	rows   []string
-	result gjson.Result // the trailer's, or the body's
-	err    error        // of the body: it was cut
+	result gjson.Result // from the trailer or the body
+	err    error        // error of a truncated body
 }
 
-// isMissing says that shards are named as missing; on a loaded machine others may be late as well.
+// isMissing reports whether all given shards are listed as missing. On a busy machine others may be missing too.
 func (g *gatherResponse) isMissing(shards ...int64) bool {
 	for _, s := range shards {
 		if !slices.ContainsFunc(g.result.Get("missing").Array(), func(m gjson.Result) bool { return m.Int() == s }) {
@@ -147,11 +147,11 @@
 	return nc
 }
 
-func (w *gatherHarness) read(path, plan string, patience time.Duration, more ...string) gatherResponse {
+func (w *gatherHarness) read(path, plan string, timeout time.Duration, more ...string) gatherResponse {
 	w.t.Helper()
 	nc := w.dial()
 	defer nc.Close()
-	w.writeRequest(nc, "GET", path, plan, patience, more...)
+	w.writeRequest(nc, "GET", path, plan, timeout, more...)
 	return readGatherResponse(w.t, bufio.NewReader(nc))
 }
 
@@ -162,7 +162,7 @@
 	return rows
 }
 
-// waitForNoReads waits until nothing of any read is left.
+// waitForNoReads waits until the core and the service hold no reads.
 func (w *gatherHarness) waitForNoReads() {
 	w.t.Helper()
 	waitFor(w.t, func() bool { x := w.core.TableSizes(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
@@ -174,8 +174,8 @@
 	gatherAll       = "X-Gather: all"
 )
 
-// Over sockets the rows are the flat merge's, with its result in the trailer, also of long bodies and over several
-// requests of one connection; a part is asked with its shard, units and id.
+// The rows of a gathered read equal those of a flat merge, and its result is in the trailer. This holds for long bodies and for
+// several requests on one connection. Each part is requested with its shard and id.
 func TestGatheredReadMatchesFlatMerge(t *testing.T) {
 	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
 	nc := w.dial()
@@ -187,7 +187,7 @@
 		id := w.writeRequest(nc, "GET", "balance-read/x", "basic", time.Minute, "X-Gather: "+c.gather)
 		g := readGatherResponse(t, br)
 		if g.code != 200 || g.err != nil || !slices.Equal(g.rows, w.flatRows(c.shards...)) || g.result.Raw != `{"whole":true}` {
-			t.Fatalf("%s: %d %v, %d rows, %s", c.gather, g.code, g.err, len(g.rows), g.result)
+			t.Fatalf("%s: status %d, %v, %d rows, result %s", c.gather, g.code, g.err, len(g.rows), g.result)
 		}
 		for _, s := range c.shards {
 			if n := w.nodes[s].RowCounts(fmt.Sprintf("%s/%d/1", id, s)); n.Asked != 1 || n.Whole != 1 {
@@ -196,12 +196,12 @@
 		}
 	}
 	w.waitForNoReads()
-	// Without the section the fields mean nothing: the request is one of its shard.
+	// With gathered reads off, the gather fields are ignored: the request is an ordinary one.
 	w.srv.SetScatterGather(nil)
 	nc2 := w.dial()
 	w.writeRequest(nc2, "GET", "balance-read/x?shard=-1", "basic", time.Minute, gatherAll)
 	if g := readGatherResponse(t, bufio.NewReader(nc2)); g.code != 200 || len(g.rows) != 1 || len(g.head["Trailer"]) > 0 {
-		t.Errorf("off: %+v", g)
+		t.Errorf("with gathered reads off: %+v", g)
 	}
 }
 
@@ -220,7 +220,7 @@
 		more = []string{gatherAll, hdrToken + ": " + g.result.Get("token").Str}
 	}
 	if !slices.Equal(rows, w.flatRows(0, 1, 2, 3)) {
-		t.Errorf("%d rows", len(rows))
+		t.Errorf("the pages together have %d rows, not those of the flat merge", len(rows))
 	}
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll, hdrToken+": "+"AAAA"); g.code != 400 || g.result.Get("code").Str != "gather-token-bad" || g.result.Get("advice").Str == "" {
 		t.Errorf("%+v", g)
@@ -228,7 +228,7 @@
 	w.waitForNoReads()
 }
 
-// A partial result merges into the same rows as its parts.
+// Merging partial results gives the same rows as merging their parts.
 func TestGatheredPartialResultsMerge(t *testing.T) {
 	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 5, Count: 50})
 	m, err := gather.New(w.svc.Classes["balance-read"].Merge, []gather.Part{{ID: "a", Of: []string{"0", "3"}}, {ID: "b", Of: []string{"1", "2"}}})
@@ -247,7 +247,7 @@
 		if err = errors.Join(err, m.Add(part, 1, text), m.End(part, 1, nil)); err != nil || r.Trailer.Get(hdrResult) == "" {
 			t.Fatal(err, r.Trailer)
 		}
-		if nc2 := w.dial(); true { // ten rows, and word that there are more
+		if nc2 := w.dial(); true { // ten rows, and a result that says that it is limited
 			w.writeRequest(nc2, "GET", "balance-read", "basic", time.Minute, "X-Gather: "+shards, hdrPartial+": 1", hdrRows+": 10")
 			r, err := http.ReadResponse(bufio.NewReader(nc2), nil) //nolint:bodyclose // the connection closes at the end of the test
 			if err != nil {
@@ -255,7 +255,7 @@
 			}
 			begin, err := io.ReadAll(r.Body)
 			if err != nil || !bytes.HasPrefix(text, begin) || len(begin) == len(text) || !gjson.Get(r.Trailer.Get(hdrResult), "limited").Bool() {
-				t.Errorf("%v, %d of %d bytes, %s", err, len(begin), len(text), r.Trailer.Get(hdrResult))
+				t.Errorf("limited partial result: %v, %d of %d bytes, %s", err, len(begin), len(text), r.Trailer.Get(hdrResult))
 			}
 		}
 	}
@@ -268,7 +268,8 @@
 	w.waitForNoReads()
 }
 
-// What cannot be is told before the first row, with code and advice; nothing is asked.
+// An invalid gathered read fails before the first row, with code and advice, and no node gets a request. Missed deadlines and
+// rejections before the first row have their own status.
 func TestGatheredReadErrorsBeforeFirstRow(t *testing.T) {
 	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 6, Count: 10})
 	for _, c := range []struct {
@@ -295,16 +296,16 @@
 	}
 	for _, n := range w.nodes {
 		if c := n.Counts(); c.Requests > 0 {
-			t.Errorf("a node was asked: %+v", c)
+			t.Errorf("a node got a request: %+v", c)
 		}
 	}
-	// One never answers: late by its own deadline, and the part is called off.
+	// One node never responds: the read misses its deadline, and the part is cancelled.
 	w.nodes[2].SetRows(fakenode.RowFault{Late: time.Hour})
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, gatherAll); g.code != 504 && g.code != 503 || !g.isMissing(2) {
 		t.Errorf("%+v", g)
 	}
 	w.waitForNoReads()
-	// All nodes full: refused, with a time to come back.
+	// All nodes reject the parts: the read is rejected with Retry-After.
 	for _, n := range w.nodes {
 		n.Drain(true)
 	}
@@ -315,17 +316,17 @@
 	w.waitForNoReads()
 }
 
-// After the first rows: what ends with a result has it, and names the part that was cut beyond what is held of it.
+// A part that is truncated after the first rows were sent: the response ends with a result that lists the part as cut.
 func TestGatheredReadCutAfterFirstRows(t *testing.T) {
 	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, Count: 400, Pad: 400})
 	w.nodes[1].SetRows(fakenode.RowFault{After: 300, Cut: true})
-	for i, class := range []string{"balance-read", "once"} { // asked again; not safe to repeat
+	for i, class := range []string{"balance-read", "once"} { // the part is retried for the first class; the second is non-idempotent
 		g := w.read(class, "basic", time.Minute, gatherAll)
 		if g.code != 200 || g.err != nil || fmt.Sprint(g.result.Get("cut")) != "[1]" || g.result.Get("whole").Bool() || len(g.rows) < 3*400+100 {
-			t.Errorf("%s: %d %v %d rows, %s", class, g.code, g.err, len(g.rows), g.result)
+			t.Errorf("%s: status %d, %v, %d rows, result %s", class, g.code, g.err, len(g.rows), g.result)
 		}
 		if n := w.nodes[1].RowCounts(""); n.Cut != 2+i {
-			t.Errorf("%s: %+v", class, n)
+			t.Errorf("%s: the node counted %+v", class, n)
 		}
 	}
 	w.waitForNoReads()
@@ -338,7 +339,7 @@
 			for _, n := range w.nodes {
 				n.SetRows(f)
 			}
-			gone := func(count func(fakenode.RowCounts) int) (n int) {
+			sum := func(count func(fakenode.RowCounts) int) (n int) {
 				for _, x := range w.nodes {
 					n += count(x.RowCounts(""))
 				}
@@ -346,16 +347,16 @@
 			}
 			nc := w.dial()
 			w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
-			// AtOnce of them are out.
-			waitFor(t, func() bool { return gone(func(c fakenode.RowCounts) int { return c.Late + c.Stopped }) >= 3 })
+			// The allowed number of concurrent parts is in flight.
+			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Late + c.Stopped }) >= 3 })
 			nc.Close()
 			w.waitForNoReads()
-			waitFor(t, func() bool { return gone(func(c fakenode.RowCounts) int { return c.Gone }) >= 3 })
+			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Gone }) >= 3 })
 		})
 	}
 }
 
-// A slow client holds the nodes up, and holds no more than its own read; one read more than the gate allows is refused at once.
+// A slow client delays only the nodes' responses to its own read. A read above the limit of concurrent reads is rejected at once.
 func TestGatheredReadBackPressure(t *testing.T) {
 	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
 		fakenode.Rows{Seed: 8, Count: 10000, Pad: 2000})
@@ -372,11 +373,11 @@
 		}
 		return n
 	}
-	for was := -1; was != sent(); time.Sleep(100 * time.Millisecond) { // until they stand still
-		was = sent()
+	for previous := -1; previous != sent(); time.Sleep(100 * time.Millisecond) { // until no more rows are sent
+		previous = sent()
 	}
 	if whole := gatherShards * 10000; sent() > whole*3/4 {
-		t.Errorf("%d rows of %d were sent to a client that takes nothing", sent(), whole)
+		t.Errorf("%d rows of %d were sent to a client that does not read", sent(), whole)
 	}
 	w.svc.Reads.Set(1)
 	if g := w.read("balance-read", "basic", time.Minute, "X-Gather: 0"); g.code != 503 || g.head.Get("Retry-After") == "" {
@@ -384,58 +385,59 @@
 	}
 	g := readGatherResponse(t, br)
 	if g.err != nil || !g.result.Get("whole").Bool() || len(g.rows) != gatherShards*10000 {
-		t.Errorf("%v, %d rows, %s", g.err, len(g.rows), g.result)
+		t.Errorf("slow client: %v, %d rows, result %s", g.err, len(g.rows), g.result)
 	}
 	w.waitForNoReads()
 }
 
-// The volume's limit counts every part; a shard of which the only node drains or is out by hand is not read.
+// Every part counts against the rate limit of the volume. A shard whose only node is draining or excluded is not read.
 func TestGatheredReadObeysLimitsAndExclusions(t *testing.T) {
 	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 9, Count: 10})
-	// 2 units a part, 10 a second and 8 at once allowed: the parts of all reads together keep to it, and what is over is named.
+	// Each part has 2 units; 10 units per second with a burst of 8 are allowed. The parts of all reads together stay within the
+	// limit, and the parts above it are listed as missing.
 	missing := 0
 	for range 4 {
 		g := w.read("balance-read", "small", 300*time.Millisecond, gatherAll)
 		missing += len(g.result.Get("missing").Array())
 	}
 	if missing == 0 {
-		t.Error("32 units within a second or two, and nothing was missing")
+		t.Error("no part of 32 units within two seconds was missing")
 	}
 	w.waitForNoReads()
-	var at []time.Time
+	var sentAt []time.Time
 	for _, n := range w.nodes {
 		for _, a := range n.Attempts() {
-			at = append(at, a.First)
+			sentAt = append(sentAt, a.First)
 		}
 	}
-	slices.SortFunc(at, time.Time.Compare)
-	for i := range at {
-		for j := i; j < len(at); j++ {
-			if drew, may := 2*float64(j-i+1), 8+10*at[j].Sub(at[i]).Seconds(); drew > may+max(2, 0.1*may)+0.5 {
-				t.Fatalf("%v units within %v", drew, at[j].Sub(at[i]))
+	slices.SortFunc(sentAt, time.Time.Compare)
+	for i := range sentAt {
+		for j := i; j < len(sentAt); j++ {
+			if sent, allowed := 2*float64(j-i+1), 8+10*sentAt[j].Sub(sentAt[i]).Seconds(); sent > allowed+max(2, 0.1*allowed)+0.5 {
+				t.Fatalf("%v units were sent within %v", sent, sentAt[j].Sub(sentAt[i]))
 			}
 		}
 	}
-	ran := func(i int) int { return w.nodes[i].Counts().Requests }
+	requestCount := func(i int) int { return w.nodes[i].Counts().Requests }
 	w.nodeList[1].State = policy.NodeDraining
 	w.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: w.nodeList[1:2]})
 	if _, err := w.core.Exclude("n2"); err != nil {
 		t.Fatal(err)
 	}
-	was1, was2 := ran(1), ran(2)
+	before1, before2 := requestCount(1), requestCount(2)
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || !slices.Equal(g.rows, w.flatRows(0, 3)) || !g.result.Get("whole").Bool() {
 		t.Errorf("%+v", g)
 	}
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, "X-Gather: 0-3"); !g.isMissing(1, 2) {
 		t.Errorf("%+v", g)
 	}
-	if ran(1) != was1 || ran(2) != was2 {
-		t.Error("a node that drains, or is out by hand, was asked")
+	if requestCount(1) != before1 || requestCount(2) != before2 {
+		t.Error("a draining or excluded node got a request")
 	}
 	w.waitForNoReads()
 }
 
-// A server that stops answers a gathered read whole.
+// A server that shuts down completes a gathered read that is in flight.
 func TestShutdownAnswersGatheredRead(t *testing.T) {
 	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 10, Count: 300})
 	w.nodes[0].SetRows(fakenode.RowFault{After: 100, Never: true})
@@ -444,18 +446,18 @@
 	waitFor(t, func() bool { return w.nodes[0].RowCounts("").Never == 1 })
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	down := make(chan error, 1)
-	go func() { down <- w.srv.Shutdown(ctx) }()
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- w.srv.Shutdown(ctx) }()
 	select {
-	case err := <-down:
-		t.Fatalf("it went with a read open: %v", err)
+	case err := <-shutdownErr:
+		t.Fatalf("shutdown ended with a read in flight: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	w.nodes[0].SetRows(fakenode.RowFault{})
 	if g := readGatherResponse(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flatRows(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
 		t.Errorf("%+v", g.result)
 	}
-	if err := errors.Join(<-down, <-w.served); err != nil {
+	if err := errors.Join(<-shutdownErr, <-w.served); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/httpfront/headcheck_test.go
+++ b/internal/httpfront/headcheck_test.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ambiguousHeads are answers of which two readers may disagree on where they end.
+// ambiguousHeads are responses of which two parsers may disagree on where they end.
 var ambiguousHeads = map[string]string{
 	"length and encoding":   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
 	"two lengths":           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n",
@@ -25,8 +25,8 @@
 	"folded line":           "HTTP/1.1 200 OK\r\nX-A: 1\r\n b\r\nContent-Length: 2\r\n\r\n",
 }
 
-// The reason why heads are checked by hand: each library takes some of what this package does not.
-// The table of docs/design/libraries.md is this test's log (go test -v -run Doubtful).
+// fasthttp and net/http each accept some ambiguous heads, which is why checkHead checks them itself.
+// The table in docs/design/libraries.md is the log of this test (go test -v -run AmbiguousHeads).
 func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	acceptedByFasthttp, acceptedByNetHTTP := 0, 0
 	for name, text := range ambiguousHeads {
@@ -36,7 +36,7 @@
 			_, err = checkHead(lines, uniqueResponseFields)
 		}
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		var h fasthttp.ResponseHeader
 		fast := h.Read(bufio.NewReader(strings.NewReader(text))) == nil
@@ -48,14 +48,14 @@
 		if fast {
 			acceptedByFasthttp++
 		}
-		t.Logf("%-22s taken by fasthttp %v, by net/http %v, here false", name, fast, err == nil)
+		t.Logf("%-22s accepted by fasthttp %v, by net/http %v, here false", name, fast, err == nil)
 	}
 	if acceptedByFasthttp == 0 || acceptedByNetHTTP == 0 {
-		t.Errorf("fasthttp takes %d, net/http %d of them: the check by hand may go", acceptedByFasthttp, acceptedByNetHTTP)
+		t.Errorf("fasthttp accepts %d and net/http %d of the ambiguous heads: checkHead may be unnecessary", acceptedByFasthttp, acceptedByNetHTTP)
 	}
 }
 
-// BenchmarkParsers is what each part by hand costs, beside the library's.
+// BenchmarkParsers compares the parsing and encoding of this package with the libraries'.
 func BenchmarkParsers(b *testing.B) {
 	text := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: inflight=7,queue=2,util=0.61\r\nOther-Hosts: 12\r\nContent-Length: 2\r\n\r\nok")
 	lines := text[len("HTTP/1.1 200 OK\r\n") : len(text)-4]
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -33,7 +33,7 @@
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\n" +
 	"IO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nhello"
 
-// fakeNode is a storage node: each whole request goes to its script, which answers or cuts.
+// fakeNode is a fake storage node. It passes each complete request to its script, which responds or breaks the connection.
 type fakeNode struct {
 	ln       net.Listener
 	requests atomic.Int64
@@ -86,7 +86,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nVolume-Load: 85\r\nOther-Hosts: 4\r\n\r\nabc"
 
-// addressesOf is where a listener is to be found.
+// addressesOf returns the address of a listener.
 func addressesOf(ln net.Listener) []address.Addr {
 	a, err := address.Parse(ln.Addr().String())
 	if err != nil {
@@ -99,7 +99,7 @@
 	return &Dialer{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, MaxConns: 100}
 }
 
-// attempt makes an attempt and the channel of its results.
+// attempt returns an attempt and the channel of its results.
 func attempt(t testing.TB, until time.Time) (*core.Attempt, chan core.Result) {
 	t.Helper()
 	return attemptOf(t, validRequest, until)
@@ -127,7 +127,7 @@
 	t.Helper()
 	a, got := attempt(t, inOneMinute())
 	if !p.Send(a) {
-		t.Fatal("not sent")
+		t.Fatal("attempt was not accepted")
 	}
 	return <-got
 }
@@ -152,7 +152,7 @@
 		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want || n.requests.Load() != 1 {
-			t.Errorf("%s: status %d, want %d; %d requests came", name, r.Status, x.want, n.requests.Load())
+			t.Errorf("%s: status %d, want %d; %d requests arrived", name, r.Status, x.want, n.requests.Load())
 		}
 		if r.Status == policy.OK && (r.PlanUsage != 86 || r.PeerUsage != 4 || string(r.Payload.(*nodeResponse).body) != "abc") {
 			t.Errorf("%s: %+v", name, r)
@@ -161,29 +161,28 @@
 	}
 }
 
-// A chunked answer that its node cuts off, anywhere, is a failed attempt that may have run: what
-// came of it is never served as if it were whole.
+// A chunked response that the node truncates at any point ends the attempt as one that may have run. It is never served as
+// a complete response.
 func TestTruncatedChunkedResponse(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	whole := head + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n"
-	for cut := len(head); cut <= len(whole); cut++ {
-		n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, whole[:cut]); return false })
+	complete := head + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n"
+	for cut := len(head); cut <= len(complete); cut++ {
+		n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, complete[:cut]); return false })
 		p := dialer().Connect("n", addressesOf(n.ln))
 		want := policy.ConnectionReset
-		if cut == len(whole) {
+		if cut == len(complete) {
 			want = policy.OK
 		}
 		r := sendOne(t, p)
 		if r.Status != want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abcdefg" {
-			t.Errorf("cut behind %q: %+v, want status %d", whole[:cut], r, want)
+			t.Errorf("truncated after %q: %+v, want status %d", complete[:cut], r, want)
 		}
 		p.Close()
 	}
 }
 
-// What cannot be an answer made whole for its request is a failed attempt that may have run,
-// on a connection that stays open as well; a good answer is kept whatever comes with it, and
-// its connection is used again only if nothing did.
+// A malformed response ends the attempt as one that may have run, even if the connection stays open. A valid response is
+// served whatever follows it, and its connection is reused only if nothing does.
 func TestMalformedResponses(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	for _, x := range []struct {
@@ -197,7 +196,7 @@
 		{okResponse + okResponse, policy.OK, false}, {okResponse + "\x00noise", policy.OK, false},
 		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1) + okResponse, policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 9"), policy.ConnectionReset, false}, // the rest never comes
-		{okResponse[:60], policy.ConnectionReset, false},                                // nor does the end of the head
+		{okResponse[:60], policy.ConnectionReset, false},                                // the end of the head never comes
 		{edit("Content-Length: 3\r\n", ""), policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 2"), policy.ConnectionReset, false},
 		{edit("Content-Length: 3", "Content-Length: 3\r\nTransfer-Encoding: chunked"), policy.ConnectionReset, false},
@@ -219,15 +218,15 @@
 		}
 		sendOne(t, p)
 		if used := n.conns.Load() == 1; used != x.again {
-			t.Errorf("%.90q: %d connections", x.text, n.conns.Load())
+			t.Errorf("%.90q: %d connections for two attempts", x.text, n.conns.Load())
 		}
 		p.Close()
 	}
 }
 
-// A long answer is relayed, not held: its first piece comes with the outcome, the rest as it is
-// read, and its connection is used again once its last byte has passed. One that the node cuts
-// off ends with an error, so that the client can tell that it is not whole.
+// A long response is relayed instead of buffered: its first piece comes with the result, the rest is read as the client reads
+// it, and the connection is reused after the last byte. A truncated response ends with an error, so that the client
+// notices the truncation.
 func TestLongResponsesAreRelayed(t *testing.T) {
 	const size = 300 << 10
 	body := strings.Repeat("0123456789abcdef", size/16)
@@ -237,7 +236,7 @@
 		text  string
 		want  policy.Status
 		whole bool // the relay reads it to its end
-		again bool // its connection carries the next
+		again bool // its connection carries the next attempt
 	}{
 		{text, policy.OK, true, true},
 		{text[:len(text)-1], policy.OK, false, false},
@@ -253,7 +252,7 @@
 		}
 		if rep, ok := r.Payload.(*nodeResponse); ok {
 			if rep.relay == nil {
-				t.Fatalf("%.60q: held whole", x.text)
+				t.Fatalf("%.60q: buffered instead of relayed", x.text)
 			}
 			got, err := io.ReadAll(rep.relay)
 			_ = rep.relay.Close()
@@ -261,27 +260,27 @@
 				t.Errorf("%.60q: %d bytes, %v", x.text, len(got), err)
 			}
 			if err != nil && !errors.Is(err, errBodyTruncated) {
-				t.Errorf("%.60q: a cut body ends as %v", x.text, err)
+				t.Errorf("%.60q: truncated body ends with %v", x.text, err)
 			}
 		}
 		if x.again {
 			sendOne(t, p)
 			if n.conns.Load() != 1 {
-				t.Errorf("%.60q: %d connections", x.text, n.conns.Load())
+				t.Errorf("%.60q: %d connections for two attempts", x.text, n.conns.Load())
 			}
 		}
 		p.Close()
 	}
-	// Through the front: one relay after the other on one node connection, and the bytes whole.
+	// Through the server: several relays one after the other, each with the complete body.
 	f := newFront(t, respondWith(text))
 	for range 4 {
 		if r := f.send(t, validRequest); r.StatusCode() != 200 || string(r.Body()) != body {
-			t.Errorf("%d, %d bytes", r.StatusCode(), len(r.Body()))
+			t.Errorf("relayed through the server: status %d, %d bytes", r.StatusCode(), len(r.Body()))
 		}
 	}
 }
 
-// A load report or a figure on use that cannot be read is absent, never zero or fresh.
+// A malformed load report or usage figure counts as absent, never as zero.
 func TestMalformedLoadReports(t *testing.T) {
 	for _, x := range []struct {
 		used, load string
@@ -298,8 +297,8 @@
 	}
 }
 
-// A connection is used again, and one that the node closed meanwhile is not: the attempt
-// must not end as a reset for it.
+// A connection is reused, unless the node has closed it while it was idle. In that case the attempt must not end as
+// a connection reset.
 func TestStaleConnection(t *testing.T) {
 	closeAfter := make(chan bool, 3)
 	n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse); return <-closeAfter })
@@ -309,9 +308,9 @@
 	closeAfter <- false
 	sendOne(t, p)
 	if c := n.conns.Load(); c != 1 {
-		t.Errorf("%d connections for two attempts in turn", c)
+		t.Errorf("%d connections for two consecutive attempts", c)
 	}
-	<-n.ended // the node has closed it
+	<-n.ended // the node has closed the connection
 	closeAfter <- true
 	if r := sendOne(t, p); r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
@@ -329,13 +328,13 @@
 	}
 }
 
-// What waits in a mailbox when its node drains is not written.
+// An attempt that is in the node's mailbox when the node starts to drain is not written.
 func TestDrainAppliesToMailbox(t *testing.T) {
 	n := newFakeNode(t, respondWith(okResponse))
 	p := dialer().Connect("n", addressesOf(n.ln))
 	p.Drain(true)
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed || n.requests.Load() != 0 {
-		t.Errorf("status %d, %d came", r.Status, n.requests.Load())
+		t.Errorf("status %d, %d requests reached the draining node", r.Status, n.requests.Load())
 	}
 	p.Drain(false)
 	if r := sendOne(t, p); r.Status != policy.OK {
@@ -343,11 +342,11 @@
 	}
 }
 
-// A cancelled or timed-out attempt closes its connection: nothing may come over it later.
+// A cancelled or timed-out attempt closes its connection, so that a late response cannot arrive on it.
 func TestCancelledAttemptClosesConnection(t *testing.T) {
-	came, closed := make(chan bool, 4), make(chan bool, 4)
+	arrived, closed := make(chan bool, 4), make(chan bool, 4)
 	n := newFakeNode(t, func(nc net.Conn) bool {
-		came <- true
+		arrived <- true
 		var b [1]byte
 		_, err := nc.Read(b[:])
 		closed <- err != nil
@@ -356,7 +355,7 @@
 	p := dialer().Connect("n", addressesOf(n.ln))
 	a, got := attempt(t, inOneMinute())
 	p.Send(a)
-	<-came
+	<-arrived
 	p.Cancel(a)
 	if r := <-got; r.Status != policy.Cancelled || !<-closed {
 		t.Errorf("cancelled: %+v", r)
@@ -369,14 +368,14 @@
 	a, got = attempt(t, time.Now().Add(-time.Second))
 	p.Send(a)
 	if r := <-got; r.Status != policy.Abandoned {
-		t.Errorf("too late: %+v", r)
+		t.Errorf("sent after its deadline: %+v", r)
 	}
 }
 
-// With the descriptors used up an attempt ends as one that never ran, and nothing breaks.
+// At the connection limit an attempt ends as one that has not run, and the busy connection is not affected.
 func TestConnectionBudget(t *testing.T) {
-	hold := make(chan bool)
-	n := newFakeNode(t, func(nc net.Conn) bool { <-hold; _, _ = io.WriteString(nc, okResponse); return true })
+	release := make(chan bool)
+	n := newFakeNode(t, func(nc net.Conn) bool { <-release; _, _ = io.WriteString(nc, okResponse); return true })
 	d := dialer()
 	d.MaxConns = 1
 	p := d.Connect("n", addressesOf(n.ln))
@@ -385,13 +384,13 @@
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed {
 		t.Errorf("status %d", r.Status)
 	}
-	close(hold)
+	close(release)
 	if r := <-got; r.Status != policy.OK {
 		t.Errorf("status %d", r.Status)
 	}
 }
 
-// frontHarness is a server, its core and one node.
+// frontHarness is a server with its core and one fake node.
 type frontHarness struct {
 	*fakeNode
 	srv     *Server
@@ -400,7 +399,7 @@
 	dialer  *Dialer
 }
 
-// testSettings are settings with long times: no test may pass because somebody's ran out.
+// testSettings returns settings with long times, so that no test passes because a timeout expired.
 func testSettings() policy.Settings {
 	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, Shards: 8, MaxAttempts: 1, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 		Classes: []policy.Class{{Name: "balance-read", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3},
@@ -418,18 +417,18 @@
 
 func newFrontOn(t *testing.T, ln net.Listener, d *Dialer, do script) *frontHarness {
 	n := newFakeNode(t, do)
-	set := testSettings()
+	settings := testSettings()
 	var log *logrus.Logger
 	log, _ = logtest.NewNullLogger()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: d.Connect, Log: log})
+	c, err := core.New(core.Options{Settings: settings, Seed: 1, NewNodeClient: d.Connect, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
 	c.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(n.ln)}}})
 	t.Cleanup(func() { ln.Close() })
-	f := &frontHarness{fakeNode: n, srv: NewServer(c, set, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
-	f.srv.http.ReadTimeout = time.Hour // no test may pass because somebody's time ran out
+	f := &frontHarness{fakeNode: n, srv: NewServer(c, settings, 50, log), address: ln.Addr().String(), served: make(chan error, 1), dialer: d}
+	f.srv.http.ReadTimeout = time.Hour // so that no test passes because a timeout expired
 	go func() { f.served <- f.srv.Serve(ln, 50) }()
 	return f
 }
@@ -462,14 +461,14 @@
 		}
 	}
 	if string(q.Header.Method()) != "PUT" || string(q.Header.RequestURI()) != "/new-record/x?y=1" || string(q.Body()) != "hello" {
-		t.Errorf("passed on as %s", q)
+		t.Errorf("forwarded as %s", q)
 	}
 	if r := f.send(t, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode() != 200 {
 		t.Errorf("ready: %d", r.StatusCode())
 	}
 }
 
-// Bad input never reaches a node and never ends the program.
+// Invalid requests are rejected, never reach a node and never crash the program.
 func TestInvalidRequests(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	edit := func(old, new string) string { return strings.Replace(validRequest, old, new, 1) }
@@ -491,7 +490,7 @@
 		{edit("PUT ", "GET "), 400},
 		{edit("Content-Length: 5", "Content-Length: 40000000") + strings.Repeat("x", 69995), 413},
 		{"nonsense\r\n\r\n", 400},
-		// what could hide another request, or leave it open which of two counts
+		// requests that could smuggle in another one, or whose fields are ambiguous
 		{edit("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n" + validRequest, 400},
 		{edit("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5"), 400},
 		{edit("Content-Length: 5", "Content-Length: 5\r\ncontent-length: 5"), 400},
@@ -512,14 +511,15 @@
 		}
 	}
 	if n := f.requests.Load(); n != 0 {
-		t.Errorf("%d reached the node", n)
+		t.Errorf("%d requests reached the node", n)
 	}
 }
 
-// Clients that say nothing, half of something or ask once and stay cannot keep another out.
+// Clients that send nothing, half a request, or stay connected after one request do not prevent another client from being
+// served.
 func TestSilentClients(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
-	for i := range 120 { // the cap is 50
+	for i := range 120 { // the connection cap is 50
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
@@ -537,7 +537,7 @@
 	}
 }
 
-// A refusal is a 503 that says when to come back; a failure is neither 429 nor 503.
+// A rejection is a 503 with Retry-After; a failure is neither 429 nor 503.
 func TestRejectionAndFailureStatus(t *testing.T) {
 	f := newFront(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := f.send(t, validRequest)
@@ -546,19 +546,19 @@
 	}
 	f = newFront(t, func(net.Conn) bool { return false })
 	if r := f.send(t, validRequest); r.StatusCode() != 502 {
-		t.Errorf("a write in doubt: %d", r.StatusCode())
+		t.Errorf("write that may have run: status %d", r.StatusCode())
 	}
 	f = newFront(t, respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"))
 	if r := f.send(t, validRequest); r.StatusCode() != 400 {
-		t.Errorf("turned away as bad: %d", r.StatusCode())
+		t.Errorf("request that the node found invalid: status %d", r.StatusCode())
 	}
 }
 
-// The client's going is seen while the node still works, and the attempt is called off.
+// When the client disconnects while the node works on its request, the attempt is cancelled.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	came, closed := make(chan bool, 1), make(chan bool, 1)
+	arrived, closed := make(chan bool, 1), make(chan bool, 1)
 	f := newFront(t, func(nc net.Conn) bool {
-		came <- true
+		arrived <- true
 		_, err := nc.Read(make([]byte, 1))
 		closed <- err != nil
 		return false
@@ -568,24 +568,24 @@
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(nc, validRequest)
-	<-came
+	<-arrived
 	nc.Close()
 	if !<-closed {
-		t.Error("the attempt goes on")
+		t.Error("attempt was not cancelled")
 	}
 	if nc, err = net.Dial("tcp", f.address); err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(nc, validRequest)
-	<-came
-	_, _ = io.WriteString(nc, strings.Repeat(validRequest, 100)) // more than is read ahead: bytes wait when it goes
+	<-arrived
+	_, _ = io.WriteString(nc, strings.Repeat(validRequest, 100)) // more than is read ahead, so that input is unread when the client disconnects
 	nc.Close()
 	if !<-closed {
-		t.Error("the attempt of one who sent much and went goes on")
+		t.Error("attempt was not cancelled with unread input on the connection")
 	}
 }
 
-// A request sent ahead of an answer is served after it, the watch having taken none of it.
+// Pipelined requests are all served: watching for a disconnect consumes none of their bytes.
 func TestPipelinedRequests(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	nc, err := net.Dial("tcp", f.address)
@@ -600,52 +600,52 @@
 	for i := range 20 {
 		r := &fasthttp.Response{}
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 {
-			t.Fatalf("%d: %v %d", i, err, r.StatusCode())
+			t.Fatalf("request %d: %v, status %d", i, err, r.StatusCode())
 		}
 	}
 }
 
-// Shutdown answers what was taken before it returns, and sends on nothing that it reads later: what a
-// client sent ahead is not read any more, and the close over it takes no answer with it.
+// Shutdown answers the requests in flight before it returns, and forwards none that arrive later. Further pipelined requests
+// are not read, and closing the connection with unread input does not lose the response.
 func TestShutdownAnswersAcceptedRequests(t *testing.T) {
-	came, hold := make(chan bool, 1), make(chan bool)
-	f := newFront(t, func(nc net.Conn) bool { came <- true; <-hold; return respondWith(okResponse)(nc) })
+	arrived, release := make(chan bool, 1), make(chan bool)
+	f := newFront(t, func(nc net.Conn) bool { arrived <- true; <-release; return respondWith(okResponse)(nc) })
 	nc, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	_, _ = io.WriteString(nc, validRequest)
-	<-came
-	for i := range 100 { // more than is read ahead: bytes are unread at the close
+	<-arrived
+	for i := range 100 { // more than is read ahead, so that input is unread at the close
 		_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
-	down := make(chan error, 1)
-	go func() { down <- f.srv.Shutdown(context.Background()) }()
-	t.Log("accepts no more:", <-f.served)
-	close(hold)
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- f.srv.Shutdown(context.Background()) }()
+	t.Log("server stopped accepting:", <-f.served)
+	close(release)
 	br := bufio.NewReader(nc)
 	r := &fasthttp.Response{}
 	if err := r.Read(br); err != nil || string(r.Body()) != "abc" || !r.ConnectionClose() {
 		t.Errorf("%v %q", err, r)
 	}
 	if err := r.Read(br); err == nil {
-		t.Errorf("another answer: %s", r)
+		t.Errorf("second response: %s", r)
 	}
-	if err := <-down; err != nil || f.requests.Load() != 1 {
-		t.Errorf("%v, %d requests came to the node", err, f.requests.Load())
+	if err := <-shutdownErr; err != nil || f.requests.Load() != 1 {
+		t.Errorf("%v, %d requests reached the node", err, f.requests.Load())
 	}
 }
 
-// While the program stops, what would take the last free connection is refused, so that
-// clients, who open no more, find one for what comes next; what is out stays out.
+// After ReserveIdleConns a request that would use the last idle connection is rejected, because clients open no new
+// connections to a stopping program. Requests in flight are not affected.
 func TestReserveIdleConns(t *testing.T) {
-	came, hold := make(chan bool, 2), make(chan bool)
+	arrived, release := make(chan bool, 2), make(chan bool)
 	var f *frontHarness
 	f = newFront(t, func(nc net.Conn) bool {
 		if f.requests.Load() <= 2 {
-			came <- true
-			<-hold
+			arrived <- true
+			<-release
 		}
 		return respondWith(okResponse)(nc)
 	})
@@ -662,14 +662,14 @@
 		runtime.Gosched()
 	}
 	f.srv.ReserveIdleConns()
-	ask := func(i int) {
+	writeRequest := func(i int) {
 		_, _ = io.WriteString(conns[i], strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 	}
-	ask(0)
-	<-came
-	ask(1)
-	<-came
-	ask(2)
+	writeRequest(0)
+	<-arrived
+	writeRequest(1)
+	<-arrived
+	writeRequest(2)
 	read := func(i int) *fasthttp.Response {
 		r := &fasthttp.Response{}
 		if err := r.Read(bufio.NewReader(conns[i])); err != nil {
@@ -678,25 +678,25 @@
 		return r
 	}
 	if r := read(2); r.StatusCode() != 503 || len(r.Header.Peek("Retry-After")) == 0 {
-		t.Errorf("on the last free connection: %d", r.StatusCode())
+		t.Errorf("request on the last idle connection: status %d", r.StatusCode())
 	}
-	close(hold)
+	close(release)
 	if a, b := read(0).StatusCode(), read(1).StatusCode(); a != 200 || b != 200 {
-		t.Errorf("on the others: %d, %d", a, b)
+		t.Errorf("requests on the other connections: status %d and %d", a, b)
 	}
 	if f.requests.Load() != 2 {
-		t.Errorf("%d requests came to the node", f.requests.Load())
+		t.Errorf("%d requests reached the node", f.requests.Load())
 	}
 }
 
-// A cut message is never taken for a whole one, and garbage never panics.
+// A truncated request is never parsed as a complete one, and random input never causes a panic.
 func TestParsers(t *testing.T) {
-	whole := &nodeRequest{}
+	encoded := &nodeRequest{}
 	rapid.Check(t, func(rt *rapid.T) {
 		var m fasthttp.Request
 		cut := rapid.IntRange(0, len(validRequest)-1).Draw(rt, "cut")
 		if err := m.Read(bufio.NewReader(strings.NewReader(validRequest[:cut]))); err == nil {
-			rt.Fatalf("cut at %d passed", cut)
+			rt.Fatalf("request truncated at byte %d was accepted", cut)
 		}
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(rt, "noise")
 		at := rapid.IntRange(0, len(validRequest)).Draw(rt, "at")
@@ -704,12 +704,12 @@
 		m.Reset()
 		if m.Read(bufio.NewReader(bytes.NewReader(text))) == nil {
 			if r, err := decode(&m, &testBounds); err == nil {
-				whole = r.Payload.(*nodeRequest)
+				encoded = r.Payload.(*nodeRequest)
 				if !(r.Units > 0) || r.Schedulers < 1 || r.Shard < -1 || r.Timeout <= 0 || !isHex16([]byte(r.Volume)) {
-					rt.Fatalf("taken: %+v", r.Request)
+					rt.Fatalf("invalid request was accepted: %+v", r.Request)
 				}
 				var back fasthttp.Request
-				if err := back.Read(bufio.NewReader(bytes.NewReader(whole.encode(nil, time.Second)))); err != nil ||
+				if err := back.Read(bufio.NewReader(bytes.NewReader(encoded.encode(nil, time.Second)))); err != nil ||
 					!bytes.Equal(back.Body(), m.Body()) || !bytes.Equal(back.Header.RequestURI(), m.Header.RequestURI()) {
 					rt.Fatalf("encoded as another message: %v", err)
 				}
@@ -728,7 +728,7 @@
 	}
 }
 
-// A recorded access log and a HAR file as load: each of their requests is served.
+// Each request of a recorded access log and of a HAR file is served.
 func TestReplayedRequestsAreServed(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	for name, want := range map[string]int{"access.log": 4, "small.har": 2} {
@@ -750,35 +750,35 @@
 		}
 	}
 	if n := f.requests.Load(); n != 6 {
-		t.Errorf("%d requests at the node", n)
+		t.Errorf("%d requests reached the node, want 6", n)
 	}
 }
 
-// An attempt waits for a connection in use where a new one is dear: first come, first served, on
-// the one connection. Called off, or with the node draining, it was never written.
+// An attempt waits for a busy connection for as long as FreeConnWait, in order of arrival. If it is cancelled, or the node
+// starts to drain, it is never written.
 func TestAttemptWaitsForBusyConnection(t *testing.T) {
-	open := make(chan bool)
-	n := newFakeNode(t, func(nc net.Conn) bool { <-open; _, err := io.WriteString(nc, okResponse); return err == nil })
+	release := make(chan bool)
+	n := newFakeNode(t, func(nc net.Conn) bool { <-release; _, err := io.WriteString(nc, okResponse); return err == nil })
 	d := dialer()
 	d.FreeConnWait = time.Hour
 	p := d.Connect("n", addressesOf(n.ln))
-	start := func() (*core.Attempt, chan core.Result) {
+	sendAttempt := func() (*core.Attempt, chan core.Result) {
 		a, got := attempt(t, inOneMinute())
 		p.Send(a)
 		return a, got
 	}
-	_, first := start()
-	second, waiting := start()
-	_, beyond := start() // one waits for each in use: this one has its own
+	_, first := sendAttempt()
+	second, waiting := sendAttempt()
+	_, beyond := sendAttempt() // one attempt waits for each busy connection, so this one opens its own
 	p.Cancel(second)
 	if r := <-waiting; r.Status != policy.Cancelled {
-		t.Errorf("called off while it waits: %+v", r)
+		t.Errorf("cancelled while waiting: %+v", r)
 	}
-	_, behind := start()
-	waitFor(t, func() bool { return n.requests.Load() == 2 }) // each on its connection: else the first's is free for both
-	open <- true
-	open <- true
-	open <- true
+	_, behind := sendAttempt()
+	waitFor(t, func() bool { return n.requests.Load() == 2 }) // each on its own connection; otherwise the first connection would serve both
+	release <- true
+	release <- true
+	release <- true
 	for _, got := range []chan core.Result{first, beyond, behind} {
 		if r := <-got; r.Status != policy.OK {
 			t.Errorf("%+v", r)
@@ -787,22 +787,22 @@
 	if n.requests.Load() != 3 || n.conns.Load() != 2 {
 		t.Errorf("%d requests on %d connections, want 3 on 2", n.requests.Load(), n.conns.Load())
 	}
-	p = d.Connect("m", addressesOf(n.ln)) // with no connection yet
-	_, out := start()
+	p = d.Connect("m", addressesOf(n.ln)) // has no connection yet
+	_, inFlight := sendAttempt()
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
-	_, drained := start()
+	_, drained := sendAttempt()
 	p.Drain(true)
 	if r := <-drained; r.Status != policy.ConnectFailed {
 		t.Errorf("waiting while the node began to drain: %+v", r)
 	}
-	open <- true
-	if r := <-out; r.Status != policy.OK {
+	release <- true
+	if r := <-inFlight; r.Status != policy.OK {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Past its wait an attempt has a connection of its own, and so has one whose connection to wait
-// for broke.
+// An attempt gets a connection of its own when its wait for a busy connection has expired, or when that connection is
+// closed.
 func TestConnectionWaitEnds(t *testing.T) {
 	block := make(chan bool)
 	n := newFakeNode(t, func(net.Conn) bool { return <-block })
@@ -816,20 +816,20 @@
 	waitFor(t, func() bool { return n.requests.Load() == 2 })
 	d.FreeConnWait = time.Hour
 	q := d.Connect("m", addressesOf(n.ln))
-	a, cut := attempt(t, inOneMinute())
+	a, cancelled := attempt(t, inOneMinute())
 	q.Send(a)
 	b, _ := attempt(t, inOneMinute())
 	q.Send(b)
 	waitFor(t, func() bool { return n.requests.Load() == 3 })
-	q.Cancel(a) // its connection is closed and never used again
-	if r := <-cut; r.Status != policy.Cancelled {
+	q.Cancel(a) // its connection is closed and not reused
+	if r := <-cancelled; r.Status != policy.Cancelled {
 		t.Errorf("%+v", r)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	close(block)
 }
 
-// waitFor polls until what is meant has come about.
+// waitFor polls until a condition is met.
 func waitFor(t *testing.T, met func() bool) {
 	t.Helper()
 	for range 20000 {
@@ -838,5 +838,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it did not come about")
+	t.Fatal("condition was not met in time")
 }
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -10,40 +10,40 @@
 	"wheatsaddle/policy"
 )
 
-// More nodes than descriptors: each is served in turn, on the place of the longest idle
-// connection, and never more are open than may be.
+// There are more nodes than allowed connections. Each node is served in turn by evicting the longest idle connection, and
+// the limit is never exceeded.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	n := newFakeNode(t, respondWith(okResponse))
 	d := dialer()
 	d.MaxConns = 3
-	var peers []core.NodeClient
+	var clients []core.NodeClient
 	for i := range 9 {
-		peers = append(peers, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
+		clients = append(clients, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
 	}
 	for round := range 3 {
-		for i, p := range peers {
+		for i, p := range clients {
 			if r := sendOne(t, p); r.Status != policy.OK {
 				t.Fatalf("round %d, node %d: %v", round, i, r.Status)
 			}
 			if open := d.open.Load(); open > d.MaxConns {
-				t.Fatalf("%d are open of %d", open, d.MaxConns)
+				t.Fatalf("%d connections are open, at most %d are allowed", open, d.MaxConns)
 			}
 		}
 	}
-	for _, p := range peers {
+	for _, p := range clients {
 		p.Close()
 	}
 	for d.open.Load() > 0 {
-		runtime.Gosched() // until all are counted out
+		runtime.Gosched() // until all are removed from the count
 	}
 	if d.idle.list.Len() != 0 {
-		t.Errorf("%d are still held as idle", d.idle.list.Len())
+		t.Errorf("%d connections are still listed as idle", d.idle.list.Len())
 	}
 }
 
-// With all connections in use nothing gives way: the attempt certainly did not run.
+// A busy connection is not evicted: an attempt on another node ends as one that has not run.
 func TestBusyConnectionsAreNotEvicted(t *testing.T) {
-	n := newFakeNode(t, func(net.Conn) bool { return true }) // takes requests and says nothing
+	n := newFakeNode(t, func(net.Conn) bool { return true }) // accepts requests and does not respond
 	d := dialer()
 	d.MaxConns = 1
 	one, other := d.Connect("one", addressesOf(n.ln)), d.Connect("other", addressesOf(n.ln))
@@ -55,15 +55,15 @@
 		runtime.Gosched()
 	}
 	if r := sendOne(t, other); r.Status != policy.ConnectFailed {
-		t.Fatalf("%v", r.Status)
+		t.Fatalf("attempt at the connection limit ended as %v", r.Status)
 	}
 	one.Cancel(a)
 	if r := <-got; r.Status != policy.Cancelled {
-		t.Fatalf("%v", r.Status)
+		t.Fatalf("cancelled attempt ended as %v", r.Status)
 	}
 }
 
-// A listed node that is not spoken with takes little: room by need, no timer, no connection.
+// A listed node without requests takes little memory: it has no timer and no connection, and allocates buffers on demand.
 func TestUnusedNodesTakeLittleMemory(t *testing.T) {
 	const nodes = 1024
 	n := newFakeNode(t, respondWith(okResponse))
@@ -75,14 +75,14 @@
 		return m.HeapAlloc + m.StackInuse
 	}
 	before := memoryInUse()
-	var peers []core.NodeClient
+	var clients []core.NodeClient
 	for i := range nodes {
-		peers = append(peers, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
+		clients = append(clients, d.Connect(fmt.Sprint("n", i), addressesOf(n.ln)))
 	}
 	if each := int64(memoryInUse()-before) / nodes; each > 8<<10 {
-		t.Errorf("%d bytes a node", each)
+		t.Errorf("%d bytes per node", each)
 	}
-	for _, p := range peers {
+	for _, p := range clients {
 		p.Close()
 	}
 }
--- a/internal/httpfront/isolation_test.go
+++ b/internal/httpfront/isolation_test.go
@@ -20,8 +20,8 @@
 	"wheatsaddle/policy"
 )
 
-// isolationHarness is a front with two plans, one of them with a limit that lets nothing through while a test runs, over a node whose answer tells the whole request that it
-// was sent, and that keeps what it was sent by id.
+// isolationHarness is a server with two plans, one of which has a rate limit that admits nothing during a test. Its node describes the whole
+// request in its response, and counts arrivals by request id.
 type isolationHarness struct {
 	t        *testing.T
 	core     *core.Core
@@ -33,10 +33,10 @@
 
 func newIsolationHarness(t *testing.T) *isolationHarness {
 	t.Helper()
-	set := testSettings()
-	set.Plans = append(set.Plans, policy.Plan{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 1e-6, LimitBurst: 6})
+	settings := testSettings()
+	settings.Plans = append(settings.Plans, policy.Plan{Name: "capped", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1, RateLimit: 1e-6, LimitBurst: 6})
 	log, _ := logtest.NewNullLogger()
-	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
+	c, err := core.New(core.Options{Settings: settings, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	f.address = ln.Addr().String()
-	srv := NewServer(c, set, 50, log)
+	srv := NewServer(c, settings, 50, log)
 	srv.http.ReadTimeout = time.Hour
 	go func() { _ = srv.Serve(ln, 50) }()
 	return f
@@ -87,10 +87,10 @@
 	}
 }
 
-// longResponseSize is over what is held of an answer: the rest is relayed.
+// longResponseSize exceeds the buffered part of a response, so that the rest is relayed.
 const longResponseSize = 3 * maxBufferedBody
 
-// requestText returns the node's answer to a request; one to a path that ends so is long.
+// requestText returns the node's response to a request. The response to a path that ends in /long is long.
 func requestText(method, uri, id, key string, body []byte) string {
 	text := fmt.Sprintf("%s %s %s %q %x\n", method, uri, id, key, sha256.Sum256(body))
 	if strings.HasSuffix(uri, "/long") {
@@ -134,7 +134,7 @@
 	return b.Bytes()
 }
 
-// check reads the answer of a request, which tells of that request alone.
+// check reads the response to a request, which must describe that request only.
 func (a *tenantRequest) check(t *testing.T, br *bufio.Reader) {
 	t.Helper()
 	r := &fasthttp.Response{}
@@ -142,63 +142,63 @@
 		t.Fatalf("%s: %v", a.id, err)
 	}
 	waits, code := len(r.Header.Peek("Retry-After")) > 0, r.StatusCode()
-	if a.code == 503 && code == 504 { // this machine was late
+	if a.code == 503 && code == 504 { // the machine was busy and the deadline passed first
 		code, waits = 503, true
 	}
 	if code != a.code || waits != (a.code == 503) || r.ConnectionClose() {
 		t.Fatalf("%s: %d, want %d; Retry-After %v, closes %v", a.id, r.StatusCode(), a.code, waits, r.ConnectionClose())
 	}
 	if want := requestText(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
-		t.Errorf("%s: answered %d bytes %.120q, want %d %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
+		t.Errorf("%s: response of %d bytes %.120q, want %d %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
 	}
 	if strings.Contains(r.String(), "IO-Info") || len(r.Header.Peek("X-Of")) > 0 {
-		t.Errorf("%s: the answer has fields of a message that is not its own", a.id)
+		t.Errorf("%s: the response has header fields of another message", a.id)
 	}
 }
 
 const limitedTimeout = 200 * time.Millisecond
 
-// tenantRequests is requests of two volumes on two plans in turn, with equal keys, of all sizes and ends.
-func tenantRequests(run string) (mix []*tenantRequest) {
+// tenantRequests returns requests of two volumes and two plans, alternating, with equal keys, various sizes and all outcomes.
+func tenantRequests(run string) (requests []*tenantRequest) {
 	volumes := [2]string{"00000000000000a" + run, "00000000000000b" + run}
 	add := func(a tenantRequest) {
-		a.id, a.units = fmt.Sprint(run, "-", len(mix)), max(a.units, 1)
+		a.id, a.units = fmt.Sprint(run, "-", len(requests)), max(a.units, 1)
 		if a.code == 0 {
 			a.code = 200
 		}
-		mix = append(mix, &a)
+		requests = append(requests, &a)
 	}
 	for i, size := range []int{0, 5, maxBufferedBody, maxBufferedBody + 1, 3} {
-		of := bytes.Repeat([]byte{byte('A' + i)}, size)
+		content := bytes.Repeat([]byte{byte('A' + i)}, size)
 		for v, volume := range volumes {
-			key := fmt.Sprint("k", i) // equal under both
-			mine := append([]byte(volume), of...)
-			add(tenantRequest{path: "/new-record/x", volume: volume, plan: "basic", key: key, body: mine, chunked: i%2 == v})
+			key := fmt.Sprint("k", i) // the same for both volumes
+			body := append([]byte(volume), content...)
+			add(tenantRequest{path: "/new-record/x", volume: volume, plan: "basic", key: key, body: body, chunked: i%2 == v})
 			add(tenantRequest{path: "/balance-read/long", volume: volume, plan: "basic", key: key + volume})
 			add(tenantRequest{path: "/balance-read/y?z=" + volume, volume: volume, plan: "basic"})
 			add(tenantRequest{path: "/no-such-class", volume: volume, plan: "basic", code: 404})
 			add(tenantRequest{path: "/balance-read", volume: volume, plan: "none", code: 404})
 		}
 	}
-	// What waits for the one plan's limit in vain holds up no request on the other.
+	// A request that waits for the limit of one plan until its deadline does not delay requests of the other plan.
 	for _, volume := range volumes {
 		add(tenantRequest{path: "/balance-read", volume: volume, plan: "capped", timeout: limitedTimeout, code: 503})
 		add(tenantRequest{path: "/balance-read", volume: volume, plan: "basic"})
 	}
-	return mix
+	return requests
 }
 
-// Two volumes and two plans on one connection, one after another and sent ahead, and on several connections at once: each answer
-// is its own request's, the node is sent each once and as it was, no limit of one binds the other, and each is counted in its
-// own class.
+// Requests of two volumes and two plans on one connection, sequential and pipelined, and on several connections at once: each
+// response belongs to its own request, the node gets each request once and unchanged, the limit of one plan does not affect the
+// other, and each request is counted in its own class.
 func TestTenantsAreIsolated(t *testing.T) {
 	f := newIsolationHarness(t)
 	var mu sync.Mutex
 	var all []*tenantRequest
-	run := func(t *testing.T, id string, ahead bool) {
-		mix := tenantRequests(id)
+	run := func(t *testing.T, id string, pipelined bool) {
+		requests := tenantRequests(id)
 		mu.Lock()
-		all = append(all, mix...)
+		all = append(all, requests...)
 		mu.Unlock()
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
@@ -206,15 +206,15 @@
 		}
 		defer nc.Close()
 		br := bufio.NewReader(nc)
-		if ahead {
+		if pipelined {
 			go func() {
-				for _, a := range mix {
+				for _, a := range requests {
 					_, _ = nc.Write(a.text())
 				}
 			}()
 		}
-		for _, a := range mix {
-			if !ahead {
+		for _, a := range requests {
+			if !pipelined {
 				_, _ = nc.Write(a.text())
 			}
 			a.check(t, br)
@@ -230,29 +230,29 @@
 			})
 		}
 	})
-	passed := map[string]int64{}
+	served := map[string]int64{}
 	for _, a := range all {
 		want := 0
 		if a.code == 200 {
 			want = 1
-			passed[strings.Split(a.path, "/")[1]]++
+			served[strings.Split(a.path, "/")[1]]++
 		}
 		f.mu.Lock()
 		if n := f.arrivals[a.id]; n != want {
-			t.Errorf("%s came to the node %d times, want %d", a.id, n, want)
+			t.Errorf("%s reached the node %d times, want %d", a.id, n, want)
 		}
 		f.mu.Unlock()
 	}
 	got := f.core.Counters().Snapshot()
-	for class, want := range passed {
+	for class, want := range served {
 		if got.Served[class] != want {
-			t.Errorf("%s: %d counted as served, %d were", class, got.Served[class], want)
+			t.Errorf("%s: %d counted as served, want %d", class, got.Served[class], want)
 		}
 	}
 }
 
-// A client that takes nothing of its long answer holds up no other, and has it whole when it does; its connection then serves the
-// next request.
+// A client that does not read its long response delays no other client. When it reads, the response is complete, and its
+// connection serves the next request.
 func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
 	f := newIsolationHarness(t)
 	slow, err := net.Dial("tcp", f.address)
@@ -263,7 +263,7 @@
 	long := &tenantRequest{id: "slow", path: "/balance-read/long", volume: "000000000000000a", plan: "basic", units: 1, code: 200}
 	_, _ = slow.Write(long.text())
 	br := bufio.NewReader(slow)
-	if _, err := br.Peek(1); err != nil { // it has begun
+	if _, err := br.Peek(1); err != nil { // the response has begun
 		t.Fatal(err)
 	}
 	quick, err := net.Dial("tcp", f.address)
@@ -283,8 +283,8 @@
 	again.check(t, br)
 }
 
-// An answer that comes after its client has gone, short or long, reaches nobody: the next request on any connection has its own,
-// and nothing is held for the one that went.
+// A short or long response that arrives after its client has disconnected is discarded: later requests on other connections get
+// their own responses, and the core holds nothing of the cancelled request.
 func TestResponseAfterClientDisconnect(t *testing.T) {
 	for _, path := range []string{"/balance-read", "/balance-read/long"} {
 		f := newIsolationHarness(t)
@@ -293,10 +293,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		gone := &tenantRequest{id: "gone", path: path, volume: "000000000000000a", plan: "basic", units: 1}
-		_, _ = nc.Write(gone.text())
+		cancelled := &tenantRequest{id: "gone", path: path, volume: "000000000000000a", plan: "basic", units: 1}
+		_, _ = nc.Write(cancelled.text())
 		<-f.barrier.reached
-		release := blockCore(t, f.core) // the cancel comes after the answer
+		release := blockCore(t, f.core) // the core handles the cancel after the response
 		nc.Close()
 		f.barrier.release()
 		other, err := net.Dial("tcp", f.address)
@@ -318,27 +318,27 @@
 	}
 }
 
-// An answer that its client has not yet taken stays as it is while its connection carries the next one.
+// A response that is not yet written to its client does not change while its connection carries the next one.
 func TestResponseBodySurvivesNextExchange(t *testing.T) {
-	var said atomic.Int64
+	var count atomic.Int64
 	n := newFakeNode(t, func(nc net.Conn) bool {
-		_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nanswer-%d", said.Add(1))
+		_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nanswer-%d", count.Add(1))
 		return err == nil
 	})
 	p := dialer().Connect("n", addressesOf(n.ln))
 	defer p.Close()
 	first, second := sendOne(t, p), sendOne(t, p)
 	if n.conns.Load() != 1 {
-		t.Fatal("two connections: the crossing was not reached")
+		t.Fatal("the attempts used two connections, want one")
 	}
 	for want, r := range map[string]core.Result{"answer-1": first, "answer-2": second} {
 		if got := string(r.Payload.(*nodeResponse).body); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("response body %q, want %q", got, want)
 		}
 	}
 }
 
-// What is kept of a request stays as it is while the server reads the next one into the same message.
+// A decoded request does not change while the server reads the next one into the same message.
 func TestRequestSurvivesMessageReuse(t *testing.T) {
 	next := strings.NewReplacer("9b1f03aa5c7e2d41", "0000000000000002", "basic", "other", "7f3a9c21e0b4d655", "0000000000000003",
 		"new-record", "old-record", "k1", "k2", "00000003b4d60021", "0000000000000004", "hello", "HELLO").Replace(validRequest)
@@ -354,16 +354,16 @@
 		}
 		return r
 	}
-	sent := func(r *core.Request) string {
+	describe := func(r *core.Request) string {
 		return fmt.Sprintf("%+v %s", r.Request, r.Payload.(*nodeRequest).encode(nil, time.Second))
 	}
 	first := read(validRequest)
-	before := sent(first)
+	before := describe(first)
 	second := read(next)
-	if after := sent(first); after != before {
-		t.Errorf("it was\n%s\nand is\n%s", before, after)
+	if after := describe(first); after != before {
+		t.Errorf("the first request was\n%s\nand is now\n%s", before, after)
 	}
-	if sent(second) == before {
-		t.Error("the second message is the first")
+	if describe(second) == before {
+		t.Error("the second message equals the first")
 	}
 }
--- a/internal/httpfront/kernelcopy_test.go
+++ b/internal/httpfront/kernelcopy_test.go
@@ -19,8 +19,8 @@
 	"wheatsaddle/internal/transport"
 )
 
-// Where every copy past the process is refused, on clients' connections and on nodes': bodies and answers
-// of all framings and sizes, held, streamed and relayed, pass byte for byte, and no copy was tried.
+// The kernel refuses to copy data between sockets (such as splice), on client and node connections. Bodies and responses
+// of all framings and sizes, buffered, streamed and relayed, still pass unchanged, and no such copy is attempted.
 func TestRejectedKernelCopies(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
@@ -35,8 +35,8 @@
 		}
 		return ln.Of(nc), 0, nil
 	}
-	var answer atomic.Pointer[bytes.Buffer]
-	f := newFrontOn(t, ln, d, func(nc net.Conn) bool { _, err := nc.Write(answer.Load().Bytes()); return err == nil })
+	var response atomic.Pointer[bytes.Buffer]
+	f := newFrontOn(t, ln, d, func(nc net.Conn) bool { _, err := nc.Write(response.Load().Bytes()); return err == nil })
 	text := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -54,24 +54,24 @@
 			} else {
 				fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, framed)
 			}
-			answer.Store(&b)
+			response.Store(&b)
 			id++
 			head, body := putRequest(id, text[:size], chunked, false)
 			_, _ = io.WriteString(nc, head)
 			_, _ = nc.Write(body)
 			var r fasthttp.Response
 			if err := r.Read(br); err != nil || r.StatusCode() != 200 || !bytes.Equal(r.Body(), text[:size]) {
-				t.Fatalf("%d bytes, chunked %v: %v %d, %d bytes", size, chunked, err, r.StatusCode(), len(r.Body()))
+				t.Fatalf("%d bytes, chunked %v: %v, status %d, %d bytes returned", size, chunked, err, r.StatusCode(), len(r.Body()))
 			}
 			if got := f.last.Load().Body(); !bytes.Equal(got, text[:size]) {
-				t.Errorf("%d bytes, chunked %v: %d bytes came to the node", size, chunked, len(got))
+				t.Errorf("%d bytes, chunked %v: %d bytes reached the node", size, chunked, len(got))
 			}
 		}
 	}
 	if n := ln.Count(); n > 0 {
-		t.Errorf("%d copies were tried", n)
+		t.Errorf("%d kernel copies were attempted", n)
 	}
 	if _, err := io.Copy(ln.Of(nc), io.LimitReader(strings.NewReader("x"), 1)); err == nil || ln.Count() != 1 {
-		t.Error("the stand-in refuses nothing")
+		t.Error("the fake connection does not refuse kernel copies")
 	}
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -23,14 +23,14 @@
 	"wheatsaddle/policy"
 )
 
-// instantConn is a connection whose node answers at once; fd is that of a socket that stands and is quiet.
+// instantConn is a connection whose node responds at once. idleFD is an open socket with nothing to read.
 type instantConn struct {
 	net.Conn
 	idleFD     uintptr
-	readableFD uintptr // a socket on which something waits, shown from the second look on; 0: none
+	readableFD uintptr // a socket with unread input, which socket checks see from the second one on; 0: none
 	checks     int
 	closed     bool
-	draining   *bool // nothing may be written any more
+	draining   *bool // set once nothing may be written any more
 	in         bytes.Buffer
 }
 
@@ -39,7 +39,7 @@
 		return 0, net.ErrClosed
 	}
 	if *l.draining {
-		il.Fail("written to a node that drains")
+		il.Fail("written to a draining node")
 	}
 	l.in.WriteString(okResponse)
 	return len(p), nil
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// rawInstantConn has the rest of syscall.RawConn.
+// rawInstantConn implements syscall.RawConn with the Control method of its connection.
 type rawInstantConn struct{ *instantConn }
 
 func (l rawInstantConn) Read(func(uintptr) bool) error  { return nil }
 func (l rawInstantConn) Write(func(uintptr) bool) error { return nil }
 
-// idleSocket is one end of a pair that stays open.
+// idleSocket returns one end of a socket pair that stays open.
 func idleSocket(t *testing.T) uintptr {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return uintptr(fds[0])
 }
 
-// readableSocket is one end of a pair on which a byte waits.
+// readableSocket returns one end of a socket pair on which one byte is unread.
 func readableSocket(t *testing.T) uintptr {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return uintptr(fds[0])
 }
 
-// newIdleNode is a node without its goroutine, with idle connections.
+// newIdleNode returns a node actor without its goroutine and with the given number of idle connections.
 func newIdleNode(d *Dialer, fd uintptr, name string, idle int) *node {
 	n := &node{dialer: d, name: name, mailbox: mailbox.New[nodeMessage](8), busy: map[*core.Attempt]*conn{},
 		waiting: connqueue.New[*core.Attempt](connqueue.Settings{FreeConnWait: d.FreeConnWait, ConnectTimeout: time.Hour}), started: time.Now()}
@@ -103,7 +103,7 @@
 	return n
 }
 
-// processMailbox is one of the actor's.
+// processMailbox handles the messages in the mailbox, as one iteration of the actor's loop.
 func (n *node) processMailbox() {
 	for _, m := range n.mailbox.Take(nil) {
 		n.handle(m)
@@ -111,8 +111,8 @@
 	}
 }
 
-// Four nodes on two descriptors, which two of them hold idle: one of these drops its own, the
-// others want a connection. One that is used is never closed for another, and all count the same.
+// Four nodes share two connections, which are idle and belong to two of them. One of these closes its own, and the other
+// nodes need a connection. A connection in use is never evicted, and the counts of the nodes and of the dialer agree.
 func TestInterleaveIdle(t *testing.T) {
 	fd := idleSocket(t)
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
@@ -151,7 +151,7 @@
 				sum += int64(n.connCount)
 			}
 			if open := d.open.Load(); sum != open || sum > d.MaxConns {
-				return fmt.Errorf("%d connections, %d counted, %d may be", sum, open, d.MaxConns)
+				return fmt.Errorf("%d connections, %d counted, at most %d are allowed", sum, open, d.MaxConns)
 			}
 			return nil
 		}
@@ -163,11 +163,12 @@
 		mutant.Mutant{File: "idle.go", Old: "	c := s.list.Remove(first).(*conn)\n	c.idleElement = nil", New: "	c := s.list.Remove(first).(*conn)",
 			Want: "close of closed channel"},
 		mutant.Mutant{File: "idle.go", Old: "		if d.open.CompareAndSwap(n, n+1) {", New: "		if d.open.Add(1) > 0 {",
-			Want: "may be"},
+			Want: "are allowed"},
 	)
 }
 
-// A place that is given back is had: of two that ask, one after it came free, exactly one has it.
+// The connection limit is one and in use. Of two callers that reserve a connection, one of them after it released the
+// connection in use, exactly one succeeds.
 func TestInterleaveReserveConn(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.World {
 		d := &Dialer{MaxConns: 1}
@@ -182,19 +183,19 @@
 			Threads: []il.Thread{{Name: "one", Run: reserve}, {Name: "other", Run: func() { n.uncountConn(); reserve() }}},
 			Check: func() error {
 				if open := d.open.Load(); reserved != 1 || open != 1 {
-					return fmt.Errorf("%d of two have the one place, %d counted", reserved, open)
+					return fmt.Errorf("%d of two callers reserved the only connection, %d counted", reserved, open)
 				}
 				return nil
 			},
 		}
 	})
 	loop := "	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
-	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // as it was before this test
+	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // an earlier implementation, which this test found to be wrong
 		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
-		Want: "0 of two have the one place"})
+		Want: "0 of two callers reserved the only connection"})
 }
 
-// newSingleConnNode is an actor with one connection at most, which the core gives attempts; each result goes to all.
+// newSingleConnNode returns a node actor with at most one connection, and attempts whose results all go to one channel.
 func newSingleConnNode(fd uintptr, req *core.Request, wait time.Duration, attemptCount int) (n *node, draining *bool, attempts []*core.Attempt, results chan policy.Status) {
 	d := &Dialer{MaxConns: 1, ConnIdle: time.Hour, FreeConnWait: wait}
 	draining = new(bool)
@@ -209,7 +210,7 @@
 	return n, draining, attempts, results
 }
 
-// runWithoutTimers is the actor's, without its timers.
+// runWithoutTimers runs the actor's loop without its timers.
 func (n *node) runWithoutTimers() {
 	for !n.closing || n.connCount > 0 || n.mailbox.Len() > 0 {
 		sync.Recv(n.mailbox.Wake())
@@ -219,14 +220,14 @@
 
 func (n *node) checkNothingLeft() error {
 	if open := n.dialer.open.Load(); n.waiting.Len() != 0 || len(n.busy) != 0 || open != 0 {
-		return fmt.Errorf("%d in the line, %d busy, %d open", n.waiting.Len(), len(n.busy), open)
+		return fmt.Errorf("%d waiting attempts, %d busy connections, %d open connections", n.waiting.Len(), len(n.busy), open)
 	}
 	return nil
 }
 
-// The line before a node's one connection (internal/connqueue) is its actor's; what meets is the actor's
-// mailbox, the connection's goroutine, a cancel and a drain. Every attempt ends, nothing is written
-// after the drain, the connection comes back.
+// The actor owns the queue of attempts that wait for the node's only connection (internal/connqueue). Sends, a cancel and a
+// drain run concurrently with the connection's goroutine. Every attempt ends, nothing is written after the drain, and the
+// connection is returned.
 func TestInterleaveWaitingQueue(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
@@ -241,7 +242,7 @@
 					n.Cancel(attempts[1])
 					for range attempts {
 						if s, _ := sync.Recv(results); s != policy.OK && s != policy.ConnectFailed && s != policy.Cancelled {
-							il.Fail("ended with %v", s)
+							il.Fail("attempt ended with %v", s)
 						}
 					}
 					n.Close()
@@ -252,13 +253,13 @@
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "conn.go", Old: "	if c.node.draining.Load() {", New: "	if false {", Want: "written to a node that drains"},
+		mutant.Mutant{File: "conn.go", Old: "	if c.node.draining.Load() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "		if n.waiting.Remove(m.cancel) {", New: "		if n.waiting.Remove(m.cancel) && n.draining.Load() {", Want: "deadlock"},
 	)
 }
 
-// The actor hears of a connection that is free before the core hears of the result: the next send
-// finds it, though nobody may wait.
+// The actor is notified that a connection is free before the core gets the result, so that the next send finds it free,
+// even with a FreeConnWait of zero.
 func TestInterleaveReuseAfterResult(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
@@ -286,9 +287,9 @@
 		Want: "attempt 1: "})
 }
 
-// A kept connection is found spoken on right before the write, after the actor had found it quiet: the attempt goes by
-// another, and a cancel at any instant ends it. It ends once, nothing of it was written on the first, and both
-// connections are counted out.
+// Right before the write an idle connection has unread input, which the actor's check did not see. The attempt goes over
+// another connection, and a cancel at any time ends it. It ends once, nothing of it is written to the first connection, and
+// both connections are removed from the counts.
 func TestInterleaveResend(t *testing.T) {
 	fd, readableFD := idleSocket(t), readableSocket(t)
 	a, _ := attempt(t, inOneMinute())
@@ -297,7 +298,7 @@
 		n.dialer.MaxConns = 2
 		never := true
 		c := &conn{node: n, jobs: make(chan job, 1), used: true}
-		c.setSocket(&instantConn{idleFD: fd, readableFD: readableFD, draining: &never}) // a write on it fails
+		c.setSocket(&instantConn{idleFD: fd, readableFD: readableFD, draining: &never}) // a write to it fails the test
 		n.idle, n.connCount = append(n.idle, c), 1
 		n.dialer.idle.put(c)
 		n.dialer.open.Add(1)
@@ -309,7 +310,7 @@
 					n.Send(attempts[0])
 					n.Cancel(attempts[0])
 					if s, _ := sync.Recv(results); s != policy.OK && s != policy.Cancelled {
-						il.Fail("ended with %v", s)
+						il.Fail("attempt ended with %v", s)
 					}
 					n.Close()
 				}},
@@ -318,7 +319,7 @@
 		}
 	})
 	mutant.Found(t,
-		mutant.Mutant{File: "conn.go", Old: "	if c.isUnusable() {", New: "	if false {", Want: "written to a node that drains"},
+		mutant.Mutant{File: "conn.go", Old: "	if c.isUnusable() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "	case cancelled:\n		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })\n",
 			New: "	case cancelled:\n", Want: "deadlock"},
 		mutant.Mutant{File: "node.go", Old: "	c.stop()\n	n.uncountConn()\n	switch {", New: "	c.stop()\n	switch {", Want: "deadlock"},
--- a/internal/httpfront/nonidempotent_test.go
+++ b/internal/httpfront/nonidempotent_test.go
@@ -20,8 +20,8 @@
 	"wheatsaddle/policy"
 )
 
-// runCounter is a storage node that counts what it runs by the request's id. Its first connection breaks
-// as told; a repeat would be served.
+// runCounter is a storage node that counts executions by request id. Its first connection breaks as configured;
+// a retry would be served.
 type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -34,15 +34,15 @@
 	return l.runs[id]
 }
 
-// connFault is how a node's first connection breaks.
+// connFault describes how a node's first connection breaks.
 type connFault struct {
-	closeAfterBytes int    // closed after so many bytes of the request; -1: it is read whole
-	rejected        bool   // turned away unrun
-	partialResponse string // what is sent of an answer once it has run, before the close
-	onSecondRequest bool   // a first request on the connection is served, and the break meets the next
+	closeAfterBytes int    // the node closes after this number of request bytes; -1: it reads the complete request
+	rejected        bool   // the node rejects the request without running it
+	partialResponse string // what the node sends of the response after running the request, before it closes
+	onSecondRequest bool   // the first request on the connection is served, the second one meets the fault
 }
 
-// serve keeps one connection; what is not broken is served.
+// serve serves one connection, with the fault if it is the first one.
 func (l *runCounter) serve(nc net.Conn, b connFault, first bool) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
@@ -70,14 +70,14 @@
 	}
 }
 
-// A write that must never run twice, whose connection breaks at every place: it runs once at most, goes
-// again only where it proves not to have run, and is answered failed where it may have.
+// A non-idempotent write whose connection breaks at any point runs at most once. It is retried only if it certainly has not
+// run, and fails if it may have run.
 func TestNonIdempotentWriteRunsAtMostOnce(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
 	for name, x := range map[string]struct {
 		b       connFault
-		served  bool // else failed
-		perhaps bool // a break so early that the write may fail: then it has not run and may go again
+		served  bool // otherwise failed
+		perhaps bool // the break is so early that the write may fail; then it has not run and may be retried
 	}{
 		"no break":                {connFault{closeAfterBytes: -1, partialResponse: okResponse}, true, false},
 		"closed at once":          {connFault{closeAfterBytes: 0}, false, true},
@@ -117,7 +117,7 @@
 			}
 			defer c.Stop()
 			c.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(ln)}}})
-			ask := func(id string) core.Answer {
+			send := func(id string) core.Answer {
 				var m fasthttp.Request
 				text := strings.Replace(validRequest, "9b1f03aa5c7e2d41", id, 1)
 				if err := m.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
@@ -133,28 +133,28 @@
 				return <-got
 			}
 			if x.b.onSecondRequest {
-				if a := ask("before"); a.Kind != core.Served {
-					t.Fatalf("the request before: %+v", a)
+				if a := send("before"); a.Kind != core.Served {
+					t.Fatalf("first request on the connection: %+v", a)
 				}
 			}
-			a := ask("once")
-			ask("after") // whatever was to be sent again has been by now
+			a := send("once")
+			send("after") // by now any retry has been sent
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			said := fmt.Sprintf("answered %d %s, ran %v", a.Kind, a.Cause, l.runs)
+			summary := fmt.Sprintf("answered %d %s, ran %v", a.Kind, a.Cause, l.runs)
 			switch {
 			case l.runs["once"] > 1:
-				t.Error(said)
+				t.Error(summary)
 			case a.Kind == core.Served && l.runs["once"] != 1, a.Kind == core.Rejected:
-				t.Error(said)
+				t.Error(summary)
 			case !x.perhaps && (a.Kind == core.Served) != x.served:
-				t.Error(said)
+				t.Error(summary)
 			}
 		})
 	}
 }
 
-// A connection that comes up after the time in which a repeat may begin: nothing of it is written.
+// If the connection is established only after the deduplication window of a retry, nothing of the retry is written.
 func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,14 +178,14 @@
 	defer p.Close()
 	p.Send(a)
 	if r := <-got; r.Status != policy.Abandoned {
-		t.Errorf("ended as %v", r.Status)
+		t.Errorf("retry ended as %v", r.Status)
 	}
 	b, got := attempt(t, inOneMinute())
-	p.Send(b) // on the connection that came late
+	p.Send(b) // uses the connection that was established late
 	if r := <-got; r.Status != policy.OK {
-		t.Errorf("the next one ended as %v", r.Status)
+		t.Errorf("next attempt ended as %v", r.Status)
 	}
 	if n := l.record(a.Request.ID) - 1; n != 1 {
-		t.Errorf("%d ran, want the next one alone", n)
+		t.Errorf("%d attempts ran, want only the next one", n)
 	}
 }
--- a/internal/httpfront/overcapacity_test.go
+++ b/internal/httpfront/overcapacity_test.go
@@ -16,23 +16,23 @@
 	"wheatsaddle/policy"
 )
 
-// With a request open on each of the connections that it may have, the front answers one more at
-// once with a refusal: the machine has let it in, and in the backlog it would wait for another's
-// end. When one has ended, the next is served.
+// With a request in flight on each allowed connection, the server rejects a request on a further connection at once.
+// Left in the listen backlog, the connection would wait until another one ends. Once the requests have ended, the next
+// one is served.
 func TestConnectionsPastTheCapAreRejected(t *testing.T) {
-	hold := make(chan bool)
-	f := newFront(t, func(nc net.Conn) bool { <-hold; return respondWith(okResponse)(nc) })
-	ask := func(i int) *bufio.Reader {
+	release := make(chan bool)
+	f := newFront(t, func(nc net.Conn) bool { <-release; return respondWith(okResponse)(nc) })
+	sendRequest := func(i int) *bufio.Reader {
 		nc, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		_ = nc.SetReadDeadline(time.Now().Add(20 * time.Second)) // only a front that does not answer meets it
+		_ = nc.SetReadDeadline(time.Now().Add(20 * time.Second)) // expires only if the server does not respond
 		_, _ = io.WriteString(nc, strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04d", i), 1))
 		return bufio.NewReader(nc)
 	}
-	read := func(br *bufio.Reader) *fasthttp.Response {
+	readResponse := func(br *bufio.Reader) *fasthttp.Response {
 		r := &fasthttp.Response{}
 		if err := r.Read(br); err != nil {
 			t.Fatal(err)
@@ -41,30 +41,30 @@
 	}
 	var open []*bufio.Reader
 	for i := range 50 {
-		open = append(open, ask(i))
+		open = append(open, sendRequest(i))
 	}
 	for f.srv.Core.OpenRequests() < 50 {
 		time.Sleep(time.Millisecond)
 	}
-	for i := range 20 { // more than are taken past the cap at a time
-		r := read(ask(100 + i))
+	for i := range 20 { // more than the server accepts above the cap at a time
+		r := readResponse(sendRequest(100 + i))
 		if r.StatusCode() != 503 || len(r.Header.Peek("Retry-After")) == 0 || !r.ConnectionClose() {
-			t.Fatalf("past the cap: %s", r)
+			t.Fatalf("request above the cap: %s", r)
 		}
 	}
-	close(hold)
+	close(release)
 	for _, br := range open {
-		if r := read(br); r.StatusCode() != 200 {
-			t.Fatalf("within the cap: %d", r.StatusCode())
+		if r := readResponse(br); r.StatusCode() != 200 {
+			t.Fatalf("request within the cap: status %d", r.StatusCode())
 		}
 	}
-	if r := read(ask(200)); r.StatusCode() != 200 {
-		t.Fatalf("after: %d", r.StatusCode())
+	if r := readResponse(sendRequest(200)); r.StatusCode() != 200 {
+		t.Fatalf("request after the others have ended: status %d", r.StatusCode())
 	}
 }
 
-// A connection on which nothing was asked gets no answer, however few the server may have: a request that is on its way would
-// take it for its own.
+// A connection above the cap on which no request arrived gets no response, even with a cap of one. A client whose request is
+// still in transit would take such a response for its own.
 func TestSilentConnectionsPastTheCapGetNoResponse(t *testing.T) {
 	ln, err := transport.ListenTCP("127.0.0.1:0")
 	if err != nil {
@@ -80,7 +80,7 @@
 		silent = append(silent, dialFront(t, ln.Addr().String()))
 	}
 	last := dialFront(t, ln.Addr().String())
-	_, _ = io.WriteString(last.Conn, readyText) // accepted behind all others
+	_, _ = io.WriteString(last.Conn, readyText) // accepted after all others
 	last.expectResponse(t, "a request behind silent connections", fasthttp.StatusOK, false)
 	for i, c := range silent {
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
--- a/internal/httpfront/preconnect_interleave_test.go
+++ b/internal/httpfront/preconnect_interleave_test.go
@@ -16,8 +16,8 @@
 	"wheatsaddle/policy"
 )
 
-// A connection ahead meets an attempt that comes while it is opened, and a drain: both end, nothing is
-// written after the drain, the attempt opens no second one, and every connection is counted out.
+// A preconnect runs concurrently with an attempt and a drain: both end, nothing is written after the drain, the attempt
+// opens no second connection, and every connection is removed from the counts.
 func TestInterleavePreconnect(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
@@ -37,10 +37,10 @@
 					n.Connect(func(s policy.Status) { sync.Send(result, s) })
 					n.Send(attempts[0])
 					if s, _ := sync.Recv(result); s != policy.OK && s != policy.Abandoned {
-						il.Fail("ahead ended with %v", s)
+						il.Fail("preconnect ended with %v", s)
 					}
 					if s, _ := sync.Recv(results); s != policy.OK && s != policy.ConnectFailed {
-						il.Fail("ended with %v", s)
+						il.Fail("attempt ended with %v", s)
 					}
 					n.Close()
 				}},
@@ -48,7 +48,7 @@
 			},
 			Check: func() error {
 				if dials > 1 {
-					return errors.New("a second connection was opened beside one ahead")
+					return errors.New("a second connection was opened during a preconnect")
 				}
 				return n.checkNothingLeft()
 			},
--- a/internal/httpfront/preconnect_test.go
+++ b/internal/httpfront/preconnect_test.go
@@ -14,24 +14,24 @@
 	"wheatsaddle/policy"
 )
 
-// spinUntil waits for a condition.
+// spinUntil waits for a condition without sleeping.
 func spinUntil(cond func() bool) {
 	for !cond() {
 		runtime.Gosched()
 	}
 }
 
-// preconnectResult asks for a connection ahead and says what came of it.
+// preconnectResult requests a preconnect and returns its result.
 func preconnectResult(t *testing.T, p core.NodeClient) policy.Status {
 	t.Helper()
 	result := make(chan policy.Status, 2)
 	if !p.Connect(func(s policy.Status) { result <- s }) {
-		t.Fatal("not taken")
+		t.Fatal("preconnect was not accepted")
 	}
 	return <-result
 }
 
-// newListeningNode is a stand-in node on one or two ports, and a dialer.
+// newListeningNode returns a fake node on the given number of ports, and a dialer.
 func newListeningNode(t *testing.T, ports int, service func(*fasthttp.Request) time.Duration) (n *fakenode.Node, addresses []address.Addr, d *Dialer) {
 	n = fakenode.New(fakenode.Options{Name: "n", Service: service})
 	t.Cleanup(n.Close)
@@ -47,9 +47,9 @@
 	return n, addresses, d
 }
 
-// A connection ahead is one idle connection: the next attempt goes by it, a second one is not opened
-// beside it, and it gives way, is closed and counted like any other. Where the node drains or left, a
-// descriptor is lacking, or the node is not there, nothing is held. With one address and with several.
+// A preconnect opens one idle connection, which the next attempt uses and which is evicted, closed and counted like any
+// other. No connection is opened if one is idle, the node drains or no connection is left, and none remains if the node
+// refuses it. This holds for one address and for several.
 func TestPreconnect(t *testing.T) {
 	for ports := 1; ports <= 2; ports++ {
 		t.Run(fmt.Sprint(ports), func(t *testing.T) {
@@ -58,7 +58,7 @@
 			want := func(p core.NodeClient, want policy.Status, accepted int, open int64) {
 				t.Helper()
 				if got := preconnectResult(t, p); got != want {
-					t.Fatalf("ended as %v, want %v", got, want)
+					t.Fatalf("preconnect ended as %v, want %v", got, want)
 				}
 				spinUntil(func() bool { return n.Counts().Conns >= accepted && d.open.Load() == open })
 				if got := n.Counts().Conns; got != accepted {
@@ -75,7 +75,7 @@
 			want(p, policy.Abandoned, 1, 1)
 			(&addressHarness{t: t, node: n, dialer: d, client: p}).expectServed(readText)
 			want(p, policy.Abandoned, 1, 1)
-			d.MaxConns = 1 // none is to spare, and an idle one does not give way to what nobody needs
+			d.MaxConns = 1 // at the limit, a preconnect does not evict an idle connection
 			want(other, policy.Abandoned, 1, 1)
 			d.MaxConns = 2
 			for _, a := range addresses {
@@ -91,11 +91,11 @@
 	}
 }
 
-// Who wants a connection while one comes up ahead waits for that; all that are in use leave room for one.
+// An attempt waits for a preconnect whose dial is in progress. Busy connections do not prevent a preconnect.
 func TestAttemptWaitsForPreconnect(t *testing.T) {
 	release := make(chan bool)
 	n, addresses, d := newListeningNode(t, 1, func(*fasthttp.Request) time.Duration { <-release; return 0 })
-	d.FreeConnWait = time.Minute // no connect is late
+	d.FreeConnWait = time.Minute // no second dial is started for a slow one
 	p := d.Connect("n", addresses)
 	result := make(chan policy.Status, 2)
 	p.Connect(func(s policy.Status) { result <- s })
@@ -104,7 +104,7 @@
 	if s := <-result; s != policy.OK || n.Counts().Conns != 1 {
 		t.Errorf("%v, %d connections for one attempt", s, n.Counts().Conns)
 	}
-	if s := preconnectResult(t, p); s != policy.OK { // beside the one in use
+	if s := preconnectResult(t, p); s != policy.OK { // in addition to the busy one
 		t.Error(s)
 	}
 	spinUntil(func() bool { return n.Counts().Conns == 2 })
@@ -116,7 +116,7 @@
 	spinUntil(func() bool { return d.open.Load() == 0 })
 }
 
-// A probe of a node that has no room says so.
+// A probe that the node rejects for lack of capacity ends as NodeFull.
 func TestProbeOfFullNode(t *testing.T) {
 	n := newFakeNode(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	p := dialer().Connect("n", addressesOf(n.ln))
--- a/internal/httpfront/readtimeout_test.go
+++ b/internal/httpfront/readtimeout_test.go
@@ -15,11 +15,11 @@
 	"wheatsaddle/internal/transport"
 )
 
-// expiringListener accepts connections whose first read deadline ends at once, with a test's steps on both sides of it.
+// expiringListener accepts connections whose first read deadline expires at once, with test hooks after it.
 type expiringListener struct {
 	net.Listener
-	onDeadline   func(server syscall.Conn) // the deadline has ended the wait for the first request
-	onFinalCheck func(server syscall.Conn) // ... and the last look for one is taken
+	onDeadline   func(server syscall.Conn) // called when the deadline has ended the wait for the first request
+	onFinalCheck func(server syscall.Conn) // called after the final check for a request
 }
 
 func (l *expiringListener) Accept() (net.Conn, error) {
@@ -33,7 +33,7 @@
 type expiringConn struct {
 	net.Conn
 	listener *expiringListener
-	set      bool // the first deadline is
+	set      bool // the first deadline was set
 }
 
 // SetReadDeadline implements net.Conn.
@@ -74,20 +74,20 @@
 	return err
 }
 
-// A request may come in the instant in which the read time of a new connection ends, before or after the last look at
-// the connection. What was read is answered, and an answer that is there without a request would be taken for this one's:
-// a connection of which nothing was read closes without any.
+// A request may arrive just as the read timeout of a new connection expires, before or after the final check of the
+// connection. A request that was read is answered. A connection from which nothing was read is closed without a response,
+// as a client whose request is in transit would take that response for its own.
 func TestRequestArrivesAsReadTimeoutEnds(t *testing.T) {
 	const none = ""
 	for _, x := range []struct {
 		name          string
-		before, after string // what comes, by the last look
-		code          int    // of the answer; 0: there is none
+		before, after string // input that arrives before and after the final check
+		code          int    // status of the response; 0: no response
 	}{
-		{"nothing comes", none, none, 0},
-		{"a request before the last look", readyText, none, fasthttp.StatusOK},
-		{"half a request before the last look", readyText[:len(readyText)/2], none, fasthttp.StatusRequestTimeout},
-		{"a request after the last look", none, readyText, 0},
+		{"no input", none, none, 0},
+		{"request before the final check", readyText, none, fasthttp.StatusOK},
+		{"half a request before the final check", readyText[:len(readyText)/2], none, fasthttp.StatusRequestTimeout},
+		{"request after the final check", none, readyText, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			bound, err := transport.ListenTCP("127.0.0.1:0")
@@ -99,7 +99,7 @@
 			send := func(server syscall.Conn, text string) {
 				_, _ = io.WriteString(client, text)
 				for text != none && transport.IsReusable(server) {
-					runtime.Gosched() // until it has come
+					runtime.Gosched() // until it has arrived
 				}
 				crossed <- true
 			}
@@ -115,14 +115,14 @@
 					t.Errorf("the client got %q, %v", b, err)
 				}
 				if len(crossed) == 0 {
-					t.Error("no last look was taken")
+					t.Error("the final check was not made")
 				}
 				return
 			}
-			c.expectResponse(t, "what came", x.code, x.code != fasthttp.StatusOK)
-			if x.code == fasthttp.StatusOK { // the connection is as any other
+			c.expectResponse(t, "first input", x.code, x.code != fasthttp.StatusOK)
+			if x.code == fasthttp.StatusOK { // the connection is still usable
 				_, _ = io.WriteString(c.Conn, readyText)
-				c.expectResponse(t, "the next request", fasthttp.StatusOK, false)
+				c.expectResponse(t, "next request", fasthttp.StatusOK, false)
 			}
 		})
 	}
