--- a/internal/httpfront/simulation_test.go
+++ b/internal/httpfront/simulation_test.go
@@ -24,15 +24,14 @@
 	"wheatsaddle/policy"
 )
 
-// The core, the module and the node actors under virtual time, on connections in memory, with
-// everything that a cut-off zone does to them at once. Each taken request ends exactly once, with a
-// whole answer of a node, a refusal or a failure, before its client gives up; and nothing of it
-// stays in any table, line or count.
+// A simulation of the core and the node actors under virtual time, on connections in memory, with the faults of a zone that is
+// cut off. Each accepted request gets exactly one answer before its client's deadline: a complete response of a node, a
+// rejection or a failure. Afterwards no table, queue or counter holds anything of it.
 
-// simulatedNode is a node in memory. What it does is drawn for each connect and each request.
+// simulatedNode is a node in memory. Its behaviour is drawn at random for each dial and each request.
 type simulatedNode struct {
 	sim        *simulation
-	silentFrom time.Duration // of the world's time: from then on for silenceDuration it says nothing
+	silentFrom time.Duration // simulated time from which it sends nothing for silenceDuration
 }
 
 type simulation struct {
@@ -40,10 +39,10 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	start       time.Time
-	idleSockets [2]int // a pair of sockets with nothing to read
+	idleSockets [2]int // a socket pair with nothing to read
 	nodes       map[address.Addr]*simulatedNode
 	faults      float64
-	endedAt     sync.Map // by id: when it had its final answer, or its client went
+	endedAt     sync.Map // by request id: time of its final answer, or of its cancellation
 }
 
 const silenceDuration = 3 * time.Second
@@ -65,7 +64,7 @@
 	return at >= n.silentFrom && at < n.silentFrom+silenceDuration
 }
 
-// memConn is one end of a connection in memory, which looks quiet to who peeks at its socket.
+// memConn is one end of a connection in memory. A check of its socket finds nothing to read.
 type memConn struct {
 	net.Conn
 	sim *simulation
@@ -80,17 +79,17 @@
 
 type rawIdleSocket struct{ fd int }
 
-// dial comes up, fails, or hangs until it is given up.
+// dial succeeds, fails, or hangs until its timeout.
 func (w *simulation) dial(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 	n := w.nodes[a]
 	draw, wait := w.random(), w.randomDuration(20*time.Millisecond)
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
-	if n.silent() || draw < w.faults/4 { // never comes up
+	if n.silent() || draw < w.faults/4 { // never succeeds
 		<-ctx.Done()
 		return nil, address.ReasonTimedOut, ctx.Err()
 	}
-	if w.randomInt(4) == 0 { // comes up late
+	if w.randomInt(4) == 0 { // succeeds late
 		wait = w.randomDuration(240 * time.Millisecond)
 	}
 	time.Sleep(wait)
@@ -102,7 +101,7 @@
 	return memConn{ours, w}, 0, nil
 }
 
-// serve reads requests and does with each what was drawn.
+// serve reads requests and handles each as drawn at random.
 func (n *simulatedNode) serve(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
@@ -112,40 +111,40 @@
 			return
 		}
 		id := string(q.Header.Peek("X-Request-Id"))
-		// Guards against what waited for a connection, or in a mailbox, while its request ended.
+		// Fails for an attempt that was still waiting for a connection or in a mailbox when its request ended.
 		if at, ok := n.sim.endedAt.Load(id); ok && at.(time.Time).Before(time.Now()) {
 			n.sim.t.Errorf("%s was sent on %v after its final answer", id, time.Since(at.(time.Time)))
 		}
 		body := "of " + id
-		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		time.Sleep(n.sim.randomDuration(120 * time.Millisecond))
 		draw := n.sim.random() / n.sim.faults
 		switch {
-		case n.silent() || draw < 0.1: // the answer is lost, and the connection stays open
+		case n.silent() || draw < 0.1: // the response is lost and the connection stays open
 			_, _ = io.Copy(io.Discard, br)
 			return
-		case draw < 0.2: // cut off
-			_, _ = io.WriteString(nc, whole[:n.sim.randomInt(len(whole))])
+		case draw < 0.2: // the response is truncated and the connection closed
+			_, _ = io.WriteString(nc, response[:n.sim.randomInt(len(response))])
 			return
-		case draw < 0.3: // stops halfway, and stays open
-			_, _ = io.WriteString(nc, whole[:n.sim.randomInt(len(whole))])
+		case draw < 0.3: // the response stops halfway and the connection stays open
+			_, _ = io.WriteString(nc, response[:n.sim.randomInt(len(response))])
 			_, _ = io.Copy(io.Discard, br)
 			return
 		case draw < 0.4:
-			whole = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+			response = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		case draw < 0.6:
-			whole = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-		case draw < 0.7: // answers, and closes without saying so
-			_, _ = io.WriteString(nc, whole)
+			response = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+		case draw < 0.7: // responds and closes without announcing it
+			_, _ = io.WriteString(nc, response)
 			return
 		}
-		if _, err := io.WriteString(nc, whole); err != nil {
+		if _, err := io.WriteString(nc, response); err != nil {
 			return
 		}
 	}
 }
 
-// sometimesFullClient is a node actor whose mailbox is full now and then.
+// sometimesFullClient is a node client that sometimes rejects an attempt, as if its mailbox were full.
 type sometimesFullClient struct {
 	core.NodeClient
 	sim *simulation
@@ -166,7 +165,7 @@
 			{Name: "capped", Rate: 20, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 40, LimitBurst: 60}}}
 }
 
-// outcome is what became of one request.
+// outcome is the outcome of one request.
 type outcome struct {
 	request   *core.Request
 	deadline  time.Time
@@ -175,12 +174,12 @@
 }
 
 func TestEachRequestGetsExactlyOneAnswer(t *testing.T) {
-	var quiet [2]int
+	var sockets [2]int
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	quiet = pair
+	sockets = pair
 	defer func() { _ = syscall.Close(pair[0]) }()
 	defer func() { _ = syscall.Close(pair[1]) }()
 	kinds := map[core.AnswerKind]int{}
@@ -188,14 +187,14 @@
 		seed := rapid.Uint64().Draw(rt, "seed")
 		faults := rapid.Float64Range(0.2, 1).Draw(rt, "faults")
 		synctest.Test(t, func(t *testing.T) {
-			w := &simulation{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), idleSockets: quiet, faults: faults,
+			w := &simulation{t: rt, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Now(), idleSockets: sockets, faults: faults,
 				nodes: map[address.Addr]*simulatedNode{}}
 			w.run(kinds)
 		})
 	})
 	for _, k := range []core.AnswerKind{core.Served, core.Rejected, core.Failed} {
 		if kinds[k] == 0 {
-			t.Errorf("no request ended as %v: the world shows nothing of that", k)
+			t.Errorf("no request got answer kind %v: the simulation does not cover it", k)
 		}
 	}
 }
@@ -205,8 +204,8 @@
 	log.SetOutput(io.Discard)
 	d := &Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: int64(4 + w.randomInt(20)),
 		FreeConnWait: w.randomDuration(30 * time.Millisecond), dial: w.dial}
-	set := simulationSettings(w)
-	co, err := core.New(core.Options{Settings: set, Seed: int64(w.randomInt(1 << 30)), Log: log,
+	settings := simulationSettings(w)
+	scheduler, err := core.New(core.Options{Settings: settings, Seed: int64(w.randomInt(1 << 30)), Log: log,
 		NewNodeClient: func(name string, to []address.Addr) core.NodeClient {
 			return sometimesFullClient{d.Connect(name, to), w}
 		}})
@@ -216,49 +215,49 @@
 	var list []core.Node
 	for i := range 6 {
 		a, _ := address.Parse(fmt.Sprintf("10.0.0.%d:1", i+1))
-		n := core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i % set.Shards, Weight: 1}, Addresses: []address.Addr{a}}
+		n := core.Node{Node: policy.Node{ID: fmt.Sprint("n", i), Shard: i % settings.Shards, Weight: 1}, Addresses: []address.Addr{a}}
 		list = append(list, n)
 		w.nodes[a] = &simulatedNode{sim: w, silentFrom: w.randomDuration(8 * time.Second)}
 	}
-	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
-	var all []*outcome
+	scheduler.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: list})
+	var outcomes []*outcome
 	for i := range 300 {
 		time.Sleep(w.randomDuration(30 * time.Millisecond))
 		switch w.randomInt(25) {
-		case 0: // a change of the list, or word that there is none
+		case 0: // a change, a replacement or a failed fetch of the endpoint list
 			n := list[w.randomInt(len(list))]
 			n.State = policy.NodeState(w.randomInt(3))
-			co.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
+			scheduler.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
 		case 1:
-			co.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.randomInt(3):]})
+			scheduler.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: list[w.randomInt(3):]})
 		case 2:
-			co.UpdateList(core.ListUpdate{Kind: policy.ListFailed})
+			scheduler.UpdateList(core.ListUpdate{Kind: policy.ListFailed})
 		}
-		c := set.Classes[w.randomInt(len(set.Classes))]
+		c := settings.Classes[w.randomInt(len(settings.Classes))]
 		id := fmt.Sprintf("%016x", i)
 		e := &outcome{answered: make(chan core.Answer, 2)}
-		e.request = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: set.Plans[w.randomInt(2)].Name, Key: id,
-			Volume: fmt.Sprint("v", w.randomInt(5)), Units: float64(1 + w.randomInt(6)), Shard: w.randomInt(set.Shards+1) - 1, Schedulers: 1},
+		e.request = &core.Request{Request: policy.Request{ID: id, Class: c.Name, Plan: settings.Plans[w.randomInt(2)].Name, Key: id,
+			Volume: fmt.Sprint("v", w.randomInt(5)), Units: float64(1 + w.randomInt(6)), Shard: w.randomInt(settings.Shards+1) - 1, Schedulers: 1},
 			ReceivedAt: time.Now(), Timeout: w.randomDuration(time.Duration(c.Deadline) * time.Millisecond),
 			Payload: &nodeRequest{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
 			Answer: func(a core.Answer) {
 				if late := time.Since(e.deadline); late > 0 {
-					w.t.Errorf("%s was answered %v after its client gave up", id, late)
+					w.t.Errorf("%s was answered %v after its deadline", id, late)
 				}
 				w.endedAt.Store(id, time.Now())
 				e.answered <- a
 			}}
 		e.deadline = e.request.ReceivedAt.Add(e.request.Timeout)
-		all = append(all, e)
-		co.Submit(e.request)
-		if old := all[w.randomInt(len(all))]; w.randomInt(12) == 0 && len(old.answered) == 0 && !old.cancelled {
+		outcomes = append(outcomes, e)
+		scheduler.Submit(e.request)
+		if old := outcomes[w.randomInt(len(outcomes))]; w.randomInt(12) == 0 && len(old.answered) == 0 && !old.cancelled {
 			old.cancelled = true
 			w.endedAt.LoadOrStore(old.request.ID, time.Now())
-			co.Cancel(old.request)
+			scheduler.Cancel(old.request)
 		}
 	}
-	time.Sleep(10 * time.Second) // past every deadline, and every attempt's
-	for _, e := range all {
+	time.Sleep(10 * time.Second) // past the deadlines of all requests and attempts
+	for _, e := range outcomes {
 		switch got := len(e.answered); {
 		case got > 1 || got == 0 && !e.cancelled:
 			w.t.Errorf("%s: %d answers", e.request.ID, got)
@@ -272,13 +271,13 @@
 			}
 		}
 	}
-	if left := co.TableSizes(); left != (core.TableSizes{}) {
-		w.t.Errorf("left behind: %+v", left)
+	if left := scheduler.TableSizes(); left != (core.TableSizes{}) {
+		w.t.Errorf("tables are not empty at the end: %+v", left)
 	}
-	co.UpdateList(core.ListUpdate{Kind: policy.ListReceived})
-	time.Sleep(time.Minute) // all nodes have left: what they hold closes
+	scheduler.UpdateList(core.ListUpdate{Kind: policy.ListReceived})
+	time.Sleep(time.Minute) // all nodes are removed and close their connections
 	if open := d.open.Load(); open != 0 || d.idle.list.Len() != 0 {
 		w.t.Errorf("%d connections are counted as open, %d as idle", open, d.idle.list.Len())
 	}
-	co.Stop()
+	scheduler.Stop()
 }
