--- a/internal/httpfront/addresses_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -128,11 +128,11 @@
 	r.t.Helper()
 	id, got := r.send(text, time.Minute)
 	if x := <-got; x.Status != policy.OK || string(x.Payload.(*nodeResponse).body) != id {
-		r.t.Fatalf("%s: %+v", id, x)
+		r.t.Fatalf("%s: attempt ended as %+v", id, x)
 	}
 	all := r.node.Arrivals(id)
 	if len(all) != 1 || r.node.Ran(id) != 1 {
-		r.t.Fatalf("%s: %+v", id, all)
+		r.t.Fatalf("%s: arrivals %+v", id, all)
 	}
 	return all[0].By
 }
@@ -165,7 +165,7 @@
 		}
 	}
 	if c := r.node.Counts(); c.Conns != 1 || c.Ran != 20 {
-		t.Errorf("%+v", c)
+		t.Errorf("node counts %+v", c)
 	}
 	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NoSocket} {
 		r.set(0, f)
@@ -265,7 +265,7 @@
 	for range 200 { // while the trial is in flight, other attempts end as not run and dial nothing
 		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Errorf("%+v", x)
+			t.Errorf("attempt ended as %+v", x)
 		}
 	}
 	if n := r.node.Accepted(r.addresses[2]); n != 1 {
@@ -340,7 +340,7 @@
 	r.client.Drain(true)
 	for _, got := range results {
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Errorf("%+v", x)
+			t.Errorf("attempt ended as %+v", x)
 		}
 	}
 	close(release)
@@ -373,7 +373,7 @@
 	for range 20 {
 		_, got := r.send(recordText, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Fatalf("%+v", x)
+			t.Fatalf("attempt ended as %+v", x)
 		}
 	}
 	noDescriptors.Store(false)
@@ -387,7 +387,7 @@
 	_, hanging := r.send(readText, 500*ms)
 	_, got := r.send(recordText, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed {
-		t.Errorf("%+v", x)
+		t.Errorf("attempt ended as %+v", x)
 	}
 	<-hanging
 	for _, e := range r.hook.AllEntries() {
@@ -467,7 +467,7 @@
 func TestAddressListChangesUnderLoad(t *testing.T) {
 	r := newAddressHarness(t, withShortTimes())
 	set := testSettings()
-	f, c := r.newFront(set, 50)
+	f, c := r.startServer(set, 50)
 	list := func(kind policy.EventKind, to ...address.Addr) {
 		c.UpdateList(core.ListUpdate{Kind: kind, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: to}}})
 	}
@@ -508,8 +508,8 @@
 	changes.Wait()
 }
 
-// newFront returns a server and a core with the given settings for the harness's node.
-func (r *addressHarness) newFront(set policy.Settings, conns int) (*frontHarness, *core.Core) {
+// startServer returns a server and a core with the given settings for the harness's node.
+func (r *addressHarness) startServer(set policy.Settings, conns int) (*frontHarness, *core.Core) {
 	r.t.Helper()
 	c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: r.dialer.Connect, Log: r.dialer.Log})
 	if err != nil {
@@ -542,7 +542,7 @@
 		set.MaxAttempts = 4
 		set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 30e3, 20e3
 		set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 20e3, Deadline: 30e3, PriorityWeight: 1, Effect: policy.NonIdempotent})
-		f, _ := r.newFront(set, 50)
+		f, _ := r.startServer(set, 50)
 		f.send(t, fmt.Sprintf(readText, "warm"))
 		gate := make(chan struct{})
 		r.gate.Store(&gate)
@@ -575,7 +575,7 @@
 	set := testSettings()
 	set.MaxAttempts, set.SlowStartUnits, set.OverloadWindow, set.OverloadMultiple, set.SlowStartShare, set.SlowStartDuration = 4, 12, 1000, 0, 0.24, 1e6
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 40, 900
-	f, _ := r.newFront(set, 400)
+	f, _ := r.startServer(set, 400)
 	var wg sync.WaitGroup
 	var n atomic.Int64
 	sendRead := func() {
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -141,7 +141,7 @@
 			case r.StatusCode() == 503 && len(r.Header.Peek("Retry-After")) == 0:
 				t.Errorf("%d: rejected without Retry-After", i)
 			case r.StatusCode() != 200 && r.StatusCode() != 503:
-				t.Errorf("%d: %d %q", i, r.StatusCode(), r.Body())
+				t.Errorf("%d: status %d, body %q", i, r.StatusCode(), r.Body())
 			}
 		}()
 	}
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -18,7 +18,7 @@
 	f := newFront(t, respondWith(okResponse))
 	smaller := strings.Replace(validRequest, "units=2", "units=1", 1)
 	if r := f.send(t, validRequest); r.StatusCode() != 200 {
-		t.Fatalf("%d", r.StatusCode())
+		t.Fatalf("status %d", r.StatusCode())
 	}
 	first := f.srv.bounds()
 	var head fasthttp.RequestHeader
@@ -35,7 +35,7 @@
 		t.Errorf("request over the new limit of units: status %d", r.StatusCode())
 	}
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
-		t.Errorf("%d", r.StatusCode())
+		t.Errorf("status %d", r.StatusCode())
 	}
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
 		t.Errorf("write timeout %v after the change", w)
@@ -57,6 +57,6 @@
 		t.Fatal(err)
 	}
 	if r, err := decode(&m, first); err != nil || r.Settings != first.settings {
-		t.Errorf("%v, %+v", err, r)
+		t.Errorf("decoded with %v: %+v", err, r)
 	}
 }
--- a/internal/httpfront/connrace_test.go
+++ b/internal/httpfront/connrace_test.go
@@ -75,9 +75,9 @@
 	l := &operationPauser{paused: make(chan *pausableStream, 1), resume: make(chan struct{})}
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
-		s, why, err := transport.Dial(ctx, a, wait)
+		s, reason, err := transport.Dial(ctx, a, wait)
 		if err != nil {
-			return nil, why, err
+			return nil, reason, err
 		}
 		l.dialCount.Add(1)
 		return &pausableStream{s, l}, 0, nil
@@ -94,8 +94,8 @@
 
 func newIDNode(t *testing.T) (*idNode, []address.Addr) {
 	s := &idNode{arrivals: map[string]int{}}
-	at := s.listen(t)
-	return s, at
+	addresses := s.listen(t)
+	return s, addresses
 }
 
 // listen opens one more address.
@@ -186,7 +186,7 @@
 
 // clientKinds returns the two kinds of client of one node: with one address, and with several addresses and a selector.
 func clientKinds(d *Dialer, to []address.Addr) map[string]func() core.NodeClient {
-	twice := func() []address.Addr { // with a second address that is not used while the first one works
+	withSecond := func() []address.Addr { // with a second address that is not used while the first one works
 		other, err := address.Parse("127.0.0.1:1")
 		if err != nil {
 			panic(err)
@@ -195,7 +195,7 @@
 	}
 	return map[string]func() core.NodeClient{
 		"one address":       func() core.NodeClient { return d.Connect("n", to) },
-		"several addresses": func() core.NodeClient { return d.Connect("n", twice()) },
+		"several addresses": func() core.NodeClient { return d.Connect("n", withSecond()) },
 	}
 }
 
@@ -229,7 +229,7 @@
 				close(l.resume)
 				r := <-got
 				if r.Status != policy.OK || string(r.Payload.(*nodeResponse).body) != "second" {
-					t.Errorf("ended as %+v", r)
+					t.Errorf("attempt ended as %+v", r)
 				}
 				if s.arrivalCount("second") != 1 || l.dialCount.Load() != 2 {
 					t.Errorf("request arrived %d times, over %d connections", s.arrivalCount("second"), l.dialCount.Load())
@@ -266,7 +266,7 @@
 				x.do(p, a)
 				close(l.resume)
 				if r := <-got; r.Status != x.want {
-					t.Errorf("ended as %+v", r)
+					t.Errorf("attempt ended as %+v", r)
 				}
 				if s.arrivalCount("second") != 0 {
 					t.Error("the attempt was written")
@@ -311,7 +311,7 @@
 			s, to := newIDNode(t)
 			d, l := newPausableDialer()
 			d.ConnectTimeout = time.Hour
-			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
+			dial, dialStarted, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			p := clientKinds(d, to)[kind]()
 			expectServed(t, p, "first")
 			l.pauseSecond()
@@ -320,19 +320,19 @@
 			h := <-l.paused
 			// The actor next reads d.dial after it has taken the attempt back.
 			d.dial = func(_ context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
-				begun <- true
+				dialStarted <- true
 				<-resume
 				return dial(context.Background(), to, wait)
 			}
 			s.writeUnsolicited(responseWithBody("first"))
 			waitForInput(t, h)
 			close(l.resume)
-			<-begun
+			<-dialStarted
 			p.Cancel(a)
 			select {
 			case r := <-got:
 				if r.Status != policy.Cancelled {
-					t.Errorf("ended as %+v", r)
+					t.Errorf("attempt ended as %+v", r)
 				}
 			case <-time.After(10 * time.Second): // expires only if the cancel does not end the attempt
 				t.Error("cancelled attempt still waits for its dial")
@@ -340,7 +340,7 @@
 			close(resume)
 			expectServed(t, p, "third")
 			if s.arrivalCount("second") != 0 {
-				t.Error("it was written")
+				t.Error("the attempt was written")
 			}
 			expectNothingLeft(t, d, p, got)
 		})
@@ -387,9 +387,9 @@
 			s, to := newIDNode(t)
 			d, l := newPausableDialer()
 			d.ConnectTimeout = time.Hour // so that only the drain ends the attempts
-			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
+			dial, dialStarted, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			d.dial = func(_ context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
-				begun <- true
+				dialStarted <- true
 				<-resume // succeeds late, even if it was cancelled
 				return dial(context.Background(), a, wait)
 			}
@@ -400,13 +400,13 @@
 				p.Send(a)
 				results = append(results, got)
 			}
-			<-begun
+			<-dialStarted
 			p.Drain(true)
 			for _, got := range results {
 				select {
 				case r := <-got:
 					if r.Status != policy.ConnectFailed {
-						t.Errorf("ended as %+v", r)
+						t.Errorf("attempt ended as %+v", r)
 					}
 				case <-time.After(10 * time.Second): // expires only if the drain does not end the attempt
 					t.Error("attempt still waits for a dial to a draining node")
@@ -471,7 +471,7 @@
 				t.Errorf("%d bytes arrived, want less than the whole request", n)
 			}
 			if r := <-got; r.Status != policy.Abandoned {
-				t.Errorf("ended as %+v", r)
+				t.Errorf("attempt ended as %+v", r)
 			}
 			expectNothingLeft(t, d, p, got)
 		})
@@ -509,7 +509,7 @@
 			_ = nc.SetLinger(0)
 			nc.Close()
 			if r := <-got; r.Status != x.want {
-				t.Errorf("ended as %+v", r)
+				t.Errorf("attempt ended as %+v", r)
 			}
 			expectNothingLeft(t, d, p, got)
 		})
@@ -560,7 +560,7 @@
 			p := d.Connect("n", addressesOf(n.ln))
 			r := sendOne(t, p)
 			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
-				t.Errorf("ended as %+v, want %d", r, x.want)
+				t.Errorf("attempt ended as %+v, want %d", r, x.want)
 			}
 			sendOne(t, p)
 			if again := n.conns.Load() == 1; again != x.again {
@@ -593,10 +593,10 @@
 		n := newFakeNode(t, respondWith(okResponse))
 		d := dialer()
 		var mu sync.Mutex
-		var list []int
+		var lengths []int
 		d.dial = func(ctx context.Context, a address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 			s, why, err := transport.Dial(ctx, a, wait)
-			return writeRecorder{s, &mu, &list}, why, err
+			return writeRecorder{s, &mu, &lengths}, why, err
 		}
 		p := d.Connect("n", addressesOf(n.ln))
 		body := strings.Repeat("x", size)
@@ -610,8 +610,8 @@
 			t.Errorf("%d of %d bytes arrived", len(arrived), size)
 		}
 		mu.Lock()
-		if len(list) != writes || writes > 1 && list[0] > maxHeadSize {
-			t.Errorf("%d bytes: written in pieces of %v bytes", size, list)
+		if len(lengths) != writes || writes > 1 && lengths[0] > maxHeadSize {
+			t.Errorf("%d bytes: written in pieces of %v bytes", size, lengths)
 		}
 		mu.Unlock()
 		expectNothingLeft(t, d, p, got)
@@ -627,19 +627,19 @@
 			next := s.listen(t)
 			d, _ := newPausableDialer()
 			d.ConnectTimeout = time.Hour
-			dial, begun, resume := d.dial, make(chan bool, 64), make(chan struct{})
+			dial, dialStarted, resume := d.dial, make(chan bool, 64), make(chan struct{})
 			d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
 				if to != old[0] {
 					return dial(ctx, to, wait)
 				}
-				begun <- true
+				dialStarted <- true
 				<-resume
 				return nil, address.ReasonRefused, syscall.ECONNREFUSED
 			}
 			p := clientKinds(d, old)[kind]()
 			a, got := attemptWithID(t, "first")
 			p.Send(a)
-			<-begun
+			<-dialStarted
 			p.SetAddresses(next)
 			close(resume)
 			if r := <-got; r.Status != policy.OK || s.arrivalCount("first") != 1 {
--- a/internal/httpfront/disconnect_test.go
+++ b/internal/httpfront/disconnect_test.go
@@ -95,17 +95,17 @@
 	d := dialer()
 	d.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		l.dials.pass()
-		nc, why, err := transport.Dial(ctx, a, within)
+		nc, reason, err := transport.Dial(ctx, a, within)
 		if err != nil {
-			return nil, why, err
+			return nil, reason, err
 		}
-		return &gatedStream{nc, l, closed}, why, nil
+		return &gatedStream{nc, l, closed}, reason, nil
 	}
-	where := "127.0.0.1:0"
+	listenAddress := "127.0.0.1:0"
 	if network == "unix" {
-		where = filepath.Join(t.TempDir(), "s")
+		listenAddress = filepath.Join(t.TempDir(), "s")
 	}
-	ln, err := net.Listen(network, where)
+	ln, err := net.Listen(network, listenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -191,7 +191,7 @@
 		}
 		for _, s := range c.shards {
 			if n := w.nodes[s].RowCounts(fmt.Sprintf("%s/%d/1", id, s)); n.Asked != 1 || n.Whole != 1 {
-				t.Errorf("%s: shard %d: %+v", c.gather, s, n)
+				t.Errorf("%s: shard %d: node counts %+v", c.gather, s, n)
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 	for pages := 0; pages < 4; pages++ {
 		g := w.read("balance-read", "basic", time.Minute, more...)
 		if rows = append(rows, g.rows...); g.code != 200 || !g.result.Get("whole").Bool() {
-			t.Fatalf("%+v", g)
+			t.Fatalf("response %+v", g)
 		}
 		if g.result.Get("token").Str == "" {
 			break
@@ -223,7 +223,7 @@
 		t.Errorf("the pages together have %d rows, not those of the flat merge", len(rows))
 	}
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll, hdrToken+": "+"AAAA"); g.code != 400 || g.result.Get("code").Str != "gather-token-bad" || g.result.Get("advice").Str == "" {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	w.waitForNoReads()
 }
@@ -263,7 +263,7 @@
 		rows = append(rows, string(row))
 	}
 	if !m.Result().Whole || !slices.Equal(rows, w.flatRows(0, 1, 2, 3)) {
-		t.Errorf("%d rows, %+v", len(rows), m.Result())
+		t.Errorf("merged partial results: %d rows, %+v", len(rows), m.Result())
 	}
 	w.waitForNoReads()
 }
@@ -291,7 +291,7 @@
 		w.writeRequest(nc, c.method, c.path, c.plan, time.Minute, c.more...)
 		g := readGatherResponse(t, bufio.NewReader(nc))
 		if g.code != c.code || g.result.Get("code").Str != c.says || g.result.Get("advice").Str == "" {
-			t.Errorf("%s: %+v", c.what, g)
+			t.Errorf("%s: response %+v", c.what, g)
 		}
 	}
 	for _, n := range w.nodes {
@@ -302,7 +302,7 @@
 	// One node never responds: the read misses its deadline, and the part is cancelled.
 	w.nodes[2].SetRows(fakenode.RowFault{Late: time.Hour})
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, gatherAll); g.code != 504 && g.code != 503 || !g.isMissing(2) {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	w.waitForNoReads()
 	// All nodes reject the parts: the read is rejected with Retry-After.
@@ -311,7 +311,7 @@
 	}
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 503 || g.head.Get("Retry-After") == "" || g.result.Get("code").Str != "scatter-refused" ||
 		len(g.result.Get("missing").Array()) == 0 {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	w.waitForNoReads()
 }
@@ -381,7 +381,7 @@
 	}
 	w.svc.Reads.Set(1)
 	if g := w.read("balance-read", "basic", time.Minute, "X-Gather: 0"); g.code != 503 || g.head.Get("Retry-After") == "" {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	g := readGatherResponse(t, br)
 	if g.err != nil || !g.result.Get("whole").Bool() || len(g.rows) != gatherShards*10000 {
@@ -426,10 +426,10 @@
 	}
 	before1, before2 := requestCount(1), requestCount(2)
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || !slices.Equal(g.rows, w.flatRows(0, 3)) || !g.result.Get("whole").Bool() {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, "X-Gather: 0-3"); !g.isMissing(1, 2) {
-		t.Errorf("%+v", g)
+		t.Errorf("response %+v", g)
 	}
 	if requestCount(1) != before1 || requestCount(2) != before2 {
 		t.Error("a draining or excluded node got a request")
@@ -455,7 +455,7 @@
 	}
 	w.nodes[0].SetRows(fakenode.RowFault{})
 	if g := readGatherResponse(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flatRows(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
-		t.Errorf("%+v", g.result)
+		t.Errorf("result %+v", g.result)
 	}
 	if err := errors.Join(<-shutdownErr, <-w.served); err != nil {
 		t.Error(err)
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -155,7 +155,7 @@
 			t.Errorf("%s: status %d, want %d; %d requests arrived", name, r.Status, x.want, n.requests.Load())
 		}
 		if r.Status == policy.OK && (r.PlanUsage != 86 || r.PeerUsage != 4 || string(r.Payload.(*nodeResponse).body) != "abc") {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: attempt ended as %+v", name, r)
 		}
 		p.Close()
 	}
@@ -292,7 +292,7 @@
 		m.Header.Set("Volume-Load", x.used)
 		m.Header.Set("X-Load", x.load)
 		if r := decodeResponse(&m, &nodeResponse{}); r.PlanUsage != x.want || (r.Load != nil) != x.report {
-			t.Errorf("%+v: %+v", x, r)
+			t.Errorf("%+v: decoded as %+v", x, r)
 		}
 	}
 }
@@ -313,7 +313,7 @@
 	<-n.ended // the node has closed the connection
 	closeAfter <- true
 	if r := sendOne(t, p); r.Status != policy.OK {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("attempt ended with status %d", r.Status)
 	}
 }
 
@@ -324,7 +324,7 @@
 	}
 	ln.Close()
 	if r := sendOne(t, dialer().Connect("n", addressesOf(ln))); r.Status != policy.ConnectFailed {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("attempt ended with status %d", r.Status)
 	}
 }
 
@@ -338,7 +338,7 @@
 	}
 	p.Drain(false)
 	if r := sendOne(t, p); r.Status != policy.OK {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("attempt ended with status %d", r.Status)
 	}
 }
 
@@ -382,11 +382,11 @@
 	a, got := attempt(t, inOneMinute())
 	p.Send(a)
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("attempt ended with status %d", r.Status)
 	}
 	close(release)
 	if r := <-got; r.Status != policy.OK {
-		t.Errorf("status %d", r.Status)
+		t.Errorf("attempt ended with status %d", r.Status)
 	}
 }
 
@@ -452,7 +452,7 @@
 func TestRequestIsForwardedAndAnswered(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
 	if r := f.send(t, validRequest); r.StatusCode() != 200 || string(r.Body()) != "abc" {
-		t.Errorf("%d %q", r.StatusCode(), r.Body())
+		t.Errorf("status %d, body %q", r.StatusCode(), r.Body())
 	}
 	q := f.last.Load()
 	for name, want := range map[string]string{"X-Request-Id": "9b1f03aa5c7e2d41", "Idempotency-Key": "k1"} {
@@ -464,7 +464,7 @@
 		t.Errorf("forwarded as %s", q)
 	}
 	if r := f.send(t, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode() != 200 {
-		t.Errorf("ready: %d", r.StatusCode())
+		t.Errorf("readiness check: status %d", r.StatusCode())
 	}
 }
 
@@ -504,7 +504,7 @@
 	} {
 		r := f.send(t, x.text)
 		if r.StatusCode() != x.code {
-			t.Errorf("%.60q...: %d %q, want %d", x.text, r.StatusCode(), r.Body(), x.code)
+			t.Errorf("%.60q...: status %d, body %q, want status %d", x.text, r.StatusCode(), r.Body(), x.code)
 		}
 		if r.StatusCode() != 404 && !r.ConnectionClose() {
 			t.Errorf("%.60q...: the connection stays open", x.text)
@@ -533,7 +533,7 @@
 		}
 	}
 	if r := f.send(t, validRequest); r.StatusCode() != 200 {
-		t.Errorf("%d", r.StatusCode())
+		t.Errorf("status %d", r.StatusCode())
 	}
 }
 
@@ -542,7 +542,7 @@
 	f := newFront(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := f.send(t, validRequest)
 	if wait := string(r.Header.Peek("Retry-After")); r.StatusCode() != 503 || !strings.Contains(wait, ".") {
-		t.Errorf("%d, Retry-After %q", r.StatusCode(), wait)
+		t.Errorf("status %d, Retry-After %q", r.StatusCode(), wait)
 	}
 	f = newFront(t, func(net.Conn) bool { return false })
 	if r := f.send(t, validRequest); r.StatusCode() != 502 {
@@ -627,7 +627,7 @@
 	br := bufio.NewReader(nc)
 	r := &fasthttp.Response{}
 	if err := r.Read(br); err != nil || string(r.Body()) != "abc" || !r.ConnectionClose() {
-		t.Errorf("%v %q", err, r)
+		t.Errorf("response of the request in flight: %v %q", err, r)
 	}
 	if err := r.Read(br); err == nil {
 		t.Errorf("second response: %s", r)
@@ -717,14 +717,14 @@
 		}
 		_ = decodeIOInfo(string(noise), &policy.Request{})
 		if l := decodeLoad(string(noise)); l != nil && (l.Util < -1 || l.Queue < -1 || l.Inflight < -1) {
-			rt.Fatalf("load %+v", l)
+			rt.Fatalf("load decoded as %+v", l)
 		}
 		if v, ok := parseNonNegative(noise); !(v >= 0 && v <= 1e12) || !ok && v != 0 {
-			rt.Fatalf("figure %v", v)
+			rt.Fatalf("number parsed as %v", v)
 		}
 	})
 	if l := decodeLoad("inflight=7,queue=2,util=0.61"); l == nil || l.Inflight != 7 || l.Queue != 2 || l.Util != 0.61 {
-		t.Errorf("load %+v", l)
+		t.Errorf("load decoded as %+v", l)
 	}
 }
 
@@ -745,7 +745,7 @@
 		for _, e := range rec.Entries {
 			e.Request.Plan, e.Request.Shard, e.Request.Timeout = "basic", 0, time.Minute
 			if r := f.send(t, string(e.HTTP(nil, name+e.Request.ID))); r.StatusCode() != 200 {
-				t.Errorf("%s: line %d: %d %q", name, e.Line, r.StatusCode(), r.Body())
+				t.Errorf("%s: line %d: status %d, body %q", name, e.Line, r.StatusCode(), r.Body())
 			}
 		}
 	}
@@ -781,7 +781,7 @@
 	release <- true
 	for _, got := range []chan core.Result{first, beyond, behind} {
 		if r := <-got; r.Status != policy.OK {
-			t.Errorf("%+v", r)
+			t.Errorf("attempt ended as %+v", r)
 		}
 	}
 	if n.requests.Load() != 3 || n.conns.Load() != 2 {
@@ -797,7 +797,7 @@
 	}
 	release <- true
 	if r := <-inFlight; r.Status != policy.OK {
-		t.Errorf("%+v", r)
+		t.Errorf("attempt ended as %+v", r)
 	}
 }
 
@@ -823,7 +823,7 @@
 	waitFor(t, func() bool { return n.requests.Load() == 3 })
 	q.Cancel(a) // its connection is closed and not reused
 	if r := <-cancelled; r.Status != policy.Cancelled {
-		t.Errorf("%+v", r)
+		t.Errorf("attempt ended as %+v", r)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	close(block)
--- a/internal/httpfront/idle_test.go
+++ b/internal/httpfront/idle_test.go
@@ -23,7 +23,7 @@
 	for round := range 3 {
 		for i, p := range clients {
 			if r := sendOne(t, p); r.Status != policy.OK {
-				t.Fatalf("round %d, node %d: %v", round, i, r.Status)
+				t.Fatalf("round %d, node %d: attempt ended as %v", round, i, r.Status)
 			}
 			if open := d.open.Load(); open > d.MaxConns {
 				t.Fatalf("%d connections are open, at most %d are allowed", open, d.MaxConns)
@@ -49,7 +49,7 @@
 	one, other := d.Connect("one", addressesOf(n.ln)), d.Connect("other", addressesOf(n.ln))
 	a, got := attempt(t, inOneMinute())
 	if !one.Send(a) {
-		t.Fatal("not sent")
+		t.Fatal("attempt was not accepted")
 	}
 	for n.requests.Load() == 0 {
 		runtime.Gosched()
--- a/internal/httpfront/isolation_test.go
+++ b/internal/httpfront/isolation_test.go
@@ -20,8 +20,8 @@
 	"wheatsaddle/policy"
 )
 
-// isolationHarness is a server with two plans, one of which has a rate limit that admits nothing during a test. Its node describes the whole
-// request in its response, and counts arrivals by request id.
+// isolationHarness is a server with two plans, one of which has a rate limit that admits nothing during a test. Its node
+// describes the whole request in its response, and counts arrivals by request id.
 type isolationHarness struct {
 	t        *testing.T
 	core     *core.Core
@@ -146,7 +146,7 @@
 		code, waits = 503, true
 	}
 	if code != a.code || waits != (a.code == 503) || r.ConnectionClose() {
-		t.Fatalf("%s: %d, want %d; Retry-After %v, closes %v", a.id, r.StatusCode(), a.code, waits, r.ConnectionClose())
+		t.Fatalf("%s: status %d, want %d; Retry-After %v, closes %v", a.id, r.StatusCode(), a.code, waits, r.ConnectionClose())
 	}
 	if want := requestText(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
 		t.Errorf("%s: response of %d bytes %.120q, want %d %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
--- a/internal/httpfront/kernelcopy_test.go
+++ b/internal/httpfront/kernelcopy_test.go
@@ -21,7 +21,7 @@
 
 // The kernel refuses to copy data between sockets (such as splice), on client and node connections. Bodies and responses
 // of all framings and sizes, buffered, streamed and relayed, still pass unchanged, and no such copy is attempted.
-func TestRejectedKernelCopies(t *testing.T) {
+func TestBodiesPassWithoutKernelCopies(t *testing.T) {
 	ln, err := refuser.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpfront/overcapacity_test.go
+++ b/internal/httpfront/overcapacity_test.go
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		if text, err := io.ReadAll(c.Reader); len(text) > 0 || err != nil {
-			t.Errorf("silent connection %d got %q, %v", i, text, err)
+			t.Errorf("silent connection %d got input %q, %v", i, text, err)
 		}
 	}
 }
--- a/internal/httpfront/preconnect_test.go
+++ b/internal/httpfront/preconnect_test.go
@@ -102,7 +102,7 @@
 	_, got := (&addressHarness{t: t, node: n, dialer: d, client: p}).send(readText, time.Minute)
 	spinUntil(func() bool { return n.Counts().Requests == 1 })
 	if s := <-result; s != policy.OK || n.Counts().Conns != 1 {
-		t.Errorf("%v, %d connections for one attempt", s, n.Counts().Conns)
+		t.Errorf("preconnect ended as %v, %d connections for one attempt", s, n.Counts().Conns)
 	}
 	if s := preconnectResult(t, p); s != policy.OK { // in addition to the busy one
 		t.Error(s)
@@ -123,7 +123,7 @@
 	got := make(chan core.Result, 1)
 	p.CheckHealth(func(r core.Result, _ time.Duration) { got <- r })
 	if r := <-got; r.Status != policy.NodeFull {
-		t.Errorf("%v", r.Status)
+		t.Errorf("probe ended as %v", r.Status)
 	}
 	p.Close()
 }
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -160,12 +160,12 @@
 	case err != nil:
 		return nil, err
 	}
-	rep.relay = c.newRelay(first, stream)
+	rep.relay = c.relayBody(first, stream)
 	return rep, nil
 }
 
-// newRelay returns the relay of a long response. It owns the connection until it is closed.
-func (c *conn) newRelay(first []byte, remaining io.Reader) *relay {
+// relayBody returns the relay of a long response. It owns the connection until it is closed.
+func (c *conn) relayBody(first []byte, remaining io.Reader) *relay {
 	c.timedReader.readTimeout = relayReadTimeout
 	finish := func(complete bool) bool {
 		if err := c.response.CloseBodyStream(); err != nil {
--- a/internal/httpfront/simulation_test.go
+++ b/internal/httpfront/simulation_test.go
@@ -224,7 +224,7 @@
 	for i := range 300 {
 		time.Sleep(w.randomDuration(30 * time.Millisecond))
 		switch w.randomInt(25) {
-		case 0: // a change, a replacement or a failed fetch of the endpoint list
+		case 0: // cases 0 to 2 change, replace or fail to fetch the endpoint list
 			n := list[w.randomInt(len(list))]
 			n.State = policy.NodeState(w.randomInt(3))
 			scheduler.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: []core.Node{n}})
