--- /dev/null
+++ b/internal/httpfront/nonidempotent_test.go
@@ -0,0 +1,191 @@
+package httpfront
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	logtest "github.com/sirupsen/logrus/hooks/test"
+	"github.com/valyala/fasthttp"
+
+	"wheatsaddle/internal/address"
+	"wheatsaddle/internal/core"
+	"wheatsaddle/internal/transport"
+	"wheatsaddle/policy"
+)
+
+// runCounter is a storage node that counts executions by request id. Its first connection breaks as configured;
+// a retry would be served.
+type runCounter struct {
+	mu   sync.Mutex
+	runs map[string]int
+}
+
+func (l *runCounter) record(id string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs[id]++
+	return l.runs[id]
+}
+
+// connFault describes how a node's first connection breaks.
+type connFault struct {
+	closeAfterBytes int    // the node closes after this number of request bytes; -1: it reads the complete request
+	rejected        bool   // the node rejects the request without running it
+	partialResponse string // what the node sends of the response after running the request, before it closes
+	onSecondRequest bool   // the first request on the connection is served, the second one meets the fault
+}
+
+// serve serves one connection, with the fault if it is the first one.
+func (l *runCounter) serve(nc net.Conn, b connFault, first bool) {
+	defer nc.Close()
+	br := bufio.NewReader(nc)
+	for n := 0; ; n++ {
+		breaks := first && (!b.onSecondRequest || n == 1)
+		if breaks && b.closeAfterBytes >= 0 {
+			_, _ = io.ReadFull(br, make([]byte, b.closeAfterBytes))
+			return
+		}
+		var q fasthttp.Request
+		if q.Read(br) != nil {
+			return
+		}
+		if breaks && b.rejected {
+			_, _ = io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			first = false
+			continue
+		}
+		l.record(string(q.Header.Peek("X-Request-Id")))
+		if breaks {
+			_, _ = io.WriteString(nc, b.partialResponse)
+			return
+		}
+		_, _ = io.WriteString(nc, okResponse)
+	}
+}
+
+// A non-idempotent write whose connection breaks at any point runs at most once. It is retried only if it certainly has not
+// run, and fails if it may have run.
+func TestNonIdempotentWriteRunsAtMostOnce(t *testing.T) {
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
+	for name, x := range map[string]struct {
+		b       connFault
+		served  bool // otherwise failed
+		perhaps bool // the break is so early that the write may fail; then it has not run and may be retried
+	}{
+		"no break":                {connFault{closeAfterBytes: -1, partialResponse: okResponse}, true, false},
+		"closed at once":          {connFault{closeAfterBytes: 0}, false, true},
+		"cut in the request":      {connFault{closeAfterBytes: 40}, false, true},
+		"full":                    {connFault{closeAfterBytes: -1, rejected: true}, true, false},
+		"no answer":               {connFault{closeAfterBytes: -1}, false, false},
+		"cut in the head":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:20]}, false, false},
+		"cut in the body":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:len(okResponse)-1]}, false, false},
+		"cut in a chunked body":   {connFault{closeAfterBytes: -1, partialResponse: chunked}, false, false},
+		"an error":                {connFault{closeAfterBytes: -1, partialResponse: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
+		"a reused connection":     {connFault{closeAfterBytes: -1, onSecondRequest: true}, false, false},
+		"a reused one, cut early": {connFault{closeAfterBytes: 40, onSecondRequest: true}, false, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := &runCounter{runs: map[string]int{}}
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer ln.Close()
+			go func() {
+				for first := true; ; first = false {
+					nc, err := ln.Accept()
+					if err != nil {
+						return
+					}
+					go l.serve(nc, x.b, first)
+				}
+			}()
+			set := testSettings()
+			set.MaxAttempts = 4
+			set.Classes[1].Effect = policy.NonIdempotent
+			log, _ := logtest.NewNullLogger()
+			c, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer().Connect, Log: log})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Stop()
+			c.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{{Node: policy.Node{ID: "n", Weight: 1}, Addresses: addressesOf(ln)}}})
+			send := func(id string) core.Answer {
+				var m fasthttp.Request
+				text := strings.Replace(validRequest, "9b1f03aa5c7e2d41", id, 1)
+				if err := m.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
+					t.Fatal(err)
+				}
+				r, err := decode(&m, &bounds{maxUnits: 1e6})
+				if err != nil {
+					t.Fatal(err)
+				}
+				got := make(chan core.Answer, 4)
+				r.ReceivedAt, r.Answer = time.Now(), func(a core.Answer) { got <- a }
+				c.Submit(r)
+				return <-got
+			}
+			if x.b.onSecondRequest {
+				if a := send("before"); a.Kind != core.Served {
+					t.Fatalf("first request on the connection: %+v", a)
+				}
+			}
+			a := send("once")
+			send("after") // by now any retry has been sent
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			summary := fmt.Sprintf("answered %d %s, ran %v", a.Kind, a.Cause, l.runs)
+			switch {
+			case l.runs["once"] > 1:
+				t.Error(summary)
+			case a.Kind == core.Served && l.runs["once"] != 1, a.Kind == core.Rejected:
+				t.Error(summary)
+			case !x.perhaps && (a.Kind == core.Served) != x.served:
+				t.Error(summary)
+			}
+		})
+	}
+}
+
+// If the connection is established only after the deduplication window of a retry, nothing of the retry is written.
+func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	l := &runCounter{runs: map[string]int{}}
+	go func() {
+		for nc, err := ln.Accept(); err == nil; nc, err = ln.Accept() {
+			go l.serve(nc, connFault{}, false)
+		}
+	}()
+	a, got := attempt(t, inOneMinute())
+	a.StartBy = time.Now().Add(100 * time.Millisecond)
+	d := dialer()
+	d.dial = func(ctx context.Context, to address.Addr, wait time.Duration) (transport.Stream, address.Reason, error) {
+		time.Sleep(time.Until(a.StartBy) + time.Millisecond)
+		return transport.Dial(ctx, to, wait)
+	}
+	p := d.Connect("n", addressesOf(ln))
+	defer p.Close()
+	p.Send(a)
+	if r := <-got; r.Status != policy.Abandoned {
+		t.Errorf("retry ended as %v", r.Status)
+	}
+	b, got := attempt(t, inOneMinute())
+	p.Send(b) // uses the connection that was established late
+	if r := <-got; r.Status != policy.OK {
+		t.Errorf("next attempt ended as %v", r.Status)
+	}
+	if n := l.record(a.Request.ID) - 1; n != 1 {
+		t.Errorf("%d attempts ran, want only the next one", n)
+	}
+}
