--- a/cmd/wheatsaddle/delegation.go
+++ b/cmd/wheatsaddle/delegation.go
@@ -14,35 +14,35 @@
 // openDelegator returns the delegator, which delegates groups of a read's parts to peers. While the settings are unchanged,
 // it returns the current one, which has the state of the peers. nil: the section names no other process, and this process
 // requests each part itself.
-func (g *gatherer) openDelegator(set *config.SiteTree, conf *config.Config) (scattergather.Grouper, error) {
+func (g *gatherer) openDelegator(set *config.SiteTree, conf *config.Config) (scattergather.Delegator, error) {
 	if err := checkGatherPeers(set, conf); err != nil || set == nil {
 		return nil, err
 	}
 	if g.delegator != nil && reflect.DeepEqual(g.delegatorSettings, set) {
 		return g.delegator, nil
 	}
-	opt := scattergather.TreeOptions{
-		Seed:      uint64(conf.Seed),
-		Conns:     set.MaxConnsPerPeer,
-		BytesMost: set.MaxGroupBytes,
-		IDMost:    maxRequestIDBytes,
-		Log:       g.log,
-		Request:   httpfront.EncodePeerRequest,
-		Limited:   map[string]bool{},
-		Alive:     g.members,
-		Tally:     &g.delegationCounters,
-		Rules: scattergather.TreeRules{
-			LeastParts: set.MinParts,
-			GroupMost:  set.MaxGroupParts,
-			FanOut:     set.FanOut,
-			Copies:     set.MaxPeerAttempts,
-			Silent:     set.SilenceTimeout,
-			Rest:       set.Backoff,
-			RestMax:    set.MaxBackoff,
+	opt := scattergather.CoordinatorOptions{
+		Seed:              uint64(conf.Seed),
+		MaxConnsPerPeer:   set.MaxConnsPerPeer,
+		MaxGroupBytes:     set.MaxGroupBytes,
+		MaxRequestIDBytes: maxRequestIDBytes,
+		Log:               g.log,
+		EncodeRequest:     httpfront.EncodePeerRequest,
+		RateLimitedPlans:  map[string]bool{},
+		AlivePeers:        g.members,
+		Counters:          &g.delegationCounters,
+		Rules: scattergather.DelegationRules{
+			MinParts:        set.MinParts,
+			MaxGroupParts:   set.MaxGroupParts,
+			FanOut:          set.FanOut,
+			MaxPeerAttempts: set.MaxPeerAttempts,
+			SilenceTimeout:  set.SilenceTimeout,
+			Backoff:         set.Backoff,
+			MaxBackoff:      set.MaxBackoff,
 		},
 	}
 	for _, p := range conf.Settings.Plans {
-		opt.Limited[p.Name] = p.RateLimit > 0
+		opt.RateLimitedPlans[p.Name] = p.RateLimit > 0
 	}
 	for _, p := range set.Peers {
 		if p.Name != conf.Name { // all processes may use the same file
@@ -52,7 +52,7 @@
 	if len(opt.Peers) == 0 {
 		return nil, nil
 	}
-	tree, err := scattergather.OpenTree(opt) // the previous one need not be closed: without reads it has neither a goroutine nor a socket
+	tree, err := scattergather.NewCoordinator(opt) // the previous one need not be closed: without reads it has neither a goroutine nor a socket
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/wheatsaddle/estimate.go
+++ b/cmd/wheatsaddle/estimate.go
@@ -33,12 +33,12 @@
 		if err != nil {
 			return nil, err
 		}
-		estimator.Between = func() bool {
+		estimator.ShouldContinue = func() bool {
 			runtime.Gosched()
 			return time.Since(startedAt) < estimateTimeout
 		}
 		if shared != nil {
-			estimator.Learn(shared())
+			estimator.SetViews(shared())
 		}
 		result, err := estimator.Estimate(plans, deadline)
 		if err != nil {
@@ -55,7 +55,7 @@
 		names = append(names, k.Name)
 	}
 	s := cost.Defaults(names...)
-	s.Shards, s.Prices, s.Doubt, s.Limits = conf.Settings.Shards, set.Prices, set.MinStandardErrors, map[string]cost.Rate{}
+	s.Shards, s.Prices, s.MinStandardErrors, s.Limits = conf.Settings.Shards, set.Prices, set.MinStandardErrors, map[string]cost.Rate{}
 	for _, p := range conf.Settings.Plans {
 		if p.RateLimit > 0 {
 			s.Limits[p.Name] = cost.Rate{PerSecond: p.RateLimit, Burst: p.LimitBurst}
--- a/cmd/wheatsaddle/fleet.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -209,8 +209,8 @@
 	if update.Kind == policy.ListReceived || update.Kind == policy.CachedListLoaded {
 		clear(f.nodes)
 	}
-	if update.Index != 0 {
-		f.listIndex = update.Index
+	if update.Version != 0 {
+		f.listIndex = update.Version
 	}
 	for _, n := range update.Nodes {
 		if n.State == policy.NodeRemoved {
--- a/cmd/wheatsaddle/fleet_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -96,7 +96,7 @@
 	a := start("a")
 	b := start("b", a.cluster.Address())
 	startTime := time.Now().UnixMilli()
-	update := core.ListUpdate{Kind: policy.ListReceived, Index: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(startTime)}}}}
+	update := core.ListUpdate{Kind: policy.ListReceived, Version: 5, Nodes: []core.Node{{Node: policy.Node{ID: "n", Shard: 3, StartTime: float64(startTime)}}}}
 	co, err := core.New(core.Options{Settings: policy.Settings{Schedulers: 1, MeanUnits: 1, MaxUnits: 1, MaxAttempts: 1, SlowStartUnits: 1, OverloadWindow: 1, OverloadMultiple: 1,
 		SlowStartShare: 0.5, SlowStartDuration: 1, Classes: []policy.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, PriorityWeight: 1}},
 		Plans: []policy.Plan{{Name: "p", Rate: 1, ReservedRate: 1, Weight: 1, Price: 1}}}, Log: log,
@@ -140,7 +140,7 @@
 	if !metricsHave("observations_origins 1") {
 		t.Error("process b does not count the observations of process a")
 	}
-	b.updateList(core.ListUpdate{Kind: policy.ListChanged, Index: 7})
+	b.updateList(core.ListUpdate{Kind: policy.ListChanged, Version: 7})
 	b.updateList(core.ListUpdate{Kind: policy.ListFailed}) // has no list version
 	for end := time.Now().Add(time.Minute); !metricsHave("peers_list_oldest_version 5", "peers_list_newest_version 7", "peers_list_processes 2", "peers_list_processes_behind 1"); {
 		if time.Sleep(5 * time.Millisecond); time.Now().After(end) {
--- a/cmd/wheatsaddle/gather.go
+++ b/cmd/wheatsaddle/gather.go
@@ -19,11 +19,11 @@
 	views              viewSource      // nil: nothing is shared
 	members            func() []string // names of the processes that are up; nil: nothing is shared
 	log                logrus.FieldLogger
-	readLimiter        scattergather.Gate  // limits the number of concurrent gathered reads
-	delegationCounters scattergather.Tally // of all delegators
+	readLimiter        scattergather.Limiter            // limits the number of concurrent gathered reads
+	delegationCounters scattergather.DelegationCounters // of all delegators
 
-	delegator         scattergather.Grouper // nil: this process requests each part itself
-	delegatorSettings *config.SiteTree      // the settings of tree
+	delegator         scattergather.Delegator // nil: this process requests each part itself
+	delegatorSettings *config.SiteTree        // the settings of tree
 }
 
 // gatherRules returns the section's rules by class, checked against the configuration.
@@ -34,12 +34,12 @@
 	idempotent, rules := idempotentClasses(conf.Settings), map[string]scattergather.Rules{}
 	for class, merge := range set.Rules {
 		rules[class] = scattergather.Rules{
-			Merge:  merge,
-			Share:  set.MergeTimeShare,
-			AtOnce: set.MaxConcurrentParts,
-			Again:  set.MaxRetries,
-			Silent: set.SilenceTimeout,
-			Safe:   idempotent[class],
+			Merge:              merge,
+			MergeTimeShare:     set.MergeTimeShare,
+			MaxConcurrentParts: set.MaxConcurrentParts,
+			MaxRetries:         set.MaxRetries,
+			SilenceTimeout:     set.SilenceTimeout,
+			Idempotent:         idempotent[class],
 		}
 	}
 	return rules, nil
@@ -63,22 +63,22 @@
 	}
 	g.delegator, g.delegatorSettings = tree, set.Tree
 	service := &scattergather.Service{
-		Core:      g.core,
-		Classes:   classes,
-		Shards:    g.core.Shards,
-		Tree:      g.delegator,
-		Units:     set.PartUnits,
-		PartMost:  set.MaxPartBytes,
-		PartsMost: set.MaxParts,
-		Reads:     &g.readLimiter,
-		TokenKey:  set.TokenKey,
-		Payload:   httpfront.PartPayload,
-		Body:      httpfront.PartBody,
+		Core:         g.core,
+		Classes:      classes,
+		Shards:       g.core.Shards,
+		Delegator:    g.delegator,
+		PartUnits:    set.PartUnits,
+		MaxPartBytes: set.MaxPartBytes,
+		MaxParts:     set.MaxParts,
+		ReadLimiter:  &g.readLimiter,
+		TokenKey:     set.TokenKey,
+		Payload:      httpfront.PartPayload,
+		Body:         httpfront.PartBody,
 	}
 	if siteSettings.Estimate != nil && g.views != nil {
-		service.Expect = newPartDurationEstimator(siteSettings.Estimate, conf, g.views).expectedMillis
+		service.ExpectedDurations = newPartDurationEstimator(siteSettings.Estimate, conf, g.views).expectedMillis
 	}
-	g.readLimiter.Set(set.MaxConcurrentReads)
+	g.readLimiter.SetLimit(set.MaxConcurrentReads)
 	g.front.SetScatterGather(service)
 	return nil
 }
@@ -113,19 +113,19 @@
 
 // registerMetrics registers the metrics of gathered reads.
 func (g *gatherer) registerMetrics(m *metrics.Registry) {
-	m.Gauge(func() float64 { return float64(g.readLimiter.In()) }, "gather_reads")
-	gauges(m, g.delegationCounters.Counts, map[string]func(scattergather.TreeCounts) int{
-		"gather_tree_reads":       func(c scattergather.TreeCounts) int { return c.Handed },
-		"gather_tree_groups":      func(c scattergather.TreeCounts) int { return c.Groups },
-		"gather_tree_taken_over":  func(c scattergather.TreeCounts) int { return c.TakenOver },
-		"gather_tree_copies":      func(c scattergather.TreeCounts) int { return c.Asked },
-		"gather_tree_own_copies":  func(c scattergather.TreeCounts) int { return c.Own },
-		"gather_tree_good_copies": func(c scattergather.TreeCounts) int { return c.Good },
-		"gather_tree_rows":        func(c scattergather.TreeCounts) int { return c.Rows },
-		"gather_tree_set_aside":   func(c scattergather.TreeCounts) int { return c.SetAside },
-		"gather_tree_connections": func(c scattergather.TreeCounts) int { return c.Connected },
+	m.Gauge(func() float64 { return float64(g.readLimiter.InFlight()) }, "gather_reads")
+	gauges(m, g.delegationCounters.Counts, map[string]func(scattergather.DelegationCounts) int{
+		"gather_tree_reads":       func(c scattergather.DelegationCounts) int { return c.DelegatedReads },
+		"gather_tree_groups":      func(c scattergather.DelegationCounts) int { return c.Groups },
+		"gather_tree_taken_over":  func(c scattergather.DelegationCounts) int { return c.Takeovers },
+		"gather_tree_copies":      func(c scattergather.DelegationCounts) int { return c.PeerAttempts },
+		"gather_tree_own_copies":  func(c scattergather.DelegationCounts) int { return c.LocalAttempts },
+		"gather_tree_good_copies": func(c scattergather.DelegationCounts) int { return c.Succeeded },
+		"gather_tree_rows":        func(c scattergather.DelegationCounts) int { return c.Rows },
+		"gather_tree_set_aside":   func(c scattergather.DelegationCounts) int { return c.BackoffsStarted },
+		"gather_tree_connections": func(c scattergather.DelegationCounts) int { return c.Connections },
 	})
-	for _, code := range scattergather.Codes {
+	for _, code := range scattergather.FailureCodes {
 		m.Gauge(func() float64 { return float64(g.delegationCounters.Failures(code)) }, "gather_tree_failures", "code", code)
 	}
 }
--- a/cmd/wheatsaddle/iscsi.go
+++ b/cmd/wheatsaddle/iscsi.go
@@ -33,12 +33,12 @@
 	dialer := iscsi.NewDialer(mapping, mapping.Initiator+conf.Name, milliseconds(conf.ConnectTimeout), log)
 	siteFile.iscsi = dialer
 	siteFile.apply()
-	set := iscsi.Settings(conf.Settings, mapping)
-	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.Connect, Log: log})
+	set := iscsi.AdaptSettings(conf.Settings, mapping)
+	co, err := core.New(core.Options{Settings: set, Seed: conf.Seed, NewNodeClient: dialer.NewNodeClient, Log: log})
 	if err != nil {
 		return nil, config.Rejected(err)
 	}
-	dialer.Report(co.UpdateList)
+	dialer.SetListUpdateHandler(co.UpdateList)
 	co.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: iscsi.Nodes(mapping)})
 	ln, err := transport.ListenTCP(mapping.Listen)
 	if err != nil {
--- a/cmd/wheatsaddle/partduration.go
+++ b/cmd/wheatsaddle/partduration.go
@@ -63,11 +63,11 @@
 		return nil
 	}
 	observed := x.views()
-	estimator.Learn(observed)
+	estimator.SetViews(observed)
 	expectedMs, planned := map[int]float64{}, map[int]bool{}
 	var plans []cost.Plan // one for each shard, named by its number
 	for _, v := range observed {
-		if v.Shard < 0 || planned[v.Shard] || len(plans) == cost.PlansMost {
+		if v.Shard < 0 || planned[v.Shard] || len(plans) == cost.MaxPlans {
 			continue
 		}
 		planned[v.Shard] = true
--- a/cmd/wheatsaddle/reload.go
+++ b/cmd/wheatsaddle/reload.go
@@ -96,7 +96,7 @@
 		{"listen", current.Listen, loaded.Listen},
 		{"limits.sockets", current.Sockets, loaded.Sockets},
 		{"settings.membership-mode", current.ListMode, loaded.ListMode},
-		{"settings.rules.ask-within", current.Settings.PollWithin, loaded.Settings.PollWithin}, // the watch continues with its initial value
+		{"settings.rules.ask-within", current.Settings.ListStalenessBound, loaded.Settings.ListStalenessBound}, // the watch continues with its initial value
 		{"settings.prices.handshake", current.HandshakePrice, loaded.HandshakePrice},
 		{"settings.ceilings", []any{current.ConnIdle, current.ConnectTimeout, current.MaxOpenRequests}, []any{loaded.ConnIdle, loaded.ConnectTimeout, loaded.MaxOpenRequests}},
 	} {
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -81,7 +81,7 @@
 // Settings of the watch and of the connections to nodes, which only a restart applies, are among the logged keys.
 func TestChangedRestartKeys(t *testing.T) {
 	current, next := &config.Config{}, &config.Config{ListMode: "ask", HandshakePrice: 1}
-	next.Settings.PollWithin = 1
+	next.Settings.ListStalenessBound = 1
 	if keys := fmt.Sprint(changedRestartKeys(current, next)); keys != "[settings.membership-mode settings.rules.ask-within settings.prices.handshake]" {
 		t.Error(keys)
 	}
--- a/cmd/wheatsaddle/replay.go
+++ b/cmd/wheatsaddle/replay.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return m, err
 		}
-		m.Classes, m.MostUnits = map[string]time.Duration{}, conf.Settings.MaxUnits
+		m.Classes, m.MaxUnits = map[string]time.Duration{}, conf.Settings.MaxUnits
 		if len(conf.Settings.Plans) > 0 && m.Plan == "" {
 			m.Plan = conf.Settings.Plans[0].Name
 		}
@@ -139,7 +139,7 @@
 			return &replay.MissingPlanError{Path: e.URI, Line: e.Line}
 		}
 		if text = text[:0]; form == "http" {
-			text = e.HTTP(text, e.Request.ID)
+			text = e.AppendHTTP(text, e.Request.ID)
 		} else {
 			text = e.AppendJSON(text)
 		}
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -68,7 +68,7 @@
 	}
 	s.routes.Set(httpfront.AddressSettings{Selector: set.Selector, IdentityHeader: set.Identity})
 	if s.iscsi != nil {
-		s.iscsi.Addresses(set.Selector)
+		s.iscsi.SetAddressSettings(set.Selector)
 	}
 }
 
--- a/cmd/wheatsaddle/starter.go
+++ b/cmd/wheatsaddle/starter.go
@@ -76,7 +76,7 @@
 		Name:                  conf.Name,
 		ListCallsPriced:       set.ListPriced,
 		MaxListCallsPerSecond: set.ListCallsPerSecond,
-		StalenessBound:        milliseconds(conf.Settings.PollWithin),
+		StalenessBound:        milliseconds(conf.Settings.ListStalenessBound),
 		SlowStartUnits:        conf.Settings.SlowStartUnits,
 		OverloadWindow:        milliseconds(conf.Settings.OverloadWindow),
 		SlowStartDuration:     milliseconds(conf.Settings.SlowStartDuration),
@@ -182,7 +182,7 @@
 		case coldstart.UseCachedList:
 			s.useCachedNodes()
 		case coldstart.LiftColdLimit:
-			restored.Nodes = append(restored.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedStartTimes[a.Node], AssumedStart: s.assumedStart})
+			restored.Nodes = append(restored.Nodes, policy.LearnedNode{ID: a.Node, StartTime: s.listedStartTimes[a.Node], AssumedStartTime: s.assumedStart})
 		case coldstart.Restore:
 			if n, ok := s.learnedNodes[a.Node]; ok {
 				restored.Nodes = append(restored.Nodes, n)
--- a/cmd/wheatsaddle/startup.go
+++ b/cmd/wheatsaddle/startup.go
@@ -86,7 +86,7 @@
 	if !s.starter.run(s.core) {
 		s.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes})
 	}
-	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Index: s.cachedList.Version})
+	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Version: s.cachedList.Version})
 	s.onClose(s.starter.stop) // before the core stops, which provides the last snapshot
 	s.starter.requestSnapshot(s.fleet)
 	return nil
@@ -209,7 +209,7 @@
 	return watchtimer.Settings{
 		Pushed:         !set.PollsEndpointList,
 		Schedulers:     set.Schedulers,
-		StalenessBound: milliseconds(set.PollWithin),
+		StalenessBound: milliseconds(set.ListStalenessBound),
 		DrainGrace:     milliseconds(set.DrainGrace),
 		Seed:           uint64(conf.Seed),
 	}
--- a/internal/address/addr.go
+++ b/internal/address/addr.go
@@ -10,32 +10,32 @@
 	"strings"
 )
 
-// Kind is an address family.
-type Kind uint8
+// Family is an address family.
+type Family uint8
 
 // The families. Name is a host name, which the operating system resolves at each connect.
 const (
-	Unix Kind = iota
+	Unix Family = iota
 	IPv6
 	IPv4
-	Name
+	HostName
 	familyCount
 )
 
-var familyNames = [familyCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", Name: "name"}
+var familyNames = [familyCount]string{Unix: "unix", IPv6: "ipv6", IPv4: "ipv4", HostName: "name"}
 
-func (f Kind) String() string {
+func (f Family) String() string {
 	if f < familyCount {
 		return familyNames[f]
 	}
 	return "kind " + strconv.Itoa(int(f))
 }
 
-// ParseKind parses the name of an address family: unix, ipv6, ipv4 or name.
-func ParseKind(name string) (Kind, error) {
+// ParseFamily parses the name of an address family: unix, ipv6, ipv4 or name.
+func ParseFamily(name string) (Family, error) {
 	for family, known := range familyNames {
 		if known == name {
-			return Kind(family), nil
+			return Family(family), nil
 		}
 	}
 	return 0, fmt.Errorf("%.20q is none of unix, ipv6, ipv4, name", name)
@@ -49,13 +49,13 @@
 
 // Addr is a parsed address in canonical form: addresses that differ only in spelling are equal with ==.
 type Addr struct {
-	family Kind
+	family Family
 	ip     netip.AddrPort
 	text   string // Unix: the path; Name: host:port
 }
 
-// Kind returns the address family.
-func (a Addr) Kind() Kind { return a.family }
+// Family returns the address family.
+func (a Addr) Family() Family { return a.family }
 
 // IsZero reports whether a is the zero Addr, which is no address.
 func (a Addr) IsZero() bool { return a == Addr{} }
@@ -67,7 +67,7 @@
 		return ""
 	case a.family == Unix:
 		return unixScheme + a.text
-	case a.family == Name:
+	case a.family == HostName:
 		return a.text
 	}
 	return a.ip.String()
@@ -121,7 +121,7 @@
 	switch {
 	case err != nil:
 		return Addr{}, err
-	case a.family == Name:
+	case a.family == HostName:
 		return Addr{}, errors.New("host: not an IP address")
 	case a.ip.IsValid() && a.ip.Addr().IsMulticast():
 		return Addr{}, errors.New("host: a multicast or broadcast address")
@@ -153,7 +153,7 @@
 	if err := checkHostName(host); err != nil {
 		return Addr{}, err
 	}
-	return Addr{family: Name, text: strings.ToLower(strings.TrimSuffix(host, ".")) + ":" + strconv.FormatUint(n, 10)}, nil
+	return Addr{family: HostName, text: strings.ToLower(strings.TrimSuffix(host, ".")) + ":" + strconv.FormatUint(n, 10)}, nil
 }
 
 func parseIPv6(host string, port uint16) (Addr, error) {
@@ -242,7 +242,7 @@
 // Interleave returns the indices of addresses in the order of RFC 8305 section 4: the families by preference, alternately
 // one address of each, and within a family as listed. Families without a preference come last, in the order of their
 // constants.
-func Interleave(list []Addr, preference []Kind) []int {
+func Interleave(list []Addr, preference []Family) []int {
 	rank := [familyCount]int{}
 	for family := range rank {
 		rank[family] = len(preference) + family
--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -105,10 +105,10 @@
 func TestInterleaveAlternatesFamilies(t *testing.T) {
 	list, _ := ParseList([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
 	for _, x := range []struct {
-		pref []Kind
+		pref []Family
 		want string
 	}{
-		{[]Kind{Unix, IPv6, IPv4}, "[4 2 0 3 5 1 6]"}, {[]Kind{IPv4}, "[0 4 2 3 1 5 6]"}, {nil, "[4 2 0 3 5 1 6]"},
+		{[]Family{Unix, IPv6, IPv4}, "[4 2 0 3 5 1 6]"}, {[]Family{IPv4}, "[0 4 2 3 1 5 6]"}, {nil, "[4 2 0 3 5 1 6]"},
 	} {
 		if got := fmt.Sprint(Interleave(list, x.pref)); got != x.want {
 			t.Errorf("%v: %v, want %v", x.pref, got, x.want)
--- a/internal/address/events.go
+++ b/internal/address/events.go
@@ -14,7 +14,7 @@
 // The kinds of events.
 const (
 	RequestQueued    EventKind = iota // Req, Idempotent, NamesShard: a request needs a connection
-	RequestDropped                    // Req, Conn (0: it waits): its owner has cancelled it
+	RequestCancelled                  // Req, Conn (0: it waits): its owner has cancelled it
 	Connected                         // Conn
 	ConnectFailed                     // Conn, Reason
 	ResponseReceived                  // Conn, Verdict, KeepAlive: the response is complete
@@ -90,7 +90,7 @@
 // The kinds of actions.
 const (
 	Connect  ActionKind = iota // Conn, Addr: Connected or ConnectFailed follows
-	Write                      // Conn, Req: ResponseReceived, ConnBroken or RequestDropped follows
+	Write                      // Conn, Req: ResponseReceived, ConnBroken or RequestCancelled follows
 	Close                      // Conn, which may still be connecting: no event follows
 	Fail                       // Req: there is no connection for it, and it was never written
 	LogState                   // Addr, State, Reason
--- a/internal/address/faults_test.go
+++ b/internal/address/faults_test.go
@@ -47,7 +47,7 @@
 	if counts := s.outcomeCounts(); counts["rejected"] > 100 || counts["served"] < 300 {
 		t.Errorf("outcomes: %v", counts)
 	}
-	if snap := s.selector.Snapshot(nil); snap[0].State != WrongNode || snap[1].State != Healthy {
+	if snap := s.selector.AppendStatus(nil); snap[0].State != WrongNode || snap[1].State != Healthy {
 		t.Errorf("states: %+v", snap)
 	}
 	s.modes[unixAddr] = "ok"
@@ -63,7 +63,7 @@
 	h.queueRequest(true)
 	h.respond(c, VerdictWrongNode)
 	assertEqual(t, "closed", h.countActions(Close), 1)
-	assertEqual(t, "state", h.selector.Snapshot(nil)[0].State, WrongNode)
+	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, WrongNode)
 	assertEqual(t, "primary", h.selector.Primary(), ipv6Addr)
 	h.requireNoViolation(t)
 }
@@ -76,7 +76,7 @@
 		s.modes[a] = "wrong"
 	}
 	s.run(3*time.Second, 10*ms, allIdempotent)
-	for _, x := range s.selector.Snapshot(nil) {
+	for _, x := range s.selector.AppendStatus(nil) {
 		if x.State == WrongNode || x.State == Down {
 			t.Errorf("state of an address of a full node: %+v", x)
 		}
@@ -138,7 +138,7 @@
 	h.breakConn(c, ReasonUnwritten)
 	_, to := h.lastAction(Connect)
 	assertEqual(t, "address of the next connect", to, ipv6Addr)
-	assertEqual(t, "state", h.selector.Snapshot(nil)[0].State, Suspect)
+	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, Suspect)
 	h.requireNoViolation(t)
 }
 
@@ -170,6 +170,6 @@
 	h.respond(a, VerdictServed)
 	h.advanceTime(100 * ms)
 	assertEqual(t, "primary", h.selector.Primary(), unixAddr)
-	assertEqual(t, "state", h.selector.Snapshot(nil)[0].State, Healthy)
+	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, Healthy)
 	h.requireNoViolation(t)
 }
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -83,7 +83,7 @@
 	if to := h.selector.Primary(); to != before && e.Kind != AddressesChanged {
 		h.primaryChanges = append(h.primaryChanges, primaryChange{h.now, before, to})
 		state := map[Addr]State{}
-		for _, x := range h.selector.Snapshot(nil) {
+		for _, x := range h.selector.AppendStatus(nil) {
 			state[x.Addr] = x.State
 		}
 		if state[before] <= Healthy && state[to] > Healthy {
@@ -180,7 +180,7 @@
 		}
 	}
 	delete(h.openRequests, q)
-	h.step(Event{Kind: RequestDropped, Req: q, Conn: on})
+	h.step(Event{Kind: RequestCancelled, Req: q, Conn: on})
 }
 
 func (h *harness) advanceTime(d time.Duration) {
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -86,7 +86,7 @@
 	}
 	lastReturn := time.Duration(-1)
 	rank := func(a Addr) int {
-		for i, x := range h.selector.Snapshot(nil) {
+		for i, x := range h.selector.AppendStatus(nil) {
 			if x.Addr == a {
 				return i
 			}
@@ -173,7 +173,7 @@
 			t.Fatal(s.violation)
 		}
 		if p := s.selector.Primary().String(); p != unixAddr {
-			t.Fatalf("primary %s: %+v", p, s.selector.Snapshot(nil))
+			t.Fatalf("primary %s: %+v", p, s.selector.AppendStatus(nil))
 		}
 	})
 }
--- a/internal/address/race.go
+++ b/internal/address/race.go
@@ -20,9 +20,9 @@
 // connectDelay returns the time from one connect of a race to the next.
 func (s *Selector) connectDelay() time.Duration {
 	if !s.connectMeasured {
-		return s.settings.Delay
+		return s.settings.ConnectDelay
 	}
-	return min(max(time.Duration(s.connectMean+4*s.connectDeviation), s.settings.MinDelay), s.settings.MaxDelay)
+	return min(max(time.Duration(s.connectMean+4*s.connectDeviation), s.settings.MinConnectDelay), s.settings.MaxConnectDelay)
 }
 
 // recordConnectTime updates the smoothed connect time and its deviation, as RFC 6298 section 2 does for round-trip times.
--- a/internal/address/race_test.go
+++ b/internal/address/race_test.go
@@ -105,7 +105,7 @@
 	c, _ := h.lastAction(Connect)
 	h.failConnect(c, ReasonNoResource)
 	assertEqual(t, "failed without being written", h.failed[q], true)
-	for _, x := range h.selector.Snapshot(nil) {
+	for _, x := range h.selector.AppendStatus(nil) {
 		if x.State != Untried && x.State != Healthy {
 			t.Errorf("a fault was recorded for %+v", x)
 		}
@@ -121,7 +121,7 @@
 	s.failConnect(a, ReasonNoFamily)
 	_, to := s.lastAction(Connect)
 	assertEqual(t, "address of the next connect", to, ipv4Addr)
-	assertEqual(t, "state", s.selector.Snapshot(nil)[0].State, Unsupported)
+	assertEqual(t, "state", s.selector.AppendStatus(nil)[0].State, Unsupported)
 	b, _ := s.lastAction(Connect)
 	s.establish(b)
 	s.respond(b, VerdictServed)
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -25,7 +25,7 @@
 	case 1:
 		s.MaxConns, s.MaxWaiting, s.ConnectRate, s.ConnectBurst = 4, 8, 10, 2
 	case 2:
-		s.Preference, s.MinReturnDelay, s.MinReturnConns = []Kind{IPv4, Name}, 300*ms, 1
+		s.Preference, s.MinReturnDelay, s.MinReturnConns = []Family{IPv4, HostName}, 300*ms, 1
 	case 3:
 		s.MaxConns, s.Jitter, s.Backoff, s.MaxBackoff, s.TrialPatience = 8, 1, 200*ms, time.Second, 100*ms
 	}
@@ -45,7 +45,7 @@
 					fields = append(fields, recordedActions[a.Kind], uint64(a.Conn), uint64(a.Req), a.Addr.String(), int(a.State), int(a.Reason))
 				}
 				if s.selector.Waiting() == 0 && e.Kind == TimerFired {
-					for _, one := range s.selector.Snapshot(nil) {
+					for _, one := range s.selector.AppendStatus(nil) {
 						fields = append(fields, one.Addr.String(), int(one.State), one.Primary, one.Conns, int64(one.Until), s.selector.HasBetter(one.Addr))
 					}
 				}
@@ -146,7 +146,7 @@
 			s.queueRequest(rng.Intn(2) == 0)
 		}
 	case 13: // events of a connection that does not exist
-		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestDropped} {
+		for _, kind := range []EventKind{Connected, ConnectFailed, ResponseReceived, ConnBroken, IdleConnClosed, ProgressSeen, RequestCancelled} {
 			s.step(Event{Kind: kind, Conn: 1<<40 | 1})
 		}
 	}
--- a/internal/address/selector.go
+++ b/internal/address/selector.go
@@ -119,7 +119,7 @@
 	switch e.Kind {
 	case RequestQueued:
 		s.enqueue(e)
-	case RequestDropped:
+	case RequestCancelled:
 		s.cancelRequest(e)
 	case Connected:
 		s.handleConnected(e.Conn)
--- a/internal/address/selector_test.go
+++ b/internal/address/selector_test.go
@@ -142,9 +142,9 @@
 		key string
 		set func(*Settings)
 	}{
-		{"delay_least_ms: 9 is not from 10 to 2000", func(s *Settings) { s.MinDelay = 9 * ms }},
-		{"delay_ms", func(s *Settings) { s.Delay = 3 * time.Second }},
-		{"preference", func(s *Settings) { s.Preference = []Kind{Unix, Unix} }},
+		{"delay_least_ms: 9 is not from 10 to 2000", func(s *Settings) { s.MinConnectDelay = 9 * ms }},
+		{"delay_ms", func(s *Settings) { s.ConnectDelay = 3 * time.Second }},
+		{"preference", func(s *Settings) { s.Preference = []Family{Unix, Unix} }},
 		{"preference", func(s *Settings) { s.Preference = nil }},
 		{"jitter", func(s *Settings) { s.Jitter = 1.5 }},
 		{"connects_per_second", func(s *Settings) { s.ConnectRate = 0 }},
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -7,12 +7,12 @@
 
 // Settings configure a Selector. Errors name the keys of the configuration file.
 type Settings struct {
-	Preference []Kind // families, the most preferred first
+	Preference []Family // families, the most preferred first
 
 	// Staggered connects of a race (RFC 8305 section 5).
-	Delay    time.Duration // from one connect to the next while no connect time is known
-	MinDelay time.Duration
-	MaxDelay time.Duration
+	ConnectDelay    time.Duration // from one connect to the next while no connect time is known
+	MinConnectDelay time.Duration
+	MaxConnectDelay time.Duration
 
 	// Backoff of addresses with faults.
 	Backoff            time.Duration // after the first failure; it doubles with each further one
@@ -26,10 +26,10 @@
 	MinSuspectAfter      time.Duration
 	MaxSuspectAfter      time.Duration
 	SuspectLatencyFactor float64
-	// After a silence of SecondOpinionAfter, or of SuspectLatencyFactor times the usual response time if that is longer, one
+	// After a silence of CrossCheckAfter, or of SuspectLatencyFactor times the usual response time if that is longer, one
 	// request is sent by another address as a cross-check. If that address responds while the first one stays silent, the node
 	// itself has not stalled, and the first address is suspect.
-	SecondOpinionAfter time.Duration
+	CrossCheckAfter time.Duration
 
 	TrialInterval time.Duration // between trials of an address that responds again
 	TrialPatience time.Duration // after which a trial connection may also carry non-idempotent requests
@@ -52,11 +52,11 @@
 // Defaults returns the settings that apply to keys missing from the configuration.
 func Defaults() Settings {
 	return Settings{
-		Preference: []Kind{Unix, IPv6, IPv4},
-		Delay:      250 * time.Millisecond, MinDelay: 100 * time.Millisecond, MaxDelay: 2 * time.Second,
+		Preference:   []Family{Unix, IPv6, IPv4},
+		ConnectDelay: 250 * time.Millisecond, MinConnectDelay: 100 * time.Millisecond, MaxConnectDelay: 2 * time.Second,
 		Backoff: time.Second, MaxBackoff: 15 * time.Second, Jitter: 0.3,
 		WrongNodeBackoff: 5 * time.Second, UnsupportedBackoff: time.Minute, DownTrialInterval: 100 * time.Millisecond,
-		MinSuspectAfter: 200 * time.Millisecond, MaxSuspectAfter: time.Second, SuspectLatencyFactor: 4, SecondOpinionAfter: 50 * time.Millisecond,
+		MinSuspectAfter: 200 * time.Millisecond, MaxSuspectAfter: time.Second, SuspectLatencyFactor: 4, CrossCheckAfter: 50 * time.Millisecond,
 		TrialInterval: 100 * time.Millisecond, TrialPatience: 5 * time.Second,
 		MinReturnConns: 3, MinReturnDelay: 2 * time.Second, MaxReturnDelay: time.Minute,
 		MaxRejections: 2, RejectionWindow: 100 * time.Millisecond,
@@ -102,9 +102,9 @@
 		value    time.Duration
 		min, max time.Duration
 	}{
-		{"delay_least_ms", s.MinDelay, rfcMinDelay, rfcMaxDelay},
-		{"delay_most_ms", s.MaxDelay, s.MinDelay, rfcMaxDelay},
-		{"delay_ms", s.Delay, s.MinDelay, s.MaxDelay},
+		{"delay_least_ms", s.MinConnectDelay, rfcMinDelay, rfcMaxDelay},
+		{"delay_most_ms", s.MaxConnectDelay, s.MinConnectDelay, rfcMaxDelay},
+		{"delay_ms", s.ConnectDelay, s.MinConnectDelay, s.MaxConnectDelay},
 		{"backoff_ms", s.Backoff, time.Millisecond, time.Hour},
 		{"backoff_most_ms", s.MaxBackoff, s.Backoff, time.Hour},
 		{"wrong_ms", s.WrongNodeBackoff, time.Millisecond, time.Hour},
@@ -112,7 +112,7 @@
 		{"down_every_ms", s.DownTrialInterval, time.Millisecond, time.Minute},
 		{"suspect_least_ms", s.MinSuspectAfter, time.Millisecond, time.Hour},
 		{"suspect_most_ms", s.MaxSuspectAfter, s.MinSuspectAfter, time.Hour},
-		{"doubt_ms", s.SecondOpinionAfter, time.Millisecond, time.Hour},
+		{"doubt_ms", s.CrossCheckAfter, time.Millisecond, time.Hour},
 		{"trial_gap_ms", s.TrialInterval, time.Millisecond, time.Hour},
 		{"trial_patience_ms", s.TrialPatience, 0, time.Hour},
 		{"return_span_ms", s.MinReturnDelay, time.Millisecond, time.Hour},
--- a/internal/address/silence.go
+++ b/internal/address/silence.go
@@ -38,7 +38,7 @@
 	if !s.usualResponseMeasured {
 		return s.silenceBound
 	}
-	return max(s.settings.SecondOpinionAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
+	return max(s.settings.CrossCheckAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
 }
 
 // applyCrossCheck applies a response of one address to the cross-checks of the others. It shows that the node as a whole does
--- a/internal/address/status.go
+++ b/internal/address/status.go
@@ -48,8 +48,8 @@
 	Until   time.Duration // end of its backoff
 }
 
-// Snapshot appends the status of each address to dst, in the order of preference.
-func (s *Selector) Snapshot(dst []Status) []Status {
+// AppendStatus appends the status of each address to dst, in the order of preference.
+func (s *Selector) AppendStatus(dst []Status) []Status {
 	for _, e := range s.entries {
 		dst = append(dst, Status{e.Addr, e.state, e == s.primary, e.conns, e.backoffUntil})
 	}
--- a/internal/address/trials_test.go
+++ b/internal/address/trials_test.go
@@ -139,7 +139,7 @@
 	}
 	h.now += 400 * ms
 	h.respond(trial, VerdictServed)
-	if x := h.selector.Snapshot(nil)[0]; x.State != WrongNode || x.Until <= h.now {
+	if x := h.selector.AppendStatus(nil)[0]; x.State != WrongNode || x.Until <= h.now {
 		t.Errorf("state after the slow trial: %+v at %v", x, h.now)
 	}
 	h.requireNoViolation(t)
@@ -156,7 +156,7 @@
 	a, _ = h.lastAction(Connect)
 	h.establish(a)
 	h.breakConn(a, ReasonReset)
-	assertEqual(t, "state of the broken address", h.selector.Snapshot(nil)[0].State, Suspect)
+	assertEqual(t, "state of the broken address", h.selector.AppendStatus(nil)[0].State, Suspect)
 	b := h.serveOne()
 	h.now += settings.MaxBackoff
 	q := h.queueRequest(false) // uses the other address, and a trial starts
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -163,7 +163,7 @@
 			MaxAttempts: s.platform.Ceilings.Attempts, MayHedge: s.platform.Ceilings.MayHedge,
 			MayCancel: s.platform.Ceilings.MayCancel, MayCheckHealth: s.platform.Ceilings.MayCheckHealth, MayGossip: s.platform.Ceilings.MayGossip,
 			SendsRetryAfter: s.platform.Ceilings.RetryAfter, MaxRetryAfter: s.platform.Ceilings.MaxRetryAfter,
-			DrainGrace: s.platform.Rules.DrainGrace, PollWithin: s.platform.Rules.PollWithin,
+			DrainGrace: s.platform.Rules.DrainGrace, ListStalenessBound: s.platform.Rules.PollWithin,
 			SlowStartShare: s.platform.Rules.SlowStartShare, SlowStartDuration: s.platform.Rules.SlowStartDuration,
 			OverloadMultiple: s.platform.Rules.OverloadMultiple, OverloadWindow: s.platform.Rules.OverloadWindow,
 			RetryBudgetShare: s.platform.Rules.RetryBudgetShare, RetryBudgetMin: s.platform.Rules.RetryBudgetMin, RetryBudgetWindow: s.platform.Rules.RetryBudgetWindow,
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -18,7 +18,7 @@
 var (
 	stateWords  = map[policy.NodeState]string{policy.NodeUp: "active", policy.NodeDraining: "leaving", policy.NodeRemoved: "left"}
 	effectWords = map[policy.Effect]string{policy.Idempotent: "safe", policy.IdempotentByKey: "keyed", policy.NonIdempotent: "unsafe"}
-	kindWords   = map[address.Kind]string{address.Unix: "unix", address.IPv6: "ipv6", address.IPv4: "ipv4", address.Name: "name"}
+	kindWords   = map[address.Family]string{address.Unix: "unix", address.IPv6: "ipv6", address.IPv4: "ipv4", address.HostName: "name"}
 	scopeWords  = map[policy.DedupScope]string{policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupShard: "cell"}
 )
 
@@ -36,9 +36,9 @@
 	for _, kind := range b.Preference {
 		s.Add("addresses.preference", kindWords[kind])
 	}
-	s.Add("addresses", int64(b.Delay), int64(b.MinDelay), int64(b.MaxDelay), int64(b.Backoff), int64(b.MaxBackoff),
+	s.Add("addresses", int64(b.ConnectDelay), int64(b.MinConnectDelay), int64(b.MaxConnectDelay), int64(b.Backoff), int64(b.MaxBackoff),
 		int64(b.WrongNodeBackoff), int64(b.UnsupportedBackoff), int64(b.DownTrialInterval), int64(b.MinSuspectAfter),
-		int64(b.MaxSuspectAfter), int64(b.SecondOpinionAfter), int64(b.TrialInterval), int64(b.TrialPatience),
+		int64(b.MaxSuspectAfter), int64(b.CrossCheckAfter), int64(b.TrialInterval), int64(b.TrialPatience),
 		int64(b.MinReturnDelay), int64(b.MaxReturnDelay), int64(b.RejectionWindow), b.Jitter, b.SuspectLatencyFactor,
 		b.MinReturnConns, b.MaxRejections, b.ConnectRate, b.ConnectBurst, a.Identity)
 }
@@ -108,7 +108,7 @@
 	set := c.Settings
 	s.Add("settings", set.Instance, set.Schedulers, set.Zone, set.PollsEndpointList, set.MeanUnits, set.MaxUnits, set.Shards, set.SlowStartUnits,
 		set.UsageMeterPeriod, set.ReportsPeerUsage, set.MaxAttempts, set.MayHedge, set.MayCancel, set.MayCheckHealth, set.MayGossip,
-		set.SendsRetryAfter, set.MaxRetryAfter, set.DrainGrace, set.PollWithin, set.SlowStartShare, set.SlowStartDuration,
+		set.SendsRetryAfter, set.MaxRetryAfter, set.DrainGrace, set.ListStalenessBound, set.SlowStartShare, set.SlowStartDuration,
 		set.OverloadMultiple, set.OverloadWindow, set.OrderedKeyBackoff, set.RetryBudgetShare, set.RetryBudgetMin, set.RetryBudgetWindow)
 	for _, k := range set.Classes {
 		s.Add("profiles", k.Name, k.LatencyObjective, k.ObjectiveStretch, k.Deadline, k.PriorityWeight, k.LatePriorityWeight,
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -24,7 +24,7 @@
 		MaxAttempts:      int(r.number("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
 		MayCancel: r.flag("ceilings.may-cancel"), MayCheckHealth: r.flag("ceilings.probes"), MayGossip: r.flag("ceilings.peers"),
 		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.number("ceilings.max-retry-after", 0, 0),
-		DrainGrace: r.number("rules.stop-sending-within", 0, 0), PollWithin: r.number("rules.ask-within", 0, 0),
+		DrainGrace: r.number("rules.stop-sending-within", 0, 0), ListStalenessBound: r.number("rules.ask-within", 0, 0),
 		SlowStartShare: r.number("rules.cold-from", 0, 0), SlowStartDuration: r.number("rules.cold", 0, 0),
 		OverloadMultiple: r.number("rules.tip-multiple", 0, 0), OverloadWindow: r.number("rules.overload-for", 0, 0),
 		OrderedKeyBackoff: r.number("rules.order-pause", 0, 0), RetryBudgetShare: r.number("rules.further-ratio", 0, 0),
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -68,7 +68,7 @@
 		MaxBytes: int(r.number("estimate.bytes_most", 262144, 1024)), MaxConcurrent: int(r.number("estimate.at_once", 1, 1)),
 		Prices: cost.Prices{Work: r.number("estimate.price_work", d.Prices.Work, 0), End: r.number("estimate.price_end", d.Prices.End, 0),
 			Late: r.number("estimate.price_late", d.Prices.Late, 0)},
-		MinStandardErrors: r.number("estimate.doubt", d.Doubt, 0),
+		MinStandardErrors: r.number("estimate.doubt", d.MinStandardErrors, 0),
 	}, err
 }
 
@@ -214,7 +214,7 @@
 	if p := r.root.Get("addresses.preference"); p.Exists() {
 		s.Preference = nil
 		for _, w := range p.Array() {
-			k, err := address.ParseKind(w.Str)
+			k, err := address.ParseFamily(w.Str)
 			if err != nil {
 				return nil, &KeyError{File: "site", Key: "addresses.preference", Err: err}
 			}
@@ -222,9 +222,9 @@
 		}
 	}
 	for key, to := range map[string]*time.Duration{
-		"delay_ms": &s.Delay, "delay_least_ms": &s.MinDelay, "delay_most_ms": &s.MaxDelay,
+		"delay_ms": &s.ConnectDelay, "delay_least_ms": &s.MinConnectDelay, "delay_most_ms": &s.MaxConnectDelay,
 		"backoff_ms": &s.Backoff, "backoff_most_ms": &s.MaxBackoff, "wrong_ms": &s.WrongNodeBackoff, "absent_ms": &s.UnsupportedBackoff,
-		"down_every_ms": &s.DownTrialInterval, "suspect_least_ms": &s.MinSuspectAfter, "suspect_most_ms": &s.MaxSuspectAfter, "doubt_ms": &s.SecondOpinionAfter,
+		"down_every_ms": &s.DownTrialInterval, "suspect_least_ms": &s.MinSuspectAfter, "suspect_most_ms": &s.MaxSuspectAfter, "doubt_ms": &s.CrossCheckAfter,
 		"trial_gap_ms": &s.TrialInterval, "trial_patience_ms": &s.TrialPatience, "return_span_ms": &s.MinReturnDelay,
 		"return_most_ms": &s.MaxReturnDelay, "wrong_span_ms": &s.RejectionWindow,
 	} {
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	selector := s.Addresses.Selector
-	if selector.Preference[0] != address.IPv4 || selector.Delay != 120*time.Millisecond || selector.MinReturnConns != 5 || selector.Backoff != address.Defaults().Backoff ||
+	if selector.Preference[0] != address.IPv4 || selector.ConnectDelay != 120*time.Millisecond || selector.MinReturnConns != 5 || selector.Backoff != address.Defaults().Backoff ||
 		s.Addresses.Identity != "X-Node" {
 		t.Errorf("%+v", s.Addresses)
 	}
--- a/internal/connqueue/queue.go
+++ b/internal/connqueue/queue.go
@@ -23,10 +23,10 @@
 // MaxWaitDivisor bounds the wait for a connection in use to the latency objective divided by this number.
 const MaxWaitDivisor = 4
 
-// A connect is late after LateFactor times the usual connect time, but not before MinLate.
+// A connect is late after LateConnectFactor times the usual connect time, but not before MinLateConnectTime.
 const (
-	LateFactor = 4
-	MinLate    = 10 * time.Millisecond
+	LateConnectFactor  = 4
+	MinLateConnectTime = 10 * time.Millisecond
 )
 
 // MaxFreeConnWait returns how long an attempt may wait for a connection in use. The price of a new connection is a fraction of
--- a/internal/core/avoid_test.go
+++ b/internal/core/avoid_test.go
@@ -60,7 +60,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			settings := testSettings()
 			settings.Plans[0].ReservedRate = 0 // without a reserved rate, a request is rejected while no node has capacity
-			settings.PollsEndpointList, settings.PollWithin = tc.polled, 2000
+			settings.PollsEndpointList, settings.ListStalenessBound = tc.polled, 2000
 			settings.Plans = append(settings.Plans, policy.Plan{Name: "capped", Rate: 1, Weight: 1, Price: 1, RateLimit: 1, LimitBurst: 1})
 			core := startCore(t, settings)
 			core.updateList(policy.ListReceived, newNode("a", 0, policy.NodeUp), newNode("b", 0, policy.NodeUp))
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -18,9 +18,9 @@
 
 // ListUpdate is an update of the endpoint list. Kind is policy.ListReceived, CachedListLoaded, ListChanged or ListFailed.
 type ListUpdate struct {
-	Kind  policy.EventKind
-	Nodes []Node
-	Index int64 // version of the list after the update; 0 if unknown
+	Kind    policy.EventKind
+	Nodes   []Node
+	Version int64 // version of the list after the update; 0 if unknown
 }
 
 // UpdateList passes a list update to the actor. It is handled before all messages in the mailbox, so that no request among
--- a/internal/cost/bench_test.go
+++ b/internal/cost/bench_test.go
@@ -39,7 +39,7 @@
 	for range 60 {
 		quorums = append(quorums, Step{Of: &Quorum{8, reads[:16]}})
 	}
-	plans := slices.Repeat([]Plan{{Name: "a", Root: Step{All: quorums}}}, PlansMost)
+	plans := slices.Repeat([]Plan{{Name: "a", Root: Step{All: quorums}}}, MaxPlans)
 	for b.Loop() {
 		if _, err := e.Estimate(plans, time.Second); err != nil {
 			b.Fatal(err)
@@ -54,6 +54,6 @@
 		views = append(views, viewOfNode(fmt.Sprintf("n-%04d", i), fmt.Sprint("t", i%3), i/3, 40, 10, uint64(i)))
 	}
 	for b.Loop() {
-		e.Learn(views)
+		e.SetViews(views)
 	}
 }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Learn(views)
+	e.SetViews(views)
 	return e
 }
 
@@ -92,7 +92,7 @@
 	views[0].WarmingUp = true
 	views[4].Rejected = 40
 	views[5].Queue = 8
-	e.Learn(views)
+	e.SetViews(views)
 	plans := []Plan{
 		{Name: "slow", Root: readStep("n-02", 0, 4)},
 		{Name: "fast", Limit: "gold", Left: -1, Root: Step{Then: []Step{readStep("n-00", 0, 10), readStep("n-00", 0, 10)}}},
@@ -287,8 +287,8 @@
 			t.Errorf("%.200s: unexpected result of the schema's validation: %v", question.text, err)
 		}
 	}
-	e.Between = func() bool { return false }
-	var timeout *OutOfTime
+	e.ShouldContinue = func() bool { return false }
+	var timeout *TimeoutError
 	if _, err := e.Estimate(plansOf64Steps(), 0); !errors.As(err, &timeout) || timeout.Estimated != 1 {
 		t.Errorf("time limit: %v", err)
 	}
--- a/internal/cost/errors.go
+++ b/internal/cost/errors.go
@@ -105,18 +105,18 @@
 	return "ask in parts, or leave out steps that matter least"
 }
 
-// OutOfTime reports that the estimates took longer than the caller allows.
-type OutOfTime struct{ Estimated, Plans int }
+// TimeoutError reports that the estimates took longer than the caller allows.
+type TimeoutError struct{ Estimated, Plans int }
 
-func (e *OutOfTime) Error() string {
+func (e *TimeoutError) Error() string {
 	return fmt.Sprintf("time was up after %d of %d plans", e.Estimated, e.Plans)
 }
 
 // Code implements operr.Coded.
-func (e *OutOfTime) Code() string { return "cost-out-of-time" }
+func (e *TimeoutError) Code() string { return "cost-out-of-time" }
 
 // Advice implements operr.Coded.
-func (e *OutOfTime) Advice() string {
+func (e *TimeoutError) Advice() string {
 	return "ask for fewer plans at a time, or when there is less load"
 }
 
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -26,7 +26,7 @@
 
 	// ShouldContinue, if set, is called between two plans, so that the caller can yield the processor to more urgent
 	// work. If it returns false, Estimate fails with a TimeoutError.
-	Between func() bool
+	ShouldContinue func() bool
 
 	selectViews func(views []nodestats.View, maxViews int) ([]nodestats.View, int) // latestViews; tests replace it and separation by faulty functions
 	separation  func(a, b *Answer) float64
@@ -61,12 +61,12 @@
 	for i, c := range settings.Classes {
 		e.classIndex[c] = i
 	}
-	e.Learn(nil)
+	e.SetViews(nil)
 	return e, nil
 }
 
-// Learn fits the models to a complete set of views, which replaces the previous one.
-func (e *Estimator) Learn(views []nodestats.View) {
+// SetViews fits the models to a complete set of views, which replaces the previous one.
+func (e *Estimator) SetViews(views []nodestats.View) {
 	selected, dropped := e.selectViews(views, e.settings.MaxViews)
 	e.viewCount, e.droppedViews = len(selected), dropped
 	nodeIndex, typeIndex := map[string]int{}, map[string]int{"": 0}
@@ -130,14 +130,14 @@
 	switch {
 	case len(plans) == 0:
 		return ranking, &MalformedPlansError{Problem: "no plans"}
-	case len(plans) > PlansMost:
-		return ranking, &LimitError{What: "plans", Max: PlansMost}
+	case len(plans) > MaxPlans:
+		return ranking, &LimitError{What: "plans", Max: MaxPlans}
 	case deadline < 0 || ranking.DeadlineMs > maxValue:
 		return ranking, &ValueError{Key: "deadline_ms", Value: ranking.DeadlineMs, Expected: "0 or more"}
 	}
 	for i := range plans {
-		if i > 0 && e.Between != nil && !e.Between() {
-			return ranking, &OutOfTime{i, len(plans)}
+		if i > 0 && e.ShouldContinue != nil && !e.ShouldContinue() {
+			return ranking, &TimeoutError{i, len(plans)}
 		}
 		a, err := e.estimatePlan(&plans[i], i, ranking.DeadlineMs)
 		if err != nil {
@@ -148,7 +148,7 @@
 	slices.SortStableFunc(ranking.Plans, func(a, b Answer) int { return cmp.Compare(a.Cost, b.Cost) })
 	for i := range ranking.Plans {
 		for j := range ranking.Plans {
-			if i != j && e.separation(&ranking.Plans[i], &ranking.Plans[j]) <= e.settings.Doubt {
+			if i != j && e.separation(&ranking.Plans[i], &ranking.Plans[j]) <= e.settings.MinStandardErrors {
 				ranking.Plans[i].Alike = append(ranking.Plans[i].Alike, j)
 			}
 		}
@@ -406,9 +406,9 @@
 	}
 }
 
-// Node returns the mean time of a step of the given units at a node, queueing included. It returns false if the
+// MeanMillis returns the mean time of a step of the given units at a node, queueing included. It returns false if the
 // node or the class is unknown.
-func (e *Estimator) Node(node, class string, units float64) (mean float64, ok bool) {
+func (e *Estimator) MeanMillis(node, class string, units float64) (mean float64, ok bool) {
 	index, ok := e.nodeIndex[node]
 	c, known := e.classIndex[class]
 	if !ok || !known {
--- a/internal/cost/parse.go
+++ b/internal/cost/parse.go
@@ -75,8 +75,8 @@
 	}
 	var plans []Plan
 	list.ForEach(func(_, v gjson.Result) bool {
-		if len(plans) == PlansMost {
-			err = &LimitError{"", "plans", PlansMost}
+		if len(plans) == MaxPlans {
+			err = &LimitError{"", "plans", MaxPlans}
 			return false
 		}
 		var plan Plan
--- a/internal/cost/properties_test.go
+++ b/internal/cost/properties_test.go
@@ -177,8 +177,8 @@
 	}
 	// A node without answers has nearly the estimate of its type, or that of the fleet if no node of its type has answers.
 	e := newEstimator(t, append(fleetViews(), viewOfNode("silent", "t2", 0, 0, 0, 1), viewOfNode("new", "t9", 0, 0, 0, 1)))
-	silent, _ := e.Node("silent", class, 4)
-	unknownType, _ := e.Node("new", class, 4)
+	silent, _ := e.MeanMillis("silent", class, 4)
+	unknownType, _ := e.MeanMillis("new", class, 4)
 	if math.Abs(silent-26) > 4 || math.Abs(unknownType-17) > 4 {
 		t.Errorf("node without answers %g, of an unknown type %g", silent, unknownType)
 	}
@@ -243,7 +243,7 @@
 	}
 	mutate(e)
 	estimate := func(views []nodestats.View) (Ranking, error) {
-		e.Learn(views)
+		e.SetViews(views)
 		return e.Estimate(plans, time.Second)
 	}
 	ranking, err := estimate(views)
@@ -322,7 +322,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	e.Learn(fleetViews())
+	e.SetViews(fleetViews())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		plans, deadline, err := ParsePlans(text)
 		var r Ranking
--- a/internal/cost/types.go
+++ b/internal/cost/types.go
@@ -31,7 +31,7 @@
 
 // Limits of the input of one estimate.
 const (
-	PlansMost        = 256
+	MaxPlans         = 256
 	MaxSteps         = 1024 // in one plan; a named step counts at each reference
 	MaxDepth         = 64
 	MaxQuorumSteps   = 16 // steps of one "of"
@@ -42,13 +42,13 @@
 
 // Settings configure an Estimator.
 type Settings struct {
-	Classes  []string
-	Shards   int             // 0: the shards that appear in the views
-	Limits   map[string]Rate // rate limits of volumes, by the name that plans use
-	MaxViews int             // views above this number are dropped
-	Prior    Prior
-	Prices   Prices
-	Doubt    float64 // plans that differ by at most this many standard errors cannot be distinguished
+	Classes           []string
+	Shards            int             // 0: the shards that appear in the views
+	Limits            map[string]Rate // rate limits of volumes, by the name that plans use
+	MaxViews          int             // views above this number are dropped
+	Prior             Prior
+	Prices            Prices
+	MinStandardErrors float64 // plans that differ by at most this many standard errors cannot be distinguished
 }
 
 // Rate is a token bucket in units of work: its refill rate and its capacity.
@@ -71,7 +71,7 @@
 
 // Defaults returns settings for the given classes.
 func Defaults(classes ...string) Settings {
-	return Settings{Classes: classes, MaxViews: 1 << 16, Doubt: 1.64,
+	return Settings{Classes: classes, MaxViews: 1 << 16, MinStandardErrors: 1.64,
 		Prior:  Prior{BaseMillis: 5, MillisPerUnit: 1, CV: 0.5, MinCV: 0.02, FailureRate: 0.01},
 		Prices: Prices{Work: 1, End: 1, Late: 1}}
 }
@@ -88,7 +88,7 @@
 		return &SettingError{Key: "classes", Expected: "one or more"}
 	}
 	errs := []error{checkRange("shards", float64(s.Shards), 0, 1<<20), checkRange("views", float64(s.MaxViews), 1, 1<<22),
-		checkRange("doubt", s.Doubt, 0, 100), checkRange("prior.millis", s.Prior.BaseMillis, 0, 1e6), checkRange("prior.per_unit", s.Prior.MillisPerUnit, 0, 1e6),
+		checkRange("doubt", s.MinStandardErrors, 0, 100), checkRange("prior.millis", s.Prior.BaseMillis, 0, 1e6), checkRange("prior.per_unit", s.Prior.MillisPerUnit, 0, 1e6),
 		checkRange("prior.spread", s.Prior.CV, 0.01, 10), checkRange("prior.least", s.Prior.MinCV, 1e-4, 1), checkRange("prior.refused", s.Prior.FailureRate, 0, 1),
 		checkRange("prices.work", s.Prices.Work, 0, 1e6), checkRange("prices.end", s.Prices.End, 0, 1e6), checkRange("prices.late", s.Prices.Late, 0, 1e6)}
 	for _, err := range errs {
@@ -204,5 +204,5 @@
 func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func init() {
-	operr.Register(&SettingError{}, &MalformedPlansError{}, &UnknownNameError{}, &CycleError{}, &ValueError{}, &LimitError{}, &OutOfTime{})
+	operr.Register(&SettingError{}, &MalformedPlansError{}, &UnknownNameError{}, &CycleError{}, &ValueError{}, &LimitError{}, &TimeoutError{})
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -181,7 +181,7 @@
 	sync.Writes(&w.Version)
 	w.Version = message.list.Version
 	update := w.applyList(*message.list)
-	update.Index = w.Version
+	update.Version = w.Version
 	w.OnUpdate(update)
 }
 
--- a/internal/httpfront/addressconn.go
+++ b/internal/httpfront/addressconn.go
@@ -86,7 +86,7 @@
 
 // serve carries one request and returns its result and the event for the selector.
 func (t *addressConn) serve(j job) (r core.Result, event address.Event) {
-	cancelled := address.Event{Kind: address.RequestDropped}
+	cancelled := address.Event{Kind: address.RequestCancelled}
 	if j.probe != nil {
 		r, reuse := t.conn.probe()
 		event = address.Event{Kind: address.ResponseReceived, Verdict: address.VerdictOther, KeepAlive: reuse}
--- a/internal/httpfront/addresses_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -41,8 +41,8 @@
 // withoutSuspicion returns settings with which no stall of the machine makes an address suspect.
 func withoutSuspicion() address.Settings {
 	s := withShortTimes()
-	s.MinSuspectAfter, s.MaxSuspectAfter, s.SecondOpinionAfter = time.Minute, 2*time.Minute, time.Minute
-	s.Delay, s.MinDelay, s.MaxDelay = 2*time.Second, 2*time.Second, 2*time.Second
+	s.MinSuspectAfter, s.MaxSuspectAfter, s.CrossCheckAfter = time.Minute, 2*time.Minute, time.Minute
+	s.ConnectDelay, s.MinConnectDelay, s.MaxConnectDelay = 2*time.Second, 2*time.Second, 2*time.Second
 	return s
 }
 
@@ -365,7 +365,7 @@
 	var noDescriptors atomic.Bool
 	r.dialer.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
 		if noDescriptors.Load() {
-			return nil, transport.DialFailure(syscall.EMFILE, a.Kind()), syscall.EMFILE
+			return nil, transport.ClassifyDialError(syscall.EMFILE, a.Family()), syscall.EMFILE
 		}
 		return transport.Dial(ctx, a, within)
 	}
@@ -401,8 +401,8 @@
 func TestMachineWithoutIPv6(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	r.dialer.dial = func(ctx context.Context, a address.Addr, within time.Duration) (transport.Stream, address.Reason, error) {
-		if a.Kind() == address.IPv6 {
-			return nil, transport.DialFailure(syscall.EAFNOSUPPORT, a.Kind()), syscall.EAFNOSUPPORT
+		if a.Family() == address.IPv6 {
+			return nil, transport.ClassifyDialError(syscall.EAFNOSUPPORT, a.Family()), syscall.EAFNOSUPPORT
 		}
 		return transport.Dial(ctx, a, within)
 	}
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -160,7 +160,7 @@
 	case m.expired != nil:
 		if request := m.expired; p.requests[request.req] == request && request.conn == nil {
 			p.endUnsent(request, unsentResult(request.ctx))
-			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: request.req})
+			p.selector.Step(address.Event{Kind: address.RequestCancelled, Req: request.req})
 		}
 	case m.returned != nil:
 		p.connReturned(m)
@@ -242,8 +242,8 @@
 // logMissingFamily logs, once for each address family, that it is not available on this machine.
 func (p *addressPool) logMissingFamily(a address.Addr, reason address.Reason) {
 	if reason == address.ReasonNoFamily {
-		p.config.familyLogged[a.Kind()].Do(func() {
-			p.log().WithField("family", a.Kind().String()).Info("address family is not available on this machine; skipping its addresses")
+		p.config.familyLogged[a.Family()].Do(func() {
+			p.log().WithField("family", a.Family().String()).Info("address family is not available on this machine; skipping its addresses")
 		})
 	}
 }
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -46,7 +46,7 @@
 			d := dialer()
 			d.Addresses = &AddressConfig{}
 			set := address.Defaults()
-			set.Preference = []address.Kind{address.IPv4}
+			set.Preference = []address.Family{address.IPv4}
 			d.Addresses.Set(AddressSettings{Selector: set})
 			p := d.Connect("n", list)
 			defer p.Close()
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -63,26 +63,26 @@
 	if rep.relay == nil {
 		return scattergather.Body{Data: rep.body, Limited: rep.limited}
 	}
-	return scattergather.Body{Rest: rep.relay, Cut: rep.relay.Abort, Limited: rep.limited}
+	return scattergather.Body{Rest: rep.relay, Abort: rep.relay.Abort, Limited: rep.limited}
 }
 
 // decodeGather decodes the query of a client's gathered read.
 func decodeGather(h *fasthttp.RequestHeader, b *bounds) (q scattergather.Query, err error) {
 	if !h.IsGet() {
-		return q, &scattergather.NotRead{Why: "writes are never gathered"}
+		return q, &scattergather.NotGatherable{Why: "writes are never gathered"}
 	}
 	if string(h.Protocol()) != "HTTP/1.1" {
-		return q, &scattergather.NotRead{Why: "rows need HTTP/1.1"}
+		return q, &scattergather.NotGatherable{Why: "rows need HTTP/1.1"}
 	}
 	for _, name := range []string{hdrGather, hdrToken, hdrPartial, hdrRows} {
 		if len(h.PeekAll(name)) > 1 {
-			return q, &scattergather.NotRead{Why: name + " twice"}
+			return q, &scattergather.NotGatherable{Why: name + " twice"}
 		}
 	}
 	q.Token, q.Partial = string(h.Peek(hdrToken)), string(h.Peek(hdrPartial)) == "1"
 	if text := string(h.Peek(hdrRows)); q.Partial && text != "" {
 		if q.Rows, err = strconv.Atoi(text); err != nil || q.Rows < 0 {
-			return q, &scattergather.NotRead{Why: hdrRows + " is not a number of rows"}
+			return q, &scattergather.NotGatherable{Why: hdrRows + " is not a number of rows"}
 		}
 	}
 	text := string(h.Peek(hdrGather))
@@ -90,7 +90,7 @@
 		return q, nil
 	}
 	invalidShards := func(why string) (scattergather.Query, error) {
-		return q, &scattergather.ShardsBad{Shards: text, Why: why}
+		return q, &scattergather.InvalidShards{Shards: text, Why: why}
 	}
 	if len(text) > maxShardsText {
 		return invalidShards("is too long")
@@ -217,7 +217,7 @@
 		case g.piece = <-g.pieces:
 			g.pending = true
 		case f := <-g.result:
-			if f.Kind != scattergather.Served && f.Kind != scattergather.Short {
+			if f.Kind != scattergather.Served && f.Kind != scattergather.EndedEarly {
 				return 0, errIncomplete // not io.EOF, as the server would end the response as if it were complete
 			}
 			g.head.Set(hdrResult, string(f.Report(true).JSON()))
@@ -248,19 +248,19 @@
 	switch f.Kind {
 	case scattergather.Invalid:
 		code = fasthttp.StatusBadRequest
-	case scattergather.Refused:
+	case scattergather.Rejected:
 		code = fasthttp.StatusServiceUnavailable
 		f.RetryAfter = max(f.RetryAfter, minRetryAfter)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64))
-	case scattergather.Late:
+	case scattergather.DeadlineExceeded:
 		code = fasthttp.StatusGatewayTimeout
-	case scattergather.Short:
+	case scattergather.EndedEarly:
 		for _, p := range f.Result.Parts {
-			var failed *scattergather.Failed
+			var failed *scattergather.PartFailed
 			switch {
 			case errors.As(p.Why, &failed):
 				code = failureStatus(core.Cause(failed.Cause))
-			case errors.As(p.Why, new(*scattergather.OutOfTime)):
+			case errors.As(p.Why, new(*scattergather.PartDeadlineExceeded)):
 				code = fasthttp.StatusGatewayTimeout
 			default:
 				continue
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -73,12 +73,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	idempotent := scattergather.Rules{Merge: merge, Share: 0.1, AtOnce: 3, Again: 1, Safe: true}
+	idempotent := scattergather.Rules{Merge: merge, MergeTimeShare: 0.1, MaxConcurrentParts: 3, MaxRetries: 1, Idempotent: true}
 	nonIdempotent := idempotent
-	nonIdempotent.Safe = false
+	nonIdempotent.Idempotent = false
 	w.svc = &scattergather.Service{Core: w.core, Classes: map[string]scattergather.Rules{"balance-read": idempotent, "once": nonIdempotent}, Shards: w.core.Shards,
-		PartMost: 8 << 20, PartsMost: 16, Reads: &scattergather.Gate{}, Payload: PartPayload, Body: PartBody}
-	w.svc.Reads.Set(2)
+		MaxPartBytes: 8 << 20, MaxParts: 16, ReadLimiter: &scattergather.Limiter{}, Payload: PartPayload, Body: PartBody}
+	w.svc.ReadLimiter.SetLimit(2)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 // waitForNoReads waits until the core and the service hold no reads.
 func (w *gatherHarness) waitForNoReads() {
 	w.t.Helper()
-	waitFor(w.t, func() bool { x := w.core.TableSizes(); return x.Requests == 0 && w.svc.Reads.In() == 0 })
+	waitFor(w.t, func() bool { x := w.core.TableSizes(); return x.Requests == 0 && w.svc.ReadLimiter.InFlight() == 0 })
 }
 
 const (
@@ -361,7 +361,7 @@
 	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
 		fakenode.Rows{Seed: 8, Count: 10000, Pad: 2000})
 	nc := w.dial()
-	w.svc.PartMost = 64 << 20
+	w.svc.MaxPartBytes = 64 << 20
 	br := bufio.NewReader(nc)
 	w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
 	if _, err := br.Peek(1); err != nil {
@@ -379,7 +379,7 @@
 	if whole := gatherShards * 10000; sent() > whole*3/4 {
 		t.Errorf("%d rows of %d were sent to a client that does not read", sent(), whole)
 	}
-	w.svc.Reads.Set(1)
+	w.svc.ReadLimiter.SetLimit(1)
 	if g := w.read("balance-read", "basic", time.Minute, "X-Gather: 0"); g.code != 503 || g.head.Get("Retry-After") == "" {
 		t.Errorf("response %+v", g)
 	}
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -736,7 +736,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rec, err := replay.Read(in, replay.Mapping{Plan: "basic", UnitBytes: 4096, MostUnits: 6, Shards: 1, Hosts: 1,
+		rec, err := replay.Read(in, replay.Mapping{Plan: "basic", UnitBytes: 4096, MaxUnits: 6, Shards: 1, Hosts: 1,
 			Classes: map[string]time.Duration{"balance-read": time.Minute, "new-record": time.Minute}})
 		_ = in.Close()
 		if err != nil || len(rec.Entries) != want {
@@ -744,7 +744,7 @@
 		}
 		for _, e := range rec.Entries {
 			e.Request.Plan, e.Request.Shard, e.Request.Timeout = "basic", 0, time.Minute
-			if r := f.send(t, string(e.HTTP(nil, name+e.Request.ID))); r.StatusCode() != 200 {
+			if r := f.send(t, string(e.AppendHTTP(nil, name+e.Request.ID))); r.StatusCode() != 200 {
 				t.Errorf("%s: line %d: status %d, body %q", name, e.Line, r.StatusCode(), r.Body())
 			}
 		}
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -256,7 +256,7 @@
 
 // hostHeader returns the Host field of a message. For a Unix socket, which has no host, it is the node's name.
 func hostHeader(a address.Addr, name string) string {
-	if a.Kind() == address.Unix {
+	if a.Family() == address.Unix {
 		return name
 	}
 	_, host := a.Dial()
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -172,7 +172,7 @@
 
 // slowDial returns how long a dial may take before a second one is started in parallel.
 func (n *node) slowDial() time.Duration {
-	return max(connqueue.MinLate, connqueue.LateFactor*n.dialer.dialEstimate.value(), n.dialer.FreeConnWait)
+	return max(connqueue.MinLateConnectTime, connqueue.LateConnectFactor*n.dialer.dialEstimate.value(), n.dialer.FreeConnWait)
 }
 
 // takeIdle takes the most recently used idle connection that is still open, or returns nil if there is none.
--- a/internal/httpfront/preconnect.go
+++ b/internal/httpfront/preconnect.go
@@ -76,7 +76,7 @@
 		if request.preconnect != nil { // there is at most one
 			p.removeRequest(request)
 			go request.preconnect(policy.OK)
-			p.selector.Step(address.Event{Kind: address.RequestDropped, Req: request.req})
+			p.selector.Step(address.Event{Kind: address.RequestCancelled, Req: request.req})
 		}
 	}
 }
--- a/internal/httpfront/simulation_test.go
+++ b/internal/httpfront/simulation_test.go
@@ -156,7 +156,7 @@
 
 func simulationSettings(w *simulation) policy.Settings {
 	return policy.Settings{Schedulers: 3, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 1 + w.randomInt(4), MaxRetryAfter: 1000,
-		SendsRetryAfter: true, MayCancel: w.randomInt(2) == 0, MayHedge: w.randomInt(2) == 0, DrainGrace: 250, PollWithin: 10000,
+		SendsRetryAfter: true, MayCancel: w.randomInt(2) == 0, MayHedge: w.randomInt(2) == 0, DrainGrace: 250, ListStalenessBound: 10000,
 		SlowStartShare: 0.24, SlowStartDuration: 17000, OverloadMultiple: 3, OverloadWindow: 3000, Shards: 5,
 		Classes: []policy.Class{{Name: "safe", LatencyObjective: 200, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "keyed", LatencyObjective: 300, Deadline: 2000, PriorityWeight: 2, Effect: policy.IdempotentByKey, DedupScope: policy.DedupShard, DedupWindow: 2500},
--- a/internal/iscsi/fakes_test.go
+++ b/internal/iscsi/fakes_test.go
@@ -504,14 +504,14 @@
 	settings.Backoff, settings.MaxBackoff, settings.MinReturnDelay, settings.TrialInterval, settings.DownTrialInterval = 50*time.Millisecond, 200*time.Millisecond,
 		100*time.Millisecond, 10*time.Millisecond, 20*time.Millisecond
 	settings.WrongNodeBackoff = 50 * time.Millisecond
-	dialer.Addresses(settings)
-	set = Settings(set, conf)
-	scheduler, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer.Connect, Log: log})
+	dialer.SetAddressSettings(settings)
+	set = AdaptSettings(set, conf)
+	scheduler, err := core.New(core.Options{Settings: set, Seed: 1, NewNodeClient: dialer.NewNodeClient, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(scheduler.Stop)
-	dialer.Report(scheduler.UpdateList)
+	dialer.SetListUpdateHandler(scheduler.UpdateList)
 	scheduler.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: Nodes(conf)})
 	ln, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -73,11 +73,11 @@
 }
 
 // SetAddressSettings sets the settings by which portals are selected, also for existing initiators.
-func (d *Dialer) Addresses(set address.Settings) { d.addressSettings.Store(&set) }
+func (d *Dialer) SetAddressSettings(set address.Settings) { d.addressSettings.Store(&set) }
 
 // SetListUpdateHandler sets the function that is called when a storage target reports that it is
 // draining, or when it is up again after that.
-func (d *Dialer) Report(f func(core.ListUpdate)) { d.listUpdateHandler.Store(&f) }
+func (d *Dialer) SetListUpdateHandler(f func(core.ListUpdate)) { d.listUpdateHandler.Store(&f) }
 
 // Nodes returns the nodes of the storage targets in a configuration.
 func Nodes(conf *config.ISCSI) (out []core.Node) {
@@ -90,7 +90,7 @@
 // AdaptSettings returns the policy settings for this front. If the storage targets do not deduplicate
 // writes, classes that are idempotent by key become non-idempotent, because a write that may have run
 // must not be sent again.
-func Settings(set policy.Settings, conf *config.ISCSI) policy.Settings {
+func AdaptSettings(set policy.Settings, conf *config.ISCSI) policy.Settings {
 	classes := append([]policy.Class(nil), set.Classes...)
 	for i := range classes {
 		if classes[i].Effect == policy.IdempotentByKey && !conf.DeduplicatesWrites {
@@ -102,7 +102,7 @@
 }
 
 // NewNodeClient starts the actor of one storage target.
-func (d *Dialer) Connect(name string, addresses []address.Addr) core.NodeClient {
+func (d *Dialer) NewNodeClient(name string, addresses []address.Addr) core.NodeClient {
 	conf, _ := d.storageTarget(name)
 	p := &storagePeer{dialer: d, name: name, target: conf.Target, mailbox: make(chan message, mailboxSize), done: make(chan struct{}),
 		commands: map[*core.Attempt]*command{}, retiring: map[*nexus]bool{}}
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -165,7 +165,7 @@
 		t.Fatalf("read ended %+v", e)
 	}
 	reports := make(chan core.ListUpdate, 8)
-	env.dialer.Report(func(n core.ListUpdate) { reports <- n })
+	env.dialer.SetListUpdateHandler(func(n core.ListUpdate) { reports <- n })
 	conf := *env.target.conf
 	conf.Storage = []config.StorageTarget{conf.Storage[0]}
 	conf.Storage[0].State = policy.NodeDraining
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -119,7 +119,7 @@
 	if x.answered {
 		o.selector.Step(address.Event{Kind: address.ResponseReceived, Conn: x.connID, Req: q, Verdict: address.VerdictServed, KeepAlive: true})
 	} else {
-		o.selector.Step(address.Event{Kind: address.RequestDropped, Conn: x.connID, Req: q})
+		o.selector.Step(address.Event{Kind: address.RequestCancelled, Conn: x.connID, Req: q})
 	}
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -41,7 +41,7 @@
 	Plan      string                   // of requests without a recorded plan
 	Deadline  time.Duration            // if Classes is nil and none was recorded
 	UnitBytes float64                  // bytes of one unit of work
-	MostUnits float64                  // maximum units of a request; 0: no maximum
+	MaxUnits  float64                  // maximum units of a request; 0: no maximum
 	Shards    int
 	Hosts     int
 }
@@ -180,8 +180,8 @@
 	request.Plan, request.Key, request.ClientRetry = firstNonEmpty(recorded.plan, m.Plan), firstNonEmpty(recorded.key, hexHash(u.Path)), recorded.retry
 	request.Volume, request.Schedulers = hexHash("volume "+recorded.owner), max(1, m.Hosts)
 	request.Units = math.Max(1, math.Ceil(float64(recorded.bytes)/math.Max(m.UnitBytes, 1)))
-	if m.MostUnits > 0 {
-		request.Units = math.Min(request.Units, m.MostUnits)
+	if m.MaxUnits > 0 {
+		request.Units = math.Min(request.Units, m.MaxUnits)
 	}
 	if m.Shards > 0 {
 		h := fnv.New32a()
@@ -341,8 +341,8 @@
 	return recorded, nil
 }
 
-// HTTP appends the entry as an HTTP request of the platform with the given request id.
-func (e *Entry) HTTP(dst []byte, id string) []byte {
+// AppendHTTP appends the entry as an HTTP request of the platform with the given request id.
+func (e *Entry) AppendHTTP(dst []byte, id string) []byte {
 	r, method := &e.Request, "GET"
 	if e.Write {
 		method = "PUT"
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -14,7 +14,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 var testMapping = Mapping{Classes: map[string]time.Duration{"balance-read": 1500 * time.Millisecond, "new-record": 1500 * time.Millisecond,
-	"bulk-export": 4 * time.Second}, Prefixes: map[string]string{"/export": "bulk-export"}, Plan: "basic", UnitBytes: 4096, MostUnits: 6, Shards: 4}
+	"bulk-export": 4 * time.Second}, Prefixes: map[string]string{"/export": "bulk-export"}, Plan: "basic", UnitBytes: 4096, MaxUnits: 6, Shards: 4}
 
 func readTestFile(t *testing.T, name string) *Recording {
 	t.Helper()
@@ -71,7 +71,7 @@
 		request.Schedulers != 3 || request.Timeout != 480*time.Millisecond || !second.Write || second.Bytes != 12 {
 		t.Errorf("%+v", second)
 	}
-	if text := string(second.HTTP(nil, "id1")); !strings.HasSuffix(text, "\r\n\r\n............") || strings.Contains(text, "secret") {
+	if text := string(second.AppendHTTP(nil, "id1")); !strings.HasSuffix(text, "\r\n\r\n............") || strings.Contains(text, "secret") {
 		t.Errorf("%q", text)
 	}
 	if text := string(first.AppendJSON(nil)); !strings.Contains(text, `"class":"balance-read"`) || !strings.HasSuffix(text, "}\n") {
--- a/internal/scattergather/coordinator.go
+++ b/internal/scattergather/coordinator.go
@@ -29,51 +29,51 @@
 type Peer struct{ Name, Address string }
 
 // CoordinatorOptions are the options of NewCoordinator.
-type TreeOptions struct {
-	Rules     TreeRules // its Peers are set from Peers below
-	Peers     []Peer
-	Seed      uint64
-	Conns     int             // concurrent connections to one peer
-	BytesMost int64           // bytes of one group's partial result
-	IDMost    int             // longest request ID that a peer accepts
-	Limited   map[string]bool // plans with a rate limit
+type CoordinatorOptions struct {
+	Rules             DelegationRules // its Peers are set from Peers below
+	Peers             []Peer
+	Seed              uint64
+	MaxConnsPerPeer   int             // concurrent connections to one peer
+	MaxGroupBytes     int64           // bytes of one group's partial result
+	MaxRequestIDBytes int             // longest request ID that a peer accepts
+	RateLimitedPlans  map[string]bool // plans with a rate limit
 	// EncodeRequest encodes a client's request for a peer, without ID, deadline and the gather headers.
-	Request func(client *core.Request, to *fasthttp.Request)
-	Alive   func() []string // names of the processes known to be alive; nil: unknown. It must not wait for the network
-	Tally   *Tally          // nil: the Coordinator makes its own
-	Log     logrus.FieldLogger
+	EncodeRequest func(client *core.Request, to *fasthttp.Request)
+	AlivePeers    func() []string     // names of the processes known to be alive; nil: unknown. It must not wait for the network
+	Counters      *DelegationCounters // nil: the Coordinator makes its own
+	Log           logrus.FieldLogger
 }
 
 // DelegationCounts are totals over all reads.
-type TreeCounts struct {
-	Handed         int // reads with delegated parts
-	Groups         int // groups of these reads
-	TakenOver      int // attempts that took a group over from another peer
-	Rows           int // delivered by peers, by all attempts together
-	Asked          int // attempts sent to peers
-	Good           int // attempts that completed their group first
-	Failed         int // attempts that failed, were truncated or invalid, lost parts, or were overtaken by another attempt
-	Rejected       int
-	Own            int // attempts that this process made itself
-	InvalidResults int
-	SetAside       int // times that a peer started to back off
-	Connected      int // connections now
+type DelegationCounts struct {
+	DelegatedReads  int // reads with delegated parts
+	Groups          int // groups of these reads
+	Takeovers       int // attempts that took a group over from another peer
+	Rows            int // delivered by peers, by all attempts together
+	PeerAttempts    int // attempts sent to peers
+	Succeeded       int // attempts that completed their group first
+	Failed          int // attempts that failed, were truncated or invalid, lost parts, or were overtaken by another attempt
+	Rejected        int
+	LocalAttempts   int // attempts that this process made itself
+	InvalidResults  int
+	BackoffsStarted int // times that a peer started to back off
+	Connections     int // connections now
 }
 
 // DelegationCounters counts delegations. It outlives a Coordinator.
-type Tally struct {
+type DelegationCounters struct {
 	mu     sync.Mutex
-	counts TreeCounts
+	counts DelegationCounts
 	codes  map[string]int // of failed and rejected attempts
 }
 
-func (c *Tally) update(f func(*TreeCounts)) {
+func (c *DelegationCounters) update(f func(*DelegationCounts)) {
 	c.mu.Lock()
 	f(&c.counts)
 	c.mu.Unlock()
 }
 
-func (c *Tally) countFailure(code string) {
+func (c *DelegationCounters) countFailure(code string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.codes == nil {
@@ -83,17 +83,17 @@
 }
 
 // Counts returns the current counts.
-func (c *Tally) Counts() TreeCounts {
+func (c *DelegationCounters) Counts() DelegationCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
 // FailureCodes are the error codes of failed and rejected peer attempts.
-var Codes = []string{(*PeerFailed)(nil).Code(), (*PeerLostParts)(nil).Code(), (*PeerInvalidResult)(nil).Code(), (*Rejection)(nil).Code()}
+var FailureCodes = []string{(*PeerFailed)(nil).Code(), (*PeerLostParts)(nil).Code(), (*PeerInvalidResult)(nil).Code(), (*Rejection)(nil).Code()}
 
 // Failures returns the number of attempts that ended with an error code.
-func (c *Tally) Failures(code string) int {
+func (c *DelegationCounters) Failures(code string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.codes[code]
@@ -101,41 +101,41 @@
 
 // Coordinator delegates parts of gathered reads to peers. The decisions are made by PeerTable, scheduleGroup and partialValidator.
 type Coordinator struct {
-	options   TreeOptions
+	options   CoordinatorOptions
 	start     time.Time
 	mu        sync.Mutex
 	peers     *PeerTable
 	connSlots map[string]chan struct{}
 	addresses map[string]string
-	*Tally
+	*DelegationCounters
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
 // NewCoordinator returns a coordinator. Its error is an *InvalidRules.
-func OpenTree(opt TreeOptions) (*Coordinator, error) {
+func NewCoordinator(opt CoordinatorOptions) (*Coordinator, error) {
 	opt.Rules.Peers = nil
 	for _, p := range opt.Peers {
 		opt.Rules.Peers = append(opt.Rules.Peers, p.Name)
 	}
 	switch {
-	case opt.Conns < 1:
+	case opt.MaxConnsPerPeer < 1:
 		return nil, &InvalidRules{"tree.connections", "is not a positive number"}
-	case opt.BytesMost < 1:
+	case opt.MaxGroupBytes < 1:
 		return nil, &InvalidRules{"tree.group_bytes_most", "is not a positive number"}
 	}
 	peers, err := NewPeerTable(opt.Rules, opt.Seed)
 	if err != nil {
 		return nil, err
 	}
-	coordinator := &Coordinator{options: opt, start: time.Now(), peers: peers, Tally: opt.Tally, connSlots: map[string]chan struct{}{}, addresses: map[string]string{}}
-	if coordinator.Tally == nil {
-		coordinator.Tally = &Tally{}
+	coordinator := &Coordinator{options: opt, start: time.Now(), peers: peers, DelegationCounters: opt.Counters, connSlots: map[string]chan struct{}{}, addresses: map[string]string{}}
+	if coordinator.DelegationCounters == nil {
+		coordinator.DelegationCounters = &DelegationCounters{}
 	}
 	coordinator.ctx, coordinator.cancel = context.WithCancel(context.Background())
 	for _, p := range opt.Peers {
-		coordinator.connSlots[p.Name], coordinator.addresses[p.Name] = make(chan struct{}, opt.Conns), p.Address
+		coordinator.connSlots[p.Name], coordinator.addresses[p.Name] = make(chan struct{}, opt.MaxConnsPerPeer), p.Address
 	}
 	return coordinator, nil
 }
@@ -163,19 +163,19 @@
 // Delegate implements Delegator.
 func (c *Coordinator) Delegate(read ReadRequest) ([]gather.Part, Sender) {
 	var alive []string
-	if c.options.Alive != nil {
-		alive = c.options.Alive()
+	if c.options.AlivePeers != nil {
+		alive = c.options.AlivePeers()
 	}
 	c.mu.Lock()
-	if c.options.Alive != nil {
+	if c.options.AlivePeers != nil {
 		c.peers.SetAlive(alive)
 	}
-	plan := c.peers.Split(time.Since(c.start), read.Parts, read.Rules.Safe && len(read.Client.ID)+groupIDBytes <= c.options.IDMost, c.options.Limited[read.Client.Plan])
+	plan := c.peers.Split(time.Since(c.start), read.Parts, read.Rules.Idempotent && len(read.Client.ID)+groupIDBytes <= c.options.MaxRequestIDBytes, c.options.RateLimitedPlans[read.Client.Plan])
 	c.mu.Unlock()
 	if len(plan.Groups) == 0 {
 		return read.Parts, read.Local
 	}
-	c.update(func(n *TreeCounts) { n.Handed++; n.Groups += len(plan.Groups) })
+	c.update(func(n *DelegationCounts) { n.DelegatedReads++; n.Groups += len(plan.Groups) })
 	return plan.Parts(), &groupSender{coordinator: c, ReadRequest: read, plan: plan, attempts: map[string][]*groupAttempt{}}
 }
 
@@ -224,7 +224,7 @@
 	s.attempts[attempt.Part.ID] = append(earlier, started)
 	s.mu.Unlock()
 	if n := len(earlier); n > 0 && earlier[n-1].Peer != attempt.Peer {
-		s.coordinator.update(func(n *TreeCounts) { n.TakenOver++ })
+		s.coordinator.update(func(n *DelegationCounts) { n.Takeovers++ })
 	}
 	if attempt.Peer == "" {
 		s.localAttempts.Add(1)
@@ -233,11 +233,11 @@
 		defer cancel()
 		if attempt.Peer == "" {
 			defer s.localAttempts.Done()
-			s.coordinator.update(func(n *TreeCounts) { n.Own++ })
+			s.coordinator.update(func(n *DelegationCounts) { n.LocalAttempts++ })
 			s.gatherLocally(ctx, started, until, to)
 			return
 		}
-		s.coordinator.update(func(n *TreeCounts) { n.Asked++ })
+		s.coordinator.update(func(n *DelegationCounts) { n.PeerAttempts++ })
 		retryAfter, err := s.requestPeer(ctx, group, attempt, until, to)
 		if ctx.Err() != nil && err != nil { // cancelled, or its time ended before another attempt overtook it
 			err = context.Canceled
@@ -302,10 +302,10 @@
 	c.peers.AttemptEnded(time.Since(c.start), peer, trial, outcome, retryAfter)
 	failuresAfter := c.peers.failures(peer)
 	c.mu.Unlock()
-	c.update(func(n *TreeCounts) {
+	c.update(func(n *DelegationCounts) {
 		switch outcome {
 		case OutcomeSuccess:
-			n.Good++
+			n.Succeeded++
 		case OutcomeFailure:
 			n.Failed++
 		case OutcomeRejected:
@@ -315,7 +315,7 @@
 			n.InvalidResults++
 		}
 		if failuresAfter > failuresBefore {
-			n.SetAside++
+			n.BackoffsStarted++
 		}
 	})
 	var coded operr.Coded
@@ -372,7 +372,7 @@
 	for _, p := range s.Parts {
 		shards[p.ID] = p.Shard
 	}
-	allRejected, retryAfter := final.Kind == Short && final.Result.Rows == 0 && errors.As(final.Result.Err, new(*gather.Incomplete)), time.Duration(0)
+	allRejected, retryAfter := final.Kind == EndedEarly && final.Result.Rows == 0 && errors.As(final.Result.Err, new(*gather.Incomplete)), time.Duration(0)
 	if allRejected { // the attempts of this process are cancelled or have ended; they know the Retry-After
 		s.localAttempts.Wait()
 	}
@@ -391,7 +391,7 @@
 		}
 	}
 	if allRejected {
-		final.Kind, final.RetryAfter = Refused, retryAfter
+		final.Kind, final.RetryAfter = Rejected, retryAfter
 	}
 	return final
 }
@@ -405,9 +405,9 @@
 	default: // not a failure of the peer
 		return time.Millisecond, failed("no connection is free")
 	}
-	coordinator.update(func(n *TreeCounts) { n.Connected++ })
+	coordinator.update(func(n *DelegationCounts) { n.Connections++ })
 	defer func() {
-		coordinator.update(func(n *TreeCounts) { n.Connected-- })
+		coordinator.update(func(n *DelegationCounts) { n.Connections-- })
 		<-coordinator.connSlots[attempt.Peer]
 	}()
 	nc, err := transport.DialTCP(ctx, coordinator.addresses[attempt.Peer], 0) // the context limits the time
@@ -419,7 +419,7 @@
 
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	coordinator.options.Request(s.Client, req)
+	coordinator.options.EncodeRequest(s.Client, req)
 	req.Header.Set("X-Request-Id", fmt.Sprintf("%s/%s/%d", s.Client.ID, g.ID, attempt.Number))
 	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, time.Until(until).Milliseconds()), 10))
 	var shards []byte
@@ -472,11 +472,11 @@
 // relay passes a validated body on at the rate at which the merge consumes it.
 func (s *groupSender) relay(g *Group, attempt Attempt, body io.Reader, to *Sink) error {
 	quota := s.Rules.Merge.Memory.Bytes / (len(s.plan.Groups) + len(s.plan.Local) + 1) // memory of one part of the coordinator's merge
-	validator, err := newPartialValidator(s.Rules.Merge, attempt.Peer, g.Part, attempt.Rows, int64(quota-4), s.coordinator.options.BytesMost)
+	validator, err := newPartialValidator(s.Rules.Merge, attempt.Peer, g.Part, attempt.Rows, int64(quota-4), s.coordinator.options.MaxGroupBytes)
 	if err != nil {
 		return err
 	}
-	defer func() { s.coordinator.update(func(n *TreeCounts) { n.Rows += validator.rows }) }()
+	defer func() { s.coordinator.update(func(n *DelegationCounts) { n.Rows += validator.rows }) }()
 	buf := make([]byte, maxPieceBytes)
 	for {
 		n, err := body.Read(buf)
--- a/internal/scattergather/coordinator_test.go
+++ b/internal/scattergather/coordinator_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-var gatherService = &Service{PartMost: 1 << 20}
+var gatherService = &Service{MaxPartBytes: 1 << 20}
 
 // fixture is a coordinator and its peers on the loopback interface.
 type fixture struct {
@@ -122,12 +122,12 @@
 func newFixture(t *testing.T, peers int, extra string) *fixture {
 	t.Helper()
 	f := &fixture{T: t}
-	f.rules = Rules{Merge: rulesOf(t, 65536, extra), Share: 0.2, AtOnce: 4, Safe: true, Again: 1}
+	f.rules = Rules{Merge: rulesOf(t, 65536, extra), MergeTimeShare: 0.2, MaxConcurrentParts: 4, Idempotent: true, MaxRetries: 1}
 	f.local = &fakeSender{fixture: f}
 	log, hook := logtest.NewNullLogger()
 	f.log = hook
-	opt := TreeOptions{Seed: 3, Conns: 4, BytesMost: 1 << 20, IDMost: 128, Log: log, Request: func(_ *core.Request, to *fasthttp.Request) { to.SetRequestURI("/read/x") },
-		Rules: TreeRules{LeastParts: 4, GroupMost: 8, FanOut: 4, Copies: 2, Silent: time.Hour, Rest: time.Hour, RestMax: time.Hour}}
+	opt := CoordinatorOptions{Seed: 3, MaxConnsPerPeer: 4, MaxGroupBytes: 1 << 20, MaxRequestIDBytes: 128, Log: log, EncodeRequest: func(_ *core.Request, to *fasthttp.Request) { to.SetRequestURI("/read/x") },
+		Rules: DelegationRules{MinParts: 4, MaxGroupParts: 8, FanOut: 4, MaxPeerAttempts: 2, SilenceTimeout: time.Hour, Backoff: time.Hour, MaxBackoff: time.Hour}}
 	for i := range peers {
 		p := &fakePeer{fakeSender: &fakeSender{fixture: f}, fixture: f, rules: f.rules}
 		p.srv = httptest.NewServer(p)
@@ -139,7 +139,7 @@
 		opt.Peers = append(opt.Peers, Peer{fmt.Sprint("q", i), p.link.Addr()})
 	}
 	var err error
-	if f.coordinator, err = OpenTree(opt); err != nil {
+	if f.coordinator, err = NewCoordinator(opt); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -173,7 +173,7 @@
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	waitFor(f.T, "all connections are closed", func() bool { return f.coordinator.Counts().Connected == 0 })
+	waitFor(f.T, "all connections are closed", func() bool { return f.coordinator.Counts().Connections == 0 })
 	return rows, x
 }
 
@@ -212,10 +212,10 @@
 		kind       FinalKind
 	}{
 		{name: "none", happened: func(f *fixture) bool {
-			return f.coordinator.Counts().Good == 3 && f.partRequests.Load() == fixtureParts
+			return f.coordinator.Counts().Succeeded == 3 && f.partRequests.Load() == fixtureParts
 		}},
 		{name: "one known not to be alive", fault: func(f *fixture) {
-			f.coordinator.options.Alive = func() []string { return []string{"q0", "q2", "other"} }
+			f.coordinator.options.AlivePeers = func() []string { return []string{"q0", "q2", "other"} }
 		}, happened: func(f *fixture) bool {
 			n := f.coordinator.Counts()
 			return n.Groups == 2 && n.Rows == 8*rowsPerPart && f.peers[1].requests.Load() == 0 && f.coordinator.PeerStatus()[1].NotAlive
@@ -243,7 +243,7 @@
 			eachPeer(f, func(p *fakePeer) { p.rejected = map[string]bool{"p0": true} })
 			f.local.rejected = map[string]bool{"p0": true}
 		}, backingOff: 1, local: true, missing: []int{0}},
-		{name: "rules with top", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().Asked >= 3 }},
+		{name: "rules with top", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().PeerAttempts >= 3 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, 3, c.more)
@@ -255,7 +255,7 @@
 			case c.name == "one slow":
 				timeout = 9 * time.Second // the first attempt's share is a third of four fifths of it
 			case strings.HasSuffix(c.name, "silent"):
-				f.coordinator.options.Rules.Silent = 2 * time.Second
+				f.coordinator.options.Rules.SilenceTimeout = 2 * time.Second
 			}
 			rows, x := f.read(t.Context(), timeout)
 			want := fixtureFlatMerge(c.missing...)
@@ -282,14 +282,14 @@
 				}
 			}
 			failed := 0
-			for _, code := range Codes {
+			for _, code := range FailureCodes {
 				failed += f.coordinator.Failures(code)
 			}
-			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < backingOff || n.TakenOver == 0 != (backingOff == 0) ||
+			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < backingOff || n.Takeovers == 0 != (backingOff == 0) ||
 				f.coordinator.Failures((*PeerInvalidResult)(nil).Code()) != c.invalid {
 				t.Errorf("%d failures by code, %+v", failed, n)
 			}
-			if n := f.coordinator.Counts(); backingOff != c.backingOff || n.InvalidResults != c.invalid || (n.Own > 0) != c.local {
+			if n := f.coordinator.Counts(); backingOff != c.backingOff || n.InvalidResults != c.invalid || (n.LocalAttempts > 0) != c.local {
 				t.Errorf("%d peers back off, not %d: %+v %+v", backingOff, c.backingOff, n, f.coordinator.PeerStatus())
 			}
 			for _, e := range f.log.AllEntries() {
@@ -332,7 +332,7 @@
 	if x.Kind != Served || x.Result.Whole || !slices.Contains(named, "p2") || len(named) != 6 {
 		t.Errorf("%d rows, kind %d, in conflict %v, %+v", len(rows), x.Kind, named, x.Result.Parts)
 	}
-	if n := f.coordinator.Counts(); n.Own != 1 {
+	if n := f.coordinator.Counts(); n.LocalAttempts != 1 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -346,7 +346,7 @@
 	}
 	f.local.rejected, f.peers[0].rejected, f.peers[1].rejected = allParts, allParts, allParts
 	rows, x := f.read(t.Context(), 10*time.Minute)
-	if len(rows) > 0 || x.Kind != Refused || x.RetryAfter != time.Hour {
+	if len(rows) > 0 || x.Kind != Rejected || x.RetryAfter != time.Hour {
 		t.Errorf("%d rows, %+v", len(rows), x)
 	}
 }
@@ -361,7 +361,7 @@
 		}
 	}
 	go func() {
-		for f.coordinator.Counts().Connected < 3 {
+		for f.coordinator.Counts().Connections < 3 {
 			time.Sleep(ms)
 		}
 		disconnect()
@@ -380,11 +380,11 @@
 }
 
 func TestCoordinatorRejectsInvalidOptions(t *testing.T) {
-	good := TreeOptions{Conns: 1, BytesMost: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: treeRules(0)}
-	for _, bad := range []func(*TreeOptions){func(o *TreeOptions) { o.Conns = 0 }, func(o *TreeOptions) { o.BytesMost = 0 }, func(o *TreeOptions) { o.Peers = nil }} {
+	good := CoordinatorOptions{MaxConnsPerPeer: 1, MaxGroupBytes: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: treeRules(0)}
+	for _, bad := range []func(*CoordinatorOptions){func(o *CoordinatorOptions) { o.MaxConnsPerPeer = 0 }, func(o *CoordinatorOptions) { o.MaxGroupBytes = 0 }, func(o *CoordinatorOptions) { o.Peers = nil }} {
 		o := good
 		bad(&o)
-		if _, err := OpenTree(o); !errors.As(err, new(*InvalidRules)) {
+		if _, err := NewCoordinator(o); !errors.As(err, new(*InvalidRules)) {
 			t.Errorf("%+v: %v", o, err)
 		}
 	}
--- a/internal/scattergather/core_sender.go
+++ b/internal/scattergather/core_sender.go
@@ -18,7 +18,7 @@
 type Body struct {
 	Data    []byte        // the whole body, or its beginning
 	Rest    io.ReadCloser // nil: Data is the whole body. An error other than io.EOF means that the body was truncated
-	Cut     func()        // aborts a Read of Rest, from another goroutine
+	Abort   func()        // aborts a Read of Rest, from another goroutine
 	Limited bool          // the node stopped at the requested number of rows
 }
 
@@ -65,10 +65,10 @@
 			case b.Rest == nil:
 				c.remove(r.ID)
 				to.End(b.Data, b.endError())
-			case c.startStreaming(r.ID, b.Cut):
+			case c.startStreaming(r.ID, b.Abort):
 				go c.stream(a, b, to)
 			default: // cancelled in the meantime
-				b.Cut()
+				b.Abort()
 				go b.Rest.Close()
 				to.End(nil, io.ErrUnexpectedEOF)
 			}
@@ -76,7 +76,7 @@
 		case core.Rejected:
 			to.End(nil, &Rejection{x.RetryAfter})
 		default:
-			to.End(nil, &Failed{a.Part.ID, string(x.Cause), x.Cause == core.CauseNotServed || x.Cause == core.CauseInternal})
+			to.End(nil, &PartFailed{a.Part.ID, string(x.Cause), x.Cause == core.CauseNotServed || x.Cause == core.CauseInternal})
 		}
 		c.remove(r.ID)
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
-			to.End(piece, &Failed{a.Part.ID, "read body: " + err.Error(), true})
+			to.End(piece, &PartFailed{a.Part.ID, "read body: " + err.Error(), true})
 			return
 		}
 		if received += n; c.MaxPartBytes > 0 && received > c.MaxPartBytes {
--- a/internal/scattergather/errors.go
+++ b/internal/scattergather/errors.go
@@ -35,15 +35,17 @@
 }
 
 // PartDeadlineExceeded is the error of a part that was not complete at the parts' deadline.
-type OutOfTime struct{ Part string }
+type PartDeadlineExceeded struct{ Part string }
 
-func (e *OutOfTime) Error() string { return fmt.Sprintf("scatter: part %q: out of time", e.Part) }
+func (e *PartDeadlineExceeded) Error() string {
+	return fmt.Sprintf("scatter: part %q: out of time", e.Part)
+}
 
 // Code implements operr.Coded.
-func (*OutOfTime) Code() string { return "scatter-out-of-time" }
+func (*PartDeadlineExceeded) Code() string { return "scatter-out-of-time" }
 
 // Advice implements operr.Coded.
-func (*OutOfTime) Advice() string {
+func (*PartDeadlineExceeded) Advice() string {
 	return "Look at the shard that the part names; or the clients' deadline is too short for their reads."
 }
 
@@ -66,18 +68,18 @@
 }
 
 // PartFailed is the error of a part that core failed to serve.
-type Failed struct {
+type PartFailed struct {
 	Part, Cause string
 	Retryable   bool // a retry may succeed
 }
 
-func (e *Failed) Error() string { return fmt.Sprintf("scatter: part %q: %s", e.Part, e.Cause) }
+func (e *PartFailed) Error() string { return fmt.Sprintf("scatter: part %q: %s", e.Part, e.Cause) }
 
 // Code implements operr.Coded.
-func (*Failed) Code() string { return "scatter-part-failed" }
+func (*PartFailed) Code() string { return "scatter-part-failed" }
 
 // Advice implements operr.Coded.
-func (*Failed) Advice() string {
+func (*PartFailed) Advice() string {
 	return "Look at the nodes of the part's shard; the cause is that of any request of its class."
 }
 
@@ -97,26 +99,28 @@
 }
 
 // InvalidShards is the error for a list of shards that cannot be parsed.
-type ShardsBad struct{ Shards, Why string }
+type InvalidShards struct{ Shards, Why string }
 
-func (e *ShardsBad) Error() string { return fmt.Sprintf("scatter: shards: %.60q: %s", e.Shards, e.Why) }
+func (e *InvalidShards) Error() string {
+	return fmt.Sprintf("scatter: shards: %.60q: %s", e.Shards, e.Why)
+}
 
 // Code implements operr.Coded.
-func (*ShardsBad) Code() string { return "scatter-shards-bad" }
+func (*InvalidShards) Code() string { return "scatter-shards-bad" }
 
 // Advice implements operr.Coded.
-func (*ShardsBad) Advice() string { return "Name shards like 0,3,7-9, each once, or all." }
+func (*InvalidShards) Advice() string { return "Name shards like 0,3,7-9, each once, or all." }
 
 // NotGatherable is the error for a request to gather that is not a plain read.
-type NotRead struct{ Why string }
+type NotGatherable struct{ Why string }
 
-func (e *NotRead) Error() string { return "scatter: " + e.Why }
+func (e *NotGatherable) Error() string { return "scatter: " + e.Why }
 
 // Code implements operr.Coded.
-func (*NotRead) Code() string { return "scatter-not-read" }
+func (*NotGatherable) Code() string { return "scatter-not-read" }
 
 // Advice implements operr.Coded.
-func (*NotRead) Advice() string {
+func (*NotGatherable) Advice() string {
 	return "Send a GET by HTTP/1.1; writes are never gathered."
 }
 
@@ -135,12 +139,12 @@
 
 // isPermanent reports whether a retry would fail with the same error.
 func isPermanent(err error) bool {
-	var f *Failed
+	var f *PartFailed
 	return errors.As(err, new(*PartTooLong)) || errors.As(err, &f) && !f.Retryable
 }
 
 func init() {
-	operr.Register(&InvalidRules{"share", "is not from 0 to less than 1"}, &Rejection{time.Second}, &OutOfTime{"7"},
-		&PartTooLong{"7", 1 << 20}, &Failed{"7", "given up", true},
-		&ClassWithoutRules{"read"}, &ShardsBad{"7-3", "ends before it begins"}, &NotRead{"writes are never gathered"}, &ClientDeadlineExceeded{})
+	operr.Register(&InvalidRules{"share", "is not from 0 to less than 1"}, &Rejection{time.Second}, &PartDeadlineExceeded{"7"},
+		&PartTooLong{"7", 1 << 20}, &PartFailed{"7", "given up", true},
+		&ClassWithoutRules{"read"}, &InvalidShards{"7-3", "ends before it begins"}, &NotGatherable{"writes are never gathered"}, &ClientDeadlineExceeded{})
 }
--- a/internal/scattergather/gather.go
+++ b/internal/scattergather/gather.go
@@ -43,12 +43,12 @@
 
 // Rules are the rules of one class of gathered reads.
 type Rules struct {
-	Merge  *gather.Rules
-	Share  float64       // share of the client's timeout that is reserved for the merge, at least 0 and less than 1
-	AtOnce int           // limit of attempts in flight
-	Again  int           // retries of a part, without its first attempt
-	Silent time.Duration // a second attempt starts after this time without a byte from the only one in flight; 0: never
-	Safe   bool          // the class is idempotent
+	Merge              *gather.Rules
+	MergeTimeShare     float64       // share of the client's timeout that is reserved for the merge, at least 0 and less than 1
+	MaxConcurrentParts int           // limit of attempts in flight
+	MaxRetries         int           // retries of a part, without its first attempt
+	SilenceTimeout     time.Duration // a second attempt starts after this time without a byte from the only one in flight; 0: never
+	Idempotent         bool          // the class is idempotent
 }
 
 // Attempt is one attempt of a part.
@@ -73,9 +73,9 @@
 // The kinds of a final answer.
 const (
 	Served             FinalKind = iota // Result says whether it is complete, and which parts are missing
-	Short                               // it ended early with Result.Err
-	Refused                             // no row was sent, and all missing parts were rejected
-	Late                                // the client's deadline passed first
+	EndedEarly                          // it ended early with Result.Err
+	Rejected                            // no row was sent, and all missing parts were rejected
+	DeadlineExceeded                    // the client's deadline passed first
 	ClientDisconnected                  // the client disconnected
 	Invalid                             // it could not start because of Err
 )
@@ -152,7 +152,7 @@
 	maxRows            int  // row limit of a partial result; 0: none
 	partialRows        int  // rows of the partial result so far
 	fault              fault
-	treeRules          TreeRules
+	treeRules          DelegationRules
 	treeFault          treeFault
 }
 
@@ -161,13 +161,13 @@
 	switch {
 	case r.Merge == nil:
 		return nil, &InvalidRules{"merge", "is missing"}
-	case !(r.Share >= 0 && r.Share < 1):
+	case !(r.MergeTimeShare >= 0 && r.MergeTimeShare < 1):
 		return nil, &InvalidRules{"share", "is not from 0 to less than 1"}
-	case r.AtOnce < 1:
+	case r.MaxConcurrentParts < 1:
 		return nil, &InvalidRules{"at_once", "is not a positive number"}
-	case r.Again < 0 || r.Silent < 0:
+	case r.MaxRetries < 0 || r.SilenceTimeout < 0:
 		return nil, &InvalidRules{"again, silent", "is negative"}
-	case r.Again > maxConfigurableRetries:
+	case r.MaxRetries > maxConfigurableRetries:
 		return nil, &InvalidRules{"again", fmt.Sprintf("is over %d", maxConfigurableRetries)}
 	}
 	m, err := gather.New(r.Merge, parts, opts...)
@@ -175,7 +175,7 @@
 		return nil, err
 	}
 	g := &Gather{rules: r, merge: m, byID: map[string]*partState{}, deadline: timeout, demands: map[string]gather.Demand{}}
-	g.partsDeadline = timeout - time.Duration(r.Share*float64(timeout))
+	g.partsDeadline = timeout - time.Duration(r.MergeTimeShare*float64(timeout))
 	for _, p := range parts {
 		q := &partState{Part: p}
 		g.parts, g.byID[p.ID] = append(g.parts, q), q
@@ -228,7 +228,7 @@
 	p := g.byID[id]
 	i := p.findAttempt(number)
 	if g.fault == faultChangeFinal && i < 0 && g.final != nil { // injected fault: a late event changes the final answer
-		g.final.Kind = Short
+		g.final.Kind = EndedEarly
 	}
 	if i < 0 || g.final != nil {
 		return
@@ -368,7 +368,7 @@
 	case !slices.ContainsFunc(g.refreshDemands(), func(d gather.Demand) bool { return !d.Stop }) && g.merge.Result().Done:
 		g.finish(Served)
 	case now >= g.deadline && g.fault != faultIgnoreDeadline:
-		g.finish(Late)
+		g.finish(DeadlineExceeded)
 	}
 	if g.final != nil {
 		return g.actions
@@ -413,7 +413,7 @@
 		}
 		why := p.lastErr
 		if why == nil || p.limited {
-			why = &OutOfTime{p.ID}
+			why = &PartDeadlineExceeded{p.ID}
 		}
 		g.dropPart(p, why)
 		return
@@ -424,17 +424,17 @@
 	}
 	if len(p.inFlight) > 0 {
 		a := &p.inFlight[0]
-		if g.rules.Silent == 0 || len(p.inFlight) >= maxConcurrentAttempts || a.blocked || !g.mayAttempt(p) || !g.rules.Safe {
+		if g.rules.SilenceTimeout == 0 || len(p.inFlight) >= maxConcurrentAttempts || a.blocked || !g.mayAttempt(p) || !g.rules.Idempotent {
 			return
 		}
-		if at := max(a.lastActivity+g.rules.Silent, p.notBefore); now < at {
+		if at := max(a.lastActivity+g.rules.SilenceTimeout, p.notBefore); now < at {
 			g.wakeAt = min(g.wakeAt, at)
 			return
 		}
 		g.startAttempt(now, p, demand, false)
 		return
 	}
-	raisesRowLimit := p.limited && g.rules.Safe && p.rowLimitRaises < maxRowLimitRaises
+	raisesRowLimit := p.limited && g.rules.Idempotent && p.rowLimitRaises < maxRowLimitRaises
 	switch {
 	case !raisesRowLimit && !g.mayAttempt(p):
 		g.dropPart(p, p.lastErr)
@@ -454,14 +454,14 @@
 		return true
 	case p.permanentError:
 		return false
-	case p.attempts > g.rules.Again && g.fault != faultIgnoreMaxRetries:
+	case p.attempts > g.rules.MaxRetries && g.fault != faultIgnoreMaxRetries:
 		return false
 	}
-	return g.rules.Safe || !p.mayHaveRun || g.fault == faultRetryNonIdempotent
+	return g.rules.Idempotent || !p.mayHaveRun || g.fault == faultRetryNonIdempotent
 }
 
 func (g *Gather) startAttempt(now time.Duration, p *partState, demand gather.Demand, raisesRowLimit bool) {
-	if g.activeAttempts() >= g.rules.AtOnce && g.fault != faultIgnoreConcurrencyLimit {
+	if g.activeAttempts() >= g.rules.MaxConcurrentParts && g.fault != faultIgnoreConcurrencyLimit {
 		return
 	}
 	p.lastNumber++
@@ -478,12 +478,12 @@
 		}
 		slices.SortFunc(a.AvoidNodesOf, func(a, b int) int { return b - a })
 	}
-	if g.rules.Safe { // a non-idempotent part could not be requested again for more rows
+	if g.rules.Idempotent { // a non-idempotent part could not be requested again for more rows
 		a.Rows = demand.Rows
 	}
 	p.inFlight = append(p.inFlight, attemptState{number: p.lastNumber, lastActivity: now, raisesRowLimit: raisesRowLimit})
-	if g.rules.Silent > 0 {
-		g.wakeAt = min(g.wakeAt, now+g.rules.Silent)
+	if g.rules.SilenceTimeout > 0 {
+		g.wakeAt = min(g.wakeAt, now+g.rules.SilenceTimeout)
 	}
 	g.actions = append(g.actions, Action{Attempt: a})
 }
@@ -530,7 +530,7 @@
 	}
 	f := Final{Kind: kind, Result: g.merge.Result()}
 	if kind == Served && f.Result.Err != nil {
-		f.Kind = Short
+		f.Kind = EndedEarly
 		allRejected := f.Result.Rows == 0 && errors.As(f.Result.Err, new(*gather.Incomplete))
 		for _, s := range f.Result.Parts {
 			var rejection *Rejection
@@ -539,7 +539,7 @@
 			}
 		}
 		if allRejected {
-			f.Kind = Refused
+			f.Kind = Rejected
 		} else {
 			f.RetryAfter = 0
 		}
--- a/internal/scattergather/gather_test.go
+++ b/internal/scattergather/gather_test.go
@@ -73,8 +73,8 @@
 	rows := rapid.IntRange(0, 60).Draw(t, "rows")
 	need := rapid.SampledFrom([]string{"all", "best-effort"}).Draw(t, "need")
 	top := rapid.SampledFrom([]int{0, 0, 3, 40}).Draw(t, "top")
-	r := Rules{Share: 0.25, AtOnce: rapid.IntRange(1, 4).Draw(t, "atOnce"), Again: rapid.IntRange(0, 2).Draw(t, "again"),
-		Silent: rapid.SampledFrom([]time.Duration{0, 40 * ms}).Draw(t, "silent"), Safe: rapid.Bool().Draw(t, "safe")}
+	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "atOnce"), MaxRetries: rapid.IntRange(0, 2).Draw(t, "again"),
+		SilenceTimeout: rapid.SampledFrom([]time.Duration{0, 40 * ms}).Draw(t, "silent"), Idempotent: rapid.Bool().Draw(t, "safe")}
 	truncate := ""
 	if top > 0 {
 		truncate = fmt.Sprintf(`,"truncate":{"top":%d}`, top)
@@ -128,13 +128,13 @@
 				switch {
 				case wasFinal:
 					return "S1"
-				case active >= r.AtOnce:
+				case active >= r.MaxConcurrentParts:
 					return "S2"
 				case now >= 300*ms || a.Deadline != 300*ms:
 					return "S3"
-				case mayHaveRun[id] && !r.Safe:
+				case mayHaveRun[id] && !r.Idempotent:
 					return "S4"
-				case attempts[id]-limitedAttempts[id]-uncounted[id] > r.Again:
+				case attempts[id]-limitedAttempts[id]-uncounted[id] > r.MaxRetries:
 					return "S5"
 				case now < notBefore[id]:
 					return "S6"
@@ -149,7 +149,7 @@
 				if slices.Reverse(avoid); !slices.Equal(avoid, a.AvoidNodesOf) {
 					return fmt.Sprintf("S10: %v, not %v", a.AvoidNodesOf, avoid)
 				}
-				if !r.Safe && a.Rows != 0 {
+				if !r.Idempotent && a.Rows != 0 {
 					return "S4: a non-idempotent part has a row limit"
 				}
 				attempts[id]++
@@ -287,7 +287,7 @@
 
 // Once rows were sent, a rejected part is retried until its deadline or the limit of uncounted rejections, each time after a longer backoff.
 func TestRejectedPartIsRetriedWithGrowingBackoffOnceRowsWereSent(t *testing.T) {
-	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 4}, time.Minute, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
+	g, err := New(Rules{Merge: mergeRules(t, "all", ""), MaxConcurrentParts: 4}, time.Minute, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -316,13 +316,13 @@
 			break
 		}
 	}
-	if f, ok := g.Final(); !ok || f.Kind != Short || f.Result.Whole {
+	if f, ok := g.Final(); !ok || f.Kind != EndedEarly || f.Result.Whole {
 		t.Errorf("%v %+v", ok, f)
 	}
 }
 
 func TestRejectedPartBeforeAnyRowRejectsTheRead(t *testing.T) {
-	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 4}, time.Second, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
+	g, err := New(Rules{Merge: mergeRules(t, "all", ""), MaxConcurrentParts: 4}, time.Second, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -332,10 +332,10 @@
 	g.Next()
 	acts := g.Step(ms)
 	f, ok := g.Final()
-	if !ok || f.Kind != Refused || f.RetryAfter != 70*ms || len(acts) != 1 || !acts[0].Cancel || acts[0].Part.ID != "b" {
+	if !ok || f.Kind != Rejected || f.RetryAfter != 70*ms || len(acts) != 1 || !acts[0].Cancel || acts[0].Part.ID != "b" {
 		t.Errorf("%v %+v %v", ok, f, acts)
 	}
-	all := []operr.Coded{&InvalidRules{}, &Rejection{}, &OutOfTime{}, &PartTooLong{}, &Failed{}}
+	all := []operr.Coded{&InvalidRules{}, &Rejection{}, &PartDeadlineExceeded{}, &PartTooLong{}, &PartFailed{}}
 	if err := operr.Check(all); err != nil {
 		t.Error(err)
 	}
--- a/internal/scattergather/group.go
+++ b/internal/scattergather/group.go
@@ -22,7 +22,7 @@
 }
 
 // setGroups sets which parts are groups, and how they are requested. The class is idempotent.
-func (g *Gather) setGroups(rules TreeRules, plan ReadPlan) {
+func (g *Gather) setGroups(rules DelegationRules, plan ReadPlan) {
 	g.treeRules = rules
 	for _, x := range plan.Groups {
 		g.byID[x.ID].group = &delegatedGroup{Group: x}
@@ -45,7 +45,7 @@
 		if exhausted || a.blocked {
 			return
 		}
-		takeoverAt := a.lastActivity + g.treeRules.Silent
+		takeoverAt := a.lastActivity + g.treeRules.SilenceTimeout
 		if g.treeFault == treeFaultIgnoreSilence { // injected fault: a silent attempt is not taken over
 			takeoverAt = a.takeoverAt
 		}
@@ -86,6 +86,6 @@
 	p.lastNumber++
 	share := (g.partsDeadline - now) / time.Duration(max(1, len(group.PeerOrder)+1-group.current))
 	p.inFlight = append(p.inFlight, attemptState{number: p.lastNumber, lastActivity: now, takeoverAt: now + share})
-	g.wakeAt = min(g.wakeAt, now+min(share, g.treeRules.Silent))
+	g.wakeAt = min(g.wakeAt, now+min(share, g.treeRules.SilenceTimeout))
 	g.actions = append(g.actions, Action{Attempt: Attempt{Part: p.Part, Number: p.lastNumber, Deadline: g.partsDeadline, Rows: d.Rows, Peer: group.peer(group.current)}})
 }
--- a/internal/scattergather/group_test.go
+++ b/internal/scattergather/group_test.go
@@ -59,8 +59,8 @@
 	parts := rapid.IntRange(4, 14).Draw(t, "parts")
 	rows := rapid.IntRange(0, 40).Draw(t, "rows")
 	rules := treeRules(rapid.IntRange(1, 4).Draw(t, "peers"))
-	rules.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
-	r := Rules{Share: 0.25, AtOnce: rapid.IntRange(1, 4).Draw(t, "atOnce"), Safe: true}
+	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "copies")
+	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "atOnce"), Idempotent: true}
 	truncate := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
 	r.Merge = rulesOf(t, 8192, `,"complete":{"need":"best-effort"}`+truncate)
 	peerTable, err := NewPeerTable(rules, rapid.Uint64().Draw(t, "seed"))
@@ -158,11 +158,11 @@
 			if k < 0 {
 				return "T6: no attempt in flight"
 			}
-			n := time.Duration(rules.Copies)
+			n := time.Duration(rules.MaxPeerAttempts)
 			if now > partsDeadline*n/(n+1) {
 				return "T6: this process starts its attempt too late"
 			}
-			if newest := inFlight[len(inFlight)-1-slices.IndexFunc(reversed(inFlight), func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })]; now > newest.lastActivity+rules.Silent {
+			if newest := inFlight[len(inFlight)-1-slices.IndexFunc(reversed(inFlight), func(o *simulatedGroupAttempt) bool { return o.Part.ID == id })]; now > newest.lastActivity+rules.SilenceTimeout {
 				return "T7: a silent attempt is not taken over"
 			}
 		}
--- a/internal/scattergather/peer_table.go
+++ b/internal/scattergather/peer_table.go
@@ -38,34 +38,34 @@
 )
 
 // DelegationRules say how reads are delegated to peers.
-type TreeRules struct {
-	Peers         []string      // names
-	LeastParts    int           // a read with fewer parts is not delegated
-	GroupMost     int           // parts of a group
-	FanOut        int           // groups of one read
-	Copies        int           // peers used for one group before this process gathers it
-	Silent        time.Duration // another peer takes over a group after this time without bytes
-	Rest, RestMax time.Duration // of a peer after its first failure, doubled after each further one up to the maximum
+type DelegationRules struct {
+	Peers               []string      // names
+	MinParts            int           // a read with fewer parts is not delegated
+	MaxGroupParts       int           // parts of a group
+	FanOut              int           // groups of one read
+	MaxPeerAttempts     int           // peers used for one group before this process gathers it
+	SilenceTimeout      time.Duration // another peer takes over a group after this time without bytes
+	Backoff, MaxBackoff time.Duration // of a peer after its first failure, doubled after each further one up to the maximum
 }
 
 // Check returns an error for an invalid setting.
-func (r *TreeRules) Check() error {
+func (r *DelegationRules) Check() error {
 	switch seen := slices.Compact(slices.Sorted(slices.Values(r.Peers))); {
 	case len(r.Peers) == 0 || len(r.Peers) > maxPeers:
 		return &InvalidRules{"peers", fmt.Sprintf("are not 1 to %d", maxPeers)}
 	case len(seen) < len(r.Peers) || seen[0] == "":
 		return &InvalidRules{"peers", "contain a duplicate or empty name"}
-	case r.LeastParts < 2*minGroupParts:
+	case r.MinParts < 2*minGroupParts:
 		return &InvalidRules{"tree.least_parts", fmt.Sprintf("is under %d", 2*minGroupParts)}
-	case r.GroupMost < minGroupParts:
+	case r.MaxGroupParts < minGroupParts:
 		return &InvalidRules{"tree.group_most", fmt.Sprintf("is under %d", minGroupParts)}
 	case r.FanOut < 1:
 		return &InvalidRules{"tree.fan_out", "is not a positive number"}
-	case r.Copies < 1 || r.Copies > maxPeersPerGroup:
+	case r.MaxPeerAttempts < 1 || r.MaxPeerAttempts > maxPeersPerGroup:
 		return &InvalidRules{"tree.copies", fmt.Sprintf("is not 1 to %d", maxPeersPerGroup)}
-	case r.Silent <= 0:
+	case r.SilenceTimeout <= 0:
 		return &InvalidRules{"tree.silent_ms", "is not a positive duration"}
-	case r.Rest <= 0 || r.RestMax < r.Rest:
+	case r.Backoff <= 0 || r.MaxBackoff < r.Backoff:
 		return &InvalidRules{"tree.rest_ms, tree.rest_most_ms", "is not a positive duration, or the maximum is below the first"}
 	}
 	return nil
@@ -107,7 +107,7 @@
 
 // PeerTable is the state of the peers. It must not be used by several goroutines at once.
 type PeerTable struct {
-	rules         TreeRules
+	rules         DelegationRules
 	rng           *rand.Rand
 	peers         []*peerState // sorted by name
 	trials        int          // trials so far
@@ -144,7 +144,7 @@
 )
 
 // NewPeerTable returns the peer table of a process. Its error is an *InvalidRules.
-func NewPeerTable(set TreeRules, seed uint64) (*PeerTable, error) {
+func NewPeerTable(set DelegationRules, seed uint64) (*PeerTable, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
@@ -158,7 +158,7 @@
 // Split decides how a read is split. limited: its plan has a rate limit, of which each host of the volume has a share. ReadEnded has
 // to be called at the end of the read.
 func (t *PeerTable) Split(now time.Duration, parts []gather.Part, idempotent, limited bool) ReadPlan {
-	if t.fault != treeFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < t.rules.LeastParts {
+	if t.fault != treeFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < t.rules.MinParts {
 		return ReadPlan{Local: parts}
 	}
 	var healthy, candidates []*peerState
@@ -191,8 +191,8 @@
 	}
 	var readPlan ReadPlan
 	size, largerGroups := len(parts)/(groups+1), len(parts)%(groups+1)
-	if size >= t.rules.GroupMost {
-		size, largerGroups = t.rules.GroupMost, 0
+	if size >= t.rules.MaxGroupParts {
+		size, largerGroups = t.rules.MaxGroupParts, 0
 	}
 	unassigned := parts
 	for i := range groups {
@@ -213,7 +213,7 @@
 			g.PeerOrder[0] = candidates[0].name
 		}
 		at := slices.Index(healthy, first) + 1 // the next healthy peers, so that a failure does not shift its load to a single peer
-		for k := 0; k < len(healthy) && len(g.PeerOrder) < t.rules.Copies; k++ {
+		for k := 0; k < len(healthy) && len(g.PeerOrder) < t.rules.MaxPeerAttempts; k++ {
 			if p := healthy[(at+k)%len(healthy)]; p != first {
 				g.PeerOrder = append(g.PeerOrder, p.name)
 			}
@@ -271,18 +271,18 @@
 		if p.failures > 0 && !wasTrial { // the attempt started before the peer was known to fail
 			return
 		}
-		backoff := t.rules.RestMax
-		if p.failures < 30 && t.rules.Rest<<p.failures < backoff && t.rules.Rest<<p.failures > 0 {
-			backoff = t.rules.Rest << p.failures
+		backoff := t.rules.MaxBackoff
+		if p.failures < 30 && t.rules.Backoff<<p.failures < backoff && t.rules.Backoff<<p.failures > 0 {
+			backoff = t.rules.Backoff << p.failures
 		}
 		if t.fault == treeFaultConstantBackoff {
-			backoff = t.rules.Rest
+			backoff = t.rules.Backoff
 		}
 		p.failures++
 		p.notBefore = max(p.notBefore, now+backoff-time.Duration(backoffJitter*t.rng.Float64()*float64(backoff)))
 	case OutcomeRejected:
 		if t.fault != treeFaultIgnoreRetryAfter {
-			p.notBefore = max(p.notBefore, now+min(retryAfter, t.rules.RestMax))
+			p.notBefore = max(p.notBefore, now+min(retryAfter, t.rules.MaxBackoff))
 		}
 	}
 }
--- a/internal/scattergather/peer_table_test.go
+++ b/internal/scattergather/peer_table_test.go
@@ -19,8 +19,8 @@
 	return all
 }
 
-func treeRules(peers int) TreeRules {
-	r := TreeRules{LeastParts: 4, GroupMost: 6, FanOut: 4, Copies: 2, Silent: 40 * ms, Rest: 100 * ms, RestMax: 800 * ms}
+func treeRules(peers int) DelegationRules {
+	r := DelegationRules{MinParts: 4, MaxGroupParts: 6, FanOut: 4, MaxPeerAttempts: 2, SilenceTimeout: 40 * ms, Backoff: 100 * ms, MaxBackoff: 800 * ms}
 	for i := range peers {
 		r.Peers = append(r.Peers, fmt.Sprint("q", i))
 	}
@@ -38,9 +38,9 @@
 // simulatePeerTable drives a peer table through random reads and returns the invariant that it broke.
 func simulatePeerTable(t *rapid.T, injected treeFault) string {
 	rules := treeRules(rapid.IntRange(1, 6).Draw(t, "peers"))
-	rules.GroupMost = rapid.IntRange(2, 8).Draw(t, "groupMost")
+	rules.MaxGroupParts = rapid.IntRange(2, 8).Draw(t, "groupMost")
 	rules.FanOut = rapid.IntRange(1, 5).Draw(t, "fanOut")
-	rules.Copies = rapid.IntRange(1, 3).Draw(t, "copies")
+	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "copies")
 	table, err := NewPeerTable(rules, 7)
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 		case o == OutcomeSuccess && a.Trial != 0:
 			m.failures, m.notBefore = 0, 0
 		case o == OutcomeFailure && (a.Trial != 0 || m.failures == 0):
-			backoff := min(rules.RestMax, rules.Rest<<m.failures)
+			backoff := min(rules.MaxBackoff, rules.Backoff<<m.failures)
 			m.failures++
 			m.notBefore = max(m.notBefore, now+backoff*3/4)
 		case o == OutcomeRejected:
@@ -100,7 +100,7 @@
 		if fmt.Sprint(plan) != fmt.Sprint(twin.Split(now, parts, idempotent, limited)) {
 			return "T8"
 		}
-		if (!idempotent || limited || len(parts) < rules.LeastParts) && len(plan.Groups) > 0 {
+		if (!idempotent || limited || len(parts) < rules.MinParts) && len(plan.Groups) > 0 {
 			return "T2"
 		}
 		assigned := map[string]int{}
@@ -125,7 +125,7 @@
 				return "T1: " + p.ID
 			}
 		}
-		if len(plan.Groups) > 0 && (smallest < 2 || largest > rules.GroupMost || largest > smallest+1 || len(plan.Groups) > rules.FanOut) {
+		if len(plan.Groups) > 0 && (smallest < 2 || largest > rules.MaxGroupParts || largest > smallest+1 || len(plan.Groups) > rules.FanOut) {
 			return "T1: sizes"
 		}
 		leads := map[string]bool{}
@@ -134,7 +134,7 @@
 			for k, peer := range g.PeerOrder {
 				m := model[peer]
 				switch {
-				case used[peer] || k == 0 && leads[peer] || len(g.PeerOrder) > rules.Copies:
+				case used[peer] || k == 0 && leads[peer] || len(g.PeerOrder) > rules.MaxPeerAttempts:
 					return "T3"
 				case m.notAlive:
 					return "T9"
@@ -213,9 +213,9 @@
 			t.Errorf("alive %v: %v, not %v", c.alive, sizes(300*ms, 24), c.want)
 		}
 	}
-	for _, bad := range []func(*TreeRules){func(r *TreeRules) { r.Peers = nil }, func(r *TreeRules) { r.Peers[1] = "q0" }, func(r *TreeRules) { r.LeastParts = 3 },
-		func(r *TreeRules) { r.GroupMost = 1 }, func(r *TreeRules) { r.FanOut = 0 }, func(r *TreeRules) { r.Copies = 9 }, func(r *TreeRules) { r.Silent = 0 },
-		func(r *TreeRules) { r.RestMax = 1 }} {
+	for _, bad := range []func(*DelegationRules){func(r *DelegationRules) { r.Peers = nil }, func(r *DelegationRules) { r.Peers[1] = "q0" }, func(r *DelegationRules) { r.MinParts = 3 },
+		func(r *DelegationRules) { r.MaxGroupParts = 1 }, func(r *DelegationRules) { r.FanOut = 0 }, func(r *DelegationRules) { r.MaxPeerAttempts = 9 }, func(r *DelegationRules) { r.SilenceTimeout = 0 },
+		func(r *DelegationRules) { r.MaxBackoff = 1 }} {
 		r := treeRules(3)
 		bad(&r)
 		if _, err := NewPeerTable(r, 1); !errors.As(err, new(*InvalidRules)) {
--- a/internal/scattergather/report.go
+++ b/internal/scattergather/report.go
@@ -78,16 +78,16 @@
 	switch f.Kind {
 	case Invalid:
 		return f.Err
-	case Refused:
+	case Rejected:
 		return &Rejection{f.RetryAfter}
-	case Late:
+	case DeadlineExceeded:
 		return &ClientDeadlineExceeded{}
 	}
 	return f.Result.Err
 }
 
 func reasonCode(err error) string {
-	var failed *Failed
+	var failed *PartFailed
 	var reported *gather.Told
 	var c operr.Coded
 	switch {
--- a/internal/scattergather/run.go
+++ b/internal/scattergather/run.go
@@ -88,7 +88,7 @@
 	done := make(chan struct{})
 	defer sync.Close(done)
 	// The buffer has room for the end of each attempt, so End never blocks.
-	ends := make(chan attemptEnd, len(g.parts)*(1+max(g.rules.Again, maxPeersPerGroup)+maxRowLimitRaises+maxUncountedRejections))
+	ends := make(chan attemptEnd, len(g.parts)*(1+max(g.rules.MaxRetries, maxPeersPerGroup)+maxRowLimitRaises+maxUncountedRejections))
 	pieces := make(chan piece)
 	batches, written := make(chan []byte), make(chan error, 1)
 	defer sync.Close(batches)
--- a/internal/scattergather/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -102,7 +102,7 @@
 // Explores the interleavings of a part, its second attempt, the timer, a disconnecting client and the writer, a few at a time.
 // There is one final answer, no row is lost, duplicated or changed, nothing is written after the answer, and every goroutine ends.
 func TestInterleaveRun(t *testing.T) {
-	rules := Rules{Merge: mergeRules(t, "all", ""), Share: .1, AtOnce: 4, Again: 1, Safe: true}
+	rules := Rules{Merge: mergeRules(t, "all", ""), MergeTimeShare: .1, MaxConcurrentParts: 4, MaxRetries: 1, Idempotent: true}
 	for _, x := range []struct {
 		name        string
 		parts, rows int
@@ -131,7 +131,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := rules
-			r.Silent = x.silent
+			r.SilenceTimeout = x.silent
 			var parts []gather.Part
 			for i := range x.parts {
 				parts = append(parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -134,7 +134,7 @@
 func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, endsAtDeadline bool) (rows []string, f Final) {
 	t.Helper()
 	const timeout = 10 * time.Minute
-	g, err := New(Rules{Merge: mergeRules(t, need, ""), Share: 0.2, AtOnce: 2, Safe: true, Again: 1}, timeout, w.parts)
+	g, err := New(Rules{Merge: mergeRules(t, need, ""), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 1}, timeout, w.parts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 		"reset":        {[shardCount]string{2: "reset"}, "best-effort", Served, []int{2}},
 		"silent":       {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
 		"full, silent": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
-		"all needed":   {[shardCount]string{0: "silent"}, "all", Short, []int{0}},
+		"all needed":   {[shardCount]string{0: "silent"}, "all", EndedEarly, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newCoreFixture(t, c.faults)
@@ -255,7 +255,7 @@
 
 // A stalled client stalls the parts. Buffered bytes are limited to the merge's memory, two batches of rows and one piece per part.
 func TestBackPressureBoundsBufferedBytes(t *testing.T) {
-	g, err := New(Rules{Merge: mergeRules(t, "all", ""), AtOnce: 1}, time.Hour, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
+	g, err := New(Rules{Merge: mergeRules(t, "all", ""), MaxConcurrentParts: 1}, time.Hour, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scattergather/service.go
+++ b/internal/scattergather/service.go
@@ -29,22 +29,22 @@
 
 // Service serves gathered reads on one core. It is immutable while it serves; changed rules need a new Service.
 type Service struct {
-	Core    *core.Core
-	Classes map[string]Rules
-	Shards  func() []int                               // shards that have an up node
-	Tree    Grouper                                    // nil: this process requests each part itself
-	Expect  func(class string, shards []int) []float64 // expected duration of each shard, in any unit; nil, or a nil result: unknown
-	Units   float64                                    // units of a part; 0: those of the client's request
+	Core              *core.Core
+	Classes           map[string]Rules
+	Shards            func() []int                               // shards that have an up node
+	Delegator         Delegator                                  // nil: this process requests each part itself
+	ExpectedDurations func(class string, shards []int) []float64 // expected duration of each shard, in any unit; nil, or a nil result: unknown
+	PartUnits         float64                                    // units of a part; 0: those of the client's request
 	// MaxPartBytes is the limit of a part's body, MaxParts the limit of parts of one read.
-	PartMost, PartsMost int
-	Reads               *Gate // limits concurrent reads
-	TokenKey            []byte
-	Payload             func(client, part *core.Request, rows int) any // what the nodes' front sends for a part; rows is its row limit, 0: none
-	Body                func(any) Body                                 // body of a node's response payload
+	MaxPartBytes, MaxParts int
+	ReadLimiter            *Limiter // limits concurrent reads
+	TokenKey               []byte
+	Payload                func(client, part *core.Request, rows int) any // what the nodes' front sends for a part; rows is its row limit, 0: none
+	Body                   func(any) Body                                 // body of a node's response payload
 }
 
 // Delegator delegates groups of parts to peers that gather them, and may have a group gathered in this process.
-type Grouper interface {
+type Delegator interface {
 	// Delegate chooses which parts of a read are requested as groups (gather.Part with Of), and returns the Sender for them. Without
 	// a group it returns the parts of the read unchanged, with ReadRequest.Local. It is called only for idempotent classes, and never
 	// for a partial result, because a delegate does not delegate further.
@@ -63,17 +63,17 @@
 }
 
 // Limiter limits concurrent reads. It outlives a Service.
-type Gate struct {
+type Limiter struct {
 	limit, inFlight atomic.Int64
 }
 
 // SetLimit sets the limit. Reads in progress continue.
-func (l *Gate) Set(limit int) { l.limit.Store(int64(limit)) }
+func (l *Limiter) SetLimit(limit int) { l.limit.Store(int64(limit)) }
 
 // InFlight returns the number of reads in progress.
-func (l *Gate) In() int { return int(l.inFlight.Load()) }
+func (l *Limiter) InFlight() int { return int(l.inFlight.Load()) }
 
-func (l *Gate) tryEnter() bool {
+func (l *Limiter) tryEnter() bool {
 	if l.inFlight.Add(1) > l.limit.Load() {
 		l.inFlight.Add(-1)
 		return false
@@ -91,28 +91,28 @@
 	if !known {
 		return Final{Kind: Invalid, Err: &ClassWithoutRules{r.Class}}
 	}
-	if !s.Reads.tryEnter() {
-		return Final{Kind: Refused, RetryAfter: busyRetryAfter}
+	if !s.ReadLimiter.tryEnter() {
+		return Final{Kind: Rejected, RetryAfter: busyRetryAfter}
 	}
-	defer s.Reads.inFlight.Add(-1)
+	defer s.ReadLimiter.inFlight.Add(-1)
 	shards := slices.Clone(query.Shards)
 	if query.All {
 		if shards = s.Shards(); len(shards) == 0 {
-			return Final{Kind: Refused, RetryAfter: noShardsRetryAfter}
+			return Final{Kind: Rejected, RetryAfter: noShardsRetryAfter}
 		}
 	}
-	if len(shards) > s.PartsMost {
-		return Final{Kind: Invalid, Err: &ShardsBad{strconv.Itoa(len(shards)) + " shards", "are more than " + strconv.Itoa(s.PartsMost)}}
+	if len(shards) > s.MaxParts {
+		return Final{Kind: Invalid, Err: &InvalidShards{strconv.Itoa(len(shards)) + " shards", "are more than " + strconv.Itoa(s.MaxParts)}}
 	}
 	parts := s.parts(r.Class, shards)
 	local := s.localSender(r, r.ID)
 	sender := Sender(local)
-	if s.Tree != nil && rules.Safe && !query.Partial {
+	if s.Delegator != nil && rules.Idempotent && !query.Partial {
 		byID := map[string]gather.Part{}
 		for _, p := range parts {
 			byID[p.ID] = p
 		}
-		parts, sender = s.Tree.Delegate(ReadRequest{Client: r, Rules: rules, Parts: parts, Local: local,
+		parts, sender = s.Delegator.Delegate(ReadRequest{Client: r, Rules: rules, Parts: parts, Local: local,
 			GatherLocally: func(ctx context.Context, a Attempt, until time.Time, write func([]byte) error) Final {
 				var of []gather.Part
 				for _, id := range a.Part.Of {
@@ -128,8 +128,8 @@
 }
 
 func (s *Service) localSender(r *core.Request, id string) *CoreSender {
-	c := &CoreSender{Core: s.Core, Client: r.Request, Settings: r.Settings, MaxPartBytes: s.PartMost, Body: s.Body, ClientDisconnected: r.ClientDisconnected,
-		Units:   func(gather.Part) float64 { return cmp.Or(s.Units, r.Units) },
+	c := &CoreSender{Core: s.Core, Client: r.Request, Settings: r.Settings, MaxPartBytes: s.MaxPartBytes, Body: s.Body, ClientDisconnected: r.ClientDisconnected,
+		Units:   func(gather.Part) float64 { return cmp.Or(s.PartUnits, r.Units) },
 		Payload: func(part *core.Request, a Attempt) any { return s.Payload(r, part, a.Rows) }}
 	c.Client.ID = id
 	return c
@@ -144,8 +144,8 @@
 	}
 	all := make([]expected, len(shards))
 	var durations []float64
-	if s.Expect != nil {
-		durations = s.Expect(class, shards)
+	if s.ExpectedDurations != nil {
+		durations = s.ExpectedDurations(class, shards)
 	}
 	for i, n := range shards {
 		if all[i].shard = n; durations != nil {
@@ -179,7 +179,7 @@
 		if delegating != nil {
 			delegating.begin(g)
 		}
-		f = Run(ctx, g, sender, Options{ReceivedAt: receivedAt, MaxPartBytes: s.PartMost, Write: write})
+		f = Run(ctx, g, sender, Options{ReceivedAt: receivedAt, MaxPartBytes: s.MaxPartBytes, Write: write})
 	}
 	if delegating != nil {
 		f = delegating.finish(f)
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -19,8 +19,8 @@
 // service returns a Service over the fixture's core. With streamed set, bodies arrive in pieces.
 func (w *coreFixture) service(t *testing.T, extra string, streamed bool) *Service {
 	t.Helper()
-	rules := Rules{Merge: mergeRules(t, "all", extra), Share: 0.2, AtOnce: 2, Safe: true, Again: 2}
-	s := &Service{Core: w.core, Classes: map[string]Rules{"read": rules}, Reads: &Gate{}, Units: 1, PartMost: 1 << 20, PartsMost: 8,
+	rules := Rules{Merge: mergeRules(t, "all", extra), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 2}
+	s := &Service{Core: w.core, Classes: map[string]Rules{"read": rules}, ReadLimiter: &Limiter{}, PartUnits: 1, MaxPartBytes: 1 << 20, MaxParts: 8,
 		Shards:  func() []int { return []int{0, 1, 2, 3} },
 		Payload: func(_, _ *core.Request, _ int) any { return nil },
 		Body: func(x any) Body {
@@ -28,9 +28,9 @@
 			if !streamed {
 				return Body{Data: text}
 			}
-			return Body{Data: text[:7], Rest: io.NopCloser(bytes.NewReader(text[7:])), Cut: func() {}}
+			return Body{Data: text[:7], Rest: io.NopCloser(bytes.NewReader(text[7:])), Abort: func() {}}
 		}}
-	s.Reads.Set(1)
+	s.ReadLimiter.SetLimit(1)
 	return s
 }
 
@@ -93,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, h := w.service(t, c.top, c.long), &failingDelegator{}
 			if c.tree {
-				s.Tree = h
+				s.Delegator = h
 			}
 			var rows []string
 			pages := 0
@@ -148,7 +148,7 @@
 	done := make(chan Final)
 	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, unexpected) }()
 	waitFor(t, "two parts are in flight", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
-	if f := read(Query{All: true}, "read"); f.Kind != Refused || f.RetryAfter <= 0 || s.Reads.In() != 1 {
+	if f := read(Query{All: true}, "read"); f.Kind != Rejected || f.RetryAfter <= 0 || s.ReadLimiter.InFlight() != 1 {
 		t.Errorf("%+v", f)
 	}
 	if n := w.core.TableSizes().Requests; n != 2 {
@@ -165,9 +165,9 @@
 	w := newCoreFixture(t, [shardCount]string{})
 	for _, streamed := range []bool{false, true} {
 		s := w.service(t, "", streamed)
-		s.PartMost = 600
+		s.MaxPartBytes = 600
 		f := s.Read(t.Context(), newClientRequest("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
-		if r := f.Report(false); f.Kind != Short || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
+		if r := f.Report(false); f.Kind != EndedEarly || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
 			t.Errorf("streamed %v: %+v", streamed, f)
 		}
 		waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
@@ -186,7 +186,7 @@
 	if got := ids(); !slices.Equal(got, []string{"4", "7", "9"}) {
 		t.Error(got)
 	}
-	s.Expect = func(string, []int) []float64 { return []float64{1, 3, 1} }
+	s.ExpectedDurations = func(string, []int) []float64 { return []float64{1, 3, 1} }
 	if got := ids(); !slices.Equal(got, []string{"7", "4", "9"}) {
 		t.Error(got)
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -92,7 +92,7 @@
 		MayCheckHealth: wire.Ceiling.Probes, MayGossip: wire.Ceiling.Peers,
 		SendsRetryAfter: wire.Ceiling.RetryAfter, MaxRetryAfter: wire.Ceiling.MaxRetryAfter,
 
-		DrainGrace: wire.Rules.StopSending, PollWithin: wire.Rules.AskWithin,
+		DrainGrace: wire.Rules.StopSending, ListStalenessBound: wire.Rules.AskWithin,
 		SlowStartShare: wire.Rules.ColdFrom, SlowStartDuration: wire.Rules.Cold,
 		OverloadMultiple: wire.Rules.TipMultiple, OverloadWindow: wire.Rules.Overload,
 		OrderedKeyBackoff: wire.Rules.OrderPause, RetryBudgetShare: wire.Rules.Further,
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -116,7 +116,7 @@
 			h.guess = true
 			h.step(policy.Event{Kind: policy.ListChanged, Nodes: guessed})
 		case coldstart.LiftColdLimit:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStart: h.born})
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStartTime: h.born})
 		case coldstart.Restore:
 			i := slices.IndexFunc(h.learned.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
 			recall.Nodes = append(recall.Nodes, h.learned.Nodes[i])
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -167,7 +167,7 @@
 	return map[string]any{"membership-mode": "ask", "profiles": profiles, "contracts": contracts,
 		"ceilings": map[string]any{"max-attempts": set.MaxAttempts, "second-copies": set.MayHedge, "may-cancel": set.MayCancel,
 			"retry-after": set.SendsRetryAfter, "max-retry-after": set.MaxRetryAfter},
-		"rules": map[string]any{"stop-sending-within": set.DrainGrace, "ask-within": set.PollWithin, "cold-from": set.SlowStartShare,
+		"rules": map[string]any{"stop-sending-within": set.DrainGrace, "ask-within": set.ListStalenessBound, "cold-from": set.SlowStartShare,
 			"cold": set.SlowStartDuration, "tip-multiple": set.OverloadMultiple, "overload-for": set.OverloadWindow},
 		"extra": map[string]any{"usual-units": set.MeanUnits, "largest": set.MaxUnits, "young-limit": set.SlowStartUnits, "slots-total": nodes}}
 }
--- a/internal/testkit/experiment/coldstart/world.go
+++ b/internal/testkit/experiment/coldstart/world.go
@@ -120,7 +120,7 @@
 
 func settings(hosts, nodes int) policy.Settings {
 	return policy.Settings{Schedulers: hosts, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
-		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, ListStalenessBound: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
 		OverloadMultiple: 3, OverloadWindow: 3000, Shards: nodes,
 		Classes: []policy.Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 500, Deadline: 2000, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: policy.NonIdempotent}},
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -212,10 +212,10 @@
 	const units = (1 + unitsTop) / 2.0
 	slow := w.nodes[slowNode].mean(units)
 	for p := range processes {
-		e.Learn(w.processes[p].shared.Views(w.time()))
-		held, _ := e.Node(nodeName(slowNode), class, units)
+		e.SetViews(w.processes[p].shared.Views(w.time()))
+		held, _ := e.MeanMillis(nodeName(slowNode), class, units)
 		for n := range w.nodes {
-			v, _ := e.Node(nodeName(n), class, units)
+			v, _ := e.MeanMillis(nodeName(n), class, units)
 			if truth := w.nodes[n].mean(units); truth*clearRatio < slow && v >= held || truth > clearRatio*slow && v <= held {
 				return true
 			}
@@ -227,9 +227,9 @@
 func (w *world) decide(r *Row, est *[ways]*cost.Estimator, turning bool) error {
 	p := w.rng.IntN(processes)
 	shared := w.processes[p].shared.Views(w.time())
-	est[pooled].Learn(shared)
-	est[fleetMean].Learn(flat(shared))
-	est[ownOnly].Learn(w.processes[p].alone.Views(w.time()))
+	est[pooled].SetViews(shared)
+	est[fleetMean].SetViews(flat(shared))
+	est[ownOnly].SetViews(w.processes[p].alone.Views(w.time()))
 	plans := offers(w.rng, nodeCount/perShard, func(n int, units float64) *cost.Work {
 		return &cost.Work{Shard: n / perShard, Class: class, Units: units, Node: nodeName(n)}
 	})
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -54,7 +54,7 @@
 		if err != nil && (ctx.Err() != nil || !w.fleet.Proc(p).Alive()) {
 			return r, err
 		}
-		if err != nil || code == http.StatusServiceUnavailable || gjson.GetBytes(text, "code").Str == (&cost.OutOfTime{}).Code() {
+		if err != nil || code == http.StatusServiceUnavailable || gjson.GetBytes(text, "code").Str == (&cost.TimeoutError{}).Code() {
 			w.mu.Lock()
 			w.row.Busy++
 			w.mu.Unlock()
@@ -92,8 +92,8 @@
 	now := time.Since(w.startedAt)
 	all, own := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
 	w.mu.Unlock()
-	est[fleetMean].Learn(flat(all))
-	est[ownOnly].Learn(own)
+	est[fleetMean].SetViews(flat(all))
+	est[ownOnly].SetViews(own)
 	for k := fleetMean; k < ways && err == nil; k++ {
 		got[k], err = est[k].Estimate(plans, stretchedDeadline)
 	}
--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -218,7 +218,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if a.Kind() == address.IPv6 {
+		if a.Family() == address.IPv6 {
 			s := &syscall.SockaddrInet6{Port: tcp.Port}
 			copy(s.Addr[:], tcp.IP.To16())
 			family, to = syscall.AF_INET6, s
--- a/internal/testkit/fake/node/node_test.go
+++ b/internal/testkit/fake/node/node_test.go
@@ -37,7 +37,7 @@
 	for _, text := range []string{"unix:" + filepath.Join(t.TempDir(), "s"), "[::1]:0", "127.0.0.1:0"} {
 		a, err := n.Listen(text)
 		if err != nil {
-			if a.Kind() == address.IPv6 {
+			if a.Family() == address.IPv6 {
 				t.Log("no IPv6 here")
 				continue
 			}
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -22,7 +22,7 @@
 	network, to := a.Dial()
 	nc, err := (&net.Dialer{Timeout: within, KeepAlive: -1}).DialContext(ctx, network, to)
 	if err != nil {
-		return nil, DialFailure(err, a.Kind()), err
+		return nil, ClassifyDialError(err, a.Family()), err
 	}
 	s, err := DisableSplice(nc)
 	if err != nil {
@@ -48,7 +48,7 @@
 // ClassifyDialError returns the reason for a failed connect. For IPv6, EADDRNOTAVAIL and ENETUNREACH mean that the machine
 // has no IPv6 or no route; for IPv4, EADDRNOTAVAIL means that local ports have run out. EAGAIN means that
 // the backlog of a Unix socket is full (connect(2)).
-func DialFailure(err error, k address.Kind) address.Reason {
+func ClassifyDialError(err error, k address.Family) address.Reason {
 	var timeout net.Error
 	switch {
 	case matchesAny(err, resourceErrors):
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -148,7 +148,7 @@
 func TestDialFailure(t *testing.T) {
 	for _, x := range []struct {
 		err  error
-		kind address.Kind
+		kind address.Family
 		want address.Reason
 	}{
 		{syscall.ECONNREFUSED, address.IPv4, address.ReasonRefused}, {syscall.ENOENT, address.Unix, address.ReasonRefused},
@@ -158,7 +158,7 @@
 		{syscall.ENETUNREACH, address.IPv6, address.ReasonNoFamily}, {syscall.ENETUNREACH, address.IPv4, address.ReasonRefused},
 		{os.ErrDeadlineExceeded, address.IPv4, address.ReasonTimedOut}, {syscall.ETIMEDOUT, address.IPv4, address.ReasonTimedOut},
 	} {
-		if got := DialFailure(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", x.err)}, x.kind); got != x.want {
+		if got := ClassifyDialError(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", x.err)}, x.kind); got != x.want {
 			t.Errorf("%v %v: %v, want %v", x.kind, x.err, got, x.want)
 		}
 	}
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -34,7 +34,7 @@
 // within the staleness bound.
 func (s *Scheduler) pollList() {
 	if s.settings.PollsEndpointList && !s.list.subscribed && s.now >= s.list.nextPollAt {
-		s.list.nextPollAt = s.now + math.Max(maxPollBackoffMs, s.settings.PollWithin/4*(1+s.rng.Float64()))
+		s.list.nextPollAt = s.now + math.Max(maxPollBackoffMs, s.settings.ListStalenessBound/4*(1+s.rng.Float64()))
 		s.emit(Action{Kind: Subscribe})
 	}
 }
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -90,7 +90,7 @@
 		for n := 0; n == 0; {
 			n = countSubscribes(100)
 		}
-		if gap := h.now - from; gap > settings.PollWithin || i == 3 && gap < firstGap {
+		if gap := h.now - from; gap > settings.ListStalenessBound || i == 3 && gap < firstGap {
 			t.Errorf("retry after %v ms, the first one after %v ms", gap, firstGap)
 		} else if i == 0 {
 			firstGap = gap
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,7 +9,7 @@
 // An instance receives the endpoint list and then a request, and returns the action that sends the request to a node.
 func Example() {
 	s, err := policy.New(policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3,
-		DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3, OverloadWindow: 2000,
+		DrainGrace: 1000, ListStalenessBound: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3, OverloadWindow: 2000,
 		Classes: []policy.Class{{Name: "read", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Name: "basic", Rate: 10, ReservedRate: 5, Weight: 1, Price: 1}}}, 1)
 	if err != nil {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -94,7 +94,7 @@
 		h.step(Event{Kind: ListFailed})
 	}
 	pollsBySlot, polled := map[int]int{}, map[int]bool{}
-	for now := 2000; now < 2000+int(settings.PollWithin); now += 10 {
+	for now := 2000; now < 2000+int(settings.ListStalenessBound); now += 10 {
 		for i, h := range fleet {
 			if polled[i] {
 				continue
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,7 +9,7 @@
 // testSettings returns settings with an idempotent class, a non-idempotent class and one plan.
 func testSettings() Settings {
 	return Settings{Schedulers: 2, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 20, MaxAttempts: 3, MaxRetryAfter: 1000,
-		SendsRetryAfter: true, DrainGrace: 1000, PollWithin: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3,
+		SendsRetryAfter: true, DrainGrace: 1000, ListStalenessBound: 10000, SlowStartShare: 0.2, SlowStartDuration: 10000, OverloadMultiple: 3,
 		OverloadWindow: 2000,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1},
 			{Name: "once", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 1, Effect: NonIdempotent}},
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -16,10 +16,10 @@
 	Latency            float64 // ms
 	BestLatencyPerUnit float64 // ms per unit
 	FailureRate        float64 // share of attempts that fail
-	// AssumedStart is the start time with which the node was listed before its real start time was
+	// AssumedStartTime is the start time with which the node was listed before its real start time was
 	// known; 0: none. Restore cancels a slow start from that time even if nothing else was learned
 	// (Window 0).
-	AssumedStart float64
+	AssumedStartTime float64
 }
 
 // LearnedClass is the learned state of one class.
@@ -62,7 +62,7 @@
 		if n == nil || n.StartTime != learned.StartTime {
 			continue
 		}
-		n.cancelAssumedStart(learned.AssumedStart)
+		n.cancelAssumedStart(learned.AssumedStartTime)
 		if s.restoreNode(n, learned) {
 			sum += learned.Latency
 			restored++
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -40,9 +40,9 @@
 	list[1].StartTime = 1500 // b has restarted since
 	next.step(Event{Kind: ListReceived, Nodes: list})
 	for i := range l.Nodes {
-		l.Nodes[i].AssumedStart = 1000
+		l.Nodes[i].AssumedStartTime = 1000
 	}
-	l.Nodes = append(l.Nodes, LearnedNode{ID: "c", Window: math.NaN(), Latency: math.Inf(1), AssumedStart: 1000})
+	l.Nodes = append(l.Nodes, LearnedNode{ID: "c", Window: math.NaN(), Latency: math.Inf(1), AssumedStartTime: 1000})
 	if restored := next.s.Restore(l); restored != 1 {
 		t.Errorf("%d nodes restored, want 1", restored)
 	}
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -32,7 +32,7 @@
 	}
 	learned := s.Learned()
 	for _, n := range learned.Nodes {
-		fields = append(fields, n.ID, n.StartTime, n.Window, n.Latency, n.BestLatencyPerUnit, n.FailureRate, n.AssumedStart)
+		fields = append(fields, n.ID, n.StartTime, n.Window, n.Latency, n.BestLatencyPerUnit, n.FailureRate, n.AssumedStartTime)
 	}
 	for _, c := range learned.Classes {
 		fields = append(fields, c.Name, c.Weight, c.Slope, c.Delay)
@@ -117,7 +117,7 @@
 		learned := scheduler.scheduler.Learned()
 		for i := range learned.Nodes {
 			if sim.rng.Intn(4) == 0 {
-				learned.Nodes[i].AssumedStart = learned.Nodes[i].StartTime
+				learned.Nodes[i].AssumedStartTime = learned.Nodes[i].StartTime
 			}
 		}
 		scheduler.incarnation++
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -63,7 +63,7 @@
 	c.requireAtLeast("MeterSpan", settings.UsageMeterPeriod, 0)
 	c.requireAtLeast("MaxHoldOff", settings.MaxRetryAfter, 0)
 	c.requireAtLeast("DrainGrace", settings.DrainGrace, 0)
-	c.requireAtLeast("AskWithin", settings.PollWithin, 0)
+	c.requireAtLeast("AskWithin", settings.ListStalenessBound, 0)
 	c.requireAtLeast("ColdFrom", settings.SlowStartShare, 0)
 	c.requireAtLeast("ColdSpan", settings.SlowStartDuration, 0)
 	c.requireAtLeast("TipMultiple", settings.OverloadMultiple, 0)
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -109,7 +109,7 @@
 
 func simulationSettings() Settings {
 	return Settings{Schedulers: simulatedSchedulers, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: 39, MaxAttempts: 4, MaxRetryAfter: 1000,
-		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, ListStalenessBound: 10000, SlowStartShare: 0.24, SlowStartDuration: 17000,
 		OverloadMultiple: 3, OverloadWindow: 3000, Shards: simulatedNodes,
 		Classes: []Class{{Name: "safe", LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 500, Deadline: 2000, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
--- a/policy/slowstartsimulation_test.go
+++ b/policy/slowstartsimulation_test.go
@@ -82,7 +82,7 @@
 
 func newSlowStartSimulation(t *testing.T, c slowStartCase, seed int64) *slowStartSimulation {
 	settings := Settings{Schedulers: c.schedulerCount, MeanUnits: 2, MaxUnits: 6, SlowStartUnits: c.slowStartUnits, MaxAttempts: 4, MaxRetryAfter: 1000,
-		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, PollWithin: 10000, SlowStartShare: 0.24, SlowStartDuration: 12000,
+		SendsRetryAfter: true, MayCancel: true, MayHedge: true, DrainGrace: 250, ListStalenessBound: 10000, SlowStartShare: 0.24, SlowStartDuration: 12000,
 		OverloadMultiple: c.overloadMultiple, OverloadWindow: 3000, Shards: slowStartShards,
 		Classes: []Class{{Name: "safe", LatencyObjective: 250, Deadline: 1500, PriorityWeight: 3, LatePriorityWeight: 0.1},
 			{Name: "once", LatencyObjective: 300, Deadline: 1500, PriorityWeight: 2, LatePriorityWeight: 0.1, Effect: NonIdempotent}},
--- a/policy/types.go
+++ b/policy/types.go
@@ -21,7 +21,7 @@
 	SendsRetryAfter      bool // rejected clients receive a Retry-After
 	MaxRetryAfter        float64
 	DrainGrace           float64 // time from the drain report until the node may stop
-	PollWithin           float64 // staleness bound of the endpoint list
+	ListStalenessBound   float64 // staleness bound of the endpoint list
 	SlowStartShare       float64 // minimum share of its full capacity that a node has at its start
 	SlowStartDuration    float64 // time after its start at which a node is warmed up
 	OverloadMultiple     float64 // a node in slow start is overloaded above this multiple of its capacity
