--- a/cmd/wheatsaddle/delegation.go
+++ b/cmd/wheatsaddle/delegation.go
@@ -52,12 +52,12 @@
 	if len(opt.Peers) == 0 {
 		return nil, nil
 	}
-	tree, err := scattergather.OpenTree(opt) // the previous one need not be closed: without reads it has neither a goroutine nor a socket
+	coordinator, err := scattergather.OpenTree(opt) // the previous coordinator need not be closed: without reads it has neither a goroutine nor a socket
 	if err != nil {
 		return nil, err
 	}
 	g.log.WithField("peers", len(opt.Peers)).Info("parts of gathered reads are delegated to peers")
-	return tree, nil
+	return coordinator, nil
 }
 
 // checkGatherPeers returns an error if the platform forbids requests between processes.
--- a/cmd/wheatsaddle/fleet.go
+++ b/cmd/wheatsaddle/fleet.go
@@ -28,7 +28,7 @@
 // peers.
 type fleet struct {
 	cluster       *gossip.Cluster
-	starter       *starter // nil: the site's file has no section start
+	starter       *starter // nil: the section start of the site's file is missing or off
 	slowStartMs   float64  // duration of the slow start of a node
 	hardwareTypes config.NodeTypes
 	maxNodes      int // maximum number of nodes whose statuses are requested
@@ -55,6 +55,7 @@
 	return nil
 }
 
+// startFleet starts the gossip. It returns nil if the site's file has no section peers.
 func startFleet(siteSettings *config.Site, conf *config.Config, starter *starter, log logrus.FieldLogger) (*fleet, error) {
 	if err := checkPeers(siteSettings, conf.Settings); err != nil {
 		log.WithFields(operr.Fields(err)).Error("gossip is not allowed by the platform")
--- a/cmd/wheatsaddle/gather.go
+++ b/cmd/wheatsaddle/gather.go
@@ -23,7 +23,7 @@
 	delegationCounters scattergather.Tally // of all delegators
 
 	delegator         scattergather.Grouper // nil: this process requests each part itself
-	delegatorSettings *config.SiteTree      // the settings of tree
+	delegatorSettings *config.SiteTree      // the settings of delegator
 }
 
 // gatherRules returns the section's rules by class, checked against the configuration.
@@ -57,11 +57,11 @@
 	if err != nil {
 		return err
 	}
-	tree, err := g.openDelegator(set.Tree, conf)
+	delegator, err := g.openDelegator(set.Tree, conf)
 	if err != nil {
 		return err
 	}
-	g.delegator, g.delegatorSettings = tree, set.Tree
+	g.delegator, g.delegatorSettings = delegator, set.Tree
 	service := &scattergather.Service{
 		Core:      g.core,
 		Classes:   classes,
@@ -102,9 +102,10 @@
 	return err
 }
 
+// startGather registers the metrics of gathered reads, and enables them if the site's file has the section gather.
 func startGather(siteFile *site, conf *config.Config, co *core.Core, front *httpfront.Server, peers *fleet) (*gatherer, error) {
 	g := &gatherer{core: co, front: front, views: peers.views(), members: peers.members(), log: siteFile.log}
-	g.registerMetrics(siteFile.meter)
+	g.registerMetrics(siteFile.registry)
 	if err := g.apply(siteFile.current, conf); err != nil {
 		return nil, err
 	}
--- a/cmd/wheatsaddle/replay.go
+++ b/cmd/wheatsaddle/replay.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	form := c.String("as")
-	if form != "jsonl" && form != "http" {
-		return &replay.FlagError{Flag: "as", Problem: fmt.Sprintf("%q is neither jsonl nor http", form)}
+	format := c.String("as")
+	if format != "jsonl" && format != "http" {
+		return &replay.FlagError{Flag: "as", Problem: fmt.Sprintf("%q is neither jsonl nor http", format)}
 	}
 	in, err := os.Open(c.Args().First())
 	if err != nil {
@@ -55,7 +55,7 @@
 		return err
 	}
 	report(c, recording)
-	return writeRequests(c, recording, form)
+	return writeRequests(c, recording, format)
 }
 
 // replayMapping returns how recorded requests map to classes, keys and deadlines, from the flags and the configuration.
@@ -113,7 +113,7 @@
 }
 
 // writeRequests writes the requests to the file that the flag out names. Without the flag it writes nothing.
-func writeRequests(c *cli.Context, r *replay.Recording, form string) (err error) {
+func writeRequests(c *cli.Context, r *replay.Recording, format string) (err error) {
 	name := c.String("out")
 	if name == "" {
 		return nil
@@ -138,7 +138,7 @@
 		if e.Request.Plan == "" {
 			return &replay.MissingPlanError{Path: e.URI, Line: e.Line}
 		}
-		if text = text[:0]; form == "http" {
+		if text = text[:0]; format == "http" {
 			text = e.HTTP(text, e.Request.ID)
 		} else {
 			text = e.AppendJSON(text)
--- a/cmd/wheatsaddle/serve.go
+++ b/cmd/wheatsaddle/serve.go
@@ -41,7 +41,7 @@
 	clientConns int // maximum number of clients' connections
 	nodeConns   int // maximum number of connections to storage nodes
 
-	starter    *starter // nil: the site's file has no section start
+	starter    *starter // nil: the section start of the site's file is missing or off
 	fleet      *fleet   // nil: the site's file has no section peers
 	core       *core.Core
 	exclusions *exclusionSyncer
--- a/cmd/wheatsaddle/shutdown.go
+++ b/cmd/wheatsaddle/shutdown.go
@@ -13,12 +13,12 @@
 
 const (
 	// Times after SIGTERM.
-	minAcceptDuration  = 200 * time.Millisecond // clients may still open connections, at least
-	maxAcceptDuration  = 450 * time.Millisecond // clients may still open connections, at most
+	minAcceptDuration  = 200 * time.Millisecond // until then connections are accepted without restriction
+	maxAcceptDuration  = 450 * time.Millisecond // until then connections are accepted, but requests rejected while few connections are idle
 	killDelay          = 700 * time.Millisecond // until SIGKILL, to which the longest deadline is added
 	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
 
-	// Times before SIGKILL.
+	// Times before SIGKILL at which a step begins at the latest.
 	closeMargin  = 400 * time.Millisecond // connections are closed between requests
 	answerMargin = 200 * time.Millisecond // open requests get their final responses
 	exitMargin   = 100 * time.Millisecond // the process exits
--- a/cmd/wheatsaddle/site.go
+++ b/cmd/wheatsaddle/site.go
@@ -19,16 +19,17 @@
 // site holds the settings of the site's file, which configures features that the platform's configuration does not cover.
 // Without the file all of them are off.
 type site struct {
-	file    string
-	current *config.Site // as of the last valid read
-	routes  *httpfront.AddressConfig
-	iscsi   *iscsi.Dialer     // nil: no iSCSI front
-	meter   *metrics.Registry // nil: counters are available only from the admin endpoint
-	log     logrus.FieldLogger
+	file          string
+	current       *config.Site // as of the last valid read
+	addressConfig *httpfront.AddressConfig
+	iscsi         *iscsi.Dialer     // nil: no iSCSI front
+	registry      *metrics.Registry // nil: counters are available only from the admin endpoint
+	log           logrus.FieldLogger
 }
 
+// openSite reads the site's file, if one is named, applies its addresses and serves its metrics.
 func openSite(c *cli.Context, seed int64, log logrus.FieldLogger) (*site, error) {
-	s := &site{file: c.String("site"), current: &config.Site{}, log: log, routes: &httpfront.AddressConfig{Seed: uint64(seed)}}
+	s := &site{file: c.String("site"), current: &config.Site{}, log: log, addressConfig: &httpfront.AddressConfig{Seed: uint64(seed)}}
 	if s.file == "" {
 		return s, nil
 	}
@@ -54,8 +55,8 @@
 	if err != nil {
 		return fmt.Errorf("site: metrics: %w", err)
 	}
-	s.meter = metrics.Serve(ln, s.log)
-	s.meter.Gauge(func() float64 { return 1 }, "info", "version", version)
+	s.registry = metrics.Serve(ln, s.log)
+	s.registry.Gauge(func() float64 { return 1 }, "info", "version", version)
 	s.log.WithField("address", ln.Addr().String()).Info("metrics endpoint listening")
 	return nil
 }
@@ -66,7 +67,7 @@
 	if set == nil {
 		set = config.DefaultAddresses()
 	}
-	s.routes.Set(httpfront.AddressSettings{Selector: set.Selector, IdentityHeader: set.Identity})
+	s.addressConfig.Set(httpfront.AddressSettings{Selector: set.Selector, IdentityHeader: set.Identity})
 	if s.iscsi != nil {
 		s.iscsi.Addresses(set.Selector)
 	}
--- a/cmd/wheatsaddle/starter.go
+++ b/cmd/wheatsaddle/starter.go
@@ -22,7 +22,7 @@
 )
 
 // starter drives the cold start of this process: it feeds events to coldstart.Startup and executes its actions. All
-// decisions are made by coldstart. A nil starter means that the site's file has no section start.
+// decisions are made by coldstart. A nil starter means that the section start of the site's file is missing or off.
 //
 // One mutex guards the state machine and its context. The mutex is never held during a wait, since the core's actor calls
 // methods of the starter. Messages reach the core in the order in which they were decided: a single goroutine sends them
@@ -67,6 +67,7 @@
 	Learned() (policy.Learned, bool)
 }
 
+// newStarter returns a starter that has not begun, or nil if the section start is missing or off.
 func newStarter(set *config.SiteStart, conf *config.Config, cachedNodes []core.Node, log logrus.FieldLogger) (*starter, error) {
 	if set == nil || !set.Enabled {
 		return nil, nil
@@ -118,7 +119,8 @@
 	return func(set policy.Settings) error { return co.Reconfigure(s.reduceSlowStart(set)) }
 }
 
-// limiter returns the limiter that the core calls before each attempt; nil without the section.
+// limiter returns the limiter that the core calls for requests and ended attempts during the cold start; nil without the
+// section.
 func (s *starter) limiter() core.StartLimiter {
 	if s == nil {
 		return nil
--- a/cmd/wheatsaddle/startup.go
+++ b/cmd/wheatsaddle/startup.go
@@ -45,7 +45,7 @@
 	if s.site, err = openSite(s.flags, s.conf.Seed, s.log); err != nil {
 		return err
 	}
-	s.onClose(func() { s.site.meter.Close() })
+	s.onClose(func() { s.site.registry.Close() })
 	applyLimits(s.conf)
 	return nil
 }
@@ -76,7 +76,7 @@
 		return err
 	}
 	s.onClose(s.fleet.stop)
-	s.fleet.registerMetrics(s.site.meter)
+	s.fleet.registerMetrics(s.site.registry)
 	if s.core, err = core.New(s.coreOptions(excluded)); err != nil {
 		return config.Rejected(err)
 	}
@@ -87,7 +87,7 @@
 		s.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes})
 	}
 	s.fleet.updateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: s.cachedList.Nodes, Index: s.cachedList.Version})
-	s.onClose(s.starter.stop) // before the core stops, which provides the last snapshot
+	s.onClose(s.starter.stop) // before the core stops, because the core provides the last snapshot
 	s.starter.requestSnapshot(s.fleet)
 	return nil
 }
@@ -99,7 +99,7 @@
 		MaxConns:       int64(s.nodeConns),
 		FreeConnWait:   connqueue.MaxFreeConnWait(s.conf.HandshakePrice, minLatencyObjective(s.conf.Settings)),
 		Idempotent:     idempotentClasses(s.conf.Settings),
-		Addresses:      s.site.routes,
+		Addresses:      s.site.addressConfig,
 		Log:            s.log,
 	}
 	return core.Options{
--- a/internal/iscsi/initiator.go
+++ b/internal/iscsi/initiator.go
@@ -117,7 +117,7 @@
 	dialed                *loggedInConn
 	pdu                   *pdu
 	from                  *nexus
-	err                   error // from the connection of from, or from the dial if from is nil
+	err                   error // read error of the session from; if from is nil, error of the dial
 	addresses             []address.Addr
 	portalLogin           *portalLogin
 	close                 bool
@@ -452,7 +452,7 @@
 	return h.Sum32() ^ rand.Uint32()
 }
 
-// reportState passes on a state that a storage target reported, as an update of the node list. A target
+// reportState passes on a state that a storage target reported, as an update of the endpoint list. A target
 // that the configuration drains or no longer contains is not reported as up.
 func (p *storagePeer) reportState(state policy.NodeState, since float64) {
 	conf, ok := p.dialer.storageTarget(p.name)
--- a/internal/iscsi/pdu.go
+++ b/internal/iscsi/pdu.go
@@ -1,6 +1,6 @@
 // Package iscsi is a front that speaks iSCSI over TCP (RFC 7143) on both sides: a target for
-// the clients, and an initiator for each storage target. It supports error recovery level 0
-// and one connection per session, and no authentication.
+// the clients, and an initiator for each storage target. It supports only error recovery level 0
+// and one connection per session. There is no authentication.
 package iscsi
 
 import (
--- a/internal/iscsi/portals.go
+++ b/internal/iscsi/portals.go
@@ -112,7 +112,8 @@
 }
 
 // finishRequest ends the session's request, as no command is in flight any more. If no command
-// was answered, all were abandoned, and the request ends as cancelled.
+// was answered, all were abandoned. The request then ends as cancelled, and the state machine
+// closes the session.
 func (o *portalSelector) finishRequest(x *nexus) {
 	q := x.requestID
 	x.requestID = 0
--- a/internal/iscsi/response.go
+++ b/internal/iscsi/response.go
@@ -67,8 +67,8 @@
 	if len(s.tasks) > 1 {
 		status = statusTaskSetFull
 	}
-	steps := min((wait+statusQualifierUnit-1)/statusQualifierUnit, maxStatusQualifier)
-	s.sendResponse(task, status, nil, nil, 0, uint16(steps))
+	qualifier := min((wait+statusQualifierUnit-1)/statusQualifierUnit, maxStatusQualifier)
+	s.sendResponse(task, status, nil, nil, 0, uint16(qualifier))
 }
 
 // finishTask sends a task's data and response, with sense if the command failed.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -42,8 +42,8 @@
 	Deadline  time.Duration            // if Classes is nil and none was recorded
 	UnitBytes float64                  // bytes of one unit of work
 	MostUnits float64                  // maximum units of a request; 0: no maximum
-	Shards    int
-	Hosts     int
+	Shards    int                      // number of shards over which keys are distributed
+	Hosts     int                      // number of hosts through which a volume's requests are sent
 }
 
 // Entry is one recorded request.
@@ -74,7 +74,7 @@
 type recordedRequest struct {
 	at          time.Time
 	method, uri string
-	owner       string
+	owner       string // determines the volume: a log's user or else client address, or the host of a HAR entry's URL
 	bytes       int
 	plan, key   string
 	ioInfo      string
@@ -88,7 +88,7 @@
 	for {
 		b, err := br.Peek(1)
 		if err != nil {
-			return nil, fmt.Errorf("replay: empty file: %w", err)
+			return nil, fmt.Errorf("replay: file is empty or not readable: %w", err)
 		}
 		switch b[0] {
 		case ' ', '\t', '\r', '\n', 0xef, 0xbb, 0xbf:
@@ -341,7 +341,7 @@
 	return recorded, nil
 }
 
-// HTTP appends the entry as an HTTP request of the platform with the given request id.
+// AppendHTTP appends the entry as an HTTP request of the platform with the given request id.
 func (e *Entry) HTTP(dst []byte, id string) []byte {
 	r, method := &e.Request, "GET"
 	if e.Write {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -18,8 +18,8 @@
 	lingering              // closed after a response; the peer has not closed yet
 )
 
-// Conn is an accepted connection. Its phase reports whether the listener may close it: it may while the connection is fresh or
-// idle and has no input. The server's goroutine reads; Gone, HasPendingInput and Close may be called from any goroutine.
+// Conn is an accepted connection. The listener may close it only while its phase is fresh or idle and it has no input. Only the
+// server's goroutine reads. PeerClosed, HasPendingInput and Close may be called from any goroutine.
 type Conn struct {
 	net.Conn
 	listener   *Listener
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -32,7 +32,8 @@
 	return err == nil && raw != nil
 }
 
-// linger closes the socket when the peer has closed, or after the listener's linger time. Closing a socket with unread input,
+// linger closes the socket when the peer has closed, or after the listener's linger time. After DiscardInput it closes the
+// socket once no input has come for discardReadTimeout or discardLimit is used up. Closing a socket with unread input,
 // or receiving input after a close, resets the connection, and the peer may then lose a response that it has not read yet. A
 // further request that arrives meanwhile is not read. Its client sees the end of file and may retry elsewhere.
 func (c *Conn) linger() {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -23,7 +23,8 @@
 
 const (
 	acceptBackoff = 5 * time.Millisecond
-	// FewIdle is true if fewer connections have no request than maxFewIdle and one in fewIdleDivisor of the open ones.
+	// FewIdle is true if the connections without a request are fewer than maxFewIdle and fewer than 1/fewIdleDivisor of
+	// the open ones.
 	maxFewIdle, fewIdleDivisor = 3, 3
 )
 
@@ -53,7 +54,7 @@
 // LimitWithOverflow is Limit with overflow connections beyond the capacity, whose requests the
 // server rejects (OverCapacity). Without them a client in the backlog, whose connect has succeeded,
 // would get no response until another connection closes. Connections that close after a response
-// wait for the peer's close for up to lingerTimeout.
+// wait for the peer's close for up to lingerTimeout, or longer after DiscardInput.
 func LimitWithOverflow(ln net.Listener, capacity, overflow int) *Listener {
 	l := limit(ln, capacity)
 	l.overflow, l.linger = overflow, lingerTimeout
