--- a/cmd/wheatsaddle/partduration.go
+++ b/cmd/wheatsaddle/partduration.go
@@ -56,7 +56,8 @@
 	return expected
 }
 
-// estimate returns the expected milliseconds of a part by shard, from the observed nodes; nil: there is no estimate.
+// estimate returns the expected milliseconds of a part by shard, which are the 90th percentile of an estimate from the
+// observed nodes; nil: there is no estimate.
 func (x *partDurationEstimator) estimate(class string) map[int]float64 {
 	estimator, err := cost.New(x.settings)
 	if err != nil {
--- a/internal/iscsi/nexus.go
+++ b/internal/iscsi/nexus.go
@@ -52,8 +52,8 @@
 // hasLiveCommands reports whether commands are in flight that were not abandoned.
 func (x *nexus) hasLiveCommands() bool { return len(x.commands) > x.abandoned }
 
-// releaseIfIdle ends the portal selection's request if no command is in flight, and then also the
-// session if another has replaced it.
+// releaseIfIdle ends the portal selection's request if no command is in flight except abandoned
+// ones, and then also the session if another has replaced it.
 func (x *nexus) releaseIfIdle() {
 	if x.conn == nil || x.hasLiveCommands() {
 		return
@@ -97,7 +97,8 @@
 	}
 }
 
-// abortCommand sends ABORT TASK for a command that was abandoned.
+// abortCommand sends ABORT TASK for a command that was abandoned. The session ends if the target leaves
+// more than maxAbandonedCommands unfinished.
 func (x *nexus) abortCommand(c *command) {
 	if x.abandoned++; x.abandoned > maxAbandonedCommands {
 		x.disconnect()
