--- a/internal/address/entry.go
+++ b/internal/address/entry.go
@@ -59,8 +59,8 @@
 	rankGood = iota
 	rankProbation
 	rankSuspect
-	rankBackoffOver // down, and a trial is due
-	rankDown
+	rankBackoffOver // down, leads to another node or unsupported, and its backoff has ended
+	rankDown        // the same, and its backoff has not ended
 )
 
 // rank returns how well an address can serve now.
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -20,7 +20,7 @@
 		events = append(events, "connect last", "fail last")
 	}
 	if len(h.busy) > 0 {
-		events = append(events, "respond", "reject", "reset", "unwritten", "give up")
+		events = append(events, "respond", "reject", "reset", "unwritten", "cancel")
 	}
 	if !h.draining {
 		events = append(events, "drain")
@@ -32,7 +32,7 @@
 
 var testLists = [][]string{{unixAddr, ipv6Addr, ipv4Addr}, {ipv4Addr, unixAddr}, {ipv6Addr}}
 
-// applyEvent applies an event of options.
+// applyEvent applies an event that possibleEvents returned.
 func (h *harness) applyEvent(event string) {
 	switch event {
 	case "queue":
@@ -63,7 +63,7 @@
 		h.breakConn(h.busy[0], ReasonReset)
 	case "unwritten":
 		h.breakConn(h.busy[0], ReasonUnwritten)
-	case "give up":
+	case "cancel":
 		h.cancelRequest(h.requestOn[h.busy[0]])
 	case "drain":
 		h.step(Event{Kind: DrainChanged, Draining: true})
@@ -261,7 +261,8 @@
 
 const explorationDepth = 7 // events
 
-// Applies every order of explorationDepth events to three addresses. States with the same digest are continued once.
+// The test applies every order of explorationDepth events to three addresses. Of several states with the same digest, it
+// continues only one.
 func TestInvariantsInEveryOrder(t *testing.T) {
 	settings := lowBoundSettings()
 	seen := map[string]bool{}
--- a/internal/address/primary.go
+++ b/internal/address/primary.go
@@ -1,7 +1,7 @@
 package address
 
-// stableReturnFactor defines when a return to a preferred address has failed: the primary changes again in less than this
-// many return delays. The next return then waits twice as long.
+// stableReturnFactor is the number of return delays for which a return to a preferred address must last. If the primary
+// changes again earlier, the next return waits twice as long.
 const stableReturnFactor = 4
 
 // choosePrimary sets the primary. If another address has a better rank, it becomes the primary at once. A return to a
--- a/internal/address/selector.go
+++ b/internal/address/selector.go
@@ -54,7 +54,7 @@
 	connCount       int   // connections, including those that are connecting
 	connectingCount int
 	unprovenCount   int // connections without a response so far
-	maxUnproven     int // bound of unprovenCount
+	maxUnproven     int // bound of unprovenCount: 1 once all addresses are down, then 1 more with each timely first response
 	waiting         []waiter
 	races           []*race
 	freeRaces       []*race // for reuse
--- a/internal/address/settings.go
+++ b/internal/address/settings.go
@@ -36,7 +36,7 @@
 
 	MinReturnConns int           // timely connections until a preferred address becomes the primary again
 	MinReturnDelay time.Duration // from any change of the primary to such a return
-	MaxReturnDelay time.Duration // upper bound of the delay, which doubles with each return that is followed by another fault
+	MaxReturnDelay time.Duration // upper bound of the delay, which doubles with each return after which the primary soon changes again
 
 	// Rejections. MaxRejections in a row, and no request served within RejectionWindow, make an address suspect.
 	MaxRejections   int
--- a/internal/coldstart/admission.go
+++ b/internal/coldstart/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// admit passes a request on to the policy, or rejects it at once if it would wait for too long.
+// admit rejects a request at once if it would wait for too long. Otherwise it emits no action, and the policy decides.
 func (s *Startup) admit(now time.Duration, id string) {
 	if s.phase == Serving || !s.started {
 		return
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -5,7 +5,7 @@
 //
 // Invariants:
 //   - The phase never returns to an earlier one.
-//   - Ready is reported at most once. If timers fire, it is reported by Settings.ReadyDeadline at the latest.
+//   - Ready is reported at most once, and by Settings.ReadyDeadline at the latest, provided that the timers fire.
 //   - Each rejection carries a Retry-After between MinRetryAfter and MaxRetryAfter.
 //   - The shares that all schedulers have of a cold node's budget sum to at most the budget.
 //   - The first list requests of the fleet are spread by name: no second has more than twice the mean number of requests.
@@ -41,7 +41,7 @@
 	snapshotNodes []string // ids of the nodes in the snapshot, the most used first
 	started       bool
 	reportedReady bool
-	unknownNode   nodeState // used for requests that any node may serve, and for nodes whose state is not stored
+	unknownNode   nodeState // holds the Retry-After of requests that any node may serve or whose node's state is not stored
 
 	listRequestPending bool
 	nextListRequest    time.Duration
@@ -125,7 +125,7 @@
 		return
 	}
 	s.started = true
-	s.nextListRequest = now + Slot(s.settings.ListCallSpread(), "list", s.settings.Name)
+	s.nextListRequest = now + Slot(s.settings.ListRequestSpread(), "list", s.settings.Name)
 	for _, n := range e.CachedList {
 		if s.hasCapacity() {
 			s.nodes[n.ID] = &nodeState{startTime: n.StartTime}
--- a/internal/coldstart/events.go
+++ b/internal/coldstart/events.go
@@ -45,7 +45,8 @@
 	RequestServed struct{ Node string }
 	// RequestArrived reports a client's request. Node is empty if any node may serve it or if the node is not known.
 	RequestArrived struct{ Node string }
-	// RequestRejected reports that the policy rejected a request. A Reject with the Retry-After follows.
+	// RequestRejected reports that the policy rejected a request. Until the start is over, a Reject with the Retry-After
+	// follows.
 	RequestRejected struct{ Node string }
 	// SnapshotReceived carries a snapshot that another process handed over, the most used nodes first.
 	SnapshotReceived struct{ Snapshot []Node }
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			return err
 		}
-		spread = s.settings.ListCallSpread()
+		spread = s.settings.ListRequestSpread()
 		for _, a := range s.Step(0, Started{CachedList: testNodes}) {
 			if limit, ok := a.(LimitColdNode); ok && limit.Node == "a" {
 				units += limit.Units
@@ -218,7 +218,7 @@
 	}
 	mutant.Found(t,
 		mutant.Mutant{File: "coldstart.go", Sequential: true, Want: "list requests in second",
-			Old: `now + Slot(s.settings.ListCallSpread(), "list", s.settings.Name)`, New: "now"},
+			Old: `now + Slot(s.settings.ListRequestSpread(), "list", s.settings.Name)`, New: "now"},
 		mutant.Mutant{File: "nodes.go", Sequential: true, Want: "the shares of a cold node sum to",
 			Old: "s.settings.SlowStartUnits / float64(s.settings.Schedulers)", New: "s.settings.SlowStartUnits / float64(max(s.settings.Schedulers/2, 1))"},
 	)
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -52,7 +52,7 @@
 	s.listRequestPending = false
 	backoff := listRequestInterval
 	if s.settings.ListCallsPriced {
-		backoff = max(s.settings.ListCallSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
+		backoff = max(s.settings.ListRequestSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
 		s.listBackoffFactor = min(2*s.listBackoffFactor, maxListBackoffFactor)
 		backoff = min(backoff, s.settings.StalenessBound)
 	}
--- a/internal/coldstart/nodes.go
+++ b/internal/coldstart/nodes.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// backOff holds requests back from a node that was full or could not be connected. The backoff doubles each time.
+// backOff starts a backoff of a node that was full or to which a connect failed. Until it ends, no connection to the node is
+// opened in advance, and requests that cannot wait for the end are rejected. The backoff doubles each time.
 func (s *Startup) backOff(now time.Duration, id string) {
 	state := s.nodes[id]
 	if state == nil || s.phase == Serving {
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -17,7 +17,7 @@
 
 	// The endpoint list.
 	ListCallsPriced       bool          // list requests load the list's service, so the fleet spreads them over time
-	MaxListCallsPerSecond float64       // of the whole fleet; 0: DefaultMaxListCallsPerSecond
+	MaxListCallsPerSecond float64       // of the whole fleet; 0: DefaultMaxListRequestsPerSecond
 	StalenessBound        time.Duration // after which every process has received a change of the list; 0: 6 s, the protocol's bound
 
 	// Cold nodes.
@@ -35,8 +35,8 @@
 	MaxNodes       int  // number of nodes whose state is stored; 0: 4096
 }
 
-// DefaultMaxListCallsPerSecond is used where the settings give no MaxListCallsPerSecond.
-const DefaultMaxListCallsPerSecond = 40.0
+// DefaultMaxListRequestsPerSecond is used where the settings give no MaxListCallsPerSecond.
+const DefaultMaxListRequestsPerSecond = 40.0
 
 const (
 	maxStalenessBound    = 6 * time.Second        // defined by the protocol of the list
@@ -97,7 +97,7 @@
 		}
 	}
 	if s.MaxListCallsPerSecond == 0 {
-		s.MaxListCallsPerSecond = DefaultMaxListCallsPerSecond
+		s.MaxListCallsPerSecond = DefaultMaxListRequestsPerSecond
 	}
 	if s.StalenessBound == 0 || s.StalenessBound > maxStalenessBound {
 		s.StalenessBound = maxStalenessBound
@@ -131,9 +131,9 @@
 	return time.Duration(float64(within) * (float64(hash.Sum64()>>11) / (1 << 53)))
 }
 
-// ListCallSpread returns the duration over which the first list requests of the fleet are spread: the time that the list's
+// ListRequestSpread returns the duration over which the first list requests of the fleet are spread: the time that the list's
 // service needs for the requests of the whole fleet, up to ReadyDeadline. It is 0 if list requests are not priced.
-func (s *Settings) ListCallSpread() time.Duration {
+func (s *Settings) ListRequestSpread() time.Duration {
 	if !s.ListCallsPriced {
 		return 0
 	}
--- a/internal/coldstart/snapshot/snapshot.go
+++ b/internal/coldstart/snapshot/snapshot.go
@@ -76,7 +76,7 @@
 // UnusableError reports a snapshot that exists but must not be used.
 type UnusableError struct {
 	Path   string
-	Reason string // torn, foreign or old
+	Reason string // torn (incomplete or damaged), foreign (not a snapshot of this version) or old (out of date or dated in the future)
 	Detail string
 }
 
@@ -174,7 +174,7 @@
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal(body, s); err != nil || s.Version != Version {
-		return nil, &UnusableError{path, "foreign", fmt.Sprintf("version %d, %v", s.Version, err)}
+		return nil, &UnusableError{path, "foreign", fmt.Sprintf("body has version %d, JSON error: %v", s.Version, err)}
 	}
 	return s, nil
 }
--- a/internal/cost/bench_test.go
+++ b/internal/cost/bench_test.go
@@ -19,7 +19,7 @@
 		{Name: "mixed", Root: Step{Then: []Step{{All: reads[:30]}, {Any: reads[:30]}, {Of: quorum}}}}}
 }
 
-// Target: under 100 µs.
+// An estimate of the three plans should take less than 100 µs.
 func BenchmarkThreePlansOf64(b *testing.B) {
 	e := newEstimator(b, fleetViews())
 	plans := plansOf64Steps()
@@ -31,8 +31,8 @@
 	}
 }
 
-// The largest input, 256 plans of 1,024 steps, in the form that takes the most time.
-func BenchmarkLargestQuestion(b *testing.B) {
+// BenchmarkLargestInput measures the largest input, 256 plans of 1,024 steps, in the form that takes the most time.
+func BenchmarkLargestInput(b *testing.B) {
 	e := newEstimator(b, fleetViews())
 	reads := plansOf64Steps()[0].Root.Then
 	var quorums []Step
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -218,7 +218,7 @@
 
 // Each kind of invalid input yields an error with the expected code, which names the invalid step. The JSON Schema
 // rejects those inputs whose error it can express.
-func TestInvalidQuestionsNameTheStep(t *testing.T) {
+func TestInvalidInputsNameTheStep(t *testing.T) {
 	var root any
 	if err := func() (err error) {
 		root, err = jsonschema.UnmarshalJSON(strings.NewReader(string(Schema)))
@@ -236,7 +236,7 @@
 		doubling += fmt.Sprintf(`,"s%d":{"all":[{"ref":"s%d"},{"ref":"s%d"}]}`, i+1, i, i)
 	}
 	e := newEstimator(t, fleetViews())
-	for _, question := range []struct {
+	for _, input := range []struct {
 		text, code, contains string
 		schemaRejects        bool // of invalid inputs: the schema rejects it too
 	}{
@@ -265,26 +265,26 @@
 		{`{"steps":{` + doubling + `},"plans":[{"name":"a","root":{"ref":"s12"}}]}`, "cost-too-much", "1024 steps", false},
 		{`{"plans":[` + strings.TrimSuffix(strings.Repeat(`{"name":"a","root":`+step+`},`, 257), ",") + `]}`, "cost-too-much", "256 plans", true},
 	} {
-		plans, deadline, err := ParsePlans([]byte(question.text))
+		plans, deadline, err := ParsePlans([]byte(input.text))
 		if err == nil {
 			_, err = e.Estimate(plans, deadline)
 		}
 		var coded operr.Coded
 		switch {
-		case question.code == "" && (err != nil || len(plans) != 2 || deadline != 90*time.Millisecond):
-			t.Errorf("%.200s: %v %v", question.text, deadline, err)
-		case question.code != "" && (!errors.As(err, &coded) || coded.Code() != question.code || !strings.Contains(err.Error(), question.contains)):
-			t.Errorf("%.200s: %v, want %s with %q", question.text, err, question.code, question.contains)
+		case input.code == "" && (err != nil || len(plans) != 2 || deadline != 90*time.Millisecond):
+			t.Errorf("%.200s: %v %v", input.text, deadline, err)
+		case input.code != "" && (!errors.As(err, &coded) || coded.Code() != input.code || !strings.Contains(err.Error(), input.contains)):
+			t.Errorf("%.200s: %v, want %s with %q", input.text, err, input.code, input.contains)
 		}
-		if len(question.text) > 1<<16 || strings.Contains(question.text, "1e999") {
+		if len(input.text) > 1<<16 || strings.Contains(input.text, "1e999") {
 			continue // the validator's parser does not accept these
 		}
-		doc, err := jsonschema.UnmarshalJSON(strings.NewReader(question.text))
+		doc, err := jsonschema.UnmarshalJSON(strings.NewReader(input.text))
 		if err == nil {
 			err = schema.Validate(doc)
 		}
-		if schemaRejects := question.code != "" && err != nil; schemaRejects != (question.schemaRejects && question.code != "") {
-			t.Errorf("%.200s: unexpected result of the schema's validation: %v", question.text, err)
+		if schemaRejects := input.code != "" && err != nil; schemaRejects != (input.schemaRejects && input.code != "") {
+			t.Errorf("%.200s: unexpected result of the schema's validation: %v", input.text, err)
 		}
 	}
 	e.Between = func() bool { return false }
--- a/internal/cost/estimate.go
+++ b/internal/cost/estimate.go
@@ -28,8 +28,8 @@
 	// work. If it returns false, Estimate fails with a TimeoutError.
 	Between func() bool
 
-	selectViews func(views []nodestats.View, maxViews int) ([]nodestats.View, int) // latestViews; tests replace it and separation by faulty functions
-	separation  func(a, b *Answer) float64
+	selectViews func(views []nodestats.View, maxViews int) ([]nodestats.View, int) // latestViews; replaced only by tests
+	separation  func(a, b *Answer) float64                                         // standardErrorsBetween; replaced only by tests
 
 	stack      []distribution
 	workByType []float64 // milliseconds at nodes of each type, in the current plan
@@ -393,7 +393,7 @@
 		end.standardErr += m.queuePerSlot * math.Sqrt(m.baseVariance)
 	}
 	basis := &e.totals.basis
-	if share > 0.1/MaxNodesPerShard {
+	if share > 0.1/MaxNodesPerShard { // a node with a smaller share hardly affects the estimate
 		basis.Level, basis.Origins, basis.Answers = max(basis.Level, m.basisLevel), min(basis.Origins, m.origins), min(basis.Answers, m.answers)
 		basis.AgeMs = max(basis.AgeMs, toMilliseconds(m.age))
 	}
--- a/internal/cost/types.go
+++ b/internal/cost/types.go
@@ -54,7 +54,8 @@
 // Rate is a token bucket in units of work: its refill rate and its capacity.
 type Rate struct{ PerSecond, Burst float64 }
 
-// Prior is assumed of nodes without answers.
+// Prior is assumed of a class in which no node has answers. While there are few answers, it still has a part in the
+// estimates of the variances and of the failure rate.
 type Prior struct {
 	BaseMillis, MillisPerUnit float64 // service time at 0 units, and its increase per unit
 	CV                        float64 // coefficient of variation (standard deviation over mean) of single answers, and of the means of nodes
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,7 +16,7 @@
 
 const (
 	tcpTimeout        = time.Second
-	gossipToDeadFor   = 30 * time.Second // memberlist gossips to a failed member for so long, so that it can refute the failure
+	gossipToDeadFor   = 30 * time.Second // for which memberlist gossips to a failed member, so that it can refute the failure
 	deadNodeReclaim   = time.Second      // after which a killed process may rejoin under its name at another address
 	seedJoinInterval  = 2 * time.Second
 	datagramAllowance = 100 // bytes that memberlist adds to a datagram, at most
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -31,7 +31,7 @@
 // Settings are the intervals of a Machine.
 type Settings struct {
 	LockPollInterval time.Duration // between attempts to take the lock
-	SweepInterval    time.Duration // between sweeps of the open connections
+	SweepInterval    time.Duration // between sweeps of the open connections, and between attempts to notify the module
 	IdleTimeout      time.Duration // after which an idle connection is closed during the shutdown
 	WarnAfter        time.Duration // after which a wait for the lock is reported once
 }
--- a/internal/handover/invariants_test.go
+++ b/internal/handover/invariants_test.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// Visits every order of starts, signals, kills and steps of up to three processes, each of which starts once. Stalls are
-// included, since a process may be left out of any number of steps.
+// The test visits every order of starts, signals, kills and steps of up to three processes, each of which starts once. This
+// includes stalls, since a process may be left out of any number of steps.
 func TestInvariantsInEveryOrder(t *testing.T) {
 	for _, n := range []int{2, 3} {
 		x := exploration{t: t, seen: map[simulation]bool{}}
--- a/internal/nodestats/decay.go
+++ b/internal/nodestats/decay.go
@@ -11,13 +11,13 @@
 const (
 	longHalfLives        = 4    // short-term half-lives in one long-term half-life
 	resetMinWeight       = 8    // a recorder with fewer short-term outcomes is not reset
-	resetDeviation       = 4    // a recorder is reset if its short-term and long-term statistics differ by more standard errors
+	resetDeviation       = 4    // a recorder is reset if its short-term and long-term statistics differ by more than this many standard errors
 	resetInterval        = 2    // least number of half-lives between resets of a recorder
-	maxLongTermDeviation = 2    // an origin's long-term statistics are not used if they differ from the recent observations of all by more standard errors
+	maxLongTermDeviation = 2    // an origin's long-term statistics are not used if they differ by more than this many standard errors from the recent observations of all
 	minWeight            = 1e-9 // lower weights are treated as zero
 )
 
-// decayedCounts are outcomes weighted by one half-life.
+// decayedCounts are sums and counts of outcomes, whose weights decay with a half-life.
 type decayedCounts struct {
 	sums                       Sums
 	rejected, failed, timedOut float64
--- a/internal/nodestats/digest.go
+++ b/internal/nodestats/digest.go
@@ -82,8 +82,9 @@
 	return sealMessage(b)
 }
 
-// Diff returns the cells that the sender of a digest lacks or has in another version. They are encoded as messages for
-// Merge of at most MaxMessageBytes, with the newest cells of each origin first.
+// Diff returns the cells that the sender of a digest lacks or has in another version, together with all other cells of the
+// same buckets. They are encoded as messages for Merge of at most MaxMessageBytes, with the newest cells of each origin
+// first.
 func (s *State) Diff(now time.Duration, digest []byte) ([][]byte, error) {
 	_, theirOrigins, err := decodeDigest(digest)
 	if err != nil {
--- a/internal/nodestats/views.go
+++ b/internal/nodestats/views.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// mergeHealth aggregates a node's health over its origins: the most common type and shard, the majority of the flags, and
-// clipped means of the windows and queues.
+// mergeHealth aggregates a node's health over its origins: the most common type and shard, and clipped means of the windows
+// and queues. The node counts as warming up if at least half of the origins report it so.
 func mergeHealth(rows []healthRow, clip float64) View {
 	view := View{Key: rows[0].key(), Origins: len(rows), Age: rows[0].age}
 	types, shards := map[string]int{}, map[int]int{}
