--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -1,7 +1,7 @@
-// Package client speaks the platform's protocol as a card app's client does: one request at a
-// time on a connection, connections kept and opened as they are needed, and a request sent once
-// more, on a new connection, only where a close crossed it on a kept one. It knows nothing of
-// rates; what it is given it sends.
+// Package client speaks the platform's protocol as a card app's client does. It sends one request at a
+// time on a connection, reuses idle connections and opens others as needed. It sends a request a second
+// time, on a new connection, only if the server closed a reused connection while the request was on its
+// way. It does not limit its rate.
 package client
 
 import (
@@ -16,63 +16,63 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrNoRoom says that all connections are in use and no more may be opened.
-var ErrNoRoom = errors.New("client: no connection is free")
+// ErrNoFreeConn reports that all connections are in use and the limit of connections is reached.
+var ErrNoFreeConn = errors.New("client: connection limit reached and no connection is idle")
 
-// Message is one request as the protocol has it.
+// Message is one request of the protocol.
 type Message struct {
 	ID, Class, Plan, Extent, Volume, Key string
 	Units                                float64
 	Shard, Hosts                         int
 	Write                                bool // PUT with a body
-	Retry                                bool // the client's own second try
+	Retry                                bool // a retry by the client itself
 	Body                                 []byte
 	Deadline                             time.Duration // from the intended send
 }
 
-// Outcome is how a request ended for its client.
+// Outcome is how a request ended from the client's view.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	Served   Outcome = iota // 200 and the whole body
+	Served   Outcome = iota // 200 with the complete body
 	Refused                 // 429 or 503
 	Failed                  // any other answer
-	Reset                   // the connection ended without one
-	TimedOut                // nothing within the deadline
-	NoConn                  // no connection came up, or none was free
+	Reset                   // the connection closed without an answer
+	TimedOut                // no answer within the deadline
+	NoConn                  // no connection could be opened, or none was free
 	Outcomes
 )
 
-var words = [Outcomes]string{"served", "refused", "failed", "reset", "timed out", "no connection"}
+var outcomeNames = [Outcomes]string{"served", "refused", "failed", "reset", "timed out", "no connection"}
 
 func (o Outcome) String() string {
 	if o >= 0 && o < Outcomes {
-		return words[o]
+		return outcomeNames[o]
 	}
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Answer is what came back.
+// Answer is the result of a request.
 type Answer struct {
 	Outcome    Outcome
 	Code       int
 	Body       []byte
-	RetryAfter time.Duration // 0: not said
-	Sent       time.Time     // its first byte was written; zero: never
+	RetryAfter time.Duration // 0: none given
+	Sent       time.Time     // when writing began; zero: never
 	Ended      time.Time
-	Reopened   bool // a close crossed it on a kept connection, and it went once more
+	Reopened   bool // the request was sent again after the server closed a reused connection
 }
 
-// Pool is the connections to one scheduler.
+// Pool holds the connections to one scheduler.
 type Pool struct {
 	Network, Address string
-	Most             int                                     // connections; 0: any number
-	Dial             func(context.Context) (net.Conn, error) // nil: by Network and Address
+	Most             int                                     // limit of connections; 0: none
+	Dial             func(context.Context) (net.Conn, error) // nil: dial Address on Network
 	mu               sync.Mutex
-	idle             []*conn // used last at the end
-	open             int
-	opened           int
+	idle             []*conn // the most recently used is the last
+	openCount        int
+	openedCount      int
 }
 
 type conn struct {
@@ -82,38 +82,38 @@
 	used bool
 }
 
-// Opened is how many connections have been opened.
+// Opened returns how many connections have been opened.
 func (p *Pool) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedCount
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
 		c.Close()
-		p.open--
+		p.openCount--
 	}
 	p.idle = nil
 }
 
-func (p *Pool) get(ctx context.Context, fresh bool) (*conn, error) {
+func (p *Pool) get(ctx context.Context, newConn bool) (*conn, error) {
 	p.mu.Lock()
-	if n := len(p.idle); n > 0 && !fresh {
+	if n := len(p.idle); n > 0 && !newConn {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
 		return c, nil
 	}
-	if p.Most > 0 && p.open >= p.Most {
+	if p.Most > 0 && p.openCount >= p.Most {
 		p.mu.Unlock()
-		return nil, ErrNoRoom
+		return nil, ErrNoFreeConn
 	}
-	p.open++
-	p.opened++
+	p.openCount++
+	p.openedCount++
 	p.mu.Unlock()
 	dial := p.Dial
 	if dial == nil {
@@ -127,101 +127,101 @@
 	}
 	nc, err := dial(ctx)
 	if err != nil {
-		p.drop()
+		p.release()
 		return nil, err
 	}
 	return &conn{Conn: nc, br: bufio.NewReader(nc), bw: bufio.NewWriter(nc)}, nil
 }
 
-func (p *Pool) drop() {
+func (p *Pool) release() {
 	p.mu.Lock()
-	p.open--
+	p.openCount--
 	p.mu.Unlock()
 }
 
-// Do sends a message whose time counts from intended, and waits for its end.
+// Do sends a message and waits for its end. Its deadline counts from the intended time of sending.
 func (p *Pool) Do(m *Message, intended time.Time) Answer {
-	ctx, stop := context.WithDeadline(context.Background(), intended.Add(m.Deadline))
-	defer stop()
-	a := Answer{}
-	for try := 0; ; try++ {
-		again := p.once(ctx, m, &a, try > 0)
-		if !again || try > 0 {
+	ctx, cancel := context.WithDeadline(context.Background(), intended.Add(m.Deadline))
+	defer cancel()
+	answer := Answer{}
+	for attempt := 0; ; attempt++ {
+		retry := p.attempt(ctx, m, &answer, attempt > 0)
+		if !retry || attempt > 0 {
 			break
 		}
-		a.Reopened = true
+		answer.Reopened = true
 	}
-	a.Ended = time.Now()
-	return a
+	answer.Ended = time.Now()
+	return answer
 }
 
-// once takes one connection; again: a close crossed the request on a kept one.
-func (p *Pool) once(ctx context.Context, m *Message, a *Answer, fresh bool) (again bool) {
-	c, err := p.get(ctx, fresh)
+// attempt sends the message on one connection. It returns true if the server closed a reused connection meanwhile.
+func (p *Pool) attempt(ctx context.Context, m *Message, answer *Answer, newConn bool) (retry bool) {
+	conn, err := p.get(ctx, newConn)
 	if err != nil {
-		a.Outcome = NoConn
+		answer.Outcome = NoConn
 		if ctx.Err() != nil {
-			a.Outcome = TimedOut
+			answer.Outcome = TimedOut
 		}
 		return false
 	}
-	keep := false
+	reusable := false
 	defer func() {
-		if !keep {
-			c.Close()
-			p.drop()
+		if !reusable {
+			conn.Close()
+			p.release()
 			return
 		}
 		p.mu.Lock()
-		p.idle = append(p.idle, c)
+		p.idle = append(p.idle, conn)
 		p.mu.Unlock()
 	}()
-	until, _ := ctx.Deadline()
-	if c.SetDeadline(until) != nil {
-		a.Outcome = Reset
-		return c.used
+	deadline, _ := ctx.Deadline()
+	if conn.SetDeadline(deadline) != nil {
+		answer.Outcome = Reset
+		return conn.used
 	}
-	a.Sent = time.Now()
-	if _, err = c.bw.Write(m.Append(nil)); err == nil {
-		err = c.bw.Flush()
+	answer.Sent = time.Now()
+	if _, err = conn.bw.Write(m.Append(nil)); err == nil {
+		err = conn.bw.Flush()
 	}
 	var r fasthttp.Response
 	if err == nil {
-		if _, err = c.br.Peek(1); err != nil {
-			again = c.used && ctx.Err() == nil // not a byte came back on a kept connection
+		if _, err = conn.br.Peek(1); err != nil {
+			retry = conn.used && ctx.Err() == nil // nothing came back on a reused connection
 		} else {
-			err = r.Read(c.br)
+			err = r.Read(conn.br)
 		}
 	} else {
-		again = c.used
+		retry = conn.used
 	}
 	if err != nil {
-		a.Outcome = Reset
-		var late net.Error
-		if ctx.Err() != nil || errors.As(err, &late) && late.Timeout() || errors.Is(err, fasthttp.ErrTimeout) {
-			a.Outcome = TimedOut
+		answer.Outcome = Reset
+		var netErr net.Error
+		if ctx.Err() != nil || errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, fasthttp.ErrTimeout) {
+			answer.Outcome = TimedOut
 			return false
 		}
-		return again
+		return retry
 	}
-	c.used = true
-	keep = !r.ConnectionClose() && c.br.Buffered() == 0
-	a.Code = r.StatusCode()
-	switch a.Code {
+	conn.used = true
+	reusable = !r.ConnectionClose() && conn.br.Buffered() == 0
+	answer.Code = r.StatusCode()
+	switch answer.Code {
 	case fasthttp.StatusOK:
-		a.Outcome, a.Body = Served, append([]byte(nil), r.Body()...)
+		answer.Outcome, answer.Body = Served, append([]byte(nil), r.Body()...)
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
-		a.Outcome = Refused
+		answer.Outcome = Refused
 	default:
-		a.Outcome = Failed
+		answer.Outcome = Failed
 	}
 	if s, err := strconv.ParseFloat(string(r.Header.Peek("Retry-After")), 64); err == nil && s > 0 {
-		a.RetryAfter = time.Duration(s * float64(time.Second))
+		answer.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return false
 }
 
-// Append encodes the message. The shard is also told in the query, for stand-in nodes.
+// Append encodes the message. The query repeats the shard for fake storage nodes.
 func (m *Message) Append(dst []byte) []byte {
 	method := "GET "
 	if m.Write {
--- a/internal/testkit/cluster/close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -8,9 +8,9 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// crossed is how many requests to a daemon that ends were on their way when it first closed a connection, and
+// unansweredAtClose is how many requests to a daemon that ends were on their way when it first closed a connection, and
 // had no answer: before that none had cause to connect anew. The auditor holds that none was sent on.
-func (w *world) crossed(i int, from time.Duration) (n int) {
+func (w *fixture) unansweredAtClose(i int, from time.Duration) (n int) {
 	h := w.History()
 	at := map[string]time.Duration{}
 	for _, t := range h.Taken {
@@ -32,9 +32,9 @@
 	return n
 }
 
-// departures are the requests whose clients went before a first attempt of them was written, and those of
+// countDisconnects are the requests whose clients went before a first attempt of them was written, and those of
 // them that were sent on more than 0.3 s later.
-func departures(h historycheck.History) (waited, sentOn int) {
+func countDisconnects(h historycheck.History) (waiting, sentOn int) {
 	first := map[string]time.Duration{}
 	for _, s := range h.Sent {
 		if at, ok := first[s.ID]; !ok || s.First < at {
@@ -46,59 +46,59 @@
 		if a.End != historycheck.Left || sent && at <= a.At {
 			continue
 		}
-		waited++
+		waiting++
 		if sent && at > a.At+300*time.Millisecond {
 			sentOn++
 		}
 	}
-	return waited, sentOn
+	return waiting, sentOn
 }
 
 // Closes and goings: what the standing test asks of connections that end. Each row is a fault and what is
 // expected of three daemons; the auditor judges each.
-func TestCloses(t *testing.T) {
+func TestConnectionCloses(t *testing.T) {
 	const slow = 60 * time.Millisecond
 	for _, x := range []struct {
 		fault, expected string
 		opt             Options
 		service         time.Duration
-		run             func(*world)
+		run             func(*fixture)
 	}{
 		{fault: "SIGTERM, clients send on while connections stay open", expected: "served until shortly before the kill; what its close crosses is not sent on",
-			service: slow, run: func(w *world) {
+			service: slow, run: func(w *fixture) {
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
 				for crossed := 0; crossed == 0; { // requests are on their way at any time, so a close crosses some
-					stop := w.Run(w.ctx, Load{Clients: 10, Gap: time.Millisecond, Ask: usual})
+					stop := w.StartLoad(w.ctx, Load{Clients: 10, Pause: time.Millisecond, Request: mixedRequest})
 					base := w.Served(0)
-					w.until("requests are open there", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
-					w.must(w.Term(0))
-					told, from := w.Served(0), w.now()
+					w.waitUntil("requests are open there", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
+					w.must(w.Terminate(0))
+					servedBeforeTerm, from := w.Served(0), w.now()
 					w.must(w.Proc(0).End(w.ctx))
-					if n := w.Served(0) - told; n < some {
+					if n := w.Served(0) - servedBeforeTerm; n < serveCount {
 						w.t.Errorf("%d served after SIGTERM", n)
 					}
 					stop()
-					crossed = w.crossed(0, from)
+					crossed = w.unansweredAtClose(0, from)
 					w.must(w.Restart(w.ctx, 0))
-					w.t.Logf("served after SIGTERM %d, crossed by the close %d", w.Served(0)-told, crossed)
+					w.t.Logf("served after SIGTERM %d, crossed by the close %d", w.Served(0)-servedBeforeTerm, crossed)
 				}
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{}))
-				w.serves(some)
+				w.waitServed(serveCount)
 			}},
-		{fault: "SIGTERM, answers trickle to clients", expected: "each that was begun ends whole", run: func(w *world) {
+		{fault: "SIGTERM, answers trickle to clients", expected: "each that was begun ends whole", run: func(w *fixture) {
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{Trickle: 4000}))
-			stop := w.Run(w.ctx, Load{Clients: 4, Gap: time.Millisecond, Ask: usual})
-			w.until("answers are on their way", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
-			w.must(w.Term(0))
+			stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: time.Millisecond, Request: mixedRequest})
+			w.waitUntil("answers are on their way", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
+			w.must(w.Terminate(0))
 			w.must(w.Proc(0).End(w.ctx))
 			stop()
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{}))
 			w.must(w.Restart(w.ctx, 0))
-			w.serves(some)
+			w.waitServed(serveCount)
 		}},
 		{fault: "clients leave while their requests wait for a connection", expected: "of those still waiting none is sent on later", opt: Options{
-			Settings: map[string]any{"ceilings": map[string]any{"connect-timeout": 3000}}}, run: func(w *world) {
-			all := func(f link.Fault, met func(*link.Link) bool) {
+			Settings: map[string]any{"ceilings": map[string]any{"connect-timeout": 3000}}}, run: func(w *fixture) {
+			setLinks := func(f link.Fault, met func(*link.Link) bool) {
 				for i := range w.opt.Daemons {
 					for j := range 4 {
 						l := w.StorageLink(i, j)
@@ -106,29 +106,29 @@
 						if f.Hold {
 							l.Reset() // those that stood; no more come up
 						}
-						w.until("connects", func() bool { return met(l) })
+						w.waitUntil("connects", func() bool { return met(l) })
 					}
 				}
 			}
-			for most := 20; most <= 40; most += 20 {
-				all(link.Fault{Hold: true}, func(l *link.Link) bool { return l.Open() == 0 })
-				stop := w.Run(w.ctx, Load{Clients: 4, Gap: 50 * time.Millisecond, Ask: func(_, client, n int) Ask {
-					return Ask{Shard: n % 2, Volume: client, Deadline: 3 * time.Second, Leave: 100 * time.Millisecond}
+			for minDisconnects := 20; minDisconnects <= 40; minDisconnects += 20 {
+				setLinks(link.Fault{Hold: true}, func(l *link.Link) bool { return l.Open() == 0 })
+				stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: 50 * time.Millisecond, Request: func(_, client, n int) ClientRequest {
+					return ClientRequest{Shard: n % 2, Volume: client, Deadline: 3 * time.Second, DisconnectAfter: 100 * time.Millisecond}
 				}})
-				w.until("clients leave while their requests wait", func() bool { n, _ := departures(w.History()); return n >= most })
+				w.waitUntil("clients leave while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
 				stop() // at once after that connects come up, up to 1 s later: what still waited would be sent on
-				all(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 })
-				w.serves(some)
+				setLinks(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 })
+				w.waitServed(serveCount)
 			}
-			waited, late := departures(w.History())
-			if w.t.Logf("of %d that waited %d were sent on 0.3 s later", waited, late); 4*late > waited {
+			waited, sentLate := countDisconnects(w.History())
+			if w.t.Logf("of %d that waited %d were sent on 0.3 s later", waited, sentLate); 4*sentLate > waited {
 				w.t.Fail()
 			}
 		}},
-		{fault: "all restarted at once, the list down", expected: "nine in ten are ready within 10 s", opt: Options{Known: true}, run: func(w *world) {
-			quick, all := 0, 0
+		{fault: "all restarted at once, the list down", expected: "nine in ten are ready within 10 s", opt: Options{Known: true}, run: func(w *fixture) {
+			readyInTime, setLinks := 0, 0
 			for range 4 {
-				w.lists(ListDown)
+				w.setListFaults(ListDown)
 				for i := range w.opt.Daemons {
 					w.must(w.Kill(i))
 				}
@@ -138,35 +138,35 @@
 				}
 				for i := range w.opt.Daemons {
 					w.must(w.WaitReady(w.ctx, i))
-					if all++; time.Since(start) < 10*time.Second {
-						quick++
+					if setLinks++; time.Since(start) < 10*time.Second {
+						readyInTime++
 					}
 				}
-				w.risen()
-				w.lists(ListWell)
-				w.serves(some)
+				w.markAllUp()
+				w.setListFaults(ListWell)
+				w.waitServed(serveCount)
 			}
-			if 10*quick < 9*all {
-				w.t.Errorf("%d of %d were ready in time", quick, all)
+			if 10*readyInTime < 9*setLinks {
+				w.t.Errorf("%d of %d were ready in time", readyInTime, setLinks)
 			}
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			w := beginAt(t, x.opt, max(x.service, 2*time.Millisecond))
-			w.traffic()
-			w.serves(some)
+			w := newFixtureWithService(t, x.opt, max(x.service, 2*time.Millisecond))
+			w.startTraffic()
+			w.waitServed(serveCount)
 			x.run(w)
-			w.end()
+			w.stopAndAudit()
 			t.Log(x.expected)
 		})
 	}
 }
 
-// risen notes that all daemons that were down serve again.
-func (w *world) risen() {
+// markAllUp notes that all daemons that were down serve again.
+func (w *fixture) markAllUp() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.opt.Daemons {
-		w.rises(i)
+		w.markUp(i)
 	}
 }
--- /dev/null
+++ b/internal/testkit/cluster/delegation_test.go
@@ -0,0 +1,448 @@
+package cluster
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
+	"wheatsaddle/internal/testkit/historycheck"
+)
+
+// delegationFixture is a fleet whose last daemon hands parts of gathered reads on to the others, each over a link.
+type delegationFixture struct {
+	*fixture
+	coordinator     int
+	delegationLinks []*link.Link // to peers
+	nodeRows        *node.Rows
+	reads           []historycheck.Taken
+	answers         []historycheck.Answered
+	gossip          gossipFixture // where they know who is alive
+}
+
+const limitedPlan = "small" // a plan with a limit
+
+// newDelegationFixture starts four daemons over shards of one node each; tree: that of the site, "": nothing is handed on; rules: put over the class
+func newDelegationFixture(t *testing.T, shards, rows int, tree, rules string, withGossip ...bool) *delegationFixture {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("several processes")
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
+	t.Cleanup(cancel)
+	g := &delegationFixture{coordinator: 3, nodeRows: &node.Rows{Seed: 9, Count: rows, Shared: 0.2, Same: 0.5, Pad: 24}}
+	opt := Options{Daemon: daemonPath, Seed: 7, Daemons: 4, Peers: len(withGossip) > 0, Settings: map[string]any{"ceilings": map[string]any{"peers": true},
+		"profiles": append(Defaults(1, 0, 1)["profiles"].([]map[string]any),
+			map[string]any{"name": "read-once", "goal-time": 200, "deadline": 1000, "worth": 2., "late-worth": 1., "repeat": "unsafe"})}}
+	for j := range shards {
+		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j, Rows: g.nodeRows})
+	}
+	opt.Args = func(f *Fleet, i int) []string {
+		class := map[string]any{"order": []map[string]any{{"key": "k", "type": "integer"}}, "memory": map[string]any{"bytes": 1 << 20},
+			"records": map[string]any{"max_bytes": 4096}}
+		if rules != "" {
+			if err := json.Unmarshal([]byte(rules), &class); err != nil {
+				t.Fatal(err)
+			}
+		}
+		section := map[string]any{"reads_at_once": 2, "parts_most": 24, "share": 0.1, "rules": map[string]any{"classes": map[string]any{"read": class, "read-once": class}}}
+		if i == g.coordinator && tree != "" {
+			var peers []map[string]any
+			for j := range i {
+				l, err := link.New(link.Options{Seed: uint64(j), Network: "tcp", To: f.Proc(j).Listen})
+				if err != nil {
+					t.Fatal(err)
+				}
+				t.Cleanup(l.Close)
+				g.delegationLinks = append(g.delegationLinks, l)
+				peers = append(peers, map[string]any{"name": fmt.Sprint("n", j), "address": l.Addr()})
+			}
+			peers = append(peers, map[string]any{"name": fmt.Sprint("n", i), "address": "127.0.0.1:1"}) // itself: passed over
+			section["peers"], section["tree"] = peers, json.RawMessage(tree)
+		}
+		site := map[string]any{}
+		if opt.Peers {
+			var at string
+			site, at = gossipSite(t, f, i)
+			g.gossip.metrics = append(g.gossip.metrics, at)
+		}
+		site["gather"] = section
+		text, err := json.Marshal(site)
+		if err != nil {
+			t.Fatal(err)
+		}
+		file := filepath.Join(f.Dir(i), "site.json")
+		if err := os.WriteFile(file, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return []string{"--site", file}
+	}
+	f, err := Start(ctx, opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	g.fixture = &fixture{Fleet: f, t: t, ctx: ctx}
+	g.gossip.fixture = g.fixture
+	for i := range opt.Daemons { // the root last: its peers have the list then
+		g.must(g.Wait(ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
+			if r := g.readAt(i, "read", defaultPlan, 8*time.Second); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
+				return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
+			}
+			return nil
+		}))
+	}
+	return g
+}
+
+// readResult is how a gathered read ended for its client.
+type readResult struct {
+	httpResponse
+	rows [][]byte
+	took time.Duration
+}
+
+// read asks the root for all shards.
+func (g *delegationFixture) read(class, plan string, patience time.Duration) readResult {
+	return g.readAt(g.coordinator, class, plan, patience)
+}
+
+func (g *delegationFixture) readAt(i int, class, plan string, patience time.Duration) (r readResult) {
+	f := g.Fleet
+	taken, text := f.newGatheredRead(i, class, plan, patience)
+	defer func() {
+		end := historycheck.Whole
+		if r.err != nil {
+			end = historycheck.Cut
+		}
+		g.reads, g.answers = append(g.reads, taken), append(g.answers, historycheck.Answered{ID: taken.ID, At: f.now(), End: end})
+		r.took = f.now() - taken.At
+	}()
+	nc, err := net.Dial("tcp", f.ClientLink(i).Addr())
+	if err != nil {
+		r.err = err
+		return r
+	}
+	defer nc.Close()
+	if r.err = nc.SetDeadline(time.Now().Add(patience + 2*time.Second)); r.err != nil {
+		return r
+	}
+	if r.httpResponse = exchangeRaw(nc, text); r.code == http.StatusOK {
+		r.rows = bytes.Split(bytes.TrimSuffix(r.body, []byte("\n")), []byte("\n"))
+	}
+	return r
+}
+
+// checkComplete holds an answer against the flat merge.
+func (g *delegationFixture) checkComplete(what string, r readResult, patience time.Duration) {
+	g.t.Helper()
+	var shards []int
+	for j := range g.opt.Nodes {
+		shards = append(shards, j)
+	}
+	// Rows of one key stand in the order of parts' names.
+	slices.SortFunc(shards, func(a, b int) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+	want := g.nodeRows.Flat(shards, node.Flat{Keep: "all"})
+	if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() || !slices.EqualFunc(r.rows, want, bytes.Equal) {
+		g.t.Errorf("%s: %v, code %d, %d rows of %d, %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
+	}
+	if r.took > patience {
+		g.t.Errorf("%s: %v is over its %v", what, r.took, patience)
+	}
+}
+
+// sawAllShards says whether the last read asked as many shards: a daemon may not know of all yet.
+func (g *delegationFixture) sawAllShards(shards int) bool {
+	return g.countParts(true)+g.countParts(false) >= shards
+}
+
+// countParts are the ids that nodes were asked under, of the last read; those of groups carry /g.
+func (g *delegationFixture) countParts(groups bool) (n int) {
+	last := g.reads[len(g.reads)-1].ID
+	for _, s := range g.History().Sent {
+		if strings.HasPrefix(s.ID, last+"/") && strings.HasPrefix(s.ID, last+"/g") == groups {
+			n++
+		}
+	}
+	return n
+}
+
+// audit asks the auditor: each part is a request of its own, which ends with its read; one that a peer asked, which hears
+// of the end over the net, with its read's deadline.
+func (g *delegationFixture) audit() {
+	g.t.Helper()
+	h := g.History()
+	seen := map[string]bool{}
+	for _, s := range h.Sent {
+		read, part, ok := strings.Cut(s.ID, "/")
+		readIndex := slices.IndexFunc(g.reads, func(r historycheck.Taken) bool { return r.ID == read })
+		if !ok || readIndex < 0 || seen[s.ID] {
+			continue
+		}
+		seen[s.ID] = true
+		taken, answered := g.reads[readIndex], g.answers[readIndex]
+		if strings.HasPrefix(part, "g") {
+			answered.At = max(answered.At, taken.GivesUp)
+		}
+		taken.ID, answered.ID, answered.End, answered.Of = s.ID, s.ID, historycheck.Whole, ""
+		taken.GivesUp = max(taken.GivesUp, answered.At)
+		h.Taken, h.Answered = append(h.Taken, taken), append(h.Answered, answered)
+	}
+	h.Taken, h.Answered = append(h.Taken, g.reads...), append(h.Answered, g.answers...)
+	for i, v := range historycheck.Check(g.Rules(), h) {
+		if i < 5 {
+			g.t.Error(v)
+		}
+	}
+	if len(seen) == 0 || g.t.Failed() {
+		g.t.Errorf("%d parts asked of nodes\n%s", len(seen), g.Logs())
+	}
+}
+
+// startRead begins a read and returns its end.
+func (g *delegationFixture) startRead(patience time.Duration) <-chan readResult {
+	end := make(chan readResult, 1)
+	go func() { end <- g.read("read", defaultPlan, patience) }()
+	return end
+}
+
+// Part 4, across processes: each row is a fault of peers in the middle of a gathered read of 12 parts over four daemons.
+func TestDelegatedGatherPeerFaults(t *testing.T) {
+	const shards, rows, patience = 12, 500, 8 * time.Second
+	slow := link.Fault{Trickle: 16 << 10} // a group takes some seconds
+	waitAnswerBegun := func(g *delegationFixture, j int) {
+		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
+	}
+	for _, x := range []struct {
+		fault, expected string
+		patience        time.Duration
+		before, amid    func(*delegationFixture)
+		happened        func(*delegationFixture) bool
+		aside           []int // peers that the root names
+		retaken         bool  // it asks for a group itself
+		either          bool  // or another peer has it
+	}{
+		{fault: "none", expected: "each peer gathers a group, each part is asked once"},
+		{fault: "a peer is killed mid-gather", expected: "another takes its group over", aside: []int{0},
+			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].Set(link.Backward, slow)) },
+			amid:   func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
+		{fault: "a peer is silent: SIGSTOP", expected: "another takes its group over", aside: []int{1},
+			before: func(g *delegationFixture) { g.must(g.Stop(1)) }},
+		{fault: "a peer is slow: its link trickles", expected: "another takes its group over", patience: 6 * time.Second, aside: []int{2},
+			before:   func(g *delegationFixture) { g.must(g.delegationLinks[2].Set(link.Backward, link.Fault{Trickle: 1000})) },
+			happened: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).Trickled > 0 }},
+		{fault: "a peer's answer is cut", expected: "another takes its group over", aside: []int{0},
+			before: func(g *delegationFixture) {
+				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
+			},
+			happened: func(g *delegationFixture) bool { return g.delegationLinks[0].Counts(link.Backward).Reset > 0 }},
+		{fault: "two peers gone", expected: "the third takes over, or the root asks itself", aside: []int{0, 1}, either: true,
+			before: func(g *delegationFixture) { g.must(g.Kill(0)); g.must(g.Kill(1)) }},
+		{fault: "all peers gone", expected: "the root asks for every part itself", aside: []int{0, 1, 2}, retaken: true,
+			before: func(g *delegationFixture) { g.must(g.Kill(0)); g.must(g.Kill(1)); g.must(g.Kill(2)) }},
+		{fault: "all peers killed mid-gather", expected: "the root asks for every part itself", aside: []int{0, 1, 2}, retaken: true,
+			before: func(g *delegationFixture) {
+				for _, l := range g.delegationLinks {
+					g.must(l.Set(link.Backward, slow))
+				}
+			},
+			amid: func(g *delegationFixture) {
+				for j := range g.delegationLinks {
+					waitAnswerBegun(g, j)
+				}
+				for j := range g.delegationLinks {
+					g.must(g.Kill(j))
+				}
+			}},
+		{fault: "a peer does not reach its nodes", expected: "the root asks for that group itself", aside: []int{1}, retaken: true,
+			before: func(g *delegationFixture) {
+				for j := range shards {
+					g.must(g.StorageLink(1, j).Set(link.Forward, link.Fault{ResetAfter: 1}))
+				}
+			},
+			happened: func(g *delegationFixture) bool { // at one node, or several
+				met := 0
+				for j := range shards {
+					met += g.StorageLink(1, j).Counts(link.Forward).Reset
+				}
+				return met > 0
+			}},
+	} {
+		t.Run(x.fault, func(t *testing.T) {
+			t.Parallel()
+			inScenarioSlot(func() {
+				timeout := patience
+				if x.patience > 0 {
+					timeout = x.patience
+				}
+				g := newDelegationFixture(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
+				if x.before != nil {
+					x.before(g)
+				}
+				end := g.startRead(timeout)
+				if x.amid != nil {
+					x.amid(g)
+				}
+				g.checkComplete("the read", <-end, timeout)
+				if x.happened != nil && !x.happened(g) {
+					t.Error("the fault did not happen")
+				}
+				for j := range g.delegationLinks {
+					named := strings.Contains(g.Proc(g.coordinator).Log(), fmt.Sprintf("peer \\\"n%d\\\"", j))
+					if named != slices.Contains(x.aside, j) {
+						t.Errorf("peer %d named: %v\n%s", j, named, g.Proc(g.coordinator).Log())
+					}
+				}
+				if n := g.countParts(true); x.fault == "none" && (n != shards*3/4 || g.countParts(false) != shards/4) {
+					t.Errorf("%d parts by groups, %d by the root itself", n, g.countParts(false))
+				}
+				if retaken := g.partsRetakenByCoordinator(); !x.either && (retaken > 0) != x.retaken {
+					t.Errorf("the root gathered %d parts of groups itself", retaken)
+				}
+				before := make([]int, len(g.delegationLinks))
+				for j, l := range g.delegationLinks {
+					before[j] = l.Counts(link.Forward).Conns
+				}
+				g.checkComplete("the next read", g.read("read", defaultPlan, timeout), timeout)
+				for _, j := range x.aside {
+					if now := g.delegationLinks[j].Counts(link.Forward).Conns; now != before[j] {
+						t.Errorf("peer %d rests, and was asked", j)
+					}
+				}
+				g.audit()
+			})
+		})
+	}
+}
+
+// Where the processes know who is alive, one that leaves is left out before anybody has asked it, and one that comes is asked.
+func TestDelegationFollowsMembership(t *testing.T) {
+	t.Parallel()
+	inScenarioSlot(func() {
+		const patience = 8 * time.Second
+		g := newDelegationFixture(t, 12, 50, `{"least_parts":4,"rest_ms":60000,"rest_most_ms":60000}`, "", true)
+		members := func(n float64) {
+			g.waitUntil("members", func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
+		}
+		conns := func() int { return g.delegationLinks[1].Counts(link.Forward).Conns }
+		read := func(groups float64) {
+			was := g.gossip.metric(g.coordinator, "gather_tree_groups")
+			g.checkComplete("a read", g.read("read", defaultPlan, patience), patience)
+			if n := g.gossip.metric(g.coordinator, "gather_tree_groups") - was; n != groups {
+				t.Errorf("%v groups, not %v", n, groups)
+			}
+		}
+		members(4)
+		read(3)
+		before := conns()
+		g.must(g.Terminate(1))
+		g.must(g.Proc(1).End(g.ctx))
+		members(3)
+		if read(2); conns() != before {
+			t.Error("one that left was asked")
+		}
+		g.must(g.Restart(g.ctx, 1))
+		members(4)
+		if read(3); conns() == before {
+			t.Error("one that is back was not asked")
+		}
+		if n := g.gossip.metric(g.coordinator, "gather_tree_rows"); n < 3*100 || g.gossip.metric(g.coordinator, `gather_tree_failures{code="scatter-peer-failed"}`) != 0 {
+			t.Errorf("%v rows, or a failure\n%s", n, g.Proc(g.coordinator).Log())
+		}
+		g.audit()
+	})
+}
+
+func inScenarioSlot(run func()) {
+	scenarioSlots <- struct{}{}
+	defer func() { <-scenarioSlots }()
+	run()
+}
+
+// partsRetakenByCoordinator is how many parts of groups the root itself asked nodes for.
+func (g *delegationFixture) partsRetakenByCoordinator() (n int) {
+	last := g.reads[len(g.reads)-1].ID
+	for j := range g.opt.Nodes {
+		conns := map[string]bool{}
+		for _, c := range g.StorageLink(g.coordinator, j).Conns() {
+			conns[c.Out] = true
+		}
+		for _, a := range g.Node(j).Attempts() {
+			if conns[a.From] && strings.HasPrefix(a.ID, last+"/g") {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// What is not handed on: a class that is not safe to repeat, a plan with a limit, a read of few parts.
+func TestReadsThatAreNotDelegated(t *testing.T) {
+	t.Parallel()
+	inScenarioSlot(func() {
+		g := newDelegationFixture(t, 6, 50, `{"least_parts":4}`, "")
+		for _, c := range []struct {
+			class, plan string
+			groups      bool
+		}{{"read-once", defaultPlan, false}, {"read", limitedPlan, false}, {"read", defaultPlan, true}} {
+			g.checkComplete(c.class+" "+c.plan, g.read(c.class, c.plan, 8*time.Second), 8*time.Second)
+			if got := g.countParts(true); (got > 0) != c.groups || got+g.countParts(false) != 6 {
+				t.Errorf("%+v: %d parts of groups, %d of its own", c, got, g.countParts(false))
+			}
+		}
+		g.audit()
+	})
+}
+
+var measureCost = flag.Bool("measure", false, "print what a read of 24 parts costs with and without peers")
+
+// A read of 24 parts over four processes, with and without peers, in one run.
+func TestDelegationCost(t *testing.T) {
+	if !*measureCost {
+		t.Skip("-measure is not given")
+	}
+	const shards, rows, reads = 24, 2000, 21
+	for _, kind := range []struct{ name, rules string }{{"all rows", ""}, {"highest of a key", `{"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}}`}, {"top 100", `{"truncate":{"top":100}}`}} {
+		for _, tree := range []string{"", `{"least_parts":4,"silent_ms":2000}`} {
+			t.Run(fmt.Sprint(kind.name, tree != ""), func(t *testing.T) {
+				g := newDelegationFixture(t, shards, rows, tree, kind.rules)
+				bytesReceived := func() (n int) {
+					for j := range shards {
+						n += g.StorageLink(g.coordinator, j).Counts(link.Backward).Bytes
+					}
+					for _, l := range g.delegationLinks {
+						n += l.Counts(link.Backward).Bytes
+					}
+					return n
+				}
+				before, parts := bytesReceived(), 0
+				var durations []time.Duration
+				for range reads {
+					r := g.read("read", defaultPlan, 20*time.Second)
+					if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() && r.result.Get("truncated").Str == "" {
+						t.Fatalf("%v %d %s", r.err, r.code, r.result.Raw)
+					}
+					durations = append(durations, r.took)
+					parts = g.countParts(false)
+				}
+				slices.Sort(durations)
+				bytes := (bytesReceived() - before) / reads
+				g.must(g.Terminate(g.coordinator))
+				g.must(g.Proc(g.coordinator).End(g.ctx))
+				t.Logf("| %s | %v | %d | %d KB | %v (%v to %v) | %v |", kind.name, tree != "", parts, bytes>>10, durations[reads/2].Round(100*time.Microsecond),
+					durations[0].Round(100*time.Microsecond), durations[reads-1].Round(100*time.Microsecond), g.Proc(g.coordinator).CPU().Round(10*time.Millisecond))
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/testkit/cluster/discovery_list.go
@@ -0,0 +1,191 @@
+package cluster
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/internal/testkit/historycheck"
+)
+
+// Entry is a node in the endpoint list.
+type Entry = discovery.Entry
+
+// ListFault is a fault of a discovery service.
+type ListFault int
+
+// Faults of a discovery service.
+const (
+	ListWell    ListFault = iota
+	ListSilent            // watches are accepted but receive nothing
+	ListStalled           // open watches never receive anything again; new ones do
+	ListReset             // open and new watches are reset
+	ListDown              // nobody listens
+)
+
+var listFaults = map[ListFault]discovery.Fault{ListWell: {}, ListSilent: {Silent: true}, ListStalled: {Silent: true, Answers: true, Lost: true},
+	ListReset: {Reset: true}, ListDown: {Shut: true}}
+
+// List is the discovery service of one scheduler. In a fleet with links each scheduler has its own, as its
+// list contains the addresses of its own links. Otherwise it is one caller's view of the fleet's shared service.
+type List interface {
+	Addr() string
+	Put(entries ...Entry) error // sends the changes to all watches in one line
+	Set(ListFault) error
+	WatchRequests() int // number of watch requests received, answered or not
+	Close()
+}
+
+// firstIndex is the version of a list before its first entry. A caller without a list names an earlier version,
+// which the service's history does not reach back to, and so receives the whole list.
+const firstIndex = 8
+
+// fakeList is a fake discovery service as one caller sees it.
+type fakeList struct {
+	*discovery.Service
+	caller, address string
+	ownsService     bool // the service belongs to this list alone and is closed with it
+}
+
+func newFakeList(s *discovery.Service, caller string, own bool) (*fakeList, error) {
+	at, err := s.AddrFor(caller)
+	return &fakeList{s, caller, at, own}, err
+}
+
+// Addr implements List.
+func (l *fakeList) Addr() string { return l.address }
+
+// WatchRequests implements List.
+func (l *fakeList) WatchRequests() int { return l.Counts(l.caller).Came }
+
+// Put implements List.
+func (l *fakeList) Put(entries ...Entry) error { l.Service.Put(entries...); return nil }
+
+// Set implements List.
+func (l *fakeList) Set(f ListFault) error { return l.Service.Set(listFaults[f], l.caller) }
+
+// Close implements List.
+func (l *fakeList) Close() {
+	if l.ownsService {
+		l.Service.Close()
+	}
+}
+
+// newList creates daemon i's list.
+func (f *Fleet) newList(i int) (List, error) {
+	if f.opt.NewList != nil {
+		return f.opt.NewList(i, func(entries []Entry) { f.recordNotified(i, entries) })
+	}
+	name := func(i int) string { return fmt.Sprint("n", i) }
+	service := f.sharedList
+	if service == nil {
+		options := f.opt.List
+		options.Shared, options.Index = f.listCapacity, firstIndex
+		callers := map[string]int{}
+		for k := range f.opt.Daemons {
+			callers[name(k)] = k
+		}
+		options.Written = func(caller string, full bool, entries []Entry, _ time.Time) {
+			if full { // a full list implies that all nodes not in it have left
+				entries = append(slices.Clone(entries), f.leftNodes()...)
+			}
+			f.recordNotified(callers[caller], entries)
+		}
+		var err error
+		if service, err = discovery.New(options); err != nil {
+			return nil, err
+		}
+		if f.opt.Direct {
+			f.sharedList = service
+		}
+	}
+	l, err := newFakeList(service, name(i), !f.opt.Direct)
+	if err != nil {
+		l.Close()
+		return nil, err
+	}
+	return l, nil
+}
+
+// recordNotified records the entries that were written to daemon i.
+func (f *Fleet) recordNotified(i int, entries []Entry) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, e := range entries {
+		f.history.Told = append(f.history.Told, historycheck.Told{Scheduler: i, Node: e.Name, Word: statusWords[e.Status], At: f.now()})
+	}
+}
+
+// leftNodes returns the nodes that have left the list.
+func (f *Fleet) leftNodes() (all []Entry) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for j, s := range f.nodeStatus {
+		if s == discovery.Left {
+			all = append(all, Entry{Name: f.opt.Nodes[j].Name, Status: s})
+		}
+	}
+	return all
+}
+
+// Calls are those of the list, of all daemons.
+func (f *Fleet) Calls() discovery.Load { return f.listCapacity.Load() }
+
+// CallsFrom resets the counts of Calls.
+func (f *Fleet) CallsFrom() { f.listCapacity.Forget() }
+
+func (f *Fleet) entry(i, j int) Entry {
+	at := f.nodeAddresses[j]
+	if l := f.StorageLink(i, j); l != nil {
+		at = l.Addr()
+	}
+	return Entry{Name: f.opt.Nodes[j].Name, Address: at, Group: f.opt.Nodes[j].Shard, Status: f.nodeStatus[j], Weight: 1, SinceMS: f.startTimes[j]}
+}
+
+// recordColdStart records that a node starts cold now, and returns its since_ms, a Unix time.
+func (f *Fleet) recordColdStart(node string) int64 {
+	f.history.Cold = append(f.history.Cold, historycheck.Change{Node: node, At: f.now()})
+	return time.Now().UnixMilli()
+}
+
+// SetNodeStatus sets a node's status to active, leaving or left in all lists.
+func (f *Fleet) SetNodeStatus(j int, status string) error {
+	f.mu.Lock()
+	f.nodeStatus[j] = discovery.Status(status)
+	f.history.Changed = append(f.history.Changed, historycheck.Change{Node: f.opt.Nodes[j].Name, Word: statusWords[f.nodeStatus[j]], At: f.now()})
+	f.mu.Unlock()
+	var errs []error
+	for i, l := range f.discoveryLists {
+		if i == 0 || !f.opt.Direct {
+			errs = append(errs, l.Put(f.entry(i, j)))
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// Replace lists a node in all lists as one that has just started under the same name.
+func (f *Fleet) Replace(j int) error {
+	f.mu.Lock()
+	f.startTimes[j] = f.recordColdStart(f.opt.Nodes[j].Name)
+	f.mu.Unlock()
+	return f.SetNodeStatus(j, "active")
+}
+
+// SetList sets the fault of daemon i's discovery service.
+func (f *Fleet) SetList(i int, fault ListFault) error {
+	f.mu.Lock()
+	openSpan := slices.IndexFunc(f.history.Deaf, func(s historycheck.Span) bool { return s.Scheduler == i && s.To == historycheck.Never })
+	answersNewWatches := fault == ListWell || fault == ListStalled
+	if !answersNewWatches && openSpan < 0 {
+		f.history.Deaf = append(f.history.Deaf, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never, Turned: fault != ListSilent})
+	}
+	if answersNewWatches && openSpan >= 0 {
+		f.history.Deaf[openSpan].To = f.now()
+	}
+	f.mu.Unlock()
+	return f.discoveryLists[i].Set(fault)
+}
+
+var statusWords = map[discovery.Status]historycheck.Word{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Gone}
--- a/internal/testkit/cluster/errors.go
+++ b/internal/testkit/cluster/errors.go
@@ -7,41 +7,43 @@
 	"wheatsaddle/internal/operr"
 )
 
-// NoDaemon is a daemon that could not be built or started.
-type NoDaemon struct {
+// DaemonError reports that the daemon could not be built or started.
+type DaemonError struct {
 	Err    error
 	Output string
 }
 
-func (e *NoDaemon) Error() string {
-	return strings.TrimSpace(fmt.Sprintf("procs: no daemon: %v %s", e.Err, e.Output))
+func (e *DaemonError) Error() string {
+	return strings.TrimSpace(fmt.Sprintf("cluster: daemon cannot be built or started: %v %s", e.Err, e.Output))
 }
-func (e *NoDaemon) Unwrap() error { return e.Err }
+func (e *DaemonError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *NoDaemon) Code() string { return "procs-no-daemon" }
+func (e *DaemonError) Code() string { return "procs-no-daemon" }
 
 // Advice implements operr.Coded.
-func (e *NoDaemon) Advice() string {
-	return "build the daemon beside this program, or run it from its source with a Go compiler"
+func (e *DaemonError) Advice() string {
+	return "put the built daemon into the directory of this program, or run this program from its source with a Go compiler installed"
 }
 
-// NotMet is a condition that was waited for and did not come.
-type NotMet struct {
-	What string
-	Last error  // what the condition said last; nil: nothing
-	Logs string // the ends of the processes' logs
+// WaitError reports a condition that did not hold before the context ended.
+type WaitError struct {
+	Condition string
+	LastErr   error  // the condition's last error
+	Logs      string // last lines of the processes' logs
 }
 
-func (e *NotMet) Error() string {
-	return fmt.Sprintf("procs: waited in vain: %s (%v)\n%s", e.What, e.Last, e.Logs)
+func (e *WaitError) Error() string {
+	return fmt.Sprintf("cluster: condition not met in time: %s (%v)\n%s", e.Condition, e.LastErr, e.Logs)
 }
-func (e *NotMet) Unwrap() error { return e.Last }
+func (e *WaitError) Unwrap() error { return e.LastErr }
 
 // Code implements operr.Coded.
-func (e *NotMet) Code() string { return "procs-not-met" }
+func (e *WaitError) Code() string { return "procs-not-met" }
 
 // Advice implements operr.Coded.
-func (e *NotMet) Advice() string { return "the logs of the processes say what they did meanwhile" }
+func (e *WaitError) Advice() string {
+	return "look in the logs of the processes for what they did while the condition was awaited"
+}
 
-var _ = func() bool { operr.Register(&NoDaemon{}, &NotMet{}); return true }()
+var _ = func() bool { operr.Register(&DaemonError{}, &WaitError{}); return true }()
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -12,16 +12,16 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-const some = 20 // requests that show that a daemon serves
+const serveCount = 20 // requests that show that a daemon serves
 
-// told waits until each daemon was told that node 0 drains, with traffic before and after.
-func (w *world) told() {
+// waitDrainNotified waits until each daemon was told that node 0 drains, with traffic before and after.
+func (w *fixture) waitDrainNotified() {
 	w.t.Helper()
-	w.until("each daemon is told", func() bool {
+	w.waitUntil("each daemon is told", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for i := range w.opt.Daemons {
-			if !slices.ContainsFunc(w.h.Told, func(x historycheck.Told) bool {
+			if !slices.ContainsFunc(w.history.Told, func(x historycheck.Told) bool {
 				return x.Scheduler == i && x.Node == "s0" && x.Word == historycheck.Draining
 			}) {
 				return false
@@ -29,42 +29,42 @@
 		}
 		return true
 	})
-	w.serves(some)
+	w.waitServed(serveCount)
 }
 
-func (w *world) lists(f ListFault) {
+func (w *fixture) setListFaults(f ListFault) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		w.must(w.SetList(i, f))
 	}
 }
 
-// askedAgain waits until each daemon has asked for the list so many times more.
-func (w *world) askedAgain(more int) {
+// waitWatchRequests waits until each daemon has asked for the list so many times more.
+func (w *fixture) waitWatchRequests(more int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
-		base := w.List(i).Asked()
-		w.until("the list is asked for again", func() bool { return w.List(i).Asked() >= base+more })
+		base := w.List(i).WatchRequests()
+		w.waitUntil("the list is asked for again", func() bool { return w.List(i).WatchRequests() >= base+more })
 	}
 }
 
-// storage sets a fault of the links from all daemons to node 0, and waits until it has happened on each.
-func (w *world) storage(f link.Fault, happened func(*link.Link) bool) {
+// setStorageFault sets a fault of the links from all daemons to node 0, and waits until it has happened on each.
+func (w *fixture) setStorageFault(f link.Fault, occurred func(*link.Link) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		w.must(w.StorageLink(i, 0).Set(link.Forward, f))
 	}
-	if happened != nil {
+	if occurred != nil {
 		for i := range w.opt.Daemons {
-			w.until("the fault happens", func() bool { return happened(w.StorageLink(i, 0)) })
+			w.waitUntil("the fault happens", func() bool { return occurred(w.StorageLink(i, 0)) })
 		}
 	}
 }
 
-func (w *world) endsOf(e historycheck.End) (n int) {
+func (w *fixture) countEnds(e historycheck.End) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range w.h.Answered {
+	for _, a := range w.history.Answered {
 		if a.End == e {
 			n++
 		}
@@ -74,115 +74,115 @@
 
 // Part 1: the list's clock and final answers. Each row is a fault and what is expected of three
 // daemons; what the auditor finds of any row is unexpected.
-func TestFaults(t *testing.T) {
+func TestListAndStorageFaults(t *testing.T) {
 	slow := 100 * time.Millisecond
 	for _, x := range []struct {
 		fault, expected string
 		opt             Options
 		service         time.Duration
 		skip            string
-		run             func(*world)
+		run             func(*fixture)
 	}{
-		{fault: "list silent, then a drain", expected: "asked again at the silence; told once it speaks; no send after", run: func(w *world) {
-			w.lists(ListSilent)
-			w.askedAgain(1)
-			w.must(w.Mark(0, "leaving"))
-			w.lists(ListWell)
-			w.told()
+		{fault: "list silent, then a drain", expected: "asked again at the silence; told once it speaks; no send after", run: func(w *fixture) {
+			w.setListFaults(ListSilent)
+			w.waitWatchRequests(1)
+			w.must(w.SetNodeStatus(0, "leaving"))
+			w.setListFaults(ListWell)
+			w.waitDrainNotified()
 		}},
 		{fault: "watches mute for ever, a drain", expected: "asked again within rules.ask-within and told", opt: Options{Settings: map[string]any{
-			"rules": map[string]any{"ask-within": 6000}}}, run: func(w *world) {
-			w.lists(ListMute)
-			w.must(w.Mark(0, "leaving"))
-			w.told()
+			"rules": map[string]any{"ask-within": 6000}}}, run: func(w *fixture) {
+			w.setListFaults(ListStalled)
+			w.must(w.SetNodeStatus(0, "leaving"))
+			w.waitDrainNotified()
 		}},
-		{fault: "watches reset, then a drain", expected: "asked again, rarer each time; told within fourfold ask-within, 6 s at most", run: func(w *world) {
-			w.lists(ListReset)
-			w.askedAgain(2)
-			w.must(w.Mark(0, "leaving"))
-			w.lists(ListWell)
-			w.told()
+		{fault: "watches reset, then a drain", expected: "asked again, rarer each time; told within fourfold ask-within, 6 s at most", run: func(w *fixture) {
+			w.setListFaults(ListReset)
+			w.waitWatchRequests(2)
+			w.must(w.SetNodeStatus(0, "leaving"))
+			w.setListFaults(ListWell)
+			w.waitDrainNotified()
 		}},
 		{fault: "list down at start, then a drain", expected: "ready and serving from the known list; told once it is up", opt: Options{Known: true, ListDown: true},
-			run: func(w *world) {
-				w.must(w.Mark(0, "leaving"))
-				w.serves(some)
-				w.lists(ListWell)
-				w.told()
+			run: func(w *fixture) {
+				w.must(w.SetNodeStatus(0, "leaving"))
+				w.waitServed(serveCount)
+				w.setListFaults(ListWell)
+				w.waitDrainNotified()
 			}},
 		{fault: "connects to a node come up late", expected: "served by another meanwhile; nothing is written for what has ended", opt: Options{Settings: map[string]any{
-			"ceilings": map[string]any{"second-copies": true, "connect-timeout": 3000}}}, run: func(w *world) {
+			"ceilings": map[string]any{"second-copies": true, "connect-timeout": 3000}}}, run: func(w *fixture) {
 			for i := range w.opt.Daemons {
 				w.StorageLink(i, 0).Reset()
 			}
-			w.storage(link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
-			w.serves(some)
-			w.storage(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
-			w.serves(some)
+			w.setStorageFault(link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
+			w.waitServed(serveCount)
+			w.setStorageFault(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
+			w.waitServed(serveCount)
 		}},
-		{fault: "node silent in the middle of answers", expected: "reads served by another, writes answered and not sent again", run: func(w *world) {
-			a, err := address.Parse(w.real[0])
+		{fault: "node silent in the middle of answers", expected: "reads served by another, writes answered and not sent again", run: func(w *fixture) {
+			a, err := address.Parse(w.nodeAddresses[0])
 			w.must(err)
 			w.must(w.Node(0).Set(a, node.Half))
 			base := w.Node(0).Counts().Ran
-			w.until("half answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
-			w.serves(some)
+			w.waitUntil("half answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
+			w.waitServed(serveCount)
 			w.must(w.Node(0).Set(a, node.None))
-			w.serves(some)
+			w.waitServed(serveCount)
 		}},
-		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not sent again", run: func(w *world) {
-			w.storage(link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
-			w.serves(some)
-			w.storage(link.Fault{}, nil)
-			w.serves(some)
+		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not sent again", run: func(w *fixture) {
+			w.setStorageFault(link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
+			w.waitServed(serveCount)
+			w.setStorageFault(link.Fault{}, nil)
+			w.waitServed(serveCount)
 		}},
-		{fault: "clients gone early", expected: "nothing is sent for them any more; others are served", service: slow, run: func(w *world) {
-			stop := w.Run(w.ctx, Load{Clients: 2, Gap: time.Millisecond, Ask: func(_, client, n int) Ask {
-				return Ask{Shard: n % 2, Volume: client, Leave: time.Duration(1+n%50) * time.Millisecond}
+		{fault: "clients gone early", expected: "nothing is sent for them any more; others are served", service: slow, run: func(w *fixture) {
+			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
+				return ClientRequest{Shard: n % 2, Volume: client, DisconnectAfter: time.Duration(1+n%50) * time.Millisecond}
 			}})
-			w.until("clients leave", func() bool { return w.endsOf(historycheck.Left) > 100 })
-			w.serves(some)
+			w.waitUntil("clients leave", func() bool { return w.countEnds(historycheck.Left) > 100 })
+			w.waitServed(serveCount)
 			stop()
 		}},
-		{fault: "one killed with requests open, restarted", expected: "others serve on; it serves again; nothing unsafe runs twice", service: slow, run: func(w *world) {
-			w.until("requests are open there", func() bool { return w.openRequests() > 1 })
+		{fault: "one killed with requests open, restarted", expected: "others serve on; it serves again; nothing unsafe runs twice", service: slow, run: func(w *fixture) {
+			w.waitUntil("requests are open there", func() bool { return w.openRequests() > 1 })
 			w.must(w.Kill(0))
-			w.serves(some, 0)
+			w.waitServed(serveCount, 0)
 			w.must(w.Restart(w.ctx, 0))
-			w.serves(some)
+			w.waitServed(serveCount)
 		}},
-		{fault: "SIGTERM under load with open connections", expected: "all that it took is answered, exit 0", service: slow, run: func(w *world) {
-			w.until("requests are open there", func() bool { return w.openRequests() > 1 })
-			w.must(w.Term(0))
+		{fault: "SIGTERM under load with open connections", expected: "all that it took is answered, exit 0", service: slow, run: func(w *fixture) {
+			w.waitUntil("requests are open there", func() bool { return w.openRequests() > 1 })
+			w.must(w.Terminate(0))
 			w.must(w.Proc(0).End(w.ctx))
-			w.serves(some, 0)
+			w.waitServed(serveCount, 0)
 			w.must(w.Restart(w.ctx, 0))
-			w.serves(some)
+			w.waitServed(serveCount)
 		}},
-		{fault: "one stopped for 1 s, a drain meanwhile", expected: "it acts on the drain when it runs on", run: func(w *world) {
+		{fault: "one stopped for 1 s, a drain meanwhile", expected: "it acts on the drain when it runs on", run: func(w *fixture) {
 			w.must(w.Stop(0))
-			w.must(w.Mark(0, "leaving"))
-			w.serves(some, 0)
+			w.must(w.SetNodeStatus(0, "leaving"))
+			w.waitServed(serveCount, 0)
 			time.Sleep(time.Second) // the fault itself
 			w.must(w.Continue(0))
-			w.told()
+			w.waitDrainNotified()
 		}},
-		{fault: "half-open connections to a node", expected: "reads served by another, writes answered and not sent again", run: func(w *world) {
-			w.storage(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
-			w.serves(some)
-			w.storage(link.Fault{}, nil)
-			w.serves(some)
+		{fault: "half-open connections to a node", expected: "reads served by another, writes answered and not sent again", run: func(w *fixture) {
+			w.setStorageFault(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
+			w.waitServed(serveCount)
+			w.setStorageFault(link.Fault{}, nil)
+			w.waitServed(serveCount)
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
 			if x.skip != "" {
 				t.Skip(x.skip)
 			}
-			w := beginAt(t, x.opt, max(x.service, 2*time.Millisecond))
-			w.traffic()
-			w.serves(some)
+			w := newFixtureWithService(t, x.opt, max(x.service, 2*time.Millisecond))
+			w.startTraffic()
+			w.waitServed(serveCount)
 			x.run(w)
-			w.end()
+			w.stopAndAudit()
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
 					t.Errorf("daemon %d has ended", i)
@@ -193,14 +193,14 @@
 }
 
 // openRequests is how many requests of the first daemon's clients have no end yet.
-func (w *world) openRequests() (n int) {
+func (w *fixture) openRequests() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ended := map[string]bool{}
-	for _, a := range w.h.Answered {
+	for _, a := range w.history.Answered {
 		ended[a.ID] = true
 	}
-	for _, t := range w.h.Taken {
+	for _, t := range w.history.Taken {
 		if t.Scheduler == 0 && !ended[t.ID] {
 			n++
 		}
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -1,10 +1,10 @@
-// Package cluster starts several processes of the built daemon with stand-in nodes, list services and
-// links between each two parties, on loopback, and ends them all again. Tests wait for conditions
-// and not for time, and end by asking the auditor about what happened.
+// Package cluster starts several processes of the built daemon on loopback, together with fake storage
+// nodes, fake discovery services and a link between each two parties, and stops them all again. Tests
+// wait for conditions instead of sleeping, and finish by checking the recorded history with historycheck.
 //
-// Invariants: after Close no process, goroutine, socket or file of the fleet is left; a process ends
-// with this program, however that ends; every request that a client of the fleet sent is in the
-// history with its end.
+// Invariants: Close leaves no process, goroutine, socket or file of the fleet behind. A process is killed
+// when this program ends in any way. The history holds every request that a client of the fleet sent,
+// with its end.
 package cluster
 
 import (
@@ -30,111 +30,112 @@
 )
 
 const (
-	memoryMB  = 128
-	lookEvery = 20 * time.Millisecond
-	logEnd    = 1500 // bytes of a log that an error shows
-	logsMost  = 12   // logs that it shows
+	memoryMB     = 128
+	pollInterval = 20 * time.Millisecond
+	maxLogBytes  = 1500 // log bytes shown per process in an error
+	maxLogs      = 12   // process logs shown in an error
 )
 
-// Storage is one stand-in node.
+// Storage is one fake storage node.
 type Storage struct {
 	Name     string
 	Shard    int
 	Workers  int
 	Queue    int // 0: 256
 	Service  func(*fasthttp.Request) time.Duration
-	Unlisted bool // at the start
-	Cold     bool // it starts with the fleet, cold; else it has long been there
+	Unlisted bool // not in the endpoint list at first
+	Cold     bool // it starts with the fleet and is in slow start; otherwise it has been up for long
 	Rows     *node.Rows
-	Linked   bool // with Direct: all daemons reach it by one link
+	Linked   bool // with Direct, all daemons reach the node over one shared link
 	Tune     func(*node.Options)
 }
 
-// thePlan is the one plan of a fleet's volumes.
-const thePlan = "the-plan"
+// defaultPlan is the plan of all volumes unless a request names another.
+const defaultPlan = "the-plan"
 
-// Options make a fleet.
+// Options configure a fleet.
 type Options struct {
-	Daemon   string // path of the built daemon
-	Dir      string // for files; "": a temporary one, which Close takes away
-	Daemons  int
-	Nodes    []Storage
-	Settings map[string]any // put over the defaults, section by section
-	Seed     uint64
-	Known    bool                                                  // the daemons are started with the list
-	ListDown bool                                                  // nobody listens at the lists' services at first
-	Admin    bool                                                  // each daemon has an admin endpoint
-	Passed   bool                                                  // the clients' sockets are held here, and passed; needs Admin
-	Peers    bool                                                  // links between each two daemons, TCP and UDP
-	Args     func(f *Fleet, i int) []string                        // further arguments of a daemon; nil: none
-	NewList  func(scheduler int, told func([]Entry)) (List, error) // nil: a stand-in of discovery
-	List     discovery.Options                                     // of that; its capacity is the whole fleet's
-	// Direct: nobody has a link but Storage.Linked, and the list is one for all, with a caller for each daemon. For
-	// fleets so large that links would be thousands; what only links see of an attempt's end is not seen.
+	Daemon        string // path of the built daemon
+	Dir           string // for files; "" uses a temporary directory that Close removes
+	Daemons       int
+	Nodes         []Storage
+	Settings      map[string]any // override the defaults section by section
+	Seed          uint64
+	Known         bool                                                      // the daemons' configuration contains the endpoint list
+	ListDown      bool                                                      // the discovery services do not listen at first
+	Admin         bool                                                      // each daemon has an admin endpoint
+	PassedSockets bool                                                      // the fleet holds the client listening sockets and passes them; needs Admin
+	Peers         bool                                                      // each two daemons have a TCP and UDP link
+	Args          func(f *Fleet, i int) []string                            // additional arguments of a daemon; nil: none
+	NewList       func(scheduler int, notified func([]Entry)) (List, error) // nil: a fake discovery service
+	List          discovery.Options                                         // of the fake discovery service; its capacity is shared by the whole fleet
+	// Direct leaves out all links except those of Storage.Linked and gives all daemons one discovery service, with a
+	// caller for each. It is for fleets that would need thousands of links. Ends of attempts that only a link
+	// observes are then missing from the history.
 	Direct   bool
-	Idle     bool // the daemons are not started: Launch does
-	MemoryMB int  // of a daemon; 0: 128
+	Idle     bool // Start does not start the daemons; Launch does
+	MemoryMB int  // per daemon; 0: 128
 	Env      []string
-	Said     func(i int, line []byte) // each line that daemon i writes; nil: nobody hears
+	Said     func(i int, line []byte) // called for each log line of daemon i; may be nil
 }
 
-// Fleet is what runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	opt            Options
 	dir            string
-	own            bool // the directory is ours
+	ownsDir        bool // dir is temporary and removed by Close
 	start          time.Time
 	settings       map[string]any
 	nodes          []*node.Node
-	real           []string
+	nodeAddresses  []string
 	procs          []*Proc
-	lists          []List
-	service        *discovery.Service  // of all daemons; nil: each has one of its own
-	room           *discovery.Capacity // of the lists, unless NewList makes them
-	clients        []*link.Link        // to each daemon
-	listings       []*link.Link        // from each daemon to its list
-	storage        [][]*link.Link      // from each daemon to each node
-	peers          [][]*link.Link      // [i][j], i < j
-	peerAt         []string
+	discoveryLists []List
+	sharedList     *discovery.Service  // shared by all daemons; nil: each daemon has its own
+	listCapacity   *discovery.Capacity // of the fake discovery services
+	clientLinks    []*link.Link        // to each daemon
+	listLinks      []*link.Link        // from each daemon to its list
+	storageLinks   [][]*link.Link      // from each daemon to each node
+	peerLinks      [][]*link.Link      // [i][j], i < j
+	peerAddresses  []string
 	adminAddresses []string
-	confs          []Config
-	beside         []*Proc            // started beside those of procs
-	since          []int64            // since_ms of each node
-	status         []discovery.Status // of each node on the list
+	configs        []Config
+	replacements   []*Proc            // started in addition to procs
+	startTimes     []int64            // since_ms of each node
+	nodeStatus     []discovery.Status // of each node in the endpoint list
 	mu             sync.Mutex
-	h              historycheck.History
-	down           map[int]span // of a daemon that is not up: since when, and why
-	load           sync.WaitGroup
+	history        historycheck.History
+	downSince      map[int]downtime // of the daemons that are down
+	background     sync.WaitGroup
 	done           chan struct{}
-	next           int
-	ok             map[int]int // requests served, by scheduler
-	codes          map[int]int // answers by code, 0: none
-	refused        []Refusal
+	lastSequence   int
+	served         map[int]int // requests served by scheduler
+	answersByCode  map[int]int // 0: no answer
+	rejections     []Rejection
 }
 
-type span struct {
-	from time.Duration
-	kill bool
+type downtime struct {
+	from   time.Duration
+	killed bool
 }
 
-// Defaults are the settings that a fleet's are put over.
-func Defaults(daemons, me, shards int) map[string]any {
-	class := func(name, repeat string, worth float64) map[string]any {
-		return map[string]any{"name": name, "goal-time": 200, "deadline": 1000, "worth": worth, "late-worth": worth / 2, "repeat": repeat}
+// Defaults returns the settings that Options.Settings override.
+func Defaults(daemons, index, shards int) map[string]any {
+	class := func(name, repeat string, priorityWeight float64) map[string]any {
+		return map[string]any{"name": name, "goal-time": 200, "deadline": 1000, "worth": priorityWeight, "late-worth": priorityWeight / 2, "repeat": repeat}
 	}
-	return map[string]any{"me": me, "fleet-size": daemons,
+	return map[string]any{"me": index, "fleet-size": daemons,
 		"ceilings": map[string]any{"max-attempts": 3, "may-cancel": true, "retry-after": true, "max-retry-after": 2000},
 		"rules":    map[string]any{"stop-sending-within": 250, "ask-within": 2000, "overload-for": 3000, "cold-from": 0.24, "cold": 17000, "tip-multiple": 3},
 		"extra":    map[string]any{"usual-units": 1, "largest": 4, "slots-total": shards},
 		"profiles": []map[string]any{class("read", "safe", 2), class("write", "unsafe", 3)},
-		"contracts": []map[string]any{{"name": thePlan, "usual-rate": 1e4, "reservation": 1e4, "shares": 1, "price": 1},
+		"contracts": []map[string]any{{"name": defaultPlan, "usual-rate": 1e4, "reservation": 1e4, "shares": 1, "price": 1},
 			{"name": "small", "usual-rate": 20, "reservation": 20, "shares": 1, "price": 1, "cap": 20, "burst": 10}},
 	}
 }
 
-// over puts settings over others, section by section.
-func over(base, more map[string]any) map[string]any {
-	for k, v := range more {
+// mergeSettings puts overrides over base section by section and returns base.
+func mergeSettings(base, overrides map[string]any) map[string]any {
+	for k, v := range overrides {
 		if section, ok := v.(map[string]any); ok {
 			if old, ok := base[k].(map[string]any); ok {
 				maps.Copy(old, section)
@@ -146,11 +147,11 @@
 	return base
 }
 
-// Start starts it all and waits until every daemon is ready.
+// Start starts the fleet and waits until every daemon is ready, unless Options.Idle is set.
 func Start(ctx context.Context, opt Options) (f *Fleet, err error) {
-	f = &Fleet{opt: opt, dir: opt.Dir, start: time.Now(), down: map[int]span{}, ok: map[int]int{}, codes: map[int]int{}, done: make(chan struct{})}
-	f.load.Add(1)
-	go f.watch()
+	f = &Fleet{opt: opt, dir: opt.Dir, start: time.Now(), downSince: map[int]downtime{}, served: map[int]int{}, answersByCode: map[int]int{}, done: make(chan struct{})}
+	f.background.Add(1)
+	go f.watchStalls()
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -158,7 +159,7 @@
 		}
 	}()
 	if f.dir == "" {
-		f.own = true
+		f.ownsDir = true
 		if f.dir, err = os.MkdirTemp("", "procs"); err != nil {
 			return f, err
 		}
@@ -173,13 +174,13 @@
 		if queue == 0 {
 			queue = 256
 		}
-		made := node.Options{Name: s.Name, Shard: s.Shard, Workers: s.Workers, Service: s.Service, Queue: queue, Record: true, Rows: s.Rows}
+		options := node.Options{Name: s.Name, Shard: s.Shard, Workers: s.Workers, Service: s.Service, Queue: queue, Record: true, Rows: s.Rows}
 		if s.Tune != nil {
-			s.Tune(&made)
+			s.Tune(&options)
 		}
-		n := node.New(made)
+		n := node.New(options)
 		f.nodes = append(f.nodes, n)
-		at, err := FreeAddress() // one that no connection takes while the node is down
+		at, err := FreeAddress() // reserved, so no connection takes the port while the node is down
 		if err != nil {
 			return f, err
 		}
@@ -191,14 +192,14 @@
 		if s.Unlisted {
 			status = discovery.Left
 		}
-		since := int64(-1e6)
+		startTime := int64(-1e6)
 		if s.Cold {
-			since = f.markCold(s.Name)
+			startTime = f.recordColdStart(s.Name)
 		}
-		f.since = append(f.since, since)
-		f.real, f.status = append(f.real, a.String()), append(f.status, status)
+		f.startTimes = append(f.startTimes, startTime)
+		f.nodeAddresses, f.nodeStatus = append(f.nodeAddresses, a.String()), append(f.nodeStatus, status)
 	}
-	if err := f.connect(); err != nil {
+	if err := f.setUp(); err != nil {
 		return f, err
 	}
 	for i := range f.procs {
@@ -217,9 +218,9 @@
 	return f, nil
 }
 
-// connect makes the lists, the links and the daemons' files.
-func (f *Fleet) connect() error {
-	join := func(network, to, from string) (*link.Link, error) {
+// setUp creates the discovery lists, the links and the daemons' files.
+func (f *Fleet) setUp() error {
+	newLink := func(network, to, from string) (*link.Link, error) {
 		f.opt.Seed++
 		return link.New(link.Options{Seed: f.opt.Seed, Network: network, To: to, From: from})
 	}
@@ -231,58 +232,58 @@
 		if f.opt.Direct {
 			break
 		}
-		at, err := FreeAddress()
+		peerAddress, err := FreeAddress()
 		if err != nil {
 			return err
 		}
-		f.peerAt = append(f.peerAt, at)
+		f.peerAddresses = append(f.peerAddresses, peerAddress)
 	}
-	f.peers = make([][]*link.Link, f.opt.Daemons)
+	f.peerLinks = make([][]*link.Link, f.opt.Daemons)
 	for i := range f.opt.Daemons {
 		for j := i + 1; j < f.opt.Daemons && f.opt.Peers && !f.opt.Direct; j++ {
-			l, err := join("both", f.peerAt[j], f.peerAt[i])
+			l, err := newLink("both", f.peerAddresses[j], f.peerAddresses[i])
 			if err != nil {
 				return err
 			}
-			f.peers[i] = append(f.peers[i], l)
+			f.peerLinks[i] = append(f.peerLinks[i], l)
 		}
 	}
 	var err error
-	if f.room, err = discovery.NewCapacity(f.opt.List); err != nil {
+	if f.listCapacity, err = discovery.NewCapacity(f.opt.List); err != nil {
 		return err
 	}
 	for i := range f.opt.Daemons {
-		list, err := f.list(i)
+		list, err := f.newList(i)
 		if err != nil {
 			return err
 		}
-		f.lists = append(f.lists, list)
-		at := list.Addr()
+		f.discoveryLists = append(f.discoveryLists, list)
+		listAddress := list.Addr()
 		switch {
-		case f.opt.Direct && i == 0: // one row of links, for all
-			f.storage = make([][]*link.Link, 1)
-			for j, real := range f.real {
+		case f.opt.Direct && i == 0: // one set of links, shared by all daemons
+			f.storageLinks = make([][]*link.Link, 1)
+			for j, nodeAddress := range f.nodeAddresses {
 				var l *link.Link
 				if f.opt.Nodes[j].Linked {
-					if l, err = join("tcp", real, ""); err != nil {
+					if l, err = newLink("tcp", nodeAddress, ""); err != nil {
 						return err
 					}
 				}
-				f.storage[0] = append(f.storage[0], l)
+				f.storageLinks[0] = append(f.storageLinks[0], l)
 			}
 		case !f.opt.Direct:
-			listing, err := join("tcp", at, "")
+			listLink, err := newLink("tcp", listAddress, "")
 			if err != nil {
 				return err
 			}
-			at, f.listings = listing.Addr(), append(f.listings, listing)
-			f.storage = append(f.storage, nil)
-			for _, real := range f.real {
-				l, err := join("tcp", real, "")
+			listAddress, f.listLinks = listLink.Addr(), append(f.listLinks, listLink)
+			f.storageLinks = append(f.storageLinks, nil)
+			for _, nodeAddress := range f.nodeAddresses {
+				l, err := newLink("tcp", nodeAddress, "")
 				if err != nil {
 					return err
 				}
-				f.storage[i] = append(f.storage[i], l)
+				f.storageLinks[i] = append(f.storageLinks[i], l)
 			}
 		}
 		listen, err := FreeAddress()
@@ -290,11 +291,11 @@
 			return err
 		}
 		if !f.opt.Direct {
-			front, err := join("tcp", listen, "")
+			clientLink, err := newLink("tcp", listen, "")
 			if err != nil {
 				return err
 			}
-			f.clients = append(f.clients, front)
+			f.clientLinks = append(f.clientLinks, clientLink)
 		}
 		var entries, known []Entry
 		for j := range f.nodes {
@@ -309,7 +310,7 @@
 			if err := list.Set(ListDown); err != nil {
 				return err
 			}
-			f.h.Deaf = append(f.h.Deaf, historycheck.Span{Scheduler: i, From: 0, To: historycheck.Never, Turned: true})
+			f.history.Deaf = append(f.history.Deaf, historycheck.Span{Scheduler: i, From: 0, To: historycheck.Never, Turned: true})
 		}
 		index := int64(0)
 		if f.opt.Known {
@@ -324,15 +325,15 @@
 		}
 		f.adminAddresses = append(f.adminAddresses, admin)
 		name := fmt.Sprint("n", i)
-		conf := Config{Name: name, Listen: listen, Operator: admin, Discovery: at, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, memoryMB), Known: known, Index: index,
-			Settings: over(Defaults(f.opt.Daemons, i, shards), f.opt.Settings)}
-		f.settings, f.confs = conf.Settings, append(f.confs, conf)
+		config := Config{Name: name, Listen: listen, AdminAddress: admin, Discovery: listAddress, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, memoryMB), Known: known, Index: index,
+			Settings: mergeSettings(Defaults(f.opt.Daemons, i, shards), f.opt.Settings)}
+		f.settings, f.configs = config.Settings, append(f.configs, config)
 		dir := filepath.Join(f.dir, name)
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			return err
 		}
 		file := filepath.Join(dir, "config.json")
-		if err := conf.Write(file); err != nil {
+		if err := config.Write(file); err != nil {
 			return err
 		}
 		var args []string
@@ -341,11 +342,11 @@
 		}
 		p := NewProc(f.opt.Daemon, file, filepath.Join(dir, "log"), name, listen, args...)
 		if p.env = f.opt.Env; f.opt.Said != nil {
-			p.lines = func(line []byte) { f.opt.Said(i, line) }
+			p.onLine = func(line []byte) { f.opt.Said(i, line) }
 		}
 		f.procs = append(f.procs, p)
-		if f.opt.Passed {
-			if p.passed, err = listening(listen); err != nil {
+		if f.opt.PassedSockets {
+			if p.passedSocket, err = listenerFile(listen); err != nil {
 				return err
 			}
 			p.adminAddress = admin
@@ -354,8 +355,8 @@
 	return nil
 }
 
-// listening is a listening socket that nobody here accepts on.
-func listening(at string) (*os.File, error) {
+// listenerFile returns a listening socket on which this program does not accept connections.
+func listenerFile(at string) (*os.File, error) {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
@@ -364,26 +365,26 @@
 	return ln.(*net.TCPListener).File()
 }
 
-// Beside makes one more process of scheduler i, on the same passed socket and with an operators' address of its own.
-// Change says what is to be different, before it is started; nil: nothing.
-func (f *Fleet) Beside(i int, change func(*Proc)) (*Proc, error) {
+// StartReplacement starts one more process of scheduler i on the same passed socket, with an admin address of its own.
+// If configure is not nil, it adjusts the process before the start.
+func (f *Fleet) StartReplacement(i int, configure func(*Proc)) (*Proc, error) {
 	admin, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	conf, dir := f.confs[i], f.Dir(i)
-	conf.Operator = admin
-	n := len(f.beside) + 1
+	config, dir := f.configs[i], f.Dir(i)
+	config.AdminAddress = admin
+	n := len(f.replacements) + 1
 	file := filepath.Join(dir, fmt.Sprintf("config-%d.json", n))
-	if err := conf.Write(file); err != nil {
+	if err := config.Write(file); err != nil {
 		return nil, err
 	}
-	old := f.procs[i]
-	p := NewProc(f.opt.Daemon, file, filepath.Join(dir, fmt.Sprint("log-", n)), fmt.Sprint(conf.Name, "-", n), conf.Listen, old.args...)
-	p.passed, p.adminAddress, p.env = old.passed, admin, slices.Clone(old.env)
-	f.beside = append(f.beside, p)
-	if change != nil {
-		change(p)
+	current := f.procs[i]
+	p := NewProc(f.opt.Daemon, file, filepath.Join(dir, fmt.Sprint("log-", n)), fmt.Sprint(config.Name, "-", n), config.Listen, current.args...)
+	p.passedSocket, p.adminAddress, p.env = current.passedSocket, admin, slices.Clone(current.env)
+	f.replacements = append(f.replacements, p)
+	if configure != nil {
+		configure(p)
 	}
 	err = p.Start()
 	return p, err
@@ -398,60 +399,62 @@
 func (f *Fleet) Proc(i int) *Proc { return f.procs[i] }
 
 // List returns the discovery list that daemon i watches.
-func (f *Fleet) List(i int) List { return f.lists[i] }
+func (f *Fleet) List(i int) List { return f.discoveryLists[i] }
 
 // ClientLink returns the link from the clients to daemon i.
-func (f *Fleet) ClientLink(i int) *link.Link { return f.clients[i] }
+func (f *Fleet) ClientLink(i int) *link.Link { return f.clientLinks[i] }
 
 // ListLink returns the link from daemon i to its list.
-func (f *Fleet) ListLink(i int) *link.Link { return f.listings[i] }
+func (f *Fleet) ListLink(i int) *link.Link { return f.listLinks[i] }
 
 // StorageLink returns the link from daemon i to node j.
-func (f *Fleet) StorageLink(i, j int) *link.Link { return f.storage[min(i, len(f.storage)-1)][j] }
+func (f *Fleet) StorageLink(i, j int) *link.Link {
+	return f.storageLinks[min(i, len(f.storageLinks)-1)][j]
+}
 
-// NodeAddr is where node j itself listens, past all links.
-func (f *Fleet) NodeAddr(j int) string { return f.real[j] }
+// NodeAddr returns the address on which node j listens, without any link.
+func (f *Fleet) NodeAddr(j int) string { return f.nodeAddresses[j] }
 
-// Front is where clients find daemon i.
+// Front returns the address at which clients reach daemon i.
 func (f *Fleet) Front(i int) string {
 	if f.opt.Direct {
 		return f.procs[i].Listen
 	}
-	return f.clients[i].Addr()
+	return f.clientLinks[i].Addr()
 }
 
-// Break sets the fault of a node's address.
+// Break sets the fault of node j's address.
 func (f *Fleet) Break(j int, fault node.Fault) error {
-	a, err := address.Parse(f.real[j])
+	a, err := address.Parse(f.nodeAddresses[j])
 	if err != nil {
 		return err
 	}
 	return f.nodes[j].Set(a, fault)
 }
 
-// Dir is a directory of daemon i's own, e.g. for its site file.
+// Dir returns the directory of daemon i, e.g. for its site file.
 func (f *Fleet) Dir(i int) string { return filepath.Join(f.dir, fmt.Sprint("n", i)) }
 
-// AdminAddress is the address of daemon i's admin endpoint.
+// AdminAddress returns the address of daemon i's admin endpoint.
 func (f *Fleet) AdminAddress(i int) string { return f.adminAddresses[i] }
 
-// PeerLink is the link between daemons i and j; forward is what the lower of them sends.
-func (f *Fleet) PeerLink(i, j int) *link.Link { return f.peers[min(i, j)][max(i, j)-min(i, j)-1] }
+// PeerLink returns the link between daemons i and j. Its forward direction carries what the lower of them sends.
+func (f *Fleet) PeerLink(i, j int) *link.Link { return f.peerLinks[min(i, j)][max(i, j)-min(i, j)-1] }
 
-// PeerAddr is where daemon i is to listen for peers, by TCP and UDP.
-func (f *Fleet) PeerAddr(i int) string { return f.peerAt[i] }
+// PeerAddr returns the address at which daemon i listens for peers, over TCP and UDP.
+func (f *Fleet) PeerAddr(i int) string { return f.peerAddresses[i] }
 
-// PeerSeen is where daemon i reaches daemon j, and what j is known by there.
-func (f *Fleet) PeerSeen(i, j int) string {
+// PeerAddrFrom returns the address at which daemon i reaches daemon j and by which it knows j.
+func (f *Fleet) PeerAddrFrom(i, j int) string {
 	if i < j {
 		return f.PeerLink(i, j).Addr()
 	}
 	return f.PeerLink(i, j).Back()
 }
 
-// Wait waits until a condition holds: it says nil.
+// Wait polls a condition until it returns nil.
 func (f *Fleet) Wait(ctx context.Context, what string, cond func() error) error {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		err := cond()
@@ -461,73 +464,74 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &NotMet{what, err, f.Logs()}
+			return &WaitError{what, err, f.Logs()}
 		}
 	}
 }
 
-// Logs are the ends of the daemons' logs, of those that have ended first, and of no more than logsMost.
+// Logs returns the ends of up to maxLogs process logs, those of exited processes first.
 func (f *Fleet) Logs() (text string) {
-	shown := slices.Concat(f.procs, f.beside)
+	shown := slices.Concat(f.procs, f.replacements)
 	slices.SortStableFunc(shown, func(a, b *Proc) int {
-		return cmp.Compare(btoi(a.Alive()), btoi(b.Alive()))
+		return cmp.Compare(boolToInt(a.Alive()), boolToInt(b.Alive()))
 	})
-	for _, p := range shown[:min(len(shown), logsMost)] {
+	for _, p := range shown[:min(len(shown), maxLogs)] {
 		log := p.Log()
-		text += fmt.Sprintf("--- %s\n%s\n", p.Name, log[max(0, len(log)-logEnd):])
+		text += fmt.Sprintf("--- %s\n%s\n", p.Name, log[max(0, len(log)-maxLogBytes):])
 	}
 	return text
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// WaitReady waits until daemon i says that it is ready.
+// WaitReady waits until daemon i reports that it is ready.
 func (f *Fleet) WaitReady(ctx context.Context, i int) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	return f.Wait(ctx, fmt.Sprint("daemon ", i, " is ready"), func() error {
 		if !f.procs[i].Alive() {
-			stop() // it ended: no use to wait on
+			stop() // it has exited, so it never becomes ready
 		}
 		return f.procs[i].Ready()
 	})
 }
 
-func (f *Fleet) falls(i int, kill bool) {
+// markDown records that daemon i is down from now.
+func (f *Fleet) markDown(i int, kill bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if was, ok := f.down[i]; ok {
-		f.down[i] = span{was.from, was.kill || kill}
+	if was, ok := f.downSince[i]; ok {
+		f.downSince[i] = downtime{was.from, was.killed || kill}
 		return
 	}
-	f.down[i] = span{f.now(), kill}
+	f.downSince[i] = downtime{f.now(), kill}
 }
 
 // Kill kills daemon i.
 func (f *Fleet) Kill(i int) error {
-	f.falls(i, true)
+	f.markDown(i, true)
 	if err := f.procs[i].Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	<-f.procs[i].ended
+	<-f.procs[i].exited
 	return nil
 }
 
-// Term asks daemon i to end, as an operator does; Proc(i).End waits for it.
-func (f *Fleet) Term(i int) error {
-	f.falls(i, false)
+// Terminate sends daemon i a SIGTERM, as an operator does. Proc(i).End waits until it has exited.
+func (f *Fleet) Terminate(i int) error {
+	f.markDown(i, false)
 	return f.procs[i].Signal(syscall.SIGTERM)
 }
 
-// Launch starts daemon i, for the first time or once it has ended, and does not wait.
+// Launch starts daemon i, for the first time or after it has exited, and does not wait until it is ready.
 func (f *Fleet) Launch(i int) error { return f.procs[i].Start() }
 
-// Restart starts daemon i again once it has ended, and waits until it is ready.
+// Restart starts daemon i again after it has exited, and waits until it is ready.
 func (f *Fleet) Restart(ctx context.Context, i int) error {
 	if err := f.Launch(i); err != nil {
 		return err
@@ -537,81 +541,81 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rises(i)
+	f.markUp(i)
 	return nil
 }
 
-// rises writes the span of a daemon that was down. The lock is held.
-func (f *Fleet) rises(i int) {
-	s, ok := f.down[i]
+// markUp records the downtime of a daemon that is up again. The caller holds the lock.
+func (f *Fleet) markUp(i int) {
+	s, ok := f.downSince[i]
 	if !ok {
 		return
 	}
-	delete(f.down, i)
-	one := historycheck.Span{Scheduler: i, From: s.from, To: f.now()}
-	if s.kill {
-		f.h.Killed = append(f.h.Killed, one)
+	delete(f.downSince, i)
+	ended := historycheck.Span{Scheduler: i, From: s.from, To: f.now()}
+	if s.killed {
+		f.history.Killed = append(f.history.Killed, ended)
 	} else {
-		f.h.Ending = append(f.h.Ending, one)
+		f.history.Ending = append(f.history.Ending, ended)
 	}
 }
 
-// Stop stops daemon i by SIGSTOP, until Continue.
+// Stop suspends daemon i by SIGSTOP until Continue.
 func (f *Fleet) Stop(i int) error {
 	f.mu.Lock()
-	f.h.Paused = append(f.h.Paused, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never})
+	f.history.Paused = append(f.history.Paused, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never})
 	f.mu.Unlock()
 	return f.procs[i].Signal(syscall.SIGSTOP)
 }
 
-// Continue lets it run on.
+// Continue resumes daemon i by SIGCONT.
 func (f *Fleet) Continue(i int) error {
 	err := f.procs[i].Signal(syscall.SIGCONT)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for k := range f.h.Paused {
-		if s := &f.h.Paused[k]; s.Scheduler == i && s.To == historycheck.Never {
+	for k := range f.history.Paused {
+		if s := &f.history.Paused[k]; s.Scheduler == i && s.To == historycheck.Never {
 			s.To = f.now()
 		}
 	}
 	return err
 }
 
-// Close ends all of it.
+// Close stops everything that the fleet started.
 func (f *Fleet) Close() {
 	close(f.done)
-	all := slices.Concat(f.procs, f.beside)
-	for _, p := range all {
+	procs := slices.Concat(f.procs, f.replacements)
+	for _, p := range procs {
 		if p.Alive() {
-			_ = p.Signal(syscall.SIGKILL) // all at once: Reap waits for each
+			_ = p.Signal(syscall.SIGKILL) // signal all first, as KillAndWait waits for each
 		}
 	}
-	for _, p := range all {
-		p.Reap()
+	for _, p := range procs {
+		p.KillAndWait()
 	}
 	for _, p := range f.procs {
-		if p.passed != nil {
-			_ = p.passed.Close()
+		if p.passedSocket != nil {
+			_ = p.passedSocket.Close()
 		}
 	}
-	for _, all := range slices.Concat([][]*link.Link{f.clients, f.listings}, f.storage, f.peers) {
-		for _, l := range all {
+	for _, links := range slices.Concat([][]*link.Link{f.clientLinks, f.listLinks}, f.storageLinks, f.peerLinks) {
+		for _, l := range links {
 			if l != nil {
 				l.Close()
 			}
 		}
 	}
-	f.load.Wait()
-	for _, l := range f.lists {
+	f.background.Wait()
+	for _, l := range f.discoveryLists {
 		l.Close()
 	}
-	if f.service != nil {
-		f.service.Close()
+	if f.sharedList != nil {
+		f.sharedList.Close()
 	}
 	for _, n := range f.nodes {
 		n.Close()
 	}
-	if f.own {
+	if f.ownsDir {
 		_ = os.RemoveAll(f.dir)
 	}
 }
--- /dev/null
+++ b/internal/testkit/cluster/fleet_test.go
@@ -0,0 +1,185 @@
+package cluster
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+	"go.uber.org/goleak"
+
+	"wheatsaddle/internal/testkit/historycheck"
+)
+
+var daemonPath string // built once for all tests
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	if testing.Short() {
+		os.Exit(m.Run())
+	}
+	dir, err := os.MkdirTemp("", "procs")
+	if err == nil {
+		daemonPath, err = Build(context.Background(), dir)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	code := m.Run()
+	findLeaks := func() error {
+		return goleak.Find(goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
+	}
+	for end := time.Now().Add(10 * time.Second); findLeaks() != nil && time.Now().Before(end); { // a probe of memberlist's may still wait for its answer
+		time.Sleep(pollInterval)
+	}
+	if err := findLeaks(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		code = 1
+	}
+	_ = os.RemoveAll(dir)
+	if previousDir != "" {
+		_ = os.RemoveAll(previousDir)
+	}
+	os.Exit(code)
+}
+
+const scenarioTimeout = 60 * time.Second // a row that takes so long has failed
+
+var scenarioSlots = make(chan struct{}, 4) // that run at once: a starved host makes answers late
+
+// fixture is a running fleet of three daemons and four nodes, two of each of two shards.
+type fixture struct {
+	*Fleet
+	t           *testing.T
+	ctx         context.Context
+	stopTraffic func() // of the load
+}
+
+func newFixture(t *testing.T, opt Options) *fixture {
+	t.Helper()
+	return newFixtureWithService(t, opt, 2*time.Millisecond)
+}
+
+func newFixtureWithService(t *testing.T, opt Options, service time.Duration) *fixture {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("several processes")
+	}
+	t.Parallel()
+	scenarioSlots <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots })
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
+	t.Cleanup(cancel)
+	opt.Daemon, opt.Seed = daemonPath, 7
+	if opt.Daemons == 0 {
+		opt.Daemons = 3
+	}
+	for j := range 4 {
+		if len(opt.Nodes) > j { // the row's own
+			break
+		}
+		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2,
+			Service: func(*fasthttp.Request) time.Duration { return service }})
+	}
+	f, err := Start(ctx, opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	return &fixture{Fleet: f, t: t, ctx: ctx}
+}
+
+// mixedRequest is traffic on both shards, a third of it unsafe writes.
+func mixedRequest(_, client, n int) ClientRequest {
+	a := ClientRequest{Shard: (n + client) % 2, Volume: client}
+	if n%3 == 0 {
+		a.Class, a.Write, a.BodySize = "write", true, 2000
+	}
+	return a
+}
+
+func (w *fixture) startTraffic() {
+	w.stopTraffic = w.StartLoad(w.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest})
+}
+
+func (w *fixture) must(err error) {
+	w.t.Helper()
+	if err != nil {
+		h := w.History()
+		w.t.Log("last ends: ", h.Answered[max(0, len(h.Answered)-6):], "last codes: ", w.answersByCode)
+		w.t.Fatal(err)
+	}
+}
+
+// waitUntil waits for a condition.
+func (w *fixture) waitUntil(what string, cond func() bool) {
+	w.t.Helper()
+	w.must(w.Wait(w.ctx, what, func() error {
+		if cond() {
+			return nil
+		}
+		return fmt.Errorf("not yet")
+	}))
+}
+
+// waitServed waits until each daemon has served so many more requests.
+func (w *fixture) waitServed(more int, except ...int) {
+	w.t.Helper()
+	for i := range w.opt.Daemons {
+		if len(except) > 0 && except[0] == i {
+			continue
+		}
+		base := w.Served(i)
+		w.waitUntil(fmt.Sprint("daemon ", i, " serves"), func() bool { return w.Served(i) >= base+more })
+	}
+}
+
+// stopAndAudit stops the traffic and asks the auditor.
+func (w *fixture) stopAndAudit() {
+	w.t.Helper()
+	w.stopTraffic()
+	found := w.Audit()
+	for i, v := range found {
+		if i < 5 {
+			w.t.Error(v)
+			for _, s := range w.History().Sent {
+				if s.ID == v.ID {
+					w.t.Logf("%+v", s)
+				}
+			}
+		}
+	}
+	if h := w.History(); len(h.Executed) == 0 || w.t.Failed() {
+		w.t.Errorf("%d violations of %d requests, %d attempts, %d executions\n%s", len(found), len(h.Taken), len(h.Sent), len(h.Executed), w.Logs())
+	}
+}
+
+func TestDrainUnderTraffic(t *testing.T) {
+	w := newFixture(t, Options{})
+	w.startTraffic()
+	w.waitServed(30)
+	w.must(w.SetNodeStatus(0, "leaving"))
+	w.waitServed(60)
+	w.stopAndAudit()
+}
+
+// A client whose connection was to a killed process asks the next one on a new connection: a request that no
+// running process could have read is no violation of it.
+func TestClientReconnectsAfterKill(t *testing.T) {
+	w := newFixture(t, Options{})
+	w.startTraffic()
+	client := w.Dial(0)
+	defer client.Close()
+	w.waitUntil("a first request is served", func() bool { return client.Send(ClientRequest{}).Code == fasthttp.StatusOK })
+	w.must(w.Kill(0))
+	w.must(w.Restart(w.ctx, 0))
+	if o := client.Send(ClientRequest{}); o.End != historycheck.Whole {
+		t.Errorf("asked of the restarted process: %+v", o)
+	}
+	w.waitServed(serveCount)
+	w.stopAndAudit()
+}
--- /dev/null
+++ b/internal/testkit/cluster/gossip_peer_test.go
@@ -0,0 +1,211 @@
+package cluster
+
+import (
+	"errors"
+	"io"
+	"log"
+	"maps"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"wheatsaddle/internal/nodestats"
+)
+
+// Tags of internal/gossip: a digest that asks for one in return, cells, what one that starts asks for (a number, the kind,
+// its name) and what it is given (the number, a snapshot).
+const tagDigestRequest, tagDigestReply, tagCells, tagSnapshotRequest, tagSnapshot = 'a', 'b', 'c', 'd', 'e'
+
+// testPeer is a member that is this test: it hears what daemons hold and tells them only what the test
+// says. Its state is one merge of all that it has heard.
+type testPeer struct {
+	t                *testing.T
+	list             *memberlist.Memberlist
+	start            time.Time
+	mu               sync.Mutex
+	state            *nodestats.State
+	digests          map[string][]byte // the last digest of each daemon
+	receivedCells    [][]byte          // cells, as they came
+	closeOnce        sync.Once
+	snapshotRequests map[string][]byte // the numbers of those that asked to be handed something
+	snapshot         []byte            // to each of them at once; nil: nothing
+}
+
+// restrictedTransport reaches the allowed addresses alone.
+type restrictedTransport struct {
+	*memberlist.NetTransport
+	allowed map[string]bool
+}
+
+func (f *restrictedTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return f.WriteToAddress(b, memberlist.Address{Addr: addr})
+}
+
+func (f *restrictedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	if !f.allowed[a.Addr] {
+		return time.Now(), nil
+	}
+	return f.NetTransport.WriteToAddress(b, a)
+}
+
+func (f *restrictedTransport) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
+	return f.DialAddressTimeout(memberlist.Address{Addr: addr}, wait)
+}
+
+func (f *restrictedTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
+	if !f.allowed[a.Addr] {
+		return nil, errors.New("fenced off")
+	}
+	return f.NetTransport.DialAddressTimeout(a, wait)
+}
+
+// testPeer joins the daemons, and reaches no others.
+func (w *fixture) newTestPeer(name string, daemons ...int) *testPeer {
+	w.t.Helper()
+	quiet := log.New(io.Discard, "", 0)
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: quiet})
+	w.must(err)
+	transport := &restrictedTransport{netTransport, map[string]bool{}}
+	var peerAddresses []string
+	for _, i := range daemons {
+		peerAddresses = append(peerAddresses, w.PeerAddr(i))
+		transport.allowed[w.PeerAddr(i)] = true
+	}
+	s := &testPeer{t: w.t, start: time.Now(), digests: map[string][]byte{}, snapshotRequests: map[string][]byte{}}
+	s.state, err = nodestats.New(nodestats.Defaults(), name, 1)
+	w.must(err)
+	conf := memberlist.DefaultLANConfig()
+	conf.Name, conf.Delegate, conf.Transport, conf.Logger, conf.EnableCompression = name, s, transport, quiet, false
+	conf.BindAddr, conf.AdvertiseAddr, conf.DNSConfigPath = "127.0.0.1", "127.0.0.1", "/dev/null"
+	conf.BindPort, conf.AdvertisePort = netTransport.GetAutoBindPort(), netTransport.GetAutoBindPort()
+	s.list, err = memberlist.Create(conf)
+	w.must(err)
+	w.t.Cleanup(s.close)
+	n, err := s.list.Join(peerAddresses)
+	w.must(err)
+	if n != len(peerAddresses) {
+		w.t.Fatalf("%s joined %d of %d", name, n, len(peerAddresses))
+	}
+	return s
+}
+
+func (s *testPeer) close() {
+	s.closeOnce.Do(func() {
+		_ = s.list.Leave(200 * time.Millisecond)
+		_ = s.list.Shutdown()
+	})
+}
+
+// NotifyMsg implements memberlist.Delegate.
+func (s *testPeer) NotifyMsg(b []byte) {
+	if len(b) == 0 {
+		return
+	}
+	tag, m := b[0], append([]byte(nil), b[1:]...)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if tag == tagCells {
+		s.receivedCells = append(s.receivedCells, m)
+		if err := s.state.Merge(time.Since(s.start), m); err != nil {
+			s.t.Error(err)
+		}
+		return
+	}
+	if tag == tagSnapshotRequest && len(m) > 9 {
+		number, who := slices.Clip(m[:8]), string(m[9:])
+		s.snapshotRequests[who] = number
+		if s.snapshot != nil {
+			go s.send(who, tagSnapshot, append(number, s.snapshot...))
+		}
+		return
+	}
+	if from, err := nodestats.DigestSender(m); err == nil {
+		s.digests[from] = m
+	}
+}
+
+func (*testPeer) NodeMeta(int) []byte             { return nil }
+func (*testPeer) GetBroadcasts(int, int) [][]byte { return nil }
+func (*testPeer) LocalState(bool) []byte          { return nil }
+func (*testPeer) MergeRemoteState([]byte, bool)   {}
+
+// send sends a message to a daemon, whole.
+func (s *testPeer) send(daemon string, tag byte, m []byte) {
+	s.t.Helper()
+	for _, n := range s.list.Members() {
+		if n.Name == daemon {
+			if err := s.list.SendReliable(n, append([]byte{tag}, m...)); err != nil {
+				s.t.Errorf("%s is not told: %v", daemon, err)
+			}
+			return
+		}
+	}
+	s.t.Errorf("%s is no member", daemon)
+}
+
+// snapshotRequestCount is how many daemons have asked to be handed something.
+func (s *testPeer) snapshotRequestCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.snapshotRequests)
+}
+
+// handOver hands something over to each that has asked, and will ask.
+func (s *testPeer) handOver(text []byte) {
+	s.mu.Lock()
+	s.snapshot = text
+	wants := maps.Clone(s.snapshotRequests)
+	s.mu.Unlock()
+	for to, number := range wants {
+		s.send(to, tagSnapshot, append(number, text...))
+	}
+}
+
+// waitConverged asks the daemons what they hold, until each holds what all together do.
+func (w *fixture) waitConverged(s *testPeer, daemons ...string) {
+	w.t.Helper()
+	w.waitUntil("all hold the same", func() bool {
+		s.mu.Lock()
+		clear(s.digests)
+		before, digest := s.state.Counts().NewCells, s.state.Digest(time.Since(s.start))
+		s.mu.Unlock()
+		for _, d := range daemons {
+			s.send(d, tagDigestRequest, digest)
+		}
+		for end := time.Now().Add(time.Second); ; time.Sleep(5 * time.Millisecond) {
+			s.mu.Lock()
+			same, all := s.state.Counts().NewCells == before, true
+			for _, d := range daemons {
+				held, ok := s.digests[d]
+				all = all && ok
+				same = same && ok && s.state.MatchesDigest(time.Since(s.start), held)
+			}
+			s.mu.Unlock()
+			if all {
+				return same
+			}
+			if time.Now().After(end) {
+				return false
+			}
+		}
+	})
+}
+
+// messages is what a stranger holds, as messages.
+func (s *testPeer) messages(t *testing.T) [][]byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	none, err := nodestats.New(nodestats.Defaults(), "none", 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m, err := s.state.Diff(time.Since(s.start), none.Digest(0))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
--- a/internal/testkit/cluster/peers_test.go
+++ b/internal/testkit/cluster/gossip_test.go
@@ -23,8 +23,8 @@
 	"wheatsaddle/internal/testkit/fake/link"
 )
 
-// peerSite are the sections by which a daemon tells the others and serves its counts, and where.
-func peerSite(t *testing.T, f *Fleet, i int) (site map[string]any, metrics string) {
+// gossipSite are the sections by which a daemon tells the others and serves its counts, and where.
+func gossipSite(t *testing.T, f *Fleet, i int) (site map[string]any, metrics string) {
 	t.Helper()
 	at, err := FreeAddress()
 	if err != nil {
@@ -34,7 +34,7 @@
 	for j := range f.opt.Daemons {
 		if j != i {
 			seeds = append(seeds, f.PeerAddr(j))
-			via[f.PeerAddr(j)] = f.PeerSeen(i, j)
+			via[f.PeerAddr(j)] = f.PeerAddrFrom(i, j)
 		}
 	}
 	// Nothing fades while a row runs.
@@ -42,22 +42,22 @@
 		"peers": map[string]any{"listen": f.PeerAddr(i), "seeds": seeds, "via": via, "every_ms": 50, "half_life_ms": 60000}}, at
 }
 
-// shares starts daemons that tell each other, but for those named.
-func shares(t *testing.T, opt Options, silent ...int) (*world, []string) {
+// newGossipFixture starts daemons that tell each other, but for those named.
+func newGossipFixture(t *testing.T, opt Options, withoutPeers ...int) (*fixture, []string) {
 	t.Helper()
 	var metrics []string
 	opt.Peers, opt.Admin = true, true
-	over := map[string]any{"ceilings": map[string]any{"peers": true}}
+	settings := map[string]any{"ceilings": map[string]any{"peers": true}}
 	for k, v := range opt.Settings {
-		over[k] = v
+		settings[k] = v
 	}
-	opt.Settings = over
-	more := opt.Args
+	opt.Settings = settings
+	extraArgs := opt.Args
 	opt.Args = func(f *Fleet, i int) []string {
-		site, at := peerSite(t, f, i)
+		site, at := gossipSite(t, f, i)
 		metrics = append(metrics, at)
 		site["estimate"] = map[string]any{}
-		for _, s := range silent {
+		for _, s := range withoutPeers {
 			if s == i {
 				delete(site, "peers")
 			}
@@ -71,27 +71,27 @@
 			t.Fatal(err)
 		}
 		args := []string{"--site", file}
-		if more != nil {
-			args = append(args, more(f, i)...)
+		if extraArgs != nil {
+			args = append(args, extraArgs(f, i)...)
 		}
 		return args
 	}
-	w := begin(t, opt)
+	w := newFixture(t, opt)
 	return w, metrics
 }
 
-// sharing is a world of daemons that tell each other.
-type sharing struct {
-	*world
+// gossipFixture is a world of daemons that tell each other.
+type gossipFixture struct {
+	*fixture
 	metrics []string
 }
 
-// once keeps no connection.
-var once = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// uncachedClient keeps no connection.
+var uncachedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (w *sharing) count(i int, name string) float64 {
+func (w *gossipFixture) metric(i int, name string) float64 {
 	w.t.Helper()
-	resp, err := once.Get("http://" + w.metrics[i] + "/metrics")
+	resp, err := uncachedClient.Get("http://" + w.metrics[i] + "/metrics")
 	w.must(err)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
@@ -107,13 +107,13 @@
 	return 0
 }
 
-// counts waits until a figure of each daemon is as it should be.
-func (w *sharing) counts(name string, good func(i int, v float64) bool) {
+// waitMetric waits until a figure of each daemon is as it should be.
+func (w *gossipFixture) waitMetric(name string, good func(i int, v float64) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		last := 0.0
 		err := w.Wait(w.ctx, fmt.Sprint("daemon ", i, ": ", name), func() error {
-			if last = w.count(i, name); good(i, last) {
+			if last = w.metric(i, name); good(i, last) {
 				return nil
 			}
 			return fmt.Errorf("it is %v", last)
@@ -122,14 +122,14 @@
 	}
 }
 
-func (w *sharing) names() (all []string) {
+func (w *gossipFixture) daemonNames() (all []string) {
 	for i := range w.opt.Daemons {
 		all = append(all, fmt.Sprint("n", i))
 	}
 	return all
 }
 
-func (w *sharing) everyone() (all []int) {
+func (w *gossipFixture) allDaemons() (all []int) {
 	for i := range w.opt.Daemons {
 		all = append(all, i)
 	}
@@ -137,10 +137,10 @@
 }
 
 // estimate asks for the estimate of a read at a node, at daemon i's admin endpoint.
-func (w *sharing) estimate(i int, node string) gjson.Result {
+func (w *gossipFixture) estimate(i int, node string) gjson.Result {
 	w.t.Helper()
 	body := `{"plans":[{"name":"a","root":{"work":{"shard":0,"class":"read","units":1,"node":"` + node + `"}}}]}`
-	r, err := once.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
+	r, err := uncachedClient.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
 	w.must(err)
 	defer r.Body.Close()
 	text, err := io.ReadAll(r.Body)
@@ -154,31 +154,31 @@
 	return gjson.GetBytes(text, "plans.0")
 }
 
-func (w *sharing) links(f link.Fault, pairs ...[2]int) {
+func (w *gossipFixture) setPeerFault(f link.Fault, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
 		w.must(w.PeerLink(p[0], p[1]).Set(link.Both, f))
 	}
 }
 
-func (w *sharing) happened(what func(link.Counts) int, pairs ...[2]int) {
+func (w *gossipFixture) waitPeerFault(what func(link.Counts) int, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.until(fmt.Sprint("the fault happens between ", p), func() bool { return what(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
+		w.waitUntil(fmt.Sprint("the fault happens between ", p), func() bool { return what(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
 	}
 }
 
-var pairs = [][2]int{{0, 1}, {0, 2}, {1, 2}}
+var allPairs = [][2]int{{0, 1}, {0, 2}, {1, 2}}
 
-// quiet stops the traffic and waits until all daemons hold the same, that of one merge of all.
-func (w *sharing) quiet(s *stranger) {
+// stopAndConverge stops the traffic and waits until all daemons hold the same, that of one merge of all.
+func (w *gossipFixture) stopAndConverge(s *testPeer) {
 	w.t.Helper()
-	w.end()
-	w.learn(s, w.names()...)
+	w.stopAndAudit()
+	w.waitConverged(s, w.daemonNames()...)
 }
 
-// one is a single state with all that was heard.
-func one(t *testing.T, all ...[][]byte) *nodestats.State {
+// mergeAll is a single state with all that was heard.
+func mergeAll(t *testing.T, all ...[][]byte) *nodestats.State {
 	t.Helper()
 	s, err := nodestats.New(nodestats.Defaults(), "one", 1)
 	if err != nil {
@@ -196,148 +196,148 @@
 
 // Part 3: what processes tell each other. Each row is a fault between three daemons and what is expected; the
 // auditor's rules hold in each, under traffic.
-func TestPeers(t *testing.T) {
+func TestGossipFaults(t *testing.T) {
 	for _, x := range []struct {
 		fault, expected string
 		opt             Options
-		run             func(*sharing)
+		run             func(*gossipFixture)
 	}{
-		{fault: "halves cut apart and joined again", expected: "each its own picture; then one state, that of one merge of both", run: func(w *sharing) {
-			across := pairs[:2]
-			w.links(link.Fault{Cut: true}, across...)
-			w.happened(func(c link.Counts) int { return c.Cut }, across...)
-			w.counts("peers_members", func(i int, v float64) bool { return i == 0 && v == 1 || i > 0 && v == 2 })
-			w.serves(some)
-			w.end()
-			a, b := w.stranger("a", 0), w.stranger("b", 1, 2)
-			w.learn(a, "n0")
-			w.learn(b, "n1", "n2")
-			both := one(w.t, a.all(w.t), b.all(w.t))
-			if both.MatchesDigest(0, a.holds["n0"]) || both.MatchesDigest(0, b.holds["n1"]) {
+		{fault: "halves cut apart and joined again", expected: "each its own picture; then one state, that of one merge of both", run: func(w *gossipFixture) {
+			across := allPairs[:2]
+			w.setPeerFault(link.Fault{Cut: true}, across...)
+			w.waitPeerFault(func(c link.Counts) int { return c.Cut }, across...)
+			w.waitMetric("peers_members", func(i int, v float64) bool { return i == 0 && v == 1 || i > 0 && v == 2 })
+			w.waitServed(serveCount)
+			w.stopAndAudit()
+			a, b := w.newTestPeer("a", 0), w.newTestPeer("b", 1, 2)
+			w.waitConverged(a, "n0")
+			w.waitConverged(b, "n1", "n2")
+			both := mergeAll(w.t, a.messages(w.t), b.messages(w.t))
+			if both.MatchesDigest(0, a.digests["n0"]) || both.MatchesDigest(0, b.digests["n1"]) {
 				w.t.Error("the halves were not apart")
 			}
 			a.close()
 			b.close()
-			w.links(link.Fault{}, across...)
-			c := w.stranger("c", w.everyone()...)
-			w.learn(c, w.names()...)
-			for _, n := range w.names() {
-				if !both.MatchesDigest(0, c.holds[n]) {
+			w.setPeerFault(link.Fault{}, across...)
+			c := w.newTestPeer("c", w.allDaemons()...)
+			w.waitConverged(c, w.daemonNames()...)
+			for _, n := range w.daemonNames() {
+				if !both.MatchesDigest(0, c.digests[n]) {
 					w.t.Errorf("%s does not hold one merge of both halves", n)
 				}
 			}
 		}},
-		{fault: "one stopped for 5 s, back with old news", expected: "its news of others goes over nobody's; all alike", run: func(w *sharing) {
-			s := w.stranger("s", w.everyone()...)
+		{fault: "one stopped for 5 s, back with old news", expected: "its news of others goes over nobody's; all alike", run: func(w *gossipFixture) {
+			s := w.newTestPeer("s", w.allDaemons()...)
 			w.must(w.Stop(0))
-			w.serves(some, 0)
+			w.waitServed(serveCount, 0)
 			time.Sleep(5 * time.Second) // the fault itself
-			older := []float64{0, w.count(1, "observations_older_cells"), w.count(2, "observations_older_cells")}
+			olderCells := []float64{0, w.metric(1, "observations_older_cells"), w.metric(2, "observations_older_cells")}
 			w.must(w.Continue(0))
-			w.counts("observations_older_cells", func(i int, v float64) bool { return i == 0 || v > older[i] })
-			w.serves(some)
-			w.quiet(s)
+			w.waitMetric("observations_older_cells", func(i int, v float64) bool { return i == 0 || v > olderCells[i] })
+			w.waitServed(serveCount)
+			w.stopAndConverge(s)
 		}},
-		{fault: "killed and started under its name", expected: "known at once again; its former life, told again, changes nothing", run: func(w *sharing) {
-			s := w.stranger("s", w.everyone()...)
-			w.learn0(s)
+		{fault: "killed and started under its name", expected: "known at once again; its former life, told again, changes nothing", run: func(w *gossipFixture) {
+			s := w.newTestPeer("s", w.allDaemons()...)
+			w.waitAllOrigins(s)
 			w.must(w.Kill(0))
-			former := s.all(w.t)
-			w.serves(some, 0)
+			previousCells := s.messages(w.t)
+			w.waitServed(serveCount, 0)
 			w.must(w.Restart(w.ctx, 0))
-			w.counts("observations_origins", func(_ int, v float64) bool { return v == 2 })
-			w.serves(some)
-			w.quiet(s)
-			older := []float64{w.count(0, "observations_older_cells"), w.count(1, "observations_older_cells"), w.count(2, "observations_older_cells")}
-			for _, n := range w.names() {
-				for _, m := range former {
-					s.tell(n, tagCells, m)
+			w.waitMetric("observations_origins", func(_ int, v float64) bool { return v == 2 })
+			w.waitServed(serveCount)
+			w.stopAndConverge(s)
+			olderCells := []float64{w.metric(0, "observations_older_cells"), w.metric(1, "observations_older_cells"), w.metric(2, "observations_older_cells")}
+			for _, n := range w.daemonNames() {
+				for _, m := range previousCells {
+					s.send(n, tagCells, m)
 				}
 			}
-			w.counts("observations_older_cells", func(i int, v float64) bool { return v > older[i] })
-			w.learn(s, w.names()...)
+			w.waitMetric("observations_older_cells", func(i int, v float64) bool { return v > olderCells[i] })
+			w.waitConverged(s, w.daemonNames()...)
 		}},
-		{fault: "messages lost, doubled, reordered, cut, of a later version", expected: "counted, and all alike", run: func(w *sharing) {
-			s := w.stranger("s", w.everyone()...)
-			w.links(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, pairs...)
-			w.happened(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, pairs...)
-			w.learn0(s)
-			good := s.all(w.t)[0]
-			for _, n := range w.names() {
+		{fault: "messages lost, doubled, reordered, cut, of a later version", expected: "counted, and all alike", run: func(w *gossipFixture) {
+			s := w.newTestPeer("s", w.allDaemons()...)
+			w.setPeerFault(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, allPairs...)
+			w.waitPeerFault(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, allPairs...)
+			w.waitAllOrigins(s)
+			good := s.messages(w.t)[0]
+			for _, n := range w.daemonNames() {
 				for k := range 10 {
-					s.tell(n, tagCells, good[:len(good)*k/10])
+					s.send(n, tagCells, good[:len(good)*k/10])
 				}
 				later := append([]byte(nil), good...)
 				later[2]++
-				s.tell(n, tagCells, later)
+				s.send(n, tagCells, later)
 			}
-			w.counts("observations_unreadable", func(_ int, v float64) bool { return v == 10 })
-			w.counts("observations_later_versions", func(_ int, v float64) bool { return v == 1 })
-			w.serves(some)
-			w.quiet(s)
+			w.waitMetric("observations_unreadable", func(_ int, v float64) bool { return v == 10 })
+			w.waitMetric("observations_later_versions", func(_ int, v float64) bool { return v == 1 })
+			w.waitServed(serveCount)
+			w.stopAndConverge(s)
 		}},
 		{fault: "a node replaced under its name", expected: "unknown at once at each, known by new answers", opt: Options{Settings: map[string]any{
-			"extra": map[string]any{"young-limit": 300}}}, run: func(w *sharing) {
+			"extra": map[string]any{"young-limit": 300}}}, run: func(w *gossipFixture) {
 			known := func(i int) bool {
 				e := w.estimate(i, "s0").Get("rests_on")
 				return e.Get("level").Str == "node" && e.Get("origins").Num == 3
 			}
-			w.must(w.Mark(1, "leaving")) // while the other of its shard serves, it is asked by chance alone
+			w.must(w.SetNodeStatus(1, "leaving")) // while the other of its shard serves, it is asked by chance alone
 			for i := range w.opt.Daemons {
-				w.until("all tell of it", func() bool { return known(i) })
+				w.waitUntil("all tell of it", func() bool { return known(i) })
 			}
-			w.stop()
+			w.stopTraffic()
 			w.must(w.Replace(0))
 			for i := range w.opt.Daemons {
-				w.until("it is unknown", func() bool { return w.estimate(i, "s0").Get("rests_on.level").Str != "node" })
+				w.waitUntil("it is unknown", func() bool { return w.estimate(i, "s0").Get("rests_on.level").Str != "node" })
 			}
-			w.traffic()
+			w.startTraffic()
 			for i := range w.opt.Daemons {
-				w.until("it is known anew", func() bool { return known(i) })
+				w.waitUntil("it is known anew", func() bool { return known(i) })
 			}
-			w.quiet(w.stranger("s", w.everyone()...))
+			w.stopAndConverge(w.newTestPeer("s", w.allDaemons()...))
 		}},
-		{fault: "a process that sends nonsense", expected: "counted; no member, state or answer is lost", run: func(w *sharing) {
-			s := w.stranger("s", w.everyone()...)
-			w.learn0(s)
+		{fault: "a process that sends nonsense", expected: "counted; no member, state or answer is lost", run: func(w *gossipFixture) {
+			s := w.newTestPeer("s", w.allDaemons()...)
+			w.waitAllOrigins(s)
 			r := rand.New(rand.NewPCG(1, 2))
-			noise := func(n int) (b []byte) {
+			randomBytes := func(n int) (b []byte) {
 				for range n {
 					b = append(b, byte(r.Uint32()))
 				}
 				return b
 			}
-			good := s.all(w.t)[0]
-			for i, n := range w.names() {
+			good := s.messages(w.t)[0]
+			for i, n := range w.daemonNames() {
 				for k := range 40 {
-					s.tell(n, byte(k), noise(1+r.IntN(2000)))
+					s.send(n, byte(k), randomBytes(1+r.IntN(2000)))
 					m := append([]byte(nil), good[:len(good)-4]...) // a good frame around nonsense
 					for range 20 {
 						m[4+r.IntN(len(m)-4)] = byte(r.Uint32())
 					}
-					s.tell(n, tagCells, binary.LittleEndian.AppendUint32(m, crc32.Checksum(m, crc32.MakeTable(crc32.Castagnoli))))
+					s.send(n, tagCells, binary.LittleEndian.AppendUint32(m, crc32.Checksum(m, crc32.MakeTable(crc32.Castagnoli))))
 				}
 				for _, network := range []string{"udp", "tcp"} {
 					nc, err := net.Dial(network, w.PeerAddr(i))
 					w.must(err)
 					for range 20 {
-						_, _ = nc.Write(noise(1000)) // it may hang up
+						_, _ = nc.Write(randomBytes(1000)) // it may hang up
 					}
 					nc.Close()
 				}
 			}
-			w.counts("observations_unreadable", func(_ int, v float64) bool { return v >= 50 })
-			w.serves(some)
-			w.counts("peers_members", func(_ int, v float64) bool { return v == 4 })
-			w.end()
+			w.waitMetric("observations_unreadable", func(_ int, v float64) bool { return v >= 50 })
+			w.waitServed(serveCount)
+			w.waitMetric("peers_members", func(_ int, v float64) bool { return v == 4 })
+			w.stopAndAudit()
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			w := &sharing{}
-			w.world, w.metrics = shares(t, x.opt)
-			w.traffic()
-			w.serves(some)
-			w.counts("observations_origins", func(_ int, v float64) bool { return v == 2 })
+			w := &gossipFixture{}
+			w.fixture, w.metrics = newGossipFixture(t, x.opt)
+			w.startTraffic()
+			w.waitServed(serveCount)
+			w.waitMetric("observations_origins", func(_ int, v float64) bool { return v == 2 })
 			x.run(w)
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
@@ -348,23 +348,23 @@
 	}
 }
 
-// learn0 waits until the stranger has heard of each daemon, under traffic.
-func (w *sharing) learn0(s *stranger) {
+// waitAllOrigins waits until the stranger has heard of each daemon, under traffic.
+func (w *gossipFixture) waitAllOrigins(s *testPeer) {
 	w.t.Helper()
-	w.until("the stranger has heard of all", func() bool {
+	w.waitUntil("the stranger has heard of all", func() bool {
 		s.mu.Lock()
 		digest := s.state.Digest(time.Since(s.start))
 		n := s.state.Counts().Origins
 		s.mu.Unlock()
-		for _, d := range w.names() {
-			s.tell(d, tagAsk, digest)
+		for _, d := range w.daemonNames() {
+			s.send(d, tagDigestRequest, digest)
 		}
 		return int(n) == w.opt.Daemons
 	})
 }
 
-// sockets are the UDP sockets that a daemon holds.
-func (w *sharing) sockets(i int) (n int) {
+// udpSockets are the UDP sockets that a daemon holds.
+func (w *gossipFixture) udpSockets(i int) (n int) {
 	w.t.Helper()
 	pid := w.Proc(i).cmd.Process.Pid
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -393,22 +393,22 @@
 
 // Without the section a daemon holds no UDP socket and runs no goroutine of internal/gossip or the library: its
 // stacks, which SIGQUIT makes it print, have none. The daemons beside it have both.
-func TestPeersOff(t *testing.T) {
-	w := &sharing{}
-	w.world, w.metrics = shares(t, Options{}, 0)
-	w.traffic()
-	w.serves(some)
+func TestNoGossipWithoutPeersSection(t *testing.T) {
+	w := &gossipFixture{}
+	w.fixture, w.metrics = newGossipFixture(t, Options{}, 0)
+	w.startTraffic()
+	w.waitServed(serveCount)
 	for i := range w.opt.Daemons {
 		if i > 0 {
-			w.until("it has a member beside it", func() bool { return w.count(i, "peers_members") == 2 })
+			w.waitUntil("it has a member beside it", func() bool { return w.metric(i, "peers_members") == 2 })
 		}
-		if n := w.sockets(i); (n > 0) != (i > 0) {
+		if n := w.udpSockets(i); (n > 0) != (i > 0) {
 			t.Errorf("daemon %d: %d UDP sockets", i, n)
 		}
 	}
-	w.end()
+	w.stopAndAudit()
 	for i := range w.opt.Daemons {
-		w.falls(i, true)
+		w.markDown(i, true)
 		w.must(w.Proc(i).Signal(syscall.SIGQUIT))
 		if err := w.Proc(i).End(w.ctx); err == nil {
 			t.Error("it has not ended by SIGQUIT")
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -11,22 +11,22 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// History is what has happened so far. An attempt has ended when its node had answered, or when the
-// node or the link before it saw its sender go.
+// History returns what has happened so far. An attempt has ended once its node has answered, or once the
+// node or the link in front of it saw its sender disconnect.
 func (f *Fleet) History() historycheck.History {
 	f.mu.Lock()
-	h := f.h
+	h := f.history
 	h.Taken, h.Answered, h.Told = slices.Clone(h.Taken), slices.Clone(h.Answered), slices.Clone(h.Told)
 	h.Changed, h.Cold, h.Deaf = slices.Clone(h.Changed), slices.Clone(h.Cold), slices.Clone(h.Deaf)
 	h.Killed, h.Ending, h.Paused = slices.Clone(h.Killed), slices.Clone(h.Ending), slices.Clone(h.Paused)
 	h.Stood = slices.Clone(h.Stood)
 	for i := range f.procs {
-		if s, ok := f.down[i]; ok {
-			one := historycheck.Span{Scheduler: i, From: s.from, To: historycheck.Never}
-			if s.kill {
-				h.Killed = append(h.Killed, one)
+		if s, ok := f.downSince[i]; ok {
+			ended := historycheck.Span{Scheduler: i, From: s.from, To: historycheck.Never}
+			if s.killed {
+				h.Killed = append(h.Killed, ended)
 			} else {
-				h.Ending = append(h.Ending, one)
+				h.Ending = append(h.Ending, ended)
 			}
 		}
 	}
@@ -37,19 +37,19 @@
 		}
 		return t.Sub(f.start)
 	}
-	type from struct { // in order; a port may come again
+	type linkConn struct { // of one client address, in order of opening, as a port may be reused
 		link.Conn
 		scheduler int
 	}
-	parts := partsOf(h.Taken)
+	recordPart := partRecorder(h.Taken)
 	for j, n := range f.nodes {
-		conns := map[string][]from{}
-		for i := range f.storage {
-			if f.storage[i][j] == nil {
+		conns := map[string][]linkConn{}
+		for i := range f.storageLinks {
+			if f.storageLinks[i][j] == nil {
 				continue
 			}
-			for _, c := range f.storage[i][j].Conns() {
-				conns[c.Out] = append(conns[c.Out], from{c, i})
+			for _, c := range f.storageLinks[i][j].Conns() {
+				conns[c.Out] = append(conns[c.Out], linkConn{c, i})
 			}
 		}
 		name := f.opt.Nodes[j].Name
@@ -62,7 +62,7 @@
 				if !c.Ended.IsZero() {
 					s.Ended = min(s.Ended, max(at(c.Ended), s.First))
 				}
-				if t, ok := parts(a.ID, c.scheduler, s.First); ok {
+				if t, ok := recordPart(a.ID, c.scheduler, s.First); ok {
 					h.Taken = append(h.Taken, t)
 				}
 				break
@@ -77,9 +77,9 @@
 	return h
 }
 
-// partsOf makes the parts of gathered reads, which no client sent, requests of the scheduler that sent them, one for each of
-// their ids (the client's, a slash and more).
-func partsOf(taken []historycheck.Taken) func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
+// partRecorder returns a function that turns a part of a gathered read, which no client sent, into a request of the scheduler
+// that sent it. It does so once for each part ID, which consists of the client's request ID, a slash and a suffix.
+func partRecorder(taken []historycheck.Taken) func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
 	byID := map[string]historycheck.Taken{}
 	for _, t := range taken {
 		byID[t.ID] = t
@@ -96,11 +96,11 @@
 	}
 }
 
-// Rules are the auditor's figures out of the daemons' settings.
+// Rules returns the auditor's rules, derived from the daemons' settings.
 func (f *Fleet) Rules() historycheck.Rules {
 	set := f.settings
 	section := func(name string) map[string]any { m, _ := set[name].(map[string]any); return m }
-	num := func(m map[string]any, key string) float64 {
+	number := func(m map[string]any, key string) float64 {
 		switch v := m[key].(type) {
 		case int:
 			return float64(v)
@@ -109,37 +109,37 @@
 		}
 		return 0
 	}
-	span := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+	milliseconds := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	rules, extra := section("rules"), section("extra")
-	second, _ := section("ceilings")["second-copies"].(bool)
-	r := historycheck.Rules{Unsafe: map[string]bool{}, SecondCopies: second, Grace: span(num(rules, "stop-sending-within")), AskWithin: span(num(rules, "ask-within")),
-		Plans: map[string]historycheck.Plan{}, MeanUnits: num(extra, "usual-units"), ColdN: num(extra, "young-limit"), ColdFor: span(num(rules, "overload-for")),
-		CreditShare: num(rules, "tip-multiple") / 2, Slack: slack}
-	for _, p := range entriesOf(set["profiles"]) {
+	hedging, _ := section("ceilings")["second-copies"].(bool)
+	r := historycheck.Rules{Unsafe: map[string]bool{}, SecondCopies: hedging, Grace: milliseconds(number(rules, "stop-sending-within")), AskWithin: milliseconds(number(rules, "ask-within")),
+		Plans: map[string]historycheck.Plan{}, MeanUnits: number(extra, "usual-units"), ColdN: number(extra, "young-limit"), ColdFor: milliseconds(number(rules, "overload-for")),
+		CreditShare: number(rules, "tip-multiple") / 2, Slack: auditSlack}
+	for _, p := range settingObjects(set["profiles"]) {
 		r.Unsafe[fmt.Sprint(p["name"])] = p["repeat"] == "unsafe"
 	}
-	for _, p := range entriesOf(set["contracts"]) {
-		if limit := num(p, "cap"); limit > 0 {
-			r.Plans[fmt.Sprint(p["name"])] = historycheck.Plan{Cap: limit, Burst: num(p, "burst")}
+	for _, p := range settingObjects(set["contracts"]) {
+		if limit := number(p, "cap"); limit > 0 {
+			r.Plans[fmt.Sprint(p["name"])] = historycheck.Plan{Cap: limit, Burst: number(p, "burst")}
 		}
 	}
 	return r
 }
 
-const slack = 50 * time.Millisecond // the rules' limits are this much longer for an auditor
+const auditSlack = 50 * time.Millisecond // allowance for timing differences between the daemons and the recorded history
 
-func entriesOf(v any) []map[string]any { l, _ := v.([]map[string]any); return l }
+func settingObjects(v any) []map[string]any { l, _ := v.([]map[string]any); return l }
 
-// Audit asks the auditor about what has happened so far.
+// Audit checks the history so far against the rules.
 func (f *Fleet) Audit() []historycheck.Violation { return historycheck.Check(f.Rules(), f.History()) }
 
-const stoodLeast, standEvery = 25 * time.Millisecond, 5 * time.Millisecond
+const minStall, stallCheckInterval = 25 * time.Millisecond, 5 * time.Millisecond
 
-// watch notes when this program itself stood still: what its clients, links
-// and nodes see late then was not late.
-func (f *Fleet) watch() {
-	defer f.load.Done()
-	t := time.NewTicker(standEvery)
+// watchStalls records when this program itself stalled, as its clients, links and
+// nodes then observe events later than they happened.
+func (f *Fleet) watchStalls() {
+	defer f.background.Done()
+	t := time.NewTicker(stallCheckInterval)
 	defer t.Stop()
 	last := f.now()
 	for {
@@ -149,9 +149,9 @@
 		case <-t.C:
 		}
 		now := f.now()
-		if now-last > stoodLeast {
+		if now-last > minStall {
 			f.mu.Lock()
-			f.h.Stood = append(f.h.Stood, historycheck.Span{From: last, To: now})
+			f.history.Stood = append(f.history.Stood, historycheck.Span{From: last, To: now})
 			f.mu.Unlock()
 		}
 		last = now
--- a/internal/testkit/cluster/tell_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -15,8 +15,8 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// site puts sections over the site file of a daemon that is about to start.
-func site(f *Fleet, i int, sections map[string]any) error {
+// writeSite puts sections over the site file of a daemon that is about to start.
+func writeSite(f *Fleet, i int, sections map[string]any) error {
 	file := filepath.Join(f.Dir(i), "site.json")
 	text, err := os.ReadFile(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -33,8 +33,8 @@
 	return os.WriteFile(file, text, 0o600)
 }
 
-// views are the stranger's.
-func (s *stranger) views() map[nodestats.Key]nodestats.View {
+// viewsByKey are the stranger's.
+func (s *testPeer) viewsByKey() map[nodestats.Key]nodestats.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[nodestats.Key]nodestats.View{}
@@ -45,27 +45,27 @@
 }
 
 // What processes tell of nodes: hardware by the site's files, and windows, none where nothing new is sent. A process whose list is silent is counted as behind at all of them, until it has heard.
-func TestTold(t *testing.T) {
-	w := &sharing{}
-	w.world, w.metrics = shares(t, Options{Args: func(f *Fleet, i int) []string {
-		if err := site(f, i, map[string]any{"estimate": map[string]any{"types": map[string]any{"s*": "disk", "s1": "flash"}}}); err != nil {
+func TestNodeObservationsReachPeers(t *testing.T) {
+	w := &gossipFixture{}
+	w.fixture, w.metrics = newGossipFixture(t, Options{Args: func(f *Fleet, i int) []string {
+		if err := writeSite(f, i, map[string]any{"estimate": map[string]any{"types": map[string]any{"s*": "disk", "s1": "flash"}}}); err != nil {
 			t.Error(err)
 		}
 		return nil
 	}})
-	w.traffic()
-	w.serves(some)
-	s := w.stranger("s", w.everyone()...)
+	w.startTraffic()
+	w.waitServed(serveCount)
+	s := w.newTestPeer("s", w.allDaemons()...)
 	node := func(name string) (v nodestats.View) {
-		w.learn0(s)
-		for k, x := range s.views() {
+		w.waitAllOrigins(s)
+		for k, x := range s.viewsByKey() {
 			if k.Node == name && k.Class == "" {
 				v = x
 			}
 		}
 		return v
 	}
-	w.until("all tell of nodes", func() bool {
+	w.waitUntil("all tell of nodes", func() bool {
 		a, b := node("s0"), node("s1")
 		return a.Type == "disk" && b.Type == "flash" && a.Origins == 3 && b.Origins == 3 && a.Window >= 1 && b.Window >= 1
 	})
@@ -73,21 +73,21 @@
 		t.Error(e)
 	}
 
-	w.must(w.Mark(0, "leaving"))
-	w.until("a node that leaves has no window", func() bool { return node("s0").Window == 0 })
-	w.must(w.Mark(0, "active"))
-	w.until("it has one again", func() bool { return node("s0").Window >= 1 })
+	w.must(w.SetNodeStatus(0, "leaving"))
+	w.waitUntil("a node that leaves has no window", func() bool { return node("s0").Window == 0 })
+	w.must(w.SetNodeStatus(0, "active"))
+	w.waitUntil("it has one again", func() bool { return node("s0").Window >= 1 })
 
 	w.must(w.SetList(2, ListSilent))
-	w.must(w.Mark(1, "leaving"))
-	w.counts("peers_list_processes_behind", func(_ int, v float64) bool { return v == 1 })
-	w.counts("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
+	w.must(w.SetNodeStatus(1, "leaving"))
+	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 1 })
+	w.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 	for i := range w.opt.Daemons {
-		if old, now := w.count(i, "peers_list_oldest_version"), w.count(i, "peers_list_newest_version"); now != old+1 {
+		if old, now := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); now != old+1 {
 			t.Errorf("daemon %d: versions %v to %v", i, old, now)
 		}
 	}
 	w.must(w.SetList(2, ListWell))
-	w.counts("peers_list_processes_behind", func(_ int, v float64) bool { return v == 0 })
-	w.end()
+	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 0 })
+	w.stopAndAudit()
 }
--- a/internal/testkit/cluster/ports_test.go
+++ b/internal/testkit/cluster/ports_test.go
@@ -52,7 +52,7 @@
 }
 
 // No connection and no other party that asks for any port gets one that was handed out.
-func TestFreeAddressIsHeld(t *testing.T) {
+func TestFreeAddressStaysReserved(t *testing.T) {
 	at, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/testkit/cluster/startup_test.go
@@ -0,0 +1,468 @@
+package cluster
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wheatsaddle/internal/coldstart"
+	"wheatsaddle/internal/coldstart/snapshot"
+	"wheatsaddle/internal/testkit/fake/discovery"
+	"wheatsaddle/internal/testkit/fake/link"
+	"wheatsaddle/internal/testkit/fake/node"
+)
+
+// startupFixture is a world whose daemons have the section start and are not up yet. Nodes 0 and 2, one of each shard, have
+// just restarted: the list that is held does not know it.
+type startupFixture struct {
+	*gossipFixture
+	startSection map[string]any
+	mu           sync.Mutex
+	launchedAt   map[int]time.Duration // of the present life
+	listeningAt  map[int]time.Duration // it listens
+	listenCounts map[int]int           // that came to listen
+	listCalls    map[string][]time.Duration
+}
+
+// coldCapacity is what a node bears that has just restarted: what it can do within 3 s then, at 200 units a second once warm.
+var coldCapacity = node.Cold{Power: 0.24, Span: 17 * time.Second, Units: 130, Mean: 1, Within: 3 * time.Second, Back: 2 * time.Second}
+
+// newStartupFixture makes the world: snap is the snapshot that daemon i finds, nil: none; told daemons tell each other.
+func newStartupFixture(t *testing.T, opt Options, start map[string]any, snapshotFor func(f *Fleet, i int) []byte, gossip bool) *startupFixture {
+	t.Helper()
+	s := &startupFixture{gossipFixture: &gossipFixture{}, launchedAt: map[int]time.Duration{}, listeningAt: map[int]time.Duration{}, listenCounts: map[int]int{},
+		listCalls: map[string][]time.Duration{}}
+	s.startSection = mergeSettings(map[string]any{"list_priced": true}, start)
+	opt.Idle = true
+	opt.Settings = mergeSettings(map[string]any{"membership-mode": "ask", "ceilings": map[string]any{"probes": true, "peers": gossip},
+		"rules": map[string]any{"ask-within": 6000}, "extra": map[string]any{"young-limit": coldCapacity.Units}}, opt.Settings)
+	serviceTime := func(*fasthttp.Request) time.Duration { return 5 * time.Millisecond }
+	for j := range 4 {
+		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2, Workers: 1, Service: serviceTime, Tune: func(o *node.Options) { o.Cold = &coldCapacity }})
+	}
+	opt.List.Heard = func(caller, _ string) {
+		s.mu.Lock()
+		s.listCalls[caller] = append(s.listCalls[caller], s.now())
+		s.mu.Unlock()
+	}
+	opt.Said = func(i int, line []byte) {
+		if bytes.Contains(line, []byte("msg=serving")) {
+			s.Fleet.mu.Lock()
+			s.markUp(i)
+			s.Fleet.mu.Unlock()
+			s.mu.Lock()
+			s.listeningAt[i] = s.now()
+			s.listenCounts[i]++
+			s.mu.Unlock()
+		}
+	}
+	opt.Args = func(f *Fleet, i int) []string {
+		section := maps.Clone(s.startSection)
+		section["snapshot"] = filepath.Join(f.Dir(i), "learned")
+		err := writeSite(f, i, map[string]any{"start": section})
+		if text := snapshotFor; err == nil && text != nil {
+			err = os.WriteFile(filepath.Join(f.Dir(i), "learned"), text(f, i), 0o600)
+		}
+		if err != nil {
+			t.Error(err)
+		}
+		return []string{"--site", filepath.Join(f.Dir(i), "site.json")}
+	}
+	if gossip {
+		s.fixture, s.metrics = newGossipFixture(t, opt)
+	} else {
+		s.fixture = newFixture(t, opt)
+	}
+	return s
+}
+
+// restartNodes has the nodes restart.
+func (s *startupFixture) restartNodes(nodes ...int) {
+	s.t.Helper()
+	for _, j := range nodes {
+		s.Node(j).Chill()
+		s.must(s.Replace(j))
+	}
+}
+
+// launchDaemons starts daemons.
+func (s *startupFixture) launchDaemons(which ...int) {
+	s.t.Helper()
+	for _, i := range which {
+		s.mu.Lock()
+		s.launchedAt[i] = s.now()
+		s.mu.Unlock()
+		s.must(s.Launch(i))
+	}
+}
+
+func (s *startupFixture) listens(i int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.listeningAt[i] > 0
+}
+
+// killDaemon kills a daemon; nobody sends to it until it listens again.
+func (s *startupFixture) killDaemon(i int) {
+	s.t.Helper()
+	s.mu.Lock()
+	s.listeningAt[i] = 0
+	s.mu.Unlock()
+	s.must(s.Kill(i))
+}
+
+// startTraffic is as of other worlds, to daemons that listen.
+func (s *startupFixture) startTraffic() {
+	s.stopTraffic = s.StartLoad(s.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest, Skip: func(i int) bool { return !s.listens(i) }})
+}
+
+// startOverload is more than the nodes can do.
+func (s *startupFixture) startOverload() (stop func()) {
+	return s.StartLoad(s.ctx, Load{Clients: 12, Pause: 5 * time.Millisecond, Skip: func(i int) bool { return !s.listens(i) },
+		Request: func(i, client, n int) ClientRequest {
+			a := mixedRequest(i, client, n)
+			a.Units = 4
+			return a
+		}})
+}
+
+// waitEach waits until a condition holds of each daemon.
+func (s *startupFixture) waitEach(what string, cond func(i int) bool) {
+	s.t.Helper()
+	for i := range s.opt.Daemons {
+		s.waitUntil(fmt.Sprint("daemon ", i, ": ", what), func() bool { return cond(i) })
+	}
+}
+
+// waitFailedListCalls waits until each daemon's calls of the list have come to nothing so often.
+func (s *startupFixture) waitFailedListCalls(times int) {
+	s.t.Helper()
+	s.waitEach("its calls come to nothing", func(i int) bool { return s.ListLink(i).Counts(link.Forward).Conns >= times })
+}
+
+// connsOpened is how many connections daemon i has opened to node j.
+func (s *startupFixture) connsOpened(i, j int) int {
+	return s.StorageLink(i, j).Counts(link.Forward).Conns
+}
+
+// checkNodeLoad fails where a node was asked for more than it bears.
+func (s *startupFixture) checkNodeLoad() (worst float64) {
+	s.t.Helper()
+	for j := range 4 {
+		falls, most := s.Node(j).Falls()
+		if worst = max(worst, most); falls > 0 {
+			s.t.Errorf("node %d fell: it got %.2f of what it bears", j, most)
+		}
+	}
+	return worst
+}
+
+// learnedSnapshot is a snapshot of all nodes as the daemons hold them, too bold for any that has just restarted.
+func learnedSnapshot(f *Fleet, order ...int) *snapshot.Snapshot {
+	s := &snapshot.Snapshot{Made: time.Now()}
+	for _, j := range order {
+		s.Nodes = append(s.Nodes, snapshot.NodeState{ID: f.opt.Nodes[j].Name, StartTime: float64(f.startTimes[j]), Window: 64, Latency: 2, BestLatencyPerUnit: 1})
+	}
+	return s
+}
+
+func mustEncode(s *snapshot.Snapshot) []byte {
+	text, err := snapshot.Encode(s)
+	if err != nil {
+		panic(err) // it is this test's own
+	}
+	return text
+}
+
+// unusableSnapshots are files that are there and are not taken, by the word of what is wrong with them.
+var unusableSnapshots = []struct {
+	why  string
+	text func(f *Fleet) []byte
+}{
+	{"torn", func(f *Fleet) []byte { b := mustEncode(learnedSnapshot(f, 0, 1, 2, 3)); return b[:len(b)*2/3] }},
+	{"foreign", func(*Fleet) []byte { return []byte(`{"version":1,"nodes":[]}`) }},
+	{"old", func(f *Fleet) []byte {
+		s := learnedSnapshot(f, 0, 1, 2, 3)
+		s.Made = s.Made.Add(-time.Hour)
+		return mustEncode(s)
+	}},
+}
+
+// Part 2: the start. Each row is a fault while daemons start together, beside cold nodes, and what is expected of
+// them; in each the auditor finds nothing, no node falls, and each refusal says when to come again.
+func TestStartupFaults(t *testing.T) {
+	for _, x := range []struct {
+		fault, expected string
+		opt             Options
+		start           map[string]any
+		snap            func(f *Fleet, i int) []byte
+		ahead           bool // no traffic before the row's end: what is opened is opened ahead of need
+		before, run     func(*startupFixture)
+	}{
+		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the held list; asked again; told once it is up", opt: Options{Known: true, ListDown: true},
+			run: func(s *startupFixture) {
+				s.waitFailedListCalls(2)
+				s.waitServed(serveCount)
+				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
+				s.must(s.SetNodeStatus(0, "leaving"))
+				s.setListFaults(ListWell)
+				s.waitDrainNotified()
+			}},
+		{fault: "list down at first, none is held", expected: "all is refused at once with Retry-After; served once it is up", opt: Options{ListDown: true},
+			run: func(s *startupFixture) {
+				s.waitFailedListCalls(2)
+				s.waitEach("it refuses", func(i int) bool {
+					return slices.ContainsFunc(s.Rejections(), func(r Rejection) bool { return r.Scheduler == i })
+				})
+				s.waitUntil("refusals", func() bool { return len(s.Rejections()) >= 3*serveCount })
+				var took []time.Duration
+				for _, r := range s.Rejections() {
+					took = append(took, r.At-r.SentAt)
+				}
+				slices.Sort(took)
+				if mid := took[len(took)/2]; mid > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
+					s.t.Errorf("half of the refusals took %v and more", mid)
+				}
+				s.setListFaults(ListWell)
+			}},
+		{fault: "list of small capacity, six start at once", expected: "first calls spread by name, those turned away rarer and rarer; all hear it", opt: Options{Known: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
+			start: map[string]any{"list_calls_per_second": 8}, run: func(s *startupFixture) {
+				s.waitEach("it has heard the list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Watches > 0 })
+				if s.Calls().Refused == 0 {
+					s.t.Error("no call was turned away")
+				}
+				const spread = 750 * time.Millisecond // six over eight a second
+				s.mu.Lock()
+				defer s.mu.Unlock()
+				for i := range s.opt.Daemons {
+					name := fmt.Sprint("n", i)
+					at := s.listCalls[name]
+					if slot := coldstart.Slot(spread, "list", name); at[0]-s.launchedAt[i] < slot {
+						s.t.Errorf("%s asked %v after its start, its slot is %v", name, at[0]-s.launchedAt[i], slot)
+					}
+					for k := 1; k < len(at); k++ {
+						if least := min(spread<<(k-1), 6*time.Second) / 2; at[k]-at[k-1] < least {
+							s.t.Errorf("%s asked again after %v, %v is the least", name, at[k]-at[k-1], least)
+						}
+					}
+				}
+			}},
+		{fault: "list resets each call at first", expected: "asked again; served meanwhile; told once it speaks", opt: Options{Known: true},
+			before: func(s *startupFixture) { s.setListFaults(ListReset) }, run: func(s *startupFixture) {
+				s.waitWatchRequests(1)
+				s.must(s.SetNodeStatus(0, "leaving"))
+				s.setListFaults(ListWell)
+				s.waitDrainNotified()
+			}},
+		{fault: "list cut halfway, then an old one after a new", expected: "asked again after the cut; the old one gives no node back that drains", opt: Options{},
+			before: func(s *startupFixture) {
+				for i := range s.opt.Daemons {
+					s.fakeListOf(i).CutHalfway()
+				}
+			}, run: func(s *startupFixture) {
+				s.waitEach("a list is cut", func(i int) bool { return s.fakeListOf(i).Service.Counts().Cuts == 1 })
+				s.must(s.SetNodeStatus(0, "leaving"))
+				s.waitDrainNotified()
+				for i := range s.opt.Daemons {
+					s.fakeListOf(i).OldList(1)
+				}
+				s.waitEach("an old list comes", func(i int) bool { return s.fakeListOf(i).Service.Counts().Olds == 1 })
+			}},
+		{fault: "half killed while they start, started anew", expected: "the others serve on; all serve; cold nodes bear both lives", opt: Options{Known: true, Daemons: 4, ListDown: true},
+			run: func(s *startupFixture) {
+				s.waitEach("it listens", s.listens)
+				s.waitFailedListCalls(1)
+				for _, i := range []int{0, 2} {
+					s.killDaemon(i)
+				}
+				s.launchDaemons(0, 2)
+				s.waitEach("it listens", s.listens)
+				s.waitServed(serveCount)
+				s.setListFaults(ListWell)
+				s.mu.Lock()
+				defer s.mu.Unlock()
+				for i := range s.opt.Daemons {
+					if want := 2 - i%2; s.listenCounts[i] != want {
+						s.t.Errorf("daemon %d: %d lives", i, s.listenCounts[i])
+					}
+				}
+			}},
+		{fault: "the cold nodes silent", expected: "the others serve; these once they speak", opt: Options{Known: true}, before: func(s *startupFixture) {
+			for i := range s.opt.Daemons {
+				for j := 0; j < 4; j += 2 {
+					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{Hold: true, Silent: true}))
+				}
+			}
+		}, run: func(s *startupFixture) {
+			s.waitEach("a connect waits", func(i int) bool { return s.StorageLink(i, 0).Waiting()+s.StorageLink(i, 2).Waiting() > 0 })
+			s.waitServed(serveCount)
+			for i := range s.opt.Daemons {
+				for j := 0; j < 4; j += 2 {
+					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{}))
+				}
+			}
+			s.waitUntil("one of them serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
+		}},
+		{fault: "a node takes connections and answers none", expected: "ready, and connections ahead to the others, all the same", opt: Options{Known: true},
+			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, ahead: true, before: func(s *startupFixture) { s.must(s.Break(1, node.Hang)) },
+			run: func(s *startupFixture) {
+				s.waitEach("it has connections ahead", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
+				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
+			}},
+		{fault: "nodes restarted after the snapshot was made", expected: "connections ahead to the others alone; nothing learned of them is used",
+			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 0, 2, 1, 3)) }, ahead: true, run: func(s *startupFixture) {
+				s.waitEach("it has connections ahead", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
+				slotsPassed := 0 // pairs whose turn came before the last of those that were opened
+				for i := range s.opt.Daemons {
+					slot := func(j int) time.Duration {
+						return coldstart.Slot(time.Second, "connect", fmt.Sprint("n", i), fmt.Sprint("s", j))
+					}
+					for j := 0; j < 4; j += 2 {
+						if slot(j) < max(slot(1), slot(3)) {
+							slotsPassed++
+						}
+						if n := s.connsOpened(i, j); n > 0 {
+							s.t.Errorf("daemon %d opened %d connections ahead to node %d", i, n, j)
+						}
+					}
+				}
+				if slotsPassed == 0 {
+					s.t.Error("no restarted node's turn had come")
+				}
+			}},
+		{fault: "snapshot torn, foreign, old", expected: "one coded line each; it starts as without", opt: Options{Known: true},
+			snap: func(f *Fleet, i int) []byte { return unusableSnapshots[i].text(f) }, run: func(s *startupFixture) {
+				s.waitServed(serveCount)
+				for i := range s.opt.Daemons {
+					if n := strings.Count(s.Proc(i).Log(), "code=snapshot-"); n != 1 || !strings.Contains(s.Proc(i).Log(), "code=snapshot-"+unusableSnapshots[i].why) {
+						s.t.Errorf("%s: %d lines with a code", unusableSnapshots[i].why, n)
+					}
+				}
+			}},
+		{fault: "six start at once over cold nodes under load, the list down at first", expected: "no cold node gets more than it bears", opt: Options{Known: true, Daemons: 6, ListDown: true},
+			run: func(s *startupFixture) {
+				stop := s.startOverload()
+				s.waitFailedListCalls(2)
+				s.waitServed(serveCount)
+				s.setListFaults(ListWell)
+				s.waitServed(serveCount)
+				stop()
+				if worst := s.checkNodeLoad(); worst < 0.3 {
+					s.t.Errorf("a cold node got %.2f of what it bears at most: that shows nothing", worst)
+				}
+			}},
+	} {
+		t.Run(x.fault, func(t *testing.T) {
+			s := newStartupFixture(t, x.opt, x.start, x.snap, false)
+			s.restartNodes(0, 2)
+			if x.before != nil {
+				x.before(s)
+			}
+			s.launchDaemons(s.allDaemons()...)
+			if !x.ahead {
+				s.startTraffic()
+			}
+			x.run(s)
+			s.finishAndAudit()
+			t.Log(x.expected)
+		})
+	}
+}
+
+// Part 2: what a peer hands over to daemons that start together without a snapshot, over cold nodes, the list down until
+// it has. Each row is what the one peer does that has something; in each the start goes on, and no rule is broken.
+func TestStartupFromPeerSnapshot(t *testing.T) {
+	for _, x := range []struct {
+		fault, expected string
+		run             func(*startupFixture, *testPeer)
+		taken, unusable float64 // of each daemon, at the end
+	}{
+		{fault: "the peer is silent", expected: "nothing is taken", run: func(s *startupFixture, p *testPeer) {
+			s.waitUntil("all have asked it", func() bool { return p.snapshotRequestCount() == s.opt.Daemons })
+		}},
+		{fault: "the peer is killed before it answers", expected: "nothing is taken", run: func(s *startupFixture, p *testPeer) {
+			s.waitUntil("one has asked it", func() bool { return p.snapshotRequestCount() > 0 })
+			p.closeOnce.Do(func() { _ = p.list.Shutdown() }) // it takes no leave
+		}},
+		{fault: "the peer hands over nonsense, and what nobody asked for", expected: "dropped and counted", unusable: 2, run: func(s *startupFixture, p *testPeer) {
+			p.handOver([]byte("nonsense"))
+			for _, n := range s.daemonNames() {
+				p.send(n, tagSnapshot, append(make([]byte, 8), mustEncode(learnedSnapshot(s.Fleet, 0, 1, 2, 3))...))
+			}
+		}},
+		{fault: "the peer lies of cold nodes", expected: "taken; nobody takes a cold node for a warm one", taken: 1, run: func(s *startupFixture, p *testPeer) {
+			misreported := learnedSnapshot(s.Fleet, 0, 2, 1, 3) // of the starts that the list will give
+			misreported.Nodes = append(misreported.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Latency: -1, BestLatencyPerUnit: -1, FailureRate: -1})
+			misreported.Classes = []snapshot.ClassState{{Name: "read", Weight: 1e9, Slope: -1e9, Delay: -1}, {Name: "none"}}
+			p.handOver(mustEncode(misreported))
+		}},
+	} {
+		t.Run(x.fault, func(t *testing.T) {
+			s := newStartupFixture(t, Options{Known: true, ListDown: true}, nil, nil, true)
+			s.restartNodes(0, 2)
+			s.launchDaemons(s.allDaemons()...)
+			s.waitEach("it listens", s.listens)
+			p := s.newTestPeer("s", s.allDaemons()...)
+			x.run(s, p)
+			s.waitMetric("peers_unusable_snapshots", func(_ int, v float64) bool { return v >= x.unusable })
+			s.waitMetric("peers_taken_snapshots", func(_ int, v float64) bool { return v == x.taken })
+			stop := s.startOverload()
+			s.waitServed(serveCount)
+			s.setListFaults(ListWell)
+			s.waitServed(2 * serveCount)
+			stop()
+			s.finishAndAudit()
+			t.Log(x.expected)
+		})
+	}
+}
+
+// One that starts anew takes what another has learned, beside one that is stopped while it may be asked.
+func TestStartupFromSecondPeer(t *testing.T) {
+	s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
+	s.launchDaemons(s.allDaemons()...)
+	s.startTraffic()
+	file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
+	s.waitEach("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
+	s.killDaemon(0)
+	s.must(os.Remove(file(0)))
+	s.must(s.Stop(1))
+	s.restartNodes(0, 2)
+	s.launchDaemons(0)
+	s.waitUntil("it takes what the other has", func() bool { return s.listens(0) && s.metric(0, "peers_taken_snapshots") == 1 })
+	if n := s.metric(2, "peers_given_snapshots"); n != 1 {
+		t.Errorf("%v were given", n)
+	}
+	s.waitServed(serveCount, 1)
+	s.must(s.Continue(1))
+	s.finishAndAudit()
+}
+
+// finishAndAudit has each daemon serve and be ready, and asks the auditor and the nodes.
+func (s *startupFixture) finishAndAudit() {
+	s.t.Helper()
+	if s.stopTraffic == nil {
+		s.startTraffic()
+	}
+	s.waitServed(serveCount)
+	s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
+	s.stopAndAudit()
+	s.checkNodeLoad()
+	for _, r := range s.Rejections() {
+		if r.RetryAfter <= 0 {
+			s.t.Errorf("a refusal without Retry-After: %+v", r)
+		}
+	}
+}
+
+// fakeListOf is daemon i's stand-in itself.
+func (w *fixture) fakeListOf(i int) *fakeList { return w.List(i).(*fakeList) }
--- a/internal/testkit/cluster/traffic.go
+++ b/internal/testkit/cluster/traffic.go
@@ -18,56 +18,56 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// Ask is one request of a client. Its ID is the fleet's.
-type Ask struct {
-	Scheduler int
-	Class     string // "": read
-	Plan      string // "": basic
-	Volume    int
-	Shard     int
-	Units     float64       // 0: 1
-	Deadline  time.Duration // 0: 1 s
-	Leave     time.Duration // the client goes after this, if no answer has come; 0: it stays
-	Write     bool
-	Body      int // bytes
+// ClientRequest is one request of a client. The fleet assigns its ID.
+type ClientRequest struct {
+	Scheduler       int
+	Class           string // "": read
+	Plan            string // "": defaultPlan
+	Volume          int
+	Shard           int
+	Units           float64       // 0: 1
+	Deadline        time.Duration // 0: 1 s
+	DisconnectAfter time.Duration // the client disconnects if no answer has come by then; 0: it does not
+	Write           bool
+	BodySize        int // bytes, of a write
 }
 
-// Outcome is how it ended.
+// Outcome is how a request ended.
 type Outcome struct {
-	ID   string
-	End  historycheck.End
-	Code int
-	None bool // no connection came up: nothing was sent
-	At   time.Duration
+	ID      string
+	End     historycheck.End
+	Code    int
+	NotSent bool // the connection could not be opened
+	At      time.Duration
 }
 
-// Refusal is an answer of code 503.
-type Refusal struct {
-	Scheduler             int
-	Asked, At, RetryAfter time.Duration // RetryAfter 0: it has none
+// Rejection is an answer with code 503.
+type Rejection struct {
+	Scheduler              int
+	SentAt, At, RetryAfter time.Duration // RetryAfter 0: the answer had none
 }
 
-// Refusals are those of all daemons so far.
-func (f *Fleet) Refusals() []Refusal {
+// Rejections returns the rejections by all daemons so far.
+func (f *Fleet) Rejections() []Rejection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.refused)
+	return slices.Clone(f.rejections)
 }
 
-// Conn is a client's connection to one scheduler, which it keeps for as long as it can. It never
+// Conn is a client with one connection to a scheduler, which it reuses for as long as possible. It never
 // sends a request twice.
 type Conn struct {
-	f     *Fleet
-	to    int
-	nc    net.Conn
-	br    *bufio.Reader
-	start int // the start of the scheduler's process that nc was dialed to
+	f             *Fleet
+	scheduler     int
+	nc            net.Conn
+	br            *bufio.Reader
+	processStarts int // Proc.Starts of the scheduler when nc was dialed
 }
 
-// Dial makes a client; it connects when it first asks.
-func (f *Fleet) Dial(scheduler int) *Conn { return &Conn{f: f, to: scheduler} }
+// Dial returns a client that connects with its first request.
+func (f *Fleet) Dial(scheduler int) *Conn { return &Conn{f: f, scheduler: scheduler} }
 
-// Close ends its connection.
+// Close closes the connection.
 func (c *Conn) Close() {
 	if c.nc != nil {
 		c.nc.Close()
@@ -75,151 +75,151 @@
 	}
 }
 
-// Ask asks once, on a connection of its own.
-func (f *Fleet) Ask(a Ask) Outcome {
+// Send sends one request on a new connection and waits for its end.
+func (f *Fleet) Send(a ClientRequest) Outcome {
 	c := f.Dial(a.Scheduler)
 	defer c.Close()
-	return c.Ask(a)
+	return c.Send(a)
 }
 
-const bodyMarker = " shard="
+const shardMarker = " shard="
 
-// Ask asks and waits for the end.
-func (c *Conn) Ask(a Ask) Outcome {
+// Send sends a request and waits for its end.
+func (c *Conn) Send(request ClientRequest) Outcome {
 	f := c.f
-	a.Scheduler = c.to
-	if a.Class == "" {
-		a.Class = "read"
+	request.Scheduler = c.scheduler
+	if request.Class == "" {
+		request.Class = "read"
 	}
-	if a.Plan == "" {
-		a.Plan = thePlan
+	if request.Plan == "" {
+		request.Plan = defaultPlan
 	}
-	if a.Units == 0 {
-		a.Units = 1
+	if request.Units == 0 {
+		request.Units = 1
 	}
-	if a.Deadline == 0 {
-		a.Deadline = time.Second
+	if request.Deadline == 0 {
+		request.Deadline = time.Second
 	}
 	f.mu.Lock()
-	f.next++
-	seq := f.next
+	f.lastSequence++
+	seq := f.lastSequence
 	f.mu.Unlock()
 	id := fmt.Sprintf("q%06d", seq)
-	m := client.Message{ID: id, Class: a.Class, Plan: a.Plan, Extent: fmt.Sprintf("%016x", seq), Volume: fmt.Sprintf("%016x", a.Volume),
-		Units: a.Units, Shard: a.Shard, Hosts: f.opt.Daemons, Write: a.Write, Deadline: a.Deadline}
-	if a.Write {
-		m.Body = []byte(strings.Repeat("x", a.Body))
+	message := client.Message{ID: id, Class: request.Class, Plan: request.Plan, Extent: fmt.Sprintf("%016x", seq), Volume: fmt.Sprintf("%016x", request.Volume),
+		Units: request.Units, Shard: request.Shard, Hosts: f.opt.Daemons, Write: request.Write, Deadline: request.Deadline}
+	if request.Write {
+		message.Body = []byte(strings.Repeat("x", request.BodySize))
 	}
-	if c.nc != nil && c.start != f.procs[c.to].Starts() && !f.opt.Passed {
-		c.Close() // the process it was dialed to has ended: no running one can read from it
+	if c.nc != nil && c.processStarts != f.procs[c.scheduler].Starts() && !f.opt.PassedSockets {
+		c.Close() // the process that it was dialed to has exited, so no running process reads from it
 	}
 	if c.nc == nil {
-		c.start = f.procs[c.to].Starts()
-		nc, err := net.DialTimeout("tcp", f.Front(c.to), a.Deadline)
+		c.processStarts = f.procs[c.scheduler].Starts()
+		nc, err := net.DialTimeout("tcp", f.Front(c.scheduler), request.Deadline)
 		if err != nil {
-			return Outcome{ID: id, None: true}
+			return Outcome{ID: id, NotSent: true}
 		}
 		c.nc, c.br = nc, bufio.NewReader(nc)
 	}
-	t := historycheck.Taken{ID: id, Class: a.Class, Plan: a.Plan, Volume: m.Volume, Units: a.Units, Scheduler: c.to, At: f.now()}
-	t.GivesUp = t.At + a.Deadline
+	taken := historycheck.Taken{ID: id, Class: request.Class, Plan: request.Plan, Volume: message.Volume, Units: request.Units, Scheduler: c.scheduler, At: f.now()}
+	taken.GivesUp = taken.At + request.Deadline
 	f.mu.Lock()
-	f.h.Taken = append(f.h.Taken, t)
+	f.history.Taken = append(f.history.Taken, taken)
 	f.mu.Unlock()
-	end, code, of, after := c.exchange(m, a, time.Now())
-	o := Outcome{ID: id, End: end, Code: code, At: f.now()}
+	end, code, servedBy, retryAfter := c.exchange(message, request, time.Now())
+	outcome := Outcome{ID: id, End: end, Code: code, At: f.now()}
 	f.mu.Lock()
-	f.h.Answered = append(f.h.Answered, historycheck.Answered{ID: id, At: o.At, End: end, Of: of})
+	f.history.Answered = append(f.history.Answered, historycheck.Answered{ID: id, At: outcome.At, End: end, Of: servedBy})
 	if code == fasthttp.StatusOK && end == historycheck.Whole {
-		f.ok[c.to]++
+		f.served[c.scheduler]++
 	}
-	f.codes[code]++
+	f.answersByCode[code]++
 	if code == fasthttp.StatusServiceUnavailable {
-		f.refused = append(f.refused, Refusal{c.to, t.At, o.At, after})
+		f.rejections = append(f.rejections, Rejection{c.scheduler, taken.At, outcome.At, retryAfter})
 	}
 	f.mu.Unlock()
-	return o
+	return outcome
 }
 
-// patience is how much longer than its deadline a client waits, so that a late answer is seen as one.
-const patience = 500 * time.Millisecond
+// lateAnswerWait is how long a client waits beyond its deadline, so that a late answer is recorded as such.
+const lateAnswerWait = 500 * time.Millisecond
 
-func (c *Conn) exchange(m client.Message, a Ask, start time.Time) (end historycheck.End, code int, of string, after time.Duration) {
-	until := start.Add(a.Deadline + patience)
-	if a.Leave > 0 {
-		until = start.Add(a.Leave)
+func (c *Conn) exchange(m client.Message, request ClientRequest, start time.Time) (end historycheck.End, code int, servedBy string, retryAfter time.Duration) {
+	deadline := start.Add(request.Deadline + lateAnswerWait)
+	if request.DisconnectAfter > 0 {
+		deadline = start.Add(request.DisconnectAfter)
 	}
-	if err := c.nc.SetDeadline(until); err != nil {
+	if err := c.nc.SetDeadline(deadline); err != nil {
 		c.Close()
 		return historycheck.Unheard, 0, "", 0
 	}
-	gone := func(err error, otherwise historycheck.End) historycheck.End {
+	failed := func(err error, otherwise historycheck.End) historycheck.End {
 		c.Close()
-		if a.Leave > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+		if request.DisconnectAfter > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 			return historycheck.Left
 		}
 		return otherwise
 	}
 	if _, err := c.nc.Write(m.Append(nil)); err != nil {
-		return gone(err, historycheck.Unheard), 0, "", 0
+		return failed(err, historycheck.Unheard), 0, "", 0
 	}
 	if _, err := c.br.Peek(1); err != nil {
-		return gone(err, historycheck.Unheard), 0, "", 0
+		return failed(err, historycheck.Unheard), 0, "", 0
 	}
 	var r fasthttp.Response
 	if err := r.Read(c.br); err != nil {
-		return gone(err, historycheck.Cut), 0, "", 0
+		return failed(err, historycheck.Cut), 0, "", 0
 	}
 	if r.StatusCode() == fasthttp.StatusOK {
-		of, _, _ = strings.Cut(string(r.Body()), bodyMarker)
+		servedBy, _, _ = strings.Cut(string(r.Body()), shardMarker)
 	}
 	if s, err := strconv.ParseFloat(string(r.Header.Peek("Retry-After")), 64); err == nil {
-		after = time.Duration(s * float64(time.Second))
+		retryAfter = time.Duration(s * float64(time.Second))
 	}
-	if c.br.Buffered() > 0 { // more than one answer
+	if c.br.Buffered() > 0 { // more bytes than one answer
 		c.Close()
-		return historycheck.Cut, r.StatusCode(), of, after
+		return historycheck.Cut, r.StatusCode(), servedBy, retryAfter
 	}
 	if r.ConnectionClose() {
 		c.Close()
 	}
-	return historycheck.Whole, r.StatusCode(), of, after
+	return historycheck.Whole, r.StatusCode(), servedBy, retryAfter
 }
 
-// Load is traffic at a rate from clients that keep their connections: each of Clients of each
-// scheduler asks, waits for the end, pauses for Gap and asks again.
+// Load is traffic from clients that reuse their connections. Each scheduler has this many clients. Each of
+// them sends a request, waits for its end, pauses and sends the next one.
 type Load struct {
-	Clients int
-	Gap     time.Duration
-	Ask     func(scheduler, client, n int) Ask
-	Once    bool                     // a connection for each request
-	Skip    func(scheduler int) bool // where nothing is to be sent for now; nil: nowhere
+	Clients           int
+	Pause             time.Duration
+	Request           func(scheduler, client, n int) ClientRequest
+	NewConnPerRequest bool                     // each request uses a new connection
+	Skip              func(scheduler int) bool // reports schedulers to which nothing is sent for now; may be nil
 }
 
-// Run starts a load that runs until the function it returns is called, which waits for its end.
-func (f *Fleet) Run(ctx context.Context, l Load) (stop func()) {
+// StartLoad starts a load and returns a function that stops it and waits until its clients have ended.
+func (f *Fleet) StartLoad(ctx context.Context, l Load) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{}, f.opt.Daemons*l.Clients)
-	for s := range f.opt.Daemons {
-		for k := range l.Clients {
-			f.load.Add(1)
+	for scheduler := range f.opt.Daemons {
+		for client := range l.Clients {
+			f.background.Add(1)
 			go func() {
-				defer f.load.Done()
+				defer f.background.Done()
 				defer func() { done <- struct{}{} }()
-				c := f.Dial(s)
-				defer c.Close()
+				conn := f.Dial(scheduler)
+				defer conn.Close()
 				for n := 0; ctx.Err() == nil; n++ {
-					if l.Skip != nil && l.Skip(s) {
-						c.Close() // what is left of it has ended by then
+					if l.Skip != nil && l.Skip(scheduler) {
+						conn.Close() // its process has exited
 					} else {
-						c.Ask(l.Ask(s, k, n))
-						if l.Once {
-							c.Close()
+						conn.Send(l.Request(scheduler, client, n))
+						if l.NewConnPerRequest {
+							conn.Close()
 						}
 					}
 					select {
 					case <-ctx.Done():
-					case <-time.After(l.Gap):
+					case <-time.After(l.Pause):
 					}
 				}
 			}()
@@ -233,9 +233,9 @@
 	}
 }
 
-// Served is how many answers of code 200 a daemon's clients have had.
+// Served returns how many complete answers with code 200 the clients of daemon i have received.
 func (f *Fleet) Served(i int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ok[i]
+	return f.served[i]
 }
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -58,23 +58,23 @@
 // both directions, and nothing is lost. A node that an operator excluded stays excluded: each reads the other's file.
 func TestSocketHandoverBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
-	r := &replaced{world: begin(t, Options{Daemons: 1, Direct: true, Admin: true, Passed: true, Settings: passing})}
-	r.now = r.Proc(0)
-	r.traffic()
-	r.serves(some)
-	r.admin(r.now, "PUT", "/api/exclude?who=s0")
-	excludedFrom := r.Fleet.now() + r.Rules().Grace + slack
-	r.until("the exclusion applies", func() bool { return r.Fleet.now() > excludedFrom })
+	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
+	r.active = r.Proc(0)
+	r.startTraffic()
+	r.waitServed(serveCount)
+	r.callAdmin(r.active, "PUT", "/api/exclude?who=s0")
+	excludedFrom := r.Fleet.now() + r.Rules().Grace + auditSlack
+	r.waitUntil("the exclusion applies", func() bool { return r.Fleet.now() > excludedFrom })
 	for _, daemon := range []string{previous, r.opt.Daemon, previous} {
-		next, err := r.Beside(0, func(p *Proc) { p.daemon = daemon })
+		next, err := r.StartReplacement(0, func(p *Proc) { p.daemon = daemon })
 		r.must(err)
 		r.must(r.Wait(r.ctx, next.Name+" is ready", next.Ready))
-		r.serves(some)
-		r.must(r.now.Signal(syscall.SIGTERM))
-		r.must(r.now.End(r.ctx))
-		r.serves(some)
-		r.admin(next, "GET", "/api/ready")
-		r.now = next
+		r.waitServed(serveCount)
+		r.must(r.active.Signal(syscall.SIGTERM))
+		r.must(r.active.End(r.ctx))
+		r.waitServed(serveCount)
+		r.callAdmin(next, "GET", "/api/ready")
+		r.active = next
 	}
 	includedAt := r.Fleet.now()
 	for _, s := range r.History().Sent {
@@ -82,10 +82,10 @@
 			t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.First, excludedFrom)
 		}
 	}
-	r.admin(r.now, "PUT", "/api/include?who=s0")
+	r.callAdmin(r.active, "PUT", "/api/include?who=s0")
 	before := r.Node(0).Counts().Ran
-	r.until("s0 serves again", func() bool { return r.Node(0).Counts().Ran > before })
-	r.end()
+	r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > before })
+	r.stopAndAudit()
 }
 
 // Processes of both versions gossip with each other, and one of each version starts from the snapshot that one of the
@@ -101,36 +101,36 @@
 		{"the previous version starts from this one's snapshot", older, newer},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := starts(t, Options{Known: true}, nil, nil, true)
+			s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
 			s.Proc(older).daemon = previous
-			s.launch(s.everyone()...)
-			s.traffic()
+			s.launchDaemons(s.allDaemons()...)
+			s.startTraffic()
 			file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
-			s.each("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
-			s.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
-			s.counts("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
+			s.waitEach("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
+			s.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
+			s.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 			s.must(s.Stop(third)) // so that only the other version can hand over a snapshot
-			s.kill(x.starting)
+			s.killDaemon(x.starting)
 			s.must(os.Remove(file(x.starting)))
-			s.chill(0, 2)
-			s.launch(x.starting)
-			s.until("it takes what the other version has learned", func() bool {
-				return s.listens(x.starting) && s.count(x.starting, "peers_taken_snapshots") == 1
+			s.restartNodes(0, 2)
+			s.launchDaemons(x.starting)
+			s.waitUntil("it takes what the other version has learned", func() bool {
+				return s.listens(x.starting) && s.metric(x.starting, "peers_taken_snapshots") == 1
 			})
-			if n := s.count(x.giving, "peers_given_snapshots"); n != 1 {
+			if n := s.metric(x.giving, "peers_given_snapshots"); n != 1 {
 				t.Errorf("daemon %d handed over %v snapshots", x.giving, n)
 			}
-			s.serves(some, third)
+			s.waitServed(serveCount, third)
 			s.must(s.Continue(third))
-			s.finish()
+			s.finishAndAudit()
 		})
 	}
 }
 
-// startAs ends daemon i by SIGTERM and starts it again as another build.
-func (w *world) startAs(i int, daemon string) {
+// restartAs ends daemon i by SIGTERM and starts it again as another build.
+func (w *fixture) restartAs(i int, daemon string) {
 	w.t.Helper()
-	w.must(w.Term(i))
+	w.must(w.Terminate(i))
 	w.must(w.Proc(i).End(w.ctx))
 	w.Proc(i).daemon = daemon
 	w.must(w.Restart(w.ctx, i))
@@ -140,22 +140,22 @@
 // cut under load: then all hold the same state, and each estimates a node from observations of all three.
 func TestPlanCostsBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
-	w := &sharing{}
-	w.world, w.metrics = shares(t, Options{})
-	w.traffic()
+	w := &gossipFixture{}
+	w.fixture, w.metrics = newGossipFixture(t, Options{})
+	w.startTraffic()
 	const older = 1
-	w.startAs(older, previous)
-	w.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
+	w.restartAs(older, previous)
+	w.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
 	across := [][2]int{{0, older}, {older, 2}}
-	w.links(link.Fault{Cut: true}, across...)
-	w.happened(func(c link.Counts) int { return c.Cut }, across...)
-	w.counts("peers_members", func(i int, v float64) bool { return i == older && v == 1 || i != older && v == 2 })
-	w.serves(some)
-	w.links(link.Fault{}, across...)
-	w.counts("peers_members", func(_ int, v float64) bool { return v == 3 })
-	s := w.stranger("s", w.everyone()...)
-	w.serves(some)
-	w.quiet(s)
+	w.setPeerFault(link.Fault{Cut: true}, across...)
+	w.waitPeerFault(func(c link.Counts) int { return c.Cut }, across...)
+	w.waitMetric("peers_members", func(i int, v float64) bool { return i == older && v == 1 || i != older && v == 2 })
+	w.waitServed(serveCount)
+	w.setPeerFault(link.Fault{}, across...)
+	w.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
+	s := w.newTestPeer("s", w.allDaemons()...)
+	w.waitServed(serveCount)
+	w.stopAndConverge(s)
 	for i := range w.opt.Daemons {
 		basis := w.estimate(i, "s0").Get("rests_on")
 		if basis.Get("level").Str != "node" || basis.Get("origins").Num != 3 {
@@ -177,27 +177,27 @@
 		{"the previous version coordinates peers of this one", []int{3}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			treeRow(func() {
-				g := plantGrove(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
+			inScenarioSlot(func() {
+				g := newDelegationFixture(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
 				for _, i := range x.previous {
-					g.startAs(i, previous)
+					g.restartAs(i, previous)
 					g.must(g.Wait(g.ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
-						if r := g.readAt(i, "read", thePlan, patience); r.err != nil || !r.result.Get("whole").Bool() || !g.asked(shards) {
+						if r := g.readAt(i, "read", defaultPlan, patience); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
 							return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
 						}
 						return nil
 					}))
 				}
-				g.whole("a read", g.read("read", thePlan, patience), patience)
-				if n := g.parts(true); n != shards*3/4 || g.parts(false) != shards/4 {
-					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.parts(false))
+				g.checkComplete("a read", g.read("read", defaultPlan, patience), patience)
+				if n := g.countParts(true); n != shards*3/4 || g.countParts(false) != shards/4 {
+					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
 				}
-				g.must(g.links[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
-				g.whole("a read over a cut link", g.read("read", thePlan, patience), patience)
-				if g.links[0].Counts(link.Backward).Reset == 0 {
+				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
+				g.checkComplete("a read over a cut link", g.read("read", defaultPlan, patience), patience)
+				if g.delegationLinks[0].Counts(link.Backward).Reset == 0 {
 					t.Error("the link was not cut")
 				}
-				g.finish()
+				g.audit()
 			})
 		})
 	}
@@ -220,7 +220,7 @@
 			return string(out), err
 		}
 		want, previousErr := check(previous)
-		got, err := check(daemon)
+		got, err := check(daemonPath)
 		if err != nil || previousErr != nil || got != want {
 			t.Errorf("%s: %v, previous version %v\n%s\nprevious version:\n%s", x.config, err, previousErr, got, want)
 		}
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts what a rehearsal needs on this machine and ends it again: stand-in storage
-// nodes, one a shard, and schedulers from the built daemon, each told of the nodes by the list it
-// is started with. All of it is on loopback.
+// Package fleet starts and stops the processes of a load test on this machine: one fake storage node
+// per shard, and schedulers of the built daemon, each configured with the list of the nodes. All of
+// them use loopback addresses.
 package fleet
 
 import (
@@ -24,19 +24,19 @@
 	"wheatsaddle/internal/testkit/workload"
 )
 
-// Options are a fleet's.
+// Options configure a fleet.
 type Options struct {
 	Shape      workload.Shape
 	Schedulers int
-	Daemon     string        // path of the built daemon; empty: beside this program, or built
-	Service    time.Duration // mean work of a unit at a node
-	Workers    int           // of a node
+	Daemon     string        // path of the built daemon; "": as cluster.Build finds or builds it
+	Service    time.Duration // mean service time of a unit at a node
+	Workers    int           // per node
 	Seed       uint64
 	MemoryMB   int
 	Log        logrus.FieldLogger
 }
 
-// Fleet is what runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Nodes   []*node.Node
 	Targets []string // addresses of the schedulers
@@ -46,11 +46,11 @@
 }
 
 const (
-	readyWait = 10 * time.Second
-	stopWait  = 10 * time.Second
+	readyTimeout = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
-// Start starts it all and waits until every scheduler is ready.
+// Start starts the fleet and waits until every scheduler is ready.
 func Start(ctx context.Context, opt Options) (f *Fleet, err error) {
 	f = &Fleet{log: opt.Log}
 	defer func() {
@@ -70,7 +70,7 @@
 	for shard := range opt.Shape.Shards {
 		rng := rand.New(rand.NewPCG(opt.Seed, uint64(shard)))
 		draws := make(chan float64, 256)
-		go func() { // one source for each node, whatever the order of its workers
+		go func() { // one random source per node, so the draws do not depend on the order of its workers
 			for {
 				select {
 				case draws <- 0.5 + rng.ExpFloat64()/2:
@@ -97,27 +97,27 @@
 			Status: "active", Weight: 1})
 	}
 	for i := range opt.Schedulers {
-		if err := f.scheduler(opt, i, endpoints); err != nil {
+		if err := f.startScheduler(opt, i, endpoints); err != nil {
 			return f, err
 		}
 	}
-	err = f.ready(ctx)
+	err = f.waitReady(ctx)
 	return f, err
 }
 
-// scheduler starts one daemon. Its discovery is nobody: the list it starts with is what there is.
-func (f *Fleet) scheduler(opt Options, i int, endpoints []cluster.Entry) error {
+// startScheduler starts one daemon. Nothing listens at its discovery address, so it uses the list in its configuration.
+func (f *Fleet) startScheduler(opt Options, i int, endpoints []cluster.Entry) error {
 	listen, err := cluster.FreeAddress()
 	if err != nil {
 		return err
 	}
-	nowhere, err := cluster.FreeAddress()
+	unusedAddress, err := cluster.FreeAddress()
 	if err != nil {
 		return err
 	}
 	s := opt.Shape
-	var set map[string]any
-	if err := json.Unmarshal(exampleconfig.Settings, &set); err != nil {
+	var settings map[string]any
+	if err := json.Unmarshal(exampleconfig.Settings, &settings); err != nil {
 		return err
 	}
 	var profiles, contracts []map[string]any
@@ -135,15 +135,15 @@
 		contract["name"] = p.Name
 		contracts = append(contracts, contract)
 	}
-	set["me"], set["fleet-size"], set["profiles"], set["contracts"] = i, opt.Schedulers, profiles, contracts
-	extra := set["extra"].(map[string]any)
+	settings["me"], settings["fleet-size"], settings["profiles"], settings["contracts"] = i, opt.Schedulers, profiles, contracts
+	extra := settings["extra"].(map[string]any)
 	extra["largest"], extra["slots-total"] = len(s.Units), s.Shards
 	name := fmt.Sprint("n", i)
-	conf := cluster.Config{Name: name, Listen: listen, Discovery: nowhere, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Known: endpoints,
-		Settings: set,
+	config := cluster.Config{Name: name, Listen: listen, Discovery: unusedAddress, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Known: endpoints,
+		Settings: settings,
 	}
 	file := filepath.Join(f.dir, name+".json")
-	if err := conf.Write(file); err != nil {
+	if err := config.Write(file); err != nil {
 		return err
 	}
 	p := cluster.NewProc(opt.Daemon, file, filepath.Join(f.dir, name+".log"), name, listen)
@@ -154,9 +154,9 @@
 	return nil
 }
 
-// ready waits until each scheduler says that it is.
-func (f *Fleet) ready(ctx context.Context) error {
-	end := time.Now().Add(readyWait)
+// waitReady waits until each scheduler reports that it is ready.
+func (f *Fleet) waitReady(ctx context.Context) error {
+	end := time.Now().Add(readyTimeout)
 	for i, p := range f.daemons {
 		for {
 			err := p.Ready()
@@ -172,15 +172,15 @@
 	return nil
 }
 
-// CPU is the processor time that the schedulers have used, once they have ended.
-func (f *Fleet) CPU() (used time.Duration) {
+// CPU returns the processor time that the schedulers used, once they have exited.
+func (f *Fleet) CPU() (total time.Duration) {
 	for _, p := range f.daemons {
-		used += p.CPU()
+		total += p.CPU()
 	}
-	return used
+	return total
 }
 
-// Stop ends the schedulers as an operator does, and says if one did not end well.
+// Stop terminates the schedulers as an operator does, and returns the errors of those that did not exit cleanly.
 func (f *Fleet) Stop() error {
 	var errs []error
 	for i, p := range f.daemons {
@@ -190,19 +190,19 @@
 		if err := p.Signal(syscall.SIGTERM); err != nil {
 			errs = append(errs, err)
 		}
-		kill := time.AfterFunc(stopWait, func() { _ = p.Signal(syscall.SIGKILL) })
+		kill := time.AfterFunc(stopTimeout, func() { _ = p.Signal(syscall.SIGKILL) })
 		if err := p.End(context.Background()); err != nil {
-			errs = append(errs, fmt.Errorf("scheduler %d ended: %w", i, err))
+			errs = append(errs, fmt.Errorf("scheduler %d exited: %w", i, err))
 		}
 		kill.Stop()
 	}
 	return errors.Join(errs...)
 }
 
-// Close ends all of it.
+// Close stops everything that the fleet started.
 func (f *Fleet) Close() {
 	if err := f.Stop(); err != nil {
-		f.log.WithError(err).Warn("a scheduler did not end well")
+		f.log.WithError(err).Warn("scheduler did not exit cleanly")
 	}
 	for _, n := range f.Nodes {
 		n.Close()
