--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -8,8 +8,8 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// unansweredAtClose is how many requests to a daemon that ends were on their way when it first closed a connection, and
-// had no answer: before that none had cause to connect anew. The auditor holds that none was sent on.
+// unansweredAtClose counts the requests to a terminating daemon that were in flight when it first closed a connection, and
+// got no answer. Until then no client had a reason to reconnect. The audit checks that none of them was sent on.
 func (w *fixture) unansweredAtClose(i int, from time.Duration) (n int) {
 	h := w.History()
 	at := map[string]time.Duration{}
@@ -32,7 +32,7 @@
 	return n
 }
 
-// countDisconnects are the requests whose clients went before a first attempt of them was written, and those of
+// countDisconnects counts the requests whose clients disconnected before the first attempt was written, and those of
 // them that were sent on more than 0.3 s later.
 func countDisconnects(h historycheck.History) (waiting, sentOn int) {
 	first := map[string]time.Duration{}
@@ -54,8 +54,8 @@
 	return waiting, sentOn
 }
 
-// Closes and goings: what the standing test asks of connections that end. Each row is a fault and what is
-// expected of three daemons; the auditor judges each.
+// Connections close while requests are in flight or waiting, because a daemon terminates, a client disconnects or all
+// daemons restart. The audit of each scenario checks that no request is sent on after its client has gone.
 func TestConnectionCloses(t *testing.T) {
 	const slow = 60 * time.Millisecond
 	for _, x := range []struct {
@@ -64,31 +64,31 @@
 		service         time.Duration
 		run             func(*fixture)
 	}{
-		{fault: "SIGTERM, clients send on while connections stay open", expected: "served until shortly before the kill; what its close crosses is not sent on",
+		{fault: "SIGTERM while clients keep sending on open connections", expected: "served until the connections close; requests in flight at the close are not sent on",
 			service: slow, run: func(w *fixture) {
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
-				for crossed := 0; crossed == 0; { // requests are on their way at any time, so a close crosses some
+				for crossed := 0; crossed == 0; { // until at least one request was in flight at the close
 					stop := w.StartLoad(w.ctx, Load{Clients: 10, Pause: time.Millisecond, Request: mixedRequest})
 					base := w.Served(0)
-					w.waitUntil("requests are open there", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
+					w.waitUntil("daemon 0 has open requests", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
 					w.must(w.Terminate(0))
 					servedBeforeTerm, from := w.Served(0), w.now()
 					w.must(w.Proc(0).End(w.ctx))
 					if n := w.Served(0) - servedBeforeTerm; n < serveCount {
-						w.t.Errorf("%d served after SIGTERM", n)
+						w.t.Errorf("%d requests served after SIGTERM", n)
 					}
 					stop()
 					crossed = w.unansweredAtClose(0, from)
 					w.must(w.Restart(w.ctx, 0))
-					w.t.Logf("served after SIGTERM %d, crossed by the close %d", w.Served(0)-servedBeforeTerm, crossed)
+					w.t.Logf("served after SIGTERM: %d, in flight at the close: %d", w.Served(0)-servedBeforeTerm, crossed)
 				}
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{}))
 				w.waitServed(serveCount)
 			}},
-		{fault: "SIGTERM, answers trickle to clients", expected: "each that was begun ends whole", run: func(w *fixture) {
+		{fault: "SIGTERM while answers trickle to clients", expected: "each answer that has begun is completed", run: func(w *fixture) {
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{Trickle: 4000}))
 			stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: time.Millisecond, Request: mixedRequest})
-			w.waitUntil("answers are on their way", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
+			w.waitUntil("answers are in flight", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
 			w.must(w.Terminate(0))
 			w.must(w.Proc(0).End(w.ctx))
 			stop()
@@ -96,7 +96,7 @@
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(serveCount)
 		}},
-		{fault: "clients leave while their requests wait for a connection", expected: "of those still waiting none is sent on later", opt: Options{
+		{fault: "clients disconnect while their requests wait for a connection", expected: "requests still waiting are not sent on later", opt: Options{
 			Settings: map[string]any{"ceilings": map[string]any{"connect-timeout": 3000}}}, run: func(w *fixture) {
 			setLinks := func(f link.Fault, met func(*link.Link) bool) {
 				for i := range w.opt.Daemons {
@@ -104,9 +104,9 @@
 						l := w.StorageLink(i, j)
 						w.must(l.Set(link.Forward, f))
 						if f.Hold {
-							l.Reset() // those that stood; no more come up
+							l.Reset() // the open connections; no new ones are accepted
 						}
-						w.waitUntil("connects", func() bool { return met(l) })
+						w.waitUntil("the links are in the new state", func() bool { return met(l) })
 					}
 				}
 			}
@@ -115,18 +115,18 @@
 				stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: 50 * time.Millisecond, Request: func(_, client, n int) ClientRequest {
 					return ClientRequest{Shard: n % 2, Volume: client, Deadline: 3 * time.Second, DisconnectAfter: 100 * time.Millisecond}
 				}})
-				w.waitUntil("clients leave while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
-				stop() // at once after that connects come up, up to 1 s later: what still waited would be sent on
+				w.waitUntil("clients disconnect while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
+				stop() // connections open within 1 s after the next line, when requests still waiting would be sent on
 				setLinks(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 })
 				w.waitServed(serveCount)
 			}
 			waited, sentLate := countDisconnects(w.History())
-			if w.t.Logf("of %d that waited %d were sent on 0.3 s later", waited, sentLate); 4*sentLate > waited {
+			if w.t.Logf("%d requests waited when their client disconnected, %d of them were sent on more than 0.3 s later", waited, sentLate); 4*sentLate > waited {
 				w.t.Fail()
 			}
 		}},
-		{fault: "all restarted at once, the list down", expected: "nine in ten are ready within 10 s", opt: Options{Known: true}, run: func(w *fixture) {
-			readyInTime, setLinks := 0, 0
+		{fault: "all daemons restart at once with the list down", expected: "nine in ten are ready within 10 s", opt: Options{Known: true}, run: func(w *fixture) {
+			readyInTime, starts := 0, 0
 			for range 4 {
 				w.setListFaults(ListDown)
 				for i := range w.opt.Daemons {
@@ -138,7 +138,7 @@
 				}
 				for i := range w.opt.Daemons {
 					w.must(w.WaitReady(w.ctx, i))
-					if setLinks++; time.Since(start) < 10*time.Second {
+					if starts++; time.Since(start) < 10*time.Second {
 						readyInTime++
 					}
 				}
@@ -146,8 +146,8 @@
 				w.setListFaults(ListWell)
 				w.waitServed(serveCount)
 			}
-			if 10*readyInTime < 9*setLinks {
-				w.t.Errorf("%d of %d were ready in time", readyInTime, setLinks)
+			if 10*readyInTime < 9*starts {
+				w.t.Errorf("%d of %d starts were ready in time", readyInTime, starts)
 			}
 		}},
 	} {
@@ -162,7 +162,7 @@
 	}
 }
 
-// markAllUp notes that all daemons that were down serve again.
+// markAllUp records that all daemons that were down serve again.
 func (w *fixture) markAllUp() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -12,12 +12,12 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-const serveCount = 20 // requests that show that a daemon serves
+const serveCount = 20 // served requests after which a daemon counts as serving
 
-// waitDrainNotified waits until each daemon was told that node 0 drains, with traffic before and after.
+// waitDrainNotified waits until each daemon has been notified that node 0 is draining and has served requests since.
 func (w *fixture) waitDrainNotified() {
 	w.t.Helper()
-	w.waitUntil("each daemon is told", func() bool {
+	w.waitUntil("each daemon is notified of the drain", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for i := range w.opt.Daemons {
@@ -39,16 +39,16 @@
 	}
 }
 
-// waitWatchRequests waits until each daemon has asked for the list so many times more.
+// waitWatchRequests waits until each daemon has sent this many more watch requests.
 func (w *fixture) waitWatchRequests(more int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		base := w.List(i).WatchRequests()
-		w.waitUntil("the list is asked for again", func() bool { return w.List(i).WatchRequests() >= base+more })
+		w.waitUntil("the daemon requests the list again", func() bool { return w.List(i).WatchRequests() >= base+more })
 	}
 }
 
-// setStorageFault sets a fault of the links from all daemons to node 0, and waits until it has happened on each.
+// setStorageFault sets a fault of the links from all daemons to node 0 and waits until it has occurred on each.
 func (w *fixture) setStorageFault(f link.Fault, occurred func(*link.Link) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
@@ -56,7 +56,7 @@
 	}
 	if occurred != nil {
 		for i := range w.opt.Daemons {
-			w.waitUntil("the fault happens", func() bool { return occurred(w.StorageLink(i, 0)) })
+			w.waitUntil("the fault occurs", func() bool { return occurred(w.StorageLink(i, 0)) })
 		}
 	}
 }
@@ -72,8 +72,8 @@
 	return n
 }
 
-// Part 1: the list's clock and final answers. Each row is a fault and what is expected of three
-// daemons; what the auditor finds of any row is unexpected.
+// Faults of the discovery service, of a node or its links, of clients and of a daemon must not break a rule of the
+// audit: nothing is sent to a draining node after the grace period, and no non-idempotent request runs twice.
 func TestListAndStorageFaults(t *testing.T) {
 	slow := 100 * time.Millisecond
 	for _, x := range []struct {
@@ -83,34 +83,34 @@
 		skip            string
 		run             func(*fixture)
 	}{
-		{fault: "list silent, then a drain", expected: "asked again at the silence; told once it speaks; no send after", run: func(w *fixture) {
+		{fault: "list silent, then a drain", expected: "requested again after the silence; notified once the list answers; nothing sent after that", run: func(w *fixture) {
 			w.setListFaults(ListSilent)
 			w.waitWatchRequests(1)
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.setListFaults(ListWell)
 			w.waitDrainNotified()
 		}},
-		{fault: "watches mute for ever, a drain", expected: "asked again within rules.ask-within and told", opt: Options{Settings: map[string]any{
+		{fault: "open watches stalled for good, then a drain", expected: "requested again within rules.ask-within and notified", opt: Options{Settings: map[string]any{
 			"rules": map[string]any{"ask-within": 6000}}}, run: func(w *fixture) {
 			w.setListFaults(ListStalled)
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.waitDrainNotified()
 		}},
-		{fault: "watches reset, then a drain", expected: "asked again, rarer each time; told within fourfold ask-within, 6 s at most", run: func(w *fixture) {
+		{fault: "watches reset, then a drain", expected: "requested again with growing backoff; notified within four times ask-within, 6 s at most", run: func(w *fixture) {
 			w.setListFaults(ListReset)
 			w.waitWatchRequests(2)
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.setListFaults(ListWell)
 			w.waitDrainNotified()
 		}},
-		{fault: "list down at start, then a drain", expected: "ready and serving from the known list; told once it is up", opt: Options{Known: true, ListDown: true},
+		{fault: "list down at start, then a drain", expected: "ready and serving from the configured list; notified once the service is up", opt: Options{Known: true, ListDown: true},
 			run: func(w *fixture) {
 				w.must(w.SetNodeStatus(0, "leaving"))
 				w.waitServed(serveCount)
 				w.setListFaults(ListWell)
 				w.waitDrainNotified()
 			}},
-		{fault: "connects to a node come up late", expected: "served by another meanwhile; nothing is written for what has ended", opt: Options{Settings: map[string]any{
+		{fault: "connections to a node open late", expected: "served by another node meanwhile; nothing is written for ended requests", opt: Options{Settings: map[string]any{
 			"ceilings": map[string]any{"second-copies": true, "connect-timeout": 3000}}}, run: func(w *fixture) {
 			for i := range w.opt.Daemons {
 				w.StorageLink(i, 0).Reset()
@@ -120,46 +120,46 @@
 			w.setStorageFault(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
 			w.waitServed(serveCount)
 		}},
-		{fault: "node silent in the middle of answers", expected: "reads served by another, writes answered and not sent again", run: func(w *fixture) {
+		{fault: "node silent in the middle of answers", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
 			a, err := address.Parse(w.nodeAddresses[0])
 			w.must(err)
 			w.must(w.Node(0).Set(a, node.Half))
 			base := w.Node(0).Counts().Ran
-			w.waitUntil("half answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
+			w.waitUntil("node 0 sends partial answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
 			w.waitServed(serveCount)
 			w.must(w.Node(0).Set(a, node.None))
 			w.waitServed(serveCount)
 		}},
-		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not sent again", run: func(w *fixture) {
+		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not retried", run: func(w *fixture) {
 			w.setStorageFault(link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
 			w.waitServed(serveCount)
 			w.setStorageFault(link.Fault{}, nil)
 			w.waitServed(serveCount)
 		}},
-		{fault: "clients gone early", expected: "nothing is sent for them any more; others are served", service: slow, run: func(w *fixture) {
+		{fault: "clients disconnect early", expected: "nothing more is sent for them; other clients are served", service: slow, run: func(w *fixture) {
 			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
 				return ClientRequest{Shard: n % 2, Volume: client, DisconnectAfter: time.Duration(1+n%50) * time.Millisecond}
 			}})
-			w.waitUntil("clients leave", func() bool { return w.countEnds(historycheck.Left) > 100 })
+			w.waitUntil("clients disconnect", func() bool { return w.countEnds(historycheck.Left) > 100 })
 			w.waitServed(serveCount)
 			stop()
 		}},
-		{fault: "one killed with requests open, restarted", expected: "others serve on; it serves again; nothing unsafe runs twice", service: slow, run: func(w *fixture) {
-			w.waitUntil("requests are open there", func() bool { return w.openRequests() > 1 })
+		{fault: "a daemon is killed with open requests and restarted", expected: "the others keep serving; it serves again; no non-idempotent request runs twice", service: slow, run: func(w *fixture) {
+			w.waitUntil("daemon 0 has open requests", func() bool { return w.openRequests() > 1 })
 			w.must(w.Kill(0))
 			w.waitServed(serveCount, 0)
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(serveCount)
 		}},
-		{fault: "SIGTERM under load with open connections", expected: "all that it took is answered, exit 0", service: slow, run: func(w *fixture) {
-			w.waitUntil("requests are open there", func() bool { return w.openRequests() > 1 })
+		{fault: "SIGTERM under load with open connections", expected: "all accepted requests are answered, exit 0", service: slow, run: func(w *fixture) {
+			w.waitUntil("daemon 0 has open requests", func() bool { return w.openRequests() > 1 })
 			w.must(w.Terminate(0))
 			w.must(w.Proc(0).End(w.ctx))
 			w.waitServed(serveCount, 0)
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(serveCount)
 		}},
-		{fault: "one stopped for 1 s, a drain meanwhile", expected: "it acts on the drain when it runs on", run: func(w *fixture) {
+		{fault: "a daemon is suspended for 1 s during a drain", expected: "it applies the drain when it resumes", run: func(w *fixture) {
 			w.must(w.Stop(0))
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.waitServed(serveCount, 0)
@@ -167,7 +167,7 @@
 			w.must(w.Continue(0))
 			w.waitDrainNotified()
 		}},
-		{fault: "half-open connections to a node", expected: "reads served by another, writes answered and not sent again", run: func(w *fixture) {
+		{fault: "half-open connections to a node", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
 			w.setStorageFault(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
 			w.waitServed(serveCount)
 			w.setStorageFault(link.Fault{}, nil)
@@ -185,14 +185,14 @@
 			w.stopAndAudit()
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
-					t.Errorf("daemon %d has ended", i)
+					t.Errorf("daemon %d has exited", i)
 				}
 			}
 		})
 	}
 }
 
-// openRequests is how many requests of the first daemon's clients have no end yet.
+// openRequests counts the requests of daemon 0's clients that have not ended yet.
 func (w *fixture) openRequests() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/cluster/fleet_test.go
+++ b/internal/testkit/cluster/fleet_test.go
@@ -33,7 +33,7 @@
 	findLeaks := func() error {
 		return goleak.Find(goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 	}
-	for end := time.Now().Add(10 * time.Second); findLeaks() != nil && time.Now().Before(end); { // a probe of memberlist's may still wait for its answer
+	for end := time.Now().Add(10 * time.Second); findLeaks() != nil && time.Now().Before(end); { // a memberlist health check may still be waiting for its answer
 		time.Sleep(pollInterval)
 	}
 	if err := findLeaks(); err != nil {
@@ -47,16 +47,16 @@
 	os.Exit(code)
 }
 
-const scenarioTimeout = 60 * time.Second // a row that takes so long has failed
+const scenarioTimeout = 60 * time.Second
 
-var scenarioSlots = make(chan struct{}, 4) // that run at once: a starved host makes answers late
+var scenarioSlots = make(chan struct{}, 4) // limits concurrent scenarios, as answers are late on an overloaded host
 
-// fixture is a running fleet of three daemons and four nodes, two of each of two shards.
+// fixture is a running fleet, by default of three daemons and two shards with two nodes each.
 type fixture struct {
 	*Fleet
 	t           *testing.T
 	ctx         context.Context
-	stopTraffic func() // of the load
+	stopTraffic func()
 }
 
 func newFixture(t *testing.T, opt Options) *fixture {
@@ -67,7 +67,7 @@
 func newFixtureWithService(t *testing.T, opt Options, service time.Duration) *fixture {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("several processes")
+		t.Skip("starts several processes")
 	}
 	t.Parallel()
 	scenarioSlots <- struct{}{}
@@ -79,7 +79,7 @@
 		opt.Daemons = 3
 	}
 	for j := range 4 {
-		if len(opt.Nodes) > j { // the row's own
+		if len(opt.Nodes) > j { // the scenario defines its own nodes
 			break
 		}
 		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2,
@@ -93,7 +93,7 @@
 	return &fixture{Fleet: f, t: t, ctx: ctx}
 }
 
-// mixedRequest is traffic on both shards, a third of it unsafe writes.
+// mixedRequest returns requests to both shards, of which a third are non-idempotent writes.
 func mixedRequest(_, client, n int) ClientRequest {
 	a := ClientRequest{Shard: (n + client) % 2, Volume: client}
 	if n%3 == 0 {
@@ -110,23 +110,23 @@
 	w.t.Helper()
 	if err != nil {
 		h := w.History()
-		w.t.Log("last ends: ", h.Answered[max(0, len(h.Answered)-6):], "last codes: ", w.answersByCode)
+		w.t.Log("last ends of requests: ", h.Answered[max(0, len(h.Answered)-6):], "answers by code: ", w.answersByCode)
 		w.t.Fatal(err)
 	}
 }
 
-// waitUntil waits for a condition.
+// waitUntil waits until a condition holds.
 func (w *fixture) waitUntil(what string, cond func() bool) {
 	w.t.Helper()
 	w.must(w.Wait(w.ctx, what, func() error {
 		if cond() {
 			return nil
 		}
-		return fmt.Errorf("not yet")
+		return fmt.Errorf("condition does not hold yet")
 	}))
 }
 
-// waitServed waits until each daemon has served so many more requests.
+// waitServed waits until each daemon, except possibly one, has served this many more requests.
 func (w *fixture) waitServed(more int, except ...int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
@@ -138,7 +138,7 @@
 	}
 }
 
-// stopAndAudit stops the traffic and asks the auditor.
+// stopAndAudit stops the traffic and fails the test if the audit of the history finds violations.
 func (w *fixture) stopAndAudit() {
 	w.t.Helper()
 	w.stopTraffic()
@@ -167,18 +167,18 @@
 	w.stopAndAudit()
 }
 
-// A client whose connection was to a killed process asks the next one on a new connection: a request that no
-// running process could have read is no violation of it.
+// A client that was connected to a killed process reconnects to the next one. Otherwise it would send a request on a
+// connection that no running process reads, which the audit would report as a violation.
 func TestClientReconnectsAfterKill(t *testing.T) {
 	w := newFixture(t, Options{})
 	w.startTraffic()
 	client := w.Dial(0)
 	defer client.Close()
-	w.waitUntil("a first request is served", func() bool { return client.Send(ClientRequest{}).Code == fasthttp.StatusOK })
+	w.waitUntil("the first request is served", func() bool { return client.Send(ClientRequest{}).Code == fasthttp.StatusOK })
 	w.must(w.Kill(0))
 	w.must(w.Restart(w.ctx, 0))
 	if o := client.Send(ClientRequest{}); o.End != historycheck.Whole {
-		t.Errorf("asked of the restarted process: %+v", o)
+		t.Errorf("request to the restarted process: %+v", o)
 	}
 	w.waitServed(serveCount)
 	w.stopAndAudit()
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -25,13 +25,13 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// gatherFixture is a world of three daemons that gather, and three listed shards of two nodes each; a fourth is not listed.
+// gatherFixture is a fleet of three daemons that gather reads from three listed shards of two nodes each. A fourth shard is not listed.
 type gatherFixture struct {
 	*fixture
 	nodeRows *node.Rows
 }
 
-const rowsPerShard = 400 // of a shard, 160 KB: longer than a daemon holds of an answer
+const rowsPerShard = 400 // 160 KB, more than a daemon buffers of an answer
 
 func newGatherFixture(t *testing.T, completeness, extraSections string, settings map[string]any) *gatherFixture {
 	t.Helper()
@@ -55,7 +55,7 @@
 	return g
 }
 
-// setRowFault sets a fault of the rows of shards' nodes.
+// setRowFault sets a fault of the answers with rows from both nodes of the shards.
 func (g *gatherFixture) setRowFault(f node.RowFault, shards ...int) {
 	for _, s := range shards {
 		g.Node(2 * s).SetRows(f)
@@ -63,7 +63,7 @@
 	}
 }
 
-// sumCounts adds up a count of a shard's nodes.
+// sumCounts returns the sum of a count over both nodes of a shard.
 func (g *gatherFixture) sumCounts(shard int, of func(node.RowCounts) int) int {
 	return of(g.Node(2*shard).RowCounts("")) + of(g.Node(2*shard+1).RowCounts(""))
 }
@@ -76,10 +76,10 @@
 
 func (g *gatherFixture) waitRowFault(shard int, of func(node.RowCounts) int, least int) {
 	g.t.Helper()
-	g.waitUntil("the fault happens", func() bool { return g.sumCounts(shard, of) >= least })
+	g.waitUntil("the fault occurs", func() bool { return g.sumCounts(shard, of) >= least })
 }
 
-// newGatheredRead is a gathered read of all shards as its client sends it, now.
+// newGatheredRead returns a gathered read of all shards that is sent now, as a history entry and as request bytes.
 func (f *Fleet) newGatheredRead(scheduler int, class, plan string, patience time.Duration) (historycheck.Taken, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,12 +91,12 @@
 	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
 }
 
-// httpResponse is what came back on its connection; code 0: no head of an answer.
+// httpResponse is what a request's connection returned. Code 0 means that no response head came.
 type httpResponse struct {
 	code   int
 	head   http.Header
 	body   []byte
-	result gjson.Result // the trailer's, or the body's
+	result gjson.Result // from the trailer, or from the body if the code is not 200
 	err    error
 }
 
@@ -119,7 +119,7 @@
 	return h
 }
 
-// gatherAnswer is what a client had of a gathered read.
+// gatherAnswer is what a client received for a gathered read.
 type gatherAnswer struct {
 	id     string
 	code   int
@@ -129,13 +129,13 @@
 	head   http.Header
 }
 
-// gatherRead is a gathered read under way; leave ends its client.
+// gatherRead is a gathered read in progress. disconnect closes its client's connection.
 type gatherRead struct {
 	disconnect context.CancelFunc
 	done       chan gatherAnswer
 }
 
-// startRead begins a gathered read of all shards at a daemon.
+// startRead starts a gathered read of all shards at a daemon.
 func (g *gatherFixture) startRead(scheduler int, plan string, patience time.Duration) *gatherRead {
 	g.t.Helper()
 	f := g.Fleet
@@ -180,7 +180,7 @@
 	select {
 	case a = <-r.done:
 	case <-g.ctx.Done():
-		g.must(errors.New("no end of a gathered read"))
+		g.must(errors.New("gathered read has not ended in time"))
 	}
 	return a
 }
@@ -192,8 +192,8 @@
 	return rows
 }
 
-// checkRows says that a read's rows are the flat merge of all shards but those that its result names, in order and none twice; of
-// cut ones there is a beginning.
+// checkRows checks that the rows of a read are the merged rows of all shards except those that its result names as missing, in
+// order and without duplicates. Of shards that the result names as cut, any rows may be left out.
 func (g *gatherFixture) checkRows(a gatherAnswer, shards ...int) {
 	g.t.Helper()
 	named := func(key string) (all []int) {
@@ -210,7 +210,7 @@
 	present := slices.DeleteFunc(slices.Clone(shards), func(s int) bool { return slices.Contains(missing, s) })
 	next := 0
 	expected := g.mergedRows(present...)
-	optional := map[string]bool{} // rows that may be left out: those of cut parts
+	optional := map[string]bool{} // rows of cut parts, which may be left out
 	for _, s := range cutShards {
 		for _, r := range g.mergedRows(s) {
 			optional[r] = true
@@ -221,20 +221,20 @@
 			next++
 		}
 		if next == len(expected) || expected[next] != r {
-			g.t.Errorf("%s: %.40s is not the next row; %s", a.id, r, a.result)
+			g.t.Errorf("%s: row %.40s is unexpected; %s", a.id, r, a.result)
 			return
 		}
 		next++
 	}
 	if slices.ContainsFunc(expected[next:], func(r string) bool { return !optional[r] }) {
-		g.t.Errorf("%s: %d rows of %d, %s", a.id, next, len(expected), a.result)
+		g.t.Errorf("%s: the first %d of %d rows are present; %s", a.id, next, len(expected), a.result)
 	}
 }
 
 func (g *gatherFixture) checkComplete(a gatherAnswer, shards ...int) {
 	g.t.Helper()
 	if g.checkRows(a, shards...); !a.result.Get("whole").Bool() {
-		g.t.Errorf("%s is not whole: %s", a.id, a.result)
+		g.t.Errorf("%s is not complete: %s", a.id, a.result)
 	}
 }
 
@@ -247,49 +247,49 @@
 
 const longDeadline, shortDeadline = 20 * time.Second, 1500 * time.Millisecond
 
-// Part 4: gathered reads. Each row is a fault and what is expected of three daemons; the rows are the flat merge's, or the
-// result names what is missing, and the auditor's rules hold for every part.
+// Faults of nodes, links, clients, daemons and the list during a gathered read. The rows must be those of a complete merge,
+// or the result must name what is missing, and every part must keep the rules of the audit.
 func TestGatheredReadFaults(t *testing.T) {
-	const effort, all = "best-effort", "all"
+	const bestEffort, all = "best-effort", "all"
 	listed := []int{0, 1, 2}
 	for _, x := range []struct {
-		fault, expected string
-		need, more      string
-		set             map[string]any
-		run             func(*gatherFixture)
+		fault, expected             string
+		completeness, extraSections string
+		settings                    map[string]any
+		run                         func(*gatherFixture)
 	}{
-		{fault: "none", expected: "the flat merge, from each daemon", need: all, run: func(g *gatherFixture) {
+		{fault: "none", expected: "complete merge from each daemon", completeness: all, run: func(g *gatherFixture) {
 			for i := range g.opt.Daemons {
 				g.checkComplete(g.waitAnswer(g.startRead(i, defaultPlan, longDeadline)), listed...)
 			}
 		}},
-		{fault: "a part late", expected: "whole, once it has come", need: all, run: func(g *gatherFixture) {
+		{fault: "a part is late", expected: "complete once it has arrived", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Late: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, lateCount, 1)
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
-		{fault: "a part twice", expected: "a second copy beside the silent first; whole, no row twice", need: all, more: `,"silent_ms":100`, run: func(g *gatherFixture) {
+		{fault: "a part stalls and is hedged", expected: "a hedge beside the silent first attempt; complete, no duplicate rows", completeness: all, extraSections: `,"silent_ms":100`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(0, stoppedCount, 2)
 			g.setRowFault(node.RowFault{}, 0)
 			a := g.waitAnswer(r)
 			if g.checkComplete(a, listed...); g.Node(0).RowCounts(a.id+"/0/2").Asked+g.Node(1).RowCounts(a.id+"/0/2").Asked == 0 {
-				t.Error("no second copy was sent")
+				t.Error("no hedge was sent")
 			}
 		}},
-		{fault: "a part cut halfway, each time", expected: "asked again as often as allowed, then named", need: effort, run: func(g *gatherFixture) {
+		{fault: "a part is cut halfway each time", expected: "retried as often as allowed, then named as cut", completeness: bestEffort, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Cut: true}, 0)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
 			g.checkRows(a, listed...)
 			g.checkShards(a, "cut", "[0]")
 			if n := g.sumCounts(0, cutCount); n != 2 {
-				t.Errorf("cut %d times", n)
+				t.Errorf("the part was cut %d times", n)
 			}
 		}},
-		{fault: "a part cut halfway, once", expected: "the second asking goes on; whole", need: all, more: `,"again":16`, run: func(g *gatherFixture) {
+		{fault: "a part is cut halfway once", expected: "the retry continues it; complete", completeness: all, extraSections: `,"again":16`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Late: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(0, lateCount, 1)
@@ -304,15 +304,15 @@
 			}
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
-		{fault: "a part never", expected: "named as missing within the client's time", need: effort, run: func(g *gatherFixture) {
+		{fault: "a part never arrives", expected: "named as missing within the client's deadline", completeness: bestEffort, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Late: time.Hour}, 2)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, shortDeadline))
 			if g.checkRows(a, listed...); g.sumCounts(2, lateCount) == 0 {
-				t.Error("nobody was late")
+				t.Error("no node was late")
 			}
 			g.checkShards(a, "missing", "[2]")
 		}},
-		{fault: "nodes full", expected: "all are needed: refused at once, with a time to come back", need: all, run: func(g *gatherFixture) {
+		{fault: "all nodes reject, and all parts are required", expected: "rejected at once with Retry-After", completeness: all, run: func(g *gatherFixture) {
 			for j := range 6 {
 				g.Node(j).Drain(true)
 			}
@@ -324,7 +324,7 @@
 				g.Node(j).Drain(false)
 			}
 		}},
-		{fault: "a node killed mid-part", expected: "the part is asked of the shard's other node; whole", need: all, more: `,"again":4`, run: func(g *gatherFixture) {
+		{fault: "a node is killed during a part", expected: "the part is retried at the shard's other node; complete", completeness: all, extraSections: `,"again":4`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
@@ -336,7 +336,7 @@
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
-		{fault: "a drain begins mid-gather", expected: "what is out is finished, nothing new goes there; whole", need: all, run: func(g *gatherFixture) {
+		{fault: "a drain begins during the read", expected: "parts in flight are finished, no new ones go there; complete", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
@@ -346,7 +346,7 @@
 			g.checkComplete(g.waitAnswer(r), listed...)
 			g.checkComplete(g.waitAnswer(g.startRead(1, defaultPlan, longDeadline)), listed...)
 		}},
-		{fault: "the client leaves mid-gather", expected: "all parts are ended", need: all, run: func(g *gatherFixture) {
+		{fault: "the client disconnects during the read", expected: "all parts are cancelled", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Never: true}, 0, 1, 2)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			for _, s := range listed {
@@ -361,19 +361,19 @@
 			}
 			g.setRowFault(node.RowFault{}, 0, 1, 2)
 		}},
-		{fault: "SIGTERM mid-gather", expected: "answered whole, exit 0", need: all, run: func(g *gatherFixture) {
+		{fault: "SIGTERM during the read", expected: "complete answer, exit 0", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
 			g.must(g.Terminate(0))
-			g.waitUntil("it stops", func() bool { return strings.Contains(g.Proc(0).Log(), "stopping") })
+			g.waitUntil("the daemon logs that it is stopping", func() bool { return strings.Contains(g.Proc(0).Log(), "stopping") })
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 			g.must(g.Proc(0).End(g.ctx))
 			g.waitServed(serveCount, 0)
 			g.must(g.Restart(g.ctx, 0))
 		}},
-		{fault: "the list changes shards", expected: "the next read is of the shards listed then", need: all, run: func(g *gatherFixture) {
+		{fault: "the list changes its shards", expected: "the next read is of the shards then listed", completeness: all, run: func(g *gatherFixture) {
 			g.checkComplete(g.waitAnswer(g.startRead(0, defaultPlan, longDeadline)), listed...)
 			g.must(g.SetNodeStatus(6, "active"))
 			var a gatherAnswer
@@ -384,16 +384,16 @@
 			g.checkComplete(a, 0, 1, 2, 3)
 			g.must(g.SetNodeStatus(0, "left"))
 			g.must(g.SetNodeStatus(1, "left"))
-			g.waitUntil("the old shard is not", func() bool {
+			g.waitUntil("the old shard is no longer read", func() bool {
 				a = g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
 				return len(a.rows) == 3*rowsPerShard && a.result.Get("whole").Bool()
 			})
 			g.checkComplete(a, 1, 2, 3)
 		}},
-		{fault: "a volume over its limit", expected: "every part counts; what is over is named", need: effort, run: func(g *gatherFixture) {
+		{fault: "a volume exceeds its limit", expected: "every part counts towards the limit; parts over it are named as missing", completeness: bestEffort, run: func(g *gatherFixture) {
 			missing := 0
 			var reads []*gatherRead
-			for n := range 12 { // as many as the daemons gather at once
+			for n := range 12 { // as many as the daemons gather concurrently
 				reads = append(reads, g.startRead(n%g.opt.Daemons, "small", time.Second))
 			}
 			for _, r := range reads {
@@ -402,36 +402,36 @@
 				missing += len(a.result.Get("missing").Array())
 			}
 			if missing == 0 {
-				t.Error("36 units at once of a volume that may have 10, and 20 a second, and nothing was missing")
+				t.Error("nothing was missing from 36 concurrent units of a volume with a burst of 10 and 20 units per second")
 			}
 		}},
-		{fault: "the only node of a shard is cold", expected: "no more than its budget is asked; what is missing is named", need: effort, more: `,"reads_at_once":8`,
-			set: map[string]any{"extra": map[string]any{"young-limit": 4}}, run: func(g *gatherFixture) {
-				g.setRowFault(node.RowFault{Late: time.Hour}, 3) // what it answers would allow more
+		{fault: "the only node of a shard is cold", expected: "no more units than its budget are sent; missing parts are named", completeness: bestEffort, extraSections: `,"reads_at_once":8`,
+			settings: map[string]any{"extra": map[string]any{"young-limit": 4}}, run: func(g *gatherFixture) {
+				g.setRowFault(node.RowFault{Late: time.Hour}, 3) // its answers would raise the budget
 				g.must(g.Replace(6))
 				for i := range g.opt.Daemons {
-					g.waitUntil("it is told", func() bool {
+					g.waitUntil("the daemon is notified", func() bool {
 						return slices.ContainsFunc(g.History().Told, func(x historycheck.Told) bool {
 							return x.Scheduler == i && x.Node == "s6" && x.Word == historycheck.Active
 						})
 					})
 				}
 				var reads []*gatherRead
-				for n := range 8 * g.opt.Daemons { // 13 units are its budget
+				for n := range 8 * g.opt.Daemons { // its budget is 13 units
 					reads = append(reads, g.startRead(n%g.opt.Daemons, defaultPlan, shortDeadline))
 				}
 				for _, r := range reads {
 					a := g.waitAnswer(r)
 					g.checkRows(a, 0, 1, 2, 3)
 					if !strings.Contains(a.result.Get("missing").Raw, "3") {
-						t.Errorf("a whole answer: %s", a.result)
+						t.Errorf("shard 3 is not missing: %s", a.result)
 					}
 				}
 				g.waitRowFault(3, lateCount, 1)
 			}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			g := newGatherFixture(t, x.need, x.more, x.set)
+			g := newGatherFixture(t, x.completeness, x.extraSections, x.settings)
 			x.run(g)
 			g.waitServed(serveCount)
 			g.stopAndAudit()
--- a/internal/testkit/cluster/gossip_peer_test.go
+++ b/internal/testkit/cluster/gossip_peer_test.go
@@ -16,12 +16,12 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// Tags of internal/gossip: a digest that asks for one in return, cells, what one that starts asks for (a number, the kind,
-// its name) and what it is given (the number, a snapshot).
+// Message tags of internal/gossip: a digest that requests one in return, the returned digest, cells, a starting daemon's
+// request for a snapshot (a number, the kind, its name) and the answer to it (the number, a snapshot).
 const tagDigestRequest, tagDigestReply, tagCells, tagSnapshotRequest, tagSnapshot = 'a', 'b', 'c', 'd', 'e'
 
-// testPeer is a member that is this test: it hears what daemons hold and tells them only what the test
-// says. Its state is one merge of all that it has heard.
+// testPeer is a gossip member controlled by the test. It receives the daemons' observations and sends only what
+// the test specifies. Its state is the merge of all received cells.
 type testPeer struct {
 	t                *testing.T
 	list             *memberlist.Memberlist
@@ -29,13 +29,13 @@
 	mu               sync.Mutex
 	state            *nodestats.State
 	digests          map[string][]byte // the last digest of each daemon
-	receivedCells    [][]byte          // cells, as they came
+	receivedCells    [][]byte          // in order of arrival
 	closeOnce        sync.Once
-	snapshotRequests map[string][]byte // the numbers of those that asked to be handed something
-	snapshot         []byte            // to each of them at once; nil: nothing
+	snapshotRequests map[string][]byte // numbers of the snapshot requests, by daemon
+	snapshot         []byte            // sent in answer to each snapshot request; nil: none
 }
 
-// restrictedTransport reaches the allowed addresses alone.
+// restrictedTransport reaches only the allowed addresses.
 type restrictedTransport struct {
 	*memberlist.NetTransport
 	allowed map[string]bool
@@ -58,12 +58,12 @@
 
 func (f *restrictedTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	if !f.allowed[a.Addr] {
-		return nil, errors.New("fenced off")
+		return nil, errors.New("address is not allowed")
 	}
 	return f.NetTransport.DialAddressTimeout(a, wait)
 }
 
-// testPeer joins the daemons, and reaches no others.
+// newTestPeer creates a peer that joins the given daemons and reaches no others.
 func (w *fixture) newTestPeer(name string, daemons ...int) *testPeer {
 	w.t.Helper()
 	quiet := log.New(io.Discard, "", 0)
@@ -88,7 +88,7 @@
 	n, err := s.list.Join(peerAddresses)
 	w.must(err)
 	if n != len(peerAddresses) {
-		w.t.Fatalf("%s joined %d of %d", name, n, len(peerAddresses))
+		w.t.Fatalf("%s joined %d of %d daemons", name, n, len(peerAddresses))
 	}
 	return s
 }
@@ -133,28 +133,28 @@
 func (*testPeer) LocalState(bool) []byte          { return nil }
 func (*testPeer) MergeRemoteState([]byte, bool)   {}
 
-// send sends a message to a daemon, whole.
+// send sends a complete message to a daemon over TCP.
 func (s *testPeer) send(daemon string, tag byte, m []byte) {
 	s.t.Helper()
 	for _, n := range s.list.Members() {
 		if n.Name == daemon {
 			if err := s.list.SendReliable(n, append([]byte{tag}, m...)); err != nil {
-				s.t.Errorf("%s is not told: %v", daemon, err)
+				s.t.Errorf("message to %s cannot be sent: %v", daemon, err)
 			}
 			return
 		}
 	}
-	s.t.Errorf("%s is no member", daemon)
+	s.t.Errorf("%s is not a member", daemon)
 }
 
-// snapshotRequestCount is how many daemons have asked to be handed something.
+// snapshotRequestCount returns how many daemons have requested a snapshot.
 func (s *testPeer) snapshotRequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.snapshotRequests)
 }
 
-// handOver hands something over to each that has asked, and will ask.
+// handOver answers all snapshot requests, earlier and later ones, with the given bytes.
 func (s *testPeer) handOver(text []byte) {
 	s.mu.Lock()
 	s.snapshot = text
@@ -165,10 +165,10 @@
 	}
 }
 
-// waitConverged asks the daemons what they hold, until each holds what all together do.
+// waitConverged requests the daemons' digests until each matches the merge of all their states.
 func (w *fixture) waitConverged(s *testPeer, daemons ...string) {
 	w.t.Helper()
-	w.waitUntil("all hold the same", func() bool {
+	w.waitUntil("all daemons have the same state", func() bool {
 		s.mu.Lock()
 		clear(s.digests)
 		before, digest := s.state.Counts().NewCells, s.state.Digest(time.Since(s.start))
@@ -195,7 +195,7 @@
 	})
 }
 
-// messages is what a stranger holds, as messages.
+// messages returns the peer's state, encoded as messages.
 func (s *testPeer) messages(t *testing.T) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/cluster/gossip_test.go
+++ b/internal/testkit/cluster/gossip_test.go
@@ -23,7 +23,7 @@
 	"wheatsaddle/internal/testkit/fake/link"
 )
 
-// gossipSite are the sections by which a daemon tells the others and serves its counts, and where.
+// gossipSite returns the site sections that enable gossip and metrics of daemon i, and the metrics address.
 func gossipSite(t *testing.T, f *Fleet, i int) (site map[string]any, metrics string) {
 	t.Helper()
 	at, err := FreeAddress()
@@ -37,12 +37,12 @@
 			via[f.PeerAddr(j)] = f.PeerAddrFrom(i, j)
 		}
 	}
-	// Nothing fades while a row runs.
+	// The half-life is long enough that no observation decays during a scenario.
 	return map[string]any{"metrics": map[string]any{"address": at},
 		"peers": map[string]any{"listen": f.PeerAddr(i), "seeds": seeds, "via": via, "every_ms": 50, "half_life_ms": 60000}}, at
 }
 
-// newGossipFixture starts daemons that tell each other, but for those named.
+// newGossipFixture starts daemons that gossip with each other, except those listed, and returns their metrics addresses.
 func newGossipFixture(t *testing.T, opt Options, withoutPeers ...int) (*fixture, []string) {
 	t.Helper()
 	var metrics []string
@@ -80,13 +80,13 @@
 	return w, metrics
 }
 
-// gossipFixture is a world of daemons that tell each other.
+// gossipFixture is a fleet of daemons that gossip with each other.
 type gossipFixture struct {
 	*fixture
 	metrics []string
 }
 
-// uncachedClient keeps no connection.
+// uncachedClient opens a connection for each request.
 var uncachedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (w *gossipFixture) metric(i int, name string) float64 {
@@ -103,11 +103,11 @@
 			return n
 		}
 	}
-	w.t.Fatalf("daemon %d does not count %s", i, name)
+	w.t.Fatalf("daemon %d has no metric %s", i, name)
 	return 0
 }
 
-// waitMetric waits until a figure of each daemon is as it should be.
+// waitMetric waits until a metric of each daemon meets a condition.
 func (w *gossipFixture) waitMetric(name string, good func(i int, v float64) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
@@ -116,7 +116,7 @@
 			if last = w.metric(i, name); good(i, last) {
 				return nil
 			}
-			return fmt.Errorf("it is %v", last)
+			return fmt.Errorf("its value is %v", last)
 		})
 		w.must(err)
 	}
@@ -136,7 +136,7 @@
 	return all
 }
 
-// estimate asks for the estimate of a read at a node, at daemon i's admin endpoint.
+// estimate requests the estimate of a read at a node from daemon i's admin endpoint.
 func (w *gossipFixture) estimate(i int, node string) gjson.Result {
 	w.t.Helper()
 	body := `{"plans":[{"name":"a","root":{"work":{"shard":0,"class":"read","units":1,"node":"` + node + `"}}}]}`
@@ -145,11 +145,11 @@
 	defer r.Body.Close()
 	text, err := io.ReadAll(r.Body)
 	w.must(err)
-	if gjson.GetBytes(text, "code").Str == "cost-unknown-name" { // nobody has told of this life of it yet
+	if gjson.GetBytes(text, "code").Str == "cost-unknown-name" { // no observation of this incarnation of the node yet
 		return gjson.Result{}
 	}
 	if r.StatusCode != http.StatusOK {
-		w.t.Fatalf("estimate: %d %s", r.StatusCode, text)
+		w.t.Fatalf("estimate answered with code %d: %s", r.StatusCode, text)
 	}
 	return gjson.GetBytes(text, "plans.0")
 }
@@ -164,20 +164,20 @@
 func (w *gossipFixture) waitPeerFault(what func(link.Counts) int, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.waitUntil(fmt.Sprint("the fault happens between ", p), func() bool { return what(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
+		w.waitUntil(fmt.Sprint("the fault occurs between ", p), func() bool { return what(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
 	}
 }
 
 var allPairs = [][2]int{{0, 1}, {0, 2}, {1, 2}}
 
-// stopAndConverge stops the traffic and waits until all daemons hold the same, that of one merge of all.
+// stopAndConverge stops the traffic and waits until all daemons have the same state, that of one merge of all their states.
 func (w *gossipFixture) stopAndConverge(s *testPeer) {
 	w.t.Helper()
 	w.stopAndAudit()
 	w.waitConverged(s, w.daemonNames()...)
 }
 
-// mergeAll is a single state with all that was heard.
+// mergeAll returns one state with all messages merged.
 func mergeAll(t *testing.T, all ...[][]byte) *nodestats.State {
 	t.Helper()
 	s, err := nodestats.New(nodestats.Defaults(), "one", 1)
@@ -194,15 +194,15 @@
 	return s
 }
 
-// Part 3: what processes tell each other. Each row is a fault between three daemons and what is expected; the
-// auditor's rules hold in each, under traffic.
+// Faults of the gossip between three daemons under traffic. The daemons' states must converge, and the rules of the
+// audit must hold in each scenario.
 func TestGossipFaults(t *testing.T) {
 	for _, x := range []struct {
 		fault, expected string
 		opt             Options
 		run             func(*gossipFixture)
 	}{
-		{fault: "halves cut apart and joined again", expected: "each its own picture; then one state, that of one merge of both", run: func(w *gossipFixture) {
+		{fault: "a partition that heals", expected: "separate states during the partition, then the merge of both", run: func(w *gossipFixture) {
 			across := allPairs[:2]
 			w.setPeerFault(link.Fault{Cut: true}, across...)
 			w.waitPeerFault(func(c link.Counts) int { return c.Cut }, across...)
@@ -214,7 +214,7 @@
 			w.waitConverged(b, "n1", "n2")
 			both := mergeAll(w.t, a.messages(w.t), b.messages(w.t))
 			if both.MatchesDigest(0, a.digests["n0"]) || both.MatchesDigest(0, b.digests["n1"]) {
-				w.t.Error("the halves were not apart")
+				w.t.Error("the states did not diverge during the partition")
 			}
 			a.close()
 			b.close()
@@ -223,11 +223,11 @@
 			w.waitConverged(c, w.daemonNames()...)
 			for _, n := range w.daemonNames() {
 				if !both.MatchesDigest(0, c.digests[n]) {
-					w.t.Errorf("%s does not hold one merge of both halves", n)
+					w.t.Errorf("the state of %s is not the merge of both sides", n)
 				}
 			}
 		}},
-		{fault: "one stopped for 5 s, back with old news", expected: "its news of others goes over nobody's; all alike", run: func(w *gossipFixture) {
+		{fault: "a daemon is suspended for 5 s and resumes with old observations", expected: "its observations of others replace no newer ones; all states are equal", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
 			w.must(w.Stop(0))
 			w.waitServed(serveCount, 0)
@@ -238,7 +238,7 @@
 			w.waitServed(serveCount)
 			w.stopAndConverge(s)
 		}},
-		{fault: "killed and started under its name", expected: "known at once again; its former life, told again, changes nothing", run: func(w *gossipFixture) {
+		{fault: "a daemon is killed and restarted under its name", expected: "known again at once; messages of its previous incarnation change nothing", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
 			w.waitAllOrigins(s)
 			w.must(w.Kill(0))
@@ -257,7 +257,7 @@
 			w.waitMetric("observations_older_cells", func(i int, v float64) bool { return v > olderCells[i] })
 			w.waitConverged(s, w.daemonNames()...)
 		}},
-		{fault: "messages lost, doubled, reordered, cut, of a later version", expected: "counted, and all alike", run: func(w *gossipFixture) {
+		{fault: "messages lost, duplicated, reordered, truncated or of a later version", expected: "counted, and all states are equal", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
 			w.setPeerFault(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, allPairs...)
 			w.waitPeerFault(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, allPairs...)
@@ -276,28 +276,28 @@
 			w.waitServed(serveCount)
 			w.stopAndConverge(s)
 		}},
-		{fault: "a node replaced under its name", expected: "unknown at once at each, known by new answers", opt: Options{Settings: map[string]any{
+		{fault: "a node is replaced under its name", expected: "unknown at once to each daemon, known again from new answers", opt: Options{Settings: map[string]any{
 			"extra": map[string]any{"young-limit": 300}}}, run: func(w *gossipFixture) {
 			known := func(i int) bool {
 				e := w.estimate(i, "s0").Get("rests_on")
 				return e.Get("level").Str == "node" && e.Get("origins").Num == 3
 			}
-			w.must(w.SetNodeStatus(1, "leaving")) // while the other of its shard serves, it is asked by chance alone
+			w.must(w.SetNodeStatus(1, "leaving")) // while the other node of its shard serves, node 0 might get no requests
 			for i := range w.opt.Daemons {
-				w.waitUntil("all tell of it", func() bool { return known(i) })
+				w.waitUntil("all daemons have observations of the node", func() bool { return known(i) })
 			}
 			w.stopTraffic()
 			w.must(w.Replace(0))
 			for i := range w.opt.Daemons {
-				w.waitUntil("it is unknown", func() bool { return w.estimate(i, "s0").Get("rests_on.level").Str != "node" })
+				w.waitUntil("the node is unknown", func() bool { return w.estimate(i, "s0").Get("rests_on.level").Str != "node" })
 			}
 			w.startTraffic()
 			for i := range w.opt.Daemons {
-				w.waitUntil("it is known anew", func() bool { return known(i) })
+				w.waitUntil("the node is known again", func() bool { return known(i) })
 			}
 			w.stopAndConverge(w.newTestPeer("s", w.allDaemons()...))
 		}},
-		{fault: "a process that sends nonsense", expected: "counted; no member, state or answer is lost", run: func(w *gossipFixture) {
+		{fault: "a peer that sends random bytes", expected: "counted; no member, state or answer is lost", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
 			w.waitAllOrigins(s)
 			r := rand.New(rand.NewPCG(1, 2))
@@ -311,7 +311,7 @@
 			for i, n := range w.daemonNames() {
 				for k := range 40 {
 					s.send(n, byte(k), randomBytes(1+r.IntN(2000)))
-					m := append([]byte(nil), good[:len(good)-4]...) // a good frame around nonsense
+					m := append([]byte(nil), good[:len(good)-4]...) // a valid frame with corrupted contents
 					for range 20 {
 						m[4+r.IntN(len(m)-4)] = byte(r.Uint32())
 					}
@@ -321,7 +321,7 @@
 					nc, err := net.Dial(network, w.PeerAddr(i))
 					w.must(err)
 					for range 20 {
-						_, _ = nc.Write(randomBytes(1000)) // it may hang up
+						_, _ = nc.Write(randomBytes(1000)) // the daemon may close the connection
 					}
 					nc.Close()
 				}
@@ -341,17 +341,17 @@
 			x.run(w)
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
-					t.Errorf("daemon %d has ended", i)
+					t.Errorf("daemon %d has exited", i)
 				}
 			}
 		})
 	}
 }
 
-// waitAllOrigins waits until the stranger has heard of each daemon, under traffic.
+// waitAllOrigins waits until the test peer has received observations of each daemon, under traffic.
 func (w *gossipFixture) waitAllOrigins(s *testPeer) {
 	w.t.Helper()
-	w.waitUntil("the stranger has heard of all", func() bool {
+	w.waitUntil("the test peer has observations of all daemons", func() bool {
 		s.mu.Lock()
 		digest := s.state.Digest(time.Since(s.start))
 		n := s.state.Counts().Origins
@@ -363,18 +363,18 @@
 	})
 }
 
-// udpSockets are the UDP sockets that a daemon holds.
+// udpSockets counts the UDP sockets of daemon i.
 func (w *gossipFixture) udpSockets(i int) (n int) {
 	w.t.Helper()
 	pid := w.Proc(i).cmd.Process.Pid
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	w.must(err)
 	if len(links) < 5 {
-		w.t.Fatalf("daemon %d shows %d files", i, len(links))
+		w.t.Fatalf("daemon %d has only %d open files", i, len(links))
 	}
 	held := map[string]bool{}
 	for _, l := range links {
-		to, _ := os.Readlink(l) // one may be closed by now
+		to, _ := os.Readlink(l) // the descriptor may be closed by now
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
 			held[strings.TrimSuffix(inode, "]")] = true
 		}
@@ -391,8 +391,8 @@
 	return n
 }
 
-// Without the section a daemon holds no UDP socket and runs no goroutine of internal/gossip or the library: its
-// stacks, which SIGQUIT makes it print, have none. The daemons beside it have both.
+// Without the section peers a daemon has no UDP socket and runs no goroutine of internal/gossip or memberlist, as the
+// stack dump on SIGQUIT shows. The other daemons have both.
 func TestNoGossipWithoutPeersSection(t *testing.T) {
 	w := &gossipFixture{}
 	w.fixture, w.metrics = newGossipFixture(t, Options{}, 0)
@@ -400,7 +400,7 @@
 	w.waitServed(serveCount)
 	for i := range w.opt.Daemons {
 		if i > 0 {
-			w.waitUntil("it has a member beside it", func() bool { return w.metric(i, "peers_members") == 2 })
+			w.waitUntil("the daemon has two members", func() bool { return w.metric(i, "peers_members") == 2 })
 		}
 		if n := w.udpSockets(i); (n > 0) != (i > 0) {
 			t.Errorf("daemon %d: %d UDP sockets", i, n)
@@ -411,15 +411,15 @@
 		w.markDown(i, true)
 		w.must(w.Proc(i).Signal(syscall.SIGQUIT))
 		if err := w.Proc(i).End(w.ctx); err == nil {
-			t.Error("it has not ended by SIGQUIT")
+			t.Error("the daemon exited with 0 on SIGQUIT")
 		}
 		text := w.Proc(i).Log()
 		if !strings.Contains(text, "wheatsaddle/internal/core.") {
-			t.Fatalf("daemon %d has not printed its stacks", i)
+			t.Fatalf("daemon %d has not printed its stack dump", i)
 		}
 		for _, part := range []string{"wheatsaddle/internal/gossip.", "hashicorp/memberlist."} {
 			if strings.Contains(text, part) != (i > 0) {
-				t.Errorf("daemon %d, %s: %v", i, part, i == 0)
+				t.Errorf("daemon %d: %s in the stack dump: %v", i, part, i == 0)
 			}
 		}
 	}
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	misreportingPeers   = 3 // against one honest word, a daemon's own: they are the median of every vote
+	misreportingPeers   = 3 // the median of every vote, against the one correct report of the daemon itself
 	reportIntervalMS    = 50
-	reportedListVersion = 1 << 40 // a version of the list that no service has
+	reportedListVersion = 1 << 40 // a list version that no service has
 )
 
-// startMisreporting has every peer of each daemon lie, the other daemons being cut off: of each node that it is no longer cold, has all its
-// windows open, nothing waits and it serves in so many milliseconds, and that the list is of a far later version.
+// startMisreporting cuts the daemons off from each other, so that all peers of each daemon misreport. They report that each
+// node is warmed up, has its full window open and no queue, and serves in latencyMS, and that the list has a far later version.
 func (w *gossipFixture) startMisreporting(latencyMS float64) {
 	w.t.Helper()
 	w.setPeerFault(link.Fault{Cut: true}, allPairs...)
 	w.waitPeerFault(func(c link.Counts) int { return c.Cut }, allPairs...)
 	stop, senders := make(chan struct{}), &sync.WaitGroup{}
 	for k := range misreportingPeers {
-		name := fmt.Sprint("liar", k)
+		name := fmt.Sprint("misreporting", k)
 		peer := w.newTestPeer(name, w.allDaemons()...)
 		reported, err := nodestats.New(nodestats.Defaults(), name, 1)
 		w.must(err)
@@ -70,7 +70,7 @@
 	w.waitReportsReceived()
 }
 
-// waitReportsReceived waits until each daemon holds the lies, of each liar, as they are now.
+// waitReportsReceived waits until each daemon has received the current false reports of each peer.
 func (w *gossipFixture) waitReportsReceived() {
 	w.t.Helper()
 	var before []float64
@@ -80,19 +80,19 @@
 	w.waitMetric("observations_messages", func(i int, v float64) bool { return v > before[i]+2*misreportingPeers })
 	w.waitMetric("peers_list_newest_version", func(_ int, v float64) bool { return v == reportedListVersion })
 	for i := range w.opt.Daemons {
-		for _, n := range w.opt.Nodes[:2] { // of the shard that estimates are asked for
-			w.waitUntil("the lies of "+n.Name+" are held", func() bool { return w.estimate(i, n.Name).Get("rests_on.origins").Num >= misreportingPeers })
+		for _, n := range w.opt.Nodes[:2] { // of the shard that estimate requests
+			w.waitUntil("the false reports on "+n.Name+" are received", func() bool { return w.estimate(i, n.Name).Get("rests_on.origins").Num >= misreportingPeers })
 		}
 	}
 }
 
-// requestsAt is how much has come to a node.
+// requestsAt returns the number of requests that node j has received.
 func (w *gossipFixture) requestsAt(j int) int { return w.Node(j).Counts().Requests }
 
-// checkNoRequests waits until nothing comes to a node any more, and looks that it stays so.
+// checkNoRequests waits until node j receives no more requests, and checks that it receives none afterwards.
 func (w *gossipFixture) checkNoRequests(j int) {
 	w.t.Helper()
-	w.waitUntil("nothing comes to the node", func() bool {
+	w.waitUntil("the node receives no more requests", func() bool {
 		base := w.requestsAt(j)
 		w.waitServed(serveCount)
 		return w.requestsAt(j) == base
@@ -101,25 +101,25 @@
 	w.waitReportsReceived()
 	w.waitServed(2 * serveCount)
 	if n := w.requestsAt(j); n != base {
-		w.t.Errorf("%d more came to node %d", n-base, j)
+		w.t.Errorf("%d more requests came to node %d", n-base, j)
 	}
 }
 
-// Part 3: nothing that is told breaks a rule of the data path. Every peer of each daemon lies, for as long as a row runs; the
-// lies have come, and move the estimate; the auditor holds its rules, in each row the one that is lied about.
+// False reports from all peers of a daemon must not break a rule of the data path. The reports are received throughout each
+// scenario and change the estimates, and the audit checks the rules, above all the one that the report concerns.
 func TestMisreportingPeersBreakNoRule(t *testing.T) {
 	const fast, slow = 0.01, 400.0
 	for _, x := range []struct {
-		lie, expected string
-		millis        float64
-		opt           Options
-		run           func(*gossipFixture)
+		report, expected string
+		latencyMS        float64
+		opt              Options
+		run              func(*gossipFixture)
 	}{
-		{lie: "all is idle and fast, while a limited volume asks for more", expected: "it keeps its limit over all daemons", millis: fast, run: func(w *gossipFixture) {
+		{report: "all nodes are idle and fast, while a limited volume requests more", expected: "the volume's limit holds over all daemons", latencyMS: fast, run: func(w *gossipFixture) {
 			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: 5 * time.Millisecond, Request: func(_, _, n int) ClientRequest {
 				return ClientRequest{Plan: "small", Volume: 9, Shard: n % 2}
 			}})
-			w.waitUntil("the volume has asked for far more than its limit", func() bool {
+			w.waitUntil("the volume has requested far more than its limit", func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				asked := 0
@@ -132,33 +132,33 @@
 			})
 			stop()
 		}},
-		{lie: "a node that drains is up and idle", expected: "nothing after the grace; the list's later word counts", millis: fast, run: func(w *gossipFixture) {
+		{report: "a draining node is up and idle", expected: "no requests after the grace period; a later status in the list applies", latencyMS: fast, run: func(w *gossipFixture) {
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.waitDrainNotified()
 			w.checkNoRequests(0)
 			w.must(w.SetNodeStatus(0, "active"))
 			base := w.requestsAt(0)
-			w.waitUntil("it serves again", func() bool { return w.requestsAt(0) > base+serveCount })
+			w.waitUntil("the node serves again", func() bool { return w.requestsAt(0) > base+serveCount })
 		}},
-		{lie: "a node that operators exclude is up and idle", expected: "nothing comes to it", millis: fast, run: func(w *gossipFixture) {
+		{report: "an excluded node is up and idle", expected: "it receives no requests", latencyMS: fast, run: func(w *gossipFixture) {
 			for i := range w.opt.Daemons {
 				w.excludeNode(i, "s2")
 			}
 			w.checkNoRequests(2)
 		}},
-		{lie: "a cold node is warm and fast", expected: "no more than it bears", millis: fast, opt: Options{Settings: map[string]any{
+		{report: "a cold node is warmed up and fast", expected: "no more load than its slow start allows", latencyMS: fast, opt: Options{Settings: map[string]any{
 			"extra": map[string]any{"young-limit": 10}}}, run: func(w *gossipFixture) {
 			w.must(w.Replace(0))
 			w.waitReportsReceived()
 			servedBefore := w.requestsAt(1)
-			w.waitUntil("its shard has served far more than it bears", func() bool { return w.requestsAt(1) > servedBefore+400 })
+			w.waitUntil("the other node of its shard has served far more than the slow start allows", func() bool { return w.requestsAt(1) > servedBefore+400 })
 			if len(w.History().Cold) != 1 {
-				w.t.Error("no cold start")
+				w.t.Error("no cold start is recorded")
 			}
 		}},
-		{lie: "an old list, with a node that has left, is the newest", expected: "each holds its own", millis: fast, run: func(w *gossipFixture) {
+		{report: "an old list with a node that has left is the newest", expected: "each daemon keeps its own list", latencyMS: fast, run: func(w *gossipFixture) {
 			w.must(w.SetNodeStatus(0, "left"))
-			w.waitUntil("each is told", func() bool {
+			w.waitUntil("each daemon is notified", func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				notified := map[int]bool{}
@@ -172,23 +172,23 @@
 			w.checkNoRequests(0)
 			for i := range w.opt.Daemons {
 				if own := w.metric(i, "peers_list_oldest_version"); own >= reportedListVersion || own < firstIndex {
-					w.t.Errorf("daemon %d holds version %v", i, own)
+					w.t.Errorf("daemon %d reports list version %v", i, own)
 				}
 			}
 		}},
-		{lie: "all is slow", expected: "the estimate is moved, and no request", millis: slow, run: func(w *gossipFixture) {
+		{report: "all nodes are slow", expected: "the estimate changes, but no request is affected", latencyMS: slow, run: func(w *gossipFixture) {
 			for i := range w.opt.Daemons {
-				w.waitUntil("the estimate is moved", func() bool { return w.estimate(i, "s1").Get("mean_ms").Num > slow/4 })
+				w.waitUntil("the estimate changes", func() bool { return w.estimate(i, "s1").Get("mean_ms").Num > slow/4 })
 			}
 			w.waitServed(serveCount)
 		}},
 	} {
-		t.Run(x.lie, func(t *testing.T) {
+		t.Run(x.report, func(t *testing.T) {
 			w := &gossipFixture{}
 			w.fixture, w.metrics = newGossipFixture(t, x.opt)
 			w.startTraffic()
 			w.waitServed(serveCount)
-			w.startMisreporting(x.millis)
+			w.startMisreporting(x.latencyMS)
 			x.run(w)
 			w.waitReportsReceived()
 			w.stopAndAudit()
@@ -206,6 +206,6 @@
 	w.must(err)
 	r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		w.t.Fatalf("exclude: %d", r.StatusCode)
+		w.t.Fatalf("exclude request answered with code %d", r.StatusCode)
 	}
 }
--- a/internal/testkit/cluster/observations_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// writeSite puts sections over the site file of a daemon that is about to start.
+// writeSite replaces sections in the site file of a daemon that is about to start.
 func writeSite(f *Fleet, i int, sections map[string]any) error {
 	file := filepath.Join(f.Dir(i), "site.json")
 	text, err := os.ReadFile(file)
@@ -33,7 +33,7 @@
 	return os.WriteFile(file, text, 0o600)
 }
 
-// viewsByKey are the stranger's.
+// viewsByKey returns the views of the peer's state.
 func (s *testPeer) viewsByKey() map[nodestats.Key]nodestats.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,8 @@
 	return all
 }
 
-// What processes tell of nodes: hardware by the site's files, and windows, none where nothing new is sent. A process whose list is silent is counted as behind at all of them, until it has heard.
+// Daemons report the hardware type of nodes from the site file and their windows, which are absent for nodes that get no new
+// requests. A daemon whose list is silent counts as behind at all daemons until it has received the list.
 func TestNodeObservationsReachPeers(t *testing.T) {
 	w := &gossipFixture{}
 	w.fixture, w.metrics = newGossipFixture(t, Options{Args: func(f *Fleet, i int) []string {
@@ -65,7 +66,7 @@
 		}
 		return v
 	}
-	w.waitUntil("all tell of nodes", func() bool {
+	w.waitUntil("all daemons report both nodes", func() bool {
 		a, b := node("s0"), node("s1")
 		return a.Type == "disk" && b.Type == "flash" && a.Origins == 3 && b.Origins == 3 && a.Window >= 1 && b.Window >= 1
 	})
@@ -74,9 +75,9 @@
 	}
 
 	w.must(w.SetNodeStatus(0, "leaving"))
-	w.waitUntil("a node that leaves has no window", func() bool { return node("s0").Window == 0 })
+	w.waitUntil("a leaving node has no window", func() bool { return node("s0").Window == 0 })
 	w.must(w.SetNodeStatus(0, "active"))
-	w.waitUntil("it has one again", func() bool { return node("s0").Window >= 1 })
+	w.waitUntil("the node has a window again", func() bool { return node("s0").Window >= 1 })
 
 	w.must(w.SetList(2, ListSilent))
 	w.must(w.SetNodeStatus(1, "leaving"))
@@ -84,7 +85,7 @@
 	w.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 	for i := range w.opt.Daemons {
 		if old, now := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); now != old+1 {
-			t.Errorf("daemon %d: versions %v to %v", i, old, now)
+			t.Errorf("daemon %d: list versions %v to %v", i, old, now)
 		}
 	}
 	w.must(w.SetList(2, ListWell))
--- a/internal/testkit/cluster/ports_test.go
+++ b/internal/testkit/cluster/ports_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A process that is being started holds, between fork and exec, a copy of every descriptor, also of a
-// listener that this program has just closed. A free address is one that nobody listened on before.
+// Between fork and exec, a process that is being started holds a copy of every descriptor, even of a listener that
+// this program has just closed. So FreeAddress must return addresses on which this program never listened.
 func TestFreeAddressWhileProcessesStart(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -51,7 +51,7 @@
 	wg.Wait()
 }
 
-// No connection and no other party that asks for any port gets one that was handed out.
+// A returned address stays reserved: nobody else can bind it without SO_REUSEADDR, and connecting to it fails.
 func TestFreeAddressStaysReserved(t *testing.T) {
 	at, err := FreeAddress()
 	if err != nil {
@@ -67,9 +67,9 @@
 	}
 	defer func() { _ = syscall.Close(fd) }()
 	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(a.IP.To4())}); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Error("bound: ", err)
+		t.Error("bind to the reserved address: ", err)
 	}
 	if _, err = net.Dial("tcp", at); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Error("dialled: ", err)
+		t.Error("dial of the reserved address: ", err)
 	}
 }
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -19,36 +19,36 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// What a daemon says as it goes on; a test waits for it.
+// Log texts of the daemon that the tests wait for.
 const (
 	logAccepting = "accepting connections on the passed socket"
 	logReleased  = "passed socket released to the next process"
 	logDrained   = `msg="handover complete" open_connections=0`
 )
 
-// shortColdStart has a node that is included again be cold for a moment only.
+// shortColdStart shortens the slow start of a node that is included again.
 var shortColdStart = map[string]any{"rules": map[string]any{"cold": 100}}
 
-// handoverFixture is one scheduler whose processes come and go on one passed socket.
+// handoverFixture is one scheduler whose processes replace each other on one passed socket.
 type handoverFixture struct {
 	*fixture
-	active *Proc // that accepts
+	active *Proc // accepts the connections
 }
 
 func (r *handoverFixture) waitLog(p *Proc, what string) {
 	r.t.Helper()
-	r.waitUntil(p.Name+" says: "+what, func() bool { return strings.Contains(p.Log(), what) })
+	r.waitUntil(p.Name+" logs: "+what, func() bool { return strings.Contains(p.Log(), what) })
 }
 
-// checkNotLogged fails if it has said so.
+// checkNotLogged fails the test if the process has logged the text.
 func (r *handoverFixture) checkNotLogged(p *Proc, what string) {
 	r.t.Helper()
 	if strings.Contains(p.Log(), what) {
-		r.t.Errorf("%s has said: %s", p.Name, what)
+		r.t.Errorf("%s has logged: %s", p.Name, what)
 	}
 }
 
-// startNext starts one beside the one that accepts. It says that it is ready, and does not accept while the other does.
+// startNext starts a process beside the active one. It reports readiness but does not accept connections while the active one does.
 func (r *handoverFixture) startNext() *Proc {
 	r.t.Helper()
 	p, err := r.StartReplacement(0, nil)
@@ -59,7 +59,7 @@
 	return p
 }
 
-// handOver ends the old one as the platform does: it exits 0, and the new one serves.
+// handOver terminates the active process as the platform does. It must exit with 0, and the new process must serve.
 func (r *handoverFixture) handOver(p *Proc) {
 	r.t.Helper()
 	r.must(r.active.Signal(syscall.SIGTERM))
@@ -72,13 +72,13 @@
 	r.active = p
 }
 
-// killActive writes the span of a process that was killed, until the next one serves.
+// killActive kills the active process, waits until the next one serves and records the downtime.
 func (r *handoverFixture) killActive(p *Proc) {
 	r.t.Helper()
 	r.markDown(0, true)
 	r.must(r.active.Signal(syscall.SIGKILL))
 	if err := r.active.End(r.ctx); err == nil {
-		r.t.Error("killed, and exit 0")
+		r.t.Error("the killed process exited with 0")
 	}
 	r.waitLog(p, logAccepting)
 	r.waitServed(serveCount)
@@ -96,61 +96,61 @@
 	r.must(err)
 	defer a.Body.Close()
 	if a.StatusCode != 200 {
-		r.t.Fatalf("%s %s: %d", method, call, a.StatusCode)
+		r.t.Fatalf("%s %s answered with code %d", method, call, a.StatusCode)
 	}
 }
 
-// Processes of one scheduler come and go on one passed socket under load: from clients that keep their connections, and
-// from some that open one for each request, of a volume with a limit, faster than the limit. Nothing of it is
-// lost: the auditor finds each request answered, but those that a kill or a stop excuses.
+// Processes of one scheduler replace each other on one passed socket under load. Some clients reuse their connections, and
+// others open one per request and exceed the limit of their volume. The audit checks that every request is answered, except
+// while a process is killed or suspended.
 func TestSocketHandover(t *testing.T) {
 	for _, x := range []struct {
 		fault, expected string
 		run             func(*handoverFixture)
 	}{
-		{fault: "three replacements in a row", expected: "nothing is lost, the limit holds, a node excluded by hand stays out until it is included", run: func(r *handoverFixture) {
+		{fault: "three replacements in a row", expected: "nothing is lost, the limit holds, an excluded node gets no requests until it is included", run: func(r *handoverFixture) {
 			r.callAdmin(r.active, "PUT", "/api/exclude?who=s0")
 			excludedAt := r.Fleet.now() + r.Rules().Grace + auditSlack
-			r.waitUntil("the exclusion counts", func() bool { return r.Fleet.now() > excludedAt })
+			r.waitUntil("the exclusion applies", func() bool { return r.Fleet.now() > excludedAt })
 			for range 3 {
 				r.handOver(r.startNext())
 			}
 			includedAt := r.Fleet.now()
 			for _, s := range r.History().Sent {
 				if s.Node == "s0" && s.First > excludedAt && s.First < includedAt {
-					r.t.Errorf("%s went to s0 at %v, excluded since %v", s.ID, s.First, excludedAt)
+					r.t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.First, excludedAt)
 				}
 			}
 			r.callAdmin(r.active, "PUT", "/api/include?who=s0")
 			ran := r.Node(0).Counts().Ran
 			r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > ran })
 		}},
-		{fault: "the old one is killed", expected: "the kernel lets the lock go: the next one serves", run: func(r *handoverFixture) {
+		{fault: "the active process is killed", expected: "the kernel releases its lock and the next one serves", run: func(r *handoverFixture) {
 			r.killActive(r.startNext())
 			r.handOver(r.startNext())
 		}},
-		{fault: "the old one is stopped, then killed", expected: "nobody serves meanwhile, as it would spend its limits when it runs on; then the next one does", run: func(r *handoverFixture) {
+		{fault: "the active process is suspended, then killed", expected: "no other serves meanwhile, as it would use its limits on resuming; then the next one serves", run: func(r *handoverFixture) {
 			p := r.startNext()
 			r.must(r.Stop(0))
-			r.waitUntil("nobody serves", func() bool {
+			r.waitUntil("no process serves", func() bool {
 				return r.Send(ClientRequest{Deadline: 200 * time.Millisecond}).End == historycheck.Unheard
 			})
 			r.checkNotLogged(p, logAccepting)
-			r.must(r.active.Signal(syscall.SIGTERM)) // it waits, too
+			r.must(r.active.Signal(syscall.SIGTERM)) // stays pending while the process is suspended
 			r.killActive(p)
-			_ = r.Continue(0) // the span ends
+			_ = r.Continue(0) // only ends the recorded pause
 			r.handOver(r.startNext())
 		}},
-		{fault: "the new one is killed while it waits", expected: "the old one serves on, another takes its place", run: func(r *handoverFixture) {
+		{fault: "the new process is killed while it waits", expected: "the active one keeps serving, and another replaces it", run: func(r *handoverFixture) {
 			p := r.startNext()
 			r.must(p.Signal(syscall.SIGKILL))
 			if err := p.End(r.ctx); err == nil {
-				r.t.Error("killed, and exit 0")
+				r.t.Error("the killed process exited with 0")
 			}
 			r.waitServed(serveCount)
 			r.handOver(r.startNext())
 		}},
-		{fault: "the new one is ended while it waits", expected: "exit 0, the old one serves on", run: func(r *handoverFixture) {
+		{fault: "the new process is terminated while it waits", expected: "exit 0, the active one keeps serving", run: func(r *handoverFixture) {
 			p := r.startNext()
 			r.must(p.Signal(syscall.SIGTERM))
 			r.must(p.End(r.ctx))
@@ -158,7 +158,7 @@
 			r.waitServed(serveCount)
 			r.handOver(r.startNext())
 		}},
-		{fault: "the new one's settings are broken, or its descriptor is no socket", expected: "exit 1 with a code, the old one serves on", run: func(r *handoverFixture) {
+		{fault: "the new process has broken settings, or its descriptor is no socket", expected: "exit 1 with a code, the active one keeps serving", run: func(r *handoverFixture) {
 			for code, change := range map[string]func(*Proc){
 				"config-json": func(p *Proc) { r.must(os.WriteFile(p.config, []byte("{"), 0o600)) },
 				"sock-passed": func(p *Proc) { p.env = append(p.env, "ROUTER_PASSED_SOCKET=99") },
@@ -172,7 +172,7 @@
 			}
 			r.handOver(r.startNext())
 		}},
-		{fault: "a client sends its body slowly over the replacement", expected: "the old one answers it whole, and ends", run: func(r *handoverFixture) {
+		{fault: "a client sends its body slowly during the replacement", expected: "the old process answers it completely and exits", run: func(r *handoverFixture) {
 			m := client.Message{ID: "slow", Class: "write", Plan: defaultPlan, Extent: fmt.Sprintf("%016x", 1), Volume: fmt.Sprintf("%016x", 1), Units: 1, Shard: 1, Hosts: 1,
 				Write: true, Deadline: 5 * time.Second, Body: []byte(strings.Repeat("x", 2000))}
 			text := m.Append(nil)
@@ -193,19 +193,19 @@
 			r.must(err)
 			var a fasthttp.Response
 			if err := a.Read(bufio.NewReader(nc)); err != nil || a.StatusCode() != 200 || !a.ConnectionClose() {
-				r.t.Errorf("%v, %d, closes: %v", err, a.StatusCode(), a.ConnectionClose())
+				r.t.Errorf("answer: %v, code %d, connection close: %v", err, a.StatusCode(), a.ConnectionClose())
 			}
 			r.mu.Lock()
 			r.history.Answered = append(r.history.Answered, historycheck.Answered{ID: m.ID, At: r.Fleet.now(), End: historycheck.Whole})
 			r.mu.Unlock()
 			if n, err := nc.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-				r.t.Errorf("%d bytes, %v", n, err)
+				r.t.Errorf("%d bytes after the answer, %v", n, err)
 			}
 			r.must(r.active.End(r.ctx))
 			r.active = p
 			r.waitServed(serveCount)
 		}},
-		{fault: "a client sends requests of the limited volume ahead", expected: "those that wait in the socket are answered, and over the limit refused", run: func(r *handoverFixture) {
+		{fault: "a client pipelines requests of the limited volume", expected: "requests buffered in the socket are answered, those over the limit rejected", run: func(r *handoverFixture) {
 			const pipelined = 150
 			nc, err := net.Dial("tcp", r.active.Listen)
 			r.must(err)
@@ -245,7 +245,7 @@
 				r.mu.Unlock()
 				closed = a.ConnectionClose()
 			}
-			if answersAfterTerm < pipelined/2 { // but what had been read ahead of the last answer
+			if answersAfterTerm < pipelined/2 { // fewer only by those read before the SIGTERM
 				r.t.Errorf("%d answers after SIGTERM, %d in all", answersAfterTerm, n)
 			}
 			r.mu.Lock()
@@ -277,14 +277,14 @@
 	}
 }
 
-// Where no lock can be had the process says so, with what to do, and accepts beside the other.
+// A process that cannot get the lock logs an error with advice and accepts connections beside the other one.
 func TestSocketHandoverWithoutLock(t *testing.T) {
 	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
 	r.startTraffic()
 	p, err := r.StartReplacement(0, func(p *Proc) { p.env = append(p.env, "TMPDIR="+r.Dir(0)+"/none") })
 	r.must(err)
 	r.waitLog(p, logAccepting)
-	r.must(r.Wait(r.ctx, "ready", p.Ready))
+	r.must(r.Wait(r.ctx, p.Name+" is ready", p.Ready))
 	if log := p.Log(); !strings.Contains(log, "code=handover-no-lock") || !strings.Contains(log, "advice=") {
 		t.Error(log)
 	}
