--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// delegationFixture is a fleet whose last daemon hands parts of gathered reads on to the others, each over a link.
+// delegationFixture is a fleet whose last daemon coordinates gathered reads and delegates groups of parts to the others, each over a link.
 type delegationFixture struct {
 	*fixture
 	coordinator     int
@@ -28,16 +28,16 @@
 	nodeRows        *node.Rows
 	reads           []historycheck.Taken
 	answers         []historycheck.Answered
-	gossip          gossipFixture // where they know who is alive
+	gossip          gossipFixture // set if the daemons gossip
 }
 
 const limitedPlan = "small" // a plan with a limit
 
-// newDelegationFixture starts four daemons over shards of one node each; tree: that of the site, "": nothing is handed on; rules: put over the class
+// newDelegationFixture starts four daemons over shards of one node each. tree is the site's section of that name; "" disables delegation. rules override those of the class.
 func newDelegationFixture(t *testing.T, shards, rows int, tree, rules string, withGossip ...bool) *delegationFixture {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("several processes")
+		t.Skip("starts several processes")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	t.Cleanup(cancel)
@@ -68,7 +68,7 @@
 				g.delegationLinks = append(g.delegationLinks, l)
 				peers = append(peers, map[string]any{"name": fmt.Sprint("n", j), "address": l.Addr()})
 			}
-			peers = append(peers, map[string]any{"name": fmt.Sprint("n", i), "address": "127.0.0.1:1"}) // itself: passed over
+			peers = append(peers, map[string]any{"name": fmt.Sprint("n", i), "address": "127.0.0.1:1"}) // the coordinator itself, which it skips
 			section["peers"], section["tree"] = peers, json.RawMessage(tree)
 		}
 		site := map[string]any{}
@@ -95,8 +95,8 @@
 	t.Cleanup(f.Close)
 	g.fixture = &fixture{Fleet: f, t: t, ctx: ctx}
 	g.gossip.fixture = g.fixture
-	for i := range opt.Daemons { // the root last: its peers have the list then
-		g.must(g.Wait(ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
+	for i := range opt.Daemons { // the coordinator is last, as its peers must have the list by then
+		g.must(g.Wait(ctx, fmt.Sprint("daemon ", i, " gathers from all shards"), func() error {
 			if r := g.readAt(i, "read", defaultPlan, 8*time.Second); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
 				return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
 			}
@@ -106,14 +106,14 @@
 	return g
 }
 
-// readResult is how a gathered read ended for its client.
+// readResult is the result of a gathered read for its client.
 type readResult struct {
 	httpResponse
 	rows [][]byte
 	took time.Duration
 }
 
-// read asks the root for all shards.
+// read sends a gathered read of all shards to the coordinator and waits for its end.
 func (g *delegationFixture) read(class, plan string, patience time.Duration) readResult {
 	return g.readAt(g.coordinator, class, plan, patience)
 }
@@ -144,30 +144,30 @@
 	return r
 }
 
-// checkComplete holds an answer against the flat merge.
+// checkComplete checks that an answer came in time with the merged rows of all shards.
 func (g *delegationFixture) checkComplete(what string, r readResult, patience time.Duration) {
 	g.t.Helper()
 	var shards []int
 	for j := range g.opt.Nodes {
 		shards = append(shards, j)
 	}
-	// Rows of one key stand in the order of parts' names.
+	// Rows with equal keys are ordered by the names of their parts.
 	slices.SortFunc(shards, func(a, b int) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 	want := g.nodeRows.Flat(shards, node.Flat{Keep: "all"})
 	if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() || !slices.EqualFunc(r.rows, want, bytes.Equal) {
 		g.t.Errorf("%s: %v, code %d, %d rows of %d, %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
 	}
 	if r.took > patience {
-		g.t.Errorf("%s: %v is over its %v", what, r.took, patience)
+		g.t.Errorf("%s: took %v, longer than %v", what, r.took, patience)
 	}
 }
 
-// sawAllShards says whether the last read asked as many shards: a daemon may not know of all yet.
+// sawAllShards reports whether the last read had this many parts, as a daemon may not know all shards yet.
 func (g *delegationFixture) sawAllShards(shards int) bool {
 	return g.countParts(true)+g.countParts(false) >= shards
 }
 
-// countParts are the ids that nodes were asked under, of the last read; those of groups carry /g.
+// countParts counts the parts of the last read that reached nodes. The request IDs of delegated groups contain /g.
 func (g *delegationFixture) countParts(groups bool) (n int) {
 	last := g.reads[len(g.reads)-1].ID
 	for _, s := range g.History().Sent {
@@ -178,8 +178,8 @@
 	return n
 }
 
-// audit asks the auditor: each part is a request of its own, which ends with its read; one that a peer asked, which hears
-// of the end over the net, with its read's deadline.
+// audit checks the history against the rules. It adds each part as a request that ends with its read. A part sent by a peer,
+// which learns of the end over the network, may last until the deadline of its read.
 func (g *delegationFixture) audit() {
 	g.t.Helper()
 	h := g.History()
@@ -206,21 +206,21 @@
 		}
 	}
 	if len(seen) == 0 || g.t.Failed() {
-		g.t.Errorf("%d parts asked of nodes\n%s", len(seen), g.Logs())
+		g.t.Errorf("%d parts sent to nodes\n%s", len(seen), g.Logs())
 	}
 }
 
-// startRead begins a read and returns its end.
+// startRead starts a read at the coordinator and returns a channel for its result.
 func (g *delegationFixture) startRead(patience time.Duration) <-chan readResult {
 	end := make(chan readResult, 1)
 	go func() { end <- g.read("read", defaultPlan, patience) }()
 	return end
 }
 
-// Part 4, across processes: each row is a fault of peers in the middle of a gathered read of 12 parts over four daemons.
+// Peers fail before or during a gathered read of 12 parts over four daemons. The read must be complete in every scenario.
 func TestDelegatedGatherPeerFaults(t *testing.T) {
 	const shards, rows, patience = 12, 500, 8 * time.Second
-	slow := link.Fault{Trickle: 16 << 10} // a group takes some seconds
+	slow := link.Fault{Trickle: 16 << 10} // a group then takes some seconds
 	waitAnswerBegun := func(g *delegationFixture, j int) {
 		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
 	}
@@ -229,29 +229,29 @@
 		patience        time.Duration
 		before, amid    func(*delegationFixture)
 		happened        func(*delegationFixture) bool
-		aside           []int // peers that the root names
-		retaken         bool  // it asks for a group itself
-		either          bool  // or another peer has it
+		failedPeers     []int // peers whose failure the coordinator logs
+		retaken         bool  // the coordinator gathers a group itself
+		either          bool  // the coordinator or another peer gathers the group
 	}{
-		{fault: "none", expected: "each peer gathers a group, each part is asked once"},
-		{fault: "a peer is killed mid-gather", expected: "another takes its group over", aside: []int{0},
+		{fault: "none", expected: "each peer gathers a group, each part is sent once"},
+		{fault: "a peer is killed during the read", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].Set(link.Backward, slow)) },
 			amid:   func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
-		{fault: "a peer is silent: SIGSTOP", expected: "another takes its group over", aside: []int{1},
+		{fault: "a peer is suspended", expected: "another peer takes over its group", failedPeers: []int{1},
 			before: func(g *delegationFixture) { g.must(g.Stop(1)) }},
-		{fault: "a peer is slow: its link trickles", expected: "another takes its group over", patience: 6 * time.Second, aside: []int{2},
+		{fault: "a peer's link is slow", expected: "another peer takes over its group", patience: 6 * time.Second, failedPeers: []int{2},
 			before:   func(g *delegationFixture) { g.must(g.delegationLinks[2].Set(link.Backward, link.Fault{Trickle: 1000})) },
 			happened: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).Trickled > 0 }},
-		{fault: "a peer's answer is cut", expected: "another takes its group over", aside: []int{0},
+		{fault: "a peer's answer is cut", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) {
 				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
 			},
 			happened: func(g *delegationFixture) bool { return g.delegationLinks[0].Counts(link.Backward).Reset > 0 }},
-		{fault: "two peers gone", expected: "the third takes over, or the root asks itself", aside: []int{0, 1}, either: true,
+		{fault: "two peers are down", expected: "the third or the coordinator takes over their groups", failedPeers: []int{0, 1}, either: true,
 			before: func(g *delegationFixture) { g.must(g.Kill(0)); g.must(g.Kill(1)) }},
-		{fault: "all peers gone", expected: "the root asks for every part itself", aside: []int{0, 1, 2}, retaken: true,
+		{fault: "all peers are down", expected: "the coordinator gathers every part itself", failedPeers: []int{0, 1, 2}, retaken: true,
 			before: func(g *delegationFixture) { g.must(g.Kill(0)); g.must(g.Kill(1)); g.must(g.Kill(2)) }},
-		{fault: "all peers killed mid-gather", expected: "the root asks for every part itself", aside: []int{0, 1, 2}, retaken: true,
+		{fault: "all peers are killed during the read", expected: "the coordinator gathers every part itself", failedPeers: []int{0, 1, 2}, retaken: true,
 			before: func(g *delegationFixture) {
 				for _, l := range g.delegationLinks {
 					g.must(l.Set(link.Backward, slow))
@@ -265,13 +265,13 @@
 					g.must(g.Kill(j))
 				}
 			}},
-		{fault: "a peer does not reach its nodes", expected: "the root asks for that group itself", aside: []int{1}, retaken: true,
+		{fault: "a peer does not reach its nodes", expected: "the coordinator gathers that group itself", failedPeers: []int{1}, retaken: true,
 			before: func(g *delegationFixture) {
 				for j := range shards {
 					g.must(g.StorageLink(1, j).Set(link.Forward, link.Fault{ResetAfter: 1}))
 				}
 			},
-			happened: func(g *delegationFixture) bool { // at one node, or several
+			happened: func(g *delegationFixture) bool { // at one or more nodes
 				met := 0
 				for j := range shards {
 					met += g.StorageLink(1, j).Counts(link.Forward).Reset
@@ -296,28 +296,28 @@
 				}
 				g.checkComplete("the read", <-end, timeout)
 				if x.happened != nil && !x.happened(g) {
-					t.Error("the fault did not happen")
+					t.Error("the fault did not occur")
 				}
 				for j := range g.delegationLinks {
 					named := strings.Contains(g.Proc(g.coordinator).Log(), fmt.Sprintf("peer \\\"n%d\\\"", j))
-					if named != slices.Contains(x.aside, j) {
-						t.Errorf("peer %d named: %v\n%s", j, named, g.Proc(g.coordinator).Log())
+					if named != slices.Contains(x.failedPeers, j) {
+						t.Errorf("peer %d in the coordinator's log: %v\n%s", j, named, g.Proc(g.coordinator).Log())
 					}
 				}
 				if n := g.countParts(true); x.fault == "none" && (n != shards*3/4 || g.countParts(false) != shards/4) {
-					t.Errorf("%d parts by groups, %d by the root itself", n, g.countParts(false))
+					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
 				}
 				if retaken := g.partsRetakenByCoordinator(); !x.either && (retaken > 0) != x.retaken {
-					t.Errorf("the root gathered %d parts of groups itself", retaken)
+					t.Errorf("the coordinator gathered %d parts of groups itself", retaken)
 				}
 				before := make([]int, len(g.delegationLinks))
 				for j, l := range g.delegationLinks {
 					before[j] = l.Counts(link.Forward).Conns
 				}
 				g.checkComplete("the next read", g.read("read", defaultPlan, timeout), timeout)
-				for _, j := range x.aside {
+				for _, j := range x.failedPeers {
 					if now := g.delegationLinks[j].Counts(link.Forward).Conns; now != before[j] {
-						t.Errorf("peer %d rests, and was asked", j)
+						t.Errorf("peer %d got a request while in backoff", j)
 					}
 				}
 				g.audit()
@@ -326,21 +326,21 @@
 	}
 }
 
-// Where the processes know who is alive, one that leaves is left out before anybody has asked it, and one that comes is asked.
+// With gossip, a daemon that has left the membership gets no group even at the first read, and one that has rejoined gets groups again.
 func TestDelegationFollowsMembership(t *testing.T) {
 	t.Parallel()
 	inScenarioSlot(func() {
 		const patience = 8 * time.Second
 		g := newDelegationFixture(t, 12, 50, `{"least_parts":4,"rest_ms":60000,"rest_most_ms":60000}`, "", true)
 		members := func(n float64) {
-			g.waitUntil("members", func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
+			g.waitUntil(fmt.Sprint("the coordinator has ", n, " members"), func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
 		}
 		conns := func() int { return g.delegationLinks[1].Counts(link.Forward).Conns }
 		read := func(groups float64) {
 			was := g.gossip.metric(g.coordinator, "gather_tree_groups")
 			g.checkComplete("a read", g.read("read", defaultPlan, patience), patience)
 			if n := g.gossip.metric(g.coordinator, "gather_tree_groups") - was; n != groups {
-				t.Errorf("%v groups, not %v", n, groups)
+				t.Errorf("%v groups, expected %v", n, groups)
 			}
 		}
 		members(4)
@@ -350,15 +350,15 @@
 		g.must(g.Proc(1).End(g.ctx))
 		members(3)
 		if read(2); conns() != before {
-			t.Error("one that left was asked")
+			t.Error("a peer that had left got a request")
 		}
 		g.must(g.Restart(g.ctx, 1))
 		members(4)
 		if read(3); conns() == before {
-			t.Error("one that is back was not asked")
+			t.Error("a peer that had rejoined got no request")
 		}
 		if n := g.gossip.metric(g.coordinator, "gather_tree_rows"); n < 3*100 || g.gossip.metric(g.coordinator, `gather_tree_failures{code="scatter-peer-failed"}`) != 0 {
-			t.Errorf("%v rows, or a failure\n%s", n, g.Proc(g.coordinator).Log())
+			t.Errorf("%v rows from peers, or a peer failure\n%s", n, g.Proc(g.coordinator).Log())
 		}
 		g.audit()
 	})
@@ -370,7 +370,7 @@
 	run()
 }
 
-// partsRetakenByCoordinator is how many parts of groups the root itself asked nodes for.
+// partsRetakenByCoordinator counts the parts of groups that the coordinator itself requested from nodes.
 func (g *delegationFixture) partsRetakenByCoordinator() (n int) {
 	last := g.reads[len(g.reads)-1].ID
 	for j := range g.opt.Nodes {
@@ -387,7 +387,7 @@
 	return n
 }
 
-// What is not handed on: a class that is not safe to repeat, a plan with a limit, a read of few parts.
+// Reads of a non-idempotent class and reads of a plan with a limit are not delegated.
 func TestReadsThatAreNotDelegated(t *testing.T) {
 	t.Parallel()
 	inScenarioSlot(func() {
@@ -398,7 +398,7 @@
 		}{{"read-once", defaultPlan, false}, {"read", limitedPlan, false}, {"read", defaultPlan, true}} {
 			g.checkComplete(c.class+" "+c.plan, g.read(c.class, c.plan, 8*time.Second), 8*time.Second)
 			if got := g.countParts(true); (got > 0) != c.groups || got+g.countParts(false) != 6 {
-				t.Errorf("%+v: %d parts of groups, %d of its own", c, got, g.countParts(false))
+				t.Errorf("%+v: %d parts by groups, %d by the coordinator itself", c, got, g.countParts(false))
 			}
 		}
 		g.audit()
@@ -407,7 +407,7 @@
 
 var measureCost = flag.Bool("measure", false, "print what a read of 24 parts costs with and without peers")
 
-// A read of 24 parts over four processes, with and without peers, in one run.
+// Measures a read of 24 parts over four processes, with and without delegation.
 func TestDelegationCost(t *testing.T) {
 	if !*measureCost {
 		t.Skip("-measure is not given")
--- a/internal/testkit/cluster/startup_test.go
+++ b/internal/testkit/cluster/startup_test.go
@@ -21,22 +21,22 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// startupFixture is a world whose daemons have the section start and are not up yet. Nodes 0 and 2, one of each shard, have
-// just restarted: the list that is held does not know it.
+// startupFixture is a fleet whose daemons have the site section start and are not started yet. Nodes 0 and 2, one of each
+// shard, have just restarted, which the configured list does not show.
 type startupFixture struct {
 	*gossipFixture
 	startSection map[string]any
 	mu           sync.Mutex
-	launchedAt   map[int]time.Duration // of the present life
-	listeningAt  map[int]time.Duration // it listens
-	listenCounts map[int]int           // that came to listen
+	launchedAt   map[int]time.Duration // launch of the current incarnation
+	listeningAt  map[int]time.Duration // when the current incarnation began to listen; 0: not yet
+	listenCounts map[int]int           // incarnations that have listened
 	listCalls    map[string][]time.Duration
 }
 
-// coldCapacity is what a node bears that has just restarted: what it can do within 3 s then, at 200 units a second once warm.
+// coldCapacity describes how much load a node can take after a restart: what it can serve within 3 s, at 200 units per second once warmed up.
 var coldCapacity = node.Cold{Power: 0.24, Span: 17 * time.Second, Units: 130, Mean: 1, Within: 3 * time.Second, Back: 2 * time.Second}
 
-// newStartupFixture makes the world: snap is the snapshot that daemon i finds, nil: none; told daemons tell each other.
+// newStartupFixture creates the fleet. snapshotFor returns the stored snapshot of daemon i and may be nil; gossip makes the daemons gossip.
 func newStartupFixture(t *testing.T, opt Options, start map[string]any, snapshotFor func(f *Fleet, i int) []byte, gossip bool) *startupFixture {
 	t.Helper()
 	s := &startupFixture{gossipFixture: &gossipFixture{}, launchedAt: map[int]time.Duration{}, listeningAt: map[int]time.Duration{}, listenCounts: map[int]int{},
@@ -85,7 +85,7 @@
 	return s
 }
 
-// restartNodes has the nodes restart.
+// restartNodes restarts the nodes and lists them as just started.
 func (s *startupFixture) restartNodes(nodes ...int) {
 	s.t.Helper()
 	for _, j := range nodes {
@@ -94,7 +94,7 @@
 	}
 }
 
-// launchDaemons starts daemons.
+// launchDaemons starts the daemons and records the time.
 func (s *startupFixture) launchDaemons(which ...int) {
 	s.t.Helper()
 	for _, i := range which {
@@ -111,7 +111,7 @@
 	return s.listeningAt[i] > 0
 }
 
-// killDaemon kills a daemon; nobody sends to it until it listens again.
+// killDaemon kills a daemon. The load skips it until it listens again.
 func (s *startupFixture) killDaemon(i int) {
 	s.t.Helper()
 	s.mu.Lock()
@@ -120,12 +120,12 @@
 	s.must(s.Kill(i))
 }
 
-// startTraffic is as of other worlds, to daemons that listen.
+// startTraffic starts the same traffic as in other fixtures, but only to daemons that listen.
 func (s *startupFixture) startTraffic() {
 	s.stopTraffic = s.StartLoad(s.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest, Skip: func(i int) bool { return !s.listens(i) }})
 }
 
-// startOverload is more than the nodes can do.
+// startOverload starts a load that exceeds the nodes' capacity.
 func (s *startupFixture) startOverload() (stop func()) {
 	return s.StartLoad(s.ctx, Load{Clients: 12, Pause: 5 * time.Millisecond, Skip: func(i int) bool { return !s.listens(i) },
 		Request: func(i, client, n int) ClientRequest {
@@ -135,7 +135,7 @@
 		}})
 }
 
-// waitEach waits until a condition holds of each daemon.
+// waitEach waits until a condition holds for each daemon.
 func (s *startupFixture) waitEach(what string, cond func(i int) bool) {
 	s.t.Helper()
 	for i := range s.opt.Daemons {
@@ -143,30 +143,30 @@
 	}
 }
 
-// waitFailedListCalls waits until each daemon's calls of the list have come to nothing so often.
+// waitFailedListCalls waits until each daemon has tried to connect to its list this many times.
 func (s *startupFixture) waitFailedListCalls(times int) {
 	s.t.Helper()
-	s.waitEach("its calls come to nothing", func(i int) bool { return s.ListLink(i).Counts(link.Forward).Conns >= times })
+	s.waitEach("its list calls fail", func(i int) bool { return s.ListLink(i).Counts(link.Forward).Conns >= times })
 }
 
-// connsOpened is how many connections daemon i has opened to node j.
+// connsOpened returns how many connections daemon i has opened to node j.
 func (s *startupFixture) connsOpened(i, j int) int {
 	return s.StorageLink(i, j).Counts(link.Forward).Conns
 }
 
-// checkNodeLoad fails where a node was asked for more than it bears.
+// checkNodeLoad fails the test if a node got more load than its slow start allows. It returns the highest share of the allowed load.
 func (s *startupFixture) checkNodeLoad() (worst float64) {
 	s.t.Helper()
 	for j := range 4 {
 		falls, most := s.Node(j).Falls()
 		if worst = max(worst, most); falls > 0 {
-			s.t.Errorf("node %d fell: it got %.2f of what it bears", j, most)
+			s.t.Errorf("node %d was overloaded: it got %.2f times its capacity", j, most)
 		}
 	}
 	return worst
 }
 
-// learnedSnapshot is a snapshot of all nodes as the daemons hold them, too bold for any that has just restarted.
+// learnedSnapshot returns a snapshot of the nodes' learned state, with windows that overload a node that has just restarted.
 func learnedSnapshot(f *Fleet, order ...int) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Made: time.Now()}
 	for _, j := range order {
@@ -178,12 +178,12 @@
 func mustEncode(s *snapshot.Snapshot) []byte {
 	text, err := snapshot.Encode(s)
 	if err != nil {
-		panic(err) // it is this test's own
+		panic(err) // the test's own snapshot is always valid
 	}
 	return text
 }
 
-// unusableSnapshots are files that are there and are not taken, by the word of what is wrong with them.
+// unusableSnapshots are snapshot files that are rejected, each with the suffix of the logged error code.
 var unusableSnapshots = []struct {
 	why  string
 	text func(f *Fleet) []byte
@@ -197,18 +197,18 @@
 	}},
 }
 
-// Part 2: the start. Each row is a fault while daemons start together, beside cold nodes, and what is expected of
-// them; in each the auditor finds nothing, no node falls, and each refusal says when to come again.
+// Faults while several daemons start together and some nodes are cold. In each scenario the audit must find no violation,
+// no node may be overloaded, and each rejection must have a Retry-After.
 func TestStartupFaults(t *testing.T) {
 	for _, x := range []struct {
 		fault, expected string
 		opt             Options
 		start           map[string]any
 		snap            func(f *Fleet, i int) []byte
-		ahead           bool // no traffic before the row's end: what is opened is opened ahead of need
+		ahead           bool // no traffic before the end of the scenario, so all connections are opened in advance
 		before, run     func(*startupFixture)
 	}{
-		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the held list; asked again; told once it is up", opt: Options{Known: true, ListDown: true},
+		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the configured list; requested again; notified once the service is up", opt: Options{Known: true, ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitFailedListCalls(2)
 				s.waitServed(serveCount)
@@ -217,67 +217,67 @@
 				s.setListFaults(ListWell)
 				s.waitDrainNotified()
 			}},
-		{fault: "list down at first, none is held", expected: "all is refused at once with Retry-After; served once it is up", opt: Options{ListDown: true},
+		{fault: "list down at first, none configured", expected: "all requests rejected at once with Retry-After; served once the service is up", opt: Options{ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitFailedListCalls(2)
-				s.waitEach("it refuses", func(i int) bool {
+				s.waitEach("it rejects requests", func(i int) bool {
 					return slices.ContainsFunc(s.Rejections(), func(r Rejection) bool { return r.Scheduler == i })
 				})
-				s.waitUntil("refusals", func() bool { return len(s.Rejections()) >= 3*serveCount })
+				s.waitUntil("enough rejections", func() bool { return len(s.Rejections()) >= 3*serveCount })
 				var took []time.Duration
 				for _, r := range s.Rejections() {
 					took = append(took, r.At-r.SentAt)
 				}
 				slices.Sort(took)
 				if mid := took[len(took)/2]; mid > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
-					s.t.Errorf("half of the refusals took %v and more", mid)
+					s.t.Errorf("the median rejection took %v, or a request was served without a list", mid)
 				}
 				s.setListFaults(ListWell)
 			}},
-		{fault: "list of small capacity, six start at once", expected: "first calls spread by name, those turned away rarer and rarer; all hear it", opt: Options{Known: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
+		{fault: "list of small capacity, six daemons start at once", expected: "first calls spread by name, rejected ones retried with growing backoff; all receive the list", opt: Options{Known: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
 			start: map[string]any{"list_calls_per_second": 8}, run: func(s *startupFixture) {
-				s.waitEach("it has heard the list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Watches > 0 })
+				s.waitEach("it has received the list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Watches > 0 })
 				if s.Calls().Refused == 0 {
-					s.t.Error("no call was turned away")
+					s.t.Error("no list call was rejected")
 				}
-				const spread = 750 * time.Millisecond // six over eight a second
+				const spread = 750 * time.Millisecond // six daemons at eight calls per second
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				for i := range s.opt.Daemons {
 					name := fmt.Sprint("n", i)
 					at := s.listCalls[name]
 					if slot := coldstart.Slot(spread, "list", name); at[0]-s.launchedAt[i] < slot {
-						s.t.Errorf("%s asked %v after its start, its slot is %v", name, at[0]-s.launchedAt[i], slot)
+						s.t.Errorf("%s requested the list %v after its start, before its slot at %v", name, at[0]-s.launchedAt[i], slot)
 					}
 					for k := 1; k < len(at); k++ {
 						if least := min(spread<<(k-1), 6*time.Second) / 2; at[k]-at[k-1] < least {
-							s.t.Errorf("%s asked again after %v, %v is the least", name, at[k]-at[k-1], least)
+							s.t.Errorf("%s requested the list again after %v, less than %v", name, at[k]-at[k-1], least)
 						}
 					}
 				}
 			}},
-		{fault: "list resets each call at first", expected: "asked again; served meanwhile; told once it speaks", opt: Options{Known: true},
+		{fault: "list resets each call at first", expected: "requested again; requests served meanwhile; notified once the list answers", opt: Options{Known: true},
 			before: func(s *startupFixture) { s.setListFaults(ListReset) }, run: func(s *startupFixture) {
 				s.waitWatchRequests(1)
 				s.must(s.SetNodeStatus(0, "leaving"))
 				s.setListFaults(ListWell)
 				s.waitDrainNotified()
 			}},
-		{fault: "list cut halfway, then an old one after a new", expected: "asked again after the cut; the old one gives no node back that drains", opt: Options{},
+		{fault: "list cut halfway, then an old list after a new one", expected: "requested again after the cut; the old list reinstates no draining node", opt: Options{},
 			before: func(s *startupFixture) {
 				for i := range s.opt.Daemons {
 					s.fakeListOf(i).CutHalfway()
 				}
 			}, run: func(s *startupFixture) {
-				s.waitEach("a list is cut", func(i int) bool { return s.fakeListOf(i).Service.Counts().Cuts == 1 })
+				s.waitEach("its list is cut", func(i int) bool { return s.fakeListOf(i).Service.Counts().Cuts == 1 })
 				s.must(s.SetNodeStatus(0, "leaving"))
 				s.waitDrainNotified()
 				for i := range s.opt.Daemons {
 					s.fakeListOf(i).OldList(1)
 				}
-				s.waitEach("an old list comes", func(i int) bool { return s.fakeListOf(i).Service.Counts().Olds == 1 })
+				s.waitEach("it receives an old list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Olds == 1 })
 			}},
-		{fault: "half killed while they start, started anew", expected: "the others serve on; all serve; cold nodes bear both lives", opt: Options{Known: true, Daemons: 4, ListDown: true},
+		{fault: "half of the daemons are killed while they start, and restarted", expected: "the others keep serving; all serve; both incarnations overload no cold node", opt: Options{Known: true, Daemons: 4, ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitEach("it listens", s.listens)
 				s.waitFailedListCalls(1)
@@ -292,36 +292,36 @@
 				defer s.mu.Unlock()
 				for i := range s.opt.Daemons {
 					if want := 2 - i%2; s.listenCounts[i] != want {
-						s.t.Errorf("daemon %d: %d lives", i, s.listenCounts[i])
+						s.t.Errorf("daemon %d: %d incarnations listened", i, s.listenCounts[i])
 					}
 				}
 			}},
-		{fault: "the cold nodes silent", expected: "the others serve; these once they speak", opt: Options{Known: true}, before: func(s *startupFixture) {
+		{fault: "the cold nodes are silent", expected: "the others serve; the cold ones once they answer", opt: Options{Known: true}, before: func(s *startupFixture) {
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
 					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{Hold: true, Silent: true}))
 				}
 			}
 		}, run: func(s *startupFixture) {
-			s.waitEach("a connect waits", func(i int) bool { return s.StorageLink(i, 0).Waiting()+s.StorageLink(i, 2).Waiting() > 0 })
+			s.waitEach("a connection to a cold node is pending", func(i int) bool { return s.StorageLink(i, 0).Waiting()+s.StorageLink(i, 2).Waiting() > 0 })
 			s.waitServed(serveCount)
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
 					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{}))
 				}
 			}
-			s.waitUntil("one of them serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
+			s.waitUntil("a cold node serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
 		}},
-		{fault: "a node takes connections and answers none", expected: "ready, and connections ahead to the others, all the same", opt: Options{Known: true},
+		{fault: "a node accepts connections and answers nothing", expected: "ready, with connections opened in advance to the other nodes all the same", opt: Options{Known: true},
 			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, ahead: true, before: func(s *startupFixture) { s.must(s.Break(1, node.Hang)) },
 			run: func(s *startupFixture) {
-				s.waitEach("it has connections ahead", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
+				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
 				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 			}},
-		{fault: "nodes restarted after the snapshot was made", expected: "connections ahead to the others alone; nothing learned of them is used",
+		{fault: "nodes restarted after the snapshot was made", expected: "connections opened in advance only to the other nodes; nothing learned of the restarted ones is used",
 			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 0, 2, 1, 3)) }, ahead: true, run: func(s *startupFixture) {
-				s.waitEach("it has connections ahead", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
-				slotsPassed := 0 // pairs whose turn came before the last of those that were opened
+				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
+				slotsPassed := 0 // pairs with restarted nodes whose slot came before the last opened connection
 				for i := range s.opt.Daemons {
 					slot := func(j int) time.Duration {
 						return coldstart.Slot(time.Second, "connect", fmt.Sprint("n", i), fmt.Sprint("s", j))
@@ -331,24 +331,24 @@
 							slotsPassed++
 						}
 						if n := s.connsOpened(i, j); n > 0 {
-							s.t.Errorf("daemon %d opened %d connections ahead to node %d", i, n, j)
+							s.t.Errorf("daemon %d opened %d connections in advance to node %d", i, n, j)
 						}
 					}
 				}
 				if slotsPassed == 0 {
-					s.t.Error("no restarted node's turn had come")
+					s.t.Error("no slot of a restarted node has passed")
 				}
 			}},
-		{fault: "snapshot torn, foreign, old", expected: "one coded line each; it starts as without", opt: Options{Known: true},
+		{fault: "snapshot truncated, foreign or old", expected: "one log line with an error code each; the start proceeds as without a snapshot", opt: Options{Known: true},
 			snap: func(f *Fleet, i int) []byte { return unusableSnapshots[i].text(f) }, run: func(s *startupFixture) {
 				s.waitServed(serveCount)
 				for i := range s.opt.Daemons {
 					if n := strings.Count(s.Proc(i).Log(), "code=snapshot-"); n != 1 || !strings.Contains(s.Proc(i).Log(), "code=snapshot-"+unusableSnapshots[i].why) {
-						s.t.Errorf("%s: %d lines with a code", unusableSnapshots[i].why, n)
+						s.t.Errorf("%s: %d log lines with a snapshot error code", unusableSnapshots[i].why, n)
 					}
 				}
 			}},
-		{fault: "six start at once over cold nodes under load, the list down at first", expected: "no cold node gets more than it bears", opt: Options{Known: true, Daemons: 6, ListDown: true},
+		{fault: "six daemons start at once with cold nodes under load, the list down at first", expected: "no cold node is overloaded", opt: Options{Known: true, Daemons: 6, ListDown: true},
 			run: func(s *startupFixture) {
 				stop := s.startOverload()
 				s.waitFailedListCalls(2)
@@ -357,7 +357,7 @@
 				s.waitServed(serveCount)
 				stop()
 				if worst := s.checkNodeLoad(); worst < 0.3 {
-					s.t.Errorf("a cold node got %.2f of what it bears at most: that shows nothing", worst)
+					s.t.Errorf("cold nodes got at most %.2f of their capacity, too little to test their limit", worst)
 				}
 			}},
 	} {
@@ -378,29 +378,29 @@
 	}
 }
 
-// Part 2: what a peer hands over to daemons that start together without a snapshot, over cold nodes, the list down until
-// it has. Each row is what the one peer does that has something; in each the start goes on, and no rule is broken.
+// Daemons start together without a snapshot and request one from the only peer, with some nodes cold and the list down
+// until the peer has acted. Whatever the peer does, the start must proceed and no rule of the audit may be broken.
 func TestStartupFromPeerSnapshot(t *testing.T) {
 	for _, x := range []struct {
 		fault, expected string
 		run             func(*startupFixture, *testPeer)
-		taken, unusable float64 // of each daemon, at the end
+		taken, unusable float64 // snapshots of each daemon, at the end
 	}{
-		{fault: "the peer is silent", expected: "nothing is taken", run: func(s *startupFixture, p *testPeer) {
-			s.waitUntil("all have asked it", func() bool { return p.snapshotRequestCount() == s.opt.Daemons })
+		{fault: "the peer is silent", expected: "no snapshot is taken", run: func(s *startupFixture, p *testPeer) {
+			s.waitUntil("all daemons have requested a snapshot", func() bool { return p.snapshotRequestCount() == s.opt.Daemons })
 		}},
-		{fault: "the peer is killed before it answers", expected: "nothing is taken", run: func(s *startupFixture, p *testPeer) {
-			s.waitUntil("one has asked it", func() bool { return p.snapshotRequestCount() > 0 })
-			p.closeOnce.Do(func() { _ = p.list.Shutdown() }) // it takes no leave
+		{fault: "the peer is killed before it answers", expected: "no snapshot is taken", run: func(s *startupFixture, p *testPeer) {
+			s.waitUntil("a daemon has requested a snapshot", func() bool { return p.snapshotRequestCount() > 0 })
+			p.closeOnce.Do(func() { _ = p.list.Shutdown() }) // without leaving the membership
 		}},
-		{fault: "the peer hands over nonsense, and what nobody asked for", expected: "dropped and counted", unusable: 2, run: func(s *startupFixture, p *testPeer) {
+		{fault: "the peer sends an invalid snapshot and unrequested ones", expected: "dropped and counted", unusable: 2, run: func(s *startupFixture, p *testPeer) {
 			p.handOver([]byte("nonsense"))
 			for _, n := range s.daemonNames() {
 				p.send(n, tagSnapshot, append(make([]byte, 8), mustEncode(learnedSnapshot(s.Fleet, 0, 1, 2, 3))...))
 			}
 		}},
-		{fault: "the peer lies of cold nodes", expected: "taken; nobody takes a cold node for a warm one", taken: 1, run: func(s *startupFixture, p *testPeer) {
-			misreported := learnedSnapshot(s.Fleet, 0, 2, 1, 3) // of the starts that the list will give
+		{fault: "the peer misreports cold nodes", expected: "snapshot taken; no daemon treats a cold node as warmed up", taken: 1, run: func(s *startupFixture, p *testPeer) {
+			misreported := learnedSnapshot(s.Fleet, 0, 2, 1, 3) // with the start times that the list will have
 			misreported.Nodes = append(misreported.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Latency: -1, BestLatencyPerUnit: -1, FailureRate: -1})
 			misreported.Classes = []snapshot.ClassState{{Name: "read", Weight: 1e9, Slope: -1e9, Delay: -1}, {Name: "none"}}
 			p.handOver(mustEncode(misreported))
@@ -426,28 +426,28 @@
 	}
 }
 
-// One that starts anew takes what another has learned, beside one that is stopped while it may be asked.
+// A restarted daemon gets its snapshot from one peer while the other peer, which it may ask first, is suspended.
 func TestStartupFromSecondPeer(t *testing.T) {
 	s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
 	s.launchDaemons(s.allDaemons()...)
 	s.startTraffic()
 	file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
-	s.waitEach("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
+	s.waitEach("its startup is complete", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 	s.killDaemon(0)
 	s.must(os.Remove(file(0)))
 	s.must(s.Stop(1))
 	s.restartNodes(0, 2)
 	s.launchDaemons(0)
-	s.waitUntil("it takes what the other has", func() bool { return s.listens(0) && s.metric(0, "peers_taken_snapshots") == 1 })
+	s.waitUntil("it takes the other daemon's snapshot", func() bool { return s.listens(0) && s.metric(0, "peers_taken_snapshots") == 1 })
 	if n := s.metric(2, "peers_given_snapshots"); n != 1 {
-		t.Errorf("%v were given", n)
+		t.Errorf("daemon 2 has sent %v snapshots", n)
 	}
 	s.waitServed(serveCount, 1)
 	s.must(s.Continue(1))
 	s.finishAndAudit()
 }
 
-// finishAndAudit has each daemon serve and be ready, and asks the auditor and the nodes.
+// finishAndAudit waits until each daemon serves and is ready, then runs the audit and checks the nodes' load.
 func (s *startupFixture) finishAndAudit() {
 	s.t.Helper()
 	if s.stopTraffic == nil {
@@ -459,10 +459,10 @@
 	s.checkNodeLoad()
 	for _, r := range s.Rejections() {
 		if r.RetryAfter <= 0 {
-			s.t.Errorf("a refusal without Retry-After: %+v", r)
+			s.t.Errorf("rejection without Retry-After: %+v", r)
 		}
 	}
 }
 
-// fakeListOf is daemon i's stand-in itself.
+// fakeListOf returns daemon i's fake discovery service.
 func (w *fixture) fakeListOf(i int) *fakeList { return w.List(i).(*fakeList) }
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -52,7 +52,7 @@
 	return filepath.Join(dir, "wheatsaddle-previous"), nil
 })
 
-var previousDir string // what buildPrevious made; "": nothing
+var previousDir string // created by buildPrevious; "": none
 
 // A process of the previous version and one of this version take over the passed socket from each other under load, in
 // both directions, and nothing is lost. A node that an operator excluded stays excluded: each reads the other's file.
@@ -106,7 +106,7 @@
 			s.launchDaemons(s.allDaemons()...)
 			s.startTraffic()
 			file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
-			s.waitEach("its start is over", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
+			s.waitEach("its startup is complete", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 			s.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
 			s.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 			s.must(s.Stop(third)) // so that only the other version can hand over a snapshot
@@ -114,7 +114,7 @@
 			s.must(os.Remove(file(x.starting)))
 			s.restartNodes(0, 2)
 			s.launchDaemons(x.starting)
-			s.waitUntil("it takes what the other version has learned", func() bool {
+			s.waitUntil("it takes the other version's snapshot", func() bool {
 				return s.listens(x.starting) && s.metric(x.starting, "peers_taken_snapshots") == 1
 			})
 			if n := s.metric(x.giving, "peers_given_snapshots"); n != 1 {
@@ -171,7 +171,7 @@
 	const shards, rows, patience = 12, 500, 8 * time.Second
 	for _, x := range []struct {
 		name     string
-		previous []int // daemons of the previous version; 3 is the coordinator
+		previous []int // daemons of the previous version; daemon 3 is the coordinator
 	}{
 		{"this version coordinates peers of the previous one", []int{0, 1, 2}},
 		{"the previous version coordinates peers of this one", []int{3}},
@@ -181,7 +181,7 @@
 				g := newDelegationFixture(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
 				for _, i := range x.previous {
 					g.restartAs(i, previous)
-					g.must(g.Wait(g.ctx, fmt.Sprint("daemon ", i, " gathers all"), func() error {
+					g.must(g.Wait(g.ctx, fmt.Sprint("daemon ", i, " gathers from all shards"), func() error {
 						if r := g.readAt(i, "read", defaultPlan, patience); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
 							return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
 						}
