--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -333,7 +333,7 @@
 		const patience = 8 * time.Second
 		g := newDelegationFixture(t, 12, 50, `{"least_parts":4,"rest_ms":60000,"rest_most_ms":60000}`, "", true)
 		members := func(n float64) {
-			g.waitUntil(fmt.Sprint("the coordinator has ", n, " members"), func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
+			g.waitUntil("the coordinator has the expected number of members", func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
 		}
 		conns := func() int { return g.delegationLinks[1].Counts(link.Forward).Conns }
 		read := func(groups float64) {
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Rules returns the auditor's rules, derived from the daemons' settings.
+// Rules returns the rules that the history is checked against, derived from the daemons' settings.
 func (f *Fleet) Rules() historycheck.Rules {
 	set := f.settings
 	section := func(name string) map[string]any { m, _ := set[name].(map[string]any); return m }
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -122,13 +122,13 @@
 			w.waitUntil("the volume has requested far more than its limit", func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				asked := 0
+				requested := 0
 				for _, t := range w.history.Taken {
 					if t.Plan == "small" {
-						asked++
+						requested++
 					}
 				}
-				return asked > 600
+				return requested > 600
 			})
 			stop()
 		}},
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -284,7 +284,7 @@
 	p, err := r.StartReplacement(0, func(p *Proc) { p.env = append(p.env, "TMPDIR="+r.Dir(0)+"/none") })
 	r.must(err)
 	r.waitLog(p, logAccepting)
-	r.must(r.Wait(r.ctx, p.Name+" is ready", p.Ready))
+	r.must(r.Wait(r.ctx, "the second process is ready", p.Ready))
 	if log := p.Log(); !strings.Contains(log, "code=handover-no-lock") || !strings.Contains(log, "advice=") {
 		t.Error(log)
 	}
