--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -157,7 +157,7 @@
 
 // attempt sends the message on one connection. It returns true if the server closed a reused connection meanwhile.
 func (p *Pool) attempt(ctx context.Context, m *Message, answer *Answer, newConn bool) (retry bool) {
-	conn, err := p.get(ctx, newConn)
+	connection, err := p.get(ctx, newConn)
 	if err != nil {
 		answer.Outcome = NoConn
 		if ctx.Err() != nil {
@@ -168,32 +168,32 @@
 	reusable := false
 	defer func() {
 		if !reusable {
-			conn.Close()
+			connection.Close()
 			p.release()
 			return
 		}
 		p.mu.Lock()
-		p.idle = append(p.idle, conn)
+		p.idle = append(p.idle, connection)
 		p.mu.Unlock()
 	}()
 	deadline, _ := ctx.Deadline()
-	if conn.SetDeadline(deadline) != nil {
+	if connection.SetDeadline(deadline) != nil {
 		answer.Outcome = Reset
-		return conn.used
+		return connection.used
 	}
 	answer.Sent = time.Now()
-	if _, err = conn.bw.Write(m.Append(nil)); err == nil {
-		err = conn.bw.Flush()
+	if _, err = connection.bw.Write(m.Append(nil)); err == nil {
+		err = connection.bw.Flush()
 	}
 	var r fasthttp.Response
 	if err == nil {
-		if _, err = conn.br.Peek(1); err != nil {
-			retry = conn.used && ctx.Err() == nil // nothing came back on a reused connection
+		if _, err = connection.br.Peek(1); err != nil {
+			retry = connection.used && ctx.Err() == nil // nothing came back on a reused connection
 		} else {
-			err = r.Read(conn.br)
+			err = r.Read(connection.br)
 		}
 	} else {
-		retry = conn.used
+		retry = connection.used
 	}
 	if err != nil {
 		answer.Outcome = Reset
@@ -204,8 +204,8 @@
 		}
 		return retry
 	}
-	conn.used = true
-	reusable = !r.ConnectionClose() && conn.br.Buffered() == 0
+	connection.used = true
+	reusable = !r.ConnectionClose() && connection.br.Buffered() == 0
 	answer.Code = r.StatusCode()
 	switch answer.Code {
 	case fasthttp.StatusOK:
--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -10,22 +10,22 @@
 
 // unansweredAtClose counts the requests to a terminating daemon that were in flight when it first closed a connection, and
 // got no answer. Until then no client had a reason to reconnect. The audit checks that none of them was sent on.
-func (w *fixture) unansweredAtClose(i int, from time.Duration) (n int) {
+func (w *fixture) unansweredAtClose(i int, since time.Duration) (n int) {
 	h := w.History()
-	at := map[string]time.Duration{}
+	sentAt := map[string]time.Duration{}
 	for _, t := range h.Taken {
-		if t.Scheduler == i && t.At >= from {
-			at[t.ID] = t.At
+		if t.Scheduler == i && t.At >= since {
+			sentAt[t.ID] = t.At
 		}
 	}
-	first := historycheck.Never
+	firstClose := historycheck.Never
 	for _, a := range h.Answered {
-		if _, ours := at[a.ID]; ours && a.End == historycheck.Unheard {
-			first = min(first, a.At)
+		if _, ours := sentAt[a.ID]; ours && a.End == historycheck.Unheard {
+			firstClose = min(firstClose, a.At)
 		}
 	}
 	for _, a := range h.Answered {
-		if t, ours := at[a.ID]; ours && a.End == historycheck.Unheard && t < first {
+		if t, ours := sentAt[a.ID]; ours && a.End == historycheck.Unheard && t < firstClose {
 			n++
 		}
 	}
@@ -35,14 +35,14 @@
 // countDisconnects counts the requests whose clients disconnected before the first attempt was written, and those of
 // them that were sent on more than 0.3 s later.
 func countDisconnects(h historycheck.History) (waiting, sentOn int) {
-	first := map[string]time.Duration{}
+	firstAttempt := map[string]time.Duration{}
 	for _, s := range h.Sent {
-		if at, ok := first[s.ID]; !ok || s.First < at {
-			first[s.ID] = s.First
+		if at, ok := firstAttempt[s.ID]; !ok || s.First < at {
+			firstAttempt[s.ID] = s.First
 		}
 	}
 	for _, a := range h.Answered {
-		at, sent := first[a.ID]
+		at, sent := firstAttempt[a.ID]
 		if a.End != historycheck.Left || sent && at <= a.At {
 			continue
 		}
@@ -67,23 +67,23 @@
 		{fault: "SIGTERM while clients keep sending on open connections", expected: "served until the connections close; requests in flight at the close are not sent on",
 			service: slow, run: func(w *fixture) {
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
-				for crossed := 0; crossed == 0; { // until at least one request was in flight at the close
+				for inFlight := 0; inFlight == 0; { // until at least one request was in flight at the close
 					stop := w.StartLoad(w.ctx, Load{Clients: 10, Pause: time.Millisecond, Request: mixedRequest})
 					base := w.Served(0)
 					w.waitUntil("daemon 0 has open requests", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
 					w.must(w.Terminate(0))
 					servedBeforeTerm, from := w.Served(0), w.now()
 					w.must(w.Proc(0).End(w.ctx))
-					if n := w.Served(0) - servedBeforeTerm; n < serveCount {
+					if n := w.Served(0) - servedBeforeTerm; n < minServed {
 						w.t.Errorf("%d requests served after SIGTERM", n)
 					}
 					stop()
-					crossed = w.unansweredAtClose(0, from)
+					inFlight = w.unansweredAtClose(0, from)
 					w.must(w.Restart(w.ctx, 0))
-					w.t.Logf("served after SIGTERM: %d, in flight at the close: %d", w.Served(0)-servedBeforeTerm, crossed)
+					w.t.Logf("served after SIGTERM: %d, in flight at the close: %d", w.Served(0)-servedBeforeTerm, inFlight)
 				}
 				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{}))
-				w.waitServed(serveCount)
+				w.waitServed(minServed)
 			}},
 		{fault: "SIGTERM while answers trickle to clients", expected: "each answer that has begun is completed", run: func(w *fixture) {
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{Trickle: 4000}))
@@ -94,11 +94,11 @@
 			stop()
 			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{}))
 			w.must(w.Restart(w.ctx, 0))
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "clients disconnect while their requests wait for a connection", expected: "requests still waiting are not sent on later", opt: Options{
 			Settings: map[string]any{"ceilings": map[string]any{"connect-timeout": 3000}}}, run: func(w *fixture) {
-			setLinks := func(f link.Fault, met func(*link.Link) bool) {
+			setLinks := func(f link.Fault, inNewState func(*link.Link) bool) {
 				for i := range w.opt.Daemons {
 					for j := range 4 {
 						l := w.StorageLink(i, j)
@@ -106,7 +106,7 @@
 						if f.Hold {
 							l.Reset() // the open connections; no new ones are accepted
 						}
-						w.waitUntil("the links are in the new state", func() bool { return met(l) })
+						w.waitUntil("the links are in the new state", func() bool { return inNewState(l) })
 					}
 				}
 			}
@@ -118,7 +118,7 @@
 				w.waitUntil("clients disconnect while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
 				stop() // connections open within 1 s after the next line, when requests still waiting would be sent on
 				setLinks(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 })
-				w.waitServed(serveCount)
+				w.waitServed(minServed)
 			}
 			waited, sentLate := countDisconnects(w.History())
 			if w.t.Logf("%d requests waited when their client disconnected, %d of them were sent on more than 0.3 s later", waited, sentLate); 4*sentLate > waited {
@@ -144,7 +144,7 @@
 				}
 				w.markAllUp()
 				w.setListFaults(ListWell)
-				w.waitServed(serveCount)
+				w.waitServed(minServed)
 			}
 			if 10*readyInTime < 9*starts {
 				w.t.Errorf("%d of %d starts were ready in time", readyInTime, starts)
@@ -154,7 +154,7 @@
 		t.Run(x.fault, func(t *testing.T) {
 			w := newFixtureWithService(t, x.opt, max(x.service, 2*time.Millisecond))
 			w.startTraffic()
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			x.run(w)
 			w.stopAndAudit()
 			t.Log(x.expected)
--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -114,13 +114,13 @@
 }
 
 // read sends a gathered read of all shards to the coordinator and waits for its end.
-func (g *delegationFixture) read(class, plan string, patience time.Duration) readResult {
-	return g.readAt(g.coordinator, class, plan, patience)
+func (g *delegationFixture) read(class, plan string, deadline time.Duration) readResult {
+	return g.readAt(g.coordinator, class, plan, deadline)
 }
 
-func (g *delegationFixture) readAt(i int, class, plan string, patience time.Duration) (r readResult) {
+func (g *delegationFixture) readAt(i int, class, plan string, deadline time.Duration) (r readResult) {
 	f := g.Fleet
-	taken, text := f.newGatheredRead(i, class, plan, patience)
+	taken, text := f.newGatheredRead(i, class, plan, deadline)
 	defer func() {
 		end := historycheck.Whole
 		if r.err != nil {
@@ -135,7 +135,7 @@
 		return r
 	}
 	defer nc.Close()
-	if r.err = nc.SetDeadline(time.Now().Add(patience + 2*time.Second)); r.err != nil {
+	if r.err = nc.SetDeadline(time.Now().Add(deadline + 2*time.Second)); r.err != nil {
 		return r
 	}
 	if r.httpResponse = exchangeRaw(nc, text); r.code == http.StatusOK {
@@ -145,7 +145,7 @@
 }
 
 // checkComplete checks that an answer came in time with the merged rows of all shards.
-func (g *delegationFixture) checkComplete(what string, r readResult, patience time.Duration) {
+func (g *delegationFixture) checkComplete(what string, r readResult, deadline time.Duration) {
 	g.t.Helper()
 	var shards []int
 	for j := range g.opt.Nodes {
@@ -157,8 +157,8 @@
 	if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() || !slices.EqualFunc(r.rows, want, bytes.Equal) {
 		g.t.Errorf("%s: %v, code %d, %d rows of %d, %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
 	}
-	if r.took > patience {
-		g.t.Errorf("%s: took %v, longer than %v", what, r.took, patience)
+	if r.took > deadline {
+		g.t.Errorf("%s: took %v, longer than %v", what, r.took, deadline)
 	}
 }
 
@@ -211,24 +211,24 @@
 }
 
 // startRead starts a read at the coordinator and returns a channel for its result.
-func (g *delegationFixture) startRead(patience time.Duration) <-chan readResult {
+func (g *delegationFixture) startRead(deadline time.Duration) <-chan readResult {
 	end := make(chan readResult, 1)
-	go func() { end <- g.read("read", defaultPlan, patience) }()
+	go func() { end <- g.read("read", defaultPlan, deadline) }()
 	return end
 }
 
 // Peers fail before or during a gathered read of 12 parts over four daemons. The read must be complete in every scenario.
 func TestDelegatedGatherPeerFaults(t *testing.T) {
-	const shards, rows, patience = 12, 500, 8 * time.Second
+	const shards, rows, defaultDeadline = 12, 500, 8 * time.Second
 	slow := link.Fault{Trickle: 16 << 10} // a group then takes some seconds
 	waitAnswerBegun := func(g *delegationFixture, j int) {
 		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
 	}
 	for _, x := range []struct {
 		fault, expected string
-		patience        time.Duration
-		before, amid    func(*delegationFixture)
-		happened        func(*delegationFixture) bool
+		defaultDeadline time.Duration
+		before, during  func(*delegationFixture)
+		occurred        func(*delegationFixture) bool
 		failedPeers     []int // peers whose failure the coordinator logs
 		retaken         bool  // the coordinator gathers a group itself
 		either          bool  // the coordinator or another peer gathers the group
@@ -236,17 +236,17 @@
 		{fault: "none", expected: "each peer gathers a group, each part is sent once"},
 		{fault: "a peer is killed during the read", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].Set(link.Backward, slow)) },
-			amid:   func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
+			during: func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
 		{fault: "a peer is suspended", expected: "another peer takes over its group", failedPeers: []int{1},
 			before: func(g *delegationFixture) { g.must(g.Stop(1)) }},
-		{fault: "a peer's link is slow", expected: "another peer takes over its group", patience: 6 * time.Second, failedPeers: []int{2},
+		{fault: "a peer's link is slow", expected: "another peer takes over its group", defaultDeadline: 6 * time.Second, failedPeers: []int{2},
 			before:   func(g *delegationFixture) { g.must(g.delegationLinks[2].Set(link.Backward, link.Fault{Trickle: 1000})) },
-			happened: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).Trickled > 0 }},
+			occurred: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).Trickled > 0 }},
 		{fault: "a peer's answer is cut", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) {
 				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
 			},
-			happened: func(g *delegationFixture) bool { return g.delegationLinks[0].Counts(link.Backward).Reset > 0 }},
+			occurred: func(g *delegationFixture) bool { return g.delegationLinks[0].Counts(link.Backward).Reset > 0 }},
 		{fault: "two peers are down", expected: "the third or the coordinator takes over their groups", failedPeers: []int{0, 1}, either: true,
 			before: func(g *delegationFixture) { g.must(g.Kill(0)); g.must(g.Kill(1)) }},
 		{fault: "all peers are down", expected: "the coordinator gathers every part itself", failedPeers: []int{0, 1, 2}, retaken: true,
@@ -257,7 +257,7 @@
 					g.must(l.Set(link.Backward, slow))
 				}
 			},
-			amid: func(g *delegationFixture) {
+			during: func(g *delegationFixture) {
 				for j := range g.delegationLinks {
 					waitAnswerBegun(g, j)
 				}
@@ -271,7 +271,7 @@
 					g.must(g.StorageLink(1, j).Set(link.Forward, link.Fault{ResetAfter: 1}))
 				}
 			},
-			happened: func(g *delegationFixture) bool { // at one or more nodes
+			occurred: func(g *delegationFixture) bool { // at one or more nodes
 				met := 0
 				for j := range shards {
 					met += g.StorageLink(1, j).Counts(link.Forward).Reset
@@ -282,26 +282,26 @@
 		t.Run(x.fault, func(t *testing.T) {
 			t.Parallel()
 			inScenarioSlot(func() {
-				timeout := patience
-				if x.patience > 0 {
-					timeout = x.patience
+				deadline := defaultDeadline
+				if x.defaultDeadline > 0 {
+					deadline = x.defaultDeadline
 				}
 				g := newDelegationFixture(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
 				if x.before != nil {
 					x.before(g)
 				}
-				end := g.startRead(timeout)
-				if x.amid != nil {
-					x.amid(g)
+				end := g.startRead(deadline)
+				if x.during != nil {
+					x.during(g)
 				}
-				g.checkComplete("the read", <-end, timeout)
-				if x.happened != nil && !x.happened(g) {
+				g.checkComplete("the read", <-end, deadline)
+				if x.occurred != nil && !x.occurred(g) {
 					t.Error("the fault did not occur")
 				}
 				for j := range g.delegationLinks {
-					named := strings.Contains(g.Proc(g.coordinator).Log(), fmt.Sprintf("peer \\\"n%d\\\"", j))
-					if named != slices.Contains(x.failedPeers, j) {
-						t.Errorf("peer %d in the coordinator's log: %v\n%s", j, named, g.Proc(g.coordinator).Log())
+					logged := strings.Contains(g.Proc(g.coordinator).Log(), fmt.Sprintf("peer \\\"n%d\\\"", j))
+					if logged != slices.Contains(x.failedPeers, j) {
+						t.Errorf("peer %d in the coordinator's log: %v\n%s", j, logged, g.Proc(g.coordinator).Log())
 					}
 				}
 				if n := g.countParts(true); x.fault == "none" && (n != shards*3/4 || g.countParts(false) != shards/4) {
@@ -314,7 +314,7 @@
 				for j, l := range g.delegationLinks {
 					before[j] = l.Counts(link.Forward).Conns
 				}
-				g.checkComplete("the next read", g.read("read", defaultPlan, timeout), timeout)
+				g.checkComplete("the next read", g.read("read", defaultPlan, deadline), deadline)
 				for _, j := range x.failedPeers {
 					if now := g.delegationLinks[j].Counts(link.Forward).Conns; now != before[j] {
 						t.Errorf("peer %d got a request while in backoff", j)
@@ -330,31 +330,31 @@
 func TestDelegationFollowsMembership(t *testing.T) {
 	t.Parallel()
 	inScenarioSlot(func() {
-		const patience = 8 * time.Second
+		const deadline = 8 * time.Second
 		g := newDelegationFixture(t, 12, 50, `{"least_parts":4,"rest_ms":60000,"rest_most_ms":60000}`, "", true)
-		members := func(n float64) {
+		waitMembers := func(n float64) {
 			g.waitUntil("the coordinator has the expected number of members", func() bool { return g.gossip.metric(g.coordinator, "peers_members") == n })
 		}
 		conns := func() int { return g.delegationLinks[1].Counts(link.Forward).Conns }
-		read := func(groups float64) {
+		readWithGroups := func(groups float64) {
 			was := g.gossip.metric(g.coordinator, "gather_tree_groups")
-			g.checkComplete("a read", g.read("read", defaultPlan, patience), patience)
+			g.checkComplete("a read", g.read("read", defaultPlan, deadline), deadline)
 			if n := g.gossip.metric(g.coordinator, "gather_tree_groups") - was; n != groups {
 				t.Errorf("%v groups, expected %v", n, groups)
 			}
 		}
-		members(4)
-		read(3)
+		waitMembers(4)
+		readWithGroups(3)
 		before := conns()
 		g.must(g.Terminate(1))
 		g.must(g.Proc(1).End(g.ctx))
-		members(3)
-		if read(2); conns() != before {
+		waitMembers(3)
+		if readWithGroups(2); conns() != before {
 			t.Error("a peer that had left got a request")
 		}
 		g.must(g.Restart(g.ctx, 1))
-		members(4)
-		if read(3); conns() == before {
+		waitMembers(4)
+		if readWithGroups(3); conns() == before {
 			t.Error("a peer that had rejoined got no request")
 		}
 		if n := g.gossip.metric(g.coordinator, "gather_tree_rows"); n < 3*100 || g.gossip.metric(g.coordinator, `gather_tree_failures{code="scatter-peer-failed"}`) != 0 {
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-const serveCount = 20 // served requests after which a daemon counts as serving
+const minServed = 20 // served requests after which a daemon counts as serving
 
 // waitDrainNotified waits until each daemon has been notified that node 0 is draining and has served requests since.
 func (w *fixture) waitDrainNotified() {
@@ -29,7 +29,7 @@
 		}
 		return true
 	})
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 }
 
 func (w *fixture) setListFaults(f ListFault) {
@@ -40,11 +40,11 @@
 }
 
 // waitWatchRequests waits until each daemon has sent this many more watch requests.
-func (w *fixture) waitWatchRequests(more int) {
+func (w *fixture) waitWatchRequests(count int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		base := w.List(i).WatchRequests()
-		w.waitUntil("the daemon requests the list again", func() bool { return w.List(i).WatchRequests() >= base+more })
+		w.waitUntil("the daemon requests the list again", func() bool { return w.List(i).WatchRequests() >= base+count })
 	}
 }
 
@@ -106,7 +106,7 @@
 		{fault: "list down at start, then a drain", expected: "ready and serving from the configured list; notified once the service is up", opt: Options{Known: true, ListDown: true},
 			run: func(w *fixture) {
 				w.must(w.SetNodeStatus(0, "leaving"))
-				w.waitServed(serveCount)
+				w.waitServed(minServed)
 				w.setListFaults(ListWell)
 				w.waitDrainNotified()
 			}},
@@ -116,9 +116,9 @@
 				w.StorageLink(i, 0).Reset()
 			}
 			w.setStorageFault(link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.setStorageFault(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "node silent in the middle of answers", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
 			a, err := address.Parse(w.nodeAddresses[0])
@@ -126,52 +126,52 @@
 			w.must(w.Node(0).Set(a, node.Half))
 			base := w.Node(0).Counts().Ran
 			w.waitUntil("node 0 sends partial answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.must(w.Node(0).Set(a, node.None))
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not retried", run: func(w *fixture) {
 			w.setStorageFault(link.Fault{ResetAfter: 300}, func(l *link.Link) bool { return l.Counts(link.Forward).Reset > 2 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.setStorageFault(link.Fault{}, nil)
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "clients disconnect early", expected: "nothing more is sent for them; other clients are served", service: slow, run: func(w *fixture) {
 			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
 				return ClientRequest{Shard: n % 2, Volume: client, DisconnectAfter: time.Duration(1+n%50) * time.Millisecond}
 			}})
 			w.waitUntil("clients disconnect", func() bool { return w.countEnds(historycheck.Left) > 100 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			stop()
 		}},
 		{fault: "a daemon is killed with open requests and restarted", expected: "the others keep serving; it serves again; no non-idempotent request runs twice", service: slow, run: func(w *fixture) {
 			w.waitUntil("daemon 0 has open requests", func() bool { return w.openRequests() > 1 })
 			w.must(w.Kill(0))
-			w.waitServed(serveCount, 0)
+			w.waitServed(minServed, 0)
 			w.must(w.Restart(w.ctx, 0))
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "SIGTERM under load with open connections", expected: "all accepted requests are answered, exit 0", service: slow, run: func(w *fixture) {
 			w.waitUntil("daemon 0 has open requests", func() bool { return w.openRequests() > 1 })
 			w.must(w.Terminate(0))
 			w.must(w.Proc(0).End(w.ctx))
-			w.waitServed(serveCount, 0)
+			w.waitServed(minServed, 0)
 			w.must(w.Restart(w.ctx, 0))
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 		{fault: "a daemon is suspended for 1 s during a drain", expected: "it applies the drain when it resumes", run: func(w *fixture) {
 			w.must(w.Stop(0))
 			w.must(w.SetNodeStatus(0, "leaving"))
-			w.waitServed(serveCount, 0)
+			w.waitServed(minServed, 0)
 			time.Sleep(time.Second) // the fault itself
 			w.must(w.Continue(0))
 			w.waitDrainNotified()
 		}},
 		{fault: "half-open connections to a node", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
 			w.setStorageFault(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.setStorageFault(link.Fault{}, nil)
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
@@ -180,7 +180,7 @@
 			}
 			w := newFixtureWithService(t, x.opt, max(x.service, 2*time.Millisecond))
 			w.startTraffic()
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			x.run(w)
 			w.stopAndAudit()
 			for i := range w.opt.Daemons {
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -453,7 +453,7 @@
 }
 
 // Wait polls a condition until it returns nil.
-func (f *Fleet) Wait(ctx context.Context, what string, cond func() error) error {
+func (f *Fleet) Wait(ctx context.Context, description string, cond func() error) error {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
@@ -464,7 +464,7 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &WaitError{what, err, f.Logs()}
+			return &WaitError{description, err, f.Logs()}
 		}
 	}
 }
@@ -505,8 +505,8 @@
 func (f *Fleet) markDown(i int, kill bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if was, ok := f.downSince[i]; ok {
-		f.downSince[i] = downtime{was.from, was.killed || kill}
+	if current, ok := f.downSince[i]; ok {
+		f.downSince[i] = downtime{current.from, current.killed || kill}
 		return
 	}
 	f.downSince[i] = downtime{f.now(), kill}
--- a/internal/testkit/cluster/fleet_test.go
+++ b/internal/testkit/cluster/fleet_test.go
@@ -64,7 +64,7 @@
 	return newFixtureWithService(t, opt, 2*time.Millisecond)
 }
 
-func newFixtureWithService(t *testing.T, opt Options, service time.Duration) *fixture {
+func newFixtureWithService(t *testing.T, opt Options, serviceTime time.Duration) *fixture {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts several processes")
@@ -83,7 +83,7 @@
 			break
 		}
 		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2,
-			Service: func(*fasthttp.Request) time.Duration { return service }})
+			Service: func(*fasthttp.Request) time.Duration { return serviceTime }})
 	}
 	f, err := Start(ctx, opt)
 	if err != nil {
@@ -116,9 +116,9 @@
 }
 
 // waitUntil waits until a condition holds.
-func (w *fixture) waitUntil(what string, cond func() bool) {
+func (w *fixture) waitUntil(description string, cond func() bool) {
 	w.t.Helper()
-	w.must(w.Wait(w.ctx, what, func() error {
+	w.must(w.Wait(w.ctx, description, func() error {
 		if cond() {
 			return nil
 		}
@@ -127,14 +127,14 @@
 }
 
 // waitServed waits until each daemon, except possibly one, has served this many more requests.
-func (w *fixture) waitServed(more int, except ...int) {
+func (w *fixture) waitServed(count int, except ...int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		if len(except) > 0 && except[0] == i {
 			continue
 		}
 		base := w.Served(i)
-		w.waitUntil(fmt.Sprint("daemon ", i, " serves"), func() bool { return w.Served(i) >= base+more })
+		w.waitUntil(fmt.Sprint("daemon ", i, " serves"), func() bool { return w.Served(i) >= base+count })
 	}
 }
 
@@ -180,6 +180,6 @@
 	if o := client.Send(ClientRequest{}); o.End != historycheck.Whole {
 		t.Errorf("request to the restarted process: %+v", o)
 	}
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 	w.stopAndAudit()
 }
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -51,7 +51,7 @@
 	}
 	g.fixture = newFixture(t, opt)
 	g.startTraffic()
-	g.waitServed(serveCount)
+	g.waitServed(minServed)
 	return g
 }
 
@@ -74,49 +74,49 @@
 func cutCount(c node.RowCounts) int          { return c.Cut }
 func disconnectedCount(c node.RowCounts) int { return c.Gone }
 
-func (g *gatherFixture) waitRowFault(shard int, of func(node.RowCounts) int, least int) {
+func (g *gatherFixture) waitRowFault(shard int, of func(node.RowCounts) int, minCount int) {
 	g.t.Helper()
-	g.waitUntil("the fault occurs", func() bool { return g.sumCounts(shard, of) >= least })
+	g.waitUntil("the fault occurs", func() bool { return g.sumCounts(shard, of) >= minCount })
 }
 
 // newGatheredRead returns a gathered read of all shards that is sent now, as a history entry and as request bytes.
-func (f *Fleet) newGatheredRead(scheduler int, class, plan string, patience time.Duration) (historycheck.Taken, []byte) {
+func (f *Fleet) newGatheredRead(scheduler int, class, plan string, deadline time.Duration) (historycheck.Taken, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastSequence++
 	m := client.Message{ID: fmt.Sprintf("g%06d", f.lastSequence), Class: class, Plan: plan, Extent: fmt.Sprintf("%016x", f.lastSequence), Volume: fmt.Sprintf("%016x", 99),
-		Units: 1, Shard: -1, Hosts: f.opt.Daemons, Deadline: patience}
+		Units: 1, Shard: -1, Hosts: f.opt.Daemons, Deadline: deadline}
 	text := bytes.Replace(m.Append(nil), []byte("\r\n\r\n"), []byte("\r\nX-Gather: all\r\n\r\n"), 1)
 	now := f.now()
-	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, GivesUp: now + patience}, text
+	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, GivesUp: now + deadline}, text
 }
 
 // httpResponse is what a request's connection returned. Code 0 means that no response head came.
 type httpResponse struct {
 	code   int
-	head   http.Header
+	header http.Header
 	body   []byte
 	result gjson.Result // from the trailer, or from the body if the code is not 200
 	err    error
 }
 
-func exchangeRaw(nc net.Conn, text []byte) (h httpResponse) {
-	if _, h.err = nc.Write(text); h.err != nil {
-		return h
+func exchangeRaw(nc net.Conn, text []byte) (response httpResponse) {
+	if _, response.err = nc.Write(text); response.err != nil {
+		return response
 	}
 	br := bufio.NewReader(nc)
 	res, err := http.ReadResponse(br, nil) //nolint:bodyclose // the connection is the caller's to close
-	if h.err = err; err != nil {
-		return h
+	if response.err = err; err != nil {
+		return response
 	}
-	h.code, h.head = res.StatusCode, res.Header
-	if h.body, h.err = io.ReadAll(res.Body); h.err == nil && br.Buffered() > 0 {
-		h.err = fmt.Errorf("%d bytes after the answer", br.Buffered())
+	response.code, response.header = res.StatusCode, res.Header
+	if response.body, response.err = io.ReadAll(res.Body); response.err == nil && br.Buffered() > 0 {
+		response.err = fmt.Errorf("%d bytes after the answer", br.Buffered())
 	}
-	if h.result = gjson.ParseBytes(h.body); h.code == http.StatusOK {
-		h.result = gjson.Parse(res.Trailer.Get("X-Gather-Result"))
+	if response.result = gjson.ParseBytes(response.body); response.code == http.StatusOK {
+		response.result = gjson.Parse(res.Trailer.Get("X-Gather-Result"))
 	}
-	return h
+	return response
 }
 
 // gatherAnswer is what a client received for a gathered read.
@@ -126,7 +126,7 @@
 	rows   []string
 	result gjson.Result
 	end    historycheck.End
-	head   http.Header
+	header http.Header
 }
 
 // gatherRead is a gathered read in progress. disconnect closes its client's connection.
@@ -136,43 +136,43 @@
 }
 
 // startRead starts a gathered read of all shards at a daemon.
-func (g *gatherFixture) startRead(scheduler int, plan string, patience time.Duration) *gatherRead {
+func (g *gatherFixture) startRead(scheduler int, plan string, deadline time.Duration) *gatherRead {
 	g.t.Helper()
 	f := g.Fleet
-	taken, text := f.newGatheredRead(scheduler, "read", plan, patience)
+	taken, text := f.newGatheredRead(scheduler, "read", plan, deadline)
 	id := taken.ID
 	nc, err := net.Dial("tcp", f.clientLinks[scheduler].Addr())
 	g.must(err)
-	ctx, leave := context.WithCancel(g.ctx)
+	ctx, disconnect := context.WithCancel(g.ctx)
 	context.AfterFunc(ctx, func() { nc.Close() })
 	f.mu.Lock()
 	f.history.Taken = append(f.history.Taken, taken)
 	f.mu.Unlock()
-	r := &gatherRead{leave, make(chan gatherAnswer, 1)}
+	read := &gatherRead{disconnect, make(chan gatherAnswer, 1)}
 	go func() {
-		a := gatherAnswer{id: id, end: historycheck.Unheard}
+		answer := gatherAnswer{id: id, end: historycheck.Unheard}
 		defer func() {
 			if ctx.Err() != nil {
-				a.end = historycheck.Left
+				answer.end = historycheck.Left
 			}
-			leave()
+			disconnect()
 			f.mu.Lock()
-			f.history.Answered = append(f.history.Answered, historycheck.Answered{ID: id, At: f.now(), End: a.end})
+			f.history.Answered = append(f.history.Answered, historycheck.Answered{ID: id, At: f.now(), End: answer.end})
 			f.mu.Unlock()
-			r.done <- a
+			read.done <- answer
 		}()
-		h := exchangeRaw(nc, text)
-		if a.code, a.head, a.result = h.code, h.head, h.result; a.code == 0 {
+		response := exchangeRaw(nc, text)
+		if answer.code, answer.header, answer.result = response.code, response.header, response.result; answer.code == 0 {
 			return
 		}
-		if a.end = historycheck.Whole; h.err != nil {
-			a.end = historycheck.Cut
+		if answer.end = historycheck.Whole; response.err != nil {
+			answer.end = historycheck.Cut
 		}
-		if a.code == 200 {
-			a.rows = strings.Fields(string(h.body))
+		if answer.code == 200 {
+			answer.rows = strings.Fields(string(response.body))
 		}
 	}()
-	return r
+	return read
 }
 
 func (g *gatherFixture) waitAnswer(r *gatherRead) (a gatherAnswer) {
@@ -317,8 +317,8 @@
 				g.Node(j).Drain(true)
 			}
 			a := g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
-			if a.code != 503 || a.head.Get("Retry-After") == "" || a.result.Get("code").Str != "scatter-refused" {
-				t.Errorf("%d %v %s", a.code, a.head, a.result)
+			if a.code != 503 || a.header.Get("Retry-After") == "" || a.result.Get("code").Str != "scatter-refused" {
+				t.Errorf("%d %v %s", a.code, a.header, a.result)
 			}
 			for j := range 6 {
 				g.Node(j).Drain(false)
@@ -341,7 +341,7 @@
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
 			g.must(g.SetNodeStatus(2, "leaving"))
-			g.waitServed(serveCount)
+			g.waitServed(minServed)
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 			g.checkComplete(g.waitAnswer(g.startRead(1, defaultPlan, longDeadline)), listed...)
@@ -370,7 +370,7 @@
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 			g.must(g.Proc(0).End(g.ctx))
-			g.waitServed(serveCount, 0)
+			g.waitServed(minServed, 0)
 			g.must(g.Restart(g.ctx, 0))
 		}},
 		{fault: "the list changes its shards", expected: "the next read is of the shards then listed", completeness: all, run: func(g *gatherFixture) {
@@ -433,7 +433,7 @@
 		t.Run(x.fault, func(t *testing.T) {
 			g := newGatherFixture(t, x.completeness, x.extraSections, x.settings)
 			x.run(g)
-			g.waitServed(serveCount)
+			g.waitServed(minServed)
 			g.stopAndAudit()
 		})
 	}
--- a/internal/testkit/cluster/gossip_peer_test.go
+++ b/internal/testkit/cluster/gossip_peer_test.go
@@ -66,8 +66,8 @@
 // newTestPeer creates a peer that joins the given daemons and reaches no others.
 func (w *fixture) newTestPeer(name string, daemons ...int) *testPeer {
 	w.t.Helper()
-	quiet := log.New(io.Discard, "", 0)
-	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: quiet})
+	discardLogger := log.New(io.Discard, "", 0)
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: discardLogger})
 	w.must(err)
 	transport := &restrictedTransport{netTransport, map[string]bool{}}
 	var peerAddresses []string
@@ -78,11 +78,11 @@
 	s := &testPeer{t: w.t, start: time.Now(), digests: map[string][]byte{}, snapshotRequests: map[string][]byte{}}
 	s.state, err = nodestats.New(nodestats.Defaults(), name, 1)
 	w.must(err)
-	conf := memberlist.DefaultLANConfig()
-	conf.Name, conf.Delegate, conf.Transport, conf.Logger, conf.EnableCompression = name, s, transport, quiet, false
-	conf.BindAddr, conf.AdvertiseAddr, conf.DNSConfigPath = "127.0.0.1", "127.0.0.1", "/dev/null"
-	conf.BindPort, conf.AdvertisePort = netTransport.GetAutoBindPort(), netTransport.GetAutoBindPort()
-	s.list, err = memberlist.Create(conf)
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Delegate, config.Transport, config.Logger, config.EnableCompression = name, s, transport, discardLogger, false
+	config.BindAddr, config.AdvertiseAddr, config.DNSConfigPath = "127.0.0.1", "127.0.0.1", "/dev/null"
+	config.BindPort, config.AdvertisePort = netTransport.GetAutoBindPort(), netTransport.GetAutoBindPort()
+	s.list, err = memberlist.Create(config)
 	w.must(err)
 	w.t.Cleanup(s.close)
 	n, err := s.list.Join(peerAddresses)
@@ -158,9 +158,9 @@
 func (s *testPeer) handOver(text []byte) {
 	s.mu.Lock()
 	s.snapshot = text
-	wants := maps.Clone(s.snapshotRequests)
+	requests := maps.Clone(s.snapshotRequests)
 	s.mu.Unlock()
-	for to, number := range wants {
+	for to, number := range requests {
 		s.send(to, tagSnapshot, append(number, text...))
 	}
 }
@@ -180,9 +180,9 @@
 			s.mu.Lock()
 			same, all := s.state.Counts().NewCells == before, true
 			for _, d := range daemons {
-				held, ok := s.digests[d]
+				digest, ok := s.digests[d]
 				all = all && ok
-				same = same && ok && s.state.MatchesDigest(time.Since(s.start), held)
+				same = same && ok && s.state.MatchesDigest(time.Since(s.start), digest)
 			}
 			s.mu.Unlock()
 			if all {
@@ -199,11 +199,11 @@
 func (s *testPeer) messages(t *testing.T) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	none, err := nodestats.New(nodestats.Defaults(), "none", 1)
+	empty, err := nodestats.New(nodestats.Defaults(), "none", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := s.state.Diff(time.Since(s.start), none.Digest(0))
+	m, err := s.state.Diff(time.Since(s.start), empty.Digest(0))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/cluster/gossip_test.go
+++ b/internal/testkit/cluster/gossip_test.go
@@ -86,12 +86,12 @@
 	metrics []string
 }
 
-// uncachedClient opens a connection for each request.
-var uncachedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// noKeepAliveClient opens a connection for each request.
+var noKeepAliveClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (w *gossipFixture) metric(i int, name string) float64 {
 	w.t.Helper()
-	resp, err := uncachedClient.Get("http://" + w.metrics[i] + "/metrics")
+	resp, err := noKeepAliveClient.Get("http://" + w.metrics[i] + "/metrics")
 	w.must(err)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
@@ -108,12 +108,12 @@
 }
 
 // waitMetric waits until a metric of each daemon meets a condition.
-func (w *gossipFixture) waitMetric(name string, good func(i int, v float64) bool) {
+func (w *gossipFixture) waitMetric(name string, accept func(i int, v float64) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		last := 0.0
 		err := w.Wait(w.ctx, fmt.Sprint("daemon ", i, ": ", name), func() error {
-			if last = w.metric(i, name); good(i, last) {
+			if last = w.metric(i, name); accept(i, last) {
 				return nil
 			}
 			return fmt.Errorf("its value is %v", last)
@@ -140,7 +140,7 @@
 func (w *gossipFixture) estimate(i int, node string) gjson.Result {
 	w.t.Helper()
 	body := `{"plans":[{"name":"a","root":{"work":{"shard":0,"class":"read","units":1,"node":"` + node + `"}}}]}`
-	r, err := uncachedClient.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
+	r, err := noKeepAliveClient.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
 	w.must(err)
 	defer r.Body.Close()
 	text, err := io.ReadAll(r.Body)
@@ -161,10 +161,10 @@
 	}
 }
 
-func (w *gossipFixture) waitPeerFault(what func(link.Counts) int, pairs ...[2]int) {
+func (w *gossipFixture) waitPeerFault(count func(link.Counts) int, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.waitUntil(fmt.Sprint("the fault occurs between ", p), func() bool { return what(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
+		w.waitUntil(fmt.Sprint("the fault occurs between ", p), func() bool { return count(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
 	}
 }
 
@@ -203,26 +203,26 @@
 		run             func(*gossipFixture)
 	}{
 		{fault: "a partition that heals", expected: "separate states during the partition, then the merge of both", run: func(w *gossipFixture) {
-			across := allPairs[:2]
-			w.setPeerFault(link.Fault{Cut: true}, across...)
-			w.waitPeerFault(func(c link.Counts) int { return c.Cut }, across...)
+			partitioned := allPairs[:2]
+			w.setPeerFault(link.Fault{Cut: true}, partitioned...)
+			w.waitPeerFault(func(c link.Counts) int { return c.Cut }, partitioned...)
 			w.waitMetric("peers_members", func(i int, v float64) bool { return i == 0 && v == 1 || i > 0 && v == 2 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.stopAndAudit()
 			a, b := w.newTestPeer("a", 0), w.newTestPeer("b", 1, 2)
 			w.waitConverged(a, "n0")
 			w.waitConverged(b, "n1", "n2")
-			both := mergeAll(w.t, a.messages(w.t), b.messages(w.t))
-			if both.MatchesDigest(0, a.digests["n0"]) || both.MatchesDigest(0, b.digests["n1"]) {
+			merged := mergeAll(w.t, a.messages(w.t), b.messages(w.t))
+			if merged.MatchesDigest(0, a.digests["n0"]) || merged.MatchesDigest(0, b.digests["n1"]) {
 				w.t.Error("the states did not diverge during the partition")
 			}
 			a.close()
 			b.close()
-			w.setPeerFault(link.Fault{}, across...)
+			w.setPeerFault(link.Fault{}, partitioned...)
 			c := w.newTestPeer("c", w.allDaemons()...)
 			w.waitConverged(c, w.daemonNames()...)
 			for _, n := range w.daemonNames() {
-				if !both.MatchesDigest(0, c.digests[n]) {
+				if !merged.MatchesDigest(0, c.digests[n]) {
 					w.t.Errorf("the state of %s is not the merge of both sides", n)
 				}
 			}
@@ -230,12 +230,12 @@
 		{fault: "a daemon is suspended for 5 s and resumes with old observations", expected: "its observations of others replace no newer ones; all states are equal", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
 			w.must(w.Stop(0))
-			w.waitServed(serveCount, 0)
+			w.waitServed(minServed, 0)
 			time.Sleep(5 * time.Second) // the fault itself
 			olderCells := []float64{0, w.metric(1, "observations_older_cells"), w.metric(2, "observations_older_cells")}
 			w.must(w.Continue(0))
 			w.waitMetric("observations_older_cells", func(i int, v float64) bool { return i == 0 || v > olderCells[i] })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.stopAndConverge(s)
 		}},
 		{fault: "a daemon is killed and restarted under its name", expected: "known again at once; messages of its previous incarnation change nothing", run: func(w *gossipFixture) {
@@ -243,10 +243,10 @@
 			w.waitAllOrigins(s)
 			w.must(w.Kill(0))
 			previousCells := s.messages(w.t)
-			w.waitServed(serveCount, 0)
+			w.waitServed(minServed, 0)
 			w.must(w.Restart(w.ctx, 0))
 			w.waitMetric("observations_origins", func(_ int, v float64) bool { return v == 2 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.stopAndConverge(s)
 			olderCells := []float64{w.metric(0, "observations_older_cells"), w.metric(1, "observations_older_cells"), w.metric(2, "observations_older_cells")}
 			for _, n := range w.daemonNames() {
@@ -262,18 +262,18 @@
 			w.setPeerFault(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, allPairs...)
 			w.waitPeerFault(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, allPairs...)
 			w.waitAllOrigins(s)
-			good := s.messages(w.t)[0]
+			valid := s.messages(w.t)[0]
 			for _, n := range w.daemonNames() {
 				for k := range 10 {
-					s.send(n, tagCells, good[:len(good)*k/10])
+					s.send(n, tagCells, valid[:len(valid)*k/10])
 				}
-				later := append([]byte(nil), good...)
-				later[2]++
-				s.send(n, tagCells, later)
+				newerVersion := append([]byte(nil), valid...)
+				newerVersion[2]++
+				s.send(n, tagCells, newerVersion)
 			}
 			w.waitMetric("observations_unreadable", func(_ int, v float64) bool { return v == 10 })
 			w.waitMetric("observations_later_versions", func(_ int, v float64) bool { return v == 1 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.stopAndConverge(s)
 		}},
 		{fault: "a node is replaced under its name", expected: "unknown at once to each daemon, known again from new answers", opt: Options{Settings: map[string]any{
@@ -307,11 +307,11 @@
 				}
 				return b
 			}
-			good := s.messages(w.t)[0]
+			valid := s.messages(w.t)[0]
 			for i, n := range w.daemonNames() {
 				for k := range 40 {
 					s.send(n, byte(k), randomBytes(1+r.IntN(2000)))
-					m := append([]byte(nil), good[:len(good)-4]...) // a valid frame with corrupted contents
+					m := append([]byte(nil), valid[:len(valid)-4]...) // a valid frame with corrupted contents
 					for range 20 {
 						m[4+r.IntN(len(m)-4)] = byte(r.Uint32())
 					}
@@ -327,7 +327,7 @@
 				}
 			}
 			w.waitMetric("observations_unreadable", func(_ int, v float64) bool { return v >= 50 })
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.waitMetric("peers_members", func(_ int, v float64) bool { return v == 4 })
 			w.stopAndAudit()
 		}},
@@ -336,7 +336,7 @@
 			w := &gossipFixture{}
 			w.fixture, w.metrics = newGossipFixture(t, x.opt)
 			w.startTraffic()
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.waitMetric("observations_origins", func(_ int, v float64) bool { return v == 2 })
 			x.run(w)
 			for i := range w.opt.Daemons {
@@ -372,18 +372,18 @@
 	if len(links) < 5 {
 		w.t.Fatalf("daemon %d has only %d open files", i, len(links))
 	}
-	held := map[string]bool{}
+	inodes := map[string]bool{}
 	for _, l := range links {
 		to, _ := os.Readlink(l) // the descriptor may be closed by now
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
-			held[strings.TrimSuffix(inode, "]")] = true
+			inodes[strings.TrimSuffix(inode, "]")] = true
 		}
 	}
 	for _, table := range []string{"udp", "udp6"} {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, table))
 		w.must(err)
 		for line := range strings.Lines(string(text)) {
-			if f := strings.Fields(line); len(f) > 9 && held[f[9]] {
+			if f := strings.Fields(line); len(f) > 9 && inodes[f[9]] {
 				n++
 			}
 		}
@@ -397,7 +397,7 @@
 	w := &gossipFixture{}
 	w.fixture, w.metrics = newGossipFixture(t, Options{}, 0)
 	w.startTraffic()
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 	for i := range w.opt.Daemons {
 		if i > 0 {
 			w.waitUntil("the daemon has two members", func() bool { return w.metric(i, "peers_members") == 2 })
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	misreportingPeers   = 3 // the median of every vote, against the one correct report of the daemon itself
-	reportIntervalMS    = 50
-	reportedListVersion = 1 << 40 // a list version that no service has
+	misreportingPeerCount = 3 // the median of every vote, against the one correct report of the daemon itself
+	reportIntervalMS      = 50
+	reportedListVersion   = 1 << 40 // a list version that no service has
 )
 
 // startMisreporting cuts the daemons off from each other, so that all peers of each daemon misreport. They report that each
@@ -25,7 +25,7 @@
 	w.setPeerFault(link.Fault{Cut: true}, allPairs...)
 	w.waitPeerFault(func(c link.Counts) int { return c.Cut }, allPairs...)
 	stop, senders := make(chan struct{}), &sync.WaitGroup{}
-	for k := range misreportingPeers {
+	for k := range misreportingPeerCount {
 		name := fmt.Sprint("misreporting", k)
 		peer := w.newTestPeer(name, w.allDaemons()...)
 		reported, err := nodestats.New(nodestats.Defaults(), name, 1)
@@ -77,11 +77,11 @@
 	for i := range w.opt.Daemons {
 		before = append(before, w.metric(i, "observations_messages"))
 	}
-	w.waitMetric("observations_messages", func(i int, v float64) bool { return v > before[i]+2*misreportingPeers })
+	w.waitMetric("observations_messages", func(i int, v float64) bool { return v > before[i]+2*misreportingPeerCount })
 	w.waitMetric("peers_list_newest_version", func(_ int, v float64) bool { return v == reportedListVersion })
 	for i := range w.opt.Daemons {
 		for _, n := range w.opt.Nodes[:2] { // of the shard that estimate requests
-			w.waitUntil("the false reports on "+n.Name+" are received", func() bool { return w.estimate(i, n.Name).Get("rests_on.origins").Num >= misreportingPeers })
+			w.waitUntil("the false reports on "+n.Name+" are received", func() bool { return w.estimate(i, n.Name).Get("rests_on.origins").Num >= misreportingPeerCount })
 		}
 	}
 }
@@ -94,12 +94,12 @@
 	w.t.Helper()
 	w.waitUntil("the node receives no more requests", func() bool {
 		base := w.requestsAt(j)
-		w.waitServed(serveCount)
+		w.waitServed(minServed)
 		return w.requestsAt(j) == base
 	})
 	base := w.requestsAt(j)
 	w.waitReportsReceived()
-	w.waitServed(2 * serveCount)
+	w.waitServed(2 * minServed)
 	if n := w.requestsAt(j); n != base {
 		w.t.Errorf("%d more requests came to node %d", n-base, j)
 	}
@@ -138,7 +138,7 @@
 			w.checkNoRequests(0)
 			w.must(w.SetNodeStatus(0, "active"))
 			base := w.requestsAt(0)
-			w.waitUntil("the node serves again", func() bool { return w.requestsAt(0) > base+serveCount })
+			w.waitUntil("the node serves again", func() bool { return w.requestsAt(0) > base+minServed })
 		}},
 		{report: "an excluded node is up and idle", expected: "it receives no requests", latencyMS: fast, run: func(w *gossipFixture) {
 			for i := range w.opt.Daemons {
@@ -180,14 +180,14 @@
 			for i := range w.opt.Daemons {
 				w.waitUntil("the estimate changes", func() bool { return w.estimate(i, "s1").Get("mean_ms").Num > slow/4 })
 			}
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 		}},
 	} {
 		t.Run(x.report, func(t *testing.T) {
 			w := &gossipFixture{}
 			w.fixture, w.metrics = newGossipFixture(t, x.opt)
 			w.startTraffic()
-			w.waitServed(serveCount)
+			w.waitServed(minServed)
 			w.startMisreporting(x.latencyMS)
 			x.run(w)
 			w.waitReportsReceived()
@@ -202,7 +202,7 @@
 	w.t.Helper()
 	q, err := http.NewRequestWithContext(w.ctx, http.MethodPut, "http://"+w.AdminAddress(i)+"/api/exclude?who="+node, nil)
 	w.must(err)
-	r, err := uncachedClient.Do(q)
+	r, err := noKeepAliveClient.Do(q)
 	w.must(err)
 	r.Body.Close()
 	if r.StatusCode != http.StatusOK {
--- a/internal/testkit/cluster/observations_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -55,7 +55,7 @@
 		return nil
 	}})
 	w.startTraffic()
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 	s := w.newTestPeer("s", w.allDaemons()...)
 	node := func(name string) (v nodestats.View) {
 		w.waitAllOrigins(s)
--- a/internal/testkit/cluster/proc.go
+++ b/internal/testkit/cluster/proc.go
@@ -74,9 +74,9 @@
 
 // claimPortBlock locks one more block of ports. The caller holds the mutex.
 func claimPortBlock() bool {
-	const all = (endPort - firstPort) / portsPerBlock
-	for k := range all {
-		block := (os.Getpid()*61 + len(ports.blocks) + k) % all // programs start their search at different blocks
+	const blockCount = (endPort - firstPort) / portsPerBlock
+	for k := range blockCount {
+		block := (os.Getpid()*61 + len(ports.blocks) + k) % blockCount // programs start their search at different blocks
 		if ln, err := net.Listen("unix", fmt.Sprintf("@wheatsaddle-ports-%d", block)); err == nil {
 			ports.blocks, ports.names = append(ports.blocks, block), append(ports.names, ln)
 			return true
@@ -162,8 +162,8 @@
 	c.Env = append(c.Env, p.env...)
 	c.Stdout, c.Stderr = out, out
 	if p.onLine != nil {
-		both := &lineWriter{logFile: p.logFile, onLine: p.onLine}
-		c.Stdout, c.Stderr = both, both
+		output := &lineWriter{logFile: p.logFile, onLine: p.onLine}
+		c.Stdout, c.Stderr = output, output
 	}
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
@@ -288,11 +288,11 @@
 	if !p.Alive() {
 		return os.ErrProcessDone
 	}
-	at, path := p.Listen, "/health/ready"
+	address, path := p.Listen, "/health/ready"
 	if p.passedSocket != nil { // on that socket another process may still accept the connections
-		at, path = p.adminAddress, "/api/ready"
+		address, path = p.adminAddress, "/api/ready"
 	}
-	nc, err := net.DialTimeout("tcp", at, time.Second)
+	nc, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -35,16 +35,16 @@
 	active *Proc // accepts the connections
 }
 
-func (r *handoverFixture) waitLog(p *Proc, what string) {
+func (r *handoverFixture) waitLog(p *Proc, text string) {
 	r.t.Helper()
-	r.waitUntil(p.Name+" logs: "+what, func() bool { return strings.Contains(p.Log(), what) })
+	r.waitUntil(p.Name+" logs: "+text, func() bool { return strings.Contains(p.Log(), text) })
 }
 
 // checkNotLogged fails the test if the process has logged the text.
-func (r *handoverFixture) checkNotLogged(p *Proc, what string) {
+func (r *handoverFixture) checkNotLogged(p *Proc, text string) {
 	r.t.Helper()
-	if strings.Contains(p.Log(), what) {
-		r.t.Errorf("%s has logged: %s", p.Name, what)
+	if strings.Contains(p.Log(), text) {
+		r.t.Errorf("%s has logged: %s", p.Name, text)
 	}
 }
 
@@ -54,7 +54,7 @@
 	p, err := r.StartReplacement(0, nil)
 	r.must(err)
 	r.must(r.Wait(r.ctx, p.Name+" is ready", p.Ready))
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.checkNotLogged(p, logAccepting)
 	return p
 }
@@ -64,7 +64,7 @@
 	r.t.Helper()
 	r.must(r.active.Signal(syscall.SIGTERM))
 	r.waitLog(p, logAccepting)
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.must(r.active.End(r.ctx))
 	r.waitLog(r.active, logReleased)
 	r.waitLog(r.active, logDrained)
@@ -81,7 +81,7 @@
 		r.t.Error("the killed process exited with 0")
 	}
 	r.waitLog(p, logAccepting)
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.mu.Lock()
 	r.markUp(0)
 	r.mu.Unlock()
@@ -92,7 +92,7 @@
 	r.t.Helper()
 	q, err := http.NewRequestWithContext(r.ctx, method, "http://"+p.adminAddress+call, nil)
 	r.must(err)
-	a, err := uncachedClient.Do(q)
+	a, err := noKeepAliveClient.Do(q)
 	r.must(err)
 	defer a.Body.Close()
 	if a.StatusCode != 200 {
@@ -122,8 +122,8 @@
 				}
 			}
 			r.callAdmin(r.active, "PUT", "/api/include?who=s0")
-			ran := r.Node(0).Counts().Ran
-			r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > ran })
+			servedBefore := r.Node(0).Counts().Ran
+			r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > servedBefore })
 		}},
 		{fault: "the active process is killed", expected: "the kernel releases its lock and the next one serves", run: func(r *handoverFixture) {
 			r.killActive(r.startNext())
@@ -147,7 +147,7 @@
 			if err := p.End(r.ctx); err == nil {
 				r.t.Error("the killed process exited with 0")
 			}
-			r.waitServed(serveCount)
+			r.waitServed(minServed)
 			r.handOver(r.startNext())
 		}},
 		{fault: "the new process is terminated while it waits", expected: "exit 0, the active one keeps serving", run: func(r *handoverFixture) {
@@ -155,7 +155,7 @@
 			r.must(p.Signal(syscall.SIGTERM))
 			r.must(p.End(r.ctx))
 			r.checkNotLogged(p, logAccepting)
-			r.waitServed(serveCount)
+			r.waitServed(minServed)
 			r.handOver(r.startNext())
 		}},
 		{fault: "the new process has broken settings, or its descriptor is no socket", expected: "exit 1 with a code, the active one keeps serving", run: func(r *handoverFixture) {
@@ -168,7 +168,7 @@
 				if err := p.End(r.ctx); err == nil || !strings.Contains(p.Log(), "code: "+code) || !strings.Contains(p.Log(), "advice: ") {
 					r.t.Errorf("%s: %v\n%s", code, err, p.Log())
 				}
-				r.waitServed(serveCount)
+				r.waitServed(minServed)
 			}
 			r.handOver(r.startNext())
 		}},
@@ -203,7 +203,7 @@
 			}
 			r.must(r.active.End(r.ctx))
 			r.active = p
-			r.waitServed(serveCount)
+			r.waitServed(minServed)
 		}},
 		{fault: "a client pipelines requests of the limited volume", expected: "requests buffered in the socket are answered, those over the limit rejected", run: func(r *handoverFixture) {
 			const pipelined = 150
@@ -256,7 +256,7 @@
 			r.must(r.active.End(r.ctx))
 			r.waitLog(p, logAccepting)
 			r.active = p
-			r.waitServed(serveCount)
+			r.waitServed(minServed)
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
@@ -267,7 +267,7 @@
 				return ClientRequest{Plan: "small", Volume: 99}
 			}})
 			r.stopTraffic = func() { stopKeptConns(); stopLimited() }
-			r.waitServed(serveCount)
+			r.waitServed(minServed)
 			x.run(r)
 			r.stopAndAudit()
 			if r.answersByCode[503] == 0 {
@@ -288,9 +288,9 @@
 	if log := p.Log(); !strings.Contains(log, "code=handover-no-lock") || !strings.Contains(log, "advice=") {
 		t.Error(log)
 	}
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.must(r.Proc(0).Signal(syscall.SIGTERM))
 	r.must(r.Proc(0).End(r.ctx))
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.stopAndAudit()
 }
--- a/internal/testkit/cluster/startup_test.go
+++ b/internal/testkit/cluster/startup_test.go
@@ -136,10 +136,10 @@
 }
 
 // waitEach waits until a condition holds for each daemon.
-func (s *startupFixture) waitEach(what string, cond func(i int) bool) {
+func (s *startupFixture) waitEach(description string, cond func(i int) bool) {
 	s.t.Helper()
 	for i := range s.opt.Daemons {
-		s.waitUntil(fmt.Sprint("daemon ", i, ": ", what), func() bool { return cond(i) })
+		s.waitUntil(fmt.Sprint("daemon ", i, ": ", description), func() bool { return cond(i) })
 	}
 }
 
@@ -155,15 +155,15 @@
 }
 
 // checkNodeLoad fails the test if a node got more load than its slow start allows. It returns the highest share of the allowed load.
-func (s *startupFixture) checkNodeLoad() (worst float64) {
+func (s *startupFixture) checkNodeLoad() (maxShare float64) {
 	s.t.Helper()
 	for j := range 4 {
-		falls, most := s.Node(j).Falls()
-		if worst = max(worst, most); falls > 0 {
-			s.t.Errorf("node %d was overloaded: it got %.2f times its capacity", j, most)
+		overloads, share := s.Node(j).Falls()
+		if maxShare = max(maxShare, share); overloads > 0 {
+			s.t.Errorf("node %d was overloaded: it got %.2f times its capacity", j, share)
 		}
 	}
-	return worst
+	return maxShare
 }
 
 // learnedSnapshot returns a snapshot of the nodes' learned state, with windows that overload a node that has just restarted.
@@ -204,14 +204,14 @@
 		fault, expected string
 		opt             Options
 		start           map[string]any
-		snap            func(f *Fleet, i int) []byte
-		ahead           bool // no traffic before the end of the scenario, so all connections are opened in advance
+		snapshot        func(f *Fleet, i int) []byte
+		noTraffic       bool // no traffic before the end of the scenario, so all connections are opened in advance
 		before, run     func(*startupFixture)
 	}{
 		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the configured list; requested again; notified once the service is up", opt: Options{Known: true, ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitFailedListCalls(2)
-				s.waitServed(serveCount)
+				s.waitServed(minServed)
 				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 				s.must(s.SetNodeStatus(0, "leaving"))
 				s.setListFaults(ListWell)
@@ -223,14 +223,14 @@
 				s.waitEach("it rejects requests", func(i int) bool {
 					return slices.ContainsFunc(s.Rejections(), func(r Rejection) bool { return r.Scheduler == i })
 				})
-				s.waitUntil("enough rejections", func() bool { return len(s.Rejections()) >= 3*serveCount })
-				var took []time.Duration
+				s.waitUntil("enough rejections", func() bool { return len(s.Rejections()) >= 3*minServed })
+				var durations []time.Duration
 				for _, r := range s.Rejections() {
-					took = append(took, r.At-r.SentAt)
+					durations = append(durations, r.At-r.SentAt)
 				}
-				slices.Sort(took)
-				if mid := took[len(took)/2]; mid > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
-					s.t.Errorf("the median rejection took %v, or a request was served without a list", mid)
+				slices.Sort(durations)
+				if median := durations[len(durations)/2]; median > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
+					s.t.Errorf("the median rejection took %v, or a request was served without a list", median)
 				}
 				s.setListFaults(ListWell)
 			}},
@@ -245,13 +245,13 @@
 				defer s.mu.Unlock()
 				for i := range s.opt.Daemons {
 					name := fmt.Sprint("n", i)
-					at := s.listCalls[name]
-					if slot := coldstart.Slot(spread, "list", name); at[0]-s.launchedAt[i] < slot {
-						s.t.Errorf("%s requested the list %v after its start, before its slot at %v", name, at[0]-s.launchedAt[i], slot)
+					calls := s.listCalls[name]
+					if slot := coldstart.Slot(spread, "list", name); calls[0]-s.launchedAt[i] < slot {
+						s.t.Errorf("%s requested the list %v after its start, before its slot at %v", name, calls[0]-s.launchedAt[i], slot)
 					}
-					for k := 1; k < len(at); k++ {
-						if least := min(spread<<(k-1), 6*time.Second) / 2; at[k]-at[k-1] < least {
-							s.t.Errorf("%s requested the list again after %v, less than %v", name, at[k]-at[k-1], least)
+					for k := 1; k < len(calls); k++ {
+						if minBackoff := min(spread<<(k-1), 6*time.Second) / 2; calls[k]-calls[k-1] < minBackoff {
+							s.t.Errorf("%s requested the list again after %v, less than %v", name, calls[k]-calls[k-1], minBackoff)
 						}
 					}
 				}
@@ -286,7 +286,7 @@
 				}
 				s.launchDaemons(0, 2)
 				s.waitEach("it listens", s.listens)
-				s.waitServed(serveCount)
+				s.waitServed(minServed)
 				s.setListFaults(ListWell)
 				s.mu.Lock()
 				defer s.mu.Unlock()
@@ -304,7 +304,7 @@
 			}
 		}, run: func(s *startupFixture) {
 			s.waitEach("a connection to a cold node is pending", func(i int) bool { return s.StorageLink(i, 0).Waiting()+s.StorageLink(i, 2).Waiting() > 0 })
-			s.waitServed(serveCount)
+			s.waitServed(minServed)
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
 					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{}))
@@ -313,13 +313,13 @@
 			s.waitUntil("a cold node serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
 		}},
 		{fault: "a node accepts connections and answers nothing", expected: "ready, with connections opened in advance to the other nodes all the same", opt: Options{Known: true},
-			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, ahead: true, before: func(s *startupFixture) { s.must(s.Break(1, node.Hang)) },
+			snapshot: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, noTraffic: true, before: func(s *startupFixture) { s.must(s.Break(1, node.Hang)) },
 			run: func(s *startupFixture) {
 				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
 				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 			}},
 		{fault: "nodes restarted after the snapshot was made", expected: "connections opened in advance only to the other nodes; nothing learned of the restarted ones is used",
-			snap: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 0, 2, 1, 3)) }, ahead: true, run: func(s *startupFixture) {
+			snapshot: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 0, 2, 1, 3)) }, noTraffic: true, run: func(s *startupFixture) {
 				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
 				slotsPassed := 0 // pairs with restarted nodes whose slot came before the last opened connection
 				for i := range s.opt.Daemons {
@@ -340,8 +340,8 @@
 				}
 			}},
 		{fault: "snapshot truncated, foreign or old", expected: "one log line with an error code each; the start proceeds as without a snapshot", opt: Options{Known: true},
-			snap: func(f *Fleet, i int) []byte { return unusableSnapshots[i].text(f) }, run: func(s *startupFixture) {
-				s.waitServed(serveCount)
+			snapshot: func(f *Fleet, i int) []byte { return unusableSnapshots[i].text(f) }, run: func(s *startupFixture) {
+				s.waitServed(minServed)
 				for i := range s.opt.Daemons {
 					if n := strings.Count(s.Proc(i).Log(), "code=snapshot-"); n != 1 || !strings.Contains(s.Proc(i).Log(), "code=snapshot-"+unusableSnapshots[i].why) {
 						s.t.Errorf("%s: %d log lines with a snapshot error code", unusableSnapshots[i].why, n)
@@ -352,23 +352,23 @@
 			run: func(s *startupFixture) {
 				stop := s.startOverload()
 				s.waitFailedListCalls(2)
-				s.waitServed(serveCount)
+				s.waitServed(minServed)
 				s.setListFaults(ListWell)
-				s.waitServed(serveCount)
+				s.waitServed(minServed)
 				stop()
-				if worst := s.checkNodeLoad(); worst < 0.3 {
-					s.t.Errorf("cold nodes got at most %.2f of their capacity, too little to test their limit", worst)
+				if maxShare := s.checkNodeLoad(); maxShare < 0.3 {
+					s.t.Errorf("cold nodes got at most %.2f of their capacity, too little to test their limit", maxShare)
 				}
 			}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			s := newStartupFixture(t, x.opt, x.start, x.snap, false)
+			s := newStartupFixture(t, x.opt, x.start, x.snapshot, false)
 			s.restartNodes(0, 2)
 			if x.before != nil {
 				x.before(s)
 			}
 			s.launchDaemons(s.allDaemons()...)
-			if !x.ahead {
+			if !x.noTraffic {
 				s.startTraffic()
 			}
 			x.run(s)
@@ -416,9 +416,9 @@
 			s.waitMetric("peers_unusable_snapshots", func(_ int, v float64) bool { return v >= x.unusable })
 			s.waitMetric("peers_taken_snapshots", func(_ int, v float64) bool { return v == x.taken })
 			stop := s.startOverload()
-			s.waitServed(serveCount)
+			s.waitServed(minServed)
 			s.setListFaults(ListWell)
-			s.waitServed(2 * serveCount)
+			s.waitServed(2 * minServed)
 			stop()
 			s.finishAndAudit()
 			t.Log(x.expected)
@@ -442,7 +442,7 @@
 	if n := s.metric(2, "peers_given_snapshots"); n != 1 {
 		t.Errorf("daemon 2 has sent %v snapshots", n)
 	}
-	s.waitServed(serveCount, 1)
+	s.waitServed(minServed, 1)
 	s.must(s.Continue(1))
 	s.finishAndAudit()
 }
@@ -453,7 +453,7 @@
 	if s.stopTraffic == nil {
 		s.startTraffic()
 	}
-	s.waitServed(serveCount)
+	s.waitServed(minServed)
 	s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 	s.stopAndAudit()
 	s.checkNodeLoad()
--- a/internal/testkit/cluster/traffic.go
+++ b/internal/testkit/cluster/traffic.go
@@ -201,7 +201,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{}, f.opt.Daemons*l.Clients)
 	for scheduler := range f.opt.Daemons {
-		for client := range l.Clients {
+		for clientIndex := range l.Clients {
 			f.background.Add(1)
 			go func() {
 				defer f.background.Done()
@@ -212,7 +212,7 @@
 					if l.Skip != nil && l.Skip(scheduler) {
 						conn.Close() // its process has exited
 					} else {
-						conn.Send(l.Request(scheduler, client, n))
+						conn.Send(l.Request(scheduler, clientIndex, n))
 						if l.NewConnPerRequest {
 							conn.Close()
 						}
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -61,7 +61,7 @@
 	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
 	r.active = r.Proc(0)
 	r.startTraffic()
-	r.waitServed(serveCount)
+	r.waitServed(minServed)
 	r.callAdmin(r.active, "PUT", "/api/exclude?who=s0")
 	excludedFrom := r.Fleet.now() + r.Rules().Grace + auditSlack
 	r.waitUntil("the exclusion applies", func() bool { return r.Fleet.now() > excludedFrom })
@@ -69,10 +69,10 @@
 		next, err := r.StartReplacement(0, func(p *Proc) { p.daemon = daemon })
 		r.must(err)
 		r.must(r.Wait(r.ctx, next.Name+" is ready", next.Ready))
-		r.waitServed(serveCount)
+		r.waitServed(minServed)
 		r.must(r.active.Signal(syscall.SIGTERM))
 		r.must(r.active.End(r.ctx))
-		r.waitServed(serveCount)
+		r.waitServed(minServed)
 		r.callAdmin(next, "GET", "/api/ready")
 		r.active = next
 	}
@@ -120,7 +120,7 @@
 			if n := s.metric(x.giving, "peers_given_snapshots"); n != 1 {
 				t.Errorf("daemon %d handed over %v snapshots", x.giving, n)
 			}
-			s.waitServed(serveCount, third)
+			s.waitServed(minServed, third)
 			s.must(s.Continue(third))
 			s.finishAndAudit()
 		})
@@ -150,11 +150,11 @@
 	w.setPeerFault(link.Fault{Cut: true}, across...)
 	w.waitPeerFault(func(c link.Counts) int { return c.Cut }, across...)
 	w.waitMetric("peers_members", func(i int, v float64) bool { return i == older && v == 1 || i != older && v == 2 })
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 	w.setPeerFault(link.Fault{}, across...)
 	w.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
 	s := w.newTestPeer("s", w.allDaemons()...)
-	w.waitServed(serveCount)
+	w.waitServed(minServed)
 	w.stopAndConverge(s)
 	for i := range w.opt.Daemons {
 		basis := w.estimate(i, "s0").Get("rests_on")
@@ -168,7 +168,7 @@
 // is cut in the middle of an answer: the read is complete, and each peer whose link holds gathers a group.
 func TestGatherGroupsBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
-	const shards, rows, patience = 12, 500, 8 * time.Second
+	const shards, rows, deadline = 12, 500, 8 * time.Second
 	for _, x := range []struct {
 		name     string
 		previous []int // daemons of the previous version; daemon 3 is the coordinator
@@ -182,18 +182,18 @@
 				for _, i := range x.previous {
 					g.restartAs(i, previous)
 					g.must(g.Wait(g.ctx, fmt.Sprint("daemon ", i, " gathers from all shards"), func() error {
-						if r := g.readAt(i, "read", defaultPlan, patience); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
+						if r := g.readAt(i, "read", defaultPlan, deadline); r.err != nil || !r.result.Get("whole").Bool() || !g.sawAllShards(shards) {
 							return fmt.Errorf("%w, code %d, %d rows, %s", r.err, r.code, len(r.rows), r.result.Raw)
 						}
 						return nil
 					}))
 				}
-				g.checkComplete("a read", g.read("read", defaultPlan, patience), patience)
+				g.checkComplete("a read", g.read("read", defaultPlan, deadline), deadline)
 				if n := g.countParts(true); n != shards*3/4 || g.countParts(false) != shards/4 {
 					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
 				}
 				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
-				g.checkComplete("a read over a cut link", g.read("read", defaultPlan, patience), patience)
+				g.checkComplete("a read over a cut link", g.read("read", defaultPlan, deadline), deadline)
 				if g.delegationLinks[0].Counts(link.Backward).Reset == 0 {
 					t.Error("the link was not cut")
 				}
