--- a/internal/testkit/cluster/proc.go
+++ b/internal/testkit/cluster/proc.go
@@ -68,7 +68,7 @@
 var ports struct {
 	sync.Mutex
 	blocks []int
-	names  []net.Listener
+	locks  []net.Listener
 	next   int
 }
 
@@ -78,7 +78,7 @@
 	for k := range blockCount {
 		block := (os.Getpid()*61 + len(ports.blocks) + k) % blockCount // programs start their search at different blocks
 		if ln, err := net.Listen("unix", fmt.Sprintf("@wheatsaddle-ports-%d", block)); err == nil {
-			ports.blocks, ports.names = append(ports.blocks, block), append(ports.names, ln)
+			ports.blocks, ports.locks = append(ports.blocks, block), append(ports.locks, ln)
 			return true
 		}
 	}
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -137,7 +137,7 @@
 }
 
 // Processes of both versions share the observations from which plan costs are estimated, also after a link between them was
-// cut under load: then all hold the same state, and each estimates a node from observations of all three.
+// cut under load. Afterwards all have the same state, and each estimates a node from observations of all three.
 func TestPlanCostsBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
 	w := &gossipFixture{}
@@ -165,7 +165,7 @@
 }
 
 // The coordinator of a gathered read and its peers are of different versions, in both directions, and one link between them
-// is cut in the middle of an answer: the read is complete, and each peer whose link holds gathers a group.
+// is cut in the middle of an answer. The read must be complete, and each peer with an intact link gathers a group.
 func TestGatherGroupsBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
 	const shards, rows, deadline = 12, 500, 8 * time.Second
