--- a/gather/duplicates.go
+++ b/gather/duplicates.go
@@ -26,7 +26,7 @@
 	row, key, version []byte // key: sort key by the whole order
 	rank              int32  // the first part with the row, and its position among that part's rows of the key
 	occurrence        uint32
-	parts             []uint64 // the parts with this row (agree), or with any row that it was chosen from
+	parts             []uint64 // bit set, by rank, of the parts with this row (agree), or with any row that it was chosen from
 	conflict          bool     // the rows differed
 }
 
@@ -193,7 +193,7 @@
 	return n
 }
 
-// chooseRow returns the group's row; ok is false if too few parts agree.
+// chooseRow returns the group's row; agreed is false if too few parts agree.
 func (m *Merge) chooseRow() (row []byte, agreed bool) {
 	g := &m.group
 	best, first := &g.candidates[0], &g.candidates[0]
--- a/gather/errors.go
+++ b/gather/errors.go
@@ -19,7 +19,8 @@
 	return "correct the key that the error names; docs/gather.md has each key with an example"
 }
 
-// PartsBad is the error for a list of parts that cannot be merged: it is empty, names a part twice, or needs too much memory.
+// PartsBad is the error for a list of parts that cannot be merged, because it is empty, names a part twice or needs too much
+// memory, and for a part that is not in the list.
 type PartsBad struct{ Part, Why string }
 
 func (e *PartsBad) Error() string { return fmt.Sprintf("gather: part %q: %s", e.Part, e.Why) }
@@ -48,7 +49,8 @@
 	return "send fewer copies of a part, or raise copies in the rules"
 }
 
-// Full is the error for a piece without room. None of it was accepted, and it may be added again after Next.
+// Full is the error for a piece that is larger than the part's free memory. None of it was accepted, and it may be added again
+// after Next.
 type Full struct {
 	Part          string
 	Offered, Room int // bytes
--- a/gather/merge.go
+++ b/gather/merge.go
@@ -54,8 +54,8 @@
 	lastCounted position // the last row that counted
 	offset      int      // rows still to be skipped
 
-	previousRows       int64 // rows of earlier pages
-	consumed           int64
+	previousRows       int64 // consumed on earlier pages
+	consumed           int64 // rows and groups of this page that were returned, skipped by the offset or withheld
 	rows               int64
 	bytes              int64
 	tooManyLost        bool // too many parts are lost; the merge ends with the group
@@ -82,9 +82,9 @@
 }
 
 type loss struct {
-	rank      int32
-	truncated bool // some rows arrived
-	unsorted  bool // it was not sorted
+	rank      int32 // of the lost part; -1: all parts of the stream that are not lost yet
+	truncated bool  // some rows arrived
+	unsorted  bool  // it was not sorted
 	err       error
 }
 
@@ -205,7 +205,7 @@
 // Add adds the next bytes of a copy of a part, in pieces of any size. A copy begins at the part's start. Bytes that
 // another copy has already brought are compared and not added again. Numbers of copies begin at 0 or 1 and grow. The
 // errors are *Full (nothing was accepted), *Diverged (the copy is ignored from then on), *CopiesOver and *PartsBad.
-// After the end of the merge or of the part Add ignores the data.
+// After the end of the merge or a Drop of the part Add ignores the data; for a complete part it only compares the data.
 func (m *Merge) Add(part string, copy int, data []byte) error {
 	i, err := m.streamIndex(part)
 	if err != nil {
@@ -284,7 +284,7 @@
 	return err
 }
 
-// recordConflict records that the data of a part is in conflict. The first reason is kept.
+// recordConflict records that a part is in conflict with itself. The first reason is kept.
 func (m *Merge) recordConflict(rank int32, why error) {
 	if _, known := m.selfConflicts[rank]; !known {
 		m.selfConflicts[rank] = why
@@ -300,7 +300,7 @@
 	}
 }
 
-// fillHead sets a stream's head to its next record, or to its end or loss.
+// fillHead sets a stream's head to its next record. Without one the head becomes the end or the loss of the stream, or pending.
 func (m *Merge) fillHead(i int) {
 	s, h := m.streams[i], &m.heads[i]
 	for {
@@ -407,7 +407,7 @@
 	eventGroup // m.group is the next group
 )
 
-// step returns the next event of the order, as far as no part can precede it.
+// step returns the next event in the order, or eventStalled while a part may still precede it.
 func (m *Merge) step() event {
 	for {
 		if m.pending >= 0 {
@@ -428,7 +428,7 @@
 		case headEnd:
 			return eventEnd
 		case headLost:
-			if m.rules.grouped() && !m.group.open && len(h.key) > 0 { // all parts that were lost in one group are named
+			if m.rules.grouped() && !m.group.open && len(h.key) > 0 { // opens the group, so that all parts lost in it are named
 				m.group.begin(h.key)
 			}
 			m.pending = index
--- a/gather/result.go
+++ b/gather/result.go
@@ -182,7 +182,7 @@
 			continue
 		case m.done:
 			d = Demand{Part: s.part.ID, Stop: true}
-		case s.limited && d.Copy && !d.First: // the part is not needed beyond what it sent
+		case s.limited && d.Copy && !d.First: // what the part has sent is enough so far
 			continue
 		case m.rules.Truncate.Top > 0:
 			d.Rows = int(m.previousRows) + m.rules.Truncate.Offset + m.rules.Truncate.Top
--- a/gather/rules.go
+++ b/gather/rules.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, &RulesBad{prefix + "(text)", err.Error()}
 	}
-	// Other versions of the collation tables sort differently.
+	// The hash includes the versions of the collation tables, as other versions sort differently.
 	sum := sha256.Sum256(append(text, "gather 1 "+collate.CLDRVersion+" "+collate.UnicodeVersion...))
 	copy(r.hash[:], sum[:])
 	return r, nil
--- a/internal/httpfront/addresspool.go
+++ b/internal/httpfront/addresspool.go
@@ -192,7 +192,7 @@
 	p.removeRequest(request)
 	if m.rejected != nil {
 		if m.event.Verdict == address.VerdictWrongNode || p.selector.MayBeWrongNode(p.selector.Now(), t.id) {
-			m.rejected.Status = policy.Abandoned // another node rejected it, so it has not run, and this node need not be full
+			m.rejected.Status = policy.Abandoned // another node rejected it, or may have: it has not run, and does not show that this node is full
 		}
 		go request.attempt.Done(*m.rejected)
 	}
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -61,7 +61,7 @@
 	capacityUnknown   capacityHint = iota
 	capacityFree                   // its first request was answered
 	capacityUncertain              // its dial timed out, or it ended without a response
-	capacityNone                   // the node refused the connection or rejected its first request
+	capacityNone                   // the node refused or closed the connection, or rejected its first request and closes it
 )
 
 // cancel cancels the attempt that the connection carries. The connection is closed and not reused.
--- a/internal/httpfront/gathered.go
+++ b/internal/httpfront/gathered.go
@@ -27,7 +27,7 @@
 	hdrResult  = "X-Gather-Result"
 )
 
-const maxShardsText = 8 << 10 // bytes of a shard list, and number of shards in it
+const maxShardsText = 8 << 10 // limits both the bytes of a shard list and the number of shards in it
 
 var (
 	errClientClosed = errors.New("gathered read: client disconnected")
--- a/internal/httpfront/node.go
+++ b/internal/httpfront/node.go
@@ -124,7 +124,7 @@
 			at, ok = next, true
 		}
 	}
-	if wait, waits := n.waiting.Next(time.Since(n.started), n.slowDial()); waits {
+	if wait, waits := n.waiting.Next(time.Since(n.started), n.secondDialDelay()); waits {
 		if next := n.started.Add(wait); !ok || next.Before(at) {
 			at, ok = next, true
 		}
@@ -223,7 +223,7 @@
 	for a, ok := n.waiting.PopExpired(now); ok; a, ok = n.waiting.PopExpired(now) {
 		sync.Go(func() { a.Done(core.Result{Status: policy.ConnectFailed}) })
 	}
-	for range n.waiting.ConnectsDue(now, len(n.busy), n.slowDial()) {
+	for range n.waiting.ConnectsDue(now, len(n.busy), n.secondDialDelay()) {
 		if n.openConn(now) {
 			continue
 		}
--- a/internal/httpfront/nodeconns.go
+++ b/internal/httpfront/nodeconns.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// slowDial returns how long a dial may take before a second one is started in parallel.
-func (n *node) slowDial() time.Duration {
+// secondDialDelay returns how long a dial may take before a second one is started in parallel.
+func (n *node) secondDialDelay() time.Duration {
 	return max(connqueue.MinLateConnectTime, connqueue.LateConnectFactor*n.dialer.dialEstimate.value(), n.dialer.FreeConnWait)
 }
 
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -22,9 +22,9 @@
 // the connection may be reused.
 type relay struct {
 	buffered  []byte
-	remaining io.Reader             // the node's body, decoded
-	client    net.Conn              // connection whose write deadline is extended for each piece; nil: none
-	finish    func(whole bool) bool // ends the read of the body and reports whether the connection may carry another request
+	remaining io.Reader                // the node's body, decoded
+	client    net.Conn                 // connection whose write deadline is extended for each piece; nil: none
+	finish    func(complete bool) bool // ends the read of the body and reports whether the connection may carry another request
 	closeOnce sync.Once
 	mu        sync.Mutex
 	closeConn func() // closes the node's connection; nil once the relay is closed
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -70,7 +70,8 @@
 }
 
 // bodyTimeout returns the read timeout of the first part of a body, which fasthttp reads before it calls the handler. Clients
-// may send as slowly as 64 kB per second. The handler then gives each further piece bodyReadTimeout.
+// may send as slowly as 64 kB per second. The head has readTimeout from its first byte, which is not part of this timeout. The
+// handler gives each further piece of the body bodyReadTimeout.
 func bodyTimeout(h *fasthttp.RequestHeader) time.Duration {
 	size := max(h.ContentLength(), 0)
 	if h.ContentLength() == -1 { // chunked
@@ -176,7 +177,7 @@
 	}
 }
 
-// countParsed notifies the connection how many of the bytes read from it belong to the request.
+// countParsed reports to the connection how many of the bytes read from it belong to the request.
 func countParsed(ctx *fasthttp.RequestCtx) {
 	c, ok := ctx.Conn().(*transport.Conn)
 	if !ok {
--- a/internal/scattergather/coordinator.go
+++ b/internal/scattergather/coordinator.go
@@ -49,22 +49,22 @@
 	DelegatedReads  int // reads with delegated parts
 	Groups          int // groups of these reads
 	Takeovers       int // attempts that took a group over from another peer
-	Rows            int // delivered by peers, by all attempts together
+	Rows            int // rows that peers delivered, by all attempts together
 	PeerAttempts    int // attempts sent to peers
 	Succeeded       int // attempts that completed their group first
 	Failed          int // attempts that failed, were truncated or invalid, lost parts, or were overtaken by another attempt
 	Rejected        int
-	LocalAttempts   int // attempts that this process made itself
+	LocalAttempts   int // attempts of groups that this process made itself
 	InvalidResults  int
 	BackoffsStarted int // times that a peer started to back off
-	Connections     int // connections now
+	Connections     int // connections to peers now, including dials
 }
 
 // DelegationCounters counts delegations. It outlives a Coordinator.
 type DelegationCounters struct {
 	mu     sync.Mutex
 	counts DelegationCounts
-	codes  map[string]int // of failed and rejected attempts
+	codes  map[string]int // number of failed and rejected attempts by error code
 }
 
 func (c *DelegationCounters) update(f func(*DelegationCounts)) {
@@ -373,7 +373,7 @@
 		shards[p.ID] = p.Shard
 	}
 	allRejected, retryAfter := final.Kind == EndedEarly && final.Result.Rows == 0 && errors.As(final.Result.Err, new(*gather.Incomplete)), time.Duration(0)
-	if allRejected { // the attempts of this process are cancelled or have ended; they know the Retry-After
+	if allRejected { // the attempts of this process are cancelled or have ended, and record their Retry-After before they return
 		s.localAttempts.Wait()
 	}
 	for i := range final.Result.Parts {
@@ -396,7 +396,8 @@
 	return final
 }
 
-// requestPeer requests a group from a peer and relays its partial result. wait is the peer's Retry-After if it rejected the request.
+// requestPeer requests a group from a peer and relays its partial result. wait is the peer's Retry-After if it rejected the request,
+// and a millisecond if no connection slot of the peer is free.
 func (s *groupSender) requestPeer(ctx context.Context, g *Group, attempt Attempt, until time.Time, to *Sink) (wait time.Duration, err error) {
 	coordinator := s.coordinator
 	failed := func(cause string) error { return &PeerFailed{g.ID, attempt.Peer, cause} }
@@ -460,7 +461,7 @@
 	return 0, s.relay(g, attempt, res.BodyStream(), to)
 }
 
-// parseRetryAfter parses a number of seconds.
+// parseRetryAfter parses a number of seconds. It returns defaultRetryAfter unless the number is positive and less than a day.
 func parseRetryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(s > 0 && s < 86400) {
--- a/internal/scattergather/coordinator_test.go
+++ b/internal/scattergather/coordinator_test.go
@@ -380,7 +380,7 @@
 }
 
 func TestCoordinatorRejectsInvalidOptions(t *testing.T) {
-	good := CoordinatorOptions{MaxConnsPerPeer: 1, MaxGroupBytes: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: treeRules(0)}
+	good := CoordinatorOptions{MaxConnsPerPeer: 1, MaxGroupBytes: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: testDelegationRules(0)}
 	for _, bad := range []func(*CoordinatorOptions){func(o *CoordinatorOptions) { o.MaxConnsPerPeer = 0 }, func(o *CoordinatorOptions) { o.MaxGroupBytes = 0 }, func(o *CoordinatorOptions) { o.Peers = nil }} {
 		o := good
 		bad(&o)
--- a/internal/scattergather/gather.go
+++ b/internal/scattergather/gather.go
@@ -152,8 +152,8 @@
 	maxRows            int  // row limit of a partial result; 0: none
 	partialRows        int  // rows of the partial result so far
 	fault              fault
-	treeRules          DelegationRules
-	treeFault          treeFault
+	delegationRules    DelegationRules
+	delegationFault    delegationFault
 }
 
 // New starts a gathered read whose client waits for timeout. Its errors are *InvalidRules and those of gather.New.
@@ -239,10 +239,10 @@
 		return
 	}
 	var rejection *Rejection
-	if errors.As(err, &rejection) { // some nodes may have been tried: after their failure a request of an idempotent class is rejected too
+	if errors.As(err, &rejection) { // nodes may have received it: a request of an idempotent class is also rejected if its attempts on nodes failed
 		p.failedAttempts = append(p.failedAttempts, number)
 		wait := rejection.RetryAfter
-		if g.rowsSent && p.uncountedRejections < maxUncountedRejections { // not executed, and the client already has rows
+		if g.rowsSent && p.uncountedRejections < maxUncountedRejections { // not executed, and the client already has rows of a result that lacks this part
 			wait = max(wait, minRejectionBackoff<<min(p.uncountedRejections, maxBackoffDoublings))
 			if p.uncountedRejections++; raisesRowLimit {
 				p.rowLimitRaises--
--- a/internal/scattergather/group_test.go
+++ b/internal/scattergather/group_test.go
@@ -53,12 +53,12 @@
 	blocked      bool
 }
 
-// simulateTree drives a Gather with groups through a random simulation and returns the invariant that it broke.
-func simulateTree(t *rapid.T, injected treeFault) string {
+// simulateDelegation drives a Gather with groups through a random simulation and returns the invariant that it broke.
+func simulateDelegation(t *rapid.T, injected delegationFault) string {
 	const deadline, partsDeadline = 400 * ms, 300 * ms
 	parts := rapid.IntRange(4, 14).Draw(t, "parts")
 	rows := rapid.IntRange(0, 40).Draw(t, "rows")
-	rules := treeRules(rapid.IntRange(1, 4).Draw(t, "peers"))
+	rules := testDelegationRules(rapid.IntRange(1, 4).Draw(t, "peers"))
 	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "copies")
 	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "atOnce"), Idempotent: true}
 	truncate := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	g.setGroups(rules, plan)
-	g.treeFault = injected
+	g.delegationFault = injected
 	stallAt := rapid.SampledFrom([]time.Duration{deadline, deadline, 0, 60 * ms}).Draw(t, "stall") // the client reads no more rows
 	byID := map[string]Group{}
 	completeResults := map[string][]byte{}
@@ -241,8 +241,8 @@
 	return shard
 }
 
-func TestGroupTakeoverInvariants(t *testing.T) { checkInvariants(t, simulateTree) }
+func TestGroupTakeoverInvariants(t *testing.T) { checkInvariants(t, simulateDelegation) }
 
 func TestGroupTakeoverInvariantsFindInjectedFaults(t *testing.T) {
-	checkFaultsAreFound(t, simulateTree, map[treeFault]string{treeFaultNoLocalAttempt: "T6", treeFaultIgnoreTimeShare: "T6", treeFaultThirdAttempt: "T7", treeFaultIgnoreSilence: "T7", treeFaultIgnoreLostParts: "T6"})
+	checkFaultsAreFound(t, simulateDelegation, map[delegationFault]string{delegationFaultNoLocalAttempt: "T6", delegationFaultIgnoreTimeShare: "T6", delegationFaultThirdAttempt: "T7", delegationFaultIgnoreSilence: "T7", delegationFaultIgnoreLostParts: "T6"})
 }
--- a/internal/scattergather/peer_table.go
+++ b/internal/scattergather/peer_table.go
@@ -31,10 +31,10 @@
 //	    is treated as one that was there before, and one that returns keeps its backoff.
 
 const (
-	minGroupParts    = 2  // delegating a group of one part saves nothing
-	maxPeersPerGroup = 8  // peers used for one group
-	maxPeers         = 64 // of one process
-	backoffJitter    = 0.25
+	minGroupParts    = 2    // delegating a group of one part saves nothing
+	maxPeersPerGroup = 8    // peers used for one group
+	maxPeers         = 64   // of one process
+	backoffJitter    = 0.25 // a backoff is shortened by a random share up to this
 )
 
 // DelegationRules say how reads are delegated to peers.
@@ -112,44 +112,44 @@
 	peers         []*peerState // sorted by name
 	trials        int          // trials so far
 	livenessKnown bool         // the live peers are known
-	fault         treeFault
+	fault         delegationFault
 }
 
 type peerState struct {
 	name        string
-	failures    int           // since its last success
+	failures    int           // since its last successful trial
 	notBefore   time.Duration // end of its backoff or Retry-After
 	activeTrial int           // number of the trial in flight; 0: none
 	alive       bool          // meaningful if livenessKnown
 }
 
-type treeFault uint8 // a defect that a test injects to verify that its checks find it
+type delegationFault uint8 // a defect that a test injects to verify that its checks find it
 
 const (
-	treeFaultNone treeFault = iota
-	treeFaultLosePart
-	treeFaultDelegateNonIdempotent
-	treeFaultSamePeerFirst
-	treeFaultNoBackoff
-	treeFaultNoTrial
-	treeFaultIgnoreRetryAfter
-	treeFaultConstantBackoff
-	treeFaultNoLocalAttempt
-	treeFaultThirdAttempt
-	treeFaultIgnoreTimeShare
-	treeFaultIgnoreSilence
-	treeFaultIgnoreLostParts
-	treeFaultUnseededRandom
-	treeFaultUseDeadPeers
+	delegationFaultNone delegationFault = iota
+	delegationFaultLosePart
+	delegationFaultDelegateNonIdempotent
+	delegationFaultSamePeerFirst
+	delegationFaultNoBackoff
+	delegationFaultNoTrial
+	delegationFaultIgnoreRetryAfter
+	delegationFaultConstantBackoff
+	delegationFaultNoLocalAttempt
+	delegationFaultThirdAttempt
+	delegationFaultIgnoreTimeShare
+	delegationFaultIgnoreSilence
+	delegationFaultIgnoreLostParts
+	delegationFaultUnseededRandom
+	delegationFaultUseDeadPeers
 )
 
 // NewPeerTable returns the peer table of a process. Its error is an *InvalidRules.
-func NewPeerTable(set DelegationRules, seed uint64) (*PeerTable, error) {
-	if err := set.Check(); err != nil {
+func NewPeerTable(rules DelegationRules, seed uint64) (*PeerTable, error) {
+	if err := rules.Check(); err != nil {
 		return nil, err
 	}
-	table := &PeerTable{rules: set, rng: rand.New(rand.NewPCG(seed, 0x7ee))}
-	for _, name := range slices.Sorted(slices.Values(set.Peers)) {
+	table := &PeerTable{rules: rules, rng: rand.New(rand.NewPCG(seed, 0x7ee))}
+	for _, name := range slices.Sorted(slices.Values(rules.Peers)) {
 		table.peers = append(table.peers, &peerState{name: name})
 	}
 	return table, nil
@@ -158,15 +158,15 @@
 // Split decides how a read is split. limited: its plan has a rate limit, of which each host of the volume has a share. ReadEnded has
 // to be called at the end of the read.
 func (t *PeerTable) Split(now time.Duration, parts []gather.Part, idempotent, limited bool) ReadPlan {
-	if t.fault != treeFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < t.rules.MinParts {
+	if t.fault != delegationFaultDelegateNonIdempotent && (!idempotent || limited) || len(parts) < t.rules.MinParts {
 		return ReadPlan{Local: parts}
 	}
 	var healthy, candidates []*peerState
 	for _, p := range t.peers {
 		switch {
-		case t.livenessKnown && !p.alive && t.fault != treeFaultUseDeadPeers: // not used
-		case now < p.notBefore && t.fault != treeFaultNoBackoff:
-		case p.failures == 0 || t.fault == treeFaultNoTrial:
+		case t.livenessKnown && !p.alive && t.fault != delegationFaultUseDeadPeers: // not used
+		case now < p.notBefore && t.fault != delegationFaultNoBackoff:
+		case p.failures == 0 || t.fault == delegationFaultNoTrial:
 			healthy = append(healthy, p)
 		case p.activeTrial == 0:
 			candidates = append(candidates, p) // due for its trial
@@ -174,7 +174,7 @@
 	}
 	shuffle := func(s []*peerState) {
 		draw := t.rng.Shuffle
-		if t.fault == treeFaultUnseededRandom { // injected fault: a random seed
+		if t.fault == delegationFaultUnseededRandom { // injected fault: a random seed
 			draw = rand.Shuffle
 		}
 		draw(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] })
@@ -209,7 +209,7 @@
 			t.trials++
 			g.Trial, first.activeTrial = t.trials, t.trials
 		}
-		if t.fault == treeFaultSamePeerFirst {
+		if t.fault == delegationFaultSamePeerFirst {
 			g.PeerOrder[0] = candidates[0].name
 		}
 		at := slices.Index(healthy, first) + 1 // the next healthy peers, so that a failure does not shift its load to a single peer
@@ -218,7 +218,7 @@
 				g.PeerOrder = append(g.PeerOrder, p.name)
 			}
 		}
-		if unassigned = unassigned[n:]; t.fault == treeFaultLosePart && i == 0 {
+		if unassigned = unassigned[n:]; t.fault == delegationFaultLosePart && i == 0 {
 			g.Parts = g.Parts[:n-1]
 		}
 		readPlan.Groups = append(readPlan.Groups, g)
@@ -275,19 +275,19 @@
 		if p.failures < 30 && t.rules.Backoff<<p.failures < backoff && t.rules.Backoff<<p.failures > 0 {
 			backoff = t.rules.Backoff << p.failures
 		}
-		if t.fault == treeFaultConstantBackoff {
+		if t.fault == delegationFaultConstantBackoff {
 			backoff = t.rules.Backoff
 		}
 		p.failures++
 		p.notBefore = max(p.notBefore, now+backoff-time.Duration(backoffJitter*t.rng.Float64()*float64(backoff)))
 	case OutcomeRejected:
-		if t.fault != treeFaultIgnoreRetryAfter {
+		if t.fault != delegationFaultIgnoreRetryAfter {
 			p.notBefore = max(p.notBefore, now+min(retryAfter, t.rules.MaxBackoff))
 		}
 	}
 }
 
-// failures returns the failures of a peer since its last success.
+// failures returns the failures of a peer since its last successful trial.
 func (t *PeerTable) failures(peer string) int {
 	if p := t.find(peer); p != nil {
 		return p.failures
--- a/internal/scattergather/peer_table_test.go
+++ b/internal/scattergather/peer_table_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-func treeRules(peers int) DelegationRules {
+func testDelegationRules(peers int) DelegationRules {
 	r := DelegationRules{MinParts: 4, MaxGroupParts: 6, FanOut: 4, MaxPeerAttempts: 2, SilenceTimeout: 40 * ms, Backoff: 100 * ms, MaxBackoff: 800 * ms}
 	for i := range peers {
 		r.Peers = append(r.Peers, fmt.Sprint("q", i))
@@ -36,8 +36,8 @@
 }
 
 // simulatePeerTable drives a peer table through random reads and returns the invariant that it broke.
-func simulatePeerTable(t *rapid.T, injected treeFault) string {
-	rules := treeRules(rapid.IntRange(1, 6).Draw(t, "peers"))
+func simulatePeerTable(t *rapid.T, injected delegationFault) string {
+	rules := testDelegationRules(rapid.IntRange(1, 6).Draw(t, "peers"))
 	rules.MaxGroupParts = rapid.IntRange(2, 8).Draw(t, "groupMost")
 	rules.FanOut = rapid.IntRange(1, 5).Draw(t, "fanOut")
 	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "copies")
@@ -168,13 +168,13 @@
 func TestPeerTableInvariants(t *testing.T) { checkInvariants(t, simulatePeerTable) }
 
 func TestPeerTableInvariantsFindInjectedFaults(t *testing.T) {
-	checkFaultsAreFound(t, simulatePeerTable, map[treeFault]string{treeFaultLosePart: "T1", treeFaultDelegateNonIdempotent: "T2", treeFaultSamePeerFirst: "T3", treeFaultNoBackoff: "T4", treeFaultIgnoreRetryAfter: "T4",
-		treeFaultConstantBackoff: "T4", treeFaultNoTrial: "T5", treeFaultUnseededRandom: "T8", treeFaultUseDeadPeers: "T9"})
+	checkFaultsAreFound(t, simulatePeerTable, map[delegationFault]string{delegationFaultLosePart: "T1", delegationFaultDelegateNonIdempotent: "T2", delegationFaultSamePeerFirst: "T3", delegationFaultNoBackoff: "T4", delegationFaultIgnoreRetryAfter: "T4",
+		delegationFaultConstantBackoff: "T4", delegationFaultNoTrial: "T5", delegationFaultUnseededRandom: "T8", delegationFaultUseDeadPeers: "T9"})
 }
 
 // Splits 24 parts among three peers and this process. A peer that fails backs off, has a trial, and is used normally after its success.
 func TestSplitByPeerStatus(t *testing.T) {
-	b, err := NewPeerTable(treeRules(3), 1)
+	b, err := NewPeerTable(testDelegationRules(3), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 	for _, bad := range []func(*DelegationRules){func(r *DelegationRules) { r.Peers = nil }, func(r *DelegationRules) { r.Peers[1] = "q0" }, func(r *DelegationRules) { r.MinParts = 3 },
 		func(r *DelegationRules) { r.MaxGroupParts = 1 }, func(r *DelegationRules) { r.FanOut = 0 }, func(r *DelegationRules) { r.MaxPeerAttempts = 9 }, func(r *DelegationRules) { r.SilenceTimeout = 0 },
 		func(r *DelegationRules) { r.MaxBackoff = 1 }} {
-		r := treeRules(3)
+		r := testDelegationRules(3)
 		bad(&r)
 		if _, err := NewPeerTable(r, 1); !errors.As(err, new(*InvalidRules)) {
 			t.Errorf("%+v: %v", r, err)
