--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -12,44 +12,44 @@
 	"wheatsaddle/internal/address"
 )
 
-// Fault is what an address does instead of serving.
+// Fault is how an address misbehaves.
 type Fault int32
 
 // The faults.
 const (
 	None        Fault = iota
-	Refused           // nobody listens; of a socket file, there is none
-	Hang              // it accepts and says nothing; nothing runs
-	Reset             // it accepts, and resets once a request has come; nothing runs
-	BacklogFull       // connects neither come up nor fail
-	Slow              // its answers come late
-	Half              // it runs the request and sends half of the answer
-	NoAnswer          // it runs the request and never answers
-	Other             // it leads to another node, which holds no shard that is asked for
-	StaleFile         // the file of a dead socket; of a port as Refused
-	NoSocket          // a plain file is in the socket's place; of a port as Refused
-	faults
+	Refused           // no listener; for a Unix socket, no file either
+	Hang              // accepts and never responds; nothing is executed
+	Reset             // accepts and resets once a request has been received; nothing is executed
+	BacklogFull       // connects neither succeed nor fail
+	Slow              // responses are delayed
+	Half              // executes the request and sends half of the response
+	NoAnswer          // executes the request and never responds
+	Other             // leads to another node that holds none of the requested shards
+	StaleFile         // a socket file without a listener; for a port the same as Refused
+	NoSocket          // a regular file in place of the socket; for a port the same as Refused
+	numFaults
 )
 
-var words = [faults]string{"none", "refused", "accepts and hangs", "accepts and resets", "backlog full", "slow",
+var faultTexts = [numFaults]string{"none", "refused", "accepts and hangs", "accepts and resets", "backlog full", "slow",
 	"half an answer", "answer never comes", "another node", "file without a listener", "path is no socket"}
 
 func (f Fault) String() string {
-	if f >= 0 && f < faults {
-		return words[f]
+	if f >= 0 && f < numFaults {
+		return faultTexts[f]
 	}
 	return fmt.Sprint("fault ", int32(f))
 }
 
-// Faults are all of them but None.
+// Faults returns all faults except None.
 func Faults() (all []Fault) {
-	for f := Refused; f < faults; f++ {
+	for f := Refused; f < numFaults; f++ {
 		all = append(all, f)
 	}
 	return all
 }
 
-// listens says whether connections are accepted under it.
+// listens reports whether connections are accepted under the fault.
 func (f Fault) listens() bool {
 	switch f {
 	case Refused, BacklogFull, StaleFile, NoSocket:
@@ -58,19 +58,19 @@
 	return true
 }
 
-// port is one address.
-type port struct {
+// listener is one address of a node.
+type listener struct {
 	n        *Node
-	at       address.Addr
-	now      atomic.Int32
+	addr     address.Addr
+	current  atomic.Int32
 	ln       net.Listener
-	full     *backlog
+	backlog  *backlog
 	accepted int // under n.mu
 }
 
-func (p *port) fault() Fault { return Fault(p.now.Load()) }
+func (p *listener) fault() Fault { return Fault(p.current.Load()) }
 
-func (p *port) serve(ln net.Listener) {
+func (p *listener) serve(ln net.Listener) {
 	if u, ok := ln.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(false)
 	}
@@ -86,14 +86,14 @@
 			p.n.mu.Lock()
 			p.accepted++
 			p.n.counts.Conns++
-			l := &link{port: p, nc: nc, done: make(chan struct{})}
-			full := p.n.closed || p.n.opt.Conns > 0 && len(p.n.conns) >= p.n.opt.Conns
+			l := &conn{listener: p, nc: nc, done: make(chan struct{})}
+			full := p.n.closed || p.n.options.Conns > 0 && len(p.n.conns) >= p.n.options.Conns
 			if !full {
 				p.n.conns[l] = true
 				p.n.wg.Add(1)
 			}
 			p.n.mu.Unlock()
-			p.n.saw(Connected)
+			p.n.notify(Connected)
 			if full {
 				nc.Close()
 				continue
@@ -103,17 +103,17 @@
 	}()
 }
 
-// shut stops listening and takes away what the address has in the file system.
-func (p *port) shut() error {
+// stop stops listening and removes the address's socket file.
+func (p *listener) stop() error {
 	if p.ln != nil {
 		p.ln.Close()
 		p.ln = nil
 	}
-	if p.full != nil {
-		p.full.close()
-		p.full = nil
+	if p.backlog != nil {
+		p.backlog.close()
+		p.backlog = nil
 	}
-	if path := p.at.Path(); path != "" {
+	if path := p.addr.Path(); path != "" {
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
@@ -121,27 +121,27 @@
 	return nil
 }
 
-// set puts a fault in place of the one before.
-func (p *port) set(f Fault) error {
-	was := p.fault()
-	p.now.Store(int32(f))
+// set replaces the fault.
+func (p *listener) set(f Fault) error {
+	previous := p.fault()
+	p.current.Store(int32(f))
 	if !f.listens() {
-		if err := p.shut(); err != nil {
+		if err := p.stop(); err != nil {
 			return err
 		}
-		p.end()
-	} else if !was.listens() {
-		if err := p.shut(); err != nil {
+		p.resetConns()
+	} else if !previous.listens() {
+		if err := p.stop(); err != nil {
 			return err
 		}
-		network, to := p.at.Dial()
+		network, to := p.addr.Dial()
 		ln, err := net.Listen(network, to)
 		if err != nil {
 			return err
 		}
 		p.serve(ln)
 	}
-	path := p.at.Path()
+	path := p.addr.Path()
 	switch {
 	case f == StaleFile && path != "":
 		ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -153,35 +153,34 @@
 	case f == NoSocket && path != "":
 		return os.WriteFile(path, nil, 0o600)
 	case f == BacklogFull:
-		b, err := fillBacklog(p.at)
-		p.full = b
+		b, err := fillBacklog(p.addr)
+		p.backlog = b
 		return err
 	}
 	return nil
 }
 
-// end resets the connections of the address.
-func (p *port) end() {
+// resetConns resets the connections of the address.
+func (p *listener) resetConns() {
 	p.n.mu.Lock()
 	defer p.n.mu.Unlock()
 	for l := range p.n.conns {
-		if l.port == p {
+		if l.listener == p {
 			l.reset()
 		}
 	}
 }
 
-// reset ends a connection so that its other side sees it broken: by RST, or for a socket file
-// by its end.
-func (l *link) reset() {
+// reset aborts a connection: by RST over TCP, by closing it on a Unix socket.
+func (l *conn) reset() {
 	if t, ok := l.nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	l.nc.Close()
 }
 
-// gone says whether the other side has ended the connection.
-func (l *link) gone() bool {
+// disconnected reports whether the peer has closed the connection.
+func (l *conn) disconnected() bool {
 	sc, ok := l.nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -190,24 +189,24 @@
 	if err != nil {
 		return true
 	}
-	gone := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = n == 0 && rerr == nil || rerr != nil && !errors.Is(rerr, syscall.EAGAIN)
+		closed = n == 0 && rerr == nil || rerr != nil && !errors.Is(rerr, syscall.EAGAIN)
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
 
-// backlog is a listening socket whose queue is full and which accepts nothing.
+// backlog is a listening socket whose accept queue is full and that accepts nothing.
 type backlog struct {
-	fd   int
-	held []net.Conn
+	fd    int
+	conns []net.Conn
 }
 
 const (
-	fillWait = 60 * time.Millisecond
-	fillMost = 16
+	backlogDialTimeout = 60 * time.Millisecond
+	maxBacklogConns    = 16
 )
 
 func fillBacklog(a address.Addr) (*backlog, error) {
@@ -242,19 +241,19 @@
 		return nil, os.NewSyscallError("listen", err)
 	}
 	network, text := a.Dial()
-	for range fillMost {
-		nc, err := net.DialTimeout(network, text, fillWait)
+	for range maxBacklogConns {
+		nc, err := net.DialTimeout(network, text, backlogDialTimeout)
 		if err != nil {
-			return b, nil //nolint:nilerr // the queue is full, as wanted
+			return b, nil //nolint:nilerr // the dial fails because the queue is full, as intended
 		}
-		b.held = append(b.held, nc)
+		b.conns = append(b.conns, nc)
 	}
 	b.close()
-	return nil, fmt.Errorf("%v: its backlog does not fill", a)
+	return nil, fmt.Errorf("fill backlog of %v: connections still succeed", a)
 }
 
 func (b *backlog) close() {
-	for _, nc := range b.held {
+	for _, nc := range b.conns {
 		nc.Close()
 	}
 	_ = syscall.Close(b.fd)
--- a/internal/testkit/fake/node/node.go
+++ b/internal/testkit/fake/node/node.go
@@ -1,11 +1,12 @@
-// Package node is a stand-in storage node: it speaks the platform's protocol on any number of
-// IPv4, IPv6 and socket-file addresses, counts what it ran by request id and by key, and plays
-// faults for each address, which may be switched while it runs.
+// Package node is a fake storage node. It speaks the platform's protocol on any number of IPv4, IPv6
+// and Unix socket addresses, counts executions by request ID and by idempotency key, and injects a
+// fault at each address that can be switched while the node runs.
 //
-// A request's shard, which the platform's nodes know by its id, is told in the query:
-// ?shard=3, -1 for a new object; of a part of a gathered read in IO-Info. Requests run in turn of arrival on Workers; what finds Queue
-// others waiting, comes while the node drains, or for another shard, is turned away with 503
-// and X-Not-Run. A repeat of a key is dropped for Memory: it is answered and does not run.
+// The platform's nodes know a request's shard by its ID. The fake reads it from the query (?shard=3, -1
+// for a new object), or from IO-Info for a part of a gathered read. Requests are executed in order of
+// arrival by Workers workers. A request that finds the queue full, arrives while the node drains, or is
+// for another shard is rejected with 503 and X-Not-Run. A request that repeats an idempotency key within
+// the deduplication window is answered but not executed.
 package node
 
 import (
@@ -26,63 +27,63 @@
 	"wheatsaddle/internal/address"
 )
 
-// Options make a node.
+// Options configure a node.
 type Options struct {
 	Name      string
 	Shard     int
-	Workers   int                                   // requests that run at once; 0: 8
-	Queue     int                                   // that wait; 0: 64
-	Service   func(*fasthttp.Request) time.Duration // how long a request runs; nil: no time
-	Memory    time.Duration                         // of keys; 0: 2.5 s
-	Slow      time.Duration                         // added by the fault Slow; 0: 400 ms
-	Answers   int                                   // on one connection, which then closes; 0: any number
-	Conns     int                                   // connections; 0: any number
-	Probes    bool                                  // /health/live and /stats
-	Identity  string                                // header in which it says its name; empty: it does not
-	Body      []byte                                // of an answer; nil: the request's id
-	Record    bool                                  // every attempt from its first byte on, for Attempts
-	Cold      *Cold                                 // what it bears after Chill; nil: as much as ever
-	Saw       func(Saw)                             // told as it happens, from the connections' goroutines; nil: nobody
-	TellShard bool                                  // answers end with shard=N, so that clients know where a new object was put
-	Rows      *Rows                                 // what the parts of gathered reads are answered with; nil: nothing else than other requests
+	Workers   int                                   // requests executed concurrently; 0: 8
+	Queue     int                                   // maximum number of waiting requests; 0: 64
+	Service   func(*fasthttp.Request) time.Duration // execution time of a request; nil: none
+	Memory    time.Duration                         // deduplication window of idempotency keys; 0: 2.5 s
+	Slow      time.Duration                         // delay added by the fault Slow; 0: 400 ms
+	Answers   int                                   // responses on one connection before it closes; 0: unlimited
+	Conns     int                                   // maximum number of connections; 0: unlimited
+	Probes    bool                                  // serve /health/live and /stats
+	Identity  string                                // response header with the node's name; empty: none
+	Body      []byte                                // of a response; nil: the request ID
+	Record    bool                                  // record every attempt from its first byte on, for Attempts
+	Cold      *Cold                                 // limits during slow start; nil: none
+	Saw       func(Saw)                             // called for each event from the connections' goroutines; nil: not called
+	TellShard bool                                  // responses end with shard=N, so that clients know where a new object was put
+	Rows      *Rows                                 // rows that parts of gathered reads return; nil: parts are answered like other requests
 }
 
-// Counts are what a node has seen.
+// Counts are a node's counters.
 type Counts struct {
 	Conns    int // accepted
-	Requests int // read whole
+	Requests int // received completely
 	Ran      int // executions
-	Repeats  int // dropped by their key
-	Turned   int // turned away without running
-	Gone     int // whose connection had ended before they ran
+	Repeats  int // requests answered without execution because of their key
+	Turned   int // rejected without execution
+	Gone     int // requests whose client disconnected before they were executed
 }
 
-// Node is a running stand-in.
+// Node is a running fake node.
 type Node struct {
-	opt      Options
-	mu       sync.Mutex
-	ports    map[address.Addr]*port
-	counts   Counts
-	conns    map[*link]bool
-	byID     map[string][]Arrival
-	byKey    map[string]int
-	memory   map[string]time.Time
-	waiting  int
-	draining bool
-	slots    chan struct{}
-	wg       sync.WaitGroup
-	closed   bool
-	done     chan struct{} // closed with it
-	turn     sync.Mutex    // held while a fall changes what listens
-	cold     cold
-	attempts []*Attempt
-
-	rows      []key // of its shard
+	options       Options
+	mu            sync.Mutex
+	listeners     map[address.Addr]*listener
+	counts        Counts
+	conns         map[*conn]bool
+	arrivals      map[string][]Arrival
+	keyExecutions map[string]int
+	executedKeys  map[string]time.Time
+	waiting       int
+	draining      bool
+	slots         chan struct{}
+	wg            sync.WaitGroup
+	closed        bool
+	done          chan struct{} // closed by Close
+	restartMu     sync.Mutex    // held while a crash or restart changes the listeners
+	slowStart     slowStartState
+	attempts      []*Attempt
+
+	rows      []key // of the node's shard
 	rowFault  atomic.Pointer[RowFault]
-	rowCounts map[string]RowCounts // by request id; "" is all
+	rowCounts map[string]RowCounts // by request ID; "" holds the total
 }
 
-// New makes a node that listens nowhere yet.
+// New creates a node that does not listen yet.
 func New(opt Options) *Node {
 	if opt.Workers == 0 {
 		opt.Workers = 8
@@ -96,16 +97,16 @@
 	if opt.Slow == 0 {
 		opt.Slow = 400 * time.Millisecond
 	}
-	n := &Node{opt: opt, ports: map[address.Addr]*port{}, conns: map[*link]bool{}, byID: map[string][]Arrival{}, byKey: map[string]int{},
-		memory: map[string]time.Time{}, slots: make(chan struct{}, opt.Workers), done: make(chan struct{}), rowCounts: map[string]RowCounts{}}
+	n := &Node{options: opt, listeners: map[address.Addr]*listener{}, conns: map[*conn]bool{}, arrivals: map[string][]Arrival{}, keyExecutions: map[string]int{},
+		executedKeys: map[string]time.Time{}, slots: make(chan struct{}, opt.Workers), done: make(chan struct{}), rowCounts: map[string]RowCounts{}}
 	if opt.Rows != nil {
 		n.rows = opt.Rows.keys(opt.Shard)
 	}
 	return n
 }
 
-// Listen opens one more address: host:port (port 0: any), or unix:PATH. It returns the address
-// as it is to be dialled.
+// Listen opens one more address: host:port (port 0 for any port) or unix:PATH. It returns the address
+// to dial.
 func (n *Node) Listen(text string) (address.Addr, error) {
 	a, err := address.ParseListen(text)
 	if err != nil {
@@ -122,55 +123,55 @@
 			return a, err
 		}
 	}
-	p := &port{n: n, at: a}
+	p := &listener{n: n, addr: a}
 	n.mu.Lock()
-	n.ports[a] = p
+	n.listeners[a] = p
 	n.mu.Unlock()
 	p.serve(ln)
 	return a, nil
 }
 
-// Set switches the fault of an address. Connections that stand are under it too; with one that
-// ends connections (Refused, Reset, StaleFile, NoSocket, BacklogFull) they are reset.
+// SetFault switches the fault of an address. It also applies to open connections: a fault that ends
+// connections (Refused, Reset, StaleFile, NotASocket, BacklogFull) resets them.
 func (n *Node) Set(a address.Addr, f Fault) error {
 	n.mu.Lock()
-	p := n.ports[a]
+	p := n.listeners[a]
 	n.mu.Unlock()
 	if p == nil {
-		return fmt.Errorf("%v: the node does not listen there", a)
+		return fmt.Errorf("set fault: the node does not listen on %v", a)
 	}
 	return p.set(f)
 }
 
-// Drain turns away what comes, or takes it again.
+// Drain switches draining on or off. A draining node rejects new requests.
 func (n *Node) Drain(on bool) {
 	n.mu.Lock()
 	n.draining = on
 	n.mu.Unlock()
 }
 
-// Counts are those so far.
+// Counts returns the counters so far.
 func (n *Node) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// Arrival is one time that a request came whole.
+// Arrival is one complete receipt of a request.
 type Arrival struct {
 	At  time.Time
 	By  address.Addr
-	Ran bool // it was executed, and neither dropped nor turned away
+	Ran bool // the request was executed, neither deduplicated nor rejected
 }
 
-// Arrivals are all of a request id.
+// Arrivals returns all arrivals of a request ID.
 func (n *Node) Arrivals(id string) []Arrival {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.byID[id])
+	return slices.Clone(n.arrivals[id])
 }
 
-// Ran is how often a request id was executed.
+// Executions returns how often a request ID was executed.
 func (n *Node) Ran(id string) (times int) {
 	for _, a := range n.Arrivals(id) {
 		if a.Ran {
@@ -180,27 +181,27 @@
 	return times
 }
 
-// RanKey is how often a key was executed.
+// KeyExecutions returns how often an idempotency key was executed.
 func (n *Node) RanKey(key string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.byKey[key]
+	return n.keyExecutions[key]
 }
 
-// Each calls f with all arrivals of each request id, in no order.
+// EachRequest calls f with all arrivals of each request ID, in no particular order.
 func (n *Node) Each(f func(id string, all []Arrival)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for id, all := range n.byID {
+	for id, all := range n.arrivals {
 		f(id, all)
 	}
 }
 
-// MostRuns is the most executions of any one id and of any one key.
+// MaxExecutions returns the highest number of executions of one request ID and of one key.
 func (n *Node) MostRuns() (id, key int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, all := range n.byID {
+	for _, all := range n.arrivals {
 		ran := 0
 		for _, a := range all {
 			if a.Ran {
@@ -209,72 +210,72 @@
 		}
 		id = max(id, ran)
 	}
-	for _, v := range n.byKey {
+	for _, v := range n.keyExecutions {
 		key = max(key, v)
 	}
 	return id, key
 }
 
-// Spread is the longest time from the first to the last arrival of one id.
+// LongestArrivalSpan returns the longest time from the first to the last arrival of one request ID.
 func (n *Node) Spread() (longest time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, all := range n.byID {
+	for _, all := range n.arrivals {
 		longest = max(longest, all[len(all)-1].At.Sub(all[0].At))
 	}
 	return longest
 }
 
-// Open is how many connections stand, by address.
+// OpenConns returns the number of open connections of an address.
 func (n *Node) Open(a address.Addr) (open int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.conns {
-		if l.port.at == a {
+		if l.listener.addr == a {
 			open++
 		}
 	}
 	return open
 }
 
-// Accepted is how many connections an address has accepted.
+// AcceptedConns returns how many connections an address has accepted.
 func (n *Node) Accepted(a address.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if p := n.ports[a]; p != nil {
+	if p := n.listeners[a]; p != nil {
 		return p.accepted
 	}
 	return 0
 }
 
-// Forget drops the counts by id and key and the memory of keys, as a restart would.
+// ResetState clears the counts by request ID and key and the deduplication window, as a restart would.
 func (n *Node) Forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.byID)
-	clear(n.byKey)
-	clear(n.memory)
+	clear(n.arrivals)
+	clear(n.keyExecutions)
+	clear(n.executedKeys)
 	n.counts = Counts{}
-	for _, p := range n.ports {
+	for _, p := range n.listeners {
 		p.accepted = 0
 	}
 }
 
-// Close ends the node and waits for its goroutines.
+// Close stops the node and waits for its goroutines.
 func (n *Node) Close() {
-	n.turn.Lock()
+	n.restartMu.Lock()
 	n.mu.Lock()
 	if !n.closed {
 		close(n.done)
 	}
 	n.closed = true
-	ports := n.ports
-	n.ports = map[address.Addr]*port{}
+	ports := n.listeners
+	n.listeners = map[address.Addr]*listener{}
 	n.mu.Unlock()
-	n.turn.Unlock()
+	n.restartMu.Unlock()
 	var errs []error
 	for _, p := range ports {
-		errs = append(errs, p.shut())
+		errs = append(errs, p.stop())
 	}
 	n.mu.Lock()
 	for l := range n.conns {
@@ -282,20 +283,20 @@
 	}
 	n.mu.Unlock()
 	if err := errors.Join(errs...); err != nil {
-		panic(err) // a stand-in that cannot end would spoil the next test
+		panic(err) // a fake that cannot be closed would break the next test
 	}
 	n.wg.Wait()
 }
 
-// link is one accepted connection.
-type link struct {
-	port *port
-	nc   net.Conn
-	done chan struct{}
-	rec  *recorder // nil: nothing is recorded
+// conn is one accepted connection.
+type conn struct {
+	listener *listener
+	nc       net.Conn
+	done     chan struct{}
+	recorder *recorder // nil: recording is off
 }
 
-func (n *Node) serve(l *link) {
+func (n *Node) serve(l *conn) {
 	defer n.wg.Done()
 	defer func() {
 		close(l.done)
@@ -305,36 +306,36 @@
 		n.mu.Unlock()
 	}()
 	br := bufio.NewReaderSize(l.nc, 16<<10)
-	if n.opt.Record {
-		l.rec = &recorder{n: n, nc: l.nc}
-		br.Reset(l.rec)
-	}
-	defer l.rec.end()
-	for answers := 1; ; answers++ {
-		q := &fasthttp.Request{}
-		if l.port.fault() == Hang {
-			l.rest()
+	if n.options.Record {
+		l.recorder = &recorder{n: n, nc: l.nc}
+		br.Reset(l.recorder)
+	}
+	defer l.recorder.end()
+	for responses := 1; ; responses++ {
+		request := &fasthttp.Request{}
+		if l.listener.fault() == Hang {
+			l.holdOpen()
 			return
 		}
-		if l.rec != nil && l.rec.begin(br) != nil {
+		if l.recorder != nil && l.recorder.begin(br) != nil {
 			return
 		}
-		err := q.Read(br)
-		if l.rec != nil {
-			l.rec.came(q, err, l)
+		err := request.Read(br)
+		if l.recorder != nil {
+			l.recorder.requestRead(request, err, l)
 		}
 		if err != nil {
 			return
 		}
-		if !n.one(l, q, n.opt.Answers > 0 && answers >= n.opt.Answers) {
+		if !n.handleRequest(l, request, n.options.Answers > 0 && responses >= n.options.Answers) {
 			return
 		}
 	}
 }
 
-// rest keeps a connection open and says nothing until it ends or the fault does.
-func (l *link) rest() {
-	for l.port.fault() == Hang || l.port.fault() == NoAnswer || l.port.fault() == Half {
+// holdOpen keeps a connection open without responding until the connection or the fault ends.
+func (l *conn) holdOpen() {
+	for l.listener.fault() == Hang || l.listener.fault() == NoAnswer || l.listener.fault() == Half {
 		if err := l.nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 			return
 		}
@@ -345,91 +346,91 @@
 	}
 }
 
-// one takes a whole request; false: the connection ends.
-func (n *Node) one(l *link, q *fasthttp.Request, last bool) bool {
+// handleRequest handles a complete request. It returns false if the connection ends.
+func (n *Node) handleRequest(l *conn, request *fasthttp.Request, last bool) bool {
 	n.mu.Lock()
 	n.counts.Requests++
 	n.mu.Unlock()
-	f := l.port.fault()
-	switch f {
+	fault := l.listener.fault()
+	switch fault {
 	case Hang:
-		l.rest()
+		l.holdOpen()
 		return false
 	case Reset:
 		l.reset()
 		return false
 	}
-	if path := string(q.URI().Path()); path == "/health/live" || path == "/stats" {
+	if path := string(request.URI().Path()); path == "/health/live" || path == "/stats" {
 		code := fasthttp.StatusNotFound
-		if n.opt.Probes {
+		if n.options.Probes {
 			code = fasthttp.StatusOK
 		}
-		return l.answer(code, nil, last, "")
+		return l.respond(code, nil, last, "")
 	}
-	id, key := string(q.Header.Peek("X-Request-Id")), string(q.Header.Peek("Idempotency-Key"))
+	id, key := string(request.Header.Peek("X-Request-Id")), string(request.Header.Peek("Idempotency-Key"))
 	if id == "" {
-		return l.answer(fasthttp.StatusNotFound, nil, last, "")
+		return l.respond(fasthttp.StatusNotFound, nil, last, "")
 	}
 	n.mu.Lock()
-	n.byID[id] = append(n.byID[id], Arrival{At: time.Now(), By: l.port.at})
+	n.arrivals[id] = append(n.arrivals[id], Arrival{At: time.Now(), By: l.listener.addr})
 	n.mu.Unlock()
-	n.saw(Asked)
-	if n.opt.Cold != nil && n.ask(Units(q)) {
-		n.wg.Go(n.fall)
+	n.notify(Asked)
+	if n.options.Cold != nil && n.countLoad(Units(request)) {
+		n.wg.Go(n.crash)
 		return false
 	}
-	if code, away := n.admit(q, f); code != 0 {
+	if code, rejected := n.admit(request, fault); code != 0 {
 		n.mu.Lock()
-		if away {
+		if rejected {
 			n.counts.Turned++
 		}
 		n.mu.Unlock()
-		return l.answer(code, nil, last, l.name(f))
+		return l.respond(code, nil, last, l.reportedName(fault))
 	}
 	n.slots <- struct{}{}
 	n.mu.Lock()
 	n.waiting--
 	n.mu.Unlock()
-	alive := n.run(l, q, id, key)
+	connected := n.run(l, request, id, key)
 	<-n.slots
-	if !alive {
+	if !connected {
 		return false
 	}
-	switch f = l.port.fault(); f {
+	switch fault = l.listener.fault(); fault {
 	case NoAnswer:
-		l.rest()
+		l.holdOpen()
 		return false
 	case Half:
-		l.half()
-		l.rest()
+		l.respondHalf()
+		l.holdOpen()
 		return false
 	case Slow:
-		time.Sleep(n.opt.Slow)
+		time.Sleep(n.options.Slow)
 	}
-	if most, is := asksRows(q); is && n.opt.Rows != nil {
-		return l.rows(id, most, last, l.name(f))
+	if maxRows, isPart := requestedRows(request); isPart && n.options.Rows != nil {
+		return l.sendRows(id, maxRows, last, l.reportedName(fault))
 	}
-	body := n.opt.Body
+	body := n.options.Body
 	if body == nil {
 		body = []byte(id)
 	}
-	if n.opt.TellShard {
-		body = fmt.Appendf(slices.Clip(body), " shard=%d", n.opt.Shard)
+	if n.options.TellShard {
+		body = fmt.Appendf(slices.Clip(body), " shard=%d", n.options.Shard)
 	}
-	return l.answer(fasthttp.StatusOK, body, last, l.name(f))
+	return l.respond(fasthttp.StatusOK, body, last, l.reportedName(fault))
 }
 
-// name is what the node says that it is called.
-func (l *link) name(f Fault) string {
+// reportedName returns the name that the node reports in its responses.
+func (l *conn) reportedName(f Fault) string {
 	if f == Other {
 		return "other"
 	}
-	return l.port.n.opt.Name
+	return l.listener.n.options.Name
 }
 
-// Units is a request's work, as its IO-Info has it.
-func Units(q *fasthttp.Request) float64 {
-	for part := range strings.SplitSeq(string(q.Header.Peek("IO-Info")), ",") {
+// Units returns a request's units of work from its IO-Info header, 1 if there are none.
+func Units(request *fasthttp.Request) float64 {
+	for part := range strings.SplitSeq(string(request.Header.Peek("IO-Info")), ",") {
 		if v, ok := strings.CutPrefix(part, "units="); ok {
 			if units, err := strconv.ParseFloat(v, 64); err == nil {
 				return units
@@ -439,29 +440,29 @@
 	return 1
 }
 
-// admit says with which code a request is turned away, if it is; away: without X-Not-Run it
-// would not be a turning away.
-func (n *Node) admit(q *fasthttp.Request, f Fault) (code int, away bool) {
-	shard, err := shardOf(q)
+// admit decides whether a request is admitted. A non-zero code is the status to answer with. rejected
+// reports whether the request counts as rejected, in which case the response carries X-Not-Run.
+func (n *Node) admit(request *fasthttp.Request, fault Fault) (code int, rejected bool) {
+	shard, err := shardOf(request)
 	if err != nil {
 		return fasthttp.StatusBadRequest, false
 	}
-	if left, err := strconv.Atoi(string(q.Header.Peek("X-Deadline-Ms"))); err == nil && left <= 0 {
+	if remaining, err := strconv.Atoi(string(request.Header.Peek("X-Deadline-Ms"))); err == nil && remaining <= 0 {
 		return fasthttp.StatusGatewayTimeout, true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.draining || n.waiting >= n.opt.Queue || shard >= 0 && (shard != n.opt.Shard || f == Other) {
+	if n.draining || n.waiting >= n.options.Queue || shard >= 0 && (shard != n.options.Shard || fault == Other) {
 		return fasthttp.StatusServiceUnavailable, true
 	}
 	n.waiting++
 	return 0, false
 }
 
-// run executes a request, unless its key was run lately; false: its client has gone while it
-// waited.
-func (n *Node) run(l *link, q *fasthttp.Request, id, key string) (alive bool) {
-	if l.gone() {
+// run executes a request unless its key was executed within the deduplication window. It returns false if
+// the client disconnected while the request was waiting.
+func (n *Node) run(l *conn, request *fasthttp.Request, id, key string) (connected bool) {
+	if l.disconnected() {
 		n.mu.Lock()
 		n.counts.Gone++
 		n.mu.Unlock()
@@ -469,40 +470,40 @@
 	}
 	n.mu.Lock()
 	now := time.Now()
-	if at, known := n.memory[key]; key != "" && known && now.Sub(at) < n.opt.Memory {
+	if executedAt, executed := n.executedKeys[key]; key != "" && executed && now.Sub(executedAt) < n.options.Memory {
 		n.counts.Repeats++
 		n.mu.Unlock()
-		l.rec.set(func(a *Attempt) { a.Dropped = true })
+		l.recorder.update(func(a *Attempt) { a.Dropped = true })
 		return true
 	}
 	if key != "" {
-		n.memory[key] = now
-		n.byKey[key]++
+		n.executedKeys[key] = now
+		n.keyExecutions[key]++
 	}
 	n.counts.Ran++
-	all := n.byID[id]
-	for i := len(all) - 1; i >= 0; i-- {
-		if all[i].By == l.port.at && !all[i].Ran {
-			all[i].Ran = true
+	arrivals := n.arrivals[id]
+	for i := len(arrivals) - 1; i >= 0; i-- {
+		if arrivals[i].By == l.listener.addr && !arrivals[i].Ran {
+			arrivals[i].Ran = true
 			break
 		}
 	}
 	n.mu.Unlock()
-	l.rec.set(func(a *Attempt) { a.Ran = time.Now() })
-	if n.opt.Service != nil {
-		time.Sleep(n.slower(n.opt.Service(q)))
+	l.recorder.update(func(a *Attempt) { a.Ran = time.Now() })
+	if n.options.Service != nil {
+		time.Sleep(n.scaleServiceTime(n.options.Service(request)))
 	}
 	return true
 }
 
-func (l *link) answer(code int, body []byte, last bool, name string) bool {
+func (l *conn) respond(code int, body []byte, last bool, name string) bool {
 	var r fasthttp.Response
 	r.SetStatusCode(code)
 	if code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout {
 		r.Header.Set("X-Not-Run", "1")
-		l.rec.set(func(a *Attempt) { a.Turned = true })
+		l.recorder.update(func(a *Attempt) { a.Turned = true })
 	}
-	if h := l.port.n.opt.Identity; h != "" && name != "" {
+	if h := l.listener.n.options.Identity; h != "" && name != "" {
 		r.Header.Set(h, name)
 	}
 	if last {
@@ -510,15 +511,15 @@
 	}
 	r.SetBody(body)
 	w := bufio.NewWriter(l.nc)
-	defer l.rec.end()
+	defer l.recorder.end()
 	if r.Write(w) != nil || w.Flush() != nil {
 		return false
 	}
 	return !last
 }
 
-// half sends the first half of an answer.
-func (l *link) half() {
-	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nthe first half of an answer, no more"
-	_, _ = l.nc.Write([]byte(whole))
+// respondHalf sends the first half of a response.
+func (l *conn) respondHalf() {
+	const halfResponse = "HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nthe first half of an answer, no more"
+	_, _ = l.nc.Write([]byte(halfResponse))
 }
--- a/internal/testkit/fake/node/node_test.go
+++ b/internal/testkit/fake/node/node_test.go
@@ -16,8 +16,8 @@
 	"wheatsaddle/internal/address"
 )
 
-// ask sends one request by a new connection.
-func ask(a address.Addr, id, key string, shard int, within time.Duration) (*fasthttp.Response, error) {
+// sendRequest sends one request on a new connection.
+func sendRequest(a address.Addr, id, key string, shard int, within time.Duration) (*fasthttp.Response, error) {
 	network, to := a.Dial()
 	nc, err := net.DialTimeout(network, to, within)
 	if err != nil {
@@ -32,13 +32,13 @@
 	return r, err
 }
 
-func three(t *testing.T, n *Node) (all []address.Addr) {
+func listenOnAllKinds(t *testing.T, n *Node) (all []address.Addr) {
 	t.Helper()
 	for _, text := range []string{"unix:" + filepath.Join(t.TempDir(), "s"), "[::1]:0", "127.0.0.1:0"} {
 		a, err := n.Listen(text)
 		if err != nil {
 			if a.Kind() == address.IPv6 {
-				t.Log("no IPv6 here")
+				t.Log("IPv6 is not available")
 				continue
 			}
 			t.Fatal(err)
@@ -49,16 +49,17 @@
 	return all
 }
 
-// It serves on all its addresses, runs a key once in its memory, and turns other shards away.
-func TestServes(t *testing.T) {
+// The node serves on all its addresses, executes a key once within the deduplication window and rejects requests for
+// other shards.
+func TestServesDeduplicatesAndRejectsOtherShards(t *testing.T) {
 	n := New(Options{Name: "n", Shard: 3, Identity: "X-Node"})
-	for i, a := range three(t, n) {
-		r, err := ask(a, fmt.Sprint("r", i), "k", 3, time.Minute)
+	for i, a := range listenOnAllKinds(t, n) {
+		r, err := sendRequest(a, fmt.Sprint("r", i), "k", 3, time.Minute)
 		if err != nil || r.StatusCode() != 200 || string(r.Body()) != fmt.Sprint("r", i) || string(r.Header.Peek("X-Node")) != "n" {
 			t.Errorf("%v: %v %v", a, err, r)
 		}
-		if r, err := ask(a, "o", "k2", 4, time.Minute); err != nil || r.StatusCode() != 503 || string(r.Header.Peek("X-Not-Run")) != "1" {
-			t.Errorf("%v: another shard: %v %v", a, err, r)
+		if r, err := sendRequest(a, "o", "k2", 4, time.Minute); err != nil || r.StatusCode() != 503 || string(r.Header.Peek("X-Not-Run")) != "1" {
+			t.Errorf("%v: request for another shard: %v %v", a, err, r)
 		}
 	}
 	if c := n.Counts(); c.Ran != 1 || c.Repeats != c.Requests/2-1 || n.RanKey("k") != 1 || n.RanKey("k2") != 0 {
@@ -66,56 +67,57 @@
 	}
 }
 
-// Each fault is seen as what it is named, on each kind of address, and ends when it is lifted.
-func TestFaults(t *testing.T) {
-	const short, patient = 300 * time.Millisecond, 30 * time.Second
-	n := New(Options{Name: "n", Slow: 2 * short})
-	for _, a := range three(t, n) {
+// Each fault has its documented effect on each kind of address and ends when it is cleared.
+func TestAddressFaults(t *testing.T) {
+	const expectTimeout, testTimeout = 300 * time.Millisecond, 30 * time.Second
+	n := New(Options{Name: "n", Slow: 2 * expectTimeout})
+	for _, a := range listenOnAllKinds(t, n) {
 		for _, f := range Faults() {
 			n.Forget()
 			if err := n.Set(a, f); err != nil {
 				t.Fatalf("%v %v: %v", a, f, err)
 			}
 			start := time.Now()
-			within := map[bool]time.Duration{true: patient, false: short}[f == Reset || f == Other || !f.listens() && f != BacklogFull]
-			r, err := ask(a, "r", "k", 0, within)
-			var late net.Error
-			timeout := errors.As(err, &late) && late.Timeout() || errors.Is(err, fasthttp.ErrTimeout)
-			ran := n.Ran("r")
+			within := map[bool]time.Duration{true: testTimeout, false: expectTimeout}[f == Reset || f == Other || !f.listens() && f != BacklogFull]
+			r, err := sendRequest(a, "r", "k", 0, within)
+			var netErr net.Error
+			timeout := errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, fasthttp.ErrTimeout)
+			executions := n.Ran("r")
 			ok := false
 			switch f {
 			case Refused, StaleFile, NoSocket:
 				ok = errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) && f == Refused
 			case Hang:
-				ok = timeout && ran == 0
+				ok = timeout && executions == 0
 			case Reset:
-				ok = err != nil && !timeout && ran == 0
+				ok = err != nil && !timeout && executions == 0
 			case BacklogFull:
 				ok = timeout || errors.Is(err, syscall.EAGAIN)
 			case Slow, NoAnswer, Half:
-				ok = timeout && ran == 1
+				ok = timeout && executions == 1
 			case Other:
-				ok = err == nil && r.StatusCode() == 503 && ran == 0
+				ok = err == nil && r.StatusCode() == 503 && executions == 0
 			}
 			if !ok {
-				t.Errorf("%v %v: %v after %v, ran %d", a, f, err, time.Since(start), ran)
+				t.Errorf("%v %v: %v after %v, %d executions", a, f, err, time.Since(start), executions)
 			}
 			if err := n.Set(a, None); err != nil {
 				t.Fatal(err)
 			}
-			if r, err := ask(a, "after", "", 0, patient); err != nil || r.StatusCode() != 200 {
+			if r, err := sendRequest(a, "after", "", 0, testTimeout); err != nil || r.StatusCode() != 200 {
 				t.Errorf("%v after %v: %v", a, f, err)
 			}
 		}
 	}
 }
 
-// A cold node works slower, falls past what it bears, is back cold, and warms; a warm one bears all.
-func TestCold(t *testing.T) {
-	const units, span = 4, 10 * time.Millisecond
-	set := &Cold{Power: 0.5, Span: time.Hour, Units: units, Mean: 1, Within: time.Hour, Back: span}
-	saw := make(chan Saw, 100)
-	n := New(Options{Cold: set, Saw: func(s Saw) { saw <- s }, Service: func(*fasthttp.Request) time.Duration { return span }})
+// A node in slow start is slower, crashes above its overload limit and restarts in slow start. A warmed-up node has no
+// overload limit.
+func TestSlowStart(t *testing.T) {
+	const units, serviceTime = 4, 10 * time.Millisecond
+	limits := &Cold{Power: 0.5, Span: time.Hour, Units: units, Mean: 1, Within: time.Hour, Back: serviceTime}
+	events := make(chan Saw, 100)
+	n := New(Options{Cold: limits, Saw: func(s Saw) { events <- s }, Service: func(*fasthttp.Request) time.Duration { return serviceTime }})
 	a, err := n.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,44 +125,44 @@
 	t.Cleanup(n.Close)
 	for i := range 3 {
 		if at := time.Now(); i == 0 {
-			if n.slower(span) != span {
-				t.Error("a warm node is slow")
+			if n.scaleServiceTime(serviceTime) != serviceTime {
+				t.Error("a warmed-up node is slowed down")
 			}
-		} else if _, err := ask(a, fmt.Sprint("s", i), "", 0, time.Minute); err != nil || time.Since(at) < 2*span*9/10 {
-			t.Errorf("a cold node takes %v, %v", time.Since(at), err)
+		} else if _, err := sendRequest(a, fmt.Sprint("s", i), "", 0, time.Minute); err != nil || time.Since(at) < 2*serviceTime*9/10 {
+			t.Errorf("a node in slow start took %v, error %v", time.Since(at), err)
 		}
 		n.Chill()
 	}
-	until := func(want Saw) {
-		for s := range saw {
+	waitFor := func(want Saw) {
+		for s := range events {
 			if s == want {
 				return
 			}
 		}
 	}
-	for life := range 2 {
-		bears := int(set.bears(0)) // 4 + 3*2 + 3
-		if life == 0 && bears != 13 {
-			t.Errorf("it bears %d", bears)
+	for restarts := range 2 {
+		overloadLimit := int(limits.overloadLimit(0)) // 4 + 3*2 + 3
+		if restarts == 0 && overloadLimit != 13 {
+			t.Errorf("overload limit %d", overloadLimit)
 		}
-		for i := range bears - life { // in the second life one has come before
-			if _, err := ask(a, fmt.Sprint(life, i), "", 0, time.Minute); err != nil {
-				t.Fatalf("life %d, request %d: %v", life, i, err)
+		for i := range overloadLimit - restarts { // after the restart one request has been counted already
+			if _, err := sendRequest(a, fmt.Sprint(restarts, i), "", 0, time.Minute); err != nil {
+				t.Fatalf("after %d crashes, request %d: %v", restarts, i, err)
 			}
 		}
-		if _, err := ask(a, "last", "", 0, time.Minute); err == nil {
-			t.Error("one more is served")
+		if _, err := sendRequest(a, "last", "", 0, time.Minute); err == nil {
+			t.Error("a request above the overload limit was served")
 		}
-		until(Fell)
-		if falls, worst := n.Falls(); falls != life+1 || worst <= 1 {
-			t.Errorf("%d falls at %v", falls, worst)
+		waitFor(Fell)
+		if crashes, peakLoad := n.Falls(); crashes != restarts+1 || peakLoad <= 1 {
+			t.Errorf("%d crashes, peak load %v", crashes, peakLoad)
 		}
-		until(Returned)
-		if _, err := ask(a, "back", "", 0, time.Minute); err != nil {
+		waitFor(Returned)
+		if _, err := sendRequest(a, "back", "", 0, time.Minute); err != nil {
 			t.Error(err)
 		}
 	}
-	if p := set.power(set.Span / 2); p != 0.75 {
-		t.Errorf("half warm: %v", p)
+	if p := limits.speed(limits.Span / 2); p != 0.75 {
+		t.Errorf("speed after half of the slow start: %v", p)
 	}
 }
--- a/internal/testkit/fake/node/record.go
+++ b/internal/testkit/fake/node/record.go
@@ -11,38 +11,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Attempt is one request as it came to a node that records, from its first byte on.
+// Attempt is one request as seen by a recording node, from its first byte on.
 type Attempt struct {
-	ID      string // "": its head was cut before it told
-	From    string // the address that it came from
+	ID      string // empty if the head was truncated before the request ID
+	From    string // remote address
 	First   time.Time
-	Whole   time.Time // its last byte; zero: it was cut
-	Ran     time.Time // zero: it did not run
-	Dropped bool      // a repeat of a key: answered, not run
-	Turned  bool      // turned away with a word that it did not run
-	Ended   time.Time // its answer was written, or its sender's going was seen; zero: neither
+	Whole   time.Time // receipt of the last byte; zero: the request was truncated
+	Ran     time.Time // start of execution; zero: not executed
+	Dropped bool      // a repeated key: answered without execution
+	Turned  bool      // rejected with X-Not-Run
+	Ended   time.Time // the response was written or the sender's disconnect was noticed; zero: neither
 }
 
 const (
-	headKept = 4 << 10
-	lookGone = 2 * time.Millisecond
+	maxRecordedHead         = 4 << 10
+	disconnectCheckInterval = 2 * time.Millisecond
 )
 
 var idLine = regexp.MustCompile(`(?i)\r\nX-Request-Id: ([^\r]+)\r`)
 
-// recorder is the record of one connection: a tee of what its reader reads, and the attempt that
-// is on it.
+// recorder records one connection: it copies the head of each request as it is read and tracks the
+// current attempt.
 type recorder struct {
-	n    *Node
-	nc   net.Conn
-	head []byte
-	now  *Attempt // under n.mu
-	stop func()   // of the look-out
+	n                   *Node
+	nc                  net.Conn
+	head                []byte
+	attempt             *Attempt // under n.mu
+	stopDisconnectCheck func()   // ends the disconnect check
 }
 
 func (r *recorder) Read(p []byte) (int, error) {
 	k, err := r.nc.Read(p)
-	if room := headKept - len(r.head); room > 0 {
+	if room := maxRecordedHead - len(r.head); room > 0 {
 		r.head = append(r.head, p[:min(k, room)]...)
 	}
 	return k, err
@@ -55,15 +55,15 @@
 		return err
 	}
 	r.n.mu.Lock()
-	r.now = &Attempt{From: r.nc.RemoteAddr().String(), First: time.Now()}
-	r.n.attempts = append(r.n.attempts, r.now)
+	r.attempt = &Attempt{From: r.nc.RemoteAddr().String(), First: time.Now()}
+	r.n.attempts = append(r.n.attempts, r.attempt)
 	r.n.mu.Unlock()
 	return nil
 }
 
-// came notes a request that was read, or was cut.
-func (r *recorder) came(q *fasthttp.Request, err error, l *link) {
-	r.set(func(a *Attempt) {
+// requestRead records that a request was received or truncated.
+func (r *recorder) requestRead(q *fasthttp.Request, err error, l *conn) {
+	r.update(func(a *Attempt) {
 		if err != nil {
 			if m := idLine.FindSubmatch(r.head); m != nil {
 				a.ID = string(m[1])
@@ -78,19 +78,19 @@
 	}
 	done := make(chan struct{})
 	var once sync.Once
-	r.stop = func() { once.Do(func() { close(done) }) }
-	a := r.now
+	r.stopDisconnectCheck = func() { once.Do(func() { close(done) }) }
+	a := r.attempt
 	r.n.wg.Add(1)
-	go func() { // a sender that goes while the request waits or runs
+	go func() { // notices a sender that disconnects while the request waits or runs
 		defer r.n.wg.Done()
-		t := time.NewTicker(lookGone)
+		t := time.NewTicker(disconnectCheckInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-done:
 				return
 			case <-t.C:
-				if l.gone() {
+				if l.disconnected() {
 					r.n.mu.Lock()
 					if a.Ended.IsZero() {
 						a.Ended = time.Now()
@@ -103,29 +103,29 @@
 	}()
 }
 
-func (r *recorder) set(f func(*Attempt)) {
-	if r == nil || r.now == nil {
+func (r *recorder) update(f func(*Attempt)) {
+	if r == nil || r.attempt == nil {
 		return
 	}
 	r.n.mu.Lock()
 	defer r.n.mu.Unlock()
-	f(r.now)
+	f(r.attempt)
 }
 
-// end notes that an answer was written or the connection is done with.
+// end records that a response was written or the connection has ended.
 func (r *recorder) end() {
-	if r == nil || r.stop == nil {
+	if r == nil || r.stopDisconnectCheck == nil {
 		return
 	}
-	r.stop()
-	r.set(func(a *Attempt) {
+	r.stopDisconnectCheck()
+	r.update(func(a *Attempt) {
 		if a.Ended.IsZero() {
 			a.Ended = time.Now()
 		}
 	})
 }
 
-// Attempts are all that came to a node that records.
+// Attempts returns all attempts that a recording node has received.
 func (n *Node) Attempts() []Attempt {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/fake/node/rows.go
+++ b/internal/testkit/fake/node/rows.go
@@ -15,38 +15,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The headers of a part's request and answer (docs/design/processes.md, "A gathered read on the wire").
+// The headers of a part's request and response (docs/design/processes.md, "A gathered read on the wire").
 const (
-	headRows    = "X-Gather-Rows"
-	headLimited = "X-Gather-Limited"
+	rowsHeader    = "X-Gather-Rows"
+	limitedHeader = "X-Gather-Limited"
 )
 
-// Rows are those that the nodes of each shard hold: JSON lines {"k":integer,"v":integer,"x":text}, sorted by k, no key
-// twice in a shard. Two shards may hold one key; then v, the version, tells their rows apart, and rows of one key and one
-// version are the same bytes. Equal Rows give equal rows, on every node of a shard.
+// Rows generates the rows of each shard: JSON lines {"k":integer,"v":integer,"x":text}, sorted by k, each key
+// at most once per shard. Two shards may hold the same key. Their rows may then differ in v, the version. Rows with
+// the same key and version have the same bytes. Equal Rows generate equal rows on every node of a shard.
 type Rows struct {
 	Seed       uint64
-	Count      int     // of each shard
-	Shared     float64 // share of a shard's rows whose key others may hold: of any two shards' about half are the same
-	Same       float64 // share of shared keys whose rows are one version everywhere; of the others each shard has its own
-	Pad        int     // bytes of x, of one row
+	Count      int     // rows of each shard
+	Shared     float64 // share of a shard's rows whose key other shards may hold; any two shards have about half of these in common
+	Same       float64 // share of the shared keys that have the same version in every shard; the others have one version per shard
+	Pad        int     // length of x in bytes
 	Descending bool
 	Piece      int           // rows written at once; 0: 64
-	Gap        time.Duration // between pieces
+	Gap        time.Duration // pause between two writes
 }
 
 const (
-	shardBits = 12 // of a key, for the shard that alone holds it; 0: shared
-	keyBits   = 40 // of a key, drawn
+	shardBits = 12 // low bits of a key: the shard that alone holds it plus 1, or 0 for a shared key
+	keyBits   = 40 // random bits of a key
 )
 
 // key is one row's key and version.
 type key struct{ k, v int64 }
 
-// keys are a shard's, in order.
+// keys returns a shard's keys in order.
 func (r *Rows) keys(shard int) []key {
 	shared := int(r.Shared * float64(r.Count))
-	drawn := func(rng *rand.Rand, n int) []int64 { // different ones
+	distinctKeys := func(rng *rand.Rand, n int) []int64 { // n distinct keys
 		seen := make(map[int64]bool, n)
 		all := make([]int64, 0, n)
 		for len(all) < n {
@@ -58,21 +58,21 @@
 		return all
 	}
 	pool := rand.New(rand.NewPCG(r.Seed, 1<<32))
-	common := drawn(pool, 2*shared)
-	same := make([]bool, len(common))
+	sharedKeys := distinctKeys(pool, 2*shared)
+	same := make([]bool, len(sharedKeys))
 	for i := range same {
 		same[i] = pool.Float64() < r.Same
 	}
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(shard)))
 	all := make([]key, 0, r.Count)
-	for _, i := range rng.Perm(len(common))[:shared] {
+	for _, i := range rng.Perm(len(sharedKeys))[:shared] {
 		v := int64(1)
 		if !same[i] {
-			v += 1 + (common[i]>>shardBits+int64(shard))%(1<<shardBits)
+			v += 1 + (sharedKeys[i]>>shardBits+int64(shard))%(1<<shardBits)
 		}
-		all = append(all, key{common[i], v})
+		all = append(all, key{sharedKeys[i], v})
 	}
-	for _, k := range drawn(rng, r.Count-shared) {
+	for _, k := range distinctKeys(rng, r.Count-shared) {
 		all = append(all, key{k + int64(shard) + 1, 1})
 	}
 	slices.SortFunc(all, func(a, b key) int {
@@ -92,7 +92,7 @@
 	return append(dst, '"', '}')
 }
 
-// Shard is all rows of a shard, without line ends.
+// Shard returns all rows of a shard, without line ends.
 func (r *Rows) Shard(shard int) (rows [][]byte) {
 	for _, x := range r.keys(shard) {
 		rows = append(rows, r.append(nil, x))
@@ -100,15 +100,16 @@
 	return rows
 }
 
-// Flat says how Rows.Flat merges.
+// MergeOptions configure Rows.Merge.
 type Flat struct {
-	Keep   string // of rows with equal keys: all, first or last in the order of shards, or highest version
+	Keep   string // which of the rows with equal keys: all, first or last in the order of the shards, or highest version
 	Offset int
-	Rows   int // 0: all
+	Rows   int // maximum number of rows; 0: all
 }
 
-// Flat is the flat merge of shards: their rows collected, sorted by key, rows of one key in the order in which the shards
-// are given, cut. It is written anew, so that a merge may be held against it.
+// Merge is a reference implementation of the merge of a gathered read, independent of the production code. It
+// collects the rows of the shards, sorts them by key, keeps rows with equal keys in the order of the shards, and applies
+// the options.
 func (r *Rows) Flat(shards []int, f Flat) [][]byte {
 	type row struct {
 		k, v int64
@@ -143,7 +144,7 @@
 		case "highest":
 			out = append(out, slices.MaxFunc(group, func(a, b row) int { return cmp.Compare(a.v, b.v) }).text)
 		default:
-			panic("flat: keep " + f.Keep)
+			panic("merge rows: unknown keep rule " + f.Keep)
 		}
 	}
 	out = out[min(f.Offset, len(out)):]
@@ -153,25 +154,25 @@
 	return out
 }
 
-// RowFault is what a node does to the rows it sends. It is switched while the node runs; what is being sent is under the
-// new one at its next piece.
+// RowFault is a fault in the rows that a node sends. It can be switched while the node runs. A response in progress
+// is affected from its next write on.
 type RowFault struct {
-	Late     time.Duration // before the first byte of the answer
-	After    int           // rows that are sent well
-	Stop     time.Duration // then nothing for so long, once
-	Never    bool          // then nothing, until the fault is lifted or the asker has gone
-	Cut      bool          // then the connection ends
-	Unsorted bool          // then the next two rows change places
-	Other    bool          // from then on each row has another version: not the bytes of another copy
-	Copy     int           // of a request id ID/PART/COPY only copies from this one on; 0: any
+	Late     time.Duration // delay before the first byte of the response
+	After    int           // rows sent correctly before the faults below
+	Stop     time.Duration // one pause of this length
+	Never    bool          // no further rows until the fault is cleared or the client disconnects
+	Cut      bool          // the connection is closed
+	Unsorted bool          // the next two rows are swapped
+	Other    bool          // all further rows have another version, so their bytes differ from those of other attempts
+	Copy     int           // for a request ID of the form ID/PART/ATTEMPT, the first attempt affected; 0: all
 }
 
-// RowCounts are what a node has sent of rows: in all, or of one request id.
+// RowCounts count the rows sent and the faults injected, in total or for one request ID.
 type RowCounts struct {
 	Asked, Rows    int
-	Whole, Limited int // answers written to their end: all rows, or as many as were asked for
-	Gone           int // whose asker was seen to go
-	Late, Stopped  int // and what faults did
+	Whole, Limited int // responses written completely: with all rows, or with as many as requested
+	Gone           int // the client was seen to disconnect
+	Late, Stopped  int // faults injected
 	Never, Cut     int
 	Unsorted       int
 	Other          int
@@ -187,18 +188,18 @@
 	}
 }
 
-// SetRows switches the fault of the rows.
+// SetRowFault switches the row fault.
 func (n *Node) SetRows(f RowFault) { n.rowFault.Store(&f) }
 
-// RowCounts are those of a request id; "" is all.
+// RowCounts returns the counts of a request ID, or the total for "".
 func (n *Node) RowCounts(id string) RowCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rowCounts[id]
 }
 
-// count adds to the counts of a request id and of all.
-func (n *Node) count(id string, d RowCounts) {
+// addRowCounts adds to the counts of a request ID and to the total.
+func (n *Node) addRowCounts(id string, d RowCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, of := range []string{id, ""} {
@@ -208,8 +209,8 @@
 	}
 }
 
-// faultOf is what the rows of a request are under now.
-func (n *Node) faultOf(id string) RowFault {
+// rowFaultFor returns the row fault that applies to a request now.
+func (n *Node) rowFaultFor(id string) RowFault {
 	f := n.rowFault.Load()
 	if f == nil {
 		return RowFault{}
@@ -222,7 +223,7 @@
 	return *f
 }
 
-// shardOf is the shard that a request is for: a part's is told in IO-Info, any other's in the query.
+// shardOf returns a request's shard: from IO-Info for a part of a gathered read, otherwise from the query.
 func shardOf(q *fasthttp.Request) (int, error) {
 	for info := range strings.SplitSeq(string(q.Header.Peek("IO-Info")), ",") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(info), "shard="); ok {
@@ -232,138 +233,139 @@
 	return strconv.Atoi(string(q.URI().QueryArgs().Peek("shard")))
 }
 
-// asksRows says whether a request is for a part of a gathered read, and for how many rows of it.
-func asksRows(q *fasthttp.Request) (rows int, is bool) {
-	v := q.Header.Peek(headRows)
+// requestedRows reports whether a request is for a part of a gathered read, and for how many rows.
+func requestedRows(q *fasthttp.Request) (rows int, is bool) {
+	v := q.Header.Peek(rowsHeader)
 	rows, err := strconv.Atoi(string(v))
 	return rows, err == nil && rows >= 0
 }
 
-const lookFault = 5 * time.Millisecond
+const faultCheckInterval = 5 * time.Millisecond
 
-// sleep waits for so long, or until the fault is no longer one that makes it wait; false: the asker has gone.
-func (l *link) sleep(id string, span time.Duration, still func(RowFault) bool) bool {
-	for end := time.Now().Add(span); still(l.port.n.faultOf(id)) && time.Now().Before(end); {
-		if l.gone() || l.port.n.ended() {
+// waitDuring waits for a duration or until the fault no longer requires waiting. It returns false if the client
+// disconnected or the node closed.
+func (l *conn) waitDuring(id string, duration time.Duration, applies func(RowFault) bool) bool {
+	for end := time.Now().Add(duration); applies(l.listener.n.rowFaultFor(id)) && time.Now().Before(end); {
+		if l.disconnected() || l.listener.n.isClosed() {
 			return false
 		}
-		time.Sleep(min(lookFault, max(0, time.Until(end))))
+		time.Sleep(min(faultCheckInterval, max(0, time.Until(end))))
 	}
 	return true
 }
 
-func (n *Node) ended() bool {
+func (n *Node) isClosed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.closed
 }
 
-// rows sends the first rows of the shard, 0 for all, as a chunked answer; false: the connection ends.
-func (l *link) rows(id string, most int, last bool, name string) bool {
-	n := l.port.n
-	defer l.rec.end()
-	n.count(id, RowCounts{Asked: 1})
-	gone := func() bool {
-		n.count(id, RowCounts{Gone: 1})
+// sendRows sends the first rows of the shard (0 for all) as a chunked response. It returns false if the connection ends.
+func (l *conn) sendRows(id string, maxRows int, last bool, name string) bool {
+	n := l.listener.n
+	defer l.recorder.end()
+	n.addRowCounts(id, RowCounts{Asked: 1})
+	clientDisconnected := func() bool {
+		n.addRowCounts(id, RowCounts{Gone: 1})
 		return false
 	}
 	all := n.rows
-	limited := most > 0 && most < len(all)
+	limited := maxRows > 0 && maxRows < len(all)
 	if limited {
-		all = all[:most]
+		all = all[:maxRows]
 	}
-	if f := n.faultOf(id); f.Late > 0 {
-		n.count(id, RowCounts{Late: 1})
-		if !l.sleep(id, f.Late, func(f RowFault) bool { return f.Late > 0 }) {
-			return gone()
+	if fault := n.rowFaultFor(id); fault.Late > 0 {
+		n.addRowCounts(id, RowCounts{Late: 1})
+		if !l.waitDuring(id, fault.Late, func(fault RowFault) bool { return fault.Late > 0 }) {
+			return clientDisconnected()
 		}
 	}
 	w := bufio.NewWriterSize(l.nc, 16<<10)
 	_, _ = w.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n")
 	if limited {
-		_, _ = w.WriteString(headLimited + ": 1\r\n")
+		_, _ = w.WriteString(limitedHeader + ": 1\r\n")
 	}
-	if h := n.opt.Identity; h != "" && name != "" {
+	if h := n.options.Identity; h != "" && name != "" {
 		fmt.Fprintf(w, "%s: %s\r\n", h, name)
 	}
 	if last {
 		_, _ = w.WriteString("Connection: close\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
-	step := n.opt.Rows.Piece
-	if step == 0 {
-		step = 64
+	rowsPerWrite := n.options.Rows.Piece
+	if rowsPerWrite == 0 {
+		rowsPerWrite = 64
 	}
-	never := func(f RowFault) bool { return f.Never }
-	var piece bytes.Buffer
-	stopped, neverSaid := false, false
-	for at := 0; at < len(all); {
-		f := n.faultOf(id)
-		to := min(at+step, len(all))
-		if at < f.After {
-			to = min(to, f.After)
+	stalled := func(fault RowFault) bool { return fault.Never }
+	var chunk bytes.Buffer
+	paused, stallCounted := false, false
+	for sent := 0; sent < len(all); {
+		fault := n.rowFaultFor(id)
+		to := min(sent+rowsPerWrite, len(all))
+		if sent < fault.After {
+			to = min(to, fault.After)
 		}
-		bad := at >= f.After
-		if bad && (f.Stop > 0 && !stopped || f.Never) && w.Flush() != nil {
-			return gone()
+		faulty := sent >= fault.After
+		if faulty && (fault.Stop > 0 && !paused || fault.Never) && w.Flush() != nil {
+			return clientDisconnected()
 		}
 		switch {
-		case bad && f.Cut:
-			n.count(id, RowCounts{Cut: 1})
+		case faulty && fault.Cut:
+			n.addRowCounts(id, RowCounts{Cut: 1})
 			_ = w.Flush()
 			return false
-		case bad && f.Never:
-			if !neverSaid {
-				neverSaid = true
-				n.count(id, RowCounts{Never: 1})
+		case faulty && fault.Never:
+			if !stallCounted {
+				stallCounted = true
+				n.addRowCounts(id, RowCounts{Never: 1})
 			}
-			if !l.sleep(id, time.Hour, never) {
-				return gone()
+			if !l.waitDuring(id, time.Hour, stalled) {
+				return clientDisconnected()
 			}
 			continue
-		case bad && f.Stop > 0 && !stopped:
-			stopped = true
-			n.count(id, RowCounts{Stopped: 1})
-			if !l.sleep(id, f.Stop, func(f RowFault) bool { return f.Stop > 0 }) {
-				return gone()
+		case faulty && fault.Stop > 0 && !paused:
+			paused = true
+			n.addRowCounts(id, RowCounts{Stopped: 1})
+			if !l.waitDuring(id, fault.Stop, func(fault RowFault) bool { return fault.Stop > 0 }) {
+				return clientDisconnected()
 			}
 			continue
 		}
-		piece.Reset()
-		rows := all[at:to]
-		if f.Unsorted && at == f.After && at+1 < len(all) {
-			to = max(to, at+2)
-			rows = slices.Clone(all[at:to])
+		chunk.Reset()
+		rows := all[sent:to]
+		if fault.Unsorted && sent == fault.After && sent+1 < len(all) {
+			to = max(to, sent+2)
+			rows = slices.Clone(all[sent:to])
 			rows[0], rows[1] = rows[1], rows[0]
-			n.count(id, RowCounts{Unsorted: 1})
+			n.addRowCounts(id, RowCounts{Unsorted: 1})
 		}
 		for _, x := range rows {
-			if f.Other && bad {
+			if fault.Other && faulty {
 				x.v++
 			}
-			piece.Write(append(n.opt.Rows.append(piece.AvailableBuffer(), x), '\n'))
+			chunk.Write(append(n.options.Rows.append(chunk.AvailableBuffer(), x), '\n'))
 		}
-		if f.Other && bad {
-			n.count(id, RowCounts{Other: len(rows)})
+		if fault.Other && faulty {
+			n.addRowCounts(id, RowCounts{Other: len(rows)})
 		}
-		fmt.Fprintf(w, "%x\r\n%s\r\n", piece.Len(), piece.Bytes())
-		n.count(id, RowCounts{Rows: len(rows)})
+		fmt.Fprintf(w, "%x\r\n%s\r\n", chunk.Len(), chunk.Bytes())
+		n.addRowCounts(id, RowCounts{Rows: len(rows)})
 		if w.Flush() != nil {
-			return gone()
+			return clientDisconnected()
 		}
-		at = to
-		if gap := n.opt.Rows.Gap; gap > 0 && at < len(all) {
+		sent = to
+		if gap := n.options.Rows.Gap; gap > 0 && sent < len(all) {
 			time.Sleep(gap)
 		}
 	}
 	_, _ = w.WriteString("0\r\n\r\n")
-	if limited { // before the asker can know of it
-		n.count(id, RowCounts{Limited: 1})
+	if limited { // counted before the client can see the end of the response
+		n.addRowCounts(id, RowCounts{Limited: 1})
 	} else {
-		n.count(id, RowCounts{Whole: 1})
+		n.addRowCounts(id, RowCounts{Whole: 1})
 	}
 	if w.Flush() != nil {
-		return gone()
+		return clientDisconnected()
 	}
 	return !last
 }
--- a/internal/testkit/fake/node/rows_test.go
+++ b/internal/testkit/fake/node/rows_test.go
@@ -14,8 +14,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// part asks for rows of a shard and reads what comes within a time.
-func part(t *testing.T, at, id string, shard, rows int, within time.Duration) (lines [][]byte, limited bool, err error) {
+// requestPart requests rows of a shard and reads the response within a time limit.
+func requestPart(t *testing.T, at, id string, shard, rows int, within time.Duration) (lines [][]byte, limited bool, err error) {
 	t.Helper()
 	nc, err := net.Dial("tcp", at)
 	if err != nil {
@@ -38,11 +38,12 @@
 	return lines, r.Header.Get("X-Gather-Limited") == "1", err
 }
 
-func same(a, b [][]byte) bool { return slices.EqualFunc(a, b, bytes.Equal) }
+func equalRows(a, b [][]byte) bool { return slices.EqualFunc(a, b, bytes.Equal) }
 
-// Rows are sorted, as many as asked for; each fault is what it is named, counted by request id, and ends when it is lifted.
-func TestRows(t *testing.T) {
-	const short, patient = 200 * time.Millisecond, 30 * time.Second
+// Rows are sorted and as many as requested. Each fault has its documented effect, is counted by request ID and ends
+// when it is cleared.
+func TestRowFaults(t *testing.T) {
+	const expectTimeout, testTimeout = 200 * time.Millisecond, 30 * time.Second
 	r := &Rows{Seed: 5, Count: 200, Shared: 0.5, Same: 0.5, Pad: 9, Piece: 16}
 	n := New(Options{Shard: 3, Rows: r})
 	t.Cleanup(n.Close)
@@ -61,7 +62,7 @@
 		copy    int
 		ask     int
 		within  time.Duration
-		rows    int // that come
+		rows    int // received
 		whole   bool
 		limited bool
 		count   func(RowCounts) int
@@ -69,11 +70,11 @@
 		{rows: 200, whole: true, count: func(c RowCounts) int { return c.Whole }},
 		{ask: 30, rows: 30, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
 		{ask: 200, rows: 200, whole: true, count: func(c RowCounts) int { return c.Whole }},
-		{f: RowFault{Late: time.Hour}, within: short, count: func(c RowCounts) int { return c.Late }},
+		{f: RowFault{Late: time.Hour}, within: expectTimeout, count: func(c RowCounts) int { return c.Late }},
 		{f: RowFault{Late: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Late }},
-		{f: RowFault{After: 21, Stop: time.Hour}, within: short, rows: 21, count: func(c RowCounts) int { return c.Stopped }},
+		{f: RowFault{After: 21, Stop: time.Hour}, within: expectTimeout, rows: 21, count: func(c RowCounts) int { return c.Stopped }},
 		{f: RowFault{After: 21, Stop: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Stopped }},
-		{f: RowFault{After: 5, Never: true}, within: short, rows: 5, count: func(c RowCounts) int { return c.Never }},
+		{f: RowFault{After: 5, Never: true}, within: expectTimeout, rows: 5, count: func(c RowCounts) int { return c.Never }},
 		{f: RowFault{After: 50, Cut: true}, rows: 50, count: func(c RowCounts) int { return c.Cut }},
 		{f: RowFault{After: 50, Cut: true}, ask: 40, rows: 40, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
 		{f: RowFault{After: 50, Cut: true, Copy: 2}, copy: 1, rows: 200, whole: true, count: func(c RowCounts) int { return 1 - c.Cut }},
@@ -83,49 +84,50 @@
 	} {
 		n.SetRows(x.f)
 		if x.within == 0 {
-			x.within = patient
+			x.within = testTimeout
 		}
 		id := fmt.Sprintf("q%d/3/%d", i, x.copy)
-		got, limited, err := part(t, a.String(), id, 3, x.ask, x.within)
+		got, limited, err := requestPart(t, a.String(), id, 3, x.ask, x.within)
 		want := slices.Clone(all[:x.rows])
 		if x.f.Unsorted {
 			want[47], want[48] = want[48], want[47]
 		}
 		if x.f.Other {
-			if same(got, want) {
-				t.Errorf("%+v: the same rows", x.f)
+			if equalRows(got, want) {
+				t.Errorf("%+v: rows do not differ", x.f)
 			}
 			want[199] = got[199]
 		}
-		if !same(got, want) || (err == nil) != x.whole || limited != x.limited {
-			t.Errorf("%+v copy %d: %d rows, %v, limited %v", x.f, x.copy, len(got), err, limited)
+		if !equalRows(got, want) || (err == nil) != x.whole || limited != x.limited {
+			t.Errorf("%+v attempt %d: %d rows, error %v, limited %v", x.f, x.copy, len(got), err, limited)
 		}
 		if c := n.RowCounts(id); x.count(c) != 1 || c.Asked != 1 {
-			t.Errorf("%+v copy %d: counted %+v", x.f, x.copy, c)
+			t.Errorf("%+v attempt %d: counts %+v", x.f, x.copy, c)
 		}
 	}
 	n.SetRows(RowFault{})
-	if _, _, err := part(t, a.String(), "other", 4, 0, patient); err != nil || n.RowCounts("other").Asked != 0 {
-		t.Errorf("another shard: %v", err)
+	if _, _, err := requestPart(t, a.String(), "other", 4, 0, testTimeout); err != nil || n.RowCounts("other").Asked != 0 {
+		t.Errorf("request for another shard: %v", err)
 	}
 }
 
-// The flat merge, by what its rows say: keys in order, of each key what is to be kept; and shards do share keys.
-func TestFlat(t *testing.T) {
+// The reference merge returns keys in order and for each key the rows that the keep rule names. The generated shards
+// share keys.
+func TestReferenceMerge(t *testing.T) {
 	r := &Rows{Seed: 9, Count: 100, Shared: 0.4, Same: 0.5}
 	shards := []int{2, 0, 7}
-	var held [][]key
-	holders := map[int64][]int64{} // versions by key, in the order of shards
+	var shardKeys [][]key
+	versions := map[int64][]int64{} // versions by key, in the order of the shards
 	for _, s := range shards {
-		held = append(held, r.keys(s))
-		for _, x := range held[len(held)-1] {
-			holders[x.k] = append(holders[x.k], x.v)
+		shardKeys = append(shardKeys, r.keys(s))
+		for _, x := range shardKeys[len(shardKeys)-1] {
+			versions[x.k] = append(versions[x.k], x.v)
 		}
 	}
-	if len(holders) > 270 || len(holders) < 200 {
-		t.Fatalf("%d keys of 300 rows", len(holders))
+	if len(versions) > 270 || len(versions) < 200 {
+		t.Fatalf("%d distinct keys in 300 rows", len(versions))
 	}
-	for keep, of := range map[string]func([]int64) []int64{
+	for keep, kept := range map[string]func([]int64) []int64{
 		"all": func(v []int64) []int64 { return v }, "first": func(v []int64) []int64 { return v[:1] },
 		"last": func(v []int64) []int64 { return v[len(v)-1:] }, "highest": func(v []int64) []int64 { return []int64{slices.Max(v)} }} {
 		got := map[int64][]int64{}
@@ -134,17 +136,17 @@
 		for _, row := range flat {
 			k := gjson.GetBytes(row, "k").Int()
 			if k < last {
-				t.Fatalf("%s: %d after %d", keep, k, last)
+				t.Fatalf("%s: key %d after key %d", keep, k, last)
 			}
 			last = k
 			got[k] = append(got[k], gjson.GetBytes(row, "v").Int())
 		}
-		for k, v := range holders {
-			if !slices.Equal(got[k], of(v)) {
-				t.Errorf("%s: %d: %v of %v", keep, k, got[k], v)
+		for k, v := range versions {
+			if !slices.Equal(got[k], kept(v)) {
+				t.Errorf("%s: key %d: kept versions %v of %v", keep, k, got[k], v)
 			}
 		}
-		if page := r.Flat(shards, Flat{Keep: keep, Offset: 10, Rows: 5}); len(got) != len(holders) || !same(page, flat[10:15]) {
+		if page := r.Flat(shards, Flat{Keep: keep, Offset: 10, Rows: 5}); len(got) != len(versions) || !equalRows(page, flat[10:15]) {
 			t.Errorf("%s: %d keys, page %q", keep, len(got), page)
 		}
 	}
--- /dev/null
+++ b/internal/testkit/fake/node/slowstart.go
@@ -0,0 +1,149 @@
+package node
+
+import (
+	"math"
+	"time"
+)
+
+// SlowStart describes a node that has just started: its execution times are longer, and it crashes when it
+// receives more than its overload limit within Window.
+type Cold struct {
+	Power  float64       // initial speed as a fraction of a warmed-up node's
+	Span   time.Duration // until warmed up; the speed grows linearly
+	Units  float64       // units tolerated within Window at the start; they grow with the speed
+	Mean   float64       // units of an average request
+	Within time.Duration
+	Back   time.Duration // a crashed node restarts, in slow start again, after this delay
+}
+
+// speed is the speed at an age, as a fraction of a warmed-up node's.
+func (c *Cold) speed(age time.Duration) float64 {
+	return min(1, c.Power+(1-c.Power)*age.Seconds()/c.Span.Seconds())
+}
+
+// overloadLimit is the number of average requests tolerated within Window: N + 3 sqrt(N) + 3.
+func (c *Cold) overloadLimit(age time.Duration) float64 {
+	n := c.Units / c.Mean * c.speed(age) / c.Power
+	return n + 3*math.Sqrt(n) + 3
+}
+
+// slowStartState is a node's slow start state, under n.mu.
+type slowStartState struct {
+	since    time.Time  // start of the slow start; zero: warmed up
+	requests []workItem // within Window
+	sum      float64
+	peakLoad float64 // highest load so far as a fraction of the overload limit
+	crashes  int
+}
+
+type workItem struct {
+	at   time.Time
+	work float64 // in average requests
+}
+
+// Event is something that Options.OnEvent is notified of.
+type Saw int
+
+// The events.
+const (
+	Connected Saw = iota // a connection was accepted
+	Asked                // a complete request was received
+	Fell                 // the node crashed because of overload
+	Returned             // the node restarted in slow start
+)
+
+// BeginSlowStart puts the node into slow start from now on.
+func (n *Node) Chill() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.slowStart = slowStartState{since: time.Now(), peakLoad: n.slowStart.peakLoad, crashes: n.slowStart.crashes}
+}
+
+// Crashes returns how often the node crashed and the highest load so far as a fraction of the overload limit.
+func (n *Node) Falls() (times int, worst float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.slowStart.crashes, n.slowStart.peakLoad
+}
+
+// slowStartAge returns the time since the slow start began and whether it is still under way. The caller holds n.mu.
+func (n *Node) slowStartAge(now time.Time) (time.Duration, bool) {
+	if n.options.Cold == nil || n.slowStart.since.IsZero() {
+		return 0, false
+	}
+	age := now.Sub(n.slowStart.since)
+	return age, age < n.options.Cold.Span
+}
+
+// scaleServiceTime scales an execution time by the current speed.
+func (n *Node) scaleServiceTime(work time.Duration) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if age, starting := n.slowStartAge(time.Now()); starting {
+		return time.Duration(float64(work) / n.options.Cold.speed(age))
+	}
+	return work
+}
+
+// countLoad counts a request and reports whether it makes the node crash.
+func (n *Node) countLoad(units float64) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now, state, limits := time.Now(), &n.slowStart, n.options.Cold
+	age, starting := n.slowStartAge(now)
+	if !starting {
+		return false
+	}
+	request := workItem{now, units / limits.Mean}
+	state.requests, state.sum = append(state.requests, request), state.sum+request.work
+	for now.Sub(state.requests[0].at) > limits.Within {
+		state.requests, state.sum = state.requests[1:], state.sum-state.requests[0].work
+	}
+	load := state.sum / limits.overloadLimit(age)
+	state.peakLoad = max(state.peakLoad, load)
+	if load <= 1 {
+		return false
+	}
+	state.crashes++
+	state.since = time.Time{} // until the restart
+	return true
+}
+
+// crash refuses connections at all addresses until the node restarts.
+func (n *Node) crash() {
+	setAll := func(f Fault) bool {
+		n.restartMu.Lock() // Close takes this lock too, so that nothing listens after it
+		defer n.restartMu.Unlock()
+		n.mu.Lock()
+		closed, ports := n.closed, make([]*listener, 0, len(n.listeners))
+		for _, p := range n.listeners {
+			ports = append(ports, p)
+		}
+		n.mu.Unlock()
+		for _, p := range ports {
+			if !closed && p.set(f) != nil {
+				return false
+			}
+		}
+		return !closed
+	}
+	n.notify(Fell)
+	if !setAll(Refused) {
+		return
+	}
+	select {
+	case <-time.After(n.options.Cold.Back):
+	case <-n.done:
+		return
+	}
+	n.Chill()
+	if setAll(None) {
+		n.notify(Returned)
+	}
+}
+
+func (n *Node) notify(event Saw) {
+	if n.options.Saw != nil {
+		n.options.Saw(event)
+	}
+}
--- a/internal/testkit/fake/refuser/refuser.go
+++ b/internal/testkit/fake/refuser/refuser.go
@@ -1,5 +1,5 @@
-// Package refuser has connections on which every copy past the process fails as a refused splice or
-// sendfile does, and counts each try. Reads and writes are those of the socket. For tests.
+// Package refuser provides connections for tests on which every zero-copy transfer fails like an unsupported splice
+// or sendfile, and counts these transfers. Reads and writes go to the socket.
 package refuser
 
 import (
@@ -9,34 +9,35 @@
 	"syscall"
 )
 
-// Tries counts the copies that were refused.
+// CopyAttempts counts the zero-copy transfers that failed.
 type Tries struct{ n atomic.Int64 }
 
-// Count is how many there were.
+// Count returns the number of failed transfers.
 func (t *Tries) Count() int64 { return t.n.Load() }
 
-// Conn refuses. It is what a TCP connection is otherwise, for whoever looks at its type.
+// Conn is a TCP connection whose zero-copy transfers fail. It embeds *net.TCPConn for callers that depend on the
+// connection's methods.
 type Conn struct {
 	*net.TCPConn
-	tries *Tries
+	counter *Tries
 }
 
-// Of makes a connection of the system refuse.
+// Wrap makes the zero-copy transfers of a TCP connection fail.
 func (t *Tries) Of(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), t} }
 
-// ReadFrom implements io.ReaderFrom, as refused.
-func (c *Conn) ReadFrom(io.Reader) (int64, error) { c.tries.n.Add(1); return 0, syscall.ENOSYS }
+// ReadFrom implements io.ReaderFrom and always fails.
+func (c *Conn) ReadFrom(io.Reader) (int64, error) { c.counter.n.Add(1); return 0, syscall.ENOSYS }
 
-// WriteTo implements io.WriterTo, as refused.
-func (c *Conn) WriteTo(io.Writer) (int64, error) { c.tries.n.Add(1); return 0, syscall.EINVAL }
+// WriteTo implements io.WriterTo and always fails.
+func (c *Conn) WriteTo(io.Writer) (int64, error) { c.counter.n.Add(1); return 0, syscall.EINVAL }
 
-// Listener gives out such connections.
+// Listener accepts connections whose zero-copy transfers fail.
 type Listener struct {
 	net.Listener
 	*Tries
 }
 
-// Listen listens on loopback.
+// Listen opens a Listener on any loopback port.
 func Listen() (*Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -1,7 +1,6 @@
-// Package server is a stand-in scheduler for tests of what sends load: it answers the platform's
-// clients after a known time, and stalls, refuses, resets, hangs or caps its rate as it is told
-// to, while it runs. What it should answer when is computed by Expect, so that what a generator
-// reports can be held against it.
+// Package server is a fake scheduler for tests of load generators. It answers the platform's clients
+// after a known time and can be switched while it runs to stall, reject, reset, hang or limit its rate.
+// Expect and Quantile compute the expected response times, with which a generator's report can be compared.
 package server
 
 import (
@@ -21,65 +20,65 @@
 
 // The modes.
 const (
-	Answer Mode = iota // 200 after Service, but for stalls
+	Answer Mode = iota // 200 after Service, or later during a stall
 	Refuse             // 503 with RetryAfter
 	Reset              // the connection is reset
-	Hang               // nothing comes
+	Hang               // no response
 	Late               // 200 after LateBy
 )
 
-// Options make a server.
+// Options configure a server.
 type Options struct {
-	Service    time.Duration // of an answer
-	Stall      time.Duration // it answers nothing for this long ...
-	Every      time.Duration // ... at the start of each such span, but the first
+	Service    time.Duration // response time without a stall
+	Stall      time.Duration // the server sends no responses for this long at the start of each interval Every, except the first
+	Every      time.Duration
 	RetryAfter time.Duration
 	LateBy     time.Duration
-	Rate       float64 // answers a second; what is over is refused. 0: any
+	Rate       float64 // responses per second; requests above the rate are rejected. 0: unlimited
 }
 
-// Counts are what a server has seen.
+// Counts are a server's counters.
 type Counts struct{ Conns, Requests, Retries, Answered, Refused int }
 
-// Server is a running stand-in.
+// Server is a running fake scheduler.
 type Server struct {
-	opt    Options
-	mode   atomic.Int32
-	start  time.Time
-	mu     sync.Mutex
-	counts Counts
-	ids    map[string]int
-	conns  map[net.Conn]bool
-	tokens float64
-	filled time.Time
-	wg     sync.WaitGroup
-	closed bool
+	opt           Options
+	mode          atomic.Int32
+	start         time.Time
+	mu            sync.Mutex
+	counts        Counts
+	requestCounts map[string]int
+	conns         map[net.Conn]bool
+	tokens        float64
+	refilledAt    time.Time
+	wg            sync.WaitGroup
+	closed        bool
 }
 
-// New makes a server; its stalls count from now.
+// New creates a server whose stall intervals begin now.
 func New(opt Options) *Server {
 	now := time.Now()
-	return &Server{opt: opt, start: now, filled: now, ids: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
+	return &Server{opt: opt, start: now, refilledAt: now, requestCounts: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
 }
 
-// Set switches the mode.
+// SetMode switches the mode.
 func (s *Server) Set(m Mode) { s.mode.Store(int32(m)) }
 
-// Counts are those so far.
+// Counts returns the counters so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Seen is how often an id has come.
+// RequestCount returns how often a request ID has been received.
 func (s *Server) Seen(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ids[id]
+	return s.requestCounts[id]
 }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -90,7 +89,7 @@
 	}
 }
 
-// Go serves one connection.
+// ServeConn serves one connection in its own goroutine.
 func (s *Server) Go(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +108,7 @@
 	})
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -120,27 +119,28 @@
 	s.wg.Wait()
 }
 
-// ready is when a request that came at a time after the start is answered.
-func (s *Server) ready(came time.Duration) time.Duration {
-	at := came + s.opt.Service
+// responseTime returns when a request is answered that arrives at a time after the start.
+func (s *Server) responseTime(arrival time.Duration) time.Duration {
+	end := arrival + s.opt.Service
 	if s.opt.Every > 0 {
-		if n := at / s.opt.Every; n > 0 && at-n*s.opt.Every < s.opt.Stall {
-			at = n*s.opt.Every + s.opt.Stall
+		if n := end / s.opt.Every; n > 0 && end-n*s.opt.Every < s.opt.Stall {
+			end = n*s.opt.Every + s.opt.Stall
 		}
 	}
-	return at
+	return end
 }
 
-// Expect is the time that an answer takes for a request that comes at a time after the start.
-func (s *Server) Expect(came time.Duration) time.Duration { return s.ready(came) - came }
+// Expect returns the response time of a request that arrives at a time after the start.
+func (s *Server) Expect(arrival time.Duration) time.Duration {
+	return s.responseTime(arrival) - arrival
+}
 
-// Quantile is the computed answer for arrivals spread evenly over whole spans: the share q of them
-// takes at most this long.
+// Quantile returns the quantile q of the response time for arrivals spread evenly over whole intervals Every.
 func (s *Server) Quantile(q float64) time.Duration {
 	if s.opt.Every == 0 {
 		return s.opt.Service
 	}
-	stalled := float64(s.opt.Stall) / float64(s.opt.Every) // these wait for what is left of the stall
+	stalled := float64(s.opt.Stall) / float64(s.opt.Every) // share of requests that wait for the rest of a stall
 	if q <= 1-stalled {
 		return s.opt.Service
 	}
@@ -151,21 +151,21 @@
 	br := bufio.NewReader(nc)
 	bw := bufio.NewWriter(nc)
 	for {
-		var q fasthttp.Request
-		if q.Read(br) != nil {
+		var request fasthttp.Request
+		if request.Read(br) != nil {
 			return
 		}
-		came := time.Since(s.start)
-		id := string(q.Header.Peek("X-Request-Id"))
+		arrival := time.Since(s.start)
+		id := string(request.Header.Peek("X-Request-Id"))
 		s.mu.Lock()
 		s.counts.Requests++
-		s.ids[id]++
-		if string(q.Header.Peek("X-Retry")) == "1" {
+		s.requestCounts[id]++
+		if string(request.Header.Peek("X-Retry")) == "1" {
 			s.counts.Retries++
 		}
-		over := s.over()
+		overRate := s.exceedsRate()
 		s.mu.Unlock()
-		var r fasthttp.Response
+		var response fasthttp.Response
 		mode := Mode(s.mode.Load())
 		switch {
 		case mode == Reset:
@@ -174,23 +174,23 @@
 			}
 			return
 		case mode == Hang:
-			_, _ = br.Peek(1) // until its client goes, or the server ends
+			_, _ = br.Peek(1) // until the client disconnects or the server closes
 			return
-		case mode == Refuse || over:
-			r.SetStatusCode(fasthttp.StatusServiceUnavailable)
-			r.Header.Set("Retry-After", strconv.FormatFloat(s.opt.RetryAfter.Seconds(), 'f', -1, 64))
+		case mode == Refuse || overRate:
+			response.SetStatusCode(fasthttp.StatusServiceUnavailable)
+			response.Header.Set("Retry-After", strconv.FormatFloat(s.opt.RetryAfter.Seconds(), 'f', -1, 64))
 		case mode == Late:
 			time.Sleep(s.opt.LateBy)
-			r.SetBodyString(id)
+			response.SetBodyString(id)
 		default:
-			time.Sleep(time.Until(s.start.Add(s.ready(came))))
-			r.SetBodyString(id)
+			time.Sleep(time.Until(s.start.Add(s.responseTime(arrival))))
+			response.SetBodyString(id)
 		}
-		if r.Write(bw) != nil || bw.Flush() != nil {
+		if response.Write(bw) != nil || bw.Flush() != nil {
 			return
 		}
 		s.mu.Lock()
-		if r.StatusCode() == fasthttp.StatusOK {
+		if response.StatusCode() == fasthttp.StatusOK {
 			s.counts.Answered++
 		} else {
 			s.counts.Refused++
@@ -199,14 +199,14 @@
 	}
 }
 
-// over says whether a request is beyond the rate.
-func (s *Server) over() bool {
+// exceedsRate reports whether a request exceeds the rate limit, which is a token bucket.
+func (s *Server) exceedsRate() bool {
 	if s.opt.Rate == 0 {
 		return false
 	}
 	now := time.Now()
-	s.tokens = math.Min(math.Max(1, s.opt.Rate/10), s.tokens+now.Sub(s.filled).Seconds()*s.opt.Rate)
-	s.filled = now
+	s.tokens = math.Min(math.Max(1, s.opt.Rate/10), s.tokens+now.Sub(s.refilledAt).Seconds()*s.opt.Rate)
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return true
 	}
