--- a/internal/testkit/fake/discovery/conn.go
+++ b/internal/testkit/fake/discovery/conn.go
@@ -9,41 +9,41 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Path is where the list is.
+// Path is the URL path of the list.
 const Path = "/registry/instances"
 
-const writeWait = 10 * time.Second // a caller that does not read is given up
+const writeTimeout = 10 * time.Second // the connection of a caller that does not read is closed after this
 
-// conn is one caller's connection. What is not said to be its own goroutine's is under s.mu.
+// conn is one caller's connection. The fields after closed are guarded by s.mu unless noted otherwise.
 type conn struct {
-	s     *Service
-	c     *caller
-	nc    net.Conn
-	kick  chan struct{}
-	asks  chan ask      // its own reader closes it at the connection's end
-	gone  chan struct{} // closed with it
-	asked int           // s.epoch when the present call came
-	busy  bool          // a call waits or a watch is open
-	watch bool
-	quiet bool // silenced, and counted
-	lost  bool // for good
-	said  []string
-	pos   int64 // its goroutine's: the version told on its watch
+	s               *Service
+	caller          *caller
+	nc              net.Conn
+	wake            chan struct{}
+	calls           chan call     // closed by the reader when the connection ends
+	closed          chan struct{} // closed together with calls
+	callEpoch       int           // s.epoch when the current call was received
+	busy            bool          // a call waits or a watch is open
+	watch           bool
+	silenced        bool // silenced and counted
+	silencedForever bool // stays silent after the fault
+	injected        []string
+	sentIndex       int64 // version sent on the watch; used by the connection's goroutine only
 }
 
-// ask is one call.
-type ask struct {
-	watch  bool
-	after  int64 // -1: not said
-	wait   time.Duration
-	status int  // other than 200: a call that means nothing
-	last   bool // the connection ends after it
+// call is one call.
+type call struct {
+	watch      bool
+	after      int64 // -1: not given
+	wait       time.Duration
+	status     int  // not 200 for an invalid call
+	closeAfter bool // the connection closes after the response
 }
 
 func (s *Service) accept(ln net.Listener, name string) {
 	for {
 		nc, err := ln.Accept()
-		if err != nil { // closed, or shut
+		if err != nil { // the listener was closed
 			return
 		}
 		who := name
@@ -52,15 +52,15 @@
 				who = Others
 			}
 		}
-		n := &conn{s: s, nc: nc, kick: make(chan struct{}, 1), asks: make(chan ask), gone: make(chan struct{})}
+		n := &conn{s: s, nc: nc, wake: make(chan struct{}, 1), calls: make(chan call), closed: make(chan struct{})}
 		s.mu.Lock()
-		n.c = s.caller(who)
-		n.c.counts.Came++
+		n.caller = s.caller(who)
+		n.caller.counts.Came++
 		switch {
 		case s.closed || len(s.conns) >= s.opt.Conns:
 			nc.Close()
-		case n.c.fault.resets(s.opt.Mode):
-			n.c.counts.Downs++
+		case n.caller.fault.resetsConns(s.opt.Mode):
+			n.caller.counts.Downs++
 			n.reset()
 		default:
 			s.conns[n] = true
@@ -71,10 +71,10 @@
 	}
 }
 
-// read takes calls off the connection, and notices its end.
+// read reads calls from the connection and notices its end.
 func (n *conn) read() {
-	defer close(n.asks)
-	defer close(n.gone)
+	defer close(n.calls)
+	defer close(n.closed)
 	br := bufio.NewReader(n.nc)
 	for {
 		var q fasthttp.Request
@@ -82,7 +82,7 @@
 			return
 		}
 		args := q.URI().QueryArgs()
-		a := ask{watch: args.GetBool("watch"), after: -1, status: fasthttp.StatusOK, last: q.ConnectionClose()}
+		a := call{watch: args.GetBool("watch"), after: -1, status: fasthttp.StatusOK, closeAfter: q.ConnectionClose()}
 		if v := args.GetUintOrZero("after"); args.Has("after") {
 			a.after = int64(v)
 		}
@@ -94,23 +94,23 @@
 			a.status = fasthttp.StatusMethodNotAllowed
 		}
 		if n.s.opt.Heard != nil {
-			n.s.opt.Heard(n.c.name, string(q.RequestURI()))
+			n.s.opt.Heard(n.caller.name, string(q.RequestURI()))
 		}
 		select {
-		case n.asks <- a:
-		case <-time.After(writeWait): // calls in a row on one that is held
+		case n.calls <- a:
+		case <-time.After(writeTimeout): // pipelined calls on a connection that is silenced
 			return
 		}
 	}
 }
 
 func (n *conn) run() {
-	for a := range n.asks {
+	for a := range n.calls {
 		n.s.mu.Lock()
-		n.c.counts.Calls++
-		n.asked, n.busy = n.s.epoch, true
+		n.caller.counts.Calls++
+		n.callEpoch, n.busy = n.s.epoch, true
 		n.s.mu.Unlock()
-		if !n.call(a) || a.last {
+		if !n.handleCall(a) || a.closeAfter {
 			break
 		}
 		n.s.mu.Lock()
@@ -121,262 +121,263 @@
 	n.s.mu.Lock()
 	delete(n.s.conns, n)
 	if n.watch {
-		n.c.counts.Open--
+		n.caller.counts.Open--
 	}
 	n.s.mu.Unlock()
-	for range n.asks { // until the reader has ended
+	for range n.calls { // drained until the reader has ended
 	}
 }
 
-// until waits for a moment (zero: none) or, where it may, for a kick; false once the connection is over.
-func (n *conn) until(at time.Time, kicked bool) bool {
-	var alarm <-chan time.Time
-	var kick <-chan struct{}
+// waitUntil waits for a time (zero: none) or, if kicked is set, for a wake-up. It returns false once the connection has
+// ended.
+func (n *conn) waitUntil(at time.Time, wakeable bool) bool {
+	var timer <-chan time.Time
+	var wake <-chan struct{}
 	if !at.IsZero() {
 		t := time.NewTimer(time.Until(at))
 		defer t.Stop()
-		alarm = t.C
+		timer = t.C
 	}
-	if kicked {
-		kick = n.kick
+	if wakeable {
+		wake = n.wake
 	}
 	select {
-	case <-alarm:
-	case <-kick:
-	case <-n.gone:
+	case <-timer:
+	case <-wake:
+	case <-n.closed:
 		return false
 	}
 	return true
 }
 
-// hold waits while the connection is silenced.
-func (n *conn) hold() bool {
+// waitWhileSilenced waits while the connection is silenced. It returns false once the connection has ended.
+func (n *conn) waitWhileSilenced() bool {
 	for {
 		n.s.mu.Lock()
-		silent := n.silent()
+		silenced := n.checkSilenced()
 		n.s.mu.Unlock()
-		if !silent {
+		if !silenced {
 			return true
 		}
-		if !n.until(time.Time{}, true) {
+		if !n.waitUntil(time.Time{}, true) {
 			return false
 		}
 	}
 }
 
-// call answers one, and says whether the connection goes on.
-func (n *conn) call(a ask) bool {
+// handleCall answers one call and reports whether the connection stays open.
+func (n *conn) handleCall(a call) bool {
 	s := n.s
 	if a.status != fasthttp.StatusOK {
-		return n.fail(a.status, &n.c.counts.Failed)
+		return n.respondError(a.status, &n.caller.counts.Failed)
 	}
-	if !n.hold() {
+	if !n.waitWhileSilenced() {
 		return false
 	}
 	s.mu.Lock()
-	if n.c.fault.Refuse {
+	if n.caller.fault.Refuse {
 		s.mu.Unlock()
-		return n.fail(fasthttp.StatusServiceUnavailable, &n.c.counts.Refused, &n.c.counts.Failed)
+		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Refused, &n.caller.counts.Failed)
 	}
-	at, waited, out := s.room.call(time.Now())
+	at, waited, out := s.capacity.call(time.Now())
 	if waited > 0 {
-		n.c.counts.Waited++
-		n.c.counts.Longest = max(n.c.counts.Longest, waited)
+		n.caller.counts.Waited++
+		n.caller.counts.Longest = max(n.caller.counts.Longest, waited)
 	}
 	s.mu.Unlock()
-	if !n.until(at, false) {
+	if !n.waitUntil(at, false) {
 		return false
 	}
 	switch out {
 	case TooLong:
-		return n.fail(fasthttp.StatusServiceUnavailable, &n.c.counts.TooLong, &n.c.counts.Failed)
+		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.TooLong, &n.caller.counts.Failed)
 	case Full:
-		return n.fail(fasthttp.StatusServiceUnavailable, &n.c.counts.Full, &n.c.counts.Failed)
+		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Full, &n.caller.counts.Failed)
 	}
 	if a.watch && s.opt.Mode == Push {
-		return n.stream(a)
+		return n.serveWatch(a)
 	}
-	if a.wait > 0 && s.opt.Mode != Poll && !n.changed(a) {
+	if a.wait > 0 && s.opt.Mode != Poll && !n.waitForChange(a) {
 		return false
 	}
-	return n.plain()
+	return n.respondList()
 }
 
-// changed holds a call until the version is over the one it names, or its wait is over.
-func (n *conn) changed(a ask) bool {
-	over := time.Now().Add(a.wait)
+// waitForChange holds a call until the version exceeds the one that it names or its wait time is over.
+func (n *conn) waitForChange(a call) bool {
+	end := time.Now().Add(a.wait)
 	if a.after < 0 {
 		a.after = n.s.Index()
 	}
 	for {
 		n.s.mu.Lock()
-		v := n.s.book.Index()
+		v := n.s.list.Index()
 		n.s.mu.Unlock()
-		if v > a.after || !time.Now().Before(over) {
+		if v > a.after || !time.Now().Before(end) {
 			return true
 		}
-		if !n.until(over, true) {
+		if !n.waitUntil(end, true) {
 			return false
 		}
 	}
 }
 
-// old is the list of the fault of one time, if it is due; under s.mu.
-func (n *conn) old() (List, bool) {
-	back := n.c.once.old
+// takeOldList returns the list that SendOldList requested, if any. The caller holds s.mu.
+func (n *conn) takeOldList() (List, bool) {
+	back := n.caller.once.versionsBack
 	if back == 0 {
 		return List{}, false
 	}
-	n.c.once.old = 0
-	l, _ := n.s.book.At(max(n.s.book.Index()-int64(back), n.s.book.Oldest()))
-	n.c.counts.Olds++
+	n.caller.once.versionsBack = 0
+	l, _ := n.s.list.At(max(n.s.list.Index()-int64(back), n.s.list.Oldest()))
+	n.caller.counts.Olds++
 	return l, true
 }
 
-// late waits as long as the fault says.
-func (n *conn) late() bool {
+// waitDelay waits for the fault's delay. It returns false once the connection has ended.
+func (n *conn) waitDelay() bool {
 	n.s.mu.Lock()
-	by := n.c.fault.Late
-	if by > 0 {
-		n.c.counts.Lates++
+	delay := n.caller.fault.Late
+	if delay > 0 {
+		n.caller.counts.Lates++
 	}
 	n.s.mu.Unlock()
-	return by <= 0 || n.until(time.Now().Add(by), false)
+	return delay <= 0 || n.waitUntil(time.Now().Add(delay), false)
 }
 
-// plain answers with the whole list.
-func (n *conn) plain() bool {
+// respondList responds with the complete list.
+func (n *conn) respondList() bool {
 	n.s.mu.Lock()
-	l, old := n.old()
+	l, old := n.takeOldList()
 	if !old {
-		l = n.s.book.List()
+		l = n.s.list.List()
 	}
-	text := n.s.text(l, -1, n.s.opt.Indent)
+	text := n.s.encoded(l, -1, n.s.opt.Indent)
 	n.s.mu.Unlock()
-	if !n.late() || !n.hold() {
+	if !n.waitDelay() || !n.waitWhileSilenced() {
 		return false
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
-	return n.write(head, text, "", &l, &n.c.counts.Served)
+	return n.write(head, text, "", &l, &n.caller.counts.Served)
 }
 
-// stream opens a watch and serves it to its end.
-func (n *conn) stream(a ask) bool {
+// serveWatch opens a watch and serves it until the connection ends.
+func (n *conn) serveWatch(a call) bool {
 	s := n.s
 	s.mu.Lock()
-	// What is held is what the caller says: one that was started again may hold less.
-	n.c.held = min(n.c.held, a.after)
-	l, old := n.old()
+	// A restarted caller may hold an earlier version than the one sent last.
+	n.caller.sentIndex = min(n.caller.sentIndex, a.after)
+	l, old := n.takeOldList()
 	if !old {
-		l = s.book.After(a.after)
+		l = s.list.After(a.after)
 	}
-	text := s.text(l, a.after, s.opt.IndentWatch)
-	n.pos = s.book.Index()
+	text := s.encoded(l, a.after, s.opt.IndentWatch)
+	n.sentIndex = s.list.Index()
 	s.mu.Unlock()
-	if !n.late() || !n.hold() {
+	if !n.waitDelay() || !n.waitWhileSilenced() {
 		return false
 	}
 	s.mu.Lock()
 	n.watch = true
-	n.c.counts.Served++
-	n.c.counts.Watches++
-	n.c.counts.Open++
+	n.caller.counts.Served++
+	n.caller.counts.Watches++
+	n.caller.counts.Open++
 	s.mu.Unlock()
 	head := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-	if !n.line(head, text, &l) {
+	if !n.writeLine(head, text, &l) {
 		return false
 	}
-	beat := time.Now().Add(s.opt.Beat)
+	nextHeartbeat := time.Now().Add(s.opt.Beat)
 	for {
 		text, l, next, silent := n.next()
 		now := time.Now()
 		switch {
 		case silent:
-			if !n.until(time.Time{}, true) {
+			if !n.waitUntil(time.Time{}, true) {
 				return false
 			}
-			beat = time.Now()
+			nextHeartbeat = time.Now()
 			continue
 		case text != nil:
-			if !n.line("", text, l) {
+			if !n.writeLine("", text, l) {
 				return false
 			}
-		case !now.Before(beat):
-			if !n.line("", nil, nil) {
+		case !now.Before(nextHeartbeat):
+			if !n.writeLine("", nil, nil) {
 				return false
 			}
 		default:
-			if next.IsZero() || beat.Before(next) {
-				next = beat
+			if next.IsZero() || nextHeartbeat.Before(next) {
+				next = nextHeartbeat
 			}
-			if !n.until(next, true) {
+			if !n.waitUntil(next, true) {
 				return false
 			}
 			continue
 		}
-		beat = time.Now().Add(s.opt.Beat)
+		nextHeartbeat = time.Now().Add(s.opt.Beat)
 	}
 }
 
-// next is what the watch says now, if it has anything, and when to look again.
+// next returns what to send on the watch now, if anything, and when to check again.
 func (n *conn) next() (text []byte, l *List, again time.Time, silent bool) {
 	s := n.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.silent() {
+	if n.checkSilenced() {
 		return nil, nil, again, true
 	}
-	if len(n.said) > 0 {
-		text, n.said = []byte(n.said[0]), n.said[1:]
-		n.c.counts.Said++
+	if len(n.injected) > 0 {
+		text, n.injected = []byte(n.injected[0]), n.injected[1:]
+		n.caller.counts.Said++
 		return text, nil, again, false
 	}
-	if old, ok := n.old(); ok {
-		return s.text(old, -1, s.opt.IndentWatch), &old, again, false
+	if old, ok := n.takeOldList(); ok {
+		return s.encoded(old, -1, s.opt.IndentWatch), &old, again, false
 	}
-	v, again := s.visible(n.c.fault.Late, time.Now())
-	if v <= n.pos {
+	v, again := s.visibleIndex(n.caller.fault.Late, time.Now())
+	if v <= n.sentIndex {
 		return nil, nil, again, false
 	}
-	news, ok := s.book.Changes(n.pos, v)
+	changes, ok := s.list.Changes(n.sentIndex, v)
 	if !ok {
-		news, v = s.book.List(), s.book.Index()
+		changes, v = s.list.List(), s.list.Index()
 	}
-	if n.c.fault.Late > 0 {
-		n.c.counts.Lates++
+	if n.caller.fault.Late > 0 {
+		n.caller.counts.Lates++
 	}
-	text = s.text(news, n.pos, s.opt.IndentWatch)
-	n.pos = v
-	return text, &news, again, false
+	text = s.encoded(changes, n.sentIndex, s.opt.IndentWatch)
+	n.sentIndex = v
+	return text, &changes, again, false
 }
 
-// line writes one line of a watch.
-func (n *conn) line(head string, text []byte, l *List) bool {
+// writeLine writes one line of a watch.
+func (n *conn) writeLine(head string, text []byte, l *List) bool {
 	head += fmt.Sprintf("%x\r\n", len(text)+1)
 	if len(text) == 0 {
-		return n.write(head, text, "\n\r\n", l, &n.c.counts.Lines, &n.c.counts.Beats)
+		return n.write(head, text, "\n\r\n", l, &n.caller.counts.Lines, &n.caller.counts.Beats)
 	}
-	return n.write(head, text, "\n\r\n", l, &n.c.counts.Lines)
+	return n.write(head, text, "\n\r\n", l, &n.caller.counts.Lines)
 }
 
-// write puts out a list, or half of it, and records and counts it; false: the connection is over.
+// write sends a list, or its first half, and records and counts it. It returns false if the connection has ended.
 func (n *conn) write(head string, text []byte, tail string, l *List, counts ...*int) bool {
-	n.c.writing.RLock()
-	defer n.c.writing.RUnlock()
+	n.caller.recordMu.RLock()
+	defer n.caller.recordMu.RUnlock()
 	n.s.mu.Lock()
-	cut := n.c.once.cut && len(text) > 1
-	if cut {
-		n.c.once.cut = false
-		n.c.counts.Cuts++
+	truncate := n.caller.once.truncate && len(text) > 1
+	if truncate {
+		n.caller.once.truncate = false
+		n.caller.counts.Cuts++
 		text, tail = text[:len(text)/2], ""
 	}
 	n.s.mu.Unlock()
-	all := make([]byte, 0, len(head)+len(text)+len(tail))
-	all = append(append(append(all, head...), text...), tail...)
-	if n.nc.SetWriteDeadline(time.Now().Add(writeWait)) != nil {
+	message := make([]byte, 0, len(head)+len(text)+len(tail))
+	message = append(append(append(message, head...), text...), tail...)
+	if n.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
-	if _, err := n.nc.Write(all); err != nil || cut {
+	if _, err := n.nc.Write(message); err != nil || truncate {
 		return false
 	}
 	n.s.mu.Lock()
@@ -385,19 +386,19 @@
 		*c++
 	}
 	if l != nil {
-		n.s.tell(n.c, *l, time.Now())
+		n.s.recordDelivery(n.caller, *l, time.Now())
 	}
 	return true
 }
 
-// fail answers with an error, which is counted.
-func (n *conn) fail(status int, counts ...*int) bool {
+// respondError responds with an error and counts it.
+func (n *conn) respondError(status int, counts ...*int) bool {
 	n.s.mu.Lock()
 	for _, c := range counts {
 		*c++
 	}
 	n.s.mu.Unlock()
-	_ = n.nc.SetWriteDeadline(time.Now().Add(writeWait))
+	_ = n.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := fmt.Fprintf(n.nc, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, fasthttp.StatusMessage(status))
 	return err == nil
 }
--- a/internal/testkit/fake/discovery/errors.go
+++ b/internal/testkit/fake/discovery/errors.go
@@ -7,30 +7,30 @@
 	"wheatsaddle/internal/operr"
 )
 
-// BadOption is an option that means nothing.
+// BadOption reports an option that is out of bounds.
 type BadOption struct {
 	Option string
 	Value  any
 }
 
 func (e *BadOption) Error() string {
-	return fmt.Sprintf("discovery: option %s: %v is out of its bounds", e.Option, e.Value)
+	return fmt.Sprintf("discovery: option %s: %v is out of bounds", e.Option, e.Value)
 }
 
 // Code is stable.
 func (e *BadOption) Code() string { return "discovery-option" }
 
-// Advice is what can be done now.
-func (e *BadOption) Advice() string { return "take no figure below 0 and one of the modes named" }
+// Advice says what to do.
+func (e *BadOption) Advice() string { return "use values of 0 or more and one of the named modes" }
 
-// NoListener is an address that could not be had.
+// NoListener reports an address that could not be opened.
 type NoListener struct {
-	Caller string // "": the one that all may use
+	Caller string // empty: the address shared by all callers
 	Err    error
 }
 
 func (e *NoListener) Error() string {
-	return fmt.Sprintf("discovery: address for %q: %v", e.Caller, e.Err)
+	return fmt.Sprintf("discovery: open address for caller %q: %v", e.Caller, e.Err)
 }
 
 func (e *NoListener) Unwrap() error { return e.Err }
@@ -38,12 +38,12 @@
 // Code is stable.
 func (e *NoListener) Code() string { return "discovery-listener" }
 
-// Advice is what can be done now.
+// Advice says what to do.
 func (e *NoListener) Advice() string {
-	return "look for free ports and descriptors on loopback, and at whether the service was closed"
+	return "check that loopback ports and file descriptors are available and that the service was not closed"
 }
 
-// TooManyCallers is a name over the bound of callers.
+// TooManyCallers reports a caller name above Options.Callers.
 type TooManyCallers struct{ Most int }
 
 func (e *TooManyCallers) Error() string {
@@ -53,7 +53,7 @@
 // Code is stable.
 func (e *TooManyCallers) Code() string { return "discovery-callers" }
 
-// Advice is what can be done now.
+// Advice says what to do.
 func (e *TooManyCallers) Advice() string { return "raise Options.Callers" }
 
 func init() {
--- a/internal/testkit/fake/discovery/fault.go
+++ b/internal/testkit/fake/discovery/fault.go
@@ -7,26 +7,25 @@
 	"time"
 )
 
-// Fault is what the service does to a caller until another is set.
+// Fault is a fault that applies to a caller until another one is set.
 type Fault struct {
-	// Down: in mode Push the agent accepts and says nothing; otherwise connections are reset, those
-	// that come too.
+	// Down: in mode Push the agent accepts connections and sends nothing. In the other modes, existing and
+	// new connections are reset.
 	Down    bool
-	Reset   bool          // connections are reset, those that come too, in every mode
-	Shut    bool          // nobody listens at the callers' own addresses, or, for all, at any; the port stays taken
-	Silent  bool          // open watches fall silent, and calls get no answer
-	Answers bool          // with Silent: calls that come from now on are answered, and their watches speak
-	Lost    bool          // with Silent or Down: what fell silent stays so when it is over
-	Refuse  bool          // calls are answered with 503, at no cost
-	Late    time.Duration // answers and news come that much later; beats do not
+	Reset   bool          // existing and new connections are reset in every mode
+	Shut    bool          // no listener at the callers' own addresses, or at any address if set for all callers; the port stays bound
+	Silent  bool          // open watches send nothing and calls get no response
+	Answers bool          // with Silent: calls made from now on are answered and their watches send
+	Lost    bool          // with Silent or Down: connections that were silenced stay silent after the fault
+	Refuse  bool          // calls are answered with 503 without using capacity
+	Late    time.Duration // delay of responses and changes, but not of heartbeats
 	epoch   int
 }
 
-// resets says whether connections are reset under it.
-func (f Fault) resets(m Mode) bool { return f.Reset || f.Shut || f.Down && m != Push }
+// resetsConns reports whether connections are reset under the fault.
+func (f Fault) resetsConns(m Mode) bool { return f.Reset || f.Shut || f.Down && m != Push }
 
-// Set puts a fault in place of the one before, for the callers named, or for all, those too that
-// come later.
+// SetFault replaces the fault of the named callers, or of all callers including future ones.
 func (s *Service) Set(f Fault, callers ...string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,35 +34,35 @@
 	if len(callers) == 0 {
 		s.fault = f
 		if f == (Fault{epoch: f.epoch}) {
-			s.once = once{}
+			s.once = oneTimeFaults{}
 		}
 	}
-	s.each(callers, func(c *caller) {
+	s.forEach(callers, func(c *caller) {
 		c.fault = f
 		if f == (Fault{epoch: f.epoch}) {
-			c.once = once{}
+			c.once = oneTimeFaults{}
 		}
 	}, func(n *conn) {
-		if n.busy && f.Lost && n.mute(f) {
-			n.lost = true
+		if n.busy && f.Lost && n.silencedBy(f) {
+			n.silencedForever = true
 		}
-		if f.resets(s.opt.Mode) {
-			n.c.counts.Downs++
+		if f.resetsConns(s.opt.Mode) {
+			n.caller.counts.Downs++
 			n.reset()
 		}
 	})
-	s.kick()
+	s.wakeAll()
 	var errs []error
-	for name, p := range s.lns {
+	for name, p := range s.ports {
 		if len(callers) == 0 || name != "" && slices.Contains(callers, name) {
-			errs = append(errs, p.shut(f.Shut))
+			errs = append(errs, p.setClosed(f.Shut))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// each goes over callers by name, or all, and their connections; under s.mu.
-func (s *Service) each(names []string, do func(*caller), conns func(*conn)) {
+// forEach calls do for the named callers, or all, and conns for their connections. The caller holds s.mu.
+func (s *Service) forEach(names []string, do func(*caller), conns func(*conn)) {
 	for _, name := range names {
 		s.caller(name)
 	}
@@ -74,101 +73,101 @@
 		}
 	}
 	for n := range s.conns {
-		if conns != nil && picked(n.c) {
+		if conns != nil && picked(n.caller) {
 			conns(n)
 		}
 	}
 }
 
-// Up ends all faults, those too that have not happened yet.
+// ClearFaults ends all faults, including one-time faults that have not happened yet.
 func (s *Service) Up(callers ...string) error { return s.Set(Fault{}, callers...) }
 
-// Down has the service down.
+// SetDown sets the fault Down.
 func (s *Service) Down(callers ...string) error { return s.Set(Fault{Down: true}, callers...) }
 
-// Silent has the service say nothing.
+// SetSilent sets the fault Silent.
 func (s *Service) Silent(callers ...string) error { return s.Set(Fault{Silent: true}, callers...) }
 
-// Late has all that is told come later.
+// SetDelay delays responses and changes.
 func (s *Service) Late(by time.Duration, callers ...string) error {
 	return s.Set(Fault{Late: by}, callers...)
 }
 
-// Refuse has calls answered with 503.
+// RejectCalls answers calls with 503.
 func (s *Service) Refuse(callers ...string) error { return s.Set(Fault{Refuse: true}, callers...) }
 
-// Reset resets open watches and calls that wait, now.
+// ResetConns resets open watches and waiting calls now.
 func (s *Service) Reset(callers ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.each(callers, nil, func(n *conn) {
+	s.forEach(callers, nil, func(n *conn) {
 		if n.busy {
-			n.c.counts.Resets++
+			n.caller.counts.Resets++
 			n.reset()
 		}
 	})
 }
 
-// CutHalfway has the next list of each caller cut in its middle, and the connection closed.
+// TruncateNextList sends each caller only the first half of its next list and closes the connection.
 func (s *Service) CutHalfway(callers ...string) {
-	s.oneTime(callers, func(o *once) { o.cut = true })
+	s.setOnce(callers, func(o *oneTimeFaults) { o.truncate = true })
 }
 
-// OldList tells each caller, next, the whole list as it stood so many versions back: on its watch
-// at once, or as the answer to its next call. The watch goes on as if it had not.
+// SendOldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
+// response to its next call. The watch then continues from the version that it had reached before.
 func (s *Service) OldList(back int, callers ...string) {
-	s.oneTime(callers, func(o *once) { o.old = max(back, 0) })
+	s.setOnce(callers, func(o *oneTimeFaults) { o.versionsBack = max(back, 0) })
 }
 
-func (s *Service) oneTime(callers []string, set func(*once)) {
+func (s *Service) setOnce(callers []string, set func(*oneTimeFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(callers) == 0 {
 		set(&s.once)
 	}
-	s.each(callers, func(c *caller) { set(&c.once) }, nil)
-	s.kick()
+	s.forEach(callers, func(c *caller) { set(&c.once) }, nil)
+	s.wakeAll()
 }
 
-const saidMost = 64
+const maxInjectedLines = 64
 
-// Say writes a line as it is, whatever it means, on the open watches, and returns on how many; what
-// is not read in time is bounded, and over it goes nothing more.
+// InjectLine writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
+// pending lines is skipped.
 func (s *Service) Say(line string, callers ...string) (watches int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.each(callers, nil, func(n *conn) {
-		if n.watch && len(n.said) < saidMost {
-			n.said = append(n.said, line)
+	s.forEach(callers, nil, func(n *conn) {
+		if n.watch && len(n.injected) < maxInjectedLines {
+			n.injected = append(n.injected, line)
 			watches++
 		}
 	})
-	s.kick()
+	s.wakeAll()
 	return watches
 }
 
-// mute says whether a fault silences the connection; under s.mu.
-func (n *conn) mute(f Fault) bool {
-	return f.Down && n.s.opt.Mode == Push && !f.resets(Push) || f.Silent && (!f.Answers || n.asked < f.epoch)
+// silencedBy reports whether a fault silences the connection. The caller holds s.mu.
+func (n *conn) silencedBy(f Fault) bool {
+	return f.Down && n.s.opt.Mode == Push && !f.resetsConns(Push) || f.Silent && (!f.Answers || n.callEpoch < f.epoch)
 }
 
-// silent says whether the connection says nothing at present, and counts it once; under s.mu.
-func (n *conn) silent() bool {
-	if f := n.c.fault; n.mute(f) {
-		n.lost = n.lost || f.Lost
-		if !n.quiet && f.Down {
-			n.c.counts.Downs++
-		} else if !n.quiet {
-			n.c.counts.Silences++
+// checkSilenced reports whether the connection currently sends nothing, and counts each silence once. The caller holds s.mu.
+func (n *conn) checkSilenced() bool {
+	if f := n.caller.fault; n.silencedBy(f) {
+		n.silencedForever = n.silencedForever || f.Lost
+		if !n.silenced && f.Down {
+			n.caller.counts.Downs++
+		} else if !n.silenced {
+			n.caller.counts.Silences++
 		}
-		n.quiet = true
+		n.silenced = true
 		return true
 	}
-	n.quiet = n.lost
-	return n.lost
+	n.silenced = n.silencedForever
+	return n.silencedForever
 }
 
-// reset ends a connection so that its other side sees it broken.
+// reset aborts a connection with RST.
 func (n *conn) reset() {
 	if t, ok := n.nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/testkit/fake/discovery/port.go
+++ b/internal/testkit/fake/discovery/port.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// port is one address of the service. It stays bound, by a socket that never listens, until the service ends, so that
-// no connection takes it while it is shut. A listener that is closed stays with each process that is just being
-// started, between fork and exec: until then nobody else listens there, but who wants to is refused.
+// port is one address of the service. A socket that never listens keeps it bound until the service closes, so that no
+// outgoing connection gets the port while the listener is closed. A child process holds a copy of a closed listener
+// between fork and exec. During this time, listening again fails with EADDRINUSE and is retried.
 type port struct {
 	s    *Service
 	name string
 	addr string
-	ln   net.Listener // nil: shut
-	fd   int          // that holds the port; -1: it is closed
+	ln   net.Listener // nil: not listening
+	fd   int          // socket that keeps the port bound; -1: closed
 }
 
-const againFor, againEvery = 2 * time.Second, time.Millisecond // a listener is tried again
+const relistenTimeout, relistenInterval = 2 * time.Second, time.Millisecond // of retries after EADDRINUSE
 
 func newPort(s *Service, name string) (*port, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -47,26 +47,26 @@
 }
 
 func (p *port) listen() error {
-	for from := time.Now(); ; time.Sleep(againEvery) {
+	for start := time.Now(); ; time.Sleep(relistenInterval) {
 		ln, err := net.Listen("tcp", p.addr)
 		if err == nil {
 			p.ln = ln
 			p.s.wg.Go(func() { p.s.accept(ln, p.name) })
 			return nil
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(from) > againFor {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > relistenTimeout {
 			return err
 		}
 	}
 }
 
-// shut ends or begins listening; under s.mu.
-func (p *port) shut(on bool) error {
+// setClosed closes the listener, or listens again. The caller holds s.mu.
+func (p *port) setClosed(closed bool) error {
 	switch {
-	case on && p.ln != nil && !p.s.closed:
+	case closed && p.ln != nil && !p.s.closed:
 		p.ln.Close()
 		p.ln = nil
-	case !on && p.ln == nil && !p.s.closed:
+	case !closed && p.ln == nil && !p.s.closed:
 		if err := p.listen(); err != nil {
 			return &NoListener{p.name, err}
 		}
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// close ends it for good; under s.mu.
+// close closes the listener and releases the port. The caller holds s.mu.
 func (p *port) close() {
 	if p.ln != nil {
 		p.ln.Close()
--- a/internal/testkit/fake/discovery/queue.go
+++ b/internal/testkit/fake/discovery/queue.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// Outcome is what became of a call before the capacity.
+// Outcome is how the queue handled a call.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served  Outcome = iota
-	TooLong         // it waited longer than the patience
+	TooLong         // the call waited longer than the patience
 	Full            // the queue was full
 )
 
 func (o Outcome) String() string { return [...]string{"served", "waited too long", "queue full"}[o] }
 
-// Queue is the capacity: calls wait in turn, and each takes a time of the one server.
+// Queue models one server with a limited capacity: calls wait in order of arrival and each takes the same processing time.
 type Queue struct {
-	each, patience time.Duration
-	most           int
-	last           time.Duration
-	ends           []time.Duration // of the calls in it, those that nobody waits for too
+	processingTime, patience time.Duration
+	limit                    int
+	now                      time.Duration
+	endTimes                 []time.Duration // end times of the queued calls, including those that failed with TooLong
 }
 
-// NewQueue has calls take a time each (0: they are free), fail after waiting for the patience, and
-// fail at once where the queue holds most already.
-func NewQueue(each, patience time.Duration, most int) *Queue {
-	return &Queue{each: each, patience: patience, most: most}
+// NewQueue creates a queue. Each call takes the time each (0: none), fails after waiting for the patience, and
+// fails at once if the queue is full.
+func NewQueue(processingTime, patience time.Duration, limit int) *Queue {
+	return &Queue{processingTime: processingTime, patience: patience, limit: limit}
 }
 
-// Len is how many calls are in it, the one that is worked on too.
+// Len returns the number of queued calls, including the one in progress.
 func (q *Queue) Len(now time.Duration) int {
-	q.pass(now)
-	return len(q.ends)
+	q.advance(now)
+	return len(q.endTimes)
 }
 
-func (q *Queue) pass(now time.Duration) {
-	q.last = max(q.last, now)
-	for len(q.ends) > 0 && q.ends[0] <= q.last {
-		q.ends = q.ends[1:]
+func (q *Queue) advance(now time.Duration) {
+	q.now = max(q.now, now)
+	for len(q.endTimes) > 0 && q.endTimes[0] <= q.now {
+		q.endTimes = q.endTimes[1:]
 	}
 }
 
-// Call takes a call that comes now, and says when it ends and how.
+// Call adds a call that arrives now and returns when and how it ends.
 func (q *Queue) Call(now time.Duration) (time.Duration, Outcome) {
-	if q.each <= 0 {
+	if q.processingTime <= 0 {
 		return now, Served
 	}
-	q.pass(now)
-	now = q.last
-	if len(q.ends) >= q.most {
+	q.advance(now)
+	now = q.now
+	if len(q.endTimes) >= q.limit {
 		return now, Full
 	}
 	start := now
-	if n := len(q.ends); n > 0 {
-		start = q.ends[n-1]
+	if n := len(q.endTimes); n > 0 {
+		start = q.endTimes[n-1]
 	}
-	q.ends = append(q.ends, start+q.each)
+	q.endTimes = append(q.endTimes, start+q.processingTime)
 	if start-now > q.patience {
 		return now + q.patience, TooLong
 	}
-	return start + q.each, Served
+	return start + q.processingTime, Served
 }
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -9,38 +9,39 @@
 	"time"
 )
 
-// Mode is which calls the service understands.
+// Mode is the kind of calls that the service supports.
 type Mode uint8
 
-// The modes. A call of another form is answered with the whole list at once.
+// The modes. An unsupported call is answered with the complete list at once.
 const (
-	Push Mode = iota // watches: an agent beside the scheduler, where Capacity is 0, or the service itself
-	Poll             // plain calls alone
-	Wait             // plain calls, and those that wait for a change
-	modes
+	Push Mode = iota // watches: an agent on the scheduler's host (Capacity 0) or the service itself
+	Poll             // plain calls only
+	Wait             // plain calls and calls that wait for a change
+	numModes
 )
 
-// Options make a service.
+// Options configure a service.
 type Options struct {
 	Mode        Mode
-	Capacity    float64                  // calls a second, in turn; opening a watch is a call; 0: calls are free
-	Patience    time.Duration            // a call fails that waited longer; 0: 2 s
-	Queue       int                      // calls in it; 0: 64
+	Capacity    float64                  // calls per second, processed in order; opening a watch is a call; 0: unlimited
+	Patience    time.Duration            // a call that waits longer fails; 0: 2 s
+	Queue       int                      // maximum number of queued calls; 0: 64
 	Index       int64                    // version of the empty list at the start
 	Keep        int                      // changed entries in the history; 0: 8192
-	Beat        time.Duration            // of an idle watch; 0: 2 s
-	Indent      bool                     // answers come over several lines
-	IndentWatch bool                     // lines of watches too
-	Callers     int                      // known by name at most, others count as one; 0: 4096
-	Conns       int                      // at most, more are closed at once; 0: 4096
-	Tolds       int                      // kept for each caller; 0: 16384
-	Heard       func(caller, uri string) // of each call, as it comes; nil: nobody hears
-	Shared      *Capacity                // with other services, over Capacity, Patience and Queue; nil: one of its own
-	// Written is told of each list that was written whole, as Told has it; it must not call the service. nil: nobody.
+	Beat        time.Duration            // heartbeat interval of an idle watch; 0: 2 s
+	Indent      bool                     // responses span several lines
+	IndentWatch bool                     // so do the messages of watches
+	Callers     int                      // maximum number of named callers, further ones are counted as one; 0: 4096
+	Conns       int                      // maximum number of connections, further ones are closed at once; 0: 4096
+	Tolds       int                      // deliveries recorded for each caller; 0: 16384
+	Heard       func(caller, uri string) // called for each call on receipt; nil: not called
+	Shared      *Capacity                // shared with other services, replaces Capacity, Patience and Queue; nil: not shared
+	// Written is called after each list that was written completely, with the entries that Deliveries records.
+	// It must not call the service. nil: not called.
 	Written func(caller string, full bool, entries []Entry, at time.Time)
 }
 
-func (o *Options) fill() error {
+func (o *Options) setDefaults() error {
 	for _, x := range []struct {
 		name string
 		n    float64
@@ -51,43 +52,43 @@
 			return &BadOption{x.name, x.n}
 		}
 	}
-	if o.Mode >= modes {
+	if o.Mode >= numModes {
 		return &BadOption{"Mode", o.Mode}
 	}
-	for p, usual := range map[*int]int{&o.Queue: 64, &o.Keep: 8192, &o.Callers: 4096, &o.Conns: 4096, &o.Tolds: 16384} {
+	for p, defaultValue := range map[*int]int{&o.Queue: 64, &o.Keep: 8192, &o.Callers: 4096, &o.Conns: 4096, &o.Tolds: 16384} {
 		if *p == 0 {
-			*p = usual
+			*p = defaultValue
 		}
 	}
-	for p, usual := range map[*time.Duration]time.Duration{&o.Patience: 2 * time.Second, &o.Beat: 2 * time.Second} {
+	for p, defaultValue := range map[*time.Duration]time.Duration{&o.Patience: 2 * time.Second, &o.Beat: 2 * time.Second} {
 		if *p == 0 {
-			*p = usual
+			*p = defaultValue
 		}
 	}
 	return nil
 }
 
-// Counts are what a caller, or all of them, saw.
+// Counts are the counters of one caller or of several together.
 type Counts struct {
 	Came    int // connections
-	Calls   int // read whole
+	Calls   int // received completely
 	Served  int // answered with a list, or a watch opened
-	Failed  int // answered with an error: TooLong, Full, Refused, and calls that mean nothing
+	Failed  int // answered with an error: TooLong, Full, Refused, and invalid calls
 	Watches int // opened
-	Open    int // of those, now
-	Lines   int // written whole, on watches; empty ones too
-	Beats   int // of those, empty
+	Open    int // watches open now
+	Lines   int // written completely on watches, including heartbeats
+	Beats   int // heartbeats
 	Waited  int // calls that waited in the queue
 	Longest time.Duration
 	TooLong int
 	Full    int
 
-	Downs, Silences  int // calls and open watches that got no word, or were reset, because of it
+	Downs, Silences  int // calls and open watches that were reset or got no response because of the fault
 	Refused          int
-	Lates            int // answers and lines that came late
+	Lates            int // responses and lines that were delayed
 	Resets           int
 	Cuts, Olds, Said int
-	Forgotten        int // of Told, over its bound
+	Forgotten        int // recorded deliveries dropped because of the bound
 }
 
 func (c *Counts) add(o Counts) {
@@ -101,91 +102,91 @@
 	c.Longest = longest
 }
 
-// Others is the name of all callers over the bound.
+// Others is the name under which callers above Options.Callers are counted.
 const Others = "others"
 
 // caller is one scheduler, by the name of its listener or by its remote address.
 type caller struct {
-	name   string
-	fault  Fault
-	once   once
-	counts Counts
-	held   int64 // the version told last; -1: none
-	tolds  []told
-	first  int // the oldest of tolds, once they are full
-	// writing is held, read, from before a write until it is recorded, so that who has read what was
-	// written finds it in Counts and Told.
-	writing sync.RWMutex
+	name       string
+	fault      Fault
+	once       oneTimeFaults
+	counts     Counts
+	sentIndex  int64 // the version sent last; -1: none
+	deliveries []delivery
+	oldest     int // position of the oldest delivery once the ring is full
+	// recordMu is read-locked from before a write until it is recorded, so that a test that has read a
+	// message finds it in Counts and Deliveries.
+	recordMu sync.RWMutex
 }
 
-// once are faults that happen one time.
-type once struct {
-	cut bool
-	old int // versions back
+// oneTimeFaults holds the pending one-time faults.
+type oneTimeFaults struct {
+	truncate     bool
+	versionsBack int // how many versions back; 0: none
 }
 
-// Service is a running stand-in.
+// Service is a running fake discovery service.
 type Service struct {
-	opt     Options
-	mu      sync.Mutex
-	book    *Book
-	room    *Capacity
-	puts    []put // of the versions that the history holds
-	epoch   int   // counts the faults set
-	fault   Fault // of callers that come
-	once    once
-	callers map[string]*caller
-	lns     map[string]*port
-	conns   map[*conn]bool
-	closed  bool
-	wg      sync.WaitGroup
-	cache   struct {
+	opt      Options
+	mu       sync.Mutex
+	list     *Book
+	capacity *Capacity
+	putTimes []putTime // times of the versions in the history
+	epoch    int       // number of faults set
+	fault    Fault     // of new callers
+	once     oneTimeFaults
+	callers  map[string]*caller
+	ports    map[string]*port
+	conns    map[*conn]bool
+	closed   bool
+	wg       sync.WaitGroup
+	cache    struct {
 		from, to     int64
 		full, indent bool
 		text         []byte
 	}
 }
 
-type put struct {
+type putTime struct {
 	index int64
 	at    time.Time
 }
 
-// New starts a service on a port of loopback.
+// New starts a service on a loopback port.
 func New(opt Options) (*Service, error) {
-	if err := opt.fill(); err != nil {
+	if err := opt.setDefaults(); err != nil {
 		return nil, err
 	}
-	room := opt.Shared
-	if room == nil {
-		room = newCapacity(opt)
+	capacity := opt.Shared
+	if capacity == nil {
+		capacity = newCapacity(opt)
 	}
-	s := &Service{opt: opt, book: NewBook(opt.Index, opt.Keep), room: room,
-		callers: map[string]*caller{}, lns: map[string]*port{}, conns: map[*conn]bool{}}
+	s := &Service{opt: opt, list: NewBook(opt.Index, opt.Keep), capacity: capacity,
+		callers: map[string]*caller{}, ports: map[string]*port{}, conns: map[*conn]bool{}}
 	if _, err := s.AddrFor(""); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Addr is where callers are known by their remote IP address.
+// Addr returns the address at which callers are identified by their remote IP address.
 func (s *Service) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lns[""].addr
+	return s.ports[""].addr
 }
 
-// AddrFor is where whoever calls is the caller of that name.
+// AddrFor returns the address that identifies its callers by a name. It opens the address on first use.
 func (s *Service) AddrFor(name string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p, ok := s.lns[name]; ok {
+	if p, ok := s.ports[name]; ok {
 		return p.addr, nil
 	}
 	if s.closed {
 		return "", &NoListener{name, net.ErrClosed}
 	}
-	if len(s.lns) > s.opt.Callers {
+	if len(s.ports) > s.opt.Callers {
 		return "", &TooManyCallers{s.opt.Callers}
 	}
 	p, err := newPort(s, name)
@@ -196,11 +197,11 @@
 	if name != "" {
 		f = s.caller(name).fault
 	}
-	s.lns[name] = p
-	return p.addr, p.shut(f.Shut)
+	s.ports[name] = p
+	return p.addr, p.setClosed(f.Shut)
 }
 
-// caller is under s.mu.
+// caller returns the caller of a name and creates it if needed. The goroutine holds s.mu.
 func (s *Service) caller(name string) *caller {
 	c := s.callers[name]
 	if c == nil && len(s.callers) >= s.opt.Callers {
@@ -208,17 +209,17 @@
 		c = s.callers[name]
 	}
 	if c == nil {
-		c = &caller{name: name, held: -1, fault: s.fault, once: s.once}
+		c = &caller{name: name, sentIndex: -1, fault: s.fault, once: s.once}
 		s.callers[name] = c
 	}
 	return c
 }
 
-// Close ends all connections, and returns when nothing runs any more.
+// Close closes all connections and waits for the goroutines.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for _, p := range s.lns {
+	for _, p := range s.ports {
 		p.close()
 	}
 	for n := range s.conns {
@@ -228,40 +229,40 @@
 	s.wg.Wait()
 }
 
-// Put takes entries as the next version, which open watches and waiting calls are told.
+// Put applies entries as the next version and notifies open watches and waiting calls.
 func (s *Service) Put(entries ...Entry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Put(entries...)
-	s.puts = append(s.puts, put{s.book.Index(), time.Now()})
-	if over := len(s.puts) - s.opt.Keep; over > 0 {
-		s.puts = slices.Delete(s.puts, 0, over)
+	s.list.Put(entries...)
+	s.putTimes = append(s.putTimes, putTime{s.list.Index(), time.Now()})
+	if over := len(s.putTimes) - s.opt.Keep; over > 0 {
+		s.putTimes = slices.Delete(s.putTimes, 0, over)
 	}
-	s.kick()
-	return s.book.Index()
+	s.wakeAll()
+	return s.list.Index()
 }
 
-// visible is the version that a caller sees whose news come late, and when it sees the next.
-func (s *Service) visible(late time.Duration, now time.Time) (int64, time.Time) {
-	if late <= 0 || len(s.puts) == 0 {
-		return s.book.Index(), time.Time{}
+// visibleIndex returns the version that a caller with delayed changes sees now, and when it sees the next one.
+func (s *Service) visibleIndex(delay time.Duration, now time.Time) (int64, time.Time) {
+	if delay <= 0 || len(s.putTimes) == 0 {
+		return s.list.Index(), time.Time{}
 	}
-	i := sort.Search(len(s.puts), func(i int) bool { return s.puts[i].at.Add(late).After(now) })
-	if i == len(s.puts) {
-		return s.book.Index(), time.Time{}
+	i := sort.Search(len(s.putTimes), func(i int) bool { return s.putTimes[i].at.Add(delay).After(now) })
+	if i == len(s.putTimes) {
+		return s.list.Index(), time.Time{}
 	}
-	return s.puts[i].index - 1, s.puts[i].at.Add(late)
+	return s.putTimes[i].index - 1, s.putTimes[i].at.Add(delay)
 }
 
-// Index is the present version.
+// Index returns the current version.
 func (s *Service) Index() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Index()
+	return s.list.Index()
 }
 
-// picked are the callers named, or all, when nothing is being written to them.
-func (s *Service) picked(names []string) (list []*caller) {
+// settledCallers returns the named callers, or all, after waiting for writes in progress to be recorded.
+func (s *Service) settledCallers(names []string) (list []*caller) {
 	s.mu.Lock()
 	for name, c := range s.callers {
 		if len(names) == 0 || slices.Contains(names, name) {
@@ -270,15 +271,15 @@
 	}
 	s.mu.Unlock()
 	for _, c := range list {
-		c.writing.Lock()
-		c.writing.Unlock() //nolint:staticcheck,gocritic // SA2001, badLock: waits until a writer has recorded what it wrote
+		c.recordMu.Lock()
+		c.recordMu.Unlock() //nolint:staticcheck,gocritic // SA2001, badLock: waits until a writer has recorded its write
 	}
 	return list
 }
 
-// Counts are those of all callers together, or of the ones named.
+// Counts returns the counters of the named callers, or of all, added up.
 func (s *Service) Counts(callers ...string) (sum Counts) {
-	list := s.picked(callers)
+	list := s.settledCallers(callers)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range list {
@@ -287,78 +288,78 @@
 	return sum
 }
 
-// Callers are the names of those that called or have an address.
+// Callers returns the names of all callers that have called or have an address.
 func (s *Service) Callers() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.callers))
 }
 
-// Told is one entry that was written to a caller: for a whole list, what was new in it to one that
-// had been told what it was told before.
+// Delivery is one entry that was written to a caller. For a complete list, only the entries are recorded that differ
+// from what the caller had been sent before.
 type Told struct {
 	Index int64
 	Entry Entry
-	At    time.Time // when the line had been written
+	At    time.Time // after the write
 }
 
-type told struct {
+type delivery struct {
 	index int64
 	entry *Entry
 	at    time.Time
 }
 
-// Told is what a caller was told, in the order of writing.
+// Deliveries returns the entries written to a caller, in the order of writing.
 func (s *Service) Told(name string) (all []Told) {
-	list := s.picked([]string{name})
+	list := s.settledCallers([]string{name})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range list {
-		for i := range c.tolds {
-			t := c.tolds[(c.first+i)%len(c.tolds)]
+		for i := range c.deliveries {
+			t := c.deliveries[(c.oldest+i)%len(c.deliveries)]
 			all = append(all, Told{t.index, *t.entry, t.at})
 		}
 	}
 	return all
 }
 
-// tell records a list that was written to a caller.
-func (s *Service) tell(c *caller, l List, at time.Time) {
-	fresh := l.Entries
-	if l.Full && c.held >= 0 {
-		if news, ok := s.book.Changes(min(l.Index, c.held), max(l.Index, c.held)); ok {
-			fresh = news.Entries
-			if l.Index < c.held { // an old list: what it takes back
-				stood := map[string]Entry{}
-				l.Apply(stood)
-				for i, e := range fresh {
-					if was, ok := stood[e.Name]; ok {
-						fresh[i] = was
+// recordDelivery records a list that was written to a caller.
+func (s *Service) recordDelivery(c *caller, l List, at time.Time) {
+	changed := l.Entries
+	if l.Full && c.sentIndex >= 0 {
+		if changes, ok := s.list.Changes(min(l.Index, c.sentIndex), max(l.Index, c.sentIndex)); ok {
+			changed = changes.Entries
+			if l.Index < c.sentIndex { // an old list reverts the later changes
+				old := map[string]Entry{}
+				l.Apply(old)
+				for i, e := range changed {
+					if previous, ok := old[e.Name]; ok {
+						changed[i] = previous
 					} else {
-						fresh[i].Status = Left
+						changed[i].Status = Left
 					}
 				}
 			}
 		}
 	}
-	c.held = l.Index
+	c.sentIndex = l.Index
 	if s.opt.Written != nil {
-		s.opt.Written(c.name, l.Full, fresh, at)
+		s.opt.Written(c.name, l.Full, changed, at)
 	}
-	for i := range fresh {
-		t := told{l.Index, &fresh[i], at}
-		if len(c.tolds) < s.opt.Tolds {
-			c.tolds = append(c.tolds, t)
+	for i := range changed {
+		t := delivery{l.Index, &changed[i], at}
+		if len(c.deliveries) < s.opt.Tolds {
+			c.deliveries = append(c.deliveries, t)
 			continue
 		}
-		c.tolds[c.first] = t
-		c.first = (c.first + 1) % len(c.tolds)
+		c.deliveries[c.oldest] = t
+		c.oldest = (c.oldest + 1) % len(c.deliveries)
 		c.counts.Forgotten++
 	}
 }
 
-// text is a message's JSON; the same one is mostly written to many.
-func (s *Service) text(l List, from int64, indent bool) []byte {
+// encoded returns a message's JSON. It caches the last one, because most messages are written to many callers.
+func (s *Service) encoded(l List, from int64, indent bool) []byte {
 	k := &s.cache
 	if l.Full {
 		from = -1
@@ -369,11 +370,11 @@
 	return k.text
 }
 
-// kick has all connections look again; under s.mu.
-func (s *Service) kick() {
+// wakeAll wakes up all connections. The caller holds s.mu.
+func (s *Service) wakeAll() {
 	for n := range s.conns {
 		select {
-		case n.kick <- struct{}{}:
+		case n.wake <- struct{}{}:
 		default:
 		}
 	}
