--- a/internal/testkit/fake/discovery/list.go
+++ b/internal/testkit/fake/discovery/list.go
@@ -7,7 +7,7 @@
 //
 //   - an earlier version of the list with the later changes applied equals the current list;
 //   - a list that was returned never changes;
-//   - the history holds at most keep changes and reports the versions that it no longer covers;
+//   - the history holds at most maxHistory entries and reports the versions that it no longer covers;
 //   - calls are processed one at a time in order of arrival, each for its full processing time;
 //   - no call is served that waited longer than the patience, and no call waits when the queue is full;
 //   - a call that fails because it waited too long still takes its processing time.
@@ -99,7 +99,7 @@
 	snapshot   *List // complete list of the current version, cached by List
 }
 
-// NewVersionedList creates an empty list at a version. keep bounds the history in changed entries.
+// NewVersionedList creates an empty list at a version. maxHistory bounds the history in changed entries.
 func NewBook(index int64, maxHistory int) *Book {
 	return &Book{index: index, oldest: index, maxHistory: maxHistory, entries: map[string]Entry{}}
 }
--- a/internal/testkit/fake/discovery/queue.go
+++ b/internal/testkit/fake/discovery/queue.go
@@ -22,8 +22,8 @@
 	endTimes                 []time.Duration // end times of the queued calls, including those that failed with TooLong
 }
 
-// NewQueue creates a queue. Each call takes the time each (0: none), fails after waiting for the patience, and
-// fails at once if the queue is full.
+// NewQueue creates a queue. Each call takes processingTime (0: none), fails after waiting for patience, and fails at
+// once if limit calls are queued.
 func NewQueue(processingTime, patience time.Duration, limit int) *Queue {
 	return &Queue{processingTime: processingTime, patience: patience, limit: limit}
 }
--- a/internal/testkit/fake/link/datagram.go
+++ b/internal/testkit/fake/link/datagram.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	datagramMost = 64 << 10
-	behindMost   = 50 * time.Millisecond // a reordered datagram waits so long for another
+	maxDatagramSize = 64 << 10
+	reorderTimeout  = 50 * time.Millisecond // maximum wait of a reordered datagram for the next one
 )
 
-// datagrams carries one direction: what comes at one socket leaves by the other, so that each party
-// has the other at one address.
-func (l *Link) datagrams(d Direction) {
+// forwardDatagrams forwards one direction. What arrives at one socket is sent from the other, so that each party sees the
+// other at one address.
+func (l *Link) forwardDatagrams(d Direction) {
 	defer l.wg.Done()
 	rng := rand.New(rand.NewPCG(l.opt.Seed, uint64(d)))
 	in, out := l.udp[d], l.udp[1-d]
 	var mu sync.Mutex
-	var behind func()
-	b := make([]byte, datagramMost)
+	var pending func()
+	b := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := in.ReadFrom(b)
 		if err != nil {
@@ -28,7 +28,7 @@
 			case <-l.done:
 				return
 			default:
-				continue // an ICMP answer to what was sent before
+				continue // an ICMP error caused by an earlier datagram
 			}
 		}
 		l.mu.Lock()
@@ -41,75 +41,75 @@
 		}
 		l.mu.Unlock()
 		if to == nil {
-			continue // the first party has not spoken, and nobody said where it is
+			continue // the first party's address is not configured and it has sent nothing yet
 		}
-		f, _, _ := l.now(d)
-		// Each datagram takes the same draws whatever the fault: switching one moves no other.
-		lost, doubled, reordered, late := rng.Float64() < f.Loss, rng.Float64() < f.Double, rng.Float64() < f.Reorder, rng.Float64()
-		drop := func(count func(*Counts)) { l.count(d, count) }
+		f, _, _ := l.currentFault(d)
+		// Each datagram takes the same draws whatever the fault, so that switching a fault does not shift the others' draws.
+		lost, doubled, reordered, jitter := rng.Float64() < f.Loss, rng.Float64() < f.Double, rng.Float64() < f.Reorder, rng.Float64()
+		count := func(count func(*Counts)) { l.count(d, count) }
 		switch {
 		case f.Cut:
-			drop(func(c *Counts) { c.Cut++ })
+			count(func(c *Counts) { c.Cut++ })
 			continue
 		case f.Silent:
-			drop(func(c *Counts) { c.Silenced++ })
+			count(func(c *Counts) { c.Silenced++ })
 			continue
 		case lost:
-			drop(func(c *Counts) { c.Lost++ })
+			count(func(c *Counts) { c.Lost++ })
 			continue
 		}
-		times := 1
+		copies := 1
 		if doubled {
-			times = 2
-			drop(func(c *Counts) { c.Doubled++ })
+			copies = 2
+			count(func(c *Counts) { c.Doubled++ })
 		}
 		data := append([]byte(nil), b[:n]...)
 		send := func() {
-			for range times {
-				l.send(d, out, data, to)
+			for range copies {
+				l.sendDatagram(d, out, data, to)
 			}
 		}
-		if span := f.Delay + time.Duration(late*float64(f.Jitter)); span > 0 {
-			drop(func(c *Counts) { c.Delayed++ })
-			l.later(span, send)
+		if delay := f.Delay + time.Duration(jitter*float64(f.Jitter)); delay > 0 {
+			count(func(c *Counts) { c.Delayed++ })
+			l.sendAfter(delay, send)
 			continue
 		}
 		mu.Lock()
-		held := behind
-		behind = nil
-		if reordered && held == nil {
-			drop(func(c *Counts) { c.Reordered++ })
+		previous := pending
+		pending = nil
+		if reordered && previous == nil {
+			count(func(c *Counts) { c.Reordered++ })
 			var once sync.Once
-			alone := func() { once.Do(send) }
-			behind = alone
+			sendOnce := func() { once.Do(send) }
+			pending = sendOnce
 			mu.Unlock()
-			l.later(behindMost, alone)
+			l.sendAfter(reorderTimeout, sendOnce)
 			continue
 		}
 		mu.Unlock()
 		send()
-		if held != nil {
-			held()
+		if previous != nil {
+			previous()
 		}
 	}
 }
 
-func (l *Link) send(d Direction, out *net.UDPConn, data []byte, to net.Addr) {
+func (l *Link) sendDatagram(d Direction, out *net.UDPConn, data []byte, to net.Addr) {
 	if _, err := out.WriteTo(data, to); err == nil {
 		l.count(d, func(c *Counts) { c.Pieces++; c.Bytes += len(data) })
 	}
 }
 
-// later does something after a while, unless the link closes before.
-func (l *Link) later(span time.Duration, do func()) {
+// sendAfter calls do after a duration unless the link closes before.
+func (l *Link) sendAfter(delay time.Duration, send func()) {
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		t := time.NewTimer(span)
+		t := time.NewTimer(delay)
 		defer t.Stop()
 		select {
 		case <-t.C:
-			do()
+			send()
 		case <-l.done:
 		}
 	}()
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -1,27 +1,28 @@
-// Package link is a TCP and UDP link between two parties on loopback, with seeded faults for each
-// direction that are switched while it runs, and counts of what the faults did.
+// Package link is a TCP and UDP proxy between two parties on loopback. It injects seeded faults in each
+// direction, which can be switched while it runs, and counts their effects.
 //
-// Forward is what goes from the party that the link stands for (which knows the link's address
-// alone) to the one at To; Backward is the way back. What each fault means:
+// Forward is the direction from the first party, which knows only the link's address, to the second
+// party at To. Backward is the opposite direction. The faults are:
 //
-//	fault       a TCP connection                                     a datagram
-//	Cut         one way: the receiver sees its end, nothing more     dropped
-//	            passes; both ways: reset, and so are new ones
-//	Silent      what is sent waits until the fault is lifted         dropped
-//	Delay       plus up to Jitter drawn: later, in order             later; Jitter may reorder
-//	Loss        a lost piece is sent again: it comes 200 ms later    dropped
-//	Double      -                                                    comes twice
-//	Reorder     -                                                    comes behind the next one
-//	Trickle     so many bytes a second pass                          -
-//	ResetAfter  reset on both sides once so many bytes have come     -
-//	            since the fault was set or the connection began
-//	HalfOpen    with the next piece the receiver sees a reset, the   -
-//	            sender nothing: its bytes are taken, no answer comes
-//	Hold        new connects neither come up nor fail; what waited   -
-//	            comes up when it is lifted, by the kernel's next try
+//	fault       TCP connection                                       datagram
+//	Cut         one direction: the receiver sees the end of the      dropped
+//	            stream; both: existing and new connections are reset
+//	Silent      data waits until the fault is cleared                dropped
+//	Delay       delayed by Delay plus up to Jitter at random, in     delayed; Jitter may reorder
+//	            order
+//	Loss        retransmission: a lost chunk is delayed by 200 ms    dropped
+//	Double      -                                                    delivered twice
+//	Reorder     -                                                    delivered after the next one
+//	Trickle     limited to so many bytes per second                  -
+//	ResetAfter  reset on both sides after so many bytes since the    -
+//	            fault was set or the connection was opened
+//	HalfOpen    with the next chunk the receiver sees a reset; the   -
+//	            sender's bytes are accepted, but no response comes
+//	Hold        connects neither succeed nor fail; they succeed      -
+//	            once the fault is cleared and the kernel retries
 //
-// Invariants: a stream's bytes pass whole and in order up to a reset; the same seed and the same
-// pieces give the same draws; after Close no goroutine and no socket of the link is left.
+// Invariants: up to a reset, the bytes of a stream are delivered completely and in order; the same seed
+// and the same chunks give the same random draws; after Close no goroutine or socket of the link is left.
 package link
 
 import (
@@ -33,7 +34,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// Direction is one way over a link, or both.
+// Direction is one direction of a link, or both.
 type Direction int
 
 // The directions.
@@ -43,46 +44,46 @@
 	Both
 )
 
-// Fault is what a direction does to what passes; the zero value is none.
+// Fault is a fault of one direction. The zero value is no fault.
 type Fault struct {
 	Cut, Silent           bool
 	Delay, Jitter         time.Duration
-	Loss, Double, Reorder float64 // chances of a piece
-	Trickle               int     // bytes a second
+	Loss, Double, Reorder float64 // probabilities for each chunk
+	Trickle               int     // bytes per second
 	ResetAfter            int     // bytes
 	HalfOpen, Hold        bool
 }
 
-// Counts are what a direction has passed and what its faults have done.
+// Counts are the traffic and the fault counters of a direction.
 type Counts struct {
-	Conns, Pieces, Bytes int // accepted (forward), and passed on
-	// pieces and connections that met a fault
+	Conns, Pieces, Bytes int // connections accepted; chunks and bytes forwarded
+	// Chunks and connections affected by each fault.
 	Cut, Silenced, Delayed, Lost, Doubled, Reordered, Trickled, Reset, Half int
 }
 
-// Options make a link.
+// Options configure a link.
 type Options struct {
 	Seed    uint64
-	Network string // tcp, udp, or both: a pair of parties that speak TCP and UDP at one address each
-	To      string // the party behind it
-	Listen  string // the link's address before it; "": any port of 127.0.0.1
-	// From and Back are for udp and both: the first party's own address ("": learned from its first
-	// datagram) and the link's address that the second party knows it by ("": any port).
+	Network string // tcp, udp, or both for two parties that use TCP and UDP at one address each
+	To      string // address of the second party
+	Listen  string // address at which the first party reaches the second; "": any port of 127.0.0.1
+	// From and Back are for udp and both. From is the first party's own address ("": learned from its first
+	// datagram). Back is the address at which the second party reaches the first ("": any port).
 	From, Back string
 }
 
-// Conn is what the link knows of a TCP connection.
+// Conn describes a TCP connection.
 type Conn struct {
-	Out    string    // the address that the party behind sees it come from
+	Out    string    // remote address that the second party sees
 	Opened time.Time // it was accepted
-	Ended  time.Time // its dialer ended it, or it was reset; zero: it stands
+	Ended  time.Time // its dialer closed it, or it was reset; zero: still open
 }
 
-// Unfit is a fault that a network cannot have, or a number out of range.
+// Unfit reports a fault that the network does not support or a value out of range.
 type Unfit struct{ Network, Fault string }
 
 func (e *Unfit) Error() string {
-	return fmt.Sprintf("link: a %s link cannot have %s", e.Network, e.Fault)
+	return fmt.Sprintf("link: a %s link does not support %s", e.Network, e.Fault)
 }
 
 // Code implements operr.Coded.
@@ -90,16 +91,16 @@
 
 // Advice implements operr.Coded.
 func (e *Unfit) Advice() string {
-	return "use a fault of the link's network; the package's table has them"
+	return "use a fault that the link's network supports according to the table in the package comment"
 }
 
-// NotOpen is a link whose sockets could not be opened.
+// NotOpen reports a socket of the link that could not be opened.
 type NotOpen struct {
 	Address string
 	Err     error
 }
 
-func (e *NotOpen) Error() string { return fmt.Sprintf("link: %s: %v", e.Address, e.Err) }
+func (e *NotOpen) Error() string { return fmt.Sprintf("link: open %s: %v", e.Address, e.Err) }
 func (e *NotOpen) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
@@ -112,22 +113,22 @@
 
 // Link is a running link.
 type Link struct {
-	opt     Options
-	tcp     [2]*gate // where the first and the second party dial
-	udp     [2]*net.UDPConn
-	mu      sync.Mutex
-	from    net.Addr // the first party, for datagrams
-	to      net.Addr
-	fault   [2]Fault
-	since   [2]int        // how often a direction's fault was set
-	changed chan struct{} // closed when a fault is set
-	counts  [2]Counts
-	conns   map[*pipe]bool
-	all     []*pipe
-	opened  int
-	done    chan struct{}
-	closing bool
-	wg      sync.WaitGroup
+	opt          Options
+	tcp          [2]*heldListener // listeners that the first and the second party dial
+	udp          [2]*net.UDPConn
+	mu           sync.Mutex
+	from         net.Addr // the first party's address for datagrams
+	to           net.Addr
+	fault        [2]Fault
+	faultVersion [2]int        // number of times that the direction's fault was set
+	changed      chan struct{} // closed when a fault is set
+	counts       [2]Counts
+	openPipes    map[*pipe]bool
+	allPipes     []*pipe
+	accepted     int
+	done         chan struct{}
+	closing      bool
+	wg           sync.WaitGroup
 }
 
 // New opens a link.
@@ -138,7 +139,7 @@
 	if opt.Back == "" {
 		opt.Back = "127.0.0.1:0"
 	}
-	l := &Link{opt: opt, changed: make(chan struct{}), conns: map[*pipe]bool{}, done: make(chan struct{})}
+	l := &Link{opt: opt, changed: make(chan struct{}), openPipes: map[*pipe]bool{}, done: make(chan struct{})}
 	fail := func(at string, err error) (*Link, error) {
 		l.Close()
 		return nil, &NotOpen{at, err}
@@ -149,11 +150,11 @@
 	switch opt.Network {
 	case "tcp", "udp", "both":
 	default:
-		return nil, &Unfit{opt.Network, "any fault: the network is tcp, udp or both"}
+		return nil, &Unfit{opt.Network, "any fault; the network must be tcp, udp or both"}
 	}
 	if opt.Network != "udp" {
 		for i, e := range ends[:map[string]int{"tcp": 1, "both": 2}[opt.Network]] {
-			g, err := openGate(e.at)
+			g, err := newHeldListener(e.at)
 			if err != nil {
 				return fail(e.at, err)
 			}
@@ -184,13 +185,13 @@
 		}
 		for d := range l.udp {
 			l.wg.Add(1)
-			go l.datagrams(Direction(d))
+			go l.forwardDatagrams(Direction(d))
 		}
 	}
 	return l, nil
 }
 
-// Addr is the link's address before it, where the first party sends.
+// Addr returns the address at which the first party reaches the second.
 func (l *Link) Addr() string {
 	if l.tcp[0] != nil {
 		return l.tcp[0].addr()
@@ -198,7 +199,7 @@
 	return l.udp[0].LocalAddr().String()
 }
 
-// Back is the address that the second party knows the first by; "" on a tcp link.
+// Back returns the address at which the second party reaches the first, or "" on a tcp link.
 func (l *Link) Back() string {
 	if l.udp[1] == nil {
 		return ""
@@ -206,50 +207,50 @@
 	return l.udp[1].LocalAddr().String()
 }
 
-// Set switches a direction's fault, for what stands and for what comes.
+// SetFault switches a direction's fault for existing and new connections.
 func (l *Link) Set(dir Direction, f Fault) error {
 	stream := f.Trickle != 0 || f.ResetAfter != 0 || f.HalfOpen || f.Hold
 	switch {
 	case l.opt.Network == "tcp" && (f.Double != 0 || f.Reorder != 0):
-		return &Unfit{"tcp", "doubling or reordering"}
+		return &Unfit{"tcp", "duplication or reordering"}
 	case l.opt.Network == "udp" && stream:
-		return &Unfit{"udp", "a trickle, a reset, a half-open or held connection"}
+		return &Unfit{"udp", "a rate limit, a reset, or a half-open or held connection"}
 	case f.Loss < 0 || f.Loss > 1 || f.Double < 0 || f.Double > 1 || f.Reorder < 0 || f.Reorder > 1 || f.Delay < 0 || f.Jitter < 0 || f.Trickle < 0 || f.ResetAfter < 0:
-		return &Unfit{l.opt.Network, "a chance outside 0 to 1, or a negative figure"}
+		return &Unfit{l.opt.Network, "a probability outside 0 to 1 or a negative value"}
 	}
 	l.mu.Lock()
 	for d := range l.fault {
 		if dir == Both || int(dir) == d {
 			l.fault[d] = f
-			l.since[d]++
+			l.faultVersion[d]++
 		}
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
-	both := l.fault[Forward].Cut && l.fault[Backward].Cut
+	cutBoth := l.fault[Forward].Cut && l.fault[Backward].Cut
 	hold := [2]bool{l.fault[Forward].Hold, l.fault[Backward].Hold}
-	var stand []*pipe
-	for p := range l.conns {
-		stand = append(stand, p)
+	var open []*pipe
+	for p := range l.openPipes {
+		open = append(open, p)
 	}
 	l.mu.Unlock()
 	for i, g := range l.tcp {
 		if g == nil {
 			continue
 		}
-		if err := g.hold(hold[i]); err != nil {
+		if err := g.setHeld(hold[i]); err != nil {
 			return &NotOpen{g.addr(), err}
 		}
 	}
-	for _, p := range stand {
-		if both {
+	for _, p := range open {
+		if cutBoth {
 			p.reset(Forward, func(c *Counts) { c.Cut++ })
 		}
 	}
 	return nil
 }
 
-// Counts are those of a direction, or of both together.
+// Counts returns the counters of a direction, or of both added up.
 func (l *Link) Counts(dir Direction) (c Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -261,37 +262,37 @@
 		a.Lost + b.Lost, a.Doubled + b.Doubled, a.Reordered + b.Reordered, a.Trickled + b.Trickled, a.Reset + b.Reset, a.Half + b.Half}
 }
 
-// Conns are the TCP connections there have been, in order.
+// Conns returns all TCP connections so far, in the order of their acceptance.
 func (l *Link) Conns() (all []Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, p := range l.all {
-		all = append(all, p.known)
+	for _, p := range l.allPipes {
+		all = append(all, p.info)
 	}
 	return all
 }
 
-// Open is how many TCP connections stand.
+// OpenConns returns the number of open TCP connections.
 func (l *Link) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.conns)
+	return len(l.openPipes)
 }
 
-// Reset resets the connections that stand; the faults stay.
+// ResetConns resets the open connections and leaves the faults unchanged.
 func (l *Link) Reset() {
 	l.mu.Lock()
-	var stand []*pipe
-	for p := range l.conns {
-		stand = append(stand, p)
+	var open []*pipe
+	for p := range l.openPipes {
+		open = append(open, p)
 	}
 	l.mu.Unlock()
-	for _, p := range stand {
+	for _, p := range open {
 		p.reset(Forward, func(c *Counts) { c.Reset++ })
 	}
 }
 
-// Close ends the link and what stands on it.
+// Close closes the link and its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if l.closing {
@@ -321,9 +322,9 @@
 	l.mu.Unlock()
 }
 
-// now is a direction's fault, with the channel that closes when it changes.
-func (l *Link) now(dir Direction) (f Fault, since int, changed <-chan struct{}) {
+// currentFault returns a direction's current fault, how often it was set, and a channel that is closed when it changes.
+func (l *Link) currentFault(dir Direction) (f Fault, version int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault[dir], l.since[dir], l.changed
+	return l.fault[dir], l.faultVersion[dir], l.changed
 }
--- a/internal/testkit/fake/link/pipe.go
+++ b/internal/testkit/fake/link/pipe.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	piece    = 16 << 10
-	piecesOn = 64                     // read ahead of one direction
-	again    = 200 * time.Millisecond // a lost piece of a stream is sent again after this
-	dialMost = 5 * time.Second
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64                     // chunks read ahead in one direction
+	retransmitDelay = 200 * time.Millisecond // delay of a lost chunk of a stream
+	dialTimeout     = 5 * time.Second
 )
 
-// pipe is one TCP connection over the link: ends[Forward] is the dialer's side.
+// pipe is one TCP connection over the link. ends[Forward] is the first party's side.
 type pipe struct {
-	l     *Link
-	ends  [2]*net.TCPConn
-	known Conn // under the link's lock
-	dead  chan struct{}
-	once  sync.Once
-	half  [2]bool // the receiver of that direction was reset; under the link's lock
+	l        *Link
+	ends     [2]*net.TCPConn
+	info     Conn // guarded by the link's lock
+	closed   chan struct{}
+	once     sync.Once
+	halfOpen [2]bool // the receiver of that direction was reset; guarded by the link's lock
 }
 
-// unit is a piece on its way; nil: the sender's end.
-type unit struct {
-	data []byte
-	at   time.Time
+// chunk is data in flight with the time of its receipt.
+type chunk struct {
+	data     []byte
+	received time.Time
 }
 
-// accept serves a gate; flip: its dialers are the second party.
-func (l *Link) accept(g *gate, to string, flip bool) {
+// accept serves a listener. fromSecond says that its dialer is the second party.
+func (l *Link) accept(g *heldListener, to string, fromSecond bool) {
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
@@ -42,63 +42,63 @@
 			if err != nil {
 				return
 			}
-			l.take(nc.(*net.TCPConn), to, flip)
+			l.startPipe(nc.(*net.TCPConn), to, fromSecond)
 		}
 	}()
 }
 
-func (l *Link) take(nc *net.TCPConn, to string, flip bool) {
-	p := &pipe{l: l, dead: make(chan struct{}), known: Conn{Opened: time.Now()}}
+func (l *Link) startPipe(nc *net.TCPConn, to string, fromSecond bool) {
+	p := &pipe{l: l, closed: make(chan struct{}), info: Conn{Opened: time.Now()}}
 	dir := Forward
-	if flip {
+	if fromSecond {
 		dir = Backward
 	}
 	p.ends[dir] = nc
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opened++
-	seq := uint64(l.opened)
+	l.accepted++
+	seq := uint64(l.accepted)
 	l.counts[dir].Conns++
 	if l.closing || l.fault[Forward].Cut && l.fault[Backward].Cut {
 		if !l.closing {
 			l.counts[dir].Cut++
 		}
-		broken(nc)
+		resetConn(nc)
 		return
 	}
 	if l.fault[dir].HalfOpen {
-		l.counts[dir].Half++ // it has no other side at all
-		p.half[dir] = true
+		l.counts[dir].Half++ // the other side is never dialled
+		p.halfOpen[dir] = true
 	}
-	half := p.half[dir]
-	l.conns[p] = true
-	l.all = append(l.all, p)
+	half := p.halfOpen[dir]
+	l.openPipes[p] = true
+	l.allPipes = append(l.allPipes, p)
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
 		defer func() {
 			l.mu.Lock()
-			delete(l.conns, p)
+			delete(l.openPipes, p)
 			l.mu.Unlock()
 		}()
 		if half {
-			_, _ = io.Copy(io.Discard, nc) // until its dialer ends it, or the link closes
-			p.over()
+			_, _ = io.Copy(io.Discard, nc) // until the dialer or the link closes it
+			p.recordEnd()
 			nc.Close()
 			return
 		}
-		far, err := net.DialTimeout("tcp", to, dialMost)
+		target, err := net.DialTimeout("tcp", to, dialTimeout)
 		if err != nil {
-			p.over()
-			broken(nc) // as the dialer would have met: nobody is there
+			p.recordEnd()
+			resetConn(nc) // the dialer sees a reset if nothing listens at the other side
 			return
 		}
 		l.mu.Lock()
-		p.ends[1-dir], p.known.Out = far.(*net.TCPConn), far.LocalAddr().String()
+		p.ends[1-dir], p.info.Out = target.(*net.TCPConn), target.LocalAddr().String()
 		l.mu.Unlock()
 		select {
-		case <-p.dead: // while it dialled
-			broken(far.(*net.TCPConn))
+		case <-p.closed: // reset during the dial
+			resetConn(target.(*net.TCPConn))
 		default:
 		}
 		var both sync.WaitGroup
@@ -106,88 +106,88 @@
 			both.Add(1)
 			go func() {
 				defer both.Done()
-				p.flow(Direction(d), dir, rand.New(rand.NewPCG(l.opt.Seed, seq*2+uint64(d))))
+				p.forward(Direction(d), dir, rand.New(rand.NewPCG(l.opt.Seed, seq*2+uint64(d))))
 			}()
 		}
 		both.Wait()
-		p.over()
+		p.recordEnd()
 		p.ends[0].Close()
 		p.ends[1].Close()
 	}()
 }
 
-// broken ends a connection so that its peer sees it reset.
-func broken(nc *net.TCPConn) {
+// resetConn aborts a connection with RST.
+func resetConn(nc *net.TCPConn) {
 	if nc != nil {
 		_ = nc.SetLinger(0)
 		nc.Close()
 	}
 }
 
-// over notes the end of the connection for its dialer.
-func (p *pipe) over() {
+// recordEnd records when the connection ended for its dialer.
+func (p *pipe) recordEnd() {
 	p.l.mu.Lock()
-	if p.known.Ended.IsZero() {
-		p.known.Ended = time.Now()
+	if p.info.Ended.IsZero() {
+		p.info.Ended = time.Now()
 	}
 	p.l.mu.Unlock()
 }
 
-// reset ends both sides by RST.
+// reset aborts both sides with RST.
 func (p *pipe) reset(dir Direction, count func(*Counts)) {
 	p.once.Do(func() {
 		p.l.count(dir, count)
-		p.over()
-		close(p.dead)
+		p.recordEnd()
+		close(p.closed)
 		p.l.mu.Lock()
 		ends := p.ends
 		p.l.mu.Unlock()
-		broken(ends[0])
-		broken(ends[1])
+		resetConn(ends[0])
+		resetConn(ends[1])
 	})
 }
 
-// flow carries one direction until its sender ends or the connection is broken.
-func (p *pipe) flow(d, dialer Direction, rng *rand.Rand) {
+// forward copies one direction until its sender closes it or the connection is reset.
+func (p *pipe) forward(d, dialer Direction, rng *rand.Rand) {
 	from, to := p.ends[d], p.ends[1-d]
-	on := make(chan unit, piecesOn)
+	chunks := make(chan chunk, maxQueuedChunks)
 	go func() {
-		defer close(on)
+		defer close(chunks)
 		for {
-			b := make([]byte, piece)
+			b := make([]byte, chunkSize)
 			n, err := from.Read(b)
 			if n > 0 {
 				select {
-				case on <- unit{b[:n], time.Now()}:
-				case <-p.dead:
+				case chunks <- chunk{b[:n], time.Now()}:
+				case <-p.closed:
 					return
 				}
 			}
 			if err != nil {
 				if d == dialer {
-					p.over()
+					p.recordEnd()
 				}
-				if !errors.Is(err, io.EOF) && !p.isHalf(1-d) {
-					p.reset(d, func(*Counts) {}) // the sender broke it: so is it for the receiver
+				if !errors.Is(err, io.EOF) && !p.isHalfOpen(1-d) {
+					p.reset(d, func(*Counts) {}) // passes the sender's reset on to the receiver
 				}
 				return
 			}
 		}
 	}()
 	defer func() {
-		for range on { // its reader ends with the connection
+		for range chunks { // drained until the reader ends with the connection
 		}
 	}()
-	passed, since, cut := 0, 0, false
-	for u := range on {
-		for len(u.data) > 0 {
-			f, set, _ := p.l.now(d)
-			if set != since {
-				since, passed = set, 0
+	forwarded, seenVersion, cut := 0, 0, false
+	for next := range chunks {
+		for len(next.data) > 0 {
+			f, version, _ := p.l.currentFault(d)
+			if version != seenVersion {
+				seenVersion, forwarded = version, 0
 			}
 			switch {
-			case cut || p.isHalf(d):
-				u.data = nil
+			case cut || p.isHalfOpen(d):
+				next.data = nil
 				continue
 			case f.Cut:
 				cut = true
@@ -195,59 +195,59 @@
 				_ = to.CloseWrite()
 				continue
 			case f.HalfOpen:
-				p.halve(d)
+				p.makeHalfOpen(d)
 				continue
 			}
-			if !p.hold(d, f, set, u, rng) {
-				if p.isDead() {
+			if !p.delayChunk(d, f, version, next, rng) {
+				if p.isReset() {
 					return
 				}
-				continue // the fault changed meanwhile
+				continue // the fault has changed
 			}
-			n := len(u.data)
+			n := len(next.data)
 			if f.Trickle > 0 {
 				n = min(n, max(1, f.Trickle/100))
 			}
 			if f.ResetAfter > 0 {
-				n = min(n, f.ResetAfter-passed)
+				n = min(n, f.ResetAfter-forwarded)
 			}
-			if _, err := to.Write(u.data[:n]); err != nil {
-				if !p.isHalf(d) {
-					broken(from) // its sender is to see that nobody reads on
+			if _, err := to.Write(next.data[:n]); err != nil {
+				if !p.isHalfOpen(d) {
+					resetConn(from) // shows the sender that the receiver is closed
 				}
-				u.data = nil
+				next.data = nil
 				continue
 			}
-			passed += n
-			u.data = u.data[n:]
+			forwarded += n
+			next.data = next.data[n:]
 			p.l.count(d, func(c *Counts) { c.Pieces++; c.Bytes += n })
-			if f.ResetAfter > 0 && passed >= f.ResetAfter {
+			if f.ResetAfter > 0 && forwarded >= f.ResetAfter {
 				p.reset(d, func(c *Counts) { c.Reset++ })
 				return
 			}
 			if f.Trickle > 0 {
 				p.l.count(d, func(c *Counts) { c.Trickled++ })
-				if !p.wait(d, time.Duration(n)*time.Second/time.Duration(f.Trickle), set) && p.isDead() {
+				if !p.sleep(d, time.Duration(n)*time.Second/time.Duration(f.Trickle), version) && p.isReset() {
 					return
 				}
 			}
 		}
 	}
-	if !p.isHalf(d) && !p.isHalf(1-d) {
-		p.silence(d) // an end is not heard either
+	if !p.isHalfOpen(d) && !p.isHalfOpen(1-d) {
+		p.waitWhileSilent(d) // the end of the stream is held back too
 		_ = to.CloseWrite()
 	}
 }
 
-// hold lets a piece wait as the fault says; false: the fault changed or the connection is over, and
-// the piece has not passed.
-func (p *pipe) hold(d Direction, f Fault, set int, u unit, rng *rand.Rand) bool {
+// delayChunk delays a chunk according to the fault. It returns false if the fault changed or the connection ended before the
+// chunk could be forwarded.
+func (p *pipe) delayChunk(d Direction, f Fault, version int, next chunk, rng *rand.Rand) bool {
 	if f.Silent {
 		p.l.count(d, func(c *Counts) { c.Silenced++ })
-		p.silence(d)
+		p.waitWhileSilent(d)
 		return false
 	}
-	until := u.at
+	until := next.received
 	if f.Delay > 0 || f.Jitter > 0 {
 		until = until.Add(f.Delay)
 		if f.Jitter > 0 {
@@ -256,68 +256,68 @@
 		p.l.count(d, func(c *Counts) { c.Delayed++ })
 	}
 	if f.Loss > 0 && rng.Float64() < f.Loss {
-		until = until.Add(again)
+		until = until.Add(retransmitDelay)
 		p.l.count(d, func(c *Counts) { c.Lost++ })
 	}
-	return p.wait(d, time.Until(until), set)
+	return p.sleep(d, time.Until(until), version)
 }
 
-// silence waits while the direction is silent.
-func (p *pipe) silence(d Direction) {
+// waitWhileSilent waits while the direction is silent.
+func (p *pipe) waitWhileSilent(d Direction) {
 	for {
-		f, _, changed := p.l.now(d)
-		if !f.Silent || p.isDead() {
+		f, _, changed := p.l.currentFault(d)
+		if !f.Silent || p.isReset() {
 			return
 		}
 		select {
 		case <-changed:
-		case <-p.dead:
+		case <-p.closed:
 		}
 	}
 }
 
-// wait is false where the fault was set anew, or the connection is over, before its time.
-func (p *pipe) wait(d Direction, span time.Duration, set int) bool {
-	if span <= 0 {
-		return !p.isDead()
+// sleep waits for a duration. It returns false if the fault was set again or the connection ended before.
+func (p *pipe) sleep(d Direction, duration time.Duration, version int) bool {
+	if duration <= 0 {
+		return !p.isReset()
 	}
-	t := time.NewTimer(span)
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	for {
-		_, now, changed := p.l.now(d)
-		if now != set {
+		_, now, changed := p.l.currentFault(d)
+		if now != version {
 			return false
 		}
 		select {
 		case <-t.C:
 			return true
 		case <-changed:
-		case <-p.dead:
+		case <-p.closed:
 			return false
 		}
 	}
 }
 
-func (p *pipe) isDead() bool {
+func (p *pipe) isReset() bool {
 	select {
-	case <-p.dead:
+	case <-p.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-func (p *pipe) isHalf(d Direction) bool {
+func (p *pipe) isHalfOpen(d Direction) bool {
 	p.l.mu.Lock()
 	defer p.l.mu.Unlock()
-	return p.half[d]
+	return p.halfOpen[d]
 }
 
-// halve breaks the receiver's side of a direction; its sender is told nothing, and hears no more.
-func (p *pipe) halve(d Direction) {
+// makeHalfOpen resets the receiver's side of a direction. The sender does not notice and receives nothing more.
+func (p *pipe) makeHalfOpen(d Direction) {
 	p.l.mu.Lock()
-	p.half[d] = true
+	p.halfOpen[d] = true
 	p.l.counts[d].Half++
 	p.l.mu.Unlock()
-	broken(p.ends[1-d])
+	resetConn(p.ends[1-d])
 }
