--- a/internal/testkit/historycheck/check.go
+++ b/internal/testkit/historycheck/check.go
@@ -16,7 +16,7 @@
 //	           was available, or four times that after rejected calls.
 //	limit      For each volume, all schedulers together stay within a token bucket of size Burst that fills at Cap,
 //	           plus a tenth or one largest request.
-//	cold       A node in slow start receives at most N + 3 sqrt(N) + 3 average requests within ColdFor, plus
+//	cold       A node in slow start receives at most N + 3 sqrt(N) + 3 average requests within SlowStartWindow, plus
 //	           CreditShare of the units that it has answered.
 //	late       No attempt starts at a node after its request's final response or its client's disconnect.
 //	stray      No node receives a request ID that no client sent.
--- a/internal/testkit/rapidtest/rapidtest.go
+++ b/internal/testkit/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest fixes what rapid would draw from the clock, so that tests give the same
-// verdict every time.
+// Package rapidtest fixes rapid's random seed, which it otherwise takes from the clock, so that tests give the
+// same result on every run.
 package rapidtest
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Main runs a package's tests with a fixed seed and no files left behind.
+// Main runs a package's tests with a fixed seed and without writing failure files.
 func Main(m *testing.M) {
 	flag.Parse()
 	for k, v := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
--- a/internal/testkit/recorded/recorded.go
+++ b/internal/testkit/recorded/recorded.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(hashes) != len(want) {
-		t.Fatalf("%s: %d hundreds of steps, the recording has %d", name, len(hashes), len(want))
+		t.Fatalf("%s: %d hashes of up to a hundred steps, the recording has %d", name, len(hashes), len(want))
 	}
 }
 
--- a/internal/testkit/retrydetect/gate.go
+++ b/internal/testkit/retrydetect/gate.go
@@ -2,93 +2,95 @@
 
 import "fmt"
 
-// Gate holds a replay's retries until their first tries have ended.
+// Gate holds back a replay's retries until their first attempts have ended.
 type Gate struct {
-	most  int
-	first map[uint64]*firstTry
+	maxAttempts int
+	attempts    map[uint64]*firstAttempt
 }
 
-type firstTry struct {
-	open    bool
-	served  bool
-	waiting []uint64 // retries
-	left    int      // retries still to come: the first is forgotten with the last
+type firstAttempt struct {
+	inFlight  bool
+	served    bool
+	waiting   []uint64 // retries
+	remaining int      // retries still expected; the first attempt is dropped with the last one
 }
 
-// Decision is what becomes of a retry.
+// Decision is what to do with a retry.
 type Decision uint8
 
 // The decisions.
 const (
-	Wait Decision = iota // its first try is still out
-	Send                 // it ended without service
-	Skip                 // it was served, so that its client would not have asked again
+	Wait Decision = iota // the first attempt is still in flight
+	Send                 // the first attempt failed
+	Skip                 // the first attempt was served, so its client would not have retried
 )
 
-// Ended is one retry that was waiting and now is decided.
-type Ended struct {
+// ReleasedRetry is a waiting retry and the decision on it.
+type ReleasedRetry struct {
 	Retry    uint64
 	Decision Decision
 }
 
-// NewGate makes a gate that follows so many first tries at most.
-func NewGate(most int) *Gate { return &Gate{most: most, first: map[uint64]*firstTry{}} }
+// NewGate creates a gate that tracks at most maxAttempts first attempts.
+func NewGate(maxAttempts int) *Gate {
+	return &Gate{maxAttempts: maxAttempts, attempts: map[uint64]*firstAttempt{}}
+}
 
-// Begin says that a first try was sent, and how many retries of it the recording holds. An error
-// says that too many are followed: the retries are then sent as their time comes, and counted.
+// Begin records that a first attempt was sent and how many retries of it the recording holds. It returns an error if
+// too many first attempts are tracked. The retries of this one are then sent when they are due, and the caller counts them.
 func (g *Gate) Begin(first uint64, retries int) error {
-	if retries < 1 || g.first[first] != nil {
+	if retries < 1 || g.attempts[first] != nil {
 		return nil
 	}
-	if len(g.first) >= g.most {
-		return fmt.Errorf("repeats: %d first tries are followed, no more", g.most)
+	if len(g.attempts) >= g.maxAttempts {
+		return fmt.Errorf("retry gate: limit of %d tracked first attempts reached", g.maxAttempts)
 	}
-	g.first[first] = &firstTry{open: true, left: retries}
+	g.attempts[first] = &firstAttempt{inFlight: true, remaining: retries}
 	return nil
 }
 
-// Due says that a retry's time has come.
+// Due decides on a retry whose time to be sent has come.
 func (g *Gate) Due(first, retry uint64) Decision {
-	f := g.first[first]
+	f := g.attempts[first]
 	switch {
 	case f == nil:
-		return Send // an orphan, or beyond the bound
-	case f.open:
+		return Send // its first attempt is unknown or exceeded the limit
+	case f.inFlight:
 		f.waiting = append(f.waiting, retry)
 		return Wait
 	}
-	g.spend(first, f, 1)
+	g.finishRetries(first, f, 1)
 	if f.served {
 		return Skip
 	}
 	return Send
 }
 
-// End says how a first try ended, and decides the retries that wait for it.
-func (g *Gate) End(first uint64, served bool, dst []Ended) []Ended {
-	f := g.first[first]
-	if f == nil || !f.open {
+// End records how a first attempt ended and appends the decisions on the retries that wait for it to dst.
+func (g *Gate) End(first uint64, served bool, dst []ReleasedRetry) []ReleasedRetry {
+	f := g.attempts[first]
+	if f == nil || !f.inFlight {
 		return dst
 	}
-	f.open, f.served = false, served
+	f.inFlight, f.served = false, served
 	d := Send
 	if served {
 		d = Skip
 	}
 	for _, r := range f.waiting {
-		dst = append(dst, Ended{r, d})
+		dst = append(dst, ReleasedRetry{r, d})
 	}
 	n := len(f.waiting)
 	f.waiting = nil
-	g.spend(first, f, n)
+	g.finishRetries(first, f, n)
 	return dst
 }
 
-func (g *Gate) spend(first uint64, f *firstTry, n int) {
-	if f.left -= n; f.left <= 0 {
-		delete(g.first, first)
+func (g *Gate) finishRetries(first uint64, f *firstAttempt, n int) {
+	if f.remaining -= n; f.remaining <= 0 {
+		delete(g.attempts, first)
 	}
 }
 
-// Followed is how many first tries have retries to come.
-func (g *Gate) Followed() int { return len(g.first) }
+// Tracked returns the number of first attempts whose retries are still expected.
+func (g *Gate) Tracked() int { return len(g.attempts) }
