--- a/internal/testkit/fake/discovery/capacity.go
+++ b/internal/testkit/fake/discovery/capacity.go
@@ -45,7 +45,7 @@
 	return c.load
 }
 
-// ResetLoad restarts the counting of Load.
+// Forget restarts the counting of Load.
 func (c *Capacity) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fake/discovery/fault.go
+++ b/internal/testkit/fake/discovery/fault.go
@@ -25,7 +25,7 @@
 // resetsConns reports whether connections are reset under the fault.
 func (f Fault) resetsConns(m Mode) bool { return f.Reset || f.Shut || f.Down && m != Push }
 
-// SetFault replaces the fault of the named callers, or of all callers including future ones.
+// Set replaces the fault of the named callers, or of all callers including future ones.
 func (s *Service) Set(f Fault, callers ...string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,24 +79,24 @@
 	}
 }
 
-// ClearFaults ends all faults, including one-time faults that have not happened yet.
+// Up ends all faults, including one-time faults that have not happened yet.
 func (s *Service) Up(callers ...string) error { return s.Set(Fault{}, callers...) }
 
-// SetDown sets the fault Down.
+// Down sets the fault Down.
 func (s *Service) Down(callers ...string) error { return s.Set(Fault{Down: true}, callers...) }
 
-// SetSilent sets the fault Silent.
+// Silent sets the fault Silent.
 func (s *Service) Silent(callers ...string) error { return s.Set(Fault{Silent: true}, callers...) }
 
-// SetDelay delays responses and changes.
+// Late delays responses and changes.
 func (s *Service) Late(by time.Duration, callers ...string) error {
 	return s.Set(Fault{Late: by}, callers...)
 }
 
-// RejectCalls answers calls with 503.
+// Refuse answers calls with 503.
 func (s *Service) Refuse(callers ...string) error { return s.Set(Fault{Refuse: true}, callers...) }
 
-// ResetConns resets open watches and waiting calls now.
+// Reset resets open watches and waiting calls now.
 func (s *Service) Reset(callers ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,12 +108,12 @@
 	})
 }
 
-// TruncateNextList sends each caller only the first half of its next list and closes the connection.
+// CutHalfway sends each caller only the first half of its next list and closes the connection.
 func (s *Service) CutHalfway(callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.truncate = true })
 }
 
-// SendOldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
+// OldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
 // response to its next call. The watch then continues from the version that it had reached before.
 func (s *Service) OldList(back int, callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.versionsBack = max(back, 0) })
@@ -131,7 +131,7 @@
 
 const maxInjectedLines = 64
 
-// InjectLine writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
+// Say writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
 // pending lines is skipped.
 func (s *Service) Say(line string, callers ...string) (watches int) {
 	s.mu.Lock()
--- a/internal/testkit/fake/discovery/list.go
+++ b/internal/testkit/fake/discovery/list.go
@@ -89,7 +89,7 @@
 	previous *Entry // nil: not listed before
 }
 
-// VersionedList holds the list, its version and a bounded history of changes.
+// Book holds the list, its version and a bounded history of changes.
 type Book struct {
 	index      int64
 	oldest     int64 // the history holds all changes after this version
@@ -99,7 +99,7 @@
 	snapshot   *List // complete list of the current version, cached by List
 }
 
-// NewVersionedList creates an empty list at a version. maxHistory bounds the history in changed entries.
+// NewBook creates an empty list at a version. maxHistory bounds the history in changed entries.
 func NewBook(index int64, maxHistory int) *Book {
 	return &Book{index: index, oldest: index, maxHistory: maxHistory, entries: map[string]Entry{}}
 }
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -295,7 +295,7 @@
 	return slices.Sorted(maps.Keys(s.callers))
 }
 
-// Delivery is one entry that was written to a caller. For a complete list, only the entries are recorded that differ
+// Told is one entry that was written to a caller. For a complete list, only the entries are recorded that differ
 // from what the caller had been sent before.
 type Told struct {
 	Index int64
@@ -309,7 +309,7 @@
 	at    time.Time
 }
 
-// Deliveries returns the entries written to a caller, in the order of writing.
+// Told returns the entries written to a caller, in the order of writing.
 func (s *Service) Told(name string) (all []Told) {
 	list := s.settledCallers([]string{name})
 	s.mu.Lock()
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -4,22 +4,22 @@
 // Forward is the direction from the first party, which knows only the link's address, to the second
 // party at To. Backward is the opposite direction. The faults are:
 //
-//	fault       TCP connection                                       datagram
-//	Cut         one direction: the receiver sees the end of the      dropped
-//	            stream; both: existing and new connections are reset
-//	Silent      data waits until the fault is cleared                dropped
-//	Delay       delayed by Delay plus up to Jitter at random, in     delayed; Jitter may reorder
-//	            order
-//	Loss        retransmission: a lost chunk is delayed by 200 ms    dropped
-//	Double      -                                                    delivered twice
-//	Reorder     -                                                    delivered after the next one
-//	Trickle     limited to so many bytes per second                  -
-//	ResetAfter  reset on both sides after so many bytes since the    -
-//	            fault was set or the connection was opened
-//	HalfOpen    with the next chunk the receiver sees a reset; the   -
-//	            sender's bytes are accepted, but no response comes
-//	Hold        connects neither succeed nor fail; they succeed      -
-//	            once the fault is cleared and the kernel retries
+//	fault           TCP connection                                       datagram
+//	Cut             one direction: the receiver sees the end of the      dropped
+//	                stream; both: existing and new connections are reset
+//	Silent          data waits until the fault is cleared                dropped
+//	Delay           delayed by Delay plus up to Jitter at random, in     delayed; Jitter may reorder
+//	                order
+//	Loss            retransmission: a lost chunk is delayed by 200 ms    dropped
+//	Duplicate       -                                                    delivered twice
+//	Reorder         -                                                    delivered after the next one
+//	BytesPerSecond  limited to so many bytes per second                  -
+//	ResetAfter      reset on both sides after so many bytes since the    -
+//	                fault was set or the connection was opened
+//	HalfOpen        with the next chunk the receiver sees a reset; the   -
+//	                sender's bytes are accepted, but no response comes
+//	Hold            connects neither succeed nor fail; they succeed      -
+//	                once the fault is cleared and the kernel retries
 //
 // Invariants: up to a reset, the bytes of a stream are delivered completely and in order; the same seed
 // and the same chunks give the same random draws; after Close no goroutine or socket of the link is left.
@@ -207,7 +207,7 @@
 	return l.udp[1].LocalAddr().String()
 }
 
-// SetFault switches a direction's fault for existing and new connections.
+// Set switches a direction's fault for existing and new connections.
 func (l *Link) Set(dir Direction, f Fault) error {
 	stream := f.Trickle != 0 || f.ResetAfter != 0 || f.HalfOpen || f.Hold
 	switch {
@@ -272,14 +272,14 @@
 	return all
 }
 
-// OpenConns returns the number of open TCP connections.
+// Open returns the number of open TCP connections.
 func (l *Link) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.openPipes)
 }
 
-// ResetConns resets the open connections and leaves the faults unchanged.
+// Reset resets the open connections and leaves the faults unchanged.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	var open []*pipe
--- a/internal/testkit/fake/node/node.go
+++ b/internal/testkit/fake/node/node.go
@@ -131,7 +131,7 @@
 	return a, nil
 }
 
-// SetFault switches the fault of an address. It also applies to open connections: a fault that ends
+// Set switches the fault of an address. It also applies to open connections: a fault that ends
 // connections (Refused, Reset, StaleFile, NotASocket, BacklogFull) resets them.
 func (n *Node) Set(a address.Addr, f Fault) error {
 	n.mu.Lock()
@@ -171,7 +171,7 @@
 	return slices.Clone(n.arrivals[id])
 }
 
-// Executions returns how often a request ID was executed.
+// Ran returns how often a request ID was executed.
 func (n *Node) Ran(id string) (times int) {
 	for _, a := range n.Arrivals(id) {
 		if a.Ran {
@@ -181,14 +181,14 @@
 	return times
 }
 
-// KeyExecutions returns how often an idempotency key was executed.
+// RanKey returns how often an idempotency key was executed.
 func (n *Node) RanKey(key string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.keyExecutions[key]
 }
 
-// EachRequest calls f with all arrivals of each request ID, in no particular order.
+// Each calls f with all arrivals of each request ID, in no particular order.
 func (n *Node) Each(f func(id string, all []Arrival)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,7 +197,7 @@
 	}
 }
 
-// MaxExecutions returns the highest number of executions of one request ID and of one key.
+// MostRuns returns the highest number of executions of one request ID and of one key.
 func (n *Node) MostRuns() (id, key int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -216,7 +216,7 @@
 	return id, key
 }
 
-// LongestArrivalSpan returns the longest time from the first to the last arrival of one request ID.
+// Spread returns the longest time from the first to the last arrival of one request ID.
 func (n *Node) Spread() (longest time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -226,7 +226,7 @@
 	return longest
 }
 
-// OpenConns returns the number of open connections of an address.
+// Open returns the number of open connections of an address.
 func (n *Node) Open(a address.Addr) (open int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -238,7 +238,7 @@
 	return open
 }
 
-// AcceptedConns returns how many connections an address has accepted.
+// Accepted returns how many connections an address has accepted.
 func (n *Node) Accepted(a address.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -248,7 +248,7 @@
 	return 0
 }
 
-// ResetState clears the counts by request ID and key and the deduplication window, as a restart would.
+// Forget clears the counts by request ID and key and the deduplication window, as a restart would.
 func (n *Node) Forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/fake/node/rows.go
+++ b/internal/testkit/fake/node/rows.go
@@ -100,14 +100,14 @@
 	return rows
 }
 
-// MergeOptions configure Rows.Merge.
+// Flat configure Rows.Merge.
 type Flat struct {
 	Keep   string // which of the rows with equal keys: all, first or last in the order of the shards, or highest version
 	Offset int
 	Rows   int // maximum number of rows; 0: all
 }
 
-// Merge is a reference implementation of the merge of a gathered read, independent of the production code. It
+// Flat is a reference implementation of the merge of a gathered read, independent of the production code. It
 // collects the rows of the shards, sorts them by key, keeps rows with equal keys in the order of the shards, and applies
 // the options.
 func (r *Rows) Flat(shards []int, f Flat) [][]byte {
@@ -188,7 +188,7 @@
 	}
 }
 
-// SetRowFault switches the row fault.
+// SetRows switches the row fault.
 func (n *Node) SetRows(f RowFault) { n.rowFault.Store(&f) }
 
 // RowCounts returns the counts of a request ID, or the total for "".
--- a/internal/testkit/fake/node/slowstart.go
+++ b/internal/testkit/fake/node/slowstart.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SlowStart describes a node that has just started: its execution times are longer, and it crashes when it
+// Cold describes a node that has just started: its execution times are longer, and it crashes when it
 // receives more than its overload limit within Window.
 type Cold struct {
 	Power  float64       // initial speed as a fraction of a warmed-up node's
@@ -41,7 +41,7 @@
 	work float64 // in average requests
 }
 
-// Event is something that Options.OnEvent is notified of.
+// Saw is something that Options.OnEvent is notified of.
 type Saw int
 
 // The events.
@@ -52,14 +52,14 @@
 	Returned             // the node restarted in slow start
 )
 
-// BeginSlowStart puts the node into slow start from now on.
+// Chill puts the node into slow start from now on.
 func (n *Node) Chill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.slowStart = slowStartState{since: time.Now(), peakLoad: n.slowStart.peakLoad, crashes: n.slowStart.crashes}
 }
 
-// Crashes returns how often the node crashed and the highest load so far as a fraction of the overload limit.
+// Falls returns how often the node crashed and the highest load so far as a fraction of the overload limit.
 func (n *Node) Falls() (times int, worst float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/fake/refuser/refuser.go
+++ b/internal/testkit/fake/refuser/refuser.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// CopyAttempts counts the zero-copy transfers that failed.
+// Tries counts the zero-copy transfers that failed.
 type Tries struct{ n atomic.Int64 }
 
 // Count returns the number of failed transfers.
@@ -22,7 +22,7 @@
 	counter *Tries
 }
 
-// Wrap makes the zero-copy transfers of a TCP connection fail.
+// Of makes the zero-copy transfers of a TCP connection fail.
 func (t *Tries) Of(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), t} }
 
 // ReadFrom implements io.ReaderFrom and always fails.
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -61,7 +61,7 @@
 	return &Server{opt: opt, start: now, refilledAt: now, requestCounts: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
 }
 
-// SetMode switches the mode.
+// Set switches the mode.
 func (s *Server) Set(m Mode) { s.mode.Store(int32(m)) }
 
 // Counts returns the counters so far.
@@ -71,7 +71,7 @@
 	return s.counts
 }
 
-// RequestCount returns how often a request ID has been received.
+// Seen returns how often a request ID has been received.
 func (s *Server) Seen(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// ServeConn serves one connection in its own goroutine.
+// Go serves one connection in its own goroutine.
 func (s *Server) Go(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/historycheck/check.go
+++ b/internal/testkit/historycheck/check.go
@@ -35,7 +35,7 @@
 // Never is the time of an event that has not happened.
 const Never = time.Duration(math.MaxInt64)
 
-// Request is a request that a client sent to a scheduler.
+// Taken is a request that a client sent to a scheduler.
 type Taken struct {
 	ID, Class, Plan, Volume string
 	Units                   float64
@@ -44,20 +44,20 @@
 	Of                      string // for a part of a gathered read, the client's request, whose outcome is also the part's; "": not a part
 }
 
-// Attempt is an attempt as seen by its node. LastByte and EndedAt are Never if they did not happen.
+// Sent is an attempt as seen by its node. LastByte and EndedAt are Never if they did not happen.
 type Sent struct {
 	ID, Node            string
 	First, Whole, Ended time.Duration
 	Turned              bool // the node rejected the attempt without executing it
 }
 
-// Execution is one execution of a request.
+// Executed is one execution of a request.
 type Executed struct {
 	ID, Node string
 	At       time.Duration
 }
 
-// OutcomeKind is how a request ended for its client.
+// End is how a request ended for its client.
 type End int
 
 // The kinds of outcomes.
@@ -68,7 +68,7 @@
 	Left               // the client disconnected
 )
 
-// Outcome is the end of a request.
+// Answered is the end of a request.
 type Answered struct {
 	ID  string
 	At  time.Duration
@@ -76,7 +76,7 @@
 	Of  string // request ID in the response; "": none
 }
 
-// NodeStatus is a node's status in the endpoint list.
+// Word is a node's status in the endpoint list.
 type Word int
 
 // The statuses.
@@ -86,7 +86,7 @@
 	Gone
 )
 
-// Notification is an entry of the endpoint list as it was sent to a scheduler.
+// Told is an entry of the endpoint list as it was sent to a scheduler.
 type Told struct {
 	Scheduler int
 	Node      string
@@ -101,7 +101,7 @@
 	At   time.Duration
 }
 
-// Interval is a period of time of one scheduler.
+// Span is a period of time of one scheduler.
 type Span struct {
 	Scheduler int
 	From, To  time.Duration
--- a/internal/testkit/historycheck/check_test.go
+++ b/internal/testkit/historycheck/check_test.go
@@ -103,8 +103,8 @@
 		{"attempt after the response", "late", edit("read", func(h *History) { resend(h, 460*ms) })},
 		{"stray", "stray", edit("read", func(h *History) { h.Sent = append(h.Sent, Sent{ID: "x", Node: "a"}) })},
 		{"stray execution", "stray", edit("read", func(h *History) { h.Executed = append(h.Executed, Executed{"x", "a", 0}) })},
-		{"drains", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
-		{"gone", "drain", withDrain(singleRequest("r", "read", 400*ms), Gone)},
+		{"draining", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
+		{"removed", "drain", withDrain(singleRequest("r", "read", 400*ms), Gone)},
 		{"within the grace period", "", withDrain(singleRequest("r", "read", 300*ms), Draining)},
 		{"active again", "", func() History {
 			h := withDrain(singleRequest("r", "read", 400*ms), Draining)
@@ -117,7 +117,7 @@
 			return h
 		}()},
 		{"never notified", "drain", History{}.with(singleRequest("r", "read", 1310*ms), Change{"a", Gone, 0})},
-		{"deaf", "", History{Deaf: []Span{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Gone, 0})},
+		{"list not available", "", History{Deaf: []Span{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Gone, 0})},
 		{"list calls rejected", "", History{Deaf: []Span{{To: 100 * ms, Turned: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Gone, 0})},
 		{"too long after list calls were rejected", "drain", History{Deaf: []Span{{To: 100 * ms, Turned: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Gone, 0})},
 		{"late response without a deadline", "", edit("read", func(h *History) { h.Taken[0].GivesUp, h.Answered[0].At = Never, 1900*ms })},
