--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -103,7 +103,7 @@
 		Bounds:   loadvalidity.Defaults(),
 	}
 	for _, address := range targets {
-		pool := &client.Pool{Address: address, Most: c.Int("conns")}
+		pool := &client.Pool{Address: address, MaxConns: c.Int("conns")}
 		defer pool.Close() //nolint:gocritic // all pools are open until the run is over
 		opt.Pools = append(opt.Pools, pool)
 	}
@@ -118,13 +118,13 @@
 // startFleet starts stand-in nodes and schedulers for the shape.
 func startFleet(c *cli.Context, shape workload.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
 	own, err := fleet.Start(c.Context, fleet.Options{
-		Shape:      shape,
-		Schedulers: ownSchedulers,
-		Service:    serviceUnit,
-		Workers:    nodeWorkers,
-		Seed:       c.Uint64("seed"),
-		MemoryMB:   daemonMB,
-		Log:        log,
+		Shape:           shape,
+		Schedulers:      ownSchedulers,
+		MeanServiceTime: serviceUnit,
+		Workers:         nodeWorkers,
+		Seed:            c.Uint64("seed"),
+		MemoryMB:        daemonMB,
+		Log:             log,
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/wheatsaddle/discovery_faults_test.go
+++ b/cmd/wheatsaddle/discovery_faults_test.go
@@ -76,7 +76,7 @@
 // sends an incomplete list: with and without the section start, with and without a cached list, with a watch and with polls.
 // The time is bounded by coldstart and by maxListWait, which are both under 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	faults := map[string]discovery.Fault{"down": {Shut: true}, "refusing": {Refuse: true}, "reset": {Reset: true}, "silent": {Silent: true},
+	faults := map[string]discovery.Fault{"down": {StopListening: true}, "refusing": {RejectCalls: true}, "reset": {Reset: true}, "silent": {Silent: true},
 		"agent down": {Down: true}}
 	for name := range faults {
 		f := faults[name]
@@ -87,10 +87,10 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(s.Close)
-			if err := s.Set(f); err != nil {
+			if err := s.SetFault(f); err != nil {
 				t.Fatal(err)
 			}
-			checkBecomesReady(t, s.Addr(), f.Silent, func() bool { return f.Shut || s.Counts().Came > 0 })
+			checkBecomesReady(t, s.Addr(), f.Silent, func() bool { return f.StopListening || s.Counts().Conns > 0 })
 			if n := s.Counts().Served; n > 0 {
 				t.Errorf("%d lists were served", n)
 			}
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	defer fakeDiscovery.Close()
-	if err := fakeDiscovery.Set(discovery.Fault{Shut: true}); err != nil {
+	if err := fakeDiscovery.SetFault(discovery.Fault{StopListening: true}); err != nil {
 		t.Fatal(err)
 	}
 	listen, file := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
@@ -207,7 +207,7 @@
 		dial()
 	}
 	t.Logf("%d descriptors of %d are open, %d may be clients'", openDescriptors(), smallDescriptorLimit, clients)
-	if err := fakeDiscovery.Up(); err != nil {
+	if err := fakeDiscovery.ClearFaults(); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "a watch", func() bool { return fakeDiscovery.Counts().Open == 1 })
--- a/cmd/wheatsaddle/exclusions.go
+++ b/cmd/wheatsaddle/exclusions.go
@@ -29,7 +29,7 @@
 
 // loadExclusions reads the exclusions that processes of the scheduler have stored. An unreadable file counts as empty.
 func loadExclusions(name string, log logrus.FieldLogger) (*store.Store, exclusion.State) {
-	exclusions := store.InFolder(os.TempDir(), name)
+	exclusions := store.InDirectory(os.TempDir(), name)
 	state, err := exclusions.Read()
 	if err != nil {
 		log.WithFields(operr.Fields(err)).Warn("stored exclusions not readable, starting without them")
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -26,7 +26,7 @@
 // The program gathers reads according to the section, and applies changed rules at SIGHUP completely or, if they are invalid,
 // not at all. check-config names the invalid key.
 func TestGatherSectionAndReload(t *testing.T) {
-	rows := &node.Rows{Seed: 1, Count: 20}
+	rows := &node.Rows{Seed: 1, RowsPerShard: 20}
 	n := node.New(node.Options{Name: "s", Rows: rows})
 	defer n.Close()
 	at, err := n.Listen("127.0.0.1:0")
--- a/cmd/wheatsaddle/starter.go
+++ b/cmd/wheatsaddle/starter.go
@@ -73,18 +73,18 @@
 		return nil, nil
 	}
 	machine, err := coldstart.New(coldstart.Settings{
-		Schedulers:            conf.Settings.Schedulers,
-		Name:                  conf.Name,
-		ListCallsPriced:       set.ListPriced,
-		MaxListCallsPerSecond: set.ListCallsPerSecond,
-		StalenessBound:        milliseconds(conf.Settings.ListStalenessBound),
-		SlowStartUnits:        conf.Settings.SlowStartUnits,
-		OverloadWindow:        milliseconds(conf.Settings.OverloadWindow),
-		SlowStartDuration:     milliseconds(conf.Settings.SlowStartDuration),
-		LatencyObjective:      minLatencyObjective(conf.Settings),
-		MaxRetryAfter:         milliseconds(conf.Settings.MaxRetryAfter),
-		Preconnects:           set.PreconnectNodes,
-		MayCheckHealth:        conf.Settings.MayCheckHealth,
+		Schedulers:               conf.Settings.Schedulers,
+		Name:                     conf.Name,
+		ListRequestsPriced:       set.ListPriced,
+		MaxListRequestsPerSecond: set.ListCallsPerSecond,
+		StalenessBound:           milliseconds(conf.Settings.ListStalenessBound),
+		SlowStartUnits:           conf.Settings.SlowStartUnits,
+		OverloadWindow:           milliseconds(conf.Settings.OverloadWindow),
+		SlowStartDuration:        milliseconds(conf.Settings.SlowStartDuration),
+		LatencyObjective:         minLatencyObjective(conf.Settings),
+		MaxRetryAfter:            milliseconds(conf.Settings.MaxRetryAfter),
+		Preconnects:              set.PreconnectNodes,
+		MayCheckHealth:           conf.Settings.MayCheckHealth,
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Set(fakediscovery.Fault{Refuse: true}); err != nil {
+	if err := s.SetFault(fakediscovery.Fault{RejectCalls: true}); err != nil {
 		t.Fatal(err)
 	}
 	log, _ := logtest.NewNullLogger()
@@ -152,7 +152,7 @@
 		t.Error("ready without a list")
 	}
 	s.Put(fakediscovery.Entry{Name: "s", Address: "127.0.0.1:1", Status: fakediscovery.Active, Weight: 1})
-	if err := s.Set(fakediscovery.Fault{}); err != nil {
+	if err := s.SetFault(fakediscovery.Fault{}); err != nil {
 		t.Fatal(err)
 	}
 	for !b.isReady(false) {
--- a/cmd/wheatsaddle/thousand_nodes_test.go
+++ b/cmd/wheatsaddle/thousand_nodes_test.go
@@ -116,7 +116,7 @@
 	duplicate := append(listEntries("r", newNodes, discovery.Active, 1), changes[0])
 	index := fakeDiscovery.Put(append(changes, discovery.Entry{Name: "s-0900", Address: "nowhere", Group: 900, Status: discovery.Active},
 		discovery.Entry{Name: "s-0901", Address: oldNodes, Group: -7, Status: discovery.Active})...)
-	for fakeDiscovery.Say(string(discovery.List{Index: index, Entries: duplicate}.Text(false))) == 0 {
+	for fakeDiscovery.InjectLine(string(discovery.List{Index: index, Entries: duplicate}.Text(false))) == 0 {
 		time.Sleep(time.Millisecond) // until the watch is open
 	}
 	for newRequests.Load() == 0 {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -136,7 +136,7 @@
 		return
 	}
 	s.phase, s.cachedListUseAt = CachedList, now
-	if !s.settings.ListCallsPriced { // the received list is expected soon, so requests wait for it
+	if !s.settings.ListRequestsPriced { // the received list is expected soon, so requests wait for it
 		s.cachedListUseAt = now + cachedListDelay
 	}
 	for _, n := range e.CachedList {
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -17,7 +17,7 @@
 const ms = time.Millisecond
 
 func testSettings(schedulers int, name string, listCallsPriced bool) Settings {
-	return Settings{Schedulers: schedulers, Name: name, ListCallsPriced: listCallsPriced, MaxListCallsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
+	return Settings{Schedulers: schedulers, Name: name, ListRequestsPriced: listCallsPriced, MaxListRequestsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
 		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -44,14 +44,14 @@
 }
 
 // handleListRequestFailed sets the time of the next list request. If the requests of all schedulers fail at the same time,
-// they send at most MaxListCallsPerSecond requests per second.
+// they send at most MaxListRequestsPerSecond requests per second.
 func (s *Startup) handleListRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
 	}
 	s.listRequestPending = false
 	backoff := listRequestInterval
-	if s.settings.ListCallsPriced {
+	if s.settings.ListRequestsPriced {
 		backoff = max(s.settings.ListRequestSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
 		s.listBackoffFactor = min(2*s.listBackoffFactor, maxListBackoffFactor)
 		backoff = min(backoff, s.settings.StalenessBound)
--- a/internal/coldstart/recorded_test.go
+++ b/internal/coldstart/recorded_test.go
@@ -44,11 +44,11 @@
 // recordedSettings returns the settings of a script by its number. They cover fleets of several sizes, list requests with
 // and without a price, and given and default bounds.
 func recordedSettings(i int) Settings {
-	s := Settings{Schedulers: []int{1, 3, 80, 1000}[i%4], Name: fmt.Sprint("scheduler-", i), ListCallsPriced: i%2 == 0,
+	s := Settings{Schedulers: []int{1, 3, 80, 1000}[i%4], Name: fmt.Sprint("scheduler-", i), ListRequestsPriced: i%2 == 0,
 		SlowStartUnits: 39, OverloadWindow: 3 * time.Second, SlowStartDuration: 17 * time.Second,
 		LatencyObjective: time.Duration(50+100*(i%5)) * time.Millisecond, Preconnects: i % 5, MayCheckHealth: i%2 == 1, MaxNodes: []int{0, 4}[i/2%2]}
 	if i%3 == 1 {
-		s.MaxListCallsPerSecond, s.StalenessBound = 100, 3*time.Second
+		s.MaxListRequestsPerSecond, s.StalenessBound = 100, 3*time.Second
 		s.MinRetryAfter, s.MaxRetryAfter = 20*time.Millisecond, 400*time.Millisecond
 	}
 	return s
--- a/internal/coldstart/settings.go
+++ b/internal/coldstart/settings.go
@@ -16,9 +16,9 @@
 	Schedulers int    // number of schedulers in the fleet, including this one
 
 	// The endpoint list.
-	ListCallsPriced       bool          // list requests load the list's service, so the fleet spreads them over time
-	MaxListCallsPerSecond float64       // of the whole fleet; 0: DefaultMaxListRequestsPerSecond
-	StalenessBound        time.Duration // after which every process has received a change of the list; 0: 6 s, the protocol's bound
+	ListRequestsPriced       bool          // list requests load the list's service, so the fleet spreads them over time
+	MaxListRequestsPerSecond float64       // of the whole fleet; 0: DefaultMaxListRequestsPerSecond
+	StalenessBound           time.Duration // after which every process has received a change of the list; 0: 6 s, the protocol's bound
 
 	// Cold nodes.
 	SlowStartUnits    float64       // units that a node can serve for the whole fleet within OverloadWindow just after its start
@@ -35,7 +35,7 @@
 	MaxNodes       int  // number of nodes whose state is stored; 0: 4096
 }
 
-// DefaultMaxListRequestsPerSecond is used where the settings give no MaxListCallsPerSecond.
+// DefaultMaxListRequestsPerSecond is used where the settings give no MaxListRequestsPerSecond.
 const DefaultMaxListRequestsPerSecond = 40.0
 
 const (
@@ -87,7 +87,7 @@
 		key   string
 		value float64
 	}{
-		{"list_most", s.MaxListCallsPerSecond}, {"cold_units", s.SlowStartUnits}, {"told", s.StalenessBound.Seconds()},
+		{"list_most", s.MaxListRequestsPerSecond}, {"cold_units", s.SlowStartUnits}, {"told", s.StalenessBound.Seconds()},
 		{"tip_span", s.OverloadWindow.Seconds()}, {"cold_span", s.SlowStartDuration.Seconds()}, {"aim", s.LatencyObjective.Seconds()},
 		{"connects", float64(s.Preconnects)}, {"retry_least", s.MinRetryAfter.Seconds()}, {"retry_most", s.MaxRetryAfter.Seconds()},
 		{"nodes_most", float64(s.MaxNodes)},
@@ -96,8 +96,8 @@
 			return &SettingError{setting.key, setting.value, "0 or more"}
 		}
 	}
-	if s.MaxListCallsPerSecond == 0 {
-		s.MaxListCallsPerSecond = DefaultMaxListRequestsPerSecond
+	if s.MaxListRequestsPerSecond == 0 {
+		s.MaxListRequestsPerSecond = DefaultMaxListRequestsPerSecond
 	}
 	if s.StalenessBound == 0 || s.StalenessBound > maxStalenessBound {
 		s.StalenessBound = maxStalenessBound
@@ -134,10 +134,10 @@
 // ListRequestSpread returns the duration over which the first list requests of the fleet are spread: the time that the list's
 // service needs for the requests of the whole fleet, up to ReadyDeadline. It is 0 if list requests are not priced.
 func (s *Settings) ListRequestSpread() time.Duration {
-	if !s.ListCallsPriced {
+	if !s.ListRequestsPriced {
 		return 0
 	}
-	need := time.Duration(float64(s.Schedulers) / s.MaxListCallsPerSecond * float64(time.Second))
+	need := time.Duration(float64(s.Schedulers) / s.MaxListRequestsPerSecond * float64(time.Second))
 	return min(need, s.ReadyDeadline())
 }
 
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -37,7 +37,7 @@
 // newListService starts a fake list service with one node at version 41. The channel receives the URIs of the requests.
 func newListService(t *testing.T) (service *discovery.Service, requests chan string) {
 	requests = make(chan string, 100)
-	service, err := discovery.New(discovery.Options{Index: 40, Beat: time.Hour, Heard: func(_, uri string) { requests <- uri }})
+	service, err := discovery.New(discovery.Options{Index: 40, Beat: time.Hour, OnCall: func(_, uri string) { requests <- uri }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -23,8 +23,8 @@
 	service, requests := newListService(t)
 	pacer := testPacer{make(chan struct{}), make(chan bool, 100)}
 	watcher := startWatcher(t, &Watcher{Address: service.Addr(), Pacer: pacer, Timer: watchtimer.Settings{Schedulers: 1000}})
-	for i, fault := range []discovery.Fault{{Refuse: true}, {Down: true}, {Refuse: true}} {
-		if err := service.Set(fault); err != nil {
+	for i, fault := range []discovery.Fault{{RejectCalls: true}, {Down: true}, {RejectCalls: true}} {
+		if err := service.SetFault(fault); err != nil {
 			t.Fatal(err)
 		}
 		if len(requests) > 0 {
@@ -42,7 +42,7 @@
 	if update := <-watcher.updates; update.Kind != policy.ListFailed {
 		t.Errorf("update %+v, want a failure of the list", update)
 	}
-	if err := service.Set(discovery.Fault{}); err != nil {
+	if err := service.SetFault(discovery.Fault{}); err != nil {
 		t.Fatal(err)
 	}
 	pacer.due <- struct{}{}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -26,14 +26,14 @@
 		want policy.EventKind
 	}{
 		{func() {}, full}, {func() { service.Put(sampleNode) }, change},
-		{func() { service.Reset() }, failed}, {func() { watcher.advance(retryInterval); service.Put(sampleNode) }, change},
+		{func() { service.ResetConns() }, failed}, {func() { watcher.advance(retryInterval); service.Put(sampleNode) }, change},
 		{func() {
-			if err := service.Set(discovery.Fault{Silent: true, Answers: true}); err != nil {
+			if err := service.SetFault(discovery.Fault{Silent: true, AnswerNewCalls: true}); err != nil {
 				t.Fatal(err)
 			}
 			watcher.advance(watchtimer.PushedSilenceTimeout)
 		}, change}, // the first line of the watch that replaces the silent one
-		{func() { service.Say("malformed"); service.Put(sampleNode) }, failed}, {func() { watcher.advance(retryInterval) }, change}, // after a malformed line nothing more of its connection is applied
+		{func() { service.InjectLine("malformed"); service.Put(sampleNode) }, failed}, {func() { watcher.advance(retryInterval) }, change}, // after a malformed line nothing more of its connection is applied
 	} {
 		tc.do()
 		if update := <-watcher.updates; update.Kind != tc.want {
@@ -65,7 +65,7 @@
 		t.Error("the address change was not accepted")
 	}
 	<-updates // the new address has answered
-	newService.Say(listText(40, false, sampleEntry))
+	newService.InjectLine(listText(40, false, sampleEntry))
 	newService.Put(sampleNode)
 	if update := <-updates; update.Kind != policy.ListChanged || update.Nodes[0].State != policy.NodeUp {
 		t.Errorf("update %+v, want the change of the new watch", update)
@@ -91,7 +91,7 @@
 	}
 	t.Cleanup(service.Close)
 	service.Put(sampleNode)
-	if err := service.Refuse(); err != nil {
+	if err := service.RejectCalls(); err != nil {
 		t.Fatal(err)
 	}
 	watcher := startWatcher(t, &Watcher{Address: service.Addr(), Timer: watchtimer.Settings{Pushed: true}})
@@ -102,14 +102,14 @@
 	if codes := loggedCodes(t, watcher.hook); !slices.Equal(codes, []string{"list-refused"}) {
 		t.Errorf("logged the codes %v, want list-refused once", codes)
 	}
-	if err := service.Up(); err != nil {
+	if err := service.ClearFaults(); err != nil {
 		t.Fatal(err)
 	}
 	watcher.advance(30 * time.Second) // longer than the backoff after a rejected call
 	if update := <-updates; update.Kind != policy.ListReceived || len(update.Nodes) != 1 {
 		t.Errorf("update %+v, want the full list with one node", update)
 	}
-	service.Say(listText(8, true))
+	service.InjectLine(listText(8, true))
 	draining := sampleNode
 	draining.Status = discovery.Leaving
 	service.Put(draining)
--- a/internal/exclusion/store/recorded_test.go
+++ b/internal/exclusion/store/recorded_test.go
@@ -18,15 +18,15 @@
 
 // A file that an earlier version of the program wrote can be read, and writing its content again gives the same bytes.
 func TestStoredFileKeepsItsBytes(t *testing.T) {
-	want, err := os.ReadFile(InFolder("testdata", "n3").Path)
+	want, err := os.ReadFile(InDirectory("testdata", "n3").Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := InFolder("testdata", "n3").Read()
+	got, err := InDirectory("testdata", "n3").Read()
 	if err != nil || !reflect.DeepEqual(got, storedState()) {
 		t.Fatalf("read %+v, %v", got, err)
 	}
-	rewritten := InFolder(t.TempDir(), "n3")
+	rewritten := InDirectory(t.TempDir(), "n3")
 	if err := rewritten.Write(got); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -41,8 +41,8 @@
 	pid      int         // for the name of the temporary file; 0: the pid of this process
 }
 
-// InFolder returns the store of a scheduler in a directory.
-func InFolder(dir, name string) *Store {
+// InDirectory returns the store of a scheduler in a directory.
+func InDirectory(dir, name string) *Store {
 	return &Store{Path: filepath.Join(dir, "wheatsaddle-exclusions.json"), Name: name}
 }
 
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -15,7 +15,7 @@
 // process's change, applies its own and writes the result.
 func changeState(dir, id string, at float64, dies int) func() {
 	return func() {
-		s := InFolder(dir, "n3")
+		s := InDirectory(dir, "n3")
 		s.pid = int(at)
 		state, err := s.Read() // at the start, without the lock
 		if err != nil {
@@ -57,7 +57,7 @@
 				killed,
 			},
 			Check: func() error {
-				got, err := InFolder(dir, "n3").Read()
+				got, err := InDirectory(dir, "n3").Read()
 				if err != nil {
 					return fmt.Errorf("stored: %w", err)
 				}
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -10,7 +10,7 @@
 
 func TestNextProcessReadsTheStoredState(t *testing.T) {
 	dir := t.TempDir()
-	s := InFolder(dir, "n3")
+	s := InDirectory(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
 		t.Fatalf("without a file: %v %v", got, err)
@@ -19,7 +19,7 @@
 	if err := s.Write(state); err != nil {
 		t.Fatal(err)
 	}
-	next := InFolder(dir, "n3") // the next process
+	next := InDirectory(dir, "n3") // the next process
 	got, err = next.Read()
 	if err != nil || got.Excluded["s-1"] != 1000.5 || got.Included["s-2"] != 900 {
 		t.Fatalf("the next process reads %v %v", got, err)
@@ -53,7 +53,7 @@
 		"id":      `{"version":1,"name":"n3","excluded":{"":1},"included":{}}`,
 		"array":   `[1,2]`,
 	} {
-		s := InFolder(t.TempDir(), "n3")
+		s := InDirectory(t.TempDir(), "n3")
 		if err := os.WriteFile(s.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -65,12 +65,12 @@
 }
 
 func TestLockExcludesOtherWriters(t *testing.T) {
-	s := InFolder(t.TempDir(), "n3")
+	s := InDirectory(t.TempDir(), "n3")
 	unlock, err := s.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := InFolder(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
+	if _, err := InDirectory(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
 		t.Fatal("two writers hold the lock")
 	}
 	unlock()
--- a/internal/httpfront/addresses_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -58,8 +58,8 @@
 func newAddressHarness(t *testing.T, set address.Settings, slow ...time.Duration) *addressHarness {
 	t.Helper()
 	r := &addressHarness{t: t}
-	r.node = fakenode.New(fakenode.Options{Name: "n", Shard: 0, Workers: 64, Identity: "X-Node",
-		Service: func(*fasthttp.Request) (took time.Duration) {
+	r.node = fakenode.New(fakenode.Options{Name: "n", Shard: 0, Workers: 64, IdentityHeader: "X-Node",
+		ServiceTime: func(*fasthttp.Request) (took time.Duration) {
 			if g := r.gate.Load(); g != nil {
 				<-*g // until the test releases it
 			}
@@ -93,7 +93,7 @@
 
 func (r *addressHarness) set(i int, f fakenode.Fault) {
 	r.t.Helper()
-	if err := r.node.Set(r.addresses[i], f); err != nil {
+	if err := r.node.SetFault(r.addresses[i], f); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -131,10 +131,10 @@
 		r.t.Fatalf("%s: attempt ended as %+v", id, x)
 	}
 	all := r.node.Arrivals(id)
-	if len(all) != 1 || r.node.Ran(id) != 1 {
+	if len(all) != 1 || r.node.Executions(id) != 1 {
 		r.t.Fatalf("%s: arrivals %+v", id, all)
 	}
-	return all[0].By
+	return all[0].Addr
 }
 
 // readUntil sends reads until the address of one satisfies a condition.
@@ -147,7 +147,7 @@
 			time.Sleep(ms)
 			continue
 		}
-		if ok(r.node.Arrivals(id)[0].By) {
+		if ok(r.node.Arrivals(id)[0].Addr) {
 			return
 		}
 		time.Sleep(ms)
@@ -164,10 +164,10 @@
 			t.Fatalf("request used address %v", by)
 		}
 	}
-	if c := r.node.Counts(); c.Conns != 1 || c.Ran != 20 {
+	if c := r.node.Counts(); c.Conns != 1 || c.Executions != 20 {
 		t.Errorf("node counts %+v", c)
 	}
-	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NoSocket} {
+	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NotASocket} {
 		r.set(0, f)
 		if by := r.expectServed(recordText); by == r.addresses[0] {
 			t.Errorf("%v: request used address %v", f, by)
@@ -195,14 +195,14 @@
 	r.set(0, fakenode.Hang)
 	hanging, got := r.send(recordText, 3*time.Second)
 	r.readUntil("switch to the next address", func(by address.Addr) bool { return by == r.addresses[1] })
-	accepted := r.node.Accepted(r.addresses[0])
+	accepted := r.node.AcceptedConns(r.addresses[0])
 	for range 50 {
 		r.expectServed(recordText) // writes never use the hung address
 	}
-	for r.node.Accepted(r.addresses[0]) < accepted+2 {
+	for r.node.AcceptedConns(r.addresses[0]) < accepted+2 {
 		_, got := r.send(readText, 300*ms) // some are trials of the hung address
 		<-got
-		if open := r.node.Open(r.addresses[0]); open > 1+1 { // the hanging write and one trial
+		if open := r.node.OpenConns(r.addresses[0]); open > 1+1 { // the hanging write and one trial
 			t.Fatalf("%d connections to the hung address", open)
 		}
 	}
@@ -216,7 +216,7 @@
 // A request that was written and got no response is not written again over another address, whatever the fault is. Retries
 // are decided by the core.
 func TestWrittenRequestIsNotResent(t *testing.T) {
-	for _, f := range []fakenode.Fault{fakenode.NoAnswer, fakenode.Half, fakenode.Reset, fakenode.Hang} {
+	for _, f := range []fakenode.Fault{fakenode.NoResponse, fakenode.HalfResponse, fakenode.Reset, fakenode.Hang} {
 		r := newAddressHarness(t, withShortTimes())
 		r.expectServed(readText)
 		r.set(0, f)
@@ -228,7 +228,7 @@
 		}
 		for i, got := range results {
 			x := <-got
-			if n := len(r.node.Arrivals(ids[i])); n > 1 || r.node.Ran(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
+			if n := len(r.node.Arrivals(ids[i])); n > 1 || r.node.Executions(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
 				t.Errorf("%v: %+v, arrived %d times", f, x, n)
 			}
 		}
@@ -250,7 +250,7 @@
 		}
 		failed++
 	}
-	r.node.Forget()
+	r.node.ResetState()
 	gate := make(chan struct{})
 	r.gate.Store(&gate) // the address accepts again and does not respond yet
 	r.set(2, fakenode.None)
@@ -268,7 +268,7 @@
 			t.Errorf("attempt ended as %+v", x)
 		}
 	}
-	if n := r.node.Accepted(r.addresses[2]); n != 1 {
+	if n := r.node.AcceptedConns(r.addresses[2]); n != 1 {
 		t.Errorf("%d connections to the recovered address, want 1", n)
 	}
 	r.gate.Store(nil)
@@ -277,7 +277,7 @@
 		t.Errorf("trial ended as %+v", x)
 	}
 	r.readUntil("use of the recovered address", func(by address.Addr) bool { return by == r.addresses[2] })
-	if id, _ := r.node.MostRuns(); id > 1 {
+	if id, _ := r.node.MaxExecutions(); id > 1 {
 		t.Errorf("%d executions of one request", id)
 	}
 }
@@ -291,10 +291,10 @@
 		r.expectServed(readText)
 		r.client.Drain(false)
 		r.set(0, fakenode.Refused)
-		r.set(0, fakenode.Other)
+		r.set(0, fakenode.OtherNode)
 		full, abandoned := 0, 0
 		r.readUntil("switch to another address", func(by address.Addr) bool { return by == r.addresses[1] })
-		for r.node.Counts().Turned < 12 && identity == "" || abandoned == 0 {
+		for r.node.Counts().Rejected < 12 && identity == "" || abandoned == 0 {
 			_, got := r.send(readText, time.Minute)
 			switch x := <-got; x.Status {
 			case policy.NodeFull:
@@ -347,7 +347,7 @@
 	for r.node.Counts().Conns < int(waiting.Load()) {
 		time.Sleep(ms)
 	}
-	for r.node.Open(r.addresses[0])+r.node.Open(r.addresses[1])+r.node.Open(r.addresses[2]) > 0 {
+	for r.node.OpenConns(r.addresses[0])+r.node.OpenConns(r.addresses[1])+r.node.OpenConns(r.addresses[2]) > 0 {
 		time.Sleep(ms) // loops until connections that were established late are closed
 	}
 	_, got := r.send(recordText, time.Minute)
@@ -497,7 +497,7 @@
 				if a := f.send(t, fmt.Sprintf(text, id)); a.StatusCode() != 200 || string(a.Body()) != id {
 					t.Errorf("%s: status %d, body %q", id, a.StatusCode(), a.Body())
 				}
-				if n := r.node.Ran(id); n != 1 {
+				if n := r.node.Executions(id); n != 1 {
 					t.Errorf("%s: ran %d times", id, n)
 				}
 			}
@@ -546,7 +546,7 @@
 		f.send(t, fmt.Sprintf(readText, "warm"))
 		gate := make(chan struct{})
 		r.gate.Store(&gate)
-		r.set(0, fakenode.Half)
+		r.set(0, fakenode.HalfResponse)
 		done := make(chan int, 1)
 		go func() {
 			done <- f.send(t, strings.Replace(fmt.Sprintf(recordText, "d"), "new-record", x.class, 1)).StatusCode()
@@ -558,11 +558,11 @@
 		r.gate.Store(nil)
 		close(gate)
 		code, all := <-done, r.node.Arrivals("d")
-		if r.node.Ran("d") != 1 || r.node.RanKey("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
+		if r.node.Executions("d") != 1 || r.node.KeyExecutions("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
 			t.Errorf("%+v: status %d, arrivals %+v", x, code, all)
 		}
 		// A single break of a reused connection does not make its address suspect, so the first retry may use it again.
-		if last := all[len(all)-1]; x.again && (last.By == all[0].By || last.At.Sub(all[0].At) > 2500*ms) {
+		if last := all[len(all)-1]; x.again && (last.Addr == all[0].Addr || last.At.Sub(all[0].At) > 2500*ms) {
 			t.Errorf("%+v: last retry on the same address or after the window: %+v", x, all)
 		}
 	}
@@ -598,7 +598,7 @@
 	for start := time.Now(); time.Since(start) < 4500*ms; time.Sleep(10 * ms) {
 		sendRead()
 	}
-	r.node.Forget()
+	r.node.ResetState()
 	r.set(1, fakenode.None)
 	for start := time.Now(); time.Since(start) < 900*ms; time.Sleep(2 * ms) {
 		sendRead()
@@ -606,14 +606,14 @@
 	wg.Wait()
 	var first time.Time
 	units := 0
-	r.node.Each(func(_ string, all []fakenode.Arrival) {
+	r.node.EachRequest(func(_ string, all []fakenode.Arrival) {
 		for _, a := range all {
 			if first.IsZero() || a.At.Before(first) {
 				first = a.At
 			}
 		}
 	})
-	r.node.Each(func(_ string, all []fakenode.Arrival) {
+	r.node.EachRequest(func(_ string, all []fakenode.Arrival) {
 		for _, a := range all {
 			if a.At.Sub(first) <= 1000*ms {
 				units += 2
--- a/internal/httpfront/connlimit_test.go
+++ b/internal/httpfront/connlimit_test.go
@@ -18,8 +18,8 @@
 // closes its surplus idle connections, so that the others can connect and all three are served from then on.
 func TestSchedulersShareNodeAtConnectionLimit(t *testing.T) {
 	const maxConns, burst = 4, 5
-	n := fakenode.New(fakenode.Options{Name: "n", Conns: maxConns, Workers: 2 * burst,
-		Service: func(*fasthttp.Request) time.Duration { return 20 * time.Millisecond }})
+	n := fakenode.New(fakenode.Options{Name: "n", MaxConns: maxConns, Workers: 2 * burst,
+		ServiceTime: func(*fasthttp.Request) time.Duration { return 20 * time.Millisecond }})
 	defer n.Close()
 	a, err := n.Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/httpfront/disconnect_test.go
+++ b/internal/httpfront/disconnect_test.go
@@ -346,7 +346,7 @@
 		dialBarrier.pass()
 		return transport.Dial(ctx, a, within)
 	}
-	w := newGatherHarnessOn(t, d, completeRules, fakenode.Rows{Seed: 3, Count: 10})
+	w := newGatherHarnessOn(t, d, completeRules, fakenode.Rows{Seed: 3, RowsPerShard: 10})
 	t.Cleanup(dialBarrier.release)
 	dialBarrier.closed.Store(true)
 	nc := w.dial()
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -53,7 +53,7 @@
 	settings.Plans = append(settings.Plans, policy.Plan{Name: "small", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 10, LimitBurst: 8})
 	settings.Classes = append(settings.Classes, policy.Class{Name: "once", LatencyObjective: 30e3, Deadline: 60e3, PriorityWeight: 3, Effect: policy.NonIdempotent})
 	for i := range gatherShards {
-		n := fakenode.New(fakenode.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, Record: true, Workers: 8})
+		n := fakenode.New(fakenode.Options{Name: fmt.Sprint("n", i), Shard: i, Rows: w.rows, RecordAttempts: true, Workers: 8})
 		a, err := n.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -156,7 +156,7 @@
 }
 
 func (w *gatherHarness) flatRows(shards ...int) (rows []string) {
-	for _, r := range w.rows.Flat(shards, fakenode.Flat{Keep: "all"}) {
+	for _, r := range w.rows.Merge(shards, fakenode.MergeOptions{Keep: "all"}) {
 		rows = append(rows, string(r))
 	}
 	return rows
@@ -177,7 +177,7 @@
 // The rows of a gathered read equal those of a flat merge, and its result is in the trailer. This holds for long bodies and for
 // several requests on one connection. Each part is requested with its shard and id.
 func TestGatheredReadMatchesFlatMerge(t *testing.T) {
-	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 3, Count: 3000, Shared: 0.2, Same: 1, Pad: 60})
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 3, RowsPerShard: 3000, SharedKeys: 0.2, SameVersion: 1, PaddingBytes: 60})
 	nc := w.dial()
 	br := bufio.NewReader(nc)
 	for _, c := range []struct {
@@ -190,7 +190,7 @@
 			t.Fatalf("%s: status %d, %v, %d rows, result %s", c.gather, g.code, g.err, len(g.rows), g.result)
 		}
 		for _, s := range c.shards {
-			if n := w.nodes[s].RowCounts(fmt.Sprintf("%s/%d/1", id, s)); n.Asked != 1 || n.Whole != 1 {
+			if n := w.nodes[s].RowCounts(fmt.Sprintf("%s/%d/1", id, s)); n.Requests != 1 || n.Complete != 1 {
 				t.Errorf("%s: shard %d: node counts %+v", c.gather, s, n)
 			}
 		}
@@ -206,7 +206,7 @@
 }
 
 func TestGatheredReadPages(t *testing.T) {
-	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, fakenode.Rows{Seed: 4, Count: 200})
+	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"truncate":{"top":300}}`, fakenode.Rows{Seed: 4, RowsPerShard: 200})
 	var rows []string
 	more := []string{gatherAll}
 	for pages := 0; pages < 4; pages++ {
@@ -230,7 +230,7 @@
 
 // Merging partial results gives the same rows as merging their parts.
 func TestGatheredPartialResultsMerge(t *testing.T) {
-	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 5, Count: 50})
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 5, RowsPerShard: 50})
 	m, err := gather.New(w.svc.Classes["balance-read"].Merge, []gather.Part{{ID: "a", Of: []string{"0", "3"}}, {ID: "b", Of: []string{"1", "2"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -271,7 +271,7 @@
 // An invalid gathered read fails before the first row, with code and advice, and no node gets a request. Missed deadlines and
 // rejections before the first row have their own status.
 func TestGatheredReadErrorsBeforeFirstRow(t *testing.T) {
-	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 6, Count: 10})
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 6, RowsPerShard: 10})
 	for _, c := range []struct {
 		what, method, path, plan string
 		more                     []string
@@ -300,7 +300,7 @@
 		}
 	}
 	// One node never responds: the read misses its deadline, and the part is cancelled.
-	w.nodes[2].SetRows(fakenode.RowFault{Late: time.Hour})
+	w.nodes[2].SetRowFault(fakenode.RowFault{Delay: time.Hour})
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, gatherAll); g.code != 504 && g.code != 503 || !g.isMissing(2) {
 		t.Errorf("response %+v", g)
 	}
@@ -318,14 +318,14 @@
 
 // A part that is truncated after the first rows were sent: the response ends with a result that lists the part as cut.
 func TestGatheredReadCutAfterFirstRows(t *testing.T) {
-	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, Count: 400, Pad: 400})
-	w.nodes[1].SetRows(fakenode.RowFault{After: 300, Cut: true})
+	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, RowsPerShard: 400, PaddingBytes: 400})
+	w.nodes[1].SetRowFault(fakenode.RowFault{AfterRows: 300, CloseConn: true})
 	for i, class := range []string{"balance-read", "once"} { // the part is retried for the first class; the second is non-idempotent
 		g := w.read(class, "basic", time.Minute, gatherAll)
 		if g.code != 200 || g.err != nil || fmt.Sprint(g.result.Get("cut")) != "[1]" || g.result.Get("whole").Bool() || len(g.rows) < 3*400+100 {
 			t.Errorf("%s: status %d, %v, %d rows, result %s", class, g.code, g.err, len(g.rows), g.result)
 		}
-		if n := w.nodes[1].RowCounts(""); n.Cut != 2+i {
+		if n := w.nodes[1].RowCounts(""); n.ConnsClosed != 2+i {
 			t.Errorf("%s: the node counted %+v", class, n)
 		}
 	}
@@ -333,11 +333,11 @@
 }
 
 func TestGatheredReadClientDisconnects(t *testing.T) {
-	for what, f := range map[string]fakenode.RowFault{"before the first row": {Late: time.Hour}, "in long bodies": {After: 300, Stop: 2 * time.Second}} {
+	for what, f := range map[string]fakenode.RowFault{"before the first row": {Delay: time.Hour}, "in long bodies": {AfterRows: 300, Pause: 2 * time.Second}} {
 		t.Run(what, func(t *testing.T) {
-			w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, Count: 400, Pad: 400})
+			w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, RowsPerShard: 400, PaddingBytes: 400})
 			for _, n := range w.nodes {
-				n.SetRows(f)
+				n.SetRowFault(f)
 			}
 			sum := func(count func(fakenode.RowCounts) int) (n int) {
 				for _, x := range w.nodes {
@@ -348,10 +348,10 @@
 			nc := w.dial()
 			w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
 			// The allowed number of concurrent parts is in flight.
-			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Late + c.Stopped }) >= 3 })
+			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Delayed + c.Paused }) >= 3 })
 			nc.Close()
 			w.waitForNoReads()
-			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Gone }) >= 3 })
+			waitFor(t, func() bool { return sum(func(c fakenode.RowCounts) int { return c.Disconnected }) >= 3 })
 		})
 	}
 }
@@ -359,7 +359,7 @@
 // A slow client delays only the nodes' responses to its own read. A read above the limit of concurrent reads is rejected at once.
 func TestGatheredReadBackPressure(t *testing.T) {
 	w := newGatherHarness(t, `{"order":[{"key":"k","type":"integer"}],"records":{"max_bytes":4096},"memory":{"bytes":65536}}`,
-		fakenode.Rows{Seed: 8, Count: 10000, Pad: 2000})
+		fakenode.Rows{Seed: 8, RowsPerShard: 10000, PaddingBytes: 2000})
 	nc := w.dial()
 	w.svc.MaxPartBytes = 64 << 20
 	br := bufio.NewReader(nc)
@@ -392,7 +392,7 @@
 
 // Every part counts against the rate limit of the volume. A shard whose only node is draining or excluded is not read.
 func TestGatheredReadObeysLimitsAndExclusions(t *testing.T) {
-	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 9, Count: 10})
+	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 9, RowsPerShard: 10})
 	// Each part has 2 units; 10 units per second with a burst of 8 are allowed. The parts of all reads together stay within the
 	// limit, and the parts above it are listed as missing.
 	missing := 0
@@ -407,7 +407,7 @@
 	var sentAt []time.Time
 	for _, n := range w.nodes {
 		for _, a := range n.Attempts() {
-			sentAt = append(sentAt, a.First)
+			sentAt = append(sentAt, a.FirstByte)
 		}
 	}
 	slices.SortFunc(sentAt, time.Time.Compare)
@@ -439,11 +439,11 @@
 
 // A server that shuts down completes a gathered read that is in flight.
 func TestShutdownAnswersGatheredRead(t *testing.T) {
-	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 10, Count: 300})
-	w.nodes[0].SetRows(fakenode.RowFault{After: 100, Never: true})
+	w := newGatherHarness(t, completeRules, fakenode.Rows{Seed: 10, RowsPerShard: 300})
+	w.nodes[0].SetRowFault(fakenode.RowFault{AfterRows: 100, Stall: true})
 	nc := w.dial()
 	w.writeRequest(nc, "GET", "balance-read", "basic", time.Minute, gatherAll)
-	waitFor(t, func() bool { return w.nodes[0].RowCounts("").Never == 1 })
+	waitFor(t, func() bool { return w.nodes[0].RowCounts("").Stalled == 1 })
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	shutdownErr := make(chan error, 1)
@@ -453,7 +453,7 @@
 		t.Fatalf("shutdown ended with a read in flight: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	w.nodes[0].SetRows(fakenode.RowFault{})
+	w.nodes[0].SetRowFault(fakenode.RowFault{})
 	if g := readGatherResponse(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flatRows(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
 		t.Errorf("result %+v", g.result)
 	}
--- a/internal/httpfront/kernelcopy_test.go
+++ b/internal/httpfront/kernelcopy_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, address.ReasonRefused, err
 		}
-		return ln.Of(nc), 0, nil
+		return ln.Wrap(nc), 0, nil
 	}
 	var response atomic.Pointer[bytes.Buffer]
 	f := newFrontOn(t, ln, d, func(nc net.Conn) bool { _, err := nc.Write(response.Load().Bytes()); return err == nil })
@@ -71,7 +71,7 @@
 	if n := ln.Count(); n > 0 {
 		t.Errorf("%d kernel copies were attempted", n)
 	}
-	if _, err := io.Copy(ln.Of(nc), io.LimitReader(strings.NewReader("x"), 1)); err == nil || ln.Count() != 1 {
+	if _, err := io.Copy(ln.Wrap(nc), io.LimitReader(strings.NewReader("x"), 1)); err == nil || ln.Count() != 1 {
 		t.Error("the fake connection does not refuse kernel copies")
 	}
 }
--- a/internal/httpfront/preconnect_test.go
+++ b/internal/httpfront/preconnect_test.go
@@ -33,7 +33,7 @@
 
 // newListeningNode returns a fake node on the given number of ports, and a dialer.
 func newListeningNode(t *testing.T, ports int, service func(*fasthttp.Request) time.Duration) (n *fakenode.Node, addresses []address.Addr, d *Dialer) {
-	n = fakenode.New(fakenode.Options{Name: "n", Service: service})
+	n = fakenode.New(fakenode.Options{Name: "n", ServiceTime: service})
 	t.Cleanup(n.Close)
 	for range ports {
 		a, err := n.Listen("127.0.0.1:0")
@@ -79,7 +79,7 @@
 			want(other, policy.Abandoned, 1, 1)
 			d.MaxConns = 2
 			for _, a := range addresses {
-				if err := n.Set(a, fakenode.Refused); err != nil {
+				if err := n.SetFault(a, fakenode.Refused); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/scattergather/coordinator_test.go
+++ b/internal/scattergather/coordinator_test.go
@@ -189,7 +189,7 @@
 		}
 	}
 	setFault := func(p *fakePeer, x link.Fault) {
-		if err := p.link.Set(link.Backward, x); err != nil {
+		if err := p.link.SetFault(link.Backward, x); err != nil {
 			p.fixture.Fatal(err)
 		}
 	}
@@ -226,8 +226,8 @@
 			happened: func(f *fixture) bool { return f.peers[1].link.Counts(link.Backward).Bytes > 5000 }},
 		{name: "one silent", fault: func(f *fixture) { setFault(f.peers[2], link.Fault{Silent: true}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[2].link.Counts(link.Backward).Silenced > 0 }},
-		{name: "one slow", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{Trickle: 2000}) }, backingOff: 1,
-			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Trickled > 0 }},
+		{name: "one slow", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{BytesPerSecond: 2000}) }, backingOff: 1,
+			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).RateLimited > 0 }},
 		{name: "two unreachable", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, backingOff: 2, local: true},
 		{name: "all unreachable", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.link.Close() }) }, backingOff: 3, local: true},
 		{name: "all silent", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { setFault(p, link.Fault{Silent: true}) }) }, backingOff: 3, local: true},
@@ -356,7 +356,7 @@
 	f := newFixture(t, 3, "")
 	ctx, disconnect := context.WithCancel(t.Context())
 	for _, p := range f.peers {
-		if err := p.link.Set(link.Backward, link.Fault{Silent: true}); err != nil {
+		if err := p.link.SetFault(link.Backward, link.Fault{Silent: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -36,18 +36,18 @@
 // Outcomes of a request.
 const (
 	Served   Outcome = iota // 200 with the complete body
-	Refused                 // 429 or 503
+	Rejected                // 429 or 503
 	Failed                  // any other answer
 	Reset                   // the connection closed without an answer
 	TimedOut                // no answer within the deadline
 	NoConn                  // no connection could be opened, or none was free
-	Outcomes
+	OutcomeCount
 )
 
-var outcomeNames = [Outcomes]string{"served", "refused", "failed", "reset", "timed out", "no connection"}
+var outcomeNames = [OutcomeCount]string{"served", "refused", "failed", "reset", "timed out", "no connection"}
 
 func (o Outcome) String() string {
-	if o >= 0 && o < Outcomes {
+	if o >= 0 && o < OutcomeCount {
 		return outcomeNames[o]
 	}
 	return "outcome " + strconv.Itoa(int(o))
@@ -55,19 +55,19 @@
 
 // Answer is the result of a request.
 type Answer struct {
-	Outcome    Outcome
-	Code       int
-	Body       []byte
-	RetryAfter time.Duration // 0: none given
-	Sent       time.Time     // when writing began; zero: never
-	Ended      time.Time
-	Reopened   bool // the request was sent again after the server closed a reused connection
+	Outcome          Outcome
+	Code             int
+	Body             []byte
+	RetryAfter       time.Duration // 0: none given
+	Sent             time.Time     // when writing began; zero: never
+	Ended            time.Time
+	RetriedOnNewConn bool // the request was sent again after the server closed a reused connection
 }
 
 // Pool holds the connections to one scheduler.
 type Pool struct {
 	Network, Address string
-	Most             int                                     // limit of connections; 0: none
+	MaxConns         int                                     // limit of connections; 0: none
 	Dial             func(context.Context) (net.Conn, error) // nil: dial Address on Network
 	mu               sync.Mutex
 	idle             []*conn // the most recently used is the last
@@ -108,7 +108,7 @@
 		p.mu.Unlock()
 		return c, nil
 	}
-	if p.Most > 0 && p.openCount >= p.Most {
+	if p.MaxConns > 0 && p.openCount >= p.MaxConns {
 		p.mu.Unlock()
 		return nil, ErrNoFreeConn
 	}
@@ -149,7 +149,7 @@
 		if !retry || attempt > 0 {
 			break
 		}
-		answer.Reopened = true
+		answer.RetriedOnNewConn = true
 	}
 	answer.Ended = time.Now()
 	return answer
@@ -211,7 +211,7 @@
 	case fasthttp.StatusOK:
 		answer.Outcome, answer.Body = Served, append([]byte(nil), r.Body()...)
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
-		answer.Outcome = Refused
+		answer.Outcome = Rejected
 	default:
 		answer.Outcome = Failed
 	}
--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -13,19 +13,19 @@
 func (w *fixture) unansweredAtClose(i int, since time.Duration) (n int) {
 	h := w.History()
 	sentAt := map[string]time.Duration{}
-	for _, t := range h.Taken {
+	for _, t := range h.Requests {
 		if t.Scheduler == i && t.At >= since {
 			sentAt[t.ID] = t.At
 		}
 	}
 	firstClose := historycheck.Never
-	for _, a := range h.Answered {
-		if _, ours := sentAt[a.ID]; ours && a.End == historycheck.Unheard {
+	for _, a := range h.Outcomes {
+		if _, ours := sentAt[a.ID]; ours && a.Kind == historycheck.NoResponse {
 			firstClose = min(firstClose, a.At)
 		}
 	}
-	for _, a := range h.Answered {
-		if t, ours := sentAt[a.ID]; ours && a.End == historycheck.Unheard && t < firstClose {
+	for _, a := range h.Outcomes {
+		if t, ours := sentAt[a.ID]; ours && a.Kind == historycheck.NoResponse && t < firstClose {
 			n++
 		}
 	}
@@ -36,14 +36,14 @@
 // them that were sent on more than 0.3 s later.
 func countDisconnects(h historycheck.History) (waiting, sentOn int) {
 	firstAttempt := map[string]time.Duration{}
-	for _, s := range h.Sent {
-		if at, ok := firstAttempt[s.ID]; !ok || s.First < at {
-			firstAttempt[s.ID] = s.First
+	for _, s := range h.Attempts {
+		if at, ok := firstAttempt[s.ID]; !ok || s.FirstByte < at {
+			firstAttempt[s.ID] = s.FirstByte
 		}
 	}
-	for _, a := range h.Answered {
+	for _, a := range h.Outcomes {
 		at, sent := firstAttempt[a.ID]
-		if a.End != historycheck.Left || sent && at <= a.At {
+		if a.Kind != historycheck.Disconnected || sent && at <= a.At {
 			continue
 		}
 		waiting++
@@ -66,14 +66,14 @@
 	}{
 		{fault: "SIGTERM while clients keep sending on open connections", expected: "served until the connections close; requests in flight at the close are not sent on",
 			service: slow, run: func(w *fixture) {
-				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
+				w.must(w.ClientLink(0).SetFault(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
 				for inFlight := 0; inFlight == 0; { // until at least one request was in flight at the close
-					stop := w.StartLoad(w.ctx, Load{Clients: 10, Pause: time.Millisecond, Request: mixedRequest})
+					stop := w.Run(w.ctx, Load{Clients: 10, Pause: time.Millisecond, Request: mixedRequest})
 					base := w.Served(0)
 					w.waitUntil("daemon 0 has open requests", func() bool { return w.Served(0) > base && w.openRequests() > 5 })
 					w.must(w.Terminate(0))
 					servedBeforeTerm, from := w.Served(0), w.now()
-					w.must(w.Proc(0).End(w.ctx))
+					w.must(w.Proc(0).Wait(w.ctx))
 					if n := w.Served(0) - servedBeforeTerm; n < minServed {
 						w.t.Errorf("%d requests served after SIGTERM", n)
 					}
@@ -82,17 +82,17 @@
 					w.must(w.Restart(w.ctx, 0))
 					w.t.Logf("served after SIGTERM: %d, in flight at the close: %d", w.Served(0)-servedBeforeTerm, inFlight)
 				}
-				w.must(w.ClientLink(0).Set(link.Forward, link.Fault{}))
+				w.must(w.ClientLink(0).SetFault(link.Forward, link.Fault{}))
 				w.waitServed(minServed)
 			}},
 		{fault: "SIGTERM while answers trickle to clients", expected: "each answer that has begun is completed", run: func(w *fixture) {
-			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{Trickle: 4000}))
-			stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: time.Millisecond, Request: mixedRequest})
-			w.waitUntil("answers are in flight", func() bool { return w.ClientLink(0).Counts(link.Backward).Trickled > 10 && w.openRequests() > 2 })
+			w.must(w.ClientLink(0).SetFault(link.Backward, link.Fault{BytesPerSecond: 4000}))
+			stop := w.Run(w.ctx, Load{Clients: 4, Pause: time.Millisecond, Request: mixedRequest})
+			w.waitUntil("answers are in flight", func() bool { return w.ClientLink(0).Counts(link.Backward).RateLimited > 10 && w.openRequests() > 2 })
 			w.must(w.Terminate(0))
-			w.must(w.Proc(0).End(w.ctx))
+			w.must(w.Proc(0).Wait(w.ctx))
 			stop()
-			w.must(w.ClientLink(0).Set(link.Backward, link.Fault{}))
+			w.must(w.ClientLink(0).SetFault(link.Backward, link.Fault{}))
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(minServed)
 		}},
@@ -102,22 +102,22 @@
 				for i := range w.opt.Daemons {
 					for j := range 4 {
 						l := w.StorageLink(i, j)
-						w.must(l.Set(link.Forward, f))
+						w.must(l.SetFault(link.Forward, f))
 						if f.Hold {
-							l.Reset() // the open connections; no new ones are accepted
+							l.ResetConns() // the open connections; no new ones are accepted
 						}
 						w.waitUntil("the links are in the new state", func() bool { return inNewState(l) })
 					}
 				}
 			}
 			for minDisconnects := 20; minDisconnects <= 40; minDisconnects += 20 {
-				setLinks(link.Fault{Hold: true}, func(l *link.Link) bool { return l.Open() == 0 })
-				stop := w.StartLoad(w.ctx, Load{Clients: 4, Pause: 50 * time.Millisecond, Request: func(_, client, n int) ClientRequest {
+				setLinks(link.Fault{Hold: true}, func(l *link.Link) bool { return l.OpenConns() == 0 })
+				stop := w.Run(w.ctx, Load{Clients: 4, Pause: 50 * time.Millisecond, Request: func(_, client, n int) ClientRequest {
 					return ClientRequest{Shard: n % 2, Volume: client, Deadline: 3 * time.Second, DisconnectAfter: 100 * time.Millisecond}
 				}})
 				w.waitUntil("clients disconnect while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
 				stop() // connections open within 1 s after the next line, when requests still waiting would be sent on
-				setLinks(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 })
+				setLinks(link.Fault{}, func(l *link.Link) bool { return l.PendingConnects() == 0 })
 				w.waitServed(minServed)
 			}
 			waited, sentLate := countDisconnects(w.History())
@@ -143,7 +143,7 @@
 					}
 				}
 				w.markAllUp()
-				w.setListFaults(ListWell)
+				w.setListFaults(ListHealthy)
 				w.waitServed(minServed)
 			}
 			if 10*readyInTime < 9*starts {
--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -26,8 +26,8 @@
 	coordinator     int
 	delegationLinks []*link.Link // to peers
 	nodeRows        *node.Rows
-	reads           []historycheck.Taken
-	answers         []historycheck.Answered
+	reads           []historycheck.Request
+	answers         []historycheck.Outcome
 	gossip          gossipFixture // set if the daemons gossip
 }
 
@@ -41,12 +41,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	t.Cleanup(cancel)
-	g := &delegationFixture{coordinator: 3, nodeRows: &node.Rows{Seed: 9, Count: rows, Shared: 0.2, Same: 0.5, Pad: 24}}
+	g := &delegationFixture{coordinator: 3, nodeRows: &node.Rows{Seed: 9, RowsPerShard: rows, SharedKeys: 0.2, SameVersion: 0.5, PaddingBytes: 24}}
 	opt := Options{Daemon: daemonPath, Seed: 7, Daemons: 4, Peers: len(withGossip) > 0, Settings: map[string]any{"ceilings": map[string]any{"peers": true},
 		"profiles": append(Defaults(1, 0, 1)["profiles"].([]map[string]any),
 			map[string]any{"name": "read-once", "goal-time": 200, "deadline": 1000, "worth": 2., "late-worth": 1., "repeat": "unsafe"})}}
 	for j := range shards {
-		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j, Rows: g.nodeRows})
+		opt.Nodes = append(opt.Nodes, StorageNode{Name: fmt.Sprint("s", j), Shard: j, Rows: g.nodeRows})
 	}
 	opt.Args = func(f *Fleet, i int) []string {
 		class := map[string]any{"order": []map[string]any{{"key": "k", "type": "integer"}}, "memory": map[string]any{"bytes": 1 << 20},
@@ -122,11 +122,11 @@
 	f := g.Fleet
 	taken, text := f.newGatheredRead(i, class, plan, deadline)
 	defer func() {
-		end := historycheck.Whole
+		end := historycheck.Complete
 		if r.err != nil {
-			end = historycheck.Cut
+			end = historycheck.Truncated
 		}
-		g.reads, g.answers = append(g.reads, taken), append(g.answers, historycheck.Answered{ID: taken.ID, At: f.now(), End: end})
+		g.reads, g.answers = append(g.reads, taken), append(g.answers, historycheck.Outcome{ID: taken.ID, At: f.now(), Kind: end})
 		r.took = f.now() - taken.At
 	}()
 	nc, err := net.Dial("tcp", f.ClientLink(i).Addr())
@@ -153,7 +153,7 @@
 	}
 	// Rows with equal keys are ordered by the names of their parts.
 	slices.SortFunc(shards, func(a, b int) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
-	want := g.nodeRows.Flat(shards, node.Flat{Keep: "all"})
+	want := g.nodeRows.Merge(shards, node.MergeOptions{Keep: "all"})
 	if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() || !slices.EqualFunc(r.rows, want, bytes.Equal) {
 		g.t.Errorf("%s: %v, code %d, %d rows of %d, %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
 	}
@@ -170,7 +170,7 @@
 // countParts counts the parts of the last read that reached nodes. The request IDs of delegated groups contain /g.
 func (g *delegationFixture) countParts(groups bool) (n int) {
 	last := g.reads[len(g.reads)-1].ID
-	for _, s := range g.History().Sent {
+	for _, s := range g.History().Attempts {
 		if strings.HasPrefix(s.ID, last+"/") && strings.HasPrefix(s.ID, last+"/g") == groups {
 			n++
 		}
@@ -184,22 +184,22 @@
 	g.t.Helper()
 	h := g.History()
 	seen := map[string]bool{}
-	for _, s := range h.Sent {
+	for _, s := range h.Attempts {
 		read, part, ok := strings.Cut(s.ID, "/")
-		readIndex := slices.IndexFunc(g.reads, func(r historycheck.Taken) bool { return r.ID == read })
+		readIndex := slices.IndexFunc(g.reads, func(r historycheck.Request) bool { return r.ID == read })
 		if !ok || readIndex < 0 || seen[s.ID] {
 			continue
 		}
 		seen[s.ID] = true
 		taken, answered := g.reads[readIndex], g.answers[readIndex]
 		if strings.HasPrefix(part, "g") {
-			answered.At = max(answered.At, taken.GivesUp)
+			answered.At = max(answered.At, taken.Deadline)
 		}
-		taken.ID, answered.ID, answered.End, answered.Of = s.ID, s.ID, historycheck.Whole, ""
-		taken.GivesUp = max(taken.GivesUp, answered.At)
-		h.Taken, h.Answered = append(h.Taken, taken), append(h.Answered, answered)
+		taken.ID, answered.ID, answered.Kind, answered.ResponseID = s.ID, s.ID, historycheck.Complete, ""
+		taken.Deadline = max(taken.Deadline, answered.At)
+		h.Requests, h.Outcomes = append(h.Requests, taken), append(h.Outcomes, answered)
 	}
-	h.Taken, h.Answered = append(h.Taken, g.reads...), append(h.Answered, g.answers...)
+	h.Requests, h.Outcomes = append(h.Requests, g.reads...), append(h.Outcomes, g.answers...)
 	for i, v := range historycheck.Check(g.Rules(), h) {
 		if i < 5 {
 			g.t.Error(v)
@@ -220,7 +220,7 @@
 // Peers fail before or during a gathered read of 12 parts over four daemons. The read must be complete in every scenario.
 func TestDelegatedGatherPeerFaults(t *testing.T) {
 	const shards, rows, defaultDeadline = 12, 500, 8 * time.Second
-	slow := link.Fault{Trickle: 16 << 10} // a group then takes some seconds
+	slow := link.Fault{BytesPerSecond: 16 << 10} // a group then takes some seconds
 	waitAnswerBegun := func(g *delegationFixture, j int) {
 		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
 	}
@@ -235,16 +235,18 @@
 	}{
 		{fault: "none", expected: "each peer gathers a group, each part is sent once"},
 		{fault: "a peer is killed during the read", expected: "another peer takes over its group", failedPeers: []int{0},
-			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].Set(link.Backward, slow)) },
+			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].SetFault(link.Backward, slow)) },
 			during: func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
 		{fault: "a peer is suspended", expected: "another peer takes over its group", failedPeers: []int{1},
 			before: func(g *delegationFixture) { g.must(g.Stop(1)) }},
 		{fault: "a peer's link is slow", expected: "another peer takes over its group", defaultDeadline: 6 * time.Second, failedPeers: []int{2},
-			before:   func(g *delegationFixture) { g.must(g.delegationLinks[2].Set(link.Backward, link.Fault{Trickle: 1000})) },
-			occurred: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).Trickled > 0 }},
+			before: func(g *delegationFixture) {
+				g.must(g.delegationLinks[2].SetFault(link.Backward, link.Fault{BytesPerSecond: 1000}))
+			},
+			occurred: func(g *delegationFixture) bool { return g.delegationLinks[2].Counts(link.Backward).RateLimited > 0 }},
 		{fault: "a peer's answer is cut", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) {
-				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
+				g.must(g.delegationLinks[0].SetFault(link.Backward, link.Fault{ResetAfter: 9000}))
 			},
 			occurred: func(g *delegationFixture) bool { return g.delegationLinks[0].Counts(link.Backward).Reset > 0 }},
 		{fault: "two peers are down", expected: "the third or the coordinator takes over their groups", failedPeers: []int{0, 1}, either: true,
@@ -254,7 +256,7 @@
 		{fault: "all peers are killed during the read", expected: "the coordinator gathers every part itself", failedPeers: []int{0, 1, 2}, retaken: true,
 			before: func(g *delegationFixture) {
 				for _, l := range g.delegationLinks {
-					g.must(l.Set(link.Backward, slow))
+					g.must(l.SetFault(link.Backward, slow))
 				}
 			},
 			during: func(g *delegationFixture) {
@@ -268,7 +270,7 @@
 		{fault: "a peer does not reach its nodes", expected: "the coordinator gathers that group itself", failedPeers: []int{1}, retaken: true,
 			before: func(g *delegationFixture) {
 				for j := range shards {
-					g.must(g.StorageLink(1, j).Set(link.Forward, link.Fault{ResetAfter: 1}))
+					g.must(g.StorageLink(1, j).SetFault(link.Forward, link.Fault{ResetAfter: 1}))
 				}
 			},
 			occurred: func(g *delegationFixture) bool { // at one or more nodes
@@ -347,7 +349,7 @@
 		readWithGroups(3)
 		before := conns()
 		g.must(g.Terminate(1))
-		g.must(g.Proc(1).End(g.ctx))
+		g.must(g.Proc(1).Wait(g.ctx))
 		waitMembers(3)
 		if readWithGroups(2); conns() != before {
 			t.Error("a peer that had left got a request")
@@ -376,7 +378,7 @@
 	for j := range g.opt.Nodes {
 		conns := map[string]bool{}
 		for _, c := range g.StorageLink(g.coordinator, j).Conns() {
-			conns[c.Out] = true
+			conns[c.OutboundAddr] = true
 		}
 		for _, a := range g.Node(j).Attempts() {
 			if conns[a.From] && strings.HasPrefix(a.ID, last+"/g") {
@@ -439,7 +441,7 @@
 				slices.Sort(durations)
 				bytes := (bytesReceived() - before) / reads
 				g.must(g.Terminate(g.coordinator))
-				g.must(g.Proc(g.coordinator).End(g.ctx))
+				g.must(g.Proc(g.coordinator).Wait(g.ctx))
 				t.Logf("| %s | %v | %d | %d KB | %v (%v to %v) | %v |", kind.name, tree != "", parts, bytes>>10, durations[reads/2].Round(100*time.Microsecond),
 					durations[0].Round(100*time.Microsecond), durations[reads-1].Round(100*time.Microsecond), g.Proc(g.coordinator).CPU().Round(10*time.Millisecond))
 			})
--- a/internal/testkit/cluster/discovery_list.go
+++ b/internal/testkit/cluster/discovery_list.go
@@ -18,15 +18,15 @@
 
 // Faults of a discovery service.
 const (
-	ListWell    ListFault = iota
+	ListHealthy ListFault = iota
 	ListSilent            // watches are accepted but receive nothing
 	ListStalled           // open watches never receive anything again; new ones do
 	ListReset             // open and new watches are reset
 	ListDown              // nobody listens
 )
 
-var listFaults = map[ListFault]discovery.Fault{ListWell: {}, ListSilent: {Silent: true}, ListStalled: {Silent: true, Answers: true, Lost: true},
-	ListReset: {Reset: true}, ListDown: {Shut: true}}
+var listFaults = map[ListFault]discovery.Fault{ListHealthy: {}, ListSilent: {Silent: true}, ListStalled: {Silent: true, AnswerNewCalls: true, SilencePersists: true},
+	ListReset: {Reset: true}, ListDown: {StopListening: true}}
 
 // List is the discovery service of one scheduler. In a fleet with links each scheduler has its own, as its
 // list contains the addresses of its own links. Otherwise it is one caller's view of the fleet's shared service.
@@ -58,13 +58,13 @@
 func (l *fakeList) Addr() string { return l.address }
 
 // WatchRequests implements List.
-func (l *fakeList) WatchRequests() int { return l.Counts(l.caller).Came }
+func (l *fakeList) WatchRequests() int { return l.Counts(l.caller).Conns }
 
 // Put implements List.
 func (l *fakeList) Put(entries ...Entry) error { l.Service.Put(entries...); return nil }
 
 // Set implements List.
-func (l *fakeList) Set(f ListFault) error { return l.Service.Set(listFaults[f], l.caller) }
+func (l *fakeList) Set(f ListFault) error { return l.Service.SetFault(listFaults[f], l.caller) }
 
 // Close implements List.
 func (l *fakeList) Close() {
@@ -87,7 +87,7 @@
 		for k := range f.opt.Daemons {
 			callers[name(k)] = k
 		}
-		options.Written = func(caller string, full bool, entries []Entry, _ time.Time) {
+		options.OnWritten = func(caller string, full bool, entries []Entry, _ time.Time) {
 			if full { // a full list implies that all nodes not in it have left
 				entries = append(slices.Clone(entries), f.leftNodes()...)
 			}
@@ -114,7 +114,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range entries {
-		f.history.Told = append(f.history.Told, historycheck.Told{Scheduler: i, Node: e.Name, Word: statusWords[e.Status], At: f.now()})
+		f.history.Notifications = append(f.history.Notifications, historycheck.Notification{Scheduler: i, Node: e.Name, Status: statusWords[e.Status], At: f.now()})
 	}
 }
 
@@ -130,11 +130,11 @@
 	return all
 }
 
-// Calls are those of the list, of all daemons.
-func (f *Fleet) Calls() discovery.Load { return f.listCapacity.Load() }
+// ListLoad are those of the list, of all daemons.
+func (f *Fleet) ListLoad() discovery.Load { return f.listCapacity.Load() }
 
-// CallsFrom resets the counts of Calls.
-func (f *Fleet) CallsFrom() { f.listCapacity.Forget() }
+// ResetListLoad resets the counts of Calls.
+func (f *Fleet) ResetListLoad() { f.listCapacity.ResetLoad() }
 
 func (f *Fleet) entry(i, j int) Entry {
 	at := f.nodeAddresses[j]
@@ -146,7 +146,7 @@
 
 // recordColdStart records that a node starts cold now, and returns its since_ms, a Unix time.
 func (f *Fleet) recordColdStart(node string) int64 {
-	f.history.Cold = append(f.history.Cold, historycheck.Change{Node: node, At: f.now()})
+	f.history.SlowStarts = append(f.history.SlowStarts, historycheck.Change{Node: node, At: f.now()})
 	return time.Now().UnixMilli()
 }
 
@@ -154,7 +154,7 @@
 func (f *Fleet) SetNodeStatus(j int, status string) error {
 	f.mu.Lock()
 	f.nodeStatus[j] = discovery.Status(status)
-	f.history.Changed = append(f.history.Changed, historycheck.Change{Node: f.opt.Nodes[j].Name, Word: statusWords[f.nodeStatus[j]], At: f.now()})
+	f.history.Changes = append(f.history.Changes, historycheck.Change{Node: f.opt.Nodes[j].Name, Status: statusWords[f.nodeStatus[j]], At: f.now()})
 	f.mu.Unlock()
 	var errs []error
 	for i, l := range f.discoveryLists {
@@ -165,27 +165,27 @@
 	return errors.Join(errs...)
 }
 
-// Replace lists a node in all lists as one that has just started under the same name.
-func (f *Fleet) Replace(j int) error {
+// ReplaceNode lists a node in all lists as one that has just started under the same name.
+func (f *Fleet) ReplaceNode(j int) error {
 	f.mu.Lock()
 	f.startTimes[j] = f.recordColdStart(f.opt.Nodes[j].Name)
 	f.mu.Unlock()
 	return f.SetNodeStatus(j, "active")
 }
 
-// SetList sets the fault of daemon i's discovery service.
-func (f *Fleet) SetList(i int, fault ListFault) error {
+// SetListFault sets the fault of daemon i's discovery service.
+func (f *Fleet) SetListFault(i int, fault ListFault) error {
 	f.mu.Lock()
-	openSpan := slices.IndexFunc(f.history.Deaf, func(s historycheck.Span) bool { return s.Scheduler == i && s.To == historycheck.Never })
-	answersNewWatches := fault == ListWell || fault == ListStalled
+	openSpan := slices.IndexFunc(f.history.ListOutages, func(s historycheck.Interval) bool { return s.Scheduler == i && s.To == historycheck.Never })
+	answersNewWatches := fault == ListHealthy || fault == ListStalled
 	if !answersNewWatches && openSpan < 0 {
-		f.history.Deaf = append(f.history.Deaf, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never, Turned: fault != ListSilent})
+		f.history.ListOutages = append(f.history.ListOutages, historycheck.Interval{Scheduler: i, From: f.now(), To: historycheck.Never, Rejected: fault != ListSilent})
 	}
 	if answersNewWatches && openSpan >= 0 {
-		f.history.Deaf[openSpan].To = f.now()
+		f.history.ListOutages[openSpan].To = f.now()
 	}
 	f.mu.Unlock()
 	return f.discoveryLists[i].Set(fault)
 }
 
-var statusWords = map[discovery.Status]historycheck.Word{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Gone}
+var statusWords = map[discovery.Status]historycheck.NodeStatus{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Removed}
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -21,8 +21,8 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for i := range w.opt.Daemons {
-			if !slices.ContainsFunc(w.history.Told, func(x historycheck.Told) bool {
-				return x.Scheduler == i && x.Node == "s0" && x.Word == historycheck.Draining
+			if !slices.ContainsFunc(w.history.Notifications, func(x historycheck.Notification) bool {
+				return x.Scheduler == i && x.Node == "s0" && x.Status == historycheck.Draining
 			}) {
 				return false
 			}
@@ -35,7 +35,7 @@
 func (w *fixture) setListFaults(f ListFault) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
-		w.must(w.SetList(i, f))
+		w.must(w.SetListFault(i, f))
 	}
 }
 
@@ -52,7 +52,7 @@
 func (w *fixture) setStorageFault(f link.Fault, occurred func(*link.Link) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
-		w.must(w.StorageLink(i, 0).Set(link.Forward, f))
+		w.must(w.StorageLink(i, 0).SetFault(link.Forward, f))
 	}
 	if occurred != nil {
 		for i := range w.opt.Daemons {
@@ -61,11 +61,11 @@
 	}
 }
 
-func (w *fixture) countEnds(e historycheck.End) (n int) {
+func (w *fixture) countEnds(e historycheck.OutcomeKind) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range w.history.Answered {
-		if a.End == e {
+	for _, a := range w.history.Outcomes {
+		if a.Kind == e {
 			n++
 		}
 	}
@@ -87,7 +87,7 @@
 			w.setListFaults(ListSilent)
 			w.waitWatchRequests(1)
 			w.must(w.SetNodeStatus(0, "leaving"))
-			w.setListFaults(ListWell)
+			w.setListFaults(ListHealthy)
 			w.waitDrainNotified()
 		}},
 		{fault: "open watches stalled for good, then a drain", expected: "requested again within rules.ask-within and notified", opt: Options{Settings: map[string]any{
@@ -100,34 +100,34 @@
 			w.setListFaults(ListReset)
 			w.waitWatchRequests(2)
 			w.must(w.SetNodeStatus(0, "leaving"))
-			w.setListFaults(ListWell)
+			w.setListFaults(ListHealthy)
 			w.waitDrainNotified()
 		}},
 		{fault: "list down at start, then a drain", expected: "ready and serving from the configured list; notified once the service is up", opt: Options{Known: true, ListDown: true},
 			run: func(w *fixture) {
 				w.must(w.SetNodeStatus(0, "leaving"))
 				w.waitServed(minServed)
-				w.setListFaults(ListWell)
+				w.setListFaults(ListHealthy)
 				w.waitDrainNotified()
 			}},
 		{fault: "connections to a node open late", expected: "served by another node meanwhile; nothing is written for ended requests", opt: Options{Settings: map[string]any{
 			"ceilings": map[string]any{"second-copies": true, "connect-timeout": 3000}}}, run: func(w *fixture) {
 			for i := range w.opt.Daemons {
-				w.StorageLink(i, 0).Reset()
+				w.StorageLink(i, 0).ResetConns()
 			}
-			w.setStorageFault(link.Fault{Hold: true}, func(l *link.Link) bool { l.Reset(); return l.Waiting() > 0 })
+			w.setStorageFault(link.Fault{Hold: true}, func(l *link.Link) bool { l.ResetConns(); return l.PendingConnects() > 0 })
 			w.waitServed(minServed)
-			w.setStorageFault(link.Fault{}, func(l *link.Link) bool { return l.Waiting() == 0 && l.Open() > 0 })
+			w.setStorageFault(link.Fault{}, func(l *link.Link) bool { return l.PendingConnects() == 0 && l.OpenConns() > 0 })
 			w.waitServed(minServed)
 		}},
 		{fault: "node silent in the middle of answers", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
 			a, err := address.Parse(w.nodeAddresses[0])
 			w.must(err)
-			w.must(w.Node(0).Set(a, node.Half))
-			base := w.Node(0).Counts().Ran
-			w.waitUntil("node 0 sends partial answers", func() bool { return w.Node(0).Counts().Ran > base+3 })
+			w.must(w.Node(0).SetFault(a, node.HalfResponse))
+			base := w.Node(0).Counts().Executions
+			w.waitUntil("node 0 sends partial answers", func() bool { return w.Node(0).Counts().Executions > base+3 })
 			w.waitServed(minServed)
-			w.must(w.Node(0).Set(a, node.None))
+			w.must(w.Node(0).SetFault(a, node.None))
 			w.waitServed(minServed)
 		}},
 		{fault: "reset after 300 bytes of requests", expected: "writes that may have run are answered and not retried", run: func(w *fixture) {
@@ -137,10 +137,10 @@
 			w.waitServed(minServed)
 		}},
 		{fault: "clients disconnect early", expected: "nothing more is sent for them; other clients are served", service: slow, run: func(w *fixture) {
-			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
+			stop := w.Run(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
 				return ClientRequest{Shard: n % 2, Volume: client, DisconnectAfter: time.Duration(1+n%50) * time.Millisecond}
 			}})
-			w.waitUntil("clients disconnect", func() bool { return w.countEnds(historycheck.Left) > 100 })
+			w.waitUntil("clients disconnect", func() bool { return w.countEnds(historycheck.Disconnected) > 100 })
 			w.waitServed(minServed)
 			stop()
 		}},
@@ -154,7 +154,7 @@
 		{fault: "SIGTERM under load with open connections", expected: "all accepted requests are answered, exit 0", service: slow, run: func(w *fixture) {
 			w.waitUntil("daemon 0 has open requests", func() bool { return w.openRequests() > 1 })
 			w.must(w.Terminate(0))
-			w.must(w.Proc(0).End(w.ctx))
+			w.must(w.Proc(0).Wait(w.ctx))
 			w.waitServed(minServed, 0)
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(minServed)
@@ -168,7 +168,7 @@
 			w.waitDrainNotified()
 		}},
 		{fault: "half-open connections to a node", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
-			w.setStorageFault(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).Half > 2 })
+			w.setStorageFault(link.Fault{HalfOpen: true}, func(l *link.Link) bool { return l.Counts(link.Forward).HalfOpen > 2 })
 			w.waitServed(minServed)
 			w.setStorageFault(link.Fault{}, nil)
 			w.waitServed(minServed)
@@ -197,10 +197,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ended := map[string]bool{}
-	for _, a := range w.history.Answered {
+	for _, a := range w.history.Outcomes {
 		ended[a.ID] = true
 	}
-	for _, t := range w.history.Taken {
+	for _, t := range w.history.Requests {
 		if t.Scheduler == 0 && !ended[t.ID] {
 			n++
 		}
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -36,18 +36,18 @@
 	maxLogs      = 12   // process logs shown in an error
 )
 
-// Storage is one fake storage node.
-type Storage struct {
-	Name     string
-	Shard    int
-	Workers  int
-	Queue    int // 0: 256
-	Service  func(*fasthttp.Request) time.Duration
-	Unlisted bool // not in the endpoint list at first
-	Cold     bool // it starts with the fleet and is in slow start; otherwise it has been up for long
-	Rows     *node.Rows
-	Linked   bool // with Direct, all daemons reach the node over one shared link
-	Tune     func(*node.Options)
+// StorageNode is one fake storage node.
+type StorageNode struct {
+	Name        string
+	Shard       int
+	Workers     int
+	Queue       int // 0: 256
+	ServiceTime func(*fasthttp.Request) time.Duration
+	Unlisted    bool // not in the endpoint list at first
+	Cold        bool // it starts with the fleet and is in slow start; otherwise it has been up for long
+	Rows        *node.Rows
+	Linked      bool // with Direct, all daemons reach the node over one shared link
+	Configure   func(*node.Options)
 }
 
 // defaultPlan is the plan of all volumes unless a request names another.
@@ -58,7 +58,7 @@
 	Daemon        string // path of the built daemon
 	Dir           string // for files; "" uses a temporary directory that Close removes
 	Daemons       int
-	Nodes         []Storage
+	Nodes         []StorageNode
 	Settings      map[string]any // override the defaults section by section
 	Seed          uint64
 	Known         bool                                                      // the daemons' configuration contains the endpoint list
@@ -72,11 +72,11 @@
 	// Direct leaves out all links except those of Storage.Linked and gives all daemons one discovery service, with a
 	// caller for each. It is for fleets that would need thousands of links. Ends of attempts that only a link
 	// observes are then missing from the history.
-	Direct   bool
-	Idle     bool // Start does not start the daemons; Launch does
-	MemoryMB int  // per daemon; 0: 128
-	Env      []string
-	Said     func(i int, line []byte) // called for each log line of daemon i; may be nil
+	Direct     bool
+	DeferStart bool // Start does not start the daemons; Launch does
+	MemoryMB   int  // per daemon; 0: 128
+	Env        []string
+	OnLogLine  func(i int, line []byte) // called for each log line of daemon i; may be nil
 }
 
 // Fleet is a running fleet.
@@ -147,7 +147,7 @@
 	return base
 }
 
-// Start starts the fleet and waits until every daemon is ready, unless Options.Idle is set.
+// Start starts the fleet and waits until every daemon is ready, unless Options.DeferStart is set.
 func Start(ctx context.Context, opt Options) (f *Fleet, err error) {
 	f = &Fleet{opt: opt, dir: opt.Dir, start: time.Now(), downSince: map[int]downtime{}, served: map[int]int{}, answersByCode: map[int]int{}, done: make(chan struct{})}
 	f.background.Add(1)
@@ -174,9 +174,9 @@
 		if queue == 0 {
 			queue = 256
 		}
-		options := node.Options{Name: s.Name, Shard: s.Shard, Workers: s.Workers, Service: s.Service, Queue: queue, Record: true, Rows: s.Rows}
-		if s.Tune != nil {
-			s.Tune(&options)
+		options := node.Options{Name: s.Name, Shard: s.Shard, Workers: s.Workers, ServiceTime: s.ServiceTime, QueueLimit: queue, RecordAttempts: true, Rows: s.Rows}
+		if s.Configure != nil {
+			s.Configure(&options)
 		}
 		n := node.New(options)
 		f.nodes = append(f.nodes, n)
@@ -203,7 +203,7 @@
 		return f, err
 	}
 	for i := range f.procs {
-		if opt.Idle {
+		if opt.DeferStart {
 			return f, nil
 		}
 		if err := f.procs[i].Start(); err != nil {
@@ -310,7 +310,7 @@
 			if err := list.Set(ListDown); err != nil {
 				return err
 			}
-			f.history.Deaf = append(f.history.Deaf, historycheck.Span{Scheduler: i, From: 0, To: historycheck.Never, Turned: true})
+			f.history.ListOutages = append(f.history.ListOutages, historycheck.Interval{Scheduler: i, From: 0, To: historycheck.Never, Rejected: true})
 		}
 		index := int64(0)
 		if f.opt.Known {
@@ -341,8 +341,8 @@
 			args = f.opt.Args(f, i)
 		}
 		p := NewProc(f.opt.Daemon, file, filepath.Join(dir, "log"), name, listen, args...)
-		if p.env = f.opt.Env; f.opt.Said != nil {
-			p.onLine = func(line []byte) { f.opt.Said(i, line) }
+		if p.env = f.opt.Env; f.opt.OnLogLine != nil {
+			p.onLine = func(line []byte) { f.opt.OnLogLine(i, line) }
 		}
 		f.procs = append(f.procs, p)
 		if f.opt.PassedSockets {
@@ -415,21 +415,21 @@
 // NodeAddr returns the address on which node j listens, without any link.
 func (f *Fleet) NodeAddr(j int) string { return f.nodeAddresses[j] }
 
-// Front returns the address at which clients reach daemon i.
-func (f *Fleet) Front(i int) string {
+// ClientAddr returns the address at which clients reach daemon i.
+func (f *Fleet) ClientAddr(i int) string {
 	if f.opt.Direct {
 		return f.procs[i].Listen
 	}
 	return f.clientLinks[i].Addr()
 }
 
-// Break sets the fault of node j's address.
-func (f *Fleet) Break(j int, fault node.Fault) error {
+// SetNodeFault sets the fault of node j's address.
+func (f *Fleet) SetNodeFault(j int, fault node.Fault) error {
 	a, err := address.Parse(f.nodeAddresses[j])
 	if err != nil {
 		return err
 	}
-	return f.nodes[j].Set(a, fault)
+	return f.nodes[j].SetFault(a, fault)
 }
 
 // Dir returns the directory of daemon i, e.g. for its site file.
@@ -552,18 +552,18 @@
 		return
 	}
 	delete(f.downSince, i)
-	ended := historycheck.Span{Scheduler: i, From: s.from, To: f.now()}
+	ended := historycheck.Interval{Scheduler: i, From: s.from, To: f.now()}
 	if s.killed {
 		f.history.Killed = append(f.history.Killed, ended)
 	} else {
-		f.history.Ending = append(f.history.Ending, ended)
+		f.history.Terminating = append(f.history.Terminating, ended)
 	}
 }
 
 // Stop suspends daemon i by SIGSTOP until Continue.
 func (f *Fleet) Stop(i int) error {
 	f.mu.Lock()
-	f.history.Paused = append(f.history.Paused, historycheck.Span{Scheduler: i, From: f.now(), To: historycheck.Never})
+	f.history.Paused = append(f.history.Paused, historycheck.Interval{Scheduler: i, From: f.now(), To: historycheck.Never})
 	f.mu.Unlock()
 	return f.procs[i].Signal(syscall.SIGSTOP)
 }
--- a/internal/testkit/cluster/fleet_test.go
+++ b/internal/testkit/cluster/fleet_test.go
@@ -82,8 +82,8 @@
 		if len(opt.Nodes) > j { // the scenario defines its own nodes
 			break
 		}
-		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2,
-			Service: func(*fasthttp.Request) time.Duration { return serviceTime }})
+		opt.Nodes = append(opt.Nodes, StorageNode{Name: fmt.Sprint("s", j), Shard: j / 2,
+			ServiceTime: func(*fasthttp.Request) time.Duration { return serviceTime }})
 	}
 	f, err := Start(ctx, opt)
 	if err != nil {
@@ -103,14 +103,14 @@
 }
 
 func (w *fixture) startTraffic() {
-	w.stopTraffic = w.StartLoad(w.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest})
+	w.stopTraffic = w.Run(w.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest})
 }
 
 func (w *fixture) must(err error) {
 	w.t.Helper()
 	if err != nil {
 		h := w.History()
-		w.t.Log("last ends of requests: ", h.Answered[max(0, len(h.Answered)-6):], "answers by code: ", w.answersByCode)
+		w.t.Log("last ends of requests: ", h.Outcomes[max(0, len(h.Outcomes)-6):], "answers by code: ", w.answersByCode)
 		w.t.Fatal(err)
 	}
 }
@@ -146,15 +146,15 @@
 	for i, v := range found {
 		if i < 5 {
 			w.t.Error(v)
-			for _, s := range w.History().Sent {
+			for _, s := range w.History().Attempts {
 				if s.ID == v.ID {
 					w.t.Logf("%+v", s)
 				}
 			}
 		}
 	}
-	if h := w.History(); len(h.Executed) == 0 || w.t.Failed() {
-		w.t.Errorf("%d violations of %d requests, %d attempts, %d executions\n%s", len(found), len(h.Taken), len(h.Sent), len(h.Executed), w.Logs())
+	if h := w.History(); len(h.Executions) == 0 || w.t.Failed() {
+		w.t.Errorf("%d violations of %d requests, %d attempts, %d executions\n%s", len(found), len(h.Requests), len(h.Attempts), len(h.Executions), w.Logs())
 	}
 }
 
@@ -177,7 +177,7 @@
 	w.waitUntil("the first request is served", func() bool { return client.Send(ClientRequest{}).Code == fasthttp.StatusOK })
 	w.must(w.Kill(0))
 	w.must(w.Restart(w.ctx, 0))
-	if o := client.Send(ClientRequest{}); o.End != historycheck.Whole {
+	if o := client.Send(ClientRequest{}); o.End != historycheck.Complete {
 		t.Errorf("request to the restarted process: %+v", o)
 	}
 	w.waitServed(minServed)
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -35,7 +35,7 @@
 
 func newGatherFixture(t *testing.T, completeness, extraSections string, settings map[string]any) *gatherFixture {
 	t.Helper()
-	g := &gatherFixture{nodeRows: &node.Rows{Seed: 5, Count: rowsPerShard, Pad: 400}}
+	g := &gatherFixture{nodeRows: &node.Rows{Seed: 5, RowsPerShard: rowsPerShard, PaddingBytes: 400}}
 	opt := Options{Settings: settings, Args: func(f *Fleet, i int) []string {
 		file := filepath.Join(f.Dir(i), "site.json")
 		rules := fmt.Sprintf(`{"order":[{"key":"k","type":"integer"}],"complete":{"need":%q},"memory":{"bytes":1048576}}`, completeness)
@@ -46,8 +46,8 @@
 		return []string{"--site", file}
 	}}
 	for j := range 8 {
-		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2, Rows: g.nodeRows, Unlisted: j >= 6, Workers: 8,
-			Service: func(*fasthttp.Request) time.Duration { return time.Millisecond }})
+		opt.Nodes = append(opt.Nodes, StorageNode{Name: fmt.Sprint("s", j), Shard: j / 2, Rows: g.nodeRows, Unlisted: j >= 6, Workers: 8,
+			ServiceTime: func(*fasthttp.Request) time.Duration { return time.Millisecond }})
 	}
 	g.fixture = newFixture(t, opt)
 	g.startTraffic()
@@ -58,8 +58,8 @@
 // setRowFault sets a fault of the answers with rows from both nodes of the shards.
 func (g *gatherFixture) setRowFault(f node.RowFault, shards ...int) {
 	for _, s := range shards {
-		g.Node(2 * s).SetRows(f)
-		g.Node(2*s + 1).SetRows(f)
+		g.Node(2 * s).SetRowFault(f)
+		g.Node(2*s + 1).SetRowFault(f)
 	}
 }
 
@@ -68,11 +68,11 @@
 	return of(g.Node(2*shard).RowCounts("")) + of(g.Node(2*shard+1).RowCounts(""))
 }
 
-func lateCount(c node.RowCounts) int         { return c.Late }
-func stoppedCount(c node.RowCounts) int      { return c.Stopped }
-func neverCount(c node.RowCounts) int        { return c.Never }
-func cutCount(c node.RowCounts) int          { return c.Cut }
-func disconnectedCount(c node.RowCounts) int { return c.Gone }
+func lateCount(c node.RowCounts) int         { return c.Delayed }
+func stoppedCount(c node.RowCounts) int      { return c.Paused }
+func neverCount(c node.RowCounts) int        { return c.Stalled }
+func cutCount(c node.RowCounts) int          { return c.ConnsClosed }
+func disconnectedCount(c node.RowCounts) int { return c.Disconnected }
 
 func (g *gatherFixture) waitRowFault(shard int, of func(node.RowCounts) int, minCount int) {
 	g.t.Helper()
@@ -80,7 +80,7 @@
 }
 
 // newGatheredRead returns a gathered read of all shards that is sent now, as a history entry and as request bytes.
-func (f *Fleet) newGatheredRead(scheduler int, class, plan string, deadline time.Duration) (historycheck.Taken, []byte) {
+func (f *Fleet) newGatheredRead(scheduler int, class, plan string, deadline time.Duration) (historycheck.Request, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastSequence++
@@ -88,7 +88,7 @@
 		Units: 1, Shard: -1, Hosts: f.opt.Daemons, Deadline: deadline}
 	text := bytes.Replace(m.Append(nil), []byte("\r\n\r\n"), []byte("\r\nX-Gather: all\r\n\r\n"), 1)
 	now := f.now()
-	return historycheck.Taken{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, GivesUp: now + deadline}, text
+	return historycheck.Request{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, Deadline: now + deadline}, text
 }
 
 // httpResponse is what a request's connection returned. Code 0 means that no response head came.
@@ -125,7 +125,7 @@
 	code   int
 	rows   []string
 	result gjson.Result
-	end    historycheck.End
+	end    historycheck.OutcomeKind
 	header http.Header
 }
 
@@ -146,18 +146,18 @@
 	ctx, disconnect := context.WithCancel(g.ctx)
 	context.AfterFunc(ctx, func() { nc.Close() })
 	f.mu.Lock()
-	f.history.Taken = append(f.history.Taken, taken)
+	f.history.Requests = append(f.history.Requests, taken)
 	f.mu.Unlock()
 	read := &gatherRead{disconnect, make(chan gatherAnswer, 1)}
 	go func() {
-		answer := gatherAnswer{id: id, end: historycheck.Unheard}
+		answer := gatherAnswer{id: id, end: historycheck.NoResponse}
 		defer func() {
 			if ctx.Err() != nil {
-				answer.end = historycheck.Left
+				answer.end = historycheck.Disconnected
 			}
 			disconnect()
 			f.mu.Lock()
-			f.history.Answered = append(f.history.Answered, historycheck.Answered{ID: id, At: f.now(), End: answer.end})
+			f.history.Outcomes = append(f.history.Outcomes, historycheck.Outcome{ID: id, At: f.now(), Kind: answer.end})
 			f.mu.Unlock()
 			read.done <- answer
 		}()
@@ -165,8 +165,8 @@
 		if answer.code, answer.header, answer.result = response.code, response.header, response.result; answer.code == 0 {
 			return
 		}
-		if answer.end = historycheck.Whole; response.err != nil {
-			answer.end = historycheck.Cut
+		if answer.end = historycheck.Complete; response.err != nil {
+			answer.end = historycheck.Truncated
 		}
 		if answer.code == 200 {
 			answer.rows = strings.Fields(string(response.body))
@@ -186,7 +186,7 @@
 }
 
 func (g *gatherFixture) mergedRows(shards ...int) (rows []string) {
-	for _, r := range g.nodeRows.Flat(shards, node.Flat{Keep: "all"}) {
+	for _, r := range g.nodeRows.Merge(shards, node.MergeOptions{Keep: "all"}) {
 		rows = append(rows, string(r))
 	}
 	return rows
@@ -203,7 +203,7 @@
 		return all
 	}
 	missing, cutShards := named("missing"), named("cut")
-	if a.code != 200 || a.end != historycheck.Whole || !a.result.Get("whole").Exists() || a.result.Get("whole").Bool() != (len(missing)+len(cutShards) == 0) {
+	if a.code != 200 || a.end != historycheck.Complete || !a.result.Get("whole").Exists() || a.result.Get("whole").Bool() != (len(missing)+len(cutShards) == 0) {
 		g.t.Errorf("%s: code %d, end %d, %s", a.id, a.code, a.end, a.result)
 		return
 	}
@@ -264,24 +264,24 @@
 			}
 		}},
 		{fault: "a part is late", expected: "complete once it has arrived", completeness: all, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{Late: time.Hour}, 1)
+			g.setRowFault(node.RowFault{Delay: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, lateCount, 1)
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
 		{fault: "a part stalls and is hedged", expected: "a hedge beside the silent first attempt; complete, no duplicate rows", completeness: all, extraSections: `,"silent_ms":100`, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 0)
+			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(0, stoppedCount, 2)
 			g.setRowFault(node.RowFault{}, 0)
 			a := g.waitAnswer(r)
-			if g.checkComplete(a, listed...); g.Node(0).RowCounts(a.id+"/0/2").Asked+g.Node(1).RowCounts(a.id+"/0/2").Asked == 0 {
+			if g.checkComplete(a, listed...); g.Node(0).RowCounts(a.id+"/0/2").Requests+g.Node(1).RowCounts(a.id+"/0/2").Requests == 0 {
 				t.Error("no hedge was sent")
 			}
 		}},
 		{fault: "a part is cut halfway each time", expected: "retried as often as allowed, then named as cut", completeness: bestEffort, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Cut: true}, 0)
+			g.setRowFault(node.RowFault{AfterRows: 200, CloseConn: true}, 0)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
 			g.checkRows(a, listed...)
 			g.checkShards(a, "cut", "[0]")
@@ -290,22 +290,22 @@
 			}
 		}},
 		{fault: "a part is cut halfway once", expected: "the retry continues it; complete", completeness: all, extraSections: `,"again":16`, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{Late: time.Hour}, 0)
+			g.setRowFault(node.RowFault{Delay: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(0, lateCount, 1)
-			g.must(g.StorageLink(0, 0).Set(link.Backward, link.Fault{ResetAfter: 80 << 10}))
-			g.must(g.StorageLink(0, 1).Set(link.Backward, link.Fault{ResetAfter: 80 << 10}))
+			g.must(g.StorageLink(0, 0).SetFault(link.Backward, link.Fault{ResetAfter: 80 << 10}))
+			g.must(g.StorageLink(0, 1).SetFault(link.Backward, link.Fault{ResetAfter: 80 << 10}))
 			g.setRowFault(node.RowFault{}, 0)
 			g.waitUntil("an answer is cut", func() bool {
 				return g.StorageLink(0, 0).Counts(link.Backward).Reset+g.StorageLink(0, 1).Counts(link.Backward).Reset > 0
 			})
 			for j := range 2 {
-				g.must(g.StorageLink(0, j).Set(link.Backward, link.Fault{}))
+				g.must(g.StorageLink(0, j).SetFault(link.Backward, link.Fault{}))
 			}
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
 		{fault: "a part never arrives", expected: "named as missing within the client's deadline", completeness: bestEffort, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{Late: time.Hour}, 2)
+			g.setRowFault(node.RowFault{Delay: time.Hour}, 2)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, shortDeadline))
 			if g.checkRows(a, listed...); g.sumCounts(2, lateCount) == 0 {
 				t.Error("no node was late")
@@ -325,11 +325,11 @@
 			}
 		}},
 		{fault: "a node is killed during a part", expected: "the part is retried at the shard's other node; complete", completeness: all, extraSections: `,"again":4`, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
+			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
 			dead := 2
-			if g.Node(3).RowCounts("").Stopped > 0 {
+			if g.Node(3).RowCounts("").Paused > 0 {
 				dead = 3
 			}
 			g.Node(dead).Close()
@@ -337,7 +337,7 @@
 			g.checkComplete(g.waitAnswer(r), listed...)
 		}},
 		{fault: "a drain begins during the read", expected: "parts in flight are finished, no new ones go there; complete", completeness: all, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
+			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
 			g.must(g.SetNodeStatus(2, "leaving"))
@@ -347,13 +347,13 @@
 			g.checkComplete(g.waitAnswer(g.startRead(1, defaultPlan, longDeadline)), listed...)
 		}},
 		{fault: "the client disconnects during the read", expected: "all parts are cancelled", completeness: all, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Never: true}, 0, 1, 2)
+			g.setRowFault(node.RowFault{AfterRows: 200, Stall: true}, 0, 1, 2)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			for _, s := range listed {
 				g.waitRowFault(s, neverCount, 1)
 			}
 			r.disconnect()
-			if a := g.waitAnswer(r); a.end != historycheck.Left {
+			if a := g.waitAnswer(r); a.end != historycheck.Disconnected {
 				t.Errorf("%+v", a)
 			}
 			for _, s := range listed {
@@ -362,14 +362,14 @@
 			g.setRowFault(node.RowFault{}, 0, 1, 2)
 		}},
 		{fault: "SIGTERM during the read", expected: "complete answer, exit 0", completeness: all, run: func(g *gatherFixture) {
-			g.setRowFault(node.RowFault{After: 200, Stop: time.Hour}, 1)
+			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
 			g.waitRowFault(1, stoppedCount, 1)
 			g.must(g.Terminate(0))
 			g.waitUntil("the daemon logs that it is stopping", func() bool { return strings.Contains(g.Proc(0).Log(), "stopping") })
 			g.setRowFault(node.RowFault{}, 1)
 			g.checkComplete(g.waitAnswer(r), listed...)
-			g.must(g.Proc(0).End(g.ctx))
+			g.must(g.Proc(0).Wait(g.ctx))
 			g.waitServed(minServed, 0)
 			g.must(g.Restart(g.ctx, 0))
 		}},
@@ -407,12 +407,12 @@
 		}},
 		{fault: "the only node of a shard is cold", expected: "no more units than its budget are sent; missing parts are named", completeness: bestEffort, extraSections: `,"reads_at_once":8`,
 			settings: map[string]any{"extra": map[string]any{"young-limit": 4}}, run: func(g *gatherFixture) {
-				g.setRowFault(node.RowFault{Late: time.Hour}, 3) // its answers would raise the budget
-				g.must(g.Replace(6))
+				g.setRowFault(node.RowFault{Delay: time.Hour}, 3) // its answers would raise the budget
+				g.must(g.ReplaceNode(6))
 				for i := range g.opt.Daemons {
 					g.waitUntil("the daemon is notified", func() bool {
-						return slices.ContainsFunc(g.History().Told, func(x historycheck.Told) bool {
-							return x.Scheduler == i && x.Node == "s6" && x.Word == historycheck.Active
+						return slices.ContainsFunc(g.History().Notifications, func(x historycheck.Notification) bool {
+							return x.Scheduler == i && x.Node == "s6" && x.Status == historycheck.Active
 						})
 					})
 				}
--- a/internal/testkit/cluster/gossip_test.go
+++ b/internal/testkit/cluster/gossip_test.go
@@ -157,7 +157,7 @@
 func (w *gossipFixture) setPeerFault(f link.Fault, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.must(w.PeerLink(p[0], p[1]).Set(link.Both, f))
+		w.must(w.PeerLink(p[0], p[1]).SetFault(link.Both, f))
 	}
 }
 
@@ -259,8 +259,8 @@
 		}},
 		{fault: "messages lost, duplicated, reordered, truncated or of a later version", expected: "counted, and all states are equal", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
-			w.setPeerFault(link.Fault{Loss: 0.2, Double: 0.2, Reorder: 0.2}, allPairs...)
-			w.waitPeerFault(func(c link.Counts) int { return min(c.Lost, c.Doubled, c.Reordered) }, allPairs...)
+			w.setPeerFault(link.Fault{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2}, allPairs...)
+			w.waitPeerFault(func(c link.Counts) int { return min(c.Lost, c.Duplicated, c.Reordered) }, allPairs...)
 			w.waitAllOrigins(s)
 			valid := s.messages(w.t)[0]
 			for _, n := range w.daemonNames() {
@@ -287,7 +287,7 @@
 				w.waitUntil("all daemons have observations of the node", func() bool { return known(i) })
 			}
 			w.stopTraffic()
-			w.must(w.Replace(0))
+			w.must(w.ReplaceNode(0))
 			for i := range w.opt.Daemons {
 				w.waitUntil("the node is unknown", func() bool { return w.estimate(i, "s0").Get("rests_on.level").Str != "node" })
 			}
@@ -410,7 +410,7 @@
 	for i := range w.opt.Daemons {
 		w.markDown(i, true)
 		w.must(w.Proc(i).Signal(syscall.SIGQUIT))
-		if err := w.Proc(i).End(w.ctx); err == nil {
+		if err := w.Proc(i).Wait(w.ctx); err == nil {
 			t.Error("the daemon exited with 0 on SIGQUIT")
 		}
 		text := w.Proc(i).Log()
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -16,17 +16,17 @@
 func (f *Fleet) History() historycheck.History {
 	f.mu.Lock()
 	h := f.history
-	h.Taken, h.Answered, h.Told = slices.Clone(h.Taken), slices.Clone(h.Answered), slices.Clone(h.Told)
-	h.Changed, h.Cold, h.Deaf = slices.Clone(h.Changed), slices.Clone(h.Cold), slices.Clone(h.Deaf)
-	h.Killed, h.Ending, h.Paused = slices.Clone(h.Killed), slices.Clone(h.Ending), slices.Clone(h.Paused)
-	h.Stood = slices.Clone(h.Stood)
+	h.Requests, h.Outcomes, h.Notifications = slices.Clone(h.Requests), slices.Clone(h.Outcomes), slices.Clone(h.Notifications)
+	h.Changes, h.SlowStarts, h.ListOutages = slices.Clone(h.Changes), slices.Clone(h.SlowStarts), slices.Clone(h.ListOutages)
+	h.Killed, h.Terminating, h.Paused = slices.Clone(h.Killed), slices.Clone(h.Terminating), slices.Clone(h.Paused)
+	h.HarnessStalls = slices.Clone(h.HarnessStalls)
 	for i := range f.procs {
 		if s, ok := f.downSince[i]; ok {
-			ended := historycheck.Span{Scheduler: i, From: s.from, To: historycheck.Never}
+			ended := historycheck.Interval{Scheduler: i, From: s.from, To: historycheck.Never}
 			if s.killed {
 				h.Killed = append(h.Killed, ended)
 			} else {
-				h.Ending = append(h.Ending, ended)
+				h.Terminating = append(h.Terminating, ended)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 		link.Conn
 		scheduler int
 	}
-	recordPart := partRecorder(h.Taken)
+	recordPart := partRecorder(h.Requests)
 	for j, n := range f.nodes {
 		conns := map[string][]linkConn{}
 		for i := range f.storageLinks {
@@ -49,48 +49,48 @@
 				continue
 			}
 			for _, c := range f.storageLinks[i][j].Conns() {
-				conns[c.Out] = append(conns[c.Out], linkConn{c, i})
+				conns[c.OutboundAddr] = append(conns[c.OutboundAddr], linkConn{c, i})
 			}
 		}
 		name := f.opt.Nodes[j].Name
 		for _, a := range n.Attempts() {
-			s := historycheck.Sent{ID: a.ID, Node: name, First: at(a.First), Whole: at(a.Whole), Ended: at(a.Ended), Turned: a.Turned}
+			s := historycheck.Attempt{ID: a.ID, Node: name, FirstByte: at(a.FirstByte), LastByte: at(a.LastByte), EndedAt: at(a.EndedAt), Rejected: a.Rejected}
 			for _, c := range slices.Backward(conns[a.From]) {
-				if c.Opened.After(a.First) {
+				if c.Opened.After(a.FirstByte) {
 					continue
 				}
 				if !c.Ended.IsZero() {
-					s.Ended = min(s.Ended, max(at(c.Ended), s.First))
+					s.EndedAt = min(s.EndedAt, max(at(c.Ended), s.FirstByte))
 				}
-				if t, ok := recordPart(a.ID, c.scheduler, s.First); ok {
-					h.Taken = append(h.Taken, t)
+				if t, ok := recordPart(a.ID, c.scheduler, s.FirstByte); ok {
+					h.Requests = append(h.Requests, t)
 				}
 				break
 			}
-			h.Sent = append(h.Sent, s)
-			if !a.Ran.IsZero() {
-				h.Executed = append(h.Executed, historycheck.Executed{ID: a.ID, Node: name, At: at(a.Ran)})
+			h.Attempts = append(h.Attempts, s)
+			if !a.ExecutedAt.IsZero() {
+				h.Executions = append(h.Executions, historycheck.Execution{ID: a.ID, Node: name, At: at(a.ExecutedAt)})
 			}
 		}
 	}
-	slices.SortStableFunc(h.Sent, func(a, b historycheck.Sent) int { return cmp.Compare(a.First, b.First) })
+	slices.SortStableFunc(h.Attempts, func(a, b historycheck.Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	return h
 }
 
 // partRecorder returns a function that turns a part of a gathered read, which no client sent, into a request of the scheduler
 // that sent it. It does so once for each part ID, which consists of the client's request ID, a slash and a suffix.
-func partRecorder(taken []historycheck.Taken) func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
-	byID := map[string]historycheck.Taken{}
+func partRecorder(taken []historycheck.Request) func(id string, scheduler int, at time.Duration) (historycheck.Request, bool) {
+	byID := map[string]historycheck.Request{}
 	for _, t := range taken {
 		byID[t.ID] = t
 	}
-	return func(id string, scheduler int, at time.Duration) (historycheck.Taken, bool) {
+	return func(id string, scheduler int, at time.Duration) (historycheck.Request, bool) {
 		of, _, part := strings.Cut(id, "/")
 		t, known := byID[of]
 		if _, seen := byID[id]; seen || !part || !known {
 			return t, false
 		}
-		t.ID, t.Of, t.Scheduler, t.At = id, of, scheduler, at
+		t.ID, t.ParentID, t.Scheduler, t.At = id, of, scheduler, at
 		byID[id] = t
 		return t, true
 	}
@@ -112,11 +112,11 @@
 	milliseconds := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	rules, extra := section("rules"), section("extra")
 	hedging, _ := section("ceilings")["second-copies"].(bool)
-	r := historycheck.Rules{Unsafe: map[string]bool{}, SecondCopies: hedging, Grace: milliseconds(number(rules, "stop-sending-within")), AskWithin: milliseconds(number(rules, "ask-within")),
-		Plans: map[string]historycheck.Plan{}, MeanUnits: number(extra, "usual-units"), ColdN: number(extra, "young-limit"), ColdFor: milliseconds(number(rules, "overload-for")),
+	r := historycheck.Rules{NonIdempotent: map[string]bool{}, Hedging: hedging, Grace: milliseconds(number(rules, "stop-sending-within")), AskWithin: milliseconds(number(rules, "ask-within")),
+		Plans: map[string]historycheck.Plan{}, MeanUnits: number(extra, "usual-units"), SlowStartLimit: number(extra, "young-limit"), SlowStartWindow: milliseconds(number(rules, "overload-for")),
 		CreditShare: number(rules, "tip-multiple") / 2, Slack: auditSlack}
 	for _, p := range settingObjects(set["profiles"]) {
-		r.Unsafe[fmt.Sprint(p["name"])] = p["repeat"] == "unsafe"
+		r.NonIdempotent[fmt.Sprint(p["name"])] = p["repeat"] == "unsafe"
 	}
 	for _, p := range settingObjects(set["contracts"]) {
 		if limit := number(p, "cap"); limit > 0 {
@@ -151,7 +151,7 @@
 		now := f.now()
 		if now-last > minStall {
 			f.mu.Lock()
-			f.history.Stood = append(f.history.Stood, historycheck.Span{From: last, To: now})
+			f.history.HarnessStalls = append(f.history.HarnessStalls, historycheck.Interval{From: last, To: now})
 			f.mu.Unlock()
 		}
 		last = now
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -116,14 +116,14 @@
 		run              func(*gossipFixture)
 	}{
 		{report: "all nodes are idle and fast, while a limited volume requests more", expected: "the volume's limit holds over all daemons", latencyMS: fast, run: func(w *gossipFixture) {
-			stop := w.StartLoad(w.ctx, Load{Clients: 2, Pause: 5 * time.Millisecond, Request: func(_, _, n int) ClientRequest {
+			stop := w.Run(w.ctx, Load{Clients: 2, Pause: 5 * time.Millisecond, Request: func(_, _, n int) ClientRequest {
 				return ClientRequest{Plan: "small", Volume: 9, Shard: n % 2}
 			}})
 			w.waitUntil("the volume has requested far more than its limit", func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				requested := 0
-				for _, t := range w.history.Taken {
+				for _, t := range w.history.Requests {
 					if t.Plan == "small" {
 						requested++
 					}
@@ -148,11 +148,11 @@
 		}},
 		{report: "a cold node is warmed up and fast", expected: "no more load than its slow start allows", latencyMS: fast, opt: Options{Settings: map[string]any{
 			"extra": map[string]any{"young-limit": 10}}}, run: func(w *gossipFixture) {
-			w.must(w.Replace(0))
+			w.must(w.ReplaceNode(0))
 			w.waitReportsReceived()
 			servedBefore := w.requestsAt(1)
 			w.waitUntil("the other node of its shard has served far more than the slow start allows", func() bool { return w.requestsAt(1) > servedBefore+400 })
-			if len(w.History().Cold) != 1 {
+			if len(w.History().SlowStarts) != 1 {
 				w.t.Error("no cold start is recorded")
 			}
 		}},
@@ -162,8 +162,8 @@
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				notified := map[int]bool{}
-				for _, x := range w.history.Told {
-					if x.Node == "s0" && x.Word == historycheck.Gone {
+				for _, x := range w.history.Notifications {
+					if x.Node == "s0" && x.Status == historycheck.Removed {
 						notified[x.Scheduler] = true
 					}
 				}
--- a/internal/testkit/cluster/observations_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -79,7 +79,7 @@
 	w.must(w.SetNodeStatus(0, "active"))
 	w.waitUntil("the node has a window again", func() bool { return node("s0").Window >= 1 })
 
-	w.must(w.SetList(2, ListSilent))
+	w.must(w.SetListFault(2, ListSilent))
 	w.must(w.SetNodeStatus(1, "leaving"))
 	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 1 })
 	w.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
@@ -88,7 +88,7 @@
 			t.Errorf("daemon %d: list versions %v to %v", i, old, now)
 		}
 	}
-	w.must(w.SetList(2, ListWell))
+	w.must(w.SetListFault(2, ListHealthy))
 	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 0 })
 	w.stopAndAudit()
 }
--- a/internal/testkit/cluster/proc.go
+++ b/internal/testkit/cluster/proc.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// End waits until the process has exited and returns its exit error.
-func (p *Proc) End(ctx context.Context) error {
+// Wait waits until the process has exited and returns its exit error.
+func (p *Proc) Wait(ctx context.Context) error {
 	p.mu.Lock()
 	ended := p.exited
 	p.mu.Unlock()
@@ -263,7 +263,7 @@
 func (p *Proc) KillAndWait() {
 	if p.Alive() {
 		_ = p.Signal(syscall.SIGKILL) // also ends a suspended process
-		_ = p.End(context.Background())
+		_ = p.Wait(context.Background())
 	}
 }
 
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -65,7 +65,7 @@
 	r.must(r.active.Signal(syscall.SIGTERM))
 	r.waitLog(p, logAccepting)
 	r.waitServed(minServed)
-	r.must(r.active.End(r.ctx))
+	r.must(r.active.Wait(r.ctx))
 	r.waitLog(r.active, logReleased)
 	r.waitLog(r.active, logDrained)
 	r.checkNotLogged(r.active, "still accepting connections")
@@ -77,7 +77,7 @@
 	r.t.Helper()
 	r.markDown(0, true)
 	r.must(r.active.Signal(syscall.SIGKILL))
-	if err := r.active.End(r.ctx); err == nil {
+	if err := r.active.Wait(r.ctx); err == nil {
 		r.t.Error("the killed process exited with 0")
 	}
 	r.waitLog(p, logAccepting)
@@ -116,14 +116,14 @@
 				r.handOver(r.startNext())
 			}
 			includedAt := r.Fleet.now()
-			for _, s := range r.History().Sent {
-				if s.Node == "s0" && s.First > excludedAt && s.First < includedAt {
-					r.t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.First, excludedAt)
+			for _, s := range r.History().Attempts {
+				if s.Node == "s0" && s.FirstByte > excludedAt && s.FirstByte < includedAt {
+					r.t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.FirstByte, excludedAt)
 				}
 			}
 			r.callAdmin(r.active, "PUT", "/api/include?who=s0")
-			servedBefore := r.Node(0).Counts().Ran
-			r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > servedBefore })
+			servedBefore := r.Node(0).Counts().Executions
+			r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Executions > servedBefore })
 		}},
 		{fault: "the active process is killed", expected: "the kernel releases its lock and the next one serves", run: func(r *handoverFixture) {
 			r.killActive(r.startNext())
@@ -133,7 +133,7 @@
 			p := r.startNext()
 			r.must(r.Stop(0))
 			r.waitUntil("no process serves", func() bool {
-				return r.Send(ClientRequest{Deadline: 200 * time.Millisecond}).End == historycheck.Unheard
+				return r.Send(ClientRequest{Deadline: 200 * time.Millisecond}).End == historycheck.NoResponse
 			})
 			r.checkNotLogged(p, logAccepting)
 			r.must(r.active.Signal(syscall.SIGTERM)) // stays pending while the process is suspended
@@ -144,7 +144,7 @@
 		{fault: "the new process is killed while it waits", expected: "the active one keeps serving, and another replaces it", run: func(r *handoverFixture) {
 			p := r.startNext()
 			r.must(p.Signal(syscall.SIGKILL))
-			if err := p.End(r.ctx); err == nil {
+			if err := p.Wait(r.ctx); err == nil {
 				r.t.Error("the killed process exited with 0")
 			}
 			r.waitServed(minServed)
@@ -153,7 +153,7 @@
 		{fault: "the new process is terminated while it waits", expected: "exit 0, the active one keeps serving", run: func(r *handoverFixture) {
 			p := r.startNext()
 			r.must(p.Signal(syscall.SIGTERM))
-			r.must(p.End(r.ctx))
+			r.must(p.Wait(r.ctx))
 			r.checkNotLogged(p, logAccepting)
 			r.waitServed(minServed)
 			r.handOver(r.startNext())
@@ -165,7 +165,7 @@
 			} {
 				p, err := r.StartReplacement(0, change)
 				r.must(err)
-				if err := p.End(r.ctx); err == nil || !strings.Contains(p.Log(), "code: "+code) || !strings.Contains(p.Log(), "advice: ") {
+				if err := p.Wait(r.ctx); err == nil || !strings.Contains(p.Log(), "code: "+code) || !strings.Contains(p.Log(), "advice: ") {
 					r.t.Errorf("%s: %v\n%s", code, err, p.Log())
 				}
 				r.waitServed(minServed)
@@ -183,7 +183,7 @@
 			_, err = nc.Write(text[:sent])
 			r.must(err)
 			r.mu.Lock()
-			r.history.Taken = append(r.history.Taken, historycheck.Taken{ID: m.ID, Class: m.Class, Plan: m.Plan, Volume: m.Volume, Units: 1, At: r.Fleet.now(), GivesUp: r.Fleet.now() + 5*time.Second})
+			r.history.Requests = append(r.history.Requests, historycheck.Request{ID: m.ID, Class: m.Class, Plan: m.Plan, Volume: m.Volume, Units: 1, At: r.Fleet.now(), Deadline: r.Fleet.now() + 5*time.Second})
 			r.mu.Unlock()
 			p := r.startNext()
 			r.must(r.active.Signal(syscall.SIGTERM))
@@ -196,12 +196,12 @@
 				r.t.Errorf("answer: %v, code %d, connection close: %v", err, a.StatusCode(), a.ConnectionClose())
 			}
 			r.mu.Lock()
-			r.history.Answered = append(r.history.Answered, historycheck.Answered{ID: m.ID, At: r.Fleet.now(), End: historycheck.Whole})
+			r.history.Outcomes = append(r.history.Outcomes, historycheck.Outcome{ID: m.ID, At: r.Fleet.now(), Kind: historycheck.Complete})
 			r.mu.Unlock()
 			if n, err := nc.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 				r.t.Errorf("%d bytes after the answer, %v", n, err)
 			}
-			r.must(r.active.End(r.ctx))
+			r.must(r.active.Wait(r.ctx))
 			r.active = p
 			r.waitServed(minServed)
 		}},
@@ -220,7 +220,7 @@
 			}
 			r.mu.Lock()
 			for _, id := range ids {
-				r.history.Taken = append(r.history.Taken, historycheck.Taken{ID: id, Class: "read", Plan: "small", Volume: fmt.Sprintf("%016x", 99), Units: 1, At: r.Fleet.now(), GivesUp: historycheck.Never})
+				r.history.Requests = append(r.history.Requests, historycheck.Request{ID: id, Class: "read", Plan: "small", Volume: fmt.Sprintf("%016x", 99), Units: 1, At: r.Fleet.now(), Deadline: historycheck.Never})
 			}
 			r.mu.Unlock()
 			_, err = nc.Write(text)
@@ -241,7 +241,7 @@
 					answersAfterTerm++
 				}
 				r.mu.Lock()
-				r.history.Answered = append(r.history.Answered, historycheck.Answered{ID: ids[n], At: r.Fleet.now(), End: historycheck.Whole})
+				r.history.Outcomes = append(r.history.Outcomes, historycheck.Outcome{ID: ids[n], At: r.Fleet.now(), Kind: historycheck.Complete})
 				r.mu.Unlock()
 				closed = a.ConnectionClose()
 			}
@@ -250,10 +250,10 @@
 			}
 			r.mu.Lock()
 			for _, id := range ids[n:] {
-				r.history.Answered = append(r.history.Answered, historycheck.Answered{ID: id, At: r.Fleet.now(), End: historycheck.Left})
+				r.history.Outcomes = append(r.history.Outcomes, historycheck.Outcome{ID: id, At: r.Fleet.now(), Kind: historycheck.Disconnected})
 			}
 			r.mu.Unlock()
-			r.must(r.active.End(r.ctx))
+			r.must(r.active.Wait(r.ctx))
 			r.waitLog(p, logAccepting)
 			r.active = p
 			r.waitServed(minServed)
@@ -262,8 +262,8 @@
 		t.Run(x.fault, func(t *testing.T) {
 			r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
 			r.active = r.Proc(0)
-			stopKeptConns := r.StartLoad(r.ctx, Load{Clients: 4, Pause: 3 * time.Millisecond, Request: mixedRequest})
-			stopLimited := r.StartLoad(r.ctx, Load{Clients: 3, Pause: 10 * time.Millisecond, NewConnPerRequest: true, Request: func(int, int, int) ClientRequest {
+			stopKeptConns := r.Run(r.ctx, Load{Clients: 4, Pause: 3 * time.Millisecond, Request: mixedRequest})
+			stopLimited := r.Run(r.ctx, Load{Clients: 3, Pause: 10 * time.Millisecond, NewConnPerRequest: true, Request: func(int, int, int) ClientRequest {
 				return ClientRequest{Plan: "small", Volume: 99}
 			}})
 			r.stopTraffic = func() { stopKeptConns(); stopLimited() }
@@ -290,7 +290,7 @@
 	}
 	r.waitServed(minServed)
 	r.must(r.Proc(0).Signal(syscall.SIGTERM))
-	r.must(r.Proc(0).End(r.ctx))
+	r.must(r.Proc(0).Wait(r.ctx))
 	r.waitServed(minServed)
 	r.stopAndAudit()
 }
--- a/internal/testkit/cluster/startup_test.go
+++ b/internal/testkit/cluster/startup_test.go
@@ -34,7 +34,7 @@
 }
 
 // coldCapacity describes how much load a node can take after a restart: what it can serve within 3 s, at 200 units per second once warmed up.
-var coldCapacity = node.Cold{Power: 0.24, Span: 17 * time.Second, Units: 130, Mean: 1, Within: 3 * time.Second, Back: 2 * time.Second}
+var coldCapacity = node.SlowStart{InitialSpeed: 0.24, Duration: 17 * time.Second, InitialUnits: 130, MeanUnits: 1, Window: 3 * time.Second, RestartDelay: 2 * time.Second}
 
 // newStartupFixture creates the fleet. snapshotFor returns the stored snapshot of daemon i and may be nil; gossip makes the daemons gossip.
 func newStartupFixture(t *testing.T, opt Options, start map[string]any, snapshotFor func(f *Fleet, i int) []byte, gossip bool) *startupFixture {
@@ -42,19 +42,19 @@
 	s := &startupFixture{gossipFixture: &gossipFixture{}, launchedAt: map[int]time.Duration{}, listeningAt: map[int]time.Duration{}, listenCounts: map[int]int{},
 		listCalls: map[string][]time.Duration{}}
 	s.startSection = mergeSettings(map[string]any{"list_priced": true}, start)
-	opt.Idle = true
+	opt.DeferStart = true
 	opt.Settings = mergeSettings(map[string]any{"membership-mode": "ask", "ceilings": map[string]any{"probes": true, "peers": gossip},
-		"rules": map[string]any{"ask-within": 6000}, "extra": map[string]any{"young-limit": coldCapacity.Units}}, opt.Settings)
+		"rules": map[string]any{"ask-within": 6000}, "extra": map[string]any{"young-limit": coldCapacity.InitialUnits}}, opt.Settings)
 	serviceTime := func(*fasthttp.Request) time.Duration { return 5 * time.Millisecond }
 	for j := range 4 {
-		opt.Nodes = append(opt.Nodes, Storage{Name: fmt.Sprint("s", j), Shard: j / 2, Workers: 1, Service: serviceTime, Tune: func(o *node.Options) { o.Cold = &coldCapacity }})
+		opt.Nodes = append(opt.Nodes, StorageNode{Name: fmt.Sprint("s", j), Shard: j / 2, Workers: 1, ServiceTime: serviceTime, Configure: func(o *node.Options) { o.SlowStart = &coldCapacity }})
 	}
-	opt.List.Heard = func(caller, _ string) {
+	opt.List.OnCall = func(caller, _ string) {
 		s.mu.Lock()
 		s.listCalls[caller] = append(s.listCalls[caller], s.now())
 		s.mu.Unlock()
 	}
-	opt.Said = func(i int, line []byte) {
+	opt.OnLogLine = func(i int, line []byte) {
 		if bytes.Contains(line, []byte("msg=serving")) {
 			s.Fleet.mu.Lock()
 			s.markUp(i)
@@ -89,8 +89,8 @@
 func (s *startupFixture) restartNodes(nodes ...int) {
 	s.t.Helper()
 	for _, j := range nodes {
-		s.Node(j).Chill()
-		s.must(s.Replace(j))
+		s.Node(j).BeginSlowStart()
+		s.must(s.ReplaceNode(j))
 	}
 }
 
@@ -122,12 +122,12 @@
 
 // startTraffic starts the same traffic as in other fixtures, but only to daemons that listen.
 func (s *startupFixture) startTraffic() {
-	s.stopTraffic = s.StartLoad(s.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest, Skip: func(i int) bool { return !s.listens(i) }})
+	s.stopTraffic = s.Run(s.ctx, Load{Clients: 3, Pause: 30 * time.Millisecond, Request: mixedRequest, Skip: func(i int) bool { return !s.listens(i) }})
 }
 
 // startOverload starts a load that exceeds the nodes' capacity.
 func (s *startupFixture) startOverload() (stop func()) {
-	return s.StartLoad(s.ctx, Load{Clients: 12, Pause: 5 * time.Millisecond, Skip: func(i int) bool { return !s.listens(i) },
+	return s.Run(s.ctx, Load{Clients: 12, Pause: 5 * time.Millisecond, Skip: func(i int) bool { return !s.listens(i) },
 		Request: func(i, client, n int) ClientRequest {
 			a := mixedRequest(i, client, n)
 			a.Units = 4
@@ -158,7 +158,7 @@
 func (s *startupFixture) checkNodeLoad() (maxShare float64) {
 	s.t.Helper()
 	for j := range 4 {
-		overloads, share := s.Node(j).Falls()
+		overloads, share := s.Node(j).Crashes()
 		if maxShare = max(maxShare, share); overloads > 0 {
 			s.t.Errorf("node %d was overloaded: it got %.2f times its capacity", j, share)
 		}
@@ -214,7 +214,7 @@
 				s.waitServed(minServed)
 				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
 				s.must(s.SetNodeStatus(0, "leaving"))
-				s.setListFaults(ListWell)
+				s.setListFaults(ListHealthy)
 				s.waitDrainNotified()
 			}},
 		{fault: "list down at first, none configured", expected: "all requests rejected at once with Retry-After; served once the service is up", opt: Options{ListDown: true},
@@ -232,12 +232,12 @@
 				if median := durations[len(durations)/2]; median > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
 					s.t.Errorf("the median rejection took %v, or a request was served without a list", median)
 				}
-				s.setListFaults(ListWell)
+				s.setListFaults(ListHealthy)
 			}},
 		{fault: "list of small capacity, six daemons start at once", expected: "first calls spread by name, rejected ones retried with growing backoff; all receive the list", opt: Options{Known: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
 			start: map[string]any{"list_calls_per_second": 8}, run: func(s *startupFixture) {
 				s.waitEach("it has received the list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Watches > 0 })
-				if s.Calls().Refused == 0 {
+				if s.ListLoad().Rejected == 0 {
 					s.t.Error("no list call was rejected")
 				}
 				const spread = 750 * time.Millisecond // six daemons at eight calls per second
@@ -260,22 +260,22 @@
 			before: func(s *startupFixture) { s.setListFaults(ListReset) }, run: func(s *startupFixture) {
 				s.waitWatchRequests(1)
 				s.must(s.SetNodeStatus(0, "leaving"))
-				s.setListFaults(ListWell)
+				s.setListFaults(ListHealthy)
 				s.waitDrainNotified()
 			}},
 		{fault: "list cut halfway, then an old list after a new one", expected: "requested again after the cut; the old list reinstates no draining node", opt: Options{},
 			before: func(s *startupFixture) {
 				for i := range s.opt.Daemons {
-					s.fakeListOf(i).CutHalfway()
+					s.fakeListOf(i).TruncateNextList()
 				}
 			}, run: func(s *startupFixture) {
-				s.waitEach("its list is cut", func(i int) bool { return s.fakeListOf(i).Service.Counts().Cuts == 1 })
+				s.waitEach("its list is cut", func(i int) bool { return s.fakeListOf(i).Service.Counts().Truncated == 1 })
 				s.must(s.SetNodeStatus(0, "leaving"))
 				s.waitDrainNotified()
 				for i := range s.opt.Daemons {
-					s.fakeListOf(i).OldList(1)
+					s.fakeListOf(i).SendOldList(1)
 				}
-				s.waitEach("it receives an old list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Olds == 1 })
+				s.waitEach("it receives an old list", func(i int) bool { return s.fakeListOf(i).Service.Counts().OldLists == 1 })
 			}},
 		{fault: "half of the daemons are killed while they start, and restarted", expected: "the others keep serving; all serve; both incarnations overload no cold node", opt: Options{Known: true, Daemons: 4, ListDown: true},
 			run: func(s *startupFixture) {
@@ -287,7 +287,7 @@
 				s.launchDaemons(0, 2)
 				s.waitEach("it listens", s.listens)
 				s.waitServed(minServed)
-				s.setListFaults(ListWell)
+				s.setListFaults(ListHealthy)
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				for i := range s.opt.Daemons {
@@ -299,21 +299,23 @@
 		{fault: "the cold nodes are silent", expected: "the others serve; the cold ones once they answer", opt: Options{Known: true}, before: func(s *startupFixture) {
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
-					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{Hold: true, Silent: true}))
+					s.must(s.StorageLink(i, j).SetFault(link.Both, link.Fault{Hold: true, Silent: true}))
 				}
 			}
 		}, run: func(s *startupFixture) {
-			s.waitEach("a connection to a cold node is pending", func(i int) bool { return s.StorageLink(i, 0).Waiting()+s.StorageLink(i, 2).Waiting() > 0 })
+			s.waitEach("a connection to a cold node is pending", func(i int) bool {
+				return s.StorageLink(i, 0).PendingConnects()+s.StorageLink(i, 2).PendingConnects() > 0
+			})
 			s.waitServed(minServed)
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
-					s.must(s.StorageLink(i, j).Set(link.Both, link.Fault{}))
+					s.must(s.StorageLink(i, j).SetFault(link.Both, link.Fault{}))
 				}
 			}
-			s.waitUntil("a cold node serves", func() bool { return s.Node(0).Counts().Ran+s.Node(2).Counts().Ran > 0 })
+			s.waitUntil("a cold node serves", func() bool { return s.Node(0).Counts().Executions+s.Node(2).Counts().Executions > 0 })
 		}},
 		{fault: "a node accepts connections and answers nothing", expected: "ready, with connections opened in advance to the other nodes all the same", opt: Options{Known: true},
-			snapshot: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, noTraffic: true, before: func(s *startupFixture) { s.must(s.Break(1, node.Hang)) },
+			snapshot: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, noTraffic: true, before: func(s *startupFixture) { s.must(s.SetNodeFault(1, node.Hang)) },
 			run: func(s *startupFixture) {
 				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
 				s.waitEach("ready", func(i int) bool { return s.Proc(i).Ready() == nil })
@@ -353,7 +355,7 @@
 				stop := s.startOverload()
 				s.waitFailedListCalls(2)
 				s.waitServed(minServed)
-				s.setListFaults(ListWell)
+				s.setListFaults(ListHealthy)
 				s.waitServed(minServed)
 				stop()
 				if maxShare := s.checkNodeLoad(); maxShare < 0.3 {
@@ -417,7 +419,7 @@
 			s.waitMetric("peers_taken_snapshots", func(_ int, v float64) bool { return v == x.taken })
 			stop := s.startOverload()
 			s.waitServed(minServed)
-			s.setListFaults(ListWell)
+			s.setListFaults(ListHealthy)
 			s.waitServed(2 * minServed)
 			stop()
 			s.finishAndAudit()
--- a/internal/testkit/cluster/traffic.go
+++ b/internal/testkit/cluster/traffic.go
@@ -35,7 +35,7 @@
 // Outcome is how a request ended.
 type Outcome struct {
 	ID      string
-	End     historycheck.End
+	End     historycheck.OutcomeKind
 	Code    int
 	NotSent bool // the connection could not be opened
 	At      time.Duration
@@ -115,22 +115,22 @@
 	}
 	if c.nc == nil {
 		c.processStarts = f.procs[c.scheduler].Starts()
-		nc, err := net.DialTimeout("tcp", f.Front(c.scheduler), request.Deadline)
+		nc, err := net.DialTimeout("tcp", f.ClientAddr(c.scheduler), request.Deadline)
 		if err != nil {
 			return Outcome{ID: id, NotSent: true}
 		}
 		c.nc, c.br = nc, bufio.NewReader(nc)
 	}
-	taken := historycheck.Taken{ID: id, Class: request.Class, Plan: request.Plan, Volume: message.Volume, Units: request.Units, Scheduler: c.scheduler, At: f.now()}
-	taken.GivesUp = taken.At + request.Deadline
+	taken := historycheck.Request{ID: id, Class: request.Class, Plan: request.Plan, Volume: message.Volume, Units: request.Units, Scheduler: c.scheduler, At: f.now()}
+	taken.Deadline = taken.At + request.Deadline
 	f.mu.Lock()
-	f.history.Taken = append(f.history.Taken, taken)
+	f.history.Requests = append(f.history.Requests, taken)
 	f.mu.Unlock()
 	end, code, servedBy, retryAfter := c.exchange(message, request, time.Now())
 	outcome := Outcome{ID: id, End: end, Code: code, At: f.now()}
 	f.mu.Lock()
-	f.history.Answered = append(f.history.Answered, historycheck.Answered{ID: id, At: outcome.At, End: end, Of: servedBy})
-	if code == fasthttp.StatusOK && end == historycheck.Whole {
+	f.history.Outcomes = append(f.history.Outcomes, historycheck.Outcome{ID: id, At: outcome.At, Kind: end, ResponseID: servedBy})
+	if code == fasthttp.StatusOK && end == historycheck.Complete {
 		f.served[c.scheduler]++
 	}
 	f.answersByCode[code]++
@@ -144,31 +144,31 @@
 // lateAnswerWait is how long a client waits beyond its deadline, so that a late answer is recorded as such.
 const lateAnswerWait = 500 * time.Millisecond
 
-func (c *Conn) exchange(m client.Message, request ClientRequest, start time.Time) (end historycheck.End, code int, servedBy string, retryAfter time.Duration) {
+func (c *Conn) exchange(m client.Message, request ClientRequest, start time.Time) (end historycheck.OutcomeKind, code int, servedBy string, retryAfter time.Duration) {
 	deadline := start.Add(request.Deadline + lateAnswerWait)
 	if request.DisconnectAfter > 0 {
 		deadline = start.Add(request.DisconnectAfter)
 	}
 	if err := c.nc.SetDeadline(deadline); err != nil {
 		c.Close()
-		return historycheck.Unheard, 0, "", 0
+		return historycheck.NoResponse, 0, "", 0
 	}
-	failed := func(err error, otherwise historycheck.End) historycheck.End {
+	failed := func(err error, otherwise historycheck.OutcomeKind) historycheck.OutcomeKind {
 		c.Close()
 		if request.DisconnectAfter > 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			return historycheck.Left
+			return historycheck.Disconnected
 		}
 		return otherwise
 	}
 	if _, err := c.nc.Write(m.Append(nil)); err != nil {
-		return failed(err, historycheck.Unheard), 0, "", 0
+		return failed(err, historycheck.NoResponse), 0, "", 0
 	}
 	if _, err := c.br.Peek(1); err != nil {
-		return failed(err, historycheck.Unheard), 0, "", 0
+		return failed(err, historycheck.NoResponse), 0, "", 0
 	}
 	var r fasthttp.Response
 	if err := r.Read(c.br); err != nil {
-		return failed(err, historycheck.Cut), 0, "", 0
+		return failed(err, historycheck.Truncated), 0, "", 0
 	}
 	if r.StatusCode() == fasthttp.StatusOK {
 		servedBy, _, _ = strings.Cut(string(r.Body()), shardMarker)
@@ -178,12 +178,12 @@
 	}
 	if c.br.Buffered() > 0 { // more bytes than one answer
 		c.Close()
-		return historycheck.Cut, r.StatusCode(), servedBy, retryAfter
+		return historycheck.Truncated, r.StatusCode(), servedBy, retryAfter
 	}
 	if r.ConnectionClose() {
 		c.Close()
 	}
-	return historycheck.Whole, r.StatusCode(), servedBy, retryAfter
+	return historycheck.Complete, r.StatusCode(), servedBy, retryAfter
 }
 
 // Load is traffic from clients that reuse their connections. Each scheduler has this many clients. Each of
@@ -196,8 +196,8 @@
 	Skip              func(scheduler int) bool // reports schedulers to which nothing is sent for now; may be nil
 }
 
-// StartLoad starts a load and returns a function that stops it and waits until its clients have ended.
-func (f *Fleet) StartLoad(ctx context.Context, l Load) (stop func()) {
+// Run starts a load and returns a function that stops it and waits until its clients have ended.
+func (f *Fleet) Run(ctx context.Context, l Load) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{}, f.opt.Daemons*l.Clients)
 	for scheduler := range f.opt.Daemons {
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -71,20 +71,20 @@
 		r.must(r.Wait(r.ctx, next.Name+" is ready", next.Ready))
 		r.waitServed(minServed)
 		r.must(r.active.Signal(syscall.SIGTERM))
-		r.must(r.active.End(r.ctx))
+		r.must(r.active.Wait(r.ctx))
 		r.waitServed(minServed)
 		r.callAdmin(next, "GET", "/api/ready")
 		r.active = next
 	}
 	includedAt := r.Fleet.now()
-	for _, s := range r.History().Sent {
-		if s.Node == "s0" && s.First > excludedFrom && s.First < includedAt {
-			t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.First, excludedFrom)
+	for _, s := range r.History().Attempts {
+		if s.Node == "s0" && s.FirstByte > excludedFrom && s.FirstByte < includedAt {
+			t.Errorf("%s was sent to s0 at %v, excluded since %v", s.ID, s.FirstByte, excludedFrom)
 		}
 	}
 	r.callAdmin(r.active, "PUT", "/api/include?who=s0")
-	before := r.Node(0).Counts().Ran
-	r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Ran > before })
+	before := r.Node(0).Counts().Executions
+	r.waitUntil("s0 serves again", func() bool { return r.Node(0).Counts().Executions > before })
 	r.stopAndAudit()
 }
 
@@ -131,7 +131,7 @@
 func (w *fixture) restartAs(i int, daemon string) {
 	w.t.Helper()
 	w.must(w.Terminate(i))
-	w.must(w.Proc(i).End(w.ctx))
+	w.must(w.Proc(i).Wait(w.ctx))
 	w.Proc(i).daemon = daemon
 	w.must(w.Restart(w.ctx, i))
 }
@@ -192,7 +192,7 @@
 				if n := g.countParts(true); n != shards*3/4 || g.countParts(false) != shards/4 {
 					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
 				}
-				g.must(g.delegationLinks[0].Set(link.Backward, link.Fault{ResetAfter: 9000}))
+				g.must(g.delegationLinks[0].SetFault(link.Backward, link.Fault{ResetAfter: 9000}))
 				g.checkComplete("a read over a cut link", g.read("read", defaultPlan, deadline), deadline)
 				if g.delegationLinks[0].Counts(link.Backward).Reset == 0 {
 					t.Error("the link was not cut")
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -122,7 +122,7 @@
 // tally is what one scenario saw of one class.
 type tally struct {
 	sent, served, inAim int
-	ends                [client.Outcomes]int
+	ends                [client.OutcomeCount]int
 	times               *hdrhistogram.Histogram // of those served, microseconds
 	mostRuns            int
 	spread              time.Duration
@@ -202,8 +202,8 @@
 	r := &rig{}
 	lists := [2][]address.Addr{}
 	for i := range r.nodes {
-		r.nodes[i] = node.New(node.Options{Name: fmt.Sprint("s-", i), Shard: i, Workers: 16, Queue: 64, Answers: connAnswers,
-			Service: func(*fasthttp.Request) time.Duration { return service }})
+		r.nodes[i] = node.New(node.Options{Name: fmt.Sprint("s-", i), Shard: i, Workers: 16, QueueLimit: 64, MaxResponsesPerConn: connAnswers,
+			ServiceTime: func(*fasthttp.Request) time.Duration { return service }})
 		texts := []string{"unix:" + filepath.Join(dir, fmt.Sprint(i)), "[::1]:0", "127.0.0.1:0"}
 		for _, text := range texts[:addresses] {
 			a, err := r.nodes[i].Listen(text)
@@ -257,7 +257,7 @@
 
 func (r *rig) accepted() (n int) {
 	for _, a := range r.at {
-		n += r.nodes[0].Accepted(a)
+		n += r.nodes[0].AcceptedConns(a)
 	}
 	return n
 }
@@ -291,7 +291,7 @@
 		if at >= quiet && !on {
 			on = true
 			before = r.accepted()
-			if err := r.nodes[0].Set(r.at[0], sc.fault); err != nil {
+			if err := r.nodes[0].SetFault(r.at[0], sc.fault); err != nil {
 				return nil, err
 			}
 		}
@@ -351,12 +351,12 @@
 
 // runs counts executions at the node at fault.
 func (r *rig) runs(o *outcome) {
-	r.nodes[0].Each(func(id string, all []node.Arrival) {
+	r.nodes[0].EachRequest(func(id string, all []node.Arrival) {
 		at := strings.LastIndexByte(id, '-')
 		t := o.classes[id[:at]]
 		ran := 0
 		for _, a := range all {
-			if a.Ran {
+			if a.Executed {
 				ran++
 			}
 		}
@@ -365,7 +365,7 @@
 	})
 	for _, c := range Classes {
 		if c.Keyed {
-			_, byKey := r.nodes[0].MostRuns()
+			_, byKey := r.nodes[0].MaxExecutions()
 			o.classes[c.Name].mostRuns = max(o.classes[c.Name].mostRuns, byKey)
 		}
 	}
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -72,8 +72,8 @@
 	}
 	h.fresh(coldstart.SlowStartShare)
 	set := h.w.set
-	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListCallsPriced: !h.w.sc.Pushed,
-		MaxListCallsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
+	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListRequestsPriced: !h.w.sc.Pushed,
+		MaxListRequestsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
 		LatencyObjective: span(400), MaxRetryAfter: span(set.MaxRetryAfter), Preconnects: 8})
 	if err != nil {
 		panic(err)
--- a/internal/testkit/experiment/coldstart/real.go
+++ b/internal/testkit/experiment/coldstart/real.go
@@ -190,20 +190,22 @@
 		w.vols = append(w.vols, v)
 	}
 	set := settings(opt.Hosts, opt.Nodes)
-	bears := &standin.Cold{Power: set.SlowStartShare, Span: span(set.SlowStartDuration), Units: set.SlowStartUnits, Mean: set.MeanUnits, Within: span(set.OverloadWindow),
-		Back: span(fallFor)}
-	var nodes []cluster.Storage
+	bears := &standin.SlowStart{InitialSpeed: set.SlowStartShare, Duration: span(set.SlowStartDuration), InitialUnits: set.SlowStartUnits, MeanUnits: set.MeanUnits, Window: span(set.OverloadWindow),
+		RestartDelay: span(fallFor)}
+	var nodes []cluster.StorageNode
 	for j := range opt.Nodes {
-		nodes = append(nodes, cluster.Storage{Name: fmt.Sprint("s", j), Shard: j, Workers: 1, Queue: nodeQueue,
-			Linked:  sc.Silent > 0 && j%sc.Silent == 0,
-			Service: func(q *fasthttp.Request) time.Duration { return span(standin.Units(q) * 1000 / unitsSec) },
-			Tune:    func(o *standin.Options) { o.Record, o.Cold, o.Saw = false, bears, func(s standin.Saw) { w.saw(j, s) } }})
+		nodes = append(nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j, Workers: 1, Queue: nodeQueue,
+			Linked:      sc.Silent > 0 && j%sc.Silent == 0,
+			ServiceTime: func(q *fasthttp.Request) time.Duration { return span(standin.Units(q) * 1000 / unitsSec) },
+			Configure: func(o *standin.Options) {
+				o.RecordAttempts, o.SlowStart, o.OnEvent = false, bears, func(s standin.Event) { w.saw(j, s) }
+			}})
 	}
 	var err error
 	w.f, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Hosts, Nodes: nodes, Settings: realSettings(opt.Hosts, opt.Nodes),
-		Seed: uint64(opt.Seed), Known: true, Direct: true, Idle: true, MemoryMB: daemonMB, Env: []string{"GOMAXPROCS=1"},
-		List: discovery.Options{Capacity: opt.Capacity, Patience: time.Second, Queue: int(2*opt.Capacity) + 1},
-		Said: w.said, Args: w.site})
+		Seed: uint64(opt.Seed), Known: true, Direct: true, DeferStart: true, MemoryMB: daemonMB, Env: []string{"GOMAXPROCS=1"},
+		List:      discovery.Options{Capacity: opt.Capacity, Patience: time.Second, Queue: int(2*opt.Capacity) + 1},
+		OnLogLine: w.said, Args: w.site})
 	return w, err
 }
 
@@ -248,7 +250,7 @@
 }
 
 // saw counts what a node meets.
-func (w *realRun) saw(j int, s standin.Saw) {
+func (w *realRun) saw(j int, s standin.Event) {
 	now := time.Now()
 	w.mu.Lock()
 	n := &w.nodes[j]
@@ -256,14 +258,14 @@
 	case !w.open:
 	case s == standin.Connected:
 		n.connects = append(n.connects, now)
-	case s == standin.Asked:
+	case s == standin.RequestReceived:
 		n.asked = append(n.asked, now)
-	case s == standin.Fell:
+	case s == standin.Crashed:
 		w.row.Falls++
 	}
 	w.mu.Unlock()
-	if s == standin.Returned {
-		if err := w.f.Replace(j); err != nil {
+	if s == standin.Restarted {
+		if err := w.f.ReplaceNode(j); err != nil {
 			w.mu.Lock()
 			w.firsts = err
 			w.mu.Unlock()
@@ -370,7 +372,7 @@
 		if err := sleep(ctx, down); err != nil {
 			return err
 		}
-		if err := w.lists(cluster.ListWell); err != nil {
+		if err := w.lists(cluster.ListHealthy); err != nil {
 			return err
 		}
 		if err := sleep(ctx, w.opt.Window-down); err != nil {
@@ -382,7 +384,7 @@
 	waited := 0
 	for j := range w.nodes {
 		if l := w.f.StorageLink(0, j); l != nil {
-			waited += l.Waiting()
+			waited += l.PendingConnects()
 		}
 	}
 	close(w.stop)
@@ -408,18 +410,18 @@
 func (w *realRun) fail() error {
 	for j := range w.nodes {
 		if w.sc.ColdNodes > 0 && j%w.sc.ColdNodes == 0 {
-			w.f.Node(j).Chill()
-			if err := w.f.Replace(j); err != nil {
+			w.f.Node(j).BeginSlowStart()
+			if err := w.f.ReplaceNode(j); err != nil {
 				return err
 			}
 		}
 		if l := w.f.StorageLink(0, j); l != nil {
-			if err := l.Set(link.Both, link.Fault{Hold: true, Silent: true}); err != nil {
+			if err := l.SetFault(link.Both, link.Fault{Hold: true, Silent: true}); err != nil {
 				return err
 			}
 		}
 		if w.sc.Mute && j == 1 {
-			if err := w.f.Break(j, standin.Hang); err != nil {
+			if err := w.f.SetNodeFault(j, standin.Hang); err != nil {
 				return err
 			}
 		}
@@ -432,7 +434,7 @@
 
 func (w *realRun) lists(f cluster.ListFault) error {
 	for i := range w.hosts {
-		if err := w.f.SetList(i, f); err != nil {
+		if err := w.f.SetListFault(i, f); err != nil {
 			return err
 		}
 	}
@@ -441,7 +443,7 @@
 
 // begin has all figures count from now; the clocks of the processes that stay too.
 func (w *realRun) begin(stay []int) {
-	w.f.CallsFrom()
+	w.f.ResetListLoad()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.open, w.start = true, time.Now()
@@ -507,7 +509,7 @@
 // clients ask the hosts at the rate, each by its own clock, whatever comes of it.
 func (w *realRun) clients(which []int) {
 	for _, i := range which {
-		pool := &client.Pool{Address: w.f.Front(i), Most: clientConns}
+		pool := &client.Pool{Address: w.f.ClientAddr(i), MaxConns: clientConns}
 		w.load.Go(func() {
 			defer pool.Close()
 			var asks sync.WaitGroup
@@ -548,7 +550,7 @@
 		wait := 100 * time.Millisecond
 		switch a.Outcome {
 		case client.NoConn:
-		case client.Refused:
+		case client.Rejected:
 			wait = max(a.RetryAfter, span(50))
 		default:
 			return
@@ -579,7 +581,7 @@
 	switch a.Outcome {
 	case client.Served:
 		w.row.Served++
-	case client.Refused:
+	case client.Rejected:
 		w.row.Refused++
 		if i%10 >= w.sc.Killed {
 			w.row.StayRefused++
--- a/internal/testkit/experiment/coldstart/realreport.go
+++ b/internal/testkit/experiment/coldstart/realreport.go
@@ -65,19 +65,19 @@
 		return list[min(int(math.Ceil(q*float64(len(list))))-1, len(list)-1)]
 	}
 	r.T50, r.T99, r.T100, r.Whole99 = at(own, 0.5), at(own, 0.99), at(own, 1), at(all, 0.99)
-	calls := w.f.Calls()
-	r.ListCalls, r.ListPeak, r.ListRefused = calls.Calls, calls.Peak, calls.Refused
+	calls := w.f.ListLoad()
+	r.ListCalls, r.ListPeak, r.ListRefused = calls.Calls, calls.PeakPerSecond, calls.Rejected
 	if w.mode == Snapshot {
 		r.Kept = len(w.kept)
 	}
 	for j := range w.nodes {
 		r.Connects, r.Requests = max(r.Connects, worstSecond(w.nodes[j].connects)), max(r.Requests, worstSecond(w.nodes[j].asked))
-		_, worst := w.f.Node(j).Falls()
+		_, worst := w.f.Node(j).Crashes()
 		r.ColdLoad = max(r.ColdLoad, worst)
-		w.f.Node(j).Each(func(id string, came []standin.Arrival) {
+		w.f.Node(j).EachRequest(func(id string, came []standin.Arrival) {
 			ran := 0
 			for _, a := range came {
-				if a.Ran {
+				if a.Executed {
 					ran++
 				}
 			}
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	for p := range opt.Processes {
-		w.processPools = append(w.processPools, &client.Pool{Address: w.fleet.Front(p), Most: maxClientConns})
+		w.processPools = append(w.processPools, &client.Pool{Address: w.fleet.ClientAddr(p), MaxConns: maxClientConns})
 	}
 	for n := range w.nodes {
 		w.nodePools = append(w.nodePools, &client.Pool{Address: w.fleet.NodeAddr(n)})
@@ -103,12 +103,12 @@
 }
 
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
-func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.Storage, types map[string]string) {
+func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
 	for n := range w.opt.Groups * perShard {
 		w.nodes = append(w.nodes, server{n % perShard, math.Exp(ownSpread * rng.NormFloat64())})
 		types[nodeName(n)] = kinds[n%perShard].name
-		nodes = append(nodes, cluster.Storage{Name: nodeName(n), Shard: n, Workers: workersPerNode, Service: func(q *fasthttp.Request) time.Duration {
+		nodes = append(nodes, cluster.StorageNode{Name: nodeName(n), Shard: n, Workers: workersPerNode, ServiceTime: func(q *fasthttp.Request) time.Duration {
 			units, luck := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
 			return time.Duration(w.drawServiceTime(n, units, luck) * float64(time.Millisecond))
 		}})
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -97,7 +97,7 @@
 	name := fmt.Sprint(shards)
 	all, ok := t.flats[name]
 	if !ok {
-		for _, text := range t.rows.Flat(shards, node.Flat{Keep: "highest"}) {
+		for _, text := range t.rows.Merge(shards, node.MergeOptions{Keep: "highest"}) {
 			all = append(all, parse(text))
 		}
 		if len(t.flats) >= flatsMost {
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -36,16 +36,16 @@
 			if rng.Float64() >= shardHit {
 				continue
 			}
-			f := node.RowFault{After: rng.IntN(w.Rows.Count)}
+			f := node.RowFault{AfterRows: rng.IntN(w.Rows.RowsPerShard)}
 			switch rng.IntN(4) {
 			case 0:
-				f.Late = some(lateMost)
+				f.Delay = some(lateMost)
 			case 1:
-				f.Stop = some(stopMost)
+				f.Pause = some(stopMost)
 			case 2:
-				f.Cut = true
+				f.CloseConn = true
 			case 3:
-				f.Never = true
+				f.Stall = true
 			}
 			c.nodes[s*w.Copies+rng.IntN(w.Copies)] = f
 		}
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -16,7 +16,7 @@
 // The judge finds what is wrong with an answer and nothing where nothing is.
 func TestJudge(t *testing.T) {
 	w := Defaults()
-	w.Rows.Seed, w.Rows.Count = 3, 120
+	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
 	tr := newTruth(w.Rows, w.Shards)
 	shards := []int{0, 1, 4}
 	texts := func(rows []row) (all [][]byte) {
@@ -72,7 +72,7 @@
 		{"an older version", q(listing), answer{rows: stale, ended: true, whole: true}, Verdict{Wrong: 1}},
 		{"an older version, its newer's part named", q(listing), answer{rows: stale, ended: true, named: shards}, Verdict{}},
 		{"no row of anybody", q(listing), answer{rows: strange, ended: true, named: shards}, Verdict{Wrong: 1}},
-		{"missing and not named", q(listing), answer{rows: nil, ended: true, named: []int{0, 1}}, Verdict{Lost: w.Rows.Count}},
+		{"missing and not named", q(listing), answer{rows: nil, ended: true, named: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
 	} {
 		if got := tr.judge(x.q, x.a); got != x.want {
 			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
@@ -91,13 +91,13 @@
 				t.Fatal("another draw")
 			}
 			switch {
-			case x.Late > 0:
+			case x.Delay > 0:
 				f.Late++
-			case x.Stop > 0:
+			case x.Pause > 0:
 				f.Stopped++
-			case x.Cut:
+			case x.CloseConn:
 				f.Cut++
-			case x.Never:
+			case x.Stall:
 				f.Never++
 			}
 		}
@@ -134,7 +134,7 @@
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	w := Defaults()
-	w.Processes, w.Shards, w.Copies, w.Rows.Count = 2, 4, 2, 60
+	w.Processes, w.Shards, w.Copies, w.Rows.RowsPerShard = 2, 4, 2, 60
 	daemon, err := cluster.Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 			t.Errorf("%+v", l)
 		}
 	}
-	opt.spoil = node.RowFault{Other: true}
+	opt.spoil = node.RowFault{OtherVersion: true}
 	if rep, err = Run(ctx, opt); err != nil || !rep.Wrong {
 		t.Errorf("rows of other versions are not found: %v %+v", err, rep)
 	}
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -137,7 +137,7 @@
 func (rep *Report) Print(out io.Writer) error {
 	w := rep.World
 	fmt.Fprintf(out, "%d processes, %d nodes (%d shards of %d rows, %d copies), %g reads/s for %.0f s a seed; ms from when a read was due\n",
-		w.Processes, w.Shards*w.Copies, w.Shards, w.Rows.Count, w.Copies, rep.Rate, rep.For)
+		w.Processes, w.Shards*w.Copies, w.Shards, w.Rows.RowsPerShard, w.Copies, rep.Rate, rep.For)
 	columns := []struct {
 		name string
 		form string
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -36,7 +36,7 @@
 
 // Defaults are 8 processes and 24 nodes.
 func Defaults() World {
-	return World{Processes: 8, Shards: 8, Copies: 3, Rows: node.Rows{Count: 1000, Shared: 0.3, Same: 0.5, Pad: 40, Piece: 32}}
+	return World{Processes: 8, Shards: 8, Copies: 3, Rows: node.Rows{RowsPerShard: 1000, SharedKeys: 0.3, SameVersion: 0.5, PaddingBytes: 40, RowsPerWrite: 32}}
 }
 
 // The ends of a read.
--- a/internal/testkit/experiment/gathers/world.go
+++ b/internal/testkit/experiment/gathers/world.go
@@ -75,7 +75,7 @@
 	opt := cluster.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
 		"profiles": []map[string]any{class(listing), class(top), class(page)}}}
 	for j := range w.Shards * w.Copies {
-		opt.Nodes = append(opt.Nodes, cluster.Storage{Name: fmt.Sprint("s", j), Shard: j / w.Copies, Service: serviceOf(seed, j), Rows: &w.Rows})
+		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Copies, ServiceTime: serviceOf(seed, j), Rows: &w.Rows})
 	}
 	opt.Args = func(p *cluster.Fleet, i int) []string {
 		f.Fleet = p
@@ -174,9 +174,9 @@
 // play makes a change.
 func (f *processes) play(c change) error {
 	for j := range f.w.Shards * f.w.Copies {
-		f.Node(j).SetRows(c.nodes[j])
+		f.Node(j).SetRowFault(c.nodes[j])
 		for i := range f.w.Processes {
-			if err := f.StorageLink(i, j).Set(link.Both, c.links[[2]int{i, j}]); err != nil {
+			if err := f.StorageLink(i, j).SetFault(link.Both, c.links[[2]int{i, j}]); err != nil {
 				return err
 			}
 		}
@@ -211,7 +211,7 @@
 // met is what a node's faults did.
 func met(n *node.Node) happened {
 	c := n.RowCounts("")
-	return happened{Late: c.Late, Stopped: c.Stopped, Cut: c.Cut, Never: c.Never}
+	return happened{Late: c.Delayed, Stopped: c.Paused, Cut: c.ConnsClosed, Never: c.Stalled}
 }
 
 // Parts is what nodes were asked for.
@@ -230,7 +230,7 @@
 	}
 	at := map[string]span{} // by id: core may send an asking to several nodes
 	for j := range f.w.Shards * f.w.Copies {
-		f.Node(j).Each(func(id string, all []node.Arrival) {
+		f.Node(j).EachRequest(func(id string, all []node.Arrival) {
 			x, known := at[id]
 			for _, a := range all {
 				if !known || a.At.Before(x.firstAt) {
@@ -256,7 +256,7 @@
 		}
 		last := fmt.Sprint(part, copy-1)
 		before, ok := at[last]
-		if c := f.Node(before.last).RowCounts(last); ok && c.Whole+c.Limited == 0 && c.Cut+c.Never+c.Gone > 0 {
+		if c := f.Node(before.last).RowCounts(last); ok && c.Complete+c.Limited == 0 && c.ConnsClosed+c.Stalled+c.Disconnected > 0 {
 			p.Again++
 			if before.last == now.first {
 				p.Same++
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -37,14 +37,14 @@
 func play(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
-	srv.Set(mode)
+	srv.SetMode(mode)
 	src, err := workload.New(s, 1, span)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := &client.Pool{Dial: func(context.Context) (net.Conn, error) {
 		a, b := net.Pipe()
-		srv.Go(b)
+		srv.ServeConn(b)
 		return a, nil
 	}}
 	o := Options{Shape: s, Source: src, Pools: []*client.Pool{pool}, Run: "t", MostOpen: 10000, Bounds: loadvalidity.Defaults()}
@@ -72,7 +72,7 @@
 // ones, and a client that waits for its answer before it asks again misses them.
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		opt := server.Options{Service: 20 * ms, Stall: 200 * ms, Every: 2 * time.Second}
+		opt := server.Options{ServiceTime: 20 * ms, StallDuration: 200 * ms, StallInterval: 2 * time.Second}
 		s := plain(400)
 		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
 		res, srv := play(t, opt, server.Answer, s, 22*time.Second, nil)
@@ -88,7 +88,7 @@
 		}
 		closed := newTimes(digits)
 		for at := 2 * time.Second; at < 22*time.Second; {
-			took := srv.Expect(at)
+			took := srv.ExpectedResponseTime(at)
 			closed.Record(took)
 			at += took
 		}
@@ -106,11 +106,11 @@
 		want  client.Outcome
 		seen  int // requests that came, a request
 	}{
-		{server.Hang, true, client.TimedOut, 1}, {server.Reset, false, client.Reset, 1}, {server.Late, false, client.TimedOut, 1},
-		{server.Refuse, false, client.Refused, 1}, {server.Refuse, true, client.Refused, 2}, {server.Answer, true, client.Served, 1},
+		{server.Hang, true, client.TimedOut, 1}, {server.Reset, false, client.Reset, 1}, {server.Delayed, false, client.TimedOut, 1},
+		{server.Reject, false, client.Rejected, 1}, {server.Reject, true, client.Rejected, 2}, {server.Answer, true, client.Served, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			res, srv := play(t, server.Options{Service: ms, RetryAfter: 250 * ms, LateBy: 2 * time.Second}, x.mode, plain(50), 2*time.Second,
+			res, srv := play(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, plain(50), 2*time.Second,
 				func(o *Options) { o.Retry = x.retry })
 			all, c := res.All(), srv.Counts()
 			if all.Ends[x.want] != all.Asked || c.Requests != x.seen*int(all.Asked) || (c.Retries > 0) != (x.seen == 2) || all.Earned > all.Due {
@@ -138,7 +138,7 @@
 func TestWorkersMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := workload.Default()
-		opt := server.Options{Service: 7 * ms, Stall: 100 * ms, Every: time.Second}
+		opt := server.Options{ServiceTime: 7 * ms, StallDuration: 100 * ms, StallInterval: time.Second}
 		one, _ := play(t, opt, server.Answer, s, 5*time.Second, nil)
 		var sum *Results
 		for w := range 2 {
--- a/internal/testkit/experiment/load/print.go
+++ b/internal/testkit/experiment/load/print.go
@@ -24,7 +24,7 @@
 		n.Quantile(0.5).Round(time.Microsecond), n.Quantile(0.99).Round(time.Microsecond), n.Worst.Round(time.Microsecond), 100*n.LateShare(), n.Paused.Round(time.Millisecond))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "\tasked\tkept\tworth served\tin aim\tretried\t")
-	for o := range client.Outcomes {
+	for o := range client.OutcomeCount {
 		fmt.Fprintf(t, "%v\t", o)
 	}
 	fmt.Fprintln(t, "p50 ms\tp90\tp99\tp99.9\tsent p50\tsent p99\t")
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -60,16 +60,16 @@
 
 // Part is what came of some of the requests: those of a class, a plan or a second.
 type Part struct {
-	Asked    uint64                  `json:"asked"` // arrivals, with those kept back
-	Kept     uint64                  `json:"kept"`
-	Ends     [client.Outcomes]uint64 `json:"ends"`
-	InAim    uint64                  `json:"in_aim"`
-	Retried  uint64                  `json:"retried"`
-	Reopened uint64                  `json:"reopened"`
-	Due      float64                 `json:"worth_due"`
-	Earned   float64                 `json:"worth_earned"`
-	Latency  Times                   `json:"latency"` // of those served, from when they were due
-	Service  Times                   `json:"service"` // ... from their real send
+	Asked    uint64                      `json:"asked"` // arrivals, with those kept back
+	Kept     uint64                      `json:"kept"`
+	Ends     [client.OutcomeCount]uint64 `json:"ends"`
+	InAim    uint64                      `json:"in_aim"`
+	Retried  uint64                      `json:"retried"`
+	Reopened uint64                      `json:"reopened"`
+	Due      float64                     `json:"worth_due"`
+	Earned   float64                     `json:"worth_earned"`
+	Latency  Times                       `json:"latency"` // of those served, from when they were due
+	Service  Times                       `json:"service"` // ... from their real send
 }
 
 func newPart(significant int) *Part {
@@ -150,7 +150,7 @@
 		if tries > 1 {
 			p.Retried++
 		}
-		if a.Reopened {
+		if a.RetriedOnNewConn {
 			p.Reopened++
 		}
 		if a.Outcome != client.Served {
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -136,7 +136,7 @@
 	pool := r.opt.Pools[(q.Volume+q.Host)%len(r.opt.Pools)]
 	a := pool.Do(m, due)
 	tries := 1
-	if r.opt.Retry && (a.Outcome == client.Refused || a.Outcome == client.Reset) {
+	if r.opt.Retry && (a.Outcome == client.Rejected || a.Outcome == client.Reset) {
 		wait := r.opt.Wait
 		if a.RetryAfter > 0 {
 			wait = a.RetryAfter
@@ -146,7 +146,7 @@
 			time.Sleep(wait)
 			m.ID, m.Retry, m.Deadline = m.ID+"r", true, left
 			b := pool.Do(m, again)
-			b.Sent, b.Reopened = a.Sent, a.Reopened || b.Reopened // it belongs to its first try
+			b.Sent, b.RetriedOnNewConn = a.Sent, a.RetriedOnNewConn || b.RetriedOnNewConn // it belongs to its first try
 			a, tries = b, 2
 		}
 	}
--- a/internal/testkit/fake/discovery/capacity.go
+++ b/internal/testkit/fake/discovery/capacity.go
@@ -17,9 +17,9 @@
 
 // Load counts the calls received.
 type Load struct {
-	Calls   int
-	Refused int // waited too long or found the queue full
-	Peak    int // calls in the busiest second
+	Calls         int
+	Rejected      int // waited too long or found the queue full
+	PeakPerSecond int // calls in the busiest second
 }
 
 // NewCapacity creates a Capacity from the options Capacity, Patience and Queue.
@@ -45,8 +45,8 @@
 	return c.load
 }
 
-// Forget restarts the counting of Load.
-func (c *Capacity) Forget() {
+// ResetLoad restarts the counting of Load.
+func (c *Capacity) ResetLoad() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recentCalls, c.load = nil, Load{}
@@ -62,13 +62,13 @@
 		c.recentCalls = c.recentCalls[1:]
 	}
 	c.load.Calls++
-	c.load.Peak = max(c.load.Peak, len(c.recentCalls))
+	c.load.PeakPerSecond = max(c.load.PeakPerSecond, len(c.recentCalls))
 	end, outcome := c.queue.Call(t)
 	wait = end - t
 	if outcome == Served {
 		wait -= c.queue.processingTime
 	} else {
-		c.load.Refused++
+		c.load.Rejected++
 	}
 	return c.start.Add(end), wait, outcome
 }
--- a/internal/testkit/fake/discovery/conn.go
+++ b/internal/testkit/fake/discovery/conn.go
@@ -55,7 +55,7 @@
 		n := &conn{s: s, nc: nc, wake: make(chan struct{}, 1), calls: make(chan call), closed: make(chan struct{})}
 		s.mu.Lock()
 		n.caller = s.caller(who)
-		n.caller.counts.Came++
+		n.caller.counts.Conns++
 		switch {
 		case s.closed || len(s.conns) >= s.opt.Conns:
 			nc.Close()
@@ -93,8 +93,8 @@
 		case !q.Header.IsGet():
 			a.status = fasthttp.StatusMethodNotAllowed
 		}
-		if n.s.opt.Heard != nil {
-			n.s.opt.Heard(n.caller.name, string(q.RequestURI()))
+		if n.s.opt.OnCall != nil {
+			n.s.opt.OnCall(n.caller.name, string(q.RequestURI()))
 		}
 		select {
 		case n.calls <- a:
@@ -175,14 +175,14 @@
 		return false
 	}
 	s.mu.Lock()
-	if n.caller.fault.Refuse {
+	if n.caller.fault.RejectCalls {
 		s.mu.Unlock()
-		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Refused, &n.caller.counts.Failed)
+		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Rejected, &n.caller.counts.Failed)
 	}
 	at, waited, out := s.capacity.call(time.Now())
 	if waited > 0 {
-		n.caller.counts.Waited++
-		n.caller.counts.Longest = max(n.caller.counts.Longest, waited)
+		n.caller.counts.Queued++
+		n.caller.counts.LongestWait = max(n.caller.counts.LongestWait, waited)
 	}
 	s.mu.Unlock()
 	if !n.waitUntil(at, false) {
@@ -230,16 +230,16 @@
 	}
 	n.caller.once.versionsBack = 0
 	l, _ := n.s.list.At(max(n.s.list.Index()-int64(back), n.s.list.Oldest()))
-	n.caller.counts.Olds++
+	n.caller.counts.OldLists++
 	return l, true
 }
 
 // waitDelay waits for the fault's delay. It returns false once the connection has ended.
 func (n *conn) waitDelay() bool {
 	n.s.mu.Lock()
-	delay := n.caller.fault.Late
+	delay := n.caller.fault.Delay
 	if delay > 0 {
-		n.caller.counts.Lates++
+		n.caller.counts.Delayed++
 	}
 	n.s.mu.Unlock()
 	return delay <= 0 || n.waitUntil(time.Now().Add(delay), false)
@@ -329,13 +329,13 @@
 	}
 	if len(n.injected) > 0 {
 		text, n.injected = []byte(n.injected[0]), n.injected[1:]
-		n.caller.counts.Said++
+		n.caller.counts.InjectedLines++
 		return text, nil, again, false
 	}
 	if old, ok := n.takeOldList(); ok {
 		return s.encoded(old, -1, s.opt.IndentWatch), &old, again, false
 	}
-	v, again := s.visibleIndex(n.caller.fault.Late, time.Now())
+	v, again := s.visibleIndex(n.caller.fault.Delay, time.Now())
 	if v <= n.sentIndex {
 		return nil, nil, again, false
 	}
@@ -343,8 +343,8 @@
 	if !ok {
 		changes, v = s.list.List(), s.list.Index()
 	}
-	if n.caller.fault.Late > 0 {
-		n.caller.counts.Lates++
+	if n.caller.fault.Delay > 0 {
+		n.caller.counts.Delayed++
 	}
 	text = s.encoded(changes, n.sentIndex, s.opt.IndentWatch)
 	n.sentIndex = v
@@ -368,7 +368,7 @@
 	truncate := n.caller.once.truncate && len(text) > 1
 	if truncate {
 		n.caller.once.truncate = false
-		n.caller.counts.Cuts++
+		n.caller.counts.Truncated++
 		text, tail = text[:len(text)/2], ""
 	}
 	n.s.mu.Unlock()
--- a/internal/testkit/fake/discovery/discovery_test.go
+++ b/internal/testkit/fake/discovery/discovery_test.go
@@ -40,7 +40,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		keep := rapid.IntRange(1, 12).Draw(rt, "keep")
 		first := rapid.Int64Range(0, 50).Draw(rt, "first")
-		b := NewBook(first, keep)
+		b := NewVersionedList(first, keep)
 		versions := map[int64]map[string]Entry{first: {}}
 		texts, lists := []string{}, []List{}
 		remember := func(l List) List {
@@ -230,14 +230,14 @@
 			r.s.Put(testEntry("a", Left))
 			l, err = next()
 			r.expect("change", l, err, 42, false, 1)
-			deliveries := r.s.Told("w")
+			deliveries := r.s.Deliveries("w")
 			if len(deliveries) != 3 || deliveries[2].Entry.Status != Left || deliveries[2].Index != 42 || deliveries[2].At.Before(deliveries[0].At) {
 				t.Errorf("deliveries %+v", deliveries)
 			}
 			next = r.watch("w", 7)
 			l, err = next()
 			r.expect("a watch after an unknown version", l, err, 42, true, 1)
-			if deliveries = r.s.Told("w"); len(deliveries) != 4 || deliveries[3].Entry.Name != "b" {
+			if deliveries = r.s.Deliveries("w"); len(deliveries) != 4 || deliveries[3].Entry.Name != "b" {
 				t.Errorf("deliveries to a caller that holds an earlier version: %+v", deliveries)
 			}
 		}
@@ -279,58 +279,58 @@
 		beats := r.s.Counts("y").Beats
 		r.waitFor("no heartbeats on the other watch", "y", func(c Counts) bool { return c.Beats > beats+3 })
 	}
-	for _, f := range []Fault{{Down: true}, {Silent: true}, {Silent: true, Refuse: true}, {Silent: true, Lost: true}, {Silent: true, Answers: true}} {
+	for _, f := range []Fault{{Down: true}, {Silent: true}, {Silent: true, RejectCalls: true}, {Silent: true, SilencePersists: true}, {Silent: true, AnswerNewCalls: true}} {
 		r, x, y := newWatches(t)
-		_ = r.s.Set(f, "x")
+		_ = r.s.SetFault(f, "x")
 		r.waitFor("the watch was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 1 })
 		lines := r.s.Counts("x").Lines
 		r.s.Put(testEntry("a", Leaving))
 		otherUnaffected(r, y)
-		if f.Answers {
+		if f.AnswerNewCalls {
 			l, _, err := r.get("x", "")
 			r.expect("a new call", l, err, 4, true, 3)
 		} else {
 			ended := make(chan error)
 			go func() { _, _, err := r.get("x", ""); ended <- err }()
 			r.waitFor("the call was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 2 })
-			if f.Lost {
-				_ = r.s.Up("x")
+			if f.SilencePersists {
+				_ = r.s.ClearFaults("x")
 				r.s.Put(testEntry("b", Leaving))
 				otherUnaffected(r, y)
-				r.s.Reset("x") // otherwise they would wait forever
+				r.s.ResetConns("x") // otherwise they would wait forever
 			} else {
-				_ = r.s.Up("x")
+				_ = r.s.ClearFaults("x")
 			}
-			if err := <-ended; (err != nil) != f.Lost {
+			if err := <-ended; (err != nil) != f.SilencePersists {
 				t.Errorf("%+v: the silenced call ended with %v", f, err)
 			}
 		}
-		if n := r.s.Counts("x").Lines; (f.Lost || f.Answers) && n != lines {
+		if n := r.s.Counts("x").Lines; (f.SilencePersists || f.AnswerNewCalls) && n != lines {
 			t.Errorf("%+v: %d lines sent during the silence", f, n-lines)
 		}
-		_ = r.s.Up()
-		if l, err := x(); !f.Lost {
+		_ = r.s.ClearFaults()
+		if l, err := x(); !f.SilencePersists {
 			r.expect("the change during the silence", l, err, 4, false, 1)
 		} else if !errors.Is(err, syscall.ECONNRESET) || r.s.Counts("x").Resets != 2 {
 			t.Errorf("%+v: %+v %v", f, l, err)
 		}
 	}
 	r, x, y := newWatches(t)
-	_ = r.s.Late(150*time.Millisecond, "x")
+	_ = r.s.SetDelay(150*time.Millisecond, "x")
 	start := time.Now()
 	r.s.Put(testEntry("a", Leaving))
 	otherUnaffected(r, y)
 	l, err := x()
 	r.expect("delayed change", l, err, 4, false, 1)
-	if time.Since(start) < 150*time.Millisecond || r.s.Counts("x").Lates != 1 || r.s.Counts("y").Lates != 0 {
+	if time.Since(start) < 150*time.Millisecond || r.s.Counts("x").Delayed != 1 || r.s.Counts("y").Delayed != 0 {
 		t.Errorf("after %v: %+v", time.Since(start), r.s.Counts("x"))
 	}
-	_ = r.s.Up()
+	_ = r.s.ClearFaults()
 
-	r.s.OldList(2, "x")
+	r.s.SendOldList(2, "x")
 	l, err = x()
 	r.expect("old list", l, err, 2, true, 2)
-	if deliveries := r.s.Told("x"); deliveries[len(deliveries)-2].Entry.Status != Left || deliveries[len(deliveries)-1].Entry.Status != Active || len(deliveries) != 6 {
+	if deliveries := r.s.Deliveries("x"); deliveries[len(deliveries)-2].Entry.Status != Left || deliveries[len(deliveries)-1].Entry.Status != Active || len(deliveries) != 6 {
 		t.Errorf("deliveries of the old list: %+v", deliveries)
 	}
 	r.s.Put(testEntry("b", Leaving))
@@ -338,40 +338,40 @@
 	r.expect("change after the old list", l, err, 5, false, 1)
 	otherUnaffected(r, y)
 
-	r.s.CutHalfway("x")
+	r.s.TruncateNextList("x")
 	r.s.Put(testEntry("c", Leaving))
 	otherUnaffected(r, y)
-	if l, err = x(); !errors.Is(err, io.ErrUnexpectedEOF) || len(r.s.Told("x")) != 7 {
-		t.Errorf("truncated line: %+v %v, %d deliveries", l, err, len(r.s.Told("x")))
+	if l, err = x(); !errors.Is(err, io.ErrUnexpectedEOF) || len(r.s.Deliveries("x")) != 7 {
+		t.Errorf("truncated line: %+v %v, %d deliveries", l, err, len(r.s.Deliveries("x")))
 	}
-	r.s.CutHalfway("x")
+	r.s.TruncateNextList("x")
 	if _, _, err = r.get("x", ""); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("truncated response: %v", err)
 	}
 
-	_ = r.s.Refuse("x")
+	_ = r.s.RejectCalls("x")
 	if _, status, _ := r.get("x", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("rejected call: status %d", status)
 	}
-	if n := r.s.Say("nonsense"); n != 1 {
+	if n := r.s.InjectLine("nonsense"); n != 1 {
 		t.Errorf("line injected on %d watches", n)
 	}
 	if _, err = y(); err == nil {
 		t.Error("an invalid line was read as a list")
 	}
-	r.s.Reset("y")
+	r.s.ResetConns("y")
 	for err = nil; err == nil; _, err = y() {
 	}
 	r.waitFor("the watch was not closed", "y", func(c Counts) bool { return c.Open == 0 })
-	if c := r.s.Counts("x"); c.Olds != 1 || c.Cuts != 2 || c.Refused != 1 || c.Failed != 1 || c.Open != 0 {
+	if c := r.s.Counts("x"); c.OldLists != 1 || c.Truncated != 2 || c.Rejected != 1 || c.Failed != 1 || c.Open != 0 {
 		t.Errorf("%+v", c)
 	}
-	if c := r.s.Counts("y"); c.Resets != 1 || c.Said != 1 || c.Olds+c.Cuts+c.Refused != 0 || !errors.Is(err, syscall.ECONNRESET) {
+	if c := r.s.Counts("y"); c.Resets != 1 || c.InjectedLines != 1 || c.OldLists+c.Truncated+c.Rejected != 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%+v %v", c, err)
 	}
 
 	r = newFixture(t, Options{Mode: Poll})
-	_ = r.s.Down("x")
+	_ = r.s.SetDown("x")
 	if _, _, err = r.get("x", ""); err == nil || r.s.Counts("x").Downs != 1 {
 		t.Errorf("down: %v %+v", err, r.s.Counts("x"))
 	}
@@ -379,11 +379,11 @@
 		t.Error(err)
 	}
 
-	for f, want := range map[Fault]error{{Reset: true}: syscall.ECONNRESET, {Shut: true}: syscall.ECONNREFUSED} {
+	for f, want := range map[Fault]error{{Reset: true}: syscall.ECONNRESET, {StopListening: true}: syscall.ECONNREFUSED} {
 		r, x, y := newWatches(t)
 		addr, _ := r.s.AddrFor("x")
 		set := func(f Fault) {
-			if err := r.s.Set(f, "x"); err != nil {
+			if err := r.s.SetFault(f, "x"); err != nil {
 				t.Error(err)
 			}
 		}
@@ -395,7 +395,7 @@
 		if _, _, err := r.get("x", ""); !errors.Is(err, want) {
 			t.Errorf("%+v: call: %v", f, err)
 		}
-		if c := r.s.Counts("x"); c.Downs < c.Came || f.Shut != (c.Came == 1) {
+		if c := r.s.Counts("x"); c.Downs < c.Conns || f.StopListening != (c.Conns == 1) {
 			t.Errorf("%+v: %+v", f, c)
 		}
 		r.s.Put(testEntry("a", Leaving))
@@ -407,7 +407,7 @@
 		if l, _, err := r.get("x", ""); err != nil || l.Index != 4 {
 			t.Errorf("%+v: call after the fault: %+v %v", f, l, err)
 		}
-		_ = r.s.Set(Fault{Shut: true})
+		_ = r.s.SetFault(Fault{StopListening: true})
 		if nc, err := net.Dial("tcp", r.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("shared address accepts connections while no address should listen: %v %v", nc, err)
 		}
@@ -428,7 +428,7 @@
 	}
 	wg.Wait()
 	c := r.s.Counts()
-	if c.Calls != 8 || c.Served == 0 || c.TooLong == 0 || c.Full == 0 || c.Waited != c.TooLong || c.Served+c.Failed != 8 || c.Failed != c.TooLong+c.Full {
+	if c.Calls != 8 || c.Served == 0 || c.TooLong == 0 || c.Full == 0 || c.Queued != c.TooLong || c.Served+c.Failed != 8 || c.Failed != c.TooLong+c.Full {
 		t.Errorf("%+v", c)
 	}
 	if a, b := r.s.Counts("0"), r.s.Counts("1"); a.Calls != 4 || b.Calls != 4 {
@@ -446,7 +446,7 @@
 	}
 	wg.Wait()
 	a, b := both[0].s.Counts(), both[1].s.Counts()
-	if l := shared.Load(); l.Calls != 8 || l.Refused != a.Failed+b.Failed || a.Full+b.Full == 0 || a.Calls != 4 || b.Calls != 4 || l.Peak < 3 || l.Peak > 8 {
+	if l := shared.Load(); l.Calls != 8 || l.Rejected != a.Failed+b.Failed || a.Full+b.Full == 0 || a.Calls != 4 || b.Calls != 4 || l.PeakPerSecond < 3 || l.PeakPerSecond > 8 {
 		t.Errorf("%+v, %+v and %+v", l, a, b)
 	}
 }
@@ -458,7 +458,7 @@
 		r.s.Put(testEntry(fmt.Sprint(i), Active))
 	}
 	_, _, _ = r.get("x", "")
-	if deliveries := r.s.Told("x"); len(deliveries) != 2 || deliveries[1].Entry.Name != "9" || r.s.Counts("x").Forgotten != 8 {
+	if deliveries := r.s.Deliveries("x"); len(deliveries) != 2 || deliveries[1].Entry.Name != "9" || r.s.Counts("x").DroppedDeliveries != 8 {
 		t.Errorf("%+v", deliveries)
 	}
 	_, _ = r.s.AddrFor("y")
--- a/internal/testkit/fake/discovery/fault.go
+++ b/internal/testkit/fake/discovery/fault.go
@@ -11,22 +11,22 @@
 type Fault struct {
 	// Down: in mode Push the agent accepts connections and sends nothing. In the other modes, existing and
 	// new connections are reset.
-	Down    bool
-	Reset   bool          // existing and new connections are reset in every mode
-	Shut    bool          // no listener at the callers' own addresses, or at any address if set for all callers; the port stays bound
-	Silent  bool          // open watches send nothing and calls get no response
-	Answers bool          // with Silent: calls made from now on are answered and their watches send
-	Lost    bool          // with Silent or Down: connections that were silenced stay silent after the fault
-	Refuse  bool          // calls are answered with 503 without using capacity
-	Late    time.Duration // delay of responses and changes, but not of heartbeats
-	epoch   int
+	Down            bool
+	Reset           bool          // existing and new connections are reset in every mode
+	StopListening   bool          // no listener at the callers' own addresses, or at any address if set for all callers; the port stays bound
+	Silent          bool          // open watches send nothing and calls get no response
+	AnswerNewCalls  bool          // with Silent: calls made from now on are answered and their watches send
+	SilencePersists bool          // with Silent or Down: connections that were silenced stay silent after the fault
+	RejectCalls     bool          // calls are answered with 503 without using capacity
+	Delay           time.Duration // delay of responses and changes, but not of heartbeats
+	epoch           int
 }
 
 // resetsConns reports whether connections are reset under the fault.
-func (f Fault) resetsConns(m Mode) bool { return f.Reset || f.Shut || f.Down && m != Push }
+func (f Fault) resetsConns(m Mode) bool { return f.Reset || f.StopListening || f.Down && m != Push }
 
-// Set replaces the fault of the named callers, or of all callers including future ones.
-func (s *Service) Set(f Fault, callers ...string) error {
+// SetFault replaces the fault of the named callers, or of all callers including future ones.
+func (s *Service) SetFault(f Fault, callers ...string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch++
@@ -43,7 +43,7 @@
 			c.once = oneTimeFaults{}
 		}
 	}, func(n *conn) {
-		if n.busy && f.Lost && n.silencedBy(f) {
+		if n.busy && f.SilencePersists && n.silencedBy(f) {
 			n.silencedForever = true
 		}
 		if f.resetsConns(s.opt.Mode) {
@@ -55,7 +55,7 @@
 	var errs []error
 	for name, p := range s.ports {
 		if len(callers) == 0 || name != "" && slices.Contains(callers, name) {
-			errs = append(errs, p.setClosed(f.Shut))
+			errs = append(errs, p.setClosed(f.StopListening))
 		}
 	}
 	return errors.Join(errs...)
@@ -79,25 +79,29 @@
 	}
 }
 
-// Up ends all faults, including one-time faults that have not happened yet.
-func (s *Service) Up(callers ...string) error { return s.Set(Fault{}, callers...) }
+// ClearFaults ends all faults, including one-time faults that have not happened yet.
+func (s *Service) ClearFaults(callers ...string) error { return s.SetFault(Fault{}, callers...) }
 
-// Down sets the fault Down.
-func (s *Service) Down(callers ...string) error { return s.Set(Fault{Down: true}, callers...) }
+// SetDown sets the fault Down.
+func (s *Service) SetDown(callers ...string) error { return s.SetFault(Fault{Down: true}, callers...) }
 
-// Silent sets the fault Silent.
-func (s *Service) Silent(callers ...string) error { return s.Set(Fault{Silent: true}, callers...) }
+// SetSilent sets the fault Silent.
+func (s *Service) SetSilent(callers ...string) error {
+	return s.SetFault(Fault{Silent: true}, callers...)
+}
 
-// Late delays responses and changes.
-func (s *Service) Late(by time.Duration, callers ...string) error {
-	return s.Set(Fault{Late: by}, callers...)
+// SetDelay delays responses and changes.
+func (s *Service) SetDelay(by time.Duration, callers ...string) error {
+	return s.SetFault(Fault{Delay: by}, callers...)
 }
 
-// Refuse answers calls with 503.
-func (s *Service) Refuse(callers ...string) error { return s.Set(Fault{Refuse: true}, callers...) }
+// RejectCalls answers calls with 503.
+func (s *Service) RejectCalls(callers ...string) error {
+	return s.SetFault(Fault{RejectCalls: true}, callers...)
+}
 
-// Reset resets open watches and waiting calls now.
-func (s *Service) Reset(callers ...string) {
+// ResetConns resets open watches and waiting calls now.
+func (s *Service) ResetConns(callers ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forEach(callers, nil, func(n *conn) {
@@ -108,14 +112,14 @@
 	})
 }
 
-// CutHalfway sends each caller only the first half of its next list and closes the connection.
-func (s *Service) CutHalfway(callers ...string) {
+// TruncateNextList sends each caller only the first half of its next list and closes the connection.
+func (s *Service) TruncateNextList(callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.truncate = true })
 }
 
-// OldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
+// SendOldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
 // response to its next call. The watch then continues from the version that it had reached before.
-func (s *Service) OldList(back int, callers ...string) {
+func (s *Service) SendOldList(back int, callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.versionsBack = max(back, 0) })
 }
 
@@ -131,9 +135,9 @@
 
 const maxInjectedLines = 64
 
-// Say writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
+// InjectLine writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
 // pending lines is skipped.
-func (s *Service) Say(line string, callers ...string) (watches int) {
+func (s *Service) InjectLine(line string, callers ...string) (watches int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forEach(callers, nil, func(n *conn) {
@@ -148,13 +152,13 @@
 
 // silencedBy reports whether a fault silences the connection. The caller holds s.mu.
 func (n *conn) silencedBy(f Fault) bool {
-	return f.Down && n.s.opt.Mode == Push && !f.resetsConns(Push) || f.Silent && (!f.Answers || n.callEpoch < f.epoch)
+	return f.Down && n.s.opt.Mode == Push && !f.resetsConns(Push) || f.Silent && (!f.AnswerNewCalls || n.callEpoch < f.epoch)
 }
 
 // checkSilenced reports whether the connection currently sends nothing, and counts each silence once. The caller holds s.mu.
 func (n *conn) checkSilenced() bool {
 	if f := n.caller.fault; n.silencedBy(f) {
-		n.silencedForever = n.silencedForever || f.Lost
+		n.silencedForever = n.silencedForever || f.SilencePersists
 		if !n.silenced && f.Down {
 			n.caller.counts.Downs++
 		} else if !n.silenced {
--- a/internal/testkit/fake/discovery/list.go
+++ b/internal/testkit/fake/discovery/list.go
@@ -89,8 +89,8 @@
 	previous *Entry // nil: not listed before
 }
 
-// Book holds the list, its version and a bounded history of changes.
-type Book struct {
+// VersionedList holds the list, its version and a bounded history of changes.
+type VersionedList struct {
 	index      int64
 	oldest     int64 // the history holds all changes after this version
 	maxHistory int
@@ -99,19 +99,19 @@
 	snapshot   *List // complete list of the current version, cached by List
 }
 
-// NewBook creates an empty list at a version. maxHistory bounds the history in changed entries.
-func NewBook(index int64, maxHistory int) *Book {
-	return &Book{index: index, oldest: index, maxHistory: maxHistory, entries: map[string]Entry{}}
+// NewVersionedList creates an empty list at a version. maxHistory bounds the history in changed entries.
+func NewVersionedList(index int64, maxHistory int) *VersionedList {
+	return &VersionedList{index: index, oldest: index, maxHistory: maxHistory, entries: map[string]Entry{}}
 }
 
 // Index returns the current version.
-func (b *Book) Index() int64 { return b.index }
+func (b *VersionedList) Index() int64 { return b.index }
 
 // Oldest returns the earliest version whose later changes are all in the history.
-func (b *Book) Oldest() int64 { return b.oldest }
+func (b *VersionedList) Oldest() int64 { return b.oldest }
 
 // Put applies entries as the next version.
-func (b *Book) Put(entries ...Entry) int64 {
+func (b *VersionedList) Put(entries ...Entry) int64 {
 	b.index++
 	b.snapshot = nil
 	for _, e := range entries {
@@ -134,12 +134,12 @@
 }
 
 // indexAfter returns the position in the history of the first change after a version.
-func (b *Book) indexAfter(index int64) int {
+func (b *VersionedList) indexAfter(index int64) int {
 	return sort.Search(len(b.history), func(i int) bool { return b.history[i].index > index })
 }
 
 // List returns the complete list. Its entries are shared and must not be modified.
-func (b *Book) List() List {
+func (b *VersionedList) List() List {
 	if b.snapshot == nil {
 		b.snapshot = &List{Index: b.index, Full: true, Entries: byName(b.entries)}
 	}
@@ -147,7 +147,7 @@
 }
 
 // At returns the complete list at a version, or false if the history does not cover it.
-func (b *Book) At(index int64) (List, bool) {
+func (b *VersionedList) At(index int64) (List, bool) {
 	if index == b.index {
 		return b.List(), true
 	}
@@ -167,7 +167,7 @@
 
 // Changes returns the changes after one version up to another, each entry once in its last state, or
 // false if the history does not cover them.
-func (b *Book) Changes(from, to int64) (List, bool) {
+func (b *VersionedList) Changes(from, to int64) (List, bool) {
 	if from < b.oldest || from > to || to > b.index {
 		return List{}, false
 	}
@@ -185,7 +185,7 @@
 
 // After returns what to send to a caller that holds a version: the changes since, or the complete list if the
 // history does not cover them.
-func (b *Book) After(index int64) List {
+func (b *VersionedList) After(index int64) List {
 	if l, ok := b.Changes(index, b.index); ok {
 		return l
 	}
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -34,11 +34,11 @@
 	Callers     int                      // maximum number of named callers, further ones are counted as one; 0: 4096
 	Conns       int                      // maximum number of connections, further ones are closed at once; 0: 4096
 	Tolds       int                      // deliveries recorded for each caller; 0: 16384
-	Heard       func(caller, uri string) // called for each call on receipt; nil: not called
+	OnCall      func(caller, uri string) // called for each call on receipt; nil: not called
 	Shared      *Capacity                // shared with other services, replaces Capacity, Patience and Queue; nil: not shared
-	// Written is called after each list that was written completely, with the entries that Deliveries records.
+	// OnWritten is called after each list that was written completely, with the entries that Deliveries records.
 	// It must not call the service. nil: not called.
-	Written func(caller string, full bool, entries []Entry, at time.Time)
+	OnWritten func(caller string, full bool, entries []Entry, at time.Time)
 }
 
 func (o *Options) setDefaults() error {
@@ -70,36 +70,36 @@
 
 // Counts are the counters of one caller or of several together.
 type Counts struct {
-	Came    int // connections
-	Calls   int // received completely
-	Served  int // answered with a list, or a watch opened
-	Failed  int // answered with an error: TooLong, Full, Refused, and invalid calls
-	Watches int // opened
-	Open    int // watches open now
-	Lines   int // written completely on watches, including heartbeats
-	Beats   int // heartbeats
-	Waited  int // calls that waited in the queue
-	Longest time.Duration
-	TooLong int
-	Full    int
+	Conns       int // connections
+	Calls       int // received completely
+	Served      int // answered with a list, or a watch opened
+	Failed      int // answered with an error: TooLong, Full, Refused, and invalid calls
+	Watches     int // opened
+	Open        int // watches open now
+	Lines       int // written completely on watches, including heartbeats
+	Beats       int // heartbeats
+	Queued      int // calls that waited in the queue
+	LongestWait time.Duration
+	TooLong     int
+	Full        int
 
-	Downs, Silences  int // calls and open watches that were reset or got no response because of the fault
-	Refused          int
-	Lates            int // responses and lines that were delayed
-	Resets           int
-	Cuts, Olds, Said int
-	Forgotten        int // recorded deliveries dropped because of the bound
+	Downs, Silences                    int // calls and open watches that were reset or got no response because of the fault
+	Rejected                           int
+	Delayed                            int // responses and lines that were delayed
+	Resets                             int
+	Truncated, OldLists, InjectedLines int
+	DroppedDeliveries                  int // recorded deliveries dropped because of the bound
 }
 
 func (c *Counts) add(o Counts) {
-	longest := max(c.Longest, o.Longest)
-	for _, p := range [][2]*int{{&c.Came, &o.Came}, {&c.Calls, &o.Calls}, {&c.Served, &o.Served}, {&c.Failed, &o.Failed}, {&c.Watches, &o.Watches},
-		{&c.Open, &o.Open}, {&c.Lines, &o.Lines}, {&c.Beats, &o.Beats}, {&c.Waited, &o.Waited}, {&c.TooLong, &o.TooLong},
-		{&c.Full, &o.Full}, {&c.Downs, &o.Downs}, {&c.Silences, &o.Silences}, {&c.Refused, &o.Refused}, {&c.Lates, &o.Lates},
-		{&c.Resets, &o.Resets}, {&c.Cuts, &o.Cuts}, {&c.Olds, &o.Olds}, {&c.Said, &o.Said}, {&c.Forgotten, &o.Forgotten}} {
+	longest := max(c.LongestWait, o.LongestWait)
+	for _, p := range [][2]*int{{&c.Conns, &o.Conns}, {&c.Calls, &o.Calls}, {&c.Served, &o.Served}, {&c.Failed, &o.Failed}, {&c.Watches, &o.Watches},
+		{&c.Open, &o.Open}, {&c.Lines, &o.Lines}, {&c.Beats, &o.Beats}, {&c.Queued, &o.Queued}, {&c.TooLong, &o.TooLong},
+		{&c.Full, &o.Full}, {&c.Downs, &o.Downs}, {&c.Silences, &o.Silences}, {&c.Rejected, &o.Rejected}, {&c.Delayed, &o.Delayed},
+		{&c.Resets, &o.Resets}, {&c.Truncated, &o.Truncated}, {&c.OldLists, &o.OldLists}, {&c.InjectedLines, &o.InjectedLines}, {&c.DroppedDeliveries, &o.DroppedDeliveries}} {
 		*p[0] += *p[1]
 	}
-	c.Longest = longest
+	c.LongestWait = longest
 }
 
 // Others is the name under which callers above Options.Callers are counted.
@@ -129,7 +129,7 @@
 type Service struct {
 	opt      Options
 	mu       sync.Mutex
-	list     *Book
+	list     *VersionedList
 	capacity *Capacity
 	putTimes []putTime // times of the versions in the history
 	epoch    int       // number of faults set
@@ -161,7 +161,7 @@
 	if capacity == nil {
 		capacity = newCapacity(opt)
 	}
-	s := &Service{opt: opt, list: NewBook(opt.Index, opt.Keep), capacity: capacity,
+	s := &Service{opt: opt, list: NewVersionedList(opt.Index, opt.Keep), capacity: capacity,
 		callers: map[string]*caller{}, ports: map[string]*port{}, conns: map[*conn]bool{}}
 	if _, err := s.AddrFor(""); err != nil {
 		return nil, err
@@ -198,7 +198,7 @@
 		f = s.caller(name).fault
 	}
 	s.ports[name] = p
-	return p.addr, p.setClosed(f.Shut)
+	return p.addr, p.setClosed(f.StopListening)
 }
 
 // caller returns the caller of a name and creates it if needed. The goroutine holds s.mu.
@@ -295,9 +295,9 @@
 	return slices.Sorted(maps.Keys(s.callers))
 }
 
-// Told is one entry that was written to a caller. For a complete list, only the entries are recorded that differ
+// Delivery is one entry that was written to a caller. For a complete list, only the entries are recorded that differ
 // from what the caller had been sent before.
-type Told struct {
+type Delivery struct {
 	Index int64
 	Entry Entry
 	At    time.Time // after the write
@@ -309,15 +309,15 @@
 	at    time.Time
 }
 
-// Told returns the entries written to a caller, in the order of writing.
-func (s *Service) Told(name string) (all []Told) {
+// Deliveries returns the entries written to a caller, in the order of writing.
+func (s *Service) Deliveries(name string) (all []Delivery) {
 	list := s.settledCallers([]string{name})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range list {
 		for i := range c.deliveries {
 			t := c.deliveries[(c.oldest+i)%len(c.deliveries)]
-			all = append(all, Told{t.index, *t.entry, t.at})
+			all = append(all, Delivery{t.index, *t.entry, t.at})
 		}
 	}
 	return all
@@ -343,8 +343,8 @@
 		}
 	}
 	c.sentIndex = l.Index
-	if s.opt.Written != nil {
-		s.opt.Written(c.name, l.Full, changed, at)
+	if s.opt.OnWritten != nil {
+		s.opt.OnWritten(c.name, l.Full, changed, at)
 	}
 	for i := range changed {
 		t := delivery{l.Index, &changed[i], at}
@@ -354,7 +354,7 @@
 		}
 		c.deliveries[c.oldest] = t
 		c.oldest = (c.oldest + 1) % len(c.deliveries)
-		c.counts.Forgotten++
+		c.counts.DroppedDeliveries++
 	}
 }
 
--- a/internal/testkit/fake/link/datagram.go
+++ b/internal/testkit/fake/link/datagram.go
@@ -45,7 +45,7 @@
 		}
 		f, _, _ := l.currentFault(d)
 		// Each datagram takes the same draws whatever the fault, so that switching a fault does not shift the others' draws.
-		lost, doubled, reordered, jitter := rng.Float64() < f.Loss, rng.Float64() < f.Double, rng.Float64() < f.Reorder, rng.Float64()
+		lost, doubled, reordered, jitter := rng.Float64() < f.Loss, rng.Float64() < f.Duplicate, rng.Float64() < f.Reorder, rng.Float64()
 		count := func(count func(*Counts)) { l.count(d, count) }
 		switch {
 		case f.Cut:
@@ -61,7 +61,7 @@
 		copies := 1
 		if doubled {
 			copies = 2
-			count(func(c *Counts) { c.Doubled++ })
+			count(func(c *Counts) { c.Duplicated++ })
 		}
 		data := append([]byte(nil), b[:n]...)
 		send := func() {
@@ -96,7 +96,7 @@
 
 func (l *Link) sendDatagram(d Direction, out *net.UDPConn, data []byte, to net.Addr) {
 	if _, err := out.WriteTo(data, to); err == nil {
-		l.count(d, func(c *Counts) { c.Pieces++; c.Bytes += len(data) })
+		l.count(d, func(c *Counts) { c.Chunks++; c.Bytes += len(data) })
 	}
 }
 
--- a/internal/testkit/fake/link/heldlistener.go
+++ b/internal/testkit/fake/link/heldlistener.go
@@ -183,5 +183,5 @@
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], at.Port)
 }
 
-// Waiting returns how many connects to the link's address are in progress.
-func (l *Link) Waiting() int { return len(findSockets(l.tcp[0].ln.Addr(), 2, synSent)) }
+// PendingConnects returns how many connects to the link's address are in progress.
+func (l *Link) PendingConnects() int { return len(findSockets(l.tcp[0].ln.Addr(), 2, synSent)) }
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -46,19 +46,19 @@
 
 // Fault is a fault of one direction. The zero value is no fault.
 type Fault struct {
-	Cut, Silent           bool
-	Delay, Jitter         time.Duration
-	Loss, Double, Reorder float64 // probabilities for each chunk
-	Trickle               int     // bytes per second
-	ResetAfter            int     // bytes
-	HalfOpen, Hold        bool
+	Cut, Silent              bool
+	Delay, Jitter            time.Duration
+	Loss, Duplicate, Reorder float64 // probabilities for each chunk
+	BytesPerSecond           int     // bytes per second
+	ResetAfter               int     // bytes
+	HalfOpen, Hold           bool
 }
 
 // Counts are the traffic and the fault counters of a direction.
 type Counts struct {
-	Conns, Pieces, Bytes int // connections accepted; chunks and bytes forwarded
+	Conns, Chunks, Bytes int // connections accepted; chunks and bytes forwarded
 	// Chunks and connections affected by each fault.
-	Cut, Silenced, Delayed, Lost, Doubled, Reordered, Trickled, Reset, Half int
+	Cut, Silenced, Delayed, Lost, Duplicated, Reordered, RateLimited, Reset, HalfOpen int
 }
 
 // Options configure a link.
@@ -74,42 +74,42 @@
 
 // Conn describes a TCP connection.
 type Conn struct {
-	Out    string    // remote address that the second party sees
-	Opened time.Time // it was accepted
-	Ended  time.Time // its dialer closed it, or it was reset; zero: still open
+	OutboundAddr string    // remote address that the second party sees
+	Opened       time.Time // it was accepted
+	Ended        time.Time // its dialer closed it, or it was reset; zero: still open
 }
 
-// Unfit reports a fault that the network does not support or a value out of range.
-type Unfit struct{ Network, Fault string }
+// UnsupportedFault reports a fault that the network does not support or a value out of range.
+type UnsupportedFault struct{ Network, Fault string }
 
-func (e *Unfit) Error() string {
+func (e *UnsupportedFault) Error() string {
 	return fmt.Sprintf("link: a %s link does not support %s", e.Network, e.Fault)
 }
 
 // Code implements operr.Coded.
-func (e *Unfit) Code() string { return "link-fault-unfit" }
+func (e *UnsupportedFault) Code() string { return "link-fault-unfit" }
 
 // Advice implements operr.Coded.
-func (e *Unfit) Advice() string {
+func (e *UnsupportedFault) Advice() string {
 	return "use a fault that the link's network supports according to the table in the package comment"
 }
 
-// NotOpen reports a socket of the link that could not be opened.
-type NotOpen struct {
+// OpenError reports a socket of the link that could not be opened.
+type OpenError struct {
 	Address string
 	Err     error
 }
 
-func (e *NotOpen) Error() string { return fmt.Sprintf("link: open %s: %v", e.Address, e.Err) }
-func (e *NotOpen) Unwrap() error { return e.Err }
+func (e *OpenError) Error() string { return fmt.Sprintf("link: open %s: %v", e.Address, e.Err) }
+func (e *OpenError) Unwrap() error { return e.Err }
 
 // Code implements operr.Coded.
-func (e *NotOpen) Code() string { return "link-not-open" }
+func (e *OpenError) Code() string { return "link-not-open" }
 
 // Advice implements operr.Coded.
-func (e *NotOpen) Advice() string { return "give the link a free loopback address" }
+func (e *OpenError) Advice() string { return "give the link a free loopback address" }
 
-var _ = func() bool { operr.Register(&Unfit{}, &NotOpen{}); return true }()
+var _ = func() bool { operr.Register(&UnsupportedFault{}, &OpenError{}); return true }()
 
 // Link is a running link.
 type Link struct {
@@ -142,7 +142,7 @@
 	l := &Link{opt: opt, changed: make(chan struct{}), openPipes: map[*pipe]bool{}, done: make(chan struct{})}
 	fail := func(at string, err error) (*Link, error) {
 		l.Close()
-		return nil, &NotOpen{at, err}
+		return nil, &OpenError{at, err}
 	}
 	ends := []struct {
 		at, to string
@@ -150,7 +150,7 @@
 	switch opt.Network {
 	case "tcp", "udp", "both":
 	default:
-		return nil, &Unfit{opt.Network, "any fault; the network must be tcp, udp or both"}
+		return nil, &UnsupportedFault{opt.Network, "any fault; the network must be tcp, udp or both"}
 	}
 	if opt.Network != "udp" {
 		for i, e := range ends[:map[string]int{"tcp": 1, "both": 2}[opt.Network]] {
@@ -207,16 +207,16 @@
 	return l.udp[1].LocalAddr().String()
 }
 
-// Set switches a direction's fault for existing and new connections.
-func (l *Link) Set(dir Direction, f Fault) error {
-	stream := f.Trickle != 0 || f.ResetAfter != 0 || f.HalfOpen || f.Hold
+// SetFault switches a direction's fault for existing and new connections.
+func (l *Link) SetFault(dir Direction, f Fault) error {
+	stream := f.BytesPerSecond != 0 || f.ResetAfter != 0 || f.HalfOpen || f.Hold
 	switch {
-	case l.opt.Network == "tcp" && (f.Double != 0 || f.Reorder != 0):
-		return &Unfit{"tcp", "duplication or reordering"}
+	case l.opt.Network == "tcp" && (f.Duplicate != 0 || f.Reorder != 0):
+		return &UnsupportedFault{"tcp", "duplication or reordering"}
 	case l.opt.Network == "udp" && stream:
-		return &Unfit{"udp", "a rate limit, a reset, or a half-open or held connection"}
-	case f.Loss < 0 || f.Loss > 1 || f.Double < 0 || f.Double > 1 || f.Reorder < 0 || f.Reorder > 1 || f.Delay < 0 || f.Jitter < 0 || f.Trickle < 0 || f.ResetAfter < 0:
-		return &Unfit{l.opt.Network, "a probability outside 0 to 1 or a negative value"}
+		return &UnsupportedFault{"udp", "a rate limit, a reset, or a half-open or held connection"}
+	case f.Loss < 0 || f.Loss > 1 || f.Duplicate < 0 || f.Duplicate > 1 || f.Reorder < 0 || f.Reorder > 1 || f.Delay < 0 || f.Jitter < 0 || f.BytesPerSecond < 0 || f.ResetAfter < 0:
+		return &UnsupportedFault{l.opt.Network, "a probability outside 0 to 1 or a negative value"}
 	}
 	l.mu.Lock()
 	for d := range l.fault {
@@ -239,7 +239,7 @@
 			continue
 		}
 		if err := g.setHeld(hold[i]); err != nil {
-			return &NotOpen{g.addr(), err}
+			return &OpenError{g.addr(), err}
 		}
 	}
 	for _, p := range open {
@@ -258,8 +258,8 @@
 		return l.counts[dir]
 	}
 	a, b := l.counts[0], l.counts[1]
-	return Counts{a.Conns + b.Conns, a.Pieces + b.Pieces, a.Bytes + b.Bytes, a.Cut + b.Cut, a.Silenced + b.Silenced, a.Delayed + b.Delayed,
-		a.Lost + b.Lost, a.Doubled + b.Doubled, a.Reordered + b.Reordered, a.Trickled + b.Trickled, a.Reset + b.Reset, a.Half + b.Half}
+	return Counts{a.Conns + b.Conns, a.Chunks + b.Chunks, a.Bytes + b.Bytes, a.Cut + b.Cut, a.Silenced + b.Silenced, a.Delayed + b.Delayed,
+		a.Lost + b.Lost, a.Duplicated + b.Duplicated, a.Reordered + b.Reordered, a.RateLimited + b.RateLimited, a.Reset + b.Reset, a.HalfOpen + b.HalfOpen}
 }
 
 // Conns returns all TCP connections so far, in the order of their acceptance.
@@ -272,15 +272,15 @@
 	return all
 }
 
-// Open returns the number of open TCP connections.
-func (l *Link) Open() int {
+// OpenConns returns the number of open TCP connections.
+func (l *Link) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.openPipes)
 }
 
-// Reset resets the open connections and leaves the faults unchanged.
-func (l *Link) Reset() {
+// ResetConns resets the open connections and leaves the faults unchanged.
+func (l *Link) ResetConns() {
 	l.mu.Lock()
 	var open []*pipe
 	for p := range l.openPipes {
@@ -312,7 +312,7 @@
 			u.Close()
 		}
 	}
-	l.Reset()
+	l.ResetConns()
 	l.wg.Wait()
 }
 
--- a/internal/testkit/fake/link/link_test.go
+++ b/internal/testkit/fake/link/link_test.go
@@ -64,7 +64,7 @@
 
 func (p *fixture) set(t *testing.T, d Direction, f Fault) {
 	t.Helper()
-	if err := p.l.Set(d, f); err != nil {
+	if err := p.l.SetFault(d, f); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -124,7 +124,7 @@
 		{"delay", Fault{Delay: 100 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(c Counts) int { return c.Delayed },
 			func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
 		{"loss", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, p *fixture) { expectAllData(t, p, retransmitDelay) }},
-		{"trickle", Fault{Trickle: 500000}, func(c Counts) int { return c.Trickled }, func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
+		{"trickle", Fault{BytesPerSecond: 500000}, func(c Counts) int { return c.RateLimited }, func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
 		{"reset", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, p *fixture) {
 			go func() { _, _ = p.near.Write(big) }()
 			if n, err := io.Copy(io.Discard, p.far); n > 10 || !errors.Is(err, syscall.ECONNRESET) {
@@ -139,7 +139,7 @@
 			}
 			expectDelivery(t, p.far, p.near, "back")
 		}},
-		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.Half }, func(t *testing.T, p *fixture) {
+		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.HalfOpen }, func(t *testing.T, p *fixture) {
 			_, _ = io.WriteString(p.near, "x")
 			if _, err := io.ReadAll(p.far); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("receiver: %v", err)
@@ -203,7 +203,7 @@
 		}
 		connected <- nc
 	}()
-	waitFor(t, "no pending connect", func() bool { return p.l.Waiting() == 1 })
+	waitFor(t, "no pending connect", func() bool { return p.l.PendingConnects() == 1 })
 	select {
 	case <-connected:
 		t.Error("a connect to the held link succeeded")
@@ -220,7 +220,7 @@
 	p.set(t, Both, Fault{Silent: true})
 	p.near.Close()
 	waitFor(t, "the dialer's close was not noticed", func() bool { all := p.l.Conns(); return !all[len(all)-1].Ended.IsZero() })
-	if c := p.l.Conns(); c[len(c)-1].Out != p.far.RemoteAddr().String() {
+	if c := p.l.Conns(); c[len(c)-1].OutboundAddr != p.far.RemoteAddr().String() {
 		t.Errorf("%+v", c)
 	}
 	p.set(t, Both, Fault{})
@@ -231,9 +231,9 @@
 		}
 		nc.Close()
 	}
-	for _, f := range []Fault{{Double: 1}, {Loss: 2}} {
-		var unfit *Unfit
-		if err := p.l.Set(Forward, f); !errors.As(err, &unfit) {
+	for _, f := range []Fault{{Duplicate: 1}, {Loss: 2}} {
+		var unfit *UnsupportedFault
+		if err := p.l.SetFault(Forward, f); !errors.As(err, &unfit) {
 			t.Errorf("%+v: %v", f, err)
 		}
 	}
@@ -270,11 +270,11 @@
 		read(b, l.Back())
 		set := func(f Fault) {
 			t.Helper()
-			if err := l.Set(Forward, f); err != nil {
+			if err := l.SetFault(Forward, f); err != nil {
 				t.Fatal(err)
 			}
 		}
-		set(Fault{Double: 1})
+		set(Fault{Duplicate: 1})
 		send(a, there, 3)
 		if read(b, l.Back())+read(b, l.Back()) != 6 {
 			t.Error("datagram not duplicated")
@@ -295,7 +295,7 @@
 		for i := range 40 {
 			c := l.Counts(Forward)
 			send(a, there, 7)
-			waitFor(t, "datagram neither lost nor forwarded", func() bool { d := l.Counts(Forward); return d.Lost+d.Pieces > c.Lost+c.Pieces })
+			waitFor(t, "datagram neither lost nor forwarded", func() bool { d := l.Counts(Forward); return d.Lost+d.Chunks > c.Lost+c.Chunks })
 			if l.Counts(Forward).Lost > c.Lost {
 				lost = append(lost, i)
 			}
--- a/internal/testkit/fake/link/pipe.go
+++ b/internal/testkit/fake/link/pipe.go
@@ -67,7 +67,7 @@
 		return
 	}
 	if l.fault[dir].HalfOpen {
-		l.counts[dir].Half++ // the other side is never dialled
+		l.counts[dir].HalfOpen++ // the other side is never dialled
 		p.halfOpen[dir] = true
 	}
 	half := p.halfOpen[dir]
@@ -94,7 +94,7 @@
 			return
 		}
 		l.mu.Lock()
-		p.ends[1-dir], p.info.Out = target.(*net.TCPConn), target.LocalAddr().String()
+		p.ends[1-dir], p.info.OutboundAddr = target.(*net.TCPConn), target.LocalAddr().String()
 		l.mu.Unlock()
 		select {
 		case <-p.closed: // reset during the dial
@@ -205,8 +205,8 @@
 				continue // the fault has changed
 			}
 			n := len(next.data)
-			if f.Trickle > 0 {
-				n = min(n, max(1, f.Trickle/100))
+			if f.BytesPerSecond > 0 {
+				n = min(n, max(1, f.BytesPerSecond/100))
 			}
 			if f.ResetAfter > 0 {
 				n = min(n, f.ResetAfter-forwarded)
@@ -220,14 +220,14 @@
 			}
 			forwarded += n
 			next.data = next.data[n:]
-			p.l.count(d, func(c *Counts) { c.Pieces++; c.Bytes += n })
+			p.l.count(d, func(c *Counts) { c.Chunks++; c.Bytes += n })
 			if f.ResetAfter > 0 && forwarded >= f.ResetAfter {
 				p.reset(d, func(c *Counts) { c.Reset++ })
 				return
 			}
-			if f.Trickle > 0 {
-				p.l.count(d, func(c *Counts) { c.Trickled++ })
-				if !p.sleep(d, time.Duration(n)*time.Second/time.Duration(f.Trickle), version) && p.isReset() {
+			if f.BytesPerSecond > 0 {
+				p.l.count(d, func(c *Counts) { c.RateLimited++ })
+				if !p.sleep(d, time.Duration(n)*time.Second/time.Duration(f.BytesPerSecond), version) && p.isReset() {
 					return
 				}
 			}
@@ -317,7 +317,7 @@
 func (p *pipe) makeHalfOpen(d Direction) {
 	p.l.mu.Lock()
 	p.halfOpen[d] = true
-	p.l.counts[d].Half++
+	p.l.counts[d].HalfOpen++
 	p.l.mu.Unlock()
 	resetConn(p.ends[1-d])
 }
--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -17,17 +17,17 @@
 
 // The faults.
 const (
-	None        Fault = iota
-	Refused           // no listener; for a Unix socket, no file either
-	Hang              // accepts and never responds; nothing is executed
-	Reset             // accepts and resets once a request has been received; nothing is executed
-	BacklogFull       // connects neither succeed nor fail
-	Slow              // responses are delayed
-	Half              // executes the request and sends half of the response
-	NoAnswer          // executes the request and never responds
-	Other             // leads to another node that holds none of the requested shards
-	StaleFile         // a socket file without a listener; for a port the same as Refused
-	NoSocket          // a regular file in place of the socket; for a port the same as Refused
+	None         Fault = iota
+	Refused            // no listener; for a Unix socket, no file either
+	Hang               // accepts and never responds; nothing is executed
+	Reset              // accepts and resets once a request has been received; nothing is executed
+	BacklogFull        // connects neither succeed nor fail
+	Slow               // responses are delayed
+	HalfResponse       // executes the request and sends half of the response
+	NoResponse         // executes the request and never responds
+	OtherNode          // leads to another node that holds none of the requested shards
+	StaleFile          // a socket file without a listener; for a port the same as Refused
+	NotASocket         // a regular file in place of the socket; for a port the same as Refused
 	numFaults
 )
 
@@ -52,7 +52,7 @@
 // listens reports whether connections are accepted under the fault.
 func (f Fault) listens() bool {
 	switch f {
-	case Refused, BacklogFull, StaleFile, NoSocket:
+	case Refused, BacklogFull, StaleFile, NotASocket:
 		return false
 	}
 	return true
@@ -87,7 +87,7 @@
 			p.accepted++
 			p.n.counts.Conns++
 			l := &conn{listener: p, nc: nc, done: make(chan struct{})}
-			full := p.n.closed || p.n.options.Conns > 0 && len(p.n.conns) >= p.n.options.Conns
+			full := p.n.closed || p.n.options.MaxConns > 0 && len(p.n.conns) >= p.n.options.MaxConns
 			if !full {
 				p.n.conns[l] = true
 				p.n.wg.Add(1)
@@ -150,7 +150,7 @@
 		}
 		ln.SetUnlinkOnClose(false)
 		return ln.Close()
-	case f == NoSocket && path != "":
+	case f == NotASocket && path != "":
 		return os.WriteFile(path, nil, 0o600)
 	case f == BacklogFull:
 		b, err := fillBacklog(p.addr)
