--- a/internal/testkit/fake/node/node.go
+++ b/internal/testkit/fake/node/node.go
@@ -29,33 +29,33 @@
 
 // Options configure a node.
 type Options struct {
-	Name      string
-	Shard     int
-	Workers   int                                   // requests executed concurrently; 0: 8
-	Queue     int                                   // maximum number of waiting requests; 0: 64
-	Service   func(*fasthttp.Request) time.Duration // execution time of a request; nil: none
-	Memory    time.Duration                         // deduplication window of idempotency keys; 0: 2.5 s
-	Slow      time.Duration                         // delay added by the fault Slow; 0: 400 ms
-	Answers   int                                   // responses on one connection before it closes; 0: unlimited
-	Conns     int                                   // maximum number of connections; 0: unlimited
-	Probes    bool                                  // serve /health/live and /stats
-	Identity  string                                // response header with the node's name; empty: none
-	Body      []byte                                // of a response; nil: the request ID
-	Record    bool                                  // record every attempt from its first byte on, for Attempts
-	Cold      *Cold                                 // limits during slow start; nil: none
-	Saw       func(Saw)                             // called for each event from the connections' goroutines; nil: not called
-	TellShard bool                                  // responses end with shard=N, so that clients know where a new object was put
-	Rows      *Rows                                 // rows that parts of gathered reads return; nil: parts are answered like other requests
+	Name                string
+	Shard               int
+	Workers             int                                   // requests executed concurrently; 0: 8
+	QueueLimit          int                                   // maximum number of waiting requests; 0: 64
+	ServiceTime         func(*fasthttp.Request) time.Duration // execution time of a request; nil: none
+	DedupWindow         time.Duration                         // deduplication window of idempotency keys; 0: 2.5 s
+	SlowDelay           time.Duration                         // delay added by the fault Slow; 0: 400 ms
+	MaxResponsesPerConn int                                   // responses on one connection before it closes; 0: unlimited
+	MaxConns            int                                   // maximum number of connections; 0: unlimited
+	HealthEndpoints     bool                                  // serve /health/live and /stats
+	IdentityHeader      string                                // response header with the node's name; empty: none
+	Body                []byte                                // of a response; nil: the request ID
+	RecordAttempts      bool                                  // record every attempt from its first byte on, for Attempts
+	SlowStart           *SlowStart                            // limits during slow start; nil: none
+	OnEvent             func(Event)                           // called for each event from the connections' goroutines; nil: not called
+	ReportShard         bool                                  // responses end with shard=N, so that clients know where a new object was put
+	Rows                *Rows                                 // rows that parts of gathered reads return; nil: parts are answered like other requests
 }
 
 // Counts are a node's counters.
 type Counts struct {
-	Conns    int // accepted
-	Requests int // received completely
-	Ran      int // executions
-	Repeats  int // requests answered without execution because of their key
-	Turned   int // rejected without execution
-	Gone     int // requests whose client disconnected before they were executed
+	Conns        int // accepted
+	Requests     int // received completely
+	Executions   int // executions
+	Duplicates   int // requests answered without execution because of their key
+	Rejected     int // rejected without execution
+	Disconnected int // requests whose client disconnected before they were executed
 }
 
 // Node is a running fake node.
@@ -88,14 +88,14 @@
 	if opt.Workers == 0 {
 		opt.Workers = 8
 	}
-	if opt.Queue == 0 {
-		opt.Queue = 64
+	if opt.QueueLimit == 0 {
+		opt.QueueLimit = 64
 	}
-	if opt.Memory == 0 {
-		opt.Memory = 2500 * time.Millisecond
+	if opt.DedupWindow == 0 {
+		opt.DedupWindow = 2500 * time.Millisecond
 	}
-	if opt.Slow == 0 {
-		opt.Slow = 400 * time.Millisecond
+	if opt.SlowDelay == 0 {
+		opt.SlowDelay = 400 * time.Millisecond
 	}
 	n := &Node{options: opt, listeners: map[address.Addr]*listener{}, conns: map[*conn]bool{}, arrivals: map[string][]Arrival{}, keyExecutions: map[string]int{},
 		executedKeys: map[string]time.Time{}, slots: make(chan struct{}, opt.Workers), done: make(chan struct{}), rowCounts: map[string]RowCounts{}}
@@ -131,9 +131,9 @@
 	return a, nil
 }
 
-// Set switches the fault of an address. It also applies to open connections: a fault that ends
+// SetFault switches the fault of an address. It also applies to open connections: a fault that ends
 // connections (Refused, Reset, StaleFile, NotASocket, BacklogFull) resets them.
-func (n *Node) Set(a address.Addr, f Fault) error {
+func (n *Node) SetFault(a address.Addr, f Fault) error {
 	n.mu.Lock()
 	p := n.listeners[a]
 	n.mu.Unlock()
@@ -159,9 +159,9 @@
 
 // Arrival is one complete receipt of a request.
 type Arrival struct {
-	At  time.Time
-	By  address.Addr
-	Ran bool // the request was executed, neither deduplicated nor rejected
+	At       time.Time
+	Addr     address.Addr
+	Executed bool // the request was executed, neither deduplicated nor rejected
 }
 
 // Arrivals returns all arrivals of a request ID.
@@ -171,25 +171,25 @@
 	return slices.Clone(n.arrivals[id])
 }
 
-// Ran returns how often a request ID was executed.
-func (n *Node) Ran(id string) (times int) {
+// Executions returns how often a request ID was executed.
+func (n *Node) Executions(id string) (times int) {
 	for _, a := range n.Arrivals(id) {
-		if a.Ran {
+		if a.Executed {
 			times++
 		}
 	}
 	return times
 }
 
-// RanKey returns how often an idempotency key was executed.
-func (n *Node) RanKey(key string) int {
+// KeyExecutions returns how often an idempotency key was executed.
+func (n *Node) KeyExecutions(key string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.keyExecutions[key]
 }
 
-// Each calls f with all arrivals of each request ID, in no particular order.
-func (n *Node) Each(f func(id string, all []Arrival)) {
+// EachRequest calls f with all arrivals of each request ID, in no particular order.
+func (n *Node) EachRequest(f func(id string, all []Arrival)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id, all := range n.arrivals {
@@ -197,14 +197,14 @@
 	}
 }
 
-// MostRuns returns the highest number of executions of one request ID and of one key.
-func (n *Node) MostRuns() (id, key int) {
+// MaxExecutions returns the highest number of executions of one request ID and of one key.
+func (n *Node) MaxExecutions() (id, key int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, all := range n.arrivals {
 		ran := 0
 		for _, a := range all {
-			if a.Ran {
+			if a.Executed {
 				ran++
 			}
 		}
@@ -216,8 +216,8 @@
 	return id, key
 }
 
-// Spread returns the longest time from the first to the last arrival of one request ID.
-func (n *Node) Spread() (longest time.Duration) {
+// LongestArrivalSpan returns the longest time from the first to the last arrival of one request ID.
+func (n *Node) LongestArrivalSpan() (longest time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, all := range n.arrivals {
@@ -226,8 +226,8 @@
 	return longest
 }
 
-// Open returns the number of open connections of an address.
-func (n *Node) Open(a address.Addr) (open int) {
+// OpenConns returns the number of open connections of an address.
+func (n *Node) OpenConns(a address.Addr) (open int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.conns {
@@ -238,8 +238,8 @@
 	return open
 }
 
-// Accepted returns how many connections an address has accepted.
-func (n *Node) Accepted(a address.Addr) int {
+// AcceptedConns returns how many connections an address has accepted.
+func (n *Node) AcceptedConns(a address.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p := n.listeners[a]; p != nil {
@@ -248,8 +248,8 @@
 	return 0
 }
 
-// Forget clears the counts by request ID and key and the deduplication window, as a restart would.
-func (n *Node) Forget() {
+// ResetState clears the counts by request ID and key and the deduplication window, as a restart would.
+func (n *Node) ResetState() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.arrivals)
@@ -306,7 +306,7 @@
 		n.mu.Unlock()
 	}()
 	br := bufio.NewReaderSize(l.nc, 16<<10)
-	if n.options.Record {
+	if n.options.RecordAttempts {
 		l.recorder = &recorder{n: n, nc: l.nc}
 		br.Reset(l.recorder)
 	}
@@ -327,7 +327,7 @@
 		if err != nil {
 			return
 		}
-		if !n.handleRequest(l, request, n.options.Answers > 0 && responses >= n.options.Answers) {
+		if !n.handleRequest(l, request, n.options.MaxResponsesPerConn > 0 && responses >= n.options.MaxResponsesPerConn) {
 			return
 		}
 	}
@@ -335,7 +335,7 @@
 
 // holdOpen keeps a connection open without responding until the connection or the fault ends.
 func (l *conn) holdOpen() {
-	for l.listener.fault() == Hang || l.listener.fault() == NoAnswer || l.listener.fault() == Half {
+	for l.listener.fault() == Hang || l.listener.fault() == NoResponse || l.listener.fault() == HalfResponse {
 		if err := l.nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 			return
 		}
@@ -362,7 +362,7 @@
 	}
 	if path := string(request.URI().Path()); path == "/health/live" || path == "/stats" {
 		code := fasthttp.StatusNotFound
-		if n.options.Probes {
+		if n.options.HealthEndpoints {
 			code = fasthttp.StatusOK
 		}
 		return l.respond(code, nil, last, "")
@@ -372,17 +372,17 @@
 		return l.respond(fasthttp.StatusNotFound, nil, last, "")
 	}
 	n.mu.Lock()
-	n.arrivals[id] = append(n.arrivals[id], Arrival{At: time.Now(), By: l.listener.addr})
+	n.arrivals[id] = append(n.arrivals[id], Arrival{At: time.Now(), Addr: l.listener.addr})
 	n.mu.Unlock()
-	n.notify(Asked)
-	if n.options.Cold != nil && n.countLoad(Units(request)) {
+	n.notify(RequestReceived)
+	if n.options.SlowStart != nil && n.countLoad(Units(request)) {
 		n.wg.Go(n.crash)
 		return false
 	}
 	if code, rejected := n.admit(request, fault); code != 0 {
 		n.mu.Lock()
 		if rejected {
-			n.counts.Turned++
+			n.counts.Rejected++
 		}
 		n.mu.Unlock()
 		return l.respond(code, nil, last, l.reportedName(fault))
@@ -397,15 +397,15 @@
 		return false
 	}
 	switch fault = l.listener.fault(); fault {
-	case NoAnswer:
+	case NoResponse:
 		l.holdOpen()
 		return false
-	case Half:
+	case HalfResponse:
 		l.respondHalf()
 		l.holdOpen()
 		return false
 	case Slow:
-		time.Sleep(n.options.Slow)
+		time.Sleep(n.options.SlowDelay)
 	}
 	if maxRows, isPart := requestedRows(request); isPart && n.options.Rows != nil {
 		return l.sendRows(id, maxRows, last, l.reportedName(fault))
@@ -414,7 +414,7 @@
 	if body == nil {
 		body = []byte(id)
 	}
-	if n.options.TellShard {
+	if n.options.ReportShard {
 		body = fmt.Appendf(slices.Clip(body), " shard=%d", n.options.Shard)
 	}
 	return l.respond(fasthttp.StatusOK, body, last, l.reportedName(fault))
@@ -422,7 +422,7 @@
 
 // reportedName returns the name that the node reports in its responses.
 func (l *conn) reportedName(f Fault) string {
-	if f == Other {
+	if f == OtherNode {
 		return "other"
 	}
 	return l.listener.n.options.Name
@@ -452,7 +452,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.draining || n.waiting >= n.options.Queue || shard >= 0 && (shard != n.options.Shard || fault == Other) {
+	if n.draining || n.waiting >= n.options.QueueLimit || shard >= 0 && (shard != n.options.Shard || fault == OtherNode) {
 		return fasthttp.StatusServiceUnavailable, true
 	}
 	n.waiting++
@@ -464,34 +464,34 @@
 func (n *Node) run(l *conn, request *fasthttp.Request, id, key string) (connected bool) {
 	if l.disconnected() {
 		n.mu.Lock()
-		n.counts.Gone++
+		n.counts.Disconnected++
 		n.mu.Unlock()
 		return false
 	}
 	n.mu.Lock()
 	now := time.Now()
-	if executedAt, executed := n.executedKeys[key]; key != "" && executed && now.Sub(executedAt) < n.options.Memory {
-		n.counts.Repeats++
+	if executedAt, executed := n.executedKeys[key]; key != "" && executed && now.Sub(executedAt) < n.options.DedupWindow {
+		n.counts.Duplicates++
 		n.mu.Unlock()
-		l.recorder.update(func(a *Attempt) { a.Dropped = true })
+		l.recorder.update(func(a *Attempt) { a.Duplicate = true })
 		return true
 	}
 	if key != "" {
 		n.executedKeys[key] = now
 		n.keyExecutions[key]++
 	}
-	n.counts.Ran++
+	n.counts.Executions++
 	arrivals := n.arrivals[id]
 	for i := len(arrivals) - 1; i >= 0; i-- {
-		if arrivals[i].By == l.listener.addr && !arrivals[i].Ran {
-			arrivals[i].Ran = true
+		if arrivals[i].Addr == l.listener.addr && !arrivals[i].Executed {
+			arrivals[i].Executed = true
 			break
 		}
 	}
 	n.mu.Unlock()
-	l.recorder.update(func(a *Attempt) { a.Ran = time.Now() })
-	if n.options.Service != nil {
-		time.Sleep(n.scaleServiceTime(n.options.Service(request)))
+	l.recorder.update(func(a *Attempt) { a.ExecutedAt = time.Now() })
+	if n.options.ServiceTime != nil {
+		time.Sleep(n.scaleServiceTime(n.options.ServiceTime(request)))
 	}
 	return true
 }
@@ -501,9 +501,9 @@
 	r.SetStatusCode(code)
 	if code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout {
 		r.Header.Set("X-Not-Run", "1")
-		l.recorder.update(func(a *Attempt) { a.Turned = true })
+		l.recorder.update(func(a *Attempt) { a.Rejected = true })
 	}
-	if h := l.listener.n.options.Identity; h != "" && name != "" {
+	if h := l.listener.n.options.IdentityHeader; h != "" && name != "" {
 		r.Header.Set(h, name)
 	}
 	if last {
--- a/internal/testkit/fake/node/node_test.go
+++ b/internal/testkit/fake/node/node_test.go
@@ -52,7 +52,7 @@
 // The node serves on all its addresses, executes a key once within the deduplication window and rejects requests for
 // other shards.
 func TestServesDeduplicatesAndRejectsOtherShards(t *testing.T) {
-	n := New(Options{Name: "n", Shard: 3, Identity: "X-Node"})
+	n := New(Options{Name: "n", Shard: 3, IdentityHeader: "X-Node"})
 	for i, a := range listenOnAllKinds(t, n) {
 		r, err := sendRequest(a, fmt.Sprint("r", i), "k", 3, time.Minute)
 		if err != nil || r.StatusCode() != 200 || string(r.Body()) != fmt.Sprint("r", i) || string(r.Header.Peek("X-Node")) != "n" {
@@ -62,7 +62,7 @@
 			t.Errorf("%v: request for another shard: %v %v", a, err, r)
 		}
 	}
-	if c := n.Counts(); c.Ran != 1 || c.Repeats != c.Requests/2-1 || n.RanKey("k") != 1 || n.RanKey("k2") != 0 {
+	if c := n.Counts(); c.Executions != 1 || c.Duplicates != c.Requests/2-1 || n.KeyExecutions("k") != 1 || n.KeyExecutions("k2") != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -70,22 +70,22 @@
 // Each fault has its documented effect on each kind of address and ends when it is cleared.
 func TestAddressFaults(t *testing.T) {
 	const expectTimeout, testTimeout = 300 * time.Millisecond, 30 * time.Second
-	n := New(Options{Name: "n", Slow: 2 * expectTimeout})
+	n := New(Options{Name: "n", SlowDelay: 2 * expectTimeout})
 	for _, a := range listenOnAllKinds(t, n) {
 		for _, f := range Faults() {
-			n.Forget()
-			if err := n.Set(a, f); err != nil {
+			n.ResetState()
+			if err := n.SetFault(a, f); err != nil {
 				t.Fatalf("%v %v: %v", a, f, err)
 			}
 			start := time.Now()
-			within := map[bool]time.Duration{true: testTimeout, false: expectTimeout}[f == Reset || f == Other || !f.listens() && f != BacklogFull]
+			within := map[bool]time.Duration{true: testTimeout, false: expectTimeout}[f == Reset || f == OtherNode || !f.listens() && f != BacklogFull]
 			r, err := sendRequest(a, "r", "k", 0, within)
 			var netErr net.Error
 			timeout := errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, fasthttp.ErrTimeout)
-			executions := n.Ran("r")
+			executions := n.Executions("r")
 			ok := false
 			switch f {
-			case Refused, StaleFile, NoSocket:
+			case Refused, StaleFile, NotASocket:
 				ok = errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) && f == Refused
 			case Hang:
 				ok = timeout && executions == 0
@@ -93,15 +93,15 @@
 				ok = err != nil && !timeout && executions == 0
 			case BacklogFull:
 				ok = timeout || errors.Is(err, syscall.EAGAIN)
-			case Slow, NoAnswer, Half:
+			case Slow, NoResponse, HalfResponse:
 				ok = timeout && executions == 1
-			case Other:
+			case OtherNode:
 				ok = err == nil && r.StatusCode() == 503 && executions == 0
 			}
 			if !ok {
 				t.Errorf("%v %v: %v after %v, %d executions", a, f, err, time.Since(start), executions)
 			}
-			if err := n.Set(a, None); err != nil {
+			if err := n.SetFault(a, None); err != nil {
 				t.Fatal(err)
 			}
 			if r, err := sendRequest(a, "after", "", 0, testTimeout); err != nil || r.StatusCode() != 200 {
@@ -115,9 +115,9 @@
 // overload limit.
 func TestSlowStart(t *testing.T) {
 	const units, serviceTime = 4, 10 * time.Millisecond
-	limits := &Cold{Power: 0.5, Span: time.Hour, Units: units, Mean: 1, Within: time.Hour, Back: serviceTime}
-	events := make(chan Saw, 100)
-	n := New(Options{Cold: limits, Saw: func(s Saw) { events <- s }, Service: func(*fasthttp.Request) time.Duration { return serviceTime }})
+	limits := &SlowStart{InitialSpeed: 0.5, Duration: time.Hour, InitialUnits: units, MeanUnits: 1, Window: time.Hour, RestartDelay: serviceTime}
+	events := make(chan Event, 100)
+	n := New(Options{SlowStart: limits, OnEvent: func(s Event) { events <- s }, ServiceTime: func(*fasthttp.Request) time.Duration { return serviceTime }})
 	a, err := n.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,9 +131,9 @@
 		} else if _, err := sendRequest(a, fmt.Sprint("s", i), "", 0, time.Minute); err != nil || time.Since(at) < 2*serviceTime*9/10 {
 			t.Errorf("a node in slow start took %v, error %v", time.Since(at), err)
 		}
-		n.Chill()
+		n.BeginSlowStart()
 	}
-	waitFor := func(want Saw) {
+	waitFor := func(want Event) {
 		for s := range events {
 			if s == want {
 				return
@@ -153,16 +153,16 @@
 		if _, err := sendRequest(a, "last", "", 0, time.Minute); err == nil {
 			t.Error("a request above the overload limit was served")
 		}
-		waitFor(Fell)
-		if crashes, peakLoad := n.Falls(); crashes != restarts+1 || peakLoad <= 1 {
+		waitFor(Crashed)
+		if crashes, peakLoad := n.Crashes(); crashes != restarts+1 || peakLoad <= 1 {
 			t.Errorf("%d crashes, peak load %v", crashes, peakLoad)
 		}
-		waitFor(Returned)
+		waitFor(Restarted)
 		if _, err := sendRequest(a, "back", "", 0, time.Minute); err != nil {
 			t.Error(err)
 		}
 	}
-	if p := limits.speed(limits.Span / 2); p != 0.75 {
+	if p := limits.speed(limits.Duration / 2); p != 0.75 {
 		t.Errorf("speed after half of the slow start: %v", p)
 	}
 }
--- a/internal/testkit/fake/node/record.go
+++ b/internal/testkit/fake/node/record.go
@@ -13,14 +13,14 @@
 
 // Attempt is one request as seen by a recording node, from its first byte on.
 type Attempt struct {
-	ID      string // empty if the head was truncated before the request ID
-	From    string // remote address
-	First   time.Time
-	Whole   time.Time // receipt of the last byte; zero: the request was truncated
-	Ran     time.Time // start of execution; zero: not executed
-	Dropped bool      // a repeated key: answered without execution
-	Turned  bool      // rejected with X-Not-Run
-	Ended   time.Time // the response was written or the sender's disconnect was noticed; zero: neither
+	ID         string // empty if the head was truncated before the request ID
+	From       string // remote address
+	FirstByte  time.Time
+	LastByte   time.Time // receipt of the last byte; zero: the request was truncated
+	ExecutedAt time.Time // start of execution; zero: not executed
+	Duplicate  bool      // a repeated key: answered without execution
+	Rejected   bool      // rejected with X-Not-Run
+	EndedAt    time.Time // the response was written or the sender's disconnect was noticed; zero: neither
 }
 
 const (
@@ -55,7 +55,7 @@
 		return err
 	}
 	r.n.mu.Lock()
-	r.attempt = &Attempt{From: r.nc.RemoteAddr().String(), First: time.Now()}
+	r.attempt = &Attempt{From: r.nc.RemoteAddr().String(), FirstByte: time.Now()}
 	r.n.attempts = append(r.n.attempts, r.attempt)
 	r.n.mu.Unlock()
 	return nil
@@ -68,10 +68,10 @@
 			if m := idLine.FindSubmatch(r.head); m != nil {
 				a.ID = string(m[1])
 			}
-			a.Ended = time.Now()
+			a.EndedAt = time.Now()
 			return
 		}
-		a.ID, a.Whole = string(q.Header.Peek("X-Request-Id")), time.Now()
+		a.ID, a.LastByte = string(q.Header.Peek("X-Request-Id")), time.Now()
 	})
 	if err != nil {
 		return
@@ -92,8 +92,8 @@
 			case <-t.C:
 				if l.disconnected() {
 					r.n.mu.Lock()
-					if a.Ended.IsZero() {
-						a.Ended = time.Now()
+					if a.EndedAt.IsZero() {
+						a.EndedAt = time.Now()
 					}
 					r.n.mu.Unlock()
 					return
@@ -119,8 +119,8 @@
 	}
 	r.stopDisconnectCheck()
 	r.update(func(a *Attempt) {
-		if a.Ended.IsZero() {
-			a.Ended = time.Now()
+		if a.EndedAt.IsZero() {
+			a.EndedAt = time.Now()
 		}
 	})
 }
--- a/internal/testkit/fake/node/rows.go
+++ b/internal/testkit/fake/node/rows.go
@@ -25,14 +25,14 @@
 // at most once per shard. Two shards may hold the same key. Their rows may then differ in v, the version. Rows with
 // the same key and version have the same bytes. Equal Rows generate equal rows on every node of a shard.
 type Rows struct {
-	Seed       uint64
-	Count      int     // rows of each shard
-	Shared     float64 // share of a shard's rows whose key other shards may hold; any two shards have about half of these in common
-	Same       float64 // share of the shared keys that have the same version in every shard; the others have one version per shard
-	Pad        int     // length of x in bytes
-	Descending bool
-	Piece      int           // rows written at once; 0: 64
-	Gap        time.Duration // pause between two writes
+	Seed          uint64
+	RowsPerShard  int     // rows of each shard
+	SharedKeys    float64 // share of a shard's rows whose key other shards may hold; any two shards have about half of these in common
+	SameVersion   float64 // share of the shared keys that have the same version in every shard; the others have one version per shard
+	PaddingBytes  int     // length of x in bytes
+	Descending    bool
+	RowsPerWrite  int           // rows written at once; 0: 64
+	WriteInterval time.Duration // pause between two writes
 }
 
 const (
@@ -45,7 +45,7 @@
 
 // keys returns a shard's keys in order.
 func (r *Rows) keys(shard int) []key {
-	shared := int(r.Shared * float64(r.Count))
+	shared := int(r.SharedKeys * float64(r.RowsPerShard))
 	distinctKeys := func(rng *rand.Rand, n int) []int64 { // n distinct keys
 		seen := make(map[int64]bool, n)
 		all := make([]int64, 0, n)
@@ -61,10 +61,10 @@
 	sharedKeys := distinctKeys(pool, 2*shared)
 	same := make([]bool, len(sharedKeys))
 	for i := range same {
-		same[i] = pool.Float64() < r.Same
+		same[i] = pool.Float64() < r.SameVersion
 	}
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(shard)))
-	all := make([]key, 0, r.Count)
+	all := make([]key, 0, r.RowsPerShard)
 	for _, i := range rng.Perm(len(sharedKeys))[:shared] {
 		v := int64(1)
 		if !same[i] {
@@ -72,7 +72,7 @@
 		}
 		all = append(all, key{sharedKeys[i], v})
 	}
-	for _, k := range distinctKeys(rng, r.Count-shared) {
+	for _, k := range distinctKeys(rng, r.RowsPerShard-shared) {
 		all = append(all, key{k + int64(shard) + 1, 1})
 	}
 	slices.SortFunc(all, func(a, b key) int {
@@ -86,7 +86,7 @@
 
 func (r *Rows) append(dst []byte, x key) []byte {
 	dst = fmt.Appendf(dst, `{"k":%d,"v":%d,"x":"`, x.k, x.v)
-	for i := range r.Pad {
+	for i := range r.PaddingBytes {
 		dst = append(dst, 'a'+byte((x.k>>shardBits+x.v+int64(i))%26))
 	}
 	return append(dst, '"', '}')
@@ -100,17 +100,17 @@
 	return rows
 }
 
-// Flat configure Rows.Merge.
-type Flat struct {
-	Keep   string // which of the rows with equal keys: all, first or last in the order of the shards, or highest version
-	Offset int
-	Rows   int // maximum number of rows; 0: all
+// MergeOptions configure Rows.Merge.
+type MergeOptions struct {
+	Keep    string // which of the rows with equal keys: all, first or last in the order of the shards, or highest version
+	Offset  int
+	MaxRows int // maximum number of rows; 0: all
 }
 
-// Flat is a reference implementation of the merge of a gathered read, independent of the production code. It
+// Merge is a reference implementation of the merge of a gathered read, independent of the production code. It
 // collects the rows of the shards, sorts them by key, keeps rows with equal keys in the order of the shards, and applies
 // the options.
-func (r *Rows) Flat(shards []int, f Flat) [][]byte {
+func (r *Rows) Merge(shards []int, f MergeOptions) [][]byte {
 	type row struct {
 		k, v int64
 		text []byte
@@ -148,8 +148,8 @@
 		}
 	}
 	out = out[min(f.Offset, len(out)):]
-	if f.Rows > 0 {
-		out = out[:min(f.Rows, len(out))]
+	if f.MaxRows > 0 {
+		out = out[:min(f.MaxRows, len(out))]
 	}
 	return out
 }
@@ -157,39 +157,39 @@
 // RowFault is a fault in the rows that a node sends. It can be switched while the node runs. A response in progress
 // is affected from its next write on.
 type RowFault struct {
-	Late     time.Duration // delay before the first byte of the response
-	After    int           // rows sent correctly before the faults below
-	Stop     time.Duration // one pause of this length
-	Never    bool          // no further rows until the fault is cleared or the client disconnects
-	Cut      bool          // the connection is closed
-	Unsorted bool          // the next two rows are swapped
-	Other    bool          // all further rows have another version, so their bytes differ from those of other attempts
-	Copy     int           // for a request ID of the form ID/PART/ATTEMPT, the first attempt affected; 0: all
+	Delay        time.Duration // delay before the first byte of the response
+	AfterRows    int           // rows sent correctly before the faults below
+	Pause        time.Duration // one pause of this length
+	Stall        bool          // no further rows until the fault is cleared or the client disconnects
+	CloseConn    bool          // the connection is closed
+	Unsorted     bool          // the next two rows are swapped
+	OtherVersion bool          // all further rows have another version, so their bytes differ from those of other attempts
+	FromAttempt  int           // for a request ID of the form ID/PART/ATTEMPT, the first attempt affected; 0: all
 }
 
 // RowCounts count the rows sent and the faults injected, in total or for one request ID.
 type RowCounts struct {
-	Asked, Rows    int
-	Whole, Limited int // responses written completely: with all rows, or with as many as requested
-	Gone           int // the client was seen to disconnect
-	Late, Stopped  int // faults injected
-	Never, Cut     int
-	Unsorted       int
-	Other          int
+	Requests, Rows       int
+	Complete, Limited    int // responses written completely: with all rows, or with as many as requested
+	Disconnected         int // the client was seen to disconnect
+	Delayed, Paused      int // faults injected
+	Stalled, ConnsClosed int
+	Unsorted             int
+	OtherVersion         int
 }
 
 func (c *RowCounts) add(d RowCounts) {
 	for _, x := range []struct {
 		to *int
 		n  int
-	}{{&c.Asked, d.Asked}, {&c.Rows, d.Rows}, {&c.Whole, d.Whole}, {&c.Limited, d.Limited}, {&c.Gone, d.Gone}, {&c.Late, d.Late},
-		{&c.Stopped, d.Stopped}, {&c.Never, d.Never}, {&c.Cut, d.Cut}, {&c.Unsorted, d.Unsorted}, {&c.Other, d.Other}} {
+	}{{&c.Requests, d.Requests}, {&c.Rows, d.Rows}, {&c.Complete, d.Complete}, {&c.Limited, d.Limited}, {&c.Disconnected, d.Disconnected}, {&c.Delayed, d.Delayed},
+		{&c.Paused, d.Paused}, {&c.Stalled, d.Stalled}, {&c.ConnsClosed, d.ConnsClosed}, {&c.Unsorted, d.Unsorted}, {&c.OtherVersion, d.OtherVersion}} {
 		*x.to += x.n
 	}
 }
 
-// SetRows switches the row fault.
-func (n *Node) SetRows(f RowFault) { n.rowFault.Store(&f) }
+// SetRowFault switches the row fault.
+func (n *Node) SetRowFault(f RowFault) { n.rowFault.Store(&f) }
 
 // RowCounts returns the counts of a request ID, or the total for "".
 func (n *Node) RowCounts(id string) RowCounts {
@@ -215,8 +215,8 @@
 	if f == nil {
 		return RowFault{}
 	}
-	if f.Copy > 0 {
-		if no, err := strconv.Atoi(id[strings.LastIndexByte(id, '/')+1:]); err != nil || no < f.Copy {
+	if f.FromAttempt > 0 {
+		if no, err := strconv.Atoi(id[strings.LastIndexByte(id, '/')+1:]); err != nil || no < f.FromAttempt {
 			return RowFault{}
 		}
 	}
@@ -264,9 +264,9 @@
 func (l *conn) sendRows(id string, maxRows int, last bool, name string) bool {
 	n := l.listener.n
 	defer l.recorder.end()
-	n.addRowCounts(id, RowCounts{Asked: 1})
+	n.addRowCounts(id, RowCounts{Requests: 1})
 	clientDisconnected := func() bool {
-		n.addRowCounts(id, RowCounts{Gone: 1})
+		n.addRowCounts(id, RowCounts{Disconnected: 1})
 		return false
 	}
 	all := n.rows
@@ -274,9 +274,9 @@
 	if limited {
 		all = all[:maxRows]
 	}
-	if fault := n.rowFaultFor(id); fault.Late > 0 {
-		n.addRowCounts(id, RowCounts{Late: 1})
-		if !l.waitDuring(id, fault.Late, func(fault RowFault) bool { return fault.Late > 0 }) {
+	if fault := n.rowFaultFor(id); fault.Delay > 0 {
+		n.addRowCounts(id, RowCounts{Delayed: 1})
+		if !l.waitDuring(id, fault.Delay, func(fault RowFault) bool { return fault.Delay > 0 }) {
 			return clientDisconnected()
 		}
 	}
@@ -285,68 +285,68 @@
 	if limited {
 		_, _ = w.WriteString(limitedHeader + ": 1\r\n")
 	}
-	if h := n.options.Identity; h != "" && name != "" {
+	if h := n.options.IdentityHeader; h != "" && name != "" {
 		fmt.Fprintf(w, "%s: %s\r\n", h, name)
 	}
 	if last {
 		_, _ = w.WriteString("Connection: close\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
-	rowsPerWrite := n.options.Rows.Piece
+	rowsPerWrite := n.options.Rows.RowsPerWrite
 	if rowsPerWrite == 0 {
 		rowsPerWrite = 64
 	}
-	stalled := func(fault RowFault) bool { return fault.Never }
+	stalled := func(fault RowFault) bool { return fault.Stall }
 	var chunk bytes.Buffer
 	paused, stallCounted := false, false
 	for sent := 0; sent < len(all); {
 		fault := n.rowFaultFor(id)
 		to := min(sent+rowsPerWrite, len(all))
-		if sent < fault.After {
-			to = min(to, fault.After)
+		if sent < fault.AfterRows {
+			to = min(to, fault.AfterRows)
 		}
-		faulty := sent >= fault.After
-		if faulty && (fault.Stop > 0 && !paused || fault.Never) && w.Flush() != nil {
+		faulty := sent >= fault.AfterRows
+		if faulty && (fault.Pause > 0 && !paused || fault.Stall) && w.Flush() != nil {
 			return clientDisconnected()
 		}
 		switch {
-		case faulty && fault.Cut:
-			n.addRowCounts(id, RowCounts{Cut: 1})
+		case faulty && fault.CloseConn:
+			n.addRowCounts(id, RowCounts{ConnsClosed: 1})
 			_ = w.Flush()
 			return false
-		case faulty && fault.Never:
+		case faulty && fault.Stall:
 			if !stallCounted {
 				stallCounted = true
-				n.addRowCounts(id, RowCounts{Never: 1})
+				n.addRowCounts(id, RowCounts{Stalled: 1})
 			}
 			if !l.waitDuring(id, time.Hour, stalled) {
 				return clientDisconnected()
 			}
 			continue
-		case faulty && fault.Stop > 0 && !paused:
+		case faulty && fault.Pause > 0 && !paused:
 			paused = true
-			n.addRowCounts(id, RowCounts{Stopped: 1})
-			if !l.waitDuring(id, fault.Stop, func(fault RowFault) bool { return fault.Stop > 0 }) {
+			n.addRowCounts(id, RowCounts{Paused: 1})
+			if !l.waitDuring(id, fault.Pause, func(fault RowFault) bool { return fault.Pause > 0 }) {
 				return clientDisconnected()
 			}
 			continue
 		}
 		chunk.Reset()
 		rows := all[sent:to]
-		if fault.Unsorted && sent == fault.After && sent+1 < len(all) {
+		if fault.Unsorted && sent == fault.AfterRows && sent+1 < len(all) {
 			to = max(to, sent+2)
 			rows = slices.Clone(all[sent:to])
 			rows[0], rows[1] = rows[1], rows[0]
 			n.addRowCounts(id, RowCounts{Unsorted: 1})
 		}
 		for _, x := range rows {
-			if fault.Other && faulty {
+			if fault.OtherVersion && faulty {
 				x.v++
 			}
 			chunk.Write(append(n.options.Rows.append(chunk.AvailableBuffer(), x), '\n'))
 		}
-		if fault.Other && faulty {
-			n.addRowCounts(id, RowCounts{Other: len(rows)})
+		if fault.OtherVersion && faulty {
+			n.addRowCounts(id, RowCounts{OtherVersion: len(rows)})
 		}
 		fmt.Fprintf(w, "%x\r\n%s\r\n", chunk.Len(), chunk.Bytes())
 		n.addRowCounts(id, RowCounts{Rows: len(rows)})
@@ -354,7 +354,7 @@
 			return clientDisconnected()
 		}
 		sent = to
-		if gap := n.options.Rows.Gap; gap > 0 && sent < len(all) {
+		if gap := n.options.Rows.WriteInterval; gap > 0 && sent < len(all) {
 			time.Sleep(gap)
 		}
 	}
@@ -362,7 +362,7 @@
 	if limited { // counted before the client can see the end of the response
 		n.addRowCounts(id, RowCounts{Limited: 1})
 	} else {
-		n.addRowCounts(id, RowCounts{Whole: 1})
+		n.addRowCounts(id, RowCounts{Complete: 1})
 	}
 	if w.Flush() != nil {
 		return clientDisconnected()
--- a/internal/testkit/fake/node/rows_test.go
+++ b/internal/testkit/fake/node/rows_test.go
@@ -44,7 +44,7 @@
 // when it is cleared.
 func TestRowFaults(t *testing.T) {
 	const expectTimeout, testTimeout = 200 * time.Millisecond, 30 * time.Second
-	r := &Rows{Seed: 5, Count: 200, Shared: 0.5, Same: 0.5, Pad: 9, Piece: 16}
+	r := &Rows{Seed: 5, RowsPerShard: 200, SharedKeys: 0.5, SameVersion: 0.5, PaddingBytes: 9, RowsPerWrite: 16}
 	n := New(Options{Shard: 3, Rows: r})
 	t.Cleanup(n.Close)
 	a, err := n.Listen("127.0.0.1:0")
@@ -54,7 +54,7 @@
 	all := r.Shard(3)
 	if !slices.IsSortedFunc(all, func(a, b []byte) int {
 		return int(gjson.GetBytes(a, "k").Int() - gjson.GetBytes(b, "k").Int())
-	}) || len(all) != r.Count {
+	}) || len(all) != r.RowsPerShard {
 		t.Fatalf("%q", all)
 	}
 	for i, x := range []struct {
@@ -67,22 +67,22 @@
 		limited bool
 		count   func(RowCounts) int
 	}{
-		{rows: 200, whole: true, count: func(c RowCounts) int { return c.Whole }},
+		{rows: 200, whole: true, count: func(c RowCounts) int { return c.Complete }},
 		{ask: 30, rows: 30, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
-		{ask: 200, rows: 200, whole: true, count: func(c RowCounts) int { return c.Whole }},
-		{f: RowFault{Late: time.Hour}, within: expectTimeout, count: func(c RowCounts) int { return c.Late }},
-		{f: RowFault{Late: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Late }},
-		{f: RowFault{After: 21, Stop: time.Hour}, within: expectTimeout, rows: 21, count: func(c RowCounts) int { return c.Stopped }},
-		{f: RowFault{After: 21, Stop: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Stopped }},
-		{f: RowFault{After: 5, Never: true}, within: expectTimeout, rows: 5, count: func(c RowCounts) int { return c.Never }},
-		{f: RowFault{After: 50, Cut: true}, rows: 50, count: func(c RowCounts) int { return c.Cut }},
-		{f: RowFault{After: 50, Cut: true}, ask: 40, rows: 40, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
-		{f: RowFault{After: 50, Cut: true, Copy: 2}, copy: 1, rows: 200, whole: true, count: func(c RowCounts) int { return 1 - c.Cut }},
-		{f: RowFault{After: 50, Cut: true, Copy: 2}, copy: 2, rows: 50, count: func(c RowCounts) int { return c.Cut }},
-		{f: RowFault{After: 47, Unsorted: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Unsorted }},
-		{f: RowFault{After: 199, Other: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Other }},
+		{ask: 200, rows: 200, whole: true, count: func(c RowCounts) int { return c.Complete }},
+		{f: RowFault{Delay: time.Hour}, within: expectTimeout, count: func(c RowCounts) int { return c.Delayed }},
+		{f: RowFault{Delay: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Delayed }},
+		{f: RowFault{AfterRows: 21, Pause: time.Hour}, within: expectTimeout, rows: 21, count: func(c RowCounts) int { return c.Paused }},
+		{f: RowFault{AfterRows: 21, Pause: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Paused }},
+		{f: RowFault{AfterRows: 5, Stall: true}, within: expectTimeout, rows: 5, count: func(c RowCounts) int { return c.Stalled }},
+		{f: RowFault{AfterRows: 50, CloseConn: true}, rows: 50, count: func(c RowCounts) int { return c.ConnsClosed }},
+		{f: RowFault{AfterRows: 50, CloseConn: true}, ask: 40, rows: 40, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
+		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, copy: 1, rows: 200, whole: true, count: func(c RowCounts) int { return 1 - c.ConnsClosed }},
+		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, copy: 2, rows: 50, count: func(c RowCounts) int { return c.ConnsClosed }},
+		{f: RowFault{AfterRows: 47, Unsorted: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Unsorted }},
+		{f: RowFault{AfterRows: 199, OtherVersion: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.OtherVersion }},
 	} {
-		n.SetRows(x.f)
+		n.SetRowFault(x.f)
 		if x.within == 0 {
 			x.within = testTimeout
 		}
@@ -92,7 +92,7 @@
 		if x.f.Unsorted {
 			want[47], want[48] = want[48], want[47]
 		}
-		if x.f.Other {
+		if x.f.OtherVersion {
 			if equalRows(got, want) {
 				t.Errorf("%+v: rows do not differ", x.f)
 			}
@@ -101,12 +101,12 @@
 		if !equalRows(got, want) || (err == nil) != x.whole || limited != x.limited {
 			t.Errorf("%+v attempt %d: %d rows, error %v, limited %v", x.f, x.copy, len(got), err, limited)
 		}
-		if c := n.RowCounts(id); x.count(c) != 1 || c.Asked != 1 {
+		if c := n.RowCounts(id); x.count(c) != 1 || c.Requests != 1 {
 			t.Errorf("%+v attempt %d: counts %+v", x.f, x.copy, c)
 		}
 	}
-	n.SetRows(RowFault{})
-	if _, _, err := requestPart(t, a.String(), "other", 4, 0, testTimeout); err != nil || n.RowCounts("other").Asked != 0 {
+	n.SetRowFault(RowFault{})
+	if _, _, err := requestPart(t, a.String(), "other", 4, 0, testTimeout); err != nil || n.RowCounts("other").Requests != 0 {
 		t.Errorf("request for another shard: %v", err)
 	}
 }
@@ -114,7 +114,7 @@
 // The reference merge returns keys in order and for each key the rows that the keep rule names. The generated shards
 // share keys.
 func TestReferenceMerge(t *testing.T) {
-	r := &Rows{Seed: 9, Count: 100, Shared: 0.4, Same: 0.5}
+	r := &Rows{Seed: 9, RowsPerShard: 100, SharedKeys: 0.4, SameVersion: 0.5}
 	shards := []int{2, 0, 7}
 	var shardKeys [][]key
 	versions := map[int64][]int64{} // versions by key, in the order of the shards
@@ -132,7 +132,7 @@
 		"last": func(v []int64) []int64 { return v[len(v)-1:] }, "highest": func(v []int64) []int64 { return []int64{slices.Max(v)} }} {
 		got := map[int64][]int64{}
 		last := int64(-1)
-		flat := r.Flat(shards, Flat{Keep: keep})
+		flat := r.Merge(shards, MergeOptions{Keep: keep})
 		for _, row := range flat {
 			k := gjson.GetBytes(row, "k").Int()
 			if k < last {
@@ -146,7 +146,7 @@
 				t.Errorf("%s: key %d: kept versions %v of %v", keep, k, got[k], v)
 			}
 		}
-		if page := r.Flat(shards, Flat{Keep: keep, Offset: 10, Rows: 5}); len(got) != len(versions) || !equalRows(page, flat[10:15]) {
+		if page := r.Merge(shards, MergeOptions{Keep: keep, Offset: 10, MaxRows: 5}); len(got) != len(versions) || !equalRows(page, flat[10:15]) {
 			t.Errorf("%s: %d keys, page %q", keep, len(got), page)
 		}
 	}
--- a/internal/testkit/fake/node/slowstart.go
+++ b/internal/testkit/fake/node/slowstart.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Cold describes a node that has just started: its execution times are longer, and it crashes when it
+// SlowStart describes a node that has just started: its execution times are longer, and it crashes when it
 // receives more than its overload limit within Window.
-type Cold struct {
-	Power  float64       // initial speed as a fraction of a warmed-up node's
-	Span   time.Duration // until warmed up; the speed grows linearly
-	Units  float64       // units tolerated within Window at the start; they grow with the speed
-	Mean   float64       // units of an average request
-	Within time.Duration
-	Back   time.Duration // a crashed node restarts, in slow start again, after this delay
+type SlowStart struct {
+	InitialSpeed float64       // initial speed as a fraction of a warmed-up node's
+	Duration     time.Duration // until warmed up; the speed grows linearly
+	InitialUnits float64       // units tolerated within Window at the start; they grow with the speed
+	MeanUnits    float64       // units of an average request
+	Window       time.Duration
+	RestartDelay time.Duration // a crashed node restarts, in slow start again, after this delay
 }
 
 // speed is the speed at an age, as a fraction of a warmed-up node's.
-func (c *Cold) speed(age time.Duration) float64 {
-	return min(1, c.Power+(1-c.Power)*age.Seconds()/c.Span.Seconds())
+func (c *SlowStart) speed(age time.Duration) float64 {
+	return min(1, c.InitialSpeed+(1-c.InitialSpeed)*age.Seconds()/c.Duration.Seconds())
 }
 
 // overloadLimit is the number of average requests tolerated within Window: N + 3 sqrt(N) + 3.
-func (c *Cold) overloadLimit(age time.Duration) float64 {
-	n := c.Units / c.Mean * c.speed(age) / c.Power
+func (c *SlowStart) overloadLimit(age time.Duration) float64 {
+	n := c.InitialUnits / c.MeanUnits * c.speed(age) / c.InitialSpeed
 	return n + 3*math.Sqrt(n) + 3
 }
 
@@ -41,26 +41,26 @@
 	work float64 // in average requests
 }
 
-// Saw is something that Options.OnEvent is notified of.
-type Saw int
+// Event is something that Options.OnEvent is notified of.
+type Event int
 
 // The events.
 const (
-	Connected Saw = iota // a connection was accepted
-	Asked                // a complete request was received
-	Fell                 // the node crashed because of overload
-	Returned             // the node restarted in slow start
+	Connected       Event = iota // a connection was accepted
+	RequestReceived              // a complete request was received
+	Crashed                      // the node crashed because of overload
+	Restarted                    // the node restarted in slow start
 )
 
-// Chill puts the node into slow start from now on.
-func (n *Node) Chill() {
+// BeginSlowStart puts the node into slow start from now on.
+func (n *Node) BeginSlowStart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.slowStart = slowStartState{since: time.Now(), peakLoad: n.slowStart.peakLoad, crashes: n.slowStart.crashes}
 }
 
-// Falls returns how often the node crashed and the highest load so far as a fraction of the overload limit.
-func (n *Node) Falls() (times int, worst float64) {
+// Crashes returns how often the node crashed and the highest load so far as a fraction of the overload limit.
+func (n *Node) Crashes() (times int, worst float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.slowStart.crashes, n.slowStart.peakLoad
@@ -68,11 +68,11 @@
 
 // slowStartAge returns the time since the slow start began and whether it is still under way. The caller holds n.mu.
 func (n *Node) slowStartAge(now time.Time) (time.Duration, bool) {
-	if n.options.Cold == nil || n.slowStart.since.IsZero() {
+	if n.options.SlowStart == nil || n.slowStart.since.IsZero() {
 		return 0, false
 	}
 	age := now.Sub(n.slowStart.since)
-	return age, age < n.options.Cold.Span
+	return age, age < n.options.SlowStart.Duration
 }
 
 // scaleServiceTime scales an execution time by the current speed.
@@ -80,7 +80,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if age, starting := n.slowStartAge(time.Now()); starting {
-		return time.Duration(float64(work) / n.options.Cold.speed(age))
+		return time.Duration(float64(work) / n.options.SlowStart.speed(age))
 	}
 	return work
 }
@@ -89,14 +89,14 @@
 func (n *Node) countLoad(units float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, state, limits := time.Now(), &n.slowStart, n.options.Cold
+	now, state, limits := time.Now(), &n.slowStart, n.options.SlowStart
 	age, starting := n.slowStartAge(now)
 	if !starting {
 		return false
 	}
-	request := workItem{now, units / limits.Mean}
+	request := workItem{now, units / limits.MeanUnits}
 	state.requests, state.sum = append(state.requests, request), state.sum+request.work
-	for now.Sub(state.requests[0].at) > limits.Within {
+	for now.Sub(state.requests[0].at) > limits.Window {
 		state.requests, state.sum = state.requests[1:], state.sum-state.requests[0].work
 	}
 	load := state.sum / limits.overloadLimit(age)
@@ -127,23 +127,23 @@
 		}
 		return !closed
 	}
-	n.notify(Fell)
+	n.notify(Crashed)
 	if !setAll(Refused) {
 		return
 	}
 	select {
-	case <-time.After(n.options.Cold.Back):
+	case <-time.After(n.options.SlowStart.RestartDelay):
 	case <-n.done:
 		return
 	}
-	n.Chill()
+	n.BeginSlowStart()
 	if setAll(None) {
-		n.notify(Returned)
+		n.notify(Restarted)
 	}
 }
 
-func (n *Node) notify(event Saw) {
-	if n.options.Saw != nil {
-		n.options.Saw(event)
+func (n *Node) notify(event Event) {
+	if n.options.OnEvent != nil {
+		n.options.OnEvent(event)
 	}
 }
--- a/internal/testkit/fake/refuser/refuser.go
+++ b/internal/testkit/fake/refuser/refuser.go
@@ -9,21 +9,21 @@
 	"syscall"
 )
 
-// Tries counts the zero-copy transfers that failed.
-type Tries struct{ n atomic.Int64 }
+// CopyAttempts counts the zero-copy transfers that failed.
+type CopyAttempts struct{ n atomic.Int64 }
 
 // Count returns the number of failed transfers.
-func (t *Tries) Count() int64 { return t.n.Load() }
+func (t *CopyAttempts) Count() int64 { return t.n.Load() }
 
 // Conn is a TCP connection whose zero-copy transfers fail. It embeds *net.TCPConn for callers that depend on the
 // connection's methods.
 type Conn struct {
 	*net.TCPConn
-	counter *Tries
+	counter *CopyAttempts
 }
 
-// Of makes the zero-copy transfers of a TCP connection fail.
-func (t *Tries) Of(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), t} }
+// Wrap makes the zero-copy transfers of a TCP connection fail.
+func (t *CopyAttempts) Wrap(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), t} }
 
 // ReadFrom implements io.ReaderFrom and always fails.
 func (c *Conn) ReadFrom(io.Reader) (int64, error) { c.counter.n.Add(1); return 0, syscall.ENOSYS }
@@ -34,7 +34,7 @@
 // Listener accepts connections whose zero-copy transfers fail.
 type Listener struct {
 	net.Listener
-	*Tries
+	*CopyAttempts
 }
 
 // Listen opens a Listener on any loopback port.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{ln, &Tries{}}, nil
+	return &Listener{ln, &CopyAttempts{}}, nil
 }
 
 // Accept implements net.Listener.
@@ -52,5 +52,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.Of(nc), nil
+	return l.Wrap(nc), nil
 }
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -20,25 +20,25 @@
 
 // The modes.
 const (
-	Answer Mode = iota // 200 after Service, or later during a stall
-	Refuse             // 503 with RetryAfter
-	Reset              // the connection is reset
-	Hang               // no response
-	Late               // 200 after LateBy
+	Answer  Mode = iota // 200 after Service, or later during a stall
+	Reject              // 503 with RetryAfter
+	Reset               // the connection is reset
+	Hang                // no response
+	Delayed             // 200 after Delay
 )
 
 // Options configure a server.
 type Options struct {
-	Service    time.Duration // response time without a stall
-	Stall      time.Duration // the server sends no responses for this long at the start of each interval Every, except the first
-	Every      time.Duration
-	RetryAfter time.Duration
-	LateBy     time.Duration
-	Rate       float64 // responses per second; requests above the rate are rejected. 0: unlimited
+	ServiceTime   time.Duration // response time without a stall
+	StallDuration time.Duration // the server sends no responses for this long at the start of each interval Every, except the first
+	StallInterval time.Duration
+	RetryAfter    time.Duration
+	Delay         time.Duration
+	Rate          float64 // responses per second; requests above the rate are rejected. 0: unlimited
 }
 
 // Counts are a server's counters.
-type Counts struct{ Conns, Requests, Retries, Answered, Refused int }
+type Counts struct{ Conns, Requests, Retries, Answered, Rejected int }
 
 // Server is a running fake scheduler.
 type Server struct {
@@ -61,8 +61,8 @@
 	return &Server{opt: opt, start: now, refilledAt: now, requestCounts: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
 }
 
-// Set switches the mode.
-func (s *Server) Set(m Mode) { s.mode.Store(int32(m)) }
+// SetMode switches the mode.
+func (s *Server) SetMode(m Mode) { s.mode.Store(int32(m)) }
 
 // Counts returns the counters so far.
 func (s *Server) Counts() Counts {
@@ -71,8 +71,8 @@
 	return s.counts
 }
 
-// Seen returns how often a request ID has been received.
-func (s *Server) Seen(id string) int {
+// RequestCount returns how often a request ID has been received.
+func (s *Server) RequestCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCounts[id]
@@ -85,12 +85,12 @@
 		if err != nil {
 			return
 		}
-		s.Go(nc)
+		s.ServeConn(nc)
 	}
 }
 
-// Go serves one connection in its own goroutine.
-func (s *Server) Go(nc net.Conn) {
+// ServeConn serves one connection in its own goroutine.
+func (s *Server) ServeConn(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -121,30 +121,30 @@
 
 // responseTime returns when a request is answered that arrives at a time after the start.
 func (s *Server) responseTime(arrival time.Duration) time.Duration {
-	end := arrival + s.opt.Service
-	if s.opt.Every > 0 {
-		if n := end / s.opt.Every; n > 0 && end-n*s.opt.Every < s.opt.Stall {
-			end = n*s.opt.Every + s.opt.Stall
+	end := arrival + s.opt.ServiceTime
+	if s.opt.StallInterval > 0 {
+		if n := end / s.opt.StallInterval; n > 0 && end-n*s.opt.StallInterval < s.opt.StallDuration {
+			end = n*s.opt.StallInterval + s.opt.StallDuration
 		}
 	}
 	return end
 }
 
-// Expect returns the response time of a request that arrives at a time after the start.
-func (s *Server) Expect(arrival time.Duration) time.Duration {
+// ExpectedResponseTime returns the response time of a request that arrives at a time after the start.
+func (s *Server) ExpectedResponseTime(arrival time.Duration) time.Duration {
 	return s.responseTime(arrival) - arrival
 }
 
 // Quantile returns the quantile q of the response time for arrivals spread evenly over whole intervals Every.
 func (s *Server) Quantile(q float64) time.Duration {
-	if s.opt.Every == 0 {
-		return s.opt.Service
+	if s.opt.StallInterval == 0 {
+		return s.opt.ServiceTime
 	}
-	stalled := float64(s.opt.Stall) / float64(s.opt.Every) // share of requests that wait for the rest of a stall
+	stalled := float64(s.opt.StallDuration) / float64(s.opt.StallInterval) // share of requests that wait for the rest of a stall
 	if q <= 1-stalled {
-		return s.opt.Service
+		return s.opt.ServiceTime
 	}
-	return s.opt.Service + time.Duration(math.Round((q-(1-stalled))*float64(s.opt.Every)))
+	return s.opt.ServiceTime + time.Duration(math.Round((q-(1-stalled))*float64(s.opt.StallInterval)))
 }
 
 func (s *Server) serve(nc net.Conn) {
@@ -176,11 +176,11 @@
 		case mode == Hang:
 			_, _ = br.Peek(1) // until the client disconnects or the server closes
 			return
-		case mode == Refuse || overRate:
+		case mode == Reject || overRate:
 			response.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			response.Header.Set("Retry-After", strconv.FormatFloat(s.opt.RetryAfter.Seconds(), 'f', -1, 64))
-		case mode == Late:
-			time.Sleep(s.opt.LateBy)
+		case mode == Delayed:
+			time.Sleep(s.opt.Delay)
 			response.SetBodyString(id)
 		default:
 			time.Sleep(time.Until(s.start.Add(s.responseTime(arrival))))
@@ -193,7 +193,7 @@
 		if response.StatusCode() == fasthttp.StatusOK {
 			s.counts.Answered++
 		} else {
-			s.counts.Refused++
+			s.counts.Rejected++
 		}
 		s.mu.Unlock()
 	}
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -26,14 +26,14 @@
 
 // Options configure a fleet.
 type Options struct {
-	Shape      workload.Shape
-	Schedulers int
-	Daemon     string        // path of the built daemon; "": as cluster.Build finds or builds it
-	Service    time.Duration // mean service time of a unit at a node
-	Workers    int           // per node
-	Seed       uint64
-	MemoryMB   int
-	Log        logrus.FieldLogger
+	Shape           workload.Shape
+	Schedulers      int
+	Daemon          string        // path of the built daemon; "": as cluster.Build finds or builds it
+	MeanServiceTime time.Duration // mean service time of a unit at a node
+	Workers         int           // per node
+	Seed            uint64
+	MemoryMB        int
+	Log             logrus.FieldLogger
 }
 
 // Fleet is a running fleet.
@@ -79,11 +79,11 @@
 				}
 			}
 		}()
-		n := node.New(node.Options{Name: fmt.Sprint("s-", shard), Shard: shard, Workers: opt.Workers, Queue: 64, TellShard: true,
-			Service: func(*fasthttp.Request) time.Duration {
+		n := node.New(node.Options{Name: fmt.Sprint("s-", shard), Shard: shard, Workers: opt.Workers, QueueLimit: 64, ReportShard: true,
+			ServiceTime: func(*fasthttp.Request) time.Duration {
 				select {
 				case x := <-draws:
-					return time.Duration(x * float64(opt.Service))
+					return time.Duration(x * float64(opt.MeanServiceTime))
 				case <-ctx.Done():
 					return 0
 				}
@@ -191,7 +191,7 @@
 			errs = append(errs, err)
 		}
 		kill := time.AfterFunc(stopTimeout, func() { _ = p.Signal(syscall.SIGKILL) })
-		if err := p.End(context.Background()); err != nil {
+		if err := p.Wait(context.Background()); err != nil {
 			errs = append(errs, fmt.Errorf("scheduler %d exited: %w", i, err))
 		}
 		kill.Stop()
--- a/internal/testkit/historycheck/check.go
+++ b/internal/testkit/historycheck/check.go
@@ -35,93 +35,93 @@
 // Never is the time of an event that has not happened.
 const Never = time.Duration(math.MaxInt64)
 
-// Taken is a request that a client sent to a scheduler.
-type Taken struct {
+// Request is a request that a client sent to a scheduler.
+type Request struct {
 	ID, Class, Plan, Volume string
 	Units                   float64
 	Scheduler               int
-	At, GivesUp             time.Duration
-	Of                      string // for a part of a gathered read, the client's request, whose outcome is also the part's; "": not a part
+	At, Deadline            time.Duration
+	ParentID                string // for a part of a gathered read, the client's request, whose outcome is also the part's; "": not a part
 }
 
-// Sent is an attempt as seen by its node. LastByte and EndedAt are Never if they did not happen.
-type Sent struct {
-	ID, Node            string
-	First, Whole, Ended time.Duration
-	Turned              bool // the node rejected the attempt without executing it
+// Attempt is an attempt as seen by its node. LastByte and EndedAt are Never if they did not happen.
+type Attempt struct {
+	ID, Node                     string
+	FirstByte, LastByte, EndedAt time.Duration
+	Rejected                     bool // the node rejected the attempt without executing it
 }
 
-// Executed is one execution of a request.
-type Executed struct {
+// Execution is one execution of a request.
+type Execution struct {
 	ID, Node string
 	At       time.Duration
 }
 
-// End is how a request ended for its client.
-type End int
+// OutcomeKind is how a request ended for its client.
+type OutcomeKind int
 
 // The kinds of outcomes.
 const (
-	Whole   End = iota // a complete response with any status
-	Cut                // the connection ended within the response
-	Unheard            // the connection ended or the deadline passed before the first byte of a response
-	Left               // the client disconnected
+	Complete     OutcomeKind = iota // a complete response with any status
+	Truncated                       // the connection ended within the response
+	NoResponse                      // the connection ended or the deadline passed before the first byte of a response
+	Disconnected                    // the client disconnected
 )
 
-// Answered is the end of a request.
-type Answered struct {
-	ID  string
-	At  time.Duration
-	End End
-	Of  string // request ID in the response; "": none
+// Outcome is the end of a request.
+type Outcome struct {
+	ID         string
+	At         time.Duration
+	Kind       OutcomeKind
+	ResponseID string // request ID in the response; "": none
 }
 
-// Word is a node's status in the endpoint list.
-type Word int
+// NodeStatus is a node's status in the endpoint list.
+type NodeStatus int
 
 // The statuses.
 const (
-	Active Word = iota
+	Active NodeStatus = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Told is an entry of the endpoint list as it was sent to a scheduler.
-type Told struct {
+// Notification is an entry of the endpoint list as it was sent to a scheduler.
+type Notification struct {
 	Scheduler int
 	Node      string
-	Word      Word
+	Status    NodeStatus
 	At        time.Duration
 }
 
 // Change is a change of the endpoint list at the discovery service.
 type Change struct {
-	Node string
-	Word Word
-	At   time.Duration
+	Node   string
+	Status NodeStatus
+	At     time.Duration
 }
 
-// Span is a period of time of one scheduler.
-type Span struct {
+// Interval is a period of time of one scheduler.
+type Interval struct {
 	Scheduler int
 	From, To  time.Duration
-	Turned    bool // for History.ListOutages: the scheduler's calls were rejected
+	Rejected  bool // for History.ListOutages: the scheduler's calls were rejected
 }
 
 // History lists the events of a test run. All times are measured from the same start.
 type History struct {
-	Taken    []Taken
-	Sent     []Sent
-	Executed []Executed
-	Answered []Answered
-	Told     []Told
-	Changed  []Change
-	Cold     []Change // starts of nodes in slow start; the status is not used
-	Deaf     []Span   // the endpoint list was not available
-	Killed   []Span   // from the kill until the scheduler served again
-	Ending   []Span   // from SIGTERM until the scheduler served again
-	Paused   []Span   // from SIGSTOP until SIGCONT
-	Stood    []Span   // the test process itself got no CPU time; Scheduler is not used
+	Requests      []Request
+	Attempts      []Attempt
+	Executions    []Execution
+	Outcomes      []Outcome
+	Notifications []Notification
+	Changes       []Change
+	SlowStarts    []Change   // starts of nodes in slow start; the status is not used
+	ListOutages   []Interval // the endpoint list was not available
+	Killed        []Interval // from the kill until the scheduler served again
+	Terminating   []Interval // from SIGTERM until the scheduler served again
+	Paused        []Interval // from SIGSTOP until SIGCONT
+	HarnessStalls []Interval // the test process itself got no CPU time; Scheduler is not used
 }
 
 // Plan is a plan's limit for one volume, in units.
@@ -129,16 +129,16 @@
 
 // Rules are the platform's limits.
 type Rules struct {
-	Unsafe       map[string]bool // by class
-	SecondCopies bool
-	Grace        time.Duration   // rules.stop-sending-within
-	AskWithin    time.Duration   // rules.ask-within; 0: a scheduler counts as notified only by a notification
-	Plans        map[string]Plan // plans with a limit
-	MeanUnits    float64         // extra.usual-units
-	ColdN        float64         // extra.young-limit; 0: not checked
-	ColdFor      time.Duration   // rules.overload-for
-	CreditShare  float64         // share of the units answered by a node in slow start that is added to its budget
-	Slack        time.Duration
+	NonIdempotent   map[string]bool // by class
+	Hedging         bool
+	Grace           time.Duration   // rules.stop-sending-within
+	AskWithin       time.Duration   // rules.ask-within; 0: a scheduler counts as notified only by a notification
+	Plans           map[string]Plan // plans with a limit
+	MeanUnits       float64         // extra.usual-units
+	SlowStartLimit  float64         // extra.young-limit; 0: not checked
+	SlowStartWindow time.Duration   // rules.overload-for
+	CreditShare     float64         // share of the units answered by a node in slow start that is added to its budget
+	Slack           time.Duration
 }
 
 // Violation is a violation of a rule.
@@ -155,21 +155,21 @@
 
 // Check returns all violations. Their order depends only on the history.
 func Check(r Rules, h History) []Violation {
-	c := &checker{rules: r, history: h, requests: map[string]Taken{}, attempts: map[string][]Sent{}, outcomes: map[string][]Answered{}}
-	for _, t := range h.Taken {
+	c := &checker{rules: r, history: h, requests: map[string]Request{}, attempts: map[string][]Attempt{}, outcomes: map[string][]Outcome{}}
+	for _, t := range h.Requests {
 		c.requests[t.ID] = t
 	}
-	for _, s := range h.Sent {
+	for _, s := range h.Attempts {
 		c.attempts[s.ID] = append(c.attempts[s.ID], s)
 	}
 	for _, list := range c.attempts {
-		slices.SortStableFunc(list, func(a, b Sent) int { return cmp.Compare(a.First, b.First) })
+		slices.SortStableFunc(list, func(a, b Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	}
-	for _, a := range h.Answered {
+	for _, a := range h.Outcomes {
 		c.outcomes[a.ID] = append(c.outcomes[a.ID], a)
 	}
-	for _, t := range h.Taken {
-		if t.Of == "" {
+	for _, t := range h.Requests {
+		if t.ParentID == "" {
 			c.checkOutcome(t)
 		}
 		c.checkAttempts(t)
@@ -184,9 +184,9 @@
 type checker struct {
 	rules      Rules
 	history    History
-	requests   map[string]Taken
-	attempts   map[string][]Sent // by request ID, in order of their first bytes
-	outcomes   map[string][]Answered
+	requests   map[string]Request
+	attempts   map[string][]Attempt // by request ID, in order of their first bytes
+	outcomes   map[string][]Outcome
 	violations []Violation
 }
 
@@ -195,19 +195,19 @@
 }
 
 // overlaps reports whether an interval of the scheduler overlaps a time range.
-func overlaps(all []Span, scheduler int, from, to time.Duration) bool {
-	return slices.ContainsFunc(all, func(s Span) bool { return s.Scheduler == scheduler && s.From <= to && from <= s.To })
+func overlaps(all []Interval, scheduler int, from, to time.Duration) bool {
+	return slices.ContainsFunc(all, func(s Interval) bool { return s.Scheduler == scheduler && s.From <= to && from <= s.To })
 }
 
 // harnessStalled reports whether the test process stalled between two times.
 func (c *checker) harnessStalled(from, to time.Duration) bool {
-	return slices.ContainsFunc(c.history.Stood, func(s Span) bool { return s.From <= to && from <= s.To })
+	return slices.ContainsFunc(c.history.HarnessStalls, func(s Interval) bool { return s.From <= to && from <= s.To })
 }
 
-func (c *checker) checkOutcome(request Taken) {
+func (c *checker) checkOutcome(request Request) {
 	outcomes, attempts := c.outcomes[request.ID], c.attempts[request.ID]
-	for _, p := range c.history.Taken { // attempts of a request's parts count as its own
-		if p.Of == request.ID {
+	for _, p := range c.history.Requests { // attempts of a request's parts count as its own
+		if p.ParentID == request.ID {
 			attempts = append(slices.Clip(attempts), c.attempts[p.ID]...)
 		}
 	}
@@ -219,54 +219,54 @@
 	killed := overlaps(c.history.Killed, request.Scheduler, request.At, outcome.At)
 	paused := overlaps(c.history.Paused, request.Scheduler, request.At, outcome.At)
 	stalled := c.harnessStalled(request.At, outcome.At)
-	terminatedUnsent := len(attempts) == 0 && overlaps(c.history.Ending, request.Scheduler, request.At, outcome.At)
+	terminatedUnsent := len(attempts) == 0 && overlaps(c.history.Terminating, request.Scheduler, request.At, outcome.At)
 	switch {
-	case outcome.End == Left:
-	case outcome.Of != "" && outcome.Of != request.ID:
-		c.report("answer", request.ID, "", "received the response to request %q", outcome.Of)
-	case outcome.End == Unheard && paused:
-	case outcome.End != Whole && !killed && !terminatedUnsent:
-		c.report("answer", request.ID, "", "no complete response by %v (outcome %d, %d attempts)", outcome.At, outcome.End, len(attempts))
-	case outcome.End == Whole && outcome.At-c.rules.Slack > request.GivesUp && !paused && !stalled:
-		c.report("answer", request.ID, "", "answered at %v, after the client's deadline at %v", outcome.At, request.GivesUp)
+	case outcome.Kind == Disconnected:
+	case outcome.ResponseID != "" && outcome.ResponseID != request.ID:
+		c.report("answer", request.ID, "", "received the response to request %q", outcome.ResponseID)
+	case outcome.Kind == NoResponse && paused:
+	case outcome.Kind != Complete && !killed && !terminatedUnsent:
+		c.report("answer", request.ID, "", "no complete response by %v (outcome %d, %d attempts)", outcome.At, outcome.Kind, len(attempts))
+	case outcome.Kind == Complete && outcome.At-c.rules.Slack > request.Deadline && !paused && !stalled:
+		c.report("answer", request.ID, "", "answered at %v, after the client's deadline at %v", outcome.At, request.Deadline)
 	}
 }
 
-func (c *checker) checkAttempts(request Taken) {
+func (c *checker) checkAttempts(request Request) {
 	attempts := c.attempts[request.ID]
 	executions := 0
-	for _, e := range c.history.Executed {
+	for _, e := range c.history.Executions {
 		if e.ID == request.ID {
 			executions++
 		}
 	}
-	if c.rules.Unsafe[request.Class] && executions > 1 {
+	if c.rules.NonIdempotent[request.Class] && executions > 1 {
 		c.report("unsafe", request.ID, "", "executed %d times", executions)
 	}
 	for i, s := range attempts {
 		for _, earlier := range attempts[:i] {
-			if c.rules.Unsafe[request.Class] && earlier.Whole < s.First && !earlier.Turned {
-				c.report("unsafe", request.ID, s.Node, "sent again at %v, may have been executed at %s", s.First, earlier.Node)
+			if c.rules.NonIdempotent[request.Class] && earlier.LastByte < s.FirstByte && !earlier.Rejected {
+				c.report("unsafe", request.ID, s.Node, "sent again at %v, may have been executed at %s", s.FirstByte, earlier.Node)
 			}
-			if !c.rules.SecondCopies && earlier.Ended != Never && earlier.Ended > s.First+c.rules.Slack || !c.rules.SecondCopies && earlier.Ended == Never {
-				c.report("two-out", request.ID, s.Node, "sent at %v while another attempt was in flight at %s", s.First, earlier.Node)
+			if !c.rules.Hedging && earlier.EndedAt != Never && earlier.EndedAt > s.FirstByte+c.rules.Slack || !c.rules.Hedging && earlier.EndedAt == Never {
+				c.report("two-out", request.ID, s.Node, "sent at %v while another attempt was in flight at %s", s.FirstByte, earlier.Node)
 			}
 		}
-		for _, a := range c.outcomes[cmp.Or(request.Of, request.ID)] {
-			if (a.End == Whole || a.End == Left) && s.First > a.At+c.rules.Slack && !c.harnessStalled(a.At, min(s.First, a.At+maxStallExcuse)) {
-				c.report("late", request.ID, s.Node, "attempt sent at %v, request ended at %v", s.First, a.At)
+		for _, a := range c.outcomes[cmp.Or(request.ParentID, request.ID)] {
+			if (a.Kind == Complete || a.Kind == Disconnected) && s.FirstByte > a.At+c.rules.Slack && !c.harnessStalled(a.At, min(s.FirstByte, a.At+maxStallExcuse)) {
+				c.report("late", request.ID, s.Node, "attempt sent at %v, request ended at %v", s.FirstByte, a.At)
 			}
 		}
 	}
 }
 
 func (c *checker) checkStrays() {
-	for _, s := range c.history.Sent {
+	for _, s := range c.history.Attempts {
 		if _, ok := c.requests[s.ID]; !ok && s.ID != "" {
 			c.report("stray", s.ID, s.Node, "received, but no client sent it")
 		}
 	}
-	for _, e := range c.history.Executed {
+	for _, e := range c.history.Executions {
 		if _, ok := c.requests[e.ID]; !ok {
 			c.report("stray", e.ID, e.Node, "executed, but no client sent it")
 		}
@@ -285,10 +285,10 @@
 		available, within := change.At, c.rules.AskWithin
 		for moved := true; moved; {
 			moved = false
-			for _, s := range c.history.Deaf {
+			for _, s := range c.history.ListOutages {
 				if s.Scheduler == scheduler && s.From <= available && available < s.To {
 					available, moved = s.To, true
-					if s.Turned {
+					if s.Rejected {
 						within = max(c.rules.AskWithin, min(rejectedCallFactor*c.rules.AskWithin, maxRejectedCallDelay))
 					}
 				}
@@ -298,12 +298,12 @@
 			at = available + within
 		}
 	}
-	for _, t := range c.history.Told {
-		if t.Scheduler == scheduler && t.Node == change.Node && t.Word == change.Word && t.At >= change.At {
+	for _, t := range c.history.Notifications {
+		if t.Scheduler == scheduler && t.Node == change.Node && t.Status == change.Status && t.At >= change.At {
 			at = min(at, t.At)
 		}
 	}
-	for _, list := range [][]Span{c.history.Paused, c.history.Killed} { // notifications during these are read at their end
+	for _, list := range [][]Interval{c.history.Paused, c.history.Killed} { // notifications during these are read at their end
 		for _, s := range list {
 			if s.Scheduler == scheduler && s.From <= at && at <= s.To {
 				at = s.To
@@ -314,21 +314,21 @@
 }
 
 func (c *checker) checkDrains() {
-	for i, change := range c.history.Changed {
-		if change.Word == Active {
+	for i, change := range c.history.Changes {
+		if change.Status == Active {
 			continue
 		}
 		until := Never // when the node is active again
-		for _, next := range c.history.Changed[i+1:] {
-			if next.Node == change.Node && next.Word == Active {
+		for _, next := range c.history.Changes[i+1:] {
+			if next.Node == change.Node && next.Status == Active {
 				until = next.At
 				break
 			}
 		}
 		notified := map[int]time.Duration{}
-		for _, s := range c.history.Sent {
+		for _, s := range c.history.Attempts {
 			t, ok := c.requests[s.ID]
-			if s.Node != change.Node || !ok || s.First >= until {
+			if s.Node != change.Node || !ok || s.FirstByte >= until {
 				continue
 			}
 			at, known := notified[t.Scheduler]
@@ -336,8 +336,8 @@
 				at = c.notifiedAt(t.Scheduler, change)
 				notified[t.Scheduler] = at
 			}
-			if at != Never && s.First > at+c.rules.Grace+c.rules.Slack {
-				c.report("drain", s.ID, s.Node, "scheduler %d sent at %v, notified at %v", t.Scheduler, s.First, at)
+			if at != Never && s.FirstByte > at+c.rules.Grace+c.rules.Slack {
+				c.report("drain", s.ID, s.Node, "scheduler %d sent at %v, notified at %v", t.Scheduler, s.FirstByte, at)
 			}
 		}
 	}
@@ -356,7 +356,7 @@
 	}
 	byVolume, plans := map[string][]usage{}, map[string]Plan{}
 	var volumes []string
-	for _, t := range c.history.Taken {
+	for _, t := range c.history.Requests {
 		p, ok := c.rules.Plans[t.Plan]
 		if !ok || p.Cap <= 0 || len(c.attempts[t.ID]) == 0 {
 			continue
@@ -365,7 +365,7 @@
 			volumes = append(volumes, t.Volume)
 			plans[t.Volume] = p
 		}
-		byVolume[t.Volume] = append(byVolume[t.Volume], usage{t.ID, c.attempts[t.ID][0].First, t.Units})
+		byVolume[t.Volume] = append(byVolume[t.Volume], usage{t.ID, c.attempts[t.ID][0].FirstByte, t.Units})
 	}
 	for _, v := range volumes {
 		all, p := byVolume[v], plans[v]
@@ -393,24 +393,24 @@
 }
 
 func (c *checker) checkSlowStart() {
-	if c.rules.ColdN <= 0 {
+	if c.rules.SlowStartLimit <= 0 {
 		return
 	}
-	budget := (c.rules.ColdN + 3*math.Sqrt(c.rules.ColdN) + 3) * cmp.Or(c.rules.MeanUnits, 1)
-	for _, start := range c.history.Cold {
-		var attempts []Sent
-		for _, s := range c.history.Sent {
-			if s.Node == start.Node && s.First >= start.At && s.First <= start.At+c.rules.ColdFor {
+	budget := (c.rules.SlowStartLimit + 3*math.Sqrt(c.rules.SlowStartLimit) + 3) * cmp.Or(c.rules.MeanUnits, 1)
+	for _, start := range c.history.SlowStarts {
+		var attempts []Attempt
+		for _, s := range c.history.Attempts {
+			if s.Node == start.Node && s.FirstByte >= start.At && s.FirstByte <= start.At+c.rules.SlowStartWindow {
 				attempts = append(attempts, s)
 			}
 		}
-		slices.SortStableFunc(attempts, func(a, b Sent) int { return cmp.Compare(a.First, b.First) })
+		slices.SortStableFunc(attempts, func(a, b Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 		sum := 0.0
 		for _, s := range attempts {
 			sum += c.requests[s.ID].Units
 			answered := 0.0
 			for _, o := range attempts {
-				if o.Ended < s.First && !o.Turned {
+				if o.EndedAt < s.FirstByte && !o.Rejected {
 					answered += c.requests[o.ID].Units
 				}
 			}
--- a/internal/testkit/historycheck/check_test.go
+++ b/internal/testkit/historycheck/check_test.go
@@ -15,28 +15,28 @@
 
 const ms = time.Millisecond
 
-var testRules = Rules{Unsafe: map[string]bool{"write": true}, Grace: 250 * ms, AskWithin: 1000 * ms, Plans: map[string]Plan{"small": {Cap: 10, Burst: 5}},
-	MeanUnits: 1, ColdN: 1, ColdFor: 3000 * ms, Slack: 50 * ms}
+var testRules = Rules{NonIdempotent: map[string]bool{"write": true}, Grace: 250 * ms, AskWithin: 1000 * ms, Plans: map[string]Plan{"small": {Cap: 10, Burst: 5}},
+	MeanUnits: 1, SlowStartLimit: 1, SlowStartWindow: 3000 * ms, Slack: 50 * ms}
 
 func singleRequest(id, class string, at time.Duration) History {
 	return History{
-		Taken:    []Taken{{ID: id, Class: class, Plan: "basic", Volume: "v", Units: 1, At: at, GivesUp: at + 1000*ms}},
-		Sent:     []Sent{{ID: id, Node: "a", First: at + 1*ms, Whole: at + 1*ms, Ended: at + 5*ms}},
-		Executed: []Executed{{id, "a", at + 2*ms}},
-		Answered: []Answered{{id, at + 6*ms, Whole, id}},
+		Requests:   []Request{{ID: id, Class: class, Plan: "basic", Volume: "v", Units: 1, At: at, Deadline: at + 1000*ms}},
+		Attempts:   []Attempt{{ID: id, Node: "a", FirstByte: at + 1*ms, LastByte: at + 1*ms, EndedAt: at + 5*ms}},
+		Executions: []Execution{{id, "a", at + 2*ms}},
+		Outcomes:   []Outcome{{id, at + 6*ms, Complete, id}},
 	}
 }
 
 func (h *History) add(o History) {
-	h.Taken, h.Sent = append(h.Taken, o.Taken...), append(h.Sent, o.Sent...)
-	h.Executed, h.Answered = append(h.Executed, o.Executed...), append(h.Answered, o.Answered...)
+	h.Requests, h.Attempts = append(h.Requests, o.Requests...), append(h.Attempts, o.Attempts...)
+	h.Executions, h.Outcomes = append(h.Executions, o.Executions...), append(h.Outcomes, o.Outcomes...)
 }
 
 // requestsOnPlan returns n requests 1 ms apart on a plan.
 func requestsOnPlan(n int, plan string) (h History) {
 	for i := range n {
 		o := singleRequest(fmt.Sprint("m", i), "read", time.Duration(i)*ms)
-		o.Taken[0].Plan = plan
+		o.Requests[0].Plan = plan
 		h.add(o)
 	}
 	return h
@@ -45,19 +45,19 @@
 // gatheredRead returns a read with n parts that were sent evenly over the duration last.
 func gatheredRead(n int, plan string, last time.Duration) (h History) {
 	h = singleRequest("g", "read", 0)
-	h.Sent, h.Executed = nil, nil
+	h.Attempts, h.Executions = nil, nil
 	for i := range n {
 		o := singleRequest(fmt.Sprint("g/", i, "/1"), "read", last*time.Duration(i)/time.Duration(n))
-		o.Taken[0].Of, o.Taken[0].Plan, o.Answered = "g", plan, nil
+		o.Requests[0].ParentID, o.Requests[0].Plan, o.Outcomes = "g", plan, nil
 		h.add(o)
 	}
-	h.Answered[0].At = 30 * ms
+	h.Outcomes[0].At = 30 * ms
 	return h
 }
 
-func withDrain(h History, word Word) History {
-	h.Changed = []Change{{"a", word, 0}}
-	h.Told = []Told{{0, "a", word, 10 * ms}}
+func withDrain(h History, word NodeStatus) History {
+	h.Changes = []Change{{"a", word, 0}}
+	h.Notifications = []Notification{{0, "a", word, 10 * ms}}
 	return h
 }
 
@@ -69,70 +69,74 @@
 		return h
 	}
 	resend := func(h *History, first time.Duration) {
-		h.Sent = append(h.Sent, Sent{ID: "r", Node: "b", First: first, Whole: first, Ended: first + 1*ms})
+		h.Attempts = append(h.Attempts, Attempt{ID: "r", Node: "b", FirstByte: first, LastByte: first, EndedAt: first + 1*ms})
 	}
 	for _, x := range []struct {
 		name, rule string
 		h          History
 	}{
 		{"clean", "", singleRequest("r", "write", 0)},
-		{"no outcome", "answer", edit("read", func(h *History) { h.Answered = nil })},
-		{"two outcomes", "answer", edit("read", func(h *History) { h.Answered = append(h.Answered, h.Answered[0]) })},
-		{"cut", "answer", edit("read", func(h *History) { h.Answered[0].End = Cut })},
-		{"response after the deadline", "answer", edit("read", func(h *History) { h.Answered[0].At = 1500 * ms })},
-		{"response within the slack", "", edit("read", func(h *History) { h.Answered[0].At = 1440 * ms })},
-		{"response to another request", "answer", edit("read", func(h *History) { h.Answered[0].Of = "s" })},
-		{"client disconnected", "", edit("read", func(h *History) { h.Answered[0].End = Left })},
+		{"no outcome", "answer", edit("read", func(h *History) { h.Outcomes = nil })},
+		{"two outcomes", "answer", edit("read", func(h *History) { h.Outcomes = append(h.Outcomes, h.Outcomes[0]) })},
+		{"cut", "answer", edit("read", func(h *History) { h.Outcomes[0].Kind = Truncated })},
+		{"response after the deadline", "answer", edit("read", func(h *History) { h.Outcomes[0].At = 1500 * ms })},
+		{"response within the slack", "", edit("read", func(h *History) { h.Outcomes[0].At = 1440 * ms })},
+		{"response to another request", "answer", edit("read", func(h *History) { h.Outcomes[0].ResponseID = "s" })},
+		{"client disconnected", "", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected })},
 		{"killed", "", edit("read", func(h *History) {
-			h.Answered[0].End, h.Killed = Unheard, []Span{{Scheduler: 0, From: 403 * ms, To: 900 * ms}}
+			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 0, From: 403 * ms, To: 900 * ms}}
 		})},
 		{"another scheduler killed", "answer", edit("read", func(h *History) {
-			h.Answered[0].End, h.Killed = Unheard, []Span{{Scheduler: 1, From: 403 * ms, To: 900 * ms}}
+			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 1, From: 403 * ms, To: 900 * ms}}
+		})},
+		{"shutdown after an attempt was sent", "answer", edit("read", func(h *History) {
+			h.Outcomes[0].Kind, h.Terminating = NoResponse, []Interval{{Scheduler: 0, From: 0, To: 900 * ms}}
 		})},
-		{"shutdown after an attempt was sent", "answer", edit("read", func(h *History) { h.Answered[0].End, h.Ending = Unheard, []Span{{Scheduler: 0, From: 0, To: 900 * ms}} })},
 		{"shutdown before an attempt was sent", "", edit("read", func(h *History) {
-			h.Answered[0].End, h.Ending, h.Sent, h.Executed = Unheard, []Span{{Scheduler: 0, From: 0, To: 900 * ms}}, nil, nil
+			h.Outcomes[0].Kind, h.Terminating, h.Attempts, h.Executions = NoResponse, []Interval{{Scheduler: 0, From: 0, To: 900 * ms}}, nil, nil
 		})},
-		{"non-idempotent request executed twice", "unsafe", edit("write", func(h *History) { h.Executed = append(h.Executed, h.Executed[0]) })},
-		{"idempotent request executed twice", "", edit("read", func(h *History) { h.Executed = append(h.Executed, h.Executed[0]) })},
+		{"non-idempotent request executed twice", "unsafe", edit("write", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
+		{"idempotent request executed twice", "", edit("read", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
 		{"non-idempotent request sent again", "unsafe", edit("write", func(h *History) { resend(h, 405*ms) })},
-		{"sent again after a rejection", "", edit("write", func(h *History) { h.Sent[0].Turned = true; resend(h, 405*ms) })},
-		{"sent again after a truncated attempt", "", edit("write", func(h *History) { h.Sent[0].Whole = Never; resend(h, 405*ms) })},
-		{"two attempts in flight", "two-out", edit("read", func(h *History) { h.Sent[0].Ended = 470 * ms; resend(h, 405*ms) })},
-		{"first attempt never ended", "two-out", edit("read", func(h *History) { h.Sent[0].Ended = Never; resend(h, 405*ms) })},
+		{"sent again after a rejection", "", edit("write", func(h *History) { h.Attempts[0].Rejected = true; resend(h, 405*ms) })},
+		{"sent again after a truncated attempt", "", edit("write", func(h *History) { h.Attempts[0].LastByte = Never; resend(h, 405*ms) })},
+		{"two attempts in flight", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = 470 * ms; resend(h, 405*ms) })},
+		{"first attempt never ended", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = Never; resend(h, 405*ms) })},
 		{"attempt after the response", "late", edit("read", func(h *History) { resend(h, 460*ms) })},
-		{"stray", "stray", edit("read", func(h *History) { h.Sent = append(h.Sent, Sent{ID: "x", Node: "a"}) })},
-		{"stray execution", "stray", edit("read", func(h *History) { h.Executed = append(h.Executed, Executed{"x", "a", 0}) })},
+		{"stray", "stray", edit("read", func(h *History) { h.Attempts = append(h.Attempts, Attempt{ID: "x", Node: "a"}) })},
+		{"stray execution", "stray", edit("read", func(h *History) { h.Executions = append(h.Executions, Execution{"x", "a", 0}) })},
 		{"draining", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
-		{"removed", "drain", withDrain(singleRequest("r", "read", 400*ms), Gone)},
+		{"removed", "drain", withDrain(singleRequest("r", "read", 400*ms), Removed)},
 		{"within the grace period", "", withDrain(singleRequest("r", "read", 300*ms), Draining)},
 		{"active again", "", func() History {
 			h := withDrain(singleRequest("r", "read", 400*ms), Draining)
-			h.Changed = append(h.Changed, Change{"a", Active, 350 * ms})
+			h.Changes = append(h.Changes, Change{"a", Active, 350 * ms})
 			return h
 		}()},
 		{"paused", "", func() History {
 			h := withDrain(singleRequest("r", "read", 400*ms), Draining)
-			h.Paused = []Span{{Scheduler: 0, From: 5 * ms, To: 300 * ms}}
+			h.Paused = []Interval{{Scheduler: 0, From: 5 * ms, To: 300 * ms}}
 			return h
 		}()},
-		{"never notified", "drain", History{}.with(singleRequest("r", "read", 1310*ms), Change{"a", Gone, 0})},
-		{"list not available", "", History{Deaf: []Span{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Gone, 0})},
-		{"list calls rejected", "", History{Deaf: []Span{{To: 100 * ms, Turned: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Gone, 0})},
-		{"too long after list calls were rejected", "drain", History{Deaf: []Span{{To: 100 * ms, Turned: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Gone, 0})},
-		{"late response without a deadline", "", edit("read", func(h *History) { h.Taken[0].GivesUp, h.Answered[0].At = Never, 1900*ms })},
-		{"late response of a paused scheduler", "", edit("read", func(h *History) { h.Answered[0].At, h.Paused = 1900*ms, []Span{{From: 402 * ms, To: 1500 * ms}} })},
-		{"late response during a stall of the test process", "", edit("read", func(h *History) { h.Answered[0].At, h.Stood = 1500*ms, []Span{{From: 1300 * ms, To: 1400 * ms}} })},
-		{"attempt after the client disconnected", "late", edit("read", func(h *History) { h.Answered[0].End = Left; resend(h, 460*ms) })},
+		{"never notified", "drain", History{}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
+		{"list not available", "", History{ListOutages: []Interval{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
+		{"list calls rejected", "", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Removed, 0})},
+		{"too long after list calls were rejected", "drain", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Removed, 0})},
+		{"late response without a deadline", "", edit("read", func(h *History) { h.Requests[0].Deadline, h.Outcomes[0].At = Never, 1900*ms })},
+		{"late response of a paused scheduler", "", edit("read", func(h *History) { h.Outcomes[0].At, h.Paused = 1900*ms, []Interval{{From: 402 * ms, To: 1500 * ms}} })},
+		{"late response during a stall of the test process", "", edit("read", func(h *History) {
+			h.Outcomes[0].At, h.HarnessStalls = 1500*ms, []Interval{{From: 1300 * ms, To: 1400 * ms}}
+		})},
+		{"attempt after the client disconnected", "late", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected; resend(h, 460*ms) })},
 		{"limit", "limit", requestsOnPlan(8, "small")},
 		{"within the limit", "", requestsOnPlan(6, "small")},
 		{"no limit", "", requestsOnPlan(60, "basic")},
 		{"parts", "", gatheredRead(6, "small", 20*ms)},
 		{"parts over the limit", "limit", gatheredRead(8, "small", 20*ms)},
 		{"part sent after the read ended", "late", gatheredRead(4, "basic", 200*ms)},
-		{"part without a read", "stray", edit("read", func(h *History) { h.Sent[0].ID = "g/0/1"; h.Executed = nil })},
-		{"cold", "cold", History{Cold: []Change{{Node: "a"}}}.with(requestsOnPlan(8, "basic"))},
-		{"within the slow start budget", "", History{Cold: []Change{{Node: "a"}}}.with(requestsOnPlan(7, "basic"))},
+		{"part without a read", "stray", edit("read", func(h *History) { h.Attempts[0].ID = "g/0/1"; h.Executions = nil })},
+		{"cold", "cold", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(8, "basic"))},
+		{"within the slow start budget", "", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(7, "basic"))},
 	} {
 		found := Check(testRules, x.h)
 		if x.rule == "" && len(found) > 0 || x.rule != "" && (len(found) == 0 || slices.ContainsFunc(found, func(v Violation) bool { return v.Rule != x.rule })) {
@@ -147,7 +151,7 @@
 	long := testRules
 	long.AskWithin = 2 * time.Second
 	for at, want := range map[time.Duration]int{6 * time.Second: 0, 6600 * ms: 1} {
-		h := History{Deaf: []Span{{To: 100 * ms, Turned: true}}}.with(singleRequest("r", "read", at), Change{"a", Gone, 0})
+		h := History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", at), Change{"a", Removed, 0})
 		if found := Check(long, h); len(found) != want {
 			t.Errorf("sent at %v: violations %v, want %d", at, found, want)
 		}
@@ -156,7 +160,7 @@
 
 func (h History) with(o History, changed ...Change) History {
 	h.add(o)
-	h.Changed = changed
+	h.Changes = changed
 	return h
 }
 
@@ -166,22 +170,22 @@
 		var h History
 		n := rapid.IntRange(1, 30).Draw(t, "requests")
 		drain := time.Duration(rapid.IntRange(0, 2000).Draw(t, "drain")) * ms
-		h.Changed = []Change{{"a", Draining, drain}}
+		h.Changes = []Change{{"a", Draining, drain}}
 		for s := range 3 {
-			h.Told = append(h.Told, Told{s, "a", Draining, drain + time.Duration(rapid.IntRange(0, 900).Draw(t, "told"))*ms})
+			h.Notifications = append(h.Notifications, Notification{s, "a", Draining, drain + time.Duration(rapid.IntRange(0, 900).Draw(t, "told"))*ms})
 		}
 		for i := range n {
 			at := time.Duration(i*120) * ms
 			o := singleRequest(fmt.Sprint("r", i), rapid.SampledFrom([]string{"read", "write"}).Draw(t, "class"), at)
 			s := rapid.IntRange(0, 2).Draw(t, "scheduler")
-			o.Taken[0].Scheduler = s
-			o.Taken[0].Plan = rapid.SampledFrom([]string{"basic", "small"}).Draw(t, "plan")
-			if at > h.Told[s].At {
-				o.Sent[0].Node, o.Executed[0].Node = "b", "b"
+			o.Requests[0].Scheduler = s
+			o.Requests[0].Plan = rapid.SampledFrom([]string{"basic", "small"}).Draw(t, "plan")
+			if at > h.Notifications[s].At {
+				o.Attempts[0].Node, o.Executions[0].Node = "b", "b"
 			}
 			if rapid.Bool().Draw(t, "turned") { // the first attempt is rejected, a second one is served
-				o.Sent = append(o.Sent, o.Sent[0])
-				o.Sent[0].Turned, o.Sent[0].Ended = true, o.Sent[0].First
+				o.Attempts = append(o.Attempts, o.Attempts[0])
+				o.Attempts[0].Rejected, o.Attempts[0].EndedAt = true, o.Attempts[0].FirstByte
 			}
 			h.add(o)
 		}
@@ -189,32 +193,32 @@
 			t.Fatalf("violations in a valid history: %v", found)
 		}
 		i := rapid.IntRange(0, n-1).Draw(t, "which")
-		id := h.Taken[i].ID
-		k := slices.IndexFunc(h.Sent, func(s Sent) bool { return s.ID == id && !s.Turned })
+		id := h.Requests[i].ID
+		k := slices.IndexFunc(h.Attempts, func(s Attempt) bool { return s.ID == id && !s.Rejected })
 		want := rapid.SampledFrom([]string{"answer", "unsafe", "two-out", "drain", "limit", "late", "stray"}).Draw(t, "edit")
 		switch want {
 		case "answer":
-			h.Answered[i].End = rapid.SampledFrom([]End{Cut, Unheard}).Draw(t, "end")
+			h.Outcomes[i].Kind = rapid.SampledFrom([]OutcomeKind{Truncated, NoResponse}).Draw(t, "end")
 		case "unsafe":
-			h.Taken[i].Class = "write"
-			h.Executed = append(h.Executed, h.Executed[i])
+			h.Requests[i].Class = "write"
+			h.Executions = append(h.Executions, h.Executions[i])
 		case "two-out":
-			h.Sent[k].Ended += 100 * ms
-			h.Sent = append(h.Sent, Sent{ID: id, Node: "c", First: h.Sent[k].First + 2*ms, Whole: Never, Ended: Never})
+			h.Attempts[k].EndedAt += 100 * ms
+			h.Attempts = append(h.Attempts, Attempt{ID: id, Node: "c", FirstByte: h.Attempts[k].FirstByte + 2*ms, LastByte: Never, EndedAt: Never})
 		case "drain":
-			h.Sent[k].Node = "a"
-			h.Changed[0].At, h.Told = 0, []Told{{h.Taken[i].Scheduler, "a", Draining, h.Sent[k].First - testRules.Grace - testRules.Slack - ms}}
-			h.Changed[0].At = h.Told[0].At
+			h.Attempts[k].Node = "a"
+			h.Changes[0].At, h.Notifications = 0, []Notification{{h.Requests[i].Scheduler, "a", Draining, h.Attempts[k].FirstByte - testRules.Grace - testRules.Slack - ms}}
+			h.Changes[0].At = h.Notifications[0].At
 		case "limit":
 			for j := range 40 {
 				o := singleRequest(fmt.Sprint("more", j), "read", 5*time.Second)
-				o.Taken[0].Plan, o.Sent[0].Node = "small", "b"
+				o.Requests[0].Plan, o.Attempts[0].Node = "small", "b"
 				h.add(o)
 			}
 		case "late":
-			h.Sent = append(h.Sent, Sent{ID: id, Node: "b", First: h.Answered[i].At + testRules.Slack + ms, Turned: true})
+			h.Attempts = append(h.Attempts, Attempt{ID: id, Node: "b", FirstByte: h.Outcomes[i].At + testRules.Slack + ms, Rejected: true})
 		case "stray":
-			h.Taken = slices.Delete(h.Taken, i, i+1)
+			h.Requests = slices.Delete(h.Requests, i, i+1)
 		}
 		if !slices.ContainsFunc(Check(testRules, h), func(v Violation) bool { return v.Rule == want }) {
 			t.Fatalf("violation of %s not reported", want)
