--- a/gather/errors.go
+++ b/gather/errors.go
@@ -6,7 +6,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// RulesBad is nonsense among rules; Key is its path in the text.
+// RulesBad is the error for invalid rules. Key is the path of the invalid key.
 type RulesBad struct{ Key, Why string }
 
 func (e *RulesBad) Error() string { return fmt.Sprintf("gather: rules: %s: %s", e.Key, e.Why) }
@@ -19,7 +19,8 @@
 	return "correct the key that the error names; docs/gather.md has each key with an example"
 }
 
-// PartsBad is a list of parts that cannot be merged: none, one twice, or too many for the memory.
+// PartsBad is the error for a list of parts that cannot be merged, because it is empty, names a part twice or needs too much
+// memory, and for a part that is not in the list.
 type PartsBad struct{ Part, Why string }
 
 func (e *PartsBad) Error() string { return fmt.Sprintf("gather: part %q: %s", e.Part, e.Why) }
@@ -30,7 +31,7 @@
 // Advice implements operr.Coded.
 func (*PartsBad) Advice() string { return "name each part once, or raise memory in the class's rules" }
 
-// CopiesOver is a copy of a part over the rules' copies; nothing of it was taken.
+// CopiesOver is the error for a copy of a part over the limit of copies in the rules. None of its data was accepted.
 type CopiesOver struct {
 	Part  string
 	Limit int
@@ -48,7 +49,8 @@
 	return "send fewer copies of a part, or raise copies in the rules"
 }
 
-// Full is a piece that has no room yet; nothing of it was taken, and it may be given again after Next.
+// Full is the error for a piece that is larger than the part's free memory. None of it was accepted, and it may be added again
+// after Next.
 type Full struct {
 	Part          string
 	Offered, Room int // bytes
@@ -66,7 +68,7 @@
 	return "send no more than Want allows, or raise memory.bytes in the rules"
 }
 
-// RecordBad is a record that cannot be read; the part is cut before it.
+// RecordBad is the error for an unreadable record. The part is truncated before it.
 type RecordBad struct {
 	Part     string
 	Position int64 // of the record in the part, from 0
@@ -85,7 +87,7 @@
 	return "look at the record on its shard, or correct the key's type in the rules"
 }
 
-// Unsorted is a record that comes before the one in front of it; the part is in conflict and cut before it.
+// Unsorted is the error for a record that sorts before its predecessor. The part is in conflict and truncated before it.
 type Unsorted struct {
 	Part     string
 	Position int64
@@ -103,11 +105,11 @@
 	return "let the shard sort by the rules' keys; for text, by the same locale and version"
 }
 
-// Diverged is a copy of a part that is not what another copy of it is; it is set aside.
+// Diverged is the error for a copy of a part that differs from another copy. The copy is ignored from then on.
 type Diverged struct {
 	Part string
 	Copy int
-	At   int64 // bytes from the start, at or before which they differ
+	At   int64 // bytes from the start; the first difference is at or before it
 }
 
 func (e *Diverged) Error() string {
@@ -122,10 +124,12 @@
 	return "compare the replicas of the shard; read again with one of them"
 }
 
-// Never is the reason of a part that was given up and had said nothing, where the caller gave none.
+// Never is the reason of a part that was dropped without any data, if the caller gave no other.
 type Never struct{ Part string }
 
-func (e *Never) Error() string { return fmt.Sprintf("gather: part %q: given up", e.Part) }
+func (e *Never) Error() string {
+	return fmt.Sprintf("gather: part %q: given up", e.Part)
+}
 
 // Code implements operr.Coded.
 func (*Never) Code() string { return "gather-never" }
@@ -133,7 +137,7 @@
 // Advice implements operr.Coded.
 func (*Never) Advice() string { return "look at the shard, or lower complete in the rules" }
 
-// Limited is how a part ends that stopped at the rows it was asked for and may hold more: End(part, copy, &Limited{}).
+// Limited is the end of a copy that stopped at its row limit, so the part may have more rows: End(part, copy, &Limited{}).
 type Limited struct{}
 
 func (*Limited) Error() string { return "gather: the part stopped at the rows it was asked for" }
@@ -144,7 +148,7 @@
 // Advice implements operr.Coded.
 func (*Limited) Advice() string { return "none needed: Want asks for more where more is needed" }
 
-// GroupOver is a group of duplicates that does not fit into memory; the merge ends before it.
+// GroupOver is the error for a group of duplicates that exceeds the memory. The merge ends before it.
 type GroupOver struct {
 	Key                   string
 	Rows, Bytes           int
@@ -163,7 +167,7 @@
 	return "raise memory in the rules, or let fewer rows have the same key"
 }
 
-// RowOver is a first row that is larger than truncate.bytes: no page could ever hold it.
+// RowOver is the error for a first row that is larger than truncate.bytes, so that no page could ever hold it.
 type RowOver struct{ Bytes, Limit int64 }
 
 func (e *RowOver) Error() string {
@@ -176,7 +180,7 @@
 // Advice implements operr.Coded.
 func (*RowOver) Advice() string { return "raise truncate.bytes in the rules" }
 
-// Incomplete is a merge that ended before the row for which too few parts were read.
+// Incomplete is the error of a merge that ended before a row for which too few parts were read.
 type Incomplete struct{ Parts, Lost, Need int }
 
 func (e *Incomplete) Error() string {
@@ -191,7 +195,7 @@
 	return "go on with the token when the named parts are back, or lower complete in the rules"
 }
 
-// TokenBad is a token that was not made here, or was changed.
+// TokenBad is the error for a token that was made elsewhere or was changed.
 type TokenBad struct{ Why string }
 
 func (e *TokenBad) Error() string { return "gather: token: " + e.Why }
@@ -202,7 +206,7 @@
 // Advice implements operr.Coded.
 func (*TokenBad) Advice() string { return "begin again without a token" }
 
-// TokenRules is a token made under other rules.
+// TokenRules is the error for a token that was made under other rules.
 type TokenRules struct{ Made, Have string }
 
 func (e *TokenRules) Error() string {
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// harness drives a Selector, records its actions and checks the invariants that show only in them.
+// harness drives a Selector, records its actions and checks the invariants that concern sequences of actions.
 type harness struct {
 	selector       *Selector
 	now            time.Duration
@@ -19,12 +19,12 @@
 	requestOn      map[Conn]Req
 	writes         map[Req]int
 	failed         map[Req]bool
-	openRequests   map[Req]bool // queued, and not over
+	openRequests   map[Req]bool // queued, and neither completed, failed nor cancelled
 	lastRequest    Req
 	connects       []time.Duration
 	primaryChanges []primaryChange
 	logged         []string
-	err            error
+	violation      error
 	draining       bool
 	removed        bool
 	onStep         func(Event) // after each step, for recordings
@@ -36,170 +36,170 @@
 	to   Addr
 }
 
-func newHarness(set Settings, addrs ...string) *harness {
-	b, err := New(set, 7)
+func newHarness(settings Settings, addrs ...string) *harness {
+	selector, err := New(settings, 7)
 	if err != nil {
 		panic(err)
 	}
-	r := &harness{selector: b, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
-	r.setAddresses(addrs...)
-	return r
+	h := &harness{selector: selector, addrOf: map[Conn]Addr{}, requestOn: map[Conn]Req{}, writes: map[Req]int{}, failed: map[Req]bool{}, openRequests: map[Req]bool{}}
+	h.setAddresses(addrs...)
+	return h
 }
 
-func (r *harness) setAddresses(addrs ...string) {
+func (h *harness) setAddresses(addrs ...string) {
 	list, errs := ParseList(addrs)
 	if len(errs) > 0 {
 		panic(errs)
 	}
-	r.step(Event{Kind: AddressesChanged, Addrs: list})
+	h.step(Event{Kind: AddressesChanged, Addrs: list})
 }
 
-func (r *harness) fail(form string, args ...any) {
-	if r.err == nil {
-		r.err = fmt.Errorf(form, args...)
+func (h *harness) recordViolation(form string, args ...any) {
+	if h.violation == nil {
+		h.violation = fmt.Errorf(form, args...)
 	}
 }
 
-func without(list []Conn, c Conn) []Conn {
+func deleteConn(list []Conn, c Conn) []Conn {
 	return slices.DeleteFunc(list, func(o Conn) bool { return o == c })
 }
 
 // step applies an event and carries out the actions.
-func (r *harness) step(e Event) {
+func (h *harness) step(e Event) {
 	switch e.Kind {
 	case DrainChanged:
-		r.draining = e.Draining
+		h.draining = e.Draining
 	case NodeRemoved:
-		r.removed = true
+		h.removed = true
 	}
-	before := r.selector.Primary()
-	r.actions = r.selector.Step(r.now, e, r.actions[:0])
-	for _, a := range r.actions {
-		r.apply(a)
+	before := h.selector.Primary()
+	h.actions = h.selector.Step(h.now, e, h.actions[:0])
+	for _, a := range h.actions {
+		h.apply(a)
 	}
-	if r.onStep != nil {
-		r.onStep(e)
+	if h.onStep != nil {
+		h.onStep(e)
 	}
-	if to := r.selector.Primary(); to != before && e.Kind != AddressesChanged {
-		r.primaryChanges = append(r.primaryChanges, primaryChange{r.now, before, to})
+	if to := h.selector.Primary(); to != before && e.Kind != AddressesChanged {
+		h.primaryChanges = append(h.primaryChanges, primaryChange{h.now, before, to})
 		state := map[Addr]State{}
-		for _, x := range r.selector.Snapshot(nil) {
+		for _, x := range h.selector.AppendStatus(nil) {
 			state[x.Addr] = x.State
 		}
 		if state[before] <= Healthy && state[to] > Healthy {
-			r.fail("from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
+			h.recordViolation("the primary changed from %v, which is %v, to %v, which is %v", before, state[before], to, state[to])
 		}
 	}
-	if err := r.selector.Check(); err != nil {
-		r.fail("%w", err)
+	if err := h.selector.Check(); err != nil {
+		h.recordViolation("%w", err)
 	}
 }
 
-// apply carries out an action and checks the invariants of it.
-func (r *harness) apply(a Action) {
+// apply carries out an action and checks the invariants that concern it.
+func (h *harness) apply(a Action) {
 	switch a.Kind {
 	case Connect:
-		if r.draining || r.removed {
-			r.fail("connect while the node drains or is removed")
+		if h.draining || h.removed {
+			h.recordViolation("connect started while the node drains or after it was removed")
 		}
-		if _, twice := r.addrOf[a.Conn]; twice {
-			r.fail("connection %d opened twice", a.Conn)
+		if _, twice := h.addrOf[a.Conn]; twice {
+			h.recordViolation("connection id %d used twice", a.Conn)
 		}
-		r.addrOf[a.Conn] = a.Addr
-		r.connecting = append(r.connecting, a.Conn)
-		r.connects = append(r.connects, r.now)
+		h.addrOf[a.Conn] = a.Addr
+		h.connecting = append(h.connecting, a.Conn)
+		h.connects = append(h.connects, h.now)
 	case Write:
-		if r.draining || r.removed {
-			r.fail("written while the node drains or is removed")
+		if h.draining || h.removed {
+			h.recordViolation("request written while the node drains or after it was removed")
 		}
-		if r.requestOn[a.Conn] != 0 || slices.Contains(r.connecting, a.Conn) {
-			r.fail("written on a connection in use")
+		if h.requestOn[a.Conn] != 0 || slices.Contains(h.connecting, a.Conn) {
+			h.recordViolation("request written on a connection that is in use or connecting")
 		}
-		if r.writes[a.Req]++; r.writes[a.Req] > 1 || !r.openRequests[a.Req] {
-			r.fail("request %d written %d times", a.Req, r.writes[a.Req])
+		if h.writes[a.Req]++; h.writes[a.Req] > 1 || !h.openRequests[a.Req] {
+			h.recordViolation("request %d written %d times, or after its end", a.Req, h.writes[a.Req])
 		}
-		r.requestOn[a.Conn] = a.Req
-		r.busy = append(r.busy, a.Conn)
+		h.requestOn[a.Conn] = a.Req
+		h.busy = append(h.busy, a.Conn)
 	case Close:
-		r.forget(a.Conn)
+		h.removeConn(a.Conn)
 	case Fail:
-		if r.writes[a.Req] > 0 || !r.openRequests[a.Req] {
-			r.fail("request %d failed after it was written or over", a.Req)
+		if h.writes[a.Req] > 0 || !h.openRequests[a.Req] {
+			h.recordViolation("request %d failed after it was written or after its end", a.Req)
 		}
-		r.failed[a.Req] = true
-		delete(r.openRequests, a.Req)
+		h.failed[a.Req] = true
+		delete(h.openRequests, a.Req)
 	case LogState:
-		r.logged = append(r.logged, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
+		h.logged = append(h.logged, fmt.Sprintf("%v %v: %v", a.Addr, a.State, a.Reason))
 	}
 }
 
-func (r *harness) forget(c Conn) {
-	r.connecting, r.busy = without(r.connecting, c), without(r.busy, c)
-	delete(r.requestOn, c)
+func (h *harness) removeConn(c Conn) {
+	h.connecting, h.busy = deleteConn(h.connecting, c), deleteConn(h.busy, c)
+	delete(h.requestOn, c)
 }
 
-func (r *harness) queueRequest(idempotent bool) Req {
-	r.lastRequest++
-	r.openRequests[r.lastRequest] = true
-	r.step(Event{Kind: RequestQueued, Req: r.lastRequest, Idempotent: idempotent, NamesShard: true})
-	return r.lastRequest
+func (h *harness) queueRequest(idempotent bool) Req {
+	h.lastRequest++
+	h.openRequests[h.lastRequest] = true
+	h.step(Event{Kind: RequestQueued, Req: h.lastRequest, Idempotent: idempotent, NamesShard: true})
+	return h.lastRequest
 }
 
-func (r *harness) connectionUp(c Conn) {
-	r.connecting = without(r.connecting, c)
-	r.step(Event{Kind: Connected, Conn: c})
+func (h *harness) establish(c Conn) {
+	h.connecting = deleteConn(h.connecting, c)
+	h.step(Event{Kind: Connected, Conn: c})
 }
 
-func (r *harness) connectFails(c Conn, reason Reason) {
-	r.forget(c)
-	r.step(Event{Kind: ConnectFailed, Conn: c, Reason: reason})
+func (h *harness) failConnect(c Conn, reason Reason) {
+	h.removeConn(c)
+	h.step(Event{Kind: ConnectFailed, Conn: c, Reason: reason})
 }
 
-func (r *harness) respond(c Conn, v Verdict) {
-	delete(r.openRequests, r.requestOn[c])
-	r.forget(c)
-	r.step(Event{Kind: ResponseReceived, Conn: c, Verdict: v, KeepAlive: true})
+func (h *harness) respond(c Conn, verdict Verdict) {
+	delete(h.openRequests, h.requestOn[c])
+	h.removeConn(c)
+	h.step(Event{Kind: ResponseReceived, Conn: c, Verdict: verdict, KeepAlive: true})
 }
 
-func (r *harness) breakConn(c Conn, reason Reason) {
-	if q := r.requestOn[c]; reason == ReasonUnwritten {
-		r.writes[q]--
+func (h *harness) breakConn(c Conn, reason Reason) {
+	if q := h.requestOn[c]; reason == ReasonUnwritten {
+		h.writes[q]--
 	} else {
-		delete(r.openRequests, q)
+		delete(h.openRequests, q)
 	}
-	r.forget(c)
-	r.step(Event{Kind: ConnBroken, Conn: c, Reason: reason})
+	h.removeConn(c)
+	h.step(Event{Kind: ConnBroken, Conn: c, Reason: reason})
 }
 
-// giveUp drops a request.
-func (r *harness) giveUp(q Req) {
+// cancelRequest cancels a request, whether it waits or is in flight.
+func (h *harness) cancelRequest(q Req) {
 	on := Conn(0)
-	for c, x := range r.requestOn {
+	for c, x := range h.requestOn {
 		if x == q {
 			on = c
 		}
 	}
-	delete(r.openRequests, q)
-	r.step(Event{Kind: RequestDropped, Req: q, Conn: on})
+	delete(h.openRequests, q)
+	h.step(Event{Kind: RequestCancelled, Req: q, Conn: on})
 }
 
-func (r *harness) pass(d time.Duration) {
-	r.now += d
-	r.step(Event{Kind: TimerFired})
+func (h *harness) advanceTime(d time.Duration) {
+	h.now += d
+	h.step(Event{Kind: TimerFired})
 }
 
-// lastAction is the connection of the last action of a kind, and its address.
-func (r *harness) lastAction(k ActionKind) (Conn, string) {
-	for i := len(r.actions) - 1; i >= 0; i-- {
-		if a := r.actions[i]; a.Kind == k {
-			return a.Conn, r.addrOf[a.Conn].String()
+// lastAction returns the connection of the last action of a kind, and its address.
+func (h *harness) lastAction(kind ActionKind) (Conn, string) {
+	for i := len(h.actions) - 1; i >= 0; i-- {
+		if a := h.actions[i]; a.Kind == kind {
+			return a.Conn, h.addrOf[a.Conn].String()
 		}
 	}
 	return 0, ""
 }
 
-func (r *harness) count(k ActionKind) (n int) {
-	for _, a := range r.actions {
+func (h *harness) countActions(k ActionKind) (n int) {
+	for _, a := range h.actions {
 		if a.Kind == k {
 			n++
 		}
@@ -207,32 +207,32 @@
 	return n
 }
 
-// simulation is a node each of whose addresses behaves in a given way, for runs over time.
+// simulation simulates a node over time. Each of its addresses behaves according to its mode.
 type simulation struct {
 	*harness
-	mode         map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
-	pending      []pendingEvent
+	modes        map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
+	scheduled    []scheduledCall
 	responseTime time.Duration
 	connectsTo   map[string]int
-	outcome      map[Req]string
+	outcomes     map[Req]string
 	sentTo       map[Req]string
 }
 
-type pendingEvent struct {
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
-func newSimulation(set Settings, addrs ...string) *simulation {
-	return &simulation{harness: newHarness(set, addrs...), mode: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
-		outcome: map[Req]string{}, sentTo: map[Req]string{}}
+func newSimulation(settings Settings, addrs ...string) *simulation {
+	return &simulation{harness: newHarness(settings, addrs...), modes: map[string]string{}, responseTime: 5 * ms, connectsTo: map[string]int{},
+		outcomes: map[Req]string{}, sentTo: map[Req]string{}}
 }
 
-func (s *simulation) later(d time.Duration, do func()) {
-	s.pending = append(s.pending, pendingEvent{s.now + d, do})
+func (s *simulation) schedule(d time.Duration, do func()) {
+	s.scheduled = append(s.scheduled, scheduledCall{s.now + d, do})
 }
 
-// respondToActions lets the addresses respond to the actions of the last step.
+// respondToActions schedules the responses of the addresses to the actions of the last step.
 func (s *simulation) respondToActions() {
 	for _, a := range slices.Clone(s.actions) {
 		switch a.Kind {
@@ -241,7 +241,7 @@
 		case Write:
 			s.respondToWrite(a.Conn, a.Req)
 		case Fail:
-			s.outcome[a.Req] = "failed"
+			s.outcomes[a.Req] = "failed"
 		}
 	}
 	s.actions = s.actions[:0]
@@ -250,67 +250,68 @@
 func (s *simulation) respondToConnect(c Conn) {
 	to := s.addrOf[c].String()
 	s.connectsTo[to]++
-	switch s.mode[to] {
+	switch s.modes[to] {
 	case "refused":
-		s.later(0, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonRefused) }) })
+		s.schedule(0, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonRefused) }) })
 	case "hang":
-		s.later(250*ms, func() { s.ifConnecting(c, func() { s.connectFails(c, ReasonTimedOut) }) })
+		s.schedule(250*ms, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonTimedOut) }) })
 	case "late":
-		s.later(150*ms, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(150*ms, func() { s.ifConnecting(c, func() { s.establish(c) }) })
 	default:
-		s.later(ms/5, func() { s.ifConnecting(c, func() { s.connectionUp(c) }) })
+		s.schedule(ms/5, func() { s.ifConnecting(c, func() { s.establish(c) }) })
 	}
 }
 
 func (s *simulation) respondToWrite(c Conn, q Req) {
 	to := s.addrOf[c].String()
 	s.sentTo[q] = to
-	end := func(d time.Duration, outcome string, do func()) {
-		s.later(d, func() {
+	respondAfter := func(d time.Duration, outcome string, do func()) {
+		s.schedule(d, func() {
 			if s.requestOn[c] == q {
-				s.outcome[q] = outcome
+				s.outcomes[q] = outcome
 				do()
 			}
 		})
 	}
-	switch s.mode[to] {
+	switch s.modes[to] {
 	case "silent":
-		end(1500*ms, "late", func() { s.giveUp(q) })
+		respondAfter(1500*ms, "late", func() { s.cancelRequest(q) })
 	case "reset":
-		end(ms, "reset", func() { s.breakConn(c, ReasonReset) })
+		respondAfter(ms, "reset", func() { s.breakConn(c, ReasonReset) })
 	case "slow":
-		end(400*ms, "served", func() { s.respond(c, VerdictServed) })
+		respondAfter(400*ms, "served", func() { s.respond(c, VerdictServed) })
 	case "wrong":
-		end(ms, "rejected", func() { s.respond(c, VerdictRejected) })
+		respondAfter(ms, "rejected", func() { s.respond(c, VerdictRejected) })
 	default:
-		end(s.responseTime, "served", func() { s.respond(c, VerdictServed) })
+		respondAfter(s.responseTime, "served", func() { s.respond(c, VerdictServed) })
 	}
 }
 
-func (s *simulation) ifConnecting(c Conn, do func()) {
+func (s *simulation) ifConnecting(c Conn, action func()) {
 	if slices.Contains(s.connecting, c) {
-		do()
+		action()
 	}
 }
 
-// run plays for a duration, with a request at each interval. Idempotent tells which of them are, by their number.
-func (s *simulation) run(d, interval time.Duration, idempotent func(int) bool) {
-	end := s.now + d
-	next := s.now
-	for n := 0; s.now < end; {
-		at := min(end, s.selector.Next(), next)
-		for _, m := range s.pending {
-			at = min(at, m.at)
+// run simulates a period of the given duration with one request per interval. The function idempotent reports whether the
+// request with the given number is idempotent.
+func (s *simulation) run(duration, interval time.Duration, idempotent func(int) bool) {
+	end := s.now + duration
+	nextRequest := s.now
+	for requests := 0; s.now < end; {
+		nextEvent := min(end, s.selector.Next(), nextRequest)
+		for _, call := range s.scheduled {
+			nextEvent = min(nextEvent, call.at)
 		}
-		s.now = max(s.now, at)
+		s.now = max(s.now, nextEvent)
 		if s.now >= end {
 			return
 		}
 		fired := false
-		for i, m := range s.pending {
-			if m.at <= s.now {
-				s.pending = slices.Delete(s.pending, i, i+1)
-				m.do()
+		for i, call := range s.scheduled {
+			if call.at <= s.now {
+				s.scheduled = slices.Delete(s.scheduled, i, i+1)
+				call.do()
 				s.respondToActions()
 				fired = true
 				break
@@ -319,10 +320,10 @@
 		if fired {
 			continue
 		}
-		if s.now >= next {
-			n++
-			s.queueRequest(idempotent(n))
-			next += interval
+		if s.now >= nextRequest {
+			requests++
+			s.queueRequest(idempotent(requests))
+			nextRequest += interval
 		} else {
 			s.step(Event{Kind: TimerFired})
 		}
@@ -331,13 +332,13 @@
 }
 
 func (s *simulation) outcomeCounts() map[string]int {
-	t := map[string]int{}
-	for _, how := range s.outcome {
-		t[how]++
+	counts := map[string]int{}
+	for _, outcome := range s.outcomes {
+		counts[outcome]++
 	}
-	return t
+	return counts
 }
 
-func always(int) bool        { return true }
-func mostly(n int) bool      { return n%3 != 0 }
-func (s *simulation) reset() { clear(s.outcome); clear(s.connectsTo); s.connects = nil }
+func allIdempotent(int) bool         { return true }
+func twoThirdsIdempotent(n int) bool { return n%3 != 0 }
+func (s *simulation) resetCounts()   { clear(s.outcomes); clear(s.connectsTo); s.connects = nil }
--- a/internal/address/primary.go
+++ b/internal/address/primary.go
@@ -1,12 +1,14 @@
 package address
 
-const relapseFactor = 4 // a return that lasted fewer return delays did not last
+// stableReturnFactor is the number of return delays for which a return to a preferred address must last. If the primary
+// changes again earlier, the next return waits twice as long.
+const stableReturnFactor = 4
 
-// choosePrimary sets the primary: it leaves an address that is worse than another at once, and returns to a preferred one
-// by the rule of returns.
+// choosePrimary sets the primary. If another address has a better rank, it becomes the primary at once. A return to a
+// preferred address of the same rank is delayed, as described at returnToPreferred.
 func (s *Selector) choosePrimary() {
-	was := s.primary
-	if was == nil {
+	previous := s.primary
+	if previous == nil {
 		for _, e := range s.entries {
 			if s.primary == nil || s.rank(e) < s.rank(s.primary) {
 				s.primary = e
@@ -22,11 +24,11 @@
 			s.primary = e
 		}
 	}
-	if s.primary == was {
+	if s.primary == previous {
 		s.returnToPreferred()
 		return
 	}
-	if s.now-s.lastReturn < relapseFactor*s.returnDelay {
+	if s.now-s.lastReturn < stableReturnFactor*s.returnDelay {
 		s.returnDelay = min(2*s.returnDelay, s.settings.MaxReturnDelay)
 	} else {
 		s.returnDelay = s.settings.MinReturnDelay
@@ -34,7 +36,8 @@
 	s.earliestReturn = s.now + s.returnDelay
 }
 
-// returnToPreferred makes an address that is preferred to the primary the primary again, once it has served long enough.
+// returnToPreferred makes a preferred address the primary again, once the return delay has passed and enough connections of
+// the address were timely.
 func (s *Selector) returnToPreferred() {
 	if s.now < s.earliestReturn || s.rank(s.primary) != rankGood {
 		return
@@ -43,14 +46,14 @@
 		if e == s.primary {
 			return
 		}
-		if s.hasProvenItself(e) && s.now-e.lastResponse <= s.settings.MinReturnDelay {
+		if s.qualifiesAsPrimary(e) && s.now-e.lastResponse <= s.settings.MinReturnDelay {
 			s.primary, s.lastReturn, s.earliestReturn = e, s.now, s.now+s.returnDelay
 			return
 		}
 	}
 }
 
-// hasProvenItself reports whether an address has had enough timely connections to become the primary.
-func (s *Selector) hasProvenItself(e *entry) bool {
+// qualifiesAsPrimary reports whether an address is healthy and has had enough timely connections to become the primary.
+func (s *Selector) qualifiesAsPrimary(e *entry) bool {
 	return e.state == Healthy && !e.onProbation && e.timelyConns >= s.settings.MinReturnConns
 }
--- a/internal/address/silence.go
+++ b/internal/address/silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkSilence records a fault for each connection that has been silent for too long, and finds the addresses of which a
-// second opinion is needed.
+// checkSilence records a fault for each connection that has been silent for too long, and starts a cross-check of addresses
+// that have been silent for longer than usual.
 func (s *Selector) checkSilence() {
 	s.nextSilenceCheck = never
 	for i := range s.conns {
@@ -14,18 +14,18 @@
 		if c.phase != busy || c.silenceCounted || c.entry.lastResponse > c.since {
 			continue
 		}
-		at := c.since + s.silenceBound
+		checkAt := c.since + s.silenceBound
 		if e := c.entry; e.suspectAt > 0 {
-			at = min(at, e.suspectAt)
-		} else if e.doubtedSince == 0 && s.rank(e) == rankGood && s.hasAlternative(e) {
-			if ask := c.since + s.secondOpinionDelay(); ask > s.now {
-				at = min(at, ask)
+			checkAt = min(checkAt, e.suspectAt)
+		} else if e.crossCheckSince == 0 && s.rank(e) == rankGood && s.hasAlternative(e) {
+			if crossCheckAt := c.since + s.crossCheckDelay(); crossCheckAt > s.now {
+				checkAt = min(checkAt, crossCheckAt)
 			} else {
-				e.doubtedSince = s.now
+				e.crossCheckSince = s.now
 			}
 		}
-		if at > s.now {
-			s.nextSilenceCheck = min(s.nextSilenceCheck, at)
+		if checkAt > s.now {
+			s.nextSilenceCheck = min(s.nextSilenceCheck, checkAt)
 			continue
 		}
 		c.silenceCounted = true
@@ -33,28 +33,29 @@
 	}
 }
 
-// secondOpinionDelay is the silence after which another address is asked.
-func (s *Selector) secondOpinionDelay() time.Duration {
+// crossCheckDelay returns the duration of silence after which a request by another address cross-checks the silent one.
+func (s *Selector) crossCheckDelay() time.Duration {
 	if !s.usualResponseMeasured {
 		return s.silenceBound
 	}
-	return max(s.settings.SecondOpinionAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
+	return max(s.settings.CrossCheckAfter, time.Duration(s.settings.SuspectLatencyFactor*s.bestUsualResponseTime))
 }
 
-// endDoubts applies a response of another address to those in doubt: it shows that the node does not pause, or no longer. They
-// have twice its response time left, since their responses may be on their way if a pause has just ended.
-func (s *Selector) endDoubts(by *entry, since, took time.Duration) {
+// applyCrossCheck applies a response of one address to the cross-checks of the others. It shows that the node as a whole does
+// not stall, or has stalled and continues. If the stall has just ended, the responses by the other addresses may be in flight,
+// so these addresses get twice the response time before they are suspect.
+func (s *Selector) applyCrossCheck(responder *entry, since, took time.Duration) {
 	for _, e := range s.entries {
-		if e != by && e.doubtedSince > 0 && e.doubtedSince <= since && e.suspectAt == 0 && e.lastResponse < e.doubtedSince {
-			e.suspectAt = s.now + max(minGrace, 2*took)
+		if e != responder && e.crossCheckSince > 0 && e.crossCheckSince <= since && e.suspectAt == 0 && e.lastResponse < e.crossCheckSince {
+			e.suspectAt = s.now + max(minResponseGrace, 2*took)
 			s.nextSilenceCheck = min(s.nextSilenceCheck, e.suspectAt)
 		}
 	}
 }
 
-// secondOpinionAddress is the address to be asked for a second opinion on the primary, by one request at a time, or nil.
-func (s *Selector) secondOpinionAddress() *entry {
-	if s.primary.doubtedSince == 0 || s.primary.suspectAt > 0 {
+// crossCheckAddress returns the address that cross-checks the silent primary with one request at a time, or nil.
+func (s *Selector) crossCheckAddress() *entry {
+	if s.primary.crossCheckSince == 0 || s.primary.suspectAt > 0 {
 		return nil
 	}
 	i := slices.IndexFunc(s.entries, func(e *entry) bool {
@@ -65,8 +66,8 @@
 	}
 	other := s.entries[i]
 	for i := range s.conns {
-		if c := &s.conns[i]; c.entry == other && c.phase == busy && c.since >= s.primary.doubtedSince {
-			return nil // it was asked
+		if c := &s.conns[i]; c.entry == other && c.phase == busy && c.since >= s.primary.crossCheckSince {
+			return nil // a request has already been sent
 		}
 	}
 	return other
--- a/internal/coldstart/list.go
+++ b/internal/coldstart/list.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// listReceived applies the first complete list. The policy applies later ones alone.
-func (s *Startup) listReceived(now time.Duration, e ListReceived) {
+// handleListReceived applies the first complete list. Later lists are applied by the policy alone.
+func (s *Startup) handleListReceived(now time.Duration, e ListReceived) {
 	s.listRequestPending = false
 	if s.phase >= ListKnown {
 		return
 	}
 	s.phase, s.listReceivedAt, s.listBackoffFactor, s.learningEnds = ListKnown, now, 1, now+learningDuration
 	inSnapshot := map[string]bool{}
-	for _, id := range s.snapshotNodes { // to nodes that the list lacks no connection is opened ahead
+	for _, id := range s.snapshotNodes { // nodes that are missing from the list get no connection in advance
 		inSnapshot[id], s.nodes[id].restorable = true, false
 	}
 	for _, n := range e.Nodes {
-		x := s.nodes[n.ID]
-		if x == nil {
+		state := s.nodes[n.ID]
+		if state == nil {
 			if !s.hasCapacity() {
 				continue
 			}
-			x = &node{}
-			s.nodes[n.ID] = x
+			state = &nodeState{}
+			s.nodes[n.ID] = state
 		}
-		s.nodeListed(now, x, n, inSnapshot[n.ID])
+		s.applyListEntry(now, state, n, inSnapshot[n.ID])
 	}
 }
 
-// nodeListed applies the list's entry of a node: it alone tells whether the node has restarted.
-func (s *Startup) nodeListed(now time.Duration, x *node, n Node, inSnapshot bool) {
-	sameStart := x.snapshotStartTime == n.StartTime
-	if x.assumedCold && s.usesCachedList {
+// applyListEntry applies the list's entry of a node. Only the received list shows reliably whether the node has restarted.
+func (s *Startup) applyListEntry(now time.Duration, state *nodeState, n Node, inSnapshot bool) {
+	sameStart := state.snapshotStartTime == n.StartTime
+	if state.assumedCold && s.usesCachedList {
 		s.emit(LiftColdLimit{n.ID})
 	}
-	x.restorable = inSnapshot && sameStart
-	if x.restorable {
+	state.restorable = inSnapshot && sameStart
+	if state.restorable {
 		s.emit(Restore{n.ID})
 	}
 	if n.StartTime > 0 && now-n.StartedAt < s.settings.SlowStartDuration {
 		s.emit(LimitColdNode{n.ID, s.coldNodeUnits(), n.StartedAt})
 		s.learningEnds = max(s.learningEnds, min(n.StartedAt, now)+s.settings.SlowStartDuration)
 	}
-	x.startTime, x.assumedCold, x.listed = n.StartTime, false, true
+	state.startTime, state.assumedCold, state.listed = n.StartTime, false, true
 }
 
-// listRequestFailed sets the time of the next list request. Schedulers whose requests fail together send at most
-// MaxListCallsPerSecond requests a second.
-func (s *Startup) listRequestFailed(now time.Duration) {
+// handleListRequestFailed sets the time of the next list request. If the requests of all schedulers fail at the same time,
+// they send at most MaxListRequestsPerSecond requests per second.
+func (s *Startup) handleListRequestFailed(now time.Duration) {
 	if s.phase >= ListKnown {
 		return
 	}
 	s.listRequestPending = false
 	backoff := listRequestInterval
-	if s.settings.ListCallsPriced {
-		backoff = max(s.settings.ListCallSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
+	if s.settings.ListRequestsPriced {
+		backoff = max(s.settings.ListRequestSpread(), listRequestInterval) * time.Duration(s.listBackoffFactor)
 		s.listBackoffFactor = min(2*s.listBackoffFactor, maxListBackoffFactor)
 		backoff = min(backoff, s.settings.StalenessBound)
 	}
 	s.nextListRequest = now + s.halfToThreeHalves(backoff)
 }
 
-// expectedListWait is how long it may take until requests can be sent by a list, as far as known.
+// expectedListWait estimates how long it takes until a list can be used to send requests.
 func (s *Startup) expectedListWait(now time.Duration) time.Duration {
 	at := s.nextListRequest + usualListRequestTime
 	if s.listRequestPending {
@@ -71,7 +71,7 @@
 	return max(at-now, 0)
 }
 
-// halfToThreeHalves draws a duration from half of the given one to one and a half times as much.
+// halfToThreeHalves returns a random duration between 0.5 and 1.5 times d.
 func (s *Startup) halfToThreeHalves(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.rng.Int64N(int64(d)))
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,13 +6,13 @@
 	"wheatsaddle/policy"
 )
 
-// The words of the settings and their values. Nothing outside of this package uses the words.
+// The words of the settings and their values. No other package uses the words.
 var (
 	effectsByWord     = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 	dedupScopesByWord = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupShard}
 )
 
-// Settings reads the object settings of a configuration, whose keys are the platform's words.
+// Settings reads the object settings of a configuration, whose keys and words are defined by the platform.
 func Settings(set gjson.Result) (policy.Settings, error) {
 	r := &reader{root: set, prefix: "settings."}
 	s := policy.Settings{
@@ -24,7 +24,7 @@
 		MaxAttempts:      int(r.number("ceilings.max-attempts", 1, 1)), MayHedge: r.flag("ceilings.second-copies"),
 		MayCancel: r.flag("ceilings.may-cancel"), MayCheckHealth: r.flag("ceilings.probes"), MayGossip: r.flag("ceilings.peers"),
 		SendsRetryAfter: r.flag("ceilings.retry-after"), MaxRetryAfter: r.number("ceilings.max-retry-after", 0, 0),
-		DrainGrace: r.number("rules.stop-sending-within", 0, 0), PollWithin: r.number("rules.ask-within", 0, 0),
+		DrainGrace: r.number("rules.stop-sending-within", 0, 0), ListStalenessBound: r.number("rules.ask-within", 0, 0),
 		SlowStartShare: r.number("rules.cold-from", 0, 0), SlowStartDuration: r.number("rules.cold", 0, 0),
 		OverloadMultiple: r.number("rules.tip-multiple", 0, 0), OverloadWindow: r.number("rules.overload-for", 0, 0),
 		OrderedKeyBackoff: r.number("rules.order-pause", 0, 0), RetryBudgetShare: r.number("rules.further-ratio", 0, 0),
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -11,15 +11,15 @@
 	"wheatsaddle/internal/interleave/mutant"
 )
 
-// process changes the stored state as the daemon does: under the lock it reads the other process's change, applies its own
-// and writes.
-func process(dir, id string, at float64, dies int) func() {
+// changeState returns a thread that changes the stored state as the daemon does: while it holds the lock, it reads another
+// process's change, applies its own and writes the result.
+func changeState(dir, id string, at float64, dies int) func() {
 	return func() {
-		s := InFolder(dir, "n3")
+		s := InDirectory(dir, "n3")
 		s.pid = int(at)
-		state, err := s.Read() // as it starts, without the lock
+		state, err := s.Read() // at the start, without the lock
 		if err != nil {
-			il.Fail("%s: at its start: %v", id, err)
+			il.Fail("%s: read at the start: %v", id, err)
 		}
 		unlock, err := s.Lock()
 		if err != nil {
@@ -33,7 +33,7 @@
 		}
 		state.Excluded[id] = at
 		if il.Choose(dies) == 1 {
-			return // it is killed before it writes, which releases the lock
+			return // the process is killed before it writes, which releases the lock
 		}
 		if err := s.Write(state); err != nil {
 			il.Fail("%s: %v", id, err)
@@ -41,23 +41,23 @@
 	}
 }
 
-// In a handover the old process and the new one exclude a node each, and a third one reads as it starts. Both excludes are
-// stored, no file is ever incomplete, and a killed process delays no other.
+// During a handover, the old and the new process exclude one node each, and a third process may be killed before it writes.
+// Both exclusions are stored, no reader finds an incomplete file, and a killed process does not block the others.
 func TestInterleaveHandover(t *testing.T) {
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 		dir, err := os.MkdirTemp("", "handover")
 		if err != nil {
 			t.Fatal(err)
 		}
-		killed := il.Thread{Name: "killed", Run: process(dir, "s-9", 9, 2)}
+		killed := il.Thread{Name: "killed", Run: changeState(dir, "s-9", 9, 2)}
 		return il.World{
 			Threads: []il.Thread{
-				{Name: "old", Run: process(dir, "s-1", 1, 1)},
-				{Name: "new", Run: process(dir, "s-2", 2, 1)},
+				{Name: "old", Run: changeState(dir, "s-1", 1, 1)},
+				{Name: "new", Run: changeState(dir, "s-2", 2, 1)},
 				killed,
 			},
 			Check: func() error {
-				got, err := InFolder(dir, "n3").Read()
+				got, err := InDirectory(dir, "n3").Read()
 				if err != nil {
 					return fmt.Errorf("stored: %w", err)
 				}
@@ -76,6 +76,6 @@
 	mutant.Found(t,
 		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "stored: "},
 		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "stored: "},
-		mutant.Mutant{File: "store.go", Old: "	temporary := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	temporary := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
+		mutant.Mutant{File: "store.go", Old: "	tempPath := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	tempPath := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
 	)
 }
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -8,40 +8,40 @@
 	"wheatsaddle/internal/exclusion"
 )
 
-func TestNextProcessReadsTheState(t *testing.T) {
+func TestNextProcessReadsTheStoredState(t *testing.T) {
 	dir := t.TempDir()
-	s := InFolder(dir, "n3")
+	s := InDirectory(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
 		t.Fatalf("without a file: %v %v", got, err)
 	}
-	st := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
-	if err := s.Write(st); err != nil {
+	state := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
+	if err := s.Write(state); err != nil {
 		t.Fatal(err)
 	}
-	next := InFolder(dir, "n3") // the next process
+	next := InDirectory(dir, "n3") // the next process
 	got, err = next.Read()
 	if err != nil || got.Excluded["s-1"] != 1000.5 || got.Included["s-2"] != 900 {
-		t.Fatalf("read back %v %v", got, err)
+		t.Fatalf("the next process reads %v %v", got, err)
 	}
 	if next.Changed() {
-		t.Fatal("a file just read counts as changed")
+		t.Fatal("a file that was just read counts as changed")
 	}
 	if err := s.Write(exclusion.State{}); err != nil {
 		t.Fatal(err)
 	}
 	if !next.Changed() {
-		t.Fatal("another process's write is not seen")
+		t.Fatal("another process's write is not detected")
 	}
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if e.Name() != "wheatsaddle-exclusions.json" {
-			t.Errorf("left behind: %s", e.Name())
+			t.Errorf("unexpected file %s", e.Name())
 		}
 	}
 }
 
-// A damaged file, or one of another scheduler, is ignored with a reason.
+// A damaged file or one of another scheduler is ignored, with ErrForeign.
 func TestInvalidFilesAreIgnored(t *testing.T) {
 	for name, text := range map[string]string{
 		"torn":    `{"version":1,"name":"n3","excluded":{"s-1":10`,
@@ -53,7 +53,7 @@
 		"id":      `{"version":1,"name":"n3","excluded":{"":1},"included":{}}`,
 		"array":   `[1,2]`,
 	} {
-		s := InFolder(t.TempDir(), "n3")
+		s := InDirectory(t.TempDir(), "n3")
 		if err := os.WriteFile(s.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -64,14 +64,14 @@
 	}
 }
 
-func TestLockOrdersWriters(t *testing.T) {
-	s := InFolder(t.TempDir(), "n3")
+func TestLockExcludesOtherWriters(t *testing.T) {
+	s := InDirectory(t.TempDir(), "n3")
 	unlock, err := s.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := InFolder(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
-		t.Fatal("two writers have the lock")
+	if _, err := InDirectory(s.Path[:len(s.Path)-len("/wheatsaddle-exclusions.json")], "n3").Lock(); err == nil {
+		t.Fatal("two writers hold the lock")
 	}
 	unlock()
 	unlock, err = s.Lock()
--- a/internal/gossip/recorded_test.go
+++ b/internal/gossip/recorded_test.go
@@ -20,7 +20,7 @@
 	_ "wheatsaddle/internal/testkit/recorded" // defines the flag -record
 )
 
-// recordedLinks are two processes that reach each other at once; each message that one sends is kept, by its kind.
+// recordedLinks connects two processes directly and stores each message that they send, by its kind.
 type recordedLinks struct {
 	members
 	nodes    []*memberlist.Node
@@ -28,7 +28,7 @@
 	sent     map[string][][]byte
 }
 
-// recordedKinds name the kinds of messages by their first byte.
+// recordedKinds contains the names of the kinds of messages by their first byte.
 var recordedKinds = map[byte]string{'a': "digest", 'b': "digest-reply", 'c': "cells", 'd': "snapshot-request", 'e': "snapshot-reply"}
 
 func (l *recordedLinks) Members() []*memberlist.Node {
@@ -72,20 +72,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newCluster(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: discardLog(),
+	cluster := newCluster(Options{Name: name, Burst: 32, Seed: uint64(i), Since: func() time.Duration { return 9 * time.Second }, Log: discardLog(),
 		MakeSnapshot: func(kind SnapshotKind) []byte { return fmt.Appendf(nil, "snapshot of %s, kind %d", name, kind) }}, state, bufferSize)
-	p.members = l
-	l.clusters[name], l.nodes = p, append(l.nodes, &memberlist.Node{Name: name})
-	return p
+	cluster.members = l
+	l.clusters[name], l.nodes = cluster, append(l.nodes, &memberlist.Node{Name: name})
+	return cluster
 }
 
-// fill gives a process outcomes, health and a list version, from a seed.
-func fill(p *Cluster, seed uint64) {
+// fillState adds outcomes, health and a list version, generated from a seed, to the state of a process.
+func fillState(cluster *Cluster, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 12))
 	for range 600 {
-		p.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(4)), StartTime: 1700000000000, Class: fmt.Sprint("c", r.IntN(2))}, float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
+		cluster.Observe(nodestats.Key{Node: fmt.Sprint("n", r.IntN(4)), StartTime: 1700000000000, Class: fmt.Sprint("c", r.IntN(2))}, float64(r.IntN(64)), r.ExpFloat64()*20, nodestats.Outcome(r.IntN(4)))
 	}
-	p.WithState(func(now time.Duration, s *nodestats.State) {
+	cluster.WithState(func(now time.Duration, s *nodestats.State) {
 		for i := range 5 {
 			s.SetNodeHealth(now, fmt.Sprint("n", i), 1700000000000, nodestats.Health{Type: "hdd", Shard: i % 2, WarmingUp: i == 1, Window: 4 * r.Float64(), Queue: float64(i)})
 		}
@@ -93,11 +93,11 @@
 	})
 }
 
-// play has the two processes exchange each kind of message.
-func (l *recordedLinks) play(t *testing.T) {
+// exchangeAllKinds makes the two processes exchange each kind of message.
+func (l *recordedLinks) exchangeAllKinds(t *testing.T) {
 	a, b := l.clusters["a"], l.clusters["b"]
-	fill(a, 1)
-	fill(b, 2)
+	fillState(a, 1)
+	fillState(b, 2)
 	for range 2 {
 		a.round()
 		b.round()
@@ -112,7 +112,7 @@
 	}
 	b.tasks.Wait()
 	if !sameStates(a, b) {
-		t.Error("the two processes hold different states")
+		t.Error("the two processes have different states")
 	}
 }
 
@@ -147,10 +147,10 @@
 	}
 }
 
-// Messages of each kind are written as the bytes of the recording.
+// Messages of each kind are encoded as in the recording.
 func TestSentMessagesAreThoseOfTheRecording(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
-	l.play(t)
+	l.exchangeAllKinds(t)
 	record := flag.Lookup("record").Value.String() == "true"
 	for _, kind := range recordedKinds {
 		if len(l.sent[kind]) == 0 {
@@ -173,10 +173,10 @@
 	}
 }
 
-// A process that knows nothing reads the recorded messages of each kind, and answers those that ask.
+// A new process decodes the recorded messages of each kind, and answers requests.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	l := newRecordedLinks(t, "a", "b")
-	l.play(t)
+	l.exchangeAllKinds(t)
 	c := l.add(t, 3, "c")
 	for _, m := range readMessages(t, "cells") {
 		c.thisRound = roundLoad{}
@@ -187,7 +187,7 @@
 		t.Errorf("cells: %+v", n)
 	}
 	if !sameStates(l.clusters["a"], c) {
-		t.Error("the recorded cells do not make the state of their senders")
+		t.Error("the recorded cells do not result in the state of their senders")
 	}
 	for kind, answers := range map[string]string{"digest": "digest-reply", "digest-reply": "", "snapshot-request": "snapshot-reply"} {
 		for i, m := range readMessages(t, kind) {
--- a/internal/httpfront/bench_test.go
+++ b/internal/httpfront/bench_test.go
@@ -10,8 +10,8 @@
 	"wheatsaddle/internal/core"
 )
 
-// BenchmarkSend is one attempt and its answer over loopback: by the path of a node with one
-// address, which has no book, and by one of three.
+// BenchmarkSend measures one attempt and its response over loopback, for a node with one address, which needs no address
+// selector, and for a node with three.
 func BenchmarkSend(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 			}()
 		}
 	}()
-	one := at(ln)
+	one := addressesOf(ln)
 	more, errs := address.ParseList([]string{one[0].String(), "[::1]:1", "unix:/nowhere"})
 	if len(errs) > 0 {
 		b.Fatal(errs)
@@ -46,11 +46,11 @@
 			d := dialer()
 			d.Addresses = &AddressConfig{}
 			set := address.Defaults()
-			set.Preference = []address.Kind{address.IPv4}
+			set.Preference = []address.Family{address.IPv4}
 			d.Addresses.Set(AddressSettings{Selector: set})
 			p := d.Connect("n", list)
 			defer p.Close()
-			a, got := attempt(b, later())
+			a, got := attempt(b, inOneMinute())
 			p.Send(a)
 			<-got
 			b.ReportAllocs()
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -12,51 +12,51 @@
 	"wheatsaddle/policy"
 )
 
-// What the front checks, how long it writes, and what may be repeated freely go by the settings that the core has then,
-// and a request names those that it was decoded under.
-func TestBoundsFollowTheCore(t *testing.T) {
+// Request checks, write timeouts and idempotency follow the core's current settings. A decoded request refers to the settings
+// with which it was decoded.
+func TestBoundsFollowCoreSettings(t *testing.T) {
 	f := newFront(t, respondWith(okResponse))
-	smaller := strings.Replace(good, "units=2", "units=1", 1)
-	if r := f.send(t, good); r.StatusCode() != 200 {
-		t.Fatalf("%d", r.StatusCode())
+	smaller := strings.Replace(validRequest, "units=2", "units=1", 1)
+	if r := f.send(t, validRequest); r.StatusCode() != 200 {
+		t.Fatalf("status %d", r.StatusCode())
 	}
 	first := f.srv.bounds()
 	var head fasthttp.RequestHeader
 	head.SetRequestURI("/new-record/x")
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != time.Minute+writeMargin {
-		t.Errorf("%v to write", w)
+		t.Errorf("write timeout %v", w)
 	}
-	next := testModule()
-	next.MaxUnits, next.Classes[1].Effect, next.Classes[0].Deadline = 1, policy.Idempotent, 120e3
-	if err := f.srv.Core.Reconfigure(next); err != nil {
+	changed := testSettings()
+	changed.MaxUnits, changed.Classes[1].Effect, changed.Classes[0].Deadline = 1, policy.Idempotent, 120e3
+	if err := f.srv.Core.Reconfigure(changed); err != nil {
 		t.Fatal(err)
 	}
-	if r := f.send(t, good); r.StatusCode() != 400 {
-		t.Errorf("over the largest request: %d", r.StatusCode())
+	if r := f.send(t, validRequest); r.StatusCode() != 400 {
+		t.Errorf("request over the new limit of units: status %d", r.StatusCode())
 	}
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
-		t.Errorf("%d", r.StatusCode())
+		t.Errorf("status %d", r.StatusCode())
 	}
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
-		t.Errorf("%v to write", w)
+		t.Errorf("write timeout %v after the change", w)
 	}
 	d := &Dialer{Idempotent: map[string]bool{"balance-read": true}}
 	for _, x := range []struct {
 		set   *core.Settings
 		class string
 		safe  bool
-	}{{first.set, "new-record", false}, {f.srv.bounds().set, "new-record", true}, {first.set, "none", false},
+	}{{first.settings, "new-record", false}, {f.srv.bounds().settings, "new-record", true}, {first.settings, "none", false},
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
 		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
 		if d.idempotent(r) != x.safe {
-			t.Errorf("%s: safe %v", x.class, !x.safe)
+			t.Errorf("%s: idempotent %v", x.class, !x.safe)
 		}
 	}
 	var m fasthttp.Request
-	if err := m.Read(bufio.NewReader(strings.NewReader(good))); err != nil {
+	if err := m.Read(bufio.NewReader(strings.NewReader(validRequest))); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := decode(&m, first); err != nil || r.Settings != first.set {
-		t.Errorf("%v, %+v", err, r)
+	if r, err := decode(&m, first); err != nil || r.Settings != first.settings {
+		t.Errorf("decoded with %v: %+v", err, r)
 	}
 }
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if _, err := New(Defaults(), "", 1); err == nil {
-		t.Error("a process without a name")
+		t.Error("an empty process name was accepted")
 	}
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// A fleet of 32 processes with 64 nodes and 4 classes: 8448 cells.
+// BenchmarkFleet measures a state with the 10,240 cells of a fleet of 32 processes: statistics of 4 classes and the health
+// of 64 nodes from each process.
 func BenchmarkFleet(b *testing.B) {
 	set := Defaults()
 	s, r := newState(b, set, "me", 1), rand.New(rand.NewPCG(5, 5))
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -6,8 +6,8 @@
 	"wheatsaddle/policy"
 )
 
-// settings are an instance's settings, in the simulator's words. The texts of JSON errors show this
-// type, its unnamed parts and their fields, so a change of a name here changes error texts.
+// settings are the settings of an instance, with the simulator's names. The texts of JSON errors contain
+// the names of this type and its fields, so renaming them changes error texts.
 type settings struct {
 	Me      int    `json:"me"`
 	Fleet   int    `json:"fleet-size"`
@@ -78,27 +78,27 @@
 )
 
 func decodeSettings(raw json.RawMessage) (policy.Settings, error) {
-	var w settings
-	if err := json.Unmarshal(raw, &w); err != nil {
+	var wire settings
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		return policy.Settings{}, err
 	}
 	s := policy.Settings{
-		Instance: w.Me, Schedulers: w.Fleet, Zone: w.Zone, PollsEndpointList: w.Mode == polledListMode,
+		Instance: wire.Me, Schedulers: wire.Fleet, Zone: wire.Zone, PollsEndpointList: wire.Mode == polledListMode,
 
-		MeanUnits: w.Extra.Usual, MaxUnits: w.Extra.Largest, SlowStartUnits: w.Extra.Young,
-		UsageMeterPeriod: w.Extra.Metering, ReportsPeerUsage: w.Extra.SaysOthers,
+		MeanUnits: wire.Extra.Usual, MaxUnits: wire.Extra.Largest, SlowStartUnits: wire.Extra.Young,
+		UsageMeterPeriod: wire.Extra.Metering, ReportsPeerUsage: wire.Extra.SaysOthers,
 
-		MaxAttempts: w.Ceiling.MaxAttempts, MayHedge: w.Ceiling.SecondCopies, MayCancel: w.Ceiling.MayCancel,
-		MayCheckHealth: w.Ceiling.Probes, MayGossip: w.Ceiling.Peers,
-		SendsRetryAfter: w.Ceiling.RetryAfter, MaxRetryAfter: w.Ceiling.MaxRetryAfter,
+		MaxAttempts: wire.Ceiling.MaxAttempts, MayHedge: wire.Ceiling.SecondCopies, MayCancel: wire.Ceiling.MayCancel,
+		MayCheckHealth: wire.Ceiling.Probes, MayGossip: wire.Ceiling.Peers,
+		SendsRetryAfter: wire.Ceiling.RetryAfter, MaxRetryAfter: wire.Ceiling.MaxRetryAfter,
 
-		DrainGrace: w.Rules.StopSending, PollWithin: w.Rules.AskWithin,
-		SlowStartShare: w.Rules.ColdFrom, SlowStartDuration: w.Rules.Cold,
-		OverloadMultiple: w.Rules.TipMultiple, OverloadWindow: w.Rules.Overload,
-		OrderedKeyBackoff: w.Rules.OrderPause, RetryBudgetShare: w.Rules.Further,
-		RetryBudgetMin: w.Rules.ExtraFloor, RetryBudgetWindow: w.Rules.CountedOver,
+		DrainGrace: wire.Rules.StopSending, ListStalenessBound: wire.Rules.AskWithin,
+		SlowStartShare: wire.Rules.ColdFrom, SlowStartDuration: wire.Rules.Cold,
+		OverloadMultiple: wire.Rules.TipMultiple, OverloadWindow: wire.Rules.Overload,
+		OrderedKeyBackoff: wire.Rules.OrderPause, RetryBudgetShare: wire.Rules.Further,
+		RetryBudgetMin: wire.Rules.ExtraFloor, RetryBudgetWindow: wire.Rules.CountedOver,
 	}
-	for _, p := range w.Profiles {
+	for _, p := range wire.Profiles {
 		effect, scope, err := decodeEffect(p.Repeat, p.KeyScope)
 		if err != nil {
 			return s, err
@@ -109,7 +109,7 @@
 			DedupWindow: p.Memory, Ordered: p.ByArrival, Stream: p.Stream,
 		})
 	}
-	for _, c := range w.Contracts {
+	for _, c := range wire.Contracts {
 		s.Plans = append(s.Plans, policy.Plan{
 			Name: c.Name, Rate: c.UsualRate, ReservedRate: c.Reservation, Weight: c.Shares, Price: c.Price,
 			RateLimit: c.Cap, LimitBurst: c.Burst,
@@ -118,14 +118,14 @@
 	return s, nil
 }
 
-// decodeEffect maps a class's effect and deduplication scope. The scope must be known only where it
-// is used.
+// decodeEffect decodes the effect and the deduplication scope of a class. An unknown scope is an error
+// only for a class that is idempotent by key, because other classes do not use it.
 func decodeEffect(repeat, keyScope string) (policy.Effect, policy.DedupScope, error) {
-	effect, err := find(effects, repeat)
+	effect, err := lookup(effects, repeat)
 	if err != nil {
 		return effect, 0, err
 	}
-	scope, err := find(dedupScopes, keyScope)
+	scope, err := lookup(dedupScopes, keyScope)
 	if effect == policy.IdempotentByKey && err != nil {
 		return effect, scope, err
 	}
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -72,8 +72,8 @@
 	}
 	h.fresh(coldstart.SlowStartShare)
 	set := h.w.set
-	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListCallsPriced: !h.w.sc.Pushed,
-		MaxListCallsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
+	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListRequestsPriced: !h.w.sc.Pushed,
+		MaxListRequestsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
 		LatencyObjective: span(400), MaxRetryAfter: span(set.MaxRetryAfter), Preconnects: 8})
 	if err != nil {
 		panic(err)
@@ -116,7 +116,7 @@
 			h.guess = true
 			h.step(policy.Event{Kind: policy.ListChanged, Nodes: guessed})
 		case coldstart.LiftColdLimit:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStart: h.born})
+			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStartTime: h.born})
 		case coldstart.Restore:
 			i := slices.IndexFunc(h.learned.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
 			recall.Nodes = append(recall.Nodes, h.learned.Nodes[i])
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -1,7 +1,6 @@
-// Package server is a stand-in scheduler for tests of what sends load: it answers the platform's
-// clients after a known time, and stalls, refuses, resets, hangs or caps its rate as it is told
-// to, while it runs. What it should answer when is computed by Expect, so that what a generator
-// reports can be held against it.
+// Package server is a fake scheduler for tests of load generators. It answers the platform's clients
+// after a known time and can be switched while it runs to stall, reject, reset, hang or limit its rate.
+// Expect and Quantile compute the expected response times, with which a generator's report can be compared.
 package server
 
 import (
@@ -21,77 +20,77 @@
 
 // The modes.
 const (
-	Answer Mode = iota // 200 after Service, but for stalls
-	Refuse             // 503 with RetryAfter
-	Reset              // the connection is reset
-	Hang               // nothing comes
-	Late               // 200 after LateBy
+	Answer  Mode = iota // 200 after Service, or later during a stall
+	Reject              // 503 with RetryAfter
+	Reset               // the connection is reset
+	Hang                // no response
+	Delayed             // 200 after Delay
 )
 
-// Options make a server.
+// Options configure a server.
 type Options struct {
-	Service    time.Duration // of an answer
-	Stall      time.Duration // it answers nothing for this long ...
-	Every      time.Duration // ... at the start of each such span, but the first
-	RetryAfter time.Duration
-	LateBy     time.Duration
-	Rate       float64 // answers a second; what is over is refused. 0: any
+	ServiceTime   time.Duration // response time without a stall
+	StallDuration time.Duration // the server sends no responses for this long at the start of each interval Every, except the first
+	StallInterval time.Duration
+	RetryAfter    time.Duration
+	Delay         time.Duration
+	Rate          float64 // responses per second; requests above the rate are rejected. 0: unlimited
 }
 
-// Counts are what a server has seen.
-type Counts struct{ Conns, Requests, Retries, Answered, Refused int }
+// Counts are a server's counters.
+type Counts struct{ Conns, Requests, Retries, Answered, Rejected int }
 
-// Server is a running stand-in.
+// Server is a running fake scheduler.
 type Server struct {
-	opt    Options
-	mode   atomic.Int32
-	start  time.Time
-	mu     sync.Mutex
-	counts Counts
-	ids    map[string]int
-	conns  map[net.Conn]bool
-	tokens float64
-	filled time.Time
-	wg     sync.WaitGroup
-	closed bool
+	opt           Options
+	mode          atomic.Int32
+	start         time.Time
+	mu            sync.Mutex
+	counts        Counts
+	requestCounts map[string]int
+	conns         map[net.Conn]bool
+	tokens        float64
+	refilledAt    time.Time
+	wg            sync.WaitGroup
+	closed        bool
 }
 
-// New makes a server; its stalls count from now.
+// New creates a server whose stall intervals begin now.
 func New(opt Options) *Server {
 	now := time.Now()
-	return &Server{opt: opt, start: now, filled: now, ids: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
+	return &Server{opt: opt, start: now, refilledAt: now, requestCounts: map[string]int{}, conns: map[net.Conn]bool{}, tokens: 1}
 }
 
-// Set switches the mode.
-func (s *Server) Set(m Mode) { s.mode.Store(int32(m)) }
+// SetMode switches the mode.
+func (s *Server) SetMode(m Mode) { s.mode.Store(int32(m)) }
 
-// Counts are those so far.
+// Counts returns the counters so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Seen is how often an id has come.
-func (s *Server) Seen(id string) int {
+// RequestCount returns how often a request ID has been received.
+func (s *Server) RequestCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ids[id]
+	return s.requestCounts[id]
 }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		s.Go(nc)
+		s.ServeConn(nc)
 	}
 }
 
-// Go serves one connection.
-func (s *Server) Go(nc net.Conn) {
+// ServeConn serves one connection in its own goroutine.
+func (s *Server) ServeConn(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -109,7 +108,7 @@
 	})
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -120,52 +119,53 @@
 	s.wg.Wait()
 }
 
-// ready is when a request that came at a time after the start is answered.
-func (s *Server) ready(came time.Duration) time.Duration {
-	at := came + s.opt.Service
-	if s.opt.Every > 0 {
-		if n := at / s.opt.Every; n > 0 && at-n*s.opt.Every < s.opt.Stall {
-			at = n*s.opt.Every + s.opt.Stall
+// responseTime returns when a request is answered that arrives at a time after the start.
+func (s *Server) responseTime(arrival time.Duration) time.Duration {
+	end := arrival + s.opt.ServiceTime
+	if s.opt.StallInterval > 0 {
+		if n := end / s.opt.StallInterval; n > 0 && end-n*s.opt.StallInterval < s.opt.StallDuration {
+			end = n*s.opt.StallInterval + s.opt.StallDuration
 		}
 	}
-	return at
+	return end
 }
 
-// Expect is the time that an answer takes for a request that comes at a time after the start.
-func (s *Server) Expect(came time.Duration) time.Duration { return s.ready(came) - came }
+// ExpectedResponseTime returns the response time of a request that arrives at a time after the start.
+func (s *Server) ExpectedResponseTime(arrival time.Duration) time.Duration {
+	return s.responseTime(arrival) - arrival
+}
 
-// Quantile is the computed answer for arrivals spread evenly over whole spans: the share q of them
-// takes at most this long.
+// Quantile returns the quantile q of the response time for arrivals spread evenly over whole intervals Every.
 func (s *Server) Quantile(q float64) time.Duration {
-	if s.opt.Every == 0 {
-		return s.opt.Service
+	if s.opt.StallInterval == 0 {
+		return s.opt.ServiceTime
 	}
-	stalled := float64(s.opt.Stall) / float64(s.opt.Every) // these wait for what is left of the stall
+	stalled := float64(s.opt.StallDuration) / float64(s.opt.StallInterval) // share of requests that wait for the rest of a stall
 	if q <= 1-stalled {
-		return s.opt.Service
+		return s.opt.ServiceTime
 	}
-	return s.opt.Service + time.Duration(math.Round((q-(1-stalled))*float64(s.opt.Every)))
+	return s.opt.ServiceTime + time.Duration(math.Round((q-(1-stalled))*float64(s.opt.StallInterval)))
 }
 
 func (s *Server) serve(nc net.Conn) {
 	br := bufio.NewReader(nc)
 	bw := bufio.NewWriter(nc)
 	for {
-		var q fasthttp.Request
-		if q.Read(br) != nil {
+		var request fasthttp.Request
+		if request.Read(br) != nil {
 			return
 		}
-		came := time.Since(s.start)
-		id := string(q.Header.Peek("X-Request-Id"))
+		arrival := time.Since(s.start)
+		id := string(request.Header.Peek("X-Request-Id"))
 		s.mu.Lock()
 		s.counts.Requests++
-		s.ids[id]++
-		if string(q.Header.Peek("X-Retry")) == "1" {
+		s.requestCounts[id]++
+		if string(request.Header.Peek("X-Retry")) == "1" {
 			s.counts.Retries++
 		}
-		over := s.over()
+		overRate := s.exceedsRate()
 		s.mu.Unlock()
-		var r fasthttp.Response
+		var response fasthttp.Response
 		mode := Mode(s.mode.Load())
 		switch {
 		case mode == Reset:
@@ -174,39 +174,39 @@
 			}
 			return
 		case mode == Hang:
-			_, _ = br.Peek(1) // until its client goes, or the server ends
+			_, _ = br.Peek(1) // until the client disconnects or the server closes
 			return
-		case mode == Refuse || over:
-			r.SetStatusCode(fasthttp.StatusServiceUnavailable)
-			r.Header.Set("Retry-After", strconv.FormatFloat(s.opt.RetryAfter.Seconds(), 'f', -1, 64))
-		case mode == Late:
-			time.Sleep(s.opt.LateBy)
-			r.SetBodyString(id)
+		case mode == Reject || overRate:
+			response.SetStatusCode(fasthttp.StatusServiceUnavailable)
+			response.Header.Set("Retry-After", strconv.FormatFloat(s.opt.RetryAfter.Seconds(), 'f', -1, 64))
+		case mode == Delayed:
+			time.Sleep(s.opt.Delay)
+			response.SetBodyString(id)
 		default:
-			time.Sleep(time.Until(s.start.Add(s.ready(came))))
-			r.SetBodyString(id)
+			time.Sleep(time.Until(s.start.Add(s.responseTime(arrival))))
+			response.SetBodyString(id)
 		}
-		if r.Write(bw) != nil || bw.Flush() != nil {
+		if response.Write(bw) != nil || bw.Flush() != nil {
 			return
 		}
 		s.mu.Lock()
-		if r.StatusCode() == fasthttp.StatusOK {
+		if response.StatusCode() == fasthttp.StatusOK {
 			s.counts.Answered++
 		} else {
-			s.counts.Refused++
+			s.counts.Rejected++
 		}
 		s.mu.Unlock()
 	}
 }
 
-// over says whether a request is beyond the rate.
-func (s *Server) over() bool {
+// exceedsRate reports whether a request exceeds the rate limit, which is a token bucket.
+func (s *Server) exceedsRate() bool {
 	if s.opt.Rate == 0 {
 		return false
 	}
 	now := time.Now()
-	s.tokens = math.Min(math.Max(1, s.opt.Rate/10), s.tokens+now.Sub(s.filled).Seconds()*s.opt.Rate)
-	s.filled = now
+	s.tokens = math.Min(math.Max(1, s.opt.Rate/10), s.tokens+now.Sub(s.refilledAt).Seconds()*s.opt.Rate)
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return true
 	}
