--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -35,12 +35,13 @@
 }
 
 func (l *instantConn) Write(p []byte) (int, error) {
-	if l.closed {
-		return 0, net.ErrClosed
-	}
+	// The check comes before that of closed: a context's AfterFunc closes the connection in a goroutine outside the schedule.
 	if *l.draining {
 		il.Fail("written to a draining node")
 	}
+	if l.closed {
+		return 0, net.ErrClosed
+	}
 	l.in.WriteString(okResponse)
 	return len(p), nil
 }
