--- a/cmd/wheatsaddle/daemon_test.go
+++ b/cmd/wheatsaddle/daemon_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"os"
@@ -172,6 +174,38 @@
 	}
 }
 
+// awaitIdle waits for an instant at which every thread of the program sleeps, so that the Go runtime has delivered all signals
+// that were sent before. A thread that slept in two readings without a context switch between them slept in between, and all
+// threads are read once before any is read again.
+func (d *daemon) awaitIdle() {
+	d.t.Helper()
+	for {
+		before, idleBefore := d.threadSwitches()
+		after, idleAfter := d.threadSwitches()
+		if idleBefore && idleAfter && maps.Equal(before, after) {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+var contextSwitches = regexp.MustCompile(`(?m)^\w*ctxt_switches:.*$`)
+
+// threadSwitches returns the lines of each thread's status that count its context switches, and whether all threads sleep.
+func (d *daemon) threadSwitches() (switches map[string]string, idle bool) {
+	d.t.Helper()
+	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", d.cmd.Process.Pid))
+	d.must(err)
+	switches, idle = map[string]string{}, len(files) > 0
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		d.must(err)
+		switches[file] = strings.Join(contextSwitches.FindAllString(string(text), -1), " ")
+		idle = idle && strings.Contains(string(text), "\nState:\tS")
+	}
+	return switches, idle
+}
+
 // dial connects a client.
 func (d *daemon) dial() client {
 	d.t.Helper()
@@ -231,6 +265,19 @@
 	return f
 }
 
+// checkFileNotRead checks that the daemon is idle and doesn't have the pipe open.
+func (d *daemon) checkFileNotRead() {
+	d.t.Helper()
+	d.awaitIdle()
+	f, err := os.OpenFile(d.file, os.O_WRONLY|syscall.O_NONBLOCK, 0)
+	if !errors.Is(err, syscall.ENXIO) { // a pipe without a reader
+		d.t.Errorf("the configuration is read once more: %v", err)
+	}
+	if err == nil {
+		d.must(f.Close())
+	}
+}
+
 // blockingNode is a fake node that delays its responses until release is closed or receives a value for each.
 type blockingNode struct {
 	address  string
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -174,6 +174,7 @@
 	for range 2 {
 		d.signal(syscall.SIGHUP)
 		d.awaitProcStatus(`^ShdPnd:\s0+$`)
+		d.awaitIdle() // a signal that is delivered only after the next reload has begun causes one more, rightly
 	}
 	_, err = io.WriteString(first, valid)
 	d.must(err)
@@ -185,6 +186,7 @@
 	d.must(second.Close())
 	d.awaitLog("reload of the configuration failed", 3)
 	awaitReloads(1, 3)
+	d.checkFileNotRead()
 	if len(connected) > 0 {
 		t.Error("the address of discovery was taken from a rejected file")
 	}
