--- a/internal/testkit/cluster/fleet_test.go
+++ b/internal/testkit/cluster/fleet_test.go
@@ -64,7 +64,8 @@
 	return newFixtureWithService(t, opt, 2*time.Millisecond)
 }
 
-func newFixtureWithService(t *testing.T, opt Options, serviceTime time.Duration) *fixture {
+// beginScenario waits for a scenario slot, which is held until the test ends, and returns the context of the scenario.
+func beginScenario(t *testing.T) context.Context {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts several processes")
@@ -74,6 +75,12 @@
 	t.Cleanup(func() { <-scenarioSlots })
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	t.Cleanup(cancel)
+	return ctx
+}
+
+func newFixtureWithService(t *testing.T, opt Options, serviceTime time.Duration) *fixture {
+	t.Helper()
+	ctx := beginScenario(t)
 	opt.Daemon, opt.Seed = daemonPath, 7
 	if opt.Daemons == 0 {
 		opt.Daemons = 3
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -206,6 +206,7 @@
 // Both versions accept the same files: the deployments that the repository holds, and the settings, site and iSCSI files
 // with every section.
 func TestConfigurationsBetweenVersions(t *testing.T) {
+	beginScenario(t)
 	previous := previousDaemon(t)
 	for _, x := range []struct{ dir, config, site, iscsi string }{
 		{"deploy", "sites/tromso-tides/config.json", "site.json", "iscsi.json"},
