--- a/internal/interleave/check.go
+++ b/internal/interleave/check.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// ReplayEnv names a schedule's text: Check then runs that order alone.
+// ReplayEnv is the environment variable for the text of a schedule. If it is set, Check runs only that schedule.
 const ReplayEnv = "INTERLEAVE_REPLAY"
 
-// Check walks the orders of a world for a test, and prints how many they were.
-func Check(t testing.TB, o Options, make func() World) Report {
+// Check explores a program's schedules for a test, and logs their number. A failure ends the test.
+func Check(t testing.TB, options Options, newProgram func() World) Report {
 	t.Helper()
 	if text := os.Getenv(ReplayEnv); text != "" {
-		if f := Replay(make, text); f != nil {
+		if f := Replay(newProgram, text); f != nil {
 			t.Fatal(f)
 		}
-		t.Log("the schedule holds")
+		t.Log("the schedule does not fail")
 		return Report{}
 	}
-	rep := Explore(o, make)
+	rep := Explore(options, newProgram)
 	if rep.Failure != nil {
-		t.Fatalf("%v\n%v; again: %s='%s' go test -tags interleave -run '^%s$'", rep.Failure, rep, ReplayEnv, rep.Failure.Schedule, t.Name())
+		t.Fatalf("%v\n%v; to replay: %s='%s' go test -tags interleave -run '^%s$'", rep.Failure, rep, ReplayEnv, rep.Failure.Schedule, t.Name())
 	}
-	t.Logf("interleave: %v%s", rep, bounded(o))
+	t.Logf("interleave: %v%s", rep, boundText(options))
 	return rep
 }
 
-func bounded(o Options) string {
+func boundText(o Options) string {
 	if !o.Bounded {
 		return ""
 	}
-	return fmt.Sprintf("; bounded: %d preemptions at most", o.Preemptions)
+	return fmt.Sprintf("; bounded: at most %d preemptions", o.Preemptions)
 }
--- a/internal/interleave/g_stack.go
+++ b/internal/interleave/goroutine_stack.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// goroutine is the caller's id, read from the head of its stack's text.
+// goroutine returns the id of the caller's goroutine, read from the first line of its stack trace.
 func goroutine() uintptr {
 	var b [64]byte
 	id, _, _ := bytes.Cut(b[len("goroutine "):runtime.Stack(b[:], false)], []byte(" "))
--- a/internal/interleave/interleave.go
+++ b/internal/interleave/interleave.go
@@ -1,21 +1,22 @@
-// Package interleave runs a few threads of real code through every order of their steps. A step is
-// what one thread can see of another: a lock, an atomic, a channel, or what the code names as one
-// (a file). Exactly one thread runs at a time and gives way before each step; the orders are walked
-// depth first, each from a fresh world.
+// Package interleave is a checker for concurrent code: it runs a few threads of real code in every
+// order of their steps. A step is an operation that other threads can observe: on a lock, an atomic or
+// a channel, or one that the code declares as a step (on a file, for example). Exactly one thread runs
+// at a time and yields before each step. The schedules (orders of steps) are explored depth first, and
+// each starts from a newly made program.
 //
 // Invariants:
-//   - Without a bound every state that some order reaches is visited: sleep sets leave out orders
-//     that differ only in steps that commute, and so no state, deadlock or outcome (Godefroid,
-//     "Partial-Order Methods for the Verification of Concurrent Systems", LNCS 1032, chapter 5).
-//   - With a bound on preemptions every order within it is run, none left out (Musuvathi and Qadeer,
-//     "Iterative Context Bounding", PLDI 2007): sleep sets and a bound together would lose orders.
-//   - Two accesses of which one writes and that nothing orders are found in every order in which they
-//     are made, next to each other or not: vector clocks (FastTrack, PLDI 2009).
-//   - The same text replays the same order. Code that does not do the same in the same order is
-//     told of as such, not walked.
+//   - Without a bound, every state that some schedule reaches is visited. Sleep sets leave out only
+//     schedules that differ in the order of commuting steps, so no state, deadlock or outcome is lost
+//     (Godefroid, "Partial-Order Methods for the Verification of Concurrent Systems", LNCS 1032, chapter 5).
+//   - With a bound on preemptions, every schedule within the bound is run (Musuvathi and Qadeer,
+//     "Iterative Context Bounding", PLDI 2007). Sleep sets are off then: with a bound they would lose schedules.
+//   - A data race (two unordered accesses, at least one of them a write) is found in every schedule in
+//     which both accesses are made, adjacent or not, by vector clocks (FastTrack, PLDI 2009).
+//   - The same schedule text replays the same schedule. Code that behaves differently under the same
+//     schedule is reported as nondeterministic and not explored further.
 //
-// It does not walk weak memory: atomics are sequentially consistent, as Go's are. What the code
-// leaves outside the types of internal/interleave/sync (go statements, timers, sockets) is not seen.
+// Weak memory is not modelled: atomics are sequentially consistent, as in Go. Operations outside the
+// types of internal/interleave/sync (go statements, timers, sockets) are not seen.
 package interleave
 
 import (
@@ -24,86 +25,87 @@
 	"strings"
 )
 
-// Thread is one thread of a world.
+// Thread is one thread of a program.
 type Thread struct {
 	Name string
 	Run  func()
 }
 
-// World is what one order runs in; it is made afresh for each.
+// World is the program that one schedule runs, with its checks. It is made anew for each schedule.
 type World struct {
 	Threads []Thread
-	Always  func() error // holds after each step; it runs outside the threads, may be nil
-	Check   func() error // holds when all threads have ended; may be nil
-	Outcome func() string
-	End     func() // frees what the world holds, also when its order was cut; may be nil
+	Always  func() error  // an invariant, checked after each step and outside the threads; may be nil
+	Check   func() error  // checked when all threads have ended; may be nil
+	Outcome func() string // describes the final state, counted in Report.Outcomes; may be nil
+	End     func()        // frees the program's resources, also when its schedule was pruned or failed; may be nil
 }
 
-// Options bound a walk.
+// Options bound an exploration.
 type Options struct {
-	Bounded     bool // only orders with so many preemptions at most, and of those all
-	Preemptions int
-	Whole       bool // no reduction
-	Steps       int  // of one order; 0: 2000
-	Schedules   int  // of the walk, cut ones too; 0: 2 million
+	Bounded      bool // run exactly the schedules with at most Preemptions preemptions
+	Preemptions  int
+	NoReduction  bool // no sleep sets: run schedules that differ only in commuting steps too
+	MaxSteps     int  // of one schedule; 0: 2000
+	MaxSchedules int  // of the exploration, including pruned ones; 0: 2 million
 }
 
-// Report is what a walk found.
+// Report is the result of an exploration.
 type Report struct {
-	Schedules int // run to their end
-	Cut       int // given up: what would follow differs from one walked only in steps that commute
-	Steps     int // of the longest
-	Outcomes  map[string]int
-	Failure   *Failure // nil: none
+	Schedules       int // run to the end
+	Pruned          int // given up: each continuation differs from an explored schedule only in the order of commuting steps
+	LongestSchedule int // the number of steps of the longest schedule
+	Outcomes        map[string]int
+	Failure         *Failure // nil: none
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("%d schedules, %d more cut short, %d steps the longest", r.Schedules, r.Cut, r.Steps)
+	return fmt.Sprintf("%d schedules, %d more pruned, at most %d steps", r.Schedules, r.Pruned, r.LongestSchedule)
 }
 
-// Failure is an order that breaks an invariant.
+// Failure is a schedule that breaks an invariant.
 type Failure struct {
-	What     string
+	Message  string
 	Schedule string   // for Replay
-	Trace    []string // its steps
+	Trace    []string // one line for each step
 }
 
 func (f *Failure) Error() string {
-	return fmt.Sprintf("%s\nschedule: %s\n  %s", f.What, f.Schedule, strings.Join(f.Trace, "\n  "))
+	return fmt.Sprintf("%s\nschedule: %s\n  %s", f.Message, f.Schedule, strings.Join(f.Trace, "\n  "))
 }
 
-// node is a point of the order at which there was a choice.
-type node struct {
-	choice  int    // the thread, or the option
-	options uint32 // enabled threads; or options of Choose
-	sleep   uint32
-	done    uint32
-	free    bool // an option of Choose
-	last    int  // the thread before
-	used    int  // preemptions before
-	op      string
+// choicePoint is a point of a schedule at which a thread, or an option of Choose, was selected.
+type choicePoint struct {
+	choice         int    // the selected thread or option
+	options        uint32 // bit set of the enabled threads, or of the options of Choose
+	sleepSet       uint32
+	explored       uint32
+	isOption       bool // a choice of Choose, not of a thread
+	previousThread int  // the thread that made the step before; -1: none
+	preemptions    int  // in the schedule up to this point
+	operation      string
 }
 
-// may are the options not taken yet.
-func (n *node) may(o Options) uint32 {
-	m := n.options &^ n.done
-	if n.free {
+// remaining returns the bit set of the options that are still to be explored.
+func (n *choicePoint) remaining(options Options) uint32 {
+	m := n.options &^ n.explored
+	if n.isOption {
 		return m
 	}
-	m &^= n.sleep
-	if o.Bounded && n.used >= o.Preemptions && n.last >= 0 && n.options&(1<<n.last) != 0 {
-		m &= 1 << n.last
+	m &^= n.sleepSet
+	if options.Bounded && n.preemptions >= options.Preemptions && n.previousThread >= 0 && n.options&(1<<n.previousThread) != 0 {
+		m &= 1 << n.previousThread
 	}
 	return m
 }
 
-func (n *node) take(o Options) bool {
-	m := n.may(o)
+// takeNext selects the next option to explore; false: none remains.
+func (n *choicePoint) takeNext(options Options) bool {
+	m := n.remaining(options)
 	if m == 0 {
 		return false
 	}
-	if !n.free && n.last >= 0 && m&(1<<n.last) != 0 {
-		n.choice = n.last // the thread that runs runs on
+	if !n.isOption && n.previousThread >= 0 && m&(1<<n.previousThread) != 0 {
+		n.choice = n.previousThread // the running thread continues: no preemption
 		return true
 	}
 	for n.choice = 0; m&(1<<n.choice) == 0; n.choice++ {
@@ -111,43 +113,43 @@
 	return true
 }
 
-// Explore walks the orders until one fails or none is left.
-func Explore(o Options, make func() World) (rep Report) {
-	if o.Steps == 0 {
-		o.Steps = 2000
+// Explore runs schedules until one fails or none is left.
+func Explore(options Options, newProgram func() World) (rep Report) {
+	if options.MaxSteps == 0 {
+		options.MaxSteps = 2000
 	}
-	if o.Schedules == 0 {
-		o.Schedules = 2_000_000
+	if options.MaxSchedules == 0 {
+		options.MaxSchedules = 2_000_000
 	}
 	rep.Outcomes = map[string]int{}
-	var path []node
+	var path []choicePoint
 	for {
-		if rep.Schedules+rep.Cut >= o.Schedules {
-			rep.Failure = &Failure{What: fmt.Sprintf("over %d schedules: state a bound on preemptions, or a smaller world", o.Schedules)}
+		if rep.Schedules+rep.Pruned >= options.MaxSchedules {
+			rep.Failure = &Failure{Message: fmt.Sprintf("over %d schedules: set a bound on preemptions, or use a smaller program", options.MaxSchedules)}
 			return rep
 		}
-		r := &run{opt: o, path: path}
-		out, err := r.play(make())
+		r := &run{options: options, path: path}
+		out, err := r.execute(newProgram())
 		path = r.path
 		if err != nil {
-			text := encode(path, r.names())
-			rep.Failure = &Failure{What: err.Error(), Schedule: text}
-			if again := Replay(make, text); again != nil {
+			text := encode(path, r.threadNames())
+			rep.Failure = &Failure{Message: err.Error(), Schedule: text}
+			if again := Replay(newProgram, text); again != nil {
 				rep.Failure.Trace = again.Trace
 			}
 			return rep
 		}
-		if r.cut {
-			rep.Cut++
+		if r.pruned {
+			rep.Pruned++
 		} else {
 			rep.Schedules++
 			rep.Outcomes[out]++
 		}
-		rep.Steps = max(rep.Steps, r.steps)
+		rep.LongestSchedule = max(rep.LongestSchedule, r.steps)
 		for len(path) > 0 {
 			top := &path[len(path)-1]
-			top.done |= 1 << top.choice
-			if top.take(o) {
+			top.explored |= 1 << top.choice
+			if top.takeNext(options) {
 				break
 			}
 			path = path[:len(path)-1]
@@ -158,27 +160,28 @@
 	}
 }
 
-// Replay runs the one order of a text; nil: it holds.
-func Replay(make func() World, text string) *Failure {
-	r := &run{opt: Options{Whole: true, Steps: 1 << 20}, text: strings.Fields(text), replays: true}
-	_, err := r.play(make())
+// Replay runs the one schedule that the text describes; nil: it does not fail.
+func Replay(newProgram func() World, schedule string) *Failure {
+	r := &run{options: Options{NoReduction: true, MaxSteps: 1 << 20}, replayLeft: strings.Fields(schedule), replaying: true}
+	_, err := r.execute(newProgram())
 	if err == nil {
 		return nil
 	}
-	return &Failure{What: err.Error(), Schedule: text, Trace: slices.Clone(r.trace)}
+	return &Failure{Message: err.Error(), Schedule: schedule, Trace: slices.Clone(r.trace)}
 }
 
-// encode writes an order: a thread's name, * and how many steps it makes in a row; ? and an option.
-func encode(path []node, names []string) string {
+// encode returns the text of a schedule. "name*n" stands for n steps in a row of a thread ("name" for
+// one step), "?k" for option k of Choose.
+func encode(path []choicePoint, names []string) string {
 	var out []string
 	for i := 0; i < len(path); {
-		if path[i].free {
+		if path[i].isOption {
 			out = append(out, fmt.Sprintf("?%d", path[i].choice))
 			i++
 			continue
 		}
 		j := i
-		for j < len(path) && !path[j].free && path[j].choice == path[i].choice {
+		for j < len(path) && !path[j].isOption && path[j].choice == path[i].choice {
 			j++
 		}
 		if j-i == 1 {
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -17,22 +17,22 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// threads makes a world of alike threads.
-func threads(n int, run func(i int)) (w il.World) {
+// identicalThreads returns a program of n threads that run the same function.
+func identicalThreads(n int, run func(i int)) (w il.World) {
 	for i := range n {
 		w.Threads = append(w.Threads, il.Thread{Name: fmt.Sprintf("t%d", i), Run: func() { run(i) }})
 	}
 	return w
 }
 
-// The known numbers: (nk)!/(k!)^n orders of n threads of k steps; with a bound of b preemptions, of
-// two threads, those of at most b; with the reduction, one where all steps commute.
-func TestCounts(t *testing.T) {
-	count := func(o il.Options, n, k int, one bool) int {
+// The number of schedules is the known one: (nk)!/(k!)^n for n threads of k steps; with a bound on preemptions, those
+// within the bound; with sleep sets, one if all steps commute.
+func TestScheduleCounts(t *testing.T) {
+	count := func(o il.Options, n, k int, shared bool) int {
 		return il.Explore(o, func() il.World {
 			all := make([]steps.Int64, n)
-			return threads(n, func(i int) {
-				if one {
+			return identicalThreads(n, func(i int) {
+				if shared {
 					i = 0
 				}
 				for range k {
@@ -42,38 +42,40 @@
 		}).Schedules
 	}
 	for _, c := range []struct {
-		o       il.Options
-		n, k    int
-		one     bool
-		want    int
-		because string
+		o      il.Options
+		n, k   int
+		shared bool
+		want   int
+		reason string
 	}{
-		{il.Options{Whole: true}, 2, 3, true, 20, "6!/(3!)^2"},
-		{il.Options{Whole: true}, 3, 2, true, 90, "6!/(2!)^3"},
-		{il.Options{Whole: true}, 4, 2, false, 2520, "8!/(2!)^4"},
+		{il.Options{NoReduction: true}, 2, 3, true, 20, "6!/(3!)^2"},
+		{il.Options{NoReduction: true}, 3, 2, true, 90, "6!/(2!)^3"},
+		{il.Options{NoReduction: true}, 4, 2, false, 2520, "8!/(2!)^4"},
 		{il.Options{}, 3, 2, true, 90, "no two steps commute"},
 		{il.Options{}, 4, 3, false, 1, "all steps commute"},
-		{il.Options{Bounded: true}, 3, 4, true, 6, "3! orders of whole threads"},
-		{il.Options{Bounded: true, Preemptions: 1}, 2, 4, true, 8, "2 whole, and 3 places to preempt either"},
+		{il.Options{Bounded: true}, 3, 4, true, 6, "3! orders of threads that run without preemption"},
+		{il.Options{Bounded: true, Preemptions: 1}, 2, 4, true, 8, "2 without preemption, and 3 positions to preempt either thread"},
 		{il.Options{Bounded: true, Preemptions: 100}, 2, 4, true, 70, "8!/(4!)^2"},
 	} {
-		if got := count(c.o, c.n, c.k, c.one); got != c.want {
-			t.Errorf("%d threads of %d steps, %+v: %d orders, want %d: %s", c.n, c.k, c.o, got, c.want, c.because)
+		if got := count(c.o, c.n, c.k, c.shared); got != c.want {
+			t.Errorf("%d threads of %d steps, %+v: %d schedules, want %d: %s", c.n, c.k, c.o, got, c.want, c.reason)
 		}
 	}
 }
 
-// program draws threads of a few steps on two numbers, two locks and two channels, told by what each saw.
-func program(t *rapid.T) func() il.World {
-	most := rapid.SampledFrom([]int{7, 11, 11, 15}).Draw(t, "most") // blocking ones end most programs in a deadlock
-	code := rapid.SliceOfN(rapid.SliceOfN(rapid.IntRange(0, most), 2, 4), 2, 3).Draw(t, "code")
+// randomProgram draws a program of threads with a few steps each on two atomics, two locks and two channels. Its outcome
+// is the values that each thread observed and the final values of the atomics.
+func randomProgram(t *rapid.T) func() il.World {
+	// Operations from 12 on block, and end most programs in a deadlock.
+	maxOperation := rapid.SampledFrom([]int{7, 11, 11, 15}).Draw(t, "max operation")
+	operations := rapid.SliceOfN(rapid.SliceOfN(rapid.IntRange(0, maxOperation), 2, 4), 2, 3).Draw(t, "operations")
 	return func() il.World {
 		var x [2]steps.Int64
 		var mu [2]steps.RWMutex
 		chans := [2]chan int{make(chan int, 1), make(chan int)}
-		saw := make([][]int64, len(code))
-		w := threads(len(code), func(i int) {
-			for n, op := range code[i] {
+		observed := make([][]int64, len(operations))
+		w := identicalThreads(len(operations), func(i int) {
+			for n, op := range operations[i] {
 				o, v := op%2, int64(10*i+n+1)
 				switch op / 2 {
 				case 0:
@@ -103,60 +105,61 @@
 						v = -v
 					}
 				}
-				saw[i] = append(saw[i], v)
+				observed[i] = append(observed[i], v)
 			}
 		})
-		w.Outcome = func() string { return fmt.Sprint(saw, x[0].Load(), x[1].Load()) }
+		w.Outcome = func() string { return fmt.Sprint(observed, x[0].Load(), x[1].Load()) }
 		return w
 	}
 }
 
-// The reduction loses no outcome and no deadlock, and no order is walked twice.
-func TestReductionLosesNothing(t *testing.T) {
-	var whole, reduced int
+// The reduction by sleep sets loses no outcome and no deadlock, and does not run more schedules than there are.
+func TestReductionKeepsOutcomesAndDeadlocks(t *testing.T) {
+	var allSchedules, reducedSchedules int
 	rapid.Check(t, func(t *rapid.T) {
-		p := program(t)
-		o := il.Options{Steps: 100, Schedules: 4000}
-		o.Whole = true
-		all := il.Explore(o, p)
-		o.Whole = false
-		few := il.Explore(o, p)
-		if all.Failure != nil && strings.HasPrefix(all.Failure.What, "over") {
-			return // too many orders to walk them all
+		newProgram := randomProgram(t)
+		o := il.Options{MaxSteps: 100, MaxSchedules: 4000}
+		o.NoReduction = true
+		all := il.Explore(o, newProgram)
+		o.NoReduction = false
+		reduced := il.Explore(o, newProgram)
+		if all.Failure != nil && strings.HasPrefix(all.Failure.Message, "over") {
+			return // too many schedules to run them all
 		}
-		if (all.Failure == nil) != (few.Failure == nil) {
-			t.Fatalf("all orders: %v; reduced: %v", all.Failure, few.Failure)
+		if (all.Failure == nil) != (reduced.Failure == nil) {
+			t.Fatalf("all schedules: %v; reduced: %v", all.Failure, reduced.Failure)
 		}
 		if all.Failure != nil {
-			if f := il.Replay(p, few.Failure.Schedule); f == nil || f.What != few.Failure.What {
-				t.Fatalf("replayed %q: %v, want %s", few.Failure.Schedule, f, few.Failure.What)
+			if f := il.Replay(newProgram, reduced.Failure.Schedule); f == nil || f.Message != reduced.Failure.Message {
+				t.Fatalf("replayed %q: %v, want %s", reduced.Failure.Schedule, f, reduced.Failure.Message)
 			}
 			return
 		}
-		if a, b := slices.Sorted(maps.Keys(all.Outcomes)), slices.Sorted(maps.Keys(few.Outcomes)); !slices.Equal(a, b) {
+		if a, b := slices.Sorted(maps.Keys(all.Outcomes)), slices.Sorted(maps.Keys(reduced.Outcomes)); !slices.Equal(a, b) {
 			t.Fatalf("outcomes\n%v\nreduced\n%v", a, b)
 		}
-		if few.Schedules > all.Schedules {
-			t.Fatalf("%d orders of %d", few.Schedules, all.Schedules)
+		if reduced.Schedules > all.Schedules {
+			t.Fatalf("%d reduced schedules, more than all %d", reduced.Schedules, all.Schedules)
 		}
-		whole, reduced = whole+all.Schedules, reduced+few.Schedules
+		allSchedules, reducedSchedules = allSchedules+all.Schedules, reducedSchedules+reduced.Schedules
 	})
-	t.Logf("%d orders, reduced to %d", whole, reduced)
+	t.Logf("%d schedules, reduced to %d", allSchedules, reducedSchedules)
 }
 
-var errLost = errors.New("an update was lost")
+var errLostUpdate = errors.New("an update was lost")
 
-// The classic mistakes, each found, replayed from its text, and not found in its mended form.
-func TestKnownMistakes(t *testing.T) {
+// Each of the classic concurrency errors is found, fails in a replay of its schedule, and is not found in the fixed form
+// of the program.
+func TestKnownConcurrencyErrors(t *testing.T) {
 	type plain struct{ n int }
 	for name, c := range map[string]struct {
-		want string
-		make func(mended bool) il.World
+		want       string
+		newProgram func(fixed bool) il.World
 	}{
-		"lost update": {errLost.Error(), func(mended bool) il.World {
+		"lost update": {errLostUpdate.Error(), func(fixed bool) il.World {
 			var x steps.Int64
-			w := threads(2, func(int) {
-				if mended {
+			w := identicalThreads(2, func(int) {
+				if fixed {
 					x.Add(1)
 					return
 				}
@@ -164,22 +167,22 @@
 			})
 			w.Check = func() error {
 				if x.Load() != 2 {
-					return errLost
+					return errLostUpdate
 				}
 				return nil
 			}
 			return w
 		}},
-		"double-checked locking": {"data race", func(mended bool) il.World {
+		"double-checked locking": {"data race", func(fixed bool) il.World {
 			var mu steps.Mutex
 			var set steps.Bool
 			var p plain
-			return threads(2, func(int) {
+			return identicalThreads(2, func(int) {
 				if !set.Load() {
 					mu.Lock()
 					if !set.Load() {
-						if !mended {
-							set.Store(true) // before what it tells of
+						if !fixed {
+							set.Store(true) // set before the value that it publishes
 						}
 						steps.Writes(&p)
 						p.n = 1
@@ -190,10 +193,10 @@
 				steps.Reads(&p)
 			})
 		}},
-		"ABBA": {"deadlock: t0 at lock, t1 at lock", func(mended bool) il.World {
+		"locks in opposite orders": {"deadlock: t0 at lock, t1 at lock", func(fixed bool) il.World {
 			var mu [2]steps.Mutex
-			return threads(2, func(i int) {
-				if mended {
+			return identicalThreads(2, func(i int) {
+				if fixed {
 					i = 0
 				}
 				mu[i].Lock()
@@ -202,11 +205,11 @@
 				defer mu[1-i].Unlock()
 			})
 		}},
-		"lock left out": {"data race", func(mended bool) il.World {
+		"missing lock": {"data race", func(fixed bool) il.World {
 			var mu steps.Mutex
 			var p plain
-			return threads(2, func(i int) {
-				if i == 0 || mended {
+			return identicalThreads(2, func(i int) {
+				if i == 0 || fixed {
 					mu.Lock()
 					defer mu.Unlock()
 				}
@@ -214,12 +217,12 @@
 				p.n++
 			})
 		}},
-		"lost wake-up": {"deadlock: t1 at receive", func(mended bool) il.World {
+		"lost wake-up": {"deadlock: t1 at receive", func(fixed bool) il.World {
 			var n steps.Int64
 			wake := make(chan int, 1)
-			return threads(2, func(i int) {
+			return identicalThreads(2, func(i int) {
 				switch {
-				case i == 0 && mended:
+				case i == 0 && fixed:
 					n.Store(1)
 					steps.TrySend(wake, 1)
 				case i == 0:
@@ -232,9 +235,9 @@
 				}
 			})
 		}},
-		"reader recurses past a writer": {"deadlock", func(mended bool) il.World {
+		"recursive read lock with a waiting writer": {"deadlock", func(fixed bool) il.World {
 			var mu steps.RWMutex
-			return threads(2, func(i int) {
+			return identicalThreads(2, func(i int) {
 				if i == 0 {
 					mu.Lock()
 					mu.Unlock() //nolint:staticcheck,gocritic // SA2001, badLock: the empty critical section is the step
@@ -242,19 +245,19 @@
 				}
 				mu.RLock()
 				defer mu.RUnlock()
-				if !mended {
+				if !fixed {
 					mu.RLock()
 					defer mu.RUnlock()
 				}
 			})
 		}},
-		"both send": {"deadlock", func(mended bool) il.World {
+		"two unbuffered sends to each other": {"deadlock", func(fixed bool) il.World {
 			var n = 0
-			if mended {
+			if fixed {
 				n = 1
 			}
 			ab, ba := make(chan int, n), make(chan int, n)
-			return threads(2, func(i int) {
+			return identicalThreads(2, func(i int) {
 				out, in := ab, ba
 				if i == 1 {
 					out, in = ba, ab
@@ -265,21 +268,21 @@
 				}
 			})
 		}},
-		"once in itself, and a started thread": {"deadlock", func(mended bool) il.World {
+		"recursive once, and a started thread": {"deadlock", func(fixed bool) il.World {
 			var once steps.Once
-			return threads(1, func(int) {
+			return identicalThreads(1, func(int) {
 				steps.Go(func() { once.Do(func() {}) })
 				once.Do(func() {
-					if !mended {
+					if !fixed {
 						once.Do(func() {})
 					}
 				})
 			})
 		}},
-		"another order each time": {"not the same", func(mended bool) il.World {
+		"nondeterministic program": {"not deterministic", func(fixed bool) il.World {
 			var x, y steps.Int64
-			return threads(2, func(int) {
-				if runs++; mended || runs%3 == 0 {
+			return identicalThreads(2, func(int) {
+				if runCount++; fixed || runCount%3 == 0 {
 					x.Add(1)
 				} else {
 					y.Store(1)
@@ -287,50 +290,50 @@
 				x.Add(1)
 			})
 		}},
-		"no end": {"no end within", func(mended bool) il.World {
+		"endless loop": {"not finished within", func(fixed bool) il.World {
 			var x steps.Int64
-			return threads(2, func(int) {
-				for x.Load() == 0 && !mended {
+			return identicalThreads(2, func(int) {
+				for x.Load() == 0 && !fixed {
 				}
 			})
 		}},
 	} {
-		bad := func() il.World { return c.make(false) }
+		bad := func() il.World { return c.newProgram(false) }
 		rep := il.Explore(il.Options{}, bad)
-		if rep.Failure == nil || !strings.Contains(rep.Failure.What, c.want) {
+		if rep.Failure == nil || !strings.Contains(rep.Failure.Message, c.want) {
 			t.Errorf("%s: not found in %v: %v", name, rep, rep.Failure)
 			continue
 		}
-		if c.want != "not the same" && c.want != "no end within" {
-			if f := il.Replay(bad, rep.Failure.Schedule); f == nil || !strings.Contains(f.What, c.want) {
-				t.Errorf("%s: the replay of %q shows %v", name, rep.Failure.Schedule, f)
+		if c.want != "not deterministic" && c.want != "not finished within" {
+			if f := il.Replay(bad, rep.Failure.Schedule); f == nil || !strings.Contains(f.Message, c.want) {
+				t.Errorf("%s: the replay of %q: %v", name, rep.Failure.Schedule, f)
 			}
 		}
-		if rep := il.Explore(il.Options{}, func() il.World { return c.make(true) }); rep.Failure != nil {
-			t.Errorf("%s, mended: %v", name, rep.Failure)
+		if rep := il.Explore(il.Options{}, func() il.World { return c.newProgram(true) }); rep.Failure != nil {
+			t.Errorf("%s, fixed: %v", name, rep.Failure)
 		}
 	}
-	if f := il.Replay(func() il.World { return threads(1, func(int) {}) }, "t0 t7*3"); f == nil {
-		t.Error("a text of another program was replayed")
+	if f := il.Replay(func() il.World { return identicalThreads(1, func(int) {}) }, "t0 t7*3"); f == nil {
+		t.Error("a schedule of another program was replayed")
 	}
 }
 
-var runs int
+var runCount int
 
-// What a walk costs: one order of three threads of four steps.
+// BenchmarkSchedule measures the time per step of schedules of three threads with four steps each.
 func BenchmarkSchedule(b *testing.B) {
-	n, took := 0, 0
+	schedules, stepsMade := 0, 0
 	for b.Loop() {
 		rep := il.Explore(il.Options{Bounded: true, Preemptions: 1}, func() il.World {
 			var x steps.Int64
-			return threads(3, func(int) {
+			return identicalThreads(3, func(int) {
 				for range 4 {
 					x.Add(1)
 				}
 			})
 		})
-		n, took = n+rep.Schedules, took+12*rep.Schedules
+		schedules, stepsMade = schedules+rep.Schedules, stepsMade+12*rep.Schedules
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(took), "ns/step")
-	b.ReportMetric(float64(n)/float64(b.N), "schedules/op")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(stepsMade), "ns/step")
+	b.ReportMetric(float64(schedules)/float64(b.N), "schedules/op")
 }
--- a/internal/interleave/mutant/mutant.go
+++ b/internal/interleave/mutant/mutant.go
@@ -1,6 +1,6 @@
-// Package mutant runs a test against a copy of the code in which a line is gone or moved: the test
-// must fail, the same when its schedule is replayed. Nothing of the copy is in the tree: the go
-// command takes it as an overlay.
+// Package mutant runs a test against a copy of the code in which a piece is removed, moved or changed.
+// The test must fail, and must fail in the same way when its schedule is replayed. The copy lies in a
+// temporary folder and is built as an overlay of the go command.
 package mutant
 
 import (
@@ -18,82 +18,83 @@
 	il "wheatsaddle/internal/interleave"
 )
 
-// insideEnv says that this is the test of a mutant: it has none of its own.
-const insideEnv = "INTERLEAVE_MUTANT"
+// mutantEnv is set for the test of a mutant, which runs no mutants itself.
+const mutantEnv = "INTERLEAVE_MUTANT"
 
-// Inside says that the code under test is a mutant.
-func Inside() bool { return os.Getenv(insideEnv) != "" }
+// Inside reports whether the code under test is a mutant.
+func Inside() bool { return os.Getenv(mutantEnv) != "" }
 
-// Mutant is one line lost or moved.
+// Mutant is one mutation of the code under test, which the test must detect.
 type Mutant struct {
-	File string // in the test's own folder
-	Old  string // is there exactly once
-	New  string
-	Want string // what the failure says
-	Test string // "": the caller
-	// Sequential says that the test has one goroutine, so that its failure has no schedule: it must fail twice.
+	File string // the file to change, in the test's folder
+	Old  string // text that occurs exactly once in the file
+	New  string // its replacement
+	Want string // part of the failure's text
+	Test string // the test that must fail; "": the caller
+	// Sequential states that the test has one goroutine, so that its failure has no schedule. It must fail
+	// in two runs instead.
 	Sequential bool
 }
 
-var schedule = regexp.MustCompile(`(?m)^\s*schedule: (.*)$`)
+var scheduleLine = regexp.MustCompile(`(?m)^\s*schedule: (.*)$`)
 
-// Found runs the mutants of the calling test.
+// Found runs the calling test's mutants, and fails the test if one is not detected.
 func Found(t *testing.T, list ...Mutant) {
 	t.Helper()
 	if Inside() || os.Getenv(il.ReplayEnv) != "" {
 		return
 	}
-	var all sync.WaitGroup
-	room := make(chan struct{}, 4) // builds at once
+	var detections sync.WaitGroup
+	buildSlots := make(chan struct{}, 4) // bounds the concurrent builds
 	for _, m := range list {
 		text, err := os.ReadFile(m.File)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if n := strings.Count(string(text), m.Old); n != 1 {
-			t.Fatalf("%s has %d times %q", m.File, n, m.Old)
+			t.Fatalf("%s: %d occurrences of %q, want 1", m.File, n, m.Old)
 		}
 		if m.Test == "" {
 			m.Test = t.Name()
 		}
 		dir := t.TempDir()
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			if got, err := find(dir, string(text), m); err != nil {
-				t.Errorf("%q for %q: %v", m.New, m.Old, err)
+		detections.Go(func() {
+			buildSlots <- struct{}{}
+			defer func() { <-buildSlots }()
+			if got, err := detect(dir, string(text), m); err != nil {
+				t.Errorf("%q in place of %q: %v", m.New, m.Old, err)
 			} else {
-				t.Logf("found: %q for %q (%s): schedule %s", m.New, m.Old, m.Want, got)
+				t.Logf("detected: %q in place of %q (%s): schedule %s", m.New, m.Old, m.Want, got)
 			}
 		})
 	}
-	all.Wait()
+	detections.Wait()
 }
 
-// find gives the schedule in which the mutant fails, now and when it is replayed.
-func find(dir, text string, m Mutant) (string, error) {
-	at, err := filepath.Abs(m.File)
+// detect returns the schedule in which the mutant fails, after it has failed again in a replay.
+func detect(dir, text string, m Mutant) (string, error) {
+	absolutePath, err := filepath.Abs(m.File)
 	if err != nil {
 		return "", err
 	}
 	mutated, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
-	list, _ := json.Marshal(map[string]map[string]string{"Replace": {at: mutated}})
-	for path, text := range map[string][]byte{mutated: []byte(strings.Replace(text, m.Old, m.New, 1)), overlay: list} {
+	overlayText, _ := json.Marshal(map[string]map[string]string{"Replace": {absolutePath: mutated}})
+	for path, text := range map[string][]byte{mutated: []byte(strings.Replace(text, m.Old, m.New, 1)), overlay: overlayText} {
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			return "", err
 		}
 	}
-	bin := filepath.Join(dir, "mutant.test")
-	build := exec.Command("go", "test", "-c", "-tags", "interleave", "-vet=off", "-overlay", overlay, "-o", bin, ".")
+	testBinary := filepath.Join(dir, "mutant.test")
+	build := exec.Command("go", "test", "-c", "-tags", "interleave", "-vet=off", "-overlay", overlay, "-o", testBinary, ".")
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("does not build: %w\n%s", err, out)
+		return "", fmt.Errorf("building the mutant: %w\n%s", err, out)
 	}
 	run := func(env string) (string, error) {
-		c := exec.Command(bin, "-test.run", "^"+m.Test+"$", "-test.timeout", "2m")
-		c.Env = append(os.Environ(), insideEnv+"=1", env)
+		c := exec.Command(testBinary, "-test.run", "^"+m.Test+"$", "-test.timeout", "2m")
+		c.Env = append(os.Environ(), mutantEnv+"=1", env)
 		out, err := c.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), m.Want) {
-			return "", fmt.Errorf("want %q, got %w\n%s", m.Want, err, out)
+			return "", fmt.Errorf("want a failure with %q, got %w\n%s", m.Want, err, out)
 		}
 		return string(out), nil
 	}
@@ -103,12 +104,12 @@
 	}
 	if m.Sequential {
 		_, err = run(il.ReplayEnv + "=")
-		return "of one goroutine", err
+		return "none (one goroutine)", err
 	}
-	got := schedule.FindStringSubmatch(out)
-	if got == nil {
-		return "", errors.New("no schedule")
+	scheduleMatch := scheduleLine.FindStringSubmatch(out)
+	if scheduleMatch == nil {
+		return "", errors.New("the failure's output has no schedule")
 	}
-	_, err = run(il.ReplayEnv + "=" + got[1])
-	return got[1], err
+	_, err = run(il.ReplayEnv + "=" + scheduleMatch[1])
+	return scheduleMatch[1], err
 }
--- a/internal/interleave/race.go
+++ b/internal/interleave/race.go
@@ -1,7 +1,7 @@
 package interleave
 
 // clock is a vector clock.
-type clock [threadsMost]uint32
+type clock [maxThreads]uint32
 
 func (c *clock) join(d *clock) {
 	for i, v := range d {
@@ -9,74 +9,74 @@
 	}
 }
 
-// object is what the run knows of a thing that steps touch, or of a plain variable.
+// object is the state that the run keeps of an object of steps, or of a plain variable.
 type object struct {
-	no        int
-	wrote     clock // of the steps that write: a later step is after them
-	released  clock // of the steps that release: a later Write is after them
-	lastWrite int   // thread of a plain access, -1: none
-	at        uint32
-	where     string
-	reads     clock
-	readAt    [threadsMost]string
+	number        int
+	writeClock    clock // of the Write steps: later Writes and Reads happen after them
+	releaseClock  clock // of the Release steps: later Writes happen after them
+	lastWriter    int   // thread of the last plain write; -1: none
+	lastWriteTime uint32
+	lastWriteLine string
+	readTimes     clock
+	readLines     [maxThreads]string
 }
 
 func (r *run) object(key any) *object {
 	o := r.objects[key]
 	if o == nil {
-		o = &object{no: len(r.objects), lastWrite: -1}
+		o = &object{number: len(r.objects), lastWriter: -1}
 		r.objects[key] = o
 	}
 	return o
 }
 
-// order takes what the step of a thread orders.
-func (r *run) order(t *thread) {
-	for i := -1; i < len(t.op.More) && t.op.On != nil; i++ {
-		o := r.object(t.op.on(i))
-		switch t.op.Mode {
+// updateClocks records the happens-before relations of a thread's step.
+func (r *run) updateClocks(t *thread) {
+	for i := -1; i < len(t.pending.OtherObjects) && t.pending.Object != nil; i++ {
+		o := r.object(t.pending.objectAt(i))
+		switch t.pending.Mode {
 		case Read:
-			t.clock.join(&o.wrote)
+			t.clock.join(&o.writeClock)
 		case Release:
-			o.released.join(&t.clock)
+			o.releaseClock.join(&t.clock)
 		case Write:
-			t.clock.join(&o.wrote)
-			t.clock.join(&o.released)
-			o.wrote = t.clock
+			t.clock.join(&o.writeClock)
+			t.clock.join(&o.releaseClock)
+			o.writeClock = t.clock
 		}
 	}
 	t.clock[t.id]++
 }
 
-// Access is a plain access of a variable; it is no step. Two of which one writes and that nothing
-// orders are a failure.
+// Access declares a plain access of a variable; it is not a step. Two accesses of different threads
+// that no happens-before relation orders, at least one of them a write, are a data race and fail the run.
 func Access(key any, write bool) {
-	t := self()
-	if t == nil || t.run.aborts {
+	t := currentThread()
+	if t == nil || t.run.aborting {
 		return
 	}
-	o := t.run.object(access{key})
-	where := ""
-	if t.run.replays {
-		where = " (" + caller() + ")"
+	o := t.run.object(variableKey{key})
+	line := ""
+	if t.run.replaying {
+		line = " (" + caller() + ")"
 	}
 	race := func(other int, otherAt string) {
-		Fail("data race: %s%s and %s%s", t.run.threads[other].name, otherAt, t.name, where)
+		Fail("data race: %s%s and %s%s", t.run.threads[other].name, otherAt, t.name, line)
 	}
-	if o.lastWrite >= 0 && o.at > t.clock[o.lastWrite] && o.lastWrite != t.id {
-		race(o.lastWrite, o.where)
+	if o.lastWriter >= 0 && o.lastWriteTime > t.clock[o.lastWriter] && o.lastWriter != t.id {
+		race(o.lastWriter, o.lastWriteLine)
 	}
 	if write {
-		for i, at := range o.reads {
+		for i, at := range o.readTimes {
 			if i != t.id && at > t.clock[i] {
-				race(i, o.readAt[i])
+				race(i, o.readLines[i])
 			}
 		}
-		o.lastWrite, o.at, o.where = t.id, t.clock[t.id], where
+		o.lastWriter, o.lastWriteTime, o.lastWriteLine = t.id, t.clock[t.id], line
 		return
 	}
-	o.reads[t.id], o.readAt[t.id] = t.clock[t.id], where
+	o.readTimes[t.id], o.readLines[t.id] = t.clock[t.id], line
 }
 
-// access is the key of a variable, apart from that of a lock at the same address.
-type access struct{ key any }
+// variableKey is the key of a plain variable. It differs from the key of a lock at the same address.
+type variableKey struct{ key any }
--- a/internal/interleave/run.go
+++ b/internal/interleave/run.go
@@ -12,38 +12,38 @@
 	"sync/atomic"
 )
 
-// threadsMost bounds the threads of a world, those that its threads start included.
-const threadsMost = 16
+// maxThreads bounds the threads of a program, including those that its threads start.
+const maxThreads = 16
 
-// Mode is how a step meets others on the same object.
+// Mode is how a step relates to other steps on the same object.
 type Mode uint8
 
 // The modes.
 const (
-	Write   Mode = iota // commutes with none, orders what is before and after it
-	Read                // commutes with Read and Release; sees what Write and Release left
-	Release             // commutes with the same; what follows a Write is after it
+	Write   Mode = iota // commutes with none; happens after earlier Writes and Releases, and before later Writes and Reads
+	Read                // commutes with Read and Release; happens after earlier Writes
+	Release             // commutes with Read and Release; happens before later Writes
 )
 
 // Op is a step.
 type Op struct {
-	Kind  string
-	On    any         // what it touches: a pointer, or any other key; nil: everything
-	More  []any       // what else
-	Mode  Mode        //
-	Ready func() bool // it may be made; nil: always
+	Kind         string
+	Object       any         // the object it accesses: a pointer, or any other key; nil: everything
+	OtherObjects []any       // further objects it accesses
+	Mode         Mode        // for all its objects
+	Ready        func() bool // whether the step is enabled; nil: always
 }
 
 func (o *Op) commutes(p *Op) bool {
-	if o.On == nil || p.On == nil {
+	if o.Object == nil || p.Object == nil {
 		return false
 	}
 	if o.Mode != Write && p.Mode != Write {
 		return true
 	}
-	for i := -1; i < len(o.More); i++ {
-		for j := -1; j < len(p.More); j++ {
-			if o.on(i) == p.on(j) {
+	for i := -1; i < len(o.OtherObjects); i++ {
+		for j := -1; j < len(p.OtherObjects); j++ {
+			if o.objectAt(i) == p.objectAt(j) {
 				return false
 			}
 		}
@@ -51,172 +51,176 @@
 	return true
 }
 
-func (o *Op) on(i int) any {
+// objectAt returns an object of the step: Object for -1, else an entry of OtherObjects.
+func (o *Op) objectAt(i int) any {
 	if i < 0 {
-		return o.On
+		return o.Object
 	}
-	return o.More[i]
+	return o.OtherObjects[i]
 }
 
 type thread struct {
-	run   *run
-	id    int
-	name  string
-	g     uintptr
-	next  func() (struct{}, bool)
-	stop  func()
-	yield func(struct{}) bool
-	op    Op
-	live  bool
-	kids  int
-	clock clock
+	run       *run
+	id        int
+	name      string
+	goroutine uintptr
+	next      func() (struct{}, bool)
+	stop      func()
+	yield     func(struct{}) bool
+	pending   Op
+	live      bool
+	children  int
+	clock     clock
 }
 
-// run is one order being run.
+// run is the execution of one schedule.
 type run struct {
-	opt     Options
-	threads []*thread
-	path    []node
-	depth   int
-	last    int
-	used    int
-	steps   int
-	sleep   uint32
-	cut     bool
-	aborts  bool
-	failed  error
-	objects map[any]*object
-	local   map[any]any
-	text    []string // of a replay, what is left of it
-	replays bool
-	trace   []string
+	options     Options
+	threads     []*thread
+	path        []choicePoint
+	depth       int
+	lastThread  int
+	preemptions int
+	steps       int
+	sleepSet    uint32
+	pruned      bool
+	aborting    bool
+	failure     error
+	objects     map[any]*object
+	perRun      map[any]any
+	replayLeft  []string // of a replay: the words of the schedule that are still to be run
+	replaying   bool
+	trace       []string
 }
 
+// abort is the panic that unwinds a thread when its run ends early.
 type abort struct{}
 
-var errText = errors.New("the text is of another program")
+var errReplayMismatch = errors.New("the schedule does not match the program")
 
-// now is the thread that runs, if one does.
-var now atomic.Pointer[thread]
+// running is the thread that runs; nil: none.
+var running atomic.Pointer[thread]
 
-// self is the thread whose goroutine asks; nil: it is none, and the real thing is to be used.
-func self() *thread {
-	t := now.Load()
-	if t == nil || t.g != goroutine() {
+// currentThread returns the thread of the calling goroutine; nil: the goroutine is not under the
+// checker, and the caller uses the real operation.
+func currentThread() *thread {
+	t := running.Load()
+	if t == nil || t.goroutine != goroutine() {
 		return nil
 	}
 	return t
 }
 
-// On says that the caller is a thread under the checker.
-func On() bool { return self() != nil }
+// Active reports whether the caller is a thread under the checker.
+func Active() bool { return currentThread() != nil }
 
-// Step gives way to the other threads; when it returns, the step is the caller's to make, whole
-// and at once. Outside a walk it does nothing.
+// Step yields to the other threads. When it returns, the caller performs the operation, which is
+// atomic: no other thread runs before the caller's next step. Outside the checker Step does nothing.
 func Step(o Op) {
-	if t := self(); t != nil {
+	if t := currentThread(); t != nil {
 		t.step(o)
 	}
 }
 
 func (t *thread) step(o Op) {
-	if t.run.aborts {
+	if t.run.aborting {
 		panic(abort{})
 	}
-	t.op = o
-	if !t.yield(struct{}{}) || t.run.aborts {
+	t.pending = o
+	if !t.yield(struct{}{}) || t.run.aborting {
 		panic(abort{})
 	}
-	t.run.order(t)
-	if t.run.replays {
-		t.run.note(t, o.Kind)
+	t.run.updateClocks(t)
+	if t.run.replaying {
+		t.run.recordStep(t, o.Kind)
 	}
 }
 
-// Choose picks one of n options, each in some order: what the code leaves to chance.
+// Choose returns one of n options, for what the code leaves to chance. The exploration covers each option.
 func Choose(n int) int {
-	t := self()
+	t := currentThread()
 	if t == nil || n < 2 {
 		return 0
 	}
 	r := t.run
-	if r.aborts {
+	if r.aborting {
 		panic(abort{})
 	}
-	if r.replays {
-		if len(r.text) == 0 || r.text[0][0] != '?' {
-			panic(errText)
+	if r.replaying {
+		if len(r.replayLeft) == 0 || r.replayLeft[0][0] != '?' {
+			panic(errReplayMismatch)
 		}
-		k, err := strconv.Atoi(r.text[0][1:])
+		k, err := strconv.Atoi(r.replayLeft[0][1:])
 		if err != nil || k < 0 || k >= n {
-			panic(errText)
+			panic(errReplayMismatch)
 		}
-		r.text = r.text[1:]
-		r.note(t, "chooses "+strconv.Itoa(k))
+		r.replayLeft = r.replayLeft[1:]
+		r.recordStep(t, "choose "+strconv.Itoa(k))
 		return k
 	}
 	if r.depth == len(r.path) {
-		r.path = append(r.path, node{options: 1<<n - 1, free: true})
+		r.path = append(r.path, choicePoint{options: 1<<n - 1, isOption: true})
 	}
 	at := &r.path[r.depth]
-	if !at.free || at.options != 1<<n-1 {
-		Fail("not the same in the same order: another choice")
+	if !at.isOption || at.options != 1<<n-1 {
+		Fail("not deterministic: the same schedule led to another choice")
 	}
 	r.depth++
 	return at.choice
 }
 
-// Go starts a thread from a thread; outside a walk, a goroutine.
+// Go starts a thread from a thread. Outside the checker it starts a goroutine.
 func Go(f func()) {
-	t := self()
+	t := currentThread()
 	if t == nil {
 		go f()
 		return
 	}
-	t.step(Op{Kind: "go", On: t.run, Mode: Write}) // the order of starts gives the ids
-	t.kids++
-	t.run.start(fmt.Sprintf("%s.%d", t.name, t.kids), f, t)
-	t.clock[t.id]++ // what follows is not before the new thread
-	now.Store(t)
+	t.step(Op{Kind: "go", Object: t.run, Mode: Write}) // a Write, because thread ids follow the order of starts
+	t.children++
+	t.run.start(fmt.Sprintf("%s.%d", t.name, t.children), f, t)
+	t.clock[t.id]++ // later steps of the parent do not happen before the new thread's
+	running.Store(t)
 }
 
-// Fail ends the run with a broken invariant.
+// Fail ends the run and reports a broken invariant.
 func Fail(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
-// Local is what an instrumented type keeps of a key for one run.
-func Local(key any, make func() any) any {
-	t := self()
-	if t.run.local == nil {
-		t.run.local = map[any]any{}
+// PerRun returns the value that an instrumented type keeps under a key for the current run, and makes
+// it at the first use.
+func PerRun(key any, newValue func() any) any {
+	t := currentThread()
+	if t.run.perRun == nil {
+		t.run.perRun = map[any]any{}
 	}
-	v, ok := t.run.local[key]
+	v, ok := t.run.perRun[key]
 	if !ok {
-		v = make()
-		t.run.local[key] = v
+		v = newValue()
+		t.run.perRun[key] = v
 	}
 	return v
 }
 
-// Moved tells from now on whether another thread has made a step since.
-func Moved() func() bool {
-	r := self().run
+// StepMadeSince returns a function that reports whether a thread has been scheduled for a step since this call.
+func StepMadeSince() func() bool {
+	r := currentThread().run
 	from := r.steps
 	return func() bool { return r.steps > from }
 }
 
-// start makes a thread and runs it up to its first step.
-func (r *run) start(name string, f func(), from *thread) {
-	if len(r.threads) == threadsMost {
-		panic(fmt.Errorf("over %d threads", threadsMost))
+// start creates a thread and runs it up to its first step.
+func (r *run) start(name string, f func(), parent *thread) {
+	if len(r.threads) == maxThreads {
+		panic(fmt.Errorf("over %d threads", maxThreads))
 	}
 	t := &thread{run: r, id: len(r.threads), name: name, live: true}
-	if from != nil {
-		t.clock = from.clock
+	if parent != nil {
+		t.clock = parent.clock
 	}
 	t.clock[t.id]++
 	r.threads = append(r.threads, t)
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
-		t.g, t.yield = goroutine(), yield
+		t.goroutine, t.yield = goroutine(), yield
 		defer func() {
 			t.live = false
 			switch p := recover().(type) {
@@ -233,46 +237,46 @@
 }
 
 func (r *run) fail(err error) {
-	if r.failed == nil {
-		r.failed = err
+	if r.failure == nil {
+		r.failure = err
 	}
 }
 
 func (r *run) resume(t *thread) {
-	now.Store(t)
+	running.Store(t)
 	t.next()
-	now.Store(nil)
+	running.Store(nil)
 }
 
-// play runs a world in the order that the path begins, and lengthens it.
-func (r *run) play(w World) (outcome string, err error) {
-	r.last, r.objects = -1, map[any]*object{}
+// execute runs a program by the schedule that the path begins, and extends the path up to the end.
+func (r *run) execute(w World) (outcome string, err error) {
+	r.lastThread, r.objects = -1, map[any]*object{}
 	defer func() {
-		r.aborts = true
+		r.aborting = true
 		for _, t := range r.threads {
-			now.Store(t)
+			running.Store(t)
 			t.stop()
 		}
-		now.Store(nil)
+		running.Store(nil)
 		if w.End != nil {
 			w.End()
 		}
 	}()
-	for i := 0; i < len(w.Threads) && r.failed == nil; i++ {
+	for i := 0; i < len(w.Threads) && r.failure == nil; i++ {
 		r.start(w.Threads[i].Name, w.Threads[i].Run, nil)
 	}
 	for {
-		if r.failed == nil && w.Always != nil {
+		if r.failure == nil && w.Always != nil {
 			r.fail(w.Always())
 		}
-		if r.failed != nil {
-			return "", r.failed
+		if r.failure != nil {
+			return "", r.failure
 		}
 		live, ready := uint32(0), uint32(0)
 		for _, t := range r.threads {
 			if t.live {
 				live |= 1 << t.id
-				if t.op.Ready == nil || t.op.Ready() {
+				if t.pending.Ready == nil || t.pending.Ready() {
 					ready |= 1 << t.id
 				}
 			}
@@ -283,22 +287,22 @@
 		if ready == 0 {
 			return "", r.deadlock()
 		}
-		if r.steps >= r.opt.Steps {
-			return "", fmt.Errorf("no end within %d steps", r.opt.Steps)
+		if r.steps >= r.options.MaxSteps {
+			return "", fmt.Errorf("not finished within %d steps", r.options.MaxSteps)
 		}
-		t, err := r.choose(ready)
+		t, err := r.nextThread(ready)
 		if err != nil {
 			return "", err
 		}
 		if t == nil {
-			r.cut = true
+			r.pruned = true
 			return "", nil
 		}
 		r.steps++
 		r.resume(t)
 	}
-	if r.replays && len(r.text) > 0 {
-		return "", errText
+	if r.replaying && len(r.replayLeft) > 0 {
+		return "", errReplayMismatch
 	}
 	if w.Check != nil {
 		if err := w.Check(); err != nil {
@@ -315,55 +319,55 @@
 	var waits []string
 	for _, t := range r.threads {
 		if t.live {
-			waits = append(waits, t.name+" at "+t.op.Kind)
+			waits = append(waits, t.name+" at "+t.pending.Kind)
 		}
 	}
 	return fmt.Errorf("deadlock: %s", strings.Join(waits, ", "))
 }
 
-// choose takes the thread that goes next; nil: none that has not been walked.
-func (r *run) choose(ready uint32) (*thread, error) {
-	if r.replays {
-		return r.read(ready)
+// nextThread selects the thread that makes the next step; nil: every continuation has been explored.
+func (r *run) nextThread(ready uint32) (*thread, error) {
+	if r.replaying {
+		return r.nextReplayed(ready)
 	}
 	if r.depth == len(r.path) {
-		n := node{options: ready, sleep: r.sleep, last: r.last, used: r.used}
-		if !n.take(r.opt) {
+		n := choicePoint{options: ready, sleepSet: r.sleepSet, previousThread: r.lastThread, preemptions: r.preemptions}
+		if !n.takeNext(r.options) {
 			return nil, nil
 		}
-		n.op = r.describe(r.threads[n.choice])
+		n.operation = r.describe(r.threads[n.choice])
 		r.path = append(r.path, n)
 	}
 	n := &r.path[r.depth]
 	if r.depth == len(r.path)-1 {
-		n.op = r.describe(r.threads[n.choice]) // taken anew by the walk
+		n.operation = r.describe(r.threads[n.choice]) // takeNext may have selected another thread
 	}
 	t := r.threads[n.choice]
-	if n.free || n.options != ready || n.op != r.describe(t) {
-		return nil, fmt.Errorf("not the same in the same order: %s was to %s, and is to %s", t.name, n.op, r.describe(t))
+	if n.isOption || n.options != ready || n.operation != r.describe(t) {
+		return nil, fmt.Errorf("not deterministic: under the same schedule %s was at %s before, and is at %s now", t.name, n.operation, r.describe(t))
 	}
 	r.depth++
-	if r.last >= 0 && r.last != t.id && ready&(1<<r.last) != 0 {
-		r.used++
-	}
-	r.last = t.id
-	r.sleep = 0
-	if !r.opt.Whole && !r.opt.Bounded {
-		for s := (n.sleep | n.done) &^ (1 << t.id); s != 0; s &= s - 1 {
-			if u := r.threads[bits.TrailingZeros32(s)]; u.op.commutes(&t.op) {
-				r.sleep |= 1 << u.id
+	if r.lastThread >= 0 && r.lastThread != t.id && ready&(1<<r.lastThread) != 0 {
+		r.preemptions++
+	}
+	r.lastThread = t.id
+	r.sleepSet = 0
+	if !r.options.NoReduction && !r.options.Bounded {
+		for s := (n.sleepSet | n.explored) &^ (1 << t.id); s != 0; s &= s - 1 {
+			if u := r.threads[bits.TrailingZeros32(s)]; u.pending.commutes(&t.pending) {
+				r.sleepSet |= 1 << u.id
 			}
 		}
 	}
 	return t, nil
 }
 
-// read takes the next thread of a replay.
-func (r *run) read(ready uint32) (*thread, error) {
-	if len(r.text) == 0 {
-		return nil, errText
+// nextReplayed returns the next thread of a replayed schedule.
+func (r *run) nextReplayed(ready uint32) (*thread, error) {
+	if len(r.replayLeft) == 0 {
+		return nil, errReplayMismatch
 	}
-	name, times, many := strings.Cut(r.text[0], "*")
+	name, times, many := strings.Cut(r.replayLeft[0], "*")
 	left := 1
 	if many {
 		left, _ = strconv.Atoi(times)
@@ -376,29 +380,30 @@
 			break
 		}
 		if left == 1 {
-			r.text = r.text[1:]
+			r.replayLeft = r.replayLeft[1:]
 		} else {
-			r.text[0] = fmt.Sprintf("%s*%d", name, left-1)
+			r.replayLeft[0] = fmt.Sprintf("%s*%d", name, left-1)
 		}
 		return t, nil
 	}
-	return nil, errText
+	return nil, errReplayMismatch
 }
 
+// describe returns a thread's pending step: its kind and the numbers of its objects.
 func (r *run) describe(t *thread) string {
-	s := t.op.Kind
-	for i := -1; i < len(t.op.More) && t.op.On != nil; i++ {
-		s += fmt.Sprintf(" %d", r.object(t.op.on(i)).no)
+	s := t.pending.Kind
+	for i := -1; i < len(t.pending.OtherObjects) && t.pending.Object != nil; i++ {
+		s += fmt.Sprintf(" %d", r.object(t.pending.objectAt(i)).number)
 	}
 	return s
 }
 
-// note keeps a step of a replay, with the line that makes it.
-func (r *run) note(t *thread, what string) {
+// recordStep adds a step of a replay to the trace, with the source line that makes it.
+func (r *run) recordStep(t *thread, what string) {
 	r.trace = append(r.trace, fmt.Sprintf("%-12s %-14s %s", t.name, what, caller()))
 }
 
-// caller is the first line outside the checker and its types.
+// caller returns the innermost source line outside the checker and its types.
 func caller() string {
 	var pcs [16]uintptr
 	frames := runtime.CallersFrames(pcs[:runtime.Callers(3, pcs[:])])
@@ -412,7 +417,7 @@
 	}
 }
 
-func (r *run) names() (names []string) {
+func (r *run) threadNames() (names []string) {
 	for _, t := range r.threads {
 		names = append(names, t.name)
 	}
--- a/internal/interleave/steps/chan.go
+++ b/internal/interleave/steps/chan.go
@@ -6,60 +6,64 @@
 	il "wheatsaddle/internal/interleave"
 )
 
-// ends is what a run keeps of a channel: who waits at an unbuffered one, and whether it is closed.
-type ends struct {
-	closed       bool
-	sends, takes []*offer
+// channelState is what a run records of a channel: whether it is closed, and which selects wait at it if it is unbuffered.
+type channelState struct {
+	closed                        bool
+	waitingSends, waitingReceives []*waitingCase
 }
 
-// offer is one arm of a wait.
-type offer struct {
-	of  *wait
-	arm int
-	put any // of a send: a pointer to the value
+// waitingCase is one case of a blocked select, queued at its channel.
+type waitingCase struct {
+	owner *blockedSelect
+	index int
+	value any // of a send: a pointer to the value that is sent
 }
 
-// wait is one thread's wait at one channel or several; another thread may end it.
-type wait struct {
-	won int
-	got any
+// blockedSelect is one thread's wait at one or more channels. Another thread may complete it.
+type blockedSelect struct {
+	chosen   int // the case that was executed; -1: none yet
+	received any // of a receive that another thread completed: a pointer to the value
 }
 
-// first takes the first that still waits.
-func first(line *[]*offer) *offer {
-	for len(*line) > 0 {
-		o := (*line)[0]
-		if *line = (*line)[1:]; o.of.won < 0 {
+// takeFirstWaiting removes and returns the first case whose select still waits; nil: there is none.
+func takeFirstWaiting(queue *[]*waitingCase) *waitingCase {
+	for len(*queue) > 0 {
+		o := (*queue)[0]
+		if *queue = (*queue)[1:]; o.owner.chosen < 0 {
 			return o
 		}
 	}
 	return nil
 }
 
-func waiting(line []*offer) bool {
-	for _, o := range line {
-		if o.of.won < 0 {
+func anyWaiting(queue []*waitingCase) bool {
+	for _, o := range queue {
+		if o.owner.chosen < 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// arm is one operation of a select.
-type arm struct {
-	on     any
-	paired bool // unbuffered
-	ready  func() bool
-	do     func()           // it is ready
-	offer  func(*wait, int) // it waits
-	end    func(got any)    // another thread ended the wait
+// selectCase is one send or receive of a select.
+type selectCase struct {
+	channel    any
+	unbuffered bool
+	ready      func() bool
+	execute    func()                    // performs the operation, which is ready
+	enqueue    func(*blockedSelect, int) // queues the case at its channel
+	complete   func(got any)             // takes over the result after another thread has performed the operation
 }
 
-func key(ch any) any { return reflect.ValueOf(ch).UnsafePointer() }
+// channelKey returns the channel's address, which is the same for each of its directions.
+func channelKey(ch any) any { return reflect.ValueOf(ch).UnsafePointer() }
 
-func endsOf(ch any) *ends { return il.Local(key(ch), func() any { return &ends{} }).(*ends) }
+func stateOf(ch any) *channelState {
+	return il.PerRun(channelKey(ch), func() any { return &channelState{} }).(*channelState)
+}
 
-func shut[T any](ch <-chan T) bool {
+// isClosed reports whether the channel is closed and has no values left.
+func isClosed[T any](ch <-chan T) bool {
 	if len(ch) > 0 {
 		return false
 	}
@@ -71,90 +75,96 @@
 	}
 }
 
-func taking[T any](ch <-chan T, to *T, ok *bool) arm {
+func receiveCase[T any](ch <-chan T, to *T, ok *bool) selectCase {
 	if ch == nil {
-		return arm{ready: func() bool { return false }}
+		return selectCase{ready: func() bool { return false }}
 	}
-	e := endsOf(ch)
-	return arm{on: key(ch), paired: cap(ch) == 0,
-		ready: func() bool { return len(ch) > 0 || waiting(e.sends) || shut(ch) },
-		do: func() {
-			if o := first(&e.sends); o != nil {
-				*to, *ok, o.of.won = *o.put.(*T), true, o.arm
+	e := stateOf(ch)
+	return selectCase{channel: channelKey(ch), unbuffered: cap(ch) == 0,
+		ready: func() bool { return len(ch) > 0 || anyWaiting(e.waitingSends) || isClosed(ch) },
+		execute: func() {
+			if o := takeFirstWaiting(&e.waitingSends); o != nil {
+				*to, *ok, o.owner.chosen = *o.value.(*T), true, o.index
 				return
 			}
 			*to, *ok = <-ch
 		},
-		offer: func(w *wait, i int) { e.takes = append(e.takes, &offer{of: w, arm: i}) },
-		end:   func(got any) { *to, *ok = *got.(*T), true }}
+		enqueue: func(w *blockedSelect, i int) {
+			e.waitingReceives = append(e.waitingReceives, &waitingCase{owner: w, index: i})
+		},
+		complete: func(got any) { *to, *ok = *got.(*T), true }}
 }
 
-func sending[T any](ch chan<- T, v T) arm {
+func sendCase[T any](ch chan<- T, v T) selectCase {
 	if ch == nil {
-		return arm{ready: func() bool { return false }}
+		return selectCase{ready: func() bool { return false }}
 	}
-	e := endsOf(ch)
-	return arm{on: key(ch), paired: cap(ch) == 0,
-		ready: func() bool { return e.closed || len(ch) < cap(ch) || waiting(e.takes) },
-		do: func() {
+	e := stateOf(ch)
+	return selectCase{channel: channelKey(ch), unbuffered: cap(ch) == 0,
+		ready: func() bool { return e.closed || len(ch) < cap(ch) || anyWaiting(e.waitingReceives) },
+		execute: func() {
 			if e.closed {
 				il.Fail("send on a closed channel")
 			}
-			if o := first(&e.takes); o != nil {
-				o.of.got, o.of.won = &v, o.arm
+			if o := takeFirstWaiting(&e.waitingReceives); o != nil {
+				o.owner.received, o.owner.chosen = &v, o.index
 				return
 			}
 			ch <- v
 		},
-		offer: func(w *wait, i int) { e.sends = append(e.sends, &offer{of: w, arm: i, put: &v}) },
-		end:   func(any) {}}
+		enqueue: func(w *blockedSelect, i int) {
+			e.waitingSends = append(e.waitingSends, &waitingCase{owner: w, index: i, value: &v})
+		},
+		complete: func(any) {}}
 }
 
-// choose makes one of the arms; -1: none is ready, and it was not to wait.
-func choose(kind string, waits bool, arms ...arm) int {
+// runSelect performs one of the cases and returns its index; -1: none is ready and the select does not block.
+// A select with an unbuffered channel first makes a step that is always enabled and queues its cases, so that
+// another thread can complete them.
+func runSelect(kind string, blocking bool, cases ...selectCase) int {
 	op := il.Op{Kind: kind}
-	paired := false
-	for _, a := range arms {
-		paired = paired || a.paired
-		if a.on != nil && op.On == nil {
-			op.On = a.on
-		} else if a.on != nil {
-			op.More = append(op.More, a.on)
+	anyUnbuffered := false
+	for _, a := range cases {
+		anyUnbuffered = anyUnbuffered || a.unbuffered
+		if a.channel != nil && op.Object == nil {
+			op.Object = a.channel
+		} else if a.channel != nil {
+			op.OtherObjects = append(op.OtherObjects, a.channel)
 		}
 	}
-	if op.On == nil {
-		op.On = new(int) // nil channels alone
+	if op.Object == nil {
+		op.Object = new(int) // all channels are nil
 	}
-	w := &wait{won: -1}
-	ready := func() (list []int) {
-		for i, a := range arms {
+	blocked := &blockedSelect{chosen: -1}
+	readyCases := func() (list []int) {
+		for i, a := range cases {
 			if a.ready() {
 				list = append(list, i)
 			}
 		}
 		return list
 	}
-	for turn := 0; ; turn++ {
-		if waits && (!paired || turn > 0) {
-			op.Ready = func() bool { return w.won >= 0 || len(ready()) > 0 }
+	for attempt := 0; ; attempt++ {
+		if blocking && (!anyUnbuffered || attempt > 0) {
+			op.Ready = func() bool { return blocked.chosen >= 0 || len(readyCases()) > 0 }
 		}
 		il.Step(op)
-		if w.won >= 0 {
-			arms[w.won].end(w.got)
-			return w.won
+		if blocked.chosen >= 0 {
+			cases[blocked.chosen].complete(blocked.received)
+			return blocked.chosen
 		}
-		if list := ready(); len(list) > 0 {
+		if list := readyCases(); len(list) > 0 {
 			i := list[il.Choose(len(list))]
-			w.won = i // its offers elsewhere are over
-			arms[i].do()
+			blocked.chosen = i // invalidates its cases that are queued at other channels
+			cases[i].execute()
 			return i
 		}
-		if !waits {
+		if !blocking {
 			return -1
 		}
-		for i, a := range arms {
-			if a.paired {
-				a.offer(w, i)
+		for i, a := range cases {
+			if a.unbuffered {
+				a.enqueue(blocked, i)
 			}
 		}
 	}
@@ -162,16 +172,16 @@
 
 // Send is ch <- v.
 func Send[T any](ch chan<- T, v T) {
-	if !il.On() {
+	if !il.Active() {
 		ch <- v
 		return
 	}
-	choose("send", true, sending(ch, v))
+	runSelect("send", true, sendCase(ch, v))
 }
 
 // TrySend is a select of ch <- v and default.
 func TrySend[T any](ch chan<- T, v T) bool {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case ch <- v:
 			return true
@@ -179,22 +189,22 @@
 			return false
 		}
 	}
-	return choose("trysend", false, sending(ch, v)) == 0
+	return runSelect("trysend", false, sendCase(ch, v)) == 0
 }
 
 // Recv is v, ok := <-ch.
 func Recv[T any](ch <-chan T) (v T, ok bool) {
-	if !il.On() {
+	if !il.Active() {
 		v, ok = <-ch
 		return v, ok
 	}
-	choose("receive", true, taking(ch, &v, &ok))
+	runSelect("receive", true, receiveCase(ch, &v, &ok))
 	return v, ok
 }
 
-// TryRecv is a select of v, ok = <-ch and default; had: something came, or the channel is closed.
+// TryRecv is a select of v, ok = <-ch and default; had: a value was received, or the channel is closed.
 func TryRecv[T any](ch <-chan T) (v T, ok, had bool) {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case v, ok = <-ch:
 			return v, ok, true
@@ -202,13 +212,13 @@
 			return v, false, false
 		}
 	}
-	had = choose("tryreceive", false, taking(ch, &v, &ok)) == 0
+	had = runSelect("tryreceive", false, receiveCase(ch, &v, &ok)) == 0
 	return v, ok, had
 }
 
-// Either is a select of two receives; first: the first one came.
+// Either is a select of two receives; first: a received.
 func Either[A, B any](a <-chan A, b <-chan B) (va A, vb B, first bool) {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case va = <-a:
 			return va, vb, true
@@ -217,10 +227,10 @@
 		}
 	}
 	var ok bool
-	return va, vb, choose("either", true, taking(a, &va, &ok), taking(b, &vb, &ok)) == 0
+	return va, vb, runSelect("either", true, receiveCase(a, &va, &ok), receiveCase(b, &vb, &ok)) == 0
 }
 
-// First3 is a select of three receives; which says of them, from 0, which one came. A nil channel never does.
+// First3 is a select of three receives; which is the index, from 0, of the one that received. A nil channel never does.
 func First3[A, B, C any](a <-chan A, b <-chan B, c <-chan C) (va A, vb B, vc C, which int) {
 	va, vb, vc, _, _, which = First5(a, b, c, (<-chan struct{})(nil), (<-chan struct{})(nil))
 	return va, vb, vc, which
@@ -234,7 +244,7 @@
 
 // First5 is a select of five receives.
 func First5[A, B, C, D, E any](a <-chan A, b <-chan B, c <-chan C, d <-chan D, e <-chan E) (va A, vb B, vc C, vd D, ve E, which int) {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case va = <-a:
 		case vb = <-b:
@@ -249,13 +259,13 @@
 		return va, vb, vc, vd, ve, which
 	}
 	var ok bool
-	which = choose("first", true, taking(a, &va, &ok), taking(b, &vb, &ok), taking(c, &vc, &ok), taking(d, &vd, &ok), taking(e, &ve, &ok))
+	which = runSelect("first", true, receiveCase(a, &va, &ok), receiveCase(b, &vb, &ok), receiveCase(c, &vc, &ok), receiveCase(d, &vd, &ok), receiveCase(e, &ve, &ok))
 	return va, vb, vc, vd, ve, which
 }
 
-// SendOr is a select of ch <- v and <-done; true: it was sent.
+// SendOr is a select of ch <- v and <-done; true: v was sent.
 func SendOr[T, D any](ch chan<- T, v T, done <-chan D) bool {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case ch <- v:
 			return true
@@ -265,12 +275,12 @@
 	}
 	var d D
 	var ok bool
-	return choose("send or done", true, sending(ch, v), taking(done, &d, &ok)) == 0
+	return runSelect("send or done", true, sendCase(ch, v), receiveCase(done, &d, &ok)) == 0
 }
 
-// SendOrEither is a select of ch <- v, <-a and <-b; true: it was sent.
+// SendOrEither is a select of ch <- v, <-a and <-b; true: v was sent.
 func SendOrEither[T, A, B any](ch chan<- T, v T, a <-chan A, b <-chan B) bool {
-	if !il.On() {
+	if !il.Active() {
 		select {
 		case ch <- v:
 			return true
@@ -282,14 +292,14 @@
 	var va A
 	var vb B
 	var ok bool
-	return choose("send or done", true, sending(ch, v), taking(a, &va, &ok), taking(b, &vb, &ok)) == 0
+	return runSelect("send or done", true, sendCase(ch, v), receiveCase(a, &va, &ok), receiveCase(b, &vb, &ok)) == 0
 }
 
 // Close is close(ch).
 func Close[T any](ch chan<- T) {
-	if il.On() {
-		il.Step(il.Op{Kind: "close", On: key(ch)})
-		endsOf(ch).closed = true
+	if il.Active() {
+		il.Step(il.Op{Kind: "close", Object: channelKey(ch)})
+		stateOf(ch).closed = true
 	}
 	close(ch)
 }
--- a/internal/interleave/steps/context.go
+++ b/internal/interleave/steps/context.go
@@ -6,34 +6,35 @@
 	il "wheatsaddle/internal/interleave"
 )
 
-// below is what a context's cancel closes: its own channel and those of the contexts made of it here.
-type below struct{ list []any }
+// cancelledChannels are the channels that a context's cancel closes: its own, and those of the contexts derived
+// from it by this package.
+type cancelledChannels struct{ list []any }
 
-// lineage is the key under which a context made here has its own and those above it.
-type lineage struct{}
+// ancestorsKey is the key of the context value that holds the cancelledChannels of a context and its ancestors.
+type ancestorsKey struct{}
 
-// WithCancel is context.WithCancel; under the checker a cancel is one step, which touches what it closes.
-// Deadlines are not seen.
+// WithCancel is context.WithCancel. Under the checker a cancel is one step, on all channels that it closes.
+// Deadlines are not steps.
 func WithCancel(parent context.Context) (context.Context, context.CancelFunc) {
-	if !il.On() {
+	if !il.Active() {
 		return context.WithCancel(parent)
 	}
 	return Root(parent)
 }
 
-// Root is WithCancel for a world's own context, which is made before its threads run.
+// Root is WithCancel for a program's own context, which is made before its threads run.
 func Root(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
-	own := &below{}
-	above, _ := parent.Value(lineage{}).([]*below)
-	above = append(above[:len(above):len(above)], own)
-	for _, b := range above {
-		b.list = append(b.list, key(ctx.Done()))
+	own := &cancelledChannels{}
+	ancestors, _ := parent.Value(ancestorsKey{}).([]*cancelledChannels)
+	ancestors = append(ancestors[:len(ancestors):len(ancestors)], own)
+	for _, b := range ancestors {
+		b.list = append(b.list, channelKey(ctx.Done()))
 	}
-	return context.WithValue(ctx, lineage{}, above), func() {
-		for n := 0; n < len(own.list) && il.On(); { // another may be made of it meanwhile
+	return context.WithValue(ctx, ancestorsKey{}, ancestors), func() {
+		for n := 0; n < len(own.list) && il.Active(); { // a context may be derived while the step waits: repeat with its channel
 			n = len(own.list)
-			il.Step(il.Op{Kind: "cancel", On: own.list[0], More: own.list[1:]})
+			il.Step(il.Op{Kind: "cancel", Object: own.list[0], OtherObjects: own.list[1:]})
 		}
 		cancel()
 	}
--- a/internal/interleave/steps/lock.go
+++ b/internal/interleave/steps/lock.go
@@ -1,6 +1,6 @@
-// Package steps has the types of sync and sync/atomic, and a channel's operations, whose uses are
-// steps under the checker. On a goroutine that is no thread of a walk they are the real ones.
-// Code takes them by internal/interleave/sync, and has the real ones in an ordinary build.
+// Package steps provides the types of sync and sync/atomic, and channel operations, as steps of the
+// checker. On a goroutine that is not a thread of the checker they behave like the real ones. Code uses
+// them through internal/interleave/sync, which has the real ones in an ordinary build.
 package steps
 
 import (
@@ -10,7 +10,7 @@
 	il "wheatsaddle/internal/interleave"
 )
 
-// Mutex is a sync.Mutex.
+// Mutex is a sync.Mutex whose operations are steps.
 type Mutex struct {
 	mu   sync.Mutex
 	held bool
@@ -18,20 +18,20 @@
 
 // Lock implements sync.Locker.
 func (m *Mutex) Lock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.Lock()
 		return
 	}
-	il.Step(il.Op{Kind: "lock", On: m, Ready: func() bool { return !m.held }})
+	il.Step(il.Op{Kind: "lock", Object: m, Ready: func() bool { return !m.held }})
 	m.held = true
 }
 
-// TryLock is sync.Mutex's.
+// TryLock is a step of the checker, then TryLock of sync.Mutex.
 func (m *Mutex) TryLock() bool {
-	if !il.On() {
+	if !il.Active() {
 		return m.mu.TryLock()
 	}
-	il.Step(il.Op{Kind: "trylock", On: m})
+	il.Step(il.Op{Kind: "trylock", Object: m})
 	was := m.held
 	m.held = true
 	return !was
@@ -39,49 +39,49 @@
 
 // Unlock implements sync.Locker.
 func (m *Mutex) Unlock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.Unlock()
 		return
 	}
-	il.Step(il.Op{Kind: "unlock", On: m})
+	il.Step(il.Op{Kind: "unlock", Object: m})
 	if !m.held {
 		il.Fail("unlock of an unlocked mutex")
 	}
 	m.held = false
 }
 
-// RWMutex is a sync.RWMutex: a writer that waits holds off the readers that come after it, and when
-// it has gone those go before the next writer.
+// RWMutex is a sync.RWMutex whose operations are steps. As there, a waiting writer blocks the readers
+// that arrive after it, and when it unlocks, those readers go before the next writer.
 type RWMutex struct {
-	mu      sync.RWMutex
-	writer  bool // one writes or waits for the readers
-	readers int
-	waits   []*bool
+	mu             sync.RWMutex
+	writer         bool // a writer holds the lock or waits for the readers
+	readers        int
+	waitingReaders []*bool // set to true when the reader may proceed
 }
 
-// RLock is sync.RWMutex's.
+// RLock is RLock of sync.RWMutex, with one step, or two if it has to wait.
 func (m *RWMutex) RLock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.RLock()
 		return
 	}
-	il.Step(il.Op{Kind: "rlock", On: m, Mode: il.Read})
+	il.Step(il.Op{Kind: "rlock", Object: m, Mode: il.Read})
 	if !m.writer {
 		m.readers++
 		return
 	}
-	in := new(bool)
-	m.waits = append(m.waits, in)
-	il.Step(il.Op{Kind: "rlock waits", On: m, Mode: il.Read, Ready: func() bool { return *in }})
+	admitted := new(bool)
+	m.waitingReaders = append(m.waitingReaders, admitted)
+	il.Step(il.Op{Kind: "rlock waits", Object: m, Mode: il.Read, Ready: func() bool { return *admitted }})
 }
 
-// RUnlock is sync.RWMutex's.
+// RUnlock is a step of the checker, then RUnlock of sync.RWMutex.
 func (m *RWMutex) RUnlock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.RUnlock()
 		return
 	}
-	il.Step(il.Op{Kind: "runlock", On: m, Mode: il.Release})
+	il.Step(il.Op{Kind: "runlock", Object: m, Mode: il.Release})
 	if m.readers == 0 {
 		il.Fail("runlock of an unlocked mutex")
 	}
@@ -90,97 +90,98 @@
 
 // Lock implements sync.Locker.
 func (m *RWMutex) Lock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.Lock()
 		return
 	}
-	il.Step(il.Op{Kind: "lock", On: m, Ready: func() bool { return !m.writer }})
+	il.Step(il.Op{Kind: "lock", Object: m, Ready: func() bool { return !m.writer }})
 	m.writer = true
 	if m.readers > 0 {
-		il.Step(il.Op{Kind: "lock waits", On: m, Ready: func() bool { return m.readers == 0 }})
+		il.Step(il.Op{Kind: "lock waits", Object: m, Ready: func() bool { return m.readers == 0 }})
 	}
 }
 
 // Unlock implements sync.Locker.
 func (m *RWMutex) Unlock() {
-	if !il.On() {
+	if !il.Active() {
 		m.mu.Unlock()
 		return
 	}
-	il.Step(il.Op{Kind: "unlock", On: m})
+	il.Step(il.Op{Kind: "unlock", Object: m})
 	if !m.writer {
 		il.Fail("unlock of an unlocked mutex")
 	}
 	m.writer = false
-	for _, in := range m.waits {
-		*in = true
+	for _, admitted := range m.waitingReaders {
+		*admitted = true
 		m.readers++
 	}
-	m.waits = nil
+	m.waitingReaders = nil
 }
 
-// Once is a sync.Once.
+// Once is a sync.Once whose operations are steps.
 type Once struct {
-	once          sync.Once
-	begun, walked bool
+	once              sync.Once
+	started, finished bool
 }
 
-// Do is sync.Once's.
+// Do is Do of sync.Once, with a step before the call of f and one after it.
 func (o *Once) Do(f func()) {
-	if !il.On() {
+	if !il.Active() {
 		o.once.Do(f)
 		return
 	}
-	il.Step(il.Op{Kind: "once", On: o, Ready: func() bool { return !o.begun || o.walked }})
-	if o.walked {
+	il.Step(il.Op{Kind: "once", Object: o, Ready: func() bool { return !o.started || o.finished }})
+	if o.finished {
 		return
 	}
-	o.begun = true
+	o.started = true
 	defer func() {
-		o.walked = true
+		o.finished = true
 		o.once.Do(func() {})
 	}()
 	f()
-	il.Step(il.Op{Kind: "once done", On: o})
+	il.Step(il.Op{Kind: "once done", Object: o})
 }
 
-// Go is a go statement.
+// Go is a go statement; under the checker it starts a thread.
 func Go(f func()) { il.Go(f) }
 
-// Reads says that a plain variable is read here, under a lock or alone.
+// Reads declares that the caller reads a plain variable, which a lock or a happens-before relation guards.
 func Reads[T any](p *T) { il.Access(p, false) }
 
-// Writes says that a plain variable is written here.
+// Writes declares that the caller writes a plain variable.
 func Writes[T any](p *T) { il.Access(p, true) }
 
-// Point is a step on something outside the process: a file, by its path.
+// Point is a step on an object outside the process, for example on a file, which is named by its path.
 func Point(kind, on string) {
-	if il.On() {
-		il.Step(il.Op{Kind: kind, On: on})
-		*count(kind, on)++
+	if il.Active() {
+		il.Step(il.Op{Kind: kind, Object: on})
+		*stepCount(kind, on)++
 	}
 }
 
-func count(kind, on string) *int {
-	return il.Local([2]string{kind, on}, func() any { return new(int) }).(*int)
+// stepCount returns the run's counter of Point steps of a kind on an object.
+func stepCount(kind, on string) *int {
+	return il.PerRun([2]string{kind, on}, func() any { return new(int) }).(*int)
 }
 
-// PauseFor is a wait before trying again; under the checker it ends when another thread has made the
-// point: two that only pause would wake each other for ever.
+// PauseFor waits before a retry. Under the checker it ends when another thread has made the step Point(kind, on)
+// since: if it ended with any step, two threads that only pause would wake each other forever.
 func PauseFor(kind, on string, d time.Duration) {
-	if !il.On() {
+	if !il.Active() {
 		time.Sleep(d)
 		return
 	}
-	n := count(kind, on)
-	from := *n
-	il.Step(il.Op{Kind: "pause", On: on, Ready: func() bool { return *n > from }})
+	steps := stepCount(kind, on)
+	stepsBefore := *steps
+	il.Step(il.Op{Kind: "pause", Object: on, Ready: func() bool { return *steps > stepsBefore }})
 }
 
-// Pause is a wait before trying again; true: the channel closed first. Under the checker it ends
-// when another thread has made a step: it must not be the only thing that ends somebody's wait.
+// Pause waits before a retry; true: the channel was closed first. Under the checker it ends when another
+// thread has made a step, so the end of a Pause must not be the only event that ends another thread's wait.
 func Pause(done <-chan struct{}, d time.Duration) (ended bool) {
-	if !il.On() {
+	if !il.Active() {
 		timer := time.NewTimer(d)
 		defer timer.Stop()
 		select {
@@ -190,12 +191,12 @@
 			return false
 		}
 	}
-	moved := il.Moved()
-	il.Step(il.Op{Kind: "pause", Ready: func() bool { return moved() || closed(done) }})
-	return closed(done)
+	stepMade := il.StepMadeSince()
+	il.Step(il.Op{Kind: "pause", Ready: func() bool { return stepMade() || doneClosed(done) }})
+	return doneClosed(done)
 }
 
-func closed(ch <-chan struct{}) bool {
+func doneClosed(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
 		return true
--- a/internal/interleave/sync/interleave.go
+++ b/internal/interleave/sync/interleave.go
@@ -18,17 +18,17 @@
 	// Once is sync.Once, with its operations as steps of the checker.
 	Once = steps.Once
 
-	// WaitGroup is sync.WaitGroup; its operations are no steps.
+	// WaitGroup is sync.WaitGroup; its operations are not steps.
 	WaitGroup = sync.WaitGroup
 )
 
 // Go is the ordinary Go as a step of the checker.
 func Go(f func()) { steps.Go(f) }
 
-// Reads is the ordinary Reads as a step of the checker.
+// Reads is the ordinary Reads; the checker looks for data races at it. It is not a step.
 func Reads[T any](p *T) { steps.Reads(p) }
 
-// Writes is the ordinary Writes as a step of the checker.
+// Writes is the ordinary Writes; the checker looks for data races at it. It is not a step.
 func Writes[T any](p *T) { steps.Writes(p) }
 
 // Point is the ordinary Point as a step of the checker.
--- a/internal/interleave/sync/ordinary.go
+++ b/internal/interleave/sync/ordinary.go
@@ -17,19 +17,19 @@
 	Once = sync.Once
 
 	// WaitGroup is sync.WaitGroup.
-	WaitGroup = sync.WaitGroup // no step under the checker either
+	WaitGroup = sync.WaitGroup // not a step under the checker either
 )
 
 // Go is a go statement.
 func Go(f func()) { go f() }
 
-// Reads says that a plain variable is read here, which a lock or an order guards.
+// Reads declares to the checker that the caller reads a plain variable, which a lock or a happens-before relation guards.
 func Reads[T any](*T) {}
 
-// Writes says that a plain variable is written here.
+// Writes declares to the checker that the caller writes a plain variable.
 func Writes[T any](*T) {}
 
-// Point is a step on something outside the process: a file, by its path.
+// Point is a step of the checker on an object outside the process, for example on a file, which is named by its path.
 func Point(_, _ string) {}
 
 // Send is ch <- v.
@@ -51,7 +51,7 @@
 	return v, ok
 }
 
-// TryRecv is a select of v, ok = <-ch and default; had: something came, or the channel is closed.
+// TryRecv is a select of v, ok = <-ch and default; had: a value was received, or the channel is closed.
 func TryRecv[T any](ch <-chan T) (v T, ok, had bool) {
 	select {
 	case v, ok = <-ch:
@@ -61,7 +61,7 @@
 	}
 }
 
-// Either is a select of two receives; first: the first one came.
+// Either is a select of two receives; first: a received.
 func Either[A, B any](a <-chan A, b <-chan B) (va A, vb B, first bool) {
 	select {
 	case va = <-a:
@@ -71,7 +71,7 @@
 	}
 }
 
-// First3 is a select of three receives; which says of them, from 0, which one came. A nil channel never does.
+// First3 is a select of three receives; which is the index, from 0, of the one that received. A nil channel never does.
 func First3[A, B, C any](a <-chan A, b <-chan B, c <-chan C) (va A, vb B, vc C, which int) {
 	select {
 	case va = <-a:
@@ -113,12 +113,12 @@
 	return va, vb, vc, vd, ve, which
 }
 
-// WithCancel is context.WithCancel; under the checker the cancel is a step.
+// WithCancel is context.WithCancel; under the checker the call of cancel is a step.
 func WithCancel(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(parent)
 }
 
-// SendOr is a select of ch <- v and <-done; true: it was sent.
+// SendOr is a select of ch <- v and <-done; true: v was sent.
 func SendOr[T, D any](ch chan<- T, v T, done <-chan D) bool {
 	select {
 	case ch <- v:
@@ -128,7 +128,7 @@
 	}
 }
 
-// SendOrEither is a select of ch <- v, <-a and <-b; true: it was sent.
+// SendOrEither is a select of ch <- v, <-a and <-b; true: v was sent.
 func SendOrEither[T, A, B any](ch chan<- T, v T, a <-chan A, b <-chan B) bool {
 	select {
 	case ch <- v:
@@ -142,7 +142,7 @@
 // Close is close(ch).
 func Close[T any](ch chan<- T) { close(ch) }
 
-// Pause is a wait before trying again; true: the channel closed first.
+// Pause waits before a retry; true: the channel was closed first.
 func Pause(done <-chan struct{}, d time.Duration) (ended bool) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -154,5 +154,5 @@
 	}
 }
 
-// PauseFor is a wait before trying again; under the checker, for another thread's point.
+// PauseFor waits before a retry; under the checker, until another thread has made the step Point with the same arguments.
 func PauseFor(_, _ string, d time.Duration) { time.Sleep(d) }
--- a/internal/interleave/sync/sync_test.go
+++ b/internal/interleave/sync/sync_test.go
@@ -9,14 +9,14 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-// The alias is the type itself: an ordinary build has nothing of the checker.
+// Compiles only if the package's type is an alias of the standard one: an ordinary build has no code of the checker.
 var _ *real.Mutex = (*sync.Mutex)(nil)
 
-var n int
+var counter int
 
-func language(mu *real.Mutex, ch chan int) {
+func viaStandardLibrary(mu *real.Mutex, ch chan int) {
 	mu.Lock()
-	n++
+	counter++
 	mu.Unlock()
 	select {
 	case ch <- 1:
@@ -25,27 +25,27 @@
 	<-ch
 }
 
-func aliased(mu *sync.Mutex, ch chan int) {
+func viaPackage(mu *sync.Mutex, ch chan int) {
 	mu.Lock()
-	sync.Writes(&n)
-	n++
+	sync.Writes(&counter)
+	counter++
 	mu.Unlock()
 	sync.TrySend(ch, 1)
 	sync.Recv(ch)
 }
 
-// The same work by the language and by the package; the figures are the same but for noise.
+// BenchmarkOrdinary runs the same work with the standard library and with the package. The times must differ by noise only.
 func BenchmarkOrdinary(b *testing.B) {
 	var mu real.Mutex
 	ch := make(chan int, 1)
-	b.Run("language", func(b *testing.B) {
+	b.Run("standard library", func(b *testing.B) {
 		for b.Loop() {
-			language(&mu, ch)
+			viaStandardLibrary(&mu, ch)
 		}
 	})
 	b.Run("package", func(b *testing.B) {
 		for b.Loop() {
-			aliased(&mu, ch)
+			viaPackage(&mu, ch)
 		}
 	})
 }
