--- a/cmd/loadtest/addresses.go
+++ b/cmd/loadtest/addresses.go
@@ -11,12 +11,12 @@
 
 func addressesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "addresses", Usage: "each fault on the preferred address of a storage node, with three addresses and with one",
+		Name: "addresses", Usage: "play each fault on the preferred address of a storage node, with three addresses and with one",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of arrivals and back-offs"},
-			&cli.IntFlag{Name: "rounds", Value: 3, Usage: "of each scenario"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "under the fault"},
-			&cli.Float64Flag{Name: "rate", Value: 200, Usage: "requests a second to the node at fault"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and back-offs"},
+			&cli.IntFlag{Name: "rounds", Value: 3, Usage: "rounds of each scenario"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "duration of each fault"},
+			&cli.Float64Flag{Name: "rate", Value: 200, Usage: "requests a second to the node with the fault"},
 			jsonFlag(),
 		},
 		Action: runAddresses,
@@ -24,17 +24,17 @@
 }
 
 func runAddresses(c *cli.Context) error {
-	log, err := begin(c)
+	log, err := prepare(c)
 	if err != nil {
 		return err
 	}
 	opt := addresses.Options{Seed: c.Uint64("seed"), Rounds: c.Int("rounds"), For: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
 	if opt.Rounds < 1 || opt.For < 2*time.Second || !(opt.Rate > 0 && opt.Rate <= 1000) {
-		return usage{errors.New("rounds must be 1 or more, for 2s or more, rate from 0 to 1000")}
+		return usageError{errors.New("rounds must be 1 or more, for 2s or more, rate above 0 and at most 1000")}
 	}
 	res, err := addresses.Run(c.Context, opt)
 	if err != nil {
 		return err
 	}
-	return report(c, res, countMissed(res.Missed, "aims"))
+	return report(c, res, missedText(res.Missed, "aims"))
 }
--- a/cmd/loadtest/coldstart.go
+++ b/cmd/loadtest/coldstart.go
@@ -10,20 +10,20 @@
 	"wheatsaddle/internal/testkit/experiment/coldstart"
 )
 
-const processesMost = 1000 // in one experiment with processes of the daemon
+const maxProcesses = 1000 // of the daemon, in one experiment
 
 func coldstartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "coldstart", Usage: "a fleet that starts within a second: as today, with the cold start, and with a snapshot",
+		Name: "coldstart", Usage: "start a whole fleet within a second: as today, with the cold start, and with a snapshot",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "virtual", Usage: "in virtual time, in this process; else processes of the built daemon"},
-			&cli.IntFlag{Name: "schedulers", Usage: "0: 1000, of processes 300"},
-			&cli.IntFlag{Name: "nodes", Usage: "0: a fifth of the schedulers"},
-			&cli.IntFlag{Name: "seeds", Usage: "worlds of each scenario and start; 0: 50, of processes 1"},
-			&cli.Int64Flag{Name: "seed", Value: 1, Usage: "of the first world"},
-			&cli.Float64Flag{Name: "capacity", Usage: "calls a second that the list's service can answer; 0: 0.4 of the schedulers"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "play this one alone (may be repeated)"},
-			&cli.StringSliceFlag{Name: "start", Usage: "play this start alone: today, coldstart or \"with snapshot\" (may be repeated)"},
+			&cli.BoolFlag{Name: "virtual", Usage: "run in virtual time in this process, in place of processes of the built daemon"},
+			&cli.IntFlag{Name: "schedulers", Usage: "number of schedulers; 0: 1000, or 300 processes"},
+			&cli.IntFlag{Name: "nodes", Usage: "number of storage nodes; 0: a fifth of the schedulers"},
+			&cli.IntFlag{Name: "seeds", Usage: "runs of each scenario and start, each with its own seed; 0: 50, or 1 with processes"},
+			&cli.Int64Flag{Name: "seed", Value: 1, Usage: "seed of the first run"},
+			&cli.Float64Flag{Name: "capacity", Usage: "calls a second that the discovery service can answer; 0: 0.4 times the number of schedulers"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "play only this scenario (may be repeated)"},
+			&cli.StringSliceFlag{Name: "start", Usage: "play only this start: today, coldstart or \"with snapshot\" (may be repeated)"},
 			jsonFlag(),
 		},
 		Action: runColdstart,
@@ -44,19 +44,19 @@
 	virtual := c.Bool("virtual")
 	opt.Fill(virtual)
 	if err := opt.Check(); err != nil {
-		return opt, usage{err}
+		return opt, usageError{err}
 	}
 	if !virtual && opt.Seeds > 1 {
-		return opt, usage{errors.New("seeds: with processes each run is one world; give another --seed")}
+		return opt, usageError{errors.New("seeds: with processes a call plays one seed only; use --seed for another")}
 	}
-	if !virtual && opt.Hosts > processesMost {
-		return opt, usage{fmt.Errorf("schedulers: more than %d processes need --virtual", processesMost)}
+	if !virtual && opt.Hosts > maxProcesses {
+		return opt, usageError{fmt.Errorf("schedulers: more than %d processes need --virtual", maxProcesses)}
 	}
 	return opt, nil
 }
 
 func runColdstart(c *cli.Context) error {
-	log, err := begin(c)
+	log, err := prepare(c)
 	if err != nil {
 		return err
 	}
@@ -78,12 +78,12 @@
 	}
 	missed := ""
 	if bad := res.Bounds(); len(bad) > 0 {
-		missed = fmt.Sprintf("%d bounds not met, the first: %s", len(bad), bad[0])
+		missed = fmt.Sprintf("%d bounds not met; the first: %s", len(bad), bad[0])
 	}
 	return report(c, res, missed)
 }
 
-// logEachOnce logs a scenario and start when it differs from the one before: each has many worlds.
+// logEachOnce logs a scenario and start when it differs from the one before: each is run with many seeds.
 func logEachOnce(log logrus.FieldLogger) func(scenario string, mode coldstart.Mode) {
 	last := ""
 	return func(scenario string, mode coldstart.Mode) {
--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -12,19 +12,19 @@
 	"wheatsaddle/internal/testkit/cluster"
 )
 
-// What the commands have in common: how each begins, where it has the daemon from, and how it reports.
+// This file has what the commands share: the checks at the start, the build of the daemon, and the report.
 
-// begin checks what all commands check, and returns the logger of the command's progress.
-func begin(c *cli.Context) (*logrus.Logger, error) {
-	log, err := logger(c)
+// prepare makes the checks that all commands share, and returns the logger for the command's progress.
+func prepare(c *cli.Context) (*logrus.Logger, error) {
+	log, err := newLogger(c)
 	if err != nil {
 		return nil, err
 	}
-	return log, noArguments(c)
+	return log, rejectArguments(c)
 }
 
-// logger writes to standard error, in the form that the flag log-format names.
-func logger(c *cli.Context) (*logrus.Logger, error) {
+// newLogger returns a logger that writes to standard error, in the format of the flag log-format.
+func newLogger(c *cli.Context) (*logrus.Logger, error) {
 	log := logrus.New()
 	log.SetOutput(c.App.ErrWriter)
 	switch format := c.String("log-format"); format {
@@ -32,15 +32,15 @@
 		log.SetFormatter(&logrus.JSONFormatter{})
 	case "text":
 	default:
-		return nil, usage{fmt.Errorf("log-format: %q is neither text nor json", format)}
+		return nil, usageError{fmt.Errorf("log-format: %q is neither text nor json", format)}
 	}
 	return log, nil
 }
 
-// noArguments is an error where a command was given arguments: none takes any.
-func noArguments(c *cli.Context) error {
+// rejectArguments returns an error if a command was given arguments: no command takes any.
+func rejectArguments(c *cli.Context) error {
 	if c.NArg() > 0 {
-		return usage{fmt.Errorf("%s takes no arguments, and was given %q", c.Command.Name, c.Args().First())}
+		return usageError{fmt.Errorf("%s takes no arguments, but was given %q", c.Command.Name, c.Args().First())}
 	}
 	return nil
 }
@@ -59,11 +59,11 @@
 	return run(daemon)
 }
 
-// result is what an experiment found.
+// result is the result of an experiment.
 type result interface{ Print(io.Writer) error }
 
-// report prints a result, writes it to the file that the flag json names, and returns the bound that was not
-// met; "": all were.
+// report prints a result and writes it to the file that the flag json names. It returns missed as an error of type
+// boundNotMet; "": all bounds were met, and the error is nil.
 func report(c *cli.Context, res result, missed string) error {
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
@@ -72,13 +72,13 @@
 		return err
 	}
 	if missed != "" {
-		return bound(missed)
+		return boundNotMet(missed)
 	}
 	return nil
 }
 
-// countMissed says how many bounds, in the result's own word for them, were not met; "": none.
-func countMissed(missed []string, word string) string {
+// missedText states how many bounds were missed, under the result's name for them; "": none.
+func missedText(missed []string, word string) string {
 	if len(missed) == 0 {
 		return ""
 	}
@@ -89,7 +89,7 @@
 	return &cli.StringFlag{Name: "json", Usage: "write the result to `FILE`"}
 }
 
-// writeJSON writes a result to a file; "": to none.
+// writeJSON writes a result to a file; "": it writes nothing.
 func writeJSON(path string, v any) error {
 	if path == "" {
 		return nil
--- a/cmd/loadtest/cost.go
+++ b/cmd/loadtest/cost.go
@@ -12,16 +12,16 @@
 
 func costCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cost", Usage: "the estimate of plans beside the fleet's mean and own answers only: in virtual time, or of processes",
+		Name: "cost", Usage: "compare the estimates of plans with the fleet's mean and with a process's own answers only",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seeds", Value: 10, Usage: "worlds"},
-			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "seed of the first"},
-			&cli.IntFlag{Name: "processes", Usage: "of the built daemon, over 24 stand-in nodes, in real time; 0: all in virtual time"},
-			&cli.BoolFlag{Name: "alone", Usage: "the processes tell each other nothing"},
-			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "of decisions in each, in virtual time; a node turns slow halfway"},
-			&cli.DurationFlag{Name: "half-life", Value: 1500 * time.Millisecond, Usage: "of an answer's weight in the short memory"},
-			&cli.DurationFlag{Name: "every", Value: 500 * time.Millisecond, Usage: "between rounds; in each a process asks one other"},
-			&cli.Float64Flag{Name: "slow", Value: 5, Usage: "times that the node is slower from then on"},
+			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "seed of the first run"},
+			&cli.IntFlag{Name: "processes", Usage: "processes of the built daemon, with 24 stand-in nodes, in real time; 0: virtual time in this process"},
+			&cli.BoolFlag{Name: "alone", Usage: "the processes do not exchange their statistics"},
+			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "duration of the decisions of each run, in virtual time; a node becomes slow halfway"},
+			&cli.DurationFlag{Name: "half-life", Value: 1500 * time.Millisecond, Usage: "half-life of an answer's weight in the short-term statistics"},
+			&cli.DurationFlag{Name: "every", Value: 500 * time.Millisecond, Usage: "time between gossip rounds; in each round a process asks one other"},
+			&cli.Float64Flag{Name: "slow", Value: 5, Usage: "factor by which the node becomes slower"},
 			jsonFlag(),
 		},
 		Action: runCost,
@@ -29,14 +29,14 @@
 }
 
 func runCost(c *cli.Context) error {
-	log, err := begin(c)
+	log, err := prepare(c)
 	if err != nil {
 		return err
 	}
 	opt := costs.Options{For: c.Duration("for"), HalfLife: c.Duration("half-life"), Every: c.Duration("every"), Slow: c.Float64("slow")}
 	if n := c.Uint64("seeds"); n < 1 || n > 1000 || opt.For < 20*time.Second || opt.For > time.Hour || opt.HalfLife < 100*time.Millisecond ||
 		opt.Every < 20*time.Millisecond || opt.Every > time.Minute || !(opt.Slow >= 0.01 && opt.Slow <= 100) {
-		return usage{errors.New("seeds must be 1 to 1000, for 20s to 1h, half-life 100ms or more, every 20ms to 1m, slow 0.01 to 100")}
+		return usageError{errors.New("seeds must be 1 to 1000, for 20s to 1h, half-life 100ms or more, every 20ms to 1m, slow 0.01 to 100")}
 	}
 	for seed := range c.Uint64("seeds") {
 		opt.Seeds = append(opt.Seeds, seed+c.Uint64("first"))
@@ -49,16 +49,16 @@
 	if err != nil {
 		return err
 	}
-	return report(c, res, countMissed(res.Missed, "bounds"))
+	return report(c, res, missedText(res.Missed, "bounds"))
 }
 
-// runRealCost plays the same with processes of the built daemon, in real time.
-func runRealCost(c *cli.Context, log logrus.FieldLogger, set costs.Options) error {
+// runRealCost runs the experiment with processes of the built daemon, in real time.
+func runRealCost(c *cli.Context, log logrus.FieldLogger, common costs.Options) error {
 	opt := costs.RealDefaults()
-	opt.Seeds, opt.HalfLife, opt.Every, opt.Slow, opt.Log = set.Seeds, set.HalfLife, set.Every, set.Slow, log
+	opt.Seeds, opt.HalfLife, opt.Every, opt.Slow, opt.Log = common.Seeds, common.HalfLife, common.Every, common.Slow, log
 	opt.Processes, opt.Alone = c.Int("processes"), c.Bool("alone")
 	if opt.Processes < 2 || opt.Processes > 16 || c.IsSet("for") {
-		return usage{errors.New("processes must be 2 to 16, and for is of virtual time")}
+		return usageError{errors.New("processes must be 2 to 16, and for applies to virtual time only")}
 	}
 	return withDaemon(c, func(daemon string) error {
 		opt.Daemon = daemon
@@ -66,6 +66,6 @@
 		if err != nil {
 			return err
 		}
-		return report(c, res, countMissed(res.Missed, "bounds"))
+		return report(c, res, missedText(res.Missed, "bounds"))
 	})
 }
--- a/cmd/loadtest/gather.go
+++ b/cmd/loadtest/gather.go
@@ -11,10 +11,10 @@
 
 func gatherCommand() *cli.Command {
 	return &cli.Command{
-		Name: "gather", Usage: "gathered reads under faults, with and without second copies, each row held against the flat merge",
+		Name: "gather", Usage: "play gathered reads under faults, with and without second copies, and compare each row with the flat merge",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seeds", Value: 3, Usage: "of rows, reads and faults, from seed 1"},
-			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "of one seed in one mode"},
+			&cli.Uint64Flag{Name: "seeds", Value: 3, Usage: "number of seeds of rows, reads and faults, from seed 1 on"},
+			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "duration of one seed in one mode"},
 			&cli.Float64Flag{Name: "rate", Value: 40, Usage: "reads a second, to all processes together"},
 			jsonFlag(),
 		},
@@ -23,13 +23,13 @@
 }
 
 func runGather(c *cli.Context) error {
-	log, err := begin(c)
+	log, err := prepare(c)
 	if err != nil {
 		return err
 	}
 	opt := gathers.Options{World: gathers.Defaults(), For: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
 	if n := c.Uint64("seeds"); n < 1 || n > 100 || opt.For < 2*time.Second || opt.For > time.Minute || !(opt.Rate > 0 && opt.Rate <= 500) {
-		return usage{errors.New("seeds must be 1 to 100, for 2s to 1m, rate from 0 to 500")}
+		return usageError{errors.New("seeds must be 1 to 100, for 2s to 1m, rate above 0 and at most 500")}
 	}
 	for seed := range c.Uint64("seeds") {
 		opt.Seeds = append(opt.Seeds, seed+1)
@@ -42,7 +42,7 @@
 		}
 		missed := ""
 		if res.Wrong {
-			missed = "rows are wrong, doubled or lost"
+			missed = "rows are wrong, duplicated or lost"
 		}
 		return report(c, res, missed)
 	})
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	ownSchedulers = 2                     // where no target is named
-	serviceUnit   = 2 * time.Millisecond  // mean work of a unit at a stand-in node
-	nodeWorkers   = 4                     // requests that a stand-in node works on at once
-	daemonMB      = 192                   // memory limit of a scheduler, MiB
-	retryWait     = 50 * time.Millisecond // of a client before it sends a request again
-	firstSurge    = 6000                  // ms; early enough for a short run
+	schedulersStarted = 2                     // schedulers that are started if no target is given
+	meanServiceTime   = 2 * time.Millisecond  // of a unit of work at a stand-in node
+	nodeWorkers       = 4                     // requests that a stand-in node serves concurrently
+	daemonMemoryMB    = 192                   // memory limit of a scheduler, MiB
+	retryWait         = 50 * time.Millisecond // before a client retries a request
+	firstSurgeMs      = 6000                  // ms; early enough for a short run
 )
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "open-loop load against schedulers; without --target on stand-ins and two schedulers of its own",
+		Name: "load", Usage: "send open-loop load to schedulers; without --target, to two schedulers and stand-in nodes that it starts",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "target", Usage: "`HOST:PORT` of a scheduler; may be given again"},
-			&cli.StringFlag{Name: "shape", Usage: "traffic from the JSON `FILE`; see loadtest shape-schema"},
-			&cli.Float64Flag{Name: "rate", Usage: "requests a second, over the shape's"},
+			&cli.StringSliceFlag{Name: "target", Usage: "`HOST:PORT` of a scheduler (may be repeated)"},
+			&cli.StringFlag{Name: "shape", Usage: "shape of the traffic, from the JSON `FILE`; see loadtest shape-schema"},
+			&cli.Float64Flag{Name: "rate", Usage: "requests a second, in place of the shape's rate"},
 			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "length"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the schedule"},
-			&cli.IntFlag{Name: "open", Value: 4096, Usage: "requests out at once, at most"},
-			&cli.IntFlag{Name: "conns", Value: 512, Usage: "connections to one scheduler, at most"},
-			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients send once more what was refused or reset"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the schedule"},
+			&cli.IntFlag{Name: "open", Value: 4096, Usage: "most requests in flight"},
+			&cli.IntFlag{Name: "conns", Value: 512, Usage: "most connections to one scheduler"},
+			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once"},
 			&cli.StringFlag{Name: "json", Usage: "write the results to `FILE`"},
 		},
 		Action: runLoad,
 	}
 }
 
-// readShape is the shape of traffic that the flags name; without a file the default one with an early surge.
+// readShape returns the shape of traffic that the flags describe; without a file, the default one with an early surge.
 func readShape(c *cli.Context) (workload.Shape, error) {
 	s := workload.Default()
 	if file := c.String("shape"); file != "" {
@@ -59,7 +59,7 @@
 			return s, err
 		}
 	} else {
-		s.Surges.First = firstSurge
+		s.Surges.First = firstSurgeMs
 	}
 	if c.IsSet("rate") {
 		s.Rate = c.Float64("rate")
@@ -69,19 +69,19 @@
 }
 
 func runLoad(c *cli.Context) error {
-	log, err := begin(c)
+	log, err := prepare(c)
 	if err != nil {
 		return err
 	}
 	if c.Duration("for") <= 0 || c.Int("open") < 1 || c.Int("conns") < 1 {
-		return usage{errors.New("for, open and conns must be above 0")}
+		return usageError{errors.New("for, open and conns must be above 0")}
 	}
 	shape, err := readShape(c)
 	if err != nil {
 		return err
 	}
 	targets := c.StringSlice("target")
-	var own *fleet.Fleet // nil: the targets are others'
+	var own *fleet.Fleet // nil: the targets were given by flags
 	if len(targets) == 0 {
 		if own, err = startFleet(c, shape, log); err != nil {
 			return err
@@ -115,15 +115,15 @@
 	return reportLoad(c, res, schedule, own)
 }
 
-// startFleet starts stand-in nodes and schedulers for the shape.
+// startFleet starts stand-in nodes and schedulers for a shape of traffic.
 func startFleet(c *cli.Context, shape workload.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
 	own, err := fleet.Start(c.Context, fleet.Options{
 		Shape:           shape,
-		Schedulers:      ownSchedulers,
-		MeanServiceTime: serviceUnit,
+		Schedulers:      schedulersStarted,
+		MeanServiceTime: meanServiceTime,
 		Workers:         nodeWorkers,
 		Seed:            c.Uint64("seed"),
-		MemoryMB:        daemonMB,
+		MemoryMB:        daemonMemoryMB,
 		Log:             log,
 	})
 	if err != nil {
@@ -133,8 +133,9 @@
 	return own, nil
 }
 
-// reportLoad prints and writes the result. It stops the own schedulers, whose processor time is known then. The error
-// is a bound where the load generator itself was too slow for the run to be valid.
+// reportLoad prints the result and writes it to a file. It stops the schedulers that this command started, because their
+// processor time is known only then. The error is of type boundNotMet if the load generator itself was too slow for the
+// run to be valid.
 func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, own *fleet.Fleet) error {
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
@@ -152,7 +153,7 @@
 		return err
 	}
 	if verdict := res.Notes.Judge(); !verdict.Valid {
-		return bound("the run is not valid: " + verdict.Reasons[0])
+		return boundNotMet("the run is not valid: " + verdict.Reasons[0])
 	}
 	return nil
 }
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,4 @@
-// Command loadtest is the test and rehearsal kit: experiments on stand-ins of its own, with
-// nothing else to start.
+// Command loadtest runs load tests and fault experiments on the scheduler. It starts the stand-ins that it needs.
 package main
 
 import (
@@ -19,9 +18,9 @@
 
 // The exit codes.
 const (
-	exitBad   = 1 // bad input, or it could not be done
-	exitUsage = 2
-	exitBound = 3 // a measured bound was not met
+	exitFailure = 1 // invalid input, or another failure
+	exitUsage   = 2
+	exitBound   = 3 // a measured bound was not met
 )
 
 func main() {
@@ -31,18 +30,18 @@
 	os.Exit(code)
 }
 
-// bound is a bound that was not met, in one line.
-type bound string
+// boundNotMet is an error that describes, in one line, a bound that a measurement did not meet.
+type boundNotMet string
 
-func (b bound) Error() string { return string(b) }
+func (b boundNotMet) Error() string { return string(b) }
 
-// usage is a fault in how the command was called.
-type usage struct{ error }
+// usageError is an error in the call of the command.
+type usageError struct{ error }
 
 func run(ctx context.Context, args []string, out, diag io.Writer) int {
-	err := app(out, diag).RunContext(ctx, args)
-	var b bound
-	var u usage
+	err := newApp(out, diag).RunContext(ctx, args)
+	var b boundNotMet
+	var u usageError
 	switch {
 	case err == nil:
 		return 0
@@ -54,23 +53,23 @@
 		return exitUsage
 	}
 	fmt.Fprintln(diag, "loadtest:", operr.Text(err))
-	return exitBad
+	return exitFailure
 }
 
-func app(out, diag io.Writer) *cli.App {
-	onUsage := func(_ *cli.Context, err error, _ bool) error { return usage{err} }
+func newApp(out, diag io.Writer) *cli.App {
+	onUsage := func(_ *cli.Context, err error, _ bool) error { return usageError{err} }
 	a := &cli.App{
 		Name: "loadtest", Usage: "play faults and load against the scheduler, on stand-ins", HideVersion: true,
 		Writer: out, ErrWriter: diag, OnUsageError: onUsage, ExitErrHandler: func(*cli.Context, error) {},
 		Flags: []cli.Flag{&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text or json"}},
 		Action: func(c *cli.Context) error {
 			if c.NArg() > 0 {
-				return usage{fmt.Errorf("%q is no command; see loadtest help", c.Args().First())}
+				return usageError{fmt.Errorf("%q is not a command; see loadtest help", c.Args().First())}
 			}
 			return cli.ShowAppHelp(c)
 		},
 		Commands: []*cli.Command{addressesCommand(), loadCommand(), costCommand(), coldstartCommand(), gatherCommand(),
-			{Name: "shape-schema", Usage: "print the JSON Schema of a shape of traffic", Action: func(c *cli.Context) error {
+			{Name: "shape-schema", Usage: "print the JSON Schema of shapes of traffic", Action: func(c *cli.Context) error {
 				_, err := c.App.Writer.Write(workload.Schema)
 				return err
 			}}},
--- a/internal/testkit/errorpage/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -18,8 +18,8 @@
 
 var update = flag.Bool("update", false, "write the page")
 
-// The page is that of the types; each has a code of its own and an advice.
-func TestPage(t *testing.T) {
+// The page matches the registered error types, and the types pass operr.Check: each has its own code, and advice.
+func TestPageIsUpToDate(t *testing.T) {
 	all := operr.All()
 	if err := operr.Check(all); err != nil {
 		t.Error(err)
@@ -40,11 +40,11 @@
 		}
 	}
 	if string(got) != want && !t.Failed() {
-		t.Errorf("%s is not what the types say; go run ./internal/testkit/errorpage", pageFile)
+		t.Errorf("%s is out of date; go run ./internal/testkit/errorpage", pageFile)
 	}
 }
 
-// A type with a code is on the page: it is registered, and its package is imported here.
+// Each type with a code is on the page: it is registered, and its package is imported here.
 func TestAllTypesAreRegistered(t *testing.T) {
 	files, err := sourcelint.Files(root, ".")
 	if err != nil {
@@ -68,12 +68,12 @@
 	}
 }
 
-// The packages of many processes give no bare errors over their public functions; one that is not
-// there yet is passed over.
-func TestNewPackagesGiveNoBareErrors(t *testing.T) {
-	for _, p := range []string{"gather", "internal/scattergather", "internal/cost", "internal/nodestats", "internal/gossip", "internal/coldstart",
+// The exported functions of the packages by which processes work together return no uncoded errors. A folder that does not
+// exist has none.
+func TestExportedFunctionsReturnCodedErrors(t *testing.T) {
+	for _, folder := range []string{"gather", "internal/scattergather", "internal/cost", "internal/nodestats", "internal/gossip", "internal/coldstart",
 		"internal/coldstart/snapshot", "internal/discovery/watchtimer", "internal/metrics"} {
-		found, err := sourcelint.BareErrors(filepath.Join(root, p))
+		found, err := sourcelint.UncodedErrors(filepath.Join(root, folder))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,20 +83,20 @@
 	}
 }
 
-// notTheDaemons are the packages of the test kit whose logs have no codes.
-var notTheDaemons = []string{"client", "cluster", "exampleconfig", "experiment", "fake", "fleet", "historycheck", "workload"}
+// testKitPackages are the packages of the test kit whose log lines need no codes.
+var testKitPackages = []string{"client", "cluster", "exampleconfig", "experiment", "fake", "fleet", "historycheck", "workload"}
 
-// What the daemon logs at warn or above with an error has the error's code and advice.
+// Each line that the daemon logs at warn or above has an error's code and advice.
 func TestLoggedErrorsHaveCodes(t *testing.T) {
 	for _, top := range []string{"policy", "gather", "internal", "cmd/wheatsaddle"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, d fs.DirEntry, err error) error {
 			switch {
 			case err != nil || !d.IsDir():
 				return err
-			case d.Name() == "testdata" || filepath.Base(filepath.Dir(path)) == "testkit" && slices.Contains(notTheDaemons, d.Name()):
+			case d.Name() == "testdata" || filepath.Base(filepath.Dir(path)) == "testkit" && slices.Contains(testKitPackages, d.Name()):
 				return fs.SkipDir
 			}
-			found, err := sourcelint.BareLogs(path)
+			found, err := sourcelint.UncodedLogs(path)
 			for _, f := range found {
 				t.Error(f)
 			}
--- a/internal/testkit/exampleconfig/example.go
+++ b/internal/testkit/exampleconfig/example.go
@@ -1,6 +1,6 @@
-// Package exampleconfig holds the kit's world as data: the settings that its schedulers run with and the
-// traffic that is sent where no shape is given. Classes, plans and figures of the kit come from here;
-// they are nobody's. A test keeps their names, and those of known deployments, out of the code.
+// Package exampleconfig holds the test kit's example configuration as data: the settings of its schedulers, and the shape
+// of the traffic that is sent if none is given. The test kit takes its classes, plans and figures from here; they belong
+// to no deployment. A test ensures that their names, and those of known deployments, do not occur in the code.
 package exampleconfig
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// Settings is the object settings of a configuration, in the platform's form.
+// Settings is the object "settings" of a configuration, in the platform's format.
 //
 //go:embed settings.json
 var Settings []byte
 
-// Shape is the traffic, in the form of a shape of loadtest load.
+// Shape is the shape of the traffic, in the format that loadtest load reads.
 //
 //go:embed shape.json
 var Shape []byte
 
-// Names are the names of classes, plans and zones in the examples, in their order.
+// Names returns the names of the classes, plans and zones in the examples, in their order.
 func Names() (names []string) {
 	for _, path := range []string{"profiles.#.name", "contracts.#.name", "my-zone"} {
 		r := gjson.GetBytes(Settings, path)
--- a/internal/testkit/exampleconfig/example_test.go
+++ b/internal/testkit/exampleconfig/example_test.go
@@ -14,16 +14,17 @@
 
 const (
 	root            = "../../.."
-	variantsLeast   = 2  // of deploy/sites
-	variantNamesMin = 20 // of their classes, plans, zones and tiers
+	minVariants     = 2  // in deploy/sites
+	minVariantNames = 20 // of the variants' classes, plans, zones and tiers
 )
 
-// addVariants adds the names of the variants in deploy/sites: of classes, plans, zones and tiers as whole texts;
-// those of several words, which no sentence has by accident, and the sites' own anywhere.
-func addVariants(t *testing.T, w *sourcelint.Words) {
+// addDeploymentVariants adds the names of the configuration variants in deploy/sites. The names of classes, plans, zones
+// and tiers must not occur as whole strings. Those with a hyphen, which no sentence contains by accident, and the names
+// of the sites must not occur anywhere.
+func addDeploymentVariants(t *testing.T, w *sourcelint.ForbiddenWords) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "deploy", "sites", "*", "config.json"))
-	if err != nil || len(paths) < variantsLeast {
+	if err != nil || len(paths) < minVariants {
 		t.Fatalf("%d variants, %v", len(paths), err)
 	}
 	names := 0
@@ -43,14 +44,14 @@
 			}
 		}
 	}
-	if names < variantNamesMin {
+	if names < minVariantNames {
 		t.Fatalf("%d names in %v", names, paths)
 	}
 }
 
-// The deploy file names no deployment either.
+// The deploy file contains no name of a deployment either.
 func TestDeployFileNamesNoDeployment(t *testing.T) {
-	w := words(t)
+	w := deploymentWords(t)
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -62,35 +63,35 @@
 	}
 }
 
-// words are the names of the deployments that are known: of the data file, and of the variants.
-func words(t *testing.T) sourcelint.Words {
+// deploymentWords returns the names of known deployments, from the data file and from the variants in deploy/sites.
+func deploymentWords(t *testing.T) sourcelint.ForbiddenWords {
 	t.Helper()
 	text, err := os.ReadFile("testdata/words.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w sourcelint.Words
+	var w sourcelint.ForbiddenWords
 	if err := json.Unmarshal(text, &w); err != nil || len(w.Whole) == 0 || len(w.Anywhere) == 0 {
 		t.Fatal(err, w)
 	}
-	addVariants(t, &w)
+	addDeploymentVariants(t, &w)
 	return w
 }
 
-// No class, plan, zone or tenant of the examples or of a known deployment stands in the code: names come
-// from settings. What the rule finds, and where, is tested with the rule.
-func TestNamesStandInDataOnly(t *testing.T) {
-	w := words(t)
+// The code contains no name of a class, plan, zone or tenant of the examples or of a known deployment: names come from
+// settings. The rule itself is tested in package sourcelint.
+func TestCodeNamesNoDeployment(t *testing.T) {
+	w := deploymentWords(t)
 	names := Names()
 	if len(names) != 12 {
-		t.Fatalf("%v: a class and a plan less or more than the examples have", names)
+		t.Fatalf("%v: not the 12 names of the examples", names)
 	}
 	w.Whole = append(w.Whole, names...)
 	files, err := sourcelint.Files(root, ".")
 	if err != nil || len(files) < 80 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
-	found, err := sourcelint.Names(files, w)
+	found, err := sourcelint.ForbiddenNames(files, w)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/sourcelint/names.go
+++ b/internal/testkit/sourcelint/forbiddennames.go
@@ -9,18 +9,17 @@
 	"strings"
 )
 
-// Words are what must not stand in the code: as a whole text, or anywhere (also in comments), whatever
-// the case of their letters.
-type Words struct {
-	Whole    []string // a whole string literal, or a part of one between slashes and the like
-	Anywhere []string
+// ForbiddenWords are words that must not occur in the code.
+type ForbiddenWords struct {
+	Whole    []string // as a string literal, or as a part of one between separators (/ = ? & , ; : "); case-sensitive
+	Anywhere []string // within any token or comment, whatever the case of the letters
 }
 
-// Names names file and line of each word that stands in a file's code.
-func Names(files []string, w Words) (found []string, err error) {
-	whole := map[string]bool{}
+// ForbiddenNames lists the position of each forbidden word in the files.
+func ForbiddenNames(files []string, w ForbiddenWords) (found []string, err error) {
+	wholeWords := map[string]bool{}
 	for _, x := range w.Whole {
-		whole[x] = true
+		wholeWords[x] = true
 	}
 	for _, path := range files {
 		text, err := os.ReadFile(path)
@@ -35,7 +34,7 @@
 			if kind == token.EOF {
 				break
 			}
-			say := func(word string) {
+			report := func(word string) {
 				found = append(found, fmt.Sprintf("%v: %q", set.Position(pos), word))
 			}
 			if kind == token.STRING {
@@ -43,10 +42,10 @@
 				if err != nil {
 					return nil, fmt.Errorf("%v: %w", set.Position(pos), err)
 				}
-				if !prose(value) {
+				if !proseOrTag(value) {
 					for _, part := range append(strings.FieldsFunc(value, func(r rune) bool { return strings.ContainsRune("/=?&,;:\"", r) }), value) {
-						if whole[part] {
-							say(part)
+						if wholeWords[part] {
+							report(part)
 							break
 						}
 					}
@@ -54,7 +53,7 @@
 			}
 			for _, x := range w.Anywhere {
 				if strings.Contains(strings.ToLower(lit), strings.ToLower(x)) {
-					say(x)
+					report(x)
 				}
 			}
 		}
@@ -62,7 +61,8 @@
 	return found, nil
 }
 
-// prose: in a text of several words each may be a common one, and a struct's tag names a field.
-func prose(value string) bool {
+// proseOrTag reports whether a string is a text of several words or a JSON struct tag. A word of a text may be a common
+// one, and a tag names a field, so neither is searched for Whole words.
+func proseOrTag(value string) bool {
 	return strings.Contains(value, " ") || strings.HasPrefix(value, `json:"`)
 }
--- a/internal/testkit/sourcelint/logs.go
+++ b/internal/testkit/sourcelint/logs.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// loud are the levels that an operator reads.
-var loud = []string{"Warn", "Error", "Fatal", "Panic"}
+// operatorLevels are the log levels that an operator reads.
+var operatorLevels = []string{"Warn", "Error", "Fatal", "Panic"}
 
-// BareLogs names each line that a package in a folder logs at warn or above without a code: without operr.Fields,
-// with an error by WithError or as an argument of a format, and by operr.Fields of an error that is made bare.
-func BareLogs(folder string) ([]string, error) {
-	b, err := read(folder, true)
+// UncodedLogs lists each place where the package in a folder logs at warn or above without an error code: without
+// operr.Fields, with the error in WithError or in the arguments of the logging call, or with operr.Fields of an uncoded error.
+func UncodedLogs(folder string) ([]string, error) {
+	b, err := analyzePackage(folder, true)
 	if err != nil {
 		return nil, err
 	}
 	var found []string
-	for _, d := range b.all {
+	for _, d := range b.functions {
 		local := map[string]token.Pos{}
 		ast.Inspect(d.Body, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.AssignStmt:
-				b.assign(n, local)
+				b.trackAssignment(n, local)
 			case *ast.CallExpr:
-				if says := b.log(n, local); says != "" {
-					found = append(found, fmt.Sprintf("%v: %s: %s", b.set.Position(n.Pos()), d.Name.Name, says))
+				if problem := b.logProblem(n, local); problem != "" {
+					found = append(found, fmt.Sprintf("%v: %s: %s", b.fileSet.Position(n.Pos()), d.Name.Name, problem))
 				}
 			}
 			return true
@@ -37,32 +37,32 @@
 	return found, nil
 }
 
-// log says what is wrong with a call, if it logs.
-func (b *bare) log(n *ast.CallExpr, local map[string]token.Pos) string {
+// logProblem says what is wrong with a logging call; "": nothing, or the call does not log.
+func (b *packageErrors) logProblem(n *ast.CallExpr, local map[string]token.Pos) string {
 	f, ok := n.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return ""
 	}
 	level := strings.TrimSuffix(strings.TrimSuffix(f.Sel.Name, "f"), "ln")
-	if !slices.Contains(loud, level) {
+	if !slices.Contains(operatorLevels, level) {
 		return ""
 	}
-	says, coded := "", false
+	problem, coded := "", false
 	for _, a := range n.Args {
 		if id, ok := a.(*ast.Ident); ok && id.Name == "err" {
-			says = "an error in the text has no code: use operr.Fields"
+			problem = "an error in the text has no code: use operr.Fields"
 		}
 	}
 	for x := f.X; ; {
 		switch c := x.(type) {
-		case *ast.Ident: // a logger by its name
+		case *ast.Ident: // a logger, recognised by its name
 			if !strings.EqualFold(c.Name, "log") {
 				return ""
 			}
-			if says == "" && !coded {
-				says = "no code: use operr.Fields"
+			if problem == "" && !coded {
+				problem = "no code: use operr.Fields"
 			}
-			return says
+			return problem
 		case *ast.SelectorExpr:
 			x = c.Sel
 		case *ast.CallExpr:
@@ -71,12 +71,12 @@
 				return ""
 			}
 			if s.Sel.Name == "WithError" {
-				says = "WithError has no code: use operr.Fields"
+				problem = "WithError has no code: use operr.Fields"
 			}
 			for _, a := range c.Args {
-				if in, ok := a.(*ast.CallExpr); ok && fields(in) {
-					if coded = true; len(in.Args) == 1 && b.made(in.Args[0], local).IsValid() {
-						says = "a bare error is logged"
+				if in, ok := a.(*ast.CallExpr); ok && isOperrFields(in) {
+					if coded = true; len(in.Args) == 1 && b.uncodedAt(in.Args[0], local).IsValid() {
+						problem = "an uncoded error is logged"
 					}
 				}
 			}
@@ -87,8 +87,8 @@
 	}
 }
 
-// fields: a call of operr.Fields.
-func fields(c *ast.CallExpr) bool {
+// isOperrFields reports whether a call is one of operr.Fields.
+func isOperrFields(c *ast.CallExpr) bool {
 	s, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok || s.Sel.Name != "Fields" {
 		return false
--- a/internal/testkit/sourcelint/pages_test.go
+++ b/internal/testkit/sourcelint/pages_test.go
@@ -16,13 +16,13 @@
 var (
 	codeSpan   = regexp.MustCompile("`([^`]+)`")
 	identifier = regexp.MustCompile(`^[A-Za-z]+(\.[A-Za-z]+)?$`)
-	// certainIdentifier is code wherever it stands: a word of a table may also be a figure of the telemetry.
+	// certainIdentifier matches words that are identifiers in any table. Other words may be names of telemetry values.
 	certainIdentifier = regexp.MustCompile(`^([A-Z][A-Za-z]*|[A-Za-z]+\.[A-Za-z]+)$`)
 )
 
-// The packages that the page of architecture names exist, and each function, method or type of a row of its tables is
-// declared in one of the packages of that row.
-func TestArchitecturePageNamesWhatExists(t *testing.T) {
+// Each function, method or type that a row of a table in the architecture page names is declared in one of the packages
+// of that row. So a row with such names also fails if its package does not exist.
+func TestArchitecturePageNamesExist(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(moduleRoot, "docs", "ARCHITECTURE.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -62,8 +62,7 @@
 	}
 }
 
-// isPackage reports whether a word of the page names a package of the module. One that looks like a package and has no
-// folder is a name that no row declares.
+// isPackage reports whether a word of the page names a package of the module, which has a folder.
 func isPackage(word string) bool {
 	if word != "policy" && word != "gather" && !strings.HasPrefix(word, "internal/") && !strings.HasPrefix(word, "cmd/") {
 		return false
@@ -76,7 +75,7 @@
 	t.Helper()
 	for _, p := range packages {
 		if declared[p] == nil {
-			declared[p] = declarations(t, filepath.Join(moduleRoot, filepath.FromSlash(p)))
+			declared[p] = declaredNames(t, filepath.Join(moduleRoot, filepath.FromSlash(p)))
 		}
 		if declared[p][name] {
 			return true
@@ -85,8 +84,8 @@
 	return false
 }
 
-// declarations are the names of a package's functions, methods (as Type.Method) and types, outside tests.
-func declarations(t *testing.T, folder string) map[string]bool {
+// declaredNames returns the names of a package's functions, methods (as Type.Method) and types, outside tests.
+func declaredNames(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	files, err := goFiles(folder)
 	if err != nil {
--- a/internal/testkit/sourcelint/sourcerules_test.go
+++ b/internal/testkit/sourcelint/sourcelint_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const broken = `package broken
+const faultySource = `package broken
 
 import ("errors"; "fmt")
 
@@ -47,10 +47,10 @@
 const path, golden, class = "/gold/x", "of gold", "silver"
 `
 
-// Each rule finds what is broken, where it is, and nothing else.
-func TestRulesFindWhatIsBroken(t *testing.T) {
+// Each rule finds the violations in the sample, with their positions, and nothing else.
+func TestRulesFindViolations(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "broken.go"), []byte(broken), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "broken.go"), []byte(faultySource), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	files, err := Files(dir, ".")
@@ -61,25 +61,25 @@
 	if err != nil || len(types) != 1 || types["broken.Full"] == "" {
 		t.Errorf("%v %v", types, err)
 	}
-	holds := func(what string, found []string, err error, want ...string) {
+	expect := func(what string, found []string, err error, want ...string) {
 		t.Helper()
 		if err != nil || len(found) != len(want) {
 			t.Fatalf("%s: %v %v", what, found, err)
 		}
 		for _, w := range want {
 			if !strings.Contains(strings.Join(found, "\n"), "broken.go:"+w) {
-				t.Errorf("%s: no %s in %v", what, w, found)
+				t.Errorf("%s: %s is not in %v", what, w, found)
 			}
 		}
 	}
-	found, err := BareErrors(dir)
+	found, err := UncodedErrors(dir)
 	for i := range found { // without the column
 		at := strings.Split(found[i], ":")
 		found[i] = at[0] + ":" + at[1] + ":" + at[len(at)-1]
 	}
-	holds("bare", found, err, "15: Direct", "17: Through", "17: Method", "18: Named", "13: Global")
-	found, err = Names(files, Words{Whole: []string{"gold", "silver"}, Anywhere: []string{"harbourtown"}})
-	holds("names", found, err, "5:1", "38:29", "38:51")
-	found, err = BareLogs(dir)
-	holds("logs", found, err, "27:", "28:", "29:", "30:", "35:")
+	expect("uncoded errors", found, err, "15: Direct", "17: Through", "17: Method", "18: Named", "13: Global")
+	found, err = ForbiddenNames(files, ForbiddenWords{Whole: []string{"gold", "silver"}, Anywhere: []string{"harbourtown"}})
+	expect("forbidden names", found, err, "5:1", "38:29", "38:51")
+	found, err = UncodedLogs(dir)
+	expect("uncoded logs", found, err, "27:", "28:", "29:", "30:", "35:")
 }
--- a/internal/testkit/sourcelint/calls.go
+++ b/internal/testkit/sourcelint/systemcalls.go
@@ -11,9 +11,9 @@
 	"strings"
 )
 
-// Reached are the folders of a module's packages that a program is made of, from that of its main on.
-func Reached(root, module, main string) ([]string, error) {
-	known := map[string]bool{main: true}
+// ProgramPackages returns the folders of a module's packages that the program in the folder main consists of.
+func ProgramPackages(root, module, main string) ([]string, error) {
+	seen := map[string]bool{main: true}
 	for todo := []string{main}; len(todo) > 0; todo = todo[1:] {
 		files, err := goFiles(filepath.Join(root, todo[0]))
 		if err != nil {
@@ -26,21 +26,22 @@
 			}
 			for _, i := range f.Imports {
 				name, _ := strconv.Unquote(i.Path.Value)
-				if of, ok := strings.CutPrefix(name, module+"/"); ok && !known[of] {
-					known[of] = true
-					todo = append(todo, of)
+				if folder, ok := strings.CutPrefix(name, module+"/"); ok && !seen[folder] {
+					seen[folder] = true
+					todo = append(todo, folder)
 				}
 			}
 		}
 	}
 	var folders []string
-	for of := range known {
-		folders = append(folders, of)
+	for folder := range seen {
+		folders = append(folders, folder)
 	}
 	slices.Sort(folders)
 	return folders, nil
 }
 
+// goFiles returns a folder's Go files without tests.
 func goFiles(folder string) (files []string, err error) {
 	all, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil {
@@ -57,10 +58,11 @@
 	return files, nil
 }
 
-// refusable are packages and functions that come down to system calls that a platform may refuse: the
-// start of a program, fork, and copies past the process (splice, sendfile, copy_file_range). Whoever
-// connects or listens by himself has a connection that a copy may go past: sock's do not.
-var refusable = map[string][]string{
+// restrictedCalls are packages (nil: all their functions) and functions that lead to system calls that a platform may
+// refuse: the start of a program, fork, and copies within the kernel (splice, sendfile, copy_file_range). Functions that
+// connect or listen are among them, because a copy to or from the connections of package net may take place in the
+// kernel. The connections of internal/transport do not allow that.
+var restrictedCalls = map[string][]string{
 	"os/exec": nil,
 	"os":      {"StartProcess"},
 	"syscall": {"ForkExec", "StartProcess", "Exec", "Sendfile", "Splice", "Tee", "RawSyscall", "RawSyscall6", "Syscall", "Syscall6"},
@@ -72,11 +74,11 @@
 	"plugin":                nil,
 }
 
-// copies are methods by which a copy goes past the process, whatever they are called on.
-var copies = []string{"ReadFrom", "WriteTo", "SendFile", "SendFileBytes", "ServeFile"}
+// copyMethods are methods that may copy within the kernel. They are reported on any receiver.
+var copyMethods = []string{"ReadFrom", "WriteTo", "SendFile", "SendFileBytes", "ServeFile"}
 
-// Refusable names each place of a folder's package that may come down to a refused system call.
-func Refusable(folder string) (found []string, err error) {
+// RestrictedCalls lists each place of the package in a folder that may lead to a restricted system call.
+func RestrictedCalls(folder string) (found []string, err error) {
 	files, err := goFiles(folder)
 	if err != nil {
 		return nil, err
@@ -87,18 +89,18 @@
 		if err != nil {
 			return nil, err
 		}
-		named := map[string]string{} // package by its name in the file
+		importedAs := map[string]string{} // import path by the package's name in the file
 		for _, i := range f.Imports {
-			full, _ := strconv.Unquote(i.Path.Value)
-			names, watched := refusable[full]
-			if watched && names == nil || full == "C" {
-				found = append(found, fmt.Sprintf("%v: imports %s", set.Position(i.Pos()), full))
+			importPath, _ := strconv.Unquote(i.Path.Value)
+			names, watched := restrictedCalls[importPath]
+			if watched && names == nil || importPath == "C" {
+				found = append(found, fmt.Sprintf("%v: imports %s", set.Position(i.Pos()), importPath))
 			}
-			name := full[strings.LastIndex(full, "/")+1:]
+			name := importPath[strings.LastIndex(importPath, "/")+1:]
 			if i.Name != nil {
 				name = i.Name.Name
 			}
-			named[name] = full
+			importedAs[name] = importPath
 		}
 		ast.Inspect(f, func(n ast.Node) bool {
 			s, ok := n.(*ast.SelectorExpr)
@@ -106,11 +108,11 @@
 				return true
 			}
 			x, ok := s.X.(*ast.Ident)
-			full := ""
+			importPath := ""
 			if ok {
-				full = named[x.Name]
+				importPath = importedAs[x.Name]
 			}
-			if full != "" && slices.Contains(refusable[full], s.Sel.Name) || full == "" && slices.Contains(copies, s.Sel.Name) {
+			if importPath != "" && slices.Contains(restrictedCalls[importPath], s.Sel.Name) || importPath == "" && slices.Contains(copyMethods, s.Sel.Name) {
 				found = append(found, fmt.Sprintf("%v: %s", set.Position(s.Pos()), s.Sel.Name))
 			}
 			return true
--- a/internal/testkit/sourcelint/calls_test.go
+++ b/internal/testkit/sourcelint/systemcalls_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// The daemon comes down to no system call that a platform may refuse: of its own packages only sock
-// connects and listens, nobody copies past the process, and nobody starts a program. Of the libraries
-// one can start a program: go-sockaddr, to learn this machine's address for memberlist where the peers'
-// address names none; peers refuses that (TestStartsNoProgram).
-func TestNoRefusedSystemCalls(t *testing.T) {
+// The daemon makes no system call that a platform may refuse: of its own packages only internal/transport connects and
+// listens, and none copies within the kernel or starts a program. Of the libraries, only go-sockaddr can start a program,
+// to find the machine's address for memberlist if the configured address is unspecified. Package gossip rejects that
+// (TestUnspecifiedAddressNeedsAdvertise).
+func TestDaemonMakesNoRestrictedCalls(t *testing.T) {
 	const root = "../../.."
-	folders, err := Reached(root, "wheatsaddle", "cmd/wheatsaddle")
+	folders, err := ProgramPackages(root, "wheatsaddle", "cmd/wheatsaddle")
 	if err != nil || !slices.Contains(folders, "internal/httpfront") {
 		t.Fatal(folders, err)
 	}
-	for _, of := range folders {
-		found, err := Refusable(filepath.Join(root, of))
+	for _, folder := range folders {
+		found, err := RestrictedCalls(filepath.Join(root, folder))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if of == "internal/transport" { // what it connects and listens it gives out as plain
+		if folder == "internal/transport" { // it wraps the connections that it returns, so that no copy takes place in the kernel
 			found = slices.DeleteFunc(found, func(s string) bool {
 				return strings.Contains(s, ": Dial") || strings.Contains(s, ": Listen") || strings.HasSuffix(s, ": FileListener")
 			})
@@ -39,25 +39,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var starts []string
+	var startingPrograms []string
 	for line := range strings.Lines(string(out)) {
 		if f := strings.Fields(line); len(f) > 0 && slices.Contains(f[1:], "os/exec") {
-			starts = append(starts, f[0])
+			startingPrograms = append(startingPrograms, f[0])
 		}
 	}
-	if !slices.Equal(starts, []string{"github.com/hashicorp/go-sockaddr"}) {
-		t.Errorf("packages that can start a program: %v", starts)
+	if !slices.Equal(startingPrograms, []string{"github.com/hashicorp/go-sockaddr"}) {
+		t.Errorf("packages that can start a program: %v", startingPrograms)
 	}
 }
 
-// The rule finds what is broken, under another name too.
-func TestRefusableFinds(t *testing.T) {
+// Restricted calls are found, also if the package is imported under another name.
+func TestRestrictedCallsAreFound(t *testing.T) {
 	dir := t.TempDir()
 	text := "package p\nimport (\n\t\"io\"\n\tn \"net\"\n\t\"os\"\n\t_ \"os/exec\"\n)\nfunc f(a n.Conn, b *os.File) {\n\tio.Copy(a, b)\n\tb.ReadFrom(a)\n\tn.Dial(\"\", \"\")\n\tos.Open(\"\")\n}\n"
 	if err := os.WriteFile(filepath.Join(dir, "p.go"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	found, err := Refusable(dir)
+	found, err := RestrictedCalls(dir)
 	if err != nil || len(found) != 4 {
 		t.Fatal(found, err)
 	}
