--- a/internal/interleave/interleave.go
+++ b/internal/interleave/interleave.go
@@ -62,7 +62,8 @@
 	return fmt.Sprintf("%d schedules, %d more pruned, at most %d steps", r.Schedules, r.Pruned, r.LongestSchedule)
 }
 
-// Failure is a schedule that breaks an invariant.
+// Failure is a schedule that fails: by a broken invariant, a data race, a deadlock, a panic or too many steps. It also
+// reports a program that is not deterministic, or an exploration with too many schedules.
 type Failure struct {
 	Message  string
 	Schedule string   // for Replay
@@ -77,12 +78,12 @@
 type choicePoint struct {
 	choice         int    // the selected thread or option
 	options        uint32 // bit set of the enabled threads, or of the options of Choose
-	sleepSet       uint32
-	explored       uint32
-	isOption       bool // a choice of Choose, not of a thread
-	previousThread int  // the thread that made the step before; -1: none
-	preemptions    int  // in the schedule up to this point
-	operation      string
+	sleepSet       uint32 // bit set of the threads that need no exploration here, because earlier schedules cover them
+	explored       uint32 // bit set of the options explored before
+	isOption       bool   // a choice of Choose, not of a thread
+	previousThread int    // the thread that made the step before; -1: none
+	preemptions    int    // in the schedule up to this point
+	operation      string // the selected thread's step, as describe returns it
 }
 
 // remaining returns the bit set of the options that are still to be explored.
--- a/internal/interleave/run.go
+++ b/internal/interleave/run.go
@@ -63,13 +63,13 @@
 	run       *run
 	id        int
 	name      string
-	goroutine uintptr
+	goroutine uintptr // the value of goroutine() on its goroutine
 	next      func() (struct{}, bool)
 	stop      func()
 	yield     func(struct{}) bool
-	pending   Op
-	live      bool
-	children  int
+	pending   Op   // its next step
+	live      bool // has not ended
+	children  int  // threads that it has started
 	clock     clock
 }
 
@@ -78,19 +78,19 @@
 	options     Options
 	threads     []*thread
 	path        []choicePoint
-	depth       int
-	lastThread  int
+	depth       int // position in the path
+	lastThread  int // the thread that made the last step; -1: none
 	preemptions int
 	steps       int
 	sleepSet    uint32
 	pruned      bool
-	aborting    bool
+	aborting    bool // the threads are being unwound
 	failure     error
 	objects     map[any]*object
-	perRun      map[any]any
-	replayLeft  []string // of a replay: the words of the schedule that are still to be run
+	perRun      map[any]any // the values of PerRun
+	replayLeft  []string    // of a replay: the words of the schedule that are still to be run
 	replaying   bool
-	trace       []string
+	trace       []string // of a replay, a line for each step
 }
 
 // abort is the panic that unwinds a thread when its run ends early.
