--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -81,7 +81,7 @@
 	node := core.Node{Node: policy.Node{ID: "s", StartTime: 5, Weight: 1}}
 	cachedNode := node
 	cachedNode.Zone = "cached"
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		b, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{cachedNode}, log)
 		if err != nil {
 			t.Fatal(err)
@@ -95,11 +95,11 @@
 				il.Fail("a timer was set after the stop")
 			}
 		}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: c.run},
 				{Name: "timer", Run: func() {
-					sync.Point("time", "passes")
+					sync.Step("time", "passes")
 					elapsed = 10 * time.Second
 					b.step(coldstart.TimerFired{})
 				}},
@@ -118,7 +118,7 @@
 					sync.Close(c.quit)
 				}},
 			},
-			Always: func() error {
+			Invariant: func() error {
 				if h, l := c.indexOf("cached"), c.indexOf("list"); l >= 0 && h > l {
 					return fmt.Errorf("the core handled %v", c.handled)
 				}
@@ -140,7 +140,7 @@
 			},
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "starter.go", Old: "	s.mu.Unlock()\n	sync.Recv(delivered)\n", New: "	sync.Recv(delivered)\n	s.mu.Unlock()\n", Want: "deadlock: "},
 		mutant.Mutant{File: "starter.go", Old: "	s.enqueue(func(c startCore) { c.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })",
 			New: "	sync.Go(func() { s.core.UpdateList(core.ListUpdate{Kind: policy.ListChanged, Nodes: nodes}) })", Want: "the core handled "},
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "coldstart.go", Sequential: true, Want: "list requests in second",
 			Old: `now + Slot(s.settings.ListRequestSpread(), "list", s.settings.Name)`, New: "now"},
 		mutant.Mutant{File: "nodes.go", Sequential: true, Want: "the shares of a cold node sum to",
@@ -241,7 +241,7 @@
 			}
 		})
 	}
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "list.go", Sequential: true, Want: "the phase went from",
 			Old: "	s.listRequestPending = false\n	if s.phase >= ListKnown {", New: "	s.listRequestPending = false\n	if false {"},
 		mutant.Mutant{File: "coldstart.go", Sequential: true, Want: "ready reported",
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -51,7 +51,7 @@
 	w := &interleavedWatcher{textsByAddress: texts, oldCallsEnd: ends, wake: make(chan time.Time)}
 	w.watcher = &Watcher{Address: "old", Log: log, OnUpdate: w.onUpdate, Timer: watchtimer.Settings{Pushed: true}}
 	w.watcher.elapsed, w.watcher.openWatch = func() time.Duration { return w.now }, w.call
-	ctx, cancel := steps.Root(context.Background())
+	ctx, cancel := steps.RootContext(context.Background())
 	w.ctx, w.stop = ctx, func() { cancel(); w.stopped = true }
 	return w
 }
@@ -139,7 +139,7 @@
 // that arrives after the stop is reported, no call stays open, and no goroutine blocks forever.
 func TestInterleaveWatchStop(t *testing.T) {
 	fireTimer := func(watcher *interleavedWatcher) {
-		sync.Point("time", "passes")
+		sync.Step("time", "passes")
 		watcher.now = watcher.nextTimer
 		sync.SendOr(watcher.wake, time.Time{}, watcher.ctx.Done())
 	}
@@ -165,9 +165,9 @@
 				Want: "deadlock: change at send"}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			il.Check(t, il.Options{Bounded: true, Preemptions: tc.preemptions}, func() il.World {
+			il.Check(t, il.Options{Bounded: true, Preemptions: tc.preemptions}, func() il.Program {
 				watcher := newInterleavedWatcher(tc.texts, tc.ends)
-				return il.World{
+				return il.Program{
 					Threads: []il.Thread{
 						{Name: "watch", Run: watcher.run},
 						{Name: tc.name, Run: func() { tc.run(watcher) }},
@@ -176,7 +176,7 @@
 					Check: watcher.allCallsClosed,
 				}
 			})
-			mutant.Found(t, tc.mutants...)
+			mutant.AssertDetected(t, tc.mutants...)
 		})
 	}
 }
@@ -184,15 +184,15 @@
 // After an address change the call to the old address is valid until a call to the new address is answered. After that
 // nothing of the old call is reported, and no message of the new call is lost.
 func TestInterleaveAddressChange(t *testing.T) {
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		watcher := newInterleavedWatcher(map[string][]string{"old": {versionText(1, true), versionText(2, false)}, "new": {versionText(3, true), versionText(4, false)}}, false)
 		watcher.stopAtLastVersion = true
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "watch", Run: watcher.run},
 				{Name: "change", Run: func() { watcher.watcher.SetAddress(watcher.ctx, "new") }},
 			},
-			Always: watcher.oldCallStaysOpen,
+			Invariant: watcher.oldCallStaysOpen,
 			Check: func() error {
 				if got := fmt.Sprint(watcher.received); got != "[3 4]" && got != "[1 3 4]" && got != "[1 2 3 4]" {
 					return fmt.Errorf("received %s", got)
@@ -201,7 +201,7 @@
 			},
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "watch.go", Old: "	case w.calls[message.call] == nil: // the call is over\n	case message.err != nil:",
 			New: "	case message.err != nil && w.calls[message.call] != nil:", Want: "received [2 3 4]"},
 		mutant.Mutant{File: "watch.go", Old: "	address, version := w.Address, w.Version\n	sync.Go(func() {\n",
--- a/internal/exclusion/store/store.go
+++ b/internal/exclusion/store/store.go
@@ -78,7 +78,7 @@
 
 // readFile reads the file, up to one byte more than maxFileSize, so that parse detects a longer file.
 func (s *Store) readFile() ([]byte, error) {
-	sync.Point("open", s.Path)
+	sync.Step("open", s.Path)
 	f, err := os.Open(s.Path)
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 	if info, err := f.Stat(); err == nil {
 		s.lastSeen = info
 	}
-	sync.Point("read", s.Path)
+	sync.Step("read", s.Path)
 	return io.ReadAll(io.LimitReader(f, maxFileSize+1))
 }
 
@@ -125,7 +125,7 @@
 		return &FileError{s.Path, err}
 	}
 	tempPath := s.Path + fmt.Sprintf(".%d~", cmp.Or(s.pid, os.Getpid()))
-	sync.Point("create", tempPath)
+	sync.Step("create", tempPath)
 	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return &FileError{s.Path, err}
@@ -134,7 +134,7 @@
 		_ = os.Remove(tempPath) // the write error is the one to report
 		return &FileError{s.Path, err}
 	}
-	sync.Point("stat", s.Path)
+	sync.Step("stat", s.Path)
 	if info, err := os.Stat(s.Path); err == nil {
 		s.lastSeen = info
 	}
@@ -143,7 +143,7 @@
 
 // replace writes, syncs and closes the temporary file, and renames it.
 func (s *Store) replace(f *os.File, data []byte) error {
-	sync.Point("write", f.Name())
+	sync.Step("write", f.Name())
 	_, err := f.Write(data)
 	if err == nil {
 		err = f.Sync()
@@ -152,7 +152,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		sync.Point("rename", s.Path)
+		sync.Step("rename", s.Path)
 		err = os.Rename(f.Name(), s.Path)
 	}
 	return err
@@ -160,7 +160,7 @@
 
 // Changed reports whether the file differs from the one that was last read or written here. A missing file is no change.
 func (s *Store) Changed() bool {
-	sync.Point("stat", s.Path)
+	sync.Step("stat", s.Path)
 	info, err := os.Stat(s.Path)
 	if err != nil {
 		return false
@@ -175,11 +175,11 @@
 		return nil, &FileError{s.Path, err}
 	}
 	for attemptsLeft := maxLockAttempts; ; attemptsLeft-- {
-		sync.Point("flock", s.Path+".lock")
+		sync.Step("flock", s.Path+".lock")
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return func() {
-				sync.Point("unlock", s.Path+".lock")
+				sync.Step("unlock", s.Path+".lock")
 				_ = f.Close() // closing the file releases the flock
 			}, nil
 		}
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -44,13 +44,13 @@
 // During a handover, the old and the new process exclude one node each, and a third process may be killed before it writes.
 // Both exclusions are stored, no reader finds an incomplete file, and a killed process does not block the others.
 func TestInterleaveHandover(t *testing.T) {
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		dir, err := os.MkdirTemp("", "handover")
 		if err != nil {
 			t.Fatal(err)
 		}
 		killed := il.Thread{Name: "killed", Run: changeState(dir, "s-9", 9, 2)}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "old", Run: changeState(dir, "s-1", 1, 1)},
 				{Name: "new", Run: changeState(dir, "s-2", 2, 1)},
@@ -66,14 +66,14 @@
 				}
 				return nil
 			},
-			End: func() {
+			Cleanup: func() {
 				if err := os.RemoveAll(dir); err != nil {
 					t.Error(err)
 				}
 			},
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "store.go", Old: "		if err == nil {\n			return func() {", New: "		if true {\n			return func() {", Want: "stored: "},
 		mutant.Mutant{File: "store.go", Old: "	return s.lastSeen == nil || !os.SameFile", New: "	if s.lastSeen == nil {\n		return false\n	}\n	return !os.SameFile", Want: "stored: "},
 		mutant.Mutant{File: "store.go", Old: "	tempPath := s.Path + fmt.Sprintf(\".%d~\", cmp.Or(s.pid, os.Getpid()))", New: "	tempPath := s.Path[:len(s.Path)+cmp.Or(0)]", Want: "torn"},
--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -130,10 +130,10 @@
 			{File: "buffer.go", Old: "		b.dropped++\n", New: "", Want: "3 recorded, "}}},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+			il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 				p := joinClusters(scenario.size, "here")["here"]
 				var operations history.History
-				ctx, stop := steps.Root(context.Background())
+				ctx, stop := steps.RootContext(context.Background())
 				tick := make(chan time.Time, 1)
 				tick <- time.Time{}
 				running := 3
@@ -145,7 +145,7 @@
 						}
 					}
 				}
-				return il.World{
+				return il.Program{
 					Threads: []il.Thread{
 						{Name: "process", Run: func() { p.loop(ctx, tick) }},
 						{Name: "record", Run: stopAfterLast(func() {
@@ -180,16 +180,16 @@
 					},
 				}
 			})
-			mutant.Found(t, scenario.mutants...)
+			mutant.AssertDetected(t, scenario.mutants...)
 		})
 	}
 }
 
 // Recording does not wait while another goroutine uses the state.
 func TestInterleaveObserveNeverWaits(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		p, recorded := joinClusters(2, "here")["here"], make(chan struct{})
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "read", Run: func() {
 					p.WithState(func(time.Duration, *nodestats.State) { sync.Recv(recorded) })
@@ -205,14 +205,14 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "buffer.go", Old: "	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half",
+	mutant.AssertDetected(t, mutant.Mutant{File: "buffer.go", Old: "	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half",
 		New: "	c.mu.Lock()\n	defer c.mu.Unlock()\n	b := &c.buffer\n	b.Lock()\n	sync.Writes(&b.pending)\n	n, half", Want: "deadlock: "})
 }
 
 // Two processes record outcomes and exchange messages, in any order. After some further rounds, both have each outcome
 // exactly once.
 func TestInterleaveRounds(t *testing.T) {
-	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 2}, func() il.Program {
 		clusters := joinClusters(8, "a", "b")
 		a, b := clusters["a"], clusters["b"]
 		handleMessages := func(p *Cluster, limit int) {
@@ -222,7 +222,7 @@
 				}
 			}
 		}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "record", Run: func() { a.observeOne(); b.observeOne(); a.observeOne() }},
 				{Name: "a", Run: func() { a.round(); handleMessages(a, 2) }},
@@ -250,6 +250,6 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "rounds.go", Old: "	err := c.state.Merge(c.options.Since(), message)\n	c.mu.Unlock()\n",
+	mutant.AssertDetected(t, mutant.Mutant{File: "rounds.go", Old: "	err := c.state.Merge(c.options.Since(), message)\n	c.mu.Unlock()\n",
 		New: "	c.mu.Unlock()\n	sync.Writes(c.state)\n	err := c.state.Merge(c.options.Since(), message)\n", Want: "data race: "})
 }
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -116,11 +116,11 @@
 // nodes need a connection. A connection in use is never evicted, and the counts of the nodes and of the dialer agree.
 func TestInterleaveIdle(t *testing.T) {
 	fd := idleSocket(t)
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
 		nodes := []*node{newIdleNode(d, fd, "a", 1), newIdleNode(d, fd, "b", 1), newIdleNode(d, fd, "c", 0), newIdleNode(d, fd, "d", 0)}
 		var used []*conn
-		w := il.World{}
+		w := il.Program{}
 		for i, n := range nodes {
 			w.Threads = append(w.Threads, il.Thread{Name: n.name, Run: func() {
 				if i == 1 {
@@ -135,7 +135,7 @@
 				}
 			}})
 		}
-		w.Always = func() error {
+		w.Invariant = func() error {
 			for _, c := range used {
 				if c.socket != nil && c.socket.(*instantConn).closed {
 					return errors.New("a connection in use was closed for another")
@@ -158,7 +158,7 @@
 		}
 		return w
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "nodeconns.go", Old: "			if n.dialer.idle.remove(c) {\n				return c\n			}\n			continue", New: "			n.dialer.idle.remove(c)\n			return c",
 			Want: "a connection in use was closed for another"},
 		mutant.Mutant{File: "idle.go", Old: "	c := s.list.Remove(first).(*conn)\n	c.idleElement = nil", New: "	c := s.list.Remove(first).(*conn)",
@@ -171,7 +171,7 @@
 // The connection limit is one and in use. Of two callers that reserve a connection, one of them after it released the
 // connection in use, exactly one succeeds.
 func TestInterleaveReserveConn(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		d := &Dialer{MaxConns: 1}
 		d.open.Store(1)
 		n, reserved := &node{dialer: d}, 0
@@ -180,7 +180,7 @@
 				reserved++
 			}
 		}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{{Name: "one", Run: reserve}, {Name: "other", Run: func() { n.uncountConn(); reserve() }}},
 			Check: func() error {
 				if open := d.open.Load(); reserved != 1 || open != 1 {
@@ -191,7 +191,7 @@
 		}
 	})
 	loop := "	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
-	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // an earlier implementation, which this test found to be wrong
+	mutant.AssertDetected(t, mutant.Mutant{File: "idle.go", Old: loop, // an earlier implementation, which this test found to be wrong
 		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
 		Want: "0 of two callers reserved the only connection"})
 }
@@ -232,9 +232,9 @@
 func TestInterleaveWaitingQueue(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		n, draining, attempts, results := newSingleConnNode(fd, a.Request, time.Hour, 2)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
@@ -253,7 +253,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "conn.go", Old: "	if c.node.draining.Load() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "		if n.waiting.Remove(m.cancel) {", New: "		if n.waiting.Remove(m.cancel) && n.draining.Load() {", Want: "deadlock"},
 	)
@@ -264,9 +264,9 @@
 func TestInterleaveReuseAfterResult(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		n, _, attempts, results := newSingleConnNode(fd, a.Request, 0, 2)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
@@ -282,7 +282,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "conn.go",
+	mutant.AssertDetected(t, mutant.Mutant{File: "conn.go",
 		Old:  "	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})\n	j.attempt.Done(r)",
 		New:  "	j.attempt.Done(r)\n	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})",
 		Want: "attempt 1: "})
@@ -294,7 +294,7 @@
 func TestInterleaveResend(t *testing.T) {
 	fd, readableFD := idleSocket(t), readableSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		n, draining, attempts, results := newSingleConnNode(fd, a.Request, 0, 1)
 		n.dialer.MaxConns = 2
 		never := true
@@ -304,7 +304,7 @@
 		n.dialer.idle.put(c)
 		n.dialer.open.Add(1)
 		*draining = false
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: func() { sync.Go(c.run); n.runWithoutTimers() }},
 				{Name: "core", Run: func() {
@@ -319,7 +319,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "conn.go", Old: "	if c.isUnusable() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "	case cancelled:\n		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })\n",
 			New: "	case cancelled:\n", Want: "deadlock"},
--- a/internal/httpfront/preconnect_interleave_test.go
+++ b/internal/httpfront/preconnect_interleave_test.go
@@ -21,7 +21,7 @@
 func TestInterleavePreconnect(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		n, draining, attempts, results := newSingleConnNode(fd, a.Request, time.Hour, 1)
 		n.dialer.MaxConns = 2
 		dials, dial := 0, n.dialer.dial
@@ -30,7 +30,7 @@
 			return dial(ctx, a, wait)
 		}
 		result := make(chan policy.Status, 1)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
@@ -54,7 +54,7 @@
 			},
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "preconnect.go", Old: "	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {\n		sync.Go(func() { f(policy.Abandoned) })\n		return",
 			New: "	if n.draining.Load() || n.closing || n.connCount > len(n.busy) {\n		return", Want: "deadlock"},
 		mutant.Mutant{File: "preconnect.go", Old: "	c.dialID = n.waiting.ConnectStarted(now)", New: "	if c.dialID = 0; f == nil {\n		c.dialID = n.waiting.ConnectStarted(now)\n	}",
--- a/internal/interleave/check.go
+++ b/internal/interleave/check.go
@@ -10,7 +10,7 @@
 const ReplayEnv = "INTERLEAVE_REPLAY"
 
 // Check explores a program's schedules for a test, and logs their number. A failure ends the test.
-func Check(t testing.TB, options Options, newProgram func() World) Report {
+func Check(t testing.TB, options Options, newProgram func() Program) Report {
 	t.Helper()
 	if text := os.Getenv(ReplayEnv); text != "" {
 		if f := Replay(newProgram, text); f != nil {
--- a/internal/interleave/interleave.go
+++ b/internal/interleave/interleave.go
@@ -31,13 +31,13 @@
 	Run  func()
 }
 
-// World is the program that one schedule runs, with its checks. It is made anew for each schedule.
-type World struct {
-	Threads []Thread
-	Always  func() error  // an invariant, checked after each step and outside the threads; may be nil
-	Check   func() error  // checked when all threads have ended; may be nil
-	Outcome func() string // describes the final state, counted in Report.Outcomes; may be nil
-	End     func()        // frees the program's resources, also when its schedule was pruned or failed; may be nil
+// Program is what one schedule runs, with its checks. It is made anew for each schedule.
+type Program struct {
+	Threads   []Thread
+	Invariant func() error  // an invariant, checked after each step and outside the threads; may be nil
+	Check     func() error  // checked when all threads have ended; may be nil
+	Outcome   func() string // describes the final state, counted in Report.Outcomes; may be nil
+	Cleanup   func()        // frees the program's resources, also when its schedule was pruned or failed; may be nil
 }
 
 // Options bound an exploration.
@@ -115,7 +115,7 @@
 }
 
 // Explore runs schedules until one fails or none is left.
-func Explore(options Options, newProgram func() World) (rep Report) {
+func Explore(options Options, newProgram func() Program) (rep Report) {
 	if options.MaxSteps == 0 {
 		options.MaxSteps = 2000
 	}
@@ -162,7 +162,7 @@
 }
 
 // Replay runs the one schedule that the text describes; nil: it does not fail.
-func Replay(newProgram func() World, schedule string) *Failure {
+func Replay(newProgram func() Program, schedule string) *Failure {
 	r := &run{options: Options{NoReduction: true, MaxSteps: 1 << 20}, replayLeft: strings.Fields(schedule), replaying: true}
 	_, err := r.execute(newProgram())
 	if err == nil {
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 // identicalThreads returns a program of n threads that run the same function.
-func identicalThreads(n int, run func(i int)) (w il.World) {
+func identicalThreads(n int, run func(i int)) (w il.Program) {
 	for i := range n {
 		w.Threads = append(w.Threads, il.Thread{Name: fmt.Sprintf("t%d", i), Run: func() { run(i) }})
 	}
@@ -29,7 +29,7 @@
 // within the bound; with sleep sets, one if all steps commute.
 func TestScheduleCounts(t *testing.T) {
 	count := func(o il.Options, n, k int, shared bool) int {
-		return il.Explore(o, func() il.World {
+		return il.Explore(o, func() il.Program {
 			all := make([]steps.Int64, n)
 			return identicalThreads(n, func(i int) {
 				if shared {
@@ -65,11 +65,11 @@
 
 // randomProgram draws a program of threads with a few steps each on two atomics, two locks and two channels. Its outcome
 // is the values that each thread observed and the final values of the atomics.
-func randomProgram(t *rapid.T) func() il.World {
+func randomProgram(t *rapid.T) func() il.Program {
 	// Operations from 12 on block, and end most programs in a deadlock.
 	maxOperation := rapid.SampledFrom([]int{7, 11, 11, 15}).Draw(t, "max operation")
 	operations := rapid.SliceOfN(rapid.SliceOfN(rapid.IntRange(0, maxOperation), 2, 4), 2, 3).Draw(t, "operations")
-	return func() il.World {
+	return func() il.Program {
 		var x [2]steps.Int64
 		var mu [2]steps.RWMutex
 		chans := [2]chan int{make(chan int, 1), make(chan int)}
@@ -154,9 +154,9 @@
 	type plain struct{ n int }
 	for name, c := range map[string]struct {
 		want       string
-		newProgram func(fixed bool) il.World
+		newProgram func(fixed bool) il.Program
 	}{
-		"lost update": {errLostUpdate.Error(), func(fixed bool) il.World {
+		"lost update": {errLostUpdate.Error(), func(fixed bool) il.Program {
 			var x steps.Int64
 			w := identicalThreads(2, func(int) {
 				if fixed {
@@ -173,7 +173,7 @@
 			}
 			return w
 		}},
-		"double-checked locking": {"data race", func(fixed bool) il.World {
+		"double-checked locking": {"data race", func(fixed bool) il.Program {
 			var mu steps.Mutex
 			var set steps.Bool
 			var p plain
@@ -193,7 +193,7 @@
 				steps.Reads(&p)
 			})
 		}},
-		"locks in opposite orders": {"deadlock: t0 at lock, t1 at lock", func(fixed bool) il.World {
+		"locks in opposite orders": {"deadlock: t0 at lock, t1 at lock", func(fixed bool) il.Program {
 			var mu [2]steps.Mutex
 			return identicalThreads(2, func(i int) {
 				if fixed {
@@ -205,7 +205,7 @@
 				defer mu[1-i].Unlock()
 			})
 		}},
-		"missing lock": {"data race", func(fixed bool) il.World {
+		"missing lock": {"data race", func(fixed bool) il.Program {
 			var mu steps.Mutex
 			var p plain
 			return identicalThreads(2, func(i int) {
@@ -217,7 +217,7 @@
 				p.n++
 			})
 		}},
-		"lost wake-up": {"deadlock: t1 at receive", func(fixed bool) il.World {
+		"lost wake-up": {"deadlock: t1 at receive", func(fixed bool) il.Program {
 			var n steps.Int64
 			wake := make(chan int, 1)
 			return identicalThreads(2, func(i int) {
@@ -235,7 +235,7 @@
 				}
 			})
 		}},
-		"recursive read lock with a waiting writer": {"deadlock", func(fixed bool) il.World {
+		"recursive read lock with a waiting writer": {"deadlock", func(fixed bool) il.Program {
 			var mu steps.RWMutex
 			return identicalThreads(2, func(i int) {
 				if i == 0 {
@@ -251,7 +251,7 @@
 				}
 			})
 		}},
-		"two unbuffered sends to each other": {"deadlock", func(fixed bool) il.World {
+		"two unbuffered sends to each other": {"deadlock", func(fixed bool) il.Program {
 			var n = 0
 			if fixed {
 				n = 1
@@ -268,7 +268,7 @@
 				}
 			})
 		}},
-		"recursive once, and a started thread": {"deadlock", func(fixed bool) il.World {
+		"recursive once, and a started thread": {"deadlock", func(fixed bool) il.Program {
 			var once steps.Once
 			return identicalThreads(1, func(int) {
 				steps.Go(func() { once.Do(func() {}) })
@@ -279,7 +279,7 @@
 				})
 			})
 		}},
-		"nondeterministic program": {"not deterministic", func(fixed bool) il.World {
+		"nondeterministic program": {"not deterministic", func(fixed bool) il.Program {
 			var x, y steps.Int64
 			return identicalThreads(2, func(int) {
 				if runCount++; fixed || runCount%3 == 0 {
@@ -290,7 +290,7 @@
 				x.Add(1)
 			})
 		}},
-		"endless loop": {"not finished within", func(fixed bool) il.World {
+		"endless loop": {"not finished within", func(fixed bool) il.Program {
 			var x steps.Int64
 			return identicalThreads(2, func(int) {
 				for x.Load() == 0 && !fixed {
@@ -298,7 +298,7 @@
 			})
 		}},
 	} {
-		bad := func() il.World { return c.newProgram(false) }
+		bad := func() il.Program { return c.newProgram(false) }
 		rep := il.Explore(il.Options{}, bad)
 		if rep.Failure == nil || !strings.Contains(rep.Failure.Message, c.want) {
 			t.Errorf("%s: not found in %v: %v", name, rep, rep.Failure)
@@ -309,11 +309,11 @@
 				t.Errorf("%s: the replay of %q: %v", name, rep.Failure.Schedule, f)
 			}
 		}
-		if rep := il.Explore(il.Options{}, func() il.World { return c.newProgram(true) }); rep.Failure != nil {
+		if rep := il.Explore(il.Options{}, func() il.Program { return c.newProgram(true) }); rep.Failure != nil {
 			t.Errorf("%s, fixed: %v", name, rep.Failure)
 		}
 	}
-	if f := il.Replay(func() il.World { return identicalThreads(1, func(int) {}) }, "t0 t7*3"); f == nil {
+	if f := il.Replay(func() il.Program { return identicalThreads(1, func(int) {}) }, "t0 t7*3"); f == nil {
 		t.Error("a schedule of another program was replayed")
 	}
 }
@@ -324,7 +324,7 @@
 func BenchmarkSchedule(b *testing.B) {
 	schedules, stepsMade := 0, 0
 	for b.Loop() {
-		rep := il.Explore(il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+		rep := il.Explore(il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 			var x steps.Int64
 			return identicalThreads(3, func(int) {
 				for range 4 {
--- a/internal/interleave/mutant/mutant.go
+++ b/internal/interleave/mutant/mutant.go
@@ -38,8 +38,8 @@
 
 var scheduleLine = regexp.MustCompile(`(?m)^\s*schedule: (.*)$`)
 
-// Found runs the calling test's mutants, and fails the test if one is not detected.
-func Found(t *testing.T, list ...Mutant) {
+// AssertDetected runs the calling test's mutants, and fails the test if one is not detected.
+func AssertDetected(t *testing.T, list ...Mutant) {
 	t.Helper()
 	if Inside() || os.Getenv(il.ReplayEnv) != "" {
 		return
--- a/internal/interleave/run.go
+++ b/internal/interleave/run.go
@@ -249,7 +249,7 @@
 }
 
 // execute runs a program by the schedule that the path begins, and extends the path up to the end.
-func (r *run) execute(w World) (outcome string, err error) {
+func (r *run) execute(w Program) (outcome string, err error) {
 	r.lastThread, r.objects = -1, map[any]*object{}
 	defer func() {
 		r.aborting = true
@@ -258,16 +258,16 @@
 			t.stop()
 		}
 		running.Store(nil)
-		if w.End != nil {
-			w.End()
+		if w.Cleanup != nil {
+			w.Cleanup()
 		}
 	}()
 	for i := 0; i < len(w.Threads) && r.failure == nil; i++ {
 		r.start(w.Threads[i].Name, w.Threads[i].Run, nil)
 	}
 	for {
-		if r.failure == nil && w.Always != nil {
-			r.fail(w.Always())
+		if r.failure == nil && w.Invariant != nil {
+			r.fail(w.Invariant())
 		}
 		if r.failure != nil {
 			return "", r.failure
--- a/internal/interleave/steps/context.go
+++ b/internal/interleave/steps/context.go
@@ -19,11 +19,11 @@
 	if !il.Active() {
 		return context.WithCancel(parent)
 	}
-	return Root(parent)
+	return RootContext(parent)
 }
 
-// Root is WithCancel for a program's own context, which is made before its threads run.
-func Root(parent context.Context) (context.Context, context.CancelFunc) {
+// RootContext is WithCancel for a program's own context, which is made before its threads run.
+func RootContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	own := &cancelledChannels{}
 	ancestors, _ := parent.Value(ancestorsKey{}).([]*cancelledChannels)
--- a/internal/interleave/steps/lock.go
+++ b/internal/interleave/steps/lock.go
@@ -153,20 +153,20 @@
 // Writes declares that the caller writes a plain variable.
 func Writes[T any](p *T) { il.Access(p, true) }
 
-// Point is a step on an object outside the process, for example on a file, which is named by its path.
-func Point(kind, on string) {
+// Step is a step on an object outside the process, for example on a file, which is named by its path.
+func Step(kind, on string) {
 	if il.Active() {
 		il.Step(il.Op{Kind: kind, Object: on})
 		*stepCount(kind, on)++
 	}
 }
 
-// stepCount returns the run's counter of Point steps of a kind on an object.
+// stepCount returns the run's counter of calls of Step with a kind and an object.
 func stepCount(kind, on string) *int {
 	return il.PerRun([2]string{kind, on}, func() any { return new(int) }).(*int)
 }
 
-// PauseFor waits before a retry. Under the checker it ends when another thread has made the step Point(kind, on)
+// PauseFor waits before a retry. Under the checker it ends when another thread has made the step Step(kind, on)
 // since: if it ended with any step, two threads that only pause would wake each other forever.
 func PauseFor(kind, on string, d time.Duration) {
 	if !il.Active() {
--- a/internal/interleave/sync/interleave.go
+++ b/internal/interleave/sync/interleave.go
@@ -31,8 +31,8 @@
 // Writes is the ordinary Writes; the checker looks for data races at it. It is not a step.
 func Writes[T any](p *T) { steps.Writes(p) }
 
-// Point is the ordinary Point as a step of the checker.
-func Point(kind, on string) { steps.Point(kind, on) }
+// Step is the ordinary Step as a step of the checker.
+func Step(kind, on string) { steps.Step(kind, on) }
 
 // Send is the ordinary Send as a step of the checker.
 func Send[T any](ch chan<- T, v T) { steps.Send(ch, v) }
--- a/internal/interleave/sync/ordinary.go
+++ b/internal/interleave/sync/ordinary.go
@@ -29,8 +29,8 @@
 // Writes declares to the checker that the caller writes a plain variable.
 func Writes[T any](*T) {}
 
-// Point is a step of the checker on an object outside the process, for example on a file, which is named by its path.
-func Point(_, _ string) {}
+// Step is a step of the checker on an object outside the process, for example on a file, which is named by its path.
+func Step(_, _ string) {}
 
 // Send is ch <- v.
 func Send[T any](ch chan<- T, v T) { ch <- v }
@@ -154,5 +154,5 @@
 	}
 }
 
-// PauseFor waits before a retry; under the checker, until another thread has made the step Point with the same arguments.
+// PauseFor waits before a retry; under the checker, until another thread has called Step with the same kind and object.
 func PauseFor(_, _ string, d time.Duration) { time.Sleep(d) }
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -39,7 +39,7 @@
 
 // Two threads put messages and a third takes them. In every interleaving the calls are linearizable and the bound holds.
 func TestInterleaveQueue(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		b := New[int](testMax)
 		var h history.History
 		want, got := 0, 0
@@ -50,7 +50,7 @@
 				}
 			}
 		}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "putter", Run: func() { put(1, 1)(); put(1, 2)() }},
 				{Name: "other", Run: put(2, 3)},
@@ -60,7 +60,7 @@
 					}
 				}},
 			},
-			Always: func() error {
+			Invariant: func() error {
 				if len(b.messages) > testMax {
 					return fmt.Errorf("%d messages are queued, the bound is %d", len(b.messages), testMax)
 				}
@@ -74,7 +74,7 @@
 			},
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "mailbox.go", Old: "		return false\n	}\n", New: "		return false\n	}\n	b.mu.Unlock()\n	b.mu.Lock()\n",
 			Want: "the bound is 2"},
 		mutant.Mutant{File: "mailbox.go", Old: "	b.mu.Lock()\n	defer b.mu.Unlock()\n	sync.Writes(&b.messages)", New: "	sync.Writes(&b.messages)",
@@ -84,10 +84,10 @@
 
 // No message is left in the queue if the taker waits only on Wake, as an actor does.
 func TestInterleaveWake(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		b := New[int](testMax)
 		var got []int
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "one", Run: func() { b.PutUnbounded(1); b.PutUnbounded(2) }},
 				{Name: "other", Run: func() { b.PutUnbounded(3) }},
@@ -109,7 +109,7 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()\n	b.notify()",
+	mutant.AssertDetected(t, mutant.Mutant{File: "mailbox.go", Old: "func (b *Queue[T]) PutUnbounded(m T) {\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()\n	b.notify()",
 		New:  "func (b *Queue[T]) PutUnbounded(m T) {\n	b.notify()\n	b.mu.Lock()\n	sync.Writes(&b.messages)\n	b.messages = append(b.messages, m)\n	b.mu.Unlock()",
 		Want: "deadlock: taker at receive"})
 }
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -91,7 +91,7 @@
 		}
 		return nil
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "recorder.go", Old: "	if now-r.lastReset < resetInterval*r.state.settings.HalfLife {", New: "	if true {", Want: "views follow the change too late"},
 		mutant.Mutant{File: "views.go", Old: "		if deviation(&counts, &recent, false) > maxLongTermDeviation {", New: "		if false {", Want: "views follow the change too late"},
 	)
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -52,7 +52,7 @@
 	property := func(seed uint64) error { return mergeInAnyOrder(t, seed) }
 	checkSeeds(t, 20, property)
 	checkRandomSeeds(t, property)
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "the states differ"},
 		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "the states differ"},
 		mutant.Mutant{File: "cells.go", Old: "	if excess <= 0 {", New: "	if true {", Want: "invariant: origin "},
@@ -102,7 +102,7 @@
 
 func TestOutdatedCellsNeverReplaceNewerOnes(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error { return mergeOutdated(t) })
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "earlier incarnation: 20 requests"},
 		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
 		mutant.Mutant{File: "merge.go", Old: "case stored == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
@@ -131,7 +131,7 @@
 		}
 		return nil
 	})
-	mutant.Found(t, mutant.Mutant{File: "merge.go", Old: "case incarnation >= maxSequence:", New: "case true:",
+	mutant.AssertDetected(t, mutant.Mutant{File: "merge.go", Old: "case incarnation >= maxSequence:", New: "case true:",
 		Want: "0 rejections of the later incarnation"})
 }
 
--- a/internal/nodestats/views_test.go
+++ b/internal/nodestats/views_test.go
@@ -68,7 +68,7 @@
 	property := func(seed uint64) error { return mergeFaultyOrigin(t, seed) }
 	checkSeeds(t, 20, property)
 	checkRandomSeeds(t, property)
-	mutant.Found(t, mutant.Mutant{File: "clip.go", Old: "	if len(weights) < minOriginsToClip {", New: "	if true {", Want: "not clipped: "})
+	mutant.AssertDetected(t, mutant.Mutant{File: "clip.go", Old: "	if len(weights) < minOriginsToClip {", New: "	if true {", Want: "not clipped: "})
 }
 
 // After a node was replaced by another one of the same name, the views contain no statistics of the earlier run, neither
@@ -94,7 +94,7 @@
 		}
 		return nil
 	})
-	mutant.Found(t, mutant.Mutant{File: "views.go", Old: "n != nil && n.startTime != startTime {", New: "n != nil && false {",
+	mutant.AssertDetected(t, mutant.Mutant{File: "views.go", Old: "n != nil && n.startTime != startTime {", New: "n != nil && false {",
 		Want: "requests of an earlier run in the views"})
 }
 
--- a/internal/scattergather/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -59,7 +59,7 @@
 
 func (d *simulatedRead) write(rows []byte) error {
 	before := bytes.Clone(rows)
-	sync.Point("write", "client")
+	sync.Step("write", "client")
 	if d.ended {
 		il.Fail("written after the final answer")
 	}
@@ -75,7 +75,7 @@
 // advance moves the clock to the next wake-up time, the given number of times.
 func (d *simulatedRead) advance(times int) {
 	for range times {
-		sync.Point("time", "passes")
+		sync.Step("time", "passes")
 		d.now = d.wakeAt
 		if !sync.SendOr(d.wake, time.Time{}, d.done) {
 			return
@@ -136,14 +136,14 @@
 			for i := range x.parts {
 				parts = append(parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
 			}
-			il.Check(t, il.Options{Bounded: true, Preemptions: x.most}, func() il.World {
+			il.Check(t, il.Options{Bounded: true, Preemptions: x.most}, func() il.Program {
 				d := &simulatedRead{parts: x.parts, rows: x.rows, writeFails: x.fails, mustBeComplete: x.name == "copy" || x.name == "parts", wake: make(chan time.Time), done: make(chan struct{})}
-				ctx, leave := steps.Root(context.Background())
+				ctx, leave := steps.RootContext(context.Background())
 				g, err := New(r, time.Second, parts)
 				if err != nil {
 					t.Fatal(err)
 				}
-				return il.World{
+				return il.Program{
 					Threads: append([]il.Thread{{Name: "run", Run: func() {
 						d.final = run(ctx, g, d, Options{MaxPartBytes: 1 << 10, Write: d.write},
 							clock{func() time.Duration { return d.now }, d.wake, func(at time.Duration) { d.wakeAt = at }})
@@ -153,7 +153,7 @@
 					Check: d.check,
 				}
 			})
-			mutant.Found(t, x.lost...)
+			mutant.AssertDetected(t, x.lost...)
 		})
 	}
 }
--- a/internal/transport/listener_interleave_test.go
+++ b/internal/transport/listener_interleave_test.go
@@ -91,10 +91,10 @@
 // A connection from which request bytes were read is never evicted. A listener at its capacity accepts a connection and evicts
 // periodically while a request arrives on one of the idle connections.
 func TestInterleaveEviction(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		l, conns := idleListener(2, 2, 1)
 		c, served := conns[0], false
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "request", Run: func() {
 					if n, _ := c.Read(make([]byte, 1)); n > 0 {
@@ -110,7 +110,7 @@
 				}},
 				{Name: "evict", Run: func() { l.evictForCapacity(time.Now()) }},
 			},
-			Always: func() error {
+			Invariant: func() error {
 				if served && c.Conn.(*fakeConn).closed {
 					return errors.New("a connection with a request was evicted")
 				}
@@ -119,7 +119,7 @@
 			Check: func() error { return checkFinal(l) },
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "conn.go", Old: "case c.phase.CompareAndSwap(p, active):\n			return true", New: "default:\n			c.phase.Store(active)\n			return true",
 			Want: "a connection with a request was evicted"},
 		mutant.Mutant{File: "conn.go", Old: "return c.phase.CompareAndSwap(p, closing)", New: "return c.phase.Swap(closing) != closing",
@@ -131,9 +131,9 @@
 // The count of open connections is correct when a connection is closed twice and another evicted while the listener accepts and
 // closes.
 func TestInterleaveOpenConns(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		l, conns := idleListener(3, 2, 1)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "server", Run: func() { _ = conns[0].Close() }},
 				{Name: "other", Run: func() { conns[1].evict(); _ = conns[0].Close() }},
@@ -146,7 +146,7 @@
 				}},
 				{Name: "close listener", Run: func() { _ = l.Close(); l.StopAccepting() }},
 			},
-			Always: func() error { return checkOpen(l) },
+			Invariant: func() error { return checkOpen(l) },
 			Check: func() error {
 				if !l.Listener.(*fakeListener).closed || len(l.open) != 0 {
 					return fmt.Errorf("%d connections stay open", len(l.open))
@@ -155,7 +155,7 @@
 			},
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "listener.go", Old: "func (l *Listener) drop(c *Conn) {\n	l.mu.Lock()\n	defer l.mu.Unlock()\n", New: "func (l *Listener) drop(c *Conn) {\n",
+	mutant.AssertDetected(t, mutant.Mutant{File: "listener.go", Old: "func (l *Listener) drop(c *Conn) {\n	l.mu.Lock()\n	defer l.mu.Unlock()\n", New: "func (l *Listener) drop(c *Conn) {\n",
 		Want: "data race: "})
 }
 
@@ -200,7 +200,7 @@
 // A request that arrives at any moment of an eviction is either not read, or its connection stays open.
 func TestInterleaveRequestOrEviction(t *testing.T) {
 	outcomes := map[string]int{}
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
 		if err != nil {
 			panic(err)
@@ -210,7 +210,7 @@
 		c := l.track(w)
 		c.phaseStart.Store(time.Now().Add(-time.Hour).UnixNano())
 		served := false
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "client", Run: w.sendRequest},
 				{Name: "server", Run: func() {
@@ -240,7 +240,7 @@
 				}
 				return nil
 			},
-			End: func() { _ = syscall.Close(pair[0]); _ = syscall.Close(pair[1]) },
+			Cleanup: func() { _ = syscall.Close(pair[0]); _ = syscall.Close(pair[1]) },
 		}
 	})
 	for _, outcome := range []string{"served", "closed unread"} {
@@ -248,7 +248,7 @@
 			t.Errorf("no order ended with the outcome %q: %v", outcome, outcomes)
 		}
 	}
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "firstread.go", Old: "p []byte) (int, error) {\n	c.firstReadMu.Lock()\n	defer c.firstReadMu.Unlock()\n", New: "p []byte) (int, error) {\n",
 			Want: "a connection with a request was evicted"},
 		mutant.Mutant{File: "conn.go", Old: "	if !c.firstReadMu.TryLock() {\n		return false // a request's first bytes are being read\n	}\n	defer c.firstReadMu.Unlock()\n", New: "",
