--- a/internal/testkit/fake/discovery/capacity.go
+++ b/internal/testkit/fake/discovery/capacity.go
@@ -52,7 +52,8 @@
 	c.recentCalls, c.load = nil, Load{}
 }
 
-// call adds a call that arrives now and returns when it ends, how long it waits and its outcome.
+// call adds a call that arrives now and returns when it ends, how long it waits before its processing or its failure,
+// and its outcome.
 func (c *Capacity) call(now time.Time) (at time.Time, wait time.Duration, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fake/discovery/conn.go
+++ b/internal/testkit/fake/discovery/conn.go
@@ -12,7 +12,9 @@
 // Path is the URL path of the list.
 const Path = "/registry/instances"
 
-const writeTimeout = 10 * time.Second // the connection of a caller that does not read is closed after this
+// writeTimeout is the time after which the connection of a caller that does not read its responses is closed, and the
+// maximum time that a call waits for the previous one on its connection.
+const writeTimeout = 10 * time.Second
 
 // conn is one caller's connection. The fields after closed are guarded by s.mu unless noted otherwise.
 type conn struct {
@@ -25,7 +27,7 @@
 	callEpoch       int           // s.epoch when the current call was received
 	busy            bool          // a call waits or a watch is open
 	watch           bool
-	silenced        bool // silenced and counted
+	silenced        bool // sends nothing because of a fault, and was counted
 	silencedForever bool // stays silent after the fault
 	injected        []string
 	sentIndex       int64 // version sent on the watch; used by the connection's goroutine only
@@ -77,27 +79,27 @@
 	defer close(n.closed)
 	br := bufio.NewReader(n.nc)
 	for {
-		var q fasthttp.Request
-		if q.ReadLimitBody(br, 1<<16) != nil {
+		var request fasthttp.Request
+		if request.ReadLimitBody(br, 1<<16) != nil {
 			return
 		}
-		args := q.URI().QueryArgs()
-		a := call{watch: args.GetBool("watch"), after: -1, status: fasthttp.StatusOK, closeAfter: q.ConnectionClose()}
+		args := request.URI().QueryArgs()
+		c := call{watch: args.GetBool("watch"), after: -1, status: fasthttp.StatusOK, closeAfter: request.ConnectionClose()}
 		if v := args.GetUintOrZero("after"); args.Has("after") {
-			a.after = int64(v)
+			c.after = int64(v)
 		}
-		a.wait = time.Duration(args.GetUintOrZero("wait")) * time.Millisecond
+		c.wait = time.Duration(args.GetUintOrZero("wait")) * time.Millisecond
 		switch {
-		case string(q.URI().Path()) != Path:
-			a.status = fasthttp.StatusNotFound
-		case !q.Header.IsGet():
-			a.status = fasthttp.StatusMethodNotAllowed
+		case string(request.URI().Path()) != Path:
+			c.status = fasthttp.StatusNotFound
+		case !request.Header.IsGet():
+			c.status = fasthttp.StatusMethodNotAllowed
 		}
 		if n.s.opt.OnCall != nil {
-			n.s.opt.OnCall(n.caller.name, string(q.RequestURI()))
+			n.s.opt.OnCall(n.caller.name, string(request.RequestURI()))
 		}
 		select {
-		case n.calls <- a:
+		case n.calls <- c:
 		case <-time.After(writeTimeout): // pipelined calls on a connection that is silenced
 			return
 		}
@@ -105,12 +107,12 @@
 }
 
 func (n *conn) run() {
-	for a := range n.calls {
+	for c := range n.calls {
 		n.s.mu.Lock()
 		n.caller.counts.Calls++
 		n.callEpoch, n.busy = n.s.epoch, true
 		n.s.mu.Unlock()
-		if !n.handleCall(a) || a.closeAfter {
+		if !n.handleCall(c) || c.closeAfter {
 			break
 		}
 		n.s.mu.Lock()
@@ -128,8 +130,8 @@
 	}
 }
 
-// waitUntil waits for a time (zero: none) or, if kicked is set, for a wake-up. It returns false once the connection has
-// ended.
+// waitUntil waits for a time (zero: none) or, if wakeable is set, for a wake-up. It returns false once the connection
+// has ended.
 func (n *conn) waitUntil(at time.Time, wakeable bool) bool {
 	var timer <-chan time.Time
 	var wake <-chan struct{}
@@ -166,10 +168,10 @@
 }
 
 // handleCall answers one call and reports whether the connection stays open.
-func (n *conn) handleCall(a call) bool {
+func (n *conn) handleCall(c call) bool {
 	s := n.s
-	if a.status != fasthttp.StatusOK {
-		return n.respondError(a.status, &n.caller.counts.Failed)
+	if c.status != fasthttp.StatusOK {
+		return n.respondError(c.status, &n.caller.counts.Failed)
 	}
 	if !n.waitWhileSilenced() {
 		return false
@@ -179,7 +181,7 @@
 		s.mu.Unlock()
 		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Rejected, &n.caller.counts.Failed)
 	}
-	at, waited, out := s.capacity.call(time.Now())
+	at, waited, outcome := s.capacity.call(time.Now())
 	if waited > 0 {
 		n.caller.counts.Queued++
 		n.caller.counts.LongestWait = max(n.caller.counts.LongestWait, waited)
@@ -188,32 +190,33 @@
 	if !n.waitUntil(at, false) {
 		return false
 	}
-	switch out {
+	switch outcome {
 	case TooLong:
 		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.TooLong, &n.caller.counts.Failed)
 	case Full:
 		return n.respondError(fasthttp.StatusServiceUnavailable, &n.caller.counts.Full, &n.caller.counts.Failed)
 	}
-	if a.watch && s.opt.Mode == Push {
-		return n.serveWatch(a)
+	if c.watch && s.opt.Mode == Push {
+		return n.serveWatch(c)
 	}
-	if a.wait > 0 && s.opt.Mode != Poll && !n.waitForChange(a) {
+	if c.wait > 0 && s.opt.Mode != Poll && !n.waitForChange(c) {
 		return false
 	}
 	return n.respondList()
 }
 
-// waitForChange holds a call until the version exceeds the one that it names or its wait time is over.
-func (n *conn) waitForChange(a call) bool {
-	end := time.Now().Add(a.wait)
-	if a.after < 0 {
-		a.after = n.s.Index()
+// waitForChange holds a call until the version exceeds the one that it names or its wait time is over. It returns false
+// once the connection has ended.
+func (n *conn) waitForChange(c call) bool {
+	end := time.Now().Add(c.wait)
+	if c.after < 0 {
+		c.after = n.s.Index()
 	}
 	for {
 		n.s.mu.Lock()
-		v := n.s.list.Index()
+		version := n.s.list.Index()
 		n.s.mu.Unlock()
-		if v > a.after || !time.Now().Before(end) {
+		if version > c.after || !time.Now().Before(end) {
 			return true
 		}
 		if !n.waitUntil(end, true) {
@@ -262,16 +265,16 @@
 }
 
 // serveWatch opens a watch and serves it until the connection ends.
-func (n *conn) serveWatch(a call) bool {
+func (n *conn) serveWatch(c call) bool {
 	s := n.s
 	s.mu.Lock()
 	// A restarted caller may hold an earlier version than the one sent last.
-	n.caller.sentIndex = min(n.caller.sentIndex, a.after)
+	n.caller.sentIndex = min(n.caller.sentIndex, c.after)
 	l, old := n.takeOldList()
 	if !old {
-		l = s.list.After(a.after)
+		l = s.list.After(c.after)
 	}
-	text := s.encoded(l, a.after, s.opt.IndentWatch)
+	text := s.encoded(l, c.after, s.opt.IndentWatch)
 	n.sentIndex = s.list.Index()
 	s.mu.Unlock()
 	if !n.waitDelay() || !n.waitWhileSilenced() {
@@ -319,7 +322,8 @@
 	}
 }
 
-// next returns what to send on the watch now, if anything, and when to check again.
+// next returns what to send on the watch now, if anything, when to check again (zero: at the next heartbeat), and
+// whether the watch is silenced.
 func (n *conn) next() (text []byte, l *List, again time.Time, silent bool) {
 	s := n.s
 	s.mu.Lock()
@@ -335,23 +339,23 @@
 	if old, ok := n.takeOldList(); ok {
 		return s.encoded(old, -1, s.opt.IndentWatch), &old, again, false
 	}
-	v, again := s.visibleIndex(n.caller.fault.Delay, time.Now())
-	if v <= n.sentIndex {
+	version, again := s.visibleIndex(n.caller.fault.Delay, time.Now())
+	if version <= n.sentIndex {
 		return nil, nil, again, false
 	}
-	changes, ok := s.list.Changes(n.sentIndex, v)
+	changes, ok := s.list.Changes(n.sentIndex, version)
 	if !ok {
-		changes, v = s.list.List(), s.list.Index()
+		changes, version = s.list.List(), s.list.Index()
 	}
 	if n.caller.fault.Delay > 0 {
 		n.caller.counts.Delayed++
 	}
 	text = s.encoded(changes, n.sentIndex, s.opt.IndentWatch)
-	n.sentIndex = v
+	n.sentIndex = version
 	return text, &changes, again, false
 }
 
-// writeLine writes one line of a watch.
+// writeLine writes one line of a watch as an HTTP chunk. An empty text is a heartbeat.
 func (n *conn) writeLine(head string, text []byte, l *List) bool {
 	head += fmt.Sprintf("%x\r\n", len(text)+1)
 	if len(text) == 0 {
@@ -360,7 +364,8 @@
 	return n.write(head, text, "\n\r\n", l, &n.caller.counts.Lines)
 }
 
-// write sends a list, or its first half, and records and counts it. It returns false if the connection has ended.
+// write sends a message, or its first half after TruncateNextList, and records and counts it. l is the list that it
+// contains, nil if none. It returns false if the connection has to be closed.
 func (n *conn) write(head string, text []byte, tail string, l *List, counts ...*int) bool {
 	n.caller.recordMu.RLock()
 	defer n.caller.recordMu.RUnlock()
--- a/internal/testkit/fake/discovery/discovery_test.go
+++ b/internal/testkit/fake/discovery/discovery_test.go
@@ -38,9 +38,9 @@
 // never change, and the history is bounded.
 func TestVersionedListInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		keep := rapid.IntRange(1, 12).Draw(rt, "keep")
-		first := rapid.Int64Range(0, 50).Draw(rt, "first")
-		b := NewVersionedList(first, keep)
+		keep := rapid.IntRange(1, 12).Draw(rt, "history limit")
+		first := rapid.Int64Range(0, 50).Draw(rt, "first version")
+		list := NewVersionedList(first, keep)
 		versions := map[int64]map[string]Entry{first: {}}
 		texts, lists := []string{}, []List{}
 		remember := func(l List) List {
@@ -48,7 +48,7 @@
 			return l
 		}
 		for range rapid.IntRange(1, 15).Draw(rt, "puts") {
-			now := maps.Clone(versions[b.Index()])
+			now := maps.Clone(versions[list.Index()])
 			var entries []Entry
 			for range rapid.IntRange(0, 4).Draw(rt, "entries") {
 				e := testEntry(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "name"), rapid.SampledFrom([]Status{Active, Leaving, Left}).Draw(rt, "status"))
@@ -56,32 +56,32 @@
 				entries = append(entries, e)
 			}
 			List{Entries: entries}.Apply(now)
-			versions[b.Put(entries...)] = now
-			if len(b.history) > keep {
-				rt.Fatalf("history holds %d changes, want at most %d", len(b.history), keep)
+			versions[list.Put(entries...)] = now
+			if len(list.history) > keep {
+				rt.Fatalf("history holds %d changes, want at most %d", len(list.history), keep)
 			}
-			if len(entries) <= keep && b.Oldest() >= b.Index() {
+			if len(entries) <= keep && list.Oldest() >= list.Index() {
 				rt.Fatal("a change that fits into the history was dropped")
 			}
-			for v := first; v <= b.Index(); v++ {
-				l, ok := b.At(v)
-				if ok != (v >= b.Oldest()) || ok && !reflect.DeepEqual(applied(remember(l)), versions[v]) {
-					rt.Fatalf("version %d: %v %+v, want %v", v, ok, l, versions[v])
+			for v := first; v <= list.Index(); v++ {
+				l, ok := list.At(v)
+				if ok != (v >= list.Oldest()) || ok && !reflect.DeepEqual(applied(remember(l)), versions[v]) {
+					rt.Fatalf("version %d: in the history %v, list %+v, want %v", v, ok, l, versions[v])
 				}
-				for w := v; w <= b.Index(); w++ {
-					l, ok := b.Changes(v, w)
+				for w := v; w <= list.Index(); w++ {
+					l, ok := list.Changes(v, w)
 					at := maps.Clone(versions[v])
 					if ok {
 						remember(l).Apply(at)
 					}
-					if ok != (v >= b.Oldest()) || ok && (l.Full || l.Index != w || len(l.Entries) > 4 || !reflect.DeepEqual(at, versions[w])) {
-						rt.Fatalf("changes from %d to %d: %v %+v", v, w, ok, l)
+					if ok != (v >= list.Oldest()) || ok && (l.Full || l.Index != w || len(l.Entries) > 4 || !reflect.DeepEqual(at, versions[w])) {
+						rt.Fatalf("changes from version %d to %d, in the history %v, do not lead to it: %+v", v, w, ok, l)
 					}
 				}
 			}
-			for _, v := range []int64{first - 1, b.Oldest(), b.Index() + 1} {
-				if l := remember(b.After(v)); l.Full != (v < b.Oldest() || v > b.Index()) || l.Index != b.Index() {
-					rt.Fatalf("after %d: %+v", v, l)
+			for _, v := range []int64{first - 1, list.Oldest(), list.Index() + 1} {
+				if l := remember(list.After(v)); l.Full != (v < list.Oldest() || v > list.Index()) || l.Index != list.Index() {
+					rt.Fatalf("list for a caller at version %d: %+v, want the changes, or all if the history does not cover them", v, l)
 				}
 			}
 		}
@@ -96,8 +96,8 @@
 // The queue processes calls in order and bounds the waiting time and the number of waiting calls.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		processingTime := time.Duration(rapid.IntRange(0, 20).Draw(rt, "each"))
-		patience, limit := time.Duration(rapid.IntRange(0, 100).Draw(rt, "patience")), rapid.IntRange(1, 8).Draw(rt, "most")
+		processingTime := time.Duration(rapid.IntRange(0, 20).Draw(rt, "processing time"))
+		patience, limit := time.Duration(rapid.IntRange(0, 100).Draw(rt, "patience")), rapid.IntRange(1, 8).Draw(rt, "queue limit")
 		q, now, free := NewQueue(processingTime, patience, limit), time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
 			now += time.Duration(rapid.IntRange(0, 30).Draw(rt, "gap"))
@@ -120,7 +120,7 @@
 				free = start + processingTime
 			}
 			if at, out := q.Call(now); at != end || out != want {
-				rt.Fatalf("at %d: %v at %d, want %v at %d", now, out, at, want, end)
+				rt.Fatalf("call at %d: %v at %d, want %v at %d", now, out, at, want, end)
 			}
 		}
 	})
@@ -193,7 +193,7 @@
 func (r *fixture) expect(what string, l List, err error, index int64, full bool, entries int) {
 	r.Helper()
 	if err != nil || l.Index != index || l.Full != full || len(l.Entries) != entries {
-		r.Fatalf("%s: %+v %v, want version %d, complete %v, %d entries", what, l, err, index, full, entries)
+		r.Fatalf("%s: list %+v, error %v, want version %d, complete %v, %d entries", what, l, err, index, full, entries)
 	}
 }
 
@@ -202,7 +202,7 @@
 	r.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(r.s.Counts(name)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("%s: %+v", what, r.s.Counts(name))
+			r.Fatalf("timeout: %s, counts %+v", what, r.s.Counts(name))
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		l, _, err := r.get("x", "")
 		r.expect("plain", l, err, 41, true, 2)
 		if _, status, _ := r.get("x", "/../other"); status != http.StatusNotFound {
-			t.Errorf("another path: %d", status)
+			t.Errorf("call of another path: status %d, want 404", status)
 		}
 		next := r.watch("w", 40)
 		if mode != Push {
@@ -232,13 +232,13 @@
 			r.expect("change", l, err, 42, false, 1)
 			deliveries := r.s.Deliveries("w")
 			if len(deliveries) != 3 || deliveries[2].Entry.Status != Left || deliveries[2].Index != 42 || deliveries[2].At.Before(deliveries[0].At) {
-				t.Errorf("deliveries %+v", deliveries)
+				t.Errorf("deliveries %+v, want two entries and then the removal of a at version 42", deliveries)
 			}
 			next = r.watch("w", 7)
 			l, err = next()
 			r.expect("a watch after an unknown version", l, err, 42, true, 1)
 			if deliveries = r.s.Deliveries("w"); len(deliveries) != 4 || deliveries[3].Entry.Name != "b" {
-				t.Errorf("deliveries to a caller that holds an earlier version: %+v", deliveries)
+				t.Errorf("deliveries to a caller that holds an earlier version: %+v, want b as the fourth", deliveries)
 			}
 		}
 		if l, _, err = r.get("x", fmt.Sprintf("?wait=20&after=%d", r.s.Index())); mode == Poll {
@@ -272,7 +272,7 @@
 		}
 		return r, x, y
 	}
-	// fine checks that the other watch receives a change, and waits for a few of its heartbeats.
+	// otherUnaffected checks that the other watch receives a change, and waits for a few of its heartbeats.
 	otherUnaffected := func(r *fixture, y func() (List, error)) {
 		l, err := y()
 		r.expect("the other watch", l, err, r.s.Index(), false, 1)
@@ -312,7 +312,7 @@
 		if l, err := x(); !f.SilencePersists {
 			r.expect("the change during the silence", l, err, 4, false, 1)
 		} else if !errors.Is(err, syscall.ECONNRESET) || r.s.Counts("x").Resets != 2 {
-			t.Errorf("%+v: %+v %v", f, l, err)
+			t.Errorf("%+v: the silenced watch received %+v, error %v, want a reset counted with the call's", f, l, err)
 		}
 	}
 	r, x, y := newWatches(t)
@@ -323,7 +323,7 @@
 	l, err := x()
 	r.expect("delayed change", l, err, 4, false, 1)
 	if time.Since(start) < 150*time.Millisecond || r.s.Counts("x").Delayed != 1 || r.s.Counts("y").Delayed != 0 {
-		t.Errorf("after %v: %+v", time.Since(start), r.s.Counts("x"))
+		t.Errorf("delayed change arrived after %v, want 150 ms or more and one delay counted: counts %+v", time.Since(start), r.s.Counts("x"))
 	}
 	_ = r.s.ClearFaults()
 
@@ -331,7 +331,7 @@
 	l, err = x()
 	r.expect("old list", l, err, 2, true, 2)
 	if deliveries := r.s.Deliveries("x"); deliveries[len(deliveries)-2].Entry.Status != Left || deliveries[len(deliveries)-1].Entry.Status != Active || len(deliveries) != 6 {
-		t.Errorf("deliveries of the old list: %+v", deliveries)
+		t.Errorf("deliveries of the old list: %+v, want 6 that end with c removed and the old state of a", deliveries)
 	}
 	r.s.Put(testEntry("b", Leaving))
 	l, err = x()
@@ -342,19 +342,19 @@
 	r.s.Put(testEntry("c", Leaving))
 	otherUnaffected(r, y)
 	if l, err = x(); !errors.Is(err, io.ErrUnexpectedEOF) || len(r.s.Deliveries("x")) != 7 {
-		t.Errorf("truncated line: %+v %v, %d deliveries", l, err, len(r.s.Deliveries("x")))
+		t.Errorf("truncated line: list %+v, error %v, %d deliveries, want an unexpected EOF and 7", l, err, len(r.s.Deliveries("x")))
 	}
 	r.s.TruncateNextList("x")
 	if _, _, err = r.get("x", ""); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("truncated response: %v", err)
+		t.Errorf("truncated response: error %v, want an unexpected EOF", err)
 	}
 
 	_ = r.s.RejectCalls("x")
 	if _, status, _ := r.get("x", ""); status != http.StatusServiceUnavailable {
-		t.Errorf("rejected call: status %d", status)
+		t.Errorf("rejected call: status %d, want 503", status)
 	}
 	if n := r.s.InjectLine("nonsense"); n != 1 {
-		t.Errorf("line injected on %d watches", n)
+		t.Errorf("line injected on %d watches, want 1", n)
 	}
 	if _, err = y(); err == nil {
 		t.Error("an invalid line was read as a list")
@@ -364,16 +364,16 @@
 	}
 	r.waitFor("the watch was not closed", "y", func(c Counts) bool { return c.Open == 0 })
 	if c := r.s.Counts("x"); c.OldLists != 1 || c.Truncated != 2 || c.Rejected != 1 || c.Failed != 1 || c.Open != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts of x: %+v, want one old list, two truncations, one rejected and failed call, no open watch", c)
 	}
 	if c := r.s.Counts("y"); c.Resets != 1 || c.InjectedLines != 1 || c.OldLists+c.Truncated+c.Rejected != 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("counts of y: %+v, error of its watch: %v, want one reset and one injected line", c, err)
 	}
 
 	r = newFixture(t, Options{Mode: Poll})
 	_ = r.s.SetDown("x")
 	if _, _, err = r.get("x", ""); err == nil || r.s.Counts("x").Downs != 1 {
-		t.Errorf("down: %v %+v", err, r.s.Counts("x"))
+		t.Errorf("call to a service that is down: error %v, counts %+v", err, r.s.Counts("x"))
 	}
 	if _, _, err = r.get("y", ""); err != nil {
 		t.Error(err)
@@ -390,13 +390,13 @@
 		set(f)
 		set(f)
 		if l, err := x(); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("%+v: watch: %+v %v", f, l, err)
+			t.Errorf("%+v: watch received %+v, error %v, want a reset", f, l, err)
 		}
 		if _, _, err := r.get("x", ""); !errors.Is(err, want) {
-			t.Errorf("%+v: call: %v", f, err)
+			t.Errorf("%+v: call during the fault: error %v", f, err)
 		}
 		if c := r.s.Counts("x"); c.Downs < c.Conns || f.StopListening != (c.Conns == 1) {
-			t.Errorf("%+v: %+v", f, c)
+			t.Errorf("%+v: counts %+v, want a reset for each connection, and no new connection if nothing listens", f, c)
 		}
 		r.s.Put(testEntry("a", Leaving))
 		otherUnaffected(r, y)
@@ -405,16 +405,16 @@
 			t.Errorf("%+v: the address changed from %s to %s, error %v", f, addr, again, err)
 		}
 		if l, _, err := r.get("x", ""); err != nil || l.Index != 4 {
-			t.Errorf("%+v: call after the fault: %+v %v", f, l, err)
+			t.Errorf("%+v: call after the fault: list %+v, error %v", f, l, err)
 		}
 		_ = r.s.SetFault(Fault{StopListening: true})
 		if nc, err := net.Dial("tcp", r.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("shared address accepts connections while no address should listen: %v %v", nc, err)
+			t.Errorf("dial of the shared address while no address should listen: connection %v, error %v, want refused", nc, err)
 		}
 		if addr, err := r.s.AddrFor("new"); err != nil {
 			t.Error(err)
 		} else if _, err = net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("address opened during the fault accepts connections: %v", err)
+			t.Errorf("dial of an address opened during the fault: error %v, want refused", err)
 		}
 	}
 }
@@ -429,10 +429,10 @@
 	wg.Wait()
 	c := r.s.Counts()
 	if c.Calls != 8 || c.Served == 0 || c.TooLong == 0 || c.Full == 0 || c.Queued != c.TooLong || c.Served+c.Failed != 8 || c.Failed != c.TooLong+c.Full {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want 8 calls: some served, some that waited too long, some that found the queue full", c)
 	}
 	if a, b := r.s.Counts("0"), r.s.Counts("1"); a.Calls != 4 || b.Calls != 4 {
-		t.Errorf("%+v %+v", a, b)
+		t.Errorf("counts of the two callers: %+v and %+v, want 4 calls each", a, b)
 	}
 
 	// Two services that share a capacity: eight calls, four at each, load it like eight calls at one service.
@@ -447,7 +447,7 @@
 	wg.Wait()
 	a, b := both[0].s.Counts(), both[1].s.Counts()
 	if l := shared.Load(); l.Calls != 8 || l.Rejected != a.Failed+b.Failed || a.Full+b.Full == 0 || a.Calls != 4 || b.Calls != 4 || l.PeakPerSecond < 3 || l.PeakPerSecond > 8 {
-		t.Errorf("%+v, %+v and %+v", l, a, b)
+		t.Errorf("load of the shared capacity: %+v, counts of its services: %+v and %+v", l, a, b)
 	}
 }
 
@@ -459,7 +459,7 @@
 	}
 	_, _, _ = r.get("x", "")
 	if deliveries := r.s.Deliveries("x"); len(deliveries) != 2 || deliveries[1].Entry.Name != "9" || r.s.Counts("x").DroppedDeliveries != 8 {
-		t.Errorf("%+v", deliveries)
+		t.Errorf("recorded deliveries: %+v, want the last 2 of 10", deliveries)
 	}
 	_, _ = r.s.AddrFor("y")
 	_, tooMany := r.s.AddrFor("z")
--- a/internal/testkit/fake/discovery/errors.go
+++ b/internal/testkit/fake/discovery/errors.go
@@ -17,10 +17,10 @@
 	return fmt.Sprintf("discovery: option %s: %v is out of bounds", e.Option, e.Value)
 }
 
-// Code is stable.
+// Code implements operr.Coded.
 func (e *BadOption) Code() string { return "discovery-option" }
 
-// Advice says what to do.
+// Advice implements operr.Coded.
 func (e *BadOption) Advice() string { return "use values of 0 or more and one of the named modes" }
 
 // NoListener reports an address that could not be opened.
@@ -35,25 +35,25 @@
 
 func (e *NoListener) Unwrap() error { return e.Err }
 
-// Code is stable.
+// Code implements operr.Coded.
 func (e *NoListener) Code() string { return "discovery-listener" }
 
-// Advice says what to do.
+// Advice implements operr.Coded.
 func (e *NoListener) Advice() string {
 	return "check that loopback ports and file descriptors are available and that the service was not closed"
 }
 
-// TooManyCallers reports a caller name above Options.Callers.
+// TooManyCallers reports a request for an address beyond the limit Options.Callers.
 type TooManyCallers struct{ Most int }
 
 func (e *TooManyCallers) Error() string {
 	return fmt.Sprintf("discovery: more than %d callers", e.Most)
 }
 
-// Code is stable.
+// Code implements operr.Coded.
 func (e *TooManyCallers) Code() string { return "discovery-callers" }
 
-// Advice says what to do.
+// Advice implements operr.Coded.
 func (e *TooManyCallers) Advice() string { return "raise Options.Callers" }
 
 func init() {
--- a/internal/testkit/fake/discovery/fault.go
+++ b/internal/testkit/fake/discovery/fault.go
@@ -19,7 +19,7 @@
 	SilencePersists bool          // with Silent or Down: connections that were silenced stay silent after the fault
 	RejectCalls     bool          // calls are answered with 503 without using capacity
 	Delay           time.Duration // delay of responses and changes, but not of heartbeats
-	epoch           int
+	epoch           int           // Service.epoch when the fault was set; tells calls made before from calls made after
 }
 
 // resetsConns reports whether connections are reset under the fault.
@@ -61,7 +61,8 @@
 	return errors.Join(errs...)
 }
 
-// forEach calls do for the named callers, or all, and conns for their connections. The caller holds s.mu.
+// forEach calls do for the named callers, or all, and conns for their connections. It creates named callers that do not
+// exist. s.mu is held.
 func (s *Service) forEach(names []string, do func(*caller), conns func(*conn)) {
 	for _, name := range names {
 		s.caller(name)
@@ -112,13 +113,15 @@
 	})
 }
 
-// TruncateNextList sends each caller only the first half of its next list and closes the connection.
+// TruncateNextList sends each caller only the first half of its next list, or line of InjectLine, and closes the
+// connection.
 func (s *Service) TruncateNextList(callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.truncate = true })
 }
 
-// SendOldList sends each caller the complete list of an earlier version once: on its watch at once, or as the
-// response to its next call. The watch then continues from the version that it had reached before.
+// SendOldList sends each caller once the complete list as it was back versions ago, or the oldest one that the history
+// covers: on its watch at once, or as the response to its next call. The watch then continues from the version that it
+// had reached before.
 func (s *Service) SendOldList(back int, callers ...string) {
 	s.setOnce(callers, func(o *oneTimeFaults) { o.versionsBack = max(back, 0) })
 }
@@ -133,10 +136,10 @@
 	s.wakeAll()
 }
 
-const maxInjectedLines = 64
+const maxInjectedLines = 64 // pending lines for each watch
 
-// InjectLine writes a line unchanged to the open watches and returns their number. A watch with maxInjectedLines
-// pending lines is skipped.
+// InjectLine writes a line unchanged, valid or not, to the open watches and returns their number. A watch whose caller
+// does not read and that has maxInjectedLines pending lines is skipped.
 func (s *Service) InjectLine(line string, callers ...string) (watches int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,12 +153,12 @@
 	return watches
 }
 
-// silencedBy reports whether a fault silences the connection. The caller holds s.mu.
+// silencedBy reports whether a fault silences the connection. s.mu is held.
 func (n *conn) silencedBy(f Fault) bool {
 	return f.Down && n.s.opt.Mode == Push && !f.resetsConns(Push) || f.Silent && (!f.AnswerNewCalls || n.callEpoch < f.epoch)
 }
 
-// checkSilenced reports whether the connection currently sends nothing, and counts each silence once. The caller holds s.mu.
+// checkSilenced reports whether the connection currently sends nothing, and counts each silence once. s.mu is held.
 func (n *conn) checkSilenced() bool {
 	if f := n.caller.fault; n.silencedBy(f) {
 		n.silencedForever = n.silencedForever || f.SilencePersists
--- a/internal/testkit/fake/discovery/list.go
+++ b/internal/testkit/fake/discovery/list.go
@@ -3,11 +3,12 @@
 // that can be switched while it runs, counts calls, and records what was sent to which caller and when.
 //
 // VersionedList and Queue are its core, without I/O, clock, goroutines or locks. Simulations in virtual
-// time use them without the sockets. Their invariants, which the tests check:
+// time use them without the sockets. A version is the number that the protocol calls index. The invariants
+// of the core, which the tests check:
 //
 //   - an earlier version of the list with the later changes applied equals the current list;
 //   - a list that was returned never changes;
-//   - the history holds at most maxHistory entries and reports the versions that it no longer covers;
+//   - the history holds at most maxHistory changed entries, and a version that it no longer covers is reported as such;
 //   - calls are processed one at a time in order of arrival, each for its full processing time;
 //   - no call is served that waited longer than the patience, and no call waits when the queue is full;
 //   - a call that fails because it waited too long still takes its processing time.
@@ -105,73 +106,73 @@
 }
 
 // Index returns the current version.
-func (b *VersionedList) Index() int64 { return b.index }
+func (v *VersionedList) Index() int64 { return v.index }
 
 // Oldest returns the earliest version whose later changes are all in the history.
-func (b *VersionedList) Oldest() int64 { return b.oldest }
+func (v *VersionedList) Oldest() int64 { return v.oldest }
 
-// Put applies entries as the next version.
-func (b *VersionedList) Put(entries ...Entry) int64 {
-	b.index++
-	b.snapshot = nil
+// Put applies entries as the next version and returns its number.
+func (v *VersionedList) Put(entries ...Entry) int64 {
+	v.index++
+	v.snapshot = nil
 	for _, e := range entries {
-		c := change{index: b.index, current: e}
-		if previous, ok := b.entries[e.Name]; ok {
+		c := change{index: v.index, current: e}
+		if previous, ok := v.entries[e.Name]; ok {
 			c.previous = &previous
 		}
 		if e.Status == Left {
-			delete(b.entries, e.Name)
+			delete(v.entries, e.Name)
 		} else {
-			b.entries[e.Name] = e
+			v.entries[e.Name] = e
 		}
-		b.history = append(b.history, c)
+		v.history = append(v.history, c)
 	}
-	if excess := len(b.history) - b.maxHistory; excess > 0 {
-		b.oldest = b.history[excess-1].index
-		b.history = slices.Clone(b.history[b.indexAfter(b.oldest):])
+	if excess := len(v.history) - v.maxHistory; excess > 0 {
+		v.oldest = v.history[excess-1].index
+		v.history = slices.Clone(v.history[v.indexAfter(v.oldest):])
 	}
-	return b.index
+	return v.index
 }
 
 // indexAfter returns the position in the history of the first change after a version.
-func (b *VersionedList) indexAfter(index int64) int {
-	return sort.Search(len(b.history), func(i int) bool { return b.history[i].index > index })
+func (v *VersionedList) indexAfter(index int64) int {
+	return sort.Search(len(v.history), func(i int) bool { return v.history[i].index > index })
 }
 
 // List returns the complete list. Its entries are shared and must not be modified.
-func (b *VersionedList) List() List {
-	if b.snapshot == nil {
-		b.snapshot = &List{Index: b.index, Full: true, Entries: byName(b.entries)}
+func (v *VersionedList) List() List {
+	if v.snapshot == nil {
+		v.snapshot = &List{Index: v.index, Full: true, Entries: sortedByName(v.entries)}
 	}
-	return *b.snapshot
+	return *v.snapshot
 }
 
 // At returns the complete list at a version, or false if the history does not cover it.
-func (b *VersionedList) At(index int64) (List, bool) {
-	if index == b.index {
-		return b.List(), true
+func (v *VersionedList) At(index int64) (List, bool) {
+	if index == v.index {
+		return v.List(), true
 	}
-	if index < b.oldest || index > b.index {
+	if index < v.oldest || index > v.index {
 		return List{}, false
 	}
-	held := maps.Clone(b.entries)
-	for _, c := range slices.Backward(b.history[b.indexAfter(index):]) {
+	held := maps.Clone(v.entries)
+	for _, c := range slices.Backward(v.history[v.indexAfter(index):]) {
 		if c.previous == nil {
 			delete(held, c.current.Name)
 		} else {
 			held[c.current.Name] = *c.previous
 		}
 	}
-	return List{Index: index, Full: true, Entries: byName(held)}, true
+	return List{Index: index, Full: true, Entries: sortedByName(held)}, true
 }
 
 // Changes returns the changes after one version up to another, each entry once in its last state, or
 // false if the history does not cover them.
-func (b *VersionedList) Changes(from, to int64) (List, bool) {
-	if from < b.oldest || from > to || to > b.index {
+func (v *VersionedList) Changes(from, to int64) (List, bool) {
+	if from < v.oldest || from > to || to > v.index {
 		return List{}, false
 	}
-	l, changes := List{Index: to}, b.history[b.indexAfter(from):b.indexAfter(to)]
+	l, changes := List{Index: to}, v.history[v.indexAfter(from):v.indexAfter(to)]
 	seen := make(map[string]bool, len(changes))
 	for _, c := range slices.Backward(changes) {
 		if !seen[c.current.Name] {
@@ -185,14 +186,14 @@
 
 // After returns what to send to a caller that holds a version: the changes since, or the complete list if the
 // history does not cover them.
-func (b *VersionedList) After(index int64) List {
-	if l, ok := b.Changes(index, b.index); ok {
+func (v *VersionedList) After(index int64) List {
+	if l, ok := v.Changes(index, v.index); ok {
 		return l
 	}
-	return b.List()
+	return v.List()
 }
 
-func byName(held map[string]Entry) []Entry {
+func sortedByName(held map[string]Entry) []Entry {
 	list := make([]Entry, 0, len(held))
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		list = append(list, held[name])
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -73,20 +73,22 @@
 	Conns       int // connections
 	Calls       int // received completely
 	Served      int // answered with a list, or a watch opened
-	Failed      int // answered with an error: TooLong, Full, Refused, and invalid calls
+	Failed      int // answered with an error: TooLong, Full, Rejected, and invalid calls
 	Watches     int // opened
 	Open        int // watches open now
 	Lines       int // written completely on watches, including heartbeats
 	Beats       int // heartbeats
 	Queued      int // calls that waited in the queue
 	LongestWait time.Duration
-	TooLong     int
-	Full        int
+	TooLong     int // calls that failed because they waited too long
+	Full        int // calls that found the queue full
 
-	Downs, Silences                    int // calls and open watches that were reset or got no response because of the fault
-	Rejected                           int
+	// Downs: connections reset by Down, Reset or StopListening, and calls and watches silenced by Down.
+	// Silences: calls and watches silenced by Silent.
+	Downs, Silences                    int
+	Rejected                           int // calls answered with 503 because of RejectCalls
 	Delayed                            int // responses and lines that were delayed
-	Resets                             int
+	Resets                             int // open watches and waiting calls reset by ResetConns
 	Truncated, OldLists, InjectedLines int
 	DroppedDeliveries                  int // recorded deliveries dropped because of the bound
 }
@@ -132,7 +134,7 @@
 	list     *VersionedList
 	capacity *Capacity
 	putTimes []putTime // times of the versions in the history
-	epoch    int       // number of faults set
+	epoch    int       // number of SetFault calls
 	fault    Fault     // of new callers
 	once     oneTimeFaults
 	callers  map[string]*caller
@@ -201,7 +203,7 @@
 	return p.addr, p.setClosed(f.StopListening)
 }
 
-// caller returns the caller of a name and creates it if needed. The goroutine holds s.mu.
+// caller returns the caller of a name and creates it if needed. s.mu is held.
 func (s *Service) caller(name string) *caller {
 	c := s.callers[name]
 	if c == nil && len(s.callers) >= s.opt.Callers {
@@ -229,7 +231,7 @@
 	s.wg.Wait()
 }
 
-// Put applies entries as the next version and notifies open watches and waiting calls.
+// Put applies entries as the next version, notifies open watches and waiting calls, and returns the version.
 func (s *Service) Put(entries ...Entry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +244,8 @@
 	return s.list.Index()
 }
 
-// visibleIndex returns the version that a caller with delayed changes sees now, and when it sees the next one.
+// visibleIndex returns the version that a caller with delayed changes sees now, and when it sees the next one (zero:
+// there is none yet). s.mu is held.
 func (s *Service) visibleIndex(delay time.Duration, now time.Time) (int64, time.Time) {
 	if delay <= 0 || len(s.putTimes) == 0 {
 		return s.list.Index(), time.Time{}
@@ -277,7 +280,7 @@
 	return list
 }
 
-// Counts returns the counters of the named callers, or of all, added up.
+// Counts returns the sums of the counters of the named callers, or of all.
 func (s *Service) Counts(callers ...string) (sum Counts) {
 	list := s.settledCallers(callers)
 	s.mu.Lock()
@@ -288,7 +291,7 @@
 	return sum
 }
 
-// Callers returns the names of all callers that have called or have an address.
+// Callers returns the names of all callers that have connected, have an address or were named for a fault.
 func (s *Service) Callers() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,7 +326,7 @@
 	return all
 }
 
-// recordDelivery records a list that was written to a caller.
+// recordDelivery records a list that was written to a caller. s.mu is held.
 func (s *Service) recordDelivery(c *caller, l List, at time.Time) {
 	changed := l.Entries
 	if l.Full && c.sentIndex >= 0 {
@@ -358,7 +361,8 @@
 	}
 }
 
-// encoded returns a message's JSON. It caches the last one, because most messages are written to many callers.
+// encoded returns a message's JSON. It caches the last one, because most messages are written to many callers. s.mu is
+// held.
 func (s *Service) encoded(l List, from int64, indent bool) []byte {
 	k := &s.cache
 	if l.Full {
--- a/internal/testkit/fake/link/datagram.go
+++ b/internal/testkit/fake/link/datagram.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxDatagramSize = 64 << 10
+	maxDatagramSize = 64 << 10              // bytes
 	reorderTimeout  = 50 * time.Millisecond // maximum wait of a reordered datagram for the next one
 )
 
@@ -19,7 +19,7 @@
 	rng := rand.New(rand.NewPCG(l.opt.Seed, uint64(d)))
 	in, out := l.udp[d], l.udp[1-d]
 	var mu sync.Mutex
-	var pending func()
+	var pending func() // sends the datagram that Reorder holds back
 	b := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := in.ReadFrom(b)
@@ -44,8 +44,8 @@
 			continue // the first party's address is not configured and it has sent nothing yet
 		}
 		f, _, _ := l.currentFault(d)
-		// Each datagram takes the same draws whatever the fault, so that switching a fault does not shift the others' draws.
-		lost, doubled, reordered, jitter := rng.Float64() < f.Loss, rng.Float64() < f.Duplicate, rng.Float64() < f.Reorder, rng.Float64()
+		// Each datagram takes the same draws whatever the fault, so that switching a fault does not shift those of later ones.
+		lost, duplicated, reordered, jitter := rng.Float64() < f.Loss, rng.Float64() < f.Duplicate, rng.Float64() < f.Reorder, rng.Float64()
 		count := func(count func(*Counts)) { l.count(d, count) }
 		switch {
 		case f.Cut:
@@ -59,7 +59,7 @@
 			continue
 		}
 		copies := 1
-		if doubled {
+		if duplicated {
 			copies = 2
 			count(func(c *Counts) { c.Duplicated++ })
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendAfter calls do after a duration unless the link closes before.
+// sendAfter calls send after a delay unless the link closes before.
 func (l *Link) sendAfter(delay time.Duration, send func()) {
 	l.wg.Add(1)
 	go func() {
--- a/internal/testkit/fake/link/heldlistener.go
+++ b/internal/testkit/fake/link/heldlistener.go
@@ -14,12 +14,12 @@
 
 const (
 	defaultBacklog = 128
-	maxFillers     = 16
-	fillTimeout    = 2 * time.Second
+	maxFillers     = 16              // connects that setHeld makes to fill the accept queue before it gives up
+	fillTimeout    = 2 * time.Second // of one of these connects
 )
 
 // heldListener is a listening socket that can be held. While it is held, its accept queue is full, so that connects neither
-// succeed nor fail.
+// succeed nor fail. Connections that the listener itself dials fill the queue.
 type heldListener struct {
 	ln          *net.TCPListener
 	mu          sync.Mutex
@@ -28,7 +28,7 @@
 	released    chan struct{} // closed while the listener is not held
 	fillers     []net.Conn
 	fillerAddrs map[string]bool // local addresses of the connections that fill the queue
-	staleAddrs  map[string]bool // remote addresses of the other connections that were in the queue at the release, in the format of /proc/net/tcp
+	staleAddrs  map[string]bool // remote addresses of the connections that were in the queue at the release, in the format of /proc/net/tcp
 }
 
 func newHeldListener(at string) (*heldListener, error) {
@@ -36,15 +36,15 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &heldListener{ln: ln.(*net.TCPListener), released: make(chan struct{}), fillerAddrs: map[string]bool{}, staleAddrs: map[string]bool{}}
-	close(g.released)
-	return g, nil
+	h := &heldListener{ln: ln.(*net.TCPListener), released: make(chan struct{}), fillerAddrs: map[string]bool{}, staleAddrs: map[string]bool{}}
+	close(h.released)
+	return h, nil
 }
 
-func (g *heldListener) addr() string { return g.ln.Addr().String() }
+func (h *heldListener) addr() string { return h.ln.Addr().String() }
 
-func (g *heldListener) setBacklog(n int) (err error) {
-	raw, err := g.ln.SyscallConn()
+func (h *heldListener) setBacklog(n int) (err error) {
+	raw, err := h.ln.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -55,70 +55,71 @@
 	return listenErr
 }
 
-// setHeld fills the accept queue, or releases it.
-func (g *heldListener) setHeld(on bool) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if on == g.held {
+// setHeld fills the accept queue, or releases it. It returns EBUSY if the queue is not full after maxFillers connects.
+func (h *heldListener) setHeld(on bool) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if on == h.held {
 		return nil
 	}
-	g.held = on
+	h.held = on
 	if !on {
-		for _, nc := range g.fillers {
+		for _, nc := range h.fillers {
 			nc.Close()
 		}
-		g.fillers = nil
-		// A foreign connection that was established before the queue was full must not succeed after the release:
-		// its dialer has considered it open all the time.
+		h.fillers = nil
+		// A party's connection that was established before the queue was full is reset after the release: its dialer
+		// has considered it open all the time, while a held connect must not succeed before the release.
 		for _, state := range []string{established, closeWait} {
-			for _, s := range findSockets(g.ln.Addr(), 1, state) {
+			for _, s := range findSockets(h.ln.Addr(), 1, state) {
 				if !s.owned {
-					g.staleAddrs[s.peer] = true
+					h.staleAddrs[s.peer] = true
 				}
 			}
 		}
-		close(g.released)
-		return g.setBacklog(defaultBacklog)
+		close(h.released)
+		return h.setBacklog(defaultBacklog)
 	}
-	g.released = make(chan struct{})
-	if err := g.setBacklog(0); err != nil {
+	h.released = make(chan struct{})
+	if err := h.setBacklog(0); err != nil {
 		return err
 	}
 	for range maxFillers { // until accept holds back one connection and one is in the queue
-		if at := findSockets(g.ln.Addr(), 1, listening); g.heldBack.Load() > 0 && len(at) == 1 && at[0].queued {
+		if sockets := findSockets(h.ln.Addr(), 1, listening); h.heldBack.Load() > 0 && len(sockets) == 1 && sockets[0].queued {
 			return nil
 		}
-		nc, err := net.DialTimeout("tcp", g.addr(), fillTimeout)
+		nc, err := net.DialTimeout("tcp", h.addr(), fillTimeout)
 		if err != nil {
 			continue
 		}
-		g.fillers = append(g.fillers, nc)
-		g.fillerAddrs[nc.LocalAddr().String()] = true
-		for end := time.Now().Add(fillTimeout); g.heldBack.Load() == 0 && time.Now().Before(end); {
+		h.fillers = append(h.fillers, nc)
+		h.fillerAddrs[nc.LocalAddr().String()] = true
+		for end := time.Now().Add(fillTimeout); h.heldBack.Load() == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return syscall.EBUSY
 }
 
-// accept returns the next connection once the listener is not held.
-func (g *heldListener) accept(done <-chan struct{}) (net.Conn, error) {
+// accept returns the next connection once the listener is not held. It resets the connections that filled the queue and
+// those that were established while the listener was held.
+func (h *heldListener) accept(done <-chan struct{}) (net.Conn, error) {
 	for {
-		nc, err := g.ln.Accept()
+		nc, err := h.ln.Accept()
 		if err != nil {
 			return nil, err
 		}
-		g.heldBack.Add(1)
-		g.mu.Lock()
-		released, filler := g.released, g.fillerAddrs[nc.RemoteAddr().String()] // a connection that fills the queue is kept until the release
-		held, hex := g.held, procNetAddr(nc.RemoteAddr())
-		stale := g.staleAddrs[hex] || held
-		delete(g.fillerAddrs, nc.RemoteAddr().String())
-		delete(g.staleAddrs, hex)
-		g.mu.Unlock()
+		h.heldBack.Add(1)
+		h.mu.Lock()
+		released, filler := h.released, h.fillerAddrs[nc.RemoteAddr().String()] // a connection that fills the queue is kept until the release
+		held, peer := h.held, procNetAddr(nc.RemoteAddr())
+		stale := h.staleAddrs[peer] || held
+		delete(h.fillerAddrs, nc.RemoteAddr().String())
+		delete(h.staleAddrs, peer)
+		h.mu.Unlock()
 		select {
 		case <-released:
-			g.heldBack.Add(-1)
+			h.heldBack.Add(-1)
 			if !filler && !stale {
 				return nc, nil
 			}
@@ -130,11 +131,11 @@
 	}
 }
 
-func (g *heldListener) close() {
-	g.ln.Close()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, nc := range g.fillers {
+func (h *heldListener) close() {
+	h.ln.Close()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, nc := range h.fillers {
 		nc.Close()
 	}
 }
@@ -151,36 +152,36 @@
 type socket struct {
 	peer   string
 	queued bool // data waits to be read or, on a listening socket, a connection waits to be accepted
-	owned  bool // a process owns the socket; false for a connection that has not been accepted yet
+	owned  bool // the socket has an inode; a connection that has not been accepted yet has none
 }
 
 // findSockets returns the sockets in a state that have an address in a column: 1 for the local, 2 for the remote address.
 func findSockets(addr net.Addr, column int, state string) (all []socket) {
-	text := procNetAddr(addr)
+	hexAddr := procNetAddr(addr)
 	f, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return nil
 	}
 	defer func() { _ = f.Close() }()
 	for sc := bufio.NewScanner(f); sc.Scan(); {
-		w := strings.Fields(sc.Text())
-		if len(w) < 10 || w[column] != text || w[3] != state {
+		fields := strings.Fields(sc.Text())
+		if len(fields) < 10 || fields[column] != hexAddr || fields[3] != state {
 			continue
 		}
-		_, queue, _ := strings.Cut(w[4], ":")
-		all = append(all, socket{peer: w[2], queued: strings.Trim(queue, "0") != "", owned: w[9] != "0"})
+		_, queue, _ := strings.Cut(fields[4], ":")
+		all = append(all, socket{peer: fields[2], queued: strings.Trim(queue, "0") != "", owned: fields[9] != "0"})
 	}
 	return all
 }
 
-// procNetAddr formats an IPv4 address like /proc/net/tcp.
+// procNetAddr formats an IPv4 address like /proc/net/tcp. It returns "" for an IPv6 address.
 func procNetAddr(addr net.Addr) string {
-	at := addr.(*net.TCPAddr)
-	ip := at.IP.To4()
+	tcpAddr := addr.(*net.TCPAddr)
+	ip := tcpAddr.IP.To4()
 	if ip == nil {
 		return ""
 	}
-	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], at.Port)
+	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], tcpAddr.Port)
 }
 
 // PendingConnects returns how many connects to the link's address are in progress.
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -6,7 +6,8 @@
 //
 //	fault           TCP connection                                       datagram
 //	Cut             one direction: the receiver sees the end of the      dropped
-//	                stream; both: existing and new connections are reset
+//	                stream, nothing more is forwarded; both: existing
+//	                and new connections are reset
 //	Silent          data waits until the fault is cleared                dropped
 //	Delay           delayed by Delay plus up to Jitter at random, in     delayed; Jitter may reorder
 //	                order
@@ -48,7 +49,7 @@
 type Fault struct {
 	Cut, Silent              bool
 	Delay, Jitter            time.Duration
-	Loss, Duplicate, Reorder float64 // probabilities for each chunk
+	Loss, Duplicate, Reorder float64 // probabilities for each chunk of a stream or datagram
 	BytesPerSecond           int     // bytes per second
 	ResetAfter               int     // bytes
 	HalfOpen, Hold           bool
@@ -56,8 +57,8 @@
 
 // Counts are the traffic and the fault counters of a direction.
 type Counts struct {
-	Conns, Chunks, Bytes int // connections accepted; chunks and bytes forwarded
-	// Chunks and connections affected by each fault.
+	Conns, Chunks, Bytes int // connections accepted; chunks or datagrams and bytes forwarded
+	// Chunks, datagrams and connections affected by each fault.
 	Cut, Silenced, Delayed, Lost, Duplicated, Reordered, RateLimited, Reset, HalfOpen int
 }
 
@@ -75,8 +76,8 @@
 // Conn describes a TCP connection.
 type Conn struct {
 	OutboundAddr string    // remote address that the second party sees
-	Opened       time.Time // it was accepted
-	Ended        time.Time // its dialer closed it, or it was reset; zero: still open
+	Opened       time.Time // when it was accepted
+	Ended        time.Time // when its dialer closed it, it was reset, or its second side could not be dialled; zero: still open
 }
 
 // UnsupportedFault reports a fault that the network does not support or a value out of range.
@@ -117,15 +118,15 @@
 	tcp          [2]*heldListener // listeners that the first and the second party dial
 	udp          [2]*net.UDPConn
 	mu           sync.Mutex
-	from         net.Addr // the first party's address for datagrams
-	to           net.Addr
+	from         net.Addr // the first party's address for datagrams; nil: not known yet
+	to           net.Addr // the second party's address for datagrams
 	fault        [2]Fault
 	faultVersion [2]int        // number of times that the direction's fault was set
 	changed      chan struct{} // closed when a fault is set
 	counts       [2]Counts
 	openPipes    map[*pipe]bool
-	allPipes     []*pipe
-	accepted     int
+	allPipes     []*pipe // in the order of acceptance
+	accepted     int     // number of connections accepted; seeds the random draws of the latest one
 	done         chan struct{}
 	closing      bool
 	wg           sync.WaitGroup
@@ -154,13 +155,13 @@
 	}
 	if opt.Network != "udp" {
 		for i, e := range ends[:map[string]int{"tcp": 1, "both": 2}[opt.Network]] {
-			g, err := newHeldListener(e.at)
+			h, err := newHeldListener(e.at)
 			if err != nil {
 				return fail(e.at, err)
 			}
-			l.tcp[i] = g
-			ends[i].at = g.addr()
-			l.accept(g, e.to, i == 1)
+			l.tcp[i] = h
+			ends[i].at = h.addr()
+			l.accept(h, e.to, i == 1)
 		}
 	}
 	if opt.Network != "tcp" {
@@ -234,12 +235,12 @@
 		open = append(open, p)
 	}
 	l.mu.Unlock()
-	for i, g := range l.tcp {
-		if g == nil {
+	for i, h := range l.tcp {
+		if h == nil {
 			continue
 		}
-		if err := g.setHeld(hold[i]); err != nil {
-			return &OpenError{g.addr(), err}
+		if err := h.setHeld(hold[i]); err != nil {
+			return &OpenError{h.addr(), err}
 		}
 	}
 	for _, p := range open {
@@ -262,7 +263,8 @@
 		a.Lost + b.Lost, a.Duplicated + b.Duplicated, a.Reordered + b.Reordered, a.RateLimited + b.RateLimited, a.Reset + b.Reset, a.HalfOpen + b.HalfOpen}
 }
 
-// Conns returns all TCP connections so far, in the order of their acceptance.
+// Conns returns all TCP connections so far, in the order of their acceptance, without those reset on acceptance because
+// both directions were cut.
 func (l *Link) Conns() (all []Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -302,9 +304,9 @@
 	l.closing = true
 	close(l.done)
 	l.mu.Unlock()
-	for _, g := range l.tcp {
-		if g != nil {
-			g.close()
+	for _, h := range l.tcp {
+		if h != nil {
+			h.close()
 		}
 	}
 	for _, u := range l.udp {
--- a/internal/testkit/fake/link/link_test.go
+++ b/internal/testkit/fake/link/link_test.go
@@ -86,7 +86,7 @@
 	}
 	b := make([]byte, len(text))
 	if _, err := io.ReadFull(to, b); err != nil || string(b) != text {
-		t.Fatalf("%q %v", b, err)
+		t.Fatalf("received %q instead of the sent text, or error %v", b, err)
 	}
 }
 
@@ -110,7 +110,7 @@
 		count func(Counts) int
 		check func(*testing.T, *fixture)
 	}{
-		{"silent", Fault{Silent: true}, func(c Counts) int { return c.Silenced }, func(t *testing.T, p *fixture) {
+		{"silent until cleared", Fault{Silent: true}, func(c Counts) int { return c.Silenced }, func(t *testing.T, p *fixture) {
 			_, _ = io.WriteString(p.near, "held")
 			waitFor(t, "nothing was held back", func() bool { return p.l.Counts(Forward).Silenced > 0 })
 			expectDelivery(t, p.far, p.near, "back") // the other direction is not affected
@@ -118,31 +118,31 @@
 			expectDelivery(t, p.near, p.far, "")
 			b := make([]byte, 4)
 			if _, err := io.ReadFull(p.far, b); err != nil || string(b) != "held" {
-				t.Errorf("%q %v", b, err)
+				t.Errorf("held back data after the fault: %q, error %v", b, err)
 			}
 		}},
-		{"delay", Fault{Delay: 100 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(c Counts) int { return c.Delayed },
+		{"delay with jitter", Fault{Delay: 100 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(c Counts) int { return c.Delayed },
 			func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
-		{"loss", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, p *fixture) { expectAllData(t, p, retransmitDelay) }},
-		{"trickle", Fault{BytesPerSecond: 500000}, func(c Counts) int { return c.RateLimited }, func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
-		{"reset", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, p *fixture) {
+		{"loss of every chunk", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, p *fixture) { expectAllData(t, p, retransmitDelay) }},
+		{"rate limit", Fault{BytesPerSecond: 500000}, func(c Counts) int { return c.RateLimited }, func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
+		{"reset after 10 bytes", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, p *fixture) {
 			go func() { _, _ = p.near.Write(big) }()
 			if n, err := io.Copy(io.Discard, p.far); n > 10 || !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("%d bytes, %v", n, err)
+				t.Errorf("receiver: %d bytes, error %v, want at most 10 and a reset", n, err)
 			}
 			waitFor(t, "the sender does not see the reset", func() bool { _, err := p.near.Write([]byte("x")); return err != nil })
 		}},
 		{"cut one direction", Fault{Cut: true}, func(c Counts) int { return c.Cut }, func(t *testing.T, p *fixture) {
 			_, _ = io.WriteString(p.near, "x")
 			if b, err := io.ReadAll(p.far); len(b) > 0 || err != nil {
-				t.Errorf("%q %v", b, err)
+				t.Errorf("receiver of the cut direction: read %q, error %v, want the end of the stream", b, err)
 			}
 			expectDelivery(t, p.far, p.near, "back")
 		}},
 		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.HalfOpen }, func(t *testing.T, p *fixture) {
 			_, _ = io.WriteString(p.near, "x")
 			if _, err := io.ReadAll(p.far); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("receiver: %v", err)
+				t.Errorf("receiver: error %v, want a reset", err)
 			}
 			p.near.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			for range 3 {
@@ -151,7 +151,7 @@
 				}
 			}
 			if _, err := p.near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("sender: %v", err)
+				t.Errorf("sender: read error %v, want its timeout", err)
 			}
 		}},
 	} {
@@ -182,13 +182,13 @@
 	p := newFixture(t, "tcp")
 	p.set(t, Both, Fault{Cut: true})
 	if _, err := p.near.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("existing connection: %v", err)
+		t.Errorf("existing connection: error %v, want a reset", err)
 	}
 	p.near.Close()
 	if nc, err := net.Dial("tcp", p.l.Addr()); err == nil { // otherwise it was reset during the connect
 		nc.SetDeadline(time.Now().Add(testTimeout))
 		if _, err = nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("new connection: %v", err)
+			t.Errorf("new connection: error %v, want a reset", err)
 		}
 		nc.Close()
 	}
@@ -221,7 +221,7 @@
 	p.near.Close()
 	waitFor(t, "the dialer's close was not noticed", func() bool { all := p.l.Conns(); return !all[len(all)-1].Ended.IsZero() })
 	if c := p.l.Conns(); c[len(c)-1].OutboundAddr != p.far.RemoteAddr().String() {
-		t.Errorf("%+v", c)
+		t.Errorf("outbound address of the last connection is not the one that the second party sees: %+v", c)
 	}
 	p.set(t, Both, Fault{})
 	p.ln.Close()
@@ -234,7 +234,7 @@
 	for _, f := range []Fault{{Duplicate: 1}, {Loss: 2}} {
 		var unfit *UnsupportedFault
 		if err := p.l.SetFault(Forward, f); !errors.As(err, &unfit) {
-			t.Errorf("%+v: %v", f, err)
+			t.Errorf("set of %+v on a tcp link: error %v, want UnsupportedFault", f, err)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 			_ = at.SetReadDeadline(time.Now().Add(testTimeout))
 			n, sender, err := at.ReadFrom(x)
 			if err != nil || n != 1 || sender.String() != from {
-				t.Fatalf("%d bytes from %v: %v", n, sender, err)
+				t.Fatalf("datagram of %d bytes from %v: error %v", n, sender, err)
 			}
 			return x[0]
 		}
@@ -304,11 +304,11 @@
 	}
 	one, two := run(), run()
 	if len(one) < 10 || len(one) > 30 || len(one) != len(two) {
-		t.Fatalf("%v %v", one, two)
+		t.Fatalf("lost datagrams of two runs with one seed: %v and %v, want the same 10 to 30", one, two)
 	}
 	for i := range one {
 		if one[i] != two[i] {
-			t.Fatalf("%v %v", one, two)
+			t.Fatalf("two runs with one seed lost different datagrams: %v and %v", one, two)
 		}
 	}
 }
--- a/internal/testkit/fake/link/pipe.go
+++ b/internal/testkit/fake/link/pipe.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	chunkSize       = 16 << 10
+	chunkSize       = 16 << 10               // bytes
 	maxQueuedChunks = 64                     // chunks read ahead in one direction
 	retransmitDelay = 200 * time.Millisecond // delay of a lost chunk of a stream
 	dialTimeout     = 5 * time.Second
@@ -32,13 +32,14 @@
 	received time.Time
 }
 
-// accept serves a listener. fromSecond says that its dialer is the second party.
-func (l *Link) accept(g *heldListener, to string, fromSecond bool) {
+// accept accepts a listener's connections and connects each to the address to. fromSecond says that their dialer is the
+// second party.
+func (l *Link) accept(h *heldListener, to string, fromSecond bool) {
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
 		for {
-			nc, err := g.accept(l.done)
+			nc, err := h.accept(l.done)
 			if err != nil {
 				return
 			}
@@ -67,10 +68,10 @@
 		return
 	}
 	if l.fault[dir].HalfOpen {
-		l.counts[dir].HalfOpen++ // the other side is never dialled
+		l.counts[dir].HalfOpen++ // the address to is not dialled
 		p.halfOpen[dir] = true
 	}
-	half := p.halfOpen[dir]
+	halfOpen := p.halfOpen[dir]
 	l.openPipes[p] = true
 	l.allPipes = append(l.allPipes, p)
 	l.wg.Add(1)
@@ -81,7 +82,7 @@
 			delete(l.openPipes, p)
 			l.mu.Unlock()
 		}()
-		if half {
+		if halfOpen {
 			_, _ = io.Copy(io.Discard, nc) // until the dialer or the link closes it
 			p.recordEnd()
 			nc.Close()
@@ -90,7 +91,7 @@
 		target, err := net.DialTimeout("tcp", to, dialTimeout)
 		if err != nil {
 			p.recordEnd()
-			resetConn(nc) // the dialer sees a reset if nothing listens at the other side
+			resetConn(nc) // the dialer sees a reset if nothing listens at the address to
 			return
 		}
 		l.mu.Lock()
@@ -133,7 +134,7 @@
 	p.l.mu.Unlock()
 }
 
-// reset aborts both sides with RST.
+// reset aborts both sides with RST and counts this the first time.
 func (p *pipe) reset(dir Direction, count func(*Counts)) {
 	p.once.Do(func() {
 		p.l.count(dir, count)
@@ -276,7 +277,8 @@
 	}
 }
 
-// sleep waits for a duration. It returns false if the fault was set again or the connection ended before.
+// sleep waits for a duration. It returns false if the fault no longer has the version, because it was set again, or the
+// connection was reset before.
 func (p *pipe) sleep(d Direction, duration time.Duration, version int) bool {
 	if duration <= 0 {
 		return !p.isReset()
@@ -313,7 +315,7 @@
 	return p.halfOpen[d]
 }
 
-// makeHalfOpen resets the receiver's side of a direction. The sender does not notice and receives nothing more.
+// makeHalfOpen resets the receiver's side of a direction. The sender does not see the reset and receives nothing more.
 func (p *pipe) makeHalfOpen(d Direction) {
 	p.l.mu.Lock()
 	p.halfOpen[d] = true
--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -68,52 +68,52 @@
 	accepted int // under n.mu
 }
 
-func (p *listener) fault() Fault { return Fault(p.current.Load()) }
+func (l *listener) fault() Fault { return Fault(l.current.Load()) }
 
-func (p *listener) serve(ln net.Listener) {
+func (l *listener) serve(ln net.Listener) {
 	if u, ok := ln.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(false)
 	}
-	p.ln = ln
-	p.n.wg.Add(1)
+	l.ln = ln
+	l.n.wg.Add(1)
 	go func() {
-		defer p.n.wg.Done()
+		defer l.n.wg.Done()
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			p.n.mu.Lock()
-			p.accepted++
-			p.n.counts.Conns++
-			l := &conn{listener: p, nc: nc, done: make(chan struct{})}
-			full := p.n.closed || p.n.options.MaxConns > 0 && len(p.n.conns) >= p.n.options.MaxConns
+			l.n.mu.Lock()
+			l.accepted++
+			l.n.counts.Conns++
+			c := &conn{listener: l, nc: nc, done: make(chan struct{})}
+			full := l.n.closed || l.n.options.MaxConns > 0 && len(l.n.conns) >= l.n.options.MaxConns
 			if !full {
-				p.n.conns[l] = true
-				p.n.wg.Add(1)
+				l.n.conns[c] = true
+				l.n.wg.Add(1)
 			}
-			p.n.mu.Unlock()
-			p.n.notify(Connected)
+			l.n.mu.Unlock()
+			l.n.notify(Connected)
 			if full {
 				nc.Close()
 				continue
 			}
-			go p.n.serve(l)
+			go l.n.serve(c)
 		}
 	}()
 }
 
 // stop stops listening and removes the address's socket file.
-func (p *listener) stop() error {
-	if p.ln != nil {
-		p.ln.Close()
-		p.ln = nil
+func (l *listener) stop() error {
+	if l.ln != nil {
+		l.ln.Close()
+		l.ln = nil
 	}
-	if p.backlog != nil {
-		p.backlog.close()
-		p.backlog = nil
+	if l.backlog != nil {
+		l.backlog.close()
+		l.backlog = nil
 	}
-	if path := p.addr.Path(); path != "" {
+	if path := l.addr.Path(); path != "" {
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
@@ -121,27 +121,27 @@
 	return nil
 }
 
-// set replaces the fault.
-func (p *listener) set(f Fault) error {
-	previous := p.fault()
-	p.current.Store(int32(f))
+// set replaces the fault. A fault under which the address does not listen resets its connections.
+func (l *listener) set(f Fault) error {
+	previous := l.fault()
+	l.current.Store(int32(f))
 	if !f.listens() {
-		if err := p.stop(); err != nil {
+		if err := l.stop(); err != nil {
 			return err
 		}
-		p.resetConns()
+		l.resetConns()
 	} else if !previous.listens() {
-		if err := p.stop(); err != nil {
+		if err := l.stop(); err != nil {
 			return err
 		}
-		network, to := p.addr.Dial()
+		network, to := l.addr.Dial()
 		ln, err := net.Listen(network, to)
 		if err != nil {
 			return err
 		}
-		p.serve(ln)
+		l.serve(ln)
 	}
-	path := p.addr.Path()
+	path := l.addr.Path()
 	switch {
 	case f == StaleFile && path != "":
 		ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -153,35 +153,35 @@
 	case f == NotASocket && path != "":
 		return os.WriteFile(path, nil, 0o600)
 	case f == BacklogFull:
-		b, err := fillBacklog(p.addr)
-		p.backlog = b
+		b, err := fillBacklog(l.addr)
+		l.backlog = b
 		return err
 	}
 	return nil
 }
 
 // resetConns resets the connections of the address.
-func (p *listener) resetConns() {
-	p.n.mu.Lock()
-	defer p.n.mu.Unlock()
-	for l := range p.n.conns {
-		if l.listener == p {
-			l.reset()
+func (l *listener) resetConns() {
+	l.n.mu.Lock()
+	defer l.n.mu.Unlock()
+	for c := range l.n.conns {
+		if c.listener == l {
+			c.reset()
 		}
 	}
 }
 
 // reset aborts a connection: by RST over TCP, by closing it on a Unix socket.
-func (l *conn) reset() {
-	if t, ok := l.nc.(*net.TCPConn); ok {
+func (c *conn) reset() {
+	if t, ok := c.nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	l.nc.Close()
+	c.nc.Close()
 }
 
 // disconnected reports whether the peer has closed the connection.
-func (l *conn) disconnected() bool {
-	sc, ok := l.nc.(syscall.Conn)
+func (c *conn) disconnected() bool {
+	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -205,8 +205,8 @@
 }
 
 const (
-	backlogDialTimeout = 60 * time.Millisecond
-	maxBacklogConns    = 16
+	backlogDialTimeout = 60 * time.Millisecond // a connect that takes longer shows that the queue is full
+	maxBacklogConns    = 16                    // connects made to fill the queue before fillBacklog gives up
 )
 
 func fillBacklog(a address.Addr) (*backlog, error) {
--- a/internal/testkit/fake/node/node.go
+++ b/internal/testkit/fake/node/node.go
@@ -42,7 +42,7 @@
 	IdentityHeader      string                                // response header with the node's name; empty: none
 	Body                []byte                                // of a response; nil: the request ID
 	RecordAttempts      bool                                  // record every attempt from its first byte on, for Attempts
-	SlowStart           *SlowStart                            // limits during slow start; nil: none
+	SlowStart           *SlowStart                            // speed and limits after BeginSlowStart; nil: always as if warmed up
 	OnEvent             func(Event)                           // called for each event from the connections' goroutines; nil: not called
 	ReportShard         bool                                  // responses end with shard=N, so that clients know where a new object was put
 	Rows                *Rows                                 // rows that parts of gathered reads return; nil: parts are answered like other requests
@@ -52,7 +52,7 @@
 type Counts struct {
 	Conns        int // accepted
 	Requests     int // received completely
-	Executions   int // executions
+	Executions   int // requests executed, counted again each time
 	Duplicates   int // requests answered without execution because of their key
 	Rejected     int // rejected without execution
 	Disconnected int // requests whose client disconnected before they were executed
@@ -67,10 +67,10 @@
 	conns         map[*conn]bool
 	arrivals      map[string][]Arrival
 	keyExecutions map[string]int
-	executedKeys  map[string]time.Time
-	waiting       int
+	executedKeys  map[string]time.Time // start of the last execution of each idempotency key
+	waiting       int                  // admitted requests that no worker has taken yet
 	draining      bool
-	slots         chan struct{}
+	slots         chan struct{} // one element for each request that a worker executes
 	wg            sync.WaitGroup
 	closed        bool
 	done          chan struct{} // closed by Close
@@ -110,7 +110,7 @@
 func (n *Node) Listen(text string) (address.Addr, error) {
 	a, err := address.ParseListen(text)
 	if err != nil {
-		return a, fmt.Errorf("%s: %w", text, err)
+		return a, fmt.Errorf("fake node: listen on %s: %w", text, err)
 	}
 	network, to := a.Dial()
 	ln, err := net.Listen(network, to)
@@ -123,24 +123,25 @@
 			return a, err
 		}
 	}
-	p := &listener{n: n, addr: a}
+	l := &listener{n: n, addr: a}
 	n.mu.Lock()
-	n.listeners[a] = p
+	n.listeners[a] = l
 	n.mu.Unlock()
-	p.serve(ln)
+	l.serve(ln)
 	return a, nil
 }
 
-// SetFault switches the fault of an address. It also applies to open connections: a fault that ends
-// connections (Refused, Reset, StaleFile, NotASocket, BacklogFull) resets them.
+// SetFault switches the fault of an address. It also applies to open connections: a fault under which the
+// address does not listen (Refused, StaleFile, NotASocket, BacklogFull) resets them at once, Reset resets
+// them when their next request has been received.
 func (n *Node) SetFault(a address.Addr, f Fault) error {
 	n.mu.Lock()
-	p := n.listeners[a]
+	l := n.listeners[a]
 	n.mu.Unlock()
-	if p == nil {
+	if l == nil {
 		return fmt.Errorf("set fault: the node does not listen on %v", a)
 	}
-	return p.set(f)
+	return l.set(f)
 }
 
 // Drain switches draining on or off. A draining node rejects new requests.
@@ -202,13 +203,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, all := range n.arrivals {
-		ran := 0
+		executions := 0
 		for _, a := range all {
 			if a.Executed {
-				ran++
+				executions++
 			}
 		}
-		id = max(id, ran)
+		id = max(id, executions)
 	}
 	for _, v := range n.keyExecutions {
 		key = max(key, v)
@@ -230,8 +231,8 @@
 func (n *Node) OpenConns(a address.Addr) (open int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l := range n.conns {
-		if l.listener.addr == a {
+	for c := range n.conns {
+		if c.listener.addr == a {
 			open++
 		}
 	}
@@ -242,13 +243,14 @@
 func (n *Node) AcceptedConns(a address.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if p := n.listeners[a]; p != nil {
-		return p.accepted
+	if l := n.listeners[a]; l != nil {
+		return l.accepted
 	}
 	return 0
 }
 
-// ResetState clears the counts by request ID and key and the deduplication window, as a restart would.
+// ResetState clears the deduplication window, as a restart would, and what Counts, Arrivals, KeyExecutions and
+// AcceptedConns return. Recorded attempts, row counts and crashes are kept.
 func (n *Node) ResetState() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -256,8 +258,8 @@
 	clear(n.keyExecutions)
 	clear(n.executedKeys)
 	n.counts = Counts{}
-	for _, p := range n.listeners {
-		p.accepted = 0
+	for _, l := range n.listeners {
+		l.accepted = 0
 	}
 }
 
@@ -269,17 +271,17 @@
 		close(n.done)
 	}
 	n.closed = true
-	ports := n.listeners
+	listeners := n.listeners
 	n.listeners = map[address.Addr]*listener{}
 	n.mu.Unlock()
 	n.restartMu.Unlock()
 	var errs []error
-	for _, p := range ports {
-		errs = append(errs, p.stop())
+	for _, l := range listeners {
+		errs = append(errs, l.stop())
 	}
 	n.mu.Lock()
-	for l := range n.conns {
-		l.nc.Close()
+	for c := range n.conns {
+		c.nc.Close()
 	}
 	n.mu.Unlock()
 	if err := errors.Join(errs...); err != nil {
@@ -296,68 +298,69 @@
 	recorder *recorder // nil: recording is off
 }
 
-func (n *Node) serve(l *conn) {
+func (n *Node) serve(c *conn) {
 	defer n.wg.Done()
 	defer func() {
-		close(l.done)
-		l.nc.Close()
+		close(c.done)
+		c.nc.Close()
 		n.mu.Lock()
-		delete(n.conns, l)
+		delete(n.conns, c)
 		n.mu.Unlock()
 	}()
-	br := bufio.NewReaderSize(l.nc, 16<<10)
+	br := bufio.NewReaderSize(c.nc, 16<<10)
 	if n.options.RecordAttempts {
-		l.recorder = &recorder{n: n, nc: l.nc}
-		br.Reset(l.recorder)
+		c.recorder = &recorder{n: n, nc: c.nc}
+		br.Reset(c.recorder)
 	}
-	defer l.recorder.end()
+	defer c.recorder.end()
 	for responses := 1; ; responses++ {
 		request := &fasthttp.Request{}
-		if l.listener.fault() == Hang {
-			l.holdOpen()
+		if c.listener.fault() == Hang {
+			c.holdOpen()
 			return
 		}
-		if l.recorder != nil && l.recorder.begin(br) != nil {
+		if c.recorder != nil && c.recorder.begin(br) != nil {
 			return
 		}
 		err := request.Read(br)
-		if l.recorder != nil {
-			l.recorder.requestRead(request, err, l)
+		if c.recorder != nil {
+			c.recorder.requestRead(request, err, c)
 		}
 		if err != nil {
 			return
 		}
-		if !n.handleRequest(l, request, n.options.MaxResponsesPerConn > 0 && responses >= n.options.MaxResponsesPerConn) {
+		if !n.handleRequest(c, request, n.options.MaxResponsesPerConn > 0 && responses >= n.options.MaxResponsesPerConn) {
 			return
 		}
 	}
 }
 
 // holdOpen keeps a connection open without responding until the connection or the fault ends.
-func (l *conn) holdOpen() {
-	for l.listener.fault() == Hang || l.listener.fault() == NoResponse || l.listener.fault() == HalfResponse {
-		if err := l.nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
+func (c *conn) holdOpen() {
+	for c.listener.fault() == Hang || c.listener.fault() == NoResponse || c.listener.fault() == HalfResponse {
+		if err := c.nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 			return
 		}
 		var b [512]byte
-		if _, err := l.nc.Read(b[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.nc.Read(b[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 	}
 }
 
-// handleRequest handles a complete request. It returns false if the connection ends.
-func (n *Node) handleRequest(l *conn, request *fasthttp.Request, last bool) bool {
+// handleRequest handles a complete request. The connection ends after the response if last is set. It returns false if
+// the connection ends.
+func (n *Node) handleRequest(c *conn, request *fasthttp.Request, last bool) bool {
 	n.mu.Lock()
 	n.counts.Requests++
 	n.mu.Unlock()
-	fault := l.listener.fault()
+	fault := c.listener.fault()
 	switch fault {
 	case Hang:
-		l.holdOpen()
+		c.holdOpen()
 		return false
 	case Reset:
-		l.reset()
+		c.reset()
 		return false
 	}
 	if path := string(request.URI().Path()); path == "/health/live" || path == "/stats" {
@@ -365,14 +368,14 @@
 		if n.options.HealthEndpoints {
 			code = fasthttp.StatusOK
 		}
-		return l.respond(code, nil, last, "")
+		return c.respond(code, nil, last, "")
 	}
 	id, key := string(request.Header.Peek("X-Request-Id")), string(request.Header.Peek("Idempotency-Key"))
 	if id == "" {
-		return l.respond(fasthttp.StatusNotFound, nil, last, "")
+		return c.respond(fasthttp.StatusNotFound, nil, last, "")
 	}
 	n.mu.Lock()
-	n.arrivals[id] = append(n.arrivals[id], Arrival{At: time.Now(), Addr: l.listener.addr})
+	n.arrivals[id] = append(n.arrivals[id], Arrival{At: time.Now(), Addr: c.listener.addr})
 	n.mu.Unlock()
 	n.notify(RequestReceived)
 	if n.options.SlowStart != nil && n.countLoad(Units(request)) {
@@ -385,30 +388,30 @@
 			n.counts.Rejected++
 		}
 		n.mu.Unlock()
-		return l.respond(code, nil, last, l.reportedName(fault))
+		return c.respond(code, nil, last, c.reportedName(fault))
 	}
 	n.slots <- struct{}{}
 	n.mu.Lock()
 	n.waiting--
 	n.mu.Unlock()
-	connected := n.run(l, request, id, key)
+	connected := n.run(c, request, id, key)
 	<-n.slots
 	if !connected {
 		return false
 	}
-	switch fault = l.listener.fault(); fault {
+	switch fault = c.listener.fault(); fault {
 	case NoResponse:
-		l.holdOpen()
+		c.holdOpen()
 		return false
 	case HalfResponse:
-		l.respondHalf()
-		l.holdOpen()
+		c.respondHalf()
+		c.holdOpen()
 		return false
 	case Slow:
 		time.Sleep(n.options.SlowDelay)
 	}
 	if maxRows, isPart := requestedRows(request); isPart && n.options.Rows != nil {
-		return l.sendRows(id, maxRows, last, l.reportedName(fault))
+		return c.sendRows(id, maxRows, last, c.reportedName(fault))
 	}
 	body := n.options.Body
 	if body == nil {
@@ -417,18 +420,18 @@
 	if n.options.ReportShard {
 		body = fmt.Appendf(slices.Clip(body), " shard=%d", n.options.Shard)
 	}
-	return l.respond(fasthttp.StatusOK, body, last, l.reportedName(fault))
+	return c.respond(fasthttp.StatusOK, body, last, c.reportedName(fault))
 }
 
 // reportedName returns the name that the node reports in its responses.
-func (l *conn) reportedName(f Fault) string {
+func (c *conn) reportedName(f Fault) string {
 	if f == OtherNode {
 		return "other"
 	}
-	return l.listener.n.options.Name
+	return c.listener.n.options.Name
 }
 
-// Units returns a request's units of work from its IO-Info header, 1 if there are none.
+// Units returns a request's units of work from its IO-Info header, 1 if the header has none.
 func Units(request *fasthttp.Request) float64 {
 	for part := range strings.SplitSeq(string(request.Header.Peek("IO-Info")), ",") {
 		if v, ok := strings.CutPrefix(part, "units="); ok {
@@ -461,8 +464,8 @@
 
 // run executes a request unless its key was executed within the deduplication window. It returns false if
 // the client disconnected while the request was waiting.
-func (n *Node) run(l *conn, request *fasthttp.Request, id, key string) (connected bool) {
-	if l.disconnected() {
+func (n *Node) run(c *conn, request *fasthttp.Request, id, key string) (connected bool) {
+	if c.disconnected() {
 		n.mu.Lock()
 		n.counts.Disconnected++
 		n.mu.Unlock()
@@ -473,7 +476,7 @@
 	if executedAt, executed := n.executedKeys[key]; key != "" && executed && now.Sub(executedAt) < n.options.DedupWindow {
 		n.counts.Duplicates++
 		n.mu.Unlock()
-		l.recorder.update(func(a *Attempt) { a.Duplicate = true })
+		c.recorder.update(func(a *Attempt) { a.Duplicate = true })
 		return true
 	}
 	if key != "" {
@@ -483,35 +486,37 @@
 	n.counts.Executions++
 	arrivals := n.arrivals[id]
 	for i := len(arrivals) - 1; i >= 0; i-- {
-		if arrivals[i].Addr == l.listener.addr && !arrivals[i].Executed {
+		if arrivals[i].Addr == c.listener.addr && !arrivals[i].Executed {
 			arrivals[i].Executed = true
 			break
 		}
 	}
 	n.mu.Unlock()
-	l.recorder.update(func(a *Attempt) { a.ExecutedAt = time.Now() })
+	c.recorder.update(func(a *Attempt) { a.ExecutedAt = time.Now() })
 	if n.options.ServiceTime != nil {
 		time.Sleep(n.scaleServiceTime(n.options.ServiceTime(request)))
 	}
 	return true
 }
 
-func (l *conn) respond(code int, body []byte, last bool, name string) bool {
+// respond writes a response, marks it with X-Not-Run if the status is one of a rejection, and closes the connection after
+// it if last is set. name is the value of the identity header, "" for none. It returns false if the connection ends.
+func (c *conn) respond(code int, body []byte, last bool, name string) bool {
 	var r fasthttp.Response
 	r.SetStatusCode(code)
 	if code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout {
 		r.Header.Set("X-Not-Run", "1")
-		l.recorder.update(func(a *Attempt) { a.Rejected = true })
+		c.recorder.update(func(a *Attempt) { a.Rejected = true })
 	}
-	if h := l.listener.n.options.IdentityHeader; h != "" && name != "" {
+	if h := c.listener.n.options.IdentityHeader; h != "" && name != "" {
 		r.Header.Set(h, name)
 	}
 	if last {
 		r.SetConnectionClose()
 	}
 	r.SetBody(body)
-	w := bufio.NewWriter(l.nc)
-	defer l.recorder.end()
+	w := bufio.NewWriter(c.nc)
+	defer c.recorder.end()
 	if r.Write(w) != nil || w.Flush() != nil {
 		return false
 	}
@@ -519,7 +524,7 @@
 }
 
 // respondHalf sends the first half of a response.
-func (l *conn) respondHalf() {
+func (c *conn) respondHalf() {
 	const halfResponse = "HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nthe first half of an answer, no more"
-	_, _ = l.nc.Write([]byte(halfResponse))
+	_, _ = c.nc.Write([]byte(halfResponse))
 }
--- a/internal/testkit/fake/node/node_test.go
+++ b/internal/testkit/fake/node/node_test.go
@@ -56,14 +56,14 @@
 	for i, a := range listenOnAllKinds(t, n) {
 		r, err := sendRequest(a, fmt.Sprint("r", i), "k", 3, time.Minute)
 		if err != nil || r.StatusCode() != 200 || string(r.Body()) != fmt.Sprint("r", i) || string(r.Header.Peek("X-Node")) != "n" {
-			t.Errorf("%v: %v %v", a, err, r)
+			t.Errorf("%v: error %v, response %v", a, err, r)
 		}
 		if r, err := sendRequest(a, "o", "k2", 4, time.Minute); err != nil || r.StatusCode() != 503 || string(r.Header.Peek("X-Not-Run")) != "1" {
-			t.Errorf("%v: request for another shard: %v %v", a, err, r)
+			t.Errorf("%v: request for another shard: error %v, response %v, want a rejection", a, err, r)
 		}
 	}
 	if c := n.Counts(); c.Executions != 1 || c.Duplicates != c.Requests/2-1 || n.KeyExecutions("k") != 1 || n.KeyExecutions("k2") != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want one execution of the key and every other request for the shard deduplicated", c)
 	}
 }
 
@@ -75,7 +75,7 @@
 		for _, f := range Faults() {
 			n.ResetState()
 			if err := n.SetFault(a, f); err != nil {
-				t.Fatalf("%v %v: %v", a, f, err)
+				t.Fatalf("%v: set fault %v: %v", a, f, err)
 			}
 			start := time.Now()
 			within := map[bool]time.Duration{true: testTimeout, false: expectTimeout}[f == Reset || f == OtherNode || !f.listens() && f != BacklogFull]
@@ -99,13 +99,13 @@
 				ok = err == nil && r.StatusCode() == 503 && executions == 0
 			}
 			if !ok {
-				t.Errorf("%v %v: %v after %v, %d executions", a, f, err, time.Since(start), executions)
+				t.Errorf("%v, fault %v: request ended with error %v after %v, %d executions", a, f, err, time.Since(start), executions)
 			}
 			if err := n.SetFault(a, None); err != nil {
 				t.Fatal(err)
 			}
 			if r, err := sendRequest(a, "after", "", 0, testTimeout); err != nil || r.StatusCode() != 200 {
-				t.Errorf("%v after %v: %v", a, f, err)
+				t.Errorf("%v: request after fault %v was cleared: error %v", a, f, err)
 			}
 		}
 	}
@@ -124,12 +124,12 @@
 	}
 	t.Cleanup(n.Close)
 	for i := range 3 {
-		if at := time.Now(); i == 0 {
+		if start := time.Now(); i == 0 {
 			if n.scaleServiceTime(serviceTime) != serviceTime {
-				t.Error("a warmed-up node is slowed down")
+				t.Error("a warmed-up node takes longer than its service time")
 			}
-		} else if _, err := sendRequest(a, fmt.Sprint("s", i), "", 0, time.Minute); err != nil || time.Since(at) < 2*serviceTime*9/10 {
-			t.Errorf("a node in slow start took %v, error %v", time.Since(at), err)
+		} else if _, err := sendRequest(a, fmt.Sprint("s", i), "", 0, time.Minute); err != nil || time.Since(start) < 2*serviceTime*9/10 {
+			t.Errorf("a node in slow start at half speed answered after %v, error %v, want about twice the service time", time.Since(start), err)
 		}
 		n.BeginSlowStart()
 	}
@@ -143,7 +143,7 @@
 	for restarts := range 2 {
 		overloadLimit := int(limits.overloadLimit(0)) // 4 + 3*2 + 3
 		if restarts == 0 && overloadLimit != 13 {
-			t.Errorf("overload limit %d", overloadLimit)
+			t.Errorf("overload limit %d, want 13", overloadLimit)
 		}
 		for i := range overloadLimit - restarts { // after the restart one request has been counted already
 			if _, err := sendRequest(a, fmt.Sprint(restarts, i), "", 0, time.Minute); err != nil {
@@ -155,7 +155,7 @@
 		}
 		waitFor(Crashed)
 		if crashes, peakLoad := n.Crashes(); crashes != restarts+1 || peakLoad <= 1 {
-			t.Errorf("%d crashes, peak load %v", crashes, peakLoad)
+			t.Errorf("%d crashes, peak load %v, want one more crash and a load above 1", crashes, peakLoad)
 		}
 		waitFor(Restarted)
 		if _, err := sendRequest(a, "back", "", 0, time.Minute); err != nil {
@@ -163,6 +163,6 @@
 		}
 	}
 	if p := limits.speed(limits.Duration / 2); p != 0.75 {
-		t.Errorf("speed after half of the slow start: %v", p)
+		t.Errorf("speed after half of the slow start: %v, want 0.75", p)
 	}
 }
--- a/internal/testkit/fake/node/record.go
+++ b/internal/testkit/fake/node/record.go
@@ -24,14 +24,14 @@
 }
 
 const (
-	maxRecordedHead         = 4 << 10
+	maxRecordedHead         = 4 << 10 // bytes
 	disconnectCheckInterval = 2 * time.Millisecond
 )
 
 var idLine = regexp.MustCompile(`(?i)\r\nX-Request-Id: ([^\r]+)\r`)
 
-// recorder records one connection: it copies the head of each request as it is read and tracks the
-// current attempt.
+// recorder records one connection: it copies the head of each request as it is read, so that the ID of a truncated
+// request is known, and tracks the current attempt.
 type recorder struct {
 	n                   *Node
 	nc                  net.Conn
@@ -62,7 +62,7 @@
 }
 
 // requestRead records that a request was received or truncated.
-func (r *recorder) requestRead(q *fasthttp.Request, err error, l *conn) {
+func (r *recorder) requestRead(q *fasthttp.Request, err error, c *conn) {
 	r.update(func(a *Attempt) {
 		if err != nil {
 			if m := idLine.FindSubmatch(r.head); m != nil {
@@ -90,7 +90,7 @@
 			case <-done:
 				return
 			case <-t.C:
-				if l.disconnected() {
+				if c.disconnected() {
 					r.n.mu.Lock()
 					if a.EndedAt.IsZero() {
 						a.EndedAt = time.Now()
@@ -103,6 +103,7 @@
 	}()
 }
 
+// update changes the current attempt. It does nothing if recording is off.
 func (r *recorder) update(f func(*Attempt)) {
 	if r == nil || r.attempt == nil {
 		return
--- a/internal/testkit/fake/node/rows.go
+++ b/internal/testkit/fake/node/rows.go
@@ -102,7 +102,7 @@
 
 // MergeOptions configure Rows.Merge.
 type MergeOptions struct {
-	Keep    string // which of the rows with equal keys: all, first or last in the order of the shards, or highest version
+	Keep    string // which of the rows with equal keys: all, first or last (in the order of the shards), or highest (version)
 	Offset  int
 	MaxRows int // maximum number of rows; 0: all
 }
@@ -110,7 +110,7 @@
 // Merge is a reference implementation of the merge of a gathered read, independent of the production code. It
 // collects the rows of the shards, sorts them by key, keeps rows with equal keys in the order of the shards, and applies
 // the options.
-func (r *Rows) Merge(shards []int, f MergeOptions) [][]byte {
+func (r *Rows) Merge(shards []int, opt MergeOptions) [][]byte {
 	type row struct {
 		k, v int64
 		text []byte
@@ -132,7 +132,7 @@
 		for to = from; to < len(all) && all[to].k == all[from].k; to++ {
 		}
 		group := all[from:to]
-		switch f.Keep {
+		switch opt.Keep {
 		case "all":
 			for _, x := range group {
 				out = append(out, x.text)
@@ -144,12 +144,12 @@
 		case "highest":
 			out = append(out, slices.MaxFunc(group, func(a, b row) int { return cmp.Compare(a.v, b.v) }).text)
 		default:
-			panic("merge rows: unknown keep rule " + f.Keep)
+			panic("merge rows: unknown keep rule " + opt.Keep)
 		}
 	}
-	out = out[min(f.Offset, len(out)):]
-	if f.MaxRows > 0 {
-		out = out[:min(f.MaxRows, len(out))]
+	out = out[min(opt.Offset, len(out)):]
+	if opt.MaxRows > 0 {
+		out = out[:min(opt.MaxRows, len(out))]
 	}
 	return out
 }
@@ -172,7 +172,7 @@
 	Requests, Rows       int
 	Complete, Limited    int // responses written completely: with all rows, or with as many as requested
 	Disconnected         int // the client was seen to disconnect
-	Delayed, Paused      int // faults injected
+	Delayed, Paused      int // faults injected; OtherVersion counts rows
 	Stalled, ConnsClosed int
 	Unsorted             int
 	OtherVersion         int
@@ -202,10 +202,10 @@
 func (n *Node) addRowCounts(id string, d RowCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, of := range []string{id, ""} {
-		c := n.rowCounts[of]
+	for _, requestID := range []string{id, ""} {
+		c := n.rowCounts[requestID]
 		c.add(d)
-		n.rowCounts[of] = c
+		n.rowCounts[requestID] = c
 	}
 }
 
@@ -216,7 +216,7 @@
 		return RowFault{}
 	}
 	if f.FromAttempt > 0 {
-		if no, err := strconv.Atoi(id[strings.LastIndexByte(id, '/')+1:]); err != nil || no < f.FromAttempt {
+		if attempt, err := strconv.Atoi(id[strings.LastIndexByte(id, '/')+1:]); err != nil || attempt < f.FromAttempt {
 			return RowFault{}
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 // requestedRows reports whether a request is for a part of a gathered read, and for how many rows.
-func requestedRows(q *fasthttp.Request) (rows int, is bool) {
+func requestedRows(q *fasthttp.Request) (rows int, isPart bool) {
 	v := q.Header.Peek(rowsHeader)
 	rows, err := strconv.Atoi(string(v))
 	return rows, err == nil && rows >= 0
@@ -242,11 +242,11 @@
 
 const faultCheckInterval = 5 * time.Millisecond
 
-// waitDuring waits for a duration or until the fault no longer requires waiting. It returns false if the client
+// waitDuring waits for a duration or until the request's row fault no longer applies. It returns false if the client
 // disconnected or the node closed.
-func (l *conn) waitDuring(id string, duration time.Duration, applies func(RowFault) bool) bool {
-	for end := time.Now().Add(duration); applies(l.listener.n.rowFaultFor(id)) && time.Now().Before(end); {
-		if l.disconnected() || l.listener.n.isClosed() {
+func (c *conn) waitDuring(id string, duration time.Duration, applies func(RowFault) bool) bool {
+	for end := time.Now().Add(duration); applies(c.listener.n.rowFaultFor(id)) && time.Now().Before(end); {
+		if c.disconnected() || c.listener.n.isClosed() {
 			return false
 		}
 		time.Sleep(min(faultCheckInterval, max(0, time.Until(end))))
@@ -260,10 +260,11 @@
 	return n.closed
 }
 
-// sendRows sends the first rows of the shard (0 for all) as a chunked response. It returns false if the connection ends.
-func (l *conn) sendRows(id string, maxRows int, last bool, name string) bool {
-	n := l.listener.n
-	defer l.recorder.end()
+// sendRows sends the first maxRows rows of the shard (0: all) as a chunked response, which is the connection's last one if
+// last is set. It returns false if the connection ends.
+func (c *conn) sendRows(id string, maxRows int, last bool, name string) bool {
+	n := c.listener.n
+	defer c.recorder.end()
 	n.addRowCounts(id, RowCounts{Requests: 1})
 	clientDisconnected := func() bool {
 		n.addRowCounts(id, RowCounts{Disconnected: 1})
@@ -276,11 +277,11 @@
 	}
 	if fault := n.rowFaultFor(id); fault.Delay > 0 {
 		n.addRowCounts(id, RowCounts{Delayed: 1})
-		if !l.waitDuring(id, fault.Delay, func(fault RowFault) bool { return fault.Delay > 0 }) {
+		if !c.waitDuring(id, fault.Delay, func(fault RowFault) bool { return fault.Delay > 0 }) {
 			return clientDisconnected()
 		}
 	}
-	w := bufio.NewWriterSize(l.nc, 16<<10)
+	w := bufio.NewWriterSize(c.nc, 16<<10)
 	_, _ = w.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n")
 	if limited {
 		_, _ = w.WriteString(limitedHeader + ": 1\r\n")
@@ -319,14 +320,14 @@
 				stallCounted = true
 				n.addRowCounts(id, RowCounts{Stalled: 1})
 			}
-			if !l.waitDuring(id, time.Hour, stalled) {
+			if !c.waitDuring(id, time.Hour, stalled) {
 				return clientDisconnected()
 			}
 			continue
 		case faulty && fault.Pause > 0 && !paused:
 			paused = true
 			n.addRowCounts(id, RowCounts{Paused: 1})
-			if !l.waitDuring(id, fault.Pause, func(fault RowFault) bool { return fault.Pause > 0 }) {
+			if !c.waitDuring(id, fault.Pause, func(fault RowFault) bool { return fault.Pause > 0 }) {
 				return clientDisconnected()
 			}
 			continue
--- a/internal/testkit/fake/node/rows_test.go
+++ b/internal/testkit/fake/node/rows_test.go
@@ -55,54 +55,54 @@
 	if !slices.IsSortedFunc(all, func(a, b []byte) int {
 		return int(gjson.GetBytes(a, "k").Int() - gjson.GetBytes(b, "k").Int())
 	}) || len(all) != r.RowsPerShard {
-		t.Fatalf("%q", all)
+		t.Fatalf("rows of the shard are not sorted by key or not 200: %q", all)
 	}
 	for i, x := range []struct {
-		f       RowFault
-		copy    int
-		ask     int
-		within  time.Duration
-		rows    int // received
-		whole   bool
-		limited bool
-		count   func(RowCounts) int
+		f        RowFault
+		attempt  int
+		limit    int
+		within   time.Duration
+		rows     int // received
+		complete bool
+		limited  bool
+		count    func(RowCounts) int
 	}{
-		{rows: 200, whole: true, count: func(c RowCounts) int { return c.Complete }},
-		{ask: 30, rows: 30, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
-		{ask: 200, rows: 200, whole: true, count: func(c RowCounts) int { return c.Complete }},
+		{rows: 200, complete: true, count: func(c RowCounts) int { return c.Complete }},
+		{limit: 30, rows: 30, complete: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
+		{limit: 200, rows: 200, complete: true, count: func(c RowCounts) int { return c.Complete }},
 		{f: RowFault{Delay: time.Hour}, within: expectTimeout, count: func(c RowCounts) int { return c.Delayed }},
-		{f: RowFault{Delay: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Delayed }},
+		{f: RowFault{Delay: time.Millisecond}, rows: 200, complete: true, count: func(c RowCounts) int { return c.Delayed }},
 		{f: RowFault{AfterRows: 21, Pause: time.Hour}, within: expectTimeout, rows: 21, count: func(c RowCounts) int { return c.Paused }},
-		{f: RowFault{AfterRows: 21, Pause: time.Millisecond}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Paused }},
+		{f: RowFault{AfterRows: 21, Pause: time.Millisecond}, rows: 200, complete: true, count: func(c RowCounts) int { return c.Paused }},
 		{f: RowFault{AfterRows: 5, Stall: true}, within: expectTimeout, rows: 5, count: func(c RowCounts) int { return c.Stalled }},
 		{f: RowFault{AfterRows: 50, CloseConn: true}, rows: 50, count: func(c RowCounts) int { return c.ConnsClosed }},
-		{f: RowFault{AfterRows: 50, CloseConn: true}, ask: 40, rows: 40, whole: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
-		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, copy: 1, rows: 200, whole: true, count: func(c RowCounts) int { return 1 - c.ConnsClosed }},
-		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, copy: 2, rows: 50, count: func(c RowCounts) int { return c.ConnsClosed }},
-		{f: RowFault{AfterRows: 47, Unsorted: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.Unsorted }},
-		{f: RowFault{AfterRows: 199, OtherVersion: true}, rows: 200, whole: true, count: func(c RowCounts) int { return c.OtherVersion }},
+		{f: RowFault{AfterRows: 50, CloseConn: true}, limit: 40, rows: 40, complete: true, limited: true, count: func(c RowCounts) int { return c.Limited }},
+		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, attempt: 1, rows: 200, complete: true, count: func(c RowCounts) int { return 1 - c.ConnsClosed }},
+		{f: RowFault{AfterRows: 50, CloseConn: true, FromAttempt: 2}, attempt: 2, rows: 50, count: func(c RowCounts) int { return c.ConnsClosed }},
+		{f: RowFault{AfterRows: 47, Unsorted: true}, rows: 200, complete: true, count: func(c RowCounts) int { return c.Unsorted }},
+		{f: RowFault{AfterRows: 199, OtherVersion: true}, rows: 200, complete: true, count: func(c RowCounts) int { return c.OtherVersion }},
 	} {
 		n.SetRowFault(x.f)
 		if x.within == 0 {
 			x.within = testTimeout
 		}
-		id := fmt.Sprintf("q%d/3/%d", i, x.copy)
-		got, limited, err := requestPart(t, a.String(), id, 3, x.ask, x.within)
+		id := fmt.Sprintf("q%d/3/%d", i, x.attempt)
+		got, limited, err := requestPart(t, a.String(), id, 3, x.limit, x.within)
 		want := slices.Clone(all[:x.rows])
 		if x.f.Unsorted {
 			want[47], want[48] = want[48], want[47]
 		}
 		if x.f.OtherVersion {
 			if equalRows(got, want) {
-				t.Errorf("%+v: rows do not differ", x.f)
+				t.Errorf("%+v: rows do not differ from those without the fault", x.f)
 			}
 			want[199] = got[199]
 		}
-		if !equalRows(got, want) || (err == nil) != x.whole || limited != x.limited {
-			t.Errorf("%+v attempt %d: %d rows, error %v, limited %v", x.f, x.copy, len(got), err, limited)
+		if !equalRows(got, want) || (err == nil) != x.complete || limited != x.limited {
+			t.Errorf("%+v, attempt %d: unexpected rows (%d received), error (%v) or limit header (%v)", x.f, x.attempt, len(got), err, limited)
 		}
 		if c := n.RowCounts(id); x.count(c) != 1 || c.Requests != 1 {
-			t.Errorf("%+v attempt %d: counts %+v", x.f, x.copy, c)
+			t.Errorf("%+v, attempt %d: response or fault not counted once: %+v", x.f, x.attempt, c)
 		}
 	}
 	n.SetRowFault(RowFault{})
@@ -125,7 +125,7 @@
 		}
 	}
 	if len(versions) > 270 || len(versions) < 200 {
-		t.Fatalf("%d distinct keys in 300 rows", len(versions))
+		t.Fatalf("%d distinct keys in 300 rows, want 200 to 270", len(versions))
 	}
 	for keep, kept := range map[string]func([]int64) []int64{
 		"all": func(v []int64) []int64 { return v }, "first": func(v []int64) []int64 { return v[:1] },
@@ -147,7 +147,7 @@
 			}
 		}
 		if page := r.Merge(shards, MergeOptions{Keep: keep, Offset: 10, MaxRows: 5}); len(got) != len(versions) || !equalRows(page, flat[10:15]) {
-			t.Errorf("%s: %d keys, page %q", keep, len(got), page)
+			t.Errorf("%s: %d keys, or rows 10 to 14 differ from those of the whole merge: %q", keep, len(got), page)
 		}
 	}
 }
--- a/internal/testkit/fake/node/slowstart.go
+++ b/internal/testkit/fake/node/slowstart.go
@@ -10,29 +10,29 @@
 type SlowStart struct {
 	InitialSpeed float64       // initial speed as a fraction of a warmed-up node's
 	Duration     time.Duration // until warmed up; the speed grows linearly
-	InitialUnits float64       // units tolerated within Window at the start; they grow with the speed
+	InitialUnits float64       // units expected within Window at the start; they grow with the speed and give the overload limit
 	MeanUnits    float64       // units of an average request
-	Window       time.Duration
+	Window       time.Duration // in which the load is summed
 	RestartDelay time.Duration // a crashed node restarts, in slow start again, after this delay
 }
 
 // speed is the speed at an age, as a fraction of a warmed-up node's.
-func (c *SlowStart) speed(age time.Duration) float64 {
-	return min(1, c.InitialSpeed+(1-c.InitialSpeed)*age.Seconds()/c.Duration.Seconds())
+func (s *SlowStart) speed(age time.Duration) float64 {
+	return min(1, s.InitialSpeed+(1-s.InitialSpeed)*age.Seconds()/s.Duration.Seconds())
 }
 
 // overloadLimit is the number of average requests tolerated within Window: N + 3 sqrt(N) + 3.
-func (c *SlowStart) overloadLimit(age time.Duration) float64 {
-	n := c.InitialUnits / c.MeanUnits * c.speed(age) / c.InitialSpeed
+func (s *SlowStart) overloadLimit(age time.Duration) float64 {
+	n := s.InitialUnits / s.MeanUnits * s.speed(age) / s.InitialSpeed
 	return n + 3*math.Sqrt(n) + 3
 }
 
 // slowStartState is a node's slow start state, under n.mu.
 type slowStartState struct {
-	since    time.Time  // start of the slow start; zero: warmed up
+	since    time.Time  // start of the slow start; zero: warmed up, or crashed and not restarted yet
 	requests []workItem // within Window
-	sum      float64
-	peakLoad float64 // highest load so far as a fraction of the overload limit
+	sum      float64    // work of requests
+	peakLoad float64    // highest load so far as a fraction of the overload limit
 	crashes  int
 }
 
@@ -60,7 +60,7 @@
 }
 
 // Crashes returns how often the node crashed and the highest load so far as a fraction of the overload limit.
-func (n *Node) Crashes() (times int, worst float64) {
+func (n *Node) Crashes() (times int, peakLoad float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.slowStart.crashes, n.slowStart.peakLoad
@@ -85,7 +85,7 @@
 	return work
 }
 
-// countLoad counts a request and reports whether it makes the node crash.
+// countLoad counts a request and reports whether it makes the node crash. Only a node in slow start has a limit.
 func (n *Node) countLoad(units float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,13 +115,13 @@
 		n.restartMu.Lock() // Close takes this lock too, so that nothing listens after it
 		defer n.restartMu.Unlock()
 		n.mu.Lock()
-		closed, ports := n.closed, make([]*listener, 0, len(n.listeners))
-		for _, p := range n.listeners {
-			ports = append(ports, p)
+		closed, listeners := n.closed, make([]*listener, 0, len(n.listeners))
+		for _, l := range n.listeners {
+			listeners = append(listeners, l)
 		}
 		n.mu.Unlock()
-		for _, p := range ports {
-			if !closed && p.set(f) != nil {
+		for _, l := range listeners {
+			if !closed && l.set(f) != nil {
 				return false
 			}
 		}
--- a/internal/testkit/fake/refuser/refuser.go
+++ b/internal/testkit/fake/refuser/refuser.go
@@ -1,5 +1,5 @@
-// Package refuser provides connections for tests on which every zero-copy transfer fails like an unsupported splice
-// or sendfile, and counts these transfers. Reads and writes go to the socket.
+// Package refuser provides connections for tests on which every zero-copy transfer (io.ReaderFrom, io.WriterTo) fails
+// like an unsupported splice or sendfile, and counts these transfers. Reads and writes go to the socket.
 package refuser
 
 import (
@@ -13,17 +13,17 @@
 type CopyAttempts struct{ n atomic.Int64 }
 
 // Count returns the number of failed transfers.
-func (t *CopyAttempts) Count() int64 { return t.n.Load() }
+func (a *CopyAttempts) Count() int64 { return a.n.Load() }
 
-// Conn is a TCP connection whose zero-copy transfers fail. It embeds *net.TCPConn for callers that depend on the
-// connection's methods.
+// Conn is a TCP connection whose zero-copy transfers fail. It embeds *net.TCPConn, so that it has all other methods of a
+// TCP connection, for code that checks for them.
 type Conn struct {
 	*net.TCPConn
 	counter *CopyAttempts
 }
 
 // Wrap makes the zero-copy transfers of a TCP connection fail.
-func (t *CopyAttempts) Wrap(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), t} }
+func (a *CopyAttempts) Wrap(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), a} }
 
 // ReadFrom implements io.ReaderFrom and always fails.
 func (c *Conn) ReadFrom(io.Reader) (int64, error) { c.counter.n.Add(1); return 0, syscall.ENOSYS }
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -1,6 +1,6 @@
 // Package server is a fake scheduler for tests of load generators. It answers the platform's clients
 // after a known time and can be switched while it runs to stall, reject, reset, hang or limit its rate.
-// Expect and Quantile compute the expected response times, with which a generator's report can be compared.
+// ExpectedResponseTime and Quantile compute the response times with which a generator's report can be compared.
 package server
 
 import (
@@ -20,24 +20,25 @@
 
 // The modes.
 const (
-	Answer  Mode = iota // 200 after Service, or later during a stall
-	Reject              // 503 with RetryAfter
+	Answer  Mode = iota // 200 after Options.ServiceTime, or at the end of a stall
+	Reject              // 503 with Options.RetryAfter
 	Reset               // the connection is reset
 	Hang                // no response
-	Delayed             // 200 after Delay
+	Delayed             // 200 after Options.Delay
 )
 
 // Options configure a server.
 type Options struct {
 	ServiceTime   time.Duration // response time without a stall
-	StallDuration time.Duration // the server sends no responses for this long at the start of each interval Every, except the first
-	StallInterval time.Duration
-	RetryAfter    time.Duration
-	Delay         time.Duration
-	Rate          float64 // responses per second; requests above the rate are rejected. 0: unlimited
+	StallDuration time.Duration // no responses for this long at the start of each StallInterval, except the first
+	StallInterval time.Duration // 0: no stalls
+	RetryAfter    time.Duration // of rejections
+	Delay         time.Duration // response time in mode Delayed
+	Rate          float64       // responses per second; requests above the rate are rejected. 0: unlimited
 }
 
 // Counts are a server's counters.
+// Retries are requests with X-Retry: 1, Answered are responses with status 200, Rejected are those with 503.
 type Counts struct{ Conns, Requests, Retries, Answered, Rejected int }
 
 // Server is a running fake scheduler.
@@ -47,9 +48,9 @@
 	start         time.Time
 	mu            sync.Mutex
 	counts        Counts
-	requestCounts map[string]int
+	requestCounts map[string]int // by request ID
 	conns         map[net.Conn]bool
-	tokens        float64
+	tokens        float64 // of the rate limit
 	refilledAt    time.Time
 	wg            sync.WaitGroup
 	closed        bool
@@ -119,8 +120,8 @@
 	s.wg.Wait()
 }
 
-// responseTime returns when a request is answered that arrives at a time after the start.
-func (s *Server) responseTime(arrival time.Duration) time.Duration {
+// responseAt returns when a request is answered. Both times are measured from the start.
+func (s *Server) responseAt(arrival time.Duration) time.Duration {
 	end := arrival + s.opt.ServiceTime
 	if s.opt.StallInterval > 0 {
 		if n := end / s.opt.StallInterval; n > 0 && end-n*s.opt.StallInterval < s.opt.StallDuration {
@@ -132,10 +133,10 @@
 
 // ExpectedResponseTime returns the response time of a request that arrives at a time after the start.
 func (s *Server) ExpectedResponseTime(arrival time.Duration) time.Duration {
-	return s.responseTime(arrival) - arrival
+	return s.responseAt(arrival) - arrival
 }
 
-// Quantile returns the quantile q of the response time for arrivals spread evenly over whole intervals Every.
+// Quantile returns the quantile q of the response time for arrivals spread evenly over whole intervals StallInterval.
 func (s *Server) Quantile(q float64) time.Duration {
 	if s.opt.StallInterval == 0 {
 		return s.opt.ServiceTime
@@ -183,7 +184,7 @@
 			time.Sleep(s.opt.Delay)
 			response.SetBodyString(id)
 		default:
-			time.Sleep(time.Until(s.start.Add(s.responseTime(arrival))))
+			time.Sleep(time.Until(s.start.Add(s.responseAt(arrival))))
 			response.SetBodyString(id)
 		}
 		if response.Write(bw) != nil || bw.Flush() != nil {
@@ -199,7 +200,8 @@
 	}
 }
 
-// exceedsRate reports whether a request exceeds the rate limit, which is a token bucket.
+// exceedsRate reports whether a request exceeds the rate limit, which is a token bucket that holds the responses of 100 ms,
+// at least one. s.mu is held.
 func (s *Server) exceedsRate() bool {
 	if s.opt.Rate == 0 {
 		return false
--- a/internal/testkit/historycheck/check.go
+++ b/internal/testkit/historycheck/check.go
@@ -2,23 +2,25 @@
 // platform. The history lists requests, attempts, executions, responses and notifications, and is collected by
 // the tests (see internal/testkit/cluster). Check is a pure function.
 //
-// The rules and their names:
+// The rules and their names follow. Grace, AskWithin, SlowStartWindow, CreditShare and Slack are fields of Rules, N is
+// SlowStartLimit, Burst and Cap are fields of Plan.
 //
 //	answer     Each request that a scheduler received has exactly one complete final response, to that request,
 //	           before its client's deadline. Excused: the client disconnected; the scheduler was killed, or was
-//	           shutting down before any attempt was sent; a late response if the scheduler was stopped by a signal
-//	           or the test process itself stalled.
+//	           shutting down before any attempt was sent; a late or missing response if the scheduler was paused by
+//	           a signal; a late response if the test process itself stalled.
 //	unsafe     A non-idempotent request is executed at most once. It is not sent again after an attempt was
 //	           received completely by a node that did not reject it.
 //	two-out    Without hedging, no request has two attempts in flight at once.
 //	drain      No attempt starts at a node later than Grace after its scheduler was notified that the node is
 //	           draining or was removed. The scheduler counts as notified at the latest AskWithin after the list
-//	           was available, or four times that after rejected calls.
+//	           was available, or four times that (but at most 6 s, unless AskWithin is longer) after rejected calls.
 //	limit      For each volume, all schedulers together stay within a token bucket of size Burst that fills at Cap,
-//	           plus a tenth or one largest request.
+//	           plus a tenth or the largest request, whichever is more.
 //	cold       A node in slow start receives at most N + 3 sqrt(N) + 3 average requests within SlowStartWindow, plus
 //	           CreditShare of the units that it has answered.
-//	late       No attempt starts at a node after its request's final response or its client's disconnect.
+//	late       No attempt starts at a node after its request's final response or its client's disconnect. Excused: the
+//	           test process stalled within 500 ms after that.
 //	stray      No node receives a request ID that no client sent.
 //
 // All time limits are extended by Slack, because a node sees an event later than the scheduler that caused it.
@@ -38,7 +40,7 @@
 // Request is a request that a client sent to a scheduler.
 type Request struct {
 	ID, Class, Plan, Volume string
-	Units                   float64
+	Units                   float64 // of work, by which plans limit volumes
 	Scheduler               int
 	At, Deadline            time.Duration
 	ParentID                string // for a part of a gathered read, the client's request, whose outcome is also the part's; "": not a part
@@ -124,7 +126,7 @@
 	HarnessStalls []Interval // the test process itself got no CPU time; Scheduler is not used
 }
 
-// Plan is a plan's limit for one volume, in units.
+// Plan is a plan's limit for one volume: Cap in units per second, Burst in units.
 type Plan struct{ Cap, Burst float64 }
 
 // Rules are the platform's limits.
@@ -153,26 +155,27 @@
 	return fmt.Sprintf("%s: request %q, node %q: %s", v.Rule, v.ID, v.Node, v.Text)
 }
 
-// Check returns all violations. Their order depends only on the history.
+// Check returns the violations, for the rule "limit" the first one of each volume and for "cold" of each slow start. Their
+// order depends only on the history.
 func Check(r Rules, h History) []Violation {
 	c := &checker{rules: r, history: h, requests: map[string]Request{}, attempts: map[string][]Attempt{}, outcomes: map[string][]Outcome{}}
-	for _, t := range h.Requests {
-		c.requests[t.ID] = t
+	for _, request := range h.Requests {
+		c.requests[request.ID] = request
 	}
-	for _, s := range h.Attempts {
-		c.attempts[s.ID] = append(c.attempts[s.ID], s)
+	for _, attempt := range h.Attempts {
+		c.attempts[attempt.ID] = append(c.attempts[attempt.ID], attempt)
 	}
 	for _, list := range c.attempts {
-		slices.SortStableFunc(list, func(a, b Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
+		slices.SortStableFunc(list, func(outcome, b Attempt) int { return cmp.Compare(outcome.FirstByte, b.FirstByte) })
 	}
-	for _, a := range h.Outcomes {
-		c.outcomes[a.ID] = append(c.outcomes[a.ID], a)
+	for _, outcome := range h.Outcomes {
+		c.outcomes[outcome.ID] = append(c.outcomes[outcome.ID], outcome)
 	}
-	for _, t := range h.Requests {
-		if t.ParentID == "" {
-			c.checkOutcome(t)
+	for _, request := range h.Requests {
+		if request.ParentID == "" {
+			c.checkOutcome(request)
 		}
-		c.checkAttempts(t)
+		c.checkAttempts(request)
 	}
 	c.checkStrays()
 	c.checkDrains()
@@ -196,23 +199,23 @@
 
 // overlaps reports whether an interval of the scheduler overlaps a time range.
 func overlaps(all []Interval, scheduler int, from, to time.Duration) bool {
-	return slices.ContainsFunc(all, func(s Interval) bool { return s.Scheduler == scheduler && s.From <= to && from <= s.To })
+	return slices.ContainsFunc(all, func(iv Interval) bool { return iv.Scheduler == scheduler && iv.From <= to && from <= iv.To })
 }
 
 // harnessStalled reports whether the test process stalled between two times.
 func (c *checker) harnessStalled(from, to time.Duration) bool {
-	return slices.ContainsFunc(c.history.HarnessStalls, func(s Interval) bool { return s.From <= to && from <= s.To })
+	return slices.ContainsFunc(c.history.HarnessStalls, func(iv Interval) bool { return iv.From <= to && from <= iv.To })
 }
 
 func (c *checker) checkOutcome(request Request) {
 	outcomes, attempts := c.outcomes[request.ID], c.attempts[request.ID]
-	for _, p := range c.history.Requests { // attempts of a request's parts count as its own
-		if p.ParentID == request.ID {
-			attempts = append(slices.Clip(attempts), c.attempts[p.ID]...)
+	for _, part := range c.history.Requests { // attempts of a request's parts count as its own
+		if part.ParentID == request.ID {
+			attempts = append(slices.Clip(attempts), c.attempts[part.ID]...)
 		}
 	}
 	if len(outcomes) != 1 {
-		c.report("answer", request.ID, "", "%d final outcomes", len(outcomes))
+		c.report("answer", request.ID, "", "%d final outcomes, want 1", len(outcomes))
 		return
 	}
 	outcome := outcomes[0]
@@ -235,40 +238,40 @@
 func (c *checker) checkAttempts(request Request) {
 	attempts := c.attempts[request.ID]
 	executions := 0
-	for _, e := range c.history.Executions {
-		if e.ID == request.ID {
+	for _, execution := range c.history.Executions {
+		if execution.ID == request.ID {
 			executions++
 		}
 	}
 	if c.rules.NonIdempotent[request.Class] && executions > 1 {
 		c.report("unsafe", request.ID, "", "executed %d times", executions)
 	}
-	for i, s := range attempts {
+	for i, attempt := range attempts {
 		for _, earlier := range attempts[:i] {
-			if c.rules.NonIdempotent[request.Class] && earlier.LastByte < s.FirstByte && !earlier.Rejected {
-				c.report("unsafe", request.ID, s.Node, "sent again at %v, may have been executed at %s", s.FirstByte, earlier.Node)
+			if c.rules.NonIdempotent[request.Class] && earlier.LastByte < attempt.FirstByte && !earlier.Rejected {
+				c.report("unsafe", request.ID, attempt.Node, "sent again at %v, may have been executed at %s", attempt.FirstByte, earlier.Node)
 			}
-			if !c.rules.Hedging && earlier.EndedAt != Never && earlier.EndedAt > s.FirstByte+c.rules.Slack || !c.rules.Hedging && earlier.EndedAt == Never {
-				c.report("two-out", request.ID, s.Node, "sent at %v while another attempt was in flight at %s", s.FirstByte, earlier.Node)
+			if !c.rules.Hedging && earlier.EndedAt != Never && earlier.EndedAt > attempt.FirstByte+c.rules.Slack || !c.rules.Hedging && earlier.EndedAt == Never {
+				c.report("two-out", request.ID, attempt.Node, "sent at %v while another attempt was in flight at %s", attempt.FirstByte, earlier.Node)
 			}
 		}
-		for _, a := range c.outcomes[cmp.Or(request.ParentID, request.ID)] {
-			if (a.Kind == Complete || a.Kind == Disconnected) && s.FirstByte > a.At+c.rules.Slack && !c.harnessStalled(a.At, min(s.FirstByte, a.At+maxStallExcuse)) {
-				c.report("late", request.ID, s.Node, "attempt sent at %v, request ended at %v", s.FirstByte, a.At)
+		for _, outcome := range c.outcomes[cmp.Or(request.ParentID, request.ID)] {
+			if (outcome.Kind == Complete || outcome.Kind == Disconnected) && attempt.FirstByte > outcome.At+c.rules.Slack && !c.harnessStalled(outcome.At, min(attempt.FirstByte, outcome.At+maxStallExcuse)) {
+				c.report("late", request.ID, attempt.Node, "attempt sent at %v, request ended at %v", attempt.FirstByte, outcome.At)
 			}
 		}
 	}
 }
 
 func (c *checker) checkStrays() {
-	for _, s := range c.history.Attempts {
-		if _, ok := c.requests[s.ID]; !ok && s.ID != "" {
-			c.report("stray", s.ID, s.Node, "received, but no client sent it")
+	for _, attempt := range c.history.Attempts {
+		if _, ok := c.requests[attempt.ID]; !ok && attempt.ID != "" {
+			c.report("stray", attempt.ID, attempt.Node, "received, but no client sent it")
 		}
 	}
-	for _, e := range c.history.Executions {
-		if _, ok := c.requests[e.ID]; !ok {
-			c.report("stray", e.ID, e.Node, "executed, but no client sent it")
+	for _, execution := range c.history.Executions {
+		if _, ok := c.requests[execution.ID]; !ok {
+			c.report("stray", execution.ID, execution.Node, "executed, but no client sent it")
 		}
 	}
 }
@@ -285,10 +288,10 @@
 		available, within := change.At, c.rules.AskWithin
 		for moved := true; moved; {
 			moved = false
-			for _, s := range c.history.ListOutages {
-				if s.Scheduler == scheduler && s.From <= available && available < s.To {
-					available, moved = s.To, true
-					if s.Rejected {
+			for _, interval := range c.history.ListOutages {
+				if interval.Scheduler == scheduler && interval.From <= available && available < interval.To {
+					available, moved = interval.To, true
+					if interval.Rejected {
 						within = max(c.rules.AskWithin, min(rejectedCallFactor*c.rules.AskWithin, maxRejectedCallDelay))
 					}
 				}
@@ -298,15 +301,15 @@
 			at = available + within
 		}
 	}
-	for _, t := range c.history.Notifications {
-		if t.Scheduler == scheduler && t.Node == change.Node && t.Status == change.Status && t.At >= change.At {
-			at = min(at, t.At)
+	for _, notification := range c.history.Notifications {
+		if notification.Scheduler == scheduler && notification.Node == change.Node && notification.Status == change.Status && notification.At >= change.At {
+			at = min(at, notification.At)
 		}
 	}
 	for _, list := range [][]Interval{c.history.Paused, c.history.Killed} { // notifications during these are read at their end
-		for _, s := range list {
-			if s.Scheduler == scheduler && s.From <= at && at <= s.To {
-				at = s.To
+		for _, interval := range list {
+			if interval.Scheduler == scheduler && interval.From <= at && at <= interval.To {
+				at = interval.To
 			}
 		}
 	}
@@ -326,26 +329,26 @@
 			}
 		}
 		notified := map[int]time.Duration{}
-		for _, s := range c.history.Attempts {
-			t, ok := c.requests[s.ID]
-			if s.Node != change.Node || !ok || s.FirstByte >= until {
+		for _, attempt := range c.history.Attempts {
+			request, ok := c.requests[attempt.ID]
+			if attempt.Node != change.Node || !ok || attempt.FirstByte >= until {
 				continue
 			}
-			at, known := notified[t.Scheduler]
+			at, known := notified[request.Scheduler]
 			if !known {
-				at = c.notifiedAt(t.Scheduler, change)
-				notified[t.Scheduler] = at
+				at = c.notifiedAt(request.Scheduler, change)
+				notified[request.Scheduler] = at
 			}
-			if at != Never && s.FirstByte > at+c.rules.Grace+c.rules.Slack {
-				c.report("drain", s.ID, s.Node, "scheduler %d sent at %v, notified at %v", t.Scheduler, s.FirstByte, at)
+			if at != Never && attempt.FirstByte > at+c.rules.Grace+c.rules.Slack {
+				c.report("drain", attempt.ID, attempt.Node, "scheduler %d sent at %v, notified at %v", request.Scheduler, attempt.FirstByte, at)
 			}
 		}
 	}
 }
 
 const (
-	limitTolerance = 0.1
-	maxStallExcuse = 500 * time.Millisecond // a later attempt is not excused by a stall of the test process
+	limitTolerance = 0.1                    // share by which a plan's limit may be exceeded
+	maxStallExcuse = 500 * time.Millisecond // a stall of the test process that begins later after a request's end excuses no attempt
 )
 
 func (c *checker) checkLimits() {
@@ -356,37 +359,37 @@
 	}
 	byVolume, plans := map[string][]usage{}, map[string]Plan{}
 	var volumes []string
-	for _, t := range c.history.Requests {
-		p, ok := c.rules.Plans[t.Plan]
-		if !ok || p.Cap <= 0 || len(c.attempts[t.ID]) == 0 {
+	for _, request := range c.history.Requests {
+		plan, ok := c.rules.Plans[request.Plan]
+		if !ok || plan.Cap <= 0 || len(c.attempts[request.ID]) == 0 {
 			continue
 		}
-		if _, ok := plans[t.Volume]; !ok {
-			volumes = append(volumes, t.Volume)
-			plans[t.Volume] = p
+		if _, ok := plans[request.Volume]; !ok {
+			volumes = append(volumes, request.Volume)
+			plans[request.Volume] = plan
 		}
-		byVolume[t.Volume] = append(byVolume[t.Volume], usage{t.ID, c.attempts[t.ID][0].FirstByte, t.Units})
+		byVolume[request.Volume] = append(byVolume[request.Volume], usage{request.ID, c.attempts[request.ID][0].FirstByte, request.Units})
 	}
-	for _, v := range volumes {
-		all, p := byVolume[v], plans[v]
+	for _, volume := range volumes {
+		all, plan := byVolume[volume], plans[volume]
 		slices.SortStableFunc(all, func(a, b usage) int { return cmp.Compare(a.at, b.at) })
 		largest := 0.0
-		for _, d := range all {
-			largest = max(largest, d.units)
+		for _, u := range all {
+			largest = max(largest, u.units)
 		}
 		for i := range all {
 			sum, exceeded := 0.0, false
-			for _, d := range all[i:] {
-				sum += d.units
-				allowed := p.Burst + p.Cap*(d.at-all[i].at+c.rules.Slack).Seconds()
+			for _, u := range all[i:] {
+				sum += u.units
+				allowed := plan.Burst + plan.Cap*(u.at-all[i].at+c.rules.Slack).Seconds()
 				if sum > allowed+max(limitTolerance*allowed, largest)+1e-9 {
-					c.report("limit", d.id, "", "volume %s used %.1f units from %v to %v, limit %.1f", v, sum, all[i].at, d.at, allowed)
+					c.report("limit", u.id, "", "volume %s used %.1f units from %v to %v, limit %.1f", volume, sum, all[i].at, u.at, allowed)
 					exceeded = true
 					break
 				}
 			}
 			if exceeded {
-				break // one violation per volume is enough
+				break // only the first violation of a volume is reported
 			}
 		}
 	}
@@ -399,23 +402,23 @@
 	budget := (c.rules.SlowStartLimit + 3*math.Sqrt(c.rules.SlowStartLimit) + 3) * cmp.Or(c.rules.MeanUnits, 1)
 	for _, start := range c.history.SlowStarts {
 		var attempts []Attempt
-		for _, s := range c.history.Attempts {
-			if s.Node == start.Node && s.FirstByte >= start.At && s.FirstByte <= start.At+c.rules.SlowStartWindow {
-				attempts = append(attempts, s)
+		for _, attempt := range c.history.Attempts {
+			if attempt.Node == start.Node && attempt.FirstByte >= start.At && attempt.FirstByte <= start.At+c.rules.SlowStartWindow {
+				attempts = append(attempts, attempt)
 			}
 		}
 		slices.SortStableFunc(attempts, func(a, b Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 		sum := 0.0
-		for _, s := range attempts {
-			sum += c.requests[s.ID].Units
+		for _, attempt := range attempts {
+			sum += c.requests[attempt.ID].Units
 			answered := 0.0
-			for _, o := range attempts {
-				if o.EndedAt < s.FirstByte && !o.Rejected {
-					answered += c.requests[o.ID].Units
+			for _, earlier := range attempts {
+				if earlier.EndedAt < attempt.FirstByte && !earlier.Rejected {
+					answered += c.requests[earlier.ID].Units
 				}
 			}
 			if sum > budget+c.rules.CreditShare*answered+1e-9 {
-				c.report("cold", s.ID, s.Node, "%.1f units since the start at %v, budget %.1f", sum, start.At, budget)
+				c.report("cold", attempt.ID, attempt.Node, "%.1f units since the start at %v, budget %.1f", sum, start.At, budget)
 				break
 			}
 		}
--- a/internal/testkit/historycheck/check_test.go
+++ b/internal/testkit/historycheck/check_test.go
@@ -43,11 +43,11 @@
 }
 
 // gatheredRead returns a read with n parts that were sent evenly over the duration last.
-func gatheredRead(n int, plan string, last time.Duration) (h History) {
+func gatheredRead(n int, plan string, duration time.Duration) (h History) {
 	h = singleRequest("g", "read", 0)
 	h.Attempts, h.Executions = nil, nil
 	for i := range n {
-		o := singleRequest(fmt.Sprint("g/", i, "/1"), "read", last*time.Duration(i)/time.Duration(n))
+		o := singleRequest(fmt.Sprint("g/", i, "/1"), "read", duration*time.Duration(i)/time.Duration(n))
 		o.Requests[0].ParentID, o.Requests[0].Plan, o.Outcomes = "g", plan, nil
 		h.add(o)
 	}
@@ -55,9 +55,9 @@
 	return h
 }
 
-func withDrain(h History, word NodeStatus) History {
-	h.Changes = []Change{{"a", word, 0}}
-	h.Notifications = []Notification{{0, "a", word, 10 * ms}}
+func withDrain(h History, status NodeStatus) History {
+	h.Changes = []Change{{"a", status, 0}}
+	h.Notifications = []Notification{{0, "a", status, 10 * ms}}
 	return h
 }
 
@@ -75,18 +75,18 @@
 		name, rule string
 		h          History
 	}{
-		{"clean", "", singleRequest("r", "write", 0)},
+		{"one executed and answered write", "", singleRequest("r", "write", 0)},
 		{"no outcome", "answer", edit("read", func(h *History) { h.Outcomes = nil })},
 		{"two outcomes", "answer", edit("read", func(h *History) { h.Outcomes = append(h.Outcomes, h.Outcomes[0]) })},
-		{"cut", "answer", edit("read", func(h *History) { h.Outcomes[0].Kind = Truncated })},
+		{"truncated response", "answer", edit("read", func(h *History) { h.Outcomes[0].Kind = Truncated })},
 		{"response after the deadline", "answer", edit("read", func(h *History) { h.Outcomes[0].At = 1500 * ms })},
 		{"response within the slack", "", edit("read", func(h *History) { h.Outcomes[0].At = 1440 * ms })},
 		{"response to another request", "answer", edit("read", func(h *History) { h.Outcomes[0].ResponseID = "s" })},
 		{"client disconnected", "", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected })},
-		{"killed", "", edit("read", func(h *History) {
+		{"no response of a killed scheduler", "", edit("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 0, From: 403 * ms, To: 900 * ms}}
 		})},
-		{"another scheduler killed", "answer", edit("read", func(h *History) {
+		{"no response while another scheduler was killed", "answer", edit("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 1, From: 403 * ms, To: 900 * ms}}
 		})},
 		{"shutdown after an attempt was sent", "answer", edit("read", func(h *History) {
@@ -103,44 +103,44 @@
 		{"two attempts in flight", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = 470 * ms; resend(h, 405*ms) })},
 		{"first attempt never ended", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = Never; resend(h, 405*ms) })},
 		{"attempt after the response", "late", edit("read", func(h *History) { resend(h, 460*ms) })},
-		{"stray", "stray", edit("read", func(h *History) { h.Attempts = append(h.Attempts, Attempt{ID: "x", Node: "a"}) })},
-		{"stray execution", "stray", edit("read", func(h *History) { h.Executions = append(h.Executions, Execution{"x", "a", 0}) })},
-		{"draining", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
-		{"removed", "drain", withDrain(singleRequest("r", "read", 400*ms), Removed)},
-		{"within the grace period", "", withDrain(singleRequest("r", "read", 300*ms), Draining)},
-		{"active again", "", func() History {
+		{"attempt of an unknown request", "stray", edit("read", func(h *History) { h.Attempts = append(h.Attempts, Attempt{ID: "x", Node: "a"}) })},
+		{"execution of an unknown request", "stray", edit("read", func(h *History) { h.Executions = append(h.Executions, Execution{"x", "a", 0}) })},
+		{"attempt at a draining node after the grace period", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
+		{"attempt at a removed node after the grace period", "drain", withDrain(singleRequest("r", "read", 400*ms), Removed)},
+		{"attempt at a draining node within the grace period", "", withDrain(singleRequest("r", "read", 300*ms), Draining)},
+		{"attempt at a node that is active again", "", func() History {
 			h := withDrain(singleRequest("r", "read", 400*ms), Draining)
 			h.Changes = append(h.Changes, Change{"a", Active, 350 * ms})
 			return h
 		}()},
-		{"paused", "", func() History {
+		{"attempt of a scheduler that was paused when it was notified", "", func() History {
 			h := withDrain(singleRequest("r", "read", 400*ms), Draining)
 			h.Paused = []Interval{{Scheduler: 0, From: 5 * ms, To: 300 * ms}}
 			return h
 		}()},
-		{"never notified", "drain", History{}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
-		{"list not available", "", History{ListOutages: []Interval{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
-		{"list calls rejected", "", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Removed, 0})},
-		{"too long after list calls were rejected", "drain", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Removed, 0})},
+		{"scheduler without a notification, after AskWithin", "drain", History{}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
+		{"AskWithin counted from when the list was available", "", History{ListOutages: []Interval{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
+		{"within four times AskWithin after rejected list calls", "", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Removed, 0})},
+		{"later than four times AskWithin after rejected list calls", "drain", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Removed, 0})},
 		{"late response without a deadline", "", edit("read", func(h *History) { h.Requests[0].Deadline, h.Outcomes[0].At = Never, 1900*ms })},
 		{"late response of a paused scheduler", "", edit("read", func(h *History) { h.Outcomes[0].At, h.Paused = 1900*ms, []Interval{{From: 402 * ms, To: 1500 * ms}} })},
 		{"late response during a stall of the test process", "", edit("read", func(h *History) {
 			h.Outcomes[0].At, h.HarnessStalls = 1500*ms, []Interval{{From: 1300 * ms, To: 1400 * ms}}
 		})},
 		{"attempt after the client disconnected", "late", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected; resend(h, 460*ms) })},
-		{"limit", "limit", requestsOnPlan(8, "small")},
-		{"within the limit", "", requestsOnPlan(6, "small")},
-		{"no limit", "", requestsOnPlan(60, "basic")},
-		{"parts", "", gatheredRead(6, "small", 20*ms)},
-		{"parts over the limit", "limit", gatheredRead(8, "small", 20*ms)},
+		{"plan's limit exceeded", "limit", requestsOnPlan(8, "small")},
+		{"within the plan's limit", "", requestsOnPlan(6, "small")},
+		{"plan without a limit", "", requestsOnPlan(60, "basic")},
+		{"gathered read's parts within the plan's limit", "", gatheredRead(6, "small", 20*ms)},
+		{"gathered read's parts over the plan's limit", "limit", gatheredRead(8, "small", 20*ms)},
 		{"part sent after the read ended", "late", gatheredRead(4, "basic", 200*ms)},
 		{"part without a read", "stray", edit("read", func(h *History) { h.Attempts[0].ID = "g/0/1"; h.Executions = nil })},
-		{"cold", "cold", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(8, "basic"))},
+		{"slow start budget exceeded", "cold", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(8, "basic"))},
 		{"within the slow start budget", "", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(7, "basic"))},
 	} {
 		found := Check(testRules, x.h)
 		if x.rule == "" && len(found) > 0 || x.rule != "" && (len(found) == 0 || slices.ContainsFunc(found, func(v Violation) bool { return v.Rule != x.rule })) {
-			t.Errorf("%s: %v, want %q", x.name, found, x.rule)
+			t.Errorf("%s: violations %v, want only of rule %q (empty: none)", x.name, found, x.rule)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		drain := time.Duration(rapid.IntRange(0, 2000).Draw(t, "drain")) * ms
 		h.Changes = []Change{{"a", Draining, drain}}
 		for s := range 3 {
-			h.Notifications = append(h.Notifications, Notification{s, "a", Draining, drain + time.Duration(rapid.IntRange(0, 900).Draw(t, "told"))*ms})
+			h.Notifications = append(h.Notifications, Notification{s, "a", Draining, drain + time.Duration(rapid.IntRange(0, 900).Draw(t, "notified after"))*ms})
 		}
 		for i := range n {
 			at := time.Duration(i*120) * ms
@@ -183,7 +183,7 @@
 			if at > h.Notifications[s].At {
 				o.Attempts[0].Node, o.Executions[0].Node = "b", "b"
 			}
-			if rapid.Bool().Draw(t, "turned") { // the first attempt is rejected, a second one is served
+			if rapid.Bool().Draw(t, "rejected") { // the first attempt is rejected, a second one is served
 				o.Attempts = append(o.Attempts, o.Attempts[0])
 				o.Attempts[0].Rejected, o.Attempts[0].EndedAt = true, o.Attempts[0].FirstByte
 			}
@@ -192,13 +192,13 @@
 		if found := Check(testRules, h); len(found) > 0 {
 			t.Fatalf("violations in a valid history: %v", found)
 		}
-		i := rapid.IntRange(0, n-1).Draw(t, "which")
+		i := rapid.IntRange(0, n-1).Draw(t, "edited request")
 		id := h.Requests[i].ID
 		k := slices.IndexFunc(h.Attempts, func(s Attempt) bool { return s.ID == id && !s.Rejected })
-		want := rapid.SampledFrom([]string{"answer", "unsafe", "two-out", "drain", "limit", "late", "stray"}).Draw(t, "edit")
+		want := rapid.SampledFrom([]string{"answer", "unsafe", "two-out", "drain", "limit", "late", "stray"}).Draw(t, "violated rule")
 		switch want {
 		case "answer":
-			h.Outcomes[i].Kind = rapid.SampledFrom([]OutcomeKind{Truncated, NoResponse}).Draw(t, "end")
+			h.Outcomes[i].Kind = rapid.SampledFrom([]OutcomeKind{Truncated, NoResponse}).Draw(t, "outcome")
 		case "unsafe":
 			h.Requests[i].Class = "write"
 			h.Executions = append(h.Executions, h.Executions[i])
@@ -221,7 +221,7 @@
 			h.Requests = slices.Delete(h.Requests, i, i+1)
 		}
 		if !slices.ContainsFunc(Check(testRules, h), func(v Violation) bool { return v.Rule == want }) {
-			t.Fatalf("violation of %s not reported", want)
+			t.Fatalf("violation of rule %s not reported", want)
 		}
 	})
 }
--- a/internal/testkit/recorded/recorded.go
+++ b/internal/testkit/recorded/recorded.go
@@ -41,7 +41,8 @@
 	s.steps = append(s.steps, line.String())
 }
 
-// Tag numbers names that only the program itself sees, such as those of timers, in the order of their first use.
+// Tag returns "tag" and a number for a name that only the program itself sees, such as a timer's. Names are numbered in the
+// order of their first use, so that renaming them leaves the recording unchanged.
 func (s *Script) Tag(name string) string {
 	if s.tags == nil {
 		s.tags = map[string]int{}
--- a/internal/testkit/retrydetect/detector.go
+++ b/internal/testkit/retrydetect/detector.go
@@ -5,8 +5,8 @@
 // Invariants: a retry's first attempt is an earlier entry within the window and not a retry itself;
 // similarity assigns at most MaxRetries retries to a first attempt; an entry without a retry header, a
 // repeated key or a similar predecessor is not a retry; the number of entries kept is bounded, and early
-// evictions are counted; in a replay, a retry is sent only after its first attempt has failed, and each
-// retry is sent or skipped exactly once.
+// evictions are counted; in a replay, a retry whose first attempt the Gate tracks is sent only after that
+// attempt has failed, and each retry is sent or skipped exactly once.
 //
 // The retry header (X-Retry) and the key (Idempotency-Key) are part of the platform's protocol. Similarity is
 // a heuristic and is therefore counted separately and given a confidence.
@@ -73,7 +73,7 @@
 
 // Settings configure a Detector.
 type Settings struct {
-	Window         time.Duration // maximum time from the first attempt's start to a retry
+	Window         time.Duration // maximum time from the first attempt's start to a retry, by any rule
 	AfterRejection time.Duration // maximum time of a similar request after a rejection and its Retry-After
 	AfterTimeout   time.Duration // maximum time of a similar request after a timeout
 	MaxRetries     int           // of one first attempt, by similarity
@@ -104,7 +104,7 @@
 
 // Confidences by rule. The retry header comes from the client itself. A key may be reused by a client that
 // has already received a response. The confidence of similarity falls linearly from maxConfidenceSimilar to
-// minConfidenceSimilar as the time since the first attempt grows.
+// minConfidenceSimilar as the time since the first attempt's end grows.
 const (
 	confidenceRetryHeader = 1.0
 	confidenceKey         = 0.95
@@ -117,8 +117,8 @@
 // candidate is an entry that may be a first attempt.
 type candidate struct {
 	Entry
-	number  uint64
-	retries int
+	number  uint64 // position among all entries, from 0
+	retries int    // detected so far
 }
 
 type similarityKey struct {
@@ -131,10 +131,10 @@
 type Detector struct {
 	settings       Settings
 	next           uint64
-	queue          []*candidate // in order of time, for the window
-	byKey          map[string]*candidate
-	bySimilarity   map[similarityKey]*candidate // the latest one for each
-	byClientTarget map[[2]string]*candidate
+	queue          []*candidate                 // in order of time, for the window
+	byKey          map[string]*candidate        // the latest entry with each key
+	bySimilarity   map[similarityKey]*candidate // the latest entry without a key for each
+	byClientTarget map[[2]string]*candidate     // the latest entry with each client and target
 	stats          Stats
 }
 
@@ -167,48 +167,48 @@
 }
 
 // Stats returns the counters so far.
-func (r *Detector) Stats() Stats { return r.stats }
+func (d *Detector) Stats() Stats { return d.stats }
 
 // Len returns the number of entries kept.
-func (r *Detector) Len() int { return len(r.queue) }
+func (d *Detector) Len() int { return len(d.queue) }
 
 // Add adds the next entry and returns its classification.
-func (r *Detector) Add(e Entry) Verdict {
-	if e.At < r.stats.Span {
-		e.At = r.stats.Span
-		r.stats.OutOfOrder++
+func (d *Detector) Add(e Entry) Verdict {
+	if e.At < d.stats.Span {
+		e.At = d.stats.Span
+		d.stats.OutOfOrder++
 	}
-	r.stats.Span = e.At
-	r.expire(e.At)
-	number := r.next
-	r.next++
-	v, first := r.classify(e)
-	r.stats.Entries++
-	r.stats.ByRule[v.Rule]++
+	d.stats.Span = e.At
+	d.expire(e.At)
+	number := d.next
+	d.next++
+	v, first := d.classify(e)
+	d.stats.Entries++
+	d.stats.ByRule[v.Rule]++
 	if v.Rule != None {
-		r.stats.ConfidenceSum += v.Confidence
+		d.stats.ConfidenceSum += v.Confidence
 		if v.Orphan {
-			r.stats.Orphans++
+			d.stats.Orphans++
 		} else {
 			first.retries++
 		}
 		return v
 	}
-	r.keep(&candidate{Entry: e, number: number})
+	d.keep(&candidate{Entry: e, number: number})
 	return v
 }
 
 // classify tries the rules in order of decreasing confidence.
-func (r *Detector) classify(e Entry) (Verdict, *candidate) {
-	byKey := r.byKey[e.Key]
+func (d *Detector) classify(e Entry) (Verdict, *candidate) {
+	byKey := d.byKey[e.Key]
 	if e.Key == "" {
 		byKey = nil
 	}
 	if e.RetryHeader {
 		first := byKey
 		if first == nil && e.Key == "" { // without a key: by similarity, then by client and target
-			if first = r.bySimilarity[e.similarity()]; first == nil {
-				first = r.byClientTarget[[2]string{e.Client, e.Target}]
+			if first = d.bySimilarity[e.similarity()]; first == nil {
+				first = d.byClientTarget[[2]string{e.Client, e.Target}]
 			}
 		}
 		if first == nil {
@@ -226,21 +226,21 @@
 	if e.Key != "" { // a new key means a new request, whatever it is similar to
 		return Verdict{}, nil
 	}
-	first := r.bySimilarity[e.similarity()]
-	if first == nil || first.retries >= r.settings.MaxRetries {
+	first := d.bySimilarity[e.similarity()]
+	if first == nil || first.retries >= d.settings.MaxRetries {
 		return Verdict{}, nil
 	}
-	return r.classifySimilar(e, first)
+	return d.classifySimilar(e, first)
 }
 
 // classifySimilar decides on a similar entry by the time since the first attempt's end.
-func (r *Detector) classifySimilar(e Entry, first *candidate) (Verdict, *candidate) {
+func (d *Detector) classifySimilar(e Entry, first *candidate) (Verdict, *candidate) {
 	var limit time.Duration
 	switch first.End {
 	case Rejected:
-		limit = first.RetryAfter + r.settings.AfterRejection
+		limit = first.RetryAfter + d.settings.AfterRejection
 	case TimedOut:
-		limit = r.settings.AfterTimeout
+		limit = d.settings.AfterTimeout
 	default: // served, failed or unknown: an equal request is a new one
 		return Verdict{}, nil
 	}
@@ -249,7 +249,7 @@
 		return Verdict{}, nil
 	}
 	if first.RetryAfter > 0 && gap < first.RetryAfter*9/10 {
-		return Verdict{}, nil // a client that respects Retry-After would not have retried yet
+		return Verdict{}, nil // a client that respects Retry-After would not have retried yet; a tenth early is tolerated
 	}
 	confidence := maxConfidenceSimilar - (maxConfidenceSimilar-minConfidenceSimilar)*float64(gap)/float64(limit)
 	if first.Duration == 0 {
@@ -261,39 +261,39 @@
 func (e *Entry) similarity() similarityKey { return similarityKey{e.Client, e.Target, e.Write, e.Size} }
 
 // keep keeps an entry as a possible first attempt.
-func (r *Detector) keep(h *candidate) {
-	if len(r.queue) >= r.settings.MaxEntries {
-		r.drop(r.queue[0])
-		r.queue = r.queue[1:]
-		r.stats.EarlyEvictions++
+func (d *Detector) keep(c *candidate) {
+	if len(d.queue) >= d.settings.MaxEntries {
+		d.drop(d.queue[0])
+		d.queue = d.queue[1:]
+		d.stats.EarlyEvictions++
 	}
-	r.queue = append(r.queue, h)
-	if h.Key != "" {
-		r.byKey[h.Key] = h
+	d.queue = append(d.queue, c)
+	if c.Key != "" {
+		d.byKey[c.Key] = c
 	} else {
-		r.bySimilarity[h.similarity()] = h
+		d.bySimilarity[c.similarity()] = c
 	}
-	r.byClientTarget[[2]string{h.Client, h.Target}] = h
+	d.byClientTarget[[2]string{c.Client, c.Target}] = c
 }
 
 // expire drops entries older than the window.
-func (r *Detector) expire(now time.Duration) {
+func (d *Detector) expire(now time.Duration) {
 	n := 0
-	for n < len(r.queue) && now-r.queue[n].At > r.settings.Window {
-		r.drop(r.queue[n])
+	for n < len(d.queue) && now-d.queue[n].At > d.settings.Window {
+		d.drop(d.queue[n])
 		n++
 	}
-	r.queue = r.queue[n:]
+	d.queue = d.queue[n:]
 }
 
-func (r *Detector) drop(h *candidate) {
-	if r.byKey[h.Key] == h {
-		delete(r.byKey, h.Key)
+func (d *Detector) drop(c *candidate) {
+	if d.byKey[c.Key] == c {
+		delete(d.byKey, c.Key)
 	}
-	if k := h.similarity(); r.bySimilarity[k] == h {
-		delete(r.bySimilarity, k)
+	if k := c.similarity(); d.bySimilarity[k] == c {
+		delete(d.bySimilarity, k)
 	}
-	if k := [2]string{h.Client, h.Target}; r.byClientTarget[k] == h {
-		delete(r.byClientTarget, k)
+	if k := [2]string{c.Client, c.Target}; d.byClientTarget[k] == c {
+		delete(d.byClientTarget, k)
 	}
 }
--- a/internal/testkit/retrydetect/detector_test.go
+++ b/internal/testkit/retrydetect/detector_test.go
@@ -24,10 +24,10 @@
 	mark := func(e Entry) Entry { e.RetryHeader = true; return e }
 	key := func(e Entry, k string) Entry { e.Key = k; return e }
 	for name, x := range map[string]struct {
-		first, second Entry
-		rule          Rule
-		orphan        bool
-		least, most   float64
+		first, second                Entry
+		rule                         Rule
+		orphan                       bool
+		minConfidence, maxConfidence float64
 	}{
 		"retry header, same key":                {key(read, "k"), mark(key(at(read, 2*time.Second), "k")), RetryHeader, false, 1, 1},
 		"retry header, similar":                 {read, mark(at(read, ms)), RetryHeader, false, 1, 1},
@@ -44,16 +44,16 @@
 		"similar, end not recorded":             {ended(read, Rejected, 0, 0), at(read, ms), Similar, false, 0.6, 0.6},
 		"same request after success":            {ended(read, Served, ms, 0), at(read, 2*ms), None, false, 0, 0},
 		"similar before the first ended":        {ended(read, Rejected, 10*ms, 0), at(read, 5*ms), None, false, 0, 0},
-		"another size":                          {ended(read, Rejected, ms, 0), Entry{At: 2 * ms, Client: "c", Target: "/a", Size: 11}, None, false, 0, 0},
-		"new key":                               {ended(read, Rejected, ms, 0), key(at(read, 2*ms), "k"), None, false, 0, 0},
+		"similar but another size":              {ended(read, Rejected, ms, 0), Entry{At: 2 * ms, Client: "c", Target: "/a", Size: 11}, None, false, 0, 0},
+		"similar but with a new key":            {ended(read, Rejected, ms, 0), key(at(read, 2*ms), "k"), None, false, 0, 0},
 	} {
-		r, err := New(Defaults())
+		d, err := New(Defaults())
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Add(x.first)
-		if v := r.Add(x.second); v.Rule != x.rule || v.Orphan != x.orphan || v.FirstAttempt != 0 || v.Confidence < x.least || v.Confidence > x.most {
-			t.Errorf("%s: %+v", name, v)
+		d.Add(x.first)
+		if v := d.Add(x.second); v.Rule != x.rule || v.Orphan != x.orphan || v.FirstAttempt != 0 || v.Confidence < x.minConfidence || v.Confidence > x.maxConfidence {
+			t.Errorf("%s: wrong verdict %+v", name, v)
 		}
 	}
 }
@@ -64,21 +64,21 @@
 func TestDetectorAndGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Defaults()
-		settings.MaxEntries = rapid.IntRange(1, 8).Draw(t, "most")
-		r, err := New(settings)
+		settings.MaxEntries = rapid.IntRange(1, 8).Draw(t, "max entries")
+		d, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		retry, similarRetries, now := map[uint64]bool{}, map[uint64]int{}, time.Duration(0)
 		g, retries, decided, retryCounts := NewGate(1000), map[uint64]uint64{}, map[uint64]Decision{}, map[uint64]int{}
-		n := uint64(rapid.IntRange(1, 60).Draw(t, "n"))
+		n := uint64(rapid.IntRange(1, 60).Draw(t, "entries"))
 		for i := range n {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * ms
-			v := r.Add(Entry{At: now, Duration: ms, RetryHeader: rapid.IntRange(0, 9).Draw(t, "mark") == 0, Client: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "client"),
+			v := d.Add(Entry{At: now, Duration: ms, RetryHeader: rapid.IntRange(0, 9).Draw(t, "retry header") == 0, Client: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "client"),
 				Key: rapid.SampledFrom([]string{"", "", "k", "l"}).Draw(t, "key"), End: End(rapid.IntRange(0, 4).Draw(t, "end"))})
 			if retry[i] = v.Rule != None; retry[i] && !v.Orphan {
 				if v.FirstAttempt >= i || retry[v.FirstAttempt] {
-					t.Fatalf("entry %d is a retry of %d", i, v.FirstAttempt)
+					t.Fatalf("entry %d was assigned to first attempt %d, which is later or itself a retry", i, v.FirstAttempt)
 				}
 				retries[i] = v.FirstAttempt
 				retryCounts[v.FirstAttempt]++
@@ -88,8 +88,8 @@
 					t.Fatalf("entry %d has two retries by similarity", v.FirstAttempt)
 				}
 			}
-			if r.Len() > settings.MaxEntries {
-				t.Fatalf("%d entries kept", r.Len())
+			if d.Len() > settings.MaxEntries {
+				t.Fatalf("%d entries kept, more than MaxEntries", d.Len())
 			}
 		}
 		served := map[uint64]bool{}
@@ -122,7 +122,7 @@
 		}
 		for i, f := range retries {
 			if d, ok := decided[i]; !ok || (d == Skip) != served[f] {
-				t.Fatalf("retry %d of %d, served %v: %v %v", i, f, served[f], d, ok)
+				t.Fatalf("retry %d of first attempt %d, served %v: decision %v, decided %v", i, f, served[f], d, ok)
 			}
 		}
 		if g.Tracked() != 0 {
--- a/internal/testkit/retrydetect/gate.go
+++ b/internal/testkit/retrydetect/gate.go
@@ -12,7 +12,7 @@
 	inFlight  bool
 	served    bool
 	waiting   []uint64 // retries
-	remaining int      // retries still expected; the first attempt is dropped with the last one
+	remaining int      // retries not decided yet; the first attempt is dropped with the last one
 }
 
 // Decision is what to do with a retry.
@@ -37,7 +37,8 @@
 }
 
 // Begin records that a first attempt was sent and how many retries of it the recording holds. It returns an error if
-// too many first attempts are tracked. The retries of this one are then sent when they are due, and the caller counts them.
+// maxAttempts first attempts are tracked already. The retries of this one are then sent when they are due, and the caller
+// counts them.
 func (g *Gate) Begin(first uint64, retries int) error {
 	if retries < 1 || g.attempts[first] != nil {
 		return nil
@@ -49,12 +50,12 @@
 	return nil
 }
 
-// Due decides on a retry whose time to be sent has come.
+// Due decides on a retry whose time to be sent has come. After Wait, End returns the decision.
 func (g *Gate) Due(first, retry uint64) Decision {
 	f := g.attempts[first]
 	switch {
 	case f == nil:
-		return Send // its first attempt is unknown or exceeded the limit
+		return Send // its first attempt is unknown, or Begin reached the limit
 	case f.inFlight:
 		f.waiting = append(f.waiting, retry)
 		return Wait
@@ -92,5 +93,5 @@
 	}
 }
 
-// Tracked returns the number of first attempts whose retries are still expected.
+// Tracked returns the number of first attempts with retries that are not decided yet.
 func (g *Gate) Tracked() int { return len(g.attempts) }
