--- a/internal/testkit/fake/discovery/conn.go
+++ b/internal/testkit/fake/discovery/conn.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// takeOldList returns the list that SendOldList requested, if any. The caller holds s.mu.
+// takeOldList returns the list that SendOldList requested, if any. Requires s.mu to be locked.
 func (n *conn) takeOldList() (List, bool) {
 	back := n.caller.once.versionsBack
 	if back == 0 {
@@ -324,24 +324,24 @@
 
 // next returns what to send on the watch now, if anything, when to check again (zero: at the next heartbeat), and
 // whether the watch is silenced.
-func (n *conn) next() (text []byte, l *List, again time.Time, silent bool) {
+func (n *conn) next() (text []byte, l *List, nextCheck time.Time, silent bool) {
 	s := n.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.checkSilenced() {
-		return nil, nil, again, true
+		return nil, nil, nextCheck, true
 	}
 	if len(n.injected) > 0 {
 		text, n.injected = []byte(n.injected[0]), n.injected[1:]
 		n.caller.counts.InjectedLines++
-		return text, nil, again, false
+		return text, nil, nextCheck, false
 	}
 	if old, ok := n.takeOldList(); ok {
-		return s.encoded(old, -1, s.opt.IndentWatch), &old, again, false
+		return s.encoded(old, -1, s.opt.IndentWatch), &old, nextCheck, false
 	}
-	version, again := s.visibleIndex(n.caller.fault.Delay, time.Now())
+	version, nextCheck := s.visibleIndex(n.caller.fault.Delay, time.Now())
 	if version <= n.sentIndex {
-		return nil, nil, again, false
+		return nil, nil, nextCheck, false
 	}
 	changes, ok := s.list.Changes(n.sentIndex, version)
 	if !ok {
@@ -352,7 +352,7 @@
 	}
 	text = s.encoded(changes, n.sentIndex, s.opt.IndentWatch)
 	n.sentIndex = version
-	return text, &changes, again, false
+	return text, &changes, nextCheck, false
 }
 
 // writeLine writes one line of a watch as an HTTP chunk. An empty text is a heartbeat.
--- a/internal/testkit/fake/discovery/discovery_test.go
+++ b/internal/testkit/fake/discovery/discovery_test.go
@@ -38,9 +38,9 @@
 // never change, and the history is bounded.
 func TestVersionedListInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		keep := rapid.IntRange(1, 12).Draw(rt, "history limit")
+		historyLimit := rapid.IntRange(1, 12).Draw(rt, "history limit")
 		first := rapid.Int64Range(0, 50).Draw(rt, "first version")
-		list := NewVersionedList(first, keep)
+		list := NewVersionedList(first, historyLimit)
 		versions := map[int64]map[string]Entry{first: {}}
 		texts, lists := []string{}, []List{}
 		remember := func(l List) List {
@@ -57,10 +57,10 @@
 			}
 			List{Entries: entries}.Apply(now)
 			versions[list.Put(entries...)] = now
-			if len(list.history) > keep {
-				rt.Fatalf("history holds %d changes, want at most %d", len(list.history), keep)
+			if len(list.history) > historyLimit {
+				rt.Fatalf("history holds %d changes, want at most %d", len(list.history), historyLimit)
 			}
-			if len(entries) <= keep && list.Oldest() >= list.Index() {
+			if len(entries) <= historyLimit && list.Oldest() >= list.Index() {
 				rt.Fatal("a change that fits into the history was dropped")
 			}
 			for v := first; v <= list.Index(); v++ {
@@ -119,8 +119,8 @@
 			if want != Full {
 				free = start + processingTime
 			}
-			if at, out := q.Call(now); at != end || out != want {
-				rt.Fatalf("call at %d: %v at %d, want %v at %d", now, out, at, want, end)
+			if at, outcome := q.Call(now); at != end || outcome != want {
+				rt.Fatalf("call at %d: %v at %d, want %v at %d", now, outcome, at, want, end)
 			}
 		}
 	})
@@ -143,22 +143,22 @@
 }
 
 // call makes a call as a named caller. The response is nil on an error.
-func (r *fixture) call(name, query string) (*http.Response, error) {
-	addr, err := r.s.AddrFor(name)
+func (fx *fixture) call(name, query string) (*http.Response, error) {
+	addr, err := fx.s.AddrFor(name)
 	if err != nil {
-		r.Fatal(err)
+		fx.Fatal(err)
 	}
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := (&http.Client{Transport: tr, Timeout: 20 * time.Second}).Get("http://" + addr + Path + query)
 	if err == nil {
-		r.Cleanup(func() { resp.Body.Close() })
+		fx.Cleanup(func() { resp.Body.Close() })
 	}
 	return resp, err
 }
 
 // watch opens a watch. next reads its next line and skips heartbeats.
-func (r *fixture) watch(name string, after int64) (next func() (List, error)) {
-	resp, err := r.call(name, fmt.Sprintf("?watch=1&after=%d", after)) //nolint:bodyclose // stays open until the service closes it
+func (fx *fixture) watch(name string, after int64) (next func() (List, error)) {
+	resp, err := fx.call(name, fmt.Sprintf("?watch=1&after=%d", after)) //nolint:bodyclose // stays open until the service closes it
 	if err != nil {
 		return func() (List, error) { return List{}, err }
 	}
@@ -177,8 +177,8 @@
 }
 
 // get makes a call and decodes the complete response.
-func (r *fixture) get(name, query string) (l List, status int, err error) {
-	resp, err := r.call(name, query)
+func (fx *fixture) get(name, query string) (l List, status int, err error) {
+	resp, err := fx.call(name, query)
 	if err != nil {
 		return l, 0, err
 	}
@@ -190,19 +190,19 @@
 	return l, resp.StatusCode, err
 }
 
-func (r *fixture) expect(what string, l List, err error, index int64, full bool, entries int) {
-	r.Helper()
+func (fx *fixture) expect(what string, l List, err error, index int64, full bool, entries int) {
+	fx.Helper()
 	if err != nil || l.Index != index || l.Full != full || len(l.Entries) != entries {
-		r.Fatalf("%s: list %+v, error %v, want version %d, complete %v, %d entries", what, l, err, index, full, entries)
+		fx.Fatalf("%s: list %+v, error %v, want version %d, complete %v, %d entries", what, l, err, index, full, entries)
 	}
 }
 
 // waitFor waits for a condition on the counts of a caller.
-func (r *fixture) waitFor(what, name string, cond func(Counts) bool) {
-	r.Helper()
-	for end := time.Now().Add(20 * time.Second); !cond(r.s.Counts(name)); time.Sleep(time.Millisecond) {
+func (fx *fixture) waitFor(what, name string, cond func(Counts) bool) {
+	fx.Helper()
+	for end := time.Now().Add(20 * time.Second); !cond(fx.s.Counts(name)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("timeout: %s, counts %+v", what, r.s.Counts(name))
+			fx.Fatalf("timeout: %s, counts %+v", what, fx.s.Counts(name))
 		}
 	}
 }
@@ -211,47 +211,47 @@
 // after its wait time.
 func TestModesAnswerTheirCalls(t *testing.T) {
 	for _, mode := range []Mode{Push, Poll, Wait} {
-		r := newFixture(t, Options{Mode: mode, Index: 40, Indent: true, Beat: 5 * time.Millisecond})
-		r.s.Put(testEntry("a", Active), testEntry("b", Active))
-		l, _, err := r.get("x", "")
-		r.expect("plain", l, err, 41, true, 2)
-		if _, status, _ := r.get("x", "/../other"); status != http.StatusNotFound {
+		fx := newFixture(t, Options{Mode: mode, Index: 40, Indent: true, Beat: 5 * time.Millisecond})
+		fx.s.Put(testEntry("a", Active), testEntry("b", Active))
+		l, _, err := fx.get("x", "")
+		fx.expect("plain", l, err, 41, true, 2)
+		if _, status, _ := fx.get("x", "/../other"); status != http.StatusNotFound {
 			t.Errorf("call of another path: status %d, want 404", status)
 		}
-		next := r.watch("w", 40)
+		next := fx.watch("w", 40)
 		if mode != Push {
-			if l, _, err = r.get("w", "?watch=1&after=41"); mode == Poll || mode == Wait {
-				r.expect("a watch in a mode without watches", l, err, 41, true, 2)
+			if l, _, err = fx.get("w", "?watch=1&after=41"); mode == Poll || mode == Wait {
+				fx.expect("a watch in a mode without watches", l, err, 41, true, 2)
 			}
 		} else {
 			l, err = next()
-			r.expect("first line", l, err, 41, false, 2)
-			r.waitFor("no heartbeats", "w", func(c Counts) bool { return c.Beats > 2 })
-			r.s.Put(testEntry("a", Left))
+			fx.expect("first line", l, err, 41, false, 2)
+			fx.waitFor("no heartbeats", "w", func(c Counts) bool { return c.Beats > 2 })
+			fx.s.Put(testEntry("a", Left))
 			l, err = next()
-			r.expect("change", l, err, 42, false, 1)
-			deliveries := r.s.Deliveries("w")
+			fx.expect("change", l, err, 42, false, 1)
+			deliveries := fx.s.Deliveries("w")
 			if len(deliveries) != 3 || deliveries[2].Entry.Status != Left || deliveries[2].Index != 42 || deliveries[2].At.Before(deliveries[0].At) {
 				t.Errorf("deliveries %+v, want two entries and then the removal of a at version 42", deliveries)
 			}
-			next = r.watch("w", 7)
+			next = fx.watch("w", 7)
 			l, err = next()
-			r.expect("a watch after an unknown version", l, err, 42, true, 1)
-			if deliveries = r.s.Deliveries("w"); len(deliveries) != 4 || deliveries[3].Entry.Name != "b" {
+			fx.expect("a watch after an unknown version", l, err, 42, true, 1)
+			if deliveries = fx.s.Deliveries("w"); len(deliveries) != 4 || deliveries[3].Entry.Name != "b" {
 				t.Errorf("deliveries to a caller that holds an earlier version: %+v, want b as the fourth", deliveries)
 			}
 		}
-		if l, _, err = r.get("x", fmt.Sprintf("?wait=20&after=%d", r.s.Index())); mode == Poll {
-			r.expect("a waiting call in a mode without them", l, err, 41, true, 2)
+		if l, _, err = fx.get("x", fmt.Sprintf("?wait=20&after=%d", fx.s.Index())); mode == Poll {
+			fx.expect("a waiting call in a mode without them", l, err, 41, true, 2)
 			continue
 		}
 		received := make(chan List)
 		go func() {
-			l, _, _ := r.get("p", fmt.Sprintf("?wait=600000&after=%d", r.s.Index()))
+			l, _, _ := fx.get("p", fmt.Sprintf("?wait=600000&after=%d", fx.s.Index()))
 			received <- l
 		}()
-		r.waitFor("the waiting call was not received", "p", func(c Counts) bool { return c.Calls == 1 })
-		v := r.s.Put(testEntry("c", Leaving))
+		fx.waitFor("the waiting call was not received", "p", func(c Counts) bool { return c.Calls == 1 })
+		v := fx.s.Put(testEntry("c", Leaving))
 		if l = <-received; l.Index != v {
 			t.Errorf("mode %d: waiting call should return version %d, got %d", mode, v, l.Index)
 		}
@@ -260,130 +260,131 @@
 
 // Each fault affects the caller that it is set for, is counted, and does not affect the other caller.
 func TestFaultsAffectOneCaller(t *testing.T) {
-	newWatches := func(t *testing.T) (r *fixture, x, y func() (List, error)) {
-		r = newFixture(t, Options{Beat: 5 * time.Millisecond})
+	newWatches := func(t *testing.T) (fx *fixture, x, y func() (List, error)) {
+		fx = newFixture(t, Options{Beat: 5 * time.Millisecond})
 		for _, name := range []string{"a", "b", "c"} {
-			r.s.Put(testEntry(name, Active))
+			fx.s.Put(testEntry(name, Active))
 		}
-		x, y = r.watch("x", 0), r.watch("y", 0)
+		x, y = fx.watch("x", 0), fx.watch("y", 0)
 		for _, next := range []func() (List, error){x, y} {
 			l, err := next()
-			r.expect("first line", l, err, 3, false, 3)
+			fx.expect("first line", l, err, 3, false, 3)
 		}
-		return r, x, y
+		return fx, x, y
 	}
-	// otherUnaffected checks that the other watch receives a change, and waits for a few of its heartbeats.
-	otherUnaffected := func(r *fixture, y func() (List, error)) {
+	// otherUnaffected checks that the other watch receives a change, and waits for a few of its heartbeats, so that the
+	// faulty watch has had time to send something, without a fixed waiting time.
+	otherUnaffected := func(fx *fixture, y func() (List, error)) {
 		l, err := y()
-		r.expect("the other watch", l, err, r.s.Index(), false, 1)
-		beats := r.s.Counts("y").Beats
-		r.waitFor("no heartbeats on the other watch", "y", func(c Counts) bool { return c.Beats > beats+3 })
+		fx.expect("the other watch", l, err, fx.s.Index(), false, 1)
+		beats := fx.s.Counts("y").Beats
+		fx.waitFor("no heartbeats on the other watch", "y", func(c Counts) bool { return c.Beats > beats+3 })
 	}
 	for _, f := range []Fault{{Down: true}, {Silent: true}, {Silent: true, RejectCalls: true}, {Silent: true, SilencePersists: true}, {Silent: true, AnswerNewCalls: true}} {
-		r, x, y := newWatches(t)
-		_ = r.s.SetFault(f, "x")
-		r.waitFor("the watch was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 1 })
-		lines := r.s.Counts("x").Lines
-		r.s.Put(testEntry("a", Leaving))
-		otherUnaffected(r, y)
+		fx, x, y := newWatches(t)
+		_ = fx.s.SetFault(f, "x")
+		fx.waitFor("the watch was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 1 })
+		lines := fx.s.Counts("x").Lines
+		fx.s.Put(testEntry("a", Leaving))
+		otherUnaffected(fx, y)
 		if f.AnswerNewCalls {
-			l, _, err := r.get("x", "")
-			r.expect("a new call", l, err, 4, true, 3)
+			l, _, err := fx.get("x", "")
+			fx.expect("a new call", l, err, 4, true, 3)
 		} else {
 			ended := make(chan error)
-			go func() { _, _, err := r.get("x", ""); ended <- err }()
-			r.waitFor("the call was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 2 })
+			go func() { _, _, err := fx.get("x", ""); ended <- err }()
+			fx.waitFor("the call was not silenced", "x", func(c Counts) bool { return c.Downs+c.Silences == 2 })
 			if f.SilencePersists {
-				_ = r.s.ClearFaults("x")
-				r.s.Put(testEntry("b", Leaving))
-				otherUnaffected(r, y)
-				r.s.ResetConns("x") // otherwise they would wait forever
+				_ = fx.s.ClearFaults("x")
+				fx.s.Put(testEntry("b", Leaving))
+				otherUnaffected(fx, y)
+				fx.s.ResetConns("x") // otherwise they would wait forever
 			} else {
-				_ = r.s.ClearFaults("x")
+				_ = fx.s.ClearFaults("x")
 			}
 			if err := <-ended; (err != nil) != f.SilencePersists {
 				t.Errorf("%+v: the silenced call ended with %v", f, err)
 			}
 		}
-		if n := r.s.Counts("x").Lines; (f.SilencePersists || f.AnswerNewCalls) && n != lines {
+		if n := fx.s.Counts("x").Lines; (f.SilencePersists || f.AnswerNewCalls) && n != lines {
 			t.Errorf("%+v: %d lines sent during the silence", f, n-lines)
 		}
-		_ = r.s.ClearFaults()
+		_ = fx.s.ClearFaults()
 		if l, err := x(); !f.SilencePersists {
-			r.expect("the change during the silence", l, err, 4, false, 1)
-		} else if !errors.Is(err, syscall.ECONNRESET) || r.s.Counts("x").Resets != 2 {
+			fx.expect("the change during the silence", l, err, 4, false, 1)
+		} else if !errors.Is(err, syscall.ECONNRESET) || fx.s.Counts("x").Resets != 2 {
 			t.Errorf("%+v: the silenced watch received %+v, error %v, want a reset counted with the call's", f, l, err)
 		}
 	}
-	r, x, y := newWatches(t)
-	_ = r.s.SetDelay(150*time.Millisecond, "x")
+	fx, x, y := newWatches(t)
+	_ = fx.s.SetDelay(150*time.Millisecond, "x")
 	start := time.Now()
-	r.s.Put(testEntry("a", Leaving))
-	otherUnaffected(r, y)
+	fx.s.Put(testEntry("a", Leaving))
+	otherUnaffected(fx, y)
 	l, err := x()
-	r.expect("delayed change", l, err, 4, false, 1)
-	if time.Since(start) < 150*time.Millisecond || r.s.Counts("x").Delayed != 1 || r.s.Counts("y").Delayed != 0 {
-		t.Errorf("delayed change arrived after %v, want 150 ms or more and one delay counted: counts %+v", time.Since(start), r.s.Counts("x"))
+	fx.expect("delayed change", l, err, 4, false, 1)
+	if time.Since(start) < 150*time.Millisecond || fx.s.Counts("x").Delayed != 1 || fx.s.Counts("y").Delayed != 0 {
+		t.Errorf("delayed change arrived after %v, want 150 ms or more and one delay counted: counts %+v", time.Since(start), fx.s.Counts("x"))
 	}
-	_ = r.s.ClearFaults()
+	_ = fx.s.ClearFaults()
 
-	r.s.SendOldList(2, "x")
+	fx.s.SendOldList(2, "x")
 	l, err = x()
-	r.expect("old list", l, err, 2, true, 2)
-	if deliveries := r.s.Deliveries("x"); deliveries[len(deliveries)-2].Entry.Status != Left || deliveries[len(deliveries)-1].Entry.Status != Active || len(deliveries) != 6 {
+	fx.expect("old list", l, err, 2, true, 2)
+	if deliveries := fx.s.Deliveries("x"); deliveries[len(deliveries)-2].Entry.Status != Left || deliveries[len(deliveries)-1].Entry.Status != Active || len(deliveries) != 6 {
 		t.Errorf("deliveries of the old list: %+v, want 6 that end with c removed and the old state of a", deliveries)
 	}
-	r.s.Put(testEntry("b", Leaving))
+	fx.s.Put(testEntry("b", Leaving))
 	l, err = x()
-	r.expect("change after the old list", l, err, 5, false, 1)
-	otherUnaffected(r, y)
+	fx.expect("change after the old list", l, err, 5, false, 1)
+	otherUnaffected(fx, y)
 
-	r.s.TruncateNextList("x")
-	r.s.Put(testEntry("c", Leaving))
-	otherUnaffected(r, y)
-	if l, err = x(); !errors.Is(err, io.ErrUnexpectedEOF) || len(r.s.Deliveries("x")) != 7 {
-		t.Errorf("truncated line: list %+v, error %v, %d deliveries, want an unexpected EOF and 7", l, err, len(r.s.Deliveries("x")))
-	}
-	r.s.TruncateNextList("x")
-	if _, _, err = r.get("x", ""); !errors.Is(err, io.ErrUnexpectedEOF) {
+	fx.s.TruncateNextList("x")
+	fx.s.Put(testEntry("c", Leaving))
+	otherUnaffected(fx, y)
+	if l, err = x(); !errors.Is(err, io.ErrUnexpectedEOF) || len(fx.s.Deliveries("x")) != 7 {
+		t.Errorf("truncated line: list %+v, error %v, %d deliveries, want an unexpected EOF and 7", l, err, len(fx.s.Deliveries("x")))
+	}
+	fx.s.TruncateNextList("x")
+	if _, _, err = fx.get("x", ""); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("truncated response: error %v, want an unexpected EOF", err)
 	}
 
-	_ = r.s.RejectCalls("x")
-	if _, status, _ := r.get("x", ""); status != http.StatusServiceUnavailable {
+	_ = fx.s.RejectCalls("x")
+	if _, status, _ := fx.get("x", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("rejected call: status %d, want 503", status)
 	}
-	if n := r.s.InjectLine("nonsense"); n != 1 {
+	if n := fx.s.InjectLine("nonsense"); n != 1 {
 		t.Errorf("line injected on %d watches, want 1", n)
 	}
 	if _, err = y(); err == nil {
 		t.Error("an invalid line was read as a list")
 	}
-	r.s.ResetConns("y")
+	fx.s.ResetConns("y")
 	for err = nil; err == nil; _, err = y() {
 	}
-	r.waitFor("the watch was not closed", "y", func(c Counts) bool { return c.Open == 0 })
-	if c := r.s.Counts("x"); c.OldLists != 1 || c.Truncated != 2 || c.Rejected != 1 || c.Failed != 1 || c.Open != 0 {
+	fx.waitFor("the watch was not closed", "y", func(c Counts) bool { return c.Open == 0 })
+	if c := fx.s.Counts("x"); c.OldLists != 1 || c.Truncated != 2 || c.Rejected != 1 || c.Failed != 1 || c.Open != 0 {
 		t.Errorf("counts of x: %+v, want one old list, two truncations, one rejected and failed call, no open watch", c)
 	}
-	if c := r.s.Counts("y"); c.Resets != 1 || c.InjectedLines != 1 || c.OldLists+c.Truncated+c.Rejected != 0 || !errors.Is(err, syscall.ECONNRESET) {
+	if c := fx.s.Counts("y"); c.Resets != 1 || c.InjectedLines != 1 || c.OldLists+c.Truncated+c.Rejected != 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("counts of y: %+v, error of its watch: %v, want one reset and one injected line", c, err)
 	}
 
-	r = newFixture(t, Options{Mode: Poll})
-	_ = r.s.SetDown("x")
-	if _, _, err = r.get("x", ""); err == nil || r.s.Counts("x").Downs != 1 {
-		t.Errorf("call to a service that is down: error %v, counts %+v", err, r.s.Counts("x"))
+	fx = newFixture(t, Options{Mode: Poll})
+	_ = fx.s.SetDown("x")
+	if _, _, err = fx.get("x", ""); err == nil || fx.s.Counts("x").Downs != 1 {
+		t.Errorf("call to a service that is down: error %v, counts %+v", err, fx.s.Counts("x"))
 	}
-	if _, _, err = r.get("y", ""); err != nil {
+	if _, _, err = fx.get("y", ""); err != nil {
 		t.Error(err)
 	}
 
 	for f, want := range map[Fault]error{{Reset: true}: syscall.ECONNRESET, {StopListening: true}: syscall.ECONNREFUSED} {
-		r, x, y := newWatches(t)
-		addr, _ := r.s.AddrFor("x")
+		fx, x, y := newWatches(t)
+		addr, _ := fx.s.AddrFor("x")
 		set := func(f Fault) {
-			if err := r.s.SetFault(f, "x"); err != nil {
+			if err := fx.s.SetFault(f, "x"); err != nil {
 				t.Error(err)
 			}
 		}
@@ -392,26 +393,26 @@
 		if l, err := x(); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%+v: watch received %+v, error %v, want a reset", f, l, err)
 		}
-		if _, _, err := r.get("x", ""); !errors.Is(err, want) {
+		if _, _, err := fx.get("x", ""); !errors.Is(err, want) {
 			t.Errorf("%+v: call during the fault: error %v", f, err)
 		}
-		if c := r.s.Counts("x"); c.Downs < c.Conns || f.StopListening != (c.Conns == 1) {
+		if c := fx.s.Counts("x"); c.Downs < c.Conns || f.StopListening != (c.Conns == 1) {
 			t.Errorf("%+v: counts %+v, want a reset for each connection, and no new connection if nothing listens", f, c)
 		}
-		r.s.Put(testEntry("a", Leaving))
-		otherUnaffected(r, y)
+		fx.s.Put(testEntry("a", Leaving))
+		otherUnaffected(fx, y)
 		set(Fault{})
-		if again, err := r.s.AddrFor("x"); again != addr || err != nil {
-			t.Errorf("%+v: the address changed from %s to %s, error %v", f, addr, again, err)
+		if addrAfter, err := fx.s.AddrFor("x"); addrAfter != addr || err != nil {
+			t.Errorf("%+v: the address changed from %s to %s, error %v", f, addr, addrAfter, err)
 		}
-		if l, _, err := r.get("x", ""); err != nil || l.Index != 4 {
+		if l, _, err := fx.get("x", ""); err != nil || l.Index != 4 {
 			t.Errorf("%+v: call after the fault: list %+v, error %v", f, l, err)
 		}
-		_ = r.s.SetFault(Fault{StopListening: true})
-		if nc, err := net.Dial("tcp", r.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
+		_ = fx.s.SetFault(Fault{StopListening: true})
+		if nc, err := net.Dial("tcp", fx.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("dial of the shared address while no address should listen: connection %v, error %v, want refused", nc, err)
 		}
-		if addr, err := r.s.AddrFor("new"); err != nil {
+		if addr, err := fx.s.AddrFor("new"); err != nil {
 			t.Error(err)
 		} else if _, err = net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("dial of an address opened during the fault: error %v, want refused", err)
@@ -421,17 +422,17 @@
 
 // Concurrent calls at a small capacity are served, wait too long, or find the queue full.
 func TestCapacityBoundsServedCalls(t *testing.T) {
-	r := newFixture(t, Options{Mode: Poll, Capacity: 2, Patience: time.Millisecond, Queue: 2})
+	fx := newFixture(t, Options{Mode: Poll, Capacity: 2, Patience: time.Millisecond, Queue: 2})
 	var wg sync.WaitGroup
 	for i := range 8 {
-		wg.Go(func() { _, _, _ = r.get(fmt.Sprint(i%2), "") })
+		wg.Go(func() { _, _, _ = fx.get(fmt.Sprint(i%2), "") })
 	}
 	wg.Wait()
-	c := r.s.Counts()
+	c := fx.s.Counts()
 	if c.Calls != 8 || c.Served == 0 || c.TooLong == 0 || c.Full == 0 || c.Queued != c.TooLong || c.Served+c.Failed != 8 || c.Failed != c.TooLong+c.Full {
 		t.Errorf("counts %+v, want 8 calls: some served, some that waited too long, some that found the queue full", c)
 	}
-	if a, b := r.s.Counts("0"), r.s.Counts("1"); a.Calls != 4 || b.Calls != 4 {
+	if a, b := fx.s.Counts("0"), fx.s.Counts("1"); a.Calls != 4 || b.Calls != 4 {
 		t.Errorf("counts of the two callers: %+v and %+v, want 4 calls each", a, b)
 	}
 
@@ -453,27 +454,27 @@
 
 // Callers and recorded deliveries are bounded, and the errors have codes.
 func TestCallersAndDeliveriesAreBounded(t *testing.T) {
-	r := newFixture(t, Options{Callers: 2, Tolds: 2, Keep: 4})
+	fx := newFixture(t, Options{Callers: 2, Tolds: 2, Keep: 4})
 	for i := range 10 {
-		r.s.Put(testEntry(fmt.Sprint(i), Active))
+		fx.s.Put(testEntry(fmt.Sprint(i), Active))
 	}
-	_, _, _ = r.get("x", "")
-	if deliveries := r.s.Deliveries("x"); len(deliveries) != 2 || deliveries[1].Entry.Name != "9" || r.s.Counts("x").DroppedDeliveries != 8 {
+	_, _, _ = fx.get("x", "")
+	if deliveries := fx.s.Deliveries("x"); len(deliveries) != 2 || deliveries[1].Entry.Name != "9" || fx.s.Counts("x").DroppedDeliveries != 8 {
 		t.Errorf("recorded deliveries: %+v, want the last 2 of 10", deliveries)
 	}
-	_, _ = r.s.AddrFor("y")
-	_, tooMany := r.s.AddrFor("z")
-	if resp, err := http.Get("http://" + r.s.Addr() + Path); err == nil {
+	_, _ = fx.s.AddrFor("y")
+	_, tooMany := fx.s.AddrFor("z")
+	if resp, err := http.Get("http://" + fx.s.Addr() + Path); err == nil {
 		resp.Body.Close()
 	}
-	if names := strings.Join(r.s.Callers(), " "); names != "others x y" || r.s.Counts(Others).Calls != 1 {
+	if names := strings.Join(fx.s.Callers(), " "); names != "others x y" || fx.s.Counts(Others).Calls != 1 {
 		t.Error(names)
 	}
-	r.s.Close()
-	_, closed := r.s.AddrFor("w")
-	_, bad := New(Options{Queue: -1})
+	fx.s.Close()
+	_, closed := fx.s.AddrFor("w")
+	_, badOption := New(Options{Queue: -1})
 	var all []operr.Coded
-	for _, err := range []error{tooMany, closed, bad} {
+	for _, err := range []error{tooMany, closed, badOption} {
 		if c := operr.Coded(nil); errors.As(err, &c) {
 			all = append(all, c)
 		}
--- a/internal/testkit/fake/discovery/errors.go
+++ b/internal/testkit/fake/discovery/errors.go
@@ -44,10 +44,10 @@
 }
 
 // TooManyCallers reports a request for an address beyond the limit Options.Callers.
-type TooManyCallers struct{ Most int }
+type TooManyCallers struct{ Max int }
 
 func (e *TooManyCallers) Error() string {
-	return fmt.Sprintf("discovery: more than %d callers", e.Most)
+	return fmt.Sprintf("discovery: more than %d callers", e.Max)
 }
 
 // Code implements operr.Coded.
@@ -57,5 +57,5 @@
 func (e *TooManyCallers) Advice() string { return "raise Options.Callers" }
 
 func init() {
-	operr.Register(&BadOption{Option: "Queue", Value: -1}, &NoListener{Caller: "n1", Err: net.ErrClosed}, &TooManyCallers{Most: 4096})
+	operr.Register(&BadOption{Option: "Queue", Value: -1}, &NoListener{Caller: "n1", Err: net.ErrClosed}, &TooManyCallers{Max: 4096})
 }
--- a/internal/testkit/fake/discovery/fault.go
+++ b/internal/testkit/fake/discovery/fault.go
@@ -62,7 +62,7 @@
 }
 
 // forEach calls do for the named callers, or all, and conns for their connections. It creates named callers that do not
-// exist. s.mu is held.
+// exist. Requires s.mu to be locked.
 func (s *Service) forEach(names []string, do func(*caller), conns func(*conn)) {
 	for _, name := range names {
 		s.caller(name)
@@ -153,12 +153,12 @@
 	return watches
 }
 
-// silencedBy reports whether a fault silences the connection. s.mu is held.
+// silencedBy reports whether a fault silences the connection. Requires s.mu to be locked.
 func (n *conn) silencedBy(f Fault) bool {
 	return f.Down && n.s.opt.Mode == Push && !f.resetsConns(Push) || f.Silent && (!f.AnswerNewCalls || n.callEpoch < f.epoch)
 }
 
-// checkSilenced reports whether the connection currently sends nothing, and counts each silence once. s.mu is held.
+// checkSilenced reports whether the connection currently sends nothing, and counts each silence once. Requires s.mu to be locked.
 func (n *conn) checkSilenced() bool {
 	if f := n.caller.fault; n.silencedBy(f) {
 		n.silencedForever = n.silencedForever || f.SilencePersists
--- a/internal/testkit/fake/discovery/list.go
+++ b/internal/testkit/fake/discovery/list.go
@@ -70,15 +70,15 @@
 }
 
 // Apply applies a message to the entries that a caller holds.
-func (l List) Apply(held map[string]Entry) {
+func (l List) Apply(entries map[string]Entry) {
 	if l.Full {
-		clear(held)
+		clear(entries)
 	}
 	for _, e := range l.Entries {
 		if e.Status == Left {
-			delete(held, e.Name)
+			delete(entries, e.Name)
 		} else {
-			held[e.Name] = e
+			entries[e.Name] = e
 		}
 	}
 }
@@ -155,15 +155,15 @@
 	if index < v.oldest || index > v.index {
 		return List{}, false
 	}
-	held := maps.Clone(v.entries)
+	entries := maps.Clone(v.entries)
 	for _, c := range slices.Backward(v.history[v.indexAfter(index):]) {
 		if c.previous == nil {
-			delete(held, c.current.Name)
+			delete(entries, c.current.Name)
 		} else {
-			held[c.current.Name] = *c.previous
+			entries[c.current.Name] = *c.previous
 		}
 	}
-	return List{Index: index, Full: true, Entries: sortedByName(held)}, true
+	return List{Index: index, Full: true, Entries: sortedByName(entries)}, true
 }
 
 // Changes returns the changes after one version up to another, each entry once in its last state, or
@@ -193,10 +193,10 @@
 	return v.List()
 }
 
-func sortedByName(held map[string]Entry) []Entry {
-	list := make([]Entry, 0, len(held))
-	for _, name := range slices.Sorted(maps.Keys(held)) {
-		list = append(list, held[name])
+func sortedByName(entries map[string]Entry) []Entry {
+	list := make([]Entry, 0, len(entries))
+	for _, name := range slices.Sorted(maps.Keys(entries)) {
+		list = append(list, entries[name])
 	}
 	return list
 }
--- a/internal/testkit/fake/discovery/port.go
+++ b/internal/testkit/fake/discovery/port.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// setClosed closes the listener, or listens again. The caller holds s.mu.
+// setClosed closes the listener, or listens again. Requires s.mu to be locked.
 func (p *port) setClosed(closed bool) error {
 	switch {
 	case closed && p.ln != nil && !p.s.closed:
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// close closes the listener and releases the port. The caller holds s.mu.
+// close closes the listener and releases the port. Requires s.mu to be locked.
 func (p *port) close() {
 	if p.ln != nil {
 		p.ln.Close()
--- a/internal/testkit/fake/discovery/service.go
+++ b/internal/testkit/fake/discovery/service.go
@@ -203,7 +203,7 @@
 	return p.addr, p.setClosed(f.StopListening)
 }
 
-// caller returns the caller of a name and creates it if needed. s.mu is held.
+// caller returns the caller of a name and creates it if needed. Requires s.mu to be locked.
 func (s *Service) caller(name string) *caller {
 	c := s.callers[name]
 	if c == nil && len(s.callers) >= s.opt.Callers {
@@ -245,7 +245,7 @@
 }
 
 // visibleIndex returns the version that a caller with delayed changes sees now, and when it sees the next one (zero:
-// there is none yet). s.mu is held.
+// there is none yet). Requires s.mu to be locked.
 func (s *Service) visibleIndex(delay time.Duration, now time.Time) (int64, time.Time) {
 	if delay <= 0 || len(s.putTimes) == 0 {
 		return s.list.Index(), time.Time{}
@@ -326,7 +326,7 @@
 	return all
 }
 
-// recordDelivery records a list that was written to a caller. s.mu is held.
+// recordDelivery records a list that was written to a caller. Requires s.mu to be locked.
 func (s *Service) recordDelivery(c *caller, l List, at time.Time) {
 	changed := l.Entries
 	if l.Full && c.sentIndex >= 0 {
@@ -361,8 +361,8 @@
 	}
 }
 
-// encoded returns a message's JSON. It caches the last one, because most messages are written to many callers. s.mu is
-// held.
+// encoded returns a message's JSON. It caches the last one, because most messages are written to many callers. Requires
+// s.mu to be locked.
 func (s *Service) encoded(l List, from int64, indent bool) []byte {
 	k := &s.cache
 	if l.Full {
@@ -374,7 +374,7 @@
 	return k.text
 }
 
-// wakeAll wakes up all connections. The caller holds s.mu.
+// wakeAll wakes up all connections. Requires s.mu to be locked.
 func (s *Service) wakeAll() {
 	for n := range s.conns {
 		select {
--- a/internal/testkit/fake/link/heldlistener.go
+++ b/internal/testkit/fake/link/heldlistener.go
@@ -19,7 +19,7 @@
 )
 
 // heldListener is a listening socket that can be held. While it is held, its accept queue is full, so that connects neither
-// succeed nor fail. Connections that the listener itself dials fill the queue.
+// succeed nor fail. The connections that setHeld dials fill the queue.
 type heldListener struct {
 	ln          *net.TCPListener
 	mu          sync.Mutex
--- a/internal/testkit/fake/link/link_test.go
+++ b/internal/testkit/fake/link/link_test.go
@@ -34,37 +34,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &fixture{l: l, ln: ln}
+	fx := &fixture{l: l, ln: ln}
 	t.Cleanup(func() {
 		l.Close()
 		ln.Close()
-		for _, nc := range []net.Conn{p.near, p.far} {
+		for _, nc := range []net.Conn{fx.near, fx.far} {
 			if nc != nil {
 				nc.Close()
 			}
 		}
 	})
-	p.dial(t)
-	return p
+	fx.dial(t)
+	return fx
 }
 
-func (p *fixture) dial(t *testing.T) {
+func (fx *fixture) dial(t *testing.T) {
 	t.Helper()
 	var err error
-	if p.near, err = net.Dial("tcp", p.l.Addr()); err != nil {
+	if fx.near, err = net.Dial("tcp", fx.l.Addr()); err != nil {
 		t.Fatal(err)
 	}
-	if p.far, err = p.ln.Accept(); err != nil {
+	if fx.far, err = fx.ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	for _, nc := range []net.Conn{p.near, p.far} {
+	for _, nc := range []net.Conn{fx.near, fx.far} {
 		nc.SetDeadline(time.Now().Add(testTimeout))
 	}
 }
 
-func (p *fixture) set(t *testing.T, d Direction, f Fault) {
+func (fx *fixture) set(t *testing.T, d Direction, f Fault) {
 	t.Helper()
-	if err := p.l.SetFault(d, f); err != nil {
+	if err := fx.l.SetFault(d, f); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -93,14 +93,14 @@
 // Each fault of a stream has the effect in the package's table, is counted, and ends when it is cleared.
 func TestStreamFaults(t *testing.T) {
 	big := bytes.Repeat([]byte("0123456789abcdef"), 4096)
-	expectAllData := func(t *testing.T, p *fixture, least time.Duration) {
+	expectAllData := func(t *testing.T, fx *fixture, minDuration time.Duration) {
 		start := time.Now()
-		go func() { _, _ = p.near.Write(big) }()
+		go func() { _, _ = fx.near.Write(big) }()
 		b := make([]byte, len(big))
-		if _, err := io.ReadFull(p.far, b); err != nil || !bytes.Equal(b, big) {
+		if _, err := io.ReadFull(fx.far, b); err != nil || !bytes.Equal(b, big) {
 			t.Errorf("data incomplete or out of order: %v", err)
 		}
-		if took := time.Since(start); took < least {
+		if took := time.Since(start); took < minDuration {
 			t.Errorf("data arrived early, after %v", took)
 		}
 	}
@@ -110,68 +110,68 @@
 		count func(Counts) int
 		check func(*testing.T, *fixture)
 	}{
-		{"silent until cleared", Fault{Silent: true}, func(c Counts) int { return c.Silenced }, func(t *testing.T, p *fixture) {
-			_, _ = io.WriteString(p.near, "held")
-			waitFor(t, "nothing was held back", func() bool { return p.l.Counts(Forward).Silenced > 0 })
-			expectDelivery(t, p.far, p.near, "back") // the other direction is not affected
-			p.set(t, Forward, Fault{})
-			expectDelivery(t, p.near, p.far, "")
+		{"silent until cleared", Fault{Silent: true}, func(c Counts) int { return c.Silenced }, func(t *testing.T, fx *fixture) {
+			_, _ = io.WriteString(fx.near, "held")
+			waitFor(t, "nothing was held back", func() bool { return fx.l.Counts(Forward).Silenced > 0 })
+			expectDelivery(t, fx.far, fx.near, "back") // the other direction is not affected
+			fx.set(t, Forward, Fault{})
+			expectDelivery(t, fx.near, fx.far, "")
 			b := make([]byte, 4)
-			if _, err := io.ReadFull(p.far, b); err != nil || string(b) != "held" {
-				t.Errorf("held back data after the fault: %q, error %v", b, err)
+			if _, err := io.ReadFull(fx.far, b); err != nil || string(b) != "held" {
+				t.Errorf("data sent during the silence arrived as %q, error %v", b, err)
 			}
 		}},
 		{"delay with jitter", Fault{Delay: 100 * time.Millisecond, Jitter: 20 * time.Millisecond}, func(c Counts) int { return c.Delayed },
-			func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
-		{"loss of every chunk", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, p *fixture) { expectAllData(t, p, retransmitDelay) }},
-		{"rate limit", Fault{BytesPerSecond: 500000}, func(c Counts) int { return c.RateLimited }, func(t *testing.T, p *fixture) { expectAllData(t, p, 100*time.Millisecond) }},
-		{"reset after 10 bytes", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, p *fixture) {
-			go func() { _, _ = p.near.Write(big) }()
-			if n, err := io.Copy(io.Discard, p.far); n > 10 || !errors.Is(err, syscall.ECONNRESET) {
+			func(t *testing.T, fx *fixture) { expectAllData(t, fx, 100*time.Millisecond) }},
+		{"loss of every chunk", Fault{Loss: 1}, func(c Counts) int { return c.Lost }, func(t *testing.T, fx *fixture) { expectAllData(t, fx, retransmitDelay) }},
+		{"rate limit", Fault{BytesPerSecond: 500000}, func(c Counts) int { return c.RateLimited }, func(t *testing.T, fx *fixture) { expectAllData(t, fx, 100*time.Millisecond) }},
+		{"reset after 10 bytes", Fault{ResetAfter: 10}, func(c Counts) int { return c.Reset }, func(t *testing.T, fx *fixture) {
+			go func() { _, _ = fx.near.Write(big) }()
+			if n, err := io.Copy(io.Discard, fx.far); n > 10 || !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("receiver: %d bytes, error %v, want at most 10 and a reset", n, err)
 			}
-			waitFor(t, "the sender does not see the reset", func() bool { _, err := p.near.Write([]byte("x")); return err != nil })
+			waitFor(t, "the sender does not see the reset", func() bool { _, err := fx.near.Write([]byte("x")); return err != nil })
 		}},
-		{"cut one direction", Fault{Cut: true}, func(c Counts) int { return c.Cut }, func(t *testing.T, p *fixture) {
-			_, _ = io.WriteString(p.near, "x")
-			if b, err := io.ReadAll(p.far); len(b) > 0 || err != nil {
+		{"cut one direction", Fault{Cut: true}, func(c Counts) int { return c.Cut }, func(t *testing.T, fx *fixture) {
+			_, _ = io.WriteString(fx.near, "x")
+			if b, err := io.ReadAll(fx.far); len(b) > 0 || err != nil {
 				t.Errorf("receiver of the cut direction: read %q, error %v, want the end of the stream", b, err)
 			}
-			expectDelivery(t, p.far, p.near, "back")
+			expectDelivery(t, fx.far, fx.near, "back")
 		}},
-		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.HalfOpen }, func(t *testing.T, p *fixture) {
-			_, _ = io.WriteString(p.near, "x")
-			if _, err := io.ReadAll(p.far); !errors.Is(err, syscall.ECONNRESET) {
+		{"half open", Fault{HalfOpen: true}, func(c Counts) int { return c.HalfOpen }, func(t *testing.T, fx *fixture) {
+			_, _ = io.WriteString(fx.near, "x")
+			if _, err := io.ReadAll(fx.far); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("receiver: error %v, want a reset", err)
 			}
-			p.near.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+			fx.near.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			for range 3 {
-				if _, err := io.WriteString(p.near, "on"); err != nil {
+				if _, err := io.WriteString(fx.near, "on"); err != nil {
 					t.Error(err)
 				}
 			}
-			if _, err := p.near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if _, err := fx.near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("sender: read error %v, want its timeout", err)
 			}
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			p := newFixture(t, "tcp")
-			expectDelivery(t, p.near, p.far, "hello")
-			if n := x.count(p.l.Counts(Both)); n != 0 {
+			fx := newFixture(t, "tcp")
+			expectDelivery(t, fx.near, fx.far, "hello")
+			if n := x.count(fx.l.Counts(Both)); n != 0 {
 				t.Errorf("fault counted %d times before it was set", n)
 			}
-			p.set(t, Forward, x.fault)
-			x.check(t, p)
-			if n := x.count(p.l.Counts(Forward)); n == 0 {
+			fx.set(t, Forward, x.fault)
+			x.check(t, fx)
+			if n := x.count(fx.l.Counts(Forward)); n == 0 {
 				t.Error("the fault was not counted")
 			}
-			p.set(t, Forward, Fault{})
-			p.near.Close()
-			p.far.Close()
-			p.dial(t)
-			expectDelivery(t, p.near, p.far, "after the fault")
-			expectDelivery(t, p.far, p.near, "other direction")
+			fx.set(t, Forward, Fault{})
+			fx.near.Close()
+			fx.far.Close()
+			fx.dial(t)
+			expectDelivery(t, fx.near, fx.far, "after the fault")
+			expectDelivery(t, fx.far, fx.near, "other direction")
 		})
 	}
 }
@@ -179,53 +179,53 @@
 // A cut in both directions resets existing and new connections. Connects to a held link succeed after the release.
 // The dialer's close is noticed over a silent link too. A closed second party is seen as a failed connection.
 func TestCutHoldAndClosedPeer(t *testing.T) {
-	p := newFixture(t, "tcp")
-	p.set(t, Both, Fault{Cut: true})
-	if _, err := p.near.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	fx := newFixture(t, "tcp")
+	fx.set(t, Both, Fault{Cut: true})
+	if _, err := fx.near.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("existing connection: error %v, want a reset", err)
 	}
-	p.near.Close()
-	if nc, err := net.Dial("tcp", p.l.Addr()); err == nil { // otherwise it was reset during the connect
+	fx.near.Close()
+	if nc, err := net.Dial("tcp", fx.l.Addr()); err == nil { // otherwise it was reset during the connect
 		nc.SetDeadline(time.Now().Add(testTimeout))
 		if _, err = nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("new connection: error %v, want a reset", err)
 		}
 		nc.Close()
 	}
-	waitFor(t, "the resets were not counted", func() bool { return p.l.Counts(Forward).Cut == 2 })
-	p.set(t, Both, Fault{})
-	p.set(t, Forward, Fault{Hold: true})
+	waitFor(t, "the resets were not counted", func() bool { return fx.l.Counts(Forward).Cut == 2 })
+	fx.set(t, Both, Fault{})
+	fx.set(t, Forward, Fault{Hold: true})
 	connected := make(chan net.Conn)
 	go func() {
-		nc, err := net.DialTimeout("tcp", p.l.Addr(), testTimeout)
+		nc, err := net.DialTimeout("tcp", fx.l.Addr(), testTimeout)
 		if err != nil {
 			t.Error(err)
 		}
 		connected <- nc
 	}()
-	waitFor(t, "no pending connect", func() bool { return p.l.PendingConnects() == 1 })
+	waitFor(t, "no pending connect", func() bool { return fx.l.PendingConnects() == 1 })
 	select {
 	case <-connected:
 		t.Error("a connect to the held link succeeded")
 	default:
 	}
-	p.set(t, Forward, Fault{})
-	p.near = <-connected
-	p.far.Close()
+	fx.set(t, Forward, Fault{})
+	fx.near = <-connected
+	fx.far.Close()
 	var err error
-	if p.far, err = p.ln.Accept(); err != nil {
+	if fx.far, err = fx.ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	expectDelivery(t, p.near, p.far, "late")
-	p.set(t, Both, Fault{Silent: true})
-	p.near.Close()
-	waitFor(t, "the dialer's close was not noticed", func() bool { all := p.l.Conns(); return !all[len(all)-1].Ended.IsZero() })
-	if c := p.l.Conns(); c[len(c)-1].OutboundAddr != p.far.RemoteAddr().String() {
+	expectDelivery(t, fx.near, fx.far, "late")
+	fx.set(t, Both, Fault{Silent: true})
+	fx.near.Close()
+	waitFor(t, "the dialer's close was not noticed", func() bool { all := fx.l.Conns(); return !all[len(all)-1].Ended.IsZero() })
+	if c := fx.l.Conns(); c[len(c)-1].OutboundAddr != fx.far.RemoteAddr().String() {
 		t.Errorf("outbound address of the last connection is not the one that the second party sees: %+v", c)
 	}
-	p.set(t, Both, Fault{})
-	p.ln.Close()
-	if nc, err := net.Dial("tcp", p.l.Addr()); err == nil { // otherwise it was reset during the connect
+	fx.set(t, Both, Fault{})
+	fx.ln.Close()
+	if nc, err := net.Dial("tcp", fx.l.Addr()); err == nil { // otherwise it was reset during the connect
 		if _, err = nc.Read(make([]byte, 1)); err == nil {
 			t.Error("read data although the second party is closed")
 		}
@@ -233,7 +233,7 @@
 	}
 	for _, f := range []Fault{{Duplicate: 1}, {Loss: 2}} {
 		var unfit *UnsupportedFault
-		if err := p.l.SetFault(Forward, f); !errors.As(err, &unfit) {
+		if err := fx.l.SetFault(Forward, f); !errors.As(err, &unfit) {
 			t.Errorf("set of %+v on a tcp link: error %v, want UnsupportedFault", f, err)
 		}
 	}
--- a/internal/testkit/fake/node/record.go
+++ b/internal/testkit/fake/node/record.go
@@ -42,8 +42,8 @@
 
 func (r *recorder) Read(p []byte) (int, error) {
 	k, err := r.nc.Read(p)
-	if room := maxRecordedHead - len(r.head); room > 0 {
-		r.head = append(r.head, p[:min(k, room)]...)
+	if free := maxRecordedHead - len(r.head); free > 0 {
+		r.head = append(r.head, p[:min(k, free)]...)
 	}
 	return k, err
 }
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -201,7 +201,7 @@
 }
 
 // exceedsRate reports whether a request exceeds the rate limit, which is a token bucket that holds the responses of 100 ms,
-// at least one. s.mu is held.
+// at least one. Requires s.mu to be locked.
 func (s *Server) exceedsRate() bool {
 	if s.opt.Rate == 0 {
 		return false
--- a/internal/testkit/historycheck/check.go
+++ b/internal/testkit/historycheck/check.go
@@ -157,21 +157,21 @@
 
 // Check returns the violations, for the rule "limit" the first one of each volume and for "cold" of each slow start. Their
 // order depends only on the history.
-func Check(r Rules, h History) []Violation {
-	c := &checker{rules: r, history: h, requests: map[string]Request{}, attempts: map[string][]Attempt{}, outcomes: map[string][]Outcome{}}
-	for _, request := range h.Requests {
+func Check(rules Rules, history History) []Violation {
+	c := &checker{rules: rules, history: history, requests: map[string]Request{}, attempts: map[string][]Attempt{}, outcomes: map[string][]Outcome{}}
+	for _, request := range history.Requests {
 		c.requests[request.ID] = request
 	}
-	for _, attempt := range h.Attempts {
+	for _, attempt := range history.Attempts {
 		c.attempts[attempt.ID] = append(c.attempts[attempt.ID], attempt)
 	}
 	for _, list := range c.attempts {
-		slices.SortStableFunc(list, func(outcome, b Attempt) int { return cmp.Compare(outcome.FirstByte, b.FirstByte) })
+		slices.SortStableFunc(list, func(a, b Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	}
-	for _, outcome := range h.Outcomes {
+	for _, outcome := range history.Outcomes {
 		c.outcomes[outcome.ID] = append(c.outcomes[outcome.ID], outcome)
 	}
-	for _, request := range h.Requests {
+	for _, request := range history.Requests {
 		if request.ParentID == "" {
 			c.checkOutcome(request)
 		}
--- a/internal/testkit/historycheck/check_test.go
+++ b/internal/testkit/historycheck/check_test.go
@@ -63,7 +63,7 @@
 
 // Each rule reports its violations and no others. Histories just within the limits pass.
 func TestRules(t *testing.T) {
-	edit := func(class string, f func(*History)) History {
+	edited := func(class string, f func(*History)) History {
 		h := singleRequest("r", class, 400*ms)
 		f(&h)
 		return h
@@ -76,35 +76,35 @@
 		h          History
 	}{
 		{"one executed and answered write", "", singleRequest("r", "write", 0)},
-		{"no outcome", "answer", edit("read", func(h *History) { h.Outcomes = nil })},
-		{"two outcomes", "answer", edit("read", func(h *History) { h.Outcomes = append(h.Outcomes, h.Outcomes[0]) })},
-		{"truncated response", "answer", edit("read", func(h *History) { h.Outcomes[0].Kind = Truncated })},
-		{"response after the deadline", "answer", edit("read", func(h *History) { h.Outcomes[0].At = 1500 * ms })},
-		{"response within the slack", "", edit("read", func(h *History) { h.Outcomes[0].At = 1440 * ms })},
-		{"response to another request", "answer", edit("read", func(h *History) { h.Outcomes[0].ResponseID = "s" })},
-		{"client disconnected", "", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected })},
-		{"no response of a killed scheduler", "", edit("read", func(h *History) {
+		{"no outcome", "answer", edited("read", func(h *History) { h.Outcomes = nil })},
+		{"two outcomes", "answer", edited("read", func(h *History) { h.Outcomes = append(h.Outcomes, h.Outcomes[0]) })},
+		{"truncated response", "answer", edited("read", func(h *History) { h.Outcomes[0].Kind = Truncated })},
+		{"response after the deadline", "answer", edited("read", func(h *History) { h.Outcomes[0].At = 1500 * ms })},
+		{"response within the slack", "", edited("read", func(h *History) { h.Outcomes[0].At = 1440 * ms })},
+		{"response to another request", "answer", edited("read", func(h *History) { h.Outcomes[0].ResponseID = "s" })},
+		{"client disconnected", "", edited("read", func(h *History) { h.Outcomes[0].Kind = Disconnected })},
+		{"no response of a killed scheduler", "", edited("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 0, From: 403 * ms, To: 900 * ms}}
 		})},
-		{"no response while another scheduler was killed", "answer", edit("read", func(h *History) {
+		{"no response while another scheduler was killed", "answer", edited("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Killed = NoResponse, []Interval{{Scheduler: 1, From: 403 * ms, To: 900 * ms}}
 		})},
-		{"shutdown after an attempt was sent", "answer", edit("read", func(h *History) {
+		{"shutdown after an attempt was sent", "answer", edited("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Terminating = NoResponse, []Interval{{Scheduler: 0, From: 0, To: 900 * ms}}
 		})},
-		{"shutdown before an attempt was sent", "", edit("read", func(h *History) {
+		{"shutdown before an attempt was sent", "", edited("read", func(h *History) {
 			h.Outcomes[0].Kind, h.Terminating, h.Attempts, h.Executions = NoResponse, []Interval{{Scheduler: 0, From: 0, To: 900 * ms}}, nil, nil
 		})},
-		{"non-idempotent request executed twice", "unsafe", edit("write", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
-		{"idempotent request executed twice", "", edit("read", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
-		{"non-idempotent request sent again", "unsafe", edit("write", func(h *History) { resend(h, 405*ms) })},
-		{"sent again after a rejection", "", edit("write", func(h *History) { h.Attempts[0].Rejected = true; resend(h, 405*ms) })},
-		{"sent again after a truncated attempt", "", edit("write", func(h *History) { h.Attempts[0].LastByte = Never; resend(h, 405*ms) })},
-		{"two attempts in flight", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = 470 * ms; resend(h, 405*ms) })},
-		{"first attempt never ended", "two-out", edit("read", func(h *History) { h.Attempts[0].EndedAt = Never; resend(h, 405*ms) })},
-		{"attempt after the response", "late", edit("read", func(h *History) { resend(h, 460*ms) })},
-		{"attempt of an unknown request", "stray", edit("read", func(h *History) { h.Attempts = append(h.Attempts, Attempt{ID: "x", Node: "a"}) })},
-		{"execution of an unknown request", "stray", edit("read", func(h *History) { h.Executions = append(h.Executions, Execution{"x", "a", 0}) })},
+		{"non-idempotent request executed twice", "unsafe", edited("write", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
+		{"idempotent request executed twice", "", edited("read", func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) })},
+		{"non-idempotent request sent again", "unsafe", edited("write", func(h *History) { resend(h, 405*ms) })},
+		{"sent again after a rejection", "", edited("write", func(h *History) { h.Attempts[0].Rejected = true; resend(h, 405*ms) })},
+		{"sent again after a truncated attempt", "", edited("write", func(h *History) { h.Attempts[0].LastByte = Never; resend(h, 405*ms) })},
+		{"two attempts in flight", "two-out", edited("read", func(h *History) { h.Attempts[0].EndedAt = 470 * ms; resend(h, 405*ms) })},
+		{"first attempt never ended", "two-out", edited("read", func(h *History) { h.Attempts[0].EndedAt = Never; resend(h, 405*ms) })},
+		{"attempt after the response", "late", edited("read", func(h *History) { resend(h, 460*ms) })},
+		{"attempt of an unknown request", "stray", edited("read", func(h *History) { h.Attempts = append(h.Attempts, Attempt{ID: "x", Node: "a"}) })},
+		{"execution of an unknown request", "stray", edited("read", func(h *History) { h.Executions = append(h.Executions, Execution{"x", "a", 0}) })},
 		{"attempt at a draining node after the grace period", "drain", withDrain(singleRequest("r", "read", 400*ms), Draining)},
 		{"attempt at a removed node after the grace period", "drain", withDrain(singleRequest("r", "read", 400*ms), Removed)},
 		{"attempt at a draining node within the grace period", "", withDrain(singleRequest("r", "read", 300*ms), Draining)},
@@ -122,19 +122,19 @@
 		{"AskWithin counted from when the list was available", "", History{ListOutages: []Interval{{Scheduler: 0, From: 0, To: 100 * ms}}}.with(singleRequest("r", "read", 1310*ms), Change{"a", Removed, 0})},
 		{"within four times AskWithin after rejected list calls", "", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 3900*ms), Change{"a", Removed, 0})},
 		{"later than four times AskWithin after rejected list calls", "drain", History{ListOutages: []Interval{{To: 100 * ms, Rejected: true}}}.with(singleRequest("r", "read", 4500*ms), Change{"a", Removed, 0})},
-		{"late response without a deadline", "", edit("read", func(h *History) { h.Requests[0].Deadline, h.Outcomes[0].At = Never, 1900*ms })},
-		{"late response of a paused scheduler", "", edit("read", func(h *History) { h.Outcomes[0].At, h.Paused = 1900*ms, []Interval{{From: 402 * ms, To: 1500 * ms}} })},
-		{"late response during a stall of the test process", "", edit("read", func(h *History) {
+		{"late response without a deadline", "", edited("read", func(h *History) { h.Requests[0].Deadline, h.Outcomes[0].At = Never, 1900*ms })},
+		{"late response of a paused scheduler", "", edited("read", func(h *History) { h.Outcomes[0].At, h.Paused = 1900*ms, []Interval{{From: 402 * ms, To: 1500 * ms}} })},
+		{"late response during a stall of the test process", "", edited("read", func(h *History) {
 			h.Outcomes[0].At, h.HarnessStalls = 1500*ms, []Interval{{From: 1300 * ms, To: 1400 * ms}}
 		})},
-		{"attempt after the client disconnected", "late", edit("read", func(h *History) { h.Outcomes[0].Kind = Disconnected; resend(h, 460*ms) })},
+		{"attempt after the client disconnected", "late", edited("read", func(h *History) { h.Outcomes[0].Kind = Disconnected; resend(h, 460*ms) })},
 		{"plan's limit exceeded", "limit", requestsOnPlan(8, "small")},
 		{"within the plan's limit", "", requestsOnPlan(6, "small")},
 		{"plan without a limit", "", requestsOnPlan(60, "basic")},
 		{"gathered read's parts within the plan's limit", "", gatheredRead(6, "small", 20*ms)},
 		{"gathered read's parts over the plan's limit", "limit", gatheredRead(8, "small", 20*ms)},
 		{"part sent after the read ended", "late", gatheredRead(4, "basic", 200*ms)},
-		{"part without a read", "stray", edit("read", func(h *History) { h.Attempts[0].ID = "g/0/1"; h.Executions = nil })},
+		{"part without a read", "stray", edited("read", func(h *History) { h.Attempts[0].ID = "g/0/1"; h.Executions = nil })},
 		{"slow start budget exceeded", "cold", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(8, "basic"))},
 		{"within the slow start budget", "", History{SlowStarts: []Change{{Node: "a"}}}.with(requestsOnPlan(7, "basic"))},
 	} {
--- a/internal/testkit/retrydetect/detector_test.go
+++ b/internal/testkit/retrydetect/detector_test.go
@@ -101,7 +101,7 @@
 		}
 		inFlight := map[uint64]bool{}
 		for i := range n {
-			if f, is := retries[i]; is {
+			if f, isRetry := retries[i]; isRetry {
 				if d := g.Due(f, i); d != Wait {
 					decided[i] = d
 				}
