--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -68,9 +68,9 @@
 	Network string // tcp, udp, or both for two parties that use TCP and UDP at one address each
 	To      string // address of the second party
 	Listen  string // address at which the first party reaches the second; "": any port of 127.0.0.1
-	// From and Back are for udp and both. From is the first party's own address ("": learned from its first
-	// datagram). Back is the address at which the second party reaches the first ("": any port).
-	From, Back string
+	// From and ListenBackward are for udp and both. From is the first party's own address ("": learned from its first
+	// datagram). ListenBackward is the address at which the second party reaches the first ("": any port of 127.0.0.1).
+	From, ListenBackward string
 }
 
 // Conn describes a TCP connection.
@@ -137,8 +137,8 @@
 	if opt.Listen == "" {
 		opt.Listen = "127.0.0.1:0"
 	}
-	if opt.Back == "" {
-		opt.Back = "127.0.0.1:0"
+	if opt.ListenBackward == "" {
+		opt.ListenBackward = "127.0.0.1:0"
 	}
 	l := &Link{opt: opt, changed: make(chan struct{}), openPipes: map[*pipe]bool{}, done: make(chan struct{})}
 	fail := func(at string, err error) (*Link, error) {
@@ -147,7 +147,7 @@
 	}
 	ends := []struct {
 		at, to string
-	}{{opt.Listen, opt.To}, {opt.Back, opt.From}}
+	}{{opt.Listen, opt.To}, {opt.ListenBackward, opt.From}}
 	switch opt.Network {
 	case "tcp", "udp", "both":
 	default:
--- a/internal/testkit/fake/refuser/refuser.go
+++ b/internal/testkit/fake/refuser/refuser.go
@@ -9,21 +9,21 @@
 	"syscall"
 )
 
-// CopyAttempts counts the zero-copy transfers that failed.
-type CopyAttempts struct{ n atomic.Int64 }
+// FailedTransfers counts the zero-copy transfers that failed.
+type FailedTransfers struct{ n atomic.Int64 }
 
 // Count returns the number of failed transfers.
-func (a *CopyAttempts) Count() int64 { return a.n.Load() }
+func (f *FailedTransfers) Count() int64 { return f.n.Load() }
 
 // Conn is a TCP connection whose zero-copy transfers fail. It embeds *net.TCPConn, so that it has all other methods of a
 // TCP connection, for code that checks for them.
 type Conn struct {
 	*net.TCPConn
-	counter *CopyAttempts
+	counter *FailedTransfers
 }
 
 // Wrap makes the zero-copy transfers of a TCP connection fail.
-func (a *CopyAttempts) Wrap(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), a} }
+func (f *FailedTransfers) Wrap(nc net.Conn) *Conn { return &Conn{nc.(*net.TCPConn), f} }
 
 // ReadFrom implements io.ReaderFrom and always fails.
 func (c *Conn) ReadFrom(io.Reader) (int64, error) { c.counter.n.Add(1); return 0, syscall.ENOSYS }
@@ -34,7 +34,7 @@
 // Listener accepts connections whose zero-copy transfers fail.
 type Listener struct {
 	net.Listener
-	*CopyAttempts
+	*FailedTransfers
 }
 
 // Listen opens a Listener on any loopback port.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{ln, &CopyAttempts{}}, nil
+	return &Listener{ln, &FailedTransfers{}}, nil
 }
 
 // Accept implements net.Listener.
--- a/internal/testkit/fake/server/server.go
+++ b/internal/testkit/fake/server/server.go
@@ -37,8 +37,8 @@
 	Rate          float64       // responses per second; requests above the rate are rejected. 0: unlimited
 }
 
-// Counts are a server's counters.
-// Retries are requests with X-Retry: 1, Answered are responses with status 200, Rejected are those with 503.
+// Counts are a server's counters. Retries are requests with X-Retry: 1, Answered are responses with status 200, Rejected
+// are those with 503.
 type Counts struct{ Conns, Requests, Retries, Answered, Rejected int }
 
 // Server is a running fake scheduler.
