--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -449,7 +449,7 @@
 	if i < j {
 		return f.PeerLink(i, j).Addr()
 	}
-	return f.PeerLink(i, j).Back()
+	return f.PeerLink(i, j).BackwardAddr()
 }
 
 // Wait polls a condition until it returns nil.
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -201,7 +201,7 @@
 }
 
 // Back returns the address at which the second party reaches the first, or "" on a tcp link.
-func (l *Link) Back() string {
+func (l *Link) BackwardAddr() string {
 	if l.udp[1] == nil {
 		return ""
 	}
--- a/internal/testkit/fake/link/link_test.go
+++ b/internal/testkit/fake/link/link_test.go
@@ -252,7 +252,7 @@
 		}
 		defer l.Close()
 		there, _ := net.ResolveUDPAddr("udp", l.Addr())
-		back, _ := net.ResolveUDPAddr("udp", l.Back())
+		back, _ := net.ResolveUDPAddr("udp", l.BackwardAddr())
 		send := func(from *net.UDPConn, to net.Addr, n byte) { _, _ = from.WriteTo([]byte{n}, to) }
 		read := func(at *net.UDPConn, from string) byte {
 			t.Helper()
@@ -267,7 +267,7 @@
 		send(b, back, 1) // the second party may send first
 		read(a, l.Addr())
 		send(a, there, 2)
-		read(b, l.Back())
+		read(b, l.BackwardAddr())
 		set := func(f Fault) {
 			t.Helper()
 			if err := l.SetFault(Forward, f); err != nil {
@@ -276,13 +276,13 @@
 		}
 		set(Fault{Duplicate: 1})
 		send(a, there, 3)
-		if read(b, l.Back())+read(b, l.Back()) != 6 {
+		if read(b, l.BackwardAddr())+read(b, l.BackwardAddr()) != 6 {
 			t.Error("datagram not duplicated")
 		}
 		set(Fault{Reorder: 1})
 		send(a, there, 4)
 		send(a, there, 5)
-		if read(b, l.Back()) != 5 || read(b, l.Back()) != 4 {
+		if read(b, l.BackwardAddr()) != 5 || read(b, l.BackwardAddr()) != 4 {
 			t.Error("datagrams not reordered")
 		}
 		for _, f := range []Fault{{Cut: true}, {Silent: true}} {
--- a/internal/testkit/fake/node/fault.go
+++ b/internal/testkit/fake/node/fault.go
@@ -31,8 +31,8 @@
 	numFaults
 )
 
-var faultTexts = [numFaults]string{"none", "refused", "accepts and hangs", "accepts and resets", "backlog full", "slow responses",
-	"half of the response", "no response", "another node", "stale socket file", "file is not a socket"}
+var faultTexts = [numFaults]string{"none", "refused", "accepts and hangs", "accepts and resets", "backlog full", "slow",
+	"half an answer", "answer never comes", "another node", "file without a listener", "path is no socket"}
 
 func (f Fault) String() string {
 	if f >= 0 && f < numFaults {
