--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -33,21 +33,21 @@
 }
 
 const (
-	warm       = 10 * time.Second // before the first decision
-	every      = 100.0            // ms between decisions
-	settle     = 5000.0           // ms within which the order must be right again
-	deadline   = 150 * time.Millisecond
-	repeats    = 80 // plays of a plan, for its cost in hindsight
-	offered    = 4
-	slowNode   = 3 * 2 // of the fastest kind: it has the longest way to the end of the order
-	clearRatio = 1.25  // an order counts where the nodes differ by so much in truth
+	warmUp                 = 10 * time.Second // before the first decision
+	decisionIntervalMillis = 100.0            // ms between decisions
+	settleMillis           = 5000.0           // ms within which the order must be right again
+	deadline               = 150 * time.Millisecond
+	playsPerPlan           = 80 // plays of a plan, for its cost in hindsight
+	plansPerDecision       = 4
+	slowNode               = 3 * 2 // of the fastest kind: it has the longest way to the end of the order
+	clearRatio             = 1.25  // an order counts where the nodes differ by so much in truth
 )
 
 // The bounds of the issue.
 const (
-	coverLeast, coverMost = 0.85, 0.95
-	excessMost            = 0.05
-	excessPart            = 0.5 // of the other estimates' excess
+	minCoverage, maxCoverage = 0.85, 0.95
+	maxExcess                = 0.05
+	maxExcessRatio           = 0.5 // of the other estimates' excess
 )
 
 // The estimates beside each other.
@@ -55,26 +55,26 @@
 	pooled = iota
 	fleetMean
 	ownOnly
-	ways
+	estimatorCount
 )
 
 // WayNames names the estimates.
-var WayNames = [ways]string{"pooled", "fleet mean", "own answers only"}
+var EstimatorNames = [estimatorCount]string{"pooled", "fleet mean", "own answers only"}
 
 // Row is one seed; the last of a report is over all seeds.
 type Row struct {
-	Seed      uint64        `json:"seed"` // 0: all
-	Decisions int           `json:"decisions"`
-	Cover     [ways]float64 `json:"cover"`                  // share of ends within the 90% interval
-	Excess    [ways]float64 `json:"excess"`                 // cost of what was called cheapest, over the best in hindsight
-	Turning   [ways]float64 `json:"excess_in_5_s,omitzero"` // ... within 5 s of the slowing; with processes nothing is offered then
-	Right     float64       `json:"right_after_s"`          // until the slow node stands right among all at every process, for good
-	Alike     float64       `json:"alike"`                  // share of decisions in which the first was not told apart from the best
-	held      [ways]int
-	ends      int
-	best      [2]float64 // summed cost in hindsight: settled, turning
-	chosen    [2][ways]float64
-	alike     int
+	Seed            uint64                  `json:"seed"` // 0: all
+	Decisions       int                     `json:"decisions"`
+	Coverage        [estimatorCount]float64 `json:"cover"`                  // share of ends within the 90% interval
+	Excess          [estimatorCount]float64 `json:"excess"`                 // cost of what was called cheapest, over the best in hindsight
+	SlowingExcess   [estimatorCount]float64 `json:"excess_in_5_s,omitzero"` // ... within 5 s of the slowing; with processes nothing is offered then
+	OrderRightAfter float64                 `json:"right_after_s"`          // until the slow node stands right among all at every process, for good
+	Alike           float64                 `json:"alike"`                  // share of decisions in which the first was not told apart from the best
+	covered         [estimatorCount]int
+	outcomes        int
+	bestCost        [2]float64 // summed cost in hindsight: settled, turning
+	chosenCost      [2][estimatorCount]float64
+	alikeCount      int
 }
 
 // Report is the result.
@@ -95,7 +95,7 @@
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i, seed := range opt.Seeds { // each in a world of its own
 		group.Go(func() (err error) {
-			rows[i], err = play(seed, opt)
+			rows[i], err = playVirtualSeed(seed, opt)
 			return err
 		})
 	}
@@ -104,13 +104,13 @@
 	}
 	for _, r := range rows {
 		sum.add(&r)
-		r.shares()
+		r.computeShares()
 		rep.Rows = append(rep.Rows, r)
 	}
-	sum.shares()
+	sum.computeShares()
 	rep.Rows = append(rep.Rows, sum)
 	for i := range rep.Rows {
-		for _, m := range rep.Rows[i].missed() {
+		for _, m := range rep.Rows[i].missedBounds() {
 			rep.Missed = append(rep.Missed, m.text)
 		}
 	}
@@ -119,86 +119,86 @@
 
 func (r *Row) add(o *Row) {
 	for i := range 2 {
-		r.best[i] += o.best[i]
-		for k := range ways {
-			r.chosen[i][k] += o.chosen[i][k]
+		r.bestCost[i] += o.bestCost[i]
+		for k := range estimatorCount {
+			r.chosenCost[i][k] += o.chosenCost[i][k]
 		}
 	}
-	for k := range ways {
-		r.held[k] += o.held[k]
+	for k := range estimatorCount {
+		r.covered[k] += o.covered[k]
 	}
-	r.ends, r.Decisions, r.alike = r.ends+o.ends, r.Decisions+o.Decisions, r.alike+o.alike
-	r.Right = max(r.Right, o.Right)
+	r.outcomes, r.Decisions, r.alikeCount = r.outcomes+o.outcomes, r.Decisions+o.Decisions, r.alikeCount+o.alikeCount
+	r.OrderRightAfter = max(r.OrderRightAfter, o.OrderRightAfter)
 }
 
-func (r *Row) shares() {
-	for k := range ways {
-		r.Cover[k] = float64(r.held[k]) / float64(max(r.ends, 1))
-		r.Excess[k] = r.chosen[0][k]/r.best[0] - 1
-		if r.best[1] > 0 {
-			r.Turning[k] = r.chosen[1][k]/r.best[1] - 1
+func (r *Row) computeShares() {
+	for k := range estimatorCount {
+		r.Coverage[k] = float64(r.covered[k]) / float64(max(r.outcomes, 1))
+		r.Excess[k] = r.chosenCost[0][k]/r.bestCost[0] - 1
+		if r.bestCost[1] > 0 {
+			r.SlowingExcess[k] = r.chosenCost[1][k]/r.bestCost[1] - 1
 		}
 	}
-	r.Alike = float64(r.alike) / float64(max(r.Decisions, 1))
+	r.Alike = float64(r.alikeCount) / float64(max(r.Decisions, 1))
 }
 
 // miss is a bound that a row does not meet.
-type miss struct{ bound, text string }
+type missedBound struct{ bound, text string }
 
-func (r *Row) missed() (all []miss) {
+func (r *Row) missedBounds() (all []missedBound) {
 	say := func(bound, form string, args ...any) {
-		all = append(all, miss{bound, fmt.Sprintf("seed %d: ", r.Seed) + fmt.Sprintf(form, args...)})
+		all = append(all, missedBound{bound, fmt.Sprintf("seed %d: ", r.Seed) + fmt.Sprintf(form, args...)})
 	}
-	if c := r.Cover[pooled]; !(c >= coverLeast && c <= coverMost) {
+	if c := r.Coverage[pooled]; !(c >= minCoverage && c <= maxCoverage) {
 		say("interval", "the 90%% interval holds %.3f", c)
 	}
 	x := r.Excess[pooled]
-	if !(x <= excessMost) {
+	if !(x <= maxExcess) {
 		say("excess", "excess %.3f", x)
 	}
-	for k := fleetMean; k < ways && r.Seed == 0; k++ { // a ratio of small numbers: over all seeds
-		if !(x <= excessPart*r.Excess[k]) {
-			say(WayNames[k], "excess %.4f, of %s %.4f", x, WayNames[k], r.Excess[k])
+	for k := fleetMean; k < estimatorCount && r.Seed == 0; k++ { // a ratio of small numbers: over all seeds
+		if !(x <= maxExcessRatio*r.Excess[k]) {
+			say(EstimatorNames[k], "excess %.4f, of %s %.4f", x, EstimatorNames[k], r.Excess[k])
 		}
 	}
-	if !(r.Right*1000 <= settle) {
-		say("order", "the order is right after %.1f s", r.Right)
+	if !(r.OrderRightAfter*1000 <= settleMillis) {
+		say("order", "the order is right after %.1f s", r.OrderRightAfter)
 	}
 	return all
 }
 
 // decision is one choice that is being played.
 type decision struct {
-	first [ways]int // the plan each way calls cheapest
-	costs [offered]float64
+	first [estimatorCount]int // the plan each way calls cheapest
+	costs [plansPerDecision]float64
 	left  int
 }
 
-func play(seed uint64, opt Options) (Row, error) {
+func playVirtualSeed(seed uint64, opt Options) (Row, error) {
 	r := Row{Seed: seed}
 	w, err := newWorld(seed, opt)
 	if err != nil {
 		return r, err
 	}
-	var est [ways]*cost.Estimator
+	var est [estimatorCount]*cost.Estimator
 	for k := range est {
 		if est[k], err = cost.New(cost.Defaults(class)); err != nil {
 			return r, err
 		}
 	}
-	end := millis(warm + opt.For)
-	turn := millis(warm + opt.For/2)
-	for t := millis(warm); t < end; t += every {
+	end := millis(warmUp + opt.For)
+	turn := millis(warmUp + opt.For/2)
+	for t := millis(warmUp); t < end; t += decisionIntervalMillis {
 		w.run(t)
-		if t >= turn && t < turn+every {
+		if t >= turn && t < turn+decisionIntervalMillis {
 			w.nodes[slowNode].factor *= opt.Slow
 		}
 		if t > turn {
-			if wrong := w.anyWrong(est[pooled]); wrong {
-				r.Right = (t + every - turn) / 1000
+			if wrong := w.orderWrong(est[pooled]); wrong {
+				r.OrderRightAfter = (t + decisionIntervalMillis - turn) / 1000
 			}
 		}
-		if err := w.decide(&r, &est, t >= turn && t < turn+settle); err != nil {
+		if err := w.decide(&r, &est, t >= turn && t < turn+settleMillis); err != nil {
 			return r, err
 		}
 	}
@@ -208,10 +208,10 @@
 
 // anyWrong says whether at any process the slow node stands on the wrong side of another from which it
 // clearly differs.
-func (w *world) anyWrong(e *cost.Estimator) bool {
-	const units = (1 + unitsTop) / 2.0
+func (w *world) orderWrong(e *cost.Estimator) bool {
+	const units = (1 + maxUnits) / 2.0
 	slow := w.nodes[slowNode].mean(units)
-	for p := range processes {
+	for p := range processCount {
 		e.SetViews(w.processes[p].shared.Views(w.time()))
 		held, _ := e.MeanMillis(nodeName(slowNode), class, units)
 		for n := range w.nodes {
@@ -224,25 +224,25 @@
 	return false
 }
 
-func (w *world) decide(r *Row, est *[ways]*cost.Estimator, turning bool) error {
-	p := w.rng.IntN(processes)
+func (w *world) decide(r *Row, est *[estimatorCount]*cost.Estimator, turning bool) error {
+	p := w.rng.IntN(processCount)
 	shared := w.processes[p].shared.Views(w.time())
 	est[pooled].SetViews(shared)
-	est[fleetMean].SetViews(flat(shared))
-	est[ownOnly].SetViews(w.processes[p].alone.Views(w.time()))
-	plans := offers(w.rng, nodeCount/perShard, func(n int, units float64) *cost.Work {
-		return &cost.Work{Shard: n / perShard, Class: class, Units: units, Node: nodeName(n)}
+	est[fleetMean].SetViews(fleetMeanViews(shared))
+	est[ownOnly].SetViews(w.processes[p].own.Views(w.time()))
+	plans := drawPlans(w.rng, nodeCount/nodesPerShard, func(n int, units float64) *cost.Work {
+		return &cost.Work{Shard: n / nodesPerShard, Class: class, Units: units, Node: nodeName(n)}
 	})
-	d := &decision{left: offered * repeats}
-	var bounds [ways][offered][2]float64
+	d := &decision{left: plansPerDecision * playsPerPlan}
+	var bounds [estimatorCount][plansPerDecision][2]float64
 	for k, e := range est {
 		got, err := e.Estimate(plans, deadline)
 		if err != nil {
 			return err
 		}
-		d.first[k], bounds[k] = read(got)
+		d.first[k], bounds[k] = firstAndIntervals(got)
 		if k == pooled && len(got.Plans[0].Alike) > 0 {
-			r.alike++
+			r.alikeCount++
 		}
 	}
 	r.Decisions++
@@ -251,21 +251,21 @@
 		phase = 1
 	}
 	for i := range plans {
-		for n := range repeats {
-			w.play(&plans[i].Root, func(got played) {
-				d.costs[i] += got.cost(millis(deadline)) / repeats
+		for n := range playsPerPlan {
+			w.playPlan(&plans[i].Root, func(got played) {
+				d.costs[i] += got.cost(millis(deadline)) / playsPerPlan
 				if n == 0 && !turning {
-					r.ends++
-					for k := range ways {
+					r.outcomes++
+					for k := range estimatorCount {
 						if got.end >= bounds[k][i][0] && got.end <= bounds[k][i][1] {
-							r.held[k]++
+							r.covered[k]++
 						}
 					}
 				}
 				if d.left--; d.left == 0 {
-					r.best[phase] += slices.Min(d.costs[:])
+					r.bestCost[phase] += slices.Min(d.costs[:])
 					for k, f := range d.first {
-						r.chosen[phase][k] += d.costs[f]
+						r.chosenCost[phase][k] += d.costs[f]
 					}
 				}
 			})
@@ -275,7 +275,7 @@
 }
 
 // read is the plan that a ranking calls cheapest, and each one's interval.
-func read(got cost.Ranking) (first int, bounds [offered][2]float64) {
+func firstAndIntervals(got cost.Ranking) (first int, bounds [plansPerDecision][2]float64) {
 	for _, a := range got.Plans {
 		bounds[a.Name[0]-'a'] = [2]float64{a.Low, a.High}
 	}
@@ -294,22 +294,22 @@
 
 // offers are ways of one piece of work: reads in some groups of a node of each kind, in one shape, at other
 // nodes each.
-func offers(rng *rand.Rand, groups int, work func(n int, units float64) *cost.Work) []cost.Plan {
+func drawPlans(rng *rand.Rand, groups int, work func(n int, units float64) *cost.Work) []cost.Plan {
 	of := rng.Perm(groups)[:1+rng.IntN(min(6, groups))]
 	units := make([]float64, len(of))
 	for i := range units {
-		units[i] = float64(1 + rng.IntN(unitsTop))
+		units[i] = float64(1 + rng.IntN(maxUnits))
 	}
 	shape := rng.IntN(4)
-	plans := make([]cost.Plan, offered)
+	plans := make([]cost.Plan, plansPerDecision)
 	for i := range plans {
 		var steps []cost.Step
 		for j, g := range of {
-			first := rng.IntN(perShard)
-			at := func(n int) cost.Step { return cost.Step{Work: work(g*perShard+n%perShard, units[j])} }
+			first := rng.IntN(nodesPerShard)
+			at := func(n int) cost.Step { return cost.Step{Work: work(g*nodesPerShard+n%nodesPerShard, units[j])} }
 			step := at(first)
 			if shape == 2 { // a copy beside it
-				step = cost.Step{Any: []cost.Step{at(first), at(first + 1 + rng.IntN(perShard-1))}}
+				step = cost.Step{Any: []cost.Step{at(first), at(first + 1 + rng.IntN(nodesPerShard-1))}}
 			}
 			steps = append(steps, step)
 		}
@@ -328,13 +328,13 @@
 // Print writes the table.
 func (rep *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; virtual time\n",
-		processes, nodeCount, perShard, rep.Slow, rep.HalfLife, rep.Every)
+		processCount, nodeCount, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every)
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\t| in the 5 s %\tfleet mean\town only\t| right after s\talike")
 	for _, r := range rep.Rows {
 		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t| %.2f\t%.2f\t%.2f\t| %.1f\t%.2f\n", r.name(), r.Decisions,
-			r.Cover[pooled], r.Cover[fleetMean], r.Cover[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
-			100*r.Turning[pooled], 100*r.Turning[fleetMean], 100*r.Turning[ownOnly], math.Round(r.Right*10)/10, r.Alike)
+			r.Coverage[pooled], r.Coverage[fleetMean], r.Coverage[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
+			100*r.SlowingExcess[pooled], 100*r.SlowingExcess[fleetMean], 100*r.SlowingExcess[ownOnly], math.Round(r.OrderRightAfter*10)/10, r.Alike)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -31,7 +31,7 @@
 	if again := run(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(one, again) {
 		t.Error("the same seed, another result")
 	}
-	if old := run(10*time.Minute, 12*time.Second, 1); len(old.Missed) == 0 || old.Rows[0].Right < 5 {
+	if old := run(10*time.Minute, 12*time.Second, 1); len(old.Missed) == 0 || old.Rows[0].OrderRightAfter < 5 {
 		t.Errorf("answers that never fade: %+v", old.Missed)
 	}
 }
@@ -53,11 +53,11 @@
 	}
 	for _, alone := range []bool{false, true} {
 		opt := RealDefaults()
-		opt.Seeds, opt.Daemon, opt.Processes, opt.Groups, opt.Home, opt.Decisions = []uint64{1}, daemon, 3, 3, 1, 1
+		opt.Seeds, opt.Daemon, opt.Processes, opt.Groups, opt.HomeShare, opt.Decisions = []uint64{1}, daemon, 3, 3, 1, 1
 		opt.HalfLife, opt.Every = time.Second, 100*time.Millisecond // soon told, and soon right
-		opt.Warm, opt.Settled, opt.Watch, opt.Alone = 100, 5, time.Minute, alone
+		opt.WarmAnswers, opt.SettledChecks, opt.WatchDuration, opt.Alone = 100, 5, time.Minute, alone
 		if alone {
-			opt.Watch = 3 * time.Second
+			opt.WatchDuration = 3 * time.Second
 		}
 		quiet := logrus.New()
 		quiet.SetOutput(io.Discard)
@@ -67,10 +67,10 @@
 			t.Fatal(err)
 		}
 		r := rep.Rows[0]
-		if alone != (r.Right > opt.Watch.Seconds()/2) {
-			t.Errorf("alone %v: the order was wrong until %.1f s of %v", alone, r.Right, opt.Watch)
+		if alone != (r.OrderRightAfter > opt.WatchDuration.Seconds()/2) {
+			t.Errorf("alone %v: the order was wrong until %.1f s of %v", alone, r.OrderRightAfter, opt.WatchDuration)
 		}
-		if r.Decisions != 3 || r.ends != 3*offered*runsByProcess || r.Requests < 300 || r.Refused > r.Requests/10 || len(r.slept) == 0 || len(r.added) == 0 {
+		if r.Decisions != 3 || r.outcomes != 3*plansPerDecision*runsByProcess || r.Requests < 300 || r.Refused > r.Requests/10 || len(r.slept) == 0 || len(r.added) == 0 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -94,8 +94,8 @@
 		{90, 107, 101, 20, 1, 0},
 		{80, 107, 103, 1, 1, 1},
 	} {
-		r := RealRow{Row: Row{Seed: 1, ends: 100, best: [2]float64{100}}, known: x.known, added: []float64{x.added}}
-		r.held[pooled], r.chosen[0] = x.held, [ways]float64{x.chosen, 200, 200}
+		r := RealRow{Row: Row{Seed: 1, outcomes: 100, bestCost: [2]float64{100}}, knownCost: x.known, added: []float64{x.added}}
+		r.covered[pooled], r.chosenCost[0] = x.held, [estimatorCount]float64{x.chosen, 200, 200}
 		rep := &RealReport{Rows: []RealRow{r}}
 		rep.judge()
 		if len(rep.Missed) != x.missed || len(rep.Unshown) != x.unshown {
--- a/internal/testkit/experiment/costs/real.go
+++ b/internal/testkit/experiment/costs/real.go
@@ -33,31 +33,31 @@
 
 // RealOptions are those of the run with processes of the built daemon.
 type RealOptions struct {
-	Seeds     []uint64
-	Daemon    string // its path
-	Processes int
-	Groups    int // of a node of each kind; one to a shard
-	Warm      int // answers that each process gives before the first question
-	Decisions int // of each process, before a node turns slow
-	HalfLife  time.Duration
-	Every     time.Duration // between a process's rounds
-	Slow      float64
-	Home      float64       // share of a process's requests that goes to the nodes of its home groups, of which it has two in eight
-	Watch     time.Duration // after the slowing
-	Settled   int           // the watch ends where the order was right at all processes for so many looks in turn; 0: it does not
-	Alone     bool          // the processes tell each other nothing
-	Log       logrus.FieldLogger
+	Seeds         []uint64
+	Daemon        string // its path
+	Processes     int
+	Groups        int // of a node of each kind; one to a shard
+	WarmAnswers   int // answers that each process gives before the first question
+	Decisions     int // of each process, before a node turns slow
+	HalfLife      time.Duration
+	Every         time.Duration // between a process's rounds
+	Slow          float64
+	HomeShare     float64       // share of a process's requests that goes to the nodes of its home groups, of which it has two in eight
+	WatchDuration time.Duration // after the slowing
+	SettledChecks int           // the watch ends where the order was right at all processes for so many looks in turn; 0: it does not
+	Alone         bool          // the processes tell each other nothing
+	Log           logrus.FieldLogger
 }
 
 // RealDefaults are the figures.
 func RealDefaults() RealOptions {
-	return RealOptions{Processes: processes, Groups: nodeCount / perShard, Warm: 500, Decisions: 16, HalfLife: 1500 * time.Millisecond,
-		Every: 500 * time.Millisecond, Slow: 5, Home: homeShare, Watch: 8 * time.Second}
+	return RealOptions{Processes: processCount, Groups: nodeCount / nodesPerShard, WarmAnswers: 500, Decisions: 16, HalfLife: 1500 * time.Millisecond,
+		Every: 500 * time.Millisecond, Slow: 5, HomeShare: homeShare, WatchDuration: 8 * time.Second}
 }
 
 // RunReal plays the seeds, one after the other.
 func RunReal(ctx context.Context, opt RealOptions) (*RealReport, error) {
-	rep := &RealReport{Processes: opt.Processes, Nodes: opt.Groups * perShard, HalfLife: opt.HalfLife.Seconds(),
+	rep := &RealReport{Processes: opt.Processes, Nodes: opt.Groups * nodesPerShard, HalfLife: opt.HalfLife.Seconds(),
 		Every: opt.Every.Seconds(), Slow: opt.Slow, Alone: opt.Alone}
 	var sum RealRow
 	for _, seed := range opt.Seeds {
@@ -68,7 +68,7 @@
 		}
 		sum.add(&r.Row)
 		sum.Requests, sum.Refused, sum.Busy, sum.Took = sum.Requests+r.Requests, sum.Refused+r.Refused, sum.Busy+r.Busy, sum.Took+r.Took
-		sum.known += r.known
+		sum.knownCost += r.knownCost
 		sum.added, sum.slept = append(sum.added, r.added...), append(sum.slept, r.slept...)
 		rep.Rows = append(rep.Rows, r)
 	}
@@ -95,7 +95,7 @@
 		w.mu.Lock()
 		least := slices.Min(w.answersGiven)
 		w.mu.Unlock()
-		if least < w.opt.Warm {
+		if least < w.opt.WarmAnswers {
 			return fmt.Errorf("one has given %d answers", least)
 		}
 		for p := range w.opt.Processes {
@@ -145,6 +145,6 @@
 	right, err := w.watchOrder(ctx)
 	stop()
 	load.Wait()
-	w.row.Right, w.row.Took = right.Seconds(), time.Since(start).Seconds()
+	w.row.OrderRightAfter, w.row.Took = right.Seconds(), time.Since(start).Seconds()
 	return w.row, err
 }
--- a/internal/testkit/experiment/costs/real_decisions.go
+++ b/internal/testkit/experiment/costs/real_decisions.go
@@ -12,12 +12,12 @@
 )
 
 // execute runs a step as requests and returns its work, its end and whether a part was refused.
-func execute(ask func(n int, units float64, luck uint64) (float64, bool), s *cost.Step, luck uint64) played {
+func execute(ask func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) played {
 	if s.Work != nil {
-		took, ok := ask(s.Work.Shard, s.Work.Units, luck)
+		took, ok := ask(s.Work.Shard, s.Work.Units, requestSeed)
 		return played{took, took, !ok}
 	}
-	next := func(i int) uint64 { return rand.NewPCG(luck, uint64(i)).Uint64() }
+	next := func(i int) uint64 { return rand.NewPCG(requestSeed, uint64(i)).Uint64() }
 	var sum played
 	for i := range s.Then {
 		got := execute(ask, &s.Then[i], next(i))
@@ -48,12 +48,12 @@
 }
 
 // planRuns are the outcomes of a question's plans, by plan and run.
-type planRuns [offered][runsByProcess + runsForHindsight]played
+type planRuns [plansPerDecision][runsByProcess + runsForHindsight]played
 
 // decidePlans has a process choose among plans, and runs all of them through it. For the cost in hindsight each plan
 // is also run at the nodes themselves, where no process learns from it.
 func (w *processWorld) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
-	var estimators [ways]*cost.Estimator
+	var estimators [estimatorCount]*cost.Estimator
 	for k := range estimators {
 		var err error
 		if estimators[k], err = cost.New(cost.Defaults(class)); err != nil {
@@ -64,7 +64,7 @@
 	next := time.NewTicker(decisionInterval)
 	defer next.Stop()
 	for range w.opt.Decisions {
-		plans := offers(rng, w.opt.Groups, func(n int, units float64) *cost.Work {
+		plans := drawPlans(rng, w.opt.Groups, func(n int, units float64) *cost.Work {
 			return &cost.Work{Shard: n, Class: class, Units: units, Node: nodeName(n)}
 		})
 		rankings, err := w.baselineRankings(p, &estimators, plans)
@@ -74,12 +74,12 @@
 		if err != nil {
 			return err
 		}
-		var lucks [runsByProcess + runsForHindsight]uint64
-		for n := range lucks {
-			lucks[n] = rng.Uint64()
+		var requestSeeds [runsByProcess + runsForHindsight]uint64
+		for n := range requestSeeds {
+			requestSeeds[n] = rng.Uint64()
 		}
 		best := w.cheapestByTrueTimes(plans, rng)
-		w.recordDecision(rankings, best, w.runPlans(p, plans, lucks[:]))
+		w.recordDecision(rankings, best, w.runPlans(p, plans, requestSeeds[:]))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -90,17 +90,17 @@
 }
 
 // runPlans runs each plan once for each luck: the first runs through the process, the others at the nodes.
-func (w *processWorld) runPlans(p int, plans []cost.Plan, lucks []uint64) (runs planRuns) {
+func (w *processWorld) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
 	var all sync.WaitGroup
-	for n := range lucks {
+	for n := range requestSeeds {
 		request := w.requestFromNode
 		if n < runsByProcess {
-			request = func(n int, units float64, luck uint64) (float64, bool) {
-				return w.requestFromProcess(p, n, units, luck)
+			request = func(n int, units float64, requestSeed uint64) (float64, bool) {
+				return w.requestFromProcess(p, n, units, requestSeed)
 			}
 		}
 		for i := range plans {
-			all.Go(func() { runs[i][n] = execute(request, &plans[i].Root, lucks[n]) })
+			all.Go(func() { runs[i][n] = execute(request, &plans[i].Root, requestSeeds[n]) })
 		}
 		if n < runsByProcess {
 			all.Wait()
@@ -113,46 +113,46 @@
 
 // recordDecision adds one decision to the row: the cost of the plan that each ranking put first, of the cheapest plan
 // by the true service times, and of the cheapest in hindsight, and whether the outcomes lay within the intervals.
-func (w *processWorld) recordDecision(rankings [ways]cost.Ranking, best int, runs planRuns) {
+func (w *processWorld) recordDecision(rankings [estimatorCount]cost.Ranking, best int, runs planRuns) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &w.row
 	r.Decisions++
 	if len(rankings[pooled].Plans[0].Alike) > 0 {
-		r.alike++
+		r.alikeCount++
 	}
-	var costs [offered]float64
+	var costs [plansPerDecision]float64
 	for i := range runs {
 		for _, e := range runs[i] {
 			costs[i] += e.cost(millis(stretchedDeadline)) / float64(len(runs[i]))
 		}
 	}
-	r.best[0] += slices.Min(costs[:])
-	r.known += costs[best]
-	for k := range ways {
-		first, bounds := read(rankings[k])
-		r.chosen[0][k] += costs[first]
+	r.bestCost[0] += slices.Min(costs[:])
+	r.knownCost += costs[best]
+	for k := range estimatorCount {
+		first, bounds := firstAndIntervals(rankings[k])
+		r.chosenCost[0][k] += costs[first]
 		for i := range runs {
 			for _, e := range runs[i][:runsByProcess] {
 				if !e.refused && e.end >= bounds[i][0] && e.end <= bounds[i][1] {
-					r.held[k]++
+					r.covered[k]++
 				}
 			}
 		}
 	}
-	r.ends += offered * runsByProcess
+	r.outcomes += plansPerDecision * runsByProcess
 }
 
 // cheapestByTrueTimes is the plan that is cheapest by the nodes' true service times.
 func (w *processWorld) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
-	var costs [offered]float64
-	draw := func(n int, units float64, luck uint64) (float64, bool) {
-		return w.drawServiceTime(n, units, luck), true
+	var costs [plansPerDecision]float64
+	draw := func(n int, units float64, requestSeed uint64) (float64, bool) {
+		return w.drawServiceTime(n, units, requestSeed), true
 	}
-	for range repeats {
-		luck := rng.Uint64()
+	for range playsPerPlan {
+		requestSeed := rng.Uint64()
 		for i := range plans {
-			got := execute(draw, &plans[i].Root, luck)
+			got := execute(draw, &plans[i].Root, requestSeed)
 			costs[i] += got.cost(millis(stretchedDeadline))
 		}
 	}
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -13,14 +13,14 @@
 // singleReads are plans of one read of mean size, one for each node.
 func (w *processWorld) singleReads() (plans []cost.Plan) {
 	for n := range w.nodes {
-		plans = append(plans, cost.Plan{Name: nodeName(n), Root: cost.Step{Work: &cost.Work{Shard: n, Class: class, Units: (1 + unitsTop) / 2.0, Node: nodeName(n)}}})
+		plans = append(plans, cost.Plan{Name: nodeName(n), Root: cost.Step{Work: &cost.Work{Shard: n, Class: class, Units: (1 + maxUnits) / 2.0, Node: nodeName(n)}}})
 	}
 	return plans
 }
 
 // orderWrong reports whether a process ranks the slow node on the wrong side of a node from which it clearly differs.
 func (w *processWorld) orderWrong(ctx context.Context, p int) (bool, error) {
-	const units = (1 + unitsTop) / 2.0
+	const units = (1 + maxUnits) / 2.0
 	r, err := w.estimate(ctx, p, w.singleReads())
 	if err != nil {
 		return true, err
@@ -49,7 +49,7 @@
 	var all sync.WaitGroup
 	for p := range w.opt.Processes {
 		all.Go(func() {
-			for time.Since(turn) < w.opt.Watch && ctx.Err() == nil {
+			for time.Since(turn) < w.opt.WatchDuration && ctx.Err() == nil {
 				wrong, err := w.orderWrong(ctx, p)
 				w.mu.Lock()
 				if wrong && ctx.Err() == nil {
@@ -58,7 +58,7 @@
 				} else {
 					streak[p]++
 				}
-				done := w.err != nil || w.opt.Settled > 0 && slices.Min(streak) >= w.opt.Settled
+				done := w.err != nil || w.opt.SettledChecks > 0 && slices.Min(streak) >= w.opt.SettledChecks
 				w.mu.Unlock()
 				if done {
 					stop()
--- a/internal/testkit/experiment/costs/real_report.go
+++ b/internal/testkit/experiment/costs/real_report.go
@@ -23,10 +23,10 @@
 	Slept    Noise   `json:"slept"`   // longer than was asked for, by a sleep of 10 ms of this program
 	Took     float64 `json:"took_s"`
 	// Known is the excess of who knows the nodes' true lines: what the machine alone makes of it.
-	Known float64 `json:"excess_knowing_all"`
-	known float64 // summed cost
-	added []float64
-	slept []float64
+	ExcessKnowingAll float64 `json:"excess_knowing_all"`
+	knownCost        float64 // summed cost
+	added            []float64
+	slept            []float64
 }
 
 // RealReport is the result.
@@ -46,20 +46,20 @@
 func (rep *RealReport) judge() {
 	for i := range rep.Rows {
 		r := &rep.Rows[i]
-		r.shares()
-		r.Added, r.Slept, r.Known = noisePercentiles(r.added), noisePercentiles(r.slept), r.known/r.best[0]-1
+		r.computeShares()
+		r.Added, r.Slept, r.ExcessKnowingAll = noisePercentiles(r.added), noisePercentiles(r.slept), r.knownCost/r.bestCost[0]-1
 		bare := r.Row // what is left without what the machine makes of any choice, and of times
-		for k := range ways {
-			bare.Excess[k] = max(0, r.Excess[k]-r.Known)
+		for k := range estimatorCount {
+			bare.Excess[k] = max(0, r.Excess[k]-r.ExcessKnowingAll)
 		}
 		if r.Added.P90 > maxNoiseShare*meanServiceBeforeSlowing() {
-			bare.Cover[pooled] = coverLeast
+			bare.Coverage[pooled] = minCoverage
 		}
-		left := bare.missed()
-		for _, m := range r.missed() {
+		left := bare.missedBounds()
+		for _, m := range r.missedBounds() {
 			text := fmt.Sprintf("%s (requests took %.1f ms more than drawn, %.1f at p90; sleeps %.1f, %.1f; who knows all has an excess of %.4f)",
-				m.text, r.Added.P50, r.Added.P90, r.Slept.P50, r.Slept.P90, r.Known)
-			if slices.ContainsFunc(left, func(l miss) bool { return l.bound == m.bound }) {
+				m.text, r.Added.P50, r.Added.P90, r.Slept.P50, r.Slept.P90, r.ExcessKnowingAll)
+			if slices.ContainsFunc(left, func(l missedBound) bool { return l.bound == m.bound }) {
 				rep.Missed = append(rep.Missed, text)
 			} else {
 				rep.Unshown = append(rep.Unshown, text)
@@ -71,7 +71,7 @@
 // meanServiceBeforeSlowing is a request's mean service time before the slowing, in milliseconds.
 func meanServiceBeforeSlowing() (sum float64) {
 	for _, k := range kinds {
-		sum += serviceStretch * (k.level + k.unit*(1+unitsTop)/2) / perShard
+		sum += serviceStretch * (k.level + k.unit*(1+maxUnits)/2) / nodesPerShard
 	}
 	return sum
 }
@@ -93,13 +93,13 @@
 		told = "what each sees alone: nothing is told"
 	}
 	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; %s; real time\n",
-		rep.Processes, rep.Nodes, perShard, rep.Slow, rep.HalfLife, rep.Every, told)
+		rep.Processes, rep.Nodes, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every, told)
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\tknowing all\t| right after s\talike\t| requests\trefused\tbusy\tadded ms p50\tp90\tp99\tsleeps ms p50\tp99\t| took s")
 	for _, r := range rep.Rows {
 		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t%.2f\t| %.1f\t%.2f\t| %d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t| %.0f\n", r.name(), r.Decisions,
-			r.Cover[pooled], r.Cover[fleetMean], r.Cover[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
-			100*r.Known, r.Right, r.Alike, r.Requests, r.Refused, r.Busy, r.Added.P50, r.Added.P90, r.Added.P99, r.Slept.P50, r.Slept.P99, r.Took)
+			r.Coverage[pooled], r.Coverage[fleetMean], r.Coverage[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
+			100*r.ExcessKnowingAll, r.OrderRightAfter, r.Alike, r.Requests, r.Refused, r.Busy, r.Added.P50, r.Added.P90, r.Added.P99, r.Slept.P50, r.Slept.P99, r.Took)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testkit/experiment/costs/real_requests.go
+++ b/internal/testkit/experiment/costs/real_requests.go
@@ -14,18 +14,18 @@
 const requestIDFormat = "%016x-%x-%x" // luck, units, number
 
 // decodeRequestID reads the units and the luck from a request's id.
-func decodeRequestID(id string) (units float64, luck uint64) {
+func decodeRequestID(id string) (units float64, requestSeed uint64) {
 	var n, seq uint64
-	if _, err := fmt.Sscanf(id, requestIDFormat, &luck, &n, &seq); err != nil {
+	if _, err := fmt.Sscanf(id, requestIDFormat, &requestSeed, &n, &seq); err != nil {
 		panic(err) // this package made the id
 	}
-	return float64(n), luck
+	return float64(n), requestSeed
 }
 
 // sendRequest sends one request and returns its time in milliseconds, and whether it was served.
-func (w *processWorld) sendRequest(to *client.Pool, n int, units float64, luck uint64) (took float64, served bool) {
+func (w *processWorld) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
 	seq := w.lastRequestNumber.Add(1)
-	m := client.Message{ID: fmt.Sprintf(requestIDFormat, luck, int(units), seq), Class: class, Plan: planName, Extent: fmt.Sprintf("%016x", seq),
+	m := client.Message{ID: fmt.Sprintf(requestIDFormat, requestSeed, int(units), seq), Class: class, Plan: planName, Extent: fmt.Sprintf("%016x", seq),
 		Volume: fmt.Sprintf("%016x", seq%64), Units: units, Shard: n, Hosts: w.opt.Processes, Deadline: requestDeadline}
 	begin := time.Now()
 	a := to.Do(&m, begin)
@@ -33,14 +33,14 @@
 }
 
 // requestFromNode sends a request to a node itself, past all processes.
-func (w *processWorld) requestFromNode(n int, units float64, luck uint64) (took float64, served bool) {
-	return w.sendRequest(w.nodePools[n], n, units, luck)
+func (w *processWorld) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
+	return w.sendRequest(w.nodePools[n], n, units, requestSeed)
 }
 
 // requestFromProcess sends a request through a process and records the answer.
-func (w *processWorld) requestFromProcess(p, n int, units float64, luck uint64) (took float64, served bool) {
+func (w *processWorld) requestFromProcess(p, n int, units float64, requestSeed uint64) (took float64, served bool) {
 	slow := w.slowed.Load()
-	took, served = w.sendRequest(w.processPools[p], n, units, luck)
+	took, served = w.sendRequest(w.processPools[p], n, units, requestSeed)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.row.Requests++
@@ -53,7 +53,7 @@
 	w.ownAnswers[p].record(now, n, units, took)
 	w.allAnswers.record(now, n, units, took)
 	if !slow && !w.slowed.Load() {
-		w.row.added = append(w.row.added, took-w.drawServiceTime(n, units, luck))
+		w.row.added = append(w.row.added, took-w.drawServiceTime(n, units, requestSeed))
 	}
 	return took, true
 }
@@ -64,17 +64,17 @@
 	defer asks.Wait()
 	home := max(w.opt.Groups/4, 1)
 	for next := time.Now(); ; {
-		next = next.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
 		g := rng.IntN(w.opt.Groups)
-		if rng.Float64() < w.opt.Home {
+		if rng.Float64() < w.opt.HomeShare {
 			g = (p + rng.IntN(home)) % w.opt.Groups
 		}
-		n, units, luck := g*perShard+rng.IntN(perShard), float64(1+rng.IntN(unitsTop)), rng.Uint64()
-		asks.Go(func() { w.requestFromProcess(p, n, units, luck) })
+		n, units, requestSeed := g*nodesPerShard+rng.IntN(nodesPerShard), float64(1+rng.IntN(maxUnits)), rng.Uint64()
+		asks.Go(func() { w.requestFromProcess(p, n, units, requestSeed) })
 	}
 }
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -30,7 +30,7 @@
 	slowed            atomic.Bool    // the slow node has turned slow
 	processPools      []*client.Pool // to each process
 	nodePools         []*client.Pool // to each node
-	doorClient        *http.Client
+	adminClient       *http.Client
 	startedAt         time.Time
 	lastRequestNumber atomic.Uint64
 
@@ -64,7 +64,7 @@
 func newProcessWorld(ctx context.Context, opt RealOptions, seed uint64) (*processWorld, error) {
 	rng := rand.New(rand.NewPCG(seed, 24))
 	w := &processWorld{opt: opt, startedAt: time.Now(), answersGiven: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
-		doorClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+		adminClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	w.row.Seed = seed
 	nodes, types := w.makeNodes(rng)
 	var err error
@@ -105,12 +105,12 @@
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
 func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
-	for n := range w.opt.Groups * perShard {
-		w.nodes = append(w.nodes, server{n % perShard, math.Exp(ownSpread * rng.NormFloat64())})
-		types[nodeName(n)] = kinds[n%perShard].name
+	for n := range w.opt.Groups * nodesPerShard {
+		w.nodes = append(w.nodes, server{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
+		types[nodeName(n)] = kinds[n%nodesPerShard].name
 		nodes = append(nodes, cluster.StorageNode{Name: nodeName(n), Shard: n, Workers: workersPerNode, ServiceTime: func(q *fasthttp.Request) time.Duration {
-			units, luck := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
-			return time.Duration(w.drawServiceTime(n, units, luck) * float64(time.Millisecond))
+			units, requestSeed := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
+			return time.Duration(w.drawServiceTime(n, units, requestSeed) * float64(time.Millisecond))
 		}})
 	}
 	return nodes, types
@@ -132,7 +132,7 @@
 
 // daemonSettings are the daemons' settings that differ from those of procs.
 func daemonSettings() map[string]any {
-	return map[string]any{"ceilings": map[string]any{"peers": true}, "extra": map[string]any{"usual-units": (1 + unitsTop) / 2.0, "largest": unitsTop},
+	return map[string]any{"ceilings": map[string]any{"peers": true}, "extra": map[string]any{"usual-units": (1 + maxUnits) / 2.0, "largest": maxUnits},
 		"profiles": []map[string]any{{"name": class, "goal-time": requestDeadline.Milliseconds() / 2, "deadline": requestDeadline.Milliseconds(), "worth": 2,
 			"late-worth": 1, "repeat": "safe"}}}
 }
@@ -170,12 +170,12 @@
 }
 
 // slowNode is the node that turns slow.
-func (w *processWorld) slowNode() int { return min(slowNode, len(w.nodes)-perShard) }
+func (w *processWorld) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
 
 // drawServiceTime is a node's service time for a request, in milliseconds. The luck belongs to the request and is the
 // same at each node, so that plans for the same work differ only by their nodes and by what the machine adds.
-func (w *processWorld) drawServiceTime(n int, units float64, luck uint64) float64 {
-	s := math.Sqrt(math.Log1p(scatter * scatter))
-	z := rand.New(rand.NewPCG(luck, 26)).NormFloat64()
+func (w *processWorld) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
+	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
+	z := rand.New(rand.NewPCG(requestSeed, 26)).NormFloat64()
 	return w.meanServiceTime(n, units) * math.Exp(s*z-s*s/2)
 }
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -16,38 +16,38 @@
 // The world, in milliseconds: a node has workers that take steps in turn, and a step's service is its
 // line's, times the node's own factor, times a lognormal.
 const (
-	processes = 8
-	nodeCount = 24
-	perShard  = 3 // one of each kind
-	workers   = 4
-	ownSpread = 0.15 // of nodes of one kind
-	scatter   = 0.5  // spread over mean of a service
-	homeShare = 0.7  // of a process's requests go to its two home shards
-	perSecond = 100.0
-	unitsTop  = 8
-	class     = "read"
+	processCount      = 8
+	nodeCount         = 24
+	nodesPerShard     = 3 // one of each kind
+	workers           = 4
+	nodeSpread        = 0.15 // of nodes of one kind
+	serviceSpread     = 0.5  // spread over mean of a service
+	homeShare         = 0.7  // of a process's requests go to its two home shards
+	requestsPerSecond = 100.0
+	maxUnits          = 8
+	class             = "read"
 )
 
-var kinds = [perShard]struct {
+var kinds = [nodesPerShard]struct {
 	name        string
 	level, unit float64
 }{{"flash", 2, 0.5}, {"mixed", 4, 1}, {"disk", 7, 1.6}}
 
 type event struct {
-	at  float64
-	seq int
-	do  func()
+	at     float64
+	seq    int
+	action func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(e any)   { *q = append(*q, e.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(e any)   { *q = append(*q, e.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -57,7 +57,7 @@
 type node struct {
 	kind   int
 	factor float64
-	free   [workers]float64 // when each worker has done what it has
+	freeAt [workers]float64 // when each worker has done what it has
 }
 
 func (x *node) mean(units float64) float64 {
@@ -66,62 +66,62 @@
 
 // process is one scheduler: what it saw alone, and what it shares with the others, in the daemon's own state.
 type process struct {
-	alone, shared *nodestats.State
-	slots         [nodeCount][2]*nodestats.Recorder
+	own, shared *nodestats.State
+	recorders   [nodeCount][2]*nodestats.Recorder
 }
 
 type world struct {
 	now       float64
 	seq       int
-	events    queue
+	events    eventQueue
 	rng       *rand.Rand
-	turns     *rand.Rand // of the rounds: who asks whom
+	gossipRNG *rand.Rand // of the rounds: who asks whom
 	nodes     [nodeCount]node
-	processes [processes]process
+	processes [processCount]process
 }
 
 func newWorld(seed uint64, opt Options) (*world, error) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 24)), turns: rand.New(rand.NewPCG(seed, 25))}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 24)), gossipRNG: rand.New(rand.NewPCG(seed, 25))}
 	for i := range w.nodes {
-		w.nodes[i] = node{kind: i % perShard, factor: math.Exp(ownSpread * w.rng.NormFloat64())}
+		w.nodes[i] = node{kind: i % nodesPerShard, factor: math.Exp(nodeSpread * w.rng.NormFloat64())}
 	}
 	set := nodestats.Defaults()
 	set.HalfLife, set.ExpireAfter = opt.HalfLife, max(set.ExpireAfter, opt.HalfLife)
-	for p := range processes {
+	for p := range processCount {
 		x := &w.processes[p]
-		for i, s := range []**nodestats.State{&x.alone, &x.shared} {
+		for i, s := range []**nodestats.State{&x.own, &x.shared} {
 			var err error
 			if *s, err = nodestats.New(set, fmt.Sprint("p", p), 1); err != nil {
 				return nil, err
 			}
 			for n := range nodeCount {
-				(*s).SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%perShard].name, Shard: n / perShard, Window: workers})
-				x.slots[n][i] = (*s).Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class})
+				(*s).SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: kinds[n%nodesPerShard].name, Shard: n / nodesPerShard, Window: workers})
+				x.recorders[n][i] = (*s).Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class})
 			}
 		}
-		w.after(w.gap(), func() { w.arrive(p) })
-		w.after(millis(opt.Every)*float64(p)/processes, func() { w.round(p, millis(opt.Every), nil) })
+		w.after(w.arrivalGap(), func() { w.arrive(p) })
+		w.after(millis(opt.Every)*float64(p)/processCount, func() { w.gossipRound(p, millis(opt.Every), nil) })
 	}
 	return w, nil
 }
 
 // round is what internal/gossip does: the process asks the next of the others, in a drawn order, and each gives the other
 // what it lacks.
-func (w *world) round(p int, every float64, turns []int) {
+func (w *world) gossipRound(p int, every float64, turns []int) {
 	if len(turns) == 0 {
-		turns = w.turns.Perm(processes)
+		turns = w.gossipRNG.Perm(processCount)
 	}
-	w.processes[p].alone.Digest(w.time()) // it looks at its own slots as often
+	w.processes[p].own.Digest(w.time()) // it looks at its own slots as often
 	if q := turns[0]; q != p {
 		a, b := w.processes[p].shared, w.processes[q].shared
-		w.give(a, b)
-		w.give(b, a)
+		w.sendMissing(a, b)
+		w.sendMissing(b, a)
 	}
-	w.after(every, func() { w.round(p, every, turns[1:]) })
+	w.after(every, func() { w.gossipRound(p, every, turns[1:]) })
 }
 
 // give gives b what a holds and b lacks. A failure would be a defect of the state, which has tests of its own.
-func (w *world) give(a, b *nodestats.State) {
+func (w *world) sendMissing(a, b *nodestats.State) {
 	messages, err := a.Diff(w.time(), b.Digest(w.time()))
 	for _, m := range messages {
 		err = errors.Join(err, b.Merge(w.time(), m))
@@ -135,7 +135,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (w *world) gap() float64 { return w.rng.ExpFloat64() * 1000 / perSecond }
+func (w *world) arrivalGap() float64 { return w.rng.ExpFloat64() * 1000 / requestsPerSecond }
 
 func (w *world) after(wait float64, do func()) {
 	w.seq++
@@ -147,42 +147,42 @@
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.action()
 	}
 	w.now = until
 }
 
 // out is how long a step that comes now is out at a node: its wait for a worker and its service. One that
 // is taken holds the worker; a trial only looks.
-func (w *world) out(n int, units float64, taken bool) float64 {
+func (w *world) responseTime(n int, units float64, taken bool) float64 {
 	x := &w.nodes[n]
-	s := math.Sqrt(math.Log1p(scatter * scatter))
+	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
 	service := x.mean(units) * math.Exp(s*w.rng.NormFloat64()-s*s/2)
 	first := 0
-	for i, f := range x.free {
-		if f < x.free[first] {
+	for i, f := range x.freeAt {
+		if f < x.freeAt[first] {
 			first = i
 		}
 	}
-	begin := max(w.now, x.free[first])
+	begin := max(w.now, x.freeAt[first])
 	if taken {
-		x.free[first] = begin + service
+		x.freeAt[first] = begin + service
 	}
 	return begin + service - w.now
 }
 
 // arrive is a request of one process, the traffic that all lines are learned from.
 func (w *world) arrive(p int) {
-	w.after(w.gap(), func() { w.arrive(p) })
-	shards := nodeCount / perShard
+	w.after(w.arrivalGap(), func() { w.arrive(p) })
+	shards := nodeCount / nodesPerShard
 	shard := w.rng.IntN(shards)
 	if w.rng.Float64() < homeShare {
 		shard = (p + w.rng.IntN(2)) % shards
 	}
-	n, units := shard*perShard+w.rng.IntN(perShard), float64(1+w.rng.IntN(unitsTop))
-	took := w.out(n, units, true)
+	n, units := shard*nodesPerShard+w.rng.IntN(nodesPerShard), float64(1+w.rng.IntN(maxUnits))
+	took := w.responseTime(n, units, true)
 	w.after(took, func() {
-		for _, l := range w.processes[p].slots[n] {
+		for _, l := range w.processes[p].recorders[n] {
 			l.Record(w.time(), units, took, nodestats.Served)
 		}
 	})
@@ -191,7 +191,7 @@
 func nodeName(n int) string { return fmt.Sprintf("n-%02d", n) }
 
 // flat is what "fleet mean" knows: each node has the fleet's answers.
-func flat(views []nodestats.View) []nodestats.View {
+func fleetMeanViews(views []nodestats.View) []nodestats.View {
 	var all nodestats.Sums
 	n := 0.0
 	for _, v := range views {
@@ -217,26 +217,26 @@
 
 // play tries a plan in the world as it is, from now on; it takes nothing from anybody, so that every plan of
 // a decision, and the traffic, meet the same nodes.
-func (w *world) play(root *cost.Step, done func(played)) {
+func (w *world) playPlan(root *cost.Step, done func(played)) {
 	begin := w.now
 	var p played
-	w.step(root, &p, func(end float64) {
+	w.playStep(root, &p, func(end float64) {
 		p.end = end - begin
 		done(p)
 	})
 }
 
 // step calls done with the time of its end, at that time or as soon as it is known.
-func (w *world) step(s *cost.Step, p *played, done func(end float64)) {
+func (w *world) playStep(s *cost.Step, p *played, done func(end float64)) {
 	if s.Work != nil {
 		n := 10*int(s.Work.Node[2]-'0') + int(s.Work.Node[3]-'0')
-		took := w.out(n, s.Work.Units, false)
+		took := w.responseTime(n, s.Work.Units, false)
 		p.work += took
 		done(w.now + took)
 		return
 	}
 	if s.Then != nil {
-		w.chain(s.Then, p, done)
+		w.playChain(s.Then, p, done)
 		return
 	}
 	steps, k := s.All, len(s.All)
@@ -248,7 +248,7 @@
 	}
 	var ends []float64
 	for i := range steps {
-		w.step(&steps[i], p, func(end float64) {
+		w.playStep(&steps[i], p, func(end float64) {
 			if ends = append(ends, end); len(ends) == len(steps) {
 				slices.Sort(ends)
 				done(ends[k-1])
@@ -257,12 +257,12 @@
 	}
 }
 
-func (w *world) chain(steps []cost.Step, p *played, done func(end float64)) {
-	w.step(&steps[0], p, func(end float64) {
+func (w *world) playChain(steps []cost.Step, p *played, done func(end float64)) {
+	w.playStep(&steps[0], p, func(end float64) {
 		if len(steps) == 1 {
 			done(end)
 			return
 		}
-		w.after(max(end-w.now, 0), func() { w.chain(steps[1:], p, done) })
+		w.after(max(end-w.now, 0), func() { w.playChain(steps[1:], p, done) })
 	})
 }
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -13,21 +13,21 @@
 
 // The classes of reads, and what their rules are. All order by k and keep the highest version.
 const (
-	listing = "listing" // every row, best effort
-	top     = "top"     // the first topRows, of all parts or not at all
-	page    = "page"    // pageRows, then on by the token
+	classListing = "listing" // every row, best effort
+	classTop     = "top"     // the first topRows, of all parts or not at all
+	classPage    = "page"    // pageRows, then on by the token
 )
 
 const topRows, pageRows = 50, 100
 
 // limits are the rows of a page.
-var limits = map[string]int{top: topRows, page: pageRows}
+var rowLimits = map[string]int{classTop: topRows, classPage: pageRows}
 
 // effort are the classes whose rows may go out without all parts.
-var effort = map[string]bool{listing: true}
+var bestEffort = map[string]bool{classListing: true}
 
 // read is one gathered read.
-type read struct {
+type gatheredRead struct {
 	id, class string
 	shards    []int
 	token     string
@@ -36,15 +36,15 @@
 
 // answer is what came of it.
 type answer struct {
-	code      int
-	rows      [][]byte
-	ended     bool // the body came to its end, with a result
-	whole     bool
-	named     []int // shards that are missing or cut
-	conflicts int
-	truncated string
-	token     string
-	err       string // the code of what ended it early
+	statusCode       int
+	rows             [][]byte
+	finished         bool // the body came to its end, with a result
+	whole            bool
+	incompleteShards []int // shards that are missing or cut
+	conflicts        int
+	truncated        string
+	token            string
+	errorCode        string // the code of what ended it early
 }
 
 // Verdict is how many rows of an answer were not right.
@@ -59,31 +59,31 @@
 }
 
 type row struct {
-	k, v int64
-	text string
+	key, version int64
+	text         string
 }
 
-func parse(text []byte) row {
+func parseRow(text []byte) row {
 	return row{gjson.GetBytes(text, "k").Int(), gjson.GetBytes(text, "v").Int(), string(text)}
 }
 
 // truth is what the nodes hold. It may be used by several goroutines.
-type truth struct {
-	rows   node.Rows
-	shards []map[int64]row // by key
-	mu     sync.Mutex
-	flats  map[string][]row // by the shards asked
+type oracle struct {
+	rows           node.Rows
+	shards         []map[int64]row // by key
+	mu             sync.Mutex
+	mergesByShards map[string][]row // by the shards asked
 }
 
-const flatsMost = 256
+const maxCachedMerges = 256
 
-func newTruth(rows node.Rows, shards int) *truth {
-	t := &truth{rows: rows, flats: map[string][]row{}}
+func newOracle(rows node.Rows, shards int) *oracle {
+	t := &oracle{rows: rows, mergesByShards: map[string][]row{}}
 	for s := range shards {
 		held := map[int64]row{}
 		for _, text := range rows.Shard(s) {
-			x := parse(text)
-			held[x.k] = x
+			x := parseRow(text)
+			held[x.key] = x
 		}
 		t.shards = append(t.shards, held)
 	}
@@ -91,32 +91,32 @@
 }
 
 // flat is the flat merge of shards.
-func (t *truth) flat(shards []int) []row {
+func (t *oracle) merge(shards []int) []row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := fmt.Sprint(shards)
-	all, ok := t.flats[name]
+	all, ok := t.mergesByShards[name]
 	if !ok {
 		for _, text := range t.rows.Merge(shards, node.MergeOptions{Keep: "highest"}) {
-			all = append(all, parse(text))
+			all = append(all, parseRow(text))
 		}
-		if len(t.flats) >= flatsMost {
-			clear(t.flats)
+		if len(t.mergesByShards) >= maxCachedMerges {
+			clear(t.mergesByShards)
 		}
-		t.flats[name] = all
+		t.mergesByShards[name] = all
 	}
 	return all
 }
 
 // page are the rows of a whole answer.
-func (t *truth) page(q read) []row {
-	all := t.flat(q.shards)
-	begin, found := slices.BinarySearchFunc(all, q.after, func(r row, k int64) int { return cmp.Compare(r.k, k) })
+func (t *oracle) expectedRows(q gatheredRead) []row {
+	all := t.merge(q.shards)
+	begin, found := slices.BinarySearchFunc(all, q.after, func(r row, k int64) int { return cmp.Compare(r.key, k) })
 	if found {
 		begin++
 	}
 	all = all[begin:]
-	if limit := limits[q.class]; limit > 0 {
+	if limit := rowLimits[q.class]; limit > 0 {
 		all = all[:min(limit, len(all))]
 	}
 	return all
@@ -124,20 +124,20 @@
 
 // judge holds the rows of an answer against the flat merge. Where parts are named, a row may be an older version, or
 // missing, as far as no part that was read holds it.
-func (t *truth) judge(q read, a answer) (v Verdict) {
-	if a.whole && slices.EqualFunc(a.rows, t.page(q), func(got []byte, want row) bool { return string(got) == want.text }) {
+func (t *oracle) verify(q gatheredRead, a answer) (v Verdict) {
+	if a.whole && slices.EqualFunc(a.rows, t.expectedRows(q), func(got []byte, want row) bool { return string(got) == want.text }) {
 		return v
 	}
-	limit := limits[q.class]
+	limit := rowLimits[q.class]
 	var sure []int // shards whose rows were all heard of, as far as the answer goes
-	if !effort[q.class] {
+	if !bestEffort[q.class] {
 		sure = q.shards
-	} else if a.ended {
-		sure = slices.DeleteFunc(slices.Clone(q.shards), func(s int) bool { return slices.Contains(a.named, s) })
+	} else if a.finished {
+		sure = slices.DeleteFunc(slices.Clone(q.shards), func(s int) bool { return slices.Contains(a.incompleteShards, s) })
 	}
 	held := func(k int64, of []int) (newest row, any bool) {
 		for _, s := range of {
-			if x, ok := t.shards[s][k]; ok && (!any || x.v > newest.v) {
+			if x, ok := t.shards[s][k]; ok && (!any || x.version > newest.version) {
 				newest, any = x, true
 			}
 		}
@@ -146,32 +146,32 @@
 	seen := map[int64]bool{}
 	last := q.after
 	for _, text := range a.rows {
-		x := parse(text)
-		if seen[x.k] {
+		x := parseRow(text)
+		if seen[x.key] {
 			v.Doubled++
 			continue
 		}
-		seen[x.k] = true
-		least, ok := held(x.k, sure)
-		is := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.k].text == x.text })
-		if !is || x.k <= last || ok && x.v < least.v {
+		seen[x.key] = true
+		least, ok := held(x.key, sure)
+		is := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.key].text == x.text })
+		if !is || x.key <= last || ok && x.version < least.version {
 			v.Wrong++
 		}
-		last = max(last, x.k)
+		last = max(last, x.key)
 	}
 	if limit > 0 && len(seen) > limit {
 		v.Wrong += len(seen) - limit
 	}
 	// What the answer must have, of the parts that were read: its page, or as far as its rows go.
-	all := t.flat(q.shards)
+	all := t.merge(q.shards)
 	if a.whole {
-		all = t.page(q)
+		all = t.expectedRows(q)
 	}
 	for _, x := range all {
-		if !a.whole && x.k > last && (!a.ended || a.err != "" || a.truncated != "") {
+		if !a.whole && x.key > last && (!a.finished || a.errorCode != "" || a.truncated != "") {
 			break
 		}
-		if _, ok := held(x.k, sure); ok && x.k > q.after && !seen[x.k] {
+		if _, ok := held(x.key, sure); ok && x.key > q.after && !seen[x.key] {
 			v.Lost++
 		}
 	}
--- a/internal/testkit/experiment/gathers/client.go
+++ b/internal/testkit/experiment/gathers/client.go
@@ -15,22 +15,22 @@
 )
 
 // patience is how much longer than its deadline a client waits, so that a late answer is seen as one.
-const patience = 500 * time.Millisecond
+const lateAnswerWait = 500 * time.Millisecond
 
 // times are when rows of an answer came, from when the read was due.
-type times struct {
-	marks []mark
-	end   time.Duration
+type rowTimes struct {
+	arrivals []rowArrival
+	end      time.Duration
 }
 
-type mark struct {
+type rowArrival struct {
 	rows int // so many have come
 	at   time.Duration
 }
 
 // after is when so many rows had come; ok: they did.
-func (t *times) after(rows int) (at time.Duration, ok bool) {
-	for _, m := range t.marks {
+func (t *rowTimes) timeOfRows(rows int) (at time.Duration, ok bool) {
+	for _, m := range t.arrivals {
 		if m.rows >= rows {
 			return m.at, true
 		}
@@ -39,21 +39,21 @@
 }
 
 // asker sends gathered reads, each on a connection of its own: nothing is sent twice.
-type asker struct {
+type readClient struct {
 	http     *http.Client
 	plan     string
 	hosts    int
 	deadline time.Duration
 }
 
-func newAsker(plan string, hosts int, deadline time.Duration) *asker {
-	return &asker{plan: plan, hosts: hosts, deadline: deadline,
+func newReadClient(plan string, hosts int, deadline time.Duration) *readClient {
+	return &readClient{plan: plan, hosts: hosts, deadline: deadline,
 		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 64 << 10}}}
 }
 
 // ask asks one process and reads what comes. An error is *answer broken*: what came before is in the answer.
-func (k *asker) ask(ctx context.Context, to string, q read, seq uint64, due time.Time) (a answer, t times, err error) {
-	ctx, stop := context.WithDeadline(ctx, due.Add(k.deadline+patience))
+func (k *readClient) send(ctx context.Context, to string, q gatheredRead, seq uint64, due time.Time) (a answer, t rowTimes, err error) {
+	ctx, stop := context.WithDeadline(ctx, due.Add(k.deadline+lateAnswerWait))
 	defer stop()
 	left := time.Until(due.Add(k.deadline))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/%s/x", to, q.class), nil)
@@ -63,7 +63,7 @@
 	for name, value := range map[string]string{"X-Request-Id": q.id, "Tier": k.plan, "Cookie": fmt.Sprintf("extent=%016x", seq),
 		"X-Deadline-Ms": strconv.FormatInt(max(1, left.Milliseconds()), 10),
 		"IO-Info":       fmt.Sprintf("volume=%016x,units=1,shard=%d,hosts=%d", seq%7+1, q.shards[0], k.hosts),
-		"X-Gather":      list(q.shards)} {
+		"X-Gather":      formatShards(q.shards)} {
 		r.Header.Set(name, value)
 	}
 	if q.token != "" {
@@ -75,7 +75,7 @@
 		return a, t, err
 	}
 	defer resp.Body.Close()
-	a.code = resp.StatusCode
+	a.statusCode = resp.StatusCode
 	var text []byte
 	piece := make([]byte, 64<<10)
 	rows := 0
@@ -84,12 +84,12 @@
 		n, err = resp.Body.Read(piece)
 		if n > 0 {
 			rows += bytes.Count(piece[:n], []byte("\n"))
-			t.marks = append(t.marks, mark{rows, time.Since(due)})
+			t.arrivals = append(t.arrivals, rowArrival{rows, time.Since(due)})
 			text = append(text, piece[:n]...)
 		}
 	}
-	if a.code != http.StatusOK {
-		err := a.result(string(text))
+	if a.statusCode != http.StatusOK {
+		err := a.parseResult(string(text))
 		return a, t, err
 	}
 	if !errors.Is(err, io.EOF) {
@@ -101,28 +101,28 @@
 	if !errors.Is(err, io.EOF) {
 		return a, t, err
 	}
-	err = a.result(resp.Trailer.Get("X-Gather-Result"))
+	err = a.parseResult(resp.Trailer.Get("X-Gather-Result"))
 	return a, t, err
 }
 
 // result reads the trailer.
-func (a *answer) result(text string) error {
+func (a *answer) parseResult(text string) error {
 	if !gjson.Valid(text) {
 		return fmt.Errorf("no result after the rows: %.80q", text)
 	}
 	g := gjson.Parse(text)
-	a.ended, a.whole = true, g.Get("whole").Bool()
+	a.finished, a.whole = true, g.Get("whole").Bool()
 	for _, key := range []string{"missing", "cut", "conflict"} {
 		for _, v := range g.Get(key).Array() {
-			a.named = append(a.named, int(v.Int()))
+			a.incompleteShards = append(a.incompleteShards, int(v.Int()))
 		}
 	}
-	a.conflicts, a.truncated, a.token, a.err = int(g.Get("conflicts").Int()), g.Get("truncated").Str, g.Get("token").Str, g.Get("code").Str
+	a.conflicts, a.truncated, a.token, a.errorCode = int(g.Get("conflicts").Int()), g.Get("truncated").Str, g.Get("token").Str, g.Get("code").Str
 	return nil
 }
 
 // list is shards in the header's form.
-func list(shards []int) string {
+func formatShards(shards []int) string {
 	var all []string
 	for from, to := 0, 0; from < len(shards); from = to + 1 {
 		for to = from; to+1 < len(shards) && shards[to+1] == shards[to]+1; to++ {
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -17,7 +17,7 @@
 func TestJudge(t *testing.T) {
 	w := Defaults()
 	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
-	tr := newTruth(w.Rows, w.Shards)
+	tr := newOracle(w.Rows, w.Shards)
 	shards := []int{0, 1, 4}
 	texts := func(rows []row) (all [][]byte) {
 		for _, r := range rows {
@@ -25,13 +25,13 @@
 		}
 		return all
 	}
-	flat := texts(tr.flat(shards))
-	q := func(class string) read { return read{class: class, shards: shards, after: -1} }
-	without := texts(tr.flat([]int{0, 1})) // what is left where part 4 is missing
-	older := func() ([][]byte, int) {      // a row that an older version stands in for
-		for i, x := range tr.flat(shards) {
+	flat := texts(tr.merge(shards))
+	q := func(class string) gatheredRead { return gatheredRead{class: class, shards: shards, after: -1} }
+	without := texts(tr.merge([]int{0, 1})) // what is left where part 4 is missing
+	older := func() ([][]byte, int) {       // a row that an older version stands in for
+		for i, x := range tr.merge(shards) {
 			for _, s := range shards {
-				if y, ok := tr.shards[s][x.k]; ok && y.v < x.v {
+				if y, ok := tr.shards[s][x.key]; ok && y.version < x.version {
 					all := slices.Clone(flat)
 					all[i] = []byte(y.text)
 					return all, s
@@ -46,35 +46,35 @@
 	swapped[3], swapped[4] = swapped[4], swapped[3]
 	strange := slices.Clone(flat)
 	strange[5] = bytes.Replace(strange[5], []byte(`"x":"`), []byte(`"x":"!`), 1)
-	next := q(page)
-	next.after = parse(flat[pageRows-1]).k
+	next := q(classPage)
+	next.after = parseRow(flat[pageRows-1]).key
 	for _, x := range []struct {
 		name string
-		q    read
+		q    gatheredRead
 		a    answer
 		want Verdict
 	}{
-		{"whole", q(listing), answer{rows: flat, ended: true, whole: true}, Verdict{}},
-		{"top", q(top), answer{rows: flat[:topRows], ended: true, whole: true, truncated: "top"}, Verdict{}},
-		{"second page", next, answer{rows: flat[pageRows : 2*pageRows], ended: true, whole: true, truncated: "top"}, Verdict{}},
-		{"a part missing and named", q(listing), answer{rows: without, ended: true, named: []int{4}}, Verdict{}},
-		{"cut in the middle of the rows", q(listing), answer{rows: flat[:50]}, Verdict{}},
-		{"ended early by a code", q(top), answer{rows: flat[:20], ended: true, named: []int{1}, err: "gather-incomplete"}, Verdict{}},
-		{"a row left out", q(listing), answer{rows: slices.Delete(slices.Clone(flat), 7, 8), ended: true, whole: true}, Verdict{Lost: 1}},
-		{"the last rows left out", q(listing), answer{rows: flat[:len(flat)-2], ended: true, whole: true}, Verdict{Lost: 2}},
-		{"a row left out in part", q(listing), answer{rows: without[1:], ended: true, named: []int{4}}, Verdict{Lost: 1}},
-		{"a row left out of what was cut", q(top), answer{rows: flat[1:20]}, Verdict{Lost: 1}},
-		{"top is short", q(top), answer{rows: flat[:topRows-1], ended: true, whole: true}, Verdict{Lost: 1}},
-		{"top is long", q(top), answer{rows: flat[:topRows+2], ended: true, whole: true}, Verdict{Wrong: 2}},
-		{"a row twice", q(listing), answer{rows: slices.Insert(slices.Clone(flat), 9, flat[9]), ended: true, whole: true}, Verdict{Doubled: 1}},
-		{"a page again", next, answer{rows: flat[:pageRows], ended: true, whole: true}, Verdict{Wrong: pageRows, Lost: pageRows}},
-		{"out of order", q(listing), answer{rows: swapped, ended: true, whole: true}, Verdict{Wrong: 1}},
-		{"an older version", q(listing), answer{rows: stale, ended: true, whole: true}, Verdict{Wrong: 1}},
-		{"an older version, its newer's part named", q(listing), answer{rows: stale, ended: true, named: shards}, Verdict{}},
-		{"no row of anybody", q(listing), answer{rows: strange, ended: true, named: shards}, Verdict{Wrong: 1}},
-		{"missing and not named", q(listing), answer{rows: nil, ended: true, named: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
+		{"whole", q(classListing), answer{rows: flat, finished: true, whole: true}, Verdict{}},
+		{"top", q(classTop), answer{rows: flat[:topRows], finished: true, whole: true, truncated: "top"}, Verdict{}},
+		{"second page", next, answer{rows: flat[pageRows : 2*pageRows], finished: true, whole: true, truncated: "top"}, Verdict{}},
+		{"a part missing and named", q(classListing), answer{rows: without, finished: true, incompleteShards: []int{4}}, Verdict{}},
+		{"cut in the middle of the rows", q(classListing), answer{rows: flat[:50]}, Verdict{}},
+		{"ended early by a code", q(classTop), answer{rows: flat[:20], finished: true, incompleteShards: []int{1}, errorCode: "gather-incomplete"}, Verdict{}},
+		{"a row left out", q(classListing), answer{rows: slices.Delete(slices.Clone(flat), 7, 8), finished: true, whole: true}, Verdict{Lost: 1}},
+		{"the last rows left out", q(classListing), answer{rows: flat[:len(flat)-2], finished: true, whole: true}, Verdict{Lost: 2}},
+		{"a row left out in part", q(classListing), answer{rows: without[1:], finished: true, incompleteShards: []int{4}}, Verdict{Lost: 1}},
+		{"a row left out of what was cut", q(classTop), answer{rows: flat[1:20]}, Verdict{Lost: 1}},
+		{"top is short", q(classTop), answer{rows: flat[:topRows-1], finished: true, whole: true}, Verdict{Lost: 1}},
+		{"top is long", q(classTop), answer{rows: flat[:topRows+2], finished: true, whole: true}, Verdict{Wrong: 2}},
+		{"a row twice", q(classListing), answer{rows: slices.Insert(slices.Clone(flat), 9, flat[9]), finished: true, whole: true}, Verdict{Doubled: 1}},
+		{"a page again", next, answer{rows: flat[:pageRows], finished: true, whole: true}, Verdict{Wrong: pageRows, Lost: pageRows}},
+		{"out of order", q(classListing), answer{rows: swapped, finished: true, whole: true}, Verdict{Wrong: 1}},
+		{"an older version", q(classListing), answer{rows: stale, finished: true, whole: true}, Verdict{Wrong: 1}},
+		{"an older version, its newer's part named", q(classListing), answer{rows: stale, finished: true, incompleteShards: shards}, Verdict{}},
+		{"no row of anybody", q(classListing), answer{rows: strange, finished: true, incompleteShards: shards}, Verdict{Wrong: 1}},
+		{"missing and not named", q(classListing), answer{rows: nil, finished: true, incompleteShards: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
 	} {
-		if got := tr.judge(x.q, x.a); got != x.want {
+		if got := tr.verify(x.q, x.a); got != x.want {
 			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
 		}
 	}
@@ -83,8 +83,8 @@
 // The same seed plays the same faults, and each kind is among those of a run.
 func TestSchedule(t *testing.T) {
 	w := Defaults()
-	one, two := schedule(4, w, 20*time.Second), schedule(4, w, 20*time.Second)
-	var f happened
+	one, two := drawFaultRounds(4, w, 20*time.Second), drawFaultRounds(4, w, 20*time.Second)
+	var f faultCounts
 	for i, c := range one {
 		for j, x := range c.nodes {
 			if two[i].nodes[j] != x {
@@ -98,7 +98,7 @@
 			case x.CloseConn:
 				f.Cut++
 			case x.Stall:
-				f.Never++
+				f.Stalled++
 			}
 		}
 		for to, x := range c.links {
@@ -118,7 +118,7 @@
 			f.Killed++
 		}
 	}
-	if len(f.absent()) > 0 || f.Killed != 1 {
+	if len(f.missing()) > 0 || f.Killed != 1 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -145,14 +145,14 @@
 		t.Fatal(err)
 	}
 	for i, l := range rep.Lines {
-		if Modes[i].Tree != (l.Parts.Handed > 0) {
-			t.Errorf("%s: %v parts handed on", l.Mode, l.Parts.Handed)
+		if Modes[i].Tree != (l.Parts.Delegated > 0) {
+			t.Errorf("%s: %v parts handed on", l.Mode, l.Parts.Delegated)
 		}
-		if l.Verdict != (Verdict{}) || l.Ends["failed"] > 0 || l.Ends["whole"] == 0 || l.Happened.Killed != 1 {
+		if l.Verdict != (Verdict{}) || l.Ends["failed"] > 0 || l.Ends["whole"] == 0 || l.Faults.Killed != 1 {
 			t.Errorf("%+v", l)
 		}
 	}
-	opt.spoil = node.RowFault{OtherVersion: true}
+	opt.firstShardFault = node.RowFault{OtherVersion: true}
 	if rep, err = Run(ctx, opt); err != nil || !rep.Wrong {
 		t.Errorf("rows of other versions are not found: %v %+v", err, rep)
 	}
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -14,26 +14,26 @@
 
 // Line is one seed in one mode; times are milliseconds from when a read was due.
 type Line struct {
-	Mode     string         `json:"mode"`
-	Seed     uint64         `json:"seed"`
-	Reads    int            `json:"reads"`
-	Ends     map[string]int `json:"ends"`
-	First    [2]float64     `json:"first_row_p50_p99"`
-	Most     [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows, where they came
-	Whole    [2]float64     `json:"whole_p50_p99"`     // of whole reads
-	MostHere float64        `json:"share_most_rows"`   // reads of which 95% of the rows came
-	Parts    Parts          `json:"parts"`
-	Sent     float64        `json:"sent_late_p99"` // the client's own lateness: of a busy machine the times say less
-	Verdict  Verdict        `json:"verdict"`
-	Happened happened       `json:"faults"`
-	Examples []string       `json:"examples,omitempty"` // of rows that are not right and ends that are not known
+	Mode          string         `json:"mode"`
+	Seed          uint64         `json:"seed"`
+	Reads         int            `json:"reads"`
+	Ends          map[string]int `json:"ends"`
+	First         [2]float64     `json:"first_row_p50_p99"`
+	MostRows      [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows, where they came
+	Whole         [2]float64     `json:"whole_p50_p99"`     // of whole reads
+	MostRowsShare float64        `json:"share_most_rows"`   // reads of which 95% of the rows came
+	Parts         Parts          `json:"parts"`
+	SendLateness  float64        `json:"sent_late_p99"` // the client's own lateness: of a busy machine the times say less
+	Verdict       Verdict        `json:"verdict"`
+	Faults        faultCounts    `json:"faults"`
+	Examples      []string       `json:"examples,omitempty"` // of rows that are not right and ends that are not known
 }
 
 // each is how many there are of something for each read.
-func (l *Line) each(n int) float64 { return float64(n) / float64(max(1, l.Reads)) }
+func (l *Line) perRead(n int) float64 { return float64(n) / float64(max(1, l.Reads)) }
 
 // share of reads with an end.
-func (l *Line) share(end int) float64 { return l.each(l.Ends[endNames[end]]) }
+func (l *Line) share(end int) float64 { return l.perRead(l.Ends[endNames[end]]) }
 
 // Report is the result.
 type Report struct {
@@ -46,48 +46,48 @@
 	Absent []string `json:"absent"` // faults that did not happen in a mode
 }
 
-const examplesMost = 5
+const maxExamples = 5
 
 // Run plays each seed in each mode; the modes of a seed one after the other, so that what else the machine does meets all.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	rep := &Report{World: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
-	met := make([]happened, len(Modes))
+	met := make([]faultCounts, len(Modes))
 	for _, seed := range opt.Seeds {
 		for i, m := range Modes {
-			l, err := runOne(ctx, opt, m, seed)
+			l, err := runMode(ctx, opt, m, seed)
 			if err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", m.Name, seed, err)
 			}
-			met[i].add(l.Happened)
+			met[i].add(l.Faults)
 			rep.Wrong = rep.Wrong || l.Verdict != (Verdict{})
 			rep.Lines = append(rep.Lines, l)
 		}
 	}
 	for i, m := range Modes {
-		for _, name := range met[i].absent() {
+		for _, name := range met[i].missing() {
 			rep.Absent = append(rep.Absent, m.Name+": "+name)
 		}
 	}
 	return rep, nil
 }
 
-func runOne(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
+func runMode(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
 	opt.World.Rows.Seed = seed
 	log := opt.Log.WithFields(logrus.Fields{"mode": m.Name, "seed": seed})
 	log.WithField("processes", opt.World.Processes).Info("starting")
-	f, err := start(ctx, opt.Daemon, opt.World, m, seed)
+	f, err := startFleet(ctx, opt.Daemon, opt.World, m, seed)
 	if err != nil {
 		return Line{}, err
 	}
 	defer f.Close()
 	log.WithField("for", opt.For.String()).Info("reading, under faults")
-	all, err := play(ctx, opt, f, seed)
+	all, err := runSeed(ctx, opt, f, seed)
 	if err != nil {
 		return Line{}, err
 	}
-	l := lineOf(all)
-	l.Mode, l.Seed, l.Happened = m.Name, seed, f.happened()
-	l.Parts = f.parts()
+	l := newLine(all)
+	l.Mode, l.Seed, l.Faults = m.Name, seed, f.faultCounts()
+	l.Parts = f.countParts()
 	if l.Verdict != (Verdict{}) {
 		log.WithField("rows", fmt.Sprintf("%+v", l.Verdict)).Error("rows are not right")
 	}
@@ -97,29 +97,29 @@
 	return l, nil
 }
 
-func lineOf(all []one) Line {
+func newLine(all []readOutcome) Line {
 	l := Line{Reads: len(all), Ends: map[string]int{}}
 	var first, most, wholes, sent []time.Duration
 	for _, o := range all {
-		sent = append(sent, o.sent)
+		sent = append(sent, o.sendLateness)
 		l.Ends[endNames[o.end]]++
 		l.Verdict.add(o.verdict)
-		if o.first > 0 {
-			first = append(first, o.first)
+		if o.firstRow > 0 {
+			first = append(first, o.firstRow)
 		}
-		if o.most > 0 {
-			most = append(most, o.most)
+		if o.mostRows > 0 {
+			most = append(most, o.mostRows)
 		}
-		if o.end == whole {
+		if o.end == endWhole {
 			wholes = append(wholes, o.took)
 		}
-		if o.why != "" && len(l.Examples) < examplesMost {
-			l.Examples = append(l.Examples, o.why)
+		if o.detail != "" && len(l.Examples) < maxExamples {
+			l.Examples = append(l.Examples, o.detail)
 		}
 	}
-	l.First, l.Most, l.Whole = quantiles(first), quantiles(most), quantiles(wholes)
-	l.Sent = quantiles(sent)[1]
-	l.MostHere = float64(len(most)) / float64(max(1, len(all)))
+	l.First, l.MostRows, l.Whole = quantiles(first), quantiles(most), quantiles(wholes)
+	l.SendLateness = quantiles(sent)[1]
+	l.MostRowsShare = float64(len(most)) / float64(max(1, len(all)))
 	return l
 }
 
@@ -146,19 +146,19 @@
 		{"reads", "%.0f", func(l *Line) float64 { return float64(l.Reads) }},
 		{"whole p50", "%.0f", func(l *Line) float64 { return l.Whole[0] }},
 		{"p99", "%.0f", func(l *Line) float64 { return l.Whole[1] }},
-		{"95% of rows p50", "%.0f", func(l *Line) float64 { return l.Most[0] }},
-		{"p99", "%.0f", func(l *Line) float64 { return l.Most[1] }},
+		{"95% of rows p50", "%.0f", func(l *Line) float64 { return l.MostRows[0] }},
+		{"p99", "%.0f", func(l *Line) float64 { return l.MostRows[1] }},
 		{"first row p50", "%.0f", func(l *Line) float64 { return l.First[0] }},
 		{"p99", "%.0f", func(l *Line) float64 { return l.First[1] }},
-		{"whole %", "%.1f", func(l *Line) float64 { return 100 * l.share(whole) }},
-		{"named in part %", "%.1f", func(l *Line) float64 { return 100 * l.share(inPart) }},
-		{"refused %", "%.1f", func(l *Line) float64 { return 100 * l.share(refused) }},
-		{"late %", "%.1f", func(l *Line) float64 { return 100 * l.share(late) }},
-		{"broken %", "%.1f", func(l *Line) float64 { return 100 * l.share(broken) }},
-		{"failed %", "%.1f", func(l *Line) float64 { return 100 * l.share(failed) }},
-		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.each(l.Parts.Asked) }},
-		{"handed on", "%.2f", func(l *Line) float64 { return l.each(l.Parts.Handed) }},
-		{"sent late p99", "%.0f", func(l *Line) float64 { return l.Sent }},
+		{"whole %", "%.1f", func(l *Line) float64 { return 100 * l.share(endWhole) }},
+		{"named in part %", "%.1f", func(l *Line) float64 { return 100 * l.share(endPartial) }},
+		{"refused %", "%.1f", func(l *Line) float64 { return 100 * l.share(endRefused) }},
+		{"late %", "%.1f", func(l *Line) float64 { return 100 * l.share(endLate) }},
+		{"broken %", "%.1f", func(l *Line) float64 { return 100 * l.share(endBroken) }},
+		{"failed %", "%.1f", func(l *Line) float64 { return 100 * l.share(endFailed) }},
+		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Asked) }},
+		{"handed on", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Delegated) }},
+		{"sent late p99", "%.0f", func(l *Line) float64 { return l.SendLateness }},
 		{"rows wrong", "", func(l *Line) float64 { return float64(l.Verdict.Wrong) }},
 		{"doubled", "", func(l *Line) float64 { return float64(l.Verdict.Doubled) }},
 		{"lost", "", func(l *Line) float64 { return float64(l.Verdict.Lost) }},
@@ -191,16 +191,16 @@
 		return err
 	}
 	for _, m := range rep.Modes {
-		var met happened
+		var met faultCounts
 		var parts Parts
 		for _, l := range rep.Lines {
 			if l.Mode == m.Name {
-				met.add(l.Happened)
-				parts.Again, parts.Same = parts.Again+l.Parts.Again, parts.Same+l.Parts.Same
+				met.add(l.Faults)
+				parts.Retried, parts.RetriedAtSameNode = parts.Retried+l.Parts.Retried, parts.RetriedAtSameNode+l.Parts.RetriedAtSameNode
 			}
 		}
 		fmt.Fprintf(out, "faults %s: parts late %d, stopped %d, cut %d, silent for good %d; links silent %d, reset %d, slow %d; processes killed %d; parts asked again %d, at the same node %d\n", m.Name,
-			met.Late, met.Stopped, met.Cut, met.Never, met.Silenced, met.Reset, met.Delayed, met.Killed, parts.Again, parts.Same)
+			met.Late, met.Stopped, met.Cut, met.Stalled, met.Silenced, met.Reset, met.Delayed, met.Killed, parts.Retried, parts.RetriedAtSameNode)
 	}
 	for _, a := range rep.Absent {
 		fmt.Fprintln(out, "a fault that did not happen:", a)
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -31,7 +31,7 @@
 	Daemon string        // path of the built program; "": beside this one, or built
 	Log    logrus.FieldLogger
 
-	spoil node.RowFault // a test's: of all nodes of the first shard, in place of the schedule's
+	firstShardFault node.RowFault // a test's: of all nodes of the first shard, in place of the schedule's
 }
 
 // Defaults are 8 processes and 24 nodes.
@@ -41,63 +41,63 @@
 
 // The ends of a read.
 const (
-	whole   = iota
-	inPart  // with what is missing named
-	refused // before a row went out
-	late    // the process said so, or nothing was heard in time, or it cut the answer at the deadline
-	broken  // the connection ended in the middle, or none came up
-	failed  // anything else
-	ends
+	endWhole   = iota
+	endPartial // with what is missing named
+	endRefused // before a row went out
+	endLate    // the process said so, or nothing was heard in time, or it cut the answer at the deadline
+	endBroken  // the connection ended in the middle, or none came up
+	endFailed  // anything else
+	endCount
 )
 
 // endNames are the ends in tables and JSON.
-var endNames = [ends]string{"whole", "in part", "refused", "late", "broken", "failed"}
+var endNames = [endCount]string{"whole", "in part", "refused", "late", "broken", "failed"}
 
 // one is what came of a read.
-type one struct {
-	end     int
-	took    time.Duration // of whole ones, until the end
-	sent    time.Duration // after it was due
-	first   time.Duration // until the first row; 0: none came
-	most    time.Duration // until 95% of the rows; 0: they did not come
-	verdict Verdict
-	why     string // of failed, and where rows were not right
+type readOutcome struct {
+	end          int
+	took         time.Duration // of whole ones, until the end
+	sendLateness time.Duration // after it was due
+	firstRow     time.Duration // until the first row; 0: none came
+	mostRows     time.Duration // until 95% of the rows; 0: they did not come
+	verdict      Verdict
+	detail       string // of failed, and where rows were not right
 }
 
 const (
-	mostShare = 0.95
-	pagesMost = 4 // that one client asks for
-	subset    = 0.2
+	mostRowsShare = 0.95
+	maxPages      = 4 // that one client asks for
+	subsetChance  = 0.2
 )
 
 // player plays one seed in one mode.
-type player struct {
-	opt   Options
-	fleet *processes
-	truth *truth
-	ask   *asker
-	start time.Time
-	mu    sync.Mutex
-	all   []one
-	wg    sync.WaitGroup
+type seedRun struct {
+	opt      Options
+	fleet    *daemonFleet
+	oracle   *oracle
+	client   *readClient
+	start    time.Time
+	mu       sync.Mutex
+	outcomes []readOutcome
+	wg       sync.WaitGroup
 }
 
 // play runs the reads and the faults of a seed.
-func play(ctx context.Context, opt Options, f *processes, seed uint64) ([]one, error) {
-	p := &player{opt: opt, fleet: f, truth: newTruth(opt.World.Rows, opt.World.Shards), ask: newAsker(plan, opt.World.Processes, deadline)}
+func runSeed(ctx context.Context, opt Options, f *daemonFleet, seed uint64) ([]readOutcome, error) {
+	p := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.World.Rows, opt.World.Shards), client: newReadClient(planName, opt.World.Processes, deadline)}
 	p.start = time.Now()
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	faults := make(chan error, 1)
-	go func() { faults <- p.faults(ctx, running, schedule(seed, opt.World, opt.For)) }()
-	err := p.reads(ctx, rand.New(rand.NewPCG(seed, 26)))
+	go func() { faults <- p.injectFaults(ctx, running, drawFaultRounds(seed, opt.World, opt.For)) }()
+	err := p.sendReads(ctx, rand.New(rand.NewPCG(seed, 26)))
 	p.wg.Wait()
 	stop()
-	return p.all, errors.Join(err, <-faults)
+	return p.outcomes, errors.Join(err, <-faults)
 }
 
 // wait waits until a moment of the run; false: it has ended.
-func (p *player) wait(ctx context.Context, at time.Duration) bool {
+func (p *seedRun) waitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(time.Until(p.start.Add(at)))
 	defer t.Stop()
 	select {
@@ -109,7 +109,7 @@
 }
 
 // faults plays the changes while reads are sent; a process that is killed is waited for, also past their end.
-func (p *player) faults(ctx, running context.Context, all []change) error {
+func (p *seedRun) injectFaults(ctx, running context.Context, all []faultRound) error {
 	var kills sync.WaitGroup
 	defer kills.Wait()
 	var mu sync.Mutex
@@ -120,106 +120,106 @@
 		errs = append(errs, err)
 	}
 	for _, c := range all {
-		if !p.wait(running, c.at) {
+		if !p.waitUntil(running, c.at) {
 			break
 		}
-		if p.opt.spoil != (node.RowFault{}) {
-			c = change{kill: -1, nodes: map[int]node.RowFault{}}
+		if p.opt.firstShardFault != (node.RowFault{}) {
+			c = faultRound{kill: -1, nodes: map[int]node.RowFault{}}
 			for j := range p.opt.World.Copies {
-				c.nodes[j] = p.opt.spoil
+				c.nodes[j] = p.opt.firstShardFault
 			}
 		}
 		if kill := c.kill; kill >= 0 { // it takes longer than a round
 			c.kill = -1
-			kills.Go(func() { note(p.fleet.kill(ctx, kill)) })
+			kills.Go(func() { note(p.fleet.killAndRestart(ctx, kill)) })
 		}
-		note(p.fleet.play(c))
+		note(p.fleet.apply(c))
 	}
 	kills.Wait()
 	return errors.Join(errs...)
 }
 
 // reads sends the reads when they are due, whatever came of those before.
-func (p *player) reads(ctx context.Context, rng *rand.Rand) error {
+func (p *seedRun) sendReads(ctx context.Context, rng *rand.Rand) error {
 	at := time.Duration(0)
 	for n := uint64(1); ; n++ {
 		at += time.Duration(rng.ExpFloat64() / p.opt.Rate * float64(time.Second))
 		if at >= p.opt.For {
 			return nil
 		}
-		q := read{id: fmt.Sprintf("g%d", n), class: []string{listing, top, page}[rng.IntN(3)], after: -1}
+		q := gatheredRead{id: fmt.Sprintf("g%d", n), class: []string{classListing, classTop, classPage}[rng.IntN(3)], after: -1}
 		for s := range p.opt.World.Shards {
 			q.shards = append(q.shards, s)
 		}
-		if rng.Float64() < subset {
+		if rng.Float64() < subsetChance {
 			least := min(2, len(q.shards))
 			rng.Shuffle(len(q.shards), func(i, j int) { q.shards[i], q.shards[j] = q.shards[j], q.shards[i] })
 			q.shards = q.shards[:least+rng.IntN(len(q.shards)-least+1)]
 			slices.Sort(q.shards)
 		}
 		to := rng.IntN(p.opt.World.Processes)
-		if !p.wait(ctx, at) {
+		if !p.waitUntil(ctx, at) {
 			return ctx.Err()
 		}
 		due := p.start.Add(at)
-		p.wg.Go(func() { p.client(ctx, to, q, n, due) })
+		p.wg.Go(func() { p.readPages(ctx, to, q, n, due) })
 	}
 }
 
 // client is one read, and of pages those after it, each due when the one before is here.
-func (p *player) client(ctx context.Context, to int, q read, seq uint64, due time.Time) {
+func (p *seedRun) readPages(ctx context.Context, to int, q gatheredRead, seq uint64, due time.Time) {
 	for k := 1; ; k++ {
 		target := ""
 		for i := 0; target == "" && i < p.opt.World.Processes; i++ { // one that is down is passed over
-			target = p.fleet.target((to + i) % p.opt.World.Processes)
+			target = p.fleet.address((to + i) % p.opt.World.Processes)
 		}
 		sent := time.Since(due)
-		a, t, err := p.ask.ask(ctx, target, q, seq, due)
-		o := p.took(q, a, t, err)
-		o.sent = sent
+		a, t, err := p.client.send(ctx, target, q, seq, due)
+		o := p.classify(q, a, t, err)
+		o.sendLateness = sent
 		p.mu.Lock()
-		p.all = append(p.all, o)
+		p.outcomes = append(p.outcomes, o)
 		p.mu.Unlock()
-		if q.class != page || k == pagesMost || o.end != whole || a.token == "" || len(a.rows) == 0 {
+		if q.class != classPage || k == maxPages || o.end != endWhole || a.token == "" || len(a.rows) == 0 {
 			return
 		}
-		q.token, q.after, due = a.token, parse(a.rows[len(a.rows)-1]).k, time.Now()
+		q.token, q.after, due = a.token, parseRow(a.rows[len(a.rows)-1]).key, time.Now()
 		q.id = fmt.Sprintf("g%d.%d", seq, k)
 	}
 }
 
 // took counts a read under its end.
-func (p *player) took(q read, a answer, t times, err error) (o one) {
-	o.verdict = p.truth.judge(q, a)
+func (p *seedRun) classify(q gatheredRead, a answer, t rowTimes, err error) (o readOutcome) {
+	o.verdict = p.oracle.verify(q, a)
 	if o.verdict != (Verdict{}) {
-		o.why = fmt.Sprintf("%s of %s at %d, %d rows, whole %v, named %v, ended by %q: %+v", q.id, q.class, q.after, len(a.rows), a.whole, a.named, a.err, o.verdict)
+		o.detail = fmt.Sprintf("%s of %s at %d, %d rows, whole %v, named %v, ended by %q: %+v", q.id, q.class, q.after, len(a.rows), a.whole, a.incompleteShards, a.errorCode, o.verdict)
 	}
 	if len(a.rows) > 0 {
-		o.first, _ = t.after(1)
+		o.firstRow, _ = t.timeOfRows(1)
 	}
-	expected := len(p.truth.page(q))
+	expected := len(p.oracle.expectedRows(q))
 	if expected == 0 { // a page after the last row
-		o.most, o.first = t.end, t.end
-	} else if at, ok := t.after(int(mostShare*float64(expected) + 0.999)); ok {
-		o.most = at
+		o.mostRows, o.firstRow = t.end, t.end
+	} else if at, ok := t.timeOfRows(int(mostRowsShare*float64(expected) + 0.999)); ok {
+		o.mostRows = at
 	}
 	slow := t.end > deadline
 	switch {
-	case a.code == http.StatusOK && err == nil && a.whole && !slow:
-		o.end, o.took = whole, t.end
-	case a.code == http.StatusOK && err == nil && !slow && (len(a.named) > 0 || a.err != "" || a.conflicts > 0):
-		o.end = inPart
-	case a.code == http.StatusServiceUnavailable && !slow:
-		o.end = refused
-	case a.code == http.StatusGatewayTimeout || slow || err != nil && t.end > deadline*9/10:
-		o.end = late
-	case a.code == http.StatusBadGateway && len(a.named) > 0:
-		o.end = inPart // no row could go out
+	case a.statusCode == http.StatusOK && err == nil && a.whole && !slow:
+		o.end, o.took = endWhole, t.end
+	case a.statusCode == http.StatusOK && err == nil && !slow && (len(a.incompleteShards) > 0 || a.errorCode != "" || a.conflicts > 0):
+		o.end = endPartial
+	case a.statusCode == http.StatusServiceUnavailable && !slow:
+		o.end = endRefused
+	case a.statusCode == http.StatusGatewayTimeout || slow || err != nil && t.end > deadline*9/10:
+		o.end = endLate
+	case a.statusCode == http.StatusBadGateway && len(a.incompleteShards) > 0:
+		o.end = endPartial // no row could go out
 	case err != nil:
-		o.end = broken
+		o.end = endBroken
 	default:
-		o.end = failed
-		o.why += fmt.Sprintf("%s of %s: %d %s, neither whole nor is anything named", q.id, q.class, a.code, a.err)
+		o.end = endFailed
+		o.detail += fmt.Sprintf("%s of %s: %d %s, neither whole nor is anything named", q.id, q.class, a.statusCode, a.errorCode)
 	}
 	return o
 }
--- a/internal/testkit/experiment/gathers/site.go
+++ b/internal/testkit/experiment/gathers/site.go
@@ -7,12 +7,12 @@
 }
 
 // site is the section gather of a site's file.
-func site(m Mode, w World, peers []peer) map[string]any {
+func gatherSettings(m Mode, w World, peers []peer) map[string]any {
 	classes := map[string]any{}
-	for _, class := range []string{listing, top, page} {
-		classes[class] = rules(class)
+	for _, class := range []string{classListing, classTop, classPage} {
+		classes[class] = mergeRules(class)
 	}
-	s := map[string]any{"rules": map[string]any{"classes": classes}, "share": share, "again": m.Again, "silent_ms": m.Silent.Milliseconds(),
+	s := map[string]any{"rules": map[string]any{"classes": classes}, "share": mergeTimeShare, "again": m.Again, "silent_ms": m.Silent.Milliseconds(),
 		"parts_most": w.Shards, "reads_at_once": readsAtOnce}
 	if len(peers) > 0 {
 		s["peers"] = peers
--- a/internal/testkit/experiment/gathers/world.go
+++ b/internal/testkit/experiment/gathers/world.go
@@ -45,42 +45,42 @@
 }
 
 const (
-	plan     = "the-plan" // of procs
-	deadline = time.Second
-	service  = 2 * time.Millisecond // mean, of a part at a node
-	share    = 0.1                  // of the deadline, kept for the merge
+	planName        = "the-plan" // of procs
+	deadline        = time.Second
+	meanServiceTime = 2 * time.Millisecond // mean, of a part at a node
+	mergeTimeShare  = 0.1                  // of the deadline, kept for the merge
 
-	readsAtOnce = 8         // of one process
-	memory      = 768 << 10 // of one merge
-	recordMost  = 4 << 10
-	leastParts  = 4 // of a read, or none is handed on
-	fanOut      = 2
+	readsAtOnce    = 8         // of one process
+	mergeMemory    = 768 << 10 // of one merge
+	maxRecordBytes = 4 << 10
+	leastParts     = 4 // of a read, or none is handed on
+	fanOut         = 2
 )
 
 // processes is a fleet of the built program.
-type processes struct {
+type daemonFleet struct {
 	*cluster.Fleet
-	w      World
-	down   []atomic.Bool
-	killed atomic.Int64
-	err    error
+	world   World
+	down    []atomic.Bool
+	killed  atomic.Int64
+	siteErr error
 }
 
 // start starts it, each process with the mode's section in its site's file.
-func start(ctx context.Context, daemon string, w World, m Mode, seed uint64) (*processes, error) {
-	f := &processes{w: w, down: make([]atomic.Bool, w.Processes)}
+func startFleet(ctx context.Context, daemon string, w World, m Mode, seed uint64) (*daemonFleet, error) {
+	f := &daemonFleet{world: w, down: make([]atomic.Bool, w.Processes)}
 	class := func(name string) map[string]any {
 		return map[string]any{"name": name, "goal-time": deadline.Milliseconds() / 2, "deadline": deadline.Milliseconds(), "worth": 2, "late-worth": 1, "repeat": "safe"}
 	}
 	opt := cluster.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
-		"profiles": []map[string]any{class(listing), class(top), class(page)}}}
+		"profiles": []map[string]any{class(classListing), class(classTop), class(classPage)}}}
 	for j := range w.Shards * w.Copies {
-		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Copies, ServiceTime: serviceOf(seed, j), Rows: &w.Rows})
+		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Copies, ServiceTime: serviceTime(seed, j), Rows: &w.Rows})
 	}
 	opt.Args = func(p *cluster.Fleet, i int) []string {
 		f.Fleet = p
-		f.err = errors.Join(f.err, f.tell(i, m, nil))
-		return []string{"--site", f.site(i)}
+		f.siteErr = errors.Join(f.siteErr, f.writeSite(i, m, nil))
+		return []string{"--site", f.sitePath(i)}
 	}
 	if m.Tree {
 		opt.Settings["ceilings"] = map[string]any{"peers": true}
@@ -90,8 +90,8 @@
 		return nil, err
 	}
 	f.Fleet = fleet
-	if err = f.err; err == nil && m.Tree {
-		err = f.join(ctx, m)
+	if err = f.siteErr; err == nil && m.Tree {
+		err = f.addPeers(ctx, m)
 	}
 	if err != nil {
 		f.Close()
@@ -99,32 +99,32 @@
 	return f, err
 }
 
-func (f *processes) site(i int) string { return filepath.Join(f.Dir(i), "site.json") }
+func (f *daemonFleet) sitePath(i int) string { return filepath.Join(f.Dir(i), "site.json") }
 
 // tell writes a process's site file.
-func (f *processes) tell(i int, m Mode, peers []peer) error {
-	text, err := json.Marshal(map[string]any{"gather": site(m, f.w, peers)})
+func (f *daemonFleet) writeSite(i int, m Mode, peers []peer) error {
+	text, err := json.Marshal(map[string]any{"gather": gatherSettings(m, f.world, peers)})
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(f.site(i), text, 0o600)
+	return os.WriteFile(f.sitePath(i), text, 0o600)
 }
 
 // join names the processes to each other: where they are is known once all have started.
-func (f *processes) join(ctx context.Context, m Mode) error {
+func (f *daemonFleet) addPeers(ctx context.Context, m Mode) error {
 	var peers []peer
-	for i := range f.w.Processes {
+	for i := range f.world.Processes {
 		peers = append(peers, peer{f.Proc(i).Name, f.ClientLink(i).Addr()})
 	}
-	for i := range f.w.Processes {
-		if err := f.tell(i, m, peers); err != nil {
+	for i := range f.world.Processes {
+		if err := f.writeSite(i, m, peers); err != nil {
 			return err
 		}
 		if err := f.Proc(i).Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
 	}
-	for i := range f.w.Processes {
+	for i := range f.world.Processes {
 		if err := f.Wait(ctx, fmt.Sprint("process ", i, " hands parts on"), func() error {
 			if !strings.Contains(f.Proc(i).Log(), "are delegated to peers") {
 				return errors.New("it has not said so")
@@ -138,33 +138,33 @@
 }
 
 // serviceOf draws a node's time for a request from the request's id: the same in each run.
-func serviceOf(seed uint64, j int) func(*fasthttp.Request) time.Duration {
+func serviceTime(seed uint64, j int) func(*fasthttp.Request) time.Duration {
 	return func(q *fasthttp.Request) time.Duration {
 		h := fnv.New64a()
 		fmt.Fprint(h, seed, j)
 		h.Write(q.Header.Peek("X-Request-Id"))
-		return time.Duration(-math.Log(1-float64(h.Sum64()>>11)/(1<<53)) * float64(service))
+		return time.Duration(-math.Log(1-float64(h.Sum64()>>11)/(1<<53)) * float64(meanServiceTime))
 	}
 }
 
 // rules are the merge's of a class, as the site's file has them.
-func rules(class string) map[string]any {
-	r := map[string]any{"memory": map[string]any{"bytes": memory}, "records": map[string]any{"max_bytes": recordMost}, "order": []any{map[string]any{"key": "k", "type": "integer"}},
+func mergeRules(class string) map[string]any {
+	r := map[string]any{"memory": map[string]any{"bytes": mergeMemory}, "records": map[string]any{"max_bytes": maxRecordBytes}, "order": []any{map[string]any{"key": "k", "type": "integer"}},
 		"duplicates": map[string]any{"keep": "highest", "version": map[string]any{"key": "v", "type": "integer"}}}
 	switch {
-	case class == top:
+	case class == classTop:
 		r["truncate"] = map[string]any{"top": topRows}
-	case class == page:
+	case class == classPage:
 		r["truncate"] = map[string]any{"top": pageRows}
 	}
-	if effort[class] {
+	if bestEffort[class] {
 		r["complete"] = map[string]any{"need": "best-effort"}
 	}
 	return r
 }
 
 // target is where a process is asked; "": it is down.
-func (f *processes) target(i int) string {
+func (f *daemonFleet) address(i int) string {
 	if f.down[i].Load() {
 		return ""
 	}
@@ -172,10 +172,10 @@
 }
 
 // play makes a change.
-func (f *processes) play(c change) error {
-	for j := range f.w.Shards * f.w.Copies {
+func (f *daemonFleet) apply(c faultRound) error {
+	for j := range f.world.Shards * f.world.Copies {
 		f.Node(j).SetRowFault(c.nodes[j])
-		for i := range f.w.Processes {
+		for i := range f.world.Processes {
 			if err := f.StorageLink(i, j).SetFault(link.Both, c.links[[2]int{i, j}]); err != nil {
 				return err
 			}
@@ -185,7 +185,7 @@
 }
 
 // kill kills a process and starts it again, until it is ready.
-func (f *processes) kill(ctx context.Context, i int) error {
+func (f *daemonFleet) killAndRestart(ctx context.Context, i int) error {
 	f.down[i].Store(true)
 	if err := f.Kill(i); err != nil {
 		return err
@@ -196,11 +196,11 @@
 	return err
 }
 
-func (f *processes) happened() (h happened) {
+func (f *daemonFleet) faultCounts() (h faultCounts) {
 	h.Killed = int(f.killed.Load())
-	for j := range f.w.Shards * f.w.Copies {
-		h.add(met(f.Node(j)))
-		for i := range f.w.Processes {
+	for j := range f.world.Shards * f.world.Copies {
+		h.add(nodeFaults(f.Node(j)))
+		for i := range f.world.Processes {
 			c := f.StorageLink(i, j).Counts(link.Both)
 			h.Silenced, h.Reset, h.Delayed = h.Silenced+c.Silenced, h.Reset+c.Reset, h.Delayed+c.Delayed
 		}
@@ -209,27 +209,27 @@
 }
 
 // met is what a node's faults did.
-func met(n *node.Node) happened {
+func nodeFaults(n *node.Node) faultCounts {
 	c := n.RowCounts("")
-	return happened{Late: c.Delayed, Stopped: c.Paused, Cut: c.ConnsClosed, Never: c.Stalled}
+	return faultCounts{Late: c.Delayed, Stopped: c.Paused, Cut: c.ConnsClosed, Stalled: c.Stalled}
 }
 
 // Parts is what nodes were asked for.
 type Parts struct {
-	Asked  int `json:"asked"`
-	Handed int `json:"handed_on"` // by peers that they were handed on to
-	Again  int `json:"again"`     // after an asking before that its last node failed: cut, silent, or its asker gone
-	Same   int `json:"same_node"` // ... that began at the same node
+	Asked             int `json:"asked"`
+	Delegated         int `json:"handed_on"` // by peers that they were handed on to
+	Retried           int `json:"again"`     // after an asking before that its last node failed: cut, silent, or its asker gone
+	RetriedAtSameNode int `json:"same_node"` // ... that began at the same node
 }
 
 // parts are told by the askings' ids: READ/PART/COPY, or READ/GROUP/COPY/PART/COPY, where the first copy is a peer's.
-func (f *processes) parts() (p Parts) {
+func (f *daemonFleet) countParts() (p Parts) {
 	type span struct {
 		first, last     int // nodes
 		firstAt, lastAt time.Time
 	}
 	at := map[string]span{} // by id: core may send an asking to several nodes
-	for j := range f.w.Shards * f.w.Copies {
+	for j := range f.world.Shards * f.world.Copies {
 		f.Node(j).EachRequest(func(id string, all []node.Arrival) {
 			x, known := at[id]
 			for _, a := range all {
@@ -248,7 +248,7 @@
 		p.Asked++
 		all := strings.Split(id, "/")
 		if len(all) == 5 && all[2] == "1" {
-			p.Handed++
+			p.Delegated++
 		}
 		part, copy := id[:strings.LastIndexByte(id, '/')+1], 0
 		if _, err := fmt.Sscan(all[len(all)-1], &copy); err != nil {
@@ -257,9 +257,9 @@
 		last := fmt.Sprint(part, copy-1)
 		before, ok := at[last]
 		if c := f.Node(before.last).RowCounts(last); ok && c.Complete+c.Limited == 0 && c.ConnsClosed+c.Stalled+c.Disconnected > 0 {
-			p.Again++
+			p.Retried++
 			if before.last == now.first {
-				p.Same++
+				p.RetriedAtSameNode++
 			}
 		}
 	}
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -34,7 +34,7 @@
 }
 
 // play runs a shape against a stand-in on virtual time, over connections in memory.
-func play(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
+func runLoad(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
 	srv.SetMode(mode)
@@ -61,7 +61,7 @@
 }
 
 // plain is one class at a constant rate.
-func plain(rate float64) workload.Shape {
+func constantRateShape(rate float64) workload.Shape {
 	s := workload.Default()
 	s.Process, s.Rate, s.Surges = "constant", rate, nil
 	s.Classes = []workload.Class{{Name: "balance-read", Share: 1, Deadline: 1500, Aim: 250, Worth: 3, LateWorth: 1}}
@@ -73,12 +73,12 @@
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opt := server.Options{ServiceTime: 20 * ms, StallDuration: 200 * ms, StallInterval: 2 * time.Second}
-		s := plain(400)
+		s := constantRateShape(400)
 		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
-		res, srv := play(t, opt, server.Answer, s, 22*time.Second, nil)
+		res, srv := runLoad(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
-		if all.Asked < 7990 || all.Ends[client.Served] != all.Asked || !res.Notes.Judge().Valid {
-			t.Fatalf("%+v %v", all.Ends, res.Notes.Judge())
+		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Notes.Judge().Valid {
+			t.Fatalf("%+v %v", all.ByOutcome, res.Notes.Judge())
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
@@ -86,7 +86,7 @@
 				t.Errorf("%v: %v, computed %v", q, got, want)
 			}
 		}
-		closed := newTimes(digits)
+		closed := newTimeHistogram(significantDigits)
 		for at := 2 * time.Second; at < 22*time.Second; {
 			took := srv.ExpectedResponseTime(at)
 			closed.Record(took)
@@ -110,14 +110,14 @@
 		{server.Reject, false, client.Rejected, 1}, {server.Reject, true, client.Rejected, 2}, {server.Answer, true, client.Served, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			res, srv := play(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, plain(50), 2*time.Second,
+			res, srv := runLoad(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, constantRateShape(50), 2*time.Second,
 				func(o *Options) { o.Retry = x.retry })
 			all, c := res.All(), srv.Counts()
-			if all.Ends[x.want] != all.Asked || c.Requests != x.seen*int(all.Asked) || (c.Retries > 0) != (x.seen == 2) || all.Earned > all.Due {
-				t.Errorf("%+v: %+v, %+v", x, all.Ends, c)
+			if all.ByOutcome[x.want] != all.Arrivals || c.Requests != x.seen*int(all.Arrivals) || (c.Retries > 0) != (x.seen == 2) || all.WorthEarned > all.WorthDue {
+				t.Errorf("%+v: %+v, %+v", x, all.ByOutcome, c)
 			}
-			if x.seen == 2 && all.Retried != all.Asked {
-				t.Errorf("%d retried of %d", all.Retried, all.Asked)
+			if x.seen == 2 && all.Retried != all.Arrivals {
+				t.Errorf("%d retried of %d", all.Retried, all.Arrivals)
 			}
 		})
 	}
@@ -126,9 +126,9 @@
 // What a bound on open requests keeps back is counted by name, and the run is not valid.
 func TestKeptBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		res, _ := play(t, server.Options{}, server.Hang, plain(100), time.Second, func(o *Options) { o.MostOpen = 10 })
+		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
 		all, v := res.All(), res.Notes.Judge()
-		if all.Kept != all.Asked-10 || res.Notes.Kept[KeptOpen] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptOpen) {
+		if all.Kept != all.Arrivals-10 || res.Notes.Kept[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
 			t.Errorf("%+v %v", all, v)
 		}
 	})
@@ -139,10 +139,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := workload.Default()
 		opt := server.Options{ServiceTime: 7 * ms, StallDuration: 100 * ms, StallInterval: time.Second}
-		one, _ := play(t, opt, server.Answer, s, 5*time.Second, nil)
+		one, _ := runLoad(t, opt, server.Answer, s, 5*time.Second, nil)
 		var sum *Results
 		for w := range 2 {
-			part, _ := play(t, opt, server.Answer, s, 5*time.Second, func(o *Options) { o.Worker, o.Workers = w, 2 })
+			part, _ := runLoad(t, opt, server.Answer, s, 5*time.Second, func(o *Options) { o.Worker, o.Workers = w, 2 })
 			text, err := json.Marshal(part)
 			if err != nil {
 				t.Fatal(err)
@@ -159,8 +159,8 @@
 		}
 		for name, p := range one.Classes {
 			o := sum.Classes[name]
-			if p.Asked != o.Asked || p.Ends != o.Ends || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
-				t.Errorf("%s: %d and %d", name, p.Asked, o.Asked)
+			if p.Arrivals != o.Arrivals || p.ByOutcome != o.ByOutcome || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
+				t.Errorf("%s: %d and %d", name, p.Arrivals, o.Arrivals)
 			}
 		}
 		if len(sum.Seconds) != len(one.Seconds) {
@@ -171,14 +171,14 @@
 
 // Recording a time costs no allocation.
 func TestRecordAllocates(t *testing.T) {
-	h := newTimes(digits)
+	h := newTimeHistogram(significantDigits)
 	if n := testing.AllocsPerRun(1000, func() { h.Record(1234 * time.Microsecond) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	h := newTimes(digits)
+	h := newTimeHistogram(significantDigits)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Record(1234 * time.Microsecond)
--- a/internal/testkit/experiment/load/print.go
+++ b/internal/testkit/experiment/load/print.go
@@ -28,9 +28,9 @@
 		fmt.Fprintf(t, "%v\t", o)
 	}
 	fmt.Fprintln(t, "p50 ms\tp90\tp99\tp99.9\tsent p50\tsent p99\t")
-	row := func(name string, p *Part) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.4f\t%d\t", name, p.Asked, p.Kept, p.Served(), float64(p.InAim)/max(1, float64(p.Asked)), p.Retried)
-		for _, k := range p.Ends {
+	row := func(name string, p *Outcomes) {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.4f\t%d\t", name, p.Arrivals, p.Kept, p.ServedShare(), float64(p.InAim)/max(1, float64(p.Arrivals)), p.Retried)
+		for _, k := range p.ByOutcome {
 			fmt.Fprintf(t, "%d\t", k)
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -15,28 +15,30 @@
 )
 
 // Times is a histogram of microseconds.
-type Times struct{ *hdrhistogram.Histogram }
+type TimeHistogram struct{ *hdrhistogram.Histogram }
 
 const (
-	longest    = int64(10 * time.Minute / time.Microsecond)
-	digits     = 3 // significant
-	digitsFine = 2 // of the many small ones, by second
+	maxMicroseconds           = int64(10 * time.Minute / time.Microsecond)
+	significantDigits         = 3 // significant
+	significantDigitsBySecond = 2 // of the many small ones, by second
 )
 
-func newTimes(significant int) Times { return Times{hdrhistogram.New(1, longest, significant)} }
+func newTimeHistogram(significant int) TimeHistogram {
+	return TimeHistogram{hdrhistogram.New(1, maxMicroseconds, significant)}
+}
 
 // Record notes a time without allocating.
-func (t Times) Record(d time.Duration) {
-	_ = t.RecordValue(min(max(1, d.Microseconds()), longest)) // within bounds, so it cannot fail
+func (t TimeHistogram) Record(d time.Duration) {
+	_ = t.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // within bounds, so it cannot fail
 }
 
 // Quantile is a time that a share, from 0 to 1, stayed within.
-func (t Times) Quantile(q float64) time.Duration {
+func (t TimeHistogram) Quantile(q float64) time.Duration {
 	return time.Duration(t.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
 // MarshalJSON gives the compressed form of HdrHistogram in base64.
-func (t Times) MarshalJSON() ([]byte, error) {
+func (t TimeHistogram) MarshalJSON() ([]byte, error) {
 	b, err := t.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		return nil, err
@@ -45,7 +47,7 @@
 }
 
 // UnmarshalJSON reads that form.
-func (t *Times) UnmarshalJSON(text []byte) error {
+func (t *TimeHistogram) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
@@ -59,94 +61,94 @@
 }
 
 // Part is what came of some of the requests: those of a class, a plan or a second.
-type Part struct {
-	Asked    uint64                      `json:"asked"` // arrivals, with those kept back
-	Kept     uint64                      `json:"kept"`
-	Ends     [client.OutcomeCount]uint64 `json:"ends"`
-	InAim    uint64                      `json:"in_aim"`
-	Retried  uint64                      `json:"retried"`
-	Reopened uint64                      `json:"reopened"`
-	Due      float64                     `json:"worth_due"`
-	Earned   float64                     `json:"worth_earned"`
-	Latency  Times                       `json:"latency"` // of those served, from when they were due
-	Service  Times                       `json:"service"` // ... from their real send
+type Outcomes struct {
+	Arrivals    uint64                      `json:"asked"` // arrivals, with those kept back
+	Kept        uint64                      `json:"kept"`
+	ByOutcome   [client.OutcomeCount]uint64 `json:"ends"`
+	InAim       uint64                      `json:"in_aim"`
+	Retried     uint64                      `json:"retried"`
+	Reopened    uint64                      `json:"reopened"`
+	WorthDue    float64                     `json:"worth_due"`
+	WorthEarned float64                     `json:"worth_earned"`
+	Latency     TimeHistogram               `json:"latency"` // of those served, from when they were due
+	Service     TimeHistogram               `json:"service"` // ... from their real send
 }
 
-func newPart(significant int) *Part {
-	return &Part{Latency: newTimes(significant), Service: newTimes(significant)}
+func newOutcomes(significant int) *Outcomes {
+	return &Outcomes{Latency: newTimeHistogram(significant), Service: newTimeHistogram(significant)}
 }
 
-func (p *Part) merge(o *Part) {
-	p.Asked, p.Kept, p.InAim, p.Retried, p.Reopened = p.Asked+o.Asked, p.Kept+o.Kept, p.InAim+o.InAim, p.Retried+o.Retried, p.Reopened+o.Reopened
-	for i, n := range o.Ends {
-		p.Ends[i] += n
+func (p *Outcomes) merge(o *Outcomes) {
+	p.Arrivals, p.Kept, p.InAim, p.Retried, p.Reopened = p.Arrivals+o.Arrivals, p.Kept+o.Kept, p.InAim+o.InAim, p.Retried+o.Retried, p.Reopened+o.Reopened
+	for i, n := range o.ByOutcome {
+		p.ByOutcome[i] += n
 	}
-	p.Due, p.Earned = p.Due+o.Due, p.Earned+o.Earned
+	p.WorthDue, p.WorthEarned = p.WorthDue+o.WorthDue, p.WorthEarned+o.WorthEarned
 	p.Latency.Merge(o.Latency.Histogram)
 	p.Service.Merge(o.Service.Histogram)
 }
 
 // Served is the part of the worth due that was earned.
-func (p *Part) Served() float64 {
-	if p.Due == 0 {
+func (p *Outcomes) ServedShare() float64 {
+	if p.WorthDue == 0 {
 		return 0
 	}
-	return p.Earned / p.Due
+	return p.WorthEarned / p.WorthDue
 }
 
 // Results are a run's, or a worker's part of it.
 type Results struct {
-	Shape    workload.Shape      `json:"shape"`
-	Took     time.Duration       `json:"took"`
-	Notes    *loadvalidity.Notes `json:"notes"`
-	Classes  map[string]*Part    `json:"classes"`
-	Plans    map[string]*Part    `json:"plans"`
-	Seconds  []map[string]*Part  `json:"seconds"` // by class
-	Unplaced uint64              `json:"unplaced"`
+	Shape    workload.Shape         `json:"shape"`
+	Took     time.Duration          `json:"took"`
+	Notes    *loadvalidity.Notes    `json:"notes"`
+	Classes  map[string]*Outcomes   `json:"classes"`
+	Plans    map[string]*Outcomes   `json:"plans"`
+	Seconds  []map[string]*Outcomes `json:"seconds"` // by class
+	Unplaced uint64                 `json:"unplaced"`
 }
 
 // NewResults makes empty ones.
 func NewResults(s workload.Shape, n *loadvalidity.Notes) *Results {
-	r := &Results{Shape: s, Notes: n, Classes: map[string]*Part{}, Plans: map[string]*Part{}}
+	r := &Results{Shape: s, Notes: n, Classes: map[string]*Outcomes{}, Plans: map[string]*Outcomes{}}
 	for _, c := range s.Classes {
-		r.Classes[c.Name] = newPart(digits)
+		r.Classes[c.Name] = newOutcomes(significantDigits)
 	}
 	for _, p := range s.Plans {
-		r.Plans[p.Name] = newPart(digits)
+		r.Plans[p.Name] = newOutcomes(significantDigits)
 	}
 	return r
 }
 
 // parts are those that a request counts in.
-func (r *Results) parts(q *workload.Request) [3]*Part {
+func (r *Results) outcomesOf(q *workload.Request) [3]*Outcomes {
 	second, class := int(q.At/time.Second), r.Shape.Classes[q.Class].Name
 	for len(r.Seconds) <= second {
-		r.Seconds = append(r.Seconds, map[string]*Part{})
+		r.Seconds = append(r.Seconds, map[string]*Outcomes{})
 	}
 	if r.Seconds[second][class] == nil {
-		r.Seconds[second][class] = newPart(digitsFine)
+		r.Seconds[second][class] = newOutcomes(significantDigitsBySecond)
 	}
-	return [3]*Part{r.Classes[class], r.Plans[r.Shape.Plans[q.Plan].Name], r.Seconds[second][class]}
+	return [3]*Outcomes{r.Classes[class], r.Plans[r.Shape.Plans[q.Plan].Name], r.Seconds[second][class]}
 }
 
 // keep counts a request that was not sent.
-func (r *Results) keep(q *workload.Request) {
-	for _, p := range r.parts(q) {
-		p.Asked++
+func (r *Results) recordKept(q *workload.Request) {
+	for _, p := range r.outcomesOf(q) {
+		p.Arrivals++
 		p.Kept++
-		p.Due += r.Shape.Classes[q.Class].Worth
+		p.WorthDue += r.Shape.Classes[q.Class].Worth
 	}
 }
 
 // take counts a request that has ended.
-func (r *Results) take(q *workload.Request, a *client.Answer, due time.Time, tries int) {
+func (r *Results) recordAnswer(q *workload.Request, a *client.Answer, due time.Time, tries int) {
 	c := &r.Shape.Classes[q.Class]
 	latency := a.Ended.Sub(due)
 	inAim := a.Outcome == client.Served && float64(latency) <= c.Aim*float64(time.Millisecond)
-	for _, p := range r.parts(q) {
-		p.Asked++
-		p.Ends[a.Outcome]++
-		p.Due += c.Worth
+	for _, p := range r.outcomesOf(q) {
+		p.Arrivals++
+		p.ByOutcome[a.Outcome]++
+		p.WorthDue += c.Worth
 		if tries > 1 {
 			p.Retried++
 		}
@@ -158,9 +160,9 @@
 		}
 		if inAim {
 			p.InAim++
-			p.Earned += c.Worth
+			p.WorthEarned += c.Worth
 		} else {
-			p.Earned += c.LateWorth
+			p.WorthEarned += c.LateWorth
 		}
 		p.Latency.Record(latency)
 		p.Service.Record(a.Ended.Sub(a.Sent))
@@ -173,7 +175,7 @@
 		return err
 	}
 	r.Took, r.Unplaced = max(r.Took, o.Took), r.Unplaced+o.Unplaced
-	for _, x := range []struct{ to, from map[string]*Part }{{r.Classes, o.Classes}, {r.Plans, o.Plans}} {
+	for _, x := range []struct{ to, from map[string]*Outcomes }{{r.Classes, o.Classes}, {r.Plans, o.Plans}} {
 		for k, p := range x.from {
 			if x.to[k] == nil {
 				return fmt.Errorf("load: merging another shape's results: %q", k)
@@ -183,11 +185,11 @@
 	}
 	for i, m := range o.Seconds {
 		for len(r.Seconds) <= i {
-			r.Seconds = append(r.Seconds, map[string]*Part{})
+			r.Seconds = append(r.Seconds, map[string]*Outcomes{})
 		}
 		for k, p := range m {
 			if r.Seconds[i][k] == nil {
-				r.Seconds[i][k] = newPart(digitsFine)
+				r.Seconds[i][k] = newOutcomes(significantDigitsBySecond)
 			}
 			r.Seconds[i][k].merge(p)
 		}
@@ -196,8 +198,8 @@
 }
 
 // All is the whole run.
-func (r *Results) All() *Part {
-	all := newPart(digits)
+func (r *Results) All() *Outcomes {
+	all := newOutcomes(significantDigits)
 	for _, c := range r.Shape.Classes {
 		all.merge(r.Classes[c.Name])
 	}
@@ -206,7 +208,7 @@
 
 // shardOf reads where a new object was put, as the stand-in nodes say it: "... shard=3"; -1: it
 // does not say.
-func shardOf(body []byte) int {
+func parseShard(body []byte) int {
 	i := bytes.LastIndex(body, []byte("shard="))
 	if i < 0 {
 		return -1
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -40,24 +40,24 @@
 }
 
 // KeptOpen names what the bound on open requests kept back.
-const KeptOpen = "open requests"
+const KeptAtOpenLimit = "open requests"
 
 const (
-	watchEvery = time.Millisecond
-	watchSlack = 10 * time.Millisecond
-	retryLeast = 20 * time.Millisecond // of time left, or there is no retry
+	pauseCheckInterval = time.Millisecond
+	pauseCheckSlack    = 10 * time.Millisecond
+	minRetryTime       = 20 * time.Millisecond // of time left, or there is no retry
 )
 
 // runner is one run.
 type runner struct {
-	opt    Options
-	start  time.Time
-	open   atomic.Int64
-	sent   atomic.Int64
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	res    *Results
-	placed sync.Map // extent of a new object to its shard, as its write's answer told
+	opt             Options
+	start           time.Time
+	open            atomic.Int64
+	sent            atomic.Int64
+	wg              sync.WaitGroup
+	mu              sync.Mutex
+	res             *Results
+	newObjectShards sync.Map // extent of a new object to its shard, as its write's answer told
 }
 
 // Run sends the whole schedule and waits for the last answer.
@@ -75,7 +75,7 @@
 	r := &runner{opt: opt, start: time.Now(), res: NewResults(opt.Shape, notes)}
 	watching, stop := context.WithCancel(ctx)
 	var watch sync.WaitGroup
-	watch.Go(func() { r.watch(watching) })
+	watch.Go(func() { r.watchPauses(watching) })
 	err = r.send(ctx)
 	r.wg.Wait()
 	stop()
@@ -88,15 +88,15 @@
 func (r *runner) send(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	told := time.Duration(0)
+	nextProgress := time.Duration(0)
 	for {
 		q, ok := r.opt.Source.Next()
 		if !ok {
 			return nil
 		}
-		if r.opt.Progress != nil && q.At >= told {
+		if r.opt.Progress != nil && q.At >= nextProgress {
 			r.opt.Progress(q.At, r.sent.Load(), r.open.Load())
-			told = q.At + time.Second
+			nextProgress = q.At + time.Second
 		}
 		if int(q.Seq%uint64(r.opt.Workers)) != r.opt.Worker {
 			continue
@@ -111,8 +111,8 @@
 		}
 		if r.open.Load() >= int64(r.opt.MostOpen) {
 			r.mu.Lock()
-			r.res.Notes.Keep(KeptOpen)
-			r.res.keep(&q)
+			r.res.Notes.Keep(KeptAtOpenLimit)
+			r.res.recordKept(&q)
 			r.mu.Unlock()
 			continue
 		}
@@ -124,14 +124,14 @@
 		r.open.Add(1)
 		r.wg.Go(func() {
 			defer r.open.Add(-1)
-			r.one(&q)
+			r.sendWithRetry(&q)
 		})
 	}
 }
 
 // one plays a request and, where it is refused or reset, its client's one retry.
-func (r *runner) one(q *workload.Request) {
-	m := r.message(q)
+func (r *runner) sendWithRetry(q *workload.Request) {
+	m := r.newMessage(q)
 	due := r.start.Add(q.At)
 	pool := r.opt.Pools[(q.Volume+q.Host)%len(r.opt.Pools)]
 	a := pool.Do(m, due)
@@ -142,7 +142,7 @@
 			wait = a.RetryAfter
 		}
 		again := time.Now().Add(wait)
-		if left := due.Add(m.Deadline).Sub(again); left >= retryLeast {
+		if left := due.Add(m.Deadline).Sub(again); left >= minRetryTime {
 			time.Sleep(wait)
 			m.ID, m.Retry, m.Deadline = m.ID+"r", true, left
 			b := pool.Do(m, again)
@@ -151,16 +151,16 @@
 		}
 	}
 	if a.Outcome == client.Served && q.Shard < 0 && q.Of == 0 {
-		r.placed.Store(q.Extent, shardOf(a.Body))
+		r.newObjectShards.Store(q.Extent, parseShard(a.Body))
 	}
 	r.mu.Lock()
-	r.res.take(q, &a, due, tries)
+	r.res.recordAnswer(q, &a, due, tries)
 	r.mu.Unlock()
 }
 
 // message words a request. A read of a new object goes where its write was put, which only the
 // answer told; if that is not known yet, by its extent.
-func (r *runner) message(q *workload.Request) *client.Message {
+func (r *runner) newMessage(q *workload.Request) *client.Message {
 	s := &r.opt.Shape
 	c := &s.Classes[q.Class]
 	m := &client.Message{ID: fmt.Sprintf("%s-%d", r.opt.Run, q.Seq), Class: c.Name, Plan: s.Plans[q.Plan].Name,
@@ -170,10 +170,10 @@
 		m.Key = "k" + m.ID
 	}
 	if c.Write {
-		m.Body = filler[:min(len(filler), 64*q.Units)]
+		m.Body = writeBody[:min(len(writeBody), 64*q.Units)]
 	}
 	if q.Of != 0 {
-		if at, ok := r.placed.Load(q.Extent); ok && at.(int) >= 0 {
+		if at, ok := r.newObjectShards.Load(q.Extent); ok && at.(int) >= 0 {
 			m.Shard = at.(int)
 		} else {
 			m.Shard = int(q.Extent % uint64(s.Shards))
@@ -185,16 +185,16 @@
 	return m
 }
 
-var filler = make([]byte, 4096)
+var writeBody = make([]byte, 4096)
 
 // watch ticks and notes when nothing ran: the process was stopped or not scheduled, or the
 // collector held it.
-func (r *runner) watch(ctx context.Context) {
-	w := loadvalidity.Watch{Period: watchEvery, Slack: watchSlack}
+func (r *runner) watchPauses(ctx context.Context) {
+	w := loadvalidity.Watch{Period: pauseCheckInterval, Slack: pauseCheckSlack}
 	var gc debug.GCStats
 	debug.ReadGCStats(&gc)
 	held := gc.PauseTotal
-	tick := time.NewTimer(watchEvery)
+	tick := time.NewTimer(pauseCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -202,7 +202,7 @@
 			return
 		case <-tick.C:
 		}
-		tick.Reset(watchEvery)
+		tick.Reset(pauseCheckInterval)
 		p, found := w.Tick(time.Since(r.start), 0)
 		if !found {
 			continue
--- a/internal/testkit/workload/arrival_test.go
+++ b/internal/testkit/workload/arrival_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func all(t interface{ Fatal(...any) }, s Shape, seed uint64, span time.Duration) ([]Request, uint64) {
+func drawAll(t interface{ Fatal(...any) }, s Shape, seed uint64, span time.Duration) ([]Request, uint64) {
 	a, err := New(s, seed, span)
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 
 // The same seed gives the same schedule, another one another.
 func TestSeed(t *testing.T) {
-	one, h1 := all(t, Default(), 7, 30*time.Second)
-	two, h2 := all(t, Default(), 7, 30*time.Second)
-	_, h3 := all(t, Default(), 8, 30*time.Second)
+	one, h1 := drawAll(t, Default(), 7, 30*time.Second)
+	two, h2 := drawAll(t, Default(), 7, 30*time.Second)
+	_, h3 := drawAll(t, Default(), 8, 30*time.Second)
 	if h1 != h2 || len(one) != len(two) || h1 == h3 {
 		t.Errorf("%x %x %x", h1, h2, h3)
 	}
@@ -43,7 +43,7 @@
 func TestUsualTraffic(t *testing.T) {
 	s := Default()
 	span := 20 * time.Minute
-	out, _ := all(t, s, 3, span)
+	out, _ := drawAll(t, s, 3, span)
 	classes, hosts, units := map[int]int{}, map[[2]int]int{}, 0.0
 	surge, newObjects, readsOfNew, reads := 0, 0, 0, 0
 	made := map[uint64]Request{}
@@ -122,7 +122,7 @@
 			s.Steps = append(s.Steps, st)
 		}
 		want = (want + (span-at)*now) * s.Rate / 1000
-		out, _ := all(t, s, 1, ms(span))
+		out, _ := drawAll(t, s, 1, ms(span))
 		if math.Abs(float64(len(out))-want) > 2+want*0.005 {
 			t.Fatalf("%d arrivals, want %.1f", len(out), want)
 		}
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -27,51 +27,51 @@
 
 // Schedule gives a shape's requests in turn.
 type Schedule struct {
-	shape   Shape
-	rng     *rand.Rand
-	until   time.Duration
-	seq     uint64
-	now     float64 // ms
-	class   []float64
-	units   []float64
-	volume  []float64 // cumulative shares
-	plans   []int     // by volume
-	busiest []swap
-	runs    []run   // by volume: the piece of data asked for in a row
-	made    []maker // new objects of late, a ring
-	nMade   int
-	surge   surge
-	hash    *xxhash.Digest
-	buf     [64]byte
+	shape        Shape
+	rng          *rand.Rand
+	until        time.Duration
+	seq          uint64
+	now          float64 // ms
+	classShares  []float64
+	unitShares   []float64
+	volumeShares []float64 // cumulative shares
+	volumePlans  []int     // by volume
+	busiestHosts []busiestHost
+	runs         []extentRun   // by volume: the piece of data asked for in a row
+	recentWrites []objectWrite // new objects of late, a ring
+	writeCount   int
+	surge        surgePeriod
+	hash         *xxhash.Digest
+	buf          [64]byte
 }
 
-type swap struct {
-	host int
-	at   float64 // of the next change, ms
+type busiestHost struct {
+	host     int
+	changeAt float64 // of the next change, ms
 }
 
-type run struct {
+type extentRun struct {
 	extent uint64
 	left   int
 }
 
-type maker struct {
+type objectWrite struct {
 	seq    uint64
 	volume int
 	extent uint64
 	at     float64
 }
 
-type surge struct {
+type surgePeriod struct {
 	from, to float64
 	volumes  []int
 }
 
 const (
-	madeMost = 512    // new objects remembered
-	madeSpan = 8000.0 // ms that a new object counts as one
-	madeRest = 300.0  // ms before it is read: its write has to be answered
-	rampStep = 20.0   // ms: a ramp is taken as that fine a stair
+	maxRecentWrites   = 512    // new objects remembered
+	recentWriteMaxAge = 8000.0 // ms that a new object counts as one
+	recentWriteMinAge = 300.0  // ms before it is read: its write has to be answered
+	rampStep          = 20.0   // ms: a ramp is taken as that fine a stair
 )
 
 // New makes a shape's schedule up to a time; the shape must be good.
@@ -81,23 +81,23 @@
 	}
 	a := &Schedule{shape: s, rng: rand.New(rand.NewPCG(seed, 0x6172726976616c)), until: until, hash: xxhash.New()}
 	for _, c := range s.Classes {
-		a.class = append(a.class, c.Share)
+		a.classShares = append(a.classShares, c.Share)
 	}
-	a.class, a.units = cumulate(a.class), cumulate(s.Units)
+	a.classShares, a.unitShares = cumulativeShares(a.classShares), cumulativeShares(s.Units)
 	shares := make([]float64, s.Volumes)
 	for i := range shares {
 		shares[i] = math.Pow(float64(i+1), -s.Skew)
 	}
-	a.volume = cumulate(shares)
+	a.volumeShares = cumulativeShares(shares)
 	plan := make([]float64, 0, len(s.Plans))
 	for _, p := range s.Plans {
 		plan = append(plan, p.Share)
 	}
-	plan = cumulate(plan)
-	a.plans, a.busiest, a.runs = make([]int, s.Volumes), make([]swap, s.Volumes), make([]run, s.Volumes)
-	for i := range a.plans {
-		a.plans[i] = a.draw(plan)
-		a.busiest[i] = swap{a.rng.IntN(s.Hosts), a.span(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
+	plan = cumulativeShares(plan)
+	a.volumePlans, a.busiestHosts, a.runs = make([]int, s.Volumes), make([]busiestHost, s.Volumes), make([]extentRun, s.Volumes)
+	for i := range a.volumePlans {
+		a.volumePlans[i] = a.drawIndex(plan)
+		a.busiestHosts[i] = busiestHost{a.rng.IntN(s.Hosts), a.span(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
 	}
 	if u := s.Surges; u != nil {
 		from := u.First
@@ -111,7 +111,7 @@
 	return a, nil
 }
 
-func cumulate(w []float64) []float64 {
+func cumulativeShares(w []float64) []float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
@@ -126,7 +126,7 @@
 }
 
 // draw picks an index by cumulative shares.
-func (a *Schedule) draw(shares []float64) int {
+func (a *Schedule) drawIndex(shares []float64) int {
 	x := a.rng.Float64()
 	low, high := 0, len(shares)-1
 	for low < high {
@@ -146,7 +146,7 @@
 	a.surge.from, a.surge.to = from, from+a.span(u.Least, u.Most)
 	a.surge.volumes = a.surge.volumes[:0]
 	for range min(u.Volumes, a.shape.Volumes) {
-		a.surge.volumes = append(a.surge.volumes, a.draw(a.volume))
+		a.surge.volumes = append(a.surge.volumes, a.drawIndex(a.volumeShares))
 	}
 }
 
@@ -203,42 +203,42 @@
 	if a.now >= limit {
 		return Request{}, false
 	}
-	r := a.fill()
+	r := a.drawRequest()
 	a.seq++
-	a.sum(&r)
+	a.addToHash(&r)
 	return r, true
 }
 
 // fill draws what a request asks for.
-func (a *Schedule) fill() Request {
+func (a *Schedule) drawRequest() Request {
 	s := &a.shape
-	r := Request{Seq: a.seq, At: ms(a.now), Class: a.draw(a.class), Units: 1 + a.draw(a.units)}
-	if extra := 1 - 1/a.surgeTimes(); a.now >= a.surge.from && a.rng.Float64() < extra {
+	r := Request{Seq: a.seq, At: ms(a.now), Class: a.drawIndex(a.classShares), Units: 1 + a.drawIndex(a.unitShares)}
+	if extra := 1 - 1/a.surgeMultiple(); a.now >= a.surge.from && a.rng.Float64() < extra {
 		r.Volume, r.Surge = a.surge.volumes[a.rng.IntN(len(a.surge.volumes))], true
 	} else {
-		r.Volume = a.draw(a.volume)
+		r.Volume = a.drawIndex(a.volumeShares)
 	}
-	r.Plan = a.plans[r.Volume]
-	r.Host = a.host(r.Volume)
+	r.Plan = a.volumePlans[r.Volume]
+	r.Host = a.drawHost(r.Volume)
 	class := &s.Classes[r.Class]
 	switch {
 	case class.Write && a.rng.Float64() < s.NewShare:
 		r.Extent, r.Shard = a.rng.Uint64()|1<<63, -1 // none that the volumes have
-		a.made, a.nMade = ring(a.made, a.nMade, maker{a.seq, r.Volume, r.Extent, a.now})
+		a.recentWrites, a.writeCount = pushRing(a.recentWrites, a.writeCount, objectWrite{a.seq, r.Volume, r.Extent, a.now})
 		return r
 	case !class.Write && a.rng.Float64() < s.ReadNew:
-		if m, ok := a.lately(); ok {
-			r.Volume, r.Plan, r.Host = m.volume, a.plans[m.volume], a.host(m.volume)
+		if m, ok := a.drawRecentWrite(); ok {
+			r.Volume, r.Plan, r.Host = m.volume, a.volumePlans[m.volume], a.drawHost(m.volume)
 			r.Extent, r.Of, r.Shard = m.extent, m.seq+1, -1
 			return r
 		}
 	}
-	r.Extent = a.extent(r.Volume)
+	r.Extent = a.drawExtent(r.Volume)
 	r.Shard = int(mix(r.Extent) % uint64(s.Shards))
 	return r
 }
 
-func (a *Schedule) surgeTimes() float64 {
+func (a *Schedule) surgeMultiple() float64 {
 	if a.shape.Surges == nil {
 		return 1
 	}
@@ -246,7 +246,7 @@
 }
 
 // host is the one that a volume's next request comes through.
-func (a *Schedule) host(volume int) int {
+func (a *Schedule) drawHost(volume int) int {
 	s := &a.shape
 	if s.Hosts == 1 {
 		return 0
@@ -254,10 +254,10 @@
 	if s.Uneven == 0 {
 		return a.rng.IntN(s.Hosts)
 	}
-	b := &a.busiest[volume]
-	for a.now >= b.at {
+	b := &a.busiestHosts[volume]
+	for a.now >= b.changeAt {
 		b.host = (b.host + 1 + a.rng.IntN(s.Hosts-1)) % s.Hosts
-		b.at += a.span(s.SwapLow, s.SwapHigh)
+		b.changeAt += a.span(s.SwapLow, s.SwapHigh)
 	}
 	if a.rng.Float64() < s.Uneven {
 		return b.host
@@ -266,7 +266,7 @@
 }
 
 // extent is the piece of data that a volume's next request is for: runs of them are for one.
-func (a *Schedule) extent(volume int) uint64 {
+func (a *Schedule) drawExtent(volume int) uint64 {
 	r := &a.runs[volume]
 	if r.left == 0 {
 		r.extent = mix(uint64(volume)<<32|uint64(a.rng.IntN(a.shape.Extents))) >> 1 // not of the new ones
@@ -286,27 +286,27 @@
 }
 
 // lately is an object made a short while ago: any of those that are neither too fresh nor too old.
-func (a *Schedule) lately() (maker, bool) {
-	n := len(a.made)
-	at := func(i int) *maker { return &a.made[(a.nMade-n+i)%n] } // in the order of time
-	from := sort.Search(n, func(i int) bool { return at(i).at >= a.now-madeSpan })
-	to := sort.Search(n, func(i int) bool { return at(i).at > a.now-madeRest })
+func (a *Schedule) drawRecentWrite() (objectWrite, bool) {
+	n := len(a.recentWrites)
+	at := func(i int) *objectWrite { return &a.recentWrites[(a.writeCount-n+i)%n] } // in the order of time
+	from := sort.Search(n, func(i int) bool { return at(i).at >= a.now-recentWriteMaxAge })
+	to := sort.Search(n, func(i int) bool { return at(i).at > a.now-recentWriteMinAge })
 	if from >= to {
-		return maker{}, false
+		return objectWrite{}, false
 	}
 	return *at(from + a.rng.IntN(to-from)), true
 }
 
-func ring(r []maker, n int, m maker) ([]maker, int) {
-	if len(r) < madeMost {
+func pushRing(r []objectWrite, n int, m objectWrite) ([]objectWrite, int) {
+	if len(r) < maxRecentWrites {
 		return append(r, m), n + 1
 	}
-	r[n%madeMost] = m
+	r[n%maxRecentWrites] = m
 	return r, n + 1
 }
 
 // sum adds a request to the hash.
-func (a *Schedule) sum(r *Request) {
+func (a *Schedule) addToHash(r *Request) {
 	b := a.buf[:0]
 	surge := uint64(0)
 	if r.Surge {
