--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -23,8 +23,8 @@
 
 const ms = time.Millisecond
 
-// The first response starts a goroutine of the library that never ends: it must not start on
-// virtual time.
+// The first response starts a goroutine of fasthttp that never ends. Writing one here starts it
+// outside the synctest bubbles, which could not end otherwise.
 func TestMain(m *testing.M) {
 	var r fasthttp.Response
 	if err := r.Write(bufio.NewWriter(io.Discard)); err != nil {
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// play runs a shape against a stand-in on virtual time, over connections in memory.
+// runLoad runs a shape against a simulated server in virtual time, over in-memory connections.
 func runLoad(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
@@ -60,7 +60,7 @@
 	return res, srv
 }
 
-// plain is one class at a constant rate.
+// constantRateShape is a shape of one class at a constant rate.
 func constantRateShape(rate float64) workload.Shape {
 	s := workload.Default()
 	s.Process, s.Rate, s.Surges = "constant", rate, nil
@@ -68,8 +68,9 @@
 	return s
 }
 
-// A fixed stall of 200 ms every 2 s: the percentiles from the intended time are the computed
-// ones, and a client that waits for its answer before it asks again misses them.
+// The server stalls for 200 ms every 2 s. Latency percentiles measured from the intended send time
+// must match the computed ones. A closed-loop client, which waits for each answer before the next
+// request, hides the stall (coordinated omission).
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opt := server.Options{ServiceTime: 20 * ms, StallDuration: 200 * ms, StallInterval: 2 * time.Second}
@@ -83,7 +84,7 @@
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
 			if off := math.Abs(float64(got-want)) / float64(want); off > 0.03 {
-				t.Errorf("%v: %v, computed %v", q, got, want)
+				t.Errorf("quantile %v: measured %v, computed %v", q, got, want)
 			}
 		}
 		closed := newTimeHistogram(significantDigits)
@@ -93,18 +94,18 @@
 			at += took
 		}
 		if got := closed.Quantile(0.9); got > srv.Quantile(0.95) || closed.Quantile(0.98) > srv.Quantile(0.99)/2 {
-			t.Errorf("the closed loop sees the stall: %v %v", got, closed.Quantile(0.98))
+			t.Errorf("the closed loop shows the stall: p90 %v, p98 %v", got, closed.Quantile(0.98))
 		}
 	})
 }
 
-// Servers that misbehave: what comes of it is counted as what it was, and nothing waits for ever.
+// Each way in which a server misbehaves is counted under its own outcome, and no request waits forever.
 func TestOutcomes(t *testing.T) {
 	for _, x := range []struct {
 		mode  server.Mode
 		retry bool
 		want  client.Outcome
-		seen  int // requests that came, a request
+		seen  int // requests at the server per arrival
 	}{
 		{server.Hang, true, client.TimedOut, 1}, {server.Reset, false, client.Reset, 1}, {server.Delayed, false, client.TimedOut, 1},
 		{server.Reject, false, client.Rejected, 1}, {server.Reject, true, client.Rejected, 2}, {server.Answer, true, client.Served, 1},
@@ -117,13 +118,13 @@
 				t.Errorf("%+v: %+v, %+v", x, all.ByOutcome, c)
 			}
 			if x.seen == 2 && all.Retried != all.Arrivals {
-				t.Errorf("%d retried of %d", all.Retried, all.Arrivals)
+				t.Errorf("%d of %d arrivals were retried", all.Retried, all.Arrivals)
 			}
 		})
 	}
 }
 
-// What a bound on open requests keeps back is counted by name, and the run is not valid.
+// Requests held back by the limit on open requests are counted under its name and make the run invalid.
 func TestKeptBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
@@ -134,7 +135,7 @@
 	})
 }
 
-// Two workers' results, sent as JSON and merged, equal one worker's of the union.
+// The results of two workers, encoded as JSON and merged, equal those of one worker that sends everything.
 func TestWorkersMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := workload.Default()
@@ -160,16 +161,16 @@
 		for name, p := range one.Classes {
 			o := sum.Classes[name]
 			if p.Arrivals != o.Arrivals || p.ByOutcome != o.ByOutcome || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
-				t.Errorf("%s: %d and %d", name, p.Arrivals, o.Arrivals)
+				t.Errorf("%s: one worker counted %d arrivals, two merged %d", name, p.Arrivals, o.Arrivals)
 			}
 		}
 		if len(sum.Seconds) != len(one.Seconds) {
-			t.Errorf("%d and %d seconds", len(sum.Seconds), len(one.Seconds))
+			t.Errorf("%d seconds merged, %d by one worker", len(sum.Seconds), len(one.Seconds))
 		}
 	})
 }
 
-// Recording a time costs no allocation.
+// Recording a time must not allocate.
 func TestRecordAllocates(t *testing.T) {
 	h := newTimeHistogram(significantDigits)
 	if n := testing.AllocsPerRun(1000, func() { h.Record(1234 * time.Microsecond) }); n != 0 {
--- a/internal/testkit/experiment/load/print.go
+++ b/internal/testkit/experiment/load/print.go
@@ -9,7 +9,7 @@
 	"wheatsaddle/internal/testkit/client"
 )
 
-// Print writes the summary. Its first line says whether the run may be believed.
+// Print writes the summary. Its first line says whether the run is valid.
 func (r *Results) Print(w io.Writer) error {
 	if v := r.Notes.Judge(); v.Valid {
 		fmt.Fprintln(w, "run valid")
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -14,30 +14,30 @@
 	"wheatsaddle/internal/testkit/workload"
 )
 
-// Times is a histogram of microseconds.
+// TimeHistogram is a histogram of times in microseconds.
 type TimeHistogram struct{ *hdrhistogram.Histogram }
 
 const (
 	maxMicroseconds           = int64(10 * time.Minute / time.Microsecond)
-	significantDigits         = 3 // significant
-	significantDigitsBySecond = 2 // of the many small ones, by second
+	significantDigits         = 3
+	significantDigitsBySecond = 2 // fewer digits, because there is a histogram for each class and second
 )
 
 func newTimeHistogram(significant int) TimeHistogram {
 	return TimeHistogram{hdrhistogram.New(1, maxMicroseconds, significant)}
 }
 
-// Record notes a time without allocating.
+// Record adds a time without allocating.
 func (t TimeHistogram) Record(d time.Duration) {
-	_ = t.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // within bounds, so it cannot fail
+	_ = t.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // the value is clamped to the histogram's range, so this cannot fail
 }
 
-// Quantile is a time that a share, from 0 to 1, stayed within.
+// Quantile returns the quantile q, from 0 to 1.
 func (t TimeHistogram) Quantile(q float64) time.Duration {
 	return time.Duration(t.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-// MarshalJSON gives the compressed form of HdrHistogram in base64.
+// MarshalJSON encodes the histogram in HdrHistogram's compressed format, in base64.
 func (t TimeHistogram) MarshalJSON() ([]byte, error) {
 	b, err := t.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return json.Marshal(string(b))
 }
 
-// UnmarshalJSON reads that form.
+// UnmarshalJSON decodes the format of MarshalJSON.
 func (t *TimeHistogram) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// Part is what came of some of the requests: those of a class, a plan or a second.
+// Outcomes counts the outcomes of a subset of the requests: those of a class, of a plan, or of a class in one second.
 type Outcomes struct {
-	Arrivals    uint64                      `json:"asked"` // arrivals, with those kept back
-	Kept        uint64                      `json:"kept"`
+	Arrivals    uint64                      `json:"asked"` // including those held back
+	Kept        uint64                      `json:"kept"`  // arrivals held back, not sent
 	ByOutcome   [client.OutcomeCount]uint64 `json:"ends"`
 	InAim       uint64                      `json:"in_aim"`
 	Retried     uint64                      `json:"retried"`
 	Reopened    uint64                      `json:"reopened"`
 	WorthDue    float64                     `json:"worth_due"`
 	WorthEarned float64                     `json:"worth_earned"`
-	Latency     TimeHistogram               `json:"latency"` // of those served, from when they were due
-	Service     TimeHistogram               `json:"service"` // ... from their real send
+	Latency     TimeHistogram               `json:"latency"` // of served requests, from the due time
+	Service     TimeHistogram               `json:"service"` // of served requests, from the actual send time
 }
 
 func newOutcomes(significant int) *Outcomes {
@@ -88,7 +88,7 @@
 	p.Service.Merge(o.Service.Histogram)
 }
 
-// Served is the part of the worth due that was earned.
+// ServedShare is the share of the worth due that was earned.
 func (p *Outcomes) ServedShare() float64 {
 	if p.WorthDue == 0 {
 		return 0
@@ -96,18 +96,18 @@
 	return p.WorthEarned / p.WorthDue
 }
 
-// Results are a run's, or a worker's part of it.
+// Results are the results of a run, or of one worker of it.
 type Results struct {
 	Shape    workload.Shape         `json:"shape"`
 	Took     time.Duration          `json:"took"`
 	Notes    *loadvalidity.Notes    `json:"notes"`
 	Classes  map[string]*Outcomes   `json:"classes"`
 	Plans    map[string]*Outcomes   `json:"plans"`
-	Seconds  []map[string]*Outcomes `json:"seconds"` // by class
-	Unplaced uint64                 `json:"unplaced"`
+	Seconds  []map[string]*Outcomes `json:"seconds"`  // by second, then by class
+	Unplaced uint64                 `json:"unplaced"` // reads of a new object whose shard was not known when they were sent
 }
 
-// NewResults makes empty ones.
+// NewResults returns empty results.
 func NewResults(s workload.Shape, n *loadvalidity.Notes) *Results {
 	r := &Results{Shape: s, Notes: n, Classes: map[string]*Outcomes{}, Plans: map[string]*Outcomes{}}
 	for _, c := range s.Classes {
@@ -119,7 +119,7 @@
 	return r
 }
 
-// parts are those that a request counts in.
+// outcomesOf returns the counters that a request belongs to.
 func (r *Results) outcomesOf(q *workload.Request) [3]*Outcomes {
 	second, class := int(q.At/time.Second), r.Shape.Classes[q.Class].Name
 	for len(r.Seconds) <= second {
@@ -131,7 +131,7 @@
 	return [3]*Outcomes{r.Classes[class], r.Plans[r.Shape.Plans[q.Plan].Name], r.Seconds[second][class]}
 }
 
-// keep counts a request that was not sent.
+// recordKept counts a request that was held back.
 func (r *Results) recordKept(q *workload.Request) {
 	for _, p := range r.outcomesOf(q) {
 		p.Arrivals++
@@ -140,7 +140,7 @@
 	}
 }
 
-// take counts a request that has ended.
+// recordAnswer counts a request that has ended.
 func (r *Results) recordAnswer(q *workload.Request, a *client.Answer, due time.Time, tries int) {
 	c := &r.Shape.Classes[q.Class]
 	latency := a.Ended.Sub(due)
@@ -169,7 +169,7 @@
 	}
 }
 
-// Merge adds another worker's results of the same run.
+// Merge adds the results of another worker of the same run.
 func (r *Results) Merge(o *Results) error {
 	if err := r.Notes.Merge(o.Notes); err != nil {
 		return err
@@ -178,7 +178,7 @@
 	for _, x := range []struct{ to, from map[string]*Outcomes }{{r.Classes, o.Classes}, {r.Plans, o.Plans}} {
 		for k, p := range x.from {
 			if x.to[k] == nil {
-				return fmt.Errorf("load: merging another shape's results: %q", k)
+				return fmt.Errorf("load: cannot merge results of another shape: unknown class or plan %q", k)
 			}
 			x.to[k].merge(p)
 		}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// All is the whole run.
+// All returns the outcomes of the whole run.
 func (r *Results) All() *Outcomes {
 	all := newOutcomes(significantDigits)
 	for _, c := range r.Shape.Classes {
@@ -206,8 +206,8 @@
 	return all
 }
 
-// shardOf reads where a new object was put, as the stand-in nodes say it: "... shard=3"; -1: it
-// does not say.
+// parseShard reads the shard of a new object from the body of a simulated node's answer, "... shard=3"; -1: the body
+// names no shard.
 func parseShard(body []byte) int {
 	i := bytes.LastIndex(body, []byte("shard="))
 	if i < 0 {
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -1,9 +1,11 @@
-// Package load sends a schedule of requests to schedulers, open loop, and notes what came of each:
-// a late answer delays no later send. Latency counts from when a request was due; the time from
-// its real send is kept beside it. What it notes of its own lateness is judged by internal/testkit/loadvalidity.
+// Package load sends a schedule of requests to schedulers in an open loop and records the outcome of each:
+// a late answer delays no later send. Latency is measured from the time a request was due; the time from
+// its actual send is recorded separately. Package internal/testkit/loadvalidity judges from the recorded lateness
+// of the load generator whether a run is valid.
 //
-// Invariants: each arrival of the schedule is sent or counted as kept back, by name; a client's
-// retry belongs to its first try, and there is at most one; two workers' results merge to one's.
+// Invariants: each arrival of the schedule is either sent or counted as held back, with the reason; a request
+// has at most one retry, which is counted with its first attempt; the merged results of several workers equal
+// those of one worker.
 package load
 
 import (
@@ -19,36 +21,36 @@
 	"wheatsaddle/internal/testkit/workload"
 )
 
-// Source gives arrivals in the order of time.
+// Source yields arrivals in order of time.
 type Source interface {
 	Next() (workload.Request, bool)
 }
 
-// Options are a run's.
+// Options are the options of a run.
 type Options struct {
 	Shape    workload.Shape
 	Source   Source
-	Pools    []*client.Pool // schedulers; a volume's host picks one
-	Run      string         // begins each request's id
-	MostOpen int            // requests out at once; what is over is kept back and counted
-	Retry    bool           // clients send once more what was refused or reset
-	Wait     time.Duration  // before a retry, where no Retry-After says it
+	Pools    []*client.Pool // one for each scheduler; a request's volume and host select one
+	Run      string         // prefix of the request ids
+	MostOpen int            // limit on open requests; arrivals above it are counted as held back
+	Retry    bool           // clients retry a rejected or reset request once
+	Wait     time.Duration  // before a retry, if the answer has no Retry-After
 	Bounds   loadvalidity.Bounds
-	Worker   int // this one of Workers: sends the requests of its number
+	Worker   int // index of this worker: it sends the requests whose Seq modulo Workers is the index
 	Workers  int
-	Progress func(at time.Duration, sent, open int64) // about each second; nil: none
+	Progress func(at time.Duration, sent, open int64) // called about once a second of the schedule; may be nil
 }
 
-// KeptOpen names what the bound on open requests kept back.
+// KeptAtOpenLimit is the reason under which arrivals above Options.MostOpen are counted.
 const KeptAtOpenLimit = "open requests"
 
 const (
 	pauseCheckInterval = time.Millisecond
 	pauseCheckSlack    = 10 * time.Millisecond
-	minRetryTime       = 20 * time.Millisecond // of time left, or there is no retry
+	minRetryTime       = 20 * time.Millisecond // time left until the deadline below which there is no retry
 )
 
-// runner is one run.
+// runner is the state of one run.
 type runner struct {
 	opt             Options
 	start           time.Time
@@ -57,7 +59,7 @@
 	wg              sync.WaitGroup
 	mu              sync.Mutex
 	res             *Results
-	newObjectShards sync.Map // extent of a new object to its shard, as its write's answer told
+	newObjectShards sync.Map // extent of a new object to its shard, from the answer to its write
 }
 
 // Run sends the whole schedule and waits for the last answer.
@@ -66,7 +68,7 @@
 		opt.Workers = 1
 	}
 	if len(opt.Pools) == 0 || opt.MostOpen < 1 || opt.Worker < 0 || opt.Worker >= opt.Workers {
-		return nil, fmt.Errorf("load: a scheduler, a bound on open requests and a worker of %d are needed", opt.Workers)
+		return nil, fmt.Errorf("load: at least one scheduler, an open-request limit of at least 1 and a worker index below %d are needed", opt.Workers)
 	}
 	notes, err := loadvalidity.New(opt.Bounds)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return r.res, err
 }
 
-// send waits for each arrival's time and starts it.
+// send starts each arrival's request at its time.
 func (r *runner) send(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -129,7 +131,7 @@
 	}
 }
 
-// one plays a request and, where it is refused or reset, its client's one retry.
+// sendWithRetry sends a request, and retries it once if it is rejected or reset.
 func (r *runner) sendWithRetry(q *workload.Request) {
 	m := r.newMessage(q)
 	due := r.start.Add(q.At)
@@ -146,7 +148,7 @@
 			time.Sleep(wait)
 			m.ID, m.Retry, m.Deadline = m.ID+"r", true, left
 			b := pool.Do(m, again)
-			b.Sent, b.RetriedOnNewConn = a.Sent, a.RetriedOnNewConn || b.RetriedOnNewConn // it belongs to its first try
+			b.Sent, b.RetriedOnNewConn = a.Sent, a.RetriedOnNewConn || b.RetriedOnNewConn // the service time starts at the first attempt
 			a, tries = b, 2
 		}
 	}
@@ -158,8 +160,8 @@
 	r.mu.Unlock()
 }
 
-// message words a request. A read of a new object goes where its write was put, which only the
-// answer told; if that is not known yet, by its extent.
+// newMessage builds the message of a request. A read of a new object goes to the shard that the answer to its write
+// named; if that is not known yet, the shard is derived from the extent.
 func (r *runner) newMessage(q *workload.Request) *client.Message {
 	s := &r.opt.Shape
 	c := &s.Classes[q.Class]
@@ -187,8 +189,8 @@
 
 var writeBody = make([]byte, 4096)
 
-// watch ticks and notes when nothing ran: the process was stopped or not scheduled, or the
-// collector held it.
+// watchPauses records the times in which the process did not run: it was stopped or not scheduled, or the
+// garbage collector paused it.
 func (r *runner) watchPauses(ctx context.Context) {
 	w := loadvalidity.Watch{Period: pauseCheckInterval, Slack: pauseCheckSlack}
 	var gc debug.GCStats
@@ -207,7 +209,7 @@
 		if !found {
 			continue
 		}
-		debug.ReadGCStats(&gc) // only now: it is not cheap
+		debug.ReadGCStats(&gc) // only after a pause, because the call is expensive
 		if gc.PauseTotal-held >= p.Took/2 {
 			p.Why = "gc"
 		}
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is one arrival. Its numbers stand for names that the shape and the sender give.
+// Request is one arrival. Class, Plan, Volume and Host are indexes; the shape and the sender map them to names.
 type Request struct {
 	Seq    uint64        // from 0
 	At     time.Duration // after the start
-	Class  int           // index into the shape's
+	Class  int           // index into the shape's classes
 	Plan   int
 	Volume int
-	Host   int    // which of the volume's hosts, from 0
-	Extent uint64 // the piece of data
+	Host   int    // index of the host among the volume's hosts, from 0
+	Extent uint64 // id of the data that is read or written
 	Units  int
-	Shard  int    // -1: a new object, or a read of one whose place only its write's answer tells
-	Of     uint64 // 1 + Seq of the write that made the object that is read; 0: none
-	Surge  bool   // of a surging volume
+	Shard  int    // -1: a write of a new object, or a read of one; only the answer to the write tells its shard
+	Of     uint64 // 1 + Seq of the write that created the object that is read; 0: not a read of a new object
+	Surge  bool   // drawn from the additional load of a surge
 }
 
-// Schedule gives a shape's requests in turn.
+// Schedule generates a shape's requests in the order of their times.
 type Schedule struct {
 	shape        Shape
 	rng          *rand.Rand
@@ -34,27 +34,30 @@
 	now          float64 // ms
 	classShares  []float64
 	unitShares   []float64
-	volumeShares []float64 // cumulative shares
-	volumePlans  []int     // by volume
+	volumeShares []float64 // cumulative, as are classShares and unitShares
+	volumePlans  []int     // plan of each volume
 	busiestHosts []busiestHost
-	runs         []extentRun   // by volume: the piece of data asked for in a row
-	recentWrites []objectWrite // new objects of late, a ring
+	runs         []extentRun   // by volume: the extent that successive requests access
+	recentWrites []objectWrite // writes of new objects, a ring buffer
 	writeCount   int
 	surge        surgePeriod
 	hash         *xxhash.Digest
 	buf          [64]byte
 }
 
+// busiestHost is the host that sends most of a volume's requests.
 type busiestHost struct {
 	host     int
 	changeAt float64 // of the next change, ms
 }
 
+// extentRun is a run of successive requests for one extent.
 type extentRun struct {
 	extent uint64
 	left   int
 }
 
+// objectWrite is a write that created an object.
 type objectWrite struct {
 	seq    uint64
 	volume int
@@ -62,19 +65,20 @@
 	at     float64
 }
 
+// surgePeriod is the current or the next surge, in milliseconds, with the volumes that take part.
 type surgePeriod struct {
 	from, to float64
 	volumes  []int
 }
 
 const (
-	maxRecentWrites   = 512    // new objects remembered
-	recentWriteMaxAge = 8000.0 // ms that a new object counts as one
-	recentWriteMinAge = 300.0  // ms before it is read: its write has to be answered
-	rampStep          = 20.0   // ms: a ramp is taken as that fine a stair
+	maxRecentWrites   = 512    // writes remembered
+	recentWriteMaxAge = 8000.0 // ms after its write; an older object is not read as a new one
+	recentWriteMinAge = 300.0  // ms after its write before an object is read, so that the write has been answered
+	rampStep          = 20.0   // ms; longest step of the staircase that approximates a ramp
 )
 
-// New makes a shape's schedule up to a time; the shape must be good.
+// New returns the schedule of a shape up to a time. It fails if the shape does not pass Check.
 func New(s Shape, seed uint64, until time.Duration) (*Schedule, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -111,6 +115,7 @@
 	return a, nil
 }
 
+// cumulativeShares normalizes weights to a sum of 1 and returns their running sums.
 func cumulativeShares(w []float64) []float64 {
 	sum := 0.0
 	for _, x := range w {
@@ -125,7 +130,7 @@
 	return out
 }
 
-// draw picks an index by cumulative shares.
+// drawIndex draws an index by cumulative shares.
 func (a *Schedule) drawIndex(shares []float64) int {
 	x := a.rng.Float64()
 	low, high := 0, len(shares)-1
@@ -139,8 +144,10 @@
 	return low
 }
 
+// span draws a length of time uniformly between two bounds.
 func (a *Schedule) span(low, high float64) float64 { return low + a.rng.Float64()*(high-low) }
 
+// nextSurge draws the length and the volumes of the surge that begins at the given time.
 func (a *Schedule) nextSurge(from float64) {
 	u := a.shape.Surges
 	a.surge.from, a.surge.to = from, from+a.span(u.Least, u.Most)
@@ -150,7 +157,7 @@
 	}
 }
 
-// rate is the rate at a time in requests a millisecond, and the time up to which it holds.
+// rate returns the rate at a time, in requests per millisecond, and the time until which it is constant.
 func (a *Schedule) rate(at float64) (rate, until float64) {
 	times, end := 1.0, math.Inf(1)
 	for _, t := range a.shape.Steps {
@@ -177,9 +184,9 @@
 	return a.shape.Rate * times / 1000, end
 }
 
-// Next gives the next request; false: the schedule has ended.
+// Next returns the next request, or false if the schedule has ended.
 func (a *Schedule) Next() (Request, bool) {
-	need := 1.0 // of the integral of the rate
+	need := 1.0 // integral of the rate up to the next arrival
 	if a.shape.Process == "poisson" {
 		need = a.rng.ExpFloat64()
 	}
@@ -189,7 +196,7 @@
 			a.nextSurge(a.surge.to + a.rng.ExpFloat64()*a.shape.Surges.Every)
 		}
 		rate, until := a.rate(a.now)
-		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // or a rounded stair's end would hold it for ever
+		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // rounding may put the end of a step at now, which would loop forever
 		if step := need / rate; rate > 0 && a.now+step < until {
 			a.now += step
 			break
@@ -209,7 +216,7 @@
 	return r, true
 }
 
-// fill draws what a request asks for.
+// drawRequest draws the contents of the next request.
 func (a *Schedule) drawRequest() Request {
 	s := &a.shape
 	r := Request{Seq: a.seq, At: ms(a.now), Class: a.drawIndex(a.classShares), Units: 1 + a.drawIndex(a.unitShares)}
@@ -223,7 +230,7 @@
 	class := &s.Classes[r.Class]
 	switch {
 	case class.Write && a.rng.Float64() < s.NewShare:
-		r.Extent, r.Shard = a.rng.Uint64()|1<<63, -1 // none that the volumes have
+		r.Extent, r.Shard = a.rng.Uint64()|1<<63, -1 // the top bit distinguishes new objects from the volumes' extents
 		a.recentWrites, a.writeCount = pushRing(a.recentWrites, a.writeCount, objectWrite{a.seq, r.Volume, r.Extent, a.now})
 		return r
 	case !class.Write && a.rng.Float64() < s.ReadNew:
@@ -238,6 +245,7 @@
 	return r
 }
 
+// surgeMultiple is the rate during a surge as a multiple of the rate without one.
 func (a *Schedule) surgeMultiple() float64 {
 	if a.shape.Surges == nil {
 		return 1
@@ -245,7 +253,7 @@
 	return a.shape.Surges.Times
 }
 
-// host is the one that a volume's next request comes through.
+// drawHost draws the host that sends a volume's next request.
 func (a *Schedule) drawHost(volume int) int {
 	s := &a.shape
 	if s.Hosts == 1 {
@@ -265,11 +273,11 @@
 	return (b.host + 1 + a.rng.IntN(s.Hosts-1)) % s.Hosts
 }
 
-// extent is the piece of data that a volume's next request is for: runs of them are for one.
+// drawExtent draws the extent of a volume's next request. Runs of successive requests have the same extent.
 func (a *Schedule) drawExtent(volume int) uint64 {
 	r := &a.runs[volume]
 	if r.left == 0 {
-		r.extent = mix(uint64(volume)<<32|uint64(a.rng.IntN(a.shape.Extents))) >> 1 // not of the new ones
+		r.extent = mix(uint64(volume)<<32|uint64(a.rng.IntN(a.shape.Extents))) >> 1 // clears the top bit, which marks new objects
 		r.left = 1 + a.rng.IntN(a.shape.Runs)
 	}
 	r.left--
@@ -285,10 +293,11 @@
 	return x ^ x>>31
 }
 
-// lately is an object made a short while ago: any of those that are neither too fresh nor too old.
+// drawRecentWrite draws one of the new objects whose age is between recentWriteMinAge and recentWriteMaxAge; false: there
+// is none.
 func (a *Schedule) drawRecentWrite() (objectWrite, bool) {
 	n := len(a.recentWrites)
-	at := func(i int) *objectWrite { return &a.recentWrites[(a.writeCount-n+i)%n] } // in the order of time
+	at := func(i int) *objectWrite { return &a.recentWrites[(a.writeCount-n+i)%n] } // oldest first
 	from := sort.Search(n, func(i int) bool { return at(i).at >= a.now-recentWriteMaxAge })
 	to := sort.Search(n, func(i int) bool { return at(i).at > a.now-recentWriteMinAge })
 	if from >= to {
@@ -297,6 +306,7 @@
 	return *at(from + a.rng.IntN(to-from)), true
 }
 
+// pushRing adds a write to the ring buffer, of which n writes came before, and returns the ring and the new count.
 func pushRing(r []objectWrite, n int, m objectWrite) ([]objectWrite, int) {
 	if len(r) < maxRecentWrites {
 		return append(r, m), n + 1
@@ -305,7 +315,7 @@
 	return r, n + 1
 }
 
-// sum adds a request to the hash.
+// addToHash adds a request to the hash.
 func (a *Schedule) addToHash(r *Request) {
 	b := a.buf[:0]
 	surge := uint64(0)
@@ -319,8 +329,8 @@
 	_, _ = a.hash.Write(b)
 }
 
-// Hash is the xxhash of all requests given so far.
+// Hash returns the xxhash of all requests generated so far.
 func (a *Schedule) Hash() uint64 { return a.hash.Sum64() }
 
-// Given is how many requests have been given.
+// Given returns the number of requests generated so far.
 func (a *Schedule) Given() uint64 { return a.seq }
--- a/internal/testkit/workload/arrival_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -29,17 +29,17 @@
 	}
 }
 
-// The same seed gives the same schedule, another one another.
+// The same seed gives the same schedule, a different seed a different one.
 func TestSeed(t *testing.T) {
 	one, h1 := drawAll(t, Default(), 7, 30*time.Second)
 	two, h2 := drawAll(t, Default(), 7, 30*time.Second)
 	_, h3 := drawAll(t, Default(), 8, 30*time.Second)
 	if h1 != h2 || len(one) != len(two) || h1 == h3 {
-		t.Errorf("%x %x %x", h1, h2, h3)
+		t.Errorf("hashes: seed 7: %x and %x, seed 8: %x", h1, h2, h3)
 	}
 }
 
-// The usual traffic is what the operators say of it.
+// The default shape has the shares, rates and sizes that the operators specified.
 func TestUsualTraffic(t *testing.T) {
 	s := Default()
 	span := 20 * time.Minute
@@ -82,8 +82,8 @@
 				longest[r.Volume] = 1
 			}
 			inRow[r.Volume] = r.Extent
-			if longest[r.Volume] > 2*s.Runs { // two runs may draw one piece of data
-				t.Fatalf("%d in a row", longest[r.Volume])
+			if longest[r.Volume] > 2*s.Runs { // two successive runs may draw the same extent
+				t.Fatalf("%d successive requests for one extent", longest[r.Volume])
 			}
 		}
 	}
@@ -93,22 +93,22 @@
 			t.Errorf("%s: %v", c.Name, share)
 		}
 	}
-	mean := n / span.Seconds() / s.Rate // surges: about 10.85 s of every 30.85
+	mean := n / span.Seconds() / s.Rate // surges take about 10.85 s of every 30.85 s
 	if mean < 1.3 || mean > 1.55 {
-		t.Errorf("mean rate %v times", mean)
+		t.Errorf("mean rate is %v times the base rate", mean)
 	}
 	if share := float64(surge) / n; share < 0.15 || share > 0.35 {
-		t.Errorf("surging: %v", share)
+		t.Errorf("share of requests in surges: %v", share)
 	}
 	if share := float64(readsOfNew) / float64(reads); share < 0.2 || share > 0.54 {
 		t.Errorf("reads of new objects: %v", share)
 	}
 	if m := units / n; m < 2 || m > 3 || newObjects == 0 {
-		t.Errorf("units %v, new objects %d", m, newObjects)
+		t.Errorf("mean units %v, new objects %d", m, newObjects)
 	}
 }
 
-// The number of arrivals is the integral of the rate, for steps and ramps, whatever they are.
+// The number of arrivals equals the integral of the rate, for any steps and ramps.
 func TestRateIntegral(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
--- a/internal/testkit/workload/shape.go
+++ b/internal/testkit/workload/shape.go
@@ -1,11 +1,11 @@
-// Package workload is the model of the load: when requests are due and what each asks for. It is
-// pure: a Schedule draws from a seed (PCG), reads no clock and knows no answers, so the same shape
-// and seed give the same requests whatever the server does. Requests are made one by one, as they
-// are asked for.
+// Package workload models the load: when requests are due and what each requests. It is
+// deterministic: a Schedule draws from a seed (PCG), reads no clock and sees no responses, so the same
+// shape and seed give the same requests whatever the server does. Requests are generated one at a
+// time, on each call of Next.
 //
-// Invariants: times never fall; a request's every field comes from the seed and the shape; the
-// mean rate over a long span is the integral of the shape's rate; a Schedule's memory does not
-// grow with the requests it has given.
+// Invariants: times never decrease; every field of a request is determined by the seed and the shape;
+// the number of requests over a long span approaches the integral of the shape's rate; a Schedule's
+// memory does not grow with the number of requests generated.
 package workload
 
 import (
@@ -18,29 +18,29 @@
 	"wheatsaddle/internal/testkit/exampleconfig"
 )
 
-// Shape is the traffic. Times are milliseconds in its JSON.
+// Shape describes the traffic. Times are milliseconds, in JSON and in Go.
 type Shape struct {
 	Process  string    `json:"process"` // poisson or constant
-	Rate     float64   `json:"rate"`    // requests a second, before steps and surges
+	Rate     float64   `json:"rate"`    // requests per second, before steps and surges
 	Classes  []Class   `json:"classes"`
 	Plans    []Plan    `json:"plans"`
 	Volumes  int       `json:"volumes"`
-	Skew     float64   `json:"skew"`     // Zipf's exponent of the volumes' shares; 0: even
-	Hosts    int       `json:"hosts"`    // schedulers a volume's requests come through
-	Uneven   float64   `json:"uneven"`   // share of a volume's requests by its busiest host; 0: even
-	SwapLow  float64   `json:"swap_low"` // the busiest host changes every so often, ms
-	SwapHigh float64   `json:"swap_high"`
-	Units    []float64 `json:"units"` // weights of sizes 1, 2, ...
+	Skew     float64   `json:"skew"`      // Zipf exponent of the volumes' shares; 0: equal shares
+	Hosts    int       `json:"hosts"`     // schedulers that a volume's requests go through
+	Uneven   float64   `json:"uneven"`    // share of a volume's requests that its busiest host sends; 0: equal shares
+	SwapLow  float64   `json:"swap_low"`  // shortest time between changes of the busiest host, ms
+	SwapHigh float64   `json:"swap_high"` // longest time between changes, ms
+	Units    []float64 `json:"units"`     // weights of the sizes 1, 2, ... units
 	Shards   int       `json:"shards"`
-	Runs     int       `json:"runs"`     // most requests in a row on one piece of data
-	NewShare float64   `json:"new"`      // share of writes that make a new object
-	ReadNew  float64   `json:"read_new"` // share of reads that go to an object made lately
+	Runs     int       `json:"runs"`     // longest run of successive requests for one extent
+	NewShare float64   `json:"new"`      // share of writes that create a new object
+	ReadNew  float64   `json:"read_new"` // share of reads of a recently created object
 	Steps    []Step    `json:"steps"`
 	Surges   *Surges   `json:"surges"`
-	Extents  int       `json:"extents"` // pieces of data of a volume
+	Extents  int       `json:"extents"` // extents per volume
 }
 
-// Class is one class of requests and its part of them.
+// Class is one class of requests and its share of them.
 type Class struct {
 	Name      string  `json:"name"`
 	Share     float64 `json:"share"`
@@ -52,41 +52,41 @@
 	Keyed     bool    `json:"keyed"`
 }
 
-// Plan is a plan and its part of the volumes.
+// Plan is a plan and its share of the volumes.
 type Plan struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 }
 
-// Step sets the rate from a time on, as a multiple of the shape's; over a span it gets there in a
-// straight line (a ramp).
+// Step changes the rate at a time to a multiple of the shape's rate. If Over is above 0, the rate
+// changes linearly over that span (a ramp).
 type Step struct {
 	At    float64 `json:"at"` // ms
 	Times float64 `json:"times"`
 	Over  float64 `json:"over"` // ms
 }
 
-// Surges are spells in which a few volumes ask for much more.
+// Surges are periods in which a few volumes send many more requests.
 type Surges struct {
-	Every   float64 `json:"every"` // mean time from the end of one to the next, ms
-	First   float64 `json:"first"` // start of the first, ms; 0: drawn
-	Least   float64 `json:"least"` // length, ms
-	Most    float64 `json:"most"`
-	Times   float64 `json:"times"` // the whole rate, as a multiple
+	Every   float64 `json:"every"` // mean time from the end of one surge to the start of the next, ms
+	First   float64 `json:"first"` // start of the first surge, ms; 0: drawn
+	Least   float64 `json:"least"` // shortest length, ms
+	Most    float64 `json:"most"`  // longest length, ms
+	Times   float64 `json:"times"` // total rate during a surge, as a multiple
 	Volumes int     `json:"volumes"`
 }
 
-// Default is the traffic of the examples, with surges.
+// Default returns the traffic of the example configuration, with surges.
 func Default() (s Shape) {
 	d := json.NewDecoder(bytes.NewReader(exampleconfig.Shape))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		panic("the example shape: " + err.Error()) // it is part of the program
+		panic("embedded example shape: " + err.Error()) // cannot happen: the shape is embedded in the program
 	}
 	return s
 }
 
-// MaxClasses and the others bound a shape.
+// Limits of a shape.
 const (
 	MaxClasses = 16
 	MaxPlans   = 16
@@ -99,8 +99,8 @@
 //go:embed shape.schema.json
 var Schema []byte
 
-// Parse reads a shape over the defaults; what it names takes their place. The text has been
-// checked against the schema by the caller, Check says the rest.
+// Parse decodes a shape; keys that are absent keep their default values. The caller has validated the
+// text against Schema; Parse runs Check for the remaining rules.
 func Parse(text []byte) (Shape, error) {
 	s := Default()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -112,13 +112,13 @@
 	return s, err
 }
 
-// Check names the first key that is out of bounds.
+// Check returns an error that names the first invalid key.
 func (s *Shape) Check() error {
 	bad := func(key, form string, args ...any) error {
 		return fmt.Errorf("shape: %s: %s", key, fmt.Sprintf(form, args...))
 	}
 	if s.Process != "poisson" && s.Process != "constant" {
-		return bad("process", "%q is neither poisson nor constant", s.Process)
+		return bad("process", "%q must be poisson or constant", s.Process)
 	}
 	for _, x := range []struct {
 		key             string
@@ -131,56 +131,56 @@
 		{"plans", float64(len(s.Plans)), 1, MaxPlans}, {"steps", float64(len(s.Steps)), 0, 1000},
 	} {
 		if !(x.is >= x.least && x.is <= x.most) {
-			return bad(x.key, "%v is not from %v to %v", x.is, x.least, x.most)
+			return bad(x.key, "%v must be between %v and %v", x.is, x.least, x.most)
 		}
 	}
 	if s.Uneven > 0 && s.Hosts > 1 && !(s.SwapLow >= 1 && s.SwapHigh >= s.SwapLow) {
-		return bad("swap_low", "%v to %v is no span of time", s.SwapLow, s.SwapHigh)
+		return bad("swap_low", "%v to %v must be a range that starts at 1 ms or more", s.SwapLow, s.SwapHigh)
 	}
 	names := map[string]bool{}
 	sum := 0.0
 	for i, c := range s.Classes {
 		if c.Name == "" || names[c.Name] || !(c.Share >= 0) || !(c.Deadline >= 1) || !(c.Aim > 0 && c.Aim <= c.Deadline) {
-			return bad(fmt.Sprintf("classes.%d", i), "%+v: a name of its own, a share, a deadline and an aim up to it are needed", c)
+			return bad(fmt.Sprintf("classes.%d", i), "%+v: needs a unique name, a share of 0 or more, a deadline of 1 ms or more, and an aim above 0 and up to the deadline", c)
 		}
 		names[c.Name] = true
 		sum += c.Share
 	}
 	if !(sum > 0) {
-		return bad("classes", "their shares are 0")
+		return bad("classes", "the sum of the shares must be above 0")
 	}
 	if sum = 0; len(s.Plans) > 0 {
 		for i, p := range s.Plans {
 			if p.Name == "" || names["plan "+p.Name] || !(p.Share >= 0) {
-				return bad(fmt.Sprintf("plans.%d", i), "%+v: a name of its own and a share are needed", p)
+				return bad(fmt.Sprintf("plans.%d", i), "%+v: needs a unique name and a share of 0 or more", p)
 			}
 			names["plan "+p.Name] = true
 			sum += p.Share
 		}
 		if !(sum > 0) {
-			return bad("plans", "their shares are 0")
+			return bad("plans", "the sum of the shares must be above 0")
 		}
 	}
 	sum = 0
 	for i, w := range s.Units {
 		if !(w >= 0) {
-			return bad(fmt.Sprintf("units.%d", i), "%v is no weight", w)
+			return bad(fmt.Sprintf("units.%d", i), "weight %v must be 0 or more", w)
 		}
 		sum += w
 	}
 	if !(sum > 0) {
-		return bad("units", "the weights are 0")
+		return bad("units", "the sum of the weights must be above 0")
 	}
 	last := 0.0
 	for i, t := range s.Steps {
 		if !(t.At >= last) || !(t.Times >= 0 && t.Times <= 1e6) || !(t.Over >= 0) {
-			return bad(fmt.Sprintf("steps.%d", i), "%+v: times must not fall, and be from 0 to 1e6", t)
+			return bad(fmt.Sprintf("steps.%d", i), "%+v: must not start before the end of the step before; times must be between 0 and 1e6 and over must be 0 or more", t)
 		}
 		last = t.At + t.Over
 	}
 	if u := s.Surges; u != nil {
 		if !(u.Every >= 1) || !(u.Least >= 1 && u.Most >= u.Least) || !(u.Times >= 1 && u.Times <= 1000) || u.Volumes < 1 {
-			return bad("surges", "%+v: every, least up to most, times from 1, volumes from 1 are needed", *u)
+			return bad("surges", "%+v: every, least and volumes must be 1 or more, most must be least or more, times must be between 1 and 1000", *u)
 		}
 	}
 	return nil
