--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -146,32 +146,32 @@
 type missedBound struct{ bound, text string }
 
 func (r *Row) missedBounds() (all []missedBound) {
-	say := func(bound, form string, args ...any) {
+	add := func(bound, form string, args ...any) {
 		all = append(all, missedBound{bound, fmt.Sprintf("seed %d: ", r.Seed) + fmt.Sprintf(form, args...)})
 	}
 	if c := r.Coverage[pooled]; !(c >= minCoverage && c <= maxCoverage) {
-		say("interval", "the 90%% interval holds %.3f", c)
+		add("interval", "the 90%% interval holds %.3f", c)
 	}
 	x := r.Excess[pooled]
 	if !(x <= maxExcess) {
-		say("excess", "excess %.3f", x)
+		add("excess", "excess %.3f", x)
 	}
 	for k := fleetMean; k < estimatorCount && r.Seed == 0; k++ { // a ratio of small numbers: over all seeds
 		if !(x <= maxExcessRatio*r.Excess[k]) {
-			say(EstimatorNames[k], "excess %.4f, of %s %.4f", x, EstimatorNames[k], r.Excess[k])
+			add(EstimatorNames[k], "excess %.4f, of %s %.4f", x, EstimatorNames[k], r.Excess[k])
 		}
 	}
 	if !(r.OrderRightAfter*1000 <= settleMillis) {
-		say("order", "the order is right after %.1f s", r.OrderRightAfter)
+		add("order", "the order is right after %.1f s", r.OrderRightAfter)
 	}
 	return all
 }
 
 // decision is one choice that is being played.
 type decision struct {
-	first [estimatorCount]int // the plan each way calls cheapest
-	costs [plansPerDecision]float64
-	left  int
+	firstPlans [estimatorCount]int // the plan each way calls cheapest
+	costs      [plansPerDecision]float64
+	playsLeft  int
 }
 
 func playVirtualSeed(seed uint64, opt Options) (Row, error) {
@@ -180,29 +180,29 @@
 	if err != nil {
 		return r, err
 	}
-	var est [estimatorCount]*cost.Estimator
-	for k := range est {
-		if est[k], err = cost.New(cost.Defaults(class)); err != nil {
+	var estimators [estimatorCount]*cost.Estimator
+	for k := range estimators {
+		if estimators[k], err = cost.New(cost.Defaults(class)); err != nil {
 			return r, err
 		}
 	}
 	end := millis(warmUp + opt.For)
-	turn := millis(warmUp + opt.For/2)
+	slowedAt := millis(warmUp + opt.For/2)
 	for t := millis(warmUp); t < end; t += decisionIntervalMillis {
-		w.run(t)
-		if t >= turn && t < turn+decisionIntervalMillis {
+		w.runUntil(t)
+		if t >= slowedAt && t < slowedAt+decisionIntervalMillis {
 			w.nodes[slowNode].factor *= opt.Slow
 		}
-		if t > turn {
-			if wrong := w.orderWrong(est[pooled]); wrong {
-				r.OrderRightAfter = (t + decisionIntervalMillis - turn) / 1000
+		if t > slowedAt {
+			if wrong := w.orderWrong(estimators[pooled]); wrong {
+				r.OrderRightAfter = (t + decisionIntervalMillis - slowedAt) / 1000
 			}
 		}
-		if err := w.decide(&r, &est, t >= turn && t < turn+settleMillis); err != nil {
+		if err := w.decide(&r, &estimators, t >= slowedAt && t < slowedAt+settleMillis); err != nil {
 			return r, err
 		}
 	}
-	w.run(end + 60000) // what is out ends
+	w.runUntil(end + 60000) // what is out ends
 	return r, nil
 }
 
@@ -210,13 +210,13 @@
 // clearly differs.
 func (w *world) orderWrong(e *cost.Estimator) bool {
 	const units = (1 + maxUnits) / 2.0
-	slow := w.nodes[slowNode].mean(units)
+	slow := w.nodes[slowNode].meanServiceTime(units)
 	for p := range processCount {
 		e.SetViews(w.processes[p].shared.Views(w.time()))
-		held, _ := e.MeanMillis(nodeName(slowNode), class, units)
+		slowEstimate, _ := e.MeanMillis(nodeName(slowNode), class, units)
 		for n := range w.nodes {
-			v, _ := e.MeanMillis(nodeName(n), class, units)
-			if truth := w.nodes[n].mean(units); truth*clearRatio < slow && v >= held || truth > clearRatio*slow && v <= held {
+			estimate, _ := e.MeanMillis(nodeName(n), class, units)
+			if truth := w.nodes[n].meanServiceTime(units); truth*clearRatio < slow && estimate >= slowEstimate || truth > clearRatio*slow && estimate <= slowEstimate {
 				return true
 			}
 		}
@@ -224,37 +224,37 @@
 	return false
 }
 
-func (w *world) decide(r *Row, est *[estimatorCount]*cost.Estimator, turning bool) error {
+func (w *world) decide(r *Row, estimators *[estimatorCount]*cost.Estimator, slowing bool) error {
 	p := w.rng.IntN(processCount)
 	shared := w.processes[p].shared.Views(w.time())
-	est[pooled].SetViews(shared)
-	est[fleetMean].SetViews(fleetMeanViews(shared))
-	est[ownOnly].SetViews(w.processes[p].own.Views(w.time()))
+	estimators[pooled].SetViews(shared)
+	estimators[fleetMean].SetViews(fleetMeanViews(shared))
+	estimators[ownOnly].SetViews(w.processes[p].own.Views(w.time()))
 	plans := drawPlans(w.rng, nodeCount/nodesPerShard, func(n int, units float64) *cost.Work {
 		return &cost.Work{Shard: n / nodesPerShard, Class: class, Units: units, Node: nodeName(n)}
 	})
-	d := &decision{left: plansPerDecision * playsPerPlan}
+	d := &decision{playsLeft: plansPerDecision * playsPerPlan}
 	var bounds [estimatorCount][plansPerDecision][2]float64
-	for k, e := range est {
+	for k, e := range estimators {
 		got, err := e.Estimate(plans, deadline)
 		if err != nil {
 			return err
 		}
-		d.first[k], bounds[k] = firstAndIntervals(got)
+		d.firstPlans[k], bounds[k] = firstAndIntervals(got)
 		if k == pooled && len(got.Plans[0].Alike) > 0 {
 			r.alikeCount++
 		}
 	}
 	r.Decisions++
 	phase := 0
-	if turning {
+	if slowing {
 		phase = 1
 	}
 	for i := range plans {
 		for n := range playsPerPlan {
 			w.playPlan(&plans[i].Root, func(got played) {
 				d.costs[i] += got.cost(millis(deadline)) / playsPerPlan
-				if n == 0 && !turning {
+				if n == 0 && !slowing {
 					r.outcomes++
 					for k := range estimatorCount {
 						if got.end >= bounds[k][i][0] && got.end <= bounds[k][i][1] {
@@ -262,9 +262,9 @@
 						}
 					}
 				}
-				if d.left--; d.left == 0 {
+				if d.playsLeft--; d.playsLeft == 0 {
 					r.bestCost[phase] += slices.Min(d.costs[:])
-					for k, f := range d.first {
+					for k, f := range d.firstPlans {
 						r.chosenCost[phase][k] += d.costs[f]
 					}
 				}
@@ -295,29 +295,29 @@
 // offers are ways of one piece of work: reads in some groups of a node of each kind, in one shape, at other
 // nodes each.
 func drawPlans(rng *rand.Rand, groups int, work func(n int, units float64) *cost.Work) []cost.Plan {
-	of := rng.Perm(groups)[:1+rng.IntN(min(6, groups))]
-	units := make([]float64, len(of))
+	selected := rng.Perm(groups)[:1+rng.IntN(min(6, groups))]
+	units := make([]float64, len(selected))
 	for i := range units {
 		units[i] = float64(1 + rng.IntN(maxUnits))
 	}
-	shape := rng.IntN(4)
+	form := rng.IntN(4)
 	plans := make([]cost.Plan, plansPerDecision)
 	for i := range plans {
 		var steps []cost.Step
-		for j, g := range of {
+		for j, g := range selected {
 			first := rng.IntN(nodesPerShard)
 			at := func(n int) cost.Step { return cost.Step{Work: work(g*nodesPerShard+n%nodesPerShard, units[j])} }
 			step := at(first)
-			if shape == 2 { // a copy beside it
+			if form == 2 { // a copy beside it
 				step = cost.Step{Any: []cost.Step{at(first), at(first + 1 + rng.IntN(nodesPerShard-1))}}
 			}
 			steps = append(steps, step)
 		}
 		root := cost.Step{All: steps}
 		switch {
-		case shape == 1:
+		case form == 1:
 			root = cost.Step{Then: steps}
-		case shape == 3:
+		case form == 3:
 			root = cost.Step{Of: &cost.Quorum{K: (len(steps) + 1) / 2, Steps: steps}}
 		}
 		plans[i] = cost.Plan{Name: string(rune('a' + i)), Root: root}
@@ -332,7 +332,7 @@
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\t| in the 5 s %\tfleet mean\town only\t| right after s\talike")
 	for _, r := range rep.Rows {
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t| %.2f\t%.2f\t%.2f\t| %.1f\t%.2f\n", r.name(), r.Decisions,
+		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t| %.2f\t%.2f\t%.2f\t| %.1f\t%.2f\n", r.label(), r.Decisions,
 			r.Coverage[pooled], r.Coverage[fleetMean], r.Coverage[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
 			100*r.SlowingExcess[pooled], 100*r.SlowingExcess[fleetMean], 100*r.SlowingExcess[ownOnly], math.Round(r.OrderRightAfter*10)/10, r.Alike)
 	}
@@ -344,7 +344,7 @@
 
 func table(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
-func (r *Row) name() string {
+func (r *Row) label() string {
 	if r.Seed == 0 {
 		return "all"
 	}
--- a/internal/testkit/experiment/costs/real_decisions.go
+++ b/internal/testkit/experiment/costs/real_decisions.go
@@ -12,15 +12,15 @@
 )
 
 // execute runs a step as requests and returns its work, its end and whether a part was refused.
-func execute(ask func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) played {
+func execute(request func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) played {
 	if s.Work != nil {
-		took, ok := ask(s.Work.Shard, s.Work.Units, requestSeed)
+		took, ok := request(s.Work.Shard, s.Work.Units, requestSeed)
 		return played{took, took, !ok}
 	}
 	next := func(i int) uint64 { return rand.NewPCG(requestSeed, uint64(i)).Uint64() }
 	var sum played
 	for i := range s.Then {
-		got := execute(ask, &s.Then[i], next(i))
+		got := execute(request, &s.Then[i], next(i))
 		sum = played{sum.work + got.work, sum.end + got.end, sum.refused || got.refused}
 	}
 	if s.Then != nil {
@@ -36,7 +36,7 @@
 	got := make([]played, len(steps))
 	var all sync.WaitGroup
 	for i := range steps {
-		all.Go(func() { got[i] = execute(ask, &steps[i], next(i)) })
+		all.Go(func() { got[i] = execute(request, &steps[i], next(i)) })
 	}
 	all.Wait()
 	slices.SortFunc(got, func(a, b played) int { return cmp.Compare(a.end, b.end) })
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -87,15 +87,15 @@
 }
 
 // baselineRankings are the rankings by the other estimators, from what is known at a process and in the fleet.
-func (w *processWorld) baselineRankings(p int, est *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
+func (w *processWorld) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
 	w.mu.Lock()
 	now := time.Since(w.startedAt)
 	all, own := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
 	w.mu.Unlock()
-	est[fleetMean].SetViews(fleetMeanViews(all))
-	est[ownOnly].SetViews(own)
+	estimators[fleetMean].SetViews(fleetMeanViews(all))
+	estimators[ownOnly].SetViews(own)
 	for k := fleetMean; k < estimatorCount && err == nil; k++ {
-		got[k], err = est[k].Estimate(plans, stretchedDeadline)
+		got[k], err = estimators[k].Estimate(plans, stretchedDeadline)
 	}
 	return got, err
 }
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -25,14 +25,14 @@
 	if err != nil {
 		return true, err
 	}
-	held := map[string]float64{}
+	estimates := map[string]float64{}
 	for _, a := range r.Plans {
-		held[a.Name] = a.Mean
+		estimates[a.Name] = a.Mean
 	}
 	s := w.slowNode()
-	slow, at := w.meanServiceTime(s, units), held[nodeName(s)]
+	slow, slowEstimate := w.meanServiceTime(s, units), estimates[nodeName(s)]
 	for n := range w.nodes {
-		if truth, v := w.meanServiceTime(n, units), held[nodeName(n)]; truth*clearRatio < slow && v >= at || truth > clearRatio*slow && v <= at {
+		if truth, estimate := w.meanServiceTime(n, units), estimates[nodeName(n)]; truth*clearRatio < slow && estimate >= slowEstimate || truth > clearRatio*slow && estimate <= slowEstimate {
 			return true, nil
 		}
 	}
@@ -42,18 +42,18 @@
 // watchOrder slows the slow node, checks each process's order from then on, and returns when a wrong one was last seen.
 func (w *processWorld) watchOrder(ctx context.Context) (time.Duration, error) {
 	w.slowed.Store(true)
-	turn := time.Now()
+	slowedAt := time.Now()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	streak := make([]int, w.opt.Processes)
 	var all sync.WaitGroup
 	for p := range w.opt.Processes {
 		all.Go(func() {
-			for time.Since(turn) < w.opt.WatchDuration && ctx.Err() == nil {
+			for time.Since(slowedAt) < w.opt.WatchDuration && ctx.Err() == nil {
 				wrong, err := w.orderWrong(ctx, p)
 				w.mu.Lock()
 				if wrong && ctx.Err() == nil {
-					w.lastWrongOrder[p], streak[p] = time.Since(turn), 0
+					w.lastWrongOrder[p], streak[p] = time.Since(slowedAt), 0
 					w.err = errors.Join(w.err, err)
 				} else {
 					streak[p]++
--- a/internal/testkit/experiment/costs/real_report.go
+++ b/internal/testkit/experiment/costs/real_report.go
@@ -48,18 +48,18 @@
 		r := &rep.Rows[i]
 		r.computeShares()
 		r.Added, r.Slept, r.ExcessKnowingAll = noisePercentiles(r.added), noisePercentiles(r.slept), r.knownCost/r.bestCost[0]-1
-		bare := r.Row // what is left without what the machine makes of any choice, and of times
+		withoutNoise := r.Row // what is left without what the machine makes of any choice, and of times
 		for k := range estimatorCount {
-			bare.Excess[k] = max(0, r.Excess[k]-r.ExcessKnowingAll)
+			withoutNoise.Excess[k] = max(0, r.Excess[k]-r.ExcessKnowingAll)
 		}
 		if r.Added.P90 > maxNoiseShare*meanServiceBeforeSlowing() {
-			bare.Coverage[pooled] = minCoverage
+			withoutNoise.Coverage[pooled] = minCoverage
 		}
-		left := bare.missedBounds()
+		missedWithoutNoise := withoutNoise.missedBounds()
 		for _, m := range r.missedBounds() {
 			text := fmt.Sprintf("%s (requests took %.1f ms more than drawn, %.1f at p90; sleeps %.1f, %.1f; who knows all has an excess of %.4f)",
 				m.text, r.Added.P50, r.Added.P90, r.Slept.P50, r.Slept.P90, r.ExcessKnowingAll)
-			if slices.ContainsFunc(left, func(l missedBound) bool { return l.bound == m.bound }) {
+			if slices.ContainsFunc(missedWithoutNoise, func(l missedBound) bool { return l.bound == m.bound }) {
 				rep.Missed = append(rep.Missed, text)
 			} else {
 				rep.Unshown = append(rep.Unshown, text)
@@ -97,7 +97,7 @@
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\tknowing all\t| right after s\talike\t| requests\trefused\tbusy\tadded ms p50\tp90\tp99\tsleeps ms p50\tp99\t| took s")
 	for _, r := range rep.Rows {
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t%.2f\t| %.1f\t%.2f\t| %d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t| %.0f\n", r.name(), r.Decisions,
+		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t| %.2f\t%.2f\t%.2f\t%.2f\t| %.1f\t%.2f\t| %d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t| %.0f\n", r.label(), r.Decisions,
 			r.Coverage[pooled], r.Coverage[fleetMean], r.Coverage[ownOnly], 100*r.Excess[pooled], 100*r.Excess[fleetMean], 100*r.Excess[ownOnly],
 			100*r.ExcessKnowingAll, r.OrderRightAfter, r.Alike, r.Requests, r.Refused, r.Busy, r.Added.P50, r.Added.P90, r.Added.P99, r.Slept.P50, r.Slept.P99, r.Took)
 	}
--- a/internal/testkit/experiment/costs/real_requests.go
+++ b/internal/testkit/experiment/costs/real_requests.go
@@ -60,8 +60,8 @@
 
 // generateLoad sends requests through a process at the configured rate until the context ends.
 func (w *processWorld) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
-	var asks sync.WaitGroup
-	defer asks.Wait()
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	home := max(w.opt.Groups/4, 1)
 	for next := time.Now(); ; {
 		next = next.Add(time.Duration(rng.ExpFloat64() / requestsPerSecond * float64(time.Second)))
@@ -75,6 +75,6 @@
 			g = (p + rng.IntN(home)) % w.opt.Groups
 		}
 		n, units, requestSeed := g*nodesPerShard+rng.IntN(nodesPerShard), float64(1+rng.IntN(maxUnits)), rng.Uint64()
-		asks.Go(func() { w.requestFromProcess(p, n, units, requestSeed) })
+		requests.Go(func() { w.requestFromProcess(p, n, units, requestSeed) })
 	}
 }
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -26,7 +26,7 @@
 type processWorld struct {
 	opt               RealOptions
 	fleet             *cluster.Fleet
-	nodes             []server
+	nodes             []simulatedNode
 	slowed            atomic.Bool    // the slow node has turned slow
 	processPools      []*client.Pool // to each process
 	nodePools         []*client.Pool // to each node
@@ -44,7 +44,7 @@
 }
 
 // server is one simulated storage node.
-type server struct {
+type simulatedNode struct {
 	kind   int
 	factor float64 // its own factor on the service time of its kind
 }
@@ -106,7 +106,7 @@
 func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
 	for n := range w.opt.Groups * nodesPerShard {
-		w.nodes = append(w.nodes, server{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
+		w.nodes = append(w.nodes, simulatedNode{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
 		types[nodeName(n)] = kinds[n%nodesPerShard].name
 		nodes = append(nodes, cluster.StorageNode{Name: nodeName(n), Shard: n, Workers: workersPerNode, ServiceTime: func(q *fasthttp.Request) time.Duration {
 			units, requestSeed := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -35,7 +35,7 @@
 
 type event struct {
 	at     float64
-	seq    int
+	order  int
 	action func()
 }
 
@@ -43,7 +43,7 @@
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(e any)   { *q = append(*q, e.(event)) }
@@ -60,7 +60,7 @@
 	freeAt [workers]float64 // when each worker has done what it has
 }
 
-func (x *node) mean(units float64) float64 {
+func (x *node) meanServiceTime(units float64) float64 {
 	return (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
 }
 
@@ -85,13 +85,13 @@
 	for i := range w.nodes {
 		w.nodes[i] = node{kind: i % nodesPerShard, factor: math.Exp(nodeSpread * w.rng.NormFloat64())}
 	}
-	set := nodestats.Defaults()
-	set.HalfLife, set.ExpireAfter = opt.HalfLife, max(set.ExpireAfter, opt.HalfLife)
+	settings := nodestats.Defaults()
+	settings.HalfLife, settings.ExpireAfter = opt.HalfLife, max(settings.ExpireAfter, opt.HalfLife)
 	for p := range processCount {
 		x := &w.processes[p]
 		for i, s := range []**nodestats.State{&x.own, &x.shared} {
 			var err error
-			if *s, err = nodestats.New(set, fmt.Sprint("p", p), 1); err != nil {
+			if *s, err = nodestats.New(settings, fmt.Sprint("p", p), 1); err != nil {
 				return nil, err
 			}
 			for n := range nodeCount {
@@ -99,25 +99,25 @@
 				x.recorders[n][i] = (*s).Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class})
 			}
 		}
-		w.after(w.arrivalGap(), func() { w.arrive(p) })
-		w.after(millis(opt.Every)*float64(p)/processCount, func() { w.gossipRound(p, millis(opt.Every), nil) })
+		w.schedule(w.arrivalGap(), func() { w.arrive(p) })
+		w.schedule(millis(opt.Every)*float64(p)/processCount, func() { w.gossipRound(p, millis(opt.Every), nil) })
 	}
 	return w, nil
 }
 
 // round is what internal/gossip does: the process asks the next of the others, in a drawn order, and each gives the other
 // what it lacks.
-func (w *world) gossipRound(p int, every float64, turns []int) {
-	if len(turns) == 0 {
-		turns = w.gossipRNG.Perm(processCount)
+func (w *world) gossipRound(p int, every float64, peers []int) {
+	if len(peers) == 0 {
+		peers = w.gossipRNG.Perm(processCount)
 	}
 	w.processes[p].own.Digest(w.time()) // it looks at its own slots as often
-	if q := turns[0]; q != p {
+	if q := peers[0]; q != p {
 		a, b := w.processes[p].shared, w.processes[q].shared
 		w.sendMissing(a, b)
 		w.sendMissing(b, a)
 	}
-	w.after(every, func() { w.gossipRound(p, every, turns[1:]) })
+	w.schedule(every, func() { w.gossipRound(p, every, peers[1:]) })
 }
 
 // give gives b what a holds and b lacks. A failure would be a defect of the state, which has tests of its own.
@@ -137,13 +137,13 @@
 
 func (w *world) arrivalGap() float64 { return w.rng.ExpFloat64() * 1000 / requestsPerSecond }
 
-func (w *world) after(wait float64, do func()) {
+func (w *world) schedule(wait float64, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + wait, w.seq, do})
 }
 
 // run plays to the given time.
-func (w *world) run(until float64) {
+func (w *world) runUntil(until float64) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -154,10 +154,10 @@
 
 // out is how long a step that comes now is out at a node: its wait for a worker and its service. One that
 // is taken holds the worker; a trial only looks.
-func (w *world) responseTime(n int, units float64, taken bool) float64 {
+func (w *world) responseTime(n int, units float64, occupy bool) float64 {
 	x := &w.nodes[n]
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
-	service := x.mean(units) * math.Exp(s*w.rng.NormFloat64()-s*s/2)
+	service := x.meanServiceTime(units) * math.Exp(s*w.rng.NormFloat64()-s*s/2)
 	first := 0
 	for i, f := range x.freeAt {
 		if f < x.freeAt[first] {
@@ -165,7 +165,7 @@
 		}
 	}
 	begin := max(w.now, x.freeAt[first])
-	if taken {
+	if occupy {
 		x.freeAt[first] = begin + service
 	}
 	return begin + service - w.now
@@ -173,7 +173,7 @@
 
 // arrive is a request of one process, the traffic that all lines are learned from.
 func (w *world) arrive(p int) {
-	w.after(w.arrivalGap(), func() { w.arrive(p) })
+	w.schedule(w.arrivalGap(), func() { w.arrive(p) })
 	shards := nodeCount / nodesPerShard
 	shard := w.rng.IntN(shards)
 	if w.rng.Float64() < homeShare {
@@ -181,7 +181,7 @@
 	}
 	n, units := shard*nodesPerShard+w.rng.IntN(nodesPerShard), float64(1+w.rng.IntN(maxUnits))
 	took := w.responseTime(n, units, true)
-	w.after(took, func() {
+	w.schedule(took, func() {
 		for _, l := range w.processes[p].recorders[n] {
 			l.Record(w.time(), units, took, nodestats.Served)
 		}
@@ -263,6 +263,6 @@
 			done(end)
 			return
 		}
-		w.after(max(end-w.now, 0), func() { w.playChain(steps[1:], p, done) })
+		w.schedule(max(end-w.now, 0), func() { w.playChain(steps[1:], p, done) })
 	})
 }
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -11,47 +11,47 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// The classes of reads, and what their rules are. All order by k and keep the highest version.
+// The classes of gathered reads. The rules of each sort the rows by k and keep the highest version of duplicates.
 const (
-	classListing = "listing" // every row, best effort
-	classTop     = "top"     // the first topRows, of all parts or not at all
-	classPage    = "page"    // pageRows, then on by the token
+	classListing = "listing" // every row; parts may be missing (best effort)
+	classTop     = "top"     // the first topRows rows; fails unless all parts are read
+	classPage    = "page"    // pages of pageRows rows; the token of a page leads to the next one
 )
 
 const topRows, pageRows = 50, 100
 
-// limits are the rows of a page.
+// rowLimits are the most rows in one answer of a class; a listing has no limit.
 var rowLimits = map[string]int{classTop: topRows, classPage: pageRows}
 
-// effort are the classes whose rows may go out without all parts.
+// bestEffort are the classes whose rows may be sent although parts are missing.
 var bestEffort = map[string]bool{classListing: true}
 
-// read is one gathered read.
+// gatheredRead is one gathered read.
 type gatheredRead struct {
 	id, class string
 	shards    []int
 	token     string
-	after     int64 // the last key of the page before; -1: there is none
+	after     int64 // last key of the page before; -1: this is the first page
 }
 
-// answer is what came of it.
+// answer is the response to a gathered read, as far as it was received.
 type answer struct {
 	statusCode       int
 	rows             [][]byte
-	finished         bool // the body came to its end, with a result
+	finished         bool // the response is complete, with a result
 	whole            bool
-	incompleteShards []int // shards that are missing or cut
+	incompleteShards []int // shards that the result names as missing, cut or in conflict
 	conflicts        int
 	truncated        string
 	token            string
-	errorCode        string // the code of what ended it early
+	errorCode        string // code of the error that ended the read early
 }
 
-// Verdict is how many rows of an answer were not right.
+// Verdict counts the incorrect rows of an answer.
 type Verdict struct {
-	Wrong   int `json:"wrong"`   // no row of the shards asked, out of order, or an older version than a part that was read holds
-	Doubled int `json:"doubled"` // of a key that went out before
-	Lost    int `json:"lost"`    // missing although the answer is said to be whole, or the parts that hold it are not named
+	Wrong   int `json:"wrong"`   // not a row of the requested shards, out of order, beyond the limit, or older than the version in a part that was read
+	Doubled int `json:"doubled"` // its key was already sent
+	Lost    int `json:"lost"`    // missing although the answer claims to be whole, or although it does not name the parts that hold the row
 }
 
 func (v *Verdict) add(o Verdict) {
@@ -67,12 +67,12 @@
 	return row{gjson.GetBytes(text, "k").Int(), gjson.GetBytes(text, "v").Int(), string(text)}
 }
 
-// truth is what the nodes hold. It may be used by several goroutines.
+// oracle knows the rows of all nodes and so the correct answers. It is safe for concurrent use.
 type oracle struct {
 	rows           node.Rows
-	shards         []map[int64]row // by key
+	shards         []map[int64]row // rows of each shard by key
 	mu             sync.Mutex
-	mergesByShards map[string][]row // by the shards asked
+	mergesByShards map[string][]row // cached flat merges, by list of shards
 }
 
 const maxCachedMerges = 256
@@ -80,22 +80,22 @@
 func newOracle(rows node.Rows, shards int) *oracle {
 	t := &oracle{rows: rows, mergesByShards: map[string][]row{}}
 	for s := range shards {
-		held := map[int64]row{}
+		rowsByKey := map[int64]row{}
 		for _, text := range rows.Shard(s) {
 			x := parseRow(text)
-			held[x.key] = x
+			rowsByKey[x.key] = x
 		}
-		t.shards = append(t.shards, held)
+		t.shards = append(t.shards, rowsByKey)
 	}
 	return t
 }
 
-// flat is the flat merge of shards.
+// merge returns the flat merge of shards: all their rows merged in one step.
 func (t *oracle) merge(shards []int) []row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	name := fmt.Sprint(shards)
-	all, ok := t.mergesByShards[name]
+	cacheKey := fmt.Sprint(shards)
+	all, ok := t.mergesByShards[cacheKey]
 	if !ok {
 		for _, text := range t.rows.Merge(shards, node.MergeOptions{Keep: "highest"}) {
 			all = append(all, parseRow(text))
@@ -103,12 +103,12 @@
 		if len(t.mergesByShards) >= maxCachedMerges {
 			clear(t.mergesByShards)
 		}
-		t.mergesByShards[name] = all
+		t.mergesByShards[cacheKey] = all
 	}
 	return all
 }
 
-// page are the rows of a whole answer.
+// expectedRows returns the rows of a whole answer.
 func (t *oracle) expectedRows(q gatheredRead) []row {
 	all := t.merge(q.shards)
 	begin, found := slices.BinarySearchFunc(all, q.after, func(r row, k int64) int { return cmp.Compare(r.key, k) })
@@ -122,20 +122,20 @@
 	return all
 }
 
-// judge holds the rows of an answer against the flat merge. Where parts are named, a row may be an older version, or
-// missing, as far as no part that was read holds it.
+// verify compares the rows of an answer with the flat merge. If the answer names incomplete parts, a row may be missing or
+// an older version, unless a part that was read holds it.
 func (t *oracle) verify(q gatheredRead, a answer) (v Verdict) {
 	if a.whole && slices.EqualFunc(a.rows, t.expectedRows(q), func(got []byte, want row) bool { return string(got) == want.text }) {
 		return v
 	}
 	limit := rowLimits[q.class]
-	var sure []int // shards whose rows were all heard of, as far as the answer goes
+	var completeShards []int // shards of which the answer must include all rows, up to its last row
 	if !bestEffort[q.class] {
-		sure = q.shards
+		completeShards = q.shards
 	} else if a.finished {
-		sure = slices.DeleteFunc(slices.Clone(q.shards), func(s int) bool { return slices.Contains(a.incompleteShards, s) })
+		completeShards = slices.DeleteFunc(slices.Clone(q.shards), func(s int) bool { return slices.Contains(a.incompleteShards, s) })
 	}
-	held := func(k int64, of []int) (newest row, any bool) {
+	newestRow := func(k int64, of []int) (newest row, any bool) {
 		for _, s := range of {
 			if x, ok := t.shards[s][k]; ok && (!any || x.version > newest.version) {
 				newest, any = x, true
@@ -152,9 +152,9 @@
 			continue
 		}
 		seen[x.key] = true
-		least, ok := held(x.key, sure)
-		is := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.key].text == x.text })
-		if !is || x.key <= last || ok && x.version < least.version {
+		newestHeld, ok := newestRow(x.key, completeShards)
+		exists := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.key].text == x.text })
+		if !exists || x.key <= last || ok && x.version < newestHeld.version {
 			v.Wrong++
 		}
 		last = max(last, x.key)
@@ -162,7 +162,8 @@
 	if limit > 0 && len(seen) > limit {
 		v.Wrong += len(seen) - limit
 	}
-	// What the answer must have, of the parts that were read: its page, or as far as its rows go.
+	// Rows of the parts that were read must not be missing: up to the end of the page if the answer is whole,
+	// otherwise up to the answer's last row if it ended early.
 	all := t.merge(q.shards)
 	if a.whole {
 		all = t.expectedRows(q)
@@ -171,7 +172,7 @@
 		if !a.whole && x.key > last && (!a.finished || a.errorCode != "" || a.truncated != "") {
 			break
 		}
-		if _, ok := held(x.key, sure); ok && x.key > q.after && !seen[x.key] {
+		if _, ok := newestRow(x.key, completeShards); ok && x.key > q.after && !seen[x.key] {
 			v.Lost++
 		}
 	}
--- a/internal/testkit/experiment/gathers/client.go
+++ b/internal/testkit/experiment/gathers/client.go
@@ -14,21 +14,22 @@
 	"github.com/tidwall/gjson"
 )
 
-// patience is how much longer than its deadline a client waits, so that a late answer is seen as one.
+// lateAnswerWait is how long a client waits beyond the deadline, so that a late answer is recognized as late.
 const lateAnswerWait = 500 * time.Millisecond
 
-// times are when rows of an answer came, from when the read was due.
+// rowTimes are the arrival times of an answer's rows, relative to the time at which the read was due.
 type rowTimes struct {
 	arrivals []rowArrival
 	end      time.Duration
 }
 
+// rowArrival is the number of rows received up to a time.
 type rowArrival struct {
-	rows int // so many have come
+	rows int
 	at   time.Duration
 }
 
-// after is when so many rows had come; ok: they did.
+// timeOfRows returns the time at which the given number of rows had been received; ok is false if fewer were.
 func (t *rowTimes) timeOfRows(rows int) (at time.Duration, ok bool) {
 	for _, m := range t.arrivals {
 		if m.rows >= rows {
@@ -38,7 +39,7 @@
 	return 0, false
 }
 
-// asker sends gathered reads, each on a connection of its own: nothing is sent twice.
+// readClient sends gathered reads. Each has its own connection, so that the HTTP client resends none of them.
 type readClient struct {
 	http     *http.Client
 	plan     string
@@ -51,7 +52,8 @@
 		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 64 << 10}}}
 }
 
-// ask asks one process and reads what comes. An error is *answer broken*: what came before is in the answer.
+// send sends a read to one process and receives the response. An error means that the response is incomplete or invalid;
+// the rows received before it are in the answer.
 func (k *readClient) send(ctx context.Context, to string, q gatheredRead, seq uint64, due time.Time) (a answer, t rowTimes, err error) {
 	ctx, stop := context.WithDeadline(ctx, due.Add(k.deadline+lateAnswerWait))
 	defer stop()
@@ -105,10 +107,10 @@
 	return a, t, err
 }
 
-// result reads the trailer.
+// parseResult parses the result: the trailer, or the body of a response with another status than 200.
 func (a *answer) parseResult(text string) error {
 	if !gjson.Valid(text) {
-		return fmt.Errorf("no result after the rows: %.80q", text)
+		return fmt.Errorf("invalid gather result: %.80q", text)
 	}
 	g := gjson.Parse(text)
 	a.finished, a.whole = true, g.Get("whole").Bool()
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// list is shards in the header's form.
+// formatShards formats a sorted list of shards as in the X-Gather header, such as 0-3,5.
 func formatShards(shards []int) string {
 	var all []string
 	for from, to := 0, 0; from < len(shards); from = to + 1 {
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -8,27 +8,28 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// change is what happens to the parties at one moment of a run.
+// faultRound is the set of faults that apply from a time until the next round. It replaces those of the round before.
 type faultRound struct {
 	at    time.Duration
-	nodes map[int]node.RowFault // of the nodes that are not named: none
-	links map[[2]int]link.Fault // from process to node; of those not named: none
-	kill  int                   // a process that is killed, and started again at once; -1: none
+	nodes map[int]node.RowFault // by node; other nodes have no fault
+	links map[[2]int]link.Fault // by process and node; other links have no fault
+	kill  int                   // process that is killed and restarted at once; -1: none
 }
 
 const (
 	roundInterval       = 500 * time.Millisecond
-	faultyLinksPerRound = 4    // links with a fault at one time
-	shardFaultChance    = 0.25 // chance that one node of a shard has a fault for a round
-	killAtShare         = 0.4  // of the run
-	maxDelay            = 300 * time.Millisecond
-	maxPause            = 400 * time.Millisecond
+	faultyLinksPerRound = 4                      // draws of a faulty link in each round; two may hit the same link
+	shardFaultChance    = 0.25                   // probability that one node of a shard has a fault in a round
+	killAtShare         = 0.4                    // share of the run after which a process is killed
+	maxDelay            = 300 * time.Millisecond // of a node's response; half of it on a link
+	maxPause            = 400 * time.Millisecond // of a node between rows
 )
 
-// schedule draws the faults of a run. The same seed gives the same, whatever is played under them.
+// drawFaultRounds draws the faults of a run. They depend only on the seed, the sizes of the world and the length, not on
+// the mode or on timing.
 func drawFaultRounds(seed uint64, w World, span time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
-	some := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
+	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
 	for at := time.Duration(0); at < span; at += roundInterval {
 		c := faultRound{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
@@ -39,9 +40,9 @@
 			f := node.RowFault{AfterRows: rng.IntN(w.Rows.RowsPerShard)}
 			switch rng.IntN(4) {
 			case 0:
-				f.Delay = some(maxDelay)
+				f.Delay = randomDuration(maxDelay)
 			case 1:
-				f.Pause = some(maxPause)
+				f.Pause = randomDuration(maxPause)
 			case 2:
 				f.CloseConn = true
 			case 3:
@@ -57,7 +58,7 @@
 			case 1:
 				c.links[to] = link.Fault{ResetAfter: 1 + rng.IntN(40<<10)}
 			case 2:
-				c.links[to] = link.Fault{Delay: some(maxDelay) / 2}
+				c.links[to] = link.Fault{Delay: randomDuration(maxDelay) / 2}
 			}
 		}
 		if !killed && at >= time.Duration(killAtShare*float64(span)) {
@@ -68,7 +69,7 @@
 	return all
 }
 
-// happened are faults that were met.
+// faultCounts counts the faults that took effect. Late, Stopped, Cut and Stalled are faults of nodes.
 type faultCounts struct {
 	Late     int `json:"late"`
 	Stopped  int `json:"stopped"`
@@ -85,7 +86,7 @@
 	h.Silenced, h.Reset, h.Delayed, h.Killed = h.Silenced+o.Silenced, h.Reset+o.Reset, h.Delayed+o.Delayed, h.Killed+o.Killed
 }
 
-// absent names those that did not happen: what is measured under them says nothing.
+// missing names the kinds of faults that did not occur: the measurements say nothing about them.
 func (h *faultCounts) missing() (names []string) {
 	for _, x := range []struct {
 		name string
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -21,23 +21,23 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// World is what a run has.
+// World is the size of a run: its processes, nodes and rows.
 type World struct {
 	Processes int       `json:"processes"`
 	Shards    int       `json:"shards"`
-	Copies    int       `json:"copies"` // nodes of a shard
+	Copies    int       `json:"copies"` // nodes per shard, each with the same rows
 	Rows      node.Rows `json:"rows"`
 }
 
-// Mode is a way to gather that is measured.
+// Mode is a configuration of gathering that is measured.
 type Mode struct {
 	Name   string        `json:"name"`
-	Silent time.Duration `json:"silent"` // without a byte for so long, a second copy of the part is asked for; 0: never
-	Again  int           `json:"again"`  // how often a part is asked again
-	Tree   bool          `json:"tree"`   // parts are handed on to the other processes
+	Silent time.Duration `json:"silent"` // time without a byte after which a part is requested a second time; 0: never
+	Again  int           `json:"again"`  // how often a part is requested again
+	Tree   bool          `json:"tree"`   // parts are delegated to other processes
 }
 
-// Modes are those of a report, in its order.
+// Modes are the modes of a report, in its order.
 var Modes = []Mode{
 	{Name: "without second copies"},
 	{Name: "with second copies", Silent: 60 * time.Millisecond, Again: 3},
@@ -45,19 +45,19 @@
 }
 
 const (
-	planName        = "the-plan" // of procs
+	planName        = "the-plan" // the default plan of package cluster
 	deadline        = time.Second
-	meanServiceTime = 2 * time.Millisecond // mean, of a part at a node
-	mergeTimeShare  = 0.1                  // of the deadline, kept for the merge
+	meanServiceTime = 2 * time.Millisecond // of one part at a node
+	mergeTimeShare  = 0.1                  // share of the deadline that is reserved for the merge
 
-	readsAtOnce    = 8         // of one process
-	mergeMemory    = 768 << 10 // of one merge
+	readsAtOnce    = 8         // limit of each process
+	mergeMemory    = 768 << 10 // bytes for each merge
 	maxRecordBytes = 4 << 10
-	leastParts     = 4 // of a read, or none is handed on
+	leastParts     = 4 // a read with fewer parts delegates none
 	fanOut         = 2
 )
 
-// processes is a fleet of the built program.
+// daemonFleet is a fleet of daemon processes, nodes and the links between them.
 type daemonFleet struct {
 	*cluster.Fleet
 	world   World
@@ -66,7 +66,7 @@
 	siteErr error
 }
 
-// start starts it, each process with the mode's section in its site's file.
+// startFleet starts a fleet. The site file of each process has the gather settings of the mode.
 func startFleet(ctx context.Context, daemon string, w World, m Mode, seed uint64) (*daemonFleet, error) {
 	f := &daemonFleet{world: w, down: make([]atomic.Bool, w.Processes)}
 	class := func(name string) map[string]any {
@@ -101,7 +101,7 @@
 
 func (f *daemonFleet) sitePath(i int) string { return filepath.Join(f.Dir(i), "site.json") }
 
-// tell writes a process's site file.
+// writeSite writes the site file of a process.
 func (f *daemonFleet) writeSite(i int, m Mode, peers []peer) error {
 	text, err := json.Marshal(map[string]any{"gather": gatherSettings(m, f.world, peers)})
 	if err != nil {
@@ -110,7 +110,7 @@
 	return os.WriteFile(f.sitePath(i), text, 0o600)
 }
 
-// join names the processes to each other: where they are is known once all have started.
+// addPeers gives each process the list of all processes. It runs after the start, when all addresses are known.
 func (f *daemonFleet) addPeers(ctx context.Context, m Mode) error {
 	var peers []peer
 	for i := range f.world.Processes {
@@ -125,9 +125,9 @@
 		}
 	}
 	for i := range f.world.Processes {
-		if err := f.Wait(ctx, fmt.Sprint("process ", i, " hands parts on"), func() error {
+		if err := f.Wait(ctx, fmt.Sprint("process ", i, " delegates parts"), func() error {
 			if !strings.Contains(f.Proc(i).Log(), "are delegated to peers") {
-				return errors.New("it has not said so")
+				return errors.New("its log does not say so yet")
 			}
 			return nil
 		}); err != nil {
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// serviceOf draws a node's time for a request from the request's id: the same in each run.
+// serviceTime returns a function that derives a node's service time from the id of a request, so that it is the same in
+// each run.
 func serviceTime(seed uint64, j int) func(*fasthttp.Request) time.Duration {
 	return func(q *fasthttp.Request) time.Duration {
 		h := fnv.New64a()
@@ -147,7 +148,7 @@
 	}
 }
 
-// rules are the merge's of a class, as the site's file has them.
+// mergeRules returns the rules of a class for the site file.
 func mergeRules(class string) map[string]any {
 	r := map[string]any{"memory": map[string]any{"bytes": mergeMemory}, "records": map[string]any{"max_bytes": maxRecordBytes}, "order": []any{map[string]any{"key": "k", "type": "integer"}},
 		"duplicates": map[string]any{"keep": "highest", "version": map[string]any{"key": "v", "type": "integer"}}}
@@ -163,7 +164,7 @@
 	return r
 }
 
-// target is where a process is asked; "": it is down.
+// address returns the address of a process for clients; "": the process is down.
 func (f *daemonFleet) address(i int) string {
 	if f.down[i].Load() {
 		return ""
@@ -171,7 +172,7 @@
 	return f.ClientLink(i).Addr()
 }
 
-// play makes a change.
+// apply applies a round of faults to all nodes and links.
 func (f *daemonFleet) apply(c faultRound) error {
 	for j := range f.world.Shards * f.world.Copies {
 		f.Node(j).SetRowFault(c.nodes[j])
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// kill kills a process and starts it again, until it is ready.
+// killAndRestart kills a process, restarts it and waits until it is ready.
 func (f *daemonFleet) killAndRestart(ctx context.Context, i int) error {
 	f.down[i].Store(true)
 	if err := f.Kill(i); err != nil {
@@ -196,6 +197,7 @@
 	return err
 }
 
+// faultCounts counts the faults of all nodes and links and the killed processes.
 func (f *daemonFleet) faultCounts() (h faultCounts) {
 	h.Killed = int(f.killed.Load())
 	for j := range f.world.Shards * f.world.Copies {
@@ -208,31 +210,33 @@
 	return h
 }
 
-// met is what a node's faults did.
+// nodeFaults counts the faults that took effect at a node.
 func nodeFaults(n *node.Node) faultCounts {
 	c := n.RowCounts("")
 	return faultCounts{Late: c.Delayed, Stopped: c.Paused, Cut: c.ConnsClosed, Stalled: c.Stalled}
 }
 
-// Parts is what nodes were asked for.
+// Parts counts the requests for parts at the nodes.
 type Parts struct {
 	Asked             int `json:"asked"`
-	Delegated         int `json:"handed_on"` // by peers that they were handed on to
-	Retried           int `json:"again"`     // after an asking before that its last node failed: cut, silent, or its asker gone
-	RetriedAtSameNode int `json:"same_node"` // ... that began at the same node
+	Delegated         int `json:"handed_on"` // requests from processes to which the part was delegated
+	Retried           int `json:"again"`     // requests that follow a failed one: the node closed the connection or stalled, or the requesting process disconnected
+	RetriedAtSameNode int `json:"same_node"` // retried requests whose first node is the last node of the failed one
 }
 
-// parts are told by the askings' ids: READ/PART/COPY, or READ/GROUP/COPY/PART/COPY, where the first copy is a peer's.
+// countParts counts by the ids of the requests: READ/PART/COPY, or READ/GROUP/COPY/PART/COPY, where the first COPY is 1 if a
+// peer sent the request.
 func (f *daemonFleet) countParts() (p Parts) {
+	// span is the first and the last arrival of a request.
 	type span struct {
 		first, last     int // nodes
 		firstAt, lastAt time.Time
 	}
-	at := map[string]span{} // by id: core may send an asking to several nodes
+	requests := map[string]span{} // by id, because the scheduler may send a request to several nodes
 	for j := range f.world.Shards * f.world.Copies {
-		f.Node(j).EachRequest(func(id string, all []node.Arrival) {
-			x, known := at[id]
-			for _, a := range all {
+		f.Node(j).EachRequest(func(id string, idFields []node.Arrival) {
+			x, known := requests[id]
+			for _, a := range idFields {
 				if !known || a.At.Before(x.firstAt) {
 					x.first, x.firstAt = j, a.At
 				}
@@ -241,24 +245,24 @@
 				}
 				known = true
 			}
-			at[id] = x
+			requests[id] = x
 		})
 	}
-	for id, now := range at {
+	for id, request := range requests {
 		p.Asked++
-		all := strings.Split(id, "/")
-		if len(all) == 5 && all[2] == "1" {
+		idFields := strings.Split(id, "/")
+		if len(idFields) == 5 && idFields[2] == "1" {
 			p.Delegated++
 		}
 		part, copy := id[:strings.LastIndexByte(id, '/')+1], 0
-		if _, err := fmt.Sscan(all[len(all)-1], &copy); err != nil {
+		if _, err := fmt.Sscan(idFields[len(idFields)-1], &copy); err != nil {
 			continue
 		}
-		last := fmt.Sprint(part, copy-1)
-		before, ok := at[last]
-		if c := f.Node(before.last).RowCounts(last); ok && c.Complete+c.Limited == 0 && c.ConnsClosed+c.Stalled+c.Disconnected > 0 {
+		previousID := fmt.Sprint(part, copy-1)
+		previous, ok := requests[previousID]
+		if c := f.Node(previous.last).RowCounts(previousID); ok && c.Complete+c.Limited == 0 && c.ConnsClosed+c.Stalled+c.Disconnected > 0 {
 			p.Retried++
-			if before.last == now.first {
+			if previous.last == request.first {
 				p.RetriedAtSameNode++
 			}
 		}
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -13,7 +13,7 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// The judge finds what is wrong with an answer and nothing where nothing is.
+// The oracle detects every kind of incorrect answer and accepts correct ones.
 func TestJudge(t *testing.T) {
 	w := Defaults()
 	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
@@ -27,8 +27,8 @@
 	}
 	flat := texts(tr.merge(shards))
 	q := func(class string) gatheredRead { return gatheredRead{class: class, shards: shards, after: -1} }
-	without := texts(tr.merge([]int{0, 1})) // what is left where part 4 is missing
-	older := func() ([][]byte, int) {       // a row that an older version stands in for
+	without := texts(tr.merge([]int{0, 1})) // the rows left if part 4 is missing
+	older := func() ([][]byte, int) {       // the rows with an older version of one row, and the shard that holds it
 		for i, x := range tr.merge(shards) {
 			for _, s := range shards {
 				if y, ok := tr.shards[s][x.key]; ok && y.version < x.version {
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		t.Fatal("no row has versions")
+		t.Fatal("no key has several versions")
 		return nil, 0
 	}
 	stale, _ := older()
@@ -75,12 +75,12 @@
 		{"missing and not named", q(classListing), answer{rows: nil, finished: true, incompleteShards: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
 	} {
 		if got := tr.verify(x.q, x.a); got != x.want {
-			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
+			t.Errorf("%s: got %+v, want %+v", x.name, got, x.want)
 		}
 	}
 }
 
-// The same seed plays the same faults, and each kind is among those of a run.
+// The same seed gives the same faults, and a run of 20 s includes every kind of fault.
 func TestSchedule(t *testing.T) {
 	w := Defaults()
 	one, two := drawFaultRounds(4, w, 20*time.Second), drawFaultRounds(4, w, 20*time.Second)
@@ -123,8 +123,8 @@
 	}
 }
 
-// Two processes of the built program and eight nodes, by the code of the experiment: rows are right in each mode, under faults;
-// what the nodes of a shard all spoil is found.
+// Runs the experiment with two daemon processes and eight nodes: rows are correct in each mode under faults. If all nodes
+// of a shard send wrong rows, the experiment reports it.
 func TestPlayed(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes")
@@ -146,7 +146,7 @@
 	}
 	for i, l := range rep.Lines {
 		if Modes[i].Tree != (l.Parts.Delegated > 0) {
-			t.Errorf("%s: %v parts handed on", l.Mode, l.Parts.Delegated)
+			t.Errorf("%s: %v parts delegated", l.Mode, l.Parts.Delegated)
 		}
 		if l.Verdict != (Verdict{}) || l.Ends["failed"] > 0 || l.Ends["whole"] == 0 || l.Faults.Killed != 1 {
 			t.Errorf("%+v", l)
@@ -154,6 +154,6 @@
 	}
 	opt.firstShardFault = node.RowFault{OtherVersion: true}
 	if rep, err = Run(ctx, opt); err != nil || !rep.Wrong {
-		t.Errorf("rows of other versions are not found: %v %+v", err, rep)
+		t.Errorf("rows of other versions are not detected: %v %+v", err, rep)
 	}
 }
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -12,65 +12,67 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Line is one seed in one mode; times are milliseconds from when a read was due.
+// Line is the result of one seed in one mode. Times are milliseconds after the time at which a read was due.
 type Line struct {
 	Mode          string         `json:"mode"`
 	Seed          uint64         `json:"seed"`
 	Reads         int            `json:"reads"`
 	Ends          map[string]int `json:"ends"`
 	First         [2]float64     `json:"first_row_p50_p99"`
-	MostRows      [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows, where they came
-	Whole         [2]float64     `json:"whole_p50_p99"`     // of whole reads
-	MostRowsShare float64        `json:"share_most_rows"`   // reads of which 95% of the rows came
+	MostRows      [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows were received; only reads that got so far
+	Whole         [2]float64     `json:"whole_p50_p99"`     // until the end, of whole reads
+	MostRowsShare float64        `json:"share_most_rows"`   // share of reads that received 95% of the rows
 	Parts         Parts          `json:"parts"`
-	SendLateness  float64        `json:"sent_late_p99"` // the client's own lateness: of a busy machine the times say less
+	SendLateness  float64        `json:"sent_late_p99"` // lateness of the client itself; if it is high, the machine is busy and the other times are less reliable
 	Verdict       Verdict        `json:"verdict"`
 	Faults        faultCounts    `json:"faults"`
-	Examples      []string       `json:"examples,omitempty"` // of rows that are not right and ends that are not known
+	Examples      []string       `json:"examples,omitempty"` // descriptions of reads with incorrect rows or with the end "failed"
 }
 
-// each is how many there are of something for each read.
+// perRead divides a count by the number of reads.
 func (l *Line) perRead(n int) float64 { return float64(n) / float64(max(1, l.Reads)) }
 
-// share of reads with an end.
+// share returns the share of reads with an end.
 func (l *Line) share(end int) float64 { return l.perRead(l.Ends[endNames[end]]) }
 
-// Report is the result.
+// Report is the result of the experiment.
 type Report struct {
 	World  World    `json:"world"`
 	Rate   float64  `json:"rate"`
 	For    float64  `json:"seconds"`
 	Modes  []Mode   `json:"modes"`
 	Lines  []Line   `json:"lines"`
-	Wrong  bool     `json:"wrong"`  // rows are not right, somewhere
-	Absent []string `json:"absent"` // faults that did not happen in a mode
+	Wrong  bool     `json:"wrong"`  // some run had incorrect rows
+	Absent []string `json:"absent"` // kinds of faults that did not occur, by mode
 }
 
 const maxExamples = 5
 
-// Run plays each seed in each mode; the modes of a seed one after the other, so that what else the machine does meets all.
+// Run runs each seed in each mode. The modes of a seed run in direct succession, so that other load on the machine affects
+// all of them alike.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	rep := &Report{World: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
-	met := make([]faultCounts, len(Modes))
+	faults := make([]faultCounts, len(Modes))
 	for _, seed := range opt.Seeds {
 		for i, m := range Modes {
 			l, err := runMode(ctx, opt, m, seed)
 			if err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", m.Name, seed, err)
 			}
-			met[i].add(l.Faults)
+			faults[i].add(l.Faults)
 			rep.Wrong = rep.Wrong || l.Verdict != (Verdict{})
 			rep.Lines = append(rep.Lines, l)
 		}
 	}
 	for i, m := range Modes {
-		for _, name := range met[i].missing() {
+		for _, name := range faults[i].missing() {
 			rep.Absent = append(rep.Absent, m.Name+": "+name)
 		}
 	}
 	return rep, nil
 }
 
+// runMode runs one seed in one mode.
 func runMode(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
 	opt.World.Rows.Seed = seed
 	log := opt.Log.WithFields(logrus.Fields{"mode": m.Name, "seed": seed})
@@ -80,7 +82,7 @@
 		return Line{}, err
 	}
 	defer f.Close()
-	log.WithField("for", opt.For.String()).Info("reading, under faults")
+	log.WithField("for", opt.For.String()).Info("sending reads under faults")
 	all, err := runSeed(ctx, opt, f, seed)
 	if err != nil {
 		return Line{}, err
@@ -89,7 +91,7 @@
 	l.Mode, l.Seed, l.Faults = m.Name, seed, f.faultCounts()
 	l.Parts = f.countParts()
 	if l.Verdict != (Verdict{}) {
-		log.WithField("rows", fmt.Sprintf("%+v", l.Verdict)).Error("rows are not right")
+		log.WithField("rows", fmt.Sprintf("%+v", l.Verdict)).Error("incorrect rows")
 	}
 	for _, e := range l.Examples {
 		log.Warn(e)
@@ -97,6 +99,7 @@
 	return l, nil
 }
 
+// newLine summarizes the outcomes of a run.
 func newLine(all []readOutcome) Line {
 	l := Line{Reads: len(all), Ends: map[string]int{}}
 	var first, most, wholes, sent []time.Duration
@@ -123,6 +126,7 @@
 	return l
 }
 
+// quantiles returns the median and the 99th percentile, in milliseconds rounded to 0.1.
 func quantiles(all []time.Duration) (q [2]float64) {
 	slices.Sort(all)
 	for i, at := range []float64{0.5, 0.99} {
@@ -133,7 +137,8 @@
 	return q
 }
 
-// Print writes the table: a row a mode, of each figure the median of the seeds and in brackets the lowest and highest.
+// Print writes a table with one row for each mode: the median of each figure over the seeds, with its minimum and maximum in
+// parentheses, and sums of the counts of incorrect rows.
 func (rep *Report) Print(out io.Writer) error {
 	w := rep.World
 	fmt.Fprintf(out, "%d processes, %d nodes (%d shards of %d rows, %d copies), %g reads/s for %.0f s a seed; ms from when a read was due\n",
@@ -179,7 +184,7 @@
 					sum += c.of(l)
 				}
 			}
-			if slices.Sort(all); c.form == "" { // a count over all seeds
+			if slices.Sort(all); c.form == "" { // no format: the sum over all seeds
 				fmt.Fprintf(t, "\t%.0f", sum)
 			} else {
 				fmt.Fprintf(t, "\t"+c.form+" ("+c.form+" to "+c.form+")", all[len(all)/2], all[0], all[len(all)-1])
@@ -191,16 +196,16 @@
 		return err
 	}
 	for _, m := range rep.Modes {
-		var met faultCounts
+		var faults faultCounts
 		var parts Parts
 		for _, l := range rep.Lines {
 			if l.Mode == m.Name {
-				met.add(l.Faults)
+				faults.add(l.Faults)
 				parts.Retried, parts.RetriedAtSameNode = parts.Retried+l.Parts.Retried, parts.RetriedAtSameNode+l.Parts.RetriedAtSameNode
 			}
 		}
 		fmt.Fprintf(out, "faults %s: parts late %d, stopped %d, cut %d, silent for good %d; links silent %d, reset %d, slow %d; processes killed %d; parts asked again %d, at the same node %d\n", m.Name,
-			met.Late, met.Stopped, met.Cut, met.Stalled, met.Silenced, met.Reset, met.Delayed, met.Killed, parts.Retried, parts.RetriedAtSameNode)
+			faults.Late, faults.Stopped, faults.Cut, faults.Stalled, faults.Silenced, faults.Reset, faults.Delayed, faults.Killed, parts.Retried, parts.RetriedAtSameNode)
 	}
 	for _, a := range rep.Absent {
 		fmt.Fprintln(out, "a fault that did not happen:", a)
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -1,10 +1,10 @@
-// Package gathers is the experiment on gathered reads: processes of the built program, stand-in nodes that hold sorted
-// rows, links between them, and faults in all of these while clients send gathered reads at a rate that waits for no
-// answer. Some ask for every row, some for the first ones, some for pages by token. Every answer is held against the
-// flat merge, which package gather has no part in.
+// Package gathers is the experiment on gathered reads. It runs daemon processes, simulated nodes that hold sorted rows, and
+// the links between them, and injects faults into all of these while clients send gathered reads in an open loop. Some reads
+// request every row, some the first rows, some pages by token. Every answer is compared with a flat merge, which is
+// computed independently of package gather.
 //
-// Invariants: the same seed plays the same faults and reads to each mode; each read that was due is counted under one
-// end; a fault that did not happen is named.
+// Invariants: a seed gives the same faults and reads in each mode; each read that was due is counted under exactly one
+// end; kinds of faults that did not occur are reported.
 package gathers
 
 import (
@@ -22,55 +22,55 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// Options are the experiment's.
+// Options are the options of the experiment.
 type Options struct {
 	World  World
 	Seeds  []uint64
-	For    time.Duration // of one seed in one mode
-	Rate   float64       // reads a second, to all processes together
-	Daemon string        // path of the built program; "": beside this one, or built
+	For    time.Duration // length of a run of one seed in one mode
+	Rate   float64       // reads per second, over all processes
+	Daemon string        // path of the daemon; "": the one next to this executable, or a new build
 	Log    logrus.FieldLogger
 
-	firstShardFault node.RowFault // a test's: of all nodes of the first shard, in place of the schedule's
+	firstShardFault node.RowFault // for tests: fault of all nodes of the first shard, in place of the drawn faults
 }
 
-// Defaults are 8 processes and 24 nodes.
+// Defaults returns a world of 8 processes and 24 nodes.
 func Defaults() World {
 	return World{Processes: 8, Shards: 8, Copies: 3, Rows: node.Rows{RowsPerShard: 1000, SharedKeys: 0.3, SameVersion: 0.5, PaddingBytes: 40, RowsPerWrite: 32}}
 }
 
-// The ends of a read.
+// The ways in which a read can end.
 const (
 	endWhole   = iota
-	endPartial // with what is missing named
-	endRefused // before a row went out
-	endLate    // the process said so, or nothing was heard in time, or it cut the answer at the deadline
-	endBroken  // the connection ended in the middle, or none came up
+	endPartial // the result names what is missing
+	endRefused // refused with status 503, before any row was sent
+	endLate    // status 504, no complete response before the deadline, or a response cut off at about the deadline
+	endBroken  // the connection was closed during the response, or could not be opened
 	endFailed  // anything else
 	endCount
 )
 
-// endNames are the ends in tables and JSON.
+// endNames are the names of the ends in tables and JSON.
 var endNames = [endCount]string{"whole", "in part", "refused", "late", "broken", "failed"}
 
-// one is what came of a read.
+// readOutcome is the outcome of one read. Times are relative to the time at which the read was due.
 type readOutcome struct {
 	end          int
-	took         time.Duration // of whole ones, until the end
-	sendLateness time.Duration // after it was due
-	firstRow     time.Duration // until the first row; 0: none came
-	mostRows     time.Duration // until 95% of the rows; 0: they did not come
+	took         time.Duration // until the end; only of whole reads
+	sendLateness time.Duration // delay of the send itself
+	firstRow     time.Duration // until the first row; 0: no row was received
+	mostRows     time.Duration // until 95% of the rows; 0: fewer were received
 	verdict      Verdict
-	detail       string // of failed, and where rows were not right
+	detail       string // description, if the end is endFailed or rows are incorrect
 }
 
 const (
-	mostRowsShare = 0.95
-	maxPages      = 4 // that one client asks for
-	subsetChance  = 0.2
+	mostRowsShare = 0.95 // of the rows, for readOutcome.mostRows
+	maxPages      = 4    // most pages that one client requests in succession
+	subsetChance  = 0.2  // probability that a read requests only some of the shards
 )
 
-// player plays one seed in one mode.
+// seedRun is the state of the run of one seed in one mode.
 type seedRun struct {
 	opt      Options
 	fleet    *daemonFleet
@@ -82,7 +82,7 @@
 	wg       sync.WaitGroup
 }
 
-// play runs the reads and the faults of a seed.
+// runSeed sends the reads and injects the faults of a seed.
 func runSeed(ctx context.Context, opt Options, f *daemonFleet, seed uint64) ([]readOutcome, error) {
 	p := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.World.Rows, opt.World.Shards), client: newReadClient(planName, opt.World.Processes, deadline)}
 	p.start = time.Now()
@@ -96,7 +96,7 @@
 	return p.outcomes, errors.Join(err, <-faults)
 }
 
-// wait waits until a moment of the run; false: it has ended.
+// waitUntil waits until a time after the start of the run; false: the context ended first.
 func (p *seedRun) waitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(time.Until(p.start.Add(at)))
 	defer t.Stop()
@@ -108,13 +108,14 @@
 	}
 }
 
-// faults plays the changes while reads are sent; a process that is killed is waited for, also past their end.
+// injectFaults applies the fault rounds while reads are sent. It waits for the restart of a killed process even after the
+// reads have ended.
 func (p *seedRun) injectFaults(ctx, running context.Context, all []faultRound) error {
 	var kills sync.WaitGroup
 	defer kills.Wait()
 	var mu sync.Mutex
 	var errs []error
-	note := func(err error) {
+	addError := func(err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		errs = append(errs, err)
@@ -129,17 +130,17 @@
 				c.nodes[j] = p.opt.firstShardFault
 			}
 		}
-		if kill := c.kill; kill >= 0 { // it takes longer than a round
+		if kill := c.kill; kill >= 0 { // in the background, because a restart takes longer than a round
 			c.kill = -1
-			kills.Go(func() { note(p.fleet.killAndRestart(ctx, kill)) })
+			kills.Go(func() { addError(p.fleet.killAndRestart(ctx, kill)) })
 		}
-		note(p.fleet.apply(c))
+		addError(p.fleet.apply(c))
 	}
 	kills.Wait()
 	return errors.Join(errs...)
 }
 
-// reads sends the reads when they are due, whatever came of those before.
+// sendReads sends each read when it is due, without waiting for the answers to earlier ones.
 func (p *seedRun) sendReads(ctx context.Context, rng *rand.Rand) error {
 	at := time.Duration(0)
 	for n := uint64(1); ; n++ {
@@ -152,9 +153,9 @@
 			q.shards = append(q.shards, s)
 		}
 		if rng.Float64() < subsetChance {
-			least := min(2, len(q.shards))
+			minShards := min(2, len(q.shards))
 			rng.Shuffle(len(q.shards), func(i, j int) { q.shards[i], q.shards[j] = q.shards[j], q.shards[i] })
-			q.shards = q.shards[:least+rng.IntN(len(q.shards)-least+1)]
+			q.shards = q.shards[:minShards+rng.IntN(len(q.shards)-minShards+1)]
 			slices.Sort(q.shards)
 		}
 		to := rng.IntN(p.opt.World.Processes)
@@ -166,11 +167,12 @@
 	}
 }
 
-// client is one read, and of pages those after it, each due when the one before is here.
+// readPages sends one read and, if its class is classPage, the reads of the following pages; each of them is due when the
+// page before has been received.
 func (p *seedRun) readPages(ctx context.Context, to int, q gatheredRead, seq uint64, due time.Time) {
 	for k := 1; ; k++ {
 		target := ""
-		for i := 0; target == "" && i < p.opt.World.Processes; i++ { // one that is down is passed over
+		for i := 0; target == "" && i < p.opt.World.Processes; i++ { // skips processes that are down
 			target = p.fleet.address((to + i) % p.opt.World.Processes)
 		}
 		sent := time.Since(due)
@@ -188,7 +190,7 @@
 	}
 }
 
-// took counts a read under its end.
+// classify determines the end of a read and its times, and verifies its rows.
 func (p *seedRun) classify(q gatheredRead, a answer, t rowTimes, err error) (o readOutcome) {
 	o.verdict = p.oracle.verify(q, a)
 	if o.verdict != (Verdict{}) {
@@ -198,7 +200,7 @@
 		o.firstRow, _ = t.timeOfRows(1)
 	}
 	expected := len(p.oracle.expectedRows(q))
-	if expected == 0 { // a page after the last row
+	if expected == 0 { // the page begins after the last row
 		o.mostRows, o.firstRow = t.end, t.end
 	} else if at, ok := t.timeOfRows(int(mostRowsShare*float64(expected) + 0.999)); ok {
 		o.mostRows = at
@@ -214,7 +216,7 @@
 	case a.statusCode == http.StatusGatewayTimeout || slow || err != nil && t.end > deadline*9/10:
 		o.end = endLate
 	case a.statusCode == http.StatusBadGateway && len(a.incompleteShards) > 0:
-		o.end = endPartial // no row could go out
+		o.end = endPartial // no row could be sent
 	case err != nil:
 		o.end = endBroken
 	default:
--- a/internal/testkit/experiment/gathers/site.go
+++ b/internal/testkit/experiment/gathers/site.go
@@ -1,12 +1,12 @@
 package gathers
 
-// peer is a process as the others name it.
+// peer is an entry of the list of peers.
 type peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// site is the section gather of a site's file.
+// gatherSettings returns the section "gather" of the site file.
 func gatherSettings(m Mode, w World, peers []peer) map[string]any {
 	classes := map[string]any{}
 	for _, class := range []string{classListing, classTop, classPage} {
