--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -1,11 +1,12 @@
-// Package costs is the experiment on the estimate, in virtual time: 8 processes that each see part of the
-// answers, 24 nodes of three kinds of hardware, one of which turns five times slower. At each decision one
-// process is offered several plans for one piece of work and three estimates of them: the fleet's mean, its
-// own answers alone, and what all told, pooled from node to type to fleet. Every plan is then played in the
-// same world, so that it is known which would have been cheapest and whether the interval held.
+// Package costs is the experiment on cost estimates, in virtual time: 8 processes, each of which observes some of the
+// answers, and 24 nodes of three kinds of hardware, one of which becomes five times slower. At each decision one
+// process gets several plans for one piece of work and three estimates of their costs: from the mean of the fleet, from
+// its own answers alone, and from the answers that all processes report, pooled from node to type to fleet. Every plan is
+// then executed in the same simulated world. This shows which plan is cheapest in hindsight, and whether its end lies within
+// the estimated interval.
 //
-// RunReal is the same with processes of the built daemon and stand-in nodes, in real time: plans are asked of at
-// the admin endpoints and carried out as requests. What the machine adds to each is measured beside it.
+// RunReal is the same with daemon processes and simulated nodes, in real time: estimates come from the admin endpoints and
+// plans are executed as requests. The time that the machine adds to each request is measured as well.
 package costs
 
 import (
@@ -23,34 +24,34 @@
 	"wheatsaddle/internal/cost"
 )
 
-// Options are the experiment's.
+// Options are the options of the experiment in virtual time.
 type Options struct {
 	Seeds    []uint64
-	For      time.Duration // of one seed; the node turns slow at half of it
-	HalfLife time.Duration // of an answer's weight in the short memory
-	Every    time.Duration // between a process's rounds
-	Slow     float64       // times that the node is then slower
+	For      time.Duration // length of one seed; the slow node slows down after half of it
+	HalfLife time.Duration // of the weight of an answer in the short memory
+	Every    time.Duration // interval of a process's gossip rounds
+	Slow     float64       // factor on the service time of the slow node, once it slows down
 }
 
 const (
 	warmUp                 = 10 * time.Second // before the first decision
-	decisionIntervalMillis = 100.0            // ms between decisions
-	settleMillis           = 5000.0           // ms within which the order must be right again
+	decisionIntervalMillis = 100.0            // between decisions
+	settleMillis           = 5000.0           // after the slowing; the order must be right again by then
 	deadline               = 150 * time.Millisecond
-	playsPerPlan           = 80 // plays of a plan, for its cost in hindsight
+	playsPerPlan           = 80 // executions of a plan whose mean is its cost in hindsight
 	plansPerDecision       = 4
-	slowNode               = 3 * 2 // of the fastest kind: it has the longest way to the end of the order
-	clearRatio             = 1.25  // an order counts where the nodes differ by so much in truth
+	slowNode               = 3 * 2 // a node of the fastest kind, because it has to move furthest in the order
+	clearRatio             = 1.25  // smallest ratio of true mean service times for which the order of two nodes is checked
 )
 
-// The bounds of the issue.
+// The required bounds.
 const (
 	minCoverage, maxCoverage = 0.85, 0.95
 	maxExcess                = 0.05
-	maxExcessRatio           = 0.5 // of the other estimates' excess
+	maxExcessRatio           = 0.5 // of the excess of the other two estimators
 )
 
-// The estimates beside each other.
+// The estimators that are compared.
 const (
 	pooled = iota
 	fleetMean
@@ -58,26 +59,32 @@
 	estimatorCount
 )
 
-// WayNames names the estimates.
+// EstimatorNames are the names of the estimators.
 var EstimatorNames = [estimatorCount]string{"pooled", "fleet mean", "own answers only"}
 
-// Row is one seed; the last of a report is over all seeds.
+// Row is the result of one seed. The last row of a report is over all seeds.
 type Row struct {
-	Seed            uint64                  `json:"seed"` // 0: all
-	Decisions       int                     `json:"decisions"`
-	Coverage        [estimatorCount]float64 `json:"cover"`                  // share of ends within the 90% interval
-	Excess          [estimatorCount]float64 `json:"excess"`                 // cost of what was called cheapest, over the best in hindsight
-	SlowingExcess   [estimatorCount]float64 `json:"excess_in_5_s,omitzero"` // ... within 5 s of the slowing; with processes nothing is offered then
-	OrderRightAfter float64                 `json:"right_after_s"`          // until the slow node stands right among all at every process, for good
-	Alike           float64                 `json:"alike"`                  // share of decisions in which the first was not told apart from the best
-	covered         [estimatorCount]int
-	outcomes        int
-	bestCost        [2]float64 // summed cost in hindsight: settled, turning
-	chosenCost      [2][estimatorCount]float64
-	alikeCount      int
+	Seed      uint64 `json:"seed"` // 0: all seeds
+	Decisions int    `json:"decisions"`
+	// Coverage is the share of the executions that ended within the 90% interval.
+	Coverage [estimatorCount]float64 `json:"cover"`
+	// Excess is the cost of the plans that were ranked first, relative to that of the cheapest in hindsight, minus 1.
+	Excess [estimatorCount]float64 `json:"excess"`
+	// SlowingExcess is the same within 5 s after the slowing. RunReal makes no decisions in that time.
+	SlowingExcess [estimatorCount]float64 `json:"excess_in_5_s,omitzero"`
+	// OrderRightAfter is the time after the slowing until all processes rank the slow node correctly and keep doing so.
+	OrderRightAfter float64 `json:"right_after_s"`
+	// Alike is the share of decisions in which another plan could not be distinguished from the first.
+	Alike float64 `json:"alike"`
+
+	covered    [estimatorCount]int        // number of executions that ended within the interval
+	outcomes   int                        // number of executions that are compared with the intervals
+	bestCost   [2]float64                 // summed cost of the cheapest plans in hindsight: otherwise, and within 5 s after the slowing
+	chosenCost [2][estimatorCount]float64 // summed cost of the plans ranked first, likewise
+	alikeCount int
 }
 
-// Report is the result.
+// Report is the result of the experiment in virtual time.
 type Report struct {
 	HalfLife float64  `json:"half_life_s"`
 	Every    float64  `json:"every_s"`
@@ -86,14 +93,14 @@
 	Missed   []string `json:"missed"`
 }
 
-// Run plays the seeds.
+// Run runs all seeds, in parallel.
 func Run(opt Options) (*Report, error) {
 	rep := &Report{HalfLife: opt.HalfLife.Seconds(), Every: opt.Every.Seconds(), Slow: opt.Slow}
 	var sum Row
 	rows := make([]Row, len(opt.Seeds))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	for i, seed := range opt.Seeds { // each in a world of its own
+	for i, seed := range opt.Seeds { // each has its own world
 		group.Go(func() (err error) {
 			rows[i], err = playVirtualSeed(seed, opt)
 			return err
@@ -117,6 +124,7 @@
 	return rep, nil
 }
 
+// add adds the sums of another row.
 func (r *Row) add(o *Row) {
 	for i := range 2 {
 		r.bestCost[i] += o.bestCost[i]
@@ -131,6 +139,7 @@
 	r.OrderRightAfter = max(r.OrderRightAfter, o.OrderRightAfter)
 }
 
+// computeShares computes the exported figures from the sums.
 func (r *Row) computeShares() {
 	for k := range estimatorCount {
 		r.Coverage[k] = float64(r.covered[k]) / float64(max(r.outcomes, 1))
@@ -142,9 +151,10 @@
 	r.Alike = float64(r.alikeCount) / float64(max(r.Decisions, 1))
 }
 
-// miss is a bound that a row does not meet.
+// missedBound is a bound that a row does not meet.
 type missedBound struct{ bound, text string }
 
+// missedBounds lists the bounds that the row does not meet.
 func (r *Row) missedBounds() (all []missedBound) {
 	add := func(bound, form string, args ...any) {
 		all = append(all, missedBound{bound, fmt.Sprintf("seed %d: ", r.Seed) + fmt.Sprintf(form, args...)})
@@ -156,7 +166,7 @@
 	if !(x <= maxExcess) {
 		add("excess", "excess %.3f", x)
 	}
-	for k := fleetMean; k < estimatorCount && r.Seed == 0; k++ { // a ratio of small numbers: over all seeds
+	for k := fleetMean; k < estimatorCount && r.Seed == 0; k++ { // only over all seeds, because it is a ratio of small numbers
 		if !(x <= maxExcessRatio*r.Excess[k]) {
 			add(EstimatorNames[k], "excess %.4f, of %s %.4f", x, EstimatorNames[k], r.Excess[k])
 		}
@@ -167,13 +177,14 @@
 	return all
 }
 
-// decision is one choice that is being played.
+// decision is a decision whose plans are being executed.
 type decision struct {
-	firstPlans [estimatorCount]int // the plan each way calls cheapest
-	costs      [plansPerDecision]float64
+	firstPlans [estimatorCount]int       // the plan that each estimator ranks first
+	costs      [plansPerDecision]float64 // mean costs of the plans
 	playsLeft  int
 }
 
+// playVirtualSeed runs one seed in virtual time.
 func playVirtualSeed(seed uint64, opt Options) (Row, error) {
 	r := Row{Seed: seed}
 	w, err := newWorld(seed, opt)
@@ -202,12 +213,11 @@
 			return r, err
 		}
 	}
-	w.runUntil(end + 60000) // what is out ends
+	w.runUntil(end + 60000) // lets the open steps end
 	return r, nil
 }
 
-// anyWrong says whether at any process the slow node stands on the wrong side of another from which it
-// clearly differs.
+// orderWrong reports whether any process ranks the slow node on the wrong side of a node from which it clearly differs.
 func (w *world) orderWrong(e *cost.Estimator) bool {
 	const units = (1 + maxUnits) / 2.0
 	slow := w.nodes[slowNode].meanServiceTime(units)
@@ -224,6 +234,8 @@
 	return false
 }
 
+// decide lets a random process rank plans with each estimator, and starts the executions of all plans. The costs are added to
+// the row when the last execution ends.
 func (w *world) decide(r *Row, estimators *[estimatorCount]*cost.Estimator, slowing bool) error {
 	p := w.rng.IntN(processCount)
 	shared := w.processes[p].shared.Views(w.time())
@@ -274,7 +286,7 @@
 	return nil
 }
 
-// read is the plan that a ranking calls cheapest, and each one's interval.
+// firstAndIntervals returns the index of the plan that a ranking puts first, and the interval of each plan.
 func firstAndIntervals(got cost.Ranking) (first int, bounds [plansPerDecision][2]float64) {
 	for _, a := range got.Plans {
 		bounds[a.Name[0]-'a'] = [2]float64{a.Low, a.High}
@@ -282,7 +294,7 @@
 	return int(got.Plans[0].Name[0] - 'a'), bounds
 }
 
-// cost is what the order goes by, of what then came.
+// cost is the cost of an execution, by the prices with which the estimator ranks plans.
 func (p *played) cost(deadline float64) float64 {
 	prices := cost.Defaults(class).Prices
 	c := prices.Work*p.work + prices.End*p.end
@@ -292,8 +304,8 @@
 	return c
 }
 
-// offers are ways of one piece of work: reads in some groups of a node of each kind, in one shape, at other
-// nodes each.
+// drawPlans draws plans for one piece of work: reads in several groups, each of which has one node of each kind. All plans
+// combine the reads in the same way and differ in the nodes.
 func drawPlans(rng *rand.Rand, groups int, work func(n int, units float64) *cost.Work) []cost.Plan {
 	selected := rng.Perm(groups)[:1+rng.IntN(min(6, groups))]
 	units := make([]float64, len(selected))
@@ -308,7 +320,7 @@
 			first := rng.IntN(nodesPerShard)
 			at := func(n int) cost.Step { return cost.Step{Work: work(g*nodesPerShard+n%nodesPerShard, units[j])} }
 			step := at(first)
-			if form == 2 { // a copy beside it
+			if form == 2 { // with a redundant read at another node
 				step = cost.Step{Any: []cost.Step{at(first), at(first + 1 + rng.IntN(nodesPerShard-1))}}
 			}
 			steps = append(steps, step)
@@ -325,7 +337,7 @@
 	return plans
 }
 
-// Print writes the table.
+// Print writes the table and the missed bounds.
 func (rep *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; virtual time\n",
 		processCount, nodeCount, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every)
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -13,8 +13,8 @@
 	"wheatsaddle/internal/testkit/cluster"
 )
 
-// Guards the bounds of the estimate at two of the ten seeds, that a seed gives one result, and that a bound
-// that is not met is told: with answers that never fade the order stays wrong.
+// Guards the bounds of the estimate with two of the ten seeds, that a seed always gives the same result, and that a missed
+// bound is reported: if answers practically never lose weight, the order stays wrong.
 func TestBounds(t *testing.T) {
 	run := func(halfLife, span time.Duration, seeds ...uint64) *Report {
 		rep, err := Run(Options{Seeds: seeds, For: span, HalfLife: halfLife, Every: 500 * time.Millisecond, Slow: 5})
@@ -29,15 +29,16 @@
 	}
 	one := run(1500*time.Millisecond, 12*time.Second, 3)
 	if again := run(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(one, again) {
-		t.Error("the same seed, another result")
+		t.Error("the same seed gave different results")
 	}
 	if old := run(10*time.Minute, 12*time.Second, 1); len(old.Missed) == 0 || old.Rows[0].OrderRightAfter < 5 {
-		t.Errorf("answers that never fade: %+v", old.Missed)
+		t.Errorf("answers that do not lose weight: missed bounds %+v", old.Missed)
 	}
 }
 
-// Guards that with processes an estimate rests on what others told: each of three is asked at its own nodes alone, so of
-// two in three the others know. When one of them turns slow its order is right again at all; where nothing is told it is not.
+// Guards that estimates of daemon processes use what other processes report. Each of three processes gets requests only for
+// its own third of the nodes, so it depends on the others for the rest. After a node slows down, the order becomes right
+// at all processes; if the processes exchange nothing, it does not.
 func TestProcessesTellEachOther(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes")
@@ -54,7 +55,7 @@
 	for _, alone := range []bool{false, true} {
 		opt := RealDefaults()
 		opt.Seeds, opt.Daemon, opt.Processes, opt.Groups, opt.HomeShare, opt.Decisions = []uint64{1}, daemon, 3, 3, 1, 1
-		opt.HalfLife, opt.Every = time.Second, 100*time.Millisecond // soon told, and soon right
+		opt.HalfLife, opt.Every = time.Second, 100*time.Millisecond // fast exchange and fast forgetting, to keep the test short
 		opt.WarmAnswers, opt.SettledChecks, opt.WatchDuration, opt.Alone = 100, 5, time.Minute, alone
 		if alone {
 			opt.WatchDuration = 3 * time.Second
@@ -68,7 +69,7 @@
 		}
 		r := rep.Rows[0]
 		if alone != (r.OrderRightAfter > opt.WatchDuration.Seconds()/2) {
-			t.Errorf("alone %v: the order was wrong until %.1f s of %v", alone, r.OrderRightAfter, opt.WatchDuration)
+			t.Errorf("alone %v: the order was wrong until %.1f s, of %v watched", alone, r.OrderRightAfter, opt.WatchDuration)
 		}
 		if r.Decisions != 3 || r.outcomes != 3*plansPerDecision*runsByProcess || r.Requests < 300 || r.Refused > r.Requests/10 || len(r.slept) == 0 || len(r.added) == 0 {
 			t.Errorf("%+v", r)
@@ -76,8 +77,8 @@
 	}
 }
 
-// A bound is missed, or not shown where the machine's part is as large: the excess of who knows all, and what is added to
-// requests at p90.
+// A bound that is not met counts as missed, but as not shown if the machine's noise can explain it: noise is the excess
+// of an estimator with true service times, and the time added to requests at p90.
 func TestNotShown(t *testing.T) {
 	for _, x := range []struct {
 		held            int
--- a/internal/testkit/experiment/costs/real.go
+++ b/internal/testkit/experiment/costs/real.go
@@ -12,50 +12,50 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The run with processes: figures of the virtual world, in milliseconds that are longer, so that what the machine
-// adds is a small part.
+// The run with processes has the figures of the virtual world, but service times are stretched, so that the time which the
+// machine adds is a small part of them.
 const (
-	serviceStretch      = 4.0 // of all services
-	workersPerNode      = 64  // of a node: they sleep
+	serviceStretch      = 4.0 // factor on all service times
+	workersPerNode      = 64  // many, because they only sleep
 	runsByProcess       = 1   // runs of each plan through a process
-	runsForHindsight    = 7   // further runs of each plan at the nodes themselves, past all processes
+	runsForHindsight    = 7   // further runs of each plan, sent directly to the nodes
 	decisionInterval    = 500 * time.Millisecond
 	runSpacing          = 40 * time.Millisecond
 	orderCheckInterval  = 100 * time.Millisecond
 	sleepProbe          = 10 * time.Millisecond
-	maxClientConns      = 128 // connections to one process
-	concurrentEstimates = 4   // that a daemon makes at once
+	maxClientConns      = 128 // to each process
+	concurrentEstimates = 4   // limit of each daemon
 	requestDeadline     = 5 * time.Second
-	maxNoiseShare       = 0.25       // of the mean service time, added at p90: above it the machine cannot show that an interval holds
-	planName            = "the-plan" // of procs
+	maxNoiseShare       = 0.25       // of the mean service time, added at p90; above it the coverage cannot be shown on this machine
+	planName            = "the-plan" // the default plan of package cluster
 	stretchedDeadline   = time.Duration(serviceStretch * float64(deadline))
 )
 
-// RealOptions are those of the run with processes of the built daemon.
+// RealOptions are the options of the run with daemon processes.
 type RealOptions struct {
 	Seeds         []uint64
-	Daemon        string // its path
+	Daemon        string // path of the daemon
 	Processes     int
-	Groups        int // of a node of each kind; one to a shard
-	WarmAnswers   int // answers that each process gives before the first question
-	Decisions     int // of each process, before a node turns slow
+	Groups        int // each has one node of each kind; each node is its own shard
+	WarmAnswers   int // answers that each process gives before the first decision
+	Decisions     int // of each process, before the slow node slows down
 	HalfLife      time.Duration
-	Every         time.Duration // between a process's rounds
+	Every         time.Duration // interval of a process's gossip rounds
 	Slow          float64
-	HomeShare     float64       // share of a process's requests that goes to the nodes of its home groups, of which it has two in eight
-	WatchDuration time.Duration // after the slowing
-	SettledChecks int           // the watch ends where the order was right at all processes for so many looks in turn; 0: it does not
-	Alone         bool          // the processes tell each other nothing
+	HomeShare     float64       // share of a process's requests to its home groups, a quarter of all groups but at least one
+	WatchDuration time.Duration // longest time for which the order is watched after the slowing
+	SettledChecks int           // the watch ends early after so many successive right orders at every process; 0: never
+	Alone         bool          // the processes exchange no observations
 	Log           logrus.FieldLogger
 }
 
-// RealDefaults are the figures.
+// RealDefaults returns the options for which the required bounds apply.
 func RealDefaults() RealOptions {
 	return RealOptions{Processes: processCount, Groups: nodeCount / nodesPerShard, WarmAnswers: 500, Decisions: 16, HalfLife: 1500 * time.Millisecond,
 		Every: 500 * time.Millisecond, Slow: 5, HomeShare: homeShare, WatchDuration: 8 * time.Second}
 }
 
-// RunReal plays the seeds, one after the other.
+// RunReal runs the seeds one after the other.
 func RunReal(ctx context.Context, opt RealOptions) (*RealReport, error) {
 	rep := &RealReport{Processes: opt.Processes, Nodes: opt.Groups * nodesPerShard, HalfLife: opt.HalfLife.Seconds(),
 		Every: opt.Every.Seconds(), Slow: opt.Slow, Alone: opt.Alone}
@@ -77,7 +77,7 @@
 	return rep, nil
 }
 
-// measureSleepOverrun measures what this machine adds to a sleep, until the context ends.
+// measureSleepOverrun measures by how much sleeps overrun on this machine, until the context ends.
 func (w *processWorld) measureSleepOverrun(ctx context.Context) {
 	for ctx.Err() == nil {
 		begin := time.Now()
@@ -96,7 +96,7 @@
 		least := slices.Min(w.answersGiven)
 		w.mu.Unlock()
 		if least < w.opt.WarmAnswers {
-			return fmt.Errorf("one has given %d answers", least)
+			return fmt.Errorf("a process has given only %d answers", least)
 		}
 		for p := range w.opt.Processes {
 			r, err := w.estimate(ctx, p, w.singleReads())
@@ -105,7 +105,7 @@
 			}
 			for _, a := range r.Plans {
 				if !w.opt.Alone && a.Basis.Origins < 1 {
-					return fmt.Errorf("process %d has heard nothing of %s", p, a.Name)
+					return fmt.Errorf("process %d has no observations of other processes about node %s", p, a.Name)
 				}
 			}
 		}
--- a/internal/testkit/experiment/costs/real_decisions.go
+++ b/internal/testkit/experiment/costs/real_decisions.go
@@ -11,7 +11,8 @@
 	"wheatsaddle/internal/cost"
 )
 
-// execute runs a step as requests and returns its work, its end and whether a part was refused.
+// execute runs a step as requests and returns its work, its end and whether a part was refused. Each request gets a seed
+// that is derived from requestSeed and its position in the plan.
 func execute(request func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) played {
 	if s.Work != nil {
 		took, ok := request(s.Work.Shard, s.Work.Units, requestSeed)
@@ -47,11 +48,11 @@
 	return sum
 }
 
-// planRuns are the outcomes of a question's plans, by plan and run.
+// planRuns are the outcomes of a decision's plans, by plan and run.
 type planRuns [plansPerDecision][runsByProcess + runsForHindsight]played
 
-// decidePlans has a process choose among plans, and runs all of them through it. For the cost in hindsight each plan
-// is also run at the nodes themselves, where no process learns from it.
+// decidePlans has a process rank plans, and runs all of them through the process. For the cost in hindsight each plan
+// is also run directly at the nodes, where no process learns from it.
 func (w *processWorld) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
 	var estimators [estimatorCount]*cost.Estimator
 	for k := range estimators {
@@ -60,7 +61,7 @@
 			return err
 		}
 	}
-	time.Sleep(decisionInterval * time.Duration(p) / time.Duration(w.opt.Processes)) // so that the processes do not decide at one instant
+	time.Sleep(decisionInterval * time.Duration(p) / time.Duration(w.opt.Processes)) // so that the processes do not decide at the same time
 	next := time.NewTicker(decisionInterval)
 	defer next.Stop()
 	for range w.opt.Decisions {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// runPlans runs each plan once for each luck: the first runs through the process, the others at the nodes.
+// runPlans runs each plan once for each seed: the first runs go through the process, the others directly to the nodes.
 func (w *processWorld) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
 	var all sync.WaitGroup
 	for n := range requestSeeds {
@@ -143,7 +144,7 @@
 	r.outcomes += plansPerDecision * runsByProcess
 }
 
-// cheapestByTrueTimes is the plan that is cheapest by the nodes' true service times.
+// cheapestByTrueTimes is the index of the plan that is cheapest by the nodes' true service times, which no estimator knows.
 func (w *processWorld) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
 	var costs [plansPerDecision]float64
 	draw := func(n int, units float64, requestSeed uint64) (float64, bool) {
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -14,7 +14,7 @@
 	"wheatsaddle/internal/cost"
 )
 
-// encodeQuestion encodes plans for the daemon's estimate call.
+// encodeQuestion encodes the body of a request to the daemon's estimate endpoint.
 func encodeQuestion(plans []cost.Plan, deadline time.Duration) ([]byte, error) {
 	var step func(s *cost.Step) map[string]any
 	list := func(all []cost.Step) (out []map[string]any) {
@@ -43,7 +43,7 @@
 	return json.Marshal(map[string]any{"plans": all, "deadline_ms": millis(deadline)})
 }
 
-// estimate asks a process for its estimate of plans, and again while the process has no time for it.
+// estimate requests the estimates of plans from a process, and retries while the process is too busy to answer.
 func (w *processWorld) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
 	body, err := encodeQuestion(plans, stretchedDeadline)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// postQuestion sends one estimate call to a process.
+// postQuestion sends one request to the estimate endpoint of a process.
 func (w *processWorld) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fleet.AdminAddress(p)+"/api/estimate", bytes.NewReader(body))
 	if err != nil {
@@ -86,7 +86,8 @@
 	return resp.StatusCode, text, err
 }
 
-// baselineRankings are the rankings by the other estimators, from what is known at a process and in the fleet.
+// baselineRankings are the rankings by the other two estimators: from the answers of all processes, and from those of
+// process p.
 func (w *processWorld) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
 	w.mu.Lock()
 	now := time.Since(w.startedAt)
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -39,7 +39,8 @@
 	return false, nil
 }
 
-// watchOrder slows the slow node, checks each process's order from then on, and returns when a wrong one was last seen.
+// watchOrder slows the slow node down, checks the order at each process from then on, and returns the time after the
+// slowing at which a wrong order was last seen.
 func (w *processWorld) watchOrder(ctx context.Context) (time.Duration, error) {
 	w.slowed.Store(true)
 	slowedAt := time.Now()
--- a/internal/testkit/experiment/costs/real_report.go
+++ b/internal/testkit/experiment/costs/real_report.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Noise is what the machine adds, in milliseconds.
+// Noise has the percentiles of the time that the machine adds, in milliseconds.
 type Noise struct {
 	P50 float64 `json:"p50_ms"`
 	P90 float64 `json:"p90_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// RealRow is one seed; the last of a report is over all seeds.
+// RealRow is the result of one seed. The last row of a report is over all seeds.
 type RealRow struct {
 	Row
-	Requests int     `json:"requests"`
-	Refused  int     `json:"refused"` // of those, not served
-	Busy     int     `json:"busy"`    // estimates that a process had no time for, and was asked again
-	Added    Noise   `json:"added"`   // to a request's drawn service, until its client had the answer
-	Slept    Noise   `json:"slept"`   // longer than was asked for, by a sleep of 10 ms of this program
+	Requests int     `json:"requests"` // through processes
+	Refused  int     `json:"refused"`  // requests that were not served
+	Busy     int     `json:"busy"`     // estimates that were requested again because the process was too busy
+	Added    Noise   `json:"added"`    // response time at the client minus the drawn service time of the request
+	Slept    Noise   `json:"slept"`    // overrun of sleeps of 10 ms in this process
 	Took     float64 `json:"took_s"`
-	// Known is the excess of who knows the nodes' true lines: what the machine alone makes of it.
+	// ExcessKnowingAll is the excess of an estimator that knows the nodes' true service times: the part that noise alone causes.
 	ExcessKnowingAll float64 `json:"excess_knowing_all"`
-	knownCost        float64 // summed cost
+	knownCost        float64 // summed cost of the plans that such an estimator chooses
 	added            []float64
 	slept            []float64
 }
 
-// RealReport is the result.
+// RealReport is the result of a run with processes.
 type RealReport struct {
 	Processes int       `json:"processes"`
 	Nodes     int       `json:"nodes"`
@@ -39,16 +39,17 @@
 	Alone     bool      `json:"alone"`
 	Rows      []RealRow `json:"rows"`
 	Missed    []string  `json:"missed"`
-	Unshown   []string  `json:"unshown"` // bounds that are missed by no more than what the machine adds
+	Unshown   []string  `json:"unshown"` // bounds that are missed by no more than the machine's noise
 }
 
-// judge completes the rows and lists the bounds that are missed, and those that the machine's noise hides.
+// judge computes the figures of the rows and lists the bounds that are missed, and those for which the machine's noise is
+// too large to show whether they are met.
 func (rep *RealReport) judge() {
 	for i := range rep.Rows {
 		r := &rep.Rows[i]
 		r.computeShares()
 		r.Added, r.Slept, r.ExcessKnowingAll = noisePercentiles(r.added), noisePercentiles(r.slept), r.knownCost/r.bestCost[0]-1
-		withoutNoise := r.Row // what is left without what the machine makes of any choice, and of times
+		withoutNoise := r.Row // the row with the effects of noise on costs and times removed
 		for k := range estimatorCount {
 			withoutNoise.Excess[k] = max(0, r.Excess[k]-r.ExcessKnowingAll)
 		}
@@ -86,7 +87,7 @@
 	return Noise{at(0.5), at(0.9), at(0.99)}
 }
 
-// Print writes the table.
+// Print writes the table and the bounds that are missed or not shown.
 func (rep *RealReport) Print(out io.Writer) error {
 	told := "what all tell"
 	if rep.Alone {
--- a/internal/testkit/experiment/costs/real_requests.go
+++ b/internal/testkit/experiment/costs/real_requests.go
@@ -10,19 +10,19 @@
 	"wheatsaddle/internal/testkit/client"
 )
 
-// requestIDFormat carries a request's units and luck in its id, because daemons send their nodes no IO-Info.
-const requestIDFormat = "%016x-%x-%x" // luck, units, number
+// requestIDFormat encodes a request's seed and units in its id, because daemons send no IO-Info header to nodes.
+const requestIDFormat = "%016x-%x-%x" // seed, units, sequence number
 
-// decodeRequestID reads the units and the luck from a request's id.
+// decodeRequestID decodes the units and the seed from a request's id.
 func decodeRequestID(id string) (units float64, requestSeed uint64) {
 	var n, seq uint64
 	if _, err := fmt.Sscanf(id, requestIDFormat, &requestSeed, &n, &seq); err != nil {
-		panic(err) // this package made the id
+		panic(err) // cannot happen: sendRequest built the id
 	}
 	return float64(n), requestSeed
 }
 
-// sendRequest sends one request and returns its time in milliseconds, and whether it was served.
+// sendRequest sends one request and returns its response time in milliseconds, and whether it was served.
 func (w *processWorld) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
 	seq := w.lastRequestNumber.Add(1)
 	m := client.Message{ID: fmt.Sprintf(requestIDFormat, requestSeed, int(units), seq), Class: class, Plan: planName, Extent: fmt.Sprintf("%016x", seq),
@@ -32,7 +32,7 @@
 	return millis(a.Ended.Sub(begin)), a.Outcome == client.Served
 }
 
-// requestFromNode sends a request to a node itself, past all processes.
+// requestFromNode sends a request directly to a node.
 func (w *processWorld) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
 	return w.sendRequest(w.nodePools[n], n, units, requestSeed)
 }
@@ -58,7 +58,7 @@
 	return took, true
 }
 
-// generateLoad sends requests through a process at the configured rate until the context ends.
+// generateLoad sends requests through a process at requestsPerSecond until the context ends.
 func (w *processWorld) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_world.go
@@ -27,7 +27,7 @@
 	opt               RealOptions
 	fleet             *cluster.Fleet
 	nodes             []simulatedNode
-	slowed            atomic.Bool    // the slow node has turned slow
+	slowed            atomic.Bool    // the slow node has slowed down
 	processPools      []*client.Pool // to each process
 	nodePools         []*client.Pool // to each node
 	adminClient       *http.Client
@@ -35,7 +35,7 @@
 	lastRequestNumber atomic.Uint64
 
 	mu             sync.Mutex // guards the fields below
-	ownAnswers     []answers  // answers as each process's own clients saw them
+	ownAnswers     []answers  // answers to the clients of each process
 	allAnswers     answers    // answers of all processes together
 	answersGiven   []int      // number of answers of each process
 	row            RealRow
@@ -43,13 +43,13 @@
 	err            error
 }
 
-// server is one simulated storage node.
+// simulatedNode is one simulated storage node.
 type simulatedNode struct {
 	kind   int
-	factor float64 // its own factor on the service time of its kind
+	factor float64 // of this node, on the service time of its kind
 }
 
-// answers are the observations of one observer, with one slot for each node.
+// answers are the observations of one observer, with one recorder for each node.
 type answers struct {
 	state *nodestats.State
 	slots []*nodestats.Recorder
@@ -130,7 +130,7 @@
 	return a, err
 }
 
-// daemonSettings are the daemons' settings that differ from those of procs.
+// daemonSettings are the daemons' settings that differ from the defaults of package cluster.
 func daemonSettings() map[string]any {
 	return map[string]any{"ceilings": map[string]any{"peers": true}, "extra": map[string]any{"usual-units": (1 + maxUnits) / 2.0, "largest": maxUnits},
 		"profiles": []map[string]any{{"name": class, "goal-time": requestDeadline.Milliseconds() / 2, "deadline": requestDeadline.Milliseconds(), "worth": 2,
@@ -159,7 +159,7 @@
 	w.fleet.Close()
 }
 
-// meanServiceTime is a node's mean service time now, in milliseconds, for a request of so many units.
+// meanServiceTime is a node's current mean service time, in milliseconds, for a request of so many units.
 func (w *processWorld) meanServiceTime(n int, units float64) float64 {
 	x := w.nodes[n]
 	m := serviceStretch * (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
@@ -169,11 +169,11 @@
 	return m
 }
 
-// slowNode is the node that turns slow.
+// slowNode is the index of the node that slows down.
 func (w *processWorld) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
 
-// drawServiceTime is a node's service time for a request, in milliseconds. The luck belongs to the request and is the
-// same at each node, so that plans for the same work differ only by their nodes and by what the machine adds.
+// drawServiceTime draws a node's service time for a request, in milliseconds. The seed belongs to the request and is the
+// same at each node, so that plans for the same work differ only by their nodes and by the noise of the machine.
 func (w *processWorld) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
 	z := rand.New(rand.NewPCG(requestSeed, 26)).NormFloat64()
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/world.go
@@ -13,32 +13,35 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// The world, in milliseconds: a node has workers that take steps in turn, and a step's service is its
-// line's, times the node's own factor, times a lognormal.
+// The simulated world. Times are milliseconds. A node has workers that process steps in order of arrival. The service time of
+// a step is a linear function of its units, by the kind of the node, times the factor of the node, times a lognormal value.
 const (
 	processCount      = 8
 	nodeCount         = 24
-	nodesPerShard     = 3 // one of each kind
-	workers           = 4
-	nodeSpread        = 0.15 // of nodes of one kind
-	serviceSpread     = 0.5  // spread over mean of a service
-	homeShare         = 0.7  // of a process's requests go to its two home shards
-	requestsPerSecond = 100.0
+	nodesPerShard     = 3     // one of each kind
+	workers           = 4     // of a node
+	nodeSpread        = 0.15  // standard deviation of the logarithm of the factors of nodes
+	serviceSpread     = 0.5   // standard deviation of a service time, relative to its mean
+	homeShare         = 0.7   // share of a process's requests that goes to its two home shards; the others go to any shard
+	requestsPerSecond = 100.0 // of each process
 	maxUnits          = 8
 	class             = "read"
 )
 
+// kinds are the kinds of nodes; the mean service time is level plus unit for each unit of the request.
 var kinds = [nodesPerShard]struct {
 	name        string
 	level, unit float64
 }{{"flash", 2, 0.5}, {"mixed", 4, 1}, {"disk", 7, 1.6}}
 
+// event is an action at a time; order is the order of events at the same time.
 type event struct {
 	at     float64
 	order  int
 	action func()
 }
 
+// eventQueue is a heap of events.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -54,28 +57,32 @@
 	return e
 }
 
+// node is one simulated storage node.
 type node struct {
 	kind   int
 	factor float64
-	freeAt [workers]float64 // when each worker has done what it has
+	freeAt [workers]float64 // time at which each worker has finished its steps
 }
 
+// meanServiceTime is the true mean service time of a request of so many units.
 func (x *node) meanServiceTime(units float64) float64 {
 	return (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
 }
 
-// process is one scheduler: what it saw alone, and what it shares with the others, in the daemon's own state.
+// process is one scheduler: the state from its own answers, and the state that it exchanges with the others. Both use the
+// daemon's implementation.
 type process struct {
 	own, shared *nodestats.State
 	recorders   [nodeCount][2]*nodestats.Recorder
 }
 
+// world is the simulated fleet and its event loop.
 type world struct {
 	now       float64
 	seq       int
 	events    eventQueue
 	rng       *rand.Rand
-	gossipRNG *rand.Rand // of the rounds: who asks whom
+	gossipRNG *rand.Rand // order in which processes contact each other
 	nodes     [nodeCount]node
 	processes [processCount]process
 }
@@ -105,13 +112,13 @@
 	return w, nil
 }
 
-// round is what internal/gossip does: the process asks the next of the others, in a drawn order, and each gives the other
-// what it lacks.
+// gossipRound is a round of a process, like those of internal/gossip: the process contacts the next of the others, in a
+// random order, and each sends the other what it lacks.
 func (w *world) gossipRound(p int, every float64, peers []int) {
 	if len(peers) == 0 {
 		peers = w.gossipRNG.Perm(processCount)
 	}
-	w.processes[p].own.Digest(w.time()) // it looks at its own slots as often
+	w.processes[p].own.Digest(w.time()) // publishes new answers as often as the shared state does
 	if q := peers[0]; q != p {
 		a, b := w.processes[p].shared, w.processes[q].shared
 		w.sendMissing(a, b)
@@ -120,7 +127,7 @@
 	w.schedule(every, func() { w.gossipRound(p, every, peers[1:]) })
 }
 
-// give gives b what a holds and b lacks. A failure would be a defect of the state, which has tests of its own.
+// sendMissing sends b what a holds and b lacks. An error would be a defect of nodestats, which has its own tests.
 func (w *world) sendMissing(a, b *nodestats.State) {
 	messages, err := a.Diff(w.time(), b.Digest(w.time()))
 	for _, m := range messages {
@@ -135,14 +142,16 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// arrivalGap draws the time to the next request of a process.
 func (w *world) arrivalGap() float64 { return w.rng.ExpFloat64() * 1000 / requestsPerSecond }
 
+// schedule runs an action after a time.
 func (w *world) schedule(wait float64, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + wait, w.seq, do})
 }
 
-// run plays to the given time.
+// runUntil runs all events up to the given time.
 func (w *world) runUntil(until float64) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -152,8 +161,8 @@
 	w.now = until
 }
 
-// out is how long a step that comes now is out at a node: its wait for a worker and its service. One that
-// is taken holds the worker; a trial only looks.
+// responseTime is the time of a step that arrives at a node now: the wait for a worker and the service time. The step
+// occupies the worker only if occupy is set; a trial execution does not.
 func (w *world) responseTime(n int, units float64, occupy bool) float64 {
 	x := &w.nodes[n]
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
@@ -171,7 +180,7 @@
 	return begin + service - w.now
 }
 
-// arrive is a request of one process, the traffic that all lines are learned from.
+// arrive sends one request of a process. The estimators learn from this traffic.
 func (w *world) arrive(p int) {
 	w.schedule(w.arrivalGap(), func() { w.arrive(p) })
 	shards := nodeCount / nodesPerShard
@@ -190,7 +199,7 @@
 
 func nodeName(n int) string { return fmt.Sprintf("n-%02d", n) }
 
-// flat is what "fleet mean" knows: each node has the fleet's answers.
+// fleetMeanViews are the views of the estimator "fleet mean": each node has the mean of the fleet's observations.
 func fleetMeanViews(views []nodestats.View) []nodestats.View {
 	var all nodestats.Sums
 	n := 0.0
@@ -209,14 +218,14 @@
 	return out
 }
 
-// played is what came of a plan once.
+// played is the outcome of one execution of a plan.
 type played struct {
 	work, end float64
-	refused   bool // a step of it; in virtual time none is
+	refused   bool // a step was refused; none is in virtual time
 }
 
-// play tries a plan in the world as it is, from now on; it takes nothing from anybody, so that every plan of
-// a decision, and the traffic, meet the same nodes.
+// playPlan executes a plan from now on without occupying workers, so that all plans of a decision, and the traffic, find the
+// nodes in the same state.
 func (w *world) playPlan(root *cost.Step, done func(played)) {
 	begin := w.now
 	var p played
@@ -226,7 +235,7 @@
 	})
 }
 
-// step calls done with the time of its end, at that time or as soon as it is known.
+// playStep executes a step and calls done with the time of its end, at that time or as soon as the time is known.
 func (w *world) playStep(s *cost.Step, p *played, done func(end float64)) {
 	if s.Work != nil {
 		n := 10*int(s.Work.Node[2]-'0') + int(s.Work.Node[3]-'0')
@@ -257,6 +266,7 @@
 	}
 }
 
+// playChain executes steps one after the other.
 func (w *world) playChain(steps []cost.Step, p *played, done func(end float64)) {
 	w.playStep(&steps[0], p, func(end float64) {
 		if len(steps) == 1 {
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -49,9 +49,13 @@
 
 // Verdict counts the incorrect rows of an answer.
 type Verdict struct {
-	Wrong   int `json:"wrong"`   // not a row of the requested shards, out of order, beyond the limit, or older than the version in a part that was read
-	Doubled int `json:"doubled"` // its key was already sent
-	Lost    int `json:"lost"`    // missing although the answer claims to be whole, or although it does not name the parts that hold the row
+	// Wrong rows are not rows of the requested shards, out of order, beyond the limit, or an older version than a part that
+	// was read holds.
+	Wrong int `json:"wrong"`
+	// Doubled rows have a key that was already sent.
+	Doubled int `json:"doubled"`
+	// Lost rows are missing although the answer claims to be whole, or does not name the parts that hold them.
+	Lost int `json:"lost"`
 }
 
 func (v *Verdict) add(o Verdict) {
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -218,10 +218,12 @@
 
 // Parts counts the requests for parts at the nodes.
 type Parts struct {
-	Asked             int `json:"asked"`
-	Delegated         int `json:"handed_on"` // requests from processes to which the part was delegated
-	Retried           int `json:"again"`     // requests that follow a failed one: the node closed the connection or stalled, or the requesting process disconnected
-	RetriedAtSameNode int `json:"same_node"` // retried requests whose first node is the last node of the failed one
+	Asked     int `json:"asked"`
+	Delegated int `json:"handed_on"` // from processes to which the part was delegated
+	// Retried requests follow one that failed at its last node: the node closed the connection or stalled, or the requesting
+	// process disconnected.
+	Retried           int `json:"again"`
+	RetriedAtSameNode int `json:"same_node"` // retried requests that began at that node
 }
 
 // countParts counts by the ids of the requests: READ/PART/COPY, or READ/GROUP/COPY/PART/COPY, where the first COPY is 1 if a
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -23,7 +23,7 @@
 	Whole         [2]float64     `json:"whole_p50_p99"`     // until the end, of whole reads
 	MostRowsShare float64        `json:"share_most_rows"`   // share of reads that received 95% of the rows
 	Parts         Parts          `json:"parts"`
-	SendLateness  float64        `json:"sent_late_p99"` // lateness of the client itself; if it is high, the machine is busy and the other times are less reliable
+	SendLateness  float64        `json:"sent_late_p99"` // the client's own lateness; if high, the other times are less reliable
 	Verdict       Verdict        `json:"verdict"`
 	Faults        faultCounts    `json:"faults"`
 	Examples      []string       `json:"examples,omitempty"` // descriptions of reads with incorrect rows or with the end "failed"
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -196,7 +196,7 @@
 			a.nextSurge(a.surge.to + a.rng.ExpFloat64()*a.shape.Surges.Every)
 		}
 		rate, until := a.rate(a.now)
-		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // rounding may put the end of a step at now, which would loop forever
+		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // rounding may put the step's end at now: endless loop
 		if step := need / rate; rate > 0 && a.now+step < until {
 			a.now += step
 			break
