--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -2,7 +2,7 @@
 // answers, and 24 nodes of three kinds of hardware, one of which becomes five times slower. At each decision one
 // process gets several plans for one piece of work and three estimates of their costs: from the mean of the fleet, from
 // its own answers alone, and from the answers that all processes report, pooled from node to type to fleet. Every plan is
-// then executed in the same simulated world. This shows which plan is cheapest in hindsight, and whether its end lies within
+// then executed in the same simulated fleet. This shows which plan is cheapest in hindsight, and whether its end lies within
 // the estimated interval.
 //
 // RunReal is the same with daemon processes and simulated nodes, in real time: estimates come from the admin endpoints and
@@ -38,7 +38,7 @@
 	decisionIntervalMillis = 100.0            // between decisions
 	settleMillis           = 5000.0           // after the slowing; the order must be right again by then
 	deadline               = 150 * time.Millisecond
-	playsPerPlan           = 80 // executions of a plan whose mean is its cost in hindsight
+	executionsPerPlan      = 80 // executions of a plan whose mean is its cost in hindsight
 	plansPerDecision       = 4
 	slowNode               = 3 * 2 // a node of the fastest kind, because it has to move furthest in the order
 	clearRatio             = 1.25  // smallest ratio of true mean service times for which the order of two nodes is checked
@@ -100,9 +100,9 @@
 	rows := make([]Row, len(opt.Seeds))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	for i, seed := range opt.Seeds { // each has its own world
+	for i, seed := range opt.Seeds { // each has its own simulation
 		group.Go(func() (err error) {
-			rows[i], err = playVirtualSeed(seed, opt)
+			rows[i], err = runVirtualSeed(seed, opt)
 			return err
 		})
 	}
@@ -179,15 +179,15 @@
 
 // decision is a decision whose plans are being executed.
 type decision struct {
-	firstPlans [estimatorCount]int       // the plan that each estimator ranks first
-	costs      [plansPerDecision]float64 // mean costs of the plans
-	playsLeft  int
+	firstPlans     [estimatorCount]int       // the plan that each estimator ranks first
+	costs          [plansPerDecision]float64 // mean costs of the plans
+	executionsLeft int
 }
 
-// playVirtualSeed runs one seed in virtual time.
-func playVirtualSeed(seed uint64, opt Options) (Row, error) {
+// runVirtualSeed runs one seed in virtual time.
+func runVirtualSeed(seed uint64, opt Options) (Row, error) {
 	r := Row{Seed: seed}
-	w, err := newWorld(seed, opt)
+	w, err := newSimulation(seed, opt)
 	if err != nil {
 		return r, err
 	}
@@ -218,7 +218,7 @@
 }
 
 // orderWrong reports whether any process ranks the slow node on the wrong side of a node from which it clearly differs.
-func (w *world) orderWrong(e *cost.Estimator) bool {
+func (w *simulation) orderWrong(e *cost.Estimator) bool {
 	const units = (1 + maxUnits) / 2.0
 	slow := w.nodes[slowNode].meanServiceTime(units)
 	for p := range processCount {
@@ -236,7 +236,7 @@
 
 // decide lets a random process rank plans with each estimator, and starts the executions of all plans. The costs are added to
 // the row when the last execution ends.
-func (w *world) decide(r *Row, estimators *[estimatorCount]*cost.Estimator, slowing bool) error {
+func (w *simulation) decide(r *Row, estimators *[estimatorCount]*cost.Estimator, slowing bool) error {
 	p := w.rng.IntN(processCount)
 	shared := w.processes[p].shared.Views(w.time())
 	estimators[pooled].SetViews(shared)
@@ -245,7 +245,7 @@
 	plans := drawPlans(w.rng, nodeCount/nodesPerShard, func(n int, units float64) *cost.Work {
 		return &cost.Work{Shard: n / nodesPerShard, Class: class, Units: units, Node: nodeName(n)}
 	})
-	d := &decision{playsLeft: plansPerDecision * playsPerPlan}
+	d := &decision{executionsLeft: plansPerDecision * executionsPerPlan}
 	var bounds [estimatorCount][plansPerDecision][2]float64
 	for k, e := range estimators {
 		got, err := e.Estimate(plans, deadline)
@@ -263,9 +263,9 @@
 		phase = 1
 	}
 	for i := range plans {
-		for n := range playsPerPlan {
-			w.playPlan(&plans[i].Root, func(got played) {
-				d.costs[i] += got.cost(millis(deadline)) / playsPerPlan
+		for n := range executionsPerPlan {
+			w.executePlan(&plans[i].Root, func(got execution) {
+				d.costs[i] += got.cost(millis(deadline)) / executionsPerPlan
 				if n == 0 && !slowing {
 					r.outcomes++
 					for k := range estimatorCount {
@@ -274,7 +274,7 @@
 						}
 					}
 				}
-				if d.playsLeft--; d.playsLeft == 0 {
+				if d.executionsLeft--; d.executionsLeft == 0 {
 					r.bestCost[phase] += slices.Min(d.costs[:])
 					for k, f := range d.firstPlans {
 						r.chosenCost[phase][k] += d.costs[f]
@@ -295,7 +295,7 @@
 }
 
 // cost is the cost of an execution, by the prices with which the estimator ranks plans.
-func (p *played) cost(deadline float64) float64 {
+func (p *execution) cost(deadline float64) float64 {
 	prices := cost.Defaults(class).Prices
 	c := prices.Work*p.work + prices.End*p.end
 	if p.refused || p.end > deadline {
@@ -356,6 +356,7 @@
 
 func table(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
+// label is the row's name in the table.
 func (r *Row) label() string {
 	if r.Seed == 0 {
 		return "all"
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -16,30 +16,30 @@
 // Guards the bounds of the estimate with two of the ten seeds, that a seed always gives the same result, and that a missed
 // bound is reported: if answers practically never lose weight, the order stays wrong.
 func TestBounds(t *testing.T) {
-	run := func(halfLife, span time.Duration, seeds ...uint64) *Report {
-		rep, err := Run(Options{Seeds: seeds, For: span, HalfLife: halfLife, Every: 500 * time.Millisecond, Slow: 5})
+	runSeeds := func(halfLife, length time.Duration, seeds ...uint64) *Report {
+		rep, err := Run(Options{Seeds: seeds, For: length, HalfLife: halfLife, Every: 500 * time.Millisecond, Slow: 5})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return rep
 	}
-	rep := run(1500*time.Millisecond, 30*time.Second, 1, 2)
+	rep := runSeeds(1500*time.Millisecond, 30*time.Second, 1, 2)
 	if len(rep.Missed) > 0 || rep.Rows[2].Decisions < 590 {
 		t.Errorf("%+v", rep)
 	}
-	one := run(1500*time.Millisecond, 12*time.Second, 3)
-	if again := run(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(one, again) {
+	first := runSeeds(1500*time.Millisecond, 12*time.Second, 3)
+	if second := runSeeds(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(first, second) {
 		t.Error("the same seed gave different results")
 	}
-	if old := run(10*time.Minute, 12*time.Second, 1); len(old.Missed) == 0 || old.Rows[0].OrderRightAfter < 5 {
-		t.Errorf("answers that do not lose weight: missed bounds %+v", old.Missed)
+	if unfading := runSeeds(10*time.Minute, 12*time.Second, 1); len(unfading.Missed) == 0 || unfading.Rows[0].OrderRightAfter < 5 {
+		t.Errorf("answers that do not lose weight: missed bounds %+v", unfading.Missed)
 	}
 }
 
 // Guards that estimates of daemon processes use what other processes report. Each of three processes gets requests only for
 // its own third of the nodes, so it depends on the others for the rest. After a node slows down, the order becomes right
 // at all processes; if the processes exchange nothing, it does not.
-func TestProcessesTellEachOther(t *testing.T) {
+func TestProcessesExchangeObservations(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes")
 	}
@@ -60,9 +60,9 @@
 		if alone {
 			opt.WatchDuration = 3 * time.Second
 		}
-		quiet := logrus.New()
-		quiet.SetOutput(io.Discard)
-		opt.Log = quiet
+		log := logrus.New()
+		log.SetOutput(io.Discard)
+		opt.Log = log
 		rep, err := RunReal(ctx, opt)
 		if err != nil {
 			t.Fatal(err)
@@ -79,12 +79,12 @@
 
 // A bound that is not met counts as missed, but as not shown if the machine's noise can explain it: noise is the excess
 // of an estimator with true service times, and the time added to requests at p90.
-func TestNotShown(t *testing.T) {
+func TestBoundsHiddenByNoise(t *testing.T) {
 	for _, x := range []struct {
-		held            int
-		chosen, known   float64
-		added           float64
-		missed, unshown int
+		covered               int
+		chosenCost, knownCost float64
+		added                 float64
+		missed, hidden        int
 	}{
 		{90, 100, 100, 1, 0, 0},
 		{80, 100, 100, 1, 1, 0},
@@ -95,11 +95,11 @@
 		{90, 107, 101, 20, 1, 0},
 		{80, 107, 103, 1, 1, 1},
 	} {
-		r := RealRow{Row: Row{Seed: 1, outcomes: 100, bestCost: [2]float64{100}}, knownCost: x.known, added: []float64{x.added}}
-		r.covered[pooled], r.chosenCost[0] = x.held, [estimatorCount]float64{x.chosen, 200, 200}
+		r := RealRow{Row: Row{Seed: 1, outcomes: 100, bestCost: [2]float64{100}}, knownCost: x.knownCost, added: []float64{x.added}}
+		r.covered[pooled], r.chosenCost[0] = x.covered, [estimatorCount]float64{x.chosenCost, 200, 200}
 		rep := &RealReport{Rows: []RealRow{r}}
 		rep.judge()
-		if len(rep.Missed) != x.missed || len(rep.Unshown) != x.unshown {
+		if len(rep.Missed) != x.missed || len(rep.Unshown) != x.hidden {
 			t.Errorf("%+v: missed %q, not shown %q", x, rep.Missed, rep.Unshown)
 		}
 	}
--- a/internal/testkit/experiment/costs/real.go
+++ b/internal/testkit/experiment/costs/real.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The run with processes has the figures of the virtual world, but service times are stretched, so that the time which the
+// The run with processes has the figures of the simulated fleet, but service times are stretched, so that the time which the
 // machine adds is a small part of them.
 const (
 	serviceStretch      = 4.0 // factor on all service times
@@ -62,7 +62,7 @@
 	var sum RealRow
 	for _, seed := range opt.Seeds {
 		opt.Log.WithField("seed", seed).Info("playing")
-		r, err := playSeed(ctx, opt, seed)
+		r, err := runRealSeed(ctx, opt, seed)
 		if err != nil {
 			return nil, err
 		}
@@ -78,7 +78,7 @@
 }
 
 // measureSleepOverrun measures by how much sleeps overrun on this machine, until the context ends.
-func (w *processWorld) measureSleepOverrun(ctx context.Context) {
+func (w *testbed) measureSleepOverrun(ctx context.Context) {
 	for ctx.Err() == nil {
 		begin := time.Now()
 		time.Sleep(sleepProbe)
@@ -90,13 +90,13 @@
 }
 
 // waitUntilLearned waits until each process has answered enough requests, and its estimates use what others reported.
-func (w *processWorld) waitUntilLearned(ctx context.Context) error {
+func (w *testbed) waitUntilLearned(ctx context.Context) error {
 	return w.fleet.Wait(ctx, "the processes have learned", func() error {
 		w.mu.Lock()
-		least := slices.Min(w.answersGiven)
+		fewest := slices.Min(w.answerCounts)
 		w.mu.Unlock()
-		if least < w.opt.WarmAnswers {
-			return fmt.Errorf("a process has given only %d answers", least)
+		if fewest < w.opt.WarmAnswers {
+			return fmt.Errorf("a process has given only %d answers", fewest)
 		}
 		for p := range w.opt.Processes {
 			r, err := w.estimate(ctx, p, w.singleReads())
@@ -113,11 +113,11 @@
 	})
 }
 
-// playSeed runs one seed: it starts the world, waits for it to learn, decides plans, and watches the order after the
-// slowing.
-func playSeed(ctx context.Context, opt RealOptions, seed uint64) (row RealRow, err error) {
+// runRealSeed runs one seed: it starts the testbed, waits until the processes have learned, has them rank plans, and watches
+// the order after the slowing.
+func runRealSeed(ctx context.Context, opt RealOptions, seed uint64) (row RealRow, err error) {
 	start := time.Now()
-	w, err := newProcessWorld(ctx, opt, seed)
+	w, err := newTestbed(ctx, opt, seed)
 	if err != nil {
 		return row, err
 	}
--- a/internal/testkit/experiment/costs/real_decisions.go
+++ b/internal/testkit/experiment/costs/real_decisions.go
@@ -13,16 +13,16 @@
 
 // execute runs a step as requests and returns its work, its end and whether a part was refused. Each request gets a seed
 // that is derived from requestSeed and its position in the plan.
-func execute(request func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) played {
+func execute(request func(n int, units float64, requestSeed uint64) (float64, bool), s *cost.Step, requestSeed uint64) execution {
 	if s.Work != nil {
 		took, ok := request(s.Work.Shard, s.Work.Units, requestSeed)
-		return played{took, took, !ok}
+		return execution{took, took, !ok}
 	}
 	next := func(i int) uint64 { return rand.NewPCG(requestSeed, uint64(i)).Uint64() }
-	var sum played
+	var sum execution
 	for i := range s.Then {
 		got := execute(request, &s.Then[i], next(i))
-		sum = played{sum.work + got.work, sum.end + got.end, sum.refused || got.refused}
+		sum = execution{sum.work + got.work, sum.end + got.end, sum.refused || got.refused}
 	}
 	if s.Then != nil {
 		return sum
@@ -34,13 +34,13 @@
 	case s.Of != nil:
 		steps, k = s.Of.Steps, s.Of.K
 	}
-	got := make([]played, len(steps))
+	got := make([]execution, len(steps))
 	var all sync.WaitGroup
 	for i := range steps {
 		all.Go(func() { got[i] = execute(request, &steps[i], next(i)) })
 	}
 	all.Wait()
-	slices.SortFunc(got, func(a, b played) int { return cmp.Compare(a.end, b.end) })
+	slices.SortFunc(got, func(a, b execution) int { return cmp.Compare(a.end, b.end) })
 	for _, g := range got {
 		sum.work, sum.refused = sum.work+g.work, sum.refused || g.refused
 	}
@@ -49,11 +49,11 @@
 }
 
 // planRuns are the outcomes of a decision's plans, by plan and run.
-type planRuns [plansPerDecision][runsByProcess + runsForHindsight]played
+type planRuns [plansPerDecision][runsByProcess + runsForHindsight]execution
 
 // decidePlans has a process rank plans, and runs all of them through the process. For the cost in hindsight each plan
 // is also run directly at the nodes, where no process learns from it.
-func (w *processWorld) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
+func (w *testbed) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
 	var estimators [estimatorCount]*cost.Estimator
 	for k := range estimators {
 		var err error
@@ -91,7 +91,7 @@
 }
 
 // runPlans runs each plan once for each seed: the first runs go through the process, the others directly to the nodes.
-func (w *processWorld) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
+func (w *testbed) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
 	var all sync.WaitGroup
 	for n := range requestSeeds {
 		request := w.requestFromNode
@@ -114,7 +114,7 @@
 
 // recordDecision adds one decision to the row: the cost of the plan that each ranking put first, of the cheapest plan
 // by the true service times, and of the cheapest in hindsight, and whether the outcomes lay within the intervals.
-func (w *processWorld) recordDecision(rankings [estimatorCount]cost.Ranking, best int, runs planRuns) {
+func (w *testbed) recordDecision(rankings [estimatorCount]cost.Ranking, best int, runs planRuns) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &w.row
@@ -145,12 +145,12 @@
 }
 
 // cheapestByTrueTimes is the index of the plan that is cheapest by the nodes' true service times, which no estimator knows.
-func (w *processWorld) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
+func (w *testbed) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
 	var costs [plansPerDecision]float64
 	draw := func(n int, units float64, requestSeed uint64) (float64, bool) {
 		return w.drawServiceTime(n, units, requestSeed), true
 	}
-	for range playsPerPlan {
+	for range executionsPerPlan {
 		requestSeed := rng.Uint64()
 		for i := range plans {
 			got := execute(draw, &plans[i].Root, requestSeed)
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -44,7 +44,7 @@
 }
 
 // estimate requests the estimates of plans from a process, and retries while the process is too busy to answer.
-func (w *processWorld) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
+func (w *testbed) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
 	body, err := encodeQuestion(plans, stretchedDeadline)
 	if err != nil {
 		return r, err
@@ -72,7 +72,7 @@
 }
 
 // postQuestion sends one request to the estimate endpoint of a process.
-func (w *processWorld) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
+func (w *testbed) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fleet.AdminAddress(p)+"/api/estimate", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -88,13 +88,13 @@
 
 // baselineRankings are the rankings by the other two estimators: from the answers of all processes, and from those of
 // process p.
-func (w *processWorld) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
+func (w *testbed) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
 	w.mu.Lock()
 	now := time.Since(w.startedAt)
-	all, own := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
+	allViews, ownViews := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
 	w.mu.Unlock()
-	estimators[fleetMean].SetViews(fleetMeanViews(all))
-	estimators[ownOnly].SetViews(own)
+	estimators[fleetMean].SetViews(fleetMeanViews(allViews))
+	estimators[ownOnly].SetViews(ownViews)
 	for k := fleetMean; k < estimatorCount && err == nil; k++ {
 		got[k], err = estimators[k].Estimate(plans, stretchedDeadline)
 	}
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -11,7 +11,7 @@
 )
 
 // singleReads are plans of one read of mean size, one for each node.
-func (w *processWorld) singleReads() (plans []cost.Plan) {
+func (w *testbed) singleReads() (plans []cost.Plan) {
 	for n := range w.nodes {
 		plans = append(plans, cost.Plan{Name: nodeName(n), Root: cost.Step{Work: &cost.Work{Shard: n, Class: class, Units: (1 + maxUnits) / 2.0, Node: nodeName(n)}}})
 	}
@@ -19,7 +19,7 @@
 }
 
 // orderWrong reports whether a process ranks the slow node on the wrong side of a node from which it clearly differs.
-func (w *processWorld) orderWrong(ctx context.Context, p int) (bool, error) {
+func (w *testbed) orderWrong(ctx context.Context, p int) (bool, error) {
 	const units = (1 + maxUnits) / 2.0
 	r, err := w.estimate(ctx, p, w.singleReads())
 	if err != nil {
@@ -41,7 +41,7 @@
 
 // watchOrder slows the slow node down, checks the order at each process from then on, and returns the time after the
 // slowing at which a wrong order was last seen.
-func (w *processWorld) watchOrder(ctx context.Context) (time.Duration, error) {
+func (w *testbed) watchOrder(ctx context.Context) (time.Duration, error) {
 	w.slowed.Store(true)
 	slowedAt := time.Now()
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/testkit/experiment/costs/real_report.go
+++ b/internal/testkit/experiment/costs/real_report.go
@@ -89,12 +89,12 @@
 
 // Print writes the table and the bounds that are missed or not shown.
 func (rep *RealReport) Print(out io.Writer) error {
-	told := "what all tell"
+	exchange := "what all tell"
 	if rep.Alone {
-		told = "what each sees alone: nothing is told"
+		exchange = "what each sees alone: nothing is told"
 	}
 	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; %s; real time\n",
-		rep.Processes, rep.Nodes, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every, told)
+		rep.Processes, rep.Nodes, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every, exchange)
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\tknowing all\t| right after s\talike\t| requests\trefused\tbusy\tadded ms p50\tp90\tp99\tsleeps ms p50\tp99\t| took s")
 	for _, r := range rep.Rows {
--- a/internal/testkit/experiment/costs/real_requests.go
+++ b/internal/testkit/experiment/costs/real_requests.go
@@ -23,7 +23,7 @@
 }
 
 // sendRequest sends one request and returns its response time in milliseconds, and whether it was served.
-func (w *processWorld) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
+func (w *testbed) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
 	seq := w.lastRequestNumber.Add(1)
 	m := client.Message{ID: fmt.Sprintf(requestIDFormat, requestSeed, int(units), seq), Class: class, Plan: planName, Extent: fmt.Sprintf("%016x", seq),
 		Volume: fmt.Sprintf("%016x", seq%64), Units: units, Shard: n, Hosts: w.opt.Processes, Deadline: requestDeadline}
@@ -33,12 +33,12 @@
 }
 
 // requestFromNode sends a request directly to a node.
-func (w *processWorld) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
+func (w *testbed) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
 	return w.sendRequest(w.nodePools[n], n, units, requestSeed)
 }
 
 // requestFromProcess sends a request through a process and records the answer.
-func (w *processWorld) requestFromProcess(p, n int, units float64, requestSeed uint64) (took float64, served bool) {
+func (w *testbed) requestFromProcess(p, n int, units float64, requestSeed uint64) (took float64, served bool) {
 	slow := w.slowed.Load()
 	took, served = w.sendRequest(w.processPools[p], n, units, requestSeed)
 	w.mu.Lock()
@@ -48,7 +48,7 @@
 		w.row.Refused++
 		return took, false
 	}
-	w.answersGiven[p]++
+	w.answerCounts[p]++
 	now := time.Since(w.startedAt)
 	w.ownAnswers[p].record(now, n, units, took)
 	w.allAnswers.record(now, n, units, took)
@@ -59,7 +59,7 @@
 }
 
 // generateLoad sends requests through a process at requestsPerSecond until the context ends.
-func (w *processWorld) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
+func (w *testbed) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	home := max(w.opt.Groups/4, 1)
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_testbed.go
@@ -22,8 +22,8 @@
 	"wheatsaddle/internal/testkit/cluster"
 )
 
-// processWorld is a fleet of daemon processes and simulated storage nodes.
-type processWorld struct {
+// testbed is a fleet of daemon processes and simulated storage nodes.
+type testbed struct {
 	opt               RealOptions
 	fleet             *cluster.Fleet
 	nodes             []simulatedNode
@@ -37,7 +37,7 @@
 	mu             sync.Mutex // guards the fields below
 	ownAnswers     []answers  // answers to the clients of each process
 	allAnswers     answers    // answers of all processes together
-	answersGiven   []int      // number of answers of each process
+	answerCounts   []int      // number of answers of each process
 	row            RealRow
 	lastWrongOrder []time.Duration // for each process, the time after the slowing at which its order was last seen wrong
 	err            error
@@ -51,19 +51,19 @@
 
 // answers are the observations of one observer, with one recorder for each node.
 type answers struct {
-	state *nodestats.State
-	slots []*nodestats.Recorder
+	state     *nodestats.State
+	recorders []*nodestats.Recorder
 }
 
 // record adds the time of one answer of node n.
 func (a *answers) record(now time.Duration, n int, units, took float64) {
-	a.slots[n].Record(now, units, took, nodestats.Served)
+	a.recorders[n].Record(now, units, took, nodestats.Served)
 }
 
-// newProcessWorld starts the nodes and the daemons of a seed.
-func newProcessWorld(ctx context.Context, opt RealOptions, seed uint64) (*processWorld, error) {
+// newTestbed starts the nodes and the daemons of a seed.
+func newTestbed(ctx context.Context, opt RealOptions, seed uint64) (*testbed, error) {
 	rng := rand.New(rand.NewPCG(seed, 24))
-	w := &processWorld{opt: opt, startedAt: time.Now(), answersGiven: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
+	w := &testbed{opt: opt, startedAt: time.Now(), answerCounts: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
 		adminClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	w.row.Seed = seed
 	nodes, types := w.makeNodes(rng)
@@ -103,7 +103,7 @@
 }
 
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
-func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
+func (w *testbed) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
 	for n := range w.opt.Groups * nodesPerShard {
 		w.nodes = append(w.nodes, simulatedNode{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
@@ -117,14 +117,14 @@
 }
 
 // newObserver returns the observations of one observer, without any answer yet.
-func (w *processWorld) newObserver(name string, types map[string]string) (a answers, err error) {
+func (w *testbed) newObserver(name string, types map[string]string) (a answers, err error) {
 	settings := nodestats.Defaults()
 	settings.HalfLife = w.opt.HalfLife
 	a.state, err = nodestats.New(settings, name, 1)
 	for n := range w.nodes {
 		if err == nil {
 			a.state.SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
-			a.slots = append(a.slots, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
+			a.recorders = append(a.recorders, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
 		}
 	}
 	return a, err
@@ -152,7 +152,7 @@
 }
 
 // close ends the clients and the fleet.
-func (w *processWorld) close() {
+func (w *testbed) close() {
 	for _, p := range slices.Concat(w.processPools, w.nodePools) {
 		p.Close()
 	}
@@ -160,7 +160,7 @@
 }
 
 // meanServiceTime is a node's current mean service time, in milliseconds, for a request of so many units.
-func (w *processWorld) meanServiceTime(n int, units float64) float64 {
+func (w *testbed) meanServiceTime(n int, units float64) float64 {
 	x := w.nodes[n]
 	m := serviceStretch * (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
 	if n == w.slowNode() && w.slowed.Load() {
@@ -170,11 +170,11 @@
 }
 
 // slowNode is the index of the node that slows down.
-func (w *processWorld) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
+func (w *testbed) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
 
 // drawServiceTime draws a node's service time for a request, in milliseconds. The seed belongs to the request and is the
 // same at each node, so that plans for the same work differ only by their nodes and by the noise of the machine.
-func (w *processWorld) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
+func (w *testbed) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
 	z := rand.New(rand.NewPCG(requestSeed, 26)).NormFloat64()
 	return w.meanServiceTime(n, units) * math.Exp(s*z-s*s/2)
--- a/internal/testkit/experiment/costs/world.go
+++ b/internal/testkit/experiment/costs/simulation.go
@@ -13,7 +13,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// The simulated world. Times are milliseconds. A node has workers that process steps in order of arrival. The service time of
+// The simulated fleet. Times are milliseconds. A node has workers that process steps in order of arrival. The service time of
 // a step is a linear function of its units, by the kind of the node, times the factor of the node, times a lognormal value.
 const (
 	processCount      = 8
@@ -76,8 +76,8 @@
 	recorders   [nodeCount][2]*nodestats.Recorder
 }
 
-// world is the simulated fleet and its event loop.
-type world struct {
+// simulation is the simulated fleet and its event loop.
+type simulation struct {
 	now       float64
 	seq       int
 	events    eventQueue
@@ -87,8 +87,9 @@
 	processes [processCount]process
 }
 
-func newWorld(seed uint64, opt Options) (*world, error) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 24)), gossipRNG: rand.New(rand.NewPCG(seed, 25))}
+// newSimulation draws the factors of the nodes and schedules the first request and the first gossip round of each process.
+func newSimulation(seed uint64, opt Options) (*simulation, error) {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 24)), gossipRNG: rand.New(rand.NewPCG(seed, 25))}
 	for i := range w.nodes {
 		w.nodes[i] = node{kind: i % nodesPerShard, factor: math.Exp(nodeSpread * w.rng.NormFloat64())}
 	}
@@ -114,7 +115,7 @@
 
 // gossipRound is a round of a process, like those of internal/gossip: the process contacts the next of the others, in a
 // random order, and each sends the other what it lacks.
-func (w *world) gossipRound(p int, every float64, peers []int) {
+func (w *simulation) gossipRound(p int, every float64, peers []int) {
 	if len(peers) == 0 {
 		peers = w.gossipRNG.Perm(processCount)
 	}
@@ -128,7 +129,7 @@
 }
 
 // sendMissing sends b what a holds and b lacks. An error would be a defect of nodestats, which has its own tests.
-func (w *world) sendMissing(a, b *nodestats.State) {
+func (w *simulation) sendMissing(a, b *nodestats.State) {
 	messages, err := a.Diff(w.time(), b.Digest(w.time()))
 	for _, m := range messages {
 		err = errors.Join(err, b.Merge(w.time(), m))
@@ -138,21 +139,21 @@
 	}
 }
 
-func (w *world) time() time.Duration { return time.Duration(w.now * float64(time.Millisecond)) }
+func (w *simulation) time() time.Duration { return time.Duration(w.now * float64(time.Millisecond)) }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // arrivalGap draws the time to the next request of a process.
-func (w *world) arrivalGap() float64 { return w.rng.ExpFloat64() * 1000 / requestsPerSecond }
+func (w *simulation) arrivalGap() float64 { return w.rng.ExpFloat64() * 1000 / requestsPerSecond }
 
 // schedule runs an action after a time.
-func (w *world) schedule(wait float64, do func()) {
+func (w *simulation) schedule(wait float64, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + wait, w.seq, do})
 }
 
 // runUntil runs all events up to the given time.
-func (w *world) runUntil(until float64) {
+func (w *simulation) runUntil(until float64) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -163,7 +164,7 @@
 
 // responseTime is the time of a step that arrives at a node now: the wait for a worker and the service time. The step
 // occupies the worker only if occupy is set; a trial execution does not.
-func (w *world) responseTime(n int, units float64, occupy bool) float64 {
+func (w *simulation) responseTime(n int, units float64, occupy bool) float64 {
 	x := &w.nodes[n]
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
 	service := x.meanServiceTime(units) * math.Exp(s*w.rng.NormFloat64()-s*s/2)
@@ -181,7 +182,7 @@
 }
 
 // arrive sends one request of a process. The estimators learn from this traffic.
-func (w *world) arrive(p int) {
+func (w *simulation) arrive(p int) {
 	w.schedule(w.arrivalGap(), func() { w.arrive(p) })
 	shards := nodeCount / nodesPerShard
 	shard := w.rng.IntN(shards)
@@ -218,25 +219,25 @@
 	return out
 }
 
-// played is the outcome of one execution of a plan.
-type played struct {
+// execution is the outcome of one execution of a plan.
+type execution struct {
 	work, end float64
 	refused   bool // a step was refused; none is in virtual time
 }
 
-// playPlan executes a plan from now on without occupying workers, so that all plans of a decision, and the traffic, find the
+// executePlan executes a plan from now on without occupying workers, so that all plans of a decision, and the traffic, find the
 // nodes in the same state.
-func (w *world) playPlan(root *cost.Step, done func(played)) {
+func (w *simulation) executePlan(root *cost.Step, done func(execution)) {
 	begin := w.now
-	var p played
-	w.playStep(root, &p, func(end float64) {
+	var p execution
+	w.executeStep(root, &p, func(end float64) {
 		p.end = end - begin
 		done(p)
 	})
 }
 
-// playStep executes a step and calls done with the time of its end, at that time or as soon as the time is known.
-func (w *world) playStep(s *cost.Step, p *played, done func(end float64)) {
+// executeStep executes a step and calls done with the time of its end, at that time or as soon as the time is known.
+func (w *simulation) executeStep(s *cost.Step, p *execution, done func(end float64)) {
 	if s.Work != nil {
 		n := 10*int(s.Work.Node[2]-'0') + int(s.Work.Node[3]-'0')
 		took := w.responseTime(n, s.Work.Units, false)
@@ -245,7 +246,7 @@
 		return
 	}
 	if s.Then != nil {
-		w.playChain(s.Then, p, done)
+		w.executeSequence(s.Then, p, done)
 		return
 	}
 	steps, k := s.All, len(s.All)
@@ -257,7 +258,7 @@
 	}
 	var ends []float64
 	for i := range steps {
-		w.playStep(&steps[i], p, func(end float64) {
+		w.executeStep(&steps[i], p, func(end float64) {
 			if ends = append(ends, end); len(ends) == len(steps) {
 				slices.Sort(ends)
 				done(ends[k-1])
@@ -266,13 +267,13 @@
 	}
 }
 
-// playChain executes steps one after the other.
-func (w *world) playChain(steps []cost.Step, p *played, done func(end float64)) {
-	w.playStep(&steps[0], p, func(end float64) {
+// executeSequence executes steps one after the other.
+func (w *simulation) executeSequence(steps []cost.Step, p *execution, done func(end float64)) {
+	w.executeStep(&steps[0], p, func(end float64) {
 		if len(steps) == 1 {
 			done(end)
 			return
 		}
-		w.schedule(max(end-w.now, 0), func() { w.playChain(steps[1:], p, done) })
+		w.schedule(max(end-w.now, 0), func() { w.executeSequence(steps[1:], p, done) })
 	})
 }
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -25,9 +25,9 @@
 	maxPause            = 400 * time.Millisecond // of a node between rows
 )
 
-// drawFaultRounds draws the faults of a run. They depend only on the seed, the sizes of the world and the length, not on
+// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the length, not on
 // the mode or on timing.
-func drawFaultRounds(seed uint64, w World, span time.Duration) (all []faultRound) {
+func drawFaultRounds(seed uint64, w Setup, span time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
 	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
@@ -48,10 +48,10 @@
 			case 3:
 				f.Stall = true
 			}
-			c.nodes[s*w.Copies+rng.IntN(w.Copies)] = f
+			c.nodes[s*w.Replicas+rng.IntN(w.Replicas)] = f
 		}
 		for range faultyLinksPerRound {
-			to := [2]int{rng.IntN(w.Processes), rng.IntN(w.Shards * w.Copies)}
+			to := [2]int{rng.IntN(w.Processes), rng.IntN(w.Shards * w.Replicas)}
 			switch rng.IntN(3) {
 			case 0:
 				c.links[to] = link.Fault{Silent: true}
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -21,27 +21,27 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// World is the size of a run: its processes, nodes and rows.
-type World struct {
+// Setup is the size of a run: its processes, nodes and rows.
+type Setup struct {
 	Processes int       `json:"processes"`
 	Shards    int       `json:"shards"`
-	Copies    int       `json:"copies"` // nodes per shard, each with the same rows
+	Replicas  int       `json:"copies"` // nodes per shard, each with the same rows
 	Rows      node.Rows `json:"rows"`
 }
 
 // Mode is a configuration of gathering that is measured.
 type Mode struct {
-	Name   string        `json:"name"`
-	Silent time.Duration `json:"silent"` // time without a byte after which a part is requested a second time; 0: never
-	Again  int           `json:"again"`  // how often a part is requested again
-	Tree   bool          `json:"tree"`   // parts are delegated to other processes
+	Name           string        `json:"name"`
+	SilenceTimeout time.Duration `json:"silent"` // time without a byte after which a part is requested a second time; 0: never
+	Retries        int           `json:"again"`  // how often a part is requested again
+	Tree           bool          `json:"tree"`   // parts are delegated to other processes
 }
 
 // Modes are the modes of a report, in its order.
 var Modes = []Mode{
 	{Name: "without second copies"},
-	{Name: "with second copies", Silent: 60 * time.Millisecond, Again: 3},
-	{Name: "and a tree over peers", Silent: 60 * time.Millisecond, Again: 3, Tree: true},
+	{Name: "with second copies", SilenceTimeout: 60 * time.Millisecond, Retries: 3},
+	{Name: "and a tree over peers", SilenceTimeout: 60 * time.Millisecond, Retries: 3, Tree: true},
 }
 
 const (
@@ -50,32 +50,32 @@
 	meanServiceTime = 2 * time.Millisecond // of one part at a node
 	mergeTimeShare  = 0.1                  // share of the deadline that is reserved for the merge
 
-	readsAtOnce    = 8         // limit of each process
-	mergeMemory    = 768 << 10 // bytes for each merge
-	maxRecordBytes = 4 << 10
-	leastParts     = 4 // a read with fewer parts delegates none
-	fanOut         = 2
+	maxConcurrentReads = 8         // limit of each process
+	mergeMemory        = 768 << 10 // bytes for each merge
+	maxRecordBytes     = 4 << 10
+	minDelegatedParts  = 4 // a read with fewer parts delegates none
+	fanOut             = 2
 )
 
 // daemonFleet is a fleet of daemon processes, nodes and the links between them.
 type daemonFleet struct {
 	*cluster.Fleet
-	world   World
+	setup   Setup
 	down    []atomic.Bool
 	killed  atomic.Int64
 	siteErr error
 }
 
 // startFleet starts a fleet. The site file of each process has the gather settings of the mode.
-func startFleet(ctx context.Context, daemon string, w World, m Mode, seed uint64) (*daemonFleet, error) {
-	f := &daemonFleet{world: w, down: make([]atomic.Bool, w.Processes)}
+func startFleet(ctx context.Context, daemon string, w Setup, m Mode, seed uint64) (*daemonFleet, error) {
+	f := &daemonFleet{setup: w, down: make([]atomic.Bool, w.Processes)}
 	class := func(name string) map[string]any {
 		return map[string]any{"name": name, "goal-time": deadline.Milliseconds() / 2, "deadline": deadline.Milliseconds(), "worth": 2, "late-worth": 1, "repeat": "safe"}
 	}
 	opt := cluster.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
 		"profiles": []map[string]any{class(classListing), class(classTop), class(classPage)}}}
-	for j := range w.Shards * w.Copies {
-		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Copies, ServiceTime: serviceTime(seed, j), Rows: &w.Rows})
+	for j := range w.Shards * w.Replicas {
+		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Replicas, ServiceTime: serviceTime(seed, j), Rows: &w.Rows})
 	}
 	opt.Args = func(p *cluster.Fleet, i int) []string {
 		f.Fleet = p
@@ -103,7 +103,7 @@
 
 // writeSite writes the site file of a process.
 func (f *daemonFleet) writeSite(i int, m Mode, peers []peer) error {
-	text, err := json.Marshal(map[string]any{"gather": gatherSettings(m, f.world, peers)})
+	text, err := json.Marshal(map[string]any{"gather": gatherSettings(m, f.setup, peers)})
 	if err != nil {
 		return err
 	}
@@ -113,10 +113,10 @@
 // addPeers gives each process the list of all processes. It runs after the start, when all addresses are known.
 func (f *daemonFleet) addPeers(ctx context.Context, m Mode) error {
 	var peers []peer
-	for i := range f.world.Processes {
+	for i := range f.setup.Processes {
 		peers = append(peers, peer{f.Proc(i).Name, f.ClientLink(i).Addr()})
 	}
-	for i := range f.world.Processes {
+	for i := range f.setup.Processes {
 		if err := f.writeSite(i, m, peers); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	for i := range f.world.Processes {
+	for i := range f.setup.Processes {
 		if err := f.Wait(ctx, fmt.Sprint("process ", i, " delegates parts"), func() error {
 			if !strings.Contains(f.Proc(i).Log(), "are delegated to peers") {
 				return errors.New("its log does not say so yet")
@@ -174,9 +174,9 @@
 
 // apply applies a round of faults to all nodes and links.
 func (f *daemonFleet) apply(c faultRound) error {
-	for j := range f.world.Shards * f.world.Copies {
+	for j := range f.setup.Shards * f.setup.Replicas {
 		f.Node(j).SetRowFault(c.nodes[j])
-		for i := range f.world.Processes {
+		for i := range f.setup.Processes {
 			if err := f.StorageLink(i, j).SetFault(link.Both, c.links[[2]int{i, j}]); err != nil {
 				return err
 			}
@@ -200,9 +200,9 @@
 // faultCounts counts the faults of all nodes and links and the killed processes.
 func (f *daemonFleet) faultCounts() (h faultCounts) {
 	h.Killed = int(f.killed.Load())
-	for j := range f.world.Shards * f.world.Copies {
+	for j := range f.setup.Shards * f.setup.Replicas {
 		h.add(nodeFaults(f.Node(j)))
-		for i := range f.world.Processes {
+		for i := range f.setup.Processes {
 			c := f.StorageLink(i, j).Counts(link.Both)
 			h.Silenced, h.Reset, h.Delayed = h.Silenced+c.Silenced, h.Reset+c.Reset, h.Delayed+c.Delayed
 		}
@@ -218,7 +218,7 @@
 
 // Parts counts the requests for parts at the nodes.
 type Parts struct {
-	Asked     int `json:"asked"`
+	Requests  int `json:"asked"`
 	Delegated int `json:"handed_on"` // from processes to which the part was delegated
 	// Retried requests follow one that failed at its last node: the node closed the connection or stalled, or the requesting
 	// process disconnected.
@@ -235,32 +235,32 @@
 		firstAt, lastAt time.Time
 	}
 	requests := map[string]span{} // by id, because the scheduler may send a request to several nodes
-	for j := range f.world.Shards * f.world.Copies {
+	for j := range f.setup.Shards * f.setup.Replicas {
 		f.Node(j).EachRequest(func(id string, idFields []node.Arrival) {
-			x, known := requests[id]
+			x, seen := requests[id]
 			for _, a := range idFields {
-				if !known || a.At.Before(x.firstAt) {
+				if !seen || a.At.Before(x.firstAt) {
 					x.first, x.firstAt = j, a.At
 				}
-				if !known || a.At.After(x.lastAt) {
+				if !seen || a.At.After(x.lastAt) {
 					x.last, x.lastAt = j, a.At
 				}
-				known = true
+				seen = true
 			}
 			requests[id] = x
 		})
 	}
 	for id, request := range requests {
-		p.Asked++
+		p.Requests++
 		idFields := strings.Split(id, "/")
 		if len(idFields) == 5 && idFields[2] == "1" {
 			p.Delegated++
 		}
-		part, copy := id[:strings.LastIndexByte(id, '/')+1], 0
-		if _, err := fmt.Sscan(idFields[len(idFields)-1], &copy); err != nil {
+		part, copyNumber := id[:strings.LastIndexByte(id, '/')+1], 0
+		if _, err := fmt.Sscan(idFields[len(idFields)-1], &copyNumber); err != nil {
 			continue
 		}
-		previousID := fmt.Sprint(part, copy-1)
+		previousID := fmt.Sprint(part, copyNumber-1)
 		previous, ok := requests[previousID]
 		if c := f.Node(previous.last).RowCounts(previousID); ok && c.Complete+c.Limited == 0 && c.ConnsClosed+c.Stalled+c.Disconnected > 0 {
 			p.Retried++
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -14,7 +14,7 @@
 )
 
 // The oracle detects every kind of incorrect answer and accepts correct ones.
-func TestJudge(t *testing.T) {
+func TestVerify(t *testing.T) {
 	w := Defaults()
 	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
 	tr := newOracle(w.Rows, w.Shards)
@@ -81,7 +81,7 @@
 }
 
 // The same seed gives the same faults, and a run of 20 s includes every kind of fault.
-func TestSchedule(t *testing.T) {
+func TestDrawFaultRounds(t *testing.T) {
 	w := Defaults()
 	one, two := drawFaultRounds(4, w, 20*time.Second), drawFaultRounds(4, w, 20*time.Second)
 	var f faultCounts
@@ -125,7 +125,7 @@
 
 // Runs the experiment with two daemon processes and eight nodes: rows are correct in each mode under faults. If all nodes
 // of a shard send wrong rows, the experiment reports it.
-func TestPlayed(t *testing.T) {
+func TestExperiment(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes")
 	}
@@ -134,7 +134,7 @@
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	w := Defaults()
-	w.Processes, w.Shards, w.Copies, w.Rows.RowsPerShard = 2, 4, 2, 60
+	w.Processes, w.Shards, w.Replicas, w.Rows.RowsPerShard = 2, 4, 2, 60
 	daemon, err := cluster.Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -37,7 +37,7 @@
 
 // Report is the result of the experiment.
 type Report struct {
-	World  World    `json:"world"`
+	Setup  Setup    `json:"world"`
 	Rate   float64  `json:"rate"`
 	For    float64  `json:"seconds"`
 	Modes  []Mode   `json:"modes"`
@@ -51,7 +51,7 @@
 // Run runs each seed in each mode. The modes of a seed run in direct succession, so that other load on the machine affects
 // all of them alike.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	rep := &Report{World: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
+	rep := &Report{Setup: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
 	faults := make([]faultCounts, len(Modes))
 	for _, seed := range opt.Seeds {
 		for i, m := range Modes {
@@ -102,27 +102,27 @@
 // newLine summarizes the outcomes of a run.
 func newLine(all []readOutcome) Line {
 	l := Line{Reads: len(all), Ends: map[string]int{}}
-	var first, most, wholes, sent []time.Duration
+	var firstRow, mostRows, wholeTimes, lateness []time.Duration
 	for _, o := range all {
-		sent = append(sent, o.sendLateness)
+		lateness = append(lateness, o.sendLateness)
 		l.Ends[endNames[o.end]]++
 		l.Verdict.add(o.verdict)
 		if o.firstRow > 0 {
-			first = append(first, o.firstRow)
+			firstRow = append(firstRow, o.firstRow)
 		}
 		if o.mostRows > 0 {
-			most = append(most, o.mostRows)
+			mostRows = append(mostRows, o.mostRows)
 		}
 		if o.end == endWhole {
-			wholes = append(wholes, o.took)
+			wholeTimes = append(wholeTimes, o.took)
 		}
 		if o.detail != "" && len(l.Examples) < maxExamples {
 			l.Examples = append(l.Examples, o.detail)
 		}
 	}
-	l.First, l.MostRows, l.Whole = quantiles(first), quantiles(most), quantiles(wholes)
-	l.SendLateness = quantiles(sent)[1]
-	l.MostRowsShare = float64(len(most)) / float64(max(1, len(all)))
+	l.First, l.MostRows, l.Whole = quantiles(firstRow), quantiles(mostRows), quantiles(wholeTimes)
+	l.SendLateness = quantiles(lateness)[1]
+	l.MostRowsShare = float64(len(mostRows)) / float64(max(1, len(all)))
 	return l
 }
 
@@ -140,9 +140,9 @@
 // Print writes a table with one row for each mode: the median of each figure over the seeds, with its minimum and maximum in
 // parentheses, and sums of the counts of incorrect rows.
 func (rep *Report) Print(out io.Writer) error {
-	w := rep.World
+	w := rep.Setup
 	fmt.Fprintf(out, "%d processes, %d nodes (%d shards of %d rows, %d copies), %g reads/s for %.0f s a seed; ms from when a read was due\n",
-		w.Processes, w.Shards*w.Copies, w.Shards, w.Rows.RowsPerShard, w.Copies, rep.Rate, rep.For)
+		w.Processes, w.Shards*w.Replicas, w.Shards, w.Rows.RowsPerShard, w.Replicas, rep.Rate, rep.For)
 	columns := []struct {
 		name string
 		form string
@@ -161,7 +161,7 @@
 		{"late %", "%.1f", func(l *Line) float64 { return 100 * l.share(endLate) }},
 		{"broken %", "%.1f", func(l *Line) float64 { return 100 * l.share(endBroken) }},
 		{"failed %", "%.1f", func(l *Line) float64 { return 100 * l.share(endFailed) }},
-		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Asked) }},
+		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Requests) }},
 		{"handed on", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Delegated) }},
 		{"sent late p99", "%.0f", func(l *Line) float64 { return l.SendLateness }},
 		{"rows wrong", "", func(l *Line) float64 { return float64(l.Verdict.Wrong) }},
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -24,7 +24,7 @@
 
 // Options are the options of the experiment.
 type Options struct {
-	World  World
+	World  Setup
 	Seeds  []uint64
 	For    time.Duration // length of a run of one seed in one mode
 	Rate   float64       // reads per second, over all processes
@@ -34,9 +34,9 @@
 	firstShardFault node.RowFault // for tests: fault of all nodes of the first shard, in place of the drawn faults
 }
 
-// Defaults returns a world of 8 processes and 24 nodes.
-func Defaults() World {
-	return World{Processes: 8, Shards: 8, Copies: 3, Rows: node.Rows{RowsPerShard: 1000, SharedKeys: 0.3, SameVersion: 0.5, PaddingBytes: 40, RowsPerWrite: 32}}
+// Defaults returns a setup of 8 processes and 24 nodes.
+func Defaults() Setup {
+	return Setup{Processes: 8, Shards: 8, Replicas: 3, Rows: node.Rows{RowsPerShard: 1000, SharedKeys: 0.3, SameVersion: 0.5, PaddingBytes: 40, RowsPerWrite: 32}}
 }
 
 // The ways in which a read can end.
@@ -126,7 +126,7 @@
 		}
 		if p.opt.firstShardFault != (node.RowFault{}) {
 			c = faultRound{kill: -1, nodes: map[int]node.RowFault{}}
-			for j := range p.opt.World.Copies {
+			for j := range p.opt.World.Replicas {
 				c.nodes[j] = p.opt.firstShardFault
 			}
 		}
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -34,11 +34,11 @@
 }
 
 // runLoad runs a shape against a simulated server in virtual time, over in-memory connections.
-func runLoad(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
+func runLoad(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, length time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
 	srv.SetMode(mode)
-	src, err := workload.New(s, 1, span)
+	src, err := workload.New(s, 1, length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 				t.Errorf("quantile %v: measured %v, computed %v", q, got, want)
 			}
 		}
-		closed := newTimeHistogram(significantDigits)
+		closed := newHistogram(significantDigits)
 		for at := 2 * time.Second; at < 22*time.Second; {
 			took := srv.ExpectedResponseTime(at)
 			closed.Record(took)
@@ -102,10 +102,10 @@
 // Each way in which a server misbehaves is counted under its own outcome, and no request waits forever.
 func TestOutcomes(t *testing.T) {
 	for _, x := range []struct {
-		mode  server.Mode
-		retry bool
-		want  client.Outcome
-		seen  int // requests at the server per arrival
+		mode               server.Mode
+		retry              bool
+		want               client.Outcome
+		requestsPerArrival int // requests at the server per arrival
 	}{
 		{server.Hang, true, client.TimedOut, 1}, {server.Reset, false, client.Reset, 1}, {server.Delayed, false, client.TimedOut, 1},
 		{server.Reject, false, client.Rejected, 1}, {server.Reject, true, client.Rejected, 2}, {server.Answer, true, client.Served, 1},
@@ -114,10 +114,10 @@
 			res, srv := runLoad(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, constantRateShape(50), 2*time.Second,
 				func(o *Options) { o.Retry = x.retry })
 			all, c := res.All(), srv.Counts()
-			if all.ByOutcome[x.want] != all.Arrivals || c.Requests != x.seen*int(all.Arrivals) || (c.Retries > 0) != (x.seen == 2) || all.WorthEarned > all.WorthDue {
+			if all.ByOutcome[x.want] != all.Arrivals || c.Requests != x.requestsPerArrival*int(all.Arrivals) || (c.Retries > 0) != (x.requestsPerArrival == 2) || all.WorthEarned > all.WorthDue {
 				t.Errorf("%+v: %+v, %+v", x, all.ByOutcome, c)
 			}
-			if x.seen == 2 && all.Retried != all.Arrivals {
+			if x.requestsPerArrival == 2 && all.Retried != all.Arrivals {
 				t.Errorf("%d of %d arrivals were retried", all.Retried, all.Arrivals)
 			}
 		})
@@ -125,7 +125,7 @@
 }
 
 // Requests held back by the limit on open requests are counted under its name and make the run invalid.
-func TestKeptBack(t *testing.T) {
+func TestOpenLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
 		all, v := res.All(), res.Notes.Judge()
@@ -172,14 +172,14 @@
 
 // Recording a time must not allocate.
 func TestRecordAllocates(t *testing.T) {
-	h := newTimeHistogram(significantDigits)
+	h := newHistogram(significantDigits)
 	if n := testing.AllocsPerRun(1000, func() { h.Record(1234 * time.Microsecond) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	h := newTimeHistogram(significantDigits)
+	h := newHistogram(significantDigits)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Record(1234 * time.Microsecond)
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -14,31 +14,29 @@
 	"wheatsaddle/internal/testkit/workload"
 )
 
-// TimeHistogram is a histogram of times in microseconds.
-type TimeHistogram struct{ *hdrhistogram.Histogram }
+// Histogram is a histogram of times in microseconds.
+type Histogram struct{ *hdrhistogram.Histogram }
 
 const (
-	maxMicroseconds           = int64(10 * time.Minute / time.Microsecond)
+	maxMicros                 = int64(10 * time.Minute / time.Microsecond)
 	significantDigits         = 3
 	significantDigitsBySecond = 2 // fewer digits, because there is a histogram for each class and second
 )
 
-func newTimeHistogram(significant int) TimeHistogram {
-	return TimeHistogram{hdrhistogram.New(1, maxMicroseconds, significant)}
-}
+func newHistogram(digits int) Histogram { return Histogram{hdrhistogram.New(1, maxMicros, digits)} }
 
 // Record adds a time without allocating.
-func (t TimeHistogram) Record(d time.Duration) {
-	_ = t.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // the value is clamped to the histogram's range, so this cannot fail
+func (t Histogram) Record(d time.Duration) {
+	_ = t.RecordValue(min(max(1, d.Microseconds()), maxMicros)) // the value is clamped to the histogram's range, so this cannot fail
 }
 
 // Quantile returns the quantile q, from 0 to 1.
-func (t TimeHistogram) Quantile(q float64) time.Duration {
+func (t Histogram) Quantile(q float64) time.Duration {
 	return time.Duration(t.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
 // MarshalJSON encodes the histogram in HdrHistogram's compressed format, in base64.
-func (t TimeHistogram) MarshalJSON() ([]byte, error) {
+func (t Histogram) MarshalJSON() ([]byte, error) {
 	b, err := t.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		return nil, err
@@ -47,7 +45,7 @@
 }
 
 // UnmarshalJSON decodes the format of MarshalJSON.
-func (t *TimeHistogram) UnmarshalJSON(text []byte) error {
+func (t *Histogram) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
@@ -70,12 +68,12 @@
 	Reopened    uint64                      `json:"reopened"`
 	WorthDue    float64                     `json:"worth_due"`
 	WorthEarned float64                     `json:"worth_earned"`
-	Latency     TimeHistogram               `json:"latency"` // of served requests, from the due time
-	Service     TimeHistogram               `json:"service"` // of served requests, from the actual send time
+	Latency     Histogram                   `json:"latency"` // of served requests, from the due time
+	Service     Histogram                   `json:"service"` // of served requests, from the actual send time
 }
 
-func newOutcomes(significant int) *Outcomes {
-	return &Outcomes{Latency: newTimeHistogram(significant), Service: newTimeHistogram(significant)}
+func newOutcomes(digits int) *Outcomes {
+	return &Outcomes{Latency: newHistogram(digits), Service: newHistogram(digits)}
 }
 
 func (p *Outcomes) merge(o *Outcomes) {
@@ -141,7 +139,7 @@
 }
 
 // recordAnswer counts a request that has ended.
-func (r *Results) recordAnswer(q *workload.Request, a *client.Answer, due time.Time, tries int) {
+func (r *Results) recordAnswer(q *workload.Request, a *client.Answer, due time.Time, attempts int) {
 	c := &r.Shape.Classes[q.Class]
 	latency := a.Ended.Sub(due)
 	inAim := a.Outcome == client.Served && float64(latency) <= c.Aim*float64(time.Millisecond)
@@ -149,7 +147,7 @@
 		p.Arrivals++
 		p.ByOutcome[a.Outcome]++
 		p.WorthDue += c.Worth
-		if tries > 1 {
+		if attempts > 1 {
 			p.Retried++
 		}
 		if a.RetriedOnNewConn {
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -137,7 +137,7 @@
 	due := r.start.Add(q.At)
 	pool := r.opt.Pools[(q.Volume+q.Host)%len(r.opt.Pools)]
 	a := pool.Do(m, due)
-	tries := 1
+	attempts := 1
 	if r.opt.Retry && (a.Outcome == client.Rejected || a.Outcome == client.Reset) {
 		wait := r.opt.Wait
 		if a.RetryAfter > 0 {
@@ -149,14 +149,14 @@
 			m.ID, m.Retry, m.Deadline = m.ID+"r", true, left
 			b := pool.Do(m, again)
 			b.Sent, b.RetriedOnNewConn = a.Sent, a.RetriedOnNewConn || b.RetriedOnNewConn // the service time starts at the first attempt
-			a, tries = b, 2
+			a, attempts = b, 2
 		}
 	}
 	if a.Outcome == client.Served && q.Shard < 0 && q.Of == 0 {
 		r.newObjectShards.Store(q.Extent, parseShard(a.Body))
 	}
 	r.mu.Lock()
-	r.res.recordAnswer(q, &a, due, tries)
+	r.res.recordAnswer(q, &a, due, attempts)
 	r.mu.Unlock()
 }
 
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -101,7 +101,7 @@
 	a.volumePlans, a.busiestHosts, a.runs = make([]int, s.Volumes), make([]busiestHost, s.Volumes), make([]extentRun, s.Volumes)
 	for i := range a.volumePlans {
 		a.volumePlans[i] = a.drawIndex(plan)
-		a.busiestHosts[i] = busiestHost{a.rng.IntN(s.Hosts), a.span(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
+		a.busiestHosts[i] = busiestHost{a.rng.IntN(s.Hosts), a.drawBetween(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
 	}
 	if u := s.Surges; u != nil {
 		from := u.First
@@ -144,13 +144,13 @@
 	return low
 }
 
-// span draws a length of time uniformly between two bounds.
-func (a *Schedule) span(low, high float64) float64 { return low + a.rng.Float64()*(high-low) }
+// drawBetween draws a length of time uniformly between two bounds.
+func (a *Schedule) drawBetween(low, high float64) float64 { return low + a.rng.Float64()*(high-low) }
 
 // nextSurge draws the length and the volumes of the surge that begins at the given time.
 func (a *Schedule) nextSurge(from float64) {
 	u := a.shape.Surges
-	a.surge.from, a.surge.to = from, from+a.span(u.Least, u.Most)
+	a.surge.from, a.surge.to = from, from+a.drawBetween(u.Least, u.Most)
 	a.surge.volumes = a.surge.volumes[:0]
 	for range min(u.Volumes, a.shape.Volumes) {
 		a.surge.volumes = append(a.surge.volumes, a.drawIndex(a.volumeShares))
@@ -265,7 +265,7 @@
 	b := &a.busiestHosts[volume]
 	for a.now >= b.changeAt {
 		b.host = (b.host + 1 + a.rng.IntN(s.Hosts-1)) % s.Hosts
-		b.changeAt += a.span(s.SwapLow, s.SwapHigh)
+		b.changeAt += a.drawBetween(s.SwapLow, s.SwapHigh)
 	}
 	if a.rng.Float64() < s.Uneven {
 		return b.host
--- a/internal/testkit/workload/schedule_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func drawAll(t interface{ Fatal(...any) }, s Shape, seed uint64, span time.Duration) ([]Request, uint64) {
-	a, err := New(s, seed, span)
+func generate(t interface{ Fatal(...any) }, s Shape, seed uint64, length time.Duration) ([]Request, uint64) {
+	a, err := New(s, seed, length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,24 +30,24 @@
 }
 
 // The same seed gives the same schedule, a different seed a different one.
-func TestSeed(t *testing.T) {
-	one, h1 := drawAll(t, Default(), 7, 30*time.Second)
-	two, h2 := drawAll(t, Default(), 7, 30*time.Second)
-	_, h3 := drawAll(t, Default(), 8, 30*time.Second)
+func TestSeedDeterminesSchedule(t *testing.T) {
+	one, h1 := generate(t, Default(), 7, 30*time.Second)
+	two, h2 := generate(t, Default(), 7, 30*time.Second)
+	_, h3 := generate(t, Default(), 8, 30*time.Second)
 	if h1 != h2 || len(one) != len(two) || h1 == h3 {
 		t.Errorf("hashes: seed 7: %x and %x, seed 8: %x", h1, h2, h3)
 	}
 }
 
 // The default shape has the shares, rates and sizes that the operators specified.
-func TestUsualTraffic(t *testing.T) {
+func TestDefaultShape(t *testing.T) {
 	s := Default()
-	span := 20 * time.Minute
-	out, _ := drawAll(t, s, 3, span)
+	length := 20 * time.Minute
+	out, _ := generate(t, s, 3, length)
 	classes, hosts, units := map[int]int{}, map[[2]int]int{}, 0.0
 	surge, newObjects, readsOfNew, reads := 0, 0, 0, 0
-	made := map[uint64]Request{}
-	longest, inRow := map[int]int{}, map[int]uint64{}
+	writes := map[uint64]Request{}
+	runLengths, lastExtents := map[int]int{}, map[int]uint64{}
 	for i, r := range out {
 		if i > 0 && r.At < out[i-1].At || r.Seq != uint64(i) {
 			t.Fatalf("%d: %+v", i, r)
@@ -65,10 +65,10 @@
 		switch {
 		case write && r.Shard < 0:
 			newObjects++
-			made[r.Seq+1] = r
+			writes[r.Seq+1] = r
 		case r.Of != 0:
 			readsOfNew++
-			m, ok := made[r.Of]
+			m, ok := writes[r.Of]
 			if !ok || write || m.Extent != r.Extent || m.Volume != r.Volume || r.At-m.At < 300*time.Millisecond || r.At-m.At > 8*time.Second {
 				t.Fatalf("%+v reads %+v", r, m)
 			}
@@ -76,14 +76,14 @@
 			if r.Shard < 0 || r.Shard >= s.Shards {
 				t.Fatalf("%+v", r)
 			}
-			if inRow[r.Volume] == r.Extent {
-				longest[r.Volume]++
+			if lastExtents[r.Volume] == r.Extent {
+				runLengths[r.Volume]++
 			} else {
-				longest[r.Volume] = 1
+				runLengths[r.Volume] = 1
 			}
-			inRow[r.Volume] = r.Extent
-			if longest[r.Volume] > 2*s.Runs { // two successive runs may draw the same extent
-				t.Fatalf("%d successive requests for one extent", longest[r.Volume])
+			lastExtents[r.Volume] = r.Extent
+			if runLengths[r.Volume] > 2*s.Runs { // two successive runs may draw the same extent
+				t.Fatalf("%d successive requests for one extent", runLengths[r.Volume])
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 			t.Errorf("%s: %v", c.Name, share)
 		}
 	}
-	mean := n / span.Seconds() / s.Rate // surges take about 10.85 s of every 30.85 s
+	mean := n / length.Seconds() / s.Rate // surges take about 10.85 s of every 30.85 s
 	if mean < 1.3 || mean > 1.55 {
 		t.Errorf("mean rate is %v times the base rate", mean)
 	}
@@ -122,7 +122,7 @@
 			s.Steps = append(s.Steps, st)
 		}
 		want = (want + (span-at)*now) * s.Rate / 1000
-		out, _ := drawAll(t, s, 1, ms(span))
+		out, _ := generate(t, s, 1, ms(span))
 		if math.Abs(float64(len(out))-want) > 2+want*0.005 {
 			t.Fatalf("%d arrivals, want %.1f", len(out), want)
 		}
--- a/internal/testkit/workload/shape.go
+++ b/internal/testkit/workload/shape.go
@@ -114,11 +114,11 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Shape) Check() error {
-	bad := func(key, form string, args ...any) error {
+	keyError := func(key, form string, args ...any) error {
 		return fmt.Errorf("shape: %s: %s", key, fmt.Sprintf(form, args...))
 	}
 	if s.Process != "poisson" && s.Process != "constant" {
-		return bad("process", "%q must be poisson or constant", s.Process)
+		return keyError("process", "%q must be poisson or constant", s.Process)
 	}
 	for _, x := range []struct {
 		key             string
@@ -131,56 +131,56 @@
 		{"plans", float64(len(s.Plans)), 1, MaxPlans}, {"steps", float64(len(s.Steps)), 0, 1000},
 	} {
 		if !(x.is >= x.least && x.is <= x.most) {
-			return bad(x.key, "%v must be between %v and %v", x.is, x.least, x.most)
+			return keyError(x.key, "%v must be between %v and %v", x.is, x.least, x.most)
 		}
 	}
 	if s.Uneven > 0 && s.Hosts > 1 && !(s.SwapLow >= 1 && s.SwapHigh >= s.SwapLow) {
-		return bad("swap_low", "%v to %v must be a range that starts at 1 ms or more", s.SwapLow, s.SwapHigh)
+		return keyError("swap_low", "%v to %v must be a range that starts at 1 ms or more", s.SwapLow, s.SwapHigh)
 	}
 	names := map[string]bool{}
 	sum := 0.0
 	for i, c := range s.Classes {
 		if c.Name == "" || names[c.Name] || !(c.Share >= 0) || !(c.Deadline >= 1) || !(c.Aim > 0 && c.Aim <= c.Deadline) {
-			return bad(fmt.Sprintf("classes.%d", i), "%+v: needs a unique name, a share of 0 or more, a deadline of 1 ms or more, and an aim above 0 and up to the deadline", c)
+			return keyError(fmt.Sprintf("classes.%d", i), "%+v: needs a unique name, a share of 0 or more, a deadline of 1 ms or more, and an aim above 0 and up to the deadline", c)
 		}
 		names[c.Name] = true
 		sum += c.Share
 	}
 	if !(sum > 0) {
-		return bad("classes", "the sum of the shares must be above 0")
+		return keyError("classes", "the sum of the shares must be above 0")
 	}
 	if sum = 0; len(s.Plans) > 0 {
 		for i, p := range s.Plans {
 			if p.Name == "" || names["plan "+p.Name] || !(p.Share >= 0) {
-				return bad(fmt.Sprintf("plans.%d", i), "%+v: needs a unique name and a share of 0 or more", p)
+				return keyError(fmt.Sprintf("plans.%d", i), "%+v: needs a unique name and a share of 0 or more", p)
 			}
 			names["plan "+p.Name] = true
 			sum += p.Share
 		}
 		if !(sum > 0) {
-			return bad("plans", "the sum of the shares must be above 0")
+			return keyError("plans", "the sum of the shares must be above 0")
 		}
 	}
 	sum = 0
 	for i, w := range s.Units {
 		if !(w >= 0) {
-			return bad(fmt.Sprintf("units.%d", i), "weight %v must be 0 or more", w)
+			return keyError(fmt.Sprintf("units.%d", i), "weight %v must be 0 or more", w)
 		}
 		sum += w
 	}
 	if !(sum > 0) {
-		return bad("units", "the sum of the weights must be above 0")
+		return keyError("units", "the sum of the weights must be above 0")
 	}
 	last := 0.0
 	for i, t := range s.Steps {
 		if !(t.At >= last) || !(t.Times >= 0 && t.Times <= 1e6) || !(t.Over >= 0) {
-			return bad(fmt.Sprintf("steps.%d", i), "%+v: must not start before the end of the step before; times must be between 0 and 1e6 and over must be 0 or more", t)
+			return keyError(fmt.Sprintf("steps.%d", i), "%+v: must not start before the end of the step before; times must be between 0 and 1e6 and over must be 0 or more", t)
 		}
 		last = t.At + t.Over
 	}
 	if u := s.Surges; u != nil {
 		if !(u.Every >= 1) || !(u.Least >= 1 && u.Most >= u.Least) || !(u.Times >= 1 && u.Times <= 1000) || u.Volumes < 1 {
-			return bad("surges", "%+v: every, least and volumes must be 1 or more, most must be least or more, times must be between 1 and 1000", *u)
+			return keyError("surges", "%+v: every, least and volumes must be 1 or more, most must be least or more, times must be between 1 and 1000", *u)
 		}
 	}
 	return nil
