--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -25,7 +25,7 @@
 	}
 	rep := runSeeds(1500*time.Millisecond, 30*time.Second, 1, 2)
 	if len(rep.Missed) > 0 || rep.Rows[2].Decisions < 590 {
-		t.Errorf("%+v", rep)
+		t.Errorf("missed bounds or too few decisions: %+v", rep)
 	}
 	first := runSeeds(1500*time.Millisecond, 12*time.Second, 3)
 	if second := runSeeds(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(first, second) {
@@ -72,7 +72,7 @@
 			t.Errorf("alone %v: the order was wrong until %.1f s, of %v watched", alone, r.OrderRightAfter, opt.WatchDuration)
 		}
 		if r.Decisions != 3 || r.outcomes != 3*plansPerDecision*runsByProcess || r.Requests < 300 || r.Refused > r.Requests/10 || len(r.slept) == 0 || len(r.added) == 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("wrong counts or no noise measurements: %+v", r)
 		}
 	}
 }
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -236,9 +236,9 @@
 	}
 	requests := map[string]span{} // by id, because the scheduler may send a request to several nodes
 	for j := range f.setup.Shards * f.setup.Replicas {
-		f.Node(j).EachRequest(func(id string, idFields []node.Arrival) {
+		f.Node(j).EachRequest(func(id string, arrivals []node.Arrival) {
 			x, seen := requests[id]
-			for _, a := range idFields {
+			for _, a := range arrivals {
 				if !seen || a.At.Before(x.firstAt) {
 					x.first, x.firstAt = j, a.At
 				}
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -17,7 +17,7 @@
 func TestVerify(t *testing.T) {
 	w := Defaults()
 	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
-	tr := newOracle(w.Rows, w.Shards)
+	oracle := newOracle(w.Rows, w.Shards)
 	shards := []int{0, 1, 4}
 	texts := func(rows []row) (all [][]byte) {
 		for _, r := range rows {
@@ -25,13 +25,13 @@
 		}
 		return all
 	}
-	flat := texts(tr.merge(shards))
+	flat := texts(oracle.merge(shards))
 	q := func(class string) gatheredRead { return gatheredRead{class: class, shards: shards, after: -1} }
-	without := texts(tr.merge([]int{0, 1})) // the rows left if part 4 is missing
-	older := func() ([][]byte, int) {       // the rows with an older version of one row, and the shard that holds it
-		for i, x := range tr.merge(shards) {
+	withoutPart4 := texts(oracle.merge([]int{0, 1})) // the rows left if part 4 is missing
+	withOlderRow := func() ([][]byte, int) {         // the rows with an older version of one row, and the shard that holds it
+		for i, x := range oracle.merge(shards) {
 			for _, s := range shards {
-				if y, ok := tr.shards[s][x.key]; ok && y.version < x.version {
+				if y, ok := oracle.shards[s][x.key]; ok && y.version < x.version {
 					all := slices.Clone(flat)
 					all[i] = []byte(y.text)
 					return all, s
@@ -41,13 +41,13 @@
 		t.Fatal("no key has several versions")
 		return nil, 0
 	}
-	stale, _ := older()
+	stale, _ := withOlderRow()
 	swapped := slices.Clone(flat)
 	swapped[3], swapped[4] = swapped[4], swapped[3]
-	strange := slices.Clone(flat)
-	strange[5] = bytes.Replace(strange[5], []byte(`"x":"`), []byte(`"x":"!`), 1)
-	next := q(classPage)
-	next.after = parseRow(flat[pageRows-1]).key
+	unknownRow := slices.Clone(flat)
+	unknownRow[5] = bytes.Replace(unknownRow[5], []byte(`"x":"`), []byte(`"x":"!`), 1)
+	secondPage := q(classPage)
+	secondPage.after = parseRow(flat[pageRows-1]).key
 	for _, x := range []struct {
 		name string
 		q    gatheredRead
@@ -56,25 +56,25 @@
 	}{
 		{"whole", q(classListing), answer{rows: flat, finished: true, whole: true}, Verdict{}},
 		{"top", q(classTop), answer{rows: flat[:topRows], finished: true, whole: true, truncated: "top"}, Verdict{}},
-		{"second page", next, answer{rows: flat[pageRows : 2*pageRows], finished: true, whole: true, truncated: "top"}, Verdict{}},
-		{"a part missing and named", q(classListing), answer{rows: without, finished: true, incompleteShards: []int{4}}, Verdict{}},
+		{"second page", secondPage, answer{rows: flat[pageRows : 2*pageRows], finished: true, whole: true, truncated: "top"}, Verdict{}},
+		{"a part missing and named", q(classListing), answer{rows: withoutPart4, finished: true, incompleteShards: []int{4}}, Verdict{}},
 		{"cut in the middle of the rows", q(classListing), answer{rows: flat[:50]}, Verdict{}},
 		{"ended early by a code", q(classTop), answer{rows: flat[:20], finished: true, incompleteShards: []int{1}, errorCode: "gather-incomplete"}, Verdict{}},
 		{"a row left out", q(classListing), answer{rows: slices.Delete(slices.Clone(flat), 7, 8), finished: true, whole: true}, Verdict{Lost: 1}},
 		{"the last rows left out", q(classListing), answer{rows: flat[:len(flat)-2], finished: true, whole: true}, Verdict{Lost: 2}},
-		{"a row left out in part", q(classListing), answer{rows: without[1:], finished: true, incompleteShards: []int{4}}, Verdict{Lost: 1}},
-		{"a row left out of what was cut", q(classTop), answer{rows: flat[1:20]}, Verdict{Lost: 1}},
-		{"top is short", q(classTop), answer{rows: flat[:topRows-1], finished: true, whole: true}, Verdict{Lost: 1}},
-		{"top is long", q(classTop), answer{rows: flat[:topRows+2], finished: true, whole: true}, Verdict{Wrong: 2}},
+		{"a row left out of an incomplete answer", q(classListing), answer{rows: withoutPart4[1:], finished: true, incompleteShards: []int{4}}, Verdict{Lost: 1}},
+		{"a row left out of a cut answer", q(classTop), answer{rows: flat[1:20]}, Verdict{Lost: 1}},
+		{"a row too few", q(classTop), answer{rows: flat[:topRows-1], finished: true, whole: true}, Verdict{Lost: 1}},
+		{"two rows too many", q(classTop), answer{rows: flat[:topRows+2], finished: true, whole: true}, Verdict{Wrong: 2}},
 		{"a row twice", q(classListing), answer{rows: slices.Insert(slices.Clone(flat), 9, flat[9]), finished: true, whole: true}, Verdict{Doubled: 1}},
-		{"a page again", next, answer{rows: flat[:pageRows], finished: true, whole: true}, Verdict{Wrong: pageRows, Lost: pageRows}},
+		{"the first page instead of the second", secondPage, answer{rows: flat[:pageRows], finished: true, whole: true}, Verdict{Wrong: pageRows, Lost: pageRows}},
 		{"out of order", q(classListing), answer{rows: swapped, finished: true, whole: true}, Verdict{Wrong: 1}},
 		{"an older version", q(classListing), answer{rows: stale, finished: true, whole: true}, Verdict{Wrong: 1}},
-		{"an older version, its newer's part named", q(classListing), answer{rows: stale, finished: true, incompleteShards: shards}, Verdict{}},
-		{"no row of anybody", q(classListing), answer{rows: strange, finished: true, incompleteShards: shards}, Verdict{Wrong: 1}},
+		{"an older version, the part with the newer one named", q(classListing), answer{rows: stale, finished: true, incompleteShards: shards}, Verdict{}},
+		{"a row that no node holds", q(classListing), answer{rows: unknownRow, finished: true, incompleteShards: shards}, Verdict{Wrong: 1}},
 		{"missing and not named", q(classListing), answer{rows: nil, finished: true, incompleteShards: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
 	} {
-		if got := tr.verify(x.q, x.a); got != x.want {
+		if got := oracle.verify(x.q, x.a); got != x.want {
 			t.Errorf("%s: got %+v, want %+v", x.name, got, x.want)
 		}
 	}
@@ -88,7 +88,7 @@
 	for i, c := range one {
 		for j, x := range c.nodes {
 			if two[i].nodes[j] != x {
-				t.Fatal("another draw")
+				t.Fatal("the same seed drew other faults")
 			}
 			switch {
 			case x.Delay > 0:
@@ -103,7 +103,7 @@
 		}
 		for to, x := range c.links {
 			if two[i].links[to] != x {
-				t.Fatal("another draw")
+				t.Fatal("the same seed drew other faults")
 			}
 			switch {
 			case x.Silent:
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(f.missing()) > 0 || f.Killed != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("faults drawn: %+v", f)
 	}
 }
 
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %v parts delegated", l.Mode, l.Parts.Delegated)
 		}
 		if l.Verdict != (Verdict{}) || l.Ends["failed"] > 0 || l.Ends["whole"] == 0 || l.Faults.Killed != 1 {
-			t.Errorf("%+v", l)
+			t.Errorf("incorrect rows, failed reads, no whole reads or no killed process: %+v", l)
 		}
 	}
 	opt.firstShardFault = node.RowFault{OtherVersion: true}
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -79,7 +79,7 @@
 		res, srv := runLoad(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
 		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Notes.Judge().Valid {
-			t.Fatalf("%+v %v", all.ByOutcome, res.Notes.Judge())
+			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Notes.Judge())
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
@@ -115,7 +115,7 @@
 				func(o *Options) { o.Retry = x.retry })
 			all, c := res.All(), srv.Counts()
 			if all.ByOutcome[x.want] != all.Arrivals || c.Requests != x.requestsPerArrival*int(all.Arrivals) || (c.Retries > 0) != (x.requestsPerArrival == 2) || all.WorthEarned > all.WorthDue {
-				t.Errorf("%+v: %+v, %+v", x, all.ByOutcome, c)
+				t.Errorf("%+v: outcomes %+v, server counted %+v", x, all.ByOutcome, c)
 			}
 			if x.requestsPerArrival == 2 && all.Retried != all.Arrivals {
 				t.Errorf("%d of %d arrivals were retried", all.Retried, all.Arrivals)
@@ -130,7 +130,7 @@
 		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
 		all, v := res.All(), res.Notes.Judge()
 		if all.Kept != all.Arrivals-10 || res.Notes.Kept[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
-			t.Errorf("%+v %v", all, v)
+			t.Errorf("outcomes %+v, verdict %v", all, v)
 		}
 	})
 }
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -143,11 +143,11 @@
 		if a.RetryAfter > 0 {
 			wait = a.RetryAfter
 		}
-		again := time.Now().Add(wait)
-		if left := due.Add(m.Deadline).Sub(again); left >= minRetryTime {
+		retryAt := time.Now().Add(wait)
+		if left := due.Add(m.Deadline).Sub(retryAt); left >= minRetryTime {
 			time.Sleep(wait)
 			m.ID, m.Retry, m.Deadline = m.ID+"r", true, left
-			b := pool.Do(m, again)
+			b := pool.Do(m, retryAt)
 			b.Sent, b.RetriedOnNewConn = a.Sent, a.RetriedOnNewConn || b.RetriedOnNewConn // the service time starts at the first attempt
 			a, attempts = b, 2
 		}
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -39,22 +39,22 @@
 	busiestHosts []busiestHost
 	runs         []extentRun   // by volume: the extent that successive requests access
 	recentWrites []objectWrite // writes of new objects, a ring buffer
-	writeCount   int
+	writeCount   int           // number of writes added to recentWrites so far
 	surge        surgePeriod
 	hash         *xxhash.Digest
 	buf          [64]byte
 }
 
-// busiestHost is the host that sends most of a volume's requests.
+// busiestHost is the host that sends the share Shape.Uneven of a volume's requests until it changes.
 type busiestHost struct {
 	host     int
-	changeAt float64 // of the next change, ms
+	changeAt float64 // time at which another host becomes the busiest, ms
 }
 
 // extentRun is a run of successive requests for one extent.
 type extentRun struct {
 	extent uint64
-	left   int
+	left   int // requests left in the run
 }
 
 // objectWrite is a write that created an object.
@@ -62,7 +62,7 @@
 	seq    uint64
 	volume int
 	extent uint64
-	at     float64
+	at     float64 // time of the write, ms
 }
 
 // surgePeriod is the current or the next surge, in milliseconds, with the volumes that take part.
--- a/internal/testkit/workload/schedule_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -50,7 +50,7 @@
 	runLengths, lastExtents := map[int]int{}, map[int]uint64{}
 	for i, r := range out {
 		if i > 0 && r.At < out[i-1].At || r.Seq != uint64(i) {
-			t.Fatalf("%d: %+v", i, r)
+			t.Fatalf("request %d is out of order: %+v", i, r)
 		}
 		classes[r.Class]++
 		hosts[[2]int{r.Volume, r.Host}]++
@@ -70,11 +70,11 @@
 			readsOfNew++
 			m, ok := writes[r.Of]
 			if !ok || write || m.Extent != r.Extent || m.Volume != r.Volume || r.At-m.At < 300*time.Millisecond || r.At-m.At > 8*time.Second {
-				t.Fatalf("%+v reads %+v", r, m)
+				t.Fatalf("read %+v does not match write %+v", r, m)
 			}
 		default:
 			if r.Shard < 0 || r.Shard >= s.Shards {
-				t.Fatalf("%+v", r)
+				t.Fatalf("shard is out of range: %+v", r)
 			}
 			if lastExtents[r.Volume] == r.Extent {
 				runLengths[r.Volume]++
@@ -90,7 +90,7 @@
 	n := float64(len(out))
 	for i, c := range s.Classes {
 		if share := float64(classes[i]) / n; math.Abs(share-c.Share) > 0.01 {
-			t.Errorf("%s: %v", c.Name, share)
+			t.Errorf("share of class %s: %v", c.Name, share)
 		}
 	}
 	mean := n / length.Seconds() / s.Rate // surges take about 10.85 s of every 30.85 s
