--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -14,7 +14,7 @@
 	"wheatsaddle/internal/cost"
 )
 
-// encodeQuestion encodes plans for the daemon's estimate call.
+// encodeQuestion encodes the body of a request to the daemon's estimate endpoint.
 func encodeQuestion(plans []cost.Plan, deadline time.Duration) ([]byte, error) {
 	var step func(s *cost.Step) map[string]any
 	list := func(all []cost.Step) (out []map[string]any) {
@@ -43,8 +43,8 @@
 	return json.Marshal(map[string]any{"plans": all, "deadline_ms": millis(deadline)})
 }
 
-// estimate asks a process for its estimate of plans, and again while the process has no time for it.
-func (w *processWorld) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
+// estimate requests the estimates of plans from a process, and retries while the process is too busy to answer.
+func (w *testbed) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
 	body, err := encodeQuestion(plans, stretchedDeadline)
 	if err != nil {
 		return r, err
@@ -71,13 +71,13 @@
 	}
 }
 
-// postQuestion sends one estimate call to a process.
-func (w *processWorld) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
+// postQuestion sends one request to the estimate endpoint of a process.
+func (w *testbed) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fleet.AdminAddress(p)+"/api/estimate", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := w.doorClient.Do(req)
+	resp, err := w.adminClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -86,16 +86,17 @@
 	return resp.StatusCode, text, err
 }
 
-// baselineRankings are the rankings by the other estimators, from what is known at a process and in the fleet.
-func (w *processWorld) baselineRankings(p int, est *[ways]*cost.Estimator, plans []cost.Plan) (got [ways]cost.Ranking, err error) {
+// baselineRankings are the rankings by the other two estimators: from the answers of all processes, and from those of
+// process p.
+func (w *testbed) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
 	w.mu.Lock()
 	now := time.Since(w.startedAt)
-	all, own := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
+	allViews, ownViews := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
 	w.mu.Unlock()
-	est[fleetMean].SetViews(flat(all))
-	est[ownOnly].SetViews(own)
-	for k := fleetMean; k < ways && err == nil; k++ {
-		got[k], err = est[k].Estimate(plans, stretchedDeadline)
+	estimators[fleetMean].SetViews(fleetMeanViews(allViews))
+	estimators[ownOnly].SetViews(ownViews)
+	for k := fleetMean; k < estimatorCount && err == nil; k++ {
+		got[k], err = estimators[k].Estimate(plans, stretchedDeadline)
 	}
 	return got, err
 }
--- a/internal/testkit/experiment/costs/real_world.go
+++ b/internal/testkit/experiment/costs/real_testbed.go
@@ -22,49 +22,49 @@
 	"wheatsaddle/internal/testkit/cluster"
 )
 
-// processWorld is a fleet of daemon processes and simulated storage nodes.
-type processWorld struct {
+// testbed is a fleet of daemon processes and simulated storage nodes.
+type testbed struct {
 	opt               RealOptions
 	fleet             *cluster.Fleet
-	nodes             []server
-	slowed            atomic.Bool    // the slow node has turned slow
+	nodes             []simulatedNode
+	slowed            atomic.Bool    // the slow node has slowed down
 	processPools      []*client.Pool // to each process
 	nodePools         []*client.Pool // to each node
-	doorClient        *http.Client
+	adminClient       *http.Client
 	startedAt         time.Time
 	lastRequestNumber atomic.Uint64
 
 	mu             sync.Mutex // guards the fields below
-	ownAnswers     []answers  // answers as each process's own clients saw them
+	ownAnswers     []answers  // answers to the clients of each process
 	allAnswers     answers    // answers of all processes together
-	answersGiven   []int      // number of answers of each process
+	answerCounts   []int      // number of answers of each process
 	row            RealRow
 	lastWrongOrder []time.Duration // for each process, the time after the slowing at which its order was last seen wrong
 	err            error
 }
 
-// server is one simulated storage node.
-type server struct {
+// simulatedNode is one simulated storage node.
+type simulatedNode struct {
 	kind   int
-	factor float64 // its own factor on the service time of its kind
+	factor float64 // of this node, on the service time of its kind
 }
 
-// answers are the observations of one observer, with one slot for each node.
+// answers are the observations of one observer, with one recorder for each node.
 type answers struct {
-	state *nodestats.State
-	slots []*nodestats.Recorder
+	state     *nodestats.State
+	recorders []*nodestats.Recorder
 }
 
 // record adds the time of one answer of node n.
 func (a *answers) record(now time.Duration, n int, units, took float64) {
-	a.slots[n].Record(now, units, took, nodestats.Served)
+	a.recorders[n].Record(now, units, took, nodestats.Served)
 }
 
-// newProcessWorld starts the nodes and the daemons of a seed.
-func newProcessWorld(ctx context.Context, opt RealOptions, seed uint64) (*processWorld, error) {
+// newTestbed starts the nodes and the daemons of a seed.
+func newTestbed(ctx context.Context, opt RealOptions, seed uint64) (*testbed, error) {
 	rng := rand.New(rand.NewPCG(seed, 24))
-	w := &processWorld{opt: opt, startedAt: time.Now(), answersGiven: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
-		doorClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	w := &testbed{opt: opt, startedAt: time.Now(), answerCounts: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
+		adminClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	w.row.Seed = seed
 	nodes, types := w.makeNodes(rng)
 	var err error
@@ -103,36 +103,36 @@
 }
 
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
-func (w *processWorld) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
+func (w *testbed) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
-	for n := range w.opt.Groups * perShard {
-		w.nodes = append(w.nodes, server{n % perShard, math.Exp(ownSpread * rng.NormFloat64())})
-		types[nodeName(n)] = kinds[n%perShard].name
+	for n := range w.opt.Groups * nodesPerShard {
+		w.nodes = append(w.nodes, simulatedNode{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
+		types[nodeName(n)] = kinds[n%nodesPerShard].name
 		nodes = append(nodes, cluster.StorageNode{Name: nodeName(n), Shard: n, Workers: workersPerNode, ServiceTime: func(q *fasthttp.Request) time.Duration {
-			units, luck := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
-			return time.Duration(w.drawServiceTime(n, units, luck) * float64(time.Millisecond))
+			units, requestSeed := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
+			return time.Duration(w.drawServiceTime(n, units, requestSeed) * float64(time.Millisecond))
 		}})
 	}
 	return nodes, types
 }
 
 // newObserver returns the observations of one observer, without any answer yet.
-func (w *processWorld) newObserver(name string, types map[string]string) (a answers, err error) {
+func (w *testbed) newObserver(name string, types map[string]string) (a answers, err error) {
 	settings := nodestats.Defaults()
 	settings.HalfLife = w.opt.HalfLife
 	a.state, err = nodestats.New(settings, name, 1)
 	for n := range w.nodes {
 		if err == nil {
 			a.state.SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
-			a.slots = append(a.slots, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
+			a.recorders = append(a.recorders, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
 		}
 	}
 	return a, err
 }
 
-// daemonSettings are the daemons' settings that differ from those of procs.
+// daemonSettings are the daemons' settings that differ from the defaults of package cluster.
 func daemonSettings() map[string]any {
-	return map[string]any{"ceilings": map[string]any{"peers": true}, "extra": map[string]any{"usual-units": (1 + unitsTop) / 2.0, "largest": unitsTop},
+	return map[string]any{"ceilings": map[string]any{"peers": true}, "extra": map[string]any{"usual-units": (1 + maxUnits) / 2.0, "largest": maxUnits},
 		"profiles": []map[string]any{{"name": class, "goal-time": requestDeadline.Milliseconds() / 2, "deadline": requestDeadline.Milliseconds(), "worth": 2,
 			"late-worth": 1, "repeat": "safe"}}}
 }
@@ -152,15 +152,15 @@
 }
 
 // close ends the clients and the fleet.
-func (w *processWorld) close() {
+func (w *testbed) close() {
 	for _, p := range slices.Concat(w.processPools, w.nodePools) {
 		p.Close()
 	}
 	w.fleet.Close()
 }
 
-// meanServiceTime is a node's mean service time now, in milliseconds, for a request of so many units.
-func (w *processWorld) meanServiceTime(n int, units float64) float64 {
+// meanServiceTime is a node's current mean service time, in milliseconds, for a request of so many units.
+func (w *testbed) meanServiceTime(n int, units float64) float64 {
 	x := w.nodes[n]
 	m := serviceStretch * (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
 	if n == w.slowNode() && w.slowed.Load() {
@@ -169,13 +169,13 @@
 	return m
 }
 
-// slowNode is the node that turns slow.
-func (w *processWorld) slowNode() int { return min(slowNode, len(w.nodes)-perShard) }
+// slowNode is the index of the node that slows down.
+func (w *testbed) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
 
-// drawServiceTime is a node's service time for a request, in milliseconds. The luck belongs to the request and is the
-// same at each node, so that plans for the same work differ only by their nodes and by what the machine adds.
-func (w *processWorld) drawServiceTime(n int, units float64, luck uint64) float64 {
-	s := math.Sqrt(math.Log1p(scatter * scatter))
-	z := rand.New(rand.NewPCG(luck, 26)).NormFloat64()
+// drawServiceTime draws a node's service time for a request, in milliseconds. The seed belongs to the request and is the
+// same at each node, so that plans for the same work differ only by their nodes and by the noise of the machine.
+func (w *testbed) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
+	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
+	z := rand.New(rand.NewPCG(requestSeed, 26)).NormFloat64()
 	return w.meanServiceTime(n, units) * math.Exp(s*z-s*s/2)
 }
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -12,84 +12,86 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Line is one seed in one mode; times are milliseconds from when a read was due.
+// Line is the result of one seed in one mode. Times are milliseconds after the time at which a read was due.
 type Line struct {
-	Mode     string         `json:"mode"`
-	Seed     uint64         `json:"seed"`
-	Reads    int            `json:"reads"`
-	Ends     map[string]int `json:"ends"`
-	First    [2]float64     `json:"first_row_p50_p99"`
-	Most     [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows, where they came
-	Whole    [2]float64     `json:"whole_p50_p99"`     // of whole reads
-	MostHere float64        `json:"share_most_rows"`   // reads of which 95% of the rows came
-	Parts    Parts          `json:"parts"`
-	Sent     float64        `json:"sent_late_p99"` // the client's own lateness: of a busy machine the times say less
-	Verdict  Verdict        `json:"verdict"`
-	Happened happened       `json:"faults"`
-	Examples []string       `json:"examples,omitempty"` // of rows that are not right and ends that are not known
+	Mode          string         `json:"mode"`
+	Seed          uint64         `json:"seed"`
+	Reads         int            `json:"reads"`
+	Ends          map[string]int `json:"ends"`
+	First         [2]float64     `json:"first_row_p50_p99"`
+	MostRows      [2]float64     `json:"most_rows_p50_p99"` // until 95% of the rows were received; only reads that got so far
+	Whole         [2]float64     `json:"whole_p50_p99"`     // until the end, of whole reads
+	MostRowsShare float64        `json:"share_most_rows"`   // share of reads that received 95% of the rows
+	Parts         Parts          `json:"parts"`
+	SendLateness  float64        `json:"sent_late_p99"` // the client's own lateness; if high, the other times are less reliable
+	Verdict       Verdict        `json:"verdict"`
+	Faults        faultCounts    `json:"faults"`
+	Examples      []string       `json:"examples,omitempty"` // descriptions of reads with incorrect rows or with the end "failed"
 }
 
-// each is how many there are of something for each read.
-func (l *Line) each(n int) float64 { return float64(n) / float64(max(1, l.Reads)) }
+// perRead divides a count by the number of reads.
+func (l *Line) perRead(n int) float64 { return float64(n) / float64(max(1, l.Reads)) }
 
-// share of reads with an end.
-func (l *Line) share(end int) float64 { return l.each(l.Ends[endNames[end]]) }
+// share returns the share of reads with an end.
+func (l *Line) share(end int) float64 { return l.perRead(l.Ends[endNames[end]]) }
 
-// Report is the result.
+// Report is the result of the experiment.
 type Report struct {
-	World  World    `json:"world"`
+	Setup  Setup    `json:"world"`
 	Rate   float64  `json:"rate"`
 	For    float64  `json:"seconds"`
 	Modes  []Mode   `json:"modes"`
 	Lines  []Line   `json:"lines"`
-	Wrong  bool     `json:"wrong"`  // rows are not right, somewhere
-	Absent []string `json:"absent"` // faults that did not happen in a mode
+	Wrong  bool     `json:"wrong"`  // some run had incorrect rows
+	Absent []string `json:"absent"` // kinds of faults that did not occur, by mode
 }
 
-const examplesMost = 5
+const maxExamples = 5
 
-// Run plays each seed in each mode; the modes of a seed one after the other, so that what else the machine does meets all.
+// Run runs each seed in each mode. The modes of a seed run in direct succession, so that other load on the machine affects
+// all of them alike.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	rep := &Report{World: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
-	met := make([]happened, len(Modes))
+	rep := &Report{Setup: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
+	faults := make([]faultCounts, len(Modes))
 	for _, seed := range opt.Seeds {
 		for i, m := range Modes {
-			l, err := runOne(ctx, opt, m, seed)
+			l, err := runMode(ctx, opt, m, seed)
 			if err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", m.Name, seed, err)
 			}
-			met[i].add(l.Happened)
+			faults[i].add(l.Faults)
 			rep.Wrong = rep.Wrong || l.Verdict != (Verdict{})
 			rep.Lines = append(rep.Lines, l)
 		}
 	}
 	for i, m := range Modes {
-		for _, name := range met[i].absent() {
+		for _, name := range faults[i].missing() {
 			rep.Absent = append(rep.Absent, m.Name+": "+name)
 		}
 	}
 	return rep, nil
 }
 
-func runOne(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
+// runMode runs one seed in one mode.
+func runMode(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
 	opt.World.Rows.Seed = seed
 	log := opt.Log.WithFields(logrus.Fields{"mode": m.Name, "seed": seed})
 	log.WithField("processes", opt.World.Processes).Info("starting")
-	f, err := start(ctx, opt.Daemon, opt.World, m, seed)
+	f, err := startFleet(ctx, opt.Daemon, opt.World, m, seed)
 	if err != nil {
 		return Line{}, err
 	}
 	defer f.Close()
-	log.WithField("for", opt.For.String()).Info("reading, under faults")
-	all, err := play(ctx, opt, f, seed)
+	log.WithField("for", opt.For.String()).Info("sending reads under faults")
+	all, err := runSeed(ctx, opt, f, seed)
 	if err != nil {
 		return Line{}, err
 	}
-	l := lineOf(all)
-	l.Mode, l.Seed, l.Happened = m.Name, seed, f.happened()
-	l.Parts = f.parts()
+	l := newLine(all)
+	l.Mode, l.Seed, l.Faults = m.Name, seed, f.faultCounts()
+	l.Parts = f.countParts()
 	if l.Verdict != (Verdict{}) {
-		log.WithField("rows", fmt.Sprintf("%+v", l.Verdict)).Error("rows are not right")
+		log.WithField("rows", fmt.Sprintf("%+v", l.Verdict)).Error("incorrect rows")
 	}
 	for _, e := range l.Examples {
 		log.Warn(e)
@@ -97,32 +99,34 @@
 	return l, nil
 }
 
-func lineOf(all []one) Line {
+// newLine summarizes the outcomes of a run.
+func newLine(all []readOutcome) Line {
 	l := Line{Reads: len(all), Ends: map[string]int{}}
-	var first, most, wholes, sent []time.Duration
+	var firstRow, mostRows, wholeTimes, lateness []time.Duration
 	for _, o := range all {
-		sent = append(sent, o.sent)
+		lateness = append(lateness, o.sendLateness)
 		l.Ends[endNames[o.end]]++
 		l.Verdict.add(o.verdict)
-		if o.first > 0 {
-			first = append(first, o.first)
+		if o.firstRow > 0 {
+			firstRow = append(firstRow, o.firstRow)
 		}
-		if o.most > 0 {
-			most = append(most, o.most)
+		if o.mostRows > 0 {
+			mostRows = append(mostRows, o.mostRows)
 		}
-		if o.end == whole {
-			wholes = append(wholes, o.took)
+		if o.end == endWhole {
+			wholeTimes = append(wholeTimes, o.took)
 		}
-		if o.why != "" && len(l.Examples) < examplesMost {
-			l.Examples = append(l.Examples, o.why)
+		if o.detail != "" && len(l.Examples) < maxExamples {
+			l.Examples = append(l.Examples, o.detail)
 		}
 	}
-	l.First, l.Most, l.Whole = quantiles(first), quantiles(most), quantiles(wholes)
-	l.Sent = quantiles(sent)[1]
-	l.MostHere = float64(len(most)) / float64(max(1, len(all)))
+	l.First, l.MostRows, l.Whole = quantiles(firstRow), quantiles(mostRows), quantiles(wholeTimes)
+	l.SendLateness = quantiles(lateness)[1]
+	l.MostRowsShare = float64(len(mostRows)) / float64(max(1, len(all)))
 	return l
 }
 
+// quantiles returns the median and the 99th percentile, in milliseconds rounded to 0.1.
 func quantiles(all []time.Duration) (q [2]float64) {
 	slices.Sort(all)
 	for i, at := range []float64{0.5, 0.99} {
@@ -133,11 +137,12 @@
 	return q
 }
 
-// Print writes the table: a row a mode, of each figure the median of the seeds and in brackets the lowest and highest.
+// Print writes a table with one row for each mode: the median of each figure over the seeds, with its minimum and maximum in
+// parentheses, and sums of the counts of incorrect rows.
 func (rep *Report) Print(out io.Writer) error {
-	w := rep.World
+	w := rep.Setup
 	fmt.Fprintf(out, "%d processes, %d nodes (%d shards of %d rows, %d copies), %g reads/s for %.0f s a seed; ms from when a read was due\n",
-		w.Processes, w.Shards*w.Copies, w.Shards, w.Rows.RowsPerShard, w.Copies, rep.Rate, rep.For)
+		w.Processes, w.Shards*w.Replicas, w.Shards, w.Rows.RowsPerShard, w.Replicas, rep.Rate, rep.For)
 	columns := []struct {
 		name string
 		form string
@@ -146,19 +151,19 @@
 		{"reads", "%.0f", func(l *Line) float64 { return float64(l.Reads) }},
 		{"whole p50", "%.0f", func(l *Line) float64 { return l.Whole[0] }},
 		{"p99", "%.0f", func(l *Line) float64 { return l.Whole[1] }},
-		{"95% of rows p50", "%.0f", func(l *Line) float64 { return l.Most[0] }},
-		{"p99", "%.0f", func(l *Line) float64 { return l.Most[1] }},
+		{"95% of rows p50", "%.0f", func(l *Line) float64 { return l.MostRows[0] }},
+		{"p99", "%.0f", func(l *Line) float64 { return l.MostRows[1] }},
 		{"first row p50", "%.0f", func(l *Line) float64 { return l.First[0] }},
 		{"p99", "%.0f", func(l *Line) float64 { return l.First[1] }},
-		{"whole %", "%.1f", func(l *Line) float64 { return 100 * l.share(whole) }},
-		{"named in part %", "%.1f", func(l *Line) float64 { return 100 * l.share(inPart) }},
-		{"refused %", "%.1f", func(l *Line) float64 { return 100 * l.share(refused) }},
-		{"late %", "%.1f", func(l *Line) float64 { return 100 * l.share(late) }},
-		{"broken %", "%.1f", func(l *Line) float64 { return 100 * l.share(broken) }},
-		{"failed %", "%.1f", func(l *Line) float64 { return 100 * l.share(failed) }},
-		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.each(l.Parts.Asked) }},
-		{"handed on", "%.2f", func(l *Line) float64 { return l.each(l.Parts.Handed) }},
-		{"sent late p99", "%.0f", func(l *Line) float64 { return l.Sent }},
+		{"whole %", "%.1f", func(l *Line) float64 { return 100 * l.share(endWhole) }},
+		{"named in part %", "%.1f", func(l *Line) float64 { return 100 * l.share(endPartial) }},
+		{"refused %", "%.1f", func(l *Line) float64 { return 100 * l.share(endRefused) }},
+		{"late %", "%.1f", func(l *Line) float64 { return 100 * l.share(endLate) }},
+		{"broken %", "%.1f", func(l *Line) float64 { return 100 * l.share(endBroken) }},
+		{"failed %", "%.1f", func(l *Line) float64 { return 100 * l.share(endFailed) }},
+		{"parts asked a read", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Requests) }},
+		{"handed on", "%.2f", func(l *Line) float64 { return l.perRead(l.Parts.Delegated) }},
+		{"sent late p99", "%.0f", func(l *Line) float64 { return l.SendLateness }},
 		{"rows wrong", "", func(l *Line) float64 { return float64(l.Verdict.Wrong) }},
 		{"doubled", "", func(l *Line) float64 { return float64(l.Verdict.Doubled) }},
 		{"lost", "", func(l *Line) float64 { return float64(l.Verdict.Lost) }},
@@ -179,7 +184,7 @@
 					sum += c.of(l)
 				}
 			}
-			if slices.Sort(all); c.form == "" { // a count over all seeds
+			if slices.Sort(all); c.form == "" { // no format: the sum over all seeds
 				fmt.Fprintf(t, "\t%.0f", sum)
 			} else {
 				fmt.Fprintf(t, "\t"+c.form+" ("+c.form+" to "+c.form+")", all[len(all)/2], all[0], all[len(all)-1])
@@ -191,16 +196,16 @@
 		return err
 	}
 	for _, m := range rep.Modes {
-		var met happened
+		var faults faultCounts
 		var parts Parts
 		for _, l := range rep.Lines {
 			if l.Mode == m.Name {
-				met.add(l.Happened)
-				parts.Again, parts.Same = parts.Again+l.Parts.Again, parts.Same+l.Parts.Same
+				faults.add(l.Faults)
+				parts.Retried, parts.RetriedAtSameNode = parts.Retried+l.Parts.Retried, parts.RetriedAtSameNode+l.Parts.RetriedAtSameNode
 			}
 		}
 		fmt.Fprintf(out, "faults %s: parts late %d, stopped %d, cut %d, silent for good %d; links silent %d, reset %d, slow %d; processes killed %d; parts asked again %d, at the same node %d\n", m.Name,
-			met.Late, met.Stopped, met.Cut, met.Never, met.Silenced, met.Reset, met.Delayed, met.Killed, parts.Again, parts.Same)
+			faults.Late, faults.Stopped, faults.Cut, faults.Stalled, faults.Silenced, faults.Reset, faults.Delayed, faults.Killed, parts.Retried, parts.RetriedAtSameNode)
 	}
 	for _, a := range rep.Absent {
 		fmt.Fprintln(out, "a fault that did not happen:", a)
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -23,8 +23,8 @@
 
 const ms = time.Millisecond
 
-// The first response starts a goroutine of the library that never ends: it must not start on
-// virtual time.
+// The first response starts a goroutine of fasthttp that never ends. Writing one here starts it
+// outside the synctest bubbles, which could not end otherwise.
 func TestMain(m *testing.M) {
 	var r fasthttp.Response
 	if err := r.Write(bufio.NewWriter(io.Discard)); err != nil {
@@ -33,12 +33,12 @@
 	os.Exit(m.Run())
 }
 
-// play runs a shape against a stand-in on virtual time, over connections in memory.
-func play(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, span time.Duration, change func(*Options)) (*Results, *server.Server) {
+// runLoad runs a shape against a simulated server in virtual time, over in-memory connections.
+func runLoad(t *testing.T, opt server.Options, mode server.Mode, s workload.Shape, length time.Duration, change func(*Options)) (*Results, *server.Server) {
 	t.Helper()
 	srv := server.New(opt)
 	srv.SetMode(mode)
-	src, err := workload.New(s, 1, span)
+	src, err := workload.New(s, 1, length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,89 +60,90 @@
 	return res, srv
 }
 
-// plain is one class at a constant rate.
-func plain(rate float64) workload.Shape {
+// constantRateShape is a shape of one class at a constant rate.
+func constantRateShape(rate float64) workload.Shape {
 	s := workload.Default()
 	s.Process, s.Rate, s.Surges = "constant", rate, nil
 	s.Classes = []workload.Class{{Name: "balance-read", Share: 1, Deadline: 1500, Aim: 250, Worth: 3, LateWorth: 1}}
 	return s
 }
 
-// A fixed stall of 200 ms every 2 s: the percentiles from the intended time are the computed
-// ones, and a client that waits for its answer before it asks again misses them.
+// The server stalls for 200 ms every 2 s. Latency percentiles measured from the intended send time
+// must match the computed ones. A closed-loop client, which waits for each answer before the next
+// request, hides the stall (coordinated omission).
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opt := server.Options{ServiceTime: 20 * ms, StallDuration: 200 * ms, StallInterval: 2 * time.Second}
-		s := plain(400)
+		s := constantRateShape(400)
 		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
-		res, srv := play(t, opt, server.Answer, s, 22*time.Second, nil)
+		res, srv := runLoad(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
-		if all.Asked < 7990 || all.Ends[client.Served] != all.Asked || !res.Notes.Judge().Valid {
-			t.Fatalf("%+v %v", all.Ends, res.Notes.Judge())
+		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Notes.Judge().Valid {
+			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Notes.Judge())
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
 			if off := math.Abs(float64(got-want)) / float64(want); off > 0.03 {
-				t.Errorf("%v: %v, computed %v", q, got, want)
+				t.Errorf("quantile %v: measured %v, computed %v", q, got, want)
 			}
 		}
-		closed := newTimes(digits)
+		closed := newHistogram(significantDigits)
 		for at := 2 * time.Second; at < 22*time.Second; {
 			took := srv.ExpectedResponseTime(at)
 			closed.Record(took)
 			at += took
 		}
 		if got := closed.Quantile(0.9); got > srv.Quantile(0.95) || closed.Quantile(0.98) > srv.Quantile(0.99)/2 {
-			t.Errorf("the closed loop sees the stall: %v %v", got, closed.Quantile(0.98))
+			t.Errorf("the closed loop shows the stall: p90 %v, p98 %v", got, closed.Quantile(0.98))
 		}
 	})
 }
 
-// Servers that misbehave: what comes of it is counted as what it was, and nothing waits for ever.
+// Each way in which a server misbehaves is counted under its own outcome, and no request waits forever.
 func TestOutcomes(t *testing.T) {
 	for _, x := range []struct {
-		mode  server.Mode
-		retry bool
-		want  client.Outcome
-		seen  int // requests that came, a request
+		mode               server.Mode
+		retry              bool
+		want               client.Outcome
+		requestsPerArrival int // requests at the server per arrival
 	}{
 		{server.Hang, true, client.TimedOut, 1}, {server.Reset, false, client.Reset, 1}, {server.Delayed, false, client.TimedOut, 1},
 		{server.Reject, false, client.Rejected, 1}, {server.Reject, true, client.Rejected, 2}, {server.Answer, true, client.Served, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			res, srv := play(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, plain(50), 2*time.Second,
+			res, srv := runLoad(t, server.Options{ServiceTime: ms, RetryAfter: 250 * ms, Delay: 2 * time.Second}, x.mode, constantRateShape(50), 2*time.Second,
 				func(o *Options) { o.Retry = x.retry })
 			all, c := res.All(), srv.Counts()
-			if all.Ends[x.want] != all.Asked || c.Requests != x.seen*int(all.Asked) || (c.Retries > 0) != (x.seen == 2) || all.Earned > all.Due {
-				t.Errorf("%+v: %+v, %+v", x, all.Ends, c)
+			if all.ByOutcome[x.want] != all.Arrivals || c.Requests != x.requestsPerArrival*int(all.Arrivals) || (c.Retries > 0) != (x.requestsPerArrival == 2) || all.WorthEarned > all.WorthDue {
+				t.Errorf("%+v: outcomes %+v, server counted %+v", x, all.ByOutcome, c)
 			}
-			if x.seen == 2 && all.Retried != all.Asked {
-				t.Errorf("%d retried of %d", all.Retried, all.Asked)
+			if x.requestsPerArrival == 2 && all.Retried != all.Arrivals {
+				t.Errorf("%d of %d arrivals were retried", all.Retried, all.Arrivals)
 			}
 		})
 	}
 }
 
-// What a bound on open requests keeps back is counted by name, and the run is not valid.
-func TestKeptBack(t *testing.T) {
+// Requests held back by the limit on open requests are counted under its name and make the run invalid.
+func TestOpenLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		res, _ := play(t, server.Options{}, server.Hang, plain(100), time.Second, func(o *Options) { o.MostOpen = 10 })
+		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
 		all, v := res.All(), res.Notes.Judge()
-		if all.Kept != all.Asked-10 || res.Notes.Kept[KeptOpen] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptOpen) {
-			t.Errorf("%+v %v", all, v)
+		if all.Kept != all.Arrivals-10 || res.Notes.Kept[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
+			t.Errorf("outcomes %+v, verdict %v", all, v)
 		}
 	})
 }
 
-// Two workers' results, sent as JSON and merged, equal one worker's of the union.
+// The results of two workers, encoded as JSON and merged, equal those of one worker that sends everything.
 func TestWorkersMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := workload.Default()
 		opt := server.Options{ServiceTime: 7 * ms, StallDuration: 100 * ms, StallInterval: time.Second}
-		one, _ := play(t, opt, server.Answer, s, 5*time.Second, nil)
+		one, _ := runLoad(t, opt, server.Answer, s, 5*time.Second, nil)
 		var sum *Results
 		for w := range 2 {
-			part, _ := play(t, opt, server.Answer, s, 5*time.Second, func(o *Options) { o.Worker, o.Workers = w, 2 })
+			part, _ := runLoad(t, opt, server.Answer, s, 5*time.Second, func(o *Options) { o.Worker, o.Workers = w, 2 })
 			text, err := json.Marshal(part)
 			if err != nil {
 				t.Fatal(err)
@@ -159,26 +160,26 @@
 		}
 		for name, p := range one.Classes {
 			o := sum.Classes[name]
-			if p.Asked != o.Asked || p.Ends != o.Ends || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
-				t.Errorf("%s: %d and %d", name, p.Asked, o.Asked)
+			if p.Arrivals != o.Arrivals || p.ByOutcome != o.ByOutcome || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
+				t.Errorf("%s: one worker counted %d arrivals, two merged %d", name, p.Arrivals, o.Arrivals)
 			}
 		}
 		if len(sum.Seconds) != len(one.Seconds) {
-			t.Errorf("%d and %d seconds", len(sum.Seconds), len(one.Seconds))
+			t.Errorf("%d seconds merged, %d by one worker", len(sum.Seconds), len(one.Seconds))
 		}
 	})
 }
 
-// Recording a time costs no allocation.
+// Recording a time must not allocate.
 func TestRecordAllocates(t *testing.T) {
-	h := newTimes(digits)
+	h := newHistogram(significantDigits)
 	if n := testing.AllocsPerRun(1000, func() { h.Record(1234 * time.Microsecond) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	h := newTimes(digits)
+	h := newHistogram(significantDigits)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Record(1234 * time.Microsecond)
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -10,94 +10,98 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is one arrival. Its numbers stand for names that the shape and the sender give.
+// Request is one arrival. Class, Plan, Volume and Host are indexes; the shape and the sender map them to names.
 type Request struct {
 	Seq    uint64        // from 0
 	At     time.Duration // after the start
-	Class  int           // index into the shape's
+	Class  int           // index into the shape's classes
 	Plan   int
 	Volume int
-	Host   int    // which of the volume's hosts, from 0
-	Extent uint64 // the piece of data
+	Host   int    // index of the host among the volume's hosts, from 0
+	Extent uint64 // id of the data that is read or written
 	Units  int
-	Shard  int    // -1: a new object, or a read of one whose place only its write's answer tells
-	Of     uint64 // 1 + Seq of the write that made the object that is read; 0: none
-	Surge  bool   // of a surging volume
+	Shard  int    // -1: a write of a new object, or a read of one; only the answer to the write tells its shard
+	Of     uint64 // 1 + Seq of the write that created the object that is read; 0: not a read of a new object
+	Surge  bool   // drawn from the additional load of a surge
 }
 
-// Schedule gives a shape's requests in turn.
+// Schedule generates a shape's requests in the order of their times.
 type Schedule struct {
-	shape   Shape
-	rng     *rand.Rand
-	until   time.Duration
-	seq     uint64
-	now     float64 // ms
-	class   []float64
-	units   []float64
-	volume  []float64 // cumulative shares
-	plans   []int     // by volume
-	busiest []swap
-	runs    []run   // by volume: the piece of data asked for in a row
-	made    []maker // new objects of late, a ring
-	nMade   int
-	surge   surge
-	hash    *xxhash.Digest
-	buf     [64]byte
+	shape        Shape
+	rng          *rand.Rand
+	until        time.Duration
+	seq          uint64
+	now          float64 // ms
+	classShares  []float64
+	unitShares   []float64
+	volumeShares []float64 // cumulative, as are classShares and unitShares
+	volumePlans  []int     // plan of each volume
+	busiestHosts []busiestHost
+	runs         []extentRun   // by volume: the extent that successive requests access
+	recentWrites []objectWrite // writes of new objects, a ring buffer
+	writeCount   int           // number of writes added to recentWrites so far
+	surge        surgePeriod
+	hash         *xxhash.Digest
+	buf          [64]byte
 }
 
-type swap struct {
-	host int
-	at   float64 // of the next change, ms
+// busiestHost is the host that sends the share Shape.Uneven of a volume's requests until it changes.
+type busiestHost struct {
+	host     int
+	changeAt float64 // time at which another host becomes the busiest, ms
 }
 
-type run struct {
+// extentRun is a run of successive requests for one extent.
+type extentRun struct {
 	extent uint64
-	left   int
+	left   int // requests left in the run
 }
 
-type maker struct {
+// objectWrite is a write that created an object.
+type objectWrite struct {
 	seq    uint64
 	volume int
 	extent uint64
-	at     float64
+	at     float64 // time of the write, ms
 }
 
-type surge struct {
+// surgePeriod is the current or the next surge, in milliseconds, with the volumes that take part.
+type surgePeriod struct {
 	from, to float64
 	volumes  []int
 }
 
 const (
-	madeMost = 512    // new objects remembered
-	madeSpan = 8000.0 // ms that a new object counts as one
-	madeRest = 300.0  // ms before it is read: its write has to be answered
-	rampStep = 20.0   // ms: a ramp is taken as that fine a stair
+	maxRecentWrites   = 512    // writes remembered
+	recentWriteMaxAge = 8000.0 // ms after its write; an older object is not read as a new one
+	recentWriteMinAge = 300.0  // ms after its write before an object is read, so that the write has been answered
+	rampStep          = 20.0   // ms; longest step of the staircase that approximates a ramp
 )
 
-// New makes a shape's schedule up to a time; the shape must be good.
+// New returns the schedule of a shape up to a time. It fails if the shape does not pass Check.
 func New(s Shape, seed uint64, until time.Duration) (*Schedule, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
 	a := &Schedule{shape: s, rng: rand.New(rand.NewPCG(seed, 0x6172726976616c)), until: until, hash: xxhash.New()}
 	for _, c := range s.Classes {
-		a.class = append(a.class, c.Share)
+		a.classShares = append(a.classShares, c.Share)
 	}
-	a.class, a.units = cumulate(a.class), cumulate(s.Units)
+	a.classShares, a.unitShares = cumulativeShares(a.classShares), cumulativeShares(s.Units)
 	shares := make([]float64, s.Volumes)
 	for i := range shares {
 		shares[i] = math.Pow(float64(i+1), -s.Skew)
 	}
-	a.volume = cumulate(shares)
+	a.volumeShares = cumulativeShares(shares)
 	plan := make([]float64, 0, len(s.Plans))
 	for _, p := range s.Plans {
 		plan = append(plan, p.Share)
 	}
-	plan = cumulate(plan)
-	a.plans, a.busiest, a.runs = make([]int, s.Volumes), make([]swap, s.Volumes), make([]run, s.Volumes)
-	for i := range a.plans {
-		a.plans[i] = a.draw(plan)
-		a.busiest[i] = swap{a.rng.IntN(s.Hosts), a.span(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
+	plan = cumulativeShares(plan)
+	a.volumePlans, a.busiestHosts, a.runs = make([]int, s.Volumes), make([]busiestHost, s.Volumes), make([]extentRun, s.Volumes)
+	for i := range a.volumePlans {
+		a.volumePlans[i] = a.drawIndex(plan)
+		a.busiestHosts[i] = busiestHost{a.rng.IntN(s.Hosts), a.drawBetween(s.SwapLow, s.SwapHigh) * a.rng.Float64()}
 	}
 	if u := s.Surges; u != nil {
 		from := u.First
@@ -111,7 +115,8 @@
 	return a, nil
 }
 
-func cumulate(w []float64) []float64 {
+// cumulativeShares normalizes weights to a sum of 1 and returns their running sums.
+func cumulativeShares(w []float64) []float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
@@ -125,8 +130,8 @@
 	return out
 }
 
-// draw picks an index by cumulative shares.
-func (a *Schedule) draw(shares []float64) int {
+// drawIndex draws an index by cumulative shares.
+func (a *Schedule) drawIndex(shares []float64) int {
 	x := a.rng.Float64()
 	low, high := 0, len(shares)-1
 	for low < high {
@@ -139,18 +144,20 @@
 	return low
 }
 
-func (a *Schedule) span(low, high float64) float64 { return low + a.rng.Float64()*(high-low) }
+// drawBetween draws a length of time uniformly between two bounds.
+func (a *Schedule) drawBetween(low, high float64) float64 { return low + a.rng.Float64()*(high-low) }
 
+// nextSurge draws the length and the volumes of the surge that begins at the given time.
 func (a *Schedule) nextSurge(from float64) {
 	u := a.shape.Surges
-	a.surge.from, a.surge.to = from, from+a.span(u.Least, u.Most)
+	a.surge.from, a.surge.to = from, from+a.drawBetween(u.Least, u.Most)
 	a.surge.volumes = a.surge.volumes[:0]
 	for range min(u.Volumes, a.shape.Volumes) {
-		a.surge.volumes = append(a.surge.volumes, a.draw(a.volume))
+		a.surge.volumes = append(a.surge.volumes, a.drawIndex(a.volumeShares))
 	}
 }
 
-// rate is the rate at a time in requests a millisecond, and the time up to which it holds.
+// rate returns the rate at a time, in requests per millisecond, and the time until which it is constant.
 func (a *Schedule) rate(at float64) (rate, until float64) {
 	times, end := 1.0, math.Inf(1)
 	for _, t := range a.shape.Steps {
@@ -177,9 +184,9 @@
 	return a.shape.Rate * times / 1000, end
 }
 
-// Next gives the next request; false: the schedule has ended.
+// Next returns the next request, or false if the schedule has ended.
 func (a *Schedule) Next() (Request, bool) {
-	need := 1.0 // of the integral of the rate
+	need := 1.0 // integral of the rate up to the next arrival
 	if a.shape.Process == "poisson" {
 		need = a.rng.ExpFloat64()
 	}
@@ -189,7 +196,7 @@
 			a.nextSurge(a.surge.to + a.rng.ExpFloat64()*a.shape.Surges.Every)
 		}
 		rate, until := a.rate(a.now)
-		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // or a rounded stair's end would hold it for ever
+		until = math.Max(until, math.Nextafter(a.now, math.Inf(1))) // rounding may put the step's end at now: endless loop
 		if step := need / rate; rate > 0 && a.now+step < until {
 			a.now += step
 			break
@@ -203,50 +210,51 @@
 	if a.now >= limit {
 		return Request{}, false
 	}
-	r := a.fill()
+	r := a.drawRequest()
 	a.seq++
-	a.sum(&r)
+	a.addToHash(&r)
 	return r, true
 }
 
-// fill draws what a request asks for.
-func (a *Schedule) fill() Request {
+// drawRequest draws the contents of the next request.
+func (a *Schedule) drawRequest() Request {
 	s := &a.shape
-	r := Request{Seq: a.seq, At: ms(a.now), Class: a.draw(a.class), Units: 1 + a.draw(a.units)}
-	if extra := 1 - 1/a.surgeTimes(); a.now >= a.surge.from && a.rng.Float64() < extra {
+	r := Request{Seq: a.seq, At: ms(a.now), Class: a.drawIndex(a.classShares), Units: 1 + a.drawIndex(a.unitShares)}
+	if extra := 1 - 1/a.surgeMultiple(); a.now >= a.surge.from && a.rng.Float64() < extra {
 		r.Volume, r.Surge = a.surge.volumes[a.rng.IntN(len(a.surge.volumes))], true
 	} else {
-		r.Volume = a.draw(a.volume)
+		r.Volume = a.drawIndex(a.volumeShares)
 	}
-	r.Plan = a.plans[r.Volume]
-	r.Host = a.host(r.Volume)
+	r.Plan = a.volumePlans[r.Volume]
+	r.Host = a.drawHost(r.Volume)
 	class := &s.Classes[r.Class]
 	switch {
 	case class.Write && a.rng.Float64() < s.NewShare:
-		r.Extent, r.Shard = a.rng.Uint64()|1<<63, -1 // none that the volumes have
-		a.made, a.nMade = ring(a.made, a.nMade, maker{a.seq, r.Volume, r.Extent, a.now})
+		r.Extent, r.Shard = a.rng.Uint64()|1<<63, -1 // the top bit distinguishes new objects from the volumes' extents
+		a.recentWrites, a.writeCount = pushRing(a.recentWrites, a.writeCount, objectWrite{a.seq, r.Volume, r.Extent, a.now})
 		return r
 	case !class.Write && a.rng.Float64() < s.ReadNew:
-		if m, ok := a.lately(); ok {
-			r.Volume, r.Plan, r.Host = m.volume, a.plans[m.volume], a.host(m.volume)
+		if m, ok := a.drawRecentWrite(); ok {
+			r.Volume, r.Plan, r.Host = m.volume, a.volumePlans[m.volume], a.drawHost(m.volume)
 			r.Extent, r.Of, r.Shard = m.extent, m.seq+1, -1
 			return r
 		}
 	}
-	r.Extent = a.extent(r.Volume)
+	r.Extent = a.drawExtent(r.Volume)
 	r.Shard = int(mix(r.Extent) % uint64(s.Shards))
 	return r
 }
 
-func (a *Schedule) surgeTimes() float64 {
+// surgeMultiple is the rate during a surge as a multiple of the rate without one.
+func (a *Schedule) surgeMultiple() float64 {
 	if a.shape.Surges == nil {
 		return 1
 	}
 	return a.shape.Surges.Times
 }
 
-// host is the one that a volume's next request comes through.
-func (a *Schedule) host(volume int) int {
+// drawHost draws the host that sends a volume's next request.
+func (a *Schedule) drawHost(volume int) int {
 	s := &a.shape
 	if s.Hosts == 1 {
 		return 0
@@ -254,10 +262,10 @@
 	if s.Uneven == 0 {
 		return a.rng.IntN(s.Hosts)
 	}
-	b := &a.busiest[volume]
-	for a.now >= b.at {
+	b := &a.busiestHosts[volume]
+	for a.now >= b.changeAt {
 		b.host = (b.host + 1 + a.rng.IntN(s.Hosts-1)) % s.Hosts
-		b.at += a.span(s.SwapLow, s.SwapHigh)
+		b.changeAt += a.drawBetween(s.SwapLow, s.SwapHigh)
 	}
 	if a.rng.Float64() < s.Uneven {
 		return b.host
@@ -265,11 +273,11 @@
 	return (b.host + 1 + a.rng.IntN(s.Hosts-1)) % s.Hosts
 }
 
-// extent is the piece of data that a volume's next request is for: runs of them are for one.
-func (a *Schedule) extent(volume int) uint64 {
+// drawExtent draws the extent of a volume's next request. Runs of successive requests have the same extent.
+func (a *Schedule) drawExtent(volume int) uint64 {
 	r := &a.runs[volume]
 	if r.left == 0 {
-		r.extent = mix(uint64(volume)<<32|uint64(a.rng.IntN(a.shape.Extents))) >> 1 // not of the new ones
+		r.extent = mix(uint64(volume)<<32|uint64(a.rng.IntN(a.shape.Extents))) >> 1 // clears the top bit, which marks new objects
 		r.left = 1 + a.rng.IntN(a.shape.Runs)
 	}
 	r.left--
@@ -285,28 +293,30 @@
 	return x ^ x>>31
 }
 
-// lately is an object made a short while ago: any of those that are neither too fresh nor too old.
-func (a *Schedule) lately() (maker, bool) {
-	n := len(a.made)
-	at := func(i int) *maker { return &a.made[(a.nMade-n+i)%n] } // in the order of time
-	from := sort.Search(n, func(i int) bool { return at(i).at >= a.now-madeSpan })
-	to := sort.Search(n, func(i int) bool { return at(i).at > a.now-madeRest })
+// drawRecentWrite draws one of the new objects whose age is between recentWriteMinAge and recentWriteMaxAge; false: there
+// is none.
+func (a *Schedule) drawRecentWrite() (objectWrite, bool) {
+	n := len(a.recentWrites)
+	at := func(i int) *objectWrite { return &a.recentWrites[(a.writeCount-n+i)%n] } // oldest first
+	from := sort.Search(n, func(i int) bool { return at(i).at >= a.now-recentWriteMaxAge })
+	to := sort.Search(n, func(i int) bool { return at(i).at > a.now-recentWriteMinAge })
 	if from >= to {
-		return maker{}, false
+		return objectWrite{}, false
 	}
 	return *at(from + a.rng.IntN(to-from)), true
 }
 
-func ring(r []maker, n int, m maker) ([]maker, int) {
-	if len(r) < madeMost {
+// pushRing adds a write to the ring buffer, of which n writes came before, and returns the ring and the new count.
+func pushRing(r []objectWrite, n int, m objectWrite) ([]objectWrite, int) {
+	if len(r) < maxRecentWrites {
 		return append(r, m), n + 1
 	}
-	r[n%madeMost] = m
+	r[n%maxRecentWrites] = m
 	return r, n + 1
 }
 
-// sum adds a request to the hash.
-func (a *Schedule) sum(r *Request) {
+// addToHash adds a request to the hash.
+func (a *Schedule) addToHash(r *Request) {
 	b := a.buf[:0]
 	surge := uint64(0)
 	if r.Surge {
@@ -319,8 +329,8 @@
 	_, _ = a.hash.Write(b)
 }
 
-// Hash is the xxhash of all requests given so far.
+// Hash returns the xxhash of all requests generated so far.
 func (a *Schedule) Hash() uint64 { return a.hash.Sum64() }
 
-// Given is how many requests have been given.
+// Given returns the number of requests generated so far.
 func (a *Schedule) Given() uint64 { return a.seq }
