--- a/cmd/loadtest/cost.go
+++ b/cmd/loadtest/cost.go
@@ -33,9 +33,9 @@
 	if err != nil {
 		return err
 	}
-	opt := costs.Options{For: c.Duration("for"), HalfLife: c.Duration("half-life"), Every: c.Duration("every"), Slow: c.Float64("slow")}
-	if n := c.Uint64("seeds"); n < 1 || n > 1000 || opt.For < 20*time.Second || opt.For > time.Hour || opt.HalfLife < 100*time.Millisecond ||
-		opt.Every < 20*time.Millisecond || opt.Every > time.Minute || !(opt.Slow >= 0.01 && opt.Slow <= 100) {
+	opt := costs.Options{Duration: c.Duration("for"), HalfLife: c.Duration("half-life"), RoundInterval: c.Duration("every"), SlowFactor: c.Float64("slow")}
+	if n := c.Uint64("seeds"); n < 1 || n > 1000 || opt.Duration < 20*time.Second || opt.Duration > time.Hour || opt.HalfLife < 100*time.Millisecond ||
+		opt.RoundInterval < 20*time.Millisecond || opt.RoundInterval > time.Minute || !(opt.SlowFactor >= 0.01 && opt.SlowFactor <= 100) {
 		return usageError{errors.New("seeds must be 1 to 1000, for 20s to 1h, half-life 100ms or more, every 20ms to 1m, slow 0.01 to 100")}
 	}
 	for seed := range c.Uint64("seeds") {
@@ -55,7 +55,7 @@
 // runRealCost runs the experiment with processes of the built daemon, in real time.
 func runRealCost(c *cli.Context, log logrus.FieldLogger, common costs.Options) error {
 	opt := costs.RealDefaults()
-	opt.Seeds, opt.HalfLife, opt.Every, opt.Slow, opt.Log = common.Seeds, common.HalfLife, common.Every, common.Slow, log
+	opt.Seeds, opt.HalfLife, opt.RoundInterval, opt.SlowFactor, opt.Log = common.Seeds, common.HalfLife, common.RoundInterval, common.SlowFactor, log
 	opt.Processes, opt.Alone = c.Int("processes"), c.Bool("alone")
 	if opt.Processes < 2 || opt.Processes > 16 || c.IsSet("for") {
 		return usageError{errors.New("processes must be 2 to 16, and for applies to virtual time only")}
--- a/cmd/loadtest/gather.go
+++ b/cmd/loadtest/gather.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return err
 	}
-	opt := gathers.Options{World: gathers.Defaults(), For: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
-	if n := c.Uint64("seeds"); n < 1 || n > 100 || opt.For < 2*time.Second || opt.For > time.Minute || !(opt.Rate > 0 && opt.Rate <= 500) {
+	opt := gathers.Options{Setup: gathers.Defaults(), Duration: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
+	if n := c.Uint64("seeds"); n < 1 || n > 100 || opt.Duration < 2*time.Second || opt.Duration > time.Minute || !(opt.Rate > 0 && opt.Rate <= 500) {
 		return usageError{errors.New("seeds must be 1 to 100, for 2s to 1m, rate above 0 and at most 500")}
 	}
 	for seed := range c.Uint64("seeds") {
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -94,13 +94,13 @@
 		return err
 	}
 	opt := load.Options{
-		Shape:    shape,
-		Source:   schedule,
-		Run:      fmt.Sprintf("%x", c.Uint64("seed")),
-		MostOpen: c.Int("open"),
-		Retry:    c.Bool("retry"),
-		Wait:     retryWait,
-		Bounds:   loadvalidity.Defaults(),
+		Shape:           shape,
+		Source:          schedule,
+		RequestIDPrefix: fmt.Sprintf("%x", c.Uint64("seed")),
+		MaxOpen:         c.Int("open"),
+		Retry:           c.Bool("retry"),
+		RetryWait:       retryWait,
+		Bounds:          loadvalidity.Defaults(),
 	}
 	for _, address := range targets {
 		pool := &client.Pool{Address: address, MaxConns: c.Int("conns")}
@@ -140,7 +140,7 @@
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.App.Writer, "schedule of %d requests, hash %016x\n", schedule.Given(), schedule.Hash())
+	fmt.Fprintf(c.App.Writer, "schedule of %d requests, hash %016x\n", schedule.Generated(), schedule.Hash())
 	if own != nil {
 		if err := own.Stop(); err != nil {
 			return err
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -26,11 +26,11 @@
 
 // Options are the options of the experiment in virtual time.
 type Options struct {
-	Seeds    []uint64
-	For      time.Duration // length of one seed; the slow node slows down after half of it
-	HalfLife time.Duration // of the weight of an answer in the short memory
-	Every    time.Duration // interval of a process's gossip rounds
-	Slow     float64       // factor on the service time of the slow node, once it slows down
+	Seeds         []uint64
+	Duration      time.Duration // length of one seed; the slow node slows down after half of it
+	HalfLife      time.Duration // of the weight of an answer in the short memory
+	RoundInterval time.Duration // interval of a process's gossip rounds
+	SlowFactor    float64       // factor on the service time of the slow node, once it slows down
 }
 
 const (
@@ -95,7 +95,7 @@
 
 // Run runs all seeds, in parallel.
 func Run(opt Options) (*Report, error) {
-	rep := &Report{HalfLife: opt.HalfLife.Seconds(), Every: opt.Every.Seconds(), Slow: opt.Slow}
+	rep := &Report{HalfLife: opt.HalfLife.Seconds(), Every: opt.RoundInterval.Seconds(), Slow: opt.SlowFactor}
 	var sum Row
 	rows := make([]Row, len(opt.Seeds))
 	var group errgroup.Group
@@ -197,12 +197,12 @@
 			return r, err
 		}
 	}
-	end := millis(warmUp + opt.For)
-	slowedAt := millis(warmUp + opt.For/2)
+	end := millis(warmUp + opt.Duration)
+	slowedAt := millis(warmUp + opt.Duration/2)
 	for t := millis(warmUp); t < end; t += decisionIntervalMillis {
 		w.runUntil(t)
 		if t >= slowedAt && t < slowedAt+decisionIntervalMillis {
-			w.nodes[slowNode].factor *= opt.Slow
+			w.nodes[slowNode].factor *= opt.SlowFactor
 		}
 		if t > slowedAt {
 			if wrong := w.orderWrong(estimators[pooled]); wrong {
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -17,7 +17,7 @@
 // bound is reported: if answers practically never lose weight, the order stays wrong.
 func TestBounds(t *testing.T) {
 	runSeeds := func(halfLife, length time.Duration, seeds ...uint64) *Report {
-		rep, err := Run(Options{Seeds: seeds, For: length, HalfLife: halfLife, Every: 500 * time.Millisecond, Slow: 5})
+		rep, err := Run(Options{Seeds: seeds, Duration: length, HalfLife: halfLife, RoundInterval: 500 * time.Millisecond, SlowFactor: 5})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 	for _, alone := range []bool{false, true} {
 		opt := RealDefaults()
 		opt.Seeds, opt.Daemon, opt.Processes, opt.Groups, opt.HomeShare, opt.Decisions = []uint64{1}, daemon, 3, 3, 1, 1
-		opt.HalfLife, opt.Every = time.Second, 100*time.Millisecond // fast exchange and fast forgetting, to keep the test short
+		opt.HalfLife, opt.RoundInterval = time.Second, 100*time.Millisecond // fast exchange and fast forgetting, to keep the test short
 		opt.WarmAnswers, opt.SettledChecks, opt.WatchDuration, opt.Alone = 100, 5, time.Minute, alone
 		if alone {
 			opt.WatchDuration = 3 * time.Second
--- a/internal/testkit/experiment/costs/real.go
+++ b/internal/testkit/experiment/costs/real.go
@@ -40,8 +40,8 @@
 	WarmAnswers   int // answers that each process gives before the first decision
 	Decisions     int // of each process, before the slow node slows down
 	HalfLife      time.Duration
-	Every         time.Duration // interval of a process's gossip rounds
-	Slow          float64
+	RoundInterval time.Duration // interval of a process's gossip rounds
+	SlowFactor    float64
 	HomeShare     float64       // share of a process's requests to its home groups, a quarter of all groups but at least one
 	WatchDuration time.Duration // longest time for which the order is watched after the slowing
 	SettledChecks int           // the watch ends early after so many successive right orders at every process; 0: never
@@ -52,13 +52,13 @@
 // RealDefaults returns the options for which the required bounds apply.
 func RealDefaults() RealOptions {
 	return RealOptions{Processes: processCount, Groups: nodeCount / nodesPerShard, WarmAnswers: 500, Decisions: 16, HalfLife: 1500 * time.Millisecond,
-		Every: 500 * time.Millisecond, Slow: 5, HomeShare: homeShare, WatchDuration: 8 * time.Second}
+		RoundInterval: 500 * time.Millisecond, SlowFactor: 5, HomeShare: homeShare, WatchDuration: 8 * time.Second}
 }
 
 // RunReal runs the seeds one after the other.
 func RunReal(ctx context.Context, opt RealOptions) (*RealReport, error) {
 	rep := &RealReport{Processes: opt.Processes, Nodes: opt.Groups * nodesPerShard, HalfLife: opt.HalfLife.Seconds(),
-		Every: opt.Every.Seconds(), Slow: opt.Slow, Alone: opt.Alone}
+		Every: opt.RoundInterval.Seconds(), Slow: opt.SlowFactor, Alone: opt.Alone}
 	var sum RealRow
 	for _, seed := range opt.Seeds {
 		opt.Log.WithField("seed", seed).Info("playing")
--- a/internal/testkit/experiment/costs/real_testbed.go
+++ b/internal/testkit/experiment/costs/real_testbed.go
@@ -146,7 +146,7 @@
 		}
 	}
 	text, err := json.Marshal(map[string]any{"estimate": map[string]any{"types": types, "at_once": concurrentEstimates},
-		"peers": map[string]any{"listen": peerAddresses[p], "seeds": seeds, "every_ms": opt.Every.Milliseconds(), "half_life_ms": opt.HalfLife.Milliseconds()}})
+		"peers": map[string]any{"listen": peerAddresses[p], "seeds": seeds, "every_ms": opt.RoundInterval.Milliseconds(), "half_life_ms": opt.HalfLife.Milliseconds()}})
 	file := filepath.Join(dir, "site.json")
 	return file, errors.Join(err, os.WriteFile(file, text, 0o600))
 }
@@ -164,7 +164,7 @@
 	x := w.nodes[n]
 	m := serviceStretch * (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
 	if n == w.slowNode() && w.slowed.Load() {
-		m *= w.opt.Slow
+		m *= w.opt.SlowFactor
 	}
 	return m
 }
--- a/internal/testkit/experiment/costs/simulation.go
+++ b/internal/testkit/experiment/costs/simulation.go
@@ -108,7 +108,7 @@
 			}
 		}
 		w.schedule(w.arrivalGap(), func() { w.arrive(p) })
-		w.schedule(millis(opt.Every)*float64(p)/processCount, func() { w.gossipRound(p, millis(opt.Every), nil) })
+		w.schedule(millis(opt.RoundInterval)*float64(p)/processCount, func() { w.gossipRound(p, millis(opt.RoundInterval), nil) })
 	}
 	return w, nil
 }
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt := Options{World: w, Seeds: []uint64{1}, For: 2 * time.Second, Rate: 40, Daemon: daemon, Log: log}
+	opt := Options{Setup: w, Seeds: []uint64{1}, Duration: 2 * time.Second, Rate: 40, Daemon: daemon, Log: log}
 	rep, err := Run(ctx, opt)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -51,7 +51,7 @@
 // Run runs each seed in each mode. The modes of a seed run in direct succession, so that other load on the machine affects
 // all of them alike.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	rep := &Report{Setup: opt.World, Rate: opt.Rate, For: opt.For.Seconds(), Modes: Modes}
+	rep := &Report{Setup: opt.Setup, Rate: opt.Rate, For: opt.Duration.Seconds(), Modes: Modes}
 	faults := make([]faultCounts, len(Modes))
 	for _, seed := range opt.Seeds {
 		for i, m := range Modes {
@@ -74,15 +74,15 @@
 
 // runMode runs one seed in one mode.
 func runMode(ctx context.Context, opt Options, m Mode, seed uint64) (Line, error) {
-	opt.World.Rows.Seed = seed
+	opt.Setup.Rows.Seed = seed
 	log := opt.Log.WithFields(logrus.Fields{"mode": m.Name, "seed": seed})
-	log.WithField("processes", opt.World.Processes).Info("starting")
-	f, err := startFleet(ctx, opt.Daemon, opt.World, m, seed)
+	log.WithField("processes", opt.Setup.Processes).Info("starting")
+	f, err := startFleet(ctx, opt.Daemon, opt.Setup, m, seed)
 	if err != nil {
 		return Line{}, err
 	}
 	defer f.Close()
-	log.WithField("for", opt.For.String()).Info("sending reads under faults")
+	log.WithField("for", opt.Duration.String()).Info("sending reads under faults")
 	all, err := runSeed(ctx, opt, f, seed)
 	if err != nil {
 		return Line{}, err
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -24,12 +24,12 @@
 
 // Options are the options of the experiment.
 type Options struct {
-	World  Setup
-	Seeds  []uint64
-	For    time.Duration // length of a run of one seed in one mode
-	Rate   float64       // reads per second, over all processes
-	Daemon string        // path of the daemon; "": the one next to this executable, or a new build
-	Log    logrus.FieldLogger
+	Setup    Setup
+	Seeds    []uint64
+	Duration time.Duration // length of a run of one seed in one mode
+	Rate     float64       // reads per second, over all processes
+	Daemon   string        // path of the daemon; "": the one next to this executable, or a new build
+	Log      logrus.FieldLogger
 
 	firstShardFault node.RowFault // for tests: fault of all nodes of the first shard, in place of the drawn faults
 }
@@ -84,12 +84,12 @@
 
 // runSeed sends the reads and injects the faults of a seed.
 func runSeed(ctx context.Context, opt Options, f *daemonFleet, seed uint64) ([]readOutcome, error) {
-	p := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.World.Rows, opt.World.Shards), client: newReadClient(planName, opt.World.Processes, deadline)}
+	p := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.Setup.Rows, opt.Setup.Shards), client: newReadClient(planName, opt.Setup.Processes, deadline)}
 	p.start = time.Now()
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	faults := make(chan error, 1)
-	go func() { faults <- p.injectFaults(ctx, running, drawFaultRounds(seed, opt.World, opt.For)) }()
+	go func() { faults <- p.injectFaults(ctx, running, drawFaultRounds(seed, opt.Setup, opt.Duration)) }()
 	err := p.sendReads(ctx, rand.New(rand.NewPCG(seed, 26)))
 	p.wg.Wait()
 	stop()
@@ -126,7 +126,7 @@
 		}
 		if p.opt.firstShardFault != (node.RowFault{}) {
 			c = faultRound{kill: -1, nodes: map[int]node.RowFault{}}
-			for j := range p.opt.World.Replicas {
+			for j := range p.opt.Setup.Replicas {
 				c.nodes[j] = p.opt.firstShardFault
 			}
 		}
@@ -145,11 +145,11 @@
 	at := time.Duration(0)
 	for n := uint64(1); ; n++ {
 		at += time.Duration(rng.ExpFloat64() / p.opt.Rate * float64(time.Second))
-		if at >= p.opt.For {
+		if at >= p.opt.Duration {
 			return nil
 		}
 		q := gatheredRead{id: fmt.Sprintf("g%d", n), class: []string{classListing, classTop, classPage}[rng.IntN(3)], after: -1}
-		for s := range p.opt.World.Shards {
+		for s := range p.opt.Setup.Shards {
 			q.shards = append(q.shards, s)
 		}
 		if rng.Float64() < subsetChance {
@@ -158,7 +158,7 @@
 			q.shards = q.shards[:minShards+rng.IntN(len(q.shards)-minShards+1)]
 			slices.Sort(q.shards)
 		}
-		to := rng.IntN(p.opt.World.Processes)
+		to := rng.IntN(p.opt.Setup.Processes)
 		if !p.waitUntil(ctx, at) {
 			return ctx.Err()
 		}
@@ -172,8 +172,8 @@
 func (p *seedRun) readPages(ctx context.Context, to int, q gatheredRead, seq uint64, due time.Time) {
 	for k := 1; ; k++ {
 		target := ""
-		for i := 0; target == "" && i < p.opt.World.Processes; i++ { // skips processes that are down
-			target = p.fleet.address((to + i) % p.opt.World.Processes)
+		for i := 0; target == "" && i < p.opt.Setup.Processes; i++ { // skips processes that are down
+			target = p.fleet.address((to + i) % p.opt.Setup.Processes)
 		}
 		sent := time.Since(due)
 		a, t, err := p.client.send(ctx, target, q, seq, due)
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -47,7 +47,7 @@
 		srv.ServeConn(b)
 		return a, nil
 	}}
-	o := Options{Shape: s, Source: src, Pools: []*client.Pool{pool}, Run: "t", MostOpen: 10000, Bounds: loadvalidity.Defaults()}
+	o := Options{Shape: s, Source: src, Pools: []*client.Pool{pool}, RequestIDPrefix: "t", MaxOpen: 10000, Bounds: loadvalidity.Defaults()}
 	if change != nil {
 		change(&o)
 	}
@@ -127,7 +127,7 @@
 // Requests held back by the limit on open requests are counted under its name and make the run invalid.
 func TestOpenLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MostOpen = 10 })
+		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MaxOpen = 10 })
 		all, v := res.All(), res.Notes.Judge()
 		if all.Kept != all.Arrivals-10 || res.Notes.Kept[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
 			t.Errorf("outcomes %+v, verdict %v", all, v)
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -28,20 +28,20 @@
 
 // Options are the options of a run.
 type Options struct {
-	Shape    workload.Shape
-	Source   Source
-	Pools    []*client.Pool // one for each scheduler; a request's volume and host select one
-	Run      string         // prefix of the request ids
-	MostOpen int            // limit on open requests; arrivals above it are counted as held back
-	Retry    bool           // clients retry a rejected or reset request once
-	Wait     time.Duration  // before a retry, if the answer has no Retry-After
-	Bounds   loadvalidity.Bounds
-	Worker   int // index of this worker: it sends the requests whose Seq modulo Workers is the index
-	Workers  int
-	Progress func(at time.Duration, sent, open int64) // called about once a second of the schedule; may be nil
+	Shape           workload.Shape
+	Source          Source
+	Pools           []*client.Pool // one for each scheduler; a request's volume and host select one
+	RequestIDPrefix string         // prefix of the request ids
+	MaxOpen         int            // limit on open requests; arrivals above it are counted as held back
+	Retry           bool           // clients retry a rejected or reset request once
+	RetryWait       time.Duration  // before a retry, if the answer has no Retry-After
+	Bounds          loadvalidity.Bounds
+	Worker          int // index of this worker: it sends the requests whose Seq modulo Workers is the index
+	Workers         int
+	Progress        func(at time.Duration, sent, open int64) // called about once a second of the schedule; may be nil
 }
 
-// KeptAtOpenLimit is the reason under which arrivals above Options.MostOpen are counted.
+// KeptAtOpenLimit is the reason under which arrivals above Options.MaxOpen are counted.
 const KeptAtOpenLimit = "open requests"
 
 const (
@@ -67,7 +67,7 @@
 	if opt.Workers == 0 {
 		opt.Workers = 1
 	}
-	if len(opt.Pools) == 0 || opt.MostOpen < 1 || opt.Worker < 0 || opt.Worker >= opt.Workers {
+	if len(opt.Pools) == 0 || opt.MaxOpen < 1 || opt.Worker < 0 || opt.Worker >= opt.Workers {
 		return nil, fmt.Errorf("load: at least one scheduler, an open-request limit of at least 1 and a worker index below %d are needed", opt.Workers)
 	}
 	notes, err := loadvalidity.New(opt.Bounds)
@@ -111,7 +111,7 @@
 				return ctx.Err()
 			}
 		}
-		if r.open.Load() >= int64(r.opt.MostOpen) {
+		if r.open.Load() >= int64(r.opt.MaxOpen) {
 			r.mu.Lock()
 			r.res.Notes.Keep(KeptAtOpenLimit)
 			r.res.recordKept(&q)
@@ -139,7 +139,7 @@
 	a := pool.Do(m, due)
 	attempts := 1
 	if r.opt.Retry && (a.Outcome == client.Rejected || a.Outcome == client.Reset) {
-		wait := r.opt.Wait
+		wait := r.opt.RetryWait
 		if a.RetryAfter > 0 {
 			wait = a.RetryAfter
 		}
@@ -165,7 +165,7 @@
 func (r *runner) newMessage(q *workload.Request) *client.Message {
 	s := &r.opt.Shape
 	c := &s.Classes[q.Class]
-	m := &client.Message{ID: fmt.Sprintf("%s-%d", r.opt.Run, q.Seq), Class: c.Name, Plan: s.Plans[q.Plan].Name,
+	m := &client.Message{ID: fmt.Sprintf("%s-%d", r.opt.RequestIDPrefix, q.Seq), Class: c.Name, Plan: s.Plans[q.Plan].Name,
 		Extent: fmt.Sprintf("%016x", q.Extent), Volume: fmt.Sprintf("%016x", q.Volume+1), Units: float64(q.Units), Shard: q.Shard,
 		Hosts: s.Hosts, Write: c.Write, Deadline: time.Duration(c.Deadline * float64(time.Millisecond))}
 	if c.Keyed {
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -333,4 +333,4 @@
 func (a *Schedule) Hash() uint64 { return a.hash.Sum64() }
 
 // Given returns the number of requests generated so far.
-func (a *Schedule) Given() uint64 { return a.seq }
+func (a *Schedule) Generated() uint64 { return a.seq }
