--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -1,7 +1,7 @@
-// Package addresses is the experiment on several addresses for one storage node: every fault of
-// the stand-in on the preferred address, with three addresses and with that one alone, which is
-// the earlier behaviour. Each scenario is a scheduler with two stand-in nodes of its own, and
-// clients that send at a fixed rate whatever comes back; the fault begins after a quiet second.
+// Package addresses is an experiment on storage nodes with several addresses. It applies every fault of the fake node to the
+// preferred address, once with three addresses and once with this address only, which is the earlier behaviour of the
+// scheduler. Each scenario has its own scheduler, two fake nodes, and clients that send at a fixed rate regardless of the
+// responses. The fault begins after one second without a fault.
 package addresses
 
 import (
@@ -33,108 +33,110 @@
 	"wheatsaddle/policy"
 )
 
-// Options are the experiment's.
+// Options configure the experiment.
 type Options struct {
 	Seed   uint64
-	Rounds int           // of each scenario, for the spread
-	For    time.Duration // under the fault
-	Rate   float64       // requests a second to the node at fault
+	Rounds int           // repetitions of each scenario; the report has medians and extremes over them
+	For    time.Duration // duration of the fault
+	Rate   float64       // requests per second to the faulty node
 	Log    logrus.FieldLogger
 }
 
 const (
-	quiet       = time.Second // before the fault
-	settle      = time.Second // after which connects are held against those of no fault
-	connAnswers = 50          // the stand-in ends a connection after so many, so that connects never stop
-	service     = 4 * time.Millisecond
-	otherShare  = 0.25 // of the rate goes to the second node, which is never at fault
+	baselineDuration    = time.Second // before the fault
+	settleDuration      = time.Second // time after the start of the fault from which connects are compared with the baseline
+	maxResponsesPerConn = 50          // the fake node closes a connection after so many responses, so that connects continue
+	serviceTime         = 4 * time.Millisecond
+	healthyNodeShare    = 0.25 // rate of requests to the second node, which has no fault, relative to Options.Rate
 )
 
-// Classes are those of the examples, with their shares, aims and deadlines.
-var Classes = classes()
+// Classes are the request classes of the default workload.
+var Classes = exampleClasses()
 
-func classes() (list []Class) {
+func exampleClasses() (classes []Class) {
 	for _, c := range workload.Default().Classes {
-		list = append(list, Class{Name: c.Name, Share: c.Share, Aim: span(c.Aim), Deadline: span(c.Deadline), Worth: c.Worth, Keyed: c.Keyed})
+		classes = append(classes, Class{Name: c.Name, Share: c.Share, LatencyObjective: fromMillis(c.Aim), Deadline: fromMillis(c.Deadline), PriorityWeight: c.Worth, Keyed: c.Keyed})
 	}
-	return list
+	return classes
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
-	Name          string
-	Share         float64
-	Aim, Deadline time.Duration
-	Worth         float64
-	Keyed         bool
+	Name                       string
+	Share                      float64
+	LatencyObjective, Deadline time.Duration
+	PriorityWeight             float64
+	Keyed                      bool
 }
 
-// plan is the one of all requests.
-var plan = Settings().Plans[0].Name
+// planName is the plan of all requests.
+var planName = Settings().Plans[0].Name
 
-// keyMemory is how long the nodes drop a repeat of a key, and so the longest span in which a
-// keyed class may be repeated.
-var keyMemory = func() (most time.Duration) {
+// maxDedupWindow is the longest time for which nodes drop repeats of a key. A request of a keyed class must not be repeated
+// later than that.
+var maxDedupWindow = func() (most time.Duration) {
 	for _, k := range Settings().Classes {
-		most = max(most, span(k.DedupWindow))
+		most = max(most, fromMillis(k.DedupWindow))
 	}
 	return most
 }()
 
-// Row is one fault and class, with several addresses or one.
+// Row has the results of one fault, class and number of addresses. Where nothing else is said, a value is the median over the
+// rounds.
 type Row struct {
-	Fault     string         `json:"fault"`
-	Class     string         `json:"class"`
-	Addresses int            `json:"addresses"`
-	Requests  int            `json:"requests"`
-	Served    float64        `json:"served"` // share of the requests, median of the rounds
-	Least     float64        `json:"served_least"`
-	InAim     float64        `json:"served_in_aim"`
-	Failed    float64        `json:"failed"` // share that got no service, refusals among them
-	Ends      map[string]int `json:"ends"`   // requests by how they ended, over the rounds
-	P50       float64        `json:"p50_ms"`
-	P99       float64        `json:"p99_ms"`
-	P50Added  float64        `json:"p50_added_ms"` // over no fault with as many addresses
-	P99Added  float64        `json:"p99_added_ms"`
-	MostRuns  int            `json:"executions_most"` // of one request; of a keyed class of one key
-	Spread    float64        `json:"repeat_span_ms"`  // longest from a request's first arrival at a node to its last
-	Connects  float64        `json:"connects_per_request"`
-	Later     float64        `json:"connects_per_request_after_first_second"`
+	Fault                     string         `json:"fault"`
+	Class                     string         `json:"class"`
+	Addresses                 int            `json:"addresses"`
+	Requests                  int            `json:"requests"`
+	Served                    float64        `json:"served"`        // share of the requests
+	MinServed                 float64        `json:"served_least"`  // smallest share of a round
+	WithinObjective           float64        `json:"served_in_aim"` // share of the requests
+	Failed                    float64        `json:"failed"`        // share of the requests that were not served, including rejected ones
+	Outcomes                  map[string]int `json:"ends"`          // number of requests by outcome, over all rounds
+	P50                       float64        `json:"p50_ms"`
+	P99                       float64        `json:"p99_ms"`
+	P50Added                  float64        `json:"p50_added_ms"` // compared with the same number of addresses and no fault
+	P99Added                  float64        `json:"p99_added_ms"`
+	MaxExecutions             int            `json:"executions_most"` // highest number of one request ID; in keyed classes, also of one key
+	MaxRepeatSpan             float64        `json:"repeat_span_ms"`  // longest time from the first to the last arrival of a request at the faulty node
+	ConnectsPerRequest        float64        `json:"connects_per_request"`
+	SettledConnectsPerRequest float64        `json:"connects_per_request_after_first_second"`
 }
 
-// Report is the experiment's outcome.
+// Report is the result of the experiment.
 type Report struct {
-	Seed   uint64   `json:"seed"`
-	Rounds int      `json:"rounds"`
-	Span   float64  `json:"fault_seconds"`
-	Rate   float64  `json:"rate"`
-	Rows   []Row    `json:"rows"`
-	Missed []string `json:"aims_missed"`
+	Seed         uint64   `json:"seed"`
+	Rounds       int      `json:"rounds"`
+	FaultSeconds float64  `json:"fault_seconds"`
+	Rate         float64  `json:"rate"`
+	Rows         []Row    `json:"rows"`
+	Missed       []string `json:"aims_missed"`
 }
 
-// scenario is one fault with one number of addresses, in one round.
+// scenario is a combination of fault and number of addresses, in one round.
 type scenario struct {
 	fault     node.Fault
 	addresses int
 	round     int
 }
 
-// tally is what one scenario saw of one class.
-type tally struct {
-	sent, served, inAim int
-	ends                [client.OutcomeCount]int
-	times               *hdrhistogram.Histogram // of those served, microseconds
-	mostRuns            int
-	spread              time.Duration
+// classCounts are the results of one class in one scenario. They cover only requests to the faulty node, from the start of the
+// fault.
+type classCounts struct {
+	sent, served, withinObjective int
+	outcomes                      [client.OutcomeCount]int
+	latencies                     *hdrhistogram.Histogram // of served requests, in microseconds
+	maxExecutions                 int
+	maxRepeatSpan                 time.Duration
 }
 
-type outcome struct {
-	classes         map[string]*tally
-	connects, later int // to the node at fault
-	after           int // requests sent after the first second
+type scenarioResult struct {
+	classes                   map[string]*classCounts
+	connects, settledConnects int // connections accepted by the faulty node, in all and after settleDuration
+	settledRequests           int // requests sent after settleDuration
 }
 
-// Run plays all scenarios, those of one round at the same time.
+// Run runs all scenarios, those of one round concurrently.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "loadtest")
 	if err != nil {
@@ -142,73 +144,73 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	faults := append([]node.Fault{node.None}, node.Faults()...)
-	got := map[scenario]*outcome{}
+	results := map[scenario]*scenarioResult{}
 	for round := range opt.Rounds {
-		opt.Log.WithFields(logrus.Fields{"round": round + 1, "of": opt.Rounds, "scenarios": 2 * len(faults)}).Info("playing")
+		opt.Log.WithFields(logrus.Fields{"round": round + 1, "of": opt.Rounds, "scenarios": 2 * len(faults)}).Info("running the scenarios of one round")
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		var first error
-		for _, f := range faults {
-			for _, n := range []int{3, 1} {
-				sc := scenario{f, n, round}
+		var firstErr error
+		for _, fault := range faults {
+			for _, addresses := range []int{3, 1} {
+				sc := scenario{fault, addresses, round}
 				wg.Go(func() {
-					o, err := play(ctx, opt, sc, filepath.Join(dir, fmt.Sprintf("%d-%d-%d", f, n, round)))
+					result, err := runScenario(ctx, opt, sc, filepath.Join(dir, fmt.Sprintf("%d-%d-%d", fault, addresses, round)))
 					mu.Lock()
 					defer mu.Unlock()
-					if got[sc] = o; err != nil && first == nil {
-						first = fmt.Errorf("%v, %d addresses: %w", f, n, err)
+					if results[sc] = result; err != nil && firstErr == nil {
+						firstErr = fmt.Errorf("%v, %d addresses: %w", fault, addresses, err)
 					}
 				})
 			}
 		}
 		wg.Wait()
-		if first != nil {
-			return nil, first
+		if firstErr != nil {
+			return nil, firstErr
 		}
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 	}
-	return report(opt, faults, got), nil
+	return newReport(opt, faults, results), nil
 }
 
-// Settings are the module's in these scenarios: the examples', for one scheduler and two nodes.
+// Settings returns the example settings, changed for one scheduler, two nodes and a single plan.
 func Settings() policy.Settings {
 	s, err := config.Settings(gjson.ParseBytes(exampleconfig.Settings))
 	if err != nil {
-		panic("the example settings: " + err.Error()) // they are part of the program
+		panic("invalid example settings: " + err.Error()) // they are embedded in the program
 	}
 	s.Shards, s.MeanUnits, s.Plans = 2, 2, s.Plans[:1]
 	return s
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// rig is one scheduler with its two nodes.
-type rig struct {
-	nodes [2]*node.Node
-	at    []address.Addr // of the first, as preferred
-	core  *core.Core
-	srv   *httpfront.Server
-	pool  *client.Pool
+// fixture is a scheduler with its HTTP front, two fake nodes and a pool of client connections.
+type fixture struct {
+	nodes     [2]*node.Node
+	addresses []address.Addr // of nodes[0], in order of preference
+	core      *core.Core
+	server    *httpfront.Server
+	pool      *client.Pool
 }
 
-func newRig(seed uint64, addresses int, dir string) (*rig, error) {
+func newFixture(seed uint64, addresses int, dir string) (*fixture, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &rig{}
+	f := &fixture{}
 	lists := [2][]address.Addr{}
-	for i := range r.nodes {
-		r.nodes[i] = node.New(node.Options{Name: fmt.Sprint("s-", i), Shard: i, Workers: 16, QueueLimit: 64, MaxResponsesPerConn: connAnswers,
-			ServiceTime: func(*fasthttp.Request) time.Duration { return service }})
+	for i := range f.nodes {
+		f.nodes[i] = node.New(node.Options{Name: fmt.Sprint("s-", i), Shard: i, Workers: 16, QueueLimit: 64, MaxResponsesPerConn: maxResponsesPerConn,
+			ServiceTime: func(*fasthttp.Request) time.Duration { return serviceTime }})
 		texts := []string{"unix:" + filepath.Join(dir, fmt.Sprint(i)), "[::1]:0", "127.0.0.1:0"}
 		for _, text := range texts[:addresses] {
-			a, err := r.nodes[i].Listen(text)
+			a, err := f.nodes[i].Listen(text)
 			if err != nil && strings.HasPrefix(text, "[") {
-				continue // a machine without IPv6
+				continue // the machine has no IPv6
 			}
 			if err != nil {
 				return nil, err
@@ -216,210 +218,210 @@
 			lists[i] = append(lists[i], a)
 		}
 	}
-	r.at = lists[0]
-	set, log := Settings(), logrus.New()
+	f.addresses = lists[0]
+	settings, log := Settings(), logrus.New()
 	log.SetLevel(logrus.PanicLevel)
-	safe := map[string]bool{}
-	for _, k := range set.Classes {
-		safe[k.Name] = k.Effect == policy.Idempotent
+	idempotent := map[string]bool{}
+	for _, k := range settings.Classes {
+		idempotent[k.Name] = k.Effect == policy.Idempotent
 	}
-	d := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 400, Idempotent: safe,
+	dialer := &httpfront.Dialer{ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 400, Idempotent: idempotent,
 		Addresses: &httpfront.AddressConfig{Seed: seed}}
 	var err error
-	if r.core, err = core.New(core.Options{Settings: set, Seed: int64(seed), NewNodeClient: d.Connect, Log: log}); err != nil {
+	if f.core, err = core.New(core.Options{Settings: settings, Seed: int64(seed), NewNodeClient: dialer.Connect, Log: log}); err != nil {
 		return nil, err
 	}
-	news := core.ListUpdate{Kind: policy.ListReceived}
+	update := core.ListUpdate{Kind: policy.ListReceived}
 	for i, list := range lists {
-		news.Nodes = append(news.Nodes, core.Node{Node: policy.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
+		update.Nodes = append(update.Nodes, core.Node{Node: policy.Node{ID: fmt.Sprint("s-", i), Shard: i, Weight: 1}, Addresses: list})
 	}
-	r.core.UpdateList(news)
+	f.core.UpdateList(update)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r.srv = httpfront.NewServer(r.core, set, 2000, log)
-	go func() { _ = r.srv.Serve(ln, 2000) }()
-	r.pool = &client.Pool{Address: ln.Addr().String()}
-	return r, nil
+	f.server = httpfront.NewServer(f.core, settings, 2000, log)
+	go func() { _ = f.server.Serve(ln, 2000) }()
+	f.pool = &client.Pool{Address: ln.Addr().String()}
+	return f, nil
 }
 
-func (r *rig) close() {
+func (f *fixture) close() {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	r.pool.Close()
-	_ = r.srv.Shutdown(ctx)
-	r.core.Stop()
-	for _, n := range r.nodes {
+	f.pool.Close()
+	_ = f.server.Shutdown(ctx)
+	f.core.Stop()
+	for _, n := range f.nodes {
 		n.Close()
 	}
 }
 
-func (r *rig) accepted() (n int) {
-	for _, a := range r.at {
-		n += r.nodes[0].AcceptedConns(a)
+func (f *fixture) acceptedConns() (n int) {
+	for _, a := range f.addresses {
+		n += f.nodes[0].AcceptedConns(a)
 	}
 	return n
 }
 
-// play runs one scenario.
-func play(ctx context.Context, opt Options, sc scenario, dir string) (*outcome, error) {
-	r, err := newRig(opt.Seed+uint64(sc.round), sc.addresses, dir)
+// runScenario runs one scenario and returns its results.
+func runScenario(ctx context.Context, opt Options, sc scenario, dir string) (*scenarioResult, error) {
+	f, err := newFixture(opt.Seed+uint64(sc.round), sc.addresses, dir)
 	if err != nil {
 		return nil, err
 	}
-	defer r.close()
-	o := &outcome{classes: map[string]*tally{}}
-	for _, c := range Classes {
-		o.classes[c.Name] = &tally{times: hdrhistogram.New(1, 60_000_000, 3)}
+	defer f.close()
+	result := &scenarioResult{classes: map[string]*classCounts{}}
+	for _, class := range Classes {
+		result.classes[class.Name] = &classCounts{latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	rng := rand.New(rand.NewPCG(opt.Seed, uint64(sc.round)))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
-	end := quiet + opt.For
-	on := false
-	before, settled := 0, -1
+	end := baselineDuration + opt.For
+	faultActive := false
+	connsBefore, connsSettled := 0, -1
 	for n, at := 0, time.Duration(0); at < end; n++ {
-		at += time.Duration(rng.ExpFloat64() / (opt.Rate * (1 + otherShare)) * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / (opt.Rate * (1 + healthyNodeShare)) * float64(time.Second))
 		due := start.Add(at)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-time.After(time.Until(due)):
 		}
-		if at >= quiet && !on {
-			on = true
-			before = r.accepted()
-			if err := r.nodes[0].SetFault(r.at[0], sc.fault); err != nil {
+		if at >= baselineDuration && !faultActive {
+			faultActive = true
+			connsBefore = f.acceptedConns()
+			if err := f.nodes[0].SetFault(f.addresses[0], sc.fault); err != nil {
 				return nil, err
 			}
 		}
-		if at >= quiet+settle && settled < 0 {
-			settled = r.accepted()
+		if at >= baselineDuration+settleDuration && connsSettled < 0 {
+			connsSettled = f.acceptedConns()
 		}
-		c, m := draw(rng, n)
-		counts := on && m.Shard == 0 && at < end
-		if counts && settled >= 0 {
-			o.after++
+		class, message := newRequest(rng, n)
+		counted := faultActive && message.Shard == 0 && at < end
+		if counted && connsSettled >= 0 {
+			result.settledRequests++
 		}
 		wg.Go(func() {
-			a := r.pool.Do(m, due)
-			if !counts {
+			a := f.pool.Do(message, due)
+			if !counted {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			t := o.classes[c.Name]
-			t.sent++
-			t.ends[a.Outcome]++
+			counts := result.classes[class.Name]
+			counts.sent++
+			counts.outcomes[a.Outcome]++
 			if a.Outcome != client.Served {
 				return
 			}
 			took := a.Ended.Sub(due)
-			t.served++
-			if took <= c.Aim {
-				t.inAim++
+			counts.served++
+			if took <= class.LatencyObjective {
+				counts.withinObjective++
 			}
-			_ = t.times.RecordValue(took.Microseconds())
+			_ = counts.latencies.RecordValue(took.Microseconds())
 		})
 	}
-	all := r.accepted()
-	o.connects, o.later = all-before, all-max(settled, before)
+	connsAfter := f.acceptedConns()
+	result.connects, result.settledConnects = connsAfter-connsBefore, connsAfter-max(connsSettled, connsBefore)
 	wg.Wait()
-	r.runs(o)
-	return o, nil
+	f.countExecutions(result)
+	return result, nil
 }
 
-// draw makes the n-th request.
-func draw(rng *rand.Rand, n int) (Class, *client.Message) {
-	x, k := rng.Float64(), 0
-	for x -= Classes[k].Share; x >= 0 && k < len(Classes)-1; x -= Classes[k].Share {
+// newRequest returns the n-th request, with a random class, shard, extent, volume and size.
+func newRequest(rng *rand.Rand, n int) (Class, *client.Message) {
+	remaining, k := rng.Float64(), 0
+	for remaining -= Classes[k].Share; remaining >= 0 && k < len(Classes)-1; remaining -= Classes[k].Share {
 		k++
 	}
-	c := Classes[k]
-	m := &client.Message{ID: fmt.Sprintf("%s-%d", c.Name, n), Class: c.Name, Plan: plan, Extent: fmt.Sprintf("%016x", rng.Uint64()),
-		Volume: fmt.Sprintf("%016x", 1+rng.IntN(20)), Units: float64(1 + rng.IntN(4)), Hosts: 1, Deadline: c.Deadline}
-	if rng.Float64() < otherShare/(1+otherShare) {
-		m.Shard = 1
+	class := Classes[k]
+	message := &client.Message{ID: fmt.Sprintf("%s-%d", class.Name, n), Class: class.Name, Plan: planName, Extent: fmt.Sprintf("%016x", rng.Uint64()),
+		Volume: fmt.Sprintf("%016x", 1+rng.IntN(20)), Units: float64(1 + rng.IntN(4)), Hosts: 1, Deadline: class.Deadline}
+	if rng.Float64() < healthyNodeShare/(1+healthyNodeShare) {
+		message.Shard = 1
 	}
-	if c.Keyed {
-		m.Write, m.Key, m.Body = true, "key-"+m.ID, []byte("a new record")
+	if class.Keyed {
+		message.Write, message.Key, message.Body = true, "key-"+message.ID, []byte("a new record")
 	}
-	return c, m
+	return class, message
 }
 
-// runs counts executions at the node at fault.
-func (r *rig) runs(o *outcome) {
-	r.nodes[0].EachRequest(func(id string, all []node.Arrival) {
+// countExecutions records how often the faulty node executed a request, and over which time a request arrived repeatedly.
+func (f *fixture) countExecutions(result *scenarioResult) {
+	f.nodes[0].EachRequest(func(id string, all []node.Arrival) {
 		at := strings.LastIndexByte(id, '-')
-		t := o.classes[id[:at]]
-		ran := 0
+		counts := result.classes[id[:at]]
+		executions := 0
 		for _, a := range all {
 			if a.Executed {
-				ran++
+				executions++
 			}
 		}
-		t.mostRuns = max(t.mostRuns, ran)
-		t.spread = max(t.spread, all[len(all)-1].At.Sub(all[0].At))
+		counts.maxExecutions = max(counts.maxExecutions, executions)
+		counts.maxRepeatSpan = max(counts.maxRepeatSpan, all[len(all)-1].At.Sub(all[0].At))
 	})
 	for _, c := range Classes {
 		if c.Keyed {
-			_, byKey := r.nodes[0].MaxExecutions()
-			o.classes[c.Name].mostRuns = max(o.classes[c.Name].mostRuns, byKey)
+			_, byKey := f.nodes[0].MaxExecutions()
+			result.classes[c.Name].maxExecutions = max(result.classes[c.Name].maxExecutions, byKey)
 		}
 	}
 }
 
-// report makes the rows: medians over the rounds, and the worst where it is the worst that counts.
-func report(opt Options, faults []node.Fault, got map[scenario]*outcome) *Report {
-	rep := &Report{Seed: opt.Seed, Rounds: opt.Rounds, Span: opt.For.Seconds(), Rate: opt.Rate, Missed: []string{}}
-	none := map[string]Row{}
-	for _, f := range faults {
-		for _, n := range []int{3, 1} {
-			for _, c := range Classes {
-				row := Row{Fault: f.String(), Class: c.Name, Addresses: n, Least: math.Inf(1), Ends: map[string]int{}}
-				var served, inAim, p50, p99, connects []float64
-				later, after := 0, 0 // over all rounds: one connect is several hundredths of a round's
+// newReport computes the rows from the results of all rounds.
+func newReport(opt Options, faults []node.Fault, results map[scenario]*scenarioResult) *Report {
+	rep := &Report{Seed: opt.Seed, Rounds: opt.Rounds, FaultSeconds: opt.For.Seconds(), Rate: opt.Rate, Missed: []string{}}
+	baseline := map[string]Row{}
+	for _, fault := range faults {
+		for _, addresses := range []int{3, 1} {
+			for _, class := range Classes {
+				row := Row{Fault: fault.String(), Class: class.Name, Addresses: addresses, MinServed: math.Inf(1), Outcomes: map[string]int{}}
+				var served, withinObjective, p50, p99, connects []float64
+				settledConnects, settledRequests := 0, 0 // sums over all rounds: one connect alone is several percent of a round's
 				for round := range opt.Rounds {
-					o := got[scenario{f, n, round}]
-					t := o.classes[c.Name]
-					sent := max(1, float64(t.sent))
-					share := float64(t.served) / sent
-					row.Requests += t.sent
-					for end, k := range t.ends {
+					result := results[scenario{fault, addresses, round}]
+					counts := result.classes[class.Name]
+					sent := max(1, float64(counts.sent))
+					servedShare := float64(counts.served) / sent
+					row.Requests += counts.sent
+					for outcome, k := range counts.outcomes {
 						if k > 0 {
-							row.Ends[client.Outcome(end).String()] += k
+							row.Outcomes[client.Outcome(outcome).String()] += k
 						}
 					}
-					row.Least = min(row.Least, share)
-					served, inAim = append(served, share), append(inAim, float64(t.inAim)/sent)
-					if t.served > 0 {
-						p50 = append(p50, float64(t.times.ValueAtQuantile(50))/1000)
-						p99 = append(p99, float64(t.times.ValueAtQuantile(99))/1000)
+					row.MinServed = min(row.MinServed, servedShare)
+					served, withinObjective = append(served, servedShare), append(withinObjective, float64(counts.withinObjective)/sent)
+					if counts.served > 0 {
+						p50 = append(p50, float64(counts.latencies.ValueAtQuantile(50))/1000)
+						p99 = append(p99, float64(counts.latencies.ValueAtQuantile(99))/1000)
 					}
-					row.MostRuns = max(row.MostRuns, t.mostRuns)
-					row.Spread = max(row.Spread, ms(t.spread))
-					whole := 0
-					for _, x := range o.classes {
-						whole += x.sent
+					row.MaxExecutions = max(row.MaxExecutions, counts.maxExecutions)
+					row.MaxRepeatSpan = max(row.MaxRepeatSpan, toMillis(counts.maxRepeatSpan))
+					requests := 0
+					for _, x := range result.classes {
+						requests += x.sent
 					}
-					connects = append(connects, float64(o.connects)/max(1, float64(whole)))
-					later, after = later+o.later, after+o.after
+					connects = append(connects, float64(result.connects)/max(1, float64(requests)))
+					settledConnects, settledRequests = settledConnects+result.settledConnects, settledRequests+result.settledRequests
 				}
-				row.Served, row.InAim, row.P50, row.P99 = median(served), median(inAim), median(p50), median(p99)
-				row.Connects, row.Later = median(connects), float64(later)/max(1, float64(after))
+				row.Served, row.WithinObjective, row.P50, row.P99 = median(served), median(withinObjective), median(p50), median(p99)
+				row.ConnectsPerRequest, row.SettledConnectsPerRequest = median(connects), float64(settledConnects)/max(1, float64(settledRequests))
 				row.Failed = 1 - row.Served
-				key := fmt.Sprint(c.Name, n)
-				if f == node.None {
-					none[key] = row
+				key := fmt.Sprint(class.Name, addresses)
+				if fault == node.None {
+					baseline[key] = row
 				}
 				if len(p50) > 0 {
-					row.P50Added, row.P99Added = row.P50-none[key].P50, row.P99-none[key].P99
+					row.P50Added, row.P99Added = row.P50-baseline[key].P50, row.P99-baseline[key].P99
 				}
 				rep.Rows = append(rep.Rows, row)
-				if n == 3 {
-					rep.judge(c, row, none[key])
+				if addresses == 3 {
+					rep.checkTargets(class, row, baseline[key])
 				}
 			}
 		}
@@ -427,27 +429,28 @@
 	return rep
 }
 
-// The aims: with one of three addresses at fault.
+// Targets for a fault of one of three addresses, relative to the results without a fault.
 const (
-	servedAim   = 0.99 // of what is served with no fault
-	connectsAim = 1.1  // times the connects of no fault, after the first second
+	minServedRatio   = 0.99 // served share of the requests
+	maxConnectsRatio = 1.1  // connects per request after settleDuration
 )
 
-func (rep *Report) judge(c Class, row, none Row) {
-	miss := func(form string, args ...any) {
-		rep.Missed = append(rep.Missed, row.Fault+", "+row.Class+": "+fmt.Sprintf(form, args...))
+// checkTargets adds the targets that a row misses to the report.
+func (rep *Report) checkTargets(class Class, row, baseline Row) {
+	addMissed := func(format string, args ...any) {
+		rep.Missed = append(rep.Missed, row.Fault+", "+row.Class+": "+fmt.Sprintf(format, args...))
 	}
-	if row.Served < servedAim*none.Served {
-		miss("served %.4f of the requests, aim %.4f", row.Served, servedAim*none.Served)
+	if row.Served < minServedRatio*baseline.Served {
+		addMissed("served %.4f of the requests, aim %.4f", row.Served, minServedRatio*baseline.Served)
 	}
-	if c.Keyed && row.MostRuns > 1 {
-		miss("a key ran %d times", row.MostRuns)
+	if class.Keyed && row.MaxExecutions > 1 {
+		addMissed("a key was executed %d times", row.MaxExecutions)
 	}
-	if c.Keyed && row.Spread > ms(keyMemory) {
-		miss("a request came again %.0f ms after it first came", row.Spread)
+	if class.Keyed && row.MaxRepeatSpan > toMillis(maxDedupWindow) {
+		addMissed("a request arrived again %.0f ms after its first arrival", row.MaxRepeatSpan)
 	}
-	if row.Later > connectsAim*none.Later {
-		miss("%.4f connects a request after the first second, aim %.4f", row.Later, connectsAim*none.Later)
+	if row.SettledConnectsPerRequest > maxConnectsRatio*baseline.SettledConnectsPerRequest {
+		addMissed("%.4f connects per request after the first second, aim %.4f", row.SettledConnectsPerRequest, maxConnectsRatio*baseline.SettledConnectsPerRequest)
 	}
 }
 
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -11,290 +11,296 @@
 	"wheatsaddle/policy"
 )
 
-// host is one scheduler: the driver of its decisions, with no rule of its own.
+// host runs one simulated scheduler process. All decisions are made by policy, internal/coldstart and watchtimer; host feeds
+// them events and executes their actions.
 type host struct {
-	w       *world
-	no      int
-	life    int
-	down    bool
-	s       *policy.Scheduler
-	begin   *coldstart.Startup // nil: as today
-	born    float64
-	held    []policy.Node // the list as last held
-	learned policy.Learned
-	guess   bool
-	watch   bool              // the list tells of changes
-	clock   *watchtimer.Timer // as today: when the list is asked for; nil: the watch stands
-	clockAt time.Duration     // when it is looked at next
-	conns   map[int]*conns
-	wakeAt  time.Duration
+	sim               *simulation
+	index             int
+	incarnation       int
+	down              bool
+	scheduler         *policy.Scheduler
+	startup           *coldstart.Startup // nil in mode WithoutColdStart
+	startedAt         float64
+	cachedList        []policy.Node // last node list received, kept across restarts
+	snapshot          policy.Learned
+	assumesStartTimes bool
+	subscribed        bool              // the list service reports changes to this host
+	listTimer         *watchtimer.Timer // in mode WithoutColdStart, decides when to request the list; nil once a list was received
+	listTimerAt       time.Duration     // next time of listTimer since startedAt; -1: none
+	conns             map[int]*nodeConns
+	startupTimerAt    time.Duration // next time of startup since startedAt; -1: none
 }
 
-type conns struct{ have, out int }
+// nodeConns are the numbers of connections to one node.
+type nodeConns struct{ open, inUse int }
 
-// run is the ordinary life before the cut.
-func (h *host) run() {
-	h.fresh(1)
-	h.step(policy.Event{Kind: policy.CachedListLoaded})
-	h.listed()
+// startBeforeOutage starts the scheduler for normal operation before the power cut, with a full node list.
+func (h *host) startBeforeOutage() {
+	h.newScheduler(1)
+	h.stepScheduler(policy.Event{Kind: policy.CachedListLoaded})
+	h.receiveList()
 }
 
-func (h *host) fresh(coldShare float64) {
-	set := h.w.set
-	set.Instance, set.SlowStartUnits = h.no, set.SlowStartUnits*coldShare
-	s, err := policy.New(set, int64(1000*h.life+h.no)+h.w.opt.Seed)
+// newScheduler begins an incarnation. The slow-start limit of nodes is multiplied by slowStartShare.
+func (h *host) newScheduler(slowStartShare float64) {
+	cfg := h.sim.settings
+	cfg.Instance, cfg.SlowStartUnits = h.index, cfg.SlowStartUnits*slowStartShare
+	scheduler, err := policy.New(cfg, int64(1000*h.incarnation+h.index)+h.sim.opt.Seed)
 	if err != nil {
 		panic(err)
 	}
-	h.s, h.down, h.watch, h.guess, h.begin, h.born = s, false, false, false, nil, h.w.now
-	h.life++
-	h.conns = map[int]*conns{}
+	h.scheduler, h.down, h.subscribed, h.assumesStartTimes, h.startup, h.startedAt = scheduler, false, false, false, nil, h.sim.now
+	h.incarnation++
+	h.conns = map[int]*nodeConns{}
 }
 
-// kill ends the process; its snapshot is as old as the writes are apart, in the mean half of that.
+// kill ends the process. The snapshot has the state at this moment. That of a real process is older: at most by the interval
+// between two writes, on average by half of it.
 func (h *host) kill() {
 	if !h.down {
-		if l := h.s.Learned(); len(l.Nodes) > 0 {
-			h.learned = l
+		if l := h.scheduler.Learned(); len(l.Nodes) > 0 {
+			h.snapshot = l
 		}
-		h.life, h.down, h.watch = h.life+1, true, false
+		h.incarnation, h.down, h.subscribed = h.incarnation+1, true, false
 	}
 }
 
-// start begins a life with the list as last held.
+// start starts the process again with the cached node list.
 func (h *host) start() {
-	if h.w.mode == Today {
-		h.fresh(1)
-		h.clock, h.clockAt = watchtimer.New(watchtimer.Settings{Pushed: h.w.sc.Pushed, Schedulers: h.w.opt.Hosts, Seed: uint64(h.no) + uint64(h.w.opt.Seed)}), -1
-		h.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: h.held})
-		h.ask(watchtimer.Event{Kind: watchtimer.Started})
+	if h.sim.mode == WithoutColdStart {
+		h.newScheduler(1)
+		h.listTimer, h.listTimerAt = watchtimer.New(watchtimer.Settings{Pushed: h.sim.scenario.ListPushed, Schedulers: h.sim.opt.Hosts, Seed: uint64(h.index) + uint64(h.sim.opt.Seed)}), -1
+		h.stepScheduler(policy.Event{Kind: policy.CachedListLoaded, Nodes: h.cachedList})
+		h.stepListTimer(watchtimer.Event{Kind: watchtimer.Started})
 		return
 	}
-	h.fresh(coldstart.SlowStartShare)
-	set := h.w.set
-	b, err := coldstart.New(coldstart.Settings{Schedulers: set.Schedulers, Name: fmt.Sprint("host-", h.no), ListRequestsPriced: !h.w.sc.Pushed,
-		MaxListRequestsPerSecond: 0.6 * h.w.opt.Capacity, SlowStartUnits: set.SlowStartUnits, OverloadWindow: span(set.OverloadWindow), SlowStartDuration: span(set.SlowStartDuration),
-		LatencyObjective: span(400), MaxRetryAfter: span(set.MaxRetryAfter), Preconnects: 8})
+	h.newScheduler(coldstart.SlowStartShare)
+	cfg := h.sim.settings
+	startup, err := coldstart.New(coldstart.Settings{Schedulers: cfg.Schedulers, Name: fmt.Sprint("host-", h.index), ListRequestsPriced: !h.sim.scenario.ListPushed,
+		MaxListRequestsPerSecond: 0.6 * h.sim.opt.Capacity, SlowStartUnits: cfg.SlowStartUnits, OverloadWindow: fromMillis(cfg.OverloadWindow), SlowStartDuration: fromMillis(cfg.SlowStartDuration),
+		LatencyObjective: fromMillis(400), MaxRetryAfter: fromMillis(cfg.MaxRetryAfter), Preconnects: 8})
 	if err != nil {
 		panic(err)
 	}
-	h.begin, h.wakeAt = b, -1
-	h.step(policy.Event{Kind: policy.CachedListLoaded}) // the decisions' clock ticks from here
-	begun := coldstart.Started{CachedList: h.nodes(h.held)}
-	if h.w.mode == Snapshot {
-		for _, n := range h.learned.Nodes {
-			begun.Snapshot = append(begun.Snapshot, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
+	h.startup, h.startupTimerAt = startup, -1
+	h.stepScheduler(policy.Event{Kind: policy.CachedListLoaded}) // starts the scheduler's timer
+	started := coldstart.Started{CachedList: h.startupNodes(h.cachedList)}
+	if h.sim.mode == WithSnapshot {
+		for _, n := range h.snapshot.Nodes {
+			started.Snapshot = append(started.Snapshot, coldstart.Node{ID: n.ID, StartTime: n.StartTime})
 		}
 	}
-	h.hear(begun)
+	h.stepStartup(started)
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func (h *host) nodes(list []policy.Node) (ns []coldstart.Node) {
+func (h *host) startupNodes(list []policy.Node) (ns []coldstart.Node) {
 	for _, n := range list {
-		ns = append(ns, coldstart.Node{ID: n.ID, StartTime: n.StartTime, StartedAt: span(n.StartTime - h.born)})
+		ns = append(ns, coldstart.Node{ID: n.ID, StartTime: n.StartTime, StartedAt: fromMillis(n.StartTime - h.startedAt)})
 	}
 	return ns
 }
 
-// hear gives the start an event and does what it says; true: a request was refused.
-func (h *host) hear(e coldstart.Event) (refused bool, wait time.Duration) {
-	if h.begin == nil {
+// stepStartup passes an event to the cold start and executes its actions. If one of them rejects the request, it returns true
+// and the time after which to retry.
+func (h *host) stepStartup(e coldstart.Event) (refused bool, wait time.Duration) {
+	if h.startup == nil {
 		return
 	}
-	var recall policy.Learned
-	for _, a := range slices.Clone(h.begin.Step(span(h.w.now-h.born), e)) {
+	var restored policy.Learned
+	for _, a := range slices.Clone(h.startup.Step(fromMillis(h.sim.now-h.startedAt), e)) {
 		switch a := a.(type) {
 		case coldstart.RequestList:
-			h.call()
+			h.requestList()
 		case coldstart.UseCachedList:
-			guessed := slices.Clone(h.held)
-			for i := range guessed {
-				guessed[i].StartTime = h.born
+			assumed := slices.Clone(h.cachedList)
+			for i := range assumed {
+				assumed[i].StartTime = h.startedAt
 			}
-			h.guess = true
-			h.step(policy.Event{Kind: policy.ListChanged, Nodes: guessed})
+			h.assumesStartTimes = true
+			h.stepScheduler(policy.Event{Kind: policy.ListChanged, Nodes: assumed})
 		case coldstart.LiftColdLimit:
-			recall.Nodes = append(recall.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.w.index[a.Node].StartTime, AssumedStartTime: h.born})
+			restored.Nodes = append(restored.Nodes, policy.LearnedNode{ID: a.Node, StartTime: h.sim.nodesByID[a.Node].StartTime, AssumedStartTime: h.startedAt})
 		case coldstart.Restore:
-			i := slices.IndexFunc(h.learned.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
-			recall.Nodes = append(recall.Nodes, h.learned.Nodes[i])
+			i := slices.IndexFunc(h.snapshot.Nodes, func(n policy.LearnedNode) bool { return n.ID == a.Node })
+			restored.Nodes = append(restored.Nodes, h.snapshot.Nodes[i])
 		case coldstart.Connect:
-			h.link(h.w.index[a.Node], 0)
+			h.useConns(h.sim.nodesByID[a.Node], 0)
 		case coldstart.Reject:
 			refused, wait = true, a.RetryAfter
 		case coldstart.SetTimer:
-			h.wake(a.At)
+			h.setStartupTimer(a.At)
 		}
 	}
-	if len(recall.Nodes) > 0 {
-		if h.w.mode == Snapshot {
-			recall.Classes = h.learned.Classes
+	if len(restored.Nodes) > 0 {
+		if h.sim.mode == WithSnapshot {
+			restored.Classes = h.snapshot.Classes
 		}
-		h.s.Restore(recall)
+		h.scheduler.Restore(restored)
 	}
 	return refused, wait
 }
 
-func (h *host) wake(at time.Duration) {
-	if at == h.wakeAt {
+func (h *host) setStartupTimer(at time.Duration) {
+	if at == h.startupTimerAt {
 		return
 	}
-	h.wakeAt = at
-	h.later(float64(at)/float64(time.Millisecond)-(h.w.now-h.born)+0.01, func() {
-		if h.wakeAt == at {
-			h.wakeAt = -1
-			h.hear(coldstart.TimerFired{})
+	h.startupTimerAt = at
+	h.afterDelay(float64(at)/float64(time.Millisecond)-(h.sim.now-h.startedAt)+0.01, func() {
+		if h.startupTimerAt == at {
+			h.startupTimerAt = -1
+			h.stepStartup(coldstart.TimerFired{})
 		}
 	})
 }
 
-// later does something in the host's present life.
-func (h *host) later(wait float64, do func()) {
-	life := h.life
-	h.w.after(wait, func() {
-		if h.life == life {
-			do()
+// afterDelay calls run after a delay, unless the process has ended by then.
+func (h *host) afterDelay(wait float64, run func()) {
+	incarnation := h.incarnation
+	h.sim.after(wait, func() {
+		if h.incarnation == incarnation {
+			run()
 		}
 	})
 }
 
-func (h *host) take(r *request) {
-	if refused, wait := h.hear(coldstart.RequestArrived{Node: h.w.nodes[r.req.Shard].ID}); refused {
+func (h *host) handleRequest(r *request) {
+	if refused, wait := h.stepStartup(coldstart.RequestArrived{Node: h.sim.nodes[r.req.Shard].ID}); refused {
 		if wait <= 0 {
-			h.w.res.broke("a refusal without Retry-After")
+			h.sim.result.addViolation("a refusal without Retry-After")
 		}
-		h.w.res.Gated++
-		h.w.final(r.req.ID, policy.NodeFull, float64(wait)/float64(time.Millisecond))
+		h.sim.result.RefusedByStartup++
+		h.sim.finishRequest(r.req.ID, policy.NodeFull, float64(wait)/float64(time.Millisecond))
 		return
 	}
-	h.step(policy.Event{Kind: policy.RequestArrived, Request: r.req})
+	h.stepScheduler(policy.Event{Kind: policy.RequestArrived, Request: r.req})
 }
 
-func (h *host) outcome(n *node, status policy.Status, ev policy.Event) {
+func (h *host) handleAttemptEnd(n *node, status policy.Status, event policy.Event) {
 	switch status {
 	case policy.OK:
-		h.hear(coldstart.RequestServed{Node: n.ID})
+		h.stepStartup(coldstart.RequestServed{Node: n.ID})
 	case policy.NodeFull:
-		h.hear(coldstart.NodeFull{Node: n.ID})
+		h.stepStartup(coldstart.NodeFull{Node: n.ID})
 	case policy.ConnectFailed:
-		h.hear(coldstart.ConnectFailed{Node: n.ID})
+		h.stepStartup(coldstart.ConnectFailed{Node: n.ID})
 	}
-	h.step(ev)
+	h.stepScheduler(event)
 }
 
-func (h *host) step(ev policy.Event) {
-	for _, a := range h.s.Step(h.w.now, []policy.Event{ev}, nil) {
+func (h *host) stepScheduler(event policy.Event) {
+	for _, a := range h.scheduler.Step(h.sim.now, []policy.Event{event}, nil) {
 		switch a.Kind {
 		case policy.SetTimer:
-			h.later(math.Max(a.Wait, 1), func() { h.step(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
+			h.afterDelay(math.Max(a.Wait, 1), func() { h.stepScheduler(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
 		case policy.Reject:
 			wait := a.Wait
-			if r := h.w.reqs[a.ID]; r != nil {
-				if worded, longer := h.hear(coldstart.RequestRejected{Node: h.w.nodes[r.req.Shard].ID}); worded {
-					wait = math.Max(wait, float64(longer)/float64(time.Millisecond))
+			if r := h.sim.requests[a.ID]; r != nil {
+				if rejectedByStartup, startupWait := h.stepStartup(coldstart.RequestRejected{Node: h.sim.nodes[r.req.Shard].ID}); rejectedByStartup {
+					wait = math.Max(wait, float64(startupWait)/float64(time.Millisecond))
 				}
 			}
-			h.w.final(a.ID, policy.NodeFull, wait)
+			h.sim.finishRequest(a.ID, policy.NodeFull, wait)
 		case policy.Fail:
-			h.w.final(a.ID, policy.Errored, 0)
+			h.sim.finishRequest(a.ID, policy.Errored, 0)
 		case policy.Send:
-			h.w.send(h, a)
-		case policy.Cancel: // the node works on
-			if r := h.w.reqs[a.ID]; r != nil {
-				h.later(1, func() { r.tries[a.Attempt].end(policy.Cancelled) })
+			h.sim.send(h, a)
+		case policy.Cancel: // the node continues to process the request
+			if r := h.sim.requests[a.ID]; r != nil {
+				h.afterDelay(1, func() { r.attempts[a.Attempt].end(policy.Cancelled) })
 			}
 		}
 	}
 }
 
-// link takes a connection to a node for so many requests; without a free one it opens another.
-func (h *host) link(n *node, out int) {
+// useConns marks connections to a node as used by a number of requests. If none is free, or none is open, it opens another.
+func (h *host) useConns(n *node, requests int) {
 	c := h.conns[n.Shard]
 	if c == nil {
-		c = &conns{}
+		c = &nodeConns{}
 		h.conns[n.Shard] = c
 	}
-	if c.out += out; c.have < max(c.out, 1) {
-		c.have++
-		h.w.count(&n.opened, &h.w.res.Connects)
+	if c.inUse += requests; c.open < max(c.inUse, 1) {
+		c.open++
+		h.sim.countPeak(&n.connects, &h.sim.result.ConnectPeak)
 	}
 }
 
-// ask gives the list's clock an event and makes the calls that it says, until one is answered.
-func (h *host) ask(e watchtimer.Event) {
-	if h.clock == nil {
+// stepListTimer passes an event to listTimer and makes the list requests that it asks for. It does nothing once a list was
+// received.
+func (h *host) stepListTimer(e watchtimer.Event) {
+	if h.listTimer == nil {
 		return
 	}
-	now := span(h.w.now - h.born)
+	now := fromMillis(h.sim.now - h.startedAt)
 	if e.Kind == watchtimer.TimerFired {
-		now = max(now, h.clockAt)
+		now = max(now, h.listTimerAt)
 	}
-	h.clockAt = -1
-	for _, a := range h.clock.Step(now, e) {
+	h.listTimerAt = -1
+	for _, a := range h.listTimer.Step(now, e) {
 		if a.Kind == watchtimer.OpenCall {
-			h.callAs(a.Call)
+			h.requestListAs(a.Call)
 		}
 	}
-	at := h.clock.NextTimer()
-	if at == h.clockAt || at > time.Hour {
+	at := h.listTimer.NextTimer()
+	if at == h.listTimerAt || at > time.Hour {
 		return
 	}
-	h.clockAt = at
-	life := h.life
-	h.later(max(0, float64(at)/float64(time.Millisecond)-(h.w.now-h.born)), func() {
-		if h.life == life && h.clockAt == at {
-			h.ask(watchtimer.Event{Kind: watchtimer.TimerFired}) // its time is the clock's own: no rounding holds it up
+	h.listTimerAt = at
+	incarnation := h.incarnation
+	h.afterDelay(max(0, float64(at)/float64(time.Millisecond)-(h.sim.now-h.startedAt)), func() {
+		if h.incarnation == incarnation && h.listTimerAt == at {
+			h.stepListTimer(watchtimer.Event{Kind: watchtimer.TimerFired}) // uses listTimerAt as the time, so that rounding does not delay it
 		}
 	})
 }
 
-// call asks the list's service.
-func (h *host) call() { h.callAs(0) }
+// requestList requests the node list without a call of listTimer.
+func (h *host) requestList() { h.requestListAs(0) }
 
-// callAs does so as one of the clock's calls; 0: as none.
-func (h *host) callAs(call int) {
-	life := h.life
-	h.w.list.ask(func(ok bool) {
-		if h.life != life {
+// requestListAs requests the node list. call is the number of listTimer's call, or 0 if it is none of them.
+func (h *host) requestListAs(call int) {
+	incarnation := h.incarnation
+	h.sim.list.request(func(ok bool) {
+		if h.incarnation != incarnation {
 			return
 		}
 		switch {
 		case ok:
-			h.clock = nil
-			h.listed()
-		case h.begin != nil:
-			h.hear(coldstart.ListRequestFailed{})
+			h.listTimer = nil
+			h.receiveList()
+		case h.startup != nil:
+			h.stepStartup(coldstart.ListRequestFailed{})
 		default:
-			h.step(policy.Event{Kind: policy.ListFailed})
-			h.ask(watchtimer.Event{Kind: watchtimer.CallEnded, Call: call})
+			h.stepScheduler(policy.Event{Kind: policy.ListFailed})
+			h.stepListTimer(watchtimer.Event{Kind: watchtimer.CallEnded, Call: call})
 		}
 	})
 }
 
-// listed takes a full list.
-func (h *host) listed() {
-	h.held, h.watch = h.held[:0:0], true
-	for _, n := range h.w.nodes {
-		h.held = append(h.held, n.Node)
+// receiveList handles a full node list and subscribes to changes.
+func (h *host) receiveList() {
+	h.cachedList, h.subscribed = h.cachedList[:0:0], true
+	for _, n := range h.sim.nodes {
+		h.cachedList = append(h.cachedList, n.Node)
 	}
-	h.step(policy.Event{Kind: policy.ListReceived, Nodes: h.held})
-	h.hear(coldstart.ListReceived{Nodes: h.nodes(h.held)})
+	h.stepScheduler(policy.Event{Kind: policy.ListReceived, Nodes: h.cachedList})
+	h.stepStartup(coldstart.ListReceived{Nodes: h.startupNodes(h.cachedList)})
 }
 
-// change is the list's word of one node, some time later.
-func (h *host) change(n policy.Node) {
-	if !h.watch {
+// receiveChange handles the change of one node in the list, 50 to 300 ms after it occurred.
+func (h *host) receiveChange(n policy.Node) {
+	if !h.subscribed {
 		return
 	}
-	h.later(50+250*h.w.rng.Float64(), func() {
-		h.held = slices.Clone(h.held)
-		for i := range h.held {
-			if h.held[i].ID == n.ID && n.StartTime > h.held[i].StartTime {
-				h.held[i] = n
+	h.afterDelay(50+250*h.sim.rng.Float64(), func() {
+		h.cachedList = slices.Clone(h.cachedList)
+		for i := range h.cachedList {
+			if h.cachedList[i].ID == n.ID && n.StartTime > h.cachedList[i].StartTime {
+				h.cachedList[i] = n
 			}
 		}
-		h.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
+		h.stepScheduler(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 	})
 }
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -13,84 +13,86 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const pushCapacity = 4000.0 // calls a second of a list that is pushed: they cost it nothing
+// pushedListCapacity is the capacity of the list service in requests per second where the list is pushed. Requests then cost
+// the service nothing.
+const pushedListCapacity = 4000.0
 
-// Options of a run.
+// Options configure a run of the experiment.
 type Options struct {
 	Hosts, Nodes, Seeds int
 	Seed                int64
-	Capacity            float64 // calls a second that the list's service can answer
+	Capacity            float64 // requests per second that the list service can answer
 	Scenarios           []string
-	Starts              []string // modes to play, none: all
+	Starts              []string // names of the modes to run; all if empty
 }
 
-// Mode is how the hosts start.
+// Mode is the way in which the hosts start.
 type Mode int
 
-// The modes.
 const (
-	Today    Mode = iota // without internal/coldstart
-	With                 // with it
-	Snapshot             // ... and what the last life learned
+	WithoutColdStart Mode = iota // without internal/coldstart, the baseline
+	WithColdStart                // with internal/coldstart
+	WithSnapshot                 // with internal/coldstart and a snapshot of what the previous process learned
 )
 
 func (m Mode) String() string { return [...]string{"today", "coldstart", "with snapshot"}[m] }
 
-// Scenario is what starts and what fails meanwhile.
+// Scenario says which hosts and nodes restart and what fails meanwhile.
 type Scenario struct {
-	Name      string
-	Killed    int // of ten hosts
-	ColdNodes int // one in so many nodes has restarted, 0: none
-	ListDown  float64
-	Again     bool // half of the fleet is killed again while it starts
-	Silent    int  // one in so many nodes cannot be reached, 0: none
-	Mute      bool // one node takes connections and answers none
-	Pushed    bool // the list is pushed: calls cost its service nothing
+	Name                string
+	KilledPerTen        int     // hosts killed, of each ten
+	RestartedNodeStep   int     // every n-th node has restarted and is cold; 0: none
+	ListOutage          float64 // time for which the list service is down after the start of the fleet, in ms
+	KillHalfAgain       bool    // half of the fleet is killed again while it starts
+	UnreachableNodeStep int     // every n-th node is unreachable; 0: none
+	HungNode            bool    // one node accepts connections and requests but does not respond
+	ListPushed          bool    // the list is pushed, so that requests cost the list service nothing
 }
 
-// Scenarios are all there are.
+// Scenarios are all scenarios of the experiment.
 var Scenarios = []Scenario{
-	{Name: "power cut", Killed: 10, ColdNodes: 2},
-	{Name: "release", Killed: 10},
-	{Name: "seven in ten killed", Killed: 7, ColdNodes: 4},
-	{Name: "power cut, list pushed", Killed: 10, ColdNodes: 2, Pushed: true},
-	{Name: "power cut, list down 8 s", Killed: 10, ColdNodes: 2, ListDown: 8000},
-	{Name: "power cut, half killed again", Killed: 10, ColdNodes: 2, Again: true},
-	{Name: "power cut, a zone silent", Killed: 10, ColdNodes: 2, Silent: 4},
-	{Name: "power cut, a node mute", Killed: 10, ColdNodes: 2, Mute: true},
+	{Name: "power cut", KilledPerTen: 10, RestartedNodeStep: 2},
+	{Name: "release", KilledPerTen: 10},
+	{Name: "seven in ten killed", KilledPerTen: 7, RestartedNodeStep: 4},
+	{Name: "power cut, list pushed", KilledPerTen: 10, RestartedNodeStep: 2, ListPushed: true},
+	{Name: "power cut, list down 8 s", KilledPerTen: 10, RestartedNodeStep: 2, ListOutage: 8000},
+	{Name: "power cut, half killed again", KilledPerTen: 10, RestartedNodeStep: 2, KillHalfAgain: true},
+	{Name: "power cut, a zone silent", KilledPerTen: 10, RestartedNodeStep: 2, UnreachableNodeStep: 4},
+	{Name: "power cut, a node mute", KilledPerTen: 10, RestartedNodeStep: 2, HungNode: true},
 }
 
-// service is the list's: calls wait in turn, and one that waits too long was served for nothing.
-type service struct {
-	w        *world
-	capacity float64
-	down     bool
-	free     float64
-	calls    []flow
+// listService simulates the service that provides the node list. Requests wait in a queue. One that would wait for more than
+// a second is rejected.
+type listService struct {
+	sim       *simulation
+	capacity  float64
+	down      bool
+	busyUntil float64
+	calls     []sample
 }
 
-func (s *service) ask(done func(ok bool)) {
-	w := s.w
-	if w.now >= zero {
-		s.calls = append(s.calls, flow{w.now, 1})
-		w.res.ListPeak = math.Max(w.res.ListPeak, sum(&s.calls, w.now-1000))
+func (s *listService) request(done func(ok bool)) {
+	sim := s.sim
+	if sim.now >= fleetStart {
+		s.calls = append(s.calls, sample{sim.now, 1})
+		sim.result.ListPeak = math.Max(sim.result.ListPeak, recentSum(&s.calls, sim.now-1000))
 	}
-	s.free = math.Max(s.free, w.now)
-	wait := s.free - w.now
+	s.busyUntil = math.Max(s.busyUntil, sim.now)
+	wait := s.busyUntil - sim.now
 	switch {
-	case s.down || wait > 1000: // full: turned away
-		if w.now >= zero {
-			w.res.ListRefused++
+	case s.down || wait > 1000: // the queue is full
+		if sim.now >= fleetStart {
+			sim.result.ListRefused++
 		}
-		w.after(1, func() { done(false) })
+		sim.after(1, func() { done(false) })
 		return
 	default:
-		s.free += 1000 / s.capacity
-		w.after(wait+20, func() { done(true) })
+		s.busyUntil += 1000 / s.capacity
+		sim.after(wait+20, func() { done(true) })
 	}
 }
 
-// Fill sets what is not said.
+// Fill sets the defaults of options that are zero.
 func (o *Options) Fill(virtual bool) {
 	hosts, seeds := 300, 1
 	if virtual {
@@ -100,7 +102,7 @@
 	o.Nodes, o.Capacity = cmp.Or(o.Nodes, max(o.Hosts/5, 1)), cmp.Or(o.Capacity, 0.4*float64(o.Hosts))
 }
 
-// Check says what of the options cannot be.
+// Check returns an error for the first invalid option.
 func (o *Options) Check() error {
 	for _, k := range []struct {
 		key  string
@@ -112,8 +114,8 @@
 		}
 	}
 	for _, name := range o.Starts {
-		if name != Today.String() && name != With.String() && name != Snapshot.String() {
-			return fmt.Errorf("start: %q is none of %q, %q and %q", name, Today, With, Snapshot)
+		if name != WithoutColdStart.String() && name != WithColdStart.String() && name != WithSnapshot.String() {
+			return fmt.Errorf("start: %q is none of %q, %q and %q", name, WithoutColdStart, WithColdStart, WithSnapshot)
 		}
 	}
 	for _, name := range o.Scenarios {
@@ -124,79 +126,80 @@
 	return nil
 }
 
-// Bounds names what the starts with internal/coldstart do not keep to: no node falls, the list's
-// service is within its capacity, no rule is broken, 99% of the hosts serve within 6 s, and refusals
-// of the first 10 s are at most half of today's. The last is no bound where the list is pushed and
-// today's start has it before its first send as well.
-func (r *Report) Bounds() (bad []string) {
+// Bounds returns the bounds that were missed. No rule may be violated in any mode. In modes with internal/coldstart, no node
+// may crash, the list service must stay within its capacity, 99% of the hosts must serve within 6 s, and at most half as many
+// requests may be refused in the first 10 s as without it. The capacity and the last bound don't apply where the list is
+// pushed: there, hosts have the list before their first send without internal/coldstart too.
+func (r *Report) Bounds() (problems []string) {
 	for i := range r.Rows {
-		x := &r.Rows[i]
-		sc := Scenarios[slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == x.Scenario })]
-		fail := func(form string, args ...any) {
-			bad = append(bad, x.Scenario+", "+x.Mode+": "+fmt.Sprintf(form, args...))
+		row := &r.Rows[i]
+		sc := Scenarios[slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == row.Scenario })]
+		addProblem := func(format string, args ...any) {
+			problems = append(problems, row.Scenario+", "+row.Mode+": "+fmt.Sprintf(format, args...))
 		}
-		if len(x.Broken) > 0 {
-			fail("rules broken: %v", x.Broken)
+		if len(row.Broken) > 0 {
+			addProblem("rules violated: %v", row.Broken)
 		}
-		if x.Mode == Today.String() {
+		if row.Mode == WithoutColdStart.String() {
 			continue
 		}
-		f := x.Figures
+		f := row.Figures
 		if f["falls"].Worst > 0 {
-			fail("%.0f nodes fell in the worst world", f["falls"].Worst)
+			addProblem("%.0f node crashes with the worst seed", f["falls"].Worst)
 		}
-		if peak := f["list/s"].Worst; peak > r.Options.Capacity && !sc.Pushed {
-			fail("%.0f calls of the list in a second, and its service answers %.0f", peak, r.Options.Capacity)
+		if peak := f["list/s"].Worst; peak > r.Options.Capacity && !sc.ListPushed {
+			addProblem("%.0f list requests in a second, capacity %.0f", peak, r.Options.Capacity)
 		}
 		if t := f["t99"].Worst; t > 6 {
-			fail("99%% of the hosts serve after %.1f s", t)
+			addProblem("99%% of the hosts serve only after %.1f s", t)
 		}
-		if today := r.Row(x.Scenario, Today); today != nil && f["refused"].Mean > today.Figures["refused"].Mean/2 && !sc.Pushed {
-			fail("%.0f refusals, today %.0f", f["refused"].Mean, today.Figures["refused"].Mean)
+		if baseline := r.Row(row.Scenario, WithoutColdStart); baseline != nil && f["refused"].Mean > baseline.Figures["refused"].Mean/2 && !sc.ListPushed {
+			addProblem("%.0f requests refused, without coldstart %.0f", f["refused"].Mean, baseline.Figures["refused"].Mean)
 		}
 	}
-	return bad
+	return problems
 }
 
-// Result is what one world showed.
+// Result has the measurements of one simulation. Peaks and counts of requests cover the first 10 s after the start of the
+// fleet.
 type Result struct {
-	T50, T99, T100   float64 // ms until so many of the hosts served, the run's end: not within it
-	ListPeak         float64 // calls in the worst second
+	T50, T99, T100   float64 // ms until 50, 99 and 100% of the hosts had served a request; observationDuration if not within it
+	ListPeak         float64 // most list requests in a second, in the whole run
 	ListRefused      float64
-	Falls            float64
-	Worst            float64 // most that a cold node got, as part of what it bears
-	Requests, Served float64 // within the first 10 s
+	Crashes          float64
+	MaxColdLoad      float64 // highest load of a cold node, relative to the load that it withstands
+	Requests, Served float64
 	Refused, Failed  float64
-	Gated            float64 // refused by the start itself
-	Connects         float64 // in the worst second at the worst node
-	Firsts           float64 // requests, likewise
-	Broken           map[string]int
+	RefusedByStartup float64        // refused by internal/coldstart
+	ConnectPeak      float64        // most connects to one node in a second
+	RequestPeak      float64        // most requests to one node in a second
+	Violations       map[string]int // number of violations by rule
 	started          bool
-	served           []float64
+	firstServed      []float64 // by host, ms from the start of the fleet to the first request served; 0: none
 }
 
-func (r *Result) broke(rule string) {
-	if r.Broken == nil {
-		r.Broken = map[string]int{}
+func (r *Result) addViolation(rule string) {
+	if r.Violations == nil {
+		r.Violations = map[string]int{}
 	}
-	r.Broken[rule]++
+	r.Violations[rule]++
 }
 
-// close makes the figures; hosts that were not killed count as serving from the start.
-func (r *Result) close() *Result {
-	all := slices.Clone(r.served)
-	for i := range all {
-		if all[i] == 0 {
-			all[i] = after // not within the run
+// finish computes the quantiles. Hosts that were not killed count with their first request served after the start of the fleet.
+func (r *Result) finish() *Result {
+	times := slices.Clone(r.firstServed)
+	for i := range times {
+		if times[i] == 0 {
+			times[i] = observationDuration // did not serve within the run
 		}
 	}
-	slices.Sort(all)
-	at := func(q float64) float64 { return all[min(int(math.Ceil(q*float64(len(all))))-1, len(all)-1)] }
-	r.T50, r.T99, r.T100 = at(0.5), at(0.99), at(1)
+	slices.Sort(times)
+	quantile := func(q float64) float64 { return times[min(int(math.Ceil(q*float64(len(times))))-1, len(times)-1)] }
+	r.T50, r.T99, r.T100 = quantile(0.5), quantile(0.99), quantile(1)
 	return r
 }
 
-// Row is one scenario in one mode, over all seeds.
+// Row has the results of one scenario in one mode, over all seeds.
 type Row struct {
 	Scenario, Mode string
 	Seeds          int
@@ -204,80 +207,81 @@
 	Broken         map[string]int
 }
 
-// Figure is a mean with its spread and worst.
+// Figure has the mean, standard deviation and maximum of a measurement over all seeds.
 type Figure struct{ Mean, SD, Worst float64 }
 
-// Report is a run's result.
+// Report is the result of a run.
 type Report struct {
 	Options Options
 	Rows    []Row
 }
 
+// figures are the measurements of a report and how they are obtained from a result.
 var figures = []struct {
 	name string
 	of   func(*Result) float64
 }{
 	{"t50", func(r *Result) float64 { return r.T50 / 1000 }}, {"t99", func(r *Result) float64 { return r.T99 / 1000 }},
 	{"t100", func(r *Result) float64 { return r.T100 / 1000 }}, {"list/s", func(r *Result) float64 { return r.ListPeak }},
-	{"list refused", func(r *Result) float64 { return r.ListRefused }}, {"falls", func(r *Result) float64 { return r.Falls }},
-	{"cold load", func(r *Result) float64 { return r.Worst }}, {"served", func(r *Result) float64 { return r.Served }},
+	{"list refused", func(r *Result) float64 { return r.ListRefused }}, {"falls", func(r *Result) float64 { return r.Crashes }},
+	{"cold load", func(r *Result) float64 { return r.MaxColdLoad }}, {"served", func(r *Result) float64 { return r.Served }},
 	{"refused", func(r *Result) float64 { return r.Refused }}, {"failed", func(r *Result) float64 { return r.Failed }},
-	{"by start", func(r *Result) float64 { return r.Gated }},
-	{"connects/s", func(r *Result) float64 { return r.Connects }}, {"requests/s", func(r *Result) float64 { return r.Firsts }},
+	{"by start", func(r *Result) float64 { return r.RefusedByStartup }},
+	{"connects/s", func(r *Result) float64 { return r.ConnectPeak }}, {"requests/s", func(r *Result) float64 { return r.RequestPeak }},
 }
 
-// Run plays each scenario in each mode over all seeds. Worlds of one seed see the same arrivals.
-func Run(ctx context.Context, opt Options, begins func(scenario string, mode Mode)) (*Report, error) {
+// Run simulates each scenario in each mode with all seeds. Simulations with the same seed have the same arrivals.
+func Run(ctx context.Context, opt Options, onStart func(scenario string, mode Mode)) (*Report, error) {
 	rep := &Report{Options: opt}
 	for _, sc := range Scenarios {
 		if len(opt.Scenarios) > 0 && !slices.Contains(opt.Scenarios, sc.Name) {
 			continue
 		}
-		for mode := Today; mode <= Snapshot; mode++ {
+		for mode := WithoutColdStart; mode <= WithSnapshot; mode++ {
 			if len(opt.Starts) > 0 && !slices.Contains(opt.Starts, mode.String()) {
 				continue
 			}
-			begins(sc.Name, mode)
+			onStart(sc.Name, mode)
 			all := make([]*Result, opt.Seeds)
-			g, in := errgroup.WithContext(ctx)
-			g.SetLimit(runtime.GOMAXPROCS(0))
+			group, groupCtx := errgroup.WithContext(ctx)
+			group.SetLimit(runtime.GOMAXPROCS(0))
 			for i := range opt.Seeds {
-				g.Go(func() error {
-					if in.Err() == nil {
-						all[i] = newWorld(opt, sc, mode, opt.Seed+int64(i)).run()
+				group.Go(func() error {
+					if groupCtx.Err() == nil {
+						all[i] = newSimulation(opt, sc, mode, opt.Seed+int64(i)).run()
 					}
-					return in.Err()
+					return groupCtx.Err()
 				})
 			}
-			if err := g.Wait(); err != nil {
+			if err := group.Wait(); err != nil {
 				return nil, err
 			}
-			rep.Rows = append(rep.Rows, row(sc.Name, mode, all))
+			rep.Rows = append(rep.Rows, newRow(sc.Name, mode, all))
 		}
 	}
 	return rep, nil
 }
 
-func row(scenario string, mode Mode, all []*Result) Row {
+func newRow(scenario string, mode Mode, all []*Result) Row {
 	r := Row{Scenario: scenario, Mode: mode.String(), Seeds: len(all), Figures: map[string]Figure{}, Broken: map[string]int{}}
-	for _, f := range figures {
-		var s, ss, worst float64
-		for _, x := range all {
-			v := f.of(x)
-			s, ss, worst = s+v, ss+v*v, math.Max(worst, v)
+	for _, figure := range figures {
+		var total, sumSquares, worst float64
+		for _, result := range all {
+			v := figure.of(result)
+			total, sumSquares, worst = total+v, sumSquares+v*v, math.Max(worst, v)
 		}
 		n := float64(len(all))
-		r.Figures[f.name] = Figure{Mean: s / n, SD: math.Sqrt(math.Max(0, ss/n-s/n*s/n)), Worst: worst}
+		r.Figures[figure.name] = Figure{Mean: total / n, SD: math.Sqrt(math.Max(0, sumSquares/n-total/n*total/n)), Worst: worst}
 	}
-	for _, x := range all {
-		for rule, n := range x.Broken {
+	for _, result := range all {
+		for rule, n := range result.Violations {
 			r.Broken[rule] += n
 		}
 	}
 	return r
 }
 
-// Row finds one.
+// Row returns the row of a scenario and mode, or nil.
 func (r *Report) Row(scenario string, mode Mode) *Row {
 	for i := range r.Rows {
 		if r.Rows[i].Scenario == scenario && r.Rows[i].Mode == mode.String() {
@@ -287,9 +291,9 @@
 	return nil
 }
 
-// Print writes the table: mean, spread and worst seed of each figure.
+// Print writes a table with the mean, standard deviation and maximum of each figure.
 func (r *Report) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d hosts, %d nodes, %d seeds; the list's service answers %.0f calls a second; counts are of the first 10 s\n",
+	fmt.Fprintf(out, "%d hosts, %d nodes, %d seeds; capacity of the list service %.0f requests per second; counts cover the first 10 s\n",
 		r.Options.Hosts, r.Options.Nodes, r.Options.Seeds, r.Options.Capacity)
 	tw := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprint(tw, "scenario\tstart")
@@ -297,17 +301,17 @@
 		fmt.Fprint(tw, "\t", f.name)
 	}
 	fmt.Fprintln(tw, "\trules broken")
-	for _, x := range r.Rows {
-		fmt.Fprint(tw, x.Scenario, "\t", x.Mode)
+	for _, row := range r.Rows {
+		fmt.Fprint(tw, row.Scenario, "\t", row.Mode)
 		for _, f := range figures {
-			v := x.Figures[f.name]
-			form := "\t%.0f±%.0f (%.0f)"
+			v := row.Figures[f.name]
+			format := "\t%.0f±%.0f (%.0f)"
 			if v.Worst < 20 {
-				form = "\t%.2f±%.2f (%.2f)"
+				format = "\t%.2f±%.2f (%.2f)"
 			}
-			fmt.Fprintf(tw, form, v.Mean, v.SD, v.Worst)
+			fmt.Fprintf(tw, format, v.Mean, v.SD, v.Worst)
 		}
-		fmt.Fprintln(tw, "\t", x.Broken)
+		fmt.Fprintln(tw, "\t", row.Broken)
 	}
 	return tw.Flush()
 }
--- /dev/null
+++ b/internal/testkit/loadvalidity/loadvalidity_test.go
@@ -0,0 +1,122 @@
+package loadvalidity
+
+import (
+	"encoding/json"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"wheatsaddle/internal/testkit/rapidtest"
+)
+
+func TestMain(m *testing.M) { rapidtest.Main(m) }
+
+const ms = time.Millisecond
+
+func newNotes(t interface{ Fatal(...any) }) *Notes {
+	n, err := New(Defaults())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// A run that exceeds a bound is invalid and the reason names that bound. A run within all bounds is valid.
+func TestEachBoundInvalidatesRun(t *testing.T) {
+	for name, test := range map[string]struct {
+		record     func(*Notes)
+		wantReason string
+	}{
+		"":            {func(*Notes) {}, ""},
+		"long pause":  {func(n *Notes) { n.Pause(Pause{At: time.Second, Took: 500 * ms, Why: "process"}) }, "was paused for 500ms at 1s (process), bound 100ms"},
+		"short pause": {func(n *Notes) { n.Pause(Pause{Took: 100 * ms}) }, ""},
+		"not sent":    {func(n *Notes) { n.Keep("open requests") }, "1 of 1001 requests were not sent (open requests)"},
+		"one late":    {func(n *Notes) { n.Send(0, time.Second) }, ""},
+		"late share":  {func(n *Notes) { sendLate(n, 12, 2*ms) }, "1.19% of the requests were sent 2ms late"},
+		"lag p99":     {func(n *Notes) { sendLate(n, 20, 5*ms) }, "99% within 5ms"},
+		"sent early":  {func(n *Notes) { n.Send(time.Second, 0) }, ""},
+	} {
+		n := newNotes(t)
+		for range 1000 {
+			n.Send(time.Second, time.Second+100*time.Microsecond)
+		}
+		test.record(n)
+		v := n.Judge()
+		if all := strings.Join(v.Reasons, "; "); v.Valid != (test.wantReason == "") || !strings.Contains(all, test.wantReason) {
+			t.Errorf("%s: %v %q, want %q", name, v.Valid, all, test.wantReason)
+		}
+	}
+	if v := newNotes(t).Judge(); v.Valid {
+		t.Error("a run that sent no request is valid")
+	}
+}
+
+func sendLate(n *Notes, times int, by time.Duration) {
+	for range times {
+		n.Send(0, by)
+	}
+}
+
+// The quantiles of the lag are correct to a tenth. Merging the statistics of two workers gives those of a single worker that
+// sent the requests of both.
+func TestQuantilesAndMerge(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		lags := rapid.SliceOfN(rapid.Int64Range(0, 3e9), 1, 300).Draw(t, "lags")
+		whole, a, b := newNotes(t), newNotes(t), newNotes(t)
+		for i, x := range lags {
+			part := []*Notes{a, b}[i%2]
+			for _, n := range []*Notes{whole, part} {
+				n.Send(time.Second, time.Second+time.Duration(x))
+				if x%7 == 0 {
+					n.Keep("x")
+					n.Pause(Pause{At: time.Duration(i), Took: time.Duration(x)})
+				}
+			}
+		}
+		slices.Sort(lags)
+		for _, q := range []float64{0.5, 0.9, 0.99, 1} {
+			want := float64(lags[max(0, int(q*float64(len(lags))+0.999999)-1)])
+			if decoded := float64(whole.Quantile(q)); decoded > 1.1*want+1e3 || decoded < want/1.1-1e3 {
+				t.Fatalf("%v: %v, want %v", q, decoded, want)
+			}
+		}
+		// Worker processes send their statistics as JSON.
+		text, err := json.Marshal(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoded := &Notes{}
+		if err := json.Unmarshal(text, decoded); err != nil {
+			t.Fatal(err)
+		}
+		if err := a.Merge(decoded); err != nil {
+			t.Fatal(err)
+		}
+		whole.keepLongestPauses()
+		if len(lags) <= maxPauses && !reflect.DeepEqual(a, whole) || !reflect.DeepEqual(a.Judge(), whole.Judge()) {
+			t.Fatalf("merged %+v, of a single worker %+v", a, whole)
+		}
+	})
+	otherBounds := newNotes(t)
+	otherBounds.Bounds.Pause++
+	if newNotes(t).Merge(otherBounds) == nil {
+		t.Error("Merge accepted statistics with different bounds")
+	}
+}
+
+func TestPauseDetection(t *testing.T) {
+	w := Watch{Period: ms, Slack: 5 * ms}
+	for _, x := range []struct {
+		at, gc time.Duration
+		want   Pause
+	}{{0, 0, Pause{}}, {ms, 0, Pause{}}, {7 * ms, 0, Pause{}}, {507 * ms, 0, Pause{8 * ms, 499 * ms, "process"}},
+		{508 * ms, 0, Pause{}}, {520 * ms, 10 * ms, Pause{509 * ms, 11 * ms, "gc"}}} {
+		if p, found := w.Tick(x.at, x.gc); p != x.want || found != (x.want.Took > 0) {
+			t.Errorf("%v: %+v, want %+v", x.at, p, x.want)
+		}
+	}
+}
