--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -53,6 +53,7 @@
 // Classes are the request classes of the default workload.
 var Classes = exampleClasses()
 
+// exampleClasses converts the classes of the default workload.
 func exampleClasses() (classes []Class) {
 	for _, c := range workload.Default().Classes {
 		classes = append(classes, Class{Name: c.Name, Share: c.Share, LatencyObjective: fromMillis(c.Aim), Deadline: fromMillis(c.Deadline), PriorityWeight: c.Worth, Keyed: c.Keyed})
@@ -74,11 +75,11 @@
 
 // maxDedupWindow is the longest time for which nodes drop repeats of a key. A request of a keyed class must not be repeated
 // later than that.
-var maxDedupWindow = func() (most time.Duration) {
+var maxDedupWindow = func() (longest time.Duration) {
 	for _, k := range Settings().Classes {
-		most = max(most, fromMillis(k.DedupWindow))
+		longest = max(longest, fromMillis(k.DedupWindow))
 	}
-	return most
+	return longest
 }()
 
 // Row has the results of one fault, class and number of addresses. Where nothing else is said, a value is the median over the
@@ -87,7 +88,7 @@
 	Fault                     string         `json:"fault"`
 	Class                     string         `json:"class"`
 	Addresses                 int            `json:"addresses"`
-	Requests                  int            `json:"requests"`
+	Requests                  int            `json:"requests"`      // number over all rounds
 	Served                    float64        `json:"served"`        // share of the requests
 	MinServed                 float64        `json:"served_least"`  // smallest share of a round
 	WithinObjective           float64        `json:"served_in_aim"` // share of the requests
@@ -97,10 +98,10 @@
 	P99                       float64        `json:"p99_ms"`
 	P50Added                  float64        `json:"p50_added_ms"` // compared with the same number of addresses and no fault
 	P99Added                  float64        `json:"p99_added_ms"`
-	MaxExecutions             int            `json:"executions_most"` // highest number of one request ID; in keyed classes, also of one key
-	MaxRepeatSpan             float64        `json:"repeat_span_ms"`  // longest time from the first to the last arrival of a request at the faulty node
+	MaxExecutions             int            `json:"executions_most"` // highest number over all rounds of one request ID; in keyed classes, also of one key
+	MaxRepeatPeriod           float64        `json:"repeat_span_ms"`  // longest time over all rounds from the first to the last arrival of a request at the faulty node
 	ConnectsPerRequest        float64        `json:"connects_per_request"`
-	SettledConnectsPerRequest float64        `json:"connects_per_request_after_first_second"`
+	SettledConnectsPerRequest float64        `json:"connects_per_request_after_first_second"` // ratio of the sums over all rounds
 }
 
 // Report is the result of the experiment.
@@ -120,16 +121,17 @@
 	round     int
 }
 
-// classCounts are the results of one class in one scenario. They cover only requests to the faulty node, from the start of the
-// fault.
+// classCounts are the results of one class in one scenario. They cover only requests to the faulty node, and, except for
+// maxExecutions and maxRepeatPeriod, only those sent after the start of the fault.
 type classCounts struct {
 	sent, served, withinObjective int
 	outcomes                      [client.OutcomeCount]int
 	latencies                     *hdrhistogram.Histogram // of served requests, in microseconds
 	maxExecutions                 int
-	maxRepeatSpan                 time.Duration
+	maxRepeatPeriod               time.Duration
 }
 
+// scenarioResult has the results of one scenario.
 type scenarioResult struct {
 	classes                   map[string]*classCounts
 	connects, settledConnects int // connections accepted by the faulty node, in all and after settleDuration
@@ -197,6 +199,7 @@
 	pool      *client.Pool
 }
 
+// newFixture starts the scheduler and its nodes. Each node has the given number of addresses, one less without IPv6.
 func newFixture(seed uint64, addresses int, dir string) (*fixture, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -257,6 +260,7 @@
 	}
 }
 
+// acceptedConns returns the number of connections that the faulty node has accepted.
 func (f *fixture) acceptedConns() (n int) {
 	for _, a := range f.addresses {
 		n += f.nodes[0].AcceptedConns(a)
@@ -363,7 +367,7 @@
 			}
 		}
 		counts.maxExecutions = max(counts.maxExecutions, executions)
-		counts.maxRepeatSpan = max(counts.maxRepeatSpan, all[len(all)-1].At.Sub(all[0].At))
+		counts.maxRepeatPeriod = max(counts.maxRepeatPeriod, all[len(all)-1].At.Sub(all[0].At))
 	})
 	for _, c := range Classes {
 		if c.Keyed {
@@ -401,7 +405,7 @@
 						p99 = append(p99, float64(counts.latencies.ValueAtQuantile(99))/1000)
 					}
 					row.MaxExecutions = max(row.MaxExecutions, counts.maxExecutions)
-					row.MaxRepeatSpan = max(row.MaxRepeatSpan, toMillis(counts.maxRepeatSpan))
+					row.MaxRepeatPeriod = max(row.MaxRepeatPeriod, toMillis(counts.maxRepeatPeriod))
 					requests := 0
 					for _, x := range result.classes {
 						requests += x.sent
@@ -446,14 +450,15 @@
 	if class.Keyed && row.MaxExecutions > 1 {
 		addMissed("a key was executed %d times", row.MaxExecutions)
 	}
-	if class.Keyed && row.MaxRepeatSpan > toMillis(maxDedupWindow) {
-		addMissed("a request arrived again %.0f ms after its first arrival", row.MaxRepeatSpan)
+	if class.Keyed && row.MaxRepeatPeriod > toMillis(maxDedupWindow) {
+		addMissed("a request arrived again %.0f ms after its first arrival", row.MaxRepeatPeriod)
 	}
 	if row.SettledConnectsPerRequest > maxConnectsRatio*baseline.SettledConnectsPerRequest {
 		addMissed("%.4f connects per request after the first second, aim %.4f", row.SettledConnectsPerRequest, maxConnectsRatio*baseline.SettledConnectsPerRequest)
 	}
 }
 
+// median returns the median of v, or 0 if v is empty.
 func median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/internal/testkit/experiment/coldstart/falsereports_test.go
+++ b/internal/testkit/experiment/coldstart/falsereports_test.go
@@ -47,7 +47,7 @@
 				t.Errorf("%s, seed %d: %.0f node crashes, highest load of a cold node %.2f of its limit; rules violated: %v", name, seed, result.Crashes, result.MaxColdLoad, result.Violations)
 			}
 			changed += math.Abs(result.Served - honestResult.Served)
-			t.Logf("%s, seed %d: highest cold load %.2f (with true reports %.2f), served %.0f (%.0f), refused %.0f (%.0f)", name, seed, result.MaxColdLoad, honestResult.MaxColdLoad, result.Served, honestResult.Served, result.Refused, honestResult.Refused)
+			t.Logf("%s, seed %d: highest cold load %.2f (with true reports %.2f), served %.0f (%.0f), rejected %.0f (%.0f)", name, seed, result.MaxColdLoad, honestResult.MaxColdLoad, result.Served, honestResult.Served, result.Rejected, honestResult.Rejected)
 		}
 	}
 	if changed == 0 {
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -104,7 +104,7 @@
 
 // stepStartup passes an event to the cold start and executes its actions. If one of them rejects the request, it returns true
 // and the time after which to retry.
-func (h *host) stepStartup(e coldstart.Event) (refused bool, wait time.Duration) {
+func (h *host) stepStartup(e coldstart.Event) (rejected bool, wait time.Duration) {
 	if h.startup == nil {
 		return
 	}
@@ -128,7 +128,7 @@
 		case coldstart.Connect:
 			h.useConns(h.sim.nodesByID[a.Node], 0)
 		case coldstart.Reject:
-			refused, wait = true, a.RetryAfter
+			rejected, wait = true, a.RetryAfter
 		case coldstart.SetTimer:
 			h.setStartupTimer(a.At)
 		}
@@ -139,7 +139,7 @@
 		}
 		h.scheduler.Restore(restored)
 	}
-	return refused, wait
+	return rejected, wait
 }
 
 func (h *host) setStartupTimer(at time.Duration) {
@@ -166,11 +166,11 @@
 }
 
 func (h *host) handleRequest(r *request) {
-	if refused, wait := h.stepStartup(coldstart.RequestArrived{Node: h.sim.nodes[r.req.Shard].ID}); refused {
+	if rejected, wait := h.stepStartup(coldstart.RequestArrived{Node: h.sim.nodes[r.req.Shard].ID}); rejected {
 		if wait <= 0 {
-			h.sim.result.addViolation("a refusal without Retry-After")
+			h.sim.result.addViolation("a rejection without Retry-After")
 		}
-		h.sim.result.RefusedByStartup++
+		h.sim.result.RejectedByStartup++
 		h.sim.finishRequest(r.req.ID, policy.NodeFull, float64(wait)/float64(time.Millisecond))
 		return
 	}
--- a/internal/testkit/experiment/coldstart/processes.go
+++ b/internal/testkit/experiment/coldstart/processes.go
@@ -28,7 +28,7 @@
 // Parameters of runs with processes. Those of the nodes and the settings are the same as in the simulation.
 const (
 	requestRate           = 3.0              // requests per second to each scheduler
-	launchSpan            = time.Second      // all processes are started within this time
+	launchPeriod          = time.Second      // all processes are started within this time
 	defaultProcessWindow  = 10 * time.Second // default of RealOptions.Window
 	listenTimeout         = 90 * time.Second // for all processes to listen
 	learnTimeout          = 60 * time.Second // for survivors to serve, and for all processes to write a snapshot
@@ -289,14 +289,14 @@
 	return run.fleet.Launch(i)
 }
 
-// launchAll starts the processes of hosts within a span, in random order and at random times according to the seed, and waits
+// launchAll starts the processes of hosts within a period, in random order and at random times according to the seed, and waits
 // until all of them listen.
-func (run *processRun) launchAll(ctx context.Context, hosts []int, span time.Duration) error {
+func (run *processRun) launchAll(ctx context.Context, hosts []int, period time.Duration) error {
 	rng := rand.New(rand.NewPCG(uint64(run.opt.Seed), 2))
 	start := time.Now()
 	delays := make([]time.Duration, len(hosts))
 	for k := range delays {
-		delays[k] = time.Duration(rng.Int64N(int64(span) + 1))
+		delays[k] = time.Duration(rng.Int64N(int64(period) + 1))
 	}
 	slices.Sort(delays)
 	var launches errgroup.Group
@@ -341,7 +341,7 @@
 	survivors := run.selectHosts(func(i int) bool { return i%10 >= run.scenario.KilledPerTen })
 	killed := run.selectHosts(func(i int) bool { return i%10 < run.scenario.KilledPerTen })
 	if len(survivors) > 0 {
-		if err := run.launchAll(ctx, survivors, launchSpan); err != nil {
+		if err := run.launchAll(ctx, survivors, launchPeriod); err != nil {
 			return err
 		}
 		run.startClients(survivors)
@@ -357,10 +357,10 @@
 	}
 	run.startCounting(survivors)
 	run.startClients(killed)
-	if err := run.launchAll(ctx, killed, launchSpan); err != nil {
+	if err := run.launchAll(ctx, killed, launchPeriod); err != nil {
 		return err
 	}
-	if run.scenario.KillHalfAgain {
+	if run.scenario.KillHalfTwice {
 		if err := sleep(ctx, secondKillDelay); err != nil {
 			return err
 		}
@@ -373,7 +373,7 @@
 				return err
 			}
 		}
-		if err := run.launchAll(ctx, half, launchSpan/2); err != nil {
+		if err := run.launchAll(ctx, half, launchPeriod/2); err != nil {
 			return err
 		}
 	}
@@ -495,7 +495,7 @@
 	defer run.close()
 	hosts := run.selectHosts(func(int) bool { return true })
 	run.startClients(hosts)
-	if err := run.launchAll(ctx, hosts, launchSpan); err != nil {
+	if err := run.launchAll(ctx, hosts, launchPeriod); err != nil {
 		return nil, err
 	}
 	snapshots := make([][]byte, opt.Hosts)
--- a/internal/testkit/experiment/coldstart/processreport.go
+++ b/internal/testkit/experiment/coldstart/processreport.go
@@ -46,7 +46,7 @@
 	row := run.row
 	row.Scenario, row.Start = run.scenario.Name, run.mode.String()
 	var sinceListening, sinceStart []float64
-	listenTotal, lives := 0.0, 0
+	listenTotal, processes := 0.0, 0
 	for _, h := range run.hosts {
 		t, fromStart := run.opt.Window, time.Duration(math.MaxInt64)
 		if !h.firstServed.IsZero() {
@@ -54,11 +54,11 @@
 		}
 		sinceListening, sinceStart = append(sinceListening, t.Seconds()), append(sinceStart, fromStart.Seconds())
 		for _, b := range h.listenDelays {
-			listenTotal, lives = listenTotal+b.Seconds(), lives+1
+			listenTotal, processes = listenTotal+b.Seconds(), processes+1
 			row.BareWorst = max(row.BareWorst, b.Seconds())
 		}
 	}
-	row.Lives, row.BareMean = lives, listenTotal/float64(max(lives, 1))
+	row.Lives, row.BareMean = processes, listenTotal/float64(max(processes, 1))
 	slices.Sort(sinceListening)
 	slices.Sort(sinceStart)
 	quantile := func(list []float64, q float64) float64 {
@@ -133,7 +133,7 @@
 			addProblem("%d node crashes", row.Falls)
 		}
 		if baseline := r.Row(row.Scenario, WithoutColdStart); baseline != nil && 2*row.Refused > baseline.Refused {
-			addProblem("%d requests refused, without coldstart %d", row.Refused, baseline.Refused)
+			addProblem("%d requests rejected, without coldstart %d", row.Refused, baseline.Refused)
 		}
 	}
 	return problems
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -43,7 +43,7 @@
 	KilledPerTen        int     // hosts killed, of each ten
 	RestartedNodeStep   int     // every n-th node has restarted and is cold; 0: none
 	ListOutage          float64 // time for which the list service is down after the start of the fleet, in ms
-	KillHalfAgain       bool    // half of the fleet is killed again while it starts
+	KillHalfTwice       bool    // half of the fleet is killed again while it starts
 	UnreachableNodeStep int     // every n-th node is unreachable; 0: none
 	HungNode            bool    // one node accepts connections and requests but does not respond
 	ListPushed          bool    // the list is pushed, so that requests cost the list service nothing
@@ -56,7 +56,7 @@
 	{Name: "seven in ten killed", KilledPerTen: 7, RestartedNodeStep: 4},
 	{Name: "power cut, list pushed", KilledPerTen: 10, RestartedNodeStep: 2, ListPushed: true},
 	{Name: "power cut, list down 8 s", KilledPerTen: 10, RestartedNodeStep: 2, ListOutage: 8000},
-	{Name: "power cut, half killed again", KilledPerTen: 10, RestartedNodeStep: 2, KillHalfAgain: true},
+	{Name: "power cut, half killed again", KilledPerTen: 10, RestartedNodeStep: 2, KillHalfTwice: true},
 	{Name: "power cut, a zone silent", KilledPerTen: 10, RestartedNodeStep: 2, UnreachableNodeStep: 4},
 	{Name: "power cut, a node mute", KilledPerTen: 10, RestartedNodeStep: 2, HungNode: true},
 }
@@ -82,7 +82,7 @@
 	switch {
 	case s.down || wait > 1000: // the queue is full
 		if sim.now >= fleetStart {
-			sim.result.ListRefused++
+			sim.result.ListRejected++
 		}
 		sim.after(1, func() { done(false) })
 		return
@@ -104,13 +104,13 @@
 
 // Check returns an error for the first invalid option.
 func (o *Options) Check() error {
-	for _, k := range []struct {
-		key  string
-		v    float64
-		most float64
+	for _, option := range []struct {
+		key   string
+		value float64
+		max   float64
 	}{{"schedulers", float64(o.Hosts), 10000}, {"nodes", float64(o.Nodes), 2000}, {"seeds", float64(o.Seeds), 1000}, {"capacity", o.Capacity, 1e6}} {
-		if !(k.v >= 1 && k.v <= k.most) {
-			return fmt.Errorf("%s: %v is not from 1 to %v", k.key, k.v, k.most)
+		if !(option.value >= 1 && option.value <= option.max) {
+			return fmt.Errorf("%s: %v is not from 1 to %v", option.key, option.value, option.max)
 		}
 	}
 	for _, name := range o.Starts {
@@ -128,7 +128,7 @@
 
 // Bounds returns the bounds that were missed. No rule may be violated in any mode. In modes with internal/coldstart, no node
 // may crash, the list service must stay within its capacity, 99% of the hosts must serve within 6 s, and at most half as many
-// requests may be refused in the first 10 s as without it. The capacity and the last bound don't apply where the list is
+// requests may be rejected in the first 10 s as without it. The capacity and the last bound don't apply where the list is
 // pushed: there, hosts have the list before their first send without internal/coldstart too.
 func (r *Report) Bounds() (problems []string) {
 	for i := range r.Rows {
@@ -154,7 +154,7 @@
 			addProblem("99%% of the hosts serve only after %.1f s", t)
 		}
 		if baseline := r.Row(row.Scenario, WithoutColdStart); baseline != nil && f["refused"].Mean > baseline.Figures["refused"].Mean/2 && !sc.ListPushed {
-			addProblem("%.0f requests refused, without coldstart %.0f", f["refused"].Mean, baseline.Figures["refused"].Mean)
+			addProblem("%.0f requests rejected, without coldstart %.0f", f["refused"].Mean, baseline.Figures["refused"].Mean)
 		}
 	}
 	return problems
@@ -163,19 +163,19 @@
 // Result has the measurements of one simulation. Peaks and counts of requests cover the first 10 s after the start of the
 // fleet.
 type Result struct {
-	T50, T99, T100   float64 // ms until 50, 99 and 100% of the hosts had served a request; observationDuration if not within it
-	ListPeak         float64 // most list requests in a second, in the whole run
-	ListRefused      float64
-	Crashes          float64
-	MaxColdLoad      float64 // highest load of a cold node, relative to the load that it withstands
-	Requests, Served float64
-	Refused, Failed  float64
-	RefusedByStartup float64        // refused by internal/coldstart
-	ConnectPeak      float64        // most connects to one node in a second
-	RequestPeak      float64        // most requests to one node in a second
-	Violations       map[string]int // number of violations by rule
-	started          bool
-	firstServed      []float64 // by host, ms from the start of the fleet to the first request served; 0: none
+	T50, T99, T100    float64 // ms until 50, 99 and 100% of the hosts had served a request; observationDuration if not within it
+	ListPeak          float64 // most list requests in a second, in the whole run
+	ListRejected      float64
+	Crashes           float64
+	MaxColdLoad       float64 // highest load of a cold node, relative to the load that it withstands
+	Requests, Served  float64
+	Rejected, Failed  float64
+	RejectedByStartup float64        // rejected by internal/coldstart
+	ConnectPeak       float64        // most connects to one node in a second
+	RequestPeak       float64        // most requests to one node in a second
+	Violations        map[string]int // number of violations by rule
+	started           bool
+	firstServed       []float64 // by host, ms from the start of the fleet to the first request served; 0: none
 }
 
 func (r *Result) addViolation(rule string) {
@@ -223,10 +223,10 @@
 }{
 	{"t50", func(r *Result) float64 { return r.T50 / 1000 }}, {"t99", func(r *Result) float64 { return r.T99 / 1000 }},
 	{"t100", func(r *Result) float64 { return r.T100 / 1000 }}, {"list/s", func(r *Result) float64 { return r.ListPeak }},
-	{"list refused", func(r *Result) float64 { return r.ListRefused }}, {"falls", func(r *Result) float64 { return r.Crashes }},
+	{"list refused", func(r *Result) float64 { return r.ListRejected }}, {"falls", func(r *Result) float64 { return r.Crashes }},
 	{"cold load", func(r *Result) float64 { return r.MaxColdLoad }}, {"served", func(r *Result) float64 { return r.Served }},
-	{"refused", func(r *Result) float64 { return r.Refused }}, {"failed", func(r *Result) float64 { return r.Failed }},
-	{"by start", func(r *Result) float64 { return r.RefusedByStartup }},
+	{"refused", func(r *Result) float64 { return r.Rejected }}, {"failed", func(r *Result) float64 { return r.Failed }},
+	{"by start", func(r *Result) float64 { return r.RejectedByStartup }},
 	{"connects/s", func(r *Result) float64 { return r.ConnectPeak }}, {"requests/s", func(r *Result) float64 { return r.RequestPeak }},
 }
 
--- a/internal/testkit/experiment/coldstart/simulation.go
+++ b/internal/testkit/experiment/coldstart/simulation.go
@@ -188,7 +188,7 @@
 		if h.index%10 < sim.scenario.KilledPerTen {
 			h.kill()
 			sim.after(outageDuration+1000*sim.rng.Float64(), h.start)
-			if sim.scenario.KillHalfAgain && h.index%2 == 0 {
+			if sim.scenario.KillHalfTwice && h.index%2 == 0 {
 				sim.after(outageDuration+2000, h.kill)
 				sim.after(outageDuration+2500+500*sim.rng.Float64(), h.start)
 			}
@@ -322,7 +322,7 @@
 	}
 }
 
-// finishRequest handles the only response to a request. A client whose request was refused retries after wait.
+// finishRequest handles the only response to a request. A client whose request was rejected retries after wait.
 func (sim *simulation) finishRequest(id string, status policy.Status, wait float64) {
 	r := sim.requests[id]
 	if r == nil || r.answered {
@@ -341,9 +341,9 @@
 		if h := r.host; sim.now >= fleetStart && sim.result.firstServed[h.index] == 0 {
 			sim.result.firstServed[h.index] = sim.now - fleetStart
 		}
-	case status == policy.NodeFull: // refused
+	case status == policy.NodeFull: // rejected
 		if sim.inWindow() {
-			sim.result.Refused++
+			sim.result.Rejected++
 		}
 		sim.after(math.Max(wait, 50)*(1+0.2*sim.rng.Float64()), func() { sim.sendFromClient(r.volume, r.host, r.req, r.firstSent) })
 	default:
--- a/internal/testkit/loadvalidity/loadvalidity.go
+++ b/internal/testkit/loadvalidity/loadvalidity.go
@@ -87,6 +87,7 @@
 	return &Notes{Bounds: b, Lag: make([]uint64, bucketCount), Kept: map[string]uint64{}}, nil
 }
 
+// bucketIndex returns the bucket that counts a lag.
 func bucketIndex(lag time.Duration) int {
 	us := float64(lag) / float64(time.Microsecond)
 	if us <= 1 {
@@ -120,12 +121,12 @@
 	n.Paused += p.Took
 	n.Pauses = append(n.Pauses, p)
 	if len(n.Pauses) > 2*maxPauses {
-		n.keepLongestPauses()
+		n.dropShortPauses()
 	}
 }
 
-// keepLongestPauses drops all but the longest pauses and sorts the rest by time.
-func (n *Notes) keepLongestPauses() {
+// dropShortPauses drops all but the longest pauses and sorts the others by time.
+func (n *Notes) dropShortPauses() {
 	sort.SliceStable(n.Pauses, func(i, j int) bool { return n.Pauses[i].Took > n.Pauses[j].Took })
 	n.Pauses = n.Pauses[:min(len(n.Pauses), maxPauses)]
 	sort.SliceStable(n.Pauses, func(i, j int) bool { return n.Pauses[i].At < n.Pauses[j].At })
@@ -144,16 +145,16 @@
 		n.Kept[k] += c
 	}
 	n.Pauses = append(n.Pauses, o.Pauses...)
-	n.keepLongestPauses()
+	n.dropShortPauses()
 	return nil
 }
 
 // Quantile returns the lag that the share q of the requests sent did not exceed, correct to a tenth.
 func (n *Notes) Quantile(q float64) time.Duration {
-	need := uint64(math.Ceil(q * float64(n.Sent)))
+	wanted := uint64(math.Ceil(q * float64(n.Sent)))
 	seen := uint64(0)
 	for i, c := range n.Lag {
-		if seen += c; seen >= need && seen > 0 {
+		if seen += c; seen >= wanted && seen > 0 {
 			return min(bucketUpperBound(i), n.Worst)
 		}
 	}
@@ -161,11 +162,11 @@
 }
 
 // unsentCount returns the number of requests that were not sent.
-func (n *Notes) unsentCount() (all uint64) {
+func (n *Notes) unsentCount() (count uint64) {
 	for _, c := range n.Kept {
-		all += c
+		count += c
 	}
-	return all
+	return count
 }
 
 // LateShare returns the share of late requests among those sent.
@@ -194,15 +195,15 @@
 	if s := n.LateShare(); s > bounds.LateShare {
 		addReason("%.2f%% of the requests were sent %v late or more, bound %.2f%%", 100*s, bounds.Late, 100*bounds.LateShare)
 	}
-	if kept := n.unsentCount(); kept > 0 {
-		if s := float64(kept) / float64(kept+n.Sent); s > bounds.Kept {
+	if unsent := n.unsentCount(); unsent > 0 {
+		if s := float64(unsent) / float64(unsent+n.Sent); s > bounds.Kept {
 			names := make([]string, 0, len(n.Kept))
 			for k := range n.Kept {
 				names = append(names, k)
 			}
 			slices.Sort(names)
 			for _, k := range names {
-				addReason("%d of %d requests were not sent (%s), bound %.2f%%", n.Kept[k], kept+n.Sent, k, 100*bounds.Kept)
+				addReason("%d of %d requests were not sent (%s), bound %.2f%%", n.Kept[k], unsent+n.Sent, k, 100*bounds.Kept)
 			}
 		}
 	}
@@ -219,6 +220,7 @@
 	return p
 }
 
+// round rounds a duration for a message.
 func round(d time.Duration) time.Duration {
 	if d > 10*time.Millisecond {
 		return d.Round(time.Millisecond)
--- a/internal/testkit/loadvalidity/loadvalidity_test.go
+++ b/internal/testkit/loadvalidity/loadvalidity_test.go
@@ -31,7 +31,7 @@
 		record     func(*Notes)
 		wantReason string
 	}{
-		"":            {func(*Notes) {}, ""},
+		"in time":     {func(*Notes) {}, ""},
 		"long pause":  {func(n *Notes) { n.Pause(Pause{At: time.Second, Took: 500 * ms, Why: "process"}) }, "was paused for 500ms at 1s (process), bound 100ms"},
 		"short pause": {func(n *Notes) { n.Pause(Pause{Took: 100 * ms}) }, ""},
 		"not sent":    {func(n *Notes) { n.Keep("open requests") }, "1 of 1001 requests were not sent (open requests)"},
@@ -47,7 +47,7 @@
 		test.record(n)
 		v := n.Judge()
 		if all := strings.Join(v.Reasons, "; "); v.Valid != (test.wantReason == "") || !strings.Contains(all, test.wantReason) {
-			t.Errorf("%s: %v %q, want %q", name, v.Valid, all, test.wantReason)
+			t.Errorf("%s: valid %v, reasons %q, want reason %q", name, v.Valid, all, test.wantReason)
 		}
 	}
 	if v := newNotes(t).Judge(); v.Valid {
@@ -55,6 +55,7 @@
 	}
 }
 
+// sendLate records a number of requests that were all late by the same time.
 func sendLate(n *Notes, times int, by time.Duration) {
 	for range times {
 		n.Send(0, by)
@@ -96,7 +97,7 @@
 		if err := a.Merge(decoded); err != nil {
 			t.Fatal(err)
 		}
-		whole.keepLongestPauses()
+		whole.dropShortPauses()
 		if len(lags) <= maxPauses && !reflect.DeepEqual(a, whole) || !reflect.DeepEqual(a.Judge(), whole.Judge()) {
 			t.Fatalf("merged %+v, of a single worker %+v", a, whole)
 		}
@@ -109,14 +110,14 @@
 }
 
 func TestPauseDetection(t *testing.T) {
-	w := Watch{Period: ms, Slack: 5 * ms}
-	for _, x := range []struct {
+	detector := Watch{Period: ms, Slack: 5 * ms}
+	for _, test := range []struct {
 		at, gc time.Duration
 		want   Pause
 	}{{0, 0, Pause{}}, {ms, 0, Pause{}}, {7 * ms, 0, Pause{}}, {507 * ms, 0, Pause{8 * ms, 499 * ms, "process"}},
 		{508 * ms, 0, Pause{}}, {520 * ms, 10 * ms, Pause{509 * ms, 11 * ms, "gc"}}} {
-		if p, found := w.Tick(x.at, x.gc); p != x.want || found != (x.want.Took > 0) {
-			t.Errorf("%v: %+v, want %+v", x.at, p, x.want)
+		if pause, found := detector.Tick(test.at, test.gc); pause != test.want || found != (test.want.Took > 0) {
+			t.Errorf("%v: %+v, want %+v", test.at, pause, test.want)
 		}
 	}
 }
