--- a/internal/testkit/experiment/coldstart/processes_test.go
+++ b/internal/testkit/experiment/coldstart/processes_test.go
@@ -7,7 +7,7 @@
 
 // A small run with processes: all hosts serve, each process is counted, the fault of the scenario occurred, and each host had a
 // snapshot of an earlier process.
-func TestSmallProcessFleet(t *testing.T) {
+func TestProcessesStartInSmall(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts several processes")
 	}
--- a/internal/testkit/loadvalidity/loadvalidity_test.go
+++ b/internal/testkit/loadvalidity/loadvalidity_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-func newNotes(t interface{ Fatal(...any) }) *Notes {
+func newStats(t interface{ Fatal(...any) }) *Notes {
 	n, err := New(Defaults())
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		"lag p99":     {func(n *Notes) { sendLate(n, 20, 5*ms) }, "99% within 5ms"},
 		"sent early":  {func(n *Notes) { n.Send(time.Second, 0) }, ""},
 	} {
-		n := newNotes(t)
+		n := newStats(t)
 		for range 1000 {
 			n.Send(time.Second, time.Second+100*time.Microsecond)
 		}
@@ -50,7 +50,7 @@
 			t.Errorf("%s: valid %v, reasons %q, want reason %q", name, v.Valid, all, test.wantReason)
 		}
 	}
-	if v := newNotes(t).Judge(); v.Valid {
+	if v := newStats(t).Judge(); v.Valid {
 		t.Error("a run that sent no request is valid")
 	}
 }
@@ -67,7 +67,7 @@
 func TestQuantilesAndMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lags := rapid.SliceOfN(rapid.Int64Range(0, 3e9), 1, 300).Draw(t, "lags")
-		whole, a, b := newNotes(t), newNotes(t), newNotes(t)
+		whole, a, b := newStats(t), newStats(t), newStats(t)
 		for i, x := range lags {
 			part := []*Notes{a, b}[i%2]
 			for _, n := range []*Notes{whole, part} {
@@ -102,9 +102,9 @@
 			t.Fatalf("merged %+v, of a single worker %+v", a, whole)
 		}
 	})
-	otherBounds := newNotes(t)
+	otherBounds := newStats(t)
 	otherBounds.Bounds.Pause++
-	if newNotes(t).Merge(otherBounds) == nil {
+	if newStats(t).Merge(otherBounds) == nil {
 		t.Error("Merge accepted statistics with different bounds")
 	}
 }
