--- a/cmd/loadtest/addresses.go
+++ b/cmd/loadtest/addresses.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return err
 	}
-	opt := addresses.Options{Seed: c.Uint64("seed"), Rounds: c.Int("rounds"), For: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
-	if opt.Rounds < 1 || opt.For < 2*time.Second || !(opt.Rate > 0 && opt.Rate <= 1000) {
+	opt := addresses.Options{Seed: c.Uint64("seed"), Rounds: c.Int("rounds"), FaultDuration: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
+	if opt.Rounds < 1 || opt.FaultDuration < 2*time.Second || !(opt.Rate > 0 && opt.Rate <= 1000) {
 		return usageError{errors.New("rounds must be 1 or more, for 2s or more, rate above 0 and at most 1000")}
 	}
 	res, err := addresses.Run(c.Context, opt)
--- a/cmd/loadtest/coldstart.go
+++ b/cmd/loadtest/coldstart.go
@@ -42,8 +42,8 @@
 		Starts:    c.StringSlice("start"),
 	}
 	virtual := c.Bool("virtual")
-	opt.Fill(virtual)
-	if err := opt.Check(); err != nil {
+	opt.SetDefaults(virtual)
+	if err := opt.Validate(); err != nil {
 		return opt, usageError{err}
 	}
 	if !virtual && opt.Seeds > 1 {
@@ -71,7 +71,7 @@
 	if c.Bool("virtual") {
 		res, err = coldstart.Run(c.Context, opt, logEachOnce(log))
 	} else {
-		res, err = coldstart.RunReal(c.Context, coldstart.RealOptions{Options: opt}, logEachOnce(log))
+		res, err = coldstart.RunProcesses(c.Context, coldstart.ProcessOptions{Options: opt}, logEachOnce(log))
 	}
 	if err != nil {
 		return err
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -152,7 +152,7 @@
 	if err := writeJSON(c.String("json"), res); err != nil {
 		return err
 	}
-	if verdict := res.Notes.Judge(); !verdict.Valid {
+	if verdict := res.Notes.Evaluate(); !verdict.Valid {
 		return boundNotMet("the run is not valid: " + verdict.Reasons[0])
 	}
 	return nil
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -35,11 +35,11 @@
 
 // Options configure the experiment.
 type Options struct {
-	Seed   uint64
-	Rounds int           // repetitions of each scenario; the report has medians and extremes over them
-	For    time.Duration // duration of the fault
-	Rate   float64       // requests per second to the faulty node
-	Log    logrus.FieldLogger
+	Seed          uint64
+	Rounds        int           // repetitions of each scenario; the report has medians and extremes over them
+	FaultDuration time.Duration // duration of the fault
+	Rate          float64       // requests per second to the faulty node
+	Log           logrus.FieldLogger
 }
 
 const (
@@ -283,7 +283,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
-	end := baselineDuration + opt.For
+	end := baselineDuration + opt.FaultDuration
 	faultActive := false
 	connsBefore, connsSettled := 0, -1
 	for n, at := 0, time.Duration(0); at < end; n++ {
@@ -379,7 +379,7 @@
 
 // newReport computes the rows from the results of all rounds.
 func newReport(opt Options, faults []node.Fault, results map[scenario]*scenarioResult) *Report {
-	rep := &Report{Seed: opt.Seed, Rounds: opt.Rounds, FaultSeconds: opt.For.Seconds(), Rate: opt.Rate, Missed: []string{}}
+	rep := &Report{Seed: opt.Seed, Rounds: opt.Rounds, FaultSeconds: opt.FaultDuration.Seconds(), Rate: opt.Rate, Missed: []string{}}
 	baseline := map[string]Row{}
 	for _, fault := range faults {
 		for _, addresses := range []int{3, 1} {
--- a/internal/testkit/experiment/coldstart/host.go
+++ b/internal/testkit/experiment/coldstart/host.go
@@ -168,7 +168,7 @@
 func (h *host) handleRequest(r *request) {
 	if rejected, wait := h.stepStartup(coldstart.RequestArrived{Node: h.sim.nodes[r.req.Shard].ID}); rejected {
 		if wait <= 0 {
-			h.sim.result.addViolation("a rejection without Retry-After")
+			h.sim.result.addViolation("a refusal without Retry-After")
 		}
 		h.sim.result.RejectedByStartup++
 		h.sim.finishRequest(r.req.ID, policy.NodeFull, float64(wait)/float64(time.Millisecond))
--- a/internal/testkit/experiment/coldstart/processes.go
+++ b/internal/testkit/experiment/coldstart/processes.go
@@ -29,7 +29,7 @@
 const (
 	requestRate           = 3.0              // requests per second to each scheduler
 	launchPeriod          = time.Second      // all processes are started within this time
-	defaultProcessWindow  = 10 * time.Second // default of RealOptions.Window
+	defaultProcessWindow  = 10 * time.Second // default of ProcessOptions.Window
 	listenTimeout         = 90 * time.Second // for all processes to listen
 	learnTimeout          = 60 * time.Second // for survivors to serve, and for all processes to write a snapshot
 	secondKillDelay       = 2 * time.Second  // from when all processes listen until half of them are killed again
@@ -38,8 +38,8 @@
 	maxConcurrentLaunches = 32
 )
 
-// RealOptions configure a run with processes of the daemon.
-type RealOptions struct {
+// ProcessOptions configure a run with processes of the daemon.
+type ProcessOptions struct {
 	Options
 	Daemon string        // path of the daemon; "": build it
 	Window time.Duration // time after a process listens in which its requests are counted; 0: 10 s
@@ -57,7 +57,7 @@
 
 // processRun is the run of one scenario in one mode with processes.
 type processRun struct {
-	opt         RealOptions
+	opt         ProcessOptions
 	scenario    Scenario
 	mode        Mode
 	snapshots   [][]byte // of earlier processes, by host; nil: none
@@ -86,9 +86,9 @@
 // processNode has the times of connects and requests at one node.
 type processNode struct{ connects, requests []time.Time }
 
-// RunReal runs the scenarios with processes of the daemon, in each mode. If opt.Starts is empty, only the first scenario is run
+// RunProcesses runs the scenarios with processes of the daemon, in each mode. If opt.Starts is empty, only the first scenario is run
 // with snapshots, so that the whole run ends within five minutes.
-func RunReal(ctx context.Context, opt RealOptions, onStart func(scenario string, mode Mode)) (*ProcessReport, error) {
+func RunProcesses(ctx context.Context, opt ProcessOptions, onStart func(scenario string, mode Mode)) (*ProcessReport, error) {
 	dir, err := os.MkdirTemp("", "coldstart")
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 
 // runProcessScenario runs one scenario in one mode. If another program took the port of a process before it listened, the run
 // is repeated.
-func runProcessScenario(ctx context.Context, opt RealOptions, sc Scenario, mode Mode, snapshots [][]byte) (ProcessRow, error) {
+func runProcessScenario(ctx context.Context, opt ProcessOptions, sc Scenario, mode Mode, snapshots [][]byte) (ProcessRow, error) {
 	for attempt := 1; ; attempt++ {
 		run, err := newProcessRun(ctx, opt, sc, mode, snapshots)
 		if err != nil {
@@ -175,7 +175,7 @@
 		"extra": map[string]any{"usual-units": cfg.MeanUnits, "largest": cfg.MaxUnits, "young-limit": cfg.SlowStartUnits, "slots-total": nodes}}
 }
 
-func newProcessRun(ctx context.Context, opt RealOptions, sc Scenario, mode Mode, snapshots [][]byte) (*processRun, error) {
+func newProcessRun(ctx context.Context, opt ProcessOptions, sc Scenario, mode Mode, snapshots [][]byte) (*processRun, error) {
 	run := &processRun{opt: opt, scenario: sc, mode: mode, snapshots: snapshots, stop: make(chan struct{}), hosts: make([]processHost, opt.Hosts),
 		nodes: make([]processNode, opt.Nodes), hostVolumes: make([][]int, opt.Hosts)}
 	rng := rand.New(rand.NewPCG(uint64(opt.Seed), 1))
@@ -487,7 +487,7 @@
 }
 
 // collectSnapshots runs a fleet in normal operation until each process has written a snapshot, and returns the snapshots.
-func collectSnapshots(ctx context.Context, opt RealOptions) ([][]byte, error) {
+func collectSnapshots(ctx context.Context, opt ProcessOptions) ([][]byte, error) {
 	run, err := newProcessRun(ctx, opt, Scenario{KilledPerTen: 10}, WithSnapshot, nil)
 	if err != nil {
 		return nil, err
--- a/internal/testkit/experiment/coldstart/processes_test.go
+++ b/internal/testkit/experiment/coldstart/processes_test.go
@@ -12,14 +12,14 @@
 		t.Skip("starts several processes")
 	}
 	t.Parallel()
-	opt := RealOptions{Options: Options{Hosts: 6, Nodes: 4, Seeds: 1, Seed: 1, Capacity: 4,
+	opt := ProcessOptions{Options: Options{Hosts: 6, Nodes: 4, Seeds: 1, Seed: 1, Capacity: 4,
 		Scenarios: []string{"power cut, half killed again", "power cut, a zone silent"}, Starts: []string{"with snapshot"}},
 		Window: 4 * time.Second}
-	if err := opt.Check(); err != nil {
+	if err := opt.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	var started []string
-	rep, err := RunReal(t.Context(), opt, func(sc string, _ Mode) { started = append(started, sc) })
+	rep, err := RunProcesses(t.Context(), opt, func(sc string, _ Mode) { started = append(started, sc) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Fill sets the defaults of options that are zero.
-func (o *Options) Fill(virtual bool) {
+// SetDefaults sets the defaults of options that are zero.
+func (o *Options) SetDefaults(virtual bool) {
 	hosts, seeds := 300, 1
 	if virtual {
 		hosts, seeds = 1000, 50
@@ -102,8 +102,8 @@
 	o.Nodes, o.Capacity = cmp.Or(o.Nodes, max(o.Hosts/5, 1)), cmp.Or(o.Capacity, 0.4*float64(o.Hosts))
 }
 
-// Check returns an error for the first invalid option.
-func (o *Options) Check() error {
+// Validate returns an error for the first invalid option.
+func (o *Options) Validate() error {
 	for _, option := range []struct {
 		key   string
 		value float64
--- a/internal/testkit/experiment/coldstart/simulation.go
+++ b/internal/testkit/experiment/coldstart/simulation.go
@@ -2,7 +2,7 @@
 // start within a second, while some nodes have restarted too and the list service has a fixed capacity.
 //
 // Run simulates the fleet in virtual time, with the real decisions of policy and, depending on the mode, internal/coldstart.
-// The simulation detects violations of rules that hold over all hosts together. The same seed gives the same run. RunReal
+// The simulation detects violations of rules that hold over all hosts together. The same seed gives the same run. RunProcesses
 // starts processes of the daemon instead.
 package coldstart
 
@@ -238,7 +238,7 @@
 func (sim *simulation) send(h *host, a policy.Action) {
 	r, n := sim.requests[a.ID], sim.nodesByID[a.Node]
 	if r == nil || r.answered || r.host != h || n == nil || n.Shard != r.req.Shard {
-		sim.result.addViolation("an invalid attempt")
+		sim.result.addViolation("an attempt that must not be")
 		return
 	}
 	attemptNumber, sentAt, incarnation := len(r.attempts), sim.now, n.incarnation
@@ -317,7 +317,7 @@
 		v := r.volume
 		v.tokens = math.Min(v.tokens+p.RateLimit*(sim.now-v.refilledAt)/1000, p.LimitBurst) - r.req.Units
 		if v.refilledAt = sim.now; v.tokens < -0.1*p.LimitBurst {
-			sim.result.addViolation("a volume over its rate limit")
+			sim.result.addViolation("a volume past its limit")
 		}
 	}
 }
--- a/internal/testkit/experiment/coldstart/simulation_test.go
+++ b/internal/testkit/experiment/coldstart/simulation_test.go
@@ -11,7 +11,7 @@
 func TestSmallVirtualFleet(t *testing.T) {
 	opt := Options{Hosts: 100, Nodes: 20, Seeds: 3, Seed: 1, Capacity: 40, Scenarios: []string{"power cut", "power cut, half killed again"}}
 	run := func(opt Options) *Report {
-		if err := opt.Check(); err != nil {
+		if err := opt.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		rep, err := Run(t.Context(), opt, func(string, Mode) {})
--- a/internal/testkit/experiment/load/print.go
+++ b/internal/testkit/experiment/load/print.go
@@ -11,7 +11,7 @@
 
 // Print writes the summary. Its first line says whether the run is valid.
 func (r *Results) Print(w io.Writer) error {
-	if v := r.Notes.Judge(); v.Valid {
+	if v := r.Notes.Evaluate(); v.Valid {
 		fmt.Fprintln(w, "run valid")
 	} else {
 		fmt.Fprintln(w, "run NOT valid:")
@@ -21,7 +21,7 @@
 	}
 	n := r.Notes
 	fmt.Fprintf(w, "%d sent in %v; lag p50 %v p99 %v worst %v; %.2f%% late; paused %v in all\n", n.Sent, r.Took.Round(time.Millisecond),
-		n.Quantile(0.5).Round(time.Microsecond), n.Quantile(0.99).Round(time.Microsecond), n.Worst.Round(time.Microsecond), 100*n.LateShare(), n.Paused.Round(time.Millisecond))
+		n.Quantile(0.5).Round(time.Microsecond), n.Quantile(0.99).Round(time.Microsecond), n.MaxLag.Round(time.Microsecond), 100*n.LateShare(), n.TotalPause.Round(time.Millisecond))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "\tasked\tkept\tworth served\tin aim\tretried\t")
 	for o := range client.OutcomeCount {
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -96,17 +96,17 @@
 
 // Results are the results of a run, or of one worker of it.
 type Results struct {
-	Shape    workload.Shape         `json:"shape"`
-	Took     time.Duration          `json:"took"`
-	Notes    *loadvalidity.Notes    `json:"notes"`
-	Classes  map[string]*Outcomes   `json:"classes"`
-	Plans    map[string]*Outcomes   `json:"plans"`
-	Seconds  []map[string]*Outcomes `json:"seconds"`  // by second, then by class
-	Unplaced uint64                 `json:"unplaced"` // reads of a new object whose shard was not known when they were sent
+	Shape    workload.Shape               `json:"shape"`
+	Took     time.Duration                `json:"took"`
+	Notes    *loadvalidity.GeneratorStats `json:"notes"`
+	Classes  map[string]*Outcomes         `json:"classes"`
+	Plans    map[string]*Outcomes         `json:"plans"`
+	Seconds  []map[string]*Outcomes       `json:"seconds"`  // by second, then by class
+	Unplaced uint64                       `json:"unplaced"` // reads of a new object whose shard was not known when they were sent
 }
 
 // NewResults returns empty results.
-func NewResults(s workload.Shape, n *loadvalidity.Notes) *Results {
+func NewResults(s workload.Shape, n *loadvalidity.GeneratorStats) *Results {
 	r := &Results{Shape: s, Notes: n, Classes: map[string]*Outcomes{}, Plans: map[string]*Outcomes{}}
 	for _, c := range s.Classes {
 		r.Classes[c.Name] = newOutcomes(significantDigits)
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -113,14 +113,14 @@
 		}
 		if r.open.Load() >= int64(r.opt.MaxOpen) {
 			r.mu.Lock()
-			r.res.Notes.Keep(KeptAtOpenLimit)
+			r.res.Notes.RecordUnsent(KeptAtOpenLimit)
 			r.res.recordKept(&q)
 			r.mu.Unlock()
 			continue
 		}
 		due, sent := q.At, time.Since(r.start)
 		r.mu.Lock()
-		r.res.Notes.Send(due, sent)
+		r.res.Notes.RecordSend(due, sent)
 		r.mu.Unlock()
 		r.sent.Add(1)
 		r.open.Add(1)
@@ -192,7 +192,7 @@
 // watchPauses records the times in which the process did not run: it was stopped or not scheduled, or the
 // garbage collector paused it.
 func (r *runner) watchPauses(ctx context.Context) {
-	w := loadvalidity.Watch{Period: pauseCheckInterval, Slack: pauseCheckSlack}
+	w := loadvalidity.PauseDetector{Period: pauseCheckInterval, Slack: pauseCheckSlack}
 	var gc debug.GCStats
 	debug.ReadGCStats(&gc)
 	held := gc.PauseTotal
@@ -210,12 +210,12 @@
 			continue
 		}
 		debug.ReadGCStats(&gc) // only after a pause, because the call is expensive
-		if gc.PauseTotal-held >= p.Took/2 {
-			p.Why = "gc"
+		if gc.PauseTotal-held >= p.Duration/2 {
+			p.Cause = "gc"
 		}
 		held = gc.PauseTotal
 		r.mu.Lock()
-		r.res.Notes.Pause(p)
+		r.res.Notes.RecordPause(p)
 		r.mu.Unlock()
 	}
 }
--- a/internal/testkit/loadvalidity/loadvalidity.go
+++ b/internal/testkit/loadvalidity/loadvalidity.go
@@ -59,32 +59,33 @@
 
 // Pause is a period in which the generator did not run.
 type Pause struct {
-	At   time.Duration `json:"at"` // since the start of the run
-	Took time.Duration `json:"took"`
-	Why  string        `json:"why"` // "gc": garbage collection; "process": the process was stopped or not scheduled
+	At       time.Duration `json:"at"` // since the start of the run
+	Duration time.Duration `json:"took"`
+	Cause    string        `json:"why"` // "gc": garbage collection; "process": the process was stopped or not scheduled
 }
 
 const maxPauses = 64 // the longest pauses are kept
 
-// Notes are the statistics that a load generator records about itself. New creates them; the zero value is only for decoding.
-type Notes struct {
-	Sent     uint64            `json:"sent"`
-	Late     uint64            `json:"late"`
-	Lag      []uint64          `json:"lag"`   // number of requests by bucket
-	Worst    time.Duration     `json:"worst"` // longest lag
-	TotalLag time.Duration     `json:"sum"`
-	Kept     map[string]uint64 `json:"kept"` // requests not sent, by the name of the limit that prevented them
-	Pauses   []Pause           `json:"pauses"`
-	Paused   time.Duration     `json:"paused"` // sum of all pauses, including those dropped from Pauses
-	Bounds   Bounds            `json:"bounds"`
+// GeneratorStats are the statistics that a load generator records about itself. New creates them; the zero value is only for
+// decoding.
+type GeneratorStats struct {
+	Sent       uint64            `json:"sent"`
+	Late       uint64            `json:"late"`
+	Lag        []uint64          `json:"lag"`   // number of requests by bucket
+	MaxLag     time.Duration     `json:"worst"` // longest lag
+	TotalLag   time.Duration     `json:"sum"`
+	Unsent     map[string]uint64 `json:"kept"` // requests not sent, by the name of the limit that prevented them
+	Pauses     []Pause           `json:"pauses"`
+	TotalPause time.Duration     `json:"paused"` // sum of all pauses, including those dropped from Pauses
+	Bounds     Bounds            `json:"bounds"`
 }
 
 // New returns empty statistics that are judged by the given bounds.
-func New(b Bounds) (*Notes, error) {
+func New(b Bounds) (*GeneratorStats, error) {
 	if err := b.Validate(); err != nil {
 		return nil, err
 	}
-	return &Notes{Bounds: b, Lag: make([]uint64, bucketCount), Kept: map[string]uint64{}}, nil
+	return &GeneratorStats{Bounds: b, Lag: make([]uint64, bucketCount), Unsent: map[string]uint64{}}, nil
 }
 
 // bucketIndex returns the bucket that counts a lag.
@@ -101,24 +102,24 @@
 	return time.Duration(math.Exp2(float64(i)/bucketsPerOctave) * float64(time.Microsecond))
 }
 
-// Send records a request with its due time and the time at which it was sent. A request sent early has no lag.
-func (n *Notes) Send(due, sent time.Duration) {
+// RecordSend records a request with its due time and the time at which it was sent. A request sent early has no lag.
+func (n *GeneratorStats) RecordSend(due, sent time.Duration) {
 	lag := max(0, sent-due)
 	n.Sent++
 	n.Lag[bucketIndex(lag)]++
 	n.TotalLag += lag
-	n.Worst = max(n.Worst, lag)
+	n.MaxLag = max(n.MaxLag, lag)
 	if lag >= n.Bounds.Late {
 		n.Late++
 	}
 }
 
-// Keep records a request that was not sent, by the name of the limit that prevented it.
-func (n *Notes) Keep(by string) { n.Kept[by]++ }
+// RecordUnsent records a request that was not sent, by the name of the limit that prevented it.
+func (n *GeneratorStats) RecordUnsent(by string) { n.Unsent[by]++ }
 
-// Pause records a pause.
-func (n *Notes) Pause(p Pause) {
-	n.Paused += p.Took
+// RecordPause records a pause.
+func (n *GeneratorStats) RecordPause(p Pause) {
+	n.TotalPause += p.Duration
 	n.Pauses = append(n.Pauses, p)
 	if len(n.Pauses) > 2*maxPauses {
 		n.dropShortPauses()
@@ -126,23 +127,23 @@
 }
 
 // dropShortPauses drops all but the longest pauses and sorts the others by time.
-func (n *Notes) dropShortPauses() {
-	sort.SliceStable(n.Pauses, func(i, j int) bool { return n.Pauses[i].Took > n.Pauses[j].Took })
+func (n *GeneratorStats) dropShortPauses() {
+	sort.SliceStable(n.Pauses, func(i, j int) bool { return n.Pauses[i].Duration > n.Pauses[j].Duration })
 	n.Pauses = n.Pauses[:min(len(n.Pauses), maxPauses)]
 	sort.SliceStable(n.Pauses, func(i, j int) bool { return n.Pauses[i].At < n.Pauses[j].At })
 }
 
 // Merge adds the statistics of another worker of the same run. Both must have the same bounds.
-func (n *Notes) Merge(o *Notes) error {
+func (n *GeneratorStats) Merge(o *GeneratorStats) error {
 	if o.Bounds != n.Bounds || len(o.Lag) != len(n.Lag) {
 		return fmt.Errorf("cannot merge statistics with different bounds: %+v and %+v", n.Bounds, o.Bounds)
 	}
-	n.Sent, n.Late, n.TotalLag, n.Worst, n.Paused = n.Sent+o.Sent, n.Late+o.Late, n.TotalLag+o.TotalLag, max(n.Worst, o.Worst), n.Paused+o.Paused
+	n.Sent, n.Late, n.TotalLag, n.MaxLag, n.TotalPause = n.Sent+o.Sent, n.Late+o.Late, n.TotalLag+o.TotalLag, max(n.MaxLag, o.MaxLag), n.TotalPause+o.TotalPause
 	for i, c := range o.Lag {
 		n.Lag[i] += c
 	}
-	for k, c := range o.Kept {
-		n.Kept[k] += c
+	for k, c := range o.Unsent {
+		n.Unsent[k] += c
 	}
 	n.Pauses = append(n.Pauses, o.Pauses...)
 	n.dropShortPauses()
@@ -150,27 +151,27 @@
 }
 
 // Quantile returns the lag that the share q of the requests sent did not exceed, correct to a tenth.
-func (n *Notes) Quantile(q float64) time.Duration {
+func (n *GeneratorStats) Quantile(q float64) time.Duration {
 	wanted := uint64(math.Ceil(q * float64(n.Sent)))
 	seen := uint64(0)
 	for i, c := range n.Lag {
 		if seen += c; seen >= wanted && seen > 0 {
-			return min(bucketUpperBound(i), n.Worst)
+			return min(bucketUpperBound(i), n.MaxLag)
 		}
 	}
-	return n.Worst
+	return n.MaxLag
 }
 
 // unsentCount returns the number of requests that were not sent.
-func (n *Notes) unsentCount() (count uint64) {
-	for _, c := range n.Kept {
+func (n *GeneratorStats) unsentCount() (count uint64) {
+	for _, c := range n.Unsent {
 		count += c
 	}
 	return count
 }
 
 // LateShare returns the share of late requests among those sent.
-func (n *Notes) LateShare() float64 { return float64(n.Late) / math.Max(1, float64(n.Sent)) }
+func (n *GeneratorStats) LateShare() float64 { return float64(n.Late) / math.Max(1, float64(n.Sent)) }
 
 // Verdict says whether the results of a run are valid.
 type Verdict struct {
@@ -178,32 +179,32 @@
 	Reasons []string `json:"reasons"` // why the run is invalid, each with the measured value and the bound
 }
 
-// Judge compares the statistics with the bounds.
-func (n *Notes) Judge() Verdict {
+// Evaluate compares the statistics with the bounds.
+func (n *GeneratorStats) Evaluate() Verdict {
 	bounds := n.Bounds
 	verdict := Verdict{Reasons: []string{}}
 	addReason := func(form string, args ...any) { verdict.Reasons = append(verdict.Reasons, fmt.Sprintf(form, args...)) }
 	if n.Sent == 0 {
 		addReason("no request was sent")
 	}
-	if p := n.longestPause(); p.Took > bounds.Pause {
-		addReason("the generator was paused for %v at %v (%s), bound %v", round(p.Took), round(p.At), p.Why, bounds.Pause)
+	if p := n.longestPause(); p.Duration > bounds.Pause {
+		addReason("the generator was paused for %v at %v (%s), bound %v", round(p.Duration), round(p.At), p.Cause, bounds.Pause)
 	}
 	if lag := n.Quantile(0.99); lag > bounds.LagP99 {
-		addReason("requests were sent late: 99%% within %v, worst %v, bound %v", round(lag), round(n.Worst), bounds.LagP99)
+		addReason("requests were sent late: 99%% within %v, worst %v, bound %v", round(lag), round(n.MaxLag), bounds.LagP99)
 	}
 	if s := n.LateShare(); s > bounds.LateShare {
 		addReason("%.2f%% of the requests were sent %v late or more, bound %.2f%%", 100*s, bounds.Late, 100*bounds.LateShare)
 	}
 	if unsent := n.unsentCount(); unsent > 0 {
 		if s := float64(unsent) / float64(unsent+n.Sent); s > bounds.Kept {
-			names := make([]string, 0, len(n.Kept))
-			for k := range n.Kept {
+			names := make([]string, 0, len(n.Unsent))
+			for k := range n.Unsent {
 				names = append(names, k)
 			}
 			slices.Sort(names)
 			for _, k := range names {
-				addReason("%d of %d requests were not sent (%s), bound %.2f%%", n.Kept[k], unsent+n.Sent, k, 100*bounds.Kept)
+				addReason("%d of %d requests were not sent (%s), bound %.2f%%", n.Unsent[k], unsent+n.Sent, k, 100*bounds.Kept)
 			}
 		}
 	}
@@ -211,9 +212,9 @@
 	return verdict
 }
 
-func (n *Notes) longestPause() (p Pause) {
+func (n *GeneratorStats) longestPause() (p Pause) {
 	for _, x := range n.Pauses {
-		if x.Took > p.Took {
+		if x.Duration > p.Duration {
 			p = x
 		}
 	}
@@ -228,9 +229,9 @@
 	return d.Round(time.Microsecond)
 }
 
-// Watch detects pauses of the process by the times of a periodic tick. A tick that is late by more than Slack means that the
+// PauseDetector detects pauses of the process by the times of a periodic tick. A tick that is late by more than Slack means that the
 // process did not run in the meantime.
-type Watch struct {
+type PauseDetector struct {
 	Period, Slack time.Duration
 	lastTick      time.Duration
 	ticked        bool
@@ -238,16 +239,16 @@
 
 // Tick takes the time of a tick and the duration for which the garbage collector stopped the program since the previous tick.
 // It returns the pause before this tick, if there was one. The cause is "gc" if the collector made up half of it or more.
-func (w *Watch) Tick(at, collector time.Duration) (Pause, bool) {
+func (w *PauseDetector) Tick(at, collector time.Duration) (Pause, bool) {
 	previous, hasPrevious := w.lastTick, w.ticked
 	w.lastTick, w.ticked = at, true
 	gap := at - previous - w.Period
 	if !hasPrevious || gap <= w.Slack {
 		return Pause{}, false
 	}
-	p := Pause{At: previous + w.Period, Took: gap, Why: "process"}
+	p := Pause{At: previous + w.Period, Duration: gap, Cause: "process"}
 	if collector >= gap/2 {
-		p.Why = "gc"
+		p.Cause = "gc"
 	}
 	return p, true
 }
--- a/internal/testkit/loadvalidity/loadvalidity_test.go
+++ b/internal/testkit/loadvalidity/loadvalidity_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-func newStats(t interface{ Fatal(...any) }) *Notes {
+func newStats(t interface{ Fatal(...any) }) *GeneratorStats {
 	n, err := New(Defaults())
 	if err != nil {
 		t.Fatal(err)
@@ -28,37 +28,37 @@
 // A run that exceeds a bound is invalid and the reason names that bound. A run within all bounds is valid.
 func TestEachBoundInvalidatesRun(t *testing.T) {
 	for name, test := range map[string]struct {
-		record     func(*Notes)
+		record     func(*GeneratorStats)
 		wantReason string
 	}{
-		"in time":     {func(*Notes) {}, ""},
-		"long pause":  {func(n *Notes) { n.Pause(Pause{At: time.Second, Took: 500 * ms, Why: "process"}) }, "was paused for 500ms at 1s (process), bound 100ms"},
-		"short pause": {func(n *Notes) { n.Pause(Pause{Took: 100 * ms}) }, ""},
-		"not sent":    {func(n *Notes) { n.Keep("open requests") }, "1 of 1001 requests were not sent (open requests)"},
-		"one late":    {func(n *Notes) { n.Send(0, time.Second) }, ""},
-		"late share":  {func(n *Notes) { sendLate(n, 12, 2*ms) }, "1.19% of the requests were sent 2ms late"},
-		"lag p99":     {func(n *Notes) { sendLate(n, 20, 5*ms) }, "99% within 5ms"},
-		"sent early":  {func(n *Notes) { n.Send(time.Second, 0) }, ""},
+		"in time":     {func(*GeneratorStats) {}, ""},
+		"long pause":  {func(n *GeneratorStats) { n.RecordPause(Pause{At: time.Second, Duration: 500 * ms, Cause: "process"}) }, "was paused for 500ms at 1s (process), bound 100ms"},
+		"short pause": {func(n *GeneratorStats) { n.RecordPause(Pause{Duration: 100 * ms}) }, ""},
+		"not sent":    {func(n *GeneratorStats) { n.RecordUnsent("open requests") }, "1 of 1001 requests were not sent (open requests)"},
+		"one late":    {func(n *GeneratorStats) { n.RecordSend(0, time.Second) }, ""},
+		"late share":  {func(n *GeneratorStats) { sendLate(n, 12, 2*ms) }, "1.19% of the requests were sent 2ms late"},
+		"lag p99":     {func(n *GeneratorStats) { sendLate(n, 20, 5*ms) }, "99% within 5ms"},
+		"sent early":  {func(n *GeneratorStats) { n.RecordSend(time.Second, 0) }, ""},
 	} {
 		n := newStats(t)
 		for range 1000 {
-			n.Send(time.Second, time.Second+100*time.Microsecond)
+			n.RecordSend(time.Second, time.Second+100*time.Microsecond)
 		}
 		test.record(n)
-		v := n.Judge()
+		v := n.Evaluate()
 		if all := strings.Join(v.Reasons, "; "); v.Valid != (test.wantReason == "") || !strings.Contains(all, test.wantReason) {
 			t.Errorf("%s: valid %v, reasons %q, want reason %q", name, v.Valid, all, test.wantReason)
 		}
 	}
-	if v := newStats(t).Judge(); v.Valid {
+	if v := newStats(t).Evaluate(); v.Valid {
 		t.Error("a run that sent no request is valid")
 	}
 }
 
 // sendLate records a number of requests that were all late by the same time.
-func sendLate(n *Notes, times int, by time.Duration) {
+func sendLate(n *GeneratorStats, times int, by time.Duration) {
 	for range times {
-		n.Send(0, by)
+		n.RecordSend(0, by)
 	}
 }
 
@@ -69,12 +69,12 @@
 		lags := rapid.SliceOfN(rapid.Int64Range(0, 3e9), 1, 300).Draw(t, "lags")
 		whole, a, b := newStats(t), newStats(t), newStats(t)
 		for i, x := range lags {
-			part := []*Notes{a, b}[i%2]
-			for _, n := range []*Notes{whole, part} {
-				n.Send(time.Second, time.Second+time.Duration(x))
+			part := []*GeneratorStats{a, b}[i%2]
+			for _, n := range []*GeneratorStats{whole, part} {
+				n.RecordSend(time.Second, time.Second+time.Duration(x))
 				if x%7 == 0 {
-					n.Keep("x")
-					n.Pause(Pause{At: time.Duration(i), Took: time.Duration(x)})
+					n.RecordUnsent("x")
+					n.RecordPause(Pause{At: time.Duration(i), Duration: time.Duration(x)})
 				}
 			}
 		}
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		decoded := &Notes{}
+		decoded := &GeneratorStats{}
 		if err := json.Unmarshal(text, decoded); err != nil {
 			t.Fatal(err)
 		}
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 		whole.dropShortPauses()
-		if len(lags) <= maxPauses && !reflect.DeepEqual(a, whole) || !reflect.DeepEqual(a.Judge(), whole.Judge()) {
+		if len(lags) <= maxPauses && !reflect.DeepEqual(a, whole) || !reflect.DeepEqual(a.Evaluate(), whole.Evaluate()) {
 			t.Fatalf("merged %+v, of a single worker %+v", a, whole)
 		}
 	})
@@ -110,13 +110,13 @@
 }
 
 func TestPauseDetection(t *testing.T) {
-	detector := Watch{Period: ms, Slack: 5 * ms}
+	detector := PauseDetector{Period: ms, Slack: 5 * ms}
 	for _, test := range []struct {
 		at, gc time.Duration
 		want   Pause
 	}{{0, 0, Pause{}}, {ms, 0, Pause{}}, {7 * ms, 0, Pause{}}, {507 * ms, 0, Pause{8 * ms, 499 * ms, "process"}},
 		{508 * ms, 0, Pause{}}, {520 * ms, 10 * ms, Pause{509 * ms, 11 * ms, "gc"}}} {
-		if pause, found := detector.Tick(test.at, test.gc); pause != test.want || found != (test.want.Took > 0) {
+		if pause, found := detector.Tick(test.at, test.gc); pause != test.want || found != (test.want.Duration > 0) {
 			t.Errorf("%v: %+v, want %+v", test.at, pause, test.want)
 		}
 	}
