--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -27,7 +27,7 @@
 	Write                                bool // PUT with a body
 	Retry                                bool // a retry by the client itself
 	Body                                 []byte
-	Deadline                             time.Duration // from the intended send
+	Deadline                             time.Duration // from the intended time of sending
 }
 
 // Outcome is how a request ended from the client's view.
@@ -67,12 +67,12 @@
 // Pool holds the connections to one scheduler.
 type Pool struct {
 	Network, Address string
-	MaxConns         int                                     // limit of connections; 0: none
+	MaxConns         int                                     // limit of open connections; 0: none
 	Dial             func(context.Context) (net.Conn, error) // nil: dial Address on Network
 	mu               sync.Mutex
 	idle             []*conn // the most recently used is the last
-	openCount        int
-	openedCount      int
+	openConns        int     // idle, in use or being dialed
+	totalOpened      int     // so far, including failed dials
 }
 
 type conn struct {
@@ -82,11 +82,11 @@
 	used bool
 }
 
-// Opened returns how many connections have been opened.
+// Opened returns how many connections have been opened, including those whose dial failed.
 func (p *Pool) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.openedCount
+	return p.totalOpened
 }
 
 // Close closes the idle connections.
@@ -95,7 +95,7 @@
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
 		c.Close()
-		p.openCount--
+		p.openConns--
 	}
 	p.idle = nil
 }
@@ -108,12 +108,12 @@
 		p.mu.Unlock()
 		return c, nil
 	}
-	if p.MaxConns > 0 && p.openCount >= p.MaxConns {
+	if p.MaxConns > 0 && p.openConns >= p.MaxConns {
 		p.mu.Unlock()
 		return nil, ErrNoFreeConn
 	}
-	p.openCount++
-	p.openedCount++
+	p.openConns++
+	p.totalOpened++
 	p.mu.Unlock()
 	dial := p.Dial
 	if dial == nil {
@@ -135,7 +135,7 @@
 
 func (p *Pool) release() {
 	p.mu.Lock()
-	p.openCount--
+	p.openConns--
 	p.mu.Unlock()
 }
 
@@ -155,7 +155,8 @@
 	return answer
 }
 
-// attempt sends the message on one connection. It returns true if the server closed a reused connection meanwhile.
+// attempt sends the message on one connection. It returns true if that was a reused connection and failed before any byte of
+// the answer arrived, as one does that the server has closed.
 func (p *Pool) attempt(ctx context.Context, m *Message, answer *Answer, newConn bool) (retry bool) {
 	connection, err := p.get(ctx, newConn)
 	if err != nil {
--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -20,12 +20,12 @@
 	}
 	firstClose := historycheck.Never
 	for _, a := range h.Outcomes {
-		if _, ours := sentAt[a.ID]; ours && a.Kind == historycheck.NoResponse {
+		if _, sent := sentAt[a.ID]; sent && a.Kind == historycheck.NoResponse {
 			firstClose = min(firstClose, a.At)
 		}
 	}
 	for _, a := range h.Outcomes {
-		if t, ours := sentAt[a.ID]; ours && a.Kind == historycheck.NoResponse && t < firstClose {
+		if t, sent := sentAt[a.ID]; sent && a.Kind == historycheck.NoResponse && t < firstClose {
 			n++
 		}
 	}
@@ -75,7 +75,7 @@
 					servedBeforeTerm, from := w.Served(0), w.now()
 					w.must(w.Proc(0).Wait(w.ctx))
 					if n := w.Served(0) - servedBeforeTerm; n < minServed {
-						w.t.Errorf("%d requests served after SIGTERM", n)
+						w.t.Errorf("only %d requests were served between SIGTERM and exit", n)
 					}
 					stop()
 					inFlight = w.unansweredAtClose(0, from)
@@ -121,7 +121,7 @@
 				w.waitServed(minServed)
 			}
 			waited, sentLate := countDisconnects(w.History())
-			if w.t.Logf("%d requests waited when their client disconnected, %d of them were sent on more than 0.3 s later", waited, sentLate); 4*sentLate > waited {
+			if w.t.Logf("%d requests waited when their client disconnected, %d of them were sent on more than 0.3 s later; at most a quarter may be", waited, sentLate); 4*sentLate > waited {
 				w.t.Fail()
 			}
 		}},
@@ -147,7 +147,7 @@
 				w.waitServed(minServed)
 			}
 			if 10*readyInTime < 9*starts {
-				w.t.Errorf("%d of %d starts were ready in time", readyInTime, starts)
+				w.t.Errorf("%d of %d starts were ready within 10 s, fewer than nine in ten", readyInTime, starts)
 			}
 		}},
 	} {
--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -20,20 +20,23 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// delegationFixture is a fleet whose last daemon coordinates gathered reads and delegates groups of parts to the others, each over a link.
+// delegationFixture is a fleet whose last daemon coordinates gathered reads. It delegates groups of parts to each other daemon,
+// its peers, over a link.
 type delegationFixture struct {
 	*fixture
 	coordinator     int
-	delegationLinks []*link.Link // to peers
+	delegationLinks []*link.Link // from the coordinator to each of its peers
 	nodeRows        *node.Rows
 	reads           []historycheck.Request
 	answers         []historycheck.Outcome
-	gossip          gossipFixture // set if the daemons gossip
+	gossip          gossipFixture // has metrics addresses only if the daemons gossip
 }
 
 const limitedPlan = "small" // a plan with a limit
 
-// newDelegationFixture starts four daemons over shards of one node each. tree is the site's section of that name; "" disables delegation. rules override those of the class.
+// newDelegationFixture starts four daemons over shards of one node each. tree is the JSON value of that key in the coordinator's
+// site section gather; "" disables delegation. rules override those of the classes read and read-once. With the argument
+// withGossip the daemons gossip.
 func newDelegationFixture(t *testing.T, shards, rows int, tree, rules string, withGossip ...bool) *delegationFixture {
 	t.Helper()
 	if testing.Short() {
@@ -73,9 +76,9 @@
 		}
 		site := map[string]any{}
 		if opt.Peers {
-			var at string
-			site, at = gossipSite(t, f, i)
-			g.gossip.metrics = append(g.gossip.metrics, at)
+			var metricsAddress string
+			site, metricsAddress = gossipSite(t, f, i)
+			g.gossip.metrics = append(g.gossip.metrics, metricsAddress)
 		}
 		site["gather"] = section
 		text, err := json.Marshal(site)
@@ -120,14 +123,14 @@
 
 func (g *delegationFixture) readAt(i int, class, plan string, deadline time.Duration) (r readResult) {
 	f := g.Fleet
-	taken, text := f.newGatheredRead(i, class, plan, deadline)
+	request, text := f.newGatheredRead(i, class, plan, deadline)
 	defer func() {
-		end := historycheck.Complete
+		outcome := historycheck.Complete
 		if r.err != nil {
-			end = historycheck.Truncated
+			outcome = historycheck.Truncated
 		}
-		g.reads, g.answers = append(g.reads, taken), append(g.answers, historycheck.Outcome{ID: taken.ID, At: f.now(), Kind: end})
-		r.took = f.now() - taken.At
+		g.reads, g.answers = append(g.reads, request), append(g.answers, historycheck.Outcome{ID: request.ID, At: f.now(), Kind: outcome})
+		r.took = f.now() - request.At
 	}()
 	nc, err := net.Dial("tcp", f.ClientLink(i).Addr())
 	if err != nil {
@@ -144,7 +147,7 @@
 	return r
 }
 
-// checkComplete checks that an answer came in time with the merged rows of all shards.
+// checkComplete checks that the answer to a read came in time with the merged rows of all shards.
 func (g *delegationFixture) checkComplete(what string, r readResult, deadline time.Duration) {
 	g.t.Helper()
 	var shards []int
@@ -155,19 +158,20 @@
 	slices.SortFunc(shards, func(a, b int) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 	want := g.nodeRows.Merge(shards, node.MergeOptions{Keep: "all"})
 	if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() || !slices.EqualFunc(r.rows, want, bytes.Equal) {
-		g.t.Errorf("%s: %v, code %d, %d rows of %d, %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
+		g.t.Errorf("%s is not the complete merge: error %v, code %d, %d rows of %d, result %s", what, r.err, r.code, len(r.rows), len(want), r.result.Raw)
 	}
 	if r.took > deadline {
-		g.t.Errorf("%s: took %v, longer than %v", what, r.took, deadline)
+		g.t.Errorf("%s took %v, longer than its deadline of %v", what, r.took, deadline)
 	}
 }
 
-// sawAllShards reports whether the last read had this many parts, as a daemon may not know all shards yet.
+// sawAllShards reports whether the last read had at least this many parts, as a daemon may not know all shards yet.
 func (g *delegationFixture) sawAllShards(shards int) bool {
 	return g.countParts(true)+g.countParts(false) >= shards
 }
 
-// countParts counts the parts of the last read that reached nodes. The request IDs of delegated groups contain /g.
+// countParts counts the parts of the last read that reached nodes: those of delegated groups, whose request IDs contain /g, or
+// the others.
 func (g *delegationFixture) countParts(groups bool) (n int) {
 	last := g.reads[len(g.reads)-1].ID
 	for _, s := range g.History().Attempts {
@@ -191,13 +195,13 @@
 			continue
 		}
 		seen[s.ID] = true
-		taken, answered := g.reads[readIndex], g.answers[readIndex]
+		request, outcome := g.reads[readIndex], g.answers[readIndex]
 		if strings.HasPrefix(part, "g") {
-			answered.At = max(answered.At, taken.Deadline)
+			outcome.At = max(outcome.At, request.Deadline)
 		}
-		taken.ID, answered.ID, answered.Kind, answered.ResponseID = s.ID, s.ID, historycheck.Complete, ""
-		taken.Deadline = max(taken.Deadline, answered.At)
-		h.Requests, h.Outcomes = append(h.Requests, taken), append(h.Outcomes, answered)
+		request.ID, outcome.ID, outcome.Kind, outcome.ResponseID = s.ID, s.ID, historycheck.Complete, ""
+		request.Deadline = max(request.Deadline, outcome.At)
+		h.Requests, h.Outcomes = append(h.Requests, request), append(h.Outcomes, outcome)
 	}
 	h.Requests, h.Outcomes = append(h.Requests, g.reads...), append(h.Outcomes, g.answers...)
 	for i, v := range historycheck.Check(g.Rules(), h) {
@@ -220,26 +224,26 @@
 // Peers fail before or during a gathered read of 12 parts over four daemons. The read must be complete in every scenario.
 func TestDelegatedGatherPeerFaults(t *testing.T) {
 	const shards, rows, defaultDeadline = 12, 500, 8 * time.Second
-	slow := link.Fault{BytesPerSecond: 16 << 10} // a group then takes some seconds
+	slow := link.Fault{BytesPerSecond: 16 << 10} // the answer with a group then takes some seconds
 	waitAnswerBegun := func(g *delegationFixture, j int) {
 		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
 	}
 	for _, x := range []struct {
 		fault, expected string
-		defaultDeadline time.Duration
+		deadline        time.Duration
 		before, during  func(*delegationFixture)
 		occurred        func(*delegationFixture) bool
-		failedPeers     []int // peers whose failure the coordinator logs
-		retaken         bool  // the coordinator gathers a group itself
-		either          bool  // the coordinator or another peer gathers the group
+		failedPeers     []int // peers whose failures the coordinator logs
+		retaken         bool  // the coordinator itself gathers at least one part of a delegated group
+		either          bool  // either the coordinator or another peer gathers the parts of a failed peer
 	}{
-		{fault: "none", expected: "each peer gathers a group, each part is sent once"},
+		{fault: "no fault", expected: "each peer gathers a group, each part is sent once"},
 		{fault: "a peer is killed during the read", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].SetFault(link.Backward, slow)) },
 			during: func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
 		{fault: "a peer is suspended", expected: "another peer takes over its group", failedPeers: []int{1},
-			before: func(g *delegationFixture) { g.must(g.Stop(1)) }},
-		{fault: "a peer's link is slow", expected: "another peer takes over its group", defaultDeadline: 6 * time.Second, failedPeers: []int{2},
+			before: func(g *delegationFixture) { g.must(g.Suspend(1)) }},
+		{fault: "a peer's link is slow", expected: "another peer takes over its group", deadline: 6 * time.Second, failedPeers: []int{2},
 			before: func(g *delegationFixture) {
 				g.must(g.delegationLinks[2].SetFault(link.Backward, link.Fault{BytesPerSecond: 1000}))
 			},
@@ -274,19 +278,19 @@
 				}
 			},
 			occurred: func(g *delegationFixture) bool { // at one or more nodes
-				met := 0
+				resets := 0
 				for j := range shards {
-					met += g.StorageLink(1, j).Counts(link.Forward).Reset
+					resets += g.StorageLink(1, j).Counts(link.Forward).Reset
 				}
-				return met > 0
+				return resets > 0
 			}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
 			t.Parallel()
 			inScenarioSlot(func() {
 				deadline := defaultDeadline
-				if x.defaultDeadline > 0 {
-					deadline = x.defaultDeadline
+				if x.deadline > 0 {
+					deadline = x.deadline
 				}
 				g := newDelegationFixture(t, shards, rows, `{"least_parts":4,"silent_ms":400,"rest_ms":60000,"rest_most_ms":60000,"copies":2}`, "")
 				if x.before != nil {
@@ -303,14 +307,14 @@
 				for j := range g.delegationLinks {
 					logged := strings.Contains(g.Proc(g.coordinator).Log(), fmt.Sprintf("peer \\\"n%d\\\"", j))
 					if logged != slices.Contains(x.failedPeers, j) {
-						t.Errorf("peer %d in the coordinator's log: %v\n%s", j, logged, g.Proc(g.coordinator).Log())
+						t.Errorf("the coordinator's log names peer %d: %v, expected the opposite\n%s", j, logged, g.Proc(g.coordinator).Log())
 					}
 				}
-				if n := g.countParts(true); x.fault == "none" && (n != shards*3/4 || g.countParts(false) != shards/4) {
-					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
+				if n := g.countParts(true); x.fault == "no fault" && (n != shards*3/4 || g.countParts(false) != shards/4) {
+					t.Errorf("%d parts were sent by groups and %d by the coordinator itself, expected three quarters and a quarter", n, g.countParts(false))
 				}
 				if retaken := g.partsRetakenByCoordinator(); !x.either && (retaken > 0) != x.retaken {
-					t.Errorf("the coordinator gathered %d parts of groups itself", retaken)
+					t.Errorf("the coordinator itself requested %d parts of delegated groups, contrary to what the scenario expects", retaken)
 				}
 				before := make([]int, len(g.delegationLinks))
 				for j, l := range g.delegationLinks {
@@ -319,7 +323,7 @@
 				g.checkComplete("the next read", g.read("read", defaultPlan, deadline), deadline)
 				for _, j := range x.failedPeers {
 					if now := g.delegationLinks[j].Counts(link.Forward).Conns; now != before[j] {
-						t.Errorf("peer %d got a request while in backoff", j)
+						t.Errorf("the coordinator connected to peer %d while that was in backoff", j)
 					}
 				}
 				g.audit()
@@ -328,7 +332,8 @@
 	}
 }
 
-// With gossip, a daemon that has left the membership gets no group even at the first read, and one that has rejoined gets groups again.
+// With gossip, a daemon that has left the membership gets no group even at the first read afterwards, and one that has rejoined
+// gets groups again.
 func TestDelegationFollowsMembership(t *testing.T) {
 	t.Parallel()
 	inScenarioSlot(func() {
@@ -342,7 +347,7 @@
 			was := g.gossip.metric(g.coordinator, "gather_tree_groups")
 			g.checkComplete("a read", g.read("read", defaultPlan, deadline), deadline)
 			if n := g.gossip.metric(g.coordinator, "gather_tree_groups") - was; n != groups {
-				t.Errorf("%v groups, expected %v", n, groups)
+				t.Errorf("the coordinator delegated %v groups, expected %v", n, groups)
 			}
 		}
 		waitMembers(4)
@@ -352,20 +357,21 @@
 		g.must(g.Proc(1).Wait(g.ctx))
 		waitMembers(3)
 		if readWithGroups(2); conns() != before {
-			t.Error("a peer that had left got a request")
+			t.Error("the coordinator connected to a peer that had left")
 		}
 		g.must(g.Restart(g.ctx, 1))
 		waitMembers(4)
 		if readWithGroups(3); conns() == before {
-			t.Error("a peer that had rejoined got no request")
+			t.Error("the coordinator did not connect to a peer that had rejoined")
 		}
 		if n := g.gossip.metric(g.coordinator, "gather_tree_rows"); n < 3*100 || g.gossip.metric(g.coordinator, `gather_tree_failures{code="scatter-peer-failed"}`) != 0 {
-			t.Errorf("%v rows from peers, or a peer failure\n%s", n, g.Proc(g.coordinator).Log())
+			t.Errorf("%v rows came from peers, fewer than 300, or a peer has failed\n%s", n, g.Proc(g.coordinator).Log())
 		}
 		g.audit()
 	})
 }
 
+// inScenarioSlot runs a scenario once one of the scenario slots is free.
 func inScenarioSlot(run func()) {
 	scenarioSlots <- struct{}{}
 	defer func() { <-scenarioSlots }()
@@ -400,22 +406,23 @@
 		}{{"read-once", defaultPlan, false}, {"read", limitedPlan, false}, {"read", defaultPlan, true}} {
 			g.checkComplete(c.class+" "+c.plan, g.read(c.class, c.plan, 8*time.Second), 8*time.Second)
 			if got := g.countParts(true); (got > 0) != c.groups || got+g.countParts(false) != 6 {
-				t.Errorf("%+v: %d parts by groups, %d by the coordinator itself", c, got, g.countParts(false))
+				t.Errorf("%+v: %d parts were sent by groups and %d by the coordinator itself; expected 6 in all, by groups only if groups is true", c, got, g.countParts(false))
 			}
 		}
 		g.audit()
 	})
 }
 
-var measureCost = flag.Bool("measure", false, "print what a read of 24 parts costs with and without peers")
+var measureCost = flag.Bool("measure", false, "measure gathered reads of 24 parts with and without delegation to peers")
 
-// Measures a read of 24 parts over four processes, with and without delegation.
+// Measures gathered reads of 24 parts over four processes, with and without delegation: parts that the coordinator sends itself,
+// bytes that it receives per read, the median, shortest and longest duration, and its processor time.
 func TestDelegationCost(t *testing.T) {
 	if !*measureCost {
 		t.Skip("-measure is not given")
 	}
 	const shards, rows, reads = 24, 2000, 21
-	for _, kind := range []struct{ name, rules string }{{"all rows", ""}, {"highest of a key", `{"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}}`}, {"top 100", `{"truncate":{"top":100}}`}} {
+	for _, kind := range []struct{ name, rules string }{{"all rows, delegated: ", ""}, {"highest version of each key, delegated: ", `{"duplicates":{"keep":"highest","version":{"key":"v","type":"integer"}}}`}, {"top 100 rows, delegated: ", `{"truncate":{"top":100}}`}} {
 		for _, tree := range []string{"", `{"least_parts":4,"silent_ms":2000}`} {
 			t.Run(fmt.Sprint(kind.name, tree != ""), func(t *testing.T) {
 				g := newDelegationFixture(t, shards, rows, tree, kind.rules)
@@ -433,7 +440,7 @@
 				for range reads {
 					r := g.read("read", defaultPlan, 20*time.Second)
 					if r.err != nil || r.code != http.StatusOK || !r.result.Get("whole").Bool() && r.result.Get("truncated").Str == "" {
-						t.Fatalf("%v %d %s", r.err, r.code, r.result.Raw)
+						t.Fatalf("gathered read failed: error %v, code %d, result %s", r.err, r.code, r.result.Raw)
 					}
 					durations = append(durations, r.took)
 					parts = g.countParts(false)
--- a/internal/testkit/cluster/discovery_list.go
+++ b/internal/testkit/cluster/discovery_list.go
@@ -34,7 +34,7 @@
 	Addr() string
 	Put(entries ...Entry) error // sends the changes to all watches in one line
 	Set(ListFault) error
-	WatchRequests() int // number of watch requests received, answered or not
+	WatchRequests() int // number of connections, each opened for one watch request, answered or not
 	Close()
 }
 
@@ -49,9 +49,9 @@
 	ownsService     bool // the service belongs to this list alone and is closed with it
 }
 
-func newFakeList(s *discovery.Service, caller string, own bool) (*fakeList, error) {
-	at, err := s.AddrFor(caller)
-	return &fakeList{s, caller, at, own}, err
+func newFakeList(s *discovery.Service, caller string, ownsService bool) (*fakeList, error) {
+	addr, err := s.AddrFor(caller)
+	return &fakeList{s, caller, addr, ownsService}, err
 }
 
 // Addr implements List.
@@ -109,12 +109,12 @@
 	return l, nil
 }
 
-// recordNotified records the entries that were written to daemon i.
+// recordNotified records that daemon i was notified of the entries, as they were written to its watch.
 func (f *Fleet) recordNotified(i int, entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range entries {
-		f.history.Notifications = append(f.history.Notifications, historycheck.Notification{Scheduler: i, Node: e.Name, Status: statusWords[e.Status], At: f.now()})
+		f.history.Notifications = append(f.history.Notifications, historycheck.Notification{Scheduler: i, Node: e.Name, Status: historyStatus[e.Status], At: f.now()})
 	}
 }
 
@@ -130,21 +130,21 @@
 	return all
 }
 
-// ListLoad are those of the list, of all daemons.
+// ListLoad returns how many calls of all daemons the fake discovery services received and rejected, and the peak rate of calls.
 func (f *Fleet) ListLoad() discovery.Load { return f.listCapacity.Load() }
 
-// ResetListLoad resets the counts of Calls.
+// ResetListLoad sets the counts that ListLoad returns to zero.
 func (f *Fleet) ResetListLoad() { f.listCapacity.ResetLoad() }
 
 func (f *Fleet) entry(i, j int) Entry {
-	at := f.nodeAddresses[j]
+	addr := f.nodeAddresses[j]
 	if l := f.StorageLink(i, j); l != nil {
-		at = l.Addr()
+		addr = l.Addr()
 	}
-	return Entry{Name: f.opt.Nodes[j].Name, Address: at, Group: f.opt.Nodes[j].Shard, Status: f.nodeStatus[j], Weight: 1, SinceMS: f.startTimes[j]}
+	return Entry{Name: f.opt.Nodes[j].Name, Address: addr, Group: f.opt.Nodes[j].Shard, Status: f.nodeStatus[j], Weight: 1, SinceMS: f.startTimes[j]}
 }
 
-// recordColdStart records that a node starts cold now, and returns its since_ms, a Unix time.
+// recordColdStart records that a node starts cold now, and returns its since_ms, a Unix time in milliseconds.
 func (f *Fleet) recordColdStart(node string) int64 {
 	f.history.SlowStarts = append(f.history.SlowStarts, historycheck.Change{Node: node, At: f.now()})
 	return time.Now().UnixMilli()
@@ -154,7 +154,7 @@
 func (f *Fleet) SetNodeStatus(j int, status string) error {
 	f.mu.Lock()
 	f.nodeStatus[j] = discovery.Status(status)
-	f.history.Changes = append(f.history.Changes, historycheck.Change{Node: f.opt.Nodes[j].Name, Status: statusWords[f.nodeStatus[j]], At: f.now()})
+	f.history.Changes = append(f.history.Changes, historycheck.Change{Node: f.opt.Nodes[j].Name, Status: historyStatus[f.nodeStatus[j]], At: f.now()})
 	f.mu.Unlock()
 	var errs []error
 	for i, l := range f.discoveryLists {
@@ -176,16 +176,16 @@
 // SetListFault sets the fault of daemon i's discovery service.
 func (f *Fleet) SetListFault(i int, fault ListFault) error {
 	f.mu.Lock()
-	openSpan := slices.IndexFunc(f.history.ListOutages, func(s historycheck.Interval) bool { return s.Scheduler == i && s.To == historycheck.Never })
+	openOutage := slices.IndexFunc(f.history.ListOutages, func(s historycheck.Interval) bool { return s.Scheduler == i && s.To == historycheck.Never })
 	answersNewWatches := fault == ListHealthy || fault == ListStalled
-	if !answersNewWatches && openSpan < 0 {
+	if !answersNewWatches && openOutage < 0 {
 		f.history.ListOutages = append(f.history.ListOutages, historycheck.Interval{Scheduler: i, From: f.now(), To: historycheck.Never, Rejected: fault != ListSilent})
 	}
-	if answersNewWatches && openSpan >= 0 {
-		f.history.ListOutages[openSpan].To = f.now()
+	if answersNewWatches && openOutage >= 0 {
+		f.history.ListOutages[openOutage].To = f.now()
 	}
 	f.mu.Unlock()
 	return f.discoveryLists[i].Set(fault)
 }
 
-var statusWords = map[discovery.Status]historycheck.NodeStatus{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Removed}
+var historyStatus = map[discovery.Status]historycheck.NodeStatus{discovery.Active: historycheck.Active, discovery.Leaving: historycheck.Draining, discovery.Left: historycheck.Removed}
--- a/internal/testkit/cluster/errors.go
+++ b/internal/testkit/cluster/errors.go
@@ -7,10 +7,10 @@
 	"wheatsaddle/internal/operr"
 )
 
-// DaemonError reports that the daemon could not be built or started.
+// DaemonError reports that the daemon could not be built or started, or that no port is free for it.
 type DaemonError struct {
 	Err    error
-	Output string
+	Output string // of the build
 }
 
 func (e *DaemonError) Error() string {
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// waitWatchRequests waits until each daemon has sent this many more watch requests.
+// waitWatchRequests waits until each daemon, one after the other, has sent this many more watch requests.
 func (w *fixture) waitWatchRequests(count int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (w *fixture) countEnds(e historycheck.OutcomeKind) (n int) {
+func (w *fixture) countOutcomes(e historycheck.OutcomeKind) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.history.Outcomes {
@@ -140,7 +140,7 @@
 			stop := w.Run(w.ctx, Load{Clients: 2, Pause: time.Millisecond, Request: func(_, client, n int) ClientRequest {
 				return ClientRequest{Shard: n % 2, Volume: client, DisconnectAfter: time.Duration(1+n%50) * time.Millisecond}
 			}})
-			w.waitUntil("clients disconnect", func() bool { return w.countEnds(historycheck.Disconnected) > 100 })
+			w.waitUntil("clients disconnect", func() bool { return w.countOutcomes(historycheck.Disconnected) > 100 })
 			w.waitServed(minServed)
 			stop()
 		}},
@@ -160,11 +160,11 @@
 			w.waitServed(minServed)
 		}},
 		{fault: "a daemon is suspended for 1 s during a drain", expected: "it applies the drain when it resumes", run: func(w *fixture) {
-			w.must(w.Stop(0))
+			w.must(w.Suspend(0))
 			w.must(w.SetNodeStatus(0, "leaving"))
 			w.waitServed(minServed, 0)
-			time.Sleep(time.Second) // the fault itself
-			w.must(w.Continue(0))
+			time.Sleep(time.Second) // the daemon stays suspended this long
+			w.must(w.Resume(0))
 			w.waitDrainNotified()
 		}},
 		{fault: "half-open connections to a node", expected: "reads served by another node, writes answered and not retried", run: func(w *fixture) {
@@ -185,7 +185,7 @@
 			w.stopAndAudit()
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
-					t.Errorf("daemon %d has exited", i)
+					t.Errorf("daemon %d is not running at the end of the scenario", i)
 				}
 			}
 		})
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	memoryMB     = 128
-	pollInterval = 20 * time.Millisecond
-	maxLogBytes  = 1500 // log bytes shown per process in an error
-	maxLogs      = 12   // process logs shown in an error
+	defaultMemoryMB = 128
+	pollInterval    = 20 * time.Millisecond
+	maxLogBytes     = 1500 // log bytes shown per process in an error
+	maxLogs         = 12   // process logs shown in an error
 )
 
 // StorageNode is one fake storage node.
@@ -46,7 +46,7 @@
 	Unlisted    bool // not in the endpoint list at first
 	Cold        bool // it starts with the fleet and is in slow start; otherwise it has been up for long
 	Rows        *node.Rows
-	Linked      bool // with Direct, all daemons reach the node over one shared link
+	Linked      bool // with Options.Direct, all daemons reach the node over one shared link
 	Configure   func(*node.Options)
 }
 
@@ -65,11 +65,11 @@
 	ListDown      bool                                                      // the discovery services do not listen at first
 	Admin         bool                                                      // each daemon has an admin endpoint
 	PassedSockets bool                                                      // the fleet holds the client listening sockets and passes them; needs Admin
-	Peers         bool                                                      // each two daemons have a TCP and UDP link
+	Peers         bool                                                      // every two daemons have a link for TCP and UDP
 	Args          func(f *Fleet, i int) []string                            // additional arguments of a daemon; nil: none
 	NewList       func(scheduler int, notified func([]Entry)) (List, error) // nil: a fake discovery service
-	List          discovery.Options                                         // of the fake discovery service; its capacity is shared by the whole fleet
-	// Direct leaves out all links except those of Storage.Linked and gives all daemons one discovery service, with a
+	List          discovery.Options                                         // of the fake discovery services; their capacity is shared by the whole fleet
+	// Direct leaves out all links except those of StorageNode.Linked and gives all daemons one discovery service, with a
 	// caller for each. It is for fleets that would need thousands of links. Ends of attempts that only a link
 	// observes are then missing from the history.
 	Direct     bool
@@ -108,8 +108,8 @@
 	background     sync.WaitGroup
 	done           chan struct{}
 	lastSequence   int
-	served         map[int]int // requests served by scheduler
-	answersByCode  map[int]int // 0: no answer
+	served         map[int]int // complete answers with code 200, by scheduler
+	answersByCode  map[int]int // number of answers by code; code 0: no answer
 	rejections     []Rejection
 }
 
@@ -180,11 +180,11 @@
 		}
 		n := node.New(options)
 		f.nodes = append(f.nodes, n)
-		at, err := FreeAddress() // reserved, so no connection takes the port while the node is down
+		listenAddress, err := FreeAddress() // reserved, so no connection takes the port while the node is down
 		if err != nil {
 			return f, err
 		}
-		a, err := n.Listen(at)
+		a, err := n.Listen(listenAddress)
 		if err != nil {
 			return f, err
 		}
@@ -325,7 +325,7 @@
 		}
 		f.adminAddresses = append(f.adminAddresses, admin)
 		name := fmt.Sprint("n", i)
-		config := Config{Name: name, Listen: listen, AdminAddress: admin, Discovery: listAddress, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, memoryMB), Known: known, Index: index,
+		config := Config{Name: name, Listen: listen, AdminAddress: admin, Discovery: listAddress, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, defaultMemoryMB), Known: known, Index: index,
 			Settings: mergeSettings(Defaults(f.opt.Daemons, i, shards), f.opt.Settings)}
 		f.settings, f.configs = config.Settings, append(f.configs, config)
 		dir := filepath.Join(f.dir, name)
@@ -356,8 +356,8 @@
 }
 
 // listenerFile returns a listening socket on which this program does not accept connections.
-func listenerFile(at string) (*os.File, error) {
-	ln, err := net.Listen("tcp", at)
+func listenerFile(addr string) (*os.File, error) {
+	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -423,7 +423,7 @@
 	return f.clientLinks[i].Addr()
 }
 
-// SetNodeFault sets the fault of node j's address.
+// SetNodeFault sets a fault at the address on which node j listens.
 func (f *Fleet) SetNodeFault(j int, fault node.Fault) error {
 	a, err := address.Parse(f.nodeAddresses[j])
 	if err != nil {
@@ -501,7 +501,7 @@
 	})
 }
 
-// markDown records that daemon i is down from now.
+// markDown records that daemon i is down from now on, because it is killed or else terminated.
 func (f *Fleet) markDown(i int, kill bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -522,7 +522,7 @@
 	return nil
 }
 
-// Terminate sends daemon i a SIGTERM, as an operator does. Proc(i).End waits until it has exited.
+// Terminate sends daemon i a SIGTERM, as an operator does. Proc(i).Wait waits until it has exited.
 func (f *Fleet) Terminate(i int) error {
 	f.markDown(i, false)
 	return f.procs[i].Signal(syscall.SIGTERM)
@@ -545,7 +545,7 @@
 	return nil
 }
 
-// markUp records the downtime of a daemon that is up again. The caller holds the lock.
+// markUp records the downtime of a daemon that is up again. The caller holds f.mu.
 func (f *Fleet) markUp(i int) {
 	s, ok := f.downSince[i]
 	if !ok {
@@ -560,16 +560,16 @@
 	}
 }
 
-// Stop suspends daemon i by SIGSTOP until Continue.
-func (f *Fleet) Stop(i int) error {
+// Suspend suspends daemon i by SIGSTOP until Resume.
+func (f *Fleet) Suspend(i int) error {
 	f.mu.Lock()
 	f.history.Paused = append(f.history.Paused, historycheck.Interval{Scheduler: i, From: f.now(), To: historycheck.Never})
 	f.mu.Unlock()
 	return f.procs[i].Signal(syscall.SIGSTOP)
 }
 
-// Continue resumes daemon i by SIGCONT.
-func (f *Fleet) Continue(i int) error {
+// Resume continues daemon i by SIGCONT.
+func (f *Fleet) Resume(i int) error {
 	err := f.procs[i].Signal(syscall.SIGCONT)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/cluster/fleet_test.go
+++ b/internal/testkit/cluster/fleet_test.go
@@ -95,11 +95,11 @@
 
 // mixedRequest returns requests to both shards, of which a third are non-idempotent writes.
 func mixedRequest(_, client, n int) ClientRequest {
-	a := ClientRequest{Shard: (n + client) % 2, Volume: client}
+	request := ClientRequest{Shard: (n + client) % 2, Volume: client}
 	if n%3 == 0 {
-		a.Class, a.Write, a.BodySize = "write", true, 2000
+		request.Class, request.Write, request.BodySize = "write", true, 2000
 	}
-	return a
+	return request
 }
 
 func (w *fixture) startTraffic() {
@@ -110,7 +110,7 @@
 	w.t.Helper()
 	if err != nil {
 		h := w.History()
-		w.t.Log("last ends of requests: ", h.Outcomes[max(0, len(h.Outcomes)-6):], "answers by code: ", w.answersByCode)
+		w.t.Log("outcomes of the last requests: ", h.Outcomes[max(0, len(h.Outcomes)-6):], "answers by code: ", w.answersByCode)
 		w.t.Fatal(err)
 	}
 }
@@ -126,7 +126,7 @@
 	}))
 }
 
-// waitServed waits until each daemon, except possibly one, has served this many more requests.
+// waitServed waits until each daemon, without the one in except if that is given, has served this many more requests.
 func (w *fixture) waitServed(count int, except ...int) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
@@ -154,7 +154,7 @@
 		}
 	}
 	if h := w.History(); len(h.Executions) == 0 || w.t.Failed() {
-		w.t.Errorf("%d violations of %d requests, %d attempts, %d executions\n%s", len(found), len(h.Requests), len(h.Attempts), len(h.Executions), w.Logs())
+		w.t.Errorf("the audit found %d violations in %d requests, %d attempts and %d executions\n%s", len(found), len(h.Requests), len(h.Attempts), len(h.Executions), w.Logs())
 	}
 }
 
@@ -178,7 +178,7 @@
 	w.must(w.Kill(0))
 	w.must(w.Restart(w.ctx, 0))
 	if o := client.Send(ClientRequest{}); o.End != historycheck.Complete {
-		t.Errorf("request to the restarted process: %+v", o)
+		t.Errorf("request to the restarted process got no complete answer: %+v", o)
 	}
 	w.waitServed(minServed)
 	w.stopAndAudit()
--- a/internal/testkit/cluster/gather_test.go
+++ b/internal/testkit/cluster/gather_test.go
@@ -25,7 +25,8 @@
 	"wheatsaddle/internal/testkit/historycheck"
 )
 
-// gatherFixture is a fleet of three daemons that gather reads from three listed shards of two nodes each. A fourth shard is not listed.
+// gatherFixture is a fleet of three daemons that gather reads from three shards of two nodes each. The nodes of a fourth shard,
+// number 3, are not in the endpoint list at first.
 type gatherFixture struct {
 	*fixture
 	nodeRows *node.Rows
@@ -33,6 +34,8 @@
 
 const rowsPerShard = 400 // 160 KB, more than a daemon buffers of an answer
 
+// newGatherFixture starts the fleet with traffic. completeness is the value complete.need of the class read, and extraSections
+// is JSON text, either empty or starting with a comma, that is added to the site section gather.
 func newGatherFixture(t *testing.T, completeness, extraSections string, settings map[string]any) *gatherFixture {
 	t.Helper()
 	g := &gatherFixture{nodeRows: &node.Rows{Seed: 5, RowsPerShard: rowsPerShard, PaddingBytes: 400}}
@@ -55,7 +58,7 @@
 	return g
 }
 
-// setRowFault sets a fault of the answers with rows from both nodes of the shards.
+// setRowFault sets a fault of the answers with rows from both nodes of each shard; the empty fault ends it.
 func (g *gatherFixture) setRowFault(f node.RowFault, shards ...int) {
 	for _, s := range shards {
 		g.Node(2 * s).SetRowFault(f)
@@ -68,10 +71,10 @@
 	return of(g.Node(2*shard).RowCounts("")) + of(g.Node(2*shard+1).RowCounts(""))
 }
 
-func lateCount(c node.RowCounts) int         { return c.Delayed }
-func stoppedCount(c node.RowCounts) int      { return c.Paused }
-func neverCount(c node.RowCounts) int        { return c.Stalled }
-func cutCount(c node.RowCounts) int          { return c.ConnsClosed }
+func delayedCount(c node.RowCounts) int      { return c.Delayed }
+func pausedCount(c node.RowCounts) int       { return c.Paused }
+func stalledCount(c node.RowCounts) int      { return c.Stalled }
+func closedCount(c node.RowCounts) int       { return c.ConnsClosed }
 func disconnectedCount(c node.RowCounts) int { return c.Disconnected }
 
 func (g *gatherFixture) waitRowFault(shard int, of func(node.RowCounts) int, minCount int) {
@@ -91,7 +94,7 @@
 	return historycheck.Request{ID: m.ID, Class: class, Plan: plan, Volume: m.Volume, Units: 1, Scheduler: scheduler, At: now, Deadline: now + deadline}, text
 }
 
-// httpResponse is what a request's connection returned. Code 0 means that no response head came.
+// httpResponse is the response to a request. Code 0 means that no response head came.
 type httpResponse struct {
 	code   int
 	header http.Header
@@ -100,6 +103,7 @@
 	err    error
 }
 
+// exchangeRaw writes the bytes of a request to a connection and reads the response.
 func exchangeRaw(nc net.Conn, text []byte) (response httpResponse) {
 	if _, response.err = nc.Write(text); response.err != nil {
 		return response
@@ -111,7 +115,7 @@
 	}
 	response.code, response.header = res.StatusCode, res.Header
 	if response.body, response.err = io.ReadAll(res.Body); response.err == nil && br.Buffered() > 0 {
-		response.err = fmt.Errorf("%d bytes after the answer", br.Buffered())
+		response.err = fmt.Errorf("%d unexpected bytes follow the answer", br.Buffered())
 	}
 	if response.result = gjson.ParseBytes(response.body); response.code == http.StatusOK {
 		response.result = gjson.Parse(res.Trailer.Get("X-Gather-Result"))
@@ -139,14 +143,14 @@
 func (g *gatherFixture) startRead(scheduler int, plan string, deadline time.Duration) *gatherRead {
 	g.t.Helper()
 	f := g.Fleet
-	taken, text := f.newGatheredRead(scheduler, "read", plan, deadline)
-	id := taken.ID
+	request, text := f.newGatheredRead(scheduler, "read", plan, deadline)
+	id := request.ID
 	nc, err := net.Dial("tcp", f.clientLinks[scheduler].Addr())
 	g.must(err)
 	ctx, disconnect := context.WithCancel(g.ctx)
 	context.AfterFunc(ctx, func() { nc.Close() })
 	f.mu.Lock()
-	f.history.Requests = append(f.history.Requests, taken)
+	f.history.Requests = append(f.history.Requests, request)
 	f.mu.Unlock()
 	read := &gatherRead{disconnect, make(chan gatherAnswer, 1)}
 	go func() {
@@ -185,6 +189,7 @@
 	return a
 }
 
+// mergedRows returns the rows of the shards in the order of a complete merge.
 func (g *gatherFixture) mergedRows(shards ...int) (rows []string) {
 	for _, r := range g.nodeRows.Merge(shards, node.MergeOptions{Keep: "all"}) {
 		rows = append(rows, string(r))
@@ -204,7 +209,7 @@
 	}
 	missing, cutShards := named("missing"), named("cut")
 	if a.code != 200 || a.end != historycheck.Complete || !a.result.Get("whole").Exists() || a.result.Get("whole").Bool() != (len(missing)+len(cutShards) == 0) {
-		g.t.Errorf("%s: code %d, end %d, %s", a.id, a.code, a.end, a.result)
+		g.t.Errorf("%s has no complete answer with a consistent result: code %d, outcome %d, result %s", a.id, a.code, a.end, a.result)
 		return
 	}
 	present := slices.DeleteFunc(slices.Clone(shards), func(s int) bool { return slices.Contains(missing, s) })
@@ -221,27 +226,28 @@
 			next++
 		}
 		if next == len(expected) || expected[next] != r {
-			g.t.Errorf("%s: row %.40s is unexpected; %s", a.id, r, a.result)
+			g.t.Errorf("%s: row %.40s is unexpected or out of order; result %s", a.id, r, a.result)
 			return
 		}
 		next++
 	}
 	if slices.ContainsFunc(expected[next:], func(r string) bool { return !optional[r] }) {
-		g.t.Errorf("%s: the first %d of %d rows are present; %s", a.id, next, len(expected), a.result)
+		g.t.Errorf("%s: rows are missing after the first %d of %d; result %s", a.id, next, len(expected), a.result)
 	}
 }
 
 func (g *gatherFixture) checkComplete(a gatherAnswer, shards ...int) {
 	g.t.Helper()
 	if g.checkRows(a, shards...); !a.result.Get("whole").Bool() {
-		g.t.Errorf("%s is not complete: %s", a.id, a.result)
+		g.t.Errorf("%s is not complete: result %s", a.id, a.result)
 	}
 }
 
+// checkShards checks which shards the result names under a key. shards is a JSON list.
 func (g *gatherFixture) checkShards(a gatherAnswer, key, shards string) {
 	g.t.Helper()
 	if got := a.result.Get(key).Raw; got != shards {
-		g.t.Errorf("%s: %s: %s, expected %s: code %d %s", a.id, key, got, shards, a.code, a.result)
+		g.t.Errorf("%s: shards named as %s are %s, expected %s: code %d, result %s", a.id, key, got, shards, a.code, a.result)
 	}
 }
 
@@ -251,48 +257,48 @@
 // or the result must name what is missing, and every part must keep the rules of the audit.
 func TestGatheredReadFaults(t *testing.T) {
 	const bestEffort, all = "best-effort", "all"
-	listed := []int{0, 1, 2}
+	listedShards := []int{0, 1, 2}
 	for _, x := range []struct {
 		fault, expected             string
 		completeness, extraSections string
 		settings                    map[string]any
 		run                         func(*gatherFixture)
 	}{
-		{fault: "none", expected: "complete merge from each daemon", completeness: all, run: func(g *gatherFixture) {
+		{fault: "no fault", expected: "complete merge from each daemon", completeness: all, run: func(g *gatherFixture) {
 			for i := range g.opt.Daemons {
-				g.checkComplete(g.waitAnswer(g.startRead(i, defaultPlan, longDeadline)), listed...)
+				g.checkComplete(g.waitAnswer(g.startRead(i, defaultPlan, longDeadline)), listedShards...)
 			}
 		}},
 		{fault: "a part is late", expected: "complete once it has arrived", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Delay: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(1, lateCount, 1)
+			g.waitRowFault(1, delayedCount, 1)
 			g.setRowFault(node.RowFault{}, 1)
-			g.checkComplete(g.waitAnswer(r), listed...)
+			g.checkComplete(g.waitAnswer(r), listedShards...)
 		}},
 		{fault: "a part stalls and is hedged", expected: "a hedge beside the silent first attempt; complete, no duplicate rows", completeness: all, extraSections: `,"silent_ms":100`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(0, stoppedCount, 2)
+			g.waitRowFault(0, pausedCount, 2)
 			g.setRowFault(node.RowFault{}, 0)
 			a := g.waitAnswer(r)
-			if g.checkComplete(a, listed...); g.Node(0).RowCounts(a.id+"/0/2").Requests+g.Node(1).RowCounts(a.id+"/0/2").Requests == 0 {
+			if g.checkComplete(a, listedShards...); g.Node(0).RowCounts(a.id+"/0/2").Requests+g.Node(1).RowCounts(a.id+"/0/2").Requests == 0 {
 				t.Error("no hedge was sent")
 			}
 		}},
 		{fault: "a part is cut halfway each time", expected: "retried as often as allowed, then named as cut", completeness: bestEffort, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, CloseConn: true}, 0)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
-			g.checkRows(a, listed...)
+			g.checkRows(a, listedShards...)
 			g.checkShards(a, "cut", "[0]")
-			if n := g.sumCounts(0, cutCount); n != 2 {
-				t.Errorf("the part was cut %d times", n)
+			if n := g.sumCounts(0, closedCount); n != 2 {
+				t.Errorf("the part was cut %d times, expected 2", n)
 			}
 		}},
 		{fault: "a part is cut halfway once", expected: "the retry continues it; complete", completeness: all, extraSections: `,"again":16`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Delay: time.Hour}, 0)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(0, lateCount, 1)
+			g.waitRowFault(0, delayedCount, 1)
 			g.must(g.StorageLink(0, 0).SetFault(link.Backward, link.Fault{ResetAfter: 80 << 10}))
 			g.must(g.StorageLink(0, 1).SetFault(link.Backward, link.Fault{ResetAfter: 80 << 10}))
 			g.setRowFault(node.RowFault{}, 0)
@@ -302,13 +308,13 @@
 			for j := range 2 {
 				g.must(g.StorageLink(0, j).SetFault(link.Backward, link.Fault{}))
 			}
-			g.checkComplete(g.waitAnswer(r), listed...)
+			g.checkComplete(g.waitAnswer(r), listedShards...)
 		}},
 		{fault: "a part never arrives", expected: "named as missing within the client's deadline", completeness: bestEffort, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{Delay: time.Hour}, 2)
 			a := g.waitAnswer(g.startRead(0, defaultPlan, shortDeadline))
-			if g.checkRows(a, listed...); g.sumCounts(2, lateCount) == 0 {
-				t.Error("no node was late")
+			if g.checkRows(a, listedShards...); g.sumCounts(2, delayedCount) == 0 {
+				t.Error("neither node of shard 2 delayed an answer")
 			}
 			g.checkShards(a, "missing", "[2]")
 		}},
@@ -318,7 +324,7 @@
 			}
 			a := g.waitAnswer(g.startRead(0, defaultPlan, longDeadline))
 			if a.code != 503 || a.header.Get("Retry-After") == "" || a.result.Get("code").Str != "scatter-refused" {
-				t.Errorf("%d %v %s", a.code, a.header, a.result)
+				t.Errorf("the read was not rejected as expected: code %d, header %v, body %s", a.code, a.header, a.result)
 			}
 			for j := range 6 {
 				g.Node(j).Drain(false)
@@ -327,36 +333,36 @@
 		{fault: "a node is killed during a part", expected: "the part is retried at the shard's other node; complete", completeness: all, extraSections: `,"again":4`, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(1, stoppedCount, 1)
+			g.waitRowFault(1, pausedCount, 1)
 			dead := 2
 			if g.Node(3).RowCounts("").Paused > 0 {
 				dead = 3
 			}
 			g.Node(dead).Close()
 			g.setRowFault(node.RowFault{}, 1)
-			g.checkComplete(g.waitAnswer(r), listed...)
+			g.checkComplete(g.waitAnswer(r), listedShards...)
 		}},
 		{fault: "a drain begins during the read", expected: "parts in flight are finished, no new ones go there; complete", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(1, stoppedCount, 1)
+			g.waitRowFault(1, pausedCount, 1)
 			g.must(g.SetNodeStatus(2, "leaving"))
 			g.waitServed(minServed)
 			g.setRowFault(node.RowFault{}, 1)
-			g.checkComplete(g.waitAnswer(r), listed...)
-			g.checkComplete(g.waitAnswer(g.startRead(1, defaultPlan, longDeadline)), listed...)
+			g.checkComplete(g.waitAnswer(r), listedShards...)
+			g.checkComplete(g.waitAnswer(g.startRead(1, defaultPlan, longDeadline)), listedShards...)
 		}},
 		{fault: "the client disconnects during the read", expected: "all parts are cancelled", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, Stall: true}, 0, 1, 2)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			for _, s := range listed {
-				g.waitRowFault(s, neverCount, 1)
+			for _, s := range listedShards {
+				g.waitRowFault(s, stalledCount, 1)
 			}
 			r.disconnect()
 			if a := g.waitAnswer(r); a.end != historycheck.Disconnected {
-				t.Errorf("%+v", a)
+				t.Errorf("the read did not end with the client's disconnect: %+v", a)
 			}
-			for _, s := range listed {
+			for _, s := range listedShards {
 				g.waitRowFault(s, disconnectedCount, 1)
 			}
 			g.setRowFault(node.RowFault{}, 0, 1, 2)
@@ -364,17 +370,17 @@
 		{fault: "SIGTERM during the read", expected: "complete answer, exit 0", completeness: all, run: func(g *gatherFixture) {
 			g.setRowFault(node.RowFault{AfterRows: 200, Pause: time.Hour}, 1)
 			r := g.startRead(0, defaultPlan, longDeadline)
-			g.waitRowFault(1, stoppedCount, 1)
+			g.waitRowFault(1, pausedCount, 1)
 			g.must(g.Terminate(0))
 			g.waitUntil("the daemon logs that it is stopping", func() bool { return strings.Contains(g.Proc(0).Log(), "stopping") })
 			g.setRowFault(node.RowFault{}, 1)
-			g.checkComplete(g.waitAnswer(r), listed...)
+			g.checkComplete(g.waitAnswer(r), listedShards...)
 			g.must(g.Proc(0).Wait(g.ctx))
 			g.waitServed(minServed, 0)
 			g.must(g.Restart(g.ctx, 0))
 		}},
 		{fault: "the list changes its shards", expected: "the next read is of the shards then listed", completeness: all, run: func(g *gatherFixture) {
-			g.checkComplete(g.waitAnswer(g.startRead(0, defaultPlan, longDeadline)), listed...)
+			g.checkComplete(g.waitAnswer(g.startRead(0, defaultPlan, longDeadline)), listedShards...)
 			g.must(g.SetNodeStatus(6, "active"))
 			var a gatherAnswer
 			g.waitUntil("the new shard is read", func() bool {
@@ -398,7 +404,7 @@
 			}
 			for _, r := range reads {
 				a := g.waitAnswer(r)
-				g.checkRows(a, listed...)
+				g.checkRows(a, listedShards...)
 				missing += len(a.result.Get("missing").Array())
 			}
 			if missing == 0 {
@@ -407,17 +413,17 @@
 		}},
 		{fault: "the only node of a shard is cold", expected: "no more units than its budget are sent; missing parts are named", completeness: bestEffort, extraSections: `,"reads_at_once":8`,
 			settings: map[string]any{"extra": map[string]any{"young-limit": 4}}, run: func(g *gatherFixture) {
-				g.setRowFault(node.RowFault{Delay: time.Hour}, 3) // its answers would raise the budget
+				g.setRowFault(node.RowFault{Delay: time.Hour}, 3) // answers of the cold node would raise its budget
 				g.must(g.ReplaceNode(6))
 				for i := range g.opt.Daemons {
-					g.waitUntil("the daemon is notified", func() bool {
+					g.waitUntil("the daemon is notified that node s6 is active", func() bool {
 						return slices.ContainsFunc(g.History().Notifications, func(x historycheck.Notification) bool {
 							return x.Scheduler == i && x.Node == "s6" && x.Status == historycheck.Active
 						})
 					})
 				}
 				var reads []*gatherRead
-				for n := range 8 * g.opt.Daemons { // its budget is 13 units
+				for n := range 8 * g.opt.Daemons { // 24 parts for the cold node, whose budget is 13 units
 					reads = append(reads, g.startRead(n%g.opt.Daemons, defaultPlan, shortDeadline))
 				}
 				for _, r := range reads {
@@ -427,7 +433,7 @@
 						t.Errorf("shard 3 is not missing: %s", a.result)
 					}
 				}
-				g.waitRowFault(3, lateCount, 1)
+				g.waitRowFault(3, delayedCount, 1)
 			}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
--- a/internal/testkit/cluster/gossip_peer_test.go
+++ b/internal/testkit/cluster/gossip_peer_test.go
@@ -16,8 +16,9 @@
 	"wheatsaddle/internal/nodestats"
 )
 
-// Message tags of internal/gossip: a digest that requests one in return, the returned digest, cells, a starting daemon's
-// request for a snapshot (a number, the kind, its name) and the answer to it (the number, a snapshot).
+// Message tags of internal/gossip, in this order: a digest that requests one in return, the returned digest, cells, a starting
+// daemon's request for a snapshot (a number of 8 bytes, the kind in one byte, its name) and the answer to it (the number, a
+// snapshot).
 const tagDigestRequest, tagDigestReply, tagCells, tagSnapshotRequest, tagSnapshot = 'a', 'b', 'c', 'd', 'e'
 
 // testPeer is a gossip member controlled by the test. It receives the daemons' observations and sends only what
@@ -58,7 +59,7 @@
 
 func (f *restrictedTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	if !f.allowed[a.Addr] {
-		return nil, errors.New("address is not allowed")
+		return nil, errors.New("the test peer may not dial this address")
 	}
 	return f.NetTransport.DialAddressTimeout(a, wait)
 }
@@ -88,7 +89,7 @@
 	n, err := s.list.Join(peerAddresses)
 	w.must(err)
 	if n != len(peerAddresses) {
-		w.t.Fatalf("%s joined %d of %d daemons", name, n, len(peerAddresses))
+		w.t.Fatalf("test peer %s joined only %d of %d daemons", name, n, len(peerAddresses))
 	}
 	return s
 }
@@ -116,10 +117,10 @@
 		return
 	}
 	if tag == tagSnapshotRequest && len(m) > 9 {
-		number, who := slices.Clip(m[:8]), string(m[9:])
-		s.snapshotRequests[who] = number
+		number, daemon := slices.Clip(m[:8]), string(m[9:])
+		s.snapshotRequests[daemon] = number
 		if s.snapshot != nil {
-			go s.send(who, tagSnapshot, append(number, s.snapshot...))
+			go s.send(daemon, tagSnapshot, append(number, s.snapshot...))
 		}
 		return
 	}
@@ -144,7 +145,7 @@
 			return
 		}
 	}
-	s.t.Errorf("%s is not a member", daemon)
+	s.t.Errorf("daemon %s is not in the test peer's membership", daemon)
 }
 
 // snapshotRequestCount returns how many daemons have requested a snapshot.
@@ -154,14 +155,14 @@
 	return len(s.snapshotRequests)
 }
 
-// handOver answers all snapshot requests, earlier and later ones, with the given bytes.
-func (s *testPeer) handOver(text []byte) {
+// answerSnapshotRequests answers all snapshot requests, earlier and later ones, with the given bytes.
+func (s *testPeer) answerSnapshotRequests(text []byte) {
 	s.mu.Lock()
 	s.snapshot = text
 	requests := maps.Clone(s.snapshotRequests)
 	s.mu.Unlock()
-	for to, number := range requests {
-		s.send(to, tagSnapshot, append(number, text...))
+	for daemon, number := range requests {
+		s.send(daemon, tagSnapshot, append(number, text...))
 	}
 }
 
@@ -178,14 +179,14 @@
 		}
 		for end := time.Now().Add(time.Second); ; time.Sleep(5 * time.Millisecond) {
 			s.mu.Lock()
-			same, all := s.state.Counts().NewCells == before, true
+			same, complete := s.state.Counts().NewCells == before, true
 			for _, d := range daemons {
 				digest, ok := s.digests[d]
-				all = all && ok
+				complete = complete && ok
 				same = same && ok && s.state.MatchesDigest(time.Since(s.start), digest)
 			}
 			s.mu.Unlock()
-			if all {
+			if complete {
 				return same
 			}
 			if time.Now().After(end) {
@@ -195,7 +196,7 @@
 	})
 }
 
-// messages returns the peer's state, encoded as messages.
+// messages returns the peer's whole state, encoded as messages of cells.
 func (s *testPeer) messages(t *testing.T) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/cluster/gossip_test.go
+++ b/internal/testkit/cluster/gossip_test.go
@@ -26,7 +26,7 @@
 // gossipSite returns the site sections that enable gossip and metrics of daemon i, and the metrics address.
 func gossipSite(t *testing.T, f *Fleet, i int) (site map[string]any, metrics string) {
 	t.Helper()
-	at, err := FreeAddress()
+	metricsAddress, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,12 +37,13 @@
 			via[f.PeerAddr(j)] = f.PeerAddrFrom(i, j)
 		}
 	}
-	// The half-life is long enough that no observation decays during a scenario.
-	return map[string]any{"metrics": map[string]any{"address": at},
-		"peers": map[string]any{"listen": f.PeerAddr(i), "seeds": seeds, "via": via, "every_ms": 50, "half_life_ms": 60000}}, at
+	// The half-life is scenarioTimeout, so observations keep most of their weight during a scenario.
+	return map[string]any{"metrics": map[string]any{"address": metricsAddress},
+		"peers": map[string]any{"listen": f.PeerAddr(i), "seeds": seeds, "via": via, "every_ms": 50, "half_life_ms": 60000}}, metricsAddress
 }
 
-// newGossipFixture starts daemons that gossip with each other, except those listed, and returns their metrics addresses.
+// newGossipFixture starts daemons that gossip with each other, except those in withoutPeers, which have no site section peers.
+// It returns the metrics addresses of all daemons.
 func newGossipFixture(t *testing.T, opt Options, withoutPeers ...int) (*fixture, []string) {
 	t.Helper()
 	var metrics []string
@@ -54,8 +55,8 @@
 	opt.Settings = settings
 	extraArgs := opt.Args
 	opt.Args = func(f *Fleet, i int) []string {
-		site, at := gossipSite(t, f, i)
-		metrics = append(metrics, at)
+		site, metricsAddress := gossipSite(t, f, i)
+		metrics = append(metrics, metricsAddress)
 		site["estimate"] = map[string]any{}
 		for _, s := range withoutPeers {
 			if s == i {
@@ -107,12 +108,12 @@
 	return 0
 }
 
-// waitMetric waits until a metric of each daemon meets a condition.
+// waitMetric waits until a metric of each daemon meets a condition, one daemon after the other.
 func (w *gossipFixture) waitMetric(name string, accept func(i int, v float64) bool) {
 	w.t.Helper()
 	for i := range w.opt.Daemons {
 		last := 0.0
-		err := w.Wait(w.ctx, fmt.Sprint("daemon ", i, ": ", name), func() error {
+		err := w.Wait(w.ctx, fmt.Sprint("daemon ", i, " reports the expected value of metric ", name), func() error {
 			if last = w.metric(i, name); accept(i, last) {
 				return nil
 			}
@@ -136,20 +137,20 @@
 	return all
 }
 
-// estimate requests the estimate of a read at a node from daemon i's admin endpoint.
+// estimate requests the estimated cost of a read at a node from daemon i's admin endpoint.
 func (w *gossipFixture) estimate(i int, node string) gjson.Result {
 	w.t.Helper()
 	body := `{"plans":[{"name":"a","root":{"work":{"shard":0,"class":"read","units":1,"node":"` + node + `"}}}]}`
-	r, err := noKeepAliveClient.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
+	response, err := noKeepAliveClient.Post("http://"+w.AdminAddress(i)+"/api/estimate", "application/json", strings.NewReader(body))
 	w.must(err)
-	defer r.Body.Close()
-	text, err := io.ReadAll(r.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	w.must(err)
 	if gjson.GetBytes(text, "code").Str == "cost-unknown-name" { // no observation of this incarnation of the node yet
 		return gjson.Result{}
 	}
-	if r.StatusCode != http.StatusOK {
-		w.t.Fatalf("estimate answered with code %d: %s", r.StatusCode, text)
+	if response.StatusCode != http.StatusOK {
+		w.t.Fatalf("estimate answered with code %d: %s", response.StatusCode, text)
 	}
 	return gjson.GetBytes(text, "plans.0")
 }
@@ -164,7 +165,7 @@
 func (w *gossipFixture) waitPeerFault(count func(link.Counts) int, pairs ...[2]int) {
 	w.t.Helper()
 	for _, p := range pairs {
-		w.waitUntil(fmt.Sprint("the fault occurs between ", p), func() bool { return count(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
+		w.waitUntil(fmt.Sprint("the fault occurs on the link between daemons ", p), func() bool { return count(w.PeerLink(p[0], p[1]).Counts(link.Both)) > 0 })
 	}
 }
 
@@ -177,7 +178,7 @@
 	w.waitConverged(s, w.daemonNames()...)
 }
 
-// mergeAll returns one state with all messages merged.
+// mergeAll returns one state into which all messages are merged.
 func mergeAll(t *testing.T, all ...[][]byte) *nodestats.State {
 	t.Helper()
 	s, err := nodestats.New(nodestats.Defaults(), "one", 1)
@@ -214,7 +215,7 @@
 			w.waitConverged(b, "n1", "n2")
 			merged := mergeAll(w.t, a.messages(w.t), b.messages(w.t))
 			if merged.MatchesDigest(0, a.digests["n0"]) || merged.MatchesDigest(0, b.digests["n1"]) {
-				w.t.Error("the states did not diverge during the partition")
+				w.t.Error("a daemon had the merge of both sides' states during the partition, so the states did not diverge")
 			}
 			a.close()
 			b.close()
@@ -229,11 +230,11 @@
 		}},
 		{fault: "a daemon is suspended for 5 s and resumes with old observations", expected: "its observations of others replace no newer ones; all states are equal", run: func(w *gossipFixture) {
 			s := w.newTestPeer("s", w.allDaemons()...)
-			w.must(w.Stop(0))
+			w.must(w.Suspend(0))
 			w.waitServed(minServed, 0)
-			time.Sleep(5 * time.Second) // the fault itself
+			time.Sleep(5 * time.Second) // the daemon stays suspended this long
 			olderCells := []float64{0, w.metric(1, "observations_older_cells"), w.metric(2, "observations_older_cells")}
-			w.must(w.Continue(0))
+			w.must(w.Resume(0))
 			w.waitMetric("observations_older_cells", func(i int, v float64) bool { return i == 0 || v > olderCells[i] })
 			w.waitServed(minServed)
 			w.stopAndConverge(s)
@@ -341,14 +342,14 @@
 			x.run(w)
 			for i := range w.opt.Daemons {
 				if err := w.Proc(i).Signal(syscall.Signal(0)); err != nil {
-					t.Errorf("daemon %d has exited", i)
+					t.Errorf("daemon %d is not running at the end of the scenario", i)
 				}
 			}
 		})
 	}
 }
 
-// waitAllOrigins waits until the test peer has received observations of each daemon, under traffic.
+// waitAllOrigins requests the daemons' cells until the test peer has observations from each of them. It needs traffic.
 func (w *gossipFixture) waitAllOrigins(s *testPeer) {
 	w.t.Helper()
 	w.waitUntil("the test peer has observations of all daemons", func() bool {
@@ -370,7 +371,7 @@
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	w.must(err)
 	if len(links) < 5 {
-		w.t.Fatalf("daemon %d has only %d open files", i, len(links))
+		w.t.Fatalf("daemon %d has only %d open files, fewer than expected of a running daemon", i, len(links))
 	}
 	inodes := map[string]bool{}
 	for _, l := range links {
@@ -400,10 +401,10 @@
 	w.waitServed(minServed)
 	for i := range w.opt.Daemons {
 		if i > 0 {
-			w.waitUntil("the daemon has two members", func() bool { return w.metric(i, "peers_members") == 2 })
+			w.waitUntil("each daemon with the section peers has two members", func() bool { return w.metric(i, "peers_members") == 2 })
 		}
 		if n := w.udpSockets(i); (n > 0) != (i > 0) {
-			t.Errorf("daemon %d: %d UDP sockets", i, n)
+			t.Errorf("daemon %d has %d UDP sockets; only daemons other than 0 may have any, and must", i, n)
 		}
 	}
 	w.stopAndAudit()
@@ -419,7 +420,7 @@
 		}
 		for _, part := range []string{"wheatsaddle/internal/gossip.", "hashicorp/memberlist."} {
 			if strings.Contains(text, part) != (i > 0) {
-				t.Errorf("daemon %d: %s in the stack dump: %v", i, part, i == 0)
+				t.Errorf("the stack dump of daemon %d contains %s: %v, expected the opposite", i, part, i == 0)
 			}
 		}
 	}
--- a/internal/testkit/cluster/history.go
+++ b/internal/testkit/cluster/history.go
@@ -37,13 +37,13 @@
 		}
 		return t.Sub(f.start)
 	}
-	type linkConn struct { // of one client address, in order of opening, as a port may be reused
+	type linkConn struct { // a connection and the scheduler that opened it
 		link.Conn
 		scheduler int
 	}
 	recordPart := partRecorder(h.Requests)
 	for j, n := range f.nodes {
-		conns := map[string][]linkConn{}
+		conns := map[string][]linkConn{} // by address seen by the node, in order of opening, as a port may be reused
 		for i := range f.storageLinks {
 			if f.storageLinks[i][j] == nil {
 				continue
@@ -79,27 +79,27 @@
 
 // partRecorder returns a function that turns a part of a gathered read, which no client sent, into a request of the scheduler
 // that sent it. It does so once for each part ID, which consists of the client's request ID, a slash and a suffix.
-func partRecorder(taken []historycheck.Request) func(id string, scheduler int, at time.Duration) (historycheck.Request, bool) {
+func partRecorder(requests []historycheck.Request) func(id string, scheduler int, at time.Duration) (historycheck.Request, bool) {
 	byID := map[string]historycheck.Request{}
-	for _, t := range taken {
+	for _, t := range requests {
 		byID[t.ID] = t
 	}
 	return func(id string, scheduler int, at time.Duration) (historycheck.Request, bool) {
-		of, _, part := strings.Cut(id, "/")
-		t, known := byID[of]
-		if _, seen := byID[id]; seen || !part || !known {
+		parentID, _, isPart := strings.Cut(id, "/")
+		t, known := byID[parentID]
+		if _, seen := byID[id]; seen || !isPart || !known {
 			return t, false
 		}
-		t.ID, t.ParentID, t.Scheduler, t.At = id, of, scheduler, at
+		t.ID, t.ParentID, t.Scheduler, t.At = id, parentID, scheduler, at
 		byID[id] = t
 		return t, true
 	}
 }
 
-// Rules returns the rules that the history is checked against, derived from the daemons' settings.
+// Rules returns the rules against which the audit checks the history, derived from the daemons' settings.
 func (f *Fleet) Rules() historycheck.Rules {
-	set := f.settings
-	section := func(name string) map[string]any { m, _ := set[name].(map[string]any); return m }
+	settings := f.settings
+	section := func(name string) map[string]any { m, _ := settings[name].(map[string]any); return m }
 	number := func(m map[string]any, key string) float64 {
 		switch v := m[key].(type) {
 		case int:
@@ -115,10 +115,10 @@
 	r := historycheck.Rules{NonIdempotent: map[string]bool{}, Hedging: hedging, Grace: milliseconds(number(rules, "stop-sending-within")), AskWithin: milliseconds(number(rules, "ask-within")),
 		Plans: map[string]historycheck.Plan{}, MeanUnits: number(extra, "usual-units"), SlowStartLimit: number(extra, "young-limit"), SlowStartWindow: milliseconds(number(rules, "overload-for")),
 		CreditShare: number(rules, "tip-multiple") / 2, Slack: auditSlack}
-	for _, p := range settingObjects(set["profiles"]) {
+	for _, p := range settingObjects(settings["profiles"]) {
 		r.NonIdempotent[fmt.Sprint(p["name"])] = p["repeat"] == "unsafe"
 	}
-	for _, p := range settingObjects(set["contracts"]) {
+	for _, p := range settingObjects(settings["contracts"]) {
 		if limit := number(p, "cap"); limit > 0 {
 			r.Plans[fmt.Sprint(p["name"])] = historycheck.Plan{Cap: limit, Burst: number(p, "burst")}
 		}
@@ -135,8 +135,8 @@
 
 const minStall, stallCheckInterval = 25 * time.Millisecond, 5 * time.Millisecond
 
-// watchStalls records when this program itself stalled, as its clients, links and
-// nodes then observe events later than they happened.
+// watchStalls records when this program itself stalled for more than minStall, as its clients, links and nodes then observe
+// events later than they happened.
 func (f *Fleet) watchStalls() {
 	defer f.background.Done()
 	t := time.NewTicker(stallCheckInterval)
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	misreportingPeerCount = 3 // the median of every vote, against the one correct report of the daemon itself
+	misreportingPeerCount = 3 // so that the median of every vote is false; the only correct report is the daemon's own
 	reportIntervalMS      = 50
-	reportedListVersion   = 1 << 40 // a list version that no service has
+	reportedListVersion   = 1 << 40 // a list version that no discovery service has
 )
 
 // startMisreporting cuts the daemons off from each other, so that all peers of each daemon misreport. They report that each
@@ -101,7 +101,7 @@
 	w.waitReportsReceived()
 	w.waitServed(2 * minServed)
 	if n := w.requestsAt(j); n != base {
-		w.t.Errorf("%d more requests came to node %d", n-base, j)
+		w.t.Errorf("%d more requests were sent to node %d, which may get none", n-base, j)
 	}
 }
 
@@ -153,7 +153,7 @@
 			servedBefore := w.requestsAt(1)
 			w.waitUntil("the other node of its shard has served far more than the slow start allows", func() bool { return w.requestsAt(1) > servedBefore+400 })
 			if len(w.History().SlowStarts) != 1 {
-				w.t.Error("no cold start is recorded")
+				w.t.Error("the history does not hold exactly one cold start, so the audit did not check the slow start")
 			}
 		}},
 		{report: "an old list with a node that has left is the newest", expected: "each daemon keeps its own list", latencyMS: fast, run: func(w *gossipFixture) {
@@ -172,7 +172,7 @@
 			w.checkNoRequests(0)
 			for i := range w.opt.Daemons {
 				if own := w.metric(i, "peers_list_oldest_version"); own >= reportedListVersion || own < firstIndex {
-					w.t.Errorf("daemon %d reports list version %v", i, own)
+					w.t.Errorf("daemon %d reports list version %v, which is not one of its own discovery service", i, own)
 				}
 			}
 		}},
@@ -200,12 +200,12 @@
 // excludeNode excludes a node at a daemon's admin endpoint.
 func (w *gossipFixture) excludeNode(i int, node string) {
 	w.t.Helper()
-	q, err := http.NewRequestWithContext(w.ctx, http.MethodPut, "http://"+w.AdminAddress(i)+"/api/exclude?who="+node, nil)
+	request, err := http.NewRequestWithContext(w.ctx, http.MethodPut, "http://"+w.AdminAddress(i)+"/api/exclude?who="+node, nil)
 	w.must(err)
-	r, err := noKeepAliveClient.Do(q)
+	response, err := noKeepAliveClient.Do(request)
 	w.must(err)
-	r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		w.t.Fatalf("exclude request answered with code %d", r.StatusCode)
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		w.t.Fatalf("exclude request answered with code %d", response.StatusCode)
 	}
 }
--- a/internal/testkit/cluster/observations_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -33,7 +33,7 @@
 	return os.WriteFile(file, text, 0o600)
 }
 
-// viewsByKey returns the views of the peer's state.
+// viewsByKey returns the views of the peer's state, by their keys.
 func (s *testPeer) viewsByKey() map[nodestats.Key]nodestats.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,8 +44,8 @@
 	return all
 }
 
-// Daemons report the hardware type of nodes from the site file and their windows, which are absent for nodes that get no new
-// requests. A daemon whose list is silent counts as behind at all daemons until it has received the list.
+// Daemons report to their peers the hardware type of each node, from the site file, and its window, which is absent for a node
+// that gets no new requests. All daemons count a daemon whose list is silent as behind until it has received the list.
 func TestNodeObservationsReachPeers(t *testing.T) {
 	w := &gossipFixture{}
 	w.fixture, w.metrics = newGossipFixture(t, Options{Args: func(f *Fleet, i int) []string {
@@ -84,8 +84,8 @@
 	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 1 })
 	w.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 	for i := range w.opt.Daemons {
-		if old, now := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); now != old+1 {
-			t.Errorf("daemon %d: list versions %v to %v", i, old, now)
+		if oldest, newest := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); newest != oldest+1 {
+			t.Errorf("daemon %d reports list versions from %v to %v, expected two successive ones", i, oldest, newest)
 		}
 	}
 	w.must(w.SetListFault(2, ListHealthy))
--- a/internal/testkit/cluster/ports_test.go
+++ b/internal/testkit/cluster/ports_test.go
@@ -35,12 +35,12 @@
 		})
 	}
 	for range 100 {
-		at, err := FreeAddress()
+		addr, err := FreeAddress()
 		if err != nil {
 			t.Error(err)
 			break
 		}
-		ln, err := net.Listen("tcp", at)
+		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			t.Error(err)
 			break
@@ -53,11 +53,11 @@
 
 // A returned address stays reserved: nobody else can bind it without SO_REUSEADDR, and connecting to it fails.
 func TestFreeAddressStaysReserved(t *testing.T) {
-	at, err := FreeAddress()
+	addr, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := net.ResolveTCPAddr("tcp4", at)
+	a, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,9 +67,9 @@
 	}
 	defer func() { _ = syscall.Close(fd) }()
 	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(a.IP.To4())}); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Error("bind to the reserved address: ", err)
+		t.Error("bind to the reserved address did not fail with EADDRINUSE: ", err)
 	}
-	if _, err = net.Dial("tcp", at); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Error("dial of the reserved address: ", err)
+	if _, err = net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Error("dial of the reserved address did not fail with ECONNREFUSED: ", err)
 	}
 }
--- a/internal/testkit/cluster/proc.go
+++ b/internal/testkit/cluster/proc.go
@@ -41,8 +41,8 @@
 	AdminAddress            string // of the admin endpoint; "": none
 	Seed                    uint64
 	MemoryMB                int
-	Known                   []Entry
-	Index                   int64 // version of Known; 0: 1
+	Known                   []Entry // the endpoint list until the discovery service has sent one
+	Index                   int64   // version of Known; 0: 1
 	Settings                map[string]any
 }
 
@@ -67,12 +67,12 @@
 
 var ports struct {
 	sync.Mutex
-	blocks []int
-	locks  []net.Listener
-	next   int
+	blocks []int          // the claimed blocks
+	locks  []net.Listener // of the claimed blocks
+	next   int            // index of the next port to reserve, counted over the claimed blocks
 }
 
-// claimPortBlock locks one more block of ports. The caller holds the mutex.
+// claimPortBlock locks one more block of ports. It returns false if none is free. The caller holds the mutex of ports.
 func claimPortBlock() bool {
 	const blockCount = (endPort - firstPort) / portsPerBlock
 	for k := range blockCount {
@@ -137,7 +137,7 @@
 	cmd            *exec.Cmd
 	exited         chan struct{} // closed once cmd has exited; exitErr then holds its error
 	exitErr        error
-	starts         int // number of starts
+	starts         int
 }
 
 // NewProc returns a process that is not started yet. Its output is appended to logFile.
@@ -241,7 +241,8 @@
 	}
 }
 
-// Wait waits until the process has exited and returns its exit error.
+// Wait waits until the process has exited and returns its exit error. If the process was never started, it returns nil
+// immediately.
 func (p *Proc) Wait(ctx context.Context) error {
 	p.mu.Lock()
 	ended := p.exited
@@ -283,7 +284,7 @@
 	return string(text)
 }
 
-// Ready queries the process's readiness directly, without any link.
+// Ready queries the process directly, without any link, and returns nil if it reports that it is ready.
 func (p *Proc) Ready() error {
 	if !p.Alive() {
 		return os.ErrProcessDone
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -26,8 +26,8 @@
 	logDrained   = `msg="handover complete" open_connections=0`
 )
 
-// shortColdStart shortens the slow start of a node that is included again.
-var shortColdStart = map[string]any{"rules": map[string]any{"cold": 100}}
+// shortSlowStart shortens the slow start of a node that is included again to 100 ms.
+var shortSlowStart = map[string]any{"rules": map[string]any{"cold": 100}}
 
 // handoverFixture is one scheduler whose processes replace each other on one passed socket.
 type handoverFixture struct {
@@ -44,11 +44,12 @@
 func (r *handoverFixture) checkNotLogged(p *Proc, text string) {
 	r.t.Helper()
 	if strings.Contains(p.Log(), text) {
-		r.t.Errorf("%s has logged: %s", p.Name, text)
+		r.t.Errorf("%s has logged a text that it must not log: %s", p.Name, text)
 	}
 }
 
-// startNext starts a process beside the active one. It reports readiness but does not accept connections while the active one does.
+// startNext starts a process beside the active one and waits until it is ready. The new process must not accept connections while
+// the active one does.
 func (r *handoverFixture) startNext() *Proc {
 	r.t.Helper()
 	p, err := r.StartReplacement(0, nil)
@@ -88,15 +89,16 @@
 	r.active = p
 }
 
-func (r *handoverFixture) callAdmin(p *Proc, method, call string) {
+// callAdmin sends a request to a process's admin endpoint and expects code 200.
+func (r *handoverFixture) callAdmin(p *Proc, method, path string) {
 	r.t.Helper()
-	q, err := http.NewRequestWithContext(r.ctx, method, "http://"+p.adminAddress+call, nil)
+	request, err := http.NewRequestWithContext(r.ctx, method, "http://"+p.adminAddress+path, nil)
 	r.must(err)
-	a, err := noKeepAliveClient.Do(q)
+	response, err := noKeepAliveClient.Do(request)
 	r.must(err)
-	defer a.Body.Close()
-	if a.StatusCode != 200 {
-		r.t.Fatalf("%s %s answered with code %d", method, call, a.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		r.t.Fatalf("%s %s answered with code %d", method, path, response.StatusCode)
 	}
 }
 
@@ -129,16 +131,16 @@
 			r.killActive(r.startNext())
 			r.handOver(r.startNext())
 		}},
-		{fault: "the active process is suspended, then killed", expected: "no other serves meanwhile, as it would use its limits on resuming; then the next one serves", run: func(r *handoverFixture) {
+		{fault: "the active process is suspended, then killed", expected: "the next one serves only after the kill, as the suspended one would use the same limits once resumed", run: func(r *handoverFixture) {
 			p := r.startNext()
-			r.must(r.Stop(0))
+			r.must(r.Suspend(0))
 			r.waitUntil("no process serves", func() bool {
 				return r.Send(ClientRequest{Deadline: 200 * time.Millisecond}).End == historycheck.NoResponse
 			})
 			r.checkNotLogged(p, logAccepting)
 			r.must(r.active.Signal(syscall.SIGTERM)) // stays pending while the process is suspended
 			r.killActive(p)
-			_ = r.Continue(0) // only ends the recorded pause
+			_ = r.Resume(0) // only ends the recorded pause
 			r.handOver(r.startNext())
 		}},
 		{fault: "the new process is killed while it waits", expected: "the active one keeps serving, and another replaces it", run: func(r *handoverFixture) {
@@ -166,7 +168,7 @@
 				p, err := r.StartReplacement(0, change)
 				r.must(err)
 				if err := p.Wait(r.ctx); err == nil || !strings.Contains(p.Log(), "code: "+code) || !strings.Contains(p.Log(), "advice: ") {
-					r.t.Errorf("%s: %v\n%s", code, err, p.Log())
+					r.t.Errorf("the process did not fail with code %s and an advice: exit error %v\n%s", code, err, p.Log())
 				}
 				r.waitServed(minServed)
 			}
@@ -193,13 +195,13 @@
 			r.must(err)
 			var a fasthttp.Response
 			if err := a.Read(bufio.NewReader(nc)); err != nil || a.StatusCode() != 200 || !a.ConnectionClose() {
-				r.t.Errorf("answer: %v, code %d, connection close: %v", err, a.StatusCode(), a.ConnectionClose())
+				r.t.Errorf("expected an answer with code 200 that closes the connection: error %v, code %d, connection close: %v", err, a.StatusCode(), a.ConnectionClose())
 			}
 			r.mu.Lock()
 			r.history.Outcomes = append(r.history.Outcomes, historycheck.Outcome{ID: m.ID, At: r.Fleet.now(), Kind: historycheck.Complete})
 			r.mu.Unlock()
 			if n, err := nc.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-				r.t.Errorf("%d bytes after the answer, %v", n, err)
+				r.t.Errorf("the connection was not closed after the answer: read %d bytes, error %v", n, err)
 			}
 			r.must(r.active.Wait(r.ctx))
 			r.active = p
@@ -234,7 +236,7 @@
 					terminated = true
 				}
 				if err := a.Read(br); err != nil {
-					r.t.Errorf("answer %d: %v", n, err)
+					r.t.Errorf("pipelined answer %d cannot be read: %v", n, err)
 					break
 				}
 				if terminated {
@@ -245,8 +247,8 @@
 				r.mu.Unlock()
 				closed = a.ConnectionClose()
 			}
-			if answersAfterTerm < pipelined/2 { // fewer only by those read before the SIGTERM
-				r.t.Errorf("%d answers after SIGTERM, %d in all", answersAfterTerm, n)
+			if answersAfterTerm < pipelined/2 { // all requests were sent before the SIGTERM, and only 2 answers were read before it
+				r.t.Errorf("only %d of %d answers came after the SIGTERM, fewer than half of the requests", answersAfterTerm, n)
 			}
 			r.mu.Lock()
 			for _, id := range ids[n:] {
@@ -260,7 +262,7 @@
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
+			r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortSlowStart})}
 			r.active = r.Proc(0)
 			stopKeptConns := r.Run(r.ctx, Load{Clients: 4, Pause: 3 * time.Millisecond, Request: mixedRequest})
 			stopLimited := r.Run(r.ctx, Load{Clients: 3, Pause: 10 * time.Millisecond, NewConnPerRequest: true, Request: func(int, int, int) ClientRequest {
@@ -271,7 +273,7 @@
 			x.run(r)
 			r.stopAndAudit()
 			if r.answersByCode[503] == 0 {
-				t.Error("the limit was never reached")
+				t.Error("no request was rejected with code 503, so the volume's limit was never reached")
 			}
 		})
 	}
@@ -279,7 +281,7 @@
 
 // A process that cannot get the lock logs an error with advice and accepts connections beside the other one.
 func TestSocketHandoverWithoutLock(t *testing.T) {
-	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
+	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortSlowStart})}
 	r.startTraffic()
 	p, err := r.StartReplacement(0, func(p *Proc) { p.env = append(p.env, "TMPDIR="+r.Dir(0)+"/none") })
 	r.must(err)
--- a/internal/testkit/cluster/startup_test.go
+++ b/internal/testkit/cluster/startup_test.go
@@ -33,10 +33,12 @@
 	listCalls    map[string][]time.Duration
 }
 
-// coldCapacity describes how much load a node can take after a restart: what it can serve within 3 s, at 200 units per second once warmed up.
+// coldCapacity describes how much load a node can take after a restart: what it can serve within 3 s. Once warmed up it serves
+// 200 units per second.
 var coldCapacity = node.SlowStart{InitialSpeed: 0.24, Duration: 17 * time.Second, InitialUnits: 130, MeanUnits: 1, Window: 3 * time.Second, RestartDelay: 2 * time.Second}
 
-// newStartupFixture creates the fleet. snapshotFor returns the stored snapshot of daemon i and may be nil; gossip makes the daemons gossip.
+// newStartupFixture creates the fleet. start overrides the site section start. snapshotFor returns the stored snapshot of
+// daemon i; if it is nil, there is none. gossip makes the daemons gossip.
 func newStartupFixture(t *testing.T, opt Options, start map[string]any, snapshotFor func(f *Fleet, i int) []byte, gossip bool) *startupFixture {
 	t.Helper()
 	s := &startupFixture{gossipFixture: &gossipFixture{}, launchedAt: map[int]time.Duration{}, listeningAt: map[int]time.Duration{}, listenCounts: map[int]int{},
@@ -69,8 +71,8 @@
 		section := maps.Clone(s.startSection)
 		section["snapshot"] = filepath.Join(f.Dir(i), "learned")
 		err := writeSite(f, i, map[string]any{"start": section})
-		if text := snapshotFor; err == nil && text != nil {
-			err = os.WriteFile(filepath.Join(f.Dir(i), "learned"), text(f, i), 0o600)
+		if snapshotOf := snapshotFor; err == nil && snapshotOf != nil {
+			err = os.WriteFile(filepath.Join(f.Dir(i), "learned"), snapshotOf(f, i), 0o600)
 		}
 		if err != nil {
 			t.Error(err)
@@ -85,7 +87,7 @@
 	return s
 }
 
-// restartNodes restarts the nodes and lists them as just started.
+// restartNodes makes the nodes cold, as after a restart, and lists them as just started.
 func (s *startupFixture) restartNodes(nodes ...int) {
 	s.t.Helper()
 	for _, j := range nodes {
@@ -94,7 +96,7 @@
 	}
 }
 
-// launchDaemons starts the daemons and records the time.
+// launchDaemons starts the daemons and records when. It does not wait until they are ready.
 func (s *startupFixture) launchDaemons(which ...int) {
 	s.t.Helper()
 	for _, i := range which {
@@ -129,13 +131,13 @@
 func (s *startupFixture) startOverload() (stop func()) {
 	return s.Run(s.ctx, Load{Clients: 12, Pause: 5 * time.Millisecond, Skip: func(i int) bool { return !s.listens(i) },
 		Request: func(i, client, n int) ClientRequest {
-			a := mixedRequest(i, client, n)
-			a.Units = 4
-			return a
+			request := mixedRequest(i, client, n)
+			request.Units = 4
+			return request
 		}})
 }
 
-// waitEach waits until a condition holds for each daemon.
+// waitEach waits until a condition holds for each daemon, one after the other.
 func (s *startupFixture) waitEach(description string, cond func(i int) bool) {
 	s.t.Helper()
 	for i := range s.opt.Daemons {
@@ -154,7 +156,8 @@
 	return s.StorageLink(i, j).Counts(link.Forward).Conns
 }
 
-// checkNodeLoad fails the test if a node got more load than its slow start allows. It returns the highest share of the allowed load.
+// checkNodeLoad fails the test if a node got more load than its slow start allows. It returns the largest load of a node as a
+// share of the allowed load.
 func (s *startupFixture) checkNodeLoad() (maxShare float64) {
 	s.t.Helper()
 	for j := range 4 {
@@ -223,14 +226,14 @@
 				s.waitEach("it rejects requests", func(i int) bool {
 					return slices.ContainsFunc(s.Rejections(), func(r Rejection) bool { return r.Scheduler == i })
 				})
-				s.waitUntil("enough rejections", func() bool { return len(s.Rejections()) >= 3*minServed })
+				s.waitUntil("the daemons have rejected enough requests", func() bool { return len(s.Rejections()) >= 3*minServed })
 				var durations []time.Duration
 				for _, r := range s.Rejections() {
 					durations = append(durations, r.At-r.SentAt)
 				}
 				slices.Sort(durations)
 				if median := durations[len(durations)/2]; median > 500*time.Millisecond || s.Served(0)+s.Served(1)+s.Served(2) > 0 {
-					s.t.Errorf("the median rejection took %v, or a request was served without a list", median)
+					s.t.Errorf("the median rejection took %v, more than 500 ms, or a request was served without a list", median)
 				}
 				s.setListFaults(ListHealthy)
 			}},
@@ -292,7 +295,7 @@
 				defer s.mu.Unlock()
 				for i := range s.opt.Daemons {
 					if want := 2 - i%2; s.listenCounts[i] != want {
-						s.t.Errorf("daemon %d: %d incarnations listened", i, s.listenCounts[i])
+						s.t.Errorf("daemon %d: %d incarnations have listened, expected one for each start", i, s.listenCounts[i])
 					}
 				}
 			}},
@@ -338,7 +341,7 @@
 					}
 				}
 				if slotsPassed == 0 {
-					s.t.Error("no slot of a restarted node has passed")
+					s.t.Error("no slot of a restarted node came before the last opened connection, so the scenario checked nothing")
 				}
 			}},
 		{fault: "snapshot truncated, foreign or old", expected: "one log line with an error code each; the start proceeds as without a snapshot", opt: Options{Known: true},
@@ -346,7 +349,7 @@
 				s.waitServed(minServed)
 				for i := range s.opt.Daemons {
 					if n := strings.Count(s.Proc(i).Log(), "code=snapshot-"); n != 1 || !strings.Contains(s.Proc(i).Log(), "code=snapshot-"+unusableSnapshots[i].why) {
-						s.t.Errorf("%s: %d log lines with a snapshot error code", unusableSnapshots[i].why, n)
+						s.t.Errorf("%s snapshot: %d log lines with a snapshot error code, expected one with its own code", unusableSnapshots[i].why, n)
 					}
 				}
 			}},
@@ -396,7 +399,7 @@
 			p.closeOnce.Do(func() { _ = p.list.Shutdown() }) // without leaving the membership
 		}},
 		{fault: "the peer sends an invalid snapshot and unrequested ones", expected: "dropped and counted", unusable: 2, run: func(s *startupFixture, p *testPeer) {
-			p.handOver([]byte("nonsense"))
+			p.answerSnapshotRequests([]byte("nonsense"))
 			for _, n := range s.daemonNames() {
 				p.send(n, tagSnapshot, append(make([]byte, 8), mustEncode(learnedSnapshot(s.Fleet, 0, 1, 2, 3))...))
 			}
@@ -405,7 +408,7 @@
 			misreported := learnedSnapshot(s.Fleet, 0, 2, 1, 3) // with the start times that the list will have
 			misreported.Nodes = append(misreported.Nodes, snapshot.NodeState{ID: "none", Window: 1e9, Latency: -1, BestLatencyPerUnit: -1, FailureRate: -1})
 			misreported.Classes = []snapshot.ClassState{{Name: "read", Weight: 1e9, Slope: -1e9, Delay: -1}, {Name: "none"}}
-			p.handOver(mustEncode(misreported))
+			p.answerSnapshotRequests(mustEncode(misreported))
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
@@ -437,15 +440,15 @@
 	s.waitEach("its startup is complete", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 	s.killDaemon(0)
 	s.must(os.Remove(file(0)))
-	s.must(s.Stop(1))
+	s.must(s.Suspend(1))
 	s.restartNodes(0, 2)
 	s.launchDaemons(0)
 	s.waitUntil("it takes the other daemon's snapshot", func() bool { return s.listens(0) && s.metric(0, "peers_taken_snapshots") == 1 })
 	if n := s.metric(2, "peers_given_snapshots"); n != 1 {
-		t.Errorf("daemon 2 has sent %v snapshots", n)
+		t.Errorf("daemon 2 has sent %v snapshots, expected 1", n)
 	}
 	s.waitServed(minServed, 1)
-	s.must(s.Continue(1))
+	s.must(s.Resume(1))
 	s.finishAndAudit()
 }
 
--- a/internal/testkit/cluster/traffic.go
+++ b/internal/testkit/cluster/traffic.go
@@ -76,10 +76,10 @@
 }
 
 // Send sends one request on a new connection and waits for its end.
-func (f *Fleet) Send(a ClientRequest) Outcome {
-	c := f.Dial(a.Scheduler)
+func (f *Fleet) Send(request ClientRequest) Outcome {
+	c := f.Dial(request.Scheduler)
 	defer c.Close()
-	return c.Send(a)
+	return c.Send(request)
 }
 
 const shardMarker = " shard="
@@ -111,7 +111,7 @@
 		message.Body = []byte(strings.Repeat("x", request.BodySize))
 	}
 	if c.nc != nil && c.processStarts != f.procs[c.scheduler].Starts() && !f.opt.PassedSockets {
-		c.Close() // the process that it was dialed to has exited, so no running process reads from it
+		c.Close() // the process to which it was dialed has exited, so no running process reads from it
 	}
 	if c.nc == nil {
 		c.processStarts = f.procs[c.scheduler].Starts()
@@ -121,30 +121,30 @@
 		}
 		c.nc, c.br = nc, bufio.NewReader(nc)
 	}
-	taken := historycheck.Request{ID: id, Class: request.Class, Plan: request.Plan, Volume: message.Volume, Units: request.Units, Scheduler: c.scheduler, At: f.now()}
-	taken.Deadline = taken.At + request.Deadline
+	recorded := historycheck.Request{ID: id, Class: request.Class, Plan: request.Plan, Volume: message.Volume, Units: request.Units, Scheduler: c.scheduler, At: f.now()}
+	recorded.Deadline = recorded.At + request.Deadline
 	f.mu.Lock()
-	f.history.Requests = append(f.history.Requests, taken)
+	f.history.Requests = append(f.history.Requests, recorded)
 	f.mu.Unlock()
-	end, code, servedBy, retryAfter := c.exchange(message, request, time.Now())
+	end, code, responseID, retryAfter := c.exchange(message, request, time.Now())
 	outcome := Outcome{ID: id, End: end, Code: code, At: f.now()}
 	f.mu.Lock()
-	f.history.Outcomes = append(f.history.Outcomes, historycheck.Outcome{ID: id, At: outcome.At, Kind: end, ResponseID: servedBy})
+	f.history.Outcomes = append(f.history.Outcomes, historycheck.Outcome{ID: id, At: outcome.At, Kind: end, ResponseID: responseID})
 	if code == fasthttp.StatusOK && end == historycheck.Complete {
 		f.served[c.scheduler]++
 	}
 	f.answersByCode[code]++
 	if code == fasthttp.StatusServiceUnavailable {
-		f.rejections = append(f.rejections, Rejection{c.scheduler, taken.At, outcome.At, retryAfter})
+		f.rejections = append(f.rejections, Rejection{c.scheduler, recorded.At, outcome.At, retryAfter})
 	}
 	f.mu.Unlock()
 	return outcome
 }
 
-// lateAnswerWait is how long a client waits beyond its deadline, so that a late answer is recorded as such.
+// lateAnswerWait is how long a client waits beyond the deadline of its request, so that a late answer is recorded as such.
 const lateAnswerWait = 500 * time.Millisecond
 
-func (c *Conn) exchange(m client.Message, request ClientRequest, start time.Time) (end historycheck.OutcomeKind, code int, servedBy string, retryAfter time.Duration) {
+func (c *Conn) exchange(m client.Message, request ClientRequest, start time.Time) (end historycheck.OutcomeKind, code int, responseID string, retryAfter time.Duration) {
 	deadline := start.Add(request.Deadline + lateAnswerWait)
 	if request.DisconnectAfter > 0 {
 		deadline = start.Add(request.DisconnectAfter)
@@ -171,25 +171,25 @@
 		return failed(err, historycheck.Truncated), 0, "", 0
 	}
 	if r.StatusCode() == fasthttp.StatusOK {
-		servedBy, _, _ = strings.Cut(string(r.Body()), shardMarker)
+		responseID, _, _ = strings.Cut(string(r.Body()), shardMarker)
 	}
 	if s, err := strconv.ParseFloat(string(r.Header.Peek("Retry-After")), 64); err == nil {
 		retryAfter = time.Duration(s * float64(time.Second))
 	}
 	if c.br.Buffered() > 0 { // more bytes than one answer
 		c.Close()
-		return historycheck.Truncated, r.StatusCode(), servedBy, retryAfter
+		return historycheck.Truncated, r.StatusCode(), responseID, retryAfter
 	}
 	if r.ConnectionClose() {
 		c.Close()
 	}
-	return historycheck.Complete, r.StatusCode(), servedBy, retryAfter
+	return historycheck.Complete, r.StatusCode(), responseID, retryAfter
 }
 
-// Load is traffic from clients that reuse their connections. Each scheduler has this many clients. Each of
-// them sends a request, waits for its end, pauses and sends the next one.
+// Load is traffic from clients that reuse their connections. Each of them sends a request, waits for its
+// end, pauses and sends the next one.
 type Load struct {
-	Clients           int
+	Clients           int // per scheduler
 	Pause             time.Duration
 	Request           func(scheduler, client, n int) ClientRequest
 	NewConnPerRequest bool                     // each request uses a new connection
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -17,8 +17,8 @@
 // sends has to be understood by this version, and the other way round.
 const previousCommit = "cb6334f9c4b2c953f51c284076231b4b2695ce50"
 
-// previousDaemon builds the daemon of previousCommit from the repository's own history, once for all tests. Where the
-// history is not there the test is skipped: the bytes that the packages recorded then stand for it.
+// previousDaemon builds the daemon of previousCommit from the repository's own history, once for all tests. It skips the test
+// if the history does not contain that commit; the packages' tests on recorded bytes and files still check the formats then.
 func previousDaemon(t *testing.T) string {
 	t.Helper()
 	path, err := buildPrevious()
@@ -47,7 +47,7 @@
 	const script = `git -C "$0" archive "$1" | tar -x -C "$2" && cd "$2" && go build -o wheatsaddle-previous ./cmd/wheatsaddle`
 	build := exec.Command("bash", "-c", "set -o pipefail; "+script, string(top[:len(top)-1]), previousCommit, dir)
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("previous version: %w\n%s", err, out)
+		return "", fmt.Errorf("the previous version cannot be built: %w\n%s", err, out)
 	}
 	return filepath.Join(dir, "wheatsaddle-previous"), nil
 })
@@ -55,17 +55,18 @@
 var previousDir string // created by buildPrevious; "": none
 
 // A process of the previous version and one of this version take over the passed socket from each other under load, in
-// both directions, and nothing is lost. A node that an operator excluded stays excluded: each reads the other's file.
+// both directions, and no request is lost. A node that an operator excluded stays excluded, as each version reads the exclusions
+// that the other one stored.
 func TestSocketHandoverBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
-	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortColdStart})}
+	r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortSlowStart})}
 	r.active = r.Proc(0)
 	r.startTraffic()
 	r.waitServed(minServed)
 	r.callAdmin(r.active, "PUT", "/api/exclude?who=s0")
 	excludedFrom := r.Fleet.now() + r.Rules().Grace + auditSlack
 	r.waitUntil("the exclusion applies", func() bool { return r.Fleet.now() > excludedFrom })
-	for _, daemon := range []string{previous, r.opt.Daemon, previous} {
+	for _, daemon := range []string{previous, r.opt.Daemon, previous} { // the first process is of this version
 		next, err := r.StartReplacement(0, func(p *Proc) { p.daemon = daemon })
 		r.must(err)
 		r.must(r.Wait(r.ctx, next.Name+" is ready", next.Ready))
@@ -92,7 +93,7 @@
 // other hands over.
 func TestGossipBetweenVersions(t *testing.T) {
 	previous := previousDaemon(t)
-	const older, newer, third = 1, 0, 2
+	const older, newer, third = 1, 0, 2 // daemons; the third is of this version, too
 	for _, x := range []struct {
 		name             string
 		starting, giving int
@@ -109,7 +110,7 @@
 			s.waitEach("its startup is complete", func(i int) bool { _, err := os.Stat(file(i)); return err == nil })
 			s.waitMetric("peers_members", func(_ int, v float64) bool { return v == 3 })
 			s.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
-			s.must(s.Stop(third)) // so that only the other version can hand over a snapshot
+			s.must(s.Suspend(third)) // so that only the other version can hand over a snapshot
 			s.killDaemon(x.starting)
 			s.must(os.Remove(file(x.starting)))
 			s.restartNodes(0, 2)
@@ -118,10 +119,10 @@
 				return s.listens(x.starting) && s.metric(x.starting, "peers_taken_snapshots") == 1
 			})
 			if n := s.metric(x.giving, "peers_given_snapshots"); n != 1 {
-				t.Errorf("daemon %d handed over %v snapshots", x.giving, n)
+				t.Errorf("daemon %d handed over %v snapshots, expected 1", x.giving, n)
 			}
 			s.waitServed(minServed, third)
-			s.must(s.Continue(third))
+			s.must(s.Resume(third))
 			s.finishAndAudit()
 		})
 	}
@@ -159,7 +160,7 @@
 	for i := range w.opt.Daemons {
 		basis := w.estimate(i, "s0").Get("rests_on")
 		if basis.Get("level").Str != "node" || basis.Get("origins").Num != 3 {
-			t.Errorf("daemon %d estimates s0 from %s", i, basis.Raw)
+			t.Errorf("daemon %d estimates node s0 not from observations of it by all three daemons, but from %s", i, basis.Raw)
 		}
 	}
 }
@@ -190,12 +191,12 @@
 				}
 				g.checkComplete("a read", g.read("read", defaultPlan, deadline), deadline)
 				if n := g.countParts(true); n != shards*3/4 || g.countParts(false) != shards/4 {
-					t.Errorf("%d parts by groups, %d by the coordinator itself", n, g.countParts(false))
+					t.Errorf("%d parts were sent by groups and %d by the coordinator itself, expected three quarters and a quarter", n, g.countParts(false))
 				}
 				g.must(g.delegationLinks[0].SetFault(link.Backward, link.Fault{ResetAfter: 9000}))
 				g.checkComplete("a read over a cut link", g.read("read", defaultPlan, deadline), deadline)
 				if g.delegationLinks[0].Counts(link.Backward).Reset == 0 {
-					t.Error("the link was not cut")
+					t.Error("the link did not cut an answer, so the scenario checked nothing")
 				}
 				g.audit()
 			})
@@ -222,7 +223,7 @@
 		want, previousErr := check(previous)
 		got, err := check(daemonPath)
 		if err != nil || previousErr != nil || got != want {
-			t.Errorf("%s: %v, previous version %v\n%s\nprevious version:\n%s", x.config, err, previousErr, got, want)
+			t.Errorf("%s is not accepted by both versions with equal output: this version: %v, previous version: %v\n%s\nprevious version:\n%s", x.config, err, previousErr, got, want)
 		}
 	}
 }
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -39,7 +39,7 @@
 // Fleet is a running fleet.
 type Fleet struct {
 	Nodes   []*node.Node
-	Targets []string // addresses of the schedulers
+	Targets []string // addresses at which the schedulers accept clients
 	daemons []*cluster.Proc
 	dir     string
 	log     logrus.FieldLogger
@@ -180,7 +180,8 @@
 	return total
 }
 
-// Stop terminates the schedulers as an operator does, and returns the errors of those that did not exit cleanly.
+// Stop sends each scheduler a SIGTERM, as an operator does, and waits until it has exited. It kills one that has not exited
+// within stopTimeout. It returns the errors of those that did not exit cleanly.
 func (f *Fleet) Stop() error {
 	var errs []error
 	for i, p := range f.daemons {
@@ -192,7 +193,7 @@
 		}
 		kill := time.AfterFunc(stopTimeout, func() { _ = p.Signal(syscall.SIGKILL) })
 		if err := p.Wait(context.Background()); err != nil {
-			errs = append(errs, fmt.Errorf("scheduler %d exited: %w", i, err))
+			errs = append(errs, fmt.Errorf("scheduler %d did not exit cleanly: %w", i, err))
 		}
 		kill.Stop()
 	}
@@ -202,7 +203,7 @@
 // Close stops everything that the fleet started.
 func (f *Fleet) Close() {
 	if err := f.Stop(); err != nil {
-		f.log.WithError(err).Warn("scheduler did not exit cleanly")
+		f.log.WithError(err).Warn("not all schedulers were stopped cleanly")
 	}
 	for _, n := range f.Nodes {
 		n.Close()
