--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks the platform's protocol as a card app's client does. It sends one request at a
+// Package client implements the platform's protocol as a client of a card app does. It sends one request at a
 // time on a connection, reuses idle connections and opens others as needed. It sends a request a second
 // time, on a new connection, only if the server closed a reused connection while the request was on its
 // way. It does not limit its rate.
--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -9,7 +9,7 @@
 )
 
 // unansweredAtClose counts the requests to a terminating daemon that were in flight when it first closed a connection, and
-// got no answer. Until then no client had a reason to reconnect. The audit checks that none of them was sent on.
+// got no answer. Until then no client had a reason to reconnect. The audit checks that none of them was forwarded to a node.
 func (w *fixture) unansweredAtClose(i int, since time.Duration) (n int) {
 	h := w.History()
 	sentAt := map[string]time.Duration{}
@@ -33,8 +33,8 @@
 }
 
 // countDisconnects counts the requests whose clients disconnected before the first attempt was written, and those of
-// them that were sent on more than 0.3 s later.
-func countDisconnects(h historycheck.History) (waiting, sentOn int) {
+// them that were forwarded to a node more than 0.3 s later.
+func countDisconnects(h historycheck.History) (waiting, forwardedLate int) {
 	firstAttempt := map[string]time.Duration{}
 	for _, s := range h.Attempts {
 		if at, ok := firstAttempt[s.ID]; !ok || s.FirstByte < at {
@@ -48,14 +48,14 @@
 		}
 		waiting++
 		if sent && at > a.At+300*time.Millisecond {
-			sentOn++
+			forwardedLate++
 		}
 	}
-	return waiting, sentOn
+	return waiting, forwardedLate
 }
 
 // Connections close while requests are in flight or waiting, because a daemon terminates, a client disconnects or all
-// daemons restart. The audit of each scenario checks that no request is sent on after its client has gone.
+// daemons restart. The audit of each scenario checks that no request is forwarded to a node after its client has disconnected.
 func TestConnectionCloses(t *testing.T) {
 	const slow = 60 * time.Millisecond
 	for _, x := range []struct {
@@ -64,7 +64,7 @@
 		service         time.Duration
 		run             func(*fixture)
 	}{
-		{fault: "SIGTERM while clients keep sending on open connections", expected: "served until the connections close; requests in flight at the close are not sent on",
+		{fault: "SIGTERM while clients keep sending on open connections", expected: "served until the connections close; requests in flight at the close are not forwarded",
 			service: slow, run: func(w *fixture) {
 				w.must(w.ClientLink(0).SetFault(link.Forward, link.Fault{Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}))
 				for inFlight := 0; inFlight == 0; { // until at least one request was in flight at the close
@@ -96,7 +96,7 @@
 			w.must(w.Restart(w.ctx, 0))
 			w.waitServed(minServed)
 		}},
-		{fault: "clients disconnect while their requests wait for a connection", expected: "requests still waiting are not sent on later", opt: Options{
+		{fault: "clients disconnect while their requests wait for a connection", expected: "requests still waiting are not forwarded later", opt: Options{
 			Settings: map[string]any{"ceilings": map[string]any{"connect-timeout": 3000}}}, run: func(w *fixture) {
 			setLinks := func(f link.Fault, inNewState func(*link.Link) bool) {
 				for i := range w.opt.Daemons {
@@ -116,12 +116,12 @@
 					return ClientRequest{Shard: n % 2, Volume: client, Deadline: 3 * time.Second, DisconnectAfter: 100 * time.Millisecond}
 				}})
 				w.waitUntil("clients disconnect while their requests wait", func() bool { n, _ := countDisconnects(w.History()); return n >= minDisconnects })
-				stop() // connections open within 1 s after the next line, when requests still waiting would be sent on
+				stop() // connections open within 1 s after the next line; requests still waiting would then be forwarded
 				setLinks(link.Fault{}, func(l *link.Link) bool { return l.PendingConnects() == 0 })
 				w.waitServed(minServed)
 			}
-			waited, sentLate := countDisconnects(w.History())
-			if w.t.Logf("%d requests waited when their client disconnected, %d of them were sent on more than 0.3 s later; at most a quarter may be", waited, sentLate); 4*sentLate > waited {
+			waited, forwardedLate := countDisconnects(w.History())
+			if w.t.Logf("%d requests waited when their client disconnected, %d of them were forwarded more than 0.3 s later; at most a quarter may be", waited, forwardedLate); 4*forwardedLate > waited {
 				w.t.Fail()
 			}
 		}},
--- a/internal/testkit/cluster/delegation_test.go
+++ b/internal/testkit/cluster/delegation_test.go
@@ -225,7 +225,7 @@
 func TestDelegatedGatherPeerFaults(t *testing.T) {
 	const shards, rows, defaultDeadline = 12, 500, 8 * time.Second
 	slow := link.Fault{BytesPerSecond: 16 << 10} // the answer with a group then takes some seconds
-	waitAnswerBegun := func(g *delegationFixture, j int) {
+	waitAnswerStarted := func(g *delegationFixture, j int) {
 		g.waitUntil("the peer's answer has begun", func() bool { return g.delegationLinks[j].Counts(link.Backward).Bytes > 2000 })
 	}
 	for _, x := range []struct {
@@ -240,7 +240,7 @@
 		{fault: "no fault", expected: "each peer gathers a group, each part is sent once"},
 		{fault: "a peer is killed during the read", expected: "another peer takes over its group", failedPeers: []int{0},
 			before: func(g *delegationFixture) { g.must(g.delegationLinks[0].SetFault(link.Backward, slow)) },
-			during: func(g *delegationFixture) { waitAnswerBegun(g, 0); g.must(g.Kill(0)) }},
+			during: func(g *delegationFixture) { waitAnswerStarted(g, 0); g.must(g.Kill(0)) }},
 		{fault: "a peer is suspended", expected: "another peer takes over its group", failedPeers: []int{1},
 			before: func(g *delegationFixture) { g.must(g.Suspend(1)) }},
 		{fault: "a peer's link is slow", expected: "another peer takes over its group", deadline: 6 * time.Second, failedPeers: []int{2},
@@ -265,7 +265,7 @@
 			},
 			during: func(g *delegationFixture) {
 				for j := range g.delegationLinks {
-					waitAnswerBegun(g, j)
+					waitAnswerStarted(g, j)
 				}
 				for j := range g.delegationLinks {
 					g.must(g.Kill(j))
--- a/internal/testkit/cluster/discovery_list.go
+++ b/internal/testkit/cluster/discovery_list.go
@@ -22,7 +22,7 @@
 	ListSilent            // watches are accepted but receive nothing
 	ListStalled           // open watches never receive anything again; new ones do
 	ListReset             // open and new watches are reset
-	ListDown              // nobody listens
+	ListDown              // the service does not listen
 )
 
 var listFaults = map[ListFault]discovery.Fault{ListHealthy: {}, ListSilent: {Silent: true}, ListStalled: {Silent: true, AnswerNewCalls: true, SilencePersists: true},
@@ -38,9 +38,9 @@
 	Close()
 }
 
-// firstIndex is the version of a list before its first entry. A caller without a list names an earlier version,
-// which the service's history does not reach back to, and so receives the whole list.
-const firstIndex = 8
+// initialListVersion is the version of a list before its first entry. A caller without a list names an earlier version,
+// which the service's history does not reach back to, and so receives the full list.
+const initialListVersion = 8
 
 // fakeList is a fake discovery service as one caller sees it.
 type fakeList struct {
@@ -82,7 +82,7 @@
 	service := f.sharedList
 	if service == nil {
 		options := f.opt.List
-		options.Shared, options.Index = f.listCapacity, firstIndex
+		options.Shared, options.Index = f.listCapacity, initialListVersion
 		callers := map[string]int{}
 		for k := range f.opt.Daemons {
 			callers[name(k)] = k
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -297,7 +297,7 @@
 			}
 			f.clientLinks = append(f.clientLinks, clientLink)
 		}
-		var entries, known []Entry
+		var entries, configuredEntries []Entry
 		for j := range f.nodes {
 			entries = append(entries, f.entry(i, j))
 		}
@@ -312,10 +312,10 @@
 			}
 			f.history.ListOutages = append(f.history.ListOutages, historycheck.Interval{Scheduler: i, From: 0, To: historycheck.Never, Rejected: true})
 		}
-		index := int64(0)
+		listVersion := int64(0)
 		if f.opt.Known {
-			known = slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Status == discovery.Left })
-			index = firstIndex + 1
+			configuredEntries = slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Status == discovery.Left })
+			listVersion = initialListVersion + 1
 		}
 		admin := ""
 		if f.opt.Admin {
@@ -325,7 +325,7 @@
 		}
 		f.adminAddresses = append(f.adminAddresses, admin)
 		name := fmt.Sprint("n", i)
-		config := Config{Name: name, Listen: listen, AdminAddress: admin, Discovery: listAddress, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, defaultMemoryMB), Known: known, Index: index,
+		config := Config{Name: name, Listen: listen, AdminAddress: admin, Discovery: listAddress, Seed: f.opt.Seed + uint64(i), MemoryMB: cmp.Or(f.opt.MemoryMB, defaultMemoryMB), Endpoints: configuredEntries, ListVersion: listVersion,
 			Settings: mergeSettings(Defaults(f.opt.Daemons, i, shards), f.opt.Settings)}
 		f.settings, f.configs = config.Settings, append(f.configs, config)
 		dir := filepath.Join(f.dir, name)
--- a/internal/testkit/cluster/gossip_peer_test.go
+++ b/internal/testkit/cluster/gossip_peer_test.go
@@ -196,7 +196,7 @@
 	})
 }
 
-// messages returns the peer's whole state, encoded as messages of cells.
+// messages returns the peer's complete state, encoded as messages of cells.
 func (s *testPeer) messages(t *testing.T) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/cluster/misreporting_peers_test.go
+++ b/internal/testkit/cluster/misreporting_peers_test.go
@@ -171,8 +171,8 @@
 			})
 			w.checkNoRequests(0)
 			for i := range w.opt.Daemons {
-				if own := w.metric(i, "peers_list_oldest_version"); own >= reportedListVersion || own < firstIndex {
-					w.t.Errorf("daemon %d reports list version %v, which is not one of its own discovery service", i, own)
+				if version := w.metric(i, "peers_list_oldest_version"); version >= reportedListVersion || version < initialListVersion {
+					w.t.Errorf("daemon %d reports list version %v, which is not one of its own discovery service", i, version)
 				}
 			}
 		}},
--- a/internal/testkit/cluster/ports_test.go
+++ b/internal/testkit/cluster/ports_test.go
@@ -51,7 +51,8 @@
 	wg.Wait()
 }
 
-// A returned address stays reserved: nobody else can bind it without SO_REUSEADDR, and connecting to it fails.
+// An address that FreeAddress returned stays reserved: no other socket can bind it without SO_REUSEADDR, and connecting to it
+// fails.
 func TestFreeAddressStaysReserved(t *testing.T) {
 	addr, err := FreeAddress()
 	if err != nil {
--- a/internal/testkit/cluster/proc.go
+++ b/internal/testkit/cluster/proc.go
@@ -41,8 +41,8 @@
 	AdminAddress            string // of the admin endpoint; "": none
 	Seed                    uint64
 	MemoryMB                int
-	Known                   []Entry // the endpoint list until the discovery service has sent one
-	Index                   int64   // version of Known; 0: 1
+	Endpoints               []Entry // the endpoint list until the discovery service has sent one
+	ListVersion             int64   // version of Endpoints; 0: 1
 	Settings                map[string]any
 }
 
@@ -51,7 +51,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery, "operator": c.AdminAddress, "seed": fmt.Sprintf("%x", c.Seed),
 		"limits":   map[string]any{"cores": 1, "memory_mb": c.MemoryMB, "sockets": 1024},
-		"known":    map[string]any{"index": max(c.Index, 1), "snapshot": true, "endpoints": append([]Entry{}, c.Known...)},
+		"known":    map[string]any{"index": max(c.ListVersion, 1), "snapshot": true, "endpoints": append([]Entry{}, c.Endpoints...)},
 		"settings": c.Settings})
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return false
 }
 
-// FreeAddress reserves a loopback address on which nobody listens and which no connection takes. It stays
+// FreeAddress reserves a loopback address on which no process listens and which no connection takes. It stays
 // bound without a listener until this program ends, so a process that sets SO_REUSEADDR, as Go does, can
 // listen on it. FreeAddress itself never listens on the address: a process between fork and exec would
 // hold a copy of a closed listener, and listening on the address would fail until its exec.
--- a/internal/testkit/cluster/socket_handover_test.go
+++ b/internal/testkit/cluster/socket_handover_test.go
@@ -264,11 +264,11 @@
 		t.Run(x.fault, func(t *testing.T) {
 			r := &handoverFixture{fixture: newFixture(t, Options{Daemons: 1, Direct: true, Admin: true, PassedSockets: true, Settings: shortSlowStart})}
 			r.active = r.Proc(0)
-			stopKeptConns := r.Run(r.ctx, Load{Clients: 4, Pause: 3 * time.Millisecond, Request: mixedRequest})
+			stopReusedConns := r.Run(r.ctx, Load{Clients: 4, Pause: 3 * time.Millisecond, Request: mixedRequest})
 			stopLimited := r.Run(r.ctx, Load{Clients: 3, Pause: 10 * time.Millisecond, NewConnPerRequest: true, Request: func(int, int, int) ClientRequest {
 				return ClientRequest{Plan: "small", Volume: 99}
 			}})
-			r.stopTraffic = func() { stopKeptConns(); stopLimited() }
+			r.stopTraffic = func() { stopReusedConns(); stopLimited() }
 			r.waitServed(minServed)
 			x.run(r)
 			r.stopAndAudit()
--- a/internal/testkit/fleet/fleet.go
+++ b/internal/testkit/fleet/fleet.go
@@ -139,7 +139,7 @@
 	extra := settings["extra"].(map[string]any)
 	extra["largest"], extra["slots-total"] = len(s.Units), s.Shards
 	name := fmt.Sprint("n", i)
-	config := cluster.Config{Name: name, Listen: listen, Discovery: unusedAddress, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Known: endpoints,
+	config := cluster.Config{Name: name, Listen: listen, Discovery: unusedAddress, Seed: opt.Seed + uint64(i), MemoryMB: opt.MemoryMB, Endpoints: endpoints,
 		Settings: settings,
 	}
 	file := filepath.Join(f.dir, name+".json")
