--- a/internal/testkit/cluster/connection_close_test.go
+++ b/internal/testkit/cluster/connection_close_test.go
@@ -125,7 +125,7 @@
 				w.t.Fail()
 			}
 		}},
-		{fault: "all daemons restart at once with the list down", expected: "nine in ten are ready within 10 s", opt: Options{Known: true}, run: func(w *fixture) {
+		{fault: "all daemons restart at once with the list down", expected: "nine in ten are ready within 10 s", opt: Options{ListInConfig: true}, run: func(w *fixture) {
 			readyInTime, starts := 0, 0
 			for range 4 {
 				w.setListFaults(ListDown)
--- a/internal/testkit/cluster/faults_test.go
+++ b/internal/testkit/cluster/faults_test.go
@@ -103,7 +103,7 @@
 			w.setListFaults(ListHealthy)
 			w.waitDrainNotified()
 		}},
-		{fault: "list down at start, then a drain", expected: "ready and serving from the configured list; notified once the service is up", opt: Options{Known: true, ListDown: true},
+		{fault: "list down at start, then a drain", expected: "ready and serving from the configured list; notified once the service is up", opt: Options{ListInConfig: true, ListDown: true},
 			run: func(w *fixture) {
 				w.must(w.SetNodeStatus(0, "leaving"))
 				w.waitServed(minServed)
--- a/internal/testkit/cluster/fleet.go
+++ b/internal/testkit/cluster/fleet.go
@@ -61,7 +61,7 @@
 	Nodes         []StorageNode
 	Settings      map[string]any // override the defaults section by section
 	Seed          uint64
-	Known         bool                                                      // the daemons' configuration contains the endpoint list
+	ListInConfig  bool                                                      // the daemons' configuration contains the endpoint list
 	ListDown      bool                                                      // the discovery services do not listen at first
 	Admin         bool                                                      // each daemon has an admin endpoint
 	PassedSockets bool                                                      // the fleet holds the client listening sockets and passes them; needs Admin
@@ -313,7 +313,7 @@
 			f.history.ListOutages = append(f.history.ListOutages, historycheck.Interval{Scheduler: i, From: 0, To: historycheck.Never, Rejected: true})
 		}
 		listVersion := int64(0)
-		if f.opt.Known {
+		if f.opt.ListInConfig {
 			configuredEntries = slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Status == discovery.Left })
 			listVersion = initialListVersion + 1
 		}
--- a/internal/testkit/cluster/startup_test.go
+++ b/internal/testkit/cluster/startup_test.go
@@ -211,7 +211,7 @@
 		noTraffic       bool // no traffic before the end of the scenario, so all connections are opened in advance
 		before, run     func(*startupFixture)
 	}{
-		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the configured list; requested again; notified once the service is up", opt: Options{Known: true, ListDown: true},
+		{fault: "list down at first, a drain meanwhile", expected: "serving and ready from the configured list; requested again; notified once the service is up", opt: Options{ListInConfig: true, ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitFailedListCalls(2)
 				s.waitServed(minServed)
@@ -237,7 +237,7 @@
 				}
 				s.setListFaults(ListHealthy)
 			}},
-		{fault: "list of small capacity, six daemons start at once", expected: "first calls spread by name, rejected ones retried with growing backoff; all receive the list", opt: Options{Known: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
+		{fault: "list of small capacity, six daemons start at once", expected: "first calls spread by name, rejected ones retried with growing backoff; all receive the list", opt: Options{ListInConfig: true, Daemons: 6, List: discovery.Options{Capacity: 4, Patience: 200 * time.Millisecond}},
 			start: map[string]any{"list_calls_per_second": 8}, run: func(s *startupFixture) {
 				s.waitEach("it has received the list", func(i int) bool { return s.fakeListOf(i).Service.Counts().Watches > 0 })
 				if s.ListLoad().Rejected == 0 {
@@ -259,7 +259,7 @@
 					}
 				}
 			}},
-		{fault: "list resets each call at first", expected: "requested again; requests served meanwhile; notified once the list answers", opt: Options{Known: true},
+		{fault: "list resets each call at first", expected: "requested again; requests served meanwhile; notified once the list answers", opt: Options{ListInConfig: true},
 			before: func(s *startupFixture) { s.setListFaults(ListReset) }, run: func(s *startupFixture) {
 				s.waitWatchRequests(1)
 				s.must(s.SetNodeStatus(0, "leaving"))
@@ -280,7 +280,7 @@
 				}
 				s.waitEach("it receives an old list", func(i int) bool { return s.fakeListOf(i).Service.Counts().OldLists == 1 })
 			}},
-		{fault: "half of the daemons are killed while they start, and restarted", expected: "the others keep serving; all serve; both incarnations overload no cold node", opt: Options{Known: true, Daemons: 4, ListDown: true},
+		{fault: "half of the daemons are killed while they start, and restarted", expected: "the others keep serving; all serve; both incarnations overload no cold node", opt: Options{ListInConfig: true, Daemons: 4, ListDown: true},
 			run: func(s *startupFixture) {
 				s.waitEach("it listens", s.listens)
 				s.waitFailedListCalls(1)
@@ -299,7 +299,7 @@
 					}
 				}
 			}},
-		{fault: "the cold nodes are silent", expected: "the others serve; the cold ones once they answer", opt: Options{Known: true}, before: func(s *startupFixture) {
+		{fault: "the cold nodes are silent", expected: "the others serve; the cold ones once they answer", opt: Options{ListInConfig: true}, before: func(s *startupFixture) {
 			for i := range s.opt.Daemons {
 				for j := 0; j < 4; j += 2 {
 					s.must(s.StorageLink(i, j).SetFault(link.Both, link.Fault{Hold: true, Silent: true}))
@@ -317,7 +317,7 @@
 			}
 			s.waitUntil("a cold node serves", func() bool { return s.Node(0).Counts().Executions+s.Node(2).Counts().Executions > 0 })
 		}},
-		{fault: "a node accepts connections and answers nothing", expected: "ready, with connections opened in advance to the other nodes all the same", opt: Options{Known: true},
+		{fault: "a node accepts connections and answers nothing", expected: "ready, with connections opened in advance to the other nodes all the same", opt: Options{ListInConfig: true},
 			snapshot: func(f *Fleet, _ int) []byte { return mustEncode(learnedSnapshot(f, 1, 3)) }, noTraffic: true, before: func(s *startupFixture) { s.must(s.SetNodeFault(1, node.Hang)) },
 			run: func(s *startupFixture) {
 				s.waitEach("it has opened connections in advance", func(i int) bool { return s.connsOpened(i, 1) > 0 && s.connsOpened(i, 3) > 0 })
@@ -344,7 +344,7 @@
 					s.t.Error("no slot of a restarted node came before the last opened connection, so the scenario checked nothing")
 				}
 			}},
-		{fault: "snapshot truncated, foreign or old", expected: "one log line with an error code each; the start proceeds as without a snapshot", opt: Options{Known: true},
+		{fault: "snapshot truncated, foreign or old", expected: "one log line with an error code each; the start proceeds as without a snapshot", opt: Options{ListInConfig: true},
 			snapshot: func(f *Fleet, i int) []byte { return unusableSnapshots[i].text(f) }, run: func(s *startupFixture) {
 				s.waitServed(minServed)
 				for i := range s.opt.Daemons {
@@ -353,7 +353,7 @@
 					}
 				}
 			}},
-		{fault: "six daemons start at once with cold nodes under load, the list down at first", expected: "no cold node is overloaded", opt: Options{Known: true, Daemons: 6, ListDown: true},
+		{fault: "six daemons start at once with cold nodes under load, the list down at first", expected: "no cold node is overloaded", opt: Options{ListInConfig: true, Daemons: 6, ListDown: true},
 			run: func(s *startupFixture) {
 				stop := s.startOverload()
 				s.waitFailedListCalls(2)
@@ -412,7 +412,7 @@
 		}},
 	} {
 		t.Run(x.fault, func(t *testing.T) {
-			s := newStartupFixture(t, Options{Known: true, ListDown: true}, nil, nil, true)
+			s := newStartupFixture(t, Options{ListInConfig: true, ListDown: true}, nil, nil, true)
 			s.restartNodes(0, 2)
 			s.launchDaemons(s.allDaemons()...)
 			s.waitEach("it listens", s.listens)
@@ -433,7 +433,7 @@
 
 // A restarted daemon gets its snapshot from one peer while the other peer, which it may ask first, is suspended.
 func TestStartupFromSecondPeer(t *testing.T) {
-	s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
+	s := newStartupFixture(t, Options{ListInConfig: true}, nil, nil, true)
 	s.launchDaemons(s.allDaemons()...)
 	s.startTraffic()
 	file := func(i int) string { return filepath.Join(s.Dir(i), "learned") }
--- a/internal/testkit/cluster/versions_stored_test.go
+++ b/internal/testkit/cluster/versions_stored_test.go
@@ -46,7 +46,7 @@
 	for _, x := range versionDirections {
 		t.Run(x.name, func(t *testing.T) {
 			writer, reader := versionPair(t, x.writerPrevious)
-			s := newStartupFixture(t, Options{Known: true, Daemons: 1}, nil, nil, false)
+			s := newStartupFixture(t, Options{ListInConfig: true, Daemons: 1}, nil, nil, false)
 			s.Proc(0).daemon = writer
 			s.launchDaemons(0)
 			s.startTraffic()
@@ -92,7 +92,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			writer, reader := versionPair(t, x.writerPrevious)
 			const starting, unreachable, giving = 0, 1, 2
-			s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
+			s := newStartupFixture(t, Options{ListInConfig: true}, nil, nil, true)
 			s.Proc(starting).daemon, s.Proc(unreachable).daemon, s.Proc(giving).daemon = reader, writer, writer
 			s.launchDaemons(s.allDaemons()...)
 			s.startTraffic()
--- a/internal/testkit/cluster/versions_test.go
+++ b/internal/testkit/cluster/versions_test.go
@@ -102,7 +102,7 @@
 		{"the previous version starts from this one's snapshot", older, newer},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := newStartupFixture(t, Options{Known: true}, nil, nil, true)
+			s := newStartupFixture(t, Options{ListInConfig: true}, nil, nil, true)
 			s.Proc(older).daemon = previous
 			s.launchDaemons(s.allDaemons()...)
 			s.startTraffic()
--- a/internal/testkit/experiment/coldstart/processes.go
+++ b/internal/testkit/experiment/coldstart/processes.go
@@ -208,7 +208,7 @@
 	}
 	var err error
 	run.fleet, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Hosts, Nodes: nodes, Settings: platformSettings(opt.Hosts, opt.Nodes),
-		Seed: uint64(opt.Seed), Known: true, Direct: true, DeferStart: true, MemoryMB: daemonMemoryMB, Env: []string{"GOMAXPROCS=1"},
+		Seed: uint64(opt.Seed), ListInConfig: true, Direct: true, DeferStart: true, MemoryMB: daemonMemoryMB, Env: []string{"GOMAXPROCS=1"},
 		List:      discovery.Options{Capacity: opt.Capacity, Patience: time.Second, Queue: int(2*opt.Capacity) + 1},
 		OnLogLine: run.onLogLine, Args: run.writeSiteFile})
 	return run, err
