--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -29,6 +29,7 @@
 // Mode is the way in which the hosts start.
 type Mode int
 
+// The modes of a run.
 const (
 	WithoutColdStart Mode = iota // without internal/coldstart, the baseline
 	WithColdStart                // with internal/coldstart
--- a/internal/testkit/fake/link/link.go
+++ b/internal/testkit/fake/link/link.go
@@ -200,7 +200,7 @@
 	return l.udp[0].LocalAddr().String()
 }
 
-// Back returns the address at which the second party reaches the first, or "" on a tcp link.
+// BackwardAddr returns the address at which the second party reaches the first, or "" on a tcp link.
 func (l *Link) BackwardAddr() string {
 	if l.udp[1] == nil {
 		return ""
