--- a/gather/bench_test.go
+++ b/gather/bench_test.go
@@ -12,6 +12,7 @@
 
 const benchParts, benchRows = 64, 10000
 
+// benchData returns benchParts parts with the texts of benchRows rows each, sorted by id.
 func benchData() (parts []Part, texts [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for p := range benchParts {
@@ -36,13 +37,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	at := make([]int, len(parts))
+	offsets := make([]int, len(parts))
 	send := func(i, room int) {
-		n := min(8<<10, room, len(texts[i])-at[i])
-		if err := m.Add(parts[i].ID, 0, texts[i][at[i]:at[i]+n]); err != nil {
+		n := min(8<<10, room, len(texts[i])-offsets[i])
+		if err := m.Add(parts[i].ID, 0, texts[i][offsets[i]:offsets[i]+n]); err != nil {
 			b.Fatal(err)
 		}
-		if at[i] += n; at[i] == len(texts[i]) {
+		if offsets[i] += n; offsets[i] == len(texts[i]) {
 			_ = m.End(parts[i].ID, 0, nil)
 		}
 	}
@@ -79,9 +80,9 @@
 	for p, text := range texts {
 		text = bytes.Clone(text) // the copy that collecting the part makes
 		for i, row := range bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n")) {
-			at := len(keys)
+			keyStart := len(keys)
 			keys, _, _ = d.key(keys, row)
-			all = append(all, decodedRow{keys[at:], p, i, row})
+			all = append(all, decodedRow{keys[keyStart:], p, i, row})
 		}
 	}
 	slices.SortFunc(all, func(a, b decodedRow) int {
@@ -134,17 +135,17 @@
 	for i := range texts {
 		texts[i] = texts[i][:bytes.LastIndexByte(texts[i][:len(texts[i])/5], '\n')+1]
 	}
-	for _, dup := range []string{"", `,"duplicates":{"keep":"first"}`, `,"duplicates":{"keep":"agree","parts":1}`} {
-		r := mustParseRules(t, `{"order":[{"key":"id","type":"integer"}]`+dup+`}`)
+	for _, duplicates := range []string{"", `,"duplicates":{"keep":"first"}`, `,"duplicates":{"keep":"agree","parts":1}`} {
+		r := mustParseRules(t, `{"order":[{"key":"id","type":"integer"}]`+duplicates+`}`)
 		var before, after runtime.MemStats
 		b := &testing.B{}
 		runtime.ReadMemStats(&before)
 		n := benchMerge(b, r, parts, texts, 0)
 		runtime.ReadMemStats(&after)
 		allocs, size := float64(after.Mallocs-before.Mallocs)/float64(n), (after.TotalAlloc-before.TotalAlloc)/benchParts
-		t.Logf("%s: %d rows, %.4f allocations per row, %d bytes per part", dup, n, allocs, size)
+		t.Logf("%s: %d rows, %.4f allocations per row, %d bytes per part", duplicates, n, allocs, size)
 		if n < 100000 || allocs > 0.01 || size > 64<<10 {
-			t.Errorf("%s: %d rows, %.4f allocations per row, %d bytes per part", dup, n, allocs, size)
+			t.Errorf("%s: %d rows, %.4f allocations per row, %d bytes per part; want at least 100000, at most 0.01 and 64 KiB", duplicates, n, allocs, size)
 		}
 	}
 }
--- a/gather/deliver_test.go
+++ b/gather/deliver_test.go
@@ -22,7 +22,8 @@
 	ended bool
 }
 
-// deliver adds random pieces of the sources to a merge in random order, and calls takeRows in between and at the end.
+// deliver adds random pieces of the sources to a merge in random order, and calls takeRows in between and at the end. It returns an
+// error if the merge exceeds its memory, makes no progress or reports a copy as diverged.
 func deliver(m *Merge, rng *rand.Rand, sources []partSource, takeRows func()) error {
 	var addErr error
 	for iteration := 0; !m.done && len(sources) > 0; iteration++ {
@@ -49,7 +50,7 @@
 		}
 		if x.data == "" && !x.ended {
 			if x.ended = true; m.End(s.part, c, x.end) != nil {
-				return errors.New("an identical copy was reported as diverged")
+				return errors.New("a copy with the same data was reported as diverged")
 			}
 			if !slices.ContainsFunc(s.copies, func(c copySource) bool { return !c.ended }) {
 				if !s.complete {
@@ -66,9 +67,10 @@
 	return addErr
 }
 
-func (w *randomRead) sources(from, to int) (all []partSource) {
+// sources returns the data of the parts from one index up to another.
+func (read *randomRead) sources(from, to int) (all []partSource) {
 	for p := from; p < to; p++ {
-		f := w.parts[p]
+		f := read.parts[p]
 		s := partSource{part: fmt.Sprintf("p%d", p), complete: f.complete}
 		for i, c := range f.copyPercents {
 			x := copySource{data: f.receivedText(), end: io.ErrUnexpectedEOF}
@@ -117,23 +119,23 @@
 }
 
 // merge merges the read's parts, either directly or over a random tree of partial results.
-func (w *randomRead) merge(tree bool, fault fault) (got mergeOutcome, err error) {
-	memory := 512 * (len(w.parts) + 1)
-	if tree || w.keep == "agree" {
+func (read *randomRead) merge(tree bool, fault fault) (got mergeOutcome, err error) {
+	memory := 512 * (len(read.parts) + 1)
+	if tree || read.keep == "agree" {
 		memory = 1 << 20
 	}
-	r, err := ParseRules([]byte(w.rulesText(memory)))
+	r, err := ParseRules([]byte(read.rulesText(memory)))
 	if err != nil {
 		return got, err
 	}
-	rng := rand.New(rand.NewPCG(w.seed, 1))
-	sources := w.sources(0, len(w.parts))
+	rng := rand.New(rand.NewPCG(read.seed, 1))
+	sources := read.sources(0, len(read.parts))
 	parts := make([]Part, len(sources))
 	for i, s := range sources {
 		parts[i] = Part{ID: s.part}
 	}
-	for tree && len(parts) > 1 { // merge some parts into a partial result, until one part is left or at random
-		n := min(w.groupSize, len(parts)-1) + rng.IntN(2)
+	for tree && len(parts) > 1 { // merge some parts into a partial result, until one part is left or a random draw ends it
+		n := min(read.groupSize, len(parts)-1) + rng.IntN(2)
 		if n < 1 || n > len(parts) {
 			n = 1
 		}
@@ -175,7 +177,7 @@
 	if !res.Done {
 		return got, errors.New("the merge is not done")
 	}
-	got.complete, got.truncatedBy, got.conflicts, got.named = res.Whole, res.Truncated, res.Conflicts, res.Named
+	got.complete, got.truncatedBy, got.conflictCount, got.conflicts = res.Whole, res.Truncated, res.Conflicts, res.Named
 	got.enoughParts = res.Err == nil
 	for _, p := range res.Parts {
 		s := p.ID + " "
@@ -192,15 +194,16 @@
 	return got, nil
 }
 
-// mergeByDemand merges parts that send only what Want requests: first the top rows, and more if these were not enough.
-func (w *randomRead) mergeByDemand(r *Rules, opts ...Option) (rows []string, attempts int, token string, err error) {
+// mergeByDemand merges parts that send only what Want requests: first the top rows, and more if these were not enough. It returns
+// the number of copies that were requested as attempts.
+func (read *randomRead) mergeByDemand(r *Rules, opts ...Option) (rows []string, attempts int, token string, err error) {
 	type server struct {
 		copy, at int
 		text     string
-		more     bool
+		more     bool // the part has more rows than the copy sends
 	}
 	parts, servers := []Part{}, map[string]*server{}
-	for p := range w.parts {
+	for p := range read.parts {
 		id := fmt.Sprintf("p%d", p)
 		parts, servers[id] = append(parts, Part{ID: id}), &server{}
 	}
@@ -215,7 +218,7 @@
 				continue
 			}
 			if d.Copy {
-				all := strings.SplitAfter(w.parts[m.byID[d.Part]].text(), "\n")
+				all := strings.SplitAfter(read.parts[m.byID[d.Part]].text(), "\n")
 				n := len(all) - 1
 				if s.more = d.Rows > 0 && d.Rows < n; s.more {
 					n = d.Rows
--- a/gather/fuzz_test.go
+++ b/gather/fuzz_test.go
@@ -8,6 +8,7 @@
 	"wheatsaddle/internal/operr"
 )
 
+// Any text gives either rules or an error with a code. New returns a merge under these rules or an error with a code.
 func FuzzRules(f *testing.F) {
 	f.Add([]byte(`{"order":[{"key":"a","type":"text","locale":"sv"}],"truncate":{"top":3}}`))
 	f.Add([]byte(`{"order":[{"key":"a","type":"decimal"}],"duplicates":{"keep":"agree","parts":2}}`))
@@ -15,7 +16,7 @@
 		r, err := ParseRules(text)
 		var c operr.Coded
 		if (err == nil) == (r == nil) || err != nil && !errors.As(err, &c) {
-			t.Fatalf("%v", err)
+			t.Fatalf("want either rules or an error with a code, got the error %v", err)
 		}
 		if err == nil {
 			if _, err = New(r, []Part{{ID: "p"}}); err != nil && !errors.As(err, &c) {
@@ -25,15 +26,15 @@
 	})
 }
 
-// A token is accepted only unchanged.
+// A token is accepted only if the merge itself could have made it: unchanged, and with the merge's key.
 func FuzzTokens(f *testing.F) {
 	r := mustParseRules(f, `{"order":[{"key":"a","type":"integer"}],"truncate":{"rows":1}}`)
 	m := newMerge(f, r, "p")
 	_ = m.Add("p", 0, jsonLines(1, 2))
 	drain(m)
-	good := m.Result().Token
-	f.Add(good)
-	f.Add(good[:len(good)-3])
+	valid := m.Result().Token
+	f.Add(valid)
+	f.Add(valid[:len(valid)-3])
 	f.Fuzz(func(t *testing.T, token string) {
 		m, err := New(r, []Part{{ID: "p"}}, TokenKey([]byte("secret")), From(token))
 		if err == nil && token != "" {
@@ -46,7 +47,7 @@
 	})
 }
 
-// Any bytes, in pieces of any size, as a part or as a partial result, cause no panic. The rows are in order and the error is typed.
+// Any bytes, in pieces of any size, as a part or as a partial result, cause no panic. The rows are in order and the error has a code.
 func FuzzRecords(f *testing.F) {
 	var all []*Rules
 	for _, text := range []string{
@@ -65,10 +66,10 @@
 		text, _ := sub.AppendPartial(nil, 0)
 		f.Add(uint8(i+3), uint8(7), text)
 	}
-	f.Fuzz(func(t *testing.T, which, cut uint8, data []byte) {
-		r := all[int(which)%3]
+	f.Fuzz(func(t *testing.T, variant, pieceSize uint8, data []byte) {
+		r := all[int(variant)%3]
 		part := Part{ID: "t"}
-		if which >= 3 {
+		if variant >= 3 {
 			part.Of = []string{"p", "q"}
 		}
 		m, err := New(r, []Part{part, {ID: "z"}})
@@ -81,12 +82,12 @@
 			for row, ok := m.Next(); ok; row, ok = m.Next() {
 				key, _, why := m.decoder.key(nil, row)
 				if why != "" || bytes.Compare(last, key) > 0 {
-					t.Fatalf("row %q after key %q: %s", row, last, why)
+					t.Fatalf("row %q has an unreadable key or sorts before the previous key %q: %s", row, last, why)
 				}
 				last = key
 			}
 		}
-		for n := int(cut) + 1; len(data) > 0; data = data[min(n, len(data)):] {
+		for n := int(pieceSize) + 1; len(data) > 0; data = data[min(n, len(data)):] {
 			if err := m.Add("t", 0, data[:min(n, len(data))]); err != nil {
 				t.Fatal(err)
 			}
@@ -97,7 +98,7 @@
 		res := m.Result()
 		var c operr.Coded
 		if !res.Done || res.Err != nil && !errors.As(res.Err, &c) {
-			t.Fatalf("%+v", res)
+			t.Fatalf("the merge did not finish, or its error has no code: %+v", res)
 		}
 	})
 }
--- a/gather/merge_test.go
+++ b/gather/merge_test.go
@@ -32,6 +32,7 @@
 	return strings.Join(out, " ")
 }
 
+// jsonLines returns one record per value, with the value under the key a.
 func jsonLines(values ...any) []byte {
 	var b strings.Builder
 	for _, v := range values {
@@ -41,6 +42,7 @@
 	return []byte(b.String())
 }
 
+// partStates lists the parts that the result names, with the codes of their errors.
 func partStates(r Result) string {
 	var out []string
 	for _, p := range r.Parts {
@@ -56,7 +58,8 @@
 
 const rulesByA = `{"order":[{"key":"a","type":"integer"}]%s}`
 
-// Each case gives the added data, the returned rows and the named parts, and for some an injected fault that the case must find.
+// Each case has the added data, the expected rows, the parts that the result names, and whether it is complete. Some also have a fault
+// that must change this outcome when it is injected into the merge.
 func TestMergeCases(t *testing.T) {
 	type script struct {
 		name     string
@@ -96,15 +99,15 @@
 			_ = m.Add("p", 2, jsonLines(1, 2))
 			_ = m.End("q", 1, nil)
 		}, `{"a":1}`, "p gather-diverged", false, faultNone},
-		{"an ended copy is forgotten for the next", `,"copies":1`, func(m *Merge) {
+		{"an ended copy no longer counts against the limit of copies", `,"copies":1`, func(m *Merge) {
 			for copy := 1; copy < 4; copy++ {
 				_ = m.Add("p", copy, jsonLines(1, 2, 3)[:8*copy])
 				if err := m.Add("p", copy+1, nil); !errors.As(err, new(*CopiesOver)) {
-					t.Errorf("a copy over the limit: %v", err)
+					t.Errorf("error for a copy over the limit: %v, want CopiesOver", err)
 				}
 				_ = m.End("p", copy, map[bool]error{false: errors.New("reset")}[copy == 3])
 				if copy > 1 {
-					_ = m.Add("p", 1, jsonLines(9)) // the copy is forgotten, so its data is not accepted
+					_ = m.Add("p", 1, jsonLines(9)) // the first copy has ended, so its data is not accepted
 				}
 			}
 			_ = m.End("q", 1, nil)
@@ -152,14 +155,16 @@
 		}
 		rows, parts, complete := runCase(faultNone)
 		if rows != s.rows || parts != s.parts || complete != s.complete {
-			t.Errorf("%s: rows %s, parts %q, complete %v", s.name, rows, parts, complete)
+			t.Errorf("%s: unexpected outcome: rows %s, parts %q, complete %v", s.name, rows, parts, complete)
 		}
 		if r, p, w := runCase(s.fault); s.fault != faultNone && r == rows && p == parts && w == complete {
-			t.Errorf("%s: injected fault %d is not found", s.name, s.fault)
+			t.Errorf("%s: injected fault %d does not change the outcome", s.name, s.fault)
 		}
 	}
 }
 
+// The rows of each case are in the order of its key. A part that sends them in this order is not unsorted, and no two neighbours have
+// equal sort keys, except those that differ only in case under a locale that ignores case.
 func TestSortKeysFollowTheRules(t *testing.T) {
 	for _, c := range []struct{ key, rows string }{
 		{`"type":"decimal"`, `-1e30 -20.5 -20 -3 -0.2 -0.10 -0.0999 0 0.00001 0.5 "0.50001" 1.0 9 10 10.01 1e2 1e30`},
@@ -181,20 +186,22 @@
 		_ = m.Add("p", 0, []byte(text.String()))
 		_ = m.End("p", 0, nil)
 		if got := drain(m); got != want || !m.Result().Whole {
-			t.Errorf("%s: %s: %v", c.key, got, m.Result().Parts)
+			t.Errorf("key %s: the rows were not returned as they were sent: %s, lost parts %v", c.key, got, m.Result().Parts)
 		}
-		rows := strings.Fields(want) // no two keys are equal, unless the locale says so
+		rows := strings.Fields(want)
 		d := newDecoder(m.rules)
 		for i := 1; i < len(rows); i++ {
 			a, _, _ := d.key(nil, []byte(rows[i-1]))
 			b, _, _ := d.key(nil, []byte(rows[i]))
 			if same := strings.EqualFold(rows[i-1], rows[i]) && strings.Contains(c.key, "level2"); (string(a) == string(b)) != same {
-				t.Errorf("%s: %s and %s: equal %v", c.key, rows[i-1], rows[i], !same)
+				t.Errorf("key %s: the sort keys of %s and %s: equal is %v", c.key, rows[i-1], rows[i], !same)
 			}
 		}
 	}
 }
 
+// Length-prefixed records may contain any bytes and absent fields. A part that is truncated after the end of the page does not
+// change the result.
 func TestLengthPrefixedRecords(t *testing.T) {
 	r := mustParseRules(t, `{"records":{"form":"length-prefixed"},"order":[{"key":"1","type":"time","direction":"descending"}],"truncate":{"offset":1,"top":2}}`)
 	var text []byte
@@ -210,17 +217,18 @@
 	m := newMerge(t, r, "p")
 	_ = m.Add("p", 0, text)
 	if out := drain(m); strings.Count(out, "binary") != 2 || !strings.Contains(out, "2026-11") || m.Result().Truncated != "top" {
-		t.Errorf("%q %+v", out, m.Result())
+		t.Errorf("rows %q, want two, one of 2026-11, truncated by top: %+v", out, m.Result())
 	}
 	m = newMerge(t, r, "p")
 	_ = m.Add("p", 0, text[:len(text)-1])
 	_ = m.End("p", 0, nil)
-	if drain(m); m.Result().Truncated != "top" { // the part is truncated after the page
-		t.Errorf("%+v", m.Result())
+	if drain(m); m.Result().Truncated != "top" { // the part's text is truncated after the page
+		t.Errorf("result of a part that is truncated after the page: %+v, want truncated by top", m.Result())
 	}
 }
 
-// A truncated partial result loses its parts where it ends. The parts of one with other rules or parts are named, and it is not read.
+// A truncated partial result loses its parts where it ends. A partial result made under other rules or of other parts is not read, and
+// all its parts are named.
 func TestInvalidPartialResults(t *testing.T) {
 	bestEffort, other := mustParseRules(t, fmt.Sprintf(rulesByA, `,"complete":{"need":"best-effort"}`)), mustParseRules(t, fmt.Sprintf(rulesByA, ""))
 	encode := func(r *Rules, parts string) []byte {
@@ -235,7 +243,7 @@
 		}
 		return text
 	}
-	good := encode(bestEffort, "p q")
+	valid := encode(bestEffort, "p q")
 	for _, c := range []struct {
 		name  string
 		text  []byte
@@ -243,9 +251,9 @@
 		rows  string
 		parts string
 	}{
-		{"complete", good, nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, ""},
-		{"truncated in its last row, and dropped", good[:len(good)-8], errors.New("reset"), `{"a":1} {"a":2} {"a":2} {"a":3}`, "p,q"},
-		{"truncated, but reported as complete", good[:len(good)-5], nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, "p gather-record-bad,q gather-record-bad"},
+		{"a complete partial result", valid, nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, ""},
+		{"truncated within its last row, and dropped", valid[:len(valid)-8], errors.New("reset"), `{"a":1} {"a":2} {"a":2} {"a":3}`, "p,q"},
+		{"truncated, but reported as complete", valid[:len(valid)-5], nil, `{"a":1} {"a":2} {"a":2} {"a":3} {"a":4}`, "p gather-record-bad,q gather-record-bad"},
 		{"other rules", encode(other, "p q"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 		{"other parts", encode(bestEffort, "p r"), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
 		{"a plain part", jsonLines(1), nil, `{"a":2}`, "p gather-record-bad,q gather-record-bad"},
@@ -260,12 +268,13 @@
 		_ = m.Add("z", 0, jsonLines(2))
 		_ = m.End("z", 0, nil)
 		if rows, parts := drain(m), partStates(m.Result()); rows != c.rows || parts != c.parts {
-			t.Errorf("%s: %s, %q", c.name, rows, parts)
+			t.Errorf("%s: unexpected outcome: rows %s, parts %q", c.name, rows, parts)
 		}
 	}
 }
 
-// Duplicates that exceed the memory end the merge before their key, with a typed error after the earlier rows.
+// Duplicates that exceed the memory end the merge before their key, with a typed error after the earlier rows. The test also checks
+// that a merge with the same memory rejects no parts, a part given twice, too many parts, and data of a part that it does not have.
 func TestDuplicateGroupOverMemoryEndsTheMerge(t *testing.T) {
 	r := mustParseRules(t, fmt.Sprintf(rulesByA, `,"memory":{"rows":5},"duplicates":{"keep":"agree","parts":1}`))
 	runMerge := func(f fault) (*Merge, string, Result) {
@@ -281,12 +290,12 @@
 		return m, rows, result
 	}
 	m, rows, res := runMerge(faultNone)
-	if _, _, lost := runMerge(faultDropGroupRow); lost.Err != nil {
-		t.Error("the injected fault, a row silently left out of a group, is not found")
+	if _, _, withFault := runMerge(faultDropGroupRow); withFault.Err != nil {
+		t.Error("no difference with the injected fault that leaves a row out of a group without an error")
 	}
 	var groupOver *GroupOver
 	if rows != `{"a":1}` || !errors.As(res.Err, &groupOver) || groupOver.Key != "a=2" || groupOver.Rows != 4 || res.Whole {
-		t.Errorf("%s %+v", rows, res)
+		t.Errorf("rows %s, want the row before the group and the error GroupOver for a=2 with 4 rows: %+v", rows, res)
 	}
 	for parts, why := range map[string]string{"": "", "p p": "p", "p q r s": "p"} {
 		var all []Part
@@ -295,7 +304,7 @@
 		}
 		var bad *PartsBad
 		if _, err := New(r, all); !errors.As(err, &bad) || bad.Part != why {
-			t.Errorf("%s: %v", parts, err)
+			t.Errorf("error for the parts '%s': %v, want PartsBad", parts, err)
 		}
 	}
 	if err := m.Add("z", 0, nil); !errors.As(err, new(*PartsBad)) {
@@ -316,7 +325,7 @@
 	_, _ = m.Add("t", 0, text), m.End("t", 0, nil)
 	rows, parts := drain(m), m.Result().Parts
 	if rows != `{"a":1}` || len(parts) != 1 || parts[0].ID != "p" || !parts[0].Cut || !parts[0].Conflict {
-		t.Errorf("%s %+v", rows, parts)
+		t.Errorf("rows %s, want one, and p truncated and in conflict: %+v", rows, parts)
 	}
 }
 
@@ -343,12 +352,12 @@
 					continue
 				}
 				for i := range token {
-					bad := []byte(token)
-					if bad[i]++; token[i] == 'z' || token[i] == 'Z' || token[i] == '9' {
-						bad[i] = 'a'
+					changed := []byte(token)
+					if changed[i]++; token[i] == 'z' || token[i] == 'Z' || token[i] == '9' {
+						changed[i] = 'a'
 					}
-					if _, err := New(r, []Part{{ID: "p"}}, TokenKey([]byte("k")), From(string(bad))); !errors.As(err, new(*TokenBad)) {
-						t.Fatalf("byte %d changed: %v", i, err)
+					if _, err := New(r, []Part{{ID: "p"}}, TokenKey([]byte("k")), From(string(changed))); !errors.As(err, new(*TokenBad)) {
+						t.Fatalf("error for a token with byte %d changed: %v, want TokenBad", i, err)
 					}
 				}
 				if _, err := New(mustParseRules(t, fmt.Sprintf(order, size+1, duplicates)), []Part{{ID: "p"}}, opts...); !errors.As(err, new(*TokenRules)) {
@@ -359,7 +368,7 @@
 				}
 			}
 			if got := strings.Join(pages, " "); got != want {
-				t.Errorf("pages of %d: %s", size, got)
+				t.Errorf("rows of all pages of size %d: %s", size, got)
 			}
 		}
 	}
@@ -378,12 +387,12 @@
 	expectDemands := func(what, want string) {
 		t.Helper()
 		if got := demands(); got != want {
-			t.Errorf("%s: %s", what, got)
+			t.Errorf("%s: unexpected demands: %s", what, got)
 		}
 	}
 	expectDemands("at first", "p 3 rows 32 bytes copy true first true stop false; q 3 rows 32 bytes copy true first false stop false")
 	if err := m.Add("p", 0, jsonLines(1, 1, 1, 1, 1)); !errors.As(err, new(*Full)) {
-		t.Errorf("%v", err)
+		t.Errorf("error for more data than p has memory for: %v, want Full", err)
 	}
 	_ = m.Add("p", 0, jsonLines(1, 2, 3))
 	_ = m.End("p", 0, &Limited{})
@@ -395,18 +404,19 @@
 	}
 	expectDemands("the page is full", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
 	if r := m.Result(); !r.Whole || r.Truncated != "top" || r.Token == "" {
-		t.Errorf("%+v", r)
+		t.Errorf("result of a full page: %+v, want complete, truncated by top, with a token", r)
 	}
 	m = newMerge(t, m.rules, "p q")
 	_ = m.Add("p", 0, jsonLines(1, 2))
 	m.Leave()
 	expectDemands("the client disconnected", "p 0 rows 0 bytes copy false first false stop true; q 0 rows 0 bytes copy false first false stop true")
 	if r := m.Result(); r.Whole || !r.Left || drain(m) != "" {
-		t.Errorf("%+v", r)
+		t.Errorf("result after Leave: %+v, want incomplete and left, without rows", r)
 	}
 }
 
-// Invalid rules are rejected with an error that names the key.
+// Invalid rules, alone or as one of several classes, are rejected with an error that names the key. Texts with the same meaning have
+// the same hash.
 func TestInvalidRulesAreRejected(t *testing.T) {
 	for text, key := range map[string]string{
 		`{`:                                    "(text)",
@@ -432,14 +442,14 @@
 		_, err := ParseRules([]byte(text))
 		var bad *RulesBad
 		if !errors.As(err, &bad) || bad.Key != key {
-			t.Errorf("%s: %v, not %s", text, err, key)
+			t.Errorf("rules %s: error %v, want RulesBad for the key %s", text, err, key)
 		}
 		if text[1:] == "" {
 			continue
 		}
 		_, err = ParseClasses([]byte(`{"classes":{"one":` + text + `}}`))
 		if !errors.As(err, &bad) || key != "(text)" && bad.Key != "classes.one."+key {
-			t.Errorf("as one of several classes: %v, not %s", err, key)
+			t.Errorf("rules as one of several classes: error %v, want RulesBad for the key %s", err, key)
 		}
 	}
 	if err := operr.Check(operr.All()); err != nil {
--- a/internal/scattergather/coordinator_test.go
+++ b/internal/scattergather/coordinator_test.go
@@ -85,7 +85,7 @@
 	}
 	timeout, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	if err != nil || r.Header.Get("X-Gather-Partial") != "1" || !strings.HasPrefix(r.Header.Get("X-Request-Id"), "id/g") || r.URL.Path != "/read/x" {
-		p.fixture.Errorf("unexpected request to a peer: %v %v", r.URL, r.Header)
+		p.fixture.Errorf("unexpected URL or header of a request to a peer: %v %v", r.URL, r.Header)
 	}
 	rows, _ := strconv.Atoi(r.Header.Get("X-Gather-Rows"))
 	sent := 0
@@ -108,7 +108,7 @@
 
 var gatherService = &Service{MaxPartBytes: 1 << 20}
 
-// fixture is a coordinator and its peers on the loopback interface.
+// fixture is a coordinator and its peers. The coordinator reaches each peer over a link on the loopback interface that injects faults.
 type fixture struct {
 	*testing.T
 	coordinator  *Coordinator
@@ -154,7 +154,8 @@
 	return f
 }
 
-func (f *fixture) read(ctx context.Context, timeout time.Duration) (rows []string, x Final) {
+// read gathers all parts, delegated to the peers where the coordinator decides so, and returns the rows and the final answer.
+func (f *fixture) read(ctx context.Context, timeout time.Duration) (rows []string, final Final) {
 	f.Helper()
 	var mu sync.Mutex
 	var text []byte
@@ -164,7 +165,7 @@
 			of := slices.DeleteFunc(slices.Clone(all), func(p gather.Part) bool { return !slices.Contains(a.Part.Of, p.ID) })
 			return gatherService.run(ctx, f.rules, time.Now(), time.Until(until), of, f.local, Query{Partial: true, Rows: a.Rows}, write)
 		}})
-	x = gatherService.run(ctx, f.rules, time.Now(), timeout, parts, sender, Query{}, func(b []byte) error {
+	final = gatherService.run(ctx, f.rules, time.Now(), timeout, parts, sender, Query{}, func(b []byte) error {
 		mu.Lock()
 		defer mu.Unlock()
 		text = append(text, b...)
@@ -174,7 +175,7 @@
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
 	waitFor(f.T, "all connections are closed", func() bool { return f.coordinator.Counts().Connections == 0 })
-	return rows, x
+	return rows, final
 }
 
 func fixtureFlatMerge(without ...int) []string {
@@ -203,77 +204,77 @@
 	for _, c := range []struct {
 		name       string
 		fault      func(*fixture)
-		more       string
-		happened   func(*fixture) bool
-		backingOff int  // peers that back off after it
-		invalid    int  // invalid partial results
-		local      bool // this process gathered a group
-		missing    []int
+		extraRules string
+		happened   func(*fixture) bool // reports whether the fault took effect
+		backingOff int                 // peers that back off after it
+		invalid    int                 // invalid partial results
+		local      bool                // this process gathered a group
+		missing    []int               // shards that are named as missing
 		kind       FinalKind
 	}{
-		{name: "none", happened: func(f *fixture) bool {
+		{name: "no fault", happened: func(f *fixture) bool {
 			return f.coordinator.Counts().Succeeded == 3 && f.partRequests.Load() == fixtureParts
 		}},
-		{name: "one known not to be alive", fault: func(f *fixture) {
+		{name: "one peer is known not to be alive", fault: func(f *fixture) {
 			f.coordinator.options.AlivePeers = func() []string { return []string{"q0", "q2", "other"} }
 		}, happened: func(f *fixture) bool {
 			n := f.coordinator.Counts()
 			return n.Groups == 2 && n.Rows == 8*rowsPerPart && f.peers[1].requests.Load() == 0 && f.coordinator.PeerStatus()[1].NotAlive
 		}},
-		{name: "one resets the connection", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{ResetAfter: 9000}) }, backingOff: 1,
+		{name: "one peer resets the connection", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{ResetAfter: 9000}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).Reset > 0 }},
-		{name: "one truncates its answer", fault: func(f *fixture) { f.peers[1].resetAfter = 9000 }, backingOff: 1,
+		{name: "one peer truncates its answer", fault: func(f *fixture) { f.peers[1].resetAfter = 9000 }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[1].link.Counts(link.Backward).Bytes > 5000 }},
-		{name: "one silent", fault: func(f *fixture) { setFault(f.peers[2], link.Fault{Silent: true}) }, backingOff: 1,
+		{name: "one peer is silent", fault: func(f *fixture) { setFault(f.peers[2], link.Fault{Silent: true}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[2].link.Counts(link.Backward).Silenced > 0 }},
-		{name: "one slow", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{BytesPerSecond: 2000}) }, backingOff: 1,
+		{name: "one peer is slow", fault: func(f *fixture) { setFault(f.peers[0], link.Fault{BytesPerSecond: 2000}) }, backingOff: 1,
 			happened: func(f *fixture) bool { return f.peers[0].link.Counts(link.Backward).RateLimited > 0 }},
-		{name: "two unreachable", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, backingOff: 2, local: true},
-		{name: "all unreachable", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.link.Close() }) }, backingOff: 3, local: true},
-		{name: "all silent", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { setFault(p, link.Fault{Silent: true}) }) }, backingOff: 3, local: true},
-		{name: "all truncate their answers", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.resetAfter = 9000 }) }, backingOff: 3, local: true},
-		{name: "all reject", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.override = reject }) }, backingOff: 3, local: true},
-		{name: "one answers like a node", fault: func(f *fixture) { f.peers[0].override = answerWith("one thing") }, backingOff: 1, invalid: 1},
-		{name: "one has other rules", fault: func(f *fixture) { f.peers[2].rules.Merge = checkRules(f, `{"keep":"first"}`) }, backingOff: 1, invalid: 1},
-		{name: "one lost parts", fault: func(f *fixture) {
+		{name: "two peers are unreachable", fault: func(f *fixture) { f.peers[0].link.Close(); f.peers[1].link.Close() }, backingOff: 2, local: true},
+		{name: "all peers are unreachable", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.link.Close() }) }, backingOff: 3, local: true},
+		{name: "all peers are silent", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { setFault(p, link.Fault{Silent: true}) }) }, backingOff: 3, local: true},
+		{name: "all peers truncate their answers", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.resetAfter = 9000 }) }, backingOff: 3, local: true},
+		{name: "all peers reject", fault: func(f *fixture) { eachPeer(f, func(p *fakePeer) { p.override = reject }) }, backingOff: 3, local: true},
+		{name: "one peer answers like a node", fault: func(f *fixture) { f.peers[0].override = answerWith("one thing") }, backingOff: 1, invalid: 1},
+		{name: "one peer has other rules", fault: func(f *fixture) { f.peers[2].rules.Merge = checkRules(f, `{"keep":"first"}`) }, backingOff: 1, invalid: 1},
+		{name: "one peer loses parts", fault: func(f *fixture) {
 			f.peers[1].rejected = map[string]bool{"p1": true, "p5": true, "p9": true, "p4": true, "p7": true, "p10": true}
 		},
 			backingOff: 1, local: true},
-		{name: "a part is rejected by all processes", more: `,"complete":{"need":"best-effort"}`, fault: func(f *fixture) {
+		{name: "a part is rejected by all processes", extraRules: `,"complete":{"need":"best-effort"}`, fault: func(f *fixture) {
 			eachPeer(f, func(p *fakePeer) { p.rejected = map[string]bool{"p0": true} })
 			f.local.rejected = map[string]bool{"p0": true}
 		}, backingOff: 1, local: true, missing: []int{0}},
-		{name: "rules with top", more: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().PeerAttempts >= 3 }},
+		{name: "rules with top", extraRules: `,"truncate":{"top":50}`, happened: func(f *fixture) bool { return f.coordinator.Counts().PeerAttempts >= 3 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t, 3, c.more)
+			f := newFixture(t, 3, c.extraRules)
 			if c.fault != nil {
 				c.fault(f)
 			}
 			timeout := 10 * time.Minute // long enough for a loaded machine
 			switch {
-			case c.name == "one slow":
+			case c.name == "one peer is slow":
 				timeout = 9 * time.Second // the first attempt's share is a third of four fifths of it
 			case strings.HasSuffix(c.name, "silent"):
 				f.coordinator.options.Rules.SilenceTimeout = 2 * time.Second
 			}
 			rows, x := f.read(t.Context(), timeout)
 			want := fixtureFlatMerge(c.missing...)
-			if strings.Contains(c.more, "top") {
+			if strings.Contains(c.extraRules, "top") {
 				want = want[:50]
 			}
 			if x.Kind != c.kind || x.Result.Whole != (c.missing == nil) || !slices.Equal(rows, want) {
-				t.Errorf("kind %d, %d rows of %d, %+v", x.Kind, len(rows), len(want), x.Result)
+				t.Errorf("final answer of kind %d with %d rows, not the flat merge's %d, and the result %+v", x.Kind, len(rows), len(want), x.Result)
 			}
 			var named []int
 			for _, p := range x.Result.Parts {
 				named = append(named, p.Shard)
 			}
 			if !slices.Equal(named, c.missing) {
-				t.Errorf("named %v, missing %v", named, c.missing)
+				t.Errorf("shards named as missing: %v, want %v", named, c.missing)
 			}
 			if c.happened != nil && !c.happened(f) {
-				t.Errorf("the scenario's effect was not observed: %+v", f.coordinator.Counts())
+				t.Errorf("the fault had no effect: %+v", f.coordinator.Counts())
 			}
 			backingOff := 0
 			for _, s := range f.coordinator.PeerStatus() {
@@ -287,10 +288,10 @@
 			}
 			if n := f.coordinator.Counts(); failed != n.Failed+n.Rejected || failed < backingOff || n.Takeovers == 0 != (backingOff == 0) ||
 				f.coordinator.Failures((*PeerInvalidResult)(nil).Code()) != c.invalid {
-				t.Errorf("%d failures by code, %+v", failed, n)
+				t.Errorf("%d failures by code do not fit the peers that back off or the counts %+v", failed, n)
 			}
 			if n := f.coordinator.Counts(); backingOff != c.backingOff || n.InvalidResults != c.invalid || (n.LocalAttempts > 0) != c.local {
-				t.Errorf("%d peers back off, not %d: %+v %+v", backingOff, c.backingOff, n, f.coordinator.PeerStatus())
+				t.Errorf("%d peers back off, want %d, or unexpected counts: %+v; peers %+v", backingOff, c.backingOff, n, f.coordinator.PeerStatus())
 			}
 			for _, e := range f.log.AllEntries() {
 				if e.Data["code"] == nil && e.Data["peer"] == nil {
@@ -306,7 +307,7 @@
 			}
 			status := f.coordinator.PeerStatus()
 			if rows, x = f.read(t.Context(), timeout); x.Result.Whole && !slices.Equal(rows, want) { // the next read avoids these peers
-				t.Errorf("second read: %d rows, %+v", len(rows), x.Result)
+				t.Errorf("the rows of the second read are not those of the flat merge: %d rows, %+v", len(rows), x.Result)
 			}
 			for i, s := range status {
 				if s.BackoffLeft > 0 && f.peers[i].requests.Load() != requests[s.Name] {
@@ -330,10 +331,10 @@
 		}
 	}
 	if x.Kind != Served || x.Result.Whole || !slices.Contains(named, "p2") || len(named) != 6 {
-		t.Errorf("%d rows, kind %d, in conflict %v, %+v", len(rows), x.Kind, named, x.Result.Parts)
+		t.Errorf("%d rows, final kind %d, parts in conflict %v, want the 6 of p2's group: %+v", len(rows), x.Kind, named, x.Result.Parts)
 	}
 	if n := f.coordinator.Counts(); n.LocalAttempts != 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts %+v, want 1 local attempt", n)
 	}
 }
 
@@ -347,7 +348,7 @@
 	f.local.rejected, f.peers[0].rejected, f.peers[1].rejected = allParts, allParts, allParts
 	rows, x := f.read(t.Context(), 10*time.Minute)
 	if len(rows) > 0 || x.Kind != Rejected || x.RetryAfter != time.Hour {
-		t.Errorf("%d rows, %+v", len(rows), x)
+		t.Errorf("%d rows and the final answer %+v, want none and Rejected with a Retry-After of 1 h", len(rows), x)
 	}
 }
 
@@ -367,25 +368,25 @@
 		disconnect()
 	}()
 	if rows, x := f.read(ctx, time.Minute); x.Kind != ClientDisconnected || len(rows) > 0 {
-		t.Errorf("%+v, %d rows", x, len(rows))
+		t.Errorf("final answer %+v with %d rows, want ClientDisconnected without rows", x, len(rows))
 	}
 	waitFor(t, "all requests to peers end", func() bool {
 		return !slices.ContainsFunc(f.peers, func(p *fakePeer) bool { return p.inFlight.Load() > 0 })
 	})
 	for _, s := range f.coordinator.PeerStatus() {
 		if s.Failures > 0 {
-			t.Errorf("marked as failed because the client disconnected: %+v", s)
+			t.Errorf("a peer is marked as failed because the client disconnected: %+v", s)
 		}
 	}
 }
 
 func TestCoordinatorRejectsInvalidOptions(t *testing.T) {
-	good := CoordinatorOptions{MaxConnsPerPeer: 1, MaxGroupBytes: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: testDelegationRules(0)}
-	for _, bad := range []func(*CoordinatorOptions){func(o *CoordinatorOptions) { o.MaxConnsPerPeer = 0 }, func(o *CoordinatorOptions) { o.MaxGroupBytes = 0 }, func(o *CoordinatorOptions) { o.Peers = nil }} {
-		o := good
-		bad(&o)
+	valid := CoordinatorOptions{MaxConnsPerPeer: 1, MaxGroupBytes: 1, Peers: []Peer{{"a", "127.0.0.1:1"}}, Rules: testDelegationRules(0)}
+	for _, invalidate := range []func(*CoordinatorOptions){func(o *CoordinatorOptions) { o.MaxConnsPerPeer = 0 }, func(o *CoordinatorOptions) { o.MaxGroupBytes = 0 }, func(o *CoordinatorOptions) { o.Peers = nil }} {
+		o := valid
+		invalidate(&o)
 		if _, err := NewCoordinator(o); !errors.As(err, new(*InvalidRules)) {
-			t.Errorf("%+v: %v", o, err)
+			t.Errorf("options %+v: error %v, want InvalidRules", o, err)
 		}
 	}
 }
--- a/internal/scattergather/gather_test.go
+++ b/internal/scattergather/gather_test.go
@@ -35,6 +35,7 @@
 	return r
 }
 
+// mergeRules returns rules with 1 KiB of memory; need is their rule of complete parts, and extra is as in rulesOf.
 func mergeRules(t testingT, need, extra string) *gather.Rules {
 	t.Helper()
 	return rulesOf(t, 1024, fmt.Sprintf(`,"complete":{"need":%q}%s`, need, extra))
@@ -48,7 +49,7 @@
 	return text
 }
 
-// flatMergeOf returns the flat merge of the rows of such parts, without some parts.
+// flatMergeOf returns the flat merge of the rows that partRows gives each part, without some parts.
 func flatMergeOf(parts, rows int, without []int) (all []string) {
 	for k := range parts * rows {
 		if !slices.Contains(without, k%parts) {
@@ -67,14 +68,14 @@
 	fault    string
 }
 
-// simulate drives a Gather through a random simulation and returns the invariant that it broke.
+// simulate drives a Gather through a random simulation and returns the invariant that it broke, numbered as in gather.go.
 func simulate(t *rapid.T, injected fault) (broken string) {
 	parts := rapid.IntRange(1, 5).Draw(t, "parts")
 	rows := rapid.IntRange(0, 60).Draw(t, "rows")
 	need := rapid.SampledFrom([]string{"all", "best-effort"}).Draw(t, "need")
 	top := rapid.SampledFrom([]int{0, 0, 3, 40}).Draw(t, "top")
-	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "atOnce"), MaxRetries: rapid.IntRange(0, 2).Draw(t, "again"),
-		SilenceTimeout: rapid.SampledFrom([]time.Duration{0, 40 * ms}).Draw(t, "silent"), Idempotent: rapid.Bool().Draw(t, "safe")}
+	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "concurrent parts"), MaxRetries: rapid.IntRange(0, 2).Draw(t, "retries"),
+		SilenceTimeout: rapid.SampledFrom([]time.Duration{0, 40 * ms}).Draw(t, "silence timeout"), Idempotent: rapid.Bool().Draw(t, "idempotent")}
 	truncate := ""
 	if top > 0 {
 		truncate = fmt.Sprintf(`,"truncate":{"top":%d}`, top)
@@ -89,11 +90,11 @@
 		t.Fatal(err)
 	}
 	g.fault = injected
-	disconnectAt := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 30, 150}).Draw(t, "disconnect")) * ms
-	stallAt := time.Duration(rapid.SampledFrom([]int{1000, 1000, 0, 60}).Draw(t, "stall")) * ms // the client reads no more rows
+	disconnectAt := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 30, 150}).Draw(t, "disconnect at")) * ms
+	stallAt := time.Duration(rapid.SampledFrom([]int{1000, 1000, 0, 60}).Draw(t, "stall at")) * ms // the client reads no more rows
 	var inFlight []*simulatedAttempt
 	notBefore := map[string]time.Duration{}
-	attempts, limitedAttempts, uncounted := map[string]int{}, map[string]int{}, map[string]int{}
+	attempts, limitedAttempts, uncountedRejections := map[string]int{}, map[string]int{}, map[string]int{}
 	mayHaveRun, failed := map[string]bool{}, map[string][]int{}
 	var got []string
 	var final *Final
@@ -127,17 +128,17 @@
 				}
 				switch {
 				case wasFinal:
-					return "S1"
+					return "S1: an attempt starts after the final answer"
 				case active >= r.MaxConcurrentParts:
-					return "S2"
+					return "S2: an attempt starts over MaxConcurrentParts"
 				case now >= 300*ms || a.Deadline != 300*ms:
-					return "S3"
+					return "S3: an attempt starts after the parts' deadline, or has another deadline"
 				case mayHaveRun[id] && !r.Idempotent:
-					return "S4"
-				case attempts[id]-limitedAttempts[id]-uncounted[id] > r.MaxRetries:
-					return "S5"
+					return "S4: a non-idempotent part that may have been executed is retried"
+				case attempts[id]-limitedAttempts[id]-uncountedRejections[id] > r.MaxRetries:
+					return "S5: a part has more than 1+MaxRetries attempts that count"
 				case now < notBefore[id]:
-					return "S6"
+					return "S6: a rejected part is retried too early"
 				}
 				avoid := slices.Clone(failed[id])
 				for _, o := range inFlight {
@@ -147,20 +148,20 @@
 				}
 				slices.Sort(avoid)
 				if slices.Reverse(avoid); !slices.Equal(avoid, a.AvoidNodesOf) {
-					return fmt.Sprintf("S10: %v, not %v", a.AvoidNodesOf, avoid)
+					return fmt.Sprintf("S10: the attempt avoids the nodes of %v, not of %v", a.AvoidNodesOf, avoid)
 				}
 				if !r.Idempotent && a.Rows != 0 {
 					return "S4: a non-idempotent part has a row limit"
 				}
 				attempts[id]++
 				o := &simulatedAttempt{Attempt: a.Attempt, fault: rapid.SampledFrom([]string{"complete", "complete", "truncated", "rejected", "silent", "empty"}).Draw(t, "fault")}
-				o.end = now + time.Duration(rapid.IntRange(1, 16).Draw(t, "after"))*5*ms
+				o.end = now + time.Duration(rapid.IntRange(1, 16).Draw(t, "steps until it ends"))*5*ms
 				inFlight = append(inFlight, o)
 			}
 			if x, ok := g.Final(); ok && final == nil {
 				final = &x
 				if len(inFlight) > 0 {
-					return "S7"
+					return "S7: attempts are in flight at the final answer"
 				}
 			}
 			if g.WakeAt() > now {
@@ -177,7 +178,7 @@
 			break
 		}
 		if now >= 400*ms {
-			return "S9"
+			return "S9: no final answer at the client's deadline"
 		}
 		for _, o := range slices.Clone(inFlight) {
 			if now < o.end || o.fault == "silent" {
@@ -195,21 +196,21 @@
 			case o.Rows > 0 && o.Rows < rows:
 				text, end = partRows(o.Part.Shard, parts, o.Rows), &gather.Limited{}
 			}
-			at := 0
+			consumed := 0
 			if o.progress < 0 {
-				at = -1 - o.progress
+				consumed = -1 - o.progress
 			}
-			n := g.Receive(now, o.Part.ID, o.Number, text[at:])
-			if at += n; at < len(text) {
-				o.progress = -1 - at // it waits for memory of the merge
+			n := g.Receive(now, o.Part.ID, o.Number, text[consumed:])
+			if consumed += n; consumed < len(text) {
+				o.progress = -1 - consumed // it waits for memory of the merge
 				continue
 			}
 			inFlight = slices.DeleteFunc(inFlight, func(x *simulatedAttempt) bool { return x == o })
 			if o.fault == "rejected" {
 				wait := 25 * ms
-				if k := uncounted[o.Part.ID]; len(got) > 0 && k < maxUncountedRejections {
+				if k := uncountedRejections[o.Part.ID]; len(got) > 0 && k < maxUncountedRejections {
 					wait = max(wait, minRejectionBackoff<<min(k, maxBackoffDoublings))
-					uncounted[o.Part.ID]++
+					uncountedRejections[o.Part.ID]++
 				}
 				notBefore[o.Part.ID] = now + wait
 			} else {
@@ -237,13 +238,13 @@
 	for _, row := range got {
 		for ; row != fmt.Sprintf(`{"n":%d}`, k); k++ {
 			if k >= parts*rows || !named[k%parts] {
-				return "S8: " + row
+				return "S8: a row is out of order, or rows before it are missing, but their part is not named: " + row
 			}
 		}
 		k++
 	}
 	if complete && len(got) != maxRows {
-		return fmt.Sprintf("S8: %d rows of %d", len(got), maxRows)
+		return fmt.Sprintf("S8: the complete answer has %d rows of %d", len(got), maxRows)
 	}
 	if !complete && final.Kind == Served && len(named) == 0 {
 		return "S8: incomplete, but no part is named"
@@ -262,7 +263,7 @@
 			}
 		}
 		if found[want] == 0 {
-			t.Errorf("fault %v: no simulation broke invariant %s, only %v", f, want, found)
+			t.Errorf("injected fault %v: no simulation broke invariant %s, only %v", f, want, found)
 		}
 	}
 }
@@ -295,19 +296,19 @@
 	g.Receive(0, "a", 1, partRows(0, 2, 3))
 	g.Receive(0, "b", 1, partRows(1, 2, 1))
 	if _, ok := g.Next(); !ok {
-		t.Fatal("no row")
+		t.Fatal("no row is returned, although both parts delivered one")
 	}
 	g.AttemptEnded(0, "b", 1, &Rejection{ms})
-	now, last := time.Duration(0), time.Duration(0)
+	now, lastBackoff := time.Duration(0), time.Duration(0)
 	for n := range maxUncountedRejections {
 		g.Step(now)
-		at := g.WakeAt()
-		if at-now < last || at-now < minRejectionBackoff {
-			t.Errorf("rejection %d: retry after %v, the previous one after %v", n, at-now, last)
+		wakeAt := g.WakeAt()
+		if wakeAt-now < lastBackoff || wakeAt-now < minRejectionBackoff {
+			t.Errorf("rejection %d: the backoff is %v, shorter than the minimum or than the previous one of %v", n, wakeAt-now, lastBackoff)
 		}
-		last, now = at-now, at
+		lastBackoff, now = wakeAt-now, wakeAt
 		if acts := g.Step(now); len(acts) != 1 || acts[0].Part.ID != "b" || acts[0].Number != n+2 {
-			t.Fatalf("rejection %d: %+v", n, acts)
+			t.Fatalf("rejection %d: actions %+v, want the next attempt of part b", n, acts)
 		}
 		g.AttemptEnded(now, "b", n+2, &Rejection{ms})
 	}
@@ -317,10 +318,12 @@
 		}
 	}
 	if f, ok := g.Final(); !ok || f.Kind != EndedEarly || f.Result.Whole {
-		t.Errorf("%v %+v", ok, f)
+		t.Errorf("final %v: answer %+v, want an incomplete one of kind EndedEarly", ok, f)
 	}
 }
 
+// If a part is rejected before any row was sent, the read is rejected with its Retry-After, and the other attempts are cancelled. The
+// test also checks the package's error codes, and that rules without a limit of concurrent parts are rejected.
 func TestRejectedPartBeforeAnyRowRejectsTheRead(t *testing.T) {
 	g, err := New(Rules{Merge: mergeRules(t, "all", ""), MaxConcurrentParts: 4}, time.Second, []gather.Part{{ID: "a"}, {ID: "b", Shard: 1}})
 	if err != nil {
@@ -333,7 +336,7 @@
 	acts := g.Step(ms)
 	f, ok := g.Final()
 	if !ok || f.Kind != Rejected || f.RetryAfter != 70*ms || len(acts) != 1 || !acts[0].Cancel || acts[0].Part.ID != "b" {
-		t.Errorf("%v %+v %v", ok, f, acts)
+		t.Errorf("final %v: answer %+v, actions %v; want Rejected with a Retry-After of 70 ms, and part b cancelled", ok, f, acts)
 	}
 	all := []operr.Coded{&InvalidRules{}, &Rejection{}, &PartDeadlineExceeded{}, &PartTooLong{}, &PartFailed{}}
 	if err := operr.Check(all); err != nil {
--- a/internal/scattergather/group_test.go
+++ b/internal/scattergather/group_test.go
@@ -53,15 +53,16 @@
 	blocked      bool
 }
 
-// simulateDelegation drives a Gather with groups through a random simulation and returns the invariant that it broke.
+// simulateDelegation drives a Gather with groups through a random simulation and returns the invariant that it broke, numbered as in
+// gather.go and peer_table.go.
 func simulateDelegation(t *rapid.T, injected delegationFault) string {
 	const deadline, partsDeadline = 400 * ms, 300 * ms
 	parts := rapid.IntRange(4, 14).Draw(t, "parts")
 	rows := rapid.IntRange(0, 40).Draw(t, "rows")
 	rules := testDelegationRules(rapid.IntRange(1, 4).Draw(t, "peers"))
-	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "copies")
-	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "atOnce"), Idempotent: true}
-	truncate := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "cut")
+	rules.MaxPeerAttempts = rapid.IntRange(1, 3).Draw(t, "max peer attempts")
+	r := Rules{MergeTimeShare: 0.25, MaxConcurrentParts: rapid.IntRange(1, 4).Draw(t, "concurrent parts"), Idempotent: true}
+	truncate := rapid.SampledFrom([]string{"", "", `,"truncate":{"top":30}`}).Draw(t, "truncate")
 	r.Merge = rulesOf(t, 8192, `,"complete":{"need":"best-effort"}`+truncate)
 	peerTable, err := NewPeerTable(rules, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 	g.setGroups(rules, plan)
 	g.delegationFault = injected
-	stallAt := rapid.SampledFrom([]time.Duration{deadline, deadline, 0, 60 * ms}).Draw(t, "stall") // the client reads no more rows
+	stallAt := rapid.SampledFrom([]time.Duration{deadline, deadline, 0, 60 * ms}).Draw(t, "stall at") // the client reads no more rows
 	byID := map[string]Group{}
 	completeResults := map[string][]byte{}
 	for _, x := range plan.Groups {
@@ -117,7 +118,7 @@
 						}
 					}
 					if peerAttempts[id] > len(x.PeerOrder) || a.Peer != "" && !slices.Contains(x.PeerOrder, a.Peer) {
-						return "T3"
+						return "T3: a group is sent to too many peers, or to one that is not in its order"
 					}
 				}
 				inFlight = append(inFlight, o)
@@ -143,7 +144,7 @@
 			return checkResult(&final, got, byID, parts, rows, truncate != "")
 		}
 		if now >= deadline {
-			return "S9"
+			return "S9: no final answer at the client's deadline"
 		}
 		for _, d := range g.merge.Want() { // the delivered bytes wait for the merge
 			waitedForMerge[d.Part] = waitedForMerge[d.Part] || !d.First && 2*d.Bytes <= 8192/(len(plan.Parts())+1)
@@ -207,7 +208,7 @@
 
 func reversed[T any](s []T) []T { s = slices.Clone(s); slices.Reverse(s); return s }
 
-// checkResult checks that the rows are those of the flat merge, or that the missing parts are named.
+// checkResult returns invariant S8 if the rows are not those of the flat merge and no missing part explains it.
 func checkResult(f *Final, got []string, groups map[string]Group, parts, rows int, truncated bool) string {
 	named := map[int]bool{}
 	for _, p := range f.Result.Parts {
@@ -217,13 +218,13 @@
 	for _, row := range got {
 		for ; row != fmt.Sprintf(`{"n":%d}`, k); k++ {
 			if k >= parts*rows || !named[shardOf(groups, k%parts)] && !named[k%parts] {
-				return "S8: " + row
+				return "S8: a row is out of order, or rows before it are missing, but their part is not named: " + row
 			}
 		}
 		k++
 	}
 	if f.Kind == Served && f.Result.Whole && !truncated && len(got) != parts*rows {
-		return fmt.Sprintf("S8: %d rows of %d", len(got), parts*rows)
+		return fmt.Sprintf("S8: the complete answer has %d rows of %d", len(got), parts*rows)
 	}
 	if f.Kind == Served && !f.Result.Whole && !truncated && len(named) == 0 {
 		return "S8: incomplete, but no part is named"
--- a/internal/scattergather/partial_validator_test.go
+++ b/internal/scattergather/partial_validator_test.go
@@ -12,6 +12,7 @@
 	"wheatsaddle/gather"
 )
 
+// checkRules returns best-effort rules with 8 KiB of memory and the given rule of duplicates.
 func checkRules(t testingT, duplicates string) *gather.Rules {
 	t.Helper()
 	return rulesOf(t, 8192, `,"complete":{"need":"best-effort"},"duplicates":`+duplicates)
@@ -39,19 +40,19 @@
 			`{"keep":"highest","version":{"key":"v","type":"integer"}}`}).Draw(t, "duplicates"))
 		parts := rapid.IntRange(1, 6).Draw(t, "parts")
 		group := newParts(parts)
-		of := gather.Part{ID: "g0"}
+		groupPart := gather.Part{ID: "g0"}
 		for i := range group {
-			of.Of = append(of.Of, group[i].ID)
+			groupPart.Of = append(groupPart.Of, group[i].ID)
 			group[i].Shard = rapid.IntRange(0, 2).Draw(t, "rows of") // so that some parts have the same rows
 		}
 		text := partialOf(t, r, group, 3, rapid.IntRange(0, 30).Draw(t, "rows"))
-		c, err := newPartialValidator(r, "q", of, 0, 8192, 1<<20)
+		c, err := newPartialValidator(r, "q", groupPart, 0, 8192, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		passed, err := validate(c, text, rapid.IntRange(1, 200).Draw(t, "piece"))
 		if err != nil || !bytes.Equal(passed, text) {
-			t.Fatalf("%v, %d bytes of %d", err, len(passed), len(text))
+			t.Fatalf("error %v; %d bytes were passed on, of %d", err, len(passed), len(text))
 		}
 	})
 }
@@ -60,10 +61,10 @@
 func TestInvalidPartialResultStopsAtItsValidPrefix(t *testing.T) {
 	r, other := checkRules(t, `{"keep":"all"}`), checkRules(t, `{"keep":"first"}`)
 	group := newParts(3)
-	of := gather.Part{ID: "g0", Of: []string{"p0", "p1", "p2"}}
+	groupPart := gather.Part{ID: "g0", Of: []string{"p0", "p1", "p2"}}
 	valid := partialOf(t, r, group, 3, 20)
-	header := len(partialOf(t, r, group, 3, 0)) - 5
-	lost := func() []byte { // p1 is truncated and dropped
+	header := len(partialOf(t, r, group, 3, 0)) - 5 // without the end, a frame of 5 bytes
+	lost := func() []byte {                         // p1 is truncated and dropped
 		m, _ := gather.New(r, group)
 		_ = m.Add("p0", 1, partRows(0, 3, 20))
 		_ = m.End("p0", 1, nil)
@@ -87,13 +88,13 @@
 	corrupt[endOfRow(5)+4] = 'X'
 	for name, c := range map[string]struct {
 		text   []byte
-		rows   int
-		bytes  int64
-		want   error
-		passed int
+		rows   int   // limit of rows, 0 for none
+		bytes  int64 // limit of bytes, 0 for the default
+		want   error // error of this type
+		passed int   // bytes of the valid prefix; -1: not checked
 	}{
 		"a node's answer":          {text: []byte("hello, this is a plain answer"), want: &PeerInvalidResult{}},
-		"empty":                    {text: nil, want: &PeerFailed{}},
+		"no data":                  {text: nil, want: &PeerFailed{}},
 		"under other rules":        {text: partialOf(t, other, group, 3, 20), want: &PeerInvalidResult{}},
 		"of other parts":           {text: partialOf(t, r, newParts(4)[1:], 3, 20), want: &PeerInvalidResult{}},
 		"of fewer parts":           {text: partialOf(t, r, newParts(2), 3, 20), want: &PeerInvalidResult{}},
@@ -112,13 +113,13 @@
 				c.bytes = 1 << 20
 			}
 			for _, piece := range []int{1, 7, 1000, 1 << 20} {
-				validator, err := newPartialValidator(r, "q", of, c.rows, 4096, c.bytes)
+				validator, err := newPartialValidator(r, "q", groupPart, c.rows, 4096, c.bytes)
 				if err != nil {
 					t.Fatal(err)
 				}
 				passed, err := validate(validator, c.text, piece)
 				if fmt.Sprintf("%T", err) != fmt.Sprintf("%T", c.want) {
-					t.Fatalf("in pieces of %d: %T %v", piece, err, err)
+					t.Fatalf("in pieces of %d: unexpected error %T %v", piece, err, err)
 				}
 				if len(passed) > max(c.passed, header) && c.passed >= 0 || c.passed > 0 && len(passed) < min(c.passed, header) {
 					t.Errorf("in pieces of %d: %d bytes were passed on, %d are valid", piece, len(passed), c.passed)
@@ -142,12 +143,12 @@
 	}
 	group := newParts(6)
 	text := partialOf(b, r, group, 6, 10000)
-	of := gather.Part{ID: "g0"}
+	groupPart := gather.Part{ID: "g0"}
 	for _, p := range group {
-		of.Of = append(of.Of, p.ID)
+		groupPart.Of = append(groupPart.Of, p.ID)
 	}
 	for b.Loop() {
-		c, err := newPartialValidator(r, "q", of, 0, 1<<20, 1<<30)
+		c, err := newPartialValidator(r, "q", groupPart, 0, 1<<20, 1<<30)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/scattergather/run_interleave_test.go
+++ b/internal/scattergather/run_interleave_test.go
@@ -32,9 +32,9 @@
 }
 
 // Send implements Sender. Each attempt is a thread of its own.
-func (d *simulatedRead) Send(a Attempt, _ time.Time, to *Sink) {
+func (r *simulatedRead) Send(a Attempt, _ time.Time, to *Sink) {
 	sync.Go(func() {
-		text := partRows(a.Part.Shard, d.parts, d.rows)
+		text := partRows(a.Part.Shard, r.parts, r.rows)
 		if a.Number > 1 {
 			to.End(text, nil)
 			return
@@ -55,45 +55,45 @@
 }
 
 // Cancel implements Sender.
-func (d *simulatedRead) Cancel(Attempt) {}
+func (r *simulatedRead) Cancel(Attempt) {}
 
-func (d *simulatedRead) write(rows []byte) error {
+func (r *simulatedRead) write(rows []byte) error {
 	before := bytes.Clone(rows)
 	sync.Step("write", "client")
-	if d.ended {
+	if r.ended {
 		il.Fail("written after the final answer")
 	}
 	if !bytes.Equal(rows, before) {
 		il.Fail("the rows changed under the writer")
 	}
-	if d.got = append(d.got, rows...); d.writeFails {
+	if r.got = append(r.got, rows...); r.writeFails {
 		return errors.New("client disconnected")
 	}
 	return nil
 }
 
 // advance moves the clock to the next wake-up time, the given number of times.
-func (d *simulatedRead) advance(times int) {
+func (r *simulatedRead) advance(times int) {
 	for range times {
 		sync.Step("time", "passes")
-		d.now = d.wakeAt
-		if !sync.SendOr(d.wake, time.Time{}, d.done) {
+		r.now = r.wakeAt
+		if !sync.SendOr(r.wake, time.Time{}, r.done) {
 			return
 		}
 	}
 }
 
 // check verifies that the written rows are a prefix of the expected rows, and all of them if the answer says complete.
-func (d *simulatedRead) check() error {
-	want := partRows(0, 1, d.parts*d.rows)
+func (r *simulatedRead) check() error {
+	want := partRows(0, 1, r.parts*r.rows)
 	switch {
-	case !bytes.HasPrefix(want, d.got):
-		return fmt.Errorf("rows %q", d.got)
-	case d.final.Kind == Served && d.final.Result.Whole != bytes.Equal(want, d.got):
-		return fmt.Errorf("%+v with the rows %q", d.final, d.got)
-	case d.mustBeComplete && d.final.Kind != Served:
-		return fmt.Errorf("incomplete: %+v", d.final)
-	case d.writeFails && d.final.Kind == Served:
+	case !bytes.HasPrefix(want, r.got):
+		return fmt.Errorf("the written rows are not a prefix of the expected ones: %q", r.got)
+	case r.final.Kind == Served && r.final.Result.Whole != bytes.Equal(want, r.got):
+		return fmt.Errorf("the final answer %+v does not fit the rows %q", r.final, r.got)
+	case r.mustBeComplete && r.final.Kind != Served:
+		return fmt.Errorf("incomplete: %+v", r.final)
+	case r.writeFails && r.final.Kind == Served:
 		return errors.New("served although the client disconnected")
 	}
 	return nil
@@ -104,56 +104,56 @@
 func TestInterleaveRun(t *testing.T) {
 	rules := Rules{Merge: mergeRules(t, "all", ""), MergeTimeShare: .1, MaxConcurrentParts: 4, MaxRetries: 1, Idempotent: true}
 	for _, x := range []struct {
-		name        string
-		parts, rows int
-		silent      time.Duration
-		fails       bool
-		most        int // preemptions
-		add         func(d *simulatedRead, leave func()) []il.Thread
-		lost        []mutant.Mutant
+		name           string
+		parts, rows    int
+		silenceTimeout time.Duration
+		writeFails     bool
+		preemptions    int
+		threads        func(read *simulatedRead, disconnect func()) []il.Thread
+		mutants        []mutant.Mutant
 	}{
-		{"copy", 1, 1, ms, false, 1, func(d *simulatedRead, _ func()) []il.Thread {
-			return []il.Thread{{Name: "timer", Run: func() { d.advance(1) }}}
+		{"second attempt", 1, 1, ms, false, 1, func(read *simulatedRead, _ func()) []il.Thread {
+			return []il.Thread{{Name: "timer", Run: func() { read.advance(1) }}}
 		}, []mutant.Mutant{
 			{File: "run.go", Old: "			p.from.unconsumed = p.data\n", New: "			p.from.unconsumed = p.data\n			sync.TrySend(p.from.consumed, struct{}{})\n", Want: "data race: "},
 			{File: "run.go", Old: "make(chan attemptEnd, len(g.parts)*", New: "make(chan attemptEnd, 0*len(g.parts)*", Want: "deadlock: "}}},
-		{"leave", 1, 150, 0, false, 1, func(_ *simulatedRead, leave func()) []il.Thread {
-			return []il.Thread{{Name: "client", Run: leave}}
+		{"client disconnects", 1, 150, 0, false, 1, func(_ *simulatedRead, disconnect func()) []il.Thread {
+			return []il.Thread{{Name: "client", Run: disconnect}}
 		}, []mutant.Mutant{
 			{File: "run.go", Old: "sync.SendOrEither(s.pieces, piece{s, data}, s.cancelled, s.done)", New: "sync.SendOr(s.pieces, piece{s, data}, make(chan int))", Want: "deadlock: "},
 			{File: "run.go", Old: "sync.First3(s.consumed, s.cancelled, s.done)", New: "sync.First3(s.consumed, (chan struct{})(nil), (chan struct{})(nil))", Want: "deadlock: "}}},
-		{"write", 1, 150, 0, true, 1, func(*simulatedRead, func()) []il.Thread { return nil }, []mutant.Mutant{
+		{"write fails", 1, 150, 0, true, 1, func(*simulatedRead, func()) []il.Thread { return nil }, []mutant.Mutant{
 			{File: "run.go", Old: "			sync.Send(written, opt.Write(b))\n", New: "			opt.Write(b)\n			sync.Send(written, error(nil))\n", Want: "served although the client disconnected"}}},
-		{"parts", 2, 100, 0, false, 0, func(*simulatedRead, func()) []il.Thread { return nil }, []mutant.Mutant{
+		{"two parts", 2, 100, 0, false, 0, func(*simulatedRead, func()) []il.Thread { return nil }, []mutant.Mutant{
 			{File: "run.go", Old: "				if writing {\n", New: "				if false {\n", Want: "written after the final answer"},
 			{File: "run.go", Old: "			s.unconsumed = s.unconsumed[n:]\n", New: "			s.unconsumed = nil\n", Want: "incomplete"},
 			{File: "run.go", Old: "	if len(data) == 0 {\n		return true\n	}\n", New: "", Want: "deadlock: "}}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := rules
-			r.SilenceTimeout = x.silent
+			r.SilenceTimeout = x.silenceTimeout
 			var parts []gather.Part
 			for i := range x.parts {
 				parts = append(parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
 			}
-			il.Check(t, il.Options{Bounded: true, Preemptions: x.most}, func() il.Program {
-				d := &simulatedRead{parts: x.parts, rows: x.rows, writeFails: x.fails, mustBeComplete: x.name == "copy" || x.name == "parts", wake: make(chan time.Time), done: make(chan struct{})}
-				ctx, leave := steps.RootContext(context.Background())
+			il.Check(t, il.Options{Bounded: true, Preemptions: x.preemptions}, func() il.Program {
+				read := &simulatedRead{parts: x.parts, rows: x.rows, writeFails: x.writeFails, mustBeComplete: x.name == "second attempt" || x.name == "two parts", wake: make(chan time.Time), done: make(chan struct{})}
+				ctx, disconnect := steps.RootContext(context.Background())
 				g, err := New(r, time.Second, parts)
 				if err != nil {
 					t.Fatal(err)
 				}
 				return il.Program{
 					Threads: append([]il.Thread{{Name: "run", Run: func() {
-						d.final = run(ctx, g, d, Options{MaxPartBytes: 1 << 10, Write: d.write},
-							clock{func() time.Duration { return d.now }, d.wake, func(at time.Duration) { d.wakeAt = at }})
-						d.ended = true
-						sync.Close(d.done)
-					}}}, x.add(d, leave)...),
-					Check: d.check,
+						read.final = run(ctx, g, read, Options{MaxPartBytes: 1 << 10, Write: read.write},
+							clock{func() time.Duration { return read.now }, read.wake, func(at time.Duration) { read.wakeAt = at }})
+						read.ended = true
+						sync.Close(read.done)
+					}}}, x.threads(read, disconnect)...),
+					Check: read.check,
 				}
 			})
-			mutant.AssertDetected(t, x.lost...)
+			mutant.AssertDetected(t, x.mutants...)
 		})
 	}
 }
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// run gathers with a long timeout. With endsAtDeadline the clock jumps past the parts' deadline once all parts but the silent ones
-// are finished.
+// run gathers with a long timeout. If endsAtDeadline is set, the clock jumps past the parts' deadline once all parts but the silent
+// ones are finished.
 func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, endsAtDeadline bool) (rows []string, f Final) {
 	t.Helper()
 	const timeout = 10 * time.Minute
@@ -168,10 +168,10 @@
 	return rows, f
 }
 
-// flatMerge returns the merged rows of all shards, without some.
+// flatMerge returns the merged rows of all shards but the given ones.
 func flatMerge(without ...int) []string { return flatMergeOf(shardCount, rowsPerShard, without) }
 
-// The result over core is the flat merge, or names the missing parts.
+// A read whose attempts go through core to faulty nodes returns the flat merge, or names the missing parts.
 func TestResultIsFlatMergeOrNamesMissingParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults  [shardCount]string
@@ -179,13 +179,13 @@
 		kind    FinalKind
 		missing []int
 	}{
-		"no fault":     {need: "all"},
-		"late":         {[shardCount]string{0: "late", 3: "late"}, "all", Served, nil},
-		"reset once":   {[shardCount]string{1: "reset once"}, "all", Served, nil},
-		"reset":        {[shardCount]string{2: "reset"}, "best-effort", Served, []int{2}},
-		"silent":       {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
-		"full, silent": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
-		"all needed":   {[shardCount]string{0: "silent"}, "all", EndedEarly, []int{0}},
+		"no fault":                  {need: "all"},
+		"late answers":              {[shardCount]string{0: "late", 3: "late"}, "all", Served, nil},
+		"one reset":                 {[shardCount]string{1: "reset once"}, "all", Served, nil},
+		"reset at each attempt":     {[shardCount]string{2: "reset"}, "best-effort", Served, []int{2}},
+		"silent shard":              {[shardCount]string{0: "silent"}, "best-effort", Served, []int{0}},
+		"full shard and silent one": {[shardCount]string{1: "full", 3: "silent"}, "best-effort", Served, []int{1, 3}},
+		"silent shard, all needed":  {[shardCount]string{0: "silent"}, "all", EndedEarly, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newCoreFixture(t, c.faults)
@@ -195,14 +195,14 @@
 				want = nil
 			}
 			if f.Kind != c.kind || f.Result.Whole != (len(c.missing) == 0) || !slices.Equal(rows, want) {
-				t.Errorf("kind %d, %d rows of %d, %+v", f.Kind, len(rows), len(want), f.Result)
+				t.Errorf("final answer of kind %d with %d rows, want %d rows of the flat merge: %+v", f.Kind, len(rows), len(want), f.Result)
 			}
 			var named []int
 			for _, p := range f.Result.Parts {
 				named = append(named, p.Shard)
 			}
 			if !slices.Equal(named, c.missing) {
-				t.Errorf("named %v, missing %v", named, c.missing)
+				t.Errorf("shards named as missing: %v, want %v", named, c.missing)
 			}
 			for i, s := range w.shards {
 				if s.requests.Load() == 0 && c.kind == Served {
@@ -227,7 +227,7 @@
 	}()
 	rows, f := w.run(ctx, t, "all", false)
 	if f.Kind != ClientDisconnected || len(rows) > 0 {
-		t.Errorf("%+v, %d rows", f, len(rows))
+		t.Errorf("final answer %+v with %d rows, want ClientDisconnected without rows", f, len(rows))
 	}
 	waitFor(t, "all attempts end", func() bool {
 		return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
@@ -275,7 +275,7 @@
 	}})
 	s.wg.Wait()
 	if all := s.sent.Load(); f.Kind != Served || !f.Result.Whole || written != all || maxBuffered > 2*maxBatchBytes+4096 {
-		t.Errorf("%+v; %d of %d bytes, %d buffered", f, written, all, maxBuffered)
+		t.Errorf("final answer %+v; %d of %d bytes written, at most %d were buffered", f, written, all, maxBuffered)
 	}
 	if err := goleak.Find(); err != nil {
 		t.Error(err)
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/operr"
 )
 
-// service returns a Service over the fixture's core. With streamed set, bodies arrive in pieces.
+// service returns a Service over the fixture's core. If streamed is set, bodies arrive in pieces.
 func (w *coreFixture) service(t *testing.T, extra string, streamed bool) *Service {
 	t.Helper()
 	rules := Rules{Merge: mergeRules(t, "all", extra), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 2}
@@ -43,9 +43,9 @@
 // failingDelegator gathers two groups of two parts in this process. The first attempt of each fails halfway, like one of a killed peer.
 type failingDelegator struct{ attempts []string }
 
-func (h *failingDelegator) Delegate(r ReadRequest) ([]gather.Part, Sender) {
+func (d *failingDelegator) Delegate(r ReadRequest) ([]gather.Part, Sender) {
 	parts := []gather.Part{{ID: "a", Of: []string{"0", "2"}}, {ID: "b", Of: []string{"1", "3"}}}
-	return parts, &failingSender{h, r}
+	return parts, &failingSender{d, r}
 }
 
 type failingSender struct {
@@ -53,15 +53,15 @@
 	read      ReadRequest
 }
 
-func (x *failingSender) Cancel(Attempt) {}
-func (x *failingSender) Send(a Attempt, until time.Time, to *Sink) {
-	x.delegator.attempts = append(x.delegator.attempts, fmt.Sprint(a.Part.ID, a.Number))
+func (s *failingSender) Cancel(Attempt) {}
+func (s *failingSender) Send(a Attempt, until time.Time, to *Sink) {
+	s.delegator.attempts = append(s.delegator.attempts, fmt.Sprint(a.Part.ID, a.Number))
 	go func() {
 		left := -1
 		if a.Number == 1 {
 			left = 1
 		}
-		f := x.read.GatherLocally(context.Background(), a, until, func(b []byte) error {
+		f := s.read.GatherLocally(context.Background(), a, until, func(b []byte) error {
 			if left--; left == -1 {
 				return errTruncated
 			}
@@ -84,16 +84,16 @@
 func TestServiceReturnsFlatMerge(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{})
 	for name, c := range map[string]struct {
-		top        string
-		long, tree bool
+		truncate          string
+		streamed, grouped bool
 	}{
-		"whole bodies": {}, "in pieces": {long: true}, "in groups": {tree: true},
-		"pages": {top: `,"truncate":{"top":150}`}, "pages in groups": {top: `,"truncate":{"top":150}`, tree: true, long: true},
+		"whole bodies": {}, "streamed bodies": {streamed: true}, "groups that fail once": {grouped: true},
+		"pages": {truncate: `,"truncate":{"top":150}`}, "streamed pages of groups that fail once": {truncate: `,"truncate":{"top":150}`, grouped: true, streamed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, h := w.service(t, c.top, c.long), &failingDelegator{}
-			if c.tree {
-				s.Delegator = h
+			s, delegator := w.service(t, c.truncate, c.streamed), &failingDelegator{}
+			if c.grouped {
+				s.Delegator = delegator
 			}
 			var rows []string
 			pages := 0
@@ -101,7 +101,7 @@
 				var text []byte
 				f := s.Read(t.Context(), newClientRequest(fmt.Sprint(name, pages), time.Minute), q, func(b []byte) error { text = append(text, b...); return nil })
 				if f.Kind != Served || !f.Result.Whole {
-					t.Fatalf("page %d: %+v", pages, f)
+					t.Fatalf("page %d is not complete: %+v", pages, f)
 				}
 				rows = append(rows, strings.Fields(string(text))...)
 				if q.Token = f.Result.Token; q.Token == "" {
@@ -109,54 +109,56 @@
 				}
 			}
 			if !slices.Equal(rows, flatMerge()) {
-				t.Errorf("%d rows of %d", len(rows), len(flatMerge()))
+				t.Errorf("%d rows, not those of the flat merge with %d", len(rows), len(flatMerge()))
 			}
-			if c.top != "" && pages < shardCount*rowsPerShard/150 {
-				t.Errorf("%d pages", pages)
+			if c.truncate != "" && pages < shardCount*rowsPerShard/150 {
+				t.Errorf("%d pages before the last one, too few for 150 rows per page", pages)
 			}
-			if c.tree && !slices.Contains(h.attempts, "a2") {
-				t.Errorf("no second attempt of group a: %v", h.attempts)
+			if c.grouped && !slices.Contains(delegator.attempts, "a2") {
+				t.Errorf("no second attempt of group a: %v", delegator.attempts)
 			}
 			waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
 		})
 	}
 }
 
+// Reads without rules for their class, with invalid shards or with an invalid token are rejected as Invalid with the code of the error.
+// A read over the limit of concurrent reads is rejected at once.
 func TestServiceRejectsInvalidAndExcessReads(t *testing.T) {
 	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
 	s := w.service(t, "", false)
-	unexpected := func([]byte) error { t.Error("a row was written"); return nil } //nolint:unparam // a writer of rows
+	unexpectedWrite := func([]byte) error { t.Error("rows were written by a read that has none"); return nil } //nolint:unparam // a writer of rows
 	read := func(q Query, class string) Final {
 		r := newClientRequest("r", 400*time.Millisecond)
 		r.Class = class
-		return s.Read(t.Context(), r, q, unexpected)
+		return s.Read(t.Context(), r, q, unexpectedWrite)
 	}
-	invalid := func(what, code string, f Final) {
+	assertInvalid := func(what, code string, f Final) {
 		var c operr.Coded
 		if f.Kind != Invalid || !errors.As(f.Err, &c) || c.Code() != code || f.Report(false).Advice == "" {
-			t.Errorf("%s: %+v", what, f)
+			t.Errorf("%s: final answer %+v, want Invalid with the code of the case and an advice", what, f)
 		}
 	}
-	invalid("class", "scatter-no-rules", read(Query{All: true}, "other"))
-	invalid("twice", "gather-parts-bad", read(Query{Shards: []int{1, 1}}, "read"))
-	invalid("none", "gather-parts-bad", read(Query{}, "read"))
-	invalid("too many", "scatter-shards-bad", read(Query{Shards: make([]int, 9)}, "read"))
-	invalid("token", "gather-token-bad", read(Query{All: true, Token: "x"}, "read"))
+	assertInvalid("class without rules", "scatter-no-rules", read(Query{All: true}, "other"))
+	assertInvalid("one shard twice", "gather-parts-bad", read(Query{Shards: []int{1, 1}}, "read"))
+	assertInvalid("no shards", "gather-parts-bad", read(Query{}, "read"))
+	assertInvalid("more than MaxParts shards", "scatter-shards-bad", read(Query{Shards: make([]int, 9)}, "read"))
+	assertInvalid("invalid token", "gather-token-bad", read(Query{All: true, Token: "x"}, "read"))
 
 	// While one read is in progress, the next is rejected at once and sends no attempt.
 	ctx, disconnect := context.WithCancel(t.Context())
 	done := make(chan Final)
-	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, unexpected) }()
+	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, unexpectedWrite) }()
 	waitFor(t, "two parts are in flight", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
 	if f := read(Query{All: true}, "read"); f.Kind != Rejected || f.RetryAfter <= 0 || s.ReadLimiter.InFlight() != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("second read: final answer %+v, want Rejected with a Retry-After", f)
 	}
 	if n := w.core.TableSizes().Requests; n != 2 {
-		t.Errorf("core has %d requests", n)
+		t.Errorf("core has %d requests, want the 2 of the read in progress", n)
 	}
 	disconnect()
 	if f := <-done; f.Kind != ClientDisconnected {
-		t.Errorf("%+v", f)
+		t.Errorf("read in progress: final answer %+v, want ClientDisconnected", f)
 	}
 }
 
@@ -168,7 +170,7 @@
 		s.MaxPartBytes = 600
 		f := s.Read(t.Context(), newClientRequest("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
 		if r := f.Report(false); f.Kind != EndedEarly || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
-			t.Errorf("streamed %v: %+v", streamed, f)
+			t.Errorf("streamed %v: final answer %+v, want EndedEarly with a truncated part whose error is PartTooLong", streamed, f)
 		}
 		waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
 	}
