--- a/internal/address/addr_test.go
+++ b/internal/address/addr_test.go
@@ -77,7 +77,7 @@
 		"unix:/run/x": "unix:/run/x", "localhost:1": "", "224.0.0.1:1": "", "x": "",
 	} {
 		if a, err := ParseListen(text); a.String() != want || (err == nil) != (want != "") {
-			t.Errorf("%q: %q, %v", text, a, err)
+			t.Errorf("%q: parsed as %q with the error %v", text, a, err)
 		}
 	}
 }
@@ -86,11 +86,11 @@
 func TestInvalidAddressesAreLeftOutOfAList(t *testing.T) {
 	list, errs := ParseList([]string{"127.0.0.1:1", "what", "[::ffff:127.0.0.1]:1", "unix:/a", "unix:/./a"})
 	if fmt.Sprint(list) != "[127.0.0.1:1 unix:/a]" || len(errs) != 3 {
-		t.Fatalf("%v %v", list, errs)
+		t.Fatalf("list %v, errors %v; want the two valid addresses and three errors", list, errs)
 	}
 	for i, want := range []string{`addresses.1 ("what")`, `addresses.2 ("[::ffff:127.0.0.1]:1"): the same as "127.0.0.1:1"`, "addresses.4"} {
 		if !strings.Contains(errs[i].Error(), want) {
-			t.Errorf("%v", errs[i])
+			t.Errorf("error %v does not name the address and the reason", errs[i])
 		}
 	}
 	var many []string
@@ -98,20 +98,21 @@
 		many = append(many, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
 	if list, errs := ParseList(many); len(list) != MaxAddresses || len(errs) != 2 {
-		t.Errorf("%d addresses used, %d reported", len(list), len(errs))
+		t.Errorf("%d addresses used, %d reported; want MaxAddresses and 2", len(list), len(errs))
 	}
 }
 
+// Interleave returns the indices of the addresses.
 func TestInterleaveAlternatesFamilies(t *testing.T) {
 	list, _ := ParseList([]string{"127.0.0.1:1", "127.0.0.1:2", "[::1]:1", "name:1", "unix:/a", "unix:/b", "unix:/c"})
 	for _, x := range []struct {
-		pref []Family
-		want string
+		preference []Family
+		want       string
 	}{
 		{[]Family{Unix, IPv6, IPv4}, "[4 2 0 3 5 1 6]"}, {[]Family{IPv4}, "[0 4 2 3 1 5 6]"}, {nil, "[4 2 0 3 5 1 6]"},
 	} {
-		if got := fmt.Sprint(Interleave(list, x.pref)); got != x.want {
-			t.Errorf("%v: %v, want %v", x.pref, got, x.want)
+		if got := fmt.Sprint(Interleave(list, x.preference)); got != x.want {
+			t.Errorf("order by the preference %v: %v, want %v", x.preference, got, x.want)
 		}
 	}
 }
@@ -136,11 +137,11 @@
 		switch network, to := a.Dial(); network {
 		case "unix":
 			if len(to) > maxPathLength || !strings.HasPrefix(to, "/") {
-				t.Errorf("%q: path %q", text, to)
+				t.Errorf("%q: the path %q is too long or not absolute", text, to)
 			}
 		case "tcp4", "tcp6":
 			if _, err := net.ResolveTCPAddr(network, to); err != nil && !strings.Contains(to, "%") {
-				t.Errorf("%q: %v", text, err)
+				t.Errorf("%q: package net does not accept it: %v", text, err)
 			}
 		}
 	})
--- a/internal/address/faults_test.go
+++ b/internal/address/faults_test.go
@@ -16,17 +16,18 @@
 	s.run(10*time.Second, 10*ms, twoThirdsIdempotent)
 	s.requireNoViolation(t)
 	counts := s.outcomeCounts()
-	if caught := counts["late"]; caught > 14 || counts["failed"] > 0 || counts["served"] < 960 { // about 6 requests in the first 50 ms, and the trials
-		t.Errorf("outcomes: %v", counts)
+	if cancelled := counts["cancelled"]; cancelled > 14 || counts["failed"] > 0 || counts["served"] < 960 { // about 6 requests in the first 50 ms, and the trials
+		t.Errorf("outcomes while the primary became silent: %v; want at most 14 cancelled, none failed and at least 960 served", counts)
 	}
 	assertEqual(t, "primary after the fault", s.selector.Primary(), ipv6Addr)
 	// Afterwards the address gets only trials, one at a time and with growing intervals.
 	if n := s.connectsTo[unixAddr]; n > 14 {
 		t.Errorf("%d connects to the silent address", n)
 	}
+	// Before the fault 100 requests were queued, and the first 25 after it may precede its detection.
 	for q, to := range s.sentTo {
-		if to == unixAddr && s.outcomes[q] == "late" && int(q) > 125 && !twoThirdsIdempotent(int(q)-100) {
-			t.Errorf("non-idempotent request %d was sent to the silent address", q)
+		if to == unixAddr && s.outcomes[q] == "cancelled" && int(q) > 125 && !twoThirdsIdempotent(int(q)-100) {
+			t.Errorf("non-idempotent request %d was sent to the address that is known to be silent", q)
 		}
 	}
 	s.modes[unixAddr] = "ok"
@@ -40,15 +41,15 @@
 func TestAddressOfAnotherNodeStopsBeingPrimary(t *testing.T) {
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
-	s.modes[unixAddr] = "wrong"
+	s.modes[unixAddr] = "rejects"
 	s.resetCounts()
 	s.run(4*time.Second, 10*ms, allIdempotent)
 	s.requireNoViolation(t)
 	if counts := s.outcomeCounts(); counts["rejected"] > 100 || counts["served"] < 300 {
-		t.Errorf("outcomes: %v", counts)
+		t.Errorf("outcomes while another node has the port: %v; want at most 100 rejected and at least 300 served", counts)
 	}
-	if snap := s.selector.AppendStatus(nil); snap[0].State != WrongNode || snap[1].State != Healthy {
-		t.Errorf("states: %+v", snap)
+	if status := s.selector.AppendStatus(nil); status[0].State != WrongNode || status[1].State != Healthy {
+		t.Errorf("states %+v, want WrongNode for the first address and Healthy for the second", status)
 	}
 	s.modes[unixAddr] = "ok"
 	s.run(60*time.Second, 10*ms, allIdempotent)
@@ -62,9 +63,9 @@
 	c := h.serveOne()
 	h.queueRequest(true)
 	h.respond(c, VerdictWrongNode)
-	assertEqual(t, "closed", h.countActions(Close), 1)
-	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, WrongNode)
-	assertEqual(t, "primary", h.selector.Primary(), ipv6Addr)
+	assertEqual(t, "closed connections", h.countActions(Close), 1)
+	assertEqual(t, "state of the address", h.selector.AppendStatus(nil)[0].State, WrongNode)
+	assertEqual(t, "primary after the response", h.selector.Primary(), ipv6Addr)
 	h.requireNoViolation(t)
 }
 
@@ -73,7 +74,7 @@
 	s := newSimulation(Defaults(), threeAddresses...)
 	s.run(time.Second, 10*ms, allIdempotent)
 	for _, a := range threeAddresses {
-		s.modes[a] = "wrong"
+		s.modes[a] = "rejects"
 	}
 	s.run(3*time.Second, 10*ms, allIdempotent)
 	for _, x := range s.selector.AppendStatus(nil) {
@@ -103,10 +104,10 @@
 	s.run(5*time.Second, 20*ms, allIdempotent)
 	s.requireNoViolation(t)
 	if n := len(s.connects); n > 25 {
-		t.Errorf("%d connects while the node is slow", n)
+		t.Errorf("%d connects in 5 s while the node is slow, want at most 25", n)
 	}
 	if counts := s.outcomeCounts(); counts["served"] < 230 {
-		t.Errorf("outcomes: %v", counts)
+		t.Errorf("outcomes while the node is slow: %v, want at least 230 served", counts)
 	}
 }
 
@@ -120,12 +121,12 @@
 	s.requireNoViolation(t)
 	slow := 0
 	for q, to := range s.sentTo {
-		if to == unixAddr && s.outcomes[q] == "served" && q > 100 {
+		if to == unixAddr && s.outcomes[q] == "served" && q > 100 { // 100 requests were queued before the fault
 			slow++
 		}
 	}
 	if slow > 12 || s.selector.Primary().String() != ipv6Addr {
-		t.Errorf("%d requests were served by the slow address; primary %v", slow, s.selector.Primary())
+		t.Errorf("%d requests were served by the slow address, want at most 12; primary %v, want the IPv6 address", slow, s.selector.Primary())
 	}
 }
 
@@ -138,7 +139,7 @@
 	h.breakConn(c, ReasonUnwritten)
 	_, to := h.lastAction(Connect)
 	assertEqual(t, "address of the next connect", to, ipv6Addr)
-	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, Suspect)
+	assertEqual(t, "state of the address that closed the connection", h.selector.AppendStatus(nil)[0].State, Suspect)
 	h.requireNoViolation(t)
 }
 
@@ -169,7 +170,7 @@
 	h.advanceTime(9 * ms)
 	h.respond(a, VerdictServed)
 	h.advanceTime(100 * ms)
-	assertEqual(t, "primary", h.selector.Primary(), unixAddr)
-	assertEqual(t, "state", h.selector.AppendStatus(nil)[0].State, Healthy)
+	assertEqual(t, "primary after the stall", h.selector.Primary(), unixAddr)
+	assertEqual(t, "state of the address that responded last", h.selector.AppendStatus(nil)[0].State, Healthy)
 	h.requireNoViolation(t)
 }
--- a/internal/address/harness_test.go
+++ b/internal/address/harness_test.go
@@ -54,9 +54,10 @@
 	h.step(Event{Kind: AddressesChanged, Addrs: list})
 }
 
-func (h *harness) recordViolation(form string, args ...any) {
+// recordViolation records the first violation of an invariant.
+func (h *harness) recordViolation(format string, args ...any) {
 	if h.violation == nil {
-		h.violation = fmt.Errorf(form, args...)
+		h.violation = fmt.Errorf(format, args...)
 	}
 }
 
@@ -161,6 +162,7 @@
 	h.step(Event{Kind: ResponseReceived, Conn: c, Verdict: verdict, KeepAlive: true})
 }
 
+// breakConn breaks a connection. With ReasonUnwritten, its request is queued again and may be written once more.
 func (h *harness) breakConn(c Conn, reason Reason) {
 	if q := h.requestOn[c]; reason == ReasonUnwritten {
 		h.writes[q]--
@@ -207,15 +209,24 @@
 	return n
 }
 
-// simulation simulates a node over time. Each of its addresses behaves according to its mode.
+// simulation simulates a node over time. Each of its addresses behaves according to its mode:
+//
+//	ok (or none)   connects take 0.2 ms, and requests are served after responseTime
+//	refused        connects are refused at once
+//	hang           connects time out after 250 ms
+//	slow connect   connects take 150 ms
+//	silent         requests get no response, and their clients cancel them after 1.5 s
+//	reset          the connection is reset 1 ms after a request
+//	slow           requests are served after 400 ms
+//	rejects        requests are rejected after 1 ms
 type simulation struct {
 	*harness
-	modes        map[string]string // by address: ok, refused, hang, silent, reset, slow, wrong, late
+	modes        map[string]string // by address
 	scheduled    []scheduledCall
 	responseTime time.Duration
-	connectsTo   map[string]int
-	outcomes     map[Req]string
-	sentTo       map[Req]string
+	connectsTo   map[string]int // by address
+	outcomes     map[Req]string // served, rejected, reset, cancelled or failed
+	sentTo       map[Req]string // addresses
 }
 
 type scheduledCall struct {
@@ -255,7 +266,7 @@
 		s.schedule(0, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonRefused) }) })
 	case "hang":
 		s.schedule(250*ms, func() { s.ifConnecting(c, func() { s.failConnect(c, ReasonTimedOut) }) })
-	case "late":
+	case "slow connect":
 		s.schedule(150*ms, func() { s.ifConnecting(c, func() { s.establish(c) }) })
 	default:
 		s.schedule(ms/5, func() { s.ifConnecting(c, func() { s.establish(c) }) })
@@ -275,12 +286,12 @@
 	}
 	switch s.modes[to] {
 	case "silent":
-		respondAfter(1500*ms, "late", func() { s.cancelRequest(q) })
+		respondAfter(1500*ms, "cancelled", func() { s.cancelRequest(q) })
 	case "reset":
 		respondAfter(ms, "reset", func() { s.breakConn(c, ReasonReset) })
 	case "slow":
 		respondAfter(400*ms, "served", func() { s.respond(c, VerdictServed) })
-	case "wrong":
+	case "rejects":
 		respondAfter(ms, "rejected", func() { s.respond(c, VerdictRejected) })
 	default:
 		respondAfter(s.responseTime, "served", func() { s.respond(c, VerdictServed) })
--- a/internal/address/invariants_test.go
+++ b/internal/address/invariants_test.go
@@ -12,75 +12,77 @@
 
 // possibleEvents returns the events that may happen next.
 func (h *harness) possibleEvents() (events []string) {
-	events = append(events, "queue", "queue non-idempotent", "short", "long")
+	events = append(events, "idempotent request", "non-idempotent request", "100 ms pass", "3 s pass")
 	if len(h.connecting) > 0 {
-		events = append(events, "connect", "fail", "hang", "no resource")
+		events = append(events, "connected", "refused", "connect timeout", "no resource")
 	}
 	if len(h.connecting) > 1 {
-		events = append(events, "connect last", "fail last")
+		events = append(events, "last connected", "last refused")
 	}
 	if len(h.busy) > 0 {
-		events = append(events, "respond", "reject", "reset", "unwritten", "cancel")
+		events = append(events, "served", "rejected", "reset", "unwritten", "cancelled")
 	}
 	if !h.draining {
-		events = append(events, "drain")
+		events = append(events, "drain begins")
 	} else {
-		events = append(events, "undrain")
+		events = append(events, "drain ends")
 	}
-	return append(events, "list")
+	return append(events, "list changed")
 }
 
 var testLists = [][]string{{unixAddr, ipv6Addr, ipv4Addr}, {ipv4Addr, unixAddr}, {ipv6Addr}}
 
-// applyEvent applies an event that possibleEvents returned.
+// applyEvent applies an event that possibleEvents returned. Events of connects and of busy connections concern the first of them,
+// unless they name the last.
 func (h *harness) applyEvent(event string) {
 	switch event {
-	case "queue":
+	case "idempotent request":
 		h.queueRequest(true)
-	case "queue non-idempotent":
+	case "non-idempotent request":
 		h.queueRequest(false)
-	case "short":
+	case "100 ms pass":
 		h.advanceTime(100 * ms)
-	case "long":
+	case "3 s pass":
 		h.advanceTime(3 * time.Second)
-	case "connect":
+	case "connected":
 		h.establish(h.connecting[0])
-	case "connect last":
+	case "last connected":
 		h.establish(h.connecting[len(h.connecting)-1])
-	case "fail":
+	case "refused":
 		h.failConnect(h.connecting[0], ReasonRefused)
-	case "fail last":
+	case "last refused":
 		h.failConnect(h.connecting[len(h.connecting)-1], ReasonRefused)
-	case "hang":
+	case "connect timeout":
 		h.failConnect(h.connecting[0], ReasonTimedOut)
 	case "no resource":
 		h.failConnect(h.connecting[0], ReasonNoResource)
-	case "respond":
+	case "served":
 		h.respond(h.busy[0], VerdictServed)
-	case "reject":
+	case "rejected":
 		h.respond(h.busy[0], VerdictRejected)
 	case "reset":
 		h.breakConn(h.busy[0], ReasonReset)
 	case "unwritten":
 		h.breakConn(h.busy[0], ReasonUnwritten)
-	case "cancel":
+	case "cancelled":
 		h.cancelRequest(h.requestOn[h.busy[0]])
-	case "drain":
+	case "drain begins":
 		h.step(Event{Kind: DrainChanged, Draining: true})
-	case "undrain":
+	case "drain ends":
 		h.step(Event{Kind: DrainChanged})
-	case "list":
+	case "list changed":
 		h.setAddresses(testLists[(int(h.lastRequest)+len(h.primaryChanges))%len(testLists)]...)
 	}
 }
 
-// checkRates checks the invariants over time: connects in any duration, and returns.
+// checkRates checks the invariants over time: the number of connects in any duration, and the time between two returns of the primary
+// to a more preferred address.
 func (h *harness) checkRates(settings Settings) error {
 	for i := range h.connects {
 		for j := i; j < len(h.connects); j++ {
 			duration := h.connects[j] - h.connects[i]
 			if bound := float64(settings.ConnectBurst) + settings.ConnectRate*duration.Seconds() + 1e-6; float64(j-i+1) > bound {
-				return fmt.Errorf("%d connects in %v", j-i+1, duration)
+				return fmt.Errorf("%d connects in %v, more than ConnectBurst and ConnectRate allow", j-i+1, duration)
 			}
 		}
 	}
@@ -118,8 +120,8 @@
 		h := newHarness(settings, threeAddresses...)
 		fixed := rapid.Bool().Draw(t, "fixed list")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			event := rapid.SampledFrom(h.possibleEvents()).Draw(t, "what")
-			if fixed && event == "list" {
+			event := rapid.SampledFrom(h.possibleEvents()).Draw(t, "event")
+			if fixed && event == "list changed" {
 				continue
 			}
 			if h.applyEvent(event); h.violation != nil {
@@ -146,24 +148,24 @@
 func TestUsableAddressIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(Defaults(), threeAddresses...)
-		allModes := []string{"ok", "refused", "hang", "silent", "reset", "slow", "wrong"}
+		allModes := []string{"ok", "refused", "hang", "silent", "reset", "slow", "rejects"}
 		for range rapid.IntRange(1, 6).Draw(t, "periods") {
 			for _, a := range threeAddresses {
 				s.modes[a] = rapid.SampledFrom(allModes).Draw(t, a)
 			}
-			s.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*ms, 20*ms, twoThirdsIdempotent)
+			s.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "duration in ms"))*ms, 20*ms, twoThirdsIdempotent)
 		}
 		usable := rapid.SampledFrom(threeAddresses).Draw(t, "usable")
 		for _, a := range threeAddresses {
-			if s.modes[a] = rapid.SampledFrom([]string{"refused", "hang", "silent"}).Draw(t, "others"); a == usable {
+			if s.modes[a] = rapid.SampledFrom([]string{"refused", "hang", "silent"}).Draw(t, "mode of the others"); a == usable {
 				s.modes[a] = "ok"
 			}
 		}
 		s.run(25*time.Second, 20*ms, twoThirdsIdempotent) // until the backoffs have ended
 		s.resetCounts()
 		s.run(5*time.Second, 20*ms, twoThirdsIdempotent)
-		if counts := s.outcomeCounts(); counts["served"] < 225 { // the requests of trials fail
-			t.Fatalf("outcomes while one address is usable: %v", counts)
+		if counts := s.outcomeCounts(); counts["served"] < 225 { // of 250; the requests of trials fail
+			t.Fatalf("outcomes while one address is usable: %v, want at least 225 served", counts)
 		}
 		for _, a := range threeAddresses {
 			s.modes[a] = "ok"
@@ -173,7 +175,7 @@
 			t.Fatal(s.violation)
 		}
 		if p := s.selector.Primary().String(); p != unixAddr {
-			t.Fatalf("primary %s: %+v", p, s.selector.AppendStatus(nil))
+			t.Fatalf("the primary is %s, although all addresses are usable: %+v", p, s.selector.AppendStatus(nil))
 		}
 	})
 }
@@ -200,7 +202,7 @@
 		return entries[e]
 	}
 	selector.conns = slices.Clone(h.selector.conns)
-	at := func(c *conn) *conn {
+	clonedConn := func(c *conn) *conn {
 		if c == nil {
 			return nil
 		}
@@ -226,11 +228,11 @@
 		}
 	}
 	for _, e := range entries {
-		e.trialConn = at(e.trialConn)
+		e.trialConn = clonedConn(e.trialConn)
 		idle := e.idle
 		e.idle = nil
 		for _, c := range idle {
-			e.idle = append(e.idle, at(c))
+			e.idle = append(e.idle, clonedConn(c))
 		}
 	}
 	selector.primary = clonedEntry(h.selector.primary)
@@ -261,7 +263,7 @@
 
 const explorationDepth = 7 // events
 
-// The test applies every order of explorationDepth events to three addresses. Of several states with the same digest, it
+// The test applies every sequence of explorationDepth events to three addresses. Of several states with the same digest, it
 // continues only one.
 func TestInvariantsInEveryOrder(t *testing.T) {
 	settings := lowBoundSettings()
@@ -270,9 +272,9 @@
 	states, steps := 1, 0
 	for depth := range explorationDepth {
 		var nextLevel []*harness
-		for _, r := range level {
-			for _, event := range r.possibleEvents() {
-				next := r.clone()
+		for _, h := range level {
+			for _, event := range h.possibleEvents() {
+				next := h.clone()
 				next.applyEvent(event)
 				steps++
 				err := next.violation
--- a/internal/address/race_test.go
+++ b/internal/address/race_test.go
@@ -32,7 +32,7 @@
 	h.requireNoViolation(t)
 }
 
-// The delay between connects follows the measured connect time, within the bounds of the RFC.
+// The delay between connects follows the measured connect time, within the bounds of RFC 8305 section 5.
 func TestConnectDelayFollowsConnectTimes(t *testing.T) {
 	for _, x := range []struct{ took, want time.Duration }{{ms / 10, 100 * ms}, {80 * ms, 240 * ms}, {3 * time.Second, 2 * time.Second}} {
 		s := Defaults()
@@ -42,7 +42,7 @@
 		c, _ := h.lastAction(Connect)
 		h.now += x.took
 		h.establish(c)
-		assertEqual(t, "delay", h.selector.connectDelay(), x.want)
+		assertEqual(t, "delay between connects", h.selector.connectDelay(), x.want)
 		h.requireNoViolation(t)
 	}
 }
@@ -67,23 +67,23 @@
 	s.run(5*time.Second, ms, allIdempotent)
 	s.requireNoViolation(t)
 	if n := len(s.connects); n > 3*(50+15)+5 { // one race over three addresses per DownTrialInterval, which jitter shortens
-		t.Errorf("%d connects in 5 s while all were down", n)
+		t.Errorf("%d connects in 5 s while all were down, more than the races at DownTrialInterval need", n)
 	}
 	if open := len(s.connecting); open > 1 {
-		t.Errorf("%d connects at a time", open)
+		t.Errorf("%d connects at a time while all were down, want at most 1", open)
 	}
-	assertEqual(t, "waiting requests", s.selector.Waiting(), 0)
-	s.modes[ipv4Addr] = "late" // the address has recovered, and its connects take 150 ms
+	assertEqual(t, "waiting requests while all were down", s.selector.Waiting(), 0)
+	s.modes[ipv4Addr] = "slow connect" // the address has recovered, and its connects take 150 ms
 	s.resetCounts()
 	s.run(400*ms, ms, allIdempotent)
 	if n := s.connectsTo[ipv4Addr]; n > 1+2+4 { // rounds of 150 ms
-		t.Errorf("%d connects in the first 400 ms after the recovery", n)
+		t.Errorf("%d connects in the first 400 ms after the recovery, want at most 7", n)
 	}
-	assertEqual(t, "primary", s.selector.Primary(), ipv4Addr)
+	assertEqual(t, "primary after the recovery", s.selector.Primary(), ipv4Addr)
 	s.run(5*time.Second, ms, allIdempotent)
 	s.requireNoViolation(t)
 	if counts := s.outcomeCounts(); counts["served"] < 4000 {
-		t.Errorf("outcomes: %v", counts)
+		t.Errorf("outcomes after the recovery: %v, want at least 4000 served", counts)
 	}
 }
 
@@ -104,10 +104,10 @@
 	q := h.queueRequest(true)
 	c, _ := h.lastAction(Connect)
 	h.failConnect(c, ReasonNoResource)
-	assertEqual(t, "failed without being written", h.failed[q], true)
+	assertEqual(t, "request failed without being written", h.failed[q], true)
 	for _, x := range h.selector.AppendStatus(nil) {
 		if x.State != Untried && x.State != Healthy {
-			t.Errorf("a fault was recorded for %+v", x)
+			t.Errorf("a lack of descriptors was recorded as a fault of %+v", x)
 		}
 	}
 	h.requireNoViolation(t)
@@ -115,24 +115,24 @@
 
 // An address whose family this machine does not support is skipped for UnsupportedBackoff.
 func TestUnsupportedFamilyIsSkipped(t *testing.T) {
-	s := newHarness(Defaults(), ipv6Addr, ipv4Addr)
-	s.queueRequest(true)
-	a, _ := s.lastAction(Connect)
-	s.failConnect(a, ReasonNoFamily)
-	_, to := s.lastAction(Connect)
+	h := newHarness(Defaults(), ipv6Addr, ipv4Addr)
+	h.queueRequest(true)
+	a, _ := h.lastAction(Connect)
+	h.failConnect(a, ReasonNoFamily)
+	_, to := h.lastAction(Connect)
 	assertEqual(t, "address of the next connect", to, ipv4Addr)
-	assertEqual(t, "state", s.selector.AppendStatus(nil)[0].State, Unsupported)
-	b, _ := s.lastAction(Connect)
-	s.establish(b)
-	s.respond(b, VerdictServed)
+	assertEqual(t, "state of the address with the unsupported family", h.selector.AppendStatus(nil)[0].State, Unsupported)
+	b, _ := h.lastAction(Connect)
+	h.establish(b)
+	h.respond(b, VerdictServed)
 	for range 100 {
-		s.advanceTime(100 * ms)
-		s.queueRequest(true)
-		c, _ := s.lastAction(Write)
-		s.respond(c, VerdictServed)
+		h.advanceTime(100 * ms)
+		h.queueRequest(true)
+		c, _ := h.lastAction(Write)
+		h.respond(c, VerdictServed)
 	}
-	assertEqual(t, "connects", len(s.connects), 2)
-	s.requireNoViolation(t)
+	assertEqual(t, "connects", len(h.connects), 2)
+	h.requireNoViolation(t)
 }
 
 // Connects are bounded by the burst and the rate of the token bucket. Without a token, a connect waits.
@@ -147,12 +147,12 @@
 	for len(h.connects) < 10 {
 		next := h.selector.Next()
 		if next == never || next <= h.now && len(h.connects) < 4 {
-			t.Fatal("no timer is set")
+			t.Fatal("connects wait for a token, but no timer is set")
 		}
 		h.advanceTime(next - h.now)
 	}
 	if h.now < 550*ms {
-		t.Errorf("10 connects in %v", h.now)
+		t.Errorf("10 connects within %v, more than the rate allows", h.now)
 	}
 	h.requireNoViolation(t)
 }
--- a/internal/address/recorded_test.go
+++ b/internal/address/recorded_test.go
@@ -13,9 +13,9 @@
 var recordedActions = map[ActionKind]string{Connect: "connect", Write: "write", Close: "close", Fail: "fail", LogState: "state"}
 
 // recordedModes are the modes from which scripts draw the behaviour of an address.
-var recordedModes = []string{"ok", "ok", "ok", "refused", "hang", "silent", "reset", "slow", "wrong", "late"}
+var recordedModes = []string{"ok", "ok", "ok", "refused", "hang", "silent", "reset", "slow", "rejects", "slow connect"}
 
-// recordedAddresses are those that scripts list.
+// recordedAddresses are the addresses from which scripts draw the list of the node's addresses.
 var recordedAddresses = []string{"unix:/run/n.sock", "[2001:db8::1]:80", "10.0.0.1:80", "10.0.0.2:80", "node.example:80"}
 
 // scriptSettings returns the settings of a script by its number.
@@ -45,8 +45,8 @@
 					fields = append(fields, recordedActions[a.Kind], uint64(a.Conn), uint64(a.Req), a.Addr.String(), int(a.State), int(a.Reason))
 				}
 				if s.selector.Waiting() == 0 && e.Kind == TimerFired {
-					for _, one := range s.selector.AppendStatus(nil) {
-						fields = append(fields, one.Addr.String(), int(one.State), one.Primary, one.Conns, int64(one.Until), s.selector.HasBetter(one.Addr))
+					for _, status := range s.selector.AppendStatus(nil) {
+						fields = append(fields, status.Addr.String(), int(status.State), status.Primary, status.Conns, int64(status.Until), s.selector.HasBetter(status.Addr))
 					}
 				}
 				if e.Conn != 0 {
@@ -60,7 +60,7 @@
 						s.modes[addr] = recordedModes[rng.Intn(len(recordedModes))]
 					}
 				}
-				if round%10 == 9 {
+				if round%10 == 9 { // all addresses work again
 					clear(s.modes)
 				}
 				s.responseTime = time.Duration(1+rng.Intn(30)) * ms
--- a/internal/address/selector_test.go
+++ b/internal/address/selector_test.go
@@ -139,8 +139,8 @@
 
 func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
 	for _, x := range []struct {
-		key string
-		set func(*Settings)
+		errorPrefix string
+		set         func(*Settings)
 	}{
 		{"delay_least_ms: 9 is not from 10 to 2000", func(s *Settings) { s.MinConnectDelay = 9 * ms }},
 		{"delay_ms", func(s *Settings) { s.ConnectDelay = 3 * time.Second }},
@@ -152,8 +152,8 @@
 	} {
 		s := Defaults()
 		x.set(&s)
-		if _, err := New(s, 1); err == nil || !strings.HasPrefix(err.Error(), x.key) {
-			t.Errorf("error of %s: %v", x.key, err)
+		if _, err := New(s, 1); err == nil || !strings.HasPrefix(err.Error(), x.errorPrefix) {
+			t.Errorf("want an error that starts with %s, got %v", x.errorPrefix, err)
 		}
 	}
 }
--- a/internal/address/trials_test.go
+++ b/internal/address/trials_test.go
@@ -39,9 +39,9 @@
 		s.run(500*ms, 10*ms, allIdempotent)
 	}
 	s.requireNoViolation(t)
-	for _, m := range s.primaryChanges {
-		if m.to.family == Unix && !m.from.IsZero() {
-			returns = append(returns, m.at)
+	for _, change := range s.primaryChanges {
+		if change.to.family == Unix && !change.from.IsZero() {
+			returns = append(returns, change.at)
 		}
 	}
 	for i := 1; i < len(returns); i++ {
@@ -50,7 +50,7 @@
 		}
 	}
 	if len(returns) == 0 || len(returns) > 15 {
-		t.Errorf("%d returns in a minute: %v", len(returns), returns)
+		t.Errorf("%d returns in a minute, want 1 to 15: %v", len(returns), returns)
 	}
 }
 
@@ -67,11 +67,11 @@
 	s.resetCounts()
 	for s.selector.Primary().family != Unix {
 		if s.run(10*ms, 10*ms, allIdempotent); s.now > time.Minute {
-			t.Fatal("the preferred address never became primary")
+			t.Fatal("the preferred address did not become primary within a minute")
 		}
 	}
 	if n := s.connectsTo[unixAddr]; n < 5 {
-		t.Errorf("primary after %d connections", n)
+		t.Errorf("the address became primary after %d connections, want at least 5", n)
 	}
 	s.requireNoViolation(t)
 }
@@ -87,11 +87,11 @@
 	s.resetCounts()
 	for s.selector.Primary().family != Unix {
 		if s.run(10*ms, 10*ms, allIdempotent); s.now > time.Minute {
-			t.Fatal("the preferred address never became primary")
+			t.Fatal("the added address did not become primary within a minute")
 		}
 	}
 	if n := s.connectsTo[unixAddr]; n < 5 {
-		t.Errorf("primary after %d connections", n)
+		t.Errorf("the address became primary after %d connections, want at least 5", n)
 	}
 	s.selector.earliestReturn = s.now + 20*time.Second
 	s.selector.primary = s.selector.entries[2] // no return is allowed for 20 s
@@ -99,7 +99,7 @@
 	s.modes[unixAddr] = "silent"
 	s.run(3*time.Second, 10*ms, allIdempotent)
 	if s.selector.Primary().family == Unix {
-		t.Error("returned to an address that last served 20 s ago")
+		t.Error("the primary returned to an address that last served 20 s ago")
 	}
 	s.requireNoViolation(t)
 }
@@ -140,7 +140,7 @@
 	h.now += 400 * ms
 	h.respond(trial, VerdictServed)
 	if x := h.selector.AppendStatus(nil)[0]; x.State != WrongNode || x.Until <= h.now {
-		t.Errorf("state after the slow trial: %+v at %v", x, h.now)
+		t.Errorf("state after the slow trial: %+v at %v, want WrongNode with a backoff", x, h.now)
 	}
 	h.requireNoViolation(t)
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-func testSettings(schedulers int, name string, listCallsPriced bool) Settings {
-	return Settings{Schedulers: schedulers, Name: name, ListRequestsPriced: listCallsPriced, MaxListRequestsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
+func testSettings(schedulers int, name string, listRequestsPriced bool) Settings {
+	return Settings{Schedulers: schedulers, Name: name, ListRequestsPriced: listRequestsPriced, MaxListRequestsPerSecond: 100, SlowStartUnits: 39, OverloadWindow: 3 * time.Second,
 		SlowStartDuration: 17 * time.Second, LatencyObjective: 400 * ms, Preconnects: 3}
 }
 
@@ -75,6 +75,8 @@
 
 var testSnapshot = []Node{{ID: "b", StartTime: 7}, {ID: "c", StartTime: 8}} // c has restarted since
 
+// If list requests are priced, the cached list is used at once. Only the node that has not restarted since the snapshot is restored,
+// and connections are opened in advance, but not to the node a, which is missing from the snapshot.
 func TestCachedListIsUsedAtOnceWhereListRequestsArePriced(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", true))
 	done := runScript(t, s, 25*time.Second, map[time.Duration]Event{0: Started{testNodes, testSnapshot},
@@ -82,17 +84,17 @@
 	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != 0 {
 		t.Errorf("cached list used: %v, want once at 0", use)
 	}
-	if r := actionsOf[Restore](done); len(r) != 1 || r[0].action.(Restore).Node != "b" {
-		t.Errorf("restored: %v, want b, which has not restarted", r)
+	if restored := actionsOf[Restore](done); len(restored) != 1 || restored[0].action.(Restore).Node != "b" {
+		t.Errorf("restored: %v, want b, which has not restarted", restored)
 	}
-	if w := actionsOf[LiftColdLimit](done); len(w) != 3 {
-		t.Errorf("limits lifted: %v, want 3", w)
+	if lifted := actionsOf[LiftColdLimit](done); len(lifted) != 3 {
+		t.Errorf("limits lifted: %v, want 3", lifted)
 	}
-	if c := actionsOf[Connect](done); len(c) == 0 || c[len(c)-1].action.(Connect).Node == "a" {
-		t.Errorf("connects: %v, want some, but none to a", c)
+	if connects := actionsOf[Connect](done); len(connects) == 0 || connects[len(connects)-1].action.(Connect).Node == "a" {
+		t.Errorf("connects: %v, want some, the last of them not to a", connects)
 	}
 	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != readyDelay || s.Phase() != Serving {
-		t.Errorf("ready reported: %v, phase %v", ready, s.Phase())
+		t.Errorf("ready reported: %v, phase %v; want one report after readyDelay and the phase Serving", ready, s.Phase())
 	}
 }
 
@@ -114,10 +116,10 @@
 			}
 		}
 		if fmt.Sprint(restored) != want || slices.Contains(connected, "c") || !slices.Contains(connected, "b") {
-			t.Errorf("snapshot received at %v: restored %v, connected %v", at, restored, connected)
+			t.Errorf("snapshot received at %v: restored %v, connected %v; want b restored and connected, but not c", at, restored, connected)
 		}
-		if w := actionsOf[LiftColdLimit](done); len(w) != 3 || w[0].doneAt != 2500*ms {
-			t.Errorf("limits lifted: %v", w)
+		if lifted := actionsOf[LiftColdLimit](done); len(lifted) != 3 || lifted[0].doneAt != 2500*ms {
+			t.Errorf("limits lifted: %v, want 3 once the list was received", lifted)
 		}
 	}
 }
@@ -128,7 +130,7 @@
 	s := newStartup(t, testSettings(300, "h", false))
 	done := runScript(t, s, time.Second, map[time.Duration]Event{0: Started{CachedList: testNodes}, 100 * ms: ListRequestFailed{}, 120 * ms: RequestArrived{"a"}})
 	if requests := actionsOf[RequestList](done); len(requests) < 2 || requests[0].doneAt != 0 || requests[1].doneAt > 100*ms+listRequestInterval*3/2+10*ms {
-		t.Errorf("list requests: %v, want one at 0 and a retry", requests)
+		t.Errorf("list requests: %v, want one at 0 and a retry after listRequestInterval", requests)
 	}
 	if use := actionsOf[UseCachedList](done); len(use) != 1 || use[0].doneAt != cachedListDelay || len(actionsOf[Reject](done)) != 1 {
 		t.Errorf("actions: %v, want the cached list used after its delay and one rejection", done)
@@ -139,7 +141,7 @@
 	s := newStartup(t, testSettings(300, "h", true))
 	done := runScript(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
 	if ready := actionsOf[ReportReady](done); len(ready) != 1 || ready[0].doneAt != s.settings.ReadyDeadline() || s.Phase() != NoList {
-		t.Errorf("actions: %v, phase %v", done, s.Phase())
+		t.Errorf("actions: %v, phase %v; want ready reported once, at its deadline, and the phase NoList", done, s.Phase())
 	}
 }
 
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		if s.nextListRequest > time.Duration(stalenessBoundShare*float64(s.settings.StalenessBound)) {
-			return fmt.Errorf("the first list request is sent only after %v", s.nextListRequest)
+			return fmt.Errorf("the first list request is sent only after %v, past its share of the staleness bound", s.nextListRequest)
 		}
 		requests[int(s.nextListRequest/time.Second)]++
 	}
@@ -73,7 +73,7 @@
 	case startup.phase < m.phase:
 		return fmt.Errorf("the phase went from %v to %v", m.phase, startup.phase)
 	case len(startup.nodes) > startup.settings.MaxNodes:
-		return fmt.Errorf("the state of %d nodes is stored", len(startup.nodes))
+		return fmt.Errorf("the state of %d nodes is stored, more than MaxNodes", len(startup.nodes))
 	}
 	m.phase = startup.phase
 	return nil
@@ -89,19 +89,19 @@
 		m.timer = a.At
 	case Reject:
 		if a.RetryAfter < settings.MinRetryAfter || a.RetryAfter > settings.MaxRetryAfter {
-			return fmt.Errorf("rejected with Retry-After %v", a.RetryAfter)
+			return fmt.Errorf("rejected with Retry-After %v, which is out of its bounds", a.RetryAfter)
 		}
 	case RequestList:
 		if m.received || m.failedAt >= 0 && m.now < m.failedAt+listRequestInterval/2 {
-			return fmt.Errorf("list requested at %v, failed at %v, received: %v", m.now, m.failedAt, m.received)
+			return fmt.Errorf("list requested at %v, although the last request failed at %v or the list was received (%v)", m.now, m.failedAt, m.received)
 		}
 	case Restore:
 		if start, ok := m.listed[a.Node]; !ok || !slices.Contains(m.snapshot[a.Node], start) {
-			return fmt.Errorf("restored %s, which has restarted", a.Node)
+			return fmt.Errorf("restored %s, which is not listed or which has restarted", a.Node)
 		}
 	case LiftColdLimit:
 		if _, ok := e.(ListReceived); !ok {
-			return fmt.Errorf("limit of %s lifted by %T", a.Node, e)
+			return fmt.Errorf("limit of %s lifted by %T instead of a received list", a.Node, e)
 		}
 	}
 	return nil
@@ -196,7 +196,7 @@
 	err = m.step(first)
 	for range rapid.IntRange(1, 60).Draw(t, "events") {
 		if err == nil {
-			err = m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms)
+			err = m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait in ms")) * ms)
 		}
 		if err == nil {
 			err = m.stepRandom(t, ids, nodes)
@@ -231,7 +231,7 @@
 	violation := rapid.Custom(randomEventsViolation)
 	for seed := range randomScripts {
 		if err := violation.Example(seed); err != nil {
-			t.Fatalf("script %d: %v", seed, err)
+			t.Fatalf("random script %d: %v", seed, err)
 		}
 	}
 	if !mutant.Inside() {
--- a/internal/coldstart/snapshot/recorded_test.go
+++ b/internal/coldstart/snapshot/recorded_test.go
@@ -28,13 +28,13 @@
 	}
 	got, err := Read(path, storedSnapshot().Made.Add(time.Minute))
 	if err != nil || !reflect.DeepEqual(got, storedSnapshot()) {
-		t.Fatalf("read %+v, %v", got, err)
+		t.Fatalf("read %+v with the error %v, want the content of storedSnapshot", got, err)
 	}
-	again := filepath.Join(t.TempDir(), "snapshot")
-	if err := Write(again, got); err != nil {
+	rewritten := filepath.Join(t.TempDir(), "snapshot")
+	if err := Write(rewritten, got); err != nil {
 		t.Fatal(err)
 	}
-	if text, err := os.ReadFile(again); err != nil || !bytes.Equal(text, want) {
+	if text, err := os.ReadFile(rewritten); err != nil || !bytes.Equal(text, want) {
 		t.Errorf("written again: %q, want %q (%v)", text, want, err)
 	}
 }
--- a/internal/coldstart/snapshot/snapshot_test.go
+++ b/internal/coldstart/snapshot/snapshot_test.go
@@ -13,10 +13,10 @@
 	"wheatsaddle/internal/operr"
 )
 
-var testMade = time.Date(2026, 12, 2, 1, 0, 0, 0, time.UTC)
+var madeAt = time.Date(2026, 12, 2, 1, 0, 0, 0, time.UTC)
 
 func testSnapshot(nodes int) *Snapshot {
-	s := &Snapshot{Version: Version, Made: testMade, Classes: []ClassState{{"safe", 0.4, 12, 80}}}
+	s := &Snapshot{Version: Version, Made: madeAt, Classes: []ClassState{{"safe", 0.4, 12, 80}}}
 	for i := range nodes {
 		s.Nodes = append(s.Nodes, NodeState{fmt.Sprint("node-", i), float64(i), 4, 33.25, 8.5, 0.01})
 	}
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Decode("x", data, testMade.Add(time.Second)); err != nil || !reflect.DeepEqual(s, testSnapshot(5)) {
-		t.Fatalf("decoded %+v, %v", s, err)
+	if s, err := Decode("x", data, madeAt.Add(time.Second)); err != nil || !reflect.DeepEqual(s, testSnapshot(5)) {
+		t.Fatalf("decoded %+v with the error %v, want the encoded snapshot", s, err)
 	}
 	assertRejected := func(data []byte, now time.Time, description string, codes ...string) {
 		t.Helper()
@@ -44,37 +44,38 @@
 				return
 			}
 		}
-		t.Errorf("%s: unexpected code %s", description, c.Code())
+		t.Errorf("%s: rejected with the unexpected code %s", description, c.Code())
 	}
 	for i := range data {
-		assertRejected(data[:i], testMade, fmt.Sprint("a prefix of ", i), "snapshot-torn")
+		assertRejected(data[:i], madeAt, fmt.Sprint("a file truncated at byte ", i), "snapshot-torn")
 		for _, flip := range []byte{1, 0x80, 0xff} {
 			changed := append([]byte(nil), data...)
 			changed[i] ^= flip
-			assertRejected(changed, testMade, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
+			assertRejected(changed, madeAt, fmt.Sprintf("byte %d changed by %x", i, flip), "snapshot-torn", "snapshot-foreign")
 		}
 	}
-	assertRejected(append(data[:len(data):len(data)], 'x'), testMade, "one additional byte", "snapshot-torn")
-	assertRejected(data, testMade.Add(MaxAge+1), "an outdated snapshot", "snapshot-old")
-	assertRejected(data, testMade.Add(-time.Minute), "a snapshot dated in the future", "snapshot-old")
+	assertRejected(append(data[:len(data):len(data)], 'x'), madeAt, "one additional byte", "snapshot-torn")
+	assertRejected(data, madeAt.Add(MaxAge+1), "an outdated snapshot", "snapshot-old")
+	assertRejected(data, madeAt.Add(-time.Minute), "a snapshot dated in the future", "snapshot-old")
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
 	}
 }
 
-// A failed write leaves the old file in place and no temporary file. The file's size is bounded.
+// A failed write leaves the old file in place and no temporary file. Of a large snapshot only the first nodes are written, so that the
+// file's size is bounded.
 func TestFailedWriteKeepsTheOldFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "learned")
-	if _, err := Read(path, testMade); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := Read(path, madeAt); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
 	if err := Write(path, testSnapshot(20000)); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Read(path, testMade)
+	s, err := Read(path, madeAt)
 	if err != nil || len(s.Nodes) < 1000 || s.Nodes[0].ID != "node-0" {
-		t.Fatalf("%v", err)
+		t.Fatalf("the snapshot was not read again with its first nodes (error %v)", err)
 	}
 	if info, _ := os.Stat(path); info.Size() > MaxSize {
 		t.Errorf("the file has %d bytes, over the maximum", info.Size())
@@ -85,16 +86,16 @@
 	for _, err := range []error{Write(path, infinite), Write(filepath.Join(dir, "none", "learned"), testSnapshot(1)), Write(dir, testSnapshot(1))} {
 		var c operr.Coded
 		if !errors.As(err, &c) || c.Code() != "snapshot-failed" {
-			t.Errorf("%v, want the code snapshot-failed", err)
+			t.Errorf("error of a failed write: %v, want the code snapshot-failed", err)
 		}
 	}
-	if s2, err := Read(path, testMade); err != nil || len(s2.Nodes) != len(s.Nodes) {
+	if reread, err := Read(path, madeAt); err != nil || len(reread.Nodes) != len(s.Nodes) {
 		t.Errorf("the old file was not kept: %v", err)
 	}
 	if all, _ := os.ReadDir(dir); len(all) != 1 {
 		t.Errorf("files in the directory: %v, want one", all)
 	}
-	if _, err := Read(dir, testMade); err == nil {
+	if _, err := Read(dir, madeAt); err == nil {
 		t.Error("reading a directory succeeded")
 	}
 }
--- a/internal/connqueue/queue_test.go
+++ b/internal/connqueue/queue_test.go
@@ -19,20 +19,20 @@
 		want  time.Duration
 	}{{0, 0}, {-1, 0}, {0.08, 32 * time.Millisecond}, {0.5, 100 * time.Millisecond}, {7, 100 * time.Millisecond}} {
 		if got := MaxFreeConnWait(x.price, 400*time.Millisecond); got != x.want {
-			t.Errorf("price %v: %v, want %v", x.price, got, x.want)
+			t.Errorf("price %v: wait of %v, want %v", x.price, got, x.want)
 		}
 	}
 }
 
-// queueModel is a Queue with its expected state.
+// queueModel is a Queue of attempts, which are numbers, with its expected state. Its times are a few nanoseconds.
 type queueModel struct {
 	queue    *Queue[int]
 	settings Settings
 	now      time.Duration
-	inUse    int
-	lastItem int
-	waiting  []int
-	queuedAt map[int]time.Duration // by item
+	inUse    int                   // connections
+	lastItem int                   // the newest attempt
+	waiting  []int                 // attempts in the order of the queue
+	queuedAt map[int]time.Duration // by attempt
 	pending  map[int]time.Duration // start times of connects by id
 }
 
@@ -42,7 +42,7 @@
 // recordRemoval checks that an item which left the queue was the first, and removes it.
 func (m *queueModel) recordRemoval(t *rapid.T, item int, ok bool) bool {
 	if ok && (len(m.waiting) == 0 || m.waiting[0] != item) {
-		t.Fatalf("%d left the queue out of order; %v are waiting", item, m.waiting)
+		t.Fatalf("attempt %d left the queue out of order; %v are waiting", item, m.waiting)
 	}
 	if ok {
 		m.waiting = m.waiting[1:]
@@ -69,13 +69,15 @@
 // drawPending draws the id of a pending connect, or 0.
 func (m *queueModel) drawPending(t *rapid.T) int {
 	for id := 1; id <= m.queue.lastID; id++ {
-		if _, ok := m.pending[id]; ok && rapid.Bool().Draw(t, "this") {
+		if _, ok := m.pending[id]; ok && rapid.Bool().Draw(t, "this connect") {
 			return id
 		}
 	}
 	return 0
 }
 
+// neededConnects returns the expected result of Queue.neededConnects: one connect for each attempt that has waited for FreeConnWait,
+// and at least one for every two waiting attempts beyond the number of connections in use.
 func (m *queueModel) neededConnects() (n int) {
 	for _, item := range m.waiting {
 		if m.now >= m.queuedAt[item]+m.settings.FreeConnWait {
@@ -90,7 +92,7 @@
 	for m.popExpired(t) {
 	}
 	for range m.queue.ConnectsDue(m.now, m.inUse, testLateAfter) {
-		if rapid.IntRange(0, 5).Draw(t, "capacity") > 0 {
+		if rapid.IntRange(0, 5).Draw(t, "connect starts if over 0") > 0 {
 			m.pending[m.queue.ConnectStarted(m.now)] = m.now
 			continue
 		}
@@ -100,7 +102,7 @@
 		}
 		last := len(m.waiting) - 1
 		if item != m.waiting[last] {
-			t.Fatalf("%d was dropped, of %v", item, m.waiting)
+			t.Fatalf("attempt %d was dropped, not the last of %v", item, m.waiting)
 		}
 		m.waiting = m.waiting[:last]
 		delete(m.queuedAt, item)
@@ -120,7 +122,7 @@
 		return
 	}
 	if took := m.queue.ConnectSucceeded(m.now, id); took != m.now-m.pending[id] {
-		t.Fatalf("wrong connect time %v", took)
+		t.Fatalf("wrong connect time %v of a connect that succeeded", took)
 	}
 	delete(m.pending, id)
 	if m.pop(t) {
@@ -137,7 +139,7 @@
 	delete(m.pending, id)
 	covered := m.neededConnects() <= len(m.pending)
 	if m.failConnect(t, id) == covered && len(m.waiting) > 0 {
-		t.Fatalf("enough other connects are pending: %v; %v are waiting", covered, m.waiting)
+		t.Fatalf("a failed connect must remove the first attempt unless enough others are pending (%v); %v are waiting", covered, m.waiting)
 	}
 	m.startConnects(t)
 }
@@ -146,10 +148,10 @@
 	if m.lastItem == 0 {
 		return
 	}
-	item := rapid.IntRange(1, m.lastItem).Draw(t, "item")
+	item := rapid.IntRange(1, m.lastItem).Draw(t, "attempt")
 	_, waits := m.queuedAt[item]
 	if m.queue.Remove(item) != waits {
-		t.Fatalf("wrong result of removing %d, waiting: %v", item, waits)
+		t.Fatalf("wrong result of removing attempt %d, which waits: %v", item, waits)
 	}
 	delete(m.queuedAt, item)
 	m.waiting = slices.DeleteFunc(m.waiting, func(x int) bool { return x == item })
@@ -157,7 +159,7 @@
 
 func (m *queueModel) advanceTime(t *rapid.T) {
 	at, ok := m.queue.Next(m.now, testLateAfter)
-	m.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms"))
+	m.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ns"))
 	if ok {
 		m.now = min(m.now, max(at, m.now-60))
 	}
@@ -170,7 +172,7 @@
 	}
 	for _, item := range m.waiting {
 		if m.now >= m.queuedAt[item]+m.settings.FreeConnWait+m.settings.ConnectTimeout && m.now > m.queuedAt[item] {
-			t.Fatalf("%d has waited since %v, it is now %v", item, m.queuedAt[item], m.now)
+			t.Fatalf("attempt %d waits too long: since %v, it is now %v", item, m.queuedAt[item], m.now)
 		}
 	}
 }
@@ -178,17 +180,17 @@
 func TestQueueKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := queueModel{queuedAt: map[int]time.Duration{}, pending: map[int]time.Duration{}}
-		m.settings.FreeConnWait = time.Duration(rapid.IntRange(0, 50).Draw(t, "wait"))
+		m.settings.FreeConnWait = time.Duration(rapid.IntRange(0, 50).Draw(t, "free connection wait"))
 		m.settings.ConnectTimeout = time.Duration(rapid.IntRange(20, 60).Draw(t, "connect timeout"))
 		m.queue = New[int](m.settings)
 		t.Repeat(map[string]func(*rapid.T){
 			"enqueue": m.enqueue,
-			"free": func(t *rapid.T) {
+			"connection freed": func(t *rapid.T) {
 				if m.inUse > 0 && !m.pop(t) {
 					m.inUse--
 				}
 			},
-			"broken": func(t *rapid.T) {
+			"connection broken": func(t *rapid.T) {
 				if m.inUse > 0 {
 					m.inUse--
 				}
@@ -197,7 +199,7 @@
 			"connect succeeded": m.connectSucceeded,
 			"connect failed":    m.connectFailed,
 			"cancel":            m.cancel,
-			"pass":              m.advanceTime,
+			"advance time":      m.advanceTime,
 			"":                  m.check,
 		})
 	})
--- a/internal/connqueue/recorded_test.go
+++ b/internal/connqueue/recorded_test.go
@@ -18,7 +18,7 @@
 	lateAfter time.Duration
 	inUse     int
 	items     int
-	pending   []int // ids of connects
+	pending   []int // ids of pending connects
 	fields    []any // of the current step
 }
 
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -35,10 +35,10 @@
 	}
 	s.AddListed("s-1", "s-2")
 	if changed, err := s.Exclude(1000, "s-1"); !changed || err != nil {
-		t.Fatalf("exclude: %v %v", changed, err)
+		t.Fatalf("exclude of a listed node: changed %v, error %v", changed, err)
 	}
 	if changed, err := s.Exclude(1500, "s-1"); changed || err != nil {
-		t.Fatalf("repeated exclude: %v %v, want no change", changed, err)
+		t.Fatalf("repeated exclude: changed %v, error %v; want no change", changed, err)
 	}
 	if v := s.View(2000, upNode("s-1", 0)); v.State != policy.NodeExcluded {
 		t.Fatalf("an excluded node that is listed as up is shown as %v", v.State)
@@ -51,20 +51,20 @@
 		t.Fatalf("a removed node is shown as %v", v.State)
 	}
 	if changed, err := s.Include(5000, "s-2"); changed || err != nil {
-		t.Fatalf("include of a node that was not excluded: %v %v", changed, err)
+		t.Fatalf("include of a node that was not excluded: changed %v, error %v; want no change", changed, err)
 	}
 	if changed, err := s.Include(6000, "s-1"); !changed || err != nil {
-		t.Fatalf("include: %v %v", changed, err)
+		t.Fatalf("include of an excluded node: changed %v, error %v", changed, err)
 	}
 	v := s.View(7000, upNode("s-1", 100))
 	if v.State != policy.NodeUp || v.StartTime != 6000 {
 		t.Fatalf("an included node is shown as %v, started at %v; want up, started at the include", v.State, v.StartTime)
 	}
 	if v := s.View(7000, upNode("s-1", 6500)); v.StartTime != 6500 {
-		t.Fatalf("a start after the include is shown as %v", v.StartTime)
+		t.Fatalf("a node that started at 6500, after the include, is shown as started at %v", v.StartTime)
 	}
 	if v := s.View(6000+Defaults.SlowStartDuration+1, upNode("s-1", 100)); v.StartTime != 100 {
-		t.Fatalf("after the slow start, started at %v", v.StartTime)
+		t.Fatalf("after the slow start that follows the include, the node is shown as started at %v, want its own start at 100", v.StartTime)
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 func mustExclude(t *testing.T, s *Set, id string) {
 	t.Helper()
 	if changed, err := s.Exclude(0, id); !changed || err != nil {
-		t.Fatalf("exclude %s: %v %v", id, changed, err)
+		t.Fatalf("exclude of %s: changed %v, error %v", id, changed, err)
 	}
 }
 
@@ -85,7 +85,7 @@
 	mustExclude(t, s, "a")
 	mustExclude(t, s, "b")
 	if _, err := s.Exclude(0, "c"); !errors.Is(err, ErrFull) || s.Excluded("c") {
-		t.Fatalf("exclude beyond the bound: %v", err)
+		t.Fatalf("exclude beyond the bound: error %v, want ErrFull and no change", err)
 	}
 	s.AddListed("d", "e", "f")
 	if !s.IsListed("a") || !s.IsListed("b") {
@@ -106,21 +106,21 @@
 	mustExclude(t, first, "a")
 	mustExclude(t, first, "b")
 	if changed, err := first.Include(100, "b"); !changed || err != nil {
-		t.Fatalf("include: %v %v", changed, err)
+		t.Fatalf("include of an excluded node: changed %v, error %v", changed, err)
 	}
 	stored := first.State(150)
 	second := newSet(t, Defaults)
 	if changed := second.Load(200, stored); fmt.Sprint(changed) != "[a b]" {
-		t.Fatalf("changed %v", changed)
+		t.Fatalf("loading the stored state changed %v, want a and b", changed)
 	}
 	if !second.IsListed("a") || !second.Excluded("a") || second.Excluded("b") || second.View(200, upNode("b", 0)).StartTime != 100 {
-		t.Fatalf("loaded: %+v", second.State(200))
+		t.Fatalf("the loaded state is not the stored one: %+v", second.State(200))
 	}
 	if changed := second.Load(300, stored); len(changed) != 0 {
 		t.Fatalf("loading the same state changed %v", changed)
 	}
 	if changed := second.Load(300, State{}); fmt.Sprint(changed) != "[a]" || second.Excluded("a") {
-		t.Fatalf("an empty state: changed %v", changed)
+		t.Fatalf("loading an empty state changed %v, want a, which is then included", changed)
 	}
 }
 
@@ -129,12 +129,12 @@
 	*Set
 	settings Settings
 	excluded map[string]bool
-	now      float64
+	now      float64 // in milliseconds
 }
 
 // randomCall makes a random call for a node.
 func (m *setModel) randomCall(t *rapid.T, id string) {
-	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	switch rapid.IntRange(0, 3).Draw(t, "call") {
 	case 0:
 		m.AddListed(id)
 	case 1:
@@ -162,7 +162,7 @@
 	case err == nil:
 		m.excluded[id] = true
 	case !errors.Is(err, ErrUnknownNode) && !errors.Is(err, ErrFull):
-		t.Fatalf("exclude: %v", err)
+		t.Fatalf("exclude: unexpected error %v", err)
 	case listed && errors.Is(err, ErrUnknownNode):
 		t.Fatalf("the listed node %s is unknown", id)
 	case fmt.Sprint(before) != fmt.Sprint(m.State(m.now)):
@@ -172,18 +172,18 @@
 
 func TestInvariantsUnderRandomCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "excluded"), SlowStartDuration: 50}
+		settings := Settings{MaxListed: rapid.IntRange(1, 6).Draw(t, "max listed"), MaxExcluded: rapid.IntRange(1, 4).Draw(t, "max excluded"), SlowStartDuration: 50}
 		m := setModel{Set: newSet(t, settings), settings: settings, excluded: map[string]bool{}}
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			m.now += rapid.Float64Range(0, 30).Draw(t, "wait")
+			m.now += rapid.Float64Range(0, 30).Draw(t, "wait in ms")
 			m.randomCall(t, rapid.SampledFrom(ids).Draw(t, fmt.Sprint("id", step)))
 			if err := m.Check(); err != nil {
 				t.Fatal(err)
 			}
 			for _, id := range ids {
 				if v := m.View(m.now, upNode(id, 0)); m.excluded[id] != (v.State == policy.NodeExcluded) {
-					t.Fatalf("%s: excluded %v, shown as %v", id, m.excluded[id], v.State)
+					t.Fatalf("node %s: should be excluded %v, but is shown as %v", id, m.excluded[id], v.State)
 				}
 			}
 		}
--- a/internal/exclusion/store/recorded_test.go
+++ b/internal/exclusion/store/recorded_test.go
@@ -24,7 +24,7 @@
 	}
 	got, err := InDirectory("testdata", "n3").Read()
 	if err != nil || !reflect.DeepEqual(got, storedState()) {
-		t.Fatalf("read %+v, %v", got, err)
+		t.Fatalf("read %+v with the error %v, want the content of storedState", got, err)
 	}
 	rewritten := InDirectory(t.TempDir(), "n3")
 	if err := rewritten.Write(got); err != nil {
@@ -34,6 +34,6 @@
 		t.Errorf("written again: %q, want %q (%v)", text, want, err)
 	}
 	if filepath.Base(rewritten.Path) != "wheatsaddle-exclusions.json" {
-		t.Errorf("stored as %s", rewritten.Path)
+		t.Errorf("stored as %s, want the file name wheatsaddle-exclusions.json", rewritten.Path)
 	}
 }
--- a/internal/exclusion/store/store_interleave_test.go
+++ b/internal/exclusion/store/store_interleave_test.go
@@ -12,31 +12,32 @@
 )
 
 // changeState returns a thread that changes the stored state as the daemon does: while it holds the lock, it reads another
-// process's change, applies its own and writes the result.
-func changeState(dir, id string, at float64, dies int) func() {
+// process's change, excludes the node id and writes the result. If killChoices is 2, the thread may also end like a killed process
+// before it writes; if it is 1, it does not.
+func changeState(dir, id string, excludedAt float64, killChoices int) func() {
 	return func() {
 		s := InDirectory(dir, "n3")
-		s.pid = int(at)
+		s.pid = int(excludedAt)
 		state, err := s.Read() // at the start, without the lock
 		if err != nil {
 			il.Fail("%s: read at the start: %v", id, err)
 		}
 		unlock, err := s.Lock()
 		if err != nil {
-			il.Fail("%s: %v", id, err)
+			il.Fail("%s: lock: %v", id, err)
 		}
 		defer unlock()
 		if s.Changed() {
 			if state, err = s.Read(); err != nil {
-				il.Fail("%s: %v", id, err)
+				il.Fail("%s: read of the other process's change: %v", id, err)
 			}
 		}
-		state.Excluded[id] = at
-		if il.Choose(dies) == 1 {
+		state.Excluded[id] = excludedAt
+		if il.Choose(killChoices) == 1 {
 			return // the process is killed before it writes, which releases the lock
 		}
 		if err := s.Write(state); err != nil {
-			il.Fail("%s: %v", id, err)
+			il.Fail("%s: write: %v", id, err)
 		}
 	}
 }
@@ -62,7 +63,7 @@
 					return fmt.Errorf("stored: %w", err)
 				}
 				if got.Excluded["s-1"] != 1 || got.Excluded["s-2"] != 2 {
-					return fmt.Errorf("stored: %v", got.Excluded)
+					return fmt.Errorf("stored: %v, want both s-1 and s-2", got.Excluded)
 				}
 				return nil
 			},
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -13,7 +13,7 @@
 	s := InDirectory(dir, "n3")
 	got, err := s.Read()
 	if err != nil || len(got.Excluded) != 0 {
-		t.Fatalf("without a file: %v %v", got, err)
+		t.Fatalf("read without a file: %v with the error %v, want an empty state", got, err)
 	}
 	state := exclusion.State{Excluded: map[string]float64{"s-1": 1000.5}, Included: map[string]float64{"s-2": 900}}
 	if err := s.Write(state); err != nil {
@@ -22,7 +22,7 @@
 	next := InDirectory(dir, "n3") // the next process
 	got, err = next.Read()
 	if err != nil || got.Excluded["s-1"] != 1000.5 || got.Included["s-2"] != 900 {
-		t.Fatalf("the next process reads %v %v", got, err)
+		t.Fatalf("the next process reads %v with the error %v, want the written state", got, err)
 	}
 	if next.Changed() {
 		t.Fatal("a file that was just read counts as changed")
@@ -41,17 +41,17 @@
 	}
 }
 
-// A damaged file or one of another scheduler is ignored, with ErrForeign.
+// A damaged file, one of another version or one of another scheduler is ignored, with ErrForeign.
 func TestInvalidFilesAreIgnored(t *testing.T) {
 	for name, text := range map[string]string{
-		"torn":    `{"version":1,"name":"n3","excluded":{"s-1":10`,
-		"empty":   ``,
-		"foreign": `{"version":1,"name":"n4","excluded":{"s-1":10},"included":{}}`,
-		"version": `{"version":2,"name":"n3","excluded":{"s-1":10},"included":{}}`,
-		"field":   `{"version":1,"name":"n3","excluded":{"s-1":10},"included":{},"more":1}`,
-		"time":    `{"version":1,"name":"n3","excluded":{"s-1":-1},"included":{}}`,
-		"id":      `{"version":1,"name":"n3","excluded":{"":1},"included":{}}`,
-		"array":   `[1,2]`,
+		"truncated":            `{"version":1,"name":"n3","excluded":{"s-1":10`,
+		"empty":                ``,
+		"of another scheduler": `{"version":1,"name":"n4","excluded":{"s-1":10},"included":{}}`,
+		"of another version":   `{"version":2,"name":"n3","excluded":{"s-1":10},"included":{}}`,
+		"unknown field":        `{"version":1,"name":"n3","excluded":{"s-1":10},"included":{},"more":1}`,
+		"negative time":        `{"version":1,"name":"n3","excluded":{"s-1":-1},"included":{}}`,
+		"empty id":             `{"version":1,"name":"n3","excluded":{"":1},"included":{}}`,
+		"not an object":        `[1,2]`,
 	} {
 		s := InDirectory(t.TempDir(), "n3")
 		if err := os.WriteFile(s.Path, []byte(text), 0o600); err != nil {
@@ -59,7 +59,7 @@
 		}
 		got, err := s.Read()
 		if !errors.Is(err, ErrForeign) || len(got.Excluded) != 0 {
-			t.Errorf("%s: %v %v", name, got, err)
+			t.Errorf("file %s: read %v with the error %v, want no exclusion and ErrForeign", name, got, err)
 		}
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -78,11 +78,11 @@
 		for i, line := range script {
 			got := m.Step(line.at, line.event)
 			if !slices.Equal(got, line.actions) || m.Next() != line.next || m.Check() != nil {
-				t.Errorf("%s, line %d: %v, next %v, want %v, %v (%v)", name, i, got, m.Next(), line.actions, line.next, m.Check())
+				t.Errorf("%s, line %d: actions %v, next timer %v, want %v, %v (check: %v)", name, i, got, m.Next(), line.actions, line.next, m.Check())
 			}
 		}
 		if last := script[len(script)-1].actions; m.Ended() != (m.phase == finished) || slices.Equal(last, newActions(Finish)) && !m.Ended() {
-			t.Errorf("%s: ended %v", name, m.Ended())
+			t.Errorf("%s: Ended is %v, which contradicts the phase or the last actions", name, m.Ended())
 		}
 	}
 }
--- a/internal/handover/invariants_test.go
+++ b/internal/handover/invariants_test.go
@@ -116,7 +116,7 @@
 		}
 		waits := p.machine.next != Never || p.accepting || p.machine.phase == notStarted
 		if p.pendingCount == 0 && !waits {
-			return fmt.Errorf("process %d waits for no event in phase %d", i, p.machine.phase)
+			return fmt.Errorf("process %d is stuck in phase %d: it waits for no action, timer or signal", i, p.machine.phase)
 		}
 	}
 	if admitting > 1 {
@@ -207,7 +207,7 @@
 			}
 		}
 		if all := 1<<n - 1; x.servedProcesses != all || x.endedProcesses != all {
-			t.Errorf("%d processes: served %b, ended %b", n, x.servedProcesses, x.endedProcesses)
+			t.Errorf("%d processes: not all of them served (bits %b) and ended (bits %b) in some order", n, x.servedProcesses, x.endedProcesses)
 		}
 		t.Logf("%d processes: %d states", n, len(x.seen))
 	}
@@ -224,7 +224,7 @@
 func (s *timedSimulation) performAll(t *rapid.T) {
 	for i := range s.processes {
 		for s.processes[i].running && s.processes[i].pendingCount > 0 {
-			result := outcome{rapid.Bool().Draw(t, "notified"), rapid.IntRange(0, 2).Draw(t, "open")}
+			result := outcome{rapid.Bool().Draw(t, "notified"), rapid.IntRange(0, 2).Draw(t, "open connections")}
 			if err := s.perform(i, s.now, result); err != nil {
 				t.Fatal(err)
 			}
@@ -282,13 +282,13 @@
 				}
 			},
 			"kill": func(t *rapid.T) { s.endProcess(drawProcess(t)) },
-			"term": func(t *rapid.T) {
+			"SIGTERM": func(t *rapid.T) {
 				if i := drawProcess(t); s.processes[i].running && s.processes[i].machine.phase < notifyingModule {
-					s.deadlines[i] = s.now + time.Duration(rapid.IntRange(0, 60).Draw(t, "left"))*ms
+					s.deadlines[i] = s.now + time.Duration(rapid.IntRange(0, 60).Draw(t, "ms until the deadline"))*ms
 					s.step(i, s.now, Event{Kind: TermReceived, Deadline: s.deadlines[i]})
 				}
 			},
-			"time": func(t *rapid.T) {
+			"advance time": func(t *rapid.T) {
 				s.advanceTime(t, time.Duration(rapid.IntRange(1, 100).Draw(t, "ms"))*ms)
 			},
 		})
