--- a/gather/merge_test.go
+++ b/gather/merge_test.go
@@ -59,7 +59,7 @@
 const rulesByA = `{"order":[{"key":"a","type":"integer"}]%s}`
 
 // Each case has the added data, the expected rows, the parts that the result names, and whether it is complete. Some also have a fault
-// that must change this outcome when it is injected into the merge.
+// that must change this outcome when it is injected into the merge (faultNone: there is none).
 func TestMergeCases(t *testing.T) {
 	type script struct {
 		name     string
@@ -68,7 +68,7 @@
 		rows     string
 		parts    string
 		complete bool
-		fault    fault
+		injected fault
 	}
 	for _, s := range []script{
 		{"a second copy continues where the first was truncated, within a record", "", func(m *Merge) {
@@ -157,8 +157,8 @@
 		if rows != s.rows || parts != s.parts || complete != s.complete {
 			t.Errorf("%s: unexpected outcome: rows %s, parts %q, complete %v", s.name, rows, parts, complete)
 		}
-		if r, p, w := runCase(s.fault); s.fault != faultNone && r == rows && p == parts && w == complete {
-			t.Errorf("%s: injected fault %d does not change the outcome", s.name, s.fault)
+		if r, p, w := runCase(s.injected); s.injected != faultNone && r == rows && p == parts && w == complete {
+			t.Errorf("%s: injected fault %d does not change the outcome", s.name, s.injected)
 		}
 	}
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -137,6 +137,7 @@
 	}
 }
 
+// Without a list and a cached list, ready is reported at its deadline.
 func TestReadyIsReportedByItsDeadlineWithoutAList(t *testing.T) {
 	s := newStartup(t, testSettings(300, "h", true))
 	done := runScript(t, s, 7*time.Second, map[time.Duration]Event{0: Started{}})
--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -227,6 +227,7 @@
 // randomScripts is the number of random scripts. Some mutants violate an invariant only in few of them.
 const randomScripts = 3000
 
+// The test runs the same random scripts each time, on which it relies to detect the mutants, and further ones outside of mutants.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	violation := rapid.Custom(randomEventsViolation)
 	for seed := range randomScripts {
--- a/internal/connqueue/idlelimiter_test.go
+++ b/internal/connqueue/idlelimiter_test.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// Without a sign, and MaxLimitDuration after the last one, there is no limit. For MinLimitDuration after a sign the limit applies.
 func TestIdleLimiterKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var limiter IdleLimiter
--- a/internal/exclusion/exclusion_test.go
+++ b/internal/exclusion/exclusion_test.go
@@ -25,6 +25,8 @@
 	return policy.Node{ID: id, State: policy.NodeUp, Weight: 1, StartTime: startTime}
 }
 
+// An excluded node is shown as excluded even if it is listed as up. Once it is included, it is shown as started at the include, for
+// SlowStartDuration and unless it started later.
 func TestExcludedNodeStaysExcludedUntilIncluded(t *testing.T) {
 	s := newSet(t, Defaults)
 	if _, err := s.Exclude(0, "s-1"); !errors.Is(err, ErrUnknownNode) {
@@ -79,6 +81,7 @@
 	}
 }
 
+// An exclude beyond MaxExcluded is rejected. If more than MaxListed nodes are listed, the oldest that is not excluded is dropped.
 func TestExcludePastTheBoundChangesNothing(t *testing.T) {
 	s := newSet(t, Settings{MaxListed: 3, MaxExcluded: 2, SlowStartDuration: 10})
 	s.AddListed("a", "b", "c")
--- a/internal/exclusion/store/store_test.go
+++ b/internal/exclusion/store/store_test.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// While one writer holds the lock, another one gets an error. The lock can be taken again after its release.
 func TestLockExcludesOtherWriters(t *testing.T) {
 	s := InDirectory(t.TempDir(), "n3")
 	unlock, err := s.Lock()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -72,6 +72,8 @@
 	},
 }
 
+// Each line of a script is an event. The machine must return the line's actions and then wait for its timer. If the last line finishes,
+// the machine must have ended.
 func TestActionsAndTimers(t *testing.T) {
 	for name, script := range scripts {
 		m := New(testSettings)
--- a/internal/handover/invariants_test.go
+++ b/internal/handover/invariants_test.go
@@ -142,7 +142,7 @@
 		err = state.checkInvariants()
 	}
 	if err != nil {
-		x.t.Fatalf("%v\n%+v", err, state)
+		x.t.Fatalf("%v\nin the state %+v", err, state)
 	}
 	if !x.seen[state] {
 		x.seen[state] = true
--- a/internal/scattergather/gather_test.go
+++ b/internal/scattergather/gather_test.go
@@ -252,7 +252,7 @@
 	return ""
 }
 
-// checkFaultsAreFound checks that for each injected fault some simulation reports the invariant that the fault breaks.
+// checkFaultsAreFound checks that for each injected fault one of 3000 simulations reports the invariant that the fault breaks.
 func checkFaultsAreFound[F comparable](t *testing.T, simulate func(*rapid.T, F) string, faults map[F]string) {
 	t.Helper()
 	for f, want := range faults {
@@ -279,9 +279,10 @@
 	})
 }
 
-func TestInvariants(t *testing.T) { checkInvariants(t, simulate) }
+func TestGatherInvariants(t *testing.T) { checkInvariants(t, simulate) }
 
-func TestInvariantsFindInjectedFaults(t *testing.T) {
+// Some simulation with each injected fault must break the invariant that is given for the fault.
+func TestGatherInvariantsFindInjectedFaults(t *testing.T) {
 	checkFaultsAreFound(t, simulate, map[fault]string{faultChangeFinal: "S1", faultIgnoreConcurrencyLimit: "S2", faultIgnorePartsDeadline: "S3", faultRetryNonIdempotent: "S4", faultIgnoreMaxRetries: "S5",
 		faultIgnoreRetryAfter: "S6", faultNoCancel: "S7", faultHideLoss: "S8", faultIgnoreDeadline: "S9", faultNoAvoidedNodes: "S10"})
 }
--- a/internal/scattergather/group_test.go
+++ b/internal/scattergather/group_test.go
@@ -244,6 +244,7 @@
 
 func TestGroupTakeoverInvariants(t *testing.T) { checkInvariants(t, simulateDelegation) }
 
+// Some simulation with each injected fault must break the invariant that is given for the fault.
 func TestGroupTakeoverInvariantsFindInjectedFaults(t *testing.T) {
 	checkFaultsAreFound(t, simulateDelegation, map[delegationFault]string{delegationFaultNoLocalAttempt: "T6", delegationFaultIgnoreTimeShare: "T6", delegationFaultThirdAttempt: "T7", delegationFaultIgnoreSilence: "T7", delegationFaultIgnoreLostParts: "T6"})
 }
--- a/internal/scattergather/peer_table_test.go
+++ b/internal/scattergather/peer_table_test.go
@@ -167,6 +167,7 @@
 
 func TestPeerTableInvariants(t *testing.T) { checkInvariants(t, simulatePeerTable) }
 
+// Some simulation with each injected fault must break the invariant that is given for the fault.
 func TestPeerTableInvariantsFindInjectedFaults(t *testing.T) {
 	checkFaultsAreFound(t, simulatePeerTable, map[delegationFault]string{delegationFaultLosePart: "T1", delegationFaultDelegateNonIdempotent: "T2", delegationFaultSamePeerFirst: "T3", delegationFaultNoBackoff: "T4", delegationFaultIgnoreRetryAfter: "T4",
 		delegationFaultConstantBackoff: "T4", delegationFaultNoTrial: "T5", delegationFaultUnseededRandom: "T8", delegationFaultUseDeadPeers: "T9"})
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -26,7 +26,7 @@
 
 // fakeNode is core's client of the only node of a shard. It answers with the shard's rows unless it has a fault.
 type fakeNode struct {
-	i                  int
+	shard              int
 	fault              string
 	ctx                context.Context
 	requests, inFlight atomic.Int32
@@ -48,7 +48,7 @@
 		n := s.requests.Add(1)
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
-		r := core.Result{Status: policy.OK, Payload: partRows(s.i, shardCount, rowsPerShard)}
+		r := core.Result{Status: policy.OK, Payload: partRows(s.shard, shardCount, rowsPerShard)}
 		switch {
 		case s.fault == "full":
 			r = core.Result{Status: policy.NodeFull}
@@ -80,27 +80,28 @@
 func (s *fakeNode) SetAddresses([]address.Addr)                       {}
 func (s *fakeNode) Close()                                            {}
 
+// coreFixture is a core with one fake node per shard, and a sender of parts to it.
 type coreFixture struct {
 	core   *core.Core
-	shards []*fakeNode
+	nodes  []*fakeNode
 	sender *CoreSender
 	parts  []gather.Part
 }
 
 func newCoreFixture(t *testing.T, faults [shardCount]string) *coreFixture {
 	t.Helper()
-	w := &coreFixture{}
+	fx := &coreFixture{}
 	var nodes []core.Node
 	ctx, cancel := context.WithCancel(context.Background())
 	for i, f := range faults {
-		w.shards = append(w.shards, &fakeNode{i: i, fault: f, ctx: ctx, cancels: map[*core.Attempt]context.CancelFunc{}})
-		w.parts = append(w.parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
+		fx.nodes = append(fx.nodes, &fakeNode{shard: i, fault: f, ctx: ctx, cancels: map[*core.Attempt]context.CancelFunc{}})
+		fx.parts = append(fx.parts, gather.Part{ID: fmt.Sprint("p", i), Shard: i})
 		nodes = append(nodes, core.Node{Node: policy.Node{ID: fmt.Sprint(i), Shard: i, State: policy.NodeUp, Weight: 1}})
 	}
 	log, _ := logtest.NewNullLogger()
 	var err error
-	w.core, err = core.New(core.Options{Seed: 7, Log: log,
-		NewNodeClient: func(name string, _ []address.Addr) core.NodeClient { return w.shards[name[0]-'0'] },
+	fx.core, err = core.New(core.Options{Seed: 7, Log: log,
+		NewNodeClient: func(name string, _ []address.Addr) core.NodeClient { return fx.nodes[name[0]-'0'] },
 		Settings: policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 3, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 			DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
 			Classes: []policy.Class{{Name: "read", LatencyObjective: 60e3, Deadline: 120e3, PriorityWeight: 3}},
@@ -108,16 +109,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
-	w.sender = &CoreSender{Core: w.core, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
+	fx.core.UpdateList(core.ListUpdate{Kind: policy.CachedListLoaded, Nodes: nodes})
+	fx.sender = &CoreSender{Core: fx.core, Client: policy.Request{ID: "q", Class: "read", Plan: "basic", Key: "k", Volume: "v", Schedulers: 1},
 		Units: func(gather.Part) float64 { return 1 }, Payload: func(*core.Request, Attempt) any { return nil },
 		Body: func(x any) Body { return Body{Data: x.([]byte)} }}
 	t.Cleanup(func() {
-		w.core.Stop()
+		fx.core.Stop()
 		cancel()
 		waitFor(t, "all goroutines end", func() bool { return goleak.Find() == nil })
 	})
-	return w
+	return fx
 }
 
 func waitFor(t *testing.T, what string, cond func() bool) {
@@ -131,19 +132,19 @@
 
 // run gathers with a long timeout. If endsAtDeadline is set, the clock jumps past the parts' deadline once all parts but the silent
 // ones are finished.
-func (w *coreFixture) run(ctx context.Context, t *testing.T, need string, endsAtDeadline bool) (rows []string, f Final) {
+func (fx *coreFixture) run(ctx context.Context, t *testing.T, need string, endsAtDeadline bool) (rows []string, f Final) {
 	t.Helper()
 	const timeout = 10 * time.Minute
-	g, err := New(Rules{Merge: mergeRules(t, need, ""), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 1}, timeout, w.parts)
+	g, err := New(Rules{Merge: mergeRules(t, need, ""), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 1}, timeout, fx.parts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	start, pastDeadline := time.Now(), false
 	notRequested := func(s *fakeNode) bool { return s.fault == "silent" && s.requests.Load() == 0 } // else the jump of the clock would cancel it before it starts
 	now := func() time.Duration {
-		pastDeadline = pastDeadline || endsAtDeadline && !slices.ContainsFunc(w.shards, notRequested) && !slices.ContainsFunc(g.parts, func(p *partState) bool {
+		pastDeadline = pastDeadline || endsAtDeadline && !slices.ContainsFunc(fx.nodes, notRequested) && !slices.ContainsFunc(g.parts, func(p *partState) bool {
 			blocked := len(p.inFlight) > 0 && p.inFlight[0].blocked
-			return !p.finished && !blocked && (p.lastNumber == 0 || w.shards[p.Shard].fault != "silent")
+			return !p.finished && !blocked && (p.lastNumber == 0 || fx.nodes[p.Shard].fault != "silent")
 		})
 		if pastDeadline {
 			return timeout * 9 / 10
@@ -153,7 +154,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var text []byte
-	f = run(ctx, g, w.sender, Options{MaxPartBytes: 1 << 20, ReceivedAt: start, Write: func(b []byte) error { text = append(text, b...); return nil }},
+	f = run(ctx, g, fx.sender, Options{MaxPartBytes: 1 << 20, ReceivedAt: start, Write: func(b []byte) error { text = append(text, b...); return nil }},
 		clock{now, timer.C, func(at time.Duration) {
 			wait := at - now()
 			if endsAtDeadline && !pastDeadline { // the start of an attempt is not an event, so poll
@@ -164,7 +165,7 @@
 	if len(text) > 0 {
 		rows = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	}
-	waitFor(t, "core has no requests", func() bool { x := w.core.TableSizes(); return x.Requests == 0 })
+	waitFor(t, "core has no requests", func() bool { x := fx.core.TableSizes(); return x.Requests == 0 })
 	return rows, f
 }
 
@@ -188,8 +189,8 @@
 		"silent shard, all needed":  {[shardCount]string{0: "silent"}, "all", EndedEarly, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newCoreFixture(t, c.faults)
-			rows, f := w.run(t.Context(), t, c.need, slices.Contains(c.faults[:], "silent"))
+			fx := newCoreFixture(t, c.faults)
+			rows, f := fx.run(t.Context(), t, c.need, slices.Contains(c.faults[:], "silent"))
 			want := flatMerge(c.missing...)
 			if c.kind != Served {
 				want = nil
@@ -204,33 +205,33 @@
 			if !slices.Equal(named, c.missing) {
 				t.Errorf("shards named as missing: %v, want %v", named, c.missing)
 			}
-			for i, s := range w.shards {
-				if s.requests.Load() == 0 && c.kind == Served {
+			for i, node := range fx.nodes {
+				if node.requests.Load() == 0 && c.kind == Served {
 					t.Errorf("shard %d received no request", i)
 				}
 			}
 			waitFor(t, "all attempts end", func() bool {
-				return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
+				return !slices.ContainsFunc(fx.nodes, func(node *fakeNode) bool { return node.inFlight.Load() > 0 })
 			})
 		})
 	}
 }
 
 func TestClientDisconnectCancelsAllParts(t *testing.T) {
-	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
+	fx := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
 	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
-		for w.shards[0].inFlight.Load()+w.shards[1].inFlight.Load() < 2 {
+		for fx.nodes[0].inFlight.Load()+fx.nodes[1].inFlight.Load() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		disconnect()
 	}()
-	rows, f := w.run(ctx, t, "all", false)
+	rows, f := fx.run(ctx, t, "all", false)
 	if f.Kind != ClientDisconnected || len(rows) > 0 {
 		t.Errorf("final answer %+v with %d rows, want ClientDisconnected without rows", f, len(rows))
 	}
 	waitFor(t, "all attempts end", func() bool {
-		return !slices.ContainsFunc(w.shards, func(s *fakeNode) bool { return s.inFlight.Load() > 0 })
+		return !slices.ContainsFunc(fx.nodes, func(node *fakeNode) bool { return node.inFlight.Load() > 0 })
 	})
 }
 
--- a/internal/scattergather/service_test.go
+++ b/internal/scattergather/service_test.go
@@ -17,10 +17,10 @@
 )
 
 // service returns a Service over the fixture's core. If streamed is set, bodies arrive in pieces.
-func (w *coreFixture) service(t *testing.T, extra string, streamed bool) *Service {
+func (fx *coreFixture) service(t *testing.T, extra string, streamed bool) *Service {
 	t.Helper()
 	rules := Rules{Merge: mergeRules(t, "all", extra), MergeTimeShare: 0.2, MaxConcurrentParts: 2, Idempotent: true, MaxRetries: 2}
-	s := &Service{Core: w.core, Classes: map[string]Rules{"read": rules}, ReadLimiter: &Limiter{}, PartUnits: 1, MaxPartBytes: 1 << 20, MaxParts: 8,
+	s := &Service{Core: fx.core, Classes: map[string]Rules{"read": rules}, ReadLimiter: &Limiter{}, PartUnits: 1, MaxPartBytes: 1 << 20, MaxParts: 8,
 		Shards:  func() []int { return []int{0, 1, 2, 3} },
 		Payload: func(_, _ *core.Request, _ int) any { return nil },
 		Body: func(x any) Body {
@@ -82,7 +82,7 @@
 
 // The rows are those of the flat merge for whole bodies, streamed bodies, groups that fail once, and pages.
 func TestServiceReturnsFlatMerge(t *testing.T) {
-	w := newCoreFixture(t, [shardCount]string{})
+	fx := newCoreFixture(t, [shardCount]string{})
 	for name, c := range map[string]struct {
 		truncate          string
 		streamed, grouped bool
@@ -91,7 +91,7 @@
 		"pages": {truncate: `,"truncate":{"top":150}`}, "streamed pages of groups that fail once": {truncate: `,"truncate":{"top":150}`, grouped: true, streamed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, delegator := w.service(t, c.truncate, c.streamed), &failingDelegator{}
+			s, delegator := fx.service(t, c.truncate, c.streamed), &failingDelegator{}
 			if c.grouped {
 				s.Delegator = delegator
 			}
@@ -117,7 +117,7 @@
 			if c.grouped && !slices.Contains(delegator.attempts, "a2") {
 				t.Errorf("no second attempt of group a: %v", delegator.attempts)
 			}
-			waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
+			waitFor(t, "core has no requests", func() bool { return fx.core.TableSizes().Requests == 0 })
 		})
 	}
 }
@@ -125,8 +125,8 @@
 // Reads without rules for their class, with invalid shards or with an invalid token are rejected as Invalid with the code of the error.
 // A read over the limit of concurrent reads is rejected at once.
 func TestServiceRejectsInvalidAndExcessReads(t *testing.T) {
-	w := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
-	s := w.service(t, "", false)
+	fx := newCoreFixture(t, [shardCount]string{"silent", "silent", "silent", "silent"})
+	s := fx.service(t, "", false)
 	unexpectedWrite := func([]byte) error { t.Error("rows were written by a read that has none"); return nil } //nolint:unparam // a writer of rows
 	read := func(q Query, class string) Final {
 		r := newClientRequest("r", 400*time.Millisecond)
@@ -149,11 +149,11 @@
 	ctx, disconnect := context.WithCancel(t.Context())
 	done := make(chan Final)
 	go func() { done <- s.Read(ctx, newClientRequest("q", time.Hour), Query{All: true}, unexpectedWrite) }()
-	waitFor(t, "two parts are in flight", func() bool { return w.shards[0].inFlight.Load() == 1 && w.shards[1].inFlight.Load() == 1 })
+	waitFor(t, "two parts are in flight", func() bool { return fx.nodes[0].inFlight.Load() == 1 && fx.nodes[1].inFlight.Load() == 1 })
 	if f := read(Query{All: true}, "read"); f.Kind != Rejected || f.RetryAfter <= 0 || s.ReadLimiter.InFlight() != 1 {
 		t.Errorf("second read: final answer %+v, want Rejected with a Retry-After", f)
 	}
-	if n := w.core.TableSizes().Requests; n != 2 {
+	if n := fx.core.TableSizes().Requests; n != 2 {
 		t.Errorf("core has %d requests, want the 2 of the read in progress", n)
 	}
 	disconnect()
@@ -164,15 +164,15 @@
 
 // A body over its limit is truncated there and its shard is named, whether the body is streamed or not.
 func TestPartOverItsLimitIsTruncatedAndNamed(t *testing.T) {
-	w := newCoreFixture(t, [shardCount]string{})
+	fx := newCoreFixture(t, [shardCount]string{})
 	for _, streamed := range []bool{false, true} {
-		s := w.service(t, "", streamed)
+		s := fx.service(t, "", streamed)
 		s.MaxPartBytes = 600
 		f := s.Read(t.Context(), newClientRequest("p", time.Minute), Query{All: true}, func([]byte) error { return nil })
 		if r := f.Report(false); f.Kind != EndedEarly || len(r.Cut) == 0 || r.Whole || !errors.As(f.Result.Parts[0].Why, new(*PartTooLong)) {
 			t.Errorf("streamed %v: final answer %+v, want EndedEarly with a truncated part whose error is PartTooLong", streamed, f)
 		}
-		waitFor(t, "core has no requests", func() bool { return w.core.TableSizes().Requests == 0 })
+		waitFor(t, "core has no requests", func() bool { return fx.core.TableSizes().Requests == 0 })
 	}
 }
 
