--- a/cmd/loadtest/coldstart.go
+++ b/cmd/loadtest/coldstart.go
@@ -10,20 +10,20 @@
 	"wheatsaddle/internal/testkit/experiment/coldstart"
 )
 
-const maxProcesses = 1000 // of the daemon, in one experiment
+const maxProcesses = 1000 // limit on daemon processes in one experiment
 
 func coldstartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "coldstart", Usage: "start a whole fleet within a second: as today, with the cold start, and with a snapshot",
+		Name: "coldstart", Usage: "start a whole fleet of schedulers within a second: without the cold-start procedure, with it, and with it and a snapshot",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "virtual", Usage: "run in virtual time in this process, in place of processes of the built daemon"},
-			&cli.IntFlag{Name: "schedulers", Usage: "number of schedulers; 0: 1000, or 300 processes"},
+			&cli.BoolFlag{Name: "virtual", Usage: "simulate the fleet in virtual time, instead of running daemon processes"},
+			&cli.IntFlag{Name: "schedulers", Usage: "number of schedulers; 0: 1000 with --virtual, otherwise 300"},
 			&cli.IntFlag{Name: "nodes", Usage: "number of storage nodes; 0: a fifth of the schedulers"},
-			&cli.IntFlag{Name: "seeds", Usage: "runs of each scenario and start, each with its own seed; 0: 50, or 1 with processes"},
+			&cli.IntFlag{Name: "seeds", Usage: "runs of each scenario and start, each with its own seed; 0: 50 with --virtual, otherwise 1"},
 			&cli.Int64Flag{Name: "seed", Value: 1, Usage: "seed of the first run"},
-			&cli.Float64Flag{Name: "capacity", Usage: "calls a second that the discovery service can answer; 0: 0.4 times the number of schedulers"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "play only this scenario (may be repeated)"},
-			&cli.StringSliceFlag{Name: "start", Usage: "play only this start: today, coldstart or \"with snapshot\" (may be repeated)"},
+			&cli.Float64Flag{Name: "capacity", Usage: "requests for the node list per second that the discovery service can answer; 0: 0.4 times the number of schedulers"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "run only the scenario with this `NAME` (may be repeated)"},
+			&cli.StringSliceFlag{Name: "start", Usage: "run only this start: today (without the cold-start procedure), coldstart or \"with snapshot\" (may be repeated)"},
 			jsonFlag(),
 		},
 		Action: runColdstart,
@@ -47,10 +47,10 @@
 		return opt, usageError{err}
 	}
 	if !virtual && opt.Seeds > 1 {
-		return opt, usageError{errors.New("seeds: with processes a call plays one seed only; use --seed for another")}
+		return opt, usageError{errors.New("--seeds above 1 needs --virtual; with processes, choose the seed with --seed")}
 	}
 	if !virtual && opt.Hosts > maxProcesses {
-		return opt, usageError{fmt.Errorf("schedulers: more than %d processes need --virtual", maxProcesses)}
+		return opt, usageError{fmt.Errorf("--schedulers above %d needs --virtual", maxProcesses)}
 	}
 	return opt, nil
 }
@@ -83,7 +83,7 @@
 	return report(c, res, missed)
 }
 
-// logEachOnce logs a scenario and start when it differs from the one before: each is run with many seeds.
+// logEachOnce returns a function that logs a scenario and start if they differ from those of the previous call.
 func logEachOnce(log logrus.FieldLogger) func(scenario string, mode coldstart.Mode) {
 	last := ""
 	return func(scenario string, mode coldstart.Mode) {
--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -12,7 +12,7 @@
 	"wheatsaddle/internal/testkit/cluster"
 )
 
-// This file has what the commands share: the checks at the start, the build of the daemon, and the report.
+// This file has the functions that the commands share: checks of the call, the build of the daemon, and the report.
 
 // prepare makes the checks that all commands share, and returns the logger for the command's progress.
 func prepare(c *cli.Context) (*logrus.Logger, error) {
@@ -32,7 +32,7 @@
 		log.SetFormatter(&logrus.JSONFormatter{})
 	case "text":
 	default:
-		return nil, usageError{fmt.Errorf("log-format: %q is neither text nor json", format)}
+		return nil, usageError{fmt.Errorf("--log-format: %q is neither text nor json", format)}
 	}
 	return log, nil
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// missedText states how many bounds were missed, under the result's name for them; "": none.
+// missedText returns a text with the number of missed bounds, under the result's name for bounds; "": none was missed.
 func missedText(missed []string, word string) string {
 	if len(missed) == 0 {
 		return ""
--- a/cmd/loadtest/gather.go
+++ b/cmd/loadtest/gather.go
@@ -11,11 +11,11 @@
 
 func gatherCommand() *cli.Command {
 	return &cli.Command{
-		Name: "gather", Usage: "play gathered reads under faults, with and without second copies, and compare each row with the flat merge",
+		Name: "gather", Usage: "send gathered reads under faults, without second copies, with them and with delegation, and check each row of the answers",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seeds", Value: 3, Usage: "number of seeds of rows, reads and faults, from seed 1 on"},
+			&cli.Uint64Flag{Name: "seeds", Value: 3, Usage: "number of seeds, from 1 on; a seed determines the rows, reads and faults"},
 			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "duration of one seed in one mode"},
-			&cli.Float64Flag{Name: "rate", Value: 40, Usage: "reads a second, to all processes together"},
+			&cli.Float64Flag{Name: "rate", Value: 40, Usage: "reads per second, to all processes together"},
 			jsonFlag(),
 		},
 		Action: runGather,
@@ -29,7 +29,7 @@
 	}
 	opt := gathers.Options{Setup: gathers.Defaults(), Duration: c.Duration("for"), Rate: c.Float64("rate"), Log: log}
 	if n := c.Uint64("seeds"); n < 1 || n > 100 || opt.Duration < 2*time.Second || opt.Duration > time.Minute || !(opt.Rate > 0 && opt.Rate <= 500) {
-		return usageError{errors.New("seeds must be 1 to 100, for 2s to 1m, rate above 0 and at most 500")}
+		return usageError{errors.New("--seeds must be 1 to 100, --for 2s to 1m, --rate above 0 and at most 500")}
 	}
 	for seed := range c.Uint64("seeds") {
 		opt.Seeds = append(opt.Seeds, seed+1)
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -21,22 +21,22 @@
 	schedulersStarted = 2                     // schedulers that are started if no target is given
 	meanServiceTime   = 2 * time.Millisecond  // of a unit of work at a stand-in node
 	nodeWorkers       = 4                     // requests that a stand-in node serves concurrently
-	daemonMemoryMB    = 192                   // memory limit of a scheduler, MiB
+	daemonMemoryMiB   = 192                   // memory limit of a scheduler, MiB
 	retryWait         = 50 * time.Millisecond // before a client retries a request
-	firstSurgeMs      = 6000                  // ms; early enough for a short run
+	firstSurgeMs      = 6000                  // early enough for a short run
 )
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send open-loop load to schedulers; without --target, to two schedulers and stand-in nodes that it starts",
+		Name: "load", Usage: "send requests to schedulers at times that do not depend on the answers; without --target, starts two schedulers and stand-in nodes",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "`HOST:PORT` of a scheduler (may be repeated)"},
 			&cli.StringFlag{Name: "shape", Usage: "shape of the traffic, from the JSON `FILE`; see loadtest shape-schema"},
-			&cli.Float64Flag{Name: "rate", Usage: "requests a second, in place of the shape's rate"},
+			&cli.Float64Flag{Name: "rate", Usage: "requests per second, in place of the shape's rate"},
 			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "length"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the schedule"},
-			&cli.IntFlag{Name: "open", Value: 4096, Usage: "most requests in flight"},
-			&cli.IntFlag{Name: "conns", Value: 512, Usage: "most connections to one scheduler"},
+			&cli.IntFlag{Name: "open", Value: 4096, Usage: "maximum number of requests in flight; further requests are not sent and make the run invalid"},
+			&cli.IntFlag{Name: "conns", Value: 512, Usage: "maximum number of connections to one scheduler"},
 			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once"},
 			&cli.StringFlag{Name: "json", Usage: "write the results to `FILE`"},
 		},
@@ -74,14 +74,14 @@
 		return err
 	}
 	if c.Duration("for") <= 0 || c.Int("open") < 1 || c.Int("conns") < 1 {
-		return usageError{errors.New("for, open and conns must be above 0")}
+		return usageError{errors.New("--for, --open and --conns must be above 0")}
 	}
 	shape, err := readShape(c)
 	if err != nil {
 		return err
 	}
 	targets := c.StringSlice("target")
-	var own *fleet.Fleet // nil: the targets were given by flags
+	var own *fleet.Fleet // the schedulers that this command starts; nil: the targets were given by flags
 	if len(targets) == 0 {
 		if own, err = startFleet(c, shape, log); err != nil {
 			return err
@@ -123,7 +123,7 @@
 		MeanServiceTime: meanServiceTime,
 		Workers:         nodeWorkers,
 		Seed:            c.Uint64("seed"),
-		MemoryMB:        daemonMemoryMB,
+		MemoryMB:        daemonMemoryMiB,
 		Log:             log,
 	})
 	if err != nil {
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,4 +1,5 @@
-// Command loadtest runs load tests and fault experiments on the scheduler. It starts the stand-ins that it needs.
+// Command loadtest runs load tests and fault experiments on the scheduler. It starts the stand-ins that it needs, for
+// example for the storage nodes.
 package main
 
 import (
@@ -18,8 +19,8 @@
 
 // The exit codes.
 const (
-	exitFailure = 1 // invalid input, or another failure
-	exitUsage   = 2
+	exitFailure = 1 // an invalid input file, or another failure
+	exitUsage   = 2 // an invalid flag or argument
 	exitBound   = 3 // a measured bound was not met
 )
 
@@ -59,9 +60,9 @@
 func newApp(out, diag io.Writer) *cli.App {
 	onUsage := func(_ *cli.Context, err error, _ bool) error { return usageError{err} }
 	a := &cli.App{
-		Name: "loadtest", Usage: "play faults and load against the scheduler, on stand-ins", HideVersion: true,
+		Name: "loadtest", Usage: "run load tests and fault experiments on the scheduler, with stand-ins for its environment", HideVersion: true,
 		Writer: out, ErrWriter: diag, OnUsageError: onUsage, ExitErrHandler: func(*cli.Context, error) {},
-		Flags: []cli.Flag{&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text or json"}},
+		Flags: []cli.Flag{&cli.StringFlag{Name: "log-format", Value: "text", Usage: "format of the log on standard error: text or json"}},
 		Action: func(c *cli.Context) error {
 			if c.NArg() > 0 {
 				return usageError{fmt.Errorf("%q is not a command; see loadtest help", c.Args().First())}
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -18,11 +18,11 @@
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
 // identicalThreads returns a program of n threads that run the same function.
-func identicalThreads(n int, run func(i int)) (w il.Program) {
+func identicalThreads(n int, run func(i int)) (program il.Program) {
 	for i := range n {
-		w.Threads = append(w.Threads, il.Thread{Name: fmt.Sprintf("t%d", i), Run: func() { run(i) }})
+		program.Threads = append(program.Threads, il.Thread{Name: fmt.Sprintf("t%d", i), Run: func() { run(i) }})
 	}
-	return w
+	return program
 }
 
 // The number of schedules is the known one: (nk)!/(k!)^n for n threads of k steps; with a bound on preemptions, those
@@ -127,7 +127,7 @@
 			return // too many schedules to run them all
 		}
 		if (all.Failure == nil) != (reduced.Failure == nil) {
-			t.Fatalf("all schedules: %v; reduced: %v", all.Failure, reduced.Failure)
+			t.Fatalf("failure among all schedules: %v; with the reduction: %v", all.Failure, reduced.Failure)
 		}
 		if all.Failure != nil {
 			if f := il.Replay(newProgram, reduced.Failure.Schedule); f == nil || f.Message != reduced.Failure.Message {
@@ -136,10 +136,10 @@
 			return
 		}
 		if a, b := slices.Sorted(maps.Keys(all.Outcomes)), slices.Sorted(maps.Keys(reduced.Outcomes)); !slices.Equal(a, b) {
-			t.Fatalf("outcomes\n%v\nreduced\n%v", a, b)
+			t.Fatalf("outcomes of all schedules\n%v\nwith the reduction\n%v", a, b)
 		}
 		if reduced.Schedules > all.Schedules {
-			t.Fatalf("%d reduced schedules, more than all %d", reduced.Schedules, all.Schedules)
+			t.Fatalf("the reduction ran %d schedules, more than the %d without it", reduced.Schedules, all.Schedules)
 		}
 		allSchedules, reducedSchedules = allSchedules+all.Schedules, reducedSchedules+reduced.Schedules
 	})
@@ -268,7 +268,7 @@
 				}
 			})
 		}},
-		"recursive once, and a started thread": {"deadlock", func(fixed bool) il.Program {
+		"recursive Once.Do beside a started thread": {"deadlock", func(fixed bool) il.Program {
 			var once steps.Once
 			return identicalThreads(1, func(int) {
 				steps.Go(func() { once.Do(func() {}) })
@@ -301,20 +301,20 @@
 		bad := func() il.Program { return c.newProgram(false) }
 		rep := il.Explore(il.Options{}, bad)
 		if rep.Failure == nil || !strings.Contains(rep.Failure.Message, c.want) {
-			t.Errorf("%s: not found in %v: %v", name, rep, rep.Failure)
+			t.Errorf("%s: the error was not detected in %v; failure: %v", name, rep, rep.Failure)
 			continue
 		}
 		if c.want != "not deterministic" && c.want != "not finished within" {
 			if f := il.Replay(bad, rep.Failure.Schedule); f == nil || !strings.Contains(f.Message, c.want) {
-				t.Errorf("%s: the replay of %q: %v", name, rep.Failure.Schedule, f)
+				t.Errorf("%s: the replay of %q does not fail in the same way: %v", name, rep.Failure.Schedule, f)
 			}
 		}
 		if rep := il.Explore(il.Options{}, func() il.Program { return c.newProgram(true) }); rep.Failure != nil {
-			t.Errorf("%s, fixed: %v", name, rep.Failure)
+			t.Errorf("%s: the fixed program fails: %v", name, rep.Failure)
 		}
 	}
 	if f := il.Replay(func() il.Program { return identicalThreads(1, func(int) {}) }, "t0 t7*3"); f == nil {
-		t.Error("a schedule of another program was replayed")
+		t.Error("Replay accepted the schedule of another program")
 	}
 }
 
--- a/internal/interleave/mutant/mutant.go
+++ b/internal/interleave/mutant/mutant.go
@@ -38,7 +38,8 @@
 
 var scheduleLine = regexp.MustCompile(`(?m)^\s*schedule: (.*)$`)
 
-// AssertDetected runs the calling test's mutants, and fails the test if one is not detected.
+// AssertDetected runs the calling test's mutants, and fails the test if one is not detected. In the test of a
+// mutant and in a replay it does nothing.
 func AssertDetected(t *testing.T, list ...Mutant) {
 	t.Helper()
 	if Inside() || os.Getenv(il.ReplayEnv) != "" {
--- a/internal/interleave/run.go
+++ b/internal/interleave/run.go
@@ -63,13 +63,13 @@
 	run       *run
 	id        int
 	name      string
-	goroutine uintptr // the value of goroutine() on its goroutine
-	next      func() (struct{}, bool)
-	stop      func()
-	yield     func(struct{}) bool
-	pending   Op   // its next step
-	live      bool // has not ended
-	children  int  // threads that it has started
+	goroutine uintptr                 // the value of goroutine() on its goroutine
+	next      func() (struct{}, bool) // runs the thread up to its next step
+	stop      func()                  // unwinds the thread
+	yield     func(struct{}) bool     // called by the thread to return control to the run
+	pending   Op                      // its next step
+	live      bool                    // has not ended
+	children  int                     // threads that it has started
 	clock     clock
 }
 
@@ -249,7 +249,7 @@
 }
 
 // execute runs a program by the schedule that the path begins, and extends the path up to the end.
-func (r *run) execute(w Program) (outcome string, err error) {
+func (r *run) execute(program Program) (outcome string, err error) {
 	r.lastThread, r.objects = -1, map[any]*object{}
 	defer func() {
 		r.aborting = true
@@ -258,16 +258,16 @@
 			t.stop()
 		}
 		running.Store(nil)
-		if w.Cleanup != nil {
-			w.Cleanup()
+		if program.Cleanup != nil {
+			program.Cleanup()
 		}
 	}()
-	for i := 0; i < len(w.Threads) && r.failure == nil; i++ {
-		r.start(w.Threads[i].Name, w.Threads[i].Run, nil)
+	for i := 0; i < len(program.Threads) && r.failure == nil; i++ {
+		r.start(program.Threads[i].Name, program.Threads[i].Run, nil)
 	}
 	for {
-		if r.failure == nil && w.Invariant != nil {
-			r.fail(w.Invariant())
+		if r.failure == nil && program.Invariant != nil {
+			r.fail(program.Invariant())
 		}
 		if r.failure != nil {
 			return "", r.failure
@@ -304,13 +304,13 @@
 	if r.replaying && len(r.replayLeft) > 0 {
 		return "", errReplayMismatch
 	}
-	if w.Check != nil {
-		if err := w.Check(); err != nil {
+	if program.Check != nil {
+		if err := program.Check(); err != nil {
 			return "", err
 		}
 	}
-	if w.Outcome != nil {
-		outcome = w.Outcome()
+	if program.Outcome != nil {
+		outcome = program.Outcome()
 	}
 	return outcome, nil
 }
--- a/internal/interleave/steps/lock.go
+++ b/internal/interleave/steps/lock.go
@@ -50,8 +50,8 @@
 	m.held = false
 }
 
-// RWMutex is a sync.RWMutex whose operations are steps. As there, a waiting writer blocks the readers
-// that arrive after it, and when it unlocks, those readers go before the next writer.
+// RWMutex is a sync.RWMutex whose operations are steps. As in sync.RWMutex, a waiting writer blocks the
+// readers that arrive after it, and when it unlocks, those readers go before the next writer.
 type RWMutex struct {
 	mu             sync.RWMutex
 	writer         bool // a writer holds the lock or waits for the readers
--- a/internal/interleave/sync/ordinary.go
+++ b/internal/interleave/sync/ordinary.go
@@ -24,12 +24,14 @@
 func Go(f func()) { go f() }
 
 // Reads declares to the checker that the caller reads a plain variable, which a lock or a happens-before relation guards.
+// In an ordinary build it does nothing.
 func Reads[T any](*T) {}
 
-// Writes declares to the checker that the caller writes a plain variable.
+// Writes declares to the checker that the caller writes a plain variable. In an ordinary build it does nothing.
 func Writes[T any](*T) {}
 
 // Step is a step of the checker on an object outside the process, for example on a file, which is named by its path.
+// In an ordinary build it does nothing.
 func Step(_, _ string) {}
 
 // Send is ch <- v.
--- a/internal/testkit/errorpage/page_test.go
+++ b/internal/testkit/errorpage/page_test.go
@@ -36,11 +36,11 @@
 	}
 	for _, c := range all {
 		if !strings.Contains(string(got), "| `"+c.Code()+"` |") {
-			t.Errorf("%s lacks the code %s; go run ./internal/testkit/errorpage", pageFile, c.Code())
+			t.Errorf("%s lacks the code %s; run \"go run ./internal/testkit/errorpage\"", pageFile, c.Code())
 		}
 	}
 	if string(got) != want && !t.Failed() {
-		t.Errorf("%s is out of date; go run ./internal/testkit/errorpage", pageFile)
+		t.Errorf("%s is out of date; run \"go run ./internal/testkit/errorpage\"", pageFile)
 	}
 }
 
@@ -59,7 +59,7 @@
 		known[strings.TrimPrefix(fmt.Sprintf("%T", c), "*")] = true
 	}
 	if len(types) < len(known) {
-		t.Errorf("%d types found in the source, %d registered", len(types), len(known))
+		t.Errorf("only %d types with a code found in the source, but %d are registered", len(types), len(known))
 	}
 	for name, file := range types {
 		if !known[name] {
--- a/internal/testkit/exampleconfig/example_test.go
+++ b/internal/testkit/exampleconfig/example_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "deploy", "sites", "*", "config.json"))
 	if err != nil || len(paths) < minVariants {
-		t.Fatalf("%d variants, %v", len(paths), err)
+		t.Fatalf("found only %d configuration variants in deploy/sites, error %v", len(paths), err)
 	}
 	names := 0
 	for _, path := range paths {
@@ -45,7 +45,7 @@
 		}
 	}
 	if names < minVariantNames {
-		t.Fatalf("%d names in %v", names, paths)
+		t.Fatalf("found only %d names in %v", names, paths)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	for _, name := range append(w.Anywhere, w.Whole...) {
 		if strings.Contains(strings.ToLower(string(text)), name) {
-			t.Errorf("deploy/balancer.toml: %q", name)
+			t.Errorf("deploy/balancer.toml contains %q, a name of a deployment", name)
 		}
 	}
 }
@@ -84,12 +84,12 @@
 	w := deploymentWords(t)
 	names := Names()
 	if len(names) != 12 {
-		t.Fatalf("%v: not the 12 names of the examples", names)
+		t.Fatalf("the examples have the names %v, want 12 names", names)
 	}
 	w.Whole = append(w.Whole, names...)
 	files, err := sourcelint.Files(root, ".")
 	if err != nil || len(files) < 80 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found only %d Go files, error %v", len(files), err)
 	}
 	found, err := sourcelint.ForbiddenNames(files, w)
 	if err != nil {
--- a/internal/testkit/experiment/addresses/addresses.go
+++ b/internal/testkit/experiment/addresses/addresses.go
@@ -98,8 +98,8 @@
 	P99                       float64        `json:"p99_ms"`
 	P50Added                  float64        `json:"p50_added_ms"` // compared with the same number of addresses and no fault
 	P99Added                  float64        `json:"p99_added_ms"`
-	MaxExecutions             int            `json:"executions_most"` // highest number over all rounds of one request ID; in keyed classes, also of one key
-	MaxRepeatPeriod           float64        `json:"repeat_span_ms"`  // longest time over all rounds from the first to the last arrival of a request at the faulty node
+	MaxExecutions             int            `json:"executions_most"` // most executions of one request ID in a round; in keyed classes, also of one key
+	MaxRepeatPeriod           float64        `json:"repeat_span_ms"`  // longest time in any round from the first to the last arrival of a request at the faulty node
 	ConnectsPerRequest        float64        `json:"connects_per_request"`
 	SettledConnectsPerRequest float64        `json:"connects_per_request_after_first_second"` // ratio of the sums over all rounds
 }
@@ -160,7 +160,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if results[sc] = result; err != nil && firstErr == nil {
-						firstErr = fmt.Errorf("%v, %d addresses: %w", fault, addresses, err)
+						firstErr = fmt.Errorf("scenario with fault %v and %d addresses: %w", fault, addresses, err)
 					}
 				})
 			}
@@ -355,7 +355,8 @@
 	return class, message
 }
 
-// countExecutions records how often the faulty node executed a request, and over which time a request arrived repeatedly.
+// countExecutions records by class how often the faulty node executed a request, and the time from the first to the last
+// arrival of a request.
 func (f *fixture) countExecutions(result *scenarioResult) {
 	f.nodes[0].EachRequest(func(id string, all []node.Arrival) {
 		at := strings.LastIndexByte(id, '-')
--- a/internal/testkit/experiment/coldstart/processes.go
+++ b/internal/testkit/experiment/coldstart/processes.go
@@ -32,8 +32,8 @@
 	defaultProcessWindow  = 10 * time.Second // default of ProcessOptions.Window
 	listenTimeout         = 90 * time.Second // for all processes to listen
 	learnTimeout          = 60 * time.Second // for survivors to serve, and for all processes to write a snapshot
-	secondKillDelay       = 2 * time.Second  // from when all processes listen until half of them are killed again
-	daemonMemoryMB        = 48
+	secondKillDelay       = 2 * time.Second  // from when all killed hosts listen again until half of the hosts are killed again
+	daemonMemoryMiB       = 48
 	maxConnsPerPool       = 16 // client connections to one scheduler
 	maxConcurrentLaunches = 32
 )
@@ -86,8 +86,8 @@
 // processNode has the times of connects and requests at one node.
 type processNode struct{ connects, requests []time.Time }
 
-// RunProcesses runs the scenarios with processes of the daemon, in each mode. If opt.Starts is empty, only the first scenario is run
-// with snapshots, so that the whole run ends within five minutes.
+// RunProcesses runs the scenarios with processes of the daemon, in each mode. If opt.Starts is empty, only the first scenario
+// is run with snapshots, so that the whole run ends within five minutes.
 func RunProcesses(ctx context.Context, opt ProcessOptions, onStart func(scenario string, mode Mode)) (*ProcessReport, error) {
 	dir, err := os.MkdirTemp("", "coldstart")
 	if err != nil {
@@ -135,7 +135,7 @@
 		if err != nil {
 			return ProcessRow{}, err
 		}
-		err = run.startFleet(ctx)
+		err = run.runScenario(ctx)
 		run.close()
 		if err == nil {
 			return run.result(), nil
@@ -208,7 +208,7 @@
 	}
 	var err error
 	run.fleet, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Hosts, Nodes: nodes, Settings: platformSettings(opt.Hosts, opt.Nodes),
-		Seed: uint64(opt.Seed), Known: true, Direct: true, DeferStart: true, MemoryMB: daemonMemoryMB, Env: []string{"GOMAXPROCS=1"},
+		Seed: uint64(opt.Seed), Known: true, Direct: true, DeferStart: true, MemoryMB: daemonMemoryMiB, Env: []string{"GOMAXPROCS=1"},
 		List:      discovery.Options{Capacity: opt.Capacity, Patience: time.Second, Queue: int(2*opt.Capacity) + 1},
 		OnLogLine: run.onLogLine, Args: run.writeSiteFile})
 	return run, err
@@ -316,7 +316,7 @@
 		for _, i := range hosts {
 			if run.hosts[i].listensAt.IsZero() {
 				if !run.fleet.Proc(i).Alive() {
-					stop() // the process has ended, so that it will never listen
+					stop() // the process has ended, so it will never listen
 				}
 				return fmt.Errorf("process %d does not listen", i)
 			}
@@ -335,9 +335,9 @@
 	return hosts
 }
 
-// startFleet runs the scenario: it warms up the hosts that are not killed, injects the faults, starts the other hosts and
+// runScenario runs the scenario: it warms up the hosts that are not killed, injects the faults, starts the other hosts and
 // counts until the end of the window.
-func (run *processRun) startFleet(ctx context.Context) error {
+func (run *processRun) runScenario(ctx context.Context) error {
 	survivors := run.selectHosts(func(i int) bool { return i%10 >= run.scenario.KilledPerTen })
 	killed := run.selectHosts(func(i int) bool { return i%10 < run.scenario.KilledPerTen })
 	if len(survivors) > 0 {
--- a/internal/testkit/experiment/coldstart/processes_test.go
+++ b/internal/testkit/experiment/coldstart/processes_test.go
@@ -56,7 +56,7 @@
 		change(&row)
 		problems := (&ProcessReport{Options: Options{Capacity: 40}, Rows: []ProcessRow{baseline, row}}).Bounds()
 		if len(problems) != min(i, 1) {
-			t.Errorf("row %d: problems %v", i, problems)
+			t.Errorf("case %d: Bounds reports %v, want one problem, or none in case 0", i, problems)
 		}
 	}
 }
--- a/internal/testkit/experiment/coldstart/processreport.go
+++ b/internal/testkit/experiment/coldstart/processreport.go
@@ -141,7 +141,7 @@
 
 // Print writes a table with a line for each row.
 func (r *ProcessReport) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d processes, %d nodes, seed %d; capacity of the list service %.0f requests per second; counts cover the first 10 s of each process\n",
+	fmt.Fprintf(out, "%d processes, %d nodes, seed %d; capacity of the list service %.0f requests per second; served, refused, failed and unanswered cover the first 10 s of each process\n",
 		r.Options.Hosts, r.Options.Nodes, r.Options.Seed, r.Options.Capacity)
 	tw := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "scenario\tstart\texec to listen (worst)\tt50\tt99\tt100\tt99 from first exec\tlist/s\tlist refused\tconnects/s\trequests/s\tfalls\tcold load\tserved\trefused\tby those that stay\tfailed\tunanswered")
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -19,10 +19,10 @@
 
 // Options configure a run of the experiment.
 type Options struct {
-	Hosts, Nodes, Seeds int
-	Seed                int64
-	Capacity            float64 // requests per second that the list service can answer
-	Scenarios           []string
+	Hosts, Nodes, Seeds int      // numbers of schedulers, of storage nodes, and of runs of each scenario and mode
+	Seed                int64    // of the first run; each further run has the next seed
+	Capacity            float64  // requests per second that the list service can answer
+	Scenarios           []string // names of the scenarios to run; all if empty
 	Starts              []string // names of the modes to run; all if empty
 }
 
@@ -160,17 +160,17 @@
 	return problems
 }
 
-// Result has the measurements of one simulation. Peaks and counts of requests cover the first 10 s after the start of the
-// fleet.
+// Result has the measurements of one simulation. Where nothing else is said, peaks and counts cover the first 10 s after the
+// start of the fleet.
 type Result struct {
 	T50, T99, T100    float64 // ms until 50, 99 and 100% of the hosts had served a request; observationDuration if not within it
 	ListPeak          float64 // most list requests in a second, in the whole run
-	ListRejected      float64
-	Crashes           float64
-	MaxColdLoad       float64 // highest load of a cold node, relative to the load that it withstands
+	ListRejected      float64 // list requests that the service rejected, in the whole run
+	Crashes           float64 // crashes of overloaded cold nodes, in the whole run
+	MaxColdLoad       float64 // highest load of a cold node, relative to the load that it withstands, in the whole run
 	Requests, Served  float64
 	Rejected, Failed  float64
-	RejectedByStartup float64        // rejected by internal/coldstart
+	RejectedByStartup float64        // rejected by internal/coldstart, in the whole run
 	ConnectPeak       float64        // most connects to one node in a second
 	RequestPeak       float64        // most requests to one node in a second
 	Violations        map[string]int // number of violations by rule
@@ -203,8 +203,8 @@
 type Row struct {
 	Scenario, Mode string
 	Seeds          int
-	Figures        map[string]Figure
-	Broken         map[string]int
+	Figures        map[string]Figure // by the name of the measurement
+	Broken         map[string]int    // number of violations by rule
 }
 
 // Figure has the mean, standard deviation and maximum of a measurement over all seeds.
@@ -293,7 +293,7 @@
 
 // Print writes a table with the mean, standard deviation and maximum of each figure.
 func (r *Report) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d hosts, %d nodes, %d seeds; capacity of the list service %.0f requests per second; counts cover the first 10 s\n",
+	fmt.Fprintf(out, "%d hosts, %d nodes, %d seeds; capacity of the list service %.0f requests per second; served, refused, failed, connects/s and requests/s cover the first 10 s\n",
 		r.Options.Hosts, r.Options.Nodes, r.Options.Seeds, r.Options.Capacity)
 	tw := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprint(tw, "scenario\tstart")
--- a/internal/testkit/experiment/coldstart/simulation_test.go
+++ b/internal/testkit/experiment/coldstart/simulation_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%s: the start without coldstart causes too little overload: %+v", sc, without)
 		}
 		if with["served"].Mean < without["served"].Mean || with["t100"].Worst > 6 {
-			t.Errorf("%s: with coldstart %+v, without %+v", sc, with, without)
+			t.Errorf("%s: with coldstart, fewer requests were served or a host served its first one after 6 s: with %+v, without %+v", sc, with, without)
 		}
 	}
 	single := Options{Hosts: 20, Nodes: 10, Seeds: 1, Seed: 5, Capacity: 20, Scenarios: []string{"power cut"}}
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Seeds         []uint64
 	Duration      time.Duration // length of one seed; the slow node slows down after half of it
-	HalfLife      time.Duration // of the weight of an answer in the short memory
+	HalfLife      time.Duration // of the weight of an answer in the short-term statistics
 	RoundInterval time.Duration // interval of a process's gossip rounds
 	SlowFactor    float64       // factor on the service time of the slow node, once it slows down
 }
@@ -160,19 +160,19 @@
 		all = append(all, missedBound{bound, fmt.Sprintf("seed %d: ", r.Seed) + fmt.Sprintf(form, args...)})
 	}
 	if c := r.Coverage[pooled]; !(c >= minCoverage && c <= maxCoverage) {
-		add("interval", "the 90%% interval holds %.3f", c)
+		add("interval", "the 90%% interval contains a share of %.3f of the outcomes", c)
 	}
 	x := r.Excess[pooled]
 	if !(x <= maxExcess) {
-		add("excess", "excess %.3f", x)
+		add("excess", "excess %.3f: by this share, the plans ranked first cost more than the cheapest", x)
 	}
 	for k := fleetMean; k < estimatorCount && r.Seed == 0; k++ { // only over all seeds, because it is a ratio of small numbers
 		if !(x <= maxExcessRatio*r.Excess[k]) {
-			add(EstimatorNames[k], "excess %.4f, of %s %.4f", x, EstimatorNames[k], r.Excess[k])
+			add(EstimatorNames[k], "excess %.4f, that of %s is %.4f", x, EstimatorNames[k], r.Excess[k])
 		}
 	}
 	if !(r.OrderRightAfter*1000 <= settleMillis) {
-		add("order", "the order is right after %.1f s", r.OrderRightAfter)
+		add("order", "the order of the nodes is right only %.1f s after the slowing", r.OrderRightAfter)
 	}
 	return all
 }
@@ -339,7 +339,7 @@
 
 // Print writes the table and the missed bounds.
 func (rep *Report) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; virtual time\n",
+	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one becomes %g times slower; half-life %.1f s, a gossip round every %.2f s; virtual time\n",
 		processCount, nodeCount, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every)
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\t| in the 5 s %\tfleet mean\town only\t| right after s\talike")
@@ -366,7 +366,7 @@
 
 func printMissed(out io.Writer, missed []string) error {
 	if len(missed) == 0 {
-		_, err := fmt.Fprintln(out, "bounds: all met; interval, excess and order at each seed, half of the others' excess over all")
+		_, err := fmt.Fprintln(out, "bounds: all met; interval, excess and order for each seed, at most half of the other estimators' excess over all seeds")
 		return err
 	}
 	for _, m := range missed {
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -32,7 +32,7 @@
 		t.Error("the same seed gave different results")
 	}
 	if unfading := runSeeds(10*time.Minute, 12*time.Second, 1); len(unfading.Missed) == 0 || unfading.Rows[0].OrderRightAfter < 5 {
-		t.Errorf("answers that do not lose weight: missed bounds %+v", unfading.Missed)
+		t.Errorf("answers that practically never lose weight: want a wrong order and missed bounds, got %+v", unfading.Missed)
 	}
 }
 
@@ -100,7 +100,7 @@
 		rep := &RealReport{Rows: []RealRow{r}}
 		rep.judge()
 		if len(rep.Missed) != x.missed || len(rep.Unshown) != x.hidden {
-			t.Errorf("%+v: missed %q, not shown %q", x, rep.Missed, rep.Unshown)
+			t.Errorf("case %+v: missed bounds %q, bounds not shown %q", x, rep.Missed, rep.Unshown)
 		}
 	}
 }
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -65,7 +65,7 @@
 				Basis: cost.Basis{Origins: int(a.Get("rests_on.origins").Num)}, Alike: make([]int, len(a.Get("alike").Array()))})
 		}
 		if code != http.StatusOK || len(r.Plans) != len(plans) {
-			err = fmt.Errorf("process %d: estimate: %d %s", p, code, text)
+			err = fmt.Errorf("process %d answered the estimate request with status %d: %s", p, code, text)
 		}
 		return r, err
 	}
--- a/internal/testkit/experiment/costs/real_report.go
+++ b/internal/testkit/experiment/costs/real_report.go
@@ -58,7 +58,7 @@
 		}
 		missedWithoutNoise := withoutNoise.missedBounds()
 		for _, m := range r.missedBounds() {
-			text := fmt.Sprintf("%s (requests took %.1f ms more than drawn, %.1f at p90; sleeps %.1f, %.1f; who knows all has an excess of %.4f)",
+			text := fmt.Sprintf("%s (noise: requests took %.1f ms more than drawn at p50, %.1f at p90; sleeps overran by %.1f ms at p50, %.1f at p90; an estimator that knows the true service times has an excess of %.4f)",
 				m.text, r.Added.P50, r.Added.P90, r.Slept.P50, r.Slept.P90, r.ExcessKnowingAll)
 			if slices.ContainsFunc(missedWithoutNoise, func(l missedBound) bool { return l.bound == m.bound }) {
 				rep.Missed = append(rep.Missed, text)
@@ -89,11 +89,11 @@
 
 // Print writes the table and the bounds that are missed or not shown.
 func (rep *RealReport) Print(out io.Writer) error {
-	exchange := "what all tell"
+	exchange := "the processes exchange their statistics"
 	if rep.Alone {
-		exchange = "what each sees alone: nothing is told"
+		exchange = "the processes exchange no statistics"
 	}
-	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one turns %g times slower; half-life %.1f s, rounds each %.2f s; %s; real time\n",
+	fmt.Fprintf(out, "%d processes, %d nodes of %d kinds, one becomes %g times slower; half-life %.1f s, a gossip round every %.2f s; %s; real time\n",
 		rep.Processes, rep.Nodes, nodesPerShard, rep.Slow, rep.HalfLife, rep.Every, exchange)
 	t := table(out)
 	fmt.Fprintln(t, "seed\tdecisions\tin the 90%\tfleet mean\town only\t| excess %\tfleet mean\town only\tknowing all\t| right after s\talike\t| requests\trefused\tbusy\tadded ms p50\tp90\tp99\tsleeps ms p50\tp99\t| took s")
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -27,17 +27,17 @@
 
 // drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the length, not on
 // the mode or on timing.
-func drawFaultRounds(seed uint64, w Setup, span time.Duration) (all []faultRound) {
+func drawFaultRounds(seed uint64, setup Setup, span time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
 	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
 	for at := time.Duration(0); at < span; at += roundInterval {
 		c := faultRound{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
-		for s := range w.Shards {
+		for s := range setup.Shards {
 			if rng.Float64() >= shardFaultChance {
 				continue
 			}
-			f := node.RowFault{AfterRows: rng.IntN(w.Rows.RowsPerShard)}
+			f := node.RowFault{AfterRows: rng.IntN(setup.Rows.RowsPerShard)}
 			switch rng.IntN(4) {
 			case 0:
 				f.Delay = randomDuration(maxDelay)
@@ -48,10 +48,10 @@
 			case 3:
 				f.Stall = true
 			}
-			c.nodes[s*w.Replicas+rng.IntN(w.Replicas)] = f
+			c.nodes[s*setup.Replicas+rng.IntN(setup.Replicas)] = f
 		}
 		for range faultyLinksPerRound {
-			to := [2]int{rng.IntN(w.Processes), rng.IntN(w.Shards * w.Replicas)}
+			to := [2]int{rng.IntN(setup.Processes), rng.IntN(setup.Shards * setup.Replicas)}
 			switch rng.IntN(3) {
 			case 0:
 				c.links[to] = link.Fault{Silent: true}
@@ -62,7 +62,7 @@
 			}
 		}
 		if !killed && at >= time.Duration(killAtShare*float64(span)) {
-			killed, c.kill = true, rng.IntN(w.Processes)
+			killed, c.kill = true, rng.IntN(setup.Processes)
 		}
 		all = append(all, c)
 	}
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -67,15 +67,15 @@
 }
 
 // startFleet starts a fleet. The site file of each process has the gather settings of the mode.
-func startFleet(ctx context.Context, daemon string, w Setup, m Mode, seed uint64) (*daemonFleet, error) {
-	f := &daemonFleet{setup: w, down: make([]atomic.Bool, w.Processes)}
+func startFleet(ctx context.Context, daemon string, setup Setup, m Mode, seed uint64) (*daemonFleet, error) {
+	f := &daemonFleet{setup: setup, down: make([]atomic.Bool, setup.Processes)}
 	class := func(name string) map[string]any {
 		return map[string]any{"name": name, "goal-time": deadline.Milliseconds() / 2, "deadline": deadline.Milliseconds(), "worth": 2, "late-worth": 1, "repeat": "safe"}
 	}
-	opt := cluster.Options{Daemon: daemon, Daemons: w.Processes, Seed: seed, Settings: map[string]any{
+	opt := cluster.Options{Daemon: daemon, Daemons: setup.Processes, Seed: seed, Settings: map[string]any{
 		"profiles": []map[string]any{class(classListing), class(classTop), class(classPage)}}}
-	for j := range w.Shards * w.Replicas {
-		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / w.Replicas, ServiceTime: serviceTime(seed, j), Rows: &w.Rows})
+	for j := range setup.Shards * setup.Replicas {
+		opt.Nodes = append(opt.Nodes, cluster.StorageNode{Name: fmt.Sprint("s", j), Shard: j / setup.Replicas, ServiceTime: serviceTime(seed, j), Rows: &setup.Rows})
 	}
 	opt.Args = func(p *cluster.Fleet, i int) []string {
 		f.Fleet = p
@@ -127,7 +127,7 @@
 	for i := range f.setup.Processes {
 		if err := f.Wait(ctx, fmt.Sprint("process ", i, " delegates parts"), func() error {
 			if !strings.Contains(f.Proc(i).Log(), "are delegated to peers") {
-				return errors.New("its log does not say so yet")
+				return errors.New("its log does not yet say that parts are delegated")
 			}
 			return nil
 		}); err != nil {
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -15,9 +15,9 @@
 
 // The oracle detects every kind of incorrect answer and accepts correct ones.
 func TestVerify(t *testing.T) {
-	w := Defaults()
-	w.Rows.Seed, w.Rows.RowsPerShard = 3, 120
-	oracle := newOracle(w.Rows, w.Shards)
+	setup := Defaults()
+	setup.Rows.Seed, setup.Rows.RowsPerShard = 3, 120
+	oracle := newOracle(setup.Rows, setup.Shards)
 	shards := []int{0, 1, 4}
 	texts := func(rows []row) (all [][]byte) {
 		for _, r := range rows {
@@ -72,18 +72,18 @@
 		{"an older version", q(classListing), answer{rows: stale, finished: true, whole: true}, Verdict{Wrong: 1}},
 		{"an older version, the part with the newer one named", q(classListing), answer{rows: stale, finished: true, incompleteShards: shards}, Verdict{}},
 		{"a row that no node holds", q(classListing), answer{rows: unknownRow, finished: true, incompleteShards: shards}, Verdict{Wrong: 1}},
-		{"missing and not named", q(classListing), answer{rows: nil, finished: true, incompleteShards: []int{0, 1}}, Verdict{Lost: w.Rows.RowsPerShard}},
+		{"missing and not named", q(classListing), answer{rows: nil, finished: true, incompleteShards: []int{0, 1}}, Verdict{Lost: setup.Rows.RowsPerShard}},
 	} {
 		if got := oracle.verify(x.q, x.a); got != x.want {
-			t.Errorf("%s: got %+v, want %+v", x.name, got, x.want)
+			t.Errorf("%s: got verdict %+v, want %+v", x.name, got, x.want)
 		}
 	}
 }
 
 // The same seed gives the same faults, and a run of 20 s includes every kind of fault.
 func TestDrawFaultRounds(t *testing.T) {
-	w := Defaults()
-	one, two := drawFaultRounds(4, w, 20*time.Second), drawFaultRounds(4, w, 20*time.Second)
+	setup := Defaults()
+	one, two := drawFaultRounds(4, setup, 20*time.Second), drawFaultRounds(4, setup, 20*time.Second)
 	var f faultCounts
 	for i, c := range one {
 		for j, x := range c.nodes {
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(f.missing()) > 0 || f.Killed != 1 {
-		t.Errorf("faults drawn: %+v", f)
+		t.Errorf("not every kind of fault was drawn, or not exactly one kill: %+v", f)
 	}
 }
 
@@ -133,20 +133,20 @@
 	defer cancel()
 	log := logrus.New()
 	log.SetOutput(t.Output())
-	w := Defaults()
-	w.Processes, w.Shards, w.Replicas, w.Rows.RowsPerShard = 2, 4, 2, 60
+	setup := Defaults()
+	setup.Processes, setup.Shards, setup.Replicas, setup.Rows.RowsPerShard = 2, 4, 2, 60
 	daemon, err := cluster.Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt := Options{Setup: w, Seeds: []uint64{1}, Duration: 2 * time.Second, Rate: 40, Daemon: daemon, Log: log}
+	opt := Options{Setup: setup, Seeds: []uint64{1}, Duration: 2 * time.Second, Rate: 40, Daemon: daemon, Log: log}
 	rep, err := Run(ctx, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, l := range rep.Lines {
 		if Modes[i].Tree != (l.Parts.Delegated > 0) {
-			t.Errorf("%s: %v parts delegated", l.Mode, l.Parts.Delegated)
+			t.Errorf("%s: %v parts delegated; want some if and only if the mode delegates", l.Mode, l.Parts.Delegated)
 		}
 		if l.Verdict != (Verdict{}) || l.Ends["failed"] > 0 || l.Ends["whole"] == 0 || l.Faults.Killed != 1 {
 			t.Errorf("incorrect rows, failed reads, no whole reads or no killed process: %+v", l)
--- a/internal/testkit/experiment/gathers/report.go
+++ b/internal/testkit/experiment/gathers/report.go
@@ -140,9 +140,9 @@
 // Print writes a table with one row for each mode: the median of each figure over the seeds, with its minimum and maximum in
 // parentheses, and sums of the counts of incorrect rows.
 func (rep *Report) Print(out io.Writer) error {
-	w := rep.Setup
+	setup := rep.Setup
 	fmt.Fprintf(out, "%d processes, %d nodes (%d shards of %d rows, %d copies), %g reads/s for %.0f s a seed; ms from when a read was due\n",
-		w.Processes, w.Shards*w.Replicas, w.Shards, w.Rows.RowsPerShard, w.Replicas, rep.Rate, rep.For)
+		setup.Processes, setup.Shards*setup.Replicas, setup.Shards, setup.Rows.RowsPerShard, setup.Replicas, rep.Rate, rep.For)
 	columns := []struct {
 		name string
 		form string
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -94,7 +94,7 @@
 			at += took
 		}
 		if got := closed.Quantile(0.9); got > srv.Quantile(0.95) || closed.Quantile(0.98) > srv.Quantile(0.99)/2 {
-			t.Errorf("the closed loop shows the stall: p90 %v, p98 %v", got, closed.Quantile(0.98))
+			t.Errorf("the latencies of the closed loop should hide the stall, but show it: p90 %v, p98 %v", got, closed.Quantile(0.98))
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		for name, p := range one.Classes {
 			o := sum.Classes[name]
 			if p.Arrivals != o.Arrivals || p.ByOutcome != o.ByOutcome || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
-				t.Errorf("%s: one worker counted %d arrivals, two merged %d", name, p.Arrivals, o.Arrivals)
+				t.Errorf("%s: counts of one worker (%d arrivals) differ from those of two workers merged (%d arrivals)", name, p.Arrivals, o.Arrivals)
 			}
 		}
 		if len(sum.Seconds) != len(one.Seconds) {
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -63,13 +63,13 @@
 	Arrivals    uint64                      `json:"asked"` // including those held back
 	Kept        uint64                      `json:"kept"`  // arrivals held back, not sent
 	ByOutcome   [client.OutcomeCount]uint64 `json:"ends"`
-	InAim       uint64                      `json:"in_aim"`
-	Retried     uint64                      `json:"retried"`
-	Reopened    uint64                      `json:"reopened"`
-	WorthDue    float64                     `json:"worth_due"`
-	WorthEarned float64                     `json:"worth_earned"`
-	Latency     Histogram                   `json:"latency"` // of served requests, from the due time
-	Service     Histogram                   `json:"service"` // of served requests, from the actual send time
+	InAim       uint64                      `json:"in_aim"`       // served within the class's Aim, from the due time
+	Retried     uint64                      `json:"retried"`      // retried once by the client
+	Reopened    uint64                      `json:"reopened"`     // sent again after the server closed a reused connection
+	WorthDue    float64                     `json:"worth_due"`    // sum of the classes' Worth, over all arrivals
+	WorthEarned float64                     `json:"worth_earned"` // sum of Worth or LateWorth, over the served requests
+	Latency     Histogram                   `json:"latency"`      // of served requests, from the due time
+	Service     Histogram                   `json:"service"`      // of served requests, from the actual send time
 }
 
 func newOutcomes(digits int) *Outcomes {
@@ -98,7 +98,7 @@
 type Results struct {
 	Shape    workload.Shape               `json:"shape"`
 	Took     time.Duration                `json:"took"`
-	Notes    *loadvalidity.GeneratorStats `json:"notes"`
+	Notes    *loadvalidity.GeneratorStats `json:"notes"` // what the load generator recorded about itself
 	Classes  map[string]*Outcomes         `json:"classes"`
 	Plans    map[string]*Outcomes         `json:"plans"`
 	Seconds  []map[string]*Outcomes       `json:"seconds"`  // by second, then by class
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -192,10 +192,10 @@
 // watchPauses records the times in which the process did not run: it was stopped or not scheduled, or the
 // garbage collector paused it.
 func (r *runner) watchPauses(ctx context.Context) {
-	w := loadvalidity.PauseDetector{Period: pauseCheckInterval, Slack: pauseCheckSlack}
+	detector := loadvalidity.PauseDetector{Period: pauseCheckInterval, Slack: pauseCheckSlack}
 	var gc debug.GCStats
 	debug.ReadGCStats(&gc)
-	held := gc.PauseTotal
+	previousPauseTotal := gc.PauseTotal
 	tick := time.NewTimer(pauseCheckInterval)
 	defer tick.Stop()
 	for {
@@ -205,15 +205,15 @@
 		case <-tick.C:
 		}
 		tick.Reset(pauseCheckInterval)
-		p, found := w.Tick(time.Since(r.start), 0)
+		p, found := detector.Tick(time.Since(r.start), 0)
 		if !found {
 			continue
 		}
 		debug.ReadGCStats(&gc) // only after a pause, because the call is expensive
-		if gc.PauseTotal-held >= p.Duration/2 {
+		if gc.PauseTotal-previousPauseTotal >= p.Duration/2 {
 			p.Cause = "gc"
 		}
-		held = gc.PauseTotal
+		previousPauseTotal = gc.PauseTotal
 		r.mu.Lock()
 		r.res.Notes.RecordPause(p)
 		r.mu.Unlock()
--- a/internal/testkit/loadvalidity/loadvalidity.go
+++ b/internal/testkit/loadvalidity/loadvalidity.go
@@ -229,8 +229,8 @@
 	return d.Round(time.Microsecond)
 }
 
-// PauseDetector detects pauses of the process by the times of a periodic tick. A tick that is late by more than Slack means that the
-// process did not run in the meantime.
+// PauseDetector detects pauses of the process by the times of a periodic tick. A tick that is late by more than Slack means
+// that the process did not run in the meantime.
 type PauseDetector struct {
 	Period, Slack time.Duration
 	lastTick      time.Duration
--- a/internal/testkit/loadvalidity/loadvalidity_test.go
+++ b/internal/testkit/loadvalidity/loadvalidity_test.go
@@ -81,8 +81,8 @@
 		slices.Sort(lags)
 		for _, q := range []float64{0.5, 0.9, 0.99, 1} {
 			want := float64(lags[max(0, int(q*float64(len(lags))+0.999999)-1)])
-			if decoded := float64(whole.Quantile(q)); decoded > 1.1*want+1e3 || decoded < want/1.1-1e3 {
-				t.Fatalf("%v: %v, want %v", q, decoded, want)
+			if got := float64(whole.Quantile(q)); got > 1.1*want+1e3 || got < want/1.1-1e3 {
+				t.Fatalf("quantile %v of the lag: got %v ns, want %v ns", q, got, want)
 			}
 		}
 		// Worker processes send their statistics as JSON.
@@ -99,7 +99,7 @@
 		}
 		whole.dropShortPauses()
 		if len(lags) <= maxPauses && !reflect.DeepEqual(a, whole) || !reflect.DeepEqual(a.Evaluate(), whole.Evaluate()) {
-			t.Fatalf("merged %+v, of a single worker %+v", a, whole)
+			t.Fatalf("merged statistics %+v, those of a single worker %+v", a, whole)
 		}
 	})
 	otherBounds := newStats(t)
@@ -117,7 +117,7 @@
 	}{{0, 0, Pause{}}, {ms, 0, Pause{}}, {7 * ms, 0, Pause{}}, {507 * ms, 0, Pause{8 * ms, 499 * ms, "process"}},
 		{508 * ms, 0, Pause{}}, {520 * ms, 10 * ms, Pause{509 * ms, 11 * ms, "gc"}}} {
 		if pause, found := detector.Tick(test.at, test.gc); pause != test.want || found != (test.want.Duration > 0) {
-			t.Errorf("%v: %+v, want %+v", test.at, pause, test.want)
+			t.Errorf("tick at %v: got pause %+v, want %+v", test.at, pause, test.want)
 		}
 	}
 }
--- a/internal/testkit/sourcelint/forbiddennames.go
+++ b/internal/testkit/sourcelint/forbiddennames.go
@@ -35,7 +35,7 @@
 				break
 			}
 			report := func(word string) {
-				found = append(found, fmt.Sprintf("%v: %q", set.Position(pos), word))
+				found = append(found, fmt.Sprintf("%v: forbidden word %q", set.Position(pos), word))
 			}
 			if kind == token.STRING {
 				value, err := strconv.Unquote(lit)
--- a/internal/testkit/sourcelint/pages_test.go
+++ b/internal/testkit/sourcelint/pages_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	if checked < 50 {
-		t.Errorf("only %d names were checked", checked)
+		t.Errorf("only %d names of the page were checked: the tables were not recognized", checked)
 	}
 }
 
--- a/internal/testkit/sourcelint/sourcelint_test.go
+++ b/internal/testkit/sourcelint/sourcelint_test.go
@@ -59,12 +59,12 @@
 	}
 	types, err := CodedTypes(files)
 	if err != nil || len(types) != 1 || types["broken.Full"] == "" {
-		t.Errorf("%v %v", types, err)
+		t.Errorf("types with Code and Advice: %v, error %v, want only broken.Full", types, err)
 	}
 	expect := func(what string, found []string, err error, want ...string) {
 		t.Helper()
 		if err != nil || len(found) != len(want) {
-			t.Fatalf("%s: %v %v", what, found, err)
+			t.Fatalf("%s: wrong number of violations found: %v, error %v", what, found, err)
 		}
 		for _, w := range want {
 			if !strings.Contains(strings.Join(found, "\n"), "broken.go:"+w) {
--- a/internal/testkit/sourcelint/systemcalls.go
+++ b/internal/testkit/sourcelint/systemcalls.go
@@ -113,7 +113,7 @@
 				importPath = importedAs[x.Name]
 			}
 			if importPath != "" && slices.Contains(restrictedCalls[importPath], s.Sel.Name) || importPath == "" && slices.Contains(copyMethods, s.Sel.Name) {
-				found = append(found, fmt.Sprintf("%v: %s", set.Position(s.Pos()), s.Sel.Name))
+				found = append(found, fmt.Sprintf("%v: may lead to a restricted system call: %s", set.Position(s.Pos()), s.Sel.Name))
 			}
 			return true
 		})
--- a/internal/testkit/sourcelint/systemcalls_test.go
+++ b/internal/testkit/sourcelint/systemcalls_test.go
@@ -63,7 +63,7 @@
 	}
 	for i, want := range []string{"p.go:6:", "p.go:9:", "p.go:10:", "p.go:11:"} {
 		if !strings.Contains(found[i], want) {
-			t.Errorf("%s: want %s", found[i], want)
+			t.Errorf("found %s, want a call at %s", found[i], want)
 		}
 	}
 }
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -332,5 +332,5 @@
 // Hash returns the xxhash of all requests generated so far.
 func (a *Schedule) Hash() uint64 { return a.hash.Sum64() }
 
-// Given returns the number of requests generated so far.
+// Generated returns the number of requests generated so far.
 func (a *Schedule) Generated() uint64 { return a.seq }
--- a/internal/testkit/workload/schedule_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -101,10 +101,10 @@
 		t.Errorf("share of requests in surges: %v", share)
 	}
 	if share := float64(readsOfNew) / float64(reads); share < 0.2 || share > 0.54 {
-		t.Errorf("reads of new objects: %v", share)
+		t.Errorf("share of reads of new objects: %v", share)
 	}
 	if m := units / n; m < 2 || m > 3 || newObjects == 0 {
-		t.Errorf("mean units %v, new objects %d", m, newObjects)
+		t.Errorf("mean units of a request: %v, want 2 to 3; new objects: %d, want some", m, newObjects)
 	}
 }
 
@@ -138,7 +138,7 @@
 		`{"classes":[{"name":"a","share":1,"deadline":10,"aim":20}]}`: "classes.0", `{"units":[0]}`: "units", `{"surges":{"times":0.5}}`: "surges",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("shape %s: the error does not name the invalid key: %v", text, err)
 		}
 	}
 	text, err := json.Marshal(Default())
--- a/internal/testkit/workload/shape.go
+++ b/internal/testkit/workload/shape.go
@@ -44,12 +44,12 @@
 type Class struct {
 	Name      string  `json:"name"`
 	Share     float64 `json:"share"`
-	Deadline  float64 `json:"deadline"` // ms
-	Aim       float64 `json:"aim"`      // ms
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
+	Deadline  float64 `json:"deadline"`   // ms
+	Aim       float64 `json:"aim"`        // latency objective, ms
+	Worth     float64 `json:"worth"`      // worth of a request that is served within Aim
+	LateWorth float64 `json:"late_worth"` // worth of a request that is served later
 	Write     bool    `json:"write"`
-	Keyed     bool    `json:"keyed"`
+	Keyed     bool    `json:"keyed"` // each request has its own key, by which nodes drop repeats
 }
 
 // Plan is a plan and its share of the volumes.
@@ -68,12 +68,12 @@
 
 // Surges are periods in which a few volumes send many more requests.
 type Surges struct {
-	Every   float64 `json:"every"` // mean time from the end of one surge to the start of the next, ms
-	First   float64 `json:"first"` // start of the first surge, ms; 0: drawn
-	Least   float64 `json:"least"` // shortest length, ms
-	Most    float64 `json:"most"`  // longest length, ms
-	Times   float64 `json:"times"` // total rate during a surge, as a multiple
-	Volumes int     `json:"volumes"`
+	Every   float64 `json:"every"`   // mean time from the end of one surge to the start of the next, ms
+	First   float64 `json:"first"`   // start of the first surge, ms; 0: drawn
+	Least   float64 `json:"least"`   // shortest length, ms
+	Most    float64 `json:"most"`    // longest length, ms
+	Times   float64 `json:"times"`   // total rate during a surge, as a multiple
+	Volumes int     `json:"volumes"` // number of volumes drawn for a surge; one may be drawn repeatedly
 }
 
 // Default returns the traffic of the example configuration, with surges.
