--- a/cmd/loadtest/coldstart.go
+++ b/cmd/loadtest/coldstart.go
@@ -77,8 +77,8 @@
 		return err
 	}
 	missed := ""
-	if bad := res.Bounds(); len(bad) > 0 {
-		missed = fmt.Sprintf("%d bounds not met; the first: %s", len(bad), bad[0])
+	if missedBounds := res.Bounds(); len(missedBounds) > 0 {
+		missed = fmt.Sprintf("%d bounds not met; the first: %s", len(missedBounds), missedBounds[0])
 	}
 	return report(c, res, missed)
 }
--- a/cmd/loadtest/command.go
+++ b/cmd/loadtest/command.go
@@ -77,12 +77,12 @@
 	return nil
 }
 
-// missedText returns a text with the number of missed bounds, under the result's name for bounds; "": none was missed.
-func missedText(missed []string, word string) string {
+// missedText returns a text with the number of missed bounds, which the result calls boundsName; "": none was missed.
+func missedText(missed []string, boundsName string) string {
 	if len(missed) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%d %s missed", len(missed), word)
+	return fmt.Sprintf("%d %s missed", len(missed), boundsName)
 }
 
 func jsonFlag() cli.Flag {
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -81,13 +81,13 @@
 		return err
 	}
 	targets := c.StringSlice("target")
-	var own *fleet.Fleet // the schedulers that this command starts; nil: the targets were given by flags
+	var startedFleet *fleet.Fleet // the schedulers that this command starts; nil: the targets were given by flags
 	if len(targets) == 0 {
-		if own, err = startFleet(c, shape, log); err != nil {
+		if startedFleet, err = startFleet(c, shape, log); err != nil {
 			return err
 		}
-		defer own.Close()
-		targets = own.Targets
+		defer startedFleet.Close()
+		targets = startedFleet.Targets
 	}
 	schedule, err := workload.New(shape, c.Uint64("seed"), c.Duration("for"))
 	if err != nil {
@@ -112,12 +112,12 @@
 	if err != nil {
 		return err
 	}
-	return reportLoad(c, res, schedule, own)
+	return reportLoad(c, res, schedule, startedFleet)
 }
 
 // startFleet starts stand-in nodes and schedulers for a shape of traffic.
 func startFleet(c *cli.Context, shape workload.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
-	own, err := fleet.Start(c.Context, fleet.Options{
+	started, err := fleet.Start(c.Context, fleet.Options{
 		Shape:           shape,
 		Schedulers:      schedulersStarted,
 		MeanServiceTime: meanServiceTime,
@@ -129,30 +129,30 @@
 	if err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"nodes": len(own.Nodes), "schedulers": len(own.Targets)}).Info("started")
-	return own, nil
+	log.WithFields(logrus.Fields{"nodes": len(started.Nodes), "schedulers": len(started.Targets)}).Info("started")
+	return started, nil
 }
 
 // reportLoad prints the result and writes it to a file. It stops the schedulers that this command started, because their
 // processor time is known only then. The error is of type boundNotMet if the load generator itself was too slow for the
 // run to be valid.
-func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, own *fleet.Fleet) error {
+func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, startedFleet *fleet.Fleet) error {
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.App.Writer, "schedule of %d requests, hash %016x\n", schedule.Generated(), schedule.Hash())
-	if own != nil {
-		if err := own.Stop(); err != nil {
+	if startedFleet != nil {
+		if err := startedFleet.Stop(); err != nil {
 			return err
 		}
-		perRequest := own.CPU() / time.Duration(max(1, res.Notes.Sent))
-		fmt.Fprintf(c.App.Writer, "processor time of the schedulers: %v, %v a request\n", own.CPU().Round(time.Millisecond),
+		perRequest := startedFleet.CPU() / time.Duration(max(1, res.Generator.Sent))
+		fmt.Fprintf(c.App.Writer, "processor time of the schedulers: %v, %v a request\n", startedFleet.CPU().Round(time.Millisecond),
 			perRequest.Round(time.Microsecond))
 	}
 	if err := writeJSON(c.String("json"), res); err != nil {
 		return err
 	}
-	if verdict := res.Notes.Evaluate(); !verdict.Valid {
+	if verdict := res.Generator.Evaluate(); !verdict.Valid {
 		return boundNotMet("the run is not valid: " + verdict.Reasons[0])
 	}
 	return nil
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -298,14 +298,14 @@
 			})
 		}},
 	} {
-		bad := func() il.Program { return c.newProgram(false) }
-		rep := il.Explore(il.Options{}, bad)
+		faulty := func() il.Program { return c.newProgram(false) }
+		rep := il.Explore(il.Options{}, faulty)
 		if rep.Failure == nil || !strings.Contains(rep.Failure.Message, c.want) {
 			t.Errorf("%s: the error was not detected in %v; failure: %v", name, rep, rep.Failure)
 			continue
 		}
 		if c.want != "not deterministic" && c.want != "not finished within" {
-			if f := il.Replay(bad, rep.Failure.Schedule); f == nil || !strings.Contains(f.Message, c.want) {
+			if f := il.Replay(faulty, rep.Failure.Schedule); f == nil || !strings.Contains(f.Message, c.want) {
 				t.Errorf("%s: the replay of %q does not fail in the same way: %v", name, rep.Failure.Schedule, f)
 			}
 		}
--- a/internal/interleave/steps/context.go
+++ b/internal/interleave/steps/context.go
@@ -25,16 +25,16 @@
 // RootContext is WithCancel for a program's own context, which is made before its threads run.
 func RootContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
-	own := &cancelledChannels{}
+	ownChannels := &cancelledChannels{}
 	ancestors, _ := parent.Value(ancestorsKey{}).([]*cancelledChannels)
-	ancestors = append(ancestors[:len(ancestors):len(ancestors)], own)
-	for _, b := range ancestors {
-		b.list = append(b.list, channelKey(ctx.Done()))
+	ancestors = append(ancestors[:len(ancestors):len(ancestors)], ownChannels)
+	for _, c := range ancestors {
+		c.list = append(c.list, channelKey(ctx.Done()))
 	}
 	return context.WithValue(ctx, ancestorsKey{}, ancestors), func() {
-		for n := 0; n < len(own.list) && il.Active(); { // a context may be derived while the step waits: repeat with its channel
-			n = len(own.list)
-			il.Step(il.Op{Kind: "cancel", Object: own.list[0], OtherObjects: own.list[1:]})
+		for n := 0; n < len(ownChannels.list) && il.Active(); { // a context may be derived while the step waits: repeat with its channel
+			n = len(ownChannels.list)
+			il.Step(il.Op{Kind: "cancel", Object: ownChannels.list[0], OtherObjects: ownChannels.list[1:]})
 		}
 		cancel()
 	}
--- a/internal/testkit/experiment/coldstart/run.go
+++ b/internal/testkit/experiment/coldstart/run.go
@@ -174,7 +174,7 @@
 	ConnectPeak       float64        // most connects to one node in a second
 	RequestPeak       float64        // most requests to one node in a second
 	Violations        map[string]int // number of violations by rule
-	started           bool
+	fleetStarted      bool
 	firstServed       []float64 // by host, ms from the start of the fleet to the first request served; 0: none
 }
 
--- a/internal/testkit/experiment/coldstart/simulation.go
+++ b/internal/testkit/experiment/coldstart/simulation.go
@@ -182,7 +182,7 @@
 			sim.after(outageDuration-1000+1500*sim.rng.Float64(), func() { sim.restart(n) })
 		}
 	}
-	sim.after(outageDuration, func() { sim.result.started = true; sim.list.down = sim.scenario.ListOutage > 0 })
+	sim.after(outageDuration, func() { sim.result.fleetStarted = true; sim.list.down = sim.scenario.ListOutage > 0 })
 	sim.after(outageDuration+sim.scenario.ListOutage, func() { sim.list.down = false })
 	for _, h := range sim.hosts {
 		if h.index%10 < sim.scenario.KilledPerTen {
--- a/internal/testkit/experiment/costs/costs.go
+++ b/internal/testkit/experiment/costs/costs.go
@@ -222,7 +222,7 @@
 	const units = (1 + maxUnits) / 2.0
 	slow := w.nodes[slowNode].meanServiceTime(units)
 	for p := range processCount {
-		e.SetViews(w.processes[p].shared.Views(w.time()))
+		e.SetViews(w.processes[p].sharedState.Views(w.time()))
 		slowEstimate, _ := e.MeanMillis(nodeName(slowNode), class, units)
 		for n := range w.nodes {
 			estimate, _ := e.MeanMillis(nodeName(n), class, units)
@@ -238,10 +238,10 @@
 // the row when the last execution ends.
 func (w *simulation) decide(r *Row, estimators *[estimatorCount]*cost.Estimator, slowing bool) error {
 	p := w.rng.IntN(processCount)
-	shared := w.processes[p].shared.Views(w.time())
+	shared := w.processes[p].sharedState.Views(w.time())
 	estimators[pooled].SetViews(shared)
 	estimators[fleetMean].SetViews(fleetMeanViews(shared))
-	estimators[ownOnly].SetViews(w.processes[p].own.Views(w.time()))
+	estimators[ownOnly].SetViews(w.processes[p].ownState.Views(w.time()))
 	plans := drawPlans(w.rng, nodeCount/nodesPerShard, func(n int, units float64) *cost.Work {
 		return &cost.Work{Shard: n / nodesPerShard, Class: class, Units: units, Node: nodeName(n)}
 	})
@@ -312,7 +312,7 @@
 	for i := range units {
 		units[i] = float64(1 + rng.IntN(maxUnits))
 	}
-	form := rng.IntN(4)
+	form := rng.IntN(4) // of the reads: 0 concurrent, 1 sequential, 2 concurrent with redundant reads, 3 concurrent until half have ended
 	plans := make([]cost.Plan, plansPerDecision)
 	for i := range plans {
 		var steps []cost.Step
--- a/internal/testkit/experiment/costs/costs_test.go
+++ b/internal/testkit/experiment/costs/costs_test.go
@@ -31,8 +31,8 @@
 	if second := runSeeds(1500*time.Millisecond, 12*time.Second, 3); !reflect.DeepEqual(first, second) {
 		t.Error("the same seed gave different results")
 	}
-	if unfading := runSeeds(10*time.Minute, 12*time.Second, 1); len(unfading.Missed) == 0 || unfading.Rows[0].OrderRightAfter < 5 {
-		t.Errorf("answers that practically never lose weight: want a wrong order and missed bounds, got %+v", unfading.Missed)
+	if undecayed := runSeeds(10*time.Minute, 12*time.Second, 1); len(undecayed.Missed) == 0 || undecayed.Rows[0].OrderRightAfter < 5 {
+		t.Errorf("answers that practically never lose weight: want a wrong order and missed bounds, got %+v", undecayed.Missed)
 	}
 }
 
--- a/internal/testkit/experiment/costs/simulation.go
+++ b/internal/testkit/experiment/costs/simulation.go
@@ -72,8 +72,8 @@
 // process is one scheduler: the state from its own answers, and the state that it exchanges with the others. Both use the
 // daemon's implementation.
 type process struct {
-	own, shared *nodestats.State
-	recorders   [nodeCount][2]*nodestats.Recorder
+	ownState, sharedState *nodestats.State
+	recorders             [nodeCount][2]*nodestats.Recorder
 }
 
 // simulation is the simulated fleet and its event loop.
@@ -97,7 +97,7 @@
 	settings.HalfLife, settings.ExpireAfter = opt.HalfLife, max(settings.ExpireAfter, opt.HalfLife)
 	for p := range processCount {
 		x := &w.processes[p]
-		for i, s := range []**nodestats.State{&x.own, &x.shared} {
+		for i, s := range []**nodestats.State{&x.ownState, &x.sharedState} {
 			var err error
 			if *s, err = nodestats.New(settings, fmt.Sprint("p", p), 1); err != nil {
 				return nil, err
@@ -119,9 +119,9 @@
 	if len(peers) == 0 {
 		peers = w.gossipRNG.Perm(processCount)
 	}
-	w.processes[p].own.Digest(w.time()) // publishes new answers as often as the shared state does
+	w.processes[p].ownState.Digest(w.time()) // publishes new answers as often as the shared state does
 	if q := peers[0]; q != p {
-		a, b := w.processes[p].shared, w.processes[q].shared
+		a, b := w.processes[p].sharedState, w.processes[q].sharedState
 		w.sendMissing(a, b)
 		w.sendMissing(b, a)
 	}
@@ -219,7 +219,8 @@
 	return out
 }
 
-// execution is the outcome of one execution of a plan.
+// execution is the outcome of one execution of a plan, in milliseconds: the sum of the times of its steps, and the time from
+// its beginning to its end.
 type execution struct {
 	work, end float64
 	refused   bool // a step was refused; none is in virtual time
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -156,9 +156,9 @@
 			continue
 		}
 		seen[x.key] = true
-		newestHeld, ok := newestRow(x.key, completeShards)
+		newestRequired, ok := newestRow(x.key, completeShards)
 		exists := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.key].text == x.text })
-		if !exists || x.key <= last || ok && x.version < newestHeld.version {
+		if !exists || x.key <= last || ok && x.version < newestRequired.version {
 			v.Wrong++
 		}
 		last = max(last, x.key)
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -25,13 +25,13 @@
 	maxPause            = 400 * time.Millisecond // of a node between rows
 )
 
-// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the length, not on
+// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the duration, not on
 // the mode or on timing.
-func drawFaultRounds(seed uint64, setup Setup, span time.Duration) (all []faultRound) {
+func drawFaultRounds(seed uint64, setup Setup, duration time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
 	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
-	for at := time.Duration(0); at < span; at += roundInterval {
+	for at := time.Duration(0); at < duration; at += roundInterval {
 		c := faultRound{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
 		for s := range setup.Shards {
 			if rng.Float64() >= shardFaultChance {
@@ -61,7 +61,7 @@
 				c.links[to] = link.Fault{Delay: randomDuration(maxDelay) / 2}
 			}
 		}
-		if !killed && at >= time.Duration(killAtShare*float64(span)) {
+		if !killed && at >= time.Duration(killAtShare*float64(duration)) {
 			killed, c.kill = true, rng.IntN(setup.Processes)
 		}
 		all = append(all, c)
--- a/internal/testkit/experiment/gathers/gathers_test.go
+++ b/internal/testkit/experiment/gathers/gathers_test.go
@@ -83,11 +83,11 @@
 // The same seed gives the same faults, and a run of 20 s includes every kind of fault.
 func TestDrawFaultRounds(t *testing.T) {
 	setup := Defaults()
-	one, two := drawFaultRounds(4, setup, 20*time.Second), drawFaultRounds(4, setup, 20*time.Second)
+	first, second := drawFaultRounds(4, setup, 20*time.Second), drawFaultRounds(4, setup, 20*time.Second)
 	var f faultCounts
-	for i, c := range one {
+	for i, c := range first {
 		for j, x := range c.nodes {
-			if two[i].nodes[j] != x {
+			if second[i].nodes[j] != x {
 				t.Fatal("the same seed drew other faults")
 			}
 			switch {
@@ -102,7 +102,7 @@
 			}
 		}
 		for to, x := range c.links {
-			if two[i].links[to] != x {
+			if second[i].links[to] != x {
 				t.Fatal("the same seed drew other faults")
 			}
 			switch {
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -78,8 +78,8 @@
 		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
 		res, srv := runLoad(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
-		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Notes.Evaluate().Valid {
-			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Notes.Evaluate())
+		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Generator.Evaluate().Valid {
+			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Generator.Evaluate())
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
@@ -124,12 +124,12 @@
 	}
 }
 
-// Requests held back by the limit on open requests are counted under its name and make the run invalid.
+// Requests that are not sent because of the limit on open requests are counted under its name and make the run invalid.
 func TestOpenLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MaxOpen = 10 })
-		all, v := res.All(), res.Notes.Evaluate()
-		if all.Kept != all.Arrivals-10 || res.Notes.Unsent[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
+		all, v := res.All(), res.Generator.Evaluate()
+		if all.Unsent != all.Arrivals-10 || res.Generator.Unsent[UnsentAtOpenLimit] != all.Unsent || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), UnsentAtOpenLimit) {
 			t.Errorf("outcomes %+v, verdict %v", all, v)
 		}
 	})
--- a/internal/testkit/experiment/load/print.go
+++ b/internal/testkit/experiment/load/print.go
@@ -11,7 +11,7 @@
 
 // Print writes the summary. Its first line says whether the run is valid.
 func (r *Results) Print(w io.Writer) error {
-	if v := r.Notes.Evaluate(); v.Valid {
+	if v := r.Generator.Evaluate(); v.Valid {
 		fmt.Fprintln(w, "run valid")
 	} else {
 		fmt.Fprintln(w, "run NOT valid:")
@@ -19,7 +19,7 @@
 			fmt.Fprintln(w, "  "+x)
 		}
 	}
-	n := r.Notes
+	n := r.Generator
 	fmt.Fprintf(w, "%d sent in %v; lag p50 %v p99 %v worst %v; %.2f%% late; paused %v in all\n", n.Sent, r.Took.Round(time.Millisecond),
 		n.Quantile(0.5).Round(time.Microsecond), n.Quantile(0.99).Round(time.Microsecond), n.MaxLag.Round(time.Microsecond), 100*n.LateShare(), n.TotalPause.Round(time.Millisecond))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -29,7 +29,7 @@
 	}
 	fmt.Fprintln(t, "p50 ms\tp90\tp99\tp99.9\tsent p50\tsent p99\t")
 	row := func(name string, p *Outcomes) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.4f\t%d\t", name, p.Arrivals, p.Kept, p.ServedShare(), float64(p.InAim)/max(1, float64(p.Arrivals)), p.Retried)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.4f\t%d\t", name, p.Arrivals, p.Unsent, p.ServedShare(), float64(p.InAim)/max(1, float64(p.Arrivals)), p.Retried)
 		for _, k := range p.ByOutcome {
 			fmt.Fprintf(t, "%d\t", k)
 		}
--- a/internal/testkit/experiment/load/results.go
+++ b/internal/testkit/experiment/load/results.go
@@ -60,8 +60,8 @@
 
 // Outcomes counts the outcomes of a subset of the requests: those of a class, of a plan, or of a class in one second.
 type Outcomes struct {
-	Arrivals    uint64                      `json:"asked"` // including those held back
-	Kept        uint64                      `json:"kept"`  // arrivals held back, not sent
+	Arrivals    uint64                      `json:"asked"` // including those not sent
+	Unsent      uint64                      `json:"kept"`  // arrivals that were not sent
 	ByOutcome   [client.OutcomeCount]uint64 `json:"ends"`
 	InAim       uint64                      `json:"in_aim"`       // served within the class's Aim, from the due time
 	Retried     uint64                      `json:"retried"`      // retried once by the client
@@ -77,7 +77,7 @@
 }
 
 func (p *Outcomes) merge(o *Outcomes) {
-	p.Arrivals, p.Kept, p.InAim, p.Retried, p.Reopened = p.Arrivals+o.Arrivals, p.Kept+o.Kept, p.InAim+o.InAim, p.Retried+o.Retried, p.Reopened+o.Reopened
+	p.Arrivals, p.Unsent, p.InAim, p.Retried, p.Reopened = p.Arrivals+o.Arrivals, p.Unsent+o.Unsent, p.InAim+o.InAim, p.Retried+o.Retried, p.Reopened+o.Reopened
 	for i, n := range o.ByOutcome {
 		p.ByOutcome[i] += n
 	}
@@ -96,18 +96,18 @@
 
 // Results are the results of a run, or of one worker of it.
 type Results struct {
-	Shape    workload.Shape               `json:"shape"`
-	Took     time.Duration                `json:"took"`
-	Notes    *loadvalidity.GeneratorStats `json:"notes"` // what the load generator recorded about itself
-	Classes  map[string]*Outcomes         `json:"classes"`
-	Plans    map[string]*Outcomes         `json:"plans"`
-	Seconds  []map[string]*Outcomes       `json:"seconds"`  // by second, then by class
-	Unplaced uint64                       `json:"unplaced"` // reads of a new object whose shard was not known when they were sent
+	Shape     workload.Shape               `json:"shape"`
+	Took      time.Duration                `json:"took"`
+	Generator *loadvalidity.GeneratorStats `json:"notes"` // what the load generator recorded about itself
+	Classes   map[string]*Outcomes         `json:"classes"`
+	Plans     map[string]*Outcomes         `json:"plans"`
+	Seconds   []map[string]*Outcomes       `json:"seconds"`  // by second, then by class
+	Unplaced  uint64                       `json:"unplaced"` // reads of a new object whose shard was not known when they were sent
 }
 
 // NewResults returns empty results.
 func NewResults(s workload.Shape, n *loadvalidity.GeneratorStats) *Results {
-	r := &Results{Shape: s, Notes: n, Classes: map[string]*Outcomes{}, Plans: map[string]*Outcomes{}}
+	r := &Results{Shape: s, Generator: n, Classes: map[string]*Outcomes{}, Plans: map[string]*Outcomes{}}
 	for _, c := range s.Classes {
 		r.Classes[c.Name] = newOutcomes(significantDigits)
 	}
@@ -129,11 +129,11 @@
 	return [3]*Outcomes{r.Classes[class], r.Plans[r.Shape.Plans[q.Plan].Name], r.Seconds[second][class]}
 }
 
-// recordKept counts a request that was held back.
-func (r *Results) recordKept(q *workload.Request) {
+// recordUnsent counts a request that was not sent.
+func (r *Results) recordUnsent(q *workload.Request) {
 	for _, p := range r.outcomesOf(q) {
 		p.Arrivals++
-		p.Kept++
+		p.Unsent++
 		p.WorthDue += r.Shape.Classes[q.Class].Worth
 	}
 }
@@ -169,7 +169,7 @@
 
 // Merge adds the results of another worker of the same run.
 func (r *Results) Merge(o *Results) error {
-	if err := r.Notes.Merge(o.Notes); err != nil {
+	if err := r.Generator.Merge(o.Generator); err != nil {
 		return err
 	}
 	r.Took, r.Unplaced = max(r.Took, o.Took), r.Unplaced+o.Unplaced
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -3,7 +3,7 @@
 // its actual send is recorded separately. Package internal/testkit/loadvalidity judges from the recorded lateness
 // of the load generator whether a run is valid.
 //
-// Invariants: each arrival of the schedule is either sent or counted as held back, with the reason; a request
+// Invariants: each arrival of the schedule is either sent or counted as not sent, with the reason; a request
 // has at most one retry, which is counted with its first attempt; the merged results of several workers equal
 // those of one worker.
 package load
@@ -32,7 +32,7 @@
 	Source          Source
 	Pools           []*client.Pool // one for each scheduler; a request's volume and host select one
 	RequestIDPrefix string         // prefix of the request ids
-	MaxOpen         int            // limit on open requests; arrivals above it are counted as held back
+	MaxOpen         int            // limit on open requests; arrivals above it are not sent, but counted
 	Retry           bool           // clients retry a rejected or reset request once
 	RetryWait       time.Duration  // before a retry, if the answer has no Retry-After
 	Bounds          loadvalidity.Bounds
@@ -41,8 +41,8 @@
 	Progress        func(at time.Duration, sent, open int64) // called about once a second of the schedule; may be nil
 }
 
-// KeptAtOpenLimit is the reason under which arrivals above Options.MaxOpen are counted.
-const KeptAtOpenLimit = "open requests"
+// UnsentAtOpenLimit is the reason under which arrivals above Options.MaxOpen are counted.
+const UnsentAtOpenLimit = "open requests"
 
 const (
 	pauseCheckInterval = time.Millisecond
@@ -70,11 +70,11 @@
 	if len(opt.Pools) == 0 || opt.MaxOpen < 1 || opt.Worker < 0 || opt.Worker >= opt.Workers {
 		return nil, fmt.Errorf("load: at least one scheduler, an open-request limit of at least 1 and a worker index below %d are needed", opt.Workers)
 	}
-	notes, err := loadvalidity.New(opt.Bounds)
+	generatorStats, err := loadvalidity.New(opt.Bounds)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	r := &runner{opt: opt, start: time.Now(), res: NewResults(opt.Shape, notes)}
+	r := &runner{opt: opt, start: time.Now(), res: NewResults(opt.Shape, generatorStats)}
 	watching, stop := context.WithCancel(ctx)
 	var watch sync.WaitGroup
 	watch.Go(func() { r.watchPauses(watching) })
@@ -113,14 +113,14 @@
 		}
 		if r.open.Load() >= int64(r.opt.MaxOpen) {
 			r.mu.Lock()
-			r.res.Notes.RecordUnsent(KeptAtOpenLimit)
-			r.res.recordKept(&q)
+			r.res.Generator.RecordUnsent(UnsentAtOpenLimit)
+			r.res.recordUnsent(&q)
 			r.mu.Unlock()
 			continue
 		}
 		due, sent := q.At, time.Since(r.start)
 		r.mu.Lock()
-		r.res.Notes.RecordSend(due, sent)
+		r.res.Generator.RecordSend(due, sent)
 		r.mu.Unlock()
 		r.sent.Add(1)
 		r.open.Add(1)
@@ -215,7 +215,7 @@
 		}
 		previousPauseTotal = gc.PauseTotal
 		r.mu.Lock()
-		r.res.Notes.RecordPause(p)
+		r.res.Generator.RecordPause(p)
 		r.mu.Unlock()
 	}
 }
--- a/internal/testkit/loadvalidity/loadvalidity.go
+++ b/internal/testkit/loadvalidity/loadvalidity.go
@@ -239,14 +239,14 @@
 
 // Tick takes the time of a tick and the duration for which the garbage collector stopped the program since the previous tick.
 // It returns the pause before this tick, if there was one. The cause is "gc" if the collector made up half of it or more.
-func (w *PauseDetector) Tick(at, collector time.Duration) (Pause, bool) {
-	previous, hasPrevious := w.lastTick, w.ticked
-	w.lastTick, w.ticked = at, true
-	gap := at - previous - w.Period
-	if !hasPrevious || gap <= w.Slack {
+func (d *PauseDetector) Tick(at, collector time.Duration) (Pause, bool) {
+	previous, hasPrevious := d.lastTick, d.ticked
+	d.lastTick, d.ticked = at, true
+	gap := at - previous - d.Period
+	if !hasPrevious || gap <= d.Slack {
 		return Pause{}, false
 	}
-	p := Pause{At: previous + w.Period, Duration: gap, Cause: "process"}
+	p := Pause{At: previous + d.Period, Duration: gap, Cause: "process"}
 	if collector >= gap/2 {
 		p.Cause = "gc"
 	}
