--- a/cmd/loadtest/cost.go
+++ b/cmd/loadtest/cost.go
@@ -20,7 +20,7 @@
 			&cli.BoolFlag{Name: "alone", Usage: "the processes do not exchange their statistics; only with --processes"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "duration of each run, in virtual time only; a node becomes slower halfway"},
 			&cli.DurationFlag{Name: "half-life", Value: 1500 * time.Millisecond, Usage: "time in which the weight of an answer in the short-term statistics halves"},
-			&cli.DurationFlag{Name: "every", Value: 500 * time.Millisecond, Usage: "time between gossip rounds; in each round a process asks one other"},
+			&cli.DurationFlag{Name: "every", Value: 500 * time.Millisecond, Usage: "time between a process's gossip rounds; in each it exchanges statistics with one other process"},
 			&cli.Float64Flag{Name: "slow", Value: 5, Usage: "factor by which the node becomes slower"},
 			jsonFlag(),
 		},
--- a/cmd/loadtest/gather.go
+++ b/cmd/loadtest/gather.go
@@ -11,10 +11,10 @@
 
 func gatherCommand() *cli.Command {
 	return &cli.Command{
-		Name: "gather", Usage: "send gathered reads under faults, without second copies, with them and with delegation, and check each row of the answers",
+		Name: "gather", Usage: "send gathered reads under faults and check each row; modes: no hedging (second copies), hedging, hedging and delegation to peers",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seeds", Value: 3, Usage: "number of seeds, from 1 on; a seed determines the rows, reads and faults"},
-			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "duration of one seed in one mode"},
+			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "duration of the run of each seed in each mode"},
 			&cli.Float64Flag{Name: "rate", Value: 40, Usage: "reads per second, to all processes together"},
 			jsonFlag(),
 		},
--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -37,7 +37,7 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the schedule"},
 			&cli.IntFlag{Name: "open", Value: 4096, Usage: "maximum number of requests in flight; further requests are not sent and make the run invalid"},
 			&cli.IntFlag{Name: "conns", Value: 512, Usage: "maximum number of connections to one scheduler"},
-			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once"},
+			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once; --retry=false: never"},
 			&cli.StringFlag{Name: "json", Usage: "write the results to `FILE`"},
 		},
 		Action: runLoad,
--- a/internal/testkit/experiment/costs/real.go
+++ b/internal/testkit/experiment/costs/real.go
@@ -78,33 +78,33 @@
 }
 
 // measureSleepOverrun measures by how much sleeps overrun on this machine, until the context ends.
-func (w *testbed) measureSleepOverrun(ctx context.Context) {
+func (bed *testbed) measureSleepOverrun(ctx context.Context) {
 	for ctx.Err() == nil {
 		begin := time.Now()
 		time.Sleep(sleepProbe)
 		over := millis(time.Since(begin) - sleepProbe)
-		w.mu.Lock()
-		w.row.slept = append(w.row.slept, over)
-		w.mu.Unlock()
+		bed.mu.Lock()
+		bed.row.slept = append(bed.row.slept, over)
+		bed.mu.Unlock()
 	}
 }
 
 // waitUntilLearned waits until each process has answered enough requests, and its estimates use what others reported.
-func (w *testbed) waitUntilLearned(ctx context.Context) error {
-	return w.fleet.Wait(ctx, "the processes have learned", func() error {
-		w.mu.Lock()
-		fewest := slices.Min(w.answerCounts)
-		w.mu.Unlock()
-		if fewest < w.opt.WarmAnswers {
+func (bed *testbed) waitUntilLearned(ctx context.Context) error {
+	return bed.fleet.Wait(ctx, "the processes have learned", func() error {
+		bed.mu.Lock()
+		fewest := slices.Min(bed.answerCounts)
+		bed.mu.Unlock()
+		if fewest < bed.opt.WarmAnswers {
 			return fmt.Errorf("a process has given only %d answers", fewest)
 		}
-		for p := range w.opt.Processes {
-			r, err := w.estimate(ctx, p, w.singleReads())
+		for p := range bed.opt.Processes {
+			r, err := bed.estimate(ctx, p, bed.singleReads())
 			if err != nil {
 				return err
 			}
 			for _, a := range r.Plans {
-				if !w.opt.Alone && a.Basis.Origins < 1 {
+				if !bed.opt.Alone && a.Basis.Origins < 1 {
 					return fmt.Errorf("process %d has no observations of other processes about node %s", p, a.Name)
 				}
 			}
@@ -117,34 +117,34 @@
 // the order after the slowing.
 func runRealSeed(ctx context.Context, opt RealOptions, seed uint64) (row RealRow, err error) {
 	start := time.Now()
-	w, err := newTestbed(ctx, opt, seed)
+	bed, err := newTestbed(ctx, opt, seed)
 	if err != nil {
 		return row, err
 	}
-	defer w.close()
+	defer bed.close()
 	ctx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer stop()
-	load.Go(func() { w.measureSleepOverrun(ctx) })
+	load.Go(func() { bed.measureSleepOverrun(ctx) })
 	for p := range opt.Processes {
-		load.Go(func() { w.generateLoad(ctx, p, rand.New(rand.NewPCG(seed, 100+uint64(p)))) })
+		load.Go(func() { bed.generateLoad(ctx, p, rand.New(rand.NewPCG(seed, 100+uint64(p)))) })
 	}
-	if err := w.waitUntilLearned(ctx); err != nil {
+	if err := bed.waitUntilLearned(ctx); err != nil {
 		return row, err
 	}
 	errs := make([]error, opt.Processes)
 	var plans sync.WaitGroup
 	for p := range opt.Processes {
-		plans.Go(func() { errs[p] = w.decidePlans(ctx, p, rand.New(rand.NewPCG(seed, 200+uint64(p)))) })
+		plans.Go(func() { errs[p] = bed.decidePlans(ctx, p, rand.New(rand.NewPCG(seed, 200+uint64(p)))) })
 	}
 	plans.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return row, err
 	}
-	right, err := w.watchOrder(ctx)
+	right, err := bed.watchOrder(ctx)
 	stop()
 	load.Wait()
-	w.row.OrderRightAfter, w.row.Took = right.Seconds(), time.Since(start).Seconds()
-	return w.row, err
+	bed.row.OrderRightAfter, bed.row.Took = right.Seconds(), time.Since(start).Seconds()
+	return bed.row, err
 }
--- a/internal/testkit/experiment/costs/real_decisions.go
+++ b/internal/testkit/experiment/costs/real_decisions.go
@@ -53,7 +53,7 @@
 
 // decidePlans has a process rank plans, and runs all of them through the process. For the cost in hindsight each plan
 // is also run directly at the nodes, where no process learns from it.
-func (w *testbed) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
+func (bed *testbed) decidePlans(ctx context.Context, p int, rng *rand.Rand) error {
 	var estimators [estimatorCount]*cost.Estimator
 	for k := range estimators {
 		var err error
@@ -61,16 +61,16 @@
 			return err
 		}
 	}
-	time.Sleep(decisionInterval * time.Duration(p) / time.Duration(w.opt.Processes)) // so that the processes do not decide at the same time
+	time.Sleep(decisionInterval * time.Duration(p) / time.Duration(bed.opt.Processes)) // so that the processes do not decide at the same time
 	next := time.NewTicker(decisionInterval)
 	defer next.Stop()
-	for range w.opt.Decisions {
-		plans := drawPlans(rng, w.opt.Groups, func(n int, units float64) *cost.Work {
+	for range bed.opt.Decisions {
+		plans := drawPlans(rng, bed.opt.Groups, func(n int, units float64) *cost.Work {
 			return &cost.Work{Shard: n, Class: class, Units: units, Node: nodeName(n)}
 		})
-		rankings, err := w.baselineRankings(p, &estimators, plans)
+		rankings, err := bed.baselineRankings(p, &estimators, plans)
 		if err == nil {
-			rankings[pooled], err = w.estimate(ctx, p, plans)
+			rankings[pooled], err = bed.estimate(ctx, p, plans)
 		}
 		if err != nil {
 			return err
@@ -79,8 +79,8 @@
 		for n := range requestSeeds {
 			requestSeeds[n] = rng.Uint64()
 		}
-		best := w.cheapestByTrueTimes(plans, rng)
-		w.recordDecision(rankings, best, w.runPlans(p, plans, requestSeeds[:]))
+		best := bed.cheapestByTrueTimes(plans, rng)
+		bed.recordDecision(rankings, best, bed.runPlans(p, plans, requestSeeds[:]))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -91,13 +91,13 @@
 }
 
 // runPlans runs each plan once for each seed: the first runs go through the process, the others directly to the nodes.
-func (w *testbed) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
+func (bed *testbed) runPlans(p int, plans []cost.Plan, requestSeeds []uint64) (runs planRuns) {
 	var all sync.WaitGroup
 	for n := range requestSeeds {
-		request := w.requestFromNode
+		request := bed.requestFromNode
 		if n < runsByProcess {
 			request = func(n int, units float64, requestSeed uint64) (float64, bool) {
-				return w.requestFromProcess(p, n, units, requestSeed)
+				return bed.requestFromProcess(p, n, units, requestSeed)
 			}
 		}
 		for i := range plans {
@@ -114,10 +114,10 @@
 
 // recordDecision adds one decision to the row: the cost of the plan that each ranking put first, of the cheapest plan
 // by the true service times, and of the cheapest in hindsight, and whether the outcomes lay within the intervals.
-func (w *testbed) recordDecision(rankings [estimatorCount]cost.Ranking, best int, runs planRuns) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := &w.row
+func (bed *testbed) recordDecision(rankings [estimatorCount]cost.Ranking, best int, runs planRuns) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	r := &bed.row
 	r.Decisions++
 	if len(rankings[pooled].Plans[0].Alike) > 0 {
 		r.alikeCount++
@@ -145,10 +145,10 @@
 }
 
 // cheapestByTrueTimes is the index of the plan that is cheapest by the nodes' true service times, which no estimator knows.
-func (w *testbed) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
+func (bed *testbed) cheapestByTrueTimes(plans []cost.Plan, rng *rand.Rand) int {
 	var costs [plansPerDecision]float64
 	draw := func(n int, units float64, requestSeed uint64) (float64, bool) {
-		return w.drawServiceTime(n, units, requestSeed), true
+		return bed.drawServiceTime(n, units, requestSeed), true
 	}
 	for range executionsPerPlan {
 		requestSeed := rng.Uint64()
--- a/internal/testkit/experiment/costs/real_estimates.go
+++ b/internal/testkit/experiment/costs/real_estimates.go
@@ -44,20 +44,20 @@
 }
 
 // estimate requests the estimates of plans from a process, and retries while the process is too busy to answer.
-func (w *testbed) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
+func (bed *testbed) estimate(ctx context.Context, p int, plans []cost.Plan) (r cost.Ranking, err error) {
 	body, err := encodeQuestion(plans, stretchedDeadline)
 	if err != nil {
 		return r, err
 	}
 	for {
-		code, text, err := w.postQuestion(ctx, p, body)
-		if err != nil && (ctx.Err() != nil || !w.fleet.Proc(p).Alive()) {
+		code, text, err := bed.postQuestion(ctx, p, body)
+		if err != nil && (ctx.Err() != nil || !bed.fleet.Proc(p).Alive()) {
 			return r, err
 		}
 		if err != nil || code == http.StatusServiceUnavailable || gjson.GetBytes(text, "code").Str == (&cost.TimeoutError{}).Code() {
-			w.mu.Lock()
-			w.row.Busy++
-			w.mu.Unlock()
+			bed.mu.Lock()
+			bed.row.Busy++
+			bed.mu.Unlock()
 			continue
 		}
 		for _, a := range gjson.GetBytes(text, "plans").Array() {
@@ -72,12 +72,12 @@
 }
 
 // postQuestion sends one request to the estimate endpoint of a process.
-func (w *testbed) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fleet.AdminAddress(p)+"/api/estimate", bytes.NewReader(body))
+func (bed *testbed) postQuestion(ctx context.Context, p int, body []byte) (code int, text []byte, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+bed.fleet.AdminAddress(p)+"/api/estimate", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := w.adminClient.Do(req)
+	resp, err := bed.adminClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -88,11 +88,11 @@
 
 // baselineRankings are the rankings by the other two estimators: from the answers of all processes, and from those of
 // process p.
-func (w *testbed) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
-	w.mu.Lock()
-	now := time.Since(w.startedAt)
-	allViews, ownViews := w.allAnswers.state.Views(now), w.ownAnswers[p].state.Views(now)
-	w.mu.Unlock()
+func (bed *testbed) baselineRankings(p int, estimators *[estimatorCount]*cost.Estimator, plans []cost.Plan) (got [estimatorCount]cost.Ranking, err error) {
+	bed.mu.Lock()
+	now := time.Since(bed.startedAt)
+	allViews, ownViews := bed.allAnswers.state.Views(now), bed.ownAnswers[p].state.Views(now)
+	bed.mu.Unlock()
 	estimators[fleetMean].SetViews(fleetMeanViews(allViews))
 	estimators[ownOnly].SetViews(ownViews)
 	for k := fleetMean; k < estimatorCount && err == nil; k++ {
--- a/internal/testkit/experiment/costs/real_order.go
+++ b/internal/testkit/experiment/costs/real_order.go
@@ -11,17 +11,17 @@
 )
 
 // singleReads are plans of one read of mean size, one for each node.
-func (w *testbed) singleReads() (plans []cost.Plan) {
-	for n := range w.nodes {
+func (bed *testbed) singleReads() (plans []cost.Plan) {
+	for n := range bed.nodes {
 		plans = append(plans, cost.Plan{Name: nodeName(n), Root: cost.Step{Work: &cost.Work{Shard: n, Class: class, Units: (1 + maxUnits) / 2.0, Node: nodeName(n)}}})
 	}
 	return plans
 }
 
 // orderWrong reports whether a process ranks the slow node on the wrong side of a node from which it clearly differs.
-func (w *testbed) orderWrong(ctx context.Context, p int) (bool, error) {
+func (bed *testbed) orderWrong(ctx context.Context, p int) (bool, error) {
 	const units = (1 + maxUnits) / 2.0
-	r, err := w.estimate(ctx, p, w.singleReads())
+	r, err := bed.estimate(ctx, p, bed.singleReads())
 	if err != nil {
 		return true, err
 	}
@@ -29,10 +29,10 @@
 	for _, a := range r.Plans {
 		estimates[a.Name] = a.Mean
 	}
-	s := w.slowNode()
-	slow, slowEstimate := w.meanServiceTime(s, units), estimates[nodeName(s)]
-	for n := range w.nodes {
-		if truth, estimate := w.meanServiceTime(n, units), estimates[nodeName(n)]; truth*clearRatio < slow && estimate >= slowEstimate || truth > clearRatio*slow && estimate <= slowEstimate {
+	s := bed.slowNode()
+	slow, slowEstimate := bed.meanServiceTime(s, units), estimates[nodeName(s)]
+	for n := range bed.nodes {
+		if truth, estimate := bed.meanServiceTime(n, units), estimates[nodeName(n)]; truth*clearRatio < slow && estimate >= slowEstimate || truth > clearRatio*slow && estimate <= slowEstimate {
 			return true, nil
 		}
 	}
@@ -41,26 +41,26 @@
 
 // watchOrder slows the slow node down, checks the order at each process from then on, and returns the time after the
 // slowing at which a wrong order was last seen.
-func (w *testbed) watchOrder(ctx context.Context) (time.Duration, error) {
-	w.slowed.Store(true)
+func (bed *testbed) watchOrder(ctx context.Context) (time.Duration, error) {
+	bed.slowed.Store(true)
 	slowedAt := time.Now()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	streak := make([]int, w.opt.Processes)
+	streak := make([]int, bed.opt.Processes)
 	var all sync.WaitGroup
-	for p := range w.opt.Processes {
+	for p := range bed.opt.Processes {
 		all.Go(func() {
-			for time.Since(slowedAt) < w.opt.WatchDuration && ctx.Err() == nil {
-				wrong, err := w.orderWrong(ctx, p)
-				w.mu.Lock()
+			for time.Since(slowedAt) < bed.opt.WatchDuration && ctx.Err() == nil {
+				wrong, err := bed.orderWrong(ctx, p)
+				bed.mu.Lock()
 				if wrong && ctx.Err() == nil {
-					w.lastWrongOrder[p], streak[p] = time.Since(slowedAt), 0
-					w.err = errors.Join(w.err, err)
+					bed.lastWrongOrder[p], streak[p] = time.Since(slowedAt), 0
+					bed.err = errors.Join(bed.err, err)
 				} else {
 					streak[p]++
 				}
-				done := w.err != nil || w.opt.SettledChecks > 0 && slices.Min(streak) >= w.opt.SettledChecks
-				w.mu.Unlock()
+				done := bed.err != nil || bed.opt.SettledChecks > 0 && slices.Min(streak) >= bed.opt.SettledChecks
+				bed.mu.Unlock()
 				if done {
 					stop()
 				}
@@ -72,5 +72,5 @@
 		})
 	}
 	all.Wait()
-	return slices.Max(w.lastWrongOrder), w.err
+	return slices.Max(bed.lastWrongOrder), bed.err
 }
--- a/internal/testkit/experiment/costs/real_requests.go
+++ b/internal/testkit/experiment/costs/real_requests.go
@@ -23,46 +23,46 @@
 }
 
 // sendRequest sends one request and returns its response time in milliseconds, and whether it was served.
-func (w *testbed) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
-	seq := w.lastRequestNumber.Add(1)
+func (bed *testbed) sendRequest(to *client.Pool, n int, units float64, requestSeed uint64) (took float64, served bool) {
+	seq := bed.lastRequestNumber.Add(1)
 	m := client.Message{ID: fmt.Sprintf(requestIDFormat, requestSeed, int(units), seq), Class: class, Plan: planName, Extent: fmt.Sprintf("%016x", seq),
-		Volume: fmt.Sprintf("%016x", seq%64), Units: units, Shard: n, Hosts: w.opt.Processes, Deadline: requestDeadline}
+		Volume: fmt.Sprintf("%016x", seq%64), Units: units, Shard: n, Hosts: bed.opt.Processes, Deadline: requestDeadline}
 	begin := time.Now()
 	a := to.Do(&m, begin)
 	return millis(a.Ended.Sub(begin)), a.Outcome == client.Served
 }
 
 // requestFromNode sends a request directly to a node.
-func (w *testbed) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
-	return w.sendRequest(w.nodePools[n], n, units, requestSeed)
+func (bed *testbed) requestFromNode(n int, units float64, requestSeed uint64) (took float64, served bool) {
+	return bed.sendRequest(bed.nodePools[n], n, units, requestSeed)
 }
 
 // requestFromProcess sends a request through a process and records the answer.
-func (w *testbed) requestFromProcess(p, n int, units float64, requestSeed uint64) (took float64, served bool) {
-	slow := w.slowed.Load()
-	took, served = w.sendRequest(w.processPools[p], n, units, requestSeed)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.row.Requests++
+func (bed *testbed) requestFromProcess(p, n int, units float64, requestSeed uint64) (took float64, served bool) {
+	slow := bed.slowed.Load()
+	took, served = bed.sendRequest(bed.processPools[p], n, units, requestSeed)
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	bed.row.Requests++
 	if !served {
-		w.row.Refused++
+		bed.row.Refused++
 		return took, false
 	}
-	w.answerCounts[p]++
-	now := time.Since(w.startedAt)
-	w.ownAnswers[p].record(now, n, units, took)
-	w.allAnswers.record(now, n, units, took)
-	if !slow && !w.slowed.Load() {
-		w.row.added = append(w.row.added, took-w.drawServiceTime(n, units, requestSeed))
+	bed.answerCounts[p]++
+	now := time.Since(bed.startedAt)
+	bed.ownAnswers[p].record(now, n, units, took)
+	bed.allAnswers.record(now, n, units, took)
+	if !slow && !bed.slowed.Load() {
+		bed.row.added = append(bed.row.added, took-bed.drawServiceTime(n, units, requestSeed))
 	}
 	return took, true
 }
 
 // generateLoad sends requests through a process at requestsPerSecond until the context ends.
-func (w *testbed) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
+func (bed *testbed) generateLoad(ctx context.Context, p int, rng *rand.Rand) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	home := max(w.opt.Groups/4, 1)
+	home := max(bed.opt.Groups/4, 1)
 	for next := time.Now(); ; {
 		next = next.Add(time.Duration(rng.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 		select {
@@ -70,11 +70,11 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		g := rng.IntN(w.opt.Groups)
-		if rng.Float64() < w.opt.HomeShare {
-			g = (p + rng.IntN(home)) % w.opt.Groups
+		g := rng.IntN(bed.opt.Groups)
+		if rng.Float64() < bed.opt.HomeShare {
+			g = (p + rng.IntN(home)) % bed.opt.Groups
 		}
 		n, units, requestSeed := g*nodesPerShard+rng.IntN(nodesPerShard), float64(1+rng.IntN(maxUnits)), rng.Uint64()
-		requests.Go(func() { w.requestFromProcess(p, n, units, requestSeed) })
+		requests.Go(func() { bed.requestFromProcess(p, n, units, requestSeed) })
 	}
 }
--- a/internal/testkit/experiment/costs/real_testbed.go
+++ b/internal/testkit/experiment/costs/real_testbed.go
@@ -63,27 +63,27 @@
 // newTestbed starts the nodes and the daemons of a seed.
 func newTestbed(ctx context.Context, opt RealOptions, seed uint64) (*testbed, error) {
 	rng := rand.New(rand.NewPCG(seed, 24))
-	w := &testbed{opt: opt, startedAt: time.Now(), answerCounts: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
+	bed := &testbed{opt: opt, startedAt: time.Now(), answerCounts: make([]int, opt.Processes), lastWrongOrder: make([]time.Duration, opt.Processes),
 		adminClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	w.row.Seed = seed
-	nodes, types := w.makeNodes(rng)
+	bed.row.Seed = seed
+	nodes, types := bed.makeNodes(rng)
 	var err error
-	if w.allAnswers, err = w.newObserver("all", types); err != nil {
+	if bed.allAnswers, err = bed.newObserver("all", types); err != nil {
 		return nil, err
 	}
 	peerAddresses := make([]string, opt.Processes)
 	for p := range peerAddresses {
-		observer, err := w.newObserver(fmt.Sprint("p", p), types)
+		observer, err := bed.newObserver(fmt.Sprint("p", p), types)
 		if err != nil {
 			return nil, err
 		}
-		w.ownAnswers = append(w.ownAnswers, observer)
+		bed.ownAnswers = append(bed.ownAnswers, observer)
 		if peerAddresses[p], err = cluster.FreeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	var siteErr error
-	w.fleet, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Processes, Nodes: nodes, Seed: seed, Admin: true, Direct: true,
+	bed.fleet, err = cluster.Start(ctx, cluster.Options{Daemon: opt.Daemon, Daemons: opt.Processes, Nodes: nodes, Seed: seed, Admin: true, Direct: true,
 		Settings: daemonSettings(),
 		Args: func(f *cluster.Fleet, p int) []string {
 			file, err := writeSite(f.Dir(p), opt, types, peerAddresses, p)
@@ -94,34 +94,34 @@
 		return nil, err
 	}
 	for p := range opt.Processes {
-		w.processPools = append(w.processPools, &client.Pool{Address: w.fleet.ClientAddr(p), MaxConns: maxClientConns})
+		bed.processPools = append(bed.processPools, &client.Pool{Address: bed.fleet.ClientAddr(p), MaxConns: maxClientConns})
 	}
-	for n := range w.nodes {
-		w.nodePools = append(w.nodePools, &client.Pool{Address: w.fleet.NodeAddr(n)})
+	for n := range bed.nodes {
+		bed.nodePools = append(bed.nodePools, &client.Pool{Address: bed.fleet.NodeAddr(n)})
 	}
-	return w, siteErr
+	return bed, siteErr
 }
 
 // makeNodes draws the nodes' factors and returns the nodes to start, and their types by name.
-func (w *testbed) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
+func (bed *testbed) makeNodes(rng *rand.Rand) (nodes []cluster.StorageNode, types map[string]string) {
 	types = map[string]string{}
-	for n := range w.opt.Groups * nodesPerShard {
-		w.nodes = append(w.nodes, simulatedNode{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
+	for n := range bed.opt.Groups * nodesPerShard {
+		bed.nodes = append(bed.nodes, simulatedNode{n % nodesPerShard, math.Exp(nodeSpread * rng.NormFloat64())})
 		types[nodeName(n)] = kinds[n%nodesPerShard].name
 		nodes = append(nodes, cluster.StorageNode{Name: nodeName(n), Shard: n, Workers: workersPerNode, ServiceTime: func(q *fasthttp.Request) time.Duration {
 			units, requestSeed := decodeRequestID(string(q.Header.Peek("X-Request-Id")))
-			return time.Duration(w.drawServiceTime(n, units, requestSeed) * float64(time.Millisecond))
+			return time.Duration(bed.drawServiceTime(n, units, requestSeed) * float64(time.Millisecond))
 		}})
 	}
 	return nodes, types
 }
 
 // newObserver returns the observations of one observer, without any answer yet.
-func (w *testbed) newObserver(name string, types map[string]string) (a answers, err error) {
+func (bed *testbed) newObserver(name string, types map[string]string) (a answers, err error) {
 	settings := nodestats.Defaults()
-	settings.HalfLife = w.opt.HalfLife
+	settings.HalfLife = bed.opt.HalfLife
 	a.state, err = nodestats.New(settings, name, 1)
-	for n := range w.nodes {
+	for n := range bed.nodes {
 		if err == nil {
 			a.state.SetNodeHealth(0, nodeName(n), 1, nodestats.Health{Type: types[nodeName(n)], Shard: n, Window: workers})
 			a.recorders = append(a.recorders, a.state.Recorder(0, nodestats.Key{Node: nodeName(n), StartTime: 1, Class: class}))
@@ -152,30 +152,30 @@
 }
 
 // close ends the clients and the fleet.
-func (w *testbed) close() {
-	for _, p := range slices.Concat(w.processPools, w.nodePools) {
+func (bed *testbed) close() {
+	for _, p := range slices.Concat(bed.processPools, bed.nodePools) {
 		p.Close()
 	}
-	w.fleet.Close()
+	bed.fleet.Close()
 }
 
 // meanServiceTime is a node's current mean service time, in milliseconds, for a request of so many units.
-func (w *testbed) meanServiceTime(n int, units float64) float64 {
-	x := w.nodes[n]
+func (bed *testbed) meanServiceTime(n int, units float64) float64 {
+	x := bed.nodes[n]
 	m := serviceStretch * (kinds[x.kind].level + kinds[x.kind].unit*units) * x.factor
-	if n == w.slowNode() && w.slowed.Load() {
-		m *= w.opt.SlowFactor
+	if n == bed.slowNode() && bed.slowed.Load() {
+		m *= bed.opt.SlowFactor
 	}
 	return m
 }
 
 // slowNode is the index of the node that slows down.
-func (w *testbed) slowNode() int { return min(slowNode, len(w.nodes)-nodesPerShard) }
+func (bed *testbed) slowNode() int { return min(slowNode, len(bed.nodes)-nodesPerShard) }
 
 // drawServiceTime draws a node's service time for a request, in milliseconds. The seed belongs to the request and is the
 // same at each node, so that plans for the same work differ only by their nodes and by the noise of the machine.
-func (w *testbed) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
+func (bed *testbed) drawServiceTime(n int, units float64, requestSeed uint64) float64 {
 	s := math.Sqrt(math.Log1p(serviceSpread * serviceSpread))
 	z := rand.New(rand.NewPCG(requestSeed, 26)).NormFloat64()
-	return w.meanServiceTime(n, units) * math.Exp(s*z-s*s/2)
+	return bed.meanServiceTime(n, units) * math.Exp(s*z-s*s/2)
 }
--- a/internal/testkit/experiment/gathers/check.go
+++ b/internal/testkit/experiment/gathers/check.go
@@ -82,39 +82,39 @@
 const maxCachedMerges = 256
 
 func newOracle(rows node.Rows, shards int) *oracle {
-	t := &oracle{rows: rows, mergesByShards: map[string][]row{}}
+	o := &oracle{rows: rows, mergesByShards: map[string][]row{}}
 	for s := range shards {
 		rowsByKey := map[int64]row{}
 		for _, text := range rows.Shard(s) {
 			x := parseRow(text)
 			rowsByKey[x.key] = x
 		}
-		t.shards = append(t.shards, rowsByKey)
+		o.shards = append(o.shards, rowsByKey)
 	}
-	return t
+	return o
 }
 
 // merge returns the flat merge of shards: all their rows merged in one step.
-func (t *oracle) merge(shards []int) []row {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (o *oracle) merge(shards []int) []row {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	cacheKey := fmt.Sprint(shards)
-	all, ok := t.mergesByShards[cacheKey]
+	all, ok := o.mergesByShards[cacheKey]
 	if !ok {
-		for _, text := range t.rows.Merge(shards, node.MergeOptions{Keep: "highest"}) {
+		for _, text := range o.rows.Merge(shards, node.MergeOptions{Keep: "highest"}) {
 			all = append(all, parseRow(text))
 		}
-		if len(t.mergesByShards) >= maxCachedMerges {
-			clear(t.mergesByShards)
+		if len(o.mergesByShards) >= maxCachedMerges {
+			clear(o.mergesByShards)
 		}
-		t.mergesByShards[cacheKey] = all
+		o.mergesByShards[cacheKey] = all
 	}
 	return all
 }
 
 // expectedRows returns the rows of a whole answer.
-func (t *oracle) expectedRows(q gatheredRead) []row {
-	all := t.merge(q.shards)
+func (o *oracle) expectedRows(q gatheredRead) []row {
+	all := o.merge(q.shards)
 	begin, found := slices.BinarySearchFunc(all, q.after, func(r row, k int64) int { return cmp.Compare(r.key, k) })
 	if found {
 		begin++
@@ -128,8 +128,8 @@
 
 // verify compares the rows of an answer with the flat merge. If the answer names incomplete parts, a row may be missing or
 // an older version, unless a part that was read holds it.
-func (t *oracle) verify(q gatheredRead, a answer) (v Verdict) {
-	if a.whole && slices.EqualFunc(a.rows, t.expectedRows(q), func(got []byte, want row) bool { return string(got) == want.text }) {
+func (o *oracle) verify(q gatheredRead, a answer) (v Verdict) {
+	if a.whole && slices.EqualFunc(a.rows, o.expectedRows(q), func(got []byte, want row) bool { return string(got) == want.text }) {
 		return v
 	}
 	limit := rowLimits[q.class]
@@ -141,7 +141,7 @@
 	}
 	newestRow := func(k int64, of []int) (newest row, any bool) {
 		for _, s := range of {
-			if x, ok := t.shards[s][k]; ok && (!any || x.version > newest.version) {
+			if x, ok := o.shards[s][k]; ok && (!any || x.version > newest.version) {
 				newest, any = x, true
 			}
 		}
@@ -157,7 +157,7 @@
 		}
 		seen[x.key] = true
 		newestRequired, ok := newestRow(x.key, completeShards)
-		exists := slices.ContainsFunc(q.shards, func(s int) bool { return t.shards[s][x.key].text == x.text })
+		exists := slices.ContainsFunc(q.shards, func(s int) bool { return o.shards[s][x.key].text == x.text })
 		if !exists || x.key <= last || ok && x.version < newestRequired.version {
 			v.Wrong++
 		}
@@ -168,9 +168,9 @@
 	}
 	// Rows of the parts that were read must not be missing: up to the end of the page if the answer is whole,
 	// otherwise up to the answer's last row if it ended early.
-	all := t.merge(q.shards)
+	all := o.merge(q.shards)
 	if a.whole {
-		all = t.expectedRows(q)
+		all = o.expectedRows(q)
 	}
 	for _, x := range all {
 		if !a.whole && x.key > last && (!a.finished || a.errorCode != "" || a.truncated != "") {
--- a/internal/testkit/experiment/gathers/client.go
+++ b/internal/testkit/experiment/gathers/client.go
@@ -54,24 +54,24 @@
 
 // send sends a read to one process and receives the response. An error means that the response is incomplete or invalid;
 // the rows received before it are in the answer.
-func (k *readClient) send(ctx context.Context, to string, q gatheredRead, seq uint64, due time.Time) (a answer, t rowTimes, err error) {
-	ctx, stop := context.WithDeadline(ctx, due.Add(k.deadline+lateAnswerWait))
+func (c *readClient) send(ctx context.Context, to string, q gatheredRead, seq uint64, due time.Time) (a answer, t rowTimes, err error) {
+	ctx, stop := context.WithDeadline(ctx, due.Add(c.deadline+lateAnswerWait))
 	defer stop()
-	left := time.Until(due.Add(k.deadline))
+	left := time.Until(due.Add(c.deadline))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/%s/x", to, q.class), nil)
 	if err != nil {
 		return a, t, err
 	}
-	for name, value := range map[string]string{"X-Request-Id": q.id, "Tier": k.plan, "Cookie": fmt.Sprintf("extent=%016x", seq),
+	for name, value := range map[string]string{"X-Request-Id": q.id, "Tier": c.plan, "Cookie": fmt.Sprintf("extent=%016x", seq),
 		"X-Deadline-Ms": strconv.FormatInt(max(1, left.Milliseconds()), 10),
-		"IO-Info":       fmt.Sprintf("volume=%016x,units=1,shard=%d,hosts=%d", seq%7+1, q.shards[0], k.hosts),
+		"IO-Info":       fmt.Sprintf("volume=%016x,units=1,shard=%d,hosts=%d", seq%7+1, q.shards[0], c.hosts),
 		"X-Gather":      formatShards(q.shards)} {
 		r.Header.Set(name, value)
 	}
 	if q.token != "" {
 		r.Header.Set("X-Gather-Token", q.token)
 	}
-	resp, err := k.http.Do(r)
+	resp, err := c.http.Do(r)
 	defer func() { t.end = time.Since(due) }()
 	if err != nil {
 		return a, t, err
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -81,18 +81,18 @@
 	Killed   int `json:"killed"`
 }
 
-func (h *faultCounts) add(o faultCounts) {
-	h.Late, h.Stopped, h.Cut, h.Stalled = h.Late+o.Late, h.Stopped+o.Stopped, h.Cut+o.Cut, h.Stalled+o.Stalled
-	h.Silenced, h.Reset, h.Delayed, h.Killed = h.Silenced+o.Silenced, h.Reset+o.Reset, h.Delayed+o.Delayed, h.Killed+o.Killed
+func (f *faultCounts) add(o faultCounts) {
+	f.Late, f.Stopped, f.Cut, f.Stalled = f.Late+o.Late, f.Stopped+o.Stopped, f.Cut+o.Cut, f.Stalled+o.Stalled
+	f.Silenced, f.Reset, f.Delayed, f.Killed = f.Silenced+o.Silenced, f.Reset+o.Reset, f.Delayed+o.Delayed, f.Killed+o.Killed
 }
 
 // missing names the kinds of faults that did not occur: the measurements say nothing about them.
-func (h *faultCounts) missing() (names []string) {
+func (f *faultCounts) missing() (names []string) {
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"late nodes", h.Late}, {"stops", h.Stopped}, {"cuts", h.Cut}, {"nodes silent for good", h.Stalled}, {"silent links", h.Silenced},
-		{"reset links", h.Reset}, {"slow links", h.Delayed}, {"killed processes", h.Killed}} {
+	}{{"late nodes", f.Late}, {"stops", f.Stopped}, {"cuts", f.Cut}, {"nodes silent for good", f.Stalled}, {"silent links", f.Silenced},
+		{"reset links", f.Reset}, {"slow links", f.Delayed}, {"killed processes", f.Killed}} {
 		if x.n == 0 {
 			names = append(names, x.name)
 		}
--- a/internal/testkit/experiment/gathers/fleet.go
+++ b/internal/testkit/experiment/gathers/fleet.go
@@ -198,16 +198,16 @@
 }
 
 // faultCounts counts the faults of all nodes and links and the killed processes.
-func (f *daemonFleet) faultCounts() (h faultCounts) {
-	h.Killed = int(f.killed.Load())
+func (f *daemonFleet) faultCounts() (counts faultCounts) {
+	counts.Killed = int(f.killed.Load())
 	for j := range f.setup.Shards * f.setup.Replicas {
-		h.add(nodeFaults(f.Node(j)))
+		counts.add(nodeFaults(f.Node(j)))
 		for i := range f.setup.Processes {
 			c := f.StorageLink(i, j).Counts(link.Both)
-			h.Silenced, h.Reset, h.Delayed = h.Silenced+c.Silenced, h.Reset+c.Reset, h.Delayed+c.Delayed
+			counts.Silenced, counts.Reset, counts.Delayed = counts.Silenced+c.Silenced, counts.Reset+c.Reset, counts.Delayed+c.Delayed
 		}
 	}
-	return h
+	return counts
 }
 
 // nodeFaults counts the faults that took effect at a node.
--- a/internal/testkit/experiment/gathers/run.go
+++ b/internal/testkit/experiment/gathers/run.go
@@ -84,21 +84,21 @@
 
 // runSeed sends the reads and injects the faults of a seed.
 func runSeed(ctx context.Context, opt Options, f *daemonFleet, seed uint64) ([]readOutcome, error) {
-	p := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.Setup.Rows, opt.Setup.Shards), client: newReadClient(planName, opt.Setup.Processes, deadline)}
-	p.start = time.Now()
+	run := &seedRun{opt: opt, fleet: f, oracle: newOracle(opt.Setup.Rows, opt.Setup.Shards), client: newReadClient(planName, opt.Setup.Processes, deadline)}
+	run.start = time.Now()
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	faults := make(chan error, 1)
-	go func() { faults <- p.injectFaults(ctx, running, drawFaultRounds(seed, opt.Setup, opt.Duration)) }()
-	err := p.sendReads(ctx, rand.New(rand.NewPCG(seed, 26)))
-	p.wg.Wait()
+	go func() { faults <- run.injectFaults(ctx, running, drawFaultRounds(seed, opt.Setup, opt.Duration)) }()
+	err := run.sendReads(ctx, rand.New(rand.NewPCG(seed, 26)))
+	run.wg.Wait()
 	stop()
-	return p.outcomes, errors.Join(err, <-faults)
+	return run.outcomes, errors.Join(err, <-faults)
 }
 
 // waitUntil waits until a time after the start of the run; false: the context ended first.
-func (p *seedRun) waitUntil(ctx context.Context, at time.Duration) bool {
-	t := time.NewTimer(time.Until(p.start.Add(at)))
+func (run *seedRun) waitUntil(ctx context.Context, at time.Duration) bool {
+	t := time.NewTimer(time.Until(run.start.Add(at)))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -110,7 +110,7 @@
 
 // injectFaults applies the fault rounds while reads are sent. It waits for the restart of a killed process even after the
 // reads have ended.
-func (p *seedRun) injectFaults(ctx, running context.Context, all []faultRound) error {
+func (run *seedRun) injectFaults(ctx, running context.Context, all []faultRound) error {
 	var kills sync.WaitGroup
 	defer kills.Wait()
 	var mu sync.Mutex
@@ -121,35 +121,35 @@
 		errs = append(errs, err)
 	}
 	for _, c := range all {
-		if !p.waitUntil(running, c.at) {
+		if !run.waitUntil(running, c.at) {
 			break
 		}
-		if p.opt.firstShardFault != (node.RowFault{}) {
+		if run.opt.firstShardFault != (node.RowFault{}) {
 			c = faultRound{kill: -1, nodes: map[int]node.RowFault{}}
-			for j := range p.opt.Setup.Replicas {
-				c.nodes[j] = p.opt.firstShardFault
+			for j := range run.opt.Setup.Replicas {
+				c.nodes[j] = run.opt.firstShardFault
 			}
 		}
 		if kill := c.kill; kill >= 0 { // in the background, because a restart takes longer than a round
 			c.kill = -1
-			kills.Go(func() { addError(p.fleet.killAndRestart(ctx, kill)) })
+			kills.Go(func() { addError(run.fleet.killAndRestart(ctx, kill)) })
 		}
-		addError(p.fleet.apply(c))
+		addError(run.fleet.apply(c))
 	}
 	kills.Wait()
 	return errors.Join(errs...)
 }
 
 // sendReads sends each read when it is due, without waiting for the answers to earlier ones.
-func (p *seedRun) sendReads(ctx context.Context, rng *rand.Rand) error {
+func (run *seedRun) sendReads(ctx context.Context, rng *rand.Rand) error {
 	at := time.Duration(0)
 	for n := uint64(1); ; n++ {
-		at += time.Duration(rng.ExpFloat64() / p.opt.Rate * float64(time.Second))
-		if at >= p.opt.Duration {
+		at += time.Duration(rng.ExpFloat64() / run.opt.Rate * float64(time.Second))
+		if at >= run.opt.Duration {
 			return nil
 		}
 		q := gatheredRead{id: fmt.Sprintf("g%d", n), class: []string{classListing, classTop, classPage}[rng.IntN(3)], after: -1}
-		for s := range p.opt.Setup.Shards {
+		for s := range run.opt.Setup.Shards {
 			q.shards = append(q.shards, s)
 		}
 		if rng.Float64() < subsetChance {
@@ -158,30 +158,30 @@
 			q.shards = q.shards[:minShards+rng.IntN(len(q.shards)-minShards+1)]
 			slices.Sort(q.shards)
 		}
-		to := rng.IntN(p.opt.Setup.Processes)
-		if !p.waitUntil(ctx, at) {
+		to := rng.IntN(run.opt.Setup.Processes)
+		if !run.waitUntil(ctx, at) {
 			return ctx.Err()
 		}
-		due := p.start.Add(at)
-		p.wg.Go(func() { p.readPages(ctx, to, q, n, due) })
+		due := run.start.Add(at)
+		run.wg.Go(func() { run.readPages(ctx, to, q, n, due) })
 	}
 }
 
 // readPages sends one read and, if its class is classPage, the reads of the following pages; each of them is due when the
 // page before has been received.
-func (p *seedRun) readPages(ctx context.Context, to int, q gatheredRead, seq uint64, due time.Time) {
+func (run *seedRun) readPages(ctx context.Context, to int, q gatheredRead, seq uint64, due time.Time) {
 	for k := 1; ; k++ {
 		target := ""
-		for i := 0; target == "" && i < p.opt.Setup.Processes; i++ { // skips processes that are down
-			target = p.fleet.address((to + i) % p.opt.Setup.Processes)
+		for i := 0; target == "" && i < run.opt.Setup.Processes; i++ { // skips processes that are down
+			target = run.fleet.address((to + i) % run.opt.Setup.Processes)
 		}
 		sent := time.Since(due)
-		a, t, err := p.client.send(ctx, target, q, seq, due)
-		o := p.classify(q, a, t, err)
+		a, t, err := run.client.send(ctx, target, q, seq, due)
+		o := run.classify(q, a, t, err)
 		o.sendLateness = sent
-		p.mu.Lock()
-		p.outcomes = append(p.outcomes, o)
-		p.mu.Unlock()
+		run.mu.Lock()
+		run.outcomes = append(run.outcomes, o)
+		run.mu.Unlock()
 		if q.class != classPage || k == maxPages || o.end != endWhole || a.token == "" || len(a.rows) == 0 {
 			return
 		}
@@ -191,15 +191,15 @@
 }
 
 // classify determines the end of a read and its times, and verifies its rows.
-func (p *seedRun) classify(q gatheredRead, a answer, t rowTimes, err error) (o readOutcome) {
-	o.verdict = p.oracle.verify(q, a)
+func (run *seedRun) classify(q gatheredRead, a answer, t rowTimes, err error) (o readOutcome) {
+	o.verdict = run.oracle.verify(q, a)
 	if o.verdict != (Verdict{}) {
 		o.detail = fmt.Sprintf("%s of %s at %d, %d rows, whole %v, named %v, ended by %q: %+v", q.id, q.class, q.after, len(a.rows), a.whole, a.incompleteShards, a.errorCode, o.verdict)
 	}
 	if len(a.rows) > 0 {
 		o.firstRow, _ = t.timeOfRows(1)
 	}
-	expected := len(p.oracle.expectedRows(q))
+	expected := len(run.oracle.expectedRows(q))
 	if expected == 0 { // the page begins after the last row
 		o.mostRows, o.firstRow = t.end, t.end
 	} else if at, ok := t.timeOfRows(int(mostRowsShare*float64(expected) + 0.999)); ok {
--- a/internal/testkit/experiment/load/run.go
+++ b/internal/testkit/experiment/load/run.go
@@ -152,7 +152,7 @@
 			a, attempts = b, 2
 		}
 	}
-	if a.Outcome == client.Served && q.Shard < 0 && q.Of == 0 {
+	if a.Outcome == client.Served && q.Shard < 0 && q.CreatedBy == 0 {
 		r.newObjectShards.Store(q.Extent, parseShard(a.Body))
 	}
 	r.mu.Lock()
@@ -174,7 +174,7 @@
 	if c.Write {
 		m.Body = writeBody[:min(len(writeBody), 64*q.Units)]
 	}
-	if q.Of != 0 {
+	if q.CreatedBy != 0 {
 		if at, ok := r.newObjectShards.Load(q.Extent); ok && at.(int) >= 0 {
 			m.Shard = at.(int)
 		} else {
--- a/internal/testkit/sourcelint/errorcodes.go
+++ b/internal/testkit/sourcelint/errorcodes.go
@@ -86,15 +86,15 @@
 // UncodedErrors lists each exported function or method of the package in a folder that returns an uncoded error, directly
 // or through others of the package. Check methods are for tests and are skipped.
 func UncodedErrors(folder string) ([]string, error) {
-	b, err := analyzePackage(folder, false)
+	p, err := analyzePackage(folder, false)
 	if err != nil {
 		return nil, err
 	}
 	var found []string
-	for _, d := range b.functions {
+	for _, d := range p.functions {
 		if d.Name.Name != "Check" && d.Type.Results != nil && ast.IsExported(d.Name.Name) && (d.Recv == nil || ast.IsExported(receiverType(d))) {
-			if pos := b.returnsUncodedAt(d); pos.IsValid() {
-				found = append(found, fmt.Sprintf("%v: %s returns an uncoded error", b.fileSet.Position(pos), d.Name.Name))
+			if pos := p.returnsUncodedAt(d); pos.IsValid() {
+				found = append(found, fmt.Sprintf("%v: %s returns an uncoded error", p.fileSet.Position(pos), d.Name.Name))
 			}
 		}
 	}
@@ -109,12 +109,12 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &packageErrors{followWrapped: followWrapped, fileSet: token.NewFileSet(), returning: map[string]token.Pos{}, holding: map[string]token.Pos{}}
+	p := &packageErrors{followWrapped: followWrapped, fileSet: token.NewFileSet(), returning: map[string]token.Pos{}, holding: map[string]token.Pos{}}
 	for _, path := range files {
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		f, err := parser.ParseFile(b.fileSet, path, nil, parser.SkipObjectResolution)
+		f, err := parser.ParseFile(p.fileSet, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return nil, err
 		}
@@ -122,24 +122,24 @@
 			switch d := d.(type) {
 			case *ast.FuncDecl:
 				if d.Body != nil {
-					b.functions = append(b.functions, d)
+					p.functions = append(p.functions, d)
 				}
 			case *ast.GenDecl:
-				b.addVariables(d)
+				p.addVariables(d)
 			}
 		}
 	}
 	for changed := true; changed; { // until no further function is found to return an uncoded error
 		changed = false
-		for _, d := range b.functions {
-			if _, known := b.returning[d.Name.Name]; !known && d.Type.Results != nil && d.Name.Name != "Check" {
-				if pos := b.returnsUncodedAt(d); pos.IsValid() {
-					b.returning[d.Name.Name], changed = pos, true
+		for _, d := range p.functions {
+			if _, known := p.returning[d.Name.Name]; !known && d.Type.Results != nil && d.Name.Name != "Check" {
+				if pos := p.returnsUncodedAt(d); pos.IsValid() {
+					p.returning[d.Name.Name], changed = pos, true
 				}
 			}
 		}
 	}
-	return b, nil
+	return p, nil
 }
 
 // packageErrors is what analyzePackage finds about the uncoded errors of a package.
@@ -152,50 +152,50 @@
 }
 
 // addVariables records the package's variables that hold an uncoded error.
-func (b *packageErrors) addVariables(d *ast.GenDecl) {
+func (p *packageErrors) addVariables(d *ast.GenDecl) {
 	for _, s := range d.Specs {
 		v, ok := s.(*ast.ValueSpec)
 		for i := 0; ok && i < len(v.Names) && i < len(v.Values); i++ {
-			if pos := b.uncodedAt(v.Values[i], nil); pos.IsValid() {
-				b.holding[v.Names[i].Name] = pos
+			if pos := p.uncodedAt(v.Values[i], nil); pos.IsValid() {
+				p.holding[v.Names[i].Name] = pos
 			}
 		}
 	}
 }
 
 // uncodedAt returns the place where an expression's uncoded error is made; token.NoPos: the expression is none.
-func (b *packageErrors) uncodedAt(e ast.Expr, local map[string]token.Pos) token.Pos {
+func (p *packageErrors) uncodedAt(e ast.Expr, local map[string]token.Pos) token.Pos {
 	switch e := e.(type) {
 	case *ast.Ident:
 		if pos, ok := local[e.Name]; ok {
 			return pos
 		}
-		return b.holding[e.Name]
+		return p.holding[e.Name]
 	case *ast.CallExpr:
 		switch f := e.Fun.(type) {
 		case *ast.Ident:
-			return b.returning[f.Name]
+			return p.returning[f.Name]
 		case *ast.SelectorExpr:
 			if x, ok := f.X.(*ast.Ident); ok {
 				switch x.Name + "." + f.Sel.Name {
 				case "errors.New", "errors.Join":
 					return e.Pos()
 				case "fmt.Errorf":
-					if !b.followWrapped || !wraps(e) {
+					if !p.followWrapped || !wraps(e) {
 						return e.Pos()
 					}
 					for _, a := range e.Args[1:] {
-						if pos := b.uncodedAt(a, local); pos.IsValid() {
+						if pos := p.uncodedAt(a, local); pos.IsValid() {
 							return pos
 						}
 					}
 					return token.NoPos
 				}
 			}
-			return b.returning[f.Sel.Name] // a method of the package, or another one of the same name
+			return p.returning[f.Sel.Name] // a method of the package, or another one of the same name
 		}
 	case *ast.ParenExpr:
-		return b.uncodedAt(e.X, local)
+		return p.uncodedAt(e.X, local)
 	}
 	return token.NoPos
 }
@@ -207,7 +207,7 @@
 }
 
 // trackAssignment records which local variables hold an uncoded error after an assignment.
-func (b *packageErrors) trackAssignment(n *ast.AssignStmt, local map[string]token.Pos) {
+func (p *packageErrors) trackAssignment(n *ast.AssignStmt, local map[string]token.Pos) {
 	for i, l := range n.Lhs {
 		id, ok := l.(*ast.Ident)
 		if !ok || id.Name == "_" {
@@ -217,7 +217,7 @@
 		if len(n.Rhs) == 1 && len(n.Lhs) > 1 && i != len(n.Lhs)-1 {
 			continue // the error is the last result
 		}
-		if pos := b.uncodedAt(value, local); pos.IsValid() {
+		if pos := p.uncodedAt(value, local); pos.IsValid() {
 			local[id.Name] = pos
 		} else if _, typed := value.(*ast.UnaryExpr); typed { // err = &Type{...}
 			delete(local, id.Name)
@@ -227,7 +227,7 @@
 
 // returnsUncodedAt returns the place where an uncoded error that a function returns is made; token.NoPos: it returns none.
 // Function literals in it are skipped.
-func (b *packageErrors) returnsUncodedAt(d *ast.FuncDecl) (at token.Pos) {
+func (p *packageErrors) returnsUncodedAt(d *ast.FuncDecl) (at token.Pos) {
 	local := map[string]token.Pos{}
 	named := []string{}
 	for _, r := range d.Type.Results.List {
@@ -240,10 +240,10 @@
 		case *ast.FuncLit:
 			return false
 		case *ast.AssignStmt:
-			b.trackAssignment(n, local)
+			p.trackAssignment(n, local)
 		case *ast.ReturnStmt:
 			for _, r := range n.Results {
-				if pos := b.uncodedAt(r, local); pos.IsValid() && !at.IsValid() {
+				if pos := p.uncodedAt(r, local); pos.IsValid() && !at.IsValid() {
 					at = pos
 				}
 			}
--- a/internal/testkit/sourcelint/logs.go
+++ b/internal/testkit/sourcelint/logs.go
@@ -14,20 +14,20 @@
 // UncodedLogs lists each place where the package in a folder logs at warn or above without an error code: without
 // operr.Fields, with the error in WithError or in the arguments of the logging call, or with operr.Fields of an uncoded error.
 func UncodedLogs(folder string) ([]string, error) {
-	b, err := analyzePackage(folder, true)
+	p, err := analyzePackage(folder, true)
 	if err != nil {
 		return nil, err
 	}
 	var found []string
-	for _, d := range b.functions {
+	for _, d := range p.functions {
 		local := map[string]token.Pos{}
 		ast.Inspect(d.Body, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.AssignStmt:
-				b.trackAssignment(n, local)
+				p.trackAssignment(n, local)
 			case *ast.CallExpr:
-				if problem := b.logProblem(n, local); problem != "" {
-					found = append(found, fmt.Sprintf("%v: %s: %s", b.fileSet.Position(n.Pos()), d.Name.Name, problem))
+				if problem := p.logProblem(n, local); problem != "" {
+					found = append(found, fmt.Sprintf("%v: %s: %s", p.fileSet.Position(n.Pos()), d.Name.Name, problem))
 				}
 			}
 			return true
@@ -38,7 +38,7 @@
 }
 
 // logProblem says what is wrong with a logging call; "": nothing, or the call does not log.
-func (b *packageErrors) logProblem(n *ast.CallExpr, local map[string]token.Pos) string {
+func (p *packageErrors) logProblem(n *ast.CallExpr, local map[string]token.Pos) string {
 	f, ok := n.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return ""
@@ -75,7 +75,7 @@
 			}
 			for _, a := range c.Args {
 				if in, ok := a.(*ast.CallExpr); ok && isOperrFields(in) {
-					if coded = true; len(in.Args) == 1 && b.uncodedAt(in.Args[0], local).IsValid() {
+					if coded = true; len(in.Args) == 1 && p.uncodedAt(in.Args[0], local).IsValid() {
 						problem = "an uncoded error is logged"
 					}
 				}
--- a/internal/testkit/workload/schedule.go
+++ b/internal/testkit/workload/schedule.go
@@ -12,17 +12,17 @@
 
 // Request is one arrival. Class, Plan, Volume and Host are indexes; the shape and the sender map them to names.
 type Request struct {
-	Seq    uint64        // from 0
-	At     time.Duration // after the start
-	Class  int           // index into the shape's classes
-	Plan   int
-	Volume int
-	Host   int    // index of the host among the volume's hosts, from 0
-	Extent uint64 // id of the data that is read or written
-	Units  int
-	Shard  int    // -1: a write of a new object, or a read of one; only the answer to the write tells its shard
-	Of     uint64 // 1 + Seq of the write that created the object that is read; 0: not a read of a new object
-	Surge  bool   // drawn from the additional load of a surge
+	Seq       uint64        // from 0
+	At        time.Duration // after the start
+	Class     int           // index into the shape's classes
+	Plan      int
+	Volume    int
+	Host      int    // index of the host among the volume's hosts, from 0
+	Extent    uint64 // id of the data that is read or written
+	Units     int
+	Shard     int    // -1: a write of a new object, or a read of one; only the answer to the write tells its shard
+	CreatedBy uint64 // 1 + Seq of the write that created the object that is read; 0: not a read of a new object
+	Surge     bool   // drawn from the additional load of a surge
 }
 
 // Schedule generates a shape's requests in the order of their times.
@@ -236,7 +236,7 @@
 	case !class.Write && a.rng.Float64() < s.ReadNew:
 		if m, ok := a.drawRecentWrite(); ok {
 			r.Volume, r.Plan, r.Host = m.volume, a.volumePlans[m.volume], a.drawHost(m.volume)
-			r.Extent, r.Of, r.Shard = m.extent, m.seq+1, -1
+			r.Extent, r.CreatedBy, r.Shard = m.extent, m.seq+1, -1
 			return r
 		}
 	}
@@ -323,7 +323,7 @@
 		surge = 1
 	}
 	for _, x := range [...]uint64{uint64(r.At), uint64(r.Class)<<32 | uint64(r.Plan), uint64(r.Volume)<<16 | uint64(r.Host), r.Extent,
-		uint64(r.Units)<<1 | surge, uint64(int64(r.Shard)), r.Of} {
+		uint64(r.Units)<<1 | surge, uint64(int64(r.Shard)), r.CreatedBy} {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
 	_, _ = a.hash.Write(b)
--- a/internal/testkit/workload/schedule_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -66,9 +66,9 @@
 		case write && r.Shard < 0:
 			newObjects++
 			writes[r.Seq+1] = r
-		case r.Of != 0:
+		case r.CreatedBy != 0:
 			readsOfNew++
-			m, ok := writes[r.Of]
+			m, ok := writes[r.CreatedBy]
 			if !ok || write || m.Extent != r.Extent || m.Volume != r.Volume || r.At-m.At < 300*time.Millisecond || r.At-m.At > 8*time.Second {
 				t.Fatalf("read %+v does not match write %+v", r, m)
 			}
