--- a/cmd/loadtest/load.go
+++ b/cmd/loadtest/load.go
@@ -21,23 +21,23 @@
 	schedulersStarted = 2                     // schedulers that are started if no target is given
 	meanServiceTime   = 2 * time.Millisecond  // of a unit of work at a stand-in node
 	nodeWorkers       = 4                     // requests that a stand-in node serves concurrently
-	daemonMemoryMB    = 192                   // memory limit of a scheduler, MiB
+	daemonMemoryMiB   = 192                   // memory limit of a scheduler, MiB
 	retryWait         = 50 * time.Millisecond // before a client retries a request
-	firstSurgeMs      = 6000                  // ms; early enough for a short run
+	firstSurgeMs      = 6000                  // early enough for a short run
 )
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send open-loop load to schedulers; without --target, to two schedulers and stand-in nodes that it starts",
+		Name: "load", Usage: "send requests to schedulers at times that do not depend on the answers; without --target, starts two schedulers and stand-in nodes",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "`HOST:PORT` of a scheduler (may be repeated)"},
 			&cli.StringFlag{Name: "shape", Usage: "shape of the traffic, from the JSON `FILE`; see loadtest shape-schema"},
-			&cli.Float64Flag{Name: "rate", Usage: "requests a second, in place of the shape's rate"},
+			&cli.Float64Flag{Name: "rate", Usage: "requests per second, in place of the shape's rate"},
 			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "length"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the schedule"},
-			&cli.IntFlag{Name: "open", Value: 4096, Usage: "most requests in flight"},
-			&cli.IntFlag{Name: "conns", Value: 512, Usage: "most connections to one scheduler"},
-			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once"},
+			&cli.IntFlag{Name: "open", Value: 4096, Usage: "maximum number of requests in flight; further requests are not sent and make the run invalid"},
+			&cli.IntFlag{Name: "conns", Value: 512, Usage: "maximum number of connections to one scheduler"},
+			&cli.BoolFlag{Name: "retry", Value: true, Usage: "clients retry a refused or reset request once; --retry=false: never"},
 			&cli.StringFlag{Name: "json", Usage: "write the results to `FILE`"},
 		},
 		Action: runLoad,
@@ -74,20 +74,20 @@
 		return err
 	}
 	if c.Duration("for") <= 0 || c.Int("open") < 1 || c.Int("conns") < 1 {
-		return usageError{errors.New("for, open and conns must be above 0")}
+		return usageError{errors.New("--for, --open and --conns must be above 0")}
 	}
 	shape, err := readShape(c)
 	if err != nil {
 		return err
 	}
 	targets := c.StringSlice("target")
-	var own *fleet.Fleet // nil: the targets were given by flags
+	var startedFleet *fleet.Fleet // the schedulers that this command starts; nil: the targets were given by flags
 	if len(targets) == 0 {
-		if own, err = startFleet(c, shape, log); err != nil {
+		if startedFleet, err = startFleet(c, shape, log); err != nil {
 			return err
 		}
-		defer own.Close()
-		targets = own.Targets
+		defer startedFleet.Close()
+		targets = startedFleet.Targets
 	}
 	schedule, err := workload.New(shape, c.Uint64("seed"), c.Duration("for"))
 	if err != nil {
@@ -112,47 +112,47 @@
 	if err != nil {
 		return err
 	}
-	return reportLoad(c, res, schedule, own)
+	return reportLoad(c, res, schedule, startedFleet)
 }
 
 // startFleet starts stand-in nodes and schedulers for a shape of traffic.
 func startFleet(c *cli.Context, shape workload.Shape, log logrus.FieldLogger) (*fleet.Fleet, error) {
-	own, err := fleet.Start(c.Context, fleet.Options{
+	started, err := fleet.Start(c.Context, fleet.Options{
 		Shape:           shape,
 		Schedulers:      schedulersStarted,
 		MeanServiceTime: meanServiceTime,
 		Workers:         nodeWorkers,
 		Seed:            c.Uint64("seed"),
-		MemoryMB:        daemonMemoryMB,
+		MemoryMB:        daemonMemoryMiB,
 		Log:             log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"nodes": len(own.Nodes), "schedulers": len(own.Targets)}).Info("started")
-	return own, nil
+	log.WithFields(logrus.Fields{"nodes": len(started.Nodes), "schedulers": len(started.Targets)}).Info("started")
+	return started, nil
 }
 
 // reportLoad prints the result and writes it to a file. It stops the schedulers that this command started, because their
 // processor time is known only then. The error is of type boundNotMet if the load generator itself was too slow for the
 // run to be valid.
-func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, own *fleet.Fleet) error {
+func reportLoad(c *cli.Context, res *load.Results, schedule *workload.Schedule, startedFleet *fleet.Fleet) error {
 	if err := res.Print(c.App.Writer); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.App.Writer, "schedule of %d requests, hash %016x\n", schedule.Generated(), schedule.Hash())
-	if own != nil {
-		if err := own.Stop(); err != nil {
+	if startedFleet != nil {
+		if err := startedFleet.Stop(); err != nil {
 			return err
 		}
-		perRequest := own.CPU() / time.Duration(max(1, res.Notes.Sent))
-		fmt.Fprintf(c.App.Writer, "processor time of the schedulers: %v, %v a request\n", own.CPU().Round(time.Millisecond),
+		perRequest := startedFleet.CPU() / time.Duration(max(1, res.Generator.Sent))
+		fmt.Fprintf(c.App.Writer, "processor time of the schedulers: %v, %v a request\n", startedFleet.CPU().Round(time.Millisecond),
 			perRequest.Round(time.Microsecond))
 	}
 	if err := writeJSON(c.String("json"), res); err != nil {
 		return err
 	}
-	if verdict := res.Notes.Evaluate(); !verdict.Valid {
+	if verdict := res.Generator.Evaluate(); !verdict.Valid {
 		return boundNotMet("the run is not valid: " + verdict.Reasons[0])
 	}
 	return nil
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -25,19 +25,19 @@
 	maxPause            = 400 * time.Millisecond // of a node between rows
 )
 
-// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the length, not on
+// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the duration, not on
 // the mode or on timing.
-func drawFaultRounds(seed uint64, w Setup, span time.Duration) (all []faultRound) {
+func drawFaultRounds(seed uint64, setup Setup, duration time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
 	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
-	for at := time.Duration(0); at < span; at += roundInterval {
+	for at := time.Duration(0); at < duration; at += roundInterval {
 		c := faultRound{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
-		for s := range w.Shards {
+		for s := range setup.Shards {
 			if rng.Float64() >= shardFaultChance {
 				continue
 			}
-			f := node.RowFault{AfterRows: rng.IntN(w.Rows.RowsPerShard)}
+			f := node.RowFault{AfterRows: rng.IntN(setup.Rows.RowsPerShard)}
 			switch rng.IntN(4) {
 			case 0:
 				f.Delay = randomDuration(maxDelay)
@@ -48,10 +48,10 @@
 			case 3:
 				f.Stall = true
 			}
-			c.nodes[s*w.Replicas+rng.IntN(w.Replicas)] = f
+			c.nodes[s*setup.Replicas+rng.IntN(setup.Replicas)] = f
 		}
 		for range faultyLinksPerRound {
-			to := [2]int{rng.IntN(w.Processes), rng.IntN(w.Shards * w.Replicas)}
+			to := [2]int{rng.IntN(setup.Processes), rng.IntN(setup.Shards * setup.Replicas)}
 			switch rng.IntN(3) {
 			case 0:
 				c.links[to] = link.Fault{Silent: true}
@@ -61,8 +61,8 @@
 				c.links[to] = link.Fault{Delay: randomDuration(maxDelay) / 2}
 			}
 		}
-		if !killed && at >= time.Duration(killAtShare*float64(span)) {
-			killed, c.kill = true, rng.IntN(w.Processes)
+		if !killed && at >= time.Duration(killAtShare*float64(duration)) {
+			killed, c.kill = true, rng.IntN(setup.Processes)
 		}
 		all = append(all, c)
 	}
@@ -81,18 +81,18 @@
 	Killed   int `json:"killed"`
 }
 
-func (h *faultCounts) add(o faultCounts) {
-	h.Late, h.Stopped, h.Cut, h.Stalled = h.Late+o.Late, h.Stopped+o.Stopped, h.Cut+o.Cut, h.Stalled+o.Stalled
-	h.Silenced, h.Reset, h.Delayed, h.Killed = h.Silenced+o.Silenced, h.Reset+o.Reset, h.Delayed+o.Delayed, h.Killed+o.Killed
+func (f *faultCounts) add(o faultCounts) {
+	f.Late, f.Stopped, f.Cut, f.Stalled = f.Late+o.Late, f.Stopped+o.Stopped, f.Cut+o.Cut, f.Stalled+o.Stalled
+	f.Silenced, f.Reset, f.Delayed, f.Killed = f.Silenced+o.Silenced, f.Reset+o.Reset, f.Delayed+o.Delayed, f.Killed+o.Killed
 }
 
 // missing names the kinds of faults that did not occur: the measurements say nothing about them.
-func (h *faultCounts) missing() (names []string) {
+func (f *faultCounts) missing() (names []string) {
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"late nodes", h.Late}, {"stops", h.Stopped}, {"cuts", h.Cut}, {"nodes silent for good", h.Stalled}, {"silent links", h.Silenced},
-		{"reset links", h.Reset}, {"slow links", h.Delayed}, {"killed processes", h.Killed}} {
+	}{{"late nodes", f.Late}, {"stops", f.Stopped}, {"cuts", f.Cut}, {"nodes silent for good", f.Stalled}, {"silent links", f.Silenced},
+		{"reset links", f.Reset}, {"slow links", f.Delayed}, {"killed processes", f.Killed}} {
 		if x.n == 0 {
 			names = append(names, x.name)
 		}
--- a/internal/testkit/experiment/load/load_test.go
+++ b/internal/testkit/experiment/load/load_test.go
@@ -78,8 +78,8 @@
 		s.Steps = []workload.Step{{At: 0, Times: 0}, {At: 2000, Times: 1}}
 		res, srv := runLoad(t, opt, server.Answer, s, 22*time.Second, nil)
 		all := res.All()
-		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Notes.Evaluate().Valid {
-			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Notes.Evaluate())
+		if all.Arrivals < 7990 || all.ByOutcome[client.Served] != all.Arrivals || !res.Generator.Evaluate().Valid {
+			t.Fatalf("outcomes %+v, verdict %v", all.ByOutcome, res.Generator.Evaluate())
 		}
 		for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 			got, want := all.Latency.Quantile(q), srv.Quantile(q)
@@ -94,7 +94,7 @@
 			at += took
 		}
 		if got := closed.Quantile(0.9); got > srv.Quantile(0.95) || closed.Quantile(0.98) > srv.Quantile(0.99)/2 {
-			t.Errorf("the closed loop shows the stall: p90 %v, p98 %v", got, closed.Quantile(0.98))
+			t.Errorf("the latencies of the closed loop should hide the stall, but show it: p90 %v, p98 %v", got, closed.Quantile(0.98))
 		}
 	})
 }
@@ -124,12 +124,12 @@
 	}
 }
 
-// Requests held back by the limit on open requests are counted under its name and make the run invalid.
+// Requests that are not sent because of the limit on open requests are counted under its name and make the run invalid.
 func TestOpenLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		res, _ := runLoad(t, server.Options{}, server.Hang, constantRateShape(100), time.Second, func(o *Options) { o.MaxOpen = 10 })
-		all, v := res.All(), res.Notes.Evaluate()
-		if all.Kept != all.Arrivals-10 || res.Notes.Unsent[KeptAtOpenLimit] != all.Kept || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), KeptAtOpenLimit) {
+		all, v := res.All(), res.Generator.Evaluate()
+		if all.Unsent != all.Arrivals-10 || res.Generator.Unsent[UnsentAtOpenLimit] != all.Unsent || v.Valid || !strings.Contains(strings.Join(v.Reasons, ";"), UnsentAtOpenLimit) {
 			t.Errorf("outcomes %+v, verdict %v", all, v)
 		}
 	})
@@ -161,7 +161,7 @@
 		for name, p := range one.Classes {
 			o := sum.Classes[name]
 			if p.Arrivals != o.Arrivals || p.ByOutcome != o.ByOutcome || !p.Latency.Equals(o.Latency.Histogram) || p.InAim != o.InAim {
-				t.Errorf("%s: one worker counted %d arrivals, two merged %d", name, p.Arrivals, o.Arrivals)
+				t.Errorf("%s: counts of one worker (%d arrivals) differ from those of two workers merged (%d arrivals)", name, p.Arrivals, o.Arrivals)
 			}
 		}
 		if len(sum.Seconds) != len(one.Seconds) {
