--- a/internal/httpfront/addresses_test.go
+++ b/internal/httpfront/addresses_test.go
@@ -26,16 +26,16 @@
 
 const ms = time.Millisecond
 
-// addressHarness is a fake node on a Unix socket, ::1 and 127.0.0.1, and a client of it.
+// addressHarness is a fake node on a Unix socket, ::1 and 127.0.0.1, and a node client for it.
 type addressHarness struct {
-	t         *testing.T
-	node      *fakenode.Node
-	addresses []address.Addr // in order of preference
-	dialer    *Dialer
-	client    core.NodeClient
-	hook      *logtest.Hook
-	count     atomic.Int64
-	gate      atomic.Pointer[chan struct{}]
+	t            *testing.T
+	node         *fakenode.Node
+	addresses    []address.Addr // in order of preference
+	dialer       *Dialer
+	client       core.NodeClient
+	hook         *logtest.Hook
+	requestCount atomic.Int64
+	gate         atomic.Pointer[chan struct{}] // not nil: the node responds only once the channel is closed
 }
 
 // withoutSuspicion returns settings with which no stall of the machine makes an address suspect.
@@ -55,7 +55,7 @@
 	return s
 }
 
-func newAddressHarness(t *testing.T, set address.Settings, slow ...time.Duration) *addressHarness {
+func newAddressHarness(t *testing.T, set address.Settings, serviceTime ...time.Duration) *addressHarness {
 	t.Helper()
 	r := &addressHarness{t: t}
 	r.node = fakenode.New(fakenode.Options{Name: "n", Shard: 0, Workers: 64, IdentityHeader: "X-Node",
@@ -63,8 +63,8 @@
 			if g := r.gate.Load(); g != nil {
 				<-*g // until the test releases it
 			}
-			if len(slow) > 0 {
-				took = slow[0]
+			if len(serviceTime) > 0 {
+				took = serviceTime[0]
 			}
 			return took
 		}})
@@ -98,15 +98,15 @@
 	}
 }
 
-const readText = "GET /balance-read/x?shard=0 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: basic\r\nCookie: extent=7f3a9c21e0b4d655\r\n" +
+const readRequestFormat = "GET /balance-read/x?shard=0 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %s\r\nTier: basic\r\nCookie: extent=7f3a9c21e0b4d655\r\n" +
 	"X-Deadline-Ms: 60000\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n"
-const recordText = "PUT /new-record/x?shard=0 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %[1]s\r\nIdempotency-Key: k%[1]s\r\nTier: basic\r\n" +
+const writeRequestFormat = "PUT /new-record/x?shard=0 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %[1]s\r\nIdempotency-Key: k%[1]s\r\nTier: basic\r\n" +
 	"Cookie: extent=7f3a9c21e0b4d655\r\nX-Deadline-Ms: 60000\r\nContent-Length: 1\r\nIO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\nx"
 
 // send starts an attempt of a new request and returns its id and the channel of its result.
 func (r *addressHarness) send(text string, until time.Duration) (string, chan core.Result) {
 	r.t.Helper()
-	id := fmt.Sprint("q", r.count.Add(1))
+	id := fmt.Sprint("q", r.requestCount.Add(1))
 	var m fasthttp.Request
 	if err := m.Read(bufio.NewReader(strings.NewReader(fmt.Sprintf(text, id)))); err != nil {
 		r.t.Fatal(err)
@@ -132,7 +132,7 @@
 	}
 	all := r.node.Arrivals(id)
 	if len(all) != 1 || r.node.Executions(id) != 1 {
-		r.t.Fatalf("%s: arrivals %+v", id, all)
+		r.t.Fatalf("%s: arrivals %+v, want one arrival and one execution", id, all)
 	}
 	return all[0].Addr
 }
@@ -141,7 +141,7 @@
 func (r *addressHarness) readUntil(what string, ok func(address.Addr) bool) {
 	r.t.Helper()
 	for range 20000 {
-		id, got := r.send(readText, 400*ms) // some hang on a faulty address
+		id, got := r.send(readRequestFormat, 400*ms) // some hang on a faulty address
 		x := <-got
 		if x.Status != policy.OK {
 			time.Sleep(ms)
@@ -160,25 +160,25 @@
 func TestAddressesAreUsedInOrderOfPreference(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
 	for range 20 {
-		if by := r.expectServed(recordText); by != r.addresses[0] {
-			t.Fatalf("request used address %v", by)
+		if by := r.expectServed(writeRequestFormat); by != r.addresses[0] {
+			t.Fatalf("request used address %v, want the preferred one", by)
 		}
 	}
 	if c := r.node.Counts(); c.Conns != 1 || c.Executions != 20 {
-		t.Errorf("node counts %+v", c)
+		t.Errorf("node counts %+v, want 20 executions over one connection", c)
 	}
 	for i, f := range []fakenode.Fault{fakenode.Refused, fakenode.StaleFile, fakenode.NotASocket} {
 		r.set(0, f)
-		if by := r.expectServed(recordText); by == r.addresses[0] {
-			t.Errorf("%v: request used address %v", f, by)
+		if by := r.expectServed(writeRequestFormat); by == r.addresses[0] {
+			t.Errorf("preferred address with fault %v: request used address %v", f, by)
 		}
 		r.set(0, fakenode.None)
 		r.readUntil("return to the preferred address", func(by address.Addr) bool { return by == r.addresses[0] })
 		if i == 0 {
 			r.set(1, fakenode.Refused) // the second address fails as well, and the third serves
 			r.set(0, fakenode.Refused)
-			if by := r.expectServed(recordText); by != r.addresses[2] {
-				t.Errorf("request used address %v", by)
+			if by := r.expectServed(writeRequestFormat); by != r.addresses[2] {
+				t.Errorf("request used address %v, want the third one", by)
 			}
 			r.set(1, fakenode.None)
 			r.set(0, fakenode.None)
@@ -191,23 +191,23 @@
 // else. The others use the next address, and only reads probe the hung address, on one connection at a time.
 func TestAddressAcceptsAndHangs(t *testing.T) {
 	r := newAddressHarness(t, withShortTimes())
-	r.expectServed(readText)
+	r.expectServed(readRequestFormat)
 	r.set(0, fakenode.Hang)
-	hanging, got := r.send(recordText, 3*time.Second)
+	hanging, got := r.send(writeRequestFormat, 3*time.Second)
 	r.readUntil("switch to the next address", func(by address.Addr) bool { return by == r.addresses[1] })
 	accepted := r.node.AcceptedConns(r.addresses[0])
 	for range 50 {
-		r.expectServed(recordText) // writes never use the hung address
+		r.expectServed(writeRequestFormat) // writes never use the hung address
 	}
 	for r.node.AcceptedConns(r.addresses[0]) < accepted+2 {
-		_, got := r.send(readText, 300*ms) // some are trials of the hung address
+		_, got := r.send(readRequestFormat, 300*ms) // some are trials of the hung address
 		<-got
 		if open := r.node.OpenConns(r.addresses[0]); open > 1+1 { // the hanging write and one trial
 			t.Fatalf("%d connections to the hung address", open)
 		}
 	}
 	if x := <-got; x.Status != policy.TimedOut || len(r.node.Arrivals(hanging)) != 0 {
-		t.Errorf("write on the hung address: %+v, arrived %v", x, r.node.Arrivals(hanging))
+		t.Errorf("write on the hung address ended as %+v, arrivals %v, want a timeout and no arrival", x, r.node.Arrivals(hanging))
 	}
 	r.set(0, fakenode.None)
 	r.readUntil("return to the preferred address", func(by address.Addr) bool { return by == r.addresses[0] })
@@ -218,18 +218,18 @@
 func TestWrittenRequestIsNotResent(t *testing.T) {
 	for _, f := range []fakenode.Fault{fakenode.NoResponse, fakenode.HalfResponse, fakenode.Reset, fakenode.Hang} {
 		r := newAddressHarness(t, withShortTimes())
-		r.expectServed(readText)
+		r.expectServed(readRequestFormat)
 		r.set(0, f)
 		var ids []string
 		var results []chan core.Result
 		for range 5 {
-			id, got := r.send(recordText, time.Second)
+			id, got := r.send(writeRequestFormat, time.Second)
 			ids, results = append(ids, id), append(results, got)
 		}
 		for i, got := range results {
 			x := <-got
 			if n := len(r.node.Arrivals(ids[i])); n > 1 || r.node.Executions(ids[i]) > 1 || x.Status == policy.OK && n != 1 || len(got) > 0 {
-				t.Errorf("%v: %+v, arrived %d times", f, x, n)
+				t.Errorf("fault %v: attempt ended as %+v, request arrived %d times", f, x, n)
 			}
 		}
 	}
@@ -238,13 +238,13 @@
 // All addresses fail at once, then one recovers: there is no burst of dials.
 func TestAllAddressesFail(t *testing.T) {
 	r := newAddressHarness(t, withoutSuspicion())
-	r.expectServed(readText)
+	r.expectServed(readRequestFormat)
 	for i := range r.addresses {
 		r.set(i, fakenode.Refused)
 	}
 	failed := 0
 	for failed < 300 {
-		_, got := r.send(readText, time.Minute)
+		_, got := r.send(readRequestFormat, time.Minute)
 		if x := <-got; x.Status == policy.OK {
 			t.Fatal("a read was served although all addresses fail")
 		}
@@ -256,16 +256,16 @@
 	r.set(2, fakenode.None)
 	var trial chan core.Result
 	for trial == nil || r.node.Counts().Requests == 0 {
-		_, got := r.send(recordText, time.Minute)
+		_, got := r.send(writeRequestFormat, time.Minute)
 		for len(got) == 0 && r.node.Counts().Requests == 0 {
 			time.Sleep(ms)
 		}
 		trial = got
 	}
 	for range 200 { // while the trial is in flight, other attempts end as not run and dial nothing
-		_, got := r.send(recordText, time.Minute)
+		_, got := r.send(writeRequestFormat, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Errorf("attempt ended as %+v", x)
+			t.Errorf("attempt during the trial ended as %+v", x)
 		}
 	}
 	if n := r.node.AcceptedConns(r.addresses[2]); n != 1 {
@@ -288,14 +288,14 @@
 	for _, identity := range []string{"", "X-Node"} {
 		r := newAddressHarness(t, withShortTimes())
 		r.dialer.Addresses.Set(AddressSettings{Selector: withShortTimes(), IdentityHeader: identity})
-		r.expectServed(readText)
+		r.expectServed(readRequestFormat)
 		r.client.Drain(false)
 		r.set(0, fakenode.Refused)
 		r.set(0, fakenode.OtherNode)
 		full, abandoned := 0, 0
 		r.readUntil("switch to another address", func(by address.Addr) bool { return by == r.addresses[1] })
 		for r.node.Counts().Rejected < 12 && identity == "" || abandoned == 0 {
-			_, got := r.send(readText, time.Minute)
+			_, got := r.send(readRequestFormat, time.Minute)
 			switch x := <-got; x.Status {
 			case policy.NodeFull:
 				full++
@@ -331,7 +331,7 @@
 	}
 	var results []chan core.Result
 	for range 10 {
-		_, got := r.send(recordText, time.Minute)
+		_, got := r.send(writeRequestFormat, time.Minute)
 		results = append(results, got)
 	}
 	for waiting.Load() < 10 {
@@ -340,7 +340,7 @@
 	r.client.Drain(true)
 	for _, got := range results {
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Errorf("attempt ended as %+v", x)
+			t.Errorf("attempt that waited for a dial when the node began to drain ended as %+v", x)
 		}
 	}
 	close(release)
@@ -350,12 +350,12 @@
 	for r.node.OpenConns(r.addresses[0])+r.node.OpenConns(r.addresses[1])+r.node.OpenConns(r.addresses[2]) > 0 {
 		time.Sleep(ms) // loops until connections that were established late are closed
 	}
-	_, got := r.send(recordText, time.Minute)
+	_, got := r.send(writeRequestFormat, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed || r.node.Counts().Requests != 0 {
-		t.Errorf("while draining: %+v, %d requests arrived", x, r.node.Counts().Requests)
+		t.Errorf("attempt on the draining node ended as %+v, %d requests arrived", x, r.node.Counts().Requests)
 	}
 	r.client.Drain(false)
-	r.expectServed(recordText)
+	r.expectServed(writeRequestFormat)
 }
 
 // A dial that fails for lack of descriptors does not count against the address, which serves again once there are
@@ -371,28 +371,28 @@
 	}
 	noDescriptors.Store(true)
 	for range 20 {
-		_, got := r.send(recordText, time.Minute)
+		_, got := r.send(writeRequestFormat, time.Minute)
 		if x := <-got; x.Status != policy.ConnectFailed {
-			t.Fatalf("attempt ended as %+v", x)
+			t.Fatalf("attempt without a descriptor ended as %+v", x)
 		}
 	}
 	noDescriptors.Store(false)
-	if by := r.expectServed(recordText); by != r.addresses[0] {
-		t.Errorf("request used address %v", by)
+	if by := r.expectServed(writeRequestFormat); by != r.addresses[0] {
+		t.Errorf("request used address %v, want the preferred one", by)
 	}
 	r.dialer.MaxConns = 1 // the scheduler's own connection limit has the same effect
 	done := make(chan bool)
 	go func() { r.set(0, fakenode.Hang); close(done) }()
 	<-done
-	_, hanging := r.send(readText, 500*ms)
-	_, got := r.send(recordText, time.Minute)
+	_, hanging := r.send(readRequestFormat, 500*ms)
+	_, got := r.send(writeRequestFormat, time.Minute)
 	if x := <-got; x.Status != policy.ConnectFailed {
-		t.Errorf("attempt ended as %+v", x)
+		t.Errorf("attempt at the connection limit ended as %+v", x)
 	}
 	<-hanging
 	for _, e := range r.hook.AllEntries() {
 		if a := e.Data["address"]; a == r.addresses[1].String() || a == r.addresses[2].String() {
-			t.Errorf("address state was changed: %v", e.Data)
+			t.Errorf("a change of the address's state was logged: %v", e.Data)
 		}
 	}
 }
@@ -410,7 +410,7 @@
 		p := r.dialer.Connect(fmt.Sprint("n", i), r.addresses[1:])
 		defer p.Close() //nolint:gocritic // all are closed at the end of the test
 		r.client = p
-		if by := r.expectServed(recordText); by != r.addresses[2] {
+		if by := r.expectServed(writeRequestFormat); by != r.addresses[2] {
 			t.Errorf("request used address %v", by)
 		}
 	}
@@ -436,16 +436,16 @@
 	slow := newFakeNode(t, func(nc net.Conn) bool { <-release; fmt.Fprint(nc, okResponse); return true })
 	r.client = r.dialer.Connect("m", addressesOf(slow.ln))
 	defer r.client.Close()
-	_, first := r.send(recordText, time.Minute)
+	_, first := r.send(writeRequestFormat, time.Minute)
 	for slow.requests.Load() < 1 {
 		time.Sleep(ms)
 	}
 	r.client.SetAddresses(r.addresses)
-	if by := r.expectServed(recordText); by != r.addresses[0] {
+	if by := r.expectServed(writeRequestFormat); by != r.addresses[0] {
 		t.Errorf("request used address %v", by)
 	}
 	r.client.SetAddresses(r.addresses[2:])
-	if by := r.expectServed(recordText); by != r.addresses[2] {
+	if by := r.expectServed(writeRequestFormat); by != r.addresses[2] {
 		t.Errorf("request used address %v", by)
 	}
 	release <- true
@@ -455,9 +455,9 @@
 	one := r.dialer.Connect("o", r.addresses[2:])
 	defer one.Close()
 	r.client = one
-	r.expectServed(recordText)
+	r.expectServed(writeRequestFormat)
 	one.SetAddresses(r.addresses[1:2]) // one address replaced by another, without a selector
-	if by := r.expectServed(recordText); by != r.addresses[1] {
+	if by := r.expectServed(writeRequestFormat); by != r.addresses[1] {
 		t.Errorf("request used address %v", by)
 	}
 }
@@ -490,9 +490,9 @@
 		clients.Go(func() {
 			for j := range 60 {
 				id := fmt.Sprintf("c%d-%d", i, j)
-				text := recordText
+				text := writeRequestFormat
 				if j%2 == 0 {
-					text = readText
+					text = readRequestFormat
 				}
 				if a := f.send(t, fmt.Sprintf(text, id)); a.StatusCode() != 200 || string(a.Body()) != id {
 					t.Errorf("%s: status %d, body %q", id, a.StatusCode(), a.Body())
@@ -533,9 +533,9 @@
 // it. A non-idempotent write is never retried.
 func TestUnansweredWriteIsRetriedWithinDedupWindow(t *testing.T) {
 	for _, x := range []struct {
-		class string
-		after time.Duration // service time of the first attempt
-		again bool
+		class       string
+		serviceTime time.Duration // service time of the first attempt
+		retried     bool
 	}{{"new-record", 0, true}, {"new-record", 2600 * ms, false}, {"once", 0, false}} {
 		r := newAddressHarness(t, withShortTimes())
 		set := testSettings()
@@ -543,27 +543,27 @@
 		set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 30e3, 20e3
 		set.Classes = append(set.Classes, policy.Class{Name: "once", LatencyObjective: 20e3, Deadline: 30e3, PriorityWeight: 1, Effect: policy.NonIdempotent})
 		f, _ := r.startServer(set, 50)
-		f.send(t, fmt.Sprintf(readText, "warm"))
+		f.send(t, fmt.Sprintf(readRequestFormat, "warm"))
 		gate := make(chan struct{})
 		r.gate.Store(&gate)
 		r.set(0, fakenode.HalfResponse)
 		done := make(chan int, 1)
 		go func() {
-			done <- f.send(t, strings.Replace(fmt.Sprintf(recordText, "d"), "new-record", x.class, 1)).StatusCode()
+			done <- f.send(t, strings.Replace(fmt.Sprintf(writeRequestFormat, "d"), "new-record", x.class, 1)).StatusCode()
 		}()
 		for len(r.node.Arrivals("d")) == 0 {
 			time.Sleep(ms)
 		}
-		time.Sleep(x.after)
+		time.Sleep(x.serviceTime)
 		r.gate.Store(nil)
 		close(gate)
 		code, all := <-done, r.node.Arrivals("d")
-		if r.node.Executions("d") != 1 || r.node.KeyExecutions("kd") != 1 || (len(all) > 1) != x.again || (code == 200) != x.again {
+		if r.node.Executions("d") != 1 || r.node.KeyExecutions("kd") != 1 || (len(all) > 1) != x.retried || (code == 200) != x.retried {
 			t.Errorf("%+v: status %d, arrivals %+v", x, code, all)
 		}
 		// A single break of a reused connection does not make its address suspect, so the first retry may use it again.
-		if last := all[len(all)-1]; x.again && (last.Addr == all[0].Addr || last.At.Sub(all[0].At) > 2500*ms) {
-			t.Errorf("%+v: last retry on the same address or after the window: %+v", x, all)
+		if last := all[len(all)-1]; x.retried && (last.Addr == all[0].Addr || last.At.Sub(all[0].At) > 2500*ms) {
+			t.Errorf("%+v: last retry used the same address or came after the deduplication window: %+v", x, all)
 		}
 	}
 }
@@ -580,7 +580,7 @@
 	var n atomic.Int64
 	sendRead := func() {
 		wg.Go(func() {
-			text := strings.Replace(readText, "X-Deadline-Ms: 60000", "X-Deadline-Ms: 900", 1)
+			text := strings.Replace(readRequestFormat, "X-Deadline-Ms: 60000", "X-Deadline-Ms: 900", 1)
 			nc, err := net.Dial("tcp", f.address)
 			if err != nil {
 				return
@@ -591,7 +591,7 @@
 			_ = a.Read(bufio.NewReader(nc))
 		})
 	}
-	f.send(t, fmt.Sprintf(readText, "warm"))
+	f.send(t, fmt.Sprintf(readRequestFormat, "warm"))
 	for i := range r.addresses {
 		r.set(i, fakenode.Refused)
 	}
--- a/internal/httpfront/body_test.go
+++ b/internal/httpfront/body_test.go
@@ -113,7 +113,7 @@
 				line, _ := br.ReadString('\n')
 				_, _ = br.ReadString('\n')
 				if !strings.HasPrefix(line, "HTTP/1.1 100") {
-					t.Errorf("%d: %q before the body", i, line)
+					t.Errorf("request %d: got %q before the body, want 100 Continue", i, line)
 					return
 				}
 			}
@@ -129,7 +129,7 @@
 			}()
 			var r fasthttp.Response
 			if err := r.Read(br); err != nil {
-				t.Errorf("%d: %v", i, err)
+				t.Errorf("request %d: no response: %v", i, err)
 				return
 			}
 			mu.Lock()
@@ -137,17 +137,17 @@
 			mu.Unlock()
 			switch {
 			case r.StatusCode() == 200 && !bytes.Equal(r.Body(), body):
-				t.Errorf("%d: %d bytes came back, not the %d sent", i, len(r.Body()), size)
+				t.Errorf("request %d: %d bytes came back, which differ from the %d sent", i, len(r.Body()), size)
 			case r.StatusCode() == 503 && len(r.Header.Peek("Retry-After")) == 0:
-				t.Errorf("%d: rejected without Retry-After", i)
+				t.Errorf("request %d: rejected without Retry-After", i)
 			case r.StatusCode() != 200 && r.StatusCode() != 503:
-				t.Errorf("%d: status %d, body %q", i, r.StatusCode(), r.Body())
+				t.Errorf("request %d: status %d, body %q, want status 200 or 503", i, r.StatusCode(), r.Body())
 			}
 		}()
 	}
 	all.Wait()
 	if counts[200] == 0 {
-		t.Fatalf("no request was served: %v", counts)
+		t.Fatalf("no request was served, responses by status: %v", counts)
 	}
 	if !f.srv.BodyMemory.TryAcquire(6 << 20) {
 		t.Fatal("body memory is not all released after every write was answered")
@@ -183,16 +183,16 @@
 		head   string
 		framed []byte
 		cut    int
-	}{{short, shortFramed, 10}, {head, framed, 100 << 10}} { // within the part that fasthttp reads, and after it
-		still, err := net.Dial("tcp", f.address)
+	}{{short, shortFramed, 10}, {head, framed, 100 << 10}} { // the body stalls within the part that fasthttp reads, and after it
+		stalled, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer still.Close() //nolint:gocritic // all are closed at the end of the test
-		_, _ = io.WriteString(still, x.head)
-		_, _ = still.Write(x.framed[:x.cut])
+		defer stalled.Close() //nolint:gocritic // all are closed at the end of the test
+		_, _ = io.WriteString(stalled, x.head)
+		_, _ = stalled.Write(x.framed[:x.cut])
 		r.Reset()
-		if err := r.Read(bufio.NewReader(still)); err != nil || r.StatusCode() != 408 || !r.ConnectionClose() {
+		if err := r.Read(bufio.NewReader(stalled)); err != nil || r.StatusCode() != 408 || !r.ConnectionClose() {
 			t.Fatalf("body that stalls after %d bytes: status %d, %v", x.cut, r.StatusCode(), err)
 		}
 	}
--- a/internal/httpfront/bounds_test.go
+++ b/internal/httpfront/bounds_test.go
@@ -18,13 +18,13 @@
 	f := newFront(t, respondWith(okResponse))
 	smaller := strings.Replace(validRequest, "units=2", "units=1", 1)
 	if r := f.send(t, validRequest); r.StatusCode() != 200 {
-		t.Fatalf("status %d", r.StatusCode())
+		t.Fatalf("request under the first settings: status %d", r.StatusCode())
 	}
 	first := f.srv.bounds()
 	var head fasthttp.RequestHeader
 	head.SetRequestURI("/new-record/x")
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != time.Minute+writeMargin {
-		t.Errorf("write timeout %v", w)
+		t.Errorf("write timeout %v under the first settings", w)
 	}
 	changed := testSettings()
 	changed.MaxUnits, changed.Classes[1].Effect, changed.Classes[0].Deadline = 1, policy.Idempotent, 120e3
@@ -35,21 +35,21 @@
 		t.Errorf("request over the new limit of units: status %d", r.StatusCode())
 	}
 	if r := f.send(t, smaller); r.StatusCode() != 200 {
-		t.Errorf("status %d", r.StatusCode())
+		t.Errorf("request within the new limit of units: status %d", r.StatusCode())
 	}
 	if w := f.srv.requestTimeouts(&head).WriteTimeout; w != 2*time.Minute+writeMargin {
 		t.Errorf("write timeout %v after the change", w)
 	}
 	d := &Dialer{Idempotent: map[string]bool{"balance-read": true}}
 	for _, x := range []struct {
-		set   *core.Settings
-		class string
-		safe  bool
+		set        *core.Settings
+		class      string
+		idempotent bool
 	}{{first.settings, "new-record", false}, {f.srv.bounds().settings, "new-record", true}, {first.settings, "none", false},
 		{nil, "balance-read", true}, {nil, "new-record", false}} {
 		r := &core.Request{Request: policy.Request{Class: x.class}, Settings: x.set}
-		if d.idempotent(r) != x.safe {
-			t.Errorf("%s: idempotent %v", x.class, !x.safe)
+		if d.idempotent(r) != x.idempotent {
+			t.Errorf("class %s: idempotent returned %v", x.class, !x.idempotent)
 		}
 	}
 	var m fasthttp.Request
@@ -57,6 +57,6 @@
 		t.Fatal(err)
 	}
 	if r, err := decode(&m, first); err != nil || r.Settings != first.settings {
-		t.Errorf("decoded with %v: %+v", err, r)
+		t.Errorf("decode: error %v; request %+v does not refer to the settings it was decoded with", err, r)
 	}
 }
--- a/internal/httpfront/closeafter_test.go
+++ b/internal/httpfront/closeafter_test.go
@@ -38,7 +38,7 @@
 		t.Helper()
 		r := &fasthttp.Response{}
 		if err := r.Read(c.Reader); err != nil || r.StatusCode() != 200 || r.ConnectionClose() != closes {
-			t.Errorf("%s: %v, status %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
+			t.Errorf("%s: error %v, status %d, Connection: close %v", what, err, r.StatusCode(), r.ConnectionClose())
 		}
 		if !closes {
 			return
--- a/internal/httpfront/codec_recorded_test.go
+++ b/internal/httpfront/codec_recorded_test.go
@@ -134,7 +134,7 @@
 	r := decodeResponse(&message, rep)
 	word, ok := statusWords[r.Status]
 	if !ok {
-		t.Fatalf("%q: status %v has no word", text, r.Status)
+		t.Fatalf("%q: status %v has no entry in statusWords", text, r.Status)
 	}
 	load := "none"
 	if r.Load != nil {
--- a/internal/httpfront/connclose_test.go
+++ b/internal/httpfront/connclose_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	r := &fasthttp.Response{}
 	if err := r.Read(c.Reader); err != nil || r.StatusCode() != code || r.ConnectionClose() != closes {
-		t.Fatalf("%s: %v, status %d, closes %v", what, err, r.StatusCode(), r.ConnectionClose())
+		t.Fatalf("%s: error %v, status %d, Connection: close %v", what, err, r.StatusCode(), r.ConnectionClose())
 	}
 	if !closes {
 		return
@@ -84,7 +84,7 @@
 		}
 		c.Close()
 		if err := <-shutdownErr; err != nil || f.requests.Load() != count {
-			t.Errorf("%v, %d requests reached the node", err, f.requests.Load())
+			t.Errorf("shutdown ended with %v, %d requests reached the node", err, f.requests.Load())
 		}
 	})
 	t.Run("close after responses", func(t *testing.T) {
@@ -120,20 +120,20 @@
 	}
 	gate := transport.NewAcceptGate()
 	f := newFrontOn(t, gate.Wrap(ln), dialer(), respondWith(okResponse))
-	var swept atomic.Int64
+	var closeIdleCalls atomic.Int64
 	f.srv.http.ConnState = func(nc net.Conn, st fasthttp.ConnState) {
 		trackState(nc, st)
 		if st == fasthttp.StateIdle {
 			f.srv.CloseIdle(0)
-			swept.Add(1)
+			closeIdleCalls.Add(1)
 		}
 	}
 	gate.Open()
 	c := dialFront(t, f.address)
 	_, _ = io.WriteString(c, pipelinedRequests(2))
-	c.expectResponse(t, "first", 200, false)
-	c.expectResponse(t, "second", 200, false)
-	waitFor(t, func() bool { return swept.Load() == 2 })
+	c.expectResponse(t, "first pipelined request", 200, false)
+	c.expectResponse(t, "second pipelined request", 200, false)
+	waitFor(t, func() bool { return closeIdleCalls.Load() == 2 })
 }
 
 // holdingListener accepts connections. When armed, it blocks the server right after a read, before it sees the data.
@@ -150,7 +150,7 @@
 	listener *holdingListener
 }
 
-type holdingRaw struct {
+type holdingRawConn struct {
 	syscall.RawConn
 	listener *holdingListener
 }
@@ -165,10 +165,10 @@
 }
 
 func (c *holdingConn) SyscallConn() (syscall.RawConn, error) {
-	return holdingRaw{c.raw, c.listener}, nil
+	return holdingRawConn{c.raw, c.listener}, nil
 }
 
-func (r holdingRaw) Read(f func(uintptr) bool) error {
+func (r holdingRawConn) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if r.listener.armed.CompareAndSwap(true, false) {
 		r.listener.readDone <- true
@@ -207,7 +207,7 @@
 		}
 	}
 	close(holder.release)
-	c.expectResponse(t, "read during the shutdown", 200, true)
+	c.expectResponse(t, "request read during the shutdown", 200, true)
 	c.Close()
 	if err := <-shutdownErr; err != nil {
 		t.Error(err)
@@ -264,11 +264,11 @@
 		}
 		_, _ = io.WriteString(c, head)
 		if _, err := io.WriteString(c, strings.Repeat("the rest ", 200<<10)); err != nil { // more than the socket buffers hold
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: write of the rest of the request: %v", what, err)
 		}
 		r := &fasthttp.Response{}
 		if err := r.Read(c.Reader); err != nil || r.StatusCode()/100 != 4 || !r.ConnectionClose() {
-			t.Errorf("%s: %v, status %d", what, err, r.StatusCode())
+			t.Errorf("%s: error %v, status %d, want a closing 4xx response", what, err, r.StatusCode())
 		}
 		if _, err := c.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: read after the response: %v, want EOF", what, err)
@@ -287,7 +287,7 @@
 		t.Helper()
 		c := dialFront(t, f.address)
 		_, _ = io.WriteString(c, readyText)
-		c.expectResponse(t, "probe", 200, false)
+		c.expectResponse(t, "readiness check", 200, false)
 	}
 	probe()
 	if n := f.conns.Load(); n != 0 {
@@ -295,7 +295,7 @@
 	}
 	served := dialFront(t, f.address)
 	_, _ = io.WriteString(served, validRequest)
-	served.expectResponse(t, "under idle clients", 200, false)
+	served.expectResponse(t, "request beside idle clients", 200, false)
 	for i := range 300 {
 		c := dialFront(t, f.address)
 		_, _ = io.WriteString(c, requestNumbered(i))
@@ -306,5 +306,5 @@
 	waitFor(t, func() bool { return f.srv.Core.OpenRequests() == 0 })
 	served = dialFront(t, f.address)
 	_, _ = io.WriteString(served, strings.Replace(validRequest, "9b1f", "ffff", 1))
-	served.expectResponse(t, "after the clients that disconnected", 200, false)
+	served.expectResponse(t, "request after the clients that disconnected", 200, false)
 }
--- a/internal/httpfront/connrace_test.go
+++ b/internal/httpfront/connrace_test.go
@@ -85,7 +85,7 @@
 	return d, l
 }
 
-// idNode is a node that responds to each request with its id and keeps the connections open.
+// idNode is a node that responds to each request with the request's id and keeps the connections open.
 type idNode struct {
 	mu       sync.Mutex
 	conns    []net.Conn // in the order of their first requests
@@ -98,7 +98,7 @@
 	return s, addresses
 }
 
-// listen opens one more address.
+// listen makes the node accept connections at one more address.
 func (s *idNode) listen(t *testing.T) []address.Addr {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,7 +232,7 @@
 					t.Errorf("attempt ended as %+v", r)
 				}
 				if s.arrivalCount("second") != 1 || l.dialCount.Load() != 2 {
-					t.Errorf("request arrived %d times, over %d connections", s.arrivalCount("second"), l.dialCount.Load())
+					t.Errorf("request arrived %d times, %d connections were dialled, want 1 and 2", s.arrivalCount("second"), l.dialCount.Load())
 				}
 				expectNothingLeft(t, d, p, got)
 			})
@@ -484,7 +484,7 @@
 	for name, x := range map[string]struct {
 		whole bool
 		want  policy.Status
-	}{"part": {false, policy.ConnectFailed}, "whole": {true, policy.ConnectionReset}} {
+	}{"reset after a part of the write": {false, policy.ConnectFailed}, "reset after the whole write": {true, policy.ConnectionReset}} {
 		t.Run(name, func(t *testing.T) {
 			to, accepted := newSlowReader(t)
 			d := dialer()
@@ -504,7 +504,7 @@
 				readSize = int64(size)
 			}
 			if n, err := io.CopyN(io.Discard, br, readSize); err != nil {
-				t.Fatalf("%d bytes: %v", n, err)
+				t.Fatalf("node read %d bytes of the write: %v", n, err)
 			}
 			_ = nc.SetLinger(0)
 			nc.Close()
@@ -528,42 +528,42 @@
 		resets
 	)
 	for name, x := range map[string]struct {
-		text  string
-		then  int
-		want  policy.Status
-		again bool
+		text       string
+		afterwards int
+		want       policy.Status
+		reused     bool
 	}{
 		"no length, stays open":                {edit("Content-Length: 3\r\n", ""), stays, policy.ConnectionReset, false},
 		"no length, closed":                    {edit("Content-Length: 3\r\n", ""), ends, policy.ConnectionReset, false},
 		"no length, reset":                     {edit("Content-Length: 3\r\n", ""), resets, policy.ConnectionReset, false},
 		"no length, Connection: close, closed": {edit("Content-Length: 3", "Connection: close"), ends, policy.ConnectionReset, false},
-		"HTTP/1.0":                             {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
-		"close and a length":                   {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
-		"half a head, reset":                   {okResponse[:40], resets, policy.ConnectionReset, false},
-		"half a body, reset":                   {okResponse[:len(okResponse)-1], resets, policy.ConnectionReset, false},
+		"HTTP/1.0 response":                    {edit("HTTP/1.1", "HTTP/1.0"), stays, policy.ConnectionReset, false},
+		"length and Connection: close":         {edit("Content-Length: 3", "Content-Length: 3\r\nConnection: close"), stays, policy.OK, false},
+		"truncated head, reset":                {okResponse[:40], resets, policy.ConnectionReset, false},
+		"truncated body, reset":                {okResponse[:len(okResponse)-1], resets, policy.ConnectionReset, false},
 		"chunks and trailers":                  {chunked + "3\r\nabc\r\n0\r\nX-After: 1\r\n\r\n", stays, policy.OK, true},
-		"chunks without the last one":          {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
+		"chunks without the last one, closed":  {chunked + "3\r\nabc\r\n", ends, policy.ConnectionReset, false},
 		"chunks, then garbage":                 {chunked + "3\r\nabc\r\n0\r\n\r\nwhat", stays, policy.OK, false},
-		"chunks, then a response":              {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
-		"more than its length":                 {okResponse + "d", stays, policy.OK, false},
+		"chunks, then a second response":       {chunked + "3\r\nabc\r\n0\r\n\r\n" + edit("abc", "xyz"), stays, policy.OK, false},
+		"more bytes than the length":           {okResponse + "d", stays, policy.OK, false},
 		"interim response only":                {"HTTP/1.1 100 Continue\r\n\r\n", ends, policy.ConnectionReset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newFakeNode(t, func(nc net.Conn) bool {
 				_, _ = io.WriteString(nc, x.text)
-				if x.then == resets {
+				if x.afterwards == resets {
 					_ = nc.(*net.TCPConn).SetLinger(0)
 				}
-				return x.then == stays
+				return x.afterwards == stays
 			})
 			d := dialer()
 			p := d.Connect("n", addressesOf(n.ln))
 			r := sendOne(t, p)
 			if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
-				t.Errorf("attempt ended as %+v, want %d", r, x.want)
+				t.Errorf("attempt ended as %+v, want status %d", r, x.want)
 			}
 			sendOne(t, p)
-			if again := n.conns.Load() == 1; again != x.again {
+			if reused := n.conns.Load() == 1; reused != x.reused {
 				t.Errorf("%d connections for two attempts", n.conns.Load())
 			}
 			expectNothingLeft(t, d, p)
@@ -604,14 +604,14 @@
 		a, got := attemptOf(t, strings.TrimSuffix(text, "hello")+body, inOneMinute())
 		p.Send(a)
 		if r := <-got; r.Status != policy.OK {
-			t.Errorf("%d bytes: ended as %+v", size, r)
+			t.Errorf("body of %d bytes: attempt ended as %+v", size, r)
 		}
 		if arrived := n.last.Load().Body(); string(arrived) != body {
 			t.Errorf("%d of %d bytes arrived", len(arrived), size)
 		}
 		mu.Lock()
 		if len(lengths) != writes || writes > 1 && lengths[0] > maxHeadSize {
-			t.Errorf("%d bytes: written in pieces of %v bytes", size, lengths)
+			t.Errorf("body of %d bytes: request written in pieces of %v bytes", size, lengths)
 		}
 		mu.Unlock()
 		expectNothingLeft(t, d, p, got)
--- a/internal/httpfront/disconnect_test.go
+++ b/internal/httpfront/disconnect_test.go
@@ -187,8 +187,8 @@
 // Behind unread input, the kernel reports a disconnect on only one of the kinds.
 func forEachClientKind(t *testing.T, do func(t *testing.T, network, extraInput string)) {
 	for _, network := range []string{"tcp", "unix"} {
-		for name, extraInput := range map[string]string{"alone": "", "with bytes behind": strings.Repeat(validRequest, 60)} {
-			t.Run(network+" "+name, func(t *testing.T) { do(t, network, extraInput) })
+		for name, extraInput := range map[string]string{"request only": "", "with unread input": strings.Repeat(validRequest, 60)} {
+			t.Run(network+", "+name, func(t *testing.T) { do(t, network, extraInput) })
 		}
 	}
 }
@@ -290,14 +290,14 @@
 	}
 	bufferedPart := strings.Repeat("x", maxBufferedBody)
 	for what, text := range map[string]string{
-		"short":   validRequest[:len(validRequest)-2],
-		"long":    edit(fmt.Sprint("Content-Length: ", maxBufferedBody), bufferedPart[1:]),
-		"longer":  edit(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), bufferedPart),
-		"chunked": edit("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(bufferedPart), bufferedPart)),
+		"short body":                  validRequest[:len(validRequest)-2],
+		"body of the buffered size":   edit(fmt.Sprint("Content-Length: ", maxBufferedBody), bufferedPart[1:]),
+		"body over the buffered size": edit(fmt.Sprint("Content-Length: ", 4*maxBufferedBody), bufferedPart),
+		"chunked body":                edit("Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", len(bufferedPart), bufferedPart)),
 	} {
 		for _, plan := range []string{"basic", "none"} {
 			for _, network := range []string{"tcp", "unix"} {
-				t.Run(fmt.Sprint(what, " ", plan, " ", network), func(t *testing.T) {
+				t.Run(fmt.Sprint(what, ", plan ", plan, ", ", network), func(t *testing.T) {
 					l, _ := newDisconnectHarness(t, network)
 					nc := l.dial()
 					_, _ = io.WriteString(nc, strings.Replace(text, "Tier: basic", "Tier: "+plan, 1))
@@ -338,7 +338,7 @@
 	l.checkOnlyNextClientServed(0)
 }
 
-// A disconnect also cancels the parts of a gathered read before they are written.
+// The parts of a gathered read are attempts like others: the client's disconnect cancels them before they are written.
 func TestDisconnectFromGatheredRead(t *testing.T) {
 	dialBarrier := newBarrier()
 	d := dialer()
--- a/internal/httpfront/encode_test.go
+++ b/internal/httpfront/encode_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// encode appends the whole message of one attempt to a node named h: left is the time until its deadline.
+// encode appends the head and the body of an attempt's message with the Host field "h"; left is the time until the deadline.
 func (c *nodeRequest) encode(dst []byte, left time.Duration) []byte {
 	return append(c.encodeHead(dst, "h", left), c.body...)
 }
--- a/internal/httpfront/gathered_test.go
+++ b/internal/httpfront/gathered_test.go
@@ -27,7 +27,7 @@
 
 const gatherShards = 4
 
-// gatherHarness is a server for four shards with one node each.
+// gatherHarness is a server, its core with gathered reads, and four shards with one fake node each.
 type gatherHarness struct {
 	t        *testing.T
 	srv      *Server
@@ -212,7 +212,7 @@
 	for pages := 0; pages < 4; pages++ {
 		g := w.read("balance-read", "basic", time.Minute, more...)
 		if rows = append(rows, g.rows...); g.code != 200 || !g.result.Get("whole").Bool() {
-			t.Fatalf("response %+v", g)
+			t.Fatalf("read of a page: response %+v", g)
 		}
 		if g.result.Get("token").Str == "" {
 			break
@@ -223,7 +223,7 @@
 		t.Errorf("the pages together have %d rows, not those of the flat merge", len(rows))
 	}
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll, hdrToken+": "+"AAAA"); g.code != 400 || g.result.Get("code").Str != "gather-token-bad" || g.result.Get("advice").Str == "" {
-		t.Errorf("response %+v", g)
+		t.Errorf("read with an invalid token: response %+v", g)
 	}
 	w.waitForNoReads()
 }
@@ -275,22 +275,22 @@
 	for _, c := range []struct {
 		what, method, path, plan string
 		more                     []string
-		code                     int
-		says                     string
+		status                   int
+		errorCode                string
 	}{
-		{"write", "PUT", "balance-read", "basic", []string{gatherAll, "Content-Length: 0"}, 400, "scatter-not-read"},
+		{"write request", "PUT", "balance-read", "basic", []string{gatherAll, "Content-Length: 0"}, 400, "scatter-not-read"},
 		{"class without rules", "GET", "new-record", "basic", []string{gatherAll, "Idempotency-Key: k"}, 400, "scatter-no-rules"},
-		{"no shard", "GET", "balance-read", "basic", []string{"X-Gather: 0,x"}, 400, "scatter-shards-bad"},
-		{"range", "GET", "balance-read", "basic", []string{"X-Gather: 3-1"}, 400, "scatter-shards-bad"},
-		{"not there", "GET", "balance-read", "basic", []string{"X-Gather: 8"}, 400, "scatter-shards-bad"},
-		{"twice", "GET", "balance-read", "basic", []string{"X-Gather: 1,1"}, 400, "gather-parts-bad"},
-		{"field twice", "GET", "balance-read", "basic", []string{gatherAll, gatherAll}, 400, "scatter-not-read"},
-		{"plan", "GET", "balance-read", "other", []string{gatherAll}, 404, "gather-incomplete"},
+		{"shard that is not a number", "GET", "balance-read", "basic", []string{"X-Gather: 0,x"}, 400, "scatter-shards-bad"},
+		{"descending range of shards", "GET", "balance-read", "basic", []string{"X-Gather: 3-1"}, 400, "scatter-shards-bad"},
+		{"shard that does not exist", "GET", "balance-read", "basic", []string{"X-Gather: 8"}, 400, "scatter-shards-bad"},
+		{"shard listed twice", "GET", "balance-read", "basic", []string{"X-Gather: 1,1"}, 400, "gather-parts-bad"},
+		{"X-Gather field twice", "GET", "balance-read", "basic", []string{gatherAll, gatherAll}, 400, "scatter-not-read"},
+		{"unknown plan", "GET", "balance-read", "other", []string{gatherAll}, 404, "gather-incomplete"},
 	} {
 		nc := w.dial()
 		w.writeRequest(nc, c.method, c.path, c.plan, time.Minute, c.more...)
 		g := readGatherResponse(t, bufio.NewReader(nc))
-		if g.code != c.code || g.result.Get("code").Str != c.says || g.result.Get("advice").Str == "" {
+		if g.code != c.status || g.result.Get("code").Str != c.errorCode || g.result.Get("advice").Str == "" {
 			t.Errorf("%s: response %+v", c.what, g)
 		}
 	}
@@ -302,7 +302,7 @@
 	// One node never responds: the read misses its deadline, and the part is cancelled.
 	w.nodes[2].SetRowFault(fakenode.RowFault{Delay: time.Hour})
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, gatherAll); g.code != 504 && g.code != 503 || !g.isMissing(2) {
-		t.Errorf("response %+v", g)
+		t.Errorf("read of a node that never responds: response %+v", g)
 	}
 	w.waitForNoReads()
 	// All nodes reject the parts: the read is rejected with Retry-After.
@@ -311,12 +311,13 @@
 	}
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 503 || g.head.Get("Retry-After") == "" || g.result.Get("code").Str != "scatter-refused" ||
 		len(g.result.Get("missing").Array()) == 0 {
-		t.Errorf("response %+v", g)
+		t.Errorf("read of draining nodes: response %+v", g)
 	}
 	w.waitForNoReads()
 }
 
-// A part that is truncated after the first rows were sent: the response ends with a result that lists the part as cut.
+// A node truncates a part beyond what is buffered of it, so the first rows have been sent: the response ends with a result that
+// lists the part as cut.
 func TestGatheredReadCutAfterFirstRows(t *testing.T) {
 	w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, RowsPerShard: 400, PaddingBytes: 400})
 	w.nodes[1].SetRowFault(fakenode.RowFault{AfterRows: 300, CloseConn: true})
@@ -326,14 +327,14 @@
 			t.Errorf("%s: status %d, %v, %d rows, result %s", class, g.code, g.err, len(g.rows), g.result)
 		}
 		if n := w.nodes[1].RowCounts(""); n.ConnsClosed != 2+i {
-			t.Errorf("%s: the node counted %+v", class, n)
+			t.Errorf("%s: the number of connections that the node closed is wrong: %+v", class, n)
 		}
 	}
 	w.waitForNoReads()
 }
 
 func TestGatheredReadClientDisconnects(t *testing.T) {
-	for what, f := range map[string]fakenode.RowFault{"before the first row": {Delay: time.Hour}, "in long bodies": {AfterRows: 300, Pause: 2 * time.Second}} {
+	for what, f := range map[string]fakenode.RowFault{"before the first row": {Delay: time.Hour}, "between rows of long bodies": {AfterRows: 300, Pause: 2 * time.Second}} {
 		t.Run(what, func(t *testing.T) {
 			w := newGatherHarness(t, bestEffortRules, fakenode.Rows{Seed: 7, RowsPerShard: 400, PaddingBytes: 400})
 			for _, n := range w.nodes {
@@ -381,7 +382,7 @@
 	}
 	w.svc.ReadLimiter.SetLimit(1)
 	if g := w.read("balance-read", "basic", time.Minute, "X-Gather: 0"); g.code != 503 || g.head.Get("Retry-After") == "" {
-		t.Errorf("response %+v", g)
+		t.Errorf("read above the limit of concurrent reads: response %+v", g)
 	}
 	g := readGatherResponse(t, br)
 	if g.err != nil || !g.result.Get("whole").Bool() || len(g.rows) != gatherShards*10000 {
@@ -414,7 +415,7 @@
 	for i := range sentAt {
 		for j := i; j < len(sentAt); j++ {
 			if sent, allowed := 2*float64(j-i+1), 8+10*sentAt[j].Sub(sentAt[i]).Seconds(); sent > allowed+max(2, 0.1*allowed)+0.5 {
-				t.Fatalf("%v units were sent within %v", sent, sentAt[j].Sub(sentAt[i]))
+				t.Fatalf("%v units were sent within %v, more than the rate limit allows", sent, sentAt[j].Sub(sentAt[i]))
 			}
 		}
 	}
@@ -426,10 +427,10 @@
 	}
 	before1, before2 := requestCount(1), requestCount(2)
 	if g := w.read("balance-read", "basic", time.Minute, gatherAll); g.code != 200 || !slices.Equal(g.rows, w.flatRows(0, 3)) || !g.result.Get("whole").Bool() {
-		t.Errorf("response %+v", g)
+		t.Errorf("read of all shards with two unavailable: response %+v", g)
 	}
 	if g := w.read("balance-read", "basic", 500*time.Millisecond, "X-Gather: 0-3"); !g.isMissing(1, 2) {
-		t.Errorf("response %+v", g)
+		t.Errorf("read that names the unavailable shards: response %+v", g)
 	}
 	if requestCount(1) != before1 || requestCount(2) != before2 {
 		t.Error("a draining or excluded node got a request")
@@ -455,7 +456,7 @@
 	}
 	w.nodes[0].SetRowFault(fakenode.RowFault{})
 	if g := readGatherResponse(t, bufio.NewReader(nc)); g.err != nil || !slices.Equal(g.rows, w.flatRows(0, 1, 2, 3)) || !g.result.Get("whole").Bool() {
-		t.Errorf("result %+v", g.result)
+		t.Errorf("read in flight at the shutdown: result %+v", g.result)
 	}
 	if err := errors.Join(<-shutdownErr, <-w.served); err != nil {
 		t.Error(err)
--- a/internal/httpfront/headcheck_test.go
+++ b/internal/httpfront/headcheck_test.go
@@ -36,19 +36,19 @@
 			_, err = checkHead(lines, uniqueResponseFields)
 		}
 		if err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: accepted by this package", name)
 		}
 		var h fasthttp.ResponseHeader
-		fast := h.Read(bufio.NewReader(strings.NewReader(text))) == nil
+		fasthttpAccepts := h.Read(bufio.NewReader(strings.NewReader(text))) == nil
 		r, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err == nil {
 			r.Body.Close()
 			acceptedByNetHTTP++
 		}
-		if fast {
+		if fasthttpAccepts {
 			acceptedByFasthttp++
 		}
-		t.Logf("%-22s accepted by fasthttp %v, by net/http %v, here false", name, fast, err == nil)
+		t.Logf("%-22s accepted by fasthttp %v, by net/http %v, here false", name, fasthttpAccepts, err == nil)
 	}
 	if acceptedByFasthttp == 0 || acceptedByNetHTTP == 0 {
 		t.Errorf("fasthttp accepts %d and net/http %d of the ambiguous heads: checkHead may be unnecessary", acceptedByFasthttp, acceptedByNetHTTP)
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -137,16 +137,16 @@
 		do   script
 		want policy.Status
 	}{
-		"served":           {respondWith(okResponse), policy.OK},
-		"error":            {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"full":             {respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
-		"over":             {respondWith("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
-		"bad request":      {respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
-		"too many":         {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"503 may have run": {respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
-		"cut":              {func(net.Conn) bool { return false }, policy.ConnectionReset},
-		"cut in answer":    {func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse[:len(okResponse)-1]); return false }, policy.ConnectionReset},
-		"garbage":          {func(nc net.Conn) bool { _, _ = io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
+		"status 200":               {respondWith(okResponse), policy.OK},
+		"status 500":               {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"status 503, not run":      {respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
+		"status 504, not run":      {respondWith("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), policy.NodeFull},
+		"status 400":               {respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), policy.Abandoned},
+		"status 429":               {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"status 503, may have run": {respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.Errored},
+		"closed, no response":      {func(net.Conn) bool { return false }, policy.ConnectionReset},
+		"truncated response":       {func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse[:len(okResponse)-1]); return false }, policy.ConnectionReset},
+		"garbage":                  {func(nc net.Conn) bool { _, _ = io.WriteString(nc, "what?\r\n\r\n"); return false }, policy.ConnectionReset},
 	} {
 		n := newFakeNode(t, x.do)
 		p := dialer().Connect("n", addressesOf(n.ln))
@@ -175,7 +175,7 @@
 		}
 		r := sendOne(t, p)
 		if r.Status != want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abcdefg" {
-			t.Errorf("truncated after %q: %+v, want status %d", complete[:cut], r, want)
+			t.Errorf("response truncated after %q: attempt ended as %+v, want status %d", complete[:cut], r, want)
 		}
 		p.Close()
 	}
@@ -186,9 +186,9 @@
 func TestMalformedResponses(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(okResponse, old, new, 1) }
 	for _, x := range []struct {
-		text  string
-		want  policy.Status
-		again bool // the connection serves the next attempt
+		text   string
+		want   policy.Status
+		reused bool // the connection serves the next attempt
 	}{
 		{okResponse, policy.OK, true},
 		{strings.NewReplacer("Content-Length: 3", "Transfer-Encoding: chunked", "abc", "3\r\nabc\r\n0\r\n\r\n").Replace(okResponse), policy.OK, true},
@@ -214,10 +214,10 @@
 		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want || r.Status == policy.OK && string(r.Payload.(*nodeResponse).body) != "abc" {
-			t.Errorf("%.90q: %+v, want %d", x.text, r, x.want)
+			t.Errorf("response %.90q: attempt ended as %+v, want status %d", x.text, r, x.want)
 		}
 		sendOne(t, p)
-		if used := n.conns.Load() == 1; used != x.again {
+		if reused := n.conns.Load() == 1; reused != x.reused {
 			t.Errorf("%.90q: %d connections for two attempts", x.text, n.conns.Load())
 		}
 		p.Close()
@@ -233,10 +233,10 @@
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body)
 	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, body)
 	for _, x := range []struct {
-		text  string
-		want  policy.Status
-		whole bool // the relay reads it to its end
-		again bool // its connection carries the next attempt
+		text   string
+		want   policy.Status
+		whole  bool // the relay reads it to its end
+		reused bool // its connection carries the next attempt
 	}{
 		{text, policy.OK, true, true},
 		{text[:len(text)-1], policy.OK, false, false},
@@ -248,22 +248,22 @@
 		p := dialer().Connect("n", addressesOf(n.ln))
 		r := sendOne(t, p)
 		if r.Status != x.want {
-			t.Fatalf("%.60q: status %d", x.text, r.Status)
+			t.Fatalf("response %.60q: attempt ended with status %d", x.text, r.Status)
 		}
 		if rep, ok := r.Payload.(*nodeResponse); ok {
 			if rep.relay == nil {
-				t.Fatalf("%.60q: buffered instead of relayed", x.text)
+				t.Fatalf("response %.60q: buffered instead of relayed", x.text)
 			}
 			got, err := io.ReadAll(rep.relay)
 			_ = rep.relay.Close()
 			if whole := err == nil && string(got) == body; whole != x.whole {
-				t.Errorf("%.60q: %d bytes, %v", x.text, len(got), err)
+				t.Errorf("response %.60q: %d bytes were relayed, error %v", x.text, len(got), err)
 			}
 			if err != nil && !errors.Is(err, errBodyTruncated) {
-				t.Errorf("%.60q: truncated body ends with %v", x.text, err)
+				t.Errorf("response %.60q: the relay of a truncated body ends with %v", x.text, err)
 			}
 		}
-		if x.again {
+		if x.reused {
 			sendOne(t, p)
 			if n.conns.Load() != 1 {
 				t.Errorf("%.60q: %d connections for two attempts", x.text, n.conns.Load())
@@ -271,11 +271,11 @@
 		}
 		p.Close()
 	}
-	// Through the server: several relays one after the other, each with the complete body.
+	// Through the server: several relays one after the other, each with a complete and unchanged body.
 	f := newFront(t, respondWith(text))
 	for range 4 {
 		if r := f.send(t, validRequest); r.StatusCode() != 200 || string(r.Body()) != body {
-			t.Errorf("relayed through the server: status %d, %d bytes", r.StatusCode(), len(r.Body()))
+			t.Errorf("response relayed through the server: status %d, body of %d bytes", r.StatusCode(), len(r.Body()))
 		}
 	}
 }
@@ -300,20 +300,20 @@
 // A connection is reused, unless the node has closed it while it was idle. In that case the attempt must not end as
 // a connection reset.
 func TestStaleConnection(t *testing.T) {
-	closeAfter := make(chan bool, 3)
-	n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse); return <-closeAfter })
+	keepOpen := make(chan bool, 3)
+	n := newFakeNode(t, func(nc net.Conn) bool { _, _ = io.WriteString(nc, okResponse); return <-keepOpen })
 	p := dialer().Connect("n", addressesOf(n.ln))
-	closeAfter <- true
+	keepOpen <- true
 	sendOne(t, p)
-	closeAfter <- false
+	keepOpen <- false
 	sendOne(t, p)
 	if c := n.conns.Load(); c != 1 {
 		t.Errorf("%d connections for two consecutive attempts", c)
 	}
 	<-n.ended // the node has closed the connection
-	closeAfter <- true
+	keepOpen <- true
 	if r := sendOne(t, p); r.Status != policy.OK {
-		t.Errorf("attempt ended with status %d", r.Status)
+		t.Errorf("attempt after the node closed the idle connection ended with status %d", r.Status)
 	}
 }
 
@@ -358,22 +358,22 @@
 	<-arrived
 	p.Cancel(a)
 	if r := <-got; r.Status != policy.Cancelled || !<-closed {
-		t.Errorf("cancelled: %+v", r)
+		t.Errorf("cancelled attempt ended as %+v, or its connection stays open", r)
 	}
 	a, got = attempt(t, time.Now().Add(200*time.Millisecond))
 	p.Send(a)
 	if r := <-got; r.Status != policy.TimedOut && r.Status != policy.ConnectFailed {
-		t.Errorf("timed out: %+v", r)
+		t.Errorf("attempt past its deadline ended as %+v", r)
 	}
 	a, got = attempt(t, time.Now().Add(-time.Second))
 	p.Send(a)
 	if r := <-got; r.Status != policy.Abandoned {
-		t.Errorf("sent after its deadline: %+v", r)
+		t.Errorf("attempt sent after its deadline ended as %+v", r)
 	}
 }
 
 // At the connection limit an attempt ends as one that has not run, and the busy connection is not affected.
-func TestConnectionBudget(t *testing.T) {
+func TestAttemptAtConnectionLimit(t *testing.T) {
 	release := make(chan bool)
 	n := newFakeNode(t, func(nc net.Conn) bool { <-release; _, _ = io.WriteString(nc, okResponse); return true })
 	d := dialer()
@@ -382,11 +382,11 @@
 	a, got := attempt(t, inOneMinute())
 	p.Send(a)
 	if r := sendOne(t, p); r.Status != policy.ConnectFailed {
-		t.Errorf("attempt ended with status %d", r.Status)
+		t.Errorf("attempt at the connection limit ended with status %d", r.Status)
 	}
 	close(release)
 	if r := <-got; r.Status != policy.OK {
-		t.Errorf("attempt ended with status %d", r.Status)
+		t.Errorf("attempt on the busy connection ended with status %d", r.Status)
 	}
 }
 
@@ -444,7 +444,7 @@
 	_, _ = io.WriteString(nc, text)
 	r := &fasthttp.Response{}
 	if err := r.Read(bufio.NewReader(nc)); err != nil {
-		t.Fatalf("%.80q: %v", text, err)
+		t.Fatalf("request %.80q: no response: %v", text, err)
 	}
 	return r
 }
@@ -457,11 +457,11 @@
 	q := f.last.Load()
 	for name, want := range map[string]string{"X-Request-Id": "9b1f03aa5c7e2d41", "Idempotency-Key": "k1"} {
 		if v := string(q.Header.Peek(name)); v != want {
-			t.Errorf("%s: %q", name, v)
+			t.Errorf("header field %s arrived as %q", name, v)
 		}
 	}
 	if string(q.Header.Method()) != "PUT" || string(q.Header.RequestURI()) != "/new-record/x?y=1" || string(q.Body()) != "hello" {
-		t.Errorf("forwarded as %s", q)
+		t.Errorf("request was forwarded as %s", q)
 	}
 	if r := f.send(t, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode() != 200 {
 		t.Errorf("readiness check: status %d", r.StatusCode())
@@ -511,7 +511,7 @@
 		}
 	}
 	if n := f.requests.Load(); n != 0 {
-		t.Errorf("%d requests reached the node", n)
+		t.Errorf("%d invalid requests reached the node", n)
 	}
 }
 
@@ -533,7 +533,7 @@
 		}
 	}
 	if r := f.send(t, validRequest); r.StatusCode() != 200 {
-		t.Errorf("status %d", r.StatusCode())
+		t.Errorf("request beside silent clients: status %d", r.StatusCode())
 	}
 }
 
@@ -542,7 +542,7 @@
 	f := newFront(t, respondWith("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := f.send(t, validRequest)
 	if wait := string(r.Header.Peek("Retry-After")); r.StatusCode() != 503 || !strings.Contains(wait, ".") {
-		t.Errorf("status %d, Retry-After %q", r.StatusCode(), wait)
+		t.Errorf("request that the node rejected: status %d, Retry-After %q", r.StatusCode(), wait)
 	}
 	f = newFront(t, func(net.Conn) bool { return false })
 	if r := f.send(t, validRequest); r.StatusCode() != 502 {
@@ -571,7 +571,7 @@
 	<-arrived
 	nc.Close()
 	if !<-closed {
-		t.Error("attempt was not cancelled")
+		t.Error("attempt was not cancelled after its client disconnected")
 	}
 	if nc, err = net.Dial("tcp", f.address); err != nil {
 		t.Fatal(err)
@@ -627,13 +627,13 @@
 	br := bufio.NewReader(nc)
 	r := &fasthttp.Response{}
 	if err := r.Read(br); err != nil || string(r.Body()) != "abc" || !r.ConnectionClose() {
-		t.Errorf("response of the request in flight: %v %q", err, r)
+		t.Errorf("response to the request in flight: error %v, %q", err, r)
 	}
 	if err := r.Read(br); err == nil {
-		t.Errorf("second response: %s", r)
+		t.Errorf("a request that arrived after the shutdown began got a response: %s", r)
 	}
 	if err := <-shutdownErr; err != nil || f.requests.Load() != 1 {
-		t.Errorf("%v, %d requests reached the node", err, f.requests.Load())
+		t.Errorf("shutdown ended with %v, %d requests reached the node, want 1", err, f.requests.Load())
 	}
 }
 
@@ -685,7 +685,7 @@
 		t.Errorf("requests on the other connections: status %d and %d", a, b)
 	}
 	if f.requests.Load() != 2 {
-		t.Errorf("%d requests reached the node", f.requests.Load())
+		t.Errorf("%d requests reached the node, want 2", f.requests.Load())
 	}
 }
 
@@ -772,7 +772,7 @@
 	_, beyond := sendAttempt() // one attempt waits for each busy connection, so this one opens its own
 	p.Cancel(second)
 	if r := <-waiting; r.Status != policy.Cancelled {
-		t.Errorf("cancelled while waiting: %+v", r)
+		t.Errorf("attempt that was cancelled while waiting ended as %+v", r)
 	}
 	_, behind := sendAttempt()
 	waitFor(t, func() bool { return n.requests.Load() == 2 }) // each on its own connection; otherwise the first connection would serve both
@@ -793,7 +793,7 @@
 	_, drained := sendAttempt()
 	p.Drain(true)
 	if r := <-drained; r.Status != policy.ConnectFailed {
-		t.Errorf("waiting while the node began to drain: %+v", r)
+		t.Errorf("attempt that waited when the node began to drain ended as %+v", r)
 	}
 	release <- true
 	if r := <-inFlight; r.Status != policy.OK {
@@ -823,7 +823,7 @@
 	waitFor(t, func() bool { return n.requests.Load() == 3 })
 	q.Cancel(a) // its connection is closed and not reused
 	if r := <-cancelled; r.Status != policy.Cancelled {
-		t.Errorf("attempt ended as %+v", r)
+		t.Errorf("cancelled attempt ended as %+v", r)
 	}
 	waitFor(t, func() bool { return n.requests.Load() == 4 })
 	close(block)
--- a/internal/httpfront/isolation_test.go
+++ b/internal/httpfront/isolation_test.go
@@ -20,7 +20,7 @@
 	"wheatsaddle/policy"
 )
 
-// isolationHarness is a server with two plans, one of which has a rate limit that admits nothing during a test. Its node
+// isolationHarness is a server with two plans, one of which has a rate limit that admits nothing during a test. Its fake node
 // describes the whole request in its response, and counts arrivals by request id.
 type isolationHarness struct {
 	t        *testing.T
@@ -76,7 +76,7 @@
 				f.arrivals[string(q.Header.Peek("X-Request-Id"))]++
 				f.mu.Unlock()
 				f.barrier.pass()
-				text := requestText(string(q.Header.Method()), string(q.Header.RequestURI()), string(q.Header.Peek("X-Request-Id")),
+				text := responseText(string(q.Header.Method()), string(q.Header.RequestURI()), string(q.Header.Peek("X-Request-Id")),
 					string(q.Header.Peek("Idempotency-Key")), q.Body())
 				if _, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Of: %s\r\n\r\n%s", len(text),
 					q.Header.Peek("X-Request-Id"), text); err != nil {
@@ -90,8 +90,8 @@
 // longResponseSize exceeds the buffered part of a response, so that the rest is relayed.
 const longResponseSize = 3 * maxBufferedBody
 
-// requestText returns the node's response to a request. The response to a path that ends in /long is long.
-func requestText(method, uri, id, key string, body []byte) string {
+// responseText returns the body of the node's response to a request. The response to a path that ends in /long is long.
+func responseText(method, uri, id, key string, body []byte) string {
 	text := fmt.Sprintf("%s %s %s %q %x\n", method, uri, id, key, sha256.Sum256(body))
 	if strings.HasSuffix(uri, "/long") {
 		text = strings.Repeat(text, longResponseSize/len(text)+1)
@@ -139,20 +139,20 @@
 	t.Helper()
 	r := &fasthttp.Response{}
 	if err := r.Read(br); err != nil {
-		t.Fatalf("%s: %v", a.id, err)
+		t.Fatalf("request %s: no response: %v", a.id, err)
 	}
-	waits, code := len(r.Header.Peek("Retry-After")) > 0, r.StatusCode()
+	hasRetryAfter, code := len(r.Header.Peek("Retry-After")) > 0, r.StatusCode()
 	if a.code == 503 && code == 504 { // the machine was busy and the deadline passed first
-		code, waits = 503, true
+		code, hasRetryAfter = 503, true
 	}
-	if code != a.code || waits != (a.code == 503) || r.ConnectionClose() {
-		t.Fatalf("%s: status %d, want %d; Retry-After %v, closes %v", a.id, r.StatusCode(), a.code, waits, r.ConnectionClose())
+	if code != a.code || hasRetryAfter != (a.code == 503) || r.ConnectionClose() {
+		t.Fatalf("request %s: status %d, want %d; Retry-After %v, Connection: close %v", a.id, r.StatusCode(), a.code, hasRetryAfter, r.ConnectionClose())
 	}
-	if want := requestText(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
-		t.Errorf("%s: response of %d bytes %.120q, want %d %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
+	if want := responseText(a.method(), a.path, a.id, a.key, a.body); a.code == 200 && string(r.Body()) != want {
+		t.Errorf("request %s: response of %d bytes %.120q, want %d bytes %.120q", a.id, len(r.Body()), r.Body(), len(want), want)
 	}
 	if strings.Contains(r.String(), "IO-Info") || len(r.Header.Peek("X-Of")) > 0 {
-		t.Errorf("%s: the response has header fields of another message", a.id)
+		t.Errorf("request %s: the response has header fields of another message", a.id)
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	run(t, "1", false)
 	run(t, "2", true)
-	t.Run("at once", func(t *testing.T) {
+	t.Run("concurrent connections", func(t *testing.T) {
 		for _, id := range []string{"3", "4", "5", "6"} {
 			t.Run(id, func(t *testing.T) {
 				t.Parallel()
@@ -239,14 +239,14 @@
 		}
 		f.mu.Lock()
 		if n := f.arrivals[a.id]; n != want {
-			t.Errorf("%s reached the node %d times, want %d", a.id, n, want)
+			t.Errorf("request %s reached the node %d times, want %d", a.id, n, want)
 		}
 		f.mu.Unlock()
 	}
 	got := f.core.Counters().Snapshot()
 	for class, want := range served {
 		if got.Served[class] != want {
-			t.Errorf("%s: %d counted as served, want %d", class, got.Served[class], want)
+			t.Errorf("class %s: %d requests counted as served, want %d", class, got.Served[class], want)
 		}
 	}
 }
--- a/internal/httpfront/kernelcopy_test.go
+++ b/internal/httpfront/kernelcopy_test.go
@@ -61,10 +61,10 @@
 			_, _ = nc.Write(body)
 			var r fasthttp.Response
 			if err := r.Read(br); err != nil || r.StatusCode() != 200 || !bytes.Equal(r.Body(), text[:size]) {
-				t.Fatalf("%d bytes, chunked %v: %v, status %d, %d bytes returned", size, chunked, err, r.StatusCode(), len(r.Body()))
+				t.Fatalf("body of %d bytes, chunked %v: error %v, status %d, %d bytes returned", size, chunked, err, r.StatusCode(), len(r.Body()))
 			}
 			if got := f.last.Load().Body(); !bytes.Equal(got, text[:size]) {
-				t.Errorf("%d bytes, chunked %v: %d bytes reached the node", size, chunked, len(got))
+				t.Errorf("body of %d bytes, chunked %v: %d bytes reached the node", size, chunked, len(got))
 			}
 		}
 	}
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -30,12 +30,13 @@
 	readableFD uintptr // a socket with unread input, which socket checks see from the second one on; 0: none
 	checks     int
 	closed     bool
-	draining   *bool // set once nothing may be written any more
+	draining   *bool // true: a write fails the test
 	in         bytes.Buffer
 }
 
 func (l *instantConn) Write(p []byte) (int, error) {
-	// The check comes before that of closed: a context's AfterFunc closes the connection in a goroutine outside the schedule.
+	// draining is checked before closed, because a context's AfterFunc closes the connection in a goroutine that the schedule
+	// does not control.
 	if *l.draining {
 		il.Fail("written to a draining node")
 	}
@@ -114,7 +115,7 @@
 
 // Four nodes share two connections, which are idle and belong to two of them. One of these closes its own, and the other
 // nodes need a connection. A connection in use is never evicted, and the counts of the nodes and of the dialer agree.
-func TestInterleaveIdle(t *testing.T) {
+func TestInterleaveIdleEviction(t *testing.T) {
 	fd := idleSocket(t)
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
@@ -191,7 +192,7 @@
 		}
 	})
 	loop := "	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
-	mutant.AssertDetected(t, mutant.Mutant{File: "idle.go", Old: loop, // an earlier implementation, which this test found to be wrong
+	mutant.AssertDetected(t, mutant.Mutant{File: "idle.go", Old: loop, // New is an earlier implementation, in which this test found the fault
 		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
 		Want: "0 of two callers reserved the only connection"})
 }
--- a/internal/httpfront/nonidempotent_test.go
+++ b/internal/httpfront/nonidempotent_test.go
@@ -27,7 +27,7 @@
 	runs map[string]int
 }
 
-func (l *runCounter) record(id string) int {
+func (l *runCounter) countRun(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
@@ -43,27 +43,27 @@
 }
 
 // serve serves one connection, with the fault if it is the first one.
-func (l *runCounter) serve(nc net.Conn, b connFault, first bool) {
+func (l *runCounter) serve(nc net.Conn, fault connFault, first bool) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for n := 0; ; n++ {
-		breaks := first && (!b.onSecondRequest || n == 1)
-		if breaks && b.closeAfterBytes >= 0 {
-			_, _ = io.ReadFull(br, make([]byte, b.closeAfterBytes))
+		breaks := first && (!fault.onSecondRequest || n == 1)
+		if breaks && fault.closeAfterBytes >= 0 {
+			_, _ = io.ReadFull(br, make([]byte, fault.closeAfterBytes))
 			return
 		}
 		var q fasthttp.Request
 		if q.Read(br) != nil {
 			return
 		}
-		if breaks && b.rejected {
+		if breaks && fault.rejected {
 			_, _ = io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			first = false
 			continue
 		}
-		l.record(string(q.Header.Peek("X-Request-Id")))
+		l.countRun(string(q.Header.Peek("X-Request-Id")))
 		if breaks {
-			_, _ = io.WriteString(nc, b.partialResponse)
+			_, _ = io.WriteString(nc, fault.partialResponse)
 			return
 		}
 		_, _ = io.WriteString(nc, okResponse)
@@ -75,21 +75,21 @@
 func TestNonIdempotentWriteRunsAtMostOnce(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
 	for name, x := range map[string]struct {
-		b       connFault
-		served  bool // otherwise failed
-		perhaps bool // the break is so early that the write may fail; then it has not run and may be retried
+		fault         connFault
+		served        bool // otherwise failed
+		eitherOutcome bool // the fault is so early that the write may fail; if so, it has not run and may be retried
 	}{
-		"no break":                {connFault{closeAfterBytes: -1, partialResponse: okResponse}, true, false},
-		"closed at once":          {connFault{closeAfterBytes: 0}, false, true},
-		"cut in the request":      {connFault{closeAfterBytes: 40}, false, true},
-		"full":                    {connFault{closeAfterBytes: -1, rejected: true}, true, false},
-		"no answer":               {connFault{closeAfterBytes: -1}, false, false},
-		"cut in the head":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:20]}, false, false},
-		"cut in the body":         {connFault{closeAfterBytes: -1, partialResponse: okResponse[:len(okResponse)-1]}, false, false},
-		"cut in a chunked body":   {connFault{closeAfterBytes: -1, partialResponse: chunked}, false, false},
-		"an error":                {connFault{closeAfterBytes: -1, partialResponse: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
-		"a reused connection":     {connFault{closeAfterBytes: -1, onSecondRequest: true}, false, false},
-		"a reused one, cut early": {connFault{closeAfterBytes: 40, onSecondRequest: true}, false, true},
+		"complete response":                       {connFault{closeAfterBytes: -1, partialResponse: okResponse}, true, false},
+		"closed before the request":               {connFault{closeAfterBytes: 0}, false, true},
+		"closed within the request":               {connFault{closeAfterBytes: 40}, false, true},
+		"rejected as full":                        {connFault{closeAfterBytes: -1, rejected: true}, true, false},
+		"no response":                             {connFault{closeAfterBytes: -1}, false, false},
+		"response truncated in its head":          {connFault{closeAfterBytes: -1, partialResponse: okResponse[:20]}, false, false},
+		"response truncated in its body":          {connFault{closeAfterBytes: -1, partialResponse: okResponse[:len(okResponse)-1]}, false, false},
+		"response truncated in its chunked body":  {connFault{closeAfterBytes: -1, partialResponse: chunked}, false, false},
+		"error response":                          {connFault{closeAfterBytes: -1, partialResponse: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, false, false},
+		"no response on a reused connection":      {connFault{closeAfterBytes: -1, onSecondRequest: true}, false, false},
+		"reused connection closed within request": {connFault{closeAfterBytes: 40, onSecondRequest: true}, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := &runCounter{runs: map[string]int{}}
@@ -104,7 +104,7 @@
 					if err != nil {
 						return
 					}
-					go l.serve(nc, x.b, first)
+					go l.serve(nc, x.fault, first)
 				}
 			}()
 			set := testSettings()
@@ -132,29 +132,29 @@
 				c.Submit(r)
 				return <-got
 			}
-			if x.b.onSecondRequest {
+			if x.fault.onSecondRequest {
 				if a := send("before"); a.Kind != core.Served {
 					t.Fatalf("first request on the connection: %+v", a)
 				}
 			}
 			a := send("once")
-			send("after") // by now any retry has been sent
+			send("after") // once it has its answer, any retry of the write has been sent
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			summary := fmt.Sprintf("answered %d %s, ran %v", a.Kind, a.Cause, l.runs)
+			summary := fmt.Sprintf("write got answer kind %d, cause %q; executions by request id: %v", a.Kind, a.Cause, l.runs)
 			switch {
 			case l.runs["once"] > 1:
 				t.Error(summary)
 			case a.Kind == core.Served && l.runs["once"] != 1, a.Kind == core.Rejected:
 				t.Error(summary)
-			case !x.perhaps && (a.Kind == core.Served) != x.served:
+			case !x.eitherOutcome && (a.Kind == core.Served) != x.served:
 				t.Error(summary)
 			}
 		})
 	}
 }
 
-// If the connection is established only after the deduplication window of a retry, nothing of the retry is written.
+// If the connection is established only after the end of a retry's deduplication window, nothing of the retry is written.
 func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -185,7 +185,7 @@
 	if r := <-got; r.Status != policy.OK {
 		t.Errorf("next attempt ended as %v", r.Status)
 	}
-	if n := l.record(a.Request.ID) - 1; n != 1 {
+	if n := l.countRun(a.Request.ID) - 1; n != 1 {
 		t.Errorf("%d attempts ran, want only the next one", n)
 	}
 }
--- a/internal/httpfront/overcapacity_test.go
+++ b/internal/httpfront/overcapacity_test.go
@@ -49,13 +49,13 @@
 	for i := range 20 { // more than the server accepts above the cap at a time
 		r := readResponse(sendRequest(100 + i))
 		if r.StatusCode() != 503 || len(r.Header.Peek("Retry-After")) == 0 || !r.ConnectionClose() {
-			t.Fatalf("request above the cap: %s", r)
+			t.Fatalf("request above the connection cap: got %s, want status 503 with Retry-After and Connection: close", r)
 		}
 	}
 	close(release)
 	for _, br := range open {
 		if r := readResponse(br); r.StatusCode() != 200 {
-			t.Fatalf("request within the cap: status %d", r.StatusCode())
+			t.Fatalf("request within the connection cap: status %d", r.StatusCode())
 		}
 	}
 	if r := readResponse(sendRequest(200)); r.StatusCode() != 200 {
@@ -81,13 +81,13 @@
 	}
 	last := dialFront(t, ln.Addr().String())
 	_, _ = io.WriteString(last.Conn, readyText) // accepted after all others
-	last.expectResponse(t, "a request behind silent connections", fasthttp.StatusOK, false)
+	last.expectResponse(t, "request on the connection after the silent ones", fasthttp.StatusOK, false)
 	for i, c := range silent {
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 		if text, err := io.ReadAll(c.Reader); len(text) > 0 || err != nil {
-			t.Errorf("silent connection %d got input %q, %v", i, text, err)
+			t.Errorf("silent connection %d got the response %q, error %v", i, text, err)
 		}
 	}
 }
--- a/internal/httpfront/preconnect_test.go
+++ b/internal/httpfront/preconnect_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// preconnectResult requests a preconnect and returns its result.
+// preconnectResult requests a preconnect, which opens a connection before any attempt needs it, and returns its result.
 func preconnectResult(t *testing.T, p core.NodeClient) policy.Status {
 	t.Helper()
 	result := make(chan policy.Status, 2)
@@ -62,7 +62,7 @@
 				}
 				spinUntil(func() bool { return n.Counts().Conns >= accepted && d.open.Load() == open })
 				if got := n.Counts().Conns; got != accepted {
-					t.Fatalf("%d connections, want %d", got, accepted)
+					t.Fatalf("the node accepted %d connections, want %d", got, accepted)
 				}
 			}
 			p.Drain(true)
@@ -73,7 +73,7 @@
 				spinUntil(func() bool { d.idle.mu.Lock(); defer d.idle.mu.Unlock(); return d.idle.list.Len() == 1 })
 			}
 			want(p, policy.Abandoned, 1, 1)
-			(&addressHarness{t: t, node: n, dialer: d, client: p}).expectServed(readText)
+			(&addressHarness{t: t, node: n, dialer: d, client: p}).expectServed(readRequestFormat)
 			want(p, policy.Abandoned, 1, 1)
 			d.MaxConns = 1 // at the limit, a preconnect does not evict an idle connection
 			want(other, policy.Abandoned, 1, 1)
@@ -99,7 +99,7 @@
 	p := d.Connect("n", addresses)
 	result := make(chan policy.Status, 2)
 	p.Connect(func(s policy.Status) { result <- s })
-	_, got := (&addressHarness{t: t, node: n, dialer: d, client: p}).send(readText, time.Minute)
+	_, got := (&addressHarness{t: t, node: n, dialer: d, client: p}).send(readRequestFormat, time.Minute)
 	spinUntil(func() bool { return n.Counts().Requests == 1 })
 	if s := <-result; s != policy.OK || n.Counts().Conns != 1 {
 		t.Errorf("preconnect ended as %v, %d connections for one attempt", s, n.Counts().Conns)
--- a/internal/httpfront/readtimeout_test.go
+++ b/internal/httpfront/readtimeout_test.go
@@ -15,7 +15,7 @@
 	"wheatsaddle/internal/transport"
 )
 
-// expiringListener accepts connections whose first read deadline expires at once, with test hooks after it.
+// expiringListener accepts connections whose first read deadline expires at once, and calls the test's hooks after that.
 type expiringListener struct {
 	net.Listener
 	onDeadline   func(server syscall.Conn) // called when the deadline has ended the wait for the first request
@@ -32,14 +32,14 @@
 
 type expiringConn struct {
 	net.Conn
-	listener *expiringListener
-	set      bool // the first deadline was set
+	listener    *expiringListener
+	deadlineSet bool // the first deadline was set
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *expiringConn) SetReadDeadline(at time.Time) error {
-	if !c.set {
-		c.set, at = true, time.Unix(1, 0)
+	if !c.deadlineSet {
+		c.deadlineSet, at = true, time.Unix(1, 0)
 	}
 	return c.Conn.SetReadDeadline(at)
 }
@@ -94,14 +94,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			dialled, crossed := make(chan net.Conn, 1), make(chan bool, 2)
+			dialled, hookDone := make(chan net.Conn, 1), make(chan bool, 2)
 			var client net.Conn
 			send := func(server syscall.Conn, text string) {
 				_, _ = io.WriteString(client, text)
 				for text != none && transport.IsReusable(server) {
 					runtime.Gosched() // until it has arrived
 				}
-				crossed <- true
+				hookDone <- true
 			}
 			ln := &expiringListener{Listener: bound}
 			ln.onDeadline = func(server syscall.Conn) { client = <-dialled; send(server, x.before) }
@@ -109,20 +109,20 @@
 			f := newFrontOn(t, ln, dialer(), respondWith(okResponse))
 			c := dialFront(t, f.address)
 			dialled <- c.Conn
-			<-crossed
+			<-hookDone
 			if x.code == 0 {
 				if b, err := io.ReadAll(c.Reader); len(b) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
-					t.Errorf("the client got %q, %v", b, err)
+					t.Errorf("the client got %q, error %v, want no response", b, err)
 				}
-				if len(crossed) == 0 {
+				if len(hookDone) == 0 {
 					t.Error("the final check was not made")
 				}
 				return
 			}
-			c.expectResponse(t, "first input", x.code, x.code != fasthttp.StatusOK)
+			c.expectResponse(t, "input before the final check", x.code, x.code != fasthttp.StatusOK)
 			if x.code == fasthttp.StatusOK { // the connection is still usable
 				_, _ = io.WriteString(c.Conn, readyText)
-				c.expectResponse(t, "next request", fasthttp.StatusOK, false)
+				c.expectResponse(t, "next request on the connection", fasthttp.StatusOK, false)
 			}
 		})
 	}
--- a/internal/httpfront/simulation_test.go
+++ b/internal/httpfront/simulation_test.go
@@ -24,9 +24,9 @@
 	"wheatsaddle/policy"
 )
 
-// A simulation of the core and the node actors under virtual time, on connections in memory, with the faults of a zone that is
-// cut off. Each accepted request gets exactly one answer before its client's deadline: a complete response of a node, a
-// rejection or a failure. Afterwards no table, queue or counter holds anything of it.
+// A simulation of the core and the node actors under virtual time, on connections in memory, with all the faults at once that a
+// zone shows when it loses its network. Each accepted request gets exactly one answer before its client's deadline: a complete
+// response of a node, a rejection or a failure. Afterwards no table, queue or counter holds anything of it.
 
 // simulatedNode is a node in memory. Its behaviour is drawn at random for each dial and each request.
 type simulatedNode struct {
@@ -41,7 +41,7 @@
 	start       time.Time
 	idleSockets [2]int // a socket pair with nothing to read
 	nodes       map[address.Addr]*simulatedNode
-	faults      float64
+	faults      float64  // scale of the probabilities of the faults
 	endedAt     sync.Map // by request id: time of its final answer, or of its cancellation
 }
 
@@ -113,12 +113,12 @@
 		id := string(q.Header.Peek("X-Request-Id"))
 		// Fails for an attempt that was still waiting for a connection or in a mailbox when its request ended.
 		if at, ok := n.sim.endedAt.Load(id); ok && at.(time.Time).Before(time.Now()) {
-			n.sim.t.Errorf("%s was sent on %v after its final answer", id, time.Since(at.(time.Time)))
+			n.sim.t.Errorf("an attempt of request %s was sent %v after the request had ended", id, time.Since(at.(time.Time)))
 		}
 		body := "of " + id
 		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		time.Sleep(n.sim.randomDuration(120 * time.Millisecond))
-		draw := n.sim.random() / n.sim.faults
+		draw := n.sim.random() / n.sim.faults // the fewer faults, the more draws are above all the limits below
 		switch {
 		case n.silent() || draw < 0.1: // the response is lost and the connection stays open
 			_, _ = io.Copy(io.Discard, br)
@@ -165,7 +165,7 @@
 			{Name: "capped", Rate: 20, ReservedRate: 10, Weight: 1, Price: 1, RateLimit: 40, LimitBurst: 60}}}
 }
 
-// outcome is the outcome of one request.
+// outcome is a request with its deadline, its answers, and whether the client cancelled it.
 type outcome struct {
 	request   *core.Request
 	deadline  time.Time
@@ -194,7 +194,7 @@
 	})
 	for _, k := range []core.AnswerKind{core.Served, core.Rejected, core.Failed} {
 		if kinds[k] == 0 {
-			t.Errorf("no request got answer kind %v: the simulation does not cover it", k)
+			t.Errorf("no request got answer kind %v, so the simulation does not cover it", k)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 			Payload: &nodeRequest{head: []byte("GET /" + c.Name + " HTTP/1.1\r\nX-Request-Id: " + id)},
 			Answer: func(a core.Answer) {
 				if late := time.Since(e.deadline); late > 0 {
-					w.t.Errorf("%s was answered %v after its deadline", id, late)
+					w.t.Errorf("request %s was answered %v after its deadline", id, late)
 				}
 				w.endedAt.Store(id, time.Now())
 				e.answered <- a
@@ -260,13 +260,13 @@
 	for _, e := range outcomes {
 		switch got := len(e.answered); {
 		case got > 1 || got == 0 && !e.cancelled:
-			w.t.Errorf("%s: %d answers", e.request.ID, got)
+			w.t.Errorf("request %s got %d answers, want one, or at most one if it was cancelled", e.request.ID, got)
 		case got == 1:
 			a := <-e.answered
 			kinds[a.Kind]++
 			if a.Kind == core.Served {
 				if body := string(a.Payload.(*nodeResponse).body); body != "of "+e.request.ID {
-					w.t.Errorf("%s was served %q", e.request.ID, body)
+					w.t.Errorf("request %s was served with the response body %q", e.request.ID, body)
 				}
 			}
 		}
@@ -277,7 +277,7 @@
 	scheduler.UpdateList(core.ListUpdate{Kind: policy.ListReceived})
 	time.Sleep(time.Minute) // all nodes are removed and close their connections
 	if open := d.open.Load(); open != 0 || d.idle.list.Len() != 0 {
-		w.t.Errorf("%d connections are counted as open, %d as idle", open, d.idle.list.Len())
+		w.t.Errorf("after all nodes were removed, %d connections are counted as open, %d as idle", open, d.idle.list.Len())
 	}
 	scheduler.Stop()
 }
--- a/internal/iscsi/fakes_test.go
+++ b/internal/iscsi/fakes_test.go
@@ -40,8 +40,8 @@
 	cutsLeft      int    // connections still to be closed
 	status        byte
 	sense         []byte
-	hold          chan struct{} // not nil: a command waits until it is closed before its response
-	holding       chan struct{} // receives a value when a command starts to wait
+	hold          chan struct{} // not nil: the response to a command is delayed until the channel is closed
+	holding       chan struct{} // receives a value when a response starts to wait
 	disk          map[uint64][]byte
 	received      int // command PDUs received
 	executed      int // commands executed
@@ -109,7 +109,7 @@
 	return true
 }
 
-// send sends a PDU with the session's sequence numbers.
+// send sends a PDU with the session's sequence numbers. A PDU that carries status advances StatSN.
 func (s *fakeTargetSession) send(p *pdu, status bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +217,7 @@
 				return false
 			}
 			if d.op() != opDataOut || d.u32(20) != 99 || d.u32(40) != at {
-				s.t.Errorf("fake target: received %v at %d, want Data-Out at %d", d, d.u32(40), at)
+				s.t.Errorf("fake target: received %v with buffer offset %d, want Data-Out with offset %d", d, d.u32(40), at)
 				return false
 			}
 			data, at = append(data, d.data...), at+uint32(len(d.data))
@@ -316,7 +316,7 @@
 	r := c.read()
 	text, err := decodeText(r.data)
 	if err != nil || r.op() != opLoginResp {
-		c.t.Fatalf("login: %v %v", r, err)
+		c.t.Fatalf("login: received %v, error %v, want a login response", r, err)
 	}
 	if err := c.params.applyResponse(text); err != nil {
 		c.t.Fatal(err)
@@ -339,7 +339,7 @@
 	c.t.Helper()
 	p, err := c.receiveFraming.read(c.reader)
 	if err != nil {
-		c.t.Fatalf("read: %v", err)
+		c.t.Fatalf("reading a PDU from the target under test: %v", err)
 	}
 	switch p.op() {
 	case opNopIn, opSCSIResponse, opTaskMgmtResp, opLoginResp, opTextResp, opLogoutResp, opAsync, opReject:
@@ -348,13 +348,13 @@
 			break
 		}
 		if p.u32(24) != c.expStatSN {
-			c.t.Errorf("%v: StatSN %d, expected %d", p, p.u32(24), c.expStatSN)
+			c.t.Errorf("%v has StatSN %d, want %d", p, p.u32(24), c.expStatSN)
 		}
 		c.expStatSN++
 	}
 	if p.op() == opSCSIResponse {
 		if c.responses[p.tag()]++; c.responses[p.tag()] > 1 {
-			c.t.Errorf("second response to task 0x%x", p.tag())
+			c.t.Errorf("received a second response to task 0x%x", p.tag())
 		}
 	}
 	return p
@@ -375,7 +375,7 @@
 	return c.lastITT
 }
 
-// outcome is the outcome of a command.
+// outcome describes the response to a command, with its data and the number of R2Ts before it.
 type outcome struct {
 	status    byte
 	senseKey  byte
@@ -397,7 +397,7 @@
 		switch p.op() {
 		case opDataIn:
 			if int(p.u32(40)) != len(e.data) {
-				c.t.Fatalf("Data-In at %d, want %d", p.u32(40), len(e.data))
+				c.t.Fatalf("Data-In has buffer offset %d, want %d", p.u32(40), len(e.data))
 			}
 			e.data = append(e.data, p.data...)
 		case opR2T:
@@ -410,7 +410,7 @@
 			}
 			return e
 		default:
-			c.t.Fatalf("unexpected %v", p)
+			c.t.Fatalf("received %v while waiting for the response to a command", p)
 		}
 	}
 }
@@ -451,6 +451,7 @@
 
 const targetName = "iqn.2026-12.fj.lautoka:test"
 
+// testSettings returns settings with the given latency objective in ms. Deadlines are twice as long.
 func testSettings(objective float64) policy.Settings {
 	return policy.Settings{Schedulers: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 4, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 1000,
 		DrainGrace: 250, SlowStartUnits: 100, OverloadWindow: 3000, OverloadMultiple: 3, SlowStartShare: 0.25, SlowStartDuration: 17000,
@@ -556,7 +557,7 @@
 	status := c.login(stageOperational<<2|stageFull, append([]pair{{"InitiatorName", "iqn.client"},
 		{"TargetName", targetName}, {"MaxRecvDataSegmentLength", "4096"}, {"MaxBurstLength", "16384"}}, more...)...)
 	if status != 0 {
-		t.Fatalf("login status 0x%04x", status)
+		t.Fatalf("login to the target under test ended with status 0x%04x", status)
 	}
 	return c
 }
--- a/internal/iscsi/iscsi_test.go
+++ b/internal/iscsi/iscsi_test.go
@@ -29,22 +29,22 @@
 }
 
 func TestWriteAndReadBack(t *testing.T) {
-	for _, extra := range [][]pair{nil,
+	for _, extraKeys := range [][]pair{nil,
 		{{"HeaderDigest", "CRC32C"}, {"DataDigest", "CRC32C,None"}},
 		{{"InitialR2T", "No"}, {"ImmediateData", "No"}, {"iSCSIProtocolLevel", "2"}}} {
 		env := newTestEnv(t, longObjective, false)
-		client := env.initiator(t, extra...)
+		client := env.initiator(t, extraKeys...)
 		data := pattern(40 << 10)
 		e := client.write(8, data)
 		if e.status != statusGood || e.r2ts != 3 || e.flags&6 != 0 {
-			t.Errorf("%v: write ended %+v", extra, e)
+			t.Errorf("login keys %v: write ended as %+v", extraKeys, e)
 		}
 		e = client.readBlocks(8, 80)
 		if e.status != statusGood || !bytes.Equal(e.data, data) || e.flags&6 != 0 {
-			t.Errorf("%v: read ended with status %d, %d bytes", extra, e.status, len(e.data))
+			t.Errorf("login keys %v: read ended with status %d, %d bytes", extraKeys, e.status, len(e.data))
 		}
 		if received, executed := env.counts(); received != 2 || executed != 2 {
-			t.Errorf("%d commands received, %d executed", received, executed)
+			t.Errorf("storage target: %d commands received, %d executed, want 2 each", received, executed)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	d.data = data[4096:8192]
 	client.send(d)
 	if e := client.awaitResponse(client.lastITT, data); e.status != statusGood || e.r2ts != 1 {
-		t.Errorf("write ended %+v", e)
+		t.Errorf("write ended as %+v", e)
 	}
 	if e := client.readBlocks(0, 20); !bytes.Equal(e.data, data) {
 		t.Error("the data read differs from the data written")
@@ -85,7 +85,7 @@
 		stage                      string
 		deduplicates               bool
 		cuts                       int
-		status, key                byte
+		status, senseKey           byte
 		wantReceived, wantExecuted int
 	}{
 		{cutLogin, false, 1, statusGood, 0, 1, 1}, // never sent, so it may be retried
@@ -95,21 +95,21 @@
 		{cutCommand, true, 1, statusGood, 0, 2, 1},
 		{cutData, true, 1, statusGood, 0, 2, 1},
 		{cutExecuted, true, 1, statusGood, 0, 2, 1},
-		{cutExecuted, true, 9, statusCheckCondition, senseHardware, 4, 1}, // all allowed attempts fail
+		{cutExecuted, true, 9, statusCheckCondition, senseHardware, 4, 1}, // all MaxAttempts attempts fail
 	} {
 		env := newTestEnv(t, longObjective, x.deduplicates)
 		env.cutStage, env.cutsLeft = x.stage, x.cuts
 		client := env.initiator(t)
 		e := client.write(0, pattern(20<<10))
 		received, executed := env.counts()
-		if e.status != x.status || e.senseKey != x.key || received != x.wantReceived || executed != x.wantExecuted {
+		if e.status != x.status || e.senseKey != x.senseKey || received != x.wantReceived || executed != x.wantExecuted {
 			t.Errorf("%+v: status 0x%x, sense key %x, %d received, %d executed", x, e.status, e.senseKey, received, executed)
 		}
 		env.mu.Lock()
 		env.cutsLeft = 0
 		env.mu.Unlock()
 		if e := client.readBlocks(0, 1); e.status != statusGood { // also fails if a second response to the write arrives
-			t.Errorf("%+v: the next command ended with 0x%x", x, e.status)
+			t.Errorf("%+v: the next command ended with status 0x%x", x, e.status)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	env := newTestEnv(t, longObjective, false)
 	env.cutStage, env.cutsLeft = cutExecuted, 2
 	if e := env.initiator(t).readBlocks(0, 8); e.status != statusGood || len(e.data) != 4096 {
-		t.Errorf("read ended %+v", e)
+		t.Errorf("read ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 3 {
 		t.Errorf("%d commands received, want 3", received)
@@ -140,7 +140,7 @@
 		client.answerR2T(client.read(), data)
 		close(env.hold)
 		if e := client.awaitResponse(first, nil); e.status != statusGood {
-			t.Errorf("the write in flight ended %+v", e)
+			t.Errorf("the write in flight ended as %+v", e)
 		}
 		<-env.logouts
 		want, executions := byte(statusBusy), 1
@@ -148,10 +148,10 @@
 			want, executions = statusGood, 2
 		}
 		if e := client.awaitResponse(second, nil); e.status != want {
-			t.Errorf("target up again %v: the second write ended %+v", restarts, e)
+			t.Errorf("storage target comes up again: %v; the second write ended as %+v", restarts, e)
 		}
 		if received, executed := env.counts(); received != executions || executed != executions {
-			t.Errorf("target up again %v: %d received, %d executed", restarts, received, executed)
+			t.Errorf("storage target comes up again: %v; %d commands received, %d executed", restarts, received, executed)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	env := newTestEnv(t, longObjective, false)
 	client := env.initiator(t)
 	if e := client.readBlocks(0, 1); e.status != statusGood {
-		t.Fatalf("read ended %+v", e)
+		t.Fatalf("read ended as %+v", e)
 	}
 	reports := make(chan core.ListUpdate, 8)
 	env.dialer.SetListUpdateHandler(func(n core.ListUpdate) { reports <- n })
@@ -174,16 +174,16 @@
 	peer.reportState(policy.NodeUp, 1)
 	peer.reportState(policy.NodeDraining, 0)
 	if n := <-reports; n.Nodes[0].State != policy.NodeDraining || len(reports) > 0 {
-		t.Errorf("reported %+v", n)
+		t.Errorf("reported %+v, want only that the target drains", n)
 	}
 	conf.Storage = []config.StorageTarget{{Name: "new", Addresses: conf.Storage[0].Addresses, Target: "iqn.new", Shard: 0}}
 	env.dialer.Update(&conf)
 	env.core.UpdateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: Nodes(&conf)})
 	if e := client.readBlocks(0, 1); e.status != statusGood {
-		t.Errorf("read after the reload ended %+v", e)
+		t.Errorf("read after the reload ended as %+v", e)
 	}
 	if name := env.lastLoginTarget(); name != "iqn.new" {
-		t.Errorf("logged in to %q", name)
+		t.Errorf("logged in to the target %q, want the one that the reload added", name)
 	}
 }
 
@@ -193,7 +193,7 @@
 		status                   byte
 		sense                    []byte
 		write                    bool
-		want, key                byte
+		want, senseKey           byte
 		minReceived, maxReceived int
 		wantsQualifier           bool
 	}{
@@ -214,19 +214,19 @@
 			e = client.readBlocks(0, 1)
 		}
 		received, executed := env.counts()
-		if e.status != x.want || e.senseKey != x.key || received < x.minReceived || received > x.maxReceived || executed != 0 || (e.qualifier > 0) != x.wantsQualifier {
-			t.Errorf("%+v: ended %+v, %d received, %d executed", x, e, received, executed)
+		if e.status != x.want || e.senseKey != x.senseKey || received < x.minReceived || received > x.maxReceived || executed != 0 || (e.qualifier > 0) != x.wantsQualifier {
+			t.Errorf("%+v: ended as %+v, %d received, %d executed", x, e, received, executed)
 		}
 	}
 }
 
-// A command to which the storage target does not respond ends at its deadline.
+// A command to which the storage target does not respond ends at its deadline, and the initiator sends ABORT TASK for it.
 func TestCommandEndsAtDeadline(t *testing.T) {
 	env := newTestEnv(t, 1000, false)
 	env.hold = make(chan struct{})
 	defer close(env.hold)
 	if e := env.initiator(t).write(0, pattern(512)); e.status != statusCheckCondition || e.senseKey != senseHardware {
-		t.Errorf("write ended %+v", e)
+		t.Errorf("write ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 1 {
 		t.Errorf("%d commands received, want 1", received)
@@ -247,7 +247,7 @@
 		client.send(q)
 		r := client.read()
 		if r.op() != opTaskMgmtResp {
-			t.Fatalf("%v", r)
+			t.Fatalf("received %v, want a task management response", r)
 		}
 		return r.bhs[2]
 	}
@@ -259,7 +259,7 @@
 	}
 	close(env.hold)
 	if e := client.readBlocks(0, 1); e.status != statusGood {
-		t.Errorf("read after the abort ended %+v", e)
+		t.Errorf("read after the abort ended as %+v", e)
 	}
 	if client.responses[itt] != 0 {
 		t.Error("an aborted task got a response")
@@ -267,7 +267,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if env.aborts != 1 {
-		t.Errorf("the storage target received %d ABORT TASK", env.aborts)
+		t.Errorf("the storage target received %d ABORT TASK requests, want 1", env.aborts)
 	}
 }
 
@@ -283,7 +283,7 @@
 	}
 	close(env.hold)
 	if e := client.readBlocks(0, 1); e.status != statusGood || old.responses[itt] != 0 {
-		t.Errorf("read ended %+v, %d responses on the old session", e, old.responses[itt])
+		t.Errorf("read ended as %+v, %d responses on the old session", e, old.responses[itt])
 	}
 	if n := env.core.OpenRequests(); n != 0 {
 		t.Errorf("%d requests open", n)
@@ -304,7 +304,7 @@
 		client.send(q)
 		r := client.read()
 		if r.op() != opNopIn || string(r.data) != "ping" {
-			t.Fatalf("%v %q", r, r.data)
+			t.Fatalf("received %v with data %q, want a NOP-In with the ping's data", r, r.data)
 		}
 		return r.u32(32)
 	}
@@ -319,11 +319,11 @@
 		copy(q.bhs[32:], cdb[:])
 		client.send(q)
 		if r := client.read(); r.op() != opR2T {
-			t.Fatalf("%v", r)
+			t.Fatalf("received %v, want an R2T", r)
 		}
 	}
 	if last := ping(); last != first || last != client.cmdSN+7 {
-		t.Errorf("MaxCmdSN %d, before %d", last, first)
+		t.Errorf("MaxCmdSN is %d with immediate commands in the task queue, and was %d before", last, first)
 	}
 }
 
@@ -331,26 +331,26 @@
 func TestLocalCommands(t *testing.T) {
 	env := newTestEnv(t, longObjective, false)
 	client := env.initiator(t)
-	run := func(lun uint16, expected uint32, cdb ...byte) outcome {
+	runCommand := func(lun uint16, expected uint32, cdb ...byte) outcome {
 		t.Helper()
 		return client.awaitResponse(client.startCommand(append(cdb, make([]byte, 16)...)[:16], lun, 0x40, expected), nil)
 	}
-	if e := run(0, 8, scsiReadCapacity10); be.Uint32(e.data) != 4095 || be.Uint32(e.data[4:]) != 512 {
+	if e := runCommand(0, 8, scsiReadCapacity10); be.Uint32(e.data) != 4095 || be.Uint32(e.data[4:]) != 512 {
 		t.Errorf("READ CAPACITY(10): %x", e.data)
 	}
-	if e := run(0, 100, scsiReportLUNs, 0, 0, 0, 0, 0, 0, 0, 0, 100); be.Uint32(e.data) != 24 || e.data[17] != 3 || e.residual != 68 {
+	if e := runCommand(0, 100, scsiReportLUNs, 0, 0, 0, 0, 0, 0, 0, 0, 100); be.Uint32(e.data) != 24 || e.data[17] != 3 || e.residual != 68 {
 		t.Errorf("REPORT LUNS: %x, residual %d", e.data, e.residual)
 	}
-	if e := run(0, 36, scsiInquiry, 0, 0, 0, 36); len(e.data) != 36 || e.data[0] != 0 {
+	if e := runCommand(0, 36, scsiInquiry, 0, 0, 0, 36); len(e.data) != 36 || e.data[0] != 0 {
 		t.Errorf("INQUIRY: %x", e.data)
 	}
-	if e := run(9, 36, scsiInquiry, 0, 0, 0, 36); len(e.data) != 36 || e.data[0] != 0x7f {
-		t.Errorf("INQUIRY of a LUN without a unit: %x", e.data)
+	if e := runCommand(9, 36, scsiInquiry, 0, 0, 0, 36); len(e.data) != 36 || e.data[0] != 0x7f {
+		t.Errorf("INQUIRY of a LUN that has no logical unit: %x", e.data)
 	}
 	for _, x := range []struct {
-		lun uint16
-		cdb [16]byte
-		key byte
+		lun      uint16
+		cdb      [16]byte
+		senseKey byte
 	}{
 		{9, block{false, 0, 1}.cdb(), senseIllegalRequest},
 		{0, block{false, 4096, 1}.cdb(), senseIllegalRequest},
@@ -358,13 +358,13 @@
 		{0, block{false, 0, 4096}.cdb(), senseIllegalRequest}, // longer than the maximum transfer
 		{0, [16]byte{0xfe}, senseIllegalRequest},
 	} {
-		if e := run(x.lun, 512, x.cdb[:]...); e.status != statusCheckCondition || e.senseKey != x.key {
-			t.Errorf("%x: ended %+v", x.cdb, e)
+		if e := runCommand(x.lun, 512, x.cdb[:]...); e.status != statusCheckCondition || e.senseKey != x.senseKey {
+			t.Errorf("command %x ended as %+v instead of with the sense key of its failed check", x.cdb, e)
 		}
 	}
 	cdb := block{true, 0, 1}.cdb()
 	if e := client.awaitResponse(client.startCommand(cdb[:], 3, 0x20, 512), nil); e.senseKey != senseDataProtect {
-		t.Errorf("write to a read-only unit: %+v", e)
+		t.Errorf("write to a read-only unit ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 0 {
 		t.Errorf("%d commands reached the storage target", received)
@@ -390,7 +390,7 @@
 		{stageOperational<<2 | stageFull, loginBadRequest, []pair{initiatorName, target, {"MaxBurstLength", "none"}}},
 	} {
 		if status := connect(t, env.address).login(x.stages, x.pairs...); status != x.want {
-			t.Errorf("%v: status 0x%04x, want 0x%04x", x.pairs, status, x.want)
+			t.Errorf("login with %v ended with status 0x%04x, want 0x%04x", x.pairs, status, x.want)
 		}
 	}
 	client := connect(t, env.address)
@@ -403,7 +403,7 @@
 	client.send(q)
 	text, err := decodeText(client.read().data)
 	if name, _ := findValue(text, "TargetName"); err != nil || name != targetName {
-		t.Errorf("SendTargets: %v %v", text, err)
+		t.Errorf("SendTargets returned %v, error %v", text, err)
 	}
 }
 
@@ -424,10 +424,10 @@
 		pdu    *pdu
 		reject byte // 0: the session ends without a Reject
 	}{
-		"opcode":                {malformed(func(q *pdu) { q.bhs[0] = 0x1e | flagImmediate }), rejectUnsupported},
-		"SNACK":                 {malformed(func(q *pdu) { q.bhs[0] = opSNACK | flagImmediate }), rejectProtocol},
-		"login":                 {malformed(func(q *pdu) { q.bhs[0] = opLoginReq | flagImmediate }), rejectProtocol},
-		"read and write":        {malformed(func(q *pdu) { q.bhs[1] |= 0x40 }), rejectInvalid},
+		"unknown opcode":        {malformed(func(q *pdu) { q.bhs[0] = 0x1e | flagImmediate }), rejectUnsupported},
+		"SNACK request":         {malformed(func(q *pdu) { q.bhs[0] = opSNACK | flagImmediate }), rejectProtocol},
+		"login in full feature": {malformed(func(q *pdu) { q.bhs[0] = opLoginReq | flagImmediate }), rejectProtocol},
+		"R and W bits both set": {malformed(func(q *pdu) { q.bhs[1] |= 0x40 }), rejectInvalid},
 		"gap in CmdSN":          {malformed(func(q *pdu) { q.put32(24, 3) }), 0},
 		"data segment too long": {malformed(func(q *pdu) { q.data = make([]byte, ownMaxSegment+4) }), rejectInvalid},
 	} {
@@ -435,7 +435,7 @@
 		_, _ = client.conn.Write(client.sendFraming.append(nil, x.pdu))
 		q, err := client.receiveFraming.read(client.reader)
 		if x.reject == 0 && err == nil || x.reject != 0 && (err != nil || q.op() != opReject || q.bhs[2] != x.reject) {
-			t.Errorf("%s: %v %v", name, q, err)
+			t.Errorf("%s: received %v, error %v", name, q, err)
 		}
 	}
 	// A Data-Out longer than the R2T requested.
@@ -452,14 +452,14 @@
 	if _, err := client.receiveFraming.read(client.reader); err == nil {
 		t.Error("the session stays open after a Data-Out that is too long")
 	}
-	// A command outside the window is ignored. The next one inside is served.
+	// A command whose CmdSN is outside the command window is ignored. The next one, inside the window, is served.
 	client = env.initiator(t)
 	client.cmdSN += 100
 	cdb := block{false, 0, 1}.cdb()
 	client.startCommand(cdb[:], 0, 0x40, 512)
 	client.cmdSN -= 101
 	if e := client.readBlocks(0, 1); e.status != statusGood {
-		t.Errorf("read inside the window ended %+v", e)
+		t.Errorf("read inside the command window ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 1 {
 		t.Errorf("%d commands reached the storage target", received)
@@ -486,7 +486,7 @@
 		t.Errorf("logout: %v, response %d", r, r.bhs[2])
 	}
 	if _, err := client.receiveFraming.read(client.reader); !errors.Is(err, io.EOF) || client.responses[itt] != 0 {
-		t.Errorf("after the logout: %v, %d responses to the write", err, client.responses[itt])
+		t.Errorf("after the logout: reading a PDU returned error %v, want EOF; %d responses to the write", err, client.responses[itt])
 	}
 	close(env.hold)
 	if n := env.core.OpenRequests(); n != 0 {
@@ -500,10 +500,10 @@
 	client := env.initiator(t)
 	itt := client.startWrite(0, pattern(512))
 	if q := client.read(); q.op() != opR2T {
-		t.Fatalf("%v", q)
+		t.Fatalf("received %v, want an R2T", q)
 	}
 	if e := client.awaitResponse(itt, nil); e.status != statusCheckCondition || e.senseKey != senseAborted {
-		t.Errorf("write ended %+v", e)
+		t.Errorf("write ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 0 || env.target.bufferedBytes.Load() != 0 {
 		t.Errorf("%d commands received, %d bytes still reserved", received, env.target.bufferedBytes.Load())
@@ -516,11 +516,11 @@
 	client := env.initiator(t)
 	env.target.bufferedBytes.Store(maxBufferedBytes)
 	if e := client.write(0, pattern(512)); e.status != statusBusy {
-		t.Errorf("write without budget ended %+v", e)
+		t.Errorf("write with the buffer budget used up ended as %+v", e)
 	}
 	env.target.bufferedBytes.Store(0)
 	if e := client.write(0, pattern(512)); e.status != statusGood {
-		t.Errorf("write with budget ended %+v", e)
+		t.Errorf("write with a free buffer budget ended as %+v", e)
 	}
 }
 
@@ -531,10 +531,10 @@
 	client := env.initiator(t)
 	cdb := block{false, 0, 1}.cdb()
 	if e := client.awaitResponse(client.startCommand(cdb[:], 4, 0x40, 512), nil); e.status != statusBusy {
-		t.Errorf("beyond the rate limit: %+v", e)
+		t.Errorf("command beyond the rate limit of its volume ended as %+v", e)
 	}
 	if e := client.readBlocks(0, 1); e.status != statusGood {
-		t.Errorf("another volume: %+v", e)
+		t.Errorf("command of another volume ended as %+v", e)
 	}
 	if received, _ := env.counts(); received != 1 {
 		t.Errorf("%d commands received, want 1", received)
@@ -553,7 +553,7 @@
 		wire := client.sendFraming.append(nil, q)
 		wire[at] ^= 0x10
 		if at < bhsLen {
-			wire = append(wire, make([]byte, 1<<13)...) // the changed byte belongs to the length
+			wire = append(wire, make([]byte, 1<<13)...) // the changed byte belongs to the length of the data, which is now longer
 		}
 		_, _ = client.conn.Write(wire)
 		if r := client.read(); r.op() != opReject {
@@ -578,15 +578,15 @@
 		close(done)
 	}()
 	if q := client.read(); q.op() != opAsync || q.bhs[36] != 1 {
-		t.Errorf("received %v, want a request for logout", q)
+		t.Errorf("received %v, want an asynchronous message that requests a logout", q)
 	}
 	close(env.hold)
 	if e := client.awaitResponse(itt, nil); e.status != statusGood {
-		t.Errorf("write ended %+v", e)
+		t.Errorf("write ended as %+v", e)
 	}
 	<-done
 	if _, err := client.receiveFraming.read(client.reader); !errors.Is(err, io.EOF) {
-		t.Errorf("read after Shutdown: %v", err)
+		t.Errorf("reading a PDU after Shutdown returned error %v, want EOF", err)
 	}
 }
 
@@ -605,7 +605,7 @@
 		wire := f.append(nil, p)
 		got, err := f.read(bufio.NewReader(bytes.NewReader(wire)))
 		if err != nil || got.bhs != p.bhs || !bytes.Equal(got.data, p.data) || !bytes.Equal(got.ahs, p.ahs) {
-			rt.Fatalf("%v: decoded %+v from %+v", err, got, p)
+			rt.Fatalf("error %v: decoded %+v, which was encoded from %+v", err, got, p)
 		}
 		cutAt := rapid.IntRange(0, len(wire)-1).Draw(rt, "cut")
 		if _, err := f.read(bufio.NewReader(bytes.NewReader(wire[:cutAt]))); err == nil {
@@ -635,7 +635,7 @@
 	})
 }
 
-// Random PDUs after a login are answered or end the session, and the target still serves others.
+// Random PDUs after a login are answered or end their session, and the target still serves other sessions.
 func TestGarbageSessions(t *testing.T) {
 	env := newTestEnv(t, longObjective, false)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -654,11 +654,11 @@
 		client.conn.Close()
 	})
 	if e := env.initiator(t).readBlocks(0, 1); e.status != statusGood {
-		t.Errorf("read after the random sessions ended %+v", e)
+		t.Errorf("read after the random sessions ended as %+v", e)
 	}
 }
 
-// Each entry of a recorded access log is replayed as a READ or WRITE of its size.
+// Each entry of a recorded access log is replayed as a READ or WRITE of its size, up to 48 KiB, and is served.
 func TestReplayedLog(t *testing.T) {
 	env := newTestEnv(t, longObjective, false)
 	client := env.initiator(t)
@@ -680,10 +680,10 @@
 			got = client.readBlocks(lba, uint32(blocks))
 		}
 		if got.status != statusGood {
-			t.Errorf("line %d ended %+v", e.Line, got)
+			t.Errorf("command of line %d of the log ended as %+v", e.Line, got)
 		}
 	}
 	if received, executed := env.counts(); received != len(recording.Entries) || executed != received {
-		t.Errorf("%d received, %d executed of %d", received, executed, len(recording.Entries))
+		t.Errorf("%d commands received, %d executed, the log has %d entries", received, executed, len(recording.Entries))
 	}
 }
--- a/internal/iscsi/portals_test.go
+++ b/internal/iscsi/portals_test.go
@@ -52,7 +52,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal(what, ": condition not reached")
+	t.Fatal(what, ": condition was not met in time")
 }
 
 func (s *fakeTarget) loginCount() int {
@@ -70,18 +70,18 @@
 	client := env.initiator(t)
 	for range 5 {
 		if e := client.readBlocks(0, 1); e.status != statusGood {
-			t.Fatalf("read ended %+v", e)
+			t.Fatalf("read ended as %+v", e)
 		}
 	}
 	if a.commandCount() != 5 || b.commandCount() != 0 {
-		t.Fatalf("%d and %d commands, want 5 and 0", a.commandCount(), b.commandCount())
+		t.Fatalf("the first and second portal got %d and %d commands, want 5 and 0", a.commandCount(), b.commandCount())
 	}
 	a.stop()
 	readUntil(t, client, "commands on the next portal", func() bool { return b.commandCount() > 0 })
 	before := a.commandCount()
 	for range 20 {
 		if e := client.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("read ended %+v", e)
+			t.Errorf("read ended as %+v", e)
 		}
 	}
 	if a.commandCount() != before {
@@ -94,7 +94,7 @@
 		client.readBlocks(0, 1)
 	}
 	if b.commandCount() != after {
-		t.Error("commands use both portals")
+		t.Error("commands still use the second portal after the recovery of the first one")
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 	for range 2 { // after more responses the scheduler would treat the write as lost
 		if e := other.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("read ended %+v", e)
+			t.Errorf("read ended as %+v", e)
 		}
 	}
 	close(env.hold)
@@ -120,18 +120,18 @@
 	a.hold = nil
 	a.mu.Unlock()
 	if e := client.awaitResponse(itt, nil); e.status != statusGood {
-		t.Errorf("the write ended %+v", e)
+		t.Errorf("the write ended as %+v", e)
 	}
 	for _, s := range []*fakeTarget{a, b} {
 		s.mu.Lock()
 		if n := len(s.disk); s == a && n != 2 || s == b && n != 0 {
-			t.Errorf("%d blocks written", n)
+			t.Errorf("a portal has %d blocks written, want 2 on the first one and none on the second", n)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// A portal that belongs to another target rejects the login. The other portals serve, and it is used again
+// A portal that belongs to another target rejects the login. The other portal serves the commands, and the first one is used
 // once it accepts logins.
 func TestPortalOfAnotherTarget(t *testing.T) {
 	a, b := newFakeTarget(t), newFakeTarget(t)
@@ -140,11 +140,11 @@
 	client := env.initiator(t)
 	for range 10 {
 		if e := client.readBlocks(0, 1); e.status != statusGood {
-			t.Fatalf("read ended %+v", e)
+			t.Fatalf("read ended as %+v", e)
 		}
 	}
 	if a.commandCount() != 0 || b.commandCount() != 10 {
-		t.Errorf("%d and %d commands, want 0 and 10", a.commandCount(), b.commandCount())
+		t.Errorf("the first and second portal got %d and %d commands, want 0 and 10", a.commandCount(), b.commandCount())
 	}
 	a.mu.Lock()
 	a.loginStatus = 0
@@ -168,7 +168,7 @@
 	other := env.otherInitiator(t)
 	for range 5 {
 		if e := other.readBlocks(0, 1); e.status != statusGood {
-			t.Errorf("read ended %+v", e)
+			t.Errorf("read ended as %+v", e)
 		}
 	}
 	if b.commandCount() != 5 {
@@ -176,7 +176,7 @@
 	}
 	close(env.hold)
 	if e := client.awaitResponse(itt, nil); e.status != statusGood {
-		t.Errorf("the write ended %+v", e)
+		t.Errorf("the write ended as %+v", e)
 	}
 	<-a.logouts
 }
--- a/internal/transport/acceptlock_test.go
+++ b/internal/transport/acceptlock_test.go
@@ -37,7 +37,7 @@
 	defer func() { _ = nc.Close() }()
 	select {
 	case err := <-got:
-		t.Fatalf("Accept returned before the gate was opened: %v", err)
+		t.Fatalf("Accept returned before the gate was opened: error %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	gate.Open()
@@ -95,7 +95,7 @@
 	}
 	for _, lock := range []*AcceptLock{NewAcceptLock(filepath.Join(dir, "none"), &net.TCPAddr{Port: 80}), {Path: dir}} {
 		if locked, err := lock.TryLock(); locked || err == nil {
-			t.Errorf("%s: %v %v", lock.Path, locked, err)
+			t.Errorf("lock at %s, which cannot be created: TryLock returned %v, %v", lock.Path, locked, err)
 		}
 	}
 	link := filepath.Join(dir, "link")
@@ -103,6 +103,6 @@
 		t.Fatal(err)
 	}
 	if locked, err := (&AcceptLock{Path: link}).TryLock(); locked || err == nil {
-		t.Errorf("a symbolic link was followed: %v %v", locked, err)
+		t.Errorf("a symbolic link was followed: TryLock returned %v, %v", locked, err)
 	}
 }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	if r := <-got; r.err == nil {
-		t.Errorf("%+v", r)
+		t.Errorf("read on the evicted connection returned %+v", r)
 	}
 }
 
@@ -117,7 +117,7 @@
 	_, conn, client := pair(t, 10)
 	_, _ = io.WriteString(client, "onetwo")
 	if r := <-readOnce(conn); r.text != "onetwo" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v, want both requests", r)
 	}
 	conn.CountParsed(3)
 	if !conn.HasUnparsed() {
@@ -130,7 +130,7 @@
 	conn.ResponseDone()
 	_, _ = io.WriteString(client, "three")
 	if r := <-readOnce(conn); r.text != "three" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v, want the third request", r)
 	}
 	if conn.CountParsed(5); conn.HasUnparsed() {
 		t.Error("HasUnparsed is true with all input parsed")
@@ -144,7 +144,7 @@
 	l.linger = time.Hour // long, so that no test passes because the linger time has ended
 	_, _ = io.WriteString(client, "request")
 	if r := <-readOnce(conn); r.text != "request" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v", r)
 	}
 	_, _ = io.WriteString(conn, "answer")
 	return l, conn, client
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
-		t.Errorf("%q %v", b, err)
+		t.Errorf("the client read %q, %v", b, err)
 	}
 	_ = client.Close()
 	waitAllClosed(l)
@@ -215,9 +215,9 @@
 	}
 	defer func() { _ = next.Close() }()
 	if _, err := l.Accept(); err != nil || l.OpenCount() != 1 {
-		t.Errorf("Accept: %v, %d connections open", err, l.OpenCount())
+		t.Errorf("Accept: error %v, %d connections open, want 1", err, l.OpenCount())
 	}
 	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
-		t.Errorf("%q %v", b, err)
+		t.Errorf("the client read %q, %v", b, err)
 	}
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	for i, nc := range clients {
 		if b, err := io.ReadAll(nc); err != nil || string(b) != fmt.Sprint("answer to request ", i) {
-			t.Errorf("client %d: %q %v", i, b, err)
+			t.Errorf("client %d read %q, %v, want the answer to its request", i, b, err)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	defer func() { _ = ln.Close() }()
 	q := acceptQueueOf(ln)
 	if _, err := q.acceptNow(); !errors.Is(err, errQueueEmpty) {
-		t.Errorf("empty queue: %v", err)
+		t.Errorf("acceptNow on an empty queue: error %v", err)
 	}
 	queueClients(t, "tcp", ln.Addr().String(), 1)
 	nc, err := q.acceptNow()
@@ -84,7 +84,7 @@
 	}
 	defer func() { _ = nc.Close() }()
 	if _, ok := nc.(*noSpliceConn); !ok {
-		t.Errorf("accepted a %T", nc)
+		t.Errorf("accepted connection has the type %T, want one without splice", nc)
 	}
 }
 
@@ -109,7 +109,7 @@
 			t.Error("a connect succeeded after StopAccepting")
 		}
 		if len(ended) > 0 {
-			t.Error("Accept did not wait for Close")
+			t.Error("Accept returned an error before Close")
 		}
 		_ = l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) {
@@ -150,7 +150,7 @@
 	m := Merge(mustListen(t), mustListen(t)).(*mergedListener)
 	defer func() { _ = m.Close() }()
 	m.wake()
-	if _, err := m.acceptNow(); !errors.Is(err, errQueueEmpty) { // it has received the last result of both
+	if _, err := m.acceptNow(); !errors.Is(err, errQueueEmpty) { // m has received the last result of both listeners
 		t.Fatal(err)
 	}
 	if _, err := m.Accept(); !errors.Is(err, errQueueEmpty) {
@@ -194,7 +194,7 @@
 	_ = l.Close()
 }
 
-// If an accept fails for lack of a descriptor, a connection without a request is evicted.
+// If an accept fails for lack of a file descriptor, a connection without a request is evicted.
 func TestNoDescriptorEvictsIdle(t *testing.T) {
 	l, conn, _ := pair(t, 10)
 	conn.phaseStart.Store(0)
@@ -208,7 +208,7 @@
 	}
 }
 
-// lateListener runs a test's function between the deadline of an accept and its return.
+// lateListener calls a test's function after the deadline of an accept and before the accept returns.
 type lateListener struct {
 	*net.TCPListener
 	skip       int // number of accepts ended by their deadline before the function runs
--- a/internal/transport/inherited_test.go
+++ b/internal/transport/inherited_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// After the first process has closed the socket, the inherited descriptor still accepts connections.
+// During a process replacement both processes have the socket open. After the first one has closed it, the inherited descriptor
+// still accepts connections.
 func TestInheritedSocketListens(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,7 +31,7 @@
 	}
 	defer func() { _ = inherited.Close() }()
 	if inherited.Addr().String() != ln.Addr().String() {
-		t.Fatalf("inherited listener at %s, the socket at %s", inherited.Addr(), ln.Addr())
+		t.Fatalf("the inherited listener has address %s, the socket has %s", inherited.Addr(), ln.Addr())
 	}
 	ln.Close() // the socket stays open through the inherited descriptor
 	nc, err := net.Dial("tcp", inherited.Addr().String())
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -43,10 +43,10 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Lstat(path); err != nil || info.Mode().Perm() != 0o640 || info.Mode()&fs.ModeSocket == 0 {
-		t.Errorf("%v %v", info.Mode(), err)
+		t.Errorf("socket file has mode %v, error %v", info.Mode(), err)
 	}
 	if _, err := Listen(unixAddr(t, path), 0o600); !errors.Is(err, ErrInUse) {
-		t.Errorf("second listener: %v", err)
+		t.Errorf("second listener: error %v, want ErrInUse", err)
 	}
 	got := make(chan error, 1)
 	go func() { _, err := ln.Accept(); got <- err }()
@@ -57,7 +57,7 @@
 	_ = nc.Close()
 	_ = ln.Close()
 	if _, err := os.Lstat(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("the file exists after Close: %v", err)
+		t.Errorf("Lstat of the socket file after Close: error %v, want ErrNotExist", err)
 	}
 }
 
@@ -71,32 +71,32 @@
 	}
 	defer func() { _ = other.Close() }()
 	if _, err := Listen(unixAddr(t, path), 0o600); !errors.Is(err, ErrInUse) {
-		t.Errorf("socket file in use: %v", err)
+		t.Errorf("Listen on a socket file in use: error %v, want ErrInUse", err)
 	}
 	regular := filepath.Join(dir, "plain")
 	if err := os.WriteFile(regular, []byte("data"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Listen(unixAddr(t, regular), 0o600); err == nil || !strings.Contains(err.Error(), "not a socket") {
-		t.Errorf("regular file: %v", err)
+		t.Errorf("Listen on a regular file: error %v, want one that says that it is not a socket", err)
 	}
 	if text, _ := os.ReadFile(regular); string(text) != "data" {
 		t.Error("the regular file was changed")
 	}
 	// A listener whose file was replaced does not remove the replacement.
-	mine := filepath.Join(dir, "mine")
-	ln, err := Listen(unixAddr(t, mine), 0o600)
+	replaced := filepath.Join(dir, "mine")
+	ln, err := Listen(unixAddr(t, replaced), 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(mine); err != nil {
+	if err := os.Remove(replaced); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(mine, nil, 0o600); err != nil {
+	if err := os.WriteFile(replaced, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	if _, err := os.Stat(mine); err != nil {
+	if _, err := os.Stat(replaced); err != nil {
 		t.Errorf("the replacement of the file was removed: %v", err)
 	}
 }
@@ -129,27 +129,27 @@
 		accepted.(*Conn).Unwatch()
 	}
 	if l.OpenCount() != 2 {
-		t.Errorf("%d open, want 2", l.OpenCount())
+		t.Errorf("%d connections are open, want 2", l.OpenCount())
 	}
 	ended := make(chan error, 1)
 	go func() { _, err := l.Accept(); ended <- err }()
 	_ = l.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+		t.Errorf("Accept after Close: error %v, want net.ErrClosed", err)
 	}
 	for _, to := range [][2]string{{"tcp", tcp.Addr().String()}, {"unix", path}} {
 		if nc, err := net.DialTimeout(to[0], to[1], time.Second); err == nil {
 			_ = nc.Close()
-			t.Errorf("%v still accepts", to)
+			t.Errorf("%v still accepts connections after Close", to)
 		}
 	}
 }
 
-func TestDialFailure(t *testing.T) {
+func TestClassifyDialError(t *testing.T) {
 	for _, x := range []struct {
-		err  error
-		kind address.Family
-		want address.Reason
+		err    error
+		family address.Family
+		want   address.Reason
 	}{
 		{syscall.ECONNREFUSED, address.IPv4, address.ReasonRefused}, {syscall.ENOENT, address.Unix, address.ReasonRefused},
 		{syscall.EACCES, address.Unix, address.ReasonRefused}, {syscall.EAGAIN, address.Unix, address.ReasonTimedOut},
@@ -158,8 +158,8 @@
 		{syscall.ENETUNREACH, address.IPv6, address.ReasonNoFamily}, {syscall.ENETUNREACH, address.IPv4, address.ReasonRefused},
 		{os.ErrDeadlineExceeded, address.IPv4, address.ReasonTimedOut}, {syscall.ETIMEDOUT, address.IPv4, address.ReasonTimedOut},
 	} {
-		if got := ClassifyDialError(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", x.err)}, x.kind); got != x.want {
-			t.Errorf("%v %v: %v, want %v", x.kind, x.err, got, x.want)
+		if got := ClassifyDialError(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", x.err)}, x.family); got != x.want {
+			t.Errorf("dial of family %v with error %v: classified as %v, want %v", x.family, x.err, got, x.want)
 		}
 	}
 }
--- a/internal/transport/listener_interleave_test.go
+++ b/internal/transport/listener_interleave_test.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// checkFinal returns an error if an open connection has a wrong index or a closed one counts as open.
-func checkFinal(l *Listener) error {
+// checkOpenList returns an error if an open connection has a wrong index or a closed one counts as open.
+func checkOpenList(l *Listener) error {
 	for i, c := range l.open {
 		if c.index != i {
 			return fmt.Errorf("the connection at index %d has index %d", i, c.index)
@@ -116,7 +116,7 @@
 				}
 				return checkOpen(l)
 			},
-			Check: func() error { return checkFinal(l) },
+			Check: func() error { return checkOpenList(l) },
 		}
 	})
 	mutant.AssertDetected(t,
@@ -151,7 +151,7 @@
 				if !l.Listener.(*fakeListener).closed || len(l.open) != 0 {
 					return fmt.Errorf("%d connections stay open", len(l.open))
 				}
-				return checkFinal(l)
+				return checkOpenList(l)
 			},
 		}
 	})
@@ -171,7 +171,7 @@
 
 // Control implements syscall.RawConn.
 func (w fakeRawConn) Control(f func(uintptr)) error {
-	il.Step(il.Op{Kind: "looks"})
+	il.Step(il.Op{Kind: "inspects"})
 	f(uintptr(w.serverFD))
 	return nil
 }
@@ -245,7 +245,7 @@
 	})
 	for _, outcome := range []string{"served", "closed unread"} {
 		if outcomes[outcome] == 0 {
-			t.Errorf("no order ended with the outcome %q: %v", outcome, outcomes)
+			t.Errorf("no schedule ended with the outcome %q; schedules by outcome: %v", outcome, outcomes)
 		}
 	}
 	mutant.AssertDetected(t,
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -41,7 +41,7 @@
 	conn.Unwatch()
 	b := make([]byte, 5)
 	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "hello" {
-		t.Errorf("%q %v", b, err)
+		t.Errorf("input that arrived during the watch was read as %q, %v", b, err)
 	}
 	peerClosed := conn.Watch()
 	_, _ = io.WriteString(client, "bytes that are not read before the close")
@@ -49,11 +49,11 @@
 	<-peerClosed
 	conn.Unwatch()
 	if IsReusable(conn.Conn.(*net.TCPConn)) {
-		t.Error("a closed connection is reusable")
+		t.Error("IsReusable is true for a connection that the peer closed")
 	}
 }
 
-// At the capacity new connections wait in the backlog until one closes or is idle.
+// At the capacity new connections wait in the accept queue until an open one is closed or idle.
 func TestConnectionsBeyondCapacityWait(t *testing.T) {
 	l, conn, _ := pair(t, 1)
 	next, err := net.Dial("tcp", l.Addr().String())
@@ -78,7 +78,7 @@
 	go func() { _, err := l.Accept(); got <- err }()
 	_ = l.Close()
 	if err := <-got; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+		t.Errorf("Accept after Close: error %v, want net.ErrClosed", err)
 	}
 }
 
@@ -111,7 +111,7 @@
 	evicted := func(c *Conn) bool { return c.phase.Load() == closing }
 	now := time.Now()
 	if l.evictForCapacity(now.Add(-time.Hour)); evicted(silent) || evicted(idleConn) {
-		t.Error("a connection was evicted at once")
+		t.Error("a connection was evicted before it had been silent or idle for evictableAfter")
 	}
 	idleConn.phaseStart.Store(now.Add(time.Hour).UnixNano()) // as if it had just become idle
 	if l.evictForCapacity(now.Add(time.Second)); !evicted(silent) || evicted(idleConn) {
@@ -160,12 +160,12 @@
 	return nil, err
 }
 
-// A lack of descriptors does not end a server, as other accept errors do.
+// Accept is retried after an error for lack of file descriptors, and returns other errors, which end the server.
 func TestAcceptRetriesWithoutDescriptor(t *testing.T) {
 	permanent := errors.New("not transient")
 	f := &failingListener{errs: []error{&net.OpError{Op: "accept", Err: syscall.EMFILE}, syscall.ENFILE, permanent}}
 	if _, err := Limit(f, 1).Accept(); !errors.Is(err, permanent) {
-		t.Errorf("%v", err)
+		t.Errorf("Accept returned %v, want the permanent error", err)
 	}
 }
 
@@ -173,25 +173,25 @@
 func TestCloseIdle(t *testing.T) {
 	l, conn, client := pair(t, 10)
 	if n := l.CloseIdle(time.Hour); n != 1 || conn.HasPendingInput() {
-		t.Errorf("%d connections open before any input", n)
+		t.Errorf("%d connections open before any input, want 1 without pending input", n)
 	}
 	_, _ = io.WriteString(client, "x")
 	for !conn.HasPendingInput() {
 		runtime.Gosched()
 	}
 	if n := l.CloseIdle(0); n != 1 {
-		t.Errorf("closed with unread bytes: %d open", n)
+		t.Errorf("CloseIdle of a connection with unread bytes: %d connections stay open, want 1", n)
 	}
 	b := make([]byte, 1)
 	if _, err := conn.Read(b); err != nil {
 		t.Fatal(err)
 	}
 	if n := l.CloseIdle(0); n != 1 {
-		t.Errorf("closed while active: %d open", n)
+		t.Errorf("CloseIdle of an active connection: %d connections stay open, want 1", n)
 	}
 	conn.SetIdle(true)
 	if n := l.CloseIdle(time.Hour); n != 1 {
-		t.Errorf("closed too early: %d open", n)
+		t.Errorf("CloseIdle of a connection that has just become idle: %d connections stay open, want 1", n)
 	}
 	if n := l.CloseIdle(0); n != 0 {
 		t.Errorf("%d idle connections stay open", n)
--- a/internal/transport/nosplice_test.go
+++ b/internal/transport/nosplice_test.go
@@ -53,7 +53,7 @@
 		"Listen on a socket file": func() (net.Listener, error) { return Listen(unixAddr(t, filepath.Join(t.TempDir(), "s")), 0o600) },
 		"ListenTCP":               func() (net.Listener, error) { return ListenTCP("127.0.0.1:0") },
 		"ListenInherited":         func() (net.Listener, error) { return ListenInherited(strconv.Itoa(int(inherited.Fd()))) },
-		"Listener": func() (net.Listener, error) {
+		"Listener of ListenTCP": func() (net.Listener, error) {
 			ln, err := ListenTCP("127.0.0.1:0")
 			return limit(ln, 10), err
 		},
@@ -137,7 +137,7 @@
 		}
 		if err := raw.Control(func(fd uintptr) {
 			if v, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || v == 0 {
-				t.Errorf("TCP_NODELAY: %d %v", v, err)
+				t.Errorf("TCP_NODELAY is %d, error %v, want it set", v, err)
 			}
 		}); err != nil {
 			t.Error(err)
--- a/internal/transport/watch_test.go
+++ b/internal/transport/watch_test.go
@@ -86,7 +86,7 @@
 	select {
 	case <-ch:
 	case <-time.After(eventTimeout):
-		t.Fatalf("%s was not detected", what)
+		t.Fatalf("%s was not detected in time", what)
 	}
 }
 
@@ -95,7 +95,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(eventTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not detected", what)
+			t.Fatalf("%s: condition was not met in time", what)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 				return nc.Close()
 			},
 		} {
-			t.Run(network+" "+name, func(t *testing.T) {
+			t.Run(network+", "+name, func(t *testing.T) {
 				_, conn, observed, client := observedPair(t, network)
 				_, _ = io.WriteString(client, text)
 				waitUntil(t, "unread bytes", func() bool { return conn.pendingInput() == socketReadable })
@@ -133,7 +133,7 @@
 				}
 				conn.Unwatch()
 				if got, _ := io.ReadAll(conn); string(got) != text && name != "reset" {
-					t.Errorf("read %q", got)
+					t.Errorf("the bytes before the close were read as %q", got)
 				}
 			})
 		}
@@ -159,7 +159,7 @@
 		_ = client.Close()
 		got, err := io.ReadAll(conn)
 		if want := string(text) + "more"; err != nil || string(got) != want {
-			t.Errorf("sent %d and 4 bytes, read %d bytes, or other ones: %v", size, len(got), err)
+			t.Errorf("the client sent %d and 4 bytes; the server read %d bytes, or bytes that differ: error %v", size, len(got), err)
 		}
 		if conn.readAhead.size.Load() != 0 || conn.readAhead.bytes != nil {
 			t.Error("the read-ahead buffer is not empty after all bytes were read")
@@ -203,7 +203,7 @@
 	conn.Unwatch()
 }
 
-// firstCheck returns the result of the watch's first check, or true if the watch ended without one.
+// firstCheck returns a channel for the result of the watch's first check, or for true if the watch ended without one.
 func firstCheck(checks <-chan bool, ended <-chan struct{}) <-chan bool {
 	got := make(chan bool, 1)
 	go func() {
@@ -222,7 +222,7 @@
 	for _, network := range []string{"tcp", "unix"} {
 		for _, unread := range []string{"", "unread bytes"} {
 			_, conn, observed, client := observedPair(t, network)
-			peerClosed := conn.Watch() // does not start, as hold is open
+			peerClosed := conn.Watch() // does not run before the channel start is closed
 			_, _ = io.WriteString(client, unread)
 			waitUntil(t, unread, func() bool { return unread == "" || conn.pendingInput() == socketReadable })
 			if conn.PeerClosed() {
