--- a/cmd/wheatsaddle/daemon_test.go
+++ b/cmd/wheatsaddle/daemon_test.go
@@ -30,7 +30,7 @@
 	mu           sync.Mutex
 	lines        []string
 	lineLogged   chan struct{} // a line was logged
-	logEnded     chan struct{} // its log has ended
+	logEnded     chan struct{} // closed at the end of the log
 }
 
 // daemonOptions configures a daemon.
@@ -156,7 +156,7 @@
 	d.t.Helper()
 	<-d.logEnded
 	if err := d.cmd.Wait(); err != nil {
-		d.t.Errorf("%v\n%s", err, strings.Join(d.lines, "\n"))
+		d.t.Errorf("the program did not exit with code 0: %v\n%s", err, strings.Join(d.lines, "\n"))
 	}
 }
 
@@ -233,7 +233,7 @@
 	_, err := io.WriteString(c, text)
 	d.must(err)
 	if got, body, err := c.readResponse(); err != nil || got != code {
-		d.t.Errorf("%v, %d %s, want %d", err, got, body, code)
+		d.t.Errorf("error %v, response %d %s, want %d", err, got, body, code)
 	}
 }
 
@@ -271,7 +271,7 @@
 	d.awaitIdle()
 	f, err := os.OpenFile(d.file, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 	if !errors.Is(err, syscall.ENXIO) { // a pipe without a reader
-		d.t.Errorf("the configuration is read once more: %v", err)
+		d.t.Errorf("the program still reads the configuration file (opening the pipe: %v, want ENXIO)", err)
 	}
 	if err == nil {
 		d.must(f.Close())
--- a/cmd/wheatsaddle/discovery_faults_test.go
+++ b/cmd/wheatsaddle/discovery_faults_test.go
@@ -74,25 +74,25 @@
 
 // A process becomes ready although discovery refuses connections, rejects requests, resets connections, does not respond or
 // sends an incomplete list: with and without the section start, with and without a cached list, with a watch and with polls.
-// The time is bounded by coldstart and by maxListWait, which are both under 6 s.
+// The time is bounded by coldstart's Settings.ReadyDeadline and by maxListWait, which are both under 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	faults := map[string]discovery.Fault{"down": {StopListening: true}, "refusing": {RejectCalls: true}, "reset": {Reset: true}, "silent": {Silent: true},
+	faults := map[string]discovery.Fault{"no listener": {StopListening: true}, "requests rejected": {RejectCalls: true}, "connections reset": {Reset: true}, "silent": {Silent: true},
 		"agent down": {Down: true}}
 	for name := range faults {
-		f := faults[name]
+		fault := faults[name]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, err := discovery.New(discovery.Options{Index: 40})
+			service, err := discovery.New(discovery.Options{Index: 40})
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(s.Close)
-			if err := s.SetFault(f); err != nil {
+			t.Cleanup(service.Close)
+			if err := service.SetFault(fault); err != nil {
 				t.Fatal(err)
 			}
-			checkBecomesReady(t, s.Addr(), f.Silent, func() bool { return f.StopListening || s.Counts().Conns > 0 })
-			if n := s.Counts().Served; n > 0 {
-				t.Errorf("%d lists were served", n)
+			checkBecomesReady(t, service.Addr(), fault.Silent, func() bool { return fault.StopListening || service.Counts().Conns > 0 })
+			if n := service.Counts().Served; n > 0 {
+				t.Errorf("discovery served %d lists despite its fault", n)
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 // While clients, with and without requests, and nodes use all descriptors that they may, a connection to discovery can still
 // be opened when discovery has recovered, and the readiness probe is answered.
 func TestDescriptorsLeftForDiscoveryAndReadiness(t *testing.T) {
-	node, err := net.Listen("tcp", "127.0.0.1:0") // accepts requests and answers none
+	node, err := net.Listen("tcp", "127.0.0.1:0") // connections to it can be opened, but requests are never answered
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 	for range 2 * smallDescriptorLimit {
 		dial()
 	}
-	t.Logf("%d descriptors of %d are open, %d may be clients'", openDescriptors(), smallDescriptorLimit, clients)
+	t.Logf("%d of %d descriptors are open, clients may use %d", openDescriptors(), smallDescriptorLimit, clients)
 	if err := fakeDiscovery.ClearFaults(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wheatsaddle/estimate_test.go
+++ b/cmd/wheatsaddle/estimate_test.go
@@ -58,11 +58,11 @@
 	code, text := post(`{"deadline_ms":100,"plans":[{"name":"a","limit":"gold","root":{"work":{"shard":1,"class":"read","units":2}}}]}`)
 	if code != 200 || gjson.Get(text, "plans.0.held_ms").Num != 100 || gjson.Get(text, "plans.0.rests_on.origins").Num != 2 ||
 		gjson.Get(text, "plans.0.mean_ms").Num < 105 {
-		t.Errorf("%d %s", code, text)
+		t.Errorf("estimate: status %d, body %s", code, text)
 	}
 	code, text = post(`{"plans":[{"name":"a","root":{"all":[{"work":{"shard":1,"class":"erase","units":2}}]}}]}`)
 	if code != 400 || gjson.Get(text, "code").Str != "cost-unknown-name" || gjson.Get(text, "error").Str != `plans.0.root.all.0.work: no class "erase"` {
-		t.Errorf("%d %s", code, text)
+		t.Errorf("unknown class: status %d, body %s", code, text)
 	}
 	if newEstimateHandler((&config.Site{}).Estimate, conf, nil) != nil {
 		t.Error("a handler exists without the section")
--- a/cmd/wheatsaddle/fleet_test.go
+++ b/cmd/wheatsaddle/fleet_test.go
@@ -40,7 +40,7 @@
 		for _, args := range [][]string{{"check-config", "--site", siteFile, file}, {"serve", "--site", siteFile}} {
 			out, err := programCommand([]string{"ROUTER_CONFIG=" + file}, args...).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), "ceilings.peers") || !strings.Contains(string(out), code) {
-				t.Errorf("%s: %v: %v %s", site, args, err, out)
+				t.Errorf("site's file %s, command %v: want an error with ceilings.peers and the code, got %v %s", site, args, err, out)
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 	for site := range sites {
 		writeSite(site)
 		if out, err := programCommand(nil, "check-config", "--site", siteFile, file).CombinedOutput(); err != nil {
-			t.Errorf("with gossip allowed: %v %s", err, out)
+			t.Errorf("with communication between processes allowed: %v %s", err, out)
 		}
 	}
 	var forbidden *gossip.ForbiddenError
@@ -120,11 +120,11 @@
 	}
 	near := func(x float64) bool { return x > 0.9 && x <= 1 }
 	if n := views[0]; n.Type != "disk" || n.Window <= 0 || n.Queue != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("view of the node's health: %+v", n)
 	}
 	if c := views[1]; c.Key != (nodestats.Key{Node: "n", StartTime: startTime, Class: "c"}) || c.Shard != 3 || !c.WarmingUp ||
 		!near(c.Sums.N) || !near(c.Rejected) || !near(c.TimedOut) || !near(c.Failed) {
-		t.Errorf("%+v", c)
+		t.Errorf("view of the class: %+v", c)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,6 +157,7 @@
 	disabled.stop()
 }
 
+// A key file must contain a key of 16, 24 or 32 bytes in hexadecimal.
 func TestPeerKey(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	for text, valid := range map[string]bool{strings.Repeat("0a", 16) + "\n": true, strings.Repeat("0a", 15): false, "xyz": false} {
@@ -166,7 +167,7 @@
 		key, err := peerKey(file)
 		var keyError *gossip.KeyError
 		if valid != (err == nil && len(key) == 16) || !valid && !errors.As(err, &keyError) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("key file with %q: error %v", text, err)
 		}
 	}
 }
--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -56,7 +56,7 @@
 	for text, key := range invalid {
 		writeSite(text)
 		if out, err := programCommand([]string{"ROUTER_CONFIG=" + file}, "check-config", "--site", site).CombinedOutput(); err == nil || !strings.Contains(string(out), key) {
-			t.Errorf("%s: %v %s", key, err, out)
+			t.Errorf("invalid %s: check-config ended with error %v, output %s", key, err, out)
 		}
 	}
 	writeSite(valid)
@@ -97,7 +97,7 @@
 		defer r.Body.Close()
 		text, err := io.ReadAll(r.Body)
 		if err != nil || r.StatusCode != 200 {
-			t.Fatalf("%v %d %s", err, r.StatusCode, text)
+			t.Fatalf("gathered read: error %v, status %d, body %s", err, r.StatusCode, text)
 		}
 		return strings.Count(string(text), "\n"), r.Trailer.Get("X-Gather-Result")
 	}
@@ -110,18 +110,18 @@
 		awaitLog(want...)
 	}
 	if k, result := gatherRows(); k != 20 || result != `{"whole":true}` {
-		t.Errorf("%d rows, %s", k, result)
+		t.Errorf("%d rows, result %s, want 20 and a whole read", k, result)
 	}
 	reload(strings.Replace(valid, "balance-read", "other", 1), "reload of section gather failed", "code=config-key", "advice=")
 	reload(fmt.Sprintf(gatherSiteFormat, `,"complete":{"need":"most"}`), "reload of the site's file failed", "code=config-key", "need")
 	if k, _ := gatherRows(); k != 20 {
-		t.Errorf("%d rows under the previous rules", k)
+		t.Errorf("%d rows after rejected reloads, want the 20 of the previous rules", k)
 	}
 	reload(fmt.Sprintf(gatherSiteFormat, `,"truncate":{"rows":3}`), "site's file reloaded")
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) { // the line is logged shortly before the rules are applied
 		if k, _ := gatherRows(); k == 3 || time.Now().After(end) {
 			if k != 3 {
-				t.Errorf("%d rows under the new rules", k)
+				t.Errorf("%d rows under the new rules, want 3", k)
 			}
 			break
 		}
--- a/cmd/wheatsaddle/handover_test.go
+++ b/cmd/wheatsaddle/handover_test.go
@@ -32,18 +32,18 @@
 	s := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
 	s.execute(handover.Action{Kind: handover.WarnLongWait})
 	if e := hook.LastEntry(); e == nil || e.Data["code"] != "handover-waits" || e.Data["advice"] == nil {
-		t.Errorf("%+v", e)
+		t.Errorf("log of the long wait: %+v", e)
 	}
 	if got := s.execute(handover.Action{Kind: handover.TryLock}); len(got) != 1 || got[0].Kind != handover.LockAcquired {
-		t.Errorf("%+v", got)
+		t.Errorf("the first process did not get the free lock: %+v", got)
 	}
 	other := newPassedSocket(&config.Config{InheritedSocket: "3"}, ln, log)
 	if got := other.execute(handover.Action{Kind: handover.TryLock}); fmt.Sprint(got) != fmt.Sprint([]handover.Event{{Kind: handover.LockBusy}}) {
-		t.Errorf("%+v", got)
+		t.Errorf("the lock of the other process was not reported as busy: %+v", got)
 	}
 	s.execute(handover.Action{Kind: handover.ReleaseLock})
 	if got := other.execute(handover.Action{Kind: handover.TryLock}); got[0].Kind != handover.LockAcquired {
-		t.Errorf("%+v", got)
+		t.Errorf("the other process did not get the released lock: %+v", got)
 	}
 	other.execute(handover.Action{Kind: handover.ReleaseLock})
 }
@@ -80,7 +80,7 @@
 		fmt.Fprint(clientConn, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || r.ConnectionClose() != closes {
-			t.Errorf("%v %d, closes %v", err, r.StatusCode(), r.ConnectionClose())
+			t.Errorf("response: error %v, status %d, closes the connection: %v", err, r.StatusCode(), r.ConnectionClose())
 		}
 	}
 	if err := s.front.Shutdown(t.Context()); err != nil {
--- a/cmd/wheatsaddle/limits_test.go
+++ b/cmd/wheatsaddle/limits_test.go
@@ -8,10 +8,10 @@
 	for _, x := range []struct{ all, want int }{{1024, 496}, {576, 272}, {128, 48}, {96, 33}, {64, 22}, {34, 1}} {
 		unreserved := max(x.all-reservedDescriptors, 2)
 		if got := clientConns(unreserved, x.all); got != x.want {
-			t.Errorf("of %d: %d, want %d", x.all, got, x.want)
+			t.Errorf("of %d descriptors: %d for clients, want %d", x.all, got, x.want)
 		}
 		if nodes := unreserved - clientConns(unreserved, x.all); nodes < 1 {
-			t.Errorf("of %d: %d for nodes", x.all, nodes)
+			t.Errorf("of %d descriptors: %d for nodes, want at least 1", x.all, nodes)
 		}
 	}
 }
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -119,7 +119,7 @@
 	br := bufio.NewReader(clientConn)
 	for i := range 2 {
 		if err := response.Read(br); err != nil || response.StatusCode() != 200 || string(response.Body()) != "ok" {
-			t.Errorf("%d: %v %d %q", i, err, response.StatusCode(), response.Body())
+			t.Errorf("response %d: error %v, status %d, body %q", i, err, response.StatusCode(), response.Body())
 		}
 		if i == 0 {
 			for other, err := net.Dial("tcp", listen); err == nil; other, err = net.Dial("tcp", listen) {
@@ -131,7 +131,7 @@
 	}
 	clientConn.Close()
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v\n%s", err, log.String())
+		t.Errorf("the program did not exit with code 0: %v\n%s", err, log.String())
 	}
 }
 
@@ -167,7 +167,7 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v\n%s", err, log.String())
+		t.Errorf("the program did not exit with code 0: %v\n%s", err, log.String())
 	}
 }
 
@@ -222,6 +222,7 @@
 	}
 }
 
+// The descriptor limit is the configured one, or the process's own limit if that is lower.
 func TestDescriptorLimit(t *testing.T) {
 	if n := descriptorLimit(8); n != 8 {
 		t.Errorf("limit %d, want the configured 8", n)
@@ -231,6 +232,7 @@
 	}
 }
 
+// Each command ends with the expected exit code and prints the expected text, for valid and for invalid arguments and files.
 func TestCommands(t *testing.T) {
 	file, listen := writeConfig(t, "127.0.0.1:1")
 	invalid := filepath.Join(t.TempDir(), "bad.json")
@@ -269,7 +271,7 @@
 		c := programCommand(nil, x.args...)
 		out, _ := c.CombinedOutput()
 		if code := c.ProcessState.ExitCode(); code != x.code || !strings.Contains(string(out), x.want) {
-			t.Errorf("%v: exit %d\n%s", x.args, code, out)
+			t.Errorf("command %v: exit code %d, output\n%s", x.args, code, out)
 		}
 	}
 }
@@ -297,11 +299,11 @@
 	for _, args := range [][]string{{"check-config", "--site", siteFile}, {"serve", "--site", siteFile}} {
 		if out, err := programCommand([]string{"ROUTER_CONFIG=" + file}, args...).CombinedOutput(); err == nil ||
 			!strings.Contains(string(out), "site: addresses.delay_ms") {
-			t.Errorf("%v: %v %s", args, err, out)
+			t.Errorf("command %v with an invalid site's file: want an error with the key, got %v %s", args, err, out)
 		}
 	}
 	if out, err := programCommand(nil, "schema").Output(); err != nil || !bytes.Equal(out, config.SiteSchema) {
-		t.Errorf("schema: %v", err)
+		t.Errorf("command schema did not print the schema of the site's file: %v", err)
 	}
 	writeSite(valid)
 	cmd := programCommand([]string{"ROUTER_CONFIG=" + file}, "serve", "--site", siteFile)
@@ -332,12 +334,12 @@
 		fmt.Fprint(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		var r fasthttp.Response
 		if err := r.Read(bufio.NewReader(nc)); err != nil || r.StatusCode() != 200 {
-			t.Errorf("%v: %v %d", to, err, r.StatusCode())
+			t.Errorf("readiness at %v: error %v, status %d", to, err, r.StatusCode())
 		}
 		nc.Close()
 	}
 	if _, body, err := fasthttp.Get(nil, "http://"+metricsListen+"/metrics"); err != nil || !strings.Contains(string(body), "wheatsaddle_info{") {
-		t.Errorf("metrics: %v %s", err, body)
+		t.Errorf("no wheatsaddle_info in the metrics: %v %s", err, body)
 	}
 	if info, err := os.Lstat(socketPath); err != nil || info.Mode().Perm() != 0o640 {
 		t.Errorf("socket file: %v %v", info, err)
--- a/cmd/wheatsaddle/ready_test.go
+++ b/cmd/wheatsaddle/ready_test.go
@@ -62,7 +62,7 @@
 			}
 			for code, text := d.getAdmin("/api/ready"); code != 200; code, text = d.getAdmin("/api/ready") {
 				if code != 503 {
-					t.Fatalf("%d %s", code, text)
+					t.Fatalf("readiness: response %d %s, want 200 or 503", code, text)
 				}
 			}
 			client := d.dial()
--- a/cmd/wheatsaddle/reload_test.go
+++ b/cmd/wheatsaddle/reload_test.go
@@ -48,10 +48,10 @@
 			t.Errorf("settings error %v: calls %s, accepted %v", x.err, calls, accepted)
 		}
 		if x.err != nil && (got != current || hook.LastEntry().Data["code"] == nil) {
-			t.Errorf("%+v, %+v", got, hook.LastEntry())
+			t.Errorf("rejected settings: configuration %+v, log %+v", got, hook.LastEntry())
 		}
 		if x.err == nil && (got.MemoryMB != 64 || got.Discovery != "127.0.0.1:2" || got.Settings.MaxAttempts != 3) {
-			t.Errorf("%+v", got)
+			t.Errorf("configuration after the reload: %+v", got)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 			d.awaitLog("configuration reloaded", 1)
 			close(node.release)
 			if code, text, err := c.readResponse(); err != nil || code != 200 || text != "ok" {
-				t.Errorf("%v, %d %s", err, code, text)
+				t.Errorf("request in flight: error %v, response %d %s, want 200 ok", err, code, text)
 			}
 			d.request(d.dial(), strings.Replace(readRequest, "r1", "r2", 1), x.after)
 		})
@@ -153,7 +153,7 @@
 		want := fmt.Sprintf(`"loads":%d,"load_errors":%d`, accepted, invalid)
 		for code, text := d.getAdmin("/api/telemetry"); !strings.Contains(text, want); code, text = d.getAdmin("/api/telemetry") {
 			if code != 200 || strings.Contains(text, fmt.Sprintf(`"loads":%d`, accepted+1)) || strings.Contains(text, fmt.Sprintf(`"load_errors":%d`, invalid+1)) {
-				t.Fatalf("want %s: %d %s", want, code, text)
+				t.Fatalf("the telemetry must have %s: response %d %s", want, code, text)
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 	for range 2 {
 		d.signal(syscall.SIGHUP)
 		d.awaitProcStatus(`^ShdPnd:\s0+$`)
-		d.awaitIdle() // a signal that is delivered only after the next reload has begun causes one more, rightly
+		d.awaitIdle() // a signal delivered only after the next reload has begun would cause another reload, as it must
 	}
 	_, err = io.WriteString(first, valid)
 	d.must(err)
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -77,7 +77,7 @@
 		delay, _ = time.ParseDuration(m[1] + "ms")
 	}
 	if delay < stalled-time.Millisecond { // the log has rounded milliseconds
-		t.Errorf("stalled for %v: %s", stalled, line)
+		t.Errorf("the process was stopped for %v after the signal, but the logged delay is shorter: %s", stalled, line)
 	}
 	d.awaitExit()
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
@@ -147,16 +147,16 @@
 	d.signal(syscall.SIGTERM)
 	for name, c := range map[string]client{"unused": fresh, "idle": idle} {
 		if _, err := c.reader.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s connection: read %v, want EOF without a response", name, err)
 		}
 	}
 	for name, c := range map[string]client{"incomplete header": head, "incomplete body": body, "incomplete chunks": chunks} {
 		code, text, err := c.readResponse()
 		if err != nil || code != 503 {
-			t.Errorf("%s: %v, %d %s", name, err, code, text)
+			t.Errorf("%s: error %v, response %d %s, want 503", name, err, code, text)
 		}
 		if _, err := c.reader.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: read %v after the response, want EOF", name, err)
 		}
 	}
 	d.awaitExit()
@@ -189,10 +189,10 @@
 	for name, c := range map[string]client{"request before the signal": waiting, "request after the signal": idle} {
 		code, text, err := c.readResponse()
 		if err != nil || code != 502 || text != string(core.CauseNotServed) {
-			t.Errorf("%s: %v, %d %s", name, err, code, text)
+			t.Errorf("%s: error %v, response %d %s, want 502 with CauseNotServed", name, err, code, text)
 		}
 		if _, err := c.reader.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: read %v after the response, want EOF", name, err)
 		}
 	}
 	d.awaitExit()
--- a/cmd/wheatsaddle/starter_interleave_test.go
+++ b/cmd/wheatsaddle/starter_interleave_test.go
@@ -72,8 +72,8 @@
 //   - There is no deadlock between the actor and the starter.
 //   - The cached list never replaces the received one, which the core has received when updateList returns.
 //   - A stopped starter makes no decisions, and leaves no message and no goroutine behind.
-//   - Readiness is not reported before the list was received or the maximum wait has passed, is reported when updateList
-//     returns, and is never withdrawn.
+//   - Readiness is not reported before the list was received or coldstart's ReadyDeadline has passed, is reported when
+//     updateList returns, and is never withdrawn.
 func TestInterleaveStarter(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	conf := &config.Config{Name: "n0", Settings: policy.Settings{Schedulers: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 9, MaxRetryAfter: 1000,
@@ -82,15 +82,15 @@
 	cachedNode := node
 	cachedNode.Zone = "cached"
 	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
-		b, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{cachedNode}, log)
+		st, err := newStarter(&config.SiteStart{Enabled: true, ListCallsPerSecond: 40}, conf, []core.Node{cachedNode}, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &fakeCore{starter: b, mailbox: make(chan string), quit: make(chan struct{})}
-		b.core = c
+		c := &fakeCore{starter: st, mailbox: make(chan string), quit: make(chan struct{})}
+		st.core = c
 		elapsed, wasReady := time.Duration(0), false
-		b.now = func() time.Duration { return elapsed }
-		b.wakeAt = func(time.Duration) {
+		st.now = func() time.Duration { return elapsed }
+		st.wakeAt = func(time.Duration) {
 			if c.starterStopped {
 				il.Fail("a timer was set after the stop")
 			}
@@ -101,31 +101,31 @@
 				{Name: "timer", Run: func() {
 					sync.Step("time", "passes")
 					elapsed = 10 * time.Second
-					b.step(coldstart.TimerFired{})
+					st.step(coldstart.TimerFired{})
 				}},
 				{Name: "main", Run: func() {
-					b.step(coldstart.Started{CachedList: b.machineNodes(b.cachedNodes)})
-					sync.Go(b.writeSnapshots)
-					b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
+					st.step(coldstart.Started{CachedList: st.machineNodes(st.cachedNodes)})
+					sync.Go(st.writeSnapshots)
+					st.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{node}})
 					if !c.listQueued {
 						il.Fail("the core has not received the list")
 					}
-					if !b.isReady(false) {
+					if !st.isReady(false) {
 						il.Fail("the list was received, and readiness is not reported")
 					}
-					b.stop()
+					st.stop()
 					c.starterStopped = true
 					sync.Close(c.quit)
 				}},
 			},
 			Invariant: func() error {
-				if h, l := c.indexOf("cached"), c.indexOf("list"); l >= 0 && h > l {
+				if cachedIndex, listIndex := c.indexOf("cached"), c.indexOf("list"); listIndex >= 0 && cachedIndex > listIndex {
 					return fmt.Errorf("the core handled %v", c.handled)
 				}
-				switch ready := b.isReady(false); {
+				switch ready := st.isReady(false); {
 				case wasReady && !ready:
 					return errors.New("readiness was withdrawn")
-				case ready && b.machine.Phase() < coldstart.ListKnown && elapsed == 0:
+				case ready && st.machine.Phase() < coldstart.ListKnown && elapsed == 0:
 					return errors.New("ready before the list was received")
 				case ready:
 					wasReady = true
@@ -133,8 +133,8 @@
 				return nil
 			},
 			Check: func() error {
-				if b.sending || len(b.queue) > 0 {
-					return fmt.Errorf("%d messages were not sent", len(b.queue))
+				if st.sending || len(st.queue) > 0 {
+					return fmt.Errorf("%d messages were not sent", len(st.queue))
 				}
 				return nil
 			},
--- a/cmd/wheatsaddle/starter_test.go
+++ b/cmd/wheatsaddle/starter_test.go
@@ -34,9 +34,9 @@
 	go a.Done(core.Result{Status: policy.OK})
 	return true
 }
-func (q instantNode) Connect(func(policy.Status)) bool { q.inAdvance <- "connect " + q.id; return true }
-func (q instantNode) CheckHealth(func(core.Result, time.Duration)) (accepted bool) {
-	q.inAdvance <- "check " + q.id
+func (n instantNode) Connect(func(policy.Status)) bool { n.inAdvance <- "connect " + n.id; return true }
+func (n instantNode) CheckHealth(func(core.Result, time.Duration)) (accepted bool) {
+	n.inAdvance <- "check " + n.id
 	return true
 }
 func (instantNode) Drain(bool) {}
@@ -55,19 +55,19 @@
 func newRunningStarter(t *testing.T, set *config.SiteStart, log logrus.FieldLogger, cachedNodes ...core.Node) (*starter, *core.Core, chan string) {
 	t.Helper()
 	conf, inAdvance := starterConfig(), make(chan string, 8)
-	b, err := newStarter(set, conf, cachedNodes, log)
+	st, err := newStarter(set, conf, cachedNodes, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, StartLimiter: b.limiter(),
+	co, err := core.New(core.Options{Settings: conf.Settings, Log: log, StartLimiter: st.limiter(),
 		NewNodeClient: func(id string, _ []address.Addr) core.NodeClient { return instantNode{id: id, inAdvance: inAdvance} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(co.Stop)
-	t.Cleanup(b.stop)
-	b.run(co)
-	return b, co, inAdvance
+	t.Cleanup(st.stop)
+	st.run(co)
+	return st, co, inAdvance
 }
 
 // serveRequest submits a request for the node's shard and waits until it is served.
@@ -77,7 +77,7 @@
 	co.Submit(&core.Request{Request: policy.Request{ID: "r", Class: "read", Plan: "basic", Volume: "v", Units: 1, Schedulers: 1},
 		ReceivedAt: time.Now(), Timeout: time.Minute, Answer: func(a core.Answer) { answered <- a }})
 	if a := <-answered; a.Kind != core.Served {
-		t.Fatalf("%+v", a)
+		t.Fatalf("the request was not served: %+v", a)
 	}
 }
 
@@ -86,37 +86,37 @@
 func TestStarterRestoresSnapshot(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, Snapshot: filepath.Join(t.TempDir(), "learned"), ListCallsPerSecond: 40, PreconnectNodes: 1}
-	if b, err := newStarter(nil, starterConfig(), nil, log); b != nil || err != nil || b.limiter() != nil || b.run(nil) || !b.isReady(true) || b.watchPacer() != nil {
+	if st, err := newStarter(nil, starterConfig(), nil, log); st != nil || err != nil || st.limiter() != nil || st.run(nil) || !st.isReady(true) || st.watchPacer() != nil {
 		t.Fatal("without the section there is a starter")
 	}
 	runProcess := func(do func(*starter, *core.Core, chan string)) {
 		t.Helper()
 		t.Run("process", func(t *testing.T) {
-			b, co, inAdvance := newRunningStarter(t, set, log, starterNode)
-			<-b.CallDue() // the list may be requested
-			if b.isReady(true) {
-				t.Error("ready before the list")
+			st, co, inAdvance := newRunningStarter(t, set, log, starterNode)
+			<-st.CallDue() // the list may be requested
+			if st.isReady(true) {
+				t.Error("ready before the list was received")
 			}
-			if !b.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{starterNode}}) || !b.isReady(false) {
-				t.Error("not ready with the list")
+			if !st.updateList(core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{starterNode}}) || !st.isReady(false) {
+				t.Error("the list was not accepted, or the starter is not ready although it was received")
 			}
-			do(b, co, inAdvance)
+			do(st, co, inAdvance)
 		})
 	}
-	runProcess(func(b *starter, co *core.Core, _ chan string) {
+	runProcess(func(st *starter, co *core.Core, _ chan string) {
 		serveRequest(t, co)
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 		}
-		b.writeSnapshot()
+		st.writeSnapshot()
 	})
 	if s, err := snapshot.Read(set.Snapshot, time.Now()); err != nil || len(s.Nodes) != 1 || s.Nodes[0].ID != "s" || len(s.Classes) != 1 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("stored snapshot %+v, error %v, want the node s and one class", s, err)
 	}
 	runProcess(func(_ *starter, co *core.Core, inAdvance chan string) { // no request is sent, so the core has learned only from the snapshot
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() {
 		}
 		if c, p := <-inAdvance, <-inAdvance; c != "connect s" || p != "check s" {
-			t.Errorf("before any request: %s, %s", c, p)
+			t.Errorf("before any request: %s, %s, want a connection to s and a health check of it", c, p)
 		}
 	})
 	for _, e := range hook.AllEntries() {
@@ -137,25 +137,25 @@
 	}
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, ListPriced: true, ListCallsPerSecond: 40}
-	b, co, _ := newRunningStarter(t, set, log)
+	st, co, _ := newRunningStarter(t, set, log)
 	var failedCalls atomic.Int64
-	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(starterConfig()), Pacer: countingPacer{b.watchPacer(), &failedCalls}, OnUnchanged: b.confirmCachedList,
-		OnUpdate: func(n core.ListUpdate) { b.updateList(n) }}
+	w := &discovery.Watcher{Address: s.Addr(), Log: log, Timer: watchTimerSettings(starterConfig()), Pacer: countingPacer{st.watchPacer(), &failedCalls}, OnUnchanged: st.confirmCachedList,
+		OnUpdate: func(n core.ListUpdate) { st.updateList(n) }}
 	watchEnded := make(chan bool)
 	go func() { w.Run(t.Context()); close(watchEnded) }()
 	t.Cleanup(func() { <-watchEnded })
 	for failedCalls.Load() < 2 { // less than a second apart, whereas the watch's own timer would wait longer
 		runtime.Gosched()
 	}
-	b.confirmCachedList()
-	if b.isReady(true) {
+	st.confirmCachedList()
+	if st.isReady(true) {
 		t.Error("ready without a list")
 	}
 	s.Put(fakediscovery.Entry{Name: "s", Address: "127.0.0.1:1", Status: fakediscovery.Active, Weight: 1})
 	if err := s.SetFault(fakediscovery.Fault{}); err != nil {
 		t.Fatal(err)
 	}
-	for !b.isReady(false) {
+	for !st.isReady(false) {
 		runtime.Gosched()
 	}
 	serveRequest(t, co)
@@ -185,8 +185,8 @@
 	log, _ := logtest.NewNullLogger()
 	set := &config.SiteStart{Enabled: true, ListCallsPerSecond: 40, PreconnectNodes: 1}
 	site := &config.Site{Peers: &config.SitePeers{Listen: "127.0.0.1:0", Interval: 20 * time.Millisecond, Burst: 8, State: nodestats.Defaults()}}
-	joinFleet := func(name string, b *starter) *fleet {
-		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, b, log)
+	joinFleet := func(name string, st *starter) *fleet {
+		f, err := startFleet(site, &config.Config{Name: name, Settings: policy.Settings{MayGossip: true}}, st, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,17 +195,17 @@
 		return f
 	}
 	list := core.ListUpdate{Kind: policy.ListReceived, Nodes: []core.Node{starterNode}}
-	experienced, co, _ := newRunningStarter(t, set, log)
-	experienced.updateList(list)
+	source, co, _ := newRunningStarter(t, set, log)
+	source.updateList(list)
 	serveRequest(t, co)
-	for experienced.snapshot() == nil {
+	for source.snapshot() == nil {
 		runtime.Gosched()
 	}
-	if len(experienced.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
+	if len(source.snapshotProvider()(gossip.LearnedSnapshot)) > 0 {
 		t.Error("a snapshot was sent during the start")
 	}
-	experienced.finished.Store(true)
-	joinFleet("old", experienced)
+	source.finished.Store(true)
+	joinFleet("old", source)
 	faulty, err := gossip.Start(gossip.Options{Name: "faulty", Listen: "127.0.0.1:0", Seeds: site.Peers.Seeds, Interval: 20 * time.Millisecond, Burst: 8,
 		State: nodestats.Defaults(), Log: log, MakeSnapshot: func(gossip.SnapshotKind) []byte { return []byte("wslearn\x01 but torn") }})
 	if err != nil {
@@ -214,21 +214,21 @@
 	t.Cleanup(faulty.Stop)
 	site.Peers.Seeds = append(site.Peers.Seeds, faulty.Address())
 	for run, faultyAsked := 0, false; !faultyAsked; run++ { // until one of them asked the faulty peer first
-		b, co, inAdvance := newRunningStarter(t, set, log)
-		f := joinFleet(fmt.Sprint("new-", run), b)
+		st, co, inAdvance := newRunningStarter(t, set, log)
+		f := joinFleet(fmt.Sprint("new-", run), st)
 		for f.cluster.Counts().Members < 3 {
 			runtime.Gosched()
 		}
-		b.requestSnapshot(f)
-		b.updateList(list)
+		st.requestSnapshot(f)
+		st.updateList(list)
 		if s := <-inAdvance; s != "connect s" {
-			t.Errorf("before any request: %s", s)
+			t.Errorf("before any request: %s, want a connection to s", s)
 		}
 		for l, _ := co.Learned(); len(l.Nodes) == 0; l, _ = co.Learned() { // no request was sent
 		}
 		n := f.cluster.Counts()
 		if faultyAsked = n.SnapshotsInvalid > 0; n.SnapshotsReceived != 1 {
-			t.Fatalf("%+v", n)
+			t.Fatalf("want one received snapshot: %+v", n)
 		}
 		f.stop()
 		site.Peers.Seeds = site.Peers.Seeds[:2]
@@ -257,8 +257,8 @@
 	}
 	s.SetNodeHealth(0, first, 6, nodestats.Health{})
 	s.SetNodeHealth(0, last, 5, nodestats.Health{})
-	b, _, inAdvance := newRunningStarter(t, set, log, node("a", 0), node("b", 1))
-	b.addPeerReports(0, s)
+	st, _, inAdvance := newRunningStarter(t, set, log, node("a", 0), node("b", 1))
+	st.addPeerReports(0, s)
 	if got := <-inAdvance; got != "connect "+last {
 		t.Errorf("before any request: %s, want only a connection to %s", got, last)
 	}
--- a/cmd/wheatsaddle/thousand_nodes_test.go
+++ b/cmd/wheatsaddle/thousand_nodes_test.go
@@ -21,7 +21,7 @@
 
 const (
 	manyNodesCount    = 1024
-	manyNodesMemoryMB = 64 // MB
+	manyNodesMemoryMB = 64
 	manyNodesSockets  = 192
 )
 
@@ -95,7 +95,7 @@
 		_, _ = io.WriteString(nc, strings.Replace(q, "shard=0", fmt.Sprint("shard=", shard), 1))
 		var r fasthttp.Response
 		if err := r.Read(br); err != nil || r.StatusCode() != 200 || string(r.Body()) != "ok" {
-			t.Fatalf("shard %d: %v %d %q", shard, err, r.StatusCode(), r.Body())
+			t.Fatalf("request for shard %d: error %v, status %d, body %q", shard, err, r.StatusCode(), r.Body())
 		}
 		if requestCount%16 == 0 {
 			if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)); err == nil {
@@ -107,10 +107,10 @@
 		sendRequest(i)
 	}
 	if n := oldRequests.Load(); n < manyNodesCount {
-		t.Errorf("the nodes received %d requests", n)
+		t.Errorf("the nodes received only %d requests, fewer than one for each shard", n)
 	}
-	// Half of the nodes are replaced. An entry with an invalid address, a duplicate entry and one with an invalid shard have no
-	// other effect.
+	// Half of the nodes are replaced. An entry with an invalid address and one with an invalid shard are logged and ignored,
+	// and a duplicate entry changes nothing.
 	half := manyNodesCount / 2
 	changes := append(listEntries("r", newNodes, discovery.Active, half), listEntries("s", oldNodes, discovery.Left, half)...)
 	duplicate := append(listEntries("r", newNodes, discovery.Active, 1), changes[0])
@@ -120,14 +120,14 @@
 		time.Sleep(time.Millisecond) // until the watch is open
 	}
 	for newRequests.Load() == 0 {
-		sendRequest(half - 1) // until the new list is applied: the event of Say may arrive before the changes of Put
+		sendRequest(half - 1) // until the new list is applied: the line of InjectLine may arrive before the changes of Put
 	}
 	before := newRequests.Load()
 	for i := range manyNodesCount {
 		sendRequest(i)
 	}
 	if n := newRequests.Load() - before; n != int64(half) {
-		t.Errorf("%d requests reached the %d new nodes", n, half)
+		t.Errorf("%d requests reached the %d new nodes, want one for each", n, half)
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v\n%s", err, log.String())
+		t.Errorf("the program did not exit with code 0: %v\n%s", err, log.String())
 	}
 	if n := strings.Count(log.String(), "invalid entry of the endpoint list ignored"); n != 2 {
 		t.Errorf("%d entries were logged as ignored, want 2:\n%s", n, log.String())
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,6 +24,7 @@
 
 func noEnv(string) string { return "" }
 
+// A valid configuration is read into its fields, with defaults for absent keys. The environment overrides the address.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
@@ -32,13 +33,13 @@
 	s := c.Settings
 	if c.Name != "n3" || c.Sockets != 1024 || c.ConnIdle != 15000 || c.ConnectTimeout != defaultConnectTimeout || c.Seed == 0 ||
 		s.Schedulers != 3 || s.Instance != 1 || s.SlowStartDuration != 17000 || s.MaxAttempts != 4 || !s.MayCancel || s.MayCheckHealth {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration: %+v", c)
 	}
 	if k := s.Classes[1]; k.Effect != policy.IdempotentByKey || k.DedupScope != policy.DedupShard || k.DedupWindow != 2500 || s.Plans[0].RateLimit != 27 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings of classes and plans: %+v", s)
 	}
 	if c, err = Parse([]byte(validConfig), func(k string) string { return map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"}[k] }); err != nil || c.Listen != "127.0.0.1:9" {
-		t.Errorf("%v %v", c, err)
+		t.Errorf("with ROUTER_LISTEN: configuration %v, error %v", c, err)
 	}
 }
 
@@ -56,11 +57,11 @@
 	} {
 		text := strings.Replace(validConfig, x[0], x[1], 1)
 		if _, err := Parse([]byte(text), noEnv); err == nil || !strings.Contains(err.Error(), x[2]) {
-			t.Errorf("%s: %v, want %s", x[1], err, x[2])
+			t.Errorf("with %s: error %v, want one with %s", x[1], err, x[2])
 		}
 	}
 	if _, err := Load(noEnv); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
-		t.Errorf("%v", err)
+		t.Errorf("without ROUTER_CONFIG: error %v", err)
 	}
 }
 
@@ -75,7 +76,7 @@
 	set.Plans = append(set.Plans, policy.Plan{Name: "standard"})
 	iscsi, err := LoadISCSI("../../deploy/iscsi.json", set)
 	if err != nil || len(iscsi.Targets) != 1 || len(iscsi.Targets[0].Units) != 2 || iscsi.Targets[0].Units[0].Rules[0].Deadline != 1500 {
-		t.Fatalf("%+v %v", iscsi, err)
+		t.Fatalf("iSCSI file in deploy: %+v, error %v", iscsi, err)
 	}
 	text, err := os.ReadFile("../../deploy/iscsi.json")
 	if err != nil {
@@ -92,11 +93,12 @@
 	} {
 		edited := strings.Replace(string(text), x[0], x[1], 1)
 		if _, err := ParseISCSI([]byte(edited), set); edited == string(text) || err == nil || !strings.Contains(err.Error(), x[2]) {
-			t.Errorf("%s: %v, want %s", x[1], err, x[2])
+			t.Errorf("with %s: error %v, want one with %s", x[1], err, x[2])
 		}
 	}
 }
 
+// A truncated configuration is rejected. One with changed bytes is rejected or has valid settings, and causes no panic.
 func TestCorruptFilesAreRejectedOrValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if _, err := Parse([]byte(validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(rt, "cut")]), noEnv); err == nil {
@@ -107,7 +109,7 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] = rapid.Byte().Draw(rt, "byte")
 		}
 		if c, err := Parse(b, noEnv); err == nil && (c.Sockets < 64 || len(c.Settings.Classes) == 0 || c.Settings.Schedulers < 1) {
-			rt.Fatalf("%+v", c)
+			rt.Fatalf("invalid settings were accepted: %+v", c)
 		}
 		_, _ = ParseISCSI(b, policy.Settings{})
 	})
@@ -128,10 +130,10 @@
 		c, err := Reload(env)
 		if x.want == "error" {
 			if err == nil || !strings.Contains(err.Error(), "discovery") {
-				t.Errorf("%v", err)
+				t.Errorf("invalid discovery in the file: error %v", err)
 			}
 		} else if err != nil || c.Discovery != x.want || c.Listen != "127.0.0.1:2" {
-			t.Errorf("%+v %v, want %s", c, err, x.want)
+			t.Errorf("configuration %+v, error %v, want discovery %s", c, err, x.want)
 		}
 	}
 }
--- a/internal/config/deployments_simulation_test.go
+++ b/internal/config/deployments_simulation_test.go
@@ -26,17 +26,17 @@
 func TestDeploymentRequestsAreServed(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		for _, timeout := range []float64{c.Deadline, c.Deadline / 2} {
-			p := newSimulation(t, s, 3).fillBuckets()
-			r := p.submit(c, plan, 1, timeout)
-			i := slices.IndexFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Send })
-			if len(r.attempts) != 1 || p.actions[i].Deadline != r.deadline {
-				t.Fatalf("dispatched %d times, %+v", len(r.attempts), p.actions)
+			sim := newSimulation(t, s, 3).fillBuckets()
+			r := sim.submit(c, plan, 1, timeout)
+			i := slices.IndexFunc(sim.actions, func(a policy.Action) bool { return a.Kind == policy.Send })
+			if len(r.attempts) != 1 || sim.actions[i].Deadline != r.deadline {
+				t.Fatalf("dispatched %d times, want once with the client's deadline; actions %+v", len(r.attempts), sim.actions)
 			}
-			p.run(p.now + usualLatencyMs)
-			p.endAttempt(r, 0, policy.OK)
-			p.run(r.deadline + 1)
+			sim.run(sim.now + usualLatencyMs)
+			sim.endAttempt(r, 0, policy.OK)
+			sim.run(r.deadline + 1)
 			if r.final != "served" || len(r.attempts) != 1 {
-				t.Errorf("%s after %d attempts", r.final, len(r.attempts))
+				t.Errorf("final state %q after %d attempts, want served after 1", r.final, len(r.attempts))
 			}
 		}
 	})
@@ -53,9 +53,9 @@
 			plan  platformPlan
 			final string
 		}{{own.Profiles[0], own.Contracts[1], ""}, {other.Profiles[0], own.Contracts[1], "rejected"}, {own.Profiles[0], other.Contracts[1], "rejected"}} {
-			p := newSimulation(t, s, 2)
-			if r := p.submit(x.class, x.plan, 0, 0); r.final != x.final {
-				t.Errorf("%s: %s, %s: %q, want %q", s.name, x.class.Name, x.plan.Name, r.final, x.final)
+			sim := newSimulation(t, s, 2)
+			if r := sim.submit(x.class, x.plan, 0, 0); r.final != x.final {
+				t.Errorf("%s: class %s, plan %s: final state %q, want %q", s.name, x.class.Name, x.plan.Name, r.final, x.final)
 			}
 		}
 	}
@@ -66,17 +66,17 @@
 func TestDeploymentEffects(t *testing.T) {
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		for _, status := range []policy.Status{policy.Errored, policy.ConnectionReset, policy.NodeFull, policy.ConnectFailed} {
-			p := newSimulation(t, s, 3).fillBuckets()
-			r := p.submit(c, plan, 1, 0)
-			p.run(p.now + usualLatencyMs)
-			p.endAttempt(r, 0, status)
-			p.run(p.now + min(c.LatencyObjective/2, maxRetryDelayMs))
+			sim := newSimulation(t, s, 3).fillBuckets()
+			r := sim.submit(c, plan, 1, 0)
+			sim.run(sim.now + usualLatencyMs)
+			sim.endAttempt(r, 0, status)
+			sim.run(sim.now + min(c.LatencyObjective/2, maxRetryDelayMs))
 			notExecuted := status == policy.NodeFull || status == policy.ConnectFailed
 			if retried := notExecuted || c.Effect != "unsafe"; retried != (len(r.attempts) == 2) {
-				t.Fatalf("status %v: %d attempts, then %q", status, len(r.attempts), r.final)
+				t.Fatalf("status %v: %d attempts, final state %q: the retry does not match the class's effect", status, len(r.attempts), r.final)
 			}
 			if c.Effect == "unsafe" && !notExecuted && r.final != "failed" {
-				t.Errorf("status %v: %q", status, r.final)
+				t.Errorf("status %v: final state %q, want failed", status, r.final)
 			}
 			if c.Effect == "keyed" && len(r.attempts) == 2 {
 				want := 0.0 // the attempt was not executed, so no window is open
@@ -87,9 +87,9 @@
 					t.Errorf("status %v: StartBy %v, want %v", status, r.attempts[1].startBy, want)
 				}
 			}
-			p.run(r.deadline + 1)
+			sim.run(r.deadline + 1)
 			if len(r.attempts) > s.platform.Ceilings.Attempts {
-				t.Errorf("%d attempts", len(r.attempts))
+				t.Errorf("%d attempts are more than the settings permit", len(r.attempts))
 			}
 		}
 	})
@@ -104,14 +104,14 @@
 			if c.Effect == "safe" {
 				status, minAttempts = policy.Errored, s.platform.Ceilings.Attempts
 			}
-			p := newSimulation(t, s, 2).fillBuckets()
-			p.onDispatch = func(r *simRequest, attempt int) {
-				p.schedule(1, func() { p.endAttempt(r, attempt, status) })
+			sim := newSimulation(t, s, 2).fillBuckets()
+			sim.onDispatch = func(r *simRequest, attempt int) {
+				sim.schedule(1, func() { sim.endAttempt(r, attempt, status) })
 			}
-			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
-			p.run(r.deadline + 1)
+			r := sim.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			sim.run(r.deadline + 1)
 			if len(r.attempts) < minAttempts || len(r.attempts) > s.platform.Ceilings.Attempts || r.final != "rejected" {
-				t.Errorf("%s, %s: %q after %d attempts of %d", s.name, c.Name, r.final, len(r.attempts), s.platform.Ceilings.Attempts)
+				t.Errorf("%s, %s: final state %q after %d attempts of %d, want rejected", s.name, c.Name, r.final, len(r.attempts), s.platform.Ceilings.Attempts)
 			}
 		}
 	}
@@ -125,14 +125,14 @@
 	for _, s := range deployments(t) {
 		s = s.withBudget(t)
 		rules, c := s.platform.Rules, s.platform.Profiles[0]
-		p := newSimulation(t, s, 2).fillBuckets()
-		p.onDispatch = func(r *simRequest, attempt int) {
-			p.schedule(1, func() { p.endAttempt(r, attempt, policy.Errored) })
+		sim := newSimulation(t, s, 2).fillBuckets()
+		sim.onDispatch = func(r *simRequest, attempt int) {
+			sim.schedule(1, func() { sim.endAttempt(r, attempt, policy.Errored) })
 		}
 		retries := 0
 		for range burst {
-			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
-			p.run(p.now + 10)
+			r := sim.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			sim.run(sim.now + 10)
 			retries += len(r.attempts) - 1
 		}
 		want := burst * (s.platform.Ceilings.Attempts - 1)
@@ -173,34 +173,34 @@
 				capacityAt float64 // when the node has capacity again, in windows
 				attempts   int
 			}{{0.95, 2}, {1.01, 1}} {
-				p := newSimulation(t, s, 2).fillBuckets()
-				slowRequest := p.submit(longestClass, plan, 0, 0)
-				p.run(p.now + slowLatency*c.LatencyObjective)
-				p.endAttempt(slowRequest, 0, policy.OK)
-				p.run(p.now + fadeMs)
-				r := p.submit(c, plan, 1, 0)
-				sentAt := p.now
-				p.run(sentAt + failAt*c.LatencyObjective/2)
-				p.endAttempt(p.submit(classes[nonIdempotent], plan, 1, 0), 0, policy.Errored)
-				p.run(sentAt + failAt*c.LatencyObjective - 1)
+				sim := newSimulation(t, s, 2).fillBuckets()
+				slowRequest := sim.submit(longestClass, plan, 0, 0)
+				sim.run(sim.now + slowLatency*c.LatencyObjective)
+				sim.endAttempt(slowRequest, 0, policy.OK)
+				sim.run(sim.now + fadeMs)
+				r := sim.submit(c, plan, 1, 0)
+				sentAt := sim.now
+				sim.run(sentAt + failAt*c.LatencyObjective/2)
+				sim.endAttempt(sim.submit(classes[nonIdempotent], plan, 1, 0), 0, policy.Errored)
+				sim.run(sentAt + failAt*c.LatencyObjective - 1)
 				var others []*simRequest
 				for range initialWindow {
-					others = append(others, p.submit(classes[nonIdempotent], plan, 1, 0))
+					others = append(others, sim.submit(classes[nonIdempotent], plan, 1, 0))
 				}
-				p.run(sentAt + failAt*c.LatencyObjective)
-				p.endAttempt(r, 0, policy.Errored)
-				p.run(sentAt + x.capacityAt*c.DedupWindow)
+				sim.run(sentAt + failAt*c.LatencyObjective)
+				sim.endAttempt(r, 0, policy.Errored)
+				sim.run(sentAt + x.capacityAt*c.DedupWindow)
 				if len(r.attempts) != 1 || r.final != "" || len(others[initialWindow-1].attempts) != 1 {
-					t.Fatalf("%s, %s: %d attempts, %q: the request does not wait", s.name, c.Name, len(r.attempts), r.final)
+					t.Fatalf("%s, %s: %d attempts, final state %q: the request does not wait", s.name, c.Name, len(r.attempts), r.final)
 				}
-				p.endAttempt(others[0], 0, policy.Errored)
-				p.run(p.now + 5*reviewToleranceMs)
+				sim.endAttempt(others[0], 0, policy.Errored)
+				sim.run(sim.now + 5*reviewToleranceMs)
 				if len(r.attempts) != x.attempts {
 					t.Errorf("%s, %s: %d attempts, want %d: the node had capacity at %.2f of the window", s.name, c.Name, len(r.attempts), x.attempts, x.capacityAt)
 				}
-				p.run(r.deadline + 1)
+				sim.run(r.deadline + 1)
 				if x.attempts == 1 && r.final != "failed" {
-					t.Errorf("%s, %s: %q", s.name, c.Name, r.final)
+					t.Errorf("%s, %s: final state %q after the window, want failed", s.name, c.Name, r.final)
 				}
 				reached++
 			}
@@ -216,12 +216,12 @@
 	eachClassAndPlan(t, func(t *testing.T, s deployment, c platformClass, plan platformPlan) {
 		shardWithoutNode := s.platform.Extra.Shards - 1
 		for _, timeout := range []float64{c.Deadline, c.LatencyObjective / 3} {
-			p := newSimulation(t, s, 2).fillBuckets()
-			r := p.submit(c, plan, shardWithoutNode, timeout)
-			p.run(r.deadline + s.platform.Rules.AnswerSlack)
+			sim := newSimulation(t, s, 2).fillBuckets()
+			r := sim.submit(c, plan, shardWithoutNode, timeout)
+			sim.run(r.deadline + s.platform.Rules.AnswerSlack)
 			expectedMs := min(c.LatencyObjective, timeout)
 			if elapsedMs := r.finalAt - r.arrivedAt; r.final != "rejected" || elapsedMs > expectedMs+reviewToleranceMs || elapsedMs < expectedMs-reviewToleranceMs {
-				t.Errorf("%q after %.0f ms; objective %.0f ms, deadline %.0f", r.final, elapsedMs, c.LatencyObjective, timeout)
+				t.Errorf("final state %q after %.0f ms, want rejected at the objective of %.0f ms or the deadline of %.0f", r.final, elapsedMs, c.LatencyObjective, timeout)
 			}
 		}
 	})
@@ -233,9 +233,9 @@
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
 			for i := range phases {
-				p := newSimulation(t, s, 2).fillBuckets()
-				r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], s.platform.Extra.Shards-1, c.LatencyObjective/3+float64(i)*reviewIntervalMs/phases)
-				p.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the time of the response
+				sim := newSimulation(t, s, 2).fillBuckets()
+				r := sim.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], s.platform.Extra.Shards-1, c.LatencyObjective/3+float64(i)*reviewIntervalMs/phases)
+				sim.run(r.deadline + s.platform.Rules.AnswerSlack) // overdue and checkFinal check the time of the response
 				if r.finalAt > r.deadline {
 					t.Errorf("%s, %s: %q %.1f ms after its deadline", s.name, c.Name, r.final, r.finalAt-r.deadline)
 				}
@@ -250,29 +250,29 @@
 	limited := 0
 	for _, s := range deployments(t) {
 		for _, plan := range s.platform.Contracts {
-			for _, hosts := range []int{1, 2, 3} {
-				p := newSimulation(t, s, 2).fillBuckets()
-				p.onDispatch = func(r *simRequest, attempt int) { p.schedule(0, func() { p.endAttempt(r, attempt, policy.OK) }) }
+			for _, schedulers := range []int{1, 2, 3} {
+				sim := newSimulation(t, s, 2).fillBuckets()
+				sim.onDispatch = func(r *simRequest, attempt int) { sim.schedule(0, func() { sim.endAttempt(r, attempt, policy.OK) }) }
 				requestCount := int(plan.Burst) + unitsOverLimit
 				sendAll := func() (sent int) {
 					for range requestCount {
-						if r := p.submitOf("flooded", hosts, s.platform.Profiles[0], plan, 0, 0); len(r.attempts) > 0 {
+						if r := sim.submitOf("flooded", schedulers, s.platform.Profiles[0], plan, 0, 0); len(r.attempts) > 0 {
 							sent++
 						}
-						p.run(p.now)
+						sim.run(sim.now)
 					}
 					return sent
 				}
 				want := requestCount
 				if plan.Cap > 0 {
 					limited++
-					want = int(plan.Burst / float64(hosts))
+					want = int(plan.Burst / float64(schedulers))
 				}
 				if sent := sendAll(); sent != want {
-					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, hosts, sent, requestCount, want)
+					t.Errorf("%s, %s over %d schedulers: %d of %d units dispatched at once, want %d", s.name, plan.Name, schedulers, sent, requestCount, want)
 				}
-				p.run(p.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting requests against the rate
-				if plan.Cap > 0 && p.buckets["flooded"] == nil {
+				sim.run(sim.now + s.platform.Profiles[0].Deadline + 1) // checkLimit checks the waiting requests against the rate
+				if plan.Cap > 0 && sim.buckets["flooded"] == nil {
 					t.Errorf("%s, %s: no token bucket was used", s.name, plan.Name)
 				}
 			}
@@ -287,27 +287,27 @@
 func TestDeploymentPlansAreOrderedByPrice(t *testing.T) {
 	for _, s := range deployments(t) {
 		c := s.platform.Profiles[0]
-		p := newSimulation(t, s, 2).fillBuckets()
-		p.setNodeState("node-1", policy.NodeExcluded)
+		sim := newSimulation(t, s, 2).fillBuckets()
+		sim.setNodeState("node-1", policy.NodeExcluded)
 		var waiting []*simRequest
 		for _, plan := range s.platform.Contracts {
-			waiting = append(waiting, p.submit(c, plan, 1, 0))
+			waiting = append(waiting, sim.submit(c, plan, 1, 0))
 		}
-		p.setNodeState("node-1", policy.NodeUp)
+		sim.setNodeState("node-1", policy.NodeUp)
 		lastPrice := math.Inf(1)
 		sent := 0
-		for _, a := range p.actions {
+		for _, a := range sim.actions {
 			if a.Kind != policy.Send {
 				continue
 			}
-			price := p.requests[a.ID].plan.Price
+			price := sim.requests[a.ID].plan.Price
 			if price > lastPrice {
-				t.Errorf("%s: a plan of price %v after one of %v", s.name, price, lastPrice)
+				t.Errorf("%s: a request of a plan with price %v was dispatched after one with price %v", s.name, price, lastPrice)
 			}
 			lastPrice, sent = price, sent+1
 		}
 		if sent < 2 || waiting[0].plan.Price == waiting[1].plan.Price {
-			t.Errorf("%s: %d of %d dispatched immediately", s.name, sent, len(waiting))
+			t.Errorf("%s: %d of %d dispatched immediately, want at least 2, of plans with different prices", s.name, sent, len(waiting))
 		}
 	}
 }
@@ -316,13 +316,13 @@
 func TestDeploymentDrains(t *testing.T) {
 	for _, s := range deployments(t) {
 		for _, c := range s.platform.Profiles {
-			p := newSimulation(t, s, 2).fillBuckets()
-			p.setNodeState("node-1", policy.NodeDraining)
+			sim := newSimulation(t, s, 2).fillBuckets()
+			sim.setNodeState("node-1", policy.NodeDraining)
 			for range 50 {
-				p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 1, 0)
-				p.run(p.now + s.platform.Rules.DrainGrace/25) // checkDispatch checks each dispatch
+				sim.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 1, 0)
+				sim.run(sim.now + s.platform.Rules.DrainGrace/25) // checkDispatch checks each dispatch
 			}
-			r := p.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
+			r := sim.submit(c, s.platform.Contracts[len(s.platform.Contracts)-1], 0, 0)
 			if len(r.attempts) != 1 {
 				t.Errorf("%s, %s: the other node is not used", s.name, c.Name)
 			}
@@ -332,41 +332,41 @@
 
 // In random simulations with all classes and plans, attempts have any outcome at any time, and nodes drain, are removed and
 // return. Each action is checked against the settings.
-func TestDeploymentRandomDays(t *testing.T) {
-	const days, arrivals = 4, 1500
+func TestDeploymentRandomSimulations(t *testing.T) {
+	const runs, arrivals = 4, 1500
 	gaps := []float64{40, 12} // mean ms between arrivals: light load, and load under which requests time out
 	for _, s := range deployments(t) {
 		total := coverage{retried: map[string]int{}, rejectedUncertain: map[string]int{}, failedUncertain: map[string]int{}, pastWindow: map[string]int{}}
 		finals := map[string]int{}
-		for day := range days {
-			p := newSimulation(t, s, 5)
-			rng := rand.New(rand.NewPCG(simSeed, uint64(day)))
-			p.onDispatch = func(r *simRequest, attempt int) { p.drawEnd(rng, r, attempt) }
+		for run := range runs {
+			sim := newSimulation(t, s, 5)
+			rng := rand.New(rand.NewPCG(simSeed, uint64(run)))
+			sim.onDispatch = func(r *simRequest, attempt int) { sim.drawEnd(rng, r, attempt) }
 			for range arrivals {
-				p.run(p.now + rng.ExpFloat64()*gaps[day%len(gaps)])
+				sim.run(sim.now + rng.ExpFloat64()*gaps[run%len(gaps)])
 				c := s.platform.Profiles[rng.IntN(len(s.platform.Profiles))]
 				plan := s.platform.Contracts[rng.IntN(len(s.platform.Contracts))]
-				p.submitOf(fmt.Sprint(plan.Name, rng.IntN(4)), 1+rng.IntN(2), c, plan, rng.IntN(5), c.Deadline*(0.3+0.7*rng.Float64()))
+				sim.submitOf(fmt.Sprint(plan.Name, rng.IntN(4)), 1+rng.IntN(2), c, plan, rng.IntN(5), c.Deadline*(0.3+0.7*rng.Float64()))
 				if rng.IntN(60) == 0 {
 					state := []policy.NodeState{policy.NodeUp, policy.NodeDraining, policy.NodeExcluded, policy.NodeRemoved}[rng.IntN(4)]
 					id := fmt.Sprint("node-", rng.IntN(5))
-					p.setNodeState(id, state)
-					p.schedule(rng.Float64()*3000, func() { p.setNodeState(id, policy.NodeUp) })
+					sim.setNodeState(id, state)
+					sim.schedule(rng.Float64()*3000, func() { sim.setNodeState(id, policy.NodeUp) })
 				}
 			}
-			p.run(p.now + 60e3)
-			for _, r := range p.order {
+			sim.run(sim.now + 60e3)
+			for _, r := range sim.order {
 				finals[r.final]++
 				if uncertain, first := r.firstUncertain(); uncertain && r.class.Effect == "keyed" && r.finalAt > first.sentAt+r.class.DedupWindow && r.final != "served" {
 					total.pastWindow[r.class.Name]++
 				}
 			}
-			for _, x := range [][2]map[string]int{{total.retried, p.coverage.retried}, {total.rejectedUncertain, p.coverage.rejectedUncertain}, {total.failedUncertain, p.coverage.failedUncertain}} {
+			for _, x := range [][2]map[string]int{{total.retried, sim.coverage.retried}, {total.rejectedUncertain, sim.coverage.rejectedUncertain}, {total.failedUncertain, sim.coverage.failedUncertain}} {
 				for name, n := range x[1] {
 					x[0][name] += n
 				}
 			}
-			total.hedges += p.coverage.hedges
+			total.hedges += sim.coverage.hedges
 		}
 		t.Logf("%s: %v, %+v", s.name, finals, total)
 		for _, c := range s.platform.Profiles {
@@ -381,10 +381,10 @@
 			}
 		}
 		if (total.hedges > 0) != s.platform.Ceilings.MayHedge {
-			t.Errorf("%s: %d hedges", s.name, total.hedges)
+			t.Errorf("%s: %d hedges, which does not match the settings", s.name, total.hedges)
 		}
-		if finals["served"] < days*arrivals/3 {
-			t.Errorf("%s: %v", s.name, finals)
+		if finals["served"] < runs*arrivals/3 {
+			t.Errorf("%s: fewer than a third of the requests were served: %v", s.name, finals)
 		}
 	}
 }
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -28,7 +28,7 @@
 	platform platformSettings
 }
 
-// platformSettings are the settings in the platform's words, read without the code under test.
+// platformSettings are the settings under the platform's keys, read without the code under test.
 type platformSettings struct {
 	Zones      []string         `json:"zones"`
 	Profiles   []platformClass  `json:"profiles"`
@@ -103,7 +103,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(deploymentsDir, "*", "config.json"))
 	if err != nil || len(paths) < minDeployments {
-		t.Fatalf("%d deployments in %s, %v", len(paths), deploymentsDir, err)
+		t.Fatalf("%d deployments in %s, error %v", len(paths), deploymentsDir, err)
 	}
 	var all []deployment
 	for _, path := range paths {
@@ -284,7 +284,7 @@
 		}
 	}
 	if len(read) < 40 {
-		t.Errorf("%d keys read: %v", len(read), slices.Sorted(maps.Keys(read)))
+		t.Errorf("only %d keys are read, want at least 40: %v", len(read), slices.Sorted(maps.Keys(read)))
 	}
 }
 
--- a/internal/config/gather_tree_test.go
+++ b/internal/config/gather_tree_test.go
@@ -9,6 +9,7 @@
 	"wheatsaddle/policy"
 )
 
+// The section gather.tree has defaults for absent keys, is checked against the memory limit, and each error names its key.
 func TestGatherDelegation(t *testing.T) {
 	const rules = `"rules":{"classes":{"c":{"order":[{"key":"k","type":"integer"}],"memory":{"bytes":1048576},"records":{"max_bytes":4096}}}}`
 	read := func(more string) (*Site, error) { return ParseSite([]byte(`{"gather":{` + rules + more + `}}`)) }
@@ -23,7 +24,7 @@
 	tree := s.Gather.Tree
 	if tree.Peers[1] != (GatherPeer{"b", "[::1]:2"}) || tree.SilenceTimeout != 70*time.Millisecond || tree.Backoff != 5*time.Millisecond || tree.MaxBackoff != 30*time.Second ||
 		tree.MinParts != 8 || tree.MaxGroupParts != 16 || tree.MaxPeerAttempts != 1 || tree.MaxConnsPerPeer != 8 || tree.MaxGroupBytes != 64<<20 || tree.maxMerges() != 3 {
-		t.Errorf("%+v", tree)
+		t.Errorf("section gather.tree: %+v", tree)
 	}
 	set := policy.Settings{Classes: []policy.Class{{Name: "c"}}}
 	var key *KeyError
@@ -49,7 +50,7 @@
 		`,"peers":[{"name":"a","address":"127.0.0.1:1"},{"name":"a","address":"127.0.0.1:2"}]`: "gather.peers.1.name",
 	} {
 		if _, err := read(text); !errors.As(err, &key) || !strings.HasPrefix(key.Key, want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want one of %s", text, err, want)
 		}
 	}
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -26,11 +26,11 @@
 		}
 		later, err := Parse([]byte(text), noEnv)
 		if err != nil {
-			t.Fatalf("%s: %v", c.to, err)
+			t.Fatalf("with %s: %v", c.to, err)
 		}
 		err = CheckRemovedKeys(earlier, later)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want+": missing")) {
-			t.Errorf("%q in place of %q: %v, want %q", c.to, c.from, err, c.want)
+			t.Errorf("%q in place of %q: error %v, want missing key %q", c.to, c.from, err, c.want)
 		}
 	}
 }
--- a/internal/config/peers_test.go
+++ b/internal/config/peers_test.go
@@ -13,6 +13,8 @@
 	"wheatsaddle/internal/nodestats"
 )
 
+// The section peers has the seeds of the key and of the file, and the schema's defaults are those of the program. Each error
+// names its key.
 func TestSitePeers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "seeds")
 	if err := os.WriteFile(file, []byte("# others\n127.0.0.1:3\n\n[::1]:4 # four\n"), 0o600); err != nil {
@@ -33,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(explicit.Peers.Seeds, " "); got != "127.0.0.1:2 127.0.0.1:3 [::1]:4" || explicit.Peers.Via["127.0.0.1:2"] != "127.0.0.1:9" {
-		t.Errorf("%+v", explicit.Peers)
+		t.Errorf("seeds or addresses of via: %+v", explicit.Peers)
 	}
 	explicit.Peers.Seeds, explicit.Peers.Via, byDefault.Peers.Via = nil, nil, nil
 	if !reflect.DeepEqual(explicit.Peers, byDefault.Peers) || byDefault.Peers.State != nodestats.Defaults() {
@@ -49,7 +51,7 @@
 		`{"listen":"127.0.0.1:1","clip":0}`:                               "peers.clip",
 	} {
 		if _, err := ParseSite([]byte(`{"peers":` + text + `}`)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v; want %q", text, err, want)
+			t.Errorf("%s: error %v, want one with %q", text, err, want)
 		}
 	}
 }
@@ -63,7 +65,7 @@
 	}
 	for node, want := range map[string]string{"n-12": "tape", "n-13": "mixed", "n-1": "mixed", "n-135": "flash", "n-a": "disk", "n.x": "odd", "m": ""} {
 		if got := s.Estimate.Types.Of(node); got != want {
-			t.Errorf("%s: %q, want %q", node, got, want)
+			t.Errorf("node %s: type %q, want %q", node, got, want)
 		}
 	}
 	for types, want := range map[string]string{
@@ -73,7 +75,7 @@
 	} {
 		var key *KeyError
 		if _, err := ParseSite([]byte(`{"estimate":{"types":` + types + `}}`)); !errors.As(err, &key) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v; want %q", types, err, want)
+			t.Errorf("%s: error %v, want one with %q", types, err, want)
 		}
 	}
 }
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -14,11 +14,11 @@
 	"wheatsaddle/policy"
 )
 
-// stateWords and the tables below map values of enumerations to the files' words, which recordings have.
+// stateWords and the tables below map values of enumerations to the words that the files and the recordings have for them.
 var (
 	stateWords  = map[policy.NodeState]string{policy.NodeUp: "active", policy.NodeDraining: "leaving", policy.NodeRemoved: "left"}
 	effectWords = map[policy.Effect]string{policy.Idempotent: "safe", policy.IdempotentByKey: "keyed", policy.NonIdempotent: "unsafe"}
-	kindWords   = map[address.Family]string{address.Unix: "unix", address.IPv6: "ipv6", address.IPv4: "ipv4", address.HostName: "name"}
+	familyWords = map[address.Family]string{address.Unix: "unix", address.IPv6: "ipv6", address.IPv4: "ipv4", address.HostName: "name"}
 	scopeWords  = map[policy.DedupScope]string{policy.DedupAll: "all", policy.DedupZone: "zone", policy.DedupShard: "cell"}
 )
 
@@ -32,15 +32,15 @@
 }
 
 func (s *settingsScript) addressSettings(a *SiteAddresses) {
-	b := a.Selector
-	for _, kind := range b.Preference {
-		s.Add("addresses.preference", kindWords[kind])
-	}
-	s.Add("addresses", int64(b.ConnectDelay), int64(b.MinConnectDelay), int64(b.MaxConnectDelay), int64(b.Backoff), int64(b.MaxBackoff),
-		int64(b.WrongNodeBackoff), int64(b.UnsupportedBackoff), int64(b.DownTrialInterval), int64(b.MinSuspectAfter),
-		int64(b.MaxSuspectAfter), int64(b.CrossCheckAfter), int64(b.TrialInterval), int64(b.TrialPatience),
-		int64(b.MinReturnDelay), int64(b.MaxReturnDelay), int64(b.RejectionWindow), b.Jitter, b.SuspectLatencyFactor,
-		b.MinReturnConns, b.MaxRejections, b.ConnectRate, b.ConnectBurst, a.Identity)
+	selector := a.Selector
+	for _, family := range selector.Preference {
+		s.Add("addresses.preference", familyWords[family])
+	}
+	s.Add("addresses", int64(selector.ConnectDelay), int64(selector.MinConnectDelay), int64(selector.MaxConnectDelay), int64(selector.Backoff), int64(selector.MaxBackoff),
+		int64(selector.WrongNodeBackoff), int64(selector.UnsupportedBackoff), int64(selector.DownTrialInterval), int64(selector.MinSuspectAfter),
+		int64(selector.MaxSuspectAfter), int64(selector.CrossCheckAfter), int64(selector.TrialInterval), int64(selector.TrialPatience),
+		int64(selector.MinReturnDelay), int64(selector.MaxReturnDelay), int64(selector.RejectionWindow), selector.Jitter, selector.SuspectLatencyFactor,
+		selector.MinReturnConns, selector.MaxRejections, selector.ConnectRate, selector.ConnectBurst, a.Identity)
 }
 
 func (s *settingsScript) gatherRules(rules map[string]*gather.Rules) {
--- a/internal/config/simulation_test.go
+++ b/internal/config/simulation_test.go
@@ -27,14 +27,14 @@
 type simulation struct {
 	t          *testing.T
 	deployment deployment
-	module     *policy.Scheduler
+	scheduler  *policy.Scheduler
 	now        float64
 	events     eventQueue
 	seq        int
 	requests   map[string]*simRequest
 	order      []*simRequest
 	nodes      map[string]policy.Node
-	drainedAt  map[string]float64 // when a node began to drain
+	drainedAt  map[string]float64 // when a node began to drain or was removed
 	arrivals   []float64          // times of arrivals
 	retries    []float64          // times of retries
 	buckets    map[string]*tokenBucket
@@ -89,187 +89,187 @@
 
 type eventQueue []simEvent
 
-func (d eventQueue) Len() int { return len(d) }
-func (d eventQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *eventQueue) Push(x any)   { *d = append(*d, x.(simEvent)) }
-func (d *eventQueue) Pop() any {
-	old := *d
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
 // newSimulation starts the scheduler with one node for each shard, in alternating zones.
 func newSimulation(t *testing.T, s deployment, shards int) *simulation {
 	t.Helper()
-	module, err := policy.New(s.conf.Settings, simSeed)
+	scheduler, err := policy.New(s.conf.Settings, simSeed)
 	if err != nil {
 		t.Fatalf("%s: %v", s.name, err)
 	}
-	p := &simulation{t: t, deployment: s, module: module, now: simStartMs, requests: map[string]*simRequest{}, nodes: map[string]policy.Node{},
+	sim := &simulation{t: t, deployment: s, scheduler: scheduler, now: simStartMs, requests: map[string]*simRequest{}, nodes: map[string]policy.Node{},
 		drainedAt: map[string]float64{}, buckets: map[string]*tokenBucket{},
 		coverage: coverage{retried: map[string]int{}, rejectedUncertain: map[string]int{}, failedUncertain: map[string]int{}, pastWindow: map[string]int{}}}
 	var list []policy.Node
 	for i := range shards {
 		n := policy.Node{ID: fmt.Sprint("node-", i), Zone: s.platform.Zones[i%len(s.platform.Zones)], Shard: i, Weight: 1}
 		list = append(list, n)
-		p.nodes[n.ID] = n
+		sim.nodes[n.ID] = n
 	}
-	p.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: list})
-	if requestsList := slices.ContainsFunc(p.actions, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); requestsList != (s.platform.Mode == "ask") {
+	sim.step(policy.Event{Kind: policy.CachedListLoaded, Nodes: list})
+	if requestsList := slices.ContainsFunc(sim.actions, func(a policy.Action) bool { return a.Kind == policy.Subscribe }); requestsList != (s.platform.Mode == "ask") {
 		t.Errorf("%s: mode %s, but the list is requested: %v", s.name, s.platform.Mode, requestsList)
 	}
-	p.step(policy.Event{Kind: policy.ListReceived, Nodes: list})
-	return p
+	sim.step(policy.Event{Kind: policy.ListReceived, Nodes: list})
+	return sim
 }
 
 // fillBuckets runs the simulation until the token buckets, which are empty at the start, are full.
-func (p *simulation) fillBuckets() *simulation {
-	r := p.submit(p.deployment.platform.Profiles[0], p.deployment.platform.Contracts[len(p.deployment.platform.Contracts)-1], 0, 0)
-	p.endAttempt(r, 0, policy.OK)
-	p.run(p.now + bucketFillMs)
-	return p
+func (sim *simulation) fillBuckets() *simulation {
+	r := sim.submit(sim.deployment.platform.Profiles[0], sim.deployment.platform.Contracts[len(sim.deployment.platform.Contracts)-1], 0, 0)
+	sim.endAttempt(r, 0, policy.OK)
+	sim.run(sim.now + bucketFillMs)
+	return sim
 }
 
-func (p *simulation) schedule(wait float64, do func()) {
-	p.seq++
-	heap.Push(&p.events, simEvent{p.now + wait, p.seq, do})
+func (sim *simulation) schedule(wait float64, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, simEvent{sim.now + wait, sim.seq, do})
 }
 
 // run runs the events up to a time.
-func (p *simulation) run(until float64) {
-	for len(p.events) > 0 && p.events[0].at <= until {
-		d := heap.Pop(&p.events).(simEvent)
-		p.now = max(p.now, d.at)
-		d.do()
+func (sim *simulation) run(until float64) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		event := heap.Pop(&sim.events).(simEvent)
+		sim.now = max(sim.now, event.at)
+		event.do()
 	}
-	p.now = max(p.now, until)
+	sim.now = max(sim.now, until)
 }
 
 // step passes events to the scheduler and checks its actions.
-func (p *simulation) step(events ...policy.Event) {
-	p.t.Helper()
-	p.actions = p.module.Step(p.now, events, nil)
-	for _, a := range slices.Clone(p.actions) {
-		p.check(a)
+func (sim *simulation) step(events ...policy.Event) {
+	sim.t.Helper()
+	sim.actions = sim.scheduler.Step(sim.now, events, nil)
+	for _, a := range slices.Clone(sim.actions) {
+		sim.check(a)
 	}
 }
 
-func (p *simulation) fail(format string, args ...any) {
-	p.t.Helper()
-	p.t.Errorf("%s at %.0f ms: %s", p.deployment.name, p.now-simStartMs, fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	sim.t.Helper()
+	sim.t.Errorf("%s at %.0f ms: %s", sim.deployment.name, sim.now-simStartMs, fmt.Sprintf(format, args...))
 }
 
 // submit submits a request for a volume of its own; without a timeout it has the class's deadline.
-func (p *simulation) submit(c platformClass, plan platformPlan, shard int, timeout float64) *simRequest {
-	p.t.Helper()
-	return p.submitOf(fmt.Sprint("volume-", len(p.order)), 1, c, plan, shard, timeout)
+func (sim *simulation) submit(c platformClass, plan platformPlan, shard int, timeout float64) *simRequest {
+	sim.t.Helper()
+	return sim.submitOf(fmt.Sprint("volume-", len(sim.order)), 1, c, plan, shard, timeout)
 }
 
-func (p *simulation) submitOf(volume string, schedulers int, c platformClass, plan platformPlan, shard int, timeout float64) *simRequest {
-	p.t.Helper()
+func (sim *simulation) submitOf(volume string, schedulers int, c platformClass, plan platformPlan, shard int, timeout float64) *simRequest {
+	sim.t.Helper()
 	if timeout == 0 {
 		timeout = c.Deadline
 	}
-	r := &simRequest{id: fmt.Sprint("request-", len(p.order)), class: c, plan: plan, volume: volume, units: 1, schedulers: schedulers,
-		shard: shard, arrivedAt: p.now, deadline: p.now + timeout}
-	p.order = append(p.order, r)
-	p.requests[r.id] = r
-	p.arrivals = append(p.arrivals, p.now)
-	p.schedule(timeout, func() { p.timeOut(r) })
-	p.schedule(timeout+p.deployment.platform.Rules.AnswerSlack, func() { p.overdue(r) })
-	p.step(policy.Event{Kind: policy.RequestArrived, Request: policy.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
+	r := &simRequest{id: fmt.Sprint("request-", len(sim.order)), class: c, plan: plan, volume: volume, units: 1, schedulers: schedulers,
+		shard: shard, arrivedAt: sim.now, deadline: sim.now + timeout}
+	sim.order = append(sim.order, r)
+	sim.requests[r.id] = r
+	sim.arrivals = append(sim.arrivals, sim.now)
+	sim.schedule(timeout, func() { sim.timeOut(r) })
+	sim.schedule(timeout+sim.deployment.platform.Rules.AnswerSlack, func() { sim.overdue(r) })
+	sim.step(policy.Event{Kind: policy.RequestArrived, Request: policy.Request{ID: r.id, Class: c.Name, Plan: plan.Name, Key: "key-" + r.id,
 		Volume: volume, Deadline: r.deadline, Units: r.units, Shard: shard, Schedulers: schedulers}})
 	return r
 }
 
 // timeOut ends the outstanding attempts at the client's deadline, like the network code.
-func (p *simulation) timeOut(r *simRequest) {
+func (sim *simulation) timeOut(r *simRequest) {
 	for i, x := range r.attempts {
 		if x.open {
-			p.endAttempt(r, i, policy.TimedOut)
+			sim.endAttempt(r, i, policy.TimedOut)
 		}
 	}
 }
 
 // overdue checks that a request has its final response.
-func (p *simulation) overdue(r *simRequest) {
-	p.t.Helper()
+func (sim *simulation) overdue(r *simRequest) {
+	sim.t.Helper()
 	if r.final == "" {
-		p.fail("%s (%s, %s) has no final response at its client's deadline", r.id, r.class.Name, r.plan.Name)
+		sim.fail("%s (%s, %s) has no final response at its client's deadline", r.id, r.class.Name, r.plan.Name)
 		r.final = "lost"
 	}
 }
 
 // endAttempt reports the end of an attempt to the scheduler.
-func (p *simulation) endAttempt(r *simRequest, attempt int, status policy.Status) {
-	p.t.Helper()
+func (sim *simulation) endAttempt(r *simRequest, attempt int, status policy.Status) {
+	sim.t.Helper()
 	x := r.attempts[attempt]
 	if !x.open {
 		return
 	}
 	x.open, x.status = false, status
 	if status == policy.OK && r.final == "" {
-		r.final, r.finalAt = "served", p.now
+		r.final, r.finalAt = "served", sim.now
 	}
-	p.step(policy.Event{Kind: policy.AttemptEnded, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: p.now - x.sentAt,
+	sim.step(policy.Event{Kind: policy.AttemptEnded, ID: r.id, Attempt: attempt, Node: x.node, Status: status, Latency: sim.now - x.sentAt,
 		Finished: r.final != ""})
 }
 
 // check checks one action against the settings.
-func (p *simulation) check(a policy.Action) {
-	p.t.Helper()
-	r := p.requests[a.ID]
+func (sim *simulation) check(a policy.Action) {
+	sim.t.Helper()
+	r := sim.requests[a.ID]
 	switch a.Kind {
 	case policy.SetTimer:
-		p.schedule(a.Wait, func() { p.step(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
+		sim.schedule(a.Wait, func() { sim.step(policy.Event{Kind: policy.TimerFired, Tag: a.Tag}) })
 	case policy.Send:
-		p.checkDispatch(r, a)
+		sim.checkDispatch(r, a)
 	case policy.Reject:
-		p.checkFinal(r, "rejected")
+		sim.checkFinal(r, "rejected")
 		r.retryAfter = a.Wait
-		if maxRetryAfter := p.deployment.platform.Ceilings.MaxRetryAfter; a.Wait > maxRetryAfter || a.Wait > 0 && !p.deployment.platform.Ceilings.RetryAfter {
-			p.fail("%s has Retry-After %.0f ms", r.id, a.Wait)
+		if maxRetryAfter := sim.deployment.platform.Ceilings.MaxRetryAfter; a.Wait > maxRetryAfter || a.Wait > 0 && !sim.deployment.platform.Ceilings.RetryAfter {
+			sim.fail("%s has Retry-After %.0f ms, which the settings do not permit", r.id, a.Wait)
 		}
 		if uncertain, _ := r.firstUncertain(); uncertain {
-			p.coverage.rejectedUncertain[r.class.Name]++
+			sim.coverage.rejectedUncertain[r.class.Name]++
 			if r.class.Effect == "unsafe" || r.class.Effect == "keyed" && r.class.DedupScope != "all" {
-				p.fail("%s (%s) is rejected, although it may have been executed", r.id, r.class.Name)
+				sim.fail("%s (%s) is rejected, although it may have been executed", r.id, r.class.Name)
 			}
 		}
 	case policy.Fail:
-		p.checkFinal(r, "failed")
+		sim.checkFinal(r, "failed")
 		if uncertain, _ := r.firstUncertain(); uncertain {
-			p.coverage.failedUncertain[r.class.Name]++
+			sim.coverage.failedUncertain[r.class.Name]++
 		}
 	case policy.Cancel:
-		if !p.deployment.platform.Ceilings.MayCancel {
-			p.fail("%s is cancelled", r.id)
+		if !sim.deployment.platform.Ceilings.MayCancel {
+			sim.fail("%s is cancelled, which the settings do not permit", r.id)
 		}
-		p.schedule(0, func() { p.endAttempt(r, a.Attempt, policy.Cancelled) })
+		sim.schedule(0, func() { sim.endAttempt(r, a.Attempt, policy.Cancelled) })
 	case policy.CheckHealth:
-		if !p.deployment.platform.Ceilings.MayCheckHealth {
-			p.fail("%s: unexpected health check", a.Node)
+		if !sim.deployment.platform.Ceilings.MayCheckHealth {
+			sim.fail("%s gets a health check, which the settings do not permit", a.Node)
 		}
 	case policy.Gossip:
-		if !p.deployment.platform.Ceilings.MayGossip {
-			p.fail("unexpected gossip")
+		if !sim.deployment.platform.Ceilings.MayGossip {
+			sim.fail("gossip is sent, which the settings do not permit")
 		}
 	}
 }
 
-func (p *simulation) checkFinal(r *simRequest, final string) {
-	p.t.Helper()
+func (sim *simulation) checkFinal(r *simRequest, final string) {
+	sim.t.Helper()
 	if r.final != "" {
-		p.fail("%s is %s, but was already %s", r.id, final, r.final)
+		sim.fail("%s is %s, but was already %s", r.id, final, r.final)
 	}
-	if p.now > r.deadline+p.deployment.platform.Rules.AnswerSlack {
-		p.fail("%s is %s %.0f ms after its deadline", r.id, final, p.now-r.deadline)
+	if sim.now > r.deadline+sim.deployment.platform.Rules.AnswerSlack {
+		sim.fail("%s is %s %.0f ms after its deadline", r.id, final, sim.now-r.deadline)
 	}
-	r.final, r.finalAt = final, p.now
+	r.final, r.finalAt = final, sim.now
 }
 
 // firstUncertain returns the first attempt that may have been executed; false: there is none.
@@ -282,10 +282,10 @@
 	return false, nil
 }
 
-func (p *simulation) checkDispatch(r *simRequest, a policy.Action) {
-	p.t.Helper()
-	platform := p.deployment.platform
-	node := p.nodes[a.Node]
+func (sim *simulation) checkDispatch(r *simRequest, a policy.Action) {
+	sim.t.Helper()
+	platform := sim.deployment.platform
+	node := sim.nodes[a.Node]
 	uncertain, first := r.firstUncertain()
 	open := 0
 	for _, x := range r.attempts {
@@ -294,118 +294,118 @@
 		}
 	}
 	if r.final != "" {
-		p.fail("%s is dispatched, but was already %s", r.id, r.final)
+		sim.fail("%s is dispatched, but was already %s", r.id, r.final)
 	}
 	if len(r.attempts) >= platform.Ceilings.Attempts {
-		p.fail("%s: %d attempts, limit %d", r.id, len(r.attempts)+1, platform.Ceilings.Attempts)
+		sim.fail("%s: %d attempts, limit %d", r.id, len(r.attempts)+1, platform.Ceilings.Attempts)
 	}
 	if open > 1 || open == 1 && !platform.Ceilings.MayHedge {
-		p.fail("%s is dispatched with %d outstanding attempts", r.id, open)
+		sim.fail("%s is dispatched with %d outstanding attempts", r.id, open)
 	}
 	if a.Deadline > r.deadline+timeToleranceMs {
-		p.fail("%s is dispatched for %.0f ms, its client has %.0f left", r.id, a.Deadline-p.now, r.deadline-p.now)
+		sim.fail("%s is dispatched for %.0f ms, its client has %.0f left", r.id, a.Deadline-sim.now, r.deadline-sim.now)
 	}
 	if r.shard >= 0 && node.Shard != r.shard {
-		p.fail("%s of shard %d goes to %s", r.id, r.shard, a.Node)
+		sim.fail("%s of shard %d goes to %s", r.id, r.shard, a.Node)
 	}
-	if since, draining := p.drainedAt[a.Node]; draining && p.now > since+platform.Rules.DrainGrace {
-		p.fail("%s goes to %s %.0f ms after its drain began", r.id, a.Node, p.now-since)
+	if since, draining := sim.drainedAt[a.Node]; draining && sim.now > since+platform.Rules.DrainGrace {
+		sim.fail("%s goes to %s %.0f ms after its drain began or it was removed", r.id, a.Node, sim.now-since)
 	}
 	if uncertain {
-		p.checkRetry(r, a, first)
+		sim.checkRetry(r, a, first)
 	}
 	if len(r.attempts) == 0 {
-		p.checkLimit(r)
+		sim.checkLimit(r)
 	} else {
-		p.checkBudget(r)
-		p.coverage.retried[r.class.Name]++
+		sim.checkBudget(r)
+		sim.coverage.retried[r.class.Name]++
 	}
 	if open > 0 {
-		p.coverage.hedges++
+		sim.coverage.hedges++
 	}
-	r.attempts = append(r.attempts, &simAttempt{node: a.Node, sentAt: p.now, startBy: a.StartBy, open: true})
-	if attempt := len(r.attempts) - 1; p.onDispatch != nil {
-		p.onDispatch(r, attempt)
+	r.attempts = append(r.attempts, &simAttempt{node: a.Node, sentAt: sim.now, startBy: a.StartBy, open: true})
+	if attempt := len(r.attempts) - 1; sim.onDispatch != nil {
+		sim.onDispatch(r, attempt)
 	}
 }
 
 // checkRetry checks that the class's effect permits an attempt after one that may have been executed.
-func (p *simulation) checkRetry(r *simRequest, a policy.Action, first *simAttempt) {
-	p.t.Helper()
+func (sim *simulation) checkRetry(r *simRequest, a policy.Action, first *simAttempt) {
+	sim.t.Helper()
 	switch r.class.Effect {
 	case "unsafe":
-		p.fail("%s (%s) is retried, although it may have been executed", r.id, r.class.Name)
+		sim.fail("%s (%s) is retried, although it may have been executed", r.id, r.class.Name)
 	case "keyed":
-		from, to := p.nodes[first.node], p.nodes[a.Node]
+		from, to := sim.nodes[first.node], sim.nodes[a.Node]
 		if r.class.DedupScope == "cell" && from.Shard != to.Shard || r.class.DedupScope == "zone" && from.Zone != to.Zone {
-			p.fail("%s (%s) is retried outside its %s", r.id, r.class.Name, r.class.DedupScope)
+			sim.fail("%s (%s) is retried outside its %s", r.id, r.class.Name, r.class.DedupScope)
 		}
 		ends := first.sentAt + r.class.DedupWindow
-		if p.now > ends+timeToleranceMs {
-			p.fail("%s (%s) is retried %.0f ms after its window", r.id, r.class.Name, p.now-ends)
+		if sim.now > ends+timeToleranceMs {
+			sim.fail("%s (%s) is retried %.0f ms after its window", r.id, r.class.Name, sim.now-ends)
 		}
 		if a.StartBy == 0 || a.StartBy > ends+timeToleranceMs {
-			p.fail("%s (%s) is retried and may start until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.StartBy-simStartMs, ends-simStartMs)
+			sim.fail("%s (%s) is retried and may start until %.0f ms, its window ends at %.0f", r.id, r.class.Name, a.StartBy-simStartMs, ends-simStartMs)
 		}
 	}
 }
 
 // checkLimit checks the first attempts of a volume's requests against this scheduler's share of an initially full token bucket.
-func (p *simulation) checkLimit(r *simRequest) {
-	p.t.Helper()
+func (sim *simulation) checkLimit(r *simRequest) {
+	sim.t.Helper()
 	if r.plan.Cap == 0 {
 		return
 	}
 	share := 1 / float64(r.schedulers)
-	bucket := p.buckets[r.volume]
+	bucket := sim.buckets[r.volume]
 	if bucket == nil {
-		bucket = &tokenBucket{r.plan.Burst * share, p.now}
-		p.buckets[r.volume] = bucket
+		bucket = &tokenBucket{r.plan.Burst * share, sim.now}
+		sim.buckets[r.volume] = bucket
 	}
-	bucket.level, bucket.at = min(bucket.level+r.plan.Cap*share*(p.now-bucket.at)/1000, r.plan.Burst*share), p.now
+	bucket.level, bucket.at = min(bucket.level+r.plan.Cap*share*(sim.now-bucket.at)/1000, r.plan.Burst*share), sim.now
 	if bucket.level -= r.units; bucket.level < -timeToleranceMs {
-		p.fail("%s (%s) is dispatched %.2f units over its volume's limit", r.id, r.plan.Name, -bucket.level)
+		sim.fail("%s (%s) is dispatched %.2f units over its volume's limit", r.id, r.plan.Name, -bucket.level)
 	}
 }
 
 // checkBudget checks that retries stay within the budget.
-func (p *simulation) checkBudget(r *simRequest) {
-	p.t.Helper()
-	rules := p.deployment.platform.Rules
+func (sim *simulation) checkBudget(r *simRequest) {
+	sim.t.Helper()
+	rules := sim.deployment.platform.Rules
 	if rules.RetryBudgetWindow == 0 {
 		return
 	}
 	within := func(times []float64, counts func(age float64) bool) (n float64) {
 		for _, at := range times {
-			if counts(p.now - at) {
+			if counts(sim.now - at) {
 				n++
 			}
 		}
 		return n
 	}
-	p.retries = append(p.retries, p.now)
-	sent := within(p.retries, func(age float64) bool { return age <= rules.RetryBudgetWindow })
-	arrived := within(p.arrivals, func(age float64) bool { return age < rules.RetryBudgetWindow })
+	sim.retries = append(sim.retries, sim.now)
+	sent := within(sim.retries, func(age float64) bool { return age <= rules.RetryBudgetWindow })
+	arrived := within(sim.arrivals, func(age float64) bool { return age < rules.RetryBudgetWindow })
 	if sent > rules.RetryBudgetMin+rules.RetryBudgetShare*arrived {
-		p.fail("%s is retry %.0f of %.0f requests", r.id, sent, arrived)
+		sim.fail("%s is retry %.0f within the budget's window, for %.0f requests", r.id, sent, arrived)
 	}
 }
 
 // setNodeState changes a node's state in the list.
-func (p *simulation) setNodeState(id string, state policy.NodeState) {
-	p.t.Helper()
-	n := p.nodes[id]
+func (sim *simulation) setNodeState(id string, state policy.NodeState) {
+	sim.t.Helper()
+	n := sim.nodes[id]
 	n.State = state
-	p.nodes[id] = n
-	delete(p.drainedAt, id)
+	sim.nodes[id] = n
+	delete(sim.drainedAt, id)
 	if state == policy.NodeDraining || state == policy.NodeRemoved {
-		p.drainedAt[id] = p.now
+		sim.drainedAt[id] = sim.now
 	}
-	p.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
+	sim.step(policy.Event{Kind: policy.ListChanged, Nodes: []policy.Node{n}})
 }
 
 // drawEnd schedules a random end of an attempt: mostly soon and successfully, sometimes not before its deadline.
-func (p *simulation) drawEnd(rng *rand.Rand, r *simRequest, attempt int) {
+func (sim *simulation) drawEnd(rng *rand.Rand, r *simRequest, attempt int) {
 	wait := usualLatencyMs * (0.5 + rng.ExpFloat64())
 	status := policy.OK
 	if attempt > 0 && rng.IntN(4) == 0 {
@@ -425,5 +425,5 @@
 	case 5:
 		wait = rng.Float64() * r.class.LatencyObjective
 	}
-	p.schedule(wait, func() { p.endAttempt(r, attempt, status) })
+	sim.schedule(wait, func() { sim.endAttempt(r, attempt, status) })
 }
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -13,6 +13,7 @@
 	"wheatsaddle/internal/address"
 )
 
+// The sections addresses, listen and start are read into their fields, with defaults for absent keys.
 func TestSite(t *testing.T) {
 	s, err := ParseSite([]byte(`{"addresses":{"preference":["ipv4","unix"],"delay_ms":120,"return_after":5,"identity_header":"X-Node"},
 		"listen":{"http":[{"address":"unix:/run/x","mode":"0660"},{"address":"[::1]:80"}]}}`))
@@ -22,17 +23,17 @@
 	selector := s.Addresses.Selector
 	if selector.Preference[0] != address.IPv4 || selector.ConnectDelay != 120*time.Millisecond || selector.MinReturnConns != 5 || selector.Backoff != address.Defaults().Backoff ||
 		s.Addresses.Identity != "X-Node" {
-		t.Errorf("%+v", s.Addresses)
+		t.Errorf("section addresses: %+v", s.Addresses)
 	}
 	if l := s.Listen["http"]; len(l) != 2 || l[0].Mode != 0o660 || l[1].Address.String() != "[::1]:80" {
-		t.Errorf("%+v", l)
+		t.Errorf("section listen: %+v", l)
 	}
 	s, err = ParseSite([]byte(`{"start":{"snapshot":"/tmp/x","list_priced":true}}`))
 	if err != nil || *s.Start != (SiteStart{Enabled: true, Snapshot: "/tmp/x", ListPriced: true, ListCallsPerSecond: 40, PreconnectNodes: 8}) {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("section start: %+v, error %v", s, err)
 	}
 	if s, err := ParseSite([]byte(`{}`)); err != nil || s.Addresses != nil || s.Start != nil || len(s.Listen) != 0 {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("empty file: %+v, error %v", s, err)
 	}
 }
 
@@ -77,11 +78,11 @@
 	}
 	got, want := s.Addresses.Selector, address.Defaults()
 	if got.Preference = nil; len(keys) != 24 {
-		t.Errorf("%d keys", len(keys))
+		t.Errorf("the schema has %d keys in section addresses, want 24", len(keys))
 	}
 	want.Preference = nil
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\n%+v", got, want)
+		t.Errorf("addresses: the schema's defaults are\n%+v, the program's\n%+v", got, want)
 	}
 	text = ""
 	for k, v := range gjson.GetBytes(SiteSchema, "properties.estimate.properties").Map() {
@@ -90,7 +91,7 @@
 	explicit, err := ParseSite([]byte(`{"estimate":{` + text[1:] + `}}`))
 	byDefault, err2 := ParseSite([]byte(`{"estimate":{}}`))
 	if err != nil || err2 != nil || !reflect.DeepEqual(explicit.Estimate, byDefault.Estimate) || byDefault.Estimate.MaxConcurrent != 1 {
-		t.Errorf("%v %v %+v %+v", err, err2, explicit, byDefault)
+		t.Errorf("estimate: errors %v and %v, the schema's defaults %+v, the program's %+v", err, err2, explicit, byDefault)
 	}
 	if _, err := LoadSite("../../deploy/site.json"); err != nil {
 		t.Error(err)
--- a/internal/cost/bench_test.go
+++ b/internal/cost/bench_test.go
@@ -9,6 +9,7 @@
 	"wheatsaddle/internal/nodestats"
 )
 
+// plansOf64Steps returns three plans of 64 steps: in sequence, concurrent, and of all kinds.
 func plansOf64Steps() []Plan {
 	var reads []Step
 	for i := range 64 {
@@ -19,7 +20,7 @@
 		{Name: "mixed", Root: Step{Then: []Step{{All: reads[:30]}, {Any: reads[:30]}, {Of: quorum}}}}}
 }
 
-// An estimate of the three plans should take less than 100 µs.
+// BenchmarkThreePlansOf64 measures an estimate of three plans of 64 steps, which should take less than 100 µs.
 func BenchmarkThreePlansOf64(b *testing.B) {
 	e := newEstimator(b, fleetViews())
 	plans := plansOf64Steps()
@@ -47,6 +48,7 @@
 	}
 }
 
+// BenchmarkSetViews1024 measures the models' computation from the views of 1,024 nodes.
 func BenchmarkSetViews1024(b *testing.B) {
 	e := newEstimator(b, nil)
 	var views []nodestats.View
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -34,12 +34,15 @@
 	return v
 }
 
+// addAnswer adds one answer to sums.
 func addAnswer(s *nodestats.Sums, units, millis float64) {
 	s.N++
 	s.X, s.Y = s.X+units, s.Y+millis
 	s.XX, s.XY, s.YY = s.XX+units*units, s.XY+units*millis, s.YY+millis*millis
 }
 
+// fleetViews returns the views of 12 nodes on 4 shards, of 3 hardware types with mean service times from 8, 16 and
+// 24 ms at 4 units.
 func fleetViews() (views []nodestats.View) {
 	for i := range 12 {
 		typ := i % 3
@@ -126,7 +129,7 @@
 		t.Errorf("without answers: %+v", c)
 	}
 	if text, err := r.JSON(); err != nil || !strings.Contains(string(text), `"level":"settings"`) {
-		t.Errorf("%s %v", text, err)
+		t.Errorf("JSON of the ranking: %s, error %v", text, err)
 	}
 }
 
@@ -211,7 +214,7 @@
 		e := newEstimator(t, []nodestats.View{viewOfNode("a", "t", 0, n, 10, 1), viewOfNode("b", "t", 0, n, 12, 2), viewOfNode("c", "t", 0, n, 11, 2)})
 		r := estimateRoots(t, e, 0, readStep("a", 0, 4), readStep("b", 0, 4))
 		if len(r.Plans[0].Alike) != want || n > 1000 && r.Plans[0].Name != "0" {
-			t.Errorf("%g answers: %+v", n, r)
+			t.Errorf("%g answers: want %d plans that cannot be distinguished from the first: %+v", n, want, r)
 		}
 	}
 }
@@ -272,9 +275,9 @@
 		var coded operr.Coded
 		switch {
 		case input.code == "" && (err != nil || len(plans) != 2 || deadline != 90*time.Millisecond):
-			t.Errorf("%.200s: %v %v", input.text, deadline, err)
+			t.Errorf("%.200s: valid input, deadline %v, error %v", input.text, deadline, err)
 		case input.code != "" && (!errors.As(err, &coded) || coded.Code() != input.code || !strings.Contains(err.Error(), input.contains)):
-			t.Errorf("%.200s: %v, want %s with %q", input.text, err, input.code, input.contains)
+			t.Errorf("%.200s: error %v, want code %s and text %q", input.text, err, input.code, input.contains)
 		}
 		if len(input.text) > 1<<16 || strings.Contains(input.text, "1e999") {
 			continue // the validator's parser does not accept these
@@ -290,13 +293,13 @@
 	e.ShouldContinue = func() bool { return false }
 	var timeout *TimeoutError
 	if _, err := e.Estimate(plansOf64Steps(), 0); !errors.As(err, &timeout) || timeout.Estimated != 1 {
-		t.Errorf("time limit: %v", err)
+		t.Errorf("time limit after the first plan: error %v", err)
 	}
 	cyclic := make([]Step, 1)
 	cyclic[0].Then = cyclic
 	var limit *LimitError
 	if _, err := e.Estimate([]Plan{{Root: cyclic[0]}}, 0); !errors.As(err, &limit) {
-		t.Errorf("steps that contain themselves: %v", err)
+		t.Errorf("steps that contain themselves: error %v, want a LimitError", err)
 	}
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
@@ -304,7 +307,7 @@
 	invalid := Defaults(class)
 	invalid.Prices.End = math.NaN()
 	if _, err := New(invalid); err == nil || !strings.Contains(err.Error(), "prices.end") {
-		t.Errorf("settings: %v", err)
+		t.Errorf("invalid settings: error %v, want one with prices.end", err)
 	}
 }
 
@@ -316,7 +319,7 @@
 	for _, views := range [][]nodestats.View{{old, now}, {now, old}} {
 		r, err := newEstimator(t, views).Estimate([]Plan{{Name: "a", Root: readStep("n", 0, 4)}}, 0)
 		if err != nil || r.Views != 1 || r.Dropped != 1 || r.Plans[0].Mean > 20 {
-			t.Errorf("%v %+v", err, r)
+			t.Errorf("error %v, or the earlier start time counts: %+v", err, r)
 		}
 	}
 }
--- a/internal/cost/properties_test.go
+++ b/internal/cost/properties_test.go
@@ -101,13 +101,13 @@
 		}
 	})
 	for name, mutant := range map[string]func([]distribution) error{
-		"extreme: product of the wrong table": func(times []distribution) error {
+		"kthFastest: counts from the slowest step": func(times []distribution) error {
 			return checkMergeInvariants(times, func(times []distribution, k int) distribution { return kthFastest(times, len(times)+1-k) }, add)
 		},
 		"kthFastest: k is one too low": func(times []distribution) error {
 			return checkMergeInvariants(times, func(times []distribution, k int) distribution { return kthFastest(times, max(k-1, 1)) }, add)
 		},
-		"extreme: mean of the steps' quantiles instead of the envelope": func(times []distribution) error {
+		"kthFastest: mean of the first and last steps' quantiles": func(times []distribution) error {
 			return checkMergeInvariants(times, func(times []distribution, k int) distribution {
 				d := kthFastest(times, k)
 				for j := range d.quantiles {
@@ -130,6 +130,7 @@
 	}
 }
 
+// scaleSums multiplies sums by a factor, as if there were that many times as many answers.
 func scaleSums(s *nodestats.Sums, f float64) {
 	s.N, s.X, s.Y, s.XX, s.XY, s.YY = s.N*f, s.X*f, s.Y*f, s.XX*f, s.XY*f, s.YY*f
 }
@@ -180,7 +181,7 @@
 	silent, _ := e.MeanMillis("silent", class, 4)
 	unknownType, _ := e.MeanMillis("new", class, 4)
 	if math.Abs(silent-26) > 4 || math.Abs(unknownType-17) > 4 {
-		t.Errorf("node without answers %g, of an unknown type %g", silent, unknownType)
+		t.Errorf("node without answers: estimate %g, want 26 as for its type; of an unknown type: %g, want 17 as for the fleet", silent, unknownType)
 	}
 }
 
@@ -252,13 +253,13 @@
 	case err != nil || err2 != nil:
 		return errors.Join(err, err2)
 	case hasNonFinite(reflect.ValueOf(ranking)):
-		return fmt.Errorf("not finite: %+v", ranking)
+		return fmt.Errorf("a value is not finite: %+v", ranking)
 	case !reflect.DeepEqual(ranking, shuffled):
-		return fmt.Errorf("in another order:\n%+v\n%+v", ranking, shuffled)
+		return fmt.Errorf("the ranking differs with the views in another order:\n%+v\n%+v", ranking, shuffled)
 	}
 	for i, a := range ranking.Plans {
 		if i > 0 && a.Cost < ranking.Plans[i-1].Cost || a.Chance > a.Served || a.Served > 1 || a.Chance < 0 {
-			return fmt.Errorf("position %d: %+v after %+v", i, a, ranking.Plans[max(i-1, 0)])
+			return fmt.Errorf("position %d: probabilities out of bounds or wrong order: %+v after %+v", i, a, ranking.Plans[max(i-1, 0)])
 		}
 		for _, j := range a.Alike {
 			if i == j || !slices.Contains(ranking.Plans[j].Alike, i) {
@@ -331,7 +332,7 @@
 		}
 		var coded operr.Coded
 		if err != nil && !errors.As(err, &coded) || err == nil && hasNonFinite(reflect.ValueOf(r)) {
-			t.Fatalf("%v %+v", err, r)
+			t.Fatalf("error %v without a code, or a value is not finite: %+v", err, r)
 		}
 	})
 }
--- a/internal/discovery/watchtimer/bounds_test.go
+++ b/internal/discovery/watchtimer/bounds_test.go
@@ -94,7 +94,7 @@
 
 // For any sequence of events the timer keeps its bounds. The number of open calls is limited, each call is opened once and
 // ended or closed once, the timer does not fire endlessly at the same instant, and the next call is opened in time.
-func TestBounds(t *testing.T) {
+func TestRandomEventsKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), Schedulers: rapid.IntRange(0, 2000).Draw(t, "schedulers"),
 			StalenessBound: time.Duration(rapid.IntRange(0, 12).Draw(t, "bound")) * time.Second,
--- a/internal/discovery/watchtimer/externallypaced_test.go
+++ b/internal/discovery/watchtimer/externallypaced_test.go
@@ -12,7 +12,7 @@
 	requestsDue  []time.Duration // times of RequestDue
 	callsFail    bool            // calls end as soon as they are opened
 	wantOpens    []time.Duration // exact times of the first calls
-	wantMissed   int
+	wantReported int
 	wantNextOpen [2]time.Duration // interval in which the next call is opened without RequestDue
 }
 
@@ -20,13 +20,13 @@
 func pacedCases() map[string]pacedCase {
 	const ms = time.Millisecond
 	return map[string]pacedCase{
-		"no request":               {wantOpens: []time.Duration{StalenessBound - maxAnswerReserve}, wantNextOpen: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, wantMissed: 1},
-		"due":                      {requestsDue: []time.Duration{300 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
-		"due while a call is open": {requestsDue: []time.Duration{300 * ms, 400 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
-		"never connected":          {requestsDue: []time.Duration{300 * ms, 400 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms, 400 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 2},
-		"rejected":                 {requestsDue: []time.Duration{300 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantMissed: 1},
+		"no request":               {wantOpens: []time.Duration{StalenessBound - maxAnswerReserve}, wantNextOpen: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, wantReported: 1},
+		"due":                      {requestsDue: []time.Duration{300 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
+		"due while a call is open": {requestsDue: []time.Duration{300 * ms, 400 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
+		"never connected":          {requestsDue: []time.Duration{300 * ms, 400 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms, 400 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 2},
+		"rejected":                 {requestsDue: []time.Duration{300 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
 		"pushed: not paced":        {settings: Settings{Pushed: true}, callsFail: true, wantOpens: []time.Duration{0}, wantNextOpen: [2]time.Duration{0, maxRetryInterval}},
-		"shorter bound":            {settings: Settings{StalenessBound: 4 * time.Second}, callsFail: true, wantOpens: []time.Duration{3 * time.Second}, wantNextOpen: [2]time.Duration{5 * time.Second, 6 * time.Second}, wantMissed: 1},
+		"shorter bound":            {settings: Settings{StalenessBound: 4 * time.Second}, callsFail: true, wantOpens: []time.Duration{3 * time.Second}, wantNextOpen: [2]time.Duration{5 * time.Second, 6 * time.Second}, wantReported: 1},
 	}
 }
 
@@ -43,7 +43,7 @@
 	tc.settings.ExternallyPaced, tc.settings.Schedulers = true, 1000
 	timer := New(tc.settings)
 	var opens []time.Duration
-	missed := 0
+	reported := 0
 	var step func(now time.Duration, e Event)
 	step = func(now time.Duration, e Event) {
 		for _, a := range timer.Step(now, e) {
@@ -53,7 +53,7 @@
 					step(now, Event{Kind: CallEnded, Call: a.Call})
 				}
 			case ReportCallFailed:
-				missed++
+				reported++
 			}
 		}
 	}
@@ -70,8 +70,8 @@
 	if !slices.Equal(opens[:len(tc.wantOpens)], tc.wantOpens) || got < tc.wantNextOpen[0] || got > tc.wantNextOpen[1] {
 		t.Errorf("calls at %v, want %v and one between %v and %v", opens, tc.wantOpens, tc.wantNextOpen[0], tc.wantNextOpen[1])
 	}
-	if !tc.callsFail && missed != tc.wantMissed || missed < tc.wantMissed {
-		t.Errorf("%d calls failed, but %d were reported", tc.wantMissed, missed)
+	if !tc.callsFail && reported != tc.wantReported || reported < tc.wantReported {
+		t.Errorf("%d calls failed, but %d were reported", tc.wantReported, reported)
 	}
 }
 
--- a/internal/discovery/watchtimer/fleet_test.go
+++ b/internal/discovery/watchtimer/fleet_test.go
@@ -64,9 +64,9 @@
 			candidates = append(candidates, o.from)
 		}
 	}
-	for _, m := range candidates {
-		if m > 0 && at >= m && at < m+StalenessBound {
-			return m, true
+	for _, silentFrom := range candidates {
+		if silentFrom > 0 && at >= silentFrom && at < silentFrom+StalenessBound {
+			return silentFrom, true
 		}
 	}
 	return 0, false
@@ -304,10 +304,10 @@
 }
 
 // receivedAt returns when the scheduler receives a change that is made at d.
-func (s *scheduler) receivedAt(d time.Duration) time.Duration {
+func (s *scheduler) receivedAt(changedAt time.Duration) time.Duration {
 	for _, interval := range s.received {
-		if interval.to > d {
-			return max(interval.from, d)
+		if interval.to > changedAt {
+			return max(interval.from, changedAt)
 		}
 	}
 	return never
--- a/internal/discovery/watchtimer/fleetscenarios_test.go
+++ b/internal/discovery/watchtimer/fleetscenarios_test.go
@@ -58,7 +58,7 @@
 }
 
 // The answer of a slow agent is received even if MaxOpenCalls newer calls are made before it arrives.
-func TestLateAgentIsReceived(t *testing.T) {
+func TestSlowAgentAnswerIsReceived(t *testing.T) {
 	for _, latency := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, 2900 * time.Millisecond} {
 		fleet := &fleet{serviceFaults: serviceFaults{latency: latency, outages: []outage{{0, 8 * time.Second, silences}}}}
 		fleet.run(1, Settings{Pushed: true, DrainGrace: 250 * time.Millisecond}, 30*time.Second)
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-const testMax = 2
+const testBound = 2
 
 // model is the sequential specification of the queue. A positive input is a Put, a negative one a PutUnbounded, and 0 a
 // Take.
@@ -30,9 +30,9 @@
 		case in < 0: // PutUnbounded
 			return true, append(slices.Clip(queued), in)
 		case output.(bool):
-			return len(queued) < testMax, append(slices.Clip(queued), in)
+			return len(queued) < testBound, append(slices.Clip(queued), in)
 		}
-		return len(queued) >= testMax, queued
+		return len(queued) >= testBound, queued
 	},
 	Equal: func(a, b any) bool { return slices.Equal(a.([]int), b.([]int)) },
 }
@@ -40,12 +40,12 @@
 // Two threads put messages and a third takes them. In every interleaving the calls are linearizable and the bound holds.
 func TestInterleaveQueue(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.Program {
-		b := New[int](testMax)
+		q := New[int](testBound)
 		var h history.History
 		want, got := 0, 0
 		put := func(client, n int) func() {
 			return func() {
-				if h.Do(client, n, func() any { return b.Put(n) }).(bool) {
+				if h.Do(client, n, func() any { return q.Put(n) }).(bool) {
 					want++
 				}
 			}
@@ -56,18 +56,18 @@
 				{Name: "other", Run: put(2, 3)},
 				{Name: "taker", Run: func() {
 					for range 2 {
-						got += len(h.Do(3, 0, func() any { return b.Take(nil) }).([]int))
+						got += len(h.Do(3, 0, func() any { return q.Take(nil) }).([]int))
 					}
 				}},
 			},
 			Invariant: func() error {
-				if len(b.messages) > testMax {
-					return fmt.Errorf("%d messages are queued, the bound is %d", len(b.messages), testMax)
+				if len(q.messages) > testBound {
+					return fmt.Errorf("%d messages are queued, the bound is %d", len(q.messages), testBound)
 				}
 				return nil
 			},
 			Check: func() error {
-				if got += len(b.Take(nil)); got != want {
+				if got += len(q.Take(nil)); got != want {
 					return fmt.Errorf("%d messages were put, but %d taken", want, got)
 				}
 				return h.Check(model)
@@ -85,16 +85,16 @@
 // No message is left in the queue if the taker waits only on Wake, as an actor does.
 func TestInterleaveWake(t *testing.T) {
 	il.Check(t, il.Options{}, func() il.Program {
-		b := New[int](testMax)
+		q := New[int](testBound)
 		var got []int
 		return il.Program{
 			Threads: []il.Thread{
-				{Name: "one", Run: func() { b.PutUnbounded(1); b.PutUnbounded(2) }},
-				{Name: "other", Run: func() { b.PutUnbounded(3) }},
+				{Name: "one", Run: func() { q.PutUnbounded(1); q.PutUnbounded(2) }},
+				{Name: "other", Run: func() { q.PutUnbounded(3) }},
 				{Name: "taker", Run: func() {
 					for len(got) < 3 {
-						sync.Recv(b.Wake())
-						got = append(got, b.Take(nil)...)
+						sync.Recv(q.Wake())
+						got = append(got, q.Take(nil)...)
 					}
 				}},
 			},
@@ -102,7 +102,7 @@
 				if slices.Index(got, 1) > slices.Index(got, 2) || len(got) > 3 {
 					return fmt.Errorf("took %v", got)
 				}
-				if b.Len() != 0 {
+				if q.Len() != 0 {
 					return errors.New("messages are left in the queue")
 				}
 				return nil
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -16,31 +16,31 @@
 func TestQueueAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxMessages := rapid.IntRange(1, 40).Draw(t, "maxMessages")
-		b := New[int](maxMessages)
+		q := New[int](maxMessages)
 		var model, buf []int
 		next := 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0, 1:
 				next++
-				if ok := b.Put(next); ok != (len(model) < maxMessages) {
+				if ok := q.Put(next); ok != (len(model) < maxMessages) {
 					t.Fatalf("Put returned %v with %d of %d messages queued", ok, len(model), maxMessages)
 				} else if ok {
 					model = append(model, next)
 				}
 			case 2:
 				next++
-				b.PutUnbounded(next)
+				q.PutUnbounded(next)
 				model = append(model, next)
 			default:
 				select {
-				case <-b.Wake():
+				case <-q.Wake():
 				default:
 					if len(model) > 0 {
 						t.Fatal("messages are queued, but Wake is not ready")
 					}
 				}
-				buf = b.Take(buf)
+				buf = q.Take(buf)
 				if len(buf) != len(model) {
 					t.Fatalf("took %v, want %v", buf, model)
 				}
@@ -50,12 +50,12 @@
 					}
 				}
 				model = nil
-				if cap(b.messages) > maxIdleCapacity {
-					t.Fatalf("an empty queue has capacity for %d messages", cap(b.messages))
+				if cap(q.messages) > maxIdleCapacity {
+					t.Fatalf("an empty queue has capacity for %d messages", cap(q.messages))
 				}
 			}
-			if b.Len() != len(model) {
-				t.Fatalf("Len is %d, want %d", b.Len(), len(model))
+			if q.Len() != len(model) {
+				t.Fatalf("Len is %d, want %d", q.Len(), len(model))
 			}
 		}
 	})
@@ -64,22 +64,22 @@
 // Many goroutines put messages concurrently. The taker waits only on Wake and receives every message.
 func TestConcurrentPutsAreAllTaken(*testing.T) {
 	const putters, each = 8, 2000
-	b := New[int](1 << 20)
+	q := New[int](1 << 20)
 	var wg sync.WaitGroup
 	for range putters {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := range each {
-				b.Put(i)
+				q.Put(i)
 			}
 		}()
 	}
 	got := 0
 	var buf []int
 	for got < putters*each {
-		<-b.Wake()
-		buf = b.Take(buf)
+		<-q.Wake()
+		buf = q.Take(buf)
 		got += len(buf)
 	}
 	wg.Wait()
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -143,9 +143,9 @@
 				s.publishChanges(now)
 			}
 		}
-		me := newState(t, Defaults(), "me", 1)
+		receiver := newState(t, Defaults(), "me", 1)
 		for _, m := range allMessages(t, s, now) {
-			if err := me.Merge(now, m); err != nil {
+			if err := receiver.Merge(now, m); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -27,7 +27,7 @@
 	r.Shuffle(len(repeated), func(i, j int) { repeated[i], repeated[j] = repeated[j], repeated[i] })
 	shuffled := newState(t, smallSettings(), "me", 1)
 	merge(shuffled, now, repeated...)
-	tree := newState(t, smallSettings(), "me", 1)
+	relayed := newState(t, smallSettings(), "me", 1)
 	for half := range 2 {
 		relay := newState(t, smallSettings(), "me", 1)
 		for i, m := range repeated {
@@ -35,20 +35,20 @@
 				merge(relay, now, m)
 			}
 		}
-		merge(tree, now, allMessages(t, relay, now)...)
+		merge(relayed, now, allMessages(t, relay, now)...)
 	}
-	for _, s := range []*State{ordered, shuffled, tree} {
+	for _, s := range []*State{ordered, shuffled, relayed} {
 		if err := s.Check(); err != nil {
 			return fmt.Errorf("invariant: %w", err)
 		}
 	}
-	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(tree); a != b || a != c {
+	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(relayed); a != b || a != c {
 		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%srelayed:\n%s", a, b, c)
 	}
 	return nil
 }
 
-func TestMergeIsIndependentOfOrderTreeAndRepetition(t *testing.T) {
+func TestMergeIsIndependentOfOrderRelaysAndRepetition(t *testing.T) {
 	property := func(seed uint64) error { return mergeInAnyOrder(t, seed) }
 	checkSeeds(t, 20, property)
 	checkRandomSeeds(t, property)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -47,8 +47,8 @@
 		t.Errorf("%+v", record)
 	}
 	var invalid []string
-	for _, b := range r.InvalidLines {
-		invalid = append(invalid, b.Error())
+	for _, line := range r.InvalidLines {
+		invalid = append(invalid, line.Error())
 	}
 	for i, want := range []string{"line 4: neither", "line 5: time", "line 6: method", "line 7: class"} {
 		if i >= len(invalid) || !strings.HasPrefix(invalid[i], want) {
