--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -13,6 +13,7 @@
 ["REGISTRY","i0","disk",1,0]
 `
 
+// serveInput serves the input and returns the replies and the warnings.
 func serveInput(t *testing.T, input string) (out, warnings string, err error) {
 	t.Helper()
 	var o, w bytes.Buffer
@@ -21,6 +22,8 @@
 	return o.String(), w.String(), err
 }
 
+// A batch of lines is answered when it is complete. A line for an instance that is not running is dropped with a warning, a line
+// with an unknown word is ignored, a malformed line ends the server with an error, and invalid settings are answered as BROKEN.
 func TestServe(t *testing.T) {
 	call := `["CALL","i0","t/a","read","basic","91f0",2900,"2b8e",2,0,1,1]` + "\n"
 	out, _, err := serveInput(t, `["ROUND",1000]`+"\n"+startLines+call+`["OVER_TO_YOU"]`+"\n")
--- a/internal/admin/endpoint_test.go
+++ b/internal/admin/endpoint_test.go
@@ -56,12 +56,12 @@
 	_, _ = io.WriteString(nc, text) // the connection of a rejected request may be closed before the write completes
 	r, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		t.Fatalf("%.60q: %v", text, err)
+		t.Fatalf("no valid response to %.60q: %v", text, err)
 	}
 	defer func() { _ = r.Body.Close() }()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.Fatalf("%.60q: %v", text, err)
+		t.Fatalf("incomplete body of the response to %.60q: %v", text, err)
 	}
 	return response{r.StatusCode, r.Header, string(body)}
 }
@@ -92,22 +92,23 @@
 	return endpoint, &ready, changes
 }
 
+// Each path accepts its method only, a rejection has a reason, a code and advice, and the telemetry has the core's counters.
 func TestPathsAndMethods(t *testing.T) {
 	endpoint, ready, changes := newTestEndpoint()
 	address := serve(t, endpoint)
 	if code, _ := call(t, address, "GET", "/api/ready"); code != 503 {
-		t.Fatalf("ready before the process serves: %d", code)
+		t.Fatalf("/api/ready before the process serves: status %d, want 503", code)
 	}
 	ready.Store(true)
 	if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
-		t.Fatalf("ready: %d", code)
+		t.Fatalf("/api/ready once the process serves: status %d, want 200", code)
 	}
 	code, body := call(t, address, "GET", "/api/telemetry")
 	if code != 200 || gjson.Get(body, "passed.balance-read").Int() != 812 || gjson.Get(body, "upstream_tries").Int() != 820 ||
 		gjson.Get(body, "in_progress").Int() != 14 || gjson.Get(body, "known_storage_nodes").Int() != 8 ||
 		gjson.Get(body, "skipped_storage_nodes").Int() != 1 || gjson.Get(body, "load_errors").Int() != 1 ||
 		gjson.Get(body, "dropped.balance-read").Int() != 3 || gjson.Get(body, "bad_gateway.balance-read").Int() != 1 {
-		t.Fatalf("telemetry: %d %s", code, body)
+		t.Fatalf("/api/telemetry does not have the core's counters: status %d, body %s", code, body)
 	}
 	for _, c := range []struct {
 		method, path string
@@ -127,11 +128,11 @@
 		code, body := call(t, address, c.method, c.path)
 		lines := strings.Split(strings.TrimSpace(body), "\n")
 		if code != c.code || code != 200 && (lines[0] == "" || len(lines) != 3 || !strings.HasPrefix(lines[1], "code: ") || !strings.HasPrefix(lines[2], "advice: ")) {
-			t.Errorf("%s %s: %d %q, want %d with a reason, a code and advice", c.method, c.path, code, body, c.code)
+			t.Errorf("%s %s: status %d, body %q, want %d, and unless 200 a reason, a code and advice", c.method, c.path, code, body, c.code)
 		}
 	}
 	if strings.Join(*changes, ",") != "exclude s-1,include s-1" {
-		t.Fatalf("done: %v", *changes)
+		t.Fatalf("accepted changes: %v, want the exclusion and the inclusion of s-1", *changes)
 	}
 }
 
@@ -156,7 +157,7 @@
 	}
 	for range 5 {
 		if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
-			t.Fatalf("ready with slow clients: %d", code)
+			t.Fatalf("/api/ready with slow clients: status %d, want 200", code)
 		}
 	}
 }
@@ -191,7 +192,7 @@
 	open := len(limited.open)
 	limited.mu.Unlock()
 	if open != 4 {
-		t.Fatalf("%d open, the limit is 4", open)
+		t.Fatalf("%d connections are open, the limit is 4", open)
 	}
 	for i, nc := range dialed {
 		wait := 5 * time.Second // the FIN of a closed connection has arrived already
--- a/internal/admin/estimate_test.go
+++ b/internal/admin/estimate_test.go
@@ -20,7 +20,7 @@
 	endpoint, ready, _ := newTestEndpoint()
 	ready.Store(true)
 	if code, _ := post(t, serve(t, endpoint), "{}"); code != 404 {
-		t.Errorf("not configured: %d", code)
+		t.Errorf("estimate that is not configured: status %d, want 404", code)
 	}
 	endpoint, ready, _ = newTestEndpoint()
 	ready.Store(true)
@@ -43,21 +43,21 @@
 	}()
 	<-entered
 	if code, text := post(t, address, "x"); code != 503 || text == "" {
-		t.Errorf("while another is in progress: %d %q", code, text)
+		t.Errorf("second estimate while the first is in progress: status %d, body %q, want 503 with a reason", code, text)
 	}
 	if code, _ := call(t, address, "GET", "/api/ready"); code != 200 {
-		t.Errorf("ready during an estimate: %d", code)
+		t.Errorf("/api/ready during an estimate: status %d, want 200", code)
 	}
 	close(release)
 	if code := <-done; code != 200 {
-		t.Errorf("first estimate: %d", code)
+		t.Errorf("first estimate: status %d, want 200", code)
 	}
 	for body, want := range map[string]int{"x": 200, strings.Repeat("x", 5000): 200, strings.Repeat("x", 5001): 400, "bad": 400} {
 		if code, text := post(t, address, body); code != want || text == "" || body == "bad" && !strings.Contains(text, "plans.0: no root") {
-			t.Errorf("body %.9s of %d bytes: %d %q, want %d", body, len(body), code, text, want)
+			t.Errorf("body %.9s of %d bytes: status %d, response %q, want %d", body, len(body), code, text, want)
 		}
 	}
 	if code, _ := call(t, address, "GET", "/api/estimate"); code != 405 {
-		t.Errorf("GET: %d", code)
+		t.Errorf("GET /api/estimate: status %d, want 405", code)
 	}
 }
--- a/internal/admin/zerocopy_test.go
+++ b/internal/admin/zerocopy_test.go
@@ -20,7 +20,7 @@
 	go func() { ended <- endpoint.Serve(ln) }()
 	for path, want := range map[string]string{"/api/ready": "ready\n", "/api/telemetry": string(EncodeTelemetry(core.CounterSnapshot{}))} {
 		if code, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+path); err != nil || code != 200 || string(body) != want {
-			t.Errorf("%s: %d %q %v", path, code, body, err)
+			t.Errorf("%s: status %d, body %q, error %v", path, code, body, err)
 		}
 	}
 	if err := endpoint.Close(); err != nil || <-ended != nil {
--- a/internal/gossip/cluster_interleave_test.go
+++ b/internal/gossip/cluster_interleave_test.go
@@ -54,6 +54,7 @@
 
 const units, millis = 1, 2
 
+// observeOne records one outcome of the node s.
 func (c *Cluster) observeOne() {
 	c.Observe(nodestats.Key{Node: "s", StartTime: 1, Class: "read"}, units, millis, nodestats.Served)
 }
@@ -74,6 +75,7 @@
 	return n, nil
 }
 
+// viewedOutcomes returns the number of outcomes of a node in the process's views, whose sums must be consistent.
 func (c *Cluster) viewedOutcomes(node string) int {
 	n, err := countOutcomes(c.Views(), node)
 	if err != nil {
@@ -199,7 +201,7 @@
 			},
 			Check: func() error {
 				if c := p.Counts(); c.Outcomes+c.DroppedOutcomes != 3 {
-					return fmt.Errorf("%d of 3 outcomes, %d dropped", c.Outcomes, c.DroppedOutcomes)
+					return fmt.Errorf("%d outcomes recorded and %d dropped, want 3 in all", c.Outcomes, c.DroppedOutcomes)
 				}
 				return nil
 			},
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -162,7 +162,7 @@
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("timeout after a minute: " + what)
+			t.Fatal("timed out after a minute, waiting for: " + what)
 		}
 	}
 }
@@ -172,11 +172,13 @@
 	await(t, "no goroutine is left", func() bool { return goleak.Find() == nil })
 }
 
+// digest returns the digest of a process's state.
 func digest(p *Cluster) (d []byte) {
 	p.WithState(func(now time.Duration, s *nodestats.State) { d = s.Digest(now) })
 	return d
 }
 
+// sameStates reports whether all processes have the same state.
 func sameStates(peers ...*Cluster) bool {
 	d := digest(peers[0])
 	for _, p := range peers[1:] {
@@ -189,6 +191,7 @@
 	return true
 }
 
+// observe lets each process record a number of random outcomes and its list version.
 func (f *testFleet) observe(r *rand.Rand, each int) {
 	for i, p := range f.peers {
 		for range each {
@@ -221,7 +224,7 @@
 	}
 	fleet.network.setPartitioned(false)
 	await(t, "equal states after rejoining", func() bool { return sameStates(fleet.peers...) })
-	merged, err := nodestats.New(nodestats.Defaults(), "auditor", 1)
+	merged, err := nodestats.New(nodestats.Defaults(), "merged", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +245,7 @@
 		t.Error("the state differs from one merge of everything")
 	}
 	if n := len(merged.ListVersions(0)); n != 6 {
-		t.Errorf("%d processes reported their list version", n)
+		t.Errorf("%d processes reported their list version, want 6", n)
 	}
 	network := fleet.network
 	network.mu.Lock()
@@ -257,7 +260,7 @@
 func TestRestartUnderTheSameNameReplacesItsState(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	fleet.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Failed)
-	await(t, "the outcome at all processes", func() bool { return totalWeight(fleet.peers[0]) > 0.5 && sameStates(fleet.peers...) })
+	await(t, "the outcome of the killed process at all processes", func() bool { return totalWeight(fleet.peers[0]) > 0.5 && sameStates(fleet.peers...) })
 	address := fleet.peers[2].Address()
 	fleet.peers[2].Kill()
 	_, port, err := splitAddress(address)
@@ -266,7 +269,7 @@
 	}
 	fleet.peers[2] = fleet.start(2, 2, fleet.transport(port))
 	fleet.peers[2].Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Rejected)
-	await(t, "equal states", func() bool {
+	await(t, "equal states with only the outcome after the restart", func() bool {
 		v := fleet.peers[0].Views()
 		return sameStates(fleet.peers...) && len(v) == 1 && v[0].Rejected > 0.5 && v[0].Failed == 0
 	})
@@ -323,10 +326,10 @@
 		}
 	})
 	if n := p.Counts(); n.DroppedOutcomes != 10 || n.Outcomes != bufferSize {
-		t.Errorf("%d dropped, %d recorded", n.DroppedOutcomes, n.Outcomes)
+		t.Errorf("%d outcomes dropped, %d recorded, want 10 dropped and a full buffer", n.DroppedOutcomes, n.Outcomes)
 	}
 	if n := testing.AllocsPerRun(1000, func() { p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served) }); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per call of Observe, want none", n)
 	}
 }
 
@@ -364,7 +367,7 @@
 	for i := 0; b.Loop(); i++ {
 		if i%(bufferSize/4) == 0 {
 			b.StopTimer()
-			p.Views() // drains
+			p.Views() // empties the buffer
 			b.StartTimer()
 		}
 		p.Observe(nodestats.Key{Node: "n", StartTime: 1, Class: "c"}, 1, 1, nodestats.Served)
--- a/internal/gossip/listen_test.go
+++ b/internal/gossip/listen_test.go
@@ -16,7 +16,7 @@
 		_, err := Start(options)
 		var listenError *ListenError
 		if !errors.As(err, &listenError) {
-			t.Errorf("%s: %v", options.Listen, err)
+			t.Errorf("listening on %s without an address to advertise: error %v, want a ListenError", options.Listen, err)
 		}
 	}
 	options.Listen, options.Advertise = "0.0.0.0:0", "127.0.0.1:9"
--- a/internal/gossip/recorded_test.go
+++ b/internal/gossip/recorded_test.go
@@ -104,7 +104,7 @@
 	}
 	if !a.RequestSnapshot(context.Background(), LearnedSnapshot, func(text []byte) error {
 		if string(text) != "snapshot of b, kind 1" {
-			t.Errorf("snapshot %q", text)
+			t.Errorf("received snapshot %q, want that of b", text)
 		}
 		return nil
 	}) {
@@ -154,7 +154,7 @@
 	record := flag.Lookup("record").Value.String() == "true"
 	for _, kind := range recordedKinds {
 		if len(l.sent[kind]) == 0 {
-			t.Errorf("no %s was sent", kind)
+			t.Errorf("no message of kind %s was sent", kind)
 		}
 		if record {
 			writeMessages(t, kind, l.sent[kind])
@@ -167,7 +167,7 @@
 		}
 		for i, m := range l.sent[kind] {
 			if !bytes.Equal(m, want[i]) {
-				t.Errorf("%s %d: sent\n%x\nrecorded\n%x", kind, i, m, want[i])
+				t.Errorf("kind %s, message %d: sent\n%x\nrecorded\n%x", kind, i, m, want[i])
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 	}
 	n := c.Counts()
 	if n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows > 0 || n.State.Messages != int64(len(readMessages(t, "cells"))) {
-		t.Errorf("cells: %+v", n)
+		t.Errorf("the recorded messages with cells were not all accepted: %+v", n)
 	}
 	if !sameStates(l.clusters["a"], c) {
 		t.Error("the recorded cells do not result in the state of their senders")
@@ -196,7 +196,7 @@
 			c.handle(m)
 			c.tasks.Wait()
 			if got := len(l.sent[answers]); answers != "" && got != 1 {
-				t.Errorf("%s %d: %d messages of kind %s", kind, i, got, answers)
+				t.Errorf("recorded %s %d: got %d replies of kind %s, want 1", kind, i, got, answers)
 			}
 		}
 	}
@@ -204,14 +204,15 @@
 		answer := c.snapshots.expect(numberOf(m))
 		(*delegate)(c).NotifyMsg(m)
 		if got := string(<-answer); got != "snapshot of b, kind 1" {
-			t.Errorf("snapshot %q", got)
+			t.Errorf("snapshot %q in the recorded reply, want that of b", got)
 		}
 	}
 	if n := c.Counts(); n.State.Unreadable+n.State.LaterVersion+n.QueueOverflows+n.SnapshotsInvalid > 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("recorded messages were counted as invalid: %+v", n)
 	}
 }
 
+// numberOf returns the number of the request that a snapshot reply answers.
 func numberOf(reply []byte) (number uint64) {
 	for _, b := range reply[1:9] {
 		number = number<<8 | uint64(b)
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -43,11 +43,11 @@
 			})
 		})
 		if accepted != 1 {
-			t.Fatalf("accepted %d times", accepted)
+			t.Fatalf("the snapshot was accepted %d times, want once", accepted)
 		}
 	}
 	if cluster.Counts().SnapshotsReceived == 0 || fleet.peers[4].Counts().SnapshotsSent+fleet.peers[5].Counts().SnapshotsSent == 0 {
-		t.Errorf("%+v", cluster.Counts())
+		t.Errorf("no received or no sent snapshot was counted: %+v", cluster.Counts())
 	}
 	quick, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
@@ -80,7 +80,7 @@
 	}
 	await(t, "the excess requests got an empty reply", func() bool { return fleet.peers[0].Counts().SnapshotsInvalid >= 8*maxSnapshotSends })
 	if n := len(made); n > maxSnapshotSends {
-		t.Errorf("%d snapshots created concurrently", n)
+		t.Errorf("%d snapshots created concurrently, more than maxSnapshotSends", n)
 	}
 	close(release)
 }
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -40,14 +40,14 @@
 	for _, line := range []string{`wheatsaddle_merges_total{rule="a\"b\\",end="cut"} 3`, "wheatsaddle_peers 7", "wheatsaddle_wait_seconds_count 1",
 		"wheatsaddle_meter_left_out 3"} {
 		if !strings.Contains(text, line+"\n") {
-			t.Errorf("status %d, no %s in %.600s", code, line, text)
+			t.Errorf("status %d, the metrics do not have the line %s: %.600s", code, line, text)
 		}
 	}
 	if n := strings.Count(text, "wheatsaddle_many_total{"); code != 200 || n != maxSeries-3 {
-		t.Errorf("status %d, %d series", code, n)
+		t.Errorf("status %d, %d series of many_total, want those within maxSeries", code, n)
 	}
 	if code, _ := get(t, ln.Addr().String(), "/"); code != 404 {
-		t.Errorf("another path: %d", code)
+		t.Errorf("another path: status %d, want 404", code)
 	}
 	m.Close()
 	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
@@ -55,7 +55,7 @@
 		t.Error("still listening after Close")
 	}
 	if len(hook.AllEntries()) != 0 {
-		t.Errorf("%v", hook.LastEntry())
+		t.Errorf("unexpected log entry: %v", hook.LastEntry())
 	}
 }
 
--- a/internal/metrics/zerocopy_test.go
+++ b/internal/metrics/zerocopy_test.go
@@ -26,7 +26,7 @@
 	}
 	_, body, err := fasthttp.Get(nil, "http://"+ln.Addr().String()+"/metrics")
 	if n := strings.Count(string(body), "wheatsaddle_some{"); err != nil || n != series {
-		t.Errorf("%d of %d series, %v", n, series, err)
+		t.Errorf("the response has %d of %d series, error %v", n, series, err)
 	}
 	if n := ln.Count(); n > 0 {
 		t.Errorf("%d calls of splice or sendfile", n)
--- a/internal/nodestats/decay_test.go
+++ b/internal/nodestats/decay_test.go
@@ -116,7 +116,7 @@
 	})
 	v := rejecting.Views(33 * time.Second)[0]
 	if p := v.Rejected / (v.Rejected + v.Sums.N); p < 0.4 || rejecting.Counts().Resets != 1 {
-		t.Errorf("%.2f rejected, %d resets", p, rejecting.Counts().Resets)
+		t.Errorf("%.2f rejected, %d resets, want about half rejected and one reset", p, rejecting.Counts().Resets)
 	}
 	oneSlow := run(3*time.Second, func(now time.Duration) (float64, Outcome) {
 		if now == 0 {
--- a/internal/nodestats/digest_test.go
+++ b/internal/nodestats/digest_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// The reply to a digest contains the cells that the digest's sender lacks and no others, in messages of limited size.
 func TestDiffContainsOnlyMissingCells(t *testing.T) {
 	set := smallSettings()
 	p, q := newState(t, set, "p", 1), newState(t, set, "q", 1)
@@ -33,6 +34,7 @@
 	}
 }
 
+// A message with the largest possible cell fits into the smallest message size that settings may have.
 func TestLargestCellFitsIntoTheSmallestMessage(t *testing.T) {
 	huge := decayedCounts{sums: Sums{1e30, 1e30, 1e30, 1e30, 1e30, 1e30}}
 	largest := classStats{startTime: math.MinInt64, long: huge, short: huge}
@@ -60,11 +62,11 @@
 		window := 12 + 4*math.Cos(float64(i)*math.Pi/200)
 		published += newCells(Health{Window: window, Queue: 0.2})
 		if v := q.Views(0)[0]; math.Abs(v.Window-window) > max(v.Window, window)/8 {
-			t.Fatalf("window %v, published %v", window, v.Window)
+			t.Fatalf("window %v, but the published one is %v, more than an eighth off", window, v.Window)
 		}
 	}
 	if published < 8 || published > 20 {
-		t.Errorf("published %d times of 400", published)
+		t.Errorf("%d of 400 changes were published, want 8 to 20", published)
 	}
 	if newCells(Health{}) != 1 || newCells(Health{Window: 0.3}) != 1 || newCells(Health{Window: 0.3, Type: "ssd"}) != 1 {
 		t.Error("a change of the window to zero, from zero, or of the type was not published")
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// The merged state does not depend on the order of messages, on relays, or on repeated messages.
 func TestMergeIsIndependentOfOrderRelaysAndRepetition(t *testing.T) {
 	property := func(seed uint64) error { return mergeInAnyOrder(t, seed) }
 	checkSeeds(t, 20, property)
@@ -100,6 +101,7 @@
 	return nil
 }
 
+// Merged in any order, the newer of two cells counts.
 func TestOutdatedCellsNeverReplaceNewerOnes(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error { return mergeOutdated(t) })
 	mutant.AssertDetected(t,
@@ -135,6 +137,7 @@
 		Want: "0 rejections of the later incarnation"})
 }
 
+// A message of a later version of the format is an error of its own, is counted, and does not change the state.
 func TestLaterVersionIsCountedAndDropped(t *testing.T) {
 	s := newState(t, smallSettings(), "me", 1)
 	m := encodeMessage("p", 1, wireCell{cellID{}, 1, 0, []byte{2}})
@@ -143,7 +146,7 @@
 	err := s.Merge(0, sealMessage(m))
 	var later *VersionError
 	if !errors.As(err, &later) || s.Counts().LaterVersion != 1 || remoteText(s) != "" {
-		t.Errorf("%v, %+v", err, s.Counts())
+		t.Errorf("message of a later version: error %v, counts %+v", err, s.Counts())
 	}
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
@@ -180,7 +183,7 @@
 			before, views = remoteText(s), fmt.Sprint(s.Views(now))
 			for _, v := range s.Views(now) {
 				if !finite(v.Sums.N) || !finite(v.Sums.XX) || !finite(v.Sums.XY) || !finite(v.Window) {
-					t.Fatalf("%+v", v)
+					t.Fatalf("view with a value that is not finite: %+v", v)
 				}
 			}
 		}
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// The error of an invalid setting has the key under which the site's file sets it.
 func TestSettingErrorNamesTheKey(t *testing.T) {
 	for key, invalidate := range map[string]func(*Settings){
 		"origins":   func(s *Settings) { s.MaxOrigins = 0 },
@@ -20,7 +21,7 @@
 		invalidate(&set)
 		var invalid *SettingError
 		if _, err := New(set, "p", 1); !errors.As(err, &invalid) || invalid.Key != key {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid %s: error %v", key, err)
 		}
 	}
 	if _, err := New(Defaults(), "", 1); err == nil {
@@ -35,7 +36,7 @@
 		now += time.Second
 		r.Record(now, 3, 7, Served)
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per call of Record, want none", n)
 	}
 }
 
--- a/internal/nodestats/views_test.go
+++ b/internal/nodestats/views_test.go
@@ -64,6 +64,7 @@
 	return allMessages(t, faulty, end)
 }
 
+// A faulty process among correct ones distorts views only within the bounds of clipping.
 func TestOneOriginCannotDistortAView(t *testing.T) {
 	property := func(seed uint64) error { return mergeFaultyOrigin(t, seed) }
 	checkSeeds(t, 20, property)
@@ -109,13 +110,13 @@
 	merge(q, time.Minute, allMessages(t, relay, set.HalfLife)...)
 	v := q.Views(time.Minute)[0]
 	if want := math.Exp2(-2.0 / longHalfLives); math.Abs(v.Sums.N-want) > 1e-6 || math.Abs(v.Sums.XY-16*want) > 1e-4 || v.Age != 2*set.HalfLife-set.HalfLife {
-		t.Errorf("%+v, age %v", v.Sums, v.Age)
+		t.Errorf("two half-lives after the outcome, the sums or the age are wrong: %+v, age %v", v.Sums, v.Age)
 	}
 	if n := len(q.Views(time.Minute + set.ExpireAfter)); n != 0 {
-		t.Errorf("%d views after the expiry", n)
+		t.Errorf("%d views after ExpireAfter without an update, want none", n)
 	}
 	if got, ok := Quantile(v.Sketch, 0.5); !ok || math.Abs(got-8) > 8*accuracy {
-		t.Errorf("median %v", got)
+		t.Errorf("median service time %v, want 8 within the sketch's accuracy", got)
 	}
 }
 
@@ -138,13 +139,13 @@
 		t.Error(got)
 	}
 	if got := s.ListSpread(time.Second, []string{"me", "p0", "p1", "p2", "p9"}); got != (ListSpread{5, 7, 3, 2}) {
-		t.Errorf("%+v", got)
+		t.Errorf("list versions of all processes: %+v", got)
 	}
 	s.SetListVersion(time.Second, 6)
 	if got := s.ListSpread(time.Second, []string{"p1", "p2"}); got != (ListSpread{6, 7, 3, 2}) {
-		t.Errorf("without p0: %+v", got)
+		t.Errorf("list versions after p0 has left: %+v", got)
 	}
 	if got := s.ListSpread(time.Second+set.ExpireAfter, []string{"p0", "p1", "p2"}); got != (ListSpread{6, 6, 1, 0}) {
-		t.Errorf("expired: %+v", got)
+		t.Errorf("list versions after those of the others have expired: %+v", got)
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,13 +7,14 @@
 	"wheatsaddle/policy"
 )
 
+// Valid lines are decoded into events and nodes, unknown words of a line into UnknownLine, and invalid lines are errors.
 func TestDecode(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"a":1}`: "not a JSON array", `[]`: "empty", `[1]`: "no name", `["CALL","i"]`: "CALL",
 		`["COMPLETED","i","r",0,"n","odd",1,true]`: "odd", `["REGISTRY","i","odd",1,0]`: "odd",
 	} {
 		if _, err := Decode([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v", text, err)
+			t.Errorf("invalid line %s: error %v", text, err)
 		}
 	}
 	if line, err := Decode([]byte(`["NEWS","i",5]`)); err != nil || line.Kind != UnknownLine {
@@ -36,6 +37,7 @@
 	}
 }
 
+// Each kind of action is encoded as its line.
 func TestEncode(t *testing.T) {
 	for want, a := range map[string]policy.Action{
 		`["PASS_ON","i","r","n",8492.250]`:  {Kind: policy.Send, ID: "r", Node: "n", Deadline: 8492.25},
@@ -54,6 +56,7 @@
 	}
 }
 
+// The error of an invalid line names the line's word, and the value or key that is invalid.
 func TestDecodeErrorsNameTheValue(t *testing.T) {
 	for text, want := range map[string]string{
 		`["UP","i",1,{"ceilings":{"max-attempts":"3"}}]`: "UP: json: cannot unmarshal string into Go struct field .ceilings.max-attempts of type int",
