--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -10,6 +10,7 @@
 	"wheatsaddle/policy"
 )
 
+// A list is decoded with its nodes. An invalid list is an error that names its key.
 func TestDecode(t *testing.T) {
 	list, err := Decode([]byte(listText(43, true, sampleEntry)))
 	node := list.Nodes[0]
@@ -23,16 +24,17 @@
 		list, err = Decode([]byte(listText(44, true, invalid, sampleEntry)))
 		if err != nil || len(list.Nodes) != 1 || len(list.InvalidEntries) != 1 || !strings.Contains(list.InvalidEntries[0].Error(), wantText) ||
 			!strings.Contains(list.InvalidEntries[0].Error(), "endpoints.0") {
-			t.Errorf("%s: %+v %v", invalid, list, err)
+			t.Errorf("list with the invalid entry %s: %+v, error %v", invalid, list, err)
 		}
 	}
 	for invalid, wantText := range map[string]string{`{`: "JSON", `{"endpoints":[]}`: "index", `{"index":1}`: "endpoints", `[]`: "index"} {
 		if _, err := Decode([]byte(invalid)); err == nil || !strings.Contains(err.Error(), wantText) {
-			t.Errorf("%s: %v", invalid, err)
+			t.Errorf("invalid list %s: error %v", invalid, err)
 		}
 	}
 }
 
+// A truncated list is an error. One with changed bytes is an error or has only valid nodes.
 func TestDecodeCorruptList(t *testing.T) {
 	complete := listText(43, true, sampleEntry, sampleEntry)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// release closes the files and restores the limit.
 func (d *descriptorExhaustion) release(t *testing.T) {
 	if d.files == nil {
 		return
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -28,6 +28,7 @@
 
 const sampleEntry = `{"name":"s-1","address":"127.0.0.1:8443","zone":"a","type":"m2","group":3,"status":"leaving","weight":2.0,"since_ms":1700000000000}`
 
+// listText returns a list with the given version and entries.
 func listText(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
@@ -183,6 +184,7 @@
 	c.Close()
 }
 
+// chunk returns a text as one chunk of a chunked response.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // entryText returns an entry of a list.
@@ -201,6 +203,7 @@
 	return strings.Join(states, " ")
 }
 
+// indented returns a JSON text with line breaks and indentation.
 func indented(text string) string {
 	var b bytes.Buffer
 	if err := json.Indent(&b, []byte(text), "", "  "); err != nil {
--- a/internal/discovery/nodes_test.go
+++ b/internal/discovery/nodes_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 		if update.Kind != policy.ListChanged || removed != tc.removed || len(w.nodes) != 3-len(removed) {
-			t.Errorf("invalid entry %s: update %+v, nodes %v", tc.invalid, update, w.nodes)
+			t.Errorf("invalid entry %s: wrong nodes are removed: update %+v, nodes %v", tc.invalid, update, w.nodes)
 		}
 	}
 }
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		if len(requests) > 0 {
-			t.Fatalf("fault %d: the service was called before the pacer was due", i)
+			t.Fatalf("fault number %d: the service was called before the pacer was due", i)
 		}
 		pacer.due <- struct{}{}
 		if fault.Down {
--- a/internal/discovery/truncated_test.go
+++ b/internal/discovery/truncated_test.go
@@ -96,7 +96,7 @@
 		_ = call.Close()
 	}
 	if err := receiveWithin(t, "the end", ended); err == nil {
-		t.Fatalf("no error after %q", text)
+		t.Fatalf("the call ended without an error after %q", text)
 	}
 	return versions
 }
@@ -106,15 +106,15 @@
 func TestTruncatedLineIsRequestedAgain(t *testing.T) {
 	one, two, three := listText(1, true, entryText("a", "active", 0)), listText(2, false, entryText("a", "leaving", 0)), listText(3, false, entryText("b", "active", 0))
 	for name, truncate := range map[string]func(*scriptedCall){
-		"half a line, the end":                            func(call *scriptedCall) { call.write(chunk(two[:40])); call.Close() },
-		"half a line, a reset":                            func(call *scriptedCall) { call.write(chunk(two[:40])); call.reset() },
-		"half a chunk, the end":                           func(call *scriptedCall) { call.write(chunk(two)[:40]); call.Close() },
-		"half a line, another list":                       func(call *scriptedCall) { call.write(chunk(two[:40] + "\n" + three + "\n")) },
-		"half an indented list, another list":             func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + three + "\n")) },
-		"half an indented list, a heartbeat":              func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n")); call.lines("") },
-		"half an indented list, a reset":                  func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.reset() },
-		"half an indented list, the end":                  func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.Close() },
-		"half an indented list, a complete indented list": func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + indented(three) + "\n")) },
+		"half a line, then the end":                  func(call *scriptedCall) { call.write(chunk(two[:40])); call.Close() },
+		"half a line, then a reset":                  func(call *scriptedCall) { call.write(chunk(two[:40])); call.reset() },
+		"half a chunk, then the end":                 func(call *scriptedCall) { call.write(chunk(two)[:40]); call.Close() },
+		"half a line, then another list":             func(call *scriptedCall) { call.write(chunk(two[:40] + "\n" + three + "\n")) },
+		"half an indented list, then another list":   func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + three + "\n")) },
+		"half an indented list, then a heartbeat":    func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n")); call.lines("") },
+		"half an indented list, then a reset":        func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.reset() },
+		"half an indented list, then the end":        func(call *scriptedCall) { call.write(chunk(indented(two)[:60])); call.Close() },
+		"half an indented list, then a complete one": func(call *scriptedCall) { call.write(chunk(indented(two)[:60] + "\n" + indented(three) + "\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			service := newScriptedService(t)
--- a/internal/discovery/watch_interleave_test.go
+++ b/internal/discovery/watch_interleave_test.go
@@ -32,8 +32,8 @@
 	oldCallsEnd        bool // calls to the old address end after their texts
 	wake               chan time.Time
 	now                time.Duration
-	nextTimer          time.Duration
-	openCalls          int // number of calls that have not returned
+	nextTimer          time.Duration // when the watcher's timer is to fire
+	openCalls          int           // number of calls that have not returned
 	stopped            bool
 	ended              bool // Run has returned
 	received           []int
@@ -42,6 +42,7 @@
 	newAddressAnswered bool              // a call to the new address received a message
 }
 
+// versionText returns the line of a list of version n, whose only node is s-n.
 func versionText(n int, full bool) string {
 	return listText(n, full, strings.Replace(sampleEntry, "s-1", fmt.Sprint("s-", n), 1)) + "\n"
 }
@@ -56,6 +57,7 @@
 	return w
 }
 
+// onUpdate checks that updates arrive in the order of their versions, and none after the stop.
 func (w *interleavedWatcher) onUpdate(update core.ListUpdate) {
 	if w.ended {
 		il.Fail("update after the watcher ended")
@@ -78,7 +80,8 @@
 	}
 }
 
-// call replaces only the network. The lines are still read by the watcher's readLines.
+// call replaces only the network. The lines are still read by the watcher's readLines. Lists that are read after the stop get
+// the zone "late", by which onUpdate detects them.
 func (w *interleavedWatcher) call(ctx context.Context, address string, _ int64, put func(callMessage)) error {
 	w.openCalls++
 	defer func() { w.openCalls-- }()
@@ -94,6 +97,7 @@
 	})
 }
 
+// scriptedStream is the response to one call.
 type scriptedStream struct {
 	*interleavedWatcher
 	ctx       context.Context
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -75,7 +75,7 @@
 	}
 	running.stop()
 	if watcher.Version != 42 || len(watcher.calls) != 1 || len(updates) != 0 {
-		t.Errorf("version %d, %d calls open, %d more updates", watcher.Version, len(watcher.calls), len(updates))
+		t.Errorf("version %d, %d calls open, %d more updates, want version 42, 1 call and no update", watcher.Version, len(watcher.calls), len(updates))
 	}
 	if watcher.SetAddress(ctx, oldService.Addr()) {
 		t.Error("a stopped watcher accepted an address change")
@@ -169,12 +169,12 @@
 // before them.
 func TestSilentWatchAndReplacements(t *testing.T) {
 	for name, answer := range map[string]func(*scriptedCall){
-		"silent":      func(*scriptedCall) {},
-		"only a head": func(call *scriptedCall) { call.respond() },
-		"truncated":   func(call *scriptedCall) { call.respond(`{"index":`, "") },
-		"malformed":   func(call *scriptedCall) { call.respond("malformed") },
-		"reset":       func(call *scriptedCall) { call.reset() },
-		"end":         func(call *scriptedCall) { call.Close() },
+		"silent":        func(*scriptedCall) {},
+		"only a header": func(call *scriptedCall) { call.respond() },
+		"truncated":     func(call *scriptedCall) { call.respond(`{"index":`, "") },
+		"malformed":     func(call *scriptedCall) { call.respond("malformed") },
+		"reset":         func(call *scriptedCall) { call.reset() },
+		"end":           func(call *scriptedCall) { call.Close() },
 		"rejected": func(call *scriptedCall) {
 			call.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		},
--- a/internal/discovery/watchtimer/agentscenarios_test.go
+++ b/internal/discovery/watchtimer/agentscenarios_test.go
@@ -33,6 +33,7 @@
 	latency         time.Duration
 }
 
+// step is the resolution of the simulated time.
 const step = 5 * time.Millisecond
 
 // notificationDeadline returns when a drain that began at drainAt must be received, without the grace period.
@@ -215,7 +216,7 @@
 		scenarios[name] = scenario
 	}
 	add("silence", func(scenario *agentScenario) { scenario.silentFrom = 2100 * time.Millisecond })
-	add("two watches reset", func(scenario *agentScenario) { scenario.resetAt = 2 * time.Second })
+	add("watches reset", func(scenario *agentScenario) { scenario.resetAt = 2 * time.Second })
 	add("start", func(*agentScenario) {})
 	add("start while down", func(scenario *agentScenario) { scenario.down, scenario.up = 0, 8*time.Second })
 	for _, answered := range []bool{false, true} {
@@ -223,8 +224,8 @@
 			scenario.down, scenario.up, scenario.answersPending = 3*time.Second, 11*time.Second, answered
 		})
 	}
-	add("SIGHUP", func(scenario *agentScenario) { scenario.addressChangeAt = 4 * time.Second })
-	add("SIGHUP in an outage", func(scenario *agentScenario) {
+	add("address change", func(scenario *agentScenario) { scenario.addressChangeAt = 4 * time.Second })
+	add("address change in an outage", func(scenario *agentScenario) {
 		scenario.addressChangeAt, scenario.down, scenario.up = 4*time.Second, 3*time.Second, 9*time.Second
 	})
 	return scenarios
@@ -245,7 +246,7 @@
 					t.Errorf("%s, %d schedulers, grace %v: a drain at %v is received %v too late", name, schedulers, grace, at, late)
 				}
 				if result.maxOpen > MaxOpenCalls {
-					t.Errorf("%s: %d calls open", name, result.maxOpen)
+					t.Errorf("%s: %d calls open, more than MaxOpenCalls", name, result.maxOpen)
 				}
 				for seed := range uint64(8) {
 					baseline := scenario.run(&exponentialBackoff{schedulers: schedulers, factor: 1, rng: rand.New(rand.NewPCG(seed, 1))}, length)
@@ -256,9 +257,9 @@
 			}
 		}
 	}
-	for _, want := range []string{"silence 350", "outage, pending calls answered: false 350", "start while down 350", "two watches reset 350"} {
+	for _, want := range []string{"silence 350", "outage, pending calls answered: false 350", "start while down 350", "watches reset 350"} {
 		if !baselineLate[want] {
-			t.Errorf("%s: exponential backoff was not late either, so the scenario shows nothing", want)
+			t.Errorf("%s: drains are in time with exponentialBackoff too, so the scenario does not test the timer", want)
 		}
 	}
 }
--- a/internal/discovery/watchtimer/externallypaced_test.go
+++ b/internal/discovery/watchtimer/externallypaced_test.go
@@ -20,13 +20,13 @@
 func pacedCases() map[string]pacedCase {
 	const ms = time.Millisecond
 	return map[string]pacedCase{
-		"no request":               {wantOpens: []time.Duration{StalenessBound - maxAnswerReserve}, wantNextOpen: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, wantReported: 1},
-		"due":                      {requestsDue: []time.Duration{300 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
-		"due while a call is open": {requestsDue: []time.Duration{300 * ms, 400 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
-		"never connected":          {requestsDue: []time.Duration{300 * ms, 400 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms, 400 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 2},
-		"rejected":                 {requestsDue: []time.Duration{300 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
+		"no RequestDue":            {wantOpens: []time.Duration{StalenessBound - maxAnswerReserve}, wantNextOpen: [2]time.Duration{2*StalenessBound - 3*maxAnswerReserve, 2*StalenessBound - 2*maxAnswerReserve}, wantReported: 1},
+		"RequestDue":               {requestsDue: []time.Duration{300 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
+		"RequestDue during a call": {requestsDue: []time.Duration{300 * ms, 400 * ms}, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
+		"two calls fail":           {requestsDue: []time.Duration{300 * ms, 400 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms, 400 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 2},
+		"one call fails":           {requestsDue: []time.Duration{300 * ms}, callsFail: true, wantOpens: []time.Duration{300 * ms}, wantNextOpen: [2]time.Duration{StalenessBound - 2*maxAnswerReserve, StalenessBound - maxAnswerReserve}, wantReported: 1},
 		"pushed: not paced":        {settings: Settings{Pushed: true}, callsFail: true, wantOpens: []time.Duration{0}, wantNextOpen: [2]time.Duration{0, maxRetryInterval}},
-		"shorter bound":            {settings: Settings{StalenessBound: 4 * time.Second}, callsFail: true, wantOpens: []time.Duration{3 * time.Second}, wantNextOpen: [2]time.Duration{5 * time.Second, 6 * time.Second}, wantReported: 1},
+		"shorter staleness bound":  {settings: Settings{StalenessBound: 4 * time.Second}, callsFail: true, wantOpens: []time.Duration{3 * time.Second}, wantNextOpen: [2]time.Duration{5 * time.Second, 6 * time.Second}, wantReported: 1},
 	}
 }
 
@@ -71,7 +71,7 @@
 		t.Errorf("calls at %v, want %v and one between %v and %v", opens, tc.wantOpens, tc.wantNextOpen[0], tc.wantNextOpen[1])
 	}
 	if !tc.callsFail && reported != tc.wantReported || reported < tc.wantReported {
-		t.Errorf("%d calls failed, but %d were reported", tc.wantReported, reported)
+		t.Errorf("%d calls must be reported as failed, but %d were", tc.wantReported, reported)
 	}
 }
 
--- a/internal/discovery/watchtimer/fleetscenarios_test.go
+++ b/internal/discovery/watchtimer/fleetscenarios_test.go
@@ -49,7 +49,7 @@
 				}
 				for _, s := range fleet.schedulers {
 					if len(s.calls) > MaxOpenCalls {
-						t.Errorf("%s: %d calls open", name, len(s.calls))
+						t.Errorf("%s: %d calls open, more than MaxOpenCalls", name, len(s.calls))
 					}
 				}
 			}
@@ -88,7 +88,7 @@
 			}
 			mean := float64(steady) / float64(seconds)
 			if mean > 0.65*capacity || float64(worst) > capacity {
-				t.Errorf("%s, %d schedulers: %.0f calls a second, at most %d in one second, capacity %.0f", name, schedulers, mean, worst, capacity)
+				t.Errorf("%s, %d schedulers: too many calls in the outage: %.0f a second, up to %d in one second, capacity %.0f", name, schedulers, mean, worst, capacity)
 			}
 			last := time.Duration(0)
 			for _, s := range fleet.schedulers {
--- a/internal/mailbox/mailbox_interleave_test.go
+++ b/internal/mailbox/mailbox_interleave_test.go
@@ -16,7 +16,7 @@
 	"wheatsaddle/internal/interleave/sync"
 )
 
-const testBound = 2
+const testBound = 2 // of the queue
 
 // model is the sequential specification of the queue. A positive input is a Put, a negative one a PutUnbounded, and 0 a
 // Take.
@@ -53,7 +53,7 @@
 		return il.Program{
 			Threads: []il.Thread{
 				{Name: "putter", Run: func() { put(1, 1)(); put(1, 2)() }},
-				{Name: "other", Run: put(2, 3)},
+				{Name: "other-putter", Run: put(2, 3)},
 				{Name: "taker", Run: func() {
 					for range 2 {
 						got += len(h.Do(3, 0, func() any { return q.Take(nil) }).([]int))
@@ -89,8 +89,8 @@
 		var got []int
 		return il.Program{
 			Threads: []il.Thread{
-				{Name: "one", Run: func() { q.PutUnbounded(1); q.PutUnbounded(2) }},
-				{Name: "other", Run: func() { q.PutUnbounded(3) }},
+				{Name: "putter", Run: func() { q.PutUnbounded(1); q.PutUnbounded(2) }},
+				{Name: "other-putter", Run: func() { q.PutUnbounded(3) }},
 				{Name: "taker", Run: func() {
 					for len(got) < 3 {
 						sync.Recv(q.Wake())
@@ -100,7 +100,7 @@
 			},
 			Check: func() error {
 				if slices.Index(got, 1) > slices.Index(got, 2) || len(got) > 3 {
-					return fmt.Errorf("took %v", got)
+					return fmt.Errorf("took %v, want 1, 2 and 3, with 1 before 2", got)
 				}
 				if q.Len() != 0 {
 					return errors.New("messages are left in the queue")
