--- a/cmd/wheatsaddle/gather_test.go
+++ b/cmd/wheatsaddle/gather_test.go
@@ -110,7 +110,7 @@
 		awaitLog(want...)
 	}
 	if k, result := gatherRows(); k != 20 || result != `{"whole":true}` {
-		t.Errorf("%d rows, result %s, want 20 and a whole read", k, result)
+		t.Errorf("%d rows, result %s, want 20 and a complete read", k, result)
 	}
 	reload(strings.Replace(valid, "balance-read", "other", 1), "reload of section gather failed", "code=config-key", "advice=")
 	reload(fmt.Sprintf(gatherSiteFormat, `,"complete":{"need":"most"}`), "reload of the site's file failed", "code=config-key", "need")
--- a/cmd/wheatsaddle/main_test.go
+++ b/cmd/wheatsaddle/main_test.go
@@ -218,7 +218,7 @@
 		t.Errorf("discovery %q, configuration %+v", discovery, got)
 	}
 	if e := hook.AllEntries(); len(e) != 2 || e[0].Data["keys"] != "limits.sockets" {
-		t.Errorf("log: %+v", e)
+		t.Errorf("log of the reload, which must name limits.sockets as a key that needs a restart: %+v", e)
 	}
 }
 
@@ -323,7 +323,7 @@
 				return
 			}
 		}
-		t.Fatalf("not logged: %s", what)
+		t.Fatalf("the log ended without: %s", what)
 	}
 	awaitLog("msg=serving")
 	for _, to := range [][2]string{{"unix", socketPath}, {"tcp", listen}} {
@@ -342,7 +342,7 @@
 		t.Errorf("no wheatsaddle_info in the metrics: %v %s", err, body)
 	}
 	if info, err := os.Lstat(socketPath); err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("socket file: %v %v", info, err)
+		t.Errorf("socket file %v, error %v, want mode 0640", info, err)
 	}
 	for _, x := range [][2]string{{`{"addresses":{"delay_ms":1}}`, "reload of the site's file failed"}, {`{"addresses":{"delay_ms":50}}`, "delay_ms"},
 		{strings.Replace(valid, "100", "200", 1), "site's file reloaded"}} {
--- a/cmd/wheatsaddle/shutdown_test.go
+++ b/cmd/wheatsaddle/shutdown_test.go
@@ -132,7 +132,7 @@
 	d := newDaemon(t, daemonOptions{node: node.address, deadline: 300})
 	d.startAndWait()
 	putRequest := strings.Replace(readRequest, "GET", "PUT", 1)
-	fresh, idle, head, body, chunks := d.dial(), d.dial(), d.dial(), d.dial(), d.dial()
+	unused, idle, head, body, chunks := d.dial(), d.dial(), d.dial(), d.dial(), d.dial()
 	d.request(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200)
 	for c, text := range map[client]string{
 		head:   readRequest[:len(readRequest)/2],
@@ -145,7 +145,7 @@
 	d.signal(syscall.SIGTERM)
 	d.awaitLog("msg=stopping ", 1)
 	d.signal(syscall.SIGTERM)
-	for name, c := range map[string]client{"unused": fresh, "idle": idle} {
+	for name, c := range map[string]client{"unused": unused, "idle": idle} {
 		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s connection: read %v, want EOF without a response", name, err)
 		}
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -120,11 +120,11 @@
 	t.Helper()
 	conf, err := Parse(text, noEnv)
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: the configuration was rejected: %v", name, err)
 	}
 	var file struct{ Settings platformSettings }
 	if err := json.Unmarshal(text, &file); err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: the settings cannot be read as JSON: %v", name, err)
 	}
 	return deployment{name, text, conf, file.Settings}
 }
@@ -200,10 +200,10 @@
 		case "cell":
 			want.DedupScope = policy.DedupShard
 		default:
-			t.Fatalf("class %s: key-scope %q", c.Name, c.DedupScope)
+			t.Fatalf("class %s: unknown key-scope %q", c.Name, c.DedupScope)
 		}
 	default:
-		t.Fatalf("class %s: repeat %q", c.Name, c.Effect)
+		t.Fatalf("class %s: unknown repeat %q", c.Name, c.Effect)
 	}
 	return want
 }
@@ -261,7 +261,7 @@
 			}
 			after, err := Parse(text, noEnv)
 			if err != nil {
-				t.Fatalf("%s: %s changed: %v", s.name, key, err)
+				t.Fatalf("%s: rejected after the value of %s was changed: %v", s.name, key, err)
 			}
 			after.raw, after.CachedList = nil, before.CachedList
 			if reflect.DeepEqual(*after, before) {
@@ -280,7 +280,7 @@
 		if read[key] {
 			t.Errorf("%s: read, although it is listed as ignored", key)
 		} else if !unread[key] {
-			t.Errorf("%s: no deployment has it", key)
+			t.Errorf("%s: listed as ignored, but no deployment has this key", key)
 		}
 	}
 	if len(read) < 40 {
--- a/internal/config/simulation_test.go
+++ b/internal/config/simulation_test.go
@@ -107,7 +107,7 @@
 	t.Helper()
 	scheduler, err := policy.New(s.conf.Settings, simSeed)
 	if err != nil {
-		t.Fatalf("%s: %v", s.name, err)
+		t.Fatalf("%s: the scheduler rejected the settings: %v", s.name, err)
 	}
 	sim := &simulation{t: t, deployment: s, scheduler: scheduler, now: simStartMs, requests: map[string]*simRequest{}, nodes: map[string]policy.Node{},
 		drainedAt: map[string]float64{}, buckets: map[string]*tokenBucket{},
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -58,7 +58,7 @@
 		`{"listen":{"ftp":[]}}`:                                                         "listen: additional properties 'ftp' not allowed",
 	} {
 		if s, err := ParseSite([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), "site: ") || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %+v, %v; want %q", text, s, err, want)
+			t.Errorf("%s: read as %+v, error %v, want one with %q", text, s, err, want)
 		}
 	}
 }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -110,23 +110,23 @@
 	}
 	fast, slow, queued := answerFor(r, "fast"), answerFor(r, "slow"), answerFor(r, "queued")
 	if fast.Units != 20 || fast.Held != 100 || fast.Cold != 20 || fast.P50 < 100 || len(fast.Work) != 1 || fast.Work[0].Type != "t0" {
-		t.Errorf("fast: %+v", fast)
+		t.Errorf("units, delay by the limit, slow start or quantiles of the plan fast: %+v", fast)
 	}
 	if !(slow.Low < slow.P50 && slow.P50 < slow.P90 && slow.P90 < slow.High && slow.High < slow.P99) || math.Abs(slow.Mean-24) > 4 ||
 		slow.Basis.Level > FromType || slow.Basis.Origins != 3 || slow.Basis.AgeMs != 1000 || slow.Basis.Trust < 0.4 || slow.Chance < 0.9 {
-		t.Errorf("slow: %+v", slow)
+		t.Errorf("quantiles, mean or basis of the plan slow: %+v", slow)
 	}
 	if c := answerFor(r, "rejecting"); c.Served > 0.8 || c.Chance > c.Served {
-		t.Errorf("rejecting: %+v", c)
+		t.Errorf("probability of the plan on a rejecting node: %+v", c)
 	}
 	if queued.Mean < 2.5*slow.Mean { // 8 requests are queued for a window of 4: two more service times
-		t.Errorf("queued: %+v", queued)
+		t.Errorf("mean of the plan on a node with a queue: %+v", queued)
 	}
 	if c := answerFor(r, "anywhere"); len(c.Work) != 3 || c.P50 > queued.P50 {
-		t.Errorf("anywhere: %+v", c)
+		t.Errorf("plan for any node of the shard: %+v", c)
 	}
 	if c := answerFor(r, "without answers"); c.Basis.Level != FromSettings || c.Mean < 15 || c.Basis.Trust != 0 || c.Basis.Answers != 0 {
-		t.Errorf("without answers: %+v", c)
+		t.Errorf("plan of a class without answers: %+v", c)
 	}
 	if text, err := r.JSON(); err != nil || !strings.Contains(string(text), `"level":"settings"`) {
 		t.Errorf("JSON of the ranking: %s, error %v", text, err)
--- a/internal/cost/properties_test.go
+++ b/internal/cost/properties_test.go
@@ -161,7 +161,7 @@
 		}
 	}
 	correct, mutated := property((*credibilityModel).estimate), property(func(p *credibilityModel, c nodeMean) (float64, float64, float64) {
-		mean, credibility, variance := p.estimate(nodeMean{c.typ, 1 / (c.weight + 0.01), c.mean}) // credibilityFactor with w and k swapped
+		mean, credibility, variance := p.estimate(nodeMean{c.typ, 1 / (c.weight + 0.01), c.mean}) // credibilityFactor with inverted evidence
 		return mean, credibility, variance
 	})
 	rapid.Check(t, func(t *rapid.T) {
@@ -174,7 +174,7 @@
 		found = found || rapid.Custom(mutated).Example(seed) != nil
 	}
 	if !found {
-		t.Error("mutant not detected: credibilityFactor with w and k swapped")
+		t.Error("mutant not detected: credibilityFactor with inverted evidence")
 	}
 	// A node without answers has nearly the estimate of its type, or that of the fleet if no node of its type has answers.
 	e := newEstimator(t, append(fleetViews(), viewOfNode("silent", "t2", 0, 0, 0, 1), viewOfNode("new", "t9", 0, 0, 0, 1)))
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -15,7 +15,7 @@
 func TestMarginCoversRecentLags(t *testing.T) {
 	type sample struct{ at, lag time.Duration }
 	rapid.Check(t, func(t *rapid.T) {
-		var g LagGauge
+		var gauge LagGauge
 		var samples []sample
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -23,25 +23,25 @@
 			if rapid.Bool().Draw(t, "record") {
 				lag := time.Duration(rapid.IntRange(0, 200).Draw(t, "lag")) * time.Millisecond
 				samples = append(samples, sample{now, min(lag, MaxLag)})
-				g.Record(now, lag)
+				gauge.Record(now, lag)
 			}
 			timeout := time.Duration(rapid.IntRange(1, 4000).Draw(t, "client timeout")) * time.Millisecond
-			got := g.Margin(now, timeout)
+			got := gauge.Margin(now, timeout)
 			bound := max(MinMargin, timeout/MaxMarginDivisor)
 			if got < MinMargin || got > bound {
 				t.Fatalf("margin %v for the client timeout %v is out of bounds", got, timeout)
 			}
-			least, most := MinMargin, MinMargin // bounds by the lags that must count and by those that may count
+			minWanted, maxWanted := MinMargin, MinMargin // bounds by the lags that must count and by those that may count
 			for _, s := range samples {
 				if now-s.at < Window {
-					least = max(least, LagFactor*s.lag)
+					minWanted = max(minWanted, LagFactor*s.lag)
 				}
 				if now-s.at <= 2*Window {
-					most = max(most, LagFactor*s.lag)
+					maxWanted = max(maxWanted, LagFactor*s.lag)
 				}
 			}
-			if got < min(least, bound) || got > min(most, bound) {
-				t.Fatalf("margin %v, want %v to %v for the client timeout %v", got, least, most, timeout)
+			if got < min(minWanted, bound) || got > min(maxWanted, bound) {
+				t.Fatalf("margin %v, want %v to %v for the client timeout %v", got, minWanted, maxWanted, timeout)
 			}
 		}
 	})
--- a/internal/deadline/recorded_test.go
+++ b/internal/deadline/recorded_test.go
@@ -12,7 +12,7 @@
 func TestRecordedMargins(t *testing.T) {
 	rng := rand.New(rand.NewSource(7))
 	var script recorded.Script
-	var g LagGauge
+	var gauge LagGauge
 	at := time.Duration(0)
 	for range 3000 {
 		at += time.Duration(rng.Intn(900)) * time.Millisecond
@@ -21,11 +21,11 @@
 		}
 		switch rng.Intn(4) {
 		case 0, 1:
-			g.Record(at, time.Duration(rng.Intn(200)-5)*time.Millisecond/time.Duration(1+rng.Intn(20)))
+			gauge.Record(at, time.Duration(rng.Intn(200)-5)*time.Millisecond/time.Duration(1+rng.Intn(20)))
 		case 2:
-			g.Record(at-time.Duration(rng.Intn(100))*time.Millisecond, time.Duration(rng.Intn(30))*time.Millisecond)
+			gauge.Record(at-time.Duration(rng.Intn(100))*time.Millisecond, time.Duration(rng.Intn(30))*time.Millisecond)
 		}
-		script.Add(int64(at), int64(g.Margin(at, time.Duration(1+rng.Intn(1500))*time.Millisecond)), int64(g.Worst()))
+		script.Add(int64(at), int64(gauge.Margin(at, time.Duration(1+rng.Intn(1500))*time.Millisecond)), int64(gauge.Worst()))
 	}
 	script.Check(t, "margins")
 }
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -357,6 +357,7 @@
 	}
 }
 
+// BenchmarkObserve measures one call of Observe, with a buffer that is never full.
 func BenchmarkObserve(b *testing.B) {
 	p, err := Start(Options{Name: "p", Listen: "127.0.0.1:0", Interval: time.Hour, Burst: 8, State: nodestats.Defaults(), Log: discardLog()})
 	if err != nil {
--- a/internal/nodestats/state_test.go
+++ b/internal/nodestats/state_test.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// Record, which is called for each attempt, does not allocate.
 func TestRecordDoesNotAllocate(t *testing.T) {
 	s := newState(t, Defaults(), "me", 1)
 	r, now := s.Recorder(0, Key{"n", 1, "c"}), time.Duration(0)
@@ -40,6 +41,7 @@
 	}
 }
 
+// BenchmarkRecord measures one call of Record, at 20,000 outcomes a second.
 func BenchmarkRecord(b *testing.B) {
 	s := newState(b, Defaults(), "me", 1)
 	r, now := s.Recorder(0, Key{"n", 1, "c"}), time.Duration(0)
