--- a/internal/httpfront/nonidempotent_test.go
+++ b/internal/httpfront/nonidempotent_test.go
@@ -27,11 +27,11 @@
 	runs map[string]int
 }
 
-func (n *runCounter) countRun(id string) int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.runs[id]++
-	return n.runs[id]
+func (node *runCounter) countRun(id string) int {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	node.runs[id]++
+	return node.runs[id]
 }
 
 // connFault describes how a node's first connection breaks.
