--- a/internal/testkit/cluster/observations_test.go
+++ b/internal/testkit/cluster/observations_test.go
@@ -79,13 +79,15 @@
 	w.must(w.SetNodeStatus(0, "active"))
 	w.waitUntil("the node has a window again", func() bool { return node("s0").Window >= 1 })
 
+	version := float64(w.fakeListOf(0).Service.Index()) // of the other lists too
+	w.waitMetric("peers_list_oldest_version", func(_ int, v float64) bool { return v == version })
 	w.must(w.SetListFault(2, ListSilent))
 	w.must(w.SetNodeStatus(1, "leaving"))
 	w.waitMetric("peers_list_processes_behind", func(_ int, v float64) bool { return v == 1 })
 	w.waitMetric("peers_list_processes", func(_ int, v float64) bool { return v == 3 })
 	for i := range w.opt.Daemons {
-		if oldest, newest := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); newest != oldest+1 {
-			t.Errorf("daemon %d reports list versions from %v to %v, expected two successive ones", i, oldest, newest)
+		if oldest, newest := w.metric(i, "peers_list_oldest_version"), w.metric(i, "peers_list_newest_version"); oldest != version || newest != version+1 {
+			t.Errorf("daemon %d reports list versions from %v to %v, expected from %v to the next one", i, oldest, newest, version)
 		}
 	}
 	w.must(w.SetListFault(2, ListHealthy))
