--- a/internal/coldstart/invariants_test.go
+++ b/internal/coldstart/invariants_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		if s.nextListRequest > time.Duration(stalenessBoundShare*float64(s.settings.StalenessBound)) {
-			return fmt.Errorf("the first list request is sent only after %v", s.nextListRequest)
+			return fmt.Errorf("the first list request is sent only after %v, past its share of the staleness bound", s.nextListRequest)
 		}
 		requests[int(s.nextListRequest/time.Second)]++
 	}
@@ -73,7 +73,7 @@
 	case startup.phase < m.phase:
 		return fmt.Errorf("the phase went from %v to %v", m.phase, startup.phase)
 	case len(startup.nodes) > startup.settings.MaxNodes:
-		return fmt.Errorf("the state of %d nodes is stored", len(startup.nodes))
+		return fmt.Errorf("the state of %d nodes is stored, more than MaxNodes", len(startup.nodes))
 	}
 	m.phase = startup.phase
 	return nil
@@ -89,19 +89,19 @@
 		m.timer = a.At
 	case Reject:
 		if a.RetryAfter < settings.MinRetryAfter || a.RetryAfter > settings.MaxRetryAfter {
-			return fmt.Errorf("rejected with Retry-After %v", a.RetryAfter)
+			return fmt.Errorf("rejected with Retry-After %v, which is out of its bounds", a.RetryAfter)
 		}
 	case RequestList:
 		if m.received || m.failedAt >= 0 && m.now < m.failedAt+listRequestInterval/2 {
-			return fmt.Errorf("list requested at %v, failed at %v, received: %v", m.now, m.failedAt, m.received)
+			return fmt.Errorf("list requested at %v, although the last request failed at %v or the list was received (%v)", m.now, m.failedAt, m.received)
 		}
 	case Restore:
 		if start, ok := m.listed[a.Node]; !ok || !slices.Contains(m.snapshot[a.Node], start) {
-			return fmt.Errorf("restored %s, which has restarted", a.Node)
+			return fmt.Errorf("restored %s, which is not listed or which has restarted", a.Node)
 		}
 	case LiftColdLimit:
 		if _, ok := e.(ListReceived); !ok {
-			return fmt.Errorf("limit of %s lifted by %T", a.Node, e)
+			return fmt.Errorf("limit of %s lifted by %T instead of a received list", a.Node, e)
 		}
 	}
 	return nil
@@ -196,7 +196,7 @@
 	err = m.step(first)
 	for range rapid.IntRange(1, 60).Draw(t, "events") {
 		if err == nil {
-			err = m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms)
+			err = m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(t, "wait in ms")) * ms)
 		}
 		if err == nil {
 			err = m.stepRandom(t, ids, nodes)
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "coldstart.go", Sequential: true, Want: "list requests in second",
 			Old: `now + Slot(s.settings.ListRequestSpread(), "list", s.settings.Name)`, New: "now"},
 		mutant.Mutant{File: "nodes.go", Sequential: true, Want: "the shares of a cold node sum to",
@@ -227,11 +227,12 @@
 // randomScripts is the number of random scripts. Some mutants violate an invariant only in few of them.
 const randomScripts = 3000
 
+// The test runs the same random scripts each time, on which it relies to detect the mutants, and further ones outside of mutants.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	violation := rapid.Custom(randomEventsViolation)
 	for seed := range randomScripts {
 		if err := violation.Example(seed); err != nil {
-			t.Fatalf("script %d: %v", seed, err)
+			t.Fatalf("random script %d: %v", seed, err)
 		}
 	}
 	if !mutant.Inside() {
@@ -241,7 +242,7 @@
 			}
 		})
 	}
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "list.go", Sequential: true, Want: "the phase went from",
 			Old: "	s.listRequestPending = false\n	if s.phase >= ListKnown {", New: "	s.listRequestPending = false\n	if false {"},
 		mutant.Mutant{File: "coldstart.go", Sequential: true, Want: "ready reported",
--- a/internal/httpfront/node_interleave_test.go
+++ b/internal/httpfront/node_interleave_test.go
@@ -30,42 +30,43 @@
 	readableFD uintptr // a socket with unread input, which socket checks see from the second one on; 0: none
 	checks     int
 	closed     bool
-	draining   *bool // set once nothing may be written any more
+	draining   *bool // true: a write fails the test
 	in         bytes.Buffer
 }
 
-func (l *instantConn) Write(p []byte) (int, error) {
-	// The check comes before that of closed: a context's AfterFunc closes the connection in a goroutine outside the schedule.
-	if *l.draining {
+func (c *instantConn) Write(p []byte) (int, error) {
+	// draining is checked before closed, because a context's AfterFunc closes the connection in a goroutine that the schedule
+	// does not control.
+	if *c.draining {
 		il.Fail("written to a draining node")
 	}
-	if l.closed {
+	if c.closed {
 		return 0, net.ErrClosed
 	}
-	l.in.WriteString(okResponse)
+	c.in.WriteString(okResponse)
 	return len(p), nil
 }
-func (l *instantConn) Read(p []byte) (int, error)            { return l.in.Read(p) }
-func (l *instantConn) Close() error                          { l.closed = true; return nil }
-func (l *instantConn) SetReadDeadline(time.Time) error       { return nil }
-func (l *instantConn) SyscallConn() (syscall.RawConn, error) { return rawInstantConn{l}, nil }
-func (l *instantConn) Control(f func(fd uintptr)) error {
-	if l.closed {
+func (c *instantConn) Read(p []byte) (int, error)            { return c.in.Read(p) }
+func (c *instantConn) Close() error                          { c.closed = true; return nil }
+func (c *instantConn) SetReadDeadline(time.Time) error       { return nil }
+func (c *instantConn) SyscallConn() (syscall.RawConn, error) { return rawInstantConn{c}, nil }
+func (c *instantConn) Control(f func(fd uintptr)) error {
+	if c.closed {
 		return net.ErrClosed
 	}
-	if l.checks++; l.readableFD != 0 && l.checks > 1 {
-		f(l.readableFD)
+	if c.checks++; c.readableFD != 0 && c.checks > 1 {
+		f(c.readableFD)
 		return nil
 	}
-	f(l.idleFD)
+	f(c.idleFD)
 	return nil
 }
 
 // rawInstantConn implements syscall.RawConn with the Control method of its connection.
 type rawInstantConn struct{ *instantConn }
 
-func (l rawInstantConn) Read(func(uintptr) bool) error  { return nil }
-func (l rawInstantConn) Write(func(uintptr) bool) error { return nil }
+func (r rawInstantConn) Read(func(uintptr) bool) error  { return nil }
+func (r rawInstantConn) Write(func(uintptr) bool) error { return nil }
 
 // idleSocket returns one end of a socket pair that stays open.
 func idleSocket(t *testing.T) uintptr {
@@ -114,15 +115,15 @@
 
 // Four nodes share two connections, which are idle and belong to two of them. One of these closes its own, and the other
 // nodes need a connection. A connection in use is never evicted, and the counts of the nodes and of the dialer agree.
-func TestInterleaveIdle(t *testing.T) {
+func TestInterleaveIdleEviction(t *testing.T) {
 	fd := idleSocket(t)
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		d := &Dialer{MaxConns: 2, ConnIdle: time.Hour}
 		nodes := []*node{newIdleNode(d, fd, "a", 1), newIdleNode(d, fd, "b", 1), newIdleNode(d, fd, "c", 0), newIdleNode(d, fd, "d", 0)}
 		var used []*conn
-		w := il.World{}
+		program := il.Program{}
 		for i, n := range nodes {
-			w.Threads = append(w.Threads, il.Thread{Name: n.name, Run: func() {
+			program.Threads = append(program.Threads, il.Thread{Name: n.name, Run: func() {
 				if i == 1 {
 					for len(n.idle) > 0 {
 						n.closeIdle(n.idle[0])
@@ -135,7 +136,7 @@
 				}
 			}})
 		}
-		w.Always = func() error {
+		program.Invariant = func() error {
 			for _, c := range used {
 				if c.socket != nil && c.socket.(*instantConn).closed {
 					return errors.New("a connection in use was closed for another")
@@ -143,7 +144,7 @@
 			}
 			return nil
 		}
-		w.Check = func() error {
+		program.Check = func() error {
 			for _, n := range nodes {
 				n.processMailbox()
 			}
@@ -152,13 +153,13 @@
 				sum += int64(n.connCount)
 			}
 			if open := d.open.Load(); sum != open || sum > d.MaxConns {
-				return fmt.Errorf("%d connections, %d counted, at most %d are allowed", sum, open, d.MaxConns)
+				return fmt.Errorf("the nodes count %d connections, the dialer %d, at most %d are allowed", sum, open, d.MaxConns)
 			}
 			return nil
 		}
-		return w
+		return program
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "nodeconns.go", Old: "			if n.dialer.idle.remove(c) {\n				return c\n			}\n			continue", New: "			n.dialer.idle.remove(c)\n			return c",
 			Want: "a connection in use was closed for another"},
 		mutant.Mutant{File: "idle.go", Old: "	c := s.list.Remove(first).(*conn)\n	c.idleElement = nil", New: "	c := s.list.Remove(first).(*conn)",
@@ -171,7 +172,7 @@
 // The connection limit is one and in use. Of two callers that reserve a connection, one of them after it released the
 // connection in use, exactly one succeeds.
 func TestInterleaveReserveConn(t *testing.T) {
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		d := &Dialer{MaxConns: 1}
 		d.open.Store(1)
 		n, reserved := &node{dialer: d}, 0
@@ -180,7 +181,7 @@
 				reserved++
 			}
 		}
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{{Name: "one", Run: reserve}, {Name: "other", Run: func() { n.uncountConn(); reserve() }}},
 			Check: func() error {
 				if open := d.open.Load(); reserved != 1 || open != 1 {
@@ -191,7 +192,7 @@
 		}
 	})
 	loop := "	for n := d.open.Load(); n < d.MaxConns; n = d.open.Load() {\n		if d.open.CompareAndSwap(n, n+1) {\n			return true\n		}\n	}\n"
-	mutant.Found(t, mutant.Mutant{File: "idle.go", Old: loop, // an earlier implementation, which this test found to be wrong
+	mutant.AssertDetected(t, mutant.Mutant{File: "idle.go", Old: loop, // New: an earlier implementation, which could refuse both callers
 		New:  "	if d.open.Add(1) <= d.MaxConns {\n		return true\n	}\n	d.open.Add(-1)\n",
 		Want: "0 of two callers reserved the only connection"})
 }
@@ -221,7 +222,7 @@
 
 func (n *node) checkNothingLeft() error {
 	if open := n.dialer.open.Load(); n.waiting.Len() != 0 || len(n.busy) != 0 || open != 0 {
-		return fmt.Errorf("%d waiting attempts, %d busy connections, %d open connections", n.waiting.Len(), len(n.busy), open)
+		return fmt.Errorf("left at the end: %d waiting attempts, %d busy connections, %d open connections", n.waiting.Len(), len(n.busy), open)
 	}
 	return nil
 }
@@ -232,9 +233,9 @@
 func TestInterleaveWaitingQueue(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		n, draining, attempts, results := newSingleConnNode(fd, a.Request, time.Hour, 2)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
@@ -253,7 +254,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "conn.go", Old: "	if c.node.draining.Load() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "		if n.waiting.Remove(m.cancel) {", New: "		if n.waiting.Remove(m.cancel) && n.draining.Load() {", Want: "deadlock"},
 	)
@@ -264,9 +265,9 @@
 func TestInterleaveReuseAfterResult(t *testing.T) {
 	fd := idleSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{}, func() il.World {
+	il.Check(t, il.Options{}, func() il.Program {
 		n, _, attempts, results := newSingleConnNode(fd, a.Request, 0, 2)
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: n.runWithoutTimers},
 				{Name: "core", Run: func() {
@@ -282,7 +283,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t, mutant.Mutant{File: "conn.go",
+	mutant.AssertDetected(t, mutant.Mutant{File: "conn.go",
 		Old:  "	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})\n	j.attempt.Done(r)",
 		New:  "	j.attempt.Done(r)\n	c.node.mailbox.PutUnbounded(nodeMessage{returned: c, broken: !reuse})",
 		Want: "attempt 1: "})
@@ -294,7 +295,7 @@
 func TestInterleaveResend(t *testing.T) {
 	fd, readableFD := idleSocket(t), readableSocket(t)
 	a, _ := attempt(t, inOneMinute())
-	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.World {
+	il.Check(t, il.Options{Bounded: true, Preemptions: 1}, func() il.Program {
 		n, draining, attempts, results := newSingleConnNode(fd, a.Request, 0, 1)
 		n.dialer.MaxConns = 2
 		never := true
@@ -304,7 +305,7 @@
 		n.dialer.idle.put(c)
 		n.dialer.open.Add(1)
 		*draining = false
-		return il.World{
+		return il.Program{
 			Threads: []il.Thread{
 				{Name: "actor", Run: func() { sync.Go(c.run); n.runWithoutTimers() }},
 				{Name: "core", Run: func() {
@@ -319,7 +320,7 @@
 			Check: n.checkNothingLeft,
 		}
 	})
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "conn.go", Old: "	if c.isUnusable() {", New: "	if false {", Want: "written to a draining node"},
 		mutant.Mutant{File: "node.go", Old: "	case cancelled:\n		sync.Go(func() { a.Done(core.Result{Status: policy.Cancelled}) })\n",
 			New: "	case cancelled:\n", Want: "deadlock"},
--- a/internal/nodestats/merge_test.go
+++ b/internal/nodestats/merge_test.go
@@ -27,7 +27,7 @@
 	r.Shuffle(len(repeated), func(i, j int) { repeated[i], repeated[j] = repeated[j], repeated[i] })
 	shuffled := newState(t, smallSettings(), "me", 1)
 	merge(shuffled, now, repeated...)
-	tree := newState(t, smallSettings(), "me", 1)
+	relayed := newState(t, smallSettings(), "me", 1)
 	for half := range 2 {
 		relay := newState(t, smallSettings(), "me", 1)
 		for i, m := range repeated {
@@ -35,24 +35,25 @@
 				merge(relay, now, m)
 			}
 		}
-		merge(tree, now, allMessages(t, relay, now)...)
+		merge(relayed, now, allMessages(t, relay, now)...)
 	}
-	for _, s := range []*State{ordered, shuffled, tree} {
+	for _, s := range []*State{ordered, shuffled, relayed} {
 		if err := s.Check(); err != nil {
 			return fmt.Errorf("invariant: %w", err)
 		}
 	}
-	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(tree); a != b || a != c {
+	if a, b, c := remoteText(ordered), remoteText(shuffled), remoteText(relayed); a != b || a != c {
 		return fmt.Errorf("the states differ; in order:\n%sshuffled:\n%srelayed:\n%s", a, b, c)
 	}
 	return nil
 }
 
-func TestMergeIsIndependentOfOrderTreeAndRepetition(t *testing.T) {
+// The merged state does not depend on the order of messages, on relays, or on repeated messages.
+func TestMergeIsIndependentOfOrderRelaysAndRepetition(t *testing.T) {
 	property := func(seed uint64) error { return mergeInAnyOrder(t, seed) }
 	checkSeeds(t, 20, property)
 	checkRandomSeeds(t, property)
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "the states differ"},
 		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "the states differ"},
 		mutant.Mutant{File: "cells.go", Old: "	if excess <= 0 {", New: "	if true {", Want: "invariant: origin "},
@@ -100,9 +101,10 @@
 	return nil
 }
 
+// Merged in any order, the newer of two cells counts.
 func TestOutdatedCellsNeverReplaceNewerOnes(t *testing.T) {
 	checkSeeds(t, 1, func(uint64) error { return mergeOutdated(t) })
-	mutant.Found(t,
+	mutant.AssertDetected(t,
 		mutant.Mutant{File: "merge.go", Old: "case incarnation < o.incarnation:", New: "case false:", Want: "earlier incarnation: 20 requests"},
 		mutant.Mutant{File: "merge.go", Old: "stored != nil && received.seq < stored.seq:", New: "false:", Want: "earlier sequence: 20 requests"},
 		mutant.Mutant{File: "merge.go", Old: "case stored == nil && received.seq <= o.expiredSeq,", New: "case false,", Want: "expired successor: 20 requests"},
@@ -131,10 +133,11 @@
 		}
 		return nil
 	})
-	mutant.Found(t, mutant.Mutant{File: "merge.go", Old: "case incarnation >= maxSequence:", New: "case true:",
+	mutant.AssertDetected(t, mutant.Mutant{File: "merge.go", Old: "case incarnation >= maxSequence:", New: "case true:",
 		Want: "0 rejections of the later incarnation"})
 }
 
+// A message of a later version of the format is an error of its own, is counted, and does not change the state.
 func TestLaterVersionIsCountedAndDropped(t *testing.T) {
 	s := newState(t, smallSettings(), "me", 1)
 	m := encodeMessage("p", 1, wireCell{cellID{}, 1, 0, []byte{2}})
@@ -143,7 +146,7 @@
 	err := s.Merge(0, sealMessage(m))
 	var later *VersionError
 	if !errors.As(err, &later) || s.Counts().LaterVersion != 1 || remoteText(s) != "" {
-		t.Errorf("%v, %+v", err, s.Counts())
+		t.Errorf("message of a later version: error %v, counts %+v", err, s.Counts())
 	}
 	if err := operr.Check(operr.All()); err != nil {
 		t.Error(err)
@@ -180,7 +183,7 @@
 			before, views = remoteText(s), fmt.Sprint(s.Views(now))
 			for _, v := range s.Views(now) {
 				if !finite(v.Sums.N) || !finite(v.Sums.XX) || !finite(v.Sums.XY) || !finite(v.Window) {
-					t.Fatalf("%+v", v)
+					t.Fatalf("view with a value that is not finite: %+v", v)
 				}
 			}
 		}
--- a/internal/testkit/experiment/gathers/faults.go
+++ b/internal/testkit/experiment/gathers/faults.go
@@ -8,90 +8,91 @@
 	"wheatsaddle/internal/testkit/fake/node"
 )
 
-// change is what happens to the parties at one moment of a run.
-type change struct {
+// faultRound is the set of faults that apply from a time until the next round. It replaces those of the round before.
+type faultRound struct {
 	at    time.Duration
-	nodes map[int]node.RowFault // of the nodes that are not named: none
-	links map[[2]int]link.Fault // from process to node; of those not named: none
-	kill  int                   // a process that is killed, and started again at once; -1: none
+	nodes map[int]node.RowFault // by node; other nodes have no fault
+	links map[[2]int]link.Fault // by process and node; other links have no fault
+	kill  int                   // process that is killed and restarted at once; -1: none
 }
 
 const (
-	roundEvery = 500 * time.Millisecond
-	linksAtOne = 4    // links with a fault at one time
-	shardHit   = 0.25 // chance that one node of a shard has a fault for a round
-	killAt     = 0.4  // of the run
-	lateMost   = 300 * time.Millisecond
-	stopMost   = 400 * time.Millisecond
+	roundInterval       = 500 * time.Millisecond
+	faultyLinksPerRound = 4                      // draws of a faulty link in each round; two may hit the same link
+	shardFaultChance    = 0.25                   // probability that one node of a shard has a fault in a round
+	killAtShare         = 0.4                    // share of the run after which a process is killed
+	maxDelay            = 300 * time.Millisecond // of a node's response; half of it on a link
+	maxPause            = 400 * time.Millisecond // of a node between rows
 )
 
-// schedule draws the faults of a run. The same seed gives the same, whatever is played under them.
-func schedule(seed uint64, w World, span time.Duration) (all []change) {
+// drawFaultRounds draws the faults of a run. They depend only on the seed, the setup and the duration, not on
+// the mode or on timing.
+func drawFaultRounds(seed uint64, setup Setup, duration time.Duration) (all []faultRound) {
 	rng := rand.New(rand.NewPCG(seed, 25))
-	some := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
+	randomDuration := func(most time.Duration) time.Duration { return most/4 + time.Duration(rng.Int64N(int64(most*3/4))) }
 	killed := false
-	for at := time.Duration(0); at < span; at += roundEvery {
-		c := change{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
-		for s := range w.Shards {
-			if rng.Float64() >= shardHit {
+	for at := time.Duration(0); at < duration; at += roundInterval {
+		c := faultRound{at: at, nodes: map[int]node.RowFault{}, links: map[[2]int]link.Fault{}, kill: -1}
+		for s := range setup.Shards {
+			if rng.Float64() >= shardFaultChance {
 				continue
 			}
-			f := node.RowFault{AfterRows: rng.IntN(w.Rows.RowsPerShard)}
+			f := node.RowFault{AfterRows: rng.IntN(setup.Rows.RowsPerShard)}
 			switch rng.IntN(4) {
 			case 0:
-				f.Delay = some(lateMost)
+				f.Delay = randomDuration(maxDelay)
 			case 1:
-				f.Pause = some(stopMost)
+				f.Pause = randomDuration(maxPause)
 			case 2:
 				f.CloseConn = true
 			case 3:
 				f.Stall = true
 			}
-			c.nodes[s*w.Copies+rng.IntN(w.Copies)] = f
+			c.nodes[s*setup.Replicas+rng.IntN(setup.Replicas)] = f
 		}
-		for range linksAtOne {
-			to := [2]int{rng.IntN(w.Processes), rng.IntN(w.Shards * w.Copies)}
+		for range faultyLinksPerRound {
+			to := [2]int{rng.IntN(setup.Processes), rng.IntN(setup.Shards * setup.Replicas)}
 			switch rng.IntN(3) {
 			case 0:
 				c.links[to] = link.Fault{Silent: true}
 			case 1:
 				c.links[to] = link.Fault{ResetAfter: 1 + rng.IntN(40<<10)}
 			case 2:
-				c.links[to] = link.Fault{Delay: some(lateMost) / 2}
+				c.links[to] = link.Fault{Delay: randomDuration(maxDelay) / 2}
 			}
 		}
-		if !killed && at >= time.Duration(killAt*float64(span)) {
-			killed, c.kill = true, rng.IntN(w.Processes)
+		if !killed && at >= time.Duration(killAtShare*float64(duration)) {
+			killed, c.kill = true, rng.IntN(setup.Processes)
 		}
 		all = append(all, c)
 	}
 	return all
 }
 
-// happened are faults that were met.
-type happened struct {
+// faultCounts counts the faults that took effect. Late, Stopped, Cut and Stalled are faults of nodes.
+type faultCounts struct {
 	Late     int `json:"late"`
 	Stopped  int `json:"stopped"`
 	Cut      int `json:"cut"`
-	Never    int `json:"never"`
+	Stalled  int `json:"never"`
 	Silenced int `json:"links_silenced"`
 	Reset    int `json:"links_reset"`
 	Delayed  int `json:"links_delayed"`
 	Killed   int `json:"killed"`
 }
 
-func (h *happened) add(o happened) {
-	h.Late, h.Stopped, h.Cut, h.Never = h.Late+o.Late, h.Stopped+o.Stopped, h.Cut+o.Cut, h.Never+o.Never
-	h.Silenced, h.Reset, h.Delayed, h.Killed = h.Silenced+o.Silenced, h.Reset+o.Reset, h.Delayed+o.Delayed, h.Killed+o.Killed
+func (f *faultCounts) add(o faultCounts) {
+	f.Late, f.Stopped, f.Cut, f.Stalled = f.Late+o.Late, f.Stopped+o.Stopped, f.Cut+o.Cut, f.Stalled+o.Stalled
+	f.Silenced, f.Reset, f.Delayed, f.Killed = f.Silenced+o.Silenced, f.Reset+o.Reset, f.Delayed+o.Delayed, f.Killed+o.Killed
 }
 
-// absent names those that did not happen: what is measured under them says nothing.
-func (h *happened) absent() (names []string) {
+// missing names the kinds of faults that did not occur: the measurements say nothing about them.
+func (f *faultCounts) missing() (names []string) {
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"late nodes", h.Late}, {"stops", h.Stopped}, {"cuts", h.Cut}, {"nodes silent for good", h.Never}, {"silent links", h.Silenced},
-		{"reset links", h.Reset}, {"slow links", h.Delayed}, {"killed processes", h.Killed}} {
+	}{{"late nodes", f.Late}, {"stops", f.Stopped}, {"cuts", f.Cut}, {"nodes silent for good", f.Stalled}, {"silent links", f.Silenced},
+		{"reset links", f.Reset}, {"slow links", f.Delayed}, {"killed processes", f.Killed}} {
 		if x.n == 0 {
 			names = append(names, x.name)
 		}
--- a/internal/testkit/experiment/gathers/site.go
+++ b/internal/testkit/experiment/gathers/site.go
@@ -1,22 +1,22 @@
 package gathers
 
-// peer is a process as the others name it.
+// peer is an entry of the list of peers.
 type peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// site is the section gather of a site's file.
-func site(m Mode, w World, peers []peer) map[string]any {
+// gatherSettings returns the section "gather" of the site file.
+func gatherSettings(m Mode, setup Setup, peers []peer) map[string]any {
 	classes := map[string]any{}
-	for _, class := range []string{listing, top, page} {
-		classes[class] = rules(class)
+	for _, class := range []string{classListing, classTop, classPage} {
+		classes[class] = mergeRules(class)
 	}
-	s := map[string]any{"rules": map[string]any{"classes": classes}, "share": share, "again": m.Again, "silent_ms": m.Silent.Milliseconds(),
-		"parts_most": w.Shards, "reads_at_once": readsAtOnce}
+	s := map[string]any{"rules": map[string]any{"classes": classes}, "share": mergeTimeShare, "again": m.Retries, "silent_ms": m.SilenceTimeout.Milliseconds(),
+		"parts_most": setup.Shards, "reads_at_once": maxConcurrentReads}
 	if len(peers) > 0 {
 		s["peers"] = peers
-		s["tree"] = map[string]any{"least_parts": leastParts, "fan_out": fanOut, "silent_ms": m.Silent.Milliseconds()}
+		s["tree"] = map[string]any{"least_parts": minDelegatedParts, "fan_out": fanOut, "silent_ms": m.SilenceTimeout.Milliseconds()}
 	}
 	return s
 }
--- a/internal/testkit/workload/arrival_test.go
+++ b/internal/testkit/workload/schedule_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-func all(t interface{ Fatal(...any) }, s Shape, seed uint64, span time.Duration) ([]Request, uint64) {
-	a, err := New(s, seed, span)
+func generate(t interface{ Fatal(...any) }, s Shape, seed uint64, length time.Duration) ([]Request, uint64) {
+	a, err := New(s, seed, length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,28 +29,28 @@
 	}
 }
 
-// The same seed gives the same schedule, another one another.
-func TestSeed(t *testing.T) {
-	one, h1 := all(t, Default(), 7, 30*time.Second)
-	two, h2 := all(t, Default(), 7, 30*time.Second)
-	_, h3 := all(t, Default(), 8, 30*time.Second)
+// The same seed gives the same schedule, a different seed a different one.
+func TestSeedDeterminesSchedule(t *testing.T) {
+	one, h1 := generate(t, Default(), 7, 30*time.Second)
+	two, h2 := generate(t, Default(), 7, 30*time.Second)
+	_, h3 := generate(t, Default(), 8, 30*time.Second)
 	if h1 != h2 || len(one) != len(two) || h1 == h3 {
-		t.Errorf("%x %x %x", h1, h2, h3)
+		t.Errorf("hashes: seed 7: %x and %x, seed 8: %x", h1, h2, h3)
 	}
 }
 
-// The usual traffic is what the operators say of it.
-func TestUsualTraffic(t *testing.T) {
+// The default shape has the shares, rates and sizes that the operators specified.
+func TestDefaultShape(t *testing.T) {
 	s := Default()
-	span := 20 * time.Minute
-	out, _ := all(t, s, 3, span)
+	length := 20 * time.Minute
+	out, _ := generate(t, s, 3, length)
 	classes, hosts, units := map[int]int{}, map[[2]int]int{}, 0.0
 	surge, newObjects, readsOfNew, reads := 0, 0, 0, 0
-	made := map[uint64]Request{}
-	longest, inRow := map[int]int{}, map[int]uint64{}
+	writes := map[uint64]Request{}
+	runLengths, lastExtents := map[int]int{}, map[int]uint64{}
 	for i, r := range out {
 		if i > 0 && r.At < out[i-1].At || r.Seq != uint64(i) {
-			t.Fatalf("%d: %+v", i, r)
+			t.Fatalf("request %d is out of order: %+v", i, r)
 		}
 		classes[r.Class]++
 		hosts[[2]int{r.Volume, r.Host}]++
@@ -65,50 +65,50 @@
 		switch {
 		case write && r.Shard < 0:
 			newObjects++
-			made[r.Seq+1] = r
-		case r.Of != 0:
+			writes[r.Seq+1] = r
+		case r.CreatedBy != 0:
 			readsOfNew++
-			m, ok := made[r.Of]
+			m, ok := writes[r.CreatedBy]
 			if !ok || write || m.Extent != r.Extent || m.Volume != r.Volume || r.At-m.At < 300*time.Millisecond || r.At-m.At > 8*time.Second {
-				t.Fatalf("%+v reads %+v", r, m)
+				t.Fatalf("read %+v does not match write %+v", r, m)
 			}
 		default:
 			if r.Shard < 0 || r.Shard >= s.Shards {
-				t.Fatalf("%+v", r)
+				t.Fatalf("shard is out of range: %+v", r)
 			}
-			if inRow[r.Volume] == r.Extent {
-				longest[r.Volume]++
+			if lastExtents[r.Volume] == r.Extent {
+				runLengths[r.Volume]++
 			} else {
-				longest[r.Volume] = 1
+				runLengths[r.Volume] = 1
 			}
-			inRow[r.Volume] = r.Extent
-			if longest[r.Volume] > 2*s.Runs { // two runs may draw one piece of data
-				t.Fatalf("%d in a row", longest[r.Volume])
+			lastExtents[r.Volume] = r.Extent
+			if runLengths[r.Volume] > 2*s.Runs { // two successive runs may draw the same extent
+				t.Fatalf("%d successive requests for one extent", runLengths[r.Volume])
 			}
 		}
 	}
 	n := float64(len(out))
 	for i, c := range s.Classes {
 		if share := float64(classes[i]) / n; math.Abs(share-c.Share) > 0.01 {
-			t.Errorf("%s: %v", c.Name, share)
+			t.Errorf("share of class %s: %v", c.Name, share)
 		}
 	}
-	mean := n / span.Seconds() / s.Rate // surges: about 10.85 s of every 30.85
+	mean := n / length.Seconds() / s.Rate // surges take about 10.85 s of every 30.85 s
 	if mean < 1.3 || mean > 1.55 {
-		t.Errorf("mean rate %v times", mean)
+		t.Errorf("mean rate is %v times the base rate", mean)
 	}
 	if share := float64(surge) / n; share < 0.15 || share > 0.35 {
-		t.Errorf("surging: %v", share)
+		t.Errorf("share of requests in surges: %v", share)
 	}
 	if share := float64(readsOfNew) / float64(reads); share < 0.2 || share > 0.54 {
-		t.Errorf("reads of new objects: %v", share)
+		t.Errorf("share of reads of new objects: %v", share)
 	}
 	if m := units / n; m < 2 || m > 3 || newObjects == 0 {
-		t.Errorf("units %v, new objects %d", m, newObjects)
+		t.Errorf("mean units of a request: %v, want 2 to 3; new objects: %d, want some", m, newObjects)
 	}
 }
 
-// The number of arrivals is the integral of the rate, for steps and ramps, whatever they are.
+// The number of arrivals equals the integral of the rate, for any steps and ramps.
 func TestRateIntegral(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
@@ -122,7 +122,7 @@
 			s.Steps = append(s.Steps, st)
 		}
 		want = (want + (span-at)*now) * s.Rate / 1000
-		out, _ := all(t, s, 1, ms(span))
+		out, _ := generate(t, s, 1, ms(span))
 		if math.Abs(float64(len(out))-want) > 2+want*0.005 {
 			t.Fatalf("%d arrivals, want %.1f", len(out), want)
 		}
@@ -138,7 +138,7 @@
 		`{"classes":[{"name":"a","share":1,"deadline":10,"aim":20}]}`: "classes.0", `{"units":[0]}`: "units", `{"surges":{"times":0.5}}`: "surges",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("shape %s: the error does not name the invalid key: %v", text, err)
 		}
 	}
 	text, err := json.Marshal(Default())
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -45,7 +45,7 @@
 		got := readOnce(conn)
 		_, _ = io.WriteString(client, "request")
 		if r := <-got; r.err != nil || r.text != "request" || !hookCalled {
-			t.Errorf("phase %d: read %+v, hook called: %v", phase, r, hookCalled)
+			t.Errorf("phase %d: the server read %+v, hook called: %v", phase, r, hookCalled)
 		}
 		_, _ = io.WriteString(conn, "answer")
 		if r := <-readOnce(client); r.text != "answer" {
@@ -70,10 +70,10 @@
 		t.Fatal("the connection was not marked closing after the check for input")
 	}
 	if r := <-got; r.text != "" || !errors.Is(r.err, net.ErrClosed) {
-		t.Errorf("read %+v", r)
+		t.Errorf("the server read %+v, want net.ErrClosed", r)
 	}
 	if conn.pendingInput() != socketReadable {
-		t.Error("the request was read")
+		t.Error("the request that arrived after the inspection was read")
 	}
 	_ = conn.Close()
 	if r := <-readOnce(client); !errors.Is(r.err, syscall.ECONNRESET) {
@@ -88,13 +88,13 @@
 	conn.markActive()
 	conn.ResponseDone()
 	if conn.evict() {
-		t.Fatal("evicted before the server's next read")
+		t.Fatal("the connection was evicted before the server's next read")
 	}
 	conn.SetIdle(false) // the server had read a further request
 	got := readOnce(conn)
 	_, _ = io.WriteString(client, "more")
 	if r := <-got; r.text != "more" || conn.phase.Load() != active {
-		t.Errorf("read %+v in phase %d", r, conn.phase.Load())
+		t.Errorf("the server read %+v, and the connection is in phase %d", r, conn.phase.Load())
 	}
 	conn.ResponseDone()
 	got = readOnce(conn)
@@ -108,7 +108,7 @@
 		}
 	}
 	if r := <-got; r.err == nil {
-		t.Errorf("%+v", r)
+		t.Errorf("read on the evicted connection returned %+v", r)
 	}
 }
 
@@ -117,7 +117,7 @@
 	_, conn, client := pair(t, 10)
 	_, _ = io.WriteString(client, "onetwo")
 	if r := <-readOnce(conn); r.text != "onetwo" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v, want both requests", r)
 	}
 	conn.CountParsed(3)
 	if !conn.HasUnparsed() {
@@ -130,7 +130,7 @@
 	conn.ResponseDone()
 	_, _ = io.WriteString(client, "three")
 	if r := <-readOnce(conn); r.text != "three" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v, want the third request", r)
 	}
 	if conn.CountParsed(5); conn.HasUnparsed() {
 		t.Error("HasUnparsed is true with all input parsed")
@@ -144,7 +144,7 @@
 	l.linger = time.Hour // long, so that no test passes because the linger time has ended
 	_, _ = io.WriteString(client, "request")
 	if r := <-readOnce(conn); r.text != "request" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("the server read %+v", r)
 	}
 	_, _ = io.WriteString(conn, "answer")
 	return l, conn, client
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
-		t.Errorf("%q %v", b, err)
+		t.Errorf("the client read %q, %v", b, err)
 	}
 	_ = client.Close()
 	waitAllClosed(l)
@@ -215,9 +215,9 @@
 	}
 	defer func() { _ = next.Close() }()
 	if _, err := l.Accept(); err != nil || l.OpenCount() != 1 {
-		t.Errorf("Accept: %v, %d connections open", err, l.OpenCount())
+		t.Errorf("Accept: error %v, %d connections open, want 1", err, l.OpenCount())
 	}
 	if b, err := io.ReadAll(client); err != nil || string(b) != "answer" {
-		t.Errorf("%q %v", b, err)
+		t.Errorf("the client read %q, %v", b, err)
 	}
 }
